--- a/internal/redlist/judge/main.go
+++ b/internal/knownred/judge/main.go
@@ -9,7 +9,7 @@
 	"os"
 	"os/exec"
 
-	"dunlinwell/internal/redlist"
+	"dunlinwell/internal/knownred"
 )
 
 func main() {
@@ -29,7 +29,7 @@
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
-	known, err := redlist.Read(string(raw))
+	known, err := knownred.Read(string(raw))
 	if err != nil {
 		return fmt.Errorf("%s: %w", list, err)
 	}
@@ -42,7 +42,7 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	j := redlist.New(os.Stdout)
+	j := knownred.New(os.Stdout)
 	if err := j.Follow(out); err != nil {
 		return err
 	}
--- a/internal/redlist/list.go
+++ b/internal/knownred/list.go
@@ -1,5 +1,5 @@
 // Package redlist judges a test run against the list of tests known to be red.
-package redlist
+package knownred
 
 import (
 	"fmt"
--- a/internal/rollcall/parts.go
+++ b/internal/membership/digest.go
@@ -1,11 +1,11 @@
-package rollcall
+package membership
 
 import (
 	"encoding/binary"
 	"hash/fnv"
 	"time"
 
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
 )
 
 const (
@@ -21,7 +21,7 @@
 	relayMost = 64
 )
 
-func part(id ticket.Daemon) int { return int(place(id) % parts) }
+func part(id ids.Daemon) int { return int(place(id) % parts) }
 
 // imprint sums up one member, so that a part's sum is the exclusive or of its
 // members' and changes with each of them alone.
@@ -41,7 +41,7 @@
 }
 
 // fold sums up the whole roll from its parts.
-func (r *Roll) fold() uint64 {
+func (r *List) fold() uint64 {
 	h := fnv.New64a()
 	var raw [8]byte
 	for _, p := range r.parts {
@@ -53,9 +53,9 @@
 
 // differ answers a peer whose roll isn't ours: with the whole, or, where that
 // would cost too much, with what the parts come to.
-func (r *Roll) differ(now ticket.Tick, peer Member) {
-	if !r.Thrifty {
-		r.out.Tell(peer.Address, Copy{Members: r.All()})
+func (r *List) differ(now ids.Time, peer Member) {
+	if !r.Incremental {
+		r.out.Send(peer.Address, Snapshot{Members: r.All()})
 		return
 	}
 	if at, ok := r.asked[peer.ID]; ok && now.Since(at) < compareEvery {
@@ -70,15 +70,15 @@
 		return
 	}
 	r.asked[peer.ID] = now
-	r.out.Tell(peer.Address, Outline{Parts: r.parts[:]})
+	r.out.Send(peer.Address, Digest{Parts: r.parts[:]})
 }
 
 // compare answers an outline with our members of the parts that differ.
-func (r *Roll) compare(from ticket.Address, o Outline) {
+func (r *List) compare(from ids.Address, o Digest) {
 	if len(o.Parts) != parts {
 		return
 	}
-	p := Portion{}
+	p := Delta{}
 	for i, sum := range o.Parts {
 		if sum != r.parts[i] {
 			p.Parts = append(p.Parts, uint16(i))
@@ -86,12 +86,12 @@
 	}
 	if len(p.Parts) > 0 {
 		p.Members = r.within(p.Parts)
-		r.out.Tell(from, p)
+		r.out.Send(from, p)
 	}
 }
 
 // within gives our members of some parts.
-func (r *Roll) within(list []uint16) []Member {
+func (r *List) within(list []uint16) []Member {
 	var in [parts]bool
 	for _, i := range list {
 		if int(i) < parts {
@@ -108,8 +108,8 @@
 }
 
 // take merges a portion and answers with what its sender lacks.
-func (r *Roll) take(from ticket.Address, p Portion) {
-	theirs := map[ticket.Daemon]Member{}
+func (r *List) take(from ids.Address, p Delta) {
+	theirs := map[ids.Daemon]Member{}
 	for _, m := range p.Members {
 		theirs[m.ID] = m
 	}
@@ -117,28 +117,28 @@
 	if p.Final {
 		return
 	}
-	back := Portion{Final: true}
+	back := Delta{Final: true}
 	for _, m := range r.within(p.Parts) {
 		if have, ok := theirs[m.ID]; !ok || m.newer(have) {
 			back.Members = append(back.Members, m)
 		}
 	}
 	if len(back.Members) > 0 {
-		r.out.Tell(from, back)
+		r.out.Send(from, back)
 	}
 }
 
-// introduce tells a foreman of ourselves at once; it relays that to the rest.
-func (r *Roll) introduce(f Member) {
+// introduce tells a registry of ourselves at once; it relays that to the rest.
+func (r *List) introduce(f Member) {
 	if f.ID != r.Self.ID {
-		r.out.Tell(f.Address, Portion{Members: []Member{r.Self}, Final: true})
+		r.out.Send(f.Address, Delta{Members: []Member{r.Self}, Final: true})
 	}
 }
 
-// Changed gives the members that changed since it was last asked, for a foreman
+// Changed gives the members that changed since it was last asked, for a registry
 // to relay; nil where copies are told whole.
-func (r *Roll) Changed() []Member {
-	seen := map[ticket.Daemon]bool{}
+func (r *List) Changed() []Member {
+	seen := map[ids.Daemon]bool{}
 	var out []Member
 	for len(r.changed) > 0 && len(out) < relayMost {
 		id := r.changed[0]
--- a/internal/rollcall/roll.go
+++ b/internal/membership/list.go
@@ -1,4 +1,4 @@
-package rollcall
+package membership
 
 import (
 	"cmp"
@@ -8,88 +8,88 @@
 	"slices"
 	"sync/atomic"
 
-	"dunlinwell/internal/ticket"
-	"dunlinwell/internal/works"
+	"dunlinwell/internal/event"
+	"dunlinwell/internal/ids"
 )
 
 // Roll is the state machine that every daemon embeds.
-type Roll struct {
-	Params
-	out     *works.Out
-	members map[ticket.Daemon]Member
-	heard   map[ticket.Daemon]ticket.Tick
-	doubts  map[ticket.Daemon]map[ticket.Daemon]doubt
-	beat    ticket.Tick
-	knock   ticket.Tick
-	digest  uint64
-	dirty   bool
+type List struct {
+	Options
+	out          *event.Outbox
+	members      map[ids.Daemon]Member
+	heard        map[ids.Daemon]ids.Time
+	suspicions   map[ids.Daemon]map[ids.Daemon]suspicion
+	beat         ids.Time
+	nextSeedCall ids.Time
+	digest       uint64
+	dirty        bool
 	// all and stood are the members in order of id, and those standing in order
 	// of the ring; nil once they have to be drawn up anew.
 	all, stood     []Member
 	parts          [parts]uint64
 	knocks         int
-	asked, differs map[ticket.Daemon]ticket.Tick
-	changed        []ticket.Daemon
+	asked, differs map[ids.Daemon]ids.Time
+	changed        []ids.Daemon
 	version        uint64
 	shown          uint64
-	// MayJudge, if set, tells whether this foreman may count others as gone.
-	MayJudge func(now ticket.Tick) bool
-	page     atomic.Pointer[page]
+	// MayJudge, if set, tells whether this registry may count others as gone.
+	MayDeclareDead func(now ids.Time) bool
+	page           atomic.Pointer[page]
 }
 
-type doubt struct {
-	incarnation ticket.Incarnation
-	at          ticket.Tick
+type suspicion struct {
+	incarnation ids.Incarnation
+	at          ids.Time
 }
 
 // New makes a roll that knows itself and its seeds alone.
-func New(p Params, out *works.Out) *Roll {
+func New(p Options, out *event.Outbox) *List {
 	p.fill()
 	p.Self.Sequence = 1
-	r := &Roll{Params: p, out: out, dirty: true, asked: map[ticket.Daemon]ticket.Tick{}, differs: map[ticket.Daemon]ticket.Tick{},
-		members: map[ticket.Daemon]Member{p.Self.ID: p.Self},
-		heard:   map[ticket.Daemon]ticket.Tick{},
-		doubts:  map[ticket.Daemon]map[ticket.Daemon]doubt{}}
+	r := &List{Options: p, out: out, dirty: true, asked: map[ids.Daemon]ids.Time{}, differs: map[ids.Daemon]ids.Time{},
+		members:    map[ids.Daemon]Member{p.Self.ID: p.Self},
+		heard:      map[ids.Daemon]ids.Time{},
+		suspicions: map[ids.Daemon]map[ids.Daemon]suspicion{}}
 	r.parts[part(p.Self.ID)] ^= imprint(p.Self)
 	return r
 }
 
 // Announce changes what this daemon says of itself.
-func (r *Roll) Announce(ready bool, holds ticket.Revision) {
+func (r *List) Announce(ready bool, holds ids.Revision) {
 	// Which policy a daemon holds is known from acknowledgements; told of each
 	// change by everybody, it would cost the square of the fleet.
-	if r.Self.Ready == ready && (r.Self.Holds == holds || r.Thrifty) {
+	if r.Self.Ready == ready && (r.Self.Holds == holds || r.Incremental) {
 		r.Self.Holds = holds
 		return
 	}
 	r.Self.Ready, r.Self.Holds = ready, holds
 	r.Self.Sequence++
 	r.set(r.Self)
-	if r.Thrifty {
-		for _, f := range r.Live(Foreman) {
+	if r.Incremental {
+		for _, f := range r.Live(Registry) {
 			r.introduce(f)
 		}
 	}
 }
 
-func (r *Roll) set(m Member) {
+func (r *List) set(m Member) {
 	if old, ok := r.members[m.ID]; ok {
 		r.parts[part(m.ID)] ^= imprint(old)
 	}
 	r.parts[part(m.ID)] ^= imprint(m)
 	r.members[m.ID] = m
 	r.dirty, r.all, r.stood = true, nil, nil
-	if r.Thrifty {
+	if r.Incremental {
 		r.changed = append(r.changed, m.ID)
 	}
 	r.version++
 }
 
 // Version grows with each change of the roll, so that owners can tell.
-func (r *Roll) Version() uint64 { return r.version }
+func (r *List) Version() uint64 { return r.version }
 
 // All gives every member known, in order of id.
-func (r *Roll) All() []Member {
+func (r *List) All() []Member {
 	if r.all == nil {
 		r.all = slices.SortedFunc(maps.Values(r.members), func(a, b Member) int { return cmp.Compare(a.ID, b.ID) })
 	}
@@ -97,7 +97,7 @@
 }
 
 // Live gives the members of a role that are not gone, in the agreed order.
-func (r *Roll) Live(role Role) []Member {
+func (r *List) Live(role Role) []Member {
 	var out []Member
 	for _, m := range r.All() {
 		if !m.Gone && m.Role == role {
@@ -108,18 +108,18 @@
 }
 
 // Get finds one member.
-func (r *Roll) Get(id ticket.Daemon) (Member, bool) {
+func (r *List) Get(id ids.Daemon) (Member, bool) {
 	m, ok := r.members[id]
 	return m, ok
 }
 
 // Ended tells whether the run of a daemon is surely over or suspected so.
-func (r *Roll) Ended(id ticket.Daemon, s ticket.Start) bool {
+func (r *List) Ended(id ids.Daemon, s ids.RunID) bool {
 	m, ok := r.members[id]
 	return !ok || m.Gone || m.Start != s
 }
 
-func (r *Roll) standing() []Member {
+func (r *List) livingMembers() []Member {
 	if r.stood == nil {
 		for _, m := range r.members {
 			if !m.Gone {
@@ -131,10 +131,10 @@
 	return r.stood[:len(r.stood):len(r.stood)]
 }
 
-func (r *Roll) sum() uint64 {
+func (r *List) sum() uint64 {
 	if r.dirty {
 		r.digest, r.dirty = r.fold(), false
-		if !r.Thrifty {
+		if !r.Incremental {
 			r.digest = sum(r.All())
 		}
 	}
@@ -159,36 +159,36 @@
 }
 
 // Hear takes a message; false means that it belongs to another slice.
-func (r *Roll) Hear(now ticket.Tick, from ticket.Address, msg any) bool {
+func (r *List) Receive(now ids.Time, from ids.Address, msg any) bool {
 	switch m := msg.(type) {
 	case Heartbeat:
 		r.merge([]Member{m.Self})
 		r.heard[m.Self.ID] = now
-		delete(r.doubts, m.Self.ID)
+		delete(r.suspicions, m.Self.ID)
 		// Copies that differ merge at once rather than in rounds.
 		if m.Digest != r.sum() {
 			r.differ(now, m.Self)
 		} else {
 			delete(r.differs, m.Self.ID)
 		}
-	case Outline:
+	case Digest:
 		r.compare(from, m)
-	case Portion:
+	case Delta:
 		r.take(from, m)
-	case Copy:
+	case Snapshot:
 		r.merge(m.Members)
 		if !m.Final && sum(m.Members) != r.sum() {
-			r.out.Tell(from, Copy{Members: r.All(), Final: true})
+			r.out.Send(from, Snapshot{Members: r.All(), Final: true})
 		}
 	case Suspect:
-		r.doubt(now, m)
+		r.suspect(now, m)
 	default:
 		return false
 	}
 	return true
 }
 
-func (r *Roll) merge(list []Member) {
+func (r *List) merge(list []Member) {
 	for _, m := range list {
 		if m.ID == r.Self.ID {
 			r.refute(m)
@@ -196,7 +196,7 @@
 		}
 		if have, ok := r.members[m.ID]; !ok || m.newer(have) {
 			r.set(m)
-			if r.Thrifty && m.Role == Foreman && !m.Gone && (!ok || have.Start != m.Start || have.Gone) {
+			if r.Incremental && m.Role == Registry && !m.Gone && (!ok || have.Start != m.Start || have.Gone) {
 				r.introduce(m)
 			}
 		}
@@ -204,22 +204,22 @@
 }
 
 // refute answers word of our own end, or of an earlier run of ours.
-func (r *Roll) refute(m Member) {
+func (r *List) refute(m Member) {
 	if m.Incarnation > r.Self.Incarnation || (m.Incarnation == r.Self.Incarnation && (m.Gone || m.Start != r.Self.Start)) {
 		r.Self.Incarnation = m.Incarnation + 1
 		r.Self.Sequence++
 		r.set(r.Self)
-		r.out.Say("info", "refuted", "incarnation", itoa(uint64(r.Self.Incarnation)))
+		r.out.Log("info", "refuted", "incarnation", itoa(uint64(r.Self.Incarnation)))
 	}
 }
 
-func (r *Roll) doubt(now ticket.Tick, s Suspect) {
+func (r *List) suspect(now ids.Time, s Suspect) {
 	m, ok := r.members[s.ID]
 	if !ok || m.Gone || m.Incarnation != s.Incarnation || s.ID == r.Self.ID {
 		return
 	}
-	if r.doubts[s.ID] == nil {
-		r.doubts[s.ID] = map[ticket.Daemon]doubt{}
+	if r.suspicions[s.ID] == nil {
+		r.suspicions[s.ID] = map[ids.Daemon]suspicion{}
 	}
-	r.doubts[s.ID][s.Watcher] = doubt{s.Incarnation, now}
+	r.suspicions[s.ID][s.Watcher] = suspicion{s.Incarnation, now}
 }
--- a/internal/rollcall/roll_test.go
+++ b/internal/membership/list_test.go
@@ -1,4 +1,4 @@
-package rollcall
+package membership
 
 import (
 	"fmt"
@@ -7,29 +7,29 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/ticket"
-	"dunlinwell/internal/works"
+	"dunlinwell/internal/event"
+	"dunlinwell/internal/ids"
 )
 
 // hall is a few rolls whose messages are passed by hand, in steps of a beat.
 type hall struct {
-	now   ticket.Tick
-	rolls map[ticket.Address]*Roll
-	outs  map[ticket.Address]*works.Out
-	mute  map[ticket.Address]bool
+	now   ids.Time
+	rolls map[ids.Address]*List
+	outs  map[ids.Address]*event.Outbox
+	mute  map[ids.Address]bool
 }
 
 func newHall(n int) *hall {
-	h := &hall{now: 1, rolls: map[ticket.Address]*Roll{}, outs: map[ticket.Address]*works.Out{}, mute: map[ticket.Address]bool{}}
+	h := &hall{now: 1, rolls: map[ids.Address]*List{}, outs: map[ids.Address]*event.Outbox{}, mute: map[ids.Address]bool{}}
 	for i := range n {
-		role := Counter
+		role := Proxy
 		if i < 2 {
-			role = Foreman
+			role = Registry
 		}
-		at := ticket.Address(fmt.Sprintf("m%d", i))
-		out := &works.Out{}
+		at := ids.Address(fmt.Sprintf("m%d", i))
+		out := &event.Outbox{}
 		h.outs[at] = out
-		h.rolls[at] = New(Params{Self: Member{ID: ticket.Daemon(at), Role: role, Address: at, Start: ticket.Start(i + 1), Incarnation: 1, Ready: true}, Seeds: []ticket.Address{"m0"}}, out)
+		h.rolls[at] = New(Options{Self: Member{ID: ids.Daemon(at), Role: role, Address: at, Start: ids.RunID(i + 1), Incarnation: 1, Ready: true}, Seeds: []ids.Address{"m0"}}, out)
 	}
 	return h
 }
@@ -38,20 +38,20 @@
 func (h *hall) pass(d time.Duration) {
 	for end := h.now.Add(d); h.now < end; h.now = h.now.Add(250 * time.Millisecond) {
 		for i := range len(h.rolls) {
-			at := ticket.Address(fmt.Sprintf("m%d", i))
+			at := ids.Address(fmt.Sprintf("m%d", i))
 			if !h.mute[at] {
-				h.rolls[at].Clock(h.now)
+				h.rolls[at].Tick(h.now)
 			}
 		}
 		for busy := true; busy; {
 			busy = false
 			for i := range len(h.rolls) {
-				at := ticket.Address(fmt.Sprintf("m%d", i))
-				for _, c := range h.outs[at].Take() {
-					s, ok := c.(works.Send)
+				at := ids.Address(fmt.Sprintf("m%d", i))
+				for _, c := range h.outs[at].Drain() {
+					s, ok := c.(event.Send)
 					if ok && !h.mute[at] && !h.mute[s.To] && h.rolls[s.To] != nil {
 						busy = true
-						h.rolls[s.To].Hear(h.now, at, s.Msg)
+						h.rolls[s.To].Receive(h.now, at, s.Msg)
 					}
 				}
 			}
@@ -59,8 +59,8 @@
 	}
 }
 
-func (h *hall) gone(seer, who ticket.Daemon) bool {
-	m, ok := h.rolls[ticket.Address(seer)].Get(who)
+func (h *hall) gone(seer, who ids.Daemon) bool {
+	m, ok := h.rolls[ids.Address(seer)].Get(who)
 	return ok && m.Gone
 }
 
@@ -70,7 +70,7 @@
 	h.pass(3 * time.Second)
 	for _, r := range h.rolls {
 		is.Equal(len(r.All()), 9)
-		is.Equal(len(r.Live(Foreman)), 2)
+		is.Equal(len(r.Live(Registry)), 2)
 	}
 }
 
@@ -83,7 +83,7 @@
 	h.mute["m5"] = true
 	h.pass(2500 * time.Millisecond)
 	for i := range 9 {
-		is.True(i == 5 || h.gone(ticket.Daemon(fmt.Sprintf("m%d", i)), "m5"))
+		is.True(i == 5 || h.gone(ids.Daemon(fmt.Sprintf("m%d", i)), "m5"))
 	}
 	h.mute["m5"] = false
 	h.pass(3 * time.Second)
@@ -97,14 +97,14 @@
 	is := is.New(t)
 	h := newHall(9)
 	h.pass(3 * time.Second)
-	stand := h.rolls["m0"].standing()
+	stand := h.rolls["m0"].livingMembers()
 	for i, m := range stand {
-		if m.Role == Foreman {
+		if m.Role == Registry {
 			continue
 		}
-		// From here on round the ring, all but foremen.
+		// From here on round the ring, all but registries.
 		for k := 0; k < 3; k++ {
-			if x := stand[(i+k)%len(stand)]; x.Role != Foreman {
+			if x := stand[(i+k)%len(stand)]; x.Role != Registry {
 				h.mute[x.Address] = true
 			}
 		}
@@ -112,19 +112,19 @@
 	}
 	h.pass(4 * time.Second)
 	for at := range h.mute {
-		is.True(h.gone("m0", ticket.Daemon(at)))
+		is.True(h.gone("m0", ids.Daemon(at)))
 	}
-	is.Equal(len(h.rolls["m0"].standing()), 9-len(h.mute))
+	is.Equal(len(h.rolls["m0"].livingMembers()), 9-len(h.mute))
 }
 
-// One that was frozen doubts nobody for its own silence, and a foreman that
+// One that was frozen doubts nobody for its own silence, and a registry that
 // may not judge doesn't.
 func TestOwnSilenceProvesNothing(t *testing.T) {
 	is := is.New(t)
 	h := newHall(5)
 	h.pass(3 * time.Second)
-	for _, at := range []ticket.Address{"m0", "m1"} {
-		h.rolls[at].MayJudge = func(ticket.Tick) bool { return false }
+	for _, at := range []ids.Address{"m0", "m1"} {
+		h.rolls[at].MayDeclareDead = func(ids.Time) bool { return false }
 	}
 	h.mute["m3"] = true
 	h.pass(5 * time.Second)
@@ -132,9 +132,9 @@
 	h.mute["m3"] = false
 	h.pass(time.Second)
 	for _, r := range h.rolls {
-		r.MayJudge = nil
+		r.MayDeclareDead = nil
 	}
 	h.now = h.now.Add(time.Minute) // everybody slept
 	h.pass(time.Second)
-	is.Equal(len(h.rolls["m0"].standing()), 5)
+	is.Equal(len(h.rolls["m0"].livingMembers()), 5)
 }
--- a/internal/rollcall/member.go
+++ b/internal/membership/member.go
@@ -1,7 +1,7 @@
-// Package rollcall is how our daemons know one another: each heartbeats to a
+// Package membership is how our daemons know one another: each heartbeats to a
 // few watchers that its place on a ring names, and copies of the roll merge
 // member by member.
-package rollcall
+package membership
 
 import (
 	"cmp"
@@ -10,8 +10,8 @@
 	"strconv"
 	"time"
 
-	"dunlinwell/internal/parcel"
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/wire"
 )
 
 // Role is what a daemon does.
@@ -19,37 +19,37 @@
 
 // The three programs.
 const (
-	Counter Role = iota + 1
-	Foreman
-	Stockroom
+	Proxy Role = iota + 1
+	Registry
+	Store
 )
 
 func (r Role) String() string {
-	return [...]string{"none", "counter", "foreman", "stockroom"}[min(r, 3)]
+	return [...]string{"none", "proxy", "registry", "store"}[min(r, 3)]
 }
 
 // Member is one daemon as the roll holds it.
 type Member struct {
-	ID          ticket.Daemon
+	ID          ids.Daemon
 	Role        Role
-	Address     ticket.Address
-	HTTP        ticket.Address
-	Cell        ticket.Name
-	Start       ticket.Start
-	Incarnation ticket.Incarnation
-	Sequence    ticket.Sequence
+	Address     ids.Address
+	HTTP        ids.Address
+	Zone        ids.Name
+	Start       ids.RunID
+	Incarnation ids.Incarnation
+	Sequence    ids.Sequence
 	Gone        bool
 	Ready       bool
 	// Holds is the newest policy the daemon has, so a founder finds the best.
-	Holds ticket.Revision
-	// Store is the store id of a stockroom; zero for the others.
+	Holds ids.Revision
+	// Store is the store id of a store; zero for the others.
 	Store uint64
-	// Serves is where a counter takes consumers, if not at HTTP.
-	Serves ticket.Address
+	// Serves is where a proxy takes consumers, if not at HTTP.
+	Serves ids.Address
 }
 
-// Consumers is where a counter takes consumers.
-func (m Member) Consumers() ticket.Address { return cmp.Or(m.Serves, m.HTTP) }
+// Consumers is where a proxy takes consumers.
+func (m Member) Consumers() ids.Address { return cmp.Or(m.Serves, m.HTTP) }
 
 // newer tells whether m replaces n. A suspicion beats its own incarnation's
 // life, and only a higher incarnation refutes it.
@@ -71,60 +71,60 @@
 }
 
 // Copy is a whole roll. Final asks for no copy in return.
-type Copy struct {
+type Snapshot struct {
 	Members []Member
 	Final   bool
 }
 
 // Outline sums up a roll part by part, so that only the parts that differ are
 // sent.
-type Outline struct{ Parts []uint64 }
+type Digest struct{ Parts []uint64 }
 
 // Portion holds the members of some parts. Final asks for nothing in return.
-type Portion struct {
+type Delta struct {
 	Parts   []uint16
 	Members []Member
 	Final   bool
 }
 
-// Suspect is a watcher's word to the foremen.
+// Suspect is a watcher's word to the registries.
 type Suspect struct {
-	Watcher     ticket.Daemon
-	ID          ticket.Daemon
-	Incarnation ticket.Incarnation
+	Watcher     ids.Daemon
+	ID          ids.Daemon
+	Incarnation ids.Incarnation
 }
 
-var _ = parcel.Register(10, Heartbeat{}) && parcel.Register(11, Copy{}) && parcel.Register(12, Suspect{}) &&
-	parcel.Register(13, Outline{}) && parcel.Register(14, Portion{})
+var _ = wire.Register(10, Heartbeat{}) && wire.Register(11, Snapshot{}) && wire.Register(12, Suspect{}) &&
+	wire.Register(13, Digest{}) && wire.Register(14, Delta{})
 
 // Params are the options of a roll; zero ones take the defaults.
-type Params struct {
-	Self     Member
-	Seeds    []ticket.Address
-	Watchers int
-	Beat     time.Duration
-	Silence  time.Duration
+type Options struct {
+	Self           Member
+	Seeds          []ids.Address
+	Watchers       int
+	HeartbeatEvery time.Duration
+	SuspectAfter   time.Duration
 	// Thrifty: what a daemon tells of the roll doesn't grow with the fleet. Copies
-	// that differ are compared part by part, and foremen relay what changed.
-	Thrifty bool
+	// that differ are compared part by part, and registries relay what changed.
+	Incremental bool
 }
 
-func (p *Params) fill() {
+func (p *Options) fill() {
 	if p.Watchers == 0 {
 		p.Watchers = 3
 	}
-	if p.Thrifty && p.Beat == 0 && p.Silence == 0 {
-		p.Beat, p.Silence = 400*time.Millisecond, 1200*time.Millisecond
+	if p.Incremental && p.HeartbeatEvery == 0 && p.SuspectAfter == 0 {
+		p.HeartbeatEvery, p.SuspectAfter = 400*time.Millisecond, 1200*time.Millisecond
 	}
-	if p.Beat == 0 {
-		p.Beat = 250 * time.Millisecond
+	if p.HeartbeatEvery == 0 {
+		p.HeartbeatEvery = 250 * time.Millisecond
 	}
-	if p.Silence == 0 {
-		p.Silence = time.Second
+	if p.SuspectAfter == 0 {
+		p.SuspectAfter = time.Second
 	}
 }
 
-func place(id ticket.Daemon) uint64 {
+func place(id ids.Daemon) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(id))
 	return h.Sum64()
@@ -132,7 +132,7 @@
 
 // ring orders members by their place; ids break ties.
 func ring(members []Member) {
-	at := make(map[ticket.Daemon]uint64, len(members))
+	at := make(map[ids.Daemon]uint64, len(members))
 	for _, m := range members {
 		at[m.ID] = place(m.ID)
 	}
@@ -142,7 +142,7 @@
 }
 
 // watchers names the k members that come after id on the ring.
-func watchers(members []Member, id ticket.Daemon, k int) []Member {
+func watchers(members []Member, id ids.Daemon, k int) []Member {
 	at := slices.IndexFunc(members, func(m Member) bool { return m.ID == id })
 	if at < 0 {
 		return nil
--- a/internal/rollcall/page.go
+++ b/internal/membership/published.go
@@ -1,4 +1,4 @@
-package rollcall
+package membership
 
 // page is the roll as readers outside the owner may see it.
 type page struct {
@@ -7,7 +7,7 @@
 }
 
 // publish puts out a fresh page after a change; the owner calls it.
-func (r *Roll) publish() {
+func (r *List) publish() {
 	if r.shown == r.version && r.page.Load() != nil {
 		return
 	}
@@ -16,7 +16,7 @@
 }
 
 // Me gives this daemon's own entry; safe from any thread.
-func (r *Roll) Me() (Member, bool) {
+func (r *List) Me() (Member, bool) {
 	if p := r.page.Load(); p != nil {
 		return p.self, true
 	}
@@ -24,7 +24,7 @@
 }
 
 // Members gives the whole roll; safe from any thread.
-func (r *Roll) Members() []Member {
+func (r *List) Members() []Member {
 	if p := r.page.Load(); p != nil {
 		return p.members
 	}
--- a/internal/catalogue/bench_test.go
+++ b/internal/policy/bench_test.go
@@ -1,4 +1,4 @@
-package catalogue
+package policy
 
 import (
 	"encoding/json"
--- a/internal/catalogue/change.go
+++ b/internal/policy/change.go
@@ -1,4 +1,4 @@
-package catalogue
+package policy
 
 import (
 	"encoding/json"
@@ -9,47 +9,47 @@
 	"github.com/tidwall/gjson"
 	"github.com/tidwall/pretty"
 
-	"dunlinwell/internal/sound"
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/jsoncheck"
 )
 
 // Part changes one item: put whole, set some fields of it, or remove it.
 type Part struct {
-	Kind    string           `json:"kind"`
-	Name    ticket.Name      `json:"name"`
-	Version *ticket.Revision `json:"version,omitempty"`
-	Put     json.RawMessage  `json:"put,omitempty"`
-	Set     json.RawMessage  `json:"set,omitempty"`
-	Remove  bool             `json:"remove,omitempty"`
+	Kind    string          `json:"kind"`
+	Name    ids.Name        `json:"name"`
+	Version *ids.Revision   `json:"version,omitempty"`
+	Put     json.RawMessage `json:"put,omitempty"`
+	Set     json.RawMessage `json:"set,omitempty"`
+	Remove  bool            `json:"remove,omitempty"`
 }
 
 // Change is whole or nothing.
 type Change struct {
-	ID    ticket.Change `json:"id"`
-	Parts []Part        `json:"changes"`
+	ID    ids.Change `json:"id"`
+	Parts []Part     `json:"changes"`
 }
 
 // Touched is an item as a change left it; version 0 is a removed one.
 type Touched struct {
-	Kind    string          `json:"kind"`
-	Name    ticket.Name     `json:"name"`
-	Version ticket.Revision `json:"version"`
+	Kind    string       `json:"kind"`
+	Name    ids.Name     `json:"name"`
+	Version ids.Revision `json:"version"`
 }
 
 // Stale is an item whose version is not the one the change was made for.
 type Stale struct {
 	Touched
-	Asked ticket.Revision `json:"asked"`
+	Asked ids.Revision `json:"asked"`
 }
 
 // Result is what came of a change.
 type Result struct {
-	ID       ticket.Change   `json:"id"`
-	Revision ticket.Revision `json:"revision"`
-	Items    []Touched       `json:"items,omitempty"`
-	Faults   []Fault         `json:"errors,omitempty"`
-	Stale    []Stale         `json:"stale,omitempty"`
-	Missing  []Touched       `json:"missing,omitempty"`
+	ID       ids.Change   `json:"id"`
+	Revision ids.Revision `json:"revision"`
+	Items    []Touched    `json:"items,omitempty"`
+	Faults   []Fault      `json:"errors,omitempty"`
+	Stale    []Stale      `json:"stale,omitempty"`
+	Missing  []Touched    `json:"missing,omitempty"`
 }
 
 // Accepted tells whether the change took effect.
@@ -67,7 +67,7 @@
 	return list[max(0, len(list)-most):]
 }
 
-func sorted[V any](m map[ticket.Name]V) []ticket.Name { return slices.Sorted(maps.Keys(m)) }
+func sorted[V any](m map[ids.Name]V) []ids.Name { return slices.Sorted(maps.Keys(m)) }
 
 // ReadChange reads and checks the words of a change; all faults are listed.
 func ReadChange(raw []byte) (Change, []Fault) {
@@ -75,7 +75,7 @@
 	var faults []Fault
 	item := "change"
 	bad := func(path, why string) { faults = append(faults, Fault{item, path, why}) }
-	if !sound.JSON(raw) {
+	if !jsoncheck.JSON(raw) {
 		bad("", "is not valid JSON")
 		return c, faults
 	}
--- a/internal/catalogue/check.go
+++ b/internal/policy/check.go
@@ -1,4 +1,4 @@
-package catalogue
+package policy
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"github.com/tidwall/gjson"
 
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
 )
 
 // Fault is one thing wrong with a change: the item, the path in it, and why.
@@ -160,7 +160,7 @@
 	}
 }
 
-// reserved paths belong to the daemons on every counter.
+// reserved paths belong to the daemons on every proxy.
 func reserved(p string) bool {
 	for _, r := range []string{"/v1", "/healthz", "/readyz", "/metrics", "/.well-known"} {
 		if p == r || strings.HasPrefix(p, r+"/") {
@@ -197,7 +197,7 @@
 // prefixes that two routes would fight over.
 func (p *Policy) checkWhole() []Fault {
 	var faults []Fault
-	prefix := map[string]ticket.Name{}
+	prefix := map[string]ids.Name{}
 	for _, n := range sorted(p.Routes) {
 		doc := gjson.ParseBytes(p.Routes[n].Body)
 		item := "route/" + string(n)
--- a/internal/catalogue/delta.go
+++ b/internal/policy/delta.go
@@ -1,20 +1,20 @@
-package catalogue
+package policy
 
 import (
 	"encoding/json"
 	"maps"
 	"strings"
 
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
 )
 
 var kindNames = []string{"service", "route", "cell", "limits"}
 
 // Since gives what changed after a revision, packed for those who only obey. A
 // change then costs its own items and not the whole policy.
-func (p *Policy) Since(base ticket.Revision) []byte {
-	d := &Policy{Revision: p.Revision, Base: base, Services: map[ticket.Name]Item{}, Routes: map[ticket.Name]Item{},
-		Cells: map[ticket.Name]Item{}, Limits: map[ticket.Name]Item{}, Removed: map[string]Buried{}}
+func (p *Policy) Since(base ids.Revision) []byte {
+	d := &Policy{Revision: p.Revision, Base: base, Services: map[ids.Name]Item{}, Routes: map[ids.Name]Item{},
+		Cells: map[ids.Name]Item{}, Limits: map[ids.Name]Item{}, Removed: map[string]Tombstone{}}
 	for _, k := range kindNames {
 		for n, it := range p.Of(k) {
 			if it.At > base {
@@ -56,10 +56,10 @@
 	for key, b := range d.Removed {
 		kind, name, _ := strings.Cut(key, "/")
 		if items := next.Of(kind); items != nil {
-			delete(items, ticket.Name(name))
+			delete(items, ids.Name(name))
 		}
 		if next.Removed == nil {
-			next.Removed = map[string]Buried{}
+			next.Removed = map[string]Tombstone{}
 		}
 		next.Removed[key] = b
 	}
--- a/internal/catalogue/delta_test.go
+++ b/internal/policy/delta_test.go
@@ -1,4 +1,4 @@
-package catalogue
+package policy
 
 import (
 	"encoding/json"
@@ -8,7 +8,7 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
 )
 
 // A difference leads from any earlier revision to just the same policy, however
@@ -23,9 +23,9 @@
 			var q *Policy
 			switch dice.IntN(4) {
 			case 0:
-				q, _ = p.Merge(merging(givenService(name, ticket.Revision(dice.IntN(60)))))
+				q, _ = p.Merge(merging(givenService(name, ids.Revision(dice.IntN(60)))))
 			case 1:
-				q, _ = p.Merge(merging(gone("service", name, ticket.Revision(dice.IntN(60)))))
+				q, _ = p.Merge(merging(gone("service", name, ids.Revision(dice.IntN(60)))))
 			case 2:
 				q, _ = change(t, p, fmt.Sprint("c", n), fmt.Sprintf(`{"kind":"service","name":%q,"put":{"tier":%d}}`, name, dice.IntN(9)))
 			case 3:
--- a/internal/catalogue/given.go
+++ b/internal/policy/given.go
@@ -1,4 +1,4 @@
-package catalogue
+package policy
 
 import (
 	"encoding/json"
@@ -6,17 +6,17 @@
 
 	"github.com/tidwall/gjson"
 
-	"dunlinwell/internal/sound"
+	"dunlinwell/internal/jsoncheck"
 )
 
 // ReadMerging reads and checks the words of a merging; all faults are listed.
-func ReadMerging(raw []byte) (Merging, []Fault) {
-	var m Merging
+func ReadMerge(raw []byte) (Merge, []Fault) {
+	var m Merge
 	var faults []Fault
 	item := "merging"
 	bad := func(path, why string) { faults = append(faults, Fault{item, path, why}) }
 	doc := gjson.ParseBytes(raw)
-	if !sound.JSON(raw) || !doc.IsObject() {
+	if !jsoncheck.JSON(raw) || !doc.IsObject() {
 		bad("", "is not a JSON object")
 		return m, faults
 	}
@@ -85,9 +85,9 @@
 func checkSource(raw json.RawMessage, bad func(path, why string)) {
 	switch {
 	case len(raw) == 0:
-	case sound.Depth(raw) > deepestSource:
+	case jsoncheck.Depth(raw) > deepestSource:
 		bad("source", "nests too deep")
-	case !sound.JSON(raw):
+	case !jsoncheck.JSON(raw):
 		bad("source", "is not valid JSON")
 	}
 }
--- a/internal/catalogue/given_test.go
+++ b/internal/policy/given_test.go
@@ -1,4 +1,4 @@
-package catalogue
+package policy
 
 import (
 	"encoding/json"
@@ -8,14 +8,14 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
 )
 
 func TestReadMerging(t *testing.T) {
 	is := is.New(t)
-	m, faults := ReadMerging([]byte(`{"items":[{"kind":"service","name":"Wader_1","version":7,"body":{"tier":3},"source":{"x":1,"x":2}},{"kind":"route","name":"mud","version":0,"removed":true}]}`))
+	m, faults := ReadMerge([]byte(`{"items":[{"kind":"service","name":"Wader_1","version":7,"body":{"tier":3},"source":{"x":1,"x":2}},{"kind":"route","name":"mud","version":0,"removed":true}]}`))
 	is.Equal(len(faults), 0)
-	is.Equal(m.Items[0].Version, ticket.Revision(7))
+	is.Equal(m.Items[0].Version, ids.Revision(7))
 	is.Equal(string(m.Items[0].Source), `{"x":1,"x":2}`)
 	is.True(m.Items[1].Removed)
 	given := func(s string) string { return `{"items":[` + s + `]}` }
@@ -39,7 +39,7 @@
 		given(`{"kind":"shop","name":"a","version":1,"body":{}}`):                     {"items.0", "kind", "is not known"},
 		given(`{"kind":"service","name":"a","version":1,"body":{"tier":10}}`):         {"service/a", "tier", "must be from 0 to 9"},
 	} {
-		_, faults := ReadMerging([]byte(raw))
+		_, faults := ReadMerge([]byte(raw))
 		if len(faults) == 0 || faults[0] != want {
 			t.Errorf("%s gave %v, not %v", raw, faults, want)
 		}
--- a/internal/catalogue/merge.go
+++ b/internal/policy/merge.go
@@ -1,4 +1,4 @@
-package catalogue
+package policy
 
 import (
 	"encoding/json"
@@ -8,20 +8,20 @@
 
 	"github.com/tidwall/pretty"
 
-	"dunlinwell/internal/ledger"
-	"dunlinwell/internal/sound"
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/consensus"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/jsoncheck"
 )
 
 // OpMerge merges items whose versions their caller gave.
-const OpMerge ledger.Op = 2
+const OpMerge consensus.Op = 2
 
 // Given is an item whose version its caller gave: for each name the highest
 // version holds, set or removed; lower or equal ones change nothing.
 type Given struct {
 	Kind    string          `json:"kind"`
-	Name    ticket.Name     `json:"name"`
-	Version ticket.Revision `json:"version"`
+	Name    ids.Name        `json:"name"`
+	Version ids.Revision    `json:"version"`
 	Body    json.RawMessage `json:"body,omitempty"`
 	Source  json.RawMessage `json:"source,omitempty"`
 	Removed bool            `json:"removed,omitempty"`
@@ -29,7 +29,7 @@
 
 // Merging is a call's items; it is valid whole or declined whole. Sent again,
 // late or out of order it does no harm, so it needs no id.
-type Merging struct {
+type Merge struct {
 	Items []Given `json:"items"`
 }
 
@@ -37,7 +37,7 @@
 const mostGiven = 200000
 
 // Check finds what a merging's own words show to be wrong.
-func (m Merging) Check() []Fault {
+func (m Merge) Check() []Fault {
 	var faults []Fault
 	item := "items"
 	bad := func(path, why string) { faults = append(faults, Fault{item, path, why}) }
@@ -59,7 +59,7 @@
 		if g.Removed {
 			continue
 		}
-		if !sound.JSON(g.Body) {
+		if !jsoncheck.JSON(g.Body) {
 			bad("", "is not valid JSON")
 			continue
 		}
@@ -71,7 +71,7 @@
 
 // Merge gives the policy with a call's items merged in, or the same policy if
 // the call is declined or brings nothing newer.
-func (p *Policy) Merge(m Merging) (*Policy, Result) {
+func (p *Policy) Merge(m Merge) (*Policy, Result) {
 	res := Result{Revision: p.Revision, Faults: m.Check()}
 	if len(res.Faults) > 0 {
 		return p, res
@@ -120,7 +120,7 @@
 }
 
 // version gives the version that holds for a name, set or removed.
-func (p *Policy) version(kind string, name ticket.Name) (ticket.Revision, bool) {
+func (p *Policy) version(kind string, name ids.Name) (ids.Revision, bool) {
 	if it, ok := p.Of(kind)[name]; ok {
 		return it.Version, true
 	}
@@ -145,21 +145,21 @@
 }
 
 // bury notes under which version an item was removed.
-func (p *Policy) bury(key string, v ticket.Revision) {
+func (p *Policy) bury(key string, v ids.Revision) {
 	if p.Removed == nil {
-		p.Removed = map[string]Buried{}
+		p.Removed = map[string]Tombstone{}
 	}
-	p.Removed[key] = Buried{Version: v, At: p.Revision}
+	p.Removed[key] = Tombstone{Version: v, At: p.Revision}
 }
 
 // unknownServices finds services that a route names and that aren't there.
-func (p *Policy) unknownServices(n ticket.Name, body []byte) []Fault {
+func (p *Policy) unknownServices(n ids.Name, body []byte) []Fault {
 	var r Route
 	if err := json.Unmarshal(body, &r); err != nil {
 		return []Fault{{"route/" + string(n), "", err.Error()}}
 	}
 	var faults []Fault
-	names := []ticket.Name{r.Service}
+	names := []ids.Name{r.Service}
 	if len(r.Split) > 0 {
 		names = names[:0]
 		for _, s := range r.Split {
@@ -175,12 +175,12 @@
 }
 
 // mergeOp is Merge as a register's change function.
-func mergeOp(_ ticket.Key, old, arg []byte) ([]byte, []byte) {
+func mergeOp(_ ids.Key, old, arg []byte) ([]byte, []byte) {
 	p, err := Open(old)
 	if err != nil {
 		return old, nil
 	}
-	var m Merging
+	var m Merge
 	if json.Unmarshal(arg, &m) != nil {
 		return old, nil
 	}
--- a/internal/catalogue/merge_test.go
+++ b/internal/policy/merge_test.go
@@ -1,4 +1,4 @@
-package catalogue
+package policy
 
 import (
 	"encoding/json"
@@ -7,23 +7,23 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
 )
 
-func givenService(name string, v ticket.Revision) Given {
-	return Given{Kind: "service", Name: ticket.Name(name), Version: v, Body: json.RawMessage(`{"circuits":9}`), Source: json.RawMessage(fmt.Sprintf(`{"called": %q,  "v":%d}`, name, v))}
+func givenService(name string, v ids.Revision) Given {
+	return Given{Kind: "service", Name: ids.Name(name), Version: v, Body: json.RawMessage(`{"circuits":9}`), Source: json.RawMessage(fmt.Sprintf(`{"called": %q,  "v":%d}`, name, v))}
 }
 
-func givenRoute(name, service string, v ticket.Revision) Given {
+func givenRoute(name, service string, v ids.Revision) Given {
 	body := fmt.Sprintf(`{"host":"tern.example","prefix":"/%s/","service":%q,"repeatable":true}`, name, service)
-	return Given{Kind: "route", Name: ticket.Name(name), Version: v, Body: json.RawMessage(body), Source: json.RawMessage(fmt.Sprintf(`{"n":%q, "to" : %q}`, name, service))}
+	return Given{Kind: "route", Name: ids.Name(name), Version: v, Body: json.RawMessage(body), Source: json.RawMessage(fmt.Sprintf(`{"n":%q, "to" : %q}`, name, service))}
 }
 
-func gone(kind, name string, v ticket.Revision) Given {
-	return Given{Kind: kind, Name: ticket.Name(name), Version: v, Removed: true}
+func gone(kind, name string, v ids.Revision) Given {
+	return Given{Kind: kind, Name: ids.Name(name), Version: v, Removed: true}
 }
 
-func merging(items ...Given) Merging { return Merging{Items: items} }
+func merging(items ...Given) Merge { return Merge{Items: items} }
 
 func empty(t *testing.T) *Policy {
 	t.Helper()
@@ -38,11 +38,11 @@
 	is := is.New(t)
 	p, r := empty(t).Merge(merging(givenService("wader", 7), givenRoute("mud", "wader", 7)))
 	is.True(r.Accepted())
-	is.Equal(r.Revision, ticket.Revision(1))
-	is.Equal(p.Routes["mud"].Version, ticket.Revision(7))
+	is.Equal(r.Revision, ids.Revision(1))
+	is.Equal(p.Routes["mud"].Version, ids.Revision(7))
 	is.Equal(r.Items, []Touched{{"service", "wader", 7}, {"route", "mud", 7}})
 	// Equal and lower ones succeed, name what holds, and change nothing at all.
-	for _, v := range []ticket.Revision{7, 6, 0} {
+	for _, v := range []ids.Revision{7, 6, 0} {
 		q, r := p.Merge(merging(givenRoute("mud", "wader", v)))
 		is.True(q == p)
 		is.True(r.Accepted())
@@ -52,9 +52,9 @@
 	// Steps may be uneven, and one item may be newer beside one that is older.
 	q, r := p.Merge(merging(givenRoute("mud", "wader", 40), givenService("wader", 3)))
 	is.True(r.Accepted())
-	is.Equal(q.Routes["mud"].Version, ticket.Revision(40))
-	is.Equal(q.Services["wader"].Version, ticket.Revision(7))
-	is.Equal(p.Routes["mud"].Version, ticket.Revision(7)) // the old policy is as it was
+	is.Equal(q.Routes["mud"].Version, ids.Revision(40))
+	is.Equal(q.Services["wader"].Version, ids.Revision(7))
+	is.Equal(p.Routes["mud"].Version, ids.Revision(7)) // the old policy is as it was
 	// Version 0 is one too, where there is none.
 	q, r = q.Merge(merging(givenService("plover", 0)))
 	is.True(r.Accepted())
@@ -66,7 +66,7 @@
 func TestCallsCommute(t *testing.T) {
 	is := is.New(t)
 	base, _ := empty(t).Merge(merging(givenService("wader", 1), givenService("plover", 1)))
-	calls := []Merging{
+	calls := []Merge{
 		merging(givenRoute("mud", "wader", 2)),
 		merging(givenRoute("mud", "plover", 5), givenRoute("sand", "wader", 5)),
 		merging(gone("route", "mud", 9), givenRoute("sand", "plover", 3)),
@@ -80,7 +80,7 @@
 			runs++
 			_, there := p.Routes["mud"]
 			is.True(!there)
-			is.Equal(p.Removed["route/mud"].Version, ticket.Revision(9))
+			is.Equal(p.Removed["route/mud"].Version, ids.Revision(9))
 			is.Equal(string(p.Routes["sand"].Source), `{"n":"sand", "to" : "wader"}`)
 			return
 		}
@@ -109,13 +109,13 @@
 	// policy forget it.
 	p, err := Open(p.Pack(false))
 	is.NoErr(err)
-	for _, v := range []ticket.Revision{4, 5, 6} {
+	for _, v := range []ids.Revision{4, 5, 6} {
 		q, r := p.Merge(merging(givenRoute("mud", "wader", v)))
 		is.True(r.Accepted())
 		is.True(q == p)
 	}
 	p, _ = p.Merge(merging(givenRoute("mud", "wader", 7)))
-	is.Equal(p.Routes["mud"].Version, ticket.Revision(7))
+	is.Equal(p.Routes["mud"].Version, ids.Revision(7))
 	is.Equal(len(p.Removed), 0)
 	// One that never was there can be removed beforehand.
 	p, r = p.Merge(merging(gone("route", "early", 3)))
@@ -138,7 +138,7 @@
 	for name, bad := range map[string]Given{
 		"unknown kind":      body("shop", `{}`),
 		"no name":           {Kind: "service", Version: 50, Body: json.RawMessage(`{}`)},
-		"long name":         {Kind: "service", Name: ticket.Name(make([]byte, 257)), Version: 50, Body: json.RawMessage(`{}`)},
+		"long name":         {Kind: "service", Name: ids.Name(make([]byte, 257)), Version: 50, Body: json.RawMessage(`{}`)},
 		"broken":            body("service", `{"tier":`),
 		"no body":           {Kind: "service", Name: "odd", Version: 50},
 		"no object":         body("service", `7`),
@@ -171,7 +171,7 @@
 
 func TestAMergingIsBounded(t *testing.T) {
 	is := is.New(t)
-	faults := Merging{Items: make([]Given, mostGiven+1)}.Check()
+	faults := Merge{Items: make([]Given, mostGiven+1)}.Check()
 	is.Equal(len(faults), 1)
 	is.Equal(faults[0].Item, "items")
 }
@@ -183,19 +183,19 @@
 	p, _ := empty(t).Merge(merging(givenService("wader", 100), givenRoute("mud", "wader", 100)))
 	p, r := change(t, p, "1", `{"kind":"service","name":"wader","set":{"tier":7}}`)
 	is.True(r.Accepted())
-	is.Equal(p.Services["wader"].Version, ticket.Revision(101))
+	is.Equal(p.Services["wader"].Version, ids.Revision(101))
 	q, _ := p.Merge(merging(givenService("wader", 101)))
 	is.True(q == p)
 	p, r = change(t, p, "2", `{"kind":"route","name":"mud","remove":true}`)
 	is.True(r.Accepted())
-	is.Equal(p.Removed["route/mud"].Version, ticket.Revision(101))
+	is.Equal(p.Removed["route/mud"].Version, ids.Revision(101))
 	q, _ = p.Merge(merging(givenRoute("mud", "wader", 101)))
 	is.True(q == p)
 	p, r = change(t, p, "3", `{"kind":"route","name":"mud","put":{"prefix":"/mud","service":"wader","repeatable":true}}`)
 	is.True(r.Accepted())
-	is.Equal(p.Routes["mud"].Version, ticket.Revision(102))
+	is.Equal(p.Routes["mud"].Version, ids.Revision(102))
 	p, _ = p.Merge(merging(givenRoute("mud", "wader", 103)))
-	is.Equal(p.Routes["mud"].Version, ticket.Revision(103))
+	is.Equal(p.Routes["mud"].Version, ids.Revision(103))
 }
 
 // An item that our own interface changed, and then removes, was merged once:
--- a/internal/catalogue/ops.go
+++ b/internal/policy/ops.go
@@ -1,18 +1,18 @@
-package catalogue
+package policy
 
 import (
 	"encoding/json"
 
-	"dunlinwell/internal/ledger"
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/consensus"
+	"dunlinwell/internal/ids"
 )
 
 // OpChange applies a checked change to the policy.
-const OpChange ledger.Op = 1
+const OpChange consensus.Op = 1
 
 // Ops are the change functions of the policy.
-func Ops() map[ledger.Op]ledger.Func {
-	return map[ledger.Op]ledger.Func{OpMerge: mergeOp, OpChange: func(_ ticket.Key, old, arg []byte) ([]byte, []byte) {
+func Ops() map[consensus.Op]consensus.ChangeFunc {
+	return map[consensus.Op]consensus.ChangeFunc{OpMerge: mergeOp, OpChange: func(_ ids.Key, old, arg []byte) ([]byte, []byte) {
 		p, err := Open(old)
 		if err != nil {
 			return old, nil
--- a/internal/catalogue/policy.go
+++ b/internal/policy/policy.go
@@ -1,23 +1,23 @@
 // Package catalogue is the policy: services, routes and cells. It is one
 // register, because a change that names several items must be whole or
 // nothing and a route may not outlive its service; versions are each item's.
-package catalogue
+package policy
 
 import (
 	"encoding/json"
 	"fmt"
 
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
 )
 
 // Key is the policy's register.
-const Key ticket.Key = "policy"
+const Key ids.Key = "policy"
 
 // Item is one thing an operator made, as it was sent, and its version. The
 // version is the revision that last changed it, so one made anew after its
 // removal never has an old version again.
 type Item struct {
-	Version ticket.Revision `json:"version"`
+	Version ids.Revision    `json:"version"`
 	Body    json.RawMessage `json:"body"`
 	// Source is the item in its caller's own form, where that isn't ours; it is
 	// kept as it was sent, to be read back.
@@ -25,13 +25,13 @@
 	// Merged: it is its caller's business, though it may have kept no source.
 	Merged bool `json:"merged,omitempty"`
 	// At is the policy's revision that last changed the item.
-	At ticket.Revision `json:"at,omitempty"`
+	At ids.Revision `json:"at,omitempty"`
 }
 
 // Buried is what is known of an item that was removed.
-type Buried struct {
-	Version ticket.Revision `json:"version"`
-	At      ticket.Revision `json:"at"`
+type Tombstone struct {
+	Version ids.Revision `json:"version"`
+	At      ids.Revision `json:"at"`
 }
 
 // merged tells whether an item came by merging.
@@ -39,17 +39,17 @@
 
 // Policy is all items, and the results of recent changes by change id.
 type Policy struct {
-	Revision ticket.Revision      `json:"revision"`
-	Services map[ticket.Name]Item `json:"services"`
-	Routes   map[ticket.Name]Item `json:"routes"`
-	Cells    map[ticket.Name]Item `json:"cells"`
-	Limits   map[ticket.Name]Item `json:"limits,omitempty"`
+	Revision ids.Revision      `json:"revision"`
+	Services map[ids.Name]Item `json:"services"`
+	Routes   map[ids.Name]Item `json:"routes"`
+	Cells    map[ids.Name]Item `json:"cells"`
+	Limits   map[ids.Name]Item `json:"limits,omitempty"`
 	// Removed holds, by kind/name, the version under which an item was removed:
 	// an older copy that arrives later must not bring it back.
-	Removed map[string]Buried `json:"removed,omitempty"`
+	Removed map[string]Tombstone `json:"removed,omitempty"`
 	// Base, if set, tells that only what changed since that revision is here.
-	Base   ticket.Revision `json:"base,omitempty"`
-	Recent []Result        `json:"recent,omitempty"`
+	Base   ids.Revision `json:"base,omitempty"`
+	Recent []Result     `json:"recent,omitempty"`
 	// Declined are kept as well: a late copy of a change whose caller was told
 	// that it is declined must not be accepted once the item it lacked is there.
 	Declined []Result `json:"declined,omitempty"`
@@ -57,8 +57,8 @@
 
 // Service is a pool of targets that announce themselves.
 type Service struct {
-	Name ticket.Name `json:"-"`
-	Tier int         `json:"tier"`
+	Name ids.Name `json:"-"`
+	Tier int      `json:"tier"`
 	// Capacity is how many requests at once a target bears that doesn't say.
 	Capacity int `json:"capacity"`
 	// Warm is how long a target back from a restart takes to bear all.
@@ -75,18 +75,18 @@
 // Cell is a zone: its region, its set points in ms of CPU a second, and
 // whether it is emptied.
 type Cell struct {
-	Name   ticket.Name `json:"-"`
-	Region string      `json:"region"`
-	Target float64     `json:"target"`
+	Name   ids.Name `json:"-"`
+	Region string   `json:"region"`
+	Target float64  `json:"target"`
 	// Unnamed: no operator named a target level.
 	Unnamed    bool    `json:"-"`
 	Acceptable float64 `json:"acceptable"`
 	Maximum    float64 `json:"maximum"`
 	Emptied    bool    `json:"emptied"`
-	// Shut: nothing more is sent to the cell's targets, while its counters go on
+	// Shut: nothing more is sent to the cell's targets, while its proxies go on
 	// serving from the targets of other cells.
-	Shut      bool                        `json:"shut"`
-	Distances map[ticket.Name]json.Number `json:"distances"`
+	Shut      bool                     `json:"shut"`
+	Distances map[ids.Name]json.Number `json:"distances"`
 }
 
 // Open reads a policy; nil bytes are an empty one.
@@ -97,9 +97,9 @@
 			return nil, err
 		}
 	}
-	for _, m := range []*map[ticket.Name]Item{&p.Services, &p.Routes, &p.Cells, &p.Limits} {
+	for _, m := range []*map[ids.Name]Item{&p.Services, &p.Routes, &p.Cells, &p.Limits} {
 		if *m == nil {
-			*m = map[ticket.Name]Item{}
+			*m = map[ids.Name]Item{}
 		}
 	}
 	return p, nil
@@ -116,7 +116,7 @@
 }
 
 // Of gives the items of a kind; nil for a kind that isn't one.
-func (p *Policy) Of(kind string) map[ticket.Name]Item {
+func (p *Policy) Of(kind string) map[ids.Name]Item {
 	switch kind {
 	case "service":
 		return p.Services
--- a/internal/catalogue/catalogue_test.go
+++ b/internal/policy/policy_test.go
@@ -1,4 +1,4 @@
-package catalogue
+package policy
 
 import (
 	"encoding/json"
@@ -142,7 +142,7 @@
 	is.Equal(len(r.Faults), 1)
 }
 
-// A foreman reads changes in its owner: a body that nests thousands deep must not
+// A registry reads changes in its owner: a body that nests thousands deep must not
 // hold all others up.
 func TestDeepNestingCostsNothing(t *testing.T) {
 	is := is.New(t)
--- a/internal/catalogue/route.go
+++ b/internal/policy/route.go
@@ -1,25 +1,25 @@
-package catalogue
+package policy
 
 import (
 	"time"
 
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
 )
 
 // Route is how a request finds a service, how urgent it is, and whether it
 // may be repeated.
 type Route struct {
-	Name ticket.Name `json:"-"`
+	Name ids.Name `json:"-"`
 	// Host, if set, is the only host that the route is for.
-	Host    string      `json:"host"`
-	Prefix  string      `json:"prefix"`
-	Service ticket.Name `json:"service"`
+	Host    string   `json:"host"`
+	Prefix  string   `json:"prefix"`
+	Service ids.Name `json:"service"`
 	// Split, if set, shares the requests out among services by weight.
 	Split      []Share `json:"split"`
 	Tier       int     `json:"tier"`
 	Repeatable bool    `json:"repeatable"`
 	// Single: a request that may not be repeated carries no mark; each attempt
-	// reaches one counter, which alone sees to it that it runs at most once.
+	// reaches one proxy, which alone sees to it that it runs at most once.
 	Single  bool `json:"single"`
 	Limit   int  `json:"limit_ms"`
 	MaxBody int  `json:"max_body"`
@@ -29,13 +29,13 @@
 	Attempts int `json:"attempts"`
 	// Homes are the regions in which the route's requests may be served; none
 	// for all.
-	Homes []ticket.Name `json:"homes"`
+	Homes []ids.Name `json:"homes"`
 }
 
 // Share is a service's part of a split route.
 type Share struct {
-	Service ticket.Name `json:"service"`
-	Weight  float64     `json:"weight"`
+	Service ids.Name `json:"service"`
+	Weight  float64  `json:"weight"`
 }
 
 // LimitTime is the route's time limit.
@@ -45,12 +45,12 @@
 func (r Route) GoalTime() time.Duration { return time.Duration(r.Goal) * time.Millisecond }
 
 // Services gives each service that the route's requests may go to, once.
-func (r Route) Services() []ticket.Name {
+func (r Route) Services() []ids.Name {
 	if len(r.Split) == 0 {
-		return []ticket.Name{r.Service}
+		return []ids.Name{r.Service}
 	}
-	var out []ticket.Name
-	seen := map[ticket.Name]bool{}
+	var out []ids.Name
+	seen := map[ids.Name]bool{}
 	for _, s := range r.Split {
 		if s.Weight > 0 && !seen[s.Service] {
 			seen[s.Service] = true
@@ -61,7 +61,7 @@
 }
 
 // Draw gives the service for one request, by a draw from 0 up to 1.
-func (r Route) Draw(draw float64) ticket.Name {
+func (r Route) Draw(draw float64) ids.Name {
 	sum := 0.0
 	for _, s := range r.Split {
 		sum += s.Weight
--- a/internal/catalogue/split_test.go
+++ b/internal/policy/split_test.go
@@ -1,4 +1,4 @@
-package catalogue
+package policy
 
 import (
 	"encoding/json"
@@ -8,31 +8,31 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
 )
 
 func TestASplitIsDrawnByWeight(t *testing.T) {
 	is := is.New(t)
 	r := Route{Service: "none", Split: []Share{{"idle", 0}, {"wader", 90}, {"plover", 10}, {"wader", 0}, {"late", 0}}}
-	is.Equal(r.Services(), []ticket.Name{"wader", "plover"})
-	got := map[ticket.Name]int{}
+	is.Equal(r.Services(), []ids.Name{"wader", "plover"})
+	got := map[ids.Name]int{}
 	const n = 1000
 	for i := range n {
 		got[r.Draw(float64(i)/n)]++
 	}
-	is.Equal(got, map[ticket.Name]int{"wader": 900, "plover": 100})
+	is.Equal(got, map[ids.Name]int{"wader": 900, "plover": 100})
 	// The ends: a draw may come out just under 1, and sums of fractions round.
-	is.Equal(r.Draw(0), ticket.Name("wader"))
-	is.Equal(r.Draw(math.Nextafter(1, 0)), ticket.Name("plover"))
-	is.Equal(r.Draw(1), ticket.Name("plover")) // never one of no weight
+	is.Equal(r.Draw(0), ids.Name("wader"))
+	is.Equal(r.Draw(math.Nextafter(1, 0)), ids.Name("plover"))
+	is.Equal(r.Draw(1), ids.Name("plover")) // never one of no weight
 	thirds := Route{Split: []Share{{"a", 0.1}, {"b", 0.1}, {"c", 0.1}, {"zero", 0}}}
-	is.Equal(thirds.Draw(math.Nextafter(1, 0)), ticket.Name("c"))
+	is.Equal(thirds.Draw(math.Nextafter(1, 0)), ids.Name("c"))
 	// Without one there is but the service.
 	one := Route{Service: "wader"}
-	is.Equal(one.Services(), []ticket.Name{"wader"})
-	is.Equal(one.Draw(0.5), ticket.Name("wader"))
+	is.Equal(one.Services(), []ids.Name{"wader"})
+	is.Equal(one.Draw(0.5), ids.Name("wader"))
 	// A service that stands twice is one.
-	is.Equal(Route{Split: []Share{{"a", 1}, {"a", 2}, {"b", 1}}}.Services(), []ticket.Name{"a", "b"})
+	is.Equal(Route{Split: []Share{{"a", 1}, {"a", 2}, {"b", 1}}}.Services(), []ids.Name{"a", "b"})
 }
 
 // Names and paths of given items are their caller's; numbers and types ours.
@@ -88,7 +88,7 @@
 	is := is.New(t)
 	p := empty(t)
 	is.Equal(p.View().Limits, NoLimits)
-	limits := func(raw string, v ticket.Revision) Given {
+	limits := func(raw string, v ids.Revision) Given {
 		return Given{Kind: "limits", Name: "limits", Version: v, Body: json.RawMessage(raw), Source: json.RawMessage(raw)}
 	}
 	p, r := p.Merge(merging(limits(`{"max_header":2048,"max_body":10,"header_ms":300,"idle_ms":400}`, 3)))
@@ -114,13 +114,13 @@
 	p, r := change(t, p, "1", `{"kind":"cell","name":"quay","put":{"region":"west","target":100,"shut":true}},{"kind":"cell","name":"pier","put":{"target":50}}`)
 	is.True(r.Accepted())
 	v := p.View()
-	v.Know(map[ticket.Name]string{"quay": "east", "pier": "east", "mole": "east"})
+	v.Know(map[ids.Name]string{"quay": "east", "pier": "east", "mole": "east"})
 	is.Equal(v.Cells["quay"].Region, "west") // policy's own word goes first
 	is.True(v.Cells["quay"].Shut)
 	is.Equal(v.Cells["quay"].Target, 100.0)
 	is.Equal(v.Cells["pier"].Region, "east")
 	is.Equal(v.Cells["pier"].Target, 50.0)
-	is.Equal(v.Cells["mole"].Name, ticket.Name("mole"))
+	is.Equal(v.Cells["mole"].Name, ids.Name("mole"))
 	is.Equal(v.Cells["mole"].Target, float64(defaultTarget))
 	is.Equal(v.Distance("pier", "mole"), 1.0)
 	is.Equal(v.Distance("quay", "mole"), 1000.0)
--- a/internal/catalogue/view.go
+++ b/internal/policy/view.go
@@ -1,9 +1,9 @@
-package catalogue
+package policy
 
 import (
 	"encoding/json"
 
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
 )
 
 // defaultTarget is a cell's comfortable level where nobody names one, in ms of
@@ -12,18 +12,18 @@
 
 // View is the policy as daemons use it: typed, with defaults filled in.
 type View struct {
-	Revision ticket.Revision
-	Services map[ticket.Name]Service
-	Routes   map[ticket.Name]Route
-	Cells    map[ticket.Name]Cell
+	Revision ids.Revision
+	Services map[ids.Name]Service
+	Routes   map[ids.Name]Route
+	Cells    map[ids.Name]Cell
 	// Limits bound what consumers may send.
 	Limits Limits
 }
 
 // View reads the items. They were checked when they were accepted.
 func (p *Policy) View() *View {
-	v := &View{Revision: p.Revision, Services: map[ticket.Name]Service{},
-		Routes: map[ticket.Name]Route{}, Cells: map[ticket.Name]Cell{}, Limits: NoLimits}
+	v := &View{Revision: p.Revision, Services: map[ids.Name]Service{},
+		Routes: map[ids.Name]Route{}, Cells: map[ids.Name]Cell{}, Limits: NoLimits}
 	for n, it := range p.Services {
 		s := Service{Tier: 5, Capacity: 16, Warm: 10000, Allowance: 10}
 		_ = json.Unmarshal(it.Body, &s)
@@ -59,7 +59,7 @@
 
 // Know adds what a daemon was told of cells at its start, where policy says
 // nothing of them: that they are there, and their regions.
-func (v *View) Know(regions map[ticket.Name]string) {
+func (v *View) Know(regions map[ids.Name]string) {
 	for n, region := range regions {
 		c, ok := v.Cells[n]
 		if !ok {
@@ -74,11 +74,11 @@
 
 // Distance tells how far two cells are apart, as policy says; far if it
 // doesn't, nearer within a region.
-func (v *View) Distance(a, b ticket.Name) float64 {
+func (v *View) Distance(a, b ids.Name) float64 {
 	if a == b {
 		return 0
 	}
-	for _, p := range [][2]ticket.Name{{a, b}, {b, a}} {
+	for _, p := range [][2]ids.Name{{a, b}, {b, a}} {
 		if d, ok := v.Cells[p[0]].Distances[p[1]]; ok {
 			if f, err := d.Float64(); err == nil {
 				return f
--- a/internal/hoist/dial.go
+++ b/internal/process/dial.go
@@ -1,4 +1,4 @@
-package hoist
+package process
 
 import (
 	"context"
@@ -7,11 +7,11 @@
 	"syscall"
 	"time"
 
-	"dunlinwell/internal/problem"
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/errs"
+	"dunlinwell/internal/ids"
 )
 
-func (p *Post) dial(ctx context.Context, to ticket.Address) (net.Conn, error) {
+func (p *Transport) dial(ctx context.Context, to ids.Address) (net.Conn, error) {
 	d := net.Dialer{Timeout: dialWithin, Control: func(_, _ string, raw syscall.RawConn) error {
 		// A circuit that a cut has swallowed must end soon, not after the
 		// kernel's own quarter of an hour.
@@ -25,5 +25,5 @@
 		d.LocalAddr = net.TCPAddrFromAddrPort(netip.AddrPortFrom(a.Addr(), 0))
 	}
 	c, err := d.DialContext(ctx, "tcp", string(to))
-	return c, problem.At(err, "dial", string(to))
+	return c, errs.Wrap(err, "dial", string(to))
 }
--- a/internal/hoist/log.go
+++ b/internal/process/log.go
@@ -1,4 +1,4 @@
-package hoist
+package process
 
 import (
 	"errors"
@@ -11,7 +11,7 @@
 
 	"github.com/phuslu/log"
 
-	"dunlinwell/internal/works"
+	"dunlinwell/internal/event"
 )
 
 // Log writes one line of key=value pairs for each event.
@@ -52,7 +52,7 @@
 }
 
 // Note logs what a machine had to say.
-func (l *Log) Note(n works.Note) { l.Event(n.Level, n.Event, n.Fields...) }
+func (l *Log) Note(n event.LogEntry) { l.Event(n.Level, n.Event, n.Fields...) }
 
 // ended tells whether a circuit just ended, as circuits do.
 func ended(err error) bool {
--- a/internal/hoist/tally.go
+++ b/internal/process/traffic.go
@@ -1,42 +1,42 @@
-package hoist
+package process
 
 import (
 	"cmp"
 	"slices"
 	"sync"
 
-	"dunlinwell/internal/parcel"
+	"dunlinwell/internal/wire"
 )
 
 // Way is where a message went.
-type Way string
+type Direction string
 
 // Lost are those that a full line had no room for.
 const (
-	Sent     Way = "sent"
-	Received Way = "received"
-	Lost     Way = "lost"
+	Sent     Direction = "sent"
+	Received Direction = "received"
+	Dropped  Direction = "lost"
 )
 
 // Flow is what went one way, of one kind.
-type Flow struct {
-	Way             Way
+type Traffic struct {
+	Direction       Direction
 	Kind            string
 	Messages, Bytes uint64
 }
 
 // Tally counts frames by way and kind; a nil one counts nothing.
-type Tally struct {
+type TrafficStats struct {
 	mu    sync.Mutex
-	flows map[flowKey]*Flow
+	flows map[flowKey]*Traffic
 }
 
 type flowKey struct {
-	way  Way
-	kind parcel.Kind
+	way  Direction
+	kind wire.Kind
 }
 
-func (t *Tally) count(w Way, k parcel.Kind, size int) {
+func (t *TrafficStats) count(w Direction, k wire.Kind, size int) {
 	if t == nil {
 		return
 	}
@@ -45,9 +45,9 @@
 	f := t.flows[flowKey{w, k}]
 	if f == nil {
 		if t.flows == nil {
-			t.flows = map[flowKey]*Flow{}
+			t.flows = map[flowKey]*Traffic{}
 		}
-		f = &Flow{Way: w, Kind: cmp.Or(k.Name(), "unknown")}
+		f = &Traffic{Direction: w, Kind: cmp.Or(k.Name(), "unknown")}
 		t.flows[flowKey{w, k}] = f
 	}
 	f.Messages++
@@ -55,13 +55,15 @@
 }
 
 // Flows gives what was counted so far, in a steady order.
-func (t *Tally) Flows() []Flow {
+func (t *TrafficStats) Flows() []Traffic {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var out []Flow
+	var out []Traffic
 	for _, f := range t.flows {
 		out = append(out, *f)
 	}
-	slices.SortFunc(out, func(a, b Flow) int { return cmp.Or(cmp.Compare(a.Way, b.Way), cmp.Compare(a.Kind, b.Kind)) })
+	slices.SortFunc(out, func(a, b Traffic) int {
+		return cmp.Or(cmp.Compare(a.Direction, b.Direction), cmp.Compare(a.Kind, b.Kind))
+	})
 	return out
 }
--- a/internal/hoist/tally_test.go
+++ b/internal/process/traffic_test.go
@@ -1,4 +1,4 @@
-package hoist
+package process
 
 import (
 	"context"
@@ -7,13 +7,13 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/parcel"
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/wire"
 )
 
 type note struct{ Text string }
 
-var _ = parcel.Register(65001, note{})
+var _ = wire.Register(65001, note{})
 
 // What one post counts as sent, the other counts as received, byte for byte.
 func TestTallyOfBothEndsAgrees(t *testing.T) {
@@ -21,15 +21,15 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
 	got := make(chan any, 8)
-	a, b := &Post{Address: "127.0.0.1:0", Tally: &Tally{}, Log: NewLog("error", "a")}, &Post{Address: "127.0.0.1:0", Tally: &Tally{}, Log: NewLog("error", "b")}
-	for _, p := range []*Post{a, b} {
+	a, b := &Transport{Address: "127.0.0.1:0", Stats: &TrafficStats{}, Log: NewLog("error", "a")}, &Transport{Address: "127.0.0.1:0", Stats: &TrafficStats{}, Log: NewLog("error", "b")}
+	for _, p := range []*Transport{a, b} {
 		l, err := p.Listen()
 		is.NoErr(err)
-		p.Address = ticket.Address(l.Addr().String())
-		p.Deliver = func(_ ticket.Address, msg any) { got <- msg }
+		p.Address = ids.Address(l.Addr().String())
+		p.Deliver = func(_ ids.Address, msg any) { got <- msg }
 		go func() { _ = p.Serve(ctx, l) }()
 	}
-	raw, err := parcel.Pack(note{"hello"})
+	raw, err := wire.Encode(note{"hello"})
 	is.NoErr(err)
 	// A post sends nothing before it serves.
 	for heard := false; !heard; {
@@ -43,25 +43,25 @@
 			t.Fatal("nothing arrived")
 		}
 	}
-	var sent, received Flow
+	var sent, received Traffic
 	for ctx.Err() == nil && (sent.Messages == 0 || sent != received) {
-		sent, received = find(a.Tally, Sent), find(b.Tally, Received)
+		sent, received = find(a.Stats, Sent), find(b.Stats, Received)
 	}
 	is.Equal(sent, received)
 	is.Equal(sent.Bytes, sent.Messages*uint64(len(raw)))
 }
 
-func find(t *Tally, w Way) Flow {
+func find(t *TrafficStats, w Direction) Traffic {
 	for _, f := range t.Flows() {
-		if f.Way == w && f.Kind == "hoist.note" {
-			f.Way = ""
+		if f.Direction == w && f.Kind == "hoist.note" {
+			f.Direction = ""
 			return f
 		}
 	}
-	return Flow{}
+	return Traffic{}
 }
 
 func TestNilTallyCountsNothing(t *testing.T) {
-	var none *Tally
+	var none *TrafficStats
 	none.count(Sent, 1, 10)
 }
--- a/internal/hoist/wire.go
+++ b/internal/process/trafficlog.go
@@ -1,4 +1,4 @@
-package hoist
+package process
 
 import (
 	"cmp"
@@ -17,7 +17,7 @@
 )
 
 // sayWire logs, now and then, what most of the bytes sent were.
-func (p *Post) sayWire(ctx context.Context) {
+func (p *Transport) sayWire(ctx context.Context) {
 	tick := time.NewTicker(wireEvery)
 	defer tick.Stop()
 	last := map[string]uint64{}
@@ -33,8 +33,8 @@
 		}
 		var rows []row
 		all := uint64(0)
-		for _, f := range p.Tally.Flows() {
-			if f.Way != Sent {
+		for _, f := range p.Stats.Flows() {
+			if f.Direction != Sent {
 				continue
 			}
 			rows = append(rows, row{f.Kind, f.Bytes - last[f.Kind]})
--- a/internal/hoist/post.go
+++ b/internal/process/transport.go
@@ -1,4 +1,4 @@
-package hoist
+package process
 
 import (
 	"bufio"
@@ -7,40 +7,40 @@
 	"sync"
 	"time"
 
-	"dunlinwell/internal/parcel"
-	"dunlinwell/internal/problem"
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/errs"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/wire"
 )
 
 // Greeting opens a circuit: it tells where the sender takes messages.
-type Greeting struct{ Address ticket.Address }
+type Hello struct{ Address ids.Address }
 
-var _ = parcel.Register(1, Greeting{})
+var _ = wire.Register(1, Hello{})
 
 // Post holds circuits to peers and takes theirs. A message may be lost with
 // its circuit; the machines ask again.
-type Post struct {
+type Transport struct {
 	// Address is what peers are told; Bind is where to listen, if elsewhere.
-	Address ticket.Address
-	Bind    ticket.Address
+	Address ids.Address
+	Bind    ids.Address
 	// Deliver takes what comes in.
-	Deliver func(from ticket.Address, msg any)
+	Deliver func(from ids.Address, msg any)
 	Log     *Log
 	// Dial opens a circuit to a peer; our own way by default.
-	Dial func(ctx context.Context, to ticket.Address) (net.Conn, error)
+	Dial func(ctx context.Context, to ids.Address) (net.Conn, error)
 	// Tally, if set, counts what goes over the wire.
-	Tally *Tally
+	Stats *TrafficStats
 
-	mu    sync.Mutex
-	lines map[ticket.Address]chan []byte
-	ctx   context.Context
+	mu     sync.Mutex
+	queues map[ids.Address]chan []byte
+	ctx    context.Context
 }
 
 // TCPUserLimit is the socket option TCP_USER_TIMEOUT.
 const TCPUserLimit = 18
 
 const (
-	lineLength  = 512
+	queueLength = 512
 	writeWithin = 2 * time.Second
 	idleFor     = time.Minute
 	dialWithin  = time.Second
@@ -51,23 +51,23 @@
 )
 
 // Listen opens the port, so that a taken one is known before anything runs.
-func (p *Post) Listen() (net.Listener, error) {
+func (p *Transport) Listen() (net.Listener, error) {
 	at := p.Bind
 	if at == "" {
 		at = p.Address
 	}
 	l, err := net.Listen("tcp", string(at))
-	return l, problem.At(err, "listen", string(at))
+	return l, errs.Wrap(err, "listen", string(at))
 }
 
 // Serve takes circuits until the context ends.
-func (p *Post) Serve(ctx context.Context, l net.Listener) error {
+func (p *Transport) Serve(ctx context.Context, l net.Listener) error {
 	p.mu.Lock()
 	p.ctx = ctx
 	p.mu.Unlock()
 	stop := context.AfterFunc(ctx, func() { l.Close() })
 	defer stop()
-	if p.Tally != nil {
+	if p.Stats != nil {
 		go p.sayWire(ctx)
 	}
 	for {
@@ -76,29 +76,29 @@
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			return problem.At(err, "accept", "")
+			return errs.Wrap(err, "accept", "")
 		}
-		go p.take(ctx, c)
+		go p.receive(ctx, c)
 	}
 }
 
 // take reads one peer's circuit; a malformed frame closes it.
-func (p *Post) take(ctx context.Context, c net.Conn) {
+func (p *Transport) receive(ctx context.Context, c net.Conn) {
 	defer c.Close()
 	stop := context.AfterFunc(ctx, func() { c.Close() })
 	defer stop()
 	r := bufio.NewReaderSize(c, 64<<10)
-	var from ticket.Address
+	var from ids.Address
 	for {
-		head, msg, err := parcel.Read(r)
+		head, msg, err := wire.Read(r)
 		if err != nil {
 			if ctx.Err() == nil && !ended(err) {
 				p.Log.Event("warn", "circuit closed", "peer", c.RemoteAddr().String(), "problem", err.Error())
 			}
 			return
 		}
-		p.Tally.count(Received, head.Kind, head.Size())
-		if g, ok := msg.(Greeting); ok {
+		p.Stats.count(Received, head.Kind, head.Size())
+		if g, ok := msg.(Hello); ok {
 			from = g.Address
 			continue
 		}
@@ -110,12 +110,12 @@
 }
 
 // Send queues a message on the peer's line; a full line loses it.
-func (p *Post) Send(to ticket.Address, msg any) {
+func (p *Transport) Send(to ids.Address, msg any) {
 	if to == p.Address {
 		p.Deliver(to, msg)
 		return
 	}
-	raw, err := parcel.Pack(msg)
+	raw, err := wire.Encode(msg)
 	if err != nil {
 		p.Log.Event("error", "not packed", "peer", string(to), "problem", err.Error())
 		return
@@ -125,35 +125,35 @@
 	if p.ctx == nil || p.ctx.Err() != nil {
 		return
 	}
-	if p.lines == nil {
-		p.lines = map[ticket.Address]chan []byte{}
+	if p.queues == nil {
+		p.queues = map[ids.Address]chan []byte{}
 	}
-	line := p.lines[to]
+	line := p.queues[to]
 	if line == nil {
-		line = make(chan []byte, lineLength)
-		p.lines[to] = line
-		go p.hold(p.ctx, to, line)
+		line = make(chan []byte, queueLength)
+		p.queues[to] = line
+		go p.maintain(p.ctx, to, line)
 	}
 	select {
 	case line <- raw:
 	default:
-		p.Tally.count(Lost, parcel.KindOf(raw), len(raw))
+		p.Stats.count(Dropped, wire.KindOf(raw), len(raw))
 	}
 }
 
 // drop forgets an idle line, unless something was queued meanwhile.
-func (p *Post) drop(to ticket.Address, line chan []byte) bool {
+func (p *Transport) drop(to ids.Address, line chan []byte) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(line) > 0 {
 		return false
 	}
-	delete(p.lines, to)
+	delete(p.queues, to)
 	return true
 }
 
 // hold keeps a circuit to one peer while there is something to say.
-func (p *Post) hold(ctx context.Context, to ticket.Address, line chan []byte) {
+func (p *Transport) maintain(ctx context.Context, to ids.Address, line chan []byte) {
 	var first []byte
 	rest := leastRest
 	for {
@@ -180,9 +180,9 @@
 			rest = min(rest*2, mostRest)
 		}
 		// What waits for a peer that isn't there is old by the time it is.
-		for len(line) > lineLength/2 {
+		for len(line) > queueLength/2 {
 			old := <-line
-			p.Tally.count(Lost, parcel.KindOf(old), len(old))
+			p.Stats.count(Dropped, wire.KindOf(old), len(old))
 		}
 		select {
 		case <-ctx.Done():
@@ -193,13 +193,13 @@
 }
 
 // write carries the line's messages; true once the line was idle and dropped.
-func (p *Post) write(ctx context.Context, c net.Conn, to ticket.Address, first []byte, line chan []byte) bool {
+func (p *Transport) write(ctx context.Context, c net.Conn, to ids.Address, first []byte, line chan []byte) bool {
 	defer c.Close()
 	// The peer never writes here: a read that ends tells that it closed.
 	gone := make(chan struct{})
 	go func() { defer close(gone); _, _ = c.Read(make([]byte, 1)) }()
 	w := bufio.NewWriterSize(c, 64<<10)
-	hello, err := parcel.Pack(Greeting{Address: p.Address})
+	hello, err := wire.Encode(Hello{Address: p.Address})
 	if err != nil {
 		return true
 	}
@@ -214,7 +214,7 @@
 			if err == nil && len(line) == 0 {
 				err = w.Flush()
 			}
-			p.Tally.count(Sent, parcel.KindOf(raw), len(raw))
+			p.Stats.count(Sent, wire.KindOf(raw), len(raw))
 			if err != nil {
 				p.Log.Event("warn", "circuit lost", "peer", string(to), "problem", err.Error())
 				return false
--- a/internal/hoist/post_test.go
+++ b/internal/process/transport_test.go
@@ -1,4 +1,4 @@
-package hoist
+package process
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/parcel"
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/wire"
 )
 
 // away is a peer that refuses for a while, and counts how often it was asked.
@@ -22,7 +22,7 @@
 	peer  net.Conn
 }
 
-func (a *away) dial(context.Context, ticket.Address) (net.Conn, error) {
+func (a *away) dial(context.Context, ids.Address) (net.Conn, error) {
 	a.dials++
 	if time.Now().Before(a.until) {
 		return nil, errors.New("refused")
@@ -32,10 +32,10 @@
 	return ours, nil
 }
 
-func word() Greeting { return Greeting{Address: "10.0.0.9:1"} }
+func word() Hello { return Hello{Address: "10.0.0.9:1"} }
 
 // After a loss of the whole fleet each daemon refuses the others until it has
-// started, and a counter is ready only once several have found one another.
+// started, and a proxy is ready only once several have found one another.
 func TestAPeerThatStartsIsFoundSoon(t *testing.T) {
 	for _, down := range []time.Duration{0, 300 * time.Millisecond, 1700 * time.Millisecond, 30 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
@@ -43,15 +43,15 @@
 			ctx, stop := context.WithCancel(context.Background())
 			defer stop()
 			a := &away{until: time.Now().Add(down)}
-			p := &Post{Address: "10.0.0.1:1", Dial: a.dial, Log: NewLog("error", "d"), ctx: ctx}
+			p := &Transport{Address: "10.0.0.1:1", Dial: a.dial, Log: NewLog("error", "d"), ctx: ctx}
 			p.Send("10.0.0.2:1", word())
 			<-time.After(down + mostRest)
 			synctest.Wait()
 			is.True(a.peer != nil)
 			is.True(a.met.Sub(a.until) <= mostRest)
 			// What was said first is there, behind the greeting.
-			for _, want := range []any{Greeting{Address: "10.0.0.1:1"}, word()} {
-				_, got, err := parcel.Read(a.peer)
+			for _, want := range []any{Hello{Address: "10.0.0.1:1"}, word()} {
+				_, got, err := wire.Read(a.peer)
 				is.NoErr(err)
 				is.Equal(got, want)
 			}
@@ -68,12 +68,12 @@
 		ctx, stop := context.WithCancel(context.Background())
 		defer stop()
 		a := &away{}
-		p := &Post{Address: "10.0.0.1:1", Dial: a.dial, Log: NewLog("error", "d"), ctx: ctx}
+		p := &Transport{Address: "10.0.0.1:1", Dial: a.dial, Log: NewLog("error", "d"), ctx: ctx}
 		p.Send("10.0.0.2:1", word())
 		synctest.Wait()
-		_, _, err := parcel.Read(a.peer)
+		_, _, err := wire.Read(a.peer)
 		is.NoErr(err)
-		_, _, err = parcel.Read(a.peer)
+		_, _, err = wire.Read(a.peer)
 		is.NoErr(err)
 		a.peer.Close()
 		<-time.After(time.Hour)
--- a/internal/counter/carry.go
+++ b/internal/proxy/carry.go
@@ -1,4 +1,4 @@
-package counter
+package proxy
 
 import (
 	"bytes"
@@ -11,16 +11,16 @@
 	"strings"
 	"time"
 
-	"dunlinwell/internal/desk"
-	"dunlinwell/internal/hoist"
-	"dunlinwell/internal/problem"
-	"dunlinwell/internal/ticket"
-	"dunlinwell/internal/till"
+	"dunlinwell/internal/dispatch"
+	"dunlinwell/internal/errs"
+	"dunlinwell/internal/idempotency"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/process"
 )
 
 // Cargo is a consumer's request, read whole.
 type Cargo struct {
-	Job    desk.Job
+	Job    dispatch.Job
 	Method string
 	// URI is the path and query just as they came, and Host the host asked for.
 	URI    string
@@ -52,14 +52,14 @@
 }
 
 // requestID is the id that the target echoes.
-func (d *Daemon) requestID(r ticket.Request) string {
+func (d *Daemon) requestID(r ids.Request) string {
 	return fmt.Sprintf("%s-%x-%d", d.Params.Name, uint64(d.self.Start), r)
 }
 
 // carry takes a request to its target, once, and judges what comes back.
-func (d *Daemon) carry(c *Cargo, f desk.Ferry) desk.Back {
-	back := desk.Back{ID: f.ID, Turn: f.Turn, How: desk.NotSent}
-	until := time.Now().Add(f.Due.Since(hoist.Now()))
+func (d *Daemon) carry(c *Cargo, f dispatch.Ferry) dispatch.Back {
+	back := dispatch.Back{ID: f.ID, Turn: f.Turn, How: dispatch.NotSent}
+	until := time.Now().Add(f.Due.Since(process.Now()))
 	var line *circuit
 	if !f.Fresh {
 		line = d.circuits.take(f.Target.Instance, f.Careful)
@@ -72,19 +72,19 @@
 		}
 	}
 	// The last look before the first byte: time left, and no pause since.
-	if !MayLeave(hoist.Now(), f.By, ticket.Tick(d.beat.Load())) {
+	if !MayLeave(process.Now(), f.By, ids.Time(d.beat.Load())) {
 		line.Close()
-		back.Why = "no time left, or this counter was paused"
+		back.Why = "no time left, or this proxy was paused"
 		return back
 	}
 	_ = line.SetDeadline(until)
-	head := d.trade.Outgoing(c, f, f.Due.Since(hoist.Now()))
+	head := d.trade.Outgoing(c, f, f.Due.Since(process.Now()))
 	n, err := line.Write(pack(c, f, head))
 	if err == nil && len(c.Body) > mostPacked {
 		_, err = line.Write(c.Body)
 	}
 	if n > 0 {
-		back.How = desk.Maybe
+		back.How = dispatch.Maybe
 	}
 	if err != nil {
 		d.circuits.dead(line)
@@ -117,7 +117,7 @@
 
 // pack writes a request as it goes out. Method, path and body are the
 // consumer's own, to the byte: nothing is cleaned or encoded anew.
-func pack(c *Cargo, f desk.Ferry, head http.Header) []byte {
+func pack(c *Cargo, f dispatch.Ferry, head http.Header) []byte {
 	var b bytes.Buffer
 	b.Grow(1024 + min(len(c.Body), mostPacked))
 	host := c.Host
@@ -148,13 +148,13 @@
 
 // sealed reads an answer whole and lets the trade judge it. Only then may a
 // byte of it go on.
-func (d *Daemon) sealed(line *circuit, c *Cargo, f desk.Ferry) (Verdict, error) {
+func (d *Daemon) sealed(line *circuit, c *Cargo, f dispatch.Ferry) (Verdict, error) {
 	peer := string(f.Target.Address)
 	for range mostOthers + 1 {
 		line.bound.N = mostHead
 		res, err := http.ReadResponse(line.read, &http.Request{Method: c.Method})
 		if err != nil {
-			return Verdict{}, problem.At(err, "read response", peer)
+			return Verdict{}, errs.Wrap(err, "read response", peer)
 		}
 		// The body has a limit of its own.
 		line.bound.N = math.MaxInt64
@@ -164,7 +164,7 @@
 		}
 		v, err := d.trade.Judge(res, body, c, f)
 		if err != nil {
-			return v, problem.At(err, "check response", peer)
+			return v, errs.Wrap(err, "check response", peer)
 		}
 		if v.Other {
 			// A late answer to an earlier request stood in this one's place.
@@ -175,7 +175,7 @@
 		v.Again = v.Again && !res.Close && line.read.Buffered() == 0
 		return v, nil
 	}
-	return Verdict{}, problem.New("check response", peer, "answers to other requests stand in this one's place")
+	return Verdict{}, errs.New("check response", peer, "answers to other requests stand in this one's place")
 }
 
 // body reads an answer's body, whole and within the limit.
@@ -183,24 +183,24 @@
 	defer res.Body.Close()
 	limit := d.Params.MaxResponse
 	if res.StatusCode < 200 {
-		return nil, problem.New("check response", peer, "answer of status %d", res.StatusCode)
+		return nil, errs.New("check response", peer, "answer of status %d", res.StatusCode)
 	}
 	body, err := io.ReadAll(counted{io.LimitReader(res.Body, int64(limit)+1), held})
 	if err != nil {
-		return nil, problem.At(err, "read body", peer)
+		return nil, errs.Wrap(err, "read body", peer)
 	}
 	if len(body) > limit {
-		return nil, problem.New("check response", peer, "answer over the limit of %d bytes", limit)
+		return nil, errs.New("check response", peer, "answer over the limit of %d bytes", limit)
 	}
 	return body, nil
 }
 
 // Sealed makes the answer that a target's response is kept and handed on as.
-func Sealed(res *http.Response, body []byte) till.Response {
-	a := till.Response{Status: uint16(res.StatusCode), Body: body}
+func Sealed(res *http.Response, body []byte) idempotency.Response {
+	a := idempotency.Response{Status: uint16(res.StatusCode), Body: body}
 	for n, list := range Strip(res.Header) {
 		for _, v := range list {
-			a.Header = append(a.Header, till.Header{Name: n, Value: v})
+			a.Header = append(a.Header, idempotency.Header{Name: n, Value: v})
 		}
 	}
 	return a
--- a/internal/counter/carry_test.go
+++ b/internal/proxy/carry_test.go
@@ -1,4 +1,4 @@
-package counter
+package proxy
 
 import (
 	"bufio"
@@ -15,12 +15,12 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/desk"
-	"dunlinwell/internal/hoist"
-	"dunlinwell/internal/params"
-	"dunlinwell/internal/rollcall"
-	"dunlinwell/internal/ticket"
-	"dunlinwell/internal/yard"
+	"dunlinwell/internal/config"
+	"dunlinwell/internal/dispatch"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/membership"
+	"dunlinwell/internal/process"
+	"dunlinwell/internal/targets"
 )
 
 // stand is a target written by hand, so that it can misbehave on the wire.
@@ -86,24 +86,24 @@
 }
 
 func newCarrier() *Daemon {
-	d := NewDaemon(Params{Common: params.Common{Name: "c1", Address: "127.0.0.1:1", HTTP: "127.0.0.1:2", Cell: "a", Log: "error"}, MaxResponse: 1000})
-	d.self = rollcall.Member{ID: "c1", Start: 7}
+	d := NewDaemon(Params{Common: config.Common{Name: "c1", Address: "127.0.0.1:1", HTTP: "127.0.0.1:2", Cell: "a", Log: "error"}, MaxResponse: 1000})
+	d.self = membership.Member{ID: "c1", Start: 7}
 	return d
 }
 
-func (d *Daemon) once(s *stand, fresh, repeatable bool) desk.Back {
-	d.beat.Store(int64(hoist.Now()))
-	c := &Cargo{Method: "POST", URI: "/x?y=1", Body: []byte("{}"), Job: desk.Job{ID: 3, Mark: "m", Attempt: 1, Repeatable: repeatable},
+func (d *Daemon) once(s *stand, fresh, repeatable bool) dispatch.Back {
+	d.beat.Store(int64(process.Now()))
+	c := &Cargo{Method: "POST", URI: "/x?y=1", Body: []byte("{}"), Job: dispatch.Job{ID: 3, Mark: "m", Attempt: 1, Repeatable: repeatable},
 		Header: http.Header{"Idempotency-Key": {"m"}, "Connection": {"X-Own"}, "X-Own": {"1"}, "X-Kept": {"2"}}}
-	return d.carry(c, desk.Ferry{ID: 3, Turn: 1, Fresh: fresh, Due: hoist.Now().Add(5 * time.Second), By: hoist.Now().Add(5 * time.Second),
-		Target: yard.Target{Instance: "t", Service: "s", Incarnation: 4, Address: ticket.Address(s.Addr().String())}})
+	return d.carry(c, dispatch.Ferry{ID: 3, Turn: 1, Fresh: fresh, Due: process.Now().Add(5 * time.Second), By: process.Now().Add(5 * time.Second),
+		Target: targets.Target{Instance: "t", Service: "s", Incarnation: 4, Address: ids.Address(s.Addr().String())}})
 }
 
 func TestSealedAnswerIsCarried(t *testing.T) {
 	is := is.New(t)
 	s, d := newStand(t), newCarrier()
 	b := d.once(s, true, false)
-	is.Equal(b.How, desk.Sealed)
+	is.Equal(b.How, dispatch.Sealed)
 	is.Equal(string(b.Response.Body), "hello")
 	h := *s.headers.Load()
 	is.Equal(h.Get("X-Kept"), "2")
@@ -112,9 +112,9 @@
 		is.True(line.Name != "Keep-Alive")
 	}
 	// A repeatable one may use the circuit again, an unrepeatable one may not.
-	is.Equal(d.once(s, false, true).How, desk.Sealed)
+	is.Equal(d.once(s, false, true).How, dispatch.Sealed)
 	is.Equal(s.circs.Load(), int64(1))
-	is.Equal(d.once(s, true, false).How, desk.Sealed)
+	is.Equal(d.once(s, true, false).How, dispatch.Sealed)
 	is.Equal(s.circs.Load(), int64(2))
 }
 
@@ -134,7 +134,7 @@
 		s, d := newStand(t), newCarrier()
 		s.answer = answer
 		b := d.once(s, true, false)
-		if b.How != desk.Maybe {
+		if b.How != dispatch.Maybe {
 			t.Errorf("%s: %v %s", name, b.How, b.Why)
 		}
 		is.Equal(s.asked.Load(), int64(1)) // sent once, whatever came back
@@ -149,7 +149,7 @@
 		`{"instance":"t","service":"s","incarnation":5}`, `{}`, `not JSON`} {
 		s, d := newStand(t), newCarrier()
 		s.page = page
-		is.Equal(d.once(s, true, false).How, desk.NotSent)
+		is.Equal(d.once(s, true, false).How, dispatch.NotSent)
 		is.Equal(s.asked.Load(), int64(0))
 	}
 	// A circuit that was closed while it lay idle is not used.
@@ -157,8 +157,8 @@
 	s.answer = func(r *http.Request) string {
 		return strings.Replace(good(r), "Content-Length", "Connection: close\r\nContent-Length", 1)
 	}
-	is.Equal(d.once(s, false, true).How, desk.Sealed)
-	is.Equal(d.once(s, false, true).How, desk.Sealed)
+	is.Equal(d.once(s, false, true).How, dispatch.Sealed)
+	is.Equal(d.once(s, false, true).How, dispatch.Sealed)
 	is.Equal(s.circs.Load(), int64(2))
 }
 
@@ -167,5 +167,5 @@
 	is := is.New(t)
 	is.True(MayLeave(100, 200, 50))
 	is.True(!MayLeave(200, 200, 50))
-	is.True(!MayLeave(ticket.Tick(3*time.Second), ticket.Tick(time.Hour), ticket.Tick(time.Second)))
+	is.True(!MayLeave(ids.Time(3*time.Second), ids.Time(time.Hour), ids.Time(time.Second)))
 }
--- a/internal/counter/circuit.go
+++ b/internal/proxy/circuit.go
@@ -1,4 +1,4 @@
-package counter
+package proxy
 
 import (
 	"bufio"
@@ -8,7 +8,7 @@
 	"syscall"
 	"time"
 
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
 )
 
 // circuit is one held circuit to a target that has shown who it is.
@@ -16,7 +16,7 @@
 	net.Conn
 	read  *bufio.Reader
 	bound *io.LimitedReader
-	idled ticket.Tick
+	idled ids.Time
 	// usable is how long it may be idle and still be used.
 	usable time.Duration
 	// reused is how long it had been idle before the request now on it; 0 for a
--- a/internal/counter/circuits.go
+++ b/internal/proxy/circuits.go
@@ -1,4 +1,4 @@
-package counter
+package proxy
 
 import (
 	"bufio"
@@ -12,10 +12,10 @@
 	"syscall"
 	"time"
 
-	"dunlinwell/internal/hoist"
-	"dunlinwell/internal/problem"
-	"dunlinwell/internal/ticket"
-	"dunlinwell/internal/yard"
+	"dunlinwell/internal/errs"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/process"
+	"dunlinwell/internal/targets"
 )
 
 // WellKnown is the page on which a target says who it is.
@@ -23,19 +23,19 @@
 
 // Shown is what that page says.
 type Shown struct {
-	Instance ticket.Instance `json:"instance"`
-	Service  ticket.Name     `json:"service"`
-	Leaving  bool            `json:"leaving"`
+	Instance ids.Instance `json:"instance"`
+	Service  ids.Name     `json:"service"`
+	Leaving  bool         `json:"leaving"`
 	// Incarnation may be left out; a target that shows it is never taken for
 	// the run before its restart, which was warm.
-	Incarnation ticket.Incarnation `json:"incarnation"`
+	Incarnation ids.Incarnation `json:"incarnation"`
 }
 
 // circuits keeps idle circuits by target. net/http's Transport is not used
 // here: it resends by itself on a dead circuit, and then an order runs twice.
 type circuits struct {
 	mu   sync.Mutex
-	idle map[ticket.Instance][]*circuit
+	idle map[ids.Instance][]*circuit
 	from net.IP
 	// greets: a new circuit first asks its target who it is.
 	greets bool
@@ -63,7 +63,7 @@
 )
 
 // take gives an idle circuit that is surely still open.
-func (p *circuits) take(id ticket.Instance, careful bool) *circuit {
+func (p *circuits) take(id ids.Instance, careful bool) *circuit {
 	for {
 		p.mu.Lock()
 		list := p.idle[id]
@@ -74,7 +74,7 @@
 		c := list[len(list)-1]
 		p.idle[id] = list[:len(list)-1]
 		p.mu.Unlock()
-		idled := hoist.Now().Since(c.idled)
+		idled := process.Now().Since(c.idled)
 		if idled < c.usable && !(careful && idled > p.careful()) && c.quiet() {
 			c.reused, c.heard = idled, false
 			return c
@@ -110,8 +110,8 @@
 }
 
 // keep holds a circuit for later, unless there are enough.
-func (p *circuits) keep(id ticket.Instance, c *circuit, idle time.Duration) {
-	c.idled, c.usable = hoist.Now(), idleUsable
+func (p *circuits) keep(id ids.Instance, c *circuit, idle time.Duration) {
+	c.idled, c.usable = process.Now(), idleUsable
 	if idle > 0 {
 		c.usable = max(idle-idleMargin, 0)
 	}
@@ -123,7 +123,7 @@
 		return
 	}
 	if p.idle == nil {
-		p.idle = map[ticket.Instance][]*circuit{}
+		p.idle = map[ids.Instance][]*circuit{}
 	}
 	p.idle[id] = append(p.idle[id], c)
 }
@@ -135,7 +135,7 @@
 	for id, list := range p.idle {
 		var stay []*circuit
 		for _, c := range list {
-			if hoist.Now().Since(c.idled) < c.usable {
+			if process.Now().Since(c.idled) < c.usable {
 				stay = append(stay, c)
 			} else {
 				c.Close()
@@ -151,10 +151,10 @@
 
 // open dials a target and lets it show who it is, on the very circuit that
 // requests will use: a later owner of the address never gets one.
-func (p *circuits) open(ctx context.Context, t yard.Target, until time.Time) (*circuit, error) {
+func (p *circuits) open(ctx context.Context, t targets.Target, until time.Time) (*circuit, error) {
 	d := net.Dialer{Timeout: p.dialWithin, Deadline: until, Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
-			_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, hoist.TCPUserLimit, int(ackWithin/time.Millisecond))
+			_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, process.TCPUserLimit, int(ackWithin/time.Millisecond))
 		})
 	}}
 	if p.from != nil {
@@ -162,7 +162,7 @@
 	}
 	conn, err := d.DialContext(ctx, "tcp", string(t.Address))
 	if err != nil {
-		return nil, problem.At(err, "dial target", string(t.Address))
+		return nil, errs.Wrap(err, "dial target", string(t.Address))
 	}
 	c := &circuit{Conn: conn}
 	c.bound = &io.LimitedReader{R: c, N: mostHead}
@@ -173,13 +173,13 @@
 	_ = c.SetDeadline(earlier(until, time.Now().Add(dialTarget)))
 	s, err := c.ask(t)
 	if err == nil && (s.Instance != t.Instance || s.Service != t.Service) {
-		err = problem.New("check target", string(t.Address), "it is %s of %s, not %s of %s", s.Instance, s.Service, t.Instance, t.Service)
+		err = errs.New("check target", string(t.Address), "it is %s of %s, not %s of %s", s.Instance, s.Service, t.Instance, t.Service)
 	}
 	if err == nil && s.Incarnation != 0 && s.Incarnation != t.Incarnation {
-		err = problem.New("check target", string(t.Address), "it has restarted since it was last heard of")
+		err = errs.New("check target", string(t.Address), "it has restarted since it was last heard of")
 	}
 	if err == nil && s.Leaving {
-		err = problem.New("check target", string(t.Address), "it is leaving")
+		err = errs.New("check target", string(t.Address), "it is leaving")
 	}
 	if err != nil {
 		c.Close()
@@ -188,25 +188,25 @@
 	return c, nil
 }
 
-func (c *circuit) ask(t yard.Target) (Shown, error) {
+func (c *circuit) ask(t targets.Target) (Shown, error) {
 	var s Shown
 	req, err := http.NewRequest(http.MethodGet, "http://"+string(t.Address)+WellKnown, nil)
 	if err != nil {
-		return s, problem.At(err, "ask target", string(t.Address))
+		return s, errs.Wrap(err, "ask target", string(t.Address))
 	}
 	if err := req.Write(c.Conn); err != nil {
-		return s, problem.At(err, "ask target", string(t.Address))
+		return s, errs.Wrap(err, "ask target", string(t.Address))
 	}
 	res, err := http.ReadResponse(c.read, req)
 	if err != nil {
-		return s, problem.At(err, "ask target", string(t.Address))
+		return s, errs.Wrap(err, "ask target", string(t.Address))
 	}
 	defer res.Body.Close()
 	raw, err := io.ReadAll(io.LimitReader(res.Body, wellKnownIs))
 	if err != nil || res.StatusCode != http.StatusOK || res.Close {
-		return s, problem.New("ask target", string(t.Address), "status %d, close %t, %v", res.StatusCode, res.Close, err)
+		return s, errs.New("ask target", string(t.Address), "status %d, close %t, %v", res.StatusCode, res.Close, err)
 	}
-	return s, problem.At(json.Unmarshal(raw, &s), "read target's page", string(t.Address))
+	return s, errs.Wrap(json.Unmarshal(raw, &s), "read target's page", string(t.Address))
 }
 
 func earlier(a, b time.Time) time.Time {
--- a/internal/counter/circuits_test.go
+++ b/internal/proxy/circuits_test.go
@@ -1,4 +1,4 @@
-package counter
+package proxy
 
 import (
 	"fmt"
@@ -9,11 +9,11 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/desk"
-	"dunlinwell/internal/hoist"
-	"dunlinwell/internal/problem"
-	"dunlinwell/internal/ticket"
-	"dunlinwell/internal/yard"
+	"dunlinwell/internal/dispatch"
+	"dunlinwell/internal/errs"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/process"
+	"dunlinwell/internal/targets"
 )
 
 // plain is a dialect that names each request's instance, and so asks nobody first.
@@ -21,15 +21,17 @@
 
 func (plain) Greets() bool { return false }
 
-func (plain) Outgoing(c *Cargo, _ desk.Ferry, _ time.Duration) http.Header { return Strip(c.Header) }
+func (plain) Outgoing(c *Cargo, _ dispatch.Ferry, _ time.Duration) http.Header {
+	return Strip(c.Header)
+}
 
-func (p plain) Judge(res *http.Response, body []byte, c *Cargo, _ desk.Ferry) (Verdict, error) {
-	v := Verdict{How: desk.Sealed, Response: Sealed(res, body), Again: true, Idle: p.idle}
+func (p plain) Judge(res *http.Response, body []byte, c *Cargo, _ dispatch.Ferry) (Verdict, error) {
+	v := Verdict{How: dispatch.Sealed, Response: Sealed(res, body), Again: true, Idle: p.idle}
 	switch res.Header.Get("Id") {
 	case c.ID:
 		return v, nil
 	case "":
-		return v, problem.New("check response", "", "no id")
+		return v, errs.New("check response", "", "no id")
 	}
 	return Verdict{Other: true, Again: true}, nil
 }
@@ -47,19 +49,19 @@
 
 func echo(r *http.Request) string { return named(r, r.Header.Get("Id"), "of "+r.Header.Get("Id")) }
 
-func (d *Daemon) put(s *stand, id string, careful bool) desk.Back {
+func (d *Daemon) put(s *stand, id string, careful bool) dispatch.Back {
 	return d.send(s, &Cargo{ID: id}, careful)
 }
 
-func (d *Daemon) putHeld(s *stand, id string, h *Held) desk.Back {
+func (d *Daemon) putHeld(s *stand, id string, h *Held) dispatch.Back {
 	return d.send(s, &Cargo{ID: id, Held: h}, false)
 }
 
-func (d *Daemon) send(s *stand, c *Cargo, careful bool) desk.Back {
-	d.beat.Store(int64(hoist.Now()))
+func (d *Daemon) send(s *stand, c *Cargo, careful bool) dispatch.Back {
+	d.beat.Store(int64(process.Now()))
 	c.Method, c.URI, c.Header = "POST", "/x", http.Header{"Id": {c.ID}}
-	return d.carry(c, desk.Ferry{ID: 1, Turn: 1, Careful: careful, Due: hoist.Now().Add(5 * time.Second), By: hoist.Now().Add(5 * time.Second),
-		Target: yard.Target{Instance: "t", Service: "s", Address: ticket.Address(s.Addr().String())}})
+	return d.carry(c, dispatch.Ferry{ID: 1, Turn: 1, Careful: careful, Due: process.Now().Add(5 * time.Second), By: process.Now().Add(5 * time.Second),
+		Target: targets.Target{Instance: "t", Service: "s", Address: ids.Address(s.Addr().String())}})
 }
 
 // lay makes the one idle circuit look as if it had been idle for a while.
@@ -69,7 +71,7 @@
 	if len(list) != 1 {
 		t.Fatalf("%d circuits are held, not one", len(list))
 	}
-	list[0].idled = hoist.Now().Add(-idle)
+	list[0].idled = process.Now().Add(-idle)
 }
 
 func TestCarefulCircuits(t *testing.T) {
@@ -104,8 +106,8 @@
 	for idle, want := range map[time.Duration]int64{9 * time.Second: 1, time.Second: 2} {
 		s, d := newStand(t), plainCarrier(idle)
 		s.answer = echo
-		is.Equal(d.put(s, "a", false).How, desk.Sealed)
-		is.Equal(d.put(s, "b", false).How, desk.Sealed)
+		is.Equal(d.put(s, "a", false).How, dispatch.Sealed)
+		is.Equal(d.put(s, "b", false).How, dispatch.Sealed)
 		is.Equal(s.circs.Load(), want)
 	}
 	s, d := newStand(t), plainCarrier(9*time.Second)
@@ -138,11 +140,11 @@
 	s, d := newStand(t), plainCarrier(0)
 	s.answer = func(r *http.Request) string { return named(r, "old", "of old") + named(r, "older", "") + echo(r) }
 	b := d.put(s, "a", false)
-	is.Equal(b.How, desk.Sealed)
+	is.Equal(b.How, dispatch.Sealed)
 	is.Equal(string(b.Response.Body), "of a")
 	s, d = newStand(t), plainCarrier(0)
 	s.answer = func(r *http.Request) string { return strings.Repeat(named(r, "old", ""), mostOthers+1) + echo(r) }
-	is.Equal(d.put(s, "a", false).How, desk.Maybe)
+	is.Equal(d.put(s, "a", false).How, dispatch.Maybe)
 }
 
 // A target that sends a head without end costs no more than a head may.
@@ -153,14 +155,14 @@
 	s.answer = func(r *http.Request) string {
 		return "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nId: a\r\n" + head + "\r\n"
 	}
-	is.Equal(d.put(s, "a", false).How, desk.Maybe)
+	is.Equal(d.put(s, "a", false).How, dispatch.Maybe)
 	// One of a proper size is read, however much the circuit has carried before.
 	s, d = newStand(t), plainCarrier(0)
 	s.answer = func(r *http.Request) string {
 		return "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nX-Large: " + strings.Repeat("y", mostHead/2) + "\r\nId: " + r.Header.Get("Id") + "\r\n\r\n"
 	}
 	for _, id := range []string{"a", "b", "c", "d"} {
-		is.Equal(d.put(s, id, false).How, desk.Sealed)
+		is.Equal(d.put(s, id, false).How, dispatch.Sealed)
 	}
 	is.Equal(s.circs.Load(), int64(1))
 }
--- a/internal/counter/control.go
+++ b/internal/proxy/control.go
@@ -1,79 +1,79 @@
-// Package counter is the proxy: it carries consumers' requests to targets and
+// Package proxy is the proxy: it carries consumers' requests to targets and
 // knows nothing but what is pushed to it.
-package counter
+package proxy
 
 import (
 	"time"
 
-	"dunlinwell/internal/catalogue"
-	"dunlinwell/internal/ledger"
-	"dunlinwell/internal/rollcall"
-	"dunlinwell/internal/rounds"
-	"dunlinwell/internal/ticket"
-	"dunlinwell/internal/works"
-	"dunlinwell/internal/yard"
+	"dunlinwell/internal/consensus"
+	"dunlinwell/internal/distribution"
+	"dunlinwell/internal/event"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/membership"
+	"dunlinwell/internal/policy"
+	"dunlinwell/internal/targets"
 )
 
-// Control is the counter's control machine.
+// Control is the proxy's control machine.
 type Control struct {
-	works.Out
+	event.Outbox
 	Options
-	*rollcall.Roll
-	Asker *ledger.Asker
-	yard  *yard.Yard
+	*membership.List
+	Asker *consensus.Client
+	yard  *targets.Table
 	// policy is what is in force here, as far as is known; view is it, read.
-	policy *catalogue.Policy
-	view   *catalogue.View
-	// word is as of when the targets are known, by a foreman's word; agreed is
+	policy *policy.Policy
+	view   *policy.View
+	// word is as of when the targets are known, by a registry's word; agreed is
 	// when the newest agreement began by which the policy held here is in force.
-	word   ticket.Tick
-	agreed ticket.Tick
+	word   ids.Time
+	agreed ids.Time
 	// leased is as of when the desks were last told how long they may serve.
-	leased ticket.Tick
-	woke   ticket.Tick
-	last   ticket.Tick
-	hearsay
+	leased ids.Time
+	woke   ids.Time
+	last   ids.Time
+	peerLease
 	// stopping: asked to stop, so no new work and none is to be sent here.
 	stopping bool
-	// empty is since when this cell is emptied; late, that this counter could
+	// empty is since when this cell is emptied; late, that this proxy could
 	// not have heard of it in time, and so has no time left.
-	empty ticket.Tick
+	empty ids.Time
 	late  bool
-	// reading: this counter asks the stockrooms itself what is in force.
+	// reading: this proxy asks the stores itself what is in force.
 	reading bool
-	seen    map[ticket.Daemon]ticket.Tick
-	number  ticket.Number
+	seen    map[ids.Daemon]ids.Time
+	number  ids.Number
 	stocked stamp
 	footing Footing
 	roll    uint64
 	// shelved are the services whose desks were stocked last.
-	shelved []ticket.Name
+	shelved []ids.Name
 	// thaws are until when targets count as cold whatever they said: they were
 	// out of use and may have gone cold since.
-	thaws map[ticket.Name]ticket.Tick
+	thaws map[ids.Name]ids.Time
 	// ranks are worked out anew for each restocking, by cell.
-	ranks map[ticket.Name]rank
+	ranks map[ids.Name]rank
 }
 
 // stamp tells whether anything that desks go by has changed.
 type stamp struct {
 	yard, roll uint64
-	revision   ticket.Revision
+	revision   ids.Revision
 	step, shut bool
 	seats      int
 }
 
 const (
-	// cutAfter is how long without word from any foreman counts as cut off.
+	// cutAfter is how long without word from any registry counts as cut off.
 	cutAfter = 1500 * time.Millisecond
-	// emptyAfter is when an emptied cell's counter stops even ferrying; until
+	// emptyAfter is when an emptied cell's proxy stops even ferrying; until
 	// then consumers who were sent here before are still carried elsewhere.
 	emptyAfter = 2 * time.Second
-	// agreedWithin bounds the age of the agreement that a ready counter goes
-	// by: a foreman on the wrong side of a split speaks, but knows no better.
+	// agreedWithin bounds the age of the agreement that a ready proxy goes
+	// by: a registry on the wrong side of a split speaks, but knows no better.
 	agreedWithin = 1900 * time.Millisecond
 	frozen       = time.Second
-	// DefaultLease is how long a counter serves by what it can't confirm: the
+	// DefaultLease is how long a proxy serves by what it can't confirm: the
 	// rules give a change 2 to 3 s to be in force, whatever is cut.
 	DefaultLease = 2500 * time.Millisecond
 )
@@ -86,35 +86,35 @@
 	Layout
 }
 
-// Endless is the lease of a counter that goes on serving by what it last knew,
+// Endless is the lease of a proxy that goes on serving by what it last knew,
 // however long it is cut off.
 const Endless = -1
 
 // New makes a control machine that knows only itself and its seeds.
-func New(p rollcall.Params, o Options) *Control {
-	p.Self.Role = rollcall.Counter
+func New(p membership.Options, o Options) *Control {
+	p.Self.Role = membership.Proxy
 	if o.Lease == 0 {
 		o.Lease = DefaultLease
 	}
-	c := &Control{Options: o, yard: yard.New(), seen: map[ticket.Daemon]ticket.Tick{}}
+	c := &Control{Options: o, yard: targets.New(), seen: map[ids.Daemon]ids.Time{}}
 	c.yard.Thrifty = o.ByCell
-	c.Roll = rollcall.New(p, &c.Out)
-	c.Asker = ledger.NewAsker(p.Self.Start, &c.Out)
+	c.List = membership.New(p, &c.Outbox)
+	c.Asker = consensus.NewClient(p.Self.Start, &c.Outbox)
 	c.Asker.Order = c.stores
-	empty, _ := catalogue.Open(nil)
+	empty, _ := policy.Open(nil)
 	c.policy, c.view = empty, empty.View()
 	c.view.Know(o.Regions)
 	return c
 }
 
-// stores names the stockrooms, nearest and ready ones first.
-func (c *Control) stores(ticket.Key) []ticket.Address {
-	var near, far, rest []ticket.Address
-	for _, m := range c.Live(rollcall.Stockroom) {
+// stores names the stores, nearest and ready ones first.
+func (c *Control) stores(ids.Key) []ids.Address {
+	var near, far, rest []ids.Address
+	for _, m := range c.Live(membership.Store) {
 		switch {
 		case !m.Ready:
 			rest = append(rest, m.Address)
-		case m.Cell == c.Self.Cell || c.view.Distance(c.Self.Cell, m.Cell) <= 1:
+		case m.Zone == c.Self.Zone || c.view.Distance(c.Self.Zone, m.Zone) <= 1:
 			near = append(near, m.Address)
 		default:
 			far = append(far, m.Address)
@@ -124,11 +124,11 @@
 }
 
 // Step is the machine's one entrance.
-func (c *Control) Step(now ticket.Tick, ev works.Event) []works.Command {
+func (c *Control) Step(now ids.Time, ev event.Event) []event.Command {
 	switch e := ev.(type) {
-	case works.Heard:
+	case event.Received:
 		c.hear(now, e.From, e.Msg)
-	case works.ClockEvent:
+	case event.Tick:
 		c.clock(now)
 	case Asked:
 		c.asked(now, e)
@@ -137,30 +137,30 @@
 	case Stopping:
 		c.stop()
 	}
-	return c.Take()
+	return c.Drain()
 }
 
-func (c *Control) hear(now ticket.Tick, from ticket.Address, msg any) {
+func (c *Control) hear(now ids.Time, from ids.Address, msg any) {
 	switch m := msg.(type) {
-	case rounds.Push:
+	case distribution.Push:
 		c.push(now, from, m)
-	case ledger.Told:
-		c.Asker.Told(now, m)
-	case ledger.WhoHolds:
+	case consensus.Response:
+		c.Asker.HandleResponse(now, m)
+	case consensus.PolicyQuery:
 		if c.view.Revision > 0 {
-			c.Tell(from, ledger.Held{Revision: c.view.Revision, Policy: c.policy.Pack(false)})
+			c.Send(from, consensus.PolicyReply{Revision: c.view.Revision, Policy: c.policy.Pack(false)})
 		}
-	case Inquiry:
+	case LeaseRequest:
 		c.inquired(now, from, m)
-	case Tidings:
+	case LeaseGossip:
 		c.tidings(now, m)
 	default:
-		c.Roll.Hear(now, from, msg)
+		c.List.Receive(now, from, msg)
 	}
 }
 
-// push takes what a foreman delivers. Desks have it before it is acknowledged.
-func (c *Control) push(now ticket.Tick, from ticket.Address, p rounds.Push) {
+// push takes what a registry delivers. Desks have it before it is acknowledged.
+func (c *Control) push(now ids.Time, from ids.Address, p distribution.Push) {
 	if p.Revision > c.view.Revision && len(p.Policy) > 0 {
 		c.adopt(now, p.Policy)
 	}
@@ -174,11 +174,11 @@
 		c.confirm(p.Revision, p.Echo.Add(-age(p.Age)))
 	}
 	c.restock(now)
-	c.Tell(from, rounds.Ack{Counter: c.Self.ID, Start: c.Self.Start, Number: p.Number, Revision: c.view.Revision, Now: now, Yard: c.yard.Exact()})
+	c.Send(from, distribution.Ack{Proxy: c.Self.ID, Start: c.Self.Start, Number: p.Number, Revision: c.view.Revision, Now: now, Yard: c.yard.Exact()})
 }
 
-// adopt takes a newer policy; a counter never goes back to an older one.
-func (c *Control) adopt(now ticket.Tick, raw []byte) {
+// adopt takes a newer policy; a proxy never goes back to an older one.
+func (c *Control) adopt(now ids.Time, raw []byte) {
 	p, err := c.policy.Advance(raw)
 	if err != nil || p == c.policy {
 		return
@@ -189,11 +189,11 @@
 	c.view.Know(c.Regions)
 	c.thaw(now, old)
 	switch {
-	case !c.view.Cells[c.Self.Cell].Emptied:
+	case !c.view.Cells[c.Self.Zone].Emptied:
 		c.empty, c.late = 0, false
 	case c.empty == 0:
 		c.empty, c.late = now, late
 	}
-	c.Do(Routes{View: c.view})
-	c.Say("info", "policy", "revision", itoa(uint64(p.Revision)))
+	c.Emit(Routes{View: c.view})
+	c.Log("info", "policy", "revision", itoa(uint64(p.Revision)))
 }
--- a/internal/counter/daemon.go
+++ b/internal/proxy/daemon.go
@@ -1,4 +1,4 @@
-package counter
+package proxy
 
 import (
 	"cmp"
@@ -9,21 +9,21 @@
 	"sync/atomic"
 	"time"
 
-	"dunlinwell/internal/catalogue"
-	"dunlinwell/internal/desk"
-	"dunlinwell/internal/hoist"
-	"dunlinwell/internal/params"
-	"dunlinwell/internal/premises"
-	"dunlinwell/internal/problem"
-	"dunlinwell/internal/rollcall"
-	"dunlinwell/internal/ticket"
-	"dunlinwell/internal/till"
-	"dunlinwell/internal/works"
+	"dunlinwell/internal/config"
+	"dunlinwell/internal/daemon"
+	"dunlinwell/internal/dispatch"
+	"dunlinwell/internal/errs"
+	"dunlinwell/internal/event"
+	"dunlinwell/internal/idempotency"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/membership"
+	"dunlinwell/internal/policy"
+	"dunlinwell/internal/process"
 )
 
-// Params are what a counter is told at its start.
+// Params are what a proxy is told at its start.
 type Params struct {
-	params.Common
+	config.Common
 	MaxResponse int           `help:"Largest answer of a target that is taken, in bytes." default:"4194304"`
 	ReportEvery time.Duration `help:"How often CPU time is reported." default:"2s"`
 	Inbox       int           `help:"Longest inbox of a service." default:"128"`
@@ -40,21 +40,21 @@
 
 // Validate checks what the common params don't cover.
 func (p *Params) Validate() error {
-	// Shorter than a few of the foremen's rounds it would end by itself; longer
+	// Shorter than a few of the registries's rounds it would end by itself; longer
 	// a change would be in force too late.
 	if p.Lease != Endless && (p.Lease < 2*time.Second || p.Lease > 3*time.Second) {
-		return problem.New("read params", "", "--lease: must be from 2s to 3s")
+		return errs.New("read params", "", "--lease: must be from 2s to 3s")
 	}
 	return p.Common.Validate()
 }
 
-// Daemon is a counter as a process.
+// Daemon is a proxy as a process.
 type Daemon struct {
 	Params   Params
-	self     rollcall.Member
-	log      *hoist.Log
-	owner    *hoist.Owner
-	post     *hoist.Post
+	self     membership.Member
+	log      *process.Log
+	owner    *process.Owner
+	post     *process.Transport
 	circuits circuits
 	hold     hold
 	trade    Trade
@@ -69,34 +69,34 @@
 	emptied  atomic.Bool
 	stopping atomic.Bool
 	mu       sync.RWMutex
-	desks    map[ticket.Name]*place
+	desks    map[ids.Name]*place
 }
 
 // place is a desk under its own short lock, with the requests it has in hand.
 type place struct {
 	mu    sync.Mutex
-	desk  *desk.Desk
-	cargo map[ticket.Request]*ride
+	desk  *dispatch.Dispatcher
+	cargo map[ids.Request]*ride
 	// soon: a clock event is on its way, for requests that wait.
 	soon bool
 }
 
 type ride struct {
 	*Cargo
-	response chan desk.Response
+	response chan dispatch.Response
 	ferried  time.Duration
 }
 
-// NewDaemon puts a counter together.
+// NewDaemon puts a proxy together.
 func NewDaemon(p Params) *Daemon {
-	d := &Daemon{Params: p, log: hoist.NewLog(p.Log, p.Name), meter: newMeter(), desks: map[ticket.Name]*place{}}
+	d := &Daemon{Params: p, log: process.NewLog(p.Log, p.Name), meter: newMeter(), desks: map[ids.Name]*place{}}
 	d.hold.most = int64(cmp.Or(p.MaxHeld, defaultHeld))
-	d.self = premises.Self(p.Common, rollcall.Counter)
-	d.self.Serves = ticket.Address(p.Consumers)
-	control := New(rollcall.Params{Self: d.self, Seeds: p.SeedList(), Thrifty: p.ByCell}, Options{Lease: p.Lease, Layout: p.Layout})
-	d.owner = hoist.NewOwner(&beating{control, d}, 50*time.Millisecond, d.do)
-	d.post = &hoist.Post{Address: ticket.Address(p.Address), Bind: ticket.Address(p.Bind), Log: d.log, Tally: &hoist.Tally{},
-		Deliver: func(from ticket.Address, msg any) { d.owner.Offer(works.Heard{From: from, Msg: msg}) }}
+	d.self = daemon.Self(p.Common, membership.Proxy)
+	d.self.Serves = ids.Address(p.Consumers)
+	control := New(membership.Options{Self: d.self, Seeds: p.SeedList(), Incremental: p.ByCell}, Options{Lease: p.Lease, Layout: p.Layout})
+	d.owner = process.NewOwner(&beating{control, d}, 50*time.Millisecond, d.do)
+	d.post = &process.Transport{Address: ids.Address(p.Address), Bind: ids.Address(p.Bind), Log: d.log, Stats: &process.TrafficStats{},
+		Deliver: func(from ids.Address, msg any) { d.owner.Offer(event.Received{From: from, Msg: msg}) }}
 	if a, err := netip.ParseAddrPort(p.Pages()); err == nil {
 		d.circuits.from = net.IP(a.Addr().AsSlice())
 	}
@@ -107,7 +107,7 @@
 		d.trade = d.edge.Trade()
 	}
 	d.circuits.greets, d.circuits.dialWithin = d.trade.Greets(), cmp.Or(p.DialWithin, dialTarget)
-	empty, _ := catalogue.Open(nil)
+	empty, _ := policy.Open(nil)
 	d.router.Store(newRouter(empty.View()))
 	d.footing.Store(&Footing{})
 	return d
@@ -115,22 +115,22 @@
 
 // beating notes each step, so that others can tell a freeze.
 type beating struct {
-	works.Machine
+	event.Machine
 	d *Daemon
 }
 
-func (b *beating) Step(now ticket.Tick, ev works.Event) []works.Command {
+func (b *beating) Step(now ids.Time, ev event.Event) []event.Command {
 	out := b.Machine.Step(now, ev)
 	b.d.beat.Store(int64(now))
 	return out
 }
 
 // do carries out a command of the control machine.
-func (d *Daemon) do(c works.Command) {
+func (d *Daemon) do(c event.Command) {
 	switch c := c.(type) {
-	case works.Send:
+	case event.Send:
 		d.post.Send(c.To, c.Msg)
-	case works.Note:
+	case event.LogEntry:
 		d.log.Note(c)
 	case ToDesk:
 		d.hand(c.Service, c.Event)
@@ -149,7 +149,7 @@
 const waitTick = 15 * time.Millisecond
 
 // at gives a service's desk.
-func (d *Daemon) at(service ticket.Name) *place {
+func (d *Daemon) at(service ids.Name) *place {
 	d.mu.RLock()
 	p := d.desks[service]
 	d.mu.RUnlock()
@@ -160,23 +160,23 @@
 	defer d.mu.Unlock()
 	if p = d.desks[service]; p == nil {
 		dice := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-		p = &place{desk: desk.New(desk.Params{Dice: dice, Inbox: d.Params.Inbox, Self: till.Owner{Daemon: d.self.ID, Start: d.self.Start}}), cargo: map[ticket.Request]*ride{}}
+		p = &place{desk: dispatch.New(dispatch.Options{Dice: dice, Inbox: d.Params.Inbox, Self: idempotency.Owner{Daemon: d.self.ID, Start: d.self.Start}}), cargo: map[ids.Request]*ride{}}
 		d.desks[service] = p
 	}
 	return p
 }
 
 // hand gives an event to a desk, and carries its commands out unlocked.
-func (d *Daemon) hand(service ticket.Name, ev works.Event) {
+func (d *Daemon) hand(service ids.Name, ev event.Event) {
 	p := d.at(service)
 	p.mu.Lock()
-	out := p.desk.Step(hoist.Now(), ev)
+	out := p.desk.Step(process.Now(), ev)
 	loads := make([]*ride, len(out))
 	for i, c := range out {
 		switch c := c.(type) {
-		case desk.Ferry:
+		case dispatch.Ferry:
 			loads[i] = p.cargo[c.ID]
-		case desk.Response:
+		case dispatch.Response:
 			loads[i] = p.cargo[c.ID]
 			delete(p.cargo, c.ID)
 		}
@@ -191,7 +191,7 @@
 			p.mu.Lock()
 			p.soon = false
 			p.mu.Unlock()
-			d.hand(service, works.ClockEvent{})
+			d.hand(service, event.Tick{})
 		})
 	}
 	for i, c := range out {
@@ -199,20 +199,20 @@
 	}
 }
 
-func (d *Daemon) perform(service ticket.Name, c works.Command, l *ride) {
+func (d *Daemon) perform(service ids.Name, c event.Command, l *ride) {
 	switch c := c.(type) {
-	case desk.Wish:
+	case dispatch.Wish:
 		// The owner hands events to desks itself, so it must not wait on its
 		// own inbox.
 		go d.owner.Put(Asked{service, c})
-	case desk.Ferry:
+	case dispatch.Ferry:
 		go func() {
 			from := time.Now()
 			back := d.carry(l.Cargo, c)
 			l.ferried += time.Since(from)
 			d.hand(service, back)
 		}()
-	case desk.Response:
+	case dispatch.Response:
 		l.response <- c
 	}
 }
@@ -220,12 +220,12 @@
 // Work takes a request through its desk. A consumer that hangs up, or closes
 // its own side of the circuit, changes nothing: its request goes on, its mark is
 // not freed, and the one answer is written, whether or not anybody reads it.
-func (d *Daemon) Work(c *Cargo) (desk.Response, time.Duration) {
-	l := &ride{Cargo: c, response: make(chan desk.Response, 1)}
+func (d *Daemon) Work(c *Cargo) (dispatch.Response, time.Duration) {
+	l := &ride{Cargo: c, response: make(chan dispatch.Response, 1)}
 	p := d.at(c.Job.Service)
 	p.mu.Lock()
 	p.cargo[c.Job.ID] = l
 	p.mu.Unlock()
-	d.hand(c.Job.Service, desk.Arrive{Job: c.Job})
+	d.hand(c.Job.Service, dispatch.Arrive{Job: c.Job})
 	return <-l.response, l.ferried
 }
--- a/internal/counter/edge.go
+++ b/internal/proxy/edge.go
@@ -1,4 +1,4 @@
-package counter
+package proxy
 
 import (
 	"context"
@@ -8,13 +8,13 @@
 	"sync"
 	"time"
 
-	"dunlinwell/internal/catalogue"
-	"dunlinwell/internal/desk"
-	"dunlinwell/internal/ticket"
-	"dunlinwell/internal/window"
+	"dunlinwell/internal/api"
+	"dunlinwell/internal/dispatch"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/policy"
 )
 
-// Edge is the dialect that a counter speaks to consumers and targets. Ours is
+// Edge is the dialect that a proxy speaks to consumers and targets. Ours is
 // the first one; a platform that speaks otherwise brings its own.
 type Edge interface {
 	// Consumers answers consumers' requests.
@@ -32,29 +32,29 @@
 func (ownEdge) Pages(*Daemon) map[string]http.Handler { return nil }
 
 // Find gives the route of a host and path, and the policy it stands in.
-func (d *Daemon) Find(host, path string) (catalogue.Route, *catalogue.View, bool) {
+func (d *Daemon) Find(host, path string) (policy.Route, *policy.View, bool) {
 	ro := d.router.Load()
 	r, ok := ro.find(host, path)
 	return r, ro.view, ok
 }
 
-// InStep tells whether the counter knows what is in force.
+// InStep tells whether the proxy knows what is in force.
 func (d *Daemon) InStep() bool { return d.footing.Load().InStep }
 
-// Ready tells whether the counter takes new work.
+// Ready tells whether the proxy takes new work.
 func (d *Daemon) Ready() bool { return d.footing.Load().Ready && !d.stopping.Load() }
 
-// Stopping tells whether the platform has asked the counter to stop.
+// Stopping tells whether the platform has asked the proxy to stop.
 func (d *Daemon) Stopping() bool { return d.stopping.Load() }
 
 // Job begins a request's job by its route; a split is drawn here, once.
-func (d *Daemon) Job(r catalogue.Route, v *catalogue.View) desk.Job {
+func (d *Daemon) Job(r policy.Route, v *policy.View) dispatch.Job {
 	r.Service = r.Draw(rand.Float64())
-	return desk.Job{ID: ticket.Request(d.requests.Add(1)), Route: r.Name, Service: r.Service, Tier: r.Tier*10 + v.Services[r.Service].Tier,
+	return dispatch.Job{ID: ids.Request(d.requests.Add(1)), Route: r.Name, Service: r.Service, Tier: r.Tier*10 + v.Services[r.Service].Tier,
 		Repeatable: r.Repeatable, Single: r.Single, Goal: r.GoalTime(), Attempts: r.Attempts, Homes: r.Homes, Terms: Terms(r)}
 }
 
-// Handled adds a request to the meter: the counter's own handling, and its
+// Handled adds a request to the meter: the proxy's own handling, and its
 // front-line latency, which leaves the target's time out; ferried is that time.
 func (d *Daemon) Handled(c *Cargo, handling, front, ferried time.Duration) {
 	d.meter.handled(c.Job.Route, c.Job.Service, handling, front)
@@ -68,21 +68,21 @@
 // polite signal is over or nothing is under way any more.
 func (d *Daemon) serve(ctx context.Context, pages net.Listener) error {
 	if d.Params.Consumers == "" {
-		return window.Serve(ctx, pages, d.pages(true), d.Params.Grace)
+		return api.Serve(ctx, pages, d.pages(true), d.Params.Grace)
 	}
-	in, err := window.Listen(d.Params.Consumers)
+	in, err := api.Listen(d.Params.Consumers)
 	if err != nil {
 		return err
 	}
 	var all sync.WaitGroup
 	for at, h := range d.edge.Pages(d) {
-		l, err := window.Listen(at)
+		l, err := api.Listen(at)
 		if err != nil {
 			return err
 		}
-		all.Go(func() { _ = window.Serve(ctx, l, h, d.Params.Grace) })
+		all.Go(func() { _ = api.Serve(ctx, l, h, d.Params.Grace) })
 	}
-	all.Go(func() { _ = window.Serve(ctx, pages, d.pages(false), d.Params.Grace) })
+	all.Go(func() { _ = api.Serve(ctx, pages, d.pages(false), d.Params.Grace) })
 	d.gate = newGate(in, d.edge.Consumers(d))
 	err = d.gate.serve(ctx, d.Params.Grace)
 	all.Wait()
--- a/internal/counter/footing.go
+++ b/internal/proxy/footing.go
@@ -1,4 +1,4 @@
-package counter
+package proxy
 
 import (
 	"maps"
@@ -6,25 +6,25 @@
 	"strconv"
 	"time"
 
-	"dunlinwell/internal/catalogue"
-	"dunlinwell/internal/desk"
-	"dunlinwell/internal/rollcall"
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/dispatch"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/membership"
+	"dunlinwell/internal/policy"
 )
 
 func itoa(n uint64) string { return strconv.FormatUint(n, 10) }
 
-func (c *Control) clock(now ticket.Tick) {
-	// A gap between clock events is a freeze: until a foreman has spoken since,
-	// nothing that this counter knows can be trusted.
+func (c *Control) clock(now ids.Time) {
+	// A gap between clock events is a freeze: until a registry has spoken since,
+	// nothing that this proxy knows can be trusted.
 	if c.last != 0 && now.Since(c.last) > frozen {
 		c.woke = now
-		c.Say("warn", "woke", "gap_ms", itoa(uint64(now.Since(c.last)/time.Millisecond)))
+		c.Log("warn", "woke", "gap_ms", itoa(uint64(now.Since(c.last)/time.Millisecond)))
 	}
 	c.last = now
-	c.Roll.Clock(now)
+	c.List.Tick(now)
 	c.Asker.Clock(now)
-	// A foreman that died may have been the only one to know of a silence.
+	// A registry that died may have been the only one to know of a silence.
 	if !c.ByCell {
 		c.yard.Lapse(now)
 	}
@@ -36,54 +36,54 @@
 	c.stand(now)
 }
 
-// inStep tells whether the counter may let requests leave: all that it goes by
+// inStep tells whether the proxy may let requests leave: all that it goes by
 // was confirmed since it last woke, and of late.
-func (c *Control) inStep(now ticket.Tick) bool { return now < c.until() }
+func (c *Control) inStep(now ids.Time) bool { return now < c.until() }
 
 // ready tells whether the directory may send consumers here: in step, and not
 // about to fall out of it.
-func (c *Control) ready(now ticket.Tick) bool {
+func (c *Control) ready(now ids.Time) bool {
 	if c.Lease == Endless {
 		return !c.stopping && c.inStep(now)
 	}
 	return !c.stopping && c.inStep(now) && !c.cutOff(now) && now.Since(c.sure()) < agreedWithin
 }
 
-// stop tells every foreman at once, so that the directory sends nobody here
+// stop tells every registry at once, so that the directory sends nobody here
 // while the requests in hand are finished.
 func (c *Control) stop() {
 	c.stopping = true
 	c.Announce(false, c.view.Revision)
-	for _, f := range c.Live(rollcall.Foreman) {
-		c.Tell(f.Address, rollcall.Copy{Members: []rollcall.Member{c.Self}, Final: true})
+	for _, f := range c.Live(membership.Registry) {
+		c.Send(f.Address, membership.Snapshot{Members: []membership.Member{c.Self}, Final: true})
 	}
 }
 
-func (c *Control) cutOff(now ticket.Tick) bool {
+func (c *Control) cutOff(now ids.Time) bool {
 	after := cutAfter
 	if c.ByCell {
-		// Foremen say a word a second to those that nothing is new for.
+		// Registries say a word a second to those that nothing is new for.
 		after = 2 * cutAfter
 	}
 	return c.word != 0 && now.Since(c.word) > after
 }
 
-// stand tells the rest of the process how the counter stands.
-func (c *Control) stand(now ticket.Tick) {
+// stand tells the rest of the process how the proxy stands.
+func (c *Control) stand(now ids.Time) {
 	f := Footing{Ready: c.ready(now), InStep: c.inStep(now), CutOff: c.cutOff(now), Emptied: c.empty != 0}
 	if f.Ready == c.footing.Ready && f.CutOff == c.footing.CutOff && f.Emptied == c.footing.Emptied && f.InStep == c.footing.InStep && c.roll == c.Version() {
 		return
 	}
 	if f.CutOff != c.footing.CutOff || f.Ready != c.footing.Ready {
-		c.Say("info", "footing", "ready", strconv.FormatBool(f.Ready), "cut_off", strconv.FormatBool(f.CutOff))
+		c.Log("info", "footing", "ready", strconv.FormatBool(f.Ready), "cut_off", strconv.FormatBool(f.CutOff))
 	}
 	f.Members = c.All()
 	c.footing, c.roll = f, c.Version()
-	c.Do(f)
+	c.Emit(f)
 }
 
 // restock hands each desk its stock anew if anything in it has changed.
-func (c *Control) restock(now ticket.Tick) {
+func (c *Control) restock(now ids.Time) {
 	seats := c.seats(now)
 	s := stamp{c.yard.Version(), c.Version(), c.view.Revision, c.sure() > c.woke, c.empty != 0 && (c.late || now.Since(c.empty) >= emptyAfter), len(seats)}
 	if s == c.stocked {
@@ -92,7 +92,7 @@
 	}
 	c.stocked, c.leased = s, c.sure()
 	ended := c.ended()
-	by := map[ticket.Name][]desk.Offer{}
+	by := map[ids.Name][]dispatch.Offer{}
 	clear(c.ranks)
 	for _, t := range c.yard.All(now) {
 		o := c.offer(now, t, seats)
@@ -105,25 +105,25 @@
 	for _, n := range c.shelved {
 		// A service that is gone leaves no desk behind that still serves it.
 		if _, ok := c.view.Services[n]; !ok {
-			c.Do(ToDesk{n, desk.Stock{}})
+			c.Emit(ToDesk{n, dispatch.Stock{}})
 		}
 	}
 	c.shelved = slices.Sorted(maps.Keys(c.view.Services))
 	for _, n := range c.shelved {
 		sv := c.view.Services[n]
-		c.Do(ToDesk{n, desk.Stock{Targets: by[n], Capacity: sv.Capacity, Warm: time.Duration(sv.Warm) * time.Millisecond,
+		c.Emit(ToDesk{n, dispatch.Stock{Targets: by[n], Capacity: sv.Capacity, Warm: time.Duration(sv.Warm) * time.Millisecond,
 			Allowance: c.allowance(sv, seats), InStep: s.step || c.Lease == Endless, Lease: c.until(), Terms: terms[n], Closed: s.shut, Ended: ended}})
 	}
 }
 
 // terms gives what each service's routes say.
-func (c *Control) terms() map[ticket.Name]map[ticket.Name]desk.Terms {
-	out := map[ticket.Name]map[ticket.Name]desk.Terms{}
+func (c *Control) terms() map[ids.Name]map[ids.Name]dispatch.Terms {
+	out := map[ids.Name]map[ids.Name]dispatch.Terms{}
 	for n, r := range c.view.Routes {
 		// Each service of a split has terms of its own.
 		for _, s := range r.Services() {
 			if out[s] == nil {
-				out[s] = map[ticket.Name]desk.Terms{}
+				out[s] = map[ids.Name]dispatch.Terms{}
 			}
 			r.Service = s
 			out[s][n] = Terms(r)
@@ -133,26 +133,26 @@
 }
 
 // Terms are what a route says of its requests.
-func Terms(r catalogue.Route) desk.Terms {
-	return desk.Terms{Host: r.Host, Prefix: r.Prefix, Service: r.Service, Repeatable: r.Repeatable, Limit: r.LimitTime()}
+func Terms(r policy.Route) dispatch.Terms {
+	return dispatch.Terms{Host: r.Host, Prefix: r.Prefix, Service: r.Service, Repeatable: r.Repeatable, Limit: r.LimitTime()}
 }
 
-// allowance is this counter's part of a service's retry allowance. Parts are
+// allowance is this proxy's part of a service's retry allowance. Parts are
 // whole, as places are, and add up to it: half a retry is of no use to anybody.
-func (c *Control) allowance(s catalogue.Service, seats []rollcall.Member) float64 {
+func (c *Control) allowance(s policy.Service, seats []membership.Member) float64 {
 	n, at := max(len(seats), 1), c.seat("retries/"+string(s.Name), seats)
 	return float64(s.Allowance*(at+1)/n - s.Allowance*at/n)
 }
 
-// seatsHeld is how long a lost counter's places stay its own: it may be cut off
+// seatsHeld is how long a lost proxy's places stay its own: it may be cut off
 // from us and still use them, until it finds out and halves its share.
 const seatsHeld = 3 * time.Second
 
-// seats gives the counters among whom places and retries are divided.
-func (c *Control) seats(now ticket.Tick) []rollcall.Member {
-	var out []rollcall.Member
+// seats gives the proxies among whom places and retries are divided.
+func (c *Control) seats(now ids.Time) []membership.Member {
+	var out []membership.Member
 	for _, m := range c.All() {
-		if m.Role != rollcall.Counter {
+		if m.Role != membership.Proxy {
 			continue
 		}
 		if !m.Gone {
@@ -166,12 +166,12 @@
 }
 
 // ended gives a look-up of runs that are over, as the roll stands now.
-func (c *Control) ended() func(ticket.Daemon, ticket.Start) bool {
-	runs := map[ticket.Daemon]rollcall.Member{}
+func (c *Control) ended() func(ids.Daemon, ids.RunID) bool {
+	runs := map[ids.Daemon]membership.Member{}
 	for _, m := range c.All() {
 		runs[m.ID] = m
 	}
-	return func(id ticket.Daemon, s ticket.Start) bool {
+	return func(id ids.Daemon, s ids.RunID) bool {
 		m, ok := runs[id]
 		return ok && (m.Gone || m.Start != s)
 	}
@@ -179,6 +179,6 @@
 
 // MayLeave is the last look before the first byte of a request: time is left,
 // and this process was not asleep since its owner last stepped.
-func MayLeave(now, due, beat ticket.Tick) bool {
+func MayLeave(now, due, beat ids.Time) bool {
 	return now < due && now.Since(beat) <= frozen
 }
--- a/internal/counter/front.go
+++ b/internal/proxy/front.go
@@ -1,4 +1,4 @@
-package counter
+package proxy
 
 import (
 	"crypto/sha256"
@@ -15,29 +15,29 @@
 
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 
-	"dunlinwell/internal/catalogue"
-	"dunlinwell/internal/desk"
-	"dunlinwell/internal/hoist"
-	"dunlinwell/internal/ticket"
-	"dunlinwell/internal/till"
+	"dunlinwell/internal/dispatch"
+	"dunlinwell/internal/idempotency"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/policy"
+	"dunlinwell/internal/process"
 )
 
 // router finds a request's route by the longest prefix of whole path parts.
 type router struct {
 	// hosts holds a tree for each host; "" is for routes of any host.
-	hosts map[string]*iradix.Tree[catalogue.Route]
-	view  *catalogue.View
+	hosts map[string]*iradix.Tree[policy.Route]
+	view  *policy.View
 }
 
-func newRouter(v *catalogue.View) *router {
-	hosts := map[string]*iradix.Tree[catalogue.Route]{}
+func newRouter(v *policy.View) *router {
+	hosts := map[string]*iradix.Tree[policy.Route]{}
 	// In order of name, so that of two routes with one place the first holds.
 	for _, n := range slices.Sorted(maps.Keys(v.Routes)) {
 		r := v.Routes[n]
 		host := strings.ToLower(r.Host)
 		t := hosts[host]
 		if t == nil {
-			t = iradix.New[catalogue.Route]()
+			t = iradix.New[policy.Route]()
 		}
 		key := []byte(strings.TrimRight(r.Prefix, "/"))
 		if _, taken := t.Get(key); !taken {
@@ -49,7 +49,7 @@
 }
 
 // find gives the route of a host and path: that of the host itself, or of any.
-func (r *router) find(host, path string) (catalogue.Route, bool) {
+func (r *router) find(host, path string) (policy.Route, bool) {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
 	}
@@ -62,13 +62,13 @@
 	if t := r.hosts[""]; t != nil {
 		return longest(t, path)
 	}
-	return catalogue.Route{}, false
+	return policy.Route{}, false
 }
 
-func longest(t *iradix.Tree[catalogue.Route], path string) (catalogue.Route, bool) {
-	var best catalogue.Route
+func longest(t *iradix.Tree[policy.Route], path string) (policy.Route, bool) {
+	var best policy.Route
 	found := false
-	t.Root().WalkPath([]byte(path), func(k []byte, v catalogue.Route) bool {
+	t.Root().WalkPath([]byte(path), func(k []byte, v policy.Route) bool {
 		// /stock is no prefix of /stocking.
 		if len(k) == len(path) || path[len(k)] == '/' {
 			best, found = v, true
@@ -104,8 +104,8 @@
 	ro := d.router.Load()
 	route, ok := ro.find(r.Host, r.URL.Path)
 	if !ok && !d.footing.Load().InStep {
-		// The route may well exist: this counter doesn't know yet.
-		d.early(w, r, "this counter is not in step")
+		// The route may well exist: this proxy doesn't know yet.
+		d.early(w, r, "this proxy is not in step")
 		return
 	}
 	if !ok {
@@ -123,10 +123,10 @@
 	}
 	defer c.Held.Free()
 	if !route.Repeatable && !route.Single {
-		w.Header().Set("Mark-Kept", strconv.Itoa(int(till.Kept/time.Second)))
+		w.Header().Set("Mark-Kept", strconv.Itoa(int(idempotency.Kept/time.Second)))
 	}
 	if d.stopping.Load() {
-		d.early(w, r, "this counter is stopping")
+		d.early(w, r, "this proxy is stopping")
 		return
 	}
 	before := time.Since(begun)
@@ -147,7 +147,7 @@
 }
 
 // read takes the request whole and checks what a consumer must say.
-func (d *Daemon) read(r *http.Request, w http.ResponseWriter, route catalogue.Route, v *catalogue.View) (*Cargo, int, string) {
+func (d *Daemon) read(r *http.Request, w http.ResponseWriter, route policy.Route, v *policy.View) (*Cargo, int, string) {
 	j := d.Job(route, v)
 	// Two of one header: each reader could take another for the truth.
 	for _, name := range []string{"Idempotency-Key", "Attempt", "Time-Left"} {
@@ -155,7 +155,7 @@
 			return nil, http.StatusBadRequest, name + " stands twice"
 		}
 	}
-	came, limit := hoist.Now(), route.LimitTime()
+	came, limit := process.Now(), route.LimitTime()
 	if s := r.Header.Get("Time-Left"); s != "" {
 		ms, err := strconv.ParseInt(s, 10, 64)
 		if err != nil || ms < 0 || ms > 1e9 {
@@ -170,7 +170,7 @@
 		}
 		j.Attempt = uint32(n)
 	}
-	j.Mark = ticket.Mark(r.Header.Get("Idempotency-Key"))
+	j.Mark = ids.IdempotencyKey(r.Header.Get("Idempotency-Key"))
 	if !route.Repeatable && !route.Single && !markRule.MatchString(string(j.Mark)) {
 		return nil, http.StatusBadRequest, "this route takes no request without an Idempotency-Key of 1 to 256 printable characters"
 	}
@@ -198,8 +198,8 @@
 var classes = [...]string{"", "declined", "unknown", "answered", "misused"}
 
 // write gives the consumer the one answer.
-func write(w http.ResponseWriter, r *http.Request, rep desk.Response) {
-	if rep.Class != desk.Answered || rep.Sealed.Cut {
+func write(w http.ResponseWriter, r *http.Request, rep dispatch.Response) {
+	if rep.Class != dispatch.Answered || rep.Sealed.Cut {
 		word(w, rep.Status, classes[rep.Class], rep.Why, int((rep.After+time.Second-1)/time.Second))
 		return
 	}
--- a/internal/counter/front_test.go
+++ b/internal/proxy/front_test.go
@@ -1,4 +1,4 @@
-package counter
+package proxy
 
 import (
 	"net/http"
@@ -8,24 +8,24 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/catalogue"
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/policy"
 )
 
 func TestLongestPrefixOfWholeParts(t *testing.T) {
 	is := is.New(t)
-	r := newRouter(&catalogue.View{Routes: map[ticket.Name]catalogue.Route{
+	r := newRouter(&policy.View{Routes: map[ids.Name]policy.Route{
 		"all": {Name: "all", Prefix: "/"}, "stock": {Name: "stock", Prefix: "/stock"}, "tiles": {Name: "tiles", Prefix: "/stock/tiles/"}}})
-	for path, want := range map[string]ticket.Name{"/": "all", "/stock": "stock", "/stock/": "stock", "/stocking": "all", "/stock/tiles": "tiles", "/stock/tiles/9": "tiles", "/stock/tilesets": "stock"} {
+	for path, want := range map[string]ids.Name{"/": "all", "/stock": "stock", "/stock/": "stock", "/stocking": "all", "/stock/tiles": "tiles", "/stock/tiles/9": "tiles", "/stock/tilesets": "stock"} {
 		got, ok := r.find("", path)
 		is.True(ok)
 		is.Equal(got.Name, want)
 	}
-	_, ok := newRouter(&catalogue.View{}).find("", "/x")
+	_, ok := newRouter(&policy.View{}).find("", "/x")
 	is.True(!ok)
 }
 
-// A consumer's own mistakes, and a counter that knows nothing yet.
+// A consumer's own mistakes, and a proxy that knows nothing yet.
 func TestConsumersMistakes(t *testing.T) {
 	is := is.New(t)
 	d := newCarrier()
@@ -59,8 +59,8 @@
 	is.Equal(call("GET", "/healthz", "", nil).Code, http.StatusOK)
 }
 
-// inStepWith lets a counter know of one route, and that it is in force.
+// inStepWith lets a proxy know of one route, and that it is in force.
 func (d *Daemon) inStepWith(route string) {
 	d.footing.Store(&Footing{InStep: true})
-	d.router.Store(newRouter(&catalogue.View{Routes: map[ticket.Name]catalogue.Route{ticket.Name(route): {Name: ticket.Name(route), Prefix: "/" + route, Service: "ledger", Limit: 1000, MaxBody: 10}}}))
+	d.router.Store(newRouter(&policy.View{Routes: map[ids.Name]policy.Route{ids.Name(route): {Name: ids.Name(route), Prefix: "/" + route, Service: "ledger", Limit: 1000, MaxBody: 10}}}))
 }
--- a/internal/counter/gate.go
+++ b/internal/proxy/gate.go
@@ -1,4 +1,4 @@
-package counter
+package proxy
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"dunlinwell/internal/catalogue"
+	"dunlinwell/internal/policy"
 )
 
 // gate lets consumers in, within the limits that policy names. net/http fixes
@@ -20,7 +20,7 @@
 	handler http.Handler
 	in      net.Listener
 	mu      sync.Mutex
-	limits  catalogue.Limits
+	limits  policy.Limits
 	server  *http.Server
 	queue   *queue
 	// held counts the circuits of all servers; empty wakes who waits for none.
@@ -52,12 +52,12 @@
 
 func newGate(in net.Listener, h http.Handler) *gate {
 	g := &gate{handler: h, in: in, empty: make(chan struct{}, 1)}
-	g.limit(catalogue.NoLimits)
+	g.limit(policy.NoLimits)
 	return g
 }
 
 // limit starts a server for new limits, and lets the old one end.
-func (g *gate) limit(l catalogue.Limits) {
+func (g *gate) limit(l policy.Limits) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.server != nil && g.limits == l {
@@ -130,7 +130,7 @@
 }
 
 // lameFor is how long consumers are still let in after the polite signal: the
-// directory's answers that name this counter live on for a moment.
+// directory's answers that name this proxy live on for a moment.
 const lameFor = 1200 * time.Millisecond
 
 // serve lets consumers in until the context ends, and then lets what is under
--- a/internal/counter/hold.go
+++ b/internal/proxy/hold.go
@@ -1,4 +1,4 @@
-package counter
+package proxy
 
 import (
 	"errors"
--- a/internal/counter/hold_test.go
+++ b/internal/proxy/hold_test.go
@@ -1,4 +1,4 @@
-package counter
+package proxy
 
 import (
 	"errors"
@@ -12,7 +12,7 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/desk"
+	"dunlinwell/internal/dispatch"
 )
 
 // arriving is a body of which a part has come, and the rest is awaited.
@@ -113,7 +113,7 @@
 	d.Params.MaxResponse, d.hold.most = 50<<10, 40<<10
 	s.answer = func(r *http.Request) string { return named(r, r.Header.Get("Id"), strings.Repeat("z", 50<<10)) }
 	h := &Held{hold: &d.hold}
-	is.Equal(d.putHeld(s, "a", h).How, desk.Sealed)
+	is.Equal(d.putHeld(s, "a", h).How, dispatch.Sealed)
 	is.Equal(d.hold.used.Load(), int64(50<<10))
 	_, _, err := d.Body(httptest.NewRecorder(), request(strings.NewReader("x"), 1), 10, time.Time{})
 	is.True(errors.Is(err, ErrFull))
@@ -124,8 +124,8 @@
 	is.Equal(d.hold.used.Load(), int64(0))
 }
 
-// At the counter's own front: declined at once, with when to come back.
-func TestAFullCounterDeclines(t *testing.T) {
+// At the proxy's own front: declined at once, with when to come back.
+func TestAFullProxyDeclines(t *testing.T) {
 	is := is.New(t)
 	d := newCarrier()
 	d.inStepWith("orders")
--- a/internal/counter/hearsay.go
+++ b/internal/proxy/leasegossip.go
@@ -1,42 +1,42 @@
-package counter
+package proxy
 
 import (
 	"time"
 
-	"dunlinwell/internal/parcel"
-	"dunlinwell/internal/rollcall"
-	"dunlinwell/internal/ticket"
-	"dunlinwell/internal/yard"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/membership"
+	"dunlinwell/internal/targets"
+	"dunlinwell/internal/wire"
 )
 
-// Inquiry asks another counter for what is in force: this one's foremen are
+// Inquiry asks another proxy for what is in force: this one's registries are
 // out of reach, or know no better themselves.
-type Inquiry struct {
-	Counter  ticket.Daemon
-	Start    ticket.Start
-	Revision ticket.Revision
+type LeaseRequest struct {
+	Proxy    ids.Daemon
+	Start    ids.RunID
+	Revision ids.Revision
 	// Now is the asker's own time, to be echoed.
-	Now ticket.Tick
+	Now ids.Time
 }
 
-// Tidings answer it: what the other counter goes by, and how long ago that was
+// Tidings answer it: what the other proxy goes by, and how long ago that was
 // known to be in force. The travel, both ways, is counted against it.
-type Tidings struct {
-	For      ticket.Start
-	Echo     ticket.Tick
-	Revision ticket.Revision
+type LeaseGossip struct {
+	For      ids.RunID
+	Echo     ids.Time
+	Revision ids.Revision
 	Policy   []byte
-	Targets  []yard.Target
+	Targets  []targets.Target
 	// Agreed and Word are the ages, in milliseconds, of the agreement and of
-	// the foreman's word that the other goes by.
+	// the registry's word that the other goes by.
 	Agreed, Word uint32
 }
 
-var _ = parcel.Register(82, Inquiry{}) && parcel.Register(83, Tidings{})
+var _ = wire.Register(82, LeaseRequest{}) && wire.Register(83, LeaseGossip{})
 
-// hearsay is what a counter knows of asking others.
-type hearsay struct {
-	since ticket.Tick
+// lease gossip is what a proxy knows of asking others.
+type peerLease struct {
+	since ids.Time
 	turn  int
 }
 
@@ -48,41 +48,41 @@
 	inquireOf = 2
 )
 
-// inquire asks other counters, once foremen and stockrooms have not answered.
-func (c *Control) inquire(now ticket.Tick) {
+// inquire asks other proxies, once registries and stores have not answered.
+func (c *Control) inquire(now ids.Time) {
 	if c.Lease == Endless || now.Since(c.sure()) < inquireAfter || now.Since(c.since) < inquireEvery {
 		return
 	}
 	c.since = now
-	var others []rollcall.Member
-	for _, m := range c.Live(rollcall.Counter) {
+	var others []membership.Member
+	for _, m := range c.Live(membership.Proxy) {
 		if m.ID != c.Self.ID {
 			others = append(others, m)
 		}
 	}
 	for range min(inquireOf, len(others)) {
 		c.turn++
-		c.Tell(others[c.turn%len(others)].Address, Inquiry{Counter: c.Self.ID, Start: c.Self.Start, Revision: c.view.Revision, Now: now})
+		c.Send(others[c.turn%len(others)].Address, LeaseRequest{Proxy: c.Self.ID, Start: c.Self.Start, Revision: c.view.Revision, Now: now})
 	}
 }
 
-// inquired answers another counter. One that counts as gone gets no answer: its
+// inquired answers another proxy. One that counts as gone gets no answer: its
 // places and its retries are about to be divided among the others.
-func (c *Control) inquired(now ticket.Tick, from ticket.Address, q Inquiry) {
-	m, ok := c.Get(q.Counter)
+func (c *Control) inquired(now ids.Time, from ids.Address, q LeaseRequest) {
+	m, ok := c.Get(q.Proxy)
 	if !ok || m.Gone || m.Start != q.Start || !c.inStep(now) {
 		return
 	}
-	t := Tidings{For: q.Start, Echo: q.Now, Revision: c.view.Revision, Targets: c.yard.All(now),
+	t := LeaseGossip{For: q.Start, Echo: q.Now, Revision: c.view.Revision, Targets: c.yard.All(now),
 		Agreed: uint32(now.Since(c.agreed) / time.Millisecond), Word: uint32(now.Since(c.word) / time.Millisecond)}
 	if q.Revision < c.view.Revision {
 		t.Policy = c.policy.Pack(false)
 	}
-	c.Tell(from, t)
+	c.Send(from, t)
 }
 
-// tidings take what another counter goes by.
-func (c *Control) tidings(now ticket.Tick, t Tidings) {
+// tidings take what another proxy goes by.
+func (c *Control) tidings(now ids.Time, t LeaseGossip) {
 	// What was meant for an earlier run of ours may be any age.
 	if t.For != c.Self.Start {
 		return
--- a/internal/counter/meter.go
+++ b/internal/proxy/meter.go
@@ -1,4 +1,4 @@
-package counter
+package proxy
 
 import (
 	"slices"
@@ -8,15 +8,15 @@
 	"syscall"
 	"time"
 
-	"dunlinwell/internal/haulage"
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/spill"
 )
 
 // meter sums what requests cost: this process's CPU shared out by measured
 // handling, plus what targets state of their own.
 type meter struct {
 	mu     sync.Mutex
-	work   map[[2]ticket.Name]*cost
+	work   map[[2]ids.Name]*cost
 	delays []time.Duration
 	count  uint64
 	cpu    time.Duration
@@ -31,7 +31,7 @@
 const mostDelays = 4096
 
 func newMeter() *meter {
-	return &meter{work: map[[2]ticket.Name]*cost{}, cpu: processCPU(), at: time.Now()}
+	return &meter{work: map[[2]ids.Name]*cost{}, cpu: processCPU(), at: time.Now()}
 }
 
 func processCPU() time.Duration {
@@ -42,17 +42,17 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-func (m *meter) at2(route, service ticket.Name) *cost {
-	k := [2]ticket.Name{route, service}
+func (m *meter) at2(route, service ids.Name) *cost {
+	k := [2]ids.Name{route, service}
 	if m.work[k] == nil {
 		m.work[k] = &cost{}
 	}
 	return m.work[k]
 }
 
-// handled adds one request: the counter's handling, and its front-line
+// handled adds one request: the proxy's handling, and its front-line
 // latency, which is inbox and handling without the target's own time.
-func (m *meter) handled(route, service ticket.Name, handling, front time.Duration) {
+func (m *meter) handled(route, service ids.Name, handling, front time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.at2(route, service).handling += handling
@@ -63,14 +63,14 @@
 }
 
 // spent adds a target's time for one request.
-func (m *meter) spent(route, service ticket.Name, span time.Duration) {
+func (m *meter) spent(route, service ids.Name, span time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.at2(route, service).target += float64(span) / float64(time.Millisecond)
 }
 
 // target adds what a target states in Server-Timing as cpu;dur=ms.
-func (m *meter) target(route, service ticket.Name, lines []string) {
+func (m *meter) target(route, service ids.Name, lines []string) {
 	for _, line := range lines {
 		for _, e := range strings.Split(line, ",") {
 			name, rest, _ := strings.Cut(strings.TrimSpace(e), ";")
@@ -106,12 +106,12 @@
 		if all > 0 {
 			ms += spent * float64(c.handling) / float64(all)
 		}
-		out.Rows = append(out.Rows, haulage.Spent{Route: k[0], Service: k[1], CPU: ms / span.Seconds()})
+		out.Rows = append(out.Rows, spill.Spent{Route: k[0], Service: k[1], CPU: ms / span.Seconds()})
 	}
 	slices.Sort(m.delays)
 	if n := len(m.delays); n > 0 {
 		out.Latency = m.delays[n*95/100]
 	}
-	m.work, m.delays, m.count, m.cpu, m.at = map[[2]ticket.Name]*cost{}, nil, 0, cpu, now
+	m.work, m.delays, m.count, m.cpu, m.at = map[[2]ids.Name]*cost{}, nil, 0, cpu, now
 	return out
 }
--- a/internal/counter/places.go
+++ b/internal/proxy/places.go
@@ -1,31 +1,31 @@
-package counter
+package proxy
 
 import (
 	"cmp"
 	"hash/fnv"
 	"time"
 
-	"dunlinwell/internal/catalogue"
-	"dunlinwell/internal/desk"
-	"dunlinwell/internal/rollcall"
-	"dunlinwell/internal/ticket"
-	"dunlinwell/internal/yard"
+	"dunlinwell/internal/dispatch"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/membership"
+	"dunlinwell/internal/policy"
+	"dunlinwell/internal/targets"
 )
 
-// Layout says how targets' places are shared out among counters.
+// Layout says how targets' places are shared out among proxies.
 type Layout struct {
-	// ByCell gives a target's places to the counters of its own cell first;
-	// otherwise all counters of the fleet have equal parts.
-	ByCell bool `help:"Give a target's places to the counters of its own cell first."`
+	// ByCell gives a target's places to the proxies of its own cell first;
+	// otherwise all proxies of the fleet have equal parts.
+	ByCell bool `help:"Give a target's places to the proxies of its own cell first."`
 	// Regions are the cells that this daemon was told of, and their regions.
-	Regions map[ticket.Name]string `kong:"-"`
+	Regions map[ids.Name]string `kong:"-"`
 }
 
-// offer works out this counter's seat at a target. Each target has an order
-// of counters of its own, so the odd places fall to different ones.
-func (c *Control) offer(now ticket.Tick, t yard.Target, seats []rollcall.Member) desk.Offer {
-	o := desk.Offer{Target: t, At: now, Distance: c.view.Distance(c.Self.Cell, t.Cell),
-		Emptied: c.view.Cells[t.Cell].Emptied || c.view.Cells[t.Cell].Shut, Region: ticket.Name(c.view.Cells[t.Cell].Region)}
+// offer works out this proxy's seat at a target. Each target has an order
+// of proxies of its own, so the odd places fall to different ones.
+func (c *Control) offer(now ids.Time, t targets.Target, seats []membership.Member) dispatch.Offer {
+	o := dispatch.Offer{Target: t, At: now, Distance: c.view.Distance(c.Self.Zone, t.Cell),
+		Emptied: c.view.Cells[t.Cell].Emptied || c.view.Cells[t.Cell].Shut, Region: ids.Name(c.view.Cells[t.Cell].Region)}
 	if !c.ByCell {
 		o.Seats, o.Seat = max(len(seats), 1), c.seat(string(t.Instance), seats)
 		return o
@@ -33,7 +33,7 @@
 	class, peers := c.class(t, seats)
 	o.Seats, o.Seat, o.Over = max(len(peers), 1), c.seat(string(t.Instance), peers), 1
 	if class == 0 {
-		// Two counters or more may each use what the other leaves; a target's own
+		// Two proxies or more may each use what the other leaves; a target's own
 		// inbox takes what they send at the same time.
 		o.Over = min(o.Seats, 2)
 	}
@@ -41,32 +41,32 @@
 	return o
 }
 
-// rank is how near this counter is to the targets of a cell, as places go, and
-// the counters that are as near.
+// rank is how near this proxy is to the targets of a cell, as places go, and
+// the proxies that are as near.
 type rank struct {
 	class int
-	peers []rollcall.Member
+	peers []membership.Member
 }
 
-// class tells how near this counter is to a target, as places go, and names the
-// counters of that class: 0 has the target's places, 1 stands in its region
+// class tells how near this proxy is to a target, as places go, and names the
+// proxies of that class: 0 has the target's places, 1 stands in its region
 // and 2 elsewhere, with as many places again for each of the two. Where a cell
-// has no counter the next class takes its part. It is the same for all targets
+// has no proxy the next class takes its part. It is the same for all targets
 // of a cell, so it is worked out once a cell and not once a target.
-func (c *Control) class(t yard.Target, seats []rollcall.Member) (int, []rollcall.Member) {
+func (c *Control) class(t targets.Target, seats []membership.Member) (int, []membership.Member) {
 	if r, ok := c.ranks[t.Cell]; ok {
 		return r.class, r.peers
 	}
 	r := c.rank(t.Cell, seats)
 	if c.ranks == nil {
-		c.ranks = map[ticket.Name]rank{}
+		c.ranks = map[ids.Name]rank{}
 	}
 	c.ranks[t.Cell] = r
 	return r.class, r.peers
 }
 
-func (c *Control) rank(cell ticket.Name, seats []rollcall.Member) rank {
-	near := func(n ticket.Name) int {
+func (c *Control) rank(cell ids.Name, seats []membership.Member) rank {
+	near := func(n ids.Name) int {
 		switch d := c.view.Distance(n, cell); {
 		case d == 0:
 			return 0
@@ -75,17 +75,17 @@
 		}
 		return 2
 	}
-	var by [3][]rollcall.Member
-	at := map[ticket.Name]int{}
+	var by [3][]membership.Member
+	at := map[ids.Name]int{}
 	for _, m := range seats {
-		n, ok := at[m.Cell]
+		n, ok := at[m.Zone]
 		if !ok {
-			n = near(m.Cell)
-			at[m.Cell] = n
+			n = near(m.Zone)
+			at[m.Zone] = n
 		}
 		by[n] = append(by[n], m)
 	}
-	own := near(c.Self.Cell)
+	own := near(c.Self.Zone)
 	for n := range own {
 		if len(by[n]) > 0 {
 			return rank{own, by[own]}
@@ -96,7 +96,7 @@
 
 // chill bounds what a cold target gets: its rate is shared by those who have
 // its places, and nobody else sends it anything.
-func (c *Control) chill(now ticket.Tick, t yard.Target, class int, o *desk.Offer) {
+func (c *Control) chill(now ids.Time, t targets.Target, class int, o *dispatch.Offer) {
 	sv := c.view.Services[t.Service]
 	if sv.WarmRate <= 0 {
 		return
@@ -111,7 +111,7 @@
 
 // thaw notes cells whose targets are taken back into use: they may have gone
 // cold meanwhile, and their own word on it may still be on its way.
-func (c *Control) thaw(now ticket.Tick, old *catalogue.View) {
+func (c *Control) thaw(now ids.Time, old *policy.View) {
 	for n, cell := range c.view.Cells {
 		was := old.Cells[n]
 		if !(was.Shut || was.Emptied) || cell.Shut || cell.Emptied {
@@ -124,14 +124,14 @@
 			}
 		}
 		if c.thaws == nil {
-			c.thaws = map[ticket.Name]ticket.Tick{}
+			c.thaws = map[ids.Name]ids.Time{}
 		}
 		c.thaws[n] = now.Add(time.Duration(longest) * time.Millisecond)
 	}
 }
 
-// seat is this counter's place in the order of counters for one thing.
-func (c *Control) seat(of string, seats []rollcall.Member) int {
+// seat is this proxy's place in the order of proxies for one thing.
+func (c *Control) seat(of string, seats []membership.Member) int {
 	own, n := lot(of, c.Self.ID), 0
 	for _, m := range seats {
 		if m.ID != c.Self.ID && cmp.Or(cmp.Compare(lot(of, m.ID), own), cmp.Compare(m.ID, c.Self.ID)) < 0 {
@@ -141,7 +141,7 @@
 	return n
 }
 
-func lot(of string, d ticket.Daemon) uint64 {
+func lot(of string, d ids.Daemon) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(of))
 	h.Write([]byte{0})
@@ -150,7 +150,7 @@
 }
 
 // some tells whether any place at all falls to a seat, when the target is warm.
-func some(o desk.Offer, capacity int) bool {
+func some(o dispatch.Offer, capacity int) bool {
 	if o.Capacity > 0 {
 		capacity = int(o.Capacity)
 	}
--- a/internal/counter/places_test.go
+++ b/internal/proxy/places_test.go
@@ -1,4 +1,4 @@
-package counter
+package proxy
 
 import (
 	"fmt"
@@ -9,33 +9,33 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/catalogue"
-	"dunlinwell/internal/desk"
-	"dunlinwell/internal/rollcall"
-	"dunlinwell/internal/ticket"
-	"dunlinwell/internal/yard"
+	"dunlinwell/internal/dispatch"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/membership"
+	"dunlinwell/internal/policy"
+	"dunlinwell/internal/targets"
 )
 
-var regions = map[ticket.Name]string{"quay": "west", "pier": "west", "mole": "west", "dune": "east", "reed": "east"}
+var regions = map[ids.Name]string{"quay": "west", "pier": "west", "mole": "west", "dune": "east", "reed": "east"}
 
-func member(id, cell string) rollcall.Member {
-	return rollcall.Member{ID: ticket.Daemon(id), Role: rollcall.Counter, Cell: ticket.Name(cell), Start: 1}
+func member(id, cell string) membership.Member {
+	return membership.Member{ID: ids.Daemon(id), Role: membership.Proxy, Zone: ids.Name(cell), Start: 1}
 }
 
-func placer(self rollcall.Member, sv catalogue.Service) *Control {
-	c := New(rollcall.Params{Self: self}, Options{Lease: Endless, Layout: Layout{ByCell: true, Regions: regions}})
-	c.view.Services = map[ticket.Name]catalogue.Service{"wader": sv}
+func placer(self membership.Member, sv policy.Service) *Control {
+	c := New(membership.Options{Self: self}, Options{Lease: Endless, Layout: Layout{ByCell: true, Regions: regions}})
+	c.view.Services = map[ids.Name]policy.Service{"wader": sv}
 	return c
 }
 
 // sends counts how many of many requests a desk with this one offer lets go at once.
-func sends(o desk.Offer, now ticket.Tick) int {
-	d := desk.New(desk.Params{Dice: rand.New(rand.NewPCG(1, 2)), Inbox: 1000})
-	d.Step(now, desk.Stock{Targets: []desk.Offer{o}, InStep: true, Lease: now.Add(time.Hour), Terms: map[ticket.Name]desk.Terms{"r": {}}})
+func sends(o dispatch.Offer, now ids.Time) int {
+	d := dispatch.New(dispatch.Options{Dice: rand.New(rand.NewPCG(1, 2)), Inbox: 1000})
+	d.Step(now, dispatch.Stock{Targets: []dispatch.Offer{o}, InStep: true, Lease: now.Add(time.Hour), Terms: map[ids.Name]dispatch.Terms{"r": {}}})
 	n := 0
 	for i := range 200 {
-		for _, c := range d.Step(now, desk.Arrive{Job: desk.Job{ID: ticket.Request(i + 1), Route: "r", Repeatable: true, Due: now.Add(time.Hour)}}) {
-			if _, ok := c.(desk.Ferry); ok {
+		for _, c := range d.Step(now, dispatch.Arrive{Job: dispatch.Job{ID: ids.Request(i + 1), Route: "r", Repeatable: true, Due: now.Add(time.Hour)}}) {
+			if _, ok := c.(dispatch.Ferry); ok {
 				n++
 			}
 		}
@@ -43,20 +43,20 @@
 	return n
 }
 
-// The fleet's sum at a target is bounded however many counters there are: its
-// places once for each of the three circles that has counters, and twice in the
+// The fleet's sum at a target is bounded however many proxies there are: its
+// places once for each of the three circles that has proxies, and twice in the
 // first where two or more may use what the others leave.
 func TestPlacesByCellAddUp(t *testing.T) {
 	is := is.New(t)
 	const capacity = 7
-	now := ticket.Tick(time.Second)
+	now := ids.Time(time.Second)
 	for cells, want := range map[string]int{
 		"quay":                          capacity,
 		"quay quay":                     2 * capacity,
 		"quay quay quay":                2 * capacity,
 		"quay pier":                     2 * capacity,
 		"quay quay pier mole dune reed": 4 * capacity,
-		"pier":                          capacity,     // no counter in its cell: the region's has its places
+		"pier":                          capacity,     // no proxy in its cell: the region's has its places
 		"pier mole":                     2 * capacity, // as have two of the region's
 		"pier dune":                     2 * capacity,
 		"dune":                          capacity,
@@ -65,33 +65,33 @@
 	} {
 		seats := fleet(cells)
 		for n := range 4 {
-			target := yard.Target{Instance: ticket.Instance(fmt.Sprint("t", n)), Service: "wader", Cell: "quay", Capacity: capacity, Warmth: 1, Age: 1e9}
+			target := targets.Target{Instance: ids.Instance(fmt.Sprint("t", n)), Service: "wader", Cell: "quay", Capacity: capacity, Warmth: 1, Age: 1e9}
 			sum := 0
 			for _, m := range seats {
-				sum += sends(placer(m, catalogue.Service{}).offer(now, target, seats), now)
+				sum += sends(placer(m, policy.Service{}).offer(now, target, seats), now)
 			}
 			is.Equal(sum, want)
 		}
 	}
 }
 
-func fleet(cells string) []rollcall.Member {
-	var seats []rollcall.Member
+func fleet(cells string) []membership.Member {
+	var seats []membership.Member
 	for i, cell := range strings.Fields(cells) {
 		seats = append(seats, member(fmt.Sprintf("c%d", i), cell))
 	}
 	return seats
 }
 
-// Odd places fall to different counters for different targets.
+// Odd places fall to different proxies for different targets.
 func TestOddPlacesAreSpread(t *testing.T) {
 	is := is.New(t)
 	seats := fleet("quay quay quay")
-	got := map[ticket.Daemon]int{}
+	got := map[ids.Daemon]int{}
 	for n := range 60 {
-		target := yard.Target{Instance: ticket.Instance(fmt.Sprint("t", n)), Service: "wader", Cell: "quay"}
+		target := targets.Target{Instance: ids.Instance(fmt.Sprint("t", n)), Service: "wader", Cell: "quay"}
 		for _, m := range seats {
-			if placer(m, catalogue.Service{}).offer(1, target, seats).Seat == 0 {
+			if placer(m, policy.Service{}).offer(1, target, seats).Seat == 0 {
 				got[m.ID]++
 			}
 		}
@@ -102,14 +102,14 @@
 	}
 }
 
-// A lost counter's places stay its own for a while, as it may still use them.
-func TestPlacesAsCountersComeAndGo(t *testing.T) {
+// A lost proxy's places stay its own for a while, as it may still use them.
+func TestPlacesAsProxiesComeAndGo(t *testing.T) {
 	is := is.New(t)
 	self, other := member("a", "quay"), member("b", "quay")
-	c := placer(self, catalogue.Service{})
-	now := ticket.Tick(time.Second)
-	join := func(m rollcall.Member) {
-		c.Roll.Hear(now, "x", rollcall.Copy{Members: []rollcall.Member{m}, Final: true})
+	c := placer(self, policy.Service{})
+	now := ids.Time(time.Second)
+	join := func(m membership.Member) {
+		c.List.Receive(now, "x", membership.Snapshot{Members: []membership.Member{m}, Final: true})
 	}
 	is.Equal(len(c.seats(now)), 1)
 	other.Incarnation = 5
@@ -119,19 +119,19 @@
 	join(other)
 	is.Equal(len(c.seats(now.Add(seatsHeld-time.Millisecond))), 2)
 	is.Equal(len(c.seats(now.Add(seatsHeld))), 1)
-	// Others than counters have no seat.
-	join(rollcall.Member{ID: "f", Role: rollcall.Foreman, Cell: "quay", Start: 1, Incarnation: 1})
+	// Others than proxies have no seat.
+	join(membership.Member{ID: "f", Role: membership.Registry, Zone: "quay", Start: 1, Incarnation: 1})
 	is.Equal(len(c.seats(now.Add(seatsHeld))), 1)
 }
 
-// What all counters together may send to a cold target is its rate, once.
+// What all proxies together may send to a cold target is its rate, once.
 func TestColdRateAddsUp(t *testing.T) {
 	is := is.New(t)
-	now := ticket.Tick(time.Second)
+	now := ids.Time(time.Second)
 	for _, cells := range []string{"quay", "quay quay quay", "quay pier dune", "pier mole dune", "dune reed"} {
 		seats, sum := fleet(cells), 0.0
 		for _, m := range seats {
-			o := placer(m, catalogue.Service{WarmRate: 12}).offer(now, yard.Target{Instance: "t", Service: "wader", Cell: "quay", Cold: 3000}, seats)
+			o := placer(m, policy.Service{WarmRate: 12}).offer(now, targets.Target{Instance: "t", Service: "wader", Cell: "quay", Cold: 3000}, seats)
 			is.Equal(o.ColdUntil, now.Add(3*time.Second))
 			sum += o.Rate
 		}
@@ -143,22 +143,22 @@
 // count as such for the longest that any of them stays so.
 func TestACellThatIsOpenedThawsSlowly(t *testing.T) {
 	is := is.New(t)
-	c := New(rollcall.Params{Self: member("a", "quay")}, Options{Lease: Endless, Layout: Layout{ByCell: true, Regions: regions}})
-	p, err := catalogue.Open(nil)
+	c := New(membership.Options{Self: member("a", "quay")}, Options{Lease: Endless, Layout: Layout{ByCell: true, Regions: regions}})
+	p, err := policy.Open(nil)
 	is.NoErr(err)
 	n := 0
 	apply := func(part string) {
 		n++
-		ch, faults := catalogue.ReadChange([]byte(fmt.Sprintf(`{"id":"%d","changes":[%s]}`, n, part)))
+		ch, faults := policy.ReadChange([]byte(fmt.Sprintf(`{"id":"%d","changes":[%s]}`, n, part)))
 		is.Equal(len(faults), 0)
-		var r catalogue.Result
+		var r policy.Result
 		p, r = p.Apply(ch)
 		is.True(r.Accepted())
-		c.adopt(ticket.Tick(n)*ticket.Tick(time.Second), p.Pack(false))
+		c.adopt(ids.Time(n)*ids.Time(time.Second), p.Pack(false))
 	}
-	second := ticket.Tick(time.Second)
+	second := ids.Time(time.Second)
 	apply(`{"kind":"service","name":"wader","put":{"warm_rate":8,"warm_ms":3000}},{"kind":"service","name":"plover","put":{"warm_ms":60000}}`)
-	target := yard.Target{Instance: "t", Service: "wader", Cell: "quay"}
+	target := targets.Target{Instance: "t", Service: "wader", Cell: "quay"}
 	seats := fleet("quay")
 	seats[0].ID = "a"
 	is.True(c.offer(second, target, seats).ColdUntil <= second)
@@ -177,5 +177,5 @@
 	// Another cell's targets are as they were, and a change beside it thaws nothing anew.
 	apply(`{"kind":"service","name":"wader","set":{"tier":3}}`)
 	is.Equal(c.offer(4*second, target, seats).ColdUntil, 6*second)
-	is.True(c.offer(4*second, yard.Target{Instance: "u", Service: "wader", Cell: "dune"}, seats).ColdUntil <= 4*second)
+	is.True(c.offer(4*second, targets.Target{Instance: "u", Service: "wader", Cell: "dune"}, seats).ColdUntil <= 4*second)
 }
--- a/internal/counter/router_test.go
+++ b/internal/proxy/router_test.go
@@ -1,27 +1,27 @@
-package counter
+package proxy
 
 import (
 	"testing"
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/catalogue"
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/policy"
 )
 
 func TestRoutesByHostAndLongestPrefix(t *testing.T) {
 	is := is.New(t)
-	routes := map[ticket.Name]catalogue.Route{}
-	for name, at := range map[ticket.Name][2]string{
+	routes := map[ids.Name]policy.Route{}
+	for name, at := range map[ids.Name][2]string{
 		"own": {"Tern.example", "/mud/"}, "deep": {"tern.example", "/mud/flat/"}, "root": {"gull.example", "/"},
 		"any": {"", "/mud/flat/low/"}, "all": {"", "/"}, "a-first": {"tern.example", "/twice/"}, "b-second": {"tern.example", "/twice/"},
 	} {
-		routes[name] = catalogue.Route{Name: name, Host: at[0], Prefix: at[1]}
+		routes[name] = policy.Route{Name: name, Host: at[0], Prefix: at[1]}
 	}
-	r := newRouter(&catalogue.View{Routes: routes})
+	r := newRouter(&policy.View{Routes: routes})
 	for _, c := range []struct {
 		host, path string
-		want       ticket.Name
+		want       ids.Name
 	}{
 		{"tern.example", "/mud/1", "own"},
 		{"TERN.example", "/mud/1", "own"},
@@ -47,7 +47,7 @@
 		}
 	}
 	delete(routes, "all")
-	r = newRouter(&catalogue.View{Routes: routes})
+	r = newRouter(&policy.View{Routes: routes})
 	for _, c := range [][2]string{{"tern.example", "/"}, {"tern.example", "/muddy/"}, {"tern.example", ""}, {"tern.example", "*"}, {"", "/mud/1"}, {"other.example", "/mud/flat/"}} {
 		_, ok := r.find(c[0], c[1])
 		is.True(!ok)
--- a/internal/counter/run.go
+++ b/internal/proxy/run.go
@@ -1,4 +1,4 @@
-package counter
+package proxy
 
 import (
 	"context"
@@ -8,26 +8,26 @@
 	"strconv"
 	"time"
 
-	"dunlinwell/internal/premises"
-	"dunlinwell/internal/ticket"
-	"dunlinwell/internal/window"
-	"dunlinwell/internal/works"
+	"dunlinwell/internal/api"
+	"dunlinwell/internal/daemon"
+	"dunlinwell/internal/event"
+	"dunlinwell/internal/ids"
 )
 
-// Run runs the counter until the context ends.
+// Run runs the proxy until the context ends.
 func (d *Daemon) Run(ctx context.Context) error {
 	wire, err := d.post.Listen()
 	if err != nil {
 		return err
 	}
-	pages, err := window.Listen(d.Params.Pages())
+	pages, err := api.Listen(d.Params.Pages())
 	if err != nil {
 		return err
 	}
-	s := premises.Supervisor("counter", d.log)
+	s := daemon.Supervisor("proxy", d.log)
 	s.Add(d.owner)
-	s.Add(premises.Task("post", func(c context.Context) error { return d.post.Serve(c, wire) }))
-	s.Add(premises.Task("desks", d.tend))
+	s.Add(daemon.Task("post", func(c context.Context) error { return d.post.Serve(c, wire) }))
+	s.Add(daemon.Task("desks", d.tend))
 	// The pages outlive the supervisor's context by the grace, so that held
 	// requests end while the owner still turns.
 	life, end := context.WithCancel(context.Background())
@@ -52,7 +52,7 @@
 	return err
 }
 
-// carriedEvery is how often a counter logs where requests went.
+// carriedEvery is how often a proxy logs where requests went.
 const carriedEvery = 20 * time.Second
 
 // tend gives the desks their clock and the meter its intervals.
@@ -68,7 +68,7 @@
 			return ctx.Err()
 		case <-beat.C:
 			for _, n := range d.services() {
-				d.hand(n, works.ClockEvent{})
+				d.hand(n, event.Tick{})
 			}
 		case <-carried.C:
 			d.sayCarried()
@@ -81,7 +81,7 @@
 	}
 }
 
-// sayCarried logs where requests went: to the counter's own cell, its region, or
+// sayCarried logs where requests went: to the proxy's own cell, its region, or
 // farther.
 func (d *Daemon) sayCarried() {
 	for _, n := range d.services() {
@@ -107,26 +107,26 @@
 	}
 }
 
-func (d *Daemon) services() []ticket.Name {
+func (d *Daemon) services() []ids.Name {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	var out []ticket.Name
+	var out []ids.Name
 	for n := range d.desks {
 		out = append(out, n)
 	}
 	return out
 }
 
-// pages are the counter's own pages; all other paths are consumers'.
+// pages are the proxy's own pages; all other paths are consumers'.
 func (d *Daemon) pages(consumers bool) http.Handler {
 	m := http.NewServeMux()
-	premises.Health(m, func() (bool, any) {
+	daemon.Health(m, func() (bool, any) {
 		f := d.footing.Load()
 		return f.Ready && !d.stopping.Load(), map[string]any{"ready": f.Ready, "cut_off": f.CutOff, "emptied": f.Emptied, "stopping": d.stopping.Load()}
 	})
-	premises.Metrics(m, d.figures)
-	m.Handle("/v1/", window.NewFerry(func() []ticket.Address {
-		return premises.Foremen(d.footing.Load().Members, d.self.Cell)
+	daemon.Metrics(m, d.figures)
+	m.Handle("/v1/", api.NewFerry(func() []ids.Address {
+		return daemon.RegistryAddresses(d.footing.Load().Members, d.self.Zone)
 	}))
 	if consumers {
 		m.Handle("/", d.edge.Consumers(d))
@@ -134,21 +134,21 @@
 	return m
 }
 
-// figures are the counter's numbers for the page of metrics.
-func (d *Daemon) figures() []premises.Gauge {
+// figures are the proxy's numbers for the page of metrics.
+func (d *Daemon) figures() []daemon.Gauge {
 	f := d.footing.Load()
 	flag := map[bool]float64{true: 1}
-	out := []premises.Gauge{{Name: "ready", Value: flag[f.Ready]}, {Name: "cut_off", Value: flag[f.CutOff]}, {Name: "emptied", Value: flag[f.Emptied]},
+	out := []daemon.Gauge{{Name: "ready", Value: flag[f.Ready]}, {Name: "cut_off", Value: flag[f.CutOff]}, {Name: "emptied", Value: flag[f.Emptied]},
 		{Name: "held_bytes", Value: float64(d.hold.used.Load())}}
-	out = append(out, premises.Wire(d.post.Tally)...)
+	out = append(out, daemon.TrafficGauges(d.post.Stats)...)
 	for _, n := range d.services() {
 		p := d.at(n)
 		p.mu.Lock()
 		t, busy := p.desk.Tally, p.desk.Busy()
 		p.mu.Unlock()
-		out = append(out, premises.Gauge{Name: "occupancy", Labels: []string{"service"}, Values: []string{string(n)}, Value: float64(busy)})
+		out = append(out, daemon.Gauge{Name: "occupancy", Labels: []string{"service"}, Values: []string{string(n)}, Value: float64(busy)})
 		for what, v := range map[string]uint64{"arrived": t.Arrived, "declined": t.Declined, "unknown": t.Unknown, "answered": t.Answered, "ferried": t.Ferried, "ferried_in_region": t.Region, "ferried_far": t.Far, "retried": t.Retried, "repeats": t.Repeats} {
-			out = append(out, premises.Gauge{Name: "requests_total", Labels: []string{"service", "what"}, Values: []string{string(n), what}, Value: float64(v), Total: true})
+			out = append(out, daemon.Gauge{Name: "requests_total", Labels: []string{"service", "what"}, Values: []string{string(n), what}, Value: float64(v), Total: true})
 		}
 	}
 	return out
--- a/internal/counter/trade.go
+++ b/internal/proxy/trade.go
@@ -1,4 +1,4 @@
-package counter
+package proxy
 
 import (
 	"crypto/sha256"
@@ -8,9 +8,9 @@
 	"strings"
 	"time"
 
-	"dunlinwell/internal/desk"
-	"dunlinwell/internal/problem"
-	"dunlinwell/internal/till"
+	"dunlinwell/internal/dispatch"
+	"dunlinwell/internal/errs"
+	"dunlinwell/internal/idempotency"
 )
 
 // Trade is how requests are put to targets, and their answers judged. Ours is
@@ -20,16 +20,16 @@
 	Greets() bool
 	// Outgoing gives the headers that go to the target, with what is left of
 	// the request's time.
-	Outgoing(c *Cargo, f desk.Ferry, left time.Duration) http.Header
+	Outgoing(c *Cargo, f dispatch.Ferry, left time.Duration) http.Header
 	// Judge says what an answer, read whole, amounts to. An error means that no
 	// byte of it may go on, and that nobody knows whether the request has run.
-	Judge(res *http.Response, body []byte, c *Cargo, f desk.Ferry) (Verdict, error)
+	Judge(res *http.Response, body []byte, c *Cargo, f dispatch.Ferry) (Verdict, error)
 }
 
 // Verdict is what an answer amounts to.
 type Verdict struct {
-	How      desk.How
-	Response till.Response
+	How      dispatch.How
+	Response idempotency.Response
 	Why      string
 	// Other: the answer belongs to another request; this one's may follow.
 	Other bool
@@ -47,7 +47,7 @@
 
 func (house) Greets() bool { return true }
 
-func (h house) Outgoing(c *Cargo, f desk.Ferry, left time.Duration) http.Header {
+func (h house) Outgoing(c *Cargo, f dispatch.Ferry, left time.Duration) http.Header {
 	out := Strip(c.Header)
 	out.Set("Request-Id", h.d.requestID(f.ID))
 	out.Set("Time-Left", strconv.FormatInt(max(left.Milliseconds(), 0), 10))
@@ -58,21 +58,21 @@
 
 // Judge checks an answer's seal: the digest of its body, the request's id and
 // the consumer's mark.
-func (h house) Judge(res *http.Response, body []byte, c *Cargo, f desk.Ferry) (Verdict, error) {
+func (h house) Judge(res *http.Response, body []byte, c *Cargo, f dispatch.Ferry) (Verdict, error) {
 	sum := sha256.Sum256(body)
 	digest := "sha-256=:" + base64.StdEncoding.EncodeToString(sum[:]) + ":"
 	switch {
 	// The answer to HEAD has no body that a digest could be of.
 	case c.Method != http.MethodHead && !hasDigest(res.Header.Get("Content-Digest"), digest):
-		return Verdict{}, problem.New("check response", "", "answer's seal is missing or broken")
+		return Verdict{}, errs.New("check response", "", "answer's seal is missing or broken")
 	case res.Header.Get("Request-Id") != h.d.requestID(f.ID):
-		return Verdict{}, problem.New("check response", "", "answer is for request %q", res.Header.Get("Request-Id"))
+		return Verdict{}, errs.New("check response", "", "answer is for request %q", res.Header.Get("Request-Id"))
 	case !c.Job.Repeatable && res.Header.Get("Idempotency-Key") != string(c.Job.Mark):
-		return Verdict{}, problem.New("check response", "", "answer is for mark %q", res.Header.Get("Idempotency-Key"))
+		return Verdict{}, errs.New("check response", "", "answer is for mark %q", res.Header.Get("Idempotency-Key"))
 	}
 	a := Sealed(res, body)
 	a.Digest = digest
-	return Verdict{How: desk.Sealed, Response: a, Again: true}, nil
+	return Verdict{How: dispatch.Sealed, Response: a, Again: true}, nil
 }
 
 // hasDigest finds the sha-256 entry among the digests of RFC 9530.
--- /dev/null
+++ b/internal/registry/calls.go
@@ -0,0 +1,219 @@
+package registry
+
+import (
+	"encoding/json"
+	"maps"
+	"slices"
+	"time"
+
+	"dunlinwell/internal/consensus"
+	"dunlinwell/internal/directory"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/policy"
+	"dunlinwell/internal/spill"
+	"dunlinwell/internal/targets"
+)
+
+// Calls from outside come as these events; each is answered by one Reply.
+type (
+	// ChangeCall asks for a checked change.
+	ChangeCall struct {
+		ID  uint64
+		Raw []byte
+	}
+	// PolicyCall asks for the policy; Local for this registry's own copy.
+	PolicyCall struct {
+		ID    uint64
+		Local bool
+	}
+	// MergeCall asks for items to be merged whose versions their caller gave.
+	MergeCall struct {
+		ID   uint64
+		Body policy.Merge
+	}
+	// WhereCall asks where a fresh circuit should go: for a route, or for all
+	// routes of a host, known or not.
+	ResolveCall struct {
+		ID    uint64
+		Cell  ids.Name
+		Route ids.Name
+		Host  string
+	}
+	// GoneCall is a target's word that it ends.
+	DeregisterCall struct {
+		ID       uint64
+		Instance ids.Instance
+	}
+	// AnnounceCall is a target's word; its answer names the registry that is to
+	// have its next ones.
+	HeartbeatCall struct {
+		ID     uint64
+		Target targets.Target
+	}
+	// StatusCall asks how things stand.
+	StatusCall struct{ ID uint64 }
+)
+
+// Response answers a call. Retry asks the caller to come back, in seconds.
+type Response struct {
+	ID     uint64
+	Status int
+	Body   any
+	Retry  int
+}
+
+// Word is a body that says one thing.
+type Problem struct {
+	Problem string `json:"problem"`
+}
+
+// callWait bounds how long a call waits for a majority.
+const callWait = 3 * time.Second
+
+func names[V any](m map[ids.Name]V) []ids.Name { return slices.Sorted(maps.Keys(m)) }
+
+func (f *Registry) call(now ids.Time, ev any) {
+	switch c := ev.(type) {
+	case ChangeCall:
+		f.change(now, c)
+	case MergeCall:
+		f.merge(now, c)
+	case DeregisterCall:
+		f.gone(now, c)
+	case PolicyCall:
+		f.policyCall(now, c)
+	case ResolveCall:
+		f.where(now, c)
+	case HeartbeatCall:
+		f.announced(now, c)
+	case StatusCall:
+		f.Emit(Response{ID: c.ID, Status: 200, Body: f.Status(now)})
+	}
+}
+
+// unreached answers a call that surely had no effect for want of a majority.
+func (f *Registry) unavailable(id uint64) {
+	f.Emit(Response{ID: id, Status: 503, Body: Problem{"no majority of stores can be reached"}, Retry: 1})
+}
+
+func (f *Registry) change(now ids.Time, c ChangeCall) {
+	// Faults that the words alone show need no round.
+	if ch, faults := policy.ReadChange(c.Raw); len(faults) > 0 {
+		f.Emit(Response{ID: c.ID, Status: 400, Body: policy.Result{ID: ch.ID, Faults: faults}})
+		return
+	}
+	f.agree(now, c.ID, policy.OpChange, c.Raw)
+}
+
+func (f *Registry) merge(now ids.Time, c MergeCall) {
+	if faults := c.Body.Check(); len(faults) > 0 {
+		f.Emit(Response{ID: c.ID, Status: 400, Body: policy.Result{Faults: faults}})
+		return
+	}
+	raw, err := json.Marshal(c.Body)
+	if err != nil {
+		f.Emit(Response{ID: c.ID, Status: 400, Body: Problem{err.Error()}})
+		return
+	}
+	f.agree(now, c.ID, policy.OpMerge, raw)
+}
+
+// agree has a change of the policy agreed on, and answers its caller.
+func (f *Registry) agree(now ids.Time, id uint64, op consensus.Op, raw []byte) {
+	f.Client.Call(now, policy.Key, op, raw, callWait, func(_ ids.Time, s consensus.State, out []byte) {
+		var r policy.Result
+		switch {
+		case s == consensus.Declined:
+			f.unavailable(id)
+		case s != consensus.Done || json.Unmarshal(out, &r) != nil:
+			f.Emit(Response{ID: id, Status: 504, Body: Problem{"uncertain: the change may have been accepted; send it again under the same id"}, Retry: 1})
+		default:
+			f.Emit(Response{ID: id, Status: statusOf(r), Body: r})
+		}
+	})
+}
+
+func statusOf(r policy.Result) int {
+	switch {
+	case len(r.Faults) > 0:
+		return 400
+	case len(r.Stale) > 0:
+		return 409
+	case len(r.Missing) > 0:
+		return 404
+	}
+	return 200
+}
+
+func (f *Registry) policyCall(now ids.Time, c PolicyCall) {
+	if c.Local {
+		f.Emit(Response{ID: c.ID, Status: 200, Body: f.policy})
+		return
+	}
+	// An agreement read: every daemon gives the same truth, or none.
+	f.Client.ReadIfChanged(now, policy.Key, f.whole, f.sum, callWait, func(_ ids.Time, s consensus.State, out []byte) {
+		p, err := policy.Open(out)
+		if s != consensus.Done || err != nil {
+			f.unavailable(c.ID)
+			return
+		}
+		f.agreed = max(f.agreed, now)
+		f.adopt(out)
+		p.Recent, p.Declined = nil, nil
+		f.Emit(Response{ID: c.ID, Status: 200, Body: p})
+	})
+}
+
+// sightFor is how long a sight is used again: drawing up every cell for each
+// ask would cost more than the answer.
+const snapshotFor = 50 * time.Millisecond
+
+// sight is what the directory answers from. A change of policy or of the roll
+// makes it anew at once.
+func (f *Registry) snapshot(now ids.Time) directory.Snapshot {
+	k := snapshotKey{f.view.Revision, f.Version(), f.table.Epoch, f.table.Number}
+	if k != f.seenBy || now.Since(f.seenAt) >= snapshotFor {
+		f.seen, f.seenBy, f.seenAt = f.look(now), k, now
+	}
+	return f.seen
+}
+
+type snapshotKey struct {
+	revision ids.Revision
+	roll     uint64
+	epoch    ids.Epoch
+	table    ids.Number
+}
+
+func (f *Registry) look(now ids.Time) directory.Snapshot {
+	// Few asks need the room, and drawing every cell up costs more than they do.
+	var cells map[ids.Name]spill.Cell
+	s := directory.Snapshot{Proxies: f.ready(now), Emptied: map[ids.Name]bool{},
+		Distance: f.view.Distance, Demand: f.Books.Demand,
+		Room: func(n ids.Name) float64 {
+			if cells == nil {
+				cells = f.cells(now)
+			}
+			c := cells[n]
+			if c.Stale {
+				return 0
+			}
+			return c.Target - c.Used()
+		}}
+	for n, c := range f.view.Cells {
+		s.Emptied[n] = c.Emptied
+	}
+	if !f.stale(now) {
+		s.Moves = f.table.Moves
+	}
+	return s
+}
+
+// stale tells whether the table has outlived its lifetime in a registry that
+// has lost its majority; with a majority and no planner the last one holds.
+func (f *Registry) stale(now ids.Time) bool {
+	return now.Since(f.agreed) > 5*time.Second && now.Since(f.tableAt) > 3*f.params.PlanEvery
+}
+
+// Moves gives the table in force here, for tests and status.
+func (f *Registry) Moves() spill.Table { return f.table }
--- /dev/null
+++ b/internal/registry/deliver.go
@@ -0,0 +1,94 @@
+package registry
+
+import (
+	"bytes"
+	"time"
+
+	"dunlinwell/internal/consensus"
+	"dunlinwell/internal/distribution"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/membership"
+	"dunlinwell/internal/policy"
+	"dunlinwell/internal/targets"
+)
+
+// deliver pushes what proxies lack.
+func (f *Registry) deliver(now ids.Time) {
+	f.delivered = now
+	f.Distributor.Distribute(now, f.served(now), distribution.Content{Revision: f.view.Revision, Policy: f.difference,
+		Targets: func() []targets.Target { return f.Targets.All(now) }, Version: f.Targets.Version()<<20 + uint64(f.view.Revision), Age: f.age(now)})
+}
+
+// difference gives what leads to the policy in force from an earlier revision.
+func (f *Registry) difference(from ids.Revision) []byte {
+	if from == 0 || !f.params.Incremental {
+		return f.raw
+	}
+	if f.deltas == nil {
+		f.deltas = map[ids.Revision][]byte{}
+	}
+	if f.deltas[from] == nil {
+		f.deltas[from] = f.policy.Since(from)
+	}
+	return f.deltas[from]
+}
+
+func (f *Registry) tellRegistries(list []targets.Target) {
+	if len(list) == 0 {
+		return
+	}
+	for _, m := range f.Live(membership.Registry) {
+		if m.ID != f.Self.ID {
+			f.Send(m.Address, targets.Update{List: list})
+		}
+	}
+}
+
+// taken pushes at once what can't wait: a target that leaves or is gone.
+func (f *Registry) taken(now ids.Time, changed []targets.Target) {
+	for _, t := range changed {
+		if !t.Usable() {
+			f.Log("info", "target leaves", "target", string(t.Instance), "address", string(t.Address), "gone", yes(t.Gone))
+		}
+	}
+	// What is new or warm again can wait for the others of its moment: told one
+	// by one, four hundred targets would be so many pushes to every proxy.
+	urgent := !f.params.Incremental
+	for _, t := range changed {
+		urgent = urgent || !t.Usable() || t.Cold > 0
+	}
+	if len(changed) > 0 && urgent {
+		f.deliver(now)
+	}
+}
+
+// adopt takes a chosen policy if it is newer. It never goes back.
+func (f *Registry) adopt(raw []byte) {
+	if len(raw) > 0 && bytes.Equal(raw, f.whole) {
+		return
+	}
+	p, err := policy.Open(raw)
+	if err != nil {
+		f.Log("error", "policy unreadable", "problem", err.Error())
+		return
+	}
+	if p.Revision < f.policy.Revision {
+		return
+	}
+	f.whole, f.sum = raw, consensus.Checksum(raw)
+	if p.Revision == f.policy.Revision {
+		return
+	}
+	f.policy, f.view, f.raw = p, p.View(), p.Pack(false)
+	clear(f.deltas)
+	f.view.Know(f.params.Regions)
+	f.Log("info", "policy", "revision", itoa(uint64(p.Revision)))
+}
+
+// age tells how old the last agreement on the policy is.
+func (f *Registry) age(now ids.Time) time.Duration {
+	if f.agreed == 0 {
+		return time.Hour
+	}
+	return now.Since(f.agreed)
+}
--- a/internal/foreman/derive.go
+++ b/internal/registry/derive.go
@@ -1,8 +1,8 @@
-package foreman
+package registry
 
 import (
-	"dunlinwell/internal/haulage"
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/spill"
 )
 
 // Shares of what a cell's targets bear, for set points that nobody named. They
@@ -15,12 +15,12 @@
 
 // bears gives what each cell's targets bear, in ms of work a second, as they
 // state it themselves. A cold one bears little, a shut cell's nothing.
-func (f *Foreman) bears(now ticket.Tick) map[ticket.Name]float64 {
+func (f *Registry) bears(now ids.Time) map[ids.Name]float64 {
 	if !f.params.Derive {
 		return nil
 	}
-	out := map[ticket.Name]float64{}
-	for _, t := range f.Yard.All(now) {
+	out := map[ids.Name]float64{}
+	for _, t := range f.Targets.All(now) {
 		if c := f.view.Cells[t.Cell]; t.Usable() && !c.Shut && !c.Emptied && t.Cold == 0 {
 			out[t.Cell] += float64(t.Capacity) * 1000
 		}
@@ -29,7 +29,7 @@
 }
 
 // derive sets a cell's levels by what its targets bear.
-func (f *Foreman) derive(h *haulage.Cell, bears float64) {
+func (f *Registry) derive(h *spill.Cell, bears float64) {
 	bears = max(bears, 1)
 	h.Acceptable, h.Target, h.Maximum = ofAcceptable*bears, ofTarget*bears, ofMaximum*bears
 }
--- a/internal/foreman/figures.go
+++ b/internal/registry/figures.go
@@ -1,4 +1,4 @@
-package foreman
+package registry
 
 // Figure is one number of the status, for the page of metrics.
 type Figure struct {
--- /dev/null
+++ b/internal/registry/peers.go
@@ -0,0 +1,205 @@
+package registry
+
+import (
+	"cmp"
+	"hash/fnv"
+	"slices"
+	"time"
+
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/membership"
+	"dunlinwell/internal/targets"
+	"dunlinwell/internal/wire"
+)
+
+// Pulse is what registries tell one another all the time: that they are there, how
+// old their agreement is, and what their targets sum up to.
+type Pulse struct {
+	ID     ids.Daemon
+	Start  ids.RunID
+	Age    uint32
+	Yard   uint64
+	Number ids.Number
+}
+
+// Parting asks a registry to say when all proxies that it serves go by a
+// target's word that it leaves; Parted says so.
+type DepartureNotice struct {
+	Asker  ids.Address
+	Target targets.Target
+}
+
+// Parted answers Parting.
+type DepartureAck struct {
+	ID       ids.Daemon
+	Instance ids.Instance
+	Sequence ids.Sequence
+}
+
+var _ = wire.Register(72, Pulse{}) && wire.Register(73, DepartureNotice{}) && wire.Register(74, DepartureAck{})
+
+// peers is what a registry knows of the others, heard from themselves: across a
+// cut the roll may still hold them for alive.
+type peers struct {
+	heard map[ids.Daemon]peer
+	pulse ids.Time
+	count ids.Number
+	// owes are the partings that other registries wait for.
+	owes []DepartureNotice
+	// group are those who share the proxies out, and ours the ones served here.
+	group []membership.Member
+	ours  []membership.Member
+	drawn uint64
+}
+
+type peer struct {
+	Pulse
+	at     ids.Time
+	differ int
+	sent   ids.Time
+}
+
+func newPeers() peers { return peers{heard: map[ids.Daemon]peer{}} }
+
+const (
+	pulseEvery = 400 * time.Millisecond
+	// peerFor is how long a registry counts as there after its last pulse.
+	peerFor = 1600 * time.Millisecond
+	// serveBy is how many registries deliver to each proxy.
+	serveBy = 2
+	// agreedOf is how old a registry's agreement may be for it to be relied on.
+	agreedOf = 1500 * time.Millisecond
+)
+
+// keepPeers is the clock event's share of it all.
+func (f *Registry) keepPeers(now ids.Time) {
+	if !f.params.Incremental {
+		return
+	}
+	f.Targets.Vouch(now, func(id ids.Daemon, s ids.RunID) bool {
+		p, ok := f.heard[id]
+		return id != f.Self.ID && ok && p.Start == s && now.Since(p.at) < peerFor
+	})
+	f.relay(now)
+	if now < f.pulse {
+		return
+	}
+	f.pulse = now.Add(pulseEvery)
+	f.count++
+	m := Pulse{ID: f.Self.ID, Start: f.Self.Start, Age: uint32(min(f.age(now)/time.Millisecond, 1<<30)), Yard: f.Targets.Sum(), Number: f.count}
+	for _, p := range f.Live(membership.Registry) {
+		if p.ID != f.Self.ID {
+			f.Send(p.Address, m)
+		}
+	}
+}
+
+// pulsed takes another registry's pulse, and sends it all targets where its copy
+// goes on differing: a share may have been lost.
+func (f *Registry) pulsed(now ids.Time, m Pulse) {
+	p := f.heard[m.ID]
+	fresh := p.Start != m.Start
+	p.Pulse, p.at = m, now
+	if m.Yard == f.Targets.Sum() {
+		p.differ = 0
+	} else {
+		p.differ++
+	}
+	if fresh || p.differ >= 3 {
+		p.differ = 0
+		if to, ok := f.Get(m.ID); ok {
+			f.Send(to.Address, targets.Update{List: f.Targets.All(now)})
+		}
+	}
+	f.heard[m.ID] = p
+}
+
+// relay hands on what changed in the roll to those served here, and what this
+// registry judged to the others.
+func (f *Registry) relay(now ids.Time) {
+	list := f.Changed()
+	if len(list) == 0 {
+		return
+	}
+	msg := membership.Delta{Members: list, Final: true}
+	for _, m := range f.served(now) {
+		f.Send(m.Address, msg)
+	}
+	first := len(f.group) > 0 && f.group[0].ID == f.Self.ID
+	for _, m := range f.All() {
+		if m.Gone || m.ID == f.Self.ID {
+			continue
+		}
+		if m.Role == membership.Registry || m.Role == membership.Store && first {
+			f.Send(m.Address, msg)
+		}
+	}
+}
+
+// served gives the proxies that this registry delivers to: all of them, or its
+// part, with each proxy served by two of the registries that hear one another
+// and a majority.
+func (f *Registry) served(now ids.Time) []membership.Member {
+	if !f.params.Incremental {
+		return f.Live(membership.Proxy)
+	}
+	var group []membership.Member
+	sum := fnv.New64a()
+	for _, m := range f.Live(membership.Registry) {
+		p, ok := f.heard[m.ID]
+		if m.ID == f.Self.ID || ok && now.Since(p.at) < peerFor && time.Duration(p.Age)*time.Millisecond < agreedOf {
+			group = append(group, m)
+			sum.Write([]byte(m.ID))
+		}
+	}
+	drawn := sum.Sum64() ^ f.Version()
+	if f.ours != nil && f.drawn == drawn {
+		return f.ours
+	}
+	f.group, f.drawn, f.ours = group, drawn, []membership.Member{}
+	for _, c := range f.Live(membership.Proxy) {
+		if f.serves(c, group) {
+			f.ours = append(f.ours, c)
+		}
+	}
+	return f.ours
+}
+
+// serves tells whether this registry is among the two of a group that deliver to
+// a proxy: the nearest one, and one by lot.
+func (f *Registry) serves(c membership.Member, group []membership.Member) bool {
+	if len(group) <= serveBy {
+		return true
+	}
+	order := slices.Clone(group)
+	slices.SortFunc(order, func(a, b membership.Member) int {
+		return cmp.Or(cmp.Compare(lot(c.ID, a.ID), lot(c.ID, b.ID)), cmp.Compare(a.ID, b.ID))
+	})
+	near := f.near(c, order)
+	if near.ID == f.Self.ID {
+		return true
+	}
+	order = slices.DeleteFunc(order, func(m membership.Member) bool { return m.ID == near.ID })
+	return slices.ContainsFunc(order[:serveBy-1], func(m membership.Member) bool { return m.ID == f.Self.ID })
+}
+
+// near gives the registry of an order that stands nearest to a proxy.
+func (f *Registry) near(c membership.Member, order []membership.Member) membership.Member {
+	return slices.MinFunc(order, func(a, b membership.Member) int {
+		return cmp.Or(cmp.Compare(f.view.Distance(c.Zone, a.Zone), f.view.Distance(c.Zone, b.Zone)), cmp.Compare(lot(c.ID, a.ID), lot(c.ID, b.ID)))
+	})
+}
+
+// nearest tells whether this registry is the one that delivers to a proxy
+// first; the other is there in case that it doesn't.
+func (f *Registry) nearest(c membership.Member) bool {
+	return len(f.group) == 0 || f.near(c, f.group).ID == f.Self.ID
+}
+
+func lot(a, b ids.Daemon) uint64 {
+	h := fnv.New64a()
+	h.Write([]byte(a))
+	h.Write([]byte{0})
+	h.Write([]byte(b))
+	return h.Sum64()
+}
--- a/internal/foreman/plans.go
+++ b/internal/registry/plans.go
@@ -1,15 +1,15 @@
-package foreman
+package registry
 
 import (
 	"strconv"
 	"time"
 
-	"dunlinwell/internal/duty"
-	"dunlinwell/internal/haulage"
-	"dunlinwell/internal/ledger"
-	"dunlinwell/internal/parcel"
-	"dunlinwell/internal/rollcall"
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/consensus"
+	"dunlinwell/internal/election"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/membership"
+	"dunlinwell/internal/spill"
+	"dunlinwell/internal/wire"
 )
 
 func itoa(n uint64) string { return strconv.FormatUint(n, 10) }
@@ -21,18 +21,18 @@
 	return "no"
 }
 
-// plans is the spill as one foreman has it: the table it goes by, and, while
+// plans is the spill as one registry has it: the table it goes by, and, while
 // the duty is its own, what it plans from.
 type plans struct {
-	table   haulage.Table
-	tableAt ticket.Tick
-	epoch   ticket.Epoch
-	mine    ticket.Epoch
+	table   spill.Table
+	tableAt ids.Time
+	epoch   ids.Epoch
+	mine    ids.Epoch
 	taking  bool
-	next    ticket.Tick
-	repeat  ticket.Tick
-	ahead   map[ticket.Name]forecast
-	fits    map[ticket.Name]haulage.Fit
+	next    ids.Time
+	repeat  ids.Time
+	ahead   map[ids.Name]forecast
+	fits    map[ids.Name]spill.Fit
 }
 
 // chargeFor is for how many plans a move is charged while it doesn't show.
@@ -42,41 +42,41 @@
 type forecast struct {
 	amount float64
 	want   float64
-	at     ticket.Tick
+	at     ids.Time
 }
 
 func newPlans() plans {
-	return plans{ahead: map[ticket.Name]forecast{}, fits: map[ticket.Name]haulage.Fit{}}
+	return plans{ahead: map[ids.Name]forecast{}, fits: map[ids.Name]spill.Fit{}}
 }
 
 // raise notes a higher epoch; what is under it is declined from then on.
-func (f *Foreman) raise(e ticket.Epoch) {
+func (f *Registry) raise(e ids.Epoch) {
 	if e > f.epoch {
 		f.epoch = e
 	}
 	if f.mine != 0 && f.epoch > f.mine {
 		f.mine = 0
-		f.Say("info", "duty lost", "duty", "planner", "epoch", itoa(uint64(f.epoch)))
+		f.Log("info", "duty lost", "duty", "planner", "epoch", itoa(uint64(f.epoch)))
 	}
 }
 
-func (f *Foreman) takeTable(now ticket.Tick, t haulage.Table) {
+func (f *Registry) takeTable(now ids.Time, t spill.Table) {
 	if t.Epoch < f.epoch {
 		return
 	}
 	f.raise(t.Epoch)
 	if t.Newer(f.table) {
 		f.table = t
-		f.Say("info", "moves", "epoch", itoa(uint64(t.Epoch)), "number", itoa(uint64(t.Number)), "count", itoa(uint64(len(t.Moves))))
+		f.Log("info", "moves", "epoch", itoa(uint64(t.Epoch)), "number", itoa(uint64(t.Number)), "count", itoa(uint64(len(t.Moves))))
 	}
 	if !f.table.Newer(t) {
 		f.tableAt = now
 	}
 }
 
-// planning takes the duty when it is this foreman's turn, and plans.
-func (f *Foreman) planning(now ticket.Tick) {
-	live := f.Live(rollcall.Foreman)
+// planning takes the duty when it is this registry's turn, and plans.
+func (f *Registry) planning(now ids.Time) {
+	live := f.Live(membership.Registry)
 	first := len(live) > 0 && live[0].ID == f.Self.ID && now.Since(f.woke) > 2*time.Second
 	if !first {
 		f.mine = 0
@@ -97,54 +97,54 @@
 	}
 }
 
-func (f *Foreman) takeDuty(now ticket.Tick) {
+func (f *Registry) takeDuty(now ids.Time) {
 	if f.taking || f.view.Revision == 0 {
 		return
 	}
 	f.taking = true
-	raw, _ := parcel.Pack(duty.Held{Holder: f.Self.ID, Start: f.Self.Start, Epoch: f.epoch})
-	f.Asker.Want(now, duty.Key("planner"), duty.OpTake, raw, 2*time.Second, func(at ticket.Tick, s ledger.State, out []byte) {
+	raw, _ := wire.Encode(election.Term{Holder: f.Self.ID, Start: f.Self.Start, Epoch: f.epoch})
+	f.Client.Call(now, election.Key("planner"), election.OpTake, raw, 2*time.Second, func(at ids.Time, s consensus.State, out []byte) {
 		f.taking = false
-		h, ok := duty.Open(out)
-		if s != ledger.Done || !ok || h.Holder != f.Self.ID || h.Start != f.Self.Start {
+		h, ok := election.Open(out)
+		if s != consensus.Done || !ok || h.Holder != f.Self.ID || h.Start != f.Self.Start {
 			return
 		}
 		f.raise(h.Epoch)
 		f.mine, f.table.Epoch = h.Epoch, h.Epoch
 		f.next = at.Add(min(f.params.PlanEvery, 5*time.Second))
-		f.Say("info", "duty taken", "duty", "planner", "epoch", itoa(uint64(h.Epoch)))
+		f.Log("info", "duty taken", "duty", "planner", "epoch", itoa(uint64(h.Epoch)))
 	})
 }
 
-func (f *Foreman) spreadTable() {
-	for _, m := range f.Live(rollcall.Foreman) {
+func (f *Registry) spreadTable() {
+	for _, m := range f.Live(membership.Registry) {
 		if m.ID != f.Self.ID {
-			f.Tell(m.Address, f.table)
+			f.Send(m.Address, f.table)
 		}
 	}
 }
 
-func (f *Foreman) seats() []haulage.Seat {
-	var out []haulage.Seat
-	for _, m := range f.Live(rollcall.Counter) {
-		out = append(out, haulage.Seat{ID: m.ID, Start: m.Start, Cell: m.Cell})
+func (f *Registry) seats() []spill.Seat {
+	var out []spill.Seat
+	for _, m := range f.Live(membership.Proxy) {
+		out = append(out, spill.Seat{ID: m.ID, Start: m.Start, Cell: m.Zone})
 	}
 	return out
 }
 
-func (f *Foreman) ranks() map[ticket.Name]haulage.Rank {
-	out := map[ticket.Name]haulage.Rank{}
+func (f *Registry) ranks() map[ids.Name]spill.Rank {
+	out := map[ids.Name]spill.Rank{}
 	for n, r := range f.view.Routes {
-		out[n] = haulage.Rank{Tier: r.Tier, Service: f.view.Services[r.Service].Tier, Route: n}
+		out[n] = spill.Rank{Tier: r.Tier, Service: f.view.Services[r.Service].Tier, Route: n}
 	}
 	return out
 }
 
 // cells draws up every cell of the policy as of now.
-func (f *Foreman) cells(now ticket.Tick) map[ticket.Name]haulage.Cell {
+func (f *Registry) cells(now ids.Time) map[ids.Name]spill.Cell {
 	seats, ranks := f.seats(), f.ranks()
 	bears := f.bears(now)
-	out := map[ticket.Name]haulage.Cell{}
+	out := map[ids.Name]spill.Cell{}
 	for n, c := range f.view.Cells {
 		h := f.Books.Cell(now, n, seats, ranks)
 		h.Target, h.Acceptable, h.Maximum, h.Emptied = c.Target, c.Acceptable, c.Maximum, c.Emptied
@@ -162,15 +162,15 @@
 }
 
 // plan makes the next table from the last one and the books.
-func (f *Foreman) plan(now ticket.Tick) {
+func (f *Registry) plan(now ids.Time) {
 	f.Books.Forget(f.seats())
-	v := haulage.View{Distance: f.view.Distance, Ranks: f.ranks(),
-		Pending: map[ticket.Name]float64{}, Leaving: map[ticket.Name]float64{}}
+	v := spill.View{Distance: f.view.Distance, Ranks: f.ranks(),
+		Pending: map[ids.Name]float64{}, Leaving: map[ids.Name]float64{}}
 	for n, c := range f.view.Cells {
 		if c.Unnamed && f.params.Derive {
 			continue
 		}
-		f.fits[n] = haulage.Learn(f.Books.Samples(n), c.Target, c.Maximum)
+		f.fits[n] = spill.Learn(f.Books.Samples(n), c.Target, c.Maximum)
 	}
 	now0 := f.cells(now)
 	for _, n := range names(now0) {
@@ -180,15 +180,15 @@
 		v.Cells = append(v.Cells, c)
 		f.charge(now, c, v)
 	}
-	moves := haulage.Plan(v, f.table.Moves)
+	moves := spill.Plan(v, f.table.Moves)
 	f.predict(now, now0, f.table.Moves, moves)
-	f.table = haulage.Table{Epoch: f.mine, Number: f.table.Number + 1, Moves: moves, Uses: f.Books.Uses(moves)}
+	f.table = spill.Table{Epoch: f.mine, Number: f.table.Number + 1, Moves: moves, Uses: f.Books.Uses(moves)}
 	f.tableAt = now
-	f.Say("info", "planned", "epoch", itoa(uint64(f.mine)), "number", itoa(uint64(f.table.Number)), "moves", itoa(uint64(len(moves))))
+	f.Log("info", "planned", "epoch", itoa(uint64(f.mine)), "number", itoa(uint64(f.table.Number)), "moves", itoa(uint64(len(moves))))
 }
 
 // charge adds what earlier plans moved and reports can't show yet.
-func (f *Foreman) charge(now ticket.Tick, c haulage.Cell, v haulage.View) {
+func (f *Registry) charge(now ids.Time, c spill.Cell, v spill.View) {
 	a, ok := f.ahead[c.Name]
 	// Live circuits stay, so a move shows only as they end by themselves. What
 	// it was to bring is charged in full at first, then ever less.
@@ -207,9 +207,9 @@
 }
 
 // predict notes what each cell should come to use by the change of moves.
-func (f *Foreman) predict(now ticket.Tick, cells map[ticket.Name]haulage.Cell, old, next []haulage.Move) {
-	delta := map[ticket.Name]float64{}
-	sum := func(list []haulage.Move, sign float64) {
+func (f *Registry) predict(now ids.Time, cells map[ids.Name]spill.Cell, old, next []spill.Move) {
+	delta := map[ids.Name]float64{}
+	sum := func(list []spill.Move, sign float64) {
 		for _, m := range list {
 			delta[m.To] += sign * m.Amount
 			delta[m.From] -= sign * m.Amount
--- /dev/null
+++ b/internal/registry/registry.go
@@ -0,0 +1,250 @@
+// Package registry is the registry: targets, liveness, the directory, the
+// spill planner and every outside control call, as one pure machine.
+package registry
+
+import (
+	"math/rand/v2"
+	"time"
+
+	"dunlinwell/internal/consensus"
+	"dunlinwell/internal/directory"
+	"dunlinwell/internal/distribution"
+	"dunlinwell/internal/election"
+	"dunlinwell/internal/event"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/membership"
+	"dunlinwell/internal/policy"
+	"dunlinwell/internal/spill"
+	"dunlinwell/internal/targets"
+)
+
+// Params are the options of a registry; zero ones take the defaults.
+type Options struct {
+	membership.Options
+	Random    *rand.Rand
+	PlanEvery time.Duration
+	Lifetime  time.Duration
+	// Regions are the cells that this daemon was told of, and their regions.
+	Regions map[ids.Name]string
+	// Thrifty: targets are told of only as something changes, and registries keep
+	// one another up to date on who is there.
+	Incremental bool
+	// Always: the directory names somebody wherever it knows anybody.
+	Always bool
+	// Derive: set points that nobody named follow from what targets state.
+	Derive bool
+}
+
+func (p *Options) fill() {
+	if p.PlanEvery == 0 {
+		p.PlanEvery = 30 * time.Second
+	}
+	if p.Lifetime == 0 {
+		p.Lifetime = 2 * time.Second
+	}
+}
+
+// Registry is the machine.
+type Registry struct {
+	event.Outbox
+	*membership.List
+	Client      *consensus.Client
+	Targets     *targets.Table
+	Distributor *distribution.Distributor
+	Books       *spill.Books
+	params      Options
+
+	raw []byte
+	// deltas are differences to the policy in force, by the revision they are from.
+	deltas map[ids.Revision][]byte
+	// whole is the register's value as it was last read, and sum sums it up.
+	whole  []byte
+	sum    uint64
+	policy *policy.Policy
+	view   *policy.View
+	// agreed is when a majority last told us the policy.
+	agreed  ids.Time
+	reading bool
+	poll    ids.Time
+	share   ids.Time
+	woke    ids.Time
+	// delivered is when proxies were last told what they lack.
+	delivered ids.Time
+	last      ids.Time
+	seen      directory.Snapshot
+	seenBy    snapshotKey
+	seenAt    ids.Time
+	// partings are targets that wait to hear that they may stop.
+	departures []departure
+	peers
+
+	plans
+}
+
+// New makes a registry that knows nothing yet.
+func New(p Options) *Registry {
+	p.fill()
+	p.Self.Role = membership.Registry
+	f := &Registry{params: p, Targets: targets.New(), Books: spill.NewBooks()}
+	f.Targets.Thrifty, f.Targets.Self = p.Incremental, p.Self.ID
+	f.List = membership.New(p.Options, &f.Outbox)
+	f.List.MayDeclareDead = func(now ids.Time) bool { return f.age(now) < declareDeadWithin }
+	f.Client = consensus.NewClient(p.Self.Start, &f.Outbox)
+	f.Client.Order = f.stores
+	f.Distributor = distribution.New(p.Self.Start, &f.Outbox)
+	if p.Derive {
+		// Two reports and more, of a plan's period each.
+		f.Books.Span = 2*p.PlanEvery + 100*time.Millisecond
+	}
+	if p.Incremental {
+		f.Distributor.WordEvery, f.Distributor.ResendAfter = time.Second, 400*time.Millisecond
+		f.Distributor.Spare = func(c membership.Member) bool { return !f.nearest(c) }
+	}
+	f.policy, _ = policy.Open(nil)
+	f.view = f.policy.View()
+	f.view.Know(p.Regions)
+	f.plans = newPlans()
+	f.peers = newPeers()
+	return f
+}
+
+// stores names the stores to ask. For the policy all registries go to the
+// first live one, so that proposers seldom duel; ballots keep it safe anyway.
+func (f *Registry) stores(ids.Key) []ids.Address {
+	var out, rest []ids.Address
+	for _, m := range f.Live(membership.Store) {
+		if m.Ready {
+			out = append(out, m.Address)
+		} else {
+			rest = append(rest, m.Address)
+		}
+	}
+	return append(out, rest...)
+}
+
+const (
+	// deliverEvery bounds how often what isn't urgent is told.
+	deliverEvery = 150 * time.Millisecond
+	pollEvery    = 500 * time.Millisecond
+	shareEvery   = time.Second
+	// judgeWithin is how old an agreement may be for a registry to judge.
+	declareDeadWithin = 3 * time.Second
+	// proxyLag is how long a proxy may leave a change unacknowledged
+	// before the directory leaves it out.
+	proxyLag = 2 * time.Second
+)
+
+// Step is the machine's one entrance.
+func (f *Registry) Step(now ids.Time, ev event.Event) []event.Command {
+	switch e := ev.(type) {
+	case event.Received:
+		f.receive(now, e.From, e.Msg)
+	case event.Tick:
+		f.clock(now)
+	default:
+		f.call(now, ev)
+	}
+	return f.Drain()
+}
+
+func (f *Registry) clock(now ids.Time) {
+	if f.last != 0 && now.Since(f.last) > time.Second {
+		f.woke = now
+		f.Log("warn", "woke", "gap_ms", itoa(uint64(now.Since(f.last)/time.Millisecond)))
+	}
+	f.last = now
+	f.Announce(f.agreed != 0 && now.Since(f.agreed) < 5*time.Second, f.view.Revision)
+	f.List.Tick(now)
+	f.Client.Clock(now)
+	f.keepPeers(now)
+	silent := f.silent(now)
+	if f.params.Incremental {
+		f.tellRegistries(silent)
+	}
+	for _, t := range silent {
+		f.Log("warn", "target silent", "target", string(t.Instance), "service", string(t.Service), "address", string(t.Address))
+	}
+	f.Targets.Forget(now, time.Hour)
+	if now >= f.poll && !f.reading && f.answerable() {
+		f.readPolicy(now)
+	}
+	if now >= f.share {
+		f.share = now.Add(shareEvery)
+		f.shareTargets(now)
+	}
+	if !f.params.Incremental || now.Since(f.delivered) >= deliverEvery {
+		f.deliver(now)
+	}
+	f.part(now)
+	f.planning(now)
+}
+
+// readPolicy keeps up with the policy even where no news of it arrived.
+func (f *Registry) readPolicy(now ids.Time) {
+	f.reading = true
+	f.poll = now.Add(pollEvery)
+	if f.params.Incremental {
+		// News of a change comes by itself; what this renews is the agreement's age.
+		f.poll = now.Add(2 * pollEvery)
+	}
+	began := now
+	f.Client.ReadIfChanged(now, policy.Key, f.whole, f.sum, 2*time.Second, func(_ ids.Time, s consensus.State, out []byte) {
+		f.reading = false
+		if s == consensus.Done {
+			f.agreed = began
+			f.adopt(out)
+		}
+	})
+}
+
+func (f *Registry) receive(now ids.Time, from ids.Address, msg any) {
+	switch m := msg.(type) {
+	case consensus.Response:
+		before := f.view.Revision
+		f.Client.HandleResponse(now, m)
+		if !f.params.Incremental || f.view.Revision > before {
+			f.deliver(now)
+		}
+	case consensus.Chosen:
+		if m.Key == policy.Key {
+			f.adopt(m.Value)
+			f.deliver(now)
+		}
+	case distribution.Ack:
+		f.Distributor.HandleAck(now, m)
+		if f.params.Incremental && !f.Distributor.IsCurrent(m.Proxy, m.Start) && m.Yard == f.Targets.Exact() {
+			f.Distributor.HasAll(m.Proxy, m.Start, f.Targets.All(now))
+		}
+		f.part(now)
+	case targets.Update:
+		f.shared(now, m.List)
+	case Pulse:
+		f.pulsed(now, m)
+	case DepartureNotice:
+		f.owes = append(f.owes, m)
+		f.part(now)
+	case DepartureAck:
+		f.parted(now, m)
+	case spill.Report:
+		f.Books.Enter(now, m)
+	case spill.Table:
+		f.takeTable(now, m)
+	case election.Term:
+		f.raise(m.Epoch)
+	default:
+		f.List.Receive(now, from, msg)
+	}
+}
+
+// ready gives the proxies that the directory may name: those in step, and
+// known to be by their own acknowledgements.
+func (f *Registry) ready(now ids.Time) []membership.Member {
+	var out []membership.Member
+	for _, m := range f.Live(membership.Proxy) {
+		// Where others deliver to it, its own word in the roll must do.
+		if m.Ready && (f.params.Incremental || f.Distributor.Fresh(now, m, proxyLag)) {
+			out = append(out, m)
+		}
+	}
+	return out
+}
