--- /dev/null
+++ b/internal/registry/resolve.go
@@ -0,0 +1,75 @@
+package registry
+
+import (
+	"cmp"
+	"slices"
+
+	"dunlinwell/internal/directory"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/membership"
+)
+
+// Where is the body of an answer to "where do I go".
+type Resolution struct {
+	Cell     ids.Name      `json:"cell"`
+	Proxies  []ids.Address `json:"proxies"`
+	Lifetime int64         `json:"lifetime_ms"`
+	Moved    bool          `json:"moved"`
+}
+
+func (f *Registry) where(now ids.Time, c ResolveCall) {
+	if _, ok := f.view.Routes[c.Route]; !ok && c.Host == "" {
+		f.Emit(Response{ID: c.ID, Status: 404, Body: Problem{"there is no route " + string(c.Route)}})
+		return
+	}
+	w, ok := f.snapshot(now).Point(c.Cell, f.draw(c), f.params.Random)
+	if !ok && f.params.Always {
+		w, ok = f.anybody(c.Cell)
+	}
+	if !ok {
+		f.Emit(Response{ID: c.ID, Status: 503, Body: Problem{"no proxy takes work now"}, Retry: 1})
+		return
+	}
+	f.Emit(Response{ID: c.ID, Status: 200, Body: Resolution{Cell: w.Cell, Proxies: w.Proxies,
+		Lifetime: f.params.Lifetime.Milliseconds(), Moved: w.Moved}})
+}
+
+// draw gives the route that an ask stands for. One for a host stands for all of
+// its routes, so it is drawn by what each of them uses in the asker's cell.
+func (f *Registry) draw(c ResolveCall) ids.Name {
+	if c.Host == "" {
+		return c.Route
+	}
+	var list []ids.Name
+	for _, n := range names(f.view.Routes) {
+		if f.view.Routes[n].Host == c.Host {
+			list = append(list, n)
+		}
+	}
+	return f.table.Draw(c.Cell, list, f.params.Random.Float64())
+}
+
+// anybody names proxies by the roll alone, nearest cells first: a registry that
+// hears from none may be the one that is cut off, and its asker may not be.
+func (f *Registry) anybody(cell ids.Name) (directory.Destination, bool) {
+	var list []membership.Member
+	for _, m := range f.All() {
+		if m.Role == membership.Proxy {
+			list = append(list, m)
+		}
+	}
+	slices.SortStableFunc(list, func(a, b membership.Member) int {
+		gone := map[bool]int{true: 1}
+		return cmp.Or(cmp.Compare(gone[a.Gone], gone[b.Gone]), cmp.Compare(f.view.Distance(cell, a.Zone), f.view.Distance(cell, b.Zone)))
+	})
+	if len(list) == 0 {
+		return directory.Destination{}, false
+	}
+	w := directory.Destination{Cell: list[0].Zone}
+	for _, m := range list {
+		if m.Zone == w.Cell {
+			w.Proxies = append(w.Proxies, m.Consumers())
+		}
+	}
+	return w, true
+}
--- a/internal/runbook/book.go
+++ b/internal/runbook/book.go
@@ -12,7 +12,7 @@
 
 	"sigs.k8s.io/yaml"
 
-	"dunlinwell/internal/problem"
+	"dunlinwell/internal/errs"
 )
 
 //go:embed books/*.yaml
@@ -69,7 +69,7 @@
 func Find(name string) ([]byte, error) {
 	raw, err := shipped.ReadFile("books/" + name + ".yaml")
 	if err != nil {
-		return nil, problem.New("find runbook", "", "there is no runbook %q; there are %s", name, strings.Join(Shipped(), ", "))
+		return nil, errs.New("find runbook", "", "there is no runbook %q; there are %s", name, strings.Join(Shipped(), ", "))
 	}
 	return raw, nil
 }
@@ -84,14 +84,14 @@
 func Read(file string, raw []byte) (*Book, error) {
 	var b Book
 	if err := yaml.UnmarshalStrict(raw, &b); err != nil {
-		return nil, problem.New("read runbook", file, "%v", err)
+		return nil, errs.New("read runbook", file, "%v", err)
 	}
 	if b.Name == "" || len(b.Steps) == 0 {
-		return nil, problem.New("read runbook", file, "it has no name or no steps")
+		return nil, errs.New("read runbook", file, "it has no name or no steps")
 	}
 	for i := range b.Steps {
 		if err := b.check(&b.Steps[i]); err != nil {
-			return nil, problem.New("read runbook", file, "step %d (%s): %v", i+1, b.Steps[i].Name, err)
+			return nil, errs.New("read runbook", file, "step %d (%s): %v", i+1, b.Steps[i].Name, err)
 		}
 	}
 	return &b, nil
--- a/internal/runbook/run.go
+++ b/internal/runbook/run.go
@@ -9,7 +9,7 @@
 
 	"github.com/tidwall/gjson"
 
-	"dunlinwell/internal/problem"
+	"dunlinwell/internal/errs"
 )
 
 // Params are the options of a run.
@@ -30,12 +30,12 @@
 func (b *Book) Run(p Params) error {
 	for _, n := range b.Needs {
 		if p.Values[n] == "" {
-			return problem.New("run "+b.Name, "", "it needs --set %s=...", n)
+			return errs.New("run "+b.Name, "", "it needs --set %s=...", n)
 		}
 	}
 	for n := range p.Values {
 		if !slices.Contains(b.Needs, n) {
-			return problem.New("run "+b.Name, "", "it has no use for %q", n)
+			return errs.New("run "+b.Name, "", "it has no use for %q", n)
 		}
 	}
 	fmt.Fprintf(p.Out, "%s: %s\n", b.Name, p.fill(b.About, ""))
@@ -44,7 +44,7 @@
 		if s.Each != "" && !p.Dry {
 			raw, err := p.Command([]string{"status"})
 			if err != nil {
-				return problem.At(err, fmt.Sprintf("%s step %d", b.Name, i+1), "")
+				return errs.Wrap(err, fmt.Sprintf("%s step %d", b.Name, i+1), "")
 			}
 			items = nil
 			for _, v := range gjson.GetBytes(raw, p.fill(s.Each, "")).Array() {
@@ -53,7 +53,7 @@
 		}
 		for _, item := range items {
 			if err := p.step(i+1, &s, item); err != nil {
-				return problem.At(err, fmt.Sprintf("%s step %d (%s)", b.Name, i+1, p.fill(s.Name, item)), "")
+				return errs.Wrap(err, fmt.Sprintf("%s step %d (%s)", b.Name, i+1, p.fill(s.Name, item)), "")
 			}
 		}
 	}
@@ -101,7 +101,7 @@
 		}
 	}
 	if s.Say != "" && !p.Hands(p.fill(s.Say, item)) {
-		return problem.New("hands", "", "stopped by the operator")
+		return errs.New("hands", "", "stopped by the operator")
 	}
 	var raw []byte
 	var err error
@@ -144,7 +144,7 @@
 	path := p.fill(c.Path, item)
 	v := gjson.Get(raw, path)
 	bad := func(want string) error {
-		return problem.New("check", "", "%s is %q, but should be %s", path, v.String(), want)
+		return errs.New("check", "", "%s is %q, but should be %s", path, v.String(), want)
 	}
 	switch {
 	case c.Is != nil && v.String() != p.fill(*c.Is, item):
--- a/internal/hollow/fit_test.go
+++ b/internal/scaletest/fit_test.go
@@ -1,4 +1,4 @@
-package hollow
+package scaletest
 
 import (
 	"math"
@@ -58,14 +58,14 @@
 func TestBetweenCountsAProcessThatBeganAnewFromItsStart(t *testing.T) {
 	is := is.New(t)
 	from := time.Unix(100, 0)
-	push := flowKey{"sent", "rounds.Push"}
+	push := flowKey{"sent", "distribution.Push"}
 	a := &reading{at: from, procs: map[string]*spent{
 		"a": {pid: 1, daemons: 2, cpu: 5, flows: map[flowKey]flow{push: {100, 1000}}},
 		"b": {pid: 2, daemons: 2, cpu: 9, flows: map[flowKey]flow{push: {900, 9000}}}}}
 	b := &reading{at: from.Add(10 * time.Second), procs: map[string]*spent{
 		"a": {pid: 1, daemons: 2, cpu: 6, resident: 8e6, flows: map[flowKey]flow{push: {200, 3000}, {"lost", "x"}: {3, 30}}},
 		"b": {pid: 3, daemons: 2, cpu: 2, resident: 4e6, flows: map[flowKey]flow{push: {100, 2000}, {"received", "x"}: {1, 400}}}}}
-	s := between("counter", a, b)
+	s := between("proxy", a, b)
 	is.Equal(s.Daemons, 4)
 	is.True(near(s.CPU, 7.5))
 	is.True(near(s.Busiest, 20))
@@ -89,16 +89,16 @@
 	is.Equal(lagOf(list), Lag{P50: 101, P99: 199, Max: 200})
 }
 
-// A fleet whose counters distrust what they know is not at rest, and its steady
+// A fleet whose proxies distrust what they know is not at rest, and its steady
 // phase is no slope's.
 func TestSlopesLeaveOutRestlessRuns(t *testing.T) {
 	is := is.New(t)
-	run := func(counters int, kinds ...Kind) Run {
-		return Run{Size: Size{Counters: counters}, Cores: 8, Threads: 2,
-			Phases: []Phase{{Name: "steady", Done: true, Spends: []Spend{{Role: "counter", Daemons: counters, CPU: float64(counters), Kinds: kinds}}}}}
+	run := func(proxies int, kinds ...Kind) Run {
+		return Run{Size: Size{Proxies: proxies}, Cores: 8, Threads: 2,
+			Phases: []Phase{{Name: "steady", Done: true, Spends: []Spend{{Role: "proxy", Daemons: proxies, CPU: float64(proxies), Kinds: kinds}}}}}
 	}
-	ack := Kind{Kind: "rounds.Ack", Messages: 9}
-	list := SlopesOf([]Run{run(1, ack), run(2, ack), run(3, ack, Kind{Kind: "counter.Inquiry", Messages: 0.06}), run(4, Kind{Kind: "rollcall.Suspect", Messages: 1})})
+	ack := Kind{Kind: "distribution.Ack", Messages: 9}
+	list := SlopesOf([]Run{run(1, ack), run(2, ack), run(3, ack, Kind{Kind: "proxy.LeaseRequest", Messages: 0.06}), run(4, Kind{Kind: "membership.Suspect", Messages: 1})})
 	is.Equal(list[0].Fit.Points, 2)
 	is.Equal([]bool{list[0].Points[0].Out, list[0].Points[1].Out, list[0].Points[2].Out, list[0].Points[3].Out}, []bool{false, false, true, true})
 }
@@ -106,13 +106,13 @@
 // One change is what its phase cost beyond the steady state, by the change.
 func TestOneChange(t *testing.T) {
 	is := is.New(t)
-	run := func(counters int) Run {
-		x := float64(counters)
-		return Run{Size: Size{Counters: counters}, Cores: 8, Threads: 2, Changes: 4, Phases: []Phase{
-			{Name: "steady", Done: true, Spends: []Spend{{Role: "counter", Seconds: 10, CPU: 1, Sent: 100, Received: 100}}},
-			{Name: "change", Done: true, Spends: []Spend{{Role: "counter", Seconds: 2, CPU: 1 + x, Sent: 100 + x, Received: 100 + x}}}}}
+	run := func(proxies int) Run {
+		x := float64(proxies)
+		return Run{Size: Size{Proxies: proxies}, Cores: 8, Threads: 2, Changes: 4, Phases: []Phase{
+			{Name: "steady", Done: true, Spends: []Spend{{Role: "proxy", Seconds: 10, CPU: 1, Sent: 100, Received: 100}}},
+			{Name: "change", Done: true, Spends: []Spend{{Role: "proxy", Seconds: 2, CPU: 1 + x, Sent: 100 + x, Received: 100 + x}}}}}
 	}
-	for _, s := range perChangeOf([]Run{run(10), run(20)}, "counters")[:2] {
+	for _, s := range perChangeOf([]Run{run(10), run(20)}, "proxies")[:2] {
 		is.Equal(s.Fit.Points, 2)
 		switch s.Measure {
 		case "one change: CPU ms":
@@ -126,9 +126,9 @@
 // A run that filled the machine, one process, or a line is left out.
 func TestSlopesLeaveOutFullRuns(t *testing.T) {
 	is := is.New(t)
-	run := func(counters int, cpu, busiest, lost float64) Run {
-		return Run{Size: Size{Counters: counters}, Cores: 8, Threads: 2,
-			Phases: []Phase{{Name: "steady", Done: true, Spends: []Spend{{Role: "counter", Daemons: counters, CPU: cpu, Busiest: busiest, Lost: lost, Sent: 10, Received: 20}}}}}
+	run := func(proxies int, cpu, busiest, lost float64) Run {
+		return Run{Size: Size{Proxies: proxies}, Cores: 8, Threads: 2,
+			Phases: []Phase{{Name: "steady", Done: true, Spends: []Spend{{Role: "proxy", Daemons: proxies, CPU: cpu, Busiest: busiest, Lost: lost, Sent: 10, Received: 20}}}}}
 	}
 	list := SlopesOf([]Run{run(10, 1, 10, 0), run(20, 2, 40, 0), run(100, 7, 100, 0), run(40, 3, 180, 0), run(80, 4, 100, 1)})
 	for _, s := range list {
--- a/internal/hollow/fleet.go
+++ b/internal/scaletest/fleet.go
@@ -1,4 +1,4 @@
-package hollow
+package scaletest
 
 import (
 	"context"
@@ -11,18 +11,18 @@
 	"syscall"
 	"time"
 
-	"dunlinwell/internal/problem"
+	"dunlinwell/internal/errs"
 )
 
 // Params are the options of a run over several sizes.
 type Params struct {
 	Sizes []Size
-	// Bin holds the built foreman and stockroom; Crew is the program that runs
-	// hollow counters as its command "crew".
+	// Bin holds the built registry and store; Crew is the program that runs
+	// hollow proxies as its command "crew".
 	Bin, Crew string
 	Dir       string
 	Thrifty   bool
-	// PerCrew is how many counters one process has.
+	// PerCrew is how many proxies one process has.
 	PerCrew int
 	// For is how long the steady phase lasts, Within how long any other may.
 	For, Within time.Duration
@@ -65,12 +65,12 @@
 	for n := range 3 {
 		seeds = append(seeds, coreAt(p.Block, 1, n, wirePort))
 	}
-	for i, role := range []string{"stockroom", "foreman"} {
+	for i, role := range []string{"store", "registry"} {
 		for n := range s.Core {
 			x := &proc{role: role, name: fmt.Sprintf("%s-%d", role, n+1), daemons: 1, http: coreAt(p.Block, i+1, n, pagesPort), program: filepath.Join(p.Bin, role)}
 			x.args = []string{"--name", x.name, "--address", coreAt(p.Block, i+1, n, wirePort), "--http", x.http,
 				"--cell", string(s.Cell(n)), "--seeds", strings.Join(seeds, ",")}
-			if role == "stockroom" {
+			if role == "store" {
 				x.args = append(x.args, "--data", filepath.Join(p.Dir, x.name))
 			}
 			if p.Thrifty {
@@ -79,8 +79,8 @@
 			f.procs = append(f.procs, x)
 		}
 	}
-	for first, n := 0, 0; first < s.Counters; first, n = first+p.PerCrew, n+1 {
-		x := &proc{role: "counter", name: fmt.Sprintf("crew-%d", n+1), daemons: min(p.PerCrew, s.Counters-first),
+	for first, n := 0, 0; first < s.Proxies; first, n = first+p.PerCrew, n+1 {
+		x := &proc{role: "proxy", name: fmt.Sprintf("crew-%d", n+1), daemons: min(p.PerCrew, s.Proxies-first),
 			http: coreAt(p.Block, 3, n, pagesPort), program: p.Crew}
 		x.args = []string{"crew", "--first", fmt.Sprint(first), "--count", fmt.Sprint(x.daemons), "--cells", fmt.Sprint(s.Cells),
 			"--rows", fmt.Sprint(min(p.Rows, s.Routes)), "--block", fmt.Sprint(p.Block), "--seeds", strings.Join(seeds, ","), "--http", x.http}
@@ -126,7 +126,7 @@
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		log.Close()
-		return problem.At(err, "start", p.name)
+		return errs.Wrap(err, "start", p.name)
 	}
 	ended := make(chan struct{})
 	f.mu.Lock()
--- a/internal/hollow/need.go
+++ b/internal/scaletest/need.go
@@ -1,4 +1,4 @@
-package hollow
+package scaletest
 
 import (
 	"fmt"
@@ -9,15 +9,15 @@
 
 // Need is what a fleet takes of the machine it runs on.
 type Need struct {
-	// Crews, Foremen and Stockrooms are bytes of memory, of all such processes.
-	Crews, Foremen, Stockrooms uint64
-	Processes                  int
+	// Crews, Registries and Stores are bytes of memory, of all such processes.
+	Crews, Registries, Stores uint64
+	Processes                 int
 	// Files is how many descriptors the process with the most of them opens.
 	Files uint64
 }
 
 // Bytes is all the memory.
-func (n Need) Bytes() uint64 { return n.Crews + n.Foremen + n.Stockrooms }
+func (n Need) Bytes() uint64 { return n.Crews + n.Registries + n.Stores }
 
 // Limits are what the machine gives.
 type Limits struct {
@@ -30,12 +30,12 @@
 	mib = 1 << 20
 	// mostProcesses keeps a fleet to a few hundred processes.
 	mostProcesses = 300
-	mostCounters  = 20000
+	mostProxies   = 20000
 	// program is what a process takes that has nothing to do yet.
 	program = 24 * mib
 	// buffer is what each end of a circuit takes.
 	buffer = 64 << 10
-	// mostCircuits is how many ends a counter was seen to hold at most, while
+	// mostCircuits is how many ends a proxy was seen to hold at most, while
 	// all tell all of a change in the roll; at rest it is a third of that.
 	mostCircuits = 160
 	// Held by each daemon for each member, target and byte of policy: the roll
@@ -43,25 +43,25 @@
 	perMember = 2 << 10
 	perTarget = 2 << 10
 	perPolicy = 8
-	// A foreman keeps for each counter what it was told of each target.
+	// A registry keeps for each proxy what it was told of each target.
 	perTold = 160
 	// garbage is how far a heap may outgrow what it holds.
 	garbage = 2
 )
 
-// NeedOf works out what a fleet takes, with some counters in a process.
+// NeedOf works out what a fleet takes, with some proxies in a process.
 func NeedOf(s Size, crew int) Need {
 	policy := uint64(s.PolicyBytes())
-	members, targets, counters, core := uint64(s.Counters+2*s.Core), uint64(s.Targets), uint64(s.Counters), uint64(s.Core)
+	members, targets, proxies, core := uint64(s.Proxies+2*s.Core), uint64(s.Targets), uint64(s.Proxies), uint64(s.Core)
 	ends := min(2*members, mostCircuits)
 	each := members*perMember + targets*perTarget + policy*perPolicy
-	crews := (s.Counters + crew - 1) / crew
+	crews := (s.Proxies + crew - 1) / crew
 	n := Need{Processes: crews + 2*s.Core}
-	n.Crews = uint64(crews)*program + counters*(garbage*each+ends*buffer)
-	n.Foremen = core * (program + garbage*(each+counters*targets*perTold) + 2*members*buffer)
+	n.Crews = uint64(crews)*program + proxies*(garbage*each+ends*buffer)
+	n.Registries = core * (program + garbage*(each+proxies*targets*perTold) + 2*members*buffer)
 	// Each write of the register leaves its old and new form, and frames of both.
-	n.Stockrooms = core * (program + garbage*(each+4*policy) + 2*members*buffer)
-	n.Files = max(uint64(min(crew, s.Counters))*(ends+1), 4*members) + 256
+	n.Stores = core * (program + garbage*(each+4*policy) + 2*members*buffer)
+	n.Files = max(uint64(min(crew, s.Proxies))*(ends+1), 4*members) + 256
 	return n
 }
 
@@ -70,12 +70,12 @@
 func (n Need) Fits(s Size, l Limits) error {
 	switch {
 	case n.Bytes() > l.Memory/2:
-		return fmt.Errorf("%s: would need %d bytes (%d MiB: counters %d, foremen %d, stockrooms %d MiB), and half of this machine's memory is %d bytes (%d MiB)",
-			s, n.Bytes(), n.Bytes()/mib, n.Crews/mib, n.Foremen/mib, n.Stockrooms/mib, l.Memory/2, l.Memory/2/mib)
+		return fmt.Errorf("%s: would need %d bytes (%d MiB: proxies %d, registries %d, stores %d MiB), and half of this machine's memory is %d bytes (%d MiB)",
+			s, n.Bytes(), n.Bytes()/mib, n.Crews/mib, n.Registries/mib, n.Stores/mib, l.Memory/2, l.Memory/2/mib)
 	case n.Processes > l.Processes:
-		return fmt.Errorf("%s: would need %d processes (and %d bytes), at most %d are started; give each more counters with --crew", s, n.Processes, n.Bytes(), l.Processes)
+		return fmt.Errorf("%s: would need %d processes (and %d bytes), at most %d are started; give each more proxies with --crew", s, n.Processes, n.Bytes(), l.Processes)
 	case n.Files > l.Files:
-		return fmt.Errorf("%s: would need %d descriptors in one process (and %d bytes), it may open %d; give each fewer counters with --crew", s, n.Files, n.Bytes(), l.Files)
+		return fmt.Errorf("%s: would need %d descriptors in one process (and %d bytes), it may open %d; give each fewer proxies with --crew", s, n.Files, n.Bytes(), l.Files)
 	}
 	return nil
 }
--- a/internal/hollow/phases.go
+++ b/internal/scaletest/phases.go
@@ -1,4 +1,4 @@
-package hollow
+package scaletest
 
 import (
 	"fmt"
@@ -36,24 +36,24 @@
 	}
 	lags, ok := x.inForce(x.revision, from)
 	ph.Lag, ph.Done = lagOf(lags), ok
-	ph.Note = fmt.Sprintf("%d items, %d bytes, slowest change %.2f s, %d counters have the last", x.run.Items, x.run.Policy, slowest.Seconds(), len(lags))
+	ph.Note = fmt.Sprintf("%d items, %d bytes, slowest change %.2f s, %d proxies have the last", x.run.Items, x.run.Policy, slowest.Seconds(), len(lags))
 }
 
-// arrive lets targets announce themselves, and waits until all counters serve.
+// arrive lets targets announce themselves, and waits until all proxies serve.
 func (x *play) arrive(ph *Phase) {
 	go x.targets.run(x.ctx)
 	_, ok := until(x.ctx, x.Within, 100*time.Millisecond, func() bool {
-		return int(x.targets.answered.Load()) >= x.Size.Targets && x.count() == x.Size.Counters
+		return int(x.targets.answered.Load()) >= x.Size.Targets && x.count() == x.Size.Proxies
 	})
 	// The roll goes on telling of what has just become ready.
 	_, _ = until(x.ctx, settle, settle, func() bool { return false })
 	ph.Done = ok
-	ph.Note = fmt.Sprintf("%d announcements answered, %d failed; %d counters ready", x.targets.answered.Load(), x.targets.failed.Load(), x.count())
+	ph.Note = fmt.Sprintf("%d announcements answered, %d failed; %d proxies ready", x.targets.answered.Load(), x.targets.failed.Load(), x.count())
 }
 
 // steady does nothing for a while.
 func (x *play) steady(ph *Phase) {
-	least := x.Size.Counters
+	least := x.Size.Proxies
 	before := x.targets.answered.Load()
 	_, _ = until(x.ctx, x.For, x.For/4, func() bool {
 		least = min(least, x.count())
@@ -61,7 +61,7 @@
 	})
 	ph.Done = x.ctx.Err() == nil
 	told := x.targets.answered.Load() - before
-	ph.Note = fmt.Sprintf("%d counters ready at least, %d announcements answered (%.0f wanted)", least, told, x.For.Seconds()/x.Interval.Seconds()*float64(x.Size.Targets))
+	ph.Note = fmt.Sprintf("%d proxies ready at least, %d announcements answered (%.0f wanted)", least, told, x.For.Seconds()/x.Interval.Seconds()*float64(x.Size.Targets))
 }
 
 // changes are changes of one route each, every one awaited everywhere.
@@ -77,7 +77,7 @@
 		lags, ok := x.inForce(rev, from)
 		all = append(all, lags...)
 		if !ok {
-			ph.Note = fmt.Sprintf("change %d: in force at %d counters within %s", n+1, len(lags), x.Within)
+			ph.Note = fmt.Sprintf("change %d: in force at %d proxies within %s", n+1, len(lags), x.Within)
 			return
 		}
 	}
@@ -87,11 +87,11 @@
 	ph.Note = fmt.Sprintf("%d changes", x.Changes)
 }
 
-// foremanLost kills the foreman that plans, and lets it come back.
-func (x *play) foremanLost(ph *Phase) {
-	p := x.of("foreman")[0]
+// registryLost kills the registry that plans, and lets it come back.
+func (x *play) registryLost(ph *Phase) {
+	p := x.of("registry")[0]
 	x.kill(p)
-	least := x.Size.Counters
+	least := x.Size.Proxies
 	_, _ = until(x.ctx, 5*time.Second, 100*time.Millisecond, func() bool {
 		least = min(least, x.count())
 		return false
@@ -101,21 +101,21 @@
 		return
 	}
 	took, ok := until(x.ctx, x.Within, 100*time.Millisecond, func() bool {
-		return x.readyCore() == 3+x.Core && x.count() == x.Size.Counters
+		return x.readyCore() == 3+x.Core && x.count() == x.Size.Proxies
 	})
 	ph.Done = ok
-	ph.Note = fmt.Sprintf("%d counters ready at least; whole %.1f s after the foreman came back", least, took.Seconds())
+	ph.Note = fmt.Sprintf("%d proxies ready at least; whole %.1f s after the registry came back", least, took.Seconds())
 }
 
-// countersBack loses all counters at once, and starts them at once.
-func (x *play) countersBack(ph *Phase) {
-	x.killAll("counter")
+// proxiesBack loses all proxies at once, and starts them at once.
+func (x *play) proxiesBack(ph *Phase) {
+	x.killAll("proxy")
 	from := time.Now()
-	if err := x.startAll("counter"); err != nil {
+	if err := x.startAll("proxy"); err != nil {
 		ph.Note = err.Error()
 		return
 	}
-	took, ok := until(x.ctx, x.Within, 100*time.Millisecond, func() bool { return x.count() == x.Size.Counters })
+	took, ok := until(x.ctx, x.Within, 100*time.Millisecond, func() bool { return x.count() == x.Size.Proxies })
 	var lags []time.Duration
 	for _, s := range x.stands() {
 		if s.Ready {
@@ -123,5 +123,5 @@
 		}
 	}
 	ph.Lag, ph.Done = lagOf(lags), ok
-	ph.Note = fmt.Sprintf("%d counters ready, all after %.1f s", len(lags), took.Seconds())
+	ph.Note = fmt.Sprintf("%d proxies ready, all after %.1f s", len(lags), took.Seconds())
 }
--- a/internal/hollow/policy.go
+++ b/internal/scaletest/policy.go
@@ -1,4 +1,4 @@
-package hollow
+package scaletest
 
 import (
 	"encoding/json"
--- a/internal/hollow/reading.go
+++ b/internal/scaletest/reading.go
@@ -1,4 +1,4 @@
-package hollow
+package scaletest
 
 import (
 	"encoding/json"
@@ -88,7 +88,7 @@
 	return ""
 }
 
-var roles = []string{"counter", "foreman", "stockroom"}
+var roles = []string{"proxy", "registry", "store"}
 
 // read takes a reading of every role. The pages cost CPU time of their own, so
 // a span begins after them and ends before them.
@@ -118,10 +118,10 @@
 	return out
 }
 
-// stands asks the crews how their counters stand.
+// stands asks the crews how their proxies stand.
 func (f *fleet) stands() []Stand {
 	var out []Stand
-	for _, p := range f.of("counter") {
+	for _, p := range f.of("proxy") {
 		res, err := client.Get("http://" + p.http + "/state")
 		if err != nil {
 			continue
--- a/internal/hollow/report.go
+++ b/internal/scaletest/report.go
@@ -1,4 +1,4 @@
-package hollow
+package scaletest
 
 import (
 	"encoding/json"
@@ -62,7 +62,7 @@
 		}
 		for _, p := range run.Phases {
 			if n := p.Distrust(); n > restless && (p.Name == "steady" || p.Name == "change") {
-				fmt.Fprintf(w, "not at rest: %s, %.2f inquiries and suspicions a second from each counter\n", p.Name, n)
+				fmt.Fprintf(w, "not at rest: %s, %.2f inquiries and suspicions a second from each proxy\n", p.Name, n)
 			}
 		}
 		fmt.Fprintf(w, "machine: load %.1f on %d processors, %d threads a process\n", run.Load, run.Cores, run.Threads)
--- a/internal/hollow/run.go
+++ b/internal/scaletest/run.go
@@ -1,4 +1,4 @@
-package hollow
+package scaletest
 
 import (
 	"bytes"
@@ -79,7 +79,7 @@
 		do   func(*Phase)
 	}{
 		{"start", x.starts}, {"policy", x.policies}, {"targets", x.arrive}, {"steady", x.steady},
-		{"change", x.changes}, {"foreman-lost", x.foremanLost}, {"counters-back", x.countersBack},
+		{"change", x.changes}, {"registry-lost", x.registryLost}, {"proxies-back", x.proxiesBack},
 	} {
 		ph := Phase{Name: phase.name}
 		before := f.read(true)
@@ -125,25 +125,25 @@
 	})
 	if over {
 		end(fmt.Errorf("the fleet took over half of the machine's memory, %d MiB", l.Memory/2/mib))
-		f.killAll("counter")
+		f.killAll("proxy")
 	}
 }
 
-// starts waits until all stockrooms and foremen answer and the fleet has
-// found together: no counter can be in step before there is a policy.
+// starts waits until all stores and registries answer and the fleet has
+// found together: no proxy can be in step before there is a policy.
 func (x *play) starts(ph *Phase) {
 	_, ph.Done = until(x.ctx, x.Within, 100*time.Millisecond, func() bool {
-		return len(x.stands()) == x.Size.Counters && x.readyCore() == 3+x.Core
+		return len(x.stands()) == x.Size.Proxies && x.readyCore() == 3+x.Core
 	})
 	ph.Note = fmt.Sprintf("%d core daemons ready", x.readyCore())
 }
 
-// readyCore counts foremen and voting stockrooms that are ready.
+// readyCore counts registries and voting stores that are ready.
 func (x *play) readyCore() int {
 	n := 0
-	for _, role := range []string{"stockroom", "foreman"} {
+	for _, role := range []string{"store", "registry"} {
 		for i, p := range x.of(role) {
-			if role == "stockroom" && i >= 3 {
+			if role == "store" && i >= 3 {
 				break
 			}
 			if res, err := client.Get("http://" + p.http + "/readyz"); err == nil {
@@ -157,12 +157,12 @@
 	return n
 }
 
-// post makes a change through any foreman; it gives the revision.
+// post makes a change through any registry; it gives the revision.
 func (x *play) post(raw []byte) (int64, error) {
 	var last error
 	// An uncertain outcome is asked for again under the same id.
 	for range 3 {
-		for _, p := range x.of("foreman") {
+		for _, p := range x.of("registry") {
 			res, err := client.Post("http://"+p.http+"/v1/change", "application/json", bytes.NewReader(raw))
 			if err != nil {
 				last = err
@@ -184,7 +184,7 @@
 	return 0, last
 }
 
-// inForce waits until every counter goes by a revision, and gives how long
+// inForce waits until every proxy goes by a revision, and gives how long
 // after the change was asked for each did.
 func (x *play) inForce(rev int64, from time.Time) ([]time.Duration, bool) {
 	var stands []Stand
@@ -196,7 +196,7 @@
 				n++
 			}
 		}
-		return n == x.Size.Counters
+		return n == x.Size.Proxies
 	})
 	var out []time.Duration
 	for _, s := range stands {
@@ -207,7 +207,7 @@
 	return out, ok
 }
 
-// count tells how many counters are ready.
+// count tells how many proxies are ready.
 func (x *play) count() int {
 	n := 0
 	for _, s := range x.stands() {
--- a/internal/hollow/hollow_test.go
+++ b/internal/scaletest/scaletest_test.go
@@ -1,4 +1,4 @@
-package hollow
+package scaletest
 
 import (
 	"context"
@@ -17,11 +17,11 @@
 func TestSmallFleet(t *testing.T) {
 	is := is.New(t)
 	bin := t.TempDir()
-	out, err := exec.Command("go", "build", "-o", bin+"/", "dunlinwell/cmd/foreman", "dunlinwell/cmd/stockroom", "dunlinwell/cmd/rehearsal").CombinedOutput()
+	out, err := exec.Command("go", "build", "-o", bin+"/", "dunlinwell/cmd/registry", "dunlinwell/cmd/store", "dunlinwell/cmd/testbed").CombinedOutput()
 	if err != nil {
 		t.Fatal(err, string(out))
 	}
-	p := Params{Sizes: []Size{small}, Bin: bin, Crew: filepath.Join(bin, "rehearsal"), Dir: filepath.Join(t.TempDir(), "fleet"), Thrifty: true, PerCrew: 4,
+	p := Params{Sizes: []Size{small}, Bin: bin, Crew: filepath.Join(bin, "testbed"), Dir: filepath.Join(t.TempDir(), "fleet"), Thrifty: true, PerCrew: 4,
 		For: 2 * time.Second, Within: 30 * time.Second, Interval: 500 * time.Millisecond, Rows: 3, Changes: 2, Block: 250 + os.Getpid()%4, Show: func(s string) { t.Log(s) }}
 	runs, err := Play(t.Context(), p)
 	is.NoErr(err)
@@ -42,9 +42,9 @@
 		is.True(s.Received > 0)
 		is.True(len(s.Kinds) > 0)
 	}
-	c, _ := steady.Of("counter")
-	is.Equal(c.Daemons, small.Counters)
-	back, _ := runs[0].Phase("counters-back")
+	c, _ := steady.Of("proxy")
+	is.Equal(c.Daemons, small.Proxies)
+	back, _ := runs[0].Phase("proxies-back")
 	is.True(back.Lag.Max >= back.Lag.P50)
 	r := Report{Runs: runs, Slopes: SlopesOf(runs)}
 	dir := t.TempDir()
@@ -56,17 +56,17 @@
 	is.Equal(again.Runs[0].Size, small)
 	var table strings.Builder
 	is.NoErr(r.Show(&table))
-	is.True(strings.Contains(table.String(), "rounds.Ack"))
+	is.True(strings.Contains(table.String(), "distribution.Ack"))
 }
 
-var small = Size{Counters: 6, Targets: 8, Services: 2, Routes: 5, Tenants: 3, Cells: 3, Regions: 2, Core: 3}
+var small = Size{Proxies: 6, Targets: 8, Services: 2, Routes: 5, Tenants: 3, Cells: 3, Regions: 2, Core: 3}
 
 // What doesn't fit is declined before anything starts, with the bytes.
 func TestPlayDeclinesBeforeAnythingStarts(t *testing.T) {
 	is := is.New(t)
 	dir := filepath.Join(t.TempDir(), "fleet")
 	s := small
-	s.Counters, s.Targets, s.Tenants = 20000, 1000000, 10000000
+	s.Proxies, s.Targets, s.Tenants = 20000, 1000000, 10000000
 	_, err := Play(context.Background(), Params{Sizes: []Size{small, s}, Dir: dir, PerCrew: 400, Show: func(string) {}})
 	is.True(err != nil)
 	is.True(strings.Contains(err.Error(), "bytes"))
--- a/internal/hollow/size.go
+++ b/internal/scaletest/size.go
@@ -1,38 +1,38 @@
 // Package hollow runs fleets too large for a process a daemon: real control
-// machines of many counters in a few processes, with real frames and sockets
-// but no requests, beside real foremen and stockrooms. It counts what control
+// machines of many proxies in a few processes, with real frames and sockets
+// but no requests, beside real registries and stores. It counts what control
 // costs each role, and fits slopes over several sizes.
-package hollow
+package scaletest
 
 import (
 	"fmt"
 	"slices"
 
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
 )
 
 // Size is how large one fleet is.
 type Size struct {
-	Counters int `json:"counters"`
+	Proxies  int `json:"proxies"`
 	Targets  int `json:"targets"`
 	Services int `json:"services"`
 	Routes   int `json:"routes"`
 	Tenants  int `json:"tenants"`
 	Cells    int `json:"cells"`
 	Regions  int `json:"regions"`
-	// Core is how many machines have a foreman and a stockroom.
+	// Core is how many machines have a registry and a store.
 	Core int `json:"core"`
 }
 
 // Letter is the size that the users ask to design for.
-var Letter = Size{Counters: 1600, Targets: 4300, Services: 260, Routes: 2000, Tenants: 150000, Cells: 36, Regions: 9, Core: 6}
+var Letter = Size{Proxies: 1600, Targets: 4300, Services: 260, Routes: 2000, Tenants: 150000, Cells: 36, Regions: 9, Core: 6}
 
 // axes are what a slope can be taken over, the first that varies wins.
 var axes = []struct {
 	name string
 	of   func(*Size) *int
 }{
-	{"counters", func(s *Size) *int { return &s.Counters }},
+	{"proxies", func(s *Size) *int { return &s.Proxies }},
 	{"targets", func(s *Size) *int { return &s.Targets }},
 	{"services", func(s *Size) *int { return &s.Services }},
 	{"routes", func(s *Size) *int { return &s.Routes }},
@@ -42,7 +42,7 @@
 	{"core", func(s *Size) *int { return &s.Core }},
 }
 
-// Axis names what varies over sizes; counters if nothing does.
+// Axis names what varies over sizes; proxies if nothing does.
 func Axis(list []Size) string {
 	for _, a := range axes {
 		for i := range list {
@@ -67,19 +67,19 @@
 // Lists are sizes as flags give them: one number that holds for all runs, or
 // as many as there are runs.
 type Lists struct {
-	Counters []int `help:"Hollow counters; several sizes, such as 50,100,200, give slopes." default:"50,100,200"`
+	Proxies  []int `help:"Hollow proxies; several sizes, such as 50,100,200, give slopes." default:"50,100,200"`
 	Targets  []int `help:"Targets that announce themselves." default:"200"`
 	Services []int `help:"Services." default:"20"`
 	Routes   []int `help:"Routes." default:"100"`
 	Tenants  []int `help:"Tenants, each a route with a host of its own." default:"0"`
 	Cells    []int `help:"Cells." default:"12"`
 	Regions  []int `help:"Regions." default:"3"`
-	Core     []int `help:"Core machines, each a foreman and a stockroom; three of the stockrooms vote." default:"3"`
+	Core     []int `help:"Core machines, each a registry and a store; three of the stores vote." default:"3"`
 }
 
 // Sizes gives one size a run, or says which list doesn't fit the others.
 func (l Lists) Sizes() ([]Size, error) {
-	lists := [][]int{l.Counters, l.Targets, l.Services, l.Routes, l.Tenants, l.Cells, l.Regions, l.Core}
+	lists := [][]int{l.Proxies, l.Targets, l.Services, l.Routes, l.Tenants, l.Cells, l.Regions, l.Core}
 	runs := 1
 	for _, list := range lists {
 		runs = max(runs, len(list))
@@ -120,8 +120,8 @@
 		return fmt.Errorf("--regions: there can't be more than the %d cells", s.Cells)
 	case s.Services > s.Routes:
 		return fmt.Errorf("--services: there can't be more than the %d routes that lead to them", s.Routes)
-	case s.Counters > mostCounters:
-		return fmt.Errorf("--counters: at most %d have addresses of their own", mostCounters)
+	case s.Proxies > mostProxies:
+		return fmt.Errorf("--proxies: at most %d have addresses of their own", mostProxies)
 	case s.Core > 200:
 		return fmt.Errorf("--core: at most 200 have addresses of their own")
 	}
@@ -129,20 +129,20 @@
 }
 
 // Cell and the others name the parts of a hollow fleet.
-func (s Size) Cell(n int) ticket.Name { return ticket.Name(fmt.Sprintf("cell-%d", n%s.Cells+1)) }
+func (s Size) Cell(n int) ids.Name { return ids.Name(fmt.Sprintf("cell-%d", n%s.Cells+1)) }
 
 // Region is that of the nth cell.
 func (s Size) Region(n int) string { return fmt.Sprintf("region-%d", n%s.Cells%s.Regions+1) }
 
 // Service names the nth service.
-func (s Size) Service(n int) ticket.Name {
-	return ticket.Name(fmt.Sprintf("service-%d", n%s.Services+1))
+func (s Size) Service(n int) ids.Name {
+	return ids.Name(fmt.Sprintf("service-%d", n%s.Services+1))
 }
 
 // String is the size in a few words.
 func (s Size) String() string {
-	return fmt.Sprintf("%d counters, %d targets, %d services, %d routes, %d tenants, %d cells, %d regions, %d core",
-		s.Counters, s.Targets, s.Services, s.Routes, s.Tenants, s.Cells, s.Regions, s.Core)
+	return fmt.Sprintf("%d proxies, %d targets, %d services, %d routes, %d tenants, %d cells, %d regions, %d core",
+		s.Proxies, s.Targets, s.Services, s.Routes, s.Tenants, s.Cells, s.Regions, s.Core)
 }
 
 // largest gives the size with the most of each.
--- a/internal/hollow/size_test.go
+++ b/internal/scaletest/size_test.go
@@ -1,4 +1,4 @@
-package hollow
+package scaletest
 
 import (
 	"encoding/json"
@@ -7,7 +7,7 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/catalogue"
+	"dunlinwell/internal/policy"
 )
 
 func lists() Lists {
@@ -18,25 +18,25 @@
 func TestSizes(t *testing.T) {
 	is := is.New(t)
 	l := lists()
-	l.Counters, l.Targets = []int{10, 20, 40}, []int{30, 60, 120}
+	l.Proxies, l.Targets = []int{10, 20, 40}, []int{30, 60, 120}
 	got, err := l.Sizes()
 	is.NoErr(err)
 	is.Equal(len(got), 3)
-	is.Equal(got[1], Size{Counters: 20, Targets: 60, Services: 3, Routes: 5, Cells: 6, Regions: 3, Core: 3})
-	is.Equal(Axis(got), "counters")
-	l.Counters = []int{10}
+	is.Equal(got[1], Size{Proxies: 20, Targets: 60, Services: 3, Routes: 5, Cells: 6, Regions: 3, Core: 3})
+	is.Equal(Axis(got), "proxies")
+	l.Proxies = []int{10}
 	got, err = l.Sizes()
 	is.NoErr(err)
 	is.Equal(Axis(got), "targets")
-	is.Equal(Axis(got[:1]), "counters")
+	is.Equal(Axis(got[:1]), "proxies")
 	is.Equal(got[2].Of("targets"), 120.0)
 	is.Equal(largest(got).Targets, 120)
 }
 
 func TestBadSizesNameTheirFlag(t *testing.T) {
 	for flag, spoil := range map[string]func(*Lists){
-		"--targets":  func(l *Lists) { l.Counters, l.Targets = []int{1, 2, 3}, []int{1, 2} },
-		"--counters": func(l *Lists) { l.Counters = []int{0} },
+		"--targets":  func(l *Lists) { l.Proxies, l.Targets = []int{1, 2, 3}, []int{1, 2} },
+		"--proxies":  func(l *Lists) { l.Proxies = []int{0} },
 		"--tenants":  func(l *Lists) { l.Tenants = []int{-1} },
 		"--core":     func(l *Lists) { l.Core = []int{2} },
 		"--regions":  func(l *Lists) { l.Regions = []int{7} },
@@ -56,11 +56,11 @@
 // The policy is one that the catalogue takes, and as long as was said.
 func TestWholePolicyIsAccepted(t *testing.T) {
 	is := is.New(t)
-	s := Size{Counters: 1, Services: 7, Routes: 40, Tenants: 3000, Cells: 4, Regions: 2, Core: 3}
-	p, err := catalogue.Open(nil)
+	s := Size{Proxies: 1, Services: 7, Routes: 40, Tenants: 3000, Cells: 4, Regions: 2, Core: 3}
+	p, err := policy.Open(nil)
 	is.NoErr(err)
 	apply := func(raw []byte) {
-		c, faults := catalogue.ReadChange(raw)
+		c, faults := policy.ReadChange(raw)
 		is.Equal(len(faults), 0)
 		next, res := p.Apply(c)
 		is.True(res.Accepted())
@@ -88,7 +88,7 @@
 	is := is.New(t)
 	a := NeedOf(small, 400)
 	is.Equal(a.Processes, 7)
-	is.Equal(a.Bytes(), a.Crews+a.Foremen+a.Stockrooms)
+	is.Equal(a.Bytes(), a.Crews+a.Registries+a.Stores)
 	for _, axis := range axes[:2] {
 		b := small
 		*axis.of(&b) *= 10
--- a/internal/hollow/slopes.go
+++ b/internal/scaletest/slopes.go
@@ -1,4 +1,4 @@
-package hollow
+package scaletest
 
 // Slope is one measure of one role in one phase over several sizes.
 type Slope struct {
@@ -32,17 +32,17 @@
 // which a run measures what it runs on.
 const full = 0.85
 
-// restless is how many words of distrust a counter may send in a second while
+// restless is how many words of distrust a proxy may send in a second while
 // a fleet still counts as at rest.
 const restless = 0.05
 
-// Distrust is how many inquiries and suspicions each counter sent in a second: a
+// Distrust is how many inquiries and suspicions each proxy sent in a second: a
 // fleet that sends them no longer keeps up, and tells itself ever more.
 func (p Phase) Distrust() float64 {
-	s, _ := p.Of("counter")
+	s, _ := p.Of("proxy")
 	sum := 0.0
 	for _, k := range s.Kinds {
-		if k.Kind == "counter.Inquiry" || k.Kind == "rollcall.Suspect" {
+		if k.Kind == "proxy.LeaseRequest" || k.Kind == "membership.Suspect" {
 			sum += k.Messages
 		}
 	}
@@ -76,11 +76,11 @@
 	}
 	axis := Axis(sizes)
 	var out []Slope
-	for _, phase := range []string{"steady", "change", "foreman-lost", "counters-back"} {
+	for _, phase := range []string{"steady", "change", "registry-lost", "proxies-back"} {
 		for _, role := range roles {
 			for _, m := range measures {
 				s := Slope{Phase: phase, Role: role, Measure: m.name, Axis: axis, At: Letter.Of(axis)}
-				if role == "counter" {
+				if role == "proxy" {
 					s.Budget = m.budget
 				}
 				for _, r := range runs {
@@ -126,9 +126,9 @@
 	return out
 }
 
-// lagSlope is how long 99 in 100 counters took.
+// lagSlope is how long 99 in 100 proxies took.
 func lagSlope(runs []Run, phase, axis string) Slope {
-	s := Slope{Phase: phase, Role: "fleet", Measure: "99 in 100 counters, ms", Axis: axis, At: Letter.Of(axis)}
+	s := Slope{Phase: phase, Role: "fleet", Measure: "99 in 100 proxies, ms", Axis: axis, At: Letter.Of(axis)}
 	if phase == "change" {
 		s.Budget = 5000
 	}
--- a/internal/hollow/spend.go
+++ b/internal/scaletest/spend.go
@@ -1,4 +1,4 @@
-package hollow
+package scaletest
 
 import (
 	"cmp"
@@ -86,7 +86,7 @@
 	return s
 }
 
-// Lag is how long after an event counters stood as they should, in ms.
+// Lag is how long after an event proxies stood as they should, in ms.
 type Lag struct {
 	P50 float64 `json:"p50_ms"`
 	P99 float64 `json:"p99_ms"`
--- a/internal/hollow/targets.go
+++ b/internal/scaletest/targets.go
@@ -1,4 +1,4 @@
-package hollow
+package scaletest
 
 import (
 	"bytes"
@@ -63,14 +63,14 @@
 	all.Wait()
 }
 
-// announce tells a foreman, each target its own first.
+// announce tells a registry, each target its own first.
 func (t *targets) announce(ctx context.Context, n int) {
 	raw, _ := json.Marshal(map[string]any{"instance": fmt.Sprintf("target-%d", n+1), "incarnation": 1, "sequence": t.sequence.Add(1),
 		"service": t.f.Service(n), "cell": t.f.Cell(n), "address": fmt.Sprintf("127.%d.%d.%d:8000", t.f.Block, 200+n/250, n%250+1),
 		"warmth": 1, "occupancy": n % 7, "capacity": 16, "interval_ms": t.f.Interval.Milliseconds()})
-	foremen := t.f.of("foreman")
-	for i := range foremen {
-		r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+foremen[(n+i)%len(foremen)].http+"/v1/announce", bytes.NewReader(raw))
+	registries := t.f.of("registry")
+	for i := range registries {
+		r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+registries[(n+i)%len(registries)].http+"/v1/announce", bytes.NewReader(raw))
 		if err != nil {
 			return
 		}
--- a/internal/drill/asleep.go
+++ b/internal/simulator/asleep.go
@@ -1,9 +1,9 @@
-package drill
+package simulator
 
 import (
 	"time"
 
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
 )
 
 // freeze stops it for a while; its circuits stay open.
@@ -49,7 +49,7 @@
 
 // knownFor is how long the core had known at some time that this target was
 // leaving, or gone for its silence.
-func (t *target) knownFor(at ticket.Tick) time.Duration {
+func (t *target) knownFor(at ids.Time) time.Duration {
 	known := time.Duration(0)
 	if t.left != 0 {
 		known = at.Since(t.left)
--- a/internal/drill/asleep_test.go
+++ b/internal/simulator/asleep_test.go
@@ -1,4 +1,4 @@
-package drill
+package simulator
 
 import (
 	"strings"
@@ -7,13 +7,13 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/desk"
-	"dunlinwell/internal/rollcall"
-	"dunlinwell/internal/ticket"
-	"dunlinwell/internal/witness"
+	"dunlinwell/internal/checker"
+	"dunlinwell/internal/dispatch"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/membership"
 )
 
-// What left a counter before its route moved, and ran once a frozen target
+// What left a proxy before its route moved, and ran once a frozen target
 // woke, went by the policy of its time; what left after that did not.
 func TestBytesWaitInAFrozenTarget(t *testing.T) {
 	for name, c := range map[string]struct {
@@ -26,7 +26,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			w := NewWorld(Params{Seed: 1})
-			p := w.addProc(rollcall.Counter, "counter-1", w.Plan.Cell(0), "10.9.3.1:1")
+			p := w.addProc(membership.Proxy, "proxy-1", w.Plan.Cell(0), "10.9.3.1:1")
 			p.up, p.dice, p.desks = true, w.dice, newDesks(p, nil)
 			target := &target{w: w, id: "ledger-3", service: "ledger", cell: w.Plan.Cell(0), addr: "10.9.9.1:1", capacity: 8}
 			target.begin(false)
@@ -37,14 +37,14 @@
 				})
 			}
 			w.later(9*time.Second, func() { target.freeze(11 * time.Second) })
-			due := ticket.Tick(60 * time.Second)
-			e := &errand{Job: desk.Job{ID: 1, Route: "flip", Service: "ledger", Repeatable: true, Due: due}, token: "flip:t1", try: 1}
-			w.later(c.sent, func() { p.desks.sent("ledger", desk.Ferry{ID: 1, Due: due}, e, target, time.Millisecond) })
-			w.until(ticket.Tick(19 * time.Second))
+			due := ids.Time(60 * time.Second)
+			e := &errand{Job: dispatch.Job{ID: 1, Route: "flip", Service: "ledger", Repeatable: true, Due: due}, token: "flip:t1", try: 1}
+			w.later(c.sent, func() { p.desks.sent("ledger", dispatch.Ferry{ID: 1, Due: due}, e, target, time.Millisecond) })
+			w.until(ids.Time(19 * time.Second))
 			is.Equal(w.Truth.Tally(time.Time{})["runs"], 0) // it waits in the socket
-			w.until(ticket.Tick(21 * time.Second))
+			w.until(ids.Time(21 * time.Second))
 			is.Equal(w.Truth.Tally(time.Time{})["runs"], 1) // 9 s after the move
-			var got witness.Count
+			var got checker.Count
 			for _, k := range w.Truth.Verdict() {
 				if strings.HasPrefix(k.What, "request by a policy") {
 					got = k
--- a/internal/drill/books.go
+++ b/internal/simulator/books.go
@@ -1,30 +1,30 @@
-package drill
+package simulator
 
 import (
 	"time"
 
-	"dunlinwell/internal/catalogue"
-	"dunlinwell/internal/foreman"
-	"dunlinwell/internal/rollcall"
-	"dunlinwell/internal/ticket"
-	"dunlinwell/internal/witness"
+	"dunlinwell/internal/checker"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/membership"
+	"dunlinwell/internal/policy"
+	"dunlinwell/internal/registry"
 )
 
 const (
 	ms            = time.Millisecond
 	restoreWithin = 15 * time.Second
 	// readyWithin and servesWithin are how soon an accepted change must be held
-	// by a counter that is ready, and by one that serves anything at all.
+	// by a proxy that is ready, and by one that serves anything at all.
 	readyWithin  = 2 * time.Second
 	servesWithin = 3 * time.Second
 )
 
 // promise looks again once an accepted change must be in force.
-func (w *World) promise(r ticket.Revision) {
+func (w *World) promise(r ids.Revision) {
 	look := func(after time.Duration, counts func(*desks) bool) {
 		w.later(after, func() {
 			for _, p := range w.procs {
-				if p.role == rollcall.Counter && p.up && !p.frozen && counts(p.desks) && p.desks.held < r {
+				if p.role == membership.Proxy && p.up && !p.frozen && counts(p.desks) && p.desks.held < r {
 					w.Truth.Wrong("%s goes by revision %d, %s after %d was accepted", p.name, p.desks.held, after, r)
 				}
 			}
@@ -37,18 +37,18 @@
 // read is an agreement read: it may not be older than anything known before.
 func (w *World) read() {
 	floor := w.Truth.Known()
-	w.call("operator", w.Plan.Cell(0), func(x uint64) any { return foreman.PolicyCall{ID: x} }, func(rep foreman.Response) {
+	w.call("operator", w.Plan.Cell(0), func(x uint64) any { return registry.PolicyCall{ID: x} }, func(rep registry.Response) {
 		w.judge("a read", rep, floor)
 	}, nil)
 }
 
 // judge shows the witness what was read.
-func (w *World) judge(who string, rep foreman.Response, floor uint64) bool {
-	p, ok := rep.Body.(*catalogue.Policy)
+func (w *World) judge(who string, rep registry.Response, floor uint64) bool {
+	p, ok := rep.Body.(*policy.Policy)
 	if !ok {
 		return false
 	}
-	seen, err := witness.ReadPolicy(page(p))
+	seen, err := checker.ReadPolicy(page(p))
 	if err != nil {
 		w.Truth.Wrong("%s gave no policy: %v", who, err)
 		return true
@@ -57,22 +57,22 @@
 	return true
 }
 
-// held checks what a counter goes by from now on.
-func (w *World) held(d *desks, v *catalogue.View) {
+// held checks what a proxy goes by from now on.
+func (w *World) held(d *desks, v *policy.View) {
 	if v.Revision < d.held {
 		w.Truth.Wrong("%s went back from revision %d to %d", d.p.name, d.held, v.Revision)
 	}
 	d.held = v.Revision
 }
 
-// closeBooks reads everything back at the day's end, through every foreman.
+// closeBooks reads everything back at the day's end, through every registry.
 func (w *World) closeBooks(when string) {
 	for _, p := range w.procs {
-		if p.role != rollcall.Foreman || p.lost {
+		if p.role != membership.Registry || p.lost {
 			continue
 		}
 		read, floor := false, w.Truth.Known()
-		w.callAt(p, "operator", w.Plan.Cell(0), func(x uint64) any { return foreman.PolicyCall{ID: x} }, func(rep foreman.Response) {
+		w.callAt(p, "operator", w.Plan.Cell(0), func(x uint64) any { return registry.PolicyCall{ID: x} }, func(rep registry.Response) {
 			read = w.judge(when+", "+p.name, rep, floor)
 		}, nil)
 		w.later(5*time.Second, func() {
--- a/internal/drill/crowd.go
+++ b/internal/simulator/crowd.go
@@ -1,4 +1,4 @@
-package drill
+package simulator
 
 import (
 	"fmt"
@@ -6,11 +6,11 @@
 	"time"
 
 	"dunlinwell/internal/blueprint"
-	"dunlinwell/internal/desk"
-	"dunlinwell/internal/foreman"
-	"dunlinwell/internal/rollcall"
-	"dunlinwell/internal/ticket"
-	"dunlinwell/internal/witness"
+	"dunlinwell/internal/checker"
+	"dunlinwell/internal/dispatch"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/membership"
+	"dunlinwell/internal/registry"
 )
 
 // crowd is the stand-in consumers.
@@ -22,9 +22,9 @@
 
 // held is a live circuit: its consumer asks nobody where to go.
 type held struct {
-	at    ticket.Address
-	cell  ticket.Name
-	until ticket.Tick
+	at    ids.Address
+	cell  ids.Name
+	until ids.Time
 }
 
 // heldBy is how many consumers of a cell and route hold circuits: few of them
@@ -57,9 +57,9 @@
 // asking is one request and its repeats.
 type asking struct {
 	way   blueprint.Way
-	home  ticket.Name
+	home  ids.Name
 	token string
-	mark  ticket.Mark
+	mark  ids.IdempotencyKey
 	try   int
 	// says: it tells the number of each attempt.
 	says bool
@@ -90,28 +90,28 @@
 	a.token = fmt.Sprintf("%s:t%d", a.way.Route, w.crowd.n)
 	a.says = a.way.Repeatable || w.dice.IntN(4) > 0 || w.counted
 	if !a.way.Repeatable {
-		a.mark = ticket.Mark("m" + a.token)
+		a.mark = ids.IdempotencyKey("m" + a.token)
 	}
 	return a
 }
 
 // ask asks the directory, and sends the request where it says.
 func (w *World) ask(a *asking) {
-	g := witness.Got{Sent: w.clock(), Token: a.token, Mark: string(a.mark), Attempt: a.try, Class: "unreached", Loose: a.way.Route == "flip"}
+	g := checker.Got{Sent: w.clock(), Token: a.token, Mark: string(a.mark), Attempt: a.try, Class: "unreached", Loose: a.way.Route == "flip"}
 	if h, ok := w.crowd.held[a.seat]; ok && w.now < h.until && a.try == 1 {
 		g.Cell, g.Held = h.cell, true
 		w.deliver(a, g, h.at)
 		return
 	}
-	w.call("consumer", a.home, func(id uint64) any { return foreman.WhereCall{ID: id, Cell: a.home, Route: a.way.Route} }, func(r foreman.Response) {
-		way, ok := r.Body.(foreman.Where)
-		if !ok || len(way.Counters) == 0 {
+	w.call("consumer", a.home, func(id uint64) any { return registry.ResolveCall{ID: id, Cell: a.home, Route: a.way.Route} }, func(r registry.Response) {
+		way, ok := r.Body.(registry.Resolution)
+		if !ok || len(way.Proxies) == 0 {
 			w.responded(a, g)
 			return
 		}
 		g.Cell = way.Cell
-		w.Truth.Pointed(witness.Asked{At: w.clock(), Home: a.home, To: way.Cell, Route: a.way.Route})
-		at := way.Counters[w.dice.IntN(len(way.Counters))]
+		w.Truth.Pointed(checker.Asked{At: w.clock(), Home: a.home, To: way.Cell, Route: a.way.Route})
+		at := way.Proxies[w.dice.IntN(len(way.Proxies))]
 		if w.Hold > 0 && a.seat != "" {
 			w.crowd.held[a.seat] = held{at, way.Cell, w.now.Add(w.between(w.Hold/2, w.Hold*3/2))}
 		}
@@ -119,9 +119,9 @@
 	}, func() { w.responded(a, g) })
 }
 
-func (w *World) deliver(a *asking, g witness.Got, at ticket.Address) {
+func (w *World) deliver(a *asking, g checker.Got, at ids.Address) {
 	p := w.at[at]
-	g.Counter = string(at)
+	g.Proxy = string(at)
 	over := false
 	end := func(class string) {
 		if !over {
@@ -130,11 +130,11 @@
 			w.responded(a, g)
 		}
 	}
-	if p == nil || p.role != rollcall.Counter {
+	if p == nil || p.role != membership.Proxy {
 		end("unreached")
 		return
 	}
-	g.Counter = p.name
+	g.Proxy = p.name
 	if !w.open("consumer", a.home, p.name, p.cell) {
 		w.later(time.Second, func() { end("unreached") })
 		return
@@ -147,13 +147,13 @@
 		}
 		gen := p.gen
 		take := func() {
-			p.desks.arrive(a.way.Route, a.token, a.mark, a.try, a.says, patience, func(r desk.Response) {
+			p.desks.arrive(a.way.Route, a.token, a.mark, a.try, a.says, patience, func(r dispatch.Response) {
 				if p.gen != gen || !w.open(p.name, p.cell, "consumer", a.home) {
 					return
 				}
 				w.later(w.far(p.cell, a.home), func() {
 					g.Status, g.Body = r.Status, string(r.Sealed.Body)
-					if r.Class == desk.Answered && !strings.HasPrefix(g.Body, a.token+"/") {
+					if r.Class == dispatch.Answered && !strings.HasPrefix(g.Body, a.token+"/") {
 						g.Problem = "answer is " + g.Body
 					}
 					w.closes(p, a, g)
@@ -167,7 +167,7 @@
 
 // responded writes an attempt's end down; a consumer without an answer asks
 // again, under the same mark.
-func (w *World) responded(a *asking, g witness.Got) {
+func (w *World) responded(a *asking, g checker.Got) {
 	if g.At.IsZero() {
 		g.At = w.clock()
 	}
@@ -176,7 +176,7 @@
 	if g.Held && (g.Class == "unreached" || g.Class == "lost") {
 		delete(w.crowd.held, a.seat)
 	}
-	w.trace("%s attempt %d %s %s at %s", a.token, a.try, g.Class, g.Body, g.Counter)
+	w.trace("%s attempt %d %s %s at %s", a.token, a.try, g.Class, g.Body, g.Proxy)
 	// Now and then one that has its answer asks again all the same: it must get
 	// that answer once more.
 	done := g.Class == "answered" && (a.mark == "" || w.dice.IntN(8) > 0)
@@ -190,11 +190,11 @@
 
 // closes ends a held circuit as the real front does, after an answer: where its
 // cell is emptied, so that no new work comes down it.
-func (w *World) closes(p *proc, a *asking, g witness.Got) {
+func (w *World) closes(p *proc, a *asking, g checker.Got) {
 	if !g.Held || !p.desks.ready.Emptied && !w.Defect.CloseHeld {
 		return
 	}
 	delete(w.crowd.held, a.seat)
 	// One that is out of step serves nobody anyway, and may not know of a refilling.
-	w.Truth.Close(witness.Closed{At: w.clock(), Counter: p.name, Cell: p.cell, Why: "after an answer", Excused: !p.desks.ready.InStep})
+	w.Truth.Close(checker.Closed{At: w.clock(), Proxy: p.name, Cell: p.cell, Why: "after an answer", Excused: !p.desks.ready.InStep})
 }
--- a/internal/drill/daybook.go
+++ b/internal/simulator/daybook.go
@@ -1,4 +1,4 @@
-package drill
+package simulator
 
 import (
 	"bufio"
@@ -12,13 +12,13 @@
 	"strings"
 	"time"
 
-	"dunlinwell/internal/counter"
-	"dunlinwell/internal/desk"
-	"dunlinwell/internal/foreman"
-	"dunlinwell/internal/parcel"
-	"dunlinwell/internal/stockroom"
-	"dunlinwell/internal/ticket"
-	"dunlinwell/internal/works"
+	"dunlinwell/internal/dispatch"
+	"dunlinwell/internal/event"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/proxy"
+	"dunlinwell/internal/registry"
+	"dunlinwell/internal/store"
+	"dunlinwell/internal/wire"
 )
 
 // A daybook is a recorded trace of one machine: every event that came to it in
@@ -29,16 +29,16 @@
 var events = map[string]reflect.Type{}
 
 func init() {
-	for _, e := range []any{works.ClockEvent{}, works.Settled{}, foreman.ChangeCall{}, foreman.PolicyCall{}, foreman.WhereCall{}, foreman.AnnounceCall{},
-		foreman.StatusCall{}, stockroom.Refound{}, counter.Asked{}, counter.Meter{}, counter.Stopping{}} {
+	for _, e := range []any{event.Tick{}, event.Synced{}, registry.ChangeCall{}, registry.PolicyCall{}, registry.ResolveCall{}, registry.HeartbeatCall{},
+		registry.StatusCall{}, store.RecoverRequest{}, proxy.Asked{}, proxy.Meter{}, proxy.Stopping{}} {
 		events[fmt.Sprintf("%T", e)] = reflect.TypeOf(e)
 	}
 }
 
 // writeEvent gives an event as one line.
-func writeEvent(now ticket.Tick, ev works.Event) (string, error) {
-	if h, ok := ev.(works.Heard); ok {
-		raw, err := parcel.Pack(h.Msg)
+func writeEvent(now ids.Time, ev event.Event) (string, error) {
+	if h, ok := ev.(event.Received); ok {
+		raw, err := wire.Encode(h.Msg)
 		return fmt.Sprintf("%d heard %s %T %s", now, h.From, h.Msg, hex.EncodeToString(raw)), err
 	}
 	raw, err := json.Marshal(ev)
@@ -46,7 +46,7 @@
 }
 
 // readEvent reads such a line.
-func readEvent(line string) (ticket.Tick, works.Event, error) {
+func readEvent(line string) (ids.Time, event.Event, error) {
 	w := strings.SplitN(line, " ", 3)
 	if len(w) < 3 {
 		return 0, nil, fmt.Errorf("no event: %q", line)
@@ -61,8 +61,8 @@
 		if err != nil {
 			return 0, nil, err
 		}
-		_, msg, err := parcel.ReadBytes(raw)
-		return ticket.Tick(n), works.Heard{From: ticket.Address(p[0]), Msg: msg}, err
+		_, msg, err := wire.ReadBytes(raw)
+		return ids.Time(n), event.Received{From: ids.Address(p[0]), Msg: msg}, err
 	}
 	kind, ok := events[w[1]]
 	if !ok {
@@ -70,12 +70,12 @@
 	}
 	ev := reflect.New(kind)
 	err = json.Unmarshal([]byte(w[2]), ev.Interface())
-	return ticket.Tick(n), ev.Elem().Interface(), err
+	return ids.Time(n), ev.Elem().Interface(), err
 }
 
 // writeCommands gives what a step wants done: each command's kind, and a sum
 // over all that they say.
-func writeCommands(out []works.Command) string {
+func writeCommands(out []event.Command) string {
 	h := fnv.New32a()
 	var kinds []string
 	for _, c := range out {
@@ -90,32 +90,32 @@
 }
 
 // name is a command's kind, and that of the message or event in it.
-func name(c works.Command) string {
+func name(c event.Command) string {
 	switch c := c.(type) {
-	case works.Send:
+	case event.Send:
 		return fmt.Sprintf("send:%T", c.Msg)
-	case counter.ToDesk:
+	case proxy.ToDesk:
 		return fmt.Sprintf("desk:%T", c.Event)
-	case works.Note:
+	case event.LogEntry:
 		return "note:" + strings.ReplaceAll(c.Event, " ", "-")
 	}
 	return fmt.Sprintf("%T", c)
 }
 
 // said is what a command says, without the functions that some carry.
-func said(c works.Command) any {
+func said(c event.Command) any {
 	switch c := c.(type) {
-	case works.Settle:
+	case event.Sync:
 		var then []any
 		for _, t := range c.Then {
 			then = append(then, said(t))
 		}
 		return []any{c.Turn, c.Records, then}
-	case works.Send:
-		raw, err := parcel.Pack(c.Msg)
+	case event.Send:
+		raw, err := wire.Encode(c.Msg)
 		return []any{c.To, raw, err}
-	case counter.ToDesk:
-		if s, ok := c.Event.(desk.Stock); ok {
+	case proxy.ToDesk:
+		if s, ok := c.Event.(dispatch.Stock); ok {
 			return []any{c.Service, s}
 		}
 	}
@@ -124,14 +124,14 @@
 
 // recording writes what one process's machine sees until a time.
 type recording struct {
-	works.Machine
+	event.Machine
 	p     *proc
 	into  io.Writer
 	until time.Duration
 	err   error
 }
 
-func (r *recording) Step(now ticket.Tick, ev works.Event) []works.Command {
+func (r *recording) Step(now ids.Time, ev event.Event) []event.Command {
 	line, err := writeEvent(now, ev)
 	out := r.Machine.Step(now, ev)
 	if r.err == nil && time.Duration(r.p.w.now) <= r.until {
@@ -147,7 +147,7 @@
 }
 
 // Play plays a daybook to a machine, and gives the first line that differs.
-func Play(m works.Machine, book io.Reader) (int, error) {
+func Play(m event.Machine, book io.Reader) (int, error) {
 	lines := bufio.NewScanner(book)
 	lines.Buffer(nil, 16<<20)
 	want, got, n, last := "", "", 0, ""
--- a/internal/drill/daybook_test.go
+++ b/internal/simulator/daybook_test.go
@@ -1,4 +1,4 @@
-package drill
+package simulator
 
 import (
 	"bufio"
@@ -13,14 +13,14 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/ticket"
-	"dunlinwell/internal/works"
+	"dunlinwell/internal/event"
+	"dunlinwell/internal/ids"
 )
 
 var record = flag.Bool("record", false, "record the daybooks anew, after a change that is meant")
 
 // taped are the machines whose daybooks are kept: each in the midst of trouble.
-var taped = []string{"stockroom-2", "foreman-1", "counter-3"}
+var taped = []string{"store-2", "registry-1", "proxy-3"}
 
 // Recorded traces of the three machines, with all the slices in them (roll,
 // rounds, registers, yard, plans), are played again: same events, same commands.
@@ -65,7 +65,7 @@
 // A machine that does one thing otherwise is found out at that very line.
 func TestDaybooksBite(t *testing.T) {
 	is := is.New(t)
-	book := "5 works.ClockEvent {}\n6 works.ClockEvent {}\n< 811c9dc5 \n"
+	book := "5 event.Tick {}\n6 event.Tick {}\n< 811c9dc5 \n"
 	line, err := Play(quietMachine{}, bytes.NewReader([]byte(book)))
 	is.True(err != nil)
 	is.Equal(line, 3)
@@ -73,4 +73,4 @@
 
 type quietMachine struct{}
 
-func (quietMachine) Step(ticket.Tick, works.Event) []works.Command { return nil }
+func (quietMachine) Step(ids.Time, event.Event) []event.Command { return nil }
--- a/internal/drill/desks.go
+++ b/internal/simulator/desks.go
@@ -1,51 +1,51 @@
-package drill
+package simulator
 
 import (
 	"time"
 
-	"dunlinwell/internal/catalogue"
-	"dunlinwell/internal/counter"
-	"dunlinwell/internal/desk"
-	"dunlinwell/internal/haulage"
-	"dunlinwell/internal/ticket"
-	"dunlinwell/internal/till"
-	"dunlinwell/internal/works"
+	"dunlinwell/internal/dispatch"
+	"dunlinwell/internal/event"
+	"dunlinwell/internal/idempotency"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/policy"
+	"dunlinwell/internal/proxy"
+	"dunlinwell/internal/spill"
 )
 
-// desks is the data plane of a simulated counter: real desks, and targets
+// desks is the data plane of a simulated proxy: real desks, and targets
 // reached over the simulated net.
 type desks struct {
 	p     *proc
-	c     *counter.Control
-	list  map[ticket.Name]*desk.Desk
-	order []ticket.Name
-	jobs  map[ticket.Request]*errand
-	next  ticket.Request
-	last  ticket.Tick
-	view  *catalogue.View
-	ready counter.Footing
-	meter ticket.Tick
-	spent map[[2]ticket.Name]float64
+	c     *proxy.Control
+	list  map[ids.Name]*dispatch.Dispatcher
+	order []ids.Name
+	jobs  map[ids.Request]*errand
+	next  ids.Request
+	last  ids.Time
+	view  *policy.View
+	ready proxy.Footing
+	meter ids.Time
+	spent map[[2]ids.Name]float64
 	count uint64
-	held  ticket.Revision
+	held  ids.Revision
 }
 
-// errand is a request in hand at a counter.
+// errand is a request in hand at a proxy.
 type errand struct {
-	desk.Job
+	dispatch.Job
 	token string
 	// try is the consumer's own count, which it may keep to itself.
 	try  int
-	done func(desk.Response)
+	done func(dispatch.Response)
 }
 
-func newDesks(p *proc, c *counter.Control) *desks {
-	return &desks{p: p, c: c, list: map[ticket.Name]*desk.Desk{}, jobs: map[ticket.Request]*errand{}, spent: map[[2]ticket.Name]float64{}}
+func newDesks(p *proc, c *proxy.Control) *desks {
+	return &desks{p: p, c: c, list: map[ids.Name]*dispatch.Dispatcher{}, jobs: map[ids.Request]*errand{}, spent: map[[2]ids.Name]float64{}}
 }
 
-func (d *desks) at(s ticket.Name) *desk.Desk {
+func (d *desks) at(s ids.Name) *dispatch.Dispatcher {
 	if d.list[s] == nil {
-		d.list[s] = desk.New(desk.Params{Dice: d.p.dice, Self: till.Owner{Daemon: ticket.Daemon(d.p.name), Start: d.p.start}})
+		d.list[s] = dispatch.New(dispatch.Options{Dice: d.p.dice, Self: idempotency.Owner{Daemon: ids.Daemon(d.p.name), Start: d.p.start}})
 		d.order = append(d.order, s)
 	}
 	return d.list[s]
@@ -56,12 +56,12 @@
 func (d *desks) beat() {
 	d.last = d.p.now()
 	for _, n := range d.order {
-		d.hand(n, works.ClockEvent{})
+		d.hand(n, event.Tick{})
 	}
 	if now := d.p.now(); now.Since(d.meter) >= meterEvery {
 		span := now.Since(d.meter)
 		d.meter = now
-		m := counter.Meter{Interval: span, Latency: 2 * time.Millisecond, Count: d.count}
+		m := proxy.Meter{Interval: span, Latency: 2 * time.Millisecond, Count: d.count}
 		if p := d.p; p.w.Latency != nil {
 			used := 0.0
 			for _, r := range sortedPairs(d.spent) {
@@ -70,45 +70,45 @@
 			m.Latency = p.w.Latency(used)
 		}
 		for _, r := range sortedPairs(d.spent) {
-			m.Rows = append(m.Rows, haulage.Spent{Route: r[0], Service: r[1], CPU: d.spent[r] / span.Seconds()})
+			m.Rows = append(m.Rows, spill.Spent{Route: r[0], Service: r[1], CPU: d.spent[r] / span.Seconds()})
 		}
-		d.spent, d.count = map[[2]ticket.Name]float64{}, 0
+		d.spent, d.count = map[[2]ids.Name]float64{}, 0
 		d.p.take(m)
 	}
 }
 
-func (d *desks) hand(s ticket.Name, ev works.Event) {
+func (d *desks) hand(s ids.Name, ev event.Event) {
 	for _, c := range d.at(s).Step(d.p.now(), ev) {
 		d.do(s, c)
 	}
 }
 
 // perform carries out what the control machine wants.
-func (d *desks) perform(c works.Command) {
+func (d *desks) perform(c event.Command) {
 	switch c := c.(type) {
-	case counter.ToDesk:
+	case proxy.ToDesk:
 		d.hand(c.Service, c.Event)
-	case counter.Routes:
+	case proxy.Routes:
 		d.view = c.View
 		d.p.w.held(d, c.View)
-	case counter.Footing:
+	case proxy.Footing:
 		d.ready = c
 	}
 }
 
 // do carries out what a desk wants.
-func (d *desks) do(s ticket.Name, c works.Command) {
+func (d *desks) do(s ids.Name, c event.Command) {
 	p := d.p
 	switch c := c.(type) {
-	case desk.Wish:
-		if c.Op == till.OpClaim && p.w.atClaim != nil {
+	case dispatch.Wish:
+		if c.Op == idempotency.OpClaim && p.w.atClaim != nil {
 			p.w.atClaim(p)
 		}
-		p.later(0, func() { p.take(counter.Asked{Service: s, Wish: c}) })
-	case desk.Ferry:
+		p.later(0, func() { p.take(proxy.Asked{Service: s, Wish: c}) })
+	case dispatch.Ferry:
 		// The scheduler may let a moment pass, or a freeze come between.
 		p.later(p.w.between(0, 2*time.Millisecond), func() { d.ferry(s, c) })
-	case desk.Response:
+	case dispatch.Response:
 		e := d.jobs[c.ID]
 		delete(d.jobs, c.ID)
 		if e != nil && e.done != nil {
@@ -120,12 +120,12 @@
 	}
 }
 
-// dropAll is what the consumers of a killed counter see.
-func (d *desks) dropAll() { d.jobs = map[ticket.Request]*errand{} }
+// dropAll is what the consumers of a killed proxy see.
+func (d *desks) dropAll() { d.jobs = map[ids.Request]*errand{} }
 
 // arrive takes a consumer's request, as the real front does.
-func (d *desks) arrive(route ticket.Name, token string, mark ticket.Mark, try int, says bool, left time.Duration, done func(desk.Response)) {
-	var r catalogue.Route
+func (d *desks) arrive(route ids.Name, token string, mark ids.IdempotencyKey, try int, says bool, left time.Duration, done func(dispatch.Response)) {
+	var r policy.Route
 	ok := false
 	if d.view != nil {
 		r, ok = d.view.Routes[route]
@@ -135,7 +135,7 @@
 		return
 	}
 	if !ok {
-		done(desk.Response{Class: desk.Misused, Status: 404})
+		done(dispatch.Response{Class: dispatch.Misused, Status: 404})
 		return
 	}
 	attempt := try
@@ -143,32 +143,32 @@
 		attempt = 0
 	}
 	d.next++
-	j := desk.Job{ID: d.next, Route: route, Service: r.Service, Tier: r.Tier * 10, Repeatable: r.Repeatable, Mark: mark, Terms: counter.Terms(r),
+	j := dispatch.Job{ID: d.next, Route: route, Service: r.Service, Tier: r.Tier * 10, Repeatable: r.Repeatable, Mark: mark, Terms: proxy.Terms(r),
 		Attempt: uint32(attempt), Print: []byte(token), Due: d.p.now().Add(min(left, r.LimitTime()))}
 	d.jobs[j.ID] = &errand{Job: j, token: token, try: try, done: done}
 	d.count++
-	d.hand(r.Service, desk.Arrive{Job: j})
+	d.hand(r.Service, dispatch.Arrive{Job: j})
 }
 
-// unknownYet answers for a counter that doesn't know the route yet, which is
+// unknownYet answers for a proxy that doesn't know the route yet, which is
 // "busy" only where no earlier attempt can have run.
-func unknownYet(try int, says bool, mark ticket.Mark) desk.Response {
+func unknownYet(try int, says bool, mark ids.IdempotencyKey) dispatch.Response {
 	if (try > 1 || !says) && mark != "" {
-		return desk.Response{Class: desk.Unknown, Status: 504}
+		return dispatch.Response{Class: dispatch.Unknown, Status: 504}
 	}
-	return desk.Response{Class: desk.Declined, Status: 503}
+	return dispatch.Response{Class: dispatch.Declined, Status: 503}
 }
 
 // ferry is the real carrier's part: dial, let the target show who it is, look
 // once more, send, and wait for a sealed answer.
-func (d *desks) ferry(s ticket.Name, f desk.Ferry) {
+func (d *desks) ferry(s ids.Name, f dispatch.Ferry) {
 	p, w := d.p, d.p.w
 	e := d.jobs[f.ID]
 	if e == nil {
 		return
 	}
-	back := desk.Back{ID: f.ID, Turn: f.Turn, How: desk.NotSent, Why: "dial"}
-	end := func(after time.Duration, b desk.Back) {
+	back := dispatch.Back{ID: f.ID, Turn: f.Turn, How: dispatch.NotSent, Why: "dial"}
+	end := func(after time.Duration, b dispatch.Back) {
 		p.later(after, func() { d.hand(s, b) })
 	}
 	t := w.owner[f.Target.Address]
@@ -192,7 +192,7 @@
 			end(0, back)
 			return
 		}
-		if !counter.MayLeave(p.now(), f.By, d.last) {
+		if !proxy.MayLeave(p.now(), f.By, d.last) {
 			end(0, back)
 			return
 		}
@@ -201,17 +201,17 @@
 }
 
 // sent is a request whose bytes have left.
-func (d *desks) sent(s ticket.Name, f desk.Ferry, e *errand, t *target, trip time.Duration) {
+func (d *desks) sent(s ids.Name, f dispatch.Ferry, e *errand, t *target, trip time.Duration) {
 	p, w := d.p, d.p.w
 	over := false
 	gen := p.gen
-	end := func(b desk.Back) {
+	end := func(b dispatch.Back) {
 		if !over {
 			over = true
 			d.hand(s, b)
 		}
 	}
-	maybe := desk.Back{ID: f.ID, Turn: f.Turn, How: desk.Maybe, Why: "no sealed answer"}
+	maybe := dispatch.Back{ID: f.ID, Turn: f.Turn, How: dispatch.Maybe, Why: "no sealed answer"}
 	p.later(max(f.Due.Since(p.now()), 0), func() { end(maybe) })
 	run, sent, left := t.gen, w.now, f.Due.Since(p.now())
 	w.later(trip, func() {
@@ -223,14 +223,14 @@
 		}
 		came := w.now
 		t.awake(func() {
-			t.run(e, p, s, sent, came, left, func(a till.Response, ok bool) {
+			t.run(e, p, s, sent, came, left, func(a idempotency.Response, ok bool) {
 				if p.gen != gen {
 					return
 				}
 				b := maybe
 				if ok {
-					b = desk.Back{ID: f.ID, Turn: f.Turn, How: desk.Sealed, Response: a}
-					d.spent[[2]ticket.Name{e.Route, s}] += w.Cost
+					b = dispatch.Back{ID: f.ID, Turn: f.Turn, How: dispatch.Sealed, Response: a}
+					d.spent[[2]ids.Name{e.Route, s}] += w.Cost
 					p.total += w.Cost
 				}
 				if !w.open(string(t.id), t.cell, p.name, p.cell) {
--- a/internal/drill/disk.go
+++ b/internal/simulator/disk.go
@@ -1,45 +1,45 @@
-package drill
+package simulator
 
 import (
 	"maps"
 	"slices"
 	"time"
 
-	"dunlinwell/internal/ticket"
-	"dunlinwell/internal/works"
+	"dunlinwell/internal/event"
+	"dunlinwell/internal/ids"
 )
 
 // Fetch finds a record that was synced.
-func (d *disk) Fetch(key ticket.Key) ([]byte, bool) {
+func (d *disk) Get(key ids.Key) ([]byte, bool) {
 	raw, ok := d.records[key]
 	return raw, ok
 }
 
 // After lists records of items behind a key.
-func (d *disk) After(key ticket.Key, n int) []works.Record {
-	var out []works.Record
+func (d *disk) Scan(key ids.Key, n int) []event.Record {
+	var out []event.Record
 	for _, k := range slices.Sorted(maps.Keys(d.records)) {
 		if k > key && k < "item0" && len(out) < n {
-			out = append(out, works.Record{Key: k, Value: d.records[k]})
+			out = append(out, event.Record{Key: k, Value: d.records[k]})
 		}
 	}
 	return out
 }
 
-// disk is a stockroom's data folder.
+// disk is a store's data folder.
 type disk struct {
 	w       *World
 	store   uint64
 	run     uint64
-	records map[ticket.Key][]byte
-	inbox   []works.Settle
+	records map[ids.Key][]byte
+	inbox   []event.Sync
 	busy    bool
 	stalled bool
 	gen     int
 	ages
 }
 
-func newDisk(w *World) *disk { return &disk{w: w, records: map[ticket.Key][]byte{}} }
+func newDisk(w *World) *disk { return &disk{w: w, records: map[ids.Key][]byte{}} }
 
 func (d *disk) open(p *proc) {
 	if d.store == 0 {
@@ -66,9 +66,9 @@
 }
 
 // wipe loses the disk: what comes next is another store.
-func (d *disk) wipe() { *d = disk{w: d.w, records: map[ticket.Key][]byte{}, gen: d.gen + 1} }
+func (d *disk) wipe() { *d = disk{w: d.w, records: map[ids.Key][]byte{}, gen: d.gen + 1} }
 
-func (d *disk) settle(p *proc, s works.Settle) {
+func (d *disk) settle(p *proc, s event.Sync) {
 	d.inbox = append(d.inbox, s)
 	d.next(p)
 }
@@ -104,6 +104,6 @@
 	for _, s := range done {
 		p.perform(s.Then)
 	}
-	p.take(works.Settled{Turn: done[n-1].Turn})
+	p.take(event.Synced{Turn: done[n-1].Turn})
 	d.next(p)
 }
--- a/internal/drill/faults.go
+++ b/internal/simulator/faults.go
@@ -1,13 +1,13 @@
-package drill
+package simulator
 
 import (
 	"fmt"
 	"time"
 
-	"dunlinwell/internal/catalogue"
-	"dunlinwell/internal/ledger"
-	"dunlinwell/internal/rollcall"
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/consensus"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/membership"
+	"dunlinwell/internal/policy"
 )
 
 // trouble brings one fault about, and asks for the next.
@@ -24,9 +24,9 @@
 }
 
 // quiet is when the faults end and the day is to come back whole.
-func (w *World) quiet() ticket.Tick { return ticket.Tick(w.Length) }
+func (w *World) quiet() ids.Time { return ids.Time(w.Length) }
 
-func (w *World) some(role rollcall.Role) *proc {
+func (w *World) some(role membership.Role) *proc {
 	var up []*proc
 	for _, p := range w.procs {
 		if !p.lost && (role == 0 || p.role == role) {
@@ -55,7 +55,7 @@
 		w.bounce(p, short())
 	case 2:
 		// A herd: every process of one role, or half of all.
-		role := rollcall.Role(1 + w.dice.IntN(3))
+		role := membership.Role(1 + w.dice.IntN(3))
 		w.trace("herd of %s", role)
 		for _, q := range w.procs {
 			if q.role == role && !q.lost {
@@ -65,11 +65,11 @@
 	case 3, 4, 5:
 		p.freeze(w.between(500*time.Millisecond, 6*time.Second))
 	case 6:
-		w.some(rollcall.Counter).freeze(w.between(time.Second, 5*time.Second))
+		w.some(membership.Proxy).freeze(w.between(time.Second, 5*time.Second))
 	case 7, 8:
 		w.trace("%s is cut off", p.name)
-		w.cutOff(short(), &cut{a: func(n string, _ ticket.Name) bool { return n == p.name },
-			b: func(n string, _ ticket.Name) bool { return n != p.name }, oneWay: w.dice.IntN(2) == 0})
+		w.cutOff(short(), &cut{a: func(n string, _ ids.Name) bool { return n == p.name },
+			b: func(n string, _ ids.Name) bool { return n != p.name }, oneWay: w.dice.IntN(2) == 0})
 	case 9:
 		w.splitCore(short())
 	case 10:
@@ -77,7 +77,7 @@
 	case 11:
 		w.swapCore()
 	case 12:
-		q := w.some(rollcall.Stockroom)
+		q := w.some(membership.Store)
 		w.trace("the disk of %s stalls", q.name)
 		q.disk.stalled = true
 		w.later(short(), func() { q.disk.stalled = false })
@@ -92,37 +92,37 @@
 	case 21:
 		w.unheard(w.pool[w.dice.IntN(len(w.pool))], nil, w.between(4*time.Second, 9*time.Second))
 	case 22:
-		w.unheard(w.pool[w.dice.IntN(len(w.pool))], w.some(rollcall.Counter), w.between(4*time.Second, 9*time.Second))
+		w.unheard(w.pool[w.dice.IntN(len(w.pool))], w.some(membership.Proxy), w.between(4*time.Second, 9*time.Second))
 	default:
 		w.targetFault(x)
 	}
 }
 
 // unheard cuts a target off from the core, which counts it as gone, while
-// counters still reach it; one of them may be cut off from the core as well.
+// proxies still reach it; one of them may be cut off from the core as well.
 func (w *World) unheard(t *target, with *proc, d time.Duration) {
 	w.trace("%s is cut off from the core", t.id)
 	w.Truth.Parted()
-	who := func(n string, _ ticket.Name) bool { return n == string(t.id) || with != nil && n == with.name }
-	w.cutOff(d, &cut{a: who, b: func(n string, _ ticket.Name) bool {
+	who := func(n string, _ ids.Name) bool { return n == string(t.id) || with != nil && n == with.name }
+	w.cutOff(d, &cut{a: who, b: func(n string, _ ids.Name) bool {
 		q := w.named(n)
-		return q != nil && q.role != rollcall.Counter
+		return q != nil && q.role != membership.Proxy
 	}})
 }
 
-// splitCore cuts the core in two halves that each see some of the counters.
+// splitCore cuts the core in two halves that each see some of the proxies.
 func (w *World) splitCore(d time.Duration) {
 	side := map[string]bool{}
 	for _, p := range w.procs {
 		side[p.name] = w.dice.IntN(2) == 0
 	}
 	w.trace("the fleet splits")
-	w.cutOff(d, &cut{a: func(n string, _ ticket.Name) bool { s, ok := side[n]; return ok && s },
-		b: func(n string, _ ticket.Name) bool { s, ok := side[n]; return ok && !s }, oneWay: w.dice.IntN(3) == 0})
+	w.cutOff(d, &cut{a: func(n string, _ ids.Name) bool { s, ok := side[n]; return ok && s },
+		b: func(n string, _ ids.Name) bool { s, ok := side[n]; return ok && !s }, oneWay: w.dice.IntN(3) == 0})
 }
 
 // loseCell takes the power from a whole cell, targets and all.
-func (w *World) loseCell(c ticket.Name, d time.Duration) {
+func (w *World) loseCell(c ids.Name, d time.Duration) {
 	w.trace("%s loses power", c)
 	for _, p := range w.procs {
 		if p.cell == c && !p.lost {
@@ -137,13 +137,13 @@
 	}
 }
 
-// swapCore loses a stockroom and its disk and sets up a blank one at a new
+// swapCore loses a store and its disk and sets up a blank one at a new
 // address: one at a time, once the one before has found its place.
 func (w *World) swapCore() {
 	if !w.settledRoster() {
 		return
 	}
-	w.swap(w.some(rollcall.Stockroom))
+	w.swap(w.some(membership.Store))
 }
 
 func (w *World) swap(p *proc) {
@@ -152,58 +152,58 @@
 	p.lost = true
 	delete(w.at, p.addr)
 	after := w.between(100*time.Millisecond, 2*time.Second)
-	w.later(after, func() { w.addStockroom(p.cell) })
-	// The machine is one thing: its foreman goes with it, and a blank one comes.
+	w.later(after, func() { w.addStore(p.cell) })
+	// The machine is one thing: its registry goes with it, and a blank one comes.
 	for _, f := range w.procs {
-		if f.role == rollcall.Foreman && f.cell == p.cell && !f.lost {
+		if f.role == membership.Registry && f.cell == p.cell && !f.lost {
 			f.kill()
 			f.lost = true
 			delete(w.at, f.addr)
-			w.later(after, func() { w.add(rollcall.Foreman, 2, f.cell) })
+			w.later(after, func() { w.add(membership.Registry, 2, f.cell) })
 		}
 	}
 }
 
-func (w *World) addStockroom(cell ticket.Name) { w.add(rollcall.Stockroom, 1, cell) }
+func (w *World) addStore(cell ids.Name) { w.add(membership.Store, 1, cell) }
 
 // add puts up a blank core daemon at a new address.
-func (w *World) add(role rollcall.Role, code int, cell ticket.Name) {
+func (w *World) add(role membership.Role, code int, cell ids.Name) {
 	n := 0
 	for _, q := range w.procs {
 		if q.role == role {
 			n++
 		}
 	}
-	q := w.addProc(role, fmt.Sprintf("%s-%d", role, n+1), cell, ticket.Address(fmt.Sprintf("10.9.%d.%d:1", code, n+1)))
+	q := w.addProc(role, fmt.Sprintf("%s-%d", role, n+1), cell, ids.Address(fmt.Sprintf("10.9.%d.%d:1", code, n+1)))
 	// Whoever puts up a new machine gives it seeds that live.
 	q.seeds = nil
 	for _, p := range w.procs {
-		if p != q && !p.lost && (p.role == rollcall.Stockroom || p.role == rollcall.Foreman) && len(q.seeds) < 3 {
+		if p != q && !p.lost && (p.role == membership.Store || p.role == membership.Registry) && len(q.seeds) < 3 {
 			q.seeds = append(q.seeds, p.addr)
 		}
 	}
 	q.boot()
 }
 
-// settledRoster tells whether three stores that live on hold the roster.
+// settledRoster tells whether three stores that live on hold the voter set.
 func (w *World) settledRoster() bool {
-	var newest ledger.Roster
+	var newest consensus.VoterSet
 	stores := map[uint64]bool{}
 	for _, p := range w.procs {
-		if p.role != rollcall.Stockroom || p.lost {
+		if p.role != membership.Store || p.lost {
 			continue
 		}
 		stores[p.disk.store] = true
-		if raw, ok := p.disk.Fetch("meta/roster"); ok {
-			if r, ok := ledger.OpenRoster(raw); ok && r.Number > newest.Number {
+		if raw, ok := p.disk.Get("meta/roster"); ok {
+			if r, ok := consensus.DecodeVoterSet(raw); ok && r.Number > newest.Number {
 				newest = r
 			}
 		}
 	}
-	if newest.Number == 0 || len(newest.Next) > 0 {
+	if newest.Number == 0 || len(newest.Incoming) > 0 {
 		return false
 	}
-	for _, s := range newest.Stores {
+	for _, s := range newest.Voters {
 		if !stores[s.ID] {
 			return false
 		}
@@ -236,10 +236,10 @@
 	})
 }
 
-func (w *World) setEmptied(c ticket.Name, on bool, then func()) {
+func (w *World) setEmptied(c ids.Name, on bool, then func()) {
 	w.office.n++
 	asked := w.clock()
-	w.change(w.work().Emptied(fmt.Sprintf("empty-%d", w.office.n), c, on), func(r catalogue.Result) {
+	w.change(w.work().Emptied(fmt.Sprintf("empty-%d", w.office.n), c, on), func(r policy.Result) {
 		// Answers may overtake one another; revisions don't.
 		if on && r.Revision > w.office.cellAt {
 			w.Truth.Empty(c, asked, w.clock())
--- a/internal/drill/hot.go
+++ b/internal/simulator/hot.go
@@ -1,4 +1,4 @@
-package drill
+package simulator
 
 import (
 	"fmt"
@@ -6,10 +6,10 @@
 	"time"
 
 	"dunlinwell/internal/blueprint"
-	"dunlinwell/internal/haulage"
-	"dunlinwell/internal/rollcall"
-	"dunlinwell/internal/ticket"
-	"dunlinwell/internal/witness"
+	"dunlinwell/internal/checker"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/membership"
+	"dunlinwell/internal/spill"
 )
 
 const (
@@ -26,35 +26,35 @@
 // operators storm meanwhile. Nothing of that excuses a held circuit.
 func Hot(seed uint64) Params {
 	dice := rand.New(rand.NewPCG(seed, 0x686f74))
-	far := map[[2]ticket.Name]int{}
-	p := blueprint.Plan{Name: "hot", Regions: 5, Cells: 5, Counters: 5, Rate: 64 + 10*dice.Float64(), Target: 500, Maximum: 550,
+	far := map[[2]ids.Name]int{}
+	p := blueprint.Plan{Name: "hot", Regions: 5, Cells: 5, Proxies: 5, Rate: 64 + 10*dice.Float64(), Target: 500, Maximum: 550,
 		Pools: []blueprint.Pool{{Service: "catalog", Targets: 10, Capacity: 16, Tier: 3}, {Service: "ledger", Targets: 5, Capacity: 16, Tier: 8}},
-		Far:   func(a, b ticket.Name) int { return far[[2]ticket.Name{min(a, b), max(a, b)}] }}
+		Far:   func(a, b ids.Name) int { return far[[2]ids.Name{min(a, b), max(a, b)}] }}
 	for i := range p.Cells {
 		for k := range i {
 			a, b := p.Cell(i), p.Cell(k)
-			far[[2]ticket.Name{min(a, b), max(a, b)}] = 2 + dice.IntN(40)
+			far[[2]ids.Name{min(a, b), max(a, b)}] = 2 + dice.IntN(40)
 		}
 	}
 	tiers := dice.Perm(10)
 	for i, share := range []float64{0.4, 0.35, 0.25} {
-		p.Ways = append(p.Ways, blueprint.Way{Route: ticket.Name(fmt.Sprintf("way-%d", i)), Prefix: fmt.Sprintf("/way-%d", i), Service: p.Pools[i%2].Service,
+		p.Ways = append(p.Ways, blueprint.Way{Route: ids.Name(fmt.Sprintf("way-%d", i)), Prefix: fmt.Sprintf("/way-%d", i), Service: p.Pools[i%2].Service,
 			Tier: tiers[i], Repeatable: i != 1, Share: share})
 	}
 	hot := dice.Perm(p.Cells)[:1+dice.IntN(2)]
 	quiet := p.Cell(dice.IntN(p.Cells))
 	off := time.Duration(120+dice.IntN(200)) * time.Second
 	h := Params{Seed: seed, Plan: p, Length: heatLength, FaultEvery: -1, Hold: 2 * time.Minute, Brief: 0.7}
-	h.Hot = func(w *World, drawn ticket.Name) ticket.Name {
+	h.Hot = func(w *World, drawn ids.Name) ids.Name {
 		if at := time.Duration(w.now); at > heatFrom && at < heatTill && w.dice.IntN(100) < 45+len(hot)*15 {
 			return p.Cell(hot[w.dice.IntN(len(hot))])
 		}
 		return drawn
 	}
 	var world *World
-	// Reports of one counter stay away for a while.
+	// Reports of one proxy stay away for a while.
 	h.Defect.Message = func(from, _ string, msg any) (any, bool) {
-		if _, report := msg.(haulage.Report); !report || world == nil {
+		if _, report := msg.(spill.Report); !report || world == nil {
 			return msg, true
 		}
 		at := time.Duration(world.now)
@@ -64,11 +64,11 @@
 		world = w
 		w.Truth.Calm = true
 		// A cell without reports receives nothing, however near it is.
-		w.judgeOrder(func(c ticket.Name) bool {
+		w.judgeOrder(func(c ids.Name) bool {
 			at := time.Duration(w.now)
 			return w.office.emptie != c && (c != quiet || at < off || at > off+reportsOff+2*w.PlanEvery)
 		})
-		w.later(time.Duration(100+dice.IntN(250))*time.Second, func() { w.bounce(w.some(rollcall.Foreman), 40*time.Second) })
+		w.later(time.Duration(100+dice.IntN(250))*time.Second, func() { w.bounce(w.some(membership.Registry), 40*time.Second) })
 		w.every(150*time.Second, 400*ms, 60, func(i int) { w.put(i+1, i%blueprint.Pairs) })
 		w.every(90*time.Second, 130*time.Second, 3, func(int) { w.emptyCell() })
 	}
@@ -79,10 +79,10 @@
 const sampleEvery = 5 * time.Second
 
 // judgeOrder lets the witness judge the order of moves, by the policy as it
-// was set, the directory's answers, and what the cells' counters carried.
-func (w *World) judgeOrder(open func(ticket.Name) bool) {
-	o := witness.Order{Every: w.PlanEvery, Tier: map[ticket.Name]int{}, Acceptable: map[ticket.Name]float64{}, Distance: w.Plan.Distance}
-	tier := map[ticket.Name]int{}
+// was set, the directory's answers, and what the cells' proxies carried.
+func (w *World) judgeOrder(open func(ids.Name) bool) {
+	o := checker.Order{Every: w.PlanEvery, Tier: map[ids.Name]int{}, Acceptable: map[ids.Name]float64{}, Distance: w.Plan.Distance}
+	tier := map[ids.Name]int{}
 	for _, p := range w.Plan.Pools {
 		tier[p.Service] = p.Tier
 	}
--- a/internal/drill/lease_test.go
+++ b/internal/simulator/lease_test.go
@@ -1,4 +1,4 @@
-package drill
+package simulator
 
 import (
 	"testing"
@@ -7,15 +7,15 @@
 	"github.com/matryer/is"
 
 	"dunlinwell/internal/blueprint"
-	"dunlinwell/internal/rollcall"
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/membership"
 )
 
 // losses are what the lease costs pages in, each for eight seconds.
 var losses = map[string]func(w *World){
 	"the whole core": func(w *World) {
 		for _, p := range w.procs {
-			if p.role != rollcall.Counter {
+			if p.role != membership.Proxy {
 				w.bounce(p, 8*time.Second)
 			}
 		}
@@ -28,8 +28,8 @@
 		}
 	},
 	"a region cut off from the others": func(w *World) {
-		in := func(_ string, c ticket.Name) bool { return c != "" && w.Plan.Region(c) == "region-b" }
-		w.cutOff(8*time.Second, &cut{a: in, b: func(n string, c ticket.Name) bool { return !in(n, c) }})
+		in := func(_ string, c ids.Name) bool { return c != "" && w.Plan.Region(c) == "region-b" }
+		w.cutOff(8*time.Second, &cut{a: in, b: func(n string, c ids.Name) bool { return !in(n, c) }})
 	},
 }
 
--- a/internal/drill/load_test.go
+++ b/internal/simulator/load_test.go
@@ -1,4 +1,4 @@
-package drill
+package simulator
 
 import (
 	"strings"
@@ -62,7 +62,7 @@
 }
 
 // Every target is restarted, over and over, under more load than a cold one
-// bears: none ever gets past 1.5 times what it bears, summed over counters.
+// bears: none ever gets past 1.5 times what it bears, summed over proxies.
 func TestColdTargetsUnderLoad(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		o := Run(Params{Seed: seed, Plan: tight(8), Rate: 500, Length: 30 * time.Second, FaultEvery: -1, Script: func(w *World) {
--- a/internal/drill/mixed_test.go
+++ b/internal/simulator/mixed_test.go
@@ -1,4 +1,4 @@
-package drill
+package simulator
 
 import (
 	"encoding/binary"
@@ -7,7 +7,7 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/parcel"
+	"dunlinwell/internal/wire"
 )
 
 // headSize is the length of a frame's head, which no version may change.
@@ -15,8 +15,8 @@
 
 // tomorrow is a frame as a later version would write it: its message has more
 // fields at the end.
-func tomorrow(raw []byte) (parcel.Kind, []byte) {
-	kind := parcel.Kind(binary.BigEndian.Uint16(raw[4:]))
+func tomorrow(raw []byte) (wire.Kind, []byte) {
+	kind := wire.Kind(binary.BigEndian.Uint16(raw[4:]))
 	body := append([]byte{}, raw[headSize:]...)
 	binary.BigEndian.PutUint32(body, binary.BigEndian.Uint32(body)+12)
 	return kind, append(body, "unknown here"...)
@@ -31,16 +31,16 @@
 	for seed := uint64(1); seed <= 2; seed++ {
 		p := Params{Seed: seed}
 		p.Defect.Message = func(from, _ string, msg any) (any, bool) {
-			raw, err := parcel.Pack(msg)
+			raw, err := wire.Encode(msg)
 			is.NoErr(err)
-			kind, body := parcel.Kind(binary.BigEndian.Uint16(raw[4:])), raw[headSize:]
+			kind, body := wire.Kind(binary.BigEndian.Uint16(raw[4:])), raw[headSize:]
 			if strings.HasSuffix(from, "2") || strings.HasSuffix(from, "4") {
 				kind, body = tomorrow(raw)
 				spoke++
 			}
-			got, err := parcel.Open(kind, body)
+			got, err := wire.Decode(kind, body)
 			is.NoErr(err)
-			none, err := parcel.Open(60000, body) // a kind of tomorrow is skipped
+			none, err := wire.Decode(60000, body) // a kind of tomorrow is skipped
 			is.NoErr(err)
 			is.Equal(none, nil)
 			return got, true
--- a/internal/drill/office.go
+++ b/internal/simulator/office.go
@@ -1,13 +1,13 @@
-package drill
+package simulator
 
 import (
 	"encoding/json"
 	"fmt"
 
 	"dunlinwell/internal/blueprint"
-	"dunlinwell/internal/catalogue"
-	"dunlinwell/internal/foreman"
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/policy"
+	"dunlinwell/internal/registry"
 )
 
 // office is the operators and their automation: changes in races and storms,
@@ -16,11 +16,11 @@
 type office struct {
 	n      int
 	stop   bool
-	emptie ticket.Name
+	emptie ids.Name
 	// cellAt is the newest revision that emptied or refilled a cell.
-	cellAt ticket.Revision
+	cellAt ids.Revision
 	// raced is the version of the route that operators race for.
-	raced ticket.Revision
+	raced ids.Revision
 	// flips: the route that moves about has been made.
 	flips bool
 }
@@ -77,7 +77,7 @@
 func (w *World) race(n int) {
 	won := 0
 	for _, who := range []string{"a", "b"} {
-		w.change(w.work().Race(fmt.Sprintf("race-%d%s", n, who), n, w.office.raced), func(r catalogue.Result) {
+		w.change(w.work().Race(fmt.Sprintf("race-%d%s", n, who), n, w.office.raced), func(r policy.Result) {
 			w.office.raced = max(w.office.raced, r.Revision)
 			if won++; won > 1 {
 				w.Truth.Wrong("both sides of race-%d were accepted", n)
@@ -90,7 +90,7 @@
 func (w *World) decline(raw string) {
 	id := w.Truth.Ask([]byte(raw), w.clock())
 	w.Truth.Decline(id)
-	w.call("operator", w.Plan.Cell(0), func(x uint64) any { return foreman.ChangeCall{ID: x, Raw: []byte(raw)} }, func(rep foreman.Response) {
+	w.call("operator", w.Plan.Cell(0), func(x uint64) any { return registry.ChangeCall{ID: x, Raw: []byte(raw)} }, func(rep registry.Response) {
 		if rep.Status == 200 {
 			w.Truth.Wrong("%s was accepted", id)
 		}
@@ -98,16 +98,16 @@
 }
 
 // change sends a change until its end is known, under the same id each time.
-func (w *World) change(raw string, accepted func(catalogue.Result)) {
+func (w *World) change(raw string, accepted func(policy.Result)) {
 	w.resend(w.Truth.Ask([]byte(raw), w.clock()), raw, true, accepted)
 }
 
 // resend sends it once more; sure tells that no earlier copy can take effect.
-func (w *World) resend(id, raw string, sure bool, accepted func(catalogue.Result)) {
+func (w *World) resend(id, raw string, sure bool, accepted func(policy.Result)) {
 	again := func() { w.later(300*ms, func() { w.resend(id, raw, sure, accepted) }) }
 	maybe := func() { sure = false; again() }
-	w.call("operator", w.Plan.Cell(0), func(x uint64) any { return foreman.ChangeCall{ID: x, Raw: []byte(raw)} }, func(rep foreman.Response) {
-		r, ok := rep.Body.(catalogue.Result)
+	w.call("operator", w.Plan.Cell(0), func(x uint64) any { return registry.ChangeCall{ID: x, Raw: []byte(raw)} }, func(rep registry.Response) {
+		r, ok := rep.Body.(policy.Result)
 		switch {
 		case !ok && rep.Status != 503:
 			maybe()
@@ -140,7 +140,7 @@
 }
 
 // page gives a policy as its page would say it.
-func page(p *catalogue.Policy) []byte {
+func page(p *policy.Policy) []byte {
 	raw, _ := json.Marshal(p)
 	return raw
 }
--- a/internal/drill/pool.go
+++ b/internal/simulator/pool.go
@@ -1,4 +1,4 @@
-package drill
+package simulator
 
 import "time"
 
--- a/internal/drill/proc.go
+++ b/internal/simulator/proc.go
@@ -1,41 +1,41 @@
-package drill
+package simulator
 
 import (
 	"math/rand/v2"
 	"time"
 
-	"dunlinwell/internal/counter"
-	"dunlinwell/internal/foreman"
-	"dunlinwell/internal/rollcall"
-	"dunlinwell/internal/stockroom"
-	"dunlinwell/internal/ticket"
-	"dunlinwell/internal/works"
+	"dunlinwell/internal/event"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/membership"
+	"dunlinwell/internal/proxy"
+	"dunlinwell/internal/registry"
+	"dunlinwell/internal/store"
 )
 
 // proc is one simulated process. Its machine is a real one.
 type proc struct {
 	w       *World
 	name    string
-	role    rollcall.Role
-	cell    ticket.Name
-	addr    ticket.Address
+	role    membership.Role
+	cell    ids.Name
+	addr    ids.Address
 	up      bool
 	frozen  bool
 	gen     int
-	born    ticket.Tick
+	born    ids.Time
 	wall    time.Duration
-	machine works.Machine
+	machine event.Machine
 	backlog []func()
 	disk    *disk
 	dice    *rand.Rand
-	start   ticket.Start
+	start   ids.RunID
 	desks   *desks
-	calls   map[uint64]func(foreman.Response)
+	calls   map[uint64]func(registry.Response)
 	nextID  uint64
 	// lost processes don't come back: their machine was replaced.
 	lost bool
 	// seeds are as they were set when the machine was put up.
-	seeds []ticket.Address
+	seeds []ids.Address
 	// total is the CPU time that the machine's runs have spent, in ms.
 	total float64
 }
@@ -46,7 +46,7 @@
 )
 
 // now is the process's own monotonic time, which goes on while it is frozen.
-func (p *proc) now() ticket.Tick { return p.w.now - p.born + 1 }
+func (p *proc) now() ids.Time { return p.w.now - p.born + 1 }
 
 // later does something in this run of the process; a frozen one does it when
 // it wakes, one that was killed never.
@@ -64,7 +64,7 @@
 }
 
 // take hands an event to the machine.
-func (p *proc) take(ev works.Event) {
+func (p *proc) take(ev event.Event) {
 	if !p.up {
 		return
 	}
@@ -83,16 +83,16 @@
 	p.perform(p.machine.Step(p.now(), ev))
 }
 
-func (p *proc) perform(out []works.Command) {
+func (p *proc) perform(out []event.Command) {
 	for _, c := range out {
 		switch c := c.(type) {
-		case works.Send:
+		case event.Send:
 			p.w.send(p, c.To, c.Msg)
-		case works.Note:
+		case event.LogEntry:
 			p.w.trace("%s %s %v", p.name, c.Event, c.Fields)
-		case works.Settle:
+		case event.Sync:
 			p.disk.settle(p, c)
-		case foreman.Response:
+		case registry.Response:
 			if f := p.calls[c.ID]; f != nil {
 				delete(p.calls, c.ID)
 				f(c)
@@ -110,27 +110,27 @@
 	p.born = p.w.now
 	h := Head{Dice: [2]uint64{p.w.dice.Uint64(), p.w.dice.Uint64()}, PlanEvery: p.w.PlanEvery, Lease: p.w.Lease}
 	p.dice = rand.New(rand.NewPCG(h.Dice[0], h.Dice[1]))
-	p.start = ticket.Start(p.w.dice.Uint64()>>24 | 1)
-	p.calls = map[uint64]func(foreman.Response){}
+	p.start = ids.RunID(p.w.dice.Uint64()>>24 | 1)
+	p.calls = map[uint64]func(registry.Response){}
 	wall := time.Hour + time.Duration(p.w.now) + p.wall
-	self := rollcall.Member{ID: ticket.Daemon(p.name), Role: p.role, Address: p.addr, HTTP: p.addr, Cell: p.cell,
-		Start: p.start, Incarnation: ticket.Incarnation(max(wall.Milliseconds(), 1))}
-	roll := rollcall.Params{Self: self, Seeds: p.seeds}
+	self := membership.Member{ID: ids.Daemon(p.name), Role: p.role, Address: p.addr, HTTP: p.addr, Zone: p.cell,
+		Start: p.start, Incarnation: ids.Incarnation(max(wall.Milliseconds(), 1))}
+	roll := membership.Options{Self: self, Seeds: p.seeds}
 	h.Roll = roll
 	beat := otherBeat
 	switch p.role {
-	case rollcall.Stockroom:
+	case membership.Store:
 		p.disk.open(p)
 		h.Store, h.Run = p.disk.store, p.disk.run
-		s := stockroom.New(stockroom.Params{Params: roll, Store: p.disk.store, Run: p.disk.run, Shelf: p.disk, Dice: p.dice})
+		s := store.New(store.Options{Options: roll, Store: p.disk.store, Run: p.disk.run, Storage: p.disk, Random: p.dice})
 		if p.w.Defect.Ops != nil {
 			s.Teach(p.w.Defect.Ops)
 		}
 		p.machine, beat = s, stockBeat
-	case rollcall.Foreman:
-		p.machine = foreman.New(foreman.Params{Params: roll, Dice: p.dice, PlanEvery: p.w.PlanEvery})
+	case membership.Registry:
+		p.machine = registry.New(registry.Options{Options: roll, Random: p.dice, PlanEvery: p.w.PlanEvery})
 	default:
-		c := counter.New(roll, counter.Options{Lease: p.w.Lease})
+		c := proxy.New(roll, proxy.Options{Lease: p.w.Lease})
 		p.machine = c
 		p.desks = newDesks(p, c)
 	}
@@ -144,7 +144,7 @@
 		if p.desks != nil {
 			p.desks.beat()
 		}
-		p.take(works.ClockEvent{})
+		p.take(event.Tick{})
 		p.beat(every)
 	})
 }
--- a/internal/drill/prune.go
+++ b/internal/simulator/prune.go
@@ -1,4 +1,4 @@
-package drill
+package simulator
 
 import (
 	"maps"
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
 )
 
 // A simulated disk forgets marks as the real one does: by its own measured
@@ -19,18 +19,18 @@
 
 // ages is since when, in running time, each mark has been on the disk.
 type ages struct {
-	born map[ticket.Key]time.Duration
+	born map[ids.Key]time.Duration
 	// ran is the running time up to the last start, as far as it was noted.
 	ran    time.Duration
-	opened ticket.Tick
+	opened ids.Time
 }
 
 func (d *disk) running() time.Duration { return d.ran + d.w.now.Since(d.opened) }
 
 // age notes when a record was written.
-func (d *disk) age(key ticket.Key) {
+func (d *disk) age(key ids.Key) {
 	if d.born == nil {
-		d.born = map[ticket.Key]time.Duration{}
+		d.born = map[ids.Key]time.Duration{}
 	}
 	d.born[key] = d.running()
 }
--- a/internal/drill/refound_test.go
+++ b/internal/simulator/recover_test.go
@@ -1,4 +1,4 @@
-package drill
+package simulator
 
 import (
 	"testing"
@@ -6,11 +6,11 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/stockroom"
+	"dunlinwell/internal/store"
 )
 
 // Two disks are lost for good. On an operator's order the fleet goes on from
-// the third, with what the counters still hold, and no promise is broken: a
+// the third, with what the proxies still hold, and no promise is broken: a
 // later attempt whose mark may be among the lost ones isn't run again.
 func TestTwoDisksLost(t *testing.T) {
 	is := is.New(t)
@@ -27,8 +27,8 @@
 				}
 			})
 			order := func(into *string) {
-				for _, c := range w.procs[0].machine.Step(w.procs[0].now(), stockroom.Refound{ID: 1}) {
-					if r, ok := c.(stockroom.Refounding); ok {
+				for _, c := range w.procs[0].machine.Step(w.procs[0].now(), store.RecoverRequest{ID: 1}) {
+					if r, ok := c.(store.RecoverResponse); ok {
 						*into = r.Why
 						continue
 					}
@@ -36,7 +36,7 @@
 				}
 			}
 			w.later(10*time.Second, func() { order(&tooSoon) })
-			w.later(17*time.Second, func() { w.addStockroom("cell-b1"); w.addStockroom("cell-c1") })
+			w.later(17*time.Second, func() { w.addStore("cell-b1"); w.addStore("cell-c1") })
 			w.later(20*time.Second, func() { order(&asked) })
 		}})
 		report(t, o)
--- a/internal/drill/run.go
+++ b/internal/simulator/run.go
@@ -1,4 +1,4 @@
-package drill
+package simulator
 
 import (
 	"fmt"
@@ -6,12 +6,12 @@
 	"time"
 
 	"dunlinwell/internal/blueprint"
-	"dunlinwell/internal/catalogue"
-	"dunlinwell/internal/desk"
-	"dunlinwell/internal/ledger"
-	"dunlinwell/internal/rollcall"
-	"dunlinwell/internal/ticket"
-	"dunlinwell/internal/witness"
+	"dunlinwell/internal/checker"
+	"dunlinwell/internal/consensus"
+	"dunlinwell/internal/dispatch"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/membership"
+	"dunlinwell/internal/policy"
 )
 
 // Params are the options of a run; zero ones take the defaults.
@@ -27,14 +27,14 @@
 	// Cost is what a request costs, in ms of CPU.
 	Cost float64
 	// Hot, if set, chooses the cell that a request begins in.
-	Hot func(w *World, drawn ticket.Name) ticket.Name
-	// Lease is the counters' param of that name.
+	Hot func(w *World, drawn ids.Name) ids.Name
+	// Lease is the proxies' param of that name.
 	Lease time.Duration
 	// Hold is how long consumers hold a circuit; zero for none.
 	Hold time.Duration
 	// Brief is the share of consumers that hold none all the same.
 	Brief float64
-	// Latency, if set, is the front-line latency of a counter whose cell uses
+	// Latency, if set, is the front-line latency of a proxy whose cell uses
 	// so much CPU time.
 	Latency func(used float64) time.Duration
 	// Script, if set, brings faults about at set times instead of by lot.
@@ -49,8 +49,8 @@
 // Defect is a mistake planted on purpose, to see that its checker bites.
 type Defect struct {
 	// Ops replace change functions.
-	Ops map[ledger.Op]ledger.Func
-	// DiskForgets: a killed stockroom loses half of what it had synced.
+	Ops map[consensus.Op]consensus.ChangeFunc
+	// DiskForgets: a killed store loses half of what it had synced.
 	DiskForgets bool
 	// KeepMarks is how long disks keep marks, if not for as long as they should.
 	KeepMarks time.Duration
@@ -58,8 +58,8 @@
 	NoCheck bool
 	// CloseHeld: circuits that consumers hold are closed after each answer.
 	CloseHeld bool
-	// Response spoils a counter's answers.
-	Response func(desk.Response) desk.Response
+	// Response spoils a proxy's answers.
+	Response func(dispatch.Response) dispatch.Response
 	// Message spoils what is sent between daemons; false loses it.
 	Message func(from, to string, msg any) (any, bool)
 }
@@ -81,7 +81,7 @@
 		p.PlanEvery = 10 * time.Second
 	}
 	// Half of the consumers hold their circuits for a while, wherever a fault
-	// leaves the counter at the other end.
+	// leaves the proxy at the other end.
 	if p.Hold == 0 && p.FaultEvery > 0 {
 		p.Hold, p.Brief = 8*time.Second, 0.5
 	}
@@ -93,7 +93,7 @@
 // Outcome is what a run came to.
 type Outcome struct {
 	Seed      uint64
-	Counts    []witness.Count
+	Counts    []checker.Count
 	Broken    int
 	Sum       uint64
 	Events    uint64
@@ -106,21 +106,21 @@
 // Replay is the command that plays a seed again.
 func (o Outcome) Replay(plan, scene string, hot bool, length time.Duration) string {
 	if hot {
-		return fmt.Sprintf("rehearsal drill --hot --from %d --seeds 1 --trace", o.Seed)
+		return fmt.Sprintf("testbed drill --hot --from %d --seeds 1 --trace", o.Seed)
 	}
 	if scene != "" {
 		plan += " --scene " + scene
 	}
-	return fmt.Sprintf("rehearsal drill --plan %s --length %s --from %d --seeds 1 --trace", plan, length, o.Seed)
+	return fmt.Sprintf("testbed drill --plan %s --length %s --from %d --seeds 1 --trace", plan, length, o.Seed)
 }
 
-func (w *World) seeds() []ticket.Address {
-	return []ticket.Address{"10.9.1.1:1", "10.9.1.2:1", "10.9.1.3:1"}
+func (w *World) seeds() []ids.Address {
+	return []ids.Address{"10.9.1.1:1", "10.9.1.2:1", "10.9.1.3:1"}
 }
 
-func (w *World) addProc(role rollcall.Role, name string, cell ticket.Name, addr ticket.Address) *proc {
+func (w *World) addProc(role membership.Role, name string, cell ids.Name, addr ids.Address) *proc {
 	p := &proc{w: w, name: name, role: role, cell: cell, addr: addr, seeds: w.seeds()}
-	if role == rollcall.Stockroom {
+	if role == membership.Store {
 		p.disk = newDisk(w)
 	}
 	w.procs = append(w.procs, p)
@@ -128,15 +128,15 @@
 	return p
 }
 
-// build lays the fleet out as rehearsal does.
+// build lays the fleet out as testbed does.
 func (w *World) build() {
-	for i, role := range []rollcall.Role{rollcall.Stockroom, rollcall.Foreman, rollcall.Counter} {
+	for i, role := range []membership.Role{membership.Store, membership.Registry, membership.Proxy} {
 		n := 3
-		if role == rollcall.Counter {
-			n = w.Plan.Counters
+		if role == membership.Proxy {
+			n = w.Plan.Proxies
 		}
 		for k := range n {
-			p := w.addProc(role, fmt.Sprintf("%s-%d", role, k+1), w.Plan.Cell(k), ticket.Address(fmt.Sprintf("10.9.%d.%d:1", i+1, k+1)))
+			p := w.addProc(role, fmt.Sprintf("%s-%d", role, k+1), w.Plan.Cell(k), ids.Address(fmt.Sprintf("10.9.%d.%d:1", i+1, k+1)))
 			w.later(w.between(0, 300*time.Millisecond), func() { p.boot() })
 		}
 	}
@@ -144,7 +144,7 @@
 	for _, pool := range w.Plan.Pools {
 		for i := range pool.Targets {
 			t := &target{w: w, id: pool.Instance(i), service: pool.Service, cell: w.Plan.Cell(n), capacity: pool.Capacity,
-				addr: ticket.Address(fmt.Sprintf("10.9.9.%d:1", n+1))}
+				addr: ids.Address(fmt.Sprintf("10.9.9.%d:1", n+1))}
 			w.pool = append(w.pool, t)
 			w.later(2*time.Second, func() { t.begin(false) })
 			n++
@@ -159,7 +159,7 @@
 	w.Truth.Allowed = float64(w.Plan.Allowed())
 	w.build()
 	w.later(time.Second, func() { w.policy() })
-	w.until(ticket.Tick(6 * time.Second))
+	w.until(ids.Time(6 * time.Second))
 	w.arrivals()
 	if w.FaultEvery > 0 {
 		w.business()
@@ -197,7 +197,7 @@
 
 // policy sets the plan's policy, as often as it takes.
 func (w *World) policy() {
-	w.change(string(w.Plan.Change()), func(catalogue.Result) {})
+	w.change(string(w.Plan.Change()), func(policy.Result) {})
 }
 
 // heal ends every fault, as when the machines are back.
--- a/internal/drill/scenes.go
+++ b/internal/simulator/scenes.go
@@ -1,11 +1,11 @@
-package drill
+package simulator
 
 import (
 	"time"
 
 	"dunlinwell/internal/blueprint"
-	"dunlinwell/internal/rollcall"
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/membership"
 )
 
 // Scenes are faults in combination, at set times. Each goes with the usual
@@ -63,7 +63,7 @@
 	w.later(5*time.Second, func() { w.loseCell(w.Plan.Cell(0), 8*time.Second) })
 	w.later(6*time.Second, func() {
 		for _, p := range w.procs {
-			if p.role != rollcall.Counter && p.up && !p.lost {
+			if p.role != membership.Proxy && p.up && !p.lost {
 				w.bounce(p, w.between(time.Second, 3*time.Second))
 			}
 		}
@@ -72,7 +72,7 @@
 
 func clockJumps(w *World) {
 	w.every(2*time.Second, 3*time.Second, 10, func(i int) {
-		p := w.some(rollcall.Counter)
+		p := w.some(membership.Proxy)
 		p.wall = time.Duration(i%2*2-1) * 20 * time.Minute
 		w.bounce(p, 200*time.Millisecond)
 	})
@@ -92,8 +92,8 @@
 	w.every(2*time.Second, 3*time.Second, 12, func(i int) {
 		p := w.procs[i%len(w.procs)]
 		w.trace("%s is cut off one way", p.name)
-		in := func(n string, _ ticket.Name) bool { return n == p.name }
-		out := func(n string, _ ticket.Name) bool { return n != p.name }
+		in := func(n string, _ ids.Name) bool { return n == p.name }
+		out := func(n string, _ ids.Name) bool { return n != p.name }
 		c := &cut{a: in, b: out, oneWay: true}
 		if i%2 == 0 {
 			c.a, c.b = out, in
@@ -117,7 +117,7 @@
 }
 
 // everyDiskLost wipes the whole core at once: it founds itself anew, and takes
-// the policy back from the counters.
+// the policy back from the proxies.
 func everyDiskLost(w *World) {
 	w.counted = true
 	w.later(12*time.Second, func() {
@@ -162,12 +162,12 @@
 
 func handedWhileCut(w *World) {
 	w.every(3*time.Second, 8*time.Second, 4, func(i int) {
-		p := w.some(rollcall.Counter)
+		p := w.some(membership.Proxy)
 		w.trace("%s is cut off from the core", p.name)
-		w.cutOff(6*time.Second, &cut{a: func(n string, _ ticket.Name) bool { return n == p.name },
-			b: func(n string, _ ticket.Name) bool {
+		w.cutOff(6*time.Second, &cut{a: func(n string, _ ids.Name) bool { return n == p.name },
+			b: func(n string, _ ids.Name) bool {
 				q := w.named(n)
-				return q != nil && q.role != rollcall.Counter
+				return q != nil && q.role != membership.Proxy
 			}})
 		w.later(500*time.Millisecond, func() { w.handOver(w.pool[i%len(w.pool)], 3*time.Second) })
 	})
--- a/internal/drill/scenes2.go
+++ b/internal/simulator/scenes2.go
@@ -1,26 +1,26 @@
-package drill
+package simulator
 
 import (
 	"time"
 
-	"dunlinwell/internal/rollcall"
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/membership"
 )
 
 func init() {
 	Scenes["gone-but-running"] = goneButRunning
-	Scenes["left-to-a-dying-foreman"] = leftToDying
+	Scenes["left-to-a-dying-registry"] = leftToDying
 	Scenes["policy-moves-while-the-core-splits"] = movedInSplit
 	Scenes["targets-freeze-and-wake"] = targetsFreeze
 	Scenes["whole-core-lost-and-changed"] = coreLostAndChanged
 }
 
 // goneButRunning cuts targets off from the core, which counts them as gone,
-// while a counter that is cut off as well still reaches them.
+// while a proxy that is cut off as well still reaches them.
 func goneButRunning(w *World) {
 	w.Hold = 20 * time.Second
 	w.every(2*time.Second, 6*time.Second, 7, func(int) {
-		p := w.some(rollcall.Counter)
+		p := w.some(membership.Proxy)
 		for _, t := range w.pool {
 			if t.cell == p.cell {
 				w.unheard(t, p, 11*time.Second)
@@ -29,14 +29,14 @@
 	})
 }
 
-// leftToDying lets a target say that it leaves to a foreman that dies right
-// after, which one counter doesn't hear; nor does the core hear from it again.
+// leftToDying lets a target say that it leaves to a registry that dies right
+// after, which one proxy doesn't hear; nor does the core hear from it again.
 func leftToDying(w *World) {
 	w.every(2*time.Second, 6*time.Second, 7, func(i int) {
-		t, deaf := w.pool[i%len(w.pool)], w.some(rollcall.Counter)
+		t, deaf := w.pool[i%len(w.pool)], w.some(membership.Proxy)
 		var cuts []string
 		for _, p := range w.procs {
-			if p.role == rollcall.Foreman {
+			if p.role == membership.Registry {
 				cuts = append(cuts, p.name)
 			}
 		}
@@ -45,7 +45,7 @@
 		if via == nil {
 			return
 		}
-		w.cutOff(2*time.Second, &cut{a: func(n string, _ ticket.Name) bool { return n == via.name }, b: func(n string, _ ticket.Name) bool { return n == deaf.name }})
+		w.cutOff(2*time.Second, &cut{a: func(n string, _ ids.Name) bool { return n == via.name }, b: func(n string, _ ids.Name) bool { return n == deaf.name }})
 		w.later(60*ms, func() {
 			w.bounce(via, 4*time.Second)
 			w.unheard(t, nil, 9*time.Second)
@@ -66,13 +66,13 @@
 	})
 }
 
-// coreLostAndChanged loses the core but for two stockrooms, which no counter
-// reaches, while a change is accepted: what counters can't confirm must stop.
+// coreLostAndChanged loses the core but for two stores, which no proxy
+// reaches, while a change is accepted: what proxies can't confirm must stop.
 func coreLostAndChanged(w *World) {
 	w.every(3*time.Second, 14*time.Second, 3, func(i int) {
-		w.trace("the counters are cut off from the core")
-		w.cutOff(8*time.Second, &cut{a: func(n string, _ ticket.Name) bool { q := w.named(n); return q != nil && q.role == rollcall.Counter },
-			b: func(n string, _ ticket.Name) bool { q := w.named(n); return q != nil && q.role != rollcall.Counter }})
+		w.trace("the proxies are cut off from the core")
+		w.cutOff(8*time.Second, &cut{a: func(n string, _ ids.Name) bool { q := w.named(n); return q != nil && q.role == membership.Proxy },
+			b: func(n string, _ ids.Name) bool { q := w.named(n); return q != nil && q.role != membership.Proxy }})
 		w.later(500*ms, func() { w.emptyCell(); w.flip(6000 + i) })
 	})
 }
--- a/internal/drill/spill.go
+++ b/internal/simulator/spill.go
@@ -1,4 +1,4 @@
-package drill
+package simulator
 
 import (
 	"cmp"
@@ -6,22 +6,22 @@
 	"slices"
 	"time"
 
-	"dunlinwell/internal/foreman"
-	"dunlinwell/internal/haulage"
-	"dunlinwell/internal/rollcall"
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/membership"
+	"dunlinwell/internal/registry"
+	"dunlinwell/internal/spill"
 )
 
 // Point is how the spill stands at one time: what each cell uses, as its
-// counters measured it, and the moves in force.
+// proxies measured it, and the moves in force.
 type Point struct {
 	At    time.Duration
-	Used  map[ticket.Name]float64
-	Moves []haulage.Move
+	Used  map[ids.Name]float64
+	Moves []spill.Move
 }
 
 // Out is the share of a cell's fresh circuits that is handed on, all routes.
-func (p Point) Out(cell ticket.Name) float64 {
+func (p Point) Out(cell ids.Name) float64 {
 	sum := 0.0
 	for _, m := range p.Moves {
 		if m.From == cell {
@@ -34,11 +34,11 @@
 // watch takes a point every so often, from the planner's own table and from
 // what the requests cost where they were really carried.
 func (w *World) watch(every time.Duration, points *[]Point) {
-	last := map[ticket.Name]float64{}
+	last := map[ids.Name]float64{}
 	var again func()
 	again = func() {
 		now := w.costs()
-		p := Point{At: time.Duration(w.now), Used: map[ticket.Name]float64{}}
+		p := Point{At: time.Duration(w.now), Used: map[ids.Name]float64{}}
 		for _, c := range slices.Sorted(maps.Keys(now)) {
 			p.Used[c] = (now[c] - last[c]) / every.Seconds()
 		}
@@ -52,32 +52,32 @@
 	w.later(every, again)
 }
 
-// costs sums what each cell's counters have spent since the start.
-func (w *World) costs() map[ticket.Name]float64 {
-	out := map[ticket.Name]float64{}
+// costs sums what each cell's proxies have spent since the start.
+func (w *World) costs() map[ids.Name]float64 {
+	out := map[ids.Name]float64{}
 	for i := range w.Plan.Cells {
 		out[w.Plan.Cell(i)] = 0
 	}
 	for _, p := range w.procs {
-		if p.role == rollcall.Counter {
+		if p.role == membership.Proxy {
 			out[p.cell] += p.total
 		}
 	}
 	return out
 }
 
-// planner gives the foreman with the newest table.
-func (w *World) planner() *foreman.Foreman {
-	var list []*foreman.Foreman
+// planner gives the registry with the newest table.
+func (w *World) planner() *registry.Registry {
+	var list []*registry.Registry
 	for _, p := range w.procs {
-		if f, ok := p.machine.(*foreman.Foreman); ok && p.up {
+		if f, ok := p.machine.(*registry.Registry); ok && p.up {
 			list = append(list, f)
 		}
 	}
 	if len(list) == 0 {
 		return nil
 	}
-	return slices.MaxFunc(list, func(a, b *foreman.Foreman) int {
+	return slices.MaxFunc(list, func(a, b *registry.Registry) int {
 		return cmp.Or(cmp.Compare(a.Moves().Epoch, b.Moves().Epoch), cmp.Compare(a.Moves().Number, b.Moves().Number))
 	})
 }
--- a/internal/drill/spill_test.go
+++ b/internal/simulator/spill_test.go
@@ -1,4 +1,4 @@
-package drill
+package simulator
 
 import (
 	"testing"
@@ -7,12 +7,12 @@
 	"github.com/matryer/is"
 
 	"dunlinwell/internal/blueprint"
-	"dunlinwell/internal/haulage"
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/spill"
 )
 
 const (
-	a, b, c  = ticket.Name("cell-a1"), ticket.Name("cell-b1"), ticket.Name("cell-c1")
+	a, b, c  = ids.Name("cell-a1"), ids.Name("cell-b1"), ids.Name("cell-c1")
 	hotFrom  = 60 * time.Second
 	hotUntil = 600 * time.Second
 )
@@ -26,8 +26,8 @@
 }
 
 // step sends four of five asks to one of the hot cells while it lasts.
-func step(hot ...ticket.Name) func(*World, ticket.Name) ticket.Name {
-	return func(w *World, drawn ticket.Name) ticket.Name {
+func step(hot ...ids.Name) func(*World, ids.Name) ids.Name {
+	return func(w *World, drawn ids.Name) ids.Name {
 		if now := time.Duration(w.now); now >= hotFrom && now < hotUntil && w.dice.IntN(5) > 0 {
 			return hot[w.dice.IntN(len(hot))]
 		}
@@ -53,7 +53,7 @@
 }
 
 // changes counts how often a cell's share was planned anew between two times.
-func changes(points []Point, cell ticket.Name, from, to time.Duration) int {
+func changes(points []Point, cell ids.Name, from, to time.Duration) int {
 	n := 0
 	for i, p := range points {
 		if i > 0 && p.At > from && p.At < to {
@@ -106,11 +106,11 @@
 // raises the epoch and goes on from the table, and nothing jumps.
 func TestPlannerLostMidMove(t *testing.T) {
 	is := is.New(t)
-	var epochs []ticket.Epoch
+	var epochs []ids.Epoch
 	points := spillRun(t, Params{Seed: 3, Rate: 40, Length: 600 * time.Second, Hot: step(a), Script: func(w *World) {
 		w.later(180*time.Second, func() {
 			epochs = append(epochs, w.planner().Moves().Epoch)
-			w.bounce(w.procs[3], 100*time.Second) // foreman-1, first in the agreed order
+			w.bounce(w.procs[3], 100*time.Second) // registry-1, first in the agreed order
 		})
 		w.later(250*time.Second, func() { epochs = append(epochs, w.planner().Moves().Epoch) })
 		w.later(400*time.Second, func() { epochs = append(epochs, w.planner().Moves().Epoch) })
@@ -153,8 +153,8 @@
 		w.later(580*time.Second, func() { silent = false })
 	}}
 	p.Defect.Message = func(from, _ string, msg any) (any, bool) {
-		_, is := msg.(haulage.Report)
-		return msg, !is || !silent || from != "counter-3"
+		_, is := msg.(spill.Report)
+		return msg, !is || !silent || from != "proxy-3"
 	}
 	to := func(p Point) float64 {
 		sum := 0.0
@@ -175,7 +175,7 @@
 	is.True(last < 0.05)
 }
 
-// The default maximum is set far too high. It is learned from what the counters
+// The default maximum is set far too high. It is learned from what the proxies
 // measure that latency passes 20 ms at 560 ms/s, and the cell sheds there.
 func TestLearnedMaximumActs(t *testing.T) {
 	is := is.New(t)
--- a/internal/drill/tape.go
+++ b/internal/simulator/tape.go
@@ -1,4 +1,4 @@
-package drill
+package simulator
 
 import (
 	"encoding/json"
@@ -7,17 +7,17 @@
 	"math/rand/v2"
 	"time"
 
-	"dunlinwell/internal/counter"
-	"dunlinwell/internal/foreman"
-	"dunlinwell/internal/rollcall"
-	"dunlinwell/internal/stockroom"
-	"dunlinwell/internal/ticket"
-	"dunlinwell/internal/works"
+	"dunlinwell/internal/event"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/membership"
+	"dunlinwell/internal/proxy"
+	"dunlinwell/internal/registry"
+	"dunlinwell/internal/store"
 )
 
 // Head is the first line of a daybook: all that its machine was made with.
 type Head struct {
-	Roll       rollcall.Params
+	Roll       membership.Options
 	Dice       [2]uint64
 	Store, Run uint64
 	PlanEvery  time.Duration
@@ -25,15 +25,15 @@
 }
 
 // machine makes the machine of a role.
-func (h Head) machine(shelf *disk) works.Machine {
+func (h Head) machine(shelf *disk) event.Machine {
 	dice := rand.New(rand.NewPCG(h.Dice[0], h.Dice[1]))
 	switch h.Roll.Self.Role {
-	case rollcall.Stockroom:
-		return stockroom.New(stockroom.Params{Params: h.Roll, Store: h.Store, Run: h.Run, Shelf: shelf, Dice: dice})
-	case rollcall.Foreman:
-		return foreman.New(foreman.Params{Params: h.Roll, Dice: dice, PlanEvery: h.PlanEvery})
+	case membership.Store:
+		return store.New(store.Options{Options: h.Roll, Store: h.Store, Run: h.Run, Storage: shelf, Random: dice})
+	case membership.Registry:
+		return registry.New(registry.Options{Options: h.Roll, Random: dice, PlanEvery: h.PlanEvery})
 	}
-	return counter.New(h.Roll, counter.Options{Lease: h.Lease})
+	return proxy.New(h.Roll, proxy.Options{Lease: h.Lease})
 }
 
 // tape records this run of a process from its start, if that was asked for.
@@ -56,20 +56,20 @@
 		return 0, fmt.Errorf("no head: %.80s", head)
 	}
 	d := newDisk(nil)
-	return Play(&shelved{Machine: h.machine(d), disk: d, wait: map[uint64][]works.Record{}}, book)
+	return Play(&shelved{Machine: h.machine(d), disk: d, wait: map[uint64][]event.Record{}}, book)
 }
 
 // shelved keeps what a machine settles, and has it on the shelf once the
 // daybook says that it was synced.
 type shelved struct {
-	works.Machine
+	event.Machine
 	disk *disk
-	wait map[uint64][]works.Record
+	wait map[uint64][]event.Record
 	done uint64
 }
 
-func (s *shelved) Step(now ticket.Tick, ev works.Event) []works.Command {
-	if e, ok := ev.(works.Settled); ok {
+func (s *shelved) Step(now ids.Time, ev event.Event) []event.Command {
+	if e, ok := ev.(event.Synced); ok {
 		for ; s.done <= e.Turn; s.done++ {
 			for _, r := range s.wait[s.done] {
 				s.disk.records[r.Key] = r.Value
@@ -79,7 +79,7 @@
 	}
 	out := s.Machine.Step(now, ev)
 	for _, c := range out {
-		if w, ok := c.(works.Settle); ok {
+		if w, ok := c.(event.Sync); ok {
 			s.wait[w.Turn] = append(s.wait[w.Turn], w.Records...)
 		}
 	}
--- a/internal/drill/target.go
+++ b/internal/simulator/target.go
@@ -1,4 +1,4 @@
-package drill
+package simulator
 
 import (
 	"cmp"
@@ -6,36 +6,36 @@
 	"slices"
 	"time"
 
-	"dunlinwell/internal/foreman"
-	"dunlinwell/internal/rollcall"
-	"dunlinwell/internal/ticket"
-	"dunlinwell/internal/till"
-	"dunlinwell/internal/witness"
-	"dunlinwell/internal/yard"
+	"dunlinwell/internal/checker"
+	"dunlinwell/internal/idempotency"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/membership"
+	"dunlinwell/internal/registry"
+	"dunlinwell/internal/targets"
 )
 
 // target is a stand-in target in the simulated world.
 type target struct {
 	w           *World
-	id          ticket.Instance
-	service     ticket.Name
-	cell        ticket.Name
-	addr        ticket.Address
+	id          ids.Instance
+	service     ids.Name
+	cell        ids.Name
+	addr        ids.Address
 	capacity    int
 	up          bool
 	gen         int
 	leaving     bool
-	left        ticket.Tick
-	born        ticket.Tick
-	incarnation ticket.Incarnation
-	sequence    ticket.Sequence
+	left        ids.Time
+	born        ids.Time
+	incarnation ids.Incarnation
+	sequence    ids.Sequence
 	busy        int
-	// heard is when a foreman last took its announcement. While frozen it does
+	// heard is when a registry last took its announcement. While frozen it does
 	// nothing, and what comes waits in its sockets.
-	heard  ticket.Tick
+	heard  ids.Time
 	frozen bool
 	wait   []func()
-	// via is the foreman that was told last.
+	// via is the registry that was told last.
 	via *proc
 	// mute and spoil are shares of answers lost after the work, or broken.
 	mute, spoil float64
@@ -52,7 +52,7 @@
 	t.gen++
 	t.up, t.leaving, t.left, t.busy, t.sequence = true, false, 0, 0, 0
 	t.frozen, t.wait, t.heard = false, nil, 0
-	t.incarnation = ticket.Incarnation(t.w.now/ticket.Tick(time.Millisecond)) + 1
+	t.incarnation = ids.Incarnation(t.w.now/ids.Time(time.Millisecond)) + 1
 	t.born = t.w.now
 	if !cold {
 		t.born = t.w.now.Add(-targetWarm)
@@ -87,17 +87,17 @@
 	return min(1, max(0.1, float64(t.w.now.Since(t.born))/float64(targetWarm)))
 }
 
-// announce tells some foreman that can be reached.
+// announce tells some registry that can be reached.
 func (t *target) announce() {
 	t.sequence++
-	a := yard.Target{Instance: t.id, Incarnation: t.incarnation, Sequence: t.sequence, Service: t.service, Address: t.addr, Cell: t.cell,
+	a := targets.Target{Instance: t.id, Incarnation: t.incarnation, Sequence: t.sequence, Service: t.service, Address: t.addr, Cell: t.cell,
 		Leaving: t.leaving, Warmth: t.warmth(), Occupancy: int64(t.busy), Capacity: int64(t.capacity), Interval: uint32(announceEvery / time.Millisecond)}
 	gen := t.gen
-	t.via = t.w.anyForeman()
+	t.via = t.w.anyRegistry()
 	if t.via == nil {
 		return
 	}
-	t.w.callAt(t.via, string(t.id), t.cell, func(id uint64) any { t.heard = t.w.now; return foreman.AnnounceCall{ID: id, Target: a} }, func(foreman.Response) {
+	t.w.callAt(t.via, string(t.id), t.cell, func(id uint64) any { t.heard = t.w.now; return registry.HeartbeatCall{ID: id, Target: a} }, func(registry.Response) {
 		// From here on the system has learned that it leaves.
 		if t.gen == gen && a.Leaving && t.left == 0 {
 			t.left = t.w.now
@@ -115,11 +115,11 @@
 }
 
 // run is one execution: it is written down, and answered after its work. Sent
-// is when its bytes left the counter, and came when they reached the target.
-func (t *target) run(e *errand, p *proc, s ticket.Name, sent, came ticket.Tick, left time.Duration, done func(till.Response, bool)) {
+// is when its bytes left the proxy, and came when they reached the target.
+func (t *target) run(e *errand, p *proc, s ids.Name, sent, came ids.Time, left time.Duration, done func(idempotency.Response, bool)) {
 	t.busy++
-	r := witness.Ran{At: t.w.clock(), Sent: clock(sent), Instance: t.id, Service: t.service, Cell: t.cell, Token: e.token, Mark: string(e.Mark), Attempt: e.try, Untold: e.Job.Attempt == 0,
-		After: t.knownFor(came), Route: e.Route, Left: left, Counter: p.name, By: p.cell}
+	r := checker.Ran{At: t.w.clock(), Sent: clock(sent), Instance: t.id, Service: t.service, Cell: t.cell, Token: e.token, Mark: string(e.Mark), Attempt: e.try, Untold: e.Job.Attempt == 0,
+		After: t.knownFor(came), Route: e.Route, Left: left, Proxy: p.name, By: p.cell}
 	t.w.Truth.Run(r)
 	t.w.trace("%s runs %s attempt %d for %s", t.id, e.token, e.try, p.name)
 	if s != t.service {
@@ -132,20 +132,20 @@
 	body := fmt.Sprintf("%s/%s/%x", e.token, t.id, t.w.dice.Uint64())
 	t.w.later(t.w.between(workTime/2, workTime*3/2), func() {
 		if t.gen != gen {
-			done(till.Response{}, false)
+			done(idempotency.Response{}, false)
 			return
 		}
 		t.busy--
 		bad := t.w.dice.Float64()
-		done(till.Response{Status: 200, Body: []byte(body)}, bad >= t.mute+t.spoil)
+		done(idempotency.Response{Status: 200, Body: []byte(body)}, bad >= t.mute+t.spoil)
 	})
 }
 
-// anyForeman draws one that is up; nil where none is.
-func (w *World) anyForeman() *proc {
+// anyRegistry draws one that is up; nil where none is.
+func (w *World) anyRegistry() *proc {
 	var up []*proc
 	for _, p := range w.procs {
-		if p.role == rollcall.Foreman && p.up {
+		if p.role == membership.Registry && p.up {
 			up = append(up, p)
 		}
 	}
@@ -155,10 +155,10 @@
 	return up[w.dice.IntN(len(up))]
 }
 
-// call is an outside call to some foreman that is up and within reach; none
+// call is an outside call to some registry that is up and within reach; none
 // is called where nobody is. Lost, if given, hears of a call that got no word.
-func (w *World) call(name string, cell ticket.Name, make1 func(id uint64) any, done func(foreman.Response), lost func()) {
-	p := w.anyForeman()
+func (w *World) call(name string, cell ids.Name, make1 func(id uint64) any, done func(registry.Response), lost func()) {
+	p := w.anyRegistry()
 	if p == nil {
 		if lost != nil {
 			w.later(time.Millisecond, lost)
@@ -168,8 +168,8 @@
 	w.callAt(p, name, cell, make1, done, lost)
 }
 
-// callAt is an outside call to one foreman.
-func (w *World) callAt(p *proc, name string, cell ticket.Name, make1 func(id uint64) any, done func(foreman.Response), lost func()) {
+// callAt is an outside call to one registry.
+func (w *World) callAt(p *proc, name string, cell ids.Name, make1 func(id uint64) any, done func(registry.Response), lost func()) {
 	over := false
 	once := func(f func()) {
 		if !over && f != nil {
@@ -188,7 +188,7 @@
 		}
 		p.nextID++
 		id := p.nextID
-		p.calls[id] = func(r foreman.Response) {
+		p.calls[id] = func(r registry.Response) {
 			if w.open(p.name, p.cell, name, cell) {
 				w.later(w.far(p.cell, cell), func() { once(func() { done(r) }) })
 			}
@@ -197,11 +197,11 @@
 	})
 }
 
-func sortedPairs(m map[[2]ticket.Name]float64) [][2]ticket.Name {
-	var out [][2]ticket.Name
+func sortedPairs(m map[[2]ids.Name]float64) [][2]ids.Name {
+	var out [][2]ids.Name
 	for k := range m {
 		out = append(out, k)
 	}
-	slices.SortFunc(out, func(a, b [2]ticket.Name) int { return cmp.Or(cmp.Compare(a[0], b[0]), cmp.Compare(a[1], b[1])) })
+	slices.SortFunc(out, func(a, b [2]ids.Name) int { return cmp.Or(cmp.Compare(a[0], b[0]), cmp.Compare(a[1], b[1])) })
 	return out
 }
--- a/internal/drill/world.go
+++ b/internal/simulator/world.go
@@ -2,7 +2,7 @@
 // run, under a seeded scheduler with virtual time, a net that loses, delays,
 // doubles and cuts, disks that lose what was not synced, processes that are
 // killed and frozen, and clocks that jump.
-package drill
+package simulator
 
 import (
 	"container/heap"
@@ -10,14 +10,14 @@
 	"math/rand/v2"
 	"time"
 
-	"dunlinwell/internal/ticket"
-	"dunlinwell/internal/witness"
-	"dunlinwell/internal/works"
+	"dunlinwell/internal/checker"
+	"dunlinwell/internal/event"
+	"dunlinwell/internal/ids"
 )
 
 // task is something due at a virtual time; ties go by the order of asking.
 type task struct {
-	at  ticket.Tick
+	at  ids.Time
 	seq uint64
 	run func()
 }
@@ -43,23 +43,23 @@
 // World is one simulated run.
 type World struct {
 	Params
-	now    ticket.Tick
+	now    ids.Time
 	seq    uint64
 	agenda agenda
 	dice   *rand.Rand
 	procs  []*proc
-	at     map[ticket.Address]*proc
+	at     map[ids.Address]*proc
 	pool   []*target
-	owner  map[ticket.Address]*target
+	owner  map[ids.Address]*target
 	cuts   []*cut
-	Truth  *witness.Truth
+	Truth  *checker.Truth
 	Log    []string
 	net    weather
 	office office
 	crowd  crowd
 	sum    uint64
 	Events uint64
-	healed ticket.Tick
+	healed ids.Time
 	// counted: every consumer numbers its attempts. One that doesn't gets
 	// "may have run" for a while after marks were lost.
 	counted bool
@@ -77,15 +77,15 @@
 
 // cut keeps messages from one side from reaching the other.
 type cut struct {
-	a, b   func(name string, cell ticket.Name) bool
+	a, b   func(name string, cell ids.Name) bool
 	oneWay bool
 }
 
 // NewWorld makes an empty world for a seed.
 func NewWorld(p Params) *World {
 	p.fill()
-	return &World{Params: p, dice: rand.New(rand.NewPCG(p.Seed, 0x64756e6c696e)), at: map[ticket.Address]*proc{},
-		owner: map[ticket.Address]*target{}, Truth: &witness.Truth{}, net: weather{jitter: time.Millisecond}}
+	return &World{Params: p, dice: rand.New(rand.NewPCG(p.Seed, 0x64756e6c696e)), at: map[ids.Address]*proc{},
+		owner: map[ids.Address]*target{}, Truth: &checker.Truth{}, net: weather{jitter: time.Millisecond}}
 }
 
 // later asks for something to be done after a while.
@@ -95,7 +95,7 @@
 }
 
 // until runs the agenda up to a time.
-func (w *World) until(t ticket.Tick) {
+func (w *World) until(t ids.Time) {
 	for len(w.agenda) > 0 && w.agenda[0].at <= t {
 		x := heap.Pop(&w.agenda).(task)
 		w.now = x.at
@@ -108,7 +108,7 @@
 // clock is virtual time as the witness wants it.
 func (w *World) clock() time.Time { return clock(w.now) }
 
-func clock(t ticket.Tick) time.Time { return time.Unix(0, int64(t)) }
+func clock(t ids.Time) time.Time { return time.Unix(0, int64(t)) }
 
 // trace keeps a line of what happened, and sums all of them up, so that two
 // runs of one seed can be told to be the same.
@@ -128,7 +128,7 @@
 }
 
 // far is the time a message takes between two cells.
-func (w *World) far(a, b ticket.Name) time.Duration {
+func (w *World) far(a, b ids.Name) time.Duration {
 	base := 200 * time.Microsecond
 	switch {
 	case a == b:
@@ -141,7 +141,7 @@
 }
 
 // open tells whether a message can pass.
-func (w *World) open(fromName string, from ticket.Name, toName string, to ticket.Name) bool {
+func (w *World) open(fromName string, from ids.Name, toName string, to ids.Name) bool {
 	for _, c := range w.cuts {
 		if c.a(fromName, from) && c.b(toName, to) || !c.oneWay && c.b(fromName, from) && c.a(toName, to) {
 			return false
@@ -151,7 +151,7 @@
 }
 
 // send carries a message between daemons.
-func (w *World) send(from *proc, to ticket.Address, msg any) {
+func (w *World) send(from *proc, to ids.Address, msg any) {
 	if w.Defect.Message != nil {
 		name := ""
 		if q := w.at[to]; q != nil {
@@ -181,7 +181,7 @@
 		w.later(d, func() {
 			// Whoever has the address when it arrives gets it.
 			if q := w.at[to]; q != nil && q.up {
-				q.take(works.Heard{From: from.addr, Msg: msg})
+				q.take(event.Received{From: from.addr, Msg: msg})
 			}
 		})
 	}
--- a/internal/haulage/export.go
+++ b/internal/spill/export.go
@@ -1,10 +1,10 @@
-package haulage
+package spill
 
 import (
 	"cmp"
 	"slices"
 
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
 )
 
 // account opens the one account of room: what each cell may still receive
@@ -25,14 +25,14 @@
 }
 
 // near orders the other cells by distance from one.
-func (p *planner) near(from ticket.Name) []ticket.Name {
-	var out []ticket.Name
+func (p *planner) near(from ids.Name) []ids.Name {
+	var out []ids.Name
 	for n := range p.cells {
 		if n != from {
 			out = append(out, n)
 		}
 	}
-	slices.SortFunc(out, func(a, b ticket.Name) int {
+	slices.SortFunc(out, func(a, b ids.Name) int {
 		return cmp.Or(cmp.Compare(p.Distance(from, a), p.Distance(from, b)), cmp.Compare(a, b))
 	})
 	return out
@@ -40,7 +40,7 @@
 
 // export plans the moves out of every cell over its maximum.
 func (p *planner) export() {
-	wants, want, room := map[ticket.Name]float64{}, 0.0, 0.0
+	wants, want, room := map[ids.Name]float64{}, 0.0, 0.0
 	// In order, as sums of floats differ by it, and one seed is one run.
 	for i := range p.Cells {
 		c := &p.Cells[i]
@@ -68,12 +68,12 @@
 		}
 	}
 	// Demand as it was before this pass: fractions refer to it.
-	demand := map[[2]ticket.Name]float64{}
+	demand := map[[2]ids.Name]float64{}
 	for _, l := range leaving {
-		demand[[2]ticket.Name{l.From, l.Route}] = p.demand(p.cells[l.From], l.Route)
+		demand[[2]ids.Name{l.From, l.Route}] = p.demand(p.cells[l.From], l.Route)
 	}
 	for _, h := range Place(leaving, p.room, p.near) {
-		d := demand[[2]ticket.Name{h.From, h.Route}]
+		d := demand[[2]ids.Name{h.From, h.Route}]
 		if d <= 0 {
 			continue
 		}
@@ -81,8 +81,8 @@
 	}
 }
 
-func keys[V any](m map[ticket.Name]V) func(func(ticket.Name) bool) {
-	return func(yield func(ticket.Name) bool) {
+func keys[V any](m map[ids.Name]V) func(func(ids.Name) bool) {
+	return func(yield func(ids.Name) bool) {
 		for k := range m {
 			if !yield(k) {
 				return
@@ -94,7 +94,7 @@
 // own is the CPU time that a cell can still hand on: its own fresh circuits',
 // not what others gave it.
 func (p *planner) own(c *Cell) []Row {
-	in := map[ticket.Name]float64{}
+	in := map[ids.Name]float64{}
 	for _, m := range p.moves {
 		if m.To == c.Name && p.cells[m.From] != nil {
 			in[m.Route] += m.Fraction * p.demand(p.cells[m.From], m.Route)
@@ -107,7 +107,7 @@
 		if _, ranked := p.Ranks[r.Route]; !ranked {
 			continue
 		}
-		r.CPU = max(r.CPU+p.back[[2]ticket.Name{c.Name, r.Route}]-in[r.Route], 0)
+		r.CPU = max(r.CPU+p.back[[2]ids.Name{c.Name, r.Route}]-in[r.Route], 0)
 		// Of a route that is all away there is nothing fresh left to hand on;
 		// what it uses here are circuits that stay until they end by themselves.
 		if p.out(c.Name, r.Route) > 1-homely {
--- a/internal/haulage/fit.go
+++ b/internal/spill/fit.go
@@ -1,4 +1,4 @@
-package haulage
+package spill
 
 import (
 	"cmp"
--- a/internal/haulage/plan.go
+++ b/internal/spill/plan.go
@@ -1,22 +1,22 @@
-package haulage
+package spill
 
 import (
 	"cmp"
 	"slices"
 
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
 )
 
 // View is all that one plan goes by.
 type View struct {
 	Cells    []Cell
-	Distance func(a, b ticket.Name) float64
-	Ranks    map[ticket.Name]Rank
+	Distance func(a, b ids.Name) float64
+	Ranks    map[ids.Name]Rank
 	// Pending is CPU time that earlier plans sent to a cell and that its
 	// reports can't show yet; it stays charged to its room. Leaving is the
 	// same for cells that plans took from.
-	Pending map[ticket.Name]float64
-	Leaving map[ticket.Name]float64
+	Pending map[ids.Name]float64
+	Leaving map[ids.Name]float64
 }
 
 const (
@@ -32,17 +32,17 @@
 // planner is one pass over all cells.
 type planner struct {
 	View
-	cells map[ticket.Name]*Cell
+	cells map[ids.Name]*Cell
 	moves []Move
-	room  map[ticket.Name]float64
+	room  map[ids.Name]float64
 	// back is CPU time, by cell and route, that comes home because its moves
 	// ended just now; reports can't show it yet.
-	back map[[2]ticket.Name]float64
+	back map[[2]ids.Name]float64
 }
 
 // Plan gives the next moves from the last ones and what was reported.
 func Plan(v View, last []Move) []Move {
-	p := &planner{View: v, cells: map[ticket.Name]*Cell{}, moves: slices.Clone(last), room: map[ticket.Name]float64{}, back: map[[2]ticket.Name]float64{}}
+	p := &planner{View: v, cells: map[ids.Name]*Cell{}, moves: slices.Clone(last), room: map[ids.Name]float64{}, back: map[[2]ids.Name]float64{}}
 	for i := range v.Cells {
 		p.cells[v.Cells[i].Name] = &v.Cells[i]
 	}
@@ -67,13 +67,13 @@
 func (p *planner) used(c *Cell) float64 {
 	sum := c.Used() + p.Pending[c.Name] - p.Leaving[c.Name]
 	for _, r := range slices.Sorted(keys(p.Ranks)) {
-		sum += p.back[[2]ticket.Name{c.Name, r}]
+		sum += p.back[[2]ids.Name{c.Name, r}]
 	}
 	return max(sum, 0)
 }
 
 // out is the share of a route's fresh circuits that a cell hands on.
-func (p *planner) out(from, route ticket.Name) float64 {
+func (p *planner) out(from, route ids.Name) float64 {
 	sum := 0.0
 	for _, m := range p.moves {
 		if m.From == from && m.Route == route {
@@ -87,8 +87,8 @@
 // it keeps, scaled up by what it hands on. What it keeps includes circuits held
 // since before the moves, so scaling alone would take a few of those for a
 // crowd: it never counts for more than what is kept and what was moved.
-func (p *planner) demand(c *Cell, route ticket.Name) float64 {
-	back := p.back[[2]ticket.Name{c.Name, route}]
+func (p *planner) demand(c *Cell, route ids.Name) float64 {
+	back := p.back[[2]ids.Name{c.Name, route}]
 	kept := 0.0
 	for _, r := range c.Rows {
 		if r.Route == route {
@@ -116,13 +116,13 @@
 		_, ranked := p.Ranks[m.Route]
 		ended := !ranked || from == nil || to == nil || to.Emptied || to.Gone || from.Emptied
 		if ended {
-			p.back[[2]ticket.Name{m.From, m.Route}] += m.Amount
+			p.back[[2]ids.Name{m.From, m.Route}] += m.Amount
 		}
 		return ended
 	})
 	for i, m := range p.moves {
 		if n := max(p.cells[m.From].Missed, p.cells[m.To].Missed); n > expireAfter {
-			p.back[[2]ticket.Name{m.From, m.Route}] += m.Amount / 2
+			p.back[[2]ids.Name{m.From, m.Route}] += m.Amount / 2
 			p.moves[i].Fraction /= 2
 			p.moves[i].Amount /= 2
 			p.moves[i].Why = "expiring: reports are stale"
@@ -147,7 +147,7 @@
 	}
 	slices.SortStableFunc(own, func(a, b int) int { return -order(p.Ranks[p.moves[a].Route], p.Ranks[p.moves[b].Route]) })
 	// Demand is taken before any fraction changes, or the sums would drift.
-	demands := map[ticket.Name]float64{}
+	demands := map[ids.Name]float64{}
 	for _, i := range own {
 		r := p.moves[i].Route
 		if _, ok := demands[r]; !ok {
--- a/internal/haulage/report.go
+++ b/internal/spill/report.go
@@ -1,4 +1,4 @@
-package haulage
+package spill
 
 import (
 	"cmp"
@@ -6,19 +6,19 @@
 	"slices"
 	"time"
 
-	"dunlinwell/internal/parcel"
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/wire"
 )
 
-// Report is what a counter tells of its CPU time, every few seconds.
+// Report is what a proxy tells of its CPU time, every few seconds.
 type Report struct {
-	Counter  ticket.Daemon
-	Start    ticket.Start
-	Cell     ticket.Name
-	Number   ticket.Number
+	Proxy    ids.Daemon
+	Start    ids.RunID
+	Cell     ids.Name
+	Number   ids.Number
 	Interval uint32
 	Rows     []Spent
-	// Latency is the 95th percentile of the counter's own time for a request,
+	// Latency is the 95th percentile of the proxy's own time for a request,
 	// inbox and handling without the target's, in microseconds.
 	Latency uint64
 	Count   uint64
@@ -26,34 +26,34 @@
 
 // Spent is CPU time by route and service in ms a second.
 type Spent struct {
-	Route   ticket.Name
-	Service ticket.Name
+	Route   ids.Name
+	Service ids.Name
 	CPU     float64
 }
 
 // CountedAs gives the report's number.
 func (r Report) CountedAs() uint64 { return uint64(r.Number) }
 
-var _ = parcel.Register(91, Report{})
+var _ = wire.Register(91, Report{})
 
-// Missing is how many intervals without a report make a counter's stale.
+// Missing is how many intervals without a report make a proxy's stale.
 const Missing = 3
 
-// Books keeps the newest report of every counter, and samples of each cell.
+// Books keeps the newest report of every proxy, and samples of each cell.
 type Books struct {
-	last    map[ticket.Daemon]entry
-	samples map[ticket.Name][]Sample
-	demand  map[ticket.Name]map[ticket.Name]float64
-	missed  map[ticket.Name]int
+	last    map[ids.Daemon]entry
+	samples map[ids.Name][]Sample
+	demand  map[ids.Name]map[ids.Name]float64
+	missed  map[ids.Name]int
 	// Span is what the planner averages over.
 	Span time.Duration
 }
 
-// entry is a counter's newest report, and the earlier ones of the span that
+// entry is a proxy's newest report, and the earlier ones of the span that
 // the planner averages over.
 type entry struct {
 	Report
-	at   ticket.Tick
+	at   ids.Time
 	past []entry
 }
 
@@ -62,8 +62,8 @@
 const span = 20 * time.Second
 
 // mean gives the CPU time by route over the span.
-func (e entry) mean() map[ticket.Name]float64 {
-	out := map[ticket.Name]float64{}
+func (e entry) mean() map[ids.Name]float64 {
+	out := map[ids.Name]float64{}
 	all := append([]entry{e}, e.past...)
 	time := 0.0
 	for _, p := range all {
@@ -79,19 +79,19 @@
 
 // NewBooks makes empty books.
 func NewBooks() *Books {
-	return &Books{last: map[ticket.Daemon]entry{}, samples: map[ticket.Name][]Sample{},
-		demand: map[ticket.Name]map[ticket.Name]float64{}, missed: map[ticket.Name]int{}, Span: span}
+	return &Books{last: map[ids.Daemon]entry{}, samples: map[ids.Name][]Sample{},
+		demand: map[ids.Name]map[ids.Name]float64{}, missed: map[ids.Name]int{}, Span: span}
 }
 
 const mostSamples = 500
 
 // Enter takes a report; late and doubled ones are left out.
-func (b *Books) Enter(now ticket.Tick, r Report) {
-	if e, ok := b.last[r.Counter]; ok && e.Start == r.Start && r.Number <= e.Number {
+func (b *Books) Enter(now ids.Time, r Report) {
+	if e, ok := b.last[r.Proxy]; ok && e.Start == r.Start && r.Number <= e.Number {
 		return
 	}
 	e := entry{Report: r, at: now}
-	if old, ok := b.last[r.Counter]; ok && old.Start == r.Start {
+	if old, ok := b.last[r.Proxy]; ok && old.Start == r.Start {
 		past := append([]entry{{Report: old.Report, at: old.at}}, old.past...)
 		for _, p := range past {
 			if now.Since(p.at) < b.Span {
@@ -99,8 +99,8 @@
 			}
 		}
 	}
-	b.last[r.Counter] = e
-	// A sample is the cell's whole CPU time with this counter's latency.
+	b.last[r.Proxy] = e
+	// A sample is the cell's whole CPU time with this proxy's latency.
 	if r.Count >= 10 {
 		s := append(b.samples[r.Cell], Sample{b.used(r.Cell), float64(r.Latency) / 1000})
 		if len(s) > mostSamples {
@@ -110,7 +110,7 @@
 	}
 }
 
-func (b *Books) used(cell ticket.Name) float64 {
+func (b *Books) used(cell ids.Name) float64 {
 	sum := 0.0
 	for _, id := range slices.Sorted(maps.Keys(b.last)) {
 		if e := b.last[id]; e.Cell == cell {
@@ -122,18 +122,18 @@
 	return sum
 }
 
-// Seat is a live counter as the books need it.
+// Seat is a live proxy as the books need it.
 type Seat struct {
-	ID    ticket.Daemon
-	Start ticket.Start
-	Cell  ticket.Name
+	ID    ids.Daemon
+	Start ids.RunID
+	Cell  ids.Name
 }
 
-// Cell draws up a cell from the reports of its live counters. One whose live
-// counters have missed reports is stale.
-func (b *Books) Cell(now ticket.Tick, name ticket.Name, seats []Seat, ranks map[ticket.Name]Rank) Cell {
+// Cell draws up a cell from the reports of its live proxies. One whose live
+// proxies have missed reports is stale.
+func (b *Books) Cell(now ids.Time, name ids.Name, seats []Seat, ranks map[ids.Name]Rank) Cell {
 	c := Cell{Name: name, Gone: true}
-	sum := map[ticket.Name]float64{}
+	sum := map[ids.Name]float64{}
 	for _, s := range seats {
 		if s.Cell != name {
 			continue
@@ -160,7 +160,7 @@
 	return c
 }
 
-// Forget drops counters that are no longer on the list.
+// Forget drops proxies that are no longer on the list.
 func (b *Books) Forget(seats []Seat) {
 	for id, e := range b.last {
 		if !slices.ContainsFunc(seats, func(s Seat) bool { return s.ID == id && s.Start == e.Start }) {
@@ -170,7 +170,7 @@
 }
 
 // Samples gives what a cell's maximum is learned from.
-func (b *Books) Samples(cell ticket.Name) []Sample { return b.samples[cell] }
+func (b *Books) Samples(cell ids.Name) []Sample { return b.samples[cell] }
 
 // Missed counts plans in a row for which a cell was stale.
 func (b *Books) Missed(c Cell) int {
@@ -188,7 +188,7 @@
 	if c.Gone || c.Stale || c.Emptied {
 		return
 	}
-	d := map[ticket.Name]float64{}
+	d := map[ids.Name]float64{}
 	for _, r := range c.Rows {
 		d[r.Route] = r.CPU
 		for _, m := range moves {
@@ -201,7 +201,7 @@
 }
 
 // Demand gives what a cell's fresh circuits used when it last was well.
-func (b *Books) Demand(cell ticket.Name) float64 {
+func (b *Books) Demand(cell ids.Name) float64 {
 	sum := 0.0
 	for _, n := range slices.Sorted(maps.Keys(b.demand[cell])) {
 		sum += b.demand[cell][n]
@@ -212,7 +212,7 @@
 // Uses gives what each route uses in the cells that some moves are from.
 func (b *Books) Uses(moves []Move) []Use {
 	var out []Use
-	seen := map[ticket.Name]bool{}
+	seen := map[ids.Name]bool{}
 	for _, m := range moves {
 		if seen[m.From] {
 			continue
@@ -227,7 +227,7 @@
 
 // Draw picks one of some routes by what each uses in a cell, with a draw from 0
 // up to 1; none where nothing is known, as nothing is moved there.
-func (t Table) Draw(cell ticket.Name, routes []ticket.Name, draw float64) ticket.Name {
+func (t Table) Draw(cell ids.Name, routes []ids.Name, draw float64) ids.Name {
 	sum, own := 0.0, []Use{}
 	for _, u := range t.Uses {
 		if u.Cell == cell && slices.Contains(routes, u.Route) {
--- a/internal/haulage/scale_test.go
+++ b/internal/spill/scale_test.go
@@ -1,30 +1,30 @@
-package haulage
+package spill
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"testing"
 
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
 )
 
 // large is a view of cells that each serve every route, a third of them over
 // their target.
 func large(cells, routes int) View {
 	dice := rand.New(rand.NewPCG(1, 2))
-	v := View{Ranks: map[ticket.Name]Rank{}, Pending: map[ticket.Name]float64{}, Leaving: map[ticket.Name]float64{},
-		Distance: func(a, b ticket.Name) float64 {
+	v := View{Ranks: map[ids.Name]Rank{}, Pending: map[ids.Name]float64{}, Leaving: map[ids.Name]float64{},
+		Distance: func(a, b ids.Name) float64 {
 			if a == b {
 				return 0
 			}
 			return 1
 		}}
 	for r := range routes {
-		n := ticket.Name(fmt.Sprintf("route-%d", r))
+		n := ids.Name(fmt.Sprintf("route-%d", r))
 		v.Ranks[n] = Rank{Tier: r % 10, Service: 5, Route: n}
 	}
 	for c := range cells {
-		x := Cell{Name: ticket.Name(fmt.Sprintf("cell-%d", c)), Target: 8500, Acceptable: 6800, Maximum: 9350}
+		x := Cell{Name: ids.Name(fmt.Sprintf("cell-%d", c)), Target: 8500, Acceptable: 6800, Maximum: 9350}
 		level := 6000.0
 		if c%3 == 0 {
 			level = 10000
--- a/internal/haulage/haulage.go
+++ b/internal/spill/spill.go
@@ -1,14 +1,14 @@
-// Package haulage plans the spill: what share of fresh circuits each cell
+// Package spill plans the spill: what share of fresh circuits each cell
 // hands to another, after Cloudflare's Traffic Manager. One plan covers all
 // cells and keeps one account of room.
-package haulage
+package spill
 
 import (
 	"cmp"
 	"slices"
 
-	"dunlinwell/internal/parcel"
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/wire"
 )
 
 // Rank orders routes: the route's tier, then its service's; 9 is the most
@@ -16,7 +16,7 @@
 type Rank struct {
 	Tier    int
 	Service int
-	Route   ticket.Name
+	Route   ids.Name
 }
 
 // Less tells whether r leaves before s.
@@ -32,7 +32,7 @@
 
 // Cell is a cell as the planner sees it.
 type Cell struct {
-	Name       ticket.Name
+	Name       ids.Name
 	Target     float64
 	Acceptable float64
 	Maximum    float64
@@ -40,7 +40,7 @@
 	// Emptied cells neither plan nor receive; Stale ones receive nothing more.
 	Emptied bool
 	Stale   bool
-	// Gone cells have no counter left at all.
+	// Gone cells have no proxy left at all.
 	Gone bool
 	// Missed counts the plans for which the cell has been stale.
 	Missed int
@@ -57,9 +57,9 @@
 
 // Move is a share of a route's fresh circuits that one cell hands to another.
 type Move struct {
-	From     ticket.Name
-	To       ticket.Name
-	Route    ticket.Name
+	From     ids.Name
+	To       ids.Name
+	Route    ids.Name
 	Fraction float64
 	// Amount is the CPU time that the move was planned to be, in ms a second.
 	Amount float64
@@ -68,8 +68,8 @@
 
 // Table is a plan under its epoch; a higher epoch or number replaces it.
 type Table struct {
-	Epoch  ticket.Epoch
-	Number ticket.Number
+	Epoch  ids.Epoch
+	Number ids.Number
 	Moves  []Move
 	// Uses are what routes use in cells that hand something on, for asks that
 	// stand for several routes.
@@ -78,7 +78,7 @@
 
 // Use is what fresh circuits of a route use in a cell, in ms a second.
 type Use struct {
-	Cell, Route ticket.Name
+	Cell, Route ids.Name
 	CPU         float64
 }
 
@@ -90,7 +90,7 @@
 	return cmp.Or(cmp.Compare(t.Epoch, u.Epoch), cmp.Compare(t.Number, u.Number)) > 0
 }
 
-var _ = parcel.Register(90, Table{})
+var _ = wire.Register(90, Table{})
 
 // Excess is what a cell must move to come back to its target: what it uses
 // times 1 - target/utilisation. Both levels are in the same unit.
@@ -133,24 +133,24 @@
 // Outgoing is CPU time that leaves a cell.
 type Outgoing struct {
 	Row
-	From ticket.Name
+	From ids.Name
 }
 
 // Haul is where CPU time goes.
-type Haul struct {
+type Transfer struct {
 	Outgoing
-	To ticket.Name
+	To ids.Name
 }
 
 // Place gives the most urgent of all that leaves, from whatever cell, the
 // nearest room. The account of room is one, so that several hot cells can't
 // overfill a destination; it is used up in place.
-func Place(leaving []Outgoing, room map[ticket.Name]float64, near func(from ticket.Name) []ticket.Name) []Haul {
+func Place(leaving []Outgoing, room map[ids.Name]float64, near func(from ids.Name) []ids.Name) []Transfer {
 	leaving = slices.Clone(leaving)
 	slices.SortStableFunc(leaving, func(a, b Outgoing) int {
 		return cmp.Or(-order(a.Rank, b.Rank), cmp.Compare(a.From, b.From))
 	})
-	var out []Haul
+	var out []Transfer
 	for _, l := range leaving {
 		left := l.CPU
 		for _, to := range near(l.From) {
@@ -163,7 +163,7 @@
 			}
 			room[to] -= part
 			left -= part
-			h := Haul{Outgoing: l, To: to}
+			h := Transfer{Outgoing: l, To: to}
 			h.CPU = part
 			out = append(out, h)
 		}
--- a/internal/haulage/haulage_test.go
+++ b/internal/spill/spill_test.go
@@ -1,4 +1,4 @@
-package haulage
+package spill
 
 import (
 	"math"
@@ -7,7 +7,7 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
 )
 
 func near(a, b float64) bool { return math.Abs(a-b) < 1e-6*max(1, math.Abs(b)) }
@@ -23,19 +23,19 @@
 func sourceCells() []Cell {
 	a := Cell{Name: "a", Target: 1100, Acceptable: 900, Maximum: 1200}
 	for i, r := range []struct {
-		n ticket.Name
+		n ids.Name
 		c float64
 	}{{"free", 500}, {"pro", 400}, {"business", 200}, {"enterprise", 1000}} {
 		a.Rows = append(a.Rows, Row{Rank{Tier: i, Route: r.n}, r.c})
 	}
-	dest := func(n ticket.Name, room float64) Cell {
+	dest := func(n ids.Name, room float64) Cell {
 		return Cell{Name: n, Target: 1200, Acceptable: 1000, Maximum: 1300, Rows: []Row{{Rank{Route: "free"}, 1000 - room}}}
 	}
 	return []Cell{a, dest("b", 300), dest("c", 500), dest("d", 900)}
 }
 
-func ranks() map[ticket.Name]Rank {
-	out := map[ticket.Name]Rank{}
+func ranks() map[ids.Name]Rank {
+	out := map[ids.Name]Rank{}
 	for _, r := range sourceCells()[0].Rows {
 		out[r.Route] = r.Rank
 	}
@@ -43,9 +43,9 @@
 }
 
 func view(cells []Cell) View {
-	place := map[ticket.Name]float64{"a": 0, "b": 1, "c": 2, "d": 3}
-	return View{Cells: cells, Ranks: ranks(), Pending: map[ticket.Name]float64{}, Leaving: map[ticket.Name]float64{},
-		Distance: func(a, b ticket.Name) float64 { return math.Abs(place[a] - place[b]) }}
+	place := map[ids.Name]float64{"a": 0, "b": 1, "c": 2, "d": 3}
+	return View{Cells: cells, Ranks: ranks(), Pending: map[ids.Name]float64{}, Leaving: map[ids.Name]float64{},
+		Distance: func(a, b ids.Name) float64 { return math.Abs(place[a] - place[b]) }}
 }
 
 // The source's second worked example: A moves 1,000 ms/s to B, C and D.
@@ -53,7 +53,7 @@
 	is := is.New(t)
 	got := map[string]float64{}
 	for _, m := range Plan(view(sourceCells()), nil) {
-		is.Equal(m.From, ticket.Name("a"))
+		is.Equal(m.From, ids.Name("a"))
 		got[string(m.Route+">"+m.To)] = m.Amount
 	}
 	want := map[string]float64{"business>b": 100, "pro>b": 200, "pro>c": 200, "free>c": 300, "free>d": 200}
@@ -66,14 +66,14 @@
 // Two hot cells can't overfill one destination: the account of room is one.
 func TestSeveralHotCellsOneDestination(t *testing.T) {
 	is := is.New(t)
-	hot := func(n ticket.Name) Cell {
+	hot := func(n ids.Name) Cell {
 		return Cell{Name: n, Target: 800, Acceptable: 600, Maximum: 900, Rows: []Row{{Rank{Tier: 0, Route: "free"}, 700}, {Rank{Tier: 1, Route: "pro"}, 700}}}
 	}
 	cold := Cell{Name: "c", Target: 800, Acceptable: 600, Maximum: 900, Rows: []Row{{Rank{Tier: 0, Route: "free"}, 100}}}
 	sum := 0.0
 	for _, m := range Plan(view([]Cell{hot("a"), hot("b"), cold}), nil) {
-		is.Equal(m.To, ticket.Name("c"))
-		is.Equal(m.Route, ticket.Name("free")) // the lowest tier leaves first
+		is.Equal(m.To, ids.Name("c"))
+		is.Equal(m.Route, ids.Name("free")) // the lowest tier leaves first
 		sum += m.Amount
 	}
 	is.True(near(sum, 500))
@@ -144,13 +144,13 @@
 func TestRemovedRoutesAreNotMoved(t *testing.T) {
 	is := is.New(t)
 	stay := Rank{Tier: 3, Route: "stock"}
-	v := View{Distance: func(a, b ticket.Name) float64 { return 1 }, Ranks: map[ticket.Name]Rank{"stock": stay},
-		Pending: map[ticket.Name]float64{}, Leaving: map[ticket.Name]float64{},
+	v := View{Distance: func(a, b ids.Name) float64 { return 1 }, Ranks: map[ids.Name]Rank{"stock": stay},
+		Pending: map[ids.Name]float64{}, Leaving: map[ids.Name]float64{},
 		Cells: []Cell{{Name: "a", Target: 100, Acceptable: 80, Maximum: 110, Rows: []Row{{stay, 100}, {Rank{Route: "flip"}, 50}}},
 			{Name: "b", Target: 100, Acceptable: 80, Maximum: 110}}}
 	moves := Plan(v, nil)
 	is.Equal(len(moves), 1)
-	is.Equal(moves[0].Route, ticket.Name("stock"))
+	is.Equal(moves[0].Route, ids.Name("stock"))
 	is.True(moves[0].Amount > 49) // all of the excess
 }
 
@@ -159,13 +159,13 @@
 func TestEndedMovesArePlannedForAtOnce(t *testing.T) {
 	is := is.New(t)
 	low, high := Rank{Tier: 1, Route: "low"}, Rank{Tier: 9, Route: "high"}
-	v := View{Distance: func(a, b ticket.Name) float64 { return 1 }, Ranks: map[ticket.Name]Rank{"low": low, "high": high},
-		Pending: map[ticket.Name]float64{}, Leaving: map[ticket.Name]float64{},
+	v := View{Distance: func(a, b ids.Name) float64 { return 1 }, Ranks: map[ids.Name]Rank{"low": low, "high": high},
+		Pending: map[ids.Name]float64{}, Leaving: map[ids.Name]float64{},
 		Cells: []Cell{{Name: "a", Target: 100, Acceptable: 80, Maximum: 110, Rows: []Row{{low, 4}, {high, 90}}},
 			{Name: "b", Target: 100, Acceptable: 80, Maximum: 110, Emptied: true}, {Name: "c", Target: 100, Acceptable: 80, Maximum: 110}}}
 	moves := Plan(v, []Move{{From: "a", To: "b", Route: "low", Fraction: 0.95, Amount: 76}})
 	is.Equal(len(moves), 1)
-	is.Equal(moves[0].To, ticket.Name("c"))
-	is.Equal(moves[0].Route, ticket.Name("low"))
+	is.Equal(moves[0].To, ids.Name("c"))
+	is.Equal(moves[0].Route, ids.Name("low"))
 	is.True(moves[0].Amount > 69 && moves[0].Amount < 71) // 4 + 90 + 76 less the target
 }
--- a/internal/haulage/swap.go
+++ b/internal/spill/swap.go
@@ -1,9 +1,9 @@
-package haulage
+package spill
 
 import (
 	"slices"
 
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
 )
 
 // homely is the share of a route at home below which it counts as away.
@@ -42,7 +42,7 @@
 }
 
 // exchange lets a lesser route go where an urgent one of the same cell went.
-func (p *planner) exchange(c *Cell, hi, lo ticket.Name) {
+func (p *planner) exchange(c *Cell, hi, lo ids.Name) {
 	high, low := p.demand(c, hi), p.demand(c, lo)
 	home := (1 - p.out(c.Name, lo)) * low
 	if high <= 0 || home <= homely*low {
--- a/internal/shelf/bench_test.go
+++ b/internal/storage/bench_test.go
@@ -1,11 +1,11 @@
-package shelf
+package storage
 
 import (
 	"fmt"
 	"testing"
 
-	"dunlinwell/internal/ticket"
-	"dunlinwell/internal/works"
+	"dunlinwell/internal/event"
+	"dunlinwell/internal/ids"
 )
 
 // BenchmarkKeep syncs one record, or many that waited together.
@@ -19,11 +19,11 @@
 			defer s.Close()
 			value := make([]byte, 300)
 			for i := range b.N {
-				var list []works.Record
+				var list []event.Record
 				for k := range n {
-					list = append(list, works.Record{Key: ticket.Key(fmt.Sprintf("item/mark/r/%d-%d", i, k)), Value: value})
+					list = append(list, event.Record{Key: ids.Key(fmt.Sprintf("item/mark/r/%d-%d", i, k)), Value: value})
 				}
-				if err := s.Keep(list); err != nil {
+				if err := s.Write(list); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/shelf/shelf.go
+++ b/internal/storage/storage.go
@@ -1,5 +1,5 @@
 // Package shelf is the disk: records in SQLite, safe once synced.
-package shelf
+package storage
 
 import (
 	"context"
@@ -14,33 +14,33 @@
 
 	_ "github.com/mattn/go-sqlite3" // the driver
 
-	"dunlinwell/internal/problem"
-	"dunlinwell/internal/ticket"
-	"dunlinwell/internal/works"
+	"dunlinwell/internal/errs"
+	"dunlinwell/internal/event"
+	"dunlinwell/internal/ids"
 )
 
 // Format is the disk format written here; a newer one is left untouched.
 const Format = 1
 
 // Shelf is one data folder.
-type Shelf struct {
+type Database struct {
 	db   *sql.DB
 	lock *os.File
 	load *sql.Stmt
 	page *sql.Stmt
 	// pen is the one connection that writes, with its statements prepared.
-	pen  *sql.Conn
-	put  *sql.Stmt
-	drop *sql.Stmt
+	writer *sql.Conn
+	put    *sql.Stmt
+	drop   *sql.Stmt
 	// Store is the id made with the folder, Run how often it was opened.
 	Store uint64
 	Run   uint64
 	// SetAside names a damaged database that was put out of the way.
 	SetAside string
 	// Broken is told of a disk that can't be read, and must end the process.
-	Broken func(error)
-	ran    int64
-	opened time.Duration
+	OnReadError func(error)
+	ran         int64
+	opened      time.Duration
 	// clock is this machine's running time; wall clocks jump.
 	clock func() time.Duration
 }
@@ -48,23 +48,23 @@
 var started = time.Now()
 
 // Open takes a data folder for this process alone.
-func Open(dir string) (*Shelf, error) {
+func Open(dir string) (*Database, error) {
 	return open(dir, func() time.Duration { return time.Since(started) })
 }
 
-func open(dir string, clock func() time.Duration) (*Shelf, error) {
+func open(dir string, clock func() time.Duration) (*Database, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return nil, problem.At(err, "make data folder", dir)
+		return nil, errs.Wrap(err, "make data folder", dir)
 	}
 	lock, err := os.OpenFile(filepath.Join(dir, "lock"), os.O_CREATE|os.O_RDWR, 0o644)
 	if err != nil {
-		return nil, problem.At(err, "open lock", dir)
+		return nil, errs.Wrap(err, "open lock", dir)
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		lock.Close()
-		return nil, problem.New("lock data folder", dir, "another process holds it")
+		return nil, errs.New("lock data folder", dir, "another process holds it")
 	}
-	s := &Shelf{lock: lock, opened: clock(), clock: clock}
+	s := &Database{lock: lock, opened: clock(), clock: clock}
 	path := filepath.Join(dir, "stockroom.db")
 	err = s.open(path)
 	if _, newer := err.(*NewerFormat); err != nil && !newer {
@@ -73,7 +73,7 @@
 		for _, end := range []string{"", "-wal", "-shm"} {
 			if e := os.Rename(path+end, s.SetAside+end); e != nil && !os.IsNotExist(e) {
 				lock.Close()
-				return nil, problem.At(e, "set damaged database aside", dir)
+				return nil, errs.Wrap(e, "set damaged database aside", dir)
 			}
 		}
 		err = s.open(path)
@@ -85,7 +85,7 @@
 	return s, syncFolder(dir)
 }
 
-func (s *Shelf) open(path string) error {
+func (s *Database) open(path string) error {
 	if raw, err := os.Open(path); err == nil {
 		// The format is read from the file's own header first, so that a
 		// newer database isn't so much as opened for writing.
@@ -100,27 +100,27 @@
 	}
 	db, err := sql.Open("sqlite3", "file:"+path+"?_journal_mode=WAL&_synchronous=FULL&_busy_timeout=5000&_txlock=immediate")
 	if err != nil {
-		return problem.At(err, "open database", path)
+		return errs.Wrap(err, "open database", path)
 	}
 	db.SetMaxOpenConns(4)
 	s.db = db
 	if err := s.prepare(); err != nil {
-		if s.pen != nil {
-			_ = s.pen.Close()
+		if s.writer != nil {
+			_ = s.writer.Close()
 		}
 		db.Close()
-		return problem.At(err, "read database", path)
+		return errs.Wrap(err, "read database", path)
 	}
 	return nil
 }
 
-func (s *Shelf) prepare() error {
+func (s *Database) prepare() error {
 	var check string
 	if err := s.db.QueryRow("PRAGMA quick_check(1)").Scan(&check); err != nil {
 		return err
 	}
 	if check != "ok" {
-		return problem.New("check database", "", "%s", check)
+		return errs.New("check database", "", "%s", check)
 	}
 	if _, err := s.db.Exec(fmt.Sprintf(`CREATE TABLE IF NOT EXISTS records (key TEXT PRIMARY KEY, value BLOB NOT NULL, born INTEGER NOT NULL) WITHOUT ROWID; PRAGMA user_version=%d`, Format)); err != nil {
 		return err
@@ -133,22 +133,22 @@
 		return err
 	}
 	ctx := context.Background()
-	if s.pen, err = s.db.Conn(ctx); err != nil {
+	if s.writer, err = s.db.Conn(ctx); err != nil {
 		return err
 	}
-	if s.put, err = s.pen.PrepareContext(ctx, "INSERT INTO records (key, value, born) VALUES (?, ?, ?) ON CONFLICT (key) DO UPDATE SET value = excluded.value, born = excluded.born"); err != nil {
+	if s.put, err = s.writer.PrepareContext(ctx, "INSERT INTO records (key, value, born) VALUES (?, ?, ?) ON CONFLICT (key) DO UPDATE SET value = excluded.value, born = excluded.born"); err != nil {
 		return err
 	}
-	if s.drop, err = s.pen.PrepareContext(ctx, "DELETE FROM records WHERE key = ?"); err != nil {
+	if s.drop, err = s.writer.PrepareContext(ctx, "DELETE FROM records WHERE key = ?"); err != nil {
 		return err
 	}
 	return s.count()
 }
 
 // count reads the store's own numbers and counts this opening.
-func (s *Shelf) count() error {
-	number := func(key ticket.Key) uint64 {
-		raw, ok := s.Fetch(key)
+func (s *Database) count() error {
+	number := func(key ids.Key) uint64 {
+		raw, ok := s.Get(key)
 		if !ok || len(raw) != 8 {
 			return 0
 		}
@@ -162,81 +162,81 @@
 		}
 		s.Store = binary.BigEndian.Uint64(raw[:])
 	}
-	return s.Keep([]works.Record{{Key: "meta/store", Value: binary.BigEndian.AppendUint64(nil, s.Store)},
+	return s.Write([]event.Record{{Key: "meta/store", Value: binary.BigEndian.AppendUint64(nil, s.Store)},
 		{Key: "meta/run", Value: binary.BigEndian.AppendUint64(nil, s.Run)}})
 }
 
 // Keep writes records in one transaction and returns once they are synced.
 // Only one thread may call it: the committer.
-func (s *Shelf) Keep(list []works.Record) error {
+func (s *Database) Write(list []event.Record) error {
 	ctx := context.Background()
-	if _, err := s.pen.ExecContext(ctx, "BEGIN IMMEDIATE"); err != nil {
-		return problem.At(err, "begin", "disk")
+	if _, err := s.writer.ExecContext(ctx, "BEGIN IMMEDIATE"); err != nil {
+		return errs.Wrap(err, "begin", "disk")
 	}
 	born := s.ranNow()
 	for _, r := range list {
 		var err error
-		if r.Drop {
+		if r.Delete {
 			_, err = s.drop.Exec(string(r.Key))
 		} else {
 			_, err = s.put.Exec(string(r.Key), r.Value, born)
 		}
 		if err != nil {
-			_, _ = s.pen.ExecContext(ctx, "ROLLBACK")
-			return problem.At(err, "write", "disk")
+			_, _ = s.writer.ExecContext(ctx, "ROLLBACK")
+			return errs.Wrap(err, "write", "disk")
 		}
 	}
-	_, err := s.pen.ExecContext(ctx, "COMMIT")
-	return problem.At(err, "sync", "disk")
+	_, err := s.writer.ExecContext(ctx, "COMMIT")
+	return errs.Wrap(err, "sync", "disk")
 }
 
 // Fetch finds a record.
-func (s *Shelf) Fetch(key ticket.Key) ([]byte, bool) {
+func (s *Database) Get(key ids.Key) ([]byte, bool) {
 	var raw []byte
 	err := s.load.QueryRow(string(key)).Scan(&raw)
 	if err != nil && err != sql.ErrNoRows {
-		s.broken(err)
+		s.readFailed(err)
 	}
 	return raw, err == nil
 }
 
 // broken ends the process: a disk that can't be read must not pass for an
 // empty one, or this store would forget what it voted for.
-func (s *Shelf) broken(err error) {
-	if s.Broken != nil {
-		s.Broken(problem.At(err, "read", "disk"))
+func (s *Database) readFailed(err error) {
+	if s.OnReadError != nil {
+		s.OnReadError(errs.Wrap(err, "read", "disk"))
 	}
-	panic(problem.At(err, "read", "disk"))
+	panic(errs.Wrap(err, "read", "disk"))
 }
 
 // After lists up to n records of items behind a key, in order.
-func (s *Shelf) After(key ticket.Key, n int) []works.Record {
+func (s *Database) Scan(key ids.Key, n int) []event.Record {
 	rows, err := s.page.Query(string(key), n)
 	if err != nil {
-		s.broken(err)
+		s.readFailed(err)
 	}
 	defer rows.Close()
-	var out []works.Record
+	var out []event.Record
 	for rows.Next() {
-		var r works.Record
+		var r event.Record
 		if err := rows.Scan(&r.Key, &r.Value); err != nil {
-			s.broken(err)
+			s.readFailed(err)
 		}
 		out = append(out, r)
 	}
 	if err := rows.Err(); err != nil {
-		s.broken(err)
+		s.readFailed(err)
 	}
 	return out
 }
 
 // Close lets go of the folder.
-func (s *Shelf) Close() error {
+func (s *Database) Close() error {
 	for _, x := range []*sql.Stmt{s.put, s.drop, s.load, s.page} {
 		_ = x.Close()
 	}
-	_ = s.pen.Close()
+	_ = s.writer.Close()
 	err := s.db.Close()
 	s.lock.Close()
-	return problem.At(err, "close", "disk")
+	return errs.Wrap(err, "close", "disk")
 }
--- a/internal/shelf/shelf_test.go
+++ b/internal/storage/storage_test.go
@@ -1,4 +1,4 @@
-package shelf
+package storage
 
 import (
 	"database/sql"
@@ -12,8 +12,8 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/ticket"
-	"dunlinwell/internal/works"
+	"dunlinwell/internal/event"
+	"dunlinwell/internal/ids"
 )
 
 func TestRecordsOutliveTheProcess(t *testing.T) {
@@ -21,7 +21,7 @@
 	dir := t.TempDir()
 	s, err := Open(dir)
 	is.NoErr(err)
-	is.NoErr(s.Keep([]works.Record{{Key: "item/a", Value: []byte("1")}, {Key: "item/b", Value: []byte("2")}, {Key: "meta/x", Value: []byte("3")}}))
+	is.NoErr(s.Write([]event.Record{{Key: "item/a", Value: []byte("1")}, {Key: "item/b", Value: []byte("2")}, {Key: "meta/x", Value: []byte("3")}}))
 	// Another process may not hold the same folder.
 	_, err = Open(dir)
 	is.True(err != nil && strings.Contains(err.Error(), "another process holds it"))
@@ -32,12 +32,12 @@
 	defer s.Close()
 	is.Equal(s.Store, store)
 	is.Equal(s.Run, uint64(2))
-	raw, ok := s.Fetch("item/a")
+	raw, ok := s.Get("item/a")
 	is.True(ok && string(raw) == "1")
-	list := s.After("item/", 10)
+	list := s.Scan("item/", 10)
 	is.Equal(len(list), 2) // items alone, in order
 	is.Equal(string(list[1].Value), "2")
-	is.Equal(len(s.After("item/a", 10)), 1)
+	is.Equal(len(s.Scan("item/a", 10)), 1)
 	// A blank folder is another store.
 	other, err := Open(t.TempDir())
 	is.NoErr(err)
@@ -94,7 +94,7 @@
 	s, err := Open(t.TempDir())
 	is.NoErr(err)
 	defer s.Close()
-	is.NoErr(s.Keep([]works.Record{{Key: "item/mark/r/1", Value: []byte("x")}, {Key: "item/mark/r/2", Value: []byte("x")}, {Key: "item/policy", Value: []byte("x")}}))
+	is.NoErr(s.Write([]event.Record{{Key: "item/mark/r/1", Value: []byte("x")}, {Key: "item/mark/r/2", Value: []byte("x")}, {Key: "item/policy", Value: []byte("x")}}))
 	n, err := s.Prune(time.Hour, 10)
 	is.NoErr(err)
 	is.Equal(n, int64(0))
@@ -105,7 +105,7 @@
 	n, err = s.Prune(time.Hour, 10)
 	is.NoErr(err)
 	is.Equal(n, int64(1))
-	_, ok := s.Fetch("item/policy")
+	_, ok := s.Get("item/policy")
 	is.True(ok) // policy never ages
 }
 
@@ -118,11 +118,11 @@
 	clock := func() time.Duration { return now }
 	s, err := open(dir, clock)
 	is.NoErr(err)
-	key := func(i int) ticket.Key { return ticket.Key(fmt.Sprintf("item/mark/r/%03d", i)) }
+	key := func(i int) ids.Key { return ids.Key(fmt.Sprintf("item/mark/r/%03d", i)) }
 	forgotten := 0
 	for i := range 180 {
-		is.NoErr(s.Keep([]works.Record{{Key: key(i), Value: []byte("claimed")}}))
-		is.NoErr(s.Keep([]works.Record{{Key: key(i), Value: []byte("over")}}))
+		is.NoErr(s.Write([]event.Record{{Key: key(i), Value: []byte("claimed")}}))
+		is.NoErr(s.Write([]event.Record{{Key: key(i), Value: []byte("over")}}))
 		now += step
 		n, err := s.Prune(keep, 512)
 		is.NoErr(err)
@@ -135,7 +135,7 @@
 			is.NoErr(err)
 		}
 		for k := range i + 1 {
-			if _, ok := s.Fetch(key(k)); !ok && time.Duration(i+1-k)*step < keep {
+			if _, ok := s.Get(key(k)); !ok && time.Duration(i+1-k)*step < keep {
 				t.Fatalf("mark %d is forgotten after %s", k, time.Duration(i+1-k)*step)
 			}
 		}
--- /dev/null
+++ b/internal/store/store.go
@@ -0,0 +1,192 @@
+// Package store is the durable store: an acceptor, a proposer, the roll,
+// and the keeper of the voter set, as one pure machine.
+package store
+
+import (
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"dunlinwell/internal/consensus"
+	"dunlinwell/internal/election"
+	"dunlinwell/internal/event"
+	"dunlinwell/internal/idempotency"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/membership"
+	"dunlinwell/internal/policy"
+	"dunlinwell/internal/wire"
+)
+
+// Params are the options of a store.
+type Options struct {
+	membership.Options
+	// Store is the id made with the data folder; Run counts its starts.
+	Store   uint64
+	Run     uint64
+	Random  *rand.Rand
+	Storage consensus.Storage
+	// Copies is how many stores keep each item, 3 or more.
+	Replicas int
+}
+
+// Store is the machine.
+type Store struct {
+	event.Outbox
+	*membership.List
+	*consensus.Acceptor
+	*consensus.Proposer
+	voterManager
+	memberCache
+	now ids.Time
+	// owed is the oldest turn that the disk has not done, and since when.
+	unsyncedTurns []unsyncedTurn
+	diskStalled   bool
+	// lossSeen and lossAt tell since when marks may have been lost.
+	lossCount uint64
+	lossAt    ids.Time
+}
+
+type unsyncedTurn struct {
+	turn uint64
+	at   ids.Time
+}
+
+// Ops are all the change functions that stores know.
+func Ops() map[consensus.Op]consensus.ChangeFunc {
+	ops := consensus.VoterSetOps()
+	for k, f := range policy.Ops() {
+		ops[k] = f
+	}
+	for k, f := range election.Ops() {
+		ops[k] = f
+	}
+	for k, f := range idempotency.Ops() {
+		ops[k] = f
+	}
+	return ops
+}
+
+// New makes a store on what its shelf holds.
+func New(p Options) *Store {
+	s := &Store{}
+	p.Self.Role, p.Self.Store = membership.Store, p.Store
+	founders := p.Seeds
+	p.Seeds = append(slices.Clone(p.Seeds), cachedMembers(p.Storage, p.Self.Address)...)
+	s.List = membership.New(p.Options, &s.Outbox)
+	s.Acceptor = consensus.NewAcceptor(p.Store, p.Storage, &s.Outbox)
+	s.Proposer = consensus.NewProposer(p.Store<<24|p.Run&0xffffff, s.Acceptor.VoterSet, s.guardLostKeys(Ops()), p.Random, &s.Outbox)
+	s.Proposer.IsReachable = s.live
+	s.Proposer.Subscribers = s.subscribers
+	s.voterManager = newVoterManager(founders)
+	s.voterManager.replicas = p.Replicas
+	return s
+}
+
+// Teach replaces change functions, so that tests can plant a defect.
+func (s *Store) Teach(ops map[consensus.Op]consensus.ChangeFunc) { s.SetOps(ops) }
+
+// live tells whether a store's daemon is up, by the roll.
+func (s *Store) live(store uint64) bool {
+	for _, m := range s.Live(membership.Store) {
+		if m.Store == store {
+			return m.Ready
+		}
+	}
+	return false
+}
+
+// audience names who must hear of a new value at once.
+func (s *Store) subscribers(key ids.Key) []ids.Address {
+	if key != policy.Key {
+		return nil
+	}
+	var out []ids.Address
+	for _, m := range s.Live(membership.Registry) {
+		out = append(out, m.Address)
+	}
+	return out
+}
+
+// Step is the machine's one entrance.
+func (s *Store) Step(now ids.Time, ev event.Event) []event.Command {
+	s.now = now
+	switch e := ev.(type) {
+	case event.Received:
+		s.receive(now, e.From, e.Msg)
+	case event.Synced:
+		s.Acceptor.Synced(e.Turn)
+		for len(s.unsyncedTurns) > 0 && s.unsyncedTurns[0].turn <= e.Turn {
+			s.unsyncedTurns = s.unsyncedTurns[1:]
+		}
+	case RecoverRequest:
+		s.refound(now, e)
+	case event.Tick:
+		// A disk that can't sync for a second must not claim health.
+		tired := len(s.unsyncedTurns) > 0 && now.Since(s.unsyncedTurns[0].at) > time.Second
+		if tired != s.diskStalled {
+			s.Log("warn", "disk", "stalled", map[bool]string{true: "yes", false: "no"}[tired])
+		}
+		s.diskStalled = tired
+		s.Announce(!tired && s.Acceptor.VoterSet().Has(s.StoreID()), 0)
+		s.List.Tick(now)
+		s.Proposer.Tick(now)
+		s.manageVoters(now)
+		s.cacheMembers(now)
+	}
+	out := s.Drain()
+	for _, c := range out {
+		if w, ok := c.(event.Sync); ok {
+			s.unsyncedTurns = append(s.unsyncedTurns, unsyncedTurn{w.Turn, now})
+		}
+	}
+	return out
+}
+
+func (s *Store) receive(now ids.Time, from ids.Address, msg any) {
+	if s.diskStalled && needsDisk(msg) {
+		// Others go on without this copy; what waited for its disk would be old.
+		return
+	}
+	switch m := msg.(type) {
+	case consensus.Prepare:
+		s.Prepare(from, m)
+	case consensus.Accept:
+		s.Accept(from, m)
+	case consensus.Promise:
+		s.HandlePromise(now, m)
+	case consensus.Accepted:
+		s.HandleAccepted(now, m)
+	case consensus.PageRequest:
+		s.Page(from, m)
+	case consensus.Request:
+		// A proposer whose own disk is stuck would only hold the asker up.
+		if s.diskStalled {
+			s.Send(from, consensus.Response{ID: m.ID, Try: m.Try, State: consensus.Declined})
+			return
+		}
+		s.Submit(now, from, m)
+	case consensus.Response, consensus.VoterSetUpdate, consensus.Hello, consensus.Bootstrap, consensus.PolicyReply, consensus.PageResponse:
+		s.receiveVoterMessage(now, from, msg)
+	default:
+		s.List.Receive(now, from, msg)
+	}
+}
+
+// needsDisk tells whether a message can't be answered without the disk.
+func needsDisk(msg any) bool {
+	switch msg.(type) {
+	case consensus.Prepare, consensus.Accept, consensus.PageRequest:
+		return true
+	}
+	return false
+}
+
+// ask sends a wish of the keeper's own to this very store.
+func (s *Store) submit(op consensus.Op, arg any) {
+	var raw []byte
+	if arg != nil {
+		raw, _ = wire.Encode(arg)
+	}
+	s.requests++
+	s.Submit(s.now, s.Self.Address, consensus.Request{ID: s.requests, Key: consensus.VoterSetKey, Op: op, Arg: raw, Wait: 2000})
+}
--- a/internal/yard/announce.go
+++ b/internal/targets/announce.go
@@ -1,4 +1,4 @@
-package yard
+package targets
 
 import (
 	"encoding/json"
@@ -8,7 +8,7 @@
 
 	"github.com/tidwall/gjson"
 
-	"dunlinwell/internal/sound"
+	"dunlinwell/internal/jsoncheck"
 )
 
 var (
@@ -30,7 +30,7 @@
 	var t Target
 	bad := map[string]string{}
 	doc := gjson.ParseBytes(raw)
-	if !sound.JSON(raw) || !doc.IsObject() {
+	if !jsoncheck.JSON(raw) || !doc.IsObject() {
 		bad["(body)"] = "must be a JSON object"
 		return t, bad
 	}
--- a/internal/yard/entry.go
+++ b/internal/targets/entry.go
@@ -1,9 +1,9 @@
-package yard
+package targets
 
 import (
 	"time"
 
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
 )
 
 // last gives the entry as of its target's last word.
@@ -17,7 +17,7 @@
 const coldSlack = 300 * time.Millisecond
 
 // alike tells whether a later word says nothing new of its target.
-func (e *entry) alike(now ticket.Tick, t Target) bool {
+func (e *entry) alike(now ids.Time, t Target) bool {
 	u := e.Target
 	cold := now.Add(time.Duration(t.Cold) * time.Millisecond)
 	if t.Cold > 0 && cold.Since(e.cold) > coldSlack {
--- a/internal/yard/thrifty_test.go
+++ b/internal/targets/incremental_test.go
@@ -1,4 +1,4 @@
-package yard
+package targets
 
 import (
 	"testing"
@@ -6,10 +6,10 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
 )
 
-func thrifty() *Yard {
+func thrifty() *Table {
 	y := New()
 	y.Thrifty = true
 	return y
@@ -26,7 +26,7 @@
 	y := thrifty()
 	is.Equal(len(y.Merge(at(0), target("a", 1, 1))), 1)
 	v := y.Version()
-	seq := ticket.Sequence(1)
+	seq := ids.Sequence(1)
 	for now := 500 * time.Millisecond; now <= 20*time.Second; now += 500 * time.Millisecond {
 		if now%time.Second == 0 {
 			seq++
@@ -39,7 +39,7 @@
 	is.Equal(y.Version(), v)
 	is.Equal(y.Newest("a"), seq)
 	got, _ := y.Get(at(20*time.Second), "a")
-	is.Equal(got.Sequence, ticket.Sequence(1)) // as it was last handed on
+	is.Equal(got.Sequence, ids.Sequence(1)) // as it was last handed on
 	// What is older than its last word changes nothing, though newer than what was
 	// handed on.
 	late := target("a", 1, 3)
@@ -61,7 +61,7 @@
 	is := is.New(t)
 	y := thrifty()
 	y.Merge(at(0), target("a", 1, 1))
-	seq := ticket.Sequence(1)
+	seq := ids.Sequence(1)
 	next := func(change func(*Target)) int {
 		seq++
 		b := target("a", 1, seq)
--- a/internal/yard/keeper.go
+++ b/internal/targets/keeper.go
@@ -1,15 +1,15 @@
-package yard
+package targets
 
 import (
 	"encoding/binary"
 	"hash/fnv"
 
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
 )
 
 // Vouch counts targets as heard whose keeper is there: it would have told. Those
 // of a keeper that is gone, or runs anew, are silent until they speak again.
-func (y *Yard) Vouch(now ticket.Tick, there func(ticket.Daemon, ticket.Start) bool) {
+func (y *Table) Vouch(now ids.Time, there func(ids.Daemon, ids.RunID) bool) {
 	for _, e := range y.list {
 		if e.Gone || e.Target.Keeper == "" || e.Target.Keeper == y.Self {
 			e.orphan = false
@@ -33,13 +33,13 @@
 }
 
 // Sum sums up who is there, so that two copies that differ find it out.
-func (y *Yard) Sum() uint64 { return y.sum(false) }
+func (y *Table) Sum() uint64 { return y.sum(false) }
 
 // Exact sums up, besides, what each last said that was new: two copies with the
 // same one go by the same words, on cold times too.
-func (y *Yard) Exact() uint64 { return y.sum(true) }
+func (y *Table) Exact() uint64 { return y.sum(true) }
 
-func (y *Yard) sum(exact bool) uint64 {
+func (y *Table) sum(exact bool) uint64 {
 	sum := uint64(0)
 	for id, e := range y.list {
 		if e.Gone {
--- a/internal/yard/keeper_test.go
+++ b/internal/targets/keeper_test.go
@@ -1,4 +1,4 @@
-package yard
+package targets
 
 import (
 	"testing"
@@ -6,10 +6,10 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
 )
 
-func kept(id ticket.Instance, seq ticket.Sequence, by ticket.Daemon) Target {
+func kept(id ids.Instance, seq ids.Sequence, by ids.Daemon) Target {
 	t := target(id, 1, seq)
 	t.Keeper, t.Run = by, 1
 	return t
@@ -23,9 +23,9 @@
 	y.Self = "own"
 	y.Merge(at(0), kept("a", 1, "other"), kept("b", 1, "own"))
 	there := true
-	play := func(from, to time.Duration) (gone []ticket.Instance) {
+	play := func(from, to time.Duration) (gone []ids.Instance) {
 		for now := from; now <= to; now += 500 * time.Millisecond {
-			y.Vouch(at(now), func(d ticket.Daemon, run ticket.Start) bool { return there && d == "other" && run == 1 })
+			y.Vouch(at(now), func(d ids.Daemon, run ids.RunID) bool { return there && d == "other" && run == 1 })
 			for _, g := range y.Clock(at(now)) {
 				gone = append(gone, g.Instance)
 			}
@@ -33,10 +33,10 @@
 		return gone
 	}
 	// What this copy keeps itself is silent; the other's is vouched for.
-	is.Equal(play(0, 20*time.Second), []ticket.Instance{"b"})
+	is.Equal(play(0, 20*time.Second), []ids.Instance{"b"})
 	there = false
 	is.Equal(len(play(20500*time.Millisecond, 29500*time.Millisecond)), 0)
-	is.Equal(play(30*time.Second, 31*time.Second), []ticket.Instance{"a"})
+	is.Equal(play(30*time.Second, 31*time.Second), []ids.Instance{"a"})
 }
 
 // A copy that has heard from a target since another's verdict insists.
@@ -50,7 +50,7 @@
 	told := y.Merge(at(time.Second), verdict)
 	is.Equal(len(told), 1)
 	is.True(!told[0].Gone)
-	is.Equal(told[0].Sequence, ticket.Sequence(6))
+	is.Equal(told[0].Sequence, ids.Sequence(6))
 	// Others take that for news, over the verdict.
 	far := thrifty()
 	far.Merge(at(0), kept("a", 4, "other"))
--- a/internal/yard/yard.go
+++ b/internal/targets/targets.go
@@ -1,40 +1,40 @@
 // Package yard keeps the targets: soft state, told by the targets themselves,
 // merged by incarnation and sequence wherever two copies meet.
-package yard
+package targets
 
 import (
 	"maps"
 	"slices"
 	"time"
 
-	"dunlinwell/internal/parcel"
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/wire"
 )
 
 // Target is one target as it last announced itself.
 type Target struct {
-	Instance    ticket.Instance    `json:"instance"`
-	Incarnation ticket.Incarnation `json:"incarnation"`
-	Sequence    ticket.Sequence    `json:"sequence"`
-	Service     ticket.Name        `json:"service"`
-	Address     ticket.Address     `json:"address"`
-	Cell        ticket.Name        `json:"cell"`
-	Leaving     bool               `json:"leaving"`
-	Gone        bool               `json:"gone"`
-	Warmth      float64            `json:"warmth"`
-	Occupancy   int64              `json:"occupancy"`
-	Capacity    int64              `json:"capacity"`
-	Interval    uint32             `json:"interval_ms"`
+	Instance    ids.Instance    `json:"instance"`
+	Incarnation ids.Incarnation `json:"incarnation"`
+	Sequence    ids.Sequence    `json:"sequence"`
+	Service     ids.Name        `json:"service"`
+	Address     ids.Address     `json:"address"`
+	Cell        ids.Name        `json:"cell"`
+	Leaving     bool            `json:"leaving"`
+	Gone        bool            `json:"gone"`
+	Warmth      float64         `json:"warmth"`
+	Occupancy   int64           `json:"occupancy"`
+	Capacity    int64           `json:"capacity"`
+	Interval    uint32          `json:"interval_ms"`
 	// Age is how long this incarnation has been known, in milliseconds, when
 	// the entry was last handed on.
 	Age uint64 `json:"age_ms"`
 	// Cold is how much longer, in milliseconds, the target says it bears little,
 	// as of when the entry was last handed on.
 	Cold uint64 `json:"cold_ms"`
-	// Keeper is the foreman that the target last spoke to, in which of its runs:
+	// Keeper is the registry that the target last spoke to, in which of its runs:
 	// while it is there, the others needn't be told that the target is.
-	Keeper ticket.Daemon `json:"-"`
-	Run    ticket.Start  `json:"-"`
+	Keeper ids.Daemon `json:"-"`
+	Run    ids.RunID  `json:"-"`
 }
 
 // Newer tells whether t replaces u. A verdict of "gone" holds until the
@@ -52,50 +52,50 @@
 // Usable tells whether new work may go to the target at all.
 func (t Target) Usable() bool { return !t.Gone && !t.Leaving }
 
-// Share carries targets between foremen.
-type Share struct{ List []Target }
+// Share carries targets between registries.
+type Update struct{ List []Target }
 
-var _ = parcel.Register(70, Share{})
+var _ = wire.Register(70, Update{})
 
 // Yard is a copy of all targets.
-type Yard struct {
-	list    map[ticket.Instance]*entry
+type Table struct {
+	list    map[ids.Instance]*entry
 	version uint64
-	last    ticket.Tick
+	last    ids.Time
 	// Thrifty: a word that says nothing new but that its target is there is noted
 	// and not handed on, so that what is told of targets doesn't grow with beats.
 	Thrifty bool
-	// Self is the foreman whose copy this is, if it is one's.
-	Self ticket.Daemon
+	// Self is the registry whose copy this is, if it is one's.
+	Self ids.Daemon
 }
 
 type entry struct {
 	Target
-	heard ticket.Tick
-	born  ticket.Tick
+	heard ids.Time
+	born  ids.Time
 	// newest is the sequence of the target's last word, whether or not it said
 	// anything new; cold is until when it bears little.
-	newest ticket.Sequence
-	cold   ticket.Tick
+	newest ids.Sequence
+	cold   ids.Time
 	// orphan: its keeper isn't there, so that its silence may be the keeper's.
 	orphan bool
 }
 
 // New makes an empty yard.
-func New() *Yard { return &Yard{list: map[ticket.Instance]*entry{}} }
+func New() *Table { return &Table{list: map[ids.Instance]*entry{}} }
 
 // Silences is how many intervals of silence count as gone.
 const Silences = 3
 
 // Merge takes what a target or another copy says; it gives what changed,
 // among it earlier owners of an address that now is another's.
-func (y *Yard) Merge(now ticket.Tick, list ...Target) []Target {
+func (y *Table) Merge(now ids.Time, list ...Target) []Target {
 	return y.MergeAsOf(now, now, list...)
 }
 
 // MergeAsOf is Merge of news that may have waited on its way since a time: a
 // target that was alive then needn't be now.
-func (y *Yard) MergeAsOf(now, since ticket.Tick, list ...Target) []Target {
+func (y *Table) MergeAsOf(now, since ids.Time, list ...Target) []Target {
 	var changed []Target
 	for _, t := range list {
 		e, known := y.list[t.Instance]
@@ -135,7 +135,7 @@
 }
 
 // displace ends whoever had the address before its newer owner.
-func (y *Yard) displace(t Target) []Target {
+func (y *Table) displace(t Target) []Target {
 	var out []Target
 	for _, id := range slices.Sorted(maps.Keys(y.list)) {
 		e := y.list[id]
@@ -149,7 +149,7 @@
 }
 
 // Clock counts those silent for too long as gone, and gives them.
-func (y *Yard) Clock(now ticket.Tick) []Target {
+func (y *Table) Clock(now ids.Time) []Target {
 	// A gap in our own clock events is our silence, not the targets'.
 	if y.last != 0 && now.Since(y.last) > time.Second {
 		y.Excuse(now)
@@ -159,15 +159,15 @@
 }
 
 // Excuse counts silence from now on: until now nothing could be heard here.
-func (y *Yard) Excuse(now ticket.Tick) {
+func (y *Table) Excuse(now ids.Time) {
 	for _, e := range y.list {
 		e.heard = now
 	}
 }
 
-// Lapse counts the silent without minding a gap of our own. For a counter, which
+// Lapse counts the silent without minding a gap of our own. For a proxy, which
 // hears all targets anew in the first push after it woke, that is the safer way.
-func (y *Yard) Lapse(now ticket.Tick) []Target {
+func (y *Table) Lapse(now ids.Time) []Target {
 	var out []Target
 	for _, id := range slices.Sorted(maps.Keys(y.list)) {
 		e := y.list[id]
@@ -186,7 +186,7 @@
 }
 
 // Forget drops those gone for a good while; a yard must not grow for ever.
-func (y *Yard) Forget(now ticket.Tick, after time.Duration) {
+func (y *Table) Forget(now ids.Time, after time.Duration) {
 	for id, e := range y.list {
 		if e.Gone && now.Since(e.heard) > after {
 			delete(y.list, id)
@@ -196,7 +196,7 @@
 }
 
 // All gives every target, in order of instance, with its age as of now.
-func (y *Yard) All(now ticket.Tick) []Target {
+func (y *Table) All(now ids.Time) []Target {
 	out := make([]Target, 0, len(y.list))
 	for _, id := range slices.Sorted(maps.Keys(y.list)) {
 		t := y.list[id].Target
@@ -208,7 +208,7 @@
 }
 
 // Get finds a target, with its age as of now.
-func (y *Yard) Get(now ticket.Tick, id ticket.Instance) (Target, bool) {
+func (y *Table) Get(now ids.Time, id ids.Instance) (Target, bool) {
 	e, ok := y.list[id]
 	if !ok {
 		return Target{}, false
@@ -219,7 +219,7 @@
 }
 
 // Newest gives the sequence of a target's last word.
-func (y *Yard) Newest(id ticket.Instance) ticket.Sequence {
+func (y *Table) Newest(id ids.Instance) ids.Sequence {
 	if e, ok := y.list[id]; ok {
 		return e.last().Sequence
 	}
@@ -227,4 +227,4 @@
 }
 
 // Version grows with each change.
-func (y *Yard) Version() uint64 { return y.version }
+func (y *Table) Version() uint64 { return y.version }
--- a/internal/yard/yard_test.go
+++ b/internal/targets/targets_test.go
@@ -1,4 +1,4 @@
-package yard
+package targets
 
 import (
 	"testing"
@@ -6,13 +6,13 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
 )
 
-func at(d time.Duration) ticket.Tick { return ticket.Tick(d) + 1 }
+func at(d time.Duration) ids.Time { return ids.Time(d) + 1 }
 
-func target(id ticket.Instance, inc ticket.Incarnation, seq ticket.Sequence) Target {
-	return Target{Instance: id, Incarnation: inc, Sequence: seq, Service: "s", Address: ticket.Address("10.0.0.1:" + string(id)), Interval: 1000, Warmth: 1}
+func target(id ids.Instance, inc ids.Incarnation, seq ids.Sequence) Target {
+	return Target{Instance: id, Incarnation: inc, Sequence: seq, Service: "s", Address: ids.Address("10.0.0.1:" + string(id)), Interval: 1000, Warmth: 1}
 }
 
 func TestMergeKeepsTheNewest(t *testing.T) {
--- a/internal/rehearsal/asleep.go
+++ b/internal/testbed/asleep.go
@@ -1,4 +1,4 @@
-package rehearsal
+package testbed
 
 import (
 	"strings"
@@ -27,7 +27,7 @@
 	t.gate.Unlock()
 }
 
-// carrier reads a counter's name off the id that it gives its requests.
+// carrier reads a proxy's name off the id that it gives its requests.
 func carrier(id string) string {
 	for range 2 {
 		if at := strings.LastIndex(id, "-"); at > 0 {
--- a/internal/rehearsal/circuits.go
+++ b/internal/testbed/circuits.go
@@ -1,4 +1,4 @@
-package rehearsal
+package testbed
 
 import (
 	"context"
@@ -14,8 +14,8 @@
 	"time"
 
 	"dunlinwell/internal/blueprint"
-	"dunlinwell/internal/ticket"
-	"dunlinwell/internal/witness"
+	"dunlinwell/internal/checker"
+	"dunlinwell/internal/ids"
 )
 
 // callers are the clients of stand-ins, one for each machine that calls: its
@@ -51,7 +51,7 @@
 	heldEvery = 400 * time.Millisecond
 )
 
-// hold keeps one circuit to one counter until it ends, and tells who ended it.
+// hold keeps one circuit to one proxy until it ends, and tells who ended it.
 func (c *Consumers) hold(ctx context.Context, home int, w blueprint.Way, seat int) {
 	cell := c.Plan.Cell(home)
 	for n := 0; ctx.Err() == nil; n++ {
@@ -70,7 +70,7 @@
 	line := &http.Transport{DialContext: dialer(consumerAt(home)).DialContext, MaxConnsPerHost: 1, DisableCompression: true}
 	defer line.CloseIdleConnections()
 	client := &http.Client{Timeout: patience, Transport: line}
-	at := to.counters[rand.IntN(len(to.counters))]
+	at := to.proxies[rand.IntN(len(to.proxies))]
 	for n := 0; ctx.Err() == nil; n++ {
 		again := false
 		trace := httptrace.WithClientTrace(context.Background(), &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) { again = i.Reused }})
@@ -98,9 +98,9 @@
 	}
 }
 
-func (c *Consumers) ended(at string, cell ticket.Name, why string) {
+func (c *Consumers) ended(at string, cell ids.Name, why string) {
 	now := time.Now()
-	c.Truth.Close(witness.Closed{At: now, Counter: at, Cell: cell, Why: why, Excused: c.Stage.Excused(at, now)})
+	c.Truth.Close(checker.Closed{At: now, Proxy: at, Cell: cell, Why: why, Excused: c.Stage.Excused(at, now)})
 }
 
 // judge tells whether an answer is the one to this very request.
--- a/internal/rehearsal/consumer.go
+++ b/internal/testbed/consumer.go
@@ -1,4 +1,4 @@
-package rehearsal
+package testbed
 
 import (
 	"context"
@@ -14,17 +14,17 @@
 	"time"
 
 	"dunlinwell/internal/blueprint"
-	"dunlinwell/internal/ticket"
-	"dunlinwell/internal/witness"
+	"dunlinwell/internal/checker"
+	"dunlinwell/internal/ids"
 )
 
 // Consumers are stand-in consumers: they ask where to go, trust the answer for
 // as long as it says, carry a deadline and a mark, and ask again as a person's
 // program would. Some hold a circuit for as long as they are let.
 type Consumers struct {
-	Plan    blueprint.Plan
-	Truth   *witness.Truth
-	Foremen func() []string
+	Plan       blueprint.Plan
+	Truth      *checker.Truth
+	Registries func() []string
 	// Delay is the time one way between two IP numbers.
 	Delay func(from, to string) time.Duration
 	Stage *Stage
@@ -33,13 +33,13 @@
 	ways  map[string]way
 	open  sync.WaitGroup
 	// hot, if set, is the cell that most requests begin in.
-	hot atomic.Pointer[ticket.Name]
+	hot atomic.Pointer[ids.Name]
 }
 
 type way struct {
-	cell     ticket.Name
-	counters []string
-	until    time.Time
+	cell    ids.Name
+	proxies []string
+	until   time.Time
 }
 
 const (
@@ -127,7 +127,7 @@
 }
 
 // where asks the directory, and keeps to its answer for its lifetime.
-func (c *Consumers) where(w blueprint.Way, home ticket.Name, slot int) (way, bool) {
+func (c *Consumers) where(w blueprint.Way, home ids.Name, slot int) (way, bool) {
 	key := key(home, w, slot)
 	c.mu.Lock()
 	have, ok := c.ways[key]
@@ -135,23 +135,23 @@
 	if ok && time.Now().Before(have.until) {
 		return have, true
 	}
-	for _, f := range c.Foremen() {
+	for _, f := range c.Registries() {
 		res, err := from(c.at(home), 500*time.Millisecond).Get(fmt.Sprintf("http://%s/v1/where?cell=%s&route=%s", f, home, w.Route))
 		if err != nil {
 			continue
 		}
 		var ans struct {
-			Cell     ticket.Name `json:"cell"`
-			Counters []string    `json:"counters"`
-			Lifetime int64       `json:"lifetime_ms"`
+			Cell     ids.Name `json:"cell"`
+			Proxies  []string `json:"proxies"`
+			Lifetime int64    `json:"lifetime_ms"`
 		}
 		err = json.NewDecoder(res.Body).Decode(&ans)
 		res.Body.Close()
-		if err != nil || res.StatusCode != 200 || len(ans.Counters) == 0 {
+		if err != nil || res.StatusCode != 200 || len(ans.Proxies) == 0 {
 			continue
 		}
-		c.Truth.Pointed(witness.Asked{At: time.Now(), Home: home, To: ans.Cell, Route: w.Route})
-		have = way{ans.Cell, ans.Counters, time.Now().Add(time.Duration(ans.Lifetime) * time.Millisecond)}
+		c.Truth.Pointed(checker.Asked{At: time.Now(), Home: home, To: ans.Cell, Route: w.Route})
+		have = way{ans.Cell, ans.Proxies, time.Now().Add(time.Duration(ans.Lifetime) * time.Millisecond)}
 		c.mu.Lock()
 		c.ways[key] = have
 		c.mu.Unlock()
@@ -163,12 +163,12 @@
 // slots is how many consumers of a cell and route ask for themselves.
 const slots = 8
 
-func key(home ticket.Name, w blueprint.Way, slot int) string {
+func key(home ids.Name, w blueprint.Way, slot int) string {
 	return fmt.Sprintf("%s/%s/%d", home, w.Route, slot)
 }
 
 // at is where the consumers of a cell call from.
-func (c *Consumers) at(cell ticket.Name) string {
+func (c *Consumers) at(cell ids.Name) string {
 	for i := range c.Plan.Cells {
 		if c.Plan.Cell(i) == cell {
 			return consumerAt(i)
@@ -177,21 +177,21 @@
 	return consumerAt(0)
 }
 
-func (c *Consumers) forget(w blueprint.Way, home ticket.Name, slot int) {
+func (c *Consumers) forget(w blueprint.Way, home ids.Name, slot int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.ways, key(home, w, slot))
 }
 
-func (c *Consumers) send(w blueprint.Way, home int, token, mark string, try int) witness.Got {
+func (c *Consumers) send(w blueprint.Way, home int, token, mark string, try int) checker.Got {
 	cell := c.Plan.Cell(home)
 	slot := rand.IntN(slots)
 	to, ok := c.where(w, cell, slot)
 	if !ok {
 		now := time.Now()
-		return witness.Got{Sent: now, At: now, Token: token, Mark: mark, Attempt: try, Class: "unreached"}
+		return checker.Got{Sent: now, At: now, Token: token, Mark: mark, Attempt: try, Class: "unreached"}
 	}
-	at := to.counters[rand.IntN(len(to.counters))]
+	at := to.proxies[rand.IntN(len(to.proxies))]
 	trip := c.Delay(consumerAt(home), host(at))
 	time.Sleep(trip)
 	defer time.Sleep(trip)
@@ -202,9 +202,9 @@
 	return g
 }
 
-// request sends one attempt to a counter; closes tells that its circuit ends.
-func (c *Consumers) request(ctx context.Context, client *http.Client, w blueprint.Way, at string, cell ticket.Name, token, mark string, try int) (g witness.Got, closes bool) {
-	g = witness.Got{Sent: time.Now(), Token: token, Mark: mark, Attempt: try, Class: "lost", Counter: at, Cell: cell}
+// request sends one attempt to a proxy; closes tells that its circuit ends.
+func (c *Consumers) request(ctx context.Context, client *http.Client, w blueprint.Way, at string, cell ids.Name, token, mark string, try int) (g checker.Got, closes bool) {
+	g = checker.Got{Sent: time.Now(), Token: token, Mark: mark, Attempt: try, Class: "lost", Proxy: at, Cell: cell}
 	defer func() { g.At = time.Now() }()
 	uri := fmt.Sprintf("%s/item?token=%s&service=%s", w.Prefix, token, w.Service)
 	method, body := http.MethodGet, ""
--- a/internal/rehearsal/costs.go
+++ b/internal/testbed/costs.go
@@ -1,4 +1,4 @@
-package rehearsal
+package testbed
 
 import (
 	"bufio"
@@ -61,7 +61,7 @@
 	if n == 0 {
 		return
 	}
-	for _, role := range []string{"counter", "foreman", "stockroom"} {
+	for _, role := range []string{"proxy", "registry", "store"} {
 		d := func(what string) float64 { return now[role][what] - before[role][what] }
 		fmt.Fprintf(s.Out, "for 1000 answers %-9s CPU %.3f s, %.0f allocations, lock wait %.4f s", role, d("CPU s")/n, d("allocations")/n, d("lock wait s")/n)
 		if d("syncs") > 0 {
--- a/internal/rehearsal/deeds.go
+++ b/internal/testbed/deeds.go
@@ -1,4 +1,4 @@
-package rehearsal
+package testbed
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
 )
 
 // Perform carries a script out, and gives how long the fleet took to be whole
@@ -61,11 +61,11 @@
 		cells := cellsOf(s.Plan, d.Who)
 		s.lose(func(p *Process) bool { return slices.Contains(cells, p.Cell) }, func(t *Target) bool { return slices.Contains(cells, t.Cell) }, d, rest)
 	case "empty":
-		s.emptyFor(ticket.Name(d.Who), rest)
+		s.emptyFor(ids.Name(d.Who), rest)
 	case "storm":
 		s.operators.Storm(ctx, d.Count, time.Duration(d.For))
 	case "hot":
-		cell := ticket.Name(d.Who)
+		cell := ids.Name(d.Who)
 		s.consumers.hot.Store(&cell)
 		rest()
 		s.consumers.hot.Store(nil)
@@ -204,7 +204,7 @@
 }
 
 // emptyFor empties a cell for a while, through any daemon.
-func (s *Stage) emptyFor(c ticket.Name, rest func()) {
+func (s *Stage) emptyFor(c ids.Name, rest func()) {
 	id, _ := s.operators.id("empty")
 	asked := time.Now()
 	if s.operators.send(s.operators.work.Emptied(id, c, true), false) == 0 {
--- a/internal/rehearsal/fleet.go
+++ b/internal/testbed/fleet.go
@@ -1,4 +1,4 @@
-package rehearsal
+package testbed
 
 import (
 	"fmt"
@@ -11,14 +11,14 @@
 	"time"
 
 	"dunlinwell/internal/blueprint"
-	"dunlinwell/internal/problem"
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/errs"
+	"dunlinwell/internal/ids"
 )
 
 // Process is one daemon of the fleet.
 type Process struct {
 	Role, Name    string
-	Cell          ticket.Name
+	Cell          ids.Name
 	Address, HTTP string
 	Data          string
 	cmd           *exec.Cmd
@@ -38,7 +38,7 @@
 	Other string
 	// Fixed asks for the same ports each time, for a person to type.
 	Fixed bool
-	// PlanEvery is how often foremen plan the spill.
+	// PlanEvery is how often registries plan the spill.
 	PlanEvery time.Duration
 	mu        sync.Mutex
 	Procs     []*Process
@@ -91,7 +91,7 @@
 // Start lays out the fleet and starts it.
 func (f *Fleet) Start() error {
 	for n := range 3 {
-		p, err := f.lay("stockroom", 1, n, n%f.Plan.Cells)
+		p, err := f.lay("store", 1, n, n%f.Plan.Cells)
 		if err != nil {
 			return err
 		}
@@ -99,14 +99,14 @@
 		f.Procs = append(f.Procs, p)
 	}
 	for n := range 3 {
-		p, err := f.lay("foreman", 2, n, n%f.Plan.Cells)
+		p, err := f.lay("registry", 2, n, n%f.Plan.Cells)
 		if err != nil {
 			return err
 		}
 		f.Procs = append(f.Procs, p)
 	}
-	for n := range f.Counters {
-		p, err := f.lay("counter", 3, n, n%f.Plan.Cells)
+	for n := range f.Proxies {
+		p, err := f.lay("proxy", 3, n, n%f.Plan.Cells)
 		if err != nil {
 			return err
 		}
@@ -114,7 +114,7 @@
 	}
 	f.made = 3
 	for _, p := range f.Procs {
-		// At new addresses an old folder's roster leads nowhere.
+		// At new addresses an old folder's voter set leads nowhere.
 		if !f.Fixed {
 			if err := os.RemoveAll(p.Data); err != nil {
 				return err
@@ -134,9 +134,9 @@
 		args = append(args, "--bind", p.bound, "--http-bind", p.pages)
 	}
 	switch p.Role {
-	case "stockroom":
+	case "store":
 		args = append(args, "--data", p.Data)
-	case "foreman":
+	case "registry":
 		args = append(args, "--plan-every", f.PlanEvery.String())
 	}
 	log, err := os.OpenFile(filepath.Join(f.Dir, p.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
@@ -149,11 +149,11 @@
 	}
 	cmd := exec.Command(filepath.Join(bin, p.Role), args...)
 	cmd.Stdout, cmd.Stderr = log, log
-	// Should rehearsal itself be killed, its daemons end with it.
+	// Should testbed itself be killed, its daemons end with it.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		log.Close()
-		return problem.At(err, "start", p.Name)
+		return errs.Wrap(err, "start", p.Name)
 	}
 	f.mu.Lock()
 	p.cmd, p.log, p.ended, p.Lost = cmd, log, make(chan struct{}), false
--- a/internal/rehearsal/machines.go
+++ b/internal/testbed/machines.go
@@ -1,14 +1,14 @@
-package rehearsal
+package testbed
 
 import (
 	"os"
 	"strings"
 	"time"
 
-	"dunlinwell/internal/problem"
+	"dunlinwell/internal/errs"
 )
 
-// A core machine is one thing: its stockroom and its foreman come and go
+// A core machine is one thing: its store and its registry come and go
 // together, and whoever replaces it puts up both, blank, at new addresses.
 
 // Machine gives the processes that a name stands for.
@@ -16,7 +16,7 @@
 	var out []*Process
 	n, core := strings.CutPrefix(name, "core-")
 	for _, p := range f.all() {
-		if p.Name == name || core && (p.Name == "stockroom-"+n || p.Name == "foreman-"+n) {
+		if p.Name == name || core && (p.Name == "store-"+n || p.Name == "registry-"+n) {
 			out = append(out, p)
 		}
 	}
@@ -35,7 +35,7 @@
 	f.Kill(lost)
 	lost.Gone = true
 	if err := os.RemoveAll(lost.Data); err != nil {
-		return nil, problem.At(err, "lose data folder", lost.Name)
+		return nil, errs.Wrap(err, "lose data folder", lost.Name)
 	}
 	cell := 0
 	for n := range f.Plan.Cells {
@@ -44,7 +44,7 @@
 		}
 	}
 	code := 1
-	if lost.Role == "foreman" {
+	if lost.Role == "registry" {
 		code = 2
 	}
 	f.mu.Lock()
@@ -54,9 +54,9 @@
 	if err != nil {
 		return nil, err
 	}
-	// Blank: a folder of that name may be left from an earlier rehearsal.
+	// Blank: a folder of that name may be left from an earlier testbed.
 	if err := os.RemoveAll(p.Data); err != nil {
-		return nil, problem.At(err, "make blank", p.Name)
+		return nil, errs.Wrap(err, "make blank", p.Name)
 	}
 	f.mu.Lock()
 	f.Procs = append(f.Procs, p)
@@ -64,7 +64,7 @@
 	return p, f.Run(p)
 }
 
-// SwapCore replaces a lost stockroom alone, its machine's foreman goes on.
+// SwapCore replaces a lost store alone, its machine's registry goes on.
 func (f *Fleet) SwapCore(lost *Process) (*Process, error) {
 	p, err := f.replace(lost)
 	f.mu.Lock()
@@ -77,7 +77,7 @@
 func (f *Fleet) SwapMachine(name string) error {
 	list := f.Machine(name)
 	if len(list) != 2 {
-		return problem.New("swap machine", name, "it is not a core machine that runs")
+		return errs.New("swap machine", name, "it is not a core machine that runs")
 	}
 	for _, p := range list {
 		f.Kill(p)
