--- a/internal/rehearsal/net.go
+++ b/internal/testbed/net.go
@@ -1,11 +1,11 @@
-package rehearsal
+package testbed
 
 import (
 	"fmt"
 	"strings"
 	"time"
 
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
 )
 
 // delay is the time one way between two loopback addresses, by their regions.
@@ -32,25 +32,25 @@
 }
 
 // routeOf tells a path's route by the plan.
-func (s *Stage) routeOf(path string) ticket.Name {
+func (s *Stage) routeOf(path string) ids.Name {
 	first, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	for _, w := range s.Ways {
 		if w.Prefix == "/"+first {
 			return w.Route
 		}
 	}
-	return ticket.Name(first)
+	return ids.Name(first)
 }
 
 // ran tells whoever watches the load of a run.
-func (s *Stage) ran(by ticket.Name) {
+func (s *Stage) ran(by ids.Name) {
 	if w := s.watcher.Load(); w != nil {
 		w.ran(by)
 	}
 }
 
 // cellOf tells where a daemon stands.
-func (s *Stage) cellOf(name string) ticket.Name {
+func (s *Stage) cellOf(name string) ids.Name {
 	if p := s.Get(name); p != nil {
 		return p.Cell
 	}
--- a/internal/rehearsal/night.go
+++ b/internal/testbed/night.go
@@ -1,4 +1,4 @@
-package rehearsal
+package testbed
 
 import (
 	"context"
--- a/internal/rehearsal/odd_cli_test.go
+++ b/internal/testbed/odd_cli_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package testbed
 
 import (
 	"os/exec"
@@ -50,8 +50,8 @@
 // oddLine plays the mistakes through every kind of daemon; nothing changes.
 func oddLine(t *testing.T, s *Stage) {
 	is := is.New(t)
-	before := call(t, "GET", s.Of("foreman")[0].HTTP, "/v1/policy", "").body
-	for _, role := range []string{"counter", "foreman", "stockroom"} {
+	before := call(t, "GET", s.Of("registry")[0].HTTP, "/v1/policy", "").body
+	for _, role := range []string{"proxy", "registry", "store"} {
 		for _, o := range oddCommands {
 			cli := exec.Command(filepath.Join(s.Bin, "dunlinwell"), append([]string{"--at", s.Of(role)[0].HTTP}, strings.Fields(o.words)...)...)
 			said, _ := cli.CombinedOutput()
@@ -66,5 +66,5 @@
 		_ = cli.Run()
 		is.Equal(cli.ProcessState.ExitCode(), code)
 	}
-	is.Equal(call(t, "GET", s.Of("foreman")[0].HTTP, "/v1/policy", "").body, before)
+	is.Equal(call(t, "GET", s.Of("registry")[0].HTTP, "/v1/policy", "").body, before)
 }
--- a/internal/rehearsal/odd_test.go
+++ b/internal/testbed/odd_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package testbed
 
 import (
 	"bufio"
@@ -72,7 +72,7 @@
 	}
 }
 
-// oddRequests are odd requests of consumers, at a counter.
+// oddRequests are odd requests of consumers, at a proxy.
 func oddRequests() []odd {
 	order := func(head ...string) string { return ask("POST", "/orders/item", `{}`, head...) }
 	return []odd{
@@ -134,7 +134,7 @@
 // oddInput plays the tables against every kind of daemon; nothing changes.
 func oddInput(t *testing.T, s *Stage) {
 	is := is.New(t)
-	before := call(t, "GET", s.Of("foreman")[0].HTTP, "/v1/policy", "").body
+	before := call(t, "GET", s.Of("registry")[0].HTTP, "/v1/policy", "").body
 	play := func(at, who string, list []odd) {
 		for _, o := range list {
 			if status, body := say(t, at, o); status != o.want || !strings.Contains(body, o.names) {
@@ -142,9 +142,9 @@
 			}
 		}
 	}
-	for _, role := range []string{"counter", "foreman", "stockroom"} {
+	for _, role := range []string{"proxy", "registry", "store"} {
 		play(s.Of(role)[0].HTTP, role, oddControl())
 	}
-	play(s.Of("counter")[0].HTTP, "counter", oddRequests())
-	is.Equal(call(t, "GET", s.Of("foreman")[0].HTTP, "/v1/policy", "").body, before)
+	play(s.Of("proxy")[0].HTTP, "proxy", oddRequests())
+	is.Equal(call(t, "GET", s.Of("registry")[0].HTTP, "/v1/policy", "").body, before)
 }
--- a/internal/rehearsal/operators.go
+++ b/internal/testbed/operators.go
@@ -1,4 +1,4 @@
-package rehearsal
+package testbed
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 	"time"
 
 	"dunlinwell/internal/blueprint"
-	"dunlinwell/internal/problem"
-	"dunlinwell/internal/ticket"
-	"dunlinwell/internal/witness"
+	"dunlinwell/internal/checker"
+	"dunlinwell/internal/errs"
+	"dunlinwell/internal/ids"
 )
 
 // Operators are stand-in operators and their automation, at work through any
@@ -102,7 +102,7 @@
 
 // race lets two operators change one route by the same version of it.
 func (o *Operators) race(id string, n int) {
-	version := ticket.Revision(o.raced.Load())
+	version := ids.Revision(o.raced.Load())
 	won := atomic.Int64{}
 	var both sync.WaitGroup
 	for _, who := range []string{"a", "b"} {
@@ -204,20 +204,20 @@
 }
 
 // read reads the policy through one daemon.
-func (o *Operators) read(p *Process) (witness.Policy, error) {
+func (o *Operators) read(p *Process) (checker.Policy, error) {
 	res, err := from(operatorAt(), 4*time.Second).Get("http://" + p.HTTP + "/v1/policy")
 	if err != nil {
-		return witness.Policy{}, err
+		return checker.Policy{}, err
 	}
 	defer res.Body.Close()
 	raw, err := io.ReadAll(res.Body)
 	if err == nil && res.StatusCode != http.StatusOK {
-		err = problem.New("read policy", p.Name, "status %d", res.StatusCode)
+		err = errs.New("read policy", p.Name, "status %d", res.StatusCode)
 	}
 	if err != nil {
-		return witness.Policy{}, err
+		return checker.Policy{}, err
 	}
-	return witness.ReadPolicy(raw)
+	return checker.ReadPolicy(raw)
 }
 
 // Books reads everything back through every daemon at the day's end.
@@ -227,7 +227,7 @@
 			continue
 		}
 		floor := o.Truth.Known()
-		var seen witness.Policy
+		var seen checker.Policy
 		var err error
 		for until := time.Now().Add(10 * time.Second); time.Now().Before(until); time.Sleep(200 * time.Millisecond) {
 			if seen, err = o.read(p); err == nil {
--- a/internal/rehearsal/plan.go
+++ b/internal/testbed/plan.go
@@ -1,7 +1,7 @@
-// Package rehearsal plays a whole fleet on one machine: the real daemons as
+// Package testbed plays a whole fleet on one machine: the real daemons as
 // processes, stand-in targets and consumers, faults, and a count of every
 // promise kept or broken, judged from what the stand-ins saw.
-package rehearsal
+package testbed
 
 import (
 	"fmt"
--- a/internal/rehearsal/probes.go
+++ b/internal/testbed/probes.go
@@ -1,4 +1,4 @@
-package rehearsal
+package testbed
 
 import (
 	"context"
@@ -17,12 +17,12 @@
 
 const probeWithin = time.Second
 
-// run probes every counter that nothing is wrong with, until the context ends.
+// run probes every proxy that nothing is wrong with, until the context ends.
 func (b *probes) run(ctx context.Context, s *Stage) {
 	client := &http.Client{Timeout: probeWithin}
 	var all sync.WaitGroup
 	for wait(ctx, time.Second) {
-		for _, p := range s.Of("counter") {
+		for _, p := range s.Of("proxy") {
 			if p.Lost || s.Excused(p.HTTP, time.Now()) {
 				b.mu.Lock()
 				b.excluded++
@@ -57,6 +57,6 @@
 func (b *probes) show(s *Stage) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	fmt.Fprintf(s.Out, "probes of sound counters: %d sent, %d without an answer within %s, %d slower than %s; %d left out for a fault\n",
+	fmt.Fprintf(s.Out, "probes of sound proxies: %d sent, %d without an answer within %s, %d slower than %s; %d left out for a fault\n",
 		b.sent, b.unheard, probeWithin, b.late, probeWithin/4, b.excluded)
 }
--- a/internal/rehearsal/programs.go
+++ b/internal/testbed/programs.go
@@ -1,15 +1,15 @@
-package rehearsal
+package testbed
 
 import (
 	"os"
 	"os/exec"
 	"path/filepath"
 
-	"dunlinwell/internal/problem"
+	"dunlinwell/internal/errs"
 )
 
 // programs are what a fleet needs: its daemons, and the command line.
-var programs = []string{"counter", "foreman", "stockroom", "dunlinwell"}
+var programs = []string{"proxy", "registry", "store", "dunlinwell"}
 
 // Build compiles the programs into a folder, from the source folder alone.
 func Build(bin string) error {
@@ -18,7 +18,7 @@
 		args = append(args, "dunlinwell/cmd/"+p)
 	}
 	if out, err := exec.Command("go", args...).CombinedOutput(); err != nil {
-		return problem.New("build daemons", "", "%v: %s", err, out)
+		return errs.New("build daemons", "", "%v: %s", err, out)
 	}
 	return nil
 }
--- a/internal/rehearsal/programs_test.go
+++ b/internal/testbed/programs_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package testbed
 
 import (
 	"errors"
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-// A fleet's programs are those named, or those beside rehearsal where all of
+// A fleet's programs are those named, or those beside testbed where all of
 // them stand there; they are built only where neither is so.
 func TestChooseBin(t *testing.T) {
 	put := func(t *testing.T, bin, name string, mode os.FileMode) {
@@ -22,14 +22,14 @@
 	}{
 		"all beside":           {},
 		"named":                {named: "other", want: "other"},
-		"one missing":          {want: "built", spoil: func(t *testing.T, bin string) { is.New(t).NoErr(os.Remove(filepath.Join(bin, "foreman"))) }},
+		"one missing":          {want: "built", spoil: func(t *testing.T, bin string) { is.New(t).NoErr(os.Remove(filepath.Join(bin, "registry"))) }},
 		"command line missing": {want: "built", spoil: func(t *testing.T, bin string) { is.New(t).NoErr(os.Remove(filepath.Join(bin, "dunlinwell"))) }},
 		"one can't be run": {want: "built", spoil: func(t *testing.T, bin string) {
-			is.New(t).NoErr(os.Chmod(filepath.Join(bin, "counter"), 0o644))
+			is.New(t).NoErr(os.Chmod(filepath.Join(bin, "proxy"), 0o644))
 		}},
 		"one is a folder": {want: "built", spoil: func(t *testing.T, bin string) {
-			is.New(t).NoErr(os.Remove(filepath.Join(bin, "stockroom")))
-			is.New(t).NoErr(os.Mkdir(filepath.Join(bin, "stockroom"), 0o755))
+			is.New(t).NoErr(os.Remove(filepath.Join(bin, "store")))
+			is.New(t).NoErr(os.Mkdir(filepath.Join(bin, "store"), 0o755))
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/rehearsal/ready.go
+++ b/internal/testbed/ready.go
@@ -1,11 +1,11 @@
-package rehearsal
+package testbed
 
 import (
 	"context"
 	"net/http"
 	"time"
 
-	"dunlinwell/internal/problem"
+	"dunlinwell/internal/errs"
 )
 
 // Ready tells whether a process takes work.
@@ -39,7 +39,7 @@
 			return time.Since(from), nil
 		}
 		if time.Since(from) > d || ctx.Err() != nil {
-			return time.Since(from), problem.New("await fleet", waits, "not ready within %s", d)
+			return time.Since(from), errs.New("await fleet", waits, "not ready within %s", d)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
--- a/internal/rehearsal/relay.go
+++ b/internal/testbed/relay.go
@@ -1,4 +1,4 @@
-package rehearsal
+package testbed
 
 import (
 	"net"
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"dunlinwell/internal/problem"
+	"dunlinwell/internal/errs"
 )
 
 // Relay stands between all machines: each address leads through it, those of
@@ -40,7 +40,7 @@
 func (r *Relay) Lead(address, to string) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
-		return problem.At(err, "relay", address)
+		return errs.Wrap(err, "relay", address)
 	}
 	r.mu.Lock()
 	r.ports = append(r.ports, l)
--- a/internal/rehearsal/run.go
+++ b/internal/testbed/run.go
@@ -1,4 +1,4 @@
-package rehearsal
+package testbed
 
 import (
 	"bytes"
@@ -16,14 +16,14 @@
 	"time"
 
 	"dunlinwell/internal/blueprint"
-	"dunlinwell/internal/problem"
-	"dunlinwell/internal/witness"
+	"dunlinwell/internal/checker"
+	"dunlinwell/internal/errs"
 )
 
 // Stage is a fleet with its stand-ins.
 type Stage struct {
 	*Fleet
-	Truth   *witness.Truth
+	Truth   *checker.Truth
 	Targets []*Target
 	Out     io.Writer
 	// consumers are those of the play that is on.
@@ -35,7 +35,7 @@
 	fresh int
 }
 
-// Params are the options of a rehearsal.
+// Params are the options of a testbed.
 type Params struct {
 	Plan  string
 	Dir   string
@@ -60,7 +60,7 @@
 func Raise(ctx context.Context, p Params) (*Stage, error) {
 	plan, ok := blueprint.Plans[p.Plan]
 	if !ok {
-		return nil, problem.New("choose plan", "", "there is no plan %q", p.Plan)
+		return nil, errs.New("choose plan", "", "there is no plan %q", p.Plan)
 	}
 	if p.Fixed {
 		block = fixedBlock
@@ -74,7 +74,7 @@
 	if err := os.MkdirAll(p.Dir, 0o755); err != nil {
 		return nil, err
 	}
-	s := &Stage{Fleet: &Fleet{Plan: plan, Dir: p.Dir, Fixed: p.Fixed, PlanEvery: cmp.Or(p.PlanEvery, 5*time.Second)}, Truth: &witness.Truth{}, Out: p.Out}
+	s := &Stage{Fleet: &Fleet{Plan: plan, Dir: p.Dir, Fixed: p.Fixed, PlanEvery: cmp.Or(p.PlanEvery, 5*time.Second)}, Truth: &checker.Truth{}, Out: p.Out}
 	if p.Relay {
 		s.relay = &Relay{Delay: s.delay}
 	}
@@ -109,7 +109,7 @@
 	last := ""
 	id := s.Truth.Ask(s.Change(), time.Now())
 	for until := time.Now().Add(10 * time.Second); time.Now().Before(until) && ctx.Err() == nil; time.Sleep(200 * time.Millisecond) {
-		res, err := http.Post("http://"+s.Of("foreman")[0].HTTP+"/v1/change", "application/json", bytes.NewReader(s.Change()))
+		res, err := http.Post("http://"+s.Of("registry")[0].HTTP+"/v1/change", "application/json", bytes.NewReader(s.Change()))
 		if err != nil {
 			last = err.Error()
 			continue
@@ -120,17 +120,17 @@
 			var r struct{ Revision uint64 }
 			err := json.Unmarshal(raw, &r)
 			s.Truth.Accept(id, r.Revision, time.Now())
-			return problem.At(err, "read answer to policy", "")
+			return errs.Wrap(err, "read answer to policy", "")
 		}
 	}
-	return problem.New("set policy", "", "%s", last)
+	return errs.New("set policy", "", "%s", last)
 }
 
-// foremen gives the foremen's pages in an order of the day.
-func (s *Stage) foremen() []string {
+// registries gives the registries's pages in an order of the day.
+func (s *Stage) registries() []string {
 	var out []string
 	for _, p := range s.all() {
-		if p.Role == "foreman" && !p.Gone {
+		if p.Role == "registry" && !p.Gone {
 			out = append(out, p.HTTP)
 		}
 	}
@@ -147,7 +147,7 @@
 				return err
 			}
 			t := &Target{Instance: pool.Instance(i), Service: pool.Service, Cell: s.Plan.Cell(n), Address: at,
-				Capacity: pool.Capacity, Work: 20 * time.Millisecond, Truth: s.Truth, Foremen: s.foremen, Delay: s.trip,
+				Capacity: pool.Capacity, Work: 20 * time.Millisecond, Truth: s.Truth, Registries: s.registries, Delay: s.trip,
 				RouteOf: s.routeOf, CellOf: s.cellOf, Ran: s.ran}
 			if s.relay != nil {
 				if t.bound, err = s.behind(at, n%s.Cells, 4, n); err != nil {
@@ -179,7 +179,7 @@
 func (s *Stage) Play(ctx context.Context, d time.Duration, deed func(context.Context)) {
 	load, stop := context.WithTimeout(ctx, d)
 	defer stop()
-	c := &Consumers{Plan: s.Plan, Truth: s.Truth, Foremen: s.foremen, Delay: s.trip, Stage: s}
+	c := &Consumers{Plan: s.Plan, Truth: s.Truth, Registries: s.registries, Delay: s.trip, Stage: s}
 	s.consumers = c
 	s.operators = NewOperators(s)
 	var all sync.WaitGroup
--- a/internal/rehearsal/runbooks_test.go
+++ b/internal/testbed/runbooks_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package testbed
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/clerk"
+	"dunlinwell/internal/cli"
 	"dunlinwell/internal/runbook"
 )
 
@@ -36,7 +36,7 @@
 	err = book.Run(runbook.Params{Values: values, Out: &out, Now: time.Now, Pause: func() { <-time.After(100 * time.Millisecond) },
 		Hands: func(what string) bool { b.hands(what); return true },
 		Command: func(words []string) ([]byte, error) {
-			return clerk.Capture(&clerk.Context{At: b.at, Timeout: 8 * time.Second}, words)
+			return cli.Capture(&cli.Context{At: b.at, Timeout: 8 * time.Second}, words)
 		}})
 	b.t.Log(out.String(), err)
 	return err
@@ -49,7 +49,7 @@
 	s, err := Raise(ctx, Params{Plan: "small", Dir: t.TempDir(), Out: &bytes.Buffer{}})
 	is.NoErr(err)
 	defer s.Lower()
-	b := &books{t: t, stage: s, at: s.Of("foreman")[1].HTTP}
+	b := &books{t: t, stage: s, at: s.Of("registry")[1].HTTP}
 	is.NoErr(b.run("health", nil))
 	cell := map[string]string{"cell": "cell-b1", "route": "stock"}
 	is.NoErr(b.run("empty-cell", cell))
@@ -65,24 +65,24 @@
 	}
 	is.NoErr(b.run("roll-daemons", nil))
 	// A core machine is lost; the book wants it replaced at a new address.
-	s.Kill(s.Get("stockroom-3"))
+	s.Kill(s.Get("store-3"))
 	b.hands = func(string) {
-		_, err := s.SwapCore(s.Get("stockroom-3"))
+		_, err := s.SwapCore(s.Get("store-3"))
 		is.NoErr(err)
 	}
-	is.NoErr(b.run("replace-core", map[string]string{"lost": "stockroom-3", "new": "stockroom-4"}))
+	is.NoErr(b.run("replace-core", map[string]string{"lost": "store-3", "new": "store-4"}))
 	// Two disks are lost for good.
-	for _, n := range []string{"stockroom-2", "stockroom-4"} {
+	for _, n := range []string{"store-2", "store-4"} {
 		p := s.Get(n)
 		s.Kill(p)
 		p.Gone = true
 		is.NoErr(os.RemoveAll(p.Data))
 	}
-	left := s.Get("stockroom-1")
+	left := s.Get("store-1")
 	b.at = left.HTTP
 	b.hands = func(string) {
 		for range 2 {
-			p, err := s.lay("stockroom", 1, s.made, s.made%3)
+			p, err := s.lay("store", 1, s.made, s.made%3)
 			is.NoErr(err)
 			s.made++
 			s.Procs = append(s.Procs, p)
@@ -90,21 +90,21 @@
 		}
 		s.until(t, func() bool { return len(s.unseated(left)) >= 2 })
 	}
-	is.NoErr(b.run("recover-core", map[string]string{"one": "stockroom-5", "two": "stockroom-6"}))
-	b.at = s.Of("counter")[0].HTTP
+	is.NoErr(b.run("recover-core", map[string]string{"one": "store-5", "two": "store-6"}))
+	b.at = s.Of("proxy")[0].HTTP
 	is.True(strings.Contains(call(t, "GET", b.at, "/v1/routes/orders", "").body, `"name":"orders"`))
 	_, err = s.Await(ctx, time.Minute)
 	is.NoErr(err)
 }
 
-// unseated lists the stockrooms that the status shows alive and not ready.
+// unseated lists the stores that the status shows alive and not ready.
 func (s *Stage) unseated(p *Process) []string {
-	raw, err := clerk.Capture(&clerk.Context{At: p.HTTP, Timeout: 8 * time.Second}, []string{"status"})
+	raw, err := cli.Capture(&cli.Context{At: p.HTTP, Timeout: 8 * time.Second}, []string{"status"})
 	if err != nil {
 		return nil
 	}
 	var out []string
-	for _, n := range []string{"stockroom-5", "stockroom-6"} {
+	for _, n := range []string{"store-5", "store-6"} {
 		if strings.Contains(string(raw), `"`+n+`"`) {
 			out = append(out, n)
 		}
--- a/internal/rehearsal/script.go
+++ b/internal/testbed/script.go
@@ -1,4 +1,4 @@
-package rehearsal
+package testbed
 
 import (
 	"fmt"
@@ -10,8 +10,8 @@
 	"sigs.k8s.io/yaml"
 
 	"dunlinwell/internal/blueprint"
-	"dunlinwell/internal/problem"
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/errs"
+	"dunlinwell/internal/ids"
 )
 
 // Script is faults at set times.
@@ -61,7 +61,7 @@
 	"split":     {[]string{"daemon", "core", "target", "cell", "region"}, true},
 	"swap-core": {[]string{"core"}, false}, "herd": {[]string{"role"}, true},
 	"lose-cell": {[]string{"cell"}, true}, "lose-region": {[]string{"region"}, true}, "empty": {[]string{"cell"}, true},
-	"hot": {[]string{"cell"}, true}, "storm": {[]string{"operators"}, true}, "stall-disk": {[]string{"stockroom"}, true},
+	"hot": {[]string{"cell"}, true}, "storm": {[]string{"operators"}, true}, "stall-disk": {[]string{"store"}, true},
 	"crash-target": {targets, true}, "leave-target": {targets, true}, "mute-target": {targets, true}, "hand-over": {targets, true},
 	"freeze-target": {targets, true}, "replace-target": {targets, false},
 }
@@ -76,10 +76,10 @@
 func ReadScript(file string, raw []byte, plan blueprint.Plan, length time.Duration) (*Script, error) {
 	var s Script
 	if err := yaml.UnmarshalStrict(raw, &s); err != nil {
-		return nil, problem.New("read script", file, "%v", err)
+		return nil, errs.New("read script", file, "%v", err)
 	}
 	if len(s.Steps) == 0 {
-		return nil, problem.New("read script", file, "it has no steps")
+		return nil, errs.New("read script", file, "it has no steps")
 	}
 	swap := -1
 	gone := map[string]Span{}
@@ -98,10 +98,10 @@
 			}
 			swap = i
 			n := strings.TrimPrefix(d.Who, "core-")
-			gone[d.Who], gone["stockroom-"+n], gone["foreman-"+n] = d.At, d.At, d.At
+			gone[d.Who], gone["store-"+n], gone["registry-"+n] = d.At, d.At, d.At
 		}
 		if why != "" {
-			return nil, problem.New("read script", file, "step %d: %s", i+1, why)
+			return nil, errs.New("read script", file, "step %d: %s", i+1, why)
 		}
 	}
 	sort.SliceStable(s.Steps, func(i, j int) bool { return s.Steps[i].At < s.Steps[j].At })
@@ -141,7 +141,7 @@
 	case !k.lasts && d.For != 0:
 		return d.Do + " doesn't last, so for has no meaning"
 	case time.Duration(d.At+d.For) > length:
-		return fmt.Sprintf("it ends at %s, after the rehearsal's %s", d.At+d.For, length)
+		return fmt.Sprintf("it ends at %s, after the testbed's %s", d.At+d.For, length)
 	}
 	return ""
 }
@@ -159,14 +159,14 @@
 
 // who names everybody that something can be done to.
 func who(plan blueprint.Plan) map[string][]string {
-	out := map[string][]string{"role": {"counter", "foreman", "stockroom"}, "operators": {"operators"}}
+	out := map[string][]string{"role": {"proxy", "registry", "store"}, "operators": {"operators"}}
 	for i := range 3 {
 		out["core"] = append(out["core"], fmt.Sprintf("core-%d", i+1))
-		out["stockroom"] = append(out["stockroom"], fmt.Sprintf("stockroom-%d", i+1))
-		out["daemon"] = append(out["daemon"], fmt.Sprintf("stockroom-%d", i+1), fmt.Sprintf("foreman-%d", i+1))
+		out["store"] = append(out["store"], fmt.Sprintf("store-%d", i+1))
+		out["daemon"] = append(out["daemon"], fmt.Sprintf("store-%d", i+1), fmt.Sprintf("registry-%d", i+1))
 	}
-	for i := range plan.Counters {
-		out["daemon"] = append(out["daemon"], fmt.Sprintf("counter-%d", i+1))
+	for i := range plan.Proxies {
+		out["daemon"] = append(out["daemon"], fmt.Sprintf("proxy-%d", i+1))
 	}
 	for i := range plan.Cells {
 		c := plan.Cell(i)
@@ -184,8 +184,8 @@
 }
 
 // cellsOf names the cells of a region, or the one cell of that name.
-func cellsOf(plan blueprint.Plan, region string) []ticket.Name {
-	var out []ticket.Name
+func cellsOf(plan blueprint.Plan, region string) []ids.Name {
+	var out []ids.Name
 	for i := range plan.Cells {
 		if c := plan.Cell(i); plan.Region(c) == region || string(c) == region {
 			out = append(out, c)
--- /dev/null
+++ b/internal/testbed/script_test.go
@@ -0,0 +1,62 @@
+package testbed
+
+import (
+	"encoding/json"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"dunlinwell/internal/blueprint"
+)
+
+// A script with anything wrong in it is declined whole, with file and step.
+func TestBadScripts(t *testing.T) {
+	plan := blueprint.Plans["small"]
+	for raw, want := range map[string]string{
+		"": "it has no steps",
+		"steps: [{at: 1s, do: explode, who: proxy-1, for: 1s}]":                                                 `step 1: there is no deed "explode"`,
+		"steps: [{at: 1s, do: kill, for: 1s}]":                                                                  "step 1: who is missing",
+		"steps: [{at: 1s, do: kill, who: proxy-9, for: 1s}]":                                                    `step 1: kill is done to a daemon or core, and there is none named "proxy-9"`,
+		"steps: [{at: 1s, do: kill, who: proxy-1}]":                                                             "step 1: for is missing",
+		"steps: [{at: 1s, do: swap-core, who: registry-1}]":                                                     "step 1: swap-core is done to a core",
+		"steps: [{at: 1s, do: swap-core, who: core-1, for: 3s}]":                                                "step 1: swap-core doesn't last",
+		"steps: [{at: 1s, do: kill, who: proxy-1, for: 1s}, {at: 59s, do: freeze, who: proxy-1, for: 2s}]":      "step 2: it ends at 1m1s, after",
+		"steps: [{at: soon, do: kill, who: proxy-1, for: 1s}]":                                                  "is no span of time",
+		"steps: [{at: 1s, do: kill, who: proxy-1, for: 1s, how: hard}]":                                         "unknown field",
+		"steps: [{at: 1s, do: split, who: region-a+region-b+region-c, for: 2s}]":                                "step 1: the other side of the split is empty",
+		"steps: [{at: 1s, do: split, who: region-a+, for: 2s}]":                                                 "step 1: who is missing",
+		"steps: [{at: 1s, do: storm, who: operators, for: 2s}]":                                                 "step 1: count must be from 1 to 5000",
+		"steps: [{at: 1s, do: kill, who: core-2, for: 2s, count: 3}]":                                           "step 1: kill has no count",
+		"steps: [{at: 1s, do: swap-core, who: core-1}, {at: 30s, do: swap-core, who: core-1}]":                  "step 2: core-1 was replaced before",
+		"steps: [{at: 1s, do: swap-core, who: core-1}, {at: 9s, do: freeze, who: registry-1, for: 2s}]":         "step 2: registry-1 was replaced before",
+		"steps: [{at: 1s, do: replace-target, who: catalog-1, for: 3s}]":                                        "step 1: replace-target doesn't last",
+		"steps: [{at: 1s, do: lose-cell, who: cell-z9, for: 1s}]":                                               "there is none named",
+		"steps: [{at: 1s, do: swap-core, who: core-1}, {at: 2s, do: swap-core, who: core-2}]":                   "step 2: core-1 is still being replaced",
+		"steps: [{at: 1s, do: kill, who: store-1, for: 9s}, {at: 2s, do: swap-core, who: core-1}]\nextra: true": "unknown field",
+	} {
+		_, err := ReadScript("f.yaml", []byte(raw), plan, time.Minute)
+		if err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), "f.yaml") {
+			t.Errorf("%s gave %v, not %q", raw, err, want)
+		}
+	}
+}
+
+// What is drawn or shipped passes the same check, for every plan.
+func TestOwnScriptsAreSound(t *testing.T) {
+	is := is.New(t)
+	for _, plan := range blueprint.Plans {
+		for seed := uint64(1); seed < 50; seed++ {
+			for _, script := range []*Script{Drawn(plan, seed, 2*time.Minute), Grand(plan), Worst(plan), Swaps(plan), Hot(plan, 4*time.Minute)} {
+				raw, err := json.Marshal(script)
+				is.NoErr(err)
+				_, err = ReadScript("own", raw, plan, 4*time.Minute)
+				is.NoErr(err)
+			}
+		}
+	}
+	s, err := ReadScript("f", []byte("steps:\n- {at: 9s, do: cut, who: registry-2, for: 2s}\n- {at: 3s, do: empty, who: cell-b1, for: 8s}"), blueprint.Plans["small"], time.Minute)
+	is.NoErr(err)
+	is.Equal(s.Steps[0].Do, "empty") // in order of time
+}
--- a/internal/rehearsal/scripts.go
+++ b/internal/testbed/scripts.go
@@ -1,4 +1,4 @@
-package rehearsal
+package testbed
 
 import (
 	"math/rand/v2"
@@ -14,10 +14,10 @@
 // turn, each restored before the next, with a herd and a rolling stop.
 func Grand(plan blueprint.Plan) *Script {
 	return &Script{Steps: []Deed{
-		{at(5), "kill", "foreman-2", at(6), 0}, {at(5), "swap-core", "core-1", 0, 0},
+		{at(5), "kill", "registry-2", at(6), 0}, {at(5), "swap-core", "core-1", 0, 0},
 		{at(25), "lose-cell", string(plan.Cell(1)), at(6), 0},
 		{at(45), "lose-region", plan.Region(plan.Cell(2)), at(6), 0},
-		{at(65), "herd", "counter", at(2), 0},
+		{at(65), "herd", "proxy", at(2), 0},
 		{at(80), "empty", string(plan.Cell(0)), at(12), 0},
 	}}
 }
@@ -31,20 +31,20 @@
 	return &Script{Steps: []Deed{
 		{at(4), "hot", string(plan.Cell(0)), at(70), 0},
 		{at(6), "storm", "operators", at(4), 300},
-		{at(12), "stall-disk", "stockroom-3", at(4), 0},
+		{at(12), "stall-disk", "store-3", at(4), 0},
 		{at(18), "lose-region", plan.Region(plan.Cell(1)), at(7), 0},
 		{at(19), "empty", string(plan.Cell(2)), at(11), 0},
 		{at(25), "freeze", "core-1", at(5), 0},
 		{at(34), "freeze-target", string(first.Instance(0)), at(8), 0},
 		{at(35), "cut-out", string(first.Instance(1)), at(9), 0},
 		{at(36), "replace-target", string(first.Instance(2)), 0, 0},
-		{at(38), "cut", "counter-2", at(7), 0},
+		{at(38), "cut", "proxy-2", at(7), 0},
 		{at(46), "split", "core-1+" + plan.Region(plan.Cell(0)), at(8), 0},
 		{at(47), "empty", string(plan.Cell(1)), at(10), 0},
 		{at(58), "swap-core", "core-2", 0, 0},
 		{at(60), "storm", "operators", at(4), 300},
 		{at(74), "hand-over", string(first.Instance(3)), at(4), 0},
-		{at(80), "herd", "counter", at(2), 0}, {at(80), "herd", "foreman", at(3), 0}, {at(80), "herd", "stockroom", at(2), 0},
+		{at(80), "herd", "proxy", at(2), 0}, {at(80), "herd", "registry", at(3), 0}, {at(80), "herd", "store", at(2), 0},
 	}}
 }
 
@@ -94,7 +94,7 @@
 			d.For = 0
 		}
 		// What was replaced isn't there any more.
-		if d.Do != "swap-core" && (d.Who == "core-"+swapped || d.Who == "stockroom-"+swapped || d.Who == "foreman-"+swapped) {
+		if d.Do != "swap-core" && (d.Who == "core-"+swapped || d.Who == "store-"+swapped || d.Who == "registry-"+swapped) {
 			continue
 		}
 		out.Steps = append(out.Steps, d)
--- a/internal/rehearsal/stands.go
+++ b/internal/testbed/stands.go
@@ -1,4 +1,4 @@
-package rehearsal
+package testbed
 
 import (
 	"context"
@@ -8,9 +8,9 @@
 	"path/filepath"
 	"time"
 
-	_ "github.com/mattn/go-sqlite3" // to hold a stockroom's database from outside
+	_ "github.com/mattn/go-sqlite3" // to hold a store's database from outside
 
-	"dunlinwell/internal/ticket"
+	"dunlinwell/internal/ids"
 )
 
 func (s *Stage) target(name string) *Target {
@@ -88,13 +88,13 @@
 		s.Truth.Wrong("replace %s: %v", t.Instance, err)
 		return
 	}
-	t.Instance, t.Address = ticket.Instance(fmt.Sprintf("%s-new-%d", t.Service, s.fresh)), at
+	t.Instance, t.Address = ids.Instance(fmt.Sprintf("%s-new-%d", t.Service, s.fresh)), at
 	if err := t.Start(true); err != nil {
 		s.Truth.Wrong("start %s: %v", t.Instance, err)
 	}
 }
 
-// stall keeps a stockroom's disk from writing, by a lock held on its database
+// stall keeps a store's disk from writing, by a lock held on its database
 // from outside, as long as its own patience lasts or longer: then it must end
 // itself. Whichever, a stalled disk may not pass for health.
 func (s *Stage) stall(ctx context.Context, p *Process, d time.Duration) {
--- a/internal/rehearsal/stop_test.go
+++ b/internal/testbed/stop_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package testbed
 
 import (
 	"bytes"
@@ -39,7 +39,7 @@
 	}
 	var by sync.Map
 	s.Play(ctx, 30*time.Second, func(load context.Context) {
-		for _, name := range []string{"counter-1", "foreman-1", "stockroom-1", "counter-2", "foreman-2", "stockroom-2"} {
+		for _, name := range []string{"proxy-1", "registry-1", "store-1", "proxy-2", "registry-2", "store-2"} {
 			p := s.Get(name)
 			s.Hurt(p, time.Now().Add(time.Minute))
 			s.Stop(p)
--- a/internal/rehearsal/target.go
+++ b/internal/testbed/target.go
@@ -1,4 +1,4 @@
-package rehearsal
+package testbed
 
 import (
 	"bytes"
@@ -16,22 +16,22 @@
 	"sync/atomic"
 	"time"
 
-	"dunlinwell/internal/ticket"
-	"dunlinwell/internal/witness"
+	"dunlinwell/internal/checker"
+	"dunlinwell/internal/ids"
 )
 
 // Target is a stand-in target. It announces itself, shows who it is, seals its
 // answers, and writes down each execution.
 type Target struct {
-	Instance ticket.Instance
-	Service  ticket.Name
-	Cell     ticket.Name
+	Instance ids.Instance
+	Service  ids.Name
+	Cell     ids.Name
 	Address  string
 	Capacity int
 	Work     time.Duration
-	Truth    *witness.Truth
-	// Foremen names where to announce; any of them will do.
-	Foremen func() []string
+	Truth    *checker.Truth
+	// Registries names where to announce; any of them will do.
+	Registries func() []string
 	// Delay is the time one way between two IP numbers.
 	Delay func(from, to string) time.Duration
 	dice  *rand.Rand
@@ -54,11 +54,11 @@
 	// have heard from it.
 	gate   sync.RWMutex
 	silent atomic.Int64
-	// Routes tells a path's route, and CellOf where a counter stands.
-	RouteOf func(path string) ticket.Name
-	CellOf  func(counter string) ticket.Name
-	// Ran hears of each run, by the cell of the counter that it came by.
-	Ran func(by ticket.Name)
+	// Routes tells a path's route, and CellOf where a proxy stands.
+	RouteOf func(path string) ids.Name
+	CellOf  func(proxy string) ids.Name
+	// Ran hears of each run, by the cell of the proxy that it came by.
+	Ran func(by ids.Name)
 }
 
 // warmTime is how long a stand-in takes to bear all after a restart.
@@ -141,7 +141,7 @@
 		"service": t.Service, "address": t.Address, "cell": t.Cell, "leaving": t.leaving, "warmth": t.warmth(),
 		"occupancy": t.busy.Load(), "capacity": t.Capacity, "interval_ms": 1000})
 	t.mu.Unlock()
-	for _, f := range t.Foremen() {
+	for _, f := range t.Registries() {
 		res, err := from(host(t.Address), 700*time.Millisecond).Post("http://"+f+"/v1/announce", "application/json", bytes.NewReader(body))
 		if err != nil {
 			continue
@@ -197,13 +197,13 @@
 // note writes an execution down, and what is wrong with it.
 func (t *Target) note(r *http.Request, now int64, came time.Time) {
 	n, _ := strconv.Atoi(r.Header.Get("Attempt"))
-	ran := witness.Ran{At: time.Now(), Sent: came, Instance: t.Instance, Service: t.Service, Cell: t.Cell, Token: r.URL.Query().Get("token"), Mark: r.Header.Get("Idempotency-Key"), Attempt: n}
+	ran := checker.Ran{At: time.Now(), Sent: came, Instance: t.Instance, Service: t.Service, Cell: t.Cell, Token: r.URL.Query().Get("token"), Mark: r.Header.Get("Idempotency-Key"), Attempt: n}
 	if ms, err := strconv.Atoi(r.Header.Get("Time-Left")); err == nil {
 		ran.Left = time.Duration(ms) * time.Millisecond
 	}
 	// Its bytes had left by the time they came, before any freeze held them up.
-	ran.Counter, ran.Route = carrier(r.Header.Get("Request-Id")), t.RouteOf(r.URL.Path)
-	ran.By = t.CellOf(ran.Counter)
+	ran.Proxy, ran.Route = carrier(r.Header.Get("Request-Id")), t.RouteOf(r.URL.Path)
+	ran.By = t.CellOf(ran.Proxy)
 	t.Ran(ran.By)
 	t.mu.Lock()
 	if !t.left.IsZero() {
--- a/internal/rehearsal/rehearsal_test.go
+++ b/internal/testbed/testbed_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package testbed
 
 import (
 	"bytes"
@@ -56,13 +56,13 @@
 	oddInput(t, s)
 	oddLine(t, s)
 	s.Play(ctx, 6*time.Second, func(context.Context) {
-		for _, name := range []string{"counter-1", "foreman-1", "stockroom-2"} {
+		for _, name := range []string{"proxy-1", "registry-1", "store-2"} {
 			p := s.Get(name)
 			s.Hurt(p, time.Now().Add(time.Minute))
 			s.Kill(p)
 			is.NoErr(s.Fleet.Run(p))
 		}
-		_, err := s.SwapCore(s.Get("stockroom-3"))
+		_, err := s.SwapCore(s.Get("store-3"))
 		is.NoErr(err)
 		_, err = s.Await(ctx, time.Minute)
 		is.NoErr(err) // whole again, the blank one included
@@ -82,11 +82,11 @@
 // control drives the fleet through one daemon of each kind.
 func control(t *testing.T, s *Stage) {
 	is := is.New(t)
-	counter, foreman, stock := s.Of("counter")[0].HTTP, s.Of("foreman")[1].HTTP, s.Of("stockroom")[2].HTTP
-	p := call(t, "PUT", counter, "/v1/services/papers", `{"tier":4}`)
+	proxy, registry, stock := s.Of("proxy")[0].HTTP, s.Of("registry")[1].HTTP, s.Of("store")[2].HTTP
+	p := call(t, "PUT", proxy, "/v1/services/papers", `{"tier":4}`)
 	is.Equal(p.status, 200)
 	var got struct{ Version uint64 }
-	for _, at := range []string{counter, foreman, stock} {
+	for _, at := range []string{proxy, registry, stock} {
 		p = call(t, "GET", at, "/v1/services/papers", "")
 		is.Equal(p.status, 200)
 		old := got.Version
@@ -94,29 +94,29 @@
 		is.True(old == 0 || old == got.Version) // the same truth everywhere
 	}
 	is.Equal(call(t, "PUT", stock, "/v1/services/papers", `{}`, "If-Match", "1").status, 409)
-	is.Equal(call(t, "DELETE", foreman, "/v1/services/catalog", "").status, 400) // a route uses it
-	is.Equal(call(t, "GET", counter, "/v1/routes/none", "").status, 404)
-	is.Equal(call(t, "GET", foreman, "/v1/where?cell=cell-a1&route=none", "").status, 404)
-	is.Equal(call(t, "POST", foreman, "/v1/cells/cell-a1/flood", "").status, 404)
+	is.Equal(call(t, "DELETE", registry, "/v1/services/catalog", "").status, 400) // a route uses it
+	is.Equal(call(t, "GET", proxy, "/v1/routes/none", "").status, 404)
+	is.Equal(call(t, "GET", registry, "/v1/where?cell=cell-a1&route=none", "").status, 404)
+	is.Equal(call(t, "POST", registry, "/v1/cells/cell-a1/flood", "").status, 404)
 	id := "resent-1"
-	a := call(t, "PUT", foreman, "/v1/services/resent", `{"tier":1}`, "Change-Id", id)
-	b := call(t, "PUT", counter, "/v1/services/resent", `{"tier":1}`, "Change-Id", id)
+	a := call(t, "PUT", registry, "/v1/services/resent", `{"tier":1}`, "Change-Id", id)
+	b := call(t, "PUT", proxy, "/v1/services/resent", `{"tier":1}`, "Change-Id", id)
 	is.Equal(a.status, 200)
 	is.Equal(a.body, b.body) // the first result, not a second version
-	// The command line, through a stockroom.
+	// The command line, through a store.
 	cli := exec.Command(filepath.Join(s.Bin, "dunlinwell"), "--at", stock, "service", "remove", "resent")
 	is.NoErr(cli.Run())
-	cli = exec.Command(filepath.Join(s.Bin, "dunlinwell"), "--at", foreman, "service", "get", "resent")
+	cli = exec.Command(filepath.Join(s.Bin, "dunlinwell"), "--at", registry, "service", "get", "resent")
 	is.True(cli.Run() != nil)
 	is.Equal(cli.ProcessState.ExitCode(), 3)
 	// A bad param: one line that names it, and exit 2.
-	bad := exec.Command(filepath.Join(s.Bin, "counter"), "--name", "x", "--address", "nowhere", "--http", "127.0.0.1:1", "--cell", "c", "--seeds", "a,b,c")
+	bad := exec.Command(filepath.Join(s.Bin, "proxy"), "--name", "x", "--address", "nowhere", "--http", "127.0.0.1:1", "--cell", "c", "--seeds", "a,b,c")
 	line, _ := bad.CombinedOutput()
 	is.Equal(bad.ProcessState.ExitCode(), 2)
 	is.True(strings.Contains(string(line), "--address") && strings.Count(string(line), "\n") == 1)
 	// A data folder held by another process.
-	held := s.Of("stockroom")[0]
-	second := exec.Command(filepath.Join(s.Bin, "stockroom"), "--name", "x", "--address", "127.0.0.1:1", "--http", "127.0.0.1:2", "--cell", "c",
+	held := s.Of("store")[0]
+	second := exec.Command(filepath.Join(s.Bin, "store"), "--name", "x", "--address", "127.0.0.1:1", "--http", "127.0.0.1:2", "--cell", "c",
 		"--seeds", "127.0.0.1:1,127.0.0.1:3,127.0.0.1:4", "--data", held.Data)
 	line, _ = second.CombinedOutput()
 	is.Equal(second.ProcessState.ExitCode(), 2)
@@ -126,7 +126,7 @@
 // mistakes are bad calls: each is declined, and nothing changes.
 func mistakes(t *testing.T, s *Stage) {
 	is := is.New(t)
-	at := s.Of("foreman")[0].HTTP
+	at := s.Of("registry")[0].HTTP
 	before := call(t, "GET", at, "/v1/policy", "").body
 	for path, body := range map[string]string{
 		"/v1/change":   `{"id":"b","changes":[{"kind":"service","name":"ok","put":{}},{"kind":"route","name":"r","put":{"prefix":"/r","service":"none","repeatable":true}}]}`,
@@ -141,7 +141,7 @@
 	is.Equal(call(t, "PUT", at, "/v1/services/x", `{}`, "If-Match", "new").status, 400)
 	is.Equal(call(t, "GET", at, "/v1/policy", "").body, before)
 	// A frame that is none closes its circuit and harms nobody.
-	c := s.Of("stockroom")[0].Address
+	c := s.Of("store")[0].Address
 	p, err := http.Get("http://" + c + "/")
 	if err == nil {
 		p.Body.Close()
--- a/internal/rehearsal/watch.go
+++ b/internal/testbed/watch.go
@@ -1,4 +1,4 @@
-package rehearsal
+package testbed
 
 import (
 	"cmp"
@@ -11,32 +11,32 @@
 	"sync"
 	"time"
 
-	"dunlinwell/internal/ticket"
-	"dunlinwell/internal/witness"
+	"dunlinwell/internal/checker"
+	"dunlinwell/internal/ids"
 )
 
 // statedCost is what stand-in targets state as the CPU time of a request.
 const statedCost = 5.0
 
 // watcher looks at the load that each cell really carries: the CPU time of its
-// counters' processes, and what targets stated for the runs that came by them.
+// proxies' processes, and what targets stated for the runs that came by them.
 type watcher struct {
 	*Stage
 	mu   sync.Mutex
-	runs map[ticket.Name]float64
-	last map[ticket.Name]float64
+	runs map[ids.Name]float64
+	last map[ids.Name]float64
 }
 
 // ran counts a run; targets tell.
-func (w *watcher) ran(by ticket.Name) {
+func (w *watcher) ran(by ids.Name) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.runs[by]++
 }
 
 // spent sums what each cell has spent so far, in ms.
-func (w *watcher) spent() map[ticket.Name]float64 {
-	out := map[ticket.Name]float64{}
+func (w *watcher) spent() map[ids.Name]float64 {
+	out := map[ids.Name]float64{}
 	w.mu.Lock()
 	for c, n := range w.runs {
 		out[c] = n * statedCost
@@ -44,7 +44,7 @@
 	w.mu.Unlock()
 	client := &http.Client{Timeout: time.Second}
 	for _, p := range w.all() {
-		if p.Role != "counter" {
+		if p.Role != "proxy" {
 			continue
 		}
 		for name, v := range figures(client, p) {
@@ -59,7 +59,7 @@
 // Watch shows every so often what each cell uses against its levels, and what
 // is moved by tier, until the context ends; the witness sees the load as well.
 func (s *Stage) Watch(ctx context.Context, every time.Duration) {
-	w := &watcher{Stage: s, runs: map[ticket.Name]float64{}}
+	w := &watcher{Stage: s, runs: map[ids.Name]float64{}}
 	s.watcher.Store(w)
 	w.last = w.spent()
 	from, last := time.Now(), time.Now()
@@ -82,7 +82,7 @@
 
 // moved tells the moves in force, as the status page shows them.
 func (s *Stage) moved() string {
-	for _, f := range s.foremen() {
+	for _, f := range s.registries() {
 		res, err := from(operatorAt(), time.Second).Get("http://" + f + "/v1/status")
 		if err != nil {
 			continue
@@ -102,23 +102,23 @@
 			From, To, Route string
 			Fraction        float64
 		}) int {
-			return cmp.Or(cmp.Compare(s.tiers()[ticket.Name(a.Route)], s.tiers()[ticket.Name(b.Route)]), cmp.Compare(a.To, b.To))
+			return cmp.Or(cmp.Compare(s.tiers()[ids.Name(a.Route)], s.tiers()[ids.Name(b.Route)]), cmp.Compare(a.To, b.To))
 		})
 		out := ""
 		for _, m := range st.Moves {
-			out += fmt.Sprintf(" %s>%s %s(%d) %.2f", strings.TrimPrefix(m.From, "cell-"), strings.TrimPrefix(m.To, "cell-"), m.Route, s.tiers()[ticket.Name(m.Route)], m.Fraction)
+			out += fmt.Sprintf(" %s>%s %s(%d) %.2f", strings.TrimPrefix(m.From, "cell-"), strings.TrimPrefix(m.To, "cell-"), m.Route, s.tiers()[ids.Name(m.Route)], m.Fraction)
 		}
 		if out == "" {
 			return "no moves"
 		}
 		return strings.TrimSpace(out)
 	}
-	return "no foreman answers"
+	return "no registry answers"
 }
 
 // tiers ranks the plan's routes, by their own tier and then their service's.
-func (s *Stage) tiers() map[ticket.Name]int {
-	out := map[ticket.Name]int{}
+func (s *Stage) tiers() map[ids.Name]int {
+	out := map[ids.Name]int{}
 	for _, w := range s.Ways {
 		out[w.Route] = w.Tier * 10
 		for _, p := range s.Pools {
@@ -132,7 +132,7 @@
 
 // judgeOrder lets the witness judge the order of moves by the plan's policy.
 func (s *Stage) judgeOrder() {
-	o := witness.Order{Every: s.PlanEvery, Tier: s.tiers(), Distance: s.Plan.Distance, Acceptable: map[ticket.Name]float64{}}
+	o := checker.Order{Every: s.PlanEvery, Tier: s.tiers(), Distance: s.Plan.Distance, Acceptable: map[ids.Name]float64{}}
 	for i := range s.Cells {
 		o.Acceptable[s.Plan.Cell(i)] = 0.8 * s.Plan.Comfort()
 	}
--- a/internal/parcel/body.go
+++ b/internal/wire/body.go
@@ -1,4 +1,4 @@
-package parcel
+package wire
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 	"math"
 	"reflect"
 
-	"dunlinwell/internal/problem"
+	"dunlinwell/internal/errs"
 )
 
 // put writes a value field by field in big-endian order: numbers at their
@@ -57,7 +57,7 @@
 		b.Write(binary.BigEndian.AppendUint32(nil, uint32(in.Len())))
 		b.Write(in.Bytes())
 	default:
-		return problem.New("pack", "", "can't pack a %s", v.Type())
+		return errs.New("pack", "", "can't pack a %s", v.Type())
 	}
 	return nil
 }
@@ -109,7 +109,7 @@
 	case reflect.Struct:
 		return getStruct(r, v)
 	default:
-		return problem.New("unpack", "", "can't unpack a %s", v.Type())
+		return errs.New("unpack", "", "can't unpack a %s", v.Type())
 	}
 	return err
 }
--- a/internal/parcel/frame.go
+++ b/internal/wire/frame.go
@@ -1,6 +1,6 @@
 // Package parcel packs what our processes say to one another: a fixed header
 // and a body of encoding/binary fields, both with limits checked first.
-package parcel
+package wire
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 	"io"
 	"reflect"
 
-	"dunlinwell/internal/problem"
+	"dunlinwell/internal/errs"
 )
 
 const (
@@ -27,7 +27,7 @@
 type Kind uint16
 
 // Head stands before every body.
-type Head struct {
+type Header struct {
 	Magic   uint16
 	Version uint8
 	Spare   uint8
@@ -72,7 +72,7 @@
 }
 
 // Size is the length of the whole frame.
-func (h Head) Size() int { return headSize + int(h.Length) }
+func (h Header) Size() int { return headSize + int(h.Length) }
 
 // Epoched is met by messages sent under a duty's epoch.
 type Epoched interface{ UnderEpoch() uint64 }
@@ -81,19 +81,19 @@
 type Numbered interface{ CountedAs() uint64 }
 
 // Pack makes a frame of a message.
-func Pack(msg any) ([]byte, error) {
+func Encode(msg any) ([]byte, error) {
 	k, ok := names[reflect.TypeOf(msg)]
 	if !ok {
-		return nil, problem.New("pack", "", "no kind for %T", msg)
+		return nil, errs.New("pack", "", "no kind for %T", msg)
 	}
 	var buf bytes.Buffer
 	buf.Write(make([]byte, headSize))
 	if err := put(&buf, reflect.ValueOf(msg)); err != nil {
-		return nil, problem.At(err, "pack", "")
+		return nil, errs.Wrap(err, "pack", "")
 	}
-	h := Head{Magic: magic, Version: Version, Kind: k, Length: uint32(buf.Len() - headSize)}
+	h := Header{Magic: magic, Version: Version, Kind: k, Length: uint32(buf.Len() - headSize)}
 	if h.Length > MaxBody {
-		return nil, problem.New("pack", "", "%T of %d bytes is over the limit", msg, h.Length)
+		return nil, errs.New("pack", "", "%T of %d bytes is over the limit", msg, h.Length)
 	}
 	if e, ok := msg.(Epoched); ok {
 		h.Epoch = e.UnderEpoch()
@@ -103,31 +103,31 @@
 	}
 	out := buf.Bytes()
 	if _, err := binary.Encode(out[:headSize], binary.BigEndian, &h); err != nil {
-		return nil, problem.At(err, "pack head", "")
+		return nil, errs.Wrap(err, "pack head", "")
 	}
 	return out, nil
 }
 
 // Read takes one frame. A message of an unknown kind comes back nil without
 // an error: a newer peer may say things that we don't know yet.
-func Read(r io.Reader) (Head, any, error) {
+func Read(r io.Reader) (Header, any, error) {
 	var raw [headSize]byte
-	var h Head
+	var h Header
 	if _, err := io.ReadFull(r, raw[:]); err != nil {
-		return h, nil, problem.At(err, "read head", "")
+		return h, nil, errs.Wrap(err, "read head", "")
 	}
 	if _, err := binary.Decode(raw[:], binary.BigEndian, &h); err != nil {
-		return h, nil, problem.At(err, "read head", "")
+		return h, nil, errs.Wrap(err, "read head", "")
 	}
 	// Bounds first: a bad length must not cost memory.
 	if h.Magic != magic || h.Length > MaxBody || h.Version == 0 {
-		return h, nil, problem.New("read head", "", "malformed frame: magic %x version %d length %d", h.Magic, h.Version, h.Length)
+		return h, nil, errs.New("read head", "", "malformed frame: magic %x version %d length %d", h.Magic, h.Version, h.Length)
 	}
 	body, err := take(r, int(h.Length))
 	if err != nil {
-		return h, nil, problem.At(err, "read body", "")
+		return h, nil, errs.Wrap(err, "read body", "")
 	}
-	msg, err := Open(h.Kind, body)
+	msg, err := Decode(h.Kind, body)
 	return h, msg, err
 }
 
@@ -144,17 +144,17 @@
 }
 
 // ReadBytes takes a frame that is already in hand, as on disk.
-func ReadBytes(raw []byte) (Head, any, error) { return Read(bytes.NewReader(raw)) }
+func ReadBytes(raw []byte) (Header, any, error) { return Read(bytes.NewReader(raw)) }
 
 // Open unpacks a body; nil for a kind that is not known here.
-func Open(k Kind, body []byte) (any, error) {
+func Decode(k Kind, body []byte) (any, error) {
 	t, ok := kinds[k]
 	if !ok {
 		return nil, nil
 	}
 	v := reflect.New(t).Elem()
 	if err := get(bytes.NewReader(body), v); err != nil {
-		return nil, problem.At(err, "unpack "+t.String(), "")
+		return nil, errs.Wrap(err, "unpack "+t.String(), "")
 	}
 	return v.Interface(), nil
 }
--- a/internal/parcel/parcel_test.go
+++ b/internal/wire/wire_test.go
@@ -1,4 +1,4 @@
-package parcel
+package wire
 
 import (
 	"bytes"
@@ -29,19 +29,19 @@
 // and what an older one lacks is zero.
 func TestVersionsMix(t *testing.T) {
 	is := is.New(t)
-	raw, err := Pack(newMsg{List: []newPart{{"a", 7}, {"b", 8}}, Extra: []byte("x"), Share: 0.5})
+	raw, err := Encode(newMsg{List: []newPart{{"a", 7}, {"b", 8}}, Extra: []byte("x"), Share: 0.5})
 	is.NoErr(err)
-	msg, err := Open(900, raw[headSize:])
+	msg, err := Decode(900, raw[headSize:])
 	is.NoErr(err)
 	is.Equal(msg, oldMsg{List: []oldPart{{"a"}, {"b"}}})
-	raw, err = Pack(oldMsg{List: []oldPart{{"c"}}})
+	raw, err = Encode(oldMsg{List: []oldPart{{"c"}}})
 	is.NoErr(err)
-	msg, err = Open(901, raw[headSize:])
+	msg, err = Decode(901, raw[headSize:])
 	is.NoErr(err)
 	is.Equal(msg, newMsg{List: []newPart{{"c", 0}}})
 	// An unknown kind is no problem; the next frame is read as usual.
 	binary.BigEndian.PutUint16(raw[4:], 999)
-	good, _ := Pack(oldMsg{})
+	good, _ := Encode(oldMsg{})
 	r := bytes.NewReader(append(raw, good...))
 	_, msg, err = Read(r)
 	is.NoErr(err)
@@ -54,7 +54,7 @@
 // A malformed frame is an error, never a crash nor a large allocation.
 func TestMalformedFrames(t *testing.T) {
 	is := is.New(t)
-	good, err := Pack(newMsg{List: []newPart{{"a", 7}}, Extra: []byte("xyz")})
+	good, err := Encode(newMsg{List: []newPart{{"a", 7}}, Extra: []byte("xyz")})
 	is.NoErr(err)
 	for cut := range good {
 		_, _, err := Read(bytes.NewReader(good[:cut]))
@@ -79,7 +79,7 @@
 // until the bytes are there.
 func TestLargeFrames(t *testing.T) {
 	is := is.New(t)
-	large, err := Pack(newMsg{Extra: bytes.Repeat([]byte("x"), 40<<20)})
+	large, err := Encode(newMsg{Extra: bytes.Repeat([]byte("x"), 40<<20)})
 	is.NoErr(err)
 	_, msg, err := Read(bytes.NewReader(large))
 	is.NoErr(err)
@@ -92,11 +92,11 @@
 }
 
 func FuzzOpen(f *testing.F) {
-	good, _ := Pack(newMsg{List: []newPart{{"a", 7}}, Extra: []byte("xyz")})
+	good, _ := Encode(newMsg{List: []newPart{{"a", 7}}, Extra: []byte("xyz")})
 	f.Add(good[headSize:])
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		for k := range kinds {
-			_, _ = Open(k, raw)
+			_, _ = Decode(k, raw)
 		}
 	})
 }
