--- a/internal/proxy/edge.go
+++ b/internal/proxy/edge.go
@@ -28,7 +28,7 @@
 type ownEdge struct{ d *Daemon }
 
 func (e ownEdge) Consumers(d *Daemon) http.Handler    { return http.HandlerFunc(d.consume) }
-func (e ownEdge) Trade() Trade                        { return house{e.d} }
+func (e ownEdge) Trade() Trade                        { return house(e) }
 func (ownEdge) Pages(*Daemon) map[string]http.Handler { return nil }
 
 // Find gives the route of a host and path, and the policy it stands in.
--- a/internal/registry/peers.go
+++ b/internal/registry/peers.go
@@ -56,7 +56,6 @@
 	Pulse
 	at     ids.Time
 	differ int
-	sent   ids.Time
 }
 
 func newPeers() peers { return peers{heard: map[ids.Daemon]peer{}} }
--- a/internal/simulator/scenes2.go
+++ b/internal/simulator/scenes2.go
@@ -34,12 +34,6 @@
 func leftToDying(w *World) {
 	w.every(2*time.Second, 6*time.Second, 7, func(i int) {
 		t, deaf := w.pool[i%len(w.pool)], w.some(membership.Proxy)
-		var cuts []string
-		for _, p := range w.procs {
-			if p.role == membership.Registry {
-				cuts = append(cuts, p.name)
-			}
-		}
 		t.leave()
 		via := t.via
 		if via == nil {
--- a/internal/testbed/fleet.go
+++ b/internal/testbed/fleet.go
@@ -43,7 +43,6 @@
 	mu        sync.Mutex
 	Procs     []*Process
 	seeds     []string
-	extra     []string
 	made      int
 	relay     *Relay
 	hurt      hurts
--- a/internal/testbed/target.go
+++ b/internal/testbed/target.go
@@ -34,7 +34,6 @@
 	Registries func() []string
 	// Delay is the time one way between two IP numbers.
 	Delay func(from, to string) time.Duration
-	dice  *rand.Rand
 
 	mu          sync.Mutex
 	server      *http.Server
