--- /dev/null
+++ b/internal/membership/fleet_test.go
@@ -0,0 +1,143 @@
+package membership
+
+import (
+	"cmp"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"dunlinwell/internal/event"
+	"dunlinwell/internal/ids"
+)
+
+// fleet is a hundred members in nine zones, each with a clock and a link of its
+// own, in virtual time.
+type fleet struct {
+	now   ids.Time
+	dice  *rand.Rand
+	queue []delivery
+	nodes []*node
+	at    map[ids.Address]*node
+	// cut, if set, tells which messages can't pass.
+	cut func(from, to ids.Address) bool
+	// loss is the share of messages that never arrive.
+	loss float64
+	// verdicts are those that registries passed, by member.
+	verdicts map[string]int
+}
+
+type delivery struct {
+	at       ids.Time
+	from, to ids.Address
+	msg      any
+}
+
+type node struct {
+	list *List
+	out  *event.Outbox
+	down bool
+	// next is when it turns next: a starved process turns late, and reads all
+	// that arrived meanwhile only then.
+	next    ids.Time
+	starved time.Duration
+	// delay is how long messages wait for its link, on top of the distance.
+	delay func() time.Duration
+	inbox []delivery
+}
+
+const (
+	fleetTick  = 50 * time.Millisecond
+	fleetZones = 9
+)
+
+func newFleet(seed uint64, proxies int) *fleet {
+	f := &fleet{now: 1, dice: rand.New(rand.NewPCG(seed, 7)), at: map[ids.Address]*node{}, verdicts: map[string]int{}}
+	for _, kind := range []struct {
+		role Role
+		n    int
+	}{{Registry, 5}, {Store, 5}, {Proxy, proxies}} {
+		for i := range kind.n {
+			f.add(kind.role, i)
+		}
+	}
+	return f
+}
+
+func (f *fleet) add(role Role, i int) {
+	at := ids.Address(fmt.Sprintf("machine-%d-%s", i, role))
+	n := &node{out: &event.Outbox{}, delay: func() time.Duration { return 0 }, next: ids.Time(f.dice.Int64N(int64(fleetTick))) + 1}
+	self := Member{ID: ids.Daemon(at), Role: role, Address: at, Zone: ids.Name(fmt.Sprintf("z%d", i%fleetZones)), Start: 1, Incarnation: 1, Ready: true}
+	n.list = New(Options{Self: self, Seeds: []ids.Address{"machine-0-registry", "machine-1-registry", "machine-2-registry"}, Incremental: true}, n.out)
+	f.nodes = append(f.nodes, n)
+	f.at[at] = n
+}
+
+// pass lets time go by.
+func (f *fleet) pass(d time.Duration) {
+	for end := f.now.Add(d); f.now < end; f.now = f.now.Add(10 * time.Millisecond) {
+		slices.SortStableFunc(f.queue, func(a, b delivery) int { return cmp.Compare(a.at, b.at) })
+		for len(f.queue) > 0 && f.queue[0].at <= f.now {
+			x := f.queue[0]
+			f.queue = f.queue[1:]
+			if n := f.at[x.to]; !n.down {
+				n.inbox = append(n.inbox, x)
+			}
+		}
+		for _, n := range f.nodes {
+			f.turn(n)
+		}
+	}
+}
+
+// turn lets a node read what arrived, and step its clock if it is time.
+func (f *fleet) turn(n *node) {
+	if n.down || n.starved > 0 && f.now < n.next {
+		return
+	}
+	for _, x := range n.inbox {
+		n.list.Receive(f.now, x.from, x.msg)
+	}
+	n.inbox = nil
+	if f.now >= n.next {
+		n.next = f.now.Add(fleetTick)
+		if n.starved > 0 {
+			n.next = f.now.Add(time.Duration(f.dice.Int64N(int64(n.starved))))
+		}
+		n.list.Tick(f.now)
+		f.relay(n)
+	}
+	f.send(n)
+}
+
+// relay hands on what changed, as registries do.
+func (f *fleet) relay(n *node) {
+	if n.list.Self.Role != Registry {
+		return
+	}
+	if changed := n.list.Changed(); len(changed) > 0 {
+		for _, m := range n.list.All() {
+			if !m.Gone && m.ID != n.list.Self.ID {
+				n.out.Send(m.Address, Delta{Members: changed, Final: true})
+			}
+		}
+	}
+}
+
+func (f *fleet) send(n *node) {
+	for _, c := range n.out.Drain() {
+		switch c := c.(type) {
+		case event.LogEntry:
+			if c.Event == "member gone" {
+				f.verdicts[c.Fields[1]]++
+			}
+		case event.Send:
+			to := f.at[c.To]
+			if to == nil || f.dice.Float64() < f.loss || f.cut != nil && f.cut(n.list.Self.Address, c.To) {
+				continue
+			}
+			wait := time.Millisecond + time.Duration(f.dice.Int64N(int64(30*time.Millisecond))) + n.delay() + to.delay()
+			f.queue = append(f.queue, delivery{f.now.Add(wait), n.list.Self.Address, c.To, c.Msg})
+		}
+	}
+}
--- a/internal/membership/list.go
+++ b/internal/membership/list.go
@@ -12,44 +12,47 @@
 	"dunlinwell/internal/ids"
 )
 
-// Roll is the state machine that every daemon embeds.
+// List is the state machine that every daemon embeds.
 type List struct {
 	Options
-	out          *event.Outbox
-	members      map[ids.Daemon]Member
-	heard        map[ids.Daemon]ids.Time
-	suspicions   map[ids.Daemon]map[ids.Daemon]suspicion
-	beat         ids.Time
+	out     *event.Outbox
+	members map[ids.Daemon]Member
+	// heard are those that this daemon watches, and words when any message last
+	// came from an address.
+	heard map[ids.Daemon]*arrivals
+	words map[ids.Address]ids.Time
+	// accusations are what is said against members.
+	accusations map[ids.Daemon]*accusation
+	// buried are the verdicts that this registry passed itself.
+	buried       map[ids.Daemon]burial
+	ticked, beat ids.Time
 	nextSeedCall ids.Time
 	digest       uint64
 	dirty        bool
-	// all and stood are the members in order of id, and those standing in order
-	// of the ring; nil once they have to be drawn up anew.
-	all, stood     []Member
+	// all are the members in order of id, and index the ring of the living ones;
+	// nil once they have to be drawn up anew.
+	all            []Member
+	index          *ringIndex
 	parts          [parts]uint64
 	knocks         int
 	asked, differs map[ids.Daemon]ids.Time
 	changed        []ids.Daemon
 	version        uint64
 	shown          uint64
-	// MayJudge, if set, tells whether this registry may count others as gone.
+	// MayDeclareDead, if set, tells whether this registry may count others as gone.
 	MayDeclareDead func(now ids.Time) bool
 	page           atomic.Pointer[page]
 }
 
-type suspicion struct {
-	incarnation ids.Incarnation
-	at          ids.Time
-}
-
-// New makes a roll that knows itself and its seeds alone.
+// New makes a list that knows itself and its seeds alone.
 func New(p Options, out *event.Outbox) *List {
 	p.fill()
 	p.Self.Sequence = 1
 	r := &List{Options: p, out: out, dirty: true, asked: map[ids.Daemon]ids.Time{}, differs: map[ids.Daemon]ids.Time{},
-		members:    map[ids.Daemon]Member{p.Self.ID: p.Self},
-		heard:      map[ids.Daemon]ids.Time{},
-		suspicions: map[ids.Daemon]map[ids.Daemon]suspicion{}}
+		members:     map[ids.Daemon]Member{p.Self.ID: p.Self},
+		heard:       map[ids.Daemon]*arrivals{},
+		words:       map[ids.Address]ids.Time{},
+		accusations: map[ids.Daemon]*accusation{}, buried: map[ids.Daemon]burial{}}
 	r.parts[part(p.Self.ID)] ^= imprint(p.Self)
 	return r
 }
@@ -78,7 +81,7 @@
 	}
 	r.parts[part(m.ID)] ^= imprint(m)
 	r.members[m.ID] = m
-	r.dirty, r.all, r.stood = true, nil, nil
+	r.dirty, r.all, r.index = true, nil, nil
 	if r.Incremental {
 		r.changed = append(r.changed, m.ID)
 	}
@@ -119,18 +122,6 @@
 	return !ok || m.Gone || m.Start != s
 }
 
-func (r *List) livingMembers() []Member {
-	if r.stood == nil {
-		for _, m := range r.members {
-			if !m.Gone {
-				r.stood = append(r.stood, m)
-			}
-		}
-		ring(r.stood)
-	}
-	return r.stood[:len(r.stood):len(r.stood)]
-}
-
 func (r *List) sum() uint64 {
 	if r.dirty {
 		r.digest, r.dirty = r.fold(), false
@@ -158,13 +149,13 @@
 	return h.Sum64()
 }
 
-// Hear takes a message; false means that it belongs to another slice.
+// Receive takes a message; false means that it belongs to another slice.
 func (r *List) Receive(now ids.Time, from ids.Address, msg any) bool {
+	r.Witness(now, from)
 	switch m := msg.(type) {
 	case Heartbeat:
 		r.merge([]Member{m.Self})
-		r.heard[m.Self.ID] = now
-		delete(r.suspicions, m.Self.ID)
+		r.heartbeat(now, m.Self.ID)
 		// Copies that differ merge at once rather than in rounds.
 		if m.Digest != r.sum() {
 			r.differ(now, m.Self)
@@ -182,6 +173,13 @@
 		}
 	case Suspect:
 		r.suspect(now, m)
+	case Withdraw:
+		r.withdrawn(m)
+	case Probe:
+		r.probed(from, m)
+	case ProbeReply:
+		r.merge([]Member{m.Self})
+		r.heartbeat(now, m.Self.ID)
 	default:
 		return false
 	}
@@ -212,14 +210,3 @@
 		r.out.Log("info", "refuted", "incarnation", itoa(uint64(r.Self.Incarnation)))
 	}
 }
-
-func (r *List) suspect(now ids.Time, s Suspect) {
-	m, ok := r.members[s.ID]
-	if !ok || m.Gone || m.Incarnation != s.Incarnation || s.ID == r.Self.ID {
-		return
-	}
-	if r.suspicions[s.ID] == nil {
-		r.suspicions[s.ID] = map[ids.Daemon]suspicion{}
-	}
-	r.suspicions[s.ID][s.Watcher] = suspicion{s.Incarnation, now}
-}
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -5,8 +5,6 @@
 
 import (
 	"cmp"
-	"hash/fnv"
-	"slices"
 	"strconv"
 	"time"
 
@@ -92,6 +90,9 @@
 	Watcher     ids.Daemon
 	ID          ids.Daemon
 	Incarnation ids.Incarnation
+	// Silence is how long the member was silent, in milliseconds. A member whose
+	// heartbeats are irregular is accused later, and is given longer to answer.
+	Silence uint32
 }
 
 var _ = wire.Register(10, Heartbeat{}) && wire.Register(11, Snapshot{}) && wire.Register(12, Suspect{}) &&
@@ -124,34 +125,4 @@
 	}
 }
 
-func place(id ids.Daemon) uint64 {
-	h := fnv.New64a()
-	h.Write([]byte(id))
-	return h.Sum64()
-}
-
-// ring orders members by their place; ids break ties.
-func ring(members []Member) {
-	at := make(map[ids.Daemon]uint64, len(members))
-	for _, m := range members {
-		at[m.ID] = place(m.ID)
-	}
-	slices.SortFunc(members, func(a, b Member) int {
-		return cmp.Or(cmp.Compare(at[a.ID], at[b.ID]), cmp.Compare(a.ID, b.ID))
-	})
-}
-
-// watchers names the k members that come after id on the ring.
-func watchers(members []Member, id ids.Daemon, k int) []Member {
-	at := slices.IndexFunc(members, func(m Member) bool { return m.ID == id })
-	if at < 0 {
-		return nil
-	}
-	var out []Member
-	for i := 1; i < len(members) && len(out) < k; i++ {
-		out = append(out, members[(at+i)%len(members)])
-	}
-	return out
-}
-
 func itoa(n uint64) string { return strconv.FormatUint(n, 10) }
--- a/internal/proxy/control.go
+++ b/internal/proxy/control.go
@@ -127,6 +127,7 @@
 func (c *Control) Step(now ids.Time, ev event.Event) []event.Command {
 	switch e := ev.(type) {
 	case event.Received:
+		c.Witness(now, e.From)
 		c.hear(now, e.From, e.Msg)
 	case event.Tick:
 		c.clock(now)
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -127,8 +127,10 @@
 	deliverEvery = 150 * time.Millisecond
 	pollEvery    = 500 * time.Millisecond
 	shareEvery   = time.Second
-	// judgeWithin is how old an agreement may be for a registry to judge.
-	declareDeadWithin = 3 * time.Second
+	// declareDeadWithin is how old an agreement may be for a registry to declare
+	// members dead. It is less than what a verdict takes from the last sign of
+	// life on, so that one cut off from the majority never passes any.
+	declareDeadWithin = 1500 * time.Millisecond
 	// proxyLag is how long a proxy may leave a change unacknowledged
 	// before the directory leaves it out.
 	proxyLag = 2 * time.Second
@@ -138,6 +140,7 @@
 func (f *Registry) Step(now ids.Time, ev event.Event) []event.Command {
 	switch e := ev.(type) {
 	case event.Received:
+		f.Witness(now, e.From)
 		f.receive(now, e.From, e.Msg)
 	case event.Tick:
 		f.clock(now)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -112,6 +112,7 @@
 	s.now = now
 	switch e := ev.(type) {
 	case event.Received:
+		s.Witness(now, e.From)
 		s.receive(now, e.From, e.Msg)
 	case event.Synced:
 		s.Acceptor.Synced(e.Turn)
