--- a/internal/checker/books.go
+++ b/internal/checker/books.go
@@ -10,6 +10,7 @@
 // Item names one thing of the policy, such as route/orders.
 type Item struct{ Kind, Name string }
 
+// String gives the item as kind/name.
 func (i Item) String() string { return i.Kind + "/" + i.Name }
 
 // Want is what a change asks for an item: put whole, set some fields, remove.
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -38,6 +38,7 @@
 	Why  string
 }
 
+// Error gives the problem as the caller reads it.
 func (e *Ended) Error() string { return e.Why }
 
 func code(status int) int {
--- a/internal/consensus/messages.go
+++ b/internal/consensus/messages.go
@@ -119,6 +119,7 @@
 	Uncertain
 )
 
+// String names the state in logs.
 func (s State) String() string {
 	return [...]string{"none", "done", "declined", "uncertain"}[min(s, 3)]
 }
--- a/internal/errs/errs.go
+++ b/internal/errs/errs.go
@@ -15,6 +15,7 @@
 	Peer string
 }
 
+// Error gives the step, the peer and the cause in one line.
 func (p *Problem) Error() string {
 	if p.Peer == "" {
 		return fmt.Sprintf("%s: %v", p.Step, p.error)
--- a/internal/ids/ids.go
+++ b/internal/ids/ids.go
@@ -78,4 +78,5 @@
 // Zero tells whether the ballot is none at all.
 func (b Ballot) Zero() bool { return b == Ballot{} }
 
+// String writes a ballot as COUNT.BY, BY in hexadecimal.
 func (b Ballot) String() string { return fmt.Sprintf("%d.%x", b.Count, b.By) }
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -24,6 +24,7 @@
 	Store
 )
 
+// String names the role in logs and on status pages.
 func (r Role) String() string {
 	return [...]string{"none", "proxy", "registry", "store"}[min(r, 3)]
 }
--- a/internal/storage/prune.go
+++ b/internal/storage/prune.go
@@ -31,6 +31,7 @@
 // NewerFormat is a database written by a later version.
 type NewerFormat struct{ Has int }
 
+// Error names both formats; the database was not touched.
 func (e *NewerFormat) Error() string {
 	return fmt.Sprintf("open database: its format %d is newer than %d; it was not touched", e.Has, Format)
 }
--- a/internal/testbed/script.go
+++ b/internal/testbed/script.go
@@ -46,6 +46,7 @@
 // MarshalJSON writes it the same way.
 func (s Span) MarshalJSON() ([]byte, error) { return []byte(`"` + s.String() + `"`), nil }
 
+// String gives the span as time.Duration writes it.
 func (s Span) String() string { return time.Duration(s).String() }
 
 // swapRest is how far apart two replacements must be.
