--- /dev/null
+++ b/internal/store/oldfolder_test.go
@@ -0,0 +1,51 @@
+package store
+
+import (
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/matryer/is"
+
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/membership"
+	"dunlinwell/internal/policy"
+	"dunlinwell/internal/storage"
+)
+
+// openOldFolder opens a copy of a data folder that commit c308b67 wrote: three
+// stores, revision 5, services svc1 and svc3 made and svc2 removed.
+func openOldFolder(t *testing.T) *storage.Database {
+	t.Helper()
+	is := is.New(t)
+	raw, err := os.ReadFile(filepath.Join("testdata", "first-format", "stockroom.db"))
+	is.NoErr(err)
+	folder := t.TempDir()
+	is.NoErr(os.WriteFile(filepath.Join(folder, "stockroom.db"), raw, 0o600))
+	database, err := storage.Open(folder)
+	is.NoErr(err)
+	t.Cleanup(func() { _ = database.Close() })
+	return database
+}
+
+// A store takes up a data folder of before the renaming: its id, the voter set
+// and the policy are all there.
+func TestAStoreTakesUpAnOldFolder(t *testing.T) {
+	is := is.New(t)
+	database := openOldFolder(t)
+	is.Equal(database.SetAside, "")
+	self := membership.Member{ID: "store-1", Address: "127.0.0.1:1"}
+	s := New(Options{Options: membership.Options{Self: self}, Store: database.Store, Run: database.Run,
+		Random: rand.New(rand.NewPCG(1, 1)), Storage: database, Replicas: 3})
+	is.Equal(len(s.VoterSet().Voters), 3)
+	is.True(s.VoterSet().Has(database.Store))
+	p, err := policy.Open(s.LocalValue(policy.Key))
+	is.NoErr(err)
+	is.Equal(p.Revision, ids.Revision(5))
+	view := p.View()
+	_, first := view.Services["svc1"]
+	_, removed := view.Services["svc2"]
+	is.True(first)
+	is.True(!removed)
+}
