--- a/internal/consensus/proposer.go
+++ b/internal/consensus/proposer.go
@@ -33,8 +33,9 @@
 	// were last met under: they are large, and read far more often than changed.
 	cachedValues map[ids.Key]cachedValue
 	order        []ids.Key
-	count        uint64
-	high         uint64
+	// count is the number of the last round, which no other run has used.
+	count uint64
+	high  uint64
 	// early counts the ballots of first values, all below those of rounds.
 	early uint64
 }
@@ -84,7 +85,7 @@
 
 // NewProposer makes a proposer whose ballots no other run can have used.
 func NewProposer(by uint64, roster func() VoterSet, ops map[Op]ChangeFunc, dice *rand.Rand, out *event.Outbox) *Proposer {
-	return &Proposer{out: out, random: dice, by: by, voterSet: roster, ops: ops,
+	return &Proposer{out: out, random: dice, by: by, count: firstRound(by), voterSet: roster, ops: ops,
 		IsReachable: func(uint64) bool { return true }, Subscribers: func(ids.Key) []ids.Address { return nil },
 		rounds: map[ids.Key]*round{}, promisedBallots: map[ids.Key]cachedValue{}, cachedValues: map[ids.Key]cachedValue{}}
 }
