--- a/internal/api/items.go
+++ b/internal/api/items.go
@@ -38,7 +38,7 @@
 func (w *Server) policy(rw http.ResponseWriter, r *http.Request) {
 	if p, ok := w.read(rw, r); ok {
 		c := *p
-		c.Recent, c.Declined = nil, nil
+		c.Recent, c.Declined, c.History = nil, nil, nil
 		Write(rw, registry.Response{Status: 200, Body: c})
 	}
 }
--- a/internal/policy/change.go
+++ b/internal/policy/change.go
@@ -50,10 +50,16 @@
 	Faults   []Fault      `json:"errors,omitempty"`
 	Stale    []Stale      `json:"stale,omitempty"`
 	Missing  []Touched    `json:"missing,omitempty"`
+	// Conflicts are numbers that already stand for something else.
+	Conflicts []Fault `json:"conflicts,omitempty"`
+	// Unknown, if set, says why the end of this change can't be told.
+	Unknown string `json:"unknown,omitempty"`
 }
 
 // Accepted tells whether the change took effect.
-func (r Result) Accepted() bool { return len(r.Faults)+len(r.Stale)+len(r.Missing) == 0 }
+func (r Result) Accepted() bool {
+	return len(r.Faults)+len(r.Stale)+len(r.Missing)+len(r.Conflicts) == 0 && r.Unknown == ""
+}
 
 // mostRecent and mostDeclined bound how many results are kept for resent changes.
 const (
@@ -165,37 +171,43 @@
 
 // Apply gives the policy after a change, or the same policy if it is declined.
 func (p *Policy) Apply(c Change) (*Policy, Result) {
-	// A resent change gets its first result, not a second version.
-	for _, list := range [][]Result{p.Recent, p.Declined} {
-		for _, r := range list {
-			if r.ID == c.ID {
-				return p, r
-			}
-		}
+	if res, ended := p.earlierEnd(c); ended {
+		return p, res
+	}
+	sure := p.surelyNew(c)
+	if _, named := baseOf(c.ID); named && !sure {
+		return p, Result{ID: c.ID, Revision: p.Revision, Unknown: reasonUnknown}
 	}
 	next := p.copy()
 	res := Result{ID: c.ID, Revision: p.Revision}
 	var done []Touched
 	for _, part := range c.Parts {
-		done = append(done, next.apply(part, &res))
+		done = append(done, next.apply(part, by(c.ID), &res))
 	}
 	if res.Accepted() {
 		res.Faults = next.checkWhole()
 	}
-	if !res.Accepted() {
+	switch {
+	case !res.Accepted() && !sure:
+		return p, Result{ID: c.ID, Revision: p.Revision, Unknown: reasonUnknown}
+	case !res.Accepted():
 		same := *p
+		same.rememberChange(c, res)
 		same.Declined = keep(p.Declined, res, mostDeclined)
 		return &same, res
 	}
 	res.Revision, res.Items = next.Revision, done
+	next.rememberChange(c, res)
 	next.Recent = keep(p.Recent, res, mostRecent)
 	return next, res
 }
 
 // apply makes one part's change in place, and notes what stands against it.
-func (p *Policy) apply(part Part, res *Result) Touched {
+func (p *Policy) apply(part Part, by string, res *Result) Touched {
 	items := p.Of(part.Kind)
 	have, exists := items[part.Name]
+	key := part.Kind + "/" + string(part.Name)
+	given := have.merged() || have.Given || p.Removed[key].Given
 	t := Touched{Kind: part.Kind, Name: part.Name, Version: have.Version}
 	if part.Version != nil && *part.Version != have.Version {
 		res.Stale = append(res.Stale, Stale{t, *part.Version})
@@ -206,24 +218,27 @@
 		return t
 	}
 	if part.Remove {
+		p.rememberGiven(part.Kind, part.Name, given)
 		delete(items, part.Name)
 		// It stays removed for copies of it that arrive later, too.
-		p.bury(part.Kind+"/"+string(part.Name), have.Version+1)
+		p.bury(key, Tombstone{Version: have.Version + 1, By: by, Prev: have.Version, Given: given})
 		return Touched{Kind: part.Kind, Name: part.Name}
 	}
 	body := part.Put
 	if part.Set != nil {
 		body = overlay(have.Body, part.Set)
 		checkBody(part.Kind, string(body), func(path, why string) {
-			res.Faults = append(res.Faults, Fault{part.Kind + "/" + string(part.Name), path, why})
+			res.Faults = append(res.Faults, Fault{key, path, why})
 		})
 	}
 	t.Version = p.Revision
 	// Versions given from outside may run ahead of ours; none goes back.
-	if v, ok := p.version(part.Kind, part.Name); ok {
-		t.Version = max(t.Version, v+1)
+	before, known := p.version(part.Kind, part.Name)
+	if known {
+		t.Version = max(t.Version, before+1)
 	}
-	delete(p.Removed, part.Kind+"/"+string(part.Name))
-	items[part.Name] = Item{Version: t.Version, Body: pretty.Ugly(body), At: p.Revision, Merged: have.merged()}
+	p.rememberGiven(part.Kind, part.Name, given)
+	delete(p.Removed, key)
+	items[part.Name] = Item{Version: t.Version, Body: pretty.Ugly(body), At: p.Revision, Merged: have.merged(), By: by, Prev: before, Given: given}
 	return t
 }
--- a/internal/policy/delta.go
+++ b/internal/policy/delta.go
@@ -46,7 +46,7 @@
 	}
 	next := p.copy()
 	next.Revision = d.Revision
-	next.Recent, next.Declined = nil, nil
+	next.Recent, next.Declined, next.History = nil, nil, nil
 	for _, k := range kindNames {
 		maps.Copy(next.Of(k), d.Of(k))
 		for n := range d.Of(k) {
--- a/internal/policy/merge.go
+++ b/internal/policy/merge.go
@@ -79,6 +79,7 @@
 	next := p.copy()
 	changed, orphaned := false, false
 	for _, g := range m.Items {
+		res.Conflicts = append(res.Conflicts, next.conflicts(g)...)
 		if next.merge(g) {
 			changed = true
 			orphaned = orphaned || g.Kind == "service" && g.Removed
@@ -103,8 +104,8 @@
 			}
 		}
 	}
-	if len(res.Faults) > 0 {
-		return p, Result{Revision: p.Revision, Faults: res.Faults}
+	if !res.Accepted() {
+		return p, Result{Revision: p.Revision, Faults: res.Faults, Conflicts: res.Conflicts}
 	}
 	if !changed {
 		return p, res
@@ -116,7 +117,7 @@
 // copy gives the next revision's policy, with maps of its own.
 func (p *Policy) copy() *Policy {
 	return &Policy{Revision: p.Revision + 1, Services: maps.Clone(p.Services), Routes: maps.Clone(p.Routes), Cells: maps.Clone(p.Cells),
-		Limits: maps.Clone(p.Limits), Removed: maps.Clone(p.Removed), Recent: p.Recent, Declined: p.Declined}
+		Limits: maps.Clone(p.Limits), Removed: maps.Clone(p.Removed), Recent: p.Recent, Declined: p.Declined, History: p.History}
 }
 
 // version gives the version that holds for a name, set or removed.
@@ -134,22 +135,24 @@
 		return false
 	}
 	key := g.Kind + "/" + string(g.Name)
+	p.rememberVersion(g.Kind, g.Name)
 	if g.Removed {
 		delete(p.Of(g.Kind), g.Name)
-		p.bury(key, g.Version)
+		p.bury(key, Tombstone{Version: g.Version, Given: true})
 		return true
 	}
 	delete(p.Removed, key)
-	p.Of(g.Kind)[g.Name] = Item{Version: g.Version, Body: pretty.Ugly(g.Body), Source: g.Source, At: p.Revision, Merged: true}
+	p.Of(g.Kind)[g.Name] = Item{Version: g.Version, Body: pretty.Ugly(g.Body), Source: g.Source, At: p.Revision, Merged: true, Given: true}
 	return true
 }
 
-// bury notes under which version an item was removed.
-func (p *Policy) bury(key string, v ids.Revision) {
+// bury notes how an item was removed.
+func (p *Policy) bury(key string, t Tombstone) {
 	if p.Removed == nil {
 		p.Removed = map[string]Tombstone{}
 	}
-	p.Removed[key] = Tombstone{Version: v, At: p.Revision}
+	t.At = p.Revision
+	p.Removed[key] = t
 }
 
 // unknownServices finds services that a route names and that aren't there.
--- a/internal/policy/merge_test.go
+++ b/internal/policy/merge_test.go
@@ -109,11 +109,18 @@
 	// policy forget it.
 	p, err := Open(p.Pack(false))
 	is.NoErr(err)
-	for _, v := range []ids.Revision{4, 5, 6} {
+	for _, v := range []ids.Revision{4, 5} {
 		q, r := p.Merge(merging(givenRoute("mud", "wader", v)))
 		is.True(r.Accepted())
 		is.True(q == p)
 	}
+	// The number of the removal is taken: it can't stand for an item as well.
+	q, r := p.Merge(merging(givenRoute("mud", "wader", 6)))
+	is.Equal(r.Conflicts, []Fault{{"route/mud", "version", reasonOtherValue}})
+	is.True(q == p)
+	q, r = p.Merge(merging(gone("route", "mud", 6)))
+	is.True(r.Accepted())
+	is.True(q == p)
 	p, _ = p.Merge(merging(givenRoute("mud", "wader", 7)))
 	is.Equal(p.Routes["mud"].Version, ids.Revision(7))
 	is.Equal(len(p.Removed), 0)
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -26,12 +26,22 @@
 	Merged bool `json:"merged,omitempty"`
 	// At is the policy's revision that last changed the item.
 	At ids.Revision `json:"at,omitempty"`
+	// By marks the change that made this version, and Prev is the version that it
+	// followed; both are empty where the version came by merging.
+	By   string       `json:"by,omitempty"`
+	Prev ids.Revision `json:"prev,omitempty"`
+	// Given: a version of this name was given from outside, once.
+	Given bool `json:"given,omitempty"`
 }
 
 // Buried is what is known of an item that was removed.
 type Tombstone struct {
 	Version ids.Revision `json:"version"`
 	At      ids.Revision `json:"at"`
+	// By, Prev and Given are as in an Item, for the change that removed it.
+	By    string       `json:"by,omitempty"`
+	Prev  ids.Revision `json:"prev,omitempty"`
+	Given bool         `json:"given,omitempty"`
 }
 
 // merged tells whether an item came by merging.
@@ -53,6 +63,8 @@
 	// Declined are kept as well: a late copy of a change whose caller was told
 	// that it is declined must not be accepted once the item it lacked is there.
 	Declined []Result `json:"declined,omitempty"`
+	// History is what is remembered beyond the results above.
+	History *History `json:"history,omitempty"`
 }
 
 // Service is a pool of targets that announce themselves.
@@ -109,7 +121,7 @@
 func (p *Policy) Pack(recent bool) []byte {
 	c := *p
 	if !recent {
-		c.Recent, c.Declined = nil, nil
+		c.Recent, c.Declined, c.History = nil, nil, nil
 	}
 	raw, _ := json.Marshal(&c)
 	return raw
--- a/internal/proxy/agreement.go
+++ b/internal/proxy/agreement.go
@@ -32,7 +32,7 @@
 			return
 		}
 		if p, err := policy.Open(out); err == nil {
-			p.Recent, p.Declined = nil, nil
+			p.Recent, p.Declined, p.History = nil, nil, nil
 			c.adopt(at, out)
 			c.confirm(p.Revision, now)
 		}
--- a/internal/registry/calls.go
+++ b/internal/registry/calls.go
@@ -128,6 +128,9 @@
 		case s != consensus.Done || json.Unmarshal(out, &r) != nil:
 			f.Emit(Response{ID: id, Status: 504, Body: Problem{"uncertain: the change may have been accepted; send it again under the same id"}, Retry: 1})
 		default:
+			for _, c := range r.Conflicts {
+				f.Log("warn", "number used twice", "item", c.Item, "path", c.Path)
+			}
 			f.Emit(Response{ID: id, Status: statusOf(r), Body: r})
 		}
 	})
@@ -135,9 +138,11 @@
 
 func statusOf(r policy.Result) int {
 	switch {
+	case r.Unknown != "":
+		return 504
 	case len(r.Faults) > 0:
 		return 400
-	case len(r.Stale) > 0:
+	case len(r.Stale)+len(r.Conflicts) > 0:
 		return 409
 	case len(r.Missing) > 0:
 		return 404
@@ -159,7 +164,7 @@
 		}
 		f.agreed = max(f.agreed, now)
 		f.adopt(out)
-		p.Recent, p.Declined = nil, nil
+		p.Recent, p.Declined, p.History = nil, nil, nil
 		f.Emit(Response{ID: c.ID, Status: 200, Body: p})
 	})
 }
