--- a/internal/policy/encode_test.go
+++ b/internal/policy/encode_test.go
@@ -28,11 +28,12 @@
 			p.Routes[n] = Item{Version: 3, Body: json.RawMessage(body), At: ids.Revision(i)}
 			p.Services[n] = Item{Version: 1 << 60, Body: json.RawMessage(`{}`), Source: json.RawMessage(body), Merged: i%2 == 0}
 			if round > 1 {
-				p.Limits[n] = Item{Body: json.RawMessage(body)}
+				p.Limits[n] = Item{Body: json.RawMessage(body), By: "id<", Prev: 2, Given: true}
 			}
 		}
-		p.bury("route/x", 7)
+		p.bury("route/x", Tombstone{Version: 7, By: "x", Prev: 6, Given: true})
 		p.Recent = keep(p.Recent, Result{ID: "a", Revision: 2}, 5)
+		p.History = &History{Forgotten: ids.Revision(round)}
 	}
 	p.Base, p.Cells = 4, nil
 	plain, _ := json.Marshal(p)
