--- a/internal/policy/encode.go
+++ b/internal/policy/encode.go
@@ -56,21 +56,23 @@
 	return append(out, '}')
 }
 
+// appendJSON appends an item: its small fields as json.Marshal writes them, with
+// the body and the source set in their places.
 func (it Item) appendJSON(out []byte) []byte {
-	out = append(out, `{"version":`...)
-	out = strconv.AppendUint(out, uint64(it.Version), 10)
-	out = appendRaw(append(out, `,"body":`...), it.Body)
+	shell := it
+	shell.Body, shell.Source = nil, nil
+	rest, _ := json.Marshal(shell)
+	head := strconv.AppendUint([]byte(`{"version":`), uint64(it.Version), 10)
+	rest, plain := bytes.CutPrefix(rest, append(slices.Clone(head), `,"body":null`...))
+	if !plain {
+		raw, _ := json.Marshal(it)
+		return append(out, raw...)
+	}
+	out = appendRaw(append(append(out, head...), `,"body":`...), it.Body)
 	if len(it.Source) > 0 {
 		out = appendRaw(append(out, `,"source":`...), it.Source)
 	}
-	if it.Merged {
-		out = append(out, `,"merged":true`...)
-	}
-	if it.At != 0 {
-		out = append(out, `,"at":`...)
-		out = strconv.AppendUint(out, uint64(it.At), 10)
-	}
-	return append(out, '}')
+	return append(out, rest...)
 }
 
 // appendRaw appends JSON in the form that json.Marshal gives it: compact, and
