--- a/internal/registry/calls.go
+++ b/internal/registry/calls.go
@@ -70,6 +70,10 @@
 // callWait bounds how long a call waits for a majority.
 const callWait = 3 * time.Second
 
+// CallWait is how long a call of so many bytes waits: a large one takes its
+// time to the store, and from there to the others.
+func CallWait(bytes int) time.Duration { return callWait + 2*consensus.TransferTime(bytes) }
+
 func names[V any](m map[ids.Name]V) []ids.Name { return slices.Sorted(maps.Keys(m)) }
 
 func (f *Registry) call(now ids.Time, ev any) {
@@ -120,7 +124,7 @@
 
 // agree has a change of the policy agreed on, and answers its caller.
 func (f *Registry) agree(now ids.Time, id uint64, op consensus.Op, raw []byte) {
-	f.Client.Call(now, policy.Key, op, raw, callWait, func(_ ids.Time, s consensus.State, out []byte) {
+	f.Client.Call(now, policy.Key, op, raw, CallWait(len(raw)), func(_ ids.Time, s consensus.State, out []byte) {
 		var r policy.Result
 		switch {
 		case s == consensus.Declined:
@@ -128,6 +132,9 @@
 		case s != consensus.Done || json.Unmarshal(out, &r) != nil:
 			f.Emit(Response{ID: id, Status: 504, Body: Problem{"uncertain: the change may have been accepted; send it again under the same id"}, Retry: 1})
 		default:
+			for _, c := range r.Conflicts {
+				f.Log("warn", "number used twice", "item", c.Item, "path", c.Path)
+			}
 			f.Emit(Response{ID: id, Status: statusOf(r), Body: r})
 		}
 	})
@@ -135,9 +142,11 @@
 
 func statusOf(r policy.Result) int {
 	switch {
+	case r.Unknown != "":
+		return 504
 	case len(r.Faults) > 0:
 		return 400
-	case len(r.Stale) > 0:
+	case len(r.Stale)+len(r.Conflicts) > 0:
 		return 409
 	case len(r.Missing) > 0:
 		return 404
@@ -159,7 +168,7 @@
 		}
 		f.agreed = max(f.agreed, now)
 		f.adopt(out)
-		p.Recent, p.Declined = nil, nil
+		p.Recent, p.Declined, p.History = nil, nil, nil
 		f.Emit(Response{ID: c.ID, Status: 200, Body: p})
 	})
 }
