--- a/internal/api/forward.go
+++ b/internal/api/forward.go
@@ -3,8 +3,10 @@
 import (
 	"bytes"
 	"context"
+	"errors"
 	"io"
 	"maps"
+	"net"
 	"net/http"
 	"slices"
 	"time"
@@ -17,7 +19,7 @@
 	return slices.Sorted(maps.Keys(m))
 }
 
-// Ferry carries control calls from a daemon that can't answer them to a
+// Forwarder carries control calls from a daemon that can't answer them to a
 // registry, so that an operator may talk to any daemon.
 type Forwarder struct {
 	// Registries names those alive, best first.
@@ -25,14 +27,26 @@
 	Client     *http.Client
 }
 
-// NewFerry makes a ferry.
+const (
+	// dialWithin is how long a registry may take to open a circuit.
+	dialWithin = 250 * time.Millisecond
+	// forwardWithin is how long after its arrival a call is still handed to
+	// another registry, so that a daemon that reaches none says so in a second.
+	forwardWithin = 600 * time.Millisecond
+)
+
+// NewFerry makes a forwarder. Each call opens a circuit of its own: one kept from
+// before a cut would swallow the call, and leave it open whether it arrived.
 func NewFerry(registries func() []ids.Address) *Forwarder {
-	return &Forwarder{Registries: registries, Client: &http.Client{Timeout: responseTime + time.Second}}
+	transport := &http.Transport{DialContext: (&net.Dialer{Timeout: dialWithin}).DialContext, DisableKeepAlives: true}
+	return &Forwarder{Registries: registries, Client: &http.Client{Transport: transport, Timeout: responseTime + time.Second}}
 }
 
-// ServeHTTP tries one registry after the other. A change has its id before it
-// leaves, so one that was sent twice still is one change.
+// ServeHTTP tries one registry after the other, until one answers that has a
+// majority. A change has its id before it leaves, so one that was sent twice
+// still is one change.
 func (f *Forwarder) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
+	arrived := time.Now()
 	raw, ok := Body(rw, r)
 	if !ok {
 		return
@@ -40,37 +54,66 @@
 	if r.Header.Get("Change-Id") == "" {
 		r.Header.Set("Change-Id", NewChange())
 	}
+	var last *http.Response
 	maybe := false
 	for _, at := range f.Registries() {
-		// A caller that has closed its side may still read; the time limit ends it.
-		req, err := http.NewRequestWithContext(context.WithoutCancel(r.Context()), r.Method, "http://"+string(at)+r.URL.RequestURI(), bytes.NewReader(raw))
-		if err != nil {
-			Say(rw, 400, "the call can't be ferried: "+err.Error())
-			return
+		if time.Since(arrived) > forwardWithin {
+			break
 		}
-		for _, h := range []string{"Change-Id", "If-Match", "Content-Type"} {
-			if v := r.Header.Get(h); v != "" {
-				req.Header.Set(h, v)
-			}
-		}
-		res, err := f.Client.Do(req)
+		response, err := f.send(r, at, raw)
 		if err != nil {
-			maybe = maybe || r.Method != http.MethodGet
+			maybe = maybe || r.Method != http.MethodGet && !neverSent(err)
 			continue
 		}
-		defer res.Body.Close()
-		for _, h := range []string{"Content-Type", "Retry-After", "Etag"} {
-			if v := res.Header.Get(h); v != "" {
-				rw.Header().Set(h, v)
-			}
+		if last != nil {
+			last.Body.Close()
+		}
+		last = response
+		if response.StatusCode != http.StatusServiceUnavailable {
+			break
 		}
-		rw.WriteHeader(res.StatusCode)
-		_, _ = io.Copy(rw, res.Body)
-		return
 	}
-	if maybe {
+	switch {
+	case last != nil && !(maybe && last.StatusCode == http.StatusServiceUnavailable):
+		relay(rw, last)
+	case maybe:
 		Say(rw, 504, "uncertain: no registry answered; send it again under the same id")
-		return
+	default:
+		Say(rw, 503, "no registry can be reached")
+	}
+	if last != nil {
+		last.Body.Close()
+	}
+}
+
+// send hands a call to one registry. A caller that has closed its side may still
+// read; the time limit ends it.
+func (f *Forwarder) send(r *http.Request, at ids.Address, raw []byte) (*http.Response, error) {
+	req, err := http.NewRequestWithContext(context.WithoutCancel(r.Context()), r.Method, "http://"+string(at)+r.URL.RequestURI(), bytes.NewReader(raw))
+	if err != nil {
+		return nil, err
+	}
+	for _, h := range []string{"Change-Id", "If-Match", "Content-Type"} {
+		if v := r.Header.Get(h); v != "" {
+			req.Header.Set(h, v)
+		}
+	}
+	return f.Client.Do(req)
+}
+
+// neverSent tells whether a call failed before any of it could arrive.
+func neverSent(err error) bool {
+	var failed *net.OpError
+	return errors.As(err, &failed) && failed.Op == "dial"
+}
+
+// relay gives a registry's answer to the caller.
+func relay(rw http.ResponseWriter, response *http.Response) {
+	for _, h := range []string{"Content-Type", "Retry-After", "Etag"} {
+		if v := response.Header.Get(h); v != "" {
+			rw.Header().Set(h, v)
+		}
 	}
-	Say(rw, 503, "no registry can be reached")
+	rw.WriteHeader(response.StatusCode)
+	_, _ = io.Copy(rw, response.Body)
 }
--- a/internal/consensus/client.go
+++ b/internal/consensus/client.go
@@ -41,22 +41,23 @@
 const tryFor = 400 * time.Millisecond
 
 // Want asks for an operation; done is called once, with how it ended.
-func (a *Client) Call(now ids.Time, key ids.Key, op Op, arg []byte, wait time.Duration, done func(ids.Time, State, []byte)) {
-	a.call(now, Request{Key: key, Op: op, Arg: arg}, nil, wait, done)
+func (a *Client) Call(now ids.Time, key ids.Key, op Op, arg []byte, wait time.Duration, done func(ids.Time, State, []byte)) CallID {
+	return a.call(now, Request{Key: key, Op: op, Arg: arg}, nil, wait, done)
 }
 
 // Reread reads a register whose value the asker already holds; where it is the
 // same still, no more than that is sent. sum is that of the value.
-func (a *Client) ReadIfChanged(now ids.Time, key ids.Key, have []byte, sum uint64, wait time.Duration, done func(ids.Time, State, []byte)) {
-	a.call(now, Request{Key: key, Op: Read, HaveChecksum: sum}, have, wait, done)
+func (a *Client) ReadIfChanged(now ids.Time, key ids.Key, have []byte, sum uint64, wait time.Duration, done func(ids.Time, State, []byte)) CallID {
+	return a.call(now, Request{Key: key, Op: Read, HaveChecksum: sum}, have, wait, done)
 }
 
-func (a *Client) call(now ids.Time, ask Request, have []byte, wait time.Duration, done func(ids.Time, State, []byte)) {
+func (a *Client) call(now ids.Time, ask Request, have []byte, wait time.Duration, done func(ids.Time, State, []byte)) CallID {
 	a.next++
 	ask.ID = a.next
 	w := &pendingCall{Request: ask, have: have, due: now.Add(wait), done: done, maybe: map[uint32]bool{}}
 	a.pending[w.ID] = w
 	a.send(now, w)
+	return CallID(w.ID)
 }
 
 func (a *Client) send(now ids.Time, w *pendingCall) {
@@ -107,12 +108,7 @@
 		}
 		switch {
 		case now >= w.due:
-			delete(a.pending, id)
-			s := Declined
-			if len(w.maybe) > 0 {
-				s = Uncertain
-			}
-			w.done(now, s, nil)
+			a.Abandon(now, CallID(id))
 		case now >= w.again:
 			a.send(now, w)
 		}
--- a/internal/registry/calls.go
+++ b/internal/registry/calls.go
@@ -87,6 +87,7 @@
 	case HeartbeatCall:
 		f.announced(now, c)
 	case StatusCall:
+		// It tells of this daemon itself, and how old its agreement is.
 		f.Emit(Response{ID: c.ID, Status: 200, Body: f.Status(now)})
 	}
 }
@@ -120,7 +121,11 @@
 
 // agree has a change of the policy agreed on, and answers its caller.
 func (f *Registry) agree(now ids.Time, id uint64, op consensus.Op, raw []byte) {
-	f.Client.Call(now, policy.Key, op, raw, callWait, func(_ ids.Time, s consensus.State, out []byte) {
+	if !f.mayAsk(now) {
+		f.unavailable(id)
+		return
+	}
+	f.await(now, f.Client.Call(now, policy.Key, op, raw, callWait, func(_ ids.Time, s consensus.State, out []byte) {
 		var r policy.Result
 		switch {
 		case s == consensus.Declined:
@@ -130,7 +135,7 @@
 		default:
 			f.Emit(Response{ID: id, Status: statusOf(r), Body: r})
 		}
-	})
+	}))
 }
 
 func statusOf(r policy.Result) int {
@@ -146,12 +151,16 @@
 }
 
 func (f *Registry) policyCall(now ids.Time, c PolicyCall) {
+	if !f.mayAsk(now) || c.Local && !f.leased(now) {
+		f.unavailable(c.ID)
+		return
+	}
 	if c.Local {
 		f.Emit(Response{ID: c.ID, Status: 200, Body: f.policy})
 		return
 	}
 	// An agreement read: every daemon gives the same truth, or none.
-	f.Client.ReadIfChanged(now, policy.Key, f.whole, f.sum, callWait, func(_ ids.Time, s consensus.State, out []byte) {
+	f.await(now, f.Client.ReadIfChanged(now, policy.Key, f.whole, f.sum, callWait, func(_ ids.Time, s consensus.State, out []byte) {
 		p, err := policy.Open(out)
 		if s != consensus.Done || err != nil {
 			f.unavailable(c.ID)
@@ -161,7 +170,7 @@
 		f.adopt(out)
 		p.Recent, p.Declined = nil, nil
 		f.Emit(Response{ID: c.ID, Status: 200, Body: p})
-	})
+	}))
 }
 
 // sightFor is how long a sight is used again: drawing up every cell for each
--- a/internal/registry/departure.go
+++ b/internal/registry/departure.go
@@ -12,9 +12,10 @@
 // every live proxy goes by it: this registry may die right after answering,
 // and the target may stop as soon as it has the answer.
 type departure struct {
-	call   uint64
-	target targets.Target
-	due    ids.Time
+	call    uint64
+	target  targets.Target
+	arrived ids.Time
+	due     ids.Time
 	// waits are the other registries that have not said yet that theirs go by it.
 	waits map[ids.Daemon]bool
 }
@@ -34,13 +35,13 @@
 	f.taken(now, changed)
 	f.tellRegistries(changed)
 	if !c.Target.Usable() && (len(changed) > 0 || f.params.Incremental) {
-		p := departure{call: c.ID, target: c.Target, due: now.Add(departureWithin), waits: map[ids.Daemon]bool{}}
+		p := departure{call: c.ID, target: c.Target, arrived: now, due: now.Add(departureWithin), waits: map[ids.Daemon]bool{}}
 		f.askParting(now, p)
 		f.departures = append(f.departures, p)
 		f.part(now)
 		return
 	}
-	if f.params.Incremental && f.isolated(now) {
+	if !f.leased(now) || f.params.Incremental && f.isolated(now) {
 		// Its word is taken, but the other registries wouldn't hear of it and would
 		// soon count it as gone: it is sent on to one of them.
 		f.unavailable(c.ID)
@@ -103,6 +104,10 @@
 // gone takes a target's word that it ends, where it says no more than its name.
 func (f *Registry) gone(now ids.Time, c DeregisterCall) {
 	t, ok := f.Targets.Get(now, c.Instance)
+	if !ok && !f.leased(now) {
+		f.unavailable(c.ID)
+		return
+	}
 	if !ok {
 		f.Emit(Response{ID: c.ID, Status: 200, Body: map[string]any{"known": false}})
 		return
@@ -118,10 +123,13 @@
 	left := f.departures[:0]
 	for _, p := range f.departures {
 		switch {
-		case len(p.waits) == 0 && f.Distributor.Reached(f.served(now), p.target):
+		case f.leased(now) && len(p.waits) == 0 && f.Distributor.Reached(f.served(now), p.target):
 			f.Emit(Response{ID: p.call, Status: 200, Body: map[string]any{"known": true, "everywhere": true}})
-		case now >= p.due:
+		case now >= p.due && f.agreedSince(p.arrived):
 			f.Emit(Response{ID: p.call, Status: 200, Body: map[string]any{"known": true, "everywhere": false}})
+		case now.Since(p.arrived) >= answerWithin:
+			// The proxies on this side go by it; nobody may take it as known to all.
+			f.unavailable(p.call)
 		default:
 			left = append(left, p)
 		}
--- a/internal/registry/isolated_test.go
+++ b/internal/registry/isolated_test.go
@@ -103,12 +103,15 @@
 	b.step(HeartbeatCall{ID: 2, Target: elsewhere(2)})
 	is.Equal(b.status[2], 503)
 	is.Equal(b.Targets.Newest("i"), ids.Sequence(2))
-	// A target that leaves is heard all the same: the proxies here must know.
+	// A target that leaves is heard all the same, as the proxies here must know;
+	// but it isn't told that this holds everywhere, and calls on another.
 	leaving := elsewhere(3)
 	leaving.Leaving = true
 	b.step(HeartbeatCall{ID: 3, Target: leaving})
 	b.run(time.Second, nil)
-	is.Equal(b.status[3], 200)
+	is.Equal(b.status[3], 503)
+	got, ok := b.Targets.Get(b.now, "i")
+	is.True(ok && got.Leaving)
 	b.cut = false
 	b.run(2*time.Second, nil)
 	b.step(HeartbeatCall{ID: 4, Target: elsewhere(4)})
--- /dev/null
+++ b/internal/registry/lease.go
@@ -0,0 +1,97 @@
+package registry
+
+import (
+	"time"
+
+	"dunlinwell/internal/consensus"
+	"dunlinwell/internal/ids"
+)
+
+// The control lease. A registry speaks for the core only while the newest
+// agreement on the policy that it knows of began within controlLease on its own
+// monotonic clock. An agreement counts from the moment the registry asked for
+// it, so that the way to the stores and back, and a freeze of this process in
+// between, shorten the lease and never lengthen it.
+const (
+	// controlLease is how old an agreement may be for this registry to confirm,
+	// refuse or hand out anything. Reads begin every second, and one that a lost
+	// store holds up is answered by the next store within another 400 ms.
+	controlLease = 1500 * time.Millisecond
+	// answerWithin is how long a call may wait for a majority that hasn't been
+	// heard of since the call came. Its caller goes elsewhere after a second.
+	answerWithin = 800 * time.Millisecond
+	// probeAfter is when a call that isn't answered yet has the stores asked
+	// whether a majority is there at all.
+	probeAfter = 250 * time.Millisecond
+	// lifetimeApart is how long an answer of the directory may be trusted that a
+	// registry without the lease gives where any answer is better than none.
+	lifetimeApart = 500 * time.Millisecond
+)
+
+// leased tells whether this registry may speak for the core.
+func (f *Registry) leased(now ids.Time) bool { return f.age(now) <= controlLease }
+
+// mayAsk tells whether a call that needs an agreement of its own is worth asking
+// the stores for. One that has lost the lease declines at once, so that its
+// caller goes elsewhere and nothing of the call is under way; one that has just
+// started can't know yet, and finds out by the call itself.
+func (f *Registry) mayAsk(now ids.Time) bool { return f.agreed == 0 || f.leased(now) }
+
+// agreedSince tells whether an agreement is known that began after a moment.
+func (f *Registry) agreedSince(moment ids.Time) bool { return f.agreed > moment }
+
+// agreementCall is a control call that waits for an agreement of its own.
+type agreementCall struct {
+	id      consensus.CallID
+	arrived ids.Time
+}
+
+// await has a call ended early if the majority turns out to be out of reach.
+func (f *Registry) await(now ids.Time, id consensus.CallID) {
+	f.awaited = append(f.awaited, agreementCall{id: id, arrived: now})
+}
+
+// endOverdue ends the calls that have waited for answerWithin while nothing
+// shows that a majority can be reached. A slow majority keeps its calls: the
+// probe that begins after them is answered by reads, which wait for no disk.
+func (f *Registry) endOverdue(now ids.Time) {
+	left := f.awaited[:0]
+	for _, call := range f.awaited {
+		if !f.Client.Pending(call.id) {
+			continue
+		}
+		if now.Since(call.arrived) >= answerWithin && !f.agreedSince(call.arrived) {
+			f.Client.Abandon(now, call.id)
+			continue
+		}
+		left = append(left, call)
+	}
+	f.awaited = left
+}
+
+// probeDue tells whether a call has waited long enough for the stores to be
+// asked whether a majority is there.
+func (f *Registry) probeDue(now ids.Time) bool {
+	waits := func(arrived ids.Time) bool {
+		return now.Since(arrived) >= probeAfter && !f.agreedSince(arrived)
+	}
+	for _, call := range f.awaited {
+		if waits(call.arrived) {
+			return true
+		}
+	}
+	for _, d := range f.departures {
+		if waits(d.arrived) {
+			return true
+		}
+	}
+	return false
+}
+
+// lifetime is how long an answer of the directory may be trusted.
+func (f *Registry) lifetime(now ids.Time) time.Duration {
+	if f.leased(now) {
+		return f.params.Lifetime
+	}
+	return min(f.params.Lifetime, lifetimeApart)
+}
--- /dev/null
+++ b/internal/registry/lease_test.go
@@ -0,0 +1,169 @@
+package registry_test
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"dunlinwell/internal/event"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/policy"
+	"dunlinwell/internal/registry"
+	"dunlinwell/internal/registry/registrytest"
+	"dunlinwell/internal/targets"
+)
+
+// call makes one kind of control call.
+type call struct {
+	name string
+	make func(id uint64) event.Event
+}
+
+const service = `{"id":%q,"changes":[{"kind":"service","name":"s","put":{}}]}`
+
+func change(raw string) func(uint64) event.Event {
+	return func(id uint64) event.Event { return registry.ChangeCall{ID: id, Raw: []byte(raw)} }
+}
+
+func heartbeat(edit func(*targets.Target)) func(uint64) event.Event {
+	return func(id uint64) event.Event {
+		t := targets.Target{Instance: "i", Incarnation: 1, Sequence: 9, Service: "s", Address: "10.0.1.1:80", Cell: "c", Warmth: 1, Interval: 1000}
+		edit(&t)
+		return registry.HeartbeatCall{ID: id, Target: t}
+	}
+}
+
+func deregister(instance ids.Instance) func(uint64) event.Event {
+	return func(id uint64) event.Event { return registry.DeregisterCall{ID: id, Instance: instance} }
+}
+
+var calls = []call{
+	{"change", change(fmt.Sprintf(service, "new"))},
+	{"change that is stale", change(`{"id":"old","changes":[{"kind":"service","name":"s","version":77,"put":{}}]}`)},
+	{"change without its item", change(`{"id":"none","changes":[{"kind":"service","name":"no","remove":true}]}`)},
+	{"evacuate", change(`{"id":"e","changes":[{"kind":"cell","name":"c","put":{"region":"r","shut":true}}]}`)},
+	{"malformed change", change(`{`)},
+	{"merge", func(id uint64) event.Event { return registry.MergeCall{ID: id, Body: policy.Merge{}} }},
+	{"read", func(id uint64) event.Event { return registry.PolicyCall{ID: id} }},
+	{"read of the own copy", func(id uint64) event.Event { return registry.PolicyCall{ID: id, Local: true} }},
+	{"heartbeat", heartbeat(func(*targets.Target) {})},
+	{"draining", heartbeat(func(t *targets.Target) { t.Leaving = true })},
+	{"end", deregister("known")},
+	{"end of a stranger", deregister("stranger")},
+	{"where, no such route", func(id uint64) event.Event { return registry.ResolveCall{ID: id, Cell: "c", Route: "none"} }},
+	{"where", func(id uint64) event.Event { return registry.ResolveCall{ID: id, Cell: "c", Host: "h"} }},
+	{"status", func(id uint64) event.Event { return registry.StatusCall{ID: id} }},
+}
+
+// row is what each call is answered in one state of the link.
+type row struct {
+	state  string
+	before time.Duration
+	link   registrytest.Link
+	want   map[string]int
+}
+
+// Where the link fails right before the call, the lease still stands, and the
+// call finds out by itself that nobody answers.
+var table = []row{
+	{"in touch", 0, registrytest.Connected, map[string]int{"change": 200, "change that is stale": 409, "change without its item": 404, "evacuate": 200,
+		"malformed change": 400, "merge": 200, "read": 200, "read of the own copy": 200, "heartbeat": 200, "draining": 200, "end": 200,
+		"end of a stranger": 200, "where, no such route": 404, "where": 200, "status": 200}},
+	{"cut off for long", 20 * time.Second, registrytest.Silent, cutOff},
+	{"cut off until the lease ends", 1700 * time.Millisecond, registrytest.Silent, cutOff},
+	{"heard but hears nothing", 20 * time.Second, registrytest.OneWay, cutOff},
+	{"its store has no majority", 20 * time.Second, registrytest.Declining, cutOff},
+	{"cut off just now", 0, registrytest.Silent, changed(cutOff, map[string]int{"change": 504, "change that is stale": 504, "change without its item": 504,
+		"evacuate": 504, "merge": 504, "read of the own copy": 200, "heartbeat": 200, "end of a stranger": 200, "where, no such route": 404, "where": 200})},
+	{"deaf just now", 0, registrytest.OneWay, changed(cutOff, map[string]int{"change": 504, "change that is stale": 504, "change without its item": 504,
+		"evacuate": 504, "merge": 504, "read of the own copy": 200, "heartbeat": 200, "end of a stranger": 200, "where, no such route": 404, "where": 200})},
+	{"its store lost the majority just now", 0, registrytest.Declining, changed(cutOff, map[string]int{"read of the own copy": 200, "heartbeat": 200,
+		"end of a stranger": 200, "where, no such route": 404, "where": 200})},
+}
+
+// cutOff: nothing is confirmed, refused or handed out.
+var cutOff = map[string]int{"change": 503, "change that is stale": 503, "change without its item": 503, "evacuate": 503, "malformed change": 400,
+	"merge": 503, "read": 503, "read of the own copy": 503, "heartbeat": 503, "draining": 503, "end": 503, "end of a stranger": 503,
+	"where, no such route": 503, "where": 503, "status": 200}
+
+func changed(base, by map[string]int) map[string]int {
+	out := map[string]int{}
+	for _, list := range []map[string]int{base, by} {
+		for name, status := range list {
+			out[name] = status
+		}
+	}
+	return out
+}
+
+// A registry that was cut off answered changes 503 after 3 s, told a target that
+// its end is known everywhere, denied routes out of its old policy, and showed
+// that policy.
+func TestWhatARegistryAnswersByItsLink(t *testing.T) {
+	for _, incremental := range []bool{false, true} {
+		for _, row := range table {
+			for _, call := range calls {
+				core := registrytest.New(registry.Options{Incremental: incremental})
+				setUp(t, core)
+				core.Link = row.link
+				core.Run(row.before)
+				got, took := core.Call(100, call.make(100))
+				if got.Status != row.want[call.name] {
+					t.Errorf("%s, %s (incremental %v): %d %v, not %d", row.state, call.name, incremental, got.Status, got.Body, row.want[call.name])
+				}
+				if took >= time.Second {
+					t.Errorf("%s, %s (incremental %v): answered after %s", row.state, call.name, incremental, took)
+				}
+				if got.Status >= 500 && got.Retry == 0 {
+					t.Errorf("%s, %s (incremental %v): no Retry-After", row.state, call.name, incremental)
+				}
+			}
+		}
+	}
+}
+
+func setUp(t *testing.T, core *registrytest.Core) {
+	t.Helper()
+	if got, _ := core.Call(1, change(fmt.Sprintf(service, "first"))(1)); got.Status != 200 {
+		t.Fatalf("the first change: %+v", got)
+	}
+	known := heartbeat(func(target *targets.Target) { target.Instance, target.Sequence = "known", 1 })
+	if got, _ := core.Call(2, known(2)); got.Status != 200 {
+		t.Fatalf("the first heartbeat: %+v", got)
+	}
+	core.Run(time.Second)
+}
+
+// A change that was answered with 503 never takes effect; one that may have
+// taken effect is answered with 504, and its copy gets the first result.
+func TestADeclinedChangeHasNoEffect(t *testing.T) {
+	core := registrytest.New(registry.Options{})
+	setUp(t, core)
+	core.Link = registrytest.OneWay
+	lost, _ := core.Call(3, change(fmt.Sprintf(service, "lost"))(3))
+	core.Run(2 * time.Second)
+	before := string(core.Value())
+	declined, _ := core.Call(4, change(`{"id":"late","changes":[{"kind":"service","name":"late","put":{}}]}`)(4))
+	core.Run(5 * time.Second)
+	if lost.Status != 504 || declined.Status != 503 || string(core.Value()) != before {
+		t.Fatalf("%d and %d; the policy is now %s", lost.Status, declined.Status, core.Value())
+	}
+	core.Link = registrytest.Connected
+	core.Run(2 * time.Second)
+	again, _ := core.Call(5, change(fmt.Sprintf(service, "lost"))(5))
+	if again.Status != 200 || string(core.Value()) != before {
+		t.Fatalf("the copy: %+v", again)
+	}
+}
+
+// A majority that is slow, but there, keeps its calls: what a slow disk holds up
+// isn't answered as lost.
+func TestASlowMajorityKeepsItsCalls(t *testing.T) {
+	core := registrytest.New(registry.Options{})
+	setUp(t, core)
+	core.Slow = 1500 * time.Millisecond
+	got, took := core.Call(3, change(fmt.Sprintf(service, "slow"))(3))
+	if got.Status != 200 || took < time.Second {
+		t.Fatalf("%+v after %s", got, took)
+	}
+}
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -76,6 +76,8 @@
 	seenAt    ids.Time
 	// partings are targets that wait to hear that they may stop.
 	departures []departure
+	// awaited are control calls that wait for an agreement.
+	awaited []agreementCall
 	peers
 
 	plans
@@ -155,6 +157,7 @@
 	f.last = now
 	f.Announce(f.agreed != 0 && now.Since(f.agreed) < 5*time.Second, f.view.Revision)
 	f.List.Tick(now)
+	f.endOverdue(now)
 	f.Client.Clock(now)
 	f.keepPeers(now)
 	silent := f.silent(now)
@@ -165,7 +168,7 @@
 		f.Log("warn", "target silent", "target", string(t.Instance), "service", string(t.Service), "address", string(t.Address))
 	}
 	f.Targets.Forget(now, time.Hour)
-	if now >= f.poll && !f.reading && f.answerable() {
+	if (now >= f.poll || f.probeDue(now)) && !f.reading && f.answerable() {
 		f.readPolicy(now)
 	}
 	if now >= f.share {
@@ -191,7 +194,7 @@
 	f.Client.ReadIfChanged(now, policy.Key, f.whole, f.sum, 2*time.Second, func(_ ids.Time, s consensus.State, out []byte) {
 		f.reading = false
 		if s == consensus.Done {
-			f.agreed = began
+			f.agreed = max(f.agreed, began)
 			f.adopt(out)
 		}
 	})
--- a/internal/registry/resolve.go
+++ b/internal/registry/resolve.go
@@ -18,6 +18,10 @@
 }
 
 func (f *Registry) where(now ids.Time, c ResolveCall) {
+	if !f.leased(now) && !f.params.Always {
+		f.unavailable(c.ID)
+		return
+	}
 	if _, ok := f.view.Routes[c.Route]; !ok && c.Host == "" {
 		f.Emit(Response{ID: c.ID, Status: 404, Body: Problem{"there is no route " + string(c.Route)}})
 		return
@@ -31,7 +35,7 @@
 		return
 	}
 	f.Emit(Response{ID: c.ID, Status: 200, Body: Resolution{Cell: w.Cell, Proxies: w.Proxies,
-		Lifetime: f.params.Lifetime.Milliseconds(), Moved: w.Moved}})
+		Lifetime: f.lifetime(now).Milliseconds(), Moved: w.Moved}})
 }
 
 // draw gives the route that an ask stands for. One for a host stands for all of
