--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -182,24 +182,6 @@
 	f.planning(now)
 }
 
-// readPolicy keeps up with the policy even where no news of it arrived.
-func (f *Registry) readPolicy(now ids.Time) {
-	f.reading = true
-	f.poll = now.Add(pollEvery)
-	if f.params.Incremental {
-		// News of a change comes by itself; what this renews is the agreement's age.
-		f.poll = now.Add(2 * pollEvery)
-	}
-	began := now
-	f.Client.ReadIfChanged(now, policy.Key, f.whole, f.sum, 2*time.Second, func(_ ids.Time, s consensus.State, out []byte) {
-		f.reading = false
-		if s == consensus.Done {
-			f.agreed = max(f.agreed, began)
-			f.adopt(out)
-		}
-	})
-}
-
 func (f *Registry) receive(now ids.Time, from ids.Address, msg any) {
 	switch m := msg.(type) {
 	case consensus.Response:
