--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -29,11 +29,18 @@
 	return map[consensus.Op]consensus.ChangeFunc{OpTake: take}
 }
 
-// take raises the epoch unless the same run of the same daemon has the duty.
+// take gives the duty to whoever asks, and raises the epoch each time: one that
+// gave the duty up and takes it again has a new epoch too, as what it sent
+// before may still be on its way. Only a copy of an asking that has taken effect
+// changes nothing: the taker didn't know yet of the epoch that it gave.
 func take(_ ids.Key, old, arg []byte) ([]byte, []byte) {
 	have, _ := Open(old)
 	want, ok := Open(arg)
-	if !ok || (have.Holder == want.Holder && have.Start == want.Start) {
+	if !ok {
+		return old, old
+	}
+	sameRun := have.Holder == want.Holder && have.Start == want.Start
+	if sameRun && have.Epoch > want.Epoch {
 		return old, old
 	}
 	// The taker tells the highest epoch it has met: a register that was lost
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -36,3 +36,16 @@
 	is.Equal(epoch(taken(t, b, Term{Holder: "f2", Start: 9})), ids.Epoch(3))
 	is.Equal(epoch(taken(t, nil, Term{Holder: "f2", Start: 9, Epoch: 7})), ids.Epoch(8))
 }
+
+// A run that gave the duty up takes it again under a new epoch. It used to get
+// the same one, so that nothing told its plans of before from those of after; and
+// one that had heard of a higher epoch went on under its old one, which all the
+// others declined.
+func TestARunThatTakesTheDutyAgainHasANewEpoch(t *testing.T) {
+	is := is.New(t)
+	first := taken(t, nil, Term{Holder: "f1", Start: 1})
+	again := taken(t, first, Term{Holder: "f1", Start: 1, Epoch: 1})
+	is.Equal(epoch(again), ids.Epoch(2))
+	is.Equal(epoch(taken(t, again, Term{Holder: "f1", Start: 1, Epoch: 1})), ids.Epoch(2)) // a copy of that asking
+	is.Equal(epoch(taken(t, again, Term{Holder: "f1", Start: 1, Epoch: 5})), ids.Epoch(6)) // another was heard of
+}
--- a/internal/proxy/agreement.go
+++ b/internal/proxy/agreement.go
@@ -56,7 +56,7 @@
 	if c.Lease == Endless {
 		// Rules with a time bound hold for proxies in touch; one that isn't
 		// serves by what it last knew, once it has known anything.
-		if c.view.Revision == 0 || c.word == 0 {
+		if !c.opened {
 			return 0
 		}
 		return 1 << 62
--- a/internal/proxy/control.go
+++ b/internal/proxy/control.go
@@ -28,6 +28,11 @@
 	// when the newest agreement began by which the policy held here is in force.
 	word   ids.Time
 	agreed ids.Time
+	// told: a registry has told of targets in this run. opened: a proxy with an
+	// endless lease has begun to serve; unconfirmed is since when it could have, but
+	// for the age of what it was told.
+	told, opened bool
+	unconfirmed  ids.Time
 	// leased is as of when the desks were last told how long they may serve.
 	leased ids.Time
 	woke   ids.Time
@@ -60,6 +65,7 @@
 	yard, roll uint64
 	revision   ids.Revision
 	step, shut bool
+	opened     bool
 	seats      int
 }
 
@@ -170,8 +176,8 @@
 		c.yard.Merge(now, p.Targets...)
 	} else {
 		c.yard.MergeAsOf(now, p.Echo, p.Targets...)
-		c.word = max(c.word, p.Echo)
-		c.confirm(p.Revision, p.Echo.Add(-age(p.Age)))
+		c.word, c.told = max(c.word, p.Vouched()), true
+		c.confirm(p.Revision, p.Agreed())
 	}
 	c.restock(now)
 	c.Send(from, distribution.Ack{Proxy: c.Self.ID, Start: c.Self.Start, Number: p.Number, Revision: c.view.Revision, Now: now, Yard: c.yard.Exact()})
--- a/internal/proxy/footing.go
+++ b/internal/proxy/footing.go
@@ -84,8 +84,9 @@
 
 // restock hands each desk its stock anew if anything in it has changed.
 func (c *Control) restock(now ids.Time) {
+	c.open(now)
 	seats := c.seats(now)
-	s := stamp{c.yard.Version(), c.Version(), c.view.Revision, c.sure() > c.woke, c.empty != 0 && (c.late || now.Since(c.empty) >= emptyAfter), len(seats)}
+	s := stamp{c.yard.Version(), c.Version(), c.view.Revision, c.sure() > c.woke, c.empty != 0 && (c.late || now.Since(c.empty) >= emptyAfter), c.opened, len(seats)}
 	if s == c.stocked {
 		c.lease()
 		return
--- /dev/null
+++ b/internal/proxy/opening.go
@@ -0,0 +1,31 @@
+package proxy
+
+import (
+	"time"
+
+	"dunlinwell/internal/ids"
+)
+
+// unconfirmedFor is how long a proxy that has just started, and reaches nobody
+// with a fresh agreement, waits for one before it serves by what it was told.
+const unconfirmedFor = 3 * time.Second
+
+// open has a proxy with an endless lease begin to serve. What it was told at its
+// start may come from a registry that has been cut off since long ago, so it
+// begins by an agreement of late. Where none can be had it begins all the same, as
+// it would go on had it not been restarted; but it says so, and how old it is.
+func (c *Control) open(now ids.Time) {
+	if c.opened || c.Lease != Endless || c.view.Revision == 0 || !c.told {
+		return
+	}
+	age := now.Since(c.agreed)
+	switch {
+	case c.agreed != 0 && age <= agreedWithin:
+		c.opened = true
+	case c.unconfirmed == 0:
+		c.unconfirmed = now
+	case now.Since(c.unconfirmed) >= unconfirmedFor:
+		c.opened = true
+		c.Log("warn", "serves unconfirmed", "revision", itoa(uint64(c.view.Revision)), "agreed_ms_ago", itoa(uint64(age/time.Millisecond)))
+	}
+}
--- /dev/null
+++ b/internal/proxy/opening_test.go
@@ -0,0 +1,135 @@
+package proxy
+
+import (
+	"testing"
+	"time"
+
+	"dunlinwell/internal/distribution"
+	"dunlinwell/internal/event"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/membership"
+	"dunlinwell/internal/policy"
+	"dunlinwell/internal/targets"
+)
+
+// started is a proxy that has just started, and what two registries tell it.
+type started struct {
+	*Control
+	now   ids.Time
+	count ids.Number
+}
+
+func start(lease time.Duration) *started {
+	return &started{Control: New(membership.Options{Self: member("p", "quay")}, Options{Lease: lease}), now: 1}
+}
+
+// policyOf is a policy with as many services as its revision says.
+func policyOf(t *testing.T, revision int) []byte {
+	t.Helper()
+	p, err := policy.Open(nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i := range revision {
+		p, _ = p.Merge(policy.Merge{Items: []policy.Given{{Kind: "service", Name: ids.Name(string(rune('a' + i))), Version: 1, Body: []byte("{}")}}})
+	}
+	return p.Pack(false)
+}
+
+// tell pushes what a registry holds whose agreement is so old.
+func (s *started) tell(raw []byte, revision ids.Revision, age time.Duration, list ...targets.Target) {
+	s.count++
+	s.Step(s.now, event.Received{From: "r", Msg: distribution.Push{Number: s.count, Revision: revision, Policy: raw, Targets: list,
+		Age: uint32(age.Milliseconds()), Echo: s.now, For: s.Self.Start}})
+}
+
+// run lets time pass; each second something is told.
+func (s *started) run(span time.Duration, each func()) {
+	for end := s.now.Add(span); s.now < end; {
+		if each != nil {
+			each()
+		}
+		for range 20 {
+			s.now = s.now.Add(50 * time.Millisecond)
+			s.Step(s.now, event.Tick{})
+		}
+	}
+}
+
+// A proxy that started while it reached only a registry cut off for 20 s served by
+// what that one told, as if it were in force.
+func TestAProxyStartsByAFreshAgreement(t *testing.T) {
+	old, new := policyOf(t, 1), policyOf(t, 2)
+	s := start(Endless)
+	s.tell(old, 1, 20*time.Second)
+	s.run(2*time.Second, func() { s.tell(nil, 1, 20*time.Second) })
+	if s.inStep(s.now) || s.ready(s.now) {
+		t.Fatal("it serves by what may be 20 s old")
+	}
+	// The other side is reached: it serves at once, by the newer.
+	s.tell(new, 2, 300*time.Millisecond)
+	if !s.inStep(s.now) || s.view.Revision != 2 {
+		t.Fatalf("it doesn't serve by revision %d", s.view.Revision)
+	}
+	// From then on it never stops, and never goes back.
+	s.run(20*time.Second, func() { s.tell(old, 1, 20*time.Second) })
+	if !s.inStep(s.now) || s.view.Revision != 2 {
+		t.Fatalf("it went back to %d", s.view.Revision)
+	}
+}
+
+// Where no fresh agreement can be had, a proxy serves after all, and says so.
+func TestAProxyServesUnconfirmedAfterAWhile(t *testing.T) {
+	s := start(Endless)
+	raw := policyOf(t, 1)
+	logged := false
+	s.tell(raw, 1, 20*time.Second)
+	for range 100 {
+		s.now = s.now.Add(50 * time.Millisecond)
+		for _, c := range s.Step(s.now, event.Tick{}) {
+			entry, ok := c.(event.LogEntry)
+			logged = logged || ok && entry.Event == "serves unconfirmed"
+		}
+		if waited := s.now.Since(1); s.inStep(s.now) != (waited >= unconfirmedFor) {
+			t.Fatalf("in step after %s: %v", waited, s.inStep(s.now))
+		}
+	}
+	if !logged {
+		t.Fatal("it didn't say so")
+	}
+}
+
+// A proxy that asks the stores itself knows that its policy is in force; of the
+// targets it knows no more than the registry that is cut off from them.
+func TestARegistryWithoutTheLeaseDoesNotVouchForTargets(t *testing.T) {
+	s := start(0)
+	s.tell(policyOf(t, 1), 1, 0)
+	for range 10 {
+		s.run(time.Second, func() {
+			s.tell(nil, 1, 1600*time.Millisecond+s.now.Since(1))
+			s.confirm(1, s.now) // by the stores' own word
+		})
+	}
+	if s.inStep(s.now) {
+		t.Fatal("it serves by targets that nobody vouches for")
+	}
+	s.tell(nil, 1, 0)
+	if !s.inStep(s.now) {
+		t.Fatal("it doesn't serve though a registry with the lease vouches for them")
+	}
+}
+
+// What an older run, or the other side of a cut, tells of a target doesn't undo
+// what is newer, in whichever order it comes.
+func TestALatePushUndoesNothing(t *testing.T) {
+	s := start(Endless)
+	s.tell(policyOf(t, 1), 1, 0)
+	target := targets.Target{Instance: "i", Incarnation: 1, Sequence: 5, Service: "a", Address: "10.0.0.1:80", Cell: "quay", Warmth: 1, Interval: 1000}
+	leaving := target
+	leaving.Sequence, leaving.Leaving = 6, true
+	s.tell(nil, 1, 0, leaving)
+	s.tell(nil, 1, 20*time.Second, target)
+	if got, _ := s.yard.Get(s.now, "i"); !got.Leaving {
+		t.Fatal("a target that leaves came back by a late push")
+	}
+}
--- a/internal/registry/lease.go
+++ b/internal/registry/lease.go
@@ -9,15 +9,11 @@
 )
 
 // The control lease. A registry speaks for the core only while the newest
-// agreement on the policy that it knows of began within controlLease on its own
+// agreement on the policy that it knows of began within the control lease on its own
 // monotonic clock. An agreement counts from the moment the registry asked for
 // it, so that the way to the stores and back, and a freeze of this process in
 // between, shorten the lease and never lengthen it.
 const (
-	// controlLease is how old an agreement may be for this registry to confirm,
-	// refuse or hand out anything. Reads begin every second, and one that a lost
-	// store holds up is answered by the next store within another 400 ms.
-	controlLease = 1500 * time.Millisecond
 	// answerWithin is how long a call may wait for a majority that hasn't been
 	// heard of since the call came. Its caller goes elsewhere after a second.
 	answerWithin = 800 * time.Millisecond
@@ -30,7 +26,7 @@
 )
 
 // leased tells whether this registry may speak for the core.
-func (f *Registry) leased(now ids.Time) bool { return f.age(now) <= controlLease }
+func (f *Registry) leased(now ids.Time) bool { return f.age(now) <= f.params.ControlLease }
 
 // mayAsk tells whether a call that needs an agreement of its own is worth asking
 // the stores for. One that has lost the lease declines at once, so that its
--- /dev/null
+++ b/internal/registry/planner.go
@@ -0,0 +1,96 @@
+package registry
+
+import (
+	"time"
+
+	"dunlinwell/internal/consensus"
+	"dunlinwell/internal/election"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/membership"
+	"dunlinwell/internal/wire"
+)
+
+const (
+	// retakeAfter is how long a registry leaves the duty of planner alone that it
+	// has just given up: failure detection that wavers must not have it change
+	// hands with each verdict.
+	retakeAfter = 2 * time.Second
+	// settleAfter is how long a registry that was frozen listens before it plans.
+	settleAfter = 2 * time.Second
+)
+
+// raise notes a higher epoch; what is under a lower one is declined from then on.
+func (f *Registry) raise(now ids.Time, e ids.Epoch) {
+	f.epoch = max(f.epoch, e)
+	if f.mine != 0 && f.epoch > f.mine {
+		f.giveUpDuty(now, "duty lost")
+	}
+}
+
+func (f *Registry) giveUpDuty(now ids.Time, how string) {
+	f.Log("info", how, "duty", "planner", "epoch", itoa(uint64(f.mine)))
+	f.mine, f.gaveUp = 0, now
+}
+
+// planning takes the duty when it is this registry's turn, and plans.
+func (f *Registry) planning(now ids.Time) {
+	if !f.firstInLine(now) {
+		if f.mine != 0 {
+			f.giveUpDuty(now, "duty given up")
+		}
+		return
+	}
+	if f.mine == 0 {
+		f.takeDuty(now)
+		return
+	}
+	if now >= f.repeat {
+		f.repeat = now.Add(time.Second)
+		f.spreadTable()
+	}
+	if now >= f.next {
+		f.next = now.Add(f.params.PlanEvery)
+		f.plan(now)
+		f.spreadTable()
+	}
+}
+
+// firstInLine tells whether the duty is this registry's: it holds the control
+// lease, and is the first of those that say that they reach a majority. One that
+// is heard but hears nothing says that it doesn't, and gives the duty up itself.
+func (f *Registry) firstInLine(now ids.Time) bool {
+	if !f.leased(now) || now.Since(f.woke) <= settleAfter {
+		return false
+	}
+	for _, m := range f.Live(membership.Registry) {
+		if m.ID == f.Self.ID {
+			return true
+		}
+		if m.Ready {
+			return false
+		}
+	}
+	return false
+}
+
+func (f *Registry) takeDuty(now ids.Time) {
+	recent := f.gaveUp != 0 && now.Since(f.gaveUp) < retakeAfter
+	if f.taking || recent || f.view.Revision == 0 {
+		return
+	}
+	f.taking = true
+	raw, _ := wire.Encode(election.Term{Holder: f.Self.ID, Start: f.Self.Start, Epoch: f.epoch})
+	f.Client.Call(now, election.Key("planner"), election.OpTake, raw, 2*time.Second, func(at ids.Time, s consensus.State, out []byte) {
+		f.taking = false
+		term, ok := election.Open(out)
+		mine := ok && term.Holder == f.Self.ID && term.Start == f.Self.Start
+		// A higher epoch was heard of meanwhile: another holds the duty, or held it.
+		if s != consensus.Done || !mine || term.Epoch < f.epoch {
+			return
+		}
+		f.raise(at, term.Epoch)
+		f.mine, f.table.Epoch = term.Epoch, term.Epoch
+		f.next = at.Add(min(f.params.PlanEvery, 5*time.Second))
+		f.Log("info", "duty taken", "duty", "planner", "epoch", itoa(uint64(term.Epoch)))
+	})
+}
--- a/internal/registry/plans.go
+++ b/internal/registry/plans.go
@@ -2,14 +2,10 @@
 
 import (
 	"strconv"
-	"time"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/election"
 	"dunlinwell/internal/ids"
 	"dunlinwell/internal/membership"
 	"dunlinwell/internal/spill"
-	"dunlinwell/internal/wire"
 )
 
 func itoa(n uint64) string { return strconv.FormatUint(n, 10) }
@@ -29,10 +25,12 @@
 	epoch   ids.Epoch
 	mine    ids.Epoch
 	taking  bool
-	next    ids.Time
-	repeat  ids.Time
-	ahead   map[ids.Name]forecast
-	fits    map[ids.Name]spill.Fit
+	// gaveUp is when this run last gave the duty up or lost it.
+	gaveUp ids.Time
+	next   ids.Time
+	repeat ids.Time
+	ahead  map[ids.Name]forecast
+	fits   map[ids.Name]spill.Fit
 }
 
 // chargeFor is for how many plans a move is charged while it doesn't show.
@@ -49,22 +47,11 @@
 	return plans{ahead: map[ids.Name]forecast{}, fits: map[ids.Name]spill.Fit{}}
 }
 
-// raise notes a higher epoch; what is under it is declined from then on.
-func (f *Registry) raise(e ids.Epoch) {
-	if e > f.epoch {
-		f.epoch = e
-	}
-	if f.mine != 0 && f.epoch > f.mine {
-		f.mine = 0
-		f.Log("info", "duty lost", "duty", "planner", "epoch", itoa(uint64(f.epoch)))
-	}
-}
-
 func (f *Registry) takeTable(now ids.Time, t spill.Table) {
 	if t.Epoch < f.epoch {
 		return
 	}
-	f.raise(t.Epoch)
+	f.raise(now, t.Epoch)
 	if t.Newer(f.table) {
 		f.table = t
 		f.Log("info", "moves", "epoch", itoa(uint64(t.Epoch)), "number", itoa(uint64(t.Number)), "count", itoa(uint64(len(t.Moves))))
@@ -74,48 +61,6 @@
 	}
 }
 
-// planning takes the duty when it is this registry's turn, and plans.
-func (f *Registry) planning(now ids.Time) {
-	live := f.Live(membership.Registry)
-	first := len(live) > 0 && live[0].ID == f.Self.ID && now.Since(f.woke) > 2*time.Second
-	if !first {
-		f.mine = 0
-		return
-	}
-	if f.mine == 0 {
-		f.takeDuty(now)
-		return
-	}
-	if now >= f.repeat {
-		f.repeat = now.Add(time.Second)
-		f.spreadTable()
-	}
-	if now >= f.next {
-		f.next = now.Add(f.params.PlanEvery)
-		f.plan(now)
-		f.spreadTable()
-	}
-}
-
-func (f *Registry) takeDuty(now ids.Time) {
-	if f.taking || f.view.Revision == 0 {
-		return
-	}
-	f.taking = true
-	raw, _ := wire.Encode(election.Term{Holder: f.Self.ID, Start: f.Self.Start, Epoch: f.epoch})
-	f.Client.Call(now, election.Key("planner"), election.OpTake, raw, 2*time.Second, func(at ids.Time, s consensus.State, out []byte) {
-		f.taking = false
-		h, ok := election.Open(out)
-		if s != consensus.Done || !ok || h.Holder != f.Self.ID || h.Start != f.Self.Start {
-			return
-		}
-		f.raise(h.Epoch)
-		f.mine, f.table.Epoch = h.Epoch, h.Epoch
-		f.next = at.Add(min(f.params.PlanEvery, 5*time.Second))
-		f.Log("info", "duty taken", "duty", "planner", "epoch", itoa(uint64(h.Epoch)))
-	})
-}
-
 func (f *Registry) spreadTable() {
 	for _, m := range f.Live(membership.Registry) {
 		if m.ID != f.Self.ID {
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -24,6 +24,10 @@
 	Random    *rand.Rand
 	PlanEvery time.Duration
 	Lifetime  time.Duration
+	// ControlLease is how old an agreement may be for this registry to confirm,
+	// refuse or hand out anything. Reads begin every second, and one that a lost
+	// store holds up is answered by the next store within another 400 ms.
+	ControlLease time.Duration
 	// Regions are the cells that this daemon was told of, and their regions.
 	Regions map[ids.Name]string
 	// Thrifty: targets are told of only as something changes, and registries keep
@@ -39,6 +43,9 @@
 	if p.PlanEvery == 0 {
 		p.PlanEvery = 30 * time.Second
 	}
+	if p.ControlLease == 0 {
+		p.ControlLease = distribution.ControlLease
+	}
 	if p.Lifetime == 0 {
 		p.Lifetime = 2 * time.Second
 	}
@@ -215,7 +222,7 @@
 	case spill.Table:
 		f.takeTable(now, m)
 	case election.Term:
-		f.raise(m.Epoch)
+		f.raise(now, m.Epoch)
 	default:
 		f.List.Receive(now, from, msg)
 	}
--- a/internal/registry/registrytest/core.go
+++ b/internal/registry/registrytest/core.go
@@ -3,11 +3,13 @@
 package registrytest
 
 import (
+	"maps"
 	"math/rand/v2"
 	"time"
 
 	"dunlinwell/internal/consensus"
 	"dunlinwell/internal/distribution"
+	"dunlinwell/internal/election"
 	"dunlinwell/internal/event"
 	"dunlinwell/internal/ids"
 	"dunlinwell/internal/membership"
@@ -54,7 +56,7 @@
 	Slow time.Duration
 	// Sent, if set, sees every message that the registry sends.
 	Sent     func(event.Send)
-	value    []byte
+	values   map[ids.Key][]byte
 	ops      map[consensus.Op]consensus.ChangeFunc
 	answered map[uint64]registry.Response
 	late     []lateResponse
@@ -71,13 +73,14 @@
 	options.Self = membership.Member{ID: "registry", Address: Self, Start: 1, Zone: "c"}
 	options.Seeds = []ids.Address{Store}
 	options.Random = rand.New(rand.NewPCG(1, 1))
-	core := &Core{Registry: registry.New(options), Now: 1, ops: policy.Ops(), answered: map[uint64]registry.Response{}}
+	core := &Core{Registry: registry.New(options), Now: 1, ops: policy.Ops(), values: map[ids.Key][]byte{}, answered: map[uint64]registry.Response{}}
+	maps.Copy(core.ops, election.Ops())
 	core.Run(3 * time.Second)
 	return core
 }
 
 // Value is the policy's register as the majority has it.
-func (c *Core) Value() []byte { return c.value }
+func (c *Core) Value() []byte { return c.values[policy.Key] }
 
 // Step hands an event to the registry and carries its commands out.
 func (c *Core) Step(ev event.Event) {
@@ -119,10 +122,10 @@
 		c.hear(consensus.Response{ID: request.ID, Try: request.Try, State: consensus.Declined})
 		return
 	}
-	result := c.value
+	result := c.values[request.Key]
 	slow := request.Op != consensus.Read && c.Slow > 0
-	if op := c.ops[request.Op]; op != nil && request.Key == policy.Key {
-		c.value, result = op(request.Key, c.value, request.Arg)
+	if op := c.ops[request.Op]; op != nil {
+		c.values[request.Key], result = op(request.Key, result, request.Arg)
 	}
 	response := consensus.Response{ID: request.ID, Try: request.Try, State: consensus.Done, Result: result}
 	switch {
@@ -134,6 +137,9 @@
 	}
 }
 
+// Hear hands the registry a message as if the majority's side had sent it.
+func (c *Core) Hear(msg any) { c.hear(msg) }
+
 func (c *Core) hear(msg any) { c.Step(event.Received{From: Store, Msg: msg}) }
 
 // Run lets time pass.
