--- a/internal/registry/planner.go
+++ b/internal/registry/planner.go
@@ -32,6 +32,9 @@
 	f.mine, f.gaveUp = 0, now
 }
 
+// Planning gives the epoch under which this registry plans, if it does.
+func (f *Registry) Planning() (ids.Epoch, bool) { return f.mine, f.mine != 0 }
+
 // planning takes the duty when it is this registry's turn, and plans.
 func (f *Registry) planning(now ids.Time) {
 	if !f.firstInLine(now) {
--- a/internal/simulator/defect_test.go
+++ b/internal/simulator/defect_test.go
@@ -193,7 +193,9 @@
 				t.Moves = crossed(t.Moves)
 			}
 		})}},
-		"emptied cell": {want: "emptied", defect: Defect{Message: pushes(swap(`"emptied":true`, `"emptied":false`))}},
+		"lease without end": {want: "cut off, answered", script: Scenes["core-machine-1-cut-off-both-ways"], defect: Defect{ControlLease: time.Hour}},
+		"deaf planner":      {want: "have planned for", script: Scenes["core-machine-1-cut-off-both-ways"], defect: Defect{ControlLease: time.Hour}},
+		"emptied cell":      {want: "emptied", defect: Defect{Message: pushes(swap(`"emptied":true`, `"emptied":false`))}},
 		"not restored": {want: "15 s after", defect: Defect{Message: func(_, to string, msg any) (any, bool) {
 			_, push := msg.(distribution.Push)
 			return msg, !push || to != "proxy-1" && to != "proxy-2" && to != "proxy-3"
--- a/internal/simulator/proc.go
+++ b/internal/simulator/proc.go
@@ -128,7 +128,8 @@
 		}
 		p.machine, beat = s, stockBeat
 	case membership.Registry:
-		p.machine = registry.New(registry.Options{Options: roll, Random: p.dice, PlanEvery: p.w.PlanEvery})
+		p.machine = registry.New(registry.Options{Options: roll, Random: p.dice, PlanEvery: p.w.PlanEvery,
+			ControlLease: p.w.Defect.ControlLease})
 	default:
 		c := proxy.New(roll, proxy.Options{Lease: p.w.Lease})
 		p.machine = c
--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -60,6 +60,9 @@
 	CloseHeld bool
 	// Response spoils a proxy's answers.
 	Response func(dispatch.Response) dispatch.Response
+	// ControlLease is how long registries speak for the core by one agreement, if
+	// not for as long as they should.
+	ControlLease time.Duration
 	// Message spoils what is sent between daemons; false loses it.
 	Message func(from, to string, msg any) (any, bool)
 }
