--- a/internal/api/forward.go
+++ b/internal/api/forward.go
@@ -46,11 +46,11 @@
 // majority. A change has its id before it leaves, so one that was sent twice
 // still is one change.
 func (f *Forwarder) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
-	arrived := time.Now()
 	raw, ok := Body(rw, r)
 	if !ok {
 		return
 	}
+	arrived := time.Now()
 	if r.Header.Get("Change-Id") == "" {
 		r.Header.Set("Change-Id", NewChange())
 	}
--- a/internal/registry/calls.go
+++ b/internal/registry/calls.go
@@ -129,7 +129,7 @@
 		f.unavailable(id)
 		return
 	}
-	f.await(now, f.Client.Call(now, policy.Key, op, raw, CallWait(len(raw)), func(_ ids.Time, s consensus.State, out []byte) {
+	f.await(now, len(raw), f.Client.Call(now, policy.Key, op, raw, CallWait(len(raw)), func(_ ids.Time, s consensus.State, out []byte) {
 		var r policy.Result
 		switch {
 		case s == consensus.Declined:
@@ -169,7 +169,7 @@
 		return
 	}
 	// An agreement read: every daemon gives the same truth, or none.
-	f.await(now, f.Client.ReadIfChanged(now, policy.Key, f.whole, f.sum, callWait, func(_ ids.Time, s consensus.State, out []byte) {
+	f.await(now, 0, f.Client.ReadIfChanged(now, policy.Key, f.whole, f.sum, callWait, func(_ ids.Time, s consensus.State, out []byte) {
 		p, err := policy.Open(out)
 		if s != consensus.Done || err != nil {
 			f.unavailable(c.ID)
--- a/internal/registry/lease.go
+++ b/internal/registry/lease.go
@@ -15,7 +15,8 @@
 // between, shorten the lease and never lengthen it.
 const (
 	// answerWithin is how long a call may wait for a majority that hasn't been
-	// heard of since the call came. Its caller goes elsewhere after a second.
+	// heard of since the call came. Its caller goes elsewhere after a second, and
+	// later with a large body, which takes its time on the way to the stores.
 	answerWithin = 800 * time.Millisecond
 	// probeAfter is when a call that isn't answered yet has the stores asked
 	// whether a majority is there at all.
@@ -41,11 +42,13 @@
 type agreementCall struct {
 	id      consensus.CallID
 	arrived ids.Time
+	due     ids.Time
 }
 
-// await has a call ended early if the majority turns out to be out of reach.
-func (f *Registry) await(now ids.Time, id consensus.CallID) {
-	f.awaited = append(f.awaited, agreementCall{id: id, arrived: now})
+// await has a call of so many bytes ended early if the majority turns out to be
+// out of reach.
+func (f *Registry) await(now ids.Time, bytes int, id consensus.CallID) {
+	f.awaited = append(f.awaited, agreementCall{id: id, arrived: now, due: now.Add(answerWithin + consensus.TransferTime(bytes))})
 }
 
 // endOverdue ends the calls that have waited for answerWithin while nothing
@@ -57,7 +60,7 @@
 		if !f.Client.Pending(call.id) {
 			continue
 		}
-		if now.Since(call.arrived) >= answerWithin && !f.agreedSince(call.arrived) {
+		if now >= call.due && !f.agreedSince(call.arrived) {
 			f.Client.Abandon(now, call.id)
 			continue
 		}
