--- a/internal/consensus/acceptor.go
+++ b/internal/consensus/acceptor.go
@@ -1,10 +1,6 @@
 package consensus
 
 import (
-	"maps"
-	"slices"
-	"strings"
-
 	"dunlinwell/internal/event"
 	"dunlinwell/internal/ids"
 	"dunlinwell/internal/wire"
@@ -39,6 +35,8 @@
 	// ahead holds what is on its way to the disk, by the turn that syncs it.
 	unsynced map[ids.Key]unsyncedRecord
 	turn     uint64
+	standing standing
+	changes  changeLog
 }
 
 type unsyncedRecord struct {
@@ -54,6 +52,7 @@
 	if raw, ok := shelf.Get("meta/roster"); ok {
 		a.voterSet, _ = unpack[VoterSet](raw)
 	}
+	a.loadStanding()
 	return a
 }
 
@@ -85,6 +84,7 @@
 	}
 	a.turn++
 	a.unsynced[key] = unsyncedRecord{raw, a.turn}
+	a.changes.note(key)
 	a.out.Emit(event.Sync{Turn: a.turn, Records: []event.Record{{Key: key, Value: raw}}, Then: then})
 }
 
@@ -109,6 +109,7 @@
 	if r.Number <= a.voterSet.Number {
 		return false
 	}
+	a.changeStanding(r)
 	a.voterSet = r
 	a.persist("meta/roster", r)
 	return true
@@ -120,8 +121,9 @@
 		a.AfterSync(event.Send{To: from, Msg: VoterSetUpdate{a.voterSet}})
 		return true
 	}
-	// A member that hasn't heard of the voter set yet, or isn't in it, can't vote.
-	return number > a.voterSet.Number || !a.voterSet.Has(a.store)
+	// One that hasn't heard of the voter set yet, isn't in it or has not copied
+	// what was agreed before it came can't vote.
+	return number > a.voterSet.Number || !a.MayVote()
 }
 
 // Prepare promises, or tells of a higher promise.
@@ -168,48 +170,6 @@
 	a.persist(slotPrefix+m.Key, s, event.Send{To: from, Msg: w})
 }
 
-// Page serves a newcomer; only members that know of its voter set may.
-func (a *Acceptor) Page(from ids.Address, m PageRequest) {
-	if m.VoterSet != a.voterSet.Number {
-		if m.VoterSet < a.voterSet.Number {
-			a.AfterSync(event.Send{To: from, Msg: VoterSetUpdate{a.voterSet}})
-		}
-		return
-	}
-	const most = 200
-	list := a.storage.Scan(slotPrefix+m.After, most)
-	l := PageResponse{Store: a.store, VoterSet: m.VoterSet, Number: m.Number, Last: len(list) < most}
-	// What is still on its way to the disk belongs in the page as well.
-	rows := map[ids.Key][]byte{}
-	for _, r := range list {
-		rows[r.Key] = r.Value
-	}
-	for k, w := range a.unsynced {
-		if strings.HasPrefix(string(k), slotPrefix) && k > slotPrefix+m.After && (l.Last || k <= list[len(list)-1].Key) {
-			rows[k] = w.raw
-		}
-	}
-	for _, k := range slices.Sorted(maps.Keys(rows)) {
-		if s, ok := unpack[RegisterState](rows[k]); ok {
-			l.Records = append(l.Records, PageRecord{k[len(slotPrefix):], s.Accepted, s.Value})
-		}
-	}
-	a.AfterSync(event.Send{To: from, Msg: l})
-}
-
-// Merge takes a record that a newcomer copied, if its ballot is higher.
-func (a *Acceptor) Merge(l PageRecord) {
-	s := a.slot(l.Key)
-	if !s.Accepted.Less(l.Accepted) {
-		return
-	}
-	s.Accepted, s.Value = l.Accepted, l.Value
-	if s.Promised.Less(l.Accepted) {
-		s.Promised = l.Accepted
-	}
-	a.persist(slotPrefix+l.Key, s)
-}
-
 // Roster gives the voter set in force here.
 func (a *Acceptor) VoterSet() VoterSet { return a.voterSet }
 
--- a/internal/consensus/consensus_test.go
+++ b/internal/consensus/consensus_test.go
@@ -42,6 +42,7 @@
 		x := &room{mem: memory{}}
 		x.Acceptor = NewAcceptor(uint64(i+1), x.mem, &x.Outbox)
 		x.Proposer = NewProposer(uint64(i+1), x.Acceptor.VoterSet, map[Op]ChangeFunc{opAdd: add}, rand.New(rand.NewPCG(1, uint64(i))), &x.Outbox)
+		x.MarkComplete()
 		x.AdoptVoterSet(r)
 		out[at] = x
 	}
--- a/internal/consensus/messages.go
+++ b/internal/consensus/messages.go
@@ -23,6 +23,10 @@
 	Incoming []Voter
 	// Loss counts the times that disks were given up and marks with them.
 	Loss uint64
+	// Learners are the ids of voters that have not yet said that their copy is
+	// complete. Safety does not rest on it: a voter knows by its own disk whether
+	// it may vote. It keeps a change from leaving too few that can.
+	Learners []uint64
 }
 
 // Prepare asks for a promise, Peek set only for what was accepted.
@@ -129,6 +133,10 @@
 	VoterSet uint64
 	After    ids.Key
 	Number   uint64
+	// Epoch and Since ask only for what changed since an earlier copy: the run
+	// that answered then, and its count of changes when that copy began.
+	Epoch uint64
+	Since uint64
 }
 
 // Leaf is one record in a page.
@@ -145,6 +153,12 @@
 	Number   uint64
 	Records  []PageRecord
 	Last     bool
+	// Epoch names the run that answers, Changes its count of changes up to which
+	// the records go: for a whole copy that of its first page, for one of changes
+	// that of this page. Delta tells that these are changes alone.
+	Epoch   uint64
+	Changes uint64
+	Delta   bool
 }
 
 // Hello is how blank and founded stores learn of one another.
--- /dev/null
+++ b/internal/consensus/replace_test.go
@@ -0,0 +1,117 @@
+package consensus
+
+import (
+	"testing"
+
+	"github.com/matryer/is"
+
+	"dunlinwell/internal/event"
+	"dunlinwell/internal/ids"
+)
+
+func encoded(t *testing.T, msg any) []byte {
+	t.Helper()
+	raw, err := packed(msg)
+	is.New(t).NoErr(err)
+	return raw
+}
+
+// A newcomer takes a lost voter's place at once, but never so that too few are
+// left whose copy is complete.
+func TestReplaceLeavesEnoughThatVote(t *testing.T) {
+	is := is.New(t)
+	set := encoded(t, VoterSet{Number: 1, Voters: []Voter{{ID: 1}, {ID: 2}, {ID: 3}}})
+	ask := func(old []byte, id, lost uint64) []byte {
+		next, _ := replace("", old, encoded(t, ReplaceRequest{New: Voter{ID: id}, Lost: lost, Replicas: 3}))
+		return next
+	}
+	next := ask(set, 9, 3)
+	got, _ := DecodeVoterSet(next)
+	is.Equal(got.Number, uint64(2))
+	is.Equal(got.Voters, []Voter{{ID: 1}, {ID: 2}, {ID: 9}})
+	is.Equal(got.Learners, []uint64{9})
+	is.Equal(ask(next, 9, 1), next)  // it has a place already
+	is.Equal(ask(next, 8, 2), next)  // one of three would be left that can vote
+	is.Equal(ask(next, 8, 77), next) // nobody's place
+	again, _ := DecodeVoterSet(ask(next, 8, 9))
+	is.Equal(again.Learners, []uint64{8}) // the newcomer itself was lost
+	done, _ := learned("", next, encoded(t, LearnedReport{ID: 9}))
+	is.True(string(ask(done, 8, 2)) != string(done)) // its copy is complete
+}
+
+// A blank store is asked for a vote like any other voter, and withholds it
+// until its copy is complete; after a restart too.
+func TestABlankVoterWithholdsItsVote(t *testing.T) {
+	is := is.New(t)
+	set := VoterSet{Number: 2, Voters: []Voter{{1, "a"}, {2, "b"}, {9, "c"}}}
+	x := &room{mem: memory{}}
+	x.Acceptor = NewAcceptor(9, x.mem, &x.Outbox)
+	sync := func() (sent []any) {
+		for _, c := range x.Drain() {
+			s, ok := c.(event.Sync)
+			is.True(ok)
+			for _, r := range s.Records {
+				x.mem[r.Key] = r.Value
+			}
+			for _, then := range s.Then {
+				sent = append(sent, then.(event.Send).Msg)
+			}
+		}
+		return sent
+	}
+	x.AdoptVoterSet(set)
+	sync()
+	x.Acceptor = NewAcceptor(9, x.mem, &x.Outbox)
+	ballot := ids.Ballot{Count: firstBallots + 1, By: 1}
+	x.Prepare("a", Prepare{Key: "x", Ballot: ballot, VoterSet: 2})
+	x.Accept("a", Accept{Key: "x", Ballot: ballot, VoterSet: 2, Value: []byte("v")})
+	x.Page("a", PageRequest{VoterSet: 2})
+	is.Equal(len(sync()), 0)
+	x.MarkComplete()
+	x.Accept("a", Accept{Key: "x", Ballot: ballot, VoterSet: 2, Value: []byte("v")})
+	is.Equal(len(sync()), 1)
+}
+
+// A disk whose member was replaced never votes again, whatever it is told.
+func TestAReplacedDiskTakesNoPart(t *testing.T) {
+	is := is.New(t)
+	all := rooms(t)
+	play(1, all, open2)
+	c := all["c"]
+	c.AdoptVoterSet(VoterSet{Number: 2, Voters: []Voter{{1, "a"}, {2, "b"}, {9, "c"}}})
+	is.Equal(c.Standing(), Replaced)
+	c.MarkComplete()
+	c.AdoptVoterSet(VoterSet{Number: 3, Voters: []Voter{{1, "a"}, {2, "b"}, {3, "c"}}})
+	is.True(!c.MayVote())
+	play(1, all, open2)
+	again := NewAcceptor(3, c.mem, &c.Outbox)
+	is.Equal(again.Standing(), Replaced)
+}
+
+// Who copied everything once is given only what changed since, each record
+// once; where the run or the list has gone, everything.
+func TestOnlyChangesAreCopiedAgain(t *testing.T) {
+	is := is.New(t)
+	x := &room{mem: memory{}}
+	x.Acceptor = NewAcceptor(1, x.mem, &x.Outbox)
+	x.SetEpoch(7)
+	x.MarkComplete()
+	x.AdoptVoterSet(VoterSet{Number: 1, Voters: []Voter{{1, "a"}}})
+	page := func(q PageRequest) PageResponse {
+		x.Drain()
+		x.Page("n", q)
+		return x.Drain()[0].(event.Sync).Then[0].(event.Send).Msg.(PageResponse)
+	}
+	x.Seed("x", []byte("1"))
+	first := page(PageRequest{VoterSet: 1})
+	is.True(first.Last && !first.Delta)
+	is.Equal(first.Changes, uint64(1))
+	x.ForceValue("y", []byte("2"))
+	x.ForceValue("y", []byte("3"))
+	second := page(PageRequest{VoterSet: 1, Epoch: first.Epoch, Since: first.Changes})
+	is.True(second.Last && second.Delta)
+	is.Equal(second.Changes, uint64(3))
+	is.Equal(len(second.Records), 1)
+	is.Equal(string(second.Records[0].Value), "3")
+	is.True(!page(PageRequest{VoterSet: 1, Epoch: 6, Since: 1}).Delta) // another run's count
+}
--- a/internal/consensus/voterset.go
+++ b/internal/consensus/voterset.go
@@ -31,7 +31,7 @@
 // what it is asked to change and leaves anything else alone, so that several
 // stores may ask for the same thing.
 func VoterSetOps() map[Op]ChangeFunc {
-	return map[Op]ChangeFunc{OpJoin: join, OpFinalize: settle, OpAbandon: abandon}
+	return map[Op]ChangeFunc{OpJoin: join, OpFinalize: settle, OpAbandon: abandon, OpReplace: replace, OpLearned: learned}
 }
 
 func write(old []byte, r VoterSet) ([]byte, []byte) {
--- /dev/null
+++ b/internal/simulator/repair.go
@@ -0,0 +1,82 @@
+package simulator
+
+import (
+	"time"
+
+	"dunlinwell/internal/consensus"
+	"dunlinwell/internal/membership"
+)
+
+// wipeStore kills a store, loses its disk and starts it again after a while.
+func (w *World) wipeStore(p *proc, down time.Duration) {
+	w.trace("the disk of %s is lost", p.name)
+	p.kill()
+	p.disk.wipe()
+	w.later(down, func() {
+		if !p.up && !p.lost {
+			p.boot()
+		}
+	})
+}
+
+// wholeVoterSet tells whether every store that is not lost for good is up, in
+// the voter set that all of them go by, and may vote by its own synced disk.
+func (w *World) wholeVoterSet() bool {
+	var number uint64
+	stores := 0
+	for _, p := range w.procs {
+		if p.role != membership.Store || p.lost {
+			continue
+		}
+		stores++
+		raw, _ := p.disk.Get("meta/roster")
+		set, ok := consensus.DecodeVoterSet(raw)
+		if !p.up || !ok || len(set.Incoming) > 0 || !set.Has(p.disk.store) || len(set.Learners) > 0 {
+			return false
+		}
+		if number == 0 {
+			number = set.Number
+		}
+		if set.Number != number || len(set.Voters) < stores || !syncedComplete(p.disk) {
+			return false
+		}
+	}
+	return stores > 0
+}
+
+func syncedComplete(d *disk) bool {
+	a := consensus.NewAcceptor(d.store, d, nil)
+	return a.Standing() == consensus.Complete
+}
+
+// untilWhole calls back with the time it took the voter set to be whole, looking
+// every 10 ms; negative if it wasn't within the bound.
+func (w *World) untilWhole(bound time.Duration, then func(time.Duration)) {
+	began := w.now
+	var look func()
+	look = func() {
+		switch took := w.now.Since(began); {
+		case w.wholeVoterSet():
+			then(took)
+		case took >= bound:
+			then(-1)
+		default:
+			w.later(10*time.Millisecond, look)
+		}
+	}
+	look()
+}
+
+// wipeInTurn loses the disks of one store after the other, each a while after
+// the machine before is back, and calls back with the time that each repair took.
+func (w *World) wipeInTurn(order []int, gap time.Duration, then func(time.Duration)) {
+	const down = 200 * time.Millisecond
+	at := time.Duration(0)
+	for _, n := range order {
+		w.later(at, func() {
+			w.wipeStore(w.procs[n], down)
+			w.later(down, func() { w.untilWhole(gap, then) })
+		})
+		at += down + gap
+	}
+}
--- /dev/null
+++ b/internal/simulator/repair_test.go
@@ -0,0 +1,34 @@
+package simulator
+
+import (
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+)
+
+// Disks are lost one after the other, each a while after the machine before
+// came back. No change may be lost, and each repair ends before the next loss.
+func TestDisksLostInTurn(t *testing.T) {
+	for _, gap := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 4500 * ms, 5 * time.Second, 6 * time.Second} {
+		t.Run(gap.String(), func(t *testing.T) {
+			t.Parallel()
+			is := is.New(t)
+			for seed := uint64(1); seed <= 3; seed++ {
+				var took []time.Duration
+				o := Run(Params{Seed: seed, Length: 50 * time.Second, Script: func(w *World) {
+					w.counted = true
+					w.later(3*time.Second, func() {
+						w.wipeInTurn([]int{0, 1, 2, 1}, gap, func(d time.Duration) { took = append(took, d) })
+					})
+				}})
+				report(t, o)
+				is.Equal(len(took), 4)
+				for _, d := range took {
+					is.True(d >= 0) // whole before the next disk was lost
+				}
+				is.True(o.Changes > 30) // changes went on
+			}
+		})
+	}
+}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -74,6 +74,7 @@
 	p.Seeds = append(slices.Clone(p.Seeds), cachedMembers(p.Storage, p.Self.Address)...)
 	s.List = membership.New(p.Options, &s.Outbox)
 	s.Acceptor = consensus.NewAcceptor(p.Store, p.Storage, &s.Outbox)
+	s.SetEpoch(p.Run)
 	s.Proposer = consensus.NewProposer(p.Store<<24|p.Run&0xffffff, s.Acceptor.VoterSet, s.guardLostKeys(Ops()), p.Random, &s.Outbox)
 	s.Proposer.IsReachable = s.live
 	s.Proposer.Subscribers = s.subscribers
@@ -127,10 +128,11 @@
 			s.Log("warn", "disk", "stalled", map[bool]string{true: "yes", false: "no"}[tired])
 		}
 		s.diskStalled = tired
-		s.Announce(!tired && s.Acceptor.VoterSet().Has(s.StoreID()), 0)
+		s.Announce(!tired && s.MayVote(), 0)
 		s.List.Tick(now)
 		s.Proposer.Tick(now)
 		s.manageVoters(now)
+		s.learn(now)
 		s.cacheMembers(now)
 	}
 	out := s.Drain()
@@ -159,8 +161,9 @@
 	case consensus.PageRequest:
 		s.Page(from, m)
 	case consensus.Request:
-		// A proposer whose own disk is stuck would only hold the asker up.
-		if s.diskStalled {
+		// A proposer whose own disk is stuck would only hold the asker up, and one
+		// that was replaced knows nothing of late.
+		if s.diskStalled || s.Standing() == consensus.Replaced {
 			s.Send(from, consensus.Response{ID: m.ID, Try: m.Try, State: consensus.Declined})
 			return
 		}
--- a/internal/store/voters.go
+++ b/internal/store/voters.go
@@ -20,16 +20,13 @@
 	bootstrapAt     ids.Time
 	survivingPolicy consensus.PolicyReply
 	gone            map[uint64]ids.Time
-	copies          map[uint64]*copyProgress
-	// copies is how many stores there are to be.
+	learner         learner
+	// replicas is how many stores there are to be.
 	replicas int
 	// agreed is when this store last read the voter set from a majority.
 	agreed ids.Time
 	// refoundAt is when an ordered refounding is due.
 	refoundAt ids.Time
-	// copied names the joint voter set that this newcomer has all items for.
-	copied uint64
-	copyOf uint64
 }
 
 type receivedHello struct {
@@ -37,12 +34,6 @@
 	at ids.Time
 }
 
-type copyProgress struct {
-	after  ids.Key
-	number uint64
-	done   bool
-}
-
 const (
 	manageEvery = 500 * time.Millisecond
 	// askProxies is how long a founder listens for a policy that survived.
@@ -72,14 +63,13 @@
 		s.bootstrapIfDue(now)
 		return
 	}
-	if !ro.Has(s.StoreID()) {
+	if !ro.Has(s.StoreID()) && s.Standing() != consensus.Replaced {
 		s.sendHello()
 	}
 	s.refoundIfDue(now)
 	// Reading the voter set finishes a change whose proposer died half way.
 	s.submit(consensus.Read, nil)
-	s.replace(now, ro)
-	s.copyRegisters(now, ro)
+	s.replaceLost(now, ro)
 }
 
 func (s *Store) self() consensus.Voter {
@@ -146,6 +136,10 @@
 	if len(held) > 0 {
 		s.Seed(policy.Key, held)
 	}
+	// Before the first voter set nothing was agreed that a copy could lack.
+	if first.Number == 1 {
+		s.MarkComplete()
+	}
 	s.AdoptVoterSet(first)
 }
 
@@ -154,6 +148,9 @@
 	ro := s.Acceptor.VoterSet()
 	switch m := msg.(type) {
 	case consensus.Hello:
+		if s.Standing() == consensus.Replaced {
+			return
+		}
 		s.hellos[m.Store.Address] = receivedHello{m, now}
 		switch {
 		case m.Blank && ro.Number > 0 && ro.Has(m.Store.ID):
@@ -187,7 +184,7 @@
 			s.adoptVoterSet(now, r)
 		}
 	case consensus.PageResponse:
-		s.receivePage(m)
+		s.receivePage(now, m)
 	}
 }
 
