--- a/internal/consensus/backoff.go
+++ b/internal/consensus/backoff.go
@@ -17,6 +17,13 @@
 	mostLosses = 5
 )
 
+// retreat gives a round up to a higher ballot and tries again after a rest.
+func (p *Proposer) retreat(now ids.Time, r *round, seen ids.Ballot) {
+	r.floor = max(r.floor, seen.Count)
+	r.phase, r.retryAt = idle, now.Add(p.rest(now, r, seen))
+	delete(p.promisedBallots, r.key)
+}
+
 // rest draws how long to leave a register alone after a round that was lost to
 // another proposer's ballot. The winner needs two round trips to the stores to
 // end its own; a loser that comes back sooner takes its ballot away in turn, and
--- a/internal/consensus/proposer.go
+++ b/internal/consensus/proposer.go
@@ -83,6 +83,8 @@
 	value    []byte
 	// first: this round tried to be the register's first; tried: one did.
 	first, tried bool
+	// resent counts how often this phase's question was sent again.
+	resent int
 }
 
 // NewProposer makes a proposer whose ballots no other run can have used.
@@ -129,7 +131,7 @@
 		return
 	}
 	p.count++
-	r.id, r.began = p.count, now
+	r.id, r.began, r.resent = p.count, now, 0
 	r.promises, r.votes = map[uint64]Promise{}, map[uint64]bool{}
 	reads := !slices.ContainsFunc(r.batch, func(a *pendingRequest) bool { return a.Op != Read })
 	h, known := p.promisedBallots[r.key]
@@ -176,7 +178,7 @@
 		value, a.out = p.ops[a.Op](r.key, value, a.Arg)
 		a.sent = true
 	}
-	r.value, r.phase, r.votes = value, accepting, map[uint64]bool{}
+	r.value, r.phase, r.votes, r.resent = value, accepting, map[uint64]bool{}, 0
 	r.floor = max(r.floor, r.ballot.Count)
 	r.next = p.ballot(r)
 	p.send(now, r)
@@ -184,7 +186,7 @@
 
 // send carries the phase's question to those who have not answered it.
 func (p *Proposer) send(now ids.Time, r *round) {
-	r.resendAt = now.Add(resendAfter)
+	r.resendAt = now.Add(p.patience(r))
 	ro := p.voterSet()
 	for _, s := range ro.All() {
 		switch r.phase {
@@ -200,13 +202,6 @@
 	}
 }
 
-// retreat gives a round up to a higher ballot and tries again after a rest.
-func (p *Proposer) retreat(now ids.Time, r *round, seen ids.Ballot) {
-	r.floor = max(r.floor, seen.Count)
-	r.phase, r.retryAt = idle, now.Add(p.rest(now, r, seen))
-	delete(p.promisedBallots, r.key)
-}
-
 // finish answers the batch and goes on with what came meanwhile.
 func (p *Proposer) finish(now ids.Time, r *round) {
 	for _, a := range r.batch {
@@ -244,6 +239,7 @@
 			r.floor++
 			p.begin(now, r)
 		case r.phase != idle && now >= r.resendAt:
+			r.resent++
 			p.send(now, r)
 		}
 	}
--- a/internal/policy/cellorder.go
+++ b/internal/policy/cellorder.go
@@ -65,20 +65,11 @@
 	return json.Marshal(map[string]any{"region": o.Region, "shut": o.Shut})
 }
 
-// orderCellOp is OrderCell as a register's change function.
-func orderCellOp(_ ids.Key, old, arg []byte) ([]byte, []byte) {
-	p, err := Open(old)
-	if err != nil {
-		return old, nil
-	}
+func orderCellStep(p *Policy, arg []byte) (*Policy, Result, bool) {
 	var o CellOrder
 	if json.Unmarshal(arg, &o) != nil {
-		return old, nil
+		return p, Result{}, false
 	}
 	next, res := p.OrderCell(o)
-	out, _ := json.Marshal(res)
-	if next == p {
-		return old, out
-	}
-	return next.Pack(true), out
+	return next, res, true
 }
--- a/internal/policy/change.go
+++ b/internal/policy/change.go
@@ -185,7 +185,7 @@
 		done = append(done, next.apply(part, by(c.ID), &res))
 	}
 	if res.Accepted() {
-		res.Faults = next.checkWhole()
+		res.Faults = next.checkWhole(c)
 	}
 	switch {
 	case !res.Accepted() && !sure:
