--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -4,7 +4,6 @@
 
 import (
 	"context"
-	"crypto/rand"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -96,6 +95,7 @@
 func (w *Server) Handler() http.Handler {
 	m := http.NewServeMux()
 	m.HandleFunc("GET /v1/policy", w.policy)
+	m.HandleFunc("GET "+RevisionPage, w.revision)
 	m.HandleFunc("GET /v1/{kind}", w.list)
 	m.HandleFunc("GET /v1/{kind}/{name}", w.one)
 	m.HandleFunc("PUT /v1/{kind}/{name}", w.put)
@@ -176,9 +176,6 @@
 	_ = json.NewEncoder(rw).Encode(r.Body)
 }
 
-// NewChange makes an id for a change whose caller gave none.
-func NewChange() string { return "auto-" + rand.Text() }
-
 // Listen opens an HTTP port; Serve serves it until the context ends, and lets
 // what is under way end within the grace.
 func Listen(at string) (net.Listener, error) {
--- a/internal/api/items.go
+++ b/internal/api/items.go
@@ -91,14 +91,14 @@
 }
 
 // part writes one part of a change as JSON, keeping the body as it was sent.
-func part(r *http.Request, kind, deed string, body []byte) ([]byte, error) {
+func (w *Server) part(r *http.Request, kind, deed string, body []byte) ([]byte, error) {
 	name, err := json.Marshal(r.PathValue("name"))
 	if err != nil {
 		return nil, err
 	}
 	id := r.Header.Get("Change-Id")
 	if id == "" {
-		id = NewChange()
+		id = w.newChange()
 	}
 	quoted, err := json.Marshal(id)
 	if err != nil {
@@ -115,7 +115,7 @@
 }
 
 func (w *Server) single(rw http.ResponseWriter, r *http.Request, kind, deed string, body []byte) {
-	raw, err := part(r, kind, deed, body)
+	raw, err := w.part(r, kind, deed, body)
 	if err != nil {
 		Say(rw, 400, err.Error())
 		return
--- a/internal/cli/books.go
+++ b/internal/cli/books.go
@@ -11,7 +11,6 @@
 
 	"github.com/alecthomas/kong"
 
-	"dunlinwell/internal/api"
 	"dunlinwell/internal/manifest"
 	"dunlinwell/internal/runbook"
 )
@@ -30,7 +29,7 @@
 	}
 	id := a.ChangeID
 	if id == "" {
-		id = api.NewChange()
+		id = c.newChange("/v1/change")
 	}
 	change, faults := manifest.Read(id, raw)
 	if len(faults) > 0 {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -69,7 +69,7 @@
 	}
 	id := req.Header.Get("Change-Id")
 	if id == "" && method != http.MethodGet {
-		id = api.NewChange()
+		id = c.newChange(path)
 		req.Header.Set("Change-Id", id)
 	}
 	client := http.Client{Timeout: c.Timeout}
@@ -91,6 +91,28 @@
 	return raw, nil
 }
 
+// revisionWait bounds how long the revision for a change's id is waited for.
+const revisionWait = time.Second
+
+// newChange makes an id for a change. It says the revision that the daemon knows,
+// if it can be learnt at once. A merging needs no id that lasts.
+func (c *Context) newChange(path string) string {
+	if path == mergePath {
+		return api.NewChange()
+	}
+	client := http.Client{Timeout: min(c.Timeout, revisionWait)}
+	res, err := client.Get("http://" + c.At + api.RevisionPage)
+	if err != nil {
+		return api.NewChange()
+	}
+	defer res.Body.Close()
+	var known api.Revision
+	if res.StatusCode != http.StatusOK || json.NewDecoder(res.Body).Decode(&known) != nil {
+		return api.NewChange()
+	}
+	return api.NewChangeAt(known.Revision)
+}
+
 // Show prints an answer as it came, or in lines that a person can read.
 func (c *Context) Show(raw []byte, lines func() error) error {
 	if c.JSON {
--- a/internal/cli/merge.go
+++ b/internal/cli/merge.go
@@ -7,6 +7,8 @@
 	"dunlinwell/internal/policy"
 )
 
+const mergePath = "/v1/merge"
+
 // MergeCmd sends items whose versions their caller gives.
 type MergeCmd struct {
 	File string `arg:"" help:"File with the merging; - for standard input."`
@@ -18,7 +20,7 @@
 	if err != nil {
 		return err
 	}
-	out, err := c.Call("POST", "/v1/merge", raw, nil)
+	out, err := c.Call("POST", mergePath, raw, nil)
 	var e *Ended
 	if errors.As(err, &e) && e.Code == ExitUncertain {
 		return &Ended{ExitUncertain, "uncertain: the merging may have been accepted; send it again as it is"}
