--- a/internal/registry/calls.go
+++ b/internal/registry/calls.go
@@ -109,7 +109,7 @@
 		f.Emit(Response{ID: c.ID, Status: 400, Body: policy.Result{ID: ch.ID, Faults: faults}})
 		return
 	}
-	f.agree(now, c.ID, policy.OpChange, c.Raw)
+	f.agree(now, c.ID, policy.OpChange, c.Raw, f.answerResult(c.ID))
 }
 
 func (f *Registry) merge(now ids.Time, c MergeCall) {
@@ -122,16 +122,17 @@
 		f.Emit(Response{ID: c.ID, Status: 400, Body: Problem{err.Error()}})
 		return
 	}
-	f.agree(now, c.ID, policy.OpMerge, raw)
+	f.agree(now, c.ID, policy.OpMerge, raw, f.answerResult(c.ID))
 }
 
-// agree has a change of the policy agreed on, and answers its caller.
-func (f *Registry) agree(now ids.Time, id uint64, op consensus.Op, raw []byte) {
+// agree has a change of the policy agreed on. Its caller is answered here, unless
+// there is a result: that is settled by the caller of this.
+func (f *Registry) agree(now ids.Time, id uint64, op consensus.Op, raw []byte, settle func(now ids.Time, r policy.Result)) {
 	if !f.mayAsk(now) {
 		f.unavailable(id)
 		return
 	}
-	f.await(now, len(raw), f.Client.Call(now, policy.Key, op, raw, CallWait(len(raw)), func(_ ids.Time, s consensus.State, out []byte) {
+	f.await(now, len(raw), f.Client.Call(now, policy.Key, op, raw, CallWait(len(raw)), func(now ids.Time, s consensus.State, out []byte) {
 		var r policy.Result
 		switch {
 		case s == consensus.Declined:
@@ -139,14 +140,21 @@
 		case s != consensus.Done || json.Unmarshal(out, &r) != nil:
 			f.Emit(Response{ID: id, Status: 504, Body: Problem{"uncertain: the change may have been accepted; send it again under the same id"}, Retry: 1})
 		default:
-			for _, c := range r.Conflicts {
-				f.Log("warn", "number used twice", "item", c.Item, "path", c.Path)
-			}
-			f.Emit(Response{ID: id, Status: statusOf(r), Body: r})
+			settle(now, r)
 		}
 	}))
 }
 
+// answerResult answers a call with what came of it.
+func (f *Registry) answerResult(id uint64) func(ids.Time, policy.Result) {
+	return func(_ ids.Time, r policy.Result) {
+		for _, c := range r.Conflicts {
+			f.Log("warn", "number used twice", "item", c.Item, "path", c.Path)
+		}
+		f.Emit(Response{ID: id, Status: statusOf(r), Body: r})
+	}
+}
+
 func statusOf(r policy.Result) int {
 	switch {
 	case r.Unknown != "":
--- a/internal/registry/cellorder.go
+++ b/internal/registry/cellorder.go
@@ -4,7 +4,6 @@
 	"encoding/json"
 	"time"
 
-	"dunlinwell/internal/consensus"
 	"dunlinwell/internal/ids"
 	"dunlinwell/internal/policy"
 )
@@ -34,19 +33,13 @@
 		f.Emit(Response{ID: c.ID, Status: 400, Body: Problem{err.Error()}})
 		return
 	}
-	f.Client.Call(now, policy.Key, policy.OpOrderCell, raw, callWait, func(now ids.Time, s consensus.State, out []byte) {
-		var r policy.Result
-		switch {
-		case s == consensus.Declined:
-			f.unavailable(c.ID)
-		case s != consensus.Done || json.Unmarshal(out, &r) != nil:
-			f.Emit(Response{ID: c.ID, Status: 504, Body: Problem{"uncertain: the order may take effect; send it again"}, Retry: 1})
-		case len(r.Stale) > 0:
-			f.orderOvertaken(c.ID)
-			f.catchUp(now)
-		default:
-			f.Emit(Response{ID: c.ID, Status: statusOf(r), Body: r})
+	f.agree(now, c.ID, policy.OpOrderCell, raw, func(now ids.Time, r policy.Result) {
+		if len(r.Stale) == 0 {
+			f.answerResult(c.ID)(now, r)
+			return
 		}
+		f.orderOvertaken(c.ID)
+		f.catchUp(now)
 	})
 }
 
