--- a/internal/policy/cluster_test.go
+++ b/internal/policy/cluster_test.go
@@ -90,6 +90,7 @@
 	}
 	for _, s := range c.stores {
 		c.start(s)
+		s.MarkComplete()
 		s.AdoptVoterSet(voters)
 		c.carry(s)
 	}
