--- a/internal/registry/planner.go
+++ b/internal/registry/planner.go
@@ -17,6 +17,9 @@
 	retakeAfter = 2 * time.Second
 	// settleAfter is how long a registry that was frozen listens before it plans.
 	settleAfter = 2 * time.Second
+	// passOverAfter is how long a run waits before it passes over those who say that
+	// they reach no majority: where all start at once, none of them does at first.
+	passOverAfter = 5 * time.Second
 )
 
 // raise notes a higher epoch; what is under a lower one is declined from then on.
@@ -69,7 +72,7 @@
 		if m.ID == f.Self.ID {
 			return true
 		}
-		if m.Ready {
+		if m.Ready || now.Since(f.began) < passOverAfter {
 			return false
 		}
 	}
--- a/internal/registry/planner_test.go
+++ b/internal/registry/planner_test.go
@@ -4,6 +4,8 @@
 	"testing"
 	"time"
 
+	"dunlinwell/internal/election"
+	"dunlinwell/internal/event"
 	"dunlinwell/internal/ids"
 	"dunlinwell/internal/membership"
 	"dunlinwell/internal/registry"
@@ -118,9 +120,47 @@
 	if got := core.Moves(); got.Epoch != 7 || got.Moves[0].To != "new" {
 		t.Fatalf("%+v", got)
 	}
+	// Whoever goes by the old epoch is told: it hadn't heard of the new one.
+	var told ids.Epoch
+	core.Sent = func(s event.Send) {
+		if term, ok := s.Msg.(election.Term); ok && s.To == registrytest.Store {
+			told = term.Epoch
+		}
+	}
+	core.Hear(spill.Table{Epoch: 6, Number: 100})
+	if told != 7 {
+		t.Fatalf("told of epoch %d", told)
+	}
 	// It goes on above what it has heard of, though the register tells of less.
 	core.Run(4 * time.Second)
 	if planner(core) <= 7 {
 		t.Fatalf("plans under %d", planner(core))
 	}
 }
+
+// Where all started at once, each saw the others not ready, and took the duty:
+// three takings within 50 ms, and the one that planned in the end was declined by
+// the others, as nobody had told it of the later epochs.
+func TestThoseThatStartTogetherTakeTheDutyOnce(t *testing.T) {
+	core := registrytest.NewStarting(registry.Options{})
+	besideOne := func(span time.Duration) { other(core, false, span) }
+	besideOne(2 * time.Second)
+	setUp(t, core)
+	besideOne(time.Second)
+	if planner(core) != 0 {
+		t.Fatal("it passes over one that has only just started")
+	}
+	besideOne(4 * time.Second)
+	if planner(core) == 0 {
+		t.Fatal("it doesn't pass over one that reaches no majority")
+	}
+	// A later epoch that it learns of late costs it the duty, until it has its own.
+	core.Hear(election.Term{Epoch: 9})
+	if planner(core) != 0 {
+		t.Fatal("it plans on under an epoch that has ended")
+	}
+	besideOne(3 * time.Second)
+	if planner(core) != 10 {
+		t.Fatalf("it plans under %d", planner(core))
+	}
+}
--- a/internal/registry/plans.go
+++ b/internal/registry/plans.go
@@ -3,6 +3,7 @@
 import (
 	"strconv"
 
+	"dunlinwell/internal/election"
 	"dunlinwell/internal/ids"
 	"dunlinwell/internal/membership"
 	"dunlinwell/internal/spill"
@@ -47,8 +48,12 @@
 	return plans{ahead: map[ids.Name]forecast{}, fits: map[ids.Name]spill.Fit{}}
 }
 
-func (f *Registry) takeTable(now ids.Time, t spill.Table) {
+// takeTable goes by another registry's plan, unless it was made under an epoch
+// that has ended. Whoever made it is told so: it may not have heard of the taking
+// that ended its own, and would plan for nobody.
+func (f *Registry) takeTable(now ids.Time, from ids.Address, t spill.Table) {
 	if t.Epoch < f.epoch {
+		f.Send(from, election.Term{Epoch: f.epoch})
 		return
 	}
 	f.raise(now, t.Epoch)
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -78,9 +78,11 @@
 	// delivered is when proxies were last told what they lack.
 	delivered ids.Time
 	last      ids.Time
-	seen      directory.Snapshot
-	seenBy    snapshotKey
-	seenAt    ids.Time
+	// began is when this run had its first clock event.
+	began  ids.Time
+	seen   directory.Snapshot
+	seenBy snapshotKey
+	seenAt ids.Time
 	// partings are targets that wait to hear that they may stop.
 	departures []departure
 	// awaited are control calls that wait for an agreement.
@@ -165,6 +167,9 @@
 		f.Log("warn", "woke", "gap_ms", itoa(uint64(now.Since(f.last)/time.Millisecond)))
 	}
 	f.last = now
+	if f.began == 0 {
+		f.began = now
+	}
 	f.Announce(f.agreed != 0 && now.Since(f.agreed) < 5*time.Second, f.view.Revision)
 	f.List.Tick(now)
 	f.endOverdue(now)
@@ -223,7 +228,7 @@
 	case spill.Report:
 		f.Books.Enter(now, m)
 	case spill.Table:
-		f.takeTable(now, m)
+		f.takeTable(now, from, m)
 	case election.Term:
 		f.raise(now, m.Epoch)
 	default:
--- a/internal/registry/registrytest/core.go
+++ b/internal/registry/registrytest/core.go
@@ -68,14 +68,20 @@
 	consensus.Response
 }
 
-// New makes a registry in touch with its majority.
+// New makes a registry that has been in touch with its majority for a while.
 func New(options registry.Options) *Core {
+	core := NewStarting(options)
+	core.Run(3 * time.Second)
+	return core
+}
+
+// NewStarting makes a registry that has just started.
+func NewStarting(options registry.Options) *Core {
 	options.Self = membership.Member{ID: "registry", Address: Self, Start: 1, Zone: "c"}
 	options.Seeds = []ids.Address{Store}
 	options.Random = rand.New(rand.NewPCG(1, 1))
 	core := &Core{Registry: registry.New(options), Now: 1, ops: policy.Ops(), values: map[ids.Key][]byte{}, answered: map[uint64]registry.Response{}}
 	maps.Copy(core.ops, election.Ops())
-	core.Run(3 * time.Second)
 	return core
 }
 
