--- a/internal/registry/calls.go
+++ b/internal/registry/calls.go
@@ -125,10 +125,10 @@
 
 // agree has a change of the policy agreed on, and answers its caller.
 func (f *Registry) agree(now ids.Time, id uint64, op consensus.Op, raw []byte) {
-	if !f.mayAsk(now) {
-		f.unavailable(id)
-		return
-	}
+	f.underLease(now, id, func(now ids.Time) { f.beginChange(now, id, op, raw) })
+}
+
+func (f *Registry) beginChange(now ids.Time, id uint64, op consensus.Op, raw []byte) {
 	f.await(now, len(raw), f.Client.Call(now, policy.Key, op, raw, CallWait(len(raw)), func(_ ids.Time, s consensus.State, out []byte) {
 		var r policy.Result
 		switch {
@@ -160,15 +160,18 @@
 }
 
 func (f *Registry) policyCall(now ids.Time, c PolicyCall) {
-	if !f.mayAsk(now) || c.Local && !f.leased(now) {
-		f.unavailable(c.ID)
-		return
-	}
-	if c.Local {
+	switch {
+	case !c.Local:
+		f.underLease(now, c.ID, func(now ids.Time) { f.beginRead(now, c) })
+	case f.leased(now):
 		f.Emit(Response{ID: c.ID, Status: 200, Body: f.policy})
-		return
+	default:
+		f.unavailable(c.ID)
 	}
-	// An agreement read: every daemon gives the same truth, or none.
+}
+
+// beginRead begins an agreement read: every daemon gives the same truth, or none.
+func (f *Registry) beginRead(now ids.Time, c PolicyCall) {
 	f.await(now, 0, f.Client.ReadIfChanged(now, policy.Key, f.whole, f.sum, callWait, func(_ ids.Time, s consensus.State, out []byte) {
 		p, err := policy.Open(out)
 		if s != consensus.Done || err != nil {
--- a/internal/registry/lease.go
+++ b/internal/registry/lease.go
@@ -21,6 +21,9 @@
 	// probeAfter is when a call that isn't answered yet has the stores asked
 	// whether a majority is there at all.
 	probeAfter = 250 * time.Millisecond
+	// holdWithin is how many leases old an agreement may be for a call to wait
+	// whether it is renewed.
+	holdWithin = 2
 	// lifetimeApart is how long an answer of the directory may be trusted that a
 	// registry without the lease gives where any answer is better than none.
 	lifetimeApart = 500 * time.Millisecond
@@ -29,11 +32,44 @@
 // leased tells whether this registry may speak for the core.
 func (f *Registry) leased(now ids.Time) bool { return f.age(now) <= f.params.ControlLease }
 
-// mayAsk tells whether a call that needs an agreement of its own is worth asking
-// the stores for. One that has lost the lease declines at once, so that its
-// caller goes elsewhere and nothing of the call is under way; one that has just
-// started can't know yet, and finds out by the call itself.
-func (f *Registry) mayAsk(now ids.Time) bool { return f.agreed == 0 || f.leased(now) }
+// heldCall is a call that came while the lease had only just ended.
+type heldCall struct {
+	id    uint64
+	due   ids.Time
+	begin func(now ids.Time)
+}
+
+// underLease begins a call that needs an agreement of its own. Without the lease
+// nothing of it leaves, so that a 503 surely means that it has no effect: one that
+// has been without for long says so at once, and one whose lease has only just
+// ended, as may come of a busy machine, first waits whether it is renewed. A run
+// that has just started can't know yet, and finds out by the call itself.
+func (f *Registry) underLease(now ids.Time, id uint64, begin func(now ids.Time)) {
+	switch {
+	case f.agreed == 0 || f.leased(now):
+		begin(now)
+	case f.age(now) <= holdWithin*f.params.ControlLease:
+		f.held = append(f.held, heldCall{id: id, due: now.Add(answerWithin), begin: begin})
+	default:
+		f.unavailable(id)
+	}
+}
+
+// beginHeld begins the calls that waited for the lease, or ends their wait.
+func (f *Registry) beginHeld(now ids.Time) {
+	waiting := f.held
+	f.held = nil
+	for _, call := range waiting {
+		switch {
+		case f.leased(now):
+			call.begin(now)
+		case now >= call.due:
+			f.unavailable(call.id)
+		default:
+			f.held = append(f.held, call)
+		}
+	}
+}
 
 // agreedSince tells whether an agreement is known that began after a moment.
 func (f *Registry) agreedSince(moment ids.Time) bool { return f.agreed > moment }
--- a/internal/registry/lease_test.go
+++ b/internal/registry/lease_test.go
@@ -167,3 +167,22 @@
 		t.Fatalf("%+v after %s", got, took)
 	}
 }
+
+// A machine that is busy for longer than a lease, and then goes on, refused the
+// call that came meanwhile, though its majority was there all the time.
+func TestACallWaitsForALeaseThatHasJustEnded(t *testing.T) {
+	core := registrytest.New(registry.Options{})
+	setUp(t, core)
+	core.Now = core.Now.Add(2 * time.Second)
+	got, took := core.Call(3, change(fmt.Sprintf(service, "busy"))(3))
+	if got.Status != 200 || took >= time.Second {
+		t.Fatalf("%+v after %s", got, took)
+	}
+	// One that has been without for long says so at once.
+	core.Link = registrytest.Silent
+	core.Run(5 * time.Second)
+	got, took = core.Call(4, change(fmt.Sprintf(service, "apart"))(4))
+	if got.Status != 503 || took > 100*time.Millisecond {
+		t.Fatalf("%+v after %s", got, took)
+	}
+}
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -87,6 +87,7 @@
 	departures []departure
 	// awaited are control calls that wait for an agreement.
 	awaited []agreementCall
+	held    []heldCall
 	peers
 
 	plans
@@ -173,6 +174,7 @@
 	f.Announce(f.agreed != 0 && now.Since(f.agreed) < 5*time.Second, f.view.Revision)
 	f.List.Tick(now)
 	f.endOverdue(now)
+	f.beginHeld(now)
 	f.Client.Clock(now)
 	f.keepPeers(now)
 	silent := f.silent(now)
@@ -235,16 +237,3 @@
 		f.List.Receive(now, from, msg)
 	}
 }
-
-// ready gives the proxies that the directory may name: those in step, and
-// known to be by their own acknowledgements.
-func (f *Registry) ready(now ids.Time) []membership.Member {
-	var out []membership.Member
-	for _, m := range f.Live(membership.Proxy) {
-		// Where others deliver to it, its own word in the roll must do.
-		if m.Ready && (f.params.Incremental || f.Distributor.Fresh(now, m, proxyLag)) {
-			out = append(out, m)
-		}
-	}
-	return out
-}
--- a/internal/registry/resolve.go
+++ b/internal/registry/resolve.go
@@ -77,3 +77,16 @@
 	}
 	return w, true
 }
+
+// ready gives the proxies that the directory may name: those in step, and
+// known to be by their own acknowledgements.
+func (f *Registry) ready(now ids.Time) []membership.Member {
+	var out []membership.Member
+	for _, m := range f.Live(membership.Proxy) {
+		// Where others deliver to it, its own word in the roll must do.
+		if m.Ready && (f.params.Incremental || f.Distributor.Fresh(now, m, proxyLag)) {
+			out = append(out, m)
+		}
+	}
+	return out
+}
