--- a/internal/proxy/opening_test.go
+++ b/internal/proxy/opening_test.go
@@ -78,6 +78,18 @@
 	}
 }
 
+// An agreement of before the proxy's own start is fresh all the same: one that
+// restarted with all the others served 1 s later than it could.
+func TestAProxyStartsByAnAgreementOfBeforeItsStart(t *testing.T) {
+	s := start(Endless)
+	s.run(50*time.Millisecond, nil)
+	s.now = ids.Time(300 * time.Millisecond)
+	s.tell(policyOf(t, 1), 1, 1200*time.Millisecond)
+	if !s.inStep(s.now) {
+		t.Fatal("it waits for an agreement that began after its start")
+	}
+}
+
 // Where no fresh agreement can be had, a proxy serves after all, and says so.
 func TestAProxyServesUnconfirmedAfterAWhile(t *testing.T) {
 	s := start(Endless)
@@ -107,7 +119,7 @@
 	for range 10 {
 		s.run(time.Second, func() {
 			s.tell(nil, 1, 1600*time.Millisecond+s.now.Since(1))
-			s.confirm(1, s.now) // by the stores' own word
+			s.confirm(s.now, 1, s.now) // by the stores' own word
 		})
 	}
 	if s.inStep(s.now) {
