--- a/internal/proxy/leasegossip.go
+++ b/internal/proxy/leasegossip.go
@@ -93,6 +93,6 @@
 	known := t.Echo.Add(-age(t.Word))
 	c.yard.MergeAsOf(now, known, t.Targets...)
 	c.word = max(c.word, known)
-	c.confirm(t.Revision, t.Echo.Add(-age(t.Agreed)))
+	c.confirm(now, t.Revision, t.Echo.Add(-age(t.Agreed)))
 	c.restock(now)
 }
