--- a/internal/consensus/client.go
+++ b/internal/consensus/client.go
@@ -24,9 +24,11 @@
 	due   ids.Time
 	again ids.Time
 	tries int
-	// maybe holds the tries that no store has said to have declined. Not the
-	// stores: one may decline a second try and still be busy with the first.
+	// maybe holds the tries that no store has said to have declined, and asked
+	// where each try went. Not the stores alone: one may decline a second try
+	// and still be busy with the first.
 	maybe map[uint32]bool
+	asked map[uint32]ids.Address
 	done  func(now ids.Time, s State, out []byte)
 	// have is the value that the asker holds, for a read that finds the same.
 	have []byte
@@ -54,7 +56,7 @@
 func (a *Client) call(now ids.Time, ask Request, have []byte, wait time.Duration, done func(ids.Time, State, []byte)) {
 	a.next++
 	ask.ID = a.next
-	w := &pendingCall{Request: ask, have: have, due: now.Add(wait), done: done, maybe: map[uint32]bool{}}
+	w := &pendingCall{Request: ask, have: have, due: now.Add(wait), done: done, maybe: map[uint32]bool{}, asked: map[uint32]ids.Address{}}
 	a.pending[w.ID] = w
 	a.send(now, w)
 }
@@ -68,15 +70,17 @@
 	at := to[w.tries%len(to)]
 	w.tries++
 	w.Try = uint32(w.tries)
-	w.maybe[w.Try] = true
+	w.maybe[w.Try], w.asked[w.Try] = true, at
 	w.Wait = uint32(max(w.due.Since(now), 0) / time.Millisecond)
 	a.out.Send(at, w.Request)
 }
 
-// Told takes a store's word.
-func (a *Client) HandleResponse(now ids.Time, m Response) {
+// HandleResponse takes the word of the store that a try went to; any other is
+// late, doubled, or not an answer to this run at all.
+func (a *Client) HandleResponse(now ids.Time, from ids.Address, m Response) {
 	w := a.pending[m.ID]
-	if w == nil {
+	if w == nil || w.asked[m.Try] != from {
+		a.out.Discard(from, event.NotAsked, m)
 		return
 	}
 	switch m.State {
--- a/internal/consensus/client_test.go
+++ b/internal/consensus/client_test.go
@@ -27,7 +27,7 @@
 		is.Equal(first.ID, second.ID)
 		is.Equal(second.Try, uint32(2))
 		for _, try := range answers {
-			a.HandleResponse(ids.Time(510*time.Millisecond), Response{ID: first.ID, State: Declined, Try: try})
+			a.HandleResponse(ids.Time(510*time.Millisecond), "10.0.0.1:1", Response{ID: first.ID, State: Declined, Try: try})
 		}
 		a.Clock(ids.Time(800 * time.Millisecond))
 		is.Equal(end, map[int]State{1: Uncertain, 2: Declined}[len(answers)])
--- a/internal/daemon/registry.go
+++ b/internal/daemon/registry.go
@@ -55,6 +55,8 @@
 			post.Send(c.To, c.Msg)
 		case event.LogEntry:
 			log.Note(c)
+		case event.Discarded:
+			post.Discard(c)
 		case registry.Response:
 			win.Responded(c)
 		}
--- a/internal/daemon/store.go
+++ b/internal/daemon/store.go
@@ -155,6 +155,8 @@
 			post.Send(cmd.To, cmd.Msg)
 		case event.LogEntry:
 			log.Note(cmd)
+		case event.Discarded:
+			post.Discard(cmd)
 		case event.Sync:
 			c.inbox <- cmd
 		case store.RecoverResponse:
--- a/internal/distribution/distribution.go
+++ b/internal/distribution/distribution.go
@@ -141,7 +141,9 @@
 		a := r.list[c.ID]
 		// A proxy's new run has nothing: it gets a snapshot.
 		if a == nil || a.start != c.Start {
-			a = &account{patience: r.ResendAfter, flying: map[ids.Instance]flight{}, start: c.Start, open: map[ids.Number][]stamp{}, has: map[ids.Instance]stamp{}}
+			// Numbers begin past the run's own, so that an acknowledgement of an
+			// earlier run's push isn't taken for one of ours.
+			a = &account{number: ids.Number(r.start) << 24, patience: r.ResendAfter, flying: map[ids.Instance]flight{}, start: c.Start, open: map[ids.Number][]stamp{}, has: map[ids.Instance]stamp{}}
 			r.list[c.ID] = a
 		}
 		r.deliver(now, c, a, load)
--- a/internal/process/log.go
+++ b/internal/process/log.go
@@ -56,5 +56,5 @@
 
 // ended tells whether a circuit just ended, as circuits do.
 func ended(err error) bool {
-	return errors.Is(err, io.EOF) || errors.Is(err, net.ErrClosed) || strings.Contains(err.Error(), "connection reset")
+	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, net.ErrClosed) || strings.Contains(err.Error(), "connection reset")
 }
--- a/internal/process/transport.go
+++ b/internal/process/transport.go
@@ -34,6 +34,7 @@
 	mu     sync.Mutex
 	queues map[ids.Address]chan []byte
 	ctx    context.Context
+	logged logOnce
 }
 
 // TCPUserLimit is the socket option TCP_USER_TIMEOUT.
@@ -82,7 +83,8 @@
 	}
 }
 
-// take reads one peer's circuit; a malformed frame closes it.
+// receive reads one peer's connection. A malformed frame closes it, and so does
+// a hello that can't be true.
 func (p *Transport) receive(ctx context.Context, c net.Conn) {
 	defer c.Close()
 	stop := context.AfterFunc(ctx, func() { c.Close() })
@@ -93,17 +95,24 @@
 		head, msg, err := wire.Read(r)
 		if err != nil {
 			if ctx.Err() == nil && !ended(err) {
-				p.Log.Event("warn", "circuit closed", "peer", c.RemoteAddr().String(), "problem", err.Error())
+				p.discard(host(c.RemoteAddr()), malformed, head.Kind, 0, err.Error())
 			}
 			return
 		}
 		p.Stats.count(Received, head.Kind, head.Size())
-		if g, ok := msg.(Hello); ok {
-			from = g.Address
-			continue
-		}
-		// Nothing is taken from a peer that hasn't said where it is.
-		if msg != nil && from != "" {
+		hello, greets := msg.(Hello)
+		switch {
+		case greets && from == "" && p.admits(hello.Address, c.RemoteAddr()):
+			from = hello.Address
+		case greets:
+			p.discard(host(c.RemoteAddr()), badHello, head.Kind, head.Size(), string(hello.Address))
+			return
+		case msg == nil:
+			// A newer version may say things that this one doesn't know yet.
+			p.discard(host(c.RemoteAddr()), unknownKind, head.Kind, head.Size(), "")
+		case from == "":
+			p.discard(host(c.RemoteAddr()), noHello, head.Kind, head.Size(), "")
+		default:
 			p.Deliver(from, msg)
 		}
 	}
--- a/internal/proxy/control.go
+++ b/internal/proxy/control.go
@@ -145,7 +145,7 @@
 	case distribution.Push:
 		c.push(now, from, m)
 	case consensus.Response:
-		c.Asker.HandleResponse(now, m)
+		c.Asker.HandleResponse(now, from, m)
 	case consensus.PolicyQuery:
 		if c.view.Revision > 0 {
 			c.Send(from, consensus.PolicyReply{Revision: c.view.Revision, Policy: c.policy.Pack(false)})
@@ -153,7 +153,7 @@
 	case LeaseRequest:
 		c.inquired(now, from, m)
 	case LeaseGossip:
-		c.tidings(now, m)
+		c.tidings(now, from, m)
 	default:
 		c.List.Receive(now, from, msg)
 	}
@@ -166,7 +166,7 @@
 	}
 	// A push may have waited in a socket while this process slept. Only what
 	// it echoes tells how old it can be at most.
-	if p.Echo == 0 || p.For != c.Self.Start {
+	if p.Echo == 0 || p.For != c.Self.Start || p.Echo > now {
 		c.yard.Merge(now, p.Targets...)
 	} else {
 		c.yard.MergeAsOf(now, p.Echo, p.Targets...)
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -132,6 +132,8 @@
 		d.post.Send(c.To, c.Msg)
 	case event.LogEntry:
 		d.log.Note(c)
+	case event.Discarded:
+		d.post.Discard(c)
 	case ToDesk:
 		d.hand(c.Service, c.Event)
 	case Routes:
--- a/internal/proxy/leasegossip.go
+++ b/internal/proxy/leasegossip.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"dunlinwell/internal/event"
 	"dunlinwell/internal/ids"
 	"dunlinwell/internal/membership"
 	"dunlinwell/internal/targets"
@@ -82,9 +83,10 @@
 }
 
 // tidings take what another proxy goes by.
-func (c *Control) tidings(now ids.Time, t LeaseGossip) {
+func (c *Control) tidings(now ids.Time, from ids.Address, t LeaseGossip) {
 	// What was meant for an earlier run of ours may be any age.
-	if t.For != c.Self.Start {
+	if t.For != c.Self.Start || t.Echo > now {
+		c.Discard(from, event.NotAsked, LeaseGossip{})
 		return
 	}
 	if t.Revision > c.view.Revision && len(t.Policy) > 0 {
--- a/internal/registry/calls.go
+++ b/internal/registry/calls.go
@@ -9,6 +9,7 @@
 	"dunlinwell/internal/consensus"
 	"dunlinwell/internal/directory"
 	"dunlinwell/internal/ids"
+	"dunlinwell/internal/membership"
 	"dunlinwell/internal/policy"
 	"dunlinwell/internal/spill"
 	"dunlinwell/internal/targets"
@@ -217,3 +218,16 @@
 
 // Moves gives the table in force here, for tests and status.
 func (f *Registry) Moves() spill.Table { return f.table }
+
+// ready gives the proxies that the directory may name: those in step, and
+// known to be by their own acknowledgements.
+func (f *Registry) ready(now ids.Time) []membership.Member {
+	var out []membership.Member
+	for _, m := range f.Live(membership.Proxy) {
+		// Where others deliver to it, its own word in the roll must do.
+		if m.Ready && (f.params.Incremental || f.Distributor.Fresh(now, m, proxyLag)) {
+			out = append(out, m)
+		}
+	}
+	return out
+}
--- a/internal/registry/departure.go
+++ b/internal/registry/departure.go
@@ -130,7 +130,7 @@
 	owes := f.owes[:0]
 	for _, o := range f.owes {
 		if f.Distributor.Reached(f.served(now), o.Target) {
-			f.Send(o.Asker, DepartureAck{ID: f.Self.ID, Instance: o.Target.Instance, Sequence: o.Target.Sequence})
+			f.Send(o.Asker, DepartureAck{ID: f.Self.ID, Instance: o.Target.Instance, Sequence: o.Target.Sequence, Incarnation: o.Target.Incarnation})
 		} else if len(f.owes) < mostOwed {
 			owes = append(owes, o)
 		}
@@ -158,7 +158,7 @@
 // parted takes another registry's word that all whom it serves go by it.
 func (f *Registry) parted(now ids.Time, m DepartureAck) {
 	for _, p := range f.departures {
-		if p.target.Instance == m.Instance && p.target.Sequence <= m.Sequence {
+		if p.target.Instance == m.Instance && p.target.Incarnation == m.Incarnation && p.target.Sequence <= m.Sequence {
 			delete(p.waits, m.ID)
 		}
 	}
--- a/internal/registry/peers.go
+++ b/internal/registry/peers.go
@@ -31,9 +31,10 @@
 
 // Parted answers Parting.
 type DepartureAck struct {
-	ID       ids.Daemon
-	Instance ids.Instance
-	Sequence ids.Sequence
+	ID          ids.Daemon
+	Instance    ids.Instance
+	Sequence    ids.Sequence
+	Incarnation ids.Incarnation
 }
 
 var _ = wire.Register(72, Pulse{}) && wire.Register(73, DepartureNotice{}) && wire.Register(74, DepartureAck{})
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -198,10 +198,14 @@
 }
 
 func (f *Registry) receive(now ids.Time, from ids.Address, msg any) {
+	if why := f.screen(from, msg); why != "" {
+		f.Discard(from, why, msg)
+		return
+	}
 	switch m := msg.(type) {
 	case consensus.Response:
 		before := f.view.Revision
-		f.Client.HandleResponse(now, m)
+		f.Client.HandleResponse(now, from, m)
 		if !f.params.Incremental || f.view.Revision > before {
 			f.deliver(now)
 		}
@@ -235,16 +239,3 @@
 		f.List.Receive(now, from, msg)
 	}
 }
-
-// ready gives the proxies that the directory may name: those in step, and
-// known to be by their own acknowledgements.
-func (f *Registry) ready(now ids.Time) []membership.Member {
-	var out []membership.Member
-	for _, m := range f.Live(membership.Proxy) {
-		// Where others deliver to it, its own word in the roll must do.
-		if m.Ready && (f.params.Incremental || f.Distributor.Fresh(now, m, proxyLag)) {
-			out = append(out, m)
-		}
-	}
-	return out
-}
--- /dev/null
+++ b/internal/store/screen.go
@@ -0,0 +1,100 @@
+package store
+
+import (
+	"slices"
+
+	"dunlinwell/internal/consensus"
+	"dunlinwell/internal/event"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/membership"
+)
+
+// screen tells why a message must change nothing; empty for one that is taken.
+// It looks at who says it and to which question, before any of it is used.
+func (s *Store) screen(from ids.Address, msg any) event.Reason {
+	voters := s.Acceptor.VoterSet()
+	switch m := msg.(type) {
+	case consensus.Prepare:
+		return s.screenQuestion(from, m.Ballot)
+	case consensus.Accept:
+		return s.screenQuestion(from, maxOf(m.Ballot, m.Next))
+	case consensus.Promise:
+		return s.screenAnswer(from, m.Store, m.VoterSet, m.Round)
+	case consensus.Accepted:
+		return s.screenAnswer(from, m.Store, m.VoterSet, m.Round)
+	case consensus.Response:
+		// This store puts its own requests to itself alone.
+		if from != s.Self.Address {
+			return event.NotAsked
+		}
+	case consensus.PageResponse:
+		if !voters.SpeaksFor(from, m.Store, m.VoterSet) {
+			return event.NotAMember
+		}
+	case consensus.Hello:
+		if m.Store.ID == 0 || m.Store.Address != from {
+			return event.Malformed
+		}
+	case consensus.VoterSetUpdate:
+		return s.screenVoterSet(from, m.VoterSet)
+	case consensus.Bootstrap:
+		return s.screenVoterSet(from, m.VoterSet)
+	}
+	return ""
+}
+
+// mostRounds is far above every honest ballot's count. One ballot at the end of
+// the numbers would keep a register from ever being changed again.
+const mostRounds = 1 << 62
+
+// screenQuestion judges a proposer's question: only stores propose.
+func (s *Store) screenQuestion(from ids.Address, b ids.Ballot) event.Reason {
+	switch {
+	case b.Count > mostRounds:
+		return event.Malformed
+	case !s.knownStore(from):
+		return event.NotAMember
+	}
+	return ""
+}
+
+func maxOf(a, b ids.Ballot) ids.Ballot {
+	if a.Less(b) {
+		return b
+	}
+	return a
+}
+
+func (s *Store) screenAnswer(from ids.Address, voter, number, round uint64) event.Reason {
+	switch {
+	case !s.Acceptor.VoterSet().SpeaksFor(from, voter, number):
+		return event.NotAMember
+	case !s.Began(round):
+		return event.NotAsked
+	}
+	return ""
+}
+
+// screenVoterSet judges a voter set that would replace this store's own.
+func (s *Store) screenVoterSet(from ids.Address, r consensus.VoterSet) event.Reason {
+	switch {
+	case !r.Valid():
+		return event.Malformed
+	case !s.knownStore(from):
+		return event.NotAMember
+	}
+	return ""
+}
+
+// knownStore tells whether a store is known at an address: as a voter, a seed,
+// a member, or by its hello.
+func (s *Store) knownStore(at ids.Address) bool {
+	is := func(v consensus.Voter) bool { return v.Address == at }
+	if at == s.Self.Address || slices.Contains(s.seeds, at) || slices.ContainsFunc(s.Acceptor.VoterSet().All(), is) {
+		return true
+	}
+	if _, ok := s.hellos[at]; ok {
+		return true
+	}
+	return slices.ContainsFunc(s.All(), func(m membership.Member) bool { return m.Role == membership.Store && m.Address == at })
+}
--- /dev/null
+++ b/internal/store/screen_test.go
@@ -0,0 +1,162 @@
+package store
+
+import (
+	"math/rand/v2"
+	"reflect"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"dunlinwell/internal/consensus"
+	"dunlinwell/internal/event"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/membership"
+	"dunlinwell/internal/wire"
+)
+
+// memoryDisk syncs whatever it is given at once.
+type memoryDisk map[ids.Key][]byte
+
+func (m memoryDisk) Get(k ids.Key) ([]byte, bool) { v, ok := m[k]; return v, ok }
+
+func (m memoryDisk) Scan(ids.Key, int) []event.Record { return nil }
+
+const (
+	stranger = ids.Address("10.9.9.9:1")
+	now      = ids.Time(time.Second)
+)
+
+var threeVoters = consensus.VoterSet{Number: 4, Voters: []consensus.Voter{
+	{ID: 1, Address: "10.0.0.1:1"}, {ID: 2, Address: "10.0.0.2:1"}, {ID: 3, Address: "10.0.0.3:1"}}}
+
+// newVoter gives store 1 of three, and its disk.
+func newVoter() (*Store, memoryDisk) {
+	disk := memoryDisk{}
+	s := New(Options{Options: membership.Options{Self: membership.Member{ID: "store-1", Address: "10.0.0.1:1", Start: 5, Incarnation: 1}},
+		Store: 1, Run: 3, Storage: disk, Random: rand.New(rand.NewPCG(1, 1)), Replicas: 3})
+	s.AdoptVoterSet(threeVoters)
+	settle(s, disk, s.Step(now, event.Tick{}))
+	return s, disk
+}
+
+// settle writes what was to be synced, and gives what was sent and discarded.
+func settle(s *Store, disk memoryDisk, list []event.Command) (sent []event.Send, discarded []event.Discarded) {
+	for len(list) > 0 {
+		c := list[0]
+		list = list[1:]
+		switch c := c.(type) {
+		case event.Sync:
+			for _, r := range c.Records {
+				disk[r.Key] = r.Value
+			}
+			list = append(append(list, c.Then...), s.Step(now, event.Synced{Turn: c.Turn})...)
+		case event.Send:
+			sent = append(sent, c)
+		case event.Discarded:
+			discarded = append(discarded, c)
+		}
+	}
+	return sent, discarded
+}
+
+func hear(s *Store, disk memoryDisk, from ids.Address, msg any) ([]event.Send, []event.Discarded) {
+	return settle(s, disk, s.Step(now, event.Received{From: from, Msg: msg}))
+}
+
+func kept(disk memoryDisk) map[ids.Key]string {
+	out := map[ids.Key]string{}
+	for k, v := range disk {
+		if k != rollKey {
+			out[k] = string(v)
+		}
+	}
+	return out
+}
+
+// What can't be true, or comes from one who isn't what it claims, changes
+// nothing, is answered by nothing, and is reported.
+func TestForgedMessagesChangeNothing(t *testing.T) {
+	future := consensus.VoterSet{Number: 1 << 40, Voters: []consensus.Voter{{ID: 9, Address: stranger}}}
+	raw, _ := wire.Encode(future)
+	own := consensus.Prepare{Key: "policy", Ballot: ids.Ballot{Count: 1 << 41, By: 2 << 24}, VoterSet: 4, Round: 7}
+	endless := own
+	endless.Ballot.Count = 1<<64 - 1
+	for name, c := range map[string]struct {
+		from ids.Address
+		msg  any
+	}{
+		"a voter set from the future":        {stranger, consensus.VoterSetUpdate{VoterSet: future}},
+		"a voter set without voters":         {"10.0.0.2:1", consensus.VoterSetUpdate{VoterSet: consensus.VoterSet{Number: 9}}},
+		"a voter set with one voter twice":   {"10.0.0.2:1", consensus.VoterSetUpdate{VoterSet: consensus.VoterSet{Number: 9, Voters: append(threeVoters.Voters, threeVoters.Voters[0])}}},
+		"a founding by a stranger":           {stranger, consensus.Bootstrap{VoterSet: future}},
+		"an answer to a request of its own":  {"10.0.0.2:1", consensus.Response{State: consensus.Done, Result: raw}},
+		"a prepare of a stranger":            {stranger, own},
+		"an accept of a stranger":            {stranger, consensus.Accept{Key: "policy", Ballot: own.Ballot, VoterSet: 4, Value: []byte("x")}},
+		"a ballot that nothing can outrank":  {"10.0.0.2:1", endless},
+		"a promise in another's name":        {"10.0.0.3:1", consensus.Promise{Key: consensus.VoterSetKey, Store: 2, VoterSet: 4}},
+		"a promise of one who isn't a voter": {stranger, consensus.Promise{Key: consensus.VoterSetKey, Store: 99, VoterSet: 4}},
+		"a vote for an earlier run":          {"10.0.0.2:1", consensus.Accepted{Key: consensus.VoterSetKey, Store: 2, VoterSet: 4, Round: 1, OK: true}},
+		"a page in another's name":           {stranger, consensus.PageResponse{Store: 2, VoterSet: 4, Last: true}},
+		"a hello for another address":        {stranger, consensus.Hello{Store: consensus.Voter{ID: 9, Address: "10.0.0.2:1"}, Blank: true}},
+		"a hello without a store":            {stranger, consensus.Hello{Store: consensus.Voter{Address: stranger}}},
+	} {
+		s, disk := newVoter()
+		before := kept(disk)
+		sent, discarded := hear(s, disk, c.from, c.msg)
+		if len(sent) > 0 || len(discarded) != 1 || !reflect.DeepEqual(kept(disk), before) || !reflect.DeepEqual(s.Acceptor.VoterSet(), threeVoters) {
+			t.Errorf("%s: sent %v, discarded %v, voter set %v", name, sent, discarded, s.Acceptor.VoterSet())
+		}
+	}
+}
+
+// The same words, true and from the right one, are taken.
+func TestHonestMessagesAreTaken(t *testing.T) {
+	is := is.New(t)
+	s, disk := newVoter()
+	sent, discarded := hear(s, disk, "10.0.0.2:1", consensus.Prepare{Key: "policy", Ballot: ids.Ballot{Count: 1 << 41, By: 2 << 24}, VoterSet: 4, Round: 7})
+	is.Equal(len(sent), 1)
+	is.Equal(len(discarded), 0)
+	next := threeVoters
+	next.Number++
+	_, discarded = hear(s, disk, "10.0.0.3:1", consensus.VoterSetUpdate{VoterSet: next})
+	is.Equal(len(discarded), 0)
+	is.Equal(s.Acceptor.VoterSet().Number, next.Number)
+	// A newcomer that has said hello may propose.
+	hear(s, disk, "10.0.0.9:1", consensus.Hello{Store: consensus.Voter{ID: 9, Address: "10.0.0.9:1"}, Blank: true})
+	sent, discarded = hear(s, disk, "10.0.0.9:1", consensus.Prepare{Key: "roster", Ballot: ids.Ballot{Count: 1 << 41, By: 9 << 24}, VoterSet: 5, Round: 7})
+	is.Equal(len(sent), 1)
+	is.Equal(len(discarded), 0)
+}
+
+// FuzzMessages gives a voter any message from a stranger: it neither panics
+// nor votes, and its voter set stays.
+func FuzzMessages(f *testing.F) {
+	for _, msg := range []any{consensus.Prepare{Key: "policy", VoterSet: 4, Ballot: ids.Ballot{Count: 9, By: 9}}, consensus.Promise{Key: "policy", Store: 2},
+		consensus.Accept{Key: "policy", VoterSet: 4, Value: []byte("x")}, consensus.Accepted{Key: "policy", Store: 2, OK: true},
+		consensus.VoterSetUpdate{VoterSet: threeVoters}, consensus.Request{ID: 1, Key: "policy", Op: 1, Arg: []byte("{}"), Wait: 100},
+		consensus.Response{State: consensus.Done}, consensus.PageRequest{VoterSet: 4}, consensus.PageResponse{Store: 2, Last: true},
+		consensus.Hello{Store: consensus.Voter{ID: 9, Address: stranger}}, consensus.Bootstrap{VoterSet: threeVoters}, consensus.PolicyReply{Revision: 9, Policy: []byte("{}")},
+		membership.Heartbeat{Self: membership.Member{ID: "x", Role: membership.Store, Address: stranger}}, membership.Snapshot{Members: []membership.Member{{ID: "y"}}},
+		membership.Digest{Parts: make([]uint64, 64)}, membership.Delta{Parts: []uint16{1}}, membership.Suspect{Watcher: "x", ID: "store-1"}} {
+		raw, err := wire.Encode(msg)
+		if err != nil {
+			f.Fatal(err)
+		}
+		f.Add(uint16(wire.KindFor(msg)), raw[26:])
+	}
+	f.Fuzz(func(t *testing.T, kind uint16, body []byte) {
+		msg, err := wire.Decode(wire.Kind(kind), body)
+		if msg == nil || err != nil {
+			return
+		}
+		s, disk := newVoter()
+		hear(s, disk, stranger, msg)
+		for i := range 5 {
+			settle(s, disk, s.Step(now.Add(time.Duration(i)*300*time.Millisecond), event.Tick{}))
+		}
+		if !reflect.DeepEqual(s.Acceptor.VoterSet(), threeVoters) {
+			t.Fatalf("%#v led to the voter set %v", msg, s.Acceptor.VoterSet())
+		}
+	})
+}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -147,6 +147,10 @@
 		// Others go on without this copy; what waited for its disk would be old.
 		return
 	}
+	if why := s.screen(from, msg); why != "" {
+		s.Discard(from, why, msg)
+		return
+	}
 	switch m := msg.(type) {
 	case consensus.Prepare:
 		s.Prepare(from, m)
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -63,6 +63,9 @@
 	return ""
 }
 
+// KindFor gives the kind that a message goes as; 0 for none.
+func KindFor(msg any) Kind { return names[reflect.TypeOf(msg)] }
+
 // KindOf gives the kind of a packed frame.
 func KindOf(frame []byte) Kind {
 	if len(frame) < headSize {
