--- a/internal/process/transport.go
+++ b/internal/process/transport.go
@@ -13,7 +13,11 @@
 )
 
 // Greeting opens a circuit: it tells where the sender takes messages.
-type Hello struct{ Address ids.Address }
+type Hello struct {
+	Address ids.Address
+	// Inflates tells that the sender reads frames whose body is deflated.
+	Inflates bool
+}
 
 var _ = wire.Register(1, Hello{})
 
@@ -33,8 +37,10 @@
 
 	mu     sync.Mutex
 	queues map[ids.Address]chan []byte
-	ctx    context.Context
-	logged logOnce
+	// inflates holds the peers that said that they read deflated frames.
+	inflates sync.Map
+	ctx      context.Context
+	logged   logOnce
 }
 
 // TCPUserLimit is the socket option TCP_USER_TIMEOUT.
@@ -83,41 +89,6 @@
 	}
 }
 
-// receive reads one peer's connection. A malformed frame closes it, and so does
-// a hello that can't be true.
-func (p *Transport) receive(ctx context.Context, c net.Conn) {
-	defer c.Close()
-	stop := context.AfterFunc(ctx, func() { c.Close() })
-	defer stop()
-	r := bufio.NewReaderSize(c, 64<<10)
-	var from ids.Address
-	for {
-		head, msg, err := wire.Read(r)
-		if err != nil {
-			if ctx.Err() == nil && !ended(err) {
-				p.discard(host(c.RemoteAddr()), malformed, head.Kind, 0, err.Error())
-			}
-			return
-		}
-		p.Stats.count(Received, head.Kind, head.Size())
-		hello, greets := msg.(Hello)
-		switch {
-		case greets && from == "" && p.admits(hello.Address, c.RemoteAddr()):
-			from = hello.Address
-		case greets:
-			p.discard(host(c.RemoteAddr()), badHello, head.Kind, head.Size(), string(hello.Address))
-			return
-		case msg == nil:
-			// A newer version may say things that this one doesn't know yet.
-			p.discard(host(c.RemoteAddr()), unknownKind, head.Kind, head.Size(), "")
-		case from == "":
-			p.discard(host(c.RemoteAddr()), noHello, head.Kind, head.Size(), "")
-		default:
-			p.Deliver(from, msg)
-		}
-	}
-}
-
 // Send queues a message on the peer's line; a full line loses it.
 func (p *Transport) Send(to ids.Address, msg any) {
 	if to == p.Address {
@@ -129,6 +100,9 @@
 		p.Log.Event("error", "not packed", "peer", string(to), "problem", err.Error())
 		return
 	}
+	if able, _ := p.inflates.Load(to); able == true {
+		raw = wire.Deflate(raw)
+	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.ctx == nil || p.ctx.Err() != nil {
@@ -208,7 +182,7 @@
 	gone := make(chan struct{})
 	go func() { defer close(gone); _, _ = c.Read(make([]byte, 1)) }()
 	w := bufio.NewWriterSize(c, 64<<10)
-	hello, err := wire.Encode(Hello{Address: p.Address})
+	hello, err := wire.Encode(Hello{Address: p.Address, Inflates: true})
 	if err != nil {
 		return true
 	}
@@ -218,8 +192,7 @@
 	for raw := first; ; {
 		if raw != nil {
 			idle.Reset(idleFor)
-			_ = c.SetWriteDeadline(time.Now().Add(writeWithin))
-			_, err := w.Write(raw)
+			err := writeFrame(c, w, raw)
 			if err == nil && len(line) == 0 {
 				err = w.Flush()
 			}
