--- a/internal/api/forward.go
+++ b/internal/api/forward.go
@@ -3,12 +3,15 @@
 import (
 	"bytes"
 	"context"
+	"errors"
 	"io"
 	"maps"
+	"net"
 	"net/http"
 	"slices"
 	"time"
 
+	"dunlinwell/internal/errs"
 	"dunlinwell/internal/ids"
 	"dunlinwell/internal/policy"
 )
@@ -25,11 +28,27 @@
 	Client     *http.Client
 }
 
-// NewFerry makes a ferry.
+// NewFerry makes a Forwarder. Its client sends each call on a connection of its
+// own, follows no redirect and goes through no proxy of the environment: a call
+// leaves once for each registry that is tried, and an answer belongs to it alone.
 func NewFerry(registries func() []ids.Address) *Forwarder {
-	return &Forwarder{Registries: registries, Client: &http.Client{Timeout: responseTime + time.Second}}
+	return &Forwarder{Registries: registries, Client: &http.Client{
+		Timeout:       responseTime + time.Second,
+		Transport:     &http.Transport{DisableKeepAlives: true, DisableCompression: true, MaxResponseHeaderBytes: 64 << 10},
+		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
+	}}
 }
 
+// mostAnswer bounds a registry's answer, the largest of which is the whole policy.
+const mostAnswer = 96 << 20
+
+// passed are the headers that go along with a call, and returned those that come
+// back with its answer.
+var (
+	passed   = []string{"Change-Id", "If-Match", "Content-Type"}
+	returned = []string{"Content-Type", "Retry-After", "Etag", "Location"}
+)
+
 // ServeHTTP tries one registry after the other. A change has its id before it
 // leaves, so one that was sent twice still is one change.
 func (f *Forwarder) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
@@ -42,30 +61,18 @@
 	}
 	maybe := false
 	for _, at := range f.Registries() {
-		// A caller that has closed its side may still read; the time limit ends it.
-		req, err := http.NewRequestWithContext(context.WithoutCancel(r.Context()), r.Method, "http://"+string(at)+r.URL.RequestURI(), bytes.NewReader(raw))
-		if err != nil {
-			Say(rw, 400, "the call can't be ferried: "+err.Error())
-			return
-		}
-		for _, h := range []string{"Change-Id", "If-Match", "Content-Type"} {
-			if v := r.Header.Get(h); v != "" {
-				req.Header.Set(h, v)
-			}
-		}
-		res, err := f.Client.Do(req)
+		res, body, err := f.call(r, at, raw)
 		if err != nil {
-			maybe = maybe || r.Method != http.MethodGet
+			maybe = maybe || r.Method != http.MethodGet && !neverLeft(err)
 			continue
 		}
-		defer res.Body.Close()
-		for _, h := range []string{"Content-Type", "Retry-After", "Etag"} {
+		for _, h := range returned {
 			if v := res.Header.Get(h); v != "" {
 				rw.Header().Set(h, v)
 			}
 		}
 		rw.WriteHeader(res.StatusCode)
-		_, _ = io.Copy(rw, res.Body)
+		_, _ = rw.Write(body)
 		return
 	}
 	if maybe {
@@ -74,3 +81,34 @@
 	}
 	Say(rw, 503, "no registry can be reached")
 }
+
+// call asks one registry, and reads its answer whole: one that is cut short is
+// no answer, and must not be passed on as if it were.
+func (f *Forwarder) call(r *http.Request, at ids.Address, raw []byte) (*http.Response, []byte, error) {
+	// A caller that has closed its side may still read; the time limit ends it.
+	req, err := http.NewRequestWithContext(context.WithoutCancel(r.Context()), r.Method, "http://"+string(at)+r.URL.RequestURI(), bytes.NewReader(raw))
+	if err != nil {
+		return nil, nil, err
+	}
+	for _, h := range passed {
+		if v := r.Header.Get(h); v != "" {
+			req.Header.Set(h, v)
+		}
+	}
+	res, err := f.Client.Do(req)
+	if err != nil {
+		return nil, nil, err
+	}
+	defer res.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(res.Body, mostAnswer+1))
+	if err == nil && len(body) > mostAnswer {
+		err = errs.New("forward call", string(at), "answer over the limit of %d bytes", mostAnswer)
+	}
+	return res, body, err
+}
+
+// neverLeft tells whether a call failed before any connection was there.
+func neverLeft(err error) bool {
+	var op *net.OpError
+	return errors.As(err, &op) && op.Op == "dial"
+}
--- a/internal/proxy/carry_test.go
+++ b/internal/proxy/carry_test.go
@@ -127,9 +127,12 @@
 		"wrong seal":    func(r *http.Request) string { return sealedAnswer(r, "hello", "other") },
 		"no seal":       func(r *http.Request) string { return strings.Replace(good(r), "Content-Digest", "X", 1) },
 		"other request": func(r *http.Request) string { return strings.Replace(good(r), "Request-Id: c1", "Request-Id: c2", 1) },
-		"other mark":    func(r *http.Request) string { return strings.Replace(good(r), "Key: m", "Key: n", 1) },
-		"too large":     func(r *http.Request) string { b := strings.Repeat("x", 2000); return sealedAnswer(r, b, b) },
-		"redirect":      func(*http.Request) string { return "HTTP/1.1 302 Found\r\nLocation: /y\r\nContent-Length: 0\r\n\r\n" },
+		"two requests": func(r *http.Request) string {
+			return strings.Replace(good(r), "Idempotency-Key", "Request-Id: c2\r\nIdempotency-Key", 1)
+		},
+		"other mark": func(r *http.Request) string { return strings.Replace(good(r), "Key: m", "Key: n", 1) },
+		"too large":  func(r *http.Request) string { b := strings.Repeat("x", 2000); return sealedAnswer(r, b, b) },
+		"redirect":   func(*http.Request) string { return "HTTP/1.1 302 Found\r\nLocation: /y\r\nContent-Length: 0\r\n\r\n" },
 	} {
 		s, d := newStand(t), newCarrier()
 		s.answer = answer
--- a/internal/proxy/circuits_test.go
+++ b/internal/proxy/circuits_test.go
@@ -58,9 +58,13 @@
 }
 
 func (d *Daemon) send(s *stand, c *Cargo, careful bool) dispatch.Back {
+	return d.sendWithin(s, c, careful, 5*time.Second)
+}
+
+func (d *Daemon) sendWithin(s *stand, c *Cargo, careful bool, within time.Duration) dispatch.Back {
 	d.beat.Store(int64(process.Now()))
 	c.Method, c.URI, c.Header = "POST", "/x", http.Header{"Id": {c.ID}}
-	return d.carry(c, dispatch.Ferry{ID: 1, Turn: 1, Careful: careful, Due: process.Now().Add(5 * time.Second), By: process.Now().Add(5 * time.Second),
+	return d.carry(c, dispatch.Ferry{ID: 1, Turn: 1, Careful: careful, Due: process.Now().Add(within), By: process.Now().Add(within),
 		Target: targets.Target{Instance: "t", Service: "s", Address: ids.Address(s.Addr().String())}})
 }
 
--- a/internal/proxy/trade.go
+++ b/internal/proxy/trade.go
@@ -65,6 +65,8 @@
 	// The answer to HEAD has no body that a digest could be of.
 	case c.Method != http.MethodHead && !hasDigest(res.Header.Get("Content-Digest"), digest):
 		return Verdict{}, errs.New("check response", "", "answer's seal is missing or broken")
+	case len(res.Header.Values("Request-Id")) > 1:
+		return Verdict{}, errs.New("check response", "", "answer names several requests")
 	case res.Header.Get("Request-Id") != h.d.requestID(f.ID):
 		return Verdict{}, errs.New("check response", "", "answer is for request %q", res.Header.Get("Request-Id"))
 	case !c.Job.Repeatable && res.Header.Get("Idempotency-Key") != string(c.Job.Mark):
--- /dev/null
+++ b/internal/registry/screen_test.go
@@ -0,0 +1,131 @@
+package registry
+
+import (
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"dunlinwell/internal/consensus"
+	"dunlinwell/internal/distribution"
+	"dunlinwell/internal/election"
+	"dunlinwell/internal/event"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/membership"
+	"dunlinwell/internal/policy"
+	"dunlinwell/internal/spill"
+	"dunlinwell/internal/targets"
+	"dunlinwell/internal/wire"
+)
+
+const stranger = ids.Address("10.9.9.9:1")
+
+// newPeered is a registry that knows a proxy, another registry and a store.
+func newPeered() *bench {
+	b := newBench(false)
+	b.cut = true
+	for _, m := range []membership.Member{{ID: "p", Role: membership.Proxy, Address: "10.0.0.3:1", Start: 1}, {ID: "g", Role: membership.Registry, Address: "10.0.0.4:1", Start: 1},
+		{ID: "s", Role: membership.Store, Address: "10.0.0.2:1", Start: 1, Ready: true}} {
+		b.Step(b.now, event.Received{From: m.Address, Msg: membership.Heartbeat{Self: m}})
+	}
+	b.Step(b.now, event.Tick{})
+	return b
+}
+
+func (b *bench) discards(from ids.Address, msg any) (n int) {
+	for _, c := range b.Step(b.now, event.Received{From: from, Msg: msg}) {
+		if _, ok := c.(event.Discarded); ok {
+			n++
+		}
+	}
+	return n
+}
+
+// Orders and acknowledgements are taken only from the daemon that may give
+// them, at the address where it is known.
+func TestForgedMessagesAreDiscarded(t *testing.T) {
+	is := is.New(t)
+	p, _ := policy.Open(nil)
+	p.Revision = 1 << 40
+	chosen := consensus.Chosen{Key: policy.Key, Value: p.Pack(true)}
+	for _, c := range []struct {
+		right ids.Address
+		msg   any
+	}{
+		{"10.0.0.2:1", chosen},
+		{"10.0.0.4:1", spill.Table{Epoch: 1 << 60, Number: 1}},
+		{"10.0.0.4:1", election.Term{Epoch: 1 << 60, Holder: "x"}},
+		{"10.0.0.3:1", distribution.Ack{Proxy: "p", Start: 1, Number: 1, Revision: 1 << 40, Now: 1 << 60}},
+		{"10.0.0.3:1", spill.Report{Proxy: "p", Start: 1, Number: 1 << 60}},
+		{"10.0.0.4:1", DepartureAck{ID: "g", Instance: "i"}},
+	} {
+		b := newPeered()
+		for _, from := range []ids.Address{stranger, "10.0.0.5:1"} {
+			is.Equal(b.discards(from, c.msg), 1)
+		}
+		is.Equal(b.epoch, ids.Epoch(0))
+		is.Equal(b.view.Revision, ids.Revision(0))
+		is.Equal(b.discards(c.right, c.msg), 0)
+	}
+}
+
+// A store's answer counts for the try that went to that store, once.
+func TestAnswersToNoQuestionAreDiscarded(t *testing.T) {
+	is := is.New(t)
+	b := newPeered()
+	var asked []event.Send
+	for b.now = b.now.Add(time.Second); len(asked) == 0; b.now = b.now.Add(tickEvery) {
+		for _, c := range b.Step(b.now, event.Tick{}) {
+			if s, ok := c.(event.Send); ok {
+				if _, ok := s.Msg.(consensus.Request); ok {
+					asked = append(asked, s)
+				}
+			}
+		}
+	}
+	r := asked[0].Msg.(consensus.Request)
+	answer := consensus.Response{ID: r.ID, Try: r.Try, State: consensus.Done}
+	other, earlier := answer, answer
+	other.Try++
+	earlier.ID -= 1 << 24
+	is.Equal(b.discards(stranger, answer), 1)
+	is.Equal(b.discards(asked[0].To, other), 1)
+	is.Equal(b.discards(asked[0].To, earlier), 1)
+	is.Equal(b.discards(asked[0].To, answer), 0)
+	is.Equal(b.discards(asked[0].To, answer), 1) // doubled
+}
+
+// FuzzMessages gives a registry any message from a stranger: it neither panics
+// nor takes orders.
+func FuzzMessages(f *testing.F) {
+	for _, msg := range []any{consensus.Chosen{Key: policy.Key, Value: []byte(`{"revision":9}`)}, consensus.Response{ID: 1 << 24, State: consensus.Done},
+		distribution.Ack{Proxy: "p", Start: 1, Number: 3}, targets.Update{List: []targets.Target{{Instance: "i", Service: "s", Address: "10.0.0.9:80", Cell: "c", Incarnation: 1, Sequence: 1, Warmth: 1}}},
+		Pulse{ID: "g", Start: 1}, DepartureNotice{Asker: stranger, Target: targets.Target{Instance: "i", Gone: true}}, DepartureAck{ID: "g", Instance: "i"},
+		spill.Report{Proxy: "p", Start: 1, Cell: "c", Number: 1, Interval: 2000, Rows: []spill.Spent{{}}}, spill.Table{Epoch: 2}, election.Term{Epoch: 2},
+		membership.Heartbeat{Self: membership.Member{ID: "x", Role: membership.Proxy, Address: stranger}}, membership.Suspect{Watcher: "x", ID: "p"},
+		membership.Snapshot{Members: []membership.Member{{ID: "f", Gone: true}}}, membership.Delta{Parts: []uint16{70}}, membership.Digest{Parts: make([]uint64, 64)}} {
+		raw, err := wire.Encode(msg)
+		if err != nil {
+			f.Fatal(err)
+		}
+		f.Add(uint16(wire.KindFor(msg)), raw[26:])
+	}
+	f.Fuzz(func(t *testing.T, kind uint16, body []byte) {
+		msg, err := wire.Decode(wire.Kind(kind), body)
+		if msg == nil || err != nil {
+			return
+		}
+		for _, thrifty := range []bool{false, true} {
+			b := newPeered()
+			b.params.Incremental = thrifty
+			b.Step(b.now, event.Received{From: stranger, Msg: msg})
+			for range 8 {
+				b.now = b.now.Add(300 * time.Millisecond)
+				b.Step(b.now, event.Tick{})
+			}
+			if b.epoch != 0 || b.view.Revision != 0 || len(b.table.Moves) > 0 {
+				t.Fatalf("%#v was taken as an order", msg)
+			}
+		}
+	})
+}
