--- a/internal/api/forward.go
+++ b/internal/api/forward.go
@@ -20,7 +20,7 @@
 	return slices.Sorted(maps.Keys(m))
 }
 
-// Ferry carries control calls from a daemon that can't answer them to a
+// Forwarder carries control calls from a daemon that can't answer them to a
 // registry, so that an operator may talk to any daemon.
 type Forwarder struct {
 	// Registries names those alive, best first.
@@ -28,87 +28,116 @@
 	Client     *http.Client
 }
 
-// NewFerry makes a Forwarder. Its client sends each call on a connection of its
-// own, follows no redirect and goes through no proxy of the environment: a call
-// leaves once for each registry that is tried, and an answer belongs to it alone.
-func NewFerry(registries func() []ids.Address) *Forwarder {
-	return &Forwarder{Registries: registries, Client: &http.Client{
-		Timeout:       responseTime + time.Second,
-		Transport:     &http.Transport{DisableKeepAlives: true, DisableCompression: true, MaxResponseHeaderBytes: 64 << 10},
-		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
-	}}
-}
-
-// mostAnswer bounds a registry's answer, the largest of which is the whole policy.
-const mostAnswer = 96 << 20
+const (
+	// dialWithin is how long a registry may take to open a circuit.
+	dialWithin = 250 * time.Millisecond
+	// forwardWithin is how long after its arrival a call is still handed to
+	// another registry, so that a daemon that reaches none says so in a second.
+	forwardWithin = 600 * time.Millisecond
+	// mostAnswer bounds a registry's answer, the largest of which is the policy.
+	mostAnswer = 96 << 20
+)
 
-// passed are the headers that go along with a call, and returned those that come
-// back with its answer.
+// passedOn are the headers that go along with a call, and passedBack those that
+// come back with its answer.
 var (
-	passed   = []string{"Change-Id", "If-Match", "Content-Type"}
-	returned = []string{"Content-Type", "Retry-After", "Etag", "Location"}
+	passedOn   = []string{"Change-Id", "If-Match", "Content-Type"}
+	passedBack = []string{"Content-Type", "Retry-After", "Etag", "Location"}
 )
 
-// ServeHTTP tries one registry after the other. A change has its id before it
-// leaves, so one that was sent twice still is one change.
+// answer is a registry's answer, read whole.
+type answer struct {
+	status int
+	header http.Header
+	body   []byte
+}
+
+// NewFerry makes a forwarder. Each call opens a circuit of its own: one kept from
+// before a cut would swallow the call, and leave it open whether it arrived. No
+// redirect is followed, and no proxy of the environment used: a call leaves once
+// for each registry that is tried.
+func NewFerry(registries func() []ids.Address) *Forwarder {
+	transport := &http.Transport{DialContext: (&net.Dialer{Timeout: dialWithin}).DialContext, DisableKeepAlives: true}
+	stay := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+	return &Forwarder{Registries: registries, Client: &http.Client{Transport: transport, CheckRedirect: stay, Timeout: responseTime + time.Second}}
+}
+
+// ServeHTTP tries one registry after the other, until one answers that has a
+// majority. A change has its id before it leaves, so one that was sent twice
+// still is one change.
 func (f *Forwarder) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	raw, ok := Body(rw, r)
 	if !ok {
 		return
 	}
+	arrived := time.Now()
 	if r.Header.Get("Change-Id") == "" {
 		r.Header.Set("Change-Id", NewChange())
 	}
+	var last *answer
 	maybe := false
 	for _, at := range f.Registries() {
-		res, body, err := f.call(r, at, raw)
+		if time.Since(arrived) > forwardWithin {
+			break
+		}
+		response, err := f.send(r, at, raw)
 		if err != nil {
-			maybe = maybe || r.Method != http.MethodGet && !neverLeft(err)
+			maybe = maybe || r.Method != http.MethodGet && !neverSent(err)
 			continue
 		}
-		for _, h := range returned {
-			if v := res.Header.Get(h); v != "" {
-				rw.Header().Set(h, v)
-			}
+		last = response
+		if response.status != http.StatusServiceUnavailable {
+			break
 		}
-		rw.WriteHeader(res.StatusCode)
-		_, _ = rw.Write(body)
-		return
 	}
-	if maybe {
+	switch {
+	case last != nil && !(maybe && last.status == http.StatusServiceUnavailable):
+		relay(rw, last)
+	case maybe:
 		Say(rw, 504, "uncertain: no registry answered; send it again under the same id")
-		return
+	default:
+		Say(rw, 503, "no registry can be reached")
 	}
-	Say(rw, 503, "no registry can be reached")
 }
 
-// call asks one registry, and reads its answer whole: one that is cut short is
-// no answer, and must not be passed on as if it were.
-func (f *Forwarder) call(r *http.Request, at ids.Address, raw []byte) (*http.Response, []byte, error) {
-	// A caller that has closed its side may still read; the time limit ends it.
+// send hands a call to one registry, and reads its answer whole: one that is cut
+// short is none, and must not be passed on as if it were. A caller that has
+// closed its side may still read; the time limit ends it.
+func (f *Forwarder) send(r *http.Request, at ids.Address, raw []byte) (*answer, error) {
 	req, err := http.NewRequestWithContext(context.WithoutCancel(r.Context()), r.Method, "http://"+string(at)+r.URL.RequestURI(), bytes.NewReader(raw))
 	if err != nil {
-		return nil, nil, err
+		return nil, err
 	}
-	for _, h := range passed {
+	for _, h := range passedOn {
 		if v := r.Header.Get(h); v != "" {
 			req.Header.Set(h, v)
 		}
 	}
-	res, err := f.Client.Do(req)
+	response, err := f.Client.Do(req)
 	if err != nil {
-		return nil, nil, err
+		return nil, err
 	}
-	defer res.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(res.Body, mostAnswer+1))
+	defer response.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(response.Body, mostAnswer+1))
 	if err == nil && len(body) > mostAnswer {
 		err = errs.New("forward call", string(at), "answer over the limit of %d bytes", mostAnswer)
 	}
-	return res, body, err
+	return &answer{response.StatusCode, response.Header, body}, err
 }
 
-// neverLeft tells whether a call failed before any connection was there.
-func neverLeft(err error) bool {
-	var op *net.OpError
-	return errors.As(err, &op) && op.Op == "dial"
+// neverSent tells whether a call failed before any of it could arrive.
+func neverSent(err error) bool {
+	var failed *net.OpError
+	return errors.As(err, &failed) && failed.Op == "dial"
+}
+
+// relay gives a registry's answer to the caller.
+func relay(rw http.ResponseWriter, response *answer) {
+	for _, h := range passedBack {
+		if v := response.header.Get(h); v != "" {
+			rw.Header().Set(h, v)
+		}
+	}
+	rw.WriteHeader(response.status)
+	_, _ = rw.Write(response.body)
 }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -24,6 +24,10 @@
 	Random    *rand.Rand
 	PlanEvery time.Duration
 	Lifetime  time.Duration
+	// ControlLease is how old an agreement may be for this registry to confirm,
+	// refuse or hand out anything. Reads begin every second, and one that a lost
+	// store holds up is answered by the next store within another 400 ms.
+	ControlLease time.Duration
 	// Regions are the cells that this daemon was told of, and their regions.
 	Regions map[ids.Name]string
 	// Thrifty: targets are told of only as something changes, and registries keep
@@ -39,6 +43,9 @@
 	if p.PlanEvery == 0 {
 		p.PlanEvery = 30 * time.Second
 	}
+	if p.ControlLease == 0 {
+		p.ControlLease = distribution.ControlLease
+	}
 	if p.Lifetime == 0 {
 		p.Lifetime = 2 * time.Second
 	}
@@ -76,6 +83,8 @@
 	seenAt    ids.Time
 	// partings are targets that wait to hear that they may stop.
 	departures []departure
+	// awaited are control calls that wait for an agreement.
+	awaited []agreementCall
 	peers
 
 	plans
@@ -158,6 +167,7 @@
 	f.last = now
 	f.Announce(f.agreed != 0 && now.Since(f.agreed) < 5*time.Second, f.view.Revision)
 	f.List.Tick(now)
+	f.endOverdue(now)
 	f.Client.Clock(now)
 	f.keepPeers(now)
 	silent := f.silent(now)
@@ -168,7 +178,7 @@
 		f.Log("warn", "target silent", "target", string(t.Instance), "service", string(t.Service), "address", string(t.Address))
 	}
 	f.Targets.Forget(now, time.Hour)
-	if now >= f.poll && !f.reading && f.answerable() {
+	if (now >= f.poll || f.probeDue(now)) && !f.reading && f.answerable() {
 		f.readPolicy(now)
 	}
 	if now >= f.share {
@@ -182,24 +192,6 @@
 	f.planning(now)
 }
 
-// readPolicy keeps up with the policy even where no news of it arrived.
-func (f *Registry) readPolicy(now ids.Time) {
-	f.reading = true
-	f.poll = now.Add(pollEvery)
-	if f.params.Incremental {
-		// News of a change comes by itself; what this renews is the agreement's age.
-		f.poll = now.Add(2 * pollEvery)
-	}
-	began := now
-	f.Client.ReadIfChanged(now, policy.Key, f.whole, f.sum, 2*time.Second, func(_ ids.Time, s consensus.State, out []byte) {
-		f.reading = false
-		if s == consensus.Done {
-			f.agreed = began
-			f.adopt(out)
-		}
-	})
-}
-
 func (f *Registry) receive(now ids.Time, from ids.Address, msg any) {
 	if why := f.screen(from, msg); why != "" {
 		f.Discard(from, why, msg)
@@ -237,7 +229,7 @@
 	case spill.Table:
 		f.takeTable(now, m)
 	case election.Term:
-		f.raise(m.Epoch)
+		f.raise(now, m.Epoch)
 	default:
 		f.List.Receive(now, from, msg)
 	}
