--- a/internal/registry/planner_test.go
+++ b/internal/registry/planner_test.go
@@ -20,17 +20,20 @@
 	return duty.Epoch
 }
 
+// another is where the registry before ours in line is.
+const another ids.Address = "10.0.0.9:1"
+
 // other beats for a registry that stands before ours in line.
 func other(core *registrytest.Core, ready bool, span time.Duration) {
 	for end := core.Now.Add(span); core.Now < end; core.Run(100 * time.Millisecond) {
-		core.Hear(membership.Heartbeat{Self: membership.Member{ID: "another", Role: membership.Registry, Address: "10.0.0.9:1", Start: 1,
+		core.Hear(membership.Heartbeat{Self: membership.Member{ID: "another", Role: membership.Registry, Address: another, Start: 1,
 			Ready: ready, Incarnation: ids.Incarnation(core.Now)}})
 	}
 }
 
 // declaredDead has others say that the registry before ours in line is gone.
 func declaredDead(core *registrytest.Core) {
-	core.Hear(membership.Snapshot{Members: []membership.Member{{ID: "another", Role: membership.Registry, Address: "10.0.0.9:1", Start: 1,
+	core.Hear(membership.Snapshot{Members: []membership.Member{{ID: "another", Role: membership.Registry, Address: another, Start: 1,
 		Gone: true, Incarnation: ids.Incarnation(core.Now)}}})
 	core.Run(100 * time.Millisecond)
 }
@@ -113,8 +116,9 @@
 	core := registrytest.New(registry.Options{PlanEvery: time.Hour})
 	setUp(t, core)
 	move := func(to ids.Name) []spill.Move { return []spill.Move{{From: "c", To: to, Fraction: 1}} }
-	core.Hear(spill.Table{Epoch: 7, Number: 1, Moves: move("new")})
-	core.Hear(spill.Table{Epoch: 6, Number: 99, Moves: move("old")})
+	declaredDead(core)
+	core.HearFrom(another, spill.Table{Epoch: 7, Number: 1, Moves: move("new")})
+	core.HearFrom(another, spill.Table{Epoch: 6, Number: 99, Moves: move("old")})
 	if got := core.Moves(); got.Epoch != 7 || got.Moves[0].To != "new" {
 		t.Fatalf("%+v", got)
 	}
--- a/internal/registry/registrytest/core.go
+++ b/internal/registry/registrytest/core.go
@@ -109,7 +109,7 @@
 // acknowledge has the proxy go by what it was sent.
 func (c *Core) acknowledge(push distribution.Push) {
 	if c.Link == Connected {
-		c.hear(distribution.Ack{Proxy: proxy, Start: 1, Number: push.Number, Revision: push.Revision, Now: c.Now})
+		c.HearFrom(Proxy, distribution.Ack{Proxy: proxy, Start: 1, Number: push.Number, Revision: push.Revision, Now: c.Now})
 	}
 }
 
@@ -140,7 +140,10 @@
 // Hear hands the registry a message as if the majority's side had sent it.
 func (c *Core) Hear(msg any) { c.hear(msg) }
 
-func (c *Core) hear(msg any) { c.Step(event.Received{From: Store, Msg: msg}) }
+func (c *Core) hear(msg any) { c.HearFrom(Store, msg) }
+
+// HearFrom hands the registry a message of one that the majority's side names.
+func (c *Core) HearFrom(from ids.Address, msg any) { c.Step(event.Received{From: from, Msg: msg}) }
 
 // Run lets time pass.
 func (c *Core) Run(span time.Duration) {
--- a/internal/store/screen_test.go
+++ b/internal/store/screen_test.go
@@ -36,6 +36,7 @@
 	s := New(Options{Options: membership.Options{Self: membership.Member{ID: "store-1", Address: "10.0.0.1:1", Start: 5, Incarnation: 1}},
 		Store: 1, Run: 3, Storage: disk, Random: rand.New(rand.NewPCG(1, 1)), Replicas: 3})
 	s.AdoptVoterSet(threeVoters)
+	s.MarkComplete()
 	settle(s, disk, s.Step(now, event.Tick{}))
 	return s, disk
 }
