--- /dev/null
+++ b/internal/proxy/stranger_test.go
@@ -0,0 +1,80 @@
+package proxy
+
+import (
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"dunlinwell/internal/consensus"
+	"dunlinwell/internal/distribution"
+	"dunlinwell/internal/event"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/membership"
+	"dunlinwell/internal/targets"
+	"dunlinwell/internal/wire"
+)
+
+const (
+	stranger = ids.Address("10.9.9.9:1")
+	runOfC1  = ids.RunID(7)
+)
+
+func newControl() *Control {
+	self := membership.Member{ID: "c1", Role: membership.Proxy, Address: "10.0.0.1:1", Start: runOfC1, Zone: "a"}
+	c := New(membership.Options{Self: self, Seeds: []ids.Address{"10.0.0.2:1"}}, Options{})
+	c.Step(1, event.Tick{})
+	return c
+}
+
+// An echo of a time still to come can't be ours, whatever run it names: it would
+// lengthen the lease beyond what anybody agreed on.
+func TestAnEchoOfATimeToComeIsNoLease(t *testing.T) {
+	is := is.New(t)
+	now := ids.Time(10 * time.Second)
+	for _, msg := range []any{distribution.Push{Number: 1, Start: 1, Echo: now.Add(time.Hour), For: runOfC1},
+		LeaseGossip{For: runOfC1, Echo: now.Add(time.Hour)}} {
+		c := newControl()
+		c.Step(now, event.Received{From: stranger, Msg: msg})
+		is.True(c.sure() <= now)
+		is.Equal(c.word, ids.Time(0))
+		is.Equal(c.agreed, ids.Time(0))
+	}
+	// One of an earlier run's time is no better.
+	c := newControl()
+	c.Step(now, event.Received{From: stranger, Msg: distribution.Push{Number: 1, Start: 1, Echo: now, For: runOfC1 - 1}})
+	is.Equal(c.word, ids.Time(0))
+}
+
+// FuzzMessages gives a proxy any message: it doesn't panic, and no message makes
+// it sure of a time to come.
+func FuzzMessages(f *testing.F) {
+	for _, msg := range []any{distribution.Push{Number: 1, Start: 1, Revision: 1, Policy: []byte(`{"revision":1}`), Echo: 1, For: runOfC1,
+		Targets: []targets.Target{{Instance: "i", Service: "s", Address: "10.0.0.9:80", Cell: "a", Incarnation: 1, Sequence: 1, Warmth: 1}}},
+		LeaseRequest{Proxy: "c2", Start: 1}, LeaseGossip{For: runOfC1, Echo: 1, Revision: 1, Policy: []byte(`{"revision":1}`)},
+		consensus.Response{ID: uint64(runOfC1)<<24 + 1, Try: 1, State: consensus.Done}, consensus.PolicyQuery{},
+		membership.Heartbeat{Self: membership.Member{ID: "x", Role: membership.Registry, Address: stranger, Start: 1}},
+		membership.Snapshot{Members: []membership.Member{{ID: "c1", Gone: true, Incarnation: 9}}}, membership.Delta{Parts: []uint16{70}},
+		membership.Digest{Parts: make([]uint64, 64)}, membership.Suspect{Watcher: "x", ID: "c1"}} {
+		raw, err := wire.Encode(msg)
+		if err != nil {
+			f.Fatal(err)
+		}
+		f.Add(uint16(wire.KindFor(msg)), raw[26:])
+	}
+	f.Fuzz(func(t *testing.T, kind uint16, body []byte) {
+		msg, err := wire.Decode(wire.Kind(kind), body)
+		if msg == nil || err != nil {
+			return
+		}
+		c, now := newControl(), ids.Time(time.Second)
+		c.Step(now, event.Received{From: stranger, Msg: msg})
+		for range 6 {
+			now = now.Add(300 * time.Millisecond)
+			c.Step(now, event.Tick{})
+			if c.agreed > now || c.word > now {
+				t.Fatalf("%#v made it sure of a time to come", msg)
+			}
+		}
+	})
+}
