--- a/internal/registry/departure.go
+++ b/internal/registry/departure.go
@@ -163,10 +163,17 @@
 	}
 }
 
+// covers tells whether an acknowledgement is for this word of a target or for a
+// later one. A registry of an earlier version doesn't say the incarnation.
+func (m DepartureAck) covers(t targets.Target) bool {
+	same := m.Incarnation == t.Incarnation || m.Incarnation == 0
+	return m.Instance == t.Instance && same && m.Sequence >= t.Sequence
+}
+
 // parted takes another registry's word that all whom it serves go by it.
 func (f *Registry) parted(now ids.Time, m DepartureAck) {
 	for _, p := range f.departures {
-		if p.target.Instance == m.Instance && p.target.Incarnation == m.Incarnation && p.target.Sequence <= m.Sequence {
+		if m.covers(p.target) {
 			delete(p.waits, m.ID)
 		}
 	}
--- a/internal/registry/screen_test.go
+++ b/internal/registry/screen_test.go
@@ -69,6 +69,19 @@
 	}
 }
 
+// Word that all proxies go by a target's earlier incarnation says nothing of
+// this one, however far the earlier one had counted.
+func TestAnAcknowledgementOfAnEarlierIncarnationIsNotCounted(t *testing.T) {
+	is := is.New(t)
+	b := newPeered()
+	leaving := targets.Target{Instance: "i", Incarnation: 2, Sequence: 1, Leaving: true}
+	b.departures = []departure{{call: 1, target: leaving, due: b.now.Add(time.Hour), waits: map[ids.Daemon]bool{"g": true}}}
+	b.discards("10.0.0.4:1", DepartureAck{ID: "g", Instance: "i", Incarnation: 1, Sequence: 9})
+	is.True(b.departures[0].waits["g"])
+	b.discards("10.0.0.4:1", DepartureAck{ID: "g", Instance: "i", Incarnation: 2, Sequence: 1})
+	is.True(!b.departures[0].waits["g"])
+}
+
 // A store's answer counts for the try that went to that store, once.
 func TestAnswersToNoQuestionAreDiscarded(t *testing.T) {
 	is := is.New(t)
