--- a/internal/proxy/carry.go
+++ b/internal/proxy/carry.go
@@ -62,7 +62,7 @@
 	until := time.Now().Add(f.Due.Since(process.Now()))
 	var line *circuit
 	if !f.Fresh {
-		line = d.circuits.take(f.Target.Instance, f.Careful)
+		line = d.circuits.takeFor(f.Target, f.Careful)
 	}
 	if line == nil {
 		var err error
--- a/internal/proxy/circuit.go
+++ b/internal/proxy/circuit.go
@@ -9,11 +9,14 @@
 	"time"
 
 	"dunlinwell/internal/ids"
+	"dunlinwell/internal/targets"
 )
 
 // circuit is one held circuit to a target that has shown who it is.
 type circuit struct {
 	net.Conn
+	// run is what the connection leads to.
+	run   targetRun
 	read  *bufio.Reader
 	bound *io.LimitedReader
 	idled ids.Time
@@ -27,6 +30,26 @@
 	heard bool
 }
 
+// targetRun is one run of a target, at its address. The next run of the same
+// instance may be elsewhere, while the earlier one still answers.
+type targetRun struct {
+	address     ids.Address
+	incarnation ids.Incarnation
+}
+
+func runOf(t targets.Target) targetRun { return targetRun{t.Address, t.Incarnation} }
+
+// takeFor gives an idle connection to this very run of a target.
+func (p *circuits) takeFor(t targets.Target, careful bool) *circuit {
+	for {
+		c := p.take(t.Instance, careful)
+		if c == nil || c.run == runOf(t) {
+			return c
+		}
+		c.Close()
+	}
+}
+
 // Read notes whether anything came back: a circuit that ends before that was
 // dead as it was used.
 func (c *circuit) Read(p []byte) (int, error) {
--- a/internal/proxy/circuits.go
+++ b/internal/proxy/circuits.go
@@ -164,7 +164,7 @@
 	if err != nil {
 		return nil, errs.Wrap(err, "dial target", string(t.Address))
 	}
-	c := &circuit{Conn: conn}
+	c := &circuit{Conn: conn, run: runOf(t)}
 	c.bound = &io.LimitedReader{R: c, N: mostHead}
 	c.read = bufio.NewReader(c.bound)
 	if !p.greets {
