--- a/internal/registry/calls.go
+++ b/internal/registry/calls.go
@@ -1,7 +1,6 @@
 package registry
 
 import (
-	"encoding/json"
 	"maps"
 	"slices"
 	"time"
@@ -82,6 +81,8 @@
 		f.change(now, c)
 	case MergeCall:
 		f.merge(now, c)
+	case CellOrderCall:
+		f.orderCell(now, c)
 	case DeregisterCall:
 		f.gone(now, c)
 	case PolicyCall:
@@ -101,74 +102,19 @@
 	f.Emit(Response{ID: id, Status: 503, Body: Problem{"no majority of stores can be reached"}, Retry: 1})
 }
 
-func (f *Registry) change(now ids.Time, c ChangeCall) {
-	// Faults that the words alone show need no round.
-	if ch, faults := policy.ReadChange(c.Raw); len(faults) > 0 {
-		f.Emit(Response{ID: c.ID, Status: 400, Body: policy.Result{ID: ch.ID, Faults: faults}})
-		return
-	}
-	f.agree(now, c.ID, policy.OpChange, c.Raw)
-}
-
-func (f *Registry) merge(now ids.Time, c MergeCall) {
-	if faults := c.Body.Check(); len(faults) > 0 {
-		f.Emit(Response{ID: c.ID, Status: 400, Body: policy.Result{Faults: faults}})
-		return
-	}
-	raw, err := json.Marshal(c.Body)
-	if err != nil {
-		f.Emit(Response{ID: c.ID, Status: 400, Body: Problem{err.Error()}})
-		return
-	}
-	f.agree(now, c.ID, policy.OpMerge, raw)
-}
-
-// agree has a change of the policy agreed on, and answers its caller.
-func (f *Registry) agree(now ids.Time, id uint64, op consensus.Op, raw []byte) {
-	if !f.mayAsk(now) {
-		f.unavailable(id)
-		return
-	}
-	f.await(now, len(raw), f.Client.Call(now, policy.Key, op, raw, CallWait(len(raw)), func(_ ids.Time, s consensus.State, out []byte) {
-		var r policy.Result
-		switch {
-		case s == consensus.Declined:
-			f.unavailable(id)
-		case s != consensus.Done || json.Unmarshal(out, &r) != nil:
-			f.Emit(Response{ID: id, Status: 504, Body: Problem{"uncertain: the change may have been accepted; send it again under the same id"}, Retry: 1})
-		default:
-			for _, c := range r.Conflicts {
-				f.Log("warn", "number used twice", "item", c.Item, "path", c.Path)
-			}
-			f.Emit(Response{ID: id, Status: statusOf(r), Body: r})
-		}
-	}))
-}
-
-func statusOf(r policy.Result) int {
+func (f *Registry) policyCall(now ids.Time, c PolicyCall) {
 	switch {
-	case r.Unknown != "":
-		return 504
-	case len(r.Faults) > 0:
-		return 400
-	case len(r.Stale)+len(r.Conflicts) > 0:
-		return 409
-	case len(r.Missing) > 0:
-		return 404
+	case !c.Local:
+		f.underLease(now, c.ID, func(now ids.Time) { f.beginRead(now, c) })
+	case f.leased(now):
+		f.Emit(Response{ID: c.ID, Status: 200, Body: f.policy})
+	default:
+		f.unavailable(c.ID)
 	}
-	return 200
 }
 
-func (f *Registry) policyCall(now ids.Time, c PolicyCall) {
-	if !f.mayAsk(now) || c.Local && !f.leased(now) {
-		f.unavailable(c.ID)
-		return
-	}
-	if c.Local {
-		f.Emit(Response{ID: c.ID, Status: 200, Body: f.policy})
-		return
-	}
-	// An agreement read: every daemon gives the same truth, or none.
+// beginRead begins an agreement read: every daemon gives the same truth, or none.
+func (f *Registry) beginRead(now ids.Time, c PolicyCall) {
 	f.await(now, 0, f.Client.ReadIfChanged(now, policy.Key, f.whole, f.sum, callWait, func(_ ids.Time, s consensus.State, out []byte) {
 		p, err := policy.Open(out)
 		if s != consensus.Done || err != nil {
