--- a/internal/api/forward.go
+++ b/internal/api/forward.go
@@ -11,6 +11,7 @@
 	"slices"
 	"time"
 
+	"dunlinwell/internal/errs"
 	"dunlinwell/internal/ids"
 	"dunlinwell/internal/policy"
 )
@@ -33,13 +34,32 @@
 	// forwardWithin is how long after its arrival a call is still handed to
 	// another registry, so that a daemon that reaches none says so in a second.
 	forwardWithin = 600 * time.Millisecond
+	// mostAnswer bounds a registry's answer, the largest of which is the policy.
+	mostAnswer = 96 << 20
 )
 
+// passedOn are the headers that go along with a call, and passedBack those that
+// come back with its answer.
+var (
+	passedOn   = []string{"Change-Id", "If-Match", "Content-Type"}
+	passedBack = []string{"Content-Type", "Retry-After", "Etag", "Location"}
+)
+
+// answer is a registry's answer, read whole.
+type answer struct {
+	status int
+	header http.Header
+	body   []byte
+}
+
 // NewFerry makes a forwarder. Each call opens a circuit of its own: one kept from
-// before a cut would swallow the call, and leave it open whether it arrived.
+// before a cut would swallow the call, and leave it open whether it arrived. No
+// redirect is followed, and no proxy of the environment used: a call leaves once
+// for each registry that is tried.
 func NewFerry(registries func() []ids.Address) *Forwarder {
 	transport := &http.Transport{DialContext: (&net.Dialer{Timeout: dialWithin}).DialContext, DisableKeepAlives: true}
-	return &Forwarder{Registries: registries, Client: &http.Client{Transport: transport, Timeout: responseTime + time.Second}}
+	stay := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+	return &Forwarder{Registries: registries, Client: &http.Client{Transport: transport, CheckRedirect: stay, Timeout: responseTime + time.Second}}
 }
 
 // ServeHTTP tries one registry after the other, until one answers that has a
@@ -54,7 +74,7 @@
 	if r.Header.Get("Change-Id") == "" {
 		r.Header.Set("Change-Id", NewChange())
 	}
-	var last *http.Response
+	var last *answer
 	maybe := false
 	for _, at := range f.Registries() {
 		if time.Since(arrived) > forwardWithin {
@@ -65,40 +85,44 @@
 			maybe = maybe || r.Method != http.MethodGet && !neverSent(err)
 			continue
 		}
-		if last != nil {
-			last.Body.Close()
-		}
 		last = response
-		if response.StatusCode != http.StatusServiceUnavailable {
+		if response.status != http.StatusServiceUnavailable {
 			break
 		}
 	}
 	switch {
-	case last != nil && !(maybe && last.StatusCode == http.StatusServiceUnavailable):
+	case last != nil && !(maybe && last.status == http.StatusServiceUnavailable):
 		relay(rw, last)
 	case maybe:
 		Say(rw, 504, "uncertain: no registry answered; send it again under the same id")
 	default:
 		Say(rw, 503, "no registry can be reached")
 	}
-	if last != nil {
-		last.Body.Close()
-	}
 }
 
-// send hands a call to one registry. A caller that has closed its side may still
-// read; the time limit ends it.
-func (f *Forwarder) send(r *http.Request, at ids.Address, raw []byte) (*http.Response, error) {
+// send hands a call to one registry, and reads its answer whole: one that is cut
+// short is none, and must not be passed on as if it were. A caller that has
+// closed its side may still read; the time limit ends it.
+func (f *Forwarder) send(r *http.Request, at ids.Address, raw []byte) (*answer, error) {
 	req, err := http.NewRequestWithContext(context.WithoutCancel(r.Context()), r.Method, "http://"+string(at)+r.URL.RequestURI(), bytes.NewReader(raw))
 	if err != nil {
 		return nil, err
 	}
-	for _, h := range []string{"Change-Id", "If-Match", "Content-Type"} {
+	for _, h := range passedOn {
 		if v := r.Header.Get(h); v != "" {
 			req.Header.Set(h, v)
 		}
 	}
-	return f.Client.Do(req)
+	response, err := f.Client.Do(req)
+	if err != nil {
+		return nil, err
+	}
+	defer response.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(response.Body, mostAnswer+1))
+	if err == nil && len(body) > mostAnswer {
+		err = errs.New("forward call", string(at), "answer over the limit of %d bytes", mostAnswer)
+	}
+	return &answer{response.StatusCode, response.Header, body}, err
 }
 
 // neverSent tells whether a call failed before any of it could arrive.
@@ -108,12 +132,12 @@
 }
 
 // relay gives a registry's answer to the caller.
-func relay(rw http.ResponseWriter, response *http.Response) {
-	for _, h := range []string{"Content-Type", "Retry-After", "Etag"} {
-		if v := response.Header.Get(h); v != "" {
+func relay(rw http.ResponseWriter, response *answer) {
+	for _, h := range passedBack {
+		if v := response.header.Get(h); v != "" {
 			rw.Header().Set(h, v)
 		}
 	}
-	rw.WriteHeader(response.StatusCode)
-	_, _ = io.Copy(rw, response.Body)
+	rw.WriteHeader(response.status)
+	_, _ = rw.Write(response.body)
 }
--- a/internal/consensus/proposer.go
+++ b/internal/consensus/proposer.go
@@ -33,9 +33,8 @@
 	// were last met under: they are large, and read far more often than changed.
 	cachedValues map[ids.Key]cachedValue
 	order        []ids.Key
-	// count is the number of the last round, which no other run has used.
-	count uint64
-	high  uint64
+	// count numbers the rounds; no other run has used these numbers.
+	count, high uint64
 	// early counts the ballots of first values, all below those of rounds.
 	early uint64
 }
--- a/internal/process/transport.go
+++ b/internal/process/transport.go
@@ -40,6 +40,7 @@
 	// inflates holds the peers that said that they read deflated frames.
 	inflates sync.Map
 	ctx      context.Context
+	logged   logOnce
 }
 
 // TCPUserLimit is the socket option TCP_USER_TIMEOUT.
@@ -88,34 +89,6 @@
 	}
 }
 
-// take reads one peer's circuit; a malformed frame closes it.
-func (p *Transport) receive(ctx context.Context, c net.Conn) {
-	defer c.Close()
-	stop := context.AfterFunc(ctx, func() { c.Close() })
-	defer stop()
-	r := bufio.NewReaderSize(c, 64<<10)
-	var from ids.Address
-	for {
-		head, msg, err := wire.Read(r)
-		if err != nil {
-			if ctx.Err() == nil && !ended(err) {
-				p.Log.Event("warn", "circuit closed", "peer", c.RemoteAddr().String(), "problem", err.Error())
-			}
-			return
-		}
-		p.Stats.count(Received, head.Kind, head.Size())
-		if g, ok := msg.(Hello); ok {
-			from = g.Address
-			p.inflates.Store(from, g.Inflates)
-			continue
-		}
-		// Nothing is taken from a peer that hasn't said where it is.
-		if msg != nil && from != "" {
-			p.Deliver(from, msg)
-		}
-	}
-}
-
 // Send queues a message on the peer's line; a full line loses it.
 func (p *Transport) Send(to ids.Address, msg any) {
 	if to == p.Address {
