--- a/internal/distribution/account.go
+++ b/internal/distribution/account.go
@@ -13,6 +13,8 @@
 	revision ids.Revision
 	// until is when it is sent again, if nothing has come back.
 	until ids.Time
+	// number is the push that a policy was in.
+	number ids.Number
 }
 
 // due tells whether a thing in flight is to be sent again.
@@ -42,9 +44,12 @@
 			a.held = true
 			continue
 		}
-		a.flying[t.Instance] = flight{stamp: s, until: now.Add(a.patience)}
 		list, in = append(list, t), append(in, s)
 	}
+	until := now.Add(a.patience + time.Duration(len(in))*perTarget)
+	for _, s := range in {
+		a.flying[s.id] = flight{stamp: s, until: until}
+	}
 	return list, in
 }
 
--- a/internal/distribution/distribution.go
+++ b/internal/distribution/distribution.go
@@ -83,8 +83,10 @@
 	patience time.Duration
 	// held: something that it lacks isn't in flight.
 	held bool
+	// again: something was lost, and is to be sent again at once.
+	again bool
 	// open holds, for each push not yet acknowledged, what was in it.
-	open map[ids.Number][]stamp
+	open map[ids.Number]parcel
 	has  map[ids.Instance]stamp
 	seen uint64
 	echo ids.Time
@@ -109,8 +111,12 @@
 	resendAfter = 150 * time.Millisecond
 	wordEvery   = 300 * time.Millisecond
 	mostOpen    = 64
-	// mostPatience bounds the wait for one that says nothing at all.
-	mostPatience = 600 * time.Millisecond
+	// mostPatience bounds the wait for one that says nothing at all. Words go on
+	// meanwhile, and the first acknowledgement shows what was lost.
+	mostPatience = 4800 * time.Millisecond
+	// perTarget is how much longer a push is given for each target in it: a whole
+	// list takes a thin link's time.
+	perTarget = 5 * time.Millisecond
 	// holdBack is how long what isn't urgent waits where another delivers first.
 	holdBack = 700 * time.Millisecond
 )
@@ -141,69 +147,9 @@
 		a := r.list[c.ID]
 		// A proxy's new run has nothing: it gets a snapshot.
 		if a == nil || a.start != c.Start {
-			a = &account{patience: r.ResendAfter, flying: map[ids.Instance]flight{}, start: c.Start, open: map[ids.Number][]stamp{}, has: map[ids.Instance]stamp{}}
+			a = &account{patience: r.ResendAfter, flying: map[ids.Instance]flight{}, start: c.Start, open: map[ids.Number]parcel{}, has: map[ids.Instance]stamp{}}
 			r.list[c.ID] = a
 		}
 		r.deliver(now, c, a, load)
 	}
 }
-
-func (r *Distributor) deliver(now ids.Time, c membership.Member, a *account, load Content) {
-	old := a.seen != load.Version || a.revision < load.Revision
-	owed := len(a.open) > 0 || a.revision < load.Revision || a.held
-	due := a.seen != load.Version || (a.told == 0 && a.echo != 0) || (owed && now.Since(a.sent) >= a.patience) || now.Since(a.sent) >= r.WordEvery
-	if !due {
-		return
-	}
-	a.number++
-	p := Push{Number: a.number, Start: r.start, Revision: load.Revision, Echo: a.echo, For: a.start, Age: uint32(min(load.Age/time.Millisecond, 1<<30))}
-	if a.revision < load.Revision && a.due(now, a.policy, a.policy.revision == load.Revision) {
-		p.Policy = load.Policy(a.revision)
-		a.policy = flight{revision: load.Revision, until: now.Add(a.patience)}
-	}
-	var in []stamp
-	if old || owed {
-		p.Targets, in = r.lacking(now, c, a, load.Targets())
-	}
-	// Only the newest few can still be acknowledged; the rest is sent again.
-	if len(a.open) >= mostOpen {
-		clear(a.open)
-		a.held = true
-	}
-	if len(in) > 0 {
-		a.open[a.number] = in
-	}
-	if owed && now.Since(a.ackedAt) >= a.patience {
-		a.patience = min(2*a.patience, mostPatience)
-	}
-	a.sent, a.seen, a.told = now, load.Version, a.echo
-	r.out.Send(c.Address, p)
-}
-
-// Acked takes a proxy's word.
-func (r *Distributor) HandleAck(now ids.Time, m Ack) {
-	a := r.list[m.Proxy]
-	if a == nil || a.start != m.Start {
-		return
-	}
-	a.ackedAt, a.echo = now, max(a.echo, m.Now)
-	a.patience = r.ResendAfter
-	a.acked, a.revision = max(a.acked, m.Number), max(a.revision, m.Revision)
-	for _, s := range a.open[m.Number] {
-		a.has[s.id] = s
-		if a.flying[s.id].stamp == s {
-			delete(a.flying, s.id)
-		}
-	}
-	delete(a.open, m.Number)
-	// Pushes before this one that hold nothing newer need no answer any more.
-	for n, in := range a.open {
-		have := true
-		for _, s := range in {
-			have = have && a.has[s.id] == s
-		}
-		if have {
-			delete(a.open, n)
-		}
-	}
-}
--- a/internal/registry/deliver.go
+++ b/internal/registry/deliver.go
@@ -16,7 +16,23 @@
 func (f *Registry) deliver(now ids.Time) {
 	f.delivered = now
 	f.Distributor.Distribute(now, f.served(now), distribution.Content{Revision: f.view.Revision, Policy: f.difference,
-		Targets: func() []targets.Target { return f.Targets.All(now) }, Version: f.Targets.Version()<<20 + uint64(f.view.Revision), Age: f.age(now)})
+		Targets: func() []targets.Target { return f.forProxies(now) }, Version: f.targetsVersion()<<20 + uint64(f.view.Revision), Age: f.age(now)})
+}
+
+// forProxies gives the targets as proxies are told of them.
+func (f *Registry) forProxies(now ids.Time) []targets.Target {
+	if f.params.Incremental {
+		return f.Targets.Public(now)
+	}
+	return f.Targets.All(now)
+}
+
+// targetsVersion grows with each change of them.
+func (f *Registry) targetsVersion() uint64 {
+	if f.params.Incremental {
+		return f.Targets.PublicVersion()
+	}
+	return f.Targets.Version()
 }
 
 // difference gives what leads to the policy in force from an earlier revision.
@@ -92,3 +108,16 @@
 	}
 	return now.Since(f.agreed)
 }
+
+// ready gives the proxies that the directory may name: those in step, and
+// known to be by their own acknowledgements.
+func (f *Registry) ready(now ids.Time) []membership.Member {
+	var out []membership.Member
+	for _, m := range f.Live(membership.Proxy) {
+		// Where others deliver to it, its own word in the roll must do.
+		if m.Ready && (f.params.Incremental || f.Distributor.Fresh(now, m, proxyLag)) {
+			out = append(out, m)
+		}
+	}
+	return out
+}
--- a/internal/registry/departure.go
+++ b/internal/registry/departure.go
@@ -27,6 +27,9 @@
 	if f.params.Incremental {
 		// The one that it is told to speak to keeps it, from the first word on:
 		// a keeper that changes is news for everybody.
+		if old, ok := f.Targets.Get(now, c.Target.Instance); ok {
+			c.Target.Keeper = old.Keeper
+		}
 		k := f.keeperFor(now, c.Target)
 		c.Target.Keeper, c.Target.Run = k.ID, k.Start
 	}
@@ -34,6 +37,10 @@
 	f.taken(now, changed)
 	f.tellRegistries(changed)
 	if !c.Target.Usable() && (len(changed) > 0 || f.params.Incremental) {
+		// What proxies have to hold is the word at which it changed to them.
+		if f.params.Incremental {
+			c.Target.Sequence = f.Targets.MaterialSequence(c.Target.Instance)
+		}
 		p := departure{call: c.ID, target: c.Target, due: now.Add(departureWithin), waits: map[ids.Daemon]bool{}}
 		f.askParting(now, p)
 		f.departures = append(f.departures, p)
@@ -93,13 +100,22 @@
 	var best membership.Member
 	for _, m := range f.group {
 		d, have := f.view.Distance(t.Cell, m.Zone), f.view.Distance(t.Cell, best.Zone)
-		if best.ID == "" || d < have || d == have && lot(ids.Daemon(t.Instance), m.ID) < lot(ids.Daemon(t.Instance), best.ID) {
+		if best.ID == "" || d < have || d == have && f.preferred(t, m.ID, best.ID) {
 			best = m
 		}
 	}
 	return best
 }
 
+// preferred tells which of two registries that are as near keeps a target: the
+// one that does already, or else by lot.
+func (f *Registry) preferred(t targets.Target, a, b ids.Daemon) bool {
+	if t.Keeper == a || t.Keeper == b {
+		return t.Keeper == a
+	}
+	return lot(ids.Daemon(t.Instance), a) < lot(ids.Daemon(t.Instance), b)
+}
+
 // gone takes a target's word that it ends, where it says no more than its name.
 func (f *Registry) gone(now ids.Time, c DeregisterCall) {
 	t, ok := f.Targets.Get(now, c.Instance)
--- /dev/null
+++ b/internal/registry/keeper_test.go
@@ -0,0 +1,170 @@
+package registry
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"dunlinwell/internal/consensus"
+	"dunlinwell/internal/distribution"
+	"dunlinwell/internal/event"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/membership"
+	"dunlinwell/internal/targets"
+)
+
+var proxies = []ids.Daemon{"p", "q", "r", "s1"}
+
+// keeperBench is one registry of three, with proxies that acknowledge all.
+type keeperBench struct {
+	*bench
+	pushes, pushed int
+	// updates are the targets that it told the other registries of.
+	updates int
+}
+
+func newKeeperBench() *keeperBench {
+	b := &keeperBench{bench: newBench(true)}
+	b.params.Incremental = true
+	for _, n := range []ids.Daemon{"g", "h"} {
+		b.hear(membership.Heartbeat{Self: membership.Member{ID: n, Role: membership.Registry, Address: ids.Address(n), Start: 1, Incarnation: 1, Zone: "c"}})
+	}
+	for _, n := range proxies {
+		b.hear(membership.Heartbeat{Self: membership.Member{ID: n, Role: membership.Proxy, Address: ids.Address(n), Start: 1, Incarnation: 1, Zone: "c"}})
+	}
+	return b
+}
+
+// turn lets one clock event happen, with pulses of the other two whose agreement
+// is of some age.
+func (b *keeperBench) turn(age time.Duration) {
+	for _, n := range []ids.Daemon{"g", "h"} {
+		b.hear(Pulse{ID: n, Start: 1, Age: uint32(age / time.Millisecond), Yard: b.Targets.Sum()})
+	}
+	b.hear(membership.Heartbeat{Self: membership.Member{ID: "s", Role: membership.Store, Address: "10.0.0.2:1", Start: 1, Ready: true, Incarnation: 1}})
+	b.now = b.now.Add(tickEvery)
+	b.feed(event.Tick{})
+	b.served(b.now)
+}
+
+func (b *keeperBench) hear(msg any) { b.feed(event.Received{From: "10.0.0.2:1", Msg: msg}) }
+
+// feed steps the registry, answers for its store and its proxies, and counts.
+func (b *keeperBench) feed(ev event.Event) {
+	for _, c := range b.Step(b.now, ev) {
+		s, ok := c.(event.Send)
+		if !ok {
+			continue
+		}
+		switch m := s.Msg.(type) {
+		case consensus.Request:
+			b.hear(consensus.Response{ID: m.ID, State: consensus.Done, Try: m.Try})
+		case distribution.Push:
+			b.pushes++
+			b.pushed += len(m.Targets)
+			b.Step(b.now, event.Received{From: s.To, Msg: distribution.Ack{Proxy: ids.Daemon(s.To), Start: 1, Number: m.Number, Revision: m.Revision, Now: b.now}})
+		case targets.Update:
+			b.updates += len(m.List)
+		}
+	}
+}
+
+func word(i int, seq ids.Sequence, keeper ids.Daemon) targets.Target {
+	return targets.Target{Instance: ids.Instance(fmt.Sprint("i", i)), Incarnation: 1, Sequence: seq, Service: "s",
+		Address: ids.Address(fmt.Sprintf("10.0.1.%d:80", i+1)), Cell: "c", Warmth: 1, Interval: 1000, Keeper: keeper, Run: 1}
+}
+
+// While the core was cut, keepers moved hundreds of times a second, and each move
+// was pushed to every proxy: their links were full of it. Who keeps a target is no
+// news to a proxy.
+func TestAKeeperThatMovesIsNoNewsToProxies(t *testing.T) {
+	is := is.New(t)
+	b := newKeeperBench()
+	for i := range 50 {
+		b.hear(targets.Update{List: []targets.Target{word(i, 1, "g")}})
+	}
+	for range 40 {
+		b.turn(100 * time.Millisecond)
+	}
+	served := len(b.served(b.now))
+	is.True(served > 0 && b.pushed >= 50*served)
+	b.pushes, b.pushed = 0, 0
+	for n := range 60 {
+		keeper := []ids.Daemon{"g", "h"}[n%2]
+		for i := range 50 {
+			b.hear(targets.Update{List: []targets.Target{word(i, ids.Sequence(n+2), keeper)}})
+		}
+		b.turn(100 * time.Millisecond)
+	}
+	got, _ := b.Targets.Get(b.now, "i7")
+	is.Equal(got.Sequence, ids.Sequence(61)) // registries do go by it
+	is.Equal(b.pushed, 0)
+	is.True(b.pushes <= 4*served) // a word a second
+	// A target that leaves is news, whoever keeps it.
+	leaving := word(7, 80, "h")
+	leaving.Leaving = true
+	b.hear(targets.Update{List: []targets.Target{leaving}})
+	b.turn(100 * time.Millisecond)
+	b.turn(100 * time.Millisecond)
+	is.Equal(b.pushed, served)
+}
+
+// A registry whose agreement takes a little longer now and then keeps its targets
+// and its proxies; one that has none for long loses them.
+func TestWhoKeepsWhatDoesNotMoveWithEachRound(t *testing.T) {
+	is := is.New(t)
+	b := newKeeperBench()
+	for range 5 {
+		b.turn(100 * time.Millisecond)
+	}
+	is.Equal(len(b.group), 3)
+	for range 40 {
+		b.turn(1600 * time.Millisecond)
+		is.Equal(len(b.group), 3)
+		b.turn(900 * time.Millisecond)
+		is.Equal(len(b.group), 3)
+	}
+	b.turn(2600 * time.Millisecond)
+	is.Equal(len(b.group), 1)
+	b.turn(1600 * time.Millisecond) // not at once again
+	is.Equal(len(b.group), 1)
+	b.turn(500 * time.Millisecond)
+	is.Equal(len(b.group), 3)
+	// And a target stays with the one that keeps it, of two that are as near.
+	for _, n := range []ids.Daemon{"f", "g", "h"} {
+		is.Equal(b.keeperFor(b.now, word(1, 1, n)).ID, n)
+	}
+}
+
+// Copies of all targets that differ send what differs, not all there is, and end
+// the same though each knows something newer.
+func TestCopiesThatDifferSendThatAlone(t *testing.T) {
+	is := is.New(t)
+	a, b := newKeeperBench(), newKeeperBench()
+	for i := range 300 {
+		w := targets.Update{List: []targets.Target{word(i, 1, "g")}}
+		a.hear(w)
+		b.hear(w)
+	}
+	a.hear(targets.Update{List: []targets.Target{word(3, 2, "h")}})
+	// Here the target spoke again since, and said nothing new.
+	b.hear(targets.Update{List: []targets.Target{word(3, 9, "g")}})
+	is.True(a.Targets.Sum() != b.Targets.Sum())
+	sent := 0
+	compare := func(x, y *keeperBench) {
+		for _, c := range x.Step(x.now, event.Received{From: "y", Msg: TableDigest{Parts: y.Targets.Parts()}}) {
+			if s, ok := c.(event.Send); ok {
+				if u, ok := s.Msg.(targets.Update); ok {
+					sent += len(u.List)
+					y.hear(u)
+				}
+			}
+		}
+	}
+	compare(a, b)
+	compare(b, a)
+	is.Equal(a.Targets.Sum(), b.Targets.Sum())
+	is.True(sent < 30)
+}
--- a/internal/registry/peers.go
+++ b/internal/registry/peers.go
@@ -36,7 +36,11 @@
 	Sequence ids.Sequence
 }
 
-var _ = wire.Register(72, Pulse{}) && wire.Register(73, DepartureNotice{}) && wire.Register(74, DepartureAck{})
+// TableDigest sums up a registry's targets part by part; whoever has other sums
+// answers with the targets of those parts.
+type TableDigest struct{ Parts []uint64 }
+
+var _ = wire.Register(75, TableDigest{}) && wire.Register(72, Pulse{}) && wire.Register(73, DepartureNotice{}) && wire.Register(74, DepartureAck{})
 
 // peers is what a registry knows of the others, heard from themselves: across a
 // cut the roll may still hold them for alive.
@@ -50,12 +54,17 @@
 	group []membership.Member
 	ours  []membership.Member
 	drawn uint64
+	// relayed is when changed members were last handed on.
+	relayed ids.Time
 }
 
 type peer struct {
 	Pulse
-	at     ids.Time
+	at ids.Time
+	// differ is for how many pulses its targets have been others than ours.
 	differ int
+	// trusted: it may deliver to proxies and keep targets.
+	trusted bool
 }
 
 func newPeers() peers { return peers{heard: map[ids.Daemon]peer{}} }
@@ -66,8 +75,18 @@
 	peerFor = 1600 * time.Millisecond
 	// serveBy is how many registries deliver to each proxy.
 	serveBy = 2
-	// agreedOf is how old a registry's agreement may be for it to be relied on.
-	agreedOf = 1500 * time.Millisecond
+	// trustWithin is how old a registry's agreement may be for it to be relied on
+	// from then on, and distrustAfter how old for it not to be any more. Between
+	// the two it stays as it was: who delivers to whom, and who keeps which
+	// targets, doesn't move with every round that takes a little longer.
+	trustWithin   = 1200 * time.Millisecond
+	distrustAfter = 2500 * time.Millisecond
+	// compareAfter is for how many pulses copies must differ to be compared, and
+	// sendAllAfter for how many until all is sent, to one that can't compare.
+	compareAfter = 3
+	sendAllAfter = 15
+	// relayEvery is how often changed members are handed on.
+	relayEvery = 150 * time.Millisecond
 )
 
 // keepPeers is the clock event's share of it all.
@@ -93,29 +112,51 @@
 	}
 }
 
-// pulsed takes another registry's pulse, and sends it all targets where its copy
-// goes on differing: a share may have been lost.
+// pulsed takes another registry's pulse, and compares targets with it where its
+// copy goes on differing: an update may have been lost.
 func (f *Registry) pulsed(now ids.Time, m Pulse) {
 	p := f.heard[m.ID]
 	fresh := p.Start != m.Start
 	p.Pulse, p.at = m, now
+	p.trusted = trusted(p.trusted && !fresh, time.Duration(m.Age)*time.Millisecond)
 	if m.Yard == f.Targets.Sum() {
 		p.differ = 0
 	} else {
 		p.differ++
 	}
-	if fresh || p.differ >= 3 {
-		p.differ = 0
-		if to, ok := f.Get(m.ID); ok {
-			f.Send(to.Address, targets.Update{List: f.Targets.All(now)})
-		}
-	}
 	f.heard[m.ID] = p
+	to, ok := f.Get(m.ID)
+	switch {
+	case !ok:
+	case fresh || p.differ > 0 && p.differ%sendAllAfter == 0:
+		f.Send(to.Address, targets.Update{List: f.Targets.All(now)})
+	case p.differ > 0 && p.differ%compareAfter == 0:
+		f.Send(to.Address, TableDigest{Parts: f.Targets.Parts()})
+	}
+}
+
+// trusted tells whether a registry with an agreement of some age is relied on.
+func trusted(before bool, age time.Duration) bool {
+	if before {
+		return age < distrustAfter
+	}
+	return age < trustWithin
+}
+
+// compared answers another registry's sums with the targets that differ.
+func (f *Registry) compared(now ids.Time, from ids.Address, m TableDigest) {
+	if list := f.Targets.Differing(now, m.Parts); len(list) > 0 {
+		f.Send(from, targets.Update{List: list})
+	}
 }
 
 // relay hands on what changed in the roll to those served here, and what this
 // registry judged to the others.
 func (f *Registry) relay(now ids.Time) {
+	if now < f.relayed.Add(relayEvery) {
+		return
+	}
+	f.relayed = now
 	list := f.Changed()
 	if len(list) == 0 {
 		return
@@ -144,9 +185,13 @@
 	}
 	var group []membership.Member
 	sum := fnv.New64a()
-	for _, m := range f.Live(membership.Registry) {
+	for _, m := range f.All() {
+		if m.Role != membership.Registry {
+			continue
+		}
+		// Its own pulses say more than a verdict that it may be about to refute.
 		p, ok := f.heard[m.ID]
-		if m.ID == f.Self.ID || ok && now.Since(p.at) < peerFor && time.Duration(p.Age)*time.Millisecond < agreedOf {
+		if m.ID == f.Self.ID || ok && p.Start == m.Start && now.Since(p.at) < peerFor && p.trusted {
 			group = append(group, m)
 			sum.Write([]byte(m.ID))
 		}
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -216,13 +216,15 @@
 	case distribution.Ack:
 		f.Distributor.HandleAck(now, m)
 		if f.params.Incremental && !f.Distributor.IsCurrent(m.Proxy, m.Start) && m.Yard == f.Targets.Exact() {
-			f.Distributor.HasAll(m.Proxy, m.Start, f.Targets.All(now))
+			f.Distributor.HasAll(m.Proxy, m.Start, f.forProxies(now))
 		}
 		f.part(now)
 	case targets.Update:
 		f.shared(now, m.List)
 	case Pulse:
 		f.pulsed(now, m)
+	case TableDigest:
+		f.compared(now, from, m)
 	case DepartureNotice:
 		f.owes = append(f.owes, m)
 		f.part(now)
@@ -238,16 +240,3 @@
 		f.List.Receive(now, from, msg)
 	}
 }
-
-// ready gives the proxies that the directory may name: those in step, and
-// known to be by their own acknowledgements.
-func (f *Registry) ready(now ids.Time) []membership.Member {
-	var out []membership.Member
-	for _, m := range f.Live(membership.Proxy) {
-		// Where others deliver to it, its own word in the roll must do.
-		if m.Ready && (f.params.Incremental || f.Distributor.Fresh(now, m, proxyLag)) {
-			out = append(out, m)
-		}
-	}
-	return out
-}
--- a/internal/targets/entry.go
+++ b/internal/targets/entry.go
@@ -19,10 +19,16 @@
 // alike tells whether a later word says nothing new of its target.
 func (e *entry) alike(now ids.Time, t Target) bool {
 	u := e.Target
-	cold := now.Add(time.Duration(t.Cold) * time.Millisecond)
-	if t.Cold > 0 && cold.Since(e.cold) > coldSlack {
+	if e.colder(now, t) {
 		return false
 	}
+	u.Material = t.Material
 	u.Sequence, u.Age, u.Cold, u.Occupancy = t.Sequence, t.Age, t.Cold, t.Occupancy
 	return u == t
 }
+
+// colder tells whether a later word says that its target bears little for longer
+// than was known.
+func (e *entry) colder(now ids.Time, t Target) bool {
+	return t.Cold > 0 && now.Add(time.Duration(t.Cold)*time.Millisecond).Since(e.cold) > coldSlack
+}
--- a/internal/targets/keeper.go
+++ b/internal/targets/keeper.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/binary"
+	"hash"
 	"hash/fnv"
 
 	"dunlinwell/internal/ids"
@@ -33,31 +34,85 @@
 }
 
 // Sum sums up who is there, so that two copies that differ find it out.
-func (y *Table) Sum() uint64 { return y.sum(false) }
+func (y *Table) Sum() uint64 {
+	sum := uint64(0)
+	for _, p := range y.Parts() {
+		sum ^= p
+	}
+	return sum
+}
 
-// Exact sums up, besides, what each last said that was new: two copies with the
-// same one go by the same words, on cold times too.
-func (y *Table) Exact() uint64 { return y.sum(true) }
+// tableParts is into how many parts a copy is summed up, so that only the parts
+// that differ are sent.
+const tableParts = 64
 
-func (y *Table) sum(exact bool) uint64 {
-	sum := uint64(0)
+// Parts sums up who is there, part by part.
+func (y *Table) Parts() []uint64 {
+	parts := make([]uint64, tableParts)
 	for id, e := range y.list {
-		if e.Gone {
-			continue
+		if !e.Gone {
+			parts[partOf(id)] ^= e.sum(id)
 		}
-		h := fnv.New64a()
-		h.Write([]byte(id))
-		h.Write([]byte{0, byte(e.Incarnation)})
-		if e.Leaving {
-			h.Write([]byte{1})
+	}
+	return parts
+}
+
+// Differing gives the targets in the parts where another copy has other sums, with
+// the sequence of each one's last word: what a copy knows is as new as that.
+func (y *Table) Differing(now ids.Time, theirs []uint64) []Target {
+	if len(theirs) != tableParts {
+		return nil
+	}
+	ours := y.Parts()
+	var out []Target
+	for _, t := range y.All(now) {
+		if i := partOf(t.Instance); ours[i] != theirs[i] {
+			t.Sequence = y.Newest(t.Instance)
+			out = append(out, t)
 		}
-		h.Write([]byte(e.Target.Keeper))
-		if exact {
-			var raw [8]byte
-			binary.BigEndian.PutUint64(raw[:], uint64(e.Target.Sequence))
-			h.Write(raw[:])
+	}
+	return out
+}
+
+func partOf(id ids.Instance) int {
+	h := fnv.New64a()
+	h.Write([]byte(id))
+	return int(h.Sum64() % tableParts)
+}
+
+// Exact sums up what proxies go by: two copies with the same sum go by the same
+// words, on cold times too.
+func (y *Table) Exact() uint64 {
+	sum := uint64(0)
+	for id, e := range y.list {
+		if !e.Gone {
+			sum ^= e.exact(id)
 		}
-		sum ^= h.Sum64()
 	}
 	return sum
 }
+
+func (e *entry) sum(id ids.Instance) uint64 {
+	h := e.identity(id)
+	h.Write([]byte(e.Target.Keeper))
+	return h.Sum64()
+}
+
+func (e *entry) exact(id ids.Instance) uint64 {
+	h := e.identity(id)
+	var raw [8]byte
+	binary.BigEndian.PutUint64(raw[:], uint64(e.Material))
+	h.Write(raw[:])
+	return h.Sum64()
+}
+
+// identity begins a sum over one target.
+func (e *entry) identity(id ids.Instance) hash.Hash64 {
+	h := fnv.New64a()
+	h.Write([]byte(id))
+	h.Write([]byte{0, byte(e.Incarnation)})
+	if e.Leaving {
+		h.Write([]byte{1})
+	}
+	return h
+}
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -35,6 +35,9 @@
 	// while it is there, the others needn't be told that the target is.
 	Keeper ids.Daemon `json:"-"`
 	Run    ids.RunID  `json:"-"`
+	// Material is the sequence at which the target last changed in what proxies go
+	// by; zero from one that doesn't say.
+	Material ids.Sequence `json:"-"`
 }
 
 // Newer tells whether t replaces u. A verdict of "gone" holds until the
@@ -61,7 +64,9 @@
 type Table struct {
 	list    map[ids.Instance]*entry
 	version uint64
-	last    ids.Time
+	// public counts the changes that matter to proxies.
+	public uint64
+	last   ids.Time
 	// Thrifty: a word that says nothing new but that its target is there is noted
 	// and not handed on, so that what is told of targets doesn't grow with beats.
 	Thrifty bool
@@ -102,8 +107,9 @@
 		if known && !t.Newer(e.last()) {
 			if y.Thrifty && e.insists(t) {
 				// Others go by a verdict that this copy knows to be wrong.
-				e.Target.Sequence = e.newest
+				e.Target.Sequence, e.Target.Material = e.newest, e.newest
 				y.version++
+				y.public++
 				changed = append(changed, e.Target)
 			}
 			continue
@@ -123,6 +129,7 @@
 		if !t.Gone {
 			e.heard = since
 		}
+		t = y.material(now, e, t)
 		e.Target, e.newest = t, t.Sequence
 		e.cold = now.Add(time.Duration(t.Cold) * time.Millisecond)
 		y.version++
@@ -142,6 +149,7 @@
 		if e.Address == t.Address && id != t.Instance && !e.Gone {
 			e.Gone = true
 			y.version++
+			y.public++
 			out = append(out, e.Target)
 		}
 	}
@@ -180,6 +188,7 @@
 		}
 		e.Gone = true
 		y.version++
+		y.public++
 		out = append(out, e.Target)
 	}
 	return out
@@ -191,6 +200,7 @@
 		if e.Gone && now.Since(e.heard) > after {
 			delete(y.list, id)
 			y.version++
+			y.public++
 		}
 	}
 }
