--- a/internal/distribution/deliver.go
+++ b/internal/distribution/deliver.go
@@ -30,7 +30,7 @@
 		p.Targets, in = r.lacking(now, c, a, load.Targets())
 	}
 	a.seen, a.again = load.Version, false
-	if !word && len(in) == 0 && len(p.Policy) == 0 {
+	if r.Quiet && !word && len(in) == 0 && len(p.Policy) == 0 {
 		return
 	}
 	a.number++
--- a/internal/distribution/distribution.go
+++ b/internal/distribution/distribution.go
@@ -63,6 +63,8 @@
 	WordEvery time.Duration
 	// ResendAfter is how long at first what was sent is given to be acknowledged.
 	ResendAfter time.Duration
+	// Quiet: a push that would hold nothing waits until a word is due.
+	Quiet bool
 	// Spare, if set, tells which proxies somebody else delivers to first: what
 	// isn't urgent is held back from them, as they are likely to have it by then.
 	Spare func(c membership.Member) bool
--- a/internal/distribution/fulllink_test.go
+++ b/internal/distribution/fulllink_test.go
@@ -37,6 +37,7 @@
 	l := &link{Distributor: New(7, out), out: out, proxy: membership.Member{ID: "c1", Address: "c1", Start: 1}, delay: delay,
 		lost: func(ids.Time) bool { return false }, has: map[ids.Instance]ids.Time{}}
 	l.ResendAfter, l.WordEvery = 400*time.Millisecond, time.Second
+	l.Quiet = true
 	return l
 }
 
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -98,6 +98,7 @@
 	}
 	if p.Incremental {
 		f.Distributor.WordEvery, f.Distributor.ResendAfter = time.Second, 400*time.Millisecond
+		f.Distributor.Quiet = true
 		f.Distributor.Spare = func(c membership.Member) bool { return !f.nearest(c) }
 	}
 	f.policy, _ = policy.Open(nil)
