--- a/internal/proxy/gate.go
+++ b/internal/proxy/gate.go
@@ -21,8 +21,7 @@
 	in      net.Listener
 	mu      sync.Mutex
 	limits  policy.Limits
-	server  *http.Server
-	queue   *queue
+	door    *door
 	// held counts the circuits of all servers; empty wakes who waits for none.
 	held  atomic.Int64
 	empty chan struct{}
@@ -39,7 +38,7 @@
 func (q *queue) Accept() (net.Conn, error) {
 	select {
 	case c := <-q.circuits:
-		return c, nil
+		return &clientConn{Conn: c}, nil
 	case <-q.closed:
 		return nil, net.ErrClosed
 	}
@@ -60,50 +59,57 @@
 func (g *gate) limit(l policy.Limits) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.server != nil && g.limits == l {
+	if g.door != nil && g.limits == l {
 		return
 	}
-	old, last := g.server, g.queue
+	old := g.door
 	g.limits = l
-	g.queue = &queue{Listener: g.in, circuits: make(chan net.Conn), closed: make(chan struct{})}
-	g.server = &http.Server{Handler: g.handler, MaxHeaderBytes: l.MaxHeader,
-		ReadHeaderTimeout: time.Duration(l.Header) * time.Millisecond, IdleTimeout: time.Duration(l.Idle) * time.Millisecond, ConnState: g.count}
-	go func(s *http.Server, q *queue) { _ = s.Serve(q) }(g.server, g.queue)
+	g.door = g.open(l)
 	if old != nil {
-		last.Close()
-		ebb(old)
+		old.queue.Close()
+		old.end()
 	}
 }
 
-// ebb lets a server end: who is idle goes now, the others with their answer.
-// Shutdown won't do, as it drops requests that are being read just then.
-func ebb(s *http.Server) { s.SetKeepAlivesEnabled(false) }
+// open starts a server with its own queue of connections.
+func (g *gate) open(l policy.Limits) *door {
+	d := &door{queue: &queue{Listener: g.in, circuits: make(chan net.Conn), closed: make(chan struct{})}, conns: map[*clientConn]bool{}}
+	d.server = &http.Server{Handler: d.handler(g.handler), MaxHeaderBytes: l.MaxHeader,
+		ReadHeaderTimeout: time.Duration(l.Header) * time.Millisecond, IdleTimeout: time.Duration(l.Idle) * time.Millisecond,
+		ConnState: func(c net.Conn, s http.ConnState) {
+			d.follow(c, s)
+			if s == http.StateClosed || s == http.StateHijacked {
+				g.release()
+			}
+		}}
+	go func() { _ = d.server.Serve(d.queue) }()
+	return d
+}
 
-func (g *gate) count(_ net.Conn, s http.ConnState) {
-	switch s {
-	case http.StateNew:
-		g.held.Add(1)
-	case http.StateClosed, http.StateHijacked:
-		if g.held.Add(-1) > 0 {
-			return
-		}
-		select {
-		case g.empty <- struct{}{}:
-		default:
-		}
+// release counts a connection off, and wakes who waits for the last one.
+func (g *gate) release() {
+	if g.held.Add(-1) > 0 {
+		return
+	}
+	select {
+	case g.empty <- struct{}{}:
+	default:
 	}
 }
 
 // hand gives a circuit to the server of the limits in force; one that new limits
 // have just closed hands nothing on.
 func (g *gate) hand(c net.Conn) {
+	// It counts before the server has it, so that the gate doesn't end in between.
+	g.held.Add(1)
 	var last *queue
 	for {
 		g.mu.Lock()
-		q := g.queue
+		q := g.door.queue
 		g.mu.Unlock()
 		if q == last {
 			c.Close()
+			g.release()
 			return
 		}
 		select {
@@ -158,8 +164,8 @@
 		g.hand(c)
 	}
 	g.mu.Lock()
-	g.queue.Close()
-	ebb(g.server)
+	g.door.queue.Close()
+	g.door.end()
 	g.mu.Unlock()
 	over := time.After(grace - min(lameFor, grace/3))
 	for g.held.Load() > 0 {
