--- a/internal/registry/deliver.go
+++ b/internal/registry/deliver.go
@@ -16,7 +16,23 @@
 func (f *Registry) deliver(now ids.Time) {
 	f.delivered = now
 	f.Distributor.Distribute(now, f.served(now), distribution.Content{Revision: f.view.Revision, Policy: f.difference,
-		Targets: func() []targets.Target { return f.Targets.All(now) }, Version: f.Targets.Version()<<20 + uint64(f.view.Revision), Age: f.age(now)})
+		Targets: func() []targets.Target { return f.forProxies(now) }, Version: f.targetsVersion()<<20 + uint64(f.view.Revision), Age: f.age(now)})
+}
+
+// forProxies gives the targets as proxies are told of them.
+func (f *Registry) forProxies(now ids.Time) []targets.Target {
+	if f.params.Incremental {
+		return f.Targets.Public(now)
+	}
+	return f.Targets.All(now)
+}
+
+// targetsVersion grows with each change of them.
+func (f *Registry) targetsVersion() uint64 {
+	if f.params.Incremental {
+		return f.Targets.PublicVersion()
+	}
+	return f.Targets.Version()
 }
 
 // difference gives what leads to the policy in force from an earlier revision.
