--- /dev/null
+++ b/internal/consensus/founding_state_test.go
@@ -0,0 +1,207 @@
+package consensus
+
+import (
+	"fmt"
+	"slices"
+
+	"dunlinwell/internal/ids"
+)
+
+// The model of a founding: three seeds, of which the first proposes. Messages
+// are never used up, so every order, loss, delay and doubling of them is among
+// the paths; a disk may be wiped and the founder restarted between any two steps.
+// FoundingRecord's own functions decide.
+
+type foundingSet [3]uint64
+
+func (v foundingSet) voterSet() VoterSet {
+	r := VoterSet{Number: 1}
+	for i, id := range v {
+		r.Voters = append(r.Voters, Voter{ID: id, Address: ids.Address(fmt.Sprint(i))})
+	}
+	return r
+}
+
+type foundingProposal struct {
+	round uint64
+	set   foundingSet
+}
+
+// seedNode is one seed: its disk's id, its record, and the set it is active in.
+type seedNode struct {
+	id       uint64
+	record   FoundingRecord
+	active   foundingProposal
+	proposal foundingProposal
+}
+
+type foundingPromiseMessage struct {
+	foundingProposal
+	store uint64
+}
+
+type foundingBootstrapMessage struct {
+	foundingProposal
+	from Voter
+}
+
+type foundingState struct {
+	nodes      [3]seedNode
+	wipes      int
+	requests   []foundingProposal
+	promises   []foundingPromiseMessage
+	bootstraps []foundingBootstrapMessage
+	// serving are the sets that a majority was active in at one time.
+	serving []foundingSet
+}
+
+func (s foundingState) clone() foundingState {
+	s.requests, s.promises, s.bootstraps = slices.Clone(s.requests), slices.Clone(s.promises), slices.Clone(s.bootstraps)
+	s.serving = slices.Clone(s.serving)
+	return s
+}
+
+func addOnce[T comparable](list []T, x T) []T {
+	if slices.Contains(list, x) {
+		return list
+	}
+	return append(list, x)
+}
+
+const (
+	foundingWipes    = 2
+	foundingRounds   = 2
+	foundingRequests = 3
+)
+
+// foundingRules are the decisions under test; a mistake may be planted in them.
+type foundingRules struct {
+	promise func(f FoundingRecord, r FoundingRequest) (FoundingRecord, string)
+	follows func(f FoundingRecord, b Bootstrap, from Voter) bool
+}
+
+var soundFoundingRules = foundingRules{promise: FoundingRecord.Promise, follows: FoundingRecord.Follows}
+
+// idsAt are the disks that an address has had: hellos of old ones may be late.
+func (s foundingState) idsAt(i int) []uint64 {
+	var out []uint64
+	for id := uint64(i+1) * 10; id <= s.nodes[i].id; id++ {
+		out = append(out, id)
+	}
+	return out
+}
+
+// activate makes a node a member, which from then on hands its set on.
+func (s *foundingState) activate(i int, p foundingProposal) {
+	s.nodes[i].active = p
+	s.nodes[i].record.Round = p.round
+	s.bootstraps = addOnce(s.bootstraps, foundingBootstrapMessage{p, Voter{ID: s.nodes[i].id, Address: ids.Address(fmt.Sprint(i))}})
+	n := 0
+	for _, x := range s.nodes {
+		if x.active.set == p.set {
+			n++
+		}
+	}
+	if n >= 2 {
+		s.serving = addOnce(s.serving, p.set)
+	}
+}
+
+// steps gives every state that may come next.
+func (s foundingState) steps(rules foundingRules) []foundingState {
+	var out []foundingState
+	out = append(out, s.founderSteps()...)
+	for i := range s.nodes {
+		out = append(out, s.seedSteps(i, rules)...)
+		if s.wipes < foundingWipes {
+			c := s.clone()
+			c.wipes++
+			c.nodes[i] = seedNode{id: s.nodes[i].id + 1}
+			out = append(out, c)
+		}
+	}
+	return out
+}
+
+func (s foundingState) founderSteps() []foundingState {
+	var out []foundingState
+	f := s.nodes[0]
+	if f.active.round != 0 {
+		return nil
+	}
+	for round := f.record.Round + 1; round <= foundingRounds && len(s.requests) < foundingRequests; round++ {
+		for _, b := range s.idsAt(1) {
+			for _, c := range s.idsAt(2) {
+				next := s.clone()
+				p := foundingProposal{round, foundingSet{f.id, b, c}}
+				next.nodes[0].proposal = p
+				next.requests = addOnce(next.requests, p)
+				out = append(out, next)
+			}
+		}
+	}
+	if f.proposal.round == 0 {
+		return out
+	}
+	promised := 0
+	for _, id := range f.proposal.set {
+		if slices.Contains(s.promises, foundingPromiseMessage{f.proposal, id}) {
+			promised++
+		}
+	}
+	if promised == 3 && f.record.Repeats(FoundingRequest{f.proposal.round, f.proposal.set.voterSet()}) {
+		c := s.clone()
+		c.activate(0, f.proposal)
+		out = append(out, c)
+	}
+	return out
+}
+
+func (s foundingState) seedSteps(i int, rules foundingRules) []foundingState {
+	var out []foundingState
+	n := s.nodes[i]
+	if n.active.round != 0 {
+		return nil
+	}
+	for _, p := range s.requests {
+		if !slices.Contains(p.set[:], n.id) {
+			continue
+		}
+		if record, why := rules.promise(n.record, FoundingRequest{p.round, p.set.voterSet()}); why == "" {
+			c := s.clone()
+			c.nodes[i].record = record
+			c.promises = addOnce(c.promises, foundingPromiseMessage{p, n.id})
+			out = append(out, c)
+		}
+	}
+	for _, m := range s.bootstraps {
+		if slices.Contains(m.set[:], n.id) && rules.follows(n.record, Bootstrap{VoterSet: m.set.voterSet(), Round: m.round}, m.from) {
+			c := s.clone()
+			c.activate(i, m.foundingProposal)
+			out = append(out, c)
+		}
+	}
+	return out
+}
+
+// broken says which promise a state breaks.
+func (s foundingState) broken() string {
+	for i, v := range s.serving {
+		for _, w := range s.serving[:i] {
+			for _, id := range v {
+				if slices.Contains(w[:], id) {
+					return fmt.Sprintf("%v and %v have both served, and share disk %d", v, w, id)
+				}
+			}
+		}
+	}
+	// A set whose only active member was wiped is gone; two at work are a split.
+	for _, n := range s.nodes {
+		for _, m := range s.nodes {
+			if n.active.round != 0 && m.active.round != 0 && n.active.set != m.active.set && slices.Contains(m.active.set[:], n.id) {
+				return fmt.Sprintf("disk %d is in %v, while disk %d is in %v", n.id, n.active.set, m.id, m.active.set)
+			}
+		}
+	}
+	return ""
+}
--- a/internal/consensus/messages.go
+++ b/internal/consensus/messages.go
@@ -159,6 +159,8 @@
 type Bootstrap struct {
 	VoterSet VoterSet
 	Policy   []byte
+	// Round is the founding that the voter set comes from.
+	Round uint64
 }
 
 // WhoHolds asks a proxy for the policy it holds; Held answers.
--- a/internal/daemon/store.go
+++ b/internal/daemon/store.go
@@ -28,9 +28,11 @@
 // StockroomParams are what a store is told at its start.
 type StoreOptions struct {
 	config.Common
-	Data    string `help:"The data folder, held by this process alone." required:"" placeholder:"DIR"`
-	Copies  int    `help:"How many stores keep each item: one more than twice the disks that may be lost at once." default:"3"`
-	Thrifty bool   `help:"Compare rolls by parts and tell only of what differs, as registries do."`
+	Data   string `help:"The data folder, held by this process alone." required:"" placeholder:"DIR"`
+	Copies int    `help:"How many stores keep each item: one more than twice the disks that may be lost at once." default:"3"`
+	// Bootstrap is asked for on purpose: blank stores never found a fleet by themselves.
+	Bootstrap bool `help:"The fleet starts for the first time, on empty disks: the seeds, all blank and all with this flag, may found it."`
+	Thrifty   bool `help:"Compare rolls by parts and tell only of what differs, as registries do."`
 }
 
 // live runs a daemon's services while its pages are served, then lets go.
@@ -144,7 +146,7 @@
 		log.Event("error", "damaged database set aside, joining as blank", "kept", disk.SetAside)
 	}
 	m := store.New(store.Options{Options: membership.Options{Self: Self(p.Common, membership.Store), Seeds: p.SeedList(), Incremental: p.Thrifty},
-		Replicas: p.Copies, Store: disk.Store, Run: disk.Run, Storage: disk, Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))})
+		Replicas: p.Copies, Bootstrap: p.Bootstrap, Store: disk.Store, Run: disk.Run, Storage: disk, Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))})
 	post := &process.Transport{Address: ids.Address(p.Address), Bind: ids.Address(p.Bind), Log: log, Stats: &process.TrafficStats{}}
 	c := &committer{shelf: disk, log: log, inbox: make(chan event.Sync, 1<<16)}
 	disk.OnReadError = c.fatal
--- /dev/null
+++ b/internal/simulator/founding_test.go
@@ -0,0 +1,62 @@
+package simulator
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/membership"
+)
+
+// oldSeedsReturn moves the whole core to other machines and then starts the
+// first three stores again, blank and with the setting of the first start.
+func oldSeedsReturn(w *World, alone bool) {
+	w.every(2*time.Second, 11*time.Second, 3, func(i int) { w.swap(w.procs[i]) })
+	w.later(36*time.Second, func() {
+		old := map[string]bool{}
+		for _, p := range w.procs[:3] {
+			old[p.name] = true
+		}
+		if alone {
+			isOld := func(name string, _ ids.Name) bool { return old[name] }
+			isCore := func(name string, _ ids.Name) bool {
+				return !old[name] && !strings.HasPrefix(name, membership.Proxy.String())
+			}
+			w.cutOff(time.Hour, &cut{a: isOld, b: isCore})
+		}
+		for _, p := range w.procs[:3] {
+			p.lost, p.bootstrap = false, true
+			p.disk.wipe()
+			w.at[p.addr] = p
+			p.boot()
+		}
+	})
+}
+
+// Three blank stores whose settings still call it the first start come up beside
+// a core that has moved on, in its reach or with proxies alone in theirs.
+func TestOldSeedsFoundNoSecondCore(t *testing.T) {
+	is := is.New(t)
+	for _, alone := range []bool{false, true} {
+		for seed := uint64(1); seed <= 3; seed++ {
+			o := Run(Params{Seed: seed, Length: 55 * time.Second, Keep: true, Script: func(w *World) { oldSeedsReturn(w, alone) }})
+			report(t, o)
+			is.Equal(strings.Count(strings.Join(o.Log, "\n"), " founded ["), 1)
+		}
+	}
+}
+
+// The setting stays on in all settings files, and the disks of all three are lost.
+func TestStaleSettingAfterTotalLoss(t *testing.T) {
+	is := is.New(t)
+	for seed := uint64(1); seed <= 3; seed++ {
+		o := Run(Params{Seed: seed, Length: 25 * time.Second, Keep: true, StaleBootstrap: true, Script: everyDiskLost})
+		report(t, o)
+		log := strings.Join(o.Log, "\n")
+		is.Equal(strings.Count(log, " founded ["), 1)
+		is.Equal(strings.Count(log, " founded on order "), 1)
+	}
+}
--- a/internal/simulator/proc.go
+++ b/internal/simulator/proc.go
@@ -34,6 +34,8 @@
 	nextID  uint64
 	// lost processes don't come back: their machine was replaced.
 	lost bool
+	// bootstrap: the settings call the next start the fleet's first one.
+	bootstrap bool
 	// seeds are as they were set when the machine was put up.
 	seeds []ids.Address
 	// total is the CPU time that the machine's runs have spent, in ms.
@@ -97,6 +99,8 @@
 				delete(p.calls, c.ID)
 				f(c)
 			}
+		case store.RecoverResponse:
+			p.w.trace("%s answers the order to recover: %q", p.name, c.Why)
 		default:
 			p.desks.perform(c)
 		}
@@ -121,8 +125,8 @@
 	switch p.role {
 	case membership.Store:
 		p.disk.open(p)
-		h.Store, h.Run = p.disk.store, p.disk.run
-		s := store.New(store.Options{Options: roll, Store: p.disk.store, Run: p.disk.run, Storage: p.disk, Random: p.dice})
+		h.Store, h.Run, h.Bootstrap = p.disk.store, p.disk.run, p.bootstrap
+		s := store.New(store.Options{Options: roll, Store: p.disk.store, Run: p.disk.run, Storage: p.disk, Random: p.dice, Bootstrap: p.bootstrap})
 		if p.w.Defect.Ops != nil {
 			s.Teach(p.w.Defect.Ops)
 		}
--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -40,6 +40,8 @@
 	// Script, if set, brings faults about at set times instead of by lot.
 	Script func(w *World)
 	Keep   bool
+	// StaleBootstrap leaves the setting of the first start where it was.
+	StaleBootstrap bool
 	// Tape, if set, takes the daybooks of processes, for so long.
 	Tape    map[string]io.Writer
 	TapeFor time.Duration
@@ -137,7 +139,11 @@
 		}
 		for k := range n {
 			p := w.addProc(role, fmt.Sprintf("%s-%d", role, k+1), w.Plan.Cell(k), ids.Address(fmt.Sprintf("10.9.%d.%d:1", i+1, k+1)))
-			w.later(w.between(0, 300*time.Millisecond), func() { p.boot() })
+			p.bootstrap = true
+			w.later(w.between(0, 300*time.Millisecond), func() {
+				p.boot()
+				p.bootstrap = w.StaleBootstrap
+			})
 		}
 	}
 	n := 0
--- a/internal/simulator/scenes.go
+++ b/internal/simulator/scenes.go
@@ -6,6 +6,7 @@
 	"dunlinwell/internal/blueprint"
 	"dunlinwell/internal/ids"
 	"dunlinwell/internal/membership"
+	"dunlinwell/internal/store"
 )
 
 // Scenes are faults in combination, at set times. Each goes with the usual
@@ -116,8 +117,8 @@
 	})
 }
 
-// everyDiskLost wipes the whole core at once: it founds itself anew, and takes
-// the policy back from the proxies.
+// everyDiskLost wipes the whole core at once: on an operator's order it is founded
+// anew, and takes the policy back from the proxies.
 func everyDiskLost(w *World) {
 	w.counted = true
 	w.later(12*time.Second, func() {
@@ -127,6 +128,7 @@
 			p.disk.wipe()
 			w.later(w.between(500*time.Millisecond, 3*time.Second), func() { p.boot() })
 		}
+		w.later(4*time.Second, func() { w.procs[0].take(store.RecoverRequest{ID: 1}) })
 	})
 }
 
--- a/internal/simulator/tape.go
+++ b/internal/simulator/tape.go
@@ -22,6 +22,8 @@
 	Store, Run uint64
 	PlanEvery  time.Duration
 	Lease      time.Duration
+	// Bootstrap: a store had leave to found.
+	Bootstrap bool
 }
 
 // machine makes the machine of a role.
@@ -29,7 +31,7 @@
 	dice := rand.New(rand.NewPCG(h.Dice[0], h.Dice[1]))
 	switch h.Roll.Self.Role {
 	case membership.Store:
-		return store.New(store.Options{Options: h.Roll, Store: h.Store, Run: h.Run, Storage: shelf, Random: dice})
+		return store.New(store.Options{Options: h.Roll, Store: h.Store, Run: h.Run, Storage: shelf, Random: dice, Bootstrap: h.Bootstrap})
 	case membership.Registry:
 		return registry.New(registry.Options{Options: h.Roll, Random: dice, PlanEvery: h.PlanEvery})
 	}
--- /dev/null
+++ b/internal/store/cluster_test.go
@@ -0,0 +1,132 @@
+package store
+
+import (
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"time"
+
+	"dunlinwell/internal/consensus"
+	"dunlinwell/internal/event"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/membership"
+)
+
+// memoryDisk keeps records; a sync is done as soon as it is asked for.
+type memoryDisk struct {
+	id, run uint64
+	records map[ids.Key][]byte
+}
+
+func (d *memoryDisk) Get(key ids.Key) ([]byte, bool) {
+	raw, ok := d.records[key]
+	return raw, ok
+}
+
+func (d *memoryDisk) Scan(after ids.Key, n int) []event.Record {
+	var out []event.Record
+	for _, k := range slices.Sorted(maps.Keys(d.records)) {
+		if k > after && strings.HasPrefix(string(k), "item/") && len(out) < n {
+			out = append(out, event.Record{Key: k, Value: d.records[k]})
+		}
+	}
+	return out
+}
+
+type message struct {
+	from, to ids.Address
+	msg      any
+}
+
+// cluster is a few stores with a network that loses nothing but across a cut.
+type cluster struct {
+	now    ids.Time
+	stores map[ids.Address]*Store
+	disks  map[ids.Address]*memoryDisk
+	queue  []message
+	nextID uint64
+	cut    func(from, to ids.Address) bool
+	logged []event.LogEntry
+}
+
+var seedAddresses = []ids.Address{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}
+
+func newCluster() *cluster {
+	return &cluster{now: ids.Time(time.Second), stores: map[ids.Address]*Store{}, disks: map[ids.Address]*memoryDisk{}}
+}
+
+// start starts a store on the disk of its address, which is blank at first.
+func (c *cluster) start(at ids.Address, seeds []ids.Address, bootstrap bool) {
+	d := c.disks[at]
+	if d == nil {
+		c.nextID++
+		d = &memoryDisk{id: c.nextID, records: map[ids.Key][]byte{}}
+		c.disks[at] = d
+	}
+	d.run++
+	self := membership.Member{ID: ids.Daemon(at), Role: membership.Store, Address: at, Zone: "zone", Start: ids.RunID(d.run), Incarnation: ids.Incarnation(c.now)}
+	c.stores[at] = New(Options{Options: membership.Options{Self: self, Seeds: seeds}, Replicas: 3, Store: d.id, Run: d.run, Storage: d,
+		Random: rand.New(rand.NewPCG(d.id, d.run)), Bootstrap: bootstrap})
+}
+
+func (c *cluster) stop(at ids.Address) { delete(c.stores, at) }
+
+// wipe loses the disk too.
+func (c *cluster) wipe(at ids.Address) {
+	c.stop(at)
+	delete(c.disks, at)
+}
+
+func (c *cluster) perform(at ids.Address, commands []event.Command) {
+	for _, command := range commands {
+		switch x := command.(type) {
+		case event.Send:
+			c.queue = append(c.queue, message{at, x.To, x.Msg})
+		case event.Sync:
+			for _, r := range x.Records {
+				c.disks[at].records[r.Key] = r.Value
+			}
+			c.perform(at, x.Then)
+			c.perform(at, c.stores[at].Step(c.now, event.Synced{Turn: x.Turn}))
+		case event.LogEntry:
+			c.logged = append(c.logged, x)
+		}
+	}
+}
+
+// run lets time pass.
+func (c *cluster) run(d time.Duration) {
+	for end := c.now.Add(d); c.now < end; c.now = c.now.Add(20 * time.Millisecond) {
+		for _, at := range slices.Sorted(maps.Keys(c.stores)) {
+			c.perform(at, c.stores[at].Step(c.now, event.Tick{}))
+		}
+		for len(c.queue) > 0 {
+			m := c.queue[0]
+			c.queue = c.queue[1:]
+			if s := c.stores[m.to]; s != nil && (c.cut == nil || !c.cut(m.from, m.to)) {
+				c.perform(m.to, s.Step(c.now, event.Received{From: m.from, Msg: m.msg}))
+			}
+		}
+	}
+}
+
+// foundings counts how often a voter set was founded.
+func (c *cluster) foundings() int {
+	n := 0
+	for _, l := range c.logged {
+		if l.Event == "founded" || l.Event == "founded on order" {
+			n++
+		}
+	}
+	return n
+}
+
+// voters gives the voter set in force at a store.
+func (c *cluster) voters(at ids.Address) consensus.VoterSet { return c.stores[at].Acceptor.VoterSet() }
+
+func (c *cluster) startAll(bootstrap bool) {
+	for _, a := range seedAddresses {
+		c.start(a, seedAddresses, bootstrap)
+	}
+}
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -50,6 +50,8 @@
 func (s *Store) cannotRefound(now ids.Time) string {
 	ro := s.Acceptor.VoterSet()
 	switch {
+	case ro.Number == 0:
+		return s.cannotRecoverAll(now)
 	case !ro.Has(s.StoreID()):
 		return "this store has no seat in the roster: it holds nothing to go on from"
 	// The roll may not know: who is gone is judged by a majority too. What
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -27,6 +27,8 @@
 	Storage consensus.Storage
 	// Copies is how many stores keep each item, 3 or more.
 	Replicas int
+	// Bootstrap: the fleet starts for the first time, and blank seeds may found it.
+	Bootstrap bool
 }
 
 // Store is the machine.
@@ -79,6 +81,7 @@
 	s.Proposer.Subscribers = s.subscribers
 	s.voterManager = newVoterManager(founders)
 	s.voterManager.replicas = p.Replicas
+	s.founding = loadFounding(p.Storage, p.Bootstrap)
 	return s
 }
 
@@ -165,7 +168,8 @@
 			return
 		}
 		s.Submit(now, from, m)
-	case consensus.Response, consensus.VoterSetUpdate, consensus.Hello, consensus.Bootstrap, consensus.PolicyReply, consensus.PageResponse:
+	case consensus.Response, consensus.VoterSetUpdate, consensus.Hello, consensus.Bootstrap, consensus.PolicyReply, consensus.PageResponse,
+		consensus.FoundingRequest, consensus.FoundingResponse:
 		s.receiveVoterMessage(now, from, msg)
 	default:
 		s.List.Receive(now, from, msg)
--- a/internal/store/voters.go
+++ b/internal/store/voters.go
@@ -7,8 +7,6 @@
 	"dunlinwell/internal/consensus"
 	"dunlinwell/internal/ids"
 	"dunlinwell/internal/membership"
-	"dunlinwell/internal/policy"
-	"dunlinwell/internal/wire"
 )
 
 // keeper founds the voter set, and brings newcomers into it.
@@ -17,7 +15,7 @@
 	hellos          map[ids.Address]receivedHello
 	requests        uint64
 	next            ids.Time
-	bootstrapAt     ids.Time
+	founding        founding
 	survivingPolicy consensus.PolicyReply
 	gone            map[uint64]ids.Time
 	copies          map[uint64]*copyProgress
@@ -69,7 +67,8 @@
 	}
 	if ro.Number == 0 {
 		s.sendHello()
-		s.bootstrapIfDue(now)
+		s.found(now)
+		s.recoverAllIfDue(now)
 		return
 	}
 	if !ro.Has(s.StoreID()) {
@@ -100,55 +99,6 @@
 	}
 }
 
-// foundIfDue founds only where all three seeds answer and all are blank. Two
-// blank and one silent could be a fleet that lost two disks: they wait.
-func (s *Store) bootstrapIfDue(now ids.Time) {
-	first := consensus.VoterSet{Number: 1}
-	for _, a := range s.seeds {
-		m, ok := s.hellos[a]
-		if !ok || now.Since(m.at) > 2*time.Second || !m.Blank {
-			s.bootstrapAt = 0
-			s.Log("info", "not founding", "waits", string(a))
-			return
-		}
-		first.Voters = append(first.Voters, m.Store)
-	}
-	if len(first.Voters) == 0 || s.Self.Address != slices.Min(s.seeds) {
-		return
-	}
-	// What was lost is rebuilt from those who were told.
-	for _, m := range s.Live(membership.Proxy) {
-		s.Send(m.Address, consensus.PolicyQuery{})
-	}
-	if s.bootstrapAt == 0 {
-		s.bootstrapAt = now
-		return
-	}
-	if now.Since(s.bootstrapAt) < collectPolicyFor {
-		return
-	}
-	// A policy that outlived the core means that marks were lost with it.
-	if len(s.survivingPolicy.Policy) > 0 {
-		first.Loss = 1
-	}
-	s.bootstrap(first, s.survivingPolicy.Policy)
-	s.Log("info", "founded", "voter_set", "1", "policy", policy.Describe(s.survivingPolicy.Policy))
-}
-
-// begin takes up the first voter set, here or at another founding member.
-func (s *Store) bootstrap(first consensus.VoterSet, held []byte) {
-	raw, err := wire.Encode(first)
-	if err != nil {
-		return
-	}
-	// The values are planted before the voter set is: a member that votes has them.
-	s.Seed(consensus.VoterSetKey, raw)
-	if len(held) > 0 {
-		s.Seed(policy.Key, held)
-	}
-	s.AdoptVoterSet(first)
-}
-
 // listen takes what is said between stores about the voter set.
 func (s *Store) receiveVoterMessage(now ids.Time, from ids.Address, msg any) {
 	ro := s.Acceptor.VoterSet()
@@ -157,11 +107,7 @@
 		s.hellos[m.Store.Address] = receivedHello{m, now}
 		switch {
 		case m.Blank && ro.Number > 0 && ro.Has(m.Store.ID):
-			f := consensus.Bootstrap{VoterSet: ro}
-			if b, v := s.Value(policy.Key); b == (ids.Ballot{Count: 1}) {
-				f.Policy = v
-			}
-			s.Send(from, f)
+			s.Send(from, s.bootstrapFor(ro))
 		case m.VoterSet < ro.Number && !m.Blank:
 			s.Send(from, consensus.VoterSetUpdate{VoterSet: ro})
 		case m.Blank && ro.Number > 0 && !m.Response:
@@ -172,9 +118,11 @@
 			s.Send(from, consensus.Hello{Store: s.self(), Blank: ro.Number == 0, VoterSet: ro.Number, Response: true})
 		}
 	case consensus.Bootstrap:
-		if ro.Number == 0 && m.VoterSet.Has(s.StoreID()) {
-			s.bootstrap(m.VoterSet, m.Policy)
-		}
+		s.takeUp(from, m)
+	case consensus.FoundingRequest:
+		s.promiseFounding(from, m)
+	case consensus.FoundingResponse:
+		s.countPromise(now, m)
 	case consensus.PolicyReply:
 		if m.Revision > s.survivingPolicy.Revision {
 			s.survivingPolicy = m
@@ -196,7 +144,7 @@
 	old := s.Acceptor.VoterSet()
 	// A blank member of the first voter set has a seat, but wants its founder's
 	// planted values with it; News alone would leave them out.
-	if old.Number == 0 && r.Number == 1 && r.Has(s.StoreID()) {
+	if old.Number == 0 && r.IsFirst() && r.Has(s.StoreID()) {
 		return
 	}
 	if !s.AdoptVoterSet(r) {
--- a/internal/testbed/fleet.go
+++ b/internal/testbed/fleet.go
@@ -5,6 +5,7 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"slices"
 	"strings"
 	"sync"
 	"syscall"
@@ -135,6 +136,9 @@
 	switch p.Role {
 	case "store":
 		args = append(args, "--data", p.Data)
+		if slices.Contains(f.seeds, p.Address) {
+			args = append(args, "--bootstrap")
+		}
 	case "registry":
 		args = append(args, "--plan-every", f.PlanEvery.String())
 	}
