--- a/internal/consensus/proposer.go
+++ b/internal/consensus/proposer.go
@@ -33,8 +33,9 @@
 	// were last met under: they are large, and read far more often than changed.
 	cachedValues map[ids.Key]cachedValue
 	order        []ids.Key
-	count        uint64
-	high         uint64
+	// count is the number of the last round, which no other run has used.
+	count uint64
+	high  uint64
 	// early counts the ballots of first values, all below those of rounds.
 	early uint64
 }
@@ -80,11 +81,13 @@
 	value    []byte
 	// first: this round tried to be the register's first; tried: one did.
 	first, tried bool
+	// resent counts how often this phase's question was sent again.
+	resent int
 }
 
 // NewProposer makes a proposer whose ballots no other run can have used.
 func NewProposer(by uint64, roster func() VoterSet, ops map[Op]ChangeFunc, dice *rand.Rand, out *event.Outbox) *Proposer {
-	return &Proposer{out: out, random: dice, by: by, voterSet: roster, ops: ops,
+	return &Proposer{out: out, random: dice, by: by, count: firstRound(by), voterSet: roster, ops: ops,
 		IsReachable: func(uint64) bool { return true }, Subscribers: func(ids.Key) []ids.Address { return nil },
 		rounds: map[ids.Key]*round{}, promisedBallots: map[ids.Key]cachedValue{}, cachedValues: map[ids.Key]cachedValue{}}
 }
@@ -126,7 +129,7 @@
 		return
 	}
 	p.count++
-	r.id, r.began = p.count, now
+	r.id, r.began, r.resent = p.count, now, 0
 	r.promises, r.votes = map[uint64]Promise{}, map[uint64]bool{}
 	reads := !slices.ContainsFunc(r.batch, func(a *pendingRequest) bool { return a.Op != Read })
 	h, known := p.promisedBallots[r.key]
@@ -173,7 +176,7 @@
 		value, a.out = p.ops[a.Op](r.key, value, a.Arg)
 		a.sent = true
 	}
-	r.value, r.phase, r.votes = value, accepting, map[uint64]bool{}
+	r.value, r.phase, r.votes, r.resent = value, accepting, map[uint64]bool{}, 0
 	r.floor = max(r.floor, r.ballot.Count)
 	r.next = p.ballot(r)
 	p.send(now, r)
@@ -181,7 +184,7 @@
 
 // send carries the phase's question to those who have not answered it.
 func (p *Proposer) send(now ids.Time, r *round) {
-	r.resendAt = now.Add(resendAfter)
+	r.resendAt = now.Add(p.patience(r))
 	ro := p.voterSet()
 	for _, s := range ro.All() {
 		switch r.phase {
@@ -241,6 +244,7 @@
 			r.floor++
 			p.begin(now, r)
 		case r.phase != idle && now >= r.resendAt:
+			r.resent++
 			p.send(now, r)
 		}
 	}
