--- a/internal/consensus/founding.go
+++ b/internal/consensus/founding.go
@@ -35,7 +35,7 @@
 }
 
 var _ = wire.Register(36, FoundingRequest{}) && wire.Register(37, FoundingResponse{}) &&
-	wire.Register(46, FoundingRecord{})
+	wire.Register(49, FoundingRecord{})
 
 // Promise checks a proposal and gives the record with it added. A store that
 // promised an earlier set promises another one only if the two share a majority:
--- a/internal/store/founding.go
+++ b/internal/store/founding.go
@@ -226,6 +226,10 @@
 	if len(m.Policy) > 0 {
 		s.Seed(policy.Key, m.Policy)
 	}
+	// Before the first voter set nothing was agreed that a copy could lack.
+	if m.VoterSet.IsFirst() {
+		s.MarkComplete()
+	}
 	s.AdoptVoterSet(m.VoterSet)
 }
 
