--- a/internal/daemon/large_test.go
+++ b/internal/daemon/large_test.go
@@ -43,7 +43,7 @@
 		return config.Common{Name: name, Cell: "cell", Log: "error", Address: address, HTTP: freeAddress(t), Seeds: seeds}
 	}
 	for i, at := range seeds {
-		o := StoreOptions{Common: common(fmt.Sprint("store-", i+1), at), Data: t.TempDir(), Copies: 3}
+		o := StoreOptions{Common: common(fmt.Sprint("store-", i+1), at), Data: t.TempDir(), Copies: 3, Bootstrap: true}
 		go func() { ended <- RunStore(ctx, o) }()
 	}
 	o := RegistryOptions{Common: common("registry-1", freeAddress(t)), PlanEvery: 30 * time.Second, Lifetime: 2 * time.Second}
--- a/internal/policy/ops.go
+++ b/internal/policy/ops.go
@@ -12,7 +12,11 @@
 // Ops are the change functions of the policy, for one proposer alone.
 func Ops() map[consensus.Op]consensus.ChangeFunc {
 	c := &changer{}
-	return map[consensus.Op]consensus.ChangeFunc{OpMerge: c.change(OpMerge, mergeStep), OpChange: c.change(OpChange, changeStep)}
+	return map[consensus.Op]consensus.ChangeFunc{
+		OpChange:    c.change(OpChange, changeStep),
+		OpMerge:     c.change(OpMerge, mergeStep),
+		OpOrderCell: c.change(OpOrderCell, orderCellStep),
+	}
 }
 
 func changeStep(p *Policy, arg []byte) (*Policy, Result, bool) {
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -78,13 +78,16 @@
 	// delivered is when proxies were last told what they lack.
 	delivered ids.Time
 	last      ids.Time
-	seen      directory.Snapshot
-	seenBy    snapshotKey
-	seenAt    ids.Time
+	// began is when this run had its first clock event.
+	began  ids.Time
+	seen   directory.Snapshot
+	seenBy snapshotKey
+	seenAt ids.Time
 	// partings are targets that wait to hear that they may stop.
 	departures []departure
 	// awaited are control calls that wait for an agreement.
 	awaited []agreementCall
+	held    []heldCall
 	peers
 
 	plans
@@ -165,9 +168,13 @@
 		f.Log("warn", "woke", "gap_ms", itoa(uint64(now.Since(f.last)/time.Millisecond)))
 	}
 	f.last = now
+	if f.began == 0 {
+		f.began = now
+	}
 	f.Announce(f.agreed != 0 && now.Since(f.agreed) < 5*time.Second, f.view.Revision)
 	f.List.Tick(now)
 	f.endOverdue(now)
+	f.beginHeld(now)
 	f.Client.Clock(now)
 	f.keepPeers(now)
 	silent := f.silent(now)
@@ -223,23 +230,10 @@
 	case spill.Report:
 		f.Books.Enter(now, m)
 	case spill.Table:
-		f.takeTable(now, m)
+		f.takeTable(now, from, m)
 	case election.Term:
 		f.raise(now, m.Epoch)
 	default:
 		f.List.Receive(now, from, msg)
 	}
 }
-
-// ready gives the proxies that the directory may name: those in step, and
-// known to be by their own acknowledgements.
-func (f *Registry) ready(now ids.Time) []membership.Member {
-	var out []membership.Member
-	for _, m := range f.Live(membership.Proxy) {
-		// Where others deliver to it, its own word in the roll must do.
-		if m.Ready && (f.params.Incremental || f.Distributor.Fresh(now, m, proxyLag)) {
-			out = append(out, m)
-		}
-	}
-	return out
-}
