--- a/internal/consensus/runs_test.go
+++ b/internal/consensus/runs_test.go
@@ -45,8 +45,8 @@
 
 var addresses = []ids.Address{"a", "b", "c"}
 
-// addOnce appends a tag unless it is there, as every change must know itself.
-func addOnce(_ ids.Key, old, arg []byte) ([]byte, []byte) {
+// addTagOnce appends a tag unless it is there, as every change must know itself.
+func addTagOnce(_ ids.Key, old, arg []byte) ([]byte, []byte) {
 	if bytes.Contains(old, arg) {
 		return old, old
 	}
@@ -56,7 +56,7 @@
 func newNetwork(t *testing.T, seed uint64, sameNumbers bool) *network {
 	n := &network{Rand: rand.New(rand.NewPCG(seed, 7)), all: rooms(t), asked: map[uint64]appended{}, cut: map[[2]ids.Address]bool{}, now: 1, sameNumbers: sameNumbers}
 	for _, at := range addresses {
-		n.all[at].SetOps(map[Op]ChangeFunc{opAdd: addOnce})
+		n.all[at].SetOps(map[Op]ChangeFunc{opAdd: addTagOnce})
 		n.collect(at)
 	}
 	return n
@@ -148,7 +148,7 @@
 	n.runs++
 	id := n.all[at].StoreID()
 	restart(n.all, at, id<<24|n.runs)
-	n.all[at].SetOps(map[Op]ChangeFunc{opAdd: addOnce})
+	n.all[at].SetOps(map[Op]ChangeFunc{opAdd: addTagOnce})
 	if n.sameNumbers {
 		n.all[at].count = 0
 	}
--- a/internal/store/screen_test.go
+++ b/internal/store/screen_test.go
@@ -15,12 +15,12 @@
 	"dunlinwell/internal/wire"
 )
 
-// memoryDisk syncs whatever it is given at once.
-type memoryDisk map[ids.Key][]byte
+// recordMap syncs whatever it is given at once.
+type recordMap map[ids.Key][]byte
 
-func (m memoryDisk) Get(k ids.Key) ([]byte, bool) { v, ok := m[k]; return v, ok }
+func (m recordMap) Get(k ids.Key) ([]byte, bool) { v, ok := m[k]; return v, ok }
 
-func (m memoryDisk) Scan(ids.Key, int) []event.Record { return nil }
+func (m recordMap) Scan(ids.Key, int) []event.Record { return nil }
 
 const (
 	stranger = ids.Address("10.9.9.9:1")
@@ -31,8 +31,8 @@
 	{ID: 1, Address: "10.0.0.1:1"}, {ID: 2, Address: "10.0.0.2:1"}, {ID: 3, Address: "10.0.0.3:1"}}}
 
 // newVoter gives store 1 of three, and its disk.
-func newVoter() (*Store, memoryDisk) {
-	disk := memoryDisk{}
+func newVoter() (*Store, recordMap) {
+	disk := recordMap{}
 	s := New(Options{Options: membership.Options{Self: membership.Member{ID: "store-1", Address: "10.0.0.1:1", Start: 5, Incarnation: 1}},
 		Store: 1, Run: 3, Storage: disk, Random: rand.New(rand.NewPCG(1, 1)), Replicas: 3})
 	s.AdoptVoterSet(threeVoters)
@@ -42,7 +42,7 @@
 }
 
 // settle writes what was to be synced, and gives what was sent and discarded.
-func settle(s *Store, disk memoryDisk, list []event.Command) (sent []event.Send, discarded []event.Discarded) {
+func settle(s *Store, disk recordMap, list []event.Command) (sent []event.Send, discarded []event.Discarded) {
 	for len(list) > 0 {
 		c := list[0]
 		list = list[1:]
@@ -61,11 +61,11 @@
 	return sent, discarded
 }
 
-func hear(s *Store, disk memoryDisk, from ids.Address, msg any) ([]event.Send, []event.Discarded) {
+func hear(s *Store, disk recordMap, from ids.Address, msg any) ([]event.Send, []event.Discarded) {
 	return settle(s, disk, s.Step(now, event.Received{From: from, Msg: msg}))
 }
 
-func kept(disk memoryDisk) map[ids.Key]string {
+func kept(disk recordMap) map[ids.Key]string {
 	out := map[ids.Key]string{}
 	for k, v := range disk {
 		if k != rollKey {
