--- a/internal/consensus/acceptor.go
+++ b/internal/consensus/acceptor.go
@@ -1,10 +1,6 @@
 package consensus
 
 import (
-	"maps"
-	"slices"
-	"strings"
-
 	"dunlinwell/internal/event"
 	"dunlinwell/internal/ids"
 	"dunlinwell/internal/wire"
@@ -39,6 +35,9 @@
 	// ahead holds what is on its way to the disk, by the turn that syncs it.
 	unsynced map[ids.Key]unsyncedRecord
 	turn     uint64
+	// registers are those at hand, damaged tells of one that can't be read.
+	registers map[ids.Key]*register
+	damaged   bool
 }
 
 type unsyncedRecord struct {
@@ -50,10 +49,14 @@
 
 // NewAcceptor takes up where the disk left off.
 func NewAcceptor(store uint64, shelf Storage, out *event.Outbox) *Acceptor {
-	a := &Acceptor{out: out, storage: shelf, store: store, unsynced: map[ids.Key]unsyncedRecord{}}
+	a := &Acceptor{out: out, storage: shelf, store: store, unsynced: map[ids.Key]unsyncedRecord{}, registers: map[ids.Key]*register{}}
 	if raw, ok := shelf.Get("meta/roster"); ok {
 		a.voterSet, _ = unpack[VoterSet](raw)
 	}
+	if err := CheckDisk(shelf); err != nil {
+		a.damaged = true
+		out.Log("error", "registers unreadable, taking no part", "problem", err.Error())
+	}
 	return a
 }
 
@@ -72,6 +75,9 @@
 }
 
 func (a *Acceptor) slot(key ids.Key) RegisterState {
+	if !isIdempotencyKey(key) {
+		return a.register(key).RegisterState
+	}
 	s, _ := unpack[RegisterState](a.load(slotPrefix + key))
 	return s
 }
@@ -120,8 +126,9 @@
 		a.AfterSync(event.Send{To: from, Msg: VoterSetUpdate{a.voterSet}})
 		return true
 	}
-	// A member that hasn't heard of the voter set yet, or isn't in it, can't vote.
-	return number > a.voterSet.Number || !a.voterSet.Has(a.store)
+	// A member that hasn't heard of the voter set yet, or isn't in it, can't vote,
+	// nor can one that can't read what it voted for.
+	return a.damaged || number > a.voterSet.Number || !a.voterSet.Has(a.store)
 }
 
 // Prepare promises, or tells of a higher promise.
@@ -131,7 +138,7 @@
 	}
 	s := a.slot(m.Key)
 	p := Promise{Key: m.Key, Store: a.store, Round: m.Round, VoterSet: m.VoterSet,
-		Promised: s.Promised, Accepted: s.Accepted, Value: s.Value}
+		Promised: s.Promised, Accepted: s.Accepted, Value: s.Value, Differences: len(s.Value) >= differencesFrom}
 	if !m.Known.Zero() && m.Known == s.Accepted {
 		p.Value, p.Same = nil, true
 	}
@@ -140,7 +147,7 @@
 		return
 	}
 	s.Promised, p.Promised = m.Ballot, m.Ballot
-	a.persist(slotPrefix+m.Key, s, event.Send{To: from, Msg: p})
+	a.save(m.Key, s, event.Send{To: from, Msg: p})
 }
 
 // Accept keeps a value unless a higher ballot was promised.
@@ -154,7 +161,7 @@
 	if m.First {
 		ok = (s.Promised.Zero() && s.Accepted.Zero()) || s.Accepted == m.Ballot
 	}
-	w := Accepted{Key: m.Key, Store: a.store, Round: m.Round, VoterSet: m.VoterSet, OK: ok, Promised: s.Promised}
+	w := Accepted{Key: m.Key, Store: a.store, Round: m.Round, VoterSet: m.VoterSet, OK: ok, Promised: s.Promised, Differences: len(m.Value) >= differencesFrom}
 	if !ok {
 		a.AfterSync(event.Send{To: from, Msg: w})
 		return
@@ -165,49 +172,7 @@
 	}
 	s.Promised, s.Accepted, s.Value = maxBallot(m.Ballot, m.Next), m.Ballot, m.Value
 	w.Promised = s.Promised
-	a.persist(slotPrefix+m.Key, s, event.Send{To: from, Msg: w})
-}
-
-// Page serves a newcomer; only members that know of its voter set may.
-func (a *Acceptor) Page(from ids.Address, m PageRequest) {
-	if m.VoterSet != a.voterSet.Number {
-		if m.VoterSet < a.voterSet.Number {
-			a.AfterSync(event.Send{To: from, Msg: VoterSetUpdate{a.voterSet}})
-		}
-		return
-	}
-	const most = 200
-	list := a.storage.Scan(slotPrefix+m.After, most)
-	l := PageResponse{Store: a.store, VoterSet: m.VoterSet, Number: m.Number, Last: len(list) < most}
-	// What is still on its way to the disk belongs in the page as well.
-	rows := map[ids.Key][]byte{}
-	for _, r := range list {
-		rows[r.Key] = r.Value
-	}
-	for k, w := range a.unsynced {
-		if strings.HasPrefix(string(k), slotPrefix) && k > slotPrefix+m.After && (l.Last || k <= list[len(list)-1].Key) {
-			rows[k] = w.raw
-		}
-	}
-	for _, k := range slices.Sorted(maps.Keys(rows)) {
-		if s, ok := unpack[RegisterState](rows[k]); ok {
-			l.Records = append(l.Records, PageRecord{k[len(slotPrefix):], s.Accepted, s.Value})
-		}
-	}
-	a.AfterSync(event.Send{To: from, Msg: l})
-}
-
-// Merge takes a record that a newcomer copied, if its ballot is higher.
-func (a *Acceptor) Merge(l PageRecord) {
-	s := a.slot(l.Key)
-	if !s.Accepted.Less(l.Accepted) {
-		return
-	}
-	s.Accepted, s.Value = l.Accepted, l.Value
-	if s.Promised.Less(l.Accepted) {
-		s.Promised = l.Accepted
-	}
-	a.persist(slotPrefix+l.Key, s)
+	a.save(m.Key, s, event.Send{To: from, Msg: w})
 }
 
 // Roster gives the voter set in force here.
@@ -226,7 +191,7 @@
 func (a *Acceptor) Seed(key ids.Key, value []byte) {
 	if s := a.slot(key); s.Accepted.Zero() {
 		b := ids.Ballot{Count: 1}
-		a.persist(slotPrefix+key, RegisterState{Promised: maxBallot(b, s.Promised), Accepted: b, Value: value})
+		a.save(key, RegisterState{Promised: maxBallot(b, s.Promised), Accepted: b, Value: value})
 	}
 }
 
@@ -238,7 +203,7 @@
 func (a *Acceptor) ForceValue(key ids.Key, value []byte) {
 	s := a.slot(key)
 	b := ids.Ballot{Count: max(s.Promised.Count, s.Accepted.Count) + 1, By: a.store << 24}
-	a.persist(slotPrefix+key, RegisterState{Promised: b, Accepted: b, Value: value})
+	a.save(key, RegisterState{Promised: b, Accepted: b, Value: value})
 }
 
 func maxBallot(a, b ids.Ballot) ids.Ballot {
--- a/internal/consensus/consensus_test.go
+++ b/internal/consensus/consensus_test.go
@@ -1,7 +1,9 @@
 package consensus
 
 import (
+	"maps"
 	"math/rand/v2"
+	"slices"
 	"testing"
 	"time"
 
@@ -17,7 +19,25 @@
 
 func (m memory) Get(k ids.Key) ([]byte, bool) { v, ok := m[k]; return v, ok }
 
-func (m memory) Scan(ids.Key, int) []event.Record { return nil }
+func (m memory) Scan(after ids.Key, n int) []event.Record {
+	var list []event.Record
+	for _, k := range slices.Sorted(maps.Keys(m)) {
+		if k > after && k < "item0" && len(list) < n {
+			list = append(list, event.Record{Key: k, Value: m[k]})
+		}
+	}
+	return list
+}
+
+func (m memory) write(list []event.Record) {
+	for _, r := range list {
+		if r.Delete {
+			delete(m, r.Key)
+		} else {
+			m[r.Key] = r.Value
+		}
+	}
+}
 
 // room is one store with its acceptor and proposer, driven by hand.
 type room struct {
@@ -61,9 +81,7 @@
 				list = list[1:]
 				switch c := c.(type) {
 				case event.Sync:
-					for _, rec := range c.Records {
-						r.mem[rec.Key] = rec.Value
-					}
+					r.mem.write(c.Records)
 					r.Acceptor.Synced(c.Turn)
 					list = append(append([]event.Command{}, c.Then...), list...)
 				case event.Send:
@@ -88,6 +106,8 @@
 		r.Prepare(from, m)
 	case Accept:
 		r.Accept(from, m)
+	case AcceptDifference:
+		r.AcceptDifference(from, m)
 	case Promise:
 		r.HandlePromise(now, m)
 	case Accepted:
--- /dev/null
+++ b/internal/consensus/difference_test.go
@@ -0,0 +1,222 @@
+package consensus
+
+import (
+	"bytes"
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"dunlinwell/internal/event"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/wire"
+)
+
+// traffic counts what went between the stores.
+type traffic struct {
+	bytes, wholes, differences int
+	// earlier is a store of an earlier version.
+	earlier ids.Address
+}
+
+// watch lets messages pass and counts them; down holds stores that hear nothing.
+func (w *traffic) watch(all map[ids.Address]*room, now ids.Time, down map[ids.Address]bool) []Response {
+	var told []Response
+	for busy := true; busy; {
+		busy = false
+		for _, at := range []ids.Address{"a", "b", "c"} {
+			list := all[at].Drain()
+			for len(list) > 0 {
+				c := list[0]
+				list = list[1:]
+				switch c := c.(type) {
+				case event.Sync:
+					all[at].mem.write(c.Records)
+					all[at].Acceptor.Synced(c.Turn)
+					list = append(append([]event.Command{}, c.Then...), list...)
+				case event.Send:
+					busy = true
+					if r, ok := c.Msg.(Response); ok {
+						told = append(told, r)
+					} else if to := all[c.To]; to != nil && (c.To == at || !down[at] && !down[c.To]) {
+						w.count(c)
+						w.give(now, to, at, c)
+					}
+				}
+			}
+		}
+	}
+	return told
+}
+
+// give hands a message over; an earlier version skips what it doesn't know.
+func (w *traffic) give(now ids.Time, to *room, from ids.Address, c event.Send) {
+	switch m := c.Msg.(type) {
+	case AcceptDifference:
+		if c.To != w.earlier {
+			give(now, to, from, m)
+		}
+	case Accepted:
+		m.Differences = m.Differences && from != w.earlier
+		give(now, to, from, m)
+	default:
+		give(now, to, from, m)
+	}
+}
+
+func (w *traffic) count(c event.Send) {
+	raw, _ := wire.Encode(c.Msg)
+	w.bytes += len(raw)
+	switch m := c.Msg.(type) {
+	case Accept:
+		w.wholes += min(len(m.Value)/differencesFrom, 1)
+	case AcceptDifference:
+		w.differences++
+	}
+}
+
+// run submits a change at a store and lets time pass until it is answered.
+func (w *traffic) run(t *testing.T, all map[ids.Address]*room, at ids.Address, now *ids.Time, arg string, down map[ids.Address]bool) {
+	t.Helper()
+	all[at].Submit(*now, "w", Request{ID: 1, Key: "policy", Op: opAdd, Arg: []byte(arg), Wait: 60000})
+	for range 100 {
+		if told := w.watch(all, *now, down); len(told) > 0 {
+			if told[0].State != Done {
+				t.Fatalf("%q: %s", arg, told[0].State)
+			}
+			return
+		}
+		*now = now.Add(20 * time.Millisecond)
+		for _, r := range all {
+			r.Proposer.Tick(*now)
+		}
+	}
+	t.Fatalf("%q was never answered", arg)
+}
+
+func same(t *testing.T, all map[ids.Address]*room, want []byte) {
+	t.Helper()
+	b, _ := all["a"].Value("policy")
+	for at, r := range all {
+		has, got := r.Value("policy")
+		onDisk, err := loadRegister(r.mem, "policy")
+		if err != nil || has != b || !bytes.Equal(got, want) || !bytes.Equal(onDisk.Value, want) {
+			t.Fatalf("%s holds %v, %d bytes; want %v, %d bytes (%v)", at, has, len(got), b, len(want), err)
+		}
+	}
+}
+
+// A change travels as its difference, and every store holds the very same bytes.
+// One that missed changes, or whose proposer is new, is sent the value whole once.
+func TestAChangeTravelsAsItsDifference(t *testing.T) {
+	is := is.New(t)
+	all := rooms(t)
+	now, w, nobody := ids.Time(1), &traffic{}, map[ids.Address]bool{}
+	want := text(rand.New(rand.NewPCG(1, 1)), 200_000)
+	w.run(t, all, "a", &now, string(want), nobody)
+	change := func(at ids.Address, i int, down map[ids.Address]bool) {
+		arg := fmt.Sprintf("change %d;", i)
+		w.run(t, all, at, &now, arg, down)
+		want = append(want, arg...)
+	}
+	change("a", 0, nobody)
+	same(t, all, want)
+	*w = traffic{}
+	for i := range 50 {
+		change("a", i, nobody)
+	}
+	same(t, all, want)
+	is.Equal(w.wholes, 0)
+	is.Equal(w.differences, 150)
+	is.True(w.bytes/50 < 1500) // to three stores and back
+	// c is away for 300 changes, then holds what the others do after one.
+	for i := range 300 {
+		change("a", i, map[ids.Address]bool{"c": true})
+	}
+	*w = traffic{}
+	change("a", 301, nobody)
+	same(t, all, want)
+	is.Equal(w.wholes, 1)
+	// Another proposer reads, then goes on by differences.
+	change("b", 302, nobody)
+	*w = traffic{}
+	change("b", 303, nobody)
+	same(t, all, want)
+	is.Equal(w.wholes, 0)
+}
+
+// A store of an earlier version skips what it doesn't know; it is sent the value
+// whole, also if it went back to that version.
+func TestAStoreThatReadsNoDifferences(t *testing.T) {
+	all := rooms(t)
+	now, w := ids.Time(1), &traffic{}
+	want := text(rand.New(rand.NewPCG(1, 1)), 20_000)
+	w.run(t, all, "a", &now, string(want), nil)
+	w.earlier = "b"
+	for i := range 6 {
+		arg := fmt.Sprint("change ", i)
+		w.run(t, all, "a", &now, arg, nil)
+		want = append(want, arg...)
+	}
+	same(t, all, want)
+}
+
+// A difference to anything but the value held does nothing at all.
+func TestADifferenceToAnotherBase(t *testing.T) {
+	is := is.New(t)
+	all := rooms(t)
+	now, w := ids.Time(1), &traffic{}
+	w.run(t, all, "a", &now, string(text(rand.New(rand.NewPCG(1, 1)), 20_000)), nil)
+	b := all["b"]
+	held, value := b.Value("policy")
+	next := ids.Ballot{Count: held.Count + 100, By: 1}
+	for _, m := range []AcceptDifference{
+		{Base: ids.Ballot{Count: held.Count - 1, By: held.By}, Difference: nil},
+		{Base: held, Difference: []byte("damaged")},
+		{Base: held, Difference: nil},
+	} {
+		m.Key, m.Ballot, m.VoterSet, m.Round = "policy", next, 1, 9
+		b.AcceptDifference("a", m)
+		list := b.Drain()
+		is.Equal(len(list), 1)
+		answer := list[0].(event.Sync)
+		is.Equal(len(answer.Records), 0)
+		vote := answer.Then[0].(event.Send).Msg.(Accepted)
+		is.True(!vote.OK && vote.Whole)
+		has, got := b.Value("policy")
+		is.Equal(has, held)
+		is.True(bytes.Equal(got, value))
+	}
+}
+
+// A store that came back is found behind by the next reading, and brought up with
+// no change made.
+func TestAStoreThatWasAwayIsBroughtUp(t *testing.T) {
+	is := is.New(t)
+	all := rooms(t)
+	now, w, nobody := ids.Time(1), &traffic{}, map[ids.Address]bool{}
+	want := text(rand.New(rand.NewPCG(1, 1)), 20_000)
+	w.run(t, all, "a", &now, string(want), nobody)
+	for range 300 {
+		w.run(t, all, "a", &now, "x", map[ids.Address]bool{"c": true})
+		want = append(want, 'x')
+	}
+	back := now
+	read := func() {
+		all["b"].Submit(now, "w", Request{ID: 1, Key: "policy", Op: Read, Wait: 60000})
+	}
+	for now.Since(back) < 2*time.Second {
+		if now.Since(back)%(500*time.Millisecond) == 0 {
+			read() // as registries do
+		}
+		w.watch(all, now, nobody)
+		now = now.Add(20 * time.Millisecond)
+		for _, r := range all {
+			r.Proposer.Tick(now)
+		}
+	}
+	same(t, all, want)
+	is.True(w.wholes >= 2)
+}
--- a/internal/consensus/messages.go
+++ b/internal/consensus/messages.go
@@ -48,6 +48,8 @@
 	Value    []byte
 	// Same: the value is left out, as it is that of the Known ballot.
 	Same bool
+	// Differences tells that this store reads AcceptDifference.
+	Differences bool
 }
 
 // Accept asks for a value to be kept, and with it for a promise to Next, so
@@ -72,6 +74,10 @@
 	VoterSet uint64
 	OK       bool
 	Promised ids.Ballot
+	// Differences tells that this store reads AcceptDifference, Whole that it
+	// doesn't hold the base of one and asks for the value itself.
+	Differences bool
+	Whole       bool
 }
 
 // News carries a voter set to one who goes by an older one.
--- a/internal/consensus/proposer.go
+++ b/internal/consensus/proposer.go
@@ -1,7 +1,6 @@
 package consensus
 
 import (
-	"maps"
 	"math/rand/v2"
 	"slices"
 	"time"
@@ -33,6 +32,7 @@
 	// were last met under: they are large, and read far more often than changed.
 	cachedValues map[ids.Key]cachedValue
 	order        []ids.Key
+	peers
 	// count is the number of the last round, which no other run has used.
 	count uint64
 	high  uint64
@@ -83,13 +83,14 @@
 	first, tried bool
 	// resent counts how often this phase's question was sent again.
 	resent int
+	differing
 }
 
 // NewProposer makes a proposer whose ballots no other run can have used.
 func NewProposer(by uint64, roster func() VoterSet, ops map[Op]ChangeFunc, dice *rand.Rand, out *event.Outbox) *Proposer {
 	return &Proposer{out: out, random: dice, by: by, count: firstRound(by), voterSet: roster, ops: ops,
 		IsReachable: func(uint64) bool { return true }, Subscribers: func(ids.Key) []ids.Address { return nil },
-		rounds: map[ids.Key]*round{}, promisedBallots: map[ids.Key]cachedValue{}, cachedValues: map[ids.Key]cachedValue{}}
+		rounds: map[ids.Key]*round{}, promisedBallots: map[ids.Key]cachedValue{}, cachedValues: map[ids.Key]cachedValue{}, peers: newPeers()}
 }
 
 const (
@@ -168,6 +169,7 @@
 
 // propose folds the batch over the value and asks for it to be kept.
 func (p *Proposer) propose(now ids.Time, r *round, value []byte) {
+	old := value
 	for _, a := range r.batch {
 		if a.Op == Read {
 			a.out = value
@@ -177,6 +179,7 @@
 		a.sent = true
 	}
 	r.value, r.phase, r.votes, r.resent = value, accepting, map[uint64]bool{}, 0
+	r.differing = p.differ(r, old)
 	r.floor = max(r.floor, r.ballot.Count)
 	r.next = p.ballot(r)
 	p.send(now, r)
@@ -194,7 +197,7 @@
 			}
 		case accepting, replicating:
 			if !r.votes[s.ID] {
-				p.out.Send(s.Address, Accept{Key: r.key, Ballot: r.ballot, Next: r.next, VoterSet: ro.Number, Round: r.id, Value: r.value, First: r.first})
+				p.sendAccept(now, s, r, ro.Number)
 			}
 		}
 	}
@@ -219,33 +222,3 @@
 	r.batch, r.floor = nil, 0
 	p.begin(now, r)
 }
-
-// Clock resends, gives up on asks whose time is over, and ends graces.
-func (p *Proposer) Tick(now ids.Time) {
-	for _, k := range slices.Sorted(maps.Keys(p.rounds)) {
-		r := p.rounds[k]
-		r.queued = p.expire(now, r.queued)
-		if r.phase != replicating {
-			r.batch = p.expire(now, r.batch)
-		}
-		switch {
-		case r.phase == replicating && now.Since(r.began) >= grace:
-			p.finish(now, r)
-		case r.phase == idle && now >= r.retryAt:
-			p.begin(now, r)
-		case r.phase != idle && len(r.batch) == 0 && len(r.queued) == 0:
-			delete(p.rounds, k)
-		case r.first && r.phase == accepting && now.Since(r.began) >= resendAfter/2:
-			// Not every store answers: a full round settles it, and the change
-			// knows itself where some of them have it already.
-			p.retreat(now, r, r.ballot)
-		case r.phase == reading && now.Since(r.began) >= resendAfter:
-			// Copies differ or are silent: a full round settles it.
-			r.floor++
-			p.begin(now, r)
-		case r.phase != idle && now >= r.resendAt:
-			r.resent++
-			p.send(now, r)
-		}
-	}
-}
--- /dev/null
+++ b/internal/consensus/registers_test.go
@@ -0,0 +1,181 @@
+package consensus
+
+import (
+	"bytes"
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/matryer/is"
+
+	"dunlinwell/internal/event"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/wire"
+)
+
+// text gives so many bytes that no part of is like another.
+func text(dice *rand.Rand, n int) []byte {
+	out := make([]byte, n)
+	for i := range out {
+		out[i] = byte('a' + dice.IntN(26))
+	}
+	return out
+}
+
+// keeper is an acceptor of one store, whose disk can be read again.
+func keeper(mem memory) *room {
+	r := &room{mem: mem}
+	r.Acceptor = NewAcceptor(1, mem, &r.Outbox)
+	return r
+}
+
+// sync carries out what the disk was asked for, and gives the bytes written.
+func (r *room) sync() int {
+	n := 0
+	for _, c := range r.Drain() {
+		if s, ok := c.(event.Sync); ok {
+			r.mem.write(s.Records)
+			for _, rec := range s.Records {
+				n += len(rec.Value)
+			}
+			r.Acceptor.Synced(s.Turn)
+		}
+	}
+	return n
+}
+
+// However a register comes about, a restart finds the very state.
+func TestRegisterOutlivesARestart(t *testing.T) {
+	is := is.New(t)
+	dice := rand.New(rand.NewPCG(3, 4))
+	r := keeper(memory{})
+	value := text(dice, 6000)
+	for i := range 1500 {
+		b := ids.Ballot{Count: uint64(i) + 1<<41, By: 1}
+		next := RegisterState{Promised: b, Accepted: b, Value: value}
+		switch {
+		case i%50 == 49:
+			next.Accepted = r.slot("x").Accepted // a promise alone
+		case i%400 == 399:
+			value = text(dice, 100+dice.IntN(20000))
+		default:
+			at := dice.IntN(len(value))
+			value = slices.Replace(slices.Clone(value), at, min(len(value), at+dice.IntN(30)), text(dice, dice.IntN(32))...)
+		}
+		if next.Accepted == b {
+			next.Value = value
+		} else {
+			next.Value = r.slot("x").Value
+		}
+		r.save("x", next)
+		r.sync()
+		is.NoErr(CheckDisk(r.mem))
+		got, err := loadRegister(r.mem, "x")
+		is.NoErr(err)
+		is.Equal(got, *r.registers["x"])
+		is.True(bytes.Equal(got.Value, next.Value))
+		is.Equal(got.Accepted, next.Accepted)
+		is.Equal(got.Promised, next.Promised)
+		is.True(got.size <= max(len(got.Value), 1<<14)) // folded in time
+	}
+}
+
+// What a change writes goes by the change, not by the value.
+func TestBytesOfAChangeOnDisk(t *testing.T) {
+	is := is.New(t)
+	dice := rand.New(rand.NewPCG(3, 4))
+	for _, size := range []int{300_000, 1_500_000, 4_500_000} {
+		r := keeper(memory{})
+		value := text(dice, size)
+		written := 0
+		for i := range 301 {
+			b := ids.Ballot{Count: uint64(i) + 1<<41, By: 1}
+			value = slices.Clone(value)
+			copy(value[dice.IntN(len(value)-300):], text(dice, 300))
+			r.save("x", RegisterState{Promised: b, Accepted: b, Value: value})
+			if n := r.sync(); i > 0 {
+				written += n
+			}
+		}
+		t.Logf("value of %d bytes: %d bytes synced a change", size, written/300)
+		is.True(written/300 < 600)
+	}
+}
+
+// A folder of an earlier version is one whole record without a checksum.
+func TestRegisterOfAnEarlierVersion(t *testing.T) {
+	is := is.New(t)
+	dice := rand.New(rand.NewPCG(3, 4))
+	b := ids.Ballot{Count: 1 << 41, By: 7}
+	old := RegisterState{Promised: b, Accepted: b, Value: text(dice, 9000)}
+	raw, err := wire.Encode(old)
+	is.NoErr(err)
+	mem := memory{"item/policy": raw, "item/mark/r/1": []byte("anything")}
+	is.NoErr(CheckDisk(mem))
+	r := keeper(mem)
+	is.Equal(r.slot("policy"), old)
+	next := old
+	next.Accepted.Count++
+	next.Value = append(slices.Clone(old.Value), "and more"...)
+	r.save("policy", next)
+	is.True(r.sync() < 200)
+	is.Equal(keeper(mem).slot("policy"), next)
+	is.Equal(mem["item/policy"], raw) // the base stays
+}
+
+// Whatever is damaged, cut short or missing is found at the start, and a store
+// that can't read what it voted for takes no part.
+func TestDamagedRegistersAreFound(t *testing.T) {
+	is := is.New(t)
+	dice := rand.New(rand.NewPCG(3, 4))
+	whole := memory{}
+	r := keeper(whole)
+	r.AdoptVoterSet(VoterSet{Number: 1, Voters: []Voter{{1, "a"}}})
+	value := text(dice, 5000)
+	for i := range 5 {
+		b := ids.Ballot{Count: uint64(i) + 1<<41, By: 1}
+		value = append(slices.Clone(value), fmt.Sprint("change ", i)...)
+		r.save("policy", RegisterState{Promised: b, Accepted: b, Value: value})
+	}
+	r.sync()
+	is.NoErr(CheckDisk(whole))
+	is.Equal(len(whole), 6)
+	for key, raw := range whole {
+		if key == "meta/roster" {
+			continue
+		}
+		for name, spoil := range map[string]func(memory){
+			"missing":      func(m memory) { delete(m, key) },
+			"cut short":    func(m memory) { m[key] = raw[:len(raw)-1] },
+			"cut in half":  func(m memory) { m[key] = raw[:len(raw)/2] },
+			"empty":        func(m memory) { m[key] = nil },
+			"flipped":      func(m memory) { m[key] = flip(raw, len(raw)/2) },
+			"newer format": func(m memory) { m[key] = flip(raw, 4) },
+		} {
+			m := maps.Clone(whole)
+			spoil(m)
+			// The last change gone is an older state of the disk, which no disk can
+			// tell by itself.
+			if last := changeKey("policy", 3); name == "missing" && key == last {
+				continue
+			}
+			if err := CheckDisk(m); err == nil {
+				t.Errorf("%s %s: not found", key, name)
+			}
+			again := keeper(m)
+			log, ok := again.Drain()[0].(event.LogEntry)
+			is.True(ok && log.Level == "error" && strings.Contains(log.Event, "unreadable"))
+			again.Prepare("a", Prepare{Key: "policy", Ballot: ids.Ballot{Count: 1 << 50}, VoterSet: 1})
+			is.Equal(len(again.Drain()), 0)
+		}
+	}
+}
+
+func flip(raw []byte, at int) []byte {
+	out := slices.Clone(raw)
+	out[at] ^= 0x55
+	return out
+}
--- a/internal/consensus/replies.go
+++ b/internal/consensus/replies.go
@@ -9,6 +9,8 @@
 
 // Promised takes an acceptor's promise.
 func (p *Proposer) HandlePromise(now ids.Time, m Promise) {
+	p.answered(m.Store, m.Differences)
+	p.bringUp(now, m)
 	r := p.rounds[m.Key]
 	if r == nil || r.id != m.Round || (r.phase != reading && r.phase != preparing) || m.VoterSet != p.voterSet().Number {
 		return
@@ -74,6 +76,7 @@
 
 func (p *Proposer) peeked(now ids.Time, r *round, top Promise, settled bool) {
 	if settled {
+		p.noteSettled(now, r.key, top.Accepted, top.Value)
 		for _, a := range r.batch {
 			a.out = top.Value
 		}
@@ -114,10 +117,15 @@
 
 // Accepted takes an acceptor's vote.
 func (p *Proposer) HandleAccepted(now ids.Time, m Accepted) {
+	p.answered(m.Store, m.Differences)
 	r := p.rounds[m.Key]
 	if r == nil || r.id != m.Round || (r.phase != accepting && r.phase != replicating) || m.VoterSet != p.voterSet().Number {
 		return
 	}
+	if m.Whole {
+		p.sendWhole(now, r, m.Store)
+		return
+	}
 	if !m.OK {
 		if r.phase == accepting {
 			p.retreat(now, r, m.Promised)
@@ -132,9 +140,8 @@
 		r.phase, r.began = replicating, now
 		p.cacheBallot(r)
 		p.cacheValue(r.key, r.ballot, r.value)
-		for _, to := range p.Subscribers(r.key) {
-			p.out.Send(to, Chosen{Key: r.key, Value: r.value})
-		}
+		p.noteSettled(now, r.key, r.ballot, r.value)
+		p.sendChosen(r)
 	}
 	// Marks need no grace: a lost disk's place is filled from a majority.
 	if isIdempotencyKey(r.key) || p.everyLive(r) {
--- a/internal/daemon/store.go
+++ b/internal/daemon/store.go
@@ -13,6 +13,7 @@
 
 	"dunlinwell/internal/api"
 	"dunlinwell/internal/config"
+	"dunlinwell/internal/consensus"
 	"dunlinwell/internal/errs"
 	"dunlinwell/internal/event"
 	"dunlinwell/internal/idempotency"
@@ -139,13 +140,13 @@
 // RunStockroom runs a store until the context ends.
 func RunStore(ctx context.Context, p StoreOptions) error {
 	log := process.NewLog(p.Log, p.Name)
-	disk, err := storage.Open(p.Data)
+	disk, err := storage.OpenChecked(p.Data, func(d *storage.Database) error { return consensus.CheckDisk(d) })
 	if err != nil {
 		return &StartError{errs.Wrap(err, "--data", "")}
 	}
 	defer disk.Close()
 	if disk.SetAside != "" {
-		log.Event("error", "damaged database set aside, joining as blank", "kept", disk.SetAside)
+		log.Event("error", "damaged database set aside, joining as blank", "kept", disk.SetAside, "problem", disk.Damage.Error())
 	}
 	m := store.New(store.Options{Options: membership.Options{Self: Self(p.Common, membership.Store), Seeds: p.SeedList(), Incremental: p.Thrifty},
 		Replicas: p.Copies, Store: disk.Store, Run: disk.Run, Storage: disk, Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))})
--- a/internal/policy/encode_test.go
+++ b/internal/policy/encode_test.go
@@ -26,12 +26,12 @@
 		for i, body := range odd {
 			n := ids.Name(fmt.Sprintf("é<%d>%d", i, round))
 			p.Routes[n] = Item{Version: 3, Body: json.RawMessage(body), At: ids.Revision(i)}
-			p.Services[n] = Item{Version: 1 << 60, Body: json.RawMessage(`{}`), Source: json.RawMessage(body), Merged: i%2 == 0}
+			p.Services[n] = Item{Version: 1 << 60, By: "b<", Prev: 3, Given: true, Body: json.RawMessage(`{}`), Source: json.RawMessage(body), Merged: i%2 == 0}
 			if round > 1 {
 				p.Limits[n] = Item{Body: json.RawMessage(body)}
 			}
 		}
-		p.bury("route/x", 7)
+		p.bury("route/x", Tombstone{Version: 7, By: "a"})
 		p.Recent = keep(p.Recent, Result{ID: "a", Revision: 2}, 5)
 	}
 	p.Base, p.Cells = 4, nil
--- a/internal/registry/deliver.go
+++ b/internal/registry/deliver.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"dunlinwell/internal/consensus"
+	"dunlinwell/internal/delta"
 	"dunlinwell/internal/distribution"
 	"dunlinwell/internal/ids"
 	"dunlinwell/internal/membership"
@@ -62,6 +63,29 @@
 	}
 }
 
+// chosen takes news of a change.
+func (f *Registry) chosen(now ids.Time, m consensus.Chosen) {
+	if m.Key == policy.Key {
+		f.adopt(m.Value)
+		f.deliver(now)
+	}
+}
+
+// chosenDifference takes news of a change; where it doesn't lead on from the
+// value at hand, that is read anew.
+func (f *Registry) chosenDifference(now ids.Time, m consensus.ChosenDifference) {
+	if m.Key != policy.Key {
+		return
+	}
+	next, err := delta.Apply(f.whole, m.Difference)
+	if err != nil {
+		f.poll = now
+		return
+	}
+	f.adopt(next)
+	f.deliver(now)
+}
+
 // adopt takes a chosen policy if it is newer. It never goes back.
 func (f *Registry) adopt(raw []byte) {
 	if len(raw) > 0 && bytes.Equal(raw, f.whole) {
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -206,10 +206,9 @@
 			f.deliver(now)
 		}
 	case consensus.Chosen:
-		if m.Key == policy.Key {
-			f.adopt(m.Value)
-			f.deliver(now)
-		}
+		f.chosen(now, m)
+	case consensus.ChosenDifference:
+		f.chosenDifference(now, m)
 	case distribution.Ack:
 		f.Distributor.HandleAck(now, m)
 		if f.params.Incremental && !f.Distributor.IsCurrent(m.Proxy, m.Start) && m.Yard == f.Targets.Exact() {
--- a/internal/simulator/disk.go
+++ b/internal/simulator/disk.go
@@ -97,6 +97,10 @@
 	d.busy = false
 	for _, s := range done {
 		for _, r := range s.Records {
+			if r.Delete {
+				delete(d.records, r.Key)
+				continue
+			}
 			d.records[r.Key] = r.Value
 			d.age(r.Key)
 		}
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -19,8 +19,9 @@
 	"dunlinwell/internal/ids"
 )
 
-// Format is the disk format written here; a newer one is left untouched.
-const Format = 1
+// Format is the disk format written here; a newer one is left untouched. In 2 a
+// register may have changes behind it, which a reader of 1 would not see.
+const Format = 2
 
 // Shelf is one data folder.
 type Database struct {
@@ -37,6 +38,8 @@
 	Run   uint64
 	// SetAside names a damaged database that was put out of the way.
 	SetAside string
+	// Damage is why that was done.
+	Damage error
 	// Broken is told of a disk that can't be read, and must end the process.
 	OnReadError func(error)
 	ran         int64
@@ -48,11 +51,15 @@
 var started = time.Now()
 
 // Open takes a data folder for this process alone.
-func Open(dir string) (*Database, error) {
-	return open(dir, func() time.Duration { return time.Since(started) })
+func Open(dir string) (*Database, error) { return OpenChecked(dir, nil) }
+
+// OpenChecked opens a folder whose records must pass a check as well; one that
+// doesn't is set aside like a damaged one.
+func OpenChecked(dir string, check func(*Database) error) (*Database, error) {
+	return open(dir, func() time.Duration { return time.Since(started) }, check)
 }
 
-func open(dir string, clock func() time.Duration) (*Database, error) {
+func open(dir string, clock func() time.Duration, check func(*Database) error) (*Database, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, errs.Wrap(err, "make data folder", dir)
 	}
@@ -66,17 +73,13 @@
 	}
 	s := &Database{lock: lock, opened: clock(), clock: clock}
 	path := filepath.Join(dir, "stockroom.db")
-	err = s.open(path)
+	err = s.openAndCheck(path, check)
 	if _, newer := err.(*NewerFormat); err != nil && !newer {
 		// Damaged: kept for whoever wants to look, and begun anew as blank.
-		s.SetAside = fmt.Sprintf("%s.damaged-%d", path, time.Now().UnixNano())
-		for _, end := range []string{"", "-wal", "-shm"} {
-			if e := os.Rename(path+end, s.SetAside+end); e != nil && !os.IsNotExist(e) {
-				lock.Close()
-				return nil, errs.Wrap(e, "set damaged database aside", dir)
-			}
+		s.Damage = err
+		if err = s.setAside(path); err == nil {
+			err = s.open(path)
 		}
-		err = s.open(path)
 	}
 	if err != nil {
 		lock.Close()
@@ -229,14 +232,3 @@
 	}
 	return out
 }
-
-// Close lets go of the folder.
-func (s *Database) Close() error {
-	for _, x := range []*sql.Stmt{s.put, s.drop, s.load, s.page} {
-		_ = x.Close()
-	}
-	_ = s.writer.Close()
-	err := s.db.Close()
-	s.lock.Close()
-	return errs.Wrap(err, "close", "disk")
-}
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -88,6 +88,33 @@
 	is.Equal(kept, raw)
 }
 
+// A database whose records fail the check is set aside as a damaged one is.
+func TestRecordsThatFailTheCheckAreSetAside(t *testing.T) {
+	is := is.New(t)
+	dir := t.TempDir()
+	check := func(d *Database) error {
+		if raw, ok := d.Get("item/policy"); ok && string(raw) == "damaged" {
+			return errors.New("it is damaged")
+		}
+		return nil
+	}
+	s, err := OpenChecked(dir, check)
+	is.NoErr(err)
+	is.Equal(s.SetAside, "")
+	store := s.Store
+	is.NoErr(s.Write([]event.Record{{Key: "item/policy", Value: []byte("damaged")}}))
+	is.NoErr(s.Close())
+	s, err = OpenChecked(dir, check)
+	is.NoErr(err)
+	defer s.Close()
+	is.True(s.Store != store)
+	is.Equal(s.Damage.Error(), "it is damaged")
+	_, ok := s.Get("item/policy")
+	is.True(!ok)
+	_, err = os.Stat(s.SetAside)
+	is.NoErr(err)
+}
+
 // Marks age by measured running time, and go in small batches.
 func TestPrune(t *testing.T) {
 	is := is.New(t)
@@ -116,7 +143,7 @@
 	const keep, step = 24 * time.Hour, 10 * time.Minute
 	dir, now := t.TempDir(), time.Duration(0)
 	clock := func() time.Duration { return now }
-	s, err := open(dir, clock)
+	s, err := open(dir, clock, nil)
 	is.NoErr(err)
 	key := func(i int) ids.Key { return ids.Key(fmt.Sprintf("item/mark/r/%03d", i)) }
 	forgotten := 0
@@ -131,7 +158,7 @@
 			// Another run, whose own clock begins anew wherever it likes.
 			is.NoErr(s.Close())
 			now = time.Duration(i%3) * 1000 * time.Hour
-			s, err = open(dir, clock)
+			s, err = open(dir, clock, nil)
 			is.NoErr(err)
 		}
 		for k := range i + 1 {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -152,6 +152,8 @@
 		s.Prepare(from, m)
 	case consensus.Accept:
 		s.Accept(from, m)
+	case consensus.AcceptDifference:
+		s.AcceptDifference(from, m)
 	case consensus.Promise:
 		s.HandlePromise(now, m)
 	case consensus.Accepted:
@@ -175,7 +177,7 @@
 // needsDisk tells whether a message can't be answered without the disk.
 func needsDisk(msg any) bool {
 	switch msg.(type) {
-	case consensus.Prepare, consensus.Accept, consensus.PageRequest:
+	case consensus.Prepare, consensus.Accept, consensus.AcceptDifference, consensus.PageRequest:
 		return true
 	}
 	return false
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -74,6 +74,18 @@
 // Size is the length of the whole frame.
 func (h Header) Size() int { return headSize + int(h.Length) }
 
+// FrameSize tells how long the frame is that some bytes begin with.
+func FrameSize(raw []byte) (int, error) {
+	var h Header
+	if len(raw) < headSize {
+		return 0, errs.New("read head", "", "cut short")
+	}
+	if _, err := binary.Decode(raw[:headSize], binary.BigEndian, &h); err != nil || h.Magic != magic || h.Length > MaxBody {
+		return 0, errs.New("read head", "", "malformed frame")
+	}
+	return h.Size(), nil
+}
+
 // Epoched is met by messages sent under a duty's epoch.
 type Epoched interface{ UnderEpoch() uint64 }
 
