--- a/internal/daemon/large_test.go
+++ b/internal/daemon/large_test.go
@@ -21,7 +21,7 @@
 type core struct{ pages string }
 
 // freeAddress gives an address that nobody listens at.
-func freeAddress(t *testing.T) string {
+func freeAddress(t testing.TB) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -31,7 +31,7 @@
 	return l.Addr().String()
 }
 
-func startCore(t *testing.T) *core {
+func startCore(t testing.TB) *core {
 	t.Helper()
 	ctx, end := context.WithCancel(context.Background())
 	ended := make(chan error, 4)
@@ -70,7 +70,7 @@
 }
 
 // founded waits until a first change is accepted.
-func (c *core) founded(t *testing.T) {
+func (c *core) founded(t testing.TB) {
 	t.Helper()
 	body := json.RawMessage(`{"tier":3}`)
 	first := policy.Given{Kind: "service", Name: "wader", Version: 1, Body: body, Source: body}
--- a/internal/delta/delta.go
+++ b/internal/delta/delta.go
@@ -79,31 +79,30 @@
 	}
 }
 
-// align looks for the first place of b that also stands at an anchor of a.
+// align looks for the nearest place of b that also stands at an anchor of a: the
+// one with the least left out and new together, as much of a policy is alike.
 func align(a, b []byte) (skip, insert int, found bool) {
-	places := map[uint32][]int{}
+	places := make(map[uint32]int, len(a)/anchor)
 	for at := 0; at+anchor <= len(a); at += anchor {
+		// Of equal anchors the first is the nearest.
 		h := hash(a[at:])
-		if len(places[h]) < 4 {
-			places[h] = append(places[h], at)
+		if _, known := places[h]; !known {
+			places[h] = at
 		}
 	}
-	if len(places) == 0 {
-		return 0, 0, false
-	}
-	for at := 0; at+anchor <= len(b); at++ {
-		for _, place := range places[hash(b[at:])] {
-			if !bytes.Equal(a[place:place+anchor], b[at:at+anchor]) {
-				continue
-			}
-			back := 0
-			for back < min(place, at) && a[place-back-1] == b[at-back-1] {
-				back++
-			}
-			return place - back, at - back, true
+	best := len(a) + len(b)
+	for at := 0; at+anchor <= len(b) && at < best; at++ {
+		place, known := places[hash(b[at:])]
+		if !known || place+at >= best || !bytes.Equal(a[place:place+anchor], b[at:at+anchor]) {
+			continue
+		}
+		back := 0
+		for back < min(place, at) && a[place-back-1] == b[at-back-1] {
+			back++
 		}
+		skip, insert, found, best = place-back, at-back, true, place+at
 	}
-	return 0, 0, false
+	return skip, insert, found
 }
 
 // hash mixes the bytes of an anchor; whatever it gives is compared in full.
--- a/internal/delta/delta_test.go
+++ b/internal/delta/delta_test.go
@@ -66,8 +66,10 @@
 func TestDifferenceIsSmall(t *testing.T) {
 	is := is.New(t)
 	for _, n := range []int{1000, 5000, 15000} {
-		d := Make(items(n, 0, 250), items(n, 1, 250))
-		is.True(len(d) < 200)
+		for changed := range 12 {
+			d := Make(items(n, changed, 250), items(n, changed+1, 250))
+			is.True(len(d) < 200)
+		}
 	}
 }
 
@@ -93,6 +95,18 @@
 	}
 }
 
+// Many changed items that are much like one another cost no more than they are.
+func TestManyChangesAmongLikeItems(t *testing.T) {
+	is := is.New(t)
+	base := items(5000, 0, 0)
+	next := bytes.ReplaceAll(base, []byte(`"s3"`), []byte(`"another"`))
+	d := Make(base, next)
+	got, err := Apply(base, d)
+	is.NoErr(err)
+	is.True(bytes.Equal(got, next))
+	is.True(len(d) < 5000/7*40)
+}
+
 func BenchmarkOneOf15000(b *testing.B) {
 	base, next := items(15000, 0, 250), items(15000, 1, 250)
 	d := Make(base, next)
