--- a/internal/daemon/changes_bench_test.go
+++ b/internal/daemon/changes_bench_test.go
@@ -1,8 +1,12 @@
 package daemon
 
 import (
+	"bufio"
 	"fmt"
+	"net/http"
 	"slices"
+	"strconv"
+	"strings"
 	"syscall"
 	"testing"
 	"time"
@@ -36,7 +40,7 @@
 	b.Helper()
 	const changes = 300
 	var times []time.Duration
-	before := processorTime()
+	before, wire, disk := processorTime(), c.changeBytes(), c.figure("disk_bytes_total")
 	for i := range changes {
 		status, took := c.merge(policy.Merge{Items: []policy.Given{route(i%size, 2+i)}})
 		if status != 200 {
@@ -47,9 +51,42 @@
 	slices.Sort(times)
 	b.ReportMetric(float64(times[changes/2].Milliseconds()), "ms_median")
 	b.ReportMetric(float64(times[changes-1].Milliseconds()), "ms_worst")
+	b.ReportMetric((c.changeBytes()-wire)/changes, "wire_B/change")
+	b.ReportMetric((c.figure("disk_bytes_total")-disk)/changes, "synced_B/change")
 	b.ReportMetric(float64((processorTime()-before).Milliseconds())/changes, "cpu_ms/change")
 }
 
+// changeBytes is what changes sent between daemons. Readings, which come with time
+// and not with changes, are left out.
+func (c *core) changeBytes() float64 {
+	const sent = `way="sent"`
+	return c.figure("wire_bytes_total", `kind="consensus.Accept`, sent) + c.figure("wire_bytes_total", `kind="consensus.Chosen`, sent)
+}
+
+// figure sums a figure over all daemons, of those lines that have every part.
+func (c *core) figure(name string, parts ...string) float64 {
+	sum := 0.0
+	for _, pages := range c.all {
+		res, err := http.Get("http://" + pages + "/metrics")
+		if err != nil {
+			continue
+		}
+		lines := bufio.NewScanner(res.Body)
+		for lines.Scan() {
+			line := lines.Text()
+			matches := strings.HasPrefix(line, "dunlinwell_"+name)
+			for _, p := range parts {
+				matches = matches && strings.Contains(line, p)
+			}
+			if v, err := strconv.ParseFloat(line[strings.LastIndexByte(line, ' ')+1:], 64); matches && err == nil {
+				sum += v
+			}
+		}
+		res.Body.Close()
+	}
+	return sum
+}
+
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
--- a/internal/daemon/large_test.go
+++ b/internal/daemon/large_test.go
@@ -18,7 +18,11 @@
 )
 
 // core is three stores and a registry in this process, over real circuits and disks.
-type core struct{ pages string }
+type core struct {
+	// pages is the registry's address for calls, all are those of every daemon.
+	pages string
+	all   []string
+}
 
 // freeAddress gives an address that nobody listens at.
 func freeAddress(t testing.TB) string {
@@ -35,12 +39,15 @@
 	t.Helper()
 	ctx, end := context.WithCancel(context.Background())
 	ended := make(chan error, 4)
+	c := &core{}
 	var seeds []string
 	for range 3 {
 		seeds = append(seeds, freeAddress(t))
 	}
 	common := func(name, address string) config.Common {
-		return config.Common{Name: name, Cell: "cell", Log: "error", Address: address, HTTP: freeAddress(t), Seeds: seeds}
+		c.pages = freeAddress(t)
+		c.all = append(c.all, c.pages)
+		return config.Common{Name: name, Cell: "cell", Log: "error", Address: address, HTTP: c.pages, Seeds: seeds}
 	}
 	for i, at := range seeds {
 		o := StoreOptions{Common: common(fmt.Sprint("store-", i+1), at), Data: t.TempDir(), Copies: 3}
@@ -54,7 +61,7 @@
 			<-ended
 		}
 	})
-	return &core{pages: o.HTTP}
+	return c
 }
 
 // merge posts a call and gives its status, 0 for none, and how long it took.
--- a/internal/daemon/store.go
+++ b/internal/daemon/store.go
@@ -67,8 +67,8 @@
 	do    func(event.Command)
 	done  func(event.Synced)
 	log   *process.Log
-	// syncs and records count the work of the disk.
-	syncs, records atomic.Uint64
+	// syncs, records and bytes count the work of the disk.
+	syncs, records, bytes atomic.Uint64
 }
 
 const (
@@ -123,6 +123,9 @@
 		}
 		c.syncs.Add(1)
 		c.records.Add(uint64(len(records)))
+		for _, r := range records {
+			c.bytes.Add(uint64(len(r.Value)))
+		}
 	}
 	for _, s := range list {
 		for _, then := range s.Then {
@@ -184,6 +187,7 @@
 	Metrics(mux, func() []Gauge {
 		return append(TrafficGauges(post.Stats), []Gauge{{Name: "disk_syncs_total", Value: float64(c.syncs.Load()), Total: true},
 			{Name: "disk_records_total", Value: float64(c.records.Load()), Total: true},
+			{Name: "disk_bytes_total", Value: float64(c.bytes.Load()), Total: true},
 			{Name: "disk_inbox_length", Value: float64(len(c.inbox))}}...)
 	})
 	return live(ctx, "store", log, &stopping, func() error { return api.Serve(ctx, pages, mux, 1700*time.Millisecond) },
--- a/internal/policy/encode.go
+++ b/internal/policy/encode.go
@@ -56,23 +56,38 @@
 	return append(out, '}')
 }
 
-// appendJSON appends an item: its small fields as json.Marshal writes them, with
-// the body and the source set in their places.
+// appendJSON appends an item, field by field in their order. A test sets every
+// field that an Item has and compares with what json.Marshal writes.
 func (it Item) appendJSON(out []byte) []byte {
-	shell := it
-	shell.Body, shell.Source = nil, nil
-	rest, _ := json.Marshal(shell)
-	head := strconv.AppendUint([]byte(`{"version":`), uint64(it.Version), 10)
-	rest, plain := bytes.CutPrefix(rest, append(slices.Clone(head), `,"body":null`...))
-	if !plain {
-		raw, _ := json.Marshal(it)
-		return append(out, raw...)
-	}
-	out = appendRaw(append(append(out, head...), `,"body":`...), it.Body)
+	out = append(out, `{"version":`...)
+	out = strconv.AppendUint(out, uint64(it.Version), 10)
+	out = appendRaw(append(out, `,"body":`...), it.Body)
 	if len(it.Source) > 0 {
 		out = appendRaw(append(out, `,"source":`...), it.Source)
 	}
-	return append(out, rest...)
+	out = appendTrue(out, "merged", it.Merged)
+	out = appendNumber(out, "at", it.At)
+	if it.By != "" {
+		by, _ := json.Marshal(it.By)
+		out = append(append(out, `,"by":`...), by...)
+	}
+	out = appendNumber(out, "prev", it.Prev)
+	out = appendTrue(out, "given", it.Given)
+	return append(out, '}')
+}
+
+func appendTrue(out []byte, name string, set bool) []byte {
+	if set {
+		out = append(out, `,"`+name+`":true`...)
+	}
+	return out
+}
+
+func appendNumber(out []byte, name string, n ids.Revision) []byte {
+	if n != 0 {
+		out = strconv.AppendUint(append(out, `,"`+name+`":`...), uint64(n), 10)
+	}
+	return out
 }
 
 // appendRaw appends JSON in the form that json.Marshal gives it: compact, and
--- a/internal/policy/encode_test.go
+++ b/internal/policy/encode_test.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"reflect"
 	"testing"
 
 	"github.com/matryer/is"
@@ -40,6 +41,36 @@
 	is.Equal(string(p.Pack(true)), string(plain))
 }
 
+// No field of an item is left out, also none that is added later.
+func TestEveryFieldOfAnItemIsPacked(t *testing.T) {
+	is := is.New(t)
+	kind := reflect.TypeFor[Item]()
+	for set := range 1 << kind.NumField() {
+		it := Item{Body: json.RawMessage("{}")}
+		v := reflect.ValueOf(&it).Elem()
+		for i := range kind.NumField() {
+			if set>>i&1 == 0 {
+				continue
+			}
+			switch f := v.Field(i); f.Kind() {
+			case reflect.Bool:
+				f.SetBool(true)
+			case reflect.String:
+				f.SetString("<text>")
+			case reflect.Slice:
+				f.SetBytes([]byte(`{"a":1}`))
+			case reflect.Uint64:
+				f.SetUint(1 << 63)
+			default:
+				t.Fatalf("%s is of a kind that this test doesn't set", kind.Field(i).Name)
+			}
+		}
+		plain, err := json.Marshal(it)
+		is.NoErr(err)
+		is.Equal(string(it.appendJSON(nil)), string(plain))
+	}
+}
+
 // A proposer that has the policy at hand gives what one gives that reads it anew.
 func TestDecodedPolicyGivesTheSame(t *testing.T) {
 	is := is.New(t)
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -8,6 +8,8 @@
 	"time"
 
 	"github.com/matryer/is"
+
+	"dunlinwell/internal/ids"
 )
 
 func change(t *testing.T, p *Policy, id, parts string) (*Policy, Result) {
@@ -152,3 +154,21 @@
 	is.True(len(faults) > 0)
 	is.True(time.Since(from) < 2*time.Second)
 }
+
+// A view taken over from an earlier one is the one read anew.
+func TestViewFromAnEarlierOne(t *testing.T) {
+	is := is.New(t)
+	p, _ := Open(nil)
+	v := p.View()
+	for i := range 60 {
+		list := []Given{givenService("wader", ids.Revision(1+i/7)), givenRoute(fmt.Sprint("r", i%9), "wader", ids.Revision(i+1))}
+		if i%4 == 3 {
+			list[1].Removed, list[1].Body = true, nil
+		}
+		next, res := p.Merge(merging(list...))
+		is.True(res.Accepted())
+		v = next.ViewFrom(p, v)
+		p = next
+		is.Equal(v, p.View())
+	}
+}
--- a/internal/policy/view.go
+++ b/internal/policy/view.go
@@ -1,6 +1,7 @@
 package policy
 
 import (
+	"bytes"
 	"encoding/json"
 
 	"dunlinwell/internal/ids"
@@ -21,16 +22,28 @@
 }
 
 // View reads the items. They were checked when they were accepted.
-func (p *Policy) View() *View {
+func (p *Policy) View() *View { return p.ViewFrom(&Policy{}, &View{}) }
+
+// ViewFrom reads the items, and takes over from the view of an earlier policy the
+// routes and services whose bodies are the same.
+func (p *Policy) ViewFrom(earlier *Policy, had *View) *View {
 	v := &View{Revision: p.Revision, Services: map[ids.Name]Service{},
 		Routes: map[ids.Name]Route{}, Cells: map[ids.Name]Cell{}, Limits: NoLimits}
 	for n, it := range p.Services {
+		if s, ok := had.Services[n]; ok && bytes.Equal(earlier.Services[n].Body, it.Body) {
+			v.Services[n] = s
+			continue
+		}
 		s := Service{Tier: 5, Capacity: 16, Warm: 10000, Allowance: 10}
 		_ = json.Unmarshal(it.Body, &s)
 		s.Name = n
 		v.Services[n] = s
 	}
 	for n, it := range p.Routes {
+		if r, ok := had.Routes[n]; ok && bytes.Equal(earlier.Routes[n].Body, it.Body) {
+			v.Routes[n] = r
+			continue
+		}
 		r := Route{Tier: 5, Limit: 5000, MaxBody: 1 << 20, Attempts: 3}
 		_ = json.Unmarshal(it.Body, &r)
 		r.Name = n
--- a/internal/registry/deliver.go
+++ b/internal/registry/deliver.go
@@ -23,6 +23,9 @@
 // difference gives what leads to the policy in force from an earlier revision.
 func (f *Registry) difference(from ids.Revision) []byte {
 	if from == 0 || !f.params.Incremental {
+		if f.raw == nil && f.policy.Revision > 0 {
+			f.raw = f.policy.Pack(false)
+		}
 		return f.raw
 	}
 	if f.deltas == nil {
@@ -103,7 +106,8 @@
 	if p.Revision == f.policy.Revision {
 		return
 	}
-	f.policy, f.view, f.raw = p, p.View(), p.Pack(false)
+	f.view = p.ViewFrom(f.policy, f.view)
+	f.policy, f.raw = p, nil
 	clear(f.deltas)
 	f.view.Know(f.params.Regions)
 	f.Log("info", "policy", "revision", itoa(uint64(p.Revision)))
