--- a/internal/consensus/acceptor.go
+++ b/internal/consensus/acceptor.go
@@ -38,6 +38,8 @@
 	// registers are those at hand, damaged tells of one that can't be read.
 	registers map[ids.Key]*register
 	damaged   bool
+	standing  standing
+	changes   changeLog
 }
 
 type unsyncedRecord struct {
@@ -57,6 +59,7 @@
 		a.damaged = true
 		out.Log("error", "registers unreadable, taking no part", "problem", err.Error())
 	}
+	a.loadStanding()
 	return a
 }
 
@@ -91,6 +94,7 @@
 	}
 	a.turn++
 	a.unsynced[key] = unsyncedRecord{raw, a.turn}
+	a.changes.note(key)
 	a.out.Emit(event.Sync{Turn: a.turn, Records: []event.Record{{Key: key, Value: raw}}, Then: then})
 }
 
@@ -115,6 +119,7 @@
 	if r.Number <= a.voterSet.Number {
 		return false
 	}
+	a.changeStanding(r)
 	a.voterSet = r
 	a.persist("meta/roster", r)
 	return true
@@ -126,9 +131,10 @@
 		a.AfterSync(event.Send{To: from, Msg: VoterSetUpdate{a.voterSet}})
 		return true
 	}
-	// A member that hasn't heard of the voter set yet, or isn't in it, can't vote,
-	// nor can one that can't read what it voted for.
-	return a.damaged || number > a.voterSet.Number || !a.voterSet.Has(a.store)
+	// One that hasn't heard of the voter set yet, isn't in it or has not copied
+	// what was agreed before it came can't vote, nor can one that can't read what
+	// it voted for.
+	return a.damaged || number > a.voterSet.Number || !a.MayVote()
 }
 
 // Prepare promises, or tells of a higher promise.
--- a/internal/consensus/checkdisk.go
+++ b/internal/consensus/checkdisk.go
@@ -21,6 +21,11 @@
 			return errs.New("read voter set", "meta/roster", "it is damaged or of another format")
 		}
 	}
+	if raw, ok := disk.Get(standingKey); ok {
+		if _, fine := unpack[standing](raw); !fine {
+			return errs.New("read standing", standingKey, "it is damaged or of another format")
+		}
+	}
 	known := map[ids.Key]bool{}
 	after := ids.Key(slotPrefix)
 	for {
--- a/internal/consensus/lossy_test.go
+++ b/internal/consensus/lossy_test.go
@@ -44,6 +44,7 @@
 	for i, at := range []ids.Address{"a", "b", "c"} {
 		l.all[at] = &room{mem: memory{}}
 		l.start(at, uint64(i+1))
+		l.all[at].MarkComplete()
 		l.all[at].AdoptVoterSet(VoterSet{Number: 1, Voters: []Voter{{1, "a"}, {2, "b"}, {3, "c"}}})
 	}
 	return l
--- a/internal/consensus/page.go
+++ b/internal/consensus/page.go
@@ -17,9 +17,16 @@
 		}
 		return
 	}
-	const most = 200
-	list := a.storage.Scan(slotPrefix+m.After, most)
-	l := PageResponse{Store: a.store, VoterSet: m.VoterSet, Number: m.Number, Last: len(list) < most}
+	if a.damaged || !a.MayVote() {
+		return
+	}
+	if a.changes.covers(m.Epoch, m.Since) {
+		a.sendChanges(from, m)
+		return
+	}
+	list := a.storage.Scan(slotPrefix+m.After, recordsInPage)
+	l := PageResponse{Store: a.store, VoterSet: m.VoterSet, Number: m.Number, Last: len(list) < recordsInPage,
+		Epoch: a.changes.epoch, Changes: a.changes.count()}
 	// What is still on its way to the disk belongs in the page as well.
 	rows := map[ids.Key][]byte{}
 	for _, r := range list {
--- a/internal/consensus/save.go
+++ b/internal/consensus/save.go
@@ -33,5 +33,6 @@
 		return
 	}
 	a.turn++
+	a.changes.note(slotPrefix + key)
 	a.out.Emit(event.Sync{Turn: a.turn, Records: list, Then: then})
 }
