--- a/internal/consensus/bringup.go
+++ b/internal/consensus/bringup.go
@@ -9,7 +9,8 @@
 // A store that was away takes part again at once, but holds old values until the
 // next change. Meanwhile one copy less than agreed holds the newest one, so
 // whoever reads and finds such a store gives it the value: it sends it the Accept
-// that it missed. A late copy of an Accept is always harmless.
+// that it missed. A late copy of an Accept is always harmless. Where the store has
+// promised a higher ballot since, the next reading agrees on the value anew.
 
 const (
 	// bringUpAfter is how long a value must have been chosen: before that, the
@@ -49,6 +50,14 @@
 	if at, ok := sent[m.Store]; ok && now.Since(at) < bringUpEvery {
 		return
 	}
+	if s.ballot.Less(m.Promised) {
+		// It promised more meanwhile and would decline that Accept. The value is
+		// agreed on once more, by a ballot above all promises.
+		sent[m.Store] = now
+		p.high = max(p.high, m.Promised.Count)
+		p.again[m.Key] = true
+		return
+	}
 	ro := p.voterSet()
 	for _, v := range ro.All() {
 		if v.ID == m.Store && m.VoterSet == ro.Number {
--- a/internal/consensus/difference_test.go
+++ b/internal/consensus/difference_test.go
@@ -194,6 +194,13 @@
 // A store that came back is found behind by the next reading, and brought up with
 // no change made.
 func TestAStoreThatWasAwayIsBroughtUp(t *testing.T) {
+	for _, promised := range []bool{false, true} {
+		broughtUp(t, promised)
+	}
+}
+
+func broughtUp(t *testing.T, promised bool) {
+	t.Helper()
 	is := is.New(t)
 	all := rooms(t)
 	now, w, nobody := ids.Time(1), &traffic{}, map[ids.Address]bool{}
@@ -203,6 +210,11 @@
 		w.run(t, all, "a", &now, "x", map[ids.Address]bool{"c": true})
 		want = append(want, 'x')
 	}
+	if promised {
+		// Its own proposer asked, as it came back, under a ballot above all others.
+		c := all["c"]
+		c.Prepare("c", Prepare{Key: "policy", Ballot: ids.Ballot{Count: 1 << 50, By: 3}, VoterSet: 1, Round: 1})
+	}
 	back := now
 	read := func() {
 		all["b"].Submit(now, "w", Request{ID: 1, Key: "policy", Op: Read, Wait: 60000})
--- a/internal/consensus/peers.go
+++ b/internal/consensus/peers.go
@@ -13,6 +13,8 @@
 	// missed one was given it.
 	settled   map[ids.Key]settledValue
 	broughtUp map[ids.Key]map[uint64]ids.Time
+	// again holds registers whose value is to be agreed on once more as it is.
+	again map[ids.Key]bool
 }
 
 // peer is one store.
@@ -35,7 +37,8 @@
 )
 
 func newPeers() peers {
-	return peers{stores: map[uint64]*peer{}, settled: map[ids.Key]settledValue{}, broughtUp: map[ids.Key]map[uint64]ids.Time{}}
+	return peers{stores: map[uint64]*peer{}, settled: map[ids.Key]settledValue{}, broughtUp: map[ids.Key]map[uint64]ids.Time{},
+		again: map[ids.Key]bool{}}
 }
 
 func (p *peers) peer(store uint64) *peer {
--- a/internal/consensus/proposer.go
+++ b/internal/consensus/proposer.go
@@ -136,7 +136,7 @@
 	h, known := p.promisedBallots[r.key]
 	r.first = false
 	switch {
-	case reads && r.floor == 0:
+	case reads && r.floor == 0 && !p.again[r.key]:
 		r.phase = reading
 	case known:
 		// A majority promised this ballot when it took our last value.
@@ -170,6 +170,7 @@
 // propose folds the batch over the value and asks for it to be kept.
 func (p *Proposer) propose(now ids.Time, r *round, value []byte) {
 	old := value
+	delete(p.again, r.key)
 	for _, a := range r.batch {
 		if a.Op == Read {
 			a.out = value
--- a/internal/consensus/replies.go
+++ b/internal/consensus/replies.go
@@ -43,7 +43,7 @@
 		return
 	}
 	// A settled value that no ask changes needs no second phase.
-	if settled && p.unchanged(r, top.Value) {
+	if settled && !p.again[m.Key] && p.unchanged(r, top.Value) {
 		p.finish(now, r)
 		return
 	}
--- a/internal/simulator/books.go
+++ b/internal/simulator/books.go
@@ -36,8 +36,9 @@
 
 // read is an agreement read: it may not be older than anything known before.
 func (w *World) read() {
-	floor := w.Truth.Known()
+	floor, called := w.Truth.Known(), w.now
 	w.call("operator", w.Plan.Cell(0), func(x uint64) any { return registry.PolicyCall{ID: x} }, func(rep registry.Response) {
+		w.history.read(called, w.now, "a read", rep)
 		w.judge("a read", rep, floor)
 	}, nil)
 }
@@ -71,8 +72,9 @@
 		if p.role != membership.Registry || p.lost {
 			continue
 		}
-		read, floor := false, w.Truth.Known()
+		read, floor, called := false, w.Truth.Known(), w.now
 		w.callAt(p, "operator", w.Plan.Cell(0), func(x uint64) any { return registry.PolicyCall{ID: x} }, func(rep registry.Response) {
+			w.history.read(called, w.now, when, rep)
 			read = w.judge(when+", "+p.name, rep, floor)
 		}, nil)
 		w.later(5*time.Second, func() {
--- /dev/null
+++ b/internal/simulator/catchup_test.go
@@ -0,0 +1,39 @@
+package simulator
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+)
+
+// catchUpWithin is the users' catch_up_s of the small sites.
+const catchUpWithin = 4 * time.Second
+
+// A store that missed 300 changes holds them all soon after its return, with no
+// change made meanwhile, and nobody was ever answered out of what it had before.
+func TestAStoreThatMissed300Changes(t *testing.T) {
+	for absence := range Absences {
+		for store := range 2 {
+			t.Run(fmt.Sprint(absence, store), func(t *testing.T) {
+				t.Parallel()
+				is := is.New(t)
+				for _, seed := range []uint64{1, 3} {
+					took := time.Duration(-2)
+					o := Run(Params{Seed: seed, Length: 50 * time.Second, FaultEvery: -1, Script: func(w *World) {
+						w.later(2*time.Second, func() {
+							w.missChanges(w.procs[store], absence, 300, catchUpWithin, func(d time.Duration) { took = d })
+						})
+					}})
+					report(t, o)
+					changes, reads := counts(o.History)
+					t.Logf("seed %d: %d changes, %d readings, caught up after %s", seed, changes, reads, took)
+					is.True(changes > 300 && reads > 100)
+					is.True(took >= 0)
+					is.NoErr(linearizable(o.History))
+				}
+			})
+		}
+	}
+}
--- a/internal/simulator/office.go
+++ b/internal/simulator/office.go
@@ -99,7 +99,9 @@
 
 // change sends a change until its end is known, under the same id each time.
 func (w *World) change(raw string, accepted func(policy.Result)) {
-	w.resend(w.Truth.Ask([]byte(raw), w.clock()), raw, true, accepted)
+	id := w.Truth.Ask([]byte(raw), w.clock())
+	w.history.begin(w.now, id)
+	w.resend(id, raw, true, accepted)
 }
 
 // resend sends it once more; sure tells that no earlier copy can take effect.
@@ -116,6 +118,7 @@
 		// never show.
 		case !ok && sure && w.dice.IntN(3) == 0 && accepted == nil:
 			w.Truth.Decline(id)
+			w.history.declined(id)
 			return
 		case !ok:
 			again()
@@ -125,6 +128,7 @@
 		switch rep.Status {
 		case 200:
 			w.Truth.Accept(id, uint64(r.Revision), w.clock())
+			w.history.accepted(w.now, id, r.Revision)
 			w.promise(r.Revision)
 			if accepted != nil {
 				accepted(r)
@@ -132,9 +136,11 @@
 		case 400:
 			w.Truth.Wrong("%s was declined with %d: %+v", id, rep.Status, r)
 			w.Truth.Decline(id)
+			w.history.declined(id)
 		default:
 			// What it removes is gone already, or another was sooner.
 			w.Truth.Decline(id)
+			w.history.declined(id)
 		}
 	}, maybe)
 }
--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -104,6 +104,8 @@
 	Changes   int
 	Pruned    int
 	Log       []string
+	// History is what callers saw of the policy's register.
+	History []Operation
 }
 
 // Replay is the command that plays a seed again.
@@ -191,7 +193,7 @@
 
 func (w *World) outcome() Outcome {
 	o := Outcome{Seed: w.Seed, Counts: w.Truth.Verdict(), Sum: w.sum, Events: w.Events, Responses: w.Truth.Tally(time.Unix(0, 0)),
-		Changes: w.Truth.Changes(), Pruned: w.pruned, Log: w.Log}
+		Changes: w.Truth.Changes(), Pruned: w.pruned, Log: w.Log, History: w.history.operations()}
 	for _, c := range o.Counts {
 		o.Broken += c.Count
 	}
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -43,23 +43,24 @@
 // World is one simulated run.
 type World struct {
 	Params
-	now    ids.Time
-	seq    uint64
-	agenda agenda
-	dice   *rand.Rand
-	procs  []*proc
-	at     map[ids.Address]*proc
-	pool   []*target
-	owner  map[ids.Address]*target
-	cuts   []*cut
-	Truth  *checker.Truth
-	Log    []string
-	net    weather
-	office office
-	crowd  crowd
-	sum    uint64
-	Events uint64
-	healed ids.Time
+	now     ids.Time
+	seq     uint64
+	agenda  agenda
+	dice    *rand.Rand
+	procs   []*proc
+	at      map[ids.Address]*proc
+	pool    []*target
+	owner   map[ids.Address]*target
+	cuts    []*cut
+	Truth   *checker.Truth
+	Log     []string
+	net     weather
+	office  office
+	history history
+	crowd   crowd
+	sum     uint64
+	Events  uint64
+	healed  ids.Time
 	// counted: every consumer numbers its attempts. One that doesn't gets
 	// "may have run" for a while after marks were lost.
 	counted bool
