--- a/internal/policy/cluster_test.go
+++ b/internal/policy/cluster_test.go
@@ -50,12 +50,6 @@
 	return last
 }
 
-// diskMemory is a disk: what was synced outlives its process.
-type diskMemory map[ids.Key][]byte
-
-func (m diskMemory) Get(k ids.Key) ([]byte, bool)     { v, ok := m[k]; return v, ok }
-func (m diskMemory) Scan(ids.Key, int) []event.Record { return nil }
-
 // storeNode is one store's acceptor and proposer.
 type storeNode struct {
 	event.Outbox
@@ -168,9 +162,7 @@
 			if !s.up || s.run != run {
 				return
 			}
-			for _, r := range sync.Records {
-				s.disk[r.Key] = r.Value
-			}
+			s.disk.write(sync.Records)
 			s.Acceptor.Synced(sync.Turn)
 			c.obey(s, sync.Then)
 			c.carry(s)
@@ -229,6 +221,8 @@
 		s.Prepare(from, m)
 	case consensus.Accept:
 		s.Accept(from, m)
+	case consensus.AcceptDifference:
+		s.AcceptDifference(from, m)
 	case consensus.Promise:
 		s.HandlePromise(now, m)
 	case consensus.Accepted:
