--- a/internal/consensus/bringup.go
+++ b/internal/consensus/bringup.go
@@ -62,7 +62,9 @@
 	for _, v := range ro.All() {
 		if v.ID == m.Store && m.VoterSet == ro.Number {
 			sent[m.Store] = now
-			p.out.Send(v.Address, Accept{Key: m.Key, Ballot: s.ballot, VoterSet: ro.Number, Value: s.value})
+			// A round's number of its own: its vote must count for no other.
+			p.count++
+			p.out.Send(v.Address, Accept{Key: m.Key, Ballot: s.ballot, VoterSet: ro.Number, Round: p.count, Value: s.value})
 		}
 	}
 }
