--- a/internal/spill/plan.go
+++ b/internal/spill/plan.go
@@ -53,8 +53,8 @@
 	for i := range v.Cells {
 		p.sendBack(&v.Cells[i])
 	}
-	p.swap()
 	p.account()
+	p.swap()
 	p.export()
 	p.moves = slices.DeleteFunc(p.moves, func(m Move) bool { return m.Fraction < least })
 	slices.SortFunc(p.moves, func(a, b Move) int {
--- a/internal/spill/spill_test.go
+++ b/internal/spill/spill_test.go
@@ -169,3 +169,25 @@
 	is.Equal(moves[0].Route, ids.Name("low"))
 	is.True(moves[0].Amount > 69 && moves[0].Amount < 71) // 4 + 90 + 76 less the target
 }
+
+// A move's destination was emptied, and the route that it had taken went to a far
+// cell, in place of a more urgent one, though a nearer cell had come to have room.
+func TestARouteThatIsExchangedGoesToTheNearestRoom(t *testing.T) {
+	is := is.New(t)
+	cells := sourceCells()
+	a := &cells[0]
+	a.Maximum = 5000 // nothing new leaves
+	cells[2].Emptied = true
+	last := []Move{
+		{From: "a", To: "d", Route: "enterprise", Fraction: 0.5, Amount: 1000},
+		{From: "a", To: "c", Route: "free", Fraction: 0.5, Amount: 500},
+	}
+	amount := map[string]float64{}
+	for _, m := range Plan(view(cells), last) {
+		amount[string(m.Route+">"+m.To)] += m.Amount
+	}
+	// b is nearer than d, and takes what it has room for.
+	is.True(near(amount["free>b"], 300))
+	is.True(amount["free>d"] > 0)
+	is.Equal(amount["free>c"], 0.0)
+}
--- a/internal/spill/swap.go
+++ b/internal/spill/swap.go
@@ -12,7 +12,8 @@
 // swap puts the order of each cell's moves right. Moves end one by one: their
 // destination is emptied, its reports stay away, or it sends them back. Then an
 // urgent route may be away while a lesser one is home. The lesser takes its
-// place, there and here, so that no cell's load changes by it.
+// place, there and here, so that no cell's load changes by it; but for a nearer
+// cell that has come to have room meanwhile, which takes it first.
 func (p *planner) swap() {
 	for i := range p.Cells {
 		c := &p.Cells[i]
@@ -57,6 +58,26 @@
 		home -= part
 		p.moves[i].Fraction -= part / high
 		p.moves[i].Amount = max(0, m.Amount-part)
-		p.add(Move{From: c.Name, To: m.To, Route: lo, Fraction: part / low, Amount: part, Why: "in place of " + string(hi)})
+		p.replace(m, lo, part, low)
+	}
+}
+
+// replace enters a lesser route's moves in place of an urgent one's.
+func (p *planner) replace(urgent Move, lesser ids.Name, amount, demand float64) {
+	enter := func(to ids.Name, part float64) {
+		p.add(Move{From: urgent.From, To: to, Route: lesser, Fraction: part / demand, Amount: part, Why: "in place of " + string(urgent.Route)})
+	}
+	for _, n := range p.near(urgent.From) {
+		if p.Distance(urgent.From, n) >= p.Distance(urgent.From, urgent.To) {
+			break
+		}
+		if part := min(amount, p.room[n]); part > 0 {
+			p.room[n] -= part
+			amount -= part
+			enter(n, part)
+		}
+	}
+	if amount > 0 {
+		enter(urgent.To, amount)
 	}
 }
