--- a/internal/registry/lease_test.go
+++ b/internal/registry/lease_test.go
@@ -122,6 +122,24 @@
 	}
 }
 
+// A registry that starts on the lesser side of a cut knows no store at all, or one
+// that has no majority: it has nothing to tell, and says so as soon.
+func TestWhatARegistryAnswersThatStartsWhileCutOff(t *testing.T) {
+	for _, incremental := range []bool{false, true} {
+		for _, link := range []registrytest.Link{registrytest.Silent, registrytest.OneWay, registrytest.Declining} {
+			for _, call := range calls {
+				core := registrytest.NewStarting(registry.Options{Incremental: incremental})
+				core.Link = link
+				core.Run(20 * time.Second)
+				got, took := core.Call(100, call.make(100))
+				if got.Status != cutOff[call.name] || took >= time.Second || got.Status >= 500 && got.Retry == 0 {
+					t.Errorf("link %d, %s (incremental %v): %d %v after %s, not %d", link, call.name, incremental, got.Status, got.Body, took, cutOff[call.name])
+				}
+			}
+		}
+	}
+}
+
 func setUp(t *testing.T, core *registrytest.Core) {
 	t.Helper()
 	if got, _ := core.Call(1, change(fmt.Sprintf(service, "first"))(1)); got.Status != 200 {
@@ -186,3 +204,25 @@
 		t.Fatalf("%+v after %s", got, took)
 	}
 }
+
+// At whichever moment of a cut's first seconds a call comes, it is answered within
+// one, and nothing that needs an agreement of its own is confirmed or refused.
+func TestEveryMomentOfACutsBegin(t *testing.T) {
+	own := map[string]bool{"change": true, "change that is stale": true, "change without its item": true, "evacuate": true, "merge": true,
+		"read": true, "draining": true, "end": true}
+	for after := time.Duration(0); after <= 4*time.Second; after += 100 * time.Millisecond {
+		for _, call := range calls {
+			core := registrytest.New(registry.Options{Incremental: true})
+			setUp(t, core)
+			core.Link = registrytest.Silent
+			core.Run(after)
+			got, took := core.Call(100, call.make(100))
+			if took >= time.Second {
+				t.Errorf("%s, %s after the cut: answered after %s", call.name, after, took)
+			}
+			if own[call.name] && got.Status != 503 && got.Status != 504 {
+				t.Errorf("%s, %s after the cut: %d", call.name, after, got.Status)
+			}
+		}
+	}
+}
