--- a/internal/consensus/proposer.go
+++ b/internal/consensus/proposer.go
@@ -33,9 +33,8 @@
 	// were last met under: they are large, and read far more often than changed.
 	cachedValues map[ids.Key]cachedValue
 	order        []ids.Key
-	// count is the number of the last round, which no other run has used.
-	count uint64
-	high  uint64
+	// count numbers the rounds; no other run has used these numbers.
+	count, high uint64
 	// early counts the ballots of first values, all below those of rounds.
 	early uint64
 }
@@ -76,6 +75,8 @@
 	began    ids.Time
 	resendAt ids.Time
 	retryAt  ids.Time
+	// losses counts the rounds in a row that another proposer's ballot ended.
+	losses   int
 	promises map[uint64]Promise
 	votes    map[uint64]bool
 	value    []byte
@@ -200,13 +201,6 @@
 	}
 }
 
-// retreat gives a round up to a higher ballot and tries again after a rest.
-func (p *Proposer) retreat(now ids.Time, r *round, seen ids.Ballot) {
-	r.floor = max(r.floor, seen.Count)
-	r.phase, r.retryAt = idle, now.Add(time.Duration(5+p.random.IntN(40))*time.Millisecond)
-	delete(p.promisedBallots, r.key)
-}
-
 // finish answers the batch and goes on with what came meanwhile.
 func (p *Proposer) finish(now ids.Time, r *round) {
 	for _, a := range r.batch {
@@ -216,7 +210,7 @@
 		}
 		p.out.Send(a.from, t)
 	}
-	r.batch, r.floor = nil, 0
+	r.batch, r.floor, r.losses = nil, 0, 0
 	p.begin(now, r)
 }
 
--- a/internal/consensus/silent.go
+++ b/internal/consensus/silent.go
@@ -29,7 +29,7 @@
 // missed notes that a call's last try was not answered within its span.
 func (a *Client) missed(now ids.Time, call *pendingCall) {
 	if call.maybe[call.Try] {
-		a.silent[call.at[call.Try]] = now.Add(silentFor)
+		a.silent[call.asked[call.Try]] = now.Add(silentFor)
 	}
 }
 
@@ -46,7 +46,7 @@
 // leastTried gives the first of the stores that this call was sent to least often.
 func (w *pendingCall) leastTried(stores []ids.Address) ids.Address {
 	tries := map[ids.Address]int{}
-	for _, at := range w.at {
+	for _, at := range w.asked {
 		tries[at]++
 	}
 	return slices.MinFunc(stores, func(a, b ids.Address) int { return cmp.Compare(tries[a], tries[b]) })
--- a/internal/consensus/silent_test.go
+++ b/internal/consensus/silent_test.go
@@ -23,7 +23,7 @@
 			for _, command := range out.Drain() {
 				send := command.(event.Send)
 				if request := send.Msg.(Request); send.To != "cut" {
-					c.HandleResponse(now, Response{ID: request.ID, Try: request.Try, State: Done})
+					c.HandleResponse(now, send.To, Response{ID: request.ID, Try: request.Try, State: Done})
 				}
 			}
 			if !done {
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -200,10 +200,14 @@
 }
 
 func (f *Registry) receive(now ids.Time, from ids.Address, msg any) {
+	if why := f.screen(from, msg); why != "" {
+		f.Discard(from, why, msg)
+		return
+	}
 	switch m := msg.(type) {
 	case consensus.Response:
 		before := f.view.Revision
-		f.Client.HandleResponse(now, m)
+		f.Client.HandleResponse(now, from, m)
 		if !f.params.Incremental || f.view.Revision > before {
 			f.deliver(now)
 		}
