--- a/internal/consensus/client.go
+++ b/internal/consensus/client.go
@@ -17,6 +17,9 @@
 	Order   func(key ids.Key) []ids.Address
 	pending map[uint64]*pendingCall
 	next    uint64
+	// silent are stores that left a try unanswered, and until when others are
+	// tried before them.
+	silent map[ids.Address]ids.Time
 }
 
 type pendingCall struct {
@@ -37,7 +40,7 @@
 // NewAsker makes an asker whose ids begin past a start's own number, so that
 // answers to an earlier run are not taken for its own.
 func NewClient(start ids.RunID, out *event.Outbox) *Client {
-	return &Client{out: out, pending: map[uint64]*pendingCall{}, next: uint64(start) << 24}
+	return &Client{out: out, pending: map[uint64]*pendingCall{}, silent: map[ids.Address]ids.Time{}, next: uint64(start) << 24}
 }
 
 const tryFor = 400 * time.Millisecond
@@ -64,11 +67,11 @@
 
 func (a *Client) send(now ids.Time, w *pendingCall) {
 	w.again = now.Add(tryFor + TransferTime(len(w.Arg)))
-	to := a.Order(w.Key)
+	to := a.order(now, w.Key)
 	if len(to) == 0 {
 		return
 	}
-	at := to[w.tries%len(to)]
+	at := w.leastTried(to)
 	w.tries++
 	w.Try = uint32(w.tries)
 	w.maybe[w.Try], w.asked[w.Try] = true, at
@@ -84,6 +87,7 @@
 		a.out.Discard(from, event.NotAsked, m)
 		return
 	}
+	delete(a.silent, from)
 	switch m.State {
 	case Done:
 		delete(a.pending, m.ID)
@@ -114,6 +118,7 @@
 		case now >= w.due:
 			a.Abandon(now, CallID(id))
 		case now >= w.again:
+			a.missed(now, w)
 			a.send(now, w)
 		}
 	}
