--- a/internal/proxy/control.go
+++ b/internal/proxy/control.go
@@ -28,11 +28,12 @@
 	// when the newest agreement began by which the policy held here is in force.
 	word   ids.Time
 	agreed ids.Time
-	// told: a registry has told of targets in this run. opened: a proxy with an
-	// endless lease has begun to serve; unconfirmed is since when it could have, but
-	// for the age of what it was told.
-	told, opened bool
-	unconfirmed  ids.Time
+	// told: a registry has told of targets in this run; current: what this proxy goes
+	// by was once confirmed by a fresh agreement. opened: a proxy with an endless
+	// lease has begun to serve; unconfirmed is since when it could have, but for the
+	// age of what it was told.
+	told, current, opened bool
+	unconfirmed           ids.Time
 	// leased is as of when the desks were last told how long they may serve.
 	leased ids.Time
 	woke   ids.Time
@@ -152,7 +153,7 @@
 	case distribution.Push:
 		c.push(now, from, m)
 	case consensus.Response:
-		c.Asker.HandleResponse(now, m)
+		c.Asker.HandleResponse(now, from, m)
 	case consensus.PolicyQuery:
 		if c.view.Revision > 0 {
 			c.Send(from, consensus.PolicyReply{Revision: c.view.Revision, Policy: c.policy.Pack(false)})
@@ -160,7 +161,7 @@
 	case LeaseRequest:
 		c.inquired(now, from, m)
 	case LeaseGossip:
-		c.tidings(now, m)
+		c.tidings(now, from, m)
 	default:
 		c.List.Receive(now, from, msg)
 	}
@@ -173,12 +174,12 @@
 	}
 	// A push may have waited in a socket while this process slept. Only what
 	// it echoes tells how old it can be at most.
-	if p.Echo == 0 || p.For != c.Self.Start {
+	if p.Echo == 0 || p.For != c.Self.Start || p.Echo > now {
 		c.yard.Merge(now, p.Targets...)
 	} else {
 		c.yard.MergeAsOf(now, p.Echo, p.Targets...)
 		c.word, c.told = max(c.word, p.Vouched()), true
-		c.confirm(p.Revision, p.Agreed())
+		c.confirm(now, p.Revision, p.Agreed())
 	}
 	c.restock(now)
 	c.Send(from, distribution.Ack{Proxy: c.Self.ID, Start: c.Self.Start, Number: p.Number, Revision: c.view.Revision, Now: now, Yard: c.yard.Exact()})
--- a/internal/proxy/opening.go
+++ b/internal/proxy/opening.go
@@ -18,14 +18,13 @@
 	if c.opened || c.Lease != Endless || c.view.Revision == 0 || !c.told {
 		return
 	}
-	age := now.Since(c.agreed)
 	switch {
-	case c.agreed != 0 && age <= agreedWithin:
+	case c.current:
 		c.opened = true
 	case c.unconfirmed == 0:
 		c.unconfirmed = now
 	case now.Since(c.unconfirmed) >= unconfirmedFor:
 		c.opened = true
-		c.Log("warn", "serves unconfirmed", "revision", itoa(uint64(c.view.Revision)), "agreed_ms_ago", itoa(uint64(age/time.Millisecond)))
+		c.Log("warn", "serves unconfirmed", "revision", itoa(uint64(c.view.Revision)), "agreed_ms_ago", itoa(uint64(now.Since(c.agreed)/time.Millisecond)))
 	}
 }
--- a/internal/registry/registrytest/core.go
+++ b/internal/registry/registrytest/core.go
@@ -68,14 +68,20 @@
 	consensus.Response
 }
 
-// New makes a registry in touch with its majority.
+// New makes a registry that has been in touch with its majority for a while.
 func New(options registry.Options) *Core {
+	core := NewStarting(options)
+	core.Run(3 * time.Second)
+	return core
+}
+
+// NewStarting makes a registry that has just started.
+func NewStarting(options registry.Options) *Core {
 	options.Self = membership.Member{ID: "registry", Address: Self, Start: 1, Zone: "c"}
 	options.Seeds = []ids.Address{Store}
 	options.Random = rand.New(rand.NewPCG(1, 1))
 	core := &Core{Registry: registry.New(options), Now: 1, ops: policy.Ops(), values: map[ids.Key][]byte{}, answered: map[uint64]registry.Response{}}
 	maps.Copy(core.ops, election.Ops())
-	core.Run(3 * time.Second)
 	return core
 }
 
@@ -109,7 +115,7 @@
 // acknowledge has the proxy go by what it was sent.
 func (c *Core) acknowledge(push distribution.Push) {
 	if c.Link == Connected {
-		c.hear(distribution.Ack{Proxy: proxy, Start: 1, Number: push.Number, Revision: push.Revision, Now: c.Now})
+		c.HearFrom(Proxy, distribution.Ack{Proxy: proxy, Start: 1, Number: push.Number, Revision: push.Revision, Now: c.Now})
 	}
 }
 
@@ -140,7 +146,10 @@
 // Hear hands the registry a message as if the majority's side had sent it.
 func (c *Core) Hear(msg any) { c.hear(msg) }
 
-func (c *Core) hear(msg any) { c.Step(event.Received{From: Store, Msg: msg}) }
+func (c *Core) hear(msg any) { c.HearFrom(Store, msg) }
+
+// HearFrom hands the registry a message of one that the majority's side names.
+func (c *Core) HearFrom(from ids.Address, msg any) { c.Step(event.Received{From: from, Msg: msg}) }
 
 // Run lets time pass.
 func (c *Core) Run(span time.Duration) {
