--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -26,13 +26,17 @@
 const (
 	// probeWait is how long a registry gives a member to answer a probe before it
 	// may declare it dead.
-	probeWait = 500 * time.Millisecond
+	probeWait = 600 * time.Millisecond
+	// probeEvery is how soon a probe is sent again: one message may be lost.
+	probeEvery = 200 * time.Millisecond
 	// probeExpires is how long ago the last probe may be for the silence since the
 	// first one to count as one.
 	probeExpires = 2 * time.Second
 	// maxPatience is how many times SuspectAfter a member may be silent whose
 	// heartbeats were irregular before.
 	maxPatience = 3
+	// youngFor is how long a daemon counts as just started.
+	youngFor = 6 * time.Second
 	// forgetWord is how long the last word from an address is remembered.
 	forgetWord = time.Minute
 )
@@ -46,6 +50,18 @@
 	probed, accused ids.Time
 }
 
+// newArrivals is the history of a member that is watched from now on. A daemon
+// that has just started may have started with the whole fleet, whose links are full
+// of what all tell one another: it takes heartbeats for irregular until it has seen
+// some.
+func (r *List) newArrivals(now ids.Time) *arrivals {
+	a := &arrivals{last: now, mean: r.HeartbeatEvery}
+	if now.Since(r.begun) < youngFor {
+		a.deviation = r.SuspectAfter / 3
+	}
+	return a
+}
+
 // beat notes a heartbeat. A gap past what is ever waited for says that the member
 // was away, and nothing about how regular its heartbeats are.
 func (a *arrivals) beat(now ids.Time, longest time.Duration) {
@@ -63,7 +79,7 @@
 // patience is how long a member may be silent before it is accused: by its own
 // history, and never less than SuspectAfter.
 func (r *List) patience(a *arrivals) time.Duration {
-	return min(max(2*a.mean+4*a.deviation, r.SuspectAfter), maxPatience*r.SuspectAfter)
+	return min(max(2*a.mean+6*a.deviation, r.SuspectAfter), maxPatience*r.SuspectAfter)
 }
 
 // heartbeat notes a sign of life that a member sent as such.
@@ -103,6 +119,9 @@
 	gap := now.Since(r.ticked)
 	late := gap - r.HeartbeatEvery
 	first := r.ticked == 0
+	if first {
+		r.begun = now
+	}
 	r.ticked = now
 	switch {
 	case first || late <= 0:
@@ -129,7 +148,7 @@
 	for _, m := range list {
 		a := r.heard[m.ID]
 		if a == nil || a.last == 0 {
-			r.heard[m.ID] = &arrivals{last: now, mean: r.HeartbeatEvery}
+			r.heard[m.ID] = r.newArrivals(now)
 			continue
 		}
 		silence, patience := r.silence(now, m, a), r.patience(a)
@@ -137,7 +156,7 @@
 			a.accused = 0
 			r.withdraw(m)
 		}
-		if silence >= patience*2/3 && now.Since(a.probed) >= r.HeartbeatEvery {
+		if silence >= patience*2/3 && now.Since(a.probed) >= probeEvery {
 			a.probed = now
 			r.out.Send(m.Address, Probe{ID: m.ID})
 		}
--- a/internal/membership/detector_test.go
+++ b/internal/membership/detector_test.go
@@ -81,6 +81,27 @@
 	}
 }
 
+// After a loss of all power everybody starts at once, and links are full of what
+// they tell one another: nobody is dead.
+func TestAFleetThatStartsAtOnceIsNotDead(t *testing.T) {
+	for seed := uint64(1); seed <= 20; seed++ {
+		f := newFleet(seed, grownProxies)
+		for i, n := range f.nodes {
+			if n.list.Self.Role == Proxy && i%3 != 0 {
+				n.starved = 300 * time.Millisecond
+				n.delay = func() time.Duration {
+					since := time.Duration(f.now)
+					return max(0, min(since*2/5, 1200*time.Millisecond-since/6))
+				}
+			}
+		}
+		f.pass(10 * time.Second)
+		if len(f.verdicts) > 0 {
+			t.Errorf("seed %d: verdicts against %d members", seed, len(f.verdicts))
+		}
+	}
+}
+
 // Two cuts of the core in a row, the second two seconds after the first, harm
 // nobody but, for a while, the machine that is cut off.
 func TestTwoCutsInARowAccuseNobodyElse(t *testing.T) {
--- a/internal/membership/failure.go
+++ b/internal/membership/failure.go
@@ -181,7 +181,7 @@
 		a.dismiss()
 		return false
 	}
-	if a.probed == 0 || now.Since(a.probed) >= probeWait {
+	if a.probed == 0 || now.Since(a.probed) >= probeEvery {
 		if a.asked == 0 || now.Since(a.probed) > probeExpires {
 			a.asked = now
 		}
--- a/internal/membership/list.go
+++ b/internal/membership/list.go
@@ -26,6 +26,8 @@
 	// buried are the verdicts that this registry passed itself.
 	buried       map[ids.Daemon]burial
 	ticked, beat ids.Time
+	// begun is when the clock first ticked.
+	begun        ids.Time
 	nextSeedCall ids.Time
 	digest       uint64
 	dirty        bool
