--- a/internal/registry/deliver.go
+++ b/internal/registry/deliver.go
@@ -108,16 +108,3 @@
 	}
 	return now.Since(f.agreed)
 }
-
-// ready gives the proxies that the directory may name: those in step, and
-// known to be by their own acknowledgements.
-func (f *Registry) ready(now ids.Time) []membership.Member {
-	var out []membership.Member
-	for _, m := range f.Live(membership.Proxy) {
-		// Where others deliver to it, its own word in the roll must do.
-		if m.Ready && (f.params.Incremental || f.Distributor.Fresh(now, m, proxyLag)) {
-			out = append(out, m)
-		}
-	}
-	return out
-}
--- a/internal/registry/peers.go
+++ b/internal/registry/peers.go
@@ -31,9 +31,10 @@
 
 // Parted answers Parting.
 type DepartureAck struct {
-	ID       ids.Daemon
-	Instance ids.Instance
-	Sequence ids.Sequence
+	ID          ids.Daemon
+	Instance    ids.Instance
+	Sequence    ids.Sequence
+	Incarnation ids.Incarnation
 }
 
 // TableDigest sums up a registry's targets part by part; whoever has other sums
