--- a/internal/consensus/client.go
+++ b/internal/consensus/client.go
@@ -9,7 +9,7 @@
 	"dunlinwell/internal/ids"
 )
 
-// Asker carries wishes to stores for the other daemons: to one after the
+// Client carries requests to stores for the other daemons: to one after the
 // other until one answers, which is safe as each operation knows itself again.
 type Client struct {
 	out *event.Outbox
@@ -20,6 +20,8 @@
 	// silent are stores that left a try unanswered, and until when others are
 	// tried before them.
 	silent map[ids.Address]ids.Time
+	// took is how long each store took to answer of late.
+	took map[ids.Address]time.Duration
 }
 
 type pendingCall struct {
@@ -31,26 +33,30 @@
 	// where each try went. Not the stores alone: one may decline a second try
 	// and still be busy with the first.
 	maybe map[uint32]bool
-	asked map[uint32]ids.Address
+	asked map[uint32]attempt
 	done  func(now ids.Time, s State, out []byte)
 	// have is the value that the asker holds, for a read that finds the same.
 	have []byte
 }
 
-// NewAsker makes an asker whose ids begin past a start's own number, so that
+// attempt is where and when a try of a call was sent.
+type attempt struct {
+	to ids.Address
+	at ids.Time
+}
+
+// NewClient makes a client whose ids begin past a start's own number, so that
 // answers to an earlier run are not taken for its own.
 func NewClient(start ids.RunID, out *event.Outbox) *Client {
-	return &Client{out: out, pending: map[uint64]*pendingCall{}, silent: map[ids.Address]ids.Time{}, next: uint64(start) << 24}
+	return &Client{out: out, pending: map[uint64]*pendingCall{}, silent: map[ids.Address]ids.Time{}, took: map[ids.Address]time.Duration{}, next: uint64(start) << 24}
 }
 
-const tryFor = 400 * time.Millisecond
-
-// Want asks for an operation; done is called once, with how it ended.
+// Call asks for an operation; done is called once, with how it ended.
 func (a *Client) Call(now ids.Time, key ids.Key, op Op, arg []byte, wait time.Duration, done func(ids.Time, State, []byte)) CallID {
 	return a.call(now, Request{Key: key, Op: op, Arg: arg}, nil, wait, done)
 }
 
-// Reread reads a register whose value the asker already holds; where it is the
+// ReadIfChanged reads a register whose value the asker already holds; where it is the
 // same still, no more than that is sent. sum is that of the value.
 func (a *Client) ReadIfChanged(now ids.Time, key ids.Key, have []byte, sum uint64, wait time.Duration, done func(ids.Time, State, []byte)) CallID {
 	return a.call(now, Request{Key: key, Op: Read, HaveChecksum: sum}, have, wait, done)
@@ -59,7 +65,7 @@
 func (a *Client) call(now ids.Time, ask Request, have []byte, wait time.Duration, done func(ids.Time, State, []byte)) CallID {
 	a.next++
 	ask.ID = a.next
-	w := &pendingCall{Request: ask, have: have, due: now.Add(wait), done: done, maybe: map[uint32]bool{}, asked: map[uint32]ids.Address{}}
+	w := &pendingCall{Request: ask, have: have, due: now.Add(wait), done: done, maybe: map[uint32]bool{}, asked: map[uint32]attempt{}}
 	a.pending[w.ID] = w
 	a.send(now, w)
 	return CallID(w.ID)
@@ -74,7 +80,7 @@
 	at := w.leastTried(to)
 	w.tries++
 	w.Try = uint32(w.tries)
-	w.maybe[w.Try], w.asked[w.Try] = true, at
+	w.maybe[w.Try], w.asked[w.Try] = true, attempt{at, now}
 	w.Wait = uint32(max(w.due.Since(now), 0) / time.Millisecond)
 	a.out.Send(at, w.Request)
 }
@@ -83,11 +89,12 @@
 // late, doubled, or not an answer to this run at all.
 func (a *Client) HandleResponse(now ids.Time, from ids.Address, m Response) {
 	w := a.pending[m.ID]
-	if w == nil || w.asked[m.Try] != from {
+	if w == nil || w.asked[m.Try].to != from {
 		a.out.Discard(from, event.NotAsked, m)
 		return
 	}
 	delete(a.silent, from)
+	a.note(from, now.Since(w.asked[m.Try].at))
 	switch m.State {
 	case Done:
 		delete(a.pending, m.ID)
