--- a/internal/consensus/copier.go
+++ b/internal/consensus/copier.go
@@ -90,14 +90,19 @@
 	return true
 }
 
-// CompleteUnder tells whether a majority of a voter set has given all that it
-// held when it already went by that voter set, so that nothing can be agreed any
-// more under an earlier one that this copy lacks. In a joint voter set the
-// majority is that of the old stores.
+// CompleteUnder tells whether a majority of a voter set, or of the one before the
+// last replacement, has given all that it held when it already went by the voter
+// set in force, so that nothing can be agreed any more under an earlier one that
+// this copy lacks. In a joint voter set the majority is that of the old stores.
 func (c *Copier) CompleteUnder(set VoterSet) bool {
 	sealed := map[uint64]bool{}
 	for id, s := range c.sources {
 		sealed[id] = s.sealed >= set.Number
 	}
-	return set.Number > 0 && VoterSet{Voters: set.Voters}.Majority(sealed)
+	return set.Number > 0 && (VoterSet{Voters: set.Voters}.Majority(sealed) || VoterSet{Voters: set.Previous}.Majority(sealed))
+}
+
+// Sources are the voters that a newcomer may copy from.
+func (r VoterSet) Sources() []Voter {
+	return VoterSet{Voters: r.Voters, Incoming: r.Previous}.All()
 }
--- a/internal/consensus/messages.go
+++ b/internal/consensus/messages.go
@@ -27,6 +27,9 @@
 	// complete. Safety does not rest on it: a voter knows by its own disk whether
 	// it may vote. It keeps a change from leaving too few that can.
 	Learners []uint64
+	// Previous are the voters before the last replacement, while its newcomer's
+	// copy may be incomplete: a majority of them holds all that it lacks as well.
+	Previous []Voter
 }
 
 // Prepare asks for a promise, Peek set only for what was accepted.
--- /dev/null
+++ b/internal/consensus/model_chosen_test.go
@@ -0,0 +1,63 @@
+package consensus
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+)
+
+// note records a vote, and checks each value that is chosen by it.
+func (w *modelState) note(by *modelStore, m Accept) {
+	set := by.acceptor.voterSet
+	at := slices.IndexFunc(w.votes, func(v modelVote) bool {
+		return v.key == m.Key && v.ballot == m.Ballot && v.number == m.VoterSet
+	})
+	if at < 0 {
+		at = len(w.votes)
+		w.votes = append(w.votes, modelVote{key: m.Key, ballot: m.Ballot, number: m.VoterSet, voters: set.Voters, value: string(m.Value)})
+	}
+	v := &w.votes[at]
+	if v.value != string(m.Value) {
+		w.wrong = fmt.Sprintf("two values of one ballot %v", m.Ballot)
+	}
+	if !slices.Contains(v.by, by.acceptor.store) {
+		v.by = append(slices.Clone(v.by), by.acceptor.store)
+		slices.Sort(v.by)
+	}
+	yes := map[uint64]bool{}
+	for _, id := range v.by {
+		yes[id] = true
+	}
+	if !v.chosen && (VoterSet{Voters: v.voters}).Majority(yes) {
+		v.chosen = true
+		w.checkChosen(*v)
+	}
+}
+
+// checkChosen: of two chosen values the one of the lower ballot must be what the
+// other was made from.
+func (w *modelState) checkChosen(c modelVote) {
+	for _, v := range w.votes {
+		low, high := v, c
+		if high.ballot.Less(low.ballot) {
+			low, high = high, low
+		}
+		if !v.chosen || v.key != c.key || low.ballot == high.ballot {
+			continue
+		}
+		if c.key != VoterSetKey {
+			if !strings.HasPrefix(high.value, low.value) {
+				w.wrong = fmt.Sprintf("%q was chosen over %q", high.value, low.value)
+			}
+			continue
+		}
+		a, _ := DecodeVoterSet([]byte(low.value))
+		b, _ := DecodeVoterSet([]byte(high.value))
+		if a.Number > b.Number || a.Number == b.Number && low.value != high.value {
+			w.wrong = fmt.Sprintf("voter set %+v was chosen over %+v", b, a)
+		}
+	}
+	if set, ok := DecodeVoterSet([]byte(c.value)); ok && c.key == VoterSetKey && set.Number == uint64(len(w.sets))+1 {
+		w.sets = append(w.sets, set)
+	}
+}
--- /dev/null
+++ b/internal/consensus/model_test.go
@@ -0,0 +1,240 @@
+package consensus
+
+import (
+	"time"
+
+	"dunlinwell/internal/event"
+
+	"dunlinwell/internal/ids"
+)
+
+// modelBounds say how much may happen in one run of the model.
+type modelBounds struct {
+	depth, wipes, crashes, backs, ticks int
+	// coarse: the rounds of newcomers and of the second writer are one event each,
+	// and reach some machines only.
+	coarse bool
+	fault  modelFault
+}
+
+// modelRoot is three stores that agree on a value, two of which are about to add
+// to it: one with a promise in hand, one that must ask for one.
+func modelRoot(b modelBounds) *modelState {
+	w := &modelState{lastID: 3, fault: b.fault}
+	first := VoterSet{Number: 1}
+	for i, at := range modelAddresses {
+		first.Voters = append(first.Voters, Voter{uint64(i + 1), at})
+	}
+	w.sets = []VoterSet{first}
+	raw, _ := packed(first)
+	for i := range modelAddresses {
+		s := newModelStore(uint64(i+1), modelDisk{}, 1)
+		w.stores[i] = s
+		s.acceptor.Seed(VoterSetKey, raw)
+		s.acceptor.MarkComplete()
+		s.acceptor.AdoptVoterSet(first)
+		w.run(i)
+	}
+	w.ask(0, "", "0")
+	for len(w.net) > 0 {
+		w.deliver(0)
+	}
+	w.acked, w.votes = "", nil
+	w.ask(0, "p", "p")
+	if !b.coarse {
+		w.ask(1, "q", "q")
+	}
+	for i := range w.net {
+		w.net[i].old = true
+	}
+	return w
+}
+
+func (w *modelState) ask(i int, who ids.Address, token string) {
+	s := w.touch(i)
+	s.proposer.IsReachable = func(uint64) bool { return false }
+	s.proposer.Submit(s.now, who, Request{ID: 1, Key: "x", Op: opAdd, Arg: []byte(token), Wait: 1 << 31})
+	w.run(i)
+}
+
+func (w *modelState) submit(i int, op Op, arg any) {
+	raw, _ := packed(arg)
+	s := w.touch(i)
+	s.proposer.Submit(s.now, modelAddresses[i], Request{ID: 2, Key: VoterSetKey, Op: op, Arg: raw, Wait: 1 << 31})
+	w.run(i)
+}
+
+// next gives every state that one event leads to.
+func (w *modelState) next(b modelBounds) (out []*modelState) {
+	do := func(f func(w *modelState)) {
+		n := w.copy()
+		n.lossCame = false
+		f(n)
+		out = append(out, n)
+	}
+	for i := range w.net {
+		do(func(n *modelState) { n.deliver(i) })
+	}
+	for i := range w.stores {
+		if w.wipes < b.wipes {
+			do(func(n *modelState) { n.wipe(i, b.coarse) })
+		}
+		if w.crashes < b.crashes {
+			do(func(n *modelState) { n.crash(i) })
+		}
+		s := w.stores[i]
+		for _, set := range w.sets {
+			if set.Number > s.acceptor.voterSet.Number {
+				do(func(n *modelState) { n.touch(i); n.adopt(i, set) })
+			}
+		}
+		if len(s.proposer.rounds) > 0 && s.ticks < b.ticks {
+			do(func(n *modelState) { n.tick(i) })
+		}
+		for _, some := range b.quorums() {
+			w.nextRounds(b, i, some, do)
+		}
+		for j := range w.stores {
+			if w.mayCopy(i, j) {
+				do(func(n *modelState) { n.copyFrom(i, j) })
+			}
+		}
+	}
+	if w.old != nil && w.backs < b.backs {
+		do(func(n *modelState) { n.putBack() })
+	}
+	return out
+}
+
+// wipe loses a disk; where events are coarse, the blank store hears of a voter set
+// at once.
+func (w *modelState) wipe(i int, hears bool) {
+	s := w.stores[i]
+	if w.old == nil {
+		w.old, w.oldID, w.oldAt, w.oldRun = s.disk, s.acceptor.store, i, s.run
+	}
+	w.wipes++
+	w.lossCame = true
+	w.lastID++
+	id := w.lastID
+	if w.fault.keepsID {
+		id = s.acceptor.store
+	}
+	w.stores[i] = newModelStore(id, modelDisk{}, 1)
+	w.stores[i].proposer.IsReachable = func(uint64) bool { return false }
+	if !hears {
+		return
+	}
+	newest := VoterSet{}
+	for _, s := range w.stores {
+		if set := s.acceptor.VoterSet(); set.Number > newest.Number {
+			newest = set
+		}
+	}
+	w.adopt(i, newest)
+}
+
+func (w *modelState) crash(i int) {
+	w.crashes++
+	w.lossCame = true
+	s := w.touch(i)
+	w.restart(i, s.acceptor.store, s.disk, s.run+1)
+}
+
+// putBack gives a machine the disk that was lost first.
+func (w *modelState) putBack() {
+	w.backs++
+	w.restart(w.oldAt, w.oldID, modelDisk(copyOf(w.old)), w.oldRun+1)
+	w.old = nil
+}
+
+func copyOf(d modelDisk) modelDisk {
+	out := modelDisk{}
+	for k, v := range d {
+		out[k] = v
+	}
+	return out
+}
+
+func (w *modelState) restart(i int, id uint64, d modelDisk, run uint64) {
+	s := newModelStore(id, d, run)
+	s.proposer.IsReachable = func(uint64) bool { return false }
+	if w.fault.replacedVotes {
+		s.acceptor.standing = standing{uint8(Complete)}
+	}
+	w.stores[i] = s
+}
+
+func (w *modelState) tick(i int) {
+	s := w.touch(i)
+	s.ticks++
+	s.now = s.now.Add(time.Second)
+	s.proposer.Tick(s.now)
+	w.run(i)
+}
+
+// place is the voter whose place a blank store may ask for.
+func (w *modelState) place(i int) (uint64, bool) {
+	a := w.stores[i].acceptor
+	if a.Standing() != Blank || a.voterSet.Number == 0 || a.voterSet.Has(a.store) {
+		return 0, false
+	}
+	for _, v := range a.voterSet.Voters {
+		if v.Address == modelAddresses[i] {
+			return v.ID, true
+		}
+	}
+	return 0, false
+}
+
+func (w *modelState) join(i int, lost uint64) {
+	w.touch(i).joined = true
+	a := w.stores[i].acceptor
+	w.submit(i, OpReplace, ReplaceRequest{New: Voter{a.store, modelAddresses[i]}, Lost: lost, Replicas: 3})
+}
+
+func (w *modelState) mayComplete(s *modelStore, set VoterSet) bool {
+	if w.fault.votesEarly {
+		// A copy from before the change was agreed counts as good enough.
+		set.Number--
+	}
+	return w.fault.votesBlank || s.copier.CompleteUnder(set)
+}
+
+// mayCopy tells whether store i would ask j for a page and be given it.
+func (w *modelState) mayCopy(i, j int) bool {
+	to, from := w.stores[i], w.stores[j].acceptor
+	set := to.acceptor.voterSet
+	return i != j && to.acceptor.Standing() == Blank && set.Number > 0 && from.voterSet.Number == set.Number &&
+		from.MayVote() && to.copier.Sealed(from.store) < set.Number
+}
+
+// copyFrom is one pass of a newcomer's copy; these disks fit into one page.
+func (w *modelState) copyFrom(i, j int) {
+	to, from := w.touch(i), w.touch(j)
+	set := to.acceptor.voterSet
+	to.copier.Begin(from.acceptor.store)
+	from.acceptor.Page(modelAddresses[i], to.copier.Request(from.acceptor.store, set.Number))
+	for _, c := range from.Drain() {
+		page := c.(event.Sync).Then[0].(event.Send).Msg.(PageResponse)
+		if !to.copier.Take(page) {
+			w.wrong = "a page was not taken"
+		}
+		for _, record := range page.Records {
+			to.acceptor.Merge(record)
+		}
+	}
+	w.run(i)
+	w.completeIfDue(i)
+}
+
+// completeIfDue lets a newcomer vote, as its store does after each page; with
+// some planted mistakes sooner.
+func (w *modelState) completeIfDue(i int) {
+	to := w.stores[i]
+	set := to.acceptor.voterSet
+	if set.Has(to.acceptor.store) && w.mayComplete(to, set) {
+		to.acceptor.MarkComplete()
+		w.run(i)
+	}
+}
--- a/internal/consensus/page.go
+++ b/internal/consensus/page.go
@@ -17,7 +17,7 @@
 		}
 		return
 	}
-	if !a.MayVote() {
+	if !a.mayServe() {
 		return
 	}
 	if a.changes.covers(m.Epoch, m.Since) {
--- a/internal/consensus/replace.go
+++ b/internal/consensus/replace.go
@@ -35,7 +35,7 @@
 	if !ok || !fine || len(set.Incoming) > 0 || set.Has(request.New.ID) {
 		return old, old
 	}
-	set.Voters = slices.Clone(set.Voters)
+	set.Previous, set.Voters = set.Voters, slices.Clone(set.Voters)
 	switch at := slices.IndexFunc(set.Voters, func(v Voter) bool { return v.ID == request.Lost }); {
 	case at >= 0:
 		set.Voters[at] = request.New
@@ -61,6 +61,8 @@
 		return old, old
 	}
 	set.Learners = slices.DeleteFunc(slices.Clone(set.Learners), func(id uint64) bool { return id == report.ID })
+	// Those before could not know of what is agreed from here on.
+	set.Previous = nil
 	set.Number++
 	return write(old, set)
 }
--- a/internal/consensus/standing.go
+++ b/internal/consensus/standing.go
@@ -11,7 +11,8 @@
 	Blank Standing = iota
 	// Complete: this disk holds all that was agreed before it began to vote.
 	Complete
-	// Replaced: another took this disk's place. It never votes again.
+	// Replaced: another took this disk's place. It never votes again, and only
+	// hands over what it holds while the other's copy may be incomplete.
 	Replaced
 )
 
@@ -77,3 +78,9 @@
 	}
 	return false
 }
+
+// mayServe tells whether a newcomer may copy from this store.
+func (a *Acceptor) mayServe() bool {
+	replaced := a.Standing() == Replaced && VoterSet{Voters: a.voterSet.Previous}.Has(a.store)
+	return a.MayVote() || replaced
+}
--- /dev/null
+++ b/internal/daemon/retire.go
@@ -0,0 +1,26 @@
+package daemon
+
+import (
+	"context"
+	"sync/atomic"
+
+	"dunlinwell/internal/process"
+	"dunlinwell/internal/storage"
+)
+
+// RunStore runs a store until the context ends. A folder whose disk was replaced
+// is set aside, and the store joins once more as blank.
+func RunStore(ctx context.Context, p StoreOptions) error {
+	for {
+		var replaced atomic.Bool
+		err := runStore(ctx, p, &replaced)
+		if err != nil || !replaced.Load() || ctx.Err() != nil {
+			return err
+		}
+		kept, err := storage.SetAside(p.Data, "replaced")
+		if err != nil {
+			return err
+		}
+		process.NewLog(p.Log, p.Name).Event("error", "replaced database set aside, joining as blank", "kept", kept)
+	}
+}
--- a/internal/daemon/store.go
+++ b/internal/daemon/store.go
@@ -136,8 +136,11 @@
 	os.Exit(1)
 }
 
-// RunStockroom runs a store until the context ends.
-func RunStore(ctx context.Context, p StoreOptions) error {
+// runStore runs a store on its folder until the context ends, or until another
+// took the place of this folder's disk; then replaced is set.
+func runStore(ctx context.Context, p StoreOptions, replaced *atomic.Bool) error {
+	ctx, leave := context.WithCancel(ctx)
+	defer leave()
 	log := process.NewLog(p.Log, p.Name)
 	disk, err := storage.Open(p.Data)
 	if err != nil {
@@ -161,6 +164,9 @@
 			log.Note(cmd)
 		case event.Sync:
 			c.inbox <- cmd
+		case store.Retire:
+			replaced.Store(true)
+			leave()
 		case store.RecoverResponse:
 			select {
 			case orders <- cmd:
--- a/internal/simulator/proc.go
+++ b/internal/simulator/proc.go
@@ -92,6 +92,8 @@
 			p.w.trace("%s %s %v", p.name, c.Event, c.Fields)
 		case event.Sync:
 			p.disk.settle(p, c)
+		case store.Retire:
+			p.later(0, p.startBlank)
 		case registry.Response:
 			if f := p.calls[c.ID]; f != nil {
 				delete(p.calls, c.ID)
--- a/internal/simulator/repair.go
+++ b/internal/simulator/repair.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"dunlinwell/internal/consensus"
+	"dunlinwell/internal/ids"
 	"dunlinwell/internal/membership"
 )
 
@@ -80,3 +81,20 @@
 		at += down + gap
 	}
 }
+
+// startBlank is what the daemon does on a store's command to retire its disk.
+func (p *proc) startBlank() {
+	p.w.trace("%s sets its folder aside", p.name)
+	p.kill()
+	p.disk.wipe()
+	p.boot()
+}
+
+// putBack gives a store a disk as it was at some earlier time.
+func (p *proc) putBack(records map[ids.Key][]byte, id, run uint64) {
+	p.w.trace("an old disk of %s is put back", p.name)
+	p.kill()
+	p.disk.wipe()
+	p.disk.records, p.disk.store, p.disk.run = records, id, run
+	p.boot()
+}
--- /dev/null
+++ b/internal/simulator/returned_test.go
@@ -0,0 +1,52 @@
+package simulator
+
+import (
+	"maps"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"dunlinwell/internal/ids"
+)
+
+// Of three stores one is lost for good. While a spare copies, another is away
+// for long enough to be counted as lost, and comes back as the spare asks for
+// its place. Whichever of the two is replaced, the core goes on.
+func TestAStoreReturnsAsItIsReplaced(t *testing.T) {
+	is := is.New(t)
+	for seed := uint64(1); seed <= 6; seed++ {
+		o := Run(Params{Seed: seed, Length: 40 * time.Second, Script: func(w *World) {
+			w.counted = true
+			w.later(2*time.Second, func() { w.swap(w.procs[2]) })
+			w.later(2200*ms, func() { w.bounce(w.procs[1], time.Duration(4+seed)*time.Second) })
+		}})
+		report(t, o)
+		is.True(o.Changes > 30)
+	}
+}
+
+// A disk is lost and replaced, and later its folder is put back: it takes no
+// part, is set aside, and the machine joins once more as blank.
+func TestAReplacedFolderIsPutBack(t *testing.T) {
+	is := is.New(t)
+	for seed := uint64(1); seed <= 3; seed++ {
+		took := time.Duration(-1)
+		o := Run(Params{Seed: seed, Length: 40 * time.Second, Script: func(w *World) {
+			w.counted = true
+			p := w.procs[0]
+			var old map[ids.Key][]byte
+			var id, run uint64
+			w.later(2*time.Second, func() {
+				old, id, run = maps.Clone(p.disk.records), p.disk.store, p.disk.run
+				w.wipeStore(p, 200*ms)
+			})
+			w.later(8*time.Second, func() { p.putBack(old, id, run) })
+			w.later(8100*ms, func() { w.untilWhole(4*time.Second, func(d time.Duration) { took = d }) })
+			w.later(14*time.Second, func() { is.True(p.disk.store != id) })
+		}})
+		report(t, o)
+		is.True(took >= 0)
+		is.True(o.Changes > 30)
+	}
+}
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -65,16 +65,14 @@
 		return nil, errs.New("lock data folder", dir, "another process holds it")
 	}
 	s := &Database{lock: lock, opened: clock(), clock: clock}
-	path := filepath.Join(dir, "stockroom.db")
+	path := filepath.Join(dir, databaseFile)
 	err = s.open(path)
 	if _, newer := err.(*NewerFormat); err != nil && !newer {
 		// Damaged: kept for whoever wants to look, and begun anew as blank.
-		s.SetAside = fmt.Sprintf("%s.damaged-%d", path, time.Now().UnixNano())
-		for _, end := range []string{"", "-wal", "-shm"} {
-			if e := os.Rename(path+end, s.SetAside+end); e != nil && !os.IsNotExist(e) {
-				lock.Close()
-				return nil, errs.Wrap(e, "set damaged database aside", dir)
-			}
+		var e error
+		if s.SetAside, e = SetAside(dir, "damaged"); e != nil {
+			lock.Close()
+			return nil, e
 		}
 		err = s.open(path)
 	}
--- a/internal/store/learner.go
+++ b/internal/store/learner.go
@@ -79,7 +79,7 @@
 
 // copyRegisters asks each voter for what is wanted of it.
 func (s *Store) copyRegisters(now ids.Time, set consensus.VoterSet) {
-	for _, v := range set.Voters {
+	for _, v := range set.Sources() {
 		if v.ID == s.StoreID() {
 			continue
 		}
@@ -143,7 +143,7 @@
 		s.completeIfDue(now, set)
 		return
 	}
-	for _, v := range set.Voters {
+	for _, v := range set.Sources() {
 		if v.ID == m.Store {
 			q.wait = pageWait
 			s.requestPage(now, v, set.Number)
--- a/internal/store/replacement.go
+++ b/internal/store/replacement.go
@@ -36,11 +36,16 @@
 			return v.ID, true
 		}
 	}
+	// One that has been silent for longest is the least likely to come back.
+	longest := uint64(0)
 	for _, v := range set.Voters {
-		if s.lost(now, v.ID) {
-			return v.ID, true
+		if s.lost(now, v.ID) && (longest == 0 || s.gone[v.ID] < s.gone[longest]) {
+			longest = v.ID
 		}
 	}
+	if longest != 0 {
+		return longest, true
+	}
 	return 0, len(set.Voters) < s.replicas
 }
 
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -134,6 +134,7 @@
 		s.Proposer.Tick(now)
 		s.manageVoters(now)
 		s.learn(now)
+		s.retireIfDue()
 		s.cacheMembers(now)
 	}
 	out := s.Drain()
--- a/internal/store/voters.go
+++ b/internal/store/voters.go
@@ -21,6 +21,8 @@
 	survivingPolicy consensus.PolicyReply
 	gone            map[uint64]ids.Time
 	learner         learner
+	// retired: the command to set the folder aside was given.
+	retired bool
 	// replicas is how many stores there are to be.
 	replicas int
 	// agreed is when this store last read the voter set from a majority.
