--- a/internal/simulator/disk.go
+++ b/internal/simulator/disk.go
@@ -80,6 +80,9 @@
 	}
 	d.busy = true
 	took := d.w.between(200*time.Microsecond, 4*time.Millisecond)
+	if d.w.DiskSync > 0 {
+		took = d.w.DiskSync
+	}
 	gen, n := d.gen, len(d.inbox)
 	d.w.later(took, func() { d.synced(p, gen, n) })
 }
--- a/internal/simulator/proc.go
+++ b/internal/simulator/proc.go
@@ -36,6 +36,8 @@
 	lost bool
 	// seeds are as they were set when the machine was put up.
 	seeds []ids.Address
+	// linkOut and linkIn are when what is under way there has passed.
+	linkOut, linkIn ids.Time
 	// total is the CPU time that the machine's runs have spent, in ms.
 	total float64
 }
@@ -124,7 +126,7 @@
 	case membership.Store:
 		p.disk.open(p)
 		h.Store, h.Run = p.disk.store, p.disk.run
-		s := store.New(store.Options{Options: roll, Store: p.disk.store, Run: p.disk.run, Storage: p.disk, Random: p.dice})
+		s := store.New(store.Options{Options: roll, Store: p.disk.store, Run: p.disk.run, Storage: p.disk, Random: p.dice, Replicas: p.w.Replicas})
 		if p.w.Defect.Ops != nil {
 			s.Teach(p.w.Defect.Ops)
 		}
--- a/internal/simulator/repair.go
+++ b/internal/simulator/repair.go
@@ -1,11 +1,13 @@
 package simulator
 
 import (
+	"fmt"
 	"time"
 
 	"dunlinwell/internal/consensus"
 	"dunlinwell/internal/ids"
 	"dunlinwell/internal/membership"
+	"dunlinwell/internal/wire"
 )
 
 // wipeStore kills a store, loses its disk and starts it again after a while.
@@ -98,3 +100,34 @@
 	p.disk.records, p.disk.store, p.disk.run = records, id, run
 	p.boot()
 }
+
+// onLink is how long a message waits for the links of two stores and passes them.
+func (w *World) onLink(from, to *proc, msg any) time.Duration {
+	if w.LinkBits == 0 || from.role != membership.Store || to.role != membership.Store {
+		return 0
+	}
+	raw, err := wire.Encode(msg)
+	if err != nil {
+		return 0
+	}
+	took := time.Duration(float64(len(raw)*8) / w.LinkBits * float64(time.Second))
+	from.linkOut = max(from.linkOut, w.now).Add(took)
+	to.linkIn = max(to.linkIn, from.linkOut.Add(-took)).Add(took)
+	return to.linkIn.Since(w.now)
+}
+
+// fillStores puts the same accepted values on every store's disk, as much state
+// would have.
+func (w *World) fillStores(registers, size int) {
+	for i := range registers {
+		raw, err := wire.Encode(consensus.RegisterState{Promised: ids.Ballot{Count: 1}, Accepted: ids.Ballot{Count: 1}, Value: make([]byte, size)})
+		if err != nil {
+			return
+		}
+		for _, p := range w.procs {
+			if p.role == membership.Store && !p.lost {
+				p.disk.records[ids.Key(fmt.Sprintf("item/fill/%06d", i))] = raw
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/simulator/repairtime_test.go
@@ -0,0 +1,55 @@
+package simulator
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+)
+
+// repairTimes gives how long the voter set took to be whole again after each of
+// many lost disks, from the machine's return.
+func repairTimes(p Params, registers, size int) (took []time.Duration) {
+	for p.Seed = 1; p.Seed <= 4; p.Seed++ {
+		p.Length, p.FaultEvery, p.Rate = 60*time.Second, -1, 5
+		p.Script = func(w *World) {
+			w.later(time.Second, func() { w.fillStores(registers, size) })
+			w.later(2*time.Second, func() {
+				w.wipeInTurn([]int{0, 1, 2, 0}, 12*time.Second, func(d time.Duration) { took = append(took, d) })
+			})
+		}
+		Run(p)
+	}
+	slices.Sort(took)
+	return took
+}
+
+// A lost disk's place is filled within the bound, from its machine's return.
+func TestRepairTimes(t *testing.T) {
+	const slow, link = 40 * ms, 2.2e6
+	for name, c := range map[string]struct {
+		params          Params
+		registers, size int
+		bound           time.Duration
+	}{
+		"3 members, small":             {Params{}, 0, 0, 1500 * ms},
+		"3 members, small, slow disk":  {Params{DiskSync: slow}, 0, 0, 1500 * ms},
+		"3 members, small, 2.2 Mbit/s": {Params{LinkBits: link}, 0, 0, 1500 * ms},
+		"5 members, small":             {Params{Replicas: 5}, 0, 0, 1500 * ms},
+		"3 members, 5,000 registers":   {Params{}, 5000, 100, 3 * time.Second},
+		"5 members, 5,000 registers":   {Params{Replicas: 5}, 5000, 100, 3 * time.Second},
+		"3 members, 1,000, 2.2 Mbit/s": {Params{LinkBits: link}, 1000, 100, 3 * time.Second},
+		"3 members, 5,000, slow disk":  {Params{DiskSync: slow}, 5000, 100, 3 * time.Second},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			is := is.New(t)
+			took := repairTimes(c.params, c.registers, c.size)
+			is.Equal(len(took), 16)
+			t.Logf("%s: p50 %v, max %v", name, took[len(took)/2], took[len(took)-1])
+			is.True(took[0] >= 0) // each ended
+			is.True(took[len(took)-1] <= c.bound)
+		})
+	}
+}
--- a/internal/simulator/returned_test.go
+++ b/internal/simulator/returned_test.go
@@ -2,12 +2,14 @@
 
 import (
 	"maps"
+	"slices"
 	"testing"
 	"time"
 
 	"github.com/matryer/is"
 
 	"dunlinwell/internal/ids"
+	"dunlinwell/internal/membership"
 )
 
 // Of three stores one is lost for good. While a spare copies, another is away
@@ -50,3 +52,32 @@
 		is.True(o.Changes > 30)
 	}
 }
+
+// Two of five disks are lost at the same moment, again and again.
+func TestTwoOfFiveDisksLostAtOnce(t *testing.T) {
+	is := is.New(t)
+	for seed := uint64(1); seed <= 4; seed++ {
+		var took []time.Duration
+		o := Run(Params{Seed: seed, Length: 40 * time.Second, Replicas: 5, Script: func(w *World) {
+			w.counted = true
+			w.every(4*time.Second, 6*time.Second, 4, func(i int) {
+				var stores []*proc
+				for _, p := range w.procs {
+					if p.role == membership.Store {
+						stores = append(stores, p)
+					}
+				}
+				w.wipeStore(stores[i%5], 200*ms)
+				w.wipeStore(stores[(i+2)%5], 200*ms)
+				w.later(200*ms, func() { w.untilWhole(4*time.Second, func(d time.Duration) { took = append(took, d) }) })
+			})
+		}})
+		report(t, o)
+		slices.Sort(took)
+		is.Equal(len(took), 4)
+		t.Logf("seed %d: %v", seed, took)
+		is.True(took[0] >= 0)
+		is.True(took[3] <= 1500*ms)
+		is.True(o.Changes > 30)
+	}
+}
--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -40,6 +40,12 @@
 	// Script, if set, brings faults about at set times instead of by lot.
 	Script func(w *World)
 	Keep   bool
+	// Replicas, if over 3, is how many stores there are to be.
+	Replicas int
+	// DiskSync, if set, is how long each sync of a disk takes.
+	DiskSync time.Duration
+	// LinkBits, if set, is how many bits a second a store sends, and takes in.
+	LinkBits float64
 	// Tape, if set, takes the daybooks of processes, for so long.
 	Tape    map[string]io.Writer
 	TapeFor time.Duration
@@ -143,6 +149,9 @@
 			w.later(w.between(0, 300*time.Millisecond), func() { p.boot() })
 		}
 	}
+	for range w.Replicas - 3 {
+		w.later(2500*time.Millisecond, func() { w.addStore(w.Plan.Cell(0)) })
+	}
 	n := 0
 	for _, pool := range w.Plan.Pools {
 		for i := range pool.Targets {
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -176,7 +176,7 @@
 		}
 		d := time.Duration(0)
 		if to != from.addr {
-			d = w.far(from.cell, q.cell)
+			d = w.far(from.cell, q.cell) + w.onLink(from, q, msg)
 		}
 		w.later(d, func() {
 			// Whoever has the address when it arrives gets it.
