--- a/internal/consensus/copier.go
+++ b/internal/consensus/copier.go
@@ -1,6 +1,10 @@
 package consensus
 
-import "dunlinwell/internal/ids"
+import (
+	"slices"
+
+	"dunlinwell/internal/ids"
+)
 
 // Copier follows a learner's copies from the voters. A pass goes over everything
 // a voter holds, later ones over what changed since the pass before began.
@@ -106,3 +110,8 @@
 func (r VoterSet) Sources() []Voter {
 	return VoterSet{Voters: r.Voters, Incoming: r.Previous}.All()
 }
+
+// SuppliesCopies tells whether a newcomer may copy from a store at an address.
+func (r VoterSet) SuppliesCopies(from ids.Address, id uint64) bool {
+	return slices.Contains(r.Sources(), Voter{ID: id, Address: from})
+}
--- a/internal/consensus/model_state_test.go
+++ b/internal/consensus/model_state_test.go
@@ -67,12 +67,12 @@
 
 func modelOps() map[Op]ChangeFunc {
 	ops := VoterSetOps()
-	ops[opAdd] = addOnce
+	ops[opAdd] = addLetterOnce
 	return ops
 }
 
-// addOnce adds a letter, and knows one that it has added before.
-func addOnce(key ids.Key, old, arg []byte) ([]byte, []byte) {
+// addLetterOnce adds a letter, and knows one that it has added before.
+func addLetterOnce(key ids.Key, old, arg []byte) ([]byte, []byte) {
 	if bytes.Contains(old, arg) {
 		return old, old
 	}
--- a/internal/daemon/store.go
+++ b/internal/daemon/store.go
@@ -162,6 +162,8 @@
 			post.Send(cmd.To, cmd.Msg)
 		case event.LogEntry:
 			log.Note(cmd)
+		case event.Discarded:
+			post.Discard(cmd)
 		case event.Sync:
 			c.inbox <- cmd
 		case store.Retire:
--- a/internal/proxy/agreement.go
+++ b/internal/proxy/agreement.go
@@ -34,16 +34,18 @@
 		if p, err := policy.Open(out); err == nil {
 			p.Recent, p.Declined, p.History = nil, nil, nil
 			c.adopt(at, out)
-			c.confirm(p.Revision, now)
+			c.confirm(at, p.Revision, now)
 		}
 	})
 }
 
 // confirm notes that a revision was the newest in an agreement that began at
 // a time. It confirms what this proxy goes by only if that is no older.
-func (c *Control) confirm(r ids.Revision, at ids.Time) {
+func (c *Control) confirm(now ids.Time, r ids.Revision, at ids.Time) {
 	if c.view.Revision >= r {
 		c.agreed = max(c.agreed, at)
+		// An agreement of late may have begun before this run did.
+		c.current = c.current || now.Since(at) <= agreedWithin
 	}
 }
 
--- a/internal/simulator/returned_test.go
+++ b/internal/simulator/returned_test.go
@@ -18,13 +18,16 @@
 func TestAStoreReturnsAsItIsReplaced(t *testing.T) {
 	is := is.New(t)
 	for seed := uint64(1); seed <= 6; seed++ {
-		o := Run(Params{Seed: seed, Length: 40 * time.Second, Script: func(w *World) {
-			w.counted = true
-			w.later(2*time.Second, func() { w.swap(w.procs[2]) })
-			w.later(2200*ms, func() { w.bounce(w.procs[1], time.Duration(4+seed)*time.Second) })
-		}})
-		report(t, o)
-		is.True(o.Changes > 30)
+		// Whoever goes first has been silent for longest.
+		for _, away := range []time.Duration{1800 * ms, 2200 * ms} {
+			o := Run(Params{Seed: seed, Length: 40 * time.Second, Script: func(w *World) {
+				w.counted = true
+				w.later(2*time.Second, func() { w.swap(w.procs[2]) })
+				w.later(away, func() { w.bounce(w.procs[1], time.Duration(4+seed)*time.Second) })
+			}})
+			report(t, o)
+			is.True(o.Changes > 30)
+		}
 	}
 }
 
--- a/internal/store/learner.go
+++ b/internal/store/learner.go
@@ -131,13 +131,15 @@
 
 // receivePage merges a page, and asks for the next.
 func (s *Store) receivePage(now ids.Time, m consensus.PageResponse) {
-	if s.Standing() != consensus.Blank || !s.learner.Take(m) {
+	set := s.Acceptor.VoterSet()
+	// A page from under another voter set is asked for once more.
+	if s.Standing() != consensus.Blank || m.VoterSet != set.Number || !s.learner.Take(m) {
 		return
 	}
 	for _, record := range m.Records {
 		s.Merge(record)
 	}
-	q, set := s.learner.question(m.Store), s.Acceptor.VoterSet()
+	q := s.learner.question(m.Store)
 	if m.Last {
 		q.ended = now
 		s.completeIfDue(now, set)
