--- a/internal/simulator/proc.go
+++ b/internal/simulator/proc.go
@@ -38,6 +38,8 @@
 	bootstrap bool
 	// seeds are as they were set when the machine was put up.
 	seeds []ids.Address
+	// linkOut and linkIn are when what is under way there has passed.
+	linkOut, linkIn ids.Time
 	// total is the CPU time that the machine's runs have spent, in ms.
 	total float64
 }
@@ -94,6 +96,8 @@
 			p.w.trace("%s %s %v", p.name, c.Event, c.Fields)
 		case event.Sync:
 			p.disk.settle(p, c)
+		case store.Retire:
+			p.later(0, p.startBlank)
 		case registry.Response:
 			if f := p.calls[c.ID]; f != nil {
 				delete(p.calls, c.ID)
@@ -126,7 +130,7 @@
 	case membership.Store:
 		p.disk.open(p)
 		h.Store, h.Run, h.Bootstrap = p.disk.store, p.disk.run, p.bootstrap
-		s := store.New(store.Options{Options: roll, Store: p.disk.store, Run: p.disk.run, Storage: p.disk, Random: p.dice, Bootstrap: p.bootstrap})
+		s := store.New(store.Options{Options: roll, Store: p.disk.store, Run: p.disk.run, Storage: p.disk, Random: p.dice, Bootstrap: p.bootstrap, Replicas: p.w.Replicas})
 		if p.w.Defect.Ops != nil {
 			s.Teach(p.w.Defect.Ops)
 		}
--- a/internal/storage/setaside.go
+++ b/internal/storage/setaside.go
@@ -4,11 +4,27 @@
 	"database/sql"
 	"fmt"
 	"os"
+	"path/filepath"
 	"time"
 
 	"dunlinwell/internal/errs"
 )
 
+const databaseFile = "stockroom.db"
+
+// SetAside renames a folder's database, so that the next Open begins blank and
+// whoever wants to can still look at the old one. It gives the new name.
+func SetAside(dir, why string) (string, error) {
+	path := filepath.Join(dir, databaseFile)
+	kept := fmt.Sprintf("%s.%s-%d", path, why, time.Now().UnixNano())
+	for _, end := range []string{"", "-wal", "-shm"} {
+		if err := os.Rename(path+end, kept+end); err != nil && !os.IsNotExist(err) {
+			return "", errs.Wrap(err, "set database aside", dir)
+		}
+	}
+	return kept, nil
+}
+
 // openAndCheck opens the database and has its records checked.
 func (s *Database) openAndCheck(path string, check func(*Database) error) error {
 	if err := s.open(path); err != nil || check == nil {
@@ -21,17 +37,6 @@
 	return err
 }
 
-// setAside moves a damaged database out of the way.
-func (s *Database) setAside(path string) error {
-	s.SetAside = fmt.Sprintf("%s.damaged-%d", path, time.Now().UnixNano())
-	for _, end := range []string{"", "-wal", "-shm"} {
-		if err := os.Rename(path+end, s.SetAside+end); err != nil && !os.IsNotExist(err) {
-			return errs.Wrap(err, "set damaged database aside", path)
-		}
-	}
-	return nil
-}
-
 func (s *Database) closeDatabase() error {
 	for _, x := range []*sql.Stmt{s.put, s.drop, s.load, s.page} {
 		_ = x.Close()
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -72,12 +72,12 @@
 		return nil, errs.New("lock data folder", dir, "another process holds it")
 	}
 	s := &Database{lock: lock, opened: clock(), clock: clock}
-	path := filepath.Join(dir, "stockroom.db")
+	path := filepath.Join(dir, databaseFile)
 	err = s.openAndCheck(path, check)
 	if _, newer := err.(*NewerFormat); err != nil && !newer {
 		// Damaged: kept for whoever wants to look, and begun anew as blank.
 		s.Damage = err
-		if err = s.setAside(path); err == nil {
+		if s.SetAside, err = SetAside(dir, "damaged"); err == nil {
 			err = s.open(path)
 		}
 	}
--- a/internal/store/learner.go
+++ b/internal/store/learner.go
@@ -79,7 +79,7 @@
 
 // copyRegisters asks each voter for what is wanted of it.
 func (s *Store) copyRegisters(now ids.Time, set consensus.VoterSet) {
-	for _, v := range set.Voters {
+	for _, v := range set.Sources() {
 		if v.ID == s.StoreID() {
 			continue
 		}
@@ -131,19 +131,21 @@
 
 // receivePage merges a page, and asks for the next.
 func (s *Store) receivePage(now ids.Time, m consensus.PageResponse) {
-	if s.Standing() != consensus.Blank || !s.learner.Take(m) {
+	set := s.Acceptor.VoterSet()
+	// A page from under another voter set is asked for once more.
+	if s.Standing() != consensus.Blank || m.VoterSet != set.Number || !s.learner.Take(m) {
 		return
 	}
 	for _, record := range m.Records {
 		s.Merge(record)
 	}
-	q, set := s.learner.question(m.Store), s.Acceptor.VoterSet()
+	q := s.learner.question(m.Store)
 	if m.Last {
 		q.ended = now
 		s.completeIfDue(now, set)
 		return
 	}
-	for _, v := range set.Voters {
+	for _, v := range set.Sources() {
 		if v.ID == m.Store {
 			q.wait = pageWait
 			s.requestPage(now, v, set.Number)
--- a/internal/store/screen.go
+++ b/internal/store/screen.go
@@ -30,7 +30,7 @@
 			return event.NotAsked
 		}
 	case consensus.PageResponse:
-		if !voters.SpeaksFor(from, m.Store, m.VoterSet) {
+		if !voters.SuppliesCopies(from, m.Store) {
 			return event.NotAMember
 		}
 	case consensus.Hello:
