--- a/internal/policy/resend.go
+++ b/internal/policy/resend.go
@@ -53,7 +53,7 @@
 		}
 		res := Result{ID: c.ID, Revision: e.revision}
 		if e.declined {
-			res.Faults = []Fault{{"change", "id", reasonDeclined}}
+			res.Conflicts = []Fault{{"change", "id", reasonDeclined}}
 		}
 		return res, true
 	}
--- a/internal/policy/resend_test.go
+++ b/internal/policy/resend_test.go
@@ -122,6 +122,7 @@
 	p, _ = change(t, p, "make", service)
 	q, r := change(t, reopened(t, p), "early", remove)
 	is.True(!r.Accepted())
+	is.Equal(len(r.Faults), 0) // a valid change isn't called invalid
 	is.Equal(len(q.Services), 1)
 }
 
