--- a/cmd/testbed/drill.go
+++ b/cmd/testbed/drill.go
@@ -68,6 +68,7 @@
 	counts map[string]int
 	judged map[string]int
 	broken map[string]int
+	struck map[string]int
 	order  []string
 }
 
@@ -77,6 +78,9 @@
 		s.counts[k] += n
 	}
 	s.counts["changes"] += o.Changes
+	for kind, n := range o.Struck {
+		s.struck[kind] += n
+	}
 	for _, c := range o.Counts {
 		if _, ok := s.judged[c.What]; !ok {
 			s.order = append(s.order, c.What)
@@ -110,7 +114,7 @@
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	bad := 0
-	total := &sum{counts: map[string]int{}, judged: map[string]int{}, broken: map[string]int{}}
+	total := &sum{counts: map[string]int{}, judged: map[string]int{}, broken: map[string]int{}, struck: map[string]int{}}
 	next := make(chan played)
 	for range jobs {
 		all.Go(func() {
@@ -141,6 +145,9 @@
 	all.Wait()
 	fmt.Printf("%d runs, %d events, %v; %d bad\n", len(list), total.events, total.counts, bad)
 	total.show()
+	if len(total.struck) > 0 {
+		fmt.Printf("faults by lot: %v\n", total.struck)
+	}
 	if bad > 0 {
 		return fmt.Errorf("%d of %d runs broke a promise", bad, len(list))
 	}
--- a/internal/simulator/books.go
+++ b/internal/simulator/books.go
@@ -37,7 +37,7 @@
 // read is an agreement read: it may not be older than anything known before.
 func (w *World) read() {
 	floor := w.Truth.Known()
-	w.call("operator", w.Plan.Cell(0), func(x uint64) any { return registry.PolicyCall{ID: x} }, func(rep registry.Response) {
+	w.call(operator, w.Plan.Cell(0), func(x uint64) any { return registry.PolicyCall{ID: x} }, func(rep registry.Response) {
 		w.judge("a read", rep, floor)
 	}, nil)
 }
@@ -72,7 +72,7 @@
 			continue
 		}
 		read, floor := false, w.Truth.Known()
-		w.callAt(p, "operator", w.Plan.Cell(0), func(x uint64) any { return registry.PolicyCall{ID: x} }, func(rep registry.Response) {
+		w.callAt(p, operator, w.Plan.Cell(0), func(x uint64) any { return registry.PolicyCall{ID: x} }, func(rep registry.Response) {
 			read = w.judge(when+", "+p.name, rep, floor)
 		}, nil)
 		w.later(5*time.Second, func() {
@@ -82,13 +82,3 @@
 		})
 	}
 }
-
-// night kills everything at once and starts it again from what the disks hold.
-func (w *World) night() {
-	w.trace("everything is killed, and starts from disk")
-	for _, p := range w.procs {
-		if !p.lost {
-			w.bounce(p, w.between(100*ms, time.Second))
-		}
-	}
-}
--- a/internal/simulator/crowd.go
+++ b/internal/simulator/crowd.go
@@ -123,9 +123,10 @@
 	p := w.at[at]
 	g.Proxy = string(at)
 	over := false
+	call := &exchange{}
 	end := func(class string) {
 		if !over {
-			over = true
+			over, call.over = true, true
 			g.Class, g.At = class, w.clock()
 			w.responded(a, g)
 		}
@@ -135,10 +136,16 @@
 		return
 	}
 	g.Proxy = p.name
+	if w.refused("consumer", a.home, p.name, p.cell) {
+		w.later(time.Millisecond, func() { end("unreached") })
+		return
+	}
 	if !w.open("consumer", a.home, p.name, p.cell) {
 		w.later(time.Second, func() { end("unreached") })
 		return
 	}
+	*call = exchange{from: "consumer", to: p.name, fromZone: a.home, toZone: p.cell, broken: func() { end("lost") }}
+	w.begin(call)
 	w.later(patience, func() { end("lost") })
 	w.later(w.far(a.home, p.cell), func() {
 		if !p.up {
--- a/internal/simulator/cutoff.go
+++ b/internal/simulator/cutoff.go
@@ -53,7 +53,7 @@
 	}
 	w.later(cutFrom, func() {
 		w.trace("%s and %s are cut off", mine[0].name, mine[1].name)
-		w.cutOff(cutFor, &cut{a: there, b: here, oneWay: deaf})
+		w.cutOff(cutFor, &cut{a: there, b: here, cutStyle: cutStyle{oneWay: deaf}})
 	})
 	for _, p := range mine {
 		if p.role == membership.Registry {
--- /dev/null
+++ b/internal/simulator/defect.go
@@ -0,0 +1,41 @@
+package simulator
+
+import (
+	"time"
+
+	"dunlinwell/internal/consensus"
+	"dunlinwell/internal/dispatch"
+	"dunlinwell/internal/registry"
+)
+
+// Defect is a mistake planted on purpose, to see that its checker bites.
+type Defect struct {
+	// Ops replace change functions.
+	Ops map[consensus.Op]consensus.ChangeFunc
+	// DiskForgets: a killed store loses half of what it had synced.
+	DiskForgets bool
+	// SyncLate: a store acts as if all was synced before the disk has it.
+	SyncLate bool
+	// BlankKeepsIdentity: a store whose disk was lost still counts as the one
+	// that it was.
+	BlankKeepsIdentity bool
+	// DeadSeeds: new seeds name machines that don't exist.
+	DeadSeeds bool
+	// ResetIsUnsent: a request whose connection was reset counts as not sent.
+	ResetIsUnsent bool
+	// KeepMarks is how long disks keep marks, if not for as long as they should.
+	KeepMarks time.Duration
+	// NoCheck: circuits are used without the target showing who it is.
+	NoCheck bool
+	// CloseHeld: circuits that consumers hold are closed after each answer.
+	CloseHeld bool
+	// Response spoils a proxy's answers.
+	Response func(dispatch.Response) dispatch.Response
+	// ControlLease is how long registries speak for the core by one agreement, if
+	// not for as long as they should.
+	ControlLease time.Duration
+	// Confirm spoils what registries answer operators.
+	Confirm func(registry.Response) registry.Response
+	// Message spoils what is sent between daemons; false loses it.
+	Message func(from, to string, msg any) (any, bool)
+}
--- a/internal/simulator/defect_test.go
+++ b/internal/simulator/defect_test.go
@@ -1,7 +1,6 @@
 package simulator
 
 import (
-	"bytes"
 	"regexp"
 	"slices"
 	"strings"
@@ -14,111 +13,11 @@
 	"dunlinwell/internal/dispatch"
 	"dunlinwell/internal/distribution"
 	"dunlinwell/internal/idempotency"
-	"dunlinwell/internal/ids"
 	"dunlinwell/internal/policy"
-	"dunlinwell/internal/proxy"
 	"dunlinwell/internal/spill"
 	"dunlinwell/internal/targets"
 )
 
-// alwaysYours lets every claim stand, whoever has the mark.
-func alwaysYours(key ids.Key, old, arg []byte) ([]byte, []byte) {
-	_, out := idempotency.Ops()[idempotency.OpClaim](key, nil, arg)
-	return old, out
-}
-
-// half applies the first part of a change alone.
-func half(key ids.Key, old, arg []byte) ([]byte, []byte) {
-	if i := bytes.Index(arg, []byte(`,{"kind":"route"`)); i > 0 && bytes.Contains(arg, []byte("shelf-")) {
-		arg = append(append([]byte{}, arg[:i]...), "]}"...)
-	}
-	return policy.Ops()[policy.OpChange](key, old, arg)
-}
-
-// pushes spoils what registries push to proxies.
-func pushes(spoil func(p *distribution.Push)) func(string, string, any) (any, bool) {
-	return func(_, _ string, msg any) (any, bool) {
-		if p, ok := msg.(distribution.Push); ok {
-			p.Targets = append(p.Targets[:0:0], p.Targets...)
-			spoil(&p)
-			return p, true
-		}
-		return msg, true
-	}
-}
-
-func swap(old, new string) func(p *distribution.Push) {
-	return func(p *distribution.Push) { p.Policy = bytes.ReplaceAll(p.Policy, []byte(old), []byte(new)) }
-}
-
-// tables spoils the plans that registries tell one another.
-func tables(spoil func(*spill.Table)) func(string, string, any) (any, bool) {
-	return func(_, _ string, msg any) (any, bool) {
-		if t, ok := msg.(spill.Table); ok {
-			spoil(&t)
-			return t, true
-		}
-		return msg, true
-	}
-}
-
-// reversed moves the other end of the tiers.
-func reversed(in []spill.Move) []spill.Move {
-	other := map[ids.Name]ids.Name{"way-0": "way-1", "way-1": "way-2", "way-2": "way-0"}
-	out := slices.Clone(in)
-	for i := range out {
-		out[i].Route = other[out[i].Route]
-	}
-	return out
-}
-
-// farther sends everything to one end of the world.
-func farther(in []spill.Move) []spill.Move {
-	out := slices.Clone(in)
-	for i := range out {
-		for _, to := range []ids.Name{"cell-e1", "cell-d1", "cell-c1"} {
-			if out[i].From != to {
-				out[i].To = to
-			}
-		}
-	}
-	return out
-}
-
-// crossed sends others' traffic of every route into a cell whose own is away.
-func crossed(in []spill.Move) []spill.Move {
-	out := slices.Clone(in)
-	for _, m := range in {
-		for _, route := range []ids.Name{"way-0", "way-1", "way-2"} {
-			out = append(out, spill.Move{From: m.To, To: m.From, Route: route, Fraction: 0.95})
-		}
-	}
-	return out
-}
-
-// deaf proxies hear nothing from one another, and of no target's interval.
-func deaf(from, to string, msg any) (any, bool) {
-	if _, hearsay := msg.(proxy.LeaseGossip); hearsay {
-		return nil, false
-	}
-	return pushes(func(p *distribution.Push) {
-		for i := range p.Targets {
-			p.Targets[i].Interval = 1e6
-		}
-	})(from, to, msg)
-}
-
-// lostAfterCalm breaks half of all answers once a calm while has earned retries:
-// targets that break some are left alone, so that faults by lot hardly ever ask
-// for more retries than there may be.
-func lostAfterCalm(w *World) {
-	w.later(18*time.Second, func() {
-		for _, t := range w.pool {
-			t.spoil = 0.5
-		}
-	})
-}
-
 // Every checker catches the mistake it is there for.
 func TestCheckersBite(t *testing.T) {
 	for name, c := range map[string]struct {
@@ -163,7 +62,7 @@
 				p.Policy, p.Revision = nil, 3
 			}
 		})}},
-		"left target": {want: "known gone or leaving", defect: Defect{NoCheck: true, Message: pushes(func(p *distribution.Push) {
+		"left target": {want: "known gone or leaving", script: drained, defect: Defect{NoCheck: true, Message: pushes(func(p *distribution.Push) {
 			for i := range p.Targets {
 				p.Targets[i].Leaving, p.Targets[i].Gone = false, false
 			}
@@ -193,9 +92,16 @@
 				t.Moves = crossed(t.Moves)
 			}
 		})}},
-		"lease without end": {want: "cut off, answered", script: Scenes["core-machine-1-cut-off-both-ways"], defect: Defect{ControlLease: time.Hour}},
-		"deaf planner":      {want: "have planned for", script: Scenes["core-machine-1-cut-off-both-ways"], defect: Defect{ControlLease: time.Hour}},
-		"emptied cell":      {want: "emptied", defect: Defect{Message: pushes(swap(`"emptied":true`, `"emptied":false`))}},
+		"order refused when it came again": {want: "refused with 409 when it came again", defect: Defect{Confirm: refuseCopies()}, script: answersLostAndResent},
+		"acted before the sync":            {want: "was known|reads back as|given to", defect: Defect{SyncLate: true}, script: powerLostAfterAcks},
+		// Nothing but the closing fault comes up.
+		"acted before the last sync":     {want: "was known|reads back as|given to", defect: Defect{SyncLate: true}, script: func(*World) {}},
+		"blank store keeps its identity": {want: "was known|reads back as|given to", defect: Defect{BlankKeepsIdentity: true}, script: wipedAndRestarted},
+		"new seeds lead nowhere":         {want: "can't be read", defect: Defect{DeadSeeds: true}, script: seedsTurnedThenReplaced},
+		"reset taken for not sent":       {want: "run twice", defect: Defect{ResetIsUnsent: true}, script: connectionsReset},
+		"emptied cell":                   {want: "emptied", script: emptiedAgainAndAgain, defect: Defect{Message: pushes(swap(`"emptied":true`, `"emptied":false`))}},
+		"lease without end":              {want: "cut off, answered", script: Scenes["core-machine-1-cut-off-both-ways"], defect: Defect{ControlLease: time.Hour}},
+		"deaf planner":                   {want: "have planned for", script: Scenes["core-machine-1-cut-off-both-ways"], defect: Defect{ControlLease: time.Hour}},
 		"not restored": {want: "15 s after", defect: Defect{Message: func(_, to string, msg any) (any, bool) {
 			_, push := msg.(distribution.Push)
 			return msg, !push || to != "proxy-1" && to != "proxy-2" && to != "proxy-3"
--- /dev/null
+++ b/internal/simulator/delivery.go
@@ -0,0 +1,105 @@
+package simulator
+
+import (
+	"time"
+
+	"dunlinwell/internal/dispatch"
+	"dunlinwell/internal/idempotency"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/proxy"
+)
+
+// ferry is the real carrier's part: dial, let the target show who it is, look
+// once more, send, and wait for a sealed answer.
+func (d *desks) ferry(s ids.Name, f dispatch.Ferry) {
+	p, w := d.p, d.p.w
+	e := d.jobs[f.ID]
+	if e == nil {
+		return
+	}
+	back := dispatch.Back{ID: f.ID, Turn: f.Turn, How: dispatch.NotSent, Why: "dial"}
+	end := func(after time.Duration, b dispatch.Back) {
+		p.later(after, func() { d.hand(s, b) })
+	}
+	t := w.owner[f.Target.Address]
+	if t == nil || !t.up {
+		end(w.between(0, time.Millisecond), back)
+		return
+	}
+	if w.refused(p.name, p.cell, string(t.id), t.cell) {
+		end(w.between(0, time.Millisecond), back)
+		return
+	}
+	if !w.open(p.name, p.cell, string(t.id), t.cell) || !w.open(string(t.id), t.cell, p.name, p.cell) {
+		end(min(time.Second, max(f.Due.Since(p.now()), 0)), back)
+		return
+	}
+	trip := w.far(p.cell, t.cell)
+	p.later(2*trip, func() {
+		// One that is frozen shows nothing: the dial runs out of time.
+		if t.frozen && !w.Defect.NoCheck {
+			end(min(time.Second, max(f.Due.Since(p.now()), 0)), back)
+			return
+		}
+		// The circuit shows who is there now.
+		if !w.Defect.NoCheck && (!t.up || t.id != f.Target.Instance || t.service != f.Target.Service || t.incarnation != f.Target.Incarnation || t.leaving) {
+			end(0, back)
+			return
+		}
+		if !proxy.MayLeave(p.now(), f.By, d.last) {
+			end(0, back)
+			return
+		}
+		d.sent(s, f, e, t, trip)
+	})
+}
+
+// sent is a request whose bytes have left.
+func (d *desks) sent(s ids.Name, f dispatch.Ferry, e *errand, t *target, trip time.Duration) {
+	p, w := d.p, d.p.w
+	over := false
+	gen := p.gen
+	var call *exchange
+	end := func(b dispatch.Back) {
+		if !over {
+			over, call.over = true, true
+			d.hand(s, b)
+		}
+	}
+	maybe := dispatch.Back{ID: f.ID, Turn: f.Turn, How: dispatch.Maybe, Why: "no sealed answer"}
+	broken := maybe
+	if w.Defect.ResetIsUnsent {
+		broken.How = dispatch.NotSent
+	}
+	call = w.begin(&exchange{from: p.name, to: string(t.id), fromZone: p.cell, toZone: t.cell, broken: func() {
+		p.later(0, func() { end(broken) })
+	}})
+	p.later(max(f.Due.Since(p.now()), 0), func() { end(maybe) })
+	run, sent, left := t.gen, w.now, f.Due.Since(p.now())
+	w.later(trip, func() {
+		if !t.up || t.gen != run {
+			if p.gen == gen {
+				p.later(trip, func() { end(maybe) })
+			}
+			return
+		}
+		came := w.now
+		t.awake(func() {
+			t.run(e, p, s, sent, came, left, func(a idempotency.Response, ok bool) {
+				if p.gen != gen {
+					return
+				}
+				b := maybe
+				if ok {
+					b = dispatch.Back{ID: f.ID, Turn: f.Turn, How: dispatch.Sealed, Response: a}
+					d.spent[[2]ids.Name{e.Route, s}] += w.Cost
+					p.total += w.Cost
+				}
+				if !w.open(string(t.id), t.cell, p.name, p.cell) {
+					return // lost on the way: the time limit ends it
+				}
+				p.later(trip, func() { end(b) })
+			})
+		})
+	})
+}
--- a/internal/simulator/disk.go
+++ b/internal/simulator/disk.go
@@ -35,7 +35,9 @@
 	inbox   []event.Sync
 	busy    bool
 	stalled bool
-	gen     int
+	// slow is how many times as long a sync takes; 0 for an ordinary one.
+	slow int
+	gen  int
 	ages
 }
 
@@ -68,7 +70,14 @@
 // wipe loses the disk: what comes next is another store.
 func (d *disk) wipe() { *d = disk{w: d.w, records: map[ids.Key][]byte{}, gen: d.gen + 1} }
 
+// writeBack is how long a disk that lies holds back what it says it has synced.
+const writeBack = 50 * time.Millisecond
+
 func (d *disk) settle(p *proc, s event.Sync) {
+	if d.w.Defect.SyncLate {
+		p.perform(s.Then)
+		s.Then = nil
+	}
 	d.inbox = append(d.inbox, s)
 	d.next(p)
 }
@@ -79,7 +88,10 @@
 		return
 	}
 	d.busy = true
-	took := d.w.between(200*time.Microsecond, 4*time.Millisecond)
+	took := d.w.between(200*time.Microsecond, 4*time.Millisecond) * time.Duration(max(d.slow, 1))
+	if d.w.Defect.SyncLate {
+		took += writeBack
+	}
 	gen, n := d.gen, len(d.inbox)
 	d.w.later(took, func() { d.synced(p, gen, n) })
 }
--- /dev/null
+++ b/internal/simulator/faults_acknowledged.go
@@ -0,0 +1,101 @@
+package simulator
+
+import (
+	"time"
+
+	"dunlinwell/internal/blueprint"
+	"dunlinwell/internal/membership"
+)
+
+const (
+	// strikeWithin is how soon after an acknowledgement such a fault comes.
+	strikeWithin = 4 * ms
+	// strikeBlind is how soon it comes after a change was sent, if it doesn't
+	// wait for the acknowledgement.
+	strikeBlindFrom, strikeBlindTill = 5 * ms, 400 * ms
+)
+
+// afterAck brings a fault about right after the next acknowledgement of a
+// change, for the process that gave it; or soon after the next one was sent.
+func (w *World) afterAck(fault func(*proc)) {
+	if w.dice.IntN(3) == 0 {
+		w.atChange = func() {
+			w.later(w.between(strikeBlindFrom, strikeBlindTill), func() { fault(w.some(membership.Registry)) })
+		}
+		return
+	}
+	w.atAck = func(p *proc) { w.later(w.between(0, strikeWithin), func() { fault(p) }) }
+}
+
+// wipeMachineOf loses the disk of a registry's machine, or of another one.
+func (w *World) wipeMachineOf(registry *proc) {
+	store := w.storeOf(registry)
+	if store == nil || w.dice.IntN(3) == 0 {
+		store = w.some(membership.Store)
+	}
+	if w.now < w.quiet() && w.tolerates(store) {
+		w.wipe(store, w.short())
+	}
+}
+
+// killMachineOf takes the power of a registry's machine.
+func (w *World) killMachineOf(registry *proc) {
+	for _, p := range w.machine(registry) {
+		w.bounce(p, w.short())
+	}
+}
+
+// acknowledged hears of each change that a registry has just confirmed.
+func (w *World) acknowledged(p *proc) {
+	if f := w.atAck; f != nil {
+		w.atAck = nil
+		f(p)
+	}
+}
+
+// changeSent hears of each change that is sent for the first time.
+func (w *World) changeSent() {
+	if f := w.atChange; f != nil {
+		w.atChange = nil
+		f()
+	}
+}
+
+// closingWait bounds how long the closing fault waits for an acknowledgement.
+const closingWait = 6 * time.Second
+
+// closing ends the day: one more change, and right after its acknowledgement,
+// or soon after it was sent, everything is killed, or one disk is lost, at times
+// while everything else loses power.
+func (w *World) closing() {
+	struck := false
+	once := func(p *proc) {
+		if !struck {
+			struck = true
+			w.closingFault(p)
+		}
+	}
+	w.afterAck(once)
+	w.office.n++
+	w.put(w.office.n, w.dice.IntN(blueprint.Pairs))
+	w.later(closingWait, func() { once(w.some(membership.Registry)) })
+}
+
+func (w *World) closingFault(p *proc) {
+	wiped := w.storeOf(p)
+	if wiped == nil {
+		wiped = w.some(membership.Store)
+	}
+	switch w.dice.IntN(4) {
+	case 0:
+		w.trace("closing: the disk of %s is lost", wiped.name)
+		w.wipe(wiped, w.restart())
+	case 1:
+		w.trace("closing: the disk of %s is lost, everything loses power", wiped.name)
+		w.herd(w.living(0), w.restart)
+		w.loseDisk(wiped)
+	default:
+		w.trace("closing: everything is killed, and starts from disk")
+		w.herd(w.living(0), w.restart)
+	}
+}
--- a/internal/simulator/lease_test.go
+++ b/internal/simulator/lease_test.go
@@ -23,7 +23,7 @@
 	"a region and its core machine": func(w *World) {
 		for i := range w.Plan.Cells {
 			if c := w.Plan.Cell(i); w.Plan.Region(c) == "region-b" {
-				w.loseCell(c, 8*time.Second)
+				w.losePower(c, 8*time.Second)
 			}
 		}
 	},
--- a/internal/simulator/office.go
+++ b/internal/simulator/office.go
@@ -10,6 +10,9 @@
 	"dunlinwell/internal/registry"
 )
 
+// operator is the name that operators have in cuts and exchanges.
+const operator = "operator"
+
 // office is the operators and their automation: changes in races and storms,
 // broken and stale ones, and reads. What was promised stands in the witness's
 // books; here is only what the next change needs.
@@ -21,6 +24,12 @@
 	cellAt ids.Revision
 	// raced is the version of the route that operators race for.
 	raced ids.Revision
+	// taken are the changes that a registry has confirmed, whether or not its
+	// answer arrived.
+	taken map[string]bool
+	// recordLost: all core disks are lost, and with them what says which orders
+	// were taken.
+	recordLost bool
 	// flips: the route that moves about has been made.
 	flips bool
 }
@@ -90,55 +99,13 @@
 func (w *World) decline(raw string) {
 	id := w.Truth.Ask([]byte(raw), w.clock())
 	w.Truth.Decline(id)
-	w.call("operator", w.Plan.Cell(0), func(x uint64) any { return registry.ChangeCall{ID: x, Raw: []byte(raw)} }, func(rep registry.Response) {
+	w.call(operator, w.Plan.Cell(0), func(x uint64) any { return registry.ChangeCall{ID: x, Raw: []byte(raw)} }, func(rep registry.Response) {
 		if rep.Status == 200 {
 			w.Truth.Wrong("%s was accepted", id)
 		}
 	}, nil)
 }
 
-// change sends a change until its end is known, under the same id each time.
-func (w *World) change(raw string, accepted func(policy.Result)) {
-	w.resend(w.Truth.Ask([]byte(raw), w.clock()), raw, true, accepted)
-}
-
-// resend sends it once more; sure tells that no earlier copy can take effect.
-func (w *World) resend(id, raw string, sure bool, accepted func(policy.Result)) {
-	again := func() { w.later(300*ms, func() { w.resend(id, raw, sure, accepted) }) }
-	maybe := func() { sure = false; again() }
-	w.call("operator", w.Plan.Cell(0), func(x uint64) any { return registry.ChangeCall{ID: x, Raw: []byte(raw)} }, func(rep registry.Response) {
-		r, ok := rep.Body.(policy.Result)
-		switch {
-		case !ok && rep.Status != 503:
-			maybe()
-			return
-		// Surely not accepted: some operators leave it at that, and then it may
-		// never show.
-		case !ok && sure && w.dice.IntN(3) == 0 && accepted == nil:
-			w.Truth.Decline(id)
-			return
-		case !ok:
-			again()
-			return
-		}
-		w.trace("operator: %s ends with %d, revision %d", id, rep.Status, r.Revision)
-		switch rep.Status {
-		case 200:
-			w.Truth.Accept(id, uint64(r.Revision), w.clock())
-			w.promise(r.Revision)
-			if accepted != nil {
-				accepted(r)
-			}
-		case 400:
-			w.Truth.Wrong("%s was declined with %d: %+v", id, rep.Status, r)
-			w.Truth.Decline(id)
-		default:
-			// What it removes is gone already, or another was sooner.
-			w.Truth.Decline(id)
-		}
-	}, maybe)
-}
-
 // page gives a policy as its page would say it.
 func page(p *policy.Policy) []byte {
 	raw, _ := json.Marshal(p)
--- a/internal/simulator/proc.go
+++ b/internal/simulator/proc.go
@@ -34,6 +34,8 @@
 	nextID  uint64
 	// lost processes don't come back: their machine was replaced.
 	lost bool
+	// impairedAt is when it last counted as lost.
+	impairedAt ids.Time
 	// seeds are as they were set when the machine was put up.
 	seeds []ids.Address
 	// total is the CPU time that the machine's runs have spent, in ms.
--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -7,8 +7,6 @@
 
 	"dunlinwell/internal/blueprint"
 	"dunlinwell/internal/checker"
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/dispatch"
 	"dunlinwell/internal/ids"
 	"dunlinwell/internal/membership"
 	"dunlinwell/internal/policy"
@@ -46,27 +44,6 @@
 	Defect  Defect
 }
 
-// Defect is a mistake planted on purpose, to see that its checker bites.
-type Defect struct {
-	// Ops replace change functions.
-	Ops map[consensus.Op]consensus.ChangeFunc
-	// DiskForgets: a killed store loses half of what it had synced.
-	DiskForgets bool
-	// KeepMarks is how long disks keep marks, if not for as long as they should.
-	KeepMarks time.Duration
-	// NoCheck: circuits are used without the target showing who it is.
-	NoCheck bool
-	// CloseHeld: circuits that consumers hold are closed after each answer.
-	CloseHeld bool
-	// Response spoils a proxy's answers.
-	Response func(dispatch.Response) dispatch.Response
-	// ControlLease is how long registries speak for the core by one agreement, if
-	// not for as long as they should.
-	ControlLease time.Duration
-	// Message spoils what is sent between daemons; false loses it.
-	Message func(from, to string, msg any) (any, bool)
-}
-
 func (p *Params) fill() {
 	if p.Plan.Name == "" {
 		p.Plan = blueprint.Plans["small"]
@@ -103,7 +80,9 @@
 	Responses map[string]int
 	Changes   int
 	Pruned    int
-	Log       []string
+	// Struck counts the faults that came by lot, by kind.
+	Struck map[string]int
+	Log    []string
 }
 
 // Replay is the command that plays a seed again.
@@ -164,6 +143,7 @@
 	w.later(time.Second, func() { w.policy() })
 	w.until(ids.Time(6 * time.Second))
 	w.arrivals()
+	w.watchLosses()
 	if w.FaultEvery > 0 {
 		w.business()
 	}
@@ -171,7 +151,7 @@
 	case w.Script != nil:
 		w.Script(w)
 	case w.FaultEvery > 0:
-		w.trouble()
+		w.faultsByLot()
 	}
 	w.until(w.quiet())
 	w.heal()
@@ -181,9 +161,9 @@
 	w.closeBooks("the day's end")
 	w.until(w.now.Add(6 * time.Second))
 	if w.FaultEvery > 0 {
-		w.night()
-		w.until(w.now.Add(restoreWithin))
-		w.closeBooks("after the night")
+		w.closing()
+		w.until(w.now.Add(closingWait + restoreWithin))
+		w.closeBooks("after the closing fault")
 		w.until(w.now.Add(6 * time.Second))
 	}
 	return w.outcome()
@@ -191,7 +171,7 @@
 
 func (w *World) outcome() Outcome {
 	o := Outcome{Seed: w.Seed, Counts: w.Truth.Verdict(), Sum: w.sum, Events: w.Events, Responses: w.Truth.Tally(time.Unix(0, 0)),
-		Changes: w.Truth.Changes(), Pruned: w.pruned, Log: w.Log}
+		Changes: w.Truth.Changes(), Pruned: w.pruned, Struck: w.struck, Log: w.Log}
 	for _, c := range o.Counts {
 		o.Broken += c.Count
 	}
@@ -208,11 +188,12 @@
 	w.trace("the machines are back")
 	w.healed = w.now
 	w.Truth.Healed(w.clock())
-	w.cuts = nil
+	w.cuts, w.answerLoss = nil, 0
+	w.atAck, w.atChange = nil, nil
 	w.net = weather{jitter: time.Millisecond}
 	for _, p := range w.procs {
 		if p.disk != nil {
-			p.disk.stalled = false
+			p.disk.stalled, p.disk.slow = false, 0
 		}
 		switch {
 		case p.lost:
--- a/internal/simulator/scenes.go
+++ b/internal/simulator/scenes.go
@@ -4,29 +4,41 @@
 	"time"
 
 	"dunlinwell/internal/blueprint"
-	"dunlinwell/internal/ids"
 	"dunlinwell/internal/membership"
 )
 
 // Scenes are faults in combination, at set times. Each goes with the usual
 // load and the usual operators.
 var Scenes = map[string]func(w *World){
-	"freeze-between-claim-and-send":     freezeAtClaim,
-	"swap-in-a-change-storm":            swapInStorm,
-	"core-restarts-while-a-cell-is-out": coreRestartsCellOut,
-	"clock-jumps-in-the-retry-window":   clockJumps,
-	"stalled-disks-under-the-planner":   stalledDisks,
-	"one-way-cuts":                      oneWayCuts,
-	"rolling-restart":                   rollingRestart,
-	"herd-at-the-days-end":              herdAtEnd,
-	"every-disk-lost":                   everyDiskLost,
-	"first-core-gone-and-all-restart":   firstCoreGone,
-	"region-lost":                       regionLost,
-	"two-disks-stall-and-one-is-lost":   stallAndLose,
-	"address-handed-on-while-cut-off":   handedWhileCut,
-	"answers-lost-under-load":           responsesLost,
-	"drained-one-by-one":                drained,
-	"emptied-while-the-core-splits":     emptiedInSplit,
+	"freeze-between-claim-and-send":       freezeAtClaim,
+	"swap-in-a-change-storm":              swapInStorm,
+	"core-restarts-while-a-cell-is-out":   coreRestartsCellOut,
+	"clock-jumps-in-the-retry-window":     clockJumps,
+	"stalled-disks-under-the-planner":     stalledDisks,
+	"one-way-cuts":                        oneWayCuts,
+	"rolling-restart":                     rollingRestart,
+	"herd-at-the-days-end":                herdAtEnd,
+	"every-disk-lost":                     everyDiskLost,
+	"first-core-gone-and-all-restart":     firstCoreGone,
+	"region-lost":                         regionLost,
+	"two-disks-stall-and-one-is-lost":     stallAndLose,
+	"address-handed-on-while-cut-off":     handedWhileCut,
+	"answers-lost-under-load":             responsesLost,
+	"drained-one-by-one":                  drained,
+	"emptied-while-the-core-splits":       emptiedInSplit,
+	"gone-but-running":                    goneButRunning,
+	"left-to-a-dying-registry":            leftToDying,
+	"policy-moves-while-the-core-splits":  movedInSplit,
+	"targets-freeze-and-wake":             targetsFreeze,
+	"whole-core-lost-and-changed":         coreLostAndChanged,
+	"core-machine-cut-off-twice":          coreMachineCutOff,
+	"core-machine-cut-off-and-restarted":  coreMachineCutOffAndRestarted,
+	"disks-lost-in-a-row":                 disksLostInARow,
+	"replaced-as-planned-then-power-lost": replacedThenPowerLost,
+	"change-storm-then-restarts":          stormThenRestarts,
+	"answers-lost-and-orders-resent":      answersLostAndResent,
+	"connections-reset-under-load":        connectionsReset,
+	"power-lost-after-acknowledgements":   powerLostAfterAcks,
 }
 
 func (w *World) every(from, gap time.Duration, n int, f func(i int)) {
@@ -35,15 +47,6 @@
 	}
 }
 
-func (w *World) named(name string) *proc {
-	for _, p := range w.procs {
-		if p.name == name {
-			return p
-		}
-	}
-	return nil
-}
-
 func freezeAtClaim(w *World) {
 	n := 0
 	w.atClaim = func(p *proc) {
@@ -60,7 +63,7 @@
 }
 
 func coreRestartsCellOut(w *World) {
-	w.later(5*time.Second, func() { w.loseCell(w.Plan.Cell(0), 8*time.Second) })
+	w.later(5*time.Second, func() { w.losePower(w.Plan.Cell(0), 8*time.Second) })
 	w.later(6*time.Second, func() {
 		for _, p := range w.procs {
 			if p.role != membership.Proxy && p.up && !p.lost {
@@ -88,20 +91,6 @@
 	})
 }
 
-func oneWayCuts(w *World) {
-	w.every(2*time.Second, 3*time.Second, 12, func(i int) {
-		p := w.procs[i%len(w.procs)]
-		w.trace("%s is cut off one way", p.name)
-		in := func(n string, _ ids.Name) bool { return n == p.name }
-		out := func(n string, _ ids.Name) bool { return n != p.name }
-		c := &cut{a: in, b: out, oneWay: true}
-		if i%2 == 0 {
-			c.a, c.b = out, in
-		}
-		w.cutOff(4*time.Second, c)
-	})
-}
-
 func rollingRestart(w *World) {
 	for i, p := range w.procs {
 		w.later(2*time.Second+time.Duration(i)*3*time.Second, func() { w.bounce(p, 500*time.Millisecond) })
@@ -121,6 +110,7 @@
 func everyDiskLost(w *World) {
 	w.counted = true
 	w.later(12*time.Second, func() {
+		w.office.recordLost = true
 		w.trace("every core disk is lost")
 		for _, p := range w.procs[:3] {
 			p.kill()
@@ -148,7 +138,7 @@
 		r := w.Plan.Region(w.Plan.Cell(i))
 		for n := range w.Plan.Cells {
 			if c := w.Plan.Cell(n); w.Plan.Region(c) == r {
-				w.loseCell(c, 6*time.Second)
+				w.losePower(c, 6*time.Second)
 			}
 		}
 	})
@@ -156,42 +146,6 @@
 
 func stallAndLose(w *World) {
 	w.later(4*time.Second, func() { w.procs[1].disk.stalled = true })
-	w.later(6*time.Second, func() { w.swapCore() })
+	w.later(6*time.Second, func() { w.swap(w.some(membership.Store)) })
 	w.later(12*time.Second, func() { w.procs[1].disk.stalled = false })
 }
-
-func handedWhileCut(w *World) {
-	w.every(3*time.Second, 8*time.Second, 4, func(i int) {
-		p := w.some(membership.Proxy)
-		w.trace("%s is cut off from the core", p.name)
-		w.cutOff(6*time.Second, &cut{a: func(n string, _ ids.Name) bool { return n == p.name },
-			b: func(n string, _ ids.Name) bool {
-				q := w.named(n)
-				return q != nil && q.role != membership.Proxy
-			}})
-		w.later(500*time.Millisecond, func() { w.handOver(w.pool[i%len(w.pool)], 3*time.Second) })
-	})
-}
-
-func responsesLost(w *World) {
-	for _, t := range w.pool {
-		t.mute, t.spoil = 0.2, 0.1
-	}
-}
-
-func drained(w *World) {
-	for i, t := range w.pool {
-		w.later(2*time.Second+time.Duration(i)*4*time.Second, func() {
-			t.leave()
-			w.later(5*time.Second, func() { t.crash() })
-			w.later(7*time.Second, func() { w.again(t) })
-		})
-	}
-}
-
-func emptiedInSplit(w *World) {
-	w.every(3*time.Second, 16*time.Second, 3, func(int) {
-		w.splitCore(11 * time.Second)
-		w.later(time.Second, func() { w.emptyCell() })
-	})
-}
--- a/internal/simulator/scenes2.go
+++ b/internal/simulator/scenes_target.go
@@ -7,12 +7,35 @@
 	"dunlinwell/internal/membership"
 )
 
-func init() {
-	Scenes["gone-but-running"] = goneButRunning
-	Scenes["left-to-a-dying-registry"] = leftToDying
-	Scenes["policy-moves-while-the-core-splits"] = movedInSplit
-	Scenes["targets-freeze-and-wake"] = targetsFreeze
-	Scenes["whole-core-lost-and-changed"] = coreLostAndChanged
+// Scenes of targets.
+
+func handedWhileCut(w *World) {
+	w.every(3*time.Second, 8*time.Second, 4, func(i int) {
+		p := w.some(membership.Proxy)
+		w.trace("%s is cut off from the core", p.name)
+		w.cutOff(6*time.Second, &cut{a: func(n string, _ ids.Name) bool { return n == p.name },
+			b: func(n string, _ ids.Name) bool {
+				q := w.named(n)
+				return q != nil && q.role != membership.Proxy
+			}})
+		w.later(500*time.Millisecond, func() { w.handOver(w.pool[i%len(w.pool)], 3*time.Second) })
+	})
+}
+
+func responsesLost(w *World) {
+	for _, t := range w.pool {
+		t.mute, t.spoil = 0.2, 0.1
+	}
+}
+
+func drained(w *World) {
+	for i, t := range w.pool {
+		w.later(2*time.Second+time.Duration(i)*4*time.Second, func() {
+			t.leave()
+			w.later(5*time.Second, func() { t.crash() })
+			w.later(7*time.Second, func() { w.again(t) })
+		})
+	}
 }
 
 // goneButRunning cuts targets off from the core, which counts them as gone,
@@ -48,25 +71,8 @@
 	})
 }
 
-// movedInSplit moves a route about while the core splits again and again.
-func movedInSplit(w *World) {
-	w.every(3*time.Second, 11*time.Second, 4, func(int) { w.splitCore(7 * time.Second) })
-	w.every(time.Second, 900*ms, 50, func(i int) { w.flip(5000 + i) })
-}
-
 func targetsFreeze(w *World) {
 	w.every(2*time.Second, 1500*ms, 28, func(i int) {
 		w.pool[i%len(w.pool)].freeze(w.between(time.Second, 9*time.Second))
 	})
 }
-
-// coreLostAndChanged loses the core but for two stores, which no proxy
-// reaches, while a change is accepted: what proxies can't confirm must stop.
-func coreLostAndChanged(w *World) {
-	w.every(3*time.Second, 14*time.Second, 3, func(i int) {
-		w.trace("the proxies are cut off from the core")
-		w.cutOff(8*time.Second, &cut{a: func(n string, _ ids.Name) bool { q := w.named(n); return q != nil && q.role == membership.Proxy },
-			b: func(n string, _ ids.Name) bool { q := w.named(n); return q != nil && q.role != membership.Proxy }})
-		w.later(500*ms, func() { w.emptyCell(); w.flip(6000 + i) })
-	})
-}
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -17,6 +17,7 @@
 
 // Many seeds, every kind of fault, nothing that must never happen.
 func TestSeeds(t *testing.T) {
+	struck := map[string]int{}
 	for seed := uint64(1); seed <= 12; seed++ {
 		o := Run(Params{Seed: seed})
 		t.Logf("seed %d: %d events, %v, %d changes", seed, o.Events, o.Responses, o.Changes)
@@ -24,6 +25,14 @@
 		if o.Pruned == 0 {
 			t.Errorf("seed %d: no mark was old enough to be forgotten", seed)
 		}
+		for kind, n := range o.Struck {
+			struck[kind] += n
+		}
+	}
+	for _, kind := range FaultKinds() {
+		if struck[kind] < 2 {
+			t.Errorf("%s struck %d times: too few to prove anything", kind, struck[kind])
+		}
 	}
 }
 
--- a/internal/simulator/target.go
+++ b/internal/simulator/target.go
@@ -171,13 +171,19 @@
 // callAt is an outside call to one registry.
 func (w *World) callAt(p *proc, name string, cell ids.Name, make1 func(id uint64) any, done func(registry.Response), lost func()) {
 	over := false
+	var call *exchange
 	once := func(f func()) {
 		if !over && f != nil {
-			over = true
+			over, call.over = true, true
 			f()
 		}
 	}
-	w.later(4*time.Second, func() { once(lost) })
+	call = w.begin(&exchange{from: name, to: p.name, fromZone: cell, toZone: p.cell, broken: func() { once(lost) }})
+	w.later(w.waits(name), func() { once(lost) })
+	if w.refused(name, cell, p.name, p.cell) {
+		w.later(time.Millisecond, func() { once(lost) })
+		return
+	}
 	if !w.open(name, cell, p.name, p.cell) {
 		return
 	}
@@ -189,6 +195,12 @@
 		p.nextID++
 		id := p.nextID
 		p.calls[id] = func(r registry.Response) {
+			if name == operator {
+				r = w.confirm(r)
+				if w.answeredOperator(p, r) {
+					return
+				}
+			}
 			if w.open(p.name, p.cell, name, cell) {
 				w.later(w.far(p.cell, cell), func() { once(func() { done(r) }) })
 			}
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -67,6 +67,16 @@
 	pruned int
 	// atClaim, if set, hears of each claim as it is asked for.
 	atClaim func(p *proc)
+	// atAck and atChange, if set, hear of the next change that is confirmed, or
+	// sent.
+	atAck    func(p *proc)
+	atChange func()
+	// answerLoss is the share of answers to operators that are lost.
+	answerLoss  float64
+	connections connections
+	losses      coreLosses
+	// struck counts the faults that came by lot.
+	struck map[string]int
 }
 
 // weather is how badly the net behaves just now.
@@ -75,17 +85,12 @@
 	jitter       time.Duration
 }
 
-// cut keeps messages from one side from reaching the other.
-type cut struct {
-	a, b   func(name string, cell ids.Name) bool
-	oneWay bool
-}
-
 // NewWorld makes an empty world for a seed.
 func NewWorld(p Params) *World {
 	p.fill()
 	return &World{Params: p, dice: rand.New(rand.NewPCG(p.Seed, 0x64756e6c696e)), at: map[ids.Address]*proc{},
-		owner: map[ids.Address]*target{}, Truth: &checker.Truth{}, net: weather{jitter: time.Millisecond}}
+		owner: map[ids.Address]*target{}, Truth: &checker.Truth{}, net: weather{jitter: time.Millisecond},
+		connections: connections{resets: map[endpoints]int{}}, struck: map[string]int{}, office: office{taken: map[string]bool{}}}
 }
 
 // later asks for something to be done after a while.
@@ -143,7 +148,7 @@
 // open tells whether a message can pass.
 func (w *World) open(fromName string, from ids.Name, toName string, to ids.Name) bool {
 	for _, c := range w.cuts {
-		if c.a(fromName, from) && c.b(toName, to) || !c.oneWay && c.b(fromName, from) && c.a(toName, to) {
+		if c.crosses(fromName, from, toName, to) {
 			return false
 		}
 	}
@@ -178,26 +183,13 @@
 		if to != from.addr {
 			d = w.far(from.cell, q.cell)
 		}
+		pair := ends(from.name, q.name)
+		resets := w.connections.resets[pair]
 		w.later(d, func() {
 			// Whoever has the address when it arrives gets it.
-			if q := w.at[to]; q != nil && q.up {
+			if q := w.at[to]; q != nil && q.up && w.connections.resets[pair] == resets {
 				q.take(event.Received{From: from.addr, Msg: msg})
 			}
 		})
 	}
 }
-
-// cutOff cuts one side from the other for a while.
-func (w *World) cutOff(d time.Duration, c *cut) {
-	w.cuts = append(w.cuts, c)
-	w.later(d, func() { w.mend(c) })
-}
-
-func (w *World) mend(c *cut) {
-	for i, x := range w.cuts {
-		if x == c {
-			w.cuts = append(w.cuts[:i], w.cuts[i+1:]...)
-			return
-		}
-	}
-}
