--- a/internal/simulator/proc.go
+++ b/internal/simulator/proc.go
@@ -36,6 +36,8 @@
 	lost bool
 	// bootstrap: the settings call the next start the fleet's first one.
 	bootstrap bool
+	// impairedAt is when it last counted as lost.
+	impairedAt ids.Time
 	// seeds are as they were set when the machine was put up.
 	seeds []ids.Address
 	// linkOut and linkIn are when what is under way there has passed.
