--- a/internal/consensus/model_state_test.go
+++ b/internal/consensus/model_state_test.go
@@ -7,7 +7,6 @@
 	"maps"
 	"math/rand/v2"
 	"slices"
-	"strings"
 
 	"dunlinwell/internal/event"
 	"dunlinwell/internal/ids"
@@ -28,13 +27,23 @@
 func (d modelDisk) Scan(after ids.Key, n int) []event.Record {
 	var out []event.Record
 	for _, k := range slices.Sorted(maps.Keys(d)) {
-		if k > after && strings.HasPrefix(string(k), slotPrefix) && len(out) < n {
+		if k > after && k < "item0" && len(out) < n {
 			out = append(out, event.Record{Key: k, Value: d[k]})
 		}
 	}
 	return out
 }
 
+func (d modelDisk) write(list []event.Record) {
+	for _, r := range list {
+		if r.Delete {
+			delete(d, r.Key)
+			continue
+		}
+		d[r.Key] = r.Value
+	}
+}
+
 // sameDice always falls the same way, so that a proposer has no hidden state.
 type sameDice struct{}
 
@@ -85,6 +94,11 @@
 	a := *s.acceptor
 	a.out, a.storage, a.unsynced = &c.Outbox, c.disk, map[ids.Key]unsyncedRecord{}
 	a.changes.keys = slices.Clone(a.changes.keys)
+	a.registers = map[ids.Key]*register{}
+	for k, r := range s.acceptor.registers {
+		one := *r
+		a.registers[k] = &one
+	}
 	c.acceptor = &a
 	p := *s.proposer
 	p.out, p.voterSet = &c.Outbox, a.VoterSet
@@ -95,6 +109,7 @@
 	for k, r := range s.proposer.rounds {
 		p.rounds[k] = cloneRound(r)
 	}
+	p.peers = clonePeers(s.proposer.peers)
 	c.proposer = &p
 	for id, from := range s.copier.sources {
 		to := *from
@@ -103,6 +118,19 @@
 	return c
 }
 
+func clonePeers(from peers) peers {
+	to := newPeers()
+	for id, x := range from.stores {
+		one := *x
+		to.stores[id] = &one
+	}
+	to.settled, to.again = maps.Clone(from.settled), maps.Clone(from.again)
+	for k, sent := range from.broughtUp {
+		to.broughtUp[k] = maps.Clone(sent)
+	}
+	return to
+}
+
 func cloneRound(r *round) *round {
 	c := *r
 	c.promises, c.votes = maps.Clone(r.promises), maps.Clone(r.votes)
@@ -150,6 +178,12 @@
 		text([]byte(k))
 		ballot(p.cachedValues[k].ballot)
 	}
+	for _, k := range slices.Sorted(maps.Keys(p.settled)) {
+		text([]byte(k))
+		ballot(p.settled[k].ballot)
+		truth(p.again[k])
+		number(uint64(len(p.broughtUp[k])))
+	}
 	for _, k := range slices.Sorted(maps.Keys(p.rounds)) {
 		r := p.rounds[k]
 		text([]byte(k))
--- a/internal/consensus/model_world_test.go
+++ b/internal/consensus/model_world_test.go
@@ -105,9 +105,7 @@
 		list = list[1:]
 		switch c := c.(type) {
 		case event.Sync:
-			for _, r := range c.Records {
-				s.disk[r.Key] = r.Value
-			}
+			s.disk.write(c.Records)
 			s.acceptor.Synced(c.Turn)
 			list = append(slices.Clone(c.Then), list...)
 		case event.Send:
@@ -177,9 +175,7 @@
 	}
 	for _, c := range s.Drain() {
 		y := c.(event.Sync)
-		for _, r := range y.Records {
-			s.disk[r.Key] = r.Value
-		}
+		s.disk.write(y.Records)
 		s.acceptor.Synced(y.Turn)
 		for _, then := range y.Then {
 			w.answer(p, s, then.(event.Send).Msg)
