--- a/internal/process/transport.go
+++ b/internal/process/transport.go
@@ -50,11 +50,6 @@
 	queueLength = 512
 	writeWithin = 2 * time.Second
 	idleFor     = time.Minute
-	dialWithin  = time.Second
-	// A peer that refuses may be about to start, as all do after a loss of the
-	// whole fleet, and what hangs on it is a chain of several such dials.
-	leastRest = 50 * time.Millisecond
-	mostRest  = 200 * time.Millisecond
 )
 
 // Listen opens the port, so that a taken one is known before anything runs.
@@ -138,7 +133,7 @@
 // hold keeps a circuit to one peer while there is something to say.
 func (p *Transport) maintain(ctx context.Context, to ids.Address, line chan []byte) {
 	var first []byte
-	rest := leastRest
+	pace := newDialPace()
 	for {
 		// A peer that is gone for good isn't dialled for nothing.
 		if first == nil {
@@ -152,15 +147,12 @@
 		if dial == nil {
 			dial = p.dial
 		}
-		c, err := dial(ctx, to)
+		c, err := pace.dial(ctx, to, dial)
 		if err == nil {
-			rest = leastRest
 			if p.write(ctx, c, to, first, line) {
 				return
 			}
 			first = nil
-		} else {
-			rest = min(rest*2, mostRest)
 		}
 		// What waits for a peer that isn't there is old by the time it is.
 		for len(line) > queueLength/2 {
@@ -170,7 +162,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(rest):
+		case <-time.After(pace.rest):
 		}
 	}
 }
