--- a/internal/consensus/copier.go
+++ b/internal/consensus/copier.go
@@ -90,6 +90,16 @@
 	return true
 }
 
+// Copied tells whether a majority of a voter set has given all that it held at
+// some time, so that only what changed since is left to copy.
+func (c *Copier) Copied(set VoterSet) bool {
+	given := map[uint64]bool{}
+	for id, s := range c.sources {
+		given[id] = s.sealed > 0
+	}
+	return set.Number > 0 && VoterSet{Voters: set.Voters}.Majority(given)
+}
+
 // CompleteUnder tells whether a majority of a voter set has given all that it
 // held when it already went by that voter set, so that nothing can be agreed any
 // more under an earlier one that this copy lacks. In a joint voter set the
--- a/internal/consensus/messages.go
+++ b/internal/consensus/messages.go
@@ -168,6 +168,8 @@
 	VoterSet uint64
 	// Response is set on the answer, which must not be answered again.
 	Response bool
+	// Copied: it has no vote, but has copied once what a majority of the voters hold.
+	Copied bool
 }
 
 // Found hands the first voter set to a blank member.
--- a/internal/consensus/standing.go
+++ b/internal/consensus/standing.go
@@ -58,6 +58,14 @@
 // Standing gives this disk's right to vote.
 func (a *Acceptor) Standing() Standing { return Standing(a.standing.Standing) }
 
+// WasReplaced tells whether a disk belongs to a store whose place another took.
+// Nothing on it counts any more.
+func WasReplaced(disk Storage) bool {
+	raw, ok := disk.Get(standingKey)
+	s, fine := unpack[standing](raw)
+	return ok && fine && Standing(s.Standing) == Replaced
+}
+
 // MarkComplete lets this store vote. What it copied was asked of the disk
 // before, and every vote waits for the disk in turn.
 func (a *Acceptor) MarkComplete() {
--- a/internal/daemon/store.go
+++ b/internal/daemon/store.go
@@ -31,8 +31,9 @@
 	Data   string `help:"The data folder, held by this process alone." required:"" placeholder:"DIR"`
 	Copies int    `help:"How many stores keep each item: one more than twice the disks that may be lost at once." default:"3"`
 	// Bootstrap is asked for on purpose: blank stores never found a fleet by themselves.
-	Bootstrap bool `help:"The fleet starts for the first time, on empty disks: the seeds, all blank and all with this flag, may found it."`
-	Thrifty   bool `help:"Compare rolls by parts and tell only of what differs, as registries do."`
+	Bootstrap bool          `help:"The fleet starts for the first time, on empty disks: the seeds, all blank and all with this flag, may found it."`
+	Grace     time.Duration `help:"How long this store may go on after the polite signal, to hand its vote over or while too few others are up." default:"5s"`
+	Thrifty   bool          `help:"Compare rolls by parts and tell only of what differs, as registries do."`
 }
 
 // live runs a daemon's services while its pages are served, then lets go.
@@ -145,6 +146,9 @@
 	if err != nil {
 		return &StartError{errs.Wrap(err, "--data", "")}
 	}
+	if disk, err = renewReplaced(disk, log); err != nil {
+		return &StartError{errs.Wrap(err, "--data", "")}
+	}
 	defer disk.Close()
 	if disk.SetAside != "" {
 		log.Event("error", "damaged database set aside, joining as blank", "kept", disk.SetAside)
@@ -170,7 +174,9 @@
 			}
 		}
 	}
-	owner := process.NewOwner(m, 20*time.Millisecond, do)
+	life := newDeparture()
+	owner := process.NewOwner(m, 20*time.Millisecond, life.watch(do))
+	life.onSignal(ctx, p.Grace, owner)
 	c.do, c.done = do, func(s event.Synced) { owner.Put(s) }
 	post.Deliver = func(from ids.Address, msg any) { owner.Offer(event.Received{From: from, Msg: msg}) }
 	wire, pages, err := ports(post, p.Pages())
@@ -187,6 +193,6 @@
 			{Name: "disk_records_total", Value: float64(c.records.Load()), Total: true},
 			{Name: "disk_inbox_length", Value: float64(len(c.inbox))}}...)
 	})
-	return live(ctx, "store", log, &stopping, func() error { return api.Serve(ctx, pages, mux, 1700*time.Millisecond) },
+	return live(ctx, "store", log, &stopping, func() error { return api.Serve(life.serving, pages, mux, leavePages) },
 		owner, c, Task("post", func(x context.Context) error { return post.Serve(x, wire) }))
 }
--- a/internal/simulator/disk.go
+++ b/internal/simulator/disk.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"dunlinwell/internal/consensus"
 	"dunlinwell/internal/event"
 	"dunlinwell/internal/ids"
 )
@@ -42,6 +43,9 @@
 func newDisk(w *World) *disk { return &disk{w: w, records: map[ids.Key][]byte{}} }
 
 func (d *disk) open(p *proc) {
+	if consensus.WasReplaced(d) {
+		d.wipe()
+	}
 	if d.store == 0 {
 		d.store = d.w.dice.Uint64()>>24 | 1
 	}
--- /dev/null
+++ b/internal/simulator/leaving_test.go
@@ -0,0 +1,100 @@
+package simulator
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"dunlinwell/internal/store"
+)
+
+// leave gives a store the polite signal and does something once it has ended.
+func (w *World) leave(p *proc, then func()) {
+	w.trace("%s is told to stop", p.name)
+	p.take(store.Leave{Within: 5 * time.Second})
+	began := w.now
+	var look func()
+	look = func() {
+		if p.up && w.now.Since(began) < 6*time.Second {
+			w.later(20*time.Millisecond, look)
+			return
+		}
+		p.kill()
+		then()
+	}
+	look()
+}
+
+// retire ends a machine for good.
+func (w *World) retire(p *proc) {
+	p.lost = true
+	delete(w.at, p.addr)
+}
+
+// All three founders are replaced as planned, under load and operators' changes:
+// the new machine first, then the signal, then the disk is gone.
+func TestPlannedReplacements(t *testing.T) {
+	is := is.New(t)
+	for seed := uint64(1); seed <= 4; seed++ {
+		settled := false
+		o := Run(Params{Seed: seed, Length: 45 * time.Second, Keep: true, Script: func(w *World) {
+			w.every(2*time.Second, 6*time.Second, 3, func(i int) {
+				p := w.procs[i]
+				w.addStore(p.cell)
+				w.later(3*time.Second, func() { w.leave(p, func() { w.retire(p) }) })
+			})
+			w.later(25*time.Second, func() { settled = w.settledRoster() })
+		}})
+		report(t, o)
+		log := strings.Join(o.Log, "\n")
+		is.True(settled)
+		is.Equal(strings.Count(log, "may stop [needed ]"), 3) // none ended because its time was up
+		is.Equal(strings.Count(log, "is told to stop"), 3)
+	}
+}
+
+// The stores are restarted in turn while a blank one stands by. Each that comes back
+// finds its place taken, and stands by in its turn.
+func TestRollWithOneStandingBy(t *testing.T) {
+	is := is.New(t)
+	for seed := uint64(1); seed <= 4; seed++ {
+		settled := false
+		o := Run(Params{Seed: seed, Length: 45 * time.Second, Keep: true, Script: func(w *World) {
+			w.addStore("cell-a1")
+			stores := append([]*proc{}, w.procs[:3]...)
+			stores = append(stores, w.procs[len(w.procs)-1])
+			w.every(3*time.Second, 5*time.Second, 4, func(i int) {
+				w.leave(stores[i], func() { w.later(500*time.Millisecond, func() { stores[i].boot() }) })
+			})
+			w.later(26*time.Second, func() { settled = w.settledRoster() })
+		}})
+		report(t, o)
+		is.True(settled)
+	}
+}
+
+// One is told to stop and killed, disk and all, at a random moment of its hand-over,
+// while messages are lost; two leave at once in every other seed.
+func TestLeaversKilledHalfWayUnderLoad(t *testing.T) {
+	is := is.New(t)
+	for seed := uint64(1); seed <= 8; seed++ {
+		settled := false
+		o := Run(Params{Seed: seed, Length: 45 * time.Second, Keep: true, Script: func(w *World) {
+			w.net.loss = 0.02
+			w.later(2*time.Second, func() { w.addStore("cell-b1"); w.addStore("cell-c1") })
+			w.later(6*time.Second, func() {
+				p := w.procs[1]
+				w.leave(p, func() { w.retire(p) })
+				w.later(w.between(0, 300*time.Millisecond), p.kill)
+				if q := w.procs[2]; seed%2 == 0 {
+					w.leave(q, func() { w.retire(q) })
+				}
+			})
+			w.later(25*time.Second, func() { settled = w.settledRoster() })
+		}})
+		report(t, o)
+		is.True(settled)
+	}
+}
--- a/internal/simulator/proc.go
+++ b/internal/simulator/proc.go
@@ -99,6 +99,9 @@
 				delete(p.calls, c.ID)
 				f(c)
 			}
+		case store.MayStop:
+			p.kill()
+			return
 		case store.RecoverResponse:
 			p.w.trace("%s answers the order to recover: %q", p.name, c.Why)
 		default:
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -47,6 +47,9 @@
 
 var started = time.Now()
 
+// databaseName keeps its old wording, as folders of earlier versions have it.
+const databaseName = "stockroom.db"
+
 // Open takes a data folder for this process alone.
 func Open(dir string) (*Database, error) {
 	return open(dir, func() time.Duration { return time.Since(started) })
@@ -65,7 +68,7 @@
 		return nil, errs.New("lock data folder", dir, "another process holds it")
 	}
 	s := &Database{lock: lock, opened: clock(), clock: clock}
-	path := filepath.Join(dir, "stockroom.db")
+	path := filepath.Join(dir, databaseName)
 	err = s.open(path)
 	if _, newer := err.(*NewerFormat); err != nil && !newer {
 		// Damaged: kept for whoever wants to look, and begun anew as blank.
--- a/internal/store/cluster_test.go
+++ b/internal/store/cluster_test.go
@@ -34,6 +34,9 @@
 	return out
 }
 
+// opPut is a change that the tests make: the register becomes what is given.
+const opPut consensus.Op = 250
+
 type message struct {
 	from, to ids.Address
 	msg      any
@@ -48,12 +51,18 @@
 	nextID uint64
 	cut    func(from, to ids.Address) bool
 	logged []event.LogEntry
+	// stopped are the stores that said that they may stop, and when.
+	stopped map[ids.Address]ids.Time
+	// budget, if above 0, is how many messages pass before onBudget is called.
+	budget   int
+	onBudget func()
+	answers  []consensus.Response
 }
 
 var seedAddresses = []ids.Address{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}
 
 func newCluster() *cluster {
-	return &cluster{now: ids.Time(time.Second), stores: map[ids.Address]*Store{}, disks: map[ids.Address]*memoryDisk{}}
+	return &cluster{now: ids.Time(time.Second), stopped: map[ids.Address]ids.Time{}, stores: map[ids.Address]*Store{}, disks: map[ids.Address]*memoryDisk{}}
 }
 
 // start starts a store on the disk of its address, which is blank at first.
@@ -66,8 +75,12 @@
 	}
 	d.run++
 	self := membership.Member{ID: ids.Daemon(at), Role: membership.Store, Address: at, Zone: "zone", Start: ids.RunID(d.run), Incarnation: ids.Incarnation(c.now)}
-	c.stores[at] = New(Options{Options: membership.Options{Self: self, Seeds: seeds}, Replicas: 3, Store: d.id, Run: d.run, Storage: d,
+	s := New(Options{Options: membership.Options{Self: self, Seeds: seeds}, Replicas: 3, Store: d.id, Run: d.run, Storage: d,
 		Random: rand.New(rand.NewPCG(d.id, d.run)), Bootstrap: bootstrap})
+	ops := Ops()
+	ops[opPut] = func(_ ids.Key, _, arg []byte) ([]byte, []byte) { return arg, arg }
+	s.Teach(ops)
+	c.stores[at] = s
 }
 
 func (c *cluster) stop(at ids.Address) { delete(c.stores, at) }
@@ -88,22 +101,42 @@
 				c.disks[at].records[r.Key] = r.Value
 			}
 			c.perform(at, x.Then)
+			if c.stores[at] == nil {
+				return
+			}
 			c.perform(at, c.stores[at].Step(c.now, event.Synced{Turn: x.Turn}))
+		case MayStop:
+			c.stopped[at] = c.now
 		case event.LogEntry:
 			c.logged = append(c.logged, x)
 		}
 	}
 }
 
+// client is where answers to the tests' own requests go.
+const clientAddress = ids.Address("10.0.0.99:1")
+
 // run lets time pass.
 func (c *cluster) run(d time.Duration) {
 	for end := c.now.Add(d); c.now < end; c.now = c.now.Add(20 * time.Millisecond) {
 		for _, at := range slices.Sorted(maps.Keys(c.stores)) {
+			if c.stores[at] == nil {
+				continue
+			}
 			c.perform(at, c.stores[at].Step(c.now, event.Tick{}))
 		}
 		for len(c.queue) > 0 {
 			m := c.queue[0]
 			c.queue = c.queue[1:]
+			if m.to == clientAddress {
+				if r, ok := m.msg.(consensus.Response); ok {
+					c.answers = append(c.answers, r)
+				}
+				continue
+			}
+			if c.budget--; c.budget == 0 {
+				c.onBudget()
+			}
 			if s := c.stores[m.to]; s != nil && (c.cut == nil || !c.cut(m.from, m.to)) {
 				c.perform(m.to, s.Step(c.now, event.Received{From: m.from, Msg: m.msg}))
 			}
--- /dev/null
+++ b/internal/store/leaving_test.go
@@ -0,0 +1,200 @@
+package store
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"dunlinwell/internal/consensus"
+	"dunlinwell/internal/event"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/membership"
+)
+
+const (
+	spareA = ids.Address("10.0.0.4:1")
+	spareB = ids.Address("10.0.0.5:1")
+)
+
+// put changes a register through a store; it is known to be chosen or fails.
+func (c *cluster) put(t *testing.T, at ids.Address, key ids.Key, value string) {
+	t.Helper()
+	if r := c.request(at, key, opPut, []byte(value)); r.State != consensus.Done {
+		t.Fatalf("put %s at %s: %s", key, at, r.State)
+	}
+}
+
+func (c *cluster) request(at ids.Address, key ids.Key, op consensus.Op, arg []byte) consensus.Response {
+	c.nextID++
+	r := consensus.Request{ID: 1<<40 + c.nextID, Key: key, Op: op, Arg: arg, Wait: 3000}
+	c.perform(at, c.stores[at].Step(c.now, event.Received{From: clientAddress, Msg: r}))
+	for range 200 {
+		c.run(20 * time.Millisecond)
+		for _, a := range c.answers {
+			if a.ID == r.ID {
+				return a
+			}
+		}
+	}
+	return consensus.Response{State: consensus.Uncertain}
+}
+
+// holds checks that a register still reads as it was acknowledged.
+func (c *cluster) holds(t *testing.T, at ids.Address, key ids.Key, value string) {
+	t.Helper()
+	if r := c.request(at, key, consensus.Read, nil); r.State != consensus.Done || string(r.Result) != value {
+		t.Fatalf("read of %s at %s: %s %q, acknowledged was %q", key, at, r.State, r.Result, value)
+	}
+}
+
+func (c *cluster) leave(at ids.Address) {
+	c.perform(at, c.stores[at].Step(c.now, Leave{Within: 5 * time.Second}))
+}
+
+// bury makes the roll count a store as gone, as a registry's verdict does.
+func (c *cluster) bury(at ids.Address) {
+	for to, s := range c.stores {
+		for _, m := range s.All() {
+			if m.Address == at && to != at {
+				m.Gone = true
+				c.perform(to, s.Step(c.now, event.Received{From: to, Msg: membership.Snapshot{Members: []membership.Member{m}, Final: true}}))
+			}
+		}
+	}
+}
+
+// core is a running one of three, with spares that had their time to copy.
+func core(t *testing.T, spares ...ids.Address) *cluster {
+	t.Helper()
+	c := newCluster()
+	c.startAll(true)
+	c.run(5 * time.Second)
+	for i := range 300 {
+		c.perform(seedAddresses[0], c.stores[seedAddresses[0]].Step(c.now, event.Received{From: clientAddress,
+			Msg: consensus.Request{ID: uint64(i + 1), Key: ids.Key(fmt.Sprint("k", i)), Op: opPut, Arg: []byte("v"), Wait: 3000}}))
+	}
+	c.run(time.Second)
+	for _, a := range spares {
+		c.start(a, seedAddresses, false)
+	}
+	c.run(4 * time.Second)
+	return c
+}
+
+// has tells whether a store's disk has a vote and may use it.
+func (c *cluster) votes(at ids.Address) bool {
+	s := c.stores[at]
+	return s != nil && s.MayVote() && s.Standing() == consensus.Complete
+}
+
+// A plain restart, with nobody standing by, changes no membership and ends at once.
+func TestRestartCostsNoMembershipChange(t *testing.T) {
+	is := is.New(t)
+	c := core(t)
+	before := c.voters(seedAddresses[0]).Number
+	for _, a := range seedAddresses {
+		began := c.now
+		c.leave(a)
+		c.run(100 * time.Millisecond)
+		is.True(c.stopped[a] != 0 && c.stopped[a].Since(began) <= 40*time.Millisecond)
+		c.stop(a)
+		c.run(time.Second)
+		c.start(a, seedAddresses, false)
+		c.run(2 * time.Second)
+		is.True(c.votes(a))
+	}
+	is.Equal(c.voters(seedAddresses[0]).Number, before)
+}
+
+// A planned replacement: the new machine first, then the signal. The vote is moved
+// before the leaver stops, and right after it a second machine may lose its disk.
+func TestPlannedReplacementHandsOver(t *testing.T) {
+	is := is.New(t)
+	c := core(t, spareA)
+	leaver := seedAddresses[1]
+	c.put(t, leaver, "last", "word")
+	began := c.now
+	c.leave(leaver)
+	for c.stopped[leaver] == 0 && c.now.Since(began) < 6*time.Second {
+		c.run(20 * time.Millisecond)
+	}
+	t.Logf("handed over in %s", c.stopped[leaver].Since(began))
+	is.True(c.stopped[leaver].Since(began) < time.Second)
+	is.True(c.votes(spareA))
+	c.wipe(leaver)
+	is.True(c.voters(seedAddresses[0]).Has(c.disks[spareA].id))
+	is.True(!c.voters(seedAddresses[0]).Has(2))
+	c.wipe(seedAddresses[2])
+	c.holds(t, seedAddresses[0], "last", "word")
+}
+
+// Two leave at once, with two standing by.
+func TestTwoLeaveAtOnce(t *testing.T) {
+	is := is.New(t)
+	c := core(t, spareA, spareB)
+	c.put(t, seedAddresses[1], "last", "word")
+	began := c.now
+	c.leave(seedAddresses[1])
+	c.leave(seedAddresses[2])
+	for _, a := range seedAddresses[1:] {
+		for c.stopped[a] == 0 && c.now.Since(began) < 6*time.Second {
+			c.run(20 * time.Millisecond)
+		}
+		t.Logf("%s may stop after %s", a, c.stopped[a].Since(began))
+	}
+	for _, a := range seedAddresses[1:] {
+		is.True(c.stopped[a].Since(began) < 4*time.Second)
+		c.wipe(a)
+	}
+	is.True(c.votes(spareA) && c.votes(spareB))
+	c.wipe(seedAddresses[0])
+	c.holds(t, spareA, "last", "word")
+}
+
+// One leaves while another is lost, with one standing by: it is for the lost one's
+// place, and the leaver serves until that one votes.
+func TestLeavesAsAnotherIsLost(t *testing.T) {
+	is := is.New(t)
+	c := core(t, spareA)
+	c.put(t, seedAddresses[1], "last", "word")
+	c.wipe(seedAddresses[2])
+	c.bury(seedAddresses[2])
+	began := c.now
+	c.leave(seedAddresses[1])
+	for c.stopped[seedAddresses[1]] == 0 && c.now.Since(began) < 6*time.Second {
+		c.run(20 * time.Millisecond)
+	}
+	t.Logf("may stop after %s", c.stopped[seedAddresses[1]].Since(began))
+	is.True(c.votes(spareA))
+	is.True(c.stopped[seedAddresses[1]].Since(began) < 5*time.Second)
+	c.stop(seedAddresses[1])
+	c.holds(t, seedAddresses[0], "last", "word")
+	// The voter that left is still one, and comes back with its disk.
+	c.start(seedAddresses[1], seedAddresses, false)
+	c.run(2 * time.Second)
+	is.True(c.votes(seedAddresses[1]))
+}
+
+// The leaver is killed, disk and all, after each of the messages of the hand-over in
+// turn. Whether its vote was moved by then or not, three vote in the end.
+func TestLeaverKilledHalfWay(t *testing.T) {
+	for k := 1; k <= 120; k += 2 {
+		c := core(t, spareA)
+		leaver := seedAddresses[1]
+		c.put(t, leaver, "last", "word")
+		c.leave(leaver)
+		c.budget, c.onBudget = k, func() { c.wipe(leaver) }
+		c.run(500 * time.Millisecond)
+		c.wipe(leaver)
+		c.bury(leaver)
+		c.run(8 * time.Second)
+		for _, a := range []ids.Address{seedAddresses[0], seedAddresses[2], spareA} {
+			if !c.votes(a) {
+				t.Fatalf("killed after %d messages: %s has no vote", k, a)
+			}
+		}
+		c.holds(t, spareA, "last", "word")
+	}
+}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -125,6 +125,8 @@
 		}
 	case RecoverRequest:
 		s.refound(now, e)
+	case Leave:
+		s.leave(now, e)
 	case event.Tick:
 		// A disk that can't sync for a second must not claim health.
 		tired := len(s.unsyncedTurns) > 0 && now.Since(s.unsyncedTurns[0].at) > time.Second
@@ -136,6 +138,7 @@
 		s.List.Tick(now)
 		s.Proposer.Tick(now)
 		s.manageVoters(now)
+		s.leaveIfDue(now)
 		s.learn(now)
 		s.cacheMembers(now)
 	}
--- a/internal/store/voters.go
+++ b/internal/store/voters.go
@@ -16,6 +16,7 @@
 	requests        uint64
 	next            ids.Time
 	founding        founding
+	departure       departure
 	survivingPolicy consensus.PolicyReply
 	gone            map[uint64]ids.Time
 	learner         learner
@@ -84,8 +85,9 @@
 			to = append(to, m.Address)
 		}
 	}
+	copied := s.Standing() == consensus.Blank && !ro.Has(s.StoreID()) && s.learner.Copied(ro)
 	for _, a := range to {
-		s.Send(a, consensus.Hello{Store: s.self(), Blank: ro.Number == 0, VoterSet: ro.Number})
+		s.Send(a, consensus.Hello{Store: s.self(), Blank: ro.Number == 0, VoterSet: ro.Number, Copied: copied})
 	}
 }
 
