--- a/internal/policy/cluster_test.go
+++ b/internal/policy/cluster_test.go
@@ -214,7 +214,7 @@
 		}
 		for _, n := range c.clients {
 			if r, ok := m.Msg.(consensus.Response); ok && n.address == m.To {
-				n.HandleResponse(c.now, r)
+				n.HandleResponse(c.now, from, r)
 				c.send(n.address, n.Drain())
 			}
 		}
