--- a/internal/consensus/founding_state_test.go
+++ b/internal/consensus/founding_state_test.go
@@ -61,7 +61,7 @@
 	return s
 }
 
-func addOnce[T comparable](list []T, x T) []T {
+func addMessage[T comparable](list []T, x T) []T {
 	if slices.Contains(list, x) {
 		return list
 	}
@@ -95,7 +95,7 @@
 func (s *foundingState) activate(i int, p foundingProposal) {
 	s.nodes[i].active = p
 	s.nodes[i].record.Round = p.round
-	s.bootstraps = addOnce(s.bootstraps, foundingBootstrapMessage{p, Voter{ID: s.nodes[i].id, Address: ids.Address(fmt.Sprint(i))}})
+	s.bootstraps = addMessage(s.bootstraps, foundingBootstrapMessage{p, Voter{ID: s.nodes[i].id, Address: ids.Address(fmt.Sprint(i))}})
 	n := 0
 	for _, x := range s.nodes {
 		if x.active.set == p.set {
@@ -103,7 +103,7 @@
 		}
 	}
 	if n >= 2 {
-		s.serving = addOnce(s.serving, p.set)
+		s.serving = addMessage(s.serving, p.set)
 	}
 }
 
@@ -135,7 +135,7 @@
 				next := s.clone()
 				p := foundingProposal{round, foundingSet{f.id, b, c}}
 				next.nodes[0].proposal = p
-				next.requests = addOnce(next.requests, p)
+				next.requests = addMessage(next.requests, p)
 				out = append(out, next)
 			}
 		}
@@ -170,7 +170,7 @@
 		if record, why := rules.promise(n.record, FoundingRequest{p.round, p.set.voterSet()}); why == "" {
 			c := s.clone()
 			c.nodes[i].record = record
-			c.promises = addOnce(c.promises, foundingPromiseMessage{p, n.id})
+			c.promises = addMessage(c.promises, foundingPromiseMessage{p, n.id})
 			out = append(out, c)
 		}
 	}
--- a/internal/store/cluster_test.go
+++ b/internal/store/cluster_test.go
@@ -13,18 +13,18 @@
 	"dunlinwell/internal/membership"
 )
 
-// memoryDisk keeps records; a sync is done as soon as it is asked for.
-type memoryDisk struct {
+// clusterDisk keeps records; a sync is done as soon as it is asked for.
+type clusterDisk struct {
 	id, run uint64
 	records map[ids.Key][]byte
 }
 
-func (d *memoryDisk) Get(key ids.Key) ([]byte, bool) {
+func (d *clusterDisk) Get(key ids.Key) ([]byte, bool) {
 	raw, ok := d.records[key]
 	return raw, ok
 }
 
-func (d *memoryDisk) Scan(after ids.Key, n int) []event.Record {
+func (d *clusterDisk) Scan(after ids.Key, n int) []event.Record {
 	var out []event.Record
 	for _, k := range slices.Sorted(maps.Keys(d.records)) {
 		if k > after && strings.HasPrefix(string(k), "item/") && len(out) < n {
@@ -46,7 +46,7 @@
 type cluster struct {
 	now    ids.Time
 	stores map[ids.Address]*Store
-	disks  map[ids.Address]*memoryDisk
+	disks  map[ids.Address]*clusterDisk
 	queue  []message
 	nextID uint64
 	cut    func(from, to ids.Address) bool
@@ -62,7 +62,7 @@
 var seedAddresses = []ids.Address{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}
 
 func newCluster() *cluster {
-	return &cluster{now: ids.Time(time.Second), stopped: map[ids.Address]ids.Time{}, stores: map[ids.Address]*Store{}, disks: map[ids.Address]*memoryDisk{}}
+	return &cluster{now: ids.Time(time.Second), stopped: map[ids.Address]ids.Time{}, stores: map[ids.Address]*Store{}, disks: map[ids.Address]*clusterDisk{}}
 }
 
 // start starts a store on the disk of its address, which is blank at first.
@@ -70,7 +70,7 @@
 	d := c.disks[at]
 	if d == nil {
 		c.nextID++
-		d = &memoryDisk{id: c.nextID, records: map[ids.Key][]byte{}}
+		d = &clusterDisk{id: c.nextID, records: map[ids.Key][]byte{}}
 		c.disks[at] = d
 	}
 	d.run++
