--- a/internal/daemon/registry.go
+++ b/internal/daemon/registry.go
@@ -31,6 +31,9 @@
 	Edge func(w *api.Server) map[string]http.Handler `kong:"-"`
 }
 
+// registryStops is how long a registry sends callers on after the polite signal.
+const registryStops = time.Second
+
 // Validate checks what the common params don't cover.
 func (p *RegistryOptions) Validate() error {
 	if p.Lifetime <= 0 || p.Lifetime > 3*time.Second {
@@ -88,6 +91,13 @@
 			tasks = append(tasks, Task("pages "+at, func(c context.Context) error { return api.Serve(c, l, h, 300*time.Millisecond) }))
 		}
 	}
-	return live(ctx, "registry", log, &stopping, func() error { return api.Serve(ctx, pages, mux, 1700*time.Millisecond) },
+	// What is under way is finished, and callers are sent on meanwhile.
+	serving, end := context.WithCancel(context.Background())
+	defer end()
+	context.AfterFunc(ctx, func() {
+		time.AfterFunc(registryStops, end)
+		owner.Put(registry.Stopping{})
+	})
+	return live(ctx, "registry", log, &stopping, func() error { return api.Serve(serving, pages, mux, leavePages) },
 		tasks...)
 }
--- a/internal/registry/calls.go
+++ b/internal/registry/calls.go
@@ -76,6 +76,10 @@
 func names[V any](m map[ids.Name]V) []ids.Name { return slices.Sorted(maps.Keys(m)) }
 
 func (f *Registry) call(now ids.Time, ev any) {
+	if id, ok := callID(ev); ok && f.stopping {
+		f.declines(id)
+		return
+	}
 	switch c := ev.(type) {
 	case ChangeCall:
 		f.change(now, c)
@@ -91,6 +95,8 @@
 		f.where(now, c)
 	case HeartbeatCall:
 		f.announced(now, c)
+	case Stopping:
+		f.stop(now)
 	case StatusCall:
 		// It tells of this daemon itself, and how old its agreement is.
 		f.Emit(Response{ID: c.ID, Status: 200, Body: f.Status(now)})
--- a/internal/registry/planner.go
+++ b/internal/registry/planner.go
@@ -65,7 +65,7 @@
 // lease, and is the first of those that say that they reach a majority. One that
 // is heard but hears nothing says that it doesn't, and gives the duty up itself.
 func (f *Registry) firstInLine(now ids.Time) bool {
-	if !f.leased(now) || now.Since(f.woke) <= settleAfter {
+	if f.stopping || !f.leased(now) || now.Since(f.woke) <= settleAfter {
 		return false
 	}
 	for _, m := range f.Live(membership.Registry) {
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -75,6 +75,8 @@
 	poll    ids.Time
 	share   ids.Time
 	woke    ids.Time
+	// stopping: the process was told to end.
+	stopping bool
 	// delivered is when proxies were last told what they lack.
 	delivered ids.Time
 	last      ids.Time
@@ -171,7 +173,7 @@
 	if f.began == 0 {
 		f.began = now
 	}
-	f.Announce(f.agreed != 0 && now.Since(f.agreed) < 5*time.Second, f.view.Revision)
+	f.Announce(!f.stopping && f.agreed != 0 && now.Since(f.agreed) < 5*time.Second, f.view.Revision)
 	f.List.Tick(now)
 	f.endOverdue(now)
 	f.beginHeld(now)
--- a/internal/simulator/daybook.go
+++ b/internal/simulator/daybook.go
@@ -30,7 +30,7 @@
 
 func init() {
 	for _, e := range []any{event.Tick{}, event.Synced{}, registry.ChangeCall{}, registry.PolicyCall{}, registry.ResolveCall{}, registry.HeartbeatCall{},
-		registry.StatusCall{}, store.RecoverRequest{}, store.Leave{}, proxy.Asked{}, proxy.Meter{}, proxy.Stopping{}} {
+		registry.StatusCall{}, registry.Stopping{}, store.RecoverRequest{}, store.Leave{}, proxy.Asked{}, proxy.Meter{}, proxy.Stopping{}} {
 		events[fmt.Sprintf("%T", e)] = reflect.TypeOf(e)
 	}
 }
