--- a/internal/consensus/acceptor.go
+++ b/internal/consensus/acceptor.go
@@ -35,8 +35,11 @@
 	// ahead holds what is on its way to the disk, by the turn that syncs it.
 	unsynced map[ids.Key]unsyncedRecord
 	turn     uint64
-	standing standing
-	changes  changeLog
+	// registers are those at hand, damaged tells of one that can't be read.
+	registers map[ids.Key]*register
+	damaged   bool
+	standing  standing
+	changes   changeLog
 }
 
 type unsyncedRecord struct {
@@ -48,10 +51,14 @@
 
 // NewAcceptor takes up where the disk left off.
 func NewAcceptor(store uint64, shelf Storage, out *event.Outbox) *Acceptor {
-	a := &Acceptor{out: out, storage: shelf, store: store, unsynced: map[ids.Key]unsyncedRecord{}}
+	a := &Acceptor{out: out, storage: shelf, store: store, unsynced: map[ids.Key]unsyncedRecord{}, registers: map[ids.Key]*register{}}
 	if raw, ok := shelf.Get("meta/roster"); ok {
 		a.voterSet, _ = unpack[VoterSet](raw)
 	}
+	if err := CheckDisk(shelf); err != nil {
+		a.damaged = true
+		out.Log("error", "registers unreadable, taking no part", "problem", err.Error())
+	}
 	a.loadStanding()
 	return a
 }
@@ -71,6 +78,9 @@
 }
 
 func (a *Acceptor) slot(key ids.Key) RegisterState {
+	if !isIdempotencyKey(key) {
+		return a.register(key).RegisterState
+	}
 	s, _ := unpack[RegisterState](a.load(slotPrefix + key))
 	return s
 }
@@ -122,8 +132,9 @@
 		return true
 	}
 	// One that hasn't heard of the voter set yet, isn't in it or has not copied
-	// what was agreed before it came can't vote.
-	return number > a.voterSet.Number || !a.MayVote()
+	// what was agreed before it came can't vote, nor can one that can't read what
+	// it voted for.
+	return a.damaged || number > a.voterSet.Number || !a.MayVote()
 }
 
 // Prepare promises, or tells of a higher promise.
@@ -133,7 +144,7 @@
 	}
 	s := a.slot(m.Key)
 	p := Promise{Key: m.Key, Store: a.store, Round: m.Round, VoterSet: m.VoterSet,
-		Promised: s.Promised, Accepted: s.Accepted, Value: s.Value}
+		Promised: s.Promised, Accepted: s.Accepted, Value: s.Value, Differences: len(s.Value) >= differencesFrom}
 	if !m.Known.Zero() && m.Known == s.Accepted {
 		p.Value, p.Same = nil, true
 	}
@@ -142,7 +153,7 @@
 		return
 	}
 	s.Promised, p.Promised = m.Ballot, m.Ballot
-	a.persist(slotPrefix+m.Key, s, event.Send{To: from, Msg: p})
+	a.save(m.Key, s, event.Send{To: from, Msg: p})
 }
 
 // Accept keeps a value unless a higher ballot was promised.
@@ -156,7 +167,7 @@
 	if m.First {
 		ok = (s.Promised.Zero() && s.Accepted.Zero()) || s.Accepted == m.Ballot
 	}
-	w := Accepted{Key: m.Key, Store: a.store, Round: m.Round, VoterSet: m.VoterSet, OK: ok, Promised: s.Promised}
+	w := Accepted{Key: m.Key, Store: a.store, Round: m.Round, VoterSet: m.VoterSet, OK: ok, Promised: s.Promised, Differences: len(m.Value) >= differencesFrom}
 	if !ok {
 		a.AfterSync(event.Send{To: from, Msg: w})
 		return
@@ -167,7 +178,7 @@
 	}
 	s.Promised, s.Accepted, s.Value = maxBallot(m.Ballot, m.Next), m.Ballot, m.Value
 	w.Promised = s.Promised
-	a.persist(slotPrefix+m.Key, s, event.Send{To: from, Msg: w})
+	a.save(m.Key, s, event.Send{To: from, Msg: w})
 }
 
 // Roster gives the voter set in force here.
@@ -186,7 +197,7 @@
 func (a *Acceptor) Seed(key ids.Key, value []byte) {
 	if s := a.slot(key); s.Accepted.Zero() {
 		b := ids.Ballot{Count: 1}
-		a.persist(slotPrefix+key, RegisterState{Promised: maxBallot(b, s.Promised), Accepted: b, Value: value})
+		a.save(key, RegisterState{Promised: maxBallot(b, s.Promised), Accepted: b, Value: value})
 	}
 }
 
@@ -198,7 +209,7 @@
 func (a *Acceptor) ForceValue(key ids.Key, value []byte) {
 	s := a.slot(key)
 	b := ids.Ballot{Count: max(s.Promised.Count, s.Accepted.Count) + 1, By: a.store << 24}
-	a.persist(slotPrefix+key, RegisterState{Promised: b, Accepted: b, Value: value})
+	a.save(key, RegisterState{Promised: b, Accepted: b, Value: value})
 }
 
 func maxBallot(a, b ids.Ballot) ids.Ballot {
--- a/internal/consensus/messages.go
+++ b/internal/consensus/messages.go
@@ -27,6 +27,9 @@
 	// complete. Safety does not rest on it: a voter knows by its own disk whether
 	// it may vote. It keeps a change from leaving too few that can.
 	Learners []uint64
+	// Previous are the voters before the last replacement, while its newcomer's
+	// copy may be incomplete: a majority of them holds all that it lacks as well.
+	Previous []Voter
 }
 
 // Prepare asks for a promise, Peek set only for what was accepted.
@@ -52,6 +55,8 @@
 	Value    []byte
 	// Same: the value is left out, as it is that of the Known ballot.
 	Same bool
+	// Differences tells that this store reads AcceptDifference.
+	Differences bool
 }
 
 // Accept asks for a value to be kept, and with it for a promise to Next, so
@@ -76,6 +81,10 @@
 	VoterSet uint64
 	OK       bool
 	Promised ids.Ballot
+	// Differences tells that this store reads AcceptDifference, Whole that it
+	// doesn't hold the base of one and asks for the value itself.
+	Differences bool
+	Whole       bool
 }
 
 // News carries a voter set to one who goes by an older one.
--- a/internal/consensus/standing.go
+++ b/internal/consensus/standing.go
@@ -11,7 +11,8 @@
 	Blank Standing = iota
 	// Complete: this disk holds all that was agreed before it began to vote.
 	Complete
-	// Replaced: another took this disk's place. It never votes again.
+	// Replaced: another took this disk's place. It never votes again, and only
+	// hands over what it holds while the other's copy may be incomplete.
 	Replaced
 )
 
@@ -58,14 +59,6 @@
 // Standing gives this disk's right to vote.
 func (a *Acceptor) Standing() Standing { return Standing(a.standing.Standing) }
 
-// WasReplaced tells whether a disk belongs to a store whose place another took.
-// Nothing on it counts any more.
-func WasReplaced(disk Storage) bool {
-	raw, ok := disk.Get(standingKey)
-	s, fine := unpack[standing](raw)
-	return ok && fine && Standing(s.Standing) == Replaced
-}
-
 // MarkComplete lets this store vote. What it copied was asked of the disk
 // before, and every vote waits for the disk in turn.
 func (a *Acceptor) MarkComplete() {
@@ -85,3 +78,9 @@
 	}
 	return false
 }
+
+// mayServe tells whether a newcomer may copy from this store.
+func (a *Acceptor) mayServe() bool {
+	replaced := a.Standing() == Replaced && VoterSet{Voters: a.voterSet.Previous}.Has(a.store)
+	return a.MayVote() || replaced
+}
--- a/internal/daemon/departure.go
+++ b/internal/daemon/departure.go
@@ -4,10 +4,8 @@
 	"context"
 	"time"
 
-	"dunlinwell/internal/consensus"
 	"dunlinwell/internal/event"
 	"dunlinwell/internal/process"
-	"dunlinwell/internal/storage"
 	"dunlinwell/internal/store"
 )
 
@@ -49,13 +47,3 @@
 		do(c)
 	}
 }
-
-// renewReplaced begins a blank database where the old one's place was taken by
-// another store, so that the machine may stand by for a place of its own.
-func renewReplaced(disk *storage.Database, log *process.Log) (*storage.Database, error) {
-	if !consensus.WasReplaced(disk) {
-		return disk, nil
-	}
-	log.Event("info", "this store was replaced, joining as blank")
-	return disk.Renew()
-}
--- a/internal/daemon/store.go
+++ b/internal/daemon/store.go
@@ -13,6 +13,7 @@
 
 	"dunlinwell/internal/api"
 	"dunlinwell/internal/config"
+	"dunlinwell/internal/consensus"
 	"dunlinwell/internal/errs"
 	"dunlinwell/internal/event"
 	"dunlinwell/internal/idempotency"
@@ -69,8 +70,8 @@
 	do    func(event.Command)
 	done  func(event.Synced)
 	log   *process.Log
-	// syncs and records count the work of the disk.
-	syncs, records atomic.Uint64
+	// syncs, records and bytes count the work of the disk.
+	syncs, records, bytes atomic.Uint64
 }
 
 const (
@@ -125,6 +126,9 @@
 		}
 		c.syncs.Add(1)
 		c.records.Add(uint64(len(records)))
+		for _, r := range records {
+			c.bytes.Add(uint64(len(r.Value)))
+		}
 	}
 	for _, s := range list {
 		for _, then := range s.Then {
@@ -139,19 +143,19 @@
 	os.Exit(1)
 }
 
-// RunStockroom runs a store until the context ends.
-func RunStore(ctx context.Context, p StoreOptions) error {
+// runStore runs a store on its folder until the context ends, or until another
+// took the place of this folder's disk; then replaced is set.
+func runStore(ctx context.Context, p StoreOptions, replaced *atomic.Bool) error {
+	ctx, leave := context.WithCancel(ctx)
+	defer leave()
 	log := process.NewLog(p.Log, p.Name)
-	disk, err := storage.Open(p.Data)
+	disk, err := storage.OpenChecked(p.Data, func(d *storage.Database) error { return consensus.CheckDisk(d) })
 	if err != nil {
 		return &StartError{errs.Wrap(err, "--data", "")}
 	}
-	if disk, err = renewReplaced(disk, log); err != nil {
-		return &StartError{errs.Wrap(err, "--data", "")}
-	}
 	defer disk.Close()
 	if disk.SetAside != "" {
-		log.Event("error", "damaged database set aside, joining as blank", "kept", disk.SetAside)
+		log.Event("error", "damaged database set aside, joining as blank", "kept", disk.SetAside, "problem", disk.Damage.Error())
 	}
 	m := store.New(store.Options{Options: membership.Options{Self: Self(p.Common, membership.Store), Seeds: p.SeedList(), Incremental: p.Thrifty},
 		Replicas: p.Copies, Bootstrap: p.Bootstrap, Store: disk.Store, Run: disk.Run, Storage: disk, Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))})
@@ -169,6 +173,9 @@
 			post.Discard(cmd)
 		case event.Sync:
 			c.inbox <- cmd
+		case store.Retire:
+			replaced.Store(true)
+			leave()
 		case store.RecoverResponse:
 			select {
 			case orders <- cmd:
@@ -193,6 +200,7 @@
 	Metrics(mux, func() []Gauge {
 		return append(TrafficGauges(post.Stats), []Gauge{{Name: "disk_syncs_total", Value: float64(c.syncs.Load()), Total: true},
 			{Name: "disk_records_total", Value: float64(c.records.Load()), Total: true},
+			{Name: "disk_bytes_total", Value: float64(c.bytes.Load()), Total: true},
 			{Name: "disk_inbox_length", Value: float64(len(c.inbox))}}...)
 	})
 	return live(ctx, "store", log, &stopping, func() error { return api.Serve(life.serving, pages, mux, leavePages) },
--- a/internal/registry/deliver.go
+++ b/internal/registry/deliver.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"dunlinwell/internal/consensus"
+	"dunlinwell/internal/delta"
 	"dunlinwell/internal/distribution"
 	"dunlinwell/internal/ids"
 	"dunlinwell/internal/membership"
@@ -16,12 +17,31 @@
 func (f *Registry) deliver(now ids.Time) {
 	f.delivered = now
 	f.Distributor.Distribute(now, f.served(now), distribution.Content{Revision: f.view.Revision, Policy: f.difference,
-		Targets: func() []targets.Target { return f.Targets.All(now) }, Version: f.Targets.Version()<<20 + uint64(f.view.Revision), Age: f.age(now)})
+		Targets: func() []targets.Target { return f.forProxies(now) }, Version: f.targetsVersion()<<20 + uint64(f.view.Revision), Age: f.age(now)})
+}
+
+// forProxies gives the targets as proxies are told of them.
+func (f *Registry) forProxies(now ids.Time) []targets.Target {
+	if f.params.Incremental {
+		return f.Targets.Public(now)
+	}
+	return f.Targets.All(now)
+}
+
+// targetsVersion grows with each change of them.
+func (f *Registry) targetsVersion() uint64 {
+	if f.params.Incremental {
+		return f.Targets.PublicVersion()
+	}
+	return f.Targets.Version()
 }
 
 // difference gives what leads to the policy in force from an earlier revision.
 func (f *Registry) difference(from ids.Revision) []byte {
 	if from == 0 || !f.params.Incremental {
+		if f.raw == nil && f.policy.Revision > 0 {
+			f.raw = f.policy.Pack(false)
+		}
 		return f.raw
 	}
 	if f.deltas == nil {
@@ -62,6 +82,29 @@
 	}
 }
 
+// chosen takes news of a change.
+func (f *Registry) chosen(now ids.Time, m consensus.Chosen) {
+	if m.Key == policy.Key {
+		f.adopt(m.Value)
+		f.deliver(now)
+	}
+}
+
+// chosenDifference takes news of a change; where it doesn't lead on from the
+// value at hand, that is read anew.
+func (f *Registry) chosenDifference(now ids.Time, m consensus.ChosenDifference) {
+	if m.Key != policy.Key {
+		return
+	}
+	next, err := delta.Apply(f.whole, m.Difference)
+	if err != nil {
+		f.poll = now
+		return
+	}
+	f.adopt(next)
+	f.deliver(now)
+}
+
 // adopt takes a chosen policy if it is newer. It never goes back.
 func (f *Registry) adopt(raw []byte) {
 	if len(raw) > 0 && bytes.Equal(raw, f.whole) {
@@ -79,7 +122,8 @@
 	if p.Revision == f.policy.Revision {
 		return
 	}
-	f.policy, f.view, f.raw = p, p.View(), p.Pack(false)
+	f.view = p.ViewFrom(f.policy, f.view)
+	f.policy, f.raw = p, nil
 	clear(f.deltas)
 	f.view.Know(f.params.Regions)
 	f.Log("info", "policy", "revision", itoa(uint64(p.Revision)))
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -112,6 +112,7 @@
 	}
 	if p.Incremental {
 		f.Distributor.WordEvery, f.Distributor.ResendAfter = time.Second, 400*time.Millisecond
+		f.Distributor.Quiet = true
 		f.Distributor.Spare = func(c membership.Member) bool { return !f.nearest(c) }
 	}
 	f.policy, _ = policy.Open(nil)
@@ -214,20 +215,21 @@
 			f.deliver(now)
 		}
 	case consensus.Chosen:
-		if m.Key == policy.Key {
-			f.adopt(m.Value)
-			f.deliver(now)
-		}
+		f.chosen(now, m)
+	case consensus.ChosenDifference:
+		f.chosenDifference(now, m)
 	case distribution.Ack:
 		f.Distributor.HandleAck(now, m)
 		if f.params.Incremental && !f.Distributor.IsCurrent(m.Proxy, m.Start) && m.Yard == f.Targets.Exact() {
-			f.Distributor.HasAll(m.Proxy, m.Start, f.Targets.All(now))
+			f.Distributor.HasAll(m.Proxy, m.Start, f.forProxies(now))
 		}
 		f.part(now)
 	case targets.Update:
 		f.shared(now, m.List)
 	case Pulse:
 		f.pulsed(now, m)
+	case TableDigest:
+		f.compared(now, from, m)
 	case DepartureNotice:
 		f.owes = append(f.owes, m)
 		f.part(now)
--- a/internal/registry/screen_test.go
+++ b/internal/registry/screen_test.go
@@ -111,7 +111,7 @@
 // FuzzMessages gives a registry any message from a stranger: it neither panics
 // nor takes orders.
 func FuzzMessages(f *testing.F) {
-	for _, msg := range []any{consensus.Chosen{Key: policy.Key, Value: []byte(`{"revision":9}`)}, consensus.Response{ID: 1 << 24, State: consensus.Done},
+	for _, msg := range []any{consensus.ChosenDifference{Key: policy.Key}, consensus.Chosen{Key: policy.Key, Value: []byte(`{"revision":9}`)}, consensus.Response{ID: 1 << 24, State: consensus.Done},
 		distribution.Ack{Proxy: "p", Start: 1, Number: 3}, targets.Update{List: []targets.Target{{Instance: "i", Service: "s", Address: "10.0.0.9:80", Cell: "c", Incarnation: 1, Sequence: 1, Warmth: 1}}},
 		Pulse{ID: "g", Start: 1}, DepartureNotice{Asker: stranger, Target: targets.Target{Instance: "i", Gone: true}}, DepartureAck{ID: "g", Instance: "i"},
 		spill.Report{Proxy: "p", Start: 1, Cell: "c", Number: 1, Interval: 2000, Rows: []spill.Spent{{}}}, spill.Table{Epoch: 2}, election.Term{Epoch: 2},
--- a/internal/simulator/disk.go
+++ b/internal/simulator/disk.go
@@ -5,7 +5,6 @@
 	"slices"
 	"time"
 
-	"dunlinwell/internal/consensus"
 	"dunlinwell/internal/event"
 	"dunlinwell/internal/ids"
 )
@@ -36,16 +35,15 @@
 	inbox   []event.Sync
 	busy    bool
 	stalled bool
-	gen     int
+	// slow is how many times as long a sync takes; 0 for an ordinary one.
+	slow int
+	gen  int
 	ages
 }
 
 func newDisk(w *World) *disk { return &disk{w: w, records: map[ids.Key][]byte{}} }
 
 func (d *disk) open(p *proc) {
-	if consensus.WasReplaced(d) {
-		d.wipe()
-	}
 	if d.store == 0 {
 		d.store = d.w.dice.Uint64()>>24 | 1
 	}
@@ -72,7 +70,14 @@
 // wipe loses the disk: what comes next is another store.
 func (d *disk) wipe() { *d = disk{w: d.w, records: map[ids.Key][]byte{}, gen: d.gen + 1} }
 
+// writeBack is how long a disk that lies holds back what it says it has synced.
+const writeBack = 50 * time.Millisecond
+
 func (d *disk) settle(p *proc, s event.Sync) {
+	if d.w.Defect.SyncLate {
+		p.perform(s.Then)
+		s.Then = nil
+	}
 	d.inbox = append(d.inbox, s)
 	d.next(p)
 }
@@ -83,7 +88,13 @@
 		return
 	}
 	d.busy = true
-	took := d.w.between(200*time.Microsecond, 4*time.Millisecond)
+	took := d.w.between(200*time.Microsecond, 4*time.Millisecond) * time.Duration(max(d.slow, 1))
+	if d.w.DiskSync > 0 {
+		took = d.w.DiskSync * time.Duration(max(d.slow, 1))
+	}
+	if d.w.Defect.SyncLate {
+		took += writeBack
+	}
 	gen, n := d.gen, len(d.inbox)
 	d.w.later(took, func() { d.synced(p, gen, n) })
 }
@@ -101,6 +112,10 @@
 	d.busy = false
 	for _, s := range done {
 		for _, r := range s.Records {
+			if r.Delete {
+				delete(d.records, r.Key)
+				continue
+			}
 			d.records[r.Key] = r.Value
 			d.age(r.Key)
 		}
--- a/internal/simulator/leaving_test.go
+++ b/internal/simulator/leaving_test.go
@@ -7,6 +7,8 @@
 
 	"github.com/matryer/is"
 
+	"dunlinwell/internal/consensus"
+	"dunlinwell/internal/membership"
 	"dunlinwell/internal/store"
 )
 
@@ -27,6 +29,29 @@
 	look()
 }
 
+// allVotersServe tells whether all members of the newest voter set, three, are up and
+// complete, whoever else stands by.
+func (w *World) allVotersServe() bool {
+	var newest consensus.VoterSet
+	serving := map[uint64]bool{}
+	for _, p := range w.procs {
+		if p.role != membership.Store || p.lost {
+			continue
+		}
+		serving[p.disk.store] = p.up && syncedComplete(p.disk)
+		raw, _ := p.disk.Get("meta/roster")
+		if set, ok := consensus.DecodeVoterSet(raw); ok && set.Number > newest.Number {
+			newest = set
+		}
+	}
+	for _, v := range newest.Voters {
+		if !serving[v.ID] {
+			return false
+		}
+	}
+	return len(newest.Voters) == 3 && len(newest.Incoming)+len(newest.Learners) == 0
+}
+
 // retire ends a machine for good.
 func (w *World) retire(p *proc) {
 	p.lost = true
@@ -45,7 +70,7 @@
 				w.addStore(p.cell)
 				w.later(3*time.Second, func() { w.leave(p, func() { w.retire(p) }) })
 			})
-			w.later(25*time.Second, func() { settled = w.settledRoster() })
+			w.later(25*time.Second, func() { settled = w.allVotersServe() })
 		}})
 		report(t, o)
 		log := strings.Join(o.Log, "\n")
@@ -68,7 +93,7 @@
 			w.every(3*time.Second, 5*time.Second, 4, func(i int) {
 				w.leave(stores[i], func() { w.later(500*time.Millisecond, func() { stores[i].boot() }) })
 			})
-			w.later(26*time.Second, func() { settled = w.settledRoster() })
+			w.later(26*time.Second, func() { settled = w.allVotersServe() })
 		}})
 		report(t, o)
 		is.True(settled)
@@ -92,7 +117,7 @@
 					w.leave(q, func() { w.retire(q) })
 				}
 			})
-			w.later(25*time.Second, func() { settled = w.settledRoster() })
+			w.later(25*time.Second, func() { settled = w.allVotersServe() })
 		}})
 		report(t, o)
 		is.True(settled)
--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -7,8 +7,6 @@
 
 	"dunlinwell/internal/blueprint"
 	"dunlinwell/internal/checker"
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/dispatch"
 	"dunlinwell/internal/ids"
 	"dunlinwell/internal/membership"
 	"dunlinwell/internal/policy"
@@ -42,33 +40,18 @@
 	Keep   bool
 	// StaleBootstrap leaves the setting of the first start where it was.
 	StaleBootstrap bool
+	// Replicas, if over 3, is how many stores there are to be.
+	Replicas int
+	// DiskSync, if set, is how long each sync of a disk takes.
+	DiskSync time.Duration
+	// LinkBits, if set, is how many bits a second a store sends, and takes in.
+	LinkBits float64
 	// Tape, if set, takes the daybooks of processes, for so long.
 	Tape    map[string]io.Writer
 	TapeFor time.Duration
 	Defect  Defect
 }
 
-// Defect is a mistake planted on purpose, to see that its checker bites.
-type Defect struct {
-	// Ops replace change functions.
-	Ops map[consensus.Op]consensus.ChangeFunc
-	// DiskForgets: a killed store loses half of what it had synced.
-	DiskForgets bool
-	// KeepMarks is how long disks keep marks, if not for as long as they should.
-	KeepMarks time.Duration
-	// NoCheck: circuits are used without the target showing who it is.
-	NoCheck bool
-	// CloseHeld: circuits that consumers hold are closed after each answer.
-	CloseHeld bool
-	// Response spoils a proxy's answers.
-	Response func(dispatch.Response) dispatch.Response
-	// ControlLease is how long registries speak for the core by one agreement, if
-	// not for as long as they should.
-	ControlLease time.Duration
-	// Message spoils what is sent between daemons; false loses it.
-	Message func(from, to string, msg any) (any, bool)
-}
-
 func (p *Params) fill() {
 	if p.Plan.Name == "" {
 		p.Plan = blueprint.Plans["small"]
@@ -105,7 +88,11 @@
 	Responses map[string]int
 	Changes   int
 	Pruned    int
-	Log       []string
+	// Struck counts the faults that came by lot, by kind.
+	Struck map[string]int
+	Log    []string
+	// History is what callers saw of the policy's register.
+	History []Operation
 }
 
 // Replay is the command that plays a seed again.
@@ -149,6 +136,9 @@
 			})
 		}
 	}
+	for range w.Replicas - 3 {
+		w.later(2500*time.Millisecond, func() { w.addStore(w.Plan.Cell(0)) })
+	}
 	n := 0
 	for _, pool := range w.Plan.Pools {
 		for i := range pool.Targets {
@@ -170,6 +160,7 @@
 	w.later(time.Second, func() { w.policy() })
 	w.until(ids.Time(6 * time.Second))
 	w.arrivals()
+	w.watchLosses()
 	if w.FaultEvery > 0 {
 		w.business()
 	}
@@ -177,7 +168,7 @@
 	case w.Script != nil:
 		w.Script(w)
 	case w.FaultEvery > 0:
-		w.trouble()
+		w.faultsByLot()
 	}
 	w.until(w.quiet())
 	w.heal()
@@ -187,9 +178,9 @@
 	w.closeBooks("the day's end")
 	w.until(w.now.Add(6 * time.Second))
 	if w.FaultEvery > 0 {
-		w.night()
-		w.until(w.now.Add(restoreWithin))
-		w.closeBooks("after the night")
+		w.closing()
+		w.until(w.now.Add(closingWait + restoreWithin))
+		w.closeBooks("after the closing fault")
 		w.until(w.now.Add(6 * time.Second))
 	}
 	return w.outcome()
@@ -197,7 +188,7 @@
 
 func (w *World) outcome() Outcome {
 	o := Outcome{Seed: w.Seed, Counts: w.Truth.Verdict(), Sum: w.sum, Events: w.Events, Responses: w.Truth.Tally(time.Unix(0, 0)),
-		Changes: w.Truth.Changes(), Pruned: w.pruned, Log: w.Log}
+		Changes: w.Truth.Changes(), Pruned: w.pruned, Struck: w.struck, Log: w.Log, History: w.history.operations()}
 	for _, c := range o.Counts {
 		o.Broken += c.Count
 	}
@@ -214,11 +205,12 @@
 	w.trace("the machines are back")
 	w.healed = w.now
 	w.Truth.Healed(w.clock())
-	w.cuts = nil
+	w.cuts, w.answerLoss = nil, 0
+	w.atAck, w.atChange = nil, nil
 	w.net = weather{jitter: time.Millisecond}
 	for _, p := range w.procs {
 		if p.disk != nil {
-			p.disk.stalled = false
+			p.disk.stalled, p.disk.slow = false, 0
 		}
 		switch {
 		case p.lost:
