--- a/internal/scaletest/fleet.go
+++ b/internal/scaletest/fleet.go
@@ -71,7 +71,7 @@
 			x.args = []string{"--name", x.name, "--address", coreAt(p.Block, i+1, n, wirePort), "--http", x.http,
 				"--cell", string(s.Cell(n)), "--seeds", strings.Join(seeds, ",")}
 			if role == "store" {
-				x.args = append(x.args, "--data", filepath.Join(p.Dir, x.name))
+				x.args = append(x.args, "--bootstrap", "--data", filepath.Join(p.Dir, x.name))
 			}
 			if p.Thrifty {
 				x.args = append(x.args, "--thrifty")
