--- a/cmd/testbed/drill.go
+++ b/cmd/testbed/drill.go
@@ -20,6 +20,7 @@
 	From   uint64        `help:"First seed." default:"1"`
 	Seeds  uint64        `help:"How many seeds." default:"100"`
 	Length time.Duration `help:"Virtual time with faults, for each seed." default:"60s"`
+	Eager  bool          `help:"Let the next core machine be lost after 4 s of calm, even if the last one's place isn't taken yet."`
 	Trace  bool          `help:"Print what happened, line by line."`
 	Jobs   int           `help:"Seeds at a time; 0 for one a processor."`
 }
@@ -58,7 +59,7 @@
 	if d.Hot {
 		out = simulator.Hot(p.seed)
 	}
-	out.Keep = d.Trace
+	out.Keep, out.EagerLosses = d.Trace, d.Eager
 	return out
 }
 
--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -37,7 +37,10 @@
 	Latency func(used float64) time.Duration
 	// Script, if set, brings faults about at set times instead of by lot.
 	Script func(w *World)
-	Keep   bool
+	// EagerLosses lets the next core machine be lost once the core has been calm
+	// for a while, whether or not the last loss is repaired.
+	EagerLosses bool
+	Keep        bool
 	// StaleBootstrap leaves the setting of the first start where it was.
 	StaleBootstrap bool
 	// Replicas, if over 3, is how many stores there are to be.
--- a/internal/simulator/tolerance.go
+++ b/internal/simulator/tolerance.go
@@ -66,9 +66,26 @@
 	return false
 }
 
-// tolerates tells whether a core machine may be lost for good, or its disk: only
-// while no successor is due, and all voters hold their places.
-func (w *World) tolerates(*proc) bool { return w.losses.vacant == 0 && w.settledVoters() }
+// tolerates tells whether a core machine may be lost for good, or its disk: not
+// while a successor is due, nor before all voters hold their places. Eager losses
+// don't wait for that: the core had catchUp without trouble since the last such
+// loss, and no other machine counts as lost.
+func (w *World) tolerates(p *proc) bool {
+	switch {
+	case w.losses.vacant > 0:
+		return false
+	case w.settledVoters():
+		return true
+	case !w.EagerLosses || !w.losses.recovered:
+		return false
+	}
+	for _, q := range w.living(membership.Store) {
+		if q != p && w.now.Since(q.impairedAt) < catchUp {
+			return false
+		}
+	}
+	return true
+}
 
 // whenTolerated does something to a core machine as soon as it may be lost;
 // until then it waits its turn.
