--- a/internal/consensus/standing.go
+++ b/internal/consensus/standing.go
@@ -35,6 +35,16 @@
 	}
 }
 
+// DiskStanding reads a disk's record of its standing; false where there is none.
+func DiskStanding(disk Storage) (Standing, bool) {
+	raw, ok := disk.Get(standingKey)
+	if !ok {
+		return Blank, false
+	}
+	s, ok := unpack[standing](raw)
+	return Standing(s.Standing), ok
+}
+
 func (a *Acceptor) inVoters(r VoterSet) bool {
 	return VoterSet{Voters: r.Voters}.Has(a.store)
 }
--- a/internal/simulator/disk.go
+++ b/internal/simulator/disk.go
@@ -17,21 +17,38 @@
 
 // After lists records of items behind a key.
 func (d *disk) Scan(key ids.Key, n int) []event.Record {
+	keys := d.sortedKeys()
+	from, found := slices.BinarySearch(keys, key)
+	if found {
+		from++
+	}
 	var out []event.Record
-	for _, k := range slices.Sorted(maps.Keys(d.records)) {
-		if k > key && k < "item0" && len(out) < n {
-			out = append(out, event.Record{Key: k, Value: d.records[k]})
+	for _, k := range keys[from:] {
+		if k >= "item0" || len(out) == n {
+			break
 		}
+		out = append(out, event.Record{Key: k, Value: d.records[k]})
 	}
 	return out
 }
 
+// sortedKeys gives all keys in order, sorted anew only after a key was added or
+// taken away, since a start reads the disk record by record.
+func (d *disk) sortedKeys() []ids.Key {
+	if d.sorted == nil || len(d.sorted) != len(d.records) {
+		d.sorted = slices.Sorted(maps.Keys(d.records))
+	}
+	return d.sorted
+}
+
 // disk is a store's data folder.
 type disk struct {
 	w       *World
 	store   uint64
 	run     uint64
 	records map[ids.Key][]byte
+	// sorted are the keys of the records in order, nil where not known.
+	sorted  []ids.Key
 	inbox   []event.Sync
 	busy    bool
 	stalled bool
@@ -114,8 +131,12 @@
 		for _, r := range s.Records {
 			if r.Delete {
 				delete(d.records, r.Key)
+				d.sorted = nil
 				continue
 			}
+			if _, known := d.records[r.Key]; !known {
+				d.sorted = nil
+			}
 			d.records[r.Key] = r.Value
 			d.age(r.Key)
 		}
--- a/internal/simulator/repair.go
+++ b/internal/simulator/repair.go
@@ -48,8 +48,8 @@
 }
 
 func syncedComplete(d *disk) bool {
-	a := consensus.NewAcceptor(d.store, d, nil)
-	return a.Standing() == consensus.Complete
+	standing, known := consensus.DiskStanding(d)
+	return known && standing == consensus.Complete
 }
 
 // untilWhole calls back with the time it took the voter set to be whole, looking
