--- a/cmd/testbed/hollow.go
+++ b/cmd/testbed/hollow.go
@@ -82,7 +82,9 @@
 }
 
 // CrewCmd is a process of hollow proxies, as hollow starts it.
-type CrewCmd struct{ scaletest.CrewParams }
+type CrewCmd struct{ scaletest.ProxyGroupOptions }
 
 // Run runs them until a signal.
-func (c *CrewCmd) Run(ctx context.Context) error { return scaletest.NewCrew(c.CrewParams).Run(ctx) }
+func (c *CrewCmd) Run(ctx context.Context) error {
+	return scaletest.NewProxyGroup(c.ProxyGroupOptions).Run(ctx)
+}
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,5 +1,5 @@
 // Package window is where outside calls come in: HTTP/1.1 and JSON under /v1.
-// A registry answers them; any other daemon ferries them to one.
+// A registry answers them; any other daemon forwards them to one.
 package api
 
 import (
@@ -49,7 +49,7 @@
 }
 
 // Ask hands an event in and waits for its reply.
-func (w *Server) Ask(make1 func(id uint64) any) registry.Response {
+func (w *Server) Do(make1 func(id uint64) any) registry.Response {
 	id := w.next.Add(1)
 	c := make(chan registry.Response, 1)
 	w.mu.Lock()
@@ -87,7 +87,7 @@
 
 // Status asks the registry how things stand; an empty one if it doesn't answer.
 func (w *Server) Status() registry.Status {
-	s, _ := w.Ask(func(id uint64) any { return registry.StatusCall{ID: id} }).Body.(registry.Status)
+	s, _ := w.Do(func(id uint64) any { return registry.StatusCall{ID: id} }).Body.(registry.Status)
 	return s
 }
 
@@ -108,7 +108,7 @@
 	})
 	m.HandleFunc("POST "+mergePage, w.merge)
 	m.HandleFunc("GET /v1/status", func(rw http.ResponseWriter, _ *http.Request) {
-		Write(rw, w.Ask(func(id uint64) any { return registry.StatusCall{ID: id} }))
+		Write(rw, w.Do(func(id uint64) any { return registry.StatusCall{ID: id} }))
 	})
 	m.HandleFunc("GET /v1/where", func(rw http.ResponseWriter, r *http.Request) {
 		q := r.URL.Query()
@@ -116,7 +116,7 @@
 			Say(rw, 400, "route and cell must be given")
 			return
 		}
-		Write(rw, w.Ask(func(id uint64) any {
+		Write(rw, w.Do(func(id uint64) any {
 			return registry.ResolveCall{ID: id, Cell: ids.Name(q.Get("cell")), Route: ids.Name(q.Get("route"))}
 		}))
 	})
@@ -133,7 +133,7 @@
 			Write(rw, registry.Response{Status: 400, Body: map[string]any{"problem": "announcement declined", "errors": bad}})
 			return
 		}
-		Write(rw, w.Ask(func(id uint64) any { return registry.HeartbeatCall{ID: id, Target: t} }))
+		Write(rw, w.Do(func(id uint64) any { return registry.HeartbeatCall{ID: id, Target: t} }))
 	})
 	return m
 }
--- a/internal/api/forward.go
+++ b/internal/api/forward.go
@@ -29,7 +29,7 @@
 }
 
 const (
-	// dialWithin is how long a registry may take to open a circuit.
+	// dialWithin is how long a registry may take to open a connection.
 	dialWithin = 250 * time.Millisecond
 	// forwardWithin is how long after its arrival a call is still handed to
 	// another registry, so that a daemon that reaches none says so in a second.
@@ -52,11 +52,11 @@
 	body   []byte
 }
 
-// NewFerry makes a forwarder. Each call opens a circuit of its own: one kept from
+// NewForwarder makes a forwarder. Each call opens a connection of its own: one kept from
 // before a cut would swallow the call, and leave it open whether it arrived. No
 // redirect is followed, and no proxy of the environment used: a call leaves once
 // for each registry that is tried.
-func NewFerry(registries func() []ids.Address) *Forwarder {
+func NewForwarder(registries func() []ids.Address) *Forwarder {
 	transport := &http.Transport{DialContext: (&net.Dialer{Timeout: dialWithin}).DialContext, DisableKeepAlives: true}
 	stay := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 	return &Forwarder{Registries: registries, Client: &http.Client{Transport: transport, CheckRedirect: stay, Timeout: responseTime + time.Second}}
--- a/internal/api/forward_test.go
+++ b/internal/api/forward_test.go
@@ -19,7 +19,7 @@
 	return ids.Address(strings.TrimPrefix(s.URL, "http://"))
 }
 
-// breaking is an address that takes circuits and closes them.
+// breaking is an address that takes connections and closes them.
 func breaking(t *testing.T) ids.Address {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -39,7 +39,7 @@
 	return ids.Address(l.Addr().String())
 }
 
-// closed is an address that refuses circuits.
+// closed is an address that refuses connections.
 func closed(t *testing.T) ids.Address {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -51,7 +51,7 @@
 }
 
 // A daemon handed the 503 of a registry that was cut off to its caller, though
-// the next one had a majority; and where a circuit broke after a change had left,
+// the next one had a majority; and where a connection broke after a change had left,
 // a later 503 must not promise that it has no effect.
 func TestAForwarderGoesOnToARegistryWithAMajority(t *testing.T) {
 	apart, with, broken, none := registryAnswering(t, 503), registryAnswering(t, 200), breaking(t), closed(t)
@@ -73,7 +73,7 @@
 	} {
 		began := time.Now()
 		rw := httptest.NewRecorder()
-		NewFerry(func() []ids.Address { return c.registries }).ServeHTTP(rw, httptest.NewRequest(c.method, "/v1/services/s", strings.NewReader("{}")))
+		NewForwarder(func() []ids.Address { return c.registries }).ServeHTTP(rw, httptest.NewRequest(c.method, "/v1/services/s", strings.NewReader("{}")))
 		if rw.Code != c.want || rw.Code >= 500 && rw.Header().Get("Retry-After") == "" {
 			t.Errorf("%s: %d %v", c.name, rw.Code, rw.Header())
 		}
--- a/internal/api/forwardcut_test.go
+++ b/internal/api/forwardcut_test.go
@@ -84,7 +84,7 @@
 }
 
 func forwarder(to ...*cutter) *Forwarder {
-	return NewFerry(func() (out []ids.Address) {
+	return NewForwarder(func() (out []ids.Address) {
 		for _, k := range to {
 			out = append(out, ids.Address(k.Addr().String()))
 		}
--- a/internal/api/items.go
+++ b/internal/api/items.go
@@ -27,7 +27,7 @@
 // read asks for the policy; local only where the caller wants that.
 func (w *Server) read(rw http.ResponseWriter, r *http.Request) (*policy.Policy, bool) {
 	local := r.URL.Query().Get("local") == "true"
-	rep := w.Ask(func(id uint64) any { return registry.PolicyCall{ID: id, Local: local} })
+	rep := w.Do(func(id uint64) any { return registry.PolicyCall{ID: id, Local: local} })
 	p, ok := rep.Body.(*policy.Policy)
 	if !ok {
 		Write(rw, rep)
@@ -163,7 +163,7 @@
 }
 
 func (w *Server) change(rw http.ResponseWriter, raw []byte) {
-	Write(rw, w.Ask(func(id uint64) any { return registry.ChangeCall{ID: id, Raw: raw} }))
+	Write(rw, w.Do(func(id uint64) any { return registry.ChangeCall{ID: id, Raw: raw} }))
 }
 
 // mergePage takes items whose versions their caller gives.
@@ -179,5 +179,5 @@
 		Write(rw, registry.Response{Status: 400, Body: policy.Result{Faults: faults}})
 		return
 	}
-	Write(rw, w.Ask(func(id uint64) any { return registry.MergeCall{ID: id, Body: m} }))
+	Write(rw, w.Do(func(id uint64) any { return registry.MergeCall{ID: id, Body: m} }))
 }
--- a/internal/api/merge_test.go
+++ b/internal/api/merge_test.go
@@ -31,13 +31,13 @@
 	return w, &p
 }
 
-// The page itself, and any other daemon's ferry to it.
+// The page itself, and any other daemon's forward to it.
 func TestMergePage(t *testing.T) {
 	is := is.New(t)
 	w, p := merger()
 	at := httptest.NewServer(w.Handler())
 	defer at.Close()
-	ferry := NewFerry(func() []ids.Address {
+	ferry := NewForwarder(func() []ids.Address {
 		return []ids.Address{ids.Address(strings.TrimPrefix(at.URL, "http://"))}
 	})
 	for _, h := range []http.Handler{w.Handler(), ferry} {
--- a/internal/api/revision.go
+++ b/internal/api/revision.go
@@ -21,7 +21,7 @@
 
 // known gives the revision that the registry knows, if it answers.
 func (w *Server) known() (ids.Revision, bool) {
-	rep := w.Ask(func(id uint64) any { return registry.PolicyCall{ID: id, Local: true} })
+	rep := w.Do(func(id uint64) any { return registry.PolicyCall{ID: id, Local: true} })
 	p, ok := rep.Body.(*policy.Policy)
 	if !ok {
 		return 0, false
--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -50,7 +50,7 @@
 	Problem  string
 	// Loose: no answer is owed, as when its route comes and goes.
 	Loose bool
-	// Held: it came down a circuit that its consumer held, asking nobody.
+	// Held: it came down a connection that its consumer held, asking nobody.
 	Held bool
 }
 
@@ -70,7 +70,7 @@
 	known int
 	// Allowed is the policy's small allowance of retries.
 	Allowed float64
-	// Calm: no fault of the run excuses a held circuit that gets no answer.
+	// Calm: no fault of the run excuses a held connection that gets no answer.
 	Calm bool
 }
 
--- a/internal/checker/held.go
+++ b/internal/checker/held.go
@@ -7,7 +7,7 @@
 	"dunlinwell/internal/ids"
 )
 
-// Closed is a circuit that a consumer held and that ended without its doing.
+// Closed is a connection that a consumer held and that ended without its doing.
 type Closed struct {
 	At    time.Time
 	Proxy string
@@ -17,7 +17,7 @@
 	Excused bool
 }
 
-// Close notes that a held circuit was ended from the other side.
+// Close notes that a held connection was ended from the other side.
 func (t *Truth) Close(c Closed) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -35,7 +35,7 @@
 	return false
 }
 
-// live counts held circuits that a move touched: ended by the other side, or
+// live counts held connections that a move touched: ended by the other side, or
 // turned away, with no fault and no emptying of their cell to excuse it.
 func (t *Truth) live() Count {
 	c := Count{What: "held circuit closed or turned away by a move"}
--- a/internal/consensus/client.go
+++ b/internal/consensus/client.go
@@ -35,7 +35,7 @@
 	maybe map[uint32]bool
 	asked map[uint32]attempt
 	done  func(now ids.Time, s State, out []byte)
-	// have is the value that the asker holds, for a read that finds the same.
+	// have is the value that the client holds, for a read that finds the same.
 	have []byte
 }
 
@@ -56,7 +56,7 @@
 	return a.call(now, Request{Key: key, Op: op, Arg: arg}, nil, wait, done)
 }
 
-// ReadIfChanged reads a register whose value the asker already holds; where it is the
+// ReadIfChanged reads a register whose value the client already holds; where it is the
 // same still, no more than that is sent. sum is that of the value.
 func (a *Client) ReadIfChanged(now ids.Time, key ids.Key, have []byte, sum uint64, wait time.Duration, done func(ids.Time, State, []byte)) CallID {
 	return a.call(now, Request{Key: key, Op: Read, HaveChecksum: sum}, have, wait, done)
@@ -113,7 +113,7 @@
 	}
 }
 
-// Clock tries again, and ends what has run out of time. Only a wish that no
+// Clock tries again, and ends what has run out of time. Only a request that no
 // store can still be busy with is surely without effect.
 func (a *Client) Clock(now ids.Time) {
 	for _, id := range slices.Sorted(maps.Keys(a.pending)) {
--- a/internal/consensus/messages.go
+++ b/internal/consensus/messages.go
@@ -90,17 +90,17 @@
 // News carries a voter set to one who goes by an older one.
 type VoterSetUpdate struct{ VoterSet VoterSet }
 
-// Ask is a wish to read or change a register, sent to any store.
+// Ask is a request to read or change a register, sent to any store.
 type Request struct {
 	ID  uint64
 	Key ids.Key
 	Op  Op
 	Arg []byte
-	// Wait is how long the asker will wait, in milliseconds.
+	// Wait is how long the client will wait, in milliseconds.
 	Wait uint32
 	// Try counts the times it was sent; an answer speaks for that one alone.
 	Try uint32
-	// Have sums up the value that the asker holds; a read that finds the same
+	// Have sums up the value that the client holds; a read that finds the same
 	// says so and leaves it out. 0 for none.
 	HaveChecksum uint64
 }
@@ -111,7 +111,7 @@
 	State  State
 	Result []byte
 	Try    uint32
-	// Same: Out is left out, as the asker has it.
+	// Same: Out is left out, as the client has it.
 	Same bool
 }
 
--- a/internal/consensus/proposer.go
+++ b/internal/consensus/proposer.go
@@ -10,7 +10,7 @@
 )
 
 // Func is a change function: it takes the register's value and an argument,
-// and gives the next value and what to tell the asker. It must know a change
+// and gives the next value and what to tell the client. It must know a change
 // that it has made before, since a round that was cut short is run again.
 type ChangeFunc func(key ids.Key, old, arg []byte) (next, out []byte)
 
@@ -100,7 +100,7 @@
 	mostLast    = 4096
 )
 
-// Ask takes a wish.
+// Ask takes a request.
 func (p *Proposer) Submit(now ids.Time, from ids.Address, a Request) {
 	if len(p.voterSet().Voters) == 0 {
 		p.out.Send(from, Response{ID: a.ID, Try: a.Try, State: Declined})
--- a/internal/daemon/changes_bench_test.go
+++ b/internal/daemon/changes_bench_test.go
@@ -15,7 +15,7 @@
 )
 
 // BenchmarkChangesInARow makes 300 changes in a row of policies of three sizes,
-// over real circuits and disks. It gives times, and processor time for each
+// over real connections and disks. It gives times, and processor time for each
 // change of three stores and a registry together. Run it with -benchtime 1x.
 func BenchmarkChangesInARow(b *testing.B) {
 	for _, size := range []int{1000, 5000, 15000} {
--- a/internal/daemon/large_test.go
+++ b/internal/daemon/large_test.go
@@ -17,7 +17,7 @@
 	"dunlinwell/internal/policy"
 )
 
-// core is three stores and a registry in this process, over real circuits and disks.
+// core is three stores and a registry in this process, over real connections and disks.
 type core struct {
 	// pages is the registry's address for calls, all are those of every daemon.
 	pages string
--- a/internal/daemon/store.go
+++ b/internal/daemon/store.go
@@ -194,7 +194,7 @@
 	}
 	var stopping atomic.Bool
 	mux := http.NewServeMux()
-	mux.Handle("/v1/", api.NewFerry(func() []ids.Address { return RegistryAddresses(m.Members(), ids.Name(p.Cell)) }))
+	mux.Handle("/v1/", api.NewForwarder(func() []ids.Address { return RegistryAddresses(m.Members(), ids.Name(p.Cell)) }))
 	mux.HandleFunc("POST /v1/core/refound", func(rw http.ResponseWriter, r *http.Request) { refound(rw, r, owner, orders) })
 	rollHealth(mux, m.Me, &stopping)
 	Metrics(mux, func() []Gauge {
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -18,7 +18,7 @@
 	Proxies []membership.Member
 	Emptied map[ids.Name]bool
 	Moves   []spill.Move
-	// Demand is what a cell's fresh circuits used when it was last well.
+	// Demand is what a cell's fresh connections used when it was last well.
 	Demand   func(cell ids.Name) float64
 	Distance func(a, b ids.Name) float64
 	Room     func(cell ids.Name) float64
@@ -36,7 +36,7 @@
 const most = 3
 
 // Point draws the way for one fresh ask. Only fresh asks are drawn: a live
-// circuit never hears of it.
+// connection never hears of it.
 func (s Snapshot) Point(cell, route ids.Name, dice *rand.Rand) (Destination, bool) {
 	open := s.open()
 	if _, ok := open[cell]; ok {
@@ -87,7 +87,7 @@
 	slices.SortFunc(near, func(a, b ids.Name) int {
 		return cmp.Or(cmp.Compare(s.Distance(from, a), s.Distance(from, b)), cmp.Compare(a, b))
 	})
-	// One whose own circuits are still sent away has no room for others'.
+	// One whose own connections are still sent away has no room for others'.
 	if home := slices.DeleteFunc(slices.Clone(near), s.spills); len(home) > 0 {
 		near = home
 	}
@@ -112,7 +112,7 @@
 	return near[0], true
 }
 
-// spills tells whether a cell's own circuits are sent away.
+// spills tells whether a cell's own connections are sent away.
 func (s Snapshot) spills(cell ids.Name) bool {
 	return slices.ContainsFunc(s.Moves, func(m spill.Move) bool { return m.From == cell })
 }
--- a/internal/dispatch/again.go
+++ b/internal/dispatch/again.go
@@ -41,7 +41,7 @@
 	d.admit(now, j)
 }
 
-// ferried counts a request that leaves, by how far it goes.
+// forwarded counts a request that leaves, by how far it goes.
 func (t *Tally) ferried(distance float64) {
 	t.Ferried++
 	switch {
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -13,7 +13,7 @@
 	"dunlinwell/internal/wire"
 )
 
-// BenchmarkRequest takes requests through a desk with twenty targets.
+// BenchmarkRequest takes requests through a dispatcher with twenty targets.
 func BenchmarkRequest(b *testing.B) {
 	for name, repeatable := range map[string]bool{"repeatable": true, "order": false} {
 		b.Run(name, func(b *testing.B) {
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,5 +1,5 @@
-// Package desk takes a request through a proxy: it waits for a place at a
-// target, claims its mark if it may not be repeated, is ferried once, and is
+// Package dispatcher takes a request through a proxy: it waits for a place at a
+// target, claims its mark if it may not be repeated, is forwarded once, and is
 // answered as declined, unknown or answered, never as two of them.
 package dispatch
 
@@ -52,7 +52,7 @@
 // marked tells whether a register keeps the job to one run.
 func (j *job) marked() bool { return !j.Repeatable && !j.Single }
 
-// Params are the options of a desk.
+// Params are the options of a dispatcher.
 type Options struct {
 	Self  idempotency.Owner
 	Dice  *rand.Rand
@@ -81,14 +81,14 @@
 	reasons map[string]int
 }
 
-// Tally counts what the desk did, for reports and pages.
+// Tally counts what the dispatcher did, for reports and pages.
 type Tally struct {
 	Arrived, Declined, Unknown, Answered, Ferried, Retried, Repeats uint64
 	// Region and Far count those of Ferried that left their cell, and region.
 	Region, Far uint64
 }
 
-// New makes a desk with nothing to hand.
+// New makes a dispatcher with nothing to hand.
 func New(p Options) *Dispatcher {
 	if p.Inbox == 0 {
 		p.Inbox = 128
@@ -144,17 +144,17 @@
 	d.admit(now, j)
 }
 
-// wish asks for an operation on the job's mark.
+// request asks for an operation on the job's mark.
 func (d *Dispatcher) wish(now ids.Time, j *job, op consensus.Op, p phase, wait time.Duration) {
 	j.phase = p
 	j.turn++
 	d.Emit(Wish{ID: j.ID, Turn: j.turn, Key: idempotency.Key(j.Route, j.Mark), Op: op, Wish: d.words(j), Wait: min(wait, max(j.Due.Since(now), 50*time.Millisecond))})
 }
 
-func (d *Dispatcher) words(j *job) idempotency.Wish {
+func (d *Dispatcher) words(j *job) idempotency.Operation {
 	o := d.Self
 	o.Request = j.ID
-	return idempotency.Wish{Owner: o, Attempt: j.Attempt, Print: j.Print, Response: kept(j.response)}
+	return idempotency.Operation{Owner: o, Attempt: j.Attempt, Print: j.Print, Response: kept(j.response)}
 }
 
 // mostKept bounds the body that is kept with an outcome. Beyond it a repeat
--- a/internal/dispatch/job.go
+++ b/internal/dispatch/job.go
@@ -9,7 +9,7 @@
 	"dunlinwell/internal/targets"
 )
 
-// Job is a consumer's request as the desk knows it.
+// Job is a consumer's request as the dispatcher knows it.
 type Job struct {
 	ID         ids.Request
 	Route      ids.Name
@@ -26,7 +26,7 @@
 	// Goal is the time within which an answer is worth most; 0 for none.
 	Goal time.Duration
 	// Attempts is the most targets that the request may be sent to; 0 for the
-	// desk's own limit.
+	// dispatcher's own limit.
 	Attempts int
 	// Homes are the regions whose targets may have it; none for all.
 	Homes []ids.Name
@@ -46,7 +46,7 @@
 	Misused
 )
 
-// How a ferried request came back.
+// How a forwarded request came back.
 type How uint8
 
 // NotSent: no byte left. Maybe: some did, and no sealed answer came. NotRun:
@@ -66,14 +66,14 @@
 type (
 	// Arrive is a new request.
 	Arrive struct{ Job Job }
-	// Told is what came of a wish about a mark.
+	// Told is what came of a request about a mark.
 	Told struct {
 		ID    ids.Request
 		Turn  uint32
 		State consensus.State
 		Out   []byte
 	}
-	// Back is a ferried request that ended.
+	// Back is a forwarded request that ended.
 	Back struct {
 		ID       ids.Request
 		Turn     uint32
@@ -94,7 +94,7 @@
 		Turn uint32
 		Key  ids.Key
 		Op   consensus.Op
-		Wish idempotency.Wish
+		Wish idempotency.Operation
 		Wait time.Duration
 	}
 	// Ferry carries a request to a target, once.
@@ -105,10 +105,10 @@
 		Due    ids.Time
 		// By is the last moment at which its first byte may leave.
 		By ids.Time
-		// Careful: of held circuits only one that was in use a moment ago will
+		// Careful: of held connections only one that was in use a moment ago will
 		// do, since what is lost on a dead one can't be sent again.
 		Careful bool
-		// Fresh asks for a new circuit, whose target has just shown who it is.
+		// Fresh asks for a new connection, whose target has just shown who it is.
 		Fresh bool
 	}
 	// Response is the consumer's answer.
--- a/internal/dispatch/late_test.go
+++ b/internal/dispatch/late_test.go
@@ -18,7 +18,7 @@
 	patience = 4 * time.Second
 )
 
-// crowded is a desk whose one place is taken by request 1.
+// crowded is a dispatcher whose one place is taken by request 1.
 func crowded() (*Dispatcher, ids.Time) {
 	now := ids.Time(time.Second)
 	d := New(Options{Dice: rand.New(rand.NewPCG(1, 1)), Self: idempotency.Owner{Daemon: "c", Start: 1}})
@@ -33,7 +33,7 @@
 	return Arrive{Job{ID: id, Route: "r", Service: "s", Repeatable: true, Attempt: 1, Goal: goal, Due: now.Add(left)}}
 }
 
-// ferried gives the request that left among commands, and declined the one
+// forwarded gives the request that left among commands, and declined the one
 // that was turned away.
 func ferried(list []event.Command) (out, declined ids.Request) {
 	for _, c := range list {
@@ -49,7 +49,7 @@
 	return out, declined
 }
 
-// After an outage the desk served first those who had waited longest, so that
+// After an outage the dispatcher served first those who had waited longest, so that
 // hardly anyone was served within the goal, and turned the others away.
 func TestThoseThatCanMeetTheirGoalGoFirst(t *testing.T) {
 	is := is.New(t)
--- a/internal/dispatch/places.go
+++ b/internal/dispatch/places.go
@@ -9,7 +9,7 @@
 	"dunlinwell/internal/targets"
 )
 
-// Stock is what a desk has to hand: an event of its own, sent whole whenever
+// Stock is what a dispatcher has to hand: an event of its own, sent whole whenever
 // targets, policy or the number of proxies change.
 type Stock struct {
 	Targets  []Offer
@@ -34,7 +34,7 @@
 	targets.Target
 	// At is when Age was right.
 	At ids.Time
-	// Seat is this proxy's place among the Seats that share the target.
+	// LiveProxy is this proxy's place among the Seats that share the target.
 	Seat, Seats int
 	Distance    float64
 	Emptied     bool
--- a/internal/dispatch/spot.go
+++ b/internal/dispatch/spot.go
@@ -8,7 +8,7 @@
 	"dunlinwell/internal/ids"
 )
 
-// spot is a target as this desk uses it.
+// spot is a target as this dispatcher uses it.
 type spot struct {
 	Offer
 	busy int
--- a/internal/dispatch/steps.go
+++ b/internal/dispatch/steps.go
@@ -32,7 +32,7 @@
 }
 
 func (d *Dispatcher) looked(now ids.Time, j *job, e Told) {
-	s, ok := idempotency.OpenSlip(e.Out)
+	s, ok := idempotency.DecodeRecord(e.Out)
 	switch {
 	case e.State != consensus.Done || !ok:
 		d.unknown(now, j, 504, "an earlier attempt may have run; its mark can't be read now")
@@ -136,7 +136,7 @@
 	}
 }
 
-// ferry lets the request go. From here on "declined" is out of the question
+// forward lets the request go. From here on "declined" is out of the question
 // unless no byte left.
 func (d *Dispatcher) ferry(now ids.Time, j *job) {
 	// The mark took its time: what was so when the place was found may not be.
@@ -173,7 +173,7 @@
 	d.Emit(Ferry{ID: j.ID, Turn: j.turn, Target: s.Target, Due: j.Due, By: min(j.Due, d.lease), Fresh: j.marked(), Careful: j.Single})
 }
 
-// back takes a ferried request's end.
+// back takes a forwarded request's end.
 func (d *Dispatcher) back(now ids.Time, e Back) {
 	j := d.jobs[e.ID]
 	if j == nil || j.turn != e.Turn || j.phase != ferrying {
--- a/internal/dispatch/trace_test.go
+++ b/internal/dispatch/trace_test.go
@@ -13,7 +13,7 @@
 )
 
 // A recorded trace: "TIME > event" lines are played, and the "< command" lines
-// under each must be just what the desk wants done, in that order.
+// under each must be just what the dispatcher wants done, in that order.
 func TestTraces(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.trace")
 	if err != nil || len(files) == 0 {
--- a/internal/distribution/distribution.go
+++ b/internal/distribution/distribution.go
@@ -1,5 +1,5 @@
 // Package rounds is the registry's delivery round: numbered pushes down the
-// circuit to each proxy, counted off by its acknowledgements.
+// connection to each proxy, counted off by its acknowledgements.
 package distribution
 
 import (
--- a/internal/distribution/fulllink_test.go
+++ b/internal/distribution/fulllink_test.go
@@ -91,7 +91,7 @@
 	is.True(l.policies <= 3)
 }
 
-// What a broken circuit took with it goes again as soon as anything sent later is
+// What a broken connection took with it goes again as soon as anything sent later is
 // acknowledged, however long the link was down.
 func TestWhatWasLostGoesAgainAtOnce(t *testing.T) {
 	is := is.New(t)
--- a/internal/idempotency/slip.go
+++ b/internal/idempotency/record.go
@@ -75,15 +75,15 @@
 	Entered uint32
 }
 
-// Wish is the argument of each operation.
-type Wish struct {
+// Operation is the argument of each operation.
+type Operation struct {
 	Owner    Owner
 	Attempt  uint32
 	Print    []byte
 	Response Response
 }
 
-// Verdict says what a wish came to.
+// Verdict says what a request came to.
 type Verdict uint8
 
 // Yours: the claim stands for this owner. Running: another's claim stands.
@@ -106,7 +106,7 @@
 	Slip    Record
 }
 
-var _ = wire.Register(60, Record{}) && wire.Register(61, Wish{}) && wire.Register(62, Result{})
+var _ = wire.Register(60, Record{}) && wire.Register(61, Operation{}) && wire.Register(62, Result{})
 
 const mostLet = 16
 
@@ -115,11 +115,11 @@
 	return map[consensus.Op]consensus.ChangeFunc{OpClaim: on(claim), OpBar: on(bar), OpRelease: on(release), OpOutcome: on(outcome), OpEnter: on(enter)}
 }
 
-// on opens the register and the wish, and packs what comes of them.
-func on(f func(Record, Wish) (Record, Verdict)) consensus.ChangeFunc {
+// on opens the register and the request, and packs what comes of them.
+func on(f func(Record, Operation) (Record, Verdict)) consensus.ChangeFunc {
 	return func(_ ids.Key, old, arg []byte) ([]byte, []byte) {
 		s, _ := open[Record](old)
-		w, ok := open[Wish](arg)
+		w, ok := open[Operation](arg)
 		if !ok {
 			return old, nil
 		}
@@ -144,17 +144,17 @@
 	return t, ok && err == nil
 }
 
-// OpenSlip reads a mark's register; an empty one is a clear mark.
-func OpenSlip(raw []byte) (Record, bool) {
+// DecodeRecord reads a mark's register; an empty one is a clear mark.
+func DecodeRecord(raw []byte) (Record, bool) {
 	if len(raw) == 0 {
 		return Record{}, true
 	}
 	return open[Record](raw)
 }
 
-// Later tells whether a wish may be a later attempt's.
+// Later tells whether a request may be a later attempt's.
 func Later(arg []byte) bool {
-	w, ok := open[Wish](arg)
+	w, ok := open[Operation](arg)
 	return ok && w.Attempt != 1
 }
 
@@ -162,7 +162,7 @@
 func OpenResult(raw []byte) (Result, bool) { return open[Result](raw) }
 
 // seen answers for a mark that is not clear.
-func seen(s Record, w Wish) (Verdict, bool) {
+func seen(s Record, w Operation) (Verdict, bool) {
 	switch {
 	case s.State != Clear && !slices.Equal(s.Print, w.Print):
 		return Unlike, true
@@ -176,7 +176,7 @@
 	return 0, false
 }
 
-func claim(s Record, w Wish) (Record, Verdict) {
+func claim(s Record, w Operation) (Record, Verdict) {
 	if v, ok := seen(s, w); ok {
 		return s, v
 	}
@@ -190,8 +190,8 @@
 
 // bar is what a later attempt asks before it is told "surely not run": from
 // then on no earlier attempt, still waiting elsewhere, may run either.
-func bar(s Record, w Wish) (Record, Verdict) {
-	// The asker's own claim never left: it goes with the rest.
+func bar(s Record, w Operation) (Record, Verdict) {
+	// The client's own claim never left: it goes with the rest.
 	if s.State == Claimed && s.Owner == w.Owner {
 		s.State, s.Owner, s.Print = Clear, Owner{}, nil
 	}
@@ -204,7 +204,7 @@
 }
 
 // release lets go of a claim whose request surely did not leave.
-func release(s Record, w Wish) (Record, Verdict) {
+func release(s Record, w Operation) (Record, Verdict) {
 	if s.State == Claimed && s.Owner == w.Owner {
 		s.State, s.Owner, s.Print = Clear, Owner{}, nil
 	}
@@ -216,7 +216,7 @@
 
 // enter numbers an attempt whose consumer gave no number, in the order in
 // which they are agreed on; a number that is skipped does no harm.
-func enter(s Record, w Wish) (Record, Verdict) {
+func enter(s Record, w Operation) (Record, Verdict) {
 	if v, ok := seen(s, w); ok {
 		return s, v
 	}
@@ -224,7 +224,7 @@
 	return s, Free
 }
 
-func outcome(s Record, w Wish) (Record, Verdict) {
+func outcome(s Record, w Operation) (Record, Verdict) {
 	if s.State == Claimed && s.Owner == w.Owner {
 		s.State, s.Response = Over, w.Response
 	}
--- a/internal/idempotency/slip_test.go
+++ b/internal/idempotency/record_test.go
@@ -18,7 +18,7 @@
 
 func (m *mark) do(op consensus.Op, who ids.Request, attempt uint32, print string) Result {
 	m.t.Helper()
-	arg, err := wire.Encode(Wish{Owner: Owner{"c", 1, who}, Attempt: attempt, Print: []byte(print), Response: Response{Status: 200, Body: []byte("done")}})
+	arg, err := wire.Encode(Operation{Owner: Owner{"c", 1, who}, Attempt: attempt, Print: []byte(print), Response: Response{Status: 200, Body: []byte("done")}})
 	if err != nil {
 		m.t.Fatal(err)
 	}
--- a/internal/ids/ids.go
+++ b/internal/ids/ids.go
@@ -38,7 +38,7 @@
 // Sequence orders what one incarnation says.
 type Sequence uint64
 
-// Number counts the pushes down one circuit.
+// Number counts the pushes down one connection.
 type Number uint64
 
 // Revision counts the accepted changes of the whole policy.
--- a/internal/knownred/list.go
+++ b/internal/knownred/list.go
@@ -11,7 +11,7 @@
 
 // Read reads the list: `package.TestName | cause | issue`, one a line; lines
 // that start with # are comments. A line that can't be read spoils the list, or
-// a slip of the pen would go unseen.
+// a record of the pen would go unseen.
 func Read(raw string) ([]Known, error) {
 	var out []Known
 	seen := map[string]bool{}
--- a/internal/membership/list.go
+++ b/internal/membership/list.go
@@ -36,7 +36,7 @@
 	all            []Member
 	index          *ringIndex
 	parts          [parts]uint64
-	knocks         int
+	seedCalls      int
 	asked, differs map[ids.Daemon]ids.Time
 	changed        []ids.Daemon
 	version        uint64
--- a/internal/membership/tick.go
+++ b/internal/membership/tick.go
@@ -43,8 +43,8 @@
 		}
 	}
 	if r.Incremental && len(out) > 1 && len(r.members) > 1 {
-		r.knocks++
-		return out[r.knocks%len(out):][:1]
+		r.seedCalls++
+		return out[r.seedCalls%len(out):][:1]
 	}
 	return out
 }
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -80,7 +80,7 @@
 	// WarmRate is how many requests a second a cold target bears from the whole
 	// fleet; 0 where only places bound it.
 	WarmRate float64 `json:"warm_rate"`
-	// Circuits is how many circuits a target takes from all callers; 0 for any.
+	// Circuits is how many connections a target takes from all callers; 0 for any.
 	Circuits int `json:"circuits"`
 }
 
--- a/internal/process/dial.go
+++ b/internal/process/dial.go
@@ -13,7 +13,7 @@
 
 func (p *Transport) dial(ctx context.Context, to ids.Address) (net.Conn, error) {
 	d := net.Dialer{Timeout: dialWithin, Control: func(_, _ string, raw syscall.RawConn) error {
-		// A circuit that a cut has swallowed must end soon, not after the
+		// A connection that a cut has swallowed must end soon, not after the
 		// kernel's own quarter of an hour.
 		return raw.Control(func(fd uintptr) {
 			_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, TCPUserLimit, int(writeWithin/time.Millisecond))
--- a/internal/process/log.go
+++ b/internal/process/log.go
@@ -54,7 +54,7 @@
 // Note logs what a machine had to say.
 func (l *Log) Note(n event.LogEntry) { l.Event(n.Level, n.Event, n.Fields...) }
 
-// ended tells whether a circuit just ended, as circuits do.
+// ended tells whether a connection just ended, as connections do.
 func ended(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, net.ErrClosed) || strings.Contains(err.Error(), "connection reset")
 }
--- a/internal/process/owner.go
+++ b/internal/process/owner.go
@@ -1,5 +1,5 @@
 // Package hoist runs the pure machines in real processes: an owner for each,
-// held circuits between them, a clock and a log.
+// held connections between them, a clock and a log.
 package process
 
 import (
@@ -34,7 +34,7 @@
 func (o *Owner) Put(ev event.Event) { o.inbox <- ev }
 
 // Offer hands an event in unless the inbox is full; what comes off the wire
-// may be lost, and must not hold the circuits up.
+// may be lost, and must not hold the connections up.
 func (o *Owner) Offer(ev event.Event) {
 	select {
 	case o.inbox <- ev:
--- a/internal/process/transport.go
+++ b/internal/process/transport.go
@@ -12,7 +12,7 @@
 	"dunlinwell/internal/wire"
 )
 
-// Greeting opens a circuit: it tells where the sender takes messages.
+// Greeting opens a connection: it tells where the sender takes messages.
 type Hello struct {
 	Address ids.Address
 	// Inflates tells that the sender reads frames whose body is deflated.
@@ -21,8 +21,8 @@
 
 var _ = wire.Register(1, Hello{})
 
-// Post holds circuits to peers and takes theirs. A message may be lost with
-// its circuit; the machines ask again.
+// Post holds connections to peers and takes theirs. A message may be lost with
+// its connection; the machines ask again.
 type Transport struct {
 	// Address is what peers are told; Bind is where to listen, if elsewhere.
 	Address ids.Address
@@ -30,7 +30,7 @@
 	// Deliver takes what comes in.
 	Deliver func(from ids.Address, msg any)
 	Log     *Log
-	// Dial opens a circuit to a peer; our own way by default.
+	// Dial opens a connection to a peer; our own way by default.
 	Dial func(ctx context.Context, to ids.Address) (net.Conn, error)
 	// Tally, if set, counts what goes over the wire.
 	Stats *TrafficStats
@@ -62,7 +62,7 @@
 	return l, errs.Wrap(err, "listen", string(at))
 }
 
-// Serve takes circuits until the context ends.
+// Serve takes connections until the context ends.
 func (p *Transport) Serve(ctx context.Context, l net.Listener) error {
 	p.mu.Lock()
 	p.ctx = ctx
@@ -130,7 +130,7 @@
 	return true
 }
 
-// hold keeps a circuit to one peer while there is something to say.
+// hold keeps a connection to one peer while there is something to say.
 func (p *Transport) maintain(ctx context.Context, to ids.Address, line chan []byte) {
 	var first []byte
 	pace := newDialPace()
--- a/internal/process/writeframe_test.go
+++ b/internal/process/writeframe_test.go
@@ -31,7 +31,7 @@
 }
 
 // A frame that is carried slowly, but steadily, arrives; one that a peer takes
-// nothing of ends the circuit.
+// nothing of ends the connection.
 func TestALargeFrameOnASlowLink(t *testing.T) {
 	for _, pause := range []time.Duration{50 * time.Millisecond, time.Hour} {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/proxy/agreement.go
+++ b/internal/proxy/agreement.go
@@ -26,7 +26,7 @@
 		return
 	}
 	c.reading = true
-	c.Asker.Call(now, policy.Key, consensus.Read, nil, time.Second, func(at ids.Time, s consensus.State, out []byte) {
+	c.Client.Call(now, policy.Key, consensus.Read, nil, time.Second, func(at ids.Time, s consensus.State, out []byte) {
 		c.reading = false
 		if s != consensus.Done {
 			return
@@ -69,14 +69,14 @@
 	return c.sure().Add(c.Lease)
 }
 
-// lease tells the desks until when they may serve, as soon as that moves on.
+// lease tells the dispatchers until when they may serve, as soon as that moves on.
 func (c *Control) lease() {
 	if c.sure() == c.leased {
 		return
 	}
 	c.leased = c.sure()
 	for _, n := range slices.Sorted(maps.Keys(c.view.Services)) {
-		c.Emit(ToDesk{n, dispatch.Lease{Until: c.until()}})
+		c.Emit(DispatchEvent{n, dispatch.Lease{Until: c.until()}})
 	}
 }
 
--- a/internal/proxy/carry.go
+++ b/internal/proxy/carry.go
@@ -18,8 +18,8 @@
 	"dunlinwell/internal/process"
 )
 
-// Cargo is a consumer's request, read whole.
-type Cargo struct {
+// ClientRequest is a consumer's request, read whole.
+type ClientRequest struct {
 	Job    dispatch.Job
 	Method string
 	// URI is the path and query just as they came, and Host the host asked for.
@@ -34,7 +34,7 @@
 	ID string
 }
 
-// hops are headers of one circuit; they are not carried on.
+// hops are headers of one connection; they are not carried on.
 var hops = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Host", "Expect"}
 
 // Strip gives the headers that are carried on.
@@ -57,7 +57,7 @@
 }
 
 // carry takes a request to its target, once, and judges what comes back.
-func (d *Daemon) carry(c *Cargo, f dispatch.Ferry) dispatch.Back {
+func (d *Daemon) carry(c *ClientRequest, f dispatch.Ferry) dispatch.Back {
 	back := dispatch.Back{ID: f.ID, Turn: f.Turn, How: dispatch.NotSent}
 	until := time.Now().Add(f.Due.Since(process.Now()))
 	var line *circuit
@@ -117,7 +117,7 @@
 
 // pack writes a request as it goes out. Method, path and body are the
 // consumer's own, to the byte: nothing is cleaned or encoded anew.
-func pack(c *Cargo, f dispatch.Ferry, head http.Header) []byte {
+func pack(c *ClientRequest, f dispatch.Ferry, head http.Header) []byte {
 	var b bytes.Buffer
 	b.Grow(1024 + min(len(c.Body), mostPacked))
 	host := c.Host
@@ -148,7 +148,7 @@
 
 // sealed reads an answer whole and lets the trade judge it. Only then may a
 // byte of it go on.
-func (d *Daemon) sealed(line *circuit, c *Cargo, f dispatch.Ferry) (Verdict, error) {
+func (d *Daemon) sealed(line *circuit, c *ClientRequest, f dispatch.Ferry) (Verdict, error) {
 	peer := string(f.Target.Address)
 	for range mostOthers + 1 {
 		line.bound.N = mostHead
--- a/internal/proxy/carry_test.go
+++ b/internal/proxy/carry_test.go
@@ -93,7 +93,7 @@
 
 func (d *Daemon) once(s *stand, fresh, repeatable bool) dispatch.Back {
 	d.beat.Store(int64(process.Now()))
-	c := &Cargo{Method: "POST", URI: "/x?y=1", Body: []byte("{}"), Job: dispatch.Job{ID: 3, Mark: "m", Attempt: 1, Repeatable: repeatable},
+	c := &ClientRequest{Method: "POST", URI: "/x?y=1", Body: []byte("{}"), Job: dispatch.Job{ID: 3, Mark: "m", Attempt: 1, Repeatable: repeatable},
 		Header: http.Header{"Idempotency-Key": {"m"}, "Connection": {"X-Own"}, "X-Own": {"1"}, "X-Kept": {"2"}}}
 	return d.carry(c, dispatch.Ferry{ID: 3, Turn: 1, Fresh: fresh, Due: process.Now().Add(5 * time.Second), By: process.Now().Add(5 * time.Second),
 		Target: targets.Target{Instance: "t", Service: "s", Incarnation: 4, Address: ids.Address(s.Addr().String())}})
@@ -111,7 +111,7 @@
 	for _, line := range b.Response.Header {
 		is.True(line.Name != "Keep-Alive")
 	}
-	// A repeatable one may use the circuit again, an unrepeatable one may not.
+	// A repeatable one may use the connection again, an unrepeatable one may not.
 	is.Equal(d.once(s, false, true).How, dispatch.Sealed)
 	is.Equal(s.circs.Load(), int64(1))
 	is.Equal(d.once(s, true, false).How, dispatch.Sealed)
@@ -144,7 +144,7 @@
 	}
 }
 
-// A circuit on which another shows itself carries nothing: the address has a
+// A connection on which another shows itself carries nothing: the address has a
 // new owner, or the same one was restarted, or leaves.
 func TestForeignTargetGetsNothing(t *testing.T) {
 	is := is.New(t)
@@ -155,7 +155,7 @@
 		is.Equal(d.once(s, true, false).How, dispatch.NotSent)
 		is.Equal(s.asked.Load(), int64(0))
 	}
-	// A circuit that was closed while it lay idle is not used.
+	// A connection that was closed while it lay idle is not used.
 	s, d := newStand(t), newCarrier()
 	s.answer = func(r *http.Request) string {
 		return strings.Replace(good(r), "Content-Length", "Connection: close\r\nContent-Length", 1)
--- a/internal/proxy/circuit.go
+++ b/internal/proxy/circuit.go
@@ -12,7 +12,7 @@
 	"dunlinwell/internal/targets"
 )
 
-// circuit is one held circuit to a target that has shown who it is.
+// connection is one held connection to a target that has shown who it is.
 type circuit struct {
 	net.Conn
 	// run is what the connection leads to.
@@ -23,7 +23,7 @@
 	// usable is how long it may be idle and still be used.
 	usable time.Duration
 	// reused is how long it had been idle before the request now on it; 0 for a
-	// new circuit.
+	// new connection.
 	reused time.Duration
 	// heard: something came back for the request now on it, or its time ran out
 	// in silence.
@@ -50,7 +50,7 @@
 	}
 }
 
-// Read notes whether anything came back: a circuit that ends before that was
+// Read notes whether anything came back: a connection that ends before that was
 // dead as it was used.
 func (c *circuit) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
@@ -62,7 +62,7 @@
 }
 
 // quiet looks, without taking anything, whether the peer closed or spoke out
-// of turn; either way the circuit is no good.
+// of turn; either way the connection is no good.
 func (c *circuit) quiet() bool {
 	s, ok := c.Conn.(syscall.Conn)
 	if !ok || c.read.Buffered() > 0 {
--- a/internal/proxy/circuits.go
+++ b/internal/proxy/circuits.go
@@ -31,17 +31,17 @@
 	Incarnation ids.Incarnation `json:"incarnation"`
 }
 
-// circuits keeps idle circuits by target. net/http's Transport is not used
-// here: it resends by itself on a dead circuit, and then an order runs twice.
+// connections keeps idle connections by target. net/http's Transport is not used
+// here: it resends by itself on a dead connection, and then an order runs twice.
 type circuits struct {
 	mu   sync.Mutex
 	idle map[ids.Instance][]*circuit
 	from net.IP
-	// greets: a new circuit first asks its target who it is.
+	// greets: a new connection first asks its target who it is.
 	greets bool
-	// dialWithin bounds the opening of a circuit.
+	// dialWithin bounds the opening of a connection.
 	dialWithin time.Duration
-	// fresh is how long a circuit may have been idle for a careful request, as
+	// fresh is how long a connection may have been idle for a careful request, as
 	// learned from those that were found dead; 0 for the most there is.
 	fresh time.Duration
 }
@@ -50,19 +50,19 @@
 	mostIdle   = 32
 	idleUsable = 5 * time.Second
 	dialTarget = time.Second
-	// carefulIdle is how long a circuit may have been idle where what is lost on
+	// carefulIdle is how long a connection may have been idle where what is lost on
 	// a dead one can't be sent again.
 	carefulIdle  = 1500 * time.Millisecond
 	carefulLeast = 20 * time.Millisecond
-	// idleMargin is how much sooner than its target a circuit is given up.
+	// idleMargin is how much sooner than its target a connection is given up.
 	idleMargin = 1500 * time.Millisecond
 	// ackWithin is how long what was sent may go without the target machine's
-	// own acknowledgement before the circuit counts as dead.
+	// own acknowledgement before the connection counts as dead.
 	ackWithin   = 1200 * time.Millisecond
 	wellKnownIs = 64 << 10
 )
 
-// take gives an idle circuit that is surely still open.
+// take gives an idle connection that is surely still open.
 func (p *circuits) take(id ids.Instance, careful bool) *circuit {
 	for {
 		p.mu.Lock()
@@ -89,8 +89,8 @@
 	return cmp.Or(p.fresh, carefulIdle)
 }
 
-// dead notes that a circuit that had been idle was gone as it was used: targets
-// may forget circuits sooner than they say, and what is lost so can't be sent
+// dead notes that a connection that had been idle was gone as it was used: targets
+// may forget connections sooner than they say, and what is lost so can't be sent
 // again. recover, now and then, trusts them a little longer.
 func (p *circuits) dead(c *circuit) {
 	if c.reused == 0 {
@@ -109,7 +109,7 @@
 	}
 }
 
-// keep holds a circuit for later, unless there are enough.
+// keep holds a connection for later, unless there are enough.
 func (p *circuits) keep(id ids.Instance, c *circuit, idle time.Duration) {
 	c.idled, c.usable = process.Now(), idleUsable
 	if idle > 0 {
@@ -149,7 +149,7 @@
 	}
 }
 
-// open dials a target and lets it show who it is, on the very circuit that
+// open dials a target and lets it show who it is, on the very connection that
 // requests will use: a later owner of the address never gets one.
 func (p *circuits) open(ctx context.Context, t targets.Target, until time.Time) (*circuit, error) {
 	d := net.Dialer{Timeout: p.dialWithin, Deadline: until, Control: func(_, _ string, raw syscall.RawConn) error {
--- a/internal/proxy/circuits_test.go
+++ b/internal/proxy/circuits_test.go
@@ -21,11 +21,11 @@
 
 func (plain) Greets() bool { return false }
 
-func (plain) Outgoing(c *Cargo, _ dispatch.Ferry, _ time.Duration) http.Header {
+func (plain) Outgoing(c *ClientRequest, _ dispatch.Ferry, _ time.Duration) http.Header {
 	return Strip(c.Header)
 }
 
-func (p plain) Judge(res *http.Response, body []byte, c *Cargo, _ dispatch.Ferry) (Verdict, error) {
+func (p plain) Judge(res *http.Response, body []byte, c *ClientRequest, _ dispatch.Ferry) (Verdict, error) {
 	v := Verdict{How: dispatch.Sealed, Response: Sealed(res, body), Again: true, Idle: p.idle}
 	switch res.Header.Get("Id") {
 	case c.ID:
@@ -50,25 +50,25 @@
 func echo(r *http.Request) string { return named(r, r.Header.Get("Id"), "of "+r.Header.Get("Id")) }
 
 func (d *Daemon) put(s *stand, id string, careful bool) dispatch.Back {
-	return d.send(s, &Cargo{ID: id}, careful)
+	return d.send(s, &ClientRequest{ID: id}, careful)
 }
 
 func (d *Daemon) putHeld(s *stand, id string, h *Held) dispatch.Back {
-	return d.send(s, &Cargo{ID: id, Held: h}, false)
+	return d.send(s, &ClientRequest{ID: id, Held: h}, false)
 }
 
-func (d *Daemon) send(s *stand, c *Cargo, careful bool) dispatch.Back {
+func (d *Daemon) send(s *stand, c *ClientRequest, careful bool) dispatch.Back {
 	return d.sendWithin(s, c, careful, 5*time.Second)
 }
 
-func (d *Daemon) sendWithin(s *stand, c *Cargo, careful bool, within time.Duration) dispatch.Back {
+func (d *Daemon) sendWithin(s *stand, c *ClientRequest, careful bool, within time.Duration) dispatch.Back {
 	d.beat.Store(int64(process.Now()))
 	c.Method, c.URI, c.Header = "POST", "/x", http.Header{"Id": {c.ID}}
 	return d.carry(c, dispatch.Ferry{ID: 1, Turn: 1, Careful: careful, Due: process.Now().Add(within), By: process.Now().Add(within),
 		Target: targets.Target{Instance: "t", Service: "s", Address: ids.Address(s.Addr().String())}})
 }
 
-// lay makes the one idle circuit look as if it had been idle for a while.
+// lay makes the one idle connection look as if it had been idle for a while.
 func (d *Daemon) lay(t *testing.T, idle time.Duration) {
 	t.Helper()
 	list := d.circuits.idle["t"]
@@ -104,7 +104,7 @@
 	is.Equal(len(d.circuits.idle), 0)
 }
 
-// A target's own word on how long a circuit may be idle is kept, with a margin.
+// A target's own word on how long a connection may be idle is kept, with a margin.
 func TestTargetsIdleTime(t *testing.T) {
 	is := is.New(t)
 	for idle, want := range map[time.Duration]int64{9 * time.Second: 1, time.Second: 2} {
@@ -125,7 +125,7 @@
 	is.Equal(s.circs.Load(), int64(2))
 }
 
-// Bytes after an answer belong to nobody: the circuit carries nothing more.
+// Bytes after an answer belong to nobody: the connection carries nothing more.
 func TestBytesAfterAnAnswer(t *testing.T) {
 	is := is.New(t)
 	s, d := newStand(t), plainCarrier(0)
@@ -160,7 +160,7 @@
 		return "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nId: a\r\n" + head + "\r\n"
 	}
 	is.Equal(d.put(s, "a", false).How, dispatch.Maybe)
-	// One of a proper size is read, however much the circuit has carried before.
+	// One of a proper size is read, however much the connection has carried before.
 	s, d = newStand(t), plainCarrier(0)
 	s.answer = func(r *http.Request) string {
 		return "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nX-Large: " + strings.Repeat("y", mostHead/2) + "\r\nId: " + r.Header.Get("Id") + "\r\n\r\n"
--- a/internal/proxy/control.go
+++ b/internal/proxy/control.go
@@ -19,8 +19,8 @@
 	event.Outbox
 	Options
 	*membership.List
-	Asker *consensus.Client
-	yard  *targets.Table
+	Client  *consensus.Client
+	targets *targets.Table
 	// policy is what is in force here, as far as is known; view is it, read.
 	policy *policy.Policy
 	view   *policy.View
@@ -34,7 +34,7 @@
 	// age of what it was told.
 	told, current, opened bool
 	unconfirmed           ids.Time
-	// leased is as of when the desks were last told how long they may serve.
+	// leased is as of when the dispatchers were last told how long they may serve.
 	leased ids.Time
 	woke   ids.Time
 	last   ids.Time
@@ -52,7 +52,7 @@
 	stocked stamp
 	footing Footing
 	roll    uint64
-	// shelved are the services whose desks were stocked last.
+	// shelved are the services whose dispatchers were stocked last.
 	shelved []ids.Name
 	// thaws are until when targets count as cold whatever they said: they were
 	// out of use and may have gone cold since.
@@ -61,7 +61,7 @@
 	ranks map[ids.Name]rank
 }
 
-// stamp tells whether anything that desks go by has changed.
+// stamp tells whether anything that dispatchers go by has changed.
 type stamp struct {
 	yard, roll uint64
 	revision   ids.Revision
@@ -103,11 +103,11 @@
 	if o.Lease == 0 {
 		o.Lease = DefaultLease
 	}
-	c := &Control{Options: o, yard: targets.New(), seen: map[ids.Daemon]ids.Time{}}
-	c.yard.Thrifty = o.ByCell
+	c := &Control{Options: o, targets: targets.New(), seen: map[ids.Daemon]ids.Time{}}
+	c.targets.Thrifty = o.ByCell
 	c.List = membership.New(p, &c.Outbox)
-	c.Asker = consensus.NewClient(p.Self.Start, &c.Outbox)
-	c.Asker.Order = c.stores
+	c.Client = consensus.NewClient(p.Self.Start, &c.Outbox)
+	c.Client.Order = c.stores
 	empty, _ := policy.Open(nil)
 	c.policy, c.view = empty, empty.View()
 	c.view.Know(o.Regions)
@@ -135,7 +135,7 @@
 	switch e := ev.(type) {
 	case event.Received:
 		c.Witness(now, e.From)
-		c.hear(now, e.From, e.Msg)
+		c.receive(now, e.From, e.Msg)
 	case event.Tick:
 		c.clock(now)
 	case Asked:
@@ -148,20 +148,20 @@
 	return c.Drain()
 }
 
-func (c *Control) hear(now ids.Time, from ids.Address, msg any) {
+func (c *Control) receive(now ids.Time, from ids.Address, msg any) {
 	switch m := msg.(type) {
 	case distribution.Push:
 		c.push(now, from, m)
 	case consensus.Response:
-		c.Asker.HandleResponse(now, from, m)
+		c.Client.HandleResponse(now, from, m)
 	case consensus.PolicyQuery:
 		if c.view.Revision > 0 {
 			c.Send(from, consensus.PolicyReply{Revision: c.view.Revision, Policy: c.policy.Pack(false)})
 		}
 	case LeaseRequest:
-		c.inquired(now, from, m)
+		c.answerLeaseRequest(now, from, m)
 	case LeaseGossip:
-		c.tidings(now, from, m)
+		c.takeLeaseGossip(now, from, m)
 	default:
 		c.List.Receive(now, from, msg)
 	}
@@ -175,14 +175,14 @@
 	// A push may have waited in a socket while this process slept. Only what
 	// it echoes tells how old it can be at most.
 	if p.Echo == 0 || p.For != c.Self.Start || p.Echo > now {
-		c.yard.Merge(now, p.Targets...)
+		c.targets.Merge(now, p.Targets...)
 	} else {
-		c.yard.MergeAsOf(now, p.Echo, p.Targets...)
+		c.targets.MergeAsOf(now, p.Echo, p.Targets...)
 		c.word, c.told = max(c.word, p.Vouched()), true
 		c.confirm(now, p.Revision, p.Agreed())
 	}
-	c.restock(now)
-	c.Send(from, distribution.Ack{Proxy: c.Self.ID, Start: c.Self.Start, Number: p.Number, Revision: c.view.Revision, Now: now, Yard: c.yard.Exact()})
+	c.refreshTargets(now)
+	c.Send(from, distribution.Ack{Proxy: c.Self.ID, Start: c.Self.Start, Number: p.Number, Revision: c.view.Revision, Now: now, Yard: c.targets.Exact()})
 }
 
 // adopt takes a newer policy; a proxy never goes back to an older one.
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -57,7 +57,7 @@
 	post     *process.Transport
 	circuits circuits
 	hold     hold
-	trade    Trade
+	trade    TargetProtocol
 	edge     Edge
 	gate     *gate
 	meter    *meter
@@ -72,7 +72,7 @@
 	desks    map[ids.Name]*place
 }
 
-// place is a desk under its own short lock, with the requests it has in hand.
+// place is a dispatcher under its own short lock, with the requests it has in hand.
 type place struct {
 	mu    sync.Mutex
 	desk  *dispatch.Dispatcher
@@ -82,7 +82,7 @@
 }
 
 type ride struct {
-	*Cargo
+	*ClientRequest
 	response chan dispatch.Response
 	ferried  time.Duration
 }
@@ -134,7 +134,7 @@
 		d.log.Note(c)
 	case event.Discarded:
 		d.post.Discard(c)
-	case ToDesk:
+	case DispatchEvent:
 		d.hand(c.Service, c.Event)
 	case Routes:
 		d.router.Store(newRouter(c.View))
@@ -147,10 +147,10 @@
 	}
 }
 
-// waitTick is how often a desk looks again at what waits.
+// waitTick is how often a dispatcher looks again at what waits.
 const waitTick = 15 * time.Millisecond
 
-// at gives a service's desk.
+// at gives a service's dispatcher.
 func (d *Daemon) at(service ids.Name) *place {
 	d.mu.RLock()
 	p := d.desks[service]
@@ -168,7 +168,7 @@
 	return p
 }
 
-// hand gives an event to a desk, and carries its commands out unlocked.
+// hand gives an event to a dispatcher, and carries its commands out unlocked.
 func (d *Daemon) hand(service ids.Name, ev event.Event) {
 	p := d.at(service)
 	p.mu.Lock()
@@ -204,13 +204,13 @@
 func (d *Daemon) perform(service ids.Name, c event.Command, l *ride) {
 	switch c := c.(type) {
 	case dispatch.Wish:
-		// The owner hands events to desks itself, so it must not wait on its
+		// The owner hands events to dispatchers itself, so it must not wait on its
 		// own inbox.
 		go d.owner.Put(Asked{service, c})
 	case dispatch.Ferry:
 		go func() {
 			from := time.Now()
-			back := d.carry(l.Cargo, c)
+			back := d.carry(l.ClientRequest, c)
 			l.ferried += time.Since(from)
 			d.hand(service, back)
 		}()
@@ -219,11 +219,11 @@
 	}
 }
 
-// Work takes a request through its desk. A consumer that hangs up, or closes
-// its own side of the circuit, changes nothing: its request goes on, its mark is
+// Work takes a request through its dispatcher. A consumer that hangs up, or closes
+// its own side of the connection, changes nothing: its request goes on, its mark is
 // not freed, and the one answer is written, whether or not anybody reads it.
-func (d *Daemon) Work(c *Cargo) (dispatch.Response, time.Duration) {
-	l := &ride{Cargo: c, response: make(chan dispatch.Response, 1)}
+func (d *Daemon) Work(c *ClientRequest) (dispatch.Response, time.Duration) {
+	l := &ride{ClientRequest: c, response: make(chan dispatch.Response, 1)}
 	p := d.at(c.Job.Service)
 	p.mu.Lock()
 	p.cargo[c.Job.ID] = l
--- a/internal/proxy/edge.go
+++ b/internal/proxy/edge.go
@@ -19,8 +19,8 @@
 type Edge interface {
 	// Consumers answers consumers' requests.
 	Consumers(d *Daemon) http.Handler
-	// Trade is how requests are put to targets.
-	Trade() Trade
+	// TargetProtocol is how requests are put to targets.
+	Trade() TargetProtocol
 	// Pages are what is served besides, by address.
 	Pages(d *Daemon) map[string]http.Handler
 }
@@ -28,7 +28,7 @@
 type ownEdge struct{ d *Daemon }
 
 func (e ownEdge) Consumers(d *Daemon) http.Handler    { return http.HandlerFunc(d.consume) }
-func (e ownEdge) Trade() Trade                        { return house(e) }
+func (e ownEdge) Trade() TargetProtocol               { return house(e) }
 func (ownEdge) Pages(*Daemon) map[string]http.Handler { return nil }
 
 // Find gives the route of a host and path, and the policy it stands in.
@@ -55,8 +55,8 @@
 }
 
 // Handled adds a request to the meter: the proxy's own handling, and its
-// front-line latency, which leaves the target's time out; ferried is that time.
-func (d *Daemon) Handled(c *Cargo, handling, front, ferried time.Duration) {
+// front-line latency, which leaves the target's time out; forwarded is that time.
+func (d *Daemon) Handled(c *ClientRequest, handling, front, ferried time.Duration) {
 	d.meter.handled(c.Job.Route, c.Job.Service, handling, front)
 	if d.Params.ByCell {
 		// Targets that state no CPU time of their own: their time is what it costs.
--- a/internal/proxy/events.go
+++ b/internal/proxy/events.go
@@ -15,7 +15,7 @@
 
 // Events and commands between the control machine and the rest of a proxy.
 type (
-	// Asked is a desk's wish about a mark.
+	// Asked is a dispatcher's request about a mark.
 	Asked struct {
 		Service ids.Name
 		Wish    dispatch.Wish
@@ -27,8 +27,8 @@
 		Latency  time.Duration
 		Count    uint64
 	}
-	// ToDesk hands an event to a service's desk.
-	ToDesk struct {
+	// DispatchEvent hands an event to a service's dispatcher.
+	DispatchEvent struct {
 		Service ids.Name
 		Event   event.Event
 	}
@@ -46,21 +46,21 @@
 	}
 )
 
-// asked carries a desk's wish to the stores.
+// asked carries a dispatcher's request to the stores.
 func (c *Control) asked(now ids.Time, a Asked) {
 	w := a.Wish
 	var arg []byte
 	if w.Op != consensus.Read {
 		raw, err := wire.Encode(w.Wish)
 		if err != nil {
-			c.Emit(ToDesk{a.Service, dispatch.Told{ID: w.ID, Turn: w.Turn, State: consensus.Declined}})
+			c.Emit(DispatchEvent{a.Service, dispatch.Told{ID: w.ID, Turn: w.Turn, State: consensus.Declined}})
 			return
 		}
 		arg = raw
 	}
-	c.Asker.Call(now, w.Key, w.Op, arg, w.Wait, func(_ ids.Time, s consensus.State, out []byte) {
+	c.Client.Call(now, w.Key, w.Op, arg, w.Wait, func(_ ids.Time, s consensus.State, out []byte) {
 		if w.Turn != 0 {
-			c.Emit(ToDesk{a.Service, dispatch.Told{ID: w.ID, Turn: w.Turn, State: s, Out: out}})
+			c.Emit(DispatchEvent{a.Service, dispatch.Told{ID: w.ID, Turn: w.Turn, State: s, Out: out}})
 		}
 	})
 }
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -136,8 +136,8 @@
 	d.meter.handled(route.Name, route.Service, before+time.Since(after), time.Since(begun)-ferried)
 }
 
-// early gives a request up before any desk has it. A marked later attempt may
-// have run before, and only a desk could tell: it gets no "busy".
+// early gives a request up before any dispatcher has it. A marked later attempt may
+// have run before, and only a dispatcher could tell: it gets no "busy".
 func (d *Daemon) early(w http.ResponseWriter, r *http.Request, why string) {
 	if a := r.Header.Get("Attempt"); a != "1" && r.Header.Get("Idempotency-Key") != "" {
 		word(w, http.StatusGatewayTimeout, "unknown", why+"; whether an earlier attempt ran isn't known", 0)
@@ -147,7 +147,7 @@
 }
 
 // read takes the request whole and checks what a consumer must say.
-func (d *Daemon) read(r *http.Request, w http.ResponseWriter, route policy.Route, v *policy.View) (*Cargo, int, string) {
+func (d *Daemon) read(r *http.Request, w http.ResponseWriter, route policy.Route, v *policy.View) (*ClientRequest, int, string) {
 	j := d.Job(route, v)
 	// Two of one header: each reader could take another for the truth.
 	for _, name := range []string{"Idempotency-Key", "Attempt", "Time-Left"} {
@@ -192,7 +192,7 @@
 	j.Print = h.Sum(nil)
 	j.Due = came.Add(limit)
 	host, _, _ := net.SplitHostPort(r.RemoteAddr)
-	return &Cargo{Job: j, Method: r.Method, URI: r.URL.RequestURI(), Header: r.Header, Body: body, Held: held, Remote: host}, 0, ""
+	return &ClientRequest{Job: j, Method: r.Method, URI: r.URL.RequestURI(), Header: r.Header, Body: body, Held: held, Remote: host}, 0, ""
 }
 
 var classes = [...]string{"", "declined", "unknown", "answered", "misused"}
--- a/internal/proxy/frozen_test.go
+++ b/internal/proxy/frozen_test.go
@@ -28,7 +28,7 @@
 				}
 			}
 			d.beat.Store(int64(min(c.beat, process.Now())))
-			b := d.carry(&Cargo{ID: "late", Method: "POST", URI: "/x", Header: http.Header{"Id": {"late"}}},
+			b := d.carry(&ClientRequest{ID: "late", Method: "POST", URI: "/x", Header: http.Header{"Id": {"late"}}},
 				dispatch.Ferry{ID: 1, Turn: 1, Due: c.due, By: c.by, Target: targets.Target{Instance: "t", Service: "s", Address: ids.Address(f.Addr().String())}})
 			if b.How != dispatch.NotSent || f.runs("late") != 0 {
 				t.Errorf("%s, reused %t: %v (%s), it ran %d times", name, reused, b.How, b.Why, f.runs("late"))
--- a/internal/proxy/gate.go
+++ b/internal/proxy/gate.go
@@ -22,12 +22,12 @@
 	mu      sync.Mutex
 	limits  policy.Limits
 	door    *door
-	// held counts the circuits of all servers; empty wakes who waits for none.
+	// held counts the connections of all servers; empty wakes who waits for none.
 	held  atomic.Int64
 	empty chan struct{}
 }
 
-// queue hands accepted circuits to a server.
+// queue hands accepted connections to a server.
 type queue struct {
 	net.Listener
 	circuits chan net.Conn
@@ -97,7 +97,7 @@
 	}
 }
 
-// hand gives a circuit to the server of the limits in force; one that new limits
+// hand gives a connection to the server of the limits in force; one that new limits
 // have just closed hands nothing on.
 func (g *gate) hand(c net.Conn) {
 	// It counts before the server has it, so that the gate doesn't end in between.
--- a/internal/proxy/gate_test.go
+++ b/internal/proxy/gate_test.go
@@ -38,7 +38,7 @@
 	return l
 }
 
-// caller is a consumer's circuit by hand; every read has a bound.
+// caller is a consumer's connection by hand; every read has a bound.
 type caller struct {
 	net.Conn
 	read *bufio.Reader
@@ -82,7 +82,7 @@
 
 var narrow = policy.Limits{MaxHeader: 1024, MaxBody: 1, Header: 100, Idle: 100}
 
-// New limits don't end what is under way, and circuits that were held end in order.
+// New limits don't end what is under way, and connections that were held end in order.
 func TestLimitsChangeWhileCircuitsAreHeld(t *testing.T) {
 	is := is.New(t)
 	l := listen(t)
--- a/internal/proxy/leasegossip.go
+++ b/internal/proxy/leasegossip.go
@@ -16,7 +16,7 @@
 	Proxy    ids.Daemon
 	Start    ids.RunID
 	Revision ids.Revision
-	// Now is the asker's own time, to be echoed.
+	// Now is the client's own time, to be echoed.
 	Now ids.Time
 }
 
@@ -69,12 +69,12 @@
 
 // inquired answers another proxy. One that counts as gone gets no answer: its
 // places and its retries are about to be divided among the others.
-func (c *Control) inquired(now ids.Time, from ids.Address, q LeaseRequest) {
+func (c *Control) answerLeaseRequest(now ids.Time, from ids.Address, q LeaseRequest) {
 	m, ok := c.Get(q.Proxy)
 	if !ok || m.Gone || m.Start != q.Start || !c.inStep(now) {
 		return
 	}
-	t := LeaseGossip{For: q.Start, Echo: q.Now, Revision: c.view.Revision, Targets: c.yard.All(now),
+	t := LeaseGossip{For: q.Start, Echo: q.Now, Revision: c.view.Revision, Targets: c.targets.All(now),
 		Agreed: uint32(now.Since(c.agreed) / time.Millisecond), Word: uint32(now.Since(c.word) / time.Millisecond)}
 	if q.Revision < c.view.Revision {
 		t.Policy = c.policy.Pack(false)
@@ -83,7 +83,7 @@
 }
 
 // tidings take what another proxy goes by.
-func (c *Control) tidings(now ids.Time, from ids.Address, t LeaseGossip) {
+func (c *Control) takeLeaseGossip(now ids.Time, from ids.Address, t LeaseGossip) {
 	// What was meant for an earlier run of ours may be any age.
 	if t.For != c.Self.Start || t.Echo > now {
 		c.Discard(from, event.NotAsked, LeaseGossip{})
@@ -93,8 +93,8 @@
 		c.adopt(now, t.Policy)
 	}
 	known := t.Echo.Add(-age(t.Word))
-	c.yard.MergeAsOf(now, known, t.Targets...)
+	c.targets.MergeAsOf(now, known, t.Targets...)
 	c.word = max(c.word, known)
 	c.confirm(now, t.Revision, t.Echo.Add(-age(t.Agreed)))
-	c.restock(now)
+	c.refreshTargets(now)
 }
--- a/internal/proxy/opening_test.go
+++ b/internal/proxy/opening_test.go
@@ -141,7 +141,7 @@
 	leaving.Sequence, leaving.Leaving = 6, true
 	s.tell(nil, 1, 0, leaving)
 	s.tell(nil, 1, 20*time.Second, target)
-	if got, _ := s.yard.Get(s.now, "i"); !got.Leaving {
+	if got, _ := s.targets.Get(s.now, "i"); !got.Leaving {
 		t.Fatal("a target that leaves came back by a late push")
 	}
 }
--- a/internal/proxy/places_test.go
+++ b/internal/proxy/places_test.go
@@ -28,7 +28,7 @@
 	return c
 }
 
-// sends counts how many of many requests a desk with this one offer lets go at once.
+// sends counts how many of many requests a dispatcher with this one offer lets go at once.
 func sends(o dispatch.Offer, now ids.Time) int {
 	d := dispatch.New(dispatch.Options{Dice: rand.New(rand.NewPCG(1, 2)), Inbox: 1000})
 	d.Step(now, dispatch.Stock{Targets: []dispatch.Offer{o}, InStep: true, Lease: now.Add(time.Hour), Terms: map[ids.Name]dispatch.Terms{"r": {}}})
--- a/internal/proxy/footing.go
+++ b/internal/proxy/readiness.go
@@ -23,16 +23,16 @@
 	}
 	c.last = now
 	c.List.Tick(now)
-	c.Asker.Clock(now)
+	c.Client.Clock(now)
 	// A registry that died may have been the only one to know of a silence.
 	if !c.ByCell {
-		c.yard.Lapse(now)
+		c.targets.Lapse(now)
 	}
-	c.yard.Forget(now, time.Hour)
+	c.targets.Forget(now, time.Hour)
 	c.askPolicy(now)
 	c.inquire(now)
 	c.Announce(c.ready(now), c.view.Revision)
-	c.restock(now)
+	c.refreshTargets(now)
 	c.stand(now)
 }
 
@@ -82,11 +82,11 @@
 	c.Emit(f)
 }
 
-// restock hands each desk its stock anew if anything in it has changed.
-func (c *Control) restock(now ids.Time) {
+// restock hands each dispatcher its stock anew if anything in it has changed.
+func (c *Control) refreshTargets(now ids.Time) {
 	c.open(now)
 	seats := c.seats(now)
-	s := stamp{c.yard.Version(), c.Version(), c.view.Revision, c.sure() > c.woke, c.empty != 0 && (c.late || now.Since(c.empty) >= emptyAfter), c.opened, len(seats)}
+	s := stamp{c.targets.Version(), c.Version(), c.view.Revision, c.sure() > c.woke, c.empty != 0 && (c.late || now.Since(c.empty) >= emptyAfter), c.opened, len(seats)}
 	if s == c.stocked {
 		c.lease()
 		return
@@ -95,7 +95,7 @@
 	ended := c.ended()
 	by := map[ids.Name][]dispatch.Offer{}
 	clear(c.ranks)
-	for _, t := range c.yard.All(now) {
+	for _, t := range c.targets.All(now) {
 		o := c.offer(now, t, seats)
 		// In a large fleet most targets are others' to use.
 		if !c.ByCell || some(o, c.view.Services[t.Service].Capacity) {
@@ -104,15 +104,15 @@
 	}
 	terms := c.terms()
 	for _, n := range c.shelved {
-		// A service that is gone leaves no desk behind that still serves it.
+		// A service that is gone leaves no dispatcher behind that still serves it.
 		if _, ok := c.view.Services[n]; !ok {
-			c.Emit(ToDesk{n, dispatch.Stock{}})
+			c.Emit(DispatchEvent{n, dispatch.Stock{}})
 		}
 	}
 	c.shelved = slices.Sorted(maps.Keys(c.view.Services))
 	for _, n := range c.shelved {
 		sv := c.view.Services[n]
-		c.Emit(ToDesk{n, dispatch.Stock{Targets: by[n], Capacity: sv.Capacity, Warm: time.Duration(sv.Warm) * time.Millisecond,
+		c.Emit(DispatchEvent{n, dispatch.Stock{Targets: by[n], Capacity: sv.Capacity, Warm: time.Duration(sv.Warm) * time.Millisecond,
 			Allowance: c.allowance(sv, seats), InStep: s.step || c.Lease == Endless, Lease: c.until(), Terms: terms[n], Closed: s.shut, Ended: ended}})
 	}
 }
--- a/internal/proxy/resets_test.go
+++ b/internal/proxy/resets_test.go
@@ -14,7 +14,7 @@
 }
 
 func (d *Daemon) carryWithin(f *faulty, id string, within time.Duration) dispatch.Back {
-	return d.sendWithin(&stand{Listener: f}, &Cargo{ID: id}, false, within)
+	return d.sendWithin(&stand{Listener: f}, &ClientRequest{ID: id}, false, within)
 }
 
 // Wherever an answer ends early, and however, the request has left once, nobody
--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -55,7 +55,7 @@
 // carriedEvery is how often a proxy logs where requests went.
 const carriedEvery = 20 * time.Second
 
-// tend gives the desks their clock and the meter its intervals.
+// tend gives the dispatchers their clock and the meter its intervals.
 func (d *Daemon) tend(ctx context.Context) error {
 	beat, report := time.NewTicker(50*time.Millisecond), time.NewTicker(d.Params.ReportEvery)
 	carried := time.NewTicker(carriedEvery)
@@ -125,7 +125,7 @@
 		return f.Ready && !d.stopping.Load(), map[string]any{"ready": f.Ready, "cut_off": f.CutOff, "emptied": f.Emptied, "stopping": d.stopping.Load()}
 	})
 	daemon.Metrics(m, d.figures)
-	m.Handle("/v1/", api.NewFerry(func() []ids.Address {
+	m.Handle("/v1/", api.NewForwarder(func() []ids.Address {
 		return daemon.RegistryAddresses(d.footing.Load().Members, d.self.Zone)
 	}))
 	if consumers {
--- a/internal/proxy/trade.go
+++ b/internal/proxy/targetprotocol.go
@@ -13,17 +13,17 @@
 	"dunlinwell/internal/idempotency"
 )
 
-// Trade is how requests are put to targets, and their answers judged. Ours is
+// TargetProtocol is how requests are put to targets, and their answers judged. Ours is
 // the first one; a platform whose targets speak otherwise brings its own.
-type Trade interface {
-	// Greets tells whether a new circuit first asks its target who it is.
+type TargetProtocol interface {
+	// Greets tells whether a new connection first asks its target who it is.
 	Greets() bool
 	// Outgoing gives the headers that go to the target, with what is left of
 	// the request's time.
-	Outgoing(c *Cargo, f dispatch.Ferry, left time.Duration) http.Header
+	Outgoing(c *ClientRequest, f dispatch.Ferry, left time.Duration) http.Header
 	// Judge says what an answer, read whole, amounts to. An error means that no
 	// byte of it may go on, and that nobody knows whether the request has run.
-	Judge(res *http.Response, body []byte, c *Cargo, f dispatch.Ferry) (Verdict, error)
+	Judge(res *http.Response, body []byte, c *ClientRequest, f dispatch.Ferry) (Verdict, error)
 }
 
 // Verdict is what an answer amounts to.
@@ -33,7 +33,7 @@
 	Why      string
 	// Other: the answer belongs to another request; this one's may follow.
 	Other bool
-	// Again: the circuit may be used again; Idle is how long it may be idle, 0
+	// Again: the connection may be used again; Idle is how long it may be idle, 0
 	// where the target didn't say.
 	Again bool
 	Idle  time.Duration
@@ -47,7 +47,7 @@
 
 func (house) Greets() bool { return true }
 
-func (h house) Outgoing(c *Cargo, f dispatch.Ferry, left time.Duration) http.Header {
+func (h house) Outgoing(c *ClientRequest, f dispatch.Ferry, left time.Duration) http.Header {
 	out := Strip(c.Header)
 	out.Set("Request-Id", h.d.requestID(f.ID))
 	out.Set("Time-Left", strconv.FormatInt(max(left.Milliseconds(), 0), 10))
@@ -58,7 +58,7 @@
 
 // Judge checks an answer's seal: the digest of its body, the request's id and
 // the consumer's mark.
-func (h house) Judge(res *http.Response, body []byte, c *Cargo, f dispatch.Ferry) (Verdict, error) {
+func (h house) Judge(res *http.Response, body []byte, c *ClientRequest, f dispatch.Ferry) (Verdict, error) {
 	sum := sha256.Sum256(body)
 	digest := "sha-256=:" + base64.StdEncoding.EncodeToString(sum[:]) + ":"
 	switch {
--- a/internal/registry/calls.go
+++ b/internal/registry/calls.go
@@ -30,7 +30,7 @@
 		ID   uint64
 		Body policy.Merge
 	}
-	// WhereCall asks where a fresh circuit should go: for a route, or for all
+	// WhereCall asks where a fresh connection should go: for a route, or for all
 	// routes of a host, known or not.
 	ResolveCall struct {
 		ID    uint64
@@ -159,7 +159,7 @@
 	// Few asks need the room, and drawing every cell up costs more than they do.
 	var cells map[ids.Name]spill.Cell
 	s := directory.Snapshot{Proxies: f.ready(now), Emptied: map[ids.Name]bool{},
-		Distance: f.view.Distance, Demand: f.Books.Demand,
+		Distance: f.view.Distance, Demand: f.Reports.Demand,
 		Room: func(n ids.Name) float64 {
 			if cells == nil {
 				cells = f.cells(now)
--- a/internal/registry/plans.go
+++ b/internal/registry/plans.go
@@ -74,10 +74,10 @@
 	}
 }
 
-func (f *Registry) seats() []spill.Seat {
-	var out []spill.Seat
+func (f *Registry) seats() []spill.LiveProxy {
+	var out []spill.LiveProxy
 	for _, m := range f.Live(membership.Proxy) {
-		out = append(out, spill.Seat{ID: m.ID, Start: m.Start, Cell: m.Zone})
+		out = append(out, spill.LiveProxy{ID: m.ID, Start: m.Start, Cell: m.Zone})
 	}
 	return out
 }
@@ -96,7 +96,7 @@
 	bears := f.bears(now)
 	out := map[ids.Name]spill.Cell{}
 	for n, c := range f.view.Cells {
-		h := f.Books.Cell(now, n, seats, ranks)
+		h := f.Reports.Cell(now, n, seats, ranks)
 		h.Target, h.Acceptable, h.Maximum, h.Emptied = c.Target, c.Acceptable, c.Maximum, c.Emptied
 		if c.Unnamed && f.params.Derive {
 			f.derive(&h, bears[n])
@@ -113,26 +113,26 @@
 
 // plan makes the next table from the last one and the books.
 func (f *Registry) plan(now ids.Time) {
-	f.Books.Forget(f.seats())
+	f.Reports.Forget(f.seats())
 	v := spill.View{Distance: f.view.Distance, Ranks: f.ranks(),
 		Pending: map[ids.Name]float64{}, Leaving: map[ids.Name]float64{}}
 	for n, c := range f.view.Cells {
 		if c.Unnamed && f.params.Derive {
 			continue
 		}
-		f.fits[n] = spill.Learn(f.Books.Samples(n), c.Target, c.Maximum)
+		f.fits[n] = spill.Learn(f.Reports.Samples(n), c.Target, c.Maximum)
 	}
 	now0 := f.cells(now)
 	for _, n := range names(now0) {
 		c := now0[n]
-		c.Missed = f.Books.Missed(c)
-		f.Books.KeepDemand(c, f.table.Moves)
+		c.Missed = f.Reports.Missed(c)
+		f.Reports.KeepDemand(c, f.table.Moves)
 		v.Cells = append(v.Cells, c)
 		f.charge(now, c, v)
 	}
 	moves := spill.Plan(v, f.table.Moves)
 	f.predict(now, now0, f.table.Moves, moves)
-	f.table = spill.Table{Epoch: f.mine, Number: f.table.Number + 1, Moves: moves, Uses: f.Books.Uses(moves)}
+	f.table = spill.Table{Epoch: f.mine, Number: f.table.Number + 1, Moves: moves, Uses: f.Reports.Uses(moves)}
 	f.tableAt = now
 	f.Log("info", "planned", "epoch", itoa(uint64(f.mine)), "number", itoa(uint64(f.table.Number)), "moves", itoa(uint64(len(moves))))
 }
@@ -140,7 +140,7 @@
 // charge adds what earlier plans moved and reports can't show yet.
 func (f *Registry) charge(now ids.Time, c spill.Cell, v spill.View) {
 	a, ok := f.ahead[c.Name]
-	// Live circuits stay, so a move shows only as they end by themselves. What
+	// Live connections stay, so a move shows only as they end by themselves. What
 	// it was to bring is charged in full at first, then ever less.
 	left := 1 - float64(now.Since(a.at))/float64(chargeFor*f.params.PlanEvery)
 	if !ok || left <= 0 {
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -58,7 +58,7 @@
 	Client      *consensus.Client
 	Targets     *targets.Table
 	Distributor *distribution.Distributor
-	Books       *spill.Books
+	Reports     *spill.Reports
 	params      Options
 
 	raw []byte
@@ -99,7 +99,7 @@
 func New(p Options) *Registry {
 	p.fill()
 	p.Self.Role = membership.Registry
-	f := &Registry{params: p, Targets: targets.New(), Books: spill.NewBooks()}
+	f := &Registry{params: p, Targets: targets.New(), Reports: spill.NewReports()}
 	f.Targets.Thrifty, f.Targets.Self = p.Incremental, p.Self.ID
 	f.List = membership.New(p.Options, &f.Outbox)
 	f.List.MayDeclareDead = func(now ids.Time) bool { return f.age(now) < declareDeadWithin }
@@ -108,7 +108,7 @@
 	f.Distributor = distribution.New(p.Self.Start, &f.Outbox)
 	if p.Derive {
 		// Two reports and more, of a plan's period each.
-		f.Books.Span = 2*p.PlanEvery + 100*time.Millisecond
+		f.Reports.Span = 2*p.PlanEvery + 100*time.Millisecond
 	}
 	if p.Incremental {
 		f.Distributor.WordEvery, f.Distributor.ResendAfter = time.Second, 400*time.Millisecond
@@ -236,7 +236,7 @@
 	case DepartureAck:
 		f.parted(now, m)
 	case spill.Report:
-		f.Books.Enter(now, m)
+		f.Reports.Enter(now, m)
 	case spill.Table:
 		f.takeTable(now, from, m)
 	case election.Term:
--- a/internal/registry/resolve.go
+++ b/internal/registry/resolve.go
@@ -39,7 +39,7 @@
 }
 
 // draw gives the route that an ask stands for. One for a host stands for all of
-// its routes, so it is drawn by what each of them uses in the asker's cell.
+// its routes, so it is drawn by what each of them uses in the client's cell.
 func (f *Registry) draw(c ResolveCall) ids.Name {
 	if c.Host == "" {
 		return c.Route
@@ -54,7 +54,7 @@
 }
 
 // anybody names proxies by the roll alone, nearest cells first: a registry that
-// hears from none may be the one that is cut off, and its asker may not be.
+// hears from none may be the one that is cut off, and its client may not be.
 func (f *Registry) anybody(cell ids.Name) (directory.Destination, bool) {
 	var list []membership.Member
 	for _, m := range f.All() {
--- a/internal/registry/status.go
+++ b/internal/registry/status.go
@@ -50,7 +50,7 @@
 	Targets    int      `json:"targets"`
 }
 
-// Move is a share of fresh circuits under way, and why.
+// Move is a share of fresh connections under way, and why.
 type Move struct {
 	From     ids.Name `json:"from"`
 	To       ids.Name `json:"to"`
--- a/internal/scaletest/need.go
+++ b/internal/scaletest/need.go
@@ -33,13 +33,13 @@
 	mostProxies   = 20000
 	// program is what a process takes that has nothing to do yet.
 	program = 24 * mib
-	// buffer is what each end of a circuit takes.
+	// buffer is what each end of a connection takes.
 	buffer = 64 << 10
 	// mostCircuits is how many ends a proxy was seen to hold at most, while
 	// all tell all of a change in the roll; at rest it is a third of that.
 	mostCircuits = 160
 	// Held by each daemon for each member, target and byte of policy: the roll
-	// and its copies, the yard or the stock made of it, the register and its view.
+	// and its copies, the target table or the stock made of it, the register and its view.
 	perMember = 2 << 10
 	perTarget = 2 << 10
 	perPolicy = 8
--- a/internal/scaletest/crew.go
+++ b/internal/scaletest/proxygroup.go
@@ -22,7 +22,7 @@
 )
 
 // CrewParams are what a process of hollow proxies is told.
-type CrewParams struct {
+type ProxyGroupOptions struct {
 	First   int      `help:"Number of the first proxy." required:""`
 	Count   int      `help:"How many proxies." required:""`
 	Cells   int      `help:"Cells of the fleet." required:""`
@@ -33,14 +33,14 @@
 	Thrifty bool     `help:"As proxies with --by-cell, and a lease without end."`
 }
 
-// shell is one proxy without its pages, desks and circuits to targets.
+// shell is one proxy without its pages, dispatchers and connections to targets.
 type shell struct {
 	control *proxy.Control
 	owner   *process.Owner
 	post    *process.Transport
 	mu      sync.Mutex
 	standing
-	// stock is what its desks would hold.
+	// stock is what its dispatchers would hold.
 	stock map[ids.Name]dispatch.Stock
 }
 
@@ -52,9 +52,9 @@
 	adopted, stood time.Time
 }
 
-// Crew is many hollow proxies.
-type Crew struct {
-	CrewParams
+// ProxyGroup is many hollow proxies.
+type ProxyGroup struct {
+	ProxyGroupOptions
 	tally  process.TrafficStats
 	shells []*shell
 }
@@ -72,8 +72,8 @@
 }
 
 // NewCrew makes proxies that know only themselves and their seeds.
-func NewCrew(p CrewParams) *Crew {
-	c := &Crew{CrewParams: p}
+func NewProxyGroup(p ProxyGroupOptions) *ProxyGroup {
+	c := &ProxyGroup{ProxyGroupOptions: p}
 	size := Size{Cells: p.Cells, Regions: 1}
 	var seeds []ids.Address
 	for _, s := range p.Seeds {
@@ -102,7 +102,7 @@
 	switch c := c.(type) {
 	case event.Send:
 		s.post.Send(c.To, c.Msg)
-	case proxy.ToDesk:
+	case proxy.DispatchEvent:
 		if stock, ok := c.Event.(dispatch.Stock); ok {
 			s.stock[c.Service] = stock
 		}
@@ -121,7 +121,7 @@
 }
 
 // Run runs them until the context ends.
-func (c *Crew) Run(ctx context.Context) error {
+func (c *ProxyGroup) Run(ctx context.Context) error {
 	sup := daemon.Supervisor("crew", process.NewLog("warn", "crew"))
 	for _, s := range c.shells {
 		l, err := s.post.Listen()
@@ -153,7 +153,7 @@
 
 // report hands each proxy, in turn over the interval, what its requests
 // would have cost.
-func (c *Crew) report(ctx context.Context) error {
+func (c *ProxyGroup) report(ctx context.Context) error {
 	t := time.NewTicker(reportEvery / time.Duration(c.Count))
 	defer t.Stop()
 	for n := 0; ; n++ {
@@ -180,7 +180,7 @@
 	Stood   int64 `json:"stood"`
 }
 
-func (c *Crew) state() []Stand {
+func (c *ProxyGroup) state() []Stand {
 	var out []Stand
 	for _, s := range c.shells {
 		s.mu.Lock()
--- a/internal/simulator/asleep.go
+++ b/internal/simulator/asleep.go
@@ -6,7 +6,7 @@
 	"dunlinwell/internal/ids"
 )
 
-// freeze stops it for a while; its circuits stay open.
+// freeze stops it for a while; its connections stay open.
 func (t *target) freeze(d time.Duration) {
 	if !t.up || t.frozen {
 		return
--- a/internal/simulator/asleep_test.go
+++ b/internal/simulator/asleep_test.go
@@ -27,7 +27,7 @@
 			is := is.New(t)
 			w := NewWorld(Params{Seed: 1})
 			p := w.addProc(membership.Proxy, "proxy-1", w.Plan.Cell(0), "10.9.3.1:1")
-			p.up, p.dice, p.desks = true, w.dice, newDesks(p, nil)
+			p.up, p.dice, p.desks = true, w.dice, newDispatchers(p, nil)
 			target := &target{w: w, id: "ledger-3", service: "ledger", cell: w.Plan.Cell(0), addr: "10.9.9.1:1", capacity: 8}
 			target.begin(false)
 			for n, service := range []string{"ledger", "catalog"} {
--- a/internal/simulator/books.go
+++ b/internal/simulator/books.go
@@ -21,7 +21,7 @@
 
 // promise looks again once an accepted change must be in force.
 func (w *World) promise(r ids.Revision) {
-	look := func(after time.Duration, counts func(*desks) bool) {
+	look := func(after time.Duration, counts func(*dispatchers) bool) {
 		w.later(after, func() {
 			for _, p := range w.procs {
 				if p.role == membership.Proxy && p.up && !p.frozen && counts(p.desks) && p.desks.held < r {
@@ -30,8 +30,8 @@
 			}
 		})
 	}
-	look(readyWithin, func(d *desks) bool { return d.ready.Ready })
-	look(servesWithin, func(d *desks) bool { return d.ready.InStep })
+	look(readyWithin, func(d *dispatchers) bool { return d.ready.Ready })
+	look(servesWithin, func(d *dispatchers) bool { return d.ready.InStep })
 }
 
 // read is an agreement read: it may not be older than anything known before.
@@ -59,7 +59,7 @@
 }
 
 // held checks what a proxy goes by from now on.
-func (w *World) held(d *desks, v *policy.View) {
+func (w *World) held(d *dispatchers, v *policy.View) {
 	if v.Revision < d.held {
 		w.Truth.Wrong("%s went back from revision %d to %d", d.p.name, d.held, v.Revision)
 	}
--- a/internal/simulator/crowd.go
+++ b/internal/simulator/crowd.go
@@ -20,14 +20,14 @@
 	held map[string]held
 }
 
-// held is a live circuit: its consumer asks nobody where to go.
+// held is a live connection: its consumer asks nobody where to go.
 type held struct {
 	at    ids.Address
 	cell  ids.Name
 	until ids.Time
 }
 
-// heldBy is how many consumers of a cell and route hold circuits: few of them
+// heldBy is how many consumers of a cell and route hold connections: few of them
 // for short holds, or none would be used twice.
 func (w *World) heldBy() int {
 	if w.Hold >= time.Minute {
@@ -63,7 +63,7 @@
 	try   int
 	// says: it tells the number of each attempt.
 	says bool
-	// seat names the consumer among those that hold circuits.
+	// seat names the consumer among those that hold connections.
 	seat string
 }
 
@@ -179,7 +179,7 @@
 		g.At = w.clock()
 	}
 	w.Truth.Respond(g)
-	// Nobody holds on to a circuit that is dead.
+	// Nobody holds on to a connection that is dead.
 	if g.Held && (g.Class == "unreached" || g.Class == "lost") {
 		delete(w.crowd.held, a.seat)
 	}
@@ -195,7 +195,7 @@
 	w.later(w.between(200*time.Millisecond, time.Duration(a.try)*600*time.Millisecond), func() { w.ask(&next) })
 }
 
-// closes ends a held circuit as the real front does, after an answer: where its
+// closes ends a held connection as the real front does, after an answer: where its
 // cell is emptied, so that no new work comes down it.
 func (w *World) closes(p *proc, a *asking, g checker.Got) {
 	if !g.Held || !p.desks.ready.Emptied && !w.Defect.CloseHeld {
--- a/internal/simulator/daybook.go
+++ b/internal/simulator/daybook.go
@@ -94,7 +94,7 @@
 	switch c := c.(type) {
 	case event.Send:
 		return fmt.Sprintf("send:%T", c.Msg)
-	case proxy.ToDesk:
+	case proxy.DispatchEvent:
 		return fmt.Sprintf("desk:%T", c.Event)
 	case event.LogEntry:
 		return "note:" + strings.ReplaceAll(c.Event, " ", "-")
@@ -114,7 +114,7 @@
 	case event.Send:
 		raw, err := wire.Encode(c.Msg)
 		return []any{c.To, raw, err}
-	case proxy.ToDesk:
+	case proxy.DispatchEvent:
 		if s, ok := c.Event.(dispatch.Stock); ok {
 			return []any{c.Service, s}
 		}
--- a/internal/simulator/daybook_test.go
+++ b/internal/simulator/daybook_test.go
@@ -23,7 +23,7 @@
 var taped = []string{"store-2", "registry-1", "proxy-3"}
 
 // Recorded traces of the three machines, with all the slices in them (roll,
-// rounds, registers, yard, plans), are played again: same events, same commands.
+// rounds, registers, target table, plans), are played again: same events, same commands.
 func TestDaybooks(t *testing.T) {
 	is := is.New(t)
 	books := map[string]*bytes.Buffer{}
--- a/internal/simulator/defect.go
+++ b/internal/simulator/defect.go
@@ -25,9 +25,9 @@
 	ResetIsUnsent bool
 	// KeepMarks is how long disks keep marks, if not for as long as they should.
 	KeepMarks time.Duration
-	// NoCheck: circuits are used without the target showing who it is.
+	// NoCheck: connections are used without the target showing who it is.
 	NoCheck bool
-	// CloseHeld: circuits that consumers hold are closed after each answer.
+	// CloseHeld: connections that consumers hold are closed after each answer.
 	CloseHeld bool
 	// Response spoils a proxy's answers.
 	Response func(dispatch.Response) dispatch.Response
--- a/internal/simulator/delivery.go
+++ b/internal/simulator/delivery.go
@@ -9,9 +9,9 @@
 	"dunlinwell/internal/proxy"
 )
 
-// ferry is the real carrier's part: dial, let the target show who it is, look
+// forward is the real carrier's part: dial, let the target show who it is, look
 // once more, send, and wait for a sealed answer.
-func (d *desks) ferry(s ids.Name, f dispatch.Ferry) {
+func (d *dispatchers) ferry(s ids.Name, f dispatch.Ferry) {
 	p, w := d.p, d.p.w
 	e := d.jobs[f.ID]
 	if e == nil {
@@ -41,7 +41,7 @@
 			end(min(time.Second, max(f.Due.Since(p.now()), 0)), back)
 			return
 		}
-		// The circuit shows who is there now.
+		// The connection shows who is there now.
 		if !w.Defect.NoCheck && (!t.up || t.id != f.Target.Instance || t.service != f.Target.Service || t.incarnation != f.Target.Incarnation || t.leaving) {
 			end(0, back)
 			return
@@ -55,7 +55,7 @@
 }
 
 // sent is a request whose bytes have left.
-func (d *desks) sent(s ids.Name, f dispatch.Ferry, e *errand, t *target, trip time.Duration) {
+func (d *dispatchers) sent(s ids.Name, f dispatch.Ferry, e *errand, t *target, trip time.Duration) {
 	p, w := d.p, d.p.w
 	over := false
 	gen := p.gen
--- a/internal/simulator/desks.go
+++ b/internal/simulator/dispatchers.go
@@ -12,9 +12,9 @@
 	"dunlinwell/internal/spill"
 )
 
-// desks is the data plane of a simulated proxy: real desks, and targets
+// dispatchers is the data plane of a simulated proxy: real dispatchers, and targets
 // reached over the simulated net.
-type desks struct {
+type dispatchers struct {
 	p     *proc
 	c     *proxy.Control
 	list  map[ids.Name]*dispatch.Dispatcher
@@ -39,11 +39,11 @@
 	done func(dispatch.Response)
 }
 
-func newDesks(p *proc, c *proxy.Control) *desks {
-	return &desks{p: p, c: c, list: map[ids.Name]*dispatch.Dispatcher{}, jobs: map[ids.Request]*errand{}, spent: map[[2]ids.Name]float64{}}
+func newDispatchers(p *proc, c *proxy.Control) *dispatchers {
+	return &dispatchers{p: p, c: c, list: map[ids.Name]*dispatch.Dispatcher{}, jobs: map[ids.Request]*errand{}, spent: map[[2]ids.Name]float64{}}
 }
 
-func (d *desks) at(s ids.Name) *dispatch.Dispatcher {
+func (d *dispatchers) at(s ids.Name) *dispatch.Dispatcher {
 	if d.list[s] == nil {
 		d.list[s] = dispatch.New(dispatch.Options{Dice: d.p.dice, Self: idempotency.Owner{Daemon: ids.Daemon(d.p.name), Start: d.p.start}})
 		d.order = append(d.order, s)
@@ -53,7 +53,7 @@
 
 const meterEvery = 2 * time.Second
 
-func (d *desks) beat() {
+func (d *dispatchers) beat() {
 	d.last = d.p.now()
 	for _, n := range d.order {
 		d.hand(n, event.Tick{})
@@ -77,16 +77,16 @@
 	}
 }
 
-func (d *desks) hand(s ids.Name, ev event.Event) {
+func (d *dispatchers) hand(s ids.Name, ev event.Event) {
 	for _, c := range d.at(s).Step(d.p.now(), ev) {
 		d.do(s, c)
 	}
 }
 
 // perform carries out what the control machine wants.
-func (d *desks) perform(c event.Command) {
+func (d *dispatchers) perform(c event.Command) {
 	switch c := c.(type) {
-	case proxy.ToDesk:
+	case proxy.DispatchEvent:
 		d.hand(c.Service, c.Event)
 	case proxy.Routes:
 		d.view = c.View
@@ -96,8 +96,8 @@
 	}
 }
 
-// do carries out what a desk wants.
-func (d *desks) do(s ids.Name, c event.Command) {
+// do carries out what a dispatcher wants.
+func (d *dispatchers) do(s ids.Name, c event.Command) {
 	p := d.p
 	switch c := c.(type) {
 	case dispatch.Wish:
@@ -121,10 +121,10 @@
 }
 
 // dropAll is what the consumers of a killed proxy see.
-func (d *desks) dropAll() { d.jobs = map[ids.Request]*errand{} }
+func (d *dispatchers) dropAll() { d.jobs = map[ids.Request]*errand{} }
 
 // arrive takes a consumer's request, as the real front does.
-func (d *desks) arrive(route ids.Name, token string, mark ids.IdempotencyKey, try int, says bool, left time.Duration, done func(dispatch.Response)) {
+func (d *dispatchers) arrive(route ids.Name, token string, mark ids.IdempotencyKey, try int, says bool, left time.Duration, done func(dispatch.Response)) {
 	var r policy.Route
 	ok := false
 	if d.view != nil {
--- a/internal/simulator/hot.go
+++ b/internal/simulator/hot.go
@@ -21,9 +21,9 @@
 )
 
 // Hot is a run in which several cells are hot, with tiers, distances and loads
-// drawn from the seed: some consumers hold their circuits for minutes, and the
+// drawn from the seed: some consumers hold their connections for minutes, and the
 // planner is lost, reports stay away, a cell is emptied and taken back, and
-// operators storm meanwhile. Nothing of that excuses a held circuit.
+// operators storm meanwhile. Nothing of that excuses a held connection.
 func Hot(seed uint64) Params {
 	dice := rand.New(rand.NewPCG(seed, 0x686f74))
 	far := map[[2]ids.Name]int{}
--- a/internal/simulator/hot_test.go
+++ b/internal/simulator/hot_test.go
@@ -7,7 +7,7 @@
 )
 
 // Several hot cells, drawn tiers and distances, lost planners, stale reports, a
-// storm, and emptying: moves keep their order, and no held circuit is touched.
+// storm, and emptying: moves keep their order, and no held connection is touched.
 func TestHotCells(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run("", func(t *testing.T) {
--- a/internal/simulator/proc.go
+++ b/internal/simulator/proc.go
@@ -29,7 +29,7 @@
 	disk    *disk
 	dice    *rand.Rand
 	start   ids.RunID
-	desks   *desks
+	desks   *dispatchers
 	calls   map[uint64]func(registry.Response)
 	nextID  uint64
 	// lost processes don't come back: their machine was replaced.
@@ -146,7 +146,7 @@
 	default:
 		c := proxy.New(roll, proxy.Options{Lease: p.w.Lease})
 		p.machine = c
-		p.desks = newDesks(p, c)
+		p.desks = newDispatchers(p, c)
 	}
 	p.tape(h)
 	p.w.trace("%s starts", p.name)
--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -28,7 +28,7 @@
 	Hot func(w *World, drawn ids.Name) ids.Name
 	// Lease is the proxies' param of that name.
 	Lease time.Duration
-	// Hold is how long consumers hold a circuit; zero for none.
+	// Hold is how long consumers hold a connection; zero for none.
 	Hold time.Duration
 	// Brief is the share of consumers that hold none all the same.
 	Brief float64
@@ -71,7 +71,7 @@
 	if p.PlanEvery == 0 {
 		p.PlanEvery = 10 * time.Second
 	}
-	// Half of the consumers hold their circuits for a while, wherever a fault
+	// Half of the consumers hold their connections for a while, wherever a fault
 	// leaves the proxy at the other end.
 	if p.Hold == 0 && p.FaultEvery > 0 {
 		p.Hold, p.Brief = 8*time.Second, 0.5
--- a/internal/simulator/spill.go
+++ b/internal/simulator/spill.go
@@ -20,7 +20,7 @@
 	Moves []spill.Move
 }
 
-// Out is the share of a cell's fresh circuits that is handed on, all routes.
+// Out is the share of a cell's fresh connections that is handed on, all routes.
 func (p Point) Out(cell ids.Name) float64 {
 	sum := 0.0
 	for _, m := range p.Moves {
--- a/internal/simulator/spill_test.go
+++ b/internal/simulator/spill_test.go
@@ -66,7 +66,7 @@
 }
 
 // A step of load settles without swinging, overfills nobody, and goes home;
-// with short circuits and with ones that are held for minutes.
+// with short connections and with ones that are held for minutes.
 func TestStepLoadSettles(t *testing.T) {
 	for _, hold := range []time.Duration{0, 2 * time.Minute} {
 		t.Run(hold.String(), func(t *testing.T) {
--- a/internal/spill/export.go
+++ b/internal/spill/export.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// own is the CPU time that a cell can still hand on: its own fresh circuits',
+// own is the CPU time that a cell can still hand on: its own fresh connections',
 // not what others gave it.
 func (p *planner) own(c *Cell) []Row {
 	in := map[ids.Name]float64{}
@@ -109,7 +109,7 @@
 		}
 		r.CPU = max(r.CPU+p.back[[2]ids.Name{c.Name, r.Route}]-in[r.Route], 0)
 		// Of a route that is all away there is nothing fresh left to hand on;
-		// what it uses here are circuits that stay until they end by themselves.
+		// what it uses here are connections that stay until they end by themselves.
 		if p.out(c.Name, r.Route) > 1-homely {
 			r.CPU = 0
 		}
--- a/internal/spill/plan.go
+++ b/internal/spill/plan.go
@@ -72,7 +72,7 @@
 	return max(sum, 0)
 }
 
-// out is the share of a route's fresh circuits that a cell hands on.
+// out is the share of a route's fresh connections that a cell hands on.
 func (p *planner) out(from, route ids.Name) float64 {
 	sum := 0.0
 	for _, m := range p.moves {
@@ -83,8 +83,8 @@
 	return sum
 }
 
-// demand is a route's CPU time by fresh circuits that begin at a cell: what
-// it keeps, scaled up by what it hands on. What it keeps includes circuits held
+// demand is a route's CPU time by fresh connections that begin at a cell: what
+// it keeps, scaled up by what it hands on. What it keeps includes connections held
 // since before the moves, so scaling alone would take a few of those for a
 // crowd: it never counts for more than what is kept and what was moved.
 func (p *planner) demand(c *Cell, route ids.Name) float64 {
--- a/internal/spill/report.go
+++ b/internal/spill/report.go
@@ -39,8 +39,8 @@
 // Missing is how many intervals without a report make a proxy's stale.
 const Missing = 3
 
-// Books keeps the newest report of every proxy, and samples of each cell.
-type Books struct {
+// Reports keeps the newest report of every proxy, and samples of each cell.
+type Reports struct {
 	last    map[ids.Daemon]entry
 	samples map[ids.Name][]Sample
 	demand  map[ids.Name]map[ids.Name]float64
@@ -78,15 +78,15 @@
 }
 
 // NewBooks makes empty books.
-func NewBooks() *Books {
-	return &Books{last: map[ids.Daemon]entry{}, samples: map[ids.Name][]Sample{},
+func NewReports() *Reports {
+	return &Reports{last: map[ids.Daemon]entry{}, samples: map[ids.Name][]Sample{},
 		demand: map[ids.Name]map[ids.Name]float64{}, missed: map[ids.Name]int{}, Span: span}
 }
 
 const mostSamples = 500
 
 // Enter takes a report; late and doubled ones are left out.
-func (b *Books) Enter(now ids.Time, r Report) {
+func (b *Reports) Enter(now ids.Time, r Report) {
 	if e, ok := b.last[r.Proxy]; ok && e.Start == r.Start && r.Number <= e.Number {
 		return
 	}
@@ -110,7 +110,7 @@
 	}
 }
 
-func (b *Books) used(cell ids.Name) float64 {
+func (b *Reports) used(cell ids.Name) float64 {
 	sum := 0.0
 	for _, id := range slices.Sorted(maps.Keys(b.last)) {
 		if e := b.last[id]; e.Cell == cell {
@@ -122,8 +122,8 @@
 	return sum
 }
 
-// Seat is a live proxy as the books need it.
-type Seat struct {
+// LiveProxy is a live proxy as the books need it.
+type LiveProxy struct {
 	ID    ids.Daemon
 	Start ids.RunID
 	Cell  ids.Name
@@ -131,7 +131,7 @@
 
 // Cell draws up a cell from the reports of its live proxies. One whose live
 // proxies have missed reports is stale.
-func (b *Books) Cell(now ids.Time, name ids.Name, seats []Seat, ranks map[ids.Name]Rank) Cell {
+func (b *Reports) Cell(now ids.Time, name ids.Name, seats []LiveProxy, ranks map[ids.Name]Rank) Cell {
 	c := Cell{Name: name, Gone: true}
 	sum := map[ids.Name]float64{}
 	for _, s := range seats {
@@ -161,19 +161,19 @@
 }
 
 // Forget drops proxies that are no longer on the list.
-func (b *Books) Forget(seats []Seat) {
+func (b *Reports) Forget(seats []LiveProxy) {
 	for id, e := range b.last {
-		if !slices.ContainsFunc(seats, func(s Seat) bool { return s.ID == id && s.Start == e.Start }) {
+		if !slices.ContainsFunc(seats, func(s LiveProxy) bool { return s.ID == id && s.Start == e.Start }) {
 			delete(b.last, id)
 		}
 	}
 }
 
 // Samples gives what a cell's maximum is learned from.
-func (b *Books) Samples(cell ids.Name) []Sample { return b.samples[cell] }
+func (b *Reports) Samples(cell ids.Name) []Sample { return b.samples[cell] }
 
 // Missed counts plans in a row for which a cell was stale.
-func (b *Books) Missed(c Cell) int {
+func (b *Reports) Missed(c Cell) int {
 	if c.Stale {
 		b.missed[c.Name]++
 	} else {
@@ -182,9 +182,9 @@
 	return b.missed[c.Name]
 }
 
-// KeepDemand notes what a living cell's own fresh circuits use, so that it is
+// KeepDemand notes what a living cell's own fresh connections use, so that it is
 // known how much to place elsewhere once the cell is gone.
-func (b *Books) KeepDemand(c Cell, moves []Move) {
+func (b *Reports) KeepDemand(c Cell, moves []Move) {
 	if c.Gone || c.Stale || c.Emptied {
 		return
 	}
@@ -200,8 +200,8 @@
 	b.demand[c.Name] = d
 }
 
-// Demand gives what a cell's fresh circuits used when it last was well.
-func (b *Books) Demand(cell ids.Name) float64 {
+// Demand gives what a cell's fresh connections used when it last was well.
+func (b *Reports) Demand(cell ids.Name) float64 {
 	sum := 0.0
 	for _, n := range slices.Sorted(maps.Keys(b.demand[cell])) {
 		sum += b.demand[cell][n]
@@ -210,7 +210,7 @@
 }
 
 // Uses gives what each route uses in the cells that some moves are from.
-func (b *Books) Uses(moves []Move) []Use {
+func (b *Reports) Uses(moves []Move) []Use {
 	var out []Use
 	seen := map[ids.Name]bool{}
 	for _, m := range moves {
--- a/internal/spill/spill.go
+++ b/internal/spill/spill.go
@@ -1,4 +1,4 @@
-// Package spill plans the spill: what share of fresh circuits each cell
+// Package spill plans the spill: what share of fresh connections each cell
 // hands to another, after Cloudflare's Traffic Manager. One plan covers all
 // cells and keeps one account of room.
 package spill
@@ -55,7 +55,7 @@
 	return sum
 }
 
-// Move is a share of a route's fresh circuits that one cell hands to another.
+// Move is a share of a route's fresh connections that one cell hands to another.
 type Move struct {
 	From     ids.Name
 	To       ids.Name
@@ -76,7 +76,7 @@
 	Uses []Use
 }
 
-// Use is what fresh circuits of a route use in a cell, in ms a second.
+// Use is what fresh connections of a route use in a cell, in ms a second.
 type Use struct {
 	Cell, Route ids.Name
 	CPU         float64
--- a/internal/spill/swap.go
+++ b/internal/spill/swap.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// all ranks the routes that a cell's own circuits ask for, the least first.
+// all ranks the routes that a cell's own connections ask for, the least first.
 func (p *planner) all(c *Cell) []Row {
 	rows := slices.Clone(c.Rows)
 	for _, m := range p.moves {
--- a/internal/store/replacement.go
+++ b/internal/store/replacement.go
@@ -67,7 +67,7 @@
 // lost tells whether a voter has been silent for long enough to be replaced.
 func (s *Store) lost(now ids.Time, id uint64) bool {
 	at, ok := s.gone[id]
-	return ok && now.Since(at) >= replaceAfter
+	return ok && now.Since(at) >= replaceSilentAfter
 }
 
 func (s *Store) abandonLost(now ids.Time, set consensus.VoterSet) {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -175,7 +175,7 @@
 	case consensus.PageRequest:
 		s.Page(from, m)
 	case consensus.Request:
-		// A proposer whose own disk is stuck would only hold the asker up, and one
+		// A proposer whose own disk is stuck would only hold the client up, and one
 		// that was replaced knows nothing of late.
 		if s.diskStalled || s.Standing() == consensus.Replaced {
 			s.Send(from, consensus.Response{ID: m.ID, Try: m.Try, State: consensus.Declined})
@@ -199,7 +199,7 @@
 	return false
 }
 
-// ask sends a wish of the keeper's own to this very store.
+// ask sends a request of the keeper's own to this very store.
 func (s *Store) submit(op consensus.Op, arg any) {
 	var raw []byte
 	if arg != nil {
--- a/internal/store/voters.go
+++ b/internal/store/voters.go
@@ -41,7 +41,7 @@
 	collectPolicyFor = 1500 * time.Millisecond
 	// surelyGone is how long a member must be gone before a newcomer asks
 	// for its place; a restart should not cost a copy of everything.
-	replaceAfter = 3 * time.Second
+	replaceSilentAfter = 3 * time.Second
 )
 
 func newVoterManager(seeds []ids.Address) voterManager {
--- a/internal/targets/incremental_test.go
+++ b/internal/targets/incremental_test.go
@@ -107,7 +107,7 @@
 	is.Equal(len(y.Lapse(at(4100*time.Millisecond))), 1)
 }
 
-// A yard that isn't thrifty hands each word on.
+// A target table that isn't thrifty hands each word on.
 func TestWithoutThriftEachWordIsNews(t *testing.T) {
 	is := is.New(t)
 	y := New()
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -1,4 +1,4 @@
-// Package yard keeps the targets: soft state, told by the targets themselves,
+// Package target table keeps the targets: soft state, told by the targets themselves,
 // merged by incarnation and sequence wherever two copies meet.
 package targets
 
@@ -86,7 +86,7 @@
 	orphan bool
 }
 
-// New makes an empty yard.
+// New makes an empty target table.
 func New() *Table { return &Table{list: map[ids.Instance]*entry{}} }
 
 // Silences is how many intervals of silence count as gone.
@@ -194,7 +194,7 @@
 	return out
 }
 
-// Forget drops those gone for a good while; a yard must not grow for ever.
+// Forget drops those gone for a good while; a target table must not grow for ever.
 func (y *Table) Forget(now ids.Time, after time.Duration) {
 	for id, e := range y.list {
 		if e.Gone && now.Since(e.heard) > after {
--- a/internal/testbed/asleep.go
+++ b/internal/testbed/asleep.go
@@ -18,7 +18,7 @@
 	t.Truth.Parted()
 }
 
-// Freeze holds everything it does for a while; its circuits stay open.
+// Freeze holds everything it does for a while; its connections stay open.
 func (t *Target) Freeze(d time.Duration) {
 	t.gate.Lock()
 	t.Silence(true)
--- a/internal/testbed/circuits.go
+++ b/internal/testbed/circuits.go
@@ -19,7 +19,7 @@
 )
 
 // callers are the clients of stand-ins, one for each machine that calls: its
-// circuits come from its own IP number, so that cuts and delays touch them.
+// connections come from its own IP number, so that cuts and delays touch them.
 var callers = struct {
 	sync.Mutex
 	list map[string]*http.Client
@@ -44,14 +44,14 @@
 // consumerAt is where a cell's consumers call from.
 func consumerAt(cell int) string { return fmt.Sprintf("127.%d.9.1", block+cell) }
 
-// heldEach is how many consumers of a cell and repeatable route hold a circuit
+// heldEach is how many consumers of a cell and repeatable route hold a connection
 // for as long as they are let, and heldEvery how often each sends something.
 const (
 	heldEach  = 2
 	heldEvery = 400 * time.Millisecond
 )
 
-// hold keeps one circuit to one proxy until it ends, and tells who ended it.
+// hold keeps one connection to one proxy until it ends, and tells who ended it.
 func (c *Consumers) hold(ctx context.Context, home int, w blueprint.Way, seat int) {
 	cell := c.Plan.Cell(home)
 	for n := 0; ctx.Err() == nil; n++ {
@@ -65,7 +65,7 @@
 	}
 }
 
-// keep sends down one circuit until it is not the same circuit any more.
+// keep sends down one connection until it is not the same connection any more.
 func (c *Consumers) keep(ctx context.Context, home int, w blueprint.Way, to way, name string) {
 	line := &http.Transport{DialContext: dialer(consumerAt(home)).DialContext, MaxConnsPerHost: 1, DisableCompression: true}
 	defer line.CloseIdleConnections()
@@ -76,7 +76,7 @@
 		trace := httptrace.WithClientTrace(context.Background(), &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) { again = i.Reused }})
 		g, closes := c.request(trace, client, w, at, to.cell, fmt.Sprintf("%s-%d", name, n), "", 1)
 		g.Held = n > 0
-		// The first one opens the circuit; whatever comes of it, none was held.
+		// The first one opens the connection; whatever comes of it, none was held.
 		if n > 0 && !again && g.Class != "unreached" {
 			c.ended(at, to.cell, "the next request found it closed")
 			return
--- a/internal/testbed/consumer.go
+++ b/internal/testbed/consumer.go
@@ -20,7 +20,7 @@
 
 // Consumers are stand-in consumers: they ask where to go, trust the answer for
 // as long as it says, carry a deadline and a mark, and ask again as a person's
-// program would. Some hold a circuit for as long as they are let.
+// program would. Some hold a connection for as long as they are let.
 type Consumers struct {
 	Plan       blueprint.Plan
 	Truth      *checker.Truth
@@ -202,7 +202,7 @@
 	return g
 }
 
-// request sends one attempt to a proxy; closes tells that its circuit ends.
+// request sends one attempt to a proxy; closes tells that its connection ends.
 func (c *Consumers) request(ctx context.Context, client *http.Client, w blueprint.Way, at string, cell ids.Name, token, mark string, try int) (g checker.Got, closes bool) {
 	g = checker.Got{Sent: time.Now(), Token: token, Mark: mark, Attempt: try, Class: "lost", Proxy: at, Cell: cell}
 	defer func() { g.At = time.Now() }()
--- a/internal/testbed/deeds.go
+++ b/internal/testbed/deeds.go
@@ -78,14 +78,14 @@
 	}
 }
 
-// touch excuses the circuits of processes that a fault is done to.
+// touch excuses the connections of processes that a fault is done to.
 func (s *Stage) touch(list []*Process, d Deed) {
 	for _, p := range list {
 		s.Hurt(p, time.Now().Add(time.Duration(d.For)+hurtFor))
 	}
 }
 
-// hurtFor is how long after a fault its circuits may still be found dead.
+// hurtFor is how long after a fault its connections may still be found dead.
 const hurtFor = 10 * time.Second
 
 func (s *Stage) doMachine(d Deed, list []*Process, rest func()) {
--- a/internal/testbed/machines.go
+++ b/internal/testbed/machines.go
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// hurts remembers whose circuits a fault excuses, and until when.
+// hurts remembers whose connections a fault excuses, and until when.
 type hurts map[string]time.Time
 
 // Hurt notes that a fault touches a process until some time after it ended.
@@ -108,7 +108,7 @@
 	}
 }
 
-// Excused tells whether a fault explains a circuit to these pages that ended.
+// Excused tells whether a fault explains a connection to these pages that ended.
 func (f *Fleet) Excused(http string, at time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/testbed/odd_test.go
+++ b/internal/testbed/odd_test.go
@@ -17,7 +17,7 @@
 type odd struct {
 	what string
 	raw  string
-	// want is the status; 0 for a circuit that is closed without one.
+	// want is the status; 0 for a connection that is closed without one.
 	want int
 	// names must stand in the body.
 	names string
--- a/internal/testbed/relay.go
+++ b/internal/testbed/relay.go
@@ -74,7 +74,7 @@
 	return false
 }
 
-// take carries one circuit; a cut one hangs, as it would on a real net.
+// take carries one connection; a cut one hangs, as it would on a real net.
 func (r *Relay) take(c net.Conn, to string) {
 	l := &line{from: host(c.RemoteAddr().String()), to: host(to), a: c}
 	r.mu.Lock()
@@ -88,7 +88,7 @@
 		return // stays open and silent until the cut ends
 	}
 	defer r.drop(l)
-	// The other end sees whose circuit it is.
+	// The other end sees whose connection it is.
 	d := net.Dialer{Timeout: time.Second, LocalAddr: &net.TCPAddr{IP: net.ParseIP(l.from)}}
 	b, err := d.Dial("tcp", to)
 	if err != nil {
@@ -135,7 +135,7 @@
 		r.mu.Lock()
 		blocked := r.blocked(l.from, l.to)
 		r.mu.Unlock()
-		// What a cut swallows is gone with its circuit.
+		// What a cut swallows is gone with its connection.
 		if blocked {
 			continue
 		}
@@ -145,7 +145,7 @@
 	}
 }
 
-// Begin starts a cut, and End ends it; circuits that it touched don't survive.
+// Begin starts a cut, and End ends it; connections that it touched don't survive.
 func (r *Relay) Begin(c *Cut) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testbed/stop_test.go
+++ b/internal/testbed/stop_test.go
@@ -12,7 +12,7 @@
 )
 
 // Every daemon in turn gets the polite signal, and the hard one seconds later,
-// under load, with slow requests under way and idle circuits kept open: it ends
+// under load, with slow requests under way and idle connections kept open: it ends
 // by itself, and nothing that was said yes to is lost, nor anything that ran
 // told "busy".
 func TestPoliteSignalUnderLoad(t *testing.T) {
--- a/internal/testbed/testbed_test.go
+++ b/internal/testbed/testbed_test.go
@@ -140,7 +140,7 @@
 	is.Equal(call(t, "PUT", at, "/v1/services/x", `{}},{"kind":"service"`).status, 400)
 	is.Equal(call(t, "PUT", at, "/v1/services/x", `{}`, "If-Match", "new").status, 400)
 	is.Equal(call(t, "GET", at, "/v1/policy", "").body, before)
-	// A frame that is none closes its circuit and harms nobody.
+	// A frame that is none closes its connection and harms nobody.
 	c := s.Of("store")[0].Address
 	p, err := http.Get("http://" + c + "/")
 	if err == nil {
--- a/internal/testbed/watch.go
+++ b/internal/testbed/watch.go
@@ -140,7 +140,7 @@
 }
 
 // PlayHot plays one hot cell with no other fault, so that nothing excuses a
-// held circuit, and shows each cell's load over time.
+// held connection, and shows each cell's load over time.
 func (s *Stage) PlayHot(ctx context.Context, d time.Duration, script *Script) {
 	s.judgeOrder()
 	s.Truth.Calm = true
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -92,7 +92,7 @@
 // Epoched is met by messages sent under a duty's epoch.
 type Epoched interface{ UnderEpoch() uint64 }
 
-// Numbered is met by messages that count along a circuit.
+// Numbered is met by messages that count along a connection.
 type Numbered interface{ CountedAs() uint64 }
 
 // Pack makes a frame of a message.
