--- a/internal/proxy/control.go
+++ b/internal/proxy/control.go
@@ -50,6 +50,7 @@
 	seen    map[ids.Daemon]ids.Time
 	number  ids.Number
 	stocked stamp
+	refreshPace
 	footing Footing
 	roll    uint64
 	// shelved are the services whose dispatchers were stocked last.
@@ -167,7 +168,7 @@
 	}
 }
 
-// push takes what a registry delivers. Desks have it before it is acknowledged.
+// push takes what a registry delivers. Dispatchers have it before it is acknowledged.
 func (c *Control) push(now ids.Time, from ids.Address, p distribution.Push) {
 	if p.Revision > c.view.Revision && len(p.Policy) > 0 {
 		c.adopt(now, p.Policy)
@@ -181,8 +182,8 @@
 		c.word, c.told = max(c.word, p.Vouched()), true
 		c.confirm(now, p.Revision, p.Agreed())
 	}
+	c.unacknowledged = append(c.unacknowledged, receivedPush{from, p.Number})
 	c.refreshTargets(now)
-	c.Send(from, distribution.Ack{Proxy: c.Self.ID, Start: c.Self.Start, Number: p.Number, Revision: c.view.Revision, Now: now, Yard: c.targets.Exact()})
 }
 
 // adopt takes a newer policy; a proxy never goes back to an older one.
--- a/internal/proxy/readiness.go
+++ b/internal/proxy/readiness.go
@@ -89,9 +89,15 @@
 	s := stamp{c.targets.Version(), c.Version(), c.view.Revision, c.sure() > c.woke, c.empty != 0 && (c.late || now.Since(c.empty) >= emptyAfter), c.opened, len(seats)}
 	if s == c.stocked {
 		c.lease()
+		c.acknowledge(now)
 		return
 	}
+	if c.mayWait(now, s) {
+		return
+	}
+	c.refreshed = now
 	c.stocked, c.leased = s, c.sure()
+	defer c.acknowledge(now)
 	ended := c.ended()
 	by := map[ids.Name][]dispatch.Offer{}
 	clear(c.ranks)
--- /dev/null
+++ b/internal/proxy/refreshpace.go
@@ -0,0 +1,55 @@
+package proxy
+
+import (
+	"time"
+
+	"dunlinwell/internal/distribution"
+	"dunlinwell/internal/ids"
+)
+
+// refreshPace bounds how often all targets are weighed against all proxies. That
+// costs more the larger the fleet; done for each push of a storm (many targets
+// found silent at once), it kept a small machine from reading what came next for
+// seconds, a change of configuration among it.
+type refreshPace struct {
+	refreshed ids.Time
+	// unacknowledged are pushes that dispatchers don't go by yet.
+	unacknowledged []receivedPush
+}
+
+// receivedPush is what an acknowledgement names.
+type receivedPush struct {
+	from   ids.Address
+	number ids.Number
+}
+
+const (
+	// pairCost is what a target and a proxy more cost a refresh, on a tenth of a
+	// processor core (measured: 0.88 µs on a whole one).
+	pairCost = 10 * time.Microsecond
+	// longestPace bounds how long news may wait for a refresh: well below the time
+	// in which it has to be in force.
+	longestPace = 400 * time.Millisecond
+	// leastPace is below what waiting for a clock event would save.
+	leastPace = 50 * time.Millisecond
+)
+
+// mayWait tells whether a refresh may wait for the next clock event after its
+// time: what says whether this proxy serves at all never waits.
+func (c *Control) mayWait(now ids.Time, next stamp) bool {
+	have := c.stocked
+	if have.step != next.step || have.shut != next.shut || have.opened != next.opened {
+		return false
+	}
+	pairs := c.targets.Len() * next.seats
+	pace := min(time.Duration(pairs)*pairCost, longestPace)
+	return c.refreshed != 0 && pace >= leastPace && now.Since(c.refreshed) < pace
+}
+
+// acknowledge answers the pushes that dispatchers go by now, in their order.
+func (c *Control) acknowledge(now ids.Time) {
+	for _, p := range c.unacknowledged {
+		c.Send(p.from, distribution.Ack{Proxy: c.Self.ID, Start: c.Self.Start, Number: p.number, Revision: c.view.Revision, Now: now, Yard: c.targets.Exact()})
+	}
+	c.unacknowledged = nil
+}
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -236,5 +236,8 @@
 	return 0
 }
 
+// Len is how many targets are known, gone ones among them.
+func (y *Table) Len() int { return len(y.list) }
+
 // Version grows with each change.
 func (y *Table) Version() uint64 { return y.version }
