--- a/internal/registry/isolated_test.go
+++ b/internal/registry/isolated_test.go
@@ -120,7 +120,7 @@
 
 // A registry that started before it knew any store asked nobody, and asked
 // again only after a try's whole span: a fleet's way back hung on that.
-func TestARegistryReadsAsSoonAsItKnowsAStockroom(t *testing.T) {
+func TestARegistryReadsAsSoonAsItKnowsAStore(t *testing.T) {
 	is := is.New(t)
 	b := newBench(true)
 	b.cut = true
