--- a/internal/process/transport.go
+++ b/internal/process/transport.go
@@ -12,7 +12,7 @@
 	"dunlinwell/internal/wire"
 )
 
-// Greeting opens a circuit: it tells where the sender takes messages.
+// Greeting opens a connection: it tells where the sender takes messages.
 type Hello struct {
 	Address ids.Address
 	// Inflates tells that the sender reads frames whose body is deflated.
@@ -21,8 +21,8 @@
 
 var _ = wire.Register(1, Hello{})
 
-// Post holds circuits to peers and takes theirs. A message may be lost with
-// its circuit; the machines ask again.
+// Post holds connections to peers and takes theirs. A message may be lost with
+// its connection; the machines ask again.
 type Transport struct {
 	// Address is what peers are told; Bind is where to listen, if elsewhere.
 	Address ids.Address
@@ -30,7 +30,7 @@
 	// Deliver takes what comes in.
 	Deliver func(from ids.Address, msg any)
 	Log     *Log
-	// Dial opens a circuit to a peer; our own way by default.
+	// Dial opens a connection to a peer; our own way by default.
 	Dial func(ctx context.Context, to ids.Address) (net.Conn, error)
 	// Tally, if set, counts what goes over the wire.
 	Stats *TrafficStats
@@ -50,11 +50,6 @@
 	queueLength = 512
 	writeWithin = 2 * time.Second
 	idleFor     = time.Minute
-	dialWithin  = time.Second
-	// A peer that refuses may be about to start, as all do after a loss of the
-	// whole fleet, and what hangs on it is a chain of several such dials.
-	leastRest = 50 * time.Millisecond
-	mostRest  = 200 * time.Millisecond
 )
 
 // Listen opens the port, so that a taken one is known before anything runs.
@@ -67,7 +62,7 @@
 	return l, errs.Wrap(err, "listen", string(at))
 }
 
-// Serve takes circuits until the context ends.
+// Serve takes connections until the context ends.
 func (p *Transport) Serve(ctx context.Context, l net.Listener) error {
 	p.mu.Lock()
 	p.ctx = ctx
@@ -135,10 +130,10 @@
 	return true
 }
 
-// hold keeps a circuit to one peer while there is something to say.
+// hold keeps a connection to one peer while there is something to say.
 func (p *Transport) maintain(ctx context.Context, to ids.Address, line chan []byte) {
 	var first []byte
-	rest := leastRest
+	pace := newDialPace()
 	for {
 		// A peer that is gone for good isn't dialled for nothing.
 		if first == nil {
@@ -152,15 +147,12 @@
 		if dial == nil {
 			dial = p.dial
 		}
-		c, err := dial(ctx, to)
+		c, err := pace.dial(ctx, to, dial)
 		if err == nil {
-			rest = leastRest
 			if p.write(ctx, c, to, first, line) {
 				return
 			}
 			first = nil
-		} else {
-			rest = min(rest*2, mostRest)
 		}
 		// What waits for a peer that isn't there is old by the time it is.
 		for len(line) > queueLength/2 {
@@ -170,7 +162,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(rest):
+		case <-time.After(pace.rest):
 		}
 	}
 }
