--- a/internal/simulator/proc.go
+++ b/internal/simulator/proc.go
@@ -121,7 +121,7 @@
 	p.gen++
 	p.up, p.frozen, p.backlog = true, false, nil
 	p.born = p.w.now
-	h := Head{Dice: [2]uint64{p.w.dice.Uint64(), p.w.dice.Uint64()}, PlanEvery: p.w.PlanEvery, Lease: p.w.Lease}
+	h := TraceHeader{Dice: [2]uint64{p.w.dice.Uint64(), p.w.dice.Uint64()}, PlanEvery: p.w.PlanEvery, Lease: p.w.Lease}
 	p.dice = rand.New(rand.NewPCG(h.Dice[0], h.Dice[1]))
 	p.start = ids.RunID(p.w.dice.Uint64()>>24 | 1)
 	p.calls = map[uint64]func(registry.Response){}
@@ -148,7 +148,7 @@
 		p.machine = c
 		p.desks = newDispatchers(p, c)
 	}
-	p.tape(h)
+	p.record(h)
 	p.w.trace("%s starts", p.name)
 	p.beat(beat)
 }
--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -49,10 +49,10 @@
 	DiskSync time.Duration
 	// LinkBits, if set, is how many bits a second a store sends, and takes in.
 	LinkBits float64
-	// Tape, if set, takes the daybooks of processes, for so long.
-	Tape    map[string]io.Writer
-	TapeFor time.Duration
-	Defect  Defect
+	// Traces, if set, takes the recorded traces of processes, until TraceFor.
+	Traces   map[string]io.Writer
+	TraceFor time.Duration
+	Defect   Defect
 }
 
 func (p *Params) fill() {
--- /dev/null
+++ b/internal/simulator/trace.go
@@ -0,0 +1,231 @@
+package simulator
+
+import (
+	"bufio"
+	"encoding/hex"
+	"fmt"
+	"hash/fnv"
+	"io"
+	"reflect"
+	"strconv"
+	"strings"
+
+	"dunlinwell/internal/dispatch"
+	"dunlinwell/internal/event"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/proxy"
+	"dunlinwell/internal/registry"
+	"dunlinwell/internal/store"
+	"dunlinwell/internal/wire"
+)
+
+// A recorded trace holds every event that one machine received in a seed and,
+// for each, what it wanted done. Replayed to a machine made the same way, it
+// shows the first step at which anything has changed. Nothing in it depends on
+// the name of a Go type or field, so it outlives their renaming.
+
+// eventTypes are the events that a trace can hold beside messages.
+var eventTypes = map[string]reflect.Type{
+	"tick":          reflect.TypeFor[event.Tick](),
+	"synced":        reflect.TypeFor[event.Synced](),
+	"change":        reflect.TypeFor[registry.ChangeCall](),
+	"policy":        reflect.TypeFor[registry.PolicyCall](),
+	"merge":         reflect.TypeFor[registry.MergeCall](),
+	"resolve":       reflect.TypeFor[registry.ResolveCall](),
+	"deregister":    reflect.TypeFor[registry.DeregisterCall](),
+	"heartbeat":     reflect.TypeFor[registry.HeartbeatCall](),
+	"status":        reflect.TypeFor[registry.StatusCall](),
+	"cell-order":    reflect.TypeFor[registry.CellOrderCall](),
+	"registry-stop": reflect.TypeFor[registry.Stopping](),
+	"recover":       reflect.TypeFor[store.RecoverRequest](),
+	"leave":         reflect.TypeFor[store.Leave](),
+	"store-request": reflect.TypeFor[proxy.Asked](),
+	"meter":         reflect.TypeFor[proxy.Meter](),
+	"proxy-stop":    reflect.TypeFor[proxy.Stopping](),
+}
+
+// commandTypes are the commands, and the events within them, that have a kind
+// of their own in a trace.
+var commandTypes = map[string]reflect.Type{
+	"sync":           reflect.TypeFor[event.Sync](),
+	"send":           reflect.TypeFor[event.Send](),
+	"log":            reflect.TypeFor[event.LogEntry](),
+	"discarded":      reflect.TypeFor[event.Discarded](),
+	"response":       reflect.TypeFor[registry.Response](),
+	"recovered":      reflect.TypeFor[store.RecoverResponse](),
+	"may-stop":       reflect.TypeFor[store.MayStop](),
+	"retire":         reflect.TypeFor[store.Retire](),
+	"dispatch":       reflect.TypeFor[proxy.DispatchEvent](),
+	"routes":         reflect.TypeFor[proxy.Routes](),
+	"readiness":      reflect.TypeFor[proxy.Footing](),
+	"targets":        reflect.TypeFor[dispatch.Stock](),
+	"store-response": reflect.TypeFor[dispatch.Told](),
+	"lease":          reflect.TypeFor[dispatch.Lease](),
+}
+
+// traceKinds gives the kind of each type in the tables.
+var traceKinds = map[reflect.Type]string{}
+
+func init() {
+	for _, table := range []map[string]reflect.Type{eventTypes, commandTypes} {
+		for kind, t := range table {
+			traceKinds[t] = kind
+		}
+	}
+}
+
+// kindOf gives the kind of a message, event or command: a message's number on
+// the wire, or a word of the tables.
+func kindOf(v any) string {
+	if k := wire.KindFor(v); k != 0 {
+		return strconv.Itoa(int(k))
+	}
+	if kind, ok := traceKinds[reflect.TypeOf(v)]; ok {
+		return kind
+	}
+	return "other"
+}
+
+// commandKind gives a command's kind, with that of the message or event in it.
+func commandKind(c event.Command) string {
+	switch c := c.(type) {
+	case event.Send:
+		return "send:" + kindOf(c.Msg)
+	case proxy.DispatchEvent:
+		return "dispatch:" + kindOf(c.Event)
+	}
+	return kindOf(c)
+}
+
+// writeEvent gives an event as one line. One that can't be encoded becomes a
+// line that no replay accepts.
+func writeEvent(now ids.Time, ev event.Event) string {
+	line, err := encodeEvent(ev)
+	if err != nil {
+		line = "error " + err.Error()
+	}
+	return fmt.Sprintf("%d %s", now, line)
+}
+
+func encodeEvent(ev event.Event) (string, error) {
+	if m, ok := ev.(event.Received); ok {
+		raw, err := wire.Encode(m.Msg)
+		return fmt.Sprintf("message %s %x", m.From, raw), err
+	}
+	kind := kindOf(ev)
+	if eventTypes[kind] == nil {
+		return "", fmt.Errorf("no kind for event %T", ev)
+	}
+	raw, err := appendValue(nil, reflect.ValueOf(ev), 0)
+	return strings.TrimSpace(fmt.Sprintf("%s %x", kind, raw)), err
+}
+
+// readEvent reads such a line.
+func readEvent(line string) (ids.Time, event.Event, error) {
+	at, rest, _ := strings.Cut(line, " ")
+	now, err := strconv.ParseInt(at, 10, 64)
+	if err != nil {
+		return 0, nil, err
+	}
+	kind, rest, _ := strings.Cut(rest, " ")
+	var from string
+	if kind == "message" {
+		from, rest, _ = strings.Cut(rest, " ")
+	}
+	raw, err := hex.DecodeString(rest)
+	if err != nil {
+		return 0, nil, err
+	}
+	if kind == "message" {
+		_, msg, err := wire.ReadBytes(raw)
+		return ids.Time(now), event.Received{From: ids.Address(from), Msg: msg}, err
+	}
+	t, ok := eventTypes[kind]
+	if !ok {
+		return 0, nil, fmt.Errorf("no event of kind %q", kind)
+	}
+	ev := reflect.New(t).Elem()
+	err = decodeValue(raw, ev)
+	return ids.Time(now), ev.Interface(), err
+}
+
+// writeCommands gives what a step wants done: a hash over all commands, and
+// the kind of each.
+func writeCommands(out []event.Command) string {
+	h := fnv.New64a()
+	var kinds []string
+	for _, c := range out {
+		kinds = append(kinds, commandKind(c))
+		h.Write(appendCommand(nil, c))
+	}
+	return fmt.Sprintf("< %016x %s", h.Sum64(), strings.Join(kinds, " "))
+}
+
+// appendCommand appends a command's kind and encoding. Of a log entry only its
+// presence counts: its words are for people, and may change.
+func appendCommand(out []byte, c event.Command) []byte {
+	out = appendBytes(out, []byte(commandKind(c)))
+	switch c := c.(type) {
+	case event.LogEntry:
+		return out
+	case event.Send:
+		if raw, err := wire.Encode(c.Msg); err == nil {
+			return appendBytes(appendBytes(out, []byte(c.To)), raw)
+		}
+	case event.Sync:
+		out = mustAppend(out, []any{c.Turn, c.Records, len(c.Then)})
+		for _, then := range c.Then {
+			out = appendCommand(out, then)
+		}
+		return out
+	}
+	return mustAppend(out, c)
+}
+
+// mustAppend appends a value whose type has an encoding: without one the hash
+// would miss what the command says.
+func mustAppend(out []byte, v any) []byte {
+	out, err := appendValue(out, reflect.ValueOf(v), 0)
+	if err != nil {
+		panic(fmt.Sprintf("recorded trace: %T: %v", v, err))
+	}
+	return out
+}
+
+// Play replays a trace to a machine, and gives the first line that differs.
+func Play(m event.Machine, trace io.Reader) (int, error) {
+	lines := bufio.NewScanner(trace)
+	lines.Buffer(nil, 16<<20)
+	want, got, n, last := "", "", 0, ""
+	differs := func() error {
+		if want != got {
+			return fmt.Errorf("line %d: after %.160s\ngot  %s\nwant %s", n, last, got, want)
+		}
+		return nil
+	}
+	for lines.Scan() {
+		n++
+		line := lines.Text()
+		switch {
+		case strings.HasPrefix(line, "#") || line == "":
+		case strings.HasPrefix(line, "< "):
+			want = line
+		default:
+			if err := differs(); err != nil {
+				return n, err
+			}
+			now, ev, err := readEvent(line)
+			if err != nil {
+				return n, err
+			}
+			want, got, last = "", "", line
+			if out := m.Step(now, ev); len(out) > 0 {
+				got = writeCommands(out)
+			}
+		}
+	}
+	if err := lines.Err(); err != nil {
+		return n, err
+	}
+	return n, differs()
+}
--- /dev/null
+++ b/internal/simulator/traceencoding.go
@@ -0,0 +1,141 @@
+package simulator
+
+import (
+	"bytes"
+	"encoding/binary"
+	"fmt"
+	"math"
+	"reflect"
+	"slices"
+)
+
+// maxDepth bounds how deeply an encoded value may be nested, so that a cycle
+// of pointers is an error.
+const maxDepth = 64
+
+// appendValue appends a value by position: the exported fields of a struct in
+// their order, and no name of a type or field. Integers are varints; a list or
+// a map is preceded by its length plus one, and a nil one is zero.
+func appendValue(out []byte, v reflect.Value, depth int) ([]byte, error) {
+	if depth > maxDepth {
+		return out, fmt.Errorf("value is nested more than %d levels deep", maxDepth)
+	}
+	switch v.Kind() {
+	case reflect.Bool:
+		return appendBool(out, v.Bool()), nil
+	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
+		return binary.AppendVarint(out, v.Int()), nil
+	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
+		return binary.AppendUvarint(out, v.Uint()), nil
+	case reflect.Float32, reflect.Float64:
+		return binary.BigEndian.AppendUint64(out, math.Float64bits(v.Float())), nil
+	case reflect.String:
+		return appendBytes(out, []byte(v.String())), nil
+	case reflect.Struct:
+		return appendFields(out, v, depth)
+	case reflect.Slice:
+		if v.IsNil() {
+			return append(out, 0), nil
+		}
+		return appendElements(binary.AppendUvarint(out, uint64(v.Len())+1), v, depth)
+	case reflect.Array:
+		return appendElements(out, v, depth)
+	case reflect.Map:
+		return appendMap(out, v, depth)
+	case reflect.Pointer:
+		if out = appendBool(out, !v.IsNil()); v.IsNil() {
+			return out, nil
+		}
+		return appendValue(out, v.Elem(), depth+1)
+	case reflect.Interface:
+		return appendInterface(out, v, depth)
+	}
+	return out, fmt.Errorf("no encoding for a %s", v.Kind())
+}
+
+func appendBool(out []byte, set bool) []byte {
+	if set {
+		return append(out, 1)
+	}
+	return append(out, 0)
+}
+
+// appendBytes appends bytes preceded by their count.
+func appendBytes(out, raw []byte) []byte {
+	return append(binary.AppendUvarint(out, uint64(len(raw))), raw...)
+}
+
+func appendElements(out []byte, v reflect.Value, depth int) ([]byte, error) {
+	var err error
+	for i := range v.Len() {
+		if out, err = appendValue(out, v.Index(i), depth+1); err != nil {
+			return out, err
+		}
+	}
+	return out, nil
+}
+
+func appendFields(out []byte, v reflect.Value, depth int) ([]byte, error) {
+	var err error
+	for i := range v.NumField() {
+		if !encoded(v.Type().Field(i)) {
+			continue
+		}
+		if out, err = appendValue(out, v.Field(i), depth+1); err != nil {
+			return out, err
+		}
+	}
+	return out, nil
+}
+
+// encoded tells whether a field belongs to the encoding: unexported fields,
+// functions and channels do not.
+func encoded(f reflect.StructField) bool {
+	switch f.Type.Kind() {
+	case reflect.Func, reflect.Chan:
+		return false
+	case reflect.Struct:
+		return f.IsExported() || f.Anonymous
+	}
+	return f.IsExported()
+}
+
+// appendMap appends a map's entries in the order of their encoded keys.
+func appendMap(out []byte, v reflect.Value, depth int) ([]byte, error) {
+	if v.IsNil() {
+		return append(out, 0), nil
+	}
+	type entry struct {
+		key   []byte
+		value reflect.Value
+	}
+	var entries []entry
+	for each := v.MapRange(); each.Next(); {
+		key, err := appendValue(nil, each.Key(), depth+1)
+		if err != nil {
+			return out, err
+		}
+		entries = append(entries, entry{key, each.Value()})
+	}
+	slices.SortFunc(entries, func(a, b entry) int { return bytes.Compare(a.key, b.key) })
+	out = binary.AppendUvarint(out, uint64(len(entries))+1)
+	var err error
+	for _, e := range entries {
+		if out, err = appendValue(append(out, e.key...), e.value, depth+1); err != nil {
+			return out, err
+		}
+	}
+	return out, nil
+}
+
+// appendInterface appends what an interface holds, preceded by its kind in the
+// trace and its kind in the language.
+func appendInterface(out []byte, v reflect.Value, depth int) ([]byte, error) {
+	if v.IsNil() {
+		return append(out, 0), nil
+	}
+	v = v.Elem()
+	out = appendBytes(append(out, 1), []byte(kindOf(v.Interface())))
+	out = appendBytes(out, []byte(v.Kind().String()))
+	return appendValue(out, v, depth+1)
+}
