--- a/internal/simulator/trace.go
+++ b/internal/testsupport/simulator/trace.go
@@ -10,13 +10,13 @@
 	"strconv"
 	"strings"
 
-	"dunlinwell/internal/dispatch"
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/proxy"
-	"dunlinwell/internal/registry"
-	"dunlinwell/internal/store"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/registry"
+	"dunlinwell/internal/controlplane/store"
+	"dunlinwell/internal/dataplane/dispatch"
+	"dunlinwell/internal/dataplane/proxy"
+	"dunlinwell/internal/transport/wire"
 )
 
 // A recorded trace holds every event that one machine received in a seed and,
--- a/internal/simulator/trace_test.go
+++ b/internal/testsupport/simulator/trace_test.go
@@ -13,13 +13,13 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/dispatch"
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/proxy"
-	"dunlinwell/internal/registry"
-	"dunlinwell/internal/spill"
-	"dunlinwell/internal/store"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/registry"
+	"dunlinwell/internal/controlplane/spill"
+	"dunlinwell/internal/controlplane/store"
+	"dunlinwell/internal/dataplane/dispatch"
+	"dunlinwell/internal/dataplane/proxy"
 )
 
 var record = flag.Bool("record", false, "record the traces anew, after a change that is meant")
--- a/internal/simulator/tracerecorder.go
+++ b/internal/testsupport/simulator/tracerecorder.go
@@ -9,12 +9,12 @@
 	"strings"
 	"time"
 
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/proxy"
-	"dunlinwell/internal/registry"
-	"dunlinwell/internal/store"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/registry"
+	"dunlinwell/internal/controlplane/store"
+	"dunlinwell/internal/dataplane/proxy"
 )
 
 // TraceHeader is the first line of a recorded trace: all that its machine was
