--- a/internal/controlplane/store/recover.go
+++ b/internal/controlplane/store/recover.go
@@ -8,9 +8,9 @@
 
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/state/configuration"
 	"dunlinwell/internal/state/consensus"
 	"dunlinwell/internal/state/idempotency"
-	"dunlinwell/internal/state/policy"
 	"dunlinwell/internal/transport/wire"
 )
 
@@ -95,9 +95,9 @@
 	}
 	// The proxies may have been told of changes that this disk never saw.
 	var own, theirs struct{ Revision ids.Revision }
-	_ = json.Unmarshal(s.LocalValue(policy.Key), &own)
+	_ = json.Unmarshal(s.LocalValue(configuration.Key), &own)
 	if json.Unmarshal(s.survivingPolicy.Policy, &theirs) == nil && theirs.Revision > own.Revision {
-		s.ForceValue(policy.Key, s.survivingPolicy.Policy)
+		s.ForceValue(configuration.Key, s.survivingPolicy.Policy)
 		s.Log("info", "policy taken back from a proxy", "revision", itoa(uint64(theirs.Revision)))
 	}
 	s.ForceValue(consensus.VoterSetKey, raw)
