--- a/internal/testsupport/simulator/trace.go
+++ b/internal/testsupport/simulator/trace.go
@@ -29,7 +29,7 @@
 	"tick":          reflect.TypeFor[event.Tick](),
 	"synced":        reflect.TypeFor[event.Synced](),
 	"change":        reflect.TypeFor[registry.ChangeCall](),
-	"policy":        reflect.TypeFor[registry.PolicyCall](),
+	"policy":        reflect.TypeFor[registry.ReadConfigurationCall](),
 	"merge":         reflect.TypeFor[registry.MergeCall](),
 	"resolve":       reflect.TypeFor[registry.ResolveCall](),
 	"deregister":    reflect.TypeFor[registry.DeregisterCall](),
@@ -39,8 +39,8 @@
 	"registry-stop": reflect.TypeFor[registry.Stopping](),
 	"recover":       reflect.TypeFor[store.RecoverRequest](),
 	"leave":         reflect.TypeFor[store.Leave](),
-	"store-request": reflect.TypeFor[proxy.Asked](),
-	"meter":         reflect.TypeFor[proxy.Meter](),
+	"store-request": reflect.TypeFor[proxy.IdempotencyRequest](),
+	"meter":         reflect.TypeFor[proxy.UsageSample](),
 	"proxy-stop":    reflect.TypeFor[proxy.Stopping](),
 }
 
@@ -57,9 +57,9 @@
 	"retire":         reflect.TypeFor[store.Retire](),
 	"dispatch":       reflect.TypeFor[proxy.DispatchEvent](),
 	"routes":         reflect.TypeFor[proxy.Routes](),
-	"readiness":      reflect.TypeFor[proxy.Footing](),
-	"targets":        reflect.TypeFor[dispatch.Stock](),
-	"store-response": reflect.TypeFor[dispatch.Told](),
+	"readiness":      reflect.TypeFor[proxy.ServingState](),
+	"targets":        reflect.TypeFor[dispatch.ServiceState](),
+	"store-response": reflect.TypeFor[dispatch.IdempotencyReply](),
 	"lease":          reflect.TypeFor[dispatch.Lease](),
 }
 
@@ -77,7 +77,7 @@
 // kindOf gives the kind of a message, event or command: a message's number on
 // the wire, or a word of the tables.
 func kindOf(v any) string {
-	if k := wire.KindFor(v); k != 0 {
+	if k := wire.KindOfMessage(v); k != 0 {
 		return strconv.Itoa(int(k))
 	}
 	if kind, ok := traceKinds[reflect.TypeOf(v)]; ok {
@@ -173,8 +173,8 @@
 			return appendBytes(appendBytes(out, []byte(c.To)), raw)
 		}
 	case event.Sync:
-		out = mustAppend(out, []any{c.Turn, c.Records, len(c.Then)})
-		for _, then := range c.Then {
+		out = mustAppend(out, []any{c.Batch, c.Records, len(c.After)})
+		for _, then := range c.After {
 			out = appendCommand(out, then)
 		}
 		return out
--- a/internal/testsupport/simulator/trace_test.go
+++ b/internal/testsupport/simulator/trace_test.go
@@ -85,8 +85,8 @@
 		is.Equal(writeCommands([]event.Command{a}), x)
 		return x == y
 	}
-	synced := func(turn uint64, key ids.Key, value []byte, then ...event.Command) event.Command {
-		return event.Sync{Turn: turn, Records: []event.Record{{Key: key, Value: value}}, Then: then}
+	synced := func(turn uint64, key ids.RegisterKey, value []byte, then ...event.Command) event.Command {
+		return event.Sync{Batch: turn, Records: []event.Record{{Key: key, Value: value}}, After: then}
 	}
 	base := synced(1, "a", []byte{}, event.Send{To: "x", Msg: spill.Report{Number: 1}})
 	is.True(same(base, synced(1, "a", []byte{}, event.Send{To: "x", Msg: spill.Report{Number: 1}})))
@@ -98,7 +98,7 @@
 	is.True(!same(base, synced(1, "a", []byte{})))
 
 	stock := func(capacity int, limit time.Duration) event.Command {
-		return proxy.DispatchEvent{Service: "s", Event: dispatch.Stock{Capacity: capacity, Terms: map[ids.Name]dispatch.Terms{"a": {Limit: limit}, "b": {}}}}
+		return proxy.DispatchEvent{Service: "s", Event: dispatch.ServiceState{Capacity: capacity, Terms: map[ids.Name]dispatch.RouteTerms{"a": {Limit: limit}, "b": {}}}}
 	}
 	is.True(same(stock(1, 2), stock(1, 2)))
 	is.True(!same(stock(1, 2), stock(2, 2)))
@@ -114,8 +114,8 @@
 // Every kind of event comes back from its line as it was, nil and empty apart.
 func TestTraceEventsRoundTrip(t *testing.T) {
 	is := is.New(t)
-	for _, ev := range []event.Event{event.Tick{}, event.Synced{Turn: 1 << 63}, registry.ChangeCall{Raw: []byte{}}, registry.ChangeCall{ID: 3},
-		registry.MergeCall{ID: 4}, store.Leave{Within: -time.Second}, proxy.Meter{Rows: []spill.Spent{}, Count: 9}, proxy.Meter{Latency: 5},
+	for _, ev := range []event.Event{event.Tick{}, event.Synced{Batch: 1 << 63}, registry.ChangeCall{Raw: []byte{}}, registry.ChangeCall{ID: 3},
+		registry.MergeCall{ID: 4}, store.Leave{Within: -time.Second}, proxy.UsageSample{Rows: []spill.Spent{}, Count: 9}, proxy.UsageSample{Latency: 5},
 		event.Received{From: "x", Msg: spill.Report{Number: 7}}} {
 		now, got, err := readEvent(writeEvent(12, ev))
 		is.NoErr(err)
--- a/internal/testsupport/simulator/tracerecorder.go
+++ b/internal/testsupport/simulator/tracerecorder.go
@@ -38,7 +38,7 @@
 	case membership.Registry:
 		return registry.New(registry.Options{Options: h.Roll, Random: dice, PlanEvery: h.PlanEvery})
 	}
-	return proxy.New(h.Roll, proxy.Options{Lease: h.Lease})
+	return proxy.New(h.Roll, proxy.ControlOptions{Lease: h.Lease})
 }
 
 // record records this run of a process from its start, if that was asked for.
@@ -104,7 +104,7 @@
 
 func (s *replayDisk) Step(now ids.Time, ev event.Event) []event.Command {
 	if e, ok := ev.(event.Synced); ok {
-		for ; s.done <= e.Turn; s.done++ {
+		for ; s.done <= e.Batch; s.done++ {
 			for _, r := range s.wait[s.done] {
 				s.disk.records[r.Key] = r.Value
 			}
@@ -114,7 +114,7 @@
 	out := s.Machine.Step(now, ev)
 	for _, c := range out {
 		if w, ok := c.(event.Sync); ok {
-			s.wait[w.Turn] = append(s.wait[w.Turn], w.Records...)
+			s.wait[w.Batch] = append(s.wait[w.Batch], w.Records...)
 		}
 	}
 	return out
