--- a/cmd/testbed/drill.go
+++ b/cmd/testbed/drill.go
@@ -14,15 +14,15 @@
 
 // DrillCmd plays seeds in the simulator.
 type DrillCmd struct {
-	Plan   string        `help:"small, cooperative or library." default:"small" enum:"small,cooperative,library"`
-	Scene  string        `help:"Faults at set times instead of by lot: the name of a scene, or all." xor:"what"`
-	Hot    bool          `help:"Several hot cells under lost planners, stale reports, storms and emptying, to judge the order of moves." xor:"what"`
-	From   uint64        `help:"First seed." default:"1"`
-	Seeds  uint64        `help:"How many seeds." default:"100"`
-	Length time.Duration `help:"Virtual time with faults, for each seed." default:"60s"`
-	Eager  bool          `help:"Let the next core machine be lost after 4 s of calm, even if the last one's place isn't taken yet."`
-	Trace  bool          `help:"Print what happened, line by line."`
-	Jobs   int           `help:"Seeds at a time; 0 for one a processor."`
+	Plan   string        `help:"small, cooperative or library." default:"small" enum:"small,cooperative,library" name:"plan"`
+	Scene  string        `help:"Faults at set times instead of by lot: the name of a scene, or all." xor:"what" name:"scene"`
+	Hot    bool          `help:"Several hot cells under lost planners, stale reports, storms and emptying, to judge the order of moves." xor:"what" name:"hot"`
+	From   uint64        `help:"First seed." default:"1" name:"from"`
+	Seeds  uint64        `help:"How many seeds." default:"100" name:"seeds"`
+	Length time.Duration `help:"Virtual time with faults, for each seed." default:"60s" name:"length"`
+	Eager  bool          `help:"Let the next core machine be lost after 4 s of calm, even if the last one's place isn't taken yet." name:"eager"`
+	Trace  bool          `help:"Print what happened, line by line." name:"trace"`
+	Jobs   int           `help:"Seeds at a time; 0 for one a processor." name:"jobs"`
 }
 
 // played is one run to be done.
--- a/cmd/testbed/hollow.go
+++ b/cmd/testbed/hollow.go
@@ -15,16 +15,16 @@
 // HollowCmd plays hollow fleets of several sizes, and fits what control costs.
 type HollowCmd struct {
 	scaletest.Lists
-	For      time.Duration `help:"How long the steady phase lasts." default:"10s"`
-	Within   time.Duration `help:"How long any other phase may take." default:"40s"`
-	Interval time.Duration `help:"How often each target announces itself." default:"2s"`
-	Rows     int           `help:"Routes in each proxy's report of CPU time." default:"50"`
-	Changes  int           `help:"Changes of policy, each awaited everywhere." default:"3"`
-	Crew     int           `help:"Hollow proxies in one process." default:"100"`
-	Thrifty  bool          `help:"Registries tell of targets only as something changes; proxies share places by cell and have a lease without end."`
-	Dir      string        `help:"Folder for data and logs." default:"testbed.out/hollow"`
-	Out      string        `help:"Folder for the figures and plots." default:"testbed.out"`
-	Bin      string        `help:"Folder of built daemons."`
+	For      time.Duration `help:"How long the steady phase lasts." default:"10s" name:"for"`
+	Within   time.Duration `help:"How long any other phase may take." default:"40s" name:"within"`
+	Interval time.Duration `help:"How often each target announces itself." default:"2s" name:"interval"`
+	Rows     int           `help:"Routes in each proxy's report of CPU time." default:"50" name:"rows"`
+	Changes  int           `help:"Changes of policy, each awaited everywhere." default:"3" name:"changes"`
+	Crew     int           `help:"Hollow proxies in one process." default:"100" name:"crew"`
+	Thrifty  bool          `help:"Registries tell of targets only as something changes; proxies share places by cell and have a lease without end." name:"thrifty"`
+	Dir      string        `help:"Folder for data and logs." default:"testbed.out/hollow" name:"dir"`
+	Out      string        `help:"Folder for the figures and plots." default:"testbed.out" name:"out"`
+	Bin      string        `help:"Folder of built daemons." name:"bin"`
 }
 
 // check finds what makes no sense before anything starts.
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -18,8 +18,8 @@
 
 // UpCmd starts a fleet to try things on.
 type UpCmd struct {
-	Plan string `help:"small, cooperative or library." default:"small" enum:"small,cooperative,library"`
-	Dir  string `help:"Folder for programs, data and logs." default:"testbed.out"`
+	Plan string `help:"small, cooperative or library." default:"small" enum:"small,cooperative,library" name:"plan"`
+	Dir  string `help:"Folder for programs, data and logs." default:"testbed.out" name:"dir"`
 }
 
 // Run starts it and waits for a signal.
@@ -43,17 +43,17 @@
 
 // RunCmd plays load and faults, and counts.
 type RunCmd struct {
-	Plan      string        `help:"small, cooperative or library." default:"small" enum:"small,cooperative,library"`
-	Dir       string        `help:"Folder for programs, data and logs." default:"testbed.out"`
-	For       time.Duration `help:"How long to play." default:"120s"`
-	Play      string        `help:"What to play: grand (losses in turn), worst (everything at once), swaps (all core machines replaced), hot (one hot cell), quiet (nothing)." default:"grand" enum:"grand,worst,swaps,hot,quiet"`
-	Script    string        `help:"File with faults at set times; see docs/testbed.md." xor:"faults"`
-	Seed      uint64        `help:"Draw the faults from a seed." xor:"faults"`
-	Rate      float64       `help:"Requests a second, instead of the plan's."`
-	Target    float64       `help:"Each cell's comfortable level in ms of CPU a second, instead of the plan's."`
-	PlanEvery time.Duration `help:"How often registries plan the spill." default:"5s"`
-	Bin       string        `help:"Folder of built daemons, to compare versions."`
-	Other     string        `help:"Folder of built daemons for every other one, for a mixed fleet."`
+	Plan      string        `help:"small, cooperative or library." default:"small" enum:"small,cooperative,library" name:"plan"`
+	Dir       string        `help:"Folder for programs, data and logs." default:"testbed.out" name:"dir"`
+	For       time.Duration `help:"How long to play." default:"120s" name:"for"`
+	Play      string        `help:"What to play: grand (losses in turn), worst (everything at once), swaps (all core machines replaced), hot (one hot cell), quiet (nothing)." default:"grand" enum:"grand,worst,swaps,hot,quiet" name:"play"`
+	Script    string        `help:"File with faults at set times; see docs/testbed.md." xor:"faults" name:"script"`
+	Seed      uint64        `help:"Draw the faults from a seed." xor:"faults" name:"seed"`
+	Rate      float64       `help:"Requests a second, instead of the plan's." name:"rate"`
+	Target    float64       `help:"Each cell's comfortable level in ms of CPU a second, instead of the plan's." name:"target"`
+	PlanEvery time.Duration `help:"How often registries plan the spill." default:"5s" name:"plan-every"`
+	Bin       string        `help:"Folder of built daemons, to compare versions." name:"bin"`
+	Other     string        `help:"Folder of built daemons for every other one, for a mixed fleet." name:"other"`
 }
 
 // least is how long each play takes, with the time to come back whole.
@@ -107,11 +107,11 @@
 
 func main() {
 	var cli struct {
-		Up     UpCmd     `cmd:"" help:"Start a fleet to try things on; Ctrl-C ends it."`
-		Run    RunCmd    `cmd:"" help:"Play load with kills, and count."`
-		Drill  DrillCmd  `cmd:"" help:"Play seeds of faults in the simulator, in virtual time."`
-		Hollow HollowCmd `cmd:"" help:"Play large fleets of hollow proxies, and fit what control costs."`
-		Crew   CrewCmd   `cmd:"" hidden:"" help:"A process of hollow proxies."`
+		Up     UpCmd     `cmd:"" help:"Start a fleet to try things on; Ctrl-C ends it." name:"up"`
+		Run    RunCmd    `cmd:"" help:"Play load with kills, and count." name:"run"`
+		Drill  DrillCmd  `cmd:"" help:"Play seeds of faults in the simulator, in virtual time." name:"drill"`
+		Hollow HollowCmd `cmd:"" help:"Play large fleets of hollow proxies, and fit what control costs." name:"hollow"`
+		Crew   CrewCmd   `cmd:"" hidden:"" help:"A process of hollow proxies." name:"crew"`
 	}
 	k := kong.Parse(&cli, kong.Name("testbed"), kong.Description("Plays a whole fleet of dunlinwell on one machine."))
 	k.BindTo(daemon.SignalContext(), (*context.Context)(nil))
--- a/internal/checker/books.go
+++ b/internal/checker/books.go
@@ -15,8 +15,9 @@
 
 // Want is what a change asks for an item: put whole, set some fields, remove.
 type Want struct {
-	Put, Set json.RawMessage
-	Remove   bool
+	Put    json.RawMessage `json:"put"`
+	Set    json.RawMessage `json:"set"`
+	Remove bool            `json:"remove"`
 }
 
 // Change is one that a stand-in operator sent, and what it was told of it.
@@ -32,8 +33,8 @@
 
 // Body is an item as it is read back.
 type Body struct {
-	Version uint64
-	Body    json.RawMessage
+	Version uint64          `json:"version"`
+	Body    json.RawMessage `json:"body"`
 }
 
 // Policy is a whole policy as it is read back.
@@ -42,42 +43,6 @@
 	Items    map[Item]Body
 }
 
-// ReadPolicy reads what the page of the policy says.
-func ReadPolicy(raw []byte) (Policy, error) {
-	var in struct {
-		Revision                uint64
-		Services, Routes, Cells map[string]Body
-	}
-	if err := json.Unmarshal(raw, &in); err != nil {
-		return Policy{}, err
-	}
-	p := Policy{Revision: in.Revision, Items: map[Item]Body{}}
-	for kind, list := range map[string]map[string]Body{"service": in.Services, "route": in.Routes, "cell": in.Cells} {
-		for n, b := range list {
-			p.Items[Item{kind, n}] = b
-		}
-	}
-	return p, nil
-}
-
-// ReadChange reads a change's own words.
-func ReadChange(raw []byte) (Change, error) {
-	var in struct {
-		ID      string
-		Changes []struct {
-			Kind, Name string
-			Want
-		}
-	}
-	c := Change{Items: map[Item]Want{}}
-	err := json.Unmarshal(raw, &in)
-	c.ID = in.ID
-	for _, p := range in.Changes {
-		c.Items[Item{p.Kind, p.Name}] = p.Want
-	}
-	return c, err
-}
-
 // Books are what operators sent and were told. Nothing in them comes from the
 // daemons but their answers.
 type Books struct {
--- a/internal/cli/books.go
+++ b/internal/cli/books.go
@@ -17,7 +17,7 @@
 
 // ApplyCmd sends Kubernetes-style objects as one whole change.
 type ApplyCmd struct {
-	File     string `short:"f" required:"" help:"File with one or more objects, YAML or JSON; - for standard input."`
+	File     string `short:"f" required:"" help:"File with one or more objects, YAML or JSON; - for standard input." name:"file"`
 	ChangeID string `help:"Id of the change." name:"change-id"`
 }
 
@@ -44,12 +44,12 @@
 
 // CoreCmd is for the store that is left after a great loss.
 type CoreCmd struct {
-	Refound RefoundCmd `cmd:"" help:"Go on from the one store that is left, with two blank ones. Only after two disks are lost for good."`
+	Refound RefoundCmd `cmd:"" help:"Go on from the one store that is left, with two blank ones. Only after two disks are lost for good." name:"refound"`
 }
 
 // RefoundCmd asks the store at --at to go on alone.
 type RefoundCmd struct {
-	AcceptLoss bool `help:"Yes, what only the lost disks held is lost." required:""`
+	AcceptLoss bool `help:"Yes, what only the lost disks held is lost." required:"" name:"accept-loss"`
 }
 
 // Run asks.
@@ -66,10 +66,10 @@
 
 // BookCmd is the runbooks.
 type BookCmd struct {
-	List  BookListCmd `cmd:"" help:"List the runbooks that come with dunlinwell."`
-	Show  BookShowCmd `cmd:"" help:"Print a runbook."`
-	Run   BookRunCmd  `cmd:"" help:"Run a runbook, and stop at the first problem."`
-	Check BookFileCmd `cmd:"" help:"Read a runbook of your own and check it."`
+	List  BookListCmd `cmd:"" help:"List the runbooks that come with dunlinwell." name:"list"`
+	Show  BookShowCmd `cmd:"" help:"Print a runbook." name:"show"`
+	Run   BookRunCmd  `cmd:"" help:"Run a runbook, and stop at the first problem." name:"run"`
+	Check BookFileCmd `cmd:"" help:"Read a runbook of your own and check it." name:"check"`
 }
 
 // BookListCmd lists.
@@ -93,7 +93,7 @@
 
 // BookShowCmd prints.
 type BookShowCmd struct {
-	Name string `arg:""`
+	Name string `arg:"" name:"name"`
 }
 
 // Run prints.
@@ -108,7 +108,7 @@
 
 // BookFileCmd checks.
 type BookFileCmd struct {
-	File string `arg:""`
+	File string `arg:"" name:"file"`
 }
 
 // Run checks.
@@ -126,11 +126,11 @@
 
 // BookRunCmd runs.
 type BookRunCmd struct {
-	Name string            `arg:"" help:"Name of a shipped runbook, or a file with --file."`
-	File bool              `help:"Name is a file."`
-	Set  map[string]string `help:"Values that the runbook needs, as name=value."`
+	Name string            `arg:"" help:"Name of a shipped runbook, or a file with --file." name:"name"`
+	File bool              `help:"Name is a file." name:"file"`
+	Set  map[string]string `help:"Values that the runbook needs, as name=value." name:"set"`
 	Dry  bool              `help:"Say what would be done, and do nothing." name:"dry-run"`
-	Yes  bool              `help:"Go on after each step by hand without asking."`
+	Yes  bool              `help:"Go on after each step by hand without asking." name:"yes"`
 }
 
 // Run runs it.
--- a/internal/cli/items.go
+++ b/internal/cli/items.go
@@ -12,10 +12,10 @@
 
 // Items are the commands on one kind of item.
 type Items struct {
-	List   ListCmd   `cmd:"" help:"List all, with their versions."`
-	Get    GetCmd    `cmd:"" help:"Show one."`
-	Put    PutCmd    `cmd:"" help:"Make one, or replace it whole."`
-	Remove RemoveCmd `cmd:"" help:"Remove one."`
+	List   ListCmd   `cmd:"" help:"List all, with their versions." name:"list"`
+	Get    GetCmd    `cmd:"" help:"Show one." name:"get"`
+	Put    PutCmd    `cmd:"" help:"Make one, or replace it whole." name:"put"`
+	Remove RemoveCmd `cmd:"" help:"Remove one." name:"remove"`
 }
 
 // Kind is bound by the command that holds Items.
@@ -23,7 +23,7 @@
 
 // ListCmd lists items.
 type ListCmd struct {
-	Local bool `help:"The registry's own copy, which may be old."`
+	Local bool `help:"The registry's own copy, which may be old." name:"local"`
 }
 
 // Run lists.
@@ -50,7 +50,7 @@
 
 // GetCmd shows an item.
 type GetCmd struct {
-	Name string `arg:""`
+	Name string `arg:"" name:"name"`
 }
 
 // Run shows.
@@ -68,7 +68,7 @@
 
 // Guard are the flags of every change.
 type Guard struct {
-	Version  *uint64 `help:"Only if this is the item's version; 0 if it must not exist."`
+	Version  *uint64 `help:"Only if this is the item's version; 0 if it must not exist." name:"version"`
 	ChangeID string  `help:"Id of the change; the same id gives the first result again." name:"change-id"`
 }
 
@@ -78,9 +78,9 @@
 
 // PutCmd puts an item.
 type PutCmd struct {
-	Name string `arg:""`
-	File string `short:"f" help:"File with the JSON body; - for standard input." xor:"body" required:""`
-	Body string `help:"The JSON body itself." xor:"body" required:""`
+	Name string `arg:"" name:"name"`
+	File string `short:"f" help:"File with the JSON body; - for standard input." xor:"body" required:"" name:"file"`
+	Body string `help:"The JSON body itself." xor:"body" required:"" name:"body"`
 	Guard
 }
 
@@ -99,7 +99,7 @@
 
 // RemoveCmd removes an item.
 type RemoveCmd struct {
-	Name string `arg:""`
+	Name string `arg:"" name:"name"`
 	Guard
 }
 
@@ -133,7 +133,7 @@
 
 // CellDeed empties or refills a cell.
 type CellDeed struct {
-	Name string `arg:""`
+	Name string `arg:"" name:"name"`
 	Guard
 }
 
@@ -171,7 +171,7 @@
 
 // ChangeCmd sends a whole change.
 type ChangeCmd struct {
-	File string `arg:"" help:"File with the change; - for standard input."`
+	File string `arg:"" help:"File with the change; - for standard input." name:"file"`
 }
 
 // Run sends it.
@@ -185,8 +185,8 @@
 
 // WhereCmd asks the directory.
 type WhereCmd struct {
-	Cell  string `required:"" help:"The asker's own cell."`
-	Route string `required:"" help:"The route to take."`
+	Cell  string `required:"" help:"The asker's own cell." name:"cell"`
+	Route string `required:"" help:"The route to take." name:"route"`
 }
 
 // Run asks.
@@ -206,7 +206,7 @@
 
 // PolicyCmd shows the whole policy.
 type PolicyCmd struct {
-	Local bool `help:"The registry's own copy, which may be old."`
+	Local bool `help:"The registry's own copy, which may be old." name:"local"`
 }
 
 // Run shows it.
--- a/internal/cli/merge.go
+++ b/internal/cli/merge.go
@@ -11,7 +11,7 @@
 
 // MergeCmd sends items whose versions their caller gives.
 type MergeCmd struct {
-	File string `arg:"" help:"File with the merging; - for standard input."`
+	File string `arg:"" help:"File with the merging; - for standard input." name:"file"`
 }
 
 // Run sends it. One whose end is uncertain may be sent again as it is.
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -15,27 +15,27 @@
 
 // CLI is the whole command line.
 type CLI struct {
-	At      string        `help:"HTTP address of any daemon." default:"127.0.0.1:7400" env:"DUNLINWELL_AT" placeholder:"IP:PORT"`
+	At      string        `help:"HTTP address of any daemon." default:"127.0.0.1:7400" env:"DUNLINWELL_AT" placeholder:"IP:PORT" name:"at"`
 	JSON    bool          `help:"Print answers as they come, in JSON." name:"json"`
-	Timeout time.Duration `help:"How long to wait for an answer." default:"8s"`
+	Timeout time.Duration `help:"How long to wait for an answer." default:"8s" name:"timeout"`
 
-	Service struct{ Items } `cmd:"" help:"Services: pools of targets that announce themselves."`
-	Route   struct{ Items } `cmd:"" help:"Routes: how a request finds a service."`
+	Service struct{ Items } `cmd:"" help:"Services: pools of targets that announce themselves." name:"service"`
+	Route   struct{ Items } `cmd:"" help:"Routes: how a request finds a service." name:"route"`
 	Cell    struct {
 		Items
-		Empty  EmptyCmd  `cmd:"" help:"Take a cell out of new work."`
-		Refill RefillCmd `cmd:"" help:"Bring an emptied cell back."`
-		Shut   ShutCmd   `cmd:"" help:"Send nothing more to a cell's targets; its proxies go on with those of others."`
-		Open   OpenCmd   `cmd:"" help:"Let work go to a shut cell's targets again."`
-	} `cmd:"" help:"Cells: set points, distances, emptying."`
-	Change  ChangeCmd `cmd:"" help:"Send a whole change; all of it or nothing takes effect."`
-	Merge   MergeCmd  `cmd:"" help:"Merge items whose versions you give; for each name the highest holds."`
-	Policy  PolicyCmd `cmd:"" help:"Show the whole policy."`
-	Where   WhereCmd  `cmd:"" help:"Ask the directory where to go."`
-	Status  StatusCmd `cmd:"" help:"Show cells, moves, daemons, duties and problems."`
-	Apply   ApplyCmd  `cmd:"" help:"Send Kubernetes-style objects as one whole change."`
-	Runbook BookCmd   `cmd:"" help:"Executable runbooks: each step a command with a check of its result."`
-	Core    CoreCmd   `cmd:"" help:"For the store that is left after a great loss."`
+		Empty  EmptyCmd  `cmd:"" help:"Take a cell out of new work." name:"empty"`
+		Refill RefillCmd `cmd:"" help:"Bring an emptied cell back." name:"refill"`
+		Shut   ShutCmd   `cmd:"" help:"Send nothing more to a cell's targets; its proxies go on with those of others." name:"shut"`
+		Open   OpenCmd   `cmd:"" help:"Let work go to a shut cell's targets again." name:"open"`
+	} `cmd:"" help:"Cells: set points, distances, emptying." name:"cell"`
+	Change  ChangeCmd `cmd:"" help:"Send a whole change; all of it or nothing takes effect." name:"change"`
+	Merge   MergeCmd  `cmd:"" help:"Merge items whose versions you give; for each name the highest holds." name:"merge"`
+	Policy  PolicyCmd `cmd:"" help:"Show the whole policy." name:"policy"`
+	Where   WhereCmd  `cmd:"" help:"Ask the directory where to go." name:"where"`
+	Status  StatusCmd `cmd:"" help:"Show cells, moves, daemons, duties and problems." name:"status"`
+	Apply   ApplyCmd  `cmd:"" help:"Send Kubernetes-style objects as one whole change." name:"apply"`
+	Runbook BookCmd   `cmd:"" help:"Executable runbooks: each step a command with a check of its result." name:"runbook"`
+	Core    CoreCmd   `cmd:"" help:"For the store that is left after a great loss." name:"core"`
 }
 
 // StatusCmd shows how things stand.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -20,15 +20,15 @@
 
 // Common are the params of every daemon.
 type Common struct {
-	Params   kong.ConfigFlag `help:"JSON file of params, named like the flags; flags win." placeholder:"FILE"`
-	Name     string          `help:"This daemon's name, the same over restarts." required:"" placeholder:"NAME"`
-	Address  string          `help:"IP number and port for our own processes, as peers are told it." required:"" placeholder:"IP:PORT"`
-	Bind     string          `help:"Where to listen for our own processes, if not at the address." placeholder:"IP:PORT"`
+	Params   kong.ConfigFlag `help:"JSON file of params, named like the flags; flags win." placeholder:"FILE" name:"params"`
+	Name     string          `help:"This daemon's name, the same over restarts." required:"" placeholder:"NAME" name:"name"`
+	Address  string          `help:"IP number and port for our own processes, as peers are told it." required:"" placeholder:"IP:PORT" name:"address"`
+	Bind     string          `help:"Where to listen for our own processes, if not at the address." placeholder:"IP:PORT" name:"bind"`
 	HTTP     string          `help:"IP number and port for HTTP." name:"http" required:"" placeholder:"IP:PORT"`
-	Cell     string          `help:"The cell this daemon stands in." required:"" placeholder:"CELL"`
-	Seeds    []string        `help:"Addresses of the three stores to begin from." required:"" placeholder:"IP:PORT,..."`
+	Cell     string          `help:"The cell this daemon stands in." required:"" placeholder:"CELL" name:"cell"`
+	Seeds    []string        `help:"Addresses of the three stores to begin from." required:"" placeholder:"IP:PORT,..." name:"seeds"`
 	HTTPBind string          `help:"Where to listen for HTTP, if not at that address." placeholder:"IP:PORT" name:"http-bind"`
-	Log      string          `help:"Least level to log: debug, info, warn or error." default:"info" enum:"debug,info,warn,error"`
+	Log      string          `help:"Least level to log: debug, info, warn or error." default:"info" enum:"debug,info,warn,error" name:"log"`
 }
 
 var nameRule = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
--- a/internal/daemon/registry.go
+++ b/internal/daemon/registry.go
@@ -21,9 +21,9 @@
 // ForemanParams are what a registry is told at its start.
 type RegistryOptions struct {
 	config.Common
-	PlanEvery time.Duration `help:"How often the spill is planned." default:"30s"`
-	Lifetime  time.Duration `help:"How long an answer of the directory may be trusted, 3s at most." default:"2s"`
-	Thrifty   bool          `help:"Tell only of what changes, and each proxy by two registries alone; the same on all core daemons."`
+	PlanEvery time.Duration `help:"How often the spill is planned." default:"30s" name:"plan-every"`
+	Lifetime  time.Duration `help:"How long an answer of the directory may be trusted, 3s at most." default:"2s" name:"lifetime"`
+	Thrifty   bool          `help:"Tell only of what changes, and each proxy by two registries alone; the same on all core daemons." name:"thrifty"`
 	// Options that a platform's own start sets.
 	Regions        map[ids.Name]string `kong:"-"`
 	Always, Derive bool                `kong:"-"`
--- a/internal/daemon/store.go
+++ b/internal/daemon/store.go
@@ -29,12 +29,12 @@
 // StockroomParams are what a store is told at its start.
 type StoreOptions struct {
 	config.Common
-	Data   string `help:"The data folder, held by this process alone." required:"" placeholder:"DIR"`
-	Copies int    `help:"How many stores keep each item: one more than twice the disks that may be lost at once." default:"3"`
+	Data   string `help:"The data folder, held by this process alone." required:"" placeholder:"DIR" name:"data"`
+	Copies int    `help:"How many stores keep each item: one more than twice the disks that may be lost at once." default:"3" name:"copies"`
 	// Bootstrap is asked for on purpose: blank stores never found a fleet by themselves.
-	Bootstrap bool          `help:"The fleet starts for the first time, on empty disks: the seeds, all blank and all with this flag, may found it."`
-	Grace     time.Duration `help:"How long this store may go on after the polite signal, to hand its vote over or while too few others are up." default:"5s"`
-	Thrifty   bool          `help:"Compare rolls by parts and tell only of what differs, as registries do."`
+	Bootstrap bool          `help:"The fleet starts for the first time, on empty disks: the seeds, all blank and all with this flag, may found it." name:"bootstrap"`
+	Grace     time.Duration `help:"How long this store may go on after the polite signal, to hand its vote over or while too few others are up." default:"5s" name:"grace"`
+	Thrifty   bool          `help:"Compare rolls by parts and tell only of what differs, as registries do." name:"thrifty"`
 }
 
 // live runs a daemon's services while its pages are served, then lets go.
--- a/internal/knownred/judge.go
+++ b/internal/knownred/judge.go
@@ -12,7 +12,12 @@
 )
 
 // event is a line of `go test -json`, as `go doc test2json` tells it.
-type event struct{ Action, Package, Test, Output string }
+type event struct {
+	Action  string `json:"Action"`
+	Package string `json:"Package"`
+	Test    string `json:"Test"`
+	Output  string `json:"Output"`
+}
 
 // suite is what came of the tests of one package.
 type suite struct {
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -24,14 +24,14 @@
 // Params are what a proxy is told at its start.
 type Params struct {
 	config.Common
-	MaxResponse int           `help:"Largest answer of a target that is taken, in bytes." default:"4194304"`
-	ReportEvery time.Duration `help:"How often CPU time is reported." default:"2s"`
-	Inbox       int           `help:"Longest inbox of a service." default:"128"`
-	Lease       time.Duration `help:"How long requests are served by a policy and targets that can't be confirmed, 2s to 3s." default:"2500ms"`
-	Consumers   string        `help:"Where consumers come in, if not at --http." placeholder:"IP:PORT"`
-	MaxHeld     int           `help:"Most bytes of bodies and answers that are kept at once; what doesn't fit is declined." default:"268435456"`
-	Grace       time.Duration `help:"How long held requests may go on after the polite signal." default:"1700ms"`
-	DialWithin  time.Duration `help:"How long a circuit to a target may take to open." default:"1s"`
+	MaxResponse int           `help:"Largest answer of a target that is taken, in bytes." default:"4194304" name:"max-response"`
+	ReportEvery time.Duration `help:"How often CPU time is reported." default:"2s" name:"report-every"`
+	Inbox       int           `help:"Longest inbox of a service." default:"128" name:"inbox"`
+	Lease       time.Duration `help:"How long requests are served by a policy and targets that can't be confirmed, 2s to 3s." default:"2500ms" name:"lease"`
+	Consumers   string        `help:"Where consumers come in, if not at --http." placeholder:"IP:PORT" name:"consumers"`
+	MaxHeld     int           `help:"Most bytes of bodies and answers that are kept at once; what doesn't fit is declined." default:"268435456" name:"max-held"`
+	Grace       time.Duration `help:"How long held requests may go on after the polite signal." default:"1700ms" name:"grace"`
+	DialWithin  time.Duration `help:"How long a circuit to a target may take to open." default:"1s" name:"dial-within"`
 	// Edge is the dialect spoken to consumers and targets; nil for our own.
 	Edge Edge `kong:"-"`
 	// Layout is how targets' places are shared out, and Regions those of cells.
--- a/internal/proxy/places.go
+++ b/internal/proxy/places.go
@@ -16,7 +16,7 @@
 type Layout struct {
 	// ByCell gives a target's places to the proxies of its own cell first;
 	// otherwise all proxies of the fleet have equal parts.
-	ByCell bool `help:"Give a target's places to the proxies of its own cell first."`
+	ByCell bool `help:"Give a target's places to the proxies of its own cell first." name:"by-cell"`
 	// Regions are the cells that this daemon was told of, and their regions.
 	Regions map[ids.Name]string `kong:"-"`
 }
--- a/internal/scaletest/proxygroup.go
+++ b/internal/scaletest/proxygroup.go
@@ -23,14 +23,14 @@
 
 // CrewParams are what a process of hollow proxies is told.
 type ProxyGroupOptions struct {
-	First   int      `help:"Number of the first proxy." required:""`
-	Count   int      `help:"How many proxies." required:""`
-	Cells   int      `help:"Cells of the fleet." required:""`
-	Rows    int      `help:"Routes in each report of CPU time." required:""`
-	Block   int      `help:"Second number of the loopback addresses." required:""`
-	Seeds   []string `help:"Addresses of three stores." required:""`
+	First   int      `help:"Number of the first proxy." required:"" name:"first"`
+	Count   int      `help:"How many proxies." required:"" name:"count"`
+	Cells   int      `help:"Cells of the fleet." required:"" name:"cells"`
+	Rows    int      `help:"Routes in each report of CPU time." required:"" name:"rows"`
+	Block   int      `help:"Second number of the loopback addresses." required:"" name:"block"`
+	Seeds   []string `help:"Addresses of three stores." required:"" name:"seeds"`
 	HTTP    string   `help:"Where to answer." name:"http" required:""`
-	Thrifty bool     `help:"As proxies with --by-cell, and a lease without end."`
+	Thrifty bool     `help:"As proxies with --by-cell, and a lease without end." name:"thrifty"`
 }
 
 // shell is one proxy without its pages, dispatchers and connections to targets.
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -171,7 +171,9 @@
 			body, _ := io.ReadAll(res.Body)
 			res.Body.Close()
 			if res.StatusCode == http.StatusOK {
-				var r struct{ Revision int64 }
+				var r struct {
+					Revision int64 `json:"revision"`
+				}
 				err := json.Unmarshal(body, &r)
 				return r.Revision, err
 			}
--- a/internal/scaletest/size.go
+++ b/internal/scaletest/size.go
@@ -67,14 +67,14 @@
 // Lists are sizes as flags give them: one number that holds for all runs, or
 // as many as there are runs.
 type Lists struct {
-	Proxies  []int `help:"Hollow proxies; several sizes, such as 50,100,200, give slopes." default:"50,100,200"`
-	Targets  []int `help:"Targets that announce themselves." default:"200"`
-	Services []int `help:"Services." default:"20"`
-	Routes   []int `help:"Routes." default:"100"`
-	Tenants  []int `help:"Tenants, each a route with a host of its own." default:"0"`
-	Cells    []int `help:"Cells." default:"12"`
-	Regions  []int `help:"Regions." default:"3"`
-	Core     []int `help:"Core machines, each a registry and a store; three of the stores vote." default:"3"`
+	Proxies  []int `help:"Hollow proxies; several sizes, such as 50,100,200, give slopes." default:"50,100,200" name:"proxies"`
+	Targets  []int `help:"Targets that announce themselves." default:"200" name:"targets"`
+	Services []int `help:"Services." default:"20" name:"services"`
+	Routes   []int `help:"Routes." default:"100" name:"routes"`
+	Tenants  []int `help:"Tenants, each a route with a host of its own." default:"0" name:"tenants"`
+	Cells    []int `help:"Cells." default:"12" name:"cells"`
+	Regions  []int `help:"Regions." default:"3" name:"regions"`
+	Core     []int `help:"Core machines, each a registry and a store; three of the stores vote." default:"3" name:"core"`
 }
 
 // Sizes gives one size a run, or says which list doesn't fit the others.
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -94,7 +94,9 @@
 		return
 	}
 	// The proxies may have been told of changes that this disk never saw.
-	var own, theirs struct{ Revision ids.Revision }
+	var own, theirs struct {
+		Revision ids.Revision `json:"revision"`
+	}
 	_ = json.Unmarshal(s.LocalValue(policy.Key), &own)
 	if json.Unmarshal(s.survivingPolicy.Policy, &theirs) == nil && theirs.Revision > own.Revision {
 		s.ForceValue(policy.Key, s.survivingPolicy.Policy)
--- a/internal/testbed/circuits.go
+++ b/internal/testbed/circuits.go
@@ -105,7 +105,10 @@
 
 // judge tells whether an answer is the one to this very request.
 func judge(raw []byte, uri, mark string) string {
-	var b struct{ URI, Mark string }
+	var b struct {
+		URI  string `json:"uri"`
+		Mark string `json:"mark"`
+	}
 	if err := json.Unmarshal(raw, &b); err != nil {
 		return "not the target's bytes: " + err.Error()
 	}
--- a/internal/testbed/operators.go
+++ b/internal/testbed/operators.go
@@ -161,7 +161,9 @@
 			sure = false
 			continue
 		}
-		var r struct{ Revision uint64 }
+		var r struct {
+			Revision uint64 `json:"revision"`
+		}
 		switch err := json.Unmarshal(said, &r); {
 		case res.StatusCode == http.StatusOK && err == nil:
 			o.Truth.Accept(id, r.Revision, time.Now())
--- a/internal/testbed/run.go
+++ b/internal/testbed/run.go
@@ -117,7 +117,9 @@
 		raw, _ := io.ReadAll(res.Body)
 		res.Body.Close()
 		if last = string(raw); res.StatusCode == http.StatusOK {
-			var r struct{ Revision uint64 }
+			var r struct {
+				Revision uint64 `json:"revision"`
+			}
 			err := json.Unmarshal(raw, &r)
 			s.Truth.Accept(id, r.Revision, time.Now())
 			return errs.Wrap(err, "read answer to policy", "")
--- a/internal/testbed/watch.go
+++ b/internal/testbed/watch.go
@@ -80,6 +80,14 @@
 	}
 }
 
+// movement is one move of the status page.
+type movement struct {
+	From     string  `json:"from"`
+	To       string  `json:"to"`
+	Route    string  `json:"route"`
+	Fraction float64 `json:"fraction"`
+}
+
 // moved tells the moves in force, as the status page shows them.
 func (s *Stage) moved() string {
 	for _, f := range s.registries() {
@@ -88,20 +96,14 @@
 			continue
 		}
 		var st struct {
-			Moves []struct {
-				From, To, Route string
-				Fraction        float64
-			}
+			Moves []movement `json:"moves"`
 		}
 		err = json.NewDecoder(res.Body).Decode(&st)
 		res.Body.Close()
 		if err != nil {
 			continue
 		}
-		slices.SortFunc(st.Moves, func(a, b struct {
-			From, To, Route string
-			Fraction        float64
-		}) int {
+		slices.SortFunc(st.Moves, func(a, b movement) int {
 			return cmp.Or(cmp.Compare(s.tiers()[ids.Name(a.Route)], s.tiers()[ids.Name(b.Route)]), cmp.Compare(a.To, b.To))
 		})
 		out := ""
