--- /dev/null
+++ b/internal/compat/policy_test.go
@@ -0,0 +1,37 @@
+package compat
+
+import (
+	"testing"
+
+	"github.com/matryer/is"
+
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/policy"
+)
+
+// The policy goes to proxies whole without its history, or as what changed since
+// a revision; both lead to the same policy.
+func TestPolicyForProxies(t *testing.T) {
+	is := is.New(t)
+	values, _ := writeSample(t, memoryDisk{})
+	whole, err := policy.Open(values[policy.Key])
+	is.NoErr(err)
+	older, err := policy.Open(nil)
+	is.NoErr(err)
+	ops := policy.Ops()
+	var early []byte
+	for _, o := range sampleChanges()[:3] {
+		early, _ = ops[o.op](o.key, early, o.arg)
+	}
+	older, err = older.Advance(early)
+	is.NoErr(err)
+	is.Equal(older.Revision, ids.Revision(3))
+	checkGolden(t, "policy.txt", map[string]string{
+		"kept":    string(whole.Pack(true)),
+		"whole":   string(whole.Pack(false)),
+		"since 3": string(whole.Since(3)),
+	})
+	next, err := older.Advance(whole.Since(3))
+	is.NoErr(err)
+	is.Equal(string(next.Pack(false)), string(whole.Pack(false)))
+}
--- /dev/null
+++ b/internal/compat/records_test.go
@@ -0,0 +1,132 @@
+package compat
+
+import (
+	"encoding/hex"
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/matryer/is"
+
+	"dunlinwell/internal/consensus"
+	"dunlinwell/internal/event"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/store"
+)
+
+// memoryDisk keeps records by key.
+type memoryDisk map[ids.Key][]byte
+
+// Get finds a record.
+func (d memoryDisk) Get(key ids.Key) ([]byte, bool) {
+	raw, ok := d[key]
+	return raw, ok
+}
+
+// Scan lists up to n records of registers behind a key.
+func (d memoryDisk) Scan(after ids.Key, n int) []event.Record {
+	var out []event.Record
+	for _, key := range slices.Sorted(maps.Keys(d)) {
+		if key > after && key < "item0" && len(out) < n {
+			out = append(out, event.Record{Key: key, Value: d[key]})
+		}
+	}
+	return out
+}
+
+// write does what an acceptor asks of its disk.
+func (d memoryDisk) write(commands []event.Command) {
+	for _, command := range commands {
+		sync, ok := command.(event.Sync)
+		if !ok {
+			continue
+		}
+		for _, record := range sync.Records {
+			if record.Delete {
+				delete(d, record.Key)
+			} else {
+				d[record.Key] = record.Value
+			}
+		}
+	}
+}
+
+// writeSample has an acceptor accept the values that the sample orders lead to,
+// and gives those values and what was told of each order. Ballots count up from 1.
+func writeSample(t *testing.T, disk memoryDisk) (values map[ids.Key][]byte, answers [][]byte) {
+	t.Helper()
+	var out event.Outbox
+	acceptor := consensus.NewAcceptor(1, disk, &out)
+	acceptor.AdoptVoterSet(consensus.VoterSet{Number: 3, Voters: []consensus.Voter{{ID: 1, Address: "10.0.0.1:1"}, {ID: 2, Address: "10.0.0.2:1"}},
+		Previous: []consensus.Voter{{ID: 9, Address: "10.0.0.9:1"}}, Learners: []uint64{2}, Loss: 1})
+	acceptor.MarkComplete()
+	values = map[ids.Key][]byte{}
+	ops, count := store.Ops(), uint64(0)
+	for _, o := range append(sampleChanges(), sampleOthers(t)...) {
+		next, told := ops[o.op](o.key, values[o.key], o.arg)
+		if told == nil {
+			t.Fatalf("%s: nothing was told of %.80s", o.key, o.arg)
+		}
+		values[o.key] = next
+		answers = append(answers, told)
+		count++
+		ballot := ids.Ballot{Count: count, By: 1<<24 | 5}
+		acceptor.Accept("10.0.0.2:1", consensus.Accept{Key: o.key, Ballot: ballot, Next: ids.Ballot{Count: count + 1, By: ballot.By}, VoterSet: 3, Value: next})
+		disk.write(out.Drain())
+	}
+	return values, answers
+}
+
+// What a store keeps on disk has the keys and the bytes that it had: the voter
+// set, its standing, duties, idempotency keys, and the policy as a base with
+// differences behind it, each with its checksum.
+func TestRecordsOnDisk(t *testing.T) {
+	is := is.New(t)
+	disk := memoryDisk{}
+	values, answers := writeSample(t, disk)
+	got := map[string]string{}
+	for key, raw := range disk {
+		got["record "+string(key)] = hex.EncodeToString(raw)
+	}
+	for key, value := range values {
+		got["value "+string(key)] = hex.EncodeToString(value)
+	}
+	for i, answer := range answers {
+		got[fmt.Sprintf("answer %02d", i)] = hex.EncodeToString(answer)
+	}
+	checkGolden(t, "records.txt", got)
+	is.True(strings.HasPrefix(got["record diff/policy/00000000"], "6477"))
+}
+
+// The golden records are read back to the golden values.
+func TestRecordsAreReadBack(t *testing.T) {
+	is := is.New(t)
+	disk, values := memoryDisk{}, map[ids.Key][]byte{}
+	for name, text := range readGolden(t, "testdata/records.txt") {
+		raw, err := hex.DecodeString(text)
+		is.NoErr(err)
+		kind, key, _ := strings.Cut(name, " ")
+		switch kind {
+		case "record":
+			disk[ids.Key(key)] = raw
+		case "value":
+			values[ids.Key(key)] = raw
+		}
+	}
+	is.NoErr(consensus.CheckDisk(disk))
+	var out event.Outbox
+	acceptor := consensus.NewAcceptor(1, disk, &out)
+	is.Equal(acceptor.VoterSet().Number, uint64(3))
+	is.Equal(acceptor.VoterSet().Learners, []uint64{2})
+	is.Equal(acceptor.VoterSet().Previous[0].Address, ids.Address("10.0.0.9:1"))
+	is.Equal(acceptor.Standing(), consensus.Complete)
+	is.True(len(values) > 4)
+	for key, want := range values {
+		t.Run(fmt.Sprint(key), func(t *testing.T) {
+			_, value := acceptor.Value(key)
+			is.New(t).Equal(string(value), string(want))
+		})
+	}
+}
--- /dev/null
+++ b/internal/compat/sample_test.go
@@ -0,0 +1,73 @@
+package compat
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"dunlinwell/internal/consensus"
+	"dunlinwell/internal/election"
+	"dunlinwell/internal/idempotency"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/policy"
+	"dunlinwell/internal/wire"
+)
+
+// order is one operation on a register, as a client asks for it.
+type order struct {
+	key ids.Key
+	op  consensus.Op
+	arg []byte
+}
+
+// many gives a change that puts more services than fit into the smallest value
+// that is kept as differences.
+func many() string {
+	var parts []string
+	for i := range 80 {
+		parts = append(parts, fmt.Sprintf(`{"kind":"service","name":"many-%d","put":{"tier":%d,"capacity":%d,"warm_ms":250}}`, i, i%9, 10+i))
+	}
+	return `{"id":"many","changes":[` + strings.Join(parts, ",") + `]}`
+}
+
+// sampleChanges are orders on the policy: changes that are accepted and declined,
+// one with a base in its id, items with versions of their own and orders for cells.
+func sampleChanges() []order {
+	change := func(text string) order { return order{policy.Key, policy.OpChange, []byte(text)} }
+	merge := func(text string) order { return order{policy.Key, policy.OpMerge, []byte(text)} }
+	return []order{
+		change(`{"id":"first","changes":[{"kind":"service","name":"ledger","put":{"tier":8,"capacity":40}},{"kind":"route","name":"orders","put":{"prefix":"/orders","service":"ledger","repeatable":false}},{"kind":"cell","name":"north","put":{"region":"isle","target":70,"acceptable":50,"maximum":90}}]}`),
+		change(many()),
+		change(`{"id":"at-2-second","changes":[{"kind":"route","name":"orders","version":1,"set":{"limit_ms":900}}]}`),
+		change(`{"id":"stale","changes":[{"kind":"route","name":"orders","version":1,"set":{"limit_ms":100}}]}`),
+		change(`{"id":"removal","changes":[{"kind":"service","name":"many-7","remove":true}]}`),
+		merge(`{"items":[{"kind":"service","name":"given","version":70,"body":{"tier":3},"source":{"name":"given","note":"<&>"}},{"kind":"service","name":"gone","version":9,"removed":true}]}`),
+		merge(`{"items":[{"kind":"service","name":"given","version":71,"body":{"tier":4},"source":{"name":"given"}}]}`),
+		{policy.Key, policy.OpOrderCell, []byte(`{"cell":"north","region":"isle","shut":true,"known":1}`)},
+		change(`{"id":"limits","changes":[{"kind":"limits","name":"limits","put":{"max_body":100000}}]}`),
+	}
+}
+
+// sampleOthers are orders on the registers of duties and of idempotency keys.
+func sampleOthers(t *testing.T) []order {
+	t.Helper()
+	packed := func(msg any) []byte {
+		raw, err := wire.Encode(msg)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return raw
+	}
+	owner := idempotency.Owner{Daemon: "proxy-1", Start: 77, Request: 5}
+	claim := packed(idempotency.Operation{Owner: owner, Attempt: 1, Print: []byte("print")})
+	response := idempotency.Response{Status: 201, Header: []idempotency.Header{{Name: "X-Part", Value: "seven"}}, Body: []byte("done"), Digest: "sum"}
+	over, let, clear := idempotency.Key("orders", "key-1"), idempotency.Key("orders", "key-2"), idempotency.Key("orders", "key-3")
+	return []order{
+		{election.Key("planner"), election.OpTake, packed(election.Term{Epoch: 4, Holder: "registry-1", Start: 99})},
+		{over, idempotency.OpClaim, claim},
+		{over, idempotency.OpOutcome, packed(idempotency.Operation{Owner: owner, Attempt: 1, Response: response})},
+		{let, idempotency.OpClaim, claim},
+		{clear, idempotency.OpBar, packed(idempotency.Operation{Owner: owner, Attempt: 3})},
+		{clear, idempotency.OpEnter, packed(idempotency.Operation{Owner: owner, Print: []byte("print")})},
+	}
+}
