--- /dev/null
+++ b/internal/compat/core_test.go
@@ -0,0 +1,121 @@
+package compat
+
+import (
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"dunlinwell/internal/consensus"
+	"dunlinwell/internal/event"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/membership"
+	"dunlinwell/internal/storage"
+	"dunlinwell/internal/store"
+)
+
+// coreAddresses are those of the three stores.
+var coreAddresses = []ids.Address{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}
+
+// clientAddress is where answers to orders go.
+const clientAddress = ids.Address("10.0.0.99:1")
+
+// letter is a message on its way.
+type letter struct {
+	from, to ids.Address
+	msg      any
+}
+
+// core is three stores on real storage, with a network that loses nothing.
+type core struct {
+	now     ids.Time
+	stores  map[ids.Address]*store.Store
+	disks   map[ids.Address]*storage.Database
+	queue   []letter
+	answers map[uint64]consensus.Response
+}
+
+// newCore starts three stores on blank folders, the first on a given one.
+func newCore(t *testing.T, folder string) *core {
+	t.Helper()
+	c := &core{now: ids.Time(time.Second), stores: map[ids.Address]*store.Store{}, disks: map[ids.Address]*storage.Database{}, answers: map[uint64]consensus.Response{}}
+	for i, address := range coreAddresses {
+		if i > 0 {
+			folder = t.TempDir()
+		}
+		disk, err := storage.OpenChecked(folder, func(d *storage.Database) error { return consensus.CheckDisk(d) })
+		if err != nil {
+			t.Fatal(err)
+		}
+		c.disks[address] = disk
+		self := membership.Member{ID: ids.Daemon("store-" + string('1'+rune(i))), Role: membership.Store, Address: address, Zone: "north", Start: 1, Incarnation: 1}
+		c.stores[address] = store.New(store.Options{Options: membership.Options{Self: self, Seeds: coreAddresses}, Replicas: 3,
+			Store: disk.Store, Run: disk.Run, Storage: disk, Random: rand.New(rand.NewPCG(uint64(i), 1)), Bootstrap: true})
+	}
+	return c
+}
+
+// close lets go of all folders.
+func (c *core) close(t *testing.T) {
+	t.Helper()
+	for _, disk := range c.disks {
+		if err := disk.Close(); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// perform does what a store wants done.
+func (c *core) perform(t *testing.T, at ids.Address, commands []event.Command) {
+	t.Helper()
+	for _, command := range commands {
+		switch x := command.(type) {
+		case event.Send:
+			c.queue = append(c.queue, letter{at, x.To, x.Msg})
+		case event.Sync:
+			if err := c.disks[at].Write(x.Records); err != nil {
+				t.Fatal(err)
+			}
+			c.perform(t, at, x.Then)
+			c.perform(t, at, c.stores[at].Step(c.now, event.Synced{Turn: x.Turn}))
+		}
+	}
+}
+
+// run lets time pass until something holds, or gives up.
+func (c *core) run(t *testing.T, until func() bool) {
+	t.Helper()
+	for end := c.now.Add(20 * time.Second); !until(); c.now = c.now.Add(20 * time.Millisecond) {
+		if c.now > end {
+			t.Fatal("it takes too long")
+		}
+		for _, address := range coreAddresses {
+			c.perform(t, address, c.stores[address].Step(c.now, event.Tick{}))
+		}
+		c.deliver(t)
+	}
+}
+
+// deliver hands over all messages that are on their way.
+func (c *core) deliver(t *testing.T) {
+	t.Helper()
+	for len(c.queue) > 0 {
+		l := c.queue[0]
+		c.queue = c.queue[1:]
+		if s := c.stores[l.to]; s != nil {
+			c.perform(t, l.to, s.Step(c.now, event.Received{From: l.from, Msg: l.msg}))
+		} else if r, ok := l.msg.(consensus.Response); ok && l.to == clientAddress {
+			c.answers[r.ID] = r
+		}
+	}
+}
+
+// order sends an order to the first store and waits for its answer.
+func (c *core) order(t *testing.T, o order) {
+	t.Helper()
+	id := uint64(len(c.answers) + 1)
+	c.queue = append(c.queue, letter{clientAddress, coreAddresses[0], consensus.Request{ID: id, Key: o.key, Op: o.op, Arg: o.arg, Wait: 2000, Try: 1}})
+	c.run(t, func() bool { _, told := c.answers[id]; return told })
+	if c.answers[id].State != consensus.Done {
+		t.Fatalf("%s: %s", o.key, c.answers[id].State)
+	}
+}
--- /dev/null
+++ b/internal/compat/folder_test.go
@@ -0,0 +1,117 @@
+package compat
+
+import (
+	"encoding/hex"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/matryer/is"
+
+	"dunlinwell/internal/consensus"
+	"dunlinwell/internal/ids"
+	"dunlinwell/internal/membership"
+	"dunlinwell/internal/policy"
+	"dunlinwell/internal/storage"
+	"dunlinwell/internal/store"
+)
+
+// The folder was written once, by commit 1724ad4, and isn't to be written anew:
+// a later format gets a folder of its own.
+var writeFolder = flag.String("write-folder", "", "write a data folder with today's code to this new path, and do nothing else")
+
+const (
+	oldFolder    = "testdata/folder-1724ad4"
+	databaseName = "stockroom.db"
+	contentName  = "content.txt"
+)
+
+// content gives what a store's folder holds, as it is read through a store.
+func content(t *testing.T, disk *storage.Database) map[string]string {
+	t.Helper()
+	is := is.New(t)
+	is.NoErr(consensus.CheckDisk(disk))
+	s := store.New(store.Options{Options: membership.Options{Self: membership.Member{ID: "store-1", Address: "127.0.0.1:1"}},
+		Replicas: 3, Store: disk.Store, Run: disk.Run, Storage: disk})
+	set := s.VoterSet()
+	got := map[string]string{
+		"store":    fmt.Sprintf("%x", disk.Store),
+		"standing": fmt.Sprint(uint8(s.Standing())),
+		"voters":   fmt.Sprintf("number %d loss %d", set.Number, set.Loss),
+		"policy":   string(s.LocalValue(policy.Key)),
+	}
+	for i, v := range set.Voters {
+		got[fmt.Sprintf("voter %d", i)] = fmt.Sprintf("%x at %s", v.ID, v.Address)
+	}
+	for _, o := range sampleOthers(t) {
+		got["value "+string(o.key)] = hex.EncodeToString(s.LocalValue(o.key))
+	}
+	for after := ids.Key(""); ; {
+		list := disk.Scan(after, 1)
+		if len(list) == 0 {
+			break
+		}
+		after = list[0].Key
+		got["record "+string(after)] = hex.EncodeToString(list[0].Value)
+	}
+	for _, key := range []ids.Key{"meta/store", "meta/roster", "meta/standing", "meta/founding", "meta/roll"} {
+		raw, ok := disk.Get(key)
+		is.True(ok)
+		got["record "+string(key)] = hex.EncodeToString(raw)
+	}
+	return got
+}
+
+// TestWriteFolder makes the folder that the next test reads: a store founded with
+// two others, given all sample orders.
+func TestWriteFolder(t *testing.T) {
+	is := is.New(t)
+	folder := t.TempDir()
+	if *writeFolder != "" {
+		is.NoErr(os.Mkdir(*writeFolder, 0o750))
+		folder = *writeFolder
+	}
+	c := newCore(t, folder)
+	c.run(t, func() bool { return c.stores[coreAddresses[0]].MayVote() })
+	for _, o := range append(sampleChanges(), sampleOthers(t)...) {
+		c.order(t, o)
+	}
+	c.close(t)
+	disk, err := storage.Open(folder)
+	is.NoErr(err)
+	got := content(t, disk)
+	is.NoErr(disk.Close())
+	is.True(got["record diff/policy/00000000"] != "")
+	if *writeFolder != "" {
+		is.NoErr(os.Remove(filepath.Join(folder, "lock")))
+		writeGolden(t, filepath.Join(folder, contentName), got)
+	}
+}
+
+// A store takes up a folder that commit 1724ad4 wrote, and finds everything in it.
+func TestAStoreTakesUpAFolderOf1724ad4(t *testing.T) {
+	is := is.New(t)
+	raw, err := os.ReadFile(filepath.Join(oldFolder, databaseName))
+	is.NoErr(err)
+	folder := t.TempDir()
+	is.NoErr(os.WriteFile(filepath.Join(folder, databaseName), raw, 0o600))
+	disk, err := storage.Open(folder)
+	is.NoErr(err)
+	defer disk.Close()
+	is.Equal(disk.SetAside, "")
+	got := content(t, disk)
+	want := readGolden(t, filepath.Join(oldFolder, contentName))
+	is.Equal(len(got), len(want))
+	for name, text := range want {
+		if got[name] != text {
+			t.Errorf("%s:\n got %s\nwant %s", name, got[name], text)
+		}
+	}
+	p, err := policy.Open([]byte(got["policy"]))
+	is.NoErr(err)
+	is.Equal(p.Revision, ids.Revision(8))
+	is.Equal(string(p.Services["ledger"].Body), `{"tier":8,"capacity":40}`)
+	is.Equal(len(p.Declined), 1)
+}
