--- a/internal/compat/filler_test.go
+++ b/internal/compat/filler_test.go
@@ -1,6 +1,7 @@
 package compat
 
 import (
+	"encoding/json"
 	"fmt"
 	"reflect"
 	"testing"
@@ -37,6 +38,14 @@
 // fill fills a value by its kind.
 func (f *filler) fill(t *testing.T, v reflect.Value) {
 	t.Helper()
+	switch v.Interface().(type) {
+	case json.RawMessage:
+		v.SetBytes(fmt.Appendf(nil, `{"raw":%d}`, f.next()))
+		return
+	case json.Number:
+		v.SetString(fmt.Sprint(f.next()))
+		return
+	}
 	switch v.Kind() {
 	case reflect.Bool:
 		v.SetBool(f.next()%2 == 1 || !f.alternate)
--- /dev/null
+++ b/internal/compat/json_test.go
@@ -0,0 +1,104 @@
+package compat
+
+import (
+	"encoding/json"
+	"reflect"
+	"testing"
+
+	"github.com/matryer/is"
+
+	"dunlinwell/internal/api"
+	"dunlinwell/internal/policy"
+	"dunlinwell/internal/proxy"
+	"dunlinwell/internal/registry"
+	"dunlinwell/internal/runbook"
+	"dunlinwell/internal/targets"
+	"dunlinwell/internal/testbed"
+)
+
+// jsonTypes are the types that are written to JSON or read from it, under names
+// of the golden file's own.
+var jsonTypes = map[string]reflect.Type{
+	"answer of one item":       reflect.TypeFor[api.Item](),
+	"answer of the revision":   reflect.TypeFor[api.Revision](),
+	"answer with a problem":    reflect.TypeFor[registry.Problem](),
+	"answer of the directory":  reflect.TypeFor[registry.Resolution](),
+	"answer of the status":     reflect.TypeFor[registry.Status](),
+	"announcement of a target": reflect.TypeFor[targets.Target](),
+	"page of a target":         reflect.TypeFor[proxy.Shown](),
+	"policy":                   reflect.TypeFor[policy.Policy](),
+	"change":                   reflect.TypeFor[policy.Change](),
+	"result of a change":       reflect.TypeFor[policy.Result](),
+	"merge":                    reflect.TypeFor[policy.Merge](),
+	"order for a cell":         reflect.TypeFor[policy.CellOrder](),
+	"body of a service":        reflect.TypeFor[policy.Service](),
+	"body of a route":          reflect.TypeFor[policy.Route](),
+	"body of a cell":           reflect.TypeFor[policy.Cell](),
+	"body of limits":           reflect.TypeFor[policy.Limits](),
+	"runbook":                  reflect.TypeFor[runbook.Book](),
+	"script of the testbed":    reflect.TypeFor[testbed.Script](),
+}
+
+// filledJSON gives a value with every field filled.
+func filledJSON(t *testing.T, of reflect.Type) any {
+	t.Helper()
+	v := reflect.New(of)
+	f := filler{open: map[reflect.Type]bool{}}
+	f.fill(t, v.Elem())
+	return v.Interface()
+}
+
+// Every type that is written to JSON or read from it has the keys that it had.
+func TestTypesInJSON(t *testing.T) {
+	got := map[string]string{}
+	for name, of := range jsonTypes {
+		raw, err := json.Marshal(filledJSON(t, of))
+		if err != nil {
+			t.Fatalf("%s: %v", name, err)
+		}
+		got[name] = string(raw)
+	}
+	checkGolden(t, "json.txt", got)
+}
+
+// Each golden text is read whole: written again it is the same.
+func TestJSONIsReadBack(t *testing.T) {
+	for name, text := range readGolden(t, "testdata/json.txt") {
+		t.Run(name, func(t *testing.T) {
+			is := is.New(t)
+			v := reflect.New(jsonTypes[name])
+			is.NoErr(json.Unmarshal([]byte(text), v.Interface()))
+			raw, err := json.Marshal(v.Interface())
+			is.NoErr(err)
+			is.Equal(string(raw), text)
+		})
+	}
+}
+
+// keysHaveTags reports each field that would be named in JSON by its Go name.
+func keysHaveTags(t *testing.T, of reflect.Type, seen map[reflect.Type]bool) {
+	t.Helper()
+	switch of.Kind() {
+	case reflect.Pointer, reflect.Slice, reflect.Array, reflect.Map:
+		keysHaveTags(t, of.Elem(), seen)
+	case reflect.Struct:
+		if seen[of] {
+			return
+		}
+		seen[of] = true
+		for i := range of.NumField() {
+			field := of.Field(i)
+			if _, tagged := field.Tag.Lookup("json"); field.IsExported() && !tagged && !field.Anonymous {
+				t.Errorf("%s.%s has no json tag", of, field.Name)
+			}
+			keysHaveTags(t, field.Type, seen)
+		}
+	}
+}
+
+// No key in JSON follows from the Go name of a field.
+func TestKeysHaveTags(t *testing.T) {
+	for _, of := range jsonTypes {
+		keysHaveTags(t, of, map[reflect.Type]bool{})
+	}
+}
