--- /dev/null
+++ b/internal/compat/settings_test.go
@@ -0,0 +1,135 @@
+package compat
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/alecthomas/kong"
+	"github.com/matryer/is"
+
+	"dunlinwell/internal/cli"
+	"dunlinwell/internal/config"
+	"dunlinwell/internal/daemon"
+	"dunlinwell/internal/proxy"
+)
+
+// programs are those that read flags, with what the flags are read into.
+func programs() map[string]any {
+	return map[string]any{"proxy": &proxy.Params{}, "registry": &daemon.RegistryOptions{}, "store": &daemon.StoreOptions{}, "dunlinwell": &cli.CLI{}}
+}
+
+// describe notes the flags, arguments and commands of a program.
+func describe(node *kong.Node, path string, got map[string]string) {
+	for _, f := range node.Flags {
+		if f.Name != "help" {
+			got[path+" --"+f.Name] = fmt.Sprintf("type %s default %q enum %q short %q env %q required %t", f.Target.Kind(), f.Default, f.Enum, string(f.Short), f.Envs, f.Required)
+		}
+	}
+	for _, p := range node.Positional {
+		got[path+" <"+p.Name+">"] = fmt.Sprintf("type %s required %t", p.Target.Kind(), p.Required)
+	}
+	for _, child := range node.Children {
+		got[path+" "+child.Name] = "command"
+		describe(child, path+" "+child.Name, got)
+	}
+}
+
+// All flags, arguments and commands have the names, kinds and defaults they had.
+func TestFlags(t *testing.T) {
+	got := map[string]string{}
+	for name, into := range programs() {
+		k, err := kong.New(into, kong.Name(name))
+		if err != nil {
+			t.Fatal(err)
+		}
+		describe(k.Model.Node, name, got)
+	}
+	checkGolden(t, "flags.txt", got)
+}
+
+// example is a value of each flag other than its default.
+var example = map[string]string{
+	"name": "one-1", "address": "10.0.0.1:1", "bind": "10.0.0.9:1", "http": "10.0.0.1:2", "cell": "north", "seeds": "10.0.0.1:3,10.0.0.2:3,10.0.0.3:3",
+	"http-bind": "10.0.0.9:2", "log": "warn", "max-response": "5000", "report-every": "3s", "inbox": "77", "lease": "2100ms", "consumers": "10.0.0.1:8",
+	"max-held": "6000", "grace": "1s", "dial-within": "700ms", "by-cell": "true", "plan-every": "4s", "lifetime": "1500ms", "thrifty": "true",
+	"data": "folder", "copies": "5", "bootstrap": "true",
+}
+
+// flagsOf gives the names of the flags of a daemon's options.
+func flagsOf(t *testing.T, into any) []string {
+	t.Helper()
+	k, err := kong.New(into)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var out []string
+	for _, f := range k.Model.Flags {
+		if f.Name != "help" && f.Name != "params" {
+			out = append(out, f.Name)
+		}
+	}
+	return out
+}
+
+// readWith reads a daemon's options with config.Read from words of a command line.
+func readWith(name string, into any, words []string) {
+	before := os.Args
+	defer func() { os.Args = before }()
+	os.Args = append([]string{name}, words...)
+	config.Read(name, "", into)
+}
+
+// Each flag of a daemon comes through to its options, given on the command line
+// or in a file of params, in which its name may have underscores.
+func TestSettingsOfADaemonComeThrough(t *testing.T) {
+	got := map[string]string{}
+	for name, blank := range programs() {
+		if name == "dunlinwell" {
+			continue
+		}
+		t.Run(name, func(t *testing.T) {
+			is := is.New(t)
+			fresh := func() any { return reflect.New(reflect.TypeOf(blank).Elem()).Interface() }
+			byFlags, byFile := fresh(), fresh()
+			var words, lines []string
+			for _, flag := range flagsOf(t, fresh()) {
+				is.True(example[flag] != "")
+				words = append(words, "--"+flag+"="+example[flag])
+				lines = append(lines, fmt.Sprintf("%q: %q", strings.ReplaceAll(flag, "-", "_"), example[flag]))
+			}
+			readWith(name, byFlags, words)
+			file := filepath.Join(t.TempDir(), "params.json")
+			is.NoErr(os.WriteFile(file, []byte("{"+strings.Join(lines, ",")+"}"), 0o600))
+			readWith(name, byFile, []string{"--params", file})
+			flags, params := values(byFlags), values(byFile)
+			is.Equal(flags, params)
+			got[name] = strings.Join(flags, " ")
+		})
+	}
+	checkGolden(t, "settings.txt", got)
+}
+
+// values gives what options hold, in the order of their fields and without the
+// fields' names.
+func values(options any) []string {
+	var out []string
+	var walk func(v reflect.Value)
+	walk = func(v reflect.Value) {
+		for i := range v.NumField() {
+			field := v.Field(i)
+			switch {
+			case v.Type().Field(i).Type == reflect.TypeFor[kong.ConfigFlag]() || v.Type().Field(i).Tag.Get("kong") == "-":
+			case field.Kind() == reflect.Struct:
+				walk(field)
+			default:
+				out = append(out, fmt.Sprint(field.Interface()))
+			}
+		}
+	}
+	walk(reflect.ValueOf(options).Elem())
+	return out
+}
