--- /dev/null
+++ b/internal/compat/metrics_test.go
@@ -0,0 +1,39 @@
+package compat
+
+import (
+	"net/http"
+	"net/http/httptest"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/matryer/is"
+
+	"dunlinwell/internal/daemon"
+	"dunlinwell/internal/registry"
+)
+
+// The page of metrics names a registry's figures, and their labels, as it did.
+// The figures of the program itself, which its libraries name, are left out.
+func TestMetricsOfARegistry(t *testing.T) {
+	is := is.New(t)
+	status := filledJSON(t, reflect.TypeFor[registry.Status]()).(*registry.Status)
+	m := http.NewServeMux()
+	daemon.Metrics(m, func() []daemon.Gauge {
+		var out []daemon.Gauge
+		for _, f := range status.Figures() {
+			out = append(out, daemon.Gauge{Name: f.Name, Labels: f.Labels, Values: f.Values, Value: f.Value})
+		}
+		return out
+	})
+	rw := httptest.NewRecorder()
+	m.ServeHTTP(rw, httptest.NewRequest(http.MethodGet, "/metrics", nil))
+	is.Equal(rw.Code, http.StatusOK)
+	got := map[string]string{}
+	for line := range strings.Lines(rw.Body.String()) {
+		if name, value, ok := strings.Cut(strings.TrimSpace(line), " "); ok && strings.HasPrefix(name, "dunlinwell_") && name != "dunlinwell_lock_wait_seconds_total" {
+			got[name] = value
+		}
+	}
+	checkGolden(t, "metrics.txt", got)
+}
