--- a/internal/compat/answers_test.go
+++ b/internal/testsupport/compat/answers_test.go
@@ -10,11 +10,11 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/api"
-	"dunlinwell/internal/daemon"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/policy"
-	"dunlinwell/internal/registry"
+	"dunlinwell/internal/app/api"
+	"dunlinwell/internal/app/daemon"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/registry"
+	"dunlinwell/internal/state/policy"
 	"dunlinwell/platform"
 )
 
--- a/internal/compat/core_test.go
+++ b/internal/testsupport/compat/core_test.go
@@ -5,12 +5,12 @@
 	"testing"
 	"time"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/storage"
-	"dunlinwell/internal/store"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/store"
+	"dunlinwell/internal/state/consensus"
+	"dunlinwell/internal/state/storage"
 )
 
 // coreAddresses are those of the three stores.
--- a/internal/compat/folder_test.go
+++ b/internal/testsupport/compat/folder_test.go
@@ -10,12 +10,12 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/policy"
-	"dunlinwell/internal/storage"
-	"dunlinwell/internal/store"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/store"
+	"dunlinwell/internal/state/consensus"
+	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/state/storage"
 )
 
 // The folder was written once, by commit 1724ad4, and isn't to be written anew:
--- a/internal/compat/json_test.go
+++ b/internal/testsupport/compat/json_test.go
@@ -7,13 +7,13 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/api"
-	"dunlinwell/internal/policy"
-	"dunlinwell/internal/proxy"
-	"dunlinwell/internal/registry"
-	"dunlinwell/internal/runbook"
-	"dunlinwell/internal/targets"
-	"dunlinwell/internal/testbed"
+	"dunlinwell/internal/app/api"
+	"dunlinwell/internal/app/runbook"
+	"dunlinwell/internal/controlplane/registry"
+	"dunlinwell/internal/controlplane/targets"
+	"dunlinwell/internal/dataplane/proxy"
+	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/testsupport/testbed"
 )
 
 // jsonTypes are the types that are written to JSON or read from it, under names
--- a/internal/compat/messages_test.go
+++ b/internal/testsupport/compat/messages_test.go
@@ -1,17 +1,17 @@
 package compat
 
 import (
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/distribution"
-	"dunlinwell/internal/election"
-	"dunlinwell/internal/idempotency"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/process"
-	"dunlinwell/internal/proxy"
-	"dunlinwell/internal/registry"
-	"dunlinwell/internal/spill"
-	"dunlinwell/internal/targets"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/distribution"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/registry"
+	"dunlinwell/internal/controlplane/spill"
+	"dunlinwell/internal/controlplane/targets"
+	"dunlinwell/internal/dataplane/proxy"
+	"dunlinwell/internal/state/consensus"
+	"dunlinwell/internal/state/election"
+	"dunlinwell/internal/state/idempotency"
+	"dunlinwell/internal/transport/process"
 )
 
 // messages holds a value of every message that other packages can name, with its
--- a/internal/compat/metrics_test.go
+++ b/internal/testsupport/compat/metrics_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/daemon"
-	"dunlinwell/internal/registry"
+	"dunlinwell/internal/app/daemon"
+	"dunlinwell/internal/controlplane/registry"
 )
 
 // The page of metrics names a registry's figures, and their labels, as it did.
--- a/internal/compat/policy_test.go
+++ b/internal/testsupport/compat/policy_test.go
@@ -5,8 +5,8 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/policy"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/state/policy"
 )
 
 // The policy goes to proxies whole without its history, or as what changed since
--- a/internal/compat/records_test.go
+++ b/internal/testsupport/compat/records_test.go
@@ -10,10 +10,10 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/store"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/store"
+	"dunlinwell/internal/state/consensus"
 )
 
 // memoryDisk keeps records by key.
--- a/internal/compat/sample_test.go
+++ b/internal/testsupport/compat/sample_test.go
@@ -5,12 +5,12 @@
 	"strings"
 	"testing"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/election"
-	"dunlinwell/internal/idempotency"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/policy"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/state/consensus"
+	"dunlinwell/internal/state/election"
+	"dunlinwell/internal/state/idempotency"
+	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/transport/wire"
 )
 
 // order is one operation on a register, as a client asks for it.
--- a/internal/compat/settings_test.go
+++ b/internal/testsupport/compat/settings_test.go
@@ -11,10 +11,10 @@
 	"github.com/alecthomas/kong"
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/cli"
-	"dunlinwell/internal/config"
-	"dunlinwell/internal/daemon"
-	"dunlinwell/internal/proxy"
+	"dunlinwell/internal/app/cli"
+	"dunlinwell/internal/app/daemon"
+	"dunlinwell/internal/base/config"
+	"dunlinwell/internal/dataplane/proxy"
 )
 
 // programs are those that read flags, with what the flags are read into.
--- a/internal/compat/wire_test.go
+++ b/internal/testsupport/compat/wire_test.go
@@ -9,17 +9,17 @@
 	"github.com/matryer/is"
 
 	// All that register messages.
-	_ "dunlinwell/internal/consensus"
-	_ "dunlinwell/internal/distribution"
-	_ "dunlinwell/internal/election"
-	_ "dunlinwell/internal/idempotency"
-	_ "dunlinwell/internal/membership"
-	_ "dunlinwell/internal/process"
-	_ "dunlinwell/internal/proxy"
-	_ "dunlinwell/internal/registry"
-	_ "dunlinwell/internal/spill"
-	_ "dunlinwell/internal/targets"
-	"dunlinwell/internal/wire"
+	_ "dunlinwell/internal/controlplane/distribution"
+	_ "dunlinwell/internal/controlplane/membership"
+	_ "dunlinwell/internal/controlplane/registry"
+	_ "dunlinwell/internal/controlplane/spill"
+	_ "dunlinwell/internal/controlplane/targets"
+	_ "dunlinwell/internal/dataplane/proxy"
+	_ "dunlinwell/internal/state/consensus"
+	_ "dunlinwell/internal/state/election"
+	_ "dunlinwell/internal/state/idempotency"
+	_ "dunlinwell/internal/transport/process"
+	"dunlinwell/internal/transport/wire"
 )
 
 // kindName is how a kind stands in the golden file, sorting by number.
