--- a/cmd/registry/main.go
+++ b/cmd/registry/main.go
@@ -4,11 +4,11 @@
 
 import (
 	"dunlinwell/internal/app/daemon"
-	"dunlinwell/internal/base/config"
+	"dunlinwell/internal/base/settings"
 )
 
 func main() {
 	var p daemon.RegistryOptions
-	config.Read("registry", "Keeps dunlinwell's targets and directory, plans the spill and takes control calls.", &p)
+	settings.Read("registry", "Keeps dunlinwell's targets and directory, plans the spill and takes control calls.", &p)
 	daemon.Exit("registry", daemon.RunRegistry(daemon.SignalContext(), p))
 }
--- a/cmd/store/main.go
+++ b/cmd/store/main.go
@@ -3,11 +3,11 @@
 
 import (
 	"dunlinwell/internal/app/daemon"
-	"dunlinwell/internal/base/config"
+	"dunlinwell/internal/base/settings"
 )
 
 func main() {
 	var p daemon.StoreOptions
-	config.Read("store", "Keeps dunlinwell's policy, marks and duties, agreed on by a majority.", &p)
+	settings.Read("store", "Keeps dunlinwell's policy, marks and duties, agreed on by a majority.", &p)
 	daemon.Exit("store", daemon.RunStore(daemon.SignalContext(), p))
 }
--- a/internal/app/api/forward.go
+++ b/internal/app/api/forward.go
@@ -13,10 +13,10 @@
 
 	"dunlinwell/internal/base/errs"
 	"dunlinwell/internal/base/ids"
-	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/state/configuration"
 )
 
-func sortedNames(m map[ids.Name]policy.Item) []ids.Name {
+func sortedNames(m map[ids.Name]configuration.Item) []ids.Name {
 	return slices.Sorted(maps.Keys(m))
 }
 
--- a/internal/app/api/fuzz_test.go
+++ b/internal/app/api/fuzz_test.go
@@ -13,8 +13,8 @@
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/controlplane/membership"
 	"dunlinwell/internal/controlplane/registry"
+	"dunlinwell/internal/state/configuration"
 	"dunlinwell/internal/state/consensus"
-	"dunlinwell/internal/state/policy"
 )
 
 // office is a registry with one store that agrees at once, behind its pages.
@@ -59,14 +59,14 @@
 // agree is the store's part.
 func (o *office) agree(r consensus.Request) consensus.Response {
 	out := o.value
-	if change := policy.Ops()[r.Op]; change != nil && r.Key == policy.Key {
+	if change := configuration.Ops()[r.Op]; change != nil && r.Key == configuration.Key {
 		o.value, out = change(r.Key, o.value, r.Arg)
 	}
 	return consensus.Response{ID: r.ID, Try: r.Try, State: consensus.Done, Result: out}
 }
 
 func (o *office) revision() ids.Revision {
-	p, err := policy.Open(o.value)
+	p, err := configuration.Open(o.value)
 	if err != nil {
 		return 0
 	}
--- a/internal/app/api/items.go
+++ b/internal/app/api/items.go
@@ -10,7 +10,7 @@
 	"dunlinwell/internal/base/errs"
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/controlplane/registry"
-	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/state/configuration"
 )
 
 // kinds are the words of the pages' paths.
@@ -25,10 +25,10 @@
 }
 
 // read asks for the policy; local only where the caller wants that.
-func (w *Server) read(rw http.ResponseWriter, r *http.Request) (*policy.Policy, bool) {
+func (w *Server) read(rw http.ResponseWriter, r *http.Request) (*configuration.Policy, bool) {
 	local := r.URL.Query().Get("local") == "true"
 	rep := w.Do(func(id uint64) any { return registry.PolicyCall{ID: id, Local: local} })
-	p, ok := rep.Body.(*policy.Policy)
+	p, ok := rep.Body.(*configuration.Policy)
 	if !ok {
 		Write(rw, rep)
 	}
@@ -53,7 +53,7 @@
 }
 
 // items finds the kind that a path names, and reads the policy.
-func (w *Server) items(rw http.ResponseWriter, r *http.Request) (string, *policy.Policy, bool) {
+func (w *Server) items(rw http.ResponseWriter, r *http.Request) (string, *configuration.Policy, bool) {
 	k, ok := kind(rw, r)
 	if !ok {
 		return k, nil, false
@@ -134,7 +134,7 @@
 	}
 	// Checked by itself first, or a body could close the part it is put into.
 	if !json.Valid(raw) {
-		Write(rw, registry.Response{Status: 400, Body: policy.Result{Faults: []policy.Fault{{Item: k + "/" + r.PathValue("name"), Problem: "is not valid JSON"}}}})
+		Write(rw, registry.Response{Status: 400, Body: configuration.Result{Faults: []configuration.Fault{{Item: k + "/" + r.PathValue("name"), Problem: "is not valid JSON"}}}})
 		return
 	}
 	w.single(rw, r, k, "put", raw)
@@ -174,9 +174,9 @@
 	if !ok {
 		return
 	}
-	m, faults := policy.ReadMerge(raw)
+	m, faults := configuration.ReadMerge(raw)
 	if len(faults) > 0 {
-		Write(rw, registry.Response{Status: 400, Body: policy.Result{Faults: faults}})
+		Write(rw, registry.Response{Status: 400, Body: configuration.Result{Faults: faults}})
 		return
 	}
 	Write(rw, w.Do(func(id uint64) any { return registry.MergeCall{ID: id, Body: m} }))
--- a/internal/app/api/merge_test.go
+++ b/internal/app/api/merge_test.go
@@ -11,16 +11,16 @@
 
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/controlplane/registry"
-	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/state/configuration"
 )
 
 // merger is a window whose registry merges at once.
-func merger() (*Server, **policy.Policy) {
-	p, _ := policy.Open(nil)
+func merger() (*Server, **configuration.Policy) {
+	p, _ := configuration.Open(nil)
 	w := &Server{}
 	w.Put = func(ev any) {
 		c := ev.(registry.MergeCall)
-		var r policy.Result
+		var r configuration.Result
 		p, r = p.Merge(c.Body)
 		status := 200
 		if !r.Accepted() {
@@ -48,9 +48,9 @@
 		}
 		rw := call(`{"items":[{"kind":"service","name":"wader","version":7,"body":{}}]}`)
 		is.Equal(rw.Code, 200)
-		var r policy.Result
+		var r configuration.Result
 		is.NoErr(json.Unmarshal(rw.Body.Bytes(), &r))
-		is.Equal(r.Items, []policy.Touched{{Kind: "service", Name: "wader", Version: 7}})
+		is.Equal(r.Items, []configuration.Touched{{Kind: "service", Name: "wader", Version: 7}})
 		is.Equal((*p).Revision, ids.Revision(1)) // the second one found it merged
 		rw = call(`{"items":[{"kind":"service","name":"plover","version":7,"body":{}},{"kind":"route","name":"mud","version":7,"body":{"prefix":"/mud/","service":"none","repeatable":true}}]}`)
 		is.Equal(rw.Code, 400)
--- a/internal/app/api/revision.go
+++ b/internal/app/api/revision.go
@@ -6,7 +6,7 @@
 
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/controlplane/registry"
-	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/state/configuration"
 )
 
 // RevisionPage gives the revision that a registry knows, which may be old. The
@@ -22,7 +22,7 @@
 // known gives the revision that the registry knows, if it answers.
 func (w *Server) known() (ids.Revision, bool) {
 	rep := w.Do(func(id uint64) any { return registry.PolicyCall{ID: id, Local: true} })
-	p, ok := rep.Body.(*policy.Policy)
+	p, ok := rep.Body.(*configuration.Policy)
 	if !ok {
 		return 0, false
 	}
@@ -50,4 +50,6 @@
 func NewChange() string { return "auto-" + rand.Text() }
 
 // NewChangeAt makes an id for a change whose maker has read a revision.
-func NewChangeAt(base ids.Revision) string { return string(policy.ChangeIDAt(base, rand.Text())) }
+func NewChangeAt(base ids.Revision) string {
+	return string(configuration.ChangeIDAt(base, rand.Text()))
+}
--- a/internal/app/cli/items.go
+++ b/internal/app/cli/items.go
@@ -7,7 +7,7 @@
 
 	"dunlinwell/internal/app/api"
 	"dunlinwell/internal/controlplane/registry"
-	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/state/configuration"
 )
 
 // Items are the commands on one kind of item.
@@ -118,7 +118,7 @@
 		return err
 	}
 	return c.Show(raw, func() error {
-		res, err := open[policy.Result](raw)
+		res, err := open[configuration.Result](raw)
 		fmt.Fprintf(c.Out, "accepted: revision %d, change %s\n", res.Revision, res.ID)
 		for _, t := range res.Items {
 			if t.Version == 0 {
--- a/internal/app/cli/merge.go
+++ b/internal/app/cli/merge.go
@@ -4,7 +4,7 @@
 	"errors"
 	"fmt"
 
-	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/state/configuration"
 )
 
 const mergePath = "/v1/merge"
@@ -32,7 +32,7 @@
 		return err
 	}
 	return c.Show(out, func() error {
-		res, err := open[policy.Result](out)
+		res, err := open[configuration.Result](out)
 		fmt.Fprintf(c.Out, "merged: revision %d\n", res.Revision)
 		for _, t := range res.Items {
 			fmt.Fprintf(c.Out, "  %s %s version %d holds\n", t.Kind, t.Name, t.Version)
--- a/internal/app/daemon/changes_bench_test.go
+++ b/internal/app/daemon/changes_bench_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/state/configuration"
 )
 
 // BenchmarkChangesInARow makes 300 changes in a row of policies of three sizes,
@@ -22,7 +22,7 @@
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			c := startCore(b)
 			c.founded(b)
-			var m policy.Merge
+			var m configuration.Merge
 			for i := range size {
 				m.Items = append(m.Items, route(i, 1))
 			}
@@ -42,7 +42,7 @@
 	var times []time.Duration
 	before, wire, disk := processorTime(), c.changeBytes(), c.figure("disk_bytes_total")
 	for i := range changes {
-		status, took := c.merge(policy.Merge{Items: []policy.Given{route(i%size, 2+i)}})
+		status, took := c.merge(configuration.Merge{Items: []configuration.Given{route(i%size, 2+i)}})
 		if status != 200 {
 			b.Fatalf("change %d: status %d after %s", i, status, took)
 		}
--- a/internal/app/daemon/daemon.go
+++ b/internal/app/daemon/daemon.go
@@ -18,8 +18,8 @@
 	"github.com/thejerf/suture/v4"
 
 	"dunlinwell/internal/app/api"
-	"dunlinwell/internal/base/config"
 	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/base/settings"
 	"dunlinwell/internal/controlplane/membership"
 	"dunlinwell/internal/controlplane/registry"
 	"dunlinwell/internal/transport/process"
@@ -27,7 +27,7 @@
 
 // Self describes this process for the roll. Its incarnation begins at the
 // wall clock, and is raised by refuting where that clock went back.
-func Self(p config.Common, role membership.Role) membership.Member {
+func Self(p settings.Common, role membership.Role) membership.Member {
 	return membership.Member{ID: ids.Daemon(p.Name), Role: role, Address: ids.Address(p.Address),
 		HTTP: ids.Address(p.HTTP), Zone: ids.Name(p.Cell), Start: ids.RunID(rand.Uint64()>>24 | 1),
 		Incarnation: ids.Incarnation(time.Now().UnixMilli())}
--- a/internal/app/daemon/large_test.go
+++ b/internal/app/daemon/large_test.go
@@ -12,9 +12,9 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/base/config"
 	"dunlinwell/internal/base/ids"
-	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/base/settings"
+	"dunlinwell/internal/state/configuration"
 )
 
 // core is three stores and a registry in this process, over real connections and disks.
@@ -44,10 +44,10 @@
 	for range 3 {
 		seeds = append(seeds, freeAddress(t))
 	}
-	common := func(name, address string) config.Common {
+	common := func(name, address string) settings.Common {
 		c.pages = freeAddress(t)
 		c.all = append(c.all, c.pages)
-		return config.Common{Name: name, Cell: "cell", Log: "error", Address: address, HTTP: c.pages, Seeds: seeds}
+		return settings.Common{Name: name, Cell: "cell", Log: "error", Address: address, HTTP: c.pages, Seeds: seeds}
 	}
 	for i, at := range seeds {
 		o := StoreOptions{Common: common(fmt.Sprint("store-", i+1), at), Data: t.TempDir(), Copies: 3, Bootstrap: true}
@@ -65,7 +65,7 @@
 }
 
 // merge posts a call and gives its status, 0 for none, and how long it took.
-func (c *core) merge(m policy.Merge) (int, time.Duration) {
+func (c *core) merge(m configuration.Merge) (int, time.Duration) {
 	raw, _ := json.Marshal(m)
 	began := time.Now()
 	res, err := http.Post("http://"+c.pages+"/v1/merge", "application/json", bytes.NewReader(raw))
@@ -80,9 +80,9 @@
 func (c *core) founded(t testing.TB) {
 	t.Helper()
 	body := json.RawMessage(`{"tier":3}`)
-	first := policy.Given{Kind: "service", Name: "wader", Version: 1, Body: body, Source: body}
+	first := configuration.Given{Kind: "service", Name: "wader", Version: 1, Body: body, Source: body}
 	for range 300 {
-		if status, _ := c.merge(policy.Merge{Items: []policy.Given{first}}); status == 200 {
+		if status, _ := c.merge(configuration.Merge{Items: []configuration.Given{first}}); status == 200 {
 			return
 		}
 		<-time.After(100 * time.Millisecond)
@@ -90,9 +90,9 @@
 	t.Fatal("no core within 30 s")
 }
 
-func route(i, version int) policy.Given {
+func route(i, version int) configuration.Given {
 	body := fmt.Sprintf(`{"prefix":"/r%05d","service":"wader","repeatable":true,"host":"h%d.example"}`, i, i)
-	return policy.Given{Kind: "route", Name: ids.Name(fmt.Sprintf("r%05d", i)), Version: ids.Revision(version),
+	return configuration.Given{Kind: "route", Name: ids.Name(fmt.Sprintf("r%05d", i)), Version: ids.Revision(version),
 		Body: json.RawMessage(body), Source: json.RawMessage(body)}
 }
 
@@ -101,7 +101,7 @@
 	is := is.New(t)
 	c := startCore(t)
 	c.founded(t)
-	var m policy.Merge
+	var m configuration.Merge
 	for i := range 15000 {
 		m.Items = append(m.Items, route(i, 1))
 	}
--- a/internal/app/daemon/registry.go
+++ b/internal/app/daemon/registry.go
@@ -10,9 +10,9 @@
 	"github.com/thejerf/suture/v4"
 
 	"dunlinwell/internal/app/api"
-	"dunlinwell/internal/base/config"
 	"dunlinwell/internal/base/event"
 	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/base/settings"
 	"dunlinwell/internal/controlplane/membership"
 	"dunlinwell/internal/controlplane/registry"
 	"dunlinwell/internal/transport/process"
@@ -20,7 +20,7 @@
 
 // ForemanParams are what a registry is told at its start.
 type RegistryOptions struct {
-	config.Common
+	settings.Common
 	PlanEvery time.Duration `help:"How often the spill is planned." default:"30s" name:"plan-every"`
 	Lifetime  time.Duration `help:"How long an answer of the directory may be trusted, 3s at most." default:"2s" name:"lifetime"`
 	Thrifty   bool          `help:"Tell only of what changes, and each proxy by two registries alone; the same on all core daemons." name:"thrifty"`
--- a/internal/app/daemon/store.go
+++ b/internal/app/daemon/store.go
@@ -12,10 +12,10 @@
 	"github.com/thejerf/suture/v4"
 
 	"dunlinwell/internal/app/api"
-	"dunlinwell/internal/base/config"
 	"dunlinwell/internal/base/errs"
 	"dunlinwell/internal/base/event"
 	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/base/settings"
 	"dunlinwell/internal/controlplane/membership"
 	"dunlinwell/internal/controlplane/store"
 	"dunlinwell/internal/state/consensus"
@@ -28,7 +28,7 @@
 
 // StockroomParams are what a store is told at its start.
 type StoreOptions struct {
-	config.Common
+	settings.Common
 	Data   string `help:"The data folder, held by this process alone." required:"" placeholder:"DIR" name:"data"`
 	Copies int    `help:"How many stores keep each item: one more than twice the disks that may be lost at once." default:"3" name:"copies"`
 	// Bootstrap is asked for on purpose: blank stores never found a fleet by themselves.
--- a/internal/app/manifest/manifest_test.go
+++ b/internal/app/manifest/manifest_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/state/configuration"
 )
 
 const good = `apiVersion: dunlinwell/v1
@@ -25,12 +25,12 @@
 	is := is.New(t)
 	raw, faults := Read("x", []byte(good))
 	is.Equal(len(faults), 0)
-	c, faults := policy.ReadChange(raw)
+	c, faults := configuration.ReadChange(raw)
 	is.Equal(len(faults), 0)
 	is.Equal(len(c.Parts), 2)
 	is.Equal(string(c.Parts[0].Put), `{"tier":8}`)
 	is.Equal(uint64(*c.Parts[1].Version), uint64(0))
-	p, _ := policy.Open(nil)
+	p, _ := configuration.Open(nil)
 	_, r := p.Apply(c)
 	is.True(r.Accepted())
 }
--- a/internal/base/config/config.go
+++ b/internal/base/settings/config.go
@@ -1,6 +1,6 @@
 // Package params reads what a daemon is told at its start, by flags or from a
 // file, and checks all of it before anything runs.
-package config
+package settings
 
 import (
 	"cmp"
--- a/internal/base/config/config_test.go
+++ b/internal/base/settings/config_test.go
@@ -1,4 +1,4 @@
-package config
+package settings
 
 import (
 	"strings"
--- a/internal/controlplane/registry/calls.go
+++ b/internal/controlplane/registry/calls.go
@@ -9,8 +9,8 @@
 	"dunlinwell/internal/controlplane/directory"
 	"dunlinwell/internal/controlplane/spill"
 	"dunlinwell/internal/controlplane/targets"
+	"dunlinwell/internal/state/configuration"
 	"dunlinwell/internal/state/consensus"
-	"dunlinwell/internal/state/policy"
 )
 
 // Calls from outside come as these events; each is answered by one Reply.
@@ -28,7 +28,7 @@
 	// MergeCall asks for items to be merged whose versions their caller gave.
 	MergeCall struct {
 		ID   uint64
-		Body policy.Merge
+		Body configuration.Merge
 	}
 	// WhereCall asks where a fresh connection should go: for a route, or for all
 	// routes of a host, known or not.
@@ -121,8 +121,8 @@
 
 // beginRead begins an agreement read: every daemon gives the same truth, or none.
 func (f *Registry) beginRead(now ids.Time, c PolicyCall) {
-	f.await(now, 0, f.Client.ReadIfChanged(now, policy.Key, f.whole, f.sum, callWait, func(_ ids.Time, s consensus.State, out []byte) {
-		p, err := policy.Open(out)
+	f.await(now, 0, f.Client.ReadIfChanged(now, configuration.Key, f.whole, f.sum, callWait, func(_ ids.Time, s consensus.State, out []byte) {
+		p, err := configuration.Open(out)
 		if s != consensus.Done || err != nil {
 			f.unavailable(c.ID)
 			return
--- a/internal/controlplane/registry/calls_test.go
+++ b/internal/controlplane/registry/calls_test.go
@@ -5,22 +5,22 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/state/configuration"
 )
 
 // What a result means to a caller. One whose end is unknown is no refusal,
 // whatever else it holds.
 func TestStatusOfResults(t *testing.T) {
 	is := is.New(t)
-	fault := []policy.Fault{{Item: "route/mud"}}
-	for status, r := range map[int]policy.Result{
+	fault := []configuration.Fault{{Item: "route/mud"}}
+	for status, r := range map[int]configuration.Result{
 		200: {},
 		400: {Faults: fault},
-		404: {Missing: []policy.Touched{{}}},
+		404: {Missing: []configuration.Touched{{}}},
 		409: {Conflicts: fault},
-		504: {Unknown: "forgotten", Faults: fault, Stale: []policy.Stale{{}}},
+		504: {Unknown: "forgotten", Faults: fault, Stale: []configuration.Stale{{}}},
 	} {
 		is.Equal(statusOf(r), status)
 	}
-	is.Equal(statusOf(policy.Result{Stale: []policy.Stale{{}}}), 409)
+	is.Equal(statusOf(configuration.Result{Stale: []configuration.Stale{{}}}), 409)
 }
--- a/internal/controlplane/registry/cellorder.go
+++ b/internal/controlplane/registry/cellorder.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"dunlinwell/internal/base/ids"
-	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/state/configuration"
 )
 
 // CellOrderCall asks for a cell to be shut or opened, in an order without an id.
@@ -27,13 +27,13 @@
 		f.orderOvertaken(c.ID)
 		return
 	}
-	order := policy.CellOrder{Cell: c.Cell, Region: c.Region, Shut: c.Shut, Known: f.policy.CellVersion(c.Cell)}
+	order := configuration.CellOrder{Cell: c.Cell, Region: c.Region, Shut: c.Shut, Known: f.policy.CellVersion(c.Cell)}
 	raw, err := json.Marshal(order)
 	if err != nil {
 		f.Emit(Response{ID: c.ID, Status: 400, Body: Problem{err.Error()}})
 		return
 	}
-	f.agree(now, c.ID, policy.OpOrderCell, raw, func(now ids.Time, r policy.Result) {
+	f.agree(now, c.ID, configuration.OpOrderCell, raw, func(now ids.Time, r configuration.Result) {
 		if len(r.Stale) == 0 {
 			f.answerResult(c.ID)(now, r)
 			return
--- a/internal/controlplane/registry/changes.go
+++ b/internal/controlplane/registry/changes.go
@@ -4,22 +4,22 @@
 	"encoding/json"
 
 	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/state/configuration"
 	"dunlinwell/internal/state/consensus"
-	"dunlinwell/internal/state/policy"
 )
 
 func (f *Registry) change(now ids.Time, c ChangeCall) {
 	// Faults that the words alone show need no round.
-	if ch, faults := policy.ReadChange(c.Raw); len(faults) > 0 {
-		f.Emit(Response{ID: c.ID, Status: 400, Body: policy.Result{ID: ch.ID, Faults: faults}})
+	if ch, faults := configuration.ReadChange(c.Raw); len(faults) > 0 {
+		f.Emit(Response{ID: c.ID, Status: 400, Body: configuration.Result{ID: ch.ID, Faults: faults}})
 		return
 	}
-	f.agree(now, c.ID, policy.OpChange, c.Raw, f.answerResult(c.ID))
+	f.agree(now, c.ID, configuration.OpChange, c.Raw, f.answerResult(c.ID))
 }
 
 func (f *Registry) merge(now ids.Time, c MergeCall) {
 	if faults := c.Body.Check(); len(faults) > 0 {
-		f.Emit(Response{ID: c.ID, Status: 400, Body: policy.Result{Faults: faults}})
+		f.Emit(Response{ID: c.ID, Status: 400, Body: configuration.Result{Faults: faults}})
 		return
 	}
 	raw, err := json.Marshal(c.Body)
@@ -27,7 +27,7 @@
 		f.Emit(Response{ID: c.ID, Status: 400, Body: Problem{err.Error()}})
 		return
 	}
-	f.agree(now, c.ID, policy.OpMerge, raw, f.answerResult(c.ID))
+	f.agree(now, c.ID, configuration.OpMerge, raw, f.answerResult(c.ID))
 }
 
 // agree has a change of the policy agreed on under the control lease. Its caller
@@ -37,11 +37,11 @@
 }
 
 // settleFunc answers a call by the result that was agreed on.
-type settleFunc func(now ids.Time, r policy.Result)
+type settleFunc func(now ids.Time, r configuration.Result)
 
 func (f *Registry) beginChange(now ids.Time, id uint64, op consensus.Op, raw []byte, settle settleFunc) {
-	f.await(now, len(raw), f.Client.Call(now, policy.Key, op, raw, CallWait(len(raw)), func(now ids.Time, s consensus.State, out []byte) {
-		var r policy.Result
+	f.await(now, len(raw), f.Client.Call(now, configuration.Key, op, raw, CallWait(len(raw)), func(now ids.Time, s consensus.State, out []byte) {
+		var r configuration.Result
 		switch {
 		case s == consensus.Declined:
 			f.unavailable(id)
@@ -54,8 +54,8 @@
 }
 
 // answerResult answers a call with what came of it.
-func (f *Registry) answerResult(id uint64) func(ids.Time, policy.Result) {
-	return func(_ ids.Time, r policy.Result) {
+func (f *Registry) answerResult(id uint64) func(ids.Time, configuration.Result) {
+	return func(_ ids.Time, r configuration.Result) {
 		for _, c := range r.Conflicts {
 			f.Log("warn", "number used twice", "item", c.Item, "path", c.Path)
 		}
@@ -63,7 +63,7 @@
 	}
 }
 
-func statusOf(r policy.Result) int {
+func statusOf(r configuration.Result) int {
 	switch {
 	case r.Unknown != "":
 		return 504
--- a/internal/controlplane/registry/deliver.go
+++ b/internal/controlplane/registry/deliver.go
@@ -9,8 +9,8 @@
 	"dunlinwell/internal/controlplane/distribution"
 	"dunlinwell/internal/controlplane/membership"
 	"dunlinwell/internal/controlplane/targets"
+	"dunlinwell/internal/state/configuration"
 	"dunlinwell/internal/state/consensus"
-	"dunlinwell/internal/state/policy"
 )
 
 // deliver pushes what proxies lack.
@@ -84,7 +84,7 @@
 
 // chosen takes news of a change.
 func (f *Registry) chosen(now ids.Time, m consensus.Chosen) {
-	if m.Key == policy.Key {
+	if m.Key == configuration.Key {
 		f.adopt(m.Value)
 		f.deliver(now)
 	}
@@ -93,7 +93,7 @@
 // chosenDifference takes news of a change; where it doesn't lead on from the
 // value at hand, that is read anew.
 func (f *Registry) chosenDifference(now ids.Time, m consensus.ChosenDifference) {
-	if m.Key != policy.Key {
+	if m.Key != configuration.Key {
 		return
 	}
 	next, err := delta.Apply(f.whole, m.Difference)
@@ -110,7 +110,7 @@
 	if len(raw) > 0 && bytes.Equal(raw, f.whole) {
 		return
 	}
-	p, err := policy.Open(raw)
+	p, err := configuration.Open(raw)
 	if err != nil {
 		f.Log("error", "policy unreadable", "problem", err.Error())
 		return
--- a/internal/controlplane/registry/lease.go
+++ b/internal/controlplane/registry/lease.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/state/configuration"
 	"dunlinwell/internal/state/consensus"
-	"dunlinwell/internal/state/policy"
 )
 
 // The control lease. A registry speaks for the core only while the newest
@@ -141,7 +141,7 @@
 		f.poll = now.Add(2 * pollEvery)
 	}
 	began := now
-	f.Client.ReadIfChanged(now, policy.Key, f.whole, f.sum, 2*time.Second, func(_ ids.Time, s consensus.State, out []byte) {
+	f.Client.ReadIfChanged(now, configuration.Key, f.whole, f.sum, 2*time.Second, func(_ ids.Time, s consensus.State, out []byte) {
 		f.reading = false
 		if s == consensus.Done {
 			f.agreed = max(f.agreed, began)
--- a/internal/controlplane/registry/lease_test.go
+++ b/internal/controlplane/registry/lease_test.go
@@ -10,7 +10,7 @@
 	"dunlinwell/internal/controlplane/registry"
 	"dunlinwell/internal/controlplane/registry/registrytest"
 	"dunlinwell/internal/controlplane/targets"
-	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/state/configuration"
 )
 
 // call makes one kind of control call.
@@ -43,7 +43,7 @@
 	{"change without its item", change(`{"id":"none","changes":[{"kind":"service","name":"no","remove":true}]}`)},
 	{"evacuate", change(`{"id":"e","changes":[{"kind":"cell","name":"c","put":{"region":"r","shut":true}}]}`)},
 	{"malformed change", change(`{`)},
-	{"merge", func(id uint64) event.Event { return registry.MergeCall{ID: id, Body: policy.Merge{}} }},
+	{"merge", func(id uint64) event.Event { return registry.MergeCall{ID: id, Body: configuration.Merge{}} }},
 	{"read", func(id uint64) event.Event { return registry.PolicyCall{ID: id} }},
 	{"read of the own copy", func(id uint64) event.Event { return registry.PolicyCall{ID: id, Local: true} }},
 	{"heartbeat", heartbeat(func(*targets.Target) {})},
--- a/internal/controlplane/registry/registry.go
+++ b/internal/controlplane/registry/registry.go
@@ -13,9 +13,9 @@
 	"dunlinwell/internal/controlplane/membership"
 	"dunlinwell/internal/controlplane/spill"
 	"dunlinwell/internal/controlplane/targets"
+	"dunlinwell/internal/state/configuration"
 	"dunlinwell/internal/state/consensus"
 	"dunlinwell/internal/state/election"
-	"dunlinwell/internal/state/policy"
 )
 
 // Params are the options of a registry; zero ones take the defaults.
@@ -67,8 +67,8 @@
 	// whole is the register's value as it was last read, and sum sums it up.
 	whole  []byte
 	sum    uint64
-	policy *policy.Policy
-	view   *policy.View
+	policy *configuration.Policy
+	view   *configuration.View
 	// agreed is when a majority last told us the policy.
 	agreed  ids.Time
 	reading bool
@@ -115,7 +115,7 @@
 		f.Distributor.Quiet = true
 		f.Distributor.Spare = func(c membership.Member) bool { return !f.nearest(c) }
 	}
-	f.policy, _ = policy.Open(nil)
+	f.policy, _ = configuration.Open(nil)
 	f.view = f.policy.View()
 	f.view.Know(p.Regions)
 	f.plans = newPlans()
--- a/internal/controlplane/registry/registry_test.go
+++ b/internal/controlplane/registry/registry_test.go
@@ -9,18 +9,18 @@
 
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/controlplane/membership"
-	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/state/configuration"
 )
 
 // A registry reads the policy twice a second. The same again costs next to nothing,
 // however large it is.
 func TestTheSamePolicyAgainCostsNothing(t *testing.T) {
 	is := is.New(t)
-	var m policy.Merge
+	var m configuration.Merge
 	for i := range 1000 {
-		m.Items = append(m.Items, policy.Given{Kind: "service", Name: ids.Name(fmt.Sprint("s", i)), Version: 1, Body: json.RawMessage(`{"tier":4}`)})
+		m.Items = append(m.Items, configuration.Given{Kind: "service", Name: ids.Name(fmt.Sprint("s", i)), Version: 1, Body: json.RawMessage(`{"tier":4}`)})
 	}
-	p, err := policy.Open(nil)
+	p, err := configuration.Open(nil)
 	is.NoErr(err)
 	p, r := p.Merge(m)
 	is.True(r.Accepted())
@@ -30,7 +30,7 @@
 	again := p.Pack(true)
 	is.True(testing.AllocsPerRun(10, func() { f.adopt(again) }) < 5)
 	// What is newer is taken, and what is older isn't.
-	q, _ := p.Merge(policy.Merge{Items: []policy.Given{{Kind: "service", Name: "s1", Version: 2, Removed: true}}})
+	q, _ := p.Merge(configuration.Merge{Items: []configuration.Given{{Kind: "service", Name: "s1", Version: 2, Removed: true}}})
 	f.adopt(q.Pack(true))
 	f.adopt(p.Pack(true))
 	is.Equal(f.view.Revision, ids.Revision(2))
--- a/internal/controlplane/registry/registrytest/core.go
+++ b/internal/controlplane/registry/registrytest/core.go
@@ -12,9 +12,9 @@
 	"dunlinwell/internal/controlplane/distribution"
 	"dunlinwell/internal/controlplane/membership"
 	"dunlinwell/internal/controlplane/registry"
+	"dunlinwell/internal/state/configuration"
 	"dunlinwell/internal/state/consensus"
 	"dunlinwell/internal/state/election"
-	"dunlinwell/internal/state/policy"
 )
 
 // Link is how the registry's way to the majority stands.
@@ -80,13 +80,13 @@
 	options.Self = membership.Member{ID: "registry", Address: Self, Start: 1, Zone: "c"}
 	options.Seeds = []ids.Address{Store}
 	options.Random = rand.New(rand.NewPCG(1, 1))
-	core := &Core{Registry: registry.New(options), Now: 1, ops: policy.Ops(), values: map[ids.Key][]byte{}, answered: map[uint64]registry.Response{}}
+	core := &Core{Registry: registry.New(options), Now: 1, ops: configuration.Ops(), values: map[ids.Key][]byte{}, answered: map[uint64]registry.Response{}}
 	maps.Copy(core.ops, election.Ops())
 	return core
 }
 
 // Value is the policy's register as the majority has it.
-func (c *Core) Value() []byte { return c.values[policy.Key] }
+func (c *Core) Value() []byte { return c.values[configuration.Key] }
 
 // Step hands an event to the registry and carries its commands out.
 func (c *Core) Step(ev event.Event) {
--- a/internal/controlplane/registry/screen_test.go
+++ b/internal/controlplane/registry/screen_test.go
@@ -12,9 +12,9 @@
 	"dunlinwell/internal/controlplane/membership"
 	"dunlinwell/internal/controlplane/spill"
 	"dunlinwell/internal/controlplane/targets"
+	"dunlinwell/internal/state/configuration"
 	"dunlinwell/internal/state/consensus"
 	"dunlinwell/internal/state/election"
-	"dunlinwell/internal/state/policy"
 	"dunlinwell/internal/transport/wire"
 )
 
@@ -45,9 +45,9 @@
 // them, at the address where it is known.
 func TestForgedMessagesAreDiscarded(t *testing.T) {
 	is := is.New(t)
-	p, _ := policy.Open(nil)
+	p, _ := configuration.Open(nil)
 	p.Revision = 1 << 40
-	chosen := consensus.Chosen{Key: policy.Key, Value: p.Pack(true)}
+	chosen := consensus.Chosen{Key: configuration.Key, Value: p.Pack(true)}
 	for _, c := range []struct {
 		right ids.Address
 		msg   any
@@ -111,7 +111,7 @@
 // FuzzMessages gives a registry any message from a stranger: it neither panics
 // nor takes orders.
 func FuzzMessages(f *testing.F) {
-	for _, msg := range []any{consensus.ChosenDifference{Key: policy.Key}, consensus.Chosen{Key: policy.Key, Value: []byte(`{"revision":9}`)}, consensus.Response{ID: 1 << 24, State: consensus.Done},
+	for _, msg := range []any{consensus.ChosenDifference{Key: configuration.Key}, consensus.Chosen{Key: configuration.Key, Value: []byte(`{"revision":9}`)}, consensus.Response{ID: 1 << 24, State: consensus.Done},
 		distribution.Ack{Proxy: "p", Start: 1, Number: 3}, targets.Update{List: []targets.Target{{Instance: "i", Service: "s", Address: "10.0.0.9:80", Cell: "c", Incarnation: 1, Sequence: 1, Warmth: 1}}},
 		Pulse{ID: "g", Start: 1}, DepartureNotice{Asker: stranger, Target: targets.Target{Instance: "i", Gone: true}}, DepartureAck{ID: "g", Instance: "i"},
 		spill.Report{Proxy: "p", Start: 1, Cell: "c", Number: 1, Interval: 2000, Rows: []spill.Spent{{}}}, spill.Table{Epoch: 2}, election.Term{Epoch: 2},
--- a/internal/controlplane/store/founding.go
+++ b/internal/controlplane/store/founding.go
@@ -7,8 +7,8 @@
 
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/state/configuration"
 	"dunlinwell/internal/state/consensus"
-	"dunlinwell/internal/state/policy"
 	"dunlinwell/internal/transport/wire"
 )
 
@@ -224,7 +224,7 @@
 	// The values are planted before the voter set is: a member that votes has them.
 	s.Seed(consensus.VoterSetKey, raw)
 	if len(m.Policy) > 0 {
-		s.Seed(policy.Key, m.Policy)
+		s.Seed(configuration.Key, m.Policy)
 	}
 	// Before the first voter set nothing was agreed that a copy could lack.
 	if m.VoterSet.IsFirst() {
@@ -236,7 +236,7 @@
 // bootstrapFor is what a member that has no values yet is to take up.
 func (s *Store) bootstrapFor(ro consensus.VoterSet) consensus.Bootstrap {
 	b := consensus.Bootstrap{VoterSet: ro, Round: s.founding.record.Round}
-	if at, v := s.Value(policy.Key); at == (ids.Ballot{Count: 1}) {
+	if at, v := s.Value(configuration.Key); at == (ids.Ballot{Count: 1}) {
 		b.Policy = v
 	}
 	return b
--- a/internal/controlplane/store/oldfolder_test.go
+++ b/internal/controlplane/store/oldfolder_test.go
@@ -10,7 +10,7 @@
 
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/controlplane/membership"
-	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/state/configuration"
 	"dunlinwell/internal/state/storage"
 )
 
@@ -40,7 +40,7 @@
 		Random: rand.New(rand.NewPCG(1, 1)), Storage: database, Replicas: 3})
 	is.Equal(len(s.VoterSet().Voters), 3)
 	is.True(s.VoterSet().Has(database.Store))
-	p, err := policy.Open(s.LocalValue(policy.Key))
+	p, err := configuration.Open(s.LocalValue(configuration.Key))
 	is.NoErr(err)
 	is.Equal(p.Revision, ids.Revision(5))
 	view := p.View()
--- a/internal/controlplane/store/recover.go
+++ b/internal/controlplane/store/recover.go
@@ -8,9 +8,9 @@
 
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/state/configuration"
 	"dunlinwell/internal/state/consensus"
 	"dunlinwell/internal/state/idempotency"
-	"dunlinwell/internal/state/policy"
 	"dunlinwell/internal/transport/wire"
 )
 
@@ -97,9 +97,9 @@
 	var own, theirs struct {
 		Revision ids.Revision `json:"revision"`
 	}
-	_ = json.Unmarshal(s.LocalValue(policy.Key), &own)
+	_ = json.Unmarshal(s.LocalValue(configuration.Key), &own)
 	if json.Unmarshal(s.survivingPolicy.Policy, &theirs) == nil && theirs.Revision > own.Revision {
-		s.ForceValue(policy.Key, s.survivingPolicy.Policy)
+		s.ForceValue(configuration.Key, s.survivingPolicy.Policy)
 		s.Log("info", "policy taken back from a proxy", "revision", itoa(uint64(theirs.Revision)))
 	}
 	s.ForceValue(consensus.VoterSetKey, raw)
--- a/internal/controlplane/store/recoverall.go
+++ b/internal/controlplane/store/recoverall.go
@@ -5,8 +5,8 @@
 
 	"dunlinwell/internal/base/event"
 	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/state/configuration"
 	"dunlinwell/internal/state/consensus"
-	"dunlinwell/internal/state/policy"
 )
 
 func sendTo(to ids.Address, msg any) event.Command { return event.Send{To: to, Msg: msg} }
@@ -46,7 +46,7 @@
 		Voters: slices.Concat([]consensus.Voter{s.self()}, others[:2])}
 	b := consensus.Bootstrap{VoterSet: first, Policy: s.survivingPolicy.Policy}
 	s.bootstrap(b)
-	s.Log("warn", "founded on order", "voter_set", itoa(first.Number), "policy", policy.Describe(b.Policy))
+	s.Log("warn", "founded on order", "voter_set", itoa(first.Number), "policy", configuration.Describe(b.Policy))
 	for _, v := range others[:2] {
 		s.Send(v.Address, b)
 	}
--- a/internal/controlplane/store/store.go
+++ b/internal/controlplane/store/store.go
@@ -10,10 +10,10 @@
 	"dunlinwell/internal/base/event"
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/state/configuration"
 	"dunlinwell/internal/state/consensus"
 	"dunlinwell/internal/state/election"
 	"dunlinwell/internal/state/idempotency"
-	"dunlinwell/internal/state/policy"
 	"dunlinwell/internal/transport/wire"
 )
 
@@ -56,7 +56,7 @@
 // Ops are all the change functions that stores know.
 func Ops() map[consensus.Op]consensus.ChangeFunc {
 	ops := consensus.VoterSetOps()
-	for k, f := range policy.Ops() {
+	for k, f := range configuration.Ops() {
 		ops[k] = f
 	}
 	for k, f := range election.Ops() {
@@ -101,7 +101,7 @@
 
 // audience names who must hear of a new value at once.
 func (s *Store) subscribers(key ids.Key) []ids.Address {
-	if key != policy.Key {
+	if key != configuration.Key {
 		return nil
 	}
 	var out []ids.Address
--- a/internal/dataplane/proxy/agreement.go
+++ b/internal/dataplane/proxy/agreement.go
@@ -7,8 +7,8 @@
 
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/dataplane/dispatch"
+	"dunlinwell/internal/state/configuration"
 	"dunlinwell/internal/state/consensus"
-	"dunlinwell/internal/state/policy"
 )
 
 // askAfter is how old an agreement may be before the proxy asks the
@@ -26,12 +26,12 @@
 		return
 	}
 	c.reading = true
-	c.Client.Call(now, policy.Key, consensus.Read, nil, time.Second, func(at ids.Time, s consensus.State, out []byte) {
+	c.Client.Call(now, configuration.Key, consensus.Read, nil, time.Second, func(at ids.Time, s consensus.State, out []byte) {
 		c.reading = false
 		if s != consensus.Done {
 			return
 		}
-		if p, err := policy.Open(out); err == nil {
+		if p, err := configuration.Open(out); err == nil {
 			p.Recent, p.Declined, p.History = nil, nil, nil
 			c.adopt(at, out)
 			c.confirm(at, p.Revision, now)
--- a/internal/dataplane/proxy/carry_test.go
+++ b/internal/dataplane/proxy/carry_test.go
@@ -15,8 +15,8 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/base/config"
 	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/base/settings"
 	"dunlinwell/internal/controlplane/membership"
 	"dunlinwell/internal/controlplane/targets"
 	"dunlinwell/internal/dataplane/dispatch"
@@ -86,7 +86,7 @@
 }
 
 func newCarrier() *Daemon {
-	d := NewDaemon(Params{Common: config.Common{Name: "c1", Address: "127.0.0.1:1", HTTP: "127.0.0.1:2", Cell: "a", Log: "error"}, MaxResponse: 1000})
+	d := NewDaemon(Params{Common: settings.Common{Name: "c1", Address: "127.0.0.1:1", HTTP: "127.0.0.1:2", Cell: "a", Log: "error"}, MaxResponse: 1000})
 	d.self = membership.Member{ID: "c1", Start: 7}
 	return d
 }
--- a/internal/dataplane/proxy/control.go
+++ b/internal/dataplane/proxy/control.go
@@ -10,8 +10,8 @@
 	"dunlinwell/internal/controlplane/distribution"
 	"dunlinwell/internal/controlplane/membership"
 	"dunlinwell/internal/controlplane/targets"
+	"dunlinwell/internal/state/configuration"
 	"dunlinwell/internal/state/consensus"
-	"dunlinwell/internal/state/policy"
 )
 
 // Control is the proxy's control machine.
@@ -22,8 +22,8 @@
 	Client  *consensus.Client
 	targets *targets.Table
 	// policy is what is in force here, as far as is known; view is it, read.
-	policy *policy.Policy
-	view   *policy.View
+	policy *configuration.Policy
+	view   *configuration.View
 	// word is as of when the targets are known, by a registry's word; agreed is
 	// when the newest agreement began by which the policy held here is in force.
 	word   ids.Time
@@ -109,7 +109,7 @@
 	c.List = membership.New(p, &c.Outbox)
 	c.Client = consensus.NewClient(p.Self.Start, &c.Outbox)
 	c.Client.Order = c.stores
-	empty, _ := policy.Open(nil)
+	empty, _ := configuration.Open(nil)
 	c.policy, c.view = empty, empty.View()
 	c.view.Know(o.Regions)
 	return c
--- a/internal/dataplane/proxy/daemon.go
+++ b/internal/dataplane/proxy/daemon.go
@@ -10,20 +10,20 @@
 	"time"
 
 	"dunlinwell/internal/app/daemon"
-	"dunlinwell/internal/base/config"
 	"dunlinwell/internal/base/errs"
 	"dunlinwell/internal/base/event"
 	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/base/settings"
 	"dunlinwell/internal/controlplane/membership"
 	"dunlinwell/internal/dataplane/dispatch"
+	"dunlinwell/internal/state/configuration"
 	"dunlinwell/internal/state/idempotency"
-	"dunlinwell/internal/state/policy"
 	"dunlinwell/internal/transport/process"
 )
 
 // Params are what a proxy is told at its start.
 type Params struct {
-	config.Common
+	settings.Common
 	MaxResponse int           `help:"Largest answer of a target that is taken, in bytes." default:"4194304" name:"max-response"`
 	ReportEvery time.Duration `help:"How often CPU time is reported." default:"2s" name:"report-every"`
 	Inbox       int           `help:"Longest inbox of a service." default:"128" name:"inbox"`
@@ -107,7 +107,7 @@
 		d.trade = d.edge.Trade()
 	}
 	d.circuits.greets, d.circuits.dialWithin = d.trade.Greets(), cmp.Or(p.DialWithin, dialTarget)
-	empty, _ := policy.Open(nil)
+	empty, _ := configuration.Open(nil)
 	d.router.Store(newRouter(empty.View()))
 	d.footing.Store(&Footing{})
 	return d
--- a/internal/dataplane/proxy/edge.go
+++ b/internal/dataplane/proxy/edge.go
@@ -11,7 +11,7 @@
 	"dunlinwell/internal/app/api"
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/dataplane/dispatch"
-	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/state/configuration"
 )
 
 // Edge is the dialect that a proxy speaks to consumers and targets. Ours is
@@ -32,7 +32,7 @@
 func (ownEdge) Pages(*Daemon) map[string]http.Handler { return nil }
 
 // Find gives the route of a host and path, and the policy it stands in.
-func (d *Daemon) Find(host, path string) (policy.Route, *policy.View, bool) {
+func (d *Daemon) Find(host, path string) (configuration.Route, *configuration.View, bool) {
 	ro := d.router.Load()
 	r, ok := ro.find(host, path)
 	return r, ro.view, ok
@@ -48,7 +48,7 @@
 func (d *Daemon) Stopping() bool { return d.stopping.Load() }
 
 // Job begins a request's job by its route; a split is drawn here, once.
-func (d *Daemon) Job(r policy.Route, v *policy.View) dispatch.Job {
+func (d *Daemon) Job(r configuration.Route, v *configuration.View) dispatch.Job {
 	r.Service = r.Draw(rand.Float64())
 	return dispatch.Job{ID: ids.Request(d.requests.Add(1)), Route: r.Name, Service: r.Service, Tier: r.Tier*10 + v.Services[r.Service].Tier,
 		Repeatable: r.Repeatable, Single: r.Single, Goal: r.GoalTime(), Attempts: r.Attempts, Homes: r.Homes, Terms: Terms(r)}
--- a/internal/dataplane/proxy/events.go
+++ b/internal/dataplane/proxy/events.go
@@ -8,8 +8,8 @@
 	"dunlinwell/internal/controlplane/membership"
 	"dunlinwell/internal/controlplane/spill"
 	"dunlinwell/internal/dataplane/dispatch"
+	"dunlinwell/internal/state/configuration"
 	"dunlinwell/internal/state/consensus"
-	"dunlinwell/internal/state/policy"
 	"dunlinwell/internal/transport/wire"
 )
 
@@ -35,7 +35,7 @@
 	// Stopping is the platform's polite signal.
 	Stopping struct{}
 	// Routes hands the new policy to the router.
-	Routes struct{ View *policy.View }
+	Routes struct{ View *configuration.View }
 	// Footing says whether the proxy takes work, and whether it is cut off.
 	Footing struct {
 		Ready   bool
--- a/internal/dataplane/proxy/front.go
+++ b/internal/dataplane/proxy/front.go
@@ -17,27 +17,27 @@
 
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/dataplane/dispatch"
+	"dunlinwell/internal/state/configuration"
 	"dunlinwell/internal/state/idempotency"
-	"dunlinwell/internal/state/policy"
 	"dunlinwell/internal/transport/process"
 )
 
 // router finds a request's route by the longest prefix of whole path parts.
 type router struct {
 	// hosts holds a tree for each host; "" is for routes of any host.
-	hosts map[string]*iradix.Tree[policy.Route]
-	view  *policy.View
+	hosts map[string]*iradix.Tree[configuration.Route]
+	view  *configuration.View
 }
 
-func newRouter(v *policy.View) *router {
-	hosts := map[string]*iradix.Tree[policy.Route]{}
+func newRouter(v *configuration.View) *router {
+	hosts := map[string]*iradix.Tree[configuration.Route]{}
 	// In order of name, so that of two routes with one place the first holds.
 	for _, n := range slices.Sorted(maps.Keys(v.Routes)) {
 		r := v.Routes[n]
 		host := strings.ToLower(r.Host)
 		t := hosts[host]
 		if t == nil {
-			t = iradix.New[policy.Route]()
+			t = iradix.New[configuration.Route]()
 		}
 		key := []byte(strings.TrimRight(r.Prefix, "/"))
 		if _, taken := t.Get(key); !taken {
@@ -49,7 +49,7 @@
 }
 
 // find gives the route of a host and path: that of the host itself, or of any.
-func (r *router) find(host, path string) (policy.Route, bool) {
+func (r *router) find(host, path string) (configuration.Route, bool) {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
 	}
@@ -62,13 +62,13 @@
 	if t := r.hosts[""]; t != nil {
 		return longest(t, path)
 	}
-	return policy.Route{}, false
+	return configuration.Route{}, false
 }
 
-func longest(t *iradix.Tree[policy.Route], path string) (policy.Route, bool) {
-	var best policy.Route
+func longest(t *iradix.Tree[configuration.Route], path string) (configuration.Route, bool) {
+	var best configuration.Route
 	found := false
-	t.Root().WalkPath([]byte(path), func(k []byte, v policy.Route) bool {
+	t.Root().WalkPath([]byte(path), func(k []byte, v configuration.Route) bool {
 		// /stock is no prefix of /stocking.
 		if len(k) == len(path) || path[len(k)] == '/' {
 			best, found = v, true
@@ -147,7 +147,7 @@
 }
 
 // read takes the request whole and checks what a consumer must say.
-func (d *Daemon) read(r *http.Request, w http.ResponseWriter, route policy.Route, v *policy.View) (*ClientRequest, int, string) {
+func (d *Daemon) read(r *http.Request, w http.ResponseWriter, route configuration.Route, v *configuration.View) (*ClientRequest, int, string) {
 	j := d.Job(route, v)
 	// Two of one header: each reader could take another for the truth.
 	for _, name := range []string{"Idempotency-Key", "Attempt", "Time-Left"} {
--- a/internal/dataplane/proxy/front_test.go
+++ b/internal/dataplane/proxy/front_test.go
@@ -9,19 +9,19 @@
 	"github.com/matryer/is"
 
 	"dunlinwell/internal/base/ids"
-	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/state/configuration"
 )
 
 func TestLongestPrefixOfWholeParts(t *testing.T) {
 	is := is.New(t)
-	r := newRouter(&policy.View{Routes: map[ids.Name]policy.Route{
+	r := newRouter(&configuration.View{Routes: map[ids.Name]configuration.Route{
 		"all": {Name: "all", Prefix: "/"}, "stock": {Name: "stock", Prefix: "/stock"}, "tiles": {Name: "tiles", Prefix: "/stock/tiles/"}}})
 	for path, want := range map[string]ids.Name{"/": "all", "/stock": "stock", "/stock/": "stock", "/stocking": "all", "/stock/tiles": "tiles", "/stock/tiles/9": "tiles", "/stock/tilesets": "stock"} {
 		got, ok := r.find("", path)
 		is.True(ok)
 		is.Equal(got.Name, want)
 	}
-	_, ok := newRouter(&policy.View{}).find("", "/x")
+	_, ok := newRouter(&configuration.View{}).find("", "/x")
 	is.True(!ok)
 }
 
@@ -62,5 +62,5 @@
 // inStepWith lets a proxy know of one route, and that it is in force.
 func (d *Daemon) inStepWith(route string) {
 	d.footing.Store(&Footing{InStep: true})
-	d.router.Store(newRouter(&policy.View{Routes: map[ids.Name]policy.Route{ids.Name(route): {Name: ids.Name(route), Prefix: "/" + route, Service: "ledger", Limit: 1000, MaxBody: 10}}}))
+	d.router.Store(newRouter(&configuration.View{Routes: map[ids.Name]configuration.Route{ids.Name(route): {Name: ids.Name(route), Prefix: "/" + route, Service: "ledger", Limit: 1000, MaxBody: 10}}}))
 }
--- a/internal/dataplane/proxy/gate.go
+++ b/internal/dataplane/proxy/gate.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/state/configuration"
 )
 
 // gate lets consumers in, within the limits that policy names. net/http fixes
@@ -20,7 +20,7 @@
 	handler http.Handler
 	in      net.Listener
 	mu      sync.Mutex
-	limits  policy.Limits
+	limits  configuration.Limits
 	door    *door
 	// held counts the connections of all servers; empty wakes who waits for none.
 	held  atomic.Int64
@@ -51,12 +51,12 @@
 
 func newGate(in net.Listener, h http.Handler) *gate {
 	g := &gate{handler: h, in: in, empty: make(chan struct{}, 1)}
-	g.limit(policy.NoLimits)
+	g.limit(configuration.NoLimits)
 	return g
 }
 
 // limit starts a server for new limits, and lets the old one end.
-func (g *gate) limit(l policy.Limits) {
+func (g *gate) limit(l configuration.Limits) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.door != nil && g.limits == l {
@@ -72,7 +72,7 @@
 }
 
 // open starts a server with its own queue of connections.
-func (g *gate) open(l policy.Limits) *door {
+func (g *gate) open(l configuration.Limits) *door {
 	d := &door{queue: &queue{Listener: g.in, circuits: make(chan net.Conn), closed: make(chan struct{})}, conns: map[*clientConn]bool{}}
 	d.server = &http.Server{Handler: d.handler(g.handler), MaxHeaderBytes: l.MaxHeader,
 		ReadHeaderTimeout: time.Duration(l.Header) * time.Millisecond, IdleTimeout: time.Duration(l.Idle) * time.Millisecond,
--- a/internal/dataplane/proxy/gate_test.go
+++ b/internal/dataplane/proxy/gate_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/state/configuration"
 )
 
 // opened is a gate with its consumers' handler, closed as the test ends.
@@ -80,7 +80,7 @@
 
 func fine(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) }
 
-var narrow = policy.Limits{MaxHeader: 1024, MaxBody: 1, Header: 100, Idle: 100}
+var narrow = configuration.Limits{MaxHeader: 1024, MaxBody: 1, Header: 100, Idle: 100}
 
 // New limits don't end what is under way, and connections that were held end in order.
 func TestLimitsChangeWhileCircuitsAreHeld(t *testing.T) {
@@ -132,7 +132,7 @@
 	go func() {
 		defer close(changed)
 		for i := 0; !stop.Load(); i++ {
-			limits := policy.NoLimits
+			limits := configuration.NoLimits
 			limits.MaxBody = i
 			g.limit(limits)
 		}
--- a/internal/dataplane/proxy/opening_test.go
+++ b/internal/dataplane/proxy/opening_test.go
@@ -9,7 +9,7 @@
 	"dunlinwell/internal/controlplane/distribution"
 	"dunlinwell/internal/controlplane/membership"
 	"dunlinwell/internal/controlplane/targets"
-	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/state/configuration"
 )
 
 // started is a proxy that has just started, and what two registries tell it.
@@ -26,12 +26,12 @@
 // policyOf is a policy with as many services as its revision says.
 func policyOf(t *testing.T, revision int) []byte {
 	t.Helper()
-	p, err := policy.Open(nil)
+	p, err := configuration.Open(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range revision {
-		p, _ = p.Merge(policy.Merge{Items: []policy.Given{{Kind: "service", Name: ids.Name(string(rune('a' + i))), Version: 1, Body: []byte("{}")}}})
+		p, _ = p.Merge(configuration.Merge{Items: []configuration.Given{{Kind: "service", Name: ids.Name(string(rune('a' + i))), Version: 1, Body: []byte("{}")}}})
 	}
 	return p.Pack(false)
 }
--- a/internal/dataplane/proxy/places.go
+++ b/internal/dataplane/proxy/places.go
@@ -9,7 +9,7 @@
 	"dunlinwell/internal/controlplane/membership"
 	"dunlinwell/internal/controlplane/targets"
 	"dunlinwell/internal/dataplane/dispatch"
-	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/state/configuration"
 )
 
 // Layout says how targets' places are shared out among proxies.
@@ -111,7 +111,7 @@
 
 // thaw notes cells whose targets are taken back into use: they may have gone
 // cold meanwhile, and their own word on it may still be on its way.
-func (c *Control) thaw(now ids.Time, old *policy.View) {
+func (c *Control) thaw(now ids.Time, old *configuration.View) {
 	for n, cell := range c.view.Cells {
 		was := old.Cells[n]
 		if !(was.Shut || was.Emptied) || cell.Shut || cell.Emptied {
--- a/internal/dataplane/proxy/places_test.go
+++ b/internal/dataplane/proxy/places_test.go
@@ -13,7 +13,7 @@
 	"dunlinwell/internal/controlplane/membership"
 	"dunlinwell/internal/controlplane/targets"
 	"dunlinwell/internal/dataplane/dispatch"
-	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/state/configuration"
 )
 
 var regions = map[ids.Name]string{"quay": "west", "pier": "west", "mole": "west", "dune": "east", "reed": "east"}
@@ -22,9 +22,9 @@
 	return membership.Member{ID: ids.Daemon(id), Role: membership.Proxy, Zone: ids.Name(cell), Start: 1}
 }
 
-func placer(self membership.Member, sv policy.Service) *Control {
+func placer(self membership.Member, sv configuration.Service) *Control {
 	c := New(membership.Options{Self: self}, Options{Lease: Endless, Layout: Layout{ByCell: true, Regions: regions}})
-	c.view.Services = map[ids.Name]policy.Service{"wader": sv}
+	c.view.Services = map[ids.Name]configuration.Service{"wader": sv}
 	return c
 }
 
@@ -68,7 +68,7 @@
 			target := targets.Target{Instance: ids.Instance(fmt.Sprint("t", n)), Service: "wader", Cell: "quay", Capacity: capacity, Warmth: 1, Age: 1e9}
 			sum := 0
 			for _, m := range seats {
-				sum += sends(placer(m, policy.Service{}).offer(now, target, seats), now)
+				sum += sends(placer(m, configuration.Service{}).offer(now, target, seats), now)
 			}
 			is.Equal(sum, want)
 		}
@@ -91,7 +91,7 @@
 	for n := range 60 {
 		target := targets.Target{Instance: ids.Instance(fmt.Sprint("t", n)), Service: "wader", Cell: "quay"}
 		for _, m := range seats {
-			if placer(m, policy.Service{}).offer(1, target, seats).Seat == 0 {
+			if placer(m, configuration.Service{}).offer(1, target, seats).Seat == 0 {
 				got[m.ID]++
 			}
 		}
@@ -106,7 +106,7 @@
 func TestPlacesAsProxiesComeAndGo(t *testing.T) {
 	is := is.New(t)
 	self, other := member("a", "quay"), member("b", "quay")
-	c := placer(self, policy.Service{})
+	c := placer(self, configuration.Service{})
 	now := ids.Time(time.Second)
 	join := func(m membership.Member) {
 		c.List.Receive(now, "x", membership.Snapshot{Members: []membership.Member{m}, Final: true})
@@ -131,7 +131,7 @@
 	for _, cells := range []string{"quay", "quay quay quay", "quay pier dune", "pier mole dune", "dune reed"} {
 		seats, sum := fleet(cells), 0.0
 		for _, m := range seats {
-			o := placer(m, policy.Service{WarmRate: 12}).offer(now, targets.Target{Instance: "t", Service: "wader", Cell: "quay", Cold: 3000}, seats)
+			o := placer(m, configuration.Service{WarmRate: 12}).offer(now, targets.Target{Instance: "t", Service: "wader", Cell: "quay", Cold: 3000}, seats)
 			is.Equal(o.ColdUntil, now.Add(3*time.Second))
 			sum += o.Rate
 		}
@@ -144,14 +144,14 @@
 func TestACellThatIsOpenedThawsSlowly(t *testing.T) {
 	is := is.New(t)
 	c := New(membership.Options{Self: member("a", "quay")}, Options{Lease: Endless, Layout: Layout{ByCell: true, Regions: regions}})
-	p, err := policy.Open(nil)
+	p, err := configuration.Open(nil)
 	is.NoErr(err)
 	n := 0
 	apply := func(part string) {
 		n++
-		ch, faults := policy.ReadChange([]byte(fmt.Sprintf(`{"id":"%d","changes":[%s]}`, n, part)))
+		ch, faults := configuration.ReadChange([]byte(fmt.Sprintf(`{"id":"%d","changes":[%s]}`, n, part)))
 		is.Equal(len(faults), 0)
-		var r policy.Result
+		var r configuration.Result
 		p, r = p.Apply(ch)
 		is.True(r.Accepted())
 		c.adopt(ids.Time(n)*ids.Time(time.Second), p.Pack(false))
--- a/internal/dataplane/proxy/readiness.go
+++ b/internal/dataplane/proxy/readiness.go
@@ -9,7 +9,7 @@
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/controlplane/membership"
 	"dunlinwell/internal/dataplane/dispatch"
-	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/state/configuration"
 )
 
 func itoa(n uint64) string { return strconv.FormatUint(n, 10) }
@@ -140,13 +140,13 @@
 }
 
 // Terms are what a route says of its requests.
-func Terms(r policy.Route) dispatch.Terms {
+func Terms(r configuration.Route) dispatch.Terms {
 	return dispatch.Terms{Host: r.Host, Prefix: r.Prefix, Service: r.Service, Repeatable: r.Repeatable, Limit: r.LimitTime()}
 }
 
 // allowance is this proxy's part of a service's retry allowance. Parts are
 // whole, as places are, and add up to it: half a retry is of no use to anybody.
-func (c *Control) allowance(s policy.Service, seats []membership.Member) float64 {
+func (c *Control) allowance(s configuration.Service, seats []membership.Member) float64 {
 	n, at := max(len(seats), 1), c.seat("retries/"+string(s.Name), seats)
 	return float64(s.Allowance*(at+1)/n - s.Allowance*at/n)
 }
--- a/internal/dataplane/proxy/router_test.go
+++ b/internal/dataplane/proxy/router_test.go
@@ -6,19 +6,19 @@
 	"github.com/matryer/is"
 
 	"dunlinwell/internal/base/ids"
-	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/state/configuration"
 )
 
 func TestRoutesByHostAndLongestPrefix(t *testing.T) {
 	is := is.New(t)
-	routes := map[ids.Name]policy.Route{}
+	routes := map[ids.Name]configuration.Route{}
 	for name, at := range map[ids.Name][2]string{
 		"own": {"Tern.example", "/mud/"}, "deep": {"tern.example", "/mud/flat/"}, "root": {"gull.example", "/"},
 		"any": {"", "/mud/flat/low/"}, "all": {"", "/"}, "a-first": {"tern.example", "/twice/"}, "b-second": {"tern.example", "/twice/"},
 	} {
-		routes[name] = policy.Route{Name: name, Host: at[0], Prefix: at[1]}
+		routes[name] = configuration.Route{Name: name, Host: at[0], Prefix: at[1]}
 	}
-	r := newRouter(&policy.View{Routes: routes})
+	r := newRouter(&configuration.View{Routes: routes})
 	for _, c := range []struct {
 		host, path string
 		want       ids.Name
@@ -47,7 +47,7 @@
 		}
 	}
 	delete(routes, "all")
-	r = newRouter(&policy.View{Routes: routes})
+	r = newRouter(&configuration.View{Routes: routes})
 	for _, c := range [][2]string{{"tern.example", "/"}, {"tern.example", "/muddy/"}, {"tern.example", ""}, {"tern.example", "*"}, {"", "/mud/1"}, {"other.example", "/mud/flat/"}} {
 		_, ok := r.find(c[0], c[1])
 		is.True(!ok)
--- a/internal/state/policy/cluster_test.go
+++ b/internal/state/configuration/cluster_test.go
@@ -1,4 +1,4 @@
-package policy_test
+package configuration_test
 
 import (
 	"container/heap"
@@ -8,8 +8,8 @@
 
 	"dunlinwell/internal/base/event"
 	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/state/configuration"
 	"dunlinwell/internal/state/consensus"
-	"dunlinwell/internal/state/policy"
 )
 
 // cluster is three stores that keep the policy, and two registries' clients, in
@@ -108,7 +108,7 @@
 	s.Outbox = event.Outbox{}
 	s.Acceptor = consensus.NewAcceptor(s.id, s.disk, &s.Outbox)
 	random := rand.New(rand.NewPCG(c.random.Uint64(), s.id))
-	s.Proposer = consensus.NewProposer(s.id<<24|s.run, s.Acceptor.VoterSet, policy.Ops(), random, &s.Outbox)
+	s.Proposer = consensus.NewProposer(s.id<<24|s.run, s.Acceptor.VoterSet, configuration.Ops(), random, &s.Outbox)
 }
 
 // crash ends a store's process, and starts it anew later.
@@ -233,6 +233,6 @@
 // call sends an operation through one registry, and gives its end later.
 func (c *cluster) call(registry int, op consensus.Op, arg []byte, done func(consensus.State, []byte)) {
 	n := c.clients[registry]
-	n.Call(c.now, policy.Key, op, arg, 3*time.Second, func(_ ids.Time, s consensus.State, out []byte) { done(s, out) })
+	n.Call(c.now, configuration.Key, op, arg, 3*time.Second, func(_ ids.Time, s consensus.State, out []byte) { done(s, out) })
 	c.send(n.address, n.Drain())
 }
--- a/internal/state/policy/clusterdisk_test.go
+++ b/internal/state/configuration/clusterdisk_test.go
@@ -1,4 +1,4 @@
-package policy_test
+package configuration_test
 
 import (
 	"maps"
--- a/internal/state/policy/delta_test.go
+++ b/internal/state/configuration/delta_test.go
@@ -1,4 +1,4 @@
-package policy
+package configuration
 
 import (
 	"encoding/json"
--- a/internal/state/policy/policy.go
+++ b/internal/state/configuration/policy.go
@@ -1,7 +1,7 @@
 // Package catalogue is the policy: services, routes and cells. It is one
 // register, because a change that names several items must be whole or
 // nothing and a route may not outlive its service; versions are each item's.
-package policy
+package configuration
 
 import (
 	"encoding/json"
--- a/internal/testsupport/compat/answers_test.go
+++ b/internal/testsupport/compat/answers_test.go
@@ -14,7 +14,7 @@
 	"dunlinwell/internal/app/daemon"
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/controlplane/registry"
-	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/state/configuration"
 	"dunlinwell/platform"
 )
 
@@ -23,7 +23,7 @@
 func answering(t *testing.T) *api.Server {
 	t.Helper()
 	values, _ := writeSample(t, memoryDisk{})
-	held, err := policy.Open(values[policy.Key])
+	held, err := configuration.Open(values[configuration.Key])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,7 +45,7 @@
 		case registry.DeregisterCall:
 			answer(c.ID, map[string]any{"known": true, "gone": c.Instance})
 		case registry.CellOrderCall:
-			answer(c.ID, policy.CellOrder{Cell: c.Cell, Region: c.Region, Shut: c.Shut})
+			answer(c.ID, configuration.CellOrder{Cell: c.Cell, Region: c.Region, Shut: c.Shut})
 		case registry.ChangeCall:
 			answer(c.ID, string(c.Raw))
 		case registry.MergeCall:
--- a/internal/testsupport/compat/folder_test.go
+++ b/internal/testsupport/compat/folder_test.go
@@ -13,8 +13,8 @@
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/controlplane/membership"
 	"dunlinwell/internal/controlplane/store"
+	"dunlinwell/internal/state/configuration"
 	"dunlinwell/internal/state/consensus"
-	"dunlinwell/internal/state/policy"
 	"dunlinwell/internal/state/storage"
 )
 
@@ -40,7 +40,7 @@
 		"store":    fmt.Sprintf("%x", disk.Store),
 		"standing": fmt.Sprint(uint8(s.Standing())),
 		"voters":   fmt.Sprintf("number %d loss %d", set.Number, set.Loss),
-		"policy":   string(s.LocalValue(policy.Key)),
+		"policy":   string(s.LocalValue(configuration.Key)),
 	}
 	for i, v := range set.Voters {
 		got[fmt.Sprintf("voter %d", i)] = fmt.Sprintf("%x at %s", v.ID, v.Address)
@@ -109,7 +109,7 @@
 			t.Errorf("%s:\n got %s\nwant %s", name, got[name], text)
 		}
 	}
-	p, err := policy.Open([]byte(got["policy"]))
+	p, err := configuration.Open([]byte(got["policy"]))
 	is.NoErr(err)
 	is.Equal(p.Revision, ids.Revision(8))
 	is.Equal(string(p.Services["ledger"].Body), `{"tier":8,"capacity":40}`)
--- a/internal/testsupport/compat/json_test.go
+++ b/internal/testsupport/compat/json_test.go
@@ -12,7 +12,7 @@
 	"dunlinwell/internal/controlplane/registry"
 	"dunlinwell/internal/controlplane/targets"
 	"dunlinwell/internal/dataplane/proxy"
-	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/state/configuration"
 	"dunlinwell/internal/testsupport/testbed"
 )
 
@@ -26,15 +26,15 @@
 	"answer of the status":     reflect.TypeFor[registry.Status](),
 	"announcement of a target": reflect.TypeFor[targets.Target](),
 	"page of a target":         reflect.TypeFor[proxy.Shown](),
-	"policy":                   reflect.TypeFor[policy.Policy](),
-	"change":                   reflect.TypeFor[policy.Change](),
-	"result of a change":       reflect.TypeFor[policy.Result](),
-	"merge":                    reflect.TypeFor[policy.Merge](),
-	"order for a cell":         reflect.TypeFor[policy.CellOrder](),
-	"body of a service":        reflect.TypeFor[policy.Service](),
-	"body of a route":          reflect.TypeFor[policy.Route](),
-	"body of a cell":           reflect.TypeFor[policy.Cell](),
-	"body of limits":           reflect.TypeFor[policy.Limits](),
+	"policy":                   reflect.TypeFor[configuration.Policy](),
+	"change":                   reflect.TypeFor[configuration.Change](),
+	"result of a change":       reflect.TypeFor[configuration.Result](),
+	"merge":                    reflect.TypeFor[configuration.Merge](),
+	"order for a cell":         reflect.TypeFor[configuration.CellOrder](),
+	"body of a service":        reflect.TypeFor[configuration.Service](),
+	"body of a route":          reflect.TypeFor[configuration.Route](),
+	"body of a cell":           reflect.TypeFor[configuration.Cell](),
+	"body of limits":           reflect.TypeFor[configuration.Limits](),
 	"runbook":                  reflect.TypeFor[runbook.Book](),
 	"script of the testbed":    reflect.TypeFor[testbed.Script](),
 }
--- a/internal/testsupport/compat/policy_test.go
+++ b/internal/testsupport/compat/policy_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 
 	"dunlinwell/internal/base/ids"
-	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/state/configuration"
 )
 
 // The policy goes to proxies whole without its history, or as what changed since
@@ -14,11 +14,11 @@
 func TestPolicyForProxies(t *testing.T) {
 	is := is.New(t)
 	values, _ := writeSample(t, memoryDisk{})
-	whole, err := policy.Open(values[policy.Key])
+	whole, err := configuration.Open(values[configuration.Key])
 	is.NoErr(err)
-	older, err := policy.Open(nil)
+	older, err := configuration.Open(nil)
 	is.NoErr(err)
-	ops := policy.Ops()
+	ops := configuration.Ops()
 	var early []byte
 	for _, o := range sampleChanges()[:3] {
 		early, _ = ops[o.op](o.key, early, o.arg)
--- a/internal/testsupport/compat/sample_test.go
+++ b/internal/testsupport/compat/sample_test.go
@@ -6,10 +6,10 @@
 	"testing"
 
 	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/state/configuration"
 	"dunlinwell/internal/state/consensus"
 	"dunlinwell/internal/state/election"
 	"dunlinwell/internal/state/idempotency"
-	"dunlinwell/internal/state/policy"
 	"dunlinwell/internal/transport/wire"
 )
 
@@ -33,8 +33,8 @@
 // sampleChanges are orders on the policy: changes that are accepted and declined,
 // one with a base in its id, items with versions of their own and orders for cells.
 func sampleChanges() []order {
-	change := func(text string) order { return order{policy.Key, policy.OpChange, []byte(text)} }
-	merge := func(text string) order { return order{policy.Key, policy.OpMerge, []byte(text)} }
+	change := func(text string) order { return order{configuration.Key, configuration.OpChange, []byte(text)} }
+	merge := func(text string) order { return order{configuration.Key, configuration.OpMerge, []byte(text)} }
 	return []order{
 		change(`{"id":"first","changes":[{"kind":"service","name":"ledger","put":{"tier":8,"capacity":40}},{"kind":"route","name":"orders","put":{"prefix":"/orders","service":"ledger","repeatable":false}},{"kind":"cell","name":"north","put":{"region":"isle","target":70,"acceptable":50,"maximum":90}}]}`),
 		change(many()),
@@ -43,7 +43,7 @@
 		change(`{"id":"removal","changes":[{"kind":"service","name":"many-7","remove":true}]}`),
 		merge(`{"items":[{"kind":"service","name":"given","version":70,"body":{"tier":3},"source":{"name":"given","note":"<&>"}},{"kind":"service","name":"gone","version":9,"removed":true}]}`),
 		merge(`{"items":[{"kind":"service","name":"given","version":71,"body":{"tier":4},"source":{"name":"given"}}]}`),
-		{policy.Key, policy.OpOrderCell, []byte(`{"cell":"north","region":"isle","shut":true,"known":1}`)},
+		{configuration.Key, configuration.OpOrderCell, []byte(`{"cell":"north","region":"isle","shut":true,"known":1}`)},
 		change(`{"id":"limits","changes":[{"kind":"limits","name":"limits","put":{"max_body":100000}}]}`),
 	}
 }
--- a/internal/testsupport/compat/settings_test.go
+++ b/internal/testsupport/compat/settings_test.go
@@ -13,7 +13,7 @@
 
 	"dunlinwell/internal/app/cli"
 	"dunlinwell/internal/app/daemon"
-	"dunlinwell/internal/base/config"
+	"dunlinwell/internal/base/settings"
 	"dunlinwell/internal/dataplane/proxy"
 )
 
@@ -80,7 +80,7 @@
 	before := os.Args
 	defer func() { os.Args = before }()
 	os.Args = append([]string{name}, words...)
-	config.Read(name, "", into)
+	settings.Read(name, "", into)
 }
 
 // Each flag of a daemon comes through to its options, given on the command line
--- a/internal/testsupport/scaletest/size_test.go
+++ b/internal/testsupport/scaletest/size_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/state/configuration"
 )
 
 func lists() Lists {
@@ -57,10 +57,10 @@
 func TestWholePolicyIsAccepted(t *testing.T) {
 	is := is.New(t)
 	s := Size{Proxies: 1, Services: 7, Routes: 40, Tenants: 3000, Cells: 4, Regions: 2, Core: 3}
-	p, err := policy.Open(nil)
+	p, err := configuration.Open(nil)
 	is.NoErr(err)
 	apply := func(raw []byte) {
-		c, faults := policy.ReadChange(raw)
+		c, faults := configuration.ReadChange(raw)
 		is.Equal(len(faults), 0)
 		next, res := p.Apply(c)
 		is.True(res.Accepted())
--- a/internal/testsupport/simulator/books.go
+++ b/internal/testsupport/simulator/books.go
@@ -6,7 +6,7 @@
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/controlplane/membership"
 	"dunlinwell/internal/controlplane/registry"
-	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/state/configuration"
 	"dunlinwell/internal/testsupport/checker"
 )
 
@@ -45,7 +45,7 @@
 
 // judge shows the witness what was read.
 func (w *World) judge(who string, rep registry.Response, floor uint64) bool {
-	p, ok := rep.Body.(*policy.Policy)
+	p, ok := rep.Body.(*configuration.Policy)
 	if !ok {
 		return false
 	}
@@ -59,7 +59,7 @@
 }
 
 // held checks what a proxy goes by from now on.
-func (w *World) held(d *dispatchers, v *policy.View) {
+func (w *World) held(d *dispatchers, v *configuration.View) {
 	if v.Revision < d.held {
 		w.Truth.Wrong("%s went back from revision %d to %d", d.p.name, d.held, v.Revision)
 	}
--- a/internal/testsupport/simulator/catchup.go
+++ b/internal/testsupport/simulator/catchup.go
@@ -7,8 +7,8 @@
 
 	"dunlinwell/internal/base/event"
 	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/state/configuration"
 	"dunlinwell/internal/state/consensus"
-	"dunlinwell/internal/state/policy"
 )
 
 // Absences are the ways in which a store misses changes. Each gives how it returns.
@@ -53,7 +53,7 @@
 			return
 		}
 		w.office.n++
-		w.change(w.work().Put(fmt.Sprint("missed-", w.office.n), w.office.n, n%3), func(policy.Result) { next(n + 1) })
+		w.change(w.work().Put(fmt.Sprint("missed-", w.office.n), w.office.n, n%3), func(configuration.Result) { next(n + 1) })
 	}
 	next(0)
 }
@@ -84,8 +84,8 @@
 
 // revision gives the policy's revision on the synced disk.
 func (d *disk) revision() ids.Revision {
-	_, raw := consensus.NewAcceptor(d.store, d, &event.Outbox{}).Value(policy.Key)
-	held, err := policy.Open(raw)
+	_, raw := consensus.NewAcceptor(d.store, d, &event.Outbox{}).Value(configuration.Key)
+	held, err := configuration.Open(raw)
 	if err != nil {
 		return 0
 	}
--- a/internal/testsupport/simulator/cutoff.go
+++ b/internal/testsupport/simulator/cutoff.go
@@ -8,7 +8,7 @@
 	"dunlinwell/internal/controlplane/membership"
 	"dunlinwell/internal/controlplane/registry"
 	"dunlinwell/internal/controlplane/targets"
-	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/state/configuration"
 )
 
 func init() {
@@ -110,7 +110,7 @@
 	case 3:
 		return "a stranger's end", func(id uint64) any { return registry.DeregisterCall{ID: id, Instance: "nobody"} }
 	case 4:
-		return "a merge", func(id uint64) any { return registry.MergeCall{ID: id, Body: policy.Merge{}} }
+		return "a merge", func(id uint64) any { return registry.MergeCall{ID: id, Body: configuration.Merge{}} }
 	}
 	return "where to go", func(id uint64) any { return registry.ResolveCall{ID: id, Cell: w.Plan.Cell(0), Route: "none"} }
 }
--- a/internal/testsupport/simulator/defect_test.go
+++ b/internal/testsupport/simulator/defect_test.go
@@ -13,9 +13,9 @@
 	"dunlinwell/internal/controlplane/spill"
 	"dunlinwell/internal/controlplane/targets"
 	"dunlinwell/internal/dataplane/dispatch"
+	"dunlinwell/internal/state/configuration"
 	"dunlinwell/internal/state/consensus"
 	"dunlinwell/internal/state/idempotency"
-	"dunlinwell/internal/state/policy"
 )
 
 // Every checker catches the mistake it is there for.
@@ -29,7 +29,7 @@
 		hot    bool
 	}{
 		"double run":    {want: "run twice", defect: Defect{Ops: map[consensus.Op]consensus.ChangeFunc{idempotency.OpClaim: alwaysYours}}},
-		"half a change": {want: "reads back as", defect: Defect{Ops: map[consensus.Op]consensus.ChangeFunc{policy.OpChange: half}}},
+		"half a change": {want: "reads back as", defect: Defect{Ops: map[consensus.Op]consensus.ChangeFunc{configuration.OpChange: half}}},
 		"forgotten": {want: "was known|reads back as|given to", defect: Defect{DiskForgets: true}, script: func(w *World) {
 			// Every store loses power at once, again and again.
 			w.every(8*time.Second, 6*time.Second, 5, func(int) {
--- a/internal/testsupport/simulator/dispatchers.go
+++ b/internal/testsupport/simulator/dispatchers.go
@@ -8,8 +8,8 @@
 	"dunlinwell/internal/controlplane/spill"
 	"dunlinwell/internal/dataplane/dispatch"
 	"dunlinwell/internal/dataplane/proxy"
+	"dunlinwell/internal/state/configuration"
 	"dunlinwell/internal/state/idempotency"
-	"dunlinwell/internal/state/policy"
 )
 
 // dispatchers is the data plane of a simulated proxy: real dispatchers, and targets
@@ -22,7 +22,7 @@
 	jobs  map[ids.Request]*errand
 	next  ids.Request
 	last  ids.Time
-	view  *policy.View
+	view  *configuration.View
 	ready proxy.Footing
 	meter ids.Time
 	spent map[[2]ids.Name]float64
@@ -125,7 +125,7 @@
 
 // arrive takes a consumer's request, as the real front does.
 func (d *dispatchers) arrive(route ids.Name, token string, mark ids.IdempotencyKey, try int, says bool, left time.Duration, done func(dispatch.Response)) {
-	var r policy.Route
+	var r configuration.Route
 	ok := false
 	if d.view != nil {
 		r, ok = d.view.Routes[route]
--- a/internal/testsupport/simulator/emptying.go
+++ b/internal/testsupport/simulator/emptying.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"dunlinwell/internal/base/ids"
-	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/state/configuration"
 )
 
 // emptyCell empties a cell as an operator does, and refills it later.
@@ -36,7 +36,7 @@
 func (w *World) setEmptied(c ids.Name, on bool, then func()) {
 	w.office.n++
 	asked := w.clock()
-	w.change(w.work().Emptied(fmt.Sprintf("empty-%d", w.office.n), c, on), func(r policy.Result) {
+	w.change(w.work().Emptied(fmt.Sprintf("empty-%d", w.office.n), c, on), func(r configuration.Result) {
 		// Answers may overtake one another; revisions don't.
 		if on && r.Revision > w.office.cellAt {
 			w.Truth.Empty(c, asked, w.clock())
--- a/internal/testsupport/simulator/history.go
+++ b/internal/testsupport/simulator/history.go
@@ -5,7 +5,7 @@
 
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/controlplane/registry"
-	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/state/configuration"
 )
 
 // Operation is one call on the policy's register as its caller saw it: a change,
@@ -63,7 +63,7 @@
 
 // read notes what a reading gave.
 func (h *history) read(called, now ids.Time, who string, rep registry.Response) {
-	if p, ok := rep.Body.(*policy.Policy); ok {
+	if p, ok := rep.Body.(*configuration.Policy); ok {
 		h.list = append(h.list, &Operation{Name: who, Called: called, Returned: now, Known: true, Revision: p.Revision, Content: string(page(p))})
 	}
 }
--- a/internal/testsupport/simulator/linear_test.go
+++ b/internal/testsupport/simulator/linear_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 
 	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/state/configuration"
 	"dunlinwell/internal/state/consensus"
-	"dunlinwell/internal/state/policy"
 )
 
 // register is the policy's register as its callers may see it: each accepted
@@ -85,8 +85,8 @@
 
 // lost acknowledges every tenth change and keeps nothing of it.
 func lost() map[consensus.Op]consensus.ChangeFunc {
-	n, inner := 0, policy.Ops()[policy.OpChange]
-	return map[consensus.Op]consensus.ChangeFunc{policy.OpChange: func(key ids.Key, old, arg []byte) ([]byte, []byte) {
+	n, inner := 0, configuration.Ops()[configuration.OpChange]
+	return map[consensus.Op]consensus.ChangeFunc{configuration.OpChange: func(key ids.Key, old, arg []byte) ([]byte, []byte) {
 		next, out := inner(key, old, arg)
 		if n++; n%10 == 0 {
 			return old, out
@@ -104,7 +104,7 @@
 		if !ok || r.State != consensus.Done {
 			return msg, true
 		}
-		if p, err := policy.Open(r.Result); err == nil && p.Revision > 2 && len(p.Services) > 0 && early == nil {
+		if p, err := configuration.Open(r.Result); err == nil && p.Revision > 2 && len(p.Services) > 0 && early == nil {
 			early = r.Result
 		}
 		if n++; r.Same && early != nil && n%5 == 0 {
--- a/internal/testsupport/simulator/mistakes_test.go
+++ b/internal/testsupport/simulator/mistakes_test.go
@@ -11,8 +11,8 @@
 	"dunlinwell/internal/controlplane/registry"
 	"dunlinwell/internal/controlplane/spill"
 	"dunlinwell/internal/dataplane/proxy"
+	"dunlinwell/internal/state/configuration"
 	"dunlinwell/internal/state/idempotency"
-	"dunlinwell/internal/state/policy"
 	"dunlinwell/internal/testsupport/blueprint"
 )
 
@@ -27,7 +27,7 @@
 	if i := bytes.Index(arg, []byte(`,{"kind":"route"`)); i > 0 && bytes.Contains(arg, []byte("shelf-")) {
 		arg = append(append([]byte{}, arg[:i]...), "]}"...)
 	}
-	return policy.Ops()[policy.OpChange](key, old, arg)
+	return configuration.Ops()[configuration.OpChange](key, old, arg)
 }
 
 // pushes spoils what registries push to proxies.
@@ -108,7 +108,7 @@
 	var mu sync.Mutex
 	confirmed := map[ids.Change]bool{}
 	return func(rep registry.Response) registry.Response {
-		r, ok := rep.Body.(policy.Result)
+		r, ok := rep.Body.(configuration.Result)
 		if !ok || rep.Status != 200 {
 			return rep
 		}
--- a/internal/testsupport/simulator/office.go
+++ b/internal/testsupport/simulator/office.go
@@ -6,7 +6,7 @@
 
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/controlplane/registry"
-	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/state/configuration"
 	"dunlinwell/internal/testsupport/blueprint"
 )
 
@@ -86,7 +86,7 @@
 func (w *World) race(n int) {
 	won := 0
 	for _, who := range []string{"a", "b"} {
-		w.change(w.work().Race(fmt.Sprintf("race-%d%s", n, who), n, w.office.raced), func(r policy.Result) {
+		w.change(w.work().Race(fmt.Sprintf("race-%d%s", n, who), n, w.office.raced), func(r configuration.Result) {
 			w.office.raced = max(w.office.raced, r.Revision)
 			if won++; won > 1 {
 				w.Truth.Wrong("both sides of race-%d were accepted", n)
@@ -107,7 +107,7 @@
 }
 
 // page gives a policy as its page would say it.
-func page(p *policy.Policy) []byte {
+func page(p *configuration.Policy) []byte {
 	raw, _ := json.Marshal(p)
 	return raw
 }
--- a/internal/testsupport/simulator/order.go
+++ b/internal/testsupport/simulator/order.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"dunlinwell/internal/controlplane/registry"
-	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/state/configuration"
 )
 
 const (
@@ -33,7 +33,7 @@
 // answeredOperator hears of an answer that a registry gives an operator, and
 // tells whether it is lost on its way.
 func (w *World) answeredOperator(p *proc, rep registry.Response) bool {
-	if r, ok := rep.Body.(policy.Result); ok && rep.Status == 200 {
+	if r, ok := rep.Body.(configuration.Result); ok && rep.Status == 200 {
 		w.office.taken[string(r.ID)] = true
 		w.acknowledged(p)
 	}
@@ -68,7 +68,7 @@
 }
 
 // change sends a change until its end is known, under the same id each time.
-func (w *World) change(raw string, accepted func(policy.Result)) {
+func (w *World) change(raw string, accepted func(configuration.Result)) {
 	id := w.Truth.Ask([]byte(raw), w.clock())
 	w.history.begin(w.now, id)
 	w.resend(id, raw, true, accepted)
@@ -76,11 +76,11 @@
 }
 
 // resend sends it once more; sure tells that no earlier copy can take effect.
-func (w *World) resend(id, raw string, sure bool, accepted func(policy.Result)) {
+func (w *World) resend(id, raw string, sure bool, accepted func(configuration.Result)) {
 	again := func() { w.later(300*ms, func() { w.resend(id, raw, sure, accepted) }) }
 	maybe := func() { sure = false; again() }
 	w.call(operator, w.Plan.Cell(0), func(x uint64) any { return registry.ChangeCall{ID: x, Raw: []byte(raw)} }, func(rep registry.Response) {
-		r, ok := rep.Body.(policy.Result)
+		r, ok := rep.Body.(configuration.Result)
 		switch {
 		case !ok && rep.Status != 503:
 			maybe()
--- a/internal/testsupport/simulator/resend_test.go
+++ b/internal/testsupport/simulator/resend_test.go
@@ -10,7 +10,7 @@
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/controlplane/membership"
 	"dunlinwell/internal/controlplane/registry"
-	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/state/configuration"
 	"dunlinwell/internal/testsupport/blueprint"
 )
 
@@ -29,11 +29,13 @@
 		w.counted = true
 		w.every(6*time.Second, 200*time.Millisecond, 12, func(i int) {
 			raw := fmt.Sprintf(`{"id":"early-%d","changes":[{"kind":"service","name":"early-%d","version":0,"put":{}}]}`, i, i)
-			w.change(raw, func(r policy.Result) { orders = append(orders, order{fmt.Sprintf("early-%d", i), raw, r.Revision}) })
+			w.change(raw, func(r configuration.Result) {
+				orders = append(orders, order{fmt.Sprintf("early-%d", i), raw, r.Revision})
+			})
 		})
 		w.every(10*time.Second, 40*time.Millisecond, 320, func(i int) {
 			raw := fmt.Sprintf(`{"id":"other-%d","changes":[{"kind":"service","name":"early-%d","put":{"allowance":%d}}]}`, i, i%12, i)
-			w.change(raw, func(policy.Result) { others++ })
+			w.change(raw, func(configuration.Result) { others++ })
 		})
 		for i := range 3 {
 			w.later(time.Duration(26+4*i)*time.Second, func() { w.bounce(w.procs[i], time.Second) })
@@ -47,7 +49,7 @@
 				for _, sent := range orders {
 					w.callAt(p, "operator", w.Plan.Cell(0), func(x uint64) any { return registry.ChangeCall{ID: x, Raw: []byte(sent.raw)} }, func(rep registry.Response) {
 						again++
-						if r, ok := rep.Body.(policy.Result); rep.Status != 200 || !ok || r.Revision != sent.revision {
+						if r, ok := rep.Body.(configuration.Result); rep.Status != 200 || !ok || r.Revision != sent.revision {
 							t.Errorf("%s, made in revision %d, got %d %+v", sent.id, sent.revision, rep.Status, rep.Body)
 						}
 					}, func() { t.Errorf("no answer to %s", sent.id) })
--- a/internal/testsupport/simulator/run.go
+++ b/internal/testsupport/simulator/run.go
@@ -7,7 +7,7 @@
 
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/controlplane/membership"
-	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/state/configuration"
 	"dunlinwell/internal/testsupport/blueprint"
 	"dunlinwell/internal/testsupport/checker"
 )
@@ -200,7 +200,7 @@
 
 // policy sets the plan's policy, as often as it takes.
 func (w *World) policy() {
-	w.change(string(w.Plan.Change()), func(policy.Result) {})
+	w.change(string(w.Plan.Change()), func(configuration.Result) {})
 }
 
 // heal ends every fault, as when the machines are back.
