--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -8,7 +8,7 @@
 )
 
 func main() {
-	var p proxy.Params
+	var p proxy.DaemonOptions
 	settings.Read("proxy", "Carries consumers' requests to the targets of dunlinwell's services.", &p)
 	daemon.Exit("proxy", proxy.NewDaemon(p).Run(daemon.SignalContext()))
 }
--- a/internal/app/api/api.go
+++ b/internal/app/api/api.go
@@ -67,7 +67,7 @@
 		w.mu.Lock()
 		delete(w.open, id)
 		w.mu.Unlock()
-		return registry.Response{Status: 504, Body: registry.Problem{Problem: "uncertain: no answer in time"}, Retry: 1}
+		return registry.Response{Status: 504, Body: registry.ErrorResponse{Message: "uncertain: no answer in time"}, RetryAfter: 1}
 	}
 }
 
@@ -163,14 +163,14 @@
 	if status == 503 || status == 504 {
 		retry = 1
 	}
-	Write(rw, registry.Response{Status: status, Body: registry.Problem{Problem: why}, Retry: retry})
+	Write(rw, registry.Response{Status: status, Body: registry.ErrorResponse{Message: why}, RetryAfter: retry})
 }
 
 // Write answers a call.
 func Write(rw http.ResponseWriter, r registry.Response) {
 	rw.Header().Set("Content-Type", "application/json")
-	if r.Retry > 0 {
-		rw.Header().Set("Retry-After", strconv.Itoa(r.Retry))
+	if r.RetryAfter > 0 {
+		rw.Header().Set("Retry-After", strconv.Itoa(r.RetryAfter))
 	}
 	rw.WriteHeader(r.Status)
 	_ = json.NewEncoder(rw).Encode(r.Body)
--- a/internal/app/api/fuzz_test.go
+++ b/internal/app/api/fuzz_test.go
@@ -27,7 +27,7 @@
 }
 
 func newOffice() *office {
-	self := membership.Member{ID: "f", Role: membership.Registry, Address: "10.0.0.1:1", Start: 1, Zone: "north"}
+	self := membership.Member{ID: "f", Role: membership.Registry, Address: "10.0.0.1:1", RunID: 1, Zone: "north"}
 	o := &office{Server: &Server{}, now: 1}
 	o.f = registry.New(registry.Options{Options: membership.Options{Self: self}, Random: rand.New(rand.NewPCG(1, 1))})
 	o.Put = func(ev any) {
@@ -35,7 +35,7 @@
 		defer o.mu.Unlock()
 		o.step(ev)
 	}
-	o.step(event.Received{From: "10.0.0.2:1", Msg: membership.Heartbeat{Self: membership.Member{ID: "s", Role: membership.Store, Address: "10.0.0.2:1", Start: 1, Ready: true}}})
+	o.step(event.Received{From: "10.0.0.2:1", Msg: membership.Heartbeat{Self: membership.Member{ID: "s", Role: membership.Store, Address: "10.0.0.2:1", RunID: 1, Ready: true}}})
 	for range 3 {
 		o.now += 200e6
 		o.step(event.Tick{})
@@ -62,11 +62,11 @@
 	if change := configuration.Ops()[r.Op]; change != nil && r.Key == configuration.Key {
 		o.value, out = change(r.Key, o.value, r.Arg)
 	}
-	return consensus.Response{ID: r.ID, Try: r.Try, State: consensus.Done, Result: out}
+	return consensus.Response{ID: r.ID, Attempt: r.Attempt, Outcome: consensus.Succeeded, Result: out}
 }
 
 func (o *office) revision() ids.Revision {
-	p, err := configuration.Open(o.value)
+	p, err := configuration.Decode(o.value)
 	if err != nil {
 		return 0
 	}
--- a/internal/app/api/items.go
+++ b/internal/app/api/items.go
@@ -25,10 +25,10 @@
 }
 
 // read asks for the policy; local only where the caller wants that.
-func (w *Server) read(rw http.ResponseWriter, r *http.Request) (*configuration.Policy, bool) {
+func (w *Server) read(rw http.ResponseWriter, r *http.Request) (*configuration.Document, bool) {
 	local := r.URL.Query().Get("local") == "true"
-	rep := w.Do(func(id uint64) any { return registry.PolicyCall{ID: id, Local: local} })
-	p, ok := rep.Body.(*configuration.Policy)
+	rep := w.Do(func(id uint64) any { return registry.ReadConfigurationCall{ID: id, Local: local} })
+	p, ok := rep.Body.(*configuration.Document)
 	if !ok {
 		Write(rw, rep)
 	}
@@ -53,7 +53,7 @@
 }
 
 // items finds the kind that a path names, and reads the policy.
-func (w *Server) items(rw http.ResponseWriter, r *http.Request) (string, *configuration.Policy, bool) {
+func (w *Server) items(rw http.ResponseWriter, r *http.Request) (string, *configuration.Document, bool) {
 	k, ok := kind(rw, r)
 	if !ok {
 		return k, nil, false
@@ -68,8 +68,8 @@
 		return
 	}
 	list := []Item{}
-	for _, n := range sortedNames(p.Of(k)) {
-		it := p.Of(k)[n]
+	for _, n := range sortedNames(p.Items(k)) {
+		it := p.Items(k)[n]
 		list = append(list, Item{k, n, it.Version, it.Body})
 	}
 	Write(rw, registry.Response{Status: 200, Body: map[string]any{"revision": p.Revision, "items": list}})
@@ -81,7 +81,7 @@
 		return
 	}
 	n := ids.Name(r.PathValue("name"))
-	it, found := p.Of(k)[n]
+	it, found := p.Items(k)[n]
 	if !found {
 		Say(rw, 404, fmt.Sprintf("there is no %s %q", k, n))
 		return
@@ -134,7 +134,7 @@
 	}
 	// Checked by itself first, or a body could close the part it is put into.
 	if !json.Valid(raw) {
-		Write(rw, registry.Response{Status: 400, Body: configuration.Result{Faults: []configuration.Fault{{Item: k + "/" + r.PathValue("name"), Problem: "is not valid JSON"}}}})
+		Write(rw, registry.Response{Status: 400, Body: configuration.Result{Violations: []configuration.Violation{{Item: k + "/" + r.PathValue("name"), Reason: "is not valid JSON"}}}})
 		return
 	}
 	w.single(rw, r, k, "put", raw)
@@ -176,7 +176,7 @@
 	}
 	m, faults := configuration.ReadMerge(raw)
 	if len(faults) > 0 {
-		Write(rw, registry.Response{Status: 400, Body: configuration.Result{Faults: faults}})
+		Write(rw, registry.Response{Status: 400, Body: configuration.Result{Violations: faults}})
 		return
 	}
 	Write(rw, w.Do(func(id uint64) any { return registry.MergeCall{ID: id, Body: m} }))
--- a/internal/app/api/merge_test.go
+++ b/internal/app/api/merge_test.go
@@ -15,8 +15,8 @@
 )
 
 // merger is a window whose registry merges at once.
-func merger() (*Server, **configuration.Policy) {
-	p, _ := configuration.Open(nil)
+func merger() (*Server, **configuration.Document) {
+	p, _ := configuration.Decode(nil)
 	w := &Server{}
 	w.Put = func(ev any) {
 		c := ev.(registry.MergeCall)
@@ -50,7 +50,7 @@
 		is.Equal(rw.Code, 200)
 		var r configuration.Result
 		is.NoErr(json.Unmarshal(rw.Body.Bytes(), &r))
-		is.Equal(r.Items, []configuration.Touched{{Kind: "service", Name: "wader", Version: 7}})
+		is.Equal(r.Items, []configuration.ItemVersion{{Kind: "service", Name: "wader", Version: 7}})
 		is.Equal((*p).Revision, ids.Revision(1)) // the second one found it merged
 		rw = call(`{"items":[{"kind":"service","name":"plover","version":7,"body":{}},{"kind":"route","name":"mud","version":7,"body":{"prefix":"/mud/","service":"none","repeatable":true}}]}`)
 		is.Equal(rw.Code, 400)
--- a/internal/app/api/revision.go
+++ b/internal/app/api/revision.go
@@ -21,8 +21,8 @@
 
 // known gives the revision that the registry knows, if it answers.
 func (w *Server) known() (ids.Revision, bool) {
-	rep := w.Do(func(id uint64) any { return registry.PolicyCall{ID: id, Local: true} })
-	p, ok := rep.Body.(*configuration.Policy)
+	rep := w.Do(func(id uint64) any { return registry.ReadConfigurationCall{ID: id, Local: true} })
+	p, ok := rep.Body.(*configuration.Document)
 	if !ok {
 		return 0, false
 	}
--- a/internal/app/cli/books.go
+++ b/internal/app/cli/books.go
@@ -35,7 +35,7 @@
 	if len(faults) > 0 {
 		var lines []string
 		for _, f := range faults {
-			lines = append(lines, strings.Join([]string{f.Item, f.Path, f.Problem}, ": "))
+			lines = append(lines, strings.Join([]string{f.Item, f.Path, f.Reason}, ": "))
 		}
 		return &Ended{ExitDeclined, "declined, nothing sent: " + strings.Join(lines, "; ")}
 	}
--- a/internal/app/cli/status.go
+++ b/internal/app/cli/status.go
@@ -78,14 +78,14 @@
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%s\n", d.ID, d.Role, d.Cell, d.Address, d.HTTP, d.Revision, d.State)
 	}
 	fmt.Fprintln(w, "\nDUTY\tEPOCH\tPLAN\tHERE")
-	for _, d := range st.Duties {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%t\n", d.Name, d.Epoch, d.Plan, d.Mine)
+	for _, d := range st.Leaderships {
+		fmt.Fprintf(w, "%s\t%d\t%d\t%t\n", d.Name, d.Epoch, d.Plan, d.Held)
 	}
-	if len(st.Problems) == 0 {
+	if len(st.Warnings) == 0 {
 		fmt.Fprintln(w, "\nno problems")
 		return
 	}
-	fmt.Fprintf(w, "\nPROBLEMS\n  %s\n", strings.Join(st.Problems, "\n  "))
+	fmt.Fprintf(w, "\nPROBLEMS\n  %s\n", strings.Join(st.Warnings, "\n  "))
 }
 
 // Main runs the command line and gives its exit code.
--- a/internal/app/daemon/changes_bench_test.go
+++ b/internal/app/daemon/changes_bench_test.go
@@ -42,7 +42,7 @@
 	var times []time.Duration
 	before, wire, disk := processorTime(), c.changeBytes(), c.figure("disk_bytes_total")
 	for i := range changes {
-		status, took := c.merge(configuration.Merge{Items: []configuration.Given{route(i%size, 2+i)}})
+		status, took := c.merge(configuration.Merge{Items: []configuration.VersionedItem{route(i%size, 2+i)}})
 		if status != 200 {
 			b.Fatalf("change %d: status %d after %s", i, status, took)
 		}
--- a/internal/app/daemon/daemon.go
+++ b/internal/app/daemon/daemon.go
@@ -28,8 +28,8 @@
 // Self describes this process for the roll. Its incarnation begins at the
 // wall clock, and is raised by refuting where that clock went back.
 func Self(p settings.Common, role membership.Role) membership.Member {
-	return membership.Member{ID: ids.Daemon(p.Name), Role: role, Address: ids.Address(p.Address),
-		HTTP: ids.Address(p.HTTP), Zone: ids.Name(p.Cell), Start: ids.RunID(rand.Uint64()>>24 | 1),
+	return membership.Member{ID: ids.DaemonID(p.Name), Role: role, Address: ids.Address(p.Address),
+		HTTP: ids.Address(p.HTTP), Zone: ids.Name(p.Cell), RunID: ids.RunID(rand.Uint64()>>24 | 1),
 		Incarnation: ids.Incarnation(time.Now().UnixMilli())}
 }
 
--- a/internal/app/daemon/large_test.go
+++ b/internal/app/daemon/large_test.go
@@ -80,9 +80,9 @@
 func (c *core) founded(t testing.TB) {
 	t.Helper()
 	body := json.RawMessage(`{"tier":3}`)
-	first := configuration.Given{Kind: "service", Name: "wader", Version: 1, Body: body, Source: body}
+	first := configuration.VersionedItem{Kind: "service", Name: "wader", Version: 1, Body: body, Source: body}
 	for range 300 {
-		if status, _ := c.merge(configuration.Merge{Items: []configuration.Given{first}}); status == 200 {
+		if status, _ := c.merge(configuration.Merge{Items: []configuration.VersionedItem{first}}); status == 200 {
 			return
 		}
 		<-time.After(100 * time.Millisecond)
@@ -90,9 +90,9 @@
 	t.Fatal("no core within 30 s")
 }
 
-func route(i, version int) configuration.Given {
+func route(i, version int) configuration.VersionedItem {
 	body := fmt.Sprintf(`{"prefix":"/r%05d","service":"wader","repeatable":true,"host":"h%d.example"}`, i, i)
-	return configuration.Given{Kind: "route", Name: ids.Name(fmt.Sprintf("r%05d", i)), Version: ids.Revision(version),
+	return configuration.VersionedItem{Kind: "route", Name: ids.Name(fmt.Sprintf("r%05d", i)), Version: ids.Revision(version),
 		Body: json.RawMessage(body), Source: json.RawMessage(body)}
 }
 
--- a/internal/app/daemon/registry.go
+++ b/internal/app/daemon/registry.go
@@ -73,10 +73,10 @@
 	var stopping atomic.Bool
 	mux := http.NewServeMux()
 	mux.Handle("/v1/", win.Handler())
-	rollHealth(mux, m.Me, &stopping)
+	rollHealth(mux, m.SelfMember, &stopping)
 	Metrics(mux, func() []Gauge {
 		out := TrafficGauges(post.Stats)
-		for _, f := range win.Status().Figures() {
+		for _, f := range win.Status().Metrics() {
 			out = append(out, Gauge{Name: f.Name, Labels: f.Labels, Values: f.Values, Value: f.Value})
 		}
 		return out
--- a/internal/app/daemon/store.go
+++ b/internal/app/daemon/store.go
@@ -89,7 +89,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-prune.C:
-			if _, err := c.shelf.Prune(idempotency.Kept, mostBatch); err != nil && ctx.Err() == nil {
+			if _, err := c.shelf.Prune(idempotency.Retention, mostBatch); err != nil && ctx.Err() == nil {
 				c.fatal(err)
 			}
 		case s := <-c.inbox:
@@ -131,11 +131,11 @@
 		}
 	}
 	for _, s := range list {
-		for _, then := range s.Then {
+		for _, then := range s.After {
 			c.do(then)
 		}
 	}
-	c.done(event.Synced{Turn: list[len(list)-1].Turn})
+	c.done(event.Synced{Batch: list[len(list)-1].Batch})
 }
 
 func (c *committer) fatal(err error) {
@@ -196,7 +196,7 @@
 	mux := http.NewServeMux()
 	mux.Handle("/v1/", api.NewForwarder(func() []ids.Address { return RegistryAddresses(m.Members(), ids.Name(p.Cell)) }))
 	mux.HandleFunc("POST /v1/core/refound", func(rw http.ResponseWriter, r *http.Request) { refound(rw, r, owner, orders) })
-	rollHealth(mux, m.Me, &stopping)
+	rollHealth(mux, m.SelfMember, &stopping)
 	Metrics(mux, func() []Gauge {
 		return append(TrafficGauges(post.Stats), []Gauge{{Name: "disk_syncs_total", Value: float64(c.syncs.Load()), Total: true},
 			{Name: "disk_records_total", Value: float64(c.records.Load()), Total: true},
--- a/internal/app/manifest/manifest.go
+++ b/internal/app/manifest/manifest.go
@@ -23,13 +23,13 @@
 
 // Read makes one whole change of all documents, YAML or JSON. Unknown kinds
 // and fields are faults that name the document and the path.
-func Read(id string, raw []byte) ([]byte, []configuration.Fault) {
-	var faults []configuration.Fault
+func Read(id string, raw []byte) ([]byte, []configuration.Violation) {
+	var faults []configuration.Violation
 	var parts []json.RawMessage
 	for i, doc := range split(raw) {
 		item := fmt.Sprintf("document %d", i+1)
 		bad := func(path, why string) {
-			faults = append(faults, configuration.Fault{Item: item, Path: path, Problem: why})
+			faults = append(faults, configuration.Violation{Item: item, Path: path, Reason: why})
 		}
 		// Strict: a doubled key is an error here already.
 		js, err := yaml.YAMLToJSONStrict(doc)
@@ -45,14 +45,14 @@
 		}
 	}
 	if len(parts) == 0 && len(faults) == 0 {
-		faults = append(faults, configuration.Fault{Item: "file", Problem: "holds no objects"})
+		faults = append(faults, configuration.Violation{Item: "file", Reason: "holds no objects"})
 	}
 	if len(faults) > 0 {
 		return nil, faults
 	}
 	change, err := json.Marshal(map[string]any{"id": id, "changes": parts})
 	if err != nil {
-		return nil, []configuration.Fault{{Item: "file", Problem: err.Error()}}
+		return nil, []configuration.Violation{{Item: "file", Reason: err.Error()}}
 	}
 	// The very check that the registry makes, so that faults show before sending.
 	if _, faults := configuration.ReadChange(change); len(faults) > 0 {
@@ -86,7 +86,7 @@
 		bad("", "must be an object")
 		return nil
 	}
-	configuration.Only(doc, "", bad, "apiVersion", "kind", "metadata", "spec")
+	configuration.CheckKeys(doc, "", bad, "apiVersion", "kind", "metadata", "spec")
 	if v := doc.Get("apiVersion"); v.String() != APIVersion {
 		bad("apiVersion", "must be "+APIVersion)
 	}
@@ -95,7 +95,7 @@
 		bad("kind", fmt.Sprintf("%q is not known; there are Service, Route and Cell", doc.Get("kind").String()))
 	}
 	meta := doc.Get("metadata")
-	configuration.Only(meta, "metadata", bad, "name", "resourceVersion")
+	configuration.CheckKeys(meta, "metadata", bad, "name", "resourceVersion")
 	if !meta.IsObject() || meta.Get("name").Type != gjson.String {
 		bad("metadata.name", "is missing")
 	}
--- a/internal/app/manifest/manifest_test.go
+++ b/internal/app/manifest/manifest_test.go
@@ -30,7 +30,7 @@
 	is.Equal(len(c.Parts), 2)
 	is.Equal(string(c.Parts[0].Put), `{"tier":8}`)
 	is.Equal(uint64(*c.Parts[1].Version), uint64(0))
-	p, _ := configuration.Open(nil)
+	p, _ := configuration.Decode(nil)
 	_, r := p.Apply(c)
 	is.True(r.Accepted())
 }
@@ -51,7 +51,7 @@
 		change, faults := Read("x", []byte(raw))
 		all := ""
 		for _, f := range faults {
-			all += f.Item + "|" + f.Path + "|" + f.Problem + "\n"
+			all += f.Item + "|" + f.Path + "|" + f.Reason + "\n"
 		}
 		if change != nil || !strings.Contains(all, want) {
 			t.Errorf("%s gave %q, not %q", raw, all, want)
--- a/internal/base/delta/delta.go
+++ b/internal/base/delta/delta.go
@@ -20,12 +20,12 @@
 
 var table = crc32.MakeTable(crc32.Castagnoli)
 
-// Sum is the checksum by which a difference knows its base and its outcome.
-func Sum(raw []byte) uint32 { return crc32.Checksum(raw, table) }
+// Checksum is the checksum by which a difference knows its base and its outcome.
+func Checksum(raw []byte) uint32 { return crc32.Checksum(raw, table) }
 
-// Make gives the difference that leads from base to next. Its length goes by
+// Diff gives the difference that leads from base to next. Its length goes by
 // what differs, and not by how long the two are.
-func Make(base, next []byte) []byte {
+func Diff(base, next []byte) []byte {
 	w := writer{out: header(base, next)}
 	from, to := 0, 0
 	for to < len(next) {
@@ -46,9 +46,9 @@
 // header names the base and the outcome, by length and checksum.
 func header(base, next []byte) []byte {
 	out := binary.AppendUvarint(nil, uint64(len(base)))
-	out = binary.BigEndian.AppendUint32(out, Sum(base))
+	out = binary.BigEndian.AppendUint32(out, Checksum(base))
 	out = binary.AppendUvarint(out, uint64(len(next)))
-	return binary.BigEndian.AppendUint32(out, Sum(next))
+	return binary.BigEndian.AppendUint32(out, Checksum(next))
 }
 
 func commonPrefix(a, b []byte) int {
@@ -119,14 +119,14 @@
 	r := reader{raw: difference}
 	baseLength, baseSum := r.number(), r.sum()
 	length, sum := r.number(), r.sum()
-	if r.bad || baseLength != uint64(len(base)) || baseSum != Sum(base) {
+	if r.bad || baseLength != uint64(len(base)) || baseSum != Checksum(base) {
 		return nil, errs.New("apply difference", "", "it is for another base")
 	}
 	next, err := r.edits(base, length)
 	if err != nil {
 		return nil, err
 	}
-	if Sum(next) != sum {
+	if Checksum(next) != sum {
 		return nil, errs.New("apply difference", "", "the outcome fails its checksum")
 	}
 	return next, nil
--- a/internal/base/delta/delta_test.go
+++ b/internal/base/delta/delta_test.go
@@ -44,7 +44,7 @@
 			}
 			next = slices.Replace(next, at, end, fresh...)
 		}
-		d := Make(base, next)
+		d := Diff(base, next)
 		got, err := Apply(base, d)
 		is.NoErr(err)
 		is.True(bytes.Equal(got, next))
@@ -56,7 +56,7 @@
 		}
 	}
 	for _, pair := range [][2]string{{"", ""}, {"", "a"}, {"a", ""}, {"abc", "abc"}} {
-		got, err := Apply([]byte(pair[0]), Make([]byte(pair[0]), []byte(pair[1])))
+		got, err := Apply([]byte(pair[0]), Diff([]byte(pair[0]), []byte(pair[1])))
 		is.NoErr(err)
 		is.Equal(string(got), pair[1])
 	}
@@ -67,7 +67,7 @@
 	is := is.New(t)
 	for _, n := range []int{1000, 5000, 15000} {
 		for changed := range 12 {
-			d := Make(items(n, changed, 250), items(n, changed+1, 250))
+			d := Diff(items(n, changed, 250), items(n, changed+1, 250))
 			is.True(len(d) < 200)
 		}
 	}
@@ -77,7 +77,7 @@
 func TestDamagedDifferences(t *testing.T) {
 	is := is.New(t)
 	base, next := items(50, 0, 5), items(50, 3, 5)
-	good := Make(base, next)
+	good := Diff(base, next)
 	_, err := Apply(next, good)
 	is.True(err != nil)
 	for cut := range good {
@@ -100,7 +100,7 @@
 	is := is.New(t)
 	base := items(5000, 0, 0)
 	next := bytes.ReplaceAll(base, []byte(`"s3"`), []byte(`"another"`))
-	d := Make(base, next)
+	d := Diff(base, next)
 	got, err := Apply(base, d)
 	is.NoErr(err)
 	is.True(bytes.Equal(got, next))
@@ -109,10 +109,10 @@
 
 func BenchmarkOneOf15000(b *testing.B) {
 	base, next := items(15000, 0, 250), items(15000, 1, 250)
-	d := Make(base, next)
+	d := Diff(base, next)
 	b.Run("make", func(b *testing.B) {
 		for b.Loop() {
-			Make(base, next)
+			Diff(base, next)
 		}
 	})
 	b.Run("apply", func(b *testing.B) {
--- a/internal/base/errs/errs.go
+++ b/internal/base/errs/errs.go
@@ -8,15 +8,15 @@
 	"github.com/juju/errors"
 )
 
-// Problem is an error that knows its step and peer.
-type Problem struct {
+// OpError is an error that knows its step and peer.
+type OpError struct {
 	error
 	Step string
 	Peer string
 }
 
 // Error gives the step, the peer and the cause in one line.
-func (p *Problem) Error() string {
+func (p *OpError) Error() string {
 	if p.Peer == "" {
 		return fmt.Sprintf("%s: %v", p.Step, p.error)
 	}
@@ -24,14 +24,14 @@
 }
 
 // Unwrap gives the cause, so that errors.Is and errors.As see through.
-func (p *Problem) Unwrap() error { return p.error }
+func (p *OpError) Unwrap() error { return p.error }
 
 // At wraps err with its step and peer; a nil error stays nil.
 func Wrap(err error, step, peer string) error {
 	if err == nil {
 		return nil
 	}
-	return errors.Trace(&Problem{error: err, Step: step, Peer: peer})
+	return errors.Trace(&OpError{error: err, Step: step, Peer: peer})
 }
 
 // New makes a problem out of words.
--- a/internal/base/event/discarded.go
+++ b/internal/base/event/discarded.go
@@ -9,9 +9,9 @@
 // earlier run, or from one who wasn't asked. NotAMember: its sender isn't the
 // daemon that it speaks for. Malformed: what it says can't be.
 const (
-	NotAsked   Reason = "not asked"
-	NotAMember Reason = "not a member"
-	Malformed  Reason = "malformed"
+	Unsolicited   Reason = "not asked"
+	UnknownSender Reason = "not a member"
+	Malformed     Reason = "malformed"
 )
 
 // Discarded reports a message that changed nothing, to be counted, and logged
--- a/internal/base/event/event.go
+++ b/internal/base/event/event.go
@@ -33,7 +33,7 @@
 
 // Record is one thing to be kept on disk.
 type Record struct {
-	Key   ids.Key
+	Key   ids.RegisterKey
 	Value []byte
 	// Drop asks for the record to be taken off the disk.
 	Delete bool
@@ -42,13 +42,13 @@
 // Settle asks for records to be synced, and only then for the rest to be done.
 // An empty list still waits its turn behind what was asked before it.
 type Sync struct {
-	Turn    uint64
+	Batch   uint64
 	Records []Record
-	Then    []Command
+	After   []Command
 }
 
 // Settled tells that the disk has done all up to this turn.
-type Synced struct{ Turn uint64 }
+type Synced struct{ Batch uint64 }
 
 // Note asks for a line in the log: an event and key=value pairs.
 type LogEntry struct {
--- a/internal/base/ids/ids.go
+++ b/internal/base/ids/ids.go
@@ -11,11 +11,11 @@
 // Name names something an operator made: a service, a route or a cell.
 type Name string
 
-// Daemon names one process of ours; it stays the same over restarts.
-type Daemon string
+// DaemonID names one process of ours; it stays the same over restarts.
+type DaemonID string
 
-// Instance names one target process, as it announces itself.
-type Instance string
+// InstanceID names one target process, as it announces itself.
+type InstanceID string
 
 // Address is an IP number and port.
 type Address string
@@ -23,11 +23,11 @@
 // Mark is the consumer's own mark on an unrepeatable request.
 type IdempotencyKey string
 
-// Change names a change an operator sent, so that a resent one is known.
-type Change string
+// ChangeID names a change an operator sent, so that a resent one is known.
+type ChangeID string
 
-// Key names a register.
-type Key string
+// RegisterKey names a register.
+type RegisterKey string
 
 // Start names one run of a process. It is never the same twice.
 type RunID uint64
@@ -38,8 +38,8 @@
 // Sequence orders what one incarnation says.
 type Sequence uint64
 
-// Number counts the pushes down one connection.
-type Number uint64
+// StreamNumber counts the pushes down one connection.
+type StreamNumber uint64
 
 // Revision counts the accepted changes of the whole policy.
 type Revision uint64
@@ -47,8 +47,8 @@
 // Epoch grows each time a duty changes hands.
 type Epoch uint64
 
-// Request names one request within one run of one proxy.
-type Request uint64
+// RequestID names one request within one run of one proxy.
+type RequestID uint64
 
 // Tick is a point on the process's own monotonic clock, in nanoseconds.
 // Wall clocks jump, so they appear in logs alone.
@@ -57,26 +57,26 @@
 // Add gives the tick a span later.
 func (t Time) Add(d time.Duration) Time { return t + Time(d) }
 
-// Since gives the span from an earlier tick to this one.
-func (t Time) Since(u Time) time.Duration { return time.Duration(t - u) }
+// Sub gives the span from an earlier tick to this one.
+func (t Time) Sub(u Time) time.Duration { return time.Duration(t - u) }
 
 // Ballot orders the rounds on a register. By names one run of one proposer,
 // so a restarted proposer can't use a ballot twice for two values.
 type Ballot struct {
-	Count uint64
-	By    uint64
+	Counter  uint64
+	Proposer uint64
 }
 
 // Less tells whether b is before c.
 func (b Ballot) Less(c Ballot) bool {
-	if b.Count != c.Count {
-		return b.Count < c.Count
+	if b.Counter != c.Counter {
+		return b.Counter < c.Counter
 	}
-	return b.By < c.By
+	return b.Proposer < c.Proposer
 }
 
-// Zero tells whether the ballot is none at all.
-func (b Ballot) Zero() bool { return b == Ballot{} }
+// IsZero tells whether the ballot is none at all.
+func (b Ballot) IsZero() bool { return b == Ballot{} }
 
 // String writes a ballot as COUNT.BY, BY in hexadecimal.
-func (b Ballot) String() string { return fmt.Sprintf("%d.%x", b.Count, b.By) }
+func (b Ballot) String() string { return fmt.Sprintf("%d.%x", b.Counter, b.Proposer) }
--- a/internal/controlplane/directory/directory.go
+++ b/internal/controlplane/directory/directory.go
@@ -122,7 +122,7 @@
 	list := slices.Clone(open[cell])
 	dice.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	for _, c := range list[:min(most, len(list))] {
-		w.Proxies = append(w.Proxies, c.Consumers())
+		w.Proxies = append(w.Proxies, c.ClientAddress())
 	}
 	return w
 }
--- a/internal/controlplane/distribution/account.go
+++ b/internal/controlplane/distribution/account.go
@@ -14,7 +14,7 @@
 	// until is when it is sent again, if nothing has come back.
 	until ids.Time
 	// number is the push that a policy was in.
-	number ids.Number
+	number ids.StreamNumber
 }
 
 // due tells whether a thing in flight is to be sent again.
@@ -54,7 +54,7 @@
 }
 
 // HasAll notes that a proxy goes by all of these, as its own sum showed.
-func (r *Distributor) HasAll(c ids.Daemon, start ids.RunID, list []targets.Target) {
+func (r *Distributor) HasAll(c ids.DaemonID, start ids.RunID, list []targets.Target) {
 	a := r.list[c]
 	if a == nil || a.start != start {
 		return
@@ -68,17 +68,17 @@
 }
 
 // Knows tells whether a proxy is known to go by what is of some version.
-func (r *Distributor) IsCurrent(c ids.Daemon, start ids.RunID) bool {
+func (r *Distributor) IsCurrent(c ids.DaemonID, start ids.RunID) bool {
 	a := r.list[c]
 	return a != nil && a.start == start && len(a.open) == 0 && !a.held
 }
 
 // Lag tells who among the proxies hasn't acknowledged a revision, and for
 // how long a proxy has said nothing at all.
-func (r *Distributor) Lag(proxies []membership.Member, rev ids.Revision) []ids.Daemon {
-	var out []ids.Daemon
+func (r *Distributor) Lag(proxies []membership.Member, rev ids.Revision) []ids.DaemonID {
+	var out []ids.DaemonID
 	for _, c := range proxies {
-		if a := r.list[c.ID]; a == nil || a.start != c.Start || a.revision < rev {
+		if a := r.list[c.ID]; a == nil || a.start != c.RunID || a.revision < rev {
 			out = append(out, c.ID)
 		}
 	}
@@ -89,7 +89,7 @@
 func (r *Distributor) Reached(proxies []membership.Member, t targets.Target) bool {
 	for _, c := range proxies {
 		a := r.list[c.ID]
-		if a == nil || a.start != c.Start {
+		if a == nil || a.start != c.RunID {
 			return false
 		}
 		if s := a.has[t.Instance]; s.incarnation < t.Incarnation || s.incarnation == t.Incarnation && s.sequence < t.Sequence {
@@ -102,12 +102,12 @@
 // Fresh tells whether a proxy has acknowledged anything of late.
 func (r *Distributor) Fresh(now ids.Time, c membership.Member, within time.Duration) bool {
 	a := r.list[c.ID]
-	return a != nil && a.start == c.Start && a.acked > 0 && now.Since(a.ackedAt) <= within
+	return a != nil && a.start == c.RunID && a.acked > 0 && now.Sub(a.ackedAt) <= within
 }
 
 // Has gives the revision that a proxy acknowledged.
 func (r *Distributor) Has(c membership.Member) ids.Revision {
-	if a := r.list[c.ID]; a != nil && a.start == c.Start {
+	if a := r.list[c.ID]; a != nil && a.start == c.RunID {
 		return a.revision
 	}
 	return 0
--- a/internal/controlplane/distribution/deliver.go
+++ b/internal/controlplane/distribution/deliver.go
@@ -16,11 +16,11 @@
 func (r *Distributor) deliver(now ids.Time, c membership.Member, a *account, load Content) {
 	old := a.seen != load.Version || a.revision < load.Revision
 	owed := len(a.open) > 0 || a.revision < load.Revision || a.held
-	word := (a.told == 0 && a.echo != 0) || now.Since(a.sent) >= r.WordEvery
-	if !word && !a.again && a.seen == load.Version && (!owed || now.Since(a.sent) < a.patience) {
+	word := (a.told == 0 && a.echo != 0) || now.Sub(a.sent) >= r.RefreshEvery
+	if !word && !a.again && a.seen == load.Version && (!owed || now.Sub(a.sent) < a.patience) {
 		return
 	}
-	p := Push{Number: a.number + 1, Start: r.start, Revision: load.Revision, Echo: a.echo, For: a.start, Age: uint32(min(load.Age/time.Millisecond, 1<<30))}
+	p := Push{Number: a.number + 1, RunID: r.start, Revision: load.Revision, EchoedTime: a.echo, ProxyRunID: a.start, Age: uint32(min(load.Age/time.Millisecond, 1<<30))}
 	if a.revision < load.Revision && a.due(now, a.policy, a.policy.revision == load.Revision) {
 		p.Policy = load.Policy(a.revision)
 		a.policy = flight{revision: load.Revision, until: now.Add(a.patience), number: p.Number}
@@ -42,7 +42,7 @@
 	if len(in) > 0 {
 		a.open[a.number] = parcel{now, in}
 	}
-	if owed && now.Since(a.ackedAt) >= a.patience {
+	if owed && now.Sub(a.ackedAt) >= a.patience {
 		a.patience = min(2*a.patience, mostPatience)
 	}
 	a.sent, a.told = now, a.echo
@@ -52,7 +52,7 @@
 // HandleAck takes a proxy's word.
 func (r *Distributor) HandleAck(now ids.Time, m Ack) {
 	a := r.list[m.Proxy]
-	if a == nil || a.start != m.Start {
+	if a == nil || a.start != m.RunID {
 		return
 	}
 	a.ackedAt, a.echo = now, max(a.echo, m.Now)
@@ -60,7 +60,7 @@
 	a.patience = r.ResendAfter
 	if p, ok := a.open[m.Number]; ok {
 		// A full or long link takes its time; what is on it isn't lost.
-		a.patience = min(max(r.ResendAfter, 2*now.Since(p.at)), mostPatience)
+		a.patience = min(max(r.ResendAfter, 2*now.Sub(p.at)), mostPatience)
 		a.settle(p)
 	}
 	delete(a.open, m.Number)
--- a/internal/controlplane/distribution/distribution.go
+++ b/internal/controlplane/distribution/distribution.go
@@ -15,42 +15,42 @@
 // Push is one delivery. Its parts merge item by item, so a lost one costs a
 // resending and no more; Revision is told even where the policy isn't sent.
 type Push struct {
-	Number   ids.Number
+	Number   ids.StreamNumber
 	Epoch    ids.Epoch
-	Start    ids.RunID
+	RunID    ids.RunID
 	Revision ids.Revision
 	Policy   []byte
 	Targets  []targets.Target
 	// Age is how long ago, in milliseconds, the registry began the last read
 	// in which a majority told it the policy.
 	Age uint32
-	// Echo is the proxy's own time, as its last acknowledgement gave it.
+	// EchoedTime is the proxy's own time, as its last acknowledgement gave it.
 	// Whatever waited on the way, this push was sent after that.
-	Echo ids.Time
-	// For is the run of the proxy that Echo belongs to.
-	For ids.RunID
+	EchoedTime ids.Time
+	// ProxyRunID is the run of the proxy that Echo belongs to.
+	ProxyRunID ids.RunID
 }
 
-// UnderEpoch and CountedAs put the numbers into the frame's head.
-func (p Push) UnderEpoch() uint64 { return uint64(p.Epoch) }
+// MessageEpoch and CountedAs put the numbers into the frame's head.
+func (p Push) MessageEpoch() uint64 { return uint64(p.Epoch) }
 
-// CountedAs gives the push's number.
-func (p Push) CountedAs() uint64 { return uint64(p.Number) }
+// MessageNumber gives the push's number.
+func (p Push) MessageNumber() uint64 { return uint64(p.Number) }
 
 // Ack is a proxy's word that it goes by all that was pushed up to Number.
 type Ack struct {
-	Proxy    ids.Daemon
-	Start    ids.RunID
-	Number   ids.Number
+	Proxy    ids.DaemonID
+	RunID    ids.RunID
+	Number   ids.StreamNumber
 	Revision ids.Revision
 	// Now is the proxy's own time, to be echoed.
 	Now ids.Time
-	// Yard sums up the targets that it goes by, whoever told it of them.
-	Yard uint64
+	// TargetsDigest sums up the targets that it goes by, whoever told it of them.
+	TargetsDigest uint64
 }
 
-// CountedAs gives the number acknowledged.
-func (a Ack) CountedAs() uint64 { return uint64(a.Number) }
+// MessageNumber gives the number acknowledged.
+func (a Ack) MessageNumber() uint64 { return uint64(a.Number) }
 
 var _ = wire.Register(80, Push{}) && wire.Register(81, Ack{})
 
@@ -58,9 +58,9 @@
 type Distributor struct {
 	out   *event.Outbox
 	start ids.RunID
-	list  map[ids.Daemon]*account
-	// WordEvery is how often a proxy hears from us where nothing is new.
-	WordEvery time.Duration
+	list  map[ids.DaemonID]*account
+	// RefreshEvery is how often a proxy hears from us where nothing is new.
+	RefreshEvery time.Duration
 	// ResendAfter is how long at first what was sent is given to be acknowledged.
 	ResendAfter time.Duration
 	// Quiet: a push that would hold nothing waits until a word is due.
@@ -72,15 +72,15 @@
 
 type account struct {
 	start    ids.RunID
-	number   ids.Number
-	acked    ids.Number
+	number   ids.StreamNumber
+	acked    ids.StreamNumber
 	revision ids.Revision
 	ackedAt  ids.Time
 	sent     ids.Time
 	// flying is what was sent and may still be acknowledged: on a thin or long
 	// link, sending all of it again with each push would choke it. patience is how
 	// long that takes; it grows while nothing comes back.
-	flying   map[ids.Instance]flight
+	flying   map[ids.InstanceID]flight
 	policy   flight
 	patience time.Duration
 	// held: something that it lacks isn't in flight.
@@ -88,15 +88,15 @@
 	// again: something was lost, and is to be sent again at once.
 	again bool
 	// open holds, for each push not yet acknowledged, what was in it.
-	open map[ids.Number]parcel
-	has  map[ids.Instance]stamp
+	open map[ids.StreamNumber]parcel
+	has  map[ids.InstanceID]stamp
 	seen uint64
 	echo ids.Time
 	told ids.Time
 }
 
 type stamp struct {
-	id          ids.Instance
+	id          ids.InstanceID
 	incarnation ids.Incarnation
 	sequence    ids.Sequence
 	gone        bool
@@ -106,7 +106,7 @@
 
 // New makes empty accounts.
 func New(start ids.RunID, out *event.Outbox) *Distributor {
-	return &Distributor{out: out, start: start, WordEvery: wordEvery, ResendAfter: resendAfter, list: map[ids.Daemon]*account{}}
+	return &Distributor{out: out, start: start, RefreshEvery: wordEvery, ResendAfter: resendAfter, list: map[ids.DaemonID]*account{}}
 }
 
 const (
@@ -148,10 +148,10 @@
 	for _, c := range proxies {
 		a := r.list[c.ID]
 		// A proxy's new run has nothing: it gets a snapshot.
-		if a == nil || a.start != c.Start {
+		if a == nil || a.start != c.RunID {
 			// Numbers begin past the run's own, so that an acknowledgement of an
 			// earlier run's push isn't taken for one of ours.
-			a = &account{number: ids.Number(r.start) << 24, patience: r.ResendAfter, flying: map[ids.Instance]flight{}, start: c.Start, open: map[ids.Number]parcel{}, has: map[ids.Instance]stamp{}}
+			a = &account{number: ids.StreamNumber(r.start) << 24, patience: r.ResendAfter, flying: map[ids.InstanceID]flight{}, start: c.RunID, open: map[ids.StreamNumber]parcel{}, has: map[ids.InstanceID]stamp{}}
 			r.list[c.ID] = a
 		}
 		r.deliver(now, c, a, load)
--- a/internal/controlplane/distribution/distribution_test.go
+++ b/internal/controlplane/distribution/distribution_test.go
@@ -18,7 +18,7 @@
 	is := is.New(t)
 	var out event.Outbox
 	r := New(7, &out)
-	c := []membership.Member{{ID: "c1", Address: "c1", Start: 1}}
+	c := []membership.Member{{ID: "c1", Address: "c1", RunID: 1}}
 	announced := []targets.Target{{Instance: "a", Sequence: 1}}
 	load := Content{Revision: 3, Policy: func(ids.Revision) []byte { return []byte("p3") }, Version: 1, Targets: func() []targets.Target { return announced }}
 	push := func(ms int) []Push {
@@ -37,8 +37,8 @@
 	again := push(200)         // lost: all of it once more, under a new number
 	is.Equal(len(again), 1)
 	is.True(again[0].Number > first[0].Number && len(again[0].Targets) == 1)
-	is.Equal(r.Lag(c, 3), []ids.Daemon{"c1"})
-	r.HandleAck(at(210), Ack{Proxy: "c1", Start: 1, Number: again[0].Number, Revision: 3, Now: 55})
+	is.Equal(r.Lag(c, 3), []ids.DaemonID{"c1"})
+	r.HandleAck(at(210), Ack{Proxy: "c1", RunID: 1, Number: again[0].Number, Revision: 3, Now: 55})
 	is.Equal(len(r.Lag(c, 3)), 0)
 	is.True(r.Fresh(at(220), c[0], time.Second))
 	// Once it has all, only what changed goes, with the proxy's time echoed.
@@ -48,17 +48,17 @@
 	is.Equal(len(next), 1)
 	is.Equal(len(next[0].Targets), 1)
 	is.Equal(len(next[0].Policy), 0)
-	is.Equal(next[0].Echo, ids.Time(55))
+	is.Equal(next[0].EchoedTime, ids.Time(55))
 	// Word now and then, though nothing changes.
-	r.HandleAck(at(240), Ack{Proxy: "c1", Start: 1, Number: next[0].Number, Revision: 3, Now: 60})
+	r.HandleAck(at(240), Ack{Proxy: "c1", RunID: 1, Number: next[0].Number, Revision: 3, Now: 60})
 	is.Equal(len(push(300)), 0)
 	is.Equal(len(push(540)), 1)
 	// The proxy's next run has nothing: a snapshot, and no old acknowledgement.
-	c[0].Start = 2
-	r.HandleAck(at(550), Ack{Proxy: "c1", Start: 1, Number: 99, Revision: 9})
+	c[0].RunID = 2
+	r.HandleAck(at(550), Ack{Proxy: "c1", RunID: 1, Number: 99, Revision: 9})
 	snap := push(560)
 	is.Equal(len(snap[0].Targets), 2)
 	is.Equal(string(snap[0].Policy), "p3")
-	is.Equal(snap[0].Echo, ids.Time(0))
-	is.Equal(snap[0].For, ids.RunID(2))
+	is.Equal(snap[0].EchoedTime, ids.Time(0))
+	is.Equal(snap[0].ProxyRunID, ids.RunID(2))
 }
--- a/internal/controlplane/distribution/earlier_test.go
+++ b/internal/controlplane/distribution/earlier_test.go
@@ -16,7 +16,7 @@
 // that every proxy goes by it, and stop, while one still sends to it.
 func TestAnAcknowledgementToAnEarlierRunIsNotCounted(t *testing.T) {
 	is := is.New(t)
-	proxies := []membership.Member{{ID: "c1", Address: "c1", Start: 1}}
+	proxies := []membership.Member{{ID: "c1", Address: "c1", RunID: 1}}
 	leaving := targets.Target{Instance: "a", Sequence: 9, Leaving: true}
 	content := Content{Version: 1, Targets: func() []targets.Target { return []targets.Target{leaving} }}
 	push := func(start ids.RunID) (*Distributor, Push) {
@@ -28,7 +28,7 @@
 	first, earlier := push(7)
 	leaving.Sequence = 10
 	second, own := push(8)
-	ack := func(p Push) Ack { return Ack{Proxy: "c1", Start: 1, Number: p.Number, Now: 1} }
+	ack := func(p Push) Ack { return Ack{Proxy: "c1", RunID: 1, Number: p.Number, Now: 1} }
 	second.HandleAck(at(10), ack(earlier))
 	is.True(!second.Reached(proxies, leaving))
 	second.HandleAck(at(20), ack(own))
--- a/internal/controlplane/distribution/fulllink_test.go
+++ b/internal/controlplane/distribution/fulllink_test.go
@@ -24,7 +24,7 @@
 	carried  int
 	policies int
 	// has is what the proxy goes by, and since when.
-	has map[ids.Instance]ids.Time
+	has map[ids.InstanceID]ids.Time
 }
 
 type arrival struct {
@@ -34,9 +34,9 @@
 
 func newLink(delay time.Duration) *link {
 	out := &event.Outbox{}
-	l := &link{Distributor: New(7, out), out: out, proxy: membership.Member{ID: "c1", Address: "c1", Start: 1}, delay: delay,
-		lost: func(ids.Time) bool { return false }, has: map[ids.Instance]ids.Time{}}
-	l.ResendAfter, l.WordEvery = 400*time.Millisecond, time.Second
+	l := &link{Distributor: New(7, out), out: out, proxy: membership.Member{ID: "c1", Address: "c1", RunID: 1}, delay: delay,
+		lost: func(ids.Time) bool { return false }, has: map[ids.InstanceID]ids.Time{}}
+	l.ResendAfter, l.RefreshEvery = 400*time.Millisecond, time.Second
 	l.Quiet = true
 	return l
 }
@@ -60,14 +60,14 @@
 				l.has[t.Instance] = now
 			}
 		}
-		l.HandleAck(now, Ack{Proxy: "c1", Start: 1, Number: p.Number, Revision: p.Revision, Now: now})
+		l.HandleAck(now, Ack{Proxy: "c1", RunID: 1, Number: p.Number, Revision: p.Revision, Now: now})
 	}
 }
 
 func news(n int) []targets.Target {
 	var list []targets.Target
 	for i := range n {
-		list = append(list, targets.Target{Instance: ids.Instance(fmt.Sprint("t", i)), Sequence: 1})
+		list = append(list, targets.Target{Instance: ids.InstanceID(fmt.Sprint("t", i)), Sequence: 1})
 	}
 	return list
 }
@@ -113,7 +113,7 @@
 		}
 		l.step(at(ms), content())
 	}
-	back := l.has["t3"].Since(at(9000))
+	back := l.has["t3"].Sub(at(9000))
 	t.Logf("known %s after the link was back", back)
 	is.True(back <= 1200*time.Millisecond)
 }
--- a/internal/controlplane/distribution/lacking_test.go
+++ b/internal/controlplane/distribution/lacking_test.go
@@ -19,10 +19,10 @@
 	var out event.Outbox
 	r := New(7, &out)
 	r.ResendAfter = 400 * time.Millisecond
-	c := []membership.Member{{ID: "c1", Address: "c1", Start: 1}}
+	c := []membership.Member{{ID: "c1", Address: "c1", RunID: 1}}
 	announced := []targets.Target{{Instance: "a", Sequence: 1}}
 	load := Content{Revision: 1, Policy: func(ids.Revision) []byte { return []byte("p") }, Version: 1, Targets: func() []targets.Target { return announced }}
-	sent := func(ms int) (names []ids.Instance, policies int) {
+	sent := func(ms int) (names []ids.InstanceID, policies int) {
 		r.Distribute(at(ms), c, load)
 		for _, x := range out.Drain() {
 			p := x.(event.Send).Msg.(Push)
@@ -34,14 +34,14 @@
 		return names, policies
 	}
 	names, policies := sent(0)
-	is.Equal(names, []ids.Instance{"a"})
+	is.Equal(names, []ids.InstanceID{"a"})
 	is.Equal(policies, 1)
 	// News each moment: each of it goes once.
-	for i, n := range []ids.Instance{"b", "c", "d"} {
+	for i, n := range []ids.InstanceID{"b", "c", "d"} {
 		announced = append(announced, targets.Target{Instance: n, Sequence: 1})
 		load.Version++
 		names, policies = sent(50 * (i + 1))
-		is.Equal(names, []ids.Instance{n})
+		is.Equal(names, []ids.InstanceID{n})
 		is.Equal(policies, 0)
 	}
 	// Nothing came back: all of it again, and again, ever more slowly.
@@ -61,7 +61,7 @@
 	var out event.Outbox
 	r := New(7, &out)
 	r.Spare = func(membership.Member) bool { return true }
-	c := []membership.Member{{ID: "c1", Address: "c1", Start: 1}}
+	c := []membership.Member{{ID: "c1", Address: "c1", RunID: 1}}
 	announced := []targets.Target{{Instance: "a", Sequence: 1}, {Instance: "b", Sequence: 1}}
 	load := Content{Version: 1, Targets: func() []targets.Target { return announced }}
 	sent := func(ms int) (n int) {
--- a/internal/controlplane/distribution/lease.go
+++ b/internal/controlplane/distribution/lease.go
@@ -12,7 +12,7 @@
 
 // Agreed is when, by the proxy's own clock, the agreement began by which the
 // push's revision is in force; the travel of the echo is counted against it.
-func (p Push) Agreed() ids.Time { return p.Echo.Add(-p.age()) }
+func (p Push) Agreed() ids.Time { return p.EchoedTime.Add(-p.age()) }
 
 // Vouched is as of when, by the proxy's own clock, the sender answers for the
 // targets that it tells. One without the control lease doesn't hear of those that
@@ -21,7 +21,7 @@
 	if p.age() > ControlLease {
 		return p.Agreed()
 	}
-	return p.Echo
+	return p.EchoedTime
 }
 
 // age is rounded so as never to seem shorter than it is.
--- a/internal/controlplane/membership/detector.go
+++ b/internal/controlplane/membership/detector.go
@@ -10,15 +10,15 @@
 // Probe asks a member for a sign of life. It goes out before a member is accused
 // and again before it is declared dead, so that a heartbeat that is late, or that
 // goes to another watcher as two lists differ, isn't taken for a death.
-type Probe struct{ ID ids.Daemon }
+type Probe struct{ ID ids.DaemonID }
 
 // ProbeReply is that sign of life.
 type ProbeReply struct{ Self Member }
 
 // Withdraw takes an accusation back: the watcher has heard from the member since.
 type Withdraw struct {
-	Watcher ids.Daemon
-	ID      ids.Daemon
+	Watcher ids.DaemonID
+	ID      ids.DaemonID
 }
 
 var _ = wire.Register(15, Probe{}) && wire.Register(16, ProbeReply{}) && wire.Register(17, Withdraw{})
@@ -56,7 +56,7 @@
 // some.
 func (r *List) newArrivals(now ids.Time) *arrivals {
 	a := &arrivals{last: now, mean: r.HeartbeatEvery}
-	if now.Since(r.begun) < youngFor {
+	if now.Sub(r.begun) < youngFor {
 		a.deviation = r.SuspectAfter / 3
 	}
 	return a
@@ -65,7 +65,7 @@
 // beat notes a heartbeat. A gap past what is ever waited for says that the member
 // was away, and nothing about how regular its heartbeats are.
 func (a *arrivals) beat(now ids.Time, longest time.Duration) {
-	gap := now.Since(a.last)
+	gap := now.Sub(a.last)
 	a.last = now
 	if gap > longest {
 		return
@@ -83,7 +83,7 @@
 }
 
 // heartbeat notes a sign of life that a member sent as such.
-func (r *List) heartbeat(now ids.Time, id ids.Daemon) {
+func (r *List) heartbeat(now ids.Time, id ids.DaemonID) {
 	if a := r.heard[id]; a != nil {
 		a.beat(now, maxPatience*r.SuspectAfter)
 	}
@@ -100,9 +100,9 @@
 	}
 }
 
-// Witness notes that any message came from an address: proof that whoever has it
+// RecordContact notes that any message came from an address: proof that whoever has it
 // lives, better than what others say of it.
-func (r *List) Witness(now ids.Time, from ids.Address) {
+func (r *List) RecordContact(now ids.Time, from ids.Address) {
 	if from != r.Self.Address {
 		r.words[from] = now
 	}
@@ -110,13 +110,13 @@
 
 // silence is how long nothing at all came from a watched member.
 func (r *List) silence(now ids.Time, m Member, a *arrivals) time.Duration {
-	return now.Since(max(a.last, r.words[m.Address]))
+	return now.Sub(max(a.last, r.words[m.Address]))
 }
 
 // excuse takes a gap between clock events into account: what this daemon didn't
 // hear while it stood still was its own silence.
 func (r *List) excuse(now ids.Time) {
-	gap := now.Since(r.ticked)
+	gap := now.Sub(r.ticked)
 	late := gap - r.HeartbeatEvery
 	first := r.ticked == 0
 	if first {
@@ -156,11 +156,11 @@
 			a.accused = 0
 			r.withdraw(m)
 		}
-		if silence >= patience*2/3 && now.Since(a.probed) >= probeEvery {
+		if silence >= patience*2/3 && now.Sub(a.probed) >= probeEvery {
 			a.probed = now
 			r.out.Send(m.Address, Probe{ID: m.ID})
 		}
-		if silence >= patience && now.Since(a.accused) >= r.HeartbeatEvery && r.hearsOthers(now, m, list) {
+		if silence >= patience && now.Sub(a.accused) >= r.HeartbeatEvery && r.hearsOthers(now, m, list) {
 			a.accused = now
 			r.accuse(now, m, patience)
 		}
@@ -178,12 +178,12 @@
 		return true
 	}
 	for _, m := range watched {
-		if a := r.heard[m.ID]; a != nil && m.ID != but.ID && now.Since(a.last) < r.SuspectAfter/2 {
+		if a := r.heard[m.ID]; a != nil && m.ID != but.ID && now.Sub(a.last) < r.SuspectAfter/2 {
 			return true
 		}
 	}
 	for at, word := range r.words {
-		if at != but.Address && now.Since(word) < r.SuspectAfter/2 {
+		if at != but.Address && now.Sub(word) < r.SuspectAfter/2 {
 			return true
 		}
 	}
@@ -191,7 +191,7 @@
 }
 
 func (r *List) forgetUnwatched(list []Member) {
-	keep := make(map[ids.Daemon]*arrivals, len(list))
+	keep := make(map[ids.DaemonID]*arrivals, len(list))
 	for _, m := range list {
 		keep[m.ID] = r.heard[m.ID]
 	}
@@ -223,7 +223,7 @@
 // forgetWords drops what is remembered of addresses that have long been silent.
 func (r *List) forgetWords(now ids.Time) {
 	for at, word := range r.words {
-		if now.Since(word) > forgetWord {
+		if now.Sub(word) > forgetWord {
 			delete(r.words, at)
 		}
 	}
--- a/internal/controlplane/membership/detector_test.go
+++ b/internal/controlplane/membership/detector_test.go
@@ -18,7 +18,7 @@
 	begun := f.now
 	return func() time.Duration {
 		_, x := math.Modf(float64(f.now)/float64(period) + phase)
-		return min(time.Duration(x*float64(depth)), f.now.Since(begun)/4)
+		return min(time.Duration(x*float64(depth)), f.now.Sub(begun)/4)
 	}
 }
 
@@ -112,7 +112,7 @@
 	f.pass(4 * time.Second)
 	f.trouble()
 	since := f.now
-	f.at["machine-0-registry"].list.MayDeclareDead = func(now ids.Time) bool { return f.cut == nil || now.Since(since) < 1500*time.Millisecond }
+	f.at["machine-0-registry"].list.MayDeclareDead = func(now ids.Time) bool { return f.cut == nil || now.Sub(since) < 1500*time.Millisecond }
 	f.cut = func(from, to ids.Address) bool { return core(from) && core(to) && lost(from) != lost(to) }
 	f.pass(20 * time.Second)
 	f.cut = nil
@@ -129,7 +129,7 @@
 }
 
 // buried tells whether all registries that run hold a member for gone.
-func (f *fleet) buried(id ids.Daemon) bool {
+func (f *fleet) buried(id ids.DaemonID) bool {
 	for _, n := range f.nodes {
 		if n.list.Self.Role != Registry || n.down {
 			continue
@@ -154,10 +154,10 @@
 		f.pass(time.Duration(f.dice.Int64N(int64(400 * time.Millisecond))))
 		n.down = true
 		from := f.now
-		for !f.buried(n.list.Self.ID) && f.now.Since(from) < 10*time.Second {
+		for !f.buried(n.list.Self.ID) && f.now.Sub(from) < 10*time.Second {
 			f.pass(10 * time.Millisecond)
 		}
-		took := f.now.Since(from)
+		took := f.now.Sub(from)
 		sum, most = sum+took, max(most, took)
 	}
 	t.Logf("found dead after %s on average, %s at most", sum/kills, most)
@@ -174,7 +174,7 @@
 			is := is.New(t)
 			f := newFleet(seed, proxies)
 			f.pass(6 * time.Second)
-			var dead []ids.Daemon
+			var dead []ids.DaemonID
 			for _, n := range f.nodes {
 				// Of the small fleet, a region: three zones of nine.
 				if n.list.Self.Zone == "z0" || proxies < grownProxies && (n.list.Self.Zone == "z1" || n.list.Self.Zone == "z5") {
@@ -192,11 +192,11 @@
 				}
 				return n
 			}
-			for left() > 0 && f.now.Since(from) < 10*time.Second {
+			for left() > 0 && f.now.Sub(from) < 10*time.Second {
 				f.pass(10 * time.Millisecond)
 			}
-			t.Logf("seed %d: %d members found dead after %s", seed, len(dead), f.now.Since(from))
-			is.True(f.now.Since(from) <= 3*time.Second)
+			t.Logf("seed %d: %d members found dead after %s", seed, len(dead), f.now.Sub(from))
+			is.True(f.now.Sub(from) <= 3*time.Second)
 			f.pass(5 * time.Second)
 			is.Equal(len(f.verdicts), len(dead))
 		}
--- a/internal/controlplane/membership/digest.go
+++ b/internal/controlplane/membership/digest.go
@@ -21,7 +21,7 @@
 	relayMost = 64
 )
 
-func part(id ids.Daemon) int { return int(place(id) % parts) }
+func part(id ids.DaemonID) int { return int(place(id) % parts) }
 
 // imprint sums up one member, so that a part's sum is the exclusive or of its
 // members' and changes with each of them alone.
@@ -58,7 +58,7 @@
 		r.out.Send(peer.Address, Snapshot{Members: r.All()})
 		return
 	}
-	if at, ok := r.asked[peer.ID]; ok && now.Since(at) < compareEvery {
+	if at, ok := r.asked[peer.ID]; ok && now.Sub(at) < compareEvery {
 		return
 	}
 	// What changed just now is on its way to both; what differs for longer got lost.
@@ -66,7 +66,7 @@
 	if !ok {
 		r.differs[peer.ID] = now
 	}
-	if _, met := r.asked[peer.ID]; met && (!ok || now.Since(since) < differFor) {
+	if _, met := r.asked[peer.ID]; met && (!ok || now.Sub(since) < differFor) {
 		return
 	}
 	r.asked[peer.ID] = now
@@ -109,7 +109,7 @@
 
 // take merges a portion and answers with what its sender lacks.
 func (r *List) take(from ids.Address, p Delta) {
-	theirs := map[ids.Daemon]Member{}
+	theirs := map[ids.DaemonID]Member{}
 	for _, m := range p.Members {
 		theirs[m.ID] = m
 	}
@@ -138,7 +138,7 @@
 // Changed gives the members that changed since it was last asked, for a registry
 // to relay; nil where copies are told whole.
 func (r *List) Changed() []Member {
-	seen := map[ids.Daemon]bool{}
+	seen := map[ids.DaemonID]bool{}
 	var out []Member
 	for len(r.changed) > 0 && len(out) < relayMost {
 		id := r.changed[0]
--- a/internal/controlplane/membership/failure.go
+++ b/internal/controlplane/membership/failure.go
@@ -15,7 +15,7 @@
 
 // accusation is all that a registry knows against one member.
 type accusation struct {
-	by map[ids.Daemon]suspicion
+	by map[ids.DaemonID]suspicion
 	// asked is when this registry first asked the member itself, and probed when
 	// it did so last.
 	asked, probed ids.Time
@@ -41,7 +41,7 @@
 // mistakesWith tells how often this registry declared a run dead that is here.
 func (r *List) mistakesWith(now ids.Time, m Member) int {
 	b, ok := r.buried[m.ID]
-	if !ok || b.start != m.Start || now.Since(b.at) > forgetMistake {
+	if !ok || b.start != m.RunID || now.Sub(b.at) > forgetMistake {
 		return 0
 	}
 	return min(b.mistakes, mostMistakes)
@@ -64,10 +64,10 @@
 	return probeWait * min(longest, maxPatience*suspectAfter) / suspectAfter << a.mistakes
 }
 
-func (r *List) against(id ids.Daemon) *accusation {
+func (r *List) against(id ids.DaemonID) *accusation {
 	a := r.accusations[id]
 	if a == nil {
-		a = &accusation{by: map[ids.Daemon]suspicion{}}
+		a = &accusation{by: map[ids.DaemonID]suspicion{}}
 		r.accusations[id] = a
 	}
 	return a
@@ -90,13 +90,13 @@
 }
 
 // fresh tells whether a daemon accuses a member's present incarnation of late.
-func (r *List) fresh(now ids.Time, m Member, by ids.Daemon) bool {
+func (r *List) fresh(now ids.Time, m Member, by ids.DaemonID) bool {
 	a := r.accusations[m.ID]
 	if a == nil {
 		return false
 	}
 	s, said := a.by[by]
-	return said && s.incarnation == m.Incarnation && now.Since(s.at) < 2*r.SuspectAfter
+	return said && s.incarnation == m.Incarnation && now.Sub(s.at) < 2*r.SuspectAfter
 }
 
 // accused tells whether anybody accuses a member of late.
@@ -126,7 +126,7 @@
 func (r *List) votes(now ids.Time, m Member) (votes, doubted int) {
 	standIns := 0
 	watchers := r.ringOf().watchers(m.ID, r.Watchers)
-	isWatcher := make(map[ids.Daemon]bool, len(watchers))
+	isWatcher := make(map[ids.DaemonID]bool, len(watchers))
 	for _, w := range watchers {
 		isWatcher[w.ID] = true
 		switch {
@@ -181,8 +181,8 @@
 		a.dismiss()
 		return false
 	}
-	if a.probed == 0 || now.Since(a.probed) >= probeEvery {
-		if a.asked == 0 || now.Since(a.probed) > probeExpires {
+	if a.probed == 0 || now.Sub(a.probed) >= probeEvery {
+		if a.asked == 0 || now.Sub(a.probed) > probeExpires {
 			a.asked = now
 		}
 		a.probed = now
@@ -195,11 +195,11 @@
 // enough without giving a sign of life.
 func (r *List) silentToUs(now ids.Time, m Member) bool {
 	a := r.accusations[m.ID]
-	return a != nil && a.asked != 0 && r.words[m.Address] <= a.asked && now.Since(a.asked) >= a.wait(r.SuspectAfter)
+	return a != nil && a.asked != 0 && r.words[m.Address] <= a.asked && now.Sub(a.asked) >= a.wait(r.SuspectAfter)
 }
 
 func (r *List) bury(now ids.Time, m Member, votes, doubted int) {
-	r.buried[m.ID] = burial{start: m.Start, at: now, mistakes: r.mistakesWith(now, m) + 1}
+	r.buried[m.ID] = burial{start: m.RunID, at: now, mistakes: r.mistakesWith(now, m) + 1}
 	m.Gone = true
 	r.set(m)
 	delete(r.accusations, m.ID)
--- a/internal/controlplane/membership/fleet_test.go
+++ b/internal/controlplane/membership/fleet_test.go
@@ -67,7 +67,7 @@
 func (f *fleet) add(role Role, i int) {
 	at := ids.Address(fmt.Sprintf("machine-%d-%s", i, role))
 	n := &node{out: &event.Outbox{}, delay: func() time.Duration { return 0 }, next: ids.Time(f.dice.Int64N(int64(fleetTick))) + 1}
-	self := Member{ID: ids.Daemon(at), Role: role, Address: at, Zone: ids.Name(fmt.Sprintf("z%d", i%fleetZones)), Start: 1, Incarnation: 1, Ready: true}
+	self := Member{ID: ids.DaemonID(at), Role: role, Address: at, Zone: ids.Name(fmt.Sprintf("z%d", i%fleetZones)), RunID: 1, Incarnation: 1, Ready: true}
 	n.list = New(Options{Self: self, Seeds: []ids.Address{"machine-0-registry", "machine-1-registry", "machine-2-registry"}, Incremental: true}, n.out)
 	f.nodes = append(f.nodes, n)
 	f.at[at] = n
--- a/internal/controlplane/membership/list.go
+++ b/internal/controlplane/membership/list.go
@@ -16,15 +16,15 @@
 type List struct {
 	Options
 	out     *event.Outbox
-	members map[ids.Daemon]Member
+	members map[ids.DaemonID]Member
 	// heard are those that this daemon watches, and words when any message last
 	// came from an address.
-	heard map[ids.Daemon]*arrivals
+	heard map[ids.DaemonID]*arrivals
 	words map[ids.Address]ids.Time
 	// accusations are what is said against members.
-	accusations map[ids.Daemon]*accusation
+	accusations map[ids.DaemonID]*accusation
 	// buried are the verdicts that this registry passed itself.
-	buried       map[ids.Daemon]burial
+	buried       map[ids.DaemonID]burial
 	ticked, beat ids.Time
 	// begun is when the clock first ticked.
 	begun        ids.Time
@@ -37,8 +37,8 @@
 	index          *ringIndex
 	parts          [parts]uint64
 	seedCalls      int
-	asked, differs map[ids.Daemon]ids.Time
-	changed        []ids.Daemon
+	asked, differs map[ids.DaemonID]ids.Time
+	changed        []ids.DaemonID
 	version        uint64
 	shown          uint64
 	// MayDeclareDead, if set, tells whether this registry may count others as gone.
@@ -50,11 +50,11 @@
 func New(p Options, out *event.Outbox) *List {
 	p.fill()
 	p.Self.Sequence = 1
-	r := &List{Options: p, out: out, dirty: true, asked: map[ids.Daemon]ids.Time{}, differs: map[ids.Daemon]ids.Time{},
-		members:     map[ids.Daemon]Member{p.Self.ID: p.Self},
-		heard:       map[ids.Daemon]*arrivals{},
+	r := &List{Options: p, out: out, dirty: true, asked: map[ids.DaemonID]ids.Time{}, differs: map[ids.DaemonID]ids.Time{},
+		members:     map[ids.DaemonID]Member{p.Self.ID: p.Self},
+		heard:       map[ids.DaemonID]*arrivals{},
 		words:       map[ids.Address]ids.Time{},
-		accusations: map[ids.Daemon]*accusation{}, buried: map[ids.Daemon]burial{}}
+		accusations: map[ids.DaemonID]*accusation{}, buried: map[ids.DaemonID]burial{}}
 	r.parts[part(p.Self.ID)] ^= imprint(p.Self)
 	return r
 }
@@ -63,11 +63,11 @@
 func (r *List) Announce(ready bool, holds ids.Revision) {
 	// Which policy a daemon holds is known from acknowledgements; told of each
 	// change by everybody, it would cost the square of the fleet.
-	if r.Self.Ready == ready && (r.Self.Holds == holds || r.Incremental) {
-		r.Self.Holds = holds
+	if r.Self.Ready == ready && (r.Self.Revision == holds || r.Incremental) {
+		r.Self.Revision = holds
 		return
 	}
-	r.Self.Ready, r.Self.Holds = ready, holds
+	r.Self.Ready, r.Self.Revision = ready, holds
 	r.Self.Sequence++
 	r.set(r.Self)
 	if r.Incremental {
@@ -113,15 +113,15 @@
 }
 
 // Get finds one member.
-func (r *List) Get(id ids.Daemon) (Member, bool) {
+func (r *List) Get(id ids.DaemonID) (Member, bool) {
 	m, ok := r.members[id]
 	return m, ok
 }
 
 // Ended tells whether the run of a daemon is surely over or suspected so.
-func (r *List) Ended(id ids.Daemon, s ids.RunID) bool {
+func (r *List) Ended(id ids.DaemonID, s ids.RunID) bool {
 	m, ok := r.members[id]
-	return !ok || m.Gone || m.Start != s
+	return !ok || m.Gone || m.RunID != s
 }
 
 func (r *List) sum() uint64 {
@@ -153,7 +153,7 @@
 
 // Receive takes a message; false means that it belongs to another slice.
 func (r *List) Receive(now ids.Time, from ids.Address, msg any) bool {
-	r.Witness(now, from)
+	r.RecordContact(now, from)
 	switch m := msg.(type) {
 	case Heartbeat:
 		r.merge([]Member{m.Self})
@@ -196,7 +196,7 @@
 		}
 		if have, ok := r.members[m.ID]; !ok || m.newer(have) {
 			r.set(m)
-			if r.Incremental && m.Role == Registry && !m.Gone && (!ok || have.Start != m.Start || have.Gone) {
+			if r.Incremental && m.Role == Registry && !m.Gone && (!ok || have.RunID != m.RunID || have.Gone) {
 				r.introduce(m)
 			}
 		}
@@ -205,7 +205,7 @@
 
 // refute answers word of our own end, or of an earlier run of ours.
 func (r *List) refute(m Member) {
-	if m.Incarnation > r.Self.Incarnation || (m.Incarnation == r.Self.Incarnation && (m.Gone || m.Start != r.Self.Start)) {
+	if m.Incarnation > r.Self.Incarnation || (m.Incarnation == r.Self.Incarnation && (m.Gone || m.RunID != r.Self.RunID)) {
 		r.Self.Incarnation = m.Incarnation + 1
 		r.Self.Sequence++
 		r.set(r.Self)
--- a/internal/controlplane/membership/list_test.go
+++ b/internal/controlplane/membership/list_test.go
@@ -29,7 +29,7 @@
 		at := ids.Address(fmt.Sprintf("m%d", i))
 		out := &event.Outbox{}
 		h.outs[at] = out
-		h.rolls[at] = New(Options{Self: Member{ID: ids.Daemon(at), Role: role, Address: at, Start: ids.RunID(i + 1), Incarnation: 1, Ready: true}, Seeds: []ids.Address{"m0"}}, out)
+		h.rolls[at] = New(Options{Self: Member{ID: ids.DaemonID(at), Role: role, Address: at, RunID: ids.RunID(i + 1), Incarnation: 1, Ready: true}, Seeds: []ids.Address{"m0"}}, out)
 	}
 	return h
 }
@@ -59,7 +59,7 @@
 	}
 }
 
-func (h *hall) gone(seer, who ids.Daemon) bool {
+func (h *hall) gone(seer, who ids.DaemonID) bool {
 	m, ok := h.rolls[ids.Address(seer)].Get(who)
 	return ok && m.Gone
 }
@@ -83,7 +83,7 @@
 	h.mute["m5"] = true
 	h.pass(2500 * time.Millisecond)
 	for i := range 9 {
-		is.True(i == 5 || h.gone(ids.Daemon(fmt.Sprintf("m%d", i)), "m5"))
+		is.True(i == 5 || h.gone(ids.DaemonID(fmt.Sprintf("m%d", i)), "m5"))
 	}
 	h.mute["m5"] = false
 	h.pass(3 * time.Second)
@@ -112,7 +112,7 @@
 	}
 	h.pass(4 * time.Second)
 	for at := range h.mute {
-		is.True(h.gone("m0", ids.Daemon(at)))
+		is.True(h.gone("m0", ids.DaemonID(at)))
 	}
 	is.Equal(len(h.rolls["m0"].livingMembers()), 9-len(h.mute))
 }
--- a/internal/controlplane/membership/member.go
+++ b/internal/controlplane/membership/member.go
@@ -29,26 +29,26 @@
 
 // Member is one daemon as the roll holds it.
 type Member struct {
-	ID          ids.Daemon
+	ID          ids.DaemonID
 	Role        Role
 	Address     ids.Address
 	HTTP        ids.Address
 	Zone        ids.Name
-	Start       ids.RunID
+	RunID       ids.RunID
 	Incarnation ids.Incarnation
 	Sequence    ids.Sequence
 	Gone        bool
 	Ready       bool
-	// Holds is the newest policy the daemon has, so a founder finds the best.
-	Holds ids.Revision
+	// Revision is the newest policy the daemon has, so a founder finds the best.
+	Revision ids.Revision
 	// Store is the store id of a store; zero for the others.
 	Store uint64
-	// Serves is where a proxy takes consumers, if not at HTTP.
-	Serves ids.Address
+	// ClientListen is where a proxy takes consumers, if not at HTTP.
+	ClientListen ids.Address
 }
 
-// Consumers is where a proxy takes consumers.
-func (m Member) Consumers() ids.Address { return cmp.Or(m.Serves, m.HTTP) }
+// ClientAddress is where a proxy takes consumers.
+func (m Member) ClientAddress() ids.Address { return cmp.Or(m.ClientListen, m.HTTP) }
 
 // newer tells whether m replaces n. A suspicion beats its own incarnation's
 // life, and only a higher incarnation refutes it.
@@ -88,8 +88,8 @@
 
 // Suspect is a watcher's word to the registries.
 type Suspect struct {
-	Watcher     ids.Daemon
-	ID          ids.Daemon
+	Watcher     ids.DaemonID
+	ID          ids.DaemonID
 	Incarnation ids.Incarnation
 	// Silence is how long the member was silent, in milliseconds. A member whose
 	// heartbeats are irregular is accused later, and is given longer to answer.
--- a/internal/controlplane/membership/published.go
+++ b/internal/controlplane/membership/published.go
@@ -15,8 +15,8 @@
 	r.page.Store(&page{r.Self, r.All()})
 }
 
-// Me gives this daemon's own entry; safe from any thread.
-func (r *List) Me() (Member, bool) {
+// SelfMember gives this daemon's own entry; safe from any thread.
+func (r *List) SelfMember() (Member, bool) {
 	if p := r.page.Load(); p != nil {
 		return p.self, true
 	}
--- a/internal/controlplane/membership/ring.go
+++ b/internal/controlplane/membership/ring.go
@@ -15,11 +15,11 @@
 	// doubled is the ring twice over, so that the watchers of any member are one
 	// slice of it.
 	doubled []Member
-	at      map[ids.Daemon]int
+	at      map[ids.DaemonID]int
 }
 
 func newRingIndex(members []Member) *ringIndex {
-	x := &ringIndex{members: members, doubled: slices.Concat(members, members), at: make(map[ids.Daemon]int, len(members))}
+	x := &ringIndex{members: members, doubled: slices.Concat(members, members), at: make(map[ids.DaemonID]int, len(members))}
 	for i, m := range members {
 		x.at[m.ID] = i
 	}
@@ -27,7 +27,7 @@
 }
 
 // watchers gives the k members that come after a member on the ring.
-func (x *ringIndex) watchers(id ids.Daemon, k int) []Member {
+func (x *ringIndex) watchers(id ids.DaemonID, k int) []Member {
 	i, ok := x.at[id]
 	if !ok {
 		return nil
@@ -36,7 +36,7 @@
 }
 
 // watched gives the members that a member watches: the k before it on the ring.
-func (x *ringIndex) watched(id ids.Daemon, k int) []Member {
+func (x *ringIndex) watched(id ids.DaemonID, k int) []Member {
 	i, ok := x.at[id]
 	if !ok {
 		return nil
@@ -46,7 +46,7 @@
 	return x.doubled[end-k : end]
 }
 
-func place(id ids.Daemon) uint64 {
+func place(id ids.DaemonID) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(id))
 	return h.Sum64()
@@ -54,7 +54,7 @@
 
 // ring orders members by their place; ids break ties.
 func ring(members []Member) {
-	at := make(map[ids.Daemon]uint64, len(members))
+	at := make(map[ids.DaemonID]uint64, len(members))
 	for _, m := range members {
 		at[m.ID] = place(m.ID)
 	}
--- a/internal/controlplane/registry/calls.go
+++ b/internal/controlplane/registry/calls.go
@@ -20,8 +20,8 @@
 		ID  uint64
 		Raw []byte
 	}
-	// PolicyCall asks for the policy; Local for this registry's own copy.
-	PolicyCall struct {
+	// ReadConfigurationCall asks for the policy; Local for this registry's own copy.
+	ReadConfigurationCall struct {
 		ID    uint64
 		Local bool
 	}
@@ -41,7 +41,7 @@
 	// GoneCall is a target's word that it ends.
 	DeregisterCall struct {
 		ID       uint64
-		Instance ids.Instance
+		Instance ids.InstanceID
 	}
 	// AnnounceCall is a target's word; its answer names the registry that is to
 	// have its next ones.
@@ -55,15 +55,15 @@
 
 // Response answers a call. Retry asks the caller to come back, in seconds.
 type Response struct {
-	ID     uint64
-	Status int
-	Body   any
-	Retry  int
+	ID         uint64
+	Status     int
+	Body       any
+	RetryAfter int
 }
 
 // Word is a body that says one thing.
-type Problem struct {
-	Problem string `json:"problem"`
+type ErrorResponse struct {
+	Message string `json:"problem"`
 }
 
 // callWait bounds how long a call waits for a majority.
@@ -89,7 +89,7 @@
 		f.orderCell(now, c)
 	case DeregisterCall:
 		f.gone(now, c)
-	case PolicyCall:
+	case ReadConfigurationCall:
 		f.policyCall(now, c)
 	case ResolveCall:
 		f.where(now, c)
@@ -105,10 +105,10 @@
 
 // unreached answers a call that surely had no effect for want of a majority.
 func (f *Registry) unavailable(id uint64) {
-	f.Emit(Response{ID: id, Status: 503, Body: Problem{"no majority of stores can be reached"}, Retry: 1})
+	f.Emit(Response{ID: id, Status: 503, Body: ErrorResponse{"no majority of stores can be reached"}, RetryAfter: 1})
 }
 
-func (f *Registry) policyCall(now ids.Time, c PolicyCall) {
+func (f *Registry) policyCall(now ids.Time, c ReadConfigurationCall) {
 	switch {
 	case !c.Local:
 		f.underLease(now, c.ID, func(now ids.Time) { f.beginRead(now, c) })
@@ -120,10 +120,10 @@
 }
 
 // beginRead begins an agreement read: every daemon gives the same truth, or none.
-func (f *Registry) beginRead(now ids.Time, c PolicyCall) {
-	f.await(now, 0, f.Client.ReadIfChanged(now, configuration.Key, f.whole, f.sum, callWait, func(_ ids.Time, s consensus.State, out []byte) {
-		p, err := configuration.Open(out)
-		if s != consensus.Done || err != nil {
+func (f *Registry) beginRead(now ids.Time, c ReadConfigurationCall) {
+	f.await(now, 0, f.Client.ReadIfChanged(now, configuration.Key, f.whole, f.sum, callWait, func(_ ids.Time, s consensus.Outcome, out []byte) {
+		p, err := configuration.Decode(out)
+		if s != consensus.Succeeded || err != nil {
 			f.unavailable(c.ID)
 			return
 		}
@@ -142,7 +142,7 @@
 // makes it anew at once.
 func (f *Registry) snapshot(now ids.Time) directory.Snapshot {
 	k := snapshotKey{f.view.Revision, f.Version(), f.table.Epoch, f.table.Number}
-	if k != f.seenBy || now.Since(f.seenAt) >= snapshotFor {
+	if k != f.seenBy || now.Sub(f.seenAt) >= snapshotFor {
 		f.seen, f.seenBy, f.seenAt = f.look(now), k, now
 	}
 	return f.seen
@@ -152,7 +152,7 @@
 	revision ids.Revision
 	roll     uint64
 	epoch    ids.Epoch
-	table    ids.Number
+	table    ids.StreamNumber
 }
 
 func (f *Registry) look(now ids.Time) directory.Snapshot {
@@ -171,7 +171,7 @@
 			return c.Target - c.Used()
 		}}
 	for n, c := range f.view.Cells {
-		s.Emptied[n] = c.Emptied
+		s.Emptied[n] = c.Drained
 	}
 	if !f.stale(now) {
 		s.Moves = f.table.Moves
@@ -182,7 +182,7 @@
 // stale tells whether the table has outlived its lifetime in a registry that
 // has lost its majority; with a majority and no planner the last one holds.
 func (f *Registry) stale(now ids.Time) bool {
-	return now.Since(f.agreed) > 5*time.Second && now.Since(f.tableAt) > 3*f.params.PlanEvery
+	return now.Sub(f.agreed) > 5*time.Second && now.Sub(f.tableAt) > 3*f.params.PlanEvery
 }
 
 // Moves gives the table in force here, for tests and status.
--- a/internal/controlplane/registry/calls_test.go
+++ b/internal/controlplane/registry/calls_test.go
@@ -12,15 +12,15 @@
 // whatever else it holds.
 func TestStatusOfResults(t *testing.T) {
 	is := is.New(t)
-	fault := []configuration.Fault{{Item: "route/mud"}}
+	fault := []configuration.Violation{{Item: "route/mud"}}
 	for status, r := range map[int]configuration.Result{
 		200: {},
-		400: {Faults: fault},
-		404: {Missing: []configuration.Touched{{}}},
+		400: {Violations: fault},
+		404: {Missing: []configuration.ItemVersion{{}}},
 		409: {Conflicts: fault},
-		504: {Unknown: "forgotten", Faults: fault, Stale: []configuration.Stale{{}}},
+		504: {Unknown: "forgotten", Violations: fault, Stale: []configuration.VersionConflict{{}}},
 	} {
 		is.Equal(statusOf(r), status)
 	}
-	is.Equal(statusOf(configuration.Result{Stale: []configuration.Stale{{}}}), 409)
+	is.Equal(statusOf(configuration.Result{Stale: []configuration.VersionConflict{{}}}), 409)
 }
--- a/internal/controlplane/registry/cellorder.go
+++ b/internal/controlplane/registry/cellorder.go
@@ -10,10 +10,10 @@
 
 // CellOrderCall asks for a cell to be shut or opened, in an order without an id.
 type CellOrderCall struct {
-	ID     uint64
-	Cell   ids.Name
-	Region ids.Name
-	Shut   bool
+	ID       uint64
+	Cell     ids.Name
+	Region   ids.Name
+	Evacuate bool
 }
 
 // oldestOrder is how long an order may have waited for this process: its caller
@@ -27,10 +27,10 @@
 		f.orderOvertaken(c.ID)
 		return
 	}
-	order := configuration.CellOrder{Cell: c.Cell, Region: c.Region, Shut: c.Shut, Known: f.policy.CellVersion(c.Cell)}
+	order := configuration.CellOrder{Cell: c.Cell, Region: c.Region, Evacuate: c.Evacuate, Known: f.policy.CellVersion(c.Cell)}
 	raw, err := json.Marshal(order)
 	if err != nil {
-		f.Emit(Response{ID: c.ID, Status: 400, Body: Problem{err.Error()}})
+		f.Emit(Response{ID: c.ID, Status: 400, Body: ErrorResponse{err.Error()}})
 		return
 	}
 	f.agree(now, c.ID, configuration.OpOrderCell, raw, func(now ids.Time, r configuration.Result) {
@@ -46,13 +46,13 @@
 // orderOvertaken answers an order that had no effect, and that its caller may
 // not want any more: no refusal, as a copy of it may have been taken.
 func (f *Registry) orderOvertaken(id uint64) {
-	f.Emit(Response{ID: id, Status: 503, Body: Problem{"the cell was changed meanwhile; send the order again if it is still wanted"}, Retry: 1})
+	f.Emit(Response{ID: id, Status: 503, Body: ErrorResponse{"the cell was changed meanwhile; send the order again if it is still wanted"}, RetryAfter: 1})
 }
 
 // mayHaveSlept tells whether what comes in now may have waited for a process
 // that stood still.
 func (f *Registry) mayHaveSlept(now ids.Time) bool {
-	return f.last != 0 && now.Since(f.last) > oldestOrder || f.woke != 0 && now.Since(f.woke) < oldestOrder
+	return f.last != 0 && now.Sub(f.last) > oldestOrder || f.woke != 0 && now.Sub(f.woke) < oldestOrder
 }
 
 // catchUp reads the policy without waiting for the next poll.
--- a/internal/controlplane/registry/cellorder_test.go
+++ b/internal/controlplane/registry/cellorder_test.go
@@ -14,12 +14,12 @@
 
 // orderedCell hands a registry an order, and gives what it sends to the stores.
 func (b *bench) orderedCell(id uint64) (order configuration.CellOrder, asked bool) {
-	for _, c := range b.Step(b.now, CellOrderCall{ID: id, Cell: "a", Region: "south", Shut: true}) {
+	for _, c := range b.Step(b.now, CellOrderCall{ID: id, Cell: "a", Region: "south", Evacuate: true}) {
 		switch c := c.(type) {
 		case event.Send:
 			if m, ok := c.Msg.(consensus.Request); ok && m.Op == configuration.OpOrderCell {
 				asked = json.Unmarshal(m.Arg, &order) == nil
-				b.hear(consensus.Response{ID: m.ID, State: consensus.Done, Try: m.Try, Result: []byte(`{"stale":[{"kind":"cell","name":"a","version":3,"asked":2}]}`)})
+				b.hear(consensus.Response{ID: m.ID, Outcome: consensus.Succeeded, Attempt: m.Attempt, Result: []byte(`{"stale":[{"kind":"cell","name":"a","version":3,"asked":2}]}`)})
 			}
 		case Response:
 			b.status[c.ID] = c.Status
@@ -34,13 +34,13 @@
 	is := is.New(t)
 	b := newBench(true)
 	b.run(time.Second, nil)
-	p, _ := configuration.Open(nil)
-	p, r := p.OrderCell(configuration.CellOrder{Cell: "a", Region: "south", Shut: false})
+	p, _ := configuration.Decode(nil)
+	p, r := p.OrderCell(configuration.CellOrder{Cell: "a", Region: "south", Evacuate: false})
 	is.True(r.Accepted())
-	b.adopt(p.Pack(true))
+	b.adopt(p.Encode(true))
 	order, asked := b.orderedCell(7)
 	is.True(asked)
-	is.Equal(order, configuration.CellOrder{Cell: "a", Region: "south", Shut: true, Known: 1})
+	is.Equal(order, configuration.CellOrder{Cell: "a", Region: "south", Evacuate: true, Known: 1})
 	is.Equal(b.status[7], 503)
 }
 
--- a/internal/controlplane/registry/changes.go
+++ b/internal/controlplane/registry/changes.go
@@ -11,7 +11,7 @@
 func (f *Registry) change(now ids.Time, c ChangeCall) {
 	// Faults that the words alone show need no round.
 	if ch, faults := configuration.ReadChange(c.Raw); len(faults) > 0 {
-		f.Emit(Response{ID: c.ID, Status: 400, Body: configuration.Result{ID: ch.ID, Faults: faults}})
+		f.Emit(Response{ID: c.ID, Status: 400, Body: configuration.Result{ID: ch.ID, Violations: faults}})
 		return
 	}
 	f.agree(now, c.ID, configuration.OpChange, c.Raw, f.answerResult(c.ID))
@@ -19,12 +19,12 @@
 
 func (f *Registry) merge(now ids.Time, c MergeCall) {
 	if faults := c.Body.Check(); len(faults) > 0 {
-		f.Emit(Response{ID: c.ID, Status: 400, Body: configuration.Result{Faults: faults}})
+		f.Emit(Response{ID: c.ID, Status: 400, Body: configuration.Result{Violations: faults}})
 		return
 	}
 	raw, err := json.Marshal(c.Body)
 	if err != nil {
-		f.Emit(Response{ID: c.ID, Status: 400, Body: Problem{err.Error()}})
+		f.Emit(Response{ID: c.ID, Status: 400, Body: ErrorResponse{err.Error()}})
 		return
 	}
 	f.agree(now, c.ID, configuration.OpMerge, raw, f.answerResult(c.ID))
@@ -40,13 +40,13 @@
 type settleFunc func(now ids.Time, r configuration.Result)
 
 func (f *Registry) beginChange(now ids.Time, id uint64, op consensus.Op, raw []byte, settle settleFunc) {
-	f.await(now, len(raw), f.Client.Call(now, configuration.Key, op, raw, CallWait(len(raw)), func(now ids.Time, s consensus.State, out []byte) {
+	f.await(now, len(raw), f.Client.Call(now, configuration.Key, op, raw, CallWait(len(raw)), func(now ids.Time, s consensus.Outcome, out []byte) {
 		var r configuration.Result
 		switch {
 		case s == consensus.Declined:
 			f.unavailable(id)
-		case s != consensus.Done || json.Unmarshal(out, &r) != nil:
-			f.Emit(Response{ID: id, Status: 504, Body: Problem{"uncertain: the change may have been accepted; send it again under the same id"}, Retry: 1})
+		case s != consensus.Succeeded || json.Unmarshal(out, &r) != nil:
+			f.Emit(Response{ID: id, Status: 504, Body: ErrorResponse{"uncertain: the change may have been accepted; send it again under the same id"}, RetryAfter: 1})
 		default:
 			settle(now, r)
 		}
@@ -67,7 +67,7 @@
 	switch {
 	case r.Unknown != "":
 		return 504
-	case len(r.Faults) > 0:
+	case len(r.Violations) > 0:
 		return 400
 	case len(r.Stale)+len(r.Conflicts) > 0:
 		return 409
--- a/internal/controlplane/registry/deliver.go
+++ b/internal/controlplane/registry/deliver.go
@@ -40,7 +40,7 @@
 func (f *Registry) difference(from ids.Revision) []byte {
 	if from == 0 || !f.params.Incremental {
 		if f.raw == nil && f.policy.Revision > 0 {
-			f.raw = f.policy.Pack(false)
+			f.raw = f.policy.Encode(false)
 		}
 		return f.raw
 	}
@@ -48,7 +48,7 @@
 		f.deltas = map[ids.Revision][]byte{}
 	}
 	if f.deltas[from] == nil {
-		f.deltas[from] = f.policy.Since(from)
+		f.deltas[from] = f.policy.ChangesSince(from)
 	}
 	return f.deltas[from]
 }
@@ -110,7 +110,7 @@
 	if len(raw) > 0 && bytes.Equal(raw, f.whole) {
 		return
 	}
-	p, err := configuration.Open(raw)
+	p, err := configuration.Decode(raw)
 	if err != nil {
 		f.Log("error", "policy unreadable", "problem", err.Error())
 		return
@@ -125,7 +125,7 @@
 	f.view = p.ViewFrom(f.policy, f.view)
 	f.policy, f.raw = p, nil
 	clear(f.deltas)
-	f.view.Know(f.params.Regions)
+	f.view.SetRegions(f.params.Regions)
 	f.Log("info", "policy", "revision", itoa(uint64(p.Revision)))
 }
 
@@ -134,5 +134,5 @@
 	if f.agreed == 0 {
 		return time.Hour
 	}
-	return now.Since(f.agreed)
+	return now.Sub(f.agreed)
 }
--- a/internal/controlplane/registry/departure.go
+++ b/internal/controlplane/registry/departure.go
@@ -17,7 +17,7 @@
 	arrived ids.Time
 	due     ids.Time
 	// waits are the other registries that have not said yet that theirs go by it.
-	waits map[ids.Daemon]bool
+	waits map[ids.DaemonID]bool
 }
 
 // partWithin bounds the wait. The answer says whether all have it.
@@ -29,10 +29,10 @@
 		// The one that it is told to speak to keeps it, from the first word on:
 		// a keeper that changes is news for everybody.
 		if old, ok := f.Targets.Get(now, c.Target.Instance); ok {
-			c.Target.Keeper = old.Keeper
+			c.Target.Registrar = old.Registrar
 		}
 		k := f.keeperFor(now, c.Target)
-		c.Target.Keeper, c.Target.Run = k.ID, k.Start
+		c.Target.Registrar, c.Target.RegistrarRunID = k.ID, k.RunID
 	}
 	changed := f.Targets.Merge(now, c.Target)
 	f.taken(now, changed)
@@ -42,7 +42,7 @@
 		if f.params.Incremental {
 			c.Target.Sequence = f.Targets.MaterialSequence(c.Target.Instance)
 		}
-		p := departure{call: c.ID, target: c.Target, arrived: now, due: now.Add(departureWithin), waits: map[ids.Daemon]bool{}}
+		p := departure{call: c.ID, target: c.Target, arrived: now, due: now.Add(departureWithin), waits: map[ids.DaemonID]bool{}}
 		f.askParting(now, p)
 		f.departures = append(f.departures, p)
 		f.part(now)
@@ -77,7 +77,7 @@
 	if !f.params.Incremental {
 		return
 	}
-	gone := map[ids.Instance]bool{}
+	gone := map[ids.InstanceID]bool{}
 	for _, t := range list {
 		gone[t.Instance] = t.Gone
 	}
@@ -110,11 +110,11 @@
 
 // preferred tells which of two registries that are as near keeps a target: the
 // one that does already, or else by lot.
-func (f *Registry) preferred(t targets.Target, a, b ids.Daemon) bool {
-	if t.Keeper == a || t.Keeper == b {
-		return t.Keeper == a
+func (f *Registry) preferred(t targets.Target, a, b ids.DaemonID) bool {
+	if t.Registrar == a || t.Registrar == b {
+		return t.Registrar == a
 	}
-	return lot(ids.Daemon(t.Instance), a) < lot(ids.Daemon(t.Instance), b)
+	return lot(ids.DaemonID(t.Instance), a) < lot(ids.DaemonID(t.Instance), b)
 }
 
 // gone takes a target's word that it ends, where it says no more than its name.
@@ -143,7 +143,7 @@
 			f.Emit(Response{ID: p.call, Status: 200, Body: map[string]any{"known": true, "everywhere": true}})
 		case now >= p.due && f.agreedSince(p.arrived):
 			f.Emit(Response{ID: p.call, Status: 200, Body: map[string]any{"known": true, "everywhere": false}})
-		case now.Since(p.arrived) >= answerWithin:
+		case now.Sub(p.arrived) >= answerWithin:
 			// The proxies on this side go by it; nobody may take it as known to all.
 			f.unavailable(p.call)
 		default:
--- a/internal/controlplane/registry/derive.go
+++ b/internal/controlplane/registry/derive.go
@@ -21,7 +21,7 @@
 	}
 	out := map[ids.Name]float64{}
 	for _, t := range f.Targets.All(now) {
-		if c := f.view.Cells[t.Cell]; t.Usable() && !c.Shut && !c.Emptied && t.Cold == 0 {
+		if c := f.view.Cells[t.Cell]; t.Usable() && !c.Evacuated && !c.Drained && t.Cold == 0 {
 			out[t.Cell] += float64(t.Capacity) * 1000
 		}
 	}
--- a/internal/controlplane/registry/isolated.go
+++ b/internal/controlplane/registry/isolated.go
@@ -24,7 +24,7 @@
 	if f.isolated(now) {
 		f.Targets.Excuse(now)
 	}
-	return f.Targets.Clock(now)
+	return f.Targets.Tick(now)
 }
 
 // answerable tells whether there is anyone to read the policy from. A registry
--- a/internal/controlplane/registry/keeper_test.go
+++ b/internal/controlplane/registry/keeper_test.go
@@ -15,7 +15,7 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-var proxies = []ids.Daemon{"p", "q", "r", "s1"}
+var proxies = []ids.DaemonID{"p", "q", "r", "s1"}
 
 // keeperBench is one registry of three, with proxies that acknowledge all.
 type keeperBench struct {
@@ -28,11 +28,11 @@
 func newKeeperBench() *keeperBench {
 	b := &keeperBench{bench: newBench(true)}
 	b.params.Incremental = true
-	for _, n := range []ids.Daemon{"g", "h"} {
-		b.hear(membership.Heartbeat{Self: membership.Member{ID: n, Role: membership.Registry, Address: ids.Address(n), Start: 1, Incarnation: 1, Zone: "c"}})
+	for _, n := range []ids.DaemonID{"g", "h"} {
+		b.hear(membership.Heartbeat{Self: membership.Member{ID: n, Role: membership.Registry, Address: ids.Address(n), RunID: 1, Incarnation: 1, Zone: "c"}})
 	}
 	for _, n := range proxies {
-		b.hear(membership.Heartbeat{Self: membership.Member{ID: n, Role: membership.Proxy, Address: ids.Address(n), Start: 1, Incarnation: 1, Zone: "c"}})
+		b.hear(membership.Heartbeat{Self: membership.Member{ID: n, Role: membership.Proxy, Address: ids.Address(n), RunID: 1, Incarnation: 1, Zone: "c"}})
 	}
 	return b
 }
@@ -40,10 +40,10 @@
 // turn lets one clock event happen, with pulses of the other two whose agreement
 // is of some age.
 func (b *keeperBench) turn(age time.Duration) {
-	for _, n := range []ids.Daemon{"g", "h"} {
-		b.hear(Pulse{ID: n, Start: 1, Age: uint32(age / time.Millisecond), Yard: b.Targets.Sum()})
+	for _, n := range []ids.DaemonID{"g", "h"} {
+		b.hear(PeerHeartbeat{ID: n, RunID: 1, AgreementAge: uint32(age / time.Millisecond), TargetsDigest: b.Targets.Sum()})
 	}
-	b.hear(membership.Heartbeat{Self: membership.Member{ID: "s", Role: membership.Store, Address: "10.0.0.2:1", Start: 1, Ready: true, Incarnation: 1}})
+	b.hear(membership.Heartbeat{Self: membership.Member{ID: "s", Role: membership.Store, Address: "10.0.0.2:1", RunID: 1, Ready: true, Incarnation: 1}})
 	b.now = b.now.Add(tickEvery)
 	b.feed(event.Tick{})
 	b.served(b.now)
@@ -60,20 +60,20 @@
 		}
 		switch m := s.Msg.(type) {
 		case consensus.Request:
-			b.hear(consensus.Response{ID: m.ID, State: consensus.Done, Try: m.Try})
+			b.hear(consensus.Response{ID: m.ID, Outcome: consensus.Succeeded, Attempt: m.Attempt})
 		case distribution.Push:
 			b.pushes++
 			b.pushed += len(m.Targets)
-			b.Step(b.now, event.Received{From: s.To, Msg: distribution.Ack{Proxy: ids.Daemon(s.To), Start: 1, Number: m.Number, Revision: m.Revision, Now: b.now}})
+			b.Step(b.now, event.Received{From: s.To, Msg: distribution.Ack{Proxy: ids.DaemonID(s.To), RunID: 1, Number: m.Number, Revision: m.Revision, Now: b.now}})
 		case targets.Update:
 			b.updates += len(m.List)
 		}
 	}
 }
 
-func word(i int, seq ids.Sequence, keeper ids.Daemon) targets.Target {
-	return targets.Target{Instance: ids.Instance(fmt.Sprint("i", i)), Incarnation: 1, Sequence: seq, Service: "s",
-		Address: ids.Address(fmt.Sprintf("10.0.1.%d:80", i+1)), Cell: "c", Warmth: 1, Interval: 1000, Keeper: keeper, Run: 1}
+func word(i int, seq ids.Sequence, keeper ids.DaemonID) targets.Target {
+	return targets.Target{Instance: ids.InstanceID(fmt.Sprint("i", i)), Incarnation: 1, Sequence: seq, Service: "s",
+		Address: ids.Address(fmt.Sprintf("10.0.1.%d:80", i+1)), Cell: "c", Warmth: 1, Interval: 1000, Registrar: keeper, RegistrarRunID: 1}
 }
 
 // While the core was cut, keepers moved hundreds of times a second, and each move
@@ -92,7 +92,7 @@
 	is.True(served > 0 && b.pushed >= 50*served)
 	b.pushes, b.pushed = 0, 0
 	for n := range 60 {
-		keeper := []ids.Daemon{"g", "h"}[n%2]
+		keeper := []ids.DaemonID{"g", "h"}[n%2]
 		for i := range 50 {
 			b.hear(targets.Update{List: []targets.Target{word(i, ids.Sequence(n+2), keeper)}})
 		}
@@ -133,7 +133,7 @@
 	b.turn(500 * time.Millisecond)
 	is.Equal(len(b.group), 3)
 	// And a target stays with the one that keeps it, of two that are as near.
-	for _, n := range []ids.Daemon{"f", "g", "h"} {
+	for _, n := range []ids.DaemonID{"f", "g", "h"} {
 		is.Equal(b.keeperFor(b.now, word(1, 1, n)).ID, n)
 	}
 }
--- a/internal/controlplane/registry/lease.go
+++ b/internal/controlplane/registry/lease.go
@@ -109,7 +109,7 @@
 // asked whether a majority is there.
 func (f *Registry) probeDue(now ids.Time) bool {
 	waits := func(arrived ids.Time) bool {
-		return now.Since(arrived) >= probeAfter && !f.agreedSince(arrived)
+		return now.Sub(arrived) >= probeAfter && !f.agreedSince(arrived)
 	}
 	for _, call := range f.awaited {
 		if waits(call.arrived) {
@@ -136,14 +136,14 @@
 func (f *Registry) readPolicy(now ids.Time) {
 	f.reading = true
 	f.poll = now.Add(pollEvery)
-	if f.params.Incremental && !f.Client.Strained(now) {
+	if f.params.Incremental && !f.Client.IsOverloaded(now) {
 		// News of a change comes by itself; what this renews is the agreement's age.
 		f.poll = now.Add(2 * pollEvery)
 	}
 	began := now
-	f.Client.ReadIfChanged(now, configuration.Key, f.whole, f.sum, 2*time.Second, func(_ ids.Time, s consensus.State, out []byte) {
+	f.Client.ReadIfChanged(now, configuration.Key, f.whole, f.sum, 2*time.Second, func(_ ids.Time, s consensus.Outcome, out []byte) {
 		f.reading = false
-		if s == consensus.Done {
+		if s == consensus.Succeeded {
 			f.agreed = max(f.agreed, began)
 			f.adopt(out)
 		}
--- a/internal/controlplane/registry/lease_test.go
+++ b/internal/controlplane/registry/lease_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-func deregister(instance ids.Instance) func(uint64) event.Event {
+func deregister(instance ids.InstanceID) func(uint64) event.Event {
 	return func(id uint64) event.Event { return registry.DeregisterCall{ID: id, Instance: instance} }
 }
 
@@ -44,8 +44,8 @@
 	{"evacuate", change(`{"id":"e","changes":[{"kind":"cell","name":"c","put":{"region":"r","shut":true}}]}`)},
 	{"malformed change", change(`{`)},
 	{"merge", func(id uint64) event.Event { return registry.MergeCall{ID: id, Body: configuration.Merge{}} }},
-	{"read", func(id uint64) event.Event { return registry.PolicyCall{ID: id} }},
-	{"read of the own copy", func(id uint64) event.Event { return registry.PolicyCall{ID: id, Local: true} }},
+	{"read", func(id uint64) event.Event { return registry.ReadConfigurationCall{ID: id} }},
+	{"read of the own copy", func(id uint64) event.Event { return registry.ReadConfigurationCall{ID: id, Local: true} }},
 	{"heartbeat", heartbeat(func(*targets.Target) {})},
 	{"draining", heartbeat(func(t *targets.Target) { t.Leaving = true })},
 	{"end", deregister("known")},
@@ -114,7 +114,7 @@
 				if took >= time.Second {
 					t.Errorf("%s, %s (incremental %v): answered after %s", row.state, call.name, incremental, took)
 				}
-				if got.Status >= 500 && got.Retry == 0 {
+				if got.Status >= 500 && got.RetryAfter == 0 {
 					t.Errorf("%s, %s (incremental %v): no Retry-After", row.state, call.name, incremental)
 				}
 			}
@@ -132,7 +132,7 @@
 				core.Link = link
 				core.Run(20 * time.Second)
 				got, took := core.Call(100, call.make(100))
-				if got.Status != cutOff[call.name] || took >= time.Second || got.Status >= 500 && got.Retry == 0 {
+				if got.Status != cutOff[call.name] || took >= time.Second || got.Status >= 500 && got.RetryAfter == 0 {
 					t.Errorf("link %d, %s (incremental %v): %d %v after %s, not %d", link, call.name, incremental, got.Status, got.Body, took, cutOff[call.name])
 				}
 			}
--- a/internal/controlplane/registry/peers.go
+++ b/internal/controlplane/registry/peers.go
@@ -12,14 +12,14 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// Pulse is what registries tell one another all the time: that they are there, how
+// PeerHeartbeat is what registries tell one another all the time: that they are there, how
 // old their agreement is, and what their targets sum up to.
-type Pulse struct {
-	ID     ids.Daemon
-	Start  ids.RunID
-	Age    uint32
-	Yard   uint64
-	Number ids.Number
+type PeerHeartbeat struct {
+	ID            ids.DaemonID
+	RunID         ids.RunID
+	AgreementAge  uint32
+	TargetsDigest uint64
+	Number        ids.StreamNumber
 }
 
 // Parting asks a registry to say when all proxies that it serves go by a
@@ -31,8 +31,8 @@
 
 // Parted answers Parting.
 type DepartureAck struct {
-	ID          ids.Daemon
-	Instance    ids.Instance
+	ID          ids.DaemonID
+	Instance    ids.InstanceID
 	Sequence    ids.Sequence
 	Incarnation ids.Incarnation
 }
@@ -41,14 +41,14 @@
 // answers with the targets of those parts.
 type TableDigest struct{ Parts []uint64 }
 
-var _ = wire.Register(75, TableDigest{}) && wire.Register(72, Pulse{}) && wire.Register(73, DepartureNotice{}) && wire.Register(74, DepartureAck{})
+var _ = wire.Register(75, TableDigest{}) && wire.Register(72, PeerHeartbeat{}) && wire.Register(73, DepartureNotice{}) && wire.Register(74, DepartureAck{})
 
 // peers is what a registry knows of the others, heard from themselves: across a
 // cut the roll may still hold them for alive.
 type peers struct {
-	heard map[ids.Daemon]peer
+	heard map[ids.DaemonID]peer
 	pulse ids.Time
-	count ids.Number
+	count ids.StreamNumber
 	// owes are the partings that other registries wait for.
 	owes []DepartureNotice
 	// group are those who share the proxies out, and ours the ones served here.
@@ -60,7 +60,7 @@
 }
 
 type peer struct {
-	Pulse
+	PeerHeartbeat
 	at ids.Time
 	// differ is for how many pulses its targets have been others than ours.
 	differ int
@@ -68,7 +68,7 @@
 	trusted bool
 }
 
-func newPeers() peers { return peers{heard: map[ids.Daemon]peer{}} }
+func newPeers() peers { return peers{heard: map[ids.DaemonID]peer{}} }
 
 const (
 	pulseEvery = 400 * time.Millisecond
@@ -95,9 +95,9 @@
 	if !f.params.Incremental {
 		return
 	}
-	f.Targets.Vouch(now, func(id ids.Daemon, s ids.RunID) bool {
+	f.Targets.Vouch(now, func(id ids.DaemonID, s ids.RunID) bool {
 		p, ok := f.heard[id]
-		return id != f.Self.ID && ok && p.Start == s && now.Since(p.at) < peerFor
+		return id != f.Self.ID && ok && p.RunID == s && now.Sub(p.at) < peerFor
 	})
 	f.relay(now)
 	if now < f.pulse {
@@ -105,7 +105,7 @@
 	}
 	f.pulse = now.Add(pulseEvery)
 	f.count++
-	m := Pulse{ID: f.Self.ID, Start: f.Self.Start, Age: uint32(min(f.age(now)/time.Millisecond, 1<<30)), Yard: f.Targets.Sum(), Number: f.count}
+	m := PeerHeartbeat{ID: f.Self.ID, RunID: f.Self.RunID, AgreementAge: uint32(min(f.age(now)/time.Millisecond, 1<<30)), TargetsDigest: f.Targets.Sum(), Number: f.count}
 	for _, p := range f.Live(membership.Registry) {
 		if p.ID != f.Self.ID {
 			f.Send(p.Address, m)
@@ -115,12 +115,12 @@
 
 // pulsed takes another registry's pulse, and compares targets with it where its
 // copy goes on differing: an update may have been lost.
-func (f *Registry) pulsed(now ids.Time, m Pulse) {
+func (f *Registry) pulsed(now ids.Time, m PeerHeartbeat) {
 	p := f.heard[m.ID]
-	fresh := p.Start != m.Start
-	p.Pulse, p.at = m, now
-	p.trusted = trusted(p.trusted && !fresh, time.Duration(m.Age)*time.Millisecond)
-	if m.Yard == f.Targets.Sum() {
+	fresh := p.RunID != m.RunID
+	p.PeerHeartbeat, p.at = m, now
+	p.trusted = trusted(p.trusted && !fresh, time.Duration(m.AgreementAge)*time.Millisecond)
+	if m.TargetsDigest == f.Targets.Sum() {
 		p.differ = 0
 	} else {
 		p.differ++
@@ -192,7 +192,7 @@
 		}
 		// Its own pulses say more than a verdict that it may be about to refute.
 		p, ok := f.heard[m.ID]
-		if m.ID == f.Self.ID || ok && p.Start == m.Start && now.Since(p.at) < peerFor && p.trusted {
+		if m.ID == f.Self.ID || ok && p.RunID == m.RunID && now.Sub(p.at) < peerFor && p.trusted {
 			group = append(group, m)
 			sum.Write([]byte(m.ID))
 		}
@@ -241,7 +241,7 @@
 	return len(f.group) == 0 || f.near(c, f.group).ID == f.Self.ID
 }
 
-func lot(a, b ids.Daemon) uint64 {
+func lot(a, b ids.DaemonID) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(a))
 	h.Write([]byte{0})
--- a/internal/controlplane/registry/planner.go
+++ b/internal/controlplane/registry/planner.go
@@ -65,14 +65,14 @@
 // lease, and is the first of those that say that they reach a majority. One that
 // is heard but hears nothing says that it doesn't, and gives the duty up itself.
 func (f *Registry) firstInLine(now ids.Time) bool {
-	if f.stopping || !f.leased(now) || now.Since(f.woke) <= settleAfter {
+	if f.stopping || !f.leased(now) || now.Sub(f.woke) <= settleAfter {
 		return false
 	}
 	for _, m := range f.Live(membership.Registry) {
 		if m.ID == f.Self.ID {
 			return true
 		}
-		if m.Ready || now.Since(f.began) < passOverAfter {
+		if m.Ready || now.Sub(f.began) < passOverAfter {
 			return false
 		}
 	}
@@ -80,18 +80,18 @@
 }
 
 func (f *Registry) takeDuty(now ids.Time) {
-	recent := f.gaveUp != 0 && now.Since(f.gaveUp) < retakeAfter
+	recent := f.gaveUp != 0 && now.Sub(f.gaveUp) < retakeAfter
 	if f.taking || recent || f.view.Revision == 0 {
 		return
 	}
 	f.taking = true
-	raw, _ := wire.Encode(election.Term{Holder: f.Self.ID, Start: f.Self.Start, Epoch: f.epoch})
-	f.Client.Call(now, election.Key("planner"), election.OpTake, raw, 2*time.Second, func(at ids.Time, s consensus.State, out []byte) {
+	raw, _ := wire.Encode(election.Term{Holder: f.Self.ID, RunID: f.Self.RunID, Epoch: f.epoch})
+	f.Client.Call(now, election.Key("planner"), election.OpTake, raw, 2*time.Second, func(at ids.Time, s consensus.Outcome, out []byte) {
 		f.taking = false
-		term, ok := election.Open(out)
-		mine := ok && term.Holder == f.Self.ID && term.Start == f.Self.Start
+		term, ok := election.Decode(out)
+		mine := ok && term.Holder == f.Self.ID && term.RunID == f.Self.RunID
 		// A higher epoch was heard of meanwhile: another holds the duty, or held it.
-		if s != consensus.Done || !mine || term.Epoch < f.epoch {
+		if s != consensus.Succeeded || !mine || term.Epoch < f.epoch {
 			return
 		}
 		f.raise(at, term.Epoch)
--- a/internal/controlplane/registry/plans.go
+++ b/internal/controlplane/registry/plans.go
@@ -77,7 +77,7 @@
 func (f *Registry) seats() []spill.LiveProxy {
 	var out []spill.LiveProxy
 	for _, m := range f.Live(membership.Proxy) {
-		out = append(out, spill.LiveProxy{ID: m.ID, Start: m.Start, Cell: m.Zone})
+		out = append(out, spill.LiveProxy{ID: m.ID, RunID: m.RunID, Cell: m.Zone})
 	}
 	return out
 }
@@ -97,7 +97,7 @@
 	out := map[ids.Name]spill.Cell{}
 	for n, c := range f.view.Cells {
 		h := f.Reports.Cell(now, n, seats, ranks)
-		h.Target, h.Acceptable, h.Maximum, h.Emptied = c.Target, c.Acceptable, c.Maximum, c.Emptied
+		h.Target, h.Acceptable, h.Maximum, h.Drained = c.Target, c.Acceptable, c.Maximum, c.Drained
 		if c.Unnamed && f.params.Derive {
 			f.derive(&h, bears[n])
 			out[n] = h
@@ -142,7 +142,7 @@
 	a, ok := f.ahead[c.Name]
 	// Live connections stay, so a move shows only as they end by themselves. What
 	// it was to bring is charged in full at first, then ever less.
-	left := 1 - float64(now.Since(a.at))/float64(chargeFor*f.params.PlanEvery)
+	left := 1 - float64(now.Sub(a.at))/float64(chargeFor*f.params.PlanEvery)
 	if !ok || left <= 0 {
 		delete(f.ahead, c.Name)
 		return
--- a/internal/controlplane/registry/registry.go
+++ b/internal/controlplane/registry/registry.go
@@ -67,7 +67,7 @@
 	// whole is the register's value as it was last read, and sum sums it up.
 	whole  []byte
 	sum    uint64
-	policy *configuration.Policy
+	policy *configuration.Document
 	view   *configuration.View
 	// agreed is when a majority last told us the policy.
 	agreed  ids.Time
@@ -103,21 +103,21 @@
 	f.Targets.Thrifty, f.Targets.Self = p.Incremental, p.Self.ID
 	f.List = membership.New(p.Options, &f.Outbox)
 	f.List.MayDeclareDead = func(now ids.Time) bool { return f.age(now) < declareDeadWithin }
-	f.Client = consensus.NewClient(p.Self.Start, &f.Outbox)
-	f.Client.Order = f.stores
-	f.Distributor = distribution.New(p.Self.Start, &f.Outbox)
+	f.Client = consensus.NewClient(p.Self.RunID, &f.Outbox)
+	f.Client.StoreOrder = f.stores
+	f.Distributor = distribution.New(p.Self.RunID, &f.Outbox)
 	if p.Derive {
 		// Two reports and more, of a plan's period each.
 		f.Reports.Span = 2*p.PlanEvery + 100*time.Millisecond
 	}
 	if p.Incremental {
-		f.Distributor.WordEvery, f.Distributor.ResendAfter = time.Second, 400*time.Millisecond
+		f.Distributor.RefreshEvery, f.Distributor.ResendAfter = time.Second, 400*time.Millisecond
 		f.Distributor.Quiet = true
 		f.Distributor.Spare = func(c membership.Member) bool { return !f.nearest(c) }
 	}
-	f.policy, _ = configuration.Open(nil)
+	f.policy, _ = configuration.Decode(nil)
 	f.view = f.policy.View()
-	f.view.Know(p.Regions)
+	f.view.SetRegions(p.Regions)
 	f.plans = newPlans()
 	f.peers = newPeers()
 	return f
@@ -125,7 +125,7 @@
 
 // stores names the stores to ask. For the policy all registries go to the
 // first live one, so that proposers seldom duel; ballots keep it safe anyway.
-func (f *Registry) stores(ids.Key) []ids.Address {
+func (f *Registry) stores(ids.RegisterKey) []ids.Address {
 	var out, rest []ids.Address
 	for _, m := range f.Live(membership.Store) {
 		if m.Ready {
@@ -155,7 +155,7 @@
 func (f *Registry) Step(now ids.Time, ev event.Event) []event.Command {
 	switch e := ev.(type) {
 	case event.Received:
-		f.Witness(now, e.From)
+		f.RecordContact(now, e.From)
 		f.receive(now, e.From, e.Msg)
 	case event.Tick:
 		f.clock(now)
@@ -166,19 +166,19 @@
 }
 
 func (f *Registry) clock(now ids.Time) {
-	if f.last != 0 && now.Since(f.last) > time.Second {
+	if f.last != 0 && now.Sub(f.last) > time.Second {
 		f.woke = now
-		f.Log("warn", "woke", "gap_ms", itoa(uint64(now.Since(f.last)/time.Millisecond)))
+		f.Log("warn", "woke", "gap_ms", itoa(uint64(now.Sub(f.last)/time.Millisecond)))
 	}
 	f.last = now
 	if f.began == 0 {
 		f.began = now
 	}
-	f.Announce(!f.stopping && f.agreed != 0 && now.Since(f.agreed) < 5*time.Second, f.view.Revision)
+	f.Announce(!f.stopping && f.agreed != 0 && now.Sub(f.agreed) < 5*time.Second, f.view.Revision)
 	f.List.Tick(now)
 	f.endOverdue(now)
 	f.beginHeld(now)
-	f.Client.Clock(now)
+	f.Client.Tick(now)
 	f.keepPeers(now)
 	silent := f.silent(now)
 	if f.params.Incremental {
@@ -195,7 +195,7 @@
 		f.share = now.Add(shareEvery)
 		f.shareTargets(now)
 	}
-	if !f.params.Incremental || now.Since(f.delivered) >= deliverEvery {
+	if !f.params.Incremental || now.Sub(f.delivered) >= deliverEvery {
 		f.deliver(now)
 	}
 	f.part(now)
@@ -220,13 +220,13 @@
 		f.chosenDifference(now, m)
 	case distribution.Ack:
 		f.Distributor.HandleAck(now, m)
-		if f.params.Incremental && !f.Distributor.IsCurrent(m.Proxy, m.Start) && m.Yard == f.Targets.Exact() {
-			f.Distributor.HasAll(m.Proxy, m.Start, f.forProxies(now))
+		if f.params.Incremental && !f.Distributor.IsCurrent(m.Proxy, m.RunID) && m.TargetsDigest == f.Targets.Exact() {
+			f.Distributor.HasAll(m.Proxy, m.RunID, f.forProxies(now))
 		}
 		f.part(now)
 	case targets.Update:
 		f.shared(now, m.List)
-	case Pulse:
+	case PeerHeartbeat:
 		f.pulsed(now, m)
 	case TableDigest:
 		f.compared(now, from, m)
--- a/internal/controlplane/registry/registry_test.go
+++ b/internal/controlplane/registry/registry_test.go
@@ -18,21 +18,21 @@
 	is := is.New(t)
 	var m configuration.Merge
 	for i := range 1000 {
-		m.Items = append(m.Items, configuration.Given{Kind: "service", Name: ids.Name(fmt.Sprint("s", i)), Version: 1, Body: json.RawMessage(`{"tier":4}`)})
+		m.Items = append(m.Items, configuration.VersionedItem{Kind: "service", Name: ids.Name(fmt.Sprint("s", i)), Version: 1, Body: json.RawMessage(`{"tier":4}`)})
 	}
-	p, err := configuration.Open(nil)
+	p, err := configuration.Decode(nil)
 	is.NoErr(err)
 	p, r := p.Merge(m)
 	is.True(r.Accepted())
 	f := New(Options{Options: membership.Options{Self: membership.Member{ID: "f"}}})
-	f.adopt(p.Pack(true))
+	f.adopt(p.Encode(true))
 	is.Equal(f.view.Revision, ids.Revision(1))
-	again := p.Pack(true)
+	again := p.Encode(true)
 	is.True(testing.AllocsPerRun(10, func() { f.adopt(again) }) < 5)
 	// What is newer is taken, and what is older isn't.
-	q, _ := p.Merge(configuration.Merge{Items: []configuration.Given{{Kind: "service", Name: "s1", Version: 2, Removed: true}}})
-	f.adopt(q.Pack(true))
-	f.adopt(p.Pack(true))
+	q, _ := p.Merge(configuration.Merge{Items: []configuration.VersionedItem{{Kind: "service", Name: "s1", Version: 2, Removed: true}}})
+	f.adopt(q.Encode(true))
+	f.adopt(p.Encode(true))
 	is.Equal(f.view.Revision, ids.Revision(2))
 	is.Equal(len(f.view.Services), 999)
 }
--- a/internal/controlplane/registry/registrytest/core.go
+++ b/internal/controlplane/registry/registrytest/core.go
@@ -40,8 +40,8 @@
 )
 
 const (
-	proxy     ids.Daemon = "proxy"
-	tickEvery            = 50 * time.Millisecond
+	proxy     ids.DaemonID = "proxy"
+	tickEvery              = 50 * time.Millisecond
 	// giveUp is when a call counts as never answered.
 	giveUp = 10 * time.Second
 )
@@ -56,7 +56,7 @@
 	Slow time.Duration
 	// Sent, if set, sees every message that the registry sends.
 	Sent     func(event.Send)
-	values   map[ids.Key][]byte
+	values   map[ids.RegisterKey][]byte
 	ops      map[consensus.Op]consensus.ChangeFunc
 	answered map[uint64]registry.Response
 	late     []lateResponse
@@ -77,10 +77,10 @@
 
 // NewStarting makes a registry that has just started.
 func NewStarting(options registry.Options) *Core {
-	options.Self = membership.Member{ID: "registry", Address: Self, Start: 1, Zone: "c"}
+	options.Self = membership.Member{ID: "registry", Address: Self, RunID: 1, Zone: "c"}
 	options.Seeds = []ids.Address{Store}
 	options.Random = rand.New(rand.NewPCG(1, 1))
-	core := &Core{Registry: registry.New(options), Now: 1, ops: configuration.Ops(), values: map[ids.Key][]byte{}, answered: map[uint64]registry.Response{}}
+	core := &Core{Registry: registry.New(options), Now: 1, ops: configuration.Ops(), values: map[ids.RegisterKey][]byte{}, answered: map[uint64]registry.Response{}}
 	maps.Copy(core.ops, election.Ops())
 	return core
 }
@@ -115,7 +115,7 @@
 // acknowledge has the proxy go by what it was sent.
 func (c *Core) acknowledge(push distribution.Push) {
 	if c.Link == Connected {
-		c.HearFrom(Proxy, distribution.Ack{Proxy: proxy, Start: 1, Number: push.Number, Revision: push.Revision, Now: c.Now})
+		c.HearFrom(Proxy, distribution.Ack{Proxy: proxy, RunID: 1, Number: push.Number, Revision: push.Revision, Now: c.Now})
 	}
 }
 
@@ -125,7 +125,7 @@
 	case Silent:
 		return
 	case Declining:
-		c.hear(consensus.Response{ID: request.ID, Try: request.Try, State: consensus.Declined})
+		c.hear(consensus.Response{ID: request.ID, Attempt: request.Attempt, Outcome: consensus.Declined})
 		return
 	}
 	result := c.values[request.Key]
@@ -133,7 +133,7 @@
 	if op := c.ops[request.Op]; op != nil {
 		c.values[request.Key], result = op(request.Key, result, request.Arg)
 	}
-	response := consensus.Response{ID: request.ID, Try: request.Try, State: consensus.Done, Result: result}
+	response := consensus.Response{ID: request.ID, Attempt: request.Attempt, Outcome: consensus.Succeeded, Result: result}
 	switch {
 	case c.Link != Connected:
 	case slow:
@@ -175,7 +175,7 @@
 }
 
 func (c *Core) beat(member membership.Member) {
-	member.Start, member.Ready, member.Incarnation = 1, true, ids.Incarnation(c.Now)
+	member.RunID, member.Ready, member.Incarnation = 1, true, ids.Incarnation(c.Now)
 	c.hear(membership.Heartbeat{Self: member})
 }
 
@@ -186,9 +186,9 @@
 	for {
 		if response, ok := c.answered[id]; ok {
 			delete(c.answered, id)
-			return response, c.Now.Since(began)
+			return response, c.Now.Sub(began)
 		}
-		if c.Now.Since(began) > giveUp {
+		if c.Now.Sub(began) > giveUp {
 			return registry.Response{ID: id}, giveUp
 		}
 		c.tick()
--- a/internal/controlplane/registry/resolve.go
+++ b/internal/controlplane/registry/resolve.go
@@ -23,7 +23,7 @@
 		return
 	}
 	if _, ok := f.view.Routes[c.Route]; !ok && c.Host == "" {
-		f.Emit(Response{ID: c.ID, Status: 404, Body: Problem{"there is no route " + string(c.Route)}})
+		f.Emit(Response{ID: c.ID, Status: 404, Body: ErrorResponse{"there is no route " + string(c.Route)}})
 		return
 	}
 	w, ok := f.snapshot(now).Point(c.Cell, f.draw(c), f.params.Random)
@@ -31,7 +31,7 @@
 		w, ok = f.anybody(c.Cell)
 	}
 	if !ok {
-		f.Emit(Response{ID: c.ID, Status: 503, Body: Problem{"no proxy takes work now"}, Retry: 1})
+		f.Emit(Response{ID: c.ID, Status: 503, Body: ErrorResponse{"no proxy takes work now"}, RetryAfter: 1})
 		return
 	}
 	f.Emit(Response{ID: c.ID, Status: 200, Body: Resolution{Cell: w.Cell, Proxies: w.Proxies,
@@ -72,7 +72,7 @@
 	w := directory.Destination{Cell: list[0].Zone}
 	for _, m := range list {
 		if m.Zone == w.Cell {
-			w.Proxies = append(w.Proxies, m.Consumers())
+			w.Proxies = append(w.Proxies, m.ClientAddress())
 		}
 	}
 	return w, true
--- a/internal/controlplane/registry/screen.go
+++ b/internal/controlplane/registry/screen.go
@@ -31,12 +31,12 @@
 		known = f.speaksFor(from, m.ID)
 	}
 	if !known {
-		return event.NotAMember
+		return event.UnknownSender
 	}
 	return ""
 }
 
-func (f *Registry) speaksFor(from ids.Address, id ids.Daemon) bool {
+func (f *Registry) speaksFor(from ids.Address, id ids.DaemonID) bool {
 	m, ok := f.Get(id)
 	return ok && m.Address == from
 }
--- a/internal/controlplane/registry/screen_test.go
+++ b/internal/controlplane/registry/screen_test.go
@@ -24,8 +24,8 @@
 func newPeered() *bench {
 	b := newBench(false)
 	b.cut = true
-	for _, m := range []membership.Member{{ID: "p", Role: membership.Proxy, Address: "10.0.0.3:1", Start: 1}, {ID: "g", Role: membership.Registry, Address: "10.0.0.4:1", Start: 1},
-		{ID: "s", Role: membership.Store, Address: "10.0.0.2:1", Start: 1, Ready: true}} {
+	for _, m := range []membership.Member{{ID: "p", Role: membership.Proxy, Address: "10.0.0.3:1", RunID: 1}, {ID: "g", Role: membership.Registry, Address: "10.0.0.4:1", RunID: 1},
+		{ID: "s", Role: membership.Store, Address: "10.0.0.2:1", RunID: 1, Ready: true}} {
 		b.Step(b.now, event.Received{From: m.Address, Msg: membership.Heartbeat{Self: m}})
 	}
 	b.Step(b.now, event.Tick{})
@@ -45,9 +45,9 @@
 // them, at the address where it is known.
 func TestForgedMessagesAreDiscarded(t *testing.T) {
 	is := is.New(t)
-	p, _ := configuration.Open(nil)
+	p, _ := configuration.Decode(nil)
 	p.Revision = 1 << 40
-	chosen := consensus.Chosen{Key: configuration.Key, Value: p.Pack(true)}
+	chosen := consensus.Chosen{Key: configuration.Key, Value: p.Encode(true)}
 	for _, c := range []struct {
 		right ids.Address
 		msg   any
@@ -55,8 +55,8 @@
 		{"10.0.0.2:1", chosen},
 		{"10.0.0.4:1", spill.Table{Epoch: 1 << 60, Number: 1}},
 		{"10.0.0.4:1", election.Term{Epoch: 1 << 60, Holder: "x"}},
-		{"10.0.0.3:1", distribution.Ack{Proxy: "p", Start: 1, Number: 1, Revision: 1 << 40, Now: 1 << 60}},
-		{"10.0.0.3:1", spill.Report{Proxy: "p", Start: 1, Number: 1 << 60}},
+		{"10.0.0.3:1", distribution.Ack{Proxy: "p", RunID: 1, Number: 1, Revision: 1 << 40, Now: 1 << 60}},
+		{"10.0.0.3:1", spill.Report{Proxy: "p", RunID: 1, Number: 1 << 60}},
 		{"10.0.0.4:1", DepartureAck{ID: "g", Instance: "i"}},
 	} {
 		b := newPeered()
@@ -75,7 +75,7 @@
 	is := is.New(t)
 	b := newPeered()
 	leaving := targets.Target{Instance: "i", Incarnation: 2, Sequence: 1, Leaving: true}
-	b.departures = []departure{{call: 1, target: leaving, due: b.now.Add(time.Hour), waits: map[ids.Daemon]bool{"g": true}}}
+	b.departures = []departure{{call: 1, target: leaving, due: b.now.Add(time.Hour), waits: map[ids.DaemonID]bool{"g": true}}}
 	b.discards("10.0.0.4:1", DepartureAck{ID: "g", Instance: "i", Incarnation: 1, Sequence: 9})
 	is.True(b.departures[0].waits["g"])
 	b.discards("10.0.0.4:1", DepartureAck{ID: "g", Instance: "i", Incarnation: 2, Sequence: 1})
@@ -97,9 +97,9 @@
 		}
 	}
 	r := asked[0].Msg.(consensus.Request)
-	answer := consensus.Response{ID: r.ID, Try: r.Try, State: consensus.Done}
+	answer := consensus.Response{ID: r.ID, Attempt: r.Attempt, Outcome: consensus.Succeeded}
 	other, earlier := answer, answer
-	other.Try++
+	other.Attempt++
 	earlier.ID -= 1 << 24
 	is.Equal(b.discards(stranger, answer), 1)
 	is.Equal(b.discards(asked[0].To, other), 1)
@@ -111,17 +111,17 @@
 // FuzzMessages gives a registry any message from a stranger: it neither panics
 // nor takes orders.
 func FuzzMessages(f *testing.F) {
-	for _, msg := range []any{consensus.ChosenDifference{Key: configuration.Key}, consensus.Chosen{Key: configuration.Key, Value: []byte(`{"revision":9}`)}, consensus.Response{ID: 1 << 24, State: consensus.Done},
-		distribution.Ack{Proxy: "p", Start: 1, Number: 3}, targets.Update{List: []targets.Target{{Instance: "i", Service: "s", Address: "10.0.0.9:80", Cell: "c", Incarnation: 1, Sequence: 1, Warmth: 1}}},
-		Pulse{ID: "g", Start: 1}, DepartureNotice{Asker: stranger, Target: targets.Target{Instance: "i", Gone: true}}, DepartureAck{ID: "g", Instance: "i"},
-		spill.Report{Proxy: "p", Start: 1, Cell: "c", Number: 1, Interval: 2000, Rows: []spill.Spent{{}}}, spill.Table{Epoch: 2}, election.Term{Epoch: 2},
+	for _, msg := range []any{consensus.ChosenDifference{Key: configuration.Key}, consensus.Chosen{Key: configuration.Key, Value: []byte(`{"revision":9}`)}, consensus.Response{ID: 1 << 24, Outcome: consensus.Succeeded},
+		distribution.Ack{Proxy: "p", RunID: 1, Number: 3}, targets.Update{List: []targets.Target{{Instance: "i", Service: "s", Address: "10.0.0.9:80", Cell: "c", Incarnation: 1, Sequence: 1, Warmth: 1}}},
+		PeerHeartbeat{ID: "g", RunID: 1}, DepartureNotice{Asker: stranger, Target: targets.Target{Instance: "i", Gone: true}}, DepartureAck{ID: "g", Instance: "i"},
+		spill.Report{Proxy: "p", RunID: 1, Cell: "c", Number: 1, Interval: 2000, Rows: []spill.Spent{{}}}, spill.Table{Epoch: 2}, election.Term{Epoch: 2},
 		membership.Heartbeat{Self: membership.Member{ID: "x", Role: membership.Proxy, Address: stranger}}, membership.Suspect{Watcher: "x", ID: "p"},
 		membership.Snapshot{Members: []membership.Member{{ID: "f", Gone: true}}}, membership.Delta{Parts: []uint16{70}}, membership.Digest{Parts: make([]uint64, 64)}} {
 		raw, err := wire.Encode(msg)
 		if err != nil {
 			f.Fatal(err)
 		}
-		f.Add(uint16(wire.KindFor(msg)), raw[26:])
+		f.Add(uint16(wire.KindOfMessage(msg)), raw[26:])
 	}
 	f.Fuzz(func(t *testing.T, kind uint16, body []byte) {
 		msg, err := wire.Decode(wire.Kind(kind), body)
--- a/internal/controlplane/registry/status.go
+++ b/internal/controlplane/registry/status.go
@@ -11,22 +11,22 @@
 
 // Status is what an operator at night needs on one page.
 type Status struct {
-	Registry ids.Daemon       `json:"registry"`
-	Agreed   int64            `json:"agreed_ms_ago"`
-	Revision ids.Revision     `json:"revision"`
-	InForce  bool             `json:"in_force"`
-	Behind   []ids.Daemon     `json:"behind"`
-	Daemons  []Daemon         `json:"daemons"`
-	Cells    []Cell           `json:"cells"`
-	Moves    []Move           `json:"moves"`
-	Duties   []Duty           `json:"duties"`
-	Targets  []targets.Target `json:"targets"`
-	Problems []string         `json:"problems"`
+	Registry    ids.DaemonID       `json:"registry"`
+	Agreed      int64              `json:"agreed_ms_ago"`
+	Revision    ids.Revision       `json:"revision"`
+	InForce     bool               `json:"in_force"`
+	Behind      []ids.DaemonID     `json:"behind"`
+	Daemons     []DaemonStatus     `json:"daemons"`
+	Cells       []ZoneStatus       `json:"cells"`
+	Moves       []Move             `json:"moves"`
+	Leaderships []LeadershipStatus `json:"duties"`
+	Targets     []targets.Target   `json:"targets"`
+	Warnings    []string           `json:"problems"`
 }
 
-// Daemon is one of our processes.
-type Daemon struct {
-	ID       ids.Daemon   `json:"id"`
+// DaemonStatus is one of our processes.
+type DaemonStatus struct {
+	ID       ids.DaemonID `json:"id"`
 	Role     string       `json:"role"`
 	Cell     ids.Name     `json:"cell"`
 	Address  ids.Address  `json:"address"`
@@ -37,8 +37,8 @@
 	Start string `json:"start"`
 }
 
-// Cell is a cell with its levels, in ms of CPU a second.
-type Cell struct {
+// ZoneStatus is a cell with its levels, in ms of CPU a second.
+type ZoneStatus struct {
 	Name       ids.Name `json:"name"`
 	Used       float64  `json:"used"`
 	Target     float64  `json:"target"`
@@ -60,17 +60,17 @@
 	Why      string   `json:"why"`
 }
 
-// Duty is a one-daemon duty as this registry knows it.
-type Duty struct {
+// LeadershipStatus is a one-daemon duty as this registry knows it.
+type LeadershipStatus struct {
 	Name  string    `json:"name"`
 	Epoch ids.Epoch `json:"epoch"`
-	Mine  bool      `json:"mine"`
+	Held  bool      `json:"mine"`
 	Plan  uint64    `json:"plan"`
 }
 
 func state(c spill.Cell) string {
 	switch {
-	case c.Emptied:
+	case c.Drained:
 		return "emptied"
 	case c.Gone:
 		return "no proxy"
@@ -89,25 +89,25 @@
 // Status gathers how things stand, as this registry sees them.
 func (f *Registry) Status(now ids.Time) Status {
 	proxies := f.Live(membership.Proxy)
-	s := Status{Registry: f.Self.ID, Revision: f.view.Revision, Agreed: now.Since(f.agreed).Milliseconds(),
+	s := Status{Registry: f.Self.ID, Revision: f.view.Revision, Agreed: now.Sub(f.agreed).Milliseconds(),
 		Behind: f.Distributor.Lag(proxies, f.view.Revision), Targets: f.Targets.All(now),
-		Duties: []Duty{{"planner", f.epoch, f.mine != 0, uint64(f.table.Number)}}}
+		Leaderships: []LeadershipStatus{{"planner", f.epoch, f.mine != 0, uint64(f.table.Number)}}}
 	s.InForce = len(s.Behind) == 0
 	if f.agreed == 0 || s.Agreed > 5000 {
-		s.Problems = append(s.Problems, "no majority of stores for "+itoa(uint64(s.Agreed/1000))+" s")
+		s.Warnings = append(s.Warnings, "no majority of stores for "+itoa(uint64(s.Agreed/1000))+" s")
 	}
 	for _, id := range s.Behind {
-		s.Problems = append(s.Problems, "proxy "+string(id)+" lags behind revision "+itoa(uint64(f.view.Revision)))
+		s.Warnings = append(s.Warnings, "proxy "+string(id)+" lags behind revision "+itoa(uint64(f.view.Revision)))
 	}
 	for _, m := range f.All() {
-		d := Daemon{ID: m.ID, Role: m.Role.String(), Cell: m.Zone, Address: m.Address, HTTP: m.HTTP, State: "ready", Revision: m.Holds, Start: strconv.FormatUint(uint64(m.Start), 16)}
+		d := DaemonStatus{ID: m.ID, Role: m.Role.String(), Cell: m.Zone, Address: m.Address, HTTP: m.HTTP, State: "ready", Revision: m.Revision, Start: strconv.FormatUint(uint64(m.RunID), 16)}
 		if m.Gone {
 			d.State = "gone"
 		} else if !m.Ready {
 			d.State = "not ready"
 		}
 		if d.State != "ready" {
-			s.Problems = append(s.Problems, d.Role+" "+string(m.ID)+" is "+d.State)
+			s.Warnings = append(s.Warnings, d.Role+" "+string(m.ID)+" is "+d.State)
 		}
 		if m.Role == membership.Proxy && !m.Gone {
 			d.Revision = f.Distributor.Has(m)
@@ -117,7 +117,7 @@
 	s.Cells = f.statusCells(now, proxies)
 	for _, c := range s.Cells {
 		if c.State == "over maximum" || c.State == "stale" || c.State == "no proxy" {
-			s.Problems = append(s.Problems, "cell "+string(c.Name)+": "+c.State)
+			s.Warnings = append(s.Warnings, "cell "+string(c.Name)+": "+c.State)
 		}
 	}
 	for _, m := range f.table.Moves {
@@ -126,12 +126,12 @@
 	return s
 }
 
-func (f *Registry) statusCells(now ids.Time, proxies []membership.Member) []Cell {
+func (f *Registry) statusCells(now ids.Time, proxies []membership.Member) []ZoneStatus {
 	cells := f.cells(now)
-	var out []Cell
+	var out []ZoneStatus
 	for _, n := range names(cells) {
 		h := cells[n]
-		c := Cell{Name: n, Used: h.Used(), Target: h.Target, Acceptable: h.Acceptable, Maximum: h.Maximum, State: state(h), Learned: f.fits[n].Why}
+		c := ZoneStatus{Name: n, Used: h.Used(), Target: h.Target, Acceptable: h.Acceptable, Maximum: h.Maximum, State: state(h), Learned: f.fits[n].Why}
 		for _, m := range proxies {
 			if m.Zone == n {
 				c.Proxies++
--- a/internal/controlplane/registry/stopping.go
+++ b/internal/controlplane/registry/stopping.go
@@ -22,7 +22,7 @@
 
 // declines answers a call that came after the signal: surely not run, ask another.
 func (f *Registry) declines(id uint64) {
-	f.Emit(Response{ID: id, Status: 503, Body: Problem{"this daemon is stopping"}, Retry: 1})
+	f.Emit(Response{ID: id, Status: 503, Body: ErrorResponse{"this daemon is stopping"}, RetryAfter: 1})
 }
 
 // callID gives the number of a call that is declined while stopping; the status
@@ -37,7 +37,7 @@
 		return c.ID, true
 	case DeregisterCall:
 		return c.ID, true
-	case PolicyCall:
+	case ReadConfigurationCall:
 		return c.ID, true
 	case ResolveCall:
 		return c.ID, true
--- a/internal/controlplane/spill/export.go
+++ b/internal/controlplane/spill/export.go
@@ -12,7 +12,7 @@
 // acceptable level, or with stale reports, has none.
 func (p *planner) account() {
 	for n, c := range p.cells {
-		if c.Stale || c.Emptied || c.Gone {
+		if c.Stale || c.Drained || c.Gone {
 			continue
 		}
 		if slices.ContainsFunc(p.moves, func(m Move) bool { return m.From == n }) {
@@ -45,7 +45,7 @@
 	for i := range p.Cells {
 		c := &p.Cells[i]
 		n, used := c.Name, p.used(c)
-		if c.Stale || c.Emptied || c.Gone || used <= c.Maximum {
+		if c.Stale || c.Drained || c.Gone || used <= c.Maximum {
 			continue
 		}
 		wants[n] = Excess(used, used, c.Target)
--- a/internal/controlplane/spill/plan.go
+++ b/internal/controlplane/spill/plan.go
@@ -114,7 +114,7 @@
 	p.moves = slices.DeleteFunc(p.moves, func(m Move) bool {
 		from, to := p.cells[m.From], p.cells[m.To]
 		_, ranked := p.Ranks[m.Route]
-		ended := !ranked || from == nil || to == nil || to.Emptied || to.Gone || from.Emptied
+		ended := !ranked || from == nil || to == nil || to.Drained || to.Gone || from.Drained
 		if ended {
 			p.back[[2]ids.Name{m.From, m.Route}] += m.Amount
 		}
@@ -135,7 +135,7 @@
 // none of its own is left.
 func (p *planner) recall(c *Cell) {
 	used := p.used(c)
-	if c.Stale || c.Emptied || c.Gone || used >= c.Acceptable {
+	if c.Stale || c.Drained || c.Gone || used >= c.Acceptable {
 		return
 	}
 	free := (c.Target - used) * gain
--- a/internal/controlplane/spill/report.go
+++ b/internal/controlplane/spill/report.go
@@ -12,10 +12,10 @@
 
 // Report is what a proxy tells of its CPU time, every few seconds.
 type Report struct {
-	Proxy    ids.Daemon
-	Start    ids.RunID
+	Proxy    ids.DaemonID
+	RunID    ids.RunID
 	Cell     ids.Name
-	Number   ids.Number
+	Number   ids.StreamNumber
 	Interval uint32
 	Rows     []Spent
 	// Latency is the 95th percentile of the proxy's own time for a request,
@@ -31,8 +31,8 @@
 	CPU     float64
 }
 
-// CountedAs gives the report's number.
-func (r Report) CountedAs() uint64 { return uint64(r.Number) }
+// MessageNumber gives the report's number.
+func (r Report) MessageNumber() uint64 { return uint64(r.Number) }
 
 var _ = wire.Register(91, Report{})
 
@@ -41,7 +41,7 @@
 
 // Reports keeps the newest report of every proxy, and samples of each cell.
 type Reports struct {
-	last    map[ids.Daemon]entry
+	last    map[ids.DaemonID]entry
 	samples map[ids.Name][]Sample
 	demand  map[ids.Name]map[ids.Name]float64
 	missed  map[ids.Name]int
@@ -79,7 +79,7 @@
 
 // NewBooks makes empty books.
 func NewReports() *Reports {
-	return &Reports{last: map[ids.Daemon]entry{}, samples: map[ids.Name][]Sample{},
+	return &Reports{last: map[ids.DaemonID]entry{}, samples: map[ids.Name][]Sample{},
 		demand: map[ids.Name]map[ids.Name]float64{}, missed: map[ids.Name]int{}, Span: span}
 }
 
@@ -87,14 +87,14 @@
 
 // Enter takes a report; late and doubled ones are left out.
 func (b *Reports) Enter(now ids.Time, r Report) {
-	if e, ok := b.last[r.Proxy]; ok && e.Start == r.Start && r.Number <= e.Number {
+	if e, ok := b.last[r.Proxy]; ok && e.RunID == r.RunID && r.Number <= e.Number {
 		return
 	}
 	e := entry{Report: r, at: now}
-	if old, ok := b.last[r.Proxy]; ok && old.Start == r.Start {
+	if old, ok := b.last[r.Proxy]; ok && old.RunID == r.RunID {
 		past := append([]entry{{Report: old.Report, at: old.at}}, old.past...)
 		for _, p := range past {
-			if now.Since(p.at) < b.Span {
+			if now.Sub(p.at) < b.Span {
 				e.past = append(e.past, p)
 			}
 		}
@@ -124,8 +124,8 @@
 
 // LiveProxy is a live proxy as the books need it.
 type LiveProxy struct {
-	ID    ids.Daemon
-	Start ids.RunID
+	ID    ids.DaemonID
+	RunID ids.RunID
 	Cell  ids.Name
 }
 
@@ -140,10 +140,10 @@
 		}
 		c.Gone = false
 		e, ok := b.last[s.ID]
-		if !ok || now.Since(e.at) > Missing*time.Duration(e.Interval)*time.Millisecond {
+		if !ok || now.Sub(e.at) > Missing*time.Duration(e.Interval)*time.Millisecond {
 			c.Stale = true
 		}
-		if ok && e.Start == s.Start {
+		if ok && e.RunID == s.RunID {
 			for route, cpu := range e.mean() {
 				sum[route] += cpu
 			}
@@ -163,7 +163,7 @@
 // Forget drops proxies that are no longer on the list.
 func (b *Reports) Forget(seats []LiveProxy) {
 	for id, e := range b.last {
-		if !slices.ContainsFunc(seats, func(s LiveProxy) bool { return s.ID == id && s.Start == e.Start }) {
+		if !slices.ContainsFunc(seats, func(s LiveProxy) bool { return s.ID == id && s.RunID == e.RunID }) {
 			delete(b.last, id)
 		}
 	}
@@ -185,7 +185,7 @@
 // KeepDemand notes what a living cell's own fresh connections use, so that it is
 // known how much to place elsewhere once the cell is gone.
 func (b *Reports) KeepDemand(c Cell, moves []Move) {
-	if c.Gone || c.Stale || c.Emptied {
+	if c.Gone || c.Stale || c.Drained {
 		return
 	}
 	d := map[ids.Name]float64{}
--- a/internal/controlplane/spill/spill.go
+++ b/internal/controlplane/spill/spill.go
@@ -37,8 +37,8 @@
 	Acceptable float64
 	Maximum    float64
 	Rows       []Row
-	// Emptied cells neither plan nor receive; Stale ones receive nothing more.
-	Emptied bool
+	// Drained cells neither plan nor receive; Stale ones receive nothing more.
+	Drained bool
 	Stale   bool
 	// Gone cells have no proxy left at all.
 	Gone bool
@@ -69,7 +69,7 @@
 // Table is a plan under its epoch; a higher epoch or number replaces it.
 type Table struct {
 	Epoch  ids.Epoch
-	Number ids.Number
+	Number ids.StreamNumber
 	Moves  []Move
 	// Uses are what routes use in cells that hand something on, for asks that
 	// stand for several routes.
@@ -82,8 +82,8 @@
 	CPU         float64
 }
 
-// UnderEpoch puts the epoch into the frame's head.
-func (t Table) UnderEpoch() uint64 { return uint64(t.Epoch) }
+// MessageEpoch puts the epoch into the frame's head.
+func (t Table) MessageEpoch() uint64 { return uint64(t.Epoch) }
 
 // Newer tells whether t replaces u.
 func (t Table) Newer(u Table) bool {
--- a/internal/controlplane/spill/spill_test.go
+++ b/internal/controlplane/spill/spill_test.go
@@ -162,7 +162,7 @@
 	v := View{Distance: func(a, b ids.Name) float64 { return 1 }, Ranks: map[ids.Name]Rank{"low": low, "high": high},
 		Pending: map[ids.Name]float64{}, Leaving: map[ids.Name]float64{},
 		Cells: []Cell{{Name: "a", Target: 100, Acceptable: 80, Maximum: 110, Rows: []Row{{low, 4}, {high, 90}}},
-			{Name: "b", Target: 100, Acceptable: 80, Maximum: 110, Emptied: true}, {Name: "c", Target: 100, Acceptable: 80, Maximum: 110}}}
+			{Name: "b", Target: 100, Acceptable: 80, Maximum: 110, Drained: true}, {Name: "c", Target: 100, Acceptable: 80, Maximum: 110}}}
 	moves := Plan(v, []Move{{From: "a", To: "b", Route: "low", Fraction: 0.95, Amount: 76}})
 	is.Equal(len(moves), 1)
 	is.Equal(moves[0].To, ids.Name("c"))
@@ -177,7 +177,7 @@
 	cells := sourceCells()
 	a := &cells[0]
 	a.Maximum = 5000 // nothing new leaves
-	cells[2].Emptied = true
+	cells[2].Drained = true
 	last := []Move{
 		{From: "a", To: "d", Route: "enterprise", Fraction: 0.5, Amount: 1000},
 		{From: "a", To: "c", Route: "free", Fraction: 0.5, Amount: 500},
--- a/internal/controlplane/spill/swap.go
+++ b/internal/controlplane/spill/swap.go
@@ -17,7 +17,7 @@
 func (p *planner) swap() {
 	for i := range p.Cells {
 		c := &p.Cells[i]
-		if c.Stale || c.Emptied || c.Gone {
+		if c.Stale || c.Drained || c.Gone {
 			continue
 		}
 		rows := p.all(c)
--- a/internal/controlplane/store/cluster_test.go
+++ b/internal/controlplane/store/cluster_test.go
@@ -16,15 +16,15 @@
 // clusterDisk keeps records; a sync is done as soon as it is asked for.
 type clusterDisk struct {
 	id, run uint64
-	records map[ids.Key][]byte
+	records map[ids.RegisterKey][]byte
 }
 
-func (d *clusterDisk) Get(key ids.Key) ([]byte, bool) {
+func (d *clusterDisk) Get(key ids.RegisterKey) ([]byte, bool) {
 	raw, ok := d.records[key]
 	return raw, ok
 }
 
-func (d *clusterDisk) Scan(after ids.Key, n int) []event.Record {
+func (d *clusterDisk) Scan(after ids.RegisterKey, n int) []event.Record {
 	var out []event.Record
 	for _, k := range slices.Sorted(maps.Keys(d.records)) {
 		if k > after && strings.HasPrefix(string(k), "item/") && len(out) < n {
@@ -70,15 +70,15 @@
 	d := c.disks[at]
 	if d == nil {
 		c.nextID++
-		d = &clusterDisk{id: c.nextID, records: map[ids.Key][]byte{}}
+		d = &clusterDisk{id: c.nextID, records: map[ids.RegisterKey][]byte{}}
 		c.disks[at] = d
 	}
 	d.run++
-	self := membership.Member{ID: ids.Daemon(at), Role: membership.Store, Address: at, Zone: "zone", Start: ids.RunID(d.run), Incarnation: ids.Incarnation(c.now)}
+	self := membership.Member{ID: ids.DaemonID(at), Role: membership.Store, Address: at, Zone: "zone", RunID: ids.RunID(d.run), Incarnation: ids.Incarnation(c.now)}
 	s := New(Options{Options: membership.Options{Self: self, Seeds: seeds}, Replicas: 3, Store: d.id, Run: d.run, Storage: d,
 		Random: rand.New(rand.NewPCG(d.id, d.run)), Bootstrap: bootstrap})
 	ops := Ops()
-	ops[opPut] = func(_ ids.Key, _, arg []byte) ([]byte, []byte) { return arg, arg }
+	ops[opPut] = func(_ ids.RegisterKey, _, arg []byte) ([]byte, []byte) { return arg, arg }
 	s.Teach(ops)
 	c.stores[at] = s
 }
@@ -100,11 +100,11 @@
 			for _, r := range x.Records {
 				c.disks[at].records[r.Key] = r.Value
 			}
-			c.perform(at, x.Then)
+			c.perform(at, x.After)
 			if c.stores[at] == nil {
 				return
 			}
-			c.perform(at, c.stores[at].Step(c.now, event.Synced{Turn: x.Turn}))
+			c.perform(at, c.stores[at].Step(c.now, event.Synced{Batch: x.Batch}))
 		case MayStop:
 			c.stopped[at] = c.now
 		case event.LogEntry:
--- a/internal/controlplane/store/founding.go
+++ b/internal/controlplane/store/founding.go
@@ -30,7 +30,7 @@
 }
 
 const (
-	foundingKey = ids.Key("meta/founding")
+	foundingKey = ids.RegisterKey("meta/founding")
 	// helloFor is how long a store's hello says that it is there.
 	helloFor = 2 * time.Second
 )
@@ -78,7 +78,7 @@
 	first := consensus.VoterSet{Number: 1}
 	for _, a := range s.seeds {
 		m, ok := s.hellos[a]
-		if !ok || now.Since(m.at) > helloFor || !m.Blank {
+		if !ok || now.Sub(m.at) > helloFor || !m.Blank {
 			s.founding.request = consensus.FoundingRequest{}
 			return string(a)
 		}
@@ -107,7 +107,7 @@
 		}
 	}
 	ready := len(s.founding.promised) == len(r.VoterSet.Voters) && s.founding.record.Repeats(r)
-	if !ready || now.Since(s.founding.since) < collectPolicyFor {
+	if !ready || now.Sub(s.founding.since) < collectPolicyFor {
 		return
 	}
 	s.bootstrap(consensus.Bootstrap{VoterSet: r.VoterSet, Round: r.Round})
@@ -186,7 +186,7 @@
 	for _, m := range s.All() {
 		switch {
 		case m.ID == s.Self.ID:
-		case m.Holds > 0:
+		case m.Revision > 0:
 			why = fmt.Sprintf("%s holds an accepted policy", m.ID)
 		case m.Role == membership.Store && m.Ready && !s.founding.record.Names(m.Store):
 			why = fmt.Sprintf("%s has a vote in an earlier core", m.ID)
@@ -236,7 +236,7 @@
 // bootstrapFor is what a member that has no values yet is to take up.
 func (s *Store) bootstrapFor(ro consensus.VoterSet) consensus.Bootstrap {
 	b := consensus.Bootstrap{VoterSet: ro, Round: s.founding.record.Round}
-	if at, v := s.Value(configuration.Key); at == (ids.Ballot{Count: 1}) {
+	if at, v := s.Value(configuration.Key); at == (ids.Ballot{Counter: 1}) {
 		b.Policy = v
 	}
 	return b
--- a/internal/controlplane/store/founding_test.go
+++ b/internal/controlplane/store/founding_test.go
@@ -75,7 +75,7 @@
 	for _, a := range seedAddresses {
 		c.start(a, seedAddresses, true)
 	}
-	old := membership.Member{ID: "proxy-7", Role: membership.Proxy, Address: "10.0.0.77:1", Start: 1, Incarnation: 1, Holds: 12}
+	old := membership.Member{ID: "proxy-7", Role: membership.Proxy, Address: "10.0.0.77:1", RunID: 1, Incarnation: 1, Revision: 12}
 	last := c.stores[seedAddresses[2]]
 	c.perform(seedAddresses[2], last.Step(c.now, event.Received{From: old.Address, Msg: membership.Heartbeat{Self: old}}))
 	c.run(time.Minute)
--- a/internal/controlplane/store/learner.go
+++ b/internal/controlplane/store/learner.go
@@ -45,12 +45,12 @@
 	switch {
 	case set.Number == 0:
 		// Nobody has told it yet whom to copy from; manageVoters says hello.
-	case s.Standing() == consensus.Blank:
+	case s.DiskState() == consensus.Blank:
 		if s.learnerDue(now) {
 			s.replaceLost(now, set)
 		}
 		s.copyRegisters(now, set)
-	case s.Standing() == consensus.Complete && s.learnerDue(now):
+	case s.DiskState() == consensus.Complete && s.learnerDue(now):
 		s.reportComplete(set)
 	}
 }
@@ -87,7 +87,7 @@
 		switch busy := s.learner.Busy(v.ID); {
 		case busy && q.under != set.Number:
 			s.requestPage(now, v, set.Number)
-		case busy && now.Since(q.asked) >= q.wait:
+		case busy && now.Sub(q.asked) >= q.wait:
 			// It may not have heard of this voter set.
 			s.Send(v.Address, consensus.VoterSetUpdate{VoterSet: set})
 			q.wait = min(2*q.wait, longestWait)
@@ -120,7 +120,7 @@
 	if set.Has(s.StoreID()) {
 		return sealed < set.Number
 	}
-	return len(s.gone) > 0 && now.Since(s.learner.question(id).ended) >= refreshAfter
+	return len(s.gone) > 0 && now.Sub(s.learner.question(id).ended) >= refreshAfter
 }
 
 func (s *Store) requestPage(now ids.Time, v consensus.Voter, number uint64) {
@@ -133,7 +133,7 @@
 func (s *Store) receivePage(now ids.Time, m consensus.PageResponse) {
 	set := s.Acceptor.VoterSet()
 	// A page from under another voter set is asked for once more.
-	if s.Standing() != consensus.Blank || m.VoterSet != set.Number || !s.learner.Take(m) {
+	if s.DiskState() != consensus.Blank || m.VoterSet != set.Number || !s.learner.Take(m) {
 		return
 	}
 	for _, record := range m.Records {
@@ -159,7 +159,7 @@
 		return
 	}
 	s.MarkComplete()
-	took := now.Since(s.learner.began)
+	took := now.Sub(s.learner.began)
 	s.Log("info", "copy complete", "voter_set", itoa(set.Number), "ms", itoa(uint64(took.Milliseconds())))
 	s.reportComplete(set)
 }
--- a/internal/controlplane/store/leaving.go
+++ b/internal/controlplane/store/leaving.go
@@ -99,7 +99,7 @@
 func (s *Store) standby(now ids.Time, set consensus.VoterSet) (consensus.Voter, bool) {
 	var ready []consensus.Voter
 	for _, m := range s.hellos {
-		if m.Copied && now.Since(m.at) < helloFor && !set.Has(m.Store.ID) {
+		if m.Copied && now.Sub(m.at) < helloFor && !set.Has(m.Store.ID) {
 			ready = append(ready, m.Store)
 		}
 	}
--- a/internal/controlplane/store/leaving_test.go
+++ b/internal/controlplane/store/leaving_test.go
@@ -19,14 +19,14 @@
 )
 
 // put changes a register through a store; it is known to be chosen or fails.
-func (c *cluster) put(t *testing.T, at ids.Address, key ids.Key, value string) {
+func (c *cluster) put(t *testing.T, at ids.Address, key ids.RegisterKey, value string) {
 	t.Helper()
-	if r := c.request(at, key, opPut, []byte(value)); r.State != consensus.Done {
-		t.Fatalf("put %s at %s: %s", key, at, r.State)
+	if r := c.request(at, key, opPut, []byte(value)); r.Outcome != consensus.Succeeded {
+		t.Fatalf("put %s at %s: %s", key, at, r.Outcome)
 	}
 }
 
-func (c *cluster) request(at ids.Address, key ids.Key, op consensus.Op, arg []byte) consensus.Response {
+func (c *cluster) request(at ids.Address, key ids.RegisterKey, op consensus.Op, arg []byte) consensus.Response {
 	c.nextID++
 	r := consensus.Request{ID: 1<<40 + c.nextID, Key: key, Op: op, Arg: arg, Wait: 3000}
 	c.perform(at, c.stores[at].Step(c.now, event.Received{From: clientAddress, Msg: r}))
@@ -38,14 +38,14 @@
 			}
 		}
 	}
-	return consensus.Response{State: consensus.Uncertain}
+	return consensus.Response{Outcome: consensus.Indeterminate}
 }
 
 // holds checks that a register still reads as it was acknowledged.
-func (c *cluster) holds(t *testing.T, at ids.Address, key ids.Key, value string) {
+func (c *cluster) holds(t *testing.T, at ids.Address, key ids.RegisterKey, value string) {
 	t.Helper()
-	if r := c.request(at, key, consensus.Read, nil); r.State != consensus.Done || string(r.Result) != value {
-		t.Fatalf("read of %s at %s: %s %q, acknowledged was %q", key, at, r.State, r.Result, value)
+	if r := c.request(at, key, consensus.Read, nil); r.Outcome != consensus.Succeeded || string(r.Result) != value {
+		t.Fatalf("read of %s at %s: %s %q, acknowledged was %q", key, at, r.Outcome, r.Result, value)
 	}
 }
 
@@ -73,7 +73,7 @@
 	c.run(5 * time.Second)
 	for i := range 300 {
 		c.perform(seedAddresses[0], c.stores[seedAddresses[0]].Step(c.now, event.Received{From: clientAddress,
-			Msg: consensus.Request{ID: uint64(i + 1), Key: ids.Key(fmt.Sprint("k", i)), Op: opPut, Arg: []byte("v"), Wait: 3000}}))
+			Msg: consensus.Request{ID: uint64(i + 1), Key: ids.RegisterKey(fmt.Sprint("k", i)), Op: opPut, Arg: []byte("v"), Wait: 3000}}))
 	}
 	c.run(time.Second)
 	for _, a := range spares {
@@ -86,7 +86,7 @@
 // has tells whether a store's disk has a vote and may use it.
 func (c *cluster) votes(at ids.Address) bool {
 	s := c.stores[at]
-	return s != nil && s.MayVote() && s.Standing() == consensus.Complete
+	return s != nil && s.MayVote() && s.DiskState() == consensus.Complete
 }
 
 // A plain restart, with nobody standing by, changes no membership and ends at once.
@@ -98,7 +98,7 @@
 		began := c.now
 		c.leave(a)
 		c.run(100 * time.Millisecond)
-		is.True(c.stopped[a] != 0 && c.stopped[a].Since(began) <= 40*time.Millisecond)
+		is.True(c.stopped[a] != 0 && c.stopped[a].Sub(began) <= 40*time.Millisecond)
 		c.stop(a)
 		c.run(time.Second)
 		c.start(a, seedAddresses, false)
@@ -117,11 +117,11 @@
 	c.put(t, leaver, "last", "word")
 	began := c.now
 	c.leave(leaver)
-	for c.stopped[leaver] == 0 && c.now.Since(began) < 6*time.Second {
+	for c.stopped[leaver] == 0 && c.now.Sub(began) < 6*time.Second {
 		c.run(20 * time.Millisecond)
 	}
-	t.Logf("handed over in %s", c.stopped[leaver].Since(began))
-	is.True(c.stopped[leaver].Since(began) < time.Second)
+	t.Logf("handed over in %s", c.stopped[leaver].Sub(began))
+	is.True(c.stopped[leaver].Sub(began) < time.Second)
 	is.True(c.votes(spareA))
 	c.wipe(leaver)
 	is.True(c.voters(seedAddresses[0]).Has(c.disks[spareA].id))
@@ -139,13 +139,13 @@
 	c.leave(seedAddresses[1])
 	c.leave(seedAddresses[2])
 	for _, a := range seedAddresses[1:] {
-		for c.stopped[a] == 0 && c.now.Since(began) < 6*time.Second {
+		for c.stopped[a] == 0 && c.now.Sub(began) < 6*time.Second {
 			c.run(20 * time.Millisecond)
 		}
-		t.Logf("%s may stop after %s", a, c.stopped[a].Since(began))
+		t.Logf("%s may stop after %s", a, c.stopped[a].Sub(began))
 	}
 	for _, a := range seedAddresses[1:] {
-		is.True(c.stopped[a].Since(began) < 4*time.Second)
+		is.True(c.stopped[a].Sub(began) < 4*time.Second)
 		c.wipe(a)
 	}
 	is.True(c.votes(spareA) && c.votes(spareB))
@@ -163,12 +163,12 @@
 	c.bury(seedAddresses[2])
 	began := c.now
 	c.leave(seedAddresses[1])
-	for c.stopped[seedAddresses[1]] == 0 && c.now.Since(began) < 6*time.Second {
+	for c.stopped[seedAddresses[1]] == 0 && c.now.Sub(began) < 6*time.Second {
 		c.run(20 * time.Millisecond)
 	}
-	t.Logf("may stop after %s", c.stopped[seedAddresses[1]].Since(began))
+	t.Logf("may stop after %s", c.stopped[seedAddresses[1]].Sub(began))
 	is.True(c.votes(spareA))
-	is.True(c.stopped[seedAddresses[1]].Since(began) < 5*time.Second)
+	is.True(c.stopped[seedAddresses[1]].Sub(began) < 5*time.Second)
 	c.stop(seedAddresses[1])
 	c.holds(t, seedAddresses[0], "last", "word")
 	// The voter that left is still one, and comes back with its disk.
--- a/internal/controlplane/store/membercache.go
+++ b/internal/controlplane/store/membercache.go
@@ -18,7 +18,7 @@
 }
 
 const (
-	rollKey     = ids.Key("meta/roll")
+	rollKey     = ids.RegisterKey("meta/roll")
 	rememberNow = 2 * time.Second
 )
 
--- a/internal/controlplane/store/oldfolder_test.go
+++ b/internal/controlplane/store/oldfolder_test.go
@@ -40,7 +40,7 @@
 		Random: rand.New(rand.NewPCG(1, 1)), Storage: database, Replicas: 3})
 	is.Equal(len(s.VoterSet().Voters), 3)
 	is.True(s.VoterSet().Has(database.Store))
-	p, err := configuration.Open(s.LocalValue(configuration.Key))
+	p, err := configuration.Decode(s.LocalValue(configuration.Key))
 	is.NoErr(err)
 	is.Equal(p.Revision, ids.Revision(5))
 	view := p.View()
--- a/internal/controlplane/store/recover.go
+++ b/internal/controlplane/store/recover.go
@@ -56,7 +56,7 @@
 		return "this store has no seat in the roster: it holds nothing to go on from"
 	// The roll may not know: who is gone is judged by a majority too. What
 	// counts is whether this store's own reads still reach one.
-	case s.agreed != 0 && now.Since(s.agreed) < noQuorumFor && len(ro.Voters) > 1:
+	case s.agreed != 0 && now.Sub(s.agreed) < noQuorumFor && len(ro.Voters) > 1:
 		return "a majority of the roster is still there"
 	case len(s.blanks(now)) < 2:
 		return "two blank stores must be running first"
@@ -68,7 +68,7 @@
 func (s *Store) blanks(now ids.Time) []consensus.Voter {
 	var out []consensus.Voter
 	for _, m := range s.hellos {
-		if now.Since(m.at) < 2*time.Second && !s.Acceptor.VoterSet().Has(m.Store.ID) {
+		if now.Sub(m.at) < 2*time.Second && !s.Acceptor.VoterSet().Has(m.Store.ID) {
 			out = append(out, m.Store)
 		}
 	}
@@ -109,15 +109,15 @@
 // lossy wraps the operations that let a request run. For a while after marks
 // were lost, a later attempt that finds nothing may still have run.
 func (s *Store) guardLostKeys(ops map[consensus.Op]consensus.ChangeFunc) map[consensus.Op]consensus.ChangeFunc {
-	for _, op := range []consensus.Op{idempotency.OpClaim, idempotency.OpBar, idempotency.OpEnter} {
+	for _, op := range []consensus.Op{idempotency.OpClaim, idempotency.OpBlock, idempotency.OpEnter} {
 		inner := ops[op]
-		ops[op] = func(key ids.Key, old, arg []byte) ([]byte, []byte) {
+		ops[op] = func(key ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
 			loss := s.Acceptor.VoterSet().Loss
 			if loss != s.lossCount {
 				s.lossCount, s.lossAt = loss, s.now
 			}
-			if loss > 0 && len(old) == 0 && s.now.Since(s.lossAt) < lossFor && idempotency.Later(arg) {
-				out, err := wire.Encode(idempotency.Result{Verdict: idempotency.Lost})
+			if loss > 0 && len(old) == 0 && s.now.Sub(s.lossAt) < lossFor && idempotency.Later(arg) {
+				out, err := wire.Encode(idempotency.Result{Verdict: idempotency.RecordLost})
 				if err == nil {
 					return old, out
 				}
--- a/internal/controlplane/store/replacement.go
+++ b/internal/controlplane/store/replacement.go
@@ -18,7 +18,7 @@
 		s.abandonLost(now, set)
 		return
 	}
-	if set.Has(s.StoreID()) || s.Standing() != consensus.Blank {
+	if set.Has(s.StoreID()) || s.DiskState() != consensus.Blank {
 		return
 	}
 	if id, ok := s.placeFor(now, set); ok {
@@ -67,7 +67,7 @@
 // lost tells whether a voter has been silent for long enough to be replaced.
 func (s *Store) lost(now ids.Time, id uint64) bool {
 	at, ok := s.gone[id]
-	return ok && now.Since(at) >= replaceSilentAfter
+	return ok && now.Sub(at) >= replaceSilentAfter
 }
 
 func (s *Store) abandonLost(now ids.Time, set consensus.VoterSet) {
@@ -80,7 +80,7 @@
 }
 
 // Holds gives this copy's own value for a caller that asked for no more.
-func (s *Store) LocalValue(key ids.Key) []byte {
+func (s *Store) LocalValue(key ids.RegisterKey) []byte {
 	_, v := s.Value(key)
 	return v
 }
--- a/internal/controlplane/store/retire.go
+++ b/internal/controlplane/store/retire.go
@@ -12,7 +12,7 @@
 
 // retireIfDue gives the command once nobody may want to copy from this disk.
 func (s *Store) retireIfDue() {
-	if s.Standing() != consensus.Replaced || s.retired || s.departure.until != 0 {
+	if s.DiskState() != consensus.Replaced || s.retired || s.departure.until != 0 {
 		return
 	}
 	set := s.Acceptor.VoterSet()
--- a/internal/controlplane/store/screen.go
+++ b/internal/controlplane/store/screen.go
@@ -17,9 +17,9 @@
 	case consensus.Prepare:
 		return s.screenQuestion(from, m.Ballot)
 	case consensus.Accept:
-		return s.screenQuestion(from, maxOf(m.Ballot, m.Next))
+		return s.screenQuestion(from, maxOf(m.Ballot, m.NextBallot))
 	case consensus.AcceptDifference:
-		return s.screenQuestion(from, maxOf(m.Ballot, m.Next))
+		return s.screenQuestion(from, maxOf(m.Ballot, m.NextBallot))
 	case consensus.Promise:
 		return s.screenAnswer(from, m.Store, m.VoterSet, m.Round)
 	case consensus.Accepted:
@@ -27,11 +27,11 @@
 	case consensus.Response:
 		// This store puts its own requests to itself alone.
 		if from != s.Self.Address {
-			return event.NotAsked
+			return event.Unsolicited
 		}
 	case consensus.PageResponse:
 		if !voters.SuppliesCopies(from, m.Store) {
-			return event.NotAMember
+			return event.UnknownSender
 		}
 	case consensus.Hello:
 		if m.Store.ID == 0 || m.Store.Address != from {
@@ -52,10 +52,10 @@
 // screenQuestion judges a proposer's question: only stores propose.
 func (s *Store) screenQuestion(from ids.Address, b ids.Ballot) event.Reason {
 	switch {
-	case b.Count > mostRounds:
+	case b.Counter > mostRounds:
 		return event.Malformed
 	case !s.knownStore(from):
-		return event.NotAMember
+		return event.UnknownSender
 	}
 	return ""
 }
@@ -70,9 +70,9 @@
 func (s *Store) screenAnswer(from ids.Address, voter, number, round uint64) event.Reason {
 	switch {
 	case !s.Acceptor.VoterSet().SpeaksFor(from, voter, number):
-		return event.NotAMember
+		return event.UnknownSender
 	case !s.Began(round):
-		return event.NotAsked
+		return event.Unsolicited
 	}
 	return ""
 }
@@ -83,7 +83,7 @@
 	case !r.Valid():
 		return event.Malformed
 	case !s.knownStore(from):
-		return event.NotAMember
+		return event.UnknownSender
 	}
 	return ""
 }
--- a/internal/controlplane/store/screen_test.go
+++ b/internal/controlplane/store/screen_test.go
@@ -16,11 +16,11 @@
 )
 
 // recordMap syncs whatever it is given at once.
-type recordMap map[ids.Key][]byte
+type recordMap map[ids.RegisterKey][]byte
 
-func (m recordMap) Get(k ids.Key) ([]byte, bool) { v, ok := m[k]; return v, ok }
+func (m recordMap) Get(k ids.RegisterKey) ([]byte, bool) { v, ok := m[k]; return v, ok }
 
-func (m recordMap) Scan(ids.Key, int) []event.Record { return nil }
+func (m recordMap) Scan(ids.RegisterKey, int) []event.Record { return nil }
 
 const (
 	stranger = ids.Address("10.9.9.9:1")
@@ -33,7 +33,7 @@
 // newVoter gives store 1 of three, and its disk.
 func newVoter() (*Store, recordMap) {
 	disk := recordMap{}
-	s := New(Options{Options: membership.Options{Self: membership.Member{ID: "store-1", Address: "10.0.0.1:1", Start: 5, Incarnation: 1}},
+	s := New(Options{Options: membership.Options{Self: membership.Member{ID: "store-1", Address: "10.0.0.1:1", RunID: 5, Incarnation: 1}},
 		Store: 1, Run: 3, Storage: disk, Random: rand.New(rand.NewPCG(1, 1)), Replicas: 3})
 	s.AdoptVoterSet(threeVoters)
 	s.MarkComplete()
@@ -51,7 +51,7 @@
 			for _, r := range c.Records {
 				disk[r.Key] = r.Value
 			}
-			list = append(append(list, c.Then...), s.Step(now, event.Synced{Turn: c.Turn})...)
+			list = append(append(list, c.After...), s.Step(now, event.Synced{Batch: c.Batch})...)
 		case event.Send:
 			sent = append(sent, c)
 		case event.Discarded:
@@ -65,8 +65,8 @@
 	return settle(s, disk, s.Step(now, event.Received{From: from, Msg: msg}))
 }
 
-func kept(disk recordMap) map[ids.Key]string {
-	out := map[ids.Key]string{}
+func kept(disk recordMap) map[ids.RegisterKey]string {
+	out := map[ids.RegisterKey]string{}
 	for k, v := range disk {
 		if k != rollKey {
 			out[k] = string(v)
@@ -80,9 +80,9 @@
 func TestForgedMessagesChangeNothing(t *testing.T) {
 	future := consensus.VoterSet{Number: 1 << 40, Voters: []consensus.Voter{{ID: 9, Address: stranger}}}
 	raw, _ := wire.Encode(future)
-	own := consensus.Prepare{Key: "policy", Ballot: ids.Ballot{Count: 1 << 41, By: 2 << 24}, VoterSet: 4, Round: 7}
+	own := consensus.Prepare{Key: "policy", Ballot: ids.Ballot{Counter: 1 << 41, Proposer: 2 << 24}, VoterSet: 4, Round: 7}
 	endless := own
-	endless.Ballot.Count = 1<<64 - 1
+	endless.Ballot.Counter = 1<<64 - 1
 	for name, c := range map[string]struct {
 		from ids.Address
 		msg  any
@@ -91,7 +91,7 @@
 		"a voter set without voters":         {"10.0.0.2:1", consensus.VoterSetUpdate{VoterSet: consensus.VoterSet{Number: 9}}},
 		"a voter set with one voter twice":   {"10.0.0.2:1", consensus.VoterSetUpdate{VoterSet: consensus.VoterSet{Number: 9, Voters: append(threeVoters.Voters, threeVoters.Voters[0])}}},
 		"a founding by a stranger":           {stranger, consensus.Bootstrap{VoterSet: future}},
-		"an answer to a request of its own":  {"10.0.0.2:1", consensus.Response{State: consensus.Done, Result: raw}},
+		"an answer to a request of its own":  {"10.0.0.2:1", consensus.Response{Outcome: consensus.Succeeded, Result: raw}},
 		"a prepare of a stranger":            {stranger, own},
 		"an accept of a stranger":            {stranger, consensus.Accept{Key: "policy", Ballot: own.Ballot, VoterSet: 4, Value: []byte("x")}},
 		"a difference of a stranger":         {stranger, consensus.AcceptDifference{Key: "policy", Ballot: own.Ballot, VoterSet: 4}},
@@ -116,7 +116,7 @@
 func TestHonestMessagesAreTaken(t *testing.T) {
 	is := is.New(t)
 	s, disk := newVoter()
-	sent, discarded := hear(s, disk, "10.0.0.2:1", consensus.Prepare{Key: "policy", Ballot: ids.Ballot{Count: 1 << 41, By: 2 << 24}, VoterSet: 4, Round: 7})
+	sent, discarded := hear(s, disk, "10.0.0.2:1", consensus.Prepare{Key: "policy", Ballot: ids.Ballot{Counter: 1 << 41, Proposer: 2 << 24}, VoterSet: 4, Round: 7})
 	is.Equal(len(sent), 1)
 	is.Equal(len(discarded), 0)
 	next := threeVoters
@@ -126,7 +126,7 @@
 	is.Equal(s.Acceptor.VoterSet().Number, next.Number)
 	// A newcomer that has said hello may propose.
 	hear(s, disk, "10.0.0.9:1", consensus.Hello{Store: consensus.Voter{ID: 9, Address: "10.0.0.9:1"}, Blank: true})
-	sent, discarded = hear(s, disk, "10.0.0.9:1", consensus.Prepare{Key: "roster", Ballot: ids.Ballot{Count: 1 << 41, By: 9 << 24}, VoterSet: 5, Round: 7})
+	sent, discarded = hear(s, disk, "10.0.0.9:1", consensus.Prepare{Key: "roster", Ballot: ids.Ballot{Counter: 1 << 41, Proposer: 9 << 24}, VoterSet: 5, Round: 7})
 	is.Equal(len(sent), 1)
 	is.Equal(len(discarded), 0)
 }
@@ -134,10 +134,10 @@
 // FuzzMessages gives a voter any message from a stranger: it neither panics
 // nor votes, and its voter set stays.
 func FuzzMessages(f *testing.F) {
-	for _, msg := range []any{consensus.Prepare{Key: "policy", VoterSet: 4, Ballot: ids.Ballot{Count: 9, By: 9}}, consensus.Promise{Key: "policy", Store: 2},
+	for _, msg := range []any{consensus.Prepare{Key: "policy", VoterSet: 4, Ballot: ids.Ballot{Counter: 9, Proposer: 9}}, consensus.Promise{Key: "policy", Store: 2},
 		consensus.Accept{Key: "policy", VoterSet: 4, Value: []byte("x")}, consensus.Accepted{Key: "policy", Store: 2, OK: true},
 		consensus.VoterSetUpdate{VoterSet: threeVoters}, consensus.Request{ID: 1, Key: "policy", Op: 1, Arg: []byte("{}"), Wait: 100},
-		consensus.Response{State: consensus.Done}, consensus.PageRequest{VoterSet: 4}, consensus.PageResponse{Store: 2, Last: true},
+		consensus.Response{Outcome: consensus.Succeeded}, consensus.PageRequest{VoterSet: 4}, consensus.PageResponse{Store: 2, Last: true},
 		consensus.Hello{Store: consensus.Voter{ID: 9, Address: stranger}}, consensus.Bootstrap{VoterSet: threeVoters}, consensus.PolicyReply{Revision: 9, Policy: []byte("{}")},
 		membership.Heartbeat{Self: membership.Member{ID: "x", Role: membership.Store, Address: stranger}}, membership.Snapshot{Members: []membership.Member{{ID: "y"}}},
 		membership.Digest{Parts: make([]uint64, 64)}, membership.Delta{Parts: []uint16{1}}, membership.Suspect{Watcher: "x", ID: "store-1"}} {
@@ -145,7 +145,7 @@
 		if err != nil {
 			f.Fatal(err)
 		}
-		f.Add(uint16(wire.KindFor(msg)), raw[26:])
+		f.Add(uint16(wire.KindOfMessage(msg)), raw[26:])
 	}
 	f.Fuzz(func(t *testing.T, kind uint16, body []byte) {
 		msg, err := wire.Decode(wire.Kind(kind), body)
--- a/internal/controlplane/store/store.go
+++ b/internal/controlplane/store/store.go
@@ -100,7 +100,7 @@
 }
 
 // audience names who must hear of a new value at once.
-func (s *Store) subscribers(key ids.Key) []ids.Address {
+func (s *Store) subscribers(key ids.RegisterKey) []ids.Address {
 	if key != configuration.Key {
 		return nil
 	}
@@ -116,11 +116,11 @@
 	s.now = now
 	switch e := ev.(type) {
 	case event.Received:
-		s.Witness(now, e.From)
+		s.RecordContact(now, e.From)
 		s.receive(now, e.From, e.Msg)
 	case event.Synced:
-		s.Acceptor.Synced(e.Turn)
-		for len(s.unsyncedTurns) > 0 && s.unsyncedTurns[0].turn <= e.Turn {
+		s.Acceptor.Synced(e.Batch)
+		for len(s.unsyncedTurns) > 0 && s.unsyncedTurns[0].turn <= e.Batch {
 			s.unsyncedTurns = s.unsyncedTurns[1:]
 		}
 	case RecoverRequest:
@@ -129,7 +129,7 @@
 		s.leave(now, e)
 	case event.Tick:
 		// A disk that can't sync for a second must not claim health.
-		tired := len(s.unsyncedTurns) > 0 && now.Since(s.unsyncedTurns[0].at) > time.Second
+		tired := len(s.unsyncedTurns) > 0 && now.Sub(s.unsyncedTurns[0].at) > time.Second
 		if tired != s.diskStalled {
 			s.Log("warn", "disk", "stalled", map[bool]string{true: "yes", false: "no"}[tired])
 		}
@@ -146,7 +146,7 @@
 	out := s.Drain()
 	for _, c := range out {
 		if w, ok := c.(event.Sync); ok {
-			s.unsyncedTurns = append(s.unsyncedTurns, unsyncedTurn{w.Turn, now})
+			s.unsyncedTurns = append(s.unsyncedTurns, unsyncedTurn{w.Batch, now})
 		}
 	}
 	return out
@@ -177,8 +177,8 @@
 	case consensus.Request:
 		// A proposer whose own disk is stuck would only hold the client up, and one
 		// that was replaced knows nothing of late.
-		if s.diskStalled || s.Standing() == consensus.Replaced {
-			s.Send(from, consensus.Response{ID: m.ID, Try: m.Try, State: consensus.Declined})
+		if s.diskStalled || s.DiskState() == consensus.Replaced {
+			s.Send(from, consensus.Response{ID: m.ID, Attempt: m.Attempt, Outcome: consensus.Declined})
 			return
 		}
 		s.Submit(now, from, m)
--- a/internal/controlplane/store/voters.go
+++ b/internal/controlplane/store/voters.go
@@ -65,7 +65,7 @@
 		s.recoverAllIfDue(now)
 		return
 	}
-	if !ro.Has(s.StoreID()) && s.Standing() != consensus.Replaced {
+	if !ro.Has(s.StoreID()) && s.DiskState() != consensus.Replaced {
 		s.sendHello()
 	}
 	s.refoundIfDue(now)
@@ -87,7 +87,7 @@
 			to = append(to, m.Address)
 		}
 	}
-	copied := s.Standing() == consensus.Blank && !ro.Has(s.StoreID()) && s.learner.Copied(ro)
+	copied := s.DiskState() == consensus.Blank && !ro.Has(s.StoreID()) && s.learner.Copied(ro)
 	for _, a := range to {
 		s.Send(a, consensus.Hello{Store: s.self(), Blank: ro.Number == 0, VoterSet: ro.Number, Copied: copied})
 	}
@@ -98,7 +98,7 @@
 	ro := s.Acceptor.VoterSet()
 	switch m := msg.(type) {
 	case consensus.Hello:
-		if s.Standing() == consensus.Replaced {
+		if s.DiskState() == consensus.Replaced {
 			return
 		}
 		s.hellos[m.Store.Address] = receivedHello{m, now}
@@ -127,7 +127,7 @@
 	case consensus.VoterSetUpdate:
 		s.adoptVoterSet(now, m.VoterSet)
 	case consensus.Response:
-		if r, ok := consensus.DecodeVoterSet(m.Result); ok && m.State == consensus.Done {
+		if r, ok := consensus.DecodeVoterSet(m.Result); ok && m.Outcome == consensus.Succeeded {
 			s.agreed = now
 			s.adoptVoterSet(now, r)
 		}
--- a/internal/controlplane/targets/entry.go
+++ b/internal/controlplane/targets/entry.go
@@ -30,5 +30,5 @@
 // colder tells whether a later word says that its target bears little for longer
 // than was known.
 func (e *entry) colder(now ids.Time, t Target) bool {
-	return t.Cold > 0 && now.Add(time.Duration(t.Cold)*time.Millisecond).Since(e.cold) > coldSlack
+	return t.Cold > 0 && now.Add(time.Duration(t.Cold)*time.Millisecond).Sub(e.cold) > coldSlack
 }
--- a/internal/controlplane/targets/incremental_test.go
+++ b/internal/controlplane/targets/incremental_test.go
@@ -34,7 +34,7 @@
 			beat.Occupancy, beat.Age = int64(seq), 7 // these alone are no news
 			is.Equal(len(y.Merge(at(now), beat)), 0)
 		}
-		is.Equal(len(y.Clock(at(now))), 0)
+		is.Equal(len(y.Tick(at(now))), 0)
 	}
 	is.Equal(y.Version(), v)
 	is.Equal(y.Newest("a"), seq)
@@ -46,10 +46,10 @@
 	late.Leaving = true
 	is.Equal(len(y.Merge(at(20*time.Second), late)), 0)
 	// Silence is told, and a beat after it.
-	is.Equal(len(y.Clock(at(20900*time.Millisecond))), 0)
-	is.Equal(len(y.Clock(at(21800*time.Millisecond))), 0)
-	is.Equal(len(y.Clock(at(22700*time.Millisecond))), 0)
-	is.Equal(len(y.Clock(at(23200*time.Millisecond))), 1)
+	is.Equal(len(y.Tick(at(20900*time.Millisecond))), 0)
+	is.Equal(len(y.Tick(at(21800*time.Millisecond))), 0)
+	is.Equal(len(y.Tick(at(22700*time.Millisecond))), 0)
+	is.Equal(len(y.Tick(at(23200*time.Millisecond))), 1)
 	is.Equal(len(y.Merge(at(24*time.Second), target("a", 1, seq))), 0) // a doubled old word
 	back := y.Merge(at(24*time.Second), target("a", 1, seq+1))
 	is.Equal(len(back), 1)
--- a/internal/controlplane/targets/keeper.go
+++ b/internal/controlplane/targets/keeper.go
@@ -10,13 +10,13 @@
 
 // Vouch counts targets as heard whose keeper is there: it would have told. Those
 // of a keeper that is gone, or runs anew, are silent until they speak again.
-func (y *Table) Vouch(now ids.Time, there func(ids.Daemon, ids.RunID) bool) {
+func (y *Table) Vouch(now ids.Time, there func(ids.DaemonID, ids.RunID) bool) {
 	for _, e := range y.list {
-		if e.Gone || e.Target.Keeper == "" || e.Target.Keeper == y.Self {
+		if e.Gone || e.Target.Registrar == "" || e.Target.Registrar == y.Self {
 			e.orphan = false
 			continue
 		}
-		if e.orphan = !there(e.Target.Keeper, e.Run); !e.orphan {
+		if e.orphan = !there(e.Target.Registrar, e.RegistrarRunID); !e.orphan {
 			e.heard = max(e.heard, now)
 		}
 	}
@@ -74,7 +74,7 @@
 	return out
 }
 
-func partOf(id ids.Instance) int {
+func partOf(id ids.InstanceID) int {
 	h := fnv.New64a()
 	h.Write([]byte(id))
 	return int(h.Sum64() % tableParts)
@@ -92,13 +92,13 @@
 	return sum
 }
 
-func (e *entry) sum(id ids.Instance) uint64 {
+func (e *entry) sum(id ids.InstanceID) uint64 {
 	h := e.identity(id)
-	h.Write([]byte(e.Target.Keeper))
+	h.Write([]byte(e.Target.Registrar))
 	return h.Sum64()
 }
 
-func (e *entry) exact(id ids.Instance) uint64 {
+func (e *entry) exact(id ids.InstanceID) uint64 {
 	h := e.identity(id)
 	var raw [8]byte
 	binary.BigEndian.PutUint64(raw[:], uint64(e.Material))
@@ -107,7 +107,7 @@
 }
 
 // identity begins a sum over one target.
-func (e *entry) identity(id ids.Instance) hash.Hash64 {
+func (e *entry) identity(id ids.InstanceID) hash.Hash64 {
 	h := fnv.New64a()
 	h.Write([]byte(id))
 	h.Write([]byte{0, byte(e.Incarnation)})
--- a/internal/controlplane/targets/keeper_test.go
+++ b/internal/controlplane/targets/keeper_test.go
@@ -9,9 +9,9 @@
 	"dunlinwell/internal/base/ids"
 )
 
-func kept(id ids.Instance, seq ids.Sequence, by ids.Daemon) Target {
+func kept(id ids.InstanceID, seq ids.Sequence, by ids.DaemonID) Target {
 	t := target(id, 1, seq)
-	t.Keeper, t.Run = by, 1
+	t.Registrar, t.RegistrarRunID = by, 1
 	return t
 }
 
@@ -23,20 +23,20 @@
 	y.Self = "own"
 	y.Merge(at(0), kept("a", 1, "other"), kept("b", 1, "own"))
 	there := true
-	play := func(from, to time.Duration) (gone []ids.Instance) {
+	play := func(from, to time.Duration) (gone []ids.InstanceID) {
 		for now := from; now <= to; now += 500 * time.Millisecond {
-			y.Vouch(at(now), func(d ids.Daemon, run ids.RunID) bool { return there && d == "other" && run == 1 })
-			for _, g := range y.Clock(at(now)) {
+			y.Vouch(at(now), func(d ids.DaemonID, run ids.RunID) bool { return there && d == "other" && run == 1 })
+			for _, g := range y.Tick(at(now)) {
 				gone = append(gone, g.Instance)
 			}
 		}
 		return gone
 	}
 	// What this copy keeps itself is silent; the other's is vouched for.
-	is.Equal(play(0, 20*time.Second), []ids.Instance{"b"})
+	is.Equal(play(0, 20*time.Second), []ids.InstanceID{"b"})
 	there = false
 	is.Equal(len(play(20500*time.Millisecond, 29500*time.Millisecond)), 0)
-	is.Equal(play(30*time.Second, 31*time.Second), []ids.Instance{"a"})
+	is.Equal(play(30*time.Second, 31*time.Second), []ids.InstanceID{"a"})
 }
 
 // A copy that has heard from a target since another's verdict insists.
--- a/internal/controlplane/targets/material.go
+++ b/internal/controlplane/targets/material.go
@@ -8,7 +8,7 @@
 func sameToProxies(a, b Target) bool {
 	for _, t := range []*Target{&a, &b} {
 		t.Sequence, t.Material, t.Age, t.Cold, t.Occupancy = 0, 0, 0, 0, 0
-		t.Keeper, t.Run = "", 0
+		t.Registrar, t.RegistrarRunID = "", 0
 	}
 	return a == b
 }
@@ -37,7 +37,7 @@
 	list := y.All(now)
 	for i := range list {
 		t := &list[i]
-		t.Sequence, t.Keeper, t.Run = t.Material, "", 0
+		t.Sequence, t.Registrar, t.RegistrarRunID = t.Material, "", 0
 	}
 	return list
 }
@@ -46,7 +46,7 @@
 func (y *Table) PublicVersion() uint64 { return y.public }
 
 // MaterialSequence gives the sequence at which a target last changed to proxies.
-func (y *Table) MaterialSequence(id ids.Instance) ids.Sequence {
+func (y *Table) MaterialSequence(id ids.InstanceID) ids.Sequence {
 	if e, ok := y.list[id]; ok {
 		return e.Material
 	}
--- a/internal/controlplane/targets/targets.go
+++ b/internal/controlplane/targets/targets.go
@@ -13,7 +13,7 @@
 
 // Target is one target as it last announced itself.
 type Target struct {
-	Instance    ids.Instance    `json:"instance"`
+	Instance    ids.InstanceID  `json:"instance"`
 	Incarnation ids.Incarnation `json:"incarnation"`
 	Sequence    ids.Sequence    `json:"sequence"`
 	Service     ids.Name        `json:"service"`
@@ -31,10 +31,10 @@
 	// Cold is how much longer, in milliseconds, the target says it bears little,
 	// as of when the entry was last handed on.
 	Cold uint64 `json:"cold_ms"`
-	// Keeper is the registry that the target last spoke to, in which of its runs:
+	// Registrar is the registry that the target last spoke to, in which of its runs:
 	// while it is there, the others needn't be told that the target is.
-	Keeper ids.Daemon `json:"-"`
-	Run    ids.RunID  `json:"-"`
+	Registrar      ids.DaemonID `json:"-"`
+	RegistrarRunID ids.RunID    `json:"-"`
 	// Material is the sequence at which the target last changed in what proxies go
 	// by; zero from one that doesn't say.
 	Material ids.Sequence `json:"-"`
@@ -62,7 +62,7 @@
 
 // Yard is a copy of all targets.
 type Table struct {
-	list    map[ids.Instance]*entry
+	list    map[ids.InstanceID]*entry
 	version uint64
 	// public counts the changes that matter to proxies.
 	public uint64
@@ -71,7 +71,7 @@
 	// and not handed on, so that what is told of targets doesn't grow with beats.
 	Thrifty bool
 	// Self is the registry whose copy this is, if it is one's.
-	Self ids.Daemon
+	Self ids.DaemonID
 }
 
 type entry struct {
@@ -87,7 +87,7 @@
 }
 
 // New makes an empty target table.
-func New() *Table { return &Table{list: map[ids.Instance]*entry{}} }
+func New() *Table { return &Table{list: map[ids.InstanceID]*entry{}} }
 
 // Silences is how many intervals of silence count as gone.
 const Silences = 3
@@ -156,10 +156,10 @@
 	return out
 }
 
-// Clock counts those silent for too long as gone, and gives them.
-func (y *Table) Clock(now ids.Time) []Target {
+// Tick counts those silent for too long as gone, and gives them.
+func (y *Table) Tick(now ids.Time) []Target {
 	// A gap in our own clock events is our silence, not the targets'.
-	if y.last != 0 && now.Since(y.last) > time.Second {
+	if y.last != 0 && now.Sub(y.last) > time.Second {
 		y.Excuse(now)
 	}
 	y.last = now
@@ -183,7 +183,7 @@
 		if e.orphan {
 			silences = orphanSilences
 		}
-		if e.Gone || now.Since(e.heard) <= silences*time.Duration(e.Interval)*time.Millisecond {
+		if e.Gone || now.Sub(e.heard) <= silences*time.Duration(e.Interval)*time.Millisecond {
 			continue
 		}
 		e.Gone = true
@@ -197,7 +197,7 @@
 // Forget drops those gone for a good while; a target table must not grow for ever.
 func (y *Table) Forget(now ids.Time, after time.Duration) {
 	for id, e := range y.list {
-		if e.Gone && now.Since(e.heard) > after {
+		if e.Gone && now.Sub(e.heard) > after {
 			delete(y.list, id)
 			y.version++
 			y.public++
@@ -210,26 +210,26 @@
 	out := make([]Target, 0, len(y.list))
 	for _, id := range slices.Sorted(maps.Keys(y.list)) {
 		t := y.list[id].Target
-		t.Age = uint64(max(now.Since(y.list[id].born), 0) / time.Millisecond)
-		t.Cold = uint64(max(y.list[id].cold.Since(now), 0) / time.Millisecond)
+		t.Age = uint64(max(now.Sub(y.list[id].born), 0) / time.Millisecond)
+		t.Cold = uint64(max(y.list[id].cold.Sub(now), 0) / time.Millisecond)
 		out = append(out, t)
 	}
 	return out
 }
 
 // Get finds a target, with its age as of now.
-func (y *Table) Get(now ids.Time, id ids.Instance) (Target, bool) {
+func (y *Table) Get(now ids.Time, id ids.InstanceID) (Target, bool) {
 	e, ok := y.list[id]
 	if !ok {
 		return Target{}, false
 	}
 	t := e.Target
-	t.Age = uint64(max(now.Since(e.born), 0) / time.Millisecond)
+	t.Age = uint64(max(now.Sub(e.born), 0) / time.Millisecond)
 	return t, true
 }
 
 // Newest gives the sequence of a target's last word.
-func (y *Table) Newest(id ids.Instance) ids.Sequence {
+func (y *Table) Newest(id ids.InstanceID) ids.Sequence {
 	if e, ok := y.list[id]; ok {
 		return e.last().Sequence
 	}
--- a/internal/controlplane/targets/targets_test.go
+++ b/internal/controlplane/targets/targets_test.go
@@ -11,7 +11,7 @@
 
 func at(d time.Duration) ids.Time { return ids.Time(d) + 1 }
 
-func target(id ids.Instance, inc ids.Incarnation, seq ids.Sequence) Target {
+func target(id ids.InstanceID, inc ids.Incarnation, seq ids.Sequence) Target {
 	return Target{Instance: id, Incarnation: inc, Sequence: seq, Service: "s", Address: ids.Address("10.0.0.1:" + string(id)), Interval: 1000, Warmth: 1}
 }
 
@@ -37,14 +37,14 @@
 	y := New()
 	y.Merge(at(0), target("a", 1, 1))
 	for s := range 3 {
-		is.Equal(len(y.Clock(at(time.Duration(s+1)*900*time.Millisecond))), 0)
+		is.Equal(len(y.Tick(at(time.Duration(s+1)*900*time.Millisecond))), 0)
 	}
 	// Five seconds without a clock event were our silence, not the target's.
-	is.Equal(len(y.Clock(at(8*time.Second))), 0)
+	is.Equal(len(y.Tick(at(8*time.Second))), 0)
 	for s := 8500 * time.Millisecond; s <= 11*time.Second; s += 500 * time.Millisecond {
-		is.Equal(len(y.Clock(at(s))), 0)
+		is.Equal(len(y.Tick(at(s))), 0)
 	}
-	is.Equal(len(y.Clock(at(11500*time.Millisecond))), 1)
+	is.Equal(len(y.Tick(at(11500*time.Millisecond))), 1)
 	y.Forget(at(2*time.Hour), time.Hour)
 	is.Equal(len(y.All(at(2*time.Hour))), 0)
 }
--- a/internal/dataplane/dispatch/again.go
+++ b/internal/dataplane/dispatch/again.go
@@ -12,13 +12,13 @@
 
 // turnedAway sends on what a target says that it did not run: to another one,
 // as a retry, or back to its consumer.
-func (d *Dispatcher) turnedAway(now ids.Time, j *job, e Back) {
+func (d *Dispatcher) turnedAway(now ids.Time, j *job, e AttemptFinished) {
 	if j.marked() {
 		// Its mark's claim stands, and another place is asked for under it.
 		d.admit(now, j)
 		return
 	}
-	if j.tries++; d.sentEnough(j) || now.Add(d.mean) >= j.Due || !d.budget.spend() {
+	if j.tries++; d.sentEnough(j) || now.Add(d.mean) >= j.Deadline || !d.budget.spend() {
 		d.decline(now, j, "targets turned it away: "+e.Why)
 		return
 	}
@@ -27,10 +27,10 @@
 }
 
 // retry sends a repeatable request again, within the budget and the time.
-func (d *Dispatcher) retry(now ids.Time, j *job, e Back) {
-	if j.tries++; d.sentEnough(j) || now.Add(d.mean) >= j.Due || !d.budget.spend() {
+func (d *Dispatcher) retry(now ids.Time, j *job, e AttemptFinished) {
+	if j.tries++; d.sentEnough(j) || now.Add(d.mean) >= j.Deadline || !d.budget.spend() {
 		// A failure of the target's own is still its answer.
-		if e.How == Failed {
+		if e.Result == TargetFailed {
 			d.respond(now, j, Response{Class: Answered, Status: int(e.Response.Status), Sealed: e.Response})
 			return
 		}
@@ -42,7 +42,7 @@
 }
 
 // forwarded counts a request that leaves, by how far it goes.
-func (t *Tally) ferried(distance float64) {
+func (t *Counters) ferried(distance float64) {
 	t.Ferried++
 	switch {
 	case distance > 1:
--- a/internal/dataplane/dispatch/dispatch.go
+++ b/internal/dataplane/dispatch/dispatch.go
@@ -33,8 +33,8 @@
 	tries int
 	// sends counts the targets that it was sent to.
 	sends  int
-	target ids.Instance
-	avoid  map[ids.Instance]bool
+	target ids.InstanceID
+	avoid  map[ids.InstanceID]bool
 	// claimed: a claim was asked for and may stand.
 	claimed bool
 	// counted: this request has been counted towards the retry budget.
@@ -64,11 +64,11 @@
 type Dispatcher struct {
 	event.Outbox
 	Options
-	stock Stock
+	stock ServiceState
 	lease ids.Time
-	jobs  map[ids.Request]*job
+	jobs  map[ids.RequestID]*job
 	inbox []*job
-	spots map[ids.Instance]*spot
+	spots map[ids.InstanceID]*spot
 	// list is the spots in order, and best is used anew by each choice.
 	list   []*spot
 	best   []*spot
@@ -76,13 +76,13 @@
 	whole  map[ids.Name]time.Duration
 	mean   time.Duration
 	last   ids.Time
-	Tally  Tally
+	Tally  Counters
 	// reasons count why requests got no answer of a target.
 	reasons map[string]int
 }
 
-// Tally counts what the dispatcher did, for reports and pages.
-type Tally struct {
+// Counters counts what the dispatcher did, for reports and pages.
+type Counters struct {
 	Arrived, Declined, Unknown, Answered, Ferried, Retried, Repeats uint64
 	// Region and Far count those of Ferried that left their cell, and region.
 	Region, Far uint64
@@ -93,19 +93,19 @@
 	if p.Inbox == 0 {
 		p.Inbox = 128
 	}
-	return &Dispatcher{Options: p, jobs: map[ids.Request]*job{}, spots: map[ids.Instance]*spot{}, whole: map[ids.Name]time.Duration{}, mean: 20 * time.Millisecond}
+	return &Dispatcher{Options: p, jobs: map[ids.RequestID]*job{}, spots: map[ids.InstanceID]*spot{}, whole: map[ids.Name]time.Duration{}, mean: 20 * time.Millisecond}
 }
 
 // Step is the machine's one entrance.
 func (d *Dispatcher) Step(now ids.Time, ev event.Event) []event.Command {
 	switch e := ev.(type) {
-	case Arrive:
+	case RequestArrived:
 		d.arrive(now, e.Job)
-	case Told:
+	case IdempotencyReply:
 		d.told(now, e)
-	case Back:
+	case AttemptFinished:
 		d.back(now, e)
-	case Stock:
+	case ServiceState:
 		d.restock(now, e)
 	case Lease:
 		d.lease = e.Until
@@ -122,7 +122,7 @@
 func (d *Dispatcher) Busy() int { return len(d.jobs) }
 
 func (d *Dispatcher) arrive(now ids.Time, in Job) {
-	j := &job{Job: in, avoid: map[ids.Instance]bool{}}
+	j := &job{Job: in, avoid: map[ids.InstanceID]bool{}}
 	d.jobs[in.ID] = j
 	d.age(now, j)
 	d.Tally.Arrived++
@@ -148,13 +148,13 @@
 func (d *Dispatcher) wish(now ids.Time, j *job, op consensus.Op, p phase, wait time.Duration) {
 	j.phase = p
 	j.turn++
-	d.Emit(Wish{ID: j.ID, Turn: j.turn, Key: idempotency.Key(j.Route, j.Mark), Op: op, Wish: d.words(j), Wait: min(wait, max(j.Due.Since(now), 50*time.Millisecond))})
+	d.Emit(IdempotencyCall{ID: j.ID, Turn: j.turn, Key: idempotency.Key(j.Route, j.IdempotencyKey), Op: op, Operation: d.words(j), Wait: min(wait, max(j.Deadline.Sub(now), 50*time.Millisecond))})
 }
 
 func (d *Dispatcher) words(j *job) idempotency.Operation {
 	o := d.Self
 	o.Request = j.ID
-	return idempotency.Operation{Owner: o, Attempt: j.Attempt, Print: j.Print, Response: kept(j.response)}
+	return idempotency.Operation{Owner: o, Attempt: j.Attempt, Fingerprint: j.Fingerprint, Response: kept(j.response)}
 }
 
 // mostKept bounds the body that is kept with an outcome. Beyond it a repeat
--- a/internal/dataplane/dispatch/endings.go
+++ b/internal/dataplane/dispatch/endings.go
@@ -53,7 +53,7 @@
 	if j.Repeatable {
 		after = time.Second
 	}
-	d.respond(now, j, Response{Class: Unknown, Status: status, Why: why, After: after})
+	d.respond(now, j, Response{Class: Unknown, Status: status, Why: why, RetryAfter: after})
 }
 
 // decline gives a job up that surely has not run. A later attempt must first
@@ -62,13 +62,13 @@
 	d.free(now, j)
 	if j.marked() && j.Attempt > 1 {
 		j.why = why
-		d.wish(now, j, idempotency.OpBar, barring, 500*time.Millisecond)
+		d.wish(now, j, idempotency.OpBlock, barring, 500*time.Millisecond)
 		return
 	}
 	if j.claimed {
-		d.Emit(Wish{Key: idempotency.Key(j.Route, j.Mark), Op: idempotency.OpRelease, Wish: d.words(j), Wait: 10 * time.Second})
+		d.Emit(IdempotencyCall{Key: idempotency.Key(j.Route, j.IdempotencyKey), Op: idempotency.OpRelease, Operation: d.words(j), Wait: 10 * time.Second})
 	}
-	d.respond(now, j, Response{Class: Declined, Status: 503, Why: why, After: d.after(now, j)})
+	d.respond(now, j, Response{Class: Declined, Status: 503, Why: why, RetryAfter: d.after(now, j)})
 }
 
 // after is when a declined consumer should come back: when a place is likely,
@@ -95,7 +95,7 @@
 }
 
 func status(now ids.Time, j *job) int {
-	if now >= j.Due {
+	if now >= j.Deadline {
 		return 504
 	}
 	return 502
--- a/internal/dataplane/dispatch/inbox.go
+++ b/internal/dataplane/dispatch/inbox.go
@@ -10,12 +10,12 @@
 	"dunlinwell/internal/state/idempotency"
 )
 
-func (d *Dispatcher) order() []ids.Request { return slices.Sorted(maps.Keys(d.jobs)) }
+func (d *Dispatcher) order() []ids.RequestID { return slices.Sorted(maps.Keys(d.jobs)) }
 
 // before orders the inbox: the most urgent first, of those the ones that can
 // still meet their goal, then the least time left.
 func before(a, b *job) int {
-	return cmp.Or(-cmp.Compare(a.Tier, b.Tier), late(a)-late(b), cmp.Compare(a.Due, b.Due), cmp.Compare(a.ID, b.ID))
+	return cmp.Or(-cmp.Compare(a.Tier, b.Tier), late(a)-late(b), cmp.Compare(a.Deadline, b.Deadline), cmp.Compare(a.ID, b.ID))
 }
 
 // admit finds the job a place, or puts it into the short inbox. What can't
@@ -69,7 +69,7 @@
 	case places == 0:
 		return "no target takes work now"
 	// However short the way looks: more urgent ones may keep overtaking it.
-	case wait > j.patience() || now.Since(j.since) > j.patience() || now.Add(wait+d.mean) > j.Due:
+	case wait > j.patience() || now.Sub(j.since) > j.patience() || now.Add(wait+d.mean) > j.Deadline:
 		return "no place in the time left"
 	}
 	return ""
--- a/internal/dataplane/dispatch/late.go
+++ b/internal/dataplane/dispatch/late.go
@@ -14,7 +14,7 @@
 	if j.Goal == 0 {
 		return
 	}
-	left := j.Due.Since(now)
+	left := j.Deadline.Sub(now)
 	whole := d.whole[j.Route]
 	whole = max(left, whole-(whole-left)/wholeShare)
 	d.whole[j.Route] = whole
--- a/internal/dataplane/dispatch/late_test.go
+++ b/internal/dataplane/dispatch/late_test.go
@@ -21,21 +21,21 @@
 // crowded is a dispatcher whose one place is taken by request 1.
 func crowded() (*Dispatcher, ids.Time) {
 	now := ids.Time(time.Second)
-	d := New(Options{Dice: rand.New(rand.NewPCG(1, 1)), Self: idempotency.Owner{Daemon: "c", Start: 1}})
-	d.Step(now, Stock{Capacity: 1, Allowance: 5, InStep: true, Lease: 1 << 60, Terms: map[ids.Name]Terms{"r": {}},
+	d := New(Options{Dice: rand.New(rand.NewPCG(1, 1)), Self: idempotency.Owner{Daemon: "c", RunID: 1}})
+	d.Step(now, ServiceState{Capacity: 1, Allowance: 5, InStep: true, Lease: 1 << 60, Terms: map[ids.Name]RouteTerms{"r": {}},
 		Targets: []Offer{{Target: targets.Target{Instance: "t", Warmth: 1, Capacity: 1}, Seats: 1}}})
 	d.Step(now, event.Tick{})
 	d.Step(now, request(now, 1, patience))
 	return d, now
 }
 
-func request(now ids.Time, id ids.Request, left time.Duration) Arrive {
-	return Arrive{Job{ID: id, Route: "r", Service: "s", Repeatable: true, Attempt: 1, Goal: goal, Due: now.Add(left)}}
+func request(now ids.Time, id ids.RequestID, left time.Duration) RequestArrived {
+	return RequestArrived{Job{ID: id, Route: "r", Service: "s", Repeatable: true, Attempt: 1, Goal: goal, Deadline: now.Add(left)}}
 }
 
 // forwarded gives the request that left among commands, and declined the one
 // that was turned away.
-func ferried(list []event.Command) (out, declined ids.Request) {
+func ferried(list []event.Command) (out, declined ids.RequestID) {
 	for _, c := range list {
 		switch c := c.(type) {
 		case Ferry:
@@ -59,10 +59,10 @@
 	d.Step(now, request(now, 3, patience))
 	is.Equal(d.Waiting(), 2)
 	now = now.Add(20 * time.Millisecond)
-	out, _ := ferried(d.Step(now, Back{ID: 1, Turn: d.jobs[1].turn, How: Sealed}))
-	is.Equal(out, ids.Request(3))
-	out, _ = ferried(d.Step(now, Back{ID: 3, Turn: d.jobs[3].turn, How: Sealed}))
-	is.Equal(out, ids.Request(2))
+	out, _ := ferried(d.Step(now, AttemptFinished{ID: 1, Turn: d.jobs[1].turn, Result: Complete}))
+	is.Equal(out, ids.RequestID(3))
+	out, _ = ferried(d.Step(now, AttemptFinished{ID: 3, Turn: d.jobs[3].turn, Result: Complete}))
+	is.Equal(out, ids.RequestID(2))
 }
 
 // One whose goal is past loses nothing by a wait, while one that can meet it is
@@ -72,7 +72,7 @@
 	d, now := crowded()
 	d.Step(now, request(now, 2, patience-2*time.Second))
 	d.Step(now, request(now, 3, patience))
-	gone := map[ids.Request]time.Duration{}
+	gone := map[ids.RequestID]time.Duration{}
 	for at := time.Duration(0); at < 1500*time.Millisecond; at += 10 * time.Millisecond {
 		if _, id := ferried(d.Step(now.Add(at), event.Tick{})); id != 0 {
 			gone[id] = at
--- a/internal/dataplane/dispatch/outlier_test.go
+++ b/internal/dataplane/dispatch/outlier_test.go
@@ -48,7 +48,7 @@
 	is := is.New(t)
 	s := &spot{}
 	for range 20 {
-		s.came(1, Back{How: Failed})
+		s.came(1, AttemptFinished{Result: TargetFailed})
 	}
 	is.True(s.rest > 1)
 	is.True(!s.out && s.Usable())
--- a/internal/dataplane/dispatch/places.go
+++ b/internal/dataplane/dispatch/places.go
@@ -9,9 +9,9 @@
 	"dunlinwell/internal/controlplane/targets"
 )
 
-// Stock is what a dispatcher has to hand: an event of its own, sent whole whenever
+// ServiceState is what a dispatcher has to hand: an event of its own, sent whole whenever
 // targets, policy or the number of proxies change.
-type Stock struct {
+type ServiceState struct {
 	Targets  []Offer
 	Capacity int
 	Warm     time.Duration
@@ -24,9 +24,9 @@
 	// Lease is until when requests may leave by all this.
 	Lease ids.Time
 	// Terms are those in force, by route.
-	Terms map[ids.Name]Terms
+	Terms map[ids.Name]RouteTerms
 	// Ended tells whether a run of a proxy is over.
-	Ended func(ids.Daemon, ids.RunID) bool `json:"-"`
+	Ended func(ids.DaemonID, ids.RunID) bool `json:"-"`
 }
 
 // Offer is a target as it is offered to this proxy.
@@ -49,10 +49,10 @@
 	Rate      float64
 }
 
-func (d *Dispatcher) restock(now ids.Time, s Stock) {
+func (d *Dispatcher) restock(now ids.Time, s ServiceState) {
 	d.stock, d.lease = s, s.Lease
 	d.budget.depth = s.Allowance
-	seen := map[ids.Instance]bool{}
+	seen := map[ids.InstanceID]bool{}
 	for _, o := range s.Targets {
 		seen[o.Instance] = true
 		sp := d.spots[o.Instance]
--- a/internal/dataplane/dispatch/player_test.go
+++ b/internal/dataplane/dispatch/player_test.go
@@ -43,12 +43,12 @@
 
 func (p *player) event(t *testing.T, now ids.Time, w []string) []event.Event {
 	a := args(w[1:])
-	id := func() ids.Request { return ids.Request(number(t, w[1])) }
+	id := func() ids.RequestID { return ids.RequestID(number(t, w[1])) }
 	switch w[0] {
 	case "stock":
 		return []event.Event{stock(t, now, a)}
 	case "arrive":
-		j := Job{ID: id(), Route: "r", Service: "s", Tier: 5, Attempt: 1, Due: now.Add(5 * time.Second), Terms: Terms{Service: ids.Name(a["terms"])}, Repeatable: a["mark"] == "", Mark: ids.IdempotencyKey(a["mark"]), Print: []byte(a["print"])}
+		j := Job{ID: id(), Route: "r", Service: "s", Tier: 5, Attempt: 1, Deadline: now.Add(5 * time.Second), Terms: RouteTerms{Service: ids.Name(a["terms"])}, Repeatable: a["mark"] == "", IdempotencyKey: ids.IdempotencyKey(a["mark"]), Fingerprint: []byte(a["print"])}
 		if a["try"] != "" {
 			j.Attempt = uint32(number(t, a["try"]))
 		}
@@ -57,15 +57,15 @@
 		}
 		if a["due"] != "" {
 			span, _ := time.ParseDuration(a["due"])
-			j.Due = now.Add(span)
+			j.Deadline = now.Add(span)
 		}
-		return []event.Event{Arrive{asked(t, j, a)}}
+		return []event.Event{RequestArrived{asked(t, j, a)}}
 	case "told":
 		return []event.Event{p.told(t, id(), a)}
 	case "back":
-		how := map[string]How{"sealed": Sealed, "maybe": Maybe, "notsent": NotSent, "notrun": NotRun, "foreign": Foreign, "failed": Failed}[w[2]]
-		b := Back{ID: id(), Turn: p.turns[id()], How: how, Response: idempotency.Response{Status: 200, Body: []byte("body")}, Why: w[2]}
-		if how == Failed {
+		how := map[string]AttemptResult{"sealed": Complete, "maybe": MayHaveRun, "notsent": NotSent, "notrun": NotExecuted, "foreign": WrongTarget, "failed": TargetFailed}[w[2]]
+		b := AttemptFinished{ID: id(), Turn: p.turns[id()], Result: how, Response: idempotency.Response{Status: 200, Body: []byte("body")}, Why: w[2]}
+		if how == TargetFailed {
 			b.Response = idempotency.Response{Status: 500, Body: []byte("failure")}
 		}
 		if a["running"] != "" {
@@ -85,41 +85,41 @@
 	return nil
 }
 
-func (p *player) told(t *testing.T, id ids.Request, a map[string]string) Told {
-	e := Told{ID: id, Turn: p.turns[id], State: consensus.Done}
-	s := idempotency.Record{Print: []byte(a["print"])}
+func (p *player) told(t *testing.T, id ids.RequestID, a map[string]string) IdempotencyReply {
+	e := IdempotencyReply{ID: id, Turn: p.turns[id], Outcome: consensus.Succeeded}
+	s := idempotency.Record{Fingerprint: []byte(a["print"])}
 	if a["owner"] != "" {
-		s.Owner = idempotency.Owner{Daemon: ids.Daemon(a["owner"]), Start: 1}
+		s.Owner = idempotency.Owner{Daemon: ids.DaemonID(a["owner"]), RunID: 1}
 	}
 	switch {
 	case a["over"] != "":
-		s.State, s.Response = idempotency.Over, idempotency.Response{Status: 200, Body: []byte(a["over"])}
+		s.State, s.Response = idempotency.Completed, idempotency.Response{Status: 200, Body: []byte(a["over"])}
 	case a["running"] != "":
 		s.State = idempotency.Claimed
 	}
 	if a["entered"] != "" {
 		s.Entered = uint32(number(t, a["entered"]))
 	}
-	verdicts := map[string]idempotency.Verdict{"yours": idempotency.Yours, "running": idempotency.Running, "over": idempotency.Ended, "barred": idempotency.Barred, "unlike": idempotency.Unlike, "free": idempotency.Free}
+	verdicts := map[string]idempotency.Verdict{"yours": idempotency.Granted, "running": idempotency.InProgress, "over": idempotency.AlreadyCompleted, "barred": idempotency.AttemptBlocked, "unlike": idempotency.FingerprintMismatch, "free": idempotency.Released}
 	if a["slip"] != "" {
 		e.Out, _ = wire.Encode(s)
 		return e
 	}
 	for k, v := range verdicts {
 		if a[k] != "" {
-			e.Out, _ = wire.Encode(idempotency.Result{Verdict: v, Slip: s})
+			e.Out, _ = wire.Encode(idempotency.Result{Verdict: v, Record: s})
 		}
 	}
 	if a["uncertain"] != "" {
-		e.State = consensus.Uncertain
+		e.Outcome = consensus.Indeterminate
 	}
 	return e
 }
 
-func stock(t *testing.T, now ids.Time, a map[string]string) Stock {
-	s := Stock{Capacity: 2, InStep: a["outofstep"] == "", Closed: a["closed"] != "", Lease: now.Add(time.Hour), Allowance: 2,
-		Terms: map[ids.Name]Terms{"r": {Service: ids.Name(a["terms"])}},
-		Ended: func(d ids.Daemon, _ ids.RunID) bool { return d == "gone" }}
+func stock(t *testing.T, now ids.Time, a map[string]string) ServiceState {
+	s := ServiceState{Capacity: 2, InStep: a["outofstep"] == "", Closed: a["closed"] != "", Lease: now.Add(time.Hour), Allowance: 2,
+		Terms: map[ids.Name]RouteTerms{"r": {Service: ids.Name(a["terms"])}},
+		Ended: func(d ids.DaemonID, _ ids.RunID) bool { return d == "gone" }}
 	if span, err := time.ParseDuration(a["lease"]); err == nil {
 		s.Lease = now.Add(span)
 	}
@@ -128,7 +128,7 @@
 			continue
 		}
 		n, more, _ := strings.Cut(n, ";")
-		o := Offer{Target: targets.Target{Instance: ids.Instance(n), Warmth: 1, Age: 1e6, Capacity: 1}, At: now, Seats: 1}
+		o := Offer{Target: targets.Target{Instance: ids.InstanceID(n), Warmth: 1, Age: 1e6, Capacity: 1}, At: now, Seats: 1}
 		o.Leaving = n == a["leaving"]
 		o.Distance = float64(len(n))
 		s.Targets = append(s.Targets, placed(t, now, o, args(strings.Split(more, ";"))))
@@ -196,8 +196,8 @@
 
 func (p *player) command(c event.Command) string {
 	switch c := c.(type) {
-	case Wish:
-		ops := map[consensus.Op]string{consensus.Read: "look", idempotency.OpClaim: "claim", idempotency.OpBar: "bar", idempotency.OpRelease: "release", idempotency.OpOutcome: "outcome", idempotency.OpEnter: "enter"}
+	case IdempotencyCall:
+		ops := map[consensus.Op]string{consensus.Read: "look", idempotency.OpClaim: "claim", idempotency.OpBlock: "bar", idempotency.OpRelease: "release", idempotency.OpOutcome: "outcome", idempotency.OpEnter: "enter"}
 		if c.Turn == 0 {
 			return fmt.Sprintf("%s in passing %s", ops[c.Op], c.Key)
 		}
@@ -206,7 +206,7 @@
 	case Ferry:
 		p.turns[c.ID] = c.Turn
 		fresh := ""
-		if c.Fresh {
+		if c.NewConnection {
 			fresh = " fresh"
 		}
 		if c.Careful {
@@ -214,7 +214,7 @@
 		}
 		return fmt.Sprintf("ferry %d to %s%s", c.ID, c.Target.Instance, fresh)
 	case Response:
-		return fmt.Sprintf("reply %d %s %d %q retry=%s %s", c.ID, []string{"", "declined", "unknown", "answered", "misused"}[c.Class], c.Status, c.Why, after(c.After), c.Sealed.Body)
+		return fmt.Sprintf("reply %d %s %d %q retry=%s %s", c.ID, []string{"", "declined", "unknown", "answered", "misused"}[c.Class], c.Status, c.Why, after(c.RetryAfter), c.Sealed.Body)
 	}
 	return fmt.Sprintf("%T", c)
 }
--- a/internal/dataplane/dispatch/spot.go
+++ b/internal/dataplane/dispatch/spot.go
@@ -48,17 +48,17 @@
 )
 
 // came notes how a request came back.
-func (s *spot) came(now ids.Time, e Back) {
-	switch e.How {
-	case NotSent, Maybe:
+func (s *spot) came(now ids.Time, e AttemptFinished) {
+	switch e.Result {
+	case NotSent, MayHaveRun:
 		s.rest = max(s.rest, now.Add(restFor))
-	case NotRun:
+	case NotExecuted:
 		s.rest = now.Add(restFull)
-	case Foreign:
+	case WrongTarget:
 		s.rest = now.Add(restForeign)
 	}
-	if e.How != NotRun && e.How != Foreign {
-		bad := e.How != Sealed || e.Response.Status >= 500
+	if e.Result != NotExecuted && e.Result != WrongTarget {
+		bad := e.Result != Complete || e.Response.Status >= 500
 		s.rest = max(s.rest, s.outlier.seen(now, bad))
 	}
 	if e.Told && e.Slots > 0 {
@@ -69,7 +69,7 @@
 // silent tells whether a target has held requests for long without a word. It
 // may just be slow, so it is only left alone while there is another.
 func (s *spot) silent(now ids.Time, mean time.Duration) bool {
-	return s.busy > 0 && now.Since(s.turn) > max(4*mean, 400*time.Millisecond)
+	return s.busy > 0 && now.Sub(s.turn) > max(4*mean, 400*time.Millisecond)
 }
 
 // warm tells whether a target may get one more by its rate, if it is cold.
@@ -83,7 +83,7 @@
 	if s.filled == 0 {
 		s.tokens = 1
 	} else {
-		s.tokens = min(s.tokens+now.Since(s.filled).Seconds()*s.Rate, 1)
+		s.tokens = min(s.tokens+now.Sub(s.filled).Seconds()*s.Rate, 1)
 	}
 	s.filled = now
 	return s.tokens >= 1
@@ -99,7 +99,7 @@
 	warm := o.Warmth
 	if d.stock.Warm > 0 {
 		// Back from a restart it starts cold and ramps, whatever it says.
-		age := time.Duration(o.Age)*time.Millisecond + now.Since(o.At)
+		age := time.Duration(o.Age)*time.Millisecond + now.Sub(o.At)
 		warm = min(warm, max(coldest, float64(age)/float64(d.stock.Warm)))
 	}
 	bears := int(math.Max(1, capacity*warm)) * max(o.Over, 1)
@@ -149,7 +149,7 @@
 			near = near || s.Distance <= 1
 		}
 	}
-	waited := float64(now.Since(j.since)) / float64(j.Goal)
+	waited := float64(now.Sub(j.since)) / float64(j.Goal)
 	switch {
 	case own && waited < nearWait:
 		return 0
@@ -217,7 +217,7 @@
 	if s.Capacity > 0 {
 		own = max(own, float64(s.Occupancy)/float64(s.Capacity))
 	}
-	if s.loadAt != 0 && now.Since(s.loadAt) < loadFor {
+	if s.loadAt != 0 && now.Sub(s.loadAt) < loadFor {
 		own = max(own, s.load)
 	}
 	return own
--- a/internal/dataplane/dispatch/steps.go
+++ b/internal/dataplane/dispatch/steps.go
@@ -10,7 +10,7 @@
 )
 
 // told goes on with a job once its mark's register has spoken.
-func (d *Dispatcher) told(now ids.Time, e Told) {
+func (d *Dispatcher) told(now ids.Time, e IdempotencyReply) {
 	j := d.jobs[e.ID]
 	if j == nil || j.turn != e.Turn {
 		return
@@ -31,14 +31,14 @@
 	}
 }
 
-func (d *Dispatcher) looked(now ids.Time, j *job, e Told) {
+func (d *Dispatcher) looked(now ids.Time, j *job, e IdempotencyReply) {
 	s, ok := idempotency.DecodeRecord(e.Out)
 	switch {
-	case e.State != consensus.Done || !ok:
+	case e.Outcome != consensus.Succeeded || !ok:
 		d.unknown(now, j, 504, "an earlier attempt may have run; its mark can't be read now")
-	case s.State != idempotency.Clear && !bytes.Equal(s.Print, j.Print):
+	case s.State != idempotency.Unclaimed && !bytes.Equal(s.Fingerprint, j.Fingerprint):
 		d.misused(now, j)
-	case s.State == idempotency.Over:
+	case s.State == idempotency.Completed:
 		d.repeated(now, j, s.Response)
 	case s.State == idempotency.Claimed:
 		d.wait(now, j, s.Owner)
@@ -48,22 +48,22 @@
 }
 
 // entered goes on with an attempt that the register has numbered.
-func (d *Dispatcher) entered(now ids.Time, j *job, e Told) {
-	r, ok := idempotency.OpenResult(e.Out)
+func (d *Dispatcher) entered(now ids.Time, j *job, e IdempotencyReply) {
+	r, ok := idempotency.DecodeResult(e.Out)
 	switch {
-	case e.State != consensus.Done || !ok:
+	case e.Outcome != consensus.Succeeded || !ok:
 		d.unknown(now, j, 504, "an earlier attempt may have run; its mark can't be read now")
-	case r.Verdict == idempotency.Free:
-		j.Attempt = max(r.Slip.Entered, 1)
+	case r.Verdict == idempotency.Released:
+		j.Attempt = max(r.Record.Entered, 1)
 		d.admit(now, j)
-	case r.Verdict == idempotency.Unlike:
+	case r.Verdict == idempotency.FingerprintMismatch:
 		d.misused(now, j)
-	case r.Verdict == idempotency.Ended:
-		d.repeated(now, j, r.Slip.Response)
-	case r.Verdict == idempotency.Lost:
+	case r.Verdict == idempotency.AlreadyCompleted:
+		d.repeated(now, j, r.Record.Response)
+	case r.Verdict == idempotency.RecordLost:
 		d.unknown(now, j, 504, "an earlier attempt may have run; marks were lost of late")
 	default:
-		d.wait(now, j, r.Slip.Owner)
+		d.wait(now, j, r.Record.Owner)
 	}
 }
 
@@ -74,12 +74,12 @@
 // wait is for another's run. One whose proxy is gone will never tell.
 func (d *Dispatcher) wait(now ids.Time, j *job, o idempotency.Owner) {
 	d.free(now, j)
-	if o.Daemon != d.Self.Daemon && d.stock.Ended != nil && d.stock.Ended(o.Daemon, o.Start) {
+	if o.Daemon != d.Self.Daemon && d.stock.Ended != nil && d.stock.Ended(o.Daemon, o.RunID) {
 		d.unknown(now, j, 504, "may have run; the proxy that had it is gone")
 		return
 	}
 	// A run of our own that isn't at hand any more ended before a restart.
-	if o.Daemon == d.Self.Daemon && o.Start != d.Self.Start {
+	if o.Daemon == d.Self.Daemon && o.RunID != d.Self.RunID {
 		d.unknown(now, j, 504, "may have run; this proxy was restarted meanwhile")
 		return
 	}
@@ -87,49 +87,49 @@
 	j.turn++
 }
 
-func (d *Dispatcher) claimed(now ids.Time, j *job, e Told) {
-	r, ok := idempotency.OpenResult(e.Out)
-	if e.State != consensus.Done || !ok {
+func (d *Dispatcher) claimed(now ids.Time, j *job, e IdempotencyReply) {
+	r, ok := idempotency.DecodeResult(e.Out)
+	if e.Outcome != consensus.Succeeded || !ok {
 		d.decline(now, j, "the mark couldn't be claimed in time")
 		return
 	}
 	switch r.Verdict {
-	case idempotency.Yours:
+	case idempotency.Granted:
 		// A claim alone is not enough: time must be left, and no pause noticed.
 		switch {
-		case now >= j.Due:
+		case now >= j.Deadline:
 			d.decline(now, j, "no time left")
 		case d.paused(now):
 			d.decline(now, j, "this proxy was paused")
 		default:
 			d.ferry(now, j)
 		}
-	case idempotency.Running:
-		d.wait(now, j, r.Slip.Owner)
-	case idempotency.Ended:
-		d.repeated(now, j, r.Slip.Response)
-	case idempotency.Unlike:
+	case idempotency.InProgress:
+		d.wait(now, j, r.Record.Owner)
+	case idempotency.AlreadyCompleted:
+		d.repeated(now, j, r.Record.Response)
+	case idempotency.FingerprintMismatch:
 		d.misused(now, j)
-	case idempotency.Lost:
+	case idempotency.RecordLost:
 		j.claimed = false
 		d.unknown(now, j, 504, "an earlier attempt may have run; marks were lost of late")
 	default:
 		// Barred: a later attempt was told that this one will never run.
 		j.claimed = false
-		d.respond(now, j, Response{Class: Declined, Status: 503, Why: "given up in favour of a later attempt", After: time.Second})
+		d.respond(now, j, Response{Class: Declined, Status: 503, Why: "given up in favour of a later attempt", RetryAfter: time.Second})
 	}
 }
 
-func (d *Dispatcher) barred(now ids.Time, j *job, e Told) {
-	r, ok := idempotency.OpenResult(e.Out)
+func (d *Dispatcher) barred(now ids.Time, j *job, e IdempotencyReply) {
+	r, ok := idempotency.DecodeResult(e.Out)
 	switch {
-	case e.State != consensus.Done || !ok:
+	case e.Outcome != consensus.Succeeded || !ok:
 		d.unknown(now, j, 504, j.why+"; whether an earlier attempt ran isn't known")
-	case r.Verdict == idempotency.Free:
-		d.respond(now, j, Response{Class: Declined, Status: 503, Why: j.why, After: time.Second})
-	case r.Verdict == idempotency.Ended:
-		d.repeated(now, j, r.Slip.Response)
-	case r.Verdict == idempotency.Unlike:
+	case r.Verdict == idempotency.Released:
+		d.respond(now, j, Response{Class: Declined, Status: 503, Why: j.why, RetryAfter: time.Second})
+	case r.Verdict == idempotency.AlreadyCompleted:
+		d.repeated(now, j, r.Record.Response)
+	case r.Verdict == idempotency.FingerprintMismatch:
 		d.misused(now, j)
 	default:
 		d.unknown(now, j, 504, "another attempt may still run")
@@ -170,39 +170,39 @@
 	j.turn++
 	j.placed = now
 	d.Tally.ferried(s.Distance)
-	d.Emit(Ferry{ID: j.ID, Turn: j.turn, Target: s.Target, Due: j.Due, By: min(j.Due, d.lease), Fresh: j.marked(), Careful: j.Single})
+	d.Emit(Ferry{ID: j.ID, Turn: j.turn, Target: s.Target, Deadline: j.Deadline, SendBefore: min(j.Deadline, d.lease), NewConnection: j.marked(), Careful: j.Single})
 }
 
 // back takes a forwarded request's end.
-func (d *Dispatcher) back(now ids.Time, e Back) {
+func (d *Dispatcher) back(now ids.Time, e AttemptFinished) {
 	j := d.jobs[e.ID]
 	if j == nil || j.turn != e.Turn || j.phase != ferrying {
 		return
 	}
 	s := d.spots[j.target]
 	// A failure is sealed too: where nobody may try again it is the answer.
-	if e.How == Failed && !j.Repeatable {
-		e.How = Sealed
+	if e.Result == TargetFailed && !j.Repeatable {
+		e.Result = Complete
 	}
-	if e.How == Sealed {
-		d.mean += (now.Since(j.placed) - d.mean) / 8
+	if e.Result == Complete {
+		d.mean += (now.Sub(j.placed) - d.mean) / 8
 	}
 	if s != nil {
 		s.came(now, e)
 	}
 	j.avoid[j.target] = true
 	d.free(now, j)
-	if e.How == NotSent && j.earned {
+	if e.Result == NotSent && j.earned {
 		d.budget.unearn()
 		j.earned, j.counted = false, false
 	}
 	switch {
-	case e.How == Sealed && !j.marked():
+	case e.Result == Complete && !j.marked():
 		d.respond(now, j, Response{Class: Answered, Status: int(e.Response.Status), Sealed: e.Response})
-	case e.How == Sealed:
+	case e.Result == Complete:
 		j.response = e.Response
 		d.wish(now, j, idempotency.OpOutcome, settling, 500*time.Millisecond)
-	case e.How == NotSent:
+	case e.Result == NotSent:
 		// Nothing left, so another target may have it, and no retry is spent.
 		j.sends--
 		if j.tries++; j.tries > 3 {
@@ -210,7 +210,7 @@
 			return
 		}
 		d.admit(now, j)
-	case e.How == NotRun || e.How == Foreign:
+	case e.Result == NotExecuted || e.Result == WrongTarget:
 		d.turnedAway(now, j, e)
 	case j.Repeatable:
 		d.retry(now, j, e)
@@ -219,7 +219,7 @@
 	default:
 		// Final: a repeat learns at once that nobody will ever know more.
 		j.response = idempotency.Response{Status: 504, Cut: true}
-		d.Emit(Wish{Key: idempotency.Key(j.Route, j.Mark), Op: idempotency.OpOutcome, Wish: d.words(j), Wait: 10 * time.Second})
+		d.Emit(IdempotencyCall{Key: idempotency.Key(j.Route, j.IdempotencyKey), Op: idempotency.OpOutcome, Operation: d.words(j), Wait: 10 * time.Second})
 		d.unknown(now, j, status(now, j), "may have run: "+e.Why)
 	}
 	d.drain(now)
@@ -236,7 +236,7 @@
 		j := d.jobs[id]
 		switch {
 		case j == nil:
-		case j.phase == waiting && now >= j.Due:
+		case j.phase == waiting && now >= j.Deadline:
 			d.unknown(now, j, 504, "another attempt is still running")
 		case j.phase == waiting && now >= j.again:
 			d.look(now, j)
--- a/internal/dataplane/dispatch/withheld.go
+++ b/internal/dataplane/dispatch/withheld.go
@@ -9,9 +9,9 @@
 // Lease tells until when requests may leave by what is known now.
 type Lease struct{ Until ids.Time }
 
-// Terms are what a route says of its requests. A request taken by others than
+// RouteTerms are what a route says of its requests. A request taken by others than
 // those in force by now doesn't leave.
-type Terms struct {
+type RouteTerms struct {
 	Host       string
 	Prefix     string
 	Service    ids.Name
@@ -24,7 +24,7 @@
 
 // paused tells whether this process slept, or isn't in step: nothing leaves.
 func (d *Dispatcher) paused(now ids.Time) bool {
-	return !d.stock.InStep || (d.last != 0 && now.Since(d.last) > pauseOver)
+	return !d.stock.InStep || (d.last != 0 && now.Sub(d.last) > pauseOver)
 }
 
 // withheld tells why nothing of a job may leave just now, if so. It is asked
--- a/internal/dataplane/proxy/agreement.go
+++ b/internal/dataplane/proxy/agreement.go
@@ -22,16 +22,16 @@
 		// cost a round of the stores for each proxy and second.
 		after = 4 * askAfter
 	}
-	if c.reading || now.Since(c.agreed) < after {
+	if c.reading || now.Sub(c.agreed) < after {
 		return
 	}
 	c.reading = true
-	c.Client.Call(now, configuration.Key, consensus.Read, nil, time.Second, func(at ids.Time, s consensus.State, out []byte) {
+	c.Client.Call(now, configuration.Key, consensus.Read, nil, time.Second, func(at ids.Time, s consensus.Outcome, out []byte) {
 		c.reading = false
-		if s != consensus.Done {
+		if s != consensus.Succeeded {
 			return
 		}
-		if p, err := configuration.Open(out); err == nil {
+		if p, err := configuration.Decode(out); err == nil {
 			p.Recent, p.Declined, p.History = nil, nil, nil
 			c.adopt(at, out)
 			c.confirm(at, p.Revision, now)
@@ -45,7 +45,7 @@
 	if c.view.Revision >= r {
 		c.agreed = max(c.agreed, at)
 		// An agreement of late may have begun before this run did.
-		c.current = c.current || now.Since(at) <= agreedWithin
+		c.current = c.current || now.Sub(at) <= agreedWithin
 	}
 }
 
--- a/internal/dataplane/proxy/carry.go
+++ b/internal/dataplane/proxy/carry.go
@@ -27,8 +27,8 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Held is the room that the body has, and the answer will.
-	Held   *Held
+	// Memory is the room that the body has, and the answer will.
+	Memory *MemoryReservation
 	Remote string
 	// ID is what the target is to echo.
 	ID string
@@ -52,16 +52,16 @@
 }
 
 // requestID is the id that the target echoes.
-func (d *Daemon) requestID(r ids.Request) string {
-	return fmt.Sprintf("%s-%x-%d", d.Params.Name, uint64(d.self.Start), r)
+func (d *Daemon) requestID(r ids.RequestID) string {
+	return fmt.Sprintf("%s-%x-%d", d.Params.Name, uint64(d.self.RunID), r)
 }
 
 // carry takes a request to its target, once, and judges what comes back.
-func (d *Daemon) carry(c *ClientRequest, f dispatch.Ferry) dispatch.Back {
-	back := dispatch.Back{ID: f.ID, Turn: f.Turn, How: dispatch.NotSent}
-	until := time.Now().Add(f.Due.Since(process.Now()))
+func (d *Daemon) carry(c *ClientRequest, f dispatch.Ferry) dispatch.AttemptFinished {
+	back := dispatch.AttemptFinished{ID: f.ID, Turn: f.Turn, Result: dispatch.NotSent}
+	until := time.Now().Add(f.Deadline.Sub(process.Now()))
 	var line *circuit
-	if !f.Fresh {
+	if !f.NewConnection {
 		line = d.circuits.takeFor(f.Target, f.Careful)
 	}
 	if line == nil {
@@ -72,19 +72,19 @@
 		}
 	}
 	// The last look before the first byte: time left, and no pause since.
-	if !MayLeave(process.Now(), f.By, ids.Time(d.beat.Load())) {
+	if !MayLeave(process.Now(), f.SendBefore, ids.Time(d.beat.Load())) {
 		line.Close()
 		back.Why = "no time left, or this proxy was paused"
 		return back
 	}
 	_ = line.SetDeadline(until)
-	head := d.trade.Outgoing(c, f, f.Due.Since(process.Now()))
+	head := d.trade.Outgoing(c, f, f.Deadline.Sub(process.Now()))
 	n, err := line.Write(pack(c, f, head))
 	if err == nil && len(c.Body) > mostPacked {
 		_, err = line.Write(c.Body)
 	}
 	if n > 0 {
-		back.How = dispatch.Maybe
+		back.Result = dispatch.MayHaveRun
 	}
 	if err != nil {
 		d.circuits.dead(line)
@@ -106,7 +106,7 @@
 	} else {
 		line.Close()
 	}
-	back.How, back.Response, back.Why = v.How, v.Response, v.Why
+	back.Result, back.Response, back.Why = v.How, v.Response, v.Why
 	back.Told, back.Running, back.Waiting, back.Slots = v.Told, v.Running, v.Waiting, v.Slots
 	return back
 }
@@ -158,7 +158,7 @@
 		}
 		// The body has a limit of its own.
 		line.bound.N = math.MaxInt64
-		body, err := d.body(res, peer, c.Held)
+		body, err := d.body(res, peer, c.Memory)
 		if err != nil {
 			return Verdict{}, err
 		}
@@ -179,7 +179,7 @@
 }
 
 // body reads an answer's body, whole and within the limit.
-func (d *Daemon) body(res *http.Response, peer string, held *Held) ([]byte, error) {
+func (d *Daemon) body(res *http.Response, peer string, held *MemoryReservation) ([]byte, error) {
 	defer res.Body.Close()
 	limit := d.Params.MaxResponse
 	if res.StatusCode < 200 {
