--- a/internal/dataplane/proxy/carry_test.go
+++ b/internal/dataplane/proxy/carry_test.go
@@ -86,16 +86,16 @@
 }
 
 func newCarrier() *Daemon {
-	d := NewDaemon(Params{Common: settings.Common{Name: "c1", Address: "127.0.0.1:1", HTTP: "127.0.0.1:2", Cell: "a", Log: "error"}, MaxResponse: 1000})
-	d.self = membership.Member{ID: "c1", Start: 7}
+	d := NewDaemon(DaemonOptions{Common: settings.Common{Name: "c1", Address: "127.0.0.1:1", HTTP: "127.0.0.1:2", Cell: "a", Log: "error"}, MaxResponse: 1000})
+	d.self = membership.Member{ID: "c1", RunID: 7}
 	return d
 }
 
-func (d *Daemon) once(s *stand, fresh, repeatable bool) dispatch.Back {
+func (d *Daemon) once(s *stand, fresh, repeatable bool) dispatch.AttemptFinished {
 	d.beat.Store(int64(process.Now()))
-	c := &ClientRequest{Method: "POST", URI: "/x?y=1", Body: []byte("{}"), Job: dispatch.Job{ID: 3, Mark: "m", Attempt: 1, Repeatable: repeatable},
+	c := &ClientRequest{Method: "POST", URI: "/x?y=1", Body: []byte("{}"), Job: dispatch.Job{ID: 3, IdempotencyKey: "m", Attempt: 1, Repeatable: repeatable},
 		Header: http.Header{"Idempotency-Key": {"m"}, "Connection": {"X-Own"}, "X-Own": {"1"}, "X-Kept": {"2"}}}
-	return d.carry(c, dispatch.Ferry{ID: 3, Turn: 1, Fresh: fresh, Due: process.Now().Add(5 * time.Second), By: process.Now().Add(5 * time.Second),
+	return d.carry(c, dispatch.Ferry{ID: 3, Turn: 1, NewConnection: fresh, Deadline: process.Now().Add(5 * time.Second), SendBefore: process.Now().Add(5 * time.Second),
 		Target: targets.Target{Instance: "t", Service: "s", Incarnation: 4, Address: ids.Address(s.Addr().String())}})
 }
 
@@ -103,7 +103,7 @@
 	is := is.New(t)
 	s, d := newStand(t), newCarrier()
 	b := d.once(s, true, false)
-	is.Equal(b.How, dispatch.Sealed)
+	is.Equal(b.Result, dispatch.Complete)
 	is.Equal(string(b.Response.Body), "hello")
 	h := *s.headers.Load()
 	is.Equal(h.Get("X-Kept"), "2")
@@ -112,9 +112,9 @@
 		is.True(line.Name != "Keep-Alive")
 	}
 	// A repeatable one may use the connection again, an unrepeatable one may not.
-	is.Equal(d.once(s, false, true).How, dispatch.Sealed)
+	is.Equal(d.once(s, false, true).Result, dispatch.Complete)
 	is.Equal(s.circs.Load(), int64(1))
-	is.Equal(d.once(s, true, false).How, dispatch.Sealed)
+	is.Equal(d.once(s, true, false).Result, dispatch.Complete)
 	is.Equal(s.circs.Load(), int64(2))
 }
 
@@ -137,8 +137,8 @@
 		s, d := newStand(t), newCarrier()
 		s.answer = answer
 		b := d.once(s, true, false)
-		if b.How != dispatch.Maybe {
-			t.Errorf("%s: %v %s", name, b.How, b.Why)
+		if b.Result != dispatch.MayHaveRun {
+			t.Errorf("%s: %v %s", name, b.Result, b.Why)
 		}
 		is.Equal(s.asked.Load(), int64(1)) // sent once, whatever came back
 	}
@@ -152,7 +152,7 @@
 		`{"instance":"t","service":"s","incarnation":5}`, `{}`, `not JSON`} {
 		s, d := newStand(t), newCarrier()
 		s.page = page
-		is.Equal(d.once(s, true, false).How, dispatch.NotSent)
+		is.Equal(d.once(s, true, false).Result, dispatch.NotSent)
 		is.Equal(s.asked.Load(), int64(0))
 	}
 	// A connection that was closed while it lay idle is not used.
@@ -160,8 +160,8 @@
 	s.answer = func(r *http.Request) string {
 		return strings.Replace(good(r), "Content-Length", "Connection: close\r\nContent-Length", 1)
 	}
-	is.Equal(d.once(s, false, true).How, dispatch.Sealed)
-	is.Equal(d.once(s, false, true).How, dispatch.Sealed)
+	is.Equal(d.once(s, false, true).Result, dispatch.Complete)
+	is.Equal(d.once(s, false, true).Result, dispatch.Complete)
 	is.Equal(s.circs.Load(), int64(2))
 }
 
--- a/internal/dataplane/proxy/circuits.go
+++ b/internal/dataplane/proxy/circuits.go
@@ -21,11 +21,11 @@
 // WellKnown is the page on which a target says who it is.
 const WellKnown = "/.well-known/dunlinwell"
 
-// Shown is what that page says.
-type Shown struct {
-	Instance ids.Instance `json:"instance"`
-	Service  ids.Name     `json:"service"`
-	Leaving  bool         `json:"leaving"`
+// IdentityDocument is what that page says.
+type IdentityDocument struct {
+	Instance ids.InstanceID `json:"instance"`
+	Service  ids.Name       `json:"service"`
+	Leaving  bool           `json:"leaving"`
 	// Incarnation may be left out; a target that shows it is never taken for
 	// the run before its restart, which was warm.
 	Incarnation ids.Incarnation `json:"incarnation"`
@@ -35,7 +35,7 @@
 // here: it resends by itself on a dead connection, and then an order runs twice.
 type circuits struct {
 	mu   sync.Mutex
-	idle map[ids.Instance][]*circuit
+	idle map[ids.InstanceID][]*circuit
 	from net.IP
 	// greets: a new connection first asks its target who it is.
 	greets bool
@@ -63,7 +63,7 @@
 )
 
 // take gives an idle connection that is surely still open.
-func (p *circuits) take(id ids.Instance, careful bool) *circuit {
+func (p *circuits) take(id ids.InstanceID, careful bool) *circuit {
 	for {
 		p.mu.Lock()
 		list := p.idle[id]
@@ -74,7 +74,7 @@
 		c := list[len(list)-1]
 		p.idle[id] = list[:len(list)-1]
 		p.mu.Unlock()
-		idled := process.Now().Since(c.idled)
+		idled := process.Now().Sub(c.idled)
 		if idled < c.usable && !(careful && idled > p.careful()) && c.quiet() {
 			c.reused, c.heard = idled, false
 			return c
@@ -110,7 +110,7 @@
 }
 
 // keep holds a connection for later, unless there are enough.
-func (p *circuits) keep(id ids.Instance, c *circuit, idle time.Duration) {
+func (p *circuits) keep(id ids.InstanceID, c *circuit, idle time.Duration) {
 	c.idled, c.usable = process.Now(), idleUsable
 	if idle > 0 {
 		c.usable = max(idle-idleMargin, 0)
@@ -123,7 +123,7 @@
 		return
 	}
 	if p.idle == nil {
-		p.idle = map[ids.Instance][]*circuit{}
+		p.idle = map[ids.InstanceID][]*circuit{}
 	}
 	p.idle[id] = append(p.idle[id], c)
 }
@@ -135,7 +135,7 @@
 	for id, list := range p.idle {
 		var stay []*circuit
 		for _, c := range list {
-			if process.Now().Since(c.idled) < c.usable {
+			if process.Now().Sub(c.idled) < c.usable {
 				stay = append(stay, c)
 			} else {
 				c.Close()
@@ -188,8 +188,8 @@
 	return c, nil
 }
 
-func (c *circuit) ask(t targets.Target) (Shown, error) {
-	var s Shown
+func (c *circuit) ask(t targets.Target) (IdentityDocument, error) {
+	var s IdentityDocument
 	req, err := http.NewRequest(http.MethodGet, "http://"+string(t.Address)+WellKnown, nil)
 	if err != nil {
 		return s, errs.Wrap(err, "ask target", string(t.Address))
--- a/internal/dataplane/proxy/circuits_test.go
+++ b/internal/dataplane/proxy/circuits_test.go
@@ -26,7 +26,7 @@
 }
 
 func (p plain) Judge(res *http.Response, body []byte, c *ClientRequest, _ dispatch.Ferry) (Verdict, error) {
-	v := Verdict{How: dispatch.Sealed, Response: Sealed(res, body), Again: true, Idle: p.idle}
+	v := Verdict{How: dispatch.Complete, Response: Sealed(res, body), Again: true, Idle: p.idle}
 	switch res.Header.Get("Id") {
 	case c.ID:
 		return v, nil
@@ -49,22 +49,22 @@
 
 func echo(r *http.Request) string { return named(r, r.Header.Get("Id"), "of "+r.Header.Get("Id")) }
 
-func (d *Daemon) put(s *stand, id string, careful bool) dispatch.Back {
+func (d *Daemon) put(s *stand, id string, careful bool) dispatch.AttemptFinished {
 	return d.send(s, &ClientRequest{ID: id}, careful)
 }
 
-func (d *Daemon) putHeld(s *stand, id string, h *Held) dispatch.Back {
-	return d.send(s, &ClientRequest{ID: id, Held: h}, false)
+func (d *Daemon) putHeld(s *stand, id string, h *MemoryReservation) dispatch.AttemptFinished {
+	return d.send(s, &ClientRequest{ID: id, Memory: h}, false)
 }
 
-func (d *Daemon) send(s *stand, c *ClientRequest, careful bool) dispatch.Back {
+func (d *Daemon) send(s *stand, c *ClientRequest, careful bool) dispatch.AttemptFinished {
 	return d.sendWithin(s, c, careful, 5*time.Second)
 }
 
-func (d *Daemon) sendWithin(s *stand, c *ClientRequest, careful bool, within time.Duration) dispatch.Back {
+func (d *Daemon) sendWithin(s *stand, c *ClientRequest, careful bool, within time.Duration) dispatch.AttemptFinished {
 	d.beat.Store(int64(process.Now()))
 	c.Method, c.URI, c.Header = "POST", "/x", http.Header{"Id": {c.ID}}
-	return d.carry(c, dispatch.Ferry{ID: 1, Turn: 1, Careful: careful, Due: process.Now().Add(within), By: process.Now().Add(within),
+	return d.carry(c, dispatch.Ferry{ID: 1, Turn: 1, Careful: careful, Deadline: process.Now().Add(within), SendBefore: process.Now().Add(within),
 		Target: targets.Target{Instance: "t", Service: "s", Address: ids.Address(s.Addr().String())}})
 }
 
@@ -110,8 +110,8 @@
 	for idle, want := range map[time.Duration]int64{9 * time.Second: 1, time.Second: 2} {
 		s, d := newStand(t), plainCarrier(idle)
 		s.answer = echo
-		is.Equal(d.put(s, "a", false).How, dispatch.Sealed)
-		is.Equal(d.put(s, "b", false).How, dispatch.Sealed)
+		is.Equal(d.put(s, "a", false).Result, dispatch.Complete)
+		is.Equal(d.put(s, "b", false).Result, dispatch.Complete)
 		is.Equal(s.circs.Load(), want)
 	}
 	s, d := newStand(t), plainCarrier(9*time.Second)
@@ -144,11 +144,11 @@
 	s, d := newStand(t), plainCarrier(0)
 	s.answer = func(r *http.Request) string { return named(r, "old", "of old") + named(r, "older", "") + echo(r) }
 	b := d.put(s, "a", false)
-	is.Equal(b.How, dispatch.Sealed)
+	is.Equal(b.Result, dispatch.Complete)
 	is.Equal(string(b.Response.Body), "of a")
 	s, d = newStand(t), plainCarrier(0)
 	s.answer = func(r *http.Request) string { return strings.Repeat(named(r, "old", ""), mostOthers+1) + echo(r) }
-	is.Equal(d.put(s, "a", false).How, dispatch.Maybe)
+	is.Equal(d.put(s, "a", false).Result, dispatch.MayHaveRun)
 }
 
 // A target that sends a head without end costs no more than a head may.
@@ -159,14 +159,14 @@
 	s.answer = func(r *http.Request) string {
 		return "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nId: a\r\n" + head + "\r\n"
 	}
-	is.Equal(d.put(s, "a", false).How, dispatch.Maybe)
+	is.Equal(d.put(s, "a", false).Result, dispatch.MayHaveRun)
 	// One of a proper size is read, however much the connection has carried before.
 	s, d = newStand(t), plainCarrier(0)
 	s.answer = func(r *http.Request) string {
 		return "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nX-Large: " + strings.Repeat("y", mostHead/2) + "\r\nId: " + r.Header.Get("Id") + "\r\n\r\n"
 	}
 	for _, id := range []string{"a", "b", "c", "d"} {
-		is.Equal(d.put(s, id, false).How, dispatch.Sealed)
+		is.Equal(d.put(s, id, false).Result, dispatch.Complete)
 	}
 	is.Equal(s.circs.Load(), int64(1))
 }
--- a/internal/dataplane/proxy/control.go
+++ b/internal/dataplane/proxy/control.go
@@ -17,12 +17,12 @@
 // Control is the proxy's control machine.
 type Control struct {
 	event.Outbox
-	Options
+	ControlOptions
 	*membership.List
 	Client  *consensus.Client
 	targets *targets.Table
 	// policy is what is in force here, as far as is known; view is it, read.
-	policy *configuration.Policy
+	policy *configuration.Document
 	view   *configuration.View
 	// word is as of when the targets are known, by a registry's word; agreed is
 	// when the newest agreement began by which the policy held here is in force.
@@ -47,11 +47,11 @@
 	late  bool
 	// reading: this proxy asks the stores itself what is in force.
 	reading bool
-	seen    map[ids.Daemon]ids.Time
-	number  ids.Number
+	seen    map[ids.DaemonID]ids.Time
+	number  ids.StreamNumber
 	stocked stamp
 	refreshPace
-	footing Footing
+	footing ServingState
 	roll    uint64
 	// shelved are the services whose dispatchers were stocked last.
 	shelved []ids.Name
@@ -86,8 +86,8 @@
 	DefaultLease = 2500 * time.Millisecond
 )
 
-// Options of a control machine; zero ones take the defaults.
-type Options struct {
+// ControlOptions of a control machine; zero ones take the defaults.
+type ControlOptions struct {
 	// Lease is how long requests are served by a policy and targets that can't
 	// be confirmed.
 	Lease time.Duration
@@ -99,24 +99,24 @@
 const Endless = -1
 
 // New makes a control machine that knows only itself and its seeds.
-func New(p membership.Options, o Options) *Control {
+func New(p membership.Options, o ControlOptions) *Control {
 	p.Self.Role = membership.Proxy
 	if o.Lease == 0 {
 		o.Lease = DefaultLease
 	}
-	c := &Control{Options: o, targets: targets.New(), seen: map[ids.Daemon]ids.Time{}}
+	c := &Control{ControlOptions: o, targets: targets.New(), seen: map[ids.DaemonID]ids.Time{}}
 	c.targets.Thrifty = o.ByCell
 	c.List = membership.New(p, &c.Outbox)
-	c.Client = consensus.NewClient(p.Self.Start, &c.Outbox)
-	c.Client.Order = c.stores
-	empty, _ := configuration.Open(nil)
+	c.Client = consensus.NewClient(p.Self.RunID, &c.Outbox)
+	c.Client.StoreOrder = c.stores
+	empty, _ := configuration.Decode(nil)
 	c.policy, c.view = empty, empty.View()
-	c.view.Know(o.Regions)
+	c.view.SetRegions(o.Regions)
 	return c
 }
 
 // stores names the stores, nearest and ready ones first.
-func (c *Control) stores(ids.Key) []ids.Address {
+func (c *Control) stores(ids.RegisterKey) []ids.Address {
 	var near, far, rest []ids.Address
 	for _, m := range c.Live(membership.Store) {
 		switch {
@@ -135,13 +135,13 @@
 func (c *Control) Step(now ids.Time, ev event.Event) []event.Command {
 	switch e := ev.(type) {
 	case event.Received:
-		c.Witness(now, e.From)
+		c.RecordContact(now, e.From)
 		c.receive(now, e.From, e.Msg)
 	case event.Tick:
 		c.clock(now)
-	case Asked:
+	case IdempotencyRequest:
 		c.asked(now, e)
-	case Meter:
+	case UsageSample:
 		c.report(e)
 	case Stopping:
 		c.stop()
@@ -157,7 +157,7 @@
 		c.Client.HandleResponse(now, from, m)
 	case consensus.PolicyQuery:
 		if c.view.Revision > 0 {
-			c.Send(from, consensus.PolicyReply{Revision: c.view.Revision, Policy: c.policy.Pack(false)})
+			c.Send(from, consensus.PolicyReply{Revision: c.view.Revision, Policy: c.policy.Encode(false)})
 		}
 	case LeaseRequest:
 		c.answerLeaseRequest(now, from, m)
@@ -175,10 +175,10 @@
 	}
 	// A push may have waited in a socket while this process slept. Only what
 	// it echoes tells how old it can be at most.
-	if p.Echo == 0 || p.For != c.Self.Start || p.Echo > now {
+	if p.EchoedTime == 0 || p.ProxyRunID != c.Self.RunID || p.EchoedTime > now {
 		c.targets.Merge(now, p.Targets...)
 	} else {
-		c.targets.MergeAsOf(now, p.Echo, p.Targets...)
+		c.targets.MergeAsOf(now, p.EchoedTime, p.Targets...)
 		c.word, c.told = max(c.word, p.Vouched()), true
 		c.confirm(now, p.Revision, p.Agreed())
 	}
@@ -195,10 +195,10 @@
 	late := !c.inStep(now)
 	old := c.view
 	c.policy, c.view = p, p.View()
-	c.view.Know(c.Regions)
+	c.view.SetRegions(c.Regions)
 	c.thaw(now, old)
 	switch {
-	case !c.view.Cells[c.Self.Zone].Emptied:
+	case !c.view.Cells[c.Self.Zone].Drained:
 		c.empty, c.late = 0, false
 	case c.empty == 0:
 		c.empty, c.late = now, late
--- a/internal/dataplane/proxy/daemon.go
+++ b/internal/dataplane/proxy/daemon.go
@@ -21,8 +21,8 @@
 	"dunlinwell/internal/transport/process"
 )
 
-// Params are what a proxy is told at its start.
-type Params struct {
+// DaemonOptions are what a proxy is told at its start.
+type DaemonOptions struct {
 	settings.Common
 	MaxResponse int           `help:"Largest answer of a target that is taken, in bytes." default:"4194304" name:"max-response"`
 	ReportEvery time.Duration `help:"How often CPU time is reported." default:"2s" name:"report-every"`
@@ -33,13 +33,13 @@
 	Grace       time.Duration `help:"How long held requests may go on after the polite signal." default:"1700ms" name:"grace"`
 	DialWithin  time.Duration `help:"How long a circuit to a target may take to open." default:"1s" name:"dial-within"`
 	// Edge is the dialect spoken to consumers and targets; nil for our own.
-	Edge Edge `kong:"-"`
+	Edge Frontend `kong:"-"`
 	// Layout is how targets' places are shared out, and Regions those of cells.
 	Layout
 }
 
 // Validate checks what the common params don't cover.
-func (p *Params) Validate() error {
+func (p *DaemonOptions) Validate() error {
 	// Shorter than a few of the registries's rounds it would end by itself; longer
 	// a change would be in force too late.
 	if p.Lease != Endless && (p.Lease < 2*time.Second || p.Lease > 3*time.Second) {
@@ -50,7 +50,7 @@
 
 // Daemon is a proxy as a process.
 type Daemon struct {
-	Params   Params
+	Params   DaemonOptions
 	self     membership.Member
 	log      *process.Log
 	owner    *process.Owner
@@ -58,11 +58,11 @@
 	circuits circuits
 	hold     hold
 	trade    TargetProtocol
-	edge     Edge
+	edge     Frontend
 	gate     *gate
 	meter    *meter
 	router   atomic.Pointer[router]
-	footing  atomic.Pointer[Footing]
+	footing  atomic.Pointer[ServingState]
 	requests atomic.Uint64
 	// beat is when the owner last stepped: a freeze shows as its age.
 	beat     atomic.Int64
@@ -76,7 +76,7 @@
 type place struct {
 	mu    sync.Mutex
 	desk  *dispatch.Dispatcher
-	cargo map[ids.Request]*ride
+	cargo map[ids.RequestID]*ride
 	// soon: a clock event is on its way, for requests that wait.
 	soon bool
 }
@@ -88,12 +88,12 @@
 }
 
 // NewDaemon puts a proxy together.
-func NewDaemon(p Params) *Daemon {
+func NewDaemon(p DaemonOptions) *Daemon {
 	d := &Daemon{Params: p, log: process.NewLog(p.Log, p.Name), meter: newMeter(), desks: map[ids.Name]*place{}}
 	d.hold.most = int64(cmp.Or(p.MaxHeld, defaultHeld))
 	d.self = daemon.Self(p.Common, membership.Proxy)
-	d.self.Serves = ids.Address(p.Consumers)
-	control := New(membership.Options{Self: d.self, Seeds: p.SeedList(), Incremental: p.ByCell}, Options{Lease: p.Lease, Layout: p.Layout})
+	d.self.ClientListen = ids.Address(p.Consumers)
+	control := New(membership.Options{Self: d.self, Seeds: p.SeedList(), Incremental: p.ByCell}, ControlOptions{Lease: p.Lease, Layout: p.Layout})
 	d.owner = process.NewOwner(&beating{control, d}, 50*time.Millisecond, d.do)
 	d.post = &process.Transport{Address: ids.Address(p.Address), Bind: ids.Address(p.Bind), Log: d.log, Stats: &process.TrafficStats{},
 		Deliver: func(from ids.Address, msg any) { d.owner.Offer(event.Received{From: from, Msg: msg}) }}
@@ -104,12 +104,12 @@
 	if d.edge == nil {
 		d.edge = ownEdge{d}
 	} else {
-		d.trade = d.edge.Trade()
+		d.trade = d.edge.TargetProtocol()
 	}
 	d.circuits.greets, d.circuits.dialWithin = d.trade.Greets(), cmp.Or(p.DialWithin, dialTarget)
-	empty, _ := configuration.Open(nil)
+	empty, _ := configuration.Decode(nil)
 	d.router.Store(newRouter(empty.View()))
-	d.footing.Store(&Footing{})
+	d.footing.Store(&ServingState{})
 	return d
 }
 
@@ -141,7 +141,7 @@
 		if g := d.gate; g != nil {
 			g.limit(c.View.Limits)
 		}
-	case Footing:
+	case ServingState:
 		d.emptied.Store(c.Emptied)
 		d.footing.Store(&c)
 	}
@@ -162,7 +162,7 @@
 	defer d.mu.Unlock()
 	if p = d.desks[service]; p == nil {
 		dice := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-		p = &place{desk: dispatch.New(dispatch.Options{Dice: dice, Inbox: d.Params.Inbox, Self: idempotency.Owner{Daemon: d.self.ID, Start: d.self.Start}}), cargo: map[ids.Request]*ride{}}
+		p = &place{desk: dispatch.New(dispatch.Options{Dice: dice, Inbox: d.Params.Inbox, Self: idempotency.Owner{Daemon: d.self.ID, RunID: d.self.RunID}}), cargo: map[ids.RequestID]*ride{}}
 		d.desks[service] = p
 	}
 	return p
@@ -203,10 +203,10 @@
 
 func (d *Daemon) perform(service ids.Name, c event.Command, l *ride) {
 	switch c := c.(type) {
-	case dispatch.Wish:
+	case dispatch.IdempotencyCall:
 		// The owner hands events to dispatchers itself, so it must not wait on its
 		// own inbox.
-		go d.owner.Put(Asked{service, c})
+		go d.owner.Put(IdempotencyRequest{service, c})
 	case dispatch.Ferry:
 		go func() {
 			from := time.Now()
@@ -228,6 +228,6 @@
 	p.mu.Lock()
 	p.cargo[c.Job.ID] = l
 	p.mu.Unlock()
-	d.hand(c.Job.Service, dispatch.Arrive{Job: c.Job})
+	d.hand(c.Job.Service, dispatch.RequestArrived{Job: c.Job})
 	return <-l.response, l.ferried
 }
--- a/internal/dataplane/proxy/edge.go
+++ b/internal/dataplane/proxy/edge.go
@@ -14,13 +14,13 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// Edge is the dialect that a proxy speaks to consumers and targets. Ours is
+// Frontend is the dialect that a proxy speaks to consumers and targets. Ours is
 // the first one; a platform that speaks otherwise brings its own.
-type Edge interface {
+type Frontend interface {
 	// Consumers answers consumers' requests.
 	Consumers(d *Daemon) http.Handler
 	// TargetProtocol is how requests are put to targets.
-	Trade() TargetProtocol
+	TargetProtocol() TargetProtocol
 	// Pages are what is served besides, by address.
 	Pages(d *Daemon) map[string]http.Handler
 }
@@ -28,7 +28,7 @@
 type ownEdge struct{ d *Daemon }
 
 func (e ownEdge) Consumers(d *Daemon) http.Handler    { return http.HandlerFunc(d.consume) }
-func (e ownEdge) Trade() TargetProtocol               { return house(e) }
+func (e ownEdge) TargetProtocol() TargetProtocol      { return house(e) }
 func (ownEdge) Pages(*Daemon) map[string]http.Handler { return nil }
 
 // Find gives the route of a host and path, and the policy it stands in.
@@ -50,7 +50,7 @@
 // Job begins a request's job by its route; a split is drawn here, once.
 func (d *Daemon) Job(r configuration.Route, v *configuration.View) dispatch.Job {
 	r.Service = r.Draw(rand.Float64())
-	return dispatch.Job{ID: ids.Request(d.requests.Add(1)), Route: r.Name, Service: r.Service, Tier: r.Tier*10 + v.Services[r.Service].Tier,
+	return dispatch.Job{ID: ids.RequestID(d.requests.Add(1)), Route: r.Name, Service: r.Service, Tier: r.Tier*10 + v.Services[r.Service].Tier,
 		Repeatable: r.Repeatable, Single: r.Single, Goal: r.GoalTime(), Attempts: r.Attempts, Homes: r.Homes, Terms: Terms(r)}
 }
 
--- a/internal/dataplane/proxy/events.go
+++ b/internal/dataplane/proxy/events.go
@@ -15,13 +15,13 @@
 
 // Events and commands between the control machine and the rest of a proxy.
 type (
-	// Asked is a dispatcher's request about a mark.
-	Asked struct {
+	// IdempotencyRequest is a dispatcher's request about a mark.
+	IdempotencyRequest struct {
 		Service ids.Name
-		Wish    dispatch.Wish
+		Call    dispatch.IdempotencyCall
 	}
-	// Meter is what the requests of an interval have cost.
-	Meter struct {
+	// UsageSample is what the requests of an interval have cost.
+	UsageSample struct {
 		Interval time.Duration
 		Rows     []spill.Spent
 		Latency  time.Duration
@@ -36,8 +36,8 @@
 	Stopping struct{}
 	// Routes hands the new policy to the router.
 	Routes struct{ View *configuration.View }
-	// Footing says whether the proxy takes work, and whether it is cut off.
-	Footing struct {
+	// ServingState says whether the proxy takes work, and whether it is cut off.
+	ServingState struct {
 		Ready   bool
 		InStep  bool
 		CutOff  bool
@@ -47,28 +47,28 @@
 )
 
 // asked carries a dispatcher's request to the stores.
-func (c *Control) asked(now ids.Time, a Asked) {
-	w := a.Wish
+func (c *Control) asked(now ids.Time, a IdempotencyRequest) {
+	w := a.Call
 	var arg []byte
 	if w.Op != consensus.Read {
-		raw, err := wire.Encode(w.Wish)
+		raw, err := wire.Encode(w.Operation)
 		if err != nil {
-			c.Emit(DispatchEvent{a.Service, dispatch.Told{ID: w.ID, Turn: w.Turn, State: consensus.Declined}})
+			c.Emit(DispatchEvent{a.Service, dispatch.IdempotencyReply{ID: w.ID, Turn: w.Turn, Outcome: consensus.Declined}})
 			return
 		}
 		arg = raw
 	}
-	c.Client.Call(now, w.Key, w.Op, arg, w.Wait, func(_ ids.Time, s consensus.State, out []byte) {
+	c.Client.Call(now, w.Key, w.Op, arg, w.Wait, func(_ ids.Time, s consensus.Outcome, out []byte) {
 		if w.Turn != 0 {
-			c.Emit(DispatchEvent{a.Service, dispatch.Told{ID: w.ID, Turn: w.Turn, State: s, Out: out}})
+			c.Emit(DispatchEvent{a.Service, dispatch.IdempotencyReply{ID: w.ID, Turn: w.Turn, Outcome: s, Out: out}})
 		}
 	})
 }
 
 // report tells every registry what this proxy spent.
-func (c *Control) report(m Meter) {
+func (c *Control) report(m UsageSample) {
 	c.number++
-	r := spill.Report{Proxy: c.Self.ID, Start: c.Self.Start, Cell: c.Self.Zone, Number: c.number,
+	r := spill.Report{Proxy: c.Self.ID, RunID: c.Self.RunID, Cell: c.Self.Zone, Number: c.number,
 		Interval: uint32(m.Interval / time.Millisecond), Rows: m.Rows, Latency: uint64(m.Latency / time.Microsecond), Count: m.Count}
 	to := c.Live(membership.Registry)
 	if c.ByCell && len(to) > reportTo {
--- a/internal/dataplane/proxy/front.go
+++ b/internal/dataplane/proxy/front.go
@@ -121,9 +121,9 @@
 		misuse(w, status, why)
 		return
 	}
-	defer c.Held.Free()
+	defer c.Memory.Free()
 	if !route.Repeatable && !route.Single {
-		w.Header().Set("Mark-Kept", strconv.Itoa(int(idempotency.Kept/time.Second)))
+		w.Header().Set("Mark-Kept", strconv.Itoa(int(idempotency.Retention/time.Second)))
 	}
 	if d.stopping.Load() {
 		d.early(w, r, "this proxy is stopping")
@@ -170,8 +170,8 @@
 		}
 		j.Attempt = uint32(n)
 	}
-	j.Mark = ids.IdempotencyKey(r.Header.Get("Idempotency-Key"))
-	if !route.Repeatable && !route.Single && !markRule.MatchString(string(j.Mark)) {
+	j.IdempotencyKey = ids.IdempotencyKey(r.Header.Get("Idempotency-Key"))
+	if !route.Repeatable && !route.Single && !markRule.MatchString(string(j.IdempotencyKey)) {
 		return nil, http.StatusBadRequest, "this route takes no request without an Idempotency-Key of 1 to 256 printable characters"
 	}
 	body, held, err := d.Body(w, r, int64(route.MaxBody), time.Time{})
@@ -179,7 +179,7 @@
 	switch {
 	case errors.As(err, &big):
 		return nil, http.StatusRequestEntityTooLarge, "body over the route's limit of " + strconv.Itoa(route.MaxBody) + " bytes"
-	case errors.Is(err, ErrFull):
+	case errors.Is(err, ErrMemoryBudgetExceeded):
 		return nil, http.StatusServiceUnavailable, err.Error()
 	case err != nil:
 		return nil, http.StatusBadRequest, "the body ended early"
@@ -189,10 +189,10 @@
 		h.Write([]byte(strconv.Itoa(len(part)) + " "))
 		h.Write(part)
 	}
-	j.Print = h.Sum(nil)
-	j.Due = came.Add(limit)
+	j.Fingerprint = h.Sum(nil)
+	j.Deadline = came.Add(limit)
 	host, _, _ := net.SplitHostPort(r.RemoteAddr)
-	return &ClientRequest{Job: j, Method: r.Method, URI: r.URL.RequestURI(), Header: r.Header, Body: body, Held: held, Remote: host}, 0, ""
+	return &ClientRequest{Job: j, Method: r.Method, URI: r.URL.RequestURI(), Header: r.Header, Body: body, Memory: held, Remote: host}, 0, ""
 }
 
 var classes = [...]string{"", "declined", "unknown", "answered", "misused"}
@@ -200,7 +200,7 @@
 // write gives the consumer the one answer.
 func write(w http.ResponseWriter, r *http.Request, rep dispatch.Response) {
 	if rep.Class != dispatch.Answered || rep.Sealed.Cut {
-		word(w, rep.Status, classes[rep.Class], rep.Why, int((rep.After+time.Second-1)/time.Second))
+		word(w, rep.Status, classes[rep.Class], rep.Why, int((rep.RetryAfter+time.Second-1)/time.Second))
 		return
 	}
 	for _, h := range rep.Sealed.Header {
--- a/internal/dataplane/proxy/front_test.go
+++ b/internal/dataplane/proxy/front_test.go
@@ -61,6 +61,6 @@
 
 // inStepWith lets a proxy know of one route, and that it is in force.
 func (d *Daemon) inStepWith(route string) {
-	d.footing.Store(&Footing{InStep: true})
+	d.footing.Store(&ServingState{InStep: true})
 	d.router.Store(newRouter(&configuration.View{Routes: map[ids.Name]configuration.Route{ids.Name(route): {Name: ids.Name(route), Prefix: "/" + route, Service: "ledger", Limit: 1000, MaxBody: 10}}}))
 }
--- a/internal/dataplane/proxy/frozen_test.go
+++ b/internal/dataplane/proxy/frozen_test.go
@@ -23,15 +23,15 @@
 		for _, reused := range []bool{false, true} {
 			f, d := newFaulty(t, closes), plainCarrier(0)
 			if reused {
-				if b := d.carryTo(f, "first"); b.How != dispatch.Sealed {
+				if b := d.carryTo(f, "first"); b.Result != dispatch.Complete {
 					t.Fatal(b.Why)
 				}
 			}
 			d.beat.Store(int64(min(c.beat, process.Now())))
 			b := d.carry(&ClientRequest{ID: "late", Method: "POST", URI: "/x", Header: http.Header{"Id": {"late"}}},
-				dispatch.Ferry{ID: 1, Turn: 1, Due: c.due, By: c.by, Target: targets.Target{Instance: "t", Service: "s", Address: ids.Address(f.Addr().String())}})
-			if b.How != dispatch.NotSent || f.runs("late") != 0 {
-				t.Errorf("%s, reused %t: %v (%s), it ran %d times", name, reused, b.How, b.Why, f.runs("late"))
+				dispatch.Ferry{ID: 1, Turn: 1, Deadline: c.due, SendBefore: c.by, Target: targets.Target{Instance: "t", Service: "s", Address: ids.Address(f.Addr().String())}})
+			if b.Result != dispatch.NotSent || f.runs("late") != 0 {
+				t.Errorf("%s, reused %t: %v (%s), it ran %d times", name, reused, b.Result, b.Why, f.runs("late"))
 			}
 		}
 	}
--- a/internal/dataplane/proxy/hold.go
+++ b/internal/dataplane/proxy/hold.go
@@ -9,7 +9,7 @@
 )
 
 // ErrFull: bodies and answers that are kept leave no room for another body.
-var ErrFull = errors.New("too many bytes are held; come back")
+var ErrMemoryBudgetExceeded = errors.New("too many bytes are held; come back")
 
 // defaultHeld is how many bytes of bodies and answers are kept at once.
 const defaultHeld = 256 << 20
@@ -21,14 +21,14 @@
 	used atomic.Int64
 }
 
-// Held is what one request holds.
-type Held struct {
+// MemoryReservation is what one request holds.
+type MemoryReservation struct {
 	hold *hold
 	n    int64
 }
 
 // more takes room, or none if there isn't as much.
-func (h *Held) more(n int64) bool {
+func (h *MemoryReservation) more(n int64) bool {
 	if h.hold.used.Add(n) > h.hold.most {
 		h.hold.used.Add(-n)
 		return false
@@ -38,7 +38,7 @@
 }
 
 // must takes room whether or not there is any: an answer has been run for.
-func (h *Held) must(n int64) {
+func (h *MemoryReservation) must(n int64) {
 	if h != nil {
 		h.hold.used.Add(n)
 		h.n += n
@@ -46,7 +46,7 @@
 }
 
 // Free gives all of it back.
-func (h *Held) Free() {
+func (h *MemoryReservation) Free() {
 	if h != nil {
 		h.hold.used.Add(-h.n)
 		h.n = 0
@@ -58,8 +58,8 @@
 
 // Body reads a request's body, whole and within a limit, and what it then holds.
 // A time, if there is one, bounds how long the consumer may take to send it.
-func (d *Daemon) Body(w http.ResponseWriter, r *http.Request, most int64, until time.Time) ([]byte, *Held, error) {
-	h := &Held{hold: &d.hold}
+func (d *Daemon) Body(w http.ResponseWriter, r *http.Request, most int64, until time.Time) ([]byte, *MemoryReservation, error) {
+	h := &MemoryReservation{hold: &d.hold}
 	if r.ContentLength > most {
 		return nil, h, &http.MaxBytesError{Limit: most}
 	}
@@ -79,17 +79,17 @@
 	return body, h, nil
 }
 
-func (h *Held) read(in io.Reader, length int64) ([]byte, error) {
+func (h *MemoryReservation) read(in io.Reader, length int64) ([]byte, error) {
 	if length > 0 {
 		if !h.more(length) {
-			return nil, ErrFull
+			return nil, ErrMemoryBudgetExceeded
 		}
 		body := make([]byte, length)
 		_, err := io.ReadFull(in, body)
 		return body, err
 	}
 	if !h.more(firstRoom) {
-		return nil, ErrFull
+		return nil, ErrMemoryBudgetExceeded
 	}
 	body := make([]byte, 0, firstRoom)
 	for {
@@ -107,7 +107,7 @@
 		// Both copies are there for a moment.
 		old := int64(cap(body))
 		if !h.more(2 * old) {
-			return nil, ErrFull
+			return nil, ErrMemoryBudgetExceeded
 		}
 		body = append(make([]byte, 0, 2*old), body...)
 		h.must(-old)
@@ -117,7 +117,7 @@
 // counted counts an answer's bytes as they come.
 type counted struct {
 	io.Reader
-	held *Held
+	held *MemoryReservation
 }
 
 func (c counted) Read(p []byte) (int, error) {
--- a/internal/dataplane/proxy/hold_test.go
+++ b/internal/dataplane/proxy/hold_test.go
@@ -44,7 +44,7 @@
 	is := is.New(t)
 	d := newCarrier()
 	d.hold.most = 100 << 10
-	take := func(n int, length int64) (*Held, error) {
+	take := func(n int, length int64) (*MemoryReservation, error) {
 		b, h, err := d.Body(httptest.NewRecorder(), request(strings.NewReader(strings.Repeat("x", n)), length), 1<<20, time.Time{})
 		if err == nil {
 			is.Equal(len(b), n)
@@ -54,11 +54,11 @@
 	first, err := take(60<<10, 60<<10)
 	is.NoErr(err)
 	_, err = take(60<<10, 60<<10)
-	is.True(errors.Is(err, ErrFull))
+	is.True(errors.Is(err, ErrMemoryBudgetExceeded))
 	second, err := take(30<<10, 30<<10)
 	is.NoErr(err)
 	_, err = take(30<<10, -1) // in chunks
-	is.True(errors.Is(err, ErrFull))
+	is.True(errors.Is(err, ErrMemoryBudgetExceeded))
 	is.Equal(d.hold.used.Load(), int64(90<<10)) // what was declined holds nothing
 	first.Free()
 	first.Free()
@@ -98,7 +98,7 @@
 		}
 		if length < 0 {
 			_, _, err := d.Body(httptest.NewRecorder(), request(strings.NewReader(strings.Repeat("y", 70<<10)), 70<<10), 1<<20, time.Time{})
-			is.True(errors.Is(err, ErrFull))
+			is.True(errors.Is(err, ErrMemoryBudgetExceeded))
 			close(a.rest)
 			is.NoErr(<-done)
 		}
@@ -112,11 +112,11 @@
 	s, d := newStand(t), plainCarrier(0)
 	d.Params.MaxResponse, d.hold.most = 50<<10, 40<<10
 	s.answer = func(r *http.Request) string { return named(r, r.Header.Get("Id"), strings.Repeat("z", 50<<10)) }
-	h := &Held{hold: &d.hold}
-	is.Equal(d.putHeld(s, "a", h).How, dispatch.Sealed)
+	h := &MemoryReservation{hold: &d.hold}
+	is.Equal(d.putHeld(s, "a", h).Result, dispatch.Complete)
 	is.Equal(d.hold.used.Load(), int64(50<<10))
 	_, _, err := d.Body(httptest.NewRecorder(), request(strings.NewReader("x"), 1), 10, time.Time{})
-	is.True(errors.Is(err, ErrFull))
+	is.True(errors.Is(err, ErrMemoryBudgetExceeded))
 	_, empty, err := d.Body(httptest.NewRecorder(), request(http.NoBody, 0), 10, time.Time{})
 	is.NoErr(err) // what has no body needs no room
 	empty.Free()
--- a/internal/dataplane/proxy/leasegossip.go
+++ b/internal/dataplane/proxy/leasegossip.go
@@ -13,8 +13,8 @@
 // Inquiry asks another proxy for what is in force: this one's registries are
 // out of reach, or know no better themselves.
 type LeaseRequest struct {
-	Proxy    ids.Daemon
-	Start    ids.RunID
+	Proxy    ids.DaemonID
+	RunID    ids.RunID
 	Revision ids.Revision
 	// Now is the client's own time, to be echoed.
 	Now ids.Time
@@ -23,11 +23,11 @@
 // Tidings answer it: what the other proxy goes by, and how long ago that was
 // known to be in force. The travel, both ways, is counted against it.
 type LeaseGossip struct {
-	For      ids.RunID
-	Echo     ids.Time
-	Revision ids.Revision
-	Policy   []byte
-	Targets  []targets.Target
+	ProxyRunID ids.RunID
+	EchoedTime ids.Time
+	Revision   ids.Revision
+	Policy     []byte
+	Targets    []targets.Target
 	// Agreed and Word are the ages, in milliseconds, of the agreement and of
 	// the registry's word that the other goes by.
 	Agreed, Word uint32
@@ -51,7 +51,7 @@
 
 // inquire asks other proxies, once registries and stores have not answered.
 func (c *Control) inquire(now ids.Time) {
-	if c.Lease == Endless || now.Since(c.sure()) < inquireAfter || now.Since(c.since) < inquireEvery {
+	if c.Lease == Endless || now.Sub(c.sure()) < inquireAfter || now.Sub(c.since) < inquireEvery {
 		return
 	}
 	c.since = now
@@ -63,7 +63,7 @@
 	}
 	for range min(inquireOf, len(others)) {
 		c.turn++
-		c.Send(others[c.turn%len(others)].Address, LeaseRequest{Proxy: c.Self.ID, Start: c.Self.Start, Revision: c.view.Revision, Now: now})
+		c.Send(others[c.turn%len(others)].Address, LeaseRequest{Proxy: c.Self.ID, RunID: c.Self.RunID, Revision: c.view.Revision, Now: now})
 	}
 }
 
@@ -71,13 +71,13 @@
 // places and its retries are about to be divided among the others.
 func (c *Control) answerLeaseRequest(now ids.Time, from ids.Address, q LeaseRequest) {
 	m, ok := c.Get(q.Proxy)
-	if !ok || m.Gone || m.Start != q.Start || !c.inStep(now) {
+	if !ok || m.Gone || m.RunID != q.RunID || !c.inStep(now) {
 		return
 	}
-	t := LeaseGossip{For: q.Start, Echo: q.Now, Revision: c.view.Revision, Targets: c.targets.All(now),
-		Agreed: uint32(now.Since(c.agreed) / time.Millisecond), Word: uint32(now.Since(c.word) / time.Millisecond)}
+	t := LeaseGossip{ProxyRunID: q.RunID, EchoedTime: q.Now, Revision: c.view.Revision, Targets: c.targets.All(now),
+		Agreed: uint32(now.Sub(c.agreed) / time.Millisecond), Word: uint32(now.Sub(c.word) / time.Millisecond)}
 	if q.Revision < c.view.Revision {
-		t.Policy = c.policy.Pack(false)
+		t.Policy = c.policy.Encode(false)
 	}
 	c.Send(from, t)
 }
@@ -85,16 +85,16 @@
 // tidings take what another proxy goes by.
 func (c *Control) takeLeaseGossip(now ids.Time, from ids.Address, t LeaseGossip) {
 	// What was meant for an earlier run of ours may be any age.
-	if t.For != c.Self.Start || t.Echo > now {
-		c.Discard(from, event.NotAsked, LeaseGossip{})
+	if t.ProxyRunID != c.Self.RunID || t.EchoedTime > now {
+		c.Discard(from, event.Unsolicited, LeaseGossip{})
 		return
 	}
 	if t.Revision > c.view.Revision && len(t.Policy) > 0 {
 		c.adopt(now, t.Policy)
 	}
-	known := t.Echo.Add(-age(t.Word))
+	known := t.EchoedTime.Add(-age(t.Word))
 	c.targets.MergeAsOf(now, known, t.Targets...)
 	c.word = max(c.word, known)
-	c.confirm(now, t.Revision, t.Echo.Add(-age(t.Agreed)))
+	c.confirm(now, t.Revision, t.EchoedTime.Add(-age(t.Agreed)))
 	c.refreshTargets(now)
 }
--- a/internal/dataplane/proxy/meter.go
+++ b/internal/dataplane/proxy/meter.go
@@ -90,7 +90,7 @@
 }
 
 // read closes an interval.
-func (m *meter) read() Meter {
+func (m *meter) read() UsageSample {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now, cpu := time.Now(), processCPU()
@@ -100,7 +100,7 @@
 	for _, c := range m.work {
 		all += c.handling
 	}
-	out := Meter{Interval: span, Count: m.count}
+	out := UsageSample{Interval: span, Count: m.count}
 	for k, c := range m.work {
 		ms := c.target
 		if all > 0 {
--- a/internal/dataplane/proxy/opening.go
+++ b/internal/dataplane/proxy/opening.go
@@ -23,8 +23,8 @@
 		c.opened = true
 	case c.unconfirmed == 0:
 		c.unconfirmed = now
-	case now.Since(c.unconfirmed) >= unconfirmedFor:
+	case now.Sub(c.unconfirmed) >= unconfirmedFor:
 		c.opened = true
-		c.Log("warn", "serves unconfirmed", "revision", itoa(uint64(c.view.Revision)), "agreed_ms_ago", itoa(uint64(now.Since(c.agreed)/time.Millisecond)))
+		c.Log("warn", "serves unconfirmed", "revision", itoa(uint64(c.view.Revision)), "agreed_ms_ago", itoa(uint64(now.Sub(c.agreed)/time.Millisecond)))
 	}
 }
--- a/internal/dataplane/proxy/opening_test.go
+++ b/internal/dataplane/proxy/opening_test.go
@@ -16,31 +16,31 @@
 type started struct {
 	*Control
 	now   ids.Time
-	count ids.Number
+	count ids.StreamNumber
 }
 
 func start(lease time.Duration) *started {
-	return &started{Control: New(membership.Options{Self: member("p", "quay")}, Options{Lease: lease}), now: 1}
+	return &started{Control: New(membership.Options{Self: member("p", "quay")}, ControlOptions{Lease: lease}), now: 1}
 }
 
 // policyOf is a policy with as many services as its revision says.
 func policyOf(t *testing.T, revision int) []byte {
 	t.Helper()
-	p, err := configuration.Open(nil)
+	p, err := configuration.Decode(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range revision {
-		p, _ = p.Merge(configuration.Merge{Items: []configuration.Given{{Kind: "service", Name: ids.Name(string(rune('a' + i))), Version: 1, Body: []byte("{}")}}})
+		p, _ = p.Merge(configuration.Merge{Items: []configuration.VersionedItem{{Kind: "service", Name: ids.Name(string(rune('a' + i))), Version: 1, Body: []byte("{}")}}})
 	}
-	return p.Pack(false)
+	return p.Encode(false)
 }
 
 // tell pushes what a registry holds whose agreement is so old.
 func (s *started) tell(raw []byte, revision ids.Revision, age time.Duration, list ...targets.Target) {
 	s.count++
 	s.Step(s.now, event.Received{From: "r", Msg: distribution.Push{Number: s.count, Revision: revision, Policy: raw, Targets: list,
-		Age: uint32(age.Milliseconds()), Echo: s.now, For: s.Self.Start}})
+		Age: uint32(age.Milliseconds()), EchoedTime: s.now, ProxyRunID: s.Self.RunID}})
 }
 
 // run lets time pass; each second something is told.
@@ -102,7 +102,7 @@
 			entry, ok := c.(event.LogEntry)
 			logged = logged || ok && entry.Event == "serves unconfirmed"
 		}
-		if waited := s.now.Since(1); s.inStep(s.now) != (waited >= unconfirmedFor) {
+		if waited := s.now.Sub(1); s.inStep(s.now) != (waited >= unconfirmedFor) {
 			t.Fatalf("in step after %s: %v", waited, s.inStep(s.now))
 		}
 	}
@@ -118,7 +118,7 @@
 	s.tell(policyOf(t, 1), 1, 0)
 	for range 10 {
 		s.run(time.Second, func() {
-			s.tell(nil, 1, 1600*time.Millisecond+s.now.Since(1))
+			s.tell(nil, 1, 1600*time.Millisecond+s.now.Sub(1))
 			s.confirm(s.now, 1, s.now) // by the stores' own word
 		})
 	}
--- a/internal/dataplane/proxy/places.go
+++ b/internal/dataplane/proxy/places.go
@@ -25,7 +25,7 @@
 // of proxies of its own, so the odd places fall to different ones.
 func (c *Control) offer(now ids.Time, t targets.Target, seats []membership.Member) dispatch.Offer {
 	o := dispatch.Offer{Target: t, At: now, Distance: c.view.Distance(c.Self.Zone, t.Cell),
-		Emptied: c.view.Cells[t.Cell].Emptied || c.view.Cells[t.Cell].Shut, Region: ids.Name(c.view.Cells[t.Cell].Region)}
+		Emptied: c.view.Cells[t.Cell].Drained || c.view.Cells[t.Cell].Evacuated, Region: ids.Name(c.view.Cells[t.Cell].Region)}
 	if !c.ByCell {
 		o.Seats, o.Seat = max(len(seats), 1), c.seat(string(t.Instance), seats)
 		return o
@@ -114,7 +114,7 @@
 func (c *Control) thaw(now ids.Time, old *configuration.View) {
 	for n, cell := range c.view.Cells {
 		was := old.Cells[n]
-		if !(was.Shut || was.Emptied) || cell.Shut || cell.Emptied {
+		if !(was.Evacuated || was.Drained) || cell.Evacuated || cell.Drained {
 			continue
 		}
 		longest := 0
@@ -141,7 +141,7 @@
 	return n
 }
 
-func lot(of string, d ids.Daemon) uint64 {
+func lot(of string, d ids.DaemonID) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(of))
 	h.Write([]byte{0})
--- a/internal/dataplane/proxy/places_test.go
+++ b/internal/dataplane/proxy/places_test.go
@@ -19,11 +19,11 @@
 var regions = map[ids.Name]string{"quay": "west", "pier": "west", "mole": "west", "dune": "east", "reed": "east"}
 
 func member(id, cell string) membership.Member {
-	return membership.Member{ID: ids.Daemon(id), Role: membership.Proxy, Zone: ids.Name(cell), Start: 1}
+	return membership.Member{ID: ids.DaemonID(id), Role: membership.Proxy, Zone: ids.Name(cell), RunID: 1}
 }
 
 func placer(self membership.Member, sv configuration.Service) *Control {
-	c := New(membership.Options{Self: self}, Options{Lease: Endless, Layout: Layout{ByCell: true, Regions: regions}})
+	c := New(membership.Options{Self: self}, ControlOptions{Lease: Endless, Layout: Layout{ByCell: true, Regions: regions}})
 	c.view.Services = map[ids.Name]configuration.Service{"wader": sv}
 	return c
 }
@@ -31,10 +31,10 @@
 // sends counts how many of many requests a dispatcher with this one offer lets go at once.
 func sends(o dispatch.Offer, now ids.Time) int {
 	d := dispatch.New(dispatch.Options{Dice: rand.New(rand.NewPCG(1, 2)), Inbox: 1000})
-	d.Step(now, dispatch.Stock{Targets: []dispatch.Offer{o}, InStep: true, Lease: now.Add(time.Hour), Terms: map[ids.Name]dispatch.Terms{"r": {}}})
+	d.Step(now, dispatch.ServiceState{Targets: []dispatch.Offer{o}, InStep: true, Lease: now.Add(time.Hour), Terms: map[ids.Name]dispatch.RouteTerms{"r": {}}})
 	n := 0
 	for i := range 200 {
-		for _, c := range d.Step(now, dispatch.Arrive{Job: dispatch.Job{ID: ids.Request(i + 1), Route: "r", Repeatable: true, Due: now.Add(time.Hour)}}) {
+		for _, c := range d.Step(now, dispatch.RequestArrived{Job: dispatch.Job{ID: ids.RequestID(i + 1), Route: "r", Repeatable: true, Deadline: now.Add(time.Hour)}}) {
 			if _, ok := c.(dispatch.Ferry); ok {
 				n++
 			}
@@ -65,7 +65,7 @@
 	} {
 		seats := fleet(cells)
 		for n := range 4 {
-			target := targets.Target{Instance: ids.Instance(fmt.Sprint("t", n)), Service: "wader", Cell: "quay", Capacity: capacity, Warmth: 1, Age: 1e9}
+			target := targets.Target{Instance: ids.InstanceID(fmt.Sprint("t", n)), Service: "wader", Cell: "quay", Capacity: capacity, Warmth: 1, Age: 1e9}
 			sum := 0
 			for _, m := range seats {
 				sum += sends(placer(m, configuration.Service{}).offer(now, target, seats), now)
@@ -87,9 +87,9 @@
 func TestOddPlacesAreSpread(t *testing.T) {
 	is := is.New(t)
 	seats := fleet("quay quay quay")
-	got := map[ids.Daemon]int{}
+	got := map[ids.DaemonID]int{}
 	for n := range 60 {
-		target := targets.Target{Instance: ids.Instance(fmt.Sprint("t", n)), Service: "wader", Cell: "quay"}
+		target := targets.Target{Instance: ids.InstanceID(fmt.Sprint("t", n)), Service: "wader", Cell: "quay"}
 		for _, m := range seats {
 			if placer(m, configuration.Service{}).offer(1, target, seats).Seat == 0 {
 				got[m.ID]++
@@ -120,7 +120,7 @@
 	is.Equal(len(c.seats(now.Add(seatsHeld-time.Millisecond))), 2)
 	is.Equal(len(c.seats(now.Add(seatsHeld))), 1)
 	// Others than proxies have no seat.
-	join(membership.Member{ID: "f", Role: membership.Registry, Zone: "quay", Start: 1, Incarnation: 1})
+	join(membership.Member{ID: "f", Role: membership.Registry, Zone: "quay", RunID: 1, Incarnation: 1})
 	is.Equal(len(c.seats(now.Add(seatsHeld))), 1)
 }
 
@@ -143,8 +143,8 @@
 // count as such for the longest that any of them stays so.
 func TestACellThatIsOpenedThawsSlowly(t *testing.T) {
 	is := is.New(t)
-	c := New(membership.Options{Self: member("a", "quay")}, Options{Lease: Endless, Layout: Layout{ByCell: true, Regions: regions}})
-	p, err := configuration.Open(nil)
+	c := New(membership.Options{Self: member("a", "quay")}, ControlOptions{Lease: Endless, Layout: Layout{ByCell: true, Regions: regions}})
+	p, err := configuration.Decode(nil)
 	is.NoErr(err)
 	n := 0
 	apply := func(part string) {
@@ -154,7 +154,7 @@
 		var r configuration.Result
 		p, r = p.Apply(ch)
 		is.True(r.Accepted())
-		c.adopt(ids.Time(n)*ids.Time(time.Second), p.Pack(false))
+		c.adopt(ids.Time(n)*ids.Time(time.Second), p.Encode(false))
 	}
 	second := ids.Time(time.Second)
 	apply(`{"kind":"service","name":"wader","put":{"warm_rate":8,"warm_ms":3000}},{"kind":"service","name":"plover","put":{"warm_ms":60000}}`)
--- a/internal/dataplane/proxy/readiness.go
+++ b/internal/dataplane/proxy/readiness.go
@@ -17,13 +17,13 @@
 func (c *Control) clock(now ids.Time) {
 	// A gap between clock events is a freeze: until a registry has spoken since,
 	// nothing that this proxy knows can be trusted.
-	if c.last != 0 && now.Since(c.last) > frozen {
+	if c.last != 0 && now.Sub(c.last) > frozen {
 		c.woke = now
-		c.Log("warn", "woke", "gap_ms", itoa(uint64(now.Since(c.last)/time.Millisecond)))
+		c.Log("warn", "woke", "gap_ms", itoa(uint64(now.Sub(c.last)/time.Millisecond)))
 	}
 	c.last = now
 	c.List.Tick(now)
-	c.Client.Clock(now)
+	c.Client.Tick(now)
 	// A registry that died may have been the only one to know of a silence.
 	if !c.ByCell {
 		c.targets.Lapse(now)
@@ -46,7 +46,7 @@
 	if c.Lease == Endless {
 		return !c.stopping && c.inStep(now)
 	}
-	return !c.stopping && c.inStep(now) && !c.cutOff(now) && now.Since(c.sure()) < agreedWithin
+	return !c.stopping && c.inStep(now) && !c.cutOff(now) && now.Sub(c.sure()) < agreedWithin
 }
 
 // stop tells every registry at once, so that the directory sends nobody here
@@ -65,12 +65,12 @@
 		// Registries say a word a second to those that nothing is new for.
 		after = 2 * cutAfter
 	}
-	return c.word != 0 && now.Since(c.word) > after
+	return c.word != 0 && now.Sub(c.word) > after
 }
 
 // stand tells the rest of the process how the proxy stands.
 func (c *Control) stand(now ids.Time) {
-	f := Footing{Ready: c.ready(now), InStep: c.inStep(now), CutOff: c.cutOff(now), Emptied: c.empty != 0}
+	f := ServingState{Ready: c.ready(now), InStep: c.inStep(now), CutOff: c.cutOff(now), Emptied: c.empty != 0}
 	if f.Ready == c.footing.Ready && f.CutOff == c.footing.CutOff && f.Emptied == c.footing.Emptied && f.InStep == c.footing.InStep && c.roll == c.Version() {
 		return
 	}
@@ -86,7 +86,7 @@
 func (c *Control) refreshTargets(now ids.Time) {
 	c.open(now)
 	seats := c.seats(now)
-	s := stamp{c.targets.Version(), c.Version(), c.view.Revision, c.sure() > c.woke, c.empty != 0 && (c.late || now.Since(c.empty) >= emptyAfter), c.opened, len(seats)}
+	s := stamp{c.targets.Version(), c.Version(), c.view.Revision, c.sure() > c.woke, c.empty != 0 && (c.late || now.Sub(c.empty) >= emptyAfter), c.opened, len(seats)}
 	if s == c.stocked {
 		c.lease()
 		c.acknowledge(now)
@@ -112,25 +112,25 @@
 	for _, n := range c.shelved {
 		// A service that is gone leaves no dispatcher behind that still serves it.
 		if _, ok := c.view.Services[n]; !ok {
-			c.Emit(DispatchEvent{n, dispatch.Stock{}})
+			c.Emit(DispatchEvent{n, dispatch.ServiceState{}})
 		}
 	}
 	c.shelved = slices.Sorted(maps.Keys(c.view.Services))
 	for _, n := range c.shelved {
 		sv := c.view.Services[n]
-		c.Emit(DispatchEvent{n, dispatch.Stock{Targets: by[n], Capacity: sv.Capacity, Warm: time.Duration(sv.Warm) * time.Millisecond,
+		c.Emit(DispatchEvent{n, dispatch.ServiceState{Targets: by[n], Capacity: sv.Capacity, Warm: time.Duration(sv.Warm) * time.Millisecond,
 			Allowance: c.allowance(sv, seats), InStep: s.step || c.Lease == Endless, Lease: c.until(), Terms: terms[n], Closed: s.shut, Ended: ended}})
 	}
 }
 
 // terms gives what each service's routes say.
-func (c *Control) terms() map[ids.Name]map[ids.Name]dispatch.Terms {
-	out := map[ids.Name]map[ids.Name]dispatch.Terms{}
+func (c *Control) terms() map[ids.Name]map[ids.Name]dispatch.RouteTerms {
+	out := map[ids.Name]map[ids.Name]dispatch.RouteTerms{}
 	for n, r := range c.view.Routes {
 		// Each service of a split has terms of its own.
 		for _, s := range r.Services() {
 			if out[s] == nil {
-				out[s] = map[ids.Name]dispatch.Terms{}
+				out[s] = map[ids.Name]dispatch.RouteTerms{}
 			}
 			r.Service = s
 			out[s][n] = Terms(r)
@@ -140,8 +140,8 @@
 }
 
 // Terms are what a route says of its requests.
-func Terms(r configuration.Route) dispatch.Terms {
-	return dispatch.Terms{Host: r.Host, Prefix: r.Prefix, Service: r.Service, Repeatable: r.Repeatable, Limit: r.LimitTime()}
+func Terms(r configuration.Route) dispatch.RouteTerms {
+	return dispatch.RouteTerms{Host: r.Host, Prefix: r.Prefix, Service: r.Service, Repeatable: r.Repeatable, Limit: r.LimitTime()}
 }
 
 // allowance is this proxy's part of a service's retry allowance. Parts are
@@ -165,7 +165,7 @@
 		if !m.Gone {
 			c.seen[m.ID] = now
 		}
-		if at, ok := c.seen[m.ID]; ok && now.Since(at) < seatsHeld {
+		if at, ok := c.seen[m.ID]; ok && now.Sub(at) < seatsHeld {
 			out = append(out, m)
 		}
 	}
@@ -173,19 +173,19 @@
 }
 
 // ended gives a look-up of runs that are over, as the roll stands now.
-func (c *Control) ended() func(ids.Daemon, ids.RunID) bool {
-	runs := map[ids.Daemon]membership.Member{}
+func (c *Control) ended() func(ids.DaemonID, ids.RunID) bool {
+	runs := map[ids.DaemonID]membership.Member{}
 	for _, m := range c.All() {
 		runs[m.ID] = m
 	}
-	return func(id ids.Daemon, s ids.RunID) bool {
+	return func(id ids.DaemonID, s ids.RunID) bool {
 		m, ok := runs[id]
-		return ok && (m.Gone || m.Start != s)
+		return ok && (m.Gone || m.RunID != s)
 	}
 }
 
 // MayLeave is the last look before the first byte of a request: time is left,
 // and this process was not asleep since its owner last stepped.
 func MayLeave(now, due, beat ids.Time) bool {
-	return now < due && now.Since(beat) <= frozen
+	return now < due && now.Sub(beat) <= frozen
 }
--- a/internal/dataplane/proxy/refreshpace.go
+++ b/internal/dataplane/proxy/refreshpace.go
@@ -20,7 +20,7 @@
 // receivedPush is what an acknowledgement names.
 type receivedPush struct {
 	from   ids.Address
-	number ids.Number
+	number ids.StreamNumber
 }
 
 const (
@@ -43,13 +43,13 @@
 	}
 	pairs := c.targets.Len() * next.seats
 	pace := min(time.Duration(pairs)*pairCost, longestPace)
-	return c.refreshed != 0 && pace >= leastPace && now.Since(c.refreshed) < pace
+	return c.refreshed != 0 && pace >= leastPace && now.Sub(c.refreshed) < pace
 }
 
 // acknowledge answers the pushes that dispatchers go by now, in their order.
 func (c *Control) acknowledge(now ids.Time) {
 	for _, p := range c.unacknowledged {
-		c.Send(p.from, distribution.Ack{Proxy: c.Self.ID, Start: c.Self.Start, Number: p.number, Revision: c.view.Revision, Now: now, Yard: c.targets.Exact()})
+		c.Send(p.from, distribution.Ack{Proxy: c.Self.ID, RunID: c.Self.RunID, Number: p.number, Revision: c.view.Revision, Now: now, TargetsDigest: c.targets.Exact()})
 	}
 	c.unacknowledged = nil
 }
--- a/internal/dataplane/proxy/refreshpace_test.go
+++ b/internal/dataplane/proxy/refreshpace_test.go
@@ -23,7 +23,7 @@
 // stormFleet is a proxy of a large fleet that knows all targets.
 func stormFleet(t *testing.T) *started {
 	t.Helper()
-	s := &started{Control: New(membership.Options{Self: member("p", "quay"), Incremental: true}, Options{Lease: Endless, Layout: Layout{ByCell: true}}), now: 1}
+	s := &started{Control: New(membership.Options{Self: member("p", "quay"), Incremental: true}, ControlOptions{Lease: Endless, Layout: Layout{ByCell: true}}), now: 1}
 	var fleet []membership.Member
 	for i := range stormProxies {
 		fleet = append(fleet, member(fmt.Sprint("proxy-", i), "quay"))
@@ -39,7 +39,7 @@
 }
 
 func stormTarget(i int) targets.Target {
-	return targets.Target{Instance: ids.Instance(fmt.Sprint("t", i)), Incarnation: 1, Sequence: 1, Service: "a",
+	return targets.Target{Instance: ids.InstanceID(fmt.Sprint("t", i)), Incarnation: 1, Sequence: 1, Service: "a",
 		Address: ids.Address(fmt.Sprintf("10.0.%d.%d:80", i/200, i%200+1)), Cell: "quay", Capacity: 6, Warmth: 1}
 }
 
@@ -51,14 +51,14 @@
 	s := stormFleet(t)
 	const gone = 64
 	refreshes := 0
-	var acknowledged []ids.Number
+	var acknowledged []ids.StreamNumber
 	offered := 0
 	step := func(ev event.Event) {
 		refreshed := false
 		for _, c := range s.Step(s.now, ev) {
 			switch c := c.(type) {
 			case DispatchEvent:
-				if stock, ok := c.Event.(dispatch.Stock); ok {
+				if stock, ok := c.Event.(dispatch.ServiceState); ok {
 					refreshed, offered = true, len(stock.Targets)
 				}
 			case event.Send:
@@ -77,18 +77,18 @@
 		s.count++
 		target := stormTarget(i)
 		target.Gone, target.Sequence = true, 2
-		step(event.Received{From: "r", Msg: distribution.Push{Number: s.count, Revision: 1, Targets: []targets.Target{target}, Echo: s.now, For: s.Self.Start}})
+		step(event.Received{From: "r", Msg: distribution.Push{Number: s.count, Revision: 1, Targets: []targets.Target{target}, EchoedTime: s.now, ProxyRunID: s.Self.RunID}})
 	}
-	for len(acknowledged) < gone && s.now.Since(before) < 5*time.Second {
+	for len(acknowledged) < gone && s.now.Sub(before) < 5*time.Second {
 		s.now = s.now.Add(50 * time.Millisecond)
 		step(event.Tick{})
 	}
-	t.Logf("%d pushes were weighed in %d refreshes, and acknowledged after %s", gone, refreshes, s.now.Since(before))
+	t.Logf("%d pushes were weighed in %d refreshes, and acknowledged after %s", gone, refreshes, s.now.Sub(before))
 	is.True(refreshes <= 3)
-	is.True(s.now.Since(before) <= longestPace+150*time.Millisecond)
+	is.True(s.now.Sub(before) <= longestPace+150*time.Millisecond)
 	is.Equal(len(acknowledged), gone)
 	for i, n := range acknowledged {
-		is.Equal(n, first+ids.Number(i))
+		is.Equal(n, first+ids.StreamNumber(i))
 	}
 	is.True(offered <= stormTargets-gone)
 }
--- a/internal/dataplane/proxy/resets_test.go
+++ b/internal/dataplane/proxy/resets_test.go
@@ -9,11 +9,11 @@
 	"dunlinwell/internal/dataplane/dispatch"
 )
 
-func (d *Daemon) carryTo(f *faulty, id string) dispatch.Back {
+func (d *Daemon) carryTo(f *faulty, id string) dispatch.AttemptFinished {
 	return d.put(&stand{Listener: f}, id, false)
 }
 
-func (d *Daemon) carryWithin(f *faulty, id string, within time.Duration) dispatch.Back {
+func (d *Daemon) carryWithin(f *faulty, id string, within time.Duration) dispatch.AttemptFinished {
 	return d.sendWithin(&stand{Listener: f}, &ClientRequest{ID: id}, false, within)
 }
 
@@ -27,17 +27,17 @@
 			f.set(-1, cut)
 			id := fmt.Sprintf("cut-%03d", cut)
 			b := d.carryTo(f, id)
-			want := dispatch.Maybe
+			want := dispatch.MayHaveRun
 			if cut == len(whole) {
-				want = dispatch.Sealed
+				want = dispatch.Complete
 			}
-			if b.How != want || f.runs(id) != 1 {
-				t.Fatalf("%s at byte %d: %v (%s), it ran %d times", end, cut, b.How, b.Why, f.runs(id))
+			if b.Result != want || f.runs(id) != 1 {
+				t.Fatalf("%s at byte %d: %v (%s), it ran %d times", end, cut, b.Result, b.Why, f.runs(id))
 			}
 			f.set(-1, -1)
 			next := fmt.Sprintf("nxt-%03d", cut)
-			if b := d.carryTo(f, next); b.How != dispatch.Sealed || string(b.Response.Body) != "of "+next {
-				t.Fatalf("%s at byte %d, the next: %v (%s) %q", end, cut, b.How, b.Why, b.Response.Body)
+			if b := d.carryTo(f, next); b.Result != dispatch.Complete || string(b.Response.Body) != "of "+next {
+				t.Fatalf("%s at byte %d, the next: %v (%s) %q", end, cut, b.Result, b.Why, b.Response.Body)
 			}
 			d.forgetCircuits()
 		}
@@ -58,8 +58,8 @@
 		f, d := newFaulty(t, end), plainCarrier(0)
 		for cut := range 60 {
 			f.set(cut, -1)
-			if b := d.carryTo(f, "a"); b.How != dispatch.Maybe && !(cut == 0 && b.How == dispatch.NotSent) {
-				t.Fatalf("%s at byte %d: %v (%s)", end, cut, b.How, b.Why)
+			if b := d.carryTo(f, "a"); b.Result != dispatch.MayHaveRun && !(cut == 0 && b.Result == dispatch.NotSent) {
+				t.Fatalf("%s at byte %d: %v (%s)", end, cut, b.Result, b.Why)
 			}
 		}
 	}
@@ -70,16 +70,16 @@
 func TestAConnectionThatEndsWhileIdleOrAsItIsUsed(t *testing.T) {
 	for _, end := range []ending{resets, closes, halfCloses} {
 		f, d := newFaulty(t, end), plainCarrier(0)
-		if b := d.carryTo(f, "first"); b.How != dispatch.Sealed {
+		if b := d.carryTo(f, "first"); b.Result != dispatch.Complete {
 			t.Fatal(b.Why)
 		}
 		f.endAll()
-		if b := d.carryTo(f, "second"); b.How != dispatch.Sealed || f.runs("second") != 1 {
-			t.Fatalf("%s while idle: %v %s, it ran %d times", end, b.How, b.Why, f.runs("second"))
+		if b := d.carryTo(f, "second"); b.Result != dispatch.Complete || f.runs("second") != 1 {
+			t.Fatalf("%s while idle: %v %s, it ran %d times", end, b.Result, b.Why, f.runs("second"))
 		}
 		f.set(-1, 0)
-		if b := d.carryTo(f, "third"); b.How != dispatch.Maybe || f.runs("third") != 1 {
-			t.Fatalf("%s as it is used: %v %s, it ran %d times", end, b.How, b.Why, f.runs("third"))
+		if b := d.carryTo(f, "third"); b.Result != dispatch.MayHaveRun || f.runs("third") != 1 {
+			t.Fatalf("%s as it is used: %v %s, it ran %d times", end, b.Result, b.Why, f.runs("third"))
 		}
 	}
 }
@@ -88,11 +88,11 @@
 // on an idle connection: nothing more goes there.
 func TestAnIdleConnectionToAnEarlierRunIsNotUsed(t *testing.T) {
 	earlier, later, d := newFaulty(t, closes), newFaulty(t, closes), plainCarrier(0)
-	if b := d.carryTo(earlier, "first"); b.How != dispatch.Sealed {
+	if b := d.carryTo(earlier, "first"); b.Result != dispatch.Complete {
 		t.Fatal(b.Why)
 	}
-	if b := d.carryTo(later, "second"); b.How != dispatch.Sealed || earlier.runs("second") != 0 || later.runs("second") != 1 {
-		t.Fatalf("%v %s, it ran %d times at the earlier run, %d times at the later", b.How, b.Why, earlier.runs("second"), later.runs("second"))
+	if b := d.carryTo(later, "second"); b.Result != dispatch.Complete || earlier.runs("second") != 0 || later.runs("second") != 1 {
+		t.Fatalf("%v %s, it ran %d times at the earlier run, %d times at the later", b.Result, b.Why, earlier.runs("second"), later.runs("second"))
 	}
 }
 
@@ -127,7 +127,7 @@
 		for _, id := range []string{"one", "next", "two", "three"} {
 			d.Params.MaxResponse = 1000
 			b := d.carryWithin(f, id, 100*time.Millisecond)
-			if b.How == dispatch.Sealed && string(b.Response.Body) != "of "+id {
+			if b.Result == dispatch.Complete && string(b.Response.Body) != "of "+id {
 				t.Errorf("%s: %q was given %q", name, id, b.Response.Body)
 			}
 			if f.runs(id) != 1 {
--- a/internal/dataplane/proxy/stranger_test.go
+++ b/internal/dataplane/proxy/stranger_test.go
@@ -21,8 +21,8 @@
 )
 
 func newControl() *Control {
-	self := membership.Member{ID: "c1", Role: membership.Proxy, Address: "10.0.0.1:1", Start: runOfC1, Zone: "a"}
-	c := New(membership.Options{Self: self, Seeds: []ids.Address{"10.0.0.2:1"}}, Options{})
+	self := membership.Member{ID: "c1", Role: membership.Proxy, Address: "10.0.0.1:1", RunID: runOfC1, Zone: "a"}
+	c := New(membership.Options{Self: self, Seeds: []ids.Address{"10.0.0.2:1"}}, ControlOptions{})
 	c.Step(1, event.Tick{})
 	return c
 }
@@ -32,8 +32,8 @@
 func TestAnEchoOfATimeToComeIsNoLease(t *testing.T) {
 	is := is.New(t)
 	now := ids.Time(10 * time.Second)
-	for _, msg := range []any{distribution.Push{Number: 1, Start: 1, Echo: now.Add(time.Hour), For: runOfC1},
-		LeaseGossip{For: runOfC1, Echo: now.Add(time.Hour)}} {
+	for _, msg := range []any{distribution.Push{Number: 1, RunID: 1, EchoedTime: now.Add(time.Hour), ProxyRunID: runOfC1},
+		LeaseGossip{ProxyRunID: runOfC1, EchoedTime: now.Add(time.Hour)}} {
 		c := newControl()
 		c.Step(now, event.Received{From: stranger, Msg: msg})
 		is.True(c.sure() <= now)
@@ -42,25 +42,25 @@
 	}
 	// One of an earlier run's time is no better.
 	c := newControl()
-	c.Step(now, event.Received{From: stranger, Msg: distribution.Push{Number: 1, Start: 1, Echo: now, For: runOfC1 - 1}})
+	c.Step(now, event.Received{From: stranger, Msg: distribution.Push{Number: 1, RunID: 1, EchoedTime: now, ProxyRunID: runOfC1 - 1}})
 	is.Equal(c.word, ids.Time(0))
 }
 
 // FuzzMessages gives a proxy any message: it doesn't panic, and no message makes
 // it sure of a time to come.
 func FuzzMessages(f *testing.F) {
-	for _, msg := range []any{distribution.Push{Number: 1, Start: 1, Revision: 1, Policy: []byte(`{"revision":1}`), Echo: 1, For: runOfC1,
+	for _, msg := range []any{distribution.Push{Number: 1, RunID: 1, Revision: 1, Policy: []byte(`{"revision":1}`), EchoedTime: 1, ProxyRunID: runOfC1,
 		Targets: []targets.Target{{Instance: "i", Service: "s", Address: "10.0.0.9:80", Cell: "a", Incarnation: 1, Sequence: 1, Warmth: 1}}},
-		LeaseRequest{Proxy: "c2", Start: 1}, LeaseGossip{For: runOfC1, Echo: 1, Revision: 1, Policy: []byte(`{"revision":1}`)},
-		consensus.Response{ID: uint64(runOfC1)<<24 + 1, Try: 1, State: consensus.Done}, consensus.PolicyQuery{},
-		membership.Heartbeat{Self: membership.Member{ID: "x", Role: membership.Registry, Address: stranger, Start: 1}},
+		LeaseRequest{Proxy: "c2", RunID: 1}, LeaseGossip{ProxyRunID: runOfC1, EchoedTime: 1, Revision: 1, Policy: []byte(`{"revision":1}`)},
+		consensus.Response{ID: uint64(runOfC1)<<24 + 1, Attempt: 1, Outcome: consensus.Succeeded}, consensus.PolicyQuery{},
+		membership.Heartbeat{Self: membership.Member{ID: "x", Role: membership.Registry, Address: stranger, RunID: 1}},
 		membership.Snapshot{Members: []membership.Member{{ID: "c1", Gone: true, Incarnation: 9}}}, membership.Delta{Parts: []uint16{70}},
 		membership.Digest{Parts: make([]uint64, 64)}, membership.Suspect{Watcher: "x", ID: "c1"}} {
 		raw, err := wire.Encode(msg)
 		if err != nil {
 			f.Fatal(err)
 		}
-		f.Add(uint16(wire.KindFor(msg)), raw[26:])
+		f.Add(uint16(wire.KindOfMessage(msg)), raw[26:])
 	}
 	f.Fuzz(func(t *testing.T, kind uint16, body []byte) {
 		msg, err := wire.Decode(wire.Kind(kind), body)
--- a/internal/dataplane/proxy/targetprotocol.go
+++ b/internal/dataplane/proxy/targetprotocol.go
@@ -28,7 +28,7 @@
 
 // Verdict is what an answer amounts to.
 type Verdict struct {
-	How      dispatch.How
+	How      dispatch.AttemptResult
 	Response idempotency.Response
 	Why      string
 	// Other: the answer belongs to another request; this one's may follow.
@@ -69,12 +69,12 @@
 		return Verdict{}, errs.New("check response", "", "answer names several requests")
 	case res.Header.Get("Request-Id") != h.d.requestID(f.ID):
 		return Verdict{}, errs.New("check response", "", "answer is for request %q", res.Header.Get("Request-Id"))
-	case !c.Job.Repeatable && res.Header.Get("Idempotency-Key") != string(c.Job.Mark):
+	case !c.Job.Repeatable && res.Header.Get("Idempotency-Key") != string(c.Job.IdempotencyKey):
 		return Verdict{}, errs.New("check response", "", "answer is for mark %q", res.Header.Get("Idempotency-Key"))
 	}
 	a := Sealed(res, body)
 	a.Digest = digest
-	return Verdict{How: dispatch.Sealed, Response: a, Again: true}, nil
+	return Verdict{How: dispatch.Complete, Response: a, Again: true}, nil
 }
 
 // hasDigest finds the sha-256 entry among the digests of RFC 9530.
--- a/internal/state/configuration/bench_test.go
+++ b/internal/state/configuration/bench_test.go
@@ -8,7 +8,7 @@
 
 // BenchmarkMergeOne is one route's change of a policy of three thousand.
 func BenchmarkMergeOne(b *testing.B) {
-	list := []Given{givenService("wader", 1)}
+	list := []VersionedItem{givenService("wader", 1)}
 	for i := range 3000 {
 		list = append(list, givenRoute(fmt.Sprint("r", i), "wader", 1))
 	}
--- a/internal/state/configuration/cellorder_test.go
+++ b/internal/state/configuration/cellorder_test.go
@@ -40,7 +40,7 @@
 				next, r := p.OrderCell(c.CellOrder)
 				onTheWay = append(onTheWay[:i], onTheWay[i+1:]...)
 				p = next
-				acknowledged = r.Accepted() && c.Shut == shut && isShut(p) == shut
+				acknowledged = r.Accepted() && c.Evacuate == shut && isShut(p) == shut
 				if len(onTheWay) == 0 && !acknowledged {
 					onTheWay = append(onTheWay, copyOfOrder{CellOrder{"a", "south", shut, p.CellVersion("a")}})
 				}
@@ -64,7 +64,7 @@
 	}
 }
 
-func isShut(p *Policy) bool { return p.View().Cells["a"].Shut }
+func isShut(p *Document) bool { return p.View().Cells["a"].Evacuated }
 
 // What else was said of the cell stays, an order that changes nothing writes
 // nothing, and neither a removal nor a fresh cell is mistaken for what was known.
@@ -73,14 +73,14 @@
 	p, _ := change(t, empty(t), "1", `{"kind":"cell","name":"a","put":{"target":100,"region":"south","emptied":true}}`)
 	q, r := p.OrderCell(CellOrder{"a", "south", true, p.CellVersion("a")})
 	is.True(r.Accepted())
-	is.Equal(r.Items, []Touched{{"cell", "a", 2}})
+	is.Equal(r.Items, []ItemVersion{{"cell", "a", 2}})
 	v := q.View().Cells["a"]
-	is.True(v.Shut && v.Emptied && v.Target == 100)
+	is.True(v.Evacuated && v.Drained && v.Target == 100)
 	same, r := q.OrderCell(CellOrder{"a", "south", true, 0})
 	is.True(r.Accepted())
 	is.True(same == q)
 	same, r = q.OrderCell(CellOrder{"a", "south", false, 1})
-	is.Equal(r.Stale, []Stale{{Touched{"cell", "a", 2}, 1}})
+	is.Equal(r.Stale, []VersionConflict{{ItemVersion{"cell", "a", 2}, 1}})
 	is.True(same == q)
 	// A removed cell has the version of its removal.
 	q, r = change(t, q, "2", `{"kind":"cell","name":"a","remove":true}`)
--- a/internal/state/configuration/change.go
+++ b/internal/state/configuration/change.go
@@ -13,8 +13,8 @@
 	"dunlinwell/internal/base/jsoncheck"
 )
 
-// Part changes one item: put whole, set some fields of it, or remove it.
-type Part struct {
+// ItemChange changes one item: put whole, set some fields of it, or remove it.
+type ItemChange struct {
 	Kind    string          `json:"kind"`
 	Name    ids.Name        `json:"name"`
 	Version *ids.Revision   `json:"version,omitempty"`
@@ -25,40 +25,40 @@
 
 // Change is whole or nothing.
 type Change struct {
-	ID    ids.Change `json:"id"`
-	Parts []Part     `json:"changes"`
+	ID    ids.ChangeID `json:"id"`
+	Parts []ItemChange `json:"changes"`
 }
 
-// Touched is an item as a change left it; version 0 is a removed one.
-type Touched struct {
+// ItemVersion is an item as a change left it; version 0 is a removed one.
+type ItemVersion struct {
 	Kind    string       `json:"kind"`
 	Name    ids.Name     `json:"name"`
 	Version ids.Revision `json:"version"`
 }
 
-// Stale is an item whose version is not the one the change was made for.
-type Stale struct {
-	Touched
+// VersionConflict is an item whose version is not the one the change was made for.
+type VersionConflict struct {
+	ItemVersion
 	Asked ids.Revision `json:"asked"`
 }
 
 // Result is what came of a change.
 type Result struct {
-	ID       ids.Change   `json:"id"`
-	Revision ids.Revision `json:"revision"`
-	Items    []Touched    `json:"items,omitempty"`
-	Faults   []Fault      `json:"errors,omitempty"`
-	Stale    []Stale      `json:"stale,omitempty"`
-	Missing  []Touched    `json:"missing,omitempty"`
+	ID         ids.ChangeID      `json:"id"`
+	Revision   ids.Revision      `json:"revision"`
+	Items      []ItemVersion     `json:"items,omitempty"`
+	Violations []Violation       `json:"errors,omitempty"`
+	Stale      []VersionConflict `json:"stale,omitempty"`
+	Missing    []ItemVersion     `json:"missing,omitempty"`
 	// Conflicts are numbers that already stand for something else.
-	Conflicts []Fault `json:"conflicts,omitempty"`
+	Conflicts []Violation `json:"conflicts,omitempty"`
 	// Unknown, if set, says why the end of this change can't be told.
 	Unknown string `json:"unknown,omitempty"`
 }
 
 // Accepted tells whether the change took effect.
 func (r Result) Accepted() bool {
-	return len(r.Faults)+len(r.Stale)+len(r.Missing)+len(r.Conflicts) == 0 && r.Unknown == ""
+	return len(r.Violations)+len(r.Stale)+len(r.Missing)+len(r.Conflicts) == 0 && r.Unknown == ""
 }
 
 // mostRecent and mostDeclined bound how many results are kept for resent changes.
@@ -76,11 +76,11 @@
 func sorted[V any](m map[ids.Name]V) []ids.Name { return slices.Sorted(maps.Keys(m)) }
 
 // ReadChange reads and checks the words of a change; all faults are listed.
-func ReadChange(raw []byte) (Change, []Fault) {
+func ReadChange(raw []byte) (Change, []Violation) {
 	var c Change
-	var faults []Fault
+	var faults []Violation
 	item := "change"
-	bad := func(path, why string) { faults = append(faults, Fault{item, path, why}) }
+	bad := func(path, why string) { faults = append(faults, Violation{item, path, why}) }
 	if !jsoncheck.JSON(raw) {
 		bad("", "is not valid JSON")
 		return c, faults
@@ -91,7 +91,7 @@
 		return c, faults
 	}
 	twice("", doc, bad)
-	Only(doc, "", bad, "id", "changes")
+	CheckKeys(doc, "", bad, "id", "changes")
 	if id := doc.Get("id"); id.Type != gjson.String || !changeRule.MatchString(id.Str) {
 		bad("id", "must be 1 to 128 letters, digits or . _ : -")
 	}
@@ -118,8 +118,8 @@
 	return c, faults
 }
 
-// Only finds the keys of an object that are not among the known ones.
-func Only(doc gjson.Result, path string, bad func(path, why string), known ...string) {
+// CheckKeys finds the keys of an object that are not among the known ones.
+func CheckKeys(doc gjson.Result, path string, bad func(path, why string), known ...string) {
 	doc.ForEach(func(k, _ gjson.Result) bool {
 		if !slices.Contains(known, k.String()) {
 			bad(join2(path, k.String()), "is not known")
@@ -129,7 +129,7 @@
 }
 
 func checkPart(part gjson.Result, item *string, seen map[string]bool, bad func(path, why string)) {
-	Only(part, "", bad, "kind", "name", "version", "put", "set", "remove")
+	CheckKeys(part, "", bad, "kind", "name", "version", "put", "set", "remove")
 	kind, name := part.Get("kind"), part.Get("name")
 	if _, ok := fields[kind.Str]; !ok || kind.Type != gjson.String {
 		bad("kind", "must be service, route, cell or limits")
@@ -170,7 +170,7 @@
 }
 
 // Apply gives the policy after a change, or the same policy if it is declined.
-func (p *Policy) Apply(c Change) (*Policy, Result) {
+func (p *Document) Apply(c Change) (*Document, Result) {
 	if res, ended := p.earlierEnd(c); ended {
 		return p, res
 	}
@@ -180,12 +180,12 @@
 	}
 	next := p.copy()
 	res := Result{ID: c.ID, Revision: p.Revision}
-	var done []Touched
+	var done []ItemVersion
 	for _, part := range c.Parts {
 		done = append(done, next.apply(part, by(c.ID), &res))
 	}
 	if res.Accepted() {
-		res.Faults = next.checkWhole(c)
+		res.Violations = next.checkWhole(c)
 	}
 	switch {
 	case !res.Accepted() && !sure:
@@ -203,14 +203,14 @@
 }
 
 // apply makes one part's change in place, and notes what stands against it.
-func (p *Policy) apply(part Part, by string, res *Result) Touched {
-	items := p.Of(part.Kind)
+func (p *Document) apply(part ItemChange, by string, res *Result) ItemVersion {
+	items := p.Items(part.Kind)
 	have, exists := items[part.Name]
 	key := part.Kind + "/" + string(part.Name)
 	given := have.merged() || have.Given || p.Removed[key].Given
-	t := Touched{Kind: part.Kind, Name: part.Name, Version: have.Version}
+	t := ItemVersion{Kind: part.Kind, Name: part.Name, Version: have.Version}
 	if part.Version != nil && *part.Version != have.Version {
-		res.Stale = append(res.Stale, Stale{t, *part.Version})
+		res.Stale = append(res.Stale, VersionConflict{t, *part.Version})
 		return t
 	}
 	if !exists && part.Put == nil {
@@ -222,13 +222,13 @@
 		delete(items, part.Name)
 		// It stays removed for copies of it that arrive later, too.
 		p.bury(key, Tombstone{Version: have.Version + 1, By: by, Prev: have.Version, Given: given})
-		return Touched{Kind: part.Kind, Name: part.Name}
+		return ItemVersion{Kind: part.Kind, Name: part.Name}
 	}
 	body := part.Put
 	if part.Set != nil {
 		body = overlay(have.Body, part.Set)
 		checkBody(part.Kind, string(body), func(path, why string) {
-			res.Faults = append(res.Faults, Fault{key, path, why})
+			res.Violations = append(res.Violations, Violation{key, path, why})
 		})
 	}
 	t.Version = p.Revision
--- a/internal/state/configuration/check.go
+++ b/internal/state/configuration/check.go
@@ -10,11 +10,11 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// Fault is one thing wrong with a change: the item, the path in it, and why.
-type Fault struct {
-	Item    string `json:"item"`
-	Path    string `json:"path"`
-	Problem string `json:"problem"`
+// Violation is one thing wrong with a change: the item, the path in it, and why.
+type Violation struct {
+	Item   string `json:"item"`
+	Path   string `json:"path"`
+	Reason string `json:"problem"`
 }
 
 // field is what a path of an item must hold.
@@ -196,13 +196,13 @@
 // checkWhole checks what no single item shows: routes to their services, and
 // prefixes that two routes would fight over. Routes that the change leaves alone
 // had their services before it, and have them still unless it removes one.
-func (p *Policy) checkWhole(c Change) []Fault {
+func (p *Document) checkWhole(c Change) []Violation {
 	orphaned, touched := false, map[ids.Name]bool{}
 	for _, part := range c.Parts {
 		orphaned = orphaned || part.Kind == "service" && part.Remove
 		touched[part.Name] = touched[part.Name] || part.Kind == "route"
 	}
-	var faults []Fault
+	var faults []Violation
 	prefix := map[string]ids.Name{}
 	for _, n := range sorted(p.Routes) {
 		if orphaned || touched[n] {
@@ -216,7 +216,7 @@
 		doc := gjson.ParseBytes(p.Routes[n].Body)
 		at := doc.Get("host").Str + strings.TrimRight(doc.Get("prefix").Str, "/")
 		if other, used := prefix[at]; used {
-			faults = append(faults, Fault{"route/" + string(n), "prefix", fmt.Sprintf("is that of route %q too", other)})
+			faults = append(faults, Violation{"route/" + string(n), "prefix", fmt.Sprintf("is that of route %q too", other)})
 		}
 		prefix[at] = n
 	}
--- a/internal/state/configuration/cluster_test.go
+++ b/internal/state/configuration/cluster_test.go
@@ -92,7 +92,7 @@
 		n := &clientNode{address: ids.Address(fmt.Sprint("registry", i))}
 		n.Client = consensus.NewClient(ids.RunID(i+1), &n.Outbox)
 		// Each goes to another store first, so that two propose at once.
-		n.Order = func(ids.Key) []ids.Address {
+		n.StoreOrder = func(ids.RegisterKey) []ids.Address {
 			return []ids.Address{c.stores[i].address, c.stores[(i+1)%3].address, c.stores[(i+2)%3].address}
 		}
 		c.clients = append(c.clients, n)
@@ -141,7 +141,7 @@
 		}
 	}
 	for _, n := range c.clients {
-		n.Clock(c.now)
+		n.Tick(c.now)
 		c.send(n.address, n.Drain())
 	}
 	c.after(tickEvery, c.tick)
@@ -163,8 +163,8 @@
 				return
 			}
 			s.disk.write(sync.Records)
-			s.Acceptor.Synced(sync.Turn)
-			c.obey(s, sync.Then)
+			s.Acceptor.Synced(sync.Batch)
+			c.obey(s, sync.After)
 			c.carry(s)
 		})
 	}
@@ -231,8 +231,8 @@
 }
 
 // call sends an operation through one registry, and gives its end later.
-func (c *cluster) call(registry int, op consensus.Op, arg []byte, done func(consensus.State, []byte)) {
+func (c *cluster) call(registry int, op consensus.Op, arg []byte, done func(consensus.Outcome, []byte)) {
 	n := c.clients[registry]
-	n.Call(c.now, configuration.Key, op, arg, 3*time.Second, func(_ ids.Time, s consensus.State, out []byte) { done(s, out) })
+	n.Call(c.now, configuration.Key, op, arg, 3*time.Second, func(_ ids.Time, s consensus.Outcome, out []byte) { done(s, out) })
 	c.send(n.address, n.Drain())
 }
--- a/internal/state/configuration/clusterdisk_test.go
+++ b/internal/state/configuration/clusterdisk_test.go
@@ -9,11 +9,11 @@
 )
 
 // diskMemory is a disk: what was synced outlives its process.
-type diskMemory map[ids.Key][]byte
+type diskMemory map[ids.RegisterKey][]byte
 
-func (m diskMemory) Get(k ids.Key) ([]byte, bool) { v, ok := m[k]; return v, ok }
+func (m diskMemory) Get(k ids.RegisterKey) ([]byte, bool) { v, ok := m[k]; return v, ok }
 
-func (m diskMemory) Scan(after ids.Key, n int) []event.Record {
+func (m diskMemory) Scan(after ids.RegisterKey, n int) []event.Record {
 	var list []event.Record
 	for _, k := range slices.Sorted(maps.Keys(m)) {
 		if k > after && k < "item0" && len(list) < n {
--- a/internal/state/configuration/decoded.go
+++ b/internal/state/configuration/decoded.go
@@ -14,7 +14,7 @@
 // anew for each change would be most of the change's cost.
 type changer struct {
 	raw    []byte
-	policy *Policy
+	policy *Document
 	last   outcome
 }
 
@@ -27,11 +27,11 @@
 }
 
 // step changes an opened policy; an unchanged policy is given back as it is.
-type step func(p *Policy, arg []byte) (next *Policy, res Result, ok bool)
+type step func(p *Document, arg []byte) (next *Document, res Result, ok bool)
 
 // change runs a step as a register's change function.
 func (c *changer) change(op consensus.Op, run step) consensus.ChangeFunc {
-	return func(_ ids.Key, old, arg []byte) ([]byte, []byte) {
+	return func(_ ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
 		if l := c.last; l.op == op && l.response != nil && bytes.Equal(l.old, old) && bytes.Equal(l.arg, arg) {
 			return l.next, l.response
 		}
@@ -46,7 +46,7 @@
 		response, _ := json.Marshal(res)
 		value := old
 		if next != p {
-			value = next.Pack(true)
+			value = next.Encode(true)
 			c.raw, c.policy = value, next
 		}
 		c.last = outcome{op, old, arg, value, response}
@@ -56,11 +56,11 @@
 
 // open reads a policy, or gives the one at hand if it is of the same bytes.
 // Policies are never changed in place once they were given out.
-func (c *changer) open(raw []byte) (*Policy, error) {
+func (c *changer) open(raw []byte) (*Document, error) {
 	if c.policy != nil && bytes.Equal(raw, c.raw) {
 		return c.policy, nil
 	}
-	p, err := Open(raw)
+	p, err := Decode(raw)
 	if err == nil {
 		c.raw, c.policy = raw, p
 	}
--- a/internal/state/configuration/delta.go
+++ b/internal/state/configuration/delta.go
@@ -10,15 +10,15 @@
 
 var kindNames = []string{"service", "route", "cell", "limits"}
 
-// Since gives what changed after a revision, packed for those who only obey. A
+// ChangesSince gives what changed after a revision, packed for those who only obey. A
 // change then costs its own items and not the whole policy.
-func (p *Policy) Since(base ids.Revision) []byte {
-	d := &Policy{Revision: p.Revision, Base: base, Services: map[ids.Name]Item{}, Routes: map[ids.Name]Item{},
+func (p *Document) ChangesSince(base ids.Revision) []byte {
+	d := &Document{Revision: p.Revision, Base: base, Services: map[ids.Name]Item{}, Routes: map[ids.Name]Item{},
 		Cells: map[ids.Name]Item{}, Limits: map[ids.Name]Item{}, Removed: map[string]Tombstone{}}
 	for _, k := range kindNames {
-		for n, it := range p.Of(k) {
+		for n, it := range p.Items(k) {
 			if it.At > base {
-				d.Of(k)[n] = it
+				d.Items(k)[n] = it
 			}
 		}
 	}
@@ -33,8 +33,8 @@
 
 // Advance gives the policy that a packed one or a difference leads to, or the
 // same policy if it is no newer, or builds on what isn't here.
-func (p *Policy) Advance(raw []byte) (*Policy, error) {
-	d, err := Open(raw)
+func (p *Document) Advance(raw []byte) (*Document, error) {
+	d, err := Decode(raw)
 	if err != nil || d.Revision <= p.Revision {
 		return p, err
 	}
@@ -48,14 +48,14 @@
 	next.Revision = d.Revision
 	next.Recent, next.Declined, next.History = nil, nil, nil
 	for _, k := range kindNames {
-		maps.Copy(next.Of(k), d.Of(k))
-		for n := range d.Of(k) {
+		maps.Copy(next.Items(k), d.Items(k))
+		for n := range d.Items(k) {
 			delete(next.Removed, k+"/"+string(n))
 		}
 	}
 	for key, b := range d.Removed {
 		kind, name, _ := strings.Cut(key, "/")
-		if items := next.Of(kind); items != nil {
+		if items := next.Items(kind); items != nil {
 			delete(items, ids.Name(name))
 		}
 		if next.Removed == nil {
--- a/internal/state/configuration/delta_test.go
+++ b/internal/state/configuration/delta_test.go
@@ -17,10 +17,10 @@
 	is := is.New(t)
 	for seed := range uint64(30) {
 		dice := rand.New(rand.NewPCG(seed, 1))
-		all := []*Policy{empty(t)}
+		all := []*Document{empty(t)}
 		for n := range 40 {
 			p, name := all[len(all)-1], fmt.Sprint("s", dice.IntN(6))
-			var q *Policy
+			var q *Document
 			switch dice.IntN(4) {
 			case 0:
 				q, _ = p.Merge(merging(givenService(name, ids.Revision(dice.IntN(60)))))
@@ -37,23 +37,23 @@
 		}
 		last := all[len(all)-1]
 		for _, from := range all {
-			have, err := Open(from.Pack(false))
+			have, err := Decode(from.Encode(false))
 			is.NoErr(err)
 			base := all[dice.IntN(len(all))]
-			got, err := have.Advance(last.Since(base.Revision))
+			got, err := have.Advance(last.ChangesSince(base.Revision))
 			is.NoErr(err)
 			if from.Revision < base.Revision {
 				is.True(got == have) // it builds on what isn't here
 				continue
 			}
 			if from.Revision < last.Revision {
-				is.Equal(string(got.Pack(false)), string(last.Pack(false)))
+				is.Equal(string(got.Encode(false)), string(last.Encode(false)))
 				is.Equal(got.View(), last.View())
 			}
-			again, err := got.Advance(last.Since(base.Revision))
+			again, err := got.Advance(last.ChangesSince(base.Revision))
 			is.NoErr(err)
 			is.True(again == got)
-			older, err := got.Advance(all[0].Pack(false))
+			older, err := got.Advance(all[0].Encode(false))
 			is.NoErr(err)
 			is.True(older == got)
 		}
@@ -83,5 +83,5 @@
 	is.Equal(string(same), string(first))
 	r = Result{}
 	is.NoErr(json.Unmarshal(out, &r))
-	is.Equal(len(r.Faults), 1)
+	is.Equal(len(r.Violations), 1)
 }
--- a/internal/state/configuration/encode.go
+++ b/internal/state/configuration/encode.go
@@ -13,7 +13,7 @@
 // marshal writes the very bytes that json.Marshal does, without reading each
 // item's body again: it is most of a policy, and is nearly always in the form
 // that json.Marshal would give it.
-func (p *Policy) marshal() []byte {
+func (p *Document) marshal() []byte {
 	shell := *p
 	shell.Services, shell.Routes, shell.Cells, shell.Limits = nil, nil, nil, nil
 	rest, err := json.Marshal(&shell)
--- a/internal/state/configuration/encode_test.go
+++ b/internal/state/configuration/encode_test.go
@@ -12,17 +12,19 @@
 )
 
 // mergeOp merges as a proposer that has no policy at hand.
-func mergeOp(key ids.Key, old, arg []byte) ([]byte, []byte) { return Ops()[OpMerge](key, old, arg) }
+func mergeOp(key ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
+	return Ops()[OpMerge](key, old, arg)
+}
 
 // What is written without reading each body again is what json.Marshal writes.
 func TestPackedAsJSONMarshalDoes(t *testing.T) {
 	is := is.New(t)
 	odd := []string{`{"a":1}`, `{ "a" : [ 1 , 2 ] }`, `"<&>"`, "\"\u2028 \u2029\"", `"\u003c"`, "\"\xff\xe2\x80\"", `null`, "{\n\t}"}
-	p, _ := Open(nil)
+	p, _ := Decode(nil)
 	for round := range 3 {
 		plain, err := json.Marshal(p)
 		is.NoErr(err)
-		is.Equal(string(p.Pack(true)), string(plain))
+		is.Equal(string(p.Encode(true)), string(plain))
 		p = p.copy()
 		for i, body := range odd {
 			n := ids.Name(fmt.Sprintf("é<%d>%d", i, round))
@@ -38,7 +40,7 @@
 	}
 	p.Base, p.Cells = 4, nil
 	plain, _ := json.Marshal(p)
-	is.Equal(string(p.Pack(true)), string(plain))
+	is.Equal(string(p.Encode(true)), string(plain))
 }
 
 // No field of an item is left out, also none that is added later.
@@ -77,7 +79,7 @@
 	ops := Ops()
 	var value []byte
 	for i := range 40 {
-		list := []Given{givenService("wader", 1), givenRoute(fmt.Sprint("r", i%7), "wader", ids.Revision(i))}
+		list := []VersionedItem{givenService("wader", 1), givenRoute(fmt.Sprint("r", i%7), "wader", ids.Revision(i))}
 		if i%5 == 4 {
 			list[1].Removed, list[1].Body = true, nil
 		}
--- a/internal/state/configuration/given.go
+++ b/internal/state/configuration/given.go
@@ -10,17 +10,17 @@
 )
 
 // ReadMerging reads and checks the words of a merging; all faults are listed.
-func ReadMerge(raw []byte) (Merge, []Fault) {
+func ReadMerge(raw []byte) (Merge, []Violation) {
 	var m Merge
-	var faults []Fault
+	var faults []Violation
 	item := "merging"
-	bad := func(path, why string) { faults = append(faults, Fault{item, path, why}) }
+	bad := func(path, why string) { faults = append(faults, Violation{item, path, why}) }
 	doc := gjson.ParseBytes(raw)
 	if !jsoncheck.JSON(raw) || !doc.IsObject() {
 		bad("", "is not a JSON object")
 		return m, faults
 	}
-	Only(doc, "", bad, "items")
+	CheckKeys(doc, "", bad, "items")
 	list := doc.Get("items").Array()
 	if !doc.Get("items").IsArray() || len(list) == 0 || len(list) > mostGiven {
 		bad("items", fmt.Sprintf("must be a list of 1 to %d", mostGiven))
@@ -60,7 +60,7 @@
 		}
 		return true
 	})
-	Only(g, "", bad, "kind", "name", "version", "body", "source", "removed")
+	CheckKeys(g, "", bad, "kind", "name", "version", "body", "source", "removed")
 	for _, f := range []string{"kind", "name"} {
 		if g.Get(f).Type != gjson.String {
 			bad(f, "must be a string")
--- a/internal/state/configuration/given_test.go
+++ b/internal/state/configuration/given_test.go
@@ -19,7 +19,7 @@
 	is.Equal(string(m.Items[0].Source), `{"x":1,"x":2}`)
 	is.True(m.Items[1].Removed)
 	given := func(s string) string { return `{"items":[` + s + `]}` }
-	for raw, want := range map[string]Fault{
+	for raw, want := range map[string]Violation{
 		"":                      {"merging", "", "is not a JSON object"},
 		"[]":                    {"merging", "", "is not a JSON object"},
 		"{}":                    {"merging", "items", "must be a list of 1 to 200000"},
@@ -62,7 +62,7 @@
 // uncertain end.
 func TestDeepSourcesAreFaults(t *testing.T) {
 	is := is.New(t)
-	nested := func(n int) Given {
+	nested := func(n int) VersionedItem {
 		g := givenService("wader", 1)
 		g.Source = json.RawMessage(`{"a":"[[[[{\"","b":` + strings.Repeat("[", n) + strings.Repeat("]", n) + `}`)
 		return g
@@ -70,10 +70,10 @@
 	is.Equal(len(merging(nested(deepestSource-1)).Check()), 0)
 	for _, n := range []int{deepestSource, 20000, 1000000} {
 		from := time.Now()
-		is.Equal(merging(nested(n)).Check(), []Fault{{"service/wader", "source", "nests too deep"}})
+		is.Equal(merging(nested(n)).Check(), []Violation{{"service/wader", "source", "nests too deep"}})
 		is.True(time.Since(from) < 2*time.Second)
 	}
 	g := givenService("wader", 1)
 	g.Source = json.RawMessage(`{"a":`)
-	is.Equal(merging(g).Check(), []Fault{{"service/wader", "source", "is not valid JSON"}})
+	is.Equal(merging(g).Check(), []Violation{{"service/wader", "source", "is not valid JSON"}})
 }
--- a/internal/state/configuration/history.go
+++ b/internal/state/configuration/history.go
@@ -102,7 +102,7 @@
 
 // history gives what is remembered; of a policy that was written before there
 // was a history, as much as its results tell.
-func (p *Policy) history() History {
+func (p *Document) history() History {
 	if p.History != nil {
 		return *p.History
 	}
@@ -119,7 +119,7 @@
 }
 
 // rememberChange notes how a change ended.
-func (p *Policy) rememberChange(c Change, res Result) {
+func (p *Document) rememberChange(c Change, res Result) {
 	h := p.history()
 	e := entry{keyOf(string(c.ID)), sumOfChange(c), res.Revision, !res.Accepted()}
 	var dropped ids.Revision
@@ -134,7 +134,7 @@
 }
 
 // rememberVersion notes the content of a version that is about to be overtaken.
-func (p *Policy) rememberVersion(kind string, name ids.Name) {
+func (p *Document) rememberVersion(kind string, name ids.Name) {
 	v, ok := p.version(kind, name)
 	if !ok {
 		return
@@ -147,7 +147,7 @@
 
 // rememberGiven notes the version that holds, if versions of the name were given
 // from outside.
-func (p *Policy) rememberGiven(kind string, name ids.Name, given bool) {
+func (p *Document) rememberGiven(kind string, name ids.Name, given bool) {
 	if given {
 		p.rememberVersion(kind, name)
 	}
@@ -155,7 +155,7 @@
 
 // conflicts tells whether an item's version stands for another content already:
 // two callers can't both be told that one number is theirs.
-func (p *Policy) conflicts(g Given) []Fault {
+func (p *Document) conflicts(g VersionedItem) []Violation {
 	have, known := p.version(g.Kind, g.Name)
 	if !known || g.Version > have {
 		return nil
@@ -172,11 +172,11 @@
 	if content == g.content() {
 		return nil
 	}
-	return []Fault{{g.Kind + "/" + string(g.Name), "version", reasonOtherValue}}
+	return []Violation{{g.Kind + "/" + string(g.Name), "version", reasonOtherValue}}
 }
 
 // content sums up what a given item asks for.
-func (g Given) content() contentSum {
+func (g VersionedItem) content() contentSum {
 	if g.Removed {
 		return removedContent
 	}
@@ -184,8 +184,8 @@
 }
 
 // contentOf sums up what holds for a name: an item, or its removal.
-func (p *Policy) contentOf(kind string, name ids.Name) contentSum {
-	it, ok := p.Of(kind)[name]
+func (p *Document) contentOf(kind string, name ids.Name) contentSum {
+	it, ok := p.Items(kind)[name]
 	if !ok {
 		return removedContent
 	}
--- a/internal/state/configuration/merge.go
+++ b/internal/state/configuration/merge.go
@@ -16,9 +16,9 @@
 // OpMerge merges items whose versions their caller gave.
 const OpMerge consensus.Op = 2
 
-// Given is an item whose version its caller gave: for each name the highest
+// VersionedItem is an item whose version its caller gave: for each name the highest
 // version holds, set or removed; lower or equal ones change nothing.
-type Given struct {
+type VersionedItem struct {
 	Kind    string          `json:"kind"`
 	Name    ids.Name        `json:"name"`
 	Version ids.Revision    `json:"version"`
@@ -30,17 +30,17 @@
 // Merging is a call's items; it is valid whole or declined whole. Sent again,
 // late or out of order it does no harm, so it needs no id.
 type Merge struct {
-	Items []Given `json:"items"`
+	Items []VersionedItem `json:"items"`
 }
 
 // mostGiven bounds the items of one call.
 const mostGiven = 200000
 
 // Check finds what a merging's own words show to be wrong.
-func (m Merge) Check() []Fault {
-	var faults []Fault
+func (m Merge) Check() []Violation {
+	var faults []Violation
 	item := "items"
-	bad := func(path, why string) { faults = append(faults, Fault{item, path, why}) }
+	bad := func(path, why string) { faults = append(faults, Violation{item, path, why}) }
 	if len(m.Items) > mostGiven {
 		bad("", fmt.Sprintf("must be %d at most", mostGiven))
 		return faults
@@ -71,9 +71,9 @@
 
 // Merge gives the policy with a call's items merged in, or the same policy if
 // the call is declined or brings nothing newer.
-func (p *Policy) Merge(m Merge) (*Policy, Result) {
-	res := Result{Revision: p.Revision, Faults: m.Check()}
-	if len(res.Faults) > 0 {
+func (p *Document) Merge(m Merge) (*Document, Result) {
+	res := Result{Revision: p.Revision, Violations: m.Check()}
+	if len(res.Violations) > 0 {
 		return p, res
 	}
 	next := p.copy()
@@ -85,27 +85,27 @@
 			orphaned = orphaned || g.Kind == "service" && g.Removed
 		}
 		v, _ := next.version(g.Kind, g.Name)
-		res.Items = append(res.Items, Touched{Kind: g.Kind, Name: g.Name, Version: v})
+		res.Items = append(res.Items, ItemVersion{Kind: g.Kind, Name: g.Name, Version: v})
 	}
 	// A route of the call is judged even where it is overtaken: what names a
 	// service that isn't there is wrong whatever came later.
 	for _, g := range m.Items {
 		if g.Kind == "route" && !g.Removed {
-			res.Faults = append(res.Faults, next.unknownServices(g.Name, g.Body)...)
+			res.Violations = append(res.Violations, next.unknownServices(g.Name, g.Body)...)
 		}
 	}
 	// The others stand by services that they had, unless some of those went.
 	if orphaned {
 		for _, n := range sorted(next.Routes) {
 			for _, f := range next.unknownServices(n, next.Routes[n].Body) {
-				if !slices.Contains(res.Faults, f) {
-					res.Faults = append(res.Faults, f)
+				if !slices.Contains(res.Violations, f) {
+					res.Violations = append(res.Violations, f)
 				}
 			}
 		}
 	}
 	if !res.Accepted() {
-		return p, Result{Revision: p.Revision, Faults: res.Faults, Conflicts: res.Conflicts}
+		return p, Result{Revision: p.Revision, Violations: res.Violations, Conflicts: res.Conflicts}
 	}
 	if !changed {
 		return p, res
@@ -115,14 +115,14 @@
 }
 
 // copy gives the next revision's policy, with maps of its own.
-func (p *Policy) copy() *Policy {
-	return &Policy{Revision: p.Revision + 1, Services: maps.Clone(p.Services), Routes: maps.Clone(p.Routes), Cells: maps.Clone(p.Cells),
+func (p *Document) copy() *Document {
+	return &Document{Revision: p.Revision + 1, Services: maps.Clone(p.Services), Routes: maps.Clone(p.Routes), Cells: maps.Clone(p.Cells),
 		Limits: maps.Clone(p.Limits), Removed: maps.Clone(p.Removed), Recent: p.Recent, Declined: p.Declined, History: p.History}
 }
 
 // version gives the version that holds for a name, set or removed.
-func (p *Policy) version(kind string, name ids.Name) (ids.Revision, bool) {
-	if it, ok := p.Of(kind)[name]; ok {
+func (p *Document) version(kind string, name ids.Name) (ids.Revision, bool) {
+	if it, ok := p.Items(kind)[name]; ok {
 		return it.Version, true
 	}
 	v, ok := p.Removed[kind+"/"+string(name)]
@@ -130,24 +130,24 @@
 }
 
 // merge takes one item if its version is the highest for its name.
-func (p *Policy) merge(g Given) bool {
+func (p *Document) merge(g VersionedItem) bool {
 	if v, ok := p.version(g.Kind, g.Name); ok && g.Version <= v {
 		return false
 	}
 	key := g.Kind + "/" + string(g.Name)
 	p.rememberVersion(g.Kind, g.Name)
 	if g.Removed {
-		delete(p.Of(g.Kind), g.Name)
+		delete(p.Items(g.Kind), g.Name)
 		p.bury(key, Tombstone{Version: g.Version, Given: true})
 		return true
 	}
 	delete(p.Removed, key)
-	p.Of(g.Kind)[g.Name] = Item{Version: g.Version, Body: pretty.Ugly(g.Body), Source: g.Source, At: p.Revision, Merged: true, Given: true}
+	p.Items(g.Kind)[g.Name] = Item{Version: g.Version, Body: pretty.Ugly(g.Body), Source: g.Source, At: p.Revision, Merged: true, Given: true}
 	return true
 }
 
 // bury notes how an item was removed.
-func (p *Policy) bury(key string, t Tombstone) {
+func (p *Document) bury(key string, t Tombstone) {
 	if p.Removed == nil {
 		p.Removed = map[string]Tombstone{}
 	}
@@ -156,12 +156,12 @@
 }
 
 // unknownServices finds services that a route names and that aren't there.
-func (p *Policy) unknownServices(n ids.Name, body []byte) []Fault {
+func (p *Document) unknownServices(n ids.Name, body []byte) []Violation {
 	var r Route
 	if err := json.Unmarshal(body, &r); err != nil {
-		return []Fault{{"route/" + string(n), "", err.Error()}}
+		return []Violation{{"route/" + string(n), "", err.Error()}}
 	}
-	var faults []Fault
+	var faults []Violation
 	names := []ids.Name{r.Service}
 	if len(r.Split) > 0 {
 		names = names[:0]
@@ -171,7 +171,7 @@
 	}
 	for _, s := range names {
 		if _, ok := p.Services[s]; !ok {
-			faults = append(faults, Fault{"route/" + string(n), "service", fmt.Sprintf("there is no service %q", s)})
+			faults = append(faults, Violation{"route/" + string(n), "service", fmt.Sprintf("there is no service %q", s)})
 		}
 	}
 	return faults
--- a/internal/state/configuration/merge_test.go
+++ b/internal/state/configuration/merge_test.go
@@ -10,24 +10,24 @@
 	"dunlinwell/internal/base/ids"
 )
 
-func givenService(name string, v ids.Revision) Given {
-	return Given{Kind: "service", Name: ids.Name(name), Version: v, Body: json.RawMessage(`{"circuits":9}`), Source: json.RawMessage(fmt.Sprintf(`{"called": %q,  "v":%d}`, name, v))}
+func givenService(name string, v ids.Revision) VersionedItem {
+	return VersionedItem{Kind: "service", Name: ids.Name(name), Version: v, Body: json.RawMessage(`{"circuits":9}`), Source: json.RawMessage(fmt.Sprintf(`{"called": %q,  "v":%d}`, name, v))}
 }
 
-func givenRoute(name, service string, v ids.Revision) Given {
+func givenRoute(name, service string, v ids.Revision) VersionedItem {
 	body := fmt.Sprintf(`{"host":"tern.example","prefix":"/%s/","service":%q,"repeatable":true}`, name, service)
-	return Given{Kind: "route", Name: ids.Name(name), Version: v, Body: json.RawMessage(body), Source: json.RawMessage(fmt.Sprintf(`{"n":%q, "to" : %q}`, name, service))}
+	return VersionedItem{Kind: "route", Name: ids.Name(name), Version: v, Body: json.RawMessage(body), Source: json.RawMessage(fmt.Sprintf(`{"n":%q, "to" : %q}`, name, service))}
 }
 
-func gone(kind, name string, v ids.Revision) Given {
-	return Given{Kind: kind, Name: ids.Name(name), Version: v, Removed: true}
+func gone(kind, name string, v ids.Revision) VersionedItem {
+	return VersionedItem{Kind: kind, Name: ids.Name(name), Version: v, Removed: true}
 }
 
-func merging(items ...Given) Merge { return Merge{Items: items} }
+func merging(items ...VersionedItem) Merge { return Merge{Items: items} }
 
-func empty(t *testing.T) *Policy {
+func empty(t *testing.T) *Document {
 	t.Helper()
-	p, err := Open(nil)
+	p, err := Decode(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,14 +40,14 @@
 	is.True(r.Accepted())
 	is.Equal(r.Revision, ids.Revision(1))
 	is.Equal(p.Routes["mud"].Version, ids.Revision(7))
-	is.Equal(r.Items, []Touched{{"service", "wader", 7}, {"route", "mud", 7}})
+	is.Equal(r.Items, []ItemVersion{{"service", "wader", 7}, {"route", "mud", 7}})
 	// Equal and lower ones succeed, name what holds, and change nothing at all.
 	for _, v := range []ids.Revision{7, 6, 0} {
 		q, r := p.Merge(merging(givenRoute("mud", "wader", v)))
 		is.True(q == p)
 		is.True(r.Accepted())
 		is.Equal(r.Revision, p.Revision)
-		is.Equal(r.Items, []Touched{{"route", "mud", 7}})
+		is.Equal(r.Items, []ItemVersion{{"route", "mud", 7}})
 	}
 	// Steps may be uneven, and one item may be newer beside one that is older.
 	q, r := p.Merge(merging(givenRoute("mud", "wader", 40), givenService("wader", 3)))
@@ -73,9 +73,9 @@
 		merging(givenRoute("mud", "wader", 8)),
 		merging(gone("route", "sand", 4)),
 	}
-	var play func(p *Policy, left []int)
+	var play func(p *Document, left []int)
 	runs := 0
-	play = func(p *Policy, left []int) {
+	play = func(p *Document, left []int) {
 		if len(left) == 0 {
 			runs++
 			_, there := p.Routes["mud"]
@@ -103,11 +103,11 @@
 	p, _ := empty(t).Merge(merging(givenService("wader", 1), givenRoute("mud", "wader", 4)))
 	p, r := p.Merge(merging(gone("route", "mud", 6)))
 	is.True(r.Accepted())
-	is.Equal(r.Items, []Touched{{"route", "mud", 6}})
+	is.Equal(r.Items, []ItemVersion{{"route", "mud", 6}})
 	is.Equal(len(p.Routes), 0)
 	// A copy that is older, or as old, doesn't bring it back; nor does a reopened
 	// policy forget it.
-	p, err := Open(p.Pack(false))
+	p, err := Decode(p.Encode(false))
 	is.NoErr(err)
 	for _, v := range []ids.Revision{4, 5} {
 		q, r := p.Merge(merging(givenRoute("mud", "wader", v)))
@@ -116,7 +116,7 @@
 	}
 	// The number of the removal is taken: it can't stand for an item as well.
 	q, r := p.Merge(merging(givenRoute("mud", "wader", 6)))
-	is.Equal(r.Conflicts, []Fault{{"route/mud", "version", reasonOtherValue}})
+	is.Equal(r.Conflicts, []Violation{{"route/mud", "version", reasonOtherValue}})
 	is.True(q == p)
 	q, r = p.Merge(merging(gone("route", "mud", 6)))
 	is.True(r.Accepted())
@@ -139,10 +139,10 @@
 func TestMergingsAreWholeOrNothing(t *testing.T) {
 	is := is.New(t)
 	p, _ := empty(t).Merge(merging(givenService("wader", 1), givenRoute("mud", "wader", 4)))
-	body := func(kind, raw string) Given {
-		return Given{Kind: kind, Name: "odd", Version: 50, Body: json.RawMessage(raw)}
+	body := func(kind, raw string) VersionedItem {
+		return VersionedItem{Kind: kind, Name: "odd", Version: 50, Body: json.RawMessage(raw)}
 	}
-	for name, bad := range map[string]Given{
+	for name, bad := range map[string]VersionedItem{
 		"unknown kind":      body("shop", `{}`),
 		"no name":           {Kind: "service", Version: 50, Body: json.RawMessage(`{}`)},
 		"long name":         {Kind: "service", Name: ids.Name(make([]byte, 257)), Version: 50, Body: json.RawMessage(`{}`)},
@@ -161,10 +161,10 @@
 		"overtaken unknown": givenRoute("mud", "nobody", 2),
 	} {
 		q, r := p.Merge(merging(givenService("plover", 50), givenRoute("sand", "plover", 50), bad))
-		if r.Accepted() || len(r.Faults) == 0 {
+		if r.Accepted() || len(r.Violations) == 0 {
 			t.Errorf("%s: accepted", name)
 		}
-		if q != p || string(q.Pack(true)) != string(p.Pack(true)) {
+		if q != p || string(q.Encode(true)) != string(p.Encode(true)) {
 			t.Errorf("%s: something changed", name)
 		}
 		is.Equal(len(r.Items), 0)
@@ -178,7 +178,7 @@
 
 func TestAMergingIsBounded(t *testing.T) {
 	is := is.New(t)
-	faults := Merge{Items: make([]Given, mostGiven+1)}.Check()
+	faults := Merge{Items: make([]VersionedItem, mostGiven+1)}.Check()
 	is.Equal(len(faults), 1)
 	is.Equal(faults[0].Item, "items")
 }
@@ -226,9 +226,9 @@
 	raw, err := json.Marshal(merging(g))
 	is.NoErr(err)
 	out, _ := mergeOp(Key, nil, raw)
-	p, err := Open(out)
+	p, err := Decode(out)
 	is.NoErr(err)
-	p, err = Open(p.Pack(false))
+	p, err = Decode(p.Encode(false))
 	is.NoErr(err)
 	var want, got any
 	is.NoErr(json.Unmarshal([]byte(odd), &want))
--- a/internal/state/configuration/operators_test.go
+++ b/internal/state/configuration/operators_test.go
@@ -23,10 +23,10 @@
 }
 
 // told notes the end of one call: a content under a number.
-func (l *ledger) told(number, content string, s consensus.State, out []byte) {
+func (l *ledger) told(number, content string, s consensus.Outcome, out []byte) {
 	var r configuration.Result
 	switch {
-	case s != consensus.Done:
+	case s != consensus.Succeeded:
 		l.unclear++
 		return
 	case json.Unmarshal(out, &r) != nil || r.Unknown != "":
@@ -110,10 +110,10 @@
 // mergeOrder gives an item with a version that both operators use.
 func (c *cluster) mergeOrder(l *ledger, version, who int) func(int) {
 	content := fmt.Sprintf(`{"circuits":%d}`, who+1)
-	arg, _ := json.Marshal(configuration.Merge{Items: []configuration.Given{{Kind: "service", Name: "shared", Version: ids.Revision(version + 1), Body: json.RawMessage(content)}}})
+	arg, _ := json.Marshal(configuration.Merge{Items: []configuration.VersionedItem{{Kind: "service", Name: "shared", Version: ids.Revision(version + 1), Body: json.RawMessage(content)}}})
 	number := fmt.Sprintf("service/shared version %d", version+1)
 	return func(registry int) {
-		c.call(registry, configuration.OpMerge, arg, func(s consensus.State, out []byte) {
+		c.call(registry, configuration.OpMerge, arg, func(s consensus.Outcome, out []byte) {
 			// An overtaken number is acknowledged as having no effect.
 			var r configuration.Result
 			if json.Unmarshal(out, &r) == nil && r.Accepted() && len(r.Items) == 1 && r.Items[0].Version > ids.Revision(version+1) {
@@ -134,11 +134,11 @@
 	content := fmt.Sprintf(`{"circuits":%d}`, who+1)
 	arg := fmt.Appendf(nil, `{"id":%q,"changes":[{"kind":"service","name":"own%d","version":0,"put":%s}]}`, id, n, content)
 	return func(registry int) {
-		c.call(registry, configuration.OpChange, arg, func(s consensus.State, out []byte) {
+		c.call(registry, configuration.OpChange, arg, func(s consensus.Outcome, out []byte) {
 			l.told("change "+id, content, s, out)
 			// Whatever the ids, one of the two made the item.
 			var r configuration.Result
-			if s == consensus.Done && json.Unmarshal(out, &r) == nil && r.Accepted() {
+			if s == consensus.Succeeded && json.Unmarshal(out, &r) == nil && r.Accepted() {
 				l.told(fmt.Sprintf("service/own%d", n), content, s, out)
 			}
 		})
@@ -155,9 +155,9 @@
 			c.after(time.Duration(i)*50*time.Millisecond, func() {
 				began := c.now
 				arg := fmt.Appendf(nil, `{"id":"c%d","changes":[{"kind":"service","name":"s%d","put":{}}]}`, i, i%20)
-				c.call(i%2, configuration.OpChange, arg, func(s consensus.State, _ []byte) {
-					took = append(took, c.now.Since(began))
-					if s != consensus.Done {
+				c.call(i%2, configuration.OpChange, arg, func(s consensus.Outcome, _ []byte) {
+					took = append(took, c.now.Sub(began))
+					if s != consensus.Succeeded {
 						unclear++
 					}
 				})
--- a/internal/state/configuration/ops.go
+++ b/internal/state/configuration/ops.go
@@ -19,16 +19,16 @@
 	}
 }
 
-func changeStep(p *Policy, arg []byte) (*Policy, Result, bool) {
+func changeStep(p *Document, arg []byte) (*Document, Result, bool) {
 	change, faults := ReadChange(arg)
 	if len(faults) > 0 {
-		return p, Result{ID: change.ID, Revision: p.Revision, Faults: faults}, true
+		return p, Result{ID: change.ID, Revision: p.Revision, Violations: faults}, true
 	}
 	next, res := p.Apply(change)
 	return next, res, true
 }
 
-func mergeStep(p *Policy, arg []byte) (*Policy, Result, bool) {
+func mergeStep(p *Document, arg []byte) (*Document, Result, bool) {
 	var m Merge
 	if json.Unmarshal(arg, &m) != nil {
 		return p, Result{}, false
--- a/internal/state/configuration/policy.go
+++ b/internal/state/configuration/policy.go
@@ -11,7 +11,7 @@
 )
 
 // Key is the policy's register.
-const Key ids.Key = "policy"
+const Key ids.RegisterKey = "policy"
 
 // Item is one thing an operator made, as it was sent, and its version. The
 // version is the revision that last changed it, so one made anew after its
@@ -47,8 +47,8 @@
 // merged tells whether an item came by merging.
 func (it Item) merged() bool { return it.Merged || it.Source != nil }
 
-// Policy is all items, and the results of recent changes by change id.
-type Policy struct {
+// Document is all items, and the results of recent changes by change id.
+type Document struct {
 	Revision ids.Revision      `json:"revision"`
 	Services map[ids.Name]Item `json:"services"`
 	Routes   map[ids.Name]Item `json:"routes"`
@@ -94,16 +94,16 @@
 	Unnamed    bool    `json:"-"`
 	Acceptable float64 `json:"acceptable"`
 	Maximum    float64 `json:"maximum"`
-	Emptied    bool    `json:"emptied"`
+	Drained    bool    `json:"emptied"`
 	// Shut: nothing more is sent to the cell's targets, while its proxies go on
 	// serving from the targets of other cells.
-	Shut      bool                     `json:"shut"`
+	Evacuated bool                     `json:"shut"`
 	Distances map[ids.Name]json.Number `json:"distances"`
 }
 
-// Open reads a policy; nil bytes are an empty one.
-func Open(raw []byte) (*Policy, error) {
-	p := &Policy{}
+// Decode reads a policy; nil bytes are an empty one.
+func Decode(raw []byte) (*Document, error) {
+	p := &Document{}
 	if len(raw) > 0 {
 		if err := json.Unmarshal(raw, p); err != nil {
 			return nil, err
@@ -117,8 +117,8 @@
 	return p, nil
 }
 
-// Pack writes a policy; without the recent results for those who only obey.
-func (p *Policy) Pack(recent bool) []byte {
+// Encode writes a policy; without the recent results for those who only obey.
+func (p *Document) Encode(recent bool) []byte {
 	c := *p
 	if !recent {
 		c.Recent, c.Declined, c.History = nil, nil, nil
@@ -126,8 +126,8 @@
 	return c.marshal()
 }
 
-// Of gives the items of a kind; nil for a kind that isn't one.
-func (p *Policy) Of(kind string) map[ids.Name]Item {
+// Items gives the items of a kind; nil for a kind that isn't one.
+func (p *Document) Items(kind string) map[ids.Name]Item {
 	switch kind {
 	case "service":
 		return p.Services
@@ -143,7 +143,7 @@
 
 // Describe says in a few words what a packed policy is.
 func Describe(raw []byte) string {
-	p, err := Open(raw)
+	p, err := Decode(raw)
 	if err != nil || len(raw) == 0 {
 		return "none"
 	}
--- a/internal/state/configuration/policy_test.go
+++ b/internal/state/configuration/policy_test.go
@@ -12,7 +12,7 @@
 	"dunlinwell/internal/base/ids"
 )
 
-func change(t *testing.T, p *Policy, id, parts string) (*Policy, Result) {
+func change(t *testing.T, p *Document, id, parts string) (*Document, Result) {
 	t.Helper()
 	c, faults := ReadChange([]byte(fmt.Sprintf(`{"id":%q,"changes":[%s]}`, id, parts)))
 	if len(faults) > 0 {
@@ -28,7 +28,7 @@
 
 func TestChangesAreWholeOrNothing(t *testing.T) {
 	is := is.New(t)
-	empty, _ := Open(nil)
+	empty, _ := Decode(nil)
 	p, r := change(t, empty, "1", service+","+route)
 	is.True(r.Accepted())
 	is.Equal(p.Revision, r.Revision)
@@ -39,11 +39,11 @@
 	is.Equal(same, p)
 	// Stale: declined with the present version, and the good part with it.
 	q, r := change(t, p, "2", `{"kind":"service","name":"new","put":{}},{"kind":"route","name":"orders","version":9,"put":{"prefix":"/o","service":"ledger","repeatable":true}}`)
-	is.Equal(string(q.Pack(false)), string(p.Pack(false)))
+	is.Equal(string(q.Encode(false)), string(p.Encode(false)))
 	is.Equal(r.Stale[0].Version, p.Routes["orders"].Version)
 	// A route may not outlive its service, nor begin without one.
 	_, r = change(t, p, "3", `{"kind":"service","name":"ledger","remove":true}`)
-	is.Equal(r.Faults, []Fault{{"route/orders", "service", `there is no service "ledger"`}})
+	is.Equal(r.Violations, []Violation{{"route/orders", "service", `there is no service "ledger"`}})
 	q, r = change(t, p, "4", `{"kind":"service","name":"ledger","remove":true},{"kind":"route","name":"orders","remove":true}`)
 	is.True(r.Accepted())
 	is.Equal(len(q.Services)+len(q.Routes), 0)
@@ -61,7 +61,7 @@
 // its caller was told that it is declined, and that stands.
 func TestADeclinedChangeStaysDeclined(t *testing.T) {
 	is := is.New(t)
-	p, _ := Open(nil)
+	p, _ := Decode(nil)
 	remove := `{"kind":"service","name":"ledger","remove":true}`
 	p, r := change(t, p, "1", remove)
 	is.Equal(len(r.Missing), 1)
@@ -75,20 +75,20 @@
 		p, _ = change(t, p, fmt.Sprintf("d%d", i), `{"kind":"route","name":"none","remove":true}`)
 	}
 	is.Equal(len(p.Declined), mostDeclined)
-	is.True(!strings.Contains(string(p.Pack(false)), "declined"))
+	is.True(!strings.Contains(string(p.Encode(false)), "declined"))
 }
 
 func TestEmptyingKeepsTheRest(t *testing.T) {
 	is := is.New(t)
-	p, _ := Open(nil)
+	p, _ := Decode(nil)
 	p, r := change(t, p, "1", `{"kind":"cell","name":"a","put":{"target":100,"region":"south"}}`)
 	is.True(r.Accepted())
 	p, r = change(t, p, "2", `{"kind":"cell","name":"a","set":{"emptied":true}}`)
 	is.True(r.Accepted())
 	v := p.View().Cells["a"]
-	is.True(v.Emptied && v.Target == 100 && v.Region == "south")
+	is.True(v.Drained && v.Target == 100 && v.Region == "south")
 	_, r = change(t, p, "3", `{"kind":"cell","name":"a","set":{"emptied":"yes"}}`)
-	is.Equal(r.Faults, []Fault{{"cell/a", "emptied", "must be true or false"}})
+	is.Equal(r.Violations, []Violation{{"cell/a", "emptied", "must be true or false"}})
 }
 
 // Each broken change is declined with the item and the path, and all of a
@@ -123,7 +123,7 @@
 		_, faults := ReadChange([]byte(raw))
 		all := ""
 		for _, f := range faults {
-			all += f.Item + " " + f.Path + " " + f.Problem + "\n"
+			all += f.Item + " " + f.Path + " " + f.Reason + "\n"
 		}
 		if !strings.Contains(all, want) {
 			t.Errorf("%s gave %q, not %q", raw, all, want)
@@ -138,10 +138,10 @@
 
 func TestTwoRoutesCannotShareAPrefix(t *testing.T) {
 	is := is.New(t)
-	p, _ := Open(nil)
+	p, _ := Decode(nil)
 	p, _ = change(t, p, "1", service+","+route)
 	_, r := change(t, p, "2", `{"kind":"route","name":"more","put":{"prefix":"/orders/","service":"ledger","repeatable":true}}`)
-	is.Equal(len(r.Faults), 1)
+	is.Equal(len(r.Violations), 1)
 }
 
 // A registry reads changes in its owner: a body that nests thousands deep must not
@@ -158,10 +158,10 @@
 // A view taken over from an earlier one is the one read anew.
 func TestViewFromAnEarlierOne(t *testing.T) {
 	is := is.New(t)
-	p, _ := Open(nil)
+	p, _ := Decode(nil)
 	v := p.View()
 	for i := range 60 {
-		list := []Given{givenService("wader", ids.Revision(1+i/7)), givenRoute(fmt.Sprint("r", i%9), "wader", ids.Revision(i+1))}
+		list := []VersionedItem{givenService("wader", ids.Revision(1+i/7)), givenRoute(fmt.Sprint("r", i%9), "wader", ids.Revision(i+1))}
 		if i%4 == 3 {
 			list[1].Removed, list[1].Body = true, nil
 		}
--- a/internal/state/configuration/resend.go
+++ b/internal/state/configuration/resend.go
@@ -26,7 +26,7 @@
 }
 
 // baseOf gives the revision that an id names.
-func baseOf(id ids.Change) (ids.Revision, bool) {
+func baseOf(id ids.ChangeID) (ids.Revision, bool) {
 	m := basePattern.FindStringSubmatch(string(id))
 	if m == nil {
 		return 0, false
@@ -36,24 +36,24 @@
 }
 
 // by is what an item keeps of the id of the change that made its version.
-func by(id ids.Change) string {
+func by(id ids.ChangeID) string {
 	key := keyOf(string(id))
 	return base64.RawStdEncoding.EncodeToString(key[:])
 }
 
 // earlierEnd gives the end of a change that was met before. A resent change gets
 // its first result, not a second version; another change under its id gets none.
-func (p *Policy) earlierEnd(c Change) (Result, bool) {
+func (p *Document) earlierEnd(c Change) (Result, bool) {
 	if e, ok := p.history().Changes.find(keyOf(string(c.ID))); ok {
 		if e.content != sumOfChange(c) {
-			return Result{ID: c.ID, Revision: p.Revision, Conflicts: []Fault{{"change", "id", reasonIDUsed}}}, true
+			return Result{ID: c.ID, Revision: p.Revision, Conflicts: []Violation{{"change", "id", reasonIDUsed}}}, true
 		}
 		if res, ok := p.fullResult(c.ID); ok {
 			return res, true
 		}
 		res := Result{ID: c.ID, Revision: e.revision}
 		if e.declined {
-			res.Conflicts = []Fault{{"change", "id", reasonDeclined}}
+			res.Conflicts = []Violation{{"change", "id", reasonDeclined}}
 		}
 		return res, true
 	}
@@ -67,7 +67,7 @@
 }
 
 // fullResult finds a result that is kept whole.
-func (p *Policy) fullResult(id ids.Change) (Result, bool) {
+func (p *Document) fullResult(id ids.ChangeID) (Result, bool) {
 	for _, list := range [][]Result{p.Recent, p.Declined} {
 		for _, r := range list {
 			if r.ID == id {
@@ -81,10 +81,10 @@
 // madeItem tells whether one of a change's items says that it was this change
 // that made its version, and at which revision. Changes are whole or nothing, so
 // one item speaks for all.
-func (p *Policy) madeItem(c Change) (ids.Revision, bool) {
+func (p *Document) madeItem(c Change) (ids.Revision, bool) {
 	mark := by(c.ID)
 	for _, part := range c.Parts {
-		if it, ok := p.Of(part.Kind)[part.Name]; ok && it.By == mark {
+		if it, ok := p.Items(part.Kind)[part.Name]; ok && it.By == mark {
 			return it.At, true
 		}
 		if t, ok := p.Removed[part.Kind+"/"+string(part.Name)]; ok && t.By == mark {
@@ -96,7 +96,7 @@
 
 // surelyNew tells whether a change of unknown id was surely never accepted: had
 // it been, its end would be known still, or the items would differ.
-func (p *Policy) surelyNew(c Change) bool {
+func (p *Document) surelyNew(c Change) bool {
 	forgotten := p.history().Forgotten
 	if forgotten == 0 {
 		return true
@@ -113,8 +113,8 @@
 }
 
 // provesNew tells whether a part shows that its change was never accepted.
-func (p *Policy) provesNew(part Part, forgotten ids.Revision) bool {
-	it, exists := p.Of(part.Kind)[part.Name]
+func (p *Document) provesNew(part ItemChange, forgotten ids.Revision) bool {
+	it, exists := p.Items(part.Kind)[part.Name]
 	tomb, removed := p.Removed[part.Kind+"/"+string(part.Name)]
 	switch {
 	case !exists && !removed:
--- a/internal/state/configuration/resend_test.go
+++ b/internal/state/configuration/resend_test.go
@@ -9,7 +9,7 @@
 )
 
 // others makes so many other changes, all of one other item.
-func others(t *testing.T, p *Policy, many int) *Policy {
+func others(t *testing.T, p *Document, many int) *Document {
 	t.Helper()
 	for i := range many {
 		var r Result
@@ -23,9 +23,9 @@
 
 // reopened gives the policy as a store that restarts, or one that takes another's
 // copy, reads it.
-func reopened(t *testing.T, p *Policy) *Policy {
+func reopened(t *testing.T, p *Document) *Document {
 	t.Helper()
-	q, err := Open(p.Pack(true))
+	q, err := Decode(p.Encode(true))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -122,7 +122,7 @@
 	p, _ = change(t, p, "make", service)
 	q, r := change(t, reopened(t, p), "early", remove)
 	is.True(!r.Accepted())
-	is.Equal(len(r.Faults), 0) // a valid change isn't called invalid
+	is.Equal(len(r.Violations), 0) // a valid change isn't called invalid
 	is.Equal(len(q.Services), 1)
 }
 
@@ -134,14 +134,14 @@
 	one, other := givenRoute("mud", "wader", 5), givenRoute("mud", "plover", 5)
 	p, r := base.Merge(merging(one))
 	is.True(r.Accepted())
-	refused := []Fault{{"route/mud", "version", reasonOtherValue}}
+	refused := []Violation{{"route/mud", "version", reasonOtherValue}}
 	q, r := p.Merge(merging(other, givenRoute("sand", "plover", 5)))
 	is.Equal(r.Conflicts, refused)
 	is.True(q == p) // whole or nothing
 	_, r = p.Merge(merging(gone("route", "mud", 5)))
 	is.Equal(r.Conflicts, refused)
 	// So it is once both are overtaken, and once the item is removed.
-	for _, next := range []Given{givenRoute("mud", "plover", 9), gone("route", "mud", 11)} {
+	for _, next := range []VersionedItem{givenRoute("mud", "plover", 9), gone("route", "mud", 11)} {
 		p, _ = p.Merge(merging(next))
 		p = reopened(t, p)
 		q, r = p.Merge(merging(one))
@@ -159,7 +159,7 @@
 // The same content in another spelling is the same content.
 func TestSpellingIsNoContent(t *testing.T) {
 	is := is.New(t)
-	spelled := func(source string) Given {
+	spelled := func(source string) VersionedItem {
 		g := givenService("wader", 3)
 		g.Source = json.RawMessage(source)
 		return g
--- a/internal/state/configuration/route.go
+++ b/internal/state/configuration/route.go
@@ -15,9 +15,9 @@
 	Prefix  string   `json:"prefix"`
 	Service ids.Name `json:"service"`
 	// Split, if set, shares the requests out among services by weight.
-	Split      []Share `json:"split"`
-	Tier       int     `json:"tier"`
-	Repeatable bool    `json:"repeatable"`
+	Split      []WeightedService `json:"split"`
+	Tier       int               `json:"tier"`
+	Repeatable bool              `json:"repeatable"`
 	// Single: a request that may not be repeated carries no mark; each attempt
 	// reaches one proxy, which alone sees to it that it runs at most once.
 	Single  bool `json:"single"`
@@ -32,8 +32,8 @@
 	Homes []ids.Name `json:"homes"`
 }
 
-// Share is a service's part of a split route.
-type Share struct {
+// WeightedService is a service's part of a split route.
+type WeightedService struct {
 	Service ids.Name `json:"service"`
 	Weight  float64  `json:"weight"`
 }
--- a/internal/state/configuration/split.go
+++ b/internal/state/configuration/split.go
@@ -24,7 +24,7 @@
 			bad(at+".weight", "must be a number from 0 to 1e9")
 		}
 		sum += w.Num
-		Only(s, at, bad, "service", "weight")
+		CheckKeys(s, at, bad, "service", "weight")
 	}
 	if split.Exists() && sum <= 0 {
 		bad("split", "must have weights that add up to more than 0")
--- a/internal/state/configuration/view.go
+++ b/internal/state/configuration/view.go
@@ -22,11 +22,11 @@
 }
 
 // View reads the items. They were checked when they were accepted.
-func (p *Policy) View() *View { return p.ViewFrom(&Policy{}, &View{}) }
+func (p *Document) View() *View { return p.ViewFrom(&Document{}, &View{}) }
 
 // ViewFrom reads the items, and takes over from the view of an earlier policy the
 // routes and services whose bodies are the same.
-func (p *Policy) ViewFrom(earlier *Policy, had *View) *View {
+func (p *Document) ViewFrom(earlier *Document, had *View) *View {
 	v := &View{Revision: p.Revision, Services: map[ids.Name]Service{},
 		Routes: map[ids.Name]Route{}, Cells: map[ids.Name]Cell{}, Limits: NoLimits}
 	for n, it := range p.Services {
@@ -70,9 +70,9 @@
 	return v
 }
 
-// Know adds what a daemon was told of cells at its start, where policy says
+// SetRegions adds what a daemon was told of cells at its start, where policy says
 // nothing of them: that they are there, and their regions.
-func (v *View) Know(regions map[ids.Name]string) {
+func (v *View) SetRegions(regions map[ids.Name]string) {
 	for n, region := range regions {
 		c, ok := v.Cells[n]
 		if !ok {
--- a/internal/state/consensus/abandon.go
+++ b/internal/state/consensus/abandon.go
@@ -19,7 +19,7 @@
 	delete(a.pending, uint64(id))
 	state := Declined
 	if len(call.maybe) > 0 {
-		state = Uncertain
+		state = Indeterminate
 	}
 	call.done(now, state, nil)
 }
--- a/internal/state/consensus/acceptor.go
+++ b/internal/state/consensus/acceptor.go
@@ -7,7 +7,7 @@
 )
 
 // RosterKey is the register that holds the voter set itself.
-const VoterSetKey ids.Key = "roster"
+const VoterSetKey ids.RegisterKey = "roster"
 
 // Slot is what an acceptor keeps for each register.
 type RegisterState struct {
@@ -19,9 +19,9 @@
 // Shelf is the disk as the machine reads it; writes go out as commands.
 type Storage interface {
 	// Fetch finds a record.
-	Get(key ids.Key) ([]byte, bool)
+	Get(key ids.RegisterKey) ([]byte, bool)
 	// After lists up to n records behind a key, in order.
-	Scan(key ids.Key, n int) []event.Record
+	Scan(key ids.RegisterKey, n int) []event.Record
 }
 
 var _ = wire.Register(40, RegisterState{}) && wire.Register(41, VoterSet{})
@@ -33,10 +33,10 @@
 	store    uint64
 	voterSet VoterSet
 	// ahead holds what is on its way to the disk, by the turn that syncs it.
-	unsynced map[ids.Key]unsyncedRecord
+	unsynced map[ids.RegisterKey]unsyncedRecord
 	turn     uint64
 	// registers are those at hand, damaged tells of one that can't be read.
-	registers map[ids.Key]*register
+	registers map[ids.RegisterKey]*register
 	damaged   bool
 	standing  standing
 	changes   changeLog
@@ -51,7 +51,7 @@
 
 // NewAcceptor takes up where the disk left off.
 func NewAcceptor(store uint64, shelf Storage, out *event.Outbox) *Acceptor {
-	a := &Acceptor{out: out, storage: shelf, store: store, unsynced: map[ids.Key]unsyncedRecord{}, registers: map[ids.Key]*register{}}
+	a := &Acceptor{out: out, storage: shelf, store: store, unsynced: map[ids.RegisterKey]unsyncedRecord{}, registers: map[ids.RegisterKey]*register{}}
 	if raw, ok := shelf.Get("meta/roster"); ok {
 		a.voterSet, _ = unpack[VoterSet](raw)
 	}
@@ -69,7 +69,7 @@
 	return t, ok && err == nil
 }
 
-func (a *Acceptor) load(key ids.Key) []byte {
+func (a *Acceptor) load(key ids.RegisterKey) []byte {
 	if w, ok := a.unsynced[key]; ok {
 		return w.raw
 	}
@@ -77,7 +77,7 @@
 	return raw
 }
 
-func (a *Acceptor) slot(key ids.Key) RegisterState {
+func (a *Acceptor) slot(key ids.RegisterKey) RegisterState {
 	if !isIdempotencyKey(key) {
 		return a.register(key).RegisterState
 	}
@@ -86,7 +86,7 @@
 }
 
 // keep syncs a record, and only then lets the commands out.
-func (a *Acceptor) persist(key ids.Key, msg any, then ...event.Command) {
+func (a *Acceptor) persist(key ids.RegisterKey, msg any, then ...event.Command) {
 	raw, err := wire.Encode(msg)
 	if err != nil {
 		a.out.Log("error", "record not kept", "key", string(key), "problem", err.Error())
@@ -95,14 +95,14 @@
 	a.turn++
 	a.unsynced[key] = unsyncedRecord{raw, a.turn}
 	a.changes.note(key)
-	a.out.Emit(event.Sync{Turn: a.turn, Records: []event.Record{{Key: key, Value: raw}}, Then: then})
+	a.out.Emit(event.Sync{Batch: a.turn, Records: []event.Record{{Key: key, Value: raw}}, After: then})
 }
 
 // Behind lets a command out only after all that was asked of the disk so far,
 // since it may speak of values not yet synced.
 func (a *Acceptor) AfterSync(c event.Command) {
 	a.turn++
-	a.out.Emit(event.Sync{Turn: a.turn, Then: []event.Command{c}})
+	a.out.Emit(event.Sync{Batch: a.turn, After: []event.Command{c}})
 }
 
 // Settled forgets what the disk now has.
@@ -145,7 +145,7 @@
 	s := a.slot(m.Key)
 	p := Promise{Key: m.Key, Store: a.store, Round: m.Round, VoterSet: m.VoterSet,
 		Promised: s.Promised, Accepted: s.Accepted, Value: s.Value, Differences: len(s.Value) >= differencesFrom}
-	if !m.Known.Zero() && m.Known == s.Accepted {
+	if !m.Known.IsZero() && m.Known == s.Accepted {
 		p.Value, p.Same = nil, true
 	}
 	if m.ReadOnly || !s.Promised.Less(m.Ballot) {
@@ -165,7 +165,7 @@
 	// One that was taken before may come again, after the promise to Next.
 	ok := !m.Ballot.Less(s.Promised) || s.Accepted == m.Ballot
 	if m.First {
-		ok = (s.Promised.Zero() && s.Accepted.Zero()) || s.Accepted == m.Ballot
+		ok = (s.Promised.IsZero() && s.Accepted.IsZero()) || s.Accepted == m.Ballot
 	}
 	w := Accepted{Key: m.Key, Store: a.store, Round: m.Round, VoterSet: m.VoterSet, OK: ok, Promised: s.Promised, Differences: len(m.Value) >= differencesFrom}
 	if !ok {
@@ -176,7 +176,7 @@
 		a.AfterSync(event.Send{To: from, Msg: w})
 		return
 	}
-	s.Promised, s.Accepted, s.Value = maxBallot(m.Ballot, m.Next), m.Ballot, m.Value
+	s.Promised, s.Accepted, s.Value = maxBallot(m.Ballot, m.NextBallot), m.Ballot, m.Value
 	w.Promised = s.Promised
 	a.save(m.Key, s, event.Send{To: from, Msg: w})
 }
@@ -188,27 +188,27 @@
 func (a *Acceptor) StoreID() uint64 { return a.store }
 
 // Value gives what this copy holds, chosen or not; for --local reads alone.
-func (a *Acceptor) Value(key ids.Key) (ids.Ballot, []byte) {
+func (a *Acceptor) Value(key ids.RegisterKey) (ids.Ballot, []byte) {
 	s := a.slot(key)
 	return s.Accepted, s.Value
 }
 
 // Plant gives a founding member the value that its founder begins with.
-func (a *Acceptor) Seed(key ids.Key, value []byte) {
-	if s := a.slot(key); s.Accepted.Zero() {
-		b := ids.Ballot{Count: 1}
+func (a *Acceptor) Seed(key ids.RegisterKey, value []byte) {
+	if s := a.slot(key); s.Accepted.IsZero() {
+		b := ids.Ballot{Counter: 1}
 		a.save(key, RegisterState{Promised: maxBallot(b, s.Promised), Accepted: b, Value: value})
 	}
 }
 
 // Note keeps something beside the registers.
-func (a *Acceptor) Persist(key ids.Key, msg any) { a.persist(key, msg) }
+func (a *Acceptor) Persist(key ids.RegisterKey, msg any) { a.persist(key, msg) }
 
 // Raise puts a value above all that this copy holds. Only a refounding may,
 // where this store alone is a majority.
-func (a *Acceptor) ForceValue(key ids.Key, value []byte) {
+func (a *Acceptor) ForceValue(key ids.RegisterKey, value []byte) {
 	s := a.slot(key)
-	b := ids.Ballot{Count: max(s.Promised.Count, s.Accepted.Count) + 1, By: a.store << 24}
+	b := ids.Ballot{Counter: max(s.Promised.Counter, s.Accepted.Counter) + 1, Proposer: a.store << 24}
 	a.save(key, RegisterState{Promised: b, Accepted: b, Value: value})
 }
 
--- a/internal/state/consensus/backoff.go
+++ b/internal/state/consensus/backoff.go
@@ -19,7 +19,7 @@
 
 // retreat gives a round up to a higher ballot and tries again after a rest.
 func (p *Proposer) retreat(now ids.Time, r *round, seen ids.Ballot) {
-	r.floor = max(r.floor, seen.Count)
+	r.floor = max(r.floor, seen.Counter)
 	r.phase, r.retryAt = idle, now.Add(p.rest(now, r, seen))
 	delete(p.promisedBallots, r.key)
 }
@@ -34,7 +34,7 @@
 	if seen == r.ballot {
 		return leastRest + time.Duration(p.random.Int64N(int64(firstRest)))
 	}
-	roundTrip := now.Since(r.began)
+	roundTrip := now.Sub(r.began)
 	span := min((firstRest+2*roundTrip)<<min(r.losses, mostLosses), mostRest)
 	r.losses++
 	return leastRest + time.Duration(p.random.Int64N(int64(span)))
--- a/internal/state/consensus/bringup.go
+++ b/internal/state/consensus/bringup.go
@@ -26,8 +26,8 @@
 }
 
 // noteSettled notes a value as chosen.
-func (p *Proposer) noteSettled(now ids.Time, key ids.Key, b ids.Ballot, value []byte) {
-	if isIdempotencyKey(key) || b.Count <= firstBallots || !p.settled[key].ballot.Less(b) {
+func (p *Proposer) noteSettled(now ids.Time, key ids.RegisterKey, b ids.Ballot, value []byte) {
+	if isIdempotencyKey(key) || b.Counter <= firstBallots || !p.settled[key].ballot.Less(b) {
 		return
 	}
 	p.settled[key] = settledValue{cachedValue{b, value}, now}
@@ -36,7 +36,7 @@
 // bringUp sends a store the chosen value that it missed.
 func (p *Proposer) bringUp(now ids.Time, m Promise) {
 	s, known := p.settled[m.Key]
-	if !known || !m.Accepted.Less(s.ballot) || now.Since(s.at) < bringUpAfter {
+	if !known || !m.Accepted.Less(s.ballot) || now.Sub(s.at) < bringUpAfter {
 		return
 	}
 	if r := p.rounds[m.Key]; r != nil && (r.phase == accepting || r.phase == replicating) {
@@ -47,14 +47,14 @@
 		sent = map[uint64]ids.Time{}
 		p.broughtUp[m.Key] = sent
 	}
-	if at, ok := sent[m.Store]; ok && now.Since(at) < bringUpEvery {
+	if at, ok := sent[m.Store]; ok && now.Sub(at) < bringUpEvery {
 		return
 	}
 	if s.ballot.Less(m.Promised) {
 		// It promised more meanwhile and would decline that Accept. The value is
 		// agreed on once more, by a ballot above all promises.
 		sent[m.Store] = now
-		p.high = max(p.high, m.Promised.Count)
+		p.high = max(p.high, m.Promised.Counter)
 		p.again[m.Key] = true
 		return
 	}
--- a/internal/state/consensus/cache.go
+++ b/internal/state/consensus/cache.go
@@ -14,8 +14,8 @@
 }
 
 // meet notes a value by its ballot. A ballot stands for one value for ever.
-func (p *Proposer) cacheValue(key ids.Key, b ids.Ballot, value []byte) {
-	if !isIdempotencyKey(key) && !b.Zero() {
+func (p *Proposer) cacheValue(key ids.RegisterKey, b ids.Ballot, value []byte) {
+	if !isIdempotencyKey(key) && !b.IsZero() {
 		p.cachedValues[key] = cachedValue{b, value}
 	}
 }
--- a/internal/state/consensus/changelog.go
+++ b/internal/state/consensus/changelog.go
@@ -14,7 +14,7 @@
 	epoch uint64
 	// first is how many changes were dropped off the front.
 	first uint64
-	keys  []ids.Key
+	keys  []ids.RegisterKey
 }
 
 const (
@@ -26,13 +26,13 @@
 // SetEpoch names this run; no two runs of a store may have the same.
 func (a *Acceptor) SetEpoch(epoch uint64) { a.changes.epoch = epoch }
 
-func (c *changeLog) note(key ids.Key) {
+func (c *changeLog) note(key ids.RegisterKey) {
 	if c.epoch == 0 || !strings.HasPrefix(string(key), slotPrefix) {
 		return
 	}
 	if len(c.keys) == mostChanges {
 		half := mostChanges / 2
-		c.keys, c.first = append([]ids.Key{}, c.keys[half:]...), c.first+uint64(half)
+		c.keys, c.first = append([]ids.RegisterKey{}, c.keys[half:]...), c.first+uint64(half)
 	}
 	c.keys = append(c.keys, key[len(slotPrefix):])
 }
@@ -47,7 +47,7 @@
 // sendChanges answers with the records that changed since, each once.
 func (a *Acceptor) sendChanges(from ids.Address, m PageRequest) {
 	l := PageResponse{Store: a.store, VoterSet: m.VoterSet, Number: m.Number, Epoch: a.changes.epoch, Changes: m.Since, Delta: true}
-	seen, size := map[ids.Key]bool{}, 0
+	seen, size := map[ids.RegisterKey]bool{}, 0
 	for _, key := range a.changes.keys[m.Since-a.changes.first:] {
 		if !seen[key] && (len(l.Records) == recordsInPage || size > bytesInPage) {
 			a.AfterSync(event.Send{To: from, Msg: l})
--- a/internal/state/consensus/checkdisk.go
+++ b/internal/state/consensus/checkdisk.go
@@ -26,8 +26,8 @@
 			return errs.New("read standing", standingKey, "it is damaged or of another format")
 		}
 	}
-	known := map[ids.Key]bool{}
-	after := ids.Key(slotPrefix)
+	known := map[ids.RegisterKey]bool{}
+	after := ids.RegisterKey(slotPrefix)
 	for {
 		list := disk.Scan(after, 1)
 		if len(list) == 0 {
@@ -48,18 +48,18 @@
 }
 
 // checkChangesHaveBases finds changes whose base is gone.
-func checkChangesHaveBases(disk Storage, known map[ids.Key]bool) error {
-	after := ids.Key(changePrefix)
+func checkChangesHaveBases(disk Storage, known map[ids.RegisterKey]bool) error {
+	after := ids.RegisterKey(changePrefix)
 	for {
 		list := disk.Scan(after, 1)
 		if len(list) == 0 || !strings.HasPrefix(string(list[0].Key), changePrefix) {
 			return nil
 		}
 		rest := string(list[0].Key[len(changePrefix):])
-		key := ids.Key(rest[:max(strings.LastIndexByte(rest, '/'), 0)])
+		key := ids.RegisterKey(rest[:max(strings.LastIndexByte(rest, '/'), 0)])
 		if !known[key] {
 			return errs.New("read change", string(list[0].Key), "its base is missing")
 		}
-		after = ids.Key(changePrefix + string(key) + "0")
+		after = ids.RegisterKey(changePrefix + string(key) + "0")
 	}
 }
--- a/internal/state/consensus/client.go
+++ b/internal/state/consensus/client.go
@@ -13,10 +13,10 @@
 // other until one answers, which is safe as each operation knows itself again.
 type Client struct {
 	out *event.Outbox
-	// Order names the stores to try, best first.
-	Order   func(key ids.Key) []ids.Address
-	pending map[uint64]*pendingCall
-	next    uint64
+	// StoreOrder names the stores to try, best first.
+	StoreOrder func(key ids.RegisterKey) []ids.Address
+	pending    map[uint64]*pendingCall
+	next       uint64
 	// silent are stores that left a try unanswered, and until when others are
 	// tried before them.
 	silent map[ids.Address]ids.Time
@@ -34,7 +34,7 @@
 	// and still be busy with the first.
 	maybe map[uint32]bool
 	asked map[uint32]attempt
-	done  func(now ids.Time, s State, out []byte)
+	done  func(now ids.Time, s Outcome, out []byte)
 	// have is the value that the client holds, for a read that finds the same.
 	have []byte
 }
@@ -52,17 +52,17 @@
 }
 
 // Call asks for an operation; done is called once, with how it ended.
-func (a *Client) Call(now ids.Time, key ids.Key, op Op, arg []byte, wait time.Duration, done func(ids.Time, State, []byte)) CallID {
+func (a *Client) Call(now ids.Time, key ids.RegisterKey, op Op, arg []byte, wait time.Duration, done func(ids.Time, Outcome, []byte)) CallID {
 	return a.call(now, Request{Key: key, Op: op, Arg: arg}, nil, wait, done)
 }
 
 // ReadIfChanged reads a register whose value the client already holds; where it is the
 // same still, no more than that is sent. sum is that of the value.
-func (a *Client) ReadIfChanged(now ids.Time, key ids.Key, have []byte, sum uint64, wait time.Duration, done func(ids.Time, State, []byte)) CallID {
+func (a *Client) ReadIfChanged(now ids.Time, key ids.RegisterKey, have []byte, sum uint64, wait time.Duration, done func(ids.Time, Outcome, []byte)) CallID {
 	return a.call(now, Request{Key: key, Op: Read, HaveChecksum: sum}, have, wait, done)
 }
 
-func (a *Client) call(now ids.Time, ask Request, have []byte, wait time.Duration, done func(ids.Time, State, []byte)) CallID {
+func (a *Client) call(now ids.Time, ask Request, have []byte, wait time.Duration, done func(ids.Time, Outcome, []byte)) CallID {
 	a.next++
 	ask.ID = a.next
 	w := &pendingCall{Request: ask, have: have, due: now.Add(wait), done: done, maybe: map[uint32]bool{}, asked: map[uint32]attempt{}}
@@ -79,9 +79,9 @@
 	}
 	at := w.leastTried(to)
 	w.tries++
-	w.Try = uint32(w.tries)
-	w.maybe[w.Try], w.asked[w.Try] = true, attempt{at, now}
-	w.Wait = uint32(max(w.due.Since(now), 0) / time.Millisecond)
+	w.Attempt = uint32(w.tries)
+	w.maybe[w.Attempt], w.asked[w.Attempt] = true, attempt{at, now}
+	w.Wait = uint32(max(w.due.Sub(now), 0) / time.Millisecond)
 	a.out.Send(at, w.Request)
 }
 
@@ -89,23 +89,23 @@
 // late, doubled, or not an answer to this run at all.
 func (a *Client) HandleResponse(now ids.Time, from ids.Address, m Response) {
 	w := a.pending[m.ID]
-	if w == nil || w.asked[m.Try].to != from {
-		a.out.Discard(from, event.NotAsked, m)
+	if w == nil || w.asked[m.Attempt].to != from {
+		a.out.Discard(from, event.Unsolicited, m)
 		return
 	}
 	delete(a.silent, from)
-	a.note(from, now.Since(w.asked[m.Try].at))
-	switch m.State {
-	case Done:
+	a.note(from, now.Sub(w.asked[m.Attempt].at))
+	switch m.Outcome {
+	case Succeeded:
 		delete(a.pending, m.ID)
 		if m.Same {
 			m.Result = w.have
 		}
-		w.done(now, Done, m.Result)
+		w.done(now, Succeeded, m.Result)
 	case Declined:
 		// Another store may do better; one round through all, then a rest.
-		delete(w.maybe, m.Try)
-		if w.tries < len(a.Order(w.Key)) {
+		delete(w.maybe, m.Attempt)
+		if w.tries < len(a.StoreOrder(w.Key)) {
 			a.send(now, w)
 		} else {
 			w.again = min(w.again, now.Add(tryFor/4))
@@ -113,9 +113,9 @@
 	}
 }
 
-// Clock tries again, and ends what has run out of time. Only a request that no
+// Tick tries again, and ends what has run out of time. Only a request that no
 // store can still be busy with is surely without effect.
-func (a *Client) Clock(now ids.Time) {
+func (a *Client) Tick(now ids.Time) {
 	for _, id := range slices.Sorted(maps.Keys(a.pending)) {
 		w := a.pending[id]
 		if w == nil {
--- a/internal/state/consensus/client_test.go
+++ b/internal/state/consensus/client_test.go
@@ -18,18 +18,18 @@
 	for _, answers := range [][]uint32{{2}, {1, 2}} {
 		out := &event.Outbox{}
 		a := NewClient(1, out)
-		a.Order = func(ids.Key) []ids.Address { return []ids.Address{"10.0.0.1:1"} }
-		end := State(0)
-		a.Call(1, "policy", 1, nil, 700*time.Millisecond, func(_ ids.Time, s State, _ []byte) { end = s })
+		a.StoreOrder = func(ids.RegisterKey) []ids.Address { return []ids.Address{"10.0.0.1:1"} }
+		end := Outcome(0)
+		a.Call(1, "policy", 1, nil, 700*time.Millisecond, func(_ ids.Time, s Outcome, _ []byte) { end = s })
 		first := out.Drain()[0].(event.Send).Msg.(Request)
-		a.Clock(ids.Time(500 * time.Millisecond))
+		a.Tick(ids.Time(500 * time.Millisecond))
 		second := out.Drain()[0].(event.Send).Msg.(Request)
 		is.Equal(first.ID, second.ID)
-		is.Equal(second.Try, uint32(2))
+		is.Equal(second.Attempt, uint32(2))
 		for _, try := range answers {
-			a.HandleResponse(ids.Time(510*time.Millisecond), "10.0.0.1:1", Response{ID: first.ID, State: Declined, Try: try})
+			a.HandleResponse(ids.Time(510*time.Millisecond), "10.0.0.1:1", Response{ID: first.ID, Outcome: Declined, Attempt: try})
 		}
-		a.Clock(ids.Time(800 * time.Millisecond))
-		is.Equal(end, map[int]State{1: Uncertain, 2: Declined}[len(answers)])
+		a.Tick(ids.Time(800 * time.Millisecond))
+		is.Equal(end, map[int]Outcome{1: Indeterminate, 2: Declined}[len(answers)])
 	}
 }
--- a/internal/state/consensus/consensus_test.go
+++ b/internal/state/consensus/consensus_test.go
@@ -15,11 +15,11 @@
 )
 
 // memory is a disk that syncs at once.
-type memory map[ids.Key][]byte
+type memory map[ids.RegisterKey][]byte
 
-func (m memory) Get(k ids.Key) ([]byte, bool) { v, ok := m[k]; return v, ok }
+func (m memory) Get(k ids.RegisterKey) ([]byte, bool) { v, ok := m[k]; return v, ok }
 
-func (m memory) Scan(after ids.Key, n int) []event.Record {
+func (m memory) Scan(after ids.RegisterKey, n int) []event.Record {
 	var list []event.Record
 	for _, k := range slices.Sorted(maps.Keys(m)) {
 		if k > after && k < "item0" && len(list) < n {
@@ -49,7 +49,7 @@
 
 const opAdd Op = 99
 
-func add(_ ids.Key, old, arg []byte) ([]byte, []byte) {
+func add(_ ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
 	next := append(append([]byte{}, old...), arg...)
 	return next, next
 }
@@ -83,8 +83,8 @@
 				switch c := c.(type) {
 				case event.Sync:
 					r.mem.write(c.Records)
-					r.Acceptor.Synced(c.Turn)
-					list = append(append([]event.Command{}, c.Then...), list...)
+					r.Acceptor.Synced(c.Batch)
+					list = append(append([]event.Command{}, c.After...), list...)
 				case event.Send:
 					busy = true
 					if x, ok := c.Msg.(Response); ok {
@@ -120,7 +120,7 @@
 
 func value(t *testing.T, told map[ids.Address][]Response, who ids.Address) string {
 	t.Helper()
-	if len(told[who]) != 1 || told[who][0].State != Done {
+	if len(told[who]) != 1 || told[who][0].Outcome != Succeeded {
 		t.Fatalf("%s was told %+v", who, told[who])
 	}
 	return string(told[who][0].Result)
@@ -176,19 +176,19 @@
 	all := rooms(t)
 	play(1, all, open2)
 	b := all["b"]
-	b.Prepare("a", Prepare{Key: "x", Ballot: ids.Ballot{Count: 5, By: 1}, VoterSet: 1, Round: 1})
+	b.Prepare("a", Prepare{Key: "x", Ballot: ids.Ballot{Counter: 5, Proposer: 1}, VoterSet: 1, Round: 1})
 	play(1, all, func(ids.Address, ids.Address) bool { return false })
 	again := &room{mem: b.mem}
 	again.Acceptor = NewAcceptor(2, b.mem, &again.Outbox)
-	again.Accept("c", Accept{Key: "x", Ballot: ids.Ballot{Count: 4, By: 3}, VoterSet: 1, Round: 2, Value: []byte("old")})
+	again.Accept("c", Accept{Key: "x", Ballot: ids.Ballot{Counter: 4, Proposer: 3}, VoterSet: 1, Round: 2, Value: []byte("old")})
 	s := again.Drain()[0].(event.Sync)
 	is.Equal(len(s.Records), 0)
-	is.Equal(s.Then[0].(event.Send).Msg.(Accepted).OK, false)
+	is.Equal(s.After[0].(event.Send).Msg.(Accepted).OK, false)
 	// A lower voter set has no say at all: it is told of the higher one.
 	again.AdoptVoterSet(VoterSet{Number: 2, Voters: []Voter{{2, "b"}}})
 	again.Drain()
-	again.Accept("c", Accept{Key: "x", Ballot: ids.Ballot{Count: 9, By: 3}, VoterSet: 1})
-	_, news := again.Drain()[0].(event.Sync).Then[0].(event.Send).Msg.(VoterSetUpdate)
+	again.Accept("c", Accept{Key: "x", Ballot: ids.Ballot{Counter: 9, Proposer: 3}, VoterSet: 1})
+	_, news := again.Drain()[0].(event.Sync).After[0].(event.Send).Msg.(VoterSetUpdate)
 	is.True(news)
 }
 
--- a/internal/state/consensus/copier.go
+++ b/internal/state/consensus/copier.go
@@ -15,7 +15,7 @@
 	// request numbers the page that is waited for.
 	request uint64
 	// after is where a pass over everything goes on.
-	after ids.Key
+	after ids.RegisterKey
 	// begun tells that a pass is under way, set is the voter set that its first
 	// page was given under.
 	begun bool
--- a/internal/state/consensus/difference.go
+++ b/internal/state/consensus/difference.go
@@ -14,9 +14,9 @@
 // gets the very bytes that an Accept would have brought, and does as if it had;
 // any other asks for the value whole and does nothing.
 type AcceptDifference struct {
-	Key        ids.Key
+	Key        ids.RegisterKey
 	Ballot     ids.Ballot
-	Next       ids.Ballot
+	NextBallot ids.Ballot
 	VoterSet   uint64
 	Round      uint64
 	Base       ids.Ballot
@@ -26,7 +26,7 @@
 // ChosenDifference tells registries of a register's new value, as the difference
 // to the one before it.
 type ChosenDifference struct {
-	Key        ids.Key
+	Key        ids.RegisterKey
 	Difference []byte
 }
 
@@ -47,7 +47,7 @@
 	if r.first || len(old) < differencesFrom || len(r.value) < differencesFrom || !bytes.Equal(base.value, old) {
 		return differing{}
 	}
-	difference := delta.Make(old, r.value)
+	difference := delta.Diff(old, r.value)
 	if len(difference) > len(r.value)/2 {
 		return differing{}
 	}
@@ -57,12 +57,12 @@
 // sendAccept asks a store to keep the round's value.
 func (p *Proposer) sendAccept(now ids.Time, s Voter, r *round, number uint64) {
 	if r.difference != nil && p.peer(s.ID).readsDifferences && !r.whole[s.ID] {
-		p.out.Send(s.Address, AcceptDifference{Key: r.key, Ballot: r.ballot, Next: r.next, VoterSet: number, Round: r.id,
+		p.out.Send(s.Address, AcceptDifference{Key: r.key, Ballot: r.ballot, NextBallot: r.next, VoterSet: number, Round: r.id,
 			Base: r.base, Difference: r.difference})
 		return
 	}
 	if len(r.value) < largeValue || p.peer(s.ID).mayTakeWhole(now) {
-		p.out.Send(s.Address, Accept{Key: r.key, Ballot: r.ballot, Next: r.next, VoterSet: number, Round: r.id, Value: r.value, First: r.first})
+		p.out.Send(s.Address, Accept{Key: r.key, Ballot: r.ballot, NextBallot: r.next, VoterSet: number, Round: r.id, Value: r.value, First: r.first})
 	}
 }
 
@@ -97,7 +97,7 @@
 		return
 	}
 	s := a.slot(m.Key)
-	whole := Accept{Key: m.Key, Ballot: m.Ballot, Next: m.Next, VoterSet: m.VoterSet, Round: m.Round}
+	whole := Accept{Key: m.Key, Ballot: m.Ballot, NextBallot: m.NextBallot, VoterSet: m.VoterSet, Round: m.Round}
 	if s.Accepted == m.Ballot || m.Ballot.Less(s.Promised) {
 		// Taken before, or declined: the value isn't looked at.
 		a.Accept(from, whole)
--- a/internal/state/consensus/difference_test.go
+++ b/internal/state/consensus/difference_test.go
@@ -34,8 +34,8 @@
 				switch c := c.(type) {
 				case event.Sync:
 					all[at].mem.write(c.Records)
-					all[at].Acceptor.Synced(c.Turn)
-					list = append(append([]event.Command{}, c.Then...), list...)
+					all[at].Acceptor.Synced(c.Batch)
+					list = append(append([]event.Command{}, c.After...), list...)
 				case event.Send:
 					busy = true
 					if r, ok := c.Msg.(Response); ok {
@@ -83,8 +83,8 @@
 	all[at].Submit(*now, "w", Request{ID: 1, Key: "policy", Op: opAdd, Arg: []byte(arg), Wait: 60000})
 	for range 100 {
 		if told := w.watch(all, *now, down); len(told) > 0 {
-			if told[0].State != Done {
-				t.Fatalf("%q: %s", arg, told[0].State)
+			if told[0].Outcome != Succeeded {
+				t.Fatalf("%q: %s", arg, told[0].Outcome)
 			}
 			return
 		}
@@ -171,9 +171,9 @@
 	w.run(t, all, "a", &now, string(text(rand.New(rand.NewPCG(1, 1)), 20_000)), nil)
 	b := all["b"]
 	held, value := b.Value("policy")
-	next := ids.Ballot{Count: held.Count + 100, By: 1}
+	next := ids.Ballot{Counter: held.Counter + 100, Proposer: 1}
 	for _, m := range []AcceptDifference{
-		{Base: ids.Ballot{Count: held.Count - 1, By: held.By}, Difference: nil},
+		{Base: ids.Ballot{Counter: held.Counter - 1, Proposer: held.Proposer}, Difference: nil},
 		{Base: held, Difference: []byte("damaged")},
 		{Base: held, Difference: nil},
 	} {
@@ -183,7 +183,7 @@
 		is.Equal(len(list), 1)
 		answer := list[0].(event.Sync)
 		is.Equal(len(answer.Records), 0)
-		vote := answer.Then[0].(event.Send).Msg.(Accepted)
+		vote := answer.After[0].(event.Send).Msg.(Accepted)
 		is.True(!vote.OK && vote.Whole)
 		has, got := b.Value("policy")
 		is.Equal(has, held)
@@ -213,14 +213,14 @@
 	if promised {
 		// Its own proposer asked, as it came back, under a ballot above all others.
 		c := all["c"]
-		c.Prepare("c", Prepare{Key: "policy", Ballot: ids.Ballot{Count: 1 << 50, By: 3}, VoterSet: 1, Round: 1})
+		c.Prepare("c", Prepare{Key: "policy", Ballot: ids.Ballot{Counter: 1 << 50, Proposer: 3}, VoterSet: 1, Round: 1})
 	}
 	back := now
 	read := func() {
 		all["b"].Submit(now, "w", Request{ID: 1, Key: "policy", Op: Read, Wait: 60000})
 	}
-	for now.Since(back) < 2*time.Second {
-		if now.Since(back)%(500*time.Millisecond) == 0 {
+	for now.Sub(back) < 2*time.Second {
+		if now.Sub(back)%(500*time.Millisecond) == 0 {
 			read() // as registries do
 		}
 		w.watch(all, now, nobody)
--- a/internal/state/consensus/firstvalue.go
+++ b/internal/state/consensus/firstvalue.go
@@ -44,7 +44,7 @@
 	for _, k := range slices.Sorted(maps.Keys(p.rounds)) {
 		r := p.rounds[k]
 		if r.phase != idle {
-			r.floor = max(r.floor, r.ballot.Count)
+			r.floor = max(r.floor, r.ballot.Counter)
 			r.phase, r.retryAt = idle, now
 		}
 	}
--- a/internal/state/consensus/lossy_test.go
+++ b/internal/state/consensus/lossy_test.go
@@ -13,7 +13,7 @@
 
 // appendOnce appends a token that isn't there yet, as every change function must
 // know a change that it has made before.
-func appendOnce(_ ids.Key, old, arg []byte) ([]byte, []byte) {
+func appendOnce(_ ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
 	if bytes.Contains(old, arg) {
 		return old, old
 	}
@@ -68,8 +68,8 @@
 			switch c := c.(type) {
 			case event.Sync:
 				l.all[at].mem.write(c.Records)
-				l.all[at].Acceptor.Synced(c.Turn)
-				list = append(append([]event.Command{}, c.Then...), list...)
+				l.all[at].Acceptor.Synced(c.Batch)
+				list = append(append([]event.Command{}, c.After...), list...)
 			case event.Send:
 				if r, ok := c.Msg.(Response); ok {
 					l.told = append(l.told, r)
@@ -165,12 +165,12 @@
 	t.Helper()
 	var longest []byte
 	for _, r := range told {
-		if r.State == Done && len(r.Result) > len(longest) {
+		if r.Outcome == Succeeded && len(r.Result) > len(longest) {
 			longest = r.Result
 		}
 	}
 	for _, r := range told {
-		if r.State == Done && !bytes.HasPrefix(longest, r.Result) {
+		if r.Outcome == Succeeded && !bytes.HasPrefix(longest, r.Result) {
 			t.Fatalf("seed %d: change %d was told a value that the last one doesn't lead on from", seed, r.ID)
 		}
 	}
--- a/internal/state/consensus/messages.go
+++ b/internal/state/consensus/messages.go
@@ -34,7 +34,7 @@
 
 // Prepare asks for a promise, Peek set only for what was accepted.
 type Prepare struct {
-	Key      ids.Key
+	Key      ids.RegisterKey
 	Ballot   ids.Ballot
 	VoterSet uint64
 	Round    uint64
@@ -46,7 +46,7 @@
 
 // Promise answers Prepare. Promised above the asked ballot is a decline.
 type Promise struct {
-	Key      ids.Key
+	Key      ids.RegisterKey
 	Store    uint64
 	Round    uint64
 	VoterSet uint64
@@ -62,12 +62,12 @@
 // Accept asks for a value to be kept, and with it for a promise to Next, so
 // that the proposer's next change needs no Prepare of its own.
 type Accept struct {
-	Key      ids.Key
-	Ballot   ids.Ballot
-	Next     ids.Ballot
-	VoterSet uint64
-	Round    uint64
-	Value    []byte
+	Key        ids.RegisterKey
+	Ballot     ids.Ballot
+	NextBallot ids.Ballot
+	VoterSet   uint64
+	Round      uint64
+	Value      []byte
 	// First: only where nobody has promised or accepted anything yet. It takes
 	// every store to choose such a value, not a majority.
 	First bool
@@ -75,7 +75,7 @@
 
 // Accepted answers Accept.
 type Accepted struct {
-	Key      ids.Key
+	Key      ids.RegisterKey
 	Store    uint64
 	Round    uint64
 	VoterSet uint64
@@ -93,13 +93,13 @@
 // Ask is a request to read or change a register, sent to any store.
 type Request struct {
 	ID  uint64
-	Key ids.Key
+	Key ids.RegisterKey
 	Op  Op
 	Arg []byte
 	// Wait is how long the client will wait, in milliseconds.
 	Wait uint32
-	// Try counts the times it was sent; an answer speaks for that one alone.
-	Try uint32
+	// Attempt counts the times it was sent; an answer speaks for that one alone.
+	Attempt uint32
 	// Have sums up the value that the client holds; a read that finds the same
 	// says so and leaves it out. 0 for none.
 	HaveChecksum uint64
@@ -107,10 +107,10 @@
 
 // Told answers Ask.
 type Response struct {
-	ID     uint64
-	State  State
-	Result []byte
-	Try    uint32
+	ID      uint64
+	Outcome Outcome
+	Result  []byte
+	Attempt uint32
 	// Same: Out is left out, as the client has it.
 	Same bool
 }
@@ -121,26 +121,26 @@
 // Read leaves the register as it is and gives its value.
 const Read Op = 0
 
-// State says how an Ask ended.
-type State uint8
+// Outcome says how an Ask ended.
+type Outcome uint8
 
 // Done: chosen. Declined: surely without effect. Uncertain: may yet take
 // effect. The three are never mixed.
 const (
-	Done State = iota + 1
+	Succeeded Outcome = iota + 1
 	Declined
-	Uncertain
+	Indeterminate
 )
 
 // String names the state in logs.
-func (s State) String() string {
+func (s Outcome) String() string {
 	return [...]string{"none", "done", "declined", "uncertain"}[min(s, 3)]
 }
 
 // Page asks a member for its records after a key, for a newcomer's copy.
 type PageRequest struct {
 	VoterSet uint64
-	After    ids.Key
+	After    ids.RegisterKey
 	Number   uint64
 	// Epoch and Since ask only for what changed since an earlier copy: the run
 	// that answered then, and its count of changes when that copy began.
@@ -150,7 +150,7 @@
 
 // Leaf is one record in a page.
 type PageRecord struct {
-	Key      ids.Key
+	Key      ids.RegisterKey
 	Accepted ids.Ballot
 	Value    []byte
 }
@@ -200,7 +200,7 @@
 
 // Chosen tells registries of a register's new value.
 type Chosen struct {
-	Key   ids.Key
+	Key   ids.RegisterKey
 	Value []byte
 }
 
--- a/internal/state/consensus/model_rounds_test.go
+++ b/internal/state/consensus/model_rounds_test.go
@@ -22,7 +22,7 @@
 	if lost, ok := w.place(i); ok && !s.joined {
 		do(func(n *modelState) { n.join(i, lost); n.reach(i, reached, VoterSetKey) })
 	}
-	if !s.reported && a.Standing() == Complete && slices.Contains(a.voterSet.Learners, a.store) {
+	if !s.reported && a.DiskState() == Complete && slices.Contains(a.voterSet.Learners, a.store) {
 		do(func(n *modelState) { n.report(i); n.reach(i, reached, VoterSetKey) })
 	}
 	if b.coarse && !w.wroteQ && a.MayVote() {
@@ -37,7 +37,7 @@
 
 // reach lets a round of store i through to some machines, to its end; what it
 // asked of others is lost.
-func (w *modelState) reach(i int, some []int, key ids.Key) {
+func (w *modelState) reach(i int, some []int, key ids.RegisterKey) {
 	if some == nil {
 		return
 	}
@@ -54,7 +54,7 @@
 	w.net = slices.DeleteFunc(w.net, ours)
 }
 
-func keyOf(msg any) ids.Key {
+func keyOf(msg any) ids.RegisterKey {
 	switch m := msg.(type) {
 	case Prepare:
 		return m.Key
--- a/internal/state/consensus/model_search_test.go
+++ b/internal/state/consensus/model_search_test.go
@@ -94,7 +94,7 @@
 func (w *modelState) tolerable() bool {
 	have := map[uint64]bool{}
 	for _, s := range w.stores {
-		have[s.acceptor.store] = s.acceptor.Standing() == Complete
+		have[s.acceptor.store] = s.acceptor.DiskState() == Complete
 	}
 	for _, set := range w.sets {
 		if set.Majority(have) {
@@ -125,7 +125,7 @@
 	}
 	for i := range w.stores {
 		// Its folder is set aside, as its successor can't run at its address.
-		if w.stores[i].acceptor.Standing() == Replaced {
+		if w.stores[i].acceptor.DiskState() == Replaced {
 			w.wipe(i, true)
 		}
 		for _, set := range w.sets {
@@ -144,7 +144,7 @@
 			}
 		}
 		_, asking = w.stores[i].proposer.rounds[VoterSetKey]
-		if a := w.stores[i].acceptor; !asking && a.Standing() == Complete && slices.Contains(a.voterSet.Learners, a.store) {
+		if a := w.stores[i].acceptor; !asking && a.DiskState() == Complete && slices.Contains(a.voterSet.Learners, a.store) {
 			w.submit(i, OpLearned, LearnedReport{ID: a.store})
 		}
 		if len(w.stores[i].proposer.rounds) > 0 {
@@ -157,7 +157,7 @@
 	set := w.sets[len(w.sets)-1]
 	for _, s := range w.stores {
 		a := s.acceptor
-		if a.voterSet.Number != set.Number || len(set.Learners) > 0 || a.Standing() != Complete || !a.MayVote() {
+		if a.voterSet.Number != set.Number || len(set.Learners) > 0 || a.DiskState() != Complete || !a.MayVote() {
 			return false
 		}
 	}
--- a/internal/state/consensus/model_state_test.go
+++ b/internal/state/consensus/model_state_test.go
@@ -20,11 +20,11 @@
 // nothing before, so a loss before a sync is a message that never came.
 
 // disk3 is a disk that syncs at once and can be listed.
-type modelDisk map[ids.Key][]byte
+type modelDisk map[ids.RegisterKey][]byte
 
-func (d modelDisk) Get(k ids.Key) ([]byte, bool) { v, ok := d[k]; return v, ok }
+func (d modelDisk) Get(k ids.RegisterKey) ([]byte, bool) { v, ok := d[k]; return v, ok }
 
-func (d modelDisk) Scan(after ids.Key, n int) []event.Record {
+func (d modelDisk) Scan(after ids.RegisterKey, n int) []event.Record {
 	var out []event.Record
 	for _, k := range slices.Sorted(maps.Keys(d)) {
 		if k > after && k < "item0" && len(out) < n {
@@ -81,7 +81,7 @@
 }
 
 // addLetterOnce adds a letter, and knows one that it has added before.
-func addLetterOnce(key ids.Key, old, arg []byte) ([]byte, []byte) {
+func addLetterOnce(key ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
 	if bytes.Contains(old, arg) {
 		return old, old
 	}
@@ -92,9 +92,9 @@
 func (s *modelStore) clone() *modelStore {
 	c := &modelStore{disk: maps.Clone(s.disk), run: s.run, now: s.now, ticks: s.ticks, joined: s.joined, reported: s.reported}
 	a := *s.acceptor
-	a.out, a.storage, a.unsynced = &c.Outbox, c.disk, map[ids.Key]unsyncedRecord{}
+	a.out, a.storage, a.unsynced = &c.Outbox, c.disk, map[ids.RegisterKey]unsyncedRecord{}
 	a.changes.keys = slices.Clone(a.changes.keys)
-	a.registers = map[ids.Key]*register{}
+	a.registers = map[ids.RegisterKey]*register{}
 	for k, r := range s.acceptor.registers {
 		one := *r
 		a.registers[k] = &one
@@ -105,7 +105,7 @@
 	p.voterSet = c.acceptor.VoterSet
 	p.promisedBallots, p.cachedValues = maps.Clone(p.promisedBallots), maps.Clone(p.cachedValues)
 	p.order = slices.Clone(p.order)
-	p.rounds = map[ids.Key]*round{}
+	p.rounds = map[ids.RegisterKey]*round{}
 	for k, r := range s.proposer.rounds {
 		p.rounds[k] = cloneRound(r)
 	}
@@ -162,7 +162,7 @@
 			number(map[bool]uint64{true: 1}[t])
 		}
 	}
-	ballot := func(x ids.Ballot) { number(x.Count, x.By) }
+	ballot := func(x ids.Ballot) { number(x.Counter, x.Proposer) }
 	for _, k := range slices.Sorted(maps.Keys(s.disk)) {
 		text([]byte(k))
 		text(s.disk[k])
--- a/internal/state/consensus/model_test.go
+++ b/internal/state/consensus/model_test.go
@@ -176,7 +176,7 @@
 // place is the voter whose place a blank store may ask for.
 func (w *modelState) place(i int) (uint64, bool) {
 	a := w.stores[i].acceptor
-	if a.Standing() != Blank || a.voterSet.Number == 0 || a.voterSet.Has(a.store) {
+	if a.DiskState() != Blank || a.voterSet.Number == 0 || a.voterSet.Has(a.store) {
 		return 0, false
 	}
 	for _, v := range a.voterSet.Voters {
@@ -205,7 +205,7 @@
 func (w *modelState) mayCopy(i, j int) bool {
 	to, from := w.stores[i], w.stores[j].acceptor
 	set := to.acceptor.voterSet
-	return i != j && to.acceptor.Standing() == Blank && set.Number > 0 && from.voterSet.Number == set.Number &&
+	return i != j && to.acceptor.DiskState() == Blank && set.Number > 0 && from.voterSet.Number == set.Number &&
 		from.MayVote() && to.copier.Sealed(from.store) < set.Number
 }
 
@@ -216,7 +216,7 @@
 	to.copier.Begin(from.acceptor.store)
 	from.acceptor.Page(modelAddresses[i], to.copier.Request(from.acceptor.store, set.Number))
 	for _, c := range from.Drain() {
-		page := c.(event.Sync).Then[0].(event.Send).Msg.(PageResponse)
+		page := c.(event.Sync).After[0].(event.Send).Msg.(PageResponse)
 		if !to.copier.Take(page) {
 			w.wrong = "a page was not taken"
 		}
--- a/internal/state/consensus/model_world_test.go
+++ b/internal/state/consensus/model_world_test.go
@@ -22,7 +22,7 @@
 
 // modelVote records who took a value, and under which voter set.
 type modelVote struct {
-	key    ids.Key
+	key    ids.RegisterKey
 	ballot ids.Ballot
 	number uint64
 	voters []Voter
@@ -106,8 +106,8 @@
 		switch c := c.(type) {
 		case event.Sync:
 			s.disk.write(c.Records)
-			s.acceptor.Synced(c.Turn)
-			list = append(slices.Clone(c.Then), list...)
+			s.acceptor.Synced(c.Batch)
+			list = append(slices.Clone(c.After), list...)
 		case event.Send:
 			w.sent(i, c)
 			list = append(list, s.Drain()...)
@@ -128,7 +128,7 @@
 			w.net = append(w.net, p)
 		}
 	case Response:
-		if m.State != Done {
+		if m.Outcome != Succeeded {
 			return
 		}
 		if set, ok := DecodeVoterSet(m.Result); ok {
@@ -150,7 +150,7 @@
 	if s.acceptor.AdoptVoterSet(set) {
 		s.proposer.Restart(s.now)
 		w.run(i)
-		if s.acceptor.Standing() == Blank {
+		if s.acceptor.DiskState() == Blank {
 			w.completeIfDue(i)
 		}
 	}
@@ -176,8 +176,8 @@
 	for _, c := range s.Drain() {
 		y := c.(event.Sync)
 		s.disk.write(y.Records)
-		s.acceptor.Synced(y.Turn)
-		for _, then := range y.Then {
+		s.acceptor.Synced(y.Batch)
+		for _, then := range y.After {
 			w.answer(p, s, then.(event.Send).Msg)
 		}
 	}
--- a/internal/state/consensus/page.go
+++ b/internal/state/consensus/page.go
@@ -28,7 +28,7 @@
 	l := PageResponse{Store: a.store, VoterSet: m.VoterSet, Number: m.Number, Last: len(list) < recordsInPage,
 		Epoch: a.changes.epoch, Changes: a.changes.count()}
 	// What is still on its way to the disk belongs in the page as well.
-	rows := map[ids.Key][]byte{}
+	rows := map[ids.RegisterKey][]byte{}
 	for _, r := range list {
 		rows[r.Key] = r.Value
 	}
@@ -51,7 +51,7 @@
 }
 
 // pageState gives a register as it stands, with the changes behind its base.
-func (a *Acceptor) pageState(k ids.Key, raw []byte) (RegisterState, bool) {
+func (a *Acceptor) pageState(k ids.RegisterKey, raw []byte) (RegisterState, bool) {
 	if key := k[len(slotPrefix):]; !isIdempotencyKey(key) {
 		return a.slot(key), true
 	}
--- a/internal/state/consensus/patience_test.go
+++ b/internal/state/consensus/patience_test.go
@@ -52,7 +52,7 @@
 	is.True(copies <= 2)
 }
 
-func (r *room) accepting(key ids.Key) bool {
+func (r *room) accepting(key ids.RegisterKey) bool {
 	x := r.rounds[key]
 	return x != nil && x.phase == accepting
 }
@@ -64,11 +64,11 @@
 	for size, most := range map[int]int{10: 10, largeSize: 1} {
 		var out event.Outbox
 		c := NewClient(1, &out)
-		c.Order = func(ids.Key) []ids.Address { return []ids.Address{"a", "b", "c"} }
-		c.Call(1, "x", opAdd, make([]byte, size), 10*time.Second, func(ids.Time, State, []byte) {})
+		c.StoreOrder = func(ids.RegisterKey) []ids.Address { return []ids.Address{"a", "b", "c"} }
+		c.Call(1, "x", opAdd, make([]byte, size), 10*time.Second, func(ids.Time, Outcome, []byte) {})
 		n := 0
 		for now := ids.Time(1); now < ids.Time(3*time.Second); now = now.Add(50 * time.Millisecond) {
-			c.Clock(now)
+			c.Tick(now)
 			for _, cmd := range out.Drain() {
 				if _, ok := cmd.(event.Send); ok {
 					n++
--- a/internal/state/consensus/peers.go
+++ b/internal/state/consensus/peers.go
@@ -11,10 +11,10 @@
 	stores map[uint64]*peer
 	// settled holds values that a majority holds, broughtUp when a store that
 	// missed one was given it.
-	settled   map[ids.Key]settledValue
-	broughtUp map[ids.Key]map[uint64]ids.Time
+	settled   map[ids.RegisterKey]settledValue
+	broughtUp map[ids.RegisterKey]map[uint64]ids.Time
 	// again holds registers whose value is to be agreed on once more as it is.
-	again map[ids.Key]bool
+	again map[ids.RegisterKey]bool
 }
 
 // peer is one store.
@@ -37,8 +37,8 @@
 )
 
 func newPeers() peers {
-	return peers{stores: map[uint64]*peer{}, settled: map[ids.Key]settledValue{}, broughtUp: map[ids.Key]map[uint64]ids.Time{},
-		again: map[ids.Key]bool{}}
+	return peers{stores: map[uint64]*peer{}, settled: map[ids.RegisterKey]settledValue{}, broughtUp: map[ids.RegisterKey]map[uint64]ids.Time{},
+		again: map[ids.RegisterKey]bool{}}
 }
 
 func (p *peers) peer(store uint64) *peer {
@@ -71,7 +71,7 @@
 
 // mayTakeWhole tells whether to send a large value now, and notes that it is.
 func (x *peer) mayTakeWhole(now ids.Time) bool {
-	if x.unanswered > 0 && x.wholeAt != 0 && now.Since(x.wholeAt) < wholeEvery {
+	if x.unanswered > 0 && x.wholeAt != 0 && now.Sub(x.wholeAt) < wholeEvery {
 		return false
 	}
 	x.wholeAt = now
--- a/internal/state/consensus/proposer.go
+++ b/internal/state/consensus/proposer.go
@@ -12,7 +12,7 @@
 // Func is a change function: it takes the register's value and an argument,
 // and gives the next value and what to tell the client. It must know a change
 // that it has made before, since a round that was cut short is run again.
-type ChangeFunc func(key ids.Key, old, arg []byte) (next, out []byte)
+type ChangeFunc func(key ids.RegisterKey, old, arg []byte) (next, out []byte)
 
 // Proposer runs rounds for whoever asks. Any store may; ballots, not the
 // choice of store, keep it safe.
@@ -25,13 +25,13 @@
 	// Reached tells whether a store's daemon is not gone, for the short grace.
 	IsReachable func(store uint64) bool
 	// Audience names who must hear of a register's new value.
-	Subscribers     func(key ids.Key) []ids.Address
-	rounds          map[ids.Key]*round
-	promisedBallots map[ids.Key]cachedValue
+	Subscribers     func(key ids.RegisterKey) []ids.Address
+	rounds          map[ids.RegisterKey]*round
+	promisedBallots map[ids.RegisterKey]cachedValue
 	// seen holds values of registers other than marks, by the ballot that they
 	// were last met under: they are large, and read far more often than changed.
-	cachedValues map[ids.Key]cachedValue
-	order        []ids.Key
+	cachedValues map[ids.RegisterKey]cachedValue
+	order        []ids.RegisterKey
 	peers
 	// count numbers the rounds; no other run has used these numbers.
 	count, high uint64
@@ -64,7 +64,7 @@
 }
 
 type round struct {
-	key      ids.Key
+	key      ids.RegisterKey
 	queued   []*pendingRequest
 	batch    []*pendingRequest
 	phase    phase
@@ -90,8 +90,8 @@
 // NewProposer makes a proposer whose ballots no other run can have used.
 func NewProposer(by uint64, roster func() VoterSet, ops map[Op]ChangeFunc, dice *rand.Rand, out *event.Outbox) *Proposer {
 	return &Proposer{out: out, random: dice, by: by, count: firstRound(by), voterSet: roster, ops: ops,
-		IsReachable: func(uint64) bool { return true }, Subscribers: func(ids.Key) []ids.Address { return nil },
-		rounds: map[ids.Key]*round{}, promisedBallots: map[ids.Key]cachedValue{}, cachedValues: map[ids.Key]cachedValue{}, peers: newPeers()}
+		IsReachable: func(uint64) bool { return true }, Subscribers: func(ids.RegisterKey) []ids.Address { return nil },
+		rounds: map[ids.RegisterKey]*round{}, promisedBallots: map[ids.RegisterKey]cachedValue{}, cachedValues: map[ids.RegisterKey]cachedValue{}, peers: newPeers()}
 }
 
 const (
@@ -103,11 +103,11 @@
 // Ask takes a request.
 func (p *Proposer) Submit(now ids.Time, from ids.Address, a Request) {
 	if len(p.voterSet().Voters) == 0 {
-		p.out.Send(from, Response{ID: a.ID, Try: a.Try, State: Declined})
+		p.out.Send(from, Response{ID: a.ID, Attempt: a.Attempt, Outcome: Declined})
 		return
 	}
 	if _, known := p.ops[a.Op]; !known && a.Op != Read {
-		p.out.Send(from, Response{ID: a.ID, Try: a.Try, State: Declined})
+		p.out.Send(from, Response{ID: a.ID, Attempt: a.Attempt, Outcome: Declined})
 		return
 	}
 	r := p.rounds[a.Key]
@@ -150,7 +150,7 @@
 		// every store takes it as the first.
 		r.first = true
 		p.early++
-		r.ballot = ids.Ballot{Count: p.early, By: p.by}
+		r.ballot = ids.Ballot{Counter: p.early, Proposer: p.by}
 		p.propose(now, r, nil)
 		return
 	default:
@@ -165,7 +165,7 @@
 func (p *Proposer) ballot(r *round) ids.Ballot {
 	p.high = max(p.high, r.floor, firstBallots) + 1
 	r.floor = p.high
-	return ids.Ballot{Count: p.high, By: p.by}
+	return ids.Ballot{Counter: p.high, Proposer: p.by}
 }
 
 // propose folds the batch over the value and asks for it to be kept.
@@ -182,7 +182,7 @@
 	}
 	r.value, r.phase, r.votes, r.resent = value, accepting, map[uint64]bool{}, 0
 	r.differing = p.differ(r, old)
-	r.floor = max(r.floor, r.ballot.Count)
+	r.floor = max(r.floor, r.ballot.Counter)
 	r.next = p.ballot(r)
 	p.send(now, r)
 }
@@ -208,7 +208,7 @@
 // finish answers the batch and goes on with what came meanwhile.
 func (p *Proposer) finish(now ids.Time, r *round) {
 	for _, a := range r.batch {
-		t := Response{ID: a.ID, Try: a.Try, State: Done, Result: a.out}
+		t := Response{ID: a.ID, Attempt: a.Attempt, Outcome: Succeeded, Result: a.out}
 		if a.Op == Read && a.HaveChecksum != 0 && a.HaveChecksum == Checksum(a.out) {
 			t.Result, t.Same = nil, true
 		}
--- a/internal/state/consensus/registers.go
+++ b/internal/state/consensus/registers.go
@@ -48,14 +48,14 @@
 	size    int
 }
 
-func changeKey(key ids.Key, number int) ids.Key {
-	return ids.Key(fmt.Sprintf("%s%s/%08x", changePrefix, key, number))
+func changeKey(key ids.RegisterKey, number int) ids.RegisterKey {
+	return ids.RegisterKey(fmt.Sprintf("%s%s/%08x", changePrefix, key, number))
 }
 
 // seal encodes a record with its checksum behind it.
 func seal(msg any) ([]byte, error) {
 	raw, err := wire.Encode(msg)
-	return binary.BigEndian.AppendUint32(raw, delta.Sum(raw)), err
+	return binary.BigEndian.AppendUint32(raw, delta.Checksum(raw)), err
 }
 
 // unseal reads a record. Only a base may be without a checksum.
@@ -67,7 +67,7 @@
 	}
 	switch {
 	case len(raw) == size+checksumSize:
-		if binary.BigEndian.Uint32(raw[size:]) != delta.Sum(raw[:size]) {
+		if binary.BigEndian.Uint32(raw[size:]) != delta.Checksum(raw[:size]) {
 			return none, errs.New("read record", "", "it fails its checksum")
 		}
 	case len(raw) != size || !mayLack:
@@ -81,7 +81,7 @@
 }
 
 // loadRegister reads a register from the disk.
-func loadRegister(disk Storage, key ids.Key) (register, error) {
+func loadRegister(disk Storage, key ids.RegisterKey) (register, error) {
 	var r register
 	raw, ok := disk.Get(slotPrefix + key)
 	if !ok {
@@ -97,9 +97,9 @@
 }
 
 // loadChanges applies all changes behind the base, none of which may be missing.
-func (r *register) loadChanges(disk Storage, key ids.Key) error {
+func (r *register) loadChanges(disk Storage, key ids.RegisterKey) error {
 	prefix := changePrefix + string(key) + "/"
-	after := ids.Key(prefix)
+	after := ids.RegisterKey(prefix)
 	for {
 		const page = 256
 		list := disk.Scan(after, page)
@@ -139,7 +139,7 @@
 
 // records gives what brings the disk from this register to another state: one
 // change, or a new base in place of the old one and of all changes behind it.
-func (r *register) records(key ids.Key, next RegisterState) ([]event.Record, error) {
+func (r *register) records(key ids.RegisterKey, next RegisterState) ([]event.Record, error) {
 	if change, ok := r.change(next); ok {
 		raw, err := seal(change)
 		if r.size+len(raw) <= len(next.Value) || r.changes == 0 {
@@ -164,7 +164,7 @@
 		return c, false
 	}
 	if next.Accepted != r.Accepted {
-		c.Difference = delta.Make(r.Value, next.Value)
+		c.Difference = delta.Diff(r.Value, next.Value)
 	}
 	return c, len(c.Difference) <= len(next.Value)/2
 }
--- a/internal/state/consensus/registers_test.go
+++ b/internal/state/consensus/registers_test.go
@@ -41,7 +41,7 @@
 			for _, rec := range s.Records {
 				n += len(rec.Value)
 			}
-			r.Acceptor.Synced(s.Turn)
+			r.Acceptor.Synced(s.Batch)
 		}
 	}
 	return n
@@ -54,7 +54,7 @@
 	r := keeper(memory{})
 	value := text(dice, 6000)
 	for i := range 1500 {
-		b := ids.Ballot{Count: uint64(i) + 1<<41, By: 1}
+		b := ids.Ballot{Counter: uint64(i) + 1<<41, Proposer: 1}
 		next := RegisterState{Promised: b, Accepted: b, Value: value}
 		switch {
 		case i%50 == 49:
@@ -92,7 +92,7 @@
 		value := text(dice, size)
 		written := 0
 		for i := range 301 {
-			b := ids.Ballot{Count: uint64(i) + 1<<41, By: 1}
+			b := ids.Ballot{Counter: uint64(i) + 1<<41, Proposer: 1}
 			value = slices.Clone(value)
 			copy(value[dice.IntN(len(value)-300):], text(dice, 300))
 			r.save("x", RegisterState{Promised: b, Accepted: b, Value: value})
@@ -109,7 +109,7 @@
 func TestRegisterOfAnEarlierVersion(t *testing.T) {
 	is := is.New(t)
 	dice := rand.New(rand.NewPCG(3, 4))
-	b := ids.Ballot{Count: 1 << 41, By: 7}
+	b := ids.Ballot{Counter: 1 << 41, Proposer: 7}
 	old := RegisterState{Promised: b, Accepted: b, Value: text(dice, 9000)}
 	raw, err := wire.Encode(old)
 	is.NoErr(err)
@@ -118,7 +118,7 @@
 	r := keeper(mem)
 	is.Equal(r.slot("policy"), old)
 	next := old
-	next.Accepted.Count++
+	next.Accepted.Counter++
 	next.Value = append(slices.Clone(old.Value), "and more"...)
 	r.save("policy", next)
 	is.True(r.sync() < 200)
@@ -137,7 +137,7 @@
 	r.AdoptVoterSet(VoterSet{Number: 1, Voters: []Voter{{1, "a"}}})
 	value := text(dice, 5000)
 	for i := range 5 {
-		b := ids.Ballot{Count: uint64(i) + 1<<41, By: 1}
+		b := ids.Ballot{Counter: uint64(i) + 1<<41, Proposer: 1}
 		value = append(slices.Clone(value), fmt.Sprint("change ", i)...)
 		r.save("policy", RegisterState{Promised: b, Accepted: b, Value: value})
 	}
@@ -145,7 +145,7 @@
 	is.NoErr(CheckDisk(whole))
 	is.Equal(len(whole), 7)
 	sound := keeper(maps.Clone(whole))
-	sound.Prepare("a", Prepare{Key: "policy", Ballot: ids.Ballot{Count: 1 << 50}, VoterSet: 1})
+	sound.Prepare("a", Prepare{Key: "policy", Ballot: ids.Ballot{Counter: 1 << 50}, VoterSet: 1})
 	is.Equal(len(sound.Drain()), 1) // it votes
 	for key, raw := range whole {
 		if strings.HasPrefix(string(key), "meta/") {
@@ -172,7 +172,7 @@
 			again := keeper(m)
 			log, ok := again.Drain()[0].(event.LogEntry)
 			is.True(ok && log.Level == "error" && strings.Contains(log.Event, "unreadable"))
-			again.Prepare("a", Prepare{Key: "policy", Ballot: ids.Ballot{Count: 1 << 50}, VoterSet: 1})
+			again.Prepare("a", Prepare{Key: "policy", Ballot: ids.Ballot{Counter: 1 << 50}, VoterSet: 1})
 			is.Equal(len(again.Drain()), 0)
 		}
 	}
--- a/internal/state/consensus/replace.go
+++ b/internal/state/consensus/replace.go
@@ -29,7 +29,7 @@
 var _ = wire.Register(45, ReplaceRequest{}) && wire.Register(46, LearnedReport{})
 
 // replace puts a newcomer in, unless too few would be left that can vote.
-func replace(_ ids.Key, old, arg []byte) ([]byte, []byte) {
+func replace(_ ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
 	set, ok := unpack[VoterSet](old)
 	request, fine := unpack[ReplaceRequest](arg)
 	if !ok || !fine || len(set.Incoming) > 0 || set.Has(request.New.ID) {
@@ -54,7 +54,7 @@
 }
 
 // learned strikes a voter off the list of learners.
-func learned(_ ids.Key, old, arg []byte) ([]byte, []byte) {
+func learned(_ ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
 	set, ok := unpack[VoterSet](old)
 	report, fine := unpack[LearnedReport](arg)
 	if !ok || !fine || !slices.Contains(set.Learners, report.ID) {
--- a/internal/state/consensus/replace_test.go
+++ b/internal/state/consensus/replace_test.go
@@ -53,7 +53,7 @@
 			for _, r := range s.Records {
 				x.mem[r.Key] = r.Value
 			}
-			for _, then := range s.Then {
+			for _, then := range s.After {
 				sent = append(sent, then.(event.Send).Msg)
 			}
 		}
@@ -62,7 +62,7 @@
 	x.AdoptVoterSet(set)
 	sync()
 	x.Acceptor = NewAcceptor(9, x.mem, &x.Outbox)
-	ballot := ids.Ballot{Count: firstBallots + 1, By: 1}
+	ballot := ids.Ballot{Counter: firstBallots + 1, Proposer: 1}
 	x.Prepare("a", Prepare{Key: "x", Ballot: ballot, VoterSet: 2})
 	x.Accept("a", Accept{Key: "x", Ballot: ballot, VoterSet: 2, Value: []byte("v")})
 	x.Page("a", PageRequest{VoterSet: 2})
@@ -79,13 +79,13 @@
 	play(1, all, open2)
 	c := all["c"]
 	c.AdoptVoterSet(VoterSet{Number: 2, Voters: []Voter{{1, "a"}, {2, "b"}, {9, "c"}}})
-	is.Equal(c.Standing(), Replaced)
+	is.Equal(c.DiskState(), Replaced)
 	c.MarkComplete()
 	c.AdoptVoterSet(VoterSet{Number: 3, Voters: []Voter{{1, "a"}, {2, "b"}, {3, "c"}}})
 	is.True(!c.MayVote())
 	play(1, all, open2)
 	again := NewAcceptor(3, c.mem, &c.Outbox)
-	is.Equal(again.Standing(), Replaced)
+	is.Equal(again.DiskState(), Replaced)
 }
 
 // Who copied everything once is given only what changed since, each record
@@ -100,7 +100,7 @@
 	page := func(q PageRequest) PageResponse {
 		x.Drain()
 		x.Page("n", q)
-		return x.Drain()[0].(event.Sync).Then[0].(event.Send).Msg.(PageResponse)
+		return x.Drain()[0].(event.Sync).After[0].(event.Send).Msg.(PageResponse)
 	}
 	x.Seed("x", []byte("1"))
 	first := page(PageRequest{VoterSet: 1})
--- a/internal/state/consensus/replies.go
+++ b/internal/state/consensus/replies.go
@@ -23,7 +23,7 @@
 		// What was at hand as the question left may have been replaced since.
 		s := p.cachedValues[m.Key]
 		if s.ballot != m.Accepted {
-			r.floor = max(r.floor, m.Promised.Count)
+			r.floor = max(r.floor, m.Promised.Counter)
 			p.begin(now, r)
 			return
 		}
@@ -68,7 +68,7 @@
 		all = all && same[s.ID]
 	}
 	// A first value that a majority holds may yet lose to another store's.
-	if !top.Accepted.Zero() && top.Accepted.Count <= firstBallots {
+	if !top.Accepted.IsZero() && top.Accepted.Counter <= firstBallots {
 		return top, all
 	}
 	return top, p.voterSet().Majority(same)
@@ -84,7 +84,7 @@
 		return
 	}
 	if len(r.promises) == len(p.voterSet().All()) {
-		r.floor = max(r.floor, top.Promised.Count) + 1
+		r.floor = max(r.floor, top.Promised.Counter) + 1
 		p.begin(now, r)
 	}
 }
@@ -149,7 +149,7 @@
 	}
 }
 
-func isIdempotencyKey(k ids.Key) bool { return len(k) > 5 && k[:5] == "mark/" }
+func isIdempotencyKey(k ids.RegisterKey) bool { return len(k) > 5 && k[:5] == "mark/" }
 
 // everyLive tells whether every copy that can be reached has the value.
 func (p *Proposer) everyLive(r *round) bool {
@@ -183,9 +183,9 @@
 		}
 		s := Declined
 		if a.sent {
-			s = Uncertain
+			s = Indeterminate
 		}
-		p.out.Send(a.from, Response{ID: a.ID, Try: a.Try, State: s})
+		p.out.Send(a.from, Response{ID: a.ID, Attempt: a.Attempt, Outcome: s})
 		return true
 	})
 }
--- a/internal/state/consensus/roundid_test.go
+++ b/internal/state/consensus/roundid_test.go
@@ -33,8 +33,8 @@
 		for _, rec := range sync.Records {
 			r.mem[rec.Key] = rec.Value
 		}
-		r.Acceptor.Synced(sync.Turn)
-		for _, then := range sync.Then {
+		r.Acceptor.Synced(sync.Batch)
+		for _, then := range sync.After {
 			if s, ok := then.(event.Send); ok && s.To == to {
 				held = append(held, s)
 			}
@@ -69,7 +69,7 @@
 	first := all["a"].rounds["x"]
 	is.Equal(first.phase, accepting)
 	b := all["b"]
-	b.Accept("a", Accept{Key: "x", Ballot: first.ballot, Next: first.next, VoterSet: 1, Round: first.id, Value: first.value})
+	b.Accept("a", Accept{Key: "x", Ballot: first.ballot, NextBallot: first.next, VoterSet: 1, Round: first.id, Value: first.value})
 	late := holdBack(b, "a")
 	is.Equal(len(late), 1)
 	restart(all, "a", 1|1<<30)
--- a/internal/state/consensus/runs_test.go
+++ b/internal/state/consensus/runs_test.go
@@ -46,7 +46,7 @@
 var addresses = []ids.Address{"a", "b", "c"}
 
 // addTagOnce appends a tag unless it is there, as every change must know itself.
-func addTagOnce(_ ids.Key, old, arg []byte) ([]byte, []byte) {
+func addTagOnce(_ ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
 	if bytes.Contains(old, arg) {
 		return old, old
 	}
@@ -73,8 +73,8 @@
 			for _, rec := range c.Records {
 				r.mem[rec.Key] = rec.Value
 			}
-			r.Acceptor.Synced(c.Turn)
-			list = append(list, c.Then...)
+			r.Acceptor.Synced(c.Batch)
+			list = append(list, c.After...)
 		case event.Send:
 			if m, ok := c.Msg.(Response); ok {
 				n.judge(m)
@@ -88,7 +88,7 @@
 // judge checks a caller's result against all that callers were told before.
 func (n *network) judge(m Response) {
 	call, open := n.asked[m.ID]
-	if m.State != Done || !open {
+	if m.Outcome != Succeeded || !open {
 		return
 	}
 	delete(n.asked, m.ID)
--- a/internal/state/consensus/save.go
+++ b/internal/state/consensus/save.go
@@ -6,7 +6,7 @@
 )
 
 // register gives a register from memory, or from the disk the first time.
-func (a *Acceptor) register(key ids.Key) *register {
+func (a *Acceptor) register(key ids.RegisterKey) *register {
 	if r := a.registers[key]; r != nil {
 		return r
 	}
@@ -21,7 +21,7 @@
 }
 
 // save syncs a register's new state, and only then lets the commands out.
-func (a *Acceptor) save(key ids.Key, next RegisterState, then ...event.Command) {
+func (a *Acceptor) save(key ids.RegisterKey, next RegisterState, then ...event.Command) {
 	if isIdempotencyKey(key) {
 		a.persist(slotPrefix+key, next, then...)
 		return
@@ -34,5 +34,5 @@
 	}
 	a.turn++
 	a.changes.note(slotPrefix + key)
-	a.out.Emit(event.Sync{Turn: a.turn, Records: list, Then: then})
+	a.out.Emit(event.Sync{Batch: a.turn, Records: list, After: then})
 }
--- a/internal/state/consensus/silent.go
+++ b/internal/state/consensus/silent.go
@@ -38,9 +38,9 @@
 }
 
 // order gives the stores to try, those that were silent of late last.
-func (a *Client) order(now ids.Time, key ids.Key) []ids.Address {
+func (a *Client) order(now ids.Time, key ids.RegisterKey) []ids.Address {
 	var answering, silent []ids.Address
-	for _, at := range a.Order(key) {
+	for _, at := range a.StoreOrder(key) {
 		if until, ok := a.silent[at]; ok && now < until {
 			silent = append(silent, at)
 		} else {
@@ -54,14 +54,14 @@
 // their stores take. One that is far away answers late, and isn't silent.
 func (a *Client) missed(now ids.Time, call *pendingCall) {
 	for try, sent := range call.asked {
-		if call.maybe[try] && now.Since(sent.at) >= a.patience(sent.to) {
+		if call.maybe[try] && now.Sub(sent.at) >= a.patience(sent.to) {
 			a.silent[sent.to] = now.Add(silentFor)
 		}
 	}
 }
 
-// Strained tells whether a store was silent of late.
-func (a *Client) Strained(now ids.Time) bool {
+// IsOverloaded tells whether a store was silent of late.
+func (a *Client) IsOverloaded(now ids.Time) bool {
 	for _, until := range a.silent {
 		if now < until.Add(silentFor) {
 			return true
--- a/internal/state/consensus/silent_test.go
+++ b/internal/state/consensus/silent_test.go
@@ -14,24 +14,24 @@
 func TestASilentStoreIsTriedLast(t *testing.T) {
 	out := &event.Outbox{}
 	c := NewClient(1, out)
-	c.Order = func(ids.Key) []ids.Address { return []ids.Address{"cut", "a", "b"} }
+	c.StoreOrder = func(ids.RegisterKey) []ids.Address { return []ids.Address{"cut", "a", "b"} }
 	now := ids.Time(1)
 	took := func() time.Duration {
 		began, done := now, false
-		c.Call(now, "k", Read, nil, 3*time.Second, func(_ ids.Time, s State, _ []byte) { done = s == Done })
-		for !done && now.Since(began) < 3*time.Second {
+		c.Call(now, "k", Read, nil, 3*time.Second, func(_ ids.Time, s Outcome, _ []byte) { done = s == Succeeded })
+		for !done && now.Sub(began) < 3*time.Second {
 			for _, command := range out.Drain() {
 				send := command.(event.Send)
 				if request := send.Msg.(Request); send.To != "cut" {
-					c.HandleResponse(now, send.To, Response{ID: request.ID, Try: request.Try, State: Done})
+					c.HandleResponse(now, send.To, Response{ID: request.ID, Attempt: request.Attempt, Outcome: Succeeded})
 				}
 			}
 			if !done {
 				now = now.Add(50 * time.Millisecond)
-				c.Clock(now)
+				c.Tick(now)
 			}
 		}
-		return now.Since(began)
+		return now.Sub(began)
 	}
 	if first := took(); first < tryFor || first > tryFor+100*time.Millisecond {
 		t.Fatalf("the first call took %s", first)
@@ -46,7 +46,7 @@
 	if slow > 3 {
 		t.Fatalf("%d of 60 calls waited for the silent store", slow)
 	}
-	if !c.Strained(now) {
+	if !c.IsOverloaded(now) {
 		t.Fatal("nobody is told")
 	}
 }
@@ -55,9 +55,9 @@
 func TestTheNextTryGoesToAnotherStore(t *testing.T) {
 	out := &event.Outbox{}
 	c := NewClient(1, out)
-	c.Order = func(ids.Key) []ids.Address { return []ids.Address{"cut", "a"} }
-	c.Call(1, "k", Read, nil, 3*time.Second, func(ids.Time, State, []byte) {})
-	c.Clock(ids.Time(1).Add(tryFor))
+	c.StoreOrder = func(ids.RegisterKey) []ids.Address { return []ids.Address{"cut", "a"} }
+	c.Call(1, "k", Read, nil, 3*time.Second, func(ids.Time, Outcome, []byte) {})
+	c.Tick(ids.Time(1).Add(tryFor))
 	var asked []ids.Address
 	for _, command := range out.Drain() {
 		asked = append(asked, command.(event.Send).To)
--- a/internal/state/consensus/standing.go
+++ b/internal/state/consensus/standing.go
@@ -2,13 +2,13 @@
 
 import "dunlinwell/internal/transport/wire"
 
-// Standing is what a store's disk says of its right to vote. A store begins
+// DiskState is what a store's disk says of its right to vote. A store begins
 // blank and may not vote, whatever a voter set says, until it is complete.
-type Standing uint8
+type DiskState uint8
 
 const (
 	// Blank: nothing was copied, or not everything.
-	Blank Standing = iota
+	Blank DiskState = iota
 	// Complete: this disk holds all that was agreed before it began to vote.
 	Complete
 	// Replaced: another took this disk's place. It never votes again, and only
@@ -35,14 +35,14 @@
 	}
 }
 
-// DiskStanding reads a disk's record of its standing; false where there is none.
-func DiskStanding(disk Storage) (Standing, bool) {
+// ReadDiskState reads a disk's record of its standing; false where there is none.
+func ReadDiskState(disk Storage) (DiskState, bool) {
 	raw, ok := disk.Get(standingKey)
 	if !ok {
 		return Blank, false
 	}
 	s, ok := unpack[standing](raw)
-	return Standing(s.Standing), ok
+	return DiskState(s.Standing), ok
 }
 
 func (a *Acceptor) inVoters(r VoterSet) bool {
@@ -52,27 +52,27 @@
 // changeStanding goes before a higher voter set is adopted.
 func (a *Acceptor) changeStanding(next VoterSet) {
 	switch {
-	case a.voterSet.Number == 0 && a.Standing() == Blank:
+	case a.voterSet.Number == 0 && a.DiskState() == Blank:
 		// Written before the voter set, so that no disk holds the one without the other.
 		a.setStanding(Blank)
-	case a.Standing() == Complete && !next.Has(a.store):
+	case a.DiskState() == Complete && !next.Has(a.store):
 		a.out.Log("error", "this store was replaced and takes no further part")
 		a.setStanding(Replaced)
 	}
 }
 
-func (a *Acceptor) setStanding(to Standing) {
+func (a *Acceptor) setStanding(to DiskState) {
 	a.standing = standing{uint8(to)}
 	a.persist(standingKey, a.standing)
 }
 
-// Standing gives this disk's right to vote.
-func (a *Acceptor) Standing() Standing { return Standing(a.standing.Standing) }
+// DiskState gives this disk's right to vote.
+func (a *Acceptor) DiskState() DiskState { return DiskState(a.standing.Standing) }
 
 // MarkComplete lets this store vote. What it copied was asked of the disk
 // before, and every vote waits for the disk in turn.
 func (a *Acceptor) MarkComplete() {
-	if a.Standing() == Blank {
+	if a.DiskState() == Blank {
 		a.setStanding(Complete)
 	}
 }
@@ -80,7 +80,7 @@
 // MayVote tells whether this store may vote and be copied from. In a joint voter
 // set a newcomer votes at once, since the majority of the old decides as well.
 func (a *Acceptor) MayVote() bool {
-	switch a.Standing() {
+	switch a.DiskState() {
 	case Complete:
 		return a.voterSet.Has(a.store)
 	case Blank:
@@ -91,6 +91,6 @@
 
 // mayServe tells whether a newcomer may copy from this store.
 func (a *Acceptor) mayServe() bool {
-	replaced := a.Standing() == Replaced && VoterSet{Voters: a.voterSet.Previous}.Has(a.store)
+	replaced := a.DiskState() == Replaced && VoterSet{Voters: a.voterSet.Previous}.Has(a.store)
 	return a.MayVote() || replaced
 }
--- a/internal/state/consensus/voterset.go
+++ b/internal/state/consensus/voterset.go
@@ -43,7 +43,7 @@
 }
 
 // join makes the voter set joint: old and next must both agree from here on.
-func join(_ ids.Key, old, arg []byte) ([]byte, []byte) {
+func join(_ ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
 	r, ok := unpack[VoterSet](old)
 	j, fine := unpack[JoinRequest](arg)
 	// One replacement at a time; another waits until this one is settled.
@@ -65,7 +65,7 @@
 }
 
 // settle ends the joint time once the newcomer holds a copy of everything.
-func settle(_ ids.Key, old, arg []byte) ([]byte, []byte) {
+func settle(_ ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
 	r, ok := unpack[VoterSet](old)
 	n, fine := unpack[VoterSetNumber](arg)
 	if !ok || !fine || n.Number != r.Number || len(r.Incoming) == 0 {
@@ -78,7 +78,7 @@
 
 // abandon goes back to the old stores when the newcomer itself was lost.
 // What was agreed meanwhile had a majority of the old as well.
-func abandon(_ ids.Key, old, arg []byte) ([]byte, []byte) {
+func abandon(_ ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
 	r, ok := unpack[VoterSet](old)
 	n, fine := unpack[VoterSetNumber](arg)
 	if !ok || !fine || n.Number != r.Number || len(r.Incoming) == 0 {
--- a/internal/state/election/election.go
+++ b/internal/state/election/election.go
@@ -13,13 +13,13 @@
 const OpTake consensus.Op = 10
 
 // Key names a duty's register.
-func Key(name string) ids.Key { return ids.Key("duty/" + name) }
+func Key(name string) ids.RegisterKey { return ids.RegisterKey("duty/" + name) }
 
 // Held is a duty's register.
 type Term struct {
 	Epoch  ids.Epoch
-	Holder ids.Daemon
-	Start  ids.RunID
+	Holder ids.DaemonID
+	RunID  ids.RunID
 }
 
 var _ = wire.Register(50, Term{})
@@ -33,13 +33,13 @@
 // gave the duty up and takes it again has a new epoch too, as what it sent
 // before may still be on its way. Only a copy of an asking that has taken effect
 // changes nothing: the taker didn't know yet of the epoch that it gave.
-func take(_ ids.Key, old, arg []byte) ([]byte, []byte) {
-	have, _ := Open(old)
-	want, ok := Open(arg)
+func take(_ ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
+	have, _ := Decode(old)
+	want, ok := Decode(arg)
 	if !ok {
 		return old, old
 	}
-	sameRun := have.Holder == want.Holder && have.Start == want.Start
+	sameRun := have.Holder == want.Holder && have.RunID == want.RunID
 	if sameRun && have.Epoch > want.Epoch {
 		return old, old
 	}
@@ -53,8 +53,8 @@
 	return raw, raw
 }
 
-// Open reads a duty's register.
-func Open(raw []byte) (Term, bool) {
+// Decode reads a duty's register.
+func Decode(raw []byte) (Term, bool) {
 	_, msg, err := wire.ReadBytes(raw)
 	h, ok := msg.(Term)
 	return h, ok && err == nil
--- a/internal/state/idempotency/record.go
+++ b/internal/state/idempotency/record.go
@@ -14,19 +14,19 @@
 // The operations on a mark.
 const (
 	OpClaim consensus.Op = 20 + iota
-	OpBar
+	OpBlock
 	OpRelease
 	OpOutcome
 	OpEnter
 )
 
-// Kept is how long a mark's outcome is kept, in running time. A repeat after
+// Retention is how long a mark's outcome is kept, in running time. A repeat after
 // that is a new request; consumers are told so with each answer.
-const Kept = 24 * time.Hour
+const Retention = 24 * time.Hour
 
 // Key names a mark's register. Marks are kept apart by route.
-func Key(route ids.Name, m ids.IdempotencyKey) ids.Key {
-	return ids.Key("mark/" + string(route) + "/" + string(m))
+func Key(route ids.Name, m ids.IdempotencyKey) ids.RegisterKey {
+	return ids.RegisterKey("mark/" + string(route) + "/" + string(m))
 }
 
 // State of a mark.
@@ -34,16 +34,16 @@
 
 // A mark that is Clear may carry a floor and the claims that were let go.
 const (
-	Clear State = iota
+	Unclaimed State = iota
 	Claimed
-	Over
+	Completed
 )
 
 // Owner is one request in one run of one proxy.
 type Owner struct {
-	Daemon  ids.Daemon
-	Start   ids.RunID
-	Request ids.Request
+	Daemon  ids.DaemonID
+	RunID   ids.RunID
+	Request ids.RequestID
 }
 
 // Header is one line of a kept answer.
@@ -64,9 +64,9 @@
 	State   State
 	Owner   Owner
 	Attempt uint32
-	// Print sums up method, path and body, so that a mark can't be used for
+	// Fingerprint sums up method, path and body, so that a mark can't be used for
 	// something else.
-	Print []byte
+	Fingerprint []byte
 	// Floor bars attempts below it: a later attempt was told that nothing ran.
 	Floor    uint32
 	Let      []Owner
@@ -77,10 +77,10 @@
 
 // Operation is the argument of each operation.
 type Operation struct {
-	Owner    Owner
-	Attempt  uint32
-	Print    []byte
-	Response Response
+	Owner       Owner
+	Attempt     uint32
+	Fingerprint []byte
+	Response    Response
 }
 
 // Verdict says what a request came to.
@@ -90,20 +90,20 @@
 // Ended: there is an outcome. Barred: this attempt may never run. Unlike: the
 // mark belongs to another request. Free: nothing ran and nothing below will.
 const (
-	Yours Verdict = iota + 1
-	Running
-	Ended
-	Barred
-	Unlike
-	Free
+	Granted Verdict = iota + 1
+	InProgress
+	AlreadyCompleted
+	AttemptBlocked
+	FingerprintMismatch
+	Released
 	// Lost: nothing is known of the mark, but marks were lost of late.
-	Lost
+	RecordLost
 )
 
 // Result is what an operation tells.
 type Result struct {
 	Verdict Verdict
-	Slip    Record
+	Record  Record
 }
 
 var _ = wire.Register(60, Record{}) && wire.Register(61, Operation{}) && wire.Register(62, Result{})
@@ -112,12 +112,12 @@
 
 // Ops are the change functions of marks.
 func Ops() map[consensus.Op]consensus.ChangeFunc {
-	return map[consensus.Op]consensus.ChangeFunc{OpClaim: on(claim), OpBar: on(bar), OpRelease: on(release), OpOutcome: on(outcome), OpEnter: on(enter)}
+	return map[consensus.Op]consensus.ChangeFunc{OpClaim: on(claim), OpBlock: on(bar), OpRelease: on(release), OpOutcome: on(outcome), OpEnter: on(enter)}
 }
 
 // on opens the register and the request, and packs what comes of them.
 func on(f func(Record, Operation) (Record, Verdict)) consensus.ChangeFunc {
-	return func(_ ids.Key, old, arg []byte) ([]byte, []byte) {
+	return func(_ ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
 		s, _ := open[Record](old)
 		w, ok := open[Operation](arg)
 		if !ok {
@@ -125,11 +125,11 @@
 		}
 		next, v := f(s, w)
 		told := next
-		if v == Ended && next.Owner == w.Owner {
+		if v == AlreadyCompleted && next.Owner == w.Owner {
 			// Its owner has the answer at hand.
 			told.Response = Response{}
 		}
-		out, err := wire.Encode(Result{Verdict: v, Slip: told})
+		out, err := wire.Encode(Result{Verdict: v, Record: told})
 		raw, fault := wire.Encode(next)
 		if err != nil || fault != nil {
 			return old, nil
@@ -158,20 +158,20 @@
 	return ok && w.Attempt != 1
 }
 
-// OpenResult reads what an operation told.
-func OpenResult(raw []byte) (Result, bool) { return open[Result](raw) }
+// DecodeResult reads what an operation told.
+func DecodeResult(raw []byte) (Result, bool) { return open[Result](raw) }
 
 // seen answers for a mark that is not clear.
 func seen(s Record, w Operation) (Verdict, bool) {
 	switch {
-	case s.State != Clear && !slices.Equal(s.Print, w.Print):
-		return Unlike, true
-	case s.State == Over:
-		return Ended, true
+	case s.State != Unclaimed && !slices.Equal(s.Fingerprint, w.Fingerprint):
+		return FingerprintMismatch, true
+	case s.State == Completed:
+		return AlreadyCompleted, true
 	case s.State == Claimed && s.Owner == w.Owner:
-		return Yours, true
+		return Granted, true
 	case s.State == Claimed:
-		return Running, true
+		return InProgress, true
 	}
 	return 0, false
 }
@@ -182,10 +182,10 @@
 	}
 	// A claim that was let go must not rise again from a late message.
 	if w.Attempt < s.Floor || slices.Contains(s.Let, w.Owner) {
-		return s, Barred
+		return s, AttemptBlocked
 	}
-	s.State, s.Owner, s.Attempt, s.Print = Claimed, w.Owner, w.Attempt, w.Print
-	return s, Yours
+	s.State, s.Owner, s.Attempt, s.Fingerprint = Claimed, w.Owner, w.Attempt, w.Fingerprint
+	return s, Granted
 }
 
 // bar is what a later attempt asks before it is told "surely not run": from
@@ -193,25 +193,25 @@
 func bar(s Record, w Operation) (Record, Verdict) {
 	// The client's own claim never left: it goes with the rest.
 	if s.State == Claimed && s.Owner == w.Owner {
-		s.State, s.Owner, s.Print = Clear, Owner{}, nil
+		s.State, s.Owner, s.Fingerprint = Unclaimed, Owner{}, nil
 	}
 	if v, ok := seen(s, w); ok {
 		return s, v
 	}
 	s.Floor = max(s.Floor, w.Attempt)
 	s.let(w.Owner)
-	return s, Free
+	return s, Released
 }
 
 // release lets go of a claim whose request surely did not leave.
 func release(s Record, w Operation) (Record, Verdict) {
 	if s.State == Claimed && s.Owner == w.Owner {
-		s.State, s.Owner, s.Print = Clear, Owner{}, nil
+		s.State, s.Owner, s.Fingerprint = Unclaimed, Owner{}, nil
 	}
-	if s.State == Clear {
+	if s.State == Unclaimed {
 		s.let(w.Owner)
 	}
-	return s, Free
+	return s, Released
 }
 
 // enter numbers an attempt whose consumer gave no number, in the order in
@@ -221,14 +221,14 @@
 		return s, v
 	}
 	s.Entered = max(s.Entered, s.Floor) + 1
-	return s, Free
+	return s, Released
 }
 
 func outcome(s Record, w Operation) (Record, Verdict) {
 	if s.State == Claimed && s.Owner == w.Owner {
-		s.State, s.Response = Over, w.Response
+		s.State, s.Response = Completed, w.Response
 	}
-	return s, Ended
+	return s, AlreadyCompleted
 }
 
 func (s *Record) let(o Owner) {
--- a/internal/state/storage/bench_test.go
+++ b/internal/state/storage/bench_test.go
@@ -21,7 +21,7 @@
 			for i := range b.N {
 				var list []event.Record
 				for k := range n {
-					list = append(list, event.Record{Key: ids.Key(fmt.Sprintf("item/mark/r/%d-%d", i, k)), Value: value})
+					list = append(list, event.Record{Key: ids.RegisterKey(fmt.Sprintf("item/mark/r/%d-%d", i, k)), Value: value})
 				}
 				if err := s.Write(list); err != nil {
 					b.Fatal(err)
--- a/internal/state/storage/storage.go
+++ b/internal/state/storage/storage.go
@@ -150,7 +150,7 @@
 
 // count reads the store's own numbers and counts this opening.
 func (s *Database) count() error {
-	number := func(key ids.Key) uint64 {
+	number := func(key ids.RegisterKey) uint64 {
 		raw, ok := s.Get(key)
 		if !ok || len(raw) != 8 {
 			return 0
@@ -194,7 +194,7 @@
 }
 
 // Fetch finds a record.
-func (s *Database) Get(key ids.Key) ([]byte, bool) {
+func (s *Database) Get(key ids.RegisterKey) ([]byte, bool) {
 	var raw []byte
 	err := s.load.QueryRow(string(key)).Scan(&raw)
 	if err != nil && err != sql.ErrNoRows {
@@ -213,7 +213,7 @@
 }
 
 // After lists up to n records of items behind a key, in order.
-func (s *Database) Scan(key ids.Key, n int) []event.Record {
+func (s *Database) Scan(key ids.RegisterKey, n int) []event.Record {
 	rows, err := s.page.Query(string(key), n)
 	if err != nil {
 		s.readFailed(err)
--- a/internal/state/storage/storage_test.go
+++ b/internal/state/storage/storage_test.go
@@ -145,7 +145,7 @@
 	clock := func() time.Duration { return now }
 	s, err := open(dir, clock, nil)
 	is.NoErr(err)
-	key := func(i int) ids.Key { return ids.Key(fmt.Sprintf("item/mark/r/%03d", i)) }
+	key := func(i int) ids.RegisterKey { return ids.RegisterKey(fmt.Sprintf("item/mark/r/%03d", i)) }
 	forgotten := 0
 	for i := range 180 {
 		is.NoErr(s.Write([]event.Record{{Key: key(i), Value: []byte("claimed")}}))
--- a/internal/testsupport/blueprint/blueprint.go
+++ b/internal/testsupport/blueprint/blueprint.go
@@ -134,8 +134,8 @@
 }
 
 // Instance names the ith target of a pool.
-func (p Pool) Instance(i int) ids.Instance {
-	return ids.Instance(fmt.Sprintf("%s-%d", p.Service, i+1))
+func (p Pool) Instance(i int) ids.InstanceID {
+	return ids.InstanceID(fmt.Sprintf("%s-%d", p.Service, i+1))
 }
 
 // Comfort is each cell's comfortable level, in ms of CPU a second.
--- a/internal/testsupport/checker/checker.go
+++ b/internal/testsupport/checker/checker.go
@@ -17,7 +17,7 @@
 	// have: they may wait long in the socket of a target that is frozen. Zero
 	// where nobody knows: then the run's own time stands for it.
 	Sent     time.Time
-	Instance ids.Instance
+	Instance ids.InstanceID
 	Service  ids.Name
 	Cell     ids.Name
 	Token    string
--- a/internal/testsupport/compat/answers_test.go
+++ b/internal/testsupport/compat/answers_test.go
@@ -23,7 +23,7 @@
 func answering(t *testing.T) *api.Server {
 	t.Helper()
 	values, _ := writeSample(t, memoryDisk{})
-	held, err := configuration.Open(values[configuration.Key])
+	held, err := configuration.Decode(values[configuration.Key])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,7 +34,7 @@
 			go w.Responded(registry.Response{ID: id, Status: 200, Body: body})
 		}
 		switch c := ev.(type) {
-		case registry.PolicyCall:
+		case registry.ReadConfigurationCall:
 			answer(c.ID, held)
 		case registry.StatusCall:
 			answer(c.ID, status)
@@ -45,7 +45,7 @@
 		case registry.DeregisterCall:
 			answer(c.ID, map[string]any{"known": true, "gone": c.Instance})
 		case registry.CellOrderCall:
-			answer(c.ID, configuration.CellOrder{Cell: c.Cell, Region: c.Region, Shut: c.Shut})
+			answer(c.ID, configuration.CellOrder{Cell: c.Cell, Region: c.Region, Evacuate: c.Evacuate})
 		case registry.ChangeCall:
 			answer(c.ID, string(c.Raw))
 		case registry.MergeCall:
--- a/internal/testsupport/compat/core_test.go
+++ b/internal/testsupport/compat/core_test.go
@@ -47,7 +47,7 @@
 			t.Fatal(err)
 		}
 		c.disks[address] = disk
-		self := membership.Member{ID: ids.Daemon("store-" + string('1'+rune(i))), Role: membership.Store, Address: address, Zone: "north", Start: 1, Incarnation: 1}
+		self := membership.Member{ID: ids.DaemonID("store-" + string('1'+rune(i))), Role: membership.Store, Address: address, Zone: "north", RunID: 1, Incarnation: 1}
 		c.stores[address] = store.New(store.Options{Options: membership.Options{Self: self, Seeds: coreAddresses}, Replicas: 3,
 			Store: disk.Store, Run: disk.Run, Storage: disk, Random: rand.New(rand.NewPCG(uint64(i), 1)), Bootstrap: true})
 	}
@@ -75,8 +75,8 @@
 			if err := c.disks[at].Write(x.Records); err != nil {
 				t.Fatal(err)
 			}
-			c.perform(t, at, x.Then)
-			c.perform(t, at, c.stores[at].Step(c.now, event.Synced{Turn: x.Turn}))
+			c.perform(t, at, x.After)
+			c.perform(t, at, c.stores[at].Step(c.now, event.Synced{Batch: x.Batch}))
 		}
 	}
 }
@@ -113,9 +113,9 @@
 func (c *core) order(t *testing.T, o order) {
 	t.Helper()
 	id := uint64(len(c.answers) + 1)
-	c.queue = append(c.queue, letter{clientAddress, coreAddresses[0], consensus.Request{ID: id, Key: o.key, Op: o.op, Arg: o.arg, Wait: 2000, Try: 1}})
+	c.queue = append(c.queue, letter{clientAddress, coreAddresses[0], consensus.Request{ID: id, Key: o.key, Op: o.op, Arg: o.arg, Wait: 2000, Attempt: 1}})
 	c.run(t, func() bool { _, told := c.answers[id]; return told })
-	if c.answers[id].State != consensus.Done {
-		t.Fatalf("%s: %s", o.key, c.answers[id].State)
+	if c.answers[id].Outcome != consensus.Succeeded {
+		t.Fatalf("%s: %s", o.key, c.answers[id].Outcome)
 	}
 }
