--- a/internal/testsupport/compat/folder_test.go
+++ b/internal/testsupport/compat/folder_test.go
@@ -38,7 +38,7 @@
 	set := s.VoterSet()
 	got := map[string]string{
 		"store":    fmt.Sprintf("%x", disk.Store),
-		"standing": fmt.Sprint(uint8(s.Standing())),
+		"standing": fmt.Sprint(uint8(s.DiskState())),
 		"voters":   fmt.Sprintf("number %d loss %d", set.Number, set.Loss),
 		"policy":   string(s.LocalValue(configuration.Key)),
 	}
@@ -48,7 +48,7 @@
 	for _, o := range sampleOthers(t) {
 		got["value "+string(o.key)] = hex.EncodeToString(s.LocalValue(o.key))
 	}
-	for after := ids.Key(""); ; {
+	for after := ids.RegisterKey(""); ; {
 		list := disk.Scan(after, 1)
 		if len(list) == 0 {
 			break
@@ -56,7 +56,7 @@
 		after = list[0].Key
 		got["record "+string(after)] = hex.EncodeToString(list[0].Value)
 	}
-	for _, key := range []ids.Key{"meta/store", "meta/roster", "meta/standing", "meta/founding", "meta/roll"} {
+	for _, key := range []ids.RegisterKey{"meta/store", "meta/roster", "meta/standing", "meta/founding", "meta/roll"} {
 		raw, ok := disk.Get(key)
 		is.True(ok)
 		got["record "+string(key)] = hex.EncodeToString(raw)
@@ -109,7 +109,7 @@
 			t.Errorf("%s:\n got %s\nwant %s", name, got[name], text)
 		}
 	}
-	p, err := configuration.Open([]byte(got["policy"]))
+	p, err := configuration.Decode([]byte(got["policy"]))
 	is.NoErr(err)
 	is.Equal(p.Revision, ids.Revision(8))
 	is.Equal(string(p.Services["ledger"].Body), `{"tier":8,"capacity":40}`)
--- a/internal/testsupport/compat/messages_test.go
+++ b/internal/testsupport/compat/messages_test.go
@@ -22,11 +22,11 @@
 		Address: "text-1", Inflates: false,
 	},
 	membership.Heartbeat{
-		Self:   membership.Member{ID: "text-1", Role: 2, Address: "text-3", HTTP: "text-4", Zone: "text-5", Start: 4294967302, Incarnation: 4294967303, Sequence: 4294967304, Gone: true, Ready: false, Holds: 4294967307, Store: 4294967308, Serves: "text-13"},
+		Self:   membership.Member{ID: "text-1", Role: 2, Address: "text-3", HTTP: "text-4", Zone: "text-5", RunID: 4294967302, Incarnation: 4294967303, Sequence: 4294967304, Gone: true, Ready: false, Revision: 4294967307, Store: 4294967308, ClientListen: "text-13"},
 		Digest: 4294967310,
 	},
 	membership.Snapshot{
-		Members: []membership.Member{{ID: "text-1", Role: 2, Address: "text-3", HTTP: "text-4", Zone: "text-5", Start: 4294967302, Incarnation: 4294967303, Sequence: 4294967304, Gone: true, Ready: false, Holds: 4294967307, Store: 4294967308, Serves: "text-13"}, {ID: "text-14", Role: 15, Address: "text-16", HTTP: "text-17", Zone: "text-18", Start: 4294967315, Incarnation: 4294967316, Sequence: 4294967317, Gone: false, Ready: true, Holds: 4294967320, Store: 4294967321, Serves: "text-26"}},
+		Members: []membership.Member{{ID: "text-1", Role: 2, Address: "text-3", HTTP: "text-4", Zone: "text-5", RunID: 4294967302, Incarnation: 4294967303, Sequence: 4294967304, Gone: true, Ready: false, Revision: 4294967307, Store: 4294967308, ClientListen: "text-13"}, {ID: "text-14", Role: 15, Address: "text-16", HTTP: "text-17", Zone: "text-18", RunID: 4294967315, Incarnation: 4294967316, Sequence: 4294967317, Gone: false, Ready: true, Revision: 4294967320, Store: 4294967321, ClientListen: "text-26"}},
 		Final:   true,
 	},
 	membership.Suspect{
@@ -37,50 +37,50 @@
 	},
 	membership.Delta{
 		Parts:   []uint16{257, 258},
-		Members: []membership.Member{{ID: "text-3", Role: 4, Address: "text-5", HTTP: "text-6", Zone: "text-7", Start: 4294967304, Incarnation: 4294967305, Sequence: 4294967306, Gone: true, Ready: false, Holds: 4294967309, Store: 4294967310, Serves: "text-15"}, {ID: "text-16", Role: 17, Address: "text-18", HTTP: "text-19", Zone: "text-20", Start: 4294967317, Incarnation: 4294967318, Sequence: 4294967319, Gone: false, Ready: true, Holds: 4294967322, Store: 4294967323, Serves: "text-28"}},
+		Members: []membership.Member{{ID: "text-3", Role: 4, Address: "text-5", HTTP: "text-6", Zone: "text-7", RunID: 4294967304, Incarnation: 4294967305, Sequence: 4294967306, Gone: true, Ready: false, Revision: 4294967309, Store: 4294967310, ClientListen: "text-15"}, {ID: "text-16", Role: 17, Address: "text-18", HTTP: "text-19", Zone: "text-20", RunID: 4294967317, Incarnation: 4294967318, Sequence: 4294967319, Gone: false, Ready: true, Revision: 4294967322, Store: 4294967323, ClientListen: "text-28"}},
 		Final:   true,
 	},
 	membership.Probe{
 		ID: "text-1",
 	},
 	membership.ProbeReply{
-		Self: membership.Member{ID: "text-1", Role: 2, Address: "text-3", HTTP: "text-4", Zone: "text-5", Start: 4294967302, Incarnation: 4294967303, Sequence: 4294967304, Gone: true, Ready: false, Holds: 4294967307, Store: 4294967308, Serves: "text-13"},
+		Self: membership.Member{ID: "text-1", Role: 2, Address: "text-3", HTTP: "text-4", Zone: "text-5", RunID: 4294967302, Incarnation: 4294967303, Sequence: 4294967304, Gone: true, Ready: false, Revision: 4294967307, Store: 4294967308, ClientListen: "text-13"},
 	},
 	membership.Withdraw{
 		Watcher: "text-1", ID: "text-2",
 	},
 	consensus.Prepare{
-		Key: "text-1", Ballot: ids.Ballot{Count: 4294967298, By: 4294967299}, VoterSet: 4294967300, Round: 4294967301, ReadOnly: false,
-		Known: ids.Ballot{Count: 4294967303, By: 4294967304},
+		Key: "text-1", Ballot: ids.Ballot{Counter: 4294967298, Proposer: 4294967299}, VoterSet: 4294967300, Round: 4294967301, ReadOnly: false,
+		Known: ids.Ballot{Counter: 4294967303, Proposer: 4294967304},
 	},
 	consensus.Promise{
 		Key: "text-1", Store: 4294967298, Round: 4294967299, VoterSet: 4294967300,
-		Promised: ids.Ballot{Count: 4294967301, By: 4294967302}, Accepted: ids.Ballot{Count: 4294967303, By: 4294967304},
+		Promised: ids.Ballot{Counter: 4294967301, Proposer: 4294967302}, Accepted: ids.Ballot{Counter: 4294967303, Proposer: 4294967304},
 		Value: []uint8{9, 10}, Same: true, Differences: false,
 	},
 	consensus.Accept{
-		Key: "text-1", Ballot: ids.Ballot{Count: 4294967298, By: 4294967299}, Next: ids.Ballot{Count: 4294967300, By: 4294967301},
+		Key: "text-1", Ballot: ids.Ballot{Counter: 4294967298, Proposer: 4294967299}, NextBallot: ids.Ballot{Counter: 4294967300, Proposer: 4294967301},
 		VoterSet: 4294967302, Round: 4294967303, Value: []uint8{8, 9}, First: false,
 	},
 	consensus.Accepted{
 		Key: "text-1", Store: 4294967298, Round: 4294967299, VoterSet: 4294967300, OK: true,
-		Promised: ids.Ballot{Count: 4294967302, By: 4294967303}, Differences: false, Whole: true,
+		Promised: ids.Ballot{Counter: 4294967302, Proposer: 4294967303}, Differences: false, Whole: true,
 	},
 	consensus.VoterSetUpdate{
 		VoterSet: consensus.VoterSet{Number: 4294967297, Voters: []consensus.Voter{{ID: 4294967298, Address: "text-3"}, {ID: 4294967300, Address: "text-5"}}, Incoming: []consensus.Voter{{ID: 4294967302, Address: "text-7"}, {ID: 4294967304, Address: "text-9"}}, Loss: 4294967306, Learners: []uint64{4294967307, 4294967308}, Previous: []consensus.Voter{{ID: 4294967309, Address: "text-14"}, {ID: 4294967311, Address: "text-16"}}},
 	},
 	consensus.Request{
-		ID: 4294967297, Key: "text-2", Op: 3, Arg: []uint8{4, 5}, Wait: 65542, Try: 65543, HaveChecksum: 4294967304,
+		ID: 4294967297, Key: "text-2", Op: 3, Arg: []uint8{4, 5}, Wait: 65542, Attempt: 65543, HaveChecksum: 4294967304,
 	},
 	consensus.Response{
-		ID: 4294967297, State: 2, Result: []uint8{3, 4}, Try: 65541, Same: false,
+		ID: 4294967297, Outcome: 2, Result: []uint8{3, 4}, Attempt: 65541, Same: false,
 	},
 	consensus.PageRequest{
 		VoterSet: 4294967297, After: "text-2", Number: 4294967299, Epoch: 4294967300, Since: 4294967301,
 	},
 	consensus.PageResponse{
 		Store: 4294967297, VoterSet: 4294967298, Number: 4294967299,
-		Records: []consensus.PageRecord{{Key: "text-4", Accepted: ids.Ballot{Count: 4294967301, By: 4294967302}, Value: []uint8{7, 8}}, {Key: "text-9", Accepted: ids.Ballot{Count: 4294967306, By: 4294967307}, Value: []uint8{12, 13}}},
+		Records: []consensus.PageRecord{{Key: "text-4", Accepted: ids.Ballot{Counter: 4294967301, Proposer: 4294967302}, Value: []uint8{7, 8}}, {Key: "text-9", Accepted: ids.Ballot{Counter: 4294967306, Proposer: 4294967307}, Value: []uint8{12, 13}}},
 		Last:    false, Epoch: 4294967311, Changes: 4294967312, Delta: true,
 	},
 	consensus.Hello{
@@ -98,8 +98,8 @@
 		Key: "text-1", Value: []uint8{2, 3},
 	},
 	consensus.AcceptDifference{
-		Key: "text-1", Ballot: ids.Ballot{Count: 4294967298, By: 4294967299}, Next: ids.Ballot{Count: 4294967300, By: 4294967301},
-		VoterSet: 4294967302, Round: 4294967303, Base: ids.Ballot{Count: 4294967304, By: 4294967305}, Difference: []uint8{10, 11},
+		Key: "text-1", Ballot: ids.Ballot{Counter: 4294967298, Proposer: 4294967299}, NextBallot: ids.Ballot{Counter: 4294967300, Proposer: 4294967301},
+		VoterSet: 4294967302, Round: 4294967303, Base: ids.Ballot{Counter: 4294967304, Proposer: 4294967305}, Difference: []uint8{10, 11},
 	},
 	consensus.ChosenDifference{
 		Key: "text-1", Difference: []uint8{2, 3},
@@ -114,7 +114,7 @@
 		Store:    4294967314, Declined: "text-19", Promised: 4294967316,
 	},
 	consensus.RegisterState{
-		Promised: ids.Ballot{Count: 4294967297, By: 4294967298}, Accepted: ids.Ballot{Count: 4294967299, By: 4294967300},
+		Promised: ids.Ballot{Counter: 4294967297, Proposer: 4294967298}, Accepted: ids.Ballot{Counter: 4294967299, Proposer: 4294967300},
 		Value: []uint8{5, 6},
 	},
 	consensus.VoterSet{
@@ -142,32 +142,32 @@
 		EarlierCore: "text-34",
 	},
 	election.Term{
-		Epoch: 4294967297, Holder: "text-2", Start: 4294967299,
+		Epoch: 4294967297, Holder: "text-2", RunID: 4294967299,
 	},
 	idempotency.Record{
-		State: 1, Owner: idempotency.Owner{Daemon: "text-2", Start: 4294967299, Request: 4294967300}, Attempt: 65541,
-		Print: []uint8{6, 7}, Floor: 65544,
-		Let:      []idempotency.Owner{{Daemon: "text-9", Start: 4294967306, Request: 4294967307}, {Daemon: "text-12", Start: 4294967309, Request: 4294967310}},
+		State: 1, Owner: idempotency.Owner{Daemon: "text-2", RunID: 4294967299, Request: 4294967300}, Attempt: 65541,
+		Fingerprint: []uint8{6, 7}, Floor: 65544,
+		Let:      []idempotency.Owner{{Daemon: "text-9", RunID: 4294967306, Request: 4294967307}, {Daemon: "text-12", RunID: 4294967309, Request: 4294967310}},
 		Response: idempotency.Response{Status: 271, Header: []idempotency.Header{{Name: "text-16", Value: "text-17"}, {Name: "text-18", Value: "text-19"}}, Body: []uint8{20, 21}, Digest: "text-22", Cut: true},
 		Entered:  65560,
 	},
 	idempotency.Operation{
-		Owner: idempotency.Owner{Daemon: "text-1", Start: 4294967298, Request: 4294967299}, Attempt: 65540, Print: []uint8{5, 6},
+		Owner: idempotency.Owner{Daemon: "text-1", RunID: 4294967298, Request: 4294967299}, Attempt: 65540, Fingerprint: []uint8{5, 6},
 		Response: idempotency.Response{Status: 263, Header: []idempotency.Header{{Name: "text-8", Value: "text-9"}, {Name: "text-10", Value: "text-11"}}, Body: []uint8{12, 13}, Digest: "text-14", Cut: true},
 	},
 	idempotency.Result{
 		Verdict: 1,
-		Slip:    idempotency.Record{State: 2, Owner: idempotency.Owner{Daemon: "text-3", Start: 4294967300, Request: 4294967301}, Attempt: 65542, Print: []uint8{7, 8}, Floor: 65545, Let: []idempotency.Owner{{Daemon: "text-10", Start: 4294967307, Request: 4294967308}, {Daemon: "text-13", Start: 4294967310, Request: 4294967311}}, Response: idempotency.Response{Status: 272, Header: []idempotency.Header{{Name: "text-17", Value: "text-18"}, {Name: "text-19", Value: "text-20"}}, Body: []uint8{21, 22}, Digest: "text-23", Cut: false}, Entered: 65561},
+		Record:  idempotency.Record{State: 2, Owner: idempotency.Owner{Daemon: "text-3", RunID: 4294967300, Request: 4294967301}, Attempt: 65542, Fingerprint: []uint8{7, 8}, Floor: 65545, Let: []idempotency.Owner{{Daemon: "text-10", RunID: 4294967307, Request: 4294967308}, {Daemon: "text-13", RunID: 4294967310, Request: 4294967311}}, Response: idempotency.Response{Status: 272, Header: []idempotency.Header{{Name: "text-17", Value: "text-18"}, {Name: "text-19", Value: "text-20"}}, Body: []uint8{21, 22}, Digest: "text-23", Cut: false}, Entered: 65561},
 	},
 	targets.Update{
-		List: []targets.Target{{Instance: "text-1", Incarnation: 4294967298, Sequence: 4294967299, Service: "text-4", Address: "text-5", Cell: "text-6", Leaving: true, Gone: false, Warmth: 9.5, Occupancy: 4294967306, Capacity: 4294967307, Interval: 65548, Age: 4294967309, Cold: 4294967310, Keeper: "text-15", Run: 4294967312, Material: 4294967313}, {Instance: "text-18", Incarnation: 4294967315, Sequence: 4294967316, Service: "text-21", Address: "text-22", Cell: "text-23", Leaving: false, Gone: true, Warmth: 26.5, Occupancy: 4294967323, Capacity: 4294967324, Interval: 65565, Age: 4294967326, Cold: 4294967327, Keeper: "text-32", Run: 4294967329, Material: 4294967330}},
+		List: []targets.Target{{Instance: "text-1", Incarnation: 4294967298, Sequence: 4294967299, Service: "text-4", Address: "text-5", Cell: "text-6", Leaving: true, Gone: false, Warmth: 9.5, Occupancy: 4294967306, Capacity: 4294967307, Interval: 65548, Age: 4294967309, Cold: 4294967310, Registrar: "text-15", RegistrarRunID: 4294967312, Material: 4294967313}, {Instance: "text-18", Incarnation: 4294967315, Sequence: 4294967316, Service: "text-21", Address: "text-22", Cell: "text-23", Leaving: false, Gone: true, Warmth: 26.5, Occupancy: 4294967323, Capacity: 4294967324, Interval: 65565, Age: 4294967326, Cold: 4294967327, Registrar: "text-32", RegistrarRunID: 4294967329, Material: 4294967330}},
 	},
-	registry.Pulse{
-		ID: "text-1", Start: 4294967298, Age: 65539, Yard: 4294967300, Number: 4294967301,
+	registry.PeerHeartbeat{
+		ID: "text-1", RunID: 4294967298, AgreementAge: 65539, TargetsDigest: 4294967300, Number: 4294967301,
 	},
 	registry.DepartureNotice{
 		Asker:  "text-1",
-		Target: targets.Target{Instance: "text-2", Incarnation: 4294967299, Sequence: 4294967300, Service: "text-5", Address: "text-6", Cell: "text-7", Leaving: false, Gone: true, Warmth: 10.5, Occupancy: 4294967307, Capacity: 4294967308, Interval: 65549, Age: 4294967310, Cold: 4294967311, Keeper: "text-16", Run: 4294967313, Material: 4294967314},
+		Target: targets.Target{Instance: "text-2", Incarnation: 4294967299, Sequence: 4294967300, Service: "text-5", Address: "text-6", Cell: "text-7", Leaving: false, Gone: true, Warmth: 10.5, Occupancy: 4294967307, Capacity: 4294967308, Interval: 65549, Age: 4294967310, Cold: 4294967311, Registrar: "text-16", RegistrarRunID: 4294967313, Material: 4294967314},
 	},
 	registry.DepartureAck{
 		ID: "text-1", Instance: "text-2", Sequence: 4294967299, Incarnation: 4294967300,
@@ -176,19 +176,19 @@
 		Parts: []uint64{4294967297, 4294967298},
 	},
 	distribution.Push{
-		Number: 4294967297, Epoch: 4294967298, Start: 4294967299, Revision: 4294967300, Policy: []uint8{5, 6},
-		Targets: []targets.Target{{Instance: "text-7", Incarnation: 4294967304, Sequence: 4294967305, Service: "text-10", Address: "text-11", Cell: "text-12", Leaving: true, Gone: false, Warmth: 15.5, Occupancy: 4294967312, Capacity: 4294967313, Interval: 65554, Age: 4294967315, Cold: 4294967316, Keeper: "text-21", Run: 4294967318, Material: 4294967319}, {Instance: "text-24", Incarnation: 4294967321, Sequence: 4294967322, Service: "text-27", Address: "text-28", Cell: "text-29", Leaving: false, Gone: true, Warmth: 32.5, Occupancy: 4294967329, Capacity: 4294967330, Interval: 65571, Age: 4294967332, Cold: 4294967333, Keeper: "text-38", Run: 4294967335, Material: 4294967336}},
-		Age:     65577, Echo: 4294967338, For: 4294967339,
+		Number: 4294967297, Epoch: 4294967298, RunID: 4294967299, Revision: 4294967300, Policy: []uint8{5, 6},
+		Targets: []targets.Target{{Instance: "text-7", Incarnation: 4294967304, Sequence: 4294967305, Service: "text-10", Address: "text-11", Cell: "text-12", Leaving: true, Gone: false, Warmth: 15.5, Occupancy: 4294967312, Capacity: 4294967313, Interval: 65554, Age: 4294967315, Cold: 4294967316, Registrar: "text-21", RegistrarRunID: 4294967318, Material: 4294967319}, {Instance: "text-24", Incarnation: 4294967321, Sequence: 4294967322, Service: "text-27", Address: "text-28", Cell: "text-29", Leaving: false, Gone: true, Warmth: 32.5, Occupancy: 4294967329, Capacity: 4294967330, Interval: 65571, Age: 4294967332, Cold: 4294967333, Registrar: "text-38", RegistrarRunID: 4294967335, Material: 4294967336}},
+		Age:     65577, EchoedTime: 4294967338, ProxyRunID: 4294967339,
 	},
 	distribution.Ack{
-		Proxy: "text-1", Start: 4294967298, Number: 4294967299, Revision: 4294967300, Now: 4294967301, Yard: 4294967302,
+		Proxy: "text-1", RunID: 4294967298, Number: 4294967299, Revision: 4294967300, Now: 4294967301, TargetsDigest: 4294967302,
 	},
 	proxy.LeaseRequest{
-		Proxy: "text-1", Start: 4294967298, Revision: 4294967299, Now: 4294967300,
+		Proxy: "text-1", RunID: 4294967298, Revision: 4294967299, Now: 4294967300,
 	},
 	proxy.LeaseGossip{
-		For: 4294967297, Echo: 4294967298, Revision: 4294967299, Policy: []uint8{4, 5},
-		Targets: []targets.Target{{Instance: "text-6", Incarnation: 4294967303, Sequence: 4294967304, Service: "text-9", Address: "text-10", Cell: "text-11", Leaving: false, Gone: true, Warmth: 14.5, Occupancy: 4294967311, Capacity: 4294967312, Interval: 65553, Age: 4294967314, Cold: 4294967315, Keeper: "text-20", Run: 4294967317, Material: 4294967318}, {Instance: "text-23", Incarnation: 4294967320, Sequence: 4294967321, Service: "text-26", Address: "text-27", Cell: "text-28", Leaving: true, Gone: false, Warmth: 31.5, Occupancy: 4294967328, Capacity: 4294967329, Interval: 65570, Age: 4294967331, Cold: 4294967332, Keeper: "text-37", Run: 4294967334, Material: 4294967335}},
+		ProxyRunID: 4294967297, EchoedTime: 4294967298, Revision: 4294967299, Policy: []uint8{4, 5},
+		Targets: []targets.Target{{Instance: "text-6", Incarnation: 4294967303, Sequence: 4294967304, Service: "text-9", Address: "text-10", Cell: "text-11", Leaving: false, Gone: true, Warmth: 14.5, Occupancy: 4294967311, Capacity: 4294967312, Interval: 65553, Age: 4294967314, Cold: 4294967315, Registrar: "text-20", RegistrarRunID: 4294967317, Material: 4294967318}, {Instance: "text-23", Incarnation: 4294967320, Sequence: 4294967321, Service: "text-26", Address: "text-27", Cell: "text-28", Leaving: true, Gone: false, Warmth: 31.5, Occupancy: 4294967328, Capacity: 4294967329, Interval: 65570, Age: 4294967331, Cold: 4294967332, Registrar: "text-37", RegistrarRunID: 4294967334, Material: 4294967335}},
 		Agreed:  65576, Word: 65577,
 	},
 	spill.Table{
@@ -197,7 +197,7 @@
 		Uses:  []spill.Use{{Cell: "text-15", Route: "text-16", CPU: 17.5}, {Cell: "text-18", Route: "text-19", CPU: 20.5}},
 	},
 	spill.Report{
-		Proxy: "text-1", Start: 4294967298, Cell: "text-3", Number: 4294967300, Interval: 65541,
+		Proxy: "text-1", RunID: 4294967298, Cell: "text-3", Number: 4294967300, Interval: 65541,
 		Rows:    []spill.Spent{{Route: "text-6", Service: "text-7", CPU: 8.5}, {Route: "text-9", Service: "text-10", CPU: 11.5}},
 		Latency: 4294967308, Count: 4294967309,
 	},
--- a/internal/testsupport/compat/metrics_test.go
+++ b/internal/testsupport/compat/metrics_test.go
@@ -21,7 +21,7 @@
 	m := http.NewServeMux()
 	daemon.Metrics(m, func() []daemon.Gauge {
 		var out []daemon.Gauge
-		for _, f := range status.Figures() {
+		for _, f := range status.Metrics() {
 			out = append(out, daemon.Gauge{Name: f.Name, Labels: f.Labels, Values: f.Values, Value: f.Value})
 		}
 		return out
--- a/internal/testsupport/compat/policy_test.go
+++ b/internal/testsupport/compat/policy_test.go
@@ -14,9 +14,9 @@
 func TestPolicyForProxies(t *testing.T) {
 	is := is.New(t)
 	values, _ := writeSample(t, memoryDisk{})
-	whole, err := configuration.Open(values[configuration.Key])
+	whole, err := configuration.Decode(values[configuration.Key])
 	is.NoErr(err)
-	older, err := configuration.Open(nil)
+	older, err := configuration.Decode(nil)
 	is.NoErr(err)
 	ops := configuration.Ops()
 	var early []byte
@@ -27,11 +27,11 @@
 	is.NoErr(err)
 	is.Equal(older.Revision, ids.Revision(3))
 	checkGolden(t, "policy.txt", map[string]string{
-		"kept":    string(whole.Pack(true)),
-		"whole":   string(whole.Pack(false)),
-		"since 3": string(whole.Since(3)),
+		"kept":    string(whole.Encode(true)),
+		"whole":   string(whole.Encode(false)),
+		"since 3": string(whole.ChangesSince(3)),
 	})
-	next, err := older.Advance(whole.Since(3))
+	next, err := older.Advance(whole.ChangesSince(3))
 	is.NoErr(err)
-	is.Equal(string(next.Pack(false)), string(whole.Pack(false)))
+	is.Equal(string(next.Encode(false)), string(whole.Encode(false)))
 }
--- a/internal/testsupport/compat/records_test.go
+++ b/internal/testsupport/compat/records_test.go
@@ -17,16 +17,16 @@
 )
 
 // memoryDisk keeps records by key.
-type memoryDisk map[ids.Key][]byte
+type memoryDisk map[ids.RegisterKey][]byte
 
 // Get finds a record.
-func (d memoryDisk) Get(key ids.Key) ([]byte, bool) {
+func (d memoryDisk) Get(key ids.RegisterKey) ([]byte, bool) {
 	raw, ok := d[key]
 	return raw, ok
 }
 
 // Scan lists up to n records of registers behind a key.
-func (d memoryDisk) Scan(after ids.Key, n int) []event.Record {
+func (d memoryDisk) Scan(after ids.RegisterKey, n int) []event.Record {
 	var out []event.Record
 	for _, key := range slices.Sorted(maps.Keys(d)) {
 		if key > after && key < "item0" && len(out) < n {
@@ -55,14 +55,14 @@
 
 // writeSample has an acceptor accept the values that the sample orders lead to,
 // and gives those values and what was told of each order. Ballots count up from 1.
-func writeSample(t *testing.T, disk memoryDisk) (values map[ids.Key][]byte, answers [][]byte) {
+func writeSample(t *testing.T, disk memoryDisk) (values map[ids.RegisterKey][]byte, answers [][]byte) {
 	t.Helper()
 	var out event.Outbox
 	acceptor := consensus.NewAcceptor(1, disk, &out)
 	acceptor.AdoptVoterSet(consensus.VoterSet{Number: 3, Voters: []consensus.Voter{{ID: 1, Address: "10.0.0.1:1"}, {ID: 2, Address: "10.0.0.2:1"}},
 		Previous: []consensus.Voter{{ID: 9, Address: "10.0.0.9:1"}}, Learners: []uint64{2}, Loss: 1})
 	acceptor.MarkComplete()
-	values = map[ids.Key][]byte{}
+	values = map[ids.RegisterKey][]byte{}
 	ops, count := store.Ops(), uint64(0)
 	for _, o := range append(sampleChanges(), sampleOthers(t)...) {
 		next, told := ops[o.op](o.key, values[o.key], o.arg)
@@ -72,8 +72,8 @@
 		values[o.key] = next
 		answers = append(answers, told)
 		count++
-		ballot := ids.Ballot{Count: count, By: 1<<24 | 5}
-		acceptor.Accept("10.0.0.2:1", consensus.Accept{Key: o.key, Ballot: ballot, Next: ids.Ballot{Count: count + 1, By: ballot.By}, VoterSet: 3, Value: next})
+		ballot := ids.Ballot{Counter: count, Proposer: 1<<24 | 5}
+		acceptor.Accept("10.0.0.2:1", consensus.Accept{Key: o.key, Ballot: ballot, NextBallot: ids.Ballot{Counter: count + 1, Proposer: ballot.Proposer}, VoterSet: 3, Value: next})
 		disk.write(out.Drain())
 	}
 	return values, answers
@@ -103,16 +103,16 @@
 // The golden records are read back to the golden values.
 func TestRecordsAreReadBack(t *testing.T) {
 	is := is.New(t)
-	disk, values := memoryDisk{}, map[ids.Key][]byte{}
+	disk, values := memoryDisk{}, map[ids.RegisterKey][]byte{}
 	for name, text := range readGolden(t, "testdata/records.txt") {
 		raw, err := hex.DecodeString(text)
 		is.NoErr(err)
 		kind, key, _ := strings.Cut(name, " ")
 		switch kind {
 		case "record":
-			disk[ids.Key(key)] = raw
+			disk[ids.RegisterKey(key)] = raw
 		case "value":
-			values[ids.Key(key)] = raw
+			values[ids.RegisterKey(key)] = raw
 		}
 	}
 	is.NoErr(consensus.CheckDisk(disk))
@@ -121,7 +121,7 @@
 	is.Equal(acceptor.VoterSet().Number, uint64(3))
 	is.Equal(acceptor.VoterSet().Learners, []uint64{2})
 	is.Equal(acceptor.VoterSet().Previous[0].Address, ids.Address("10.0.0.9:1"))
-	is.Equal(acceptor.Standing(), consensus.Complete)
+	is.Equal(acceptor.DiskState(), consensus.Complete)
 	is.True(len(values) > 4)
 	for key, want := range values {
 		t.Run(fmt.Sprint(key), func(t *testing.T) {
--- a/internal/testsupport/compat/sample_test.go
+++ b/internal/testsupport/compat/sample_test.go
@@ -15,7 +15,7 @@
 
 // order is one operation on a register, as a client asks for it.
 type order struct {
-	key ids.Key
+	key ids.RegisterKey
 	op  consensus.Op
 	arg []byte
 }
@@ -58,16 +58,16 @@
 		}
 		return raw
 	}
-	owner := idempotency.Owner{Daemon: "proxy-1", Start: 77, Request: 5}
-	claim := packed(idempotency.Operation{Owner: owner, Attempt: 1, Print: []byte("print")})
+	owner := idempotency.Owner{Daemon: "proxy-1", RunID: 77, Request: 5}
+	claim := packed(idempotency.Operation{Owner: owner, Attempt: 1, Fingerprint: []byte("print")})
 	response := idempotency.Response{Status: 201, Header: []idempotency.Header{{Name: "X-Part", Value: "seven"}}, Body: []byte("done"), Digest: "sum"}
 	over, let, clear := idempotency.Key("orders", "key-1"), idempotency.Key("orders", "key-2"), idempotency.Key("orders", "key-3")
 	return []order{
-		{election.Key("planner"), election.OpTake, packed(election.Term{Epoch: 4, Holder: "registry-1", Start: 99})},
+		{election.Key("planner"), election.OpTake, packed(election.Term{Epoch: 4, Holder: "registry-1", RunID: 99})},
 		{over, idempotency.OpClaim, claim},
 		{over, idempotency.OpOutcome, packed(idempotency.Operation{Owner: owner, Attempt: 1, Response: response})},
 		{let, idempotency.OpClaim, claim},
-		{clear, idempotency.OpBar, packed(idempotency.Operation{Owner: owner, Attempt: 3})},
-		{clear, idempotency.OpEnter, packed(idempotency.Operation{Owner: owner, Print: []byte("print")})},
+		{clear, idempotency.OpBlock, packed(idempotency.Operation{Owner: owner, Attempt: 3})},
+		{clear, idempotency.OpEnter, packed(idempotency.Operation{Owner: owner, Fingerprint: []byte("print")})},
 	}
 }
--- a/internal/testsupport/compat/settings_test.go
+++ b/internal/testsupport/compat/settings_test.go
@@ -19,7 +19,7 @@
 
 // programs are those that read flags, with what the flags are read into.
 func programs() map[string]any {
-	return map[string]any{"proxy": &proxy.Params{}, "registry": &daemon.RegistryOptions{}, "store": &daemon.StoreOptions{}, "dunlinwell": &cli.CLI{}}
+	return map[string]any{"proxy": &proxy.DaemonOptions{}, "registry": &daemon.RegistryOptions{}, "store": &daemon.StoreOptions{}, "dunlinwell": &cli.CLI{}}
 }
 
 // describe notes the flags, arguments and commands of a program.
--- a/internal/testsupport/compat/wire_test.go
+++ b/internal/testsupport/compat/wire_test.go
@@ -65,7 +65,7 @@
 	golden := readGolden(t, "testdata/wire.txt")
 	given := map[wire.Kind]bool{}
 	for _, msg := range messages {
-		kind := wire.KindFor(msg)
+		kind := wire.KindOfMessage(msg)
 		given[kind] = true
 		raw, err := wire.Encode(msg)
 		is.NoErr(err)
--- a/internal/testsupport/scaletest/proxygroup.go
+++ b/internal/testsupport/scaletest/proxygroup.go
@@ -41,7 +41,7 @@
 	mu      sync.Mutex
 	standing
 	// stock is what its dispatchers would hold.
-	stock map[ids.Name]dispatch.Stock
+	stock map[ids.Name]dispatch.ServiceState
 }
 
 // standing is what is known of a proxy from outside.
@@ -82,13 +82,13 @@
 	log := process.NewLog("error", "hollow")
 	for n := p.First; n < p.First+p.Count; n++ {
 		at := proxyAt(p.Block, n)
-		self := membership.Member{ID: ids.Daemon(fmt.Sprintf("proxy-%d", n+1)), Role: membership.Proxy, Address: at, HTTP: at,
-			Zone: size.Cell(n), Start: ids.RunID(rand.Uint64()>>24 | 1), Incarnation: ids.Incarnation(time.Now().UnixMilli())}
-		o := proxy.Options{}
+		self := membership.Member{ID: ids.DaemonID(fmt.Sprintf("proxy-%d", n+1)), Role: membership.Proxy, Address: at, HTTP: at,
+			Zone: size.Cell(n), RunID: ids.RunID(rand.Uint64()>>24 | 1), Incarnation: ids.Incarnation(time.Now().UnixMilli())}
+		o := proxy.ControlOptions{}
 		if p.Thrifty {
-			o = proxy.Options{Lease: proxy.Endless, Layout: proxy.Layout{ByCell: true}}
+			o = proxy.ControlOptions{Lease: proxy.Endless, Layout: proxy.Layout{ByCell: true}}
 		}
-		s := &shell{control: proxy.New(membership.Options{Self: self, Seeds: seeds, Incremental: p.Thrifty}, o), stock: map[ids.Name]dispatch.Stock{}}
+		s := &shell{control: proxy.New(membership.Options{Self: self, Seeds: seeds, Incremental: p.Thrifty}, o), stock: map[ids.Name]dispatch.ServiceState{}}
 		s.post = &process.Transport{Address: at, Log: log, Stats: &c.tally,
 			Deliver: func(from ids.Address, msg any) { s.owner.Offer(event.Received{From: from, Msg: msg}) }}
 		s.owner = process.NewOwner(s.control, beat, s.do)
@@ -103,14 +103,14 @@
 	case event.Send:
 		s.post.Send(c.To, c.Msg)
 	case proxy.DispatchEvent:
-		if stock, ok := c.Event.(dispatch.Stock); ok {
+		if stock, ok := c.Event.(dispatch.ServiceState); ok {
 			s.stock[c.Service] = stock
 		}
 	case proxy.Routes:
 		s.mu.Lock()
 		s.revision, s.adopted = c.View.Revision, time.Now()
 		s.mu.Unlock()
-	case proxy.Footing:
+	case proxy.ServingState:
 		s.mu.Lock()
 		if s.ready != c.Ready || s.inStep != c.InStep {
 			s.stood = time.Now()
@@ -162,7 +162,7 @@
 			return ctx.Err()
 		case <-t.C:
 		}
-		m := proxy.Meter{Interval: reportEvery, Latency: 3 * time.Millisecond, Count: 100}
+		m := proxy.UsageSample{Interval: reportEvery, Latency: 3 * time.Millisecond, Count: 100}
 		for i := range c.Rows {
 			m.Rows = append(m.Rows, spill.Spent{Route: ids.Name(fmt.Sprintf("route-%d", i+1)), Service: "service-1", CPU: rand.Float64() * 10})
 		}
--- a/internal/testsupport/scaletest/size_test.go
+++ b/internal/testsupport/scaletest/size_test.go
@@ -57,7 +57,7 @@
 func TestWholePolicyIsAccepted(t *testing.T) {
 	is := is.New(t)
 	s := Size{Proxies: 1, Services: 7, Routes: 40, Tenants: 3000, Cells: 4, Regions: 2, Core: 3}
-	p, err := configuration.Open(nil)
+	p, err := configuration.Decode(nil)
 	is.NoErr(err)
 	apply := func(raw []byte) {
 		c, faults := configuration.ReadChange(raw)
@@ -72,7 +72,7 @@
 	is.Equal(len(p.Routes), 3040)
 	is.Equal(len(p.Services), 7)
 	is.Equal(len(p.Cells), 4)
-	size, said := len(p.Pack(false)), s.PolicyBytes()
+	size, said := len(p.Encode(false)), s.PolicyBytes()
 	is.True(said > size*8/10 && said < size*12/10)
 	rev := p.Revision
 	apply(s.Change("a", 3))
--- a/internal/testsupport/simulator/asleep.go
+++ b/internal/testsupport/simulator/asleep.go
@@ -52,10 +52,10 @@
 func (t *target) knownFor(at ids.Time) time.Duration {
 	known := time.Duration(0)
 	if t.left != 0 {
-		known = at.Since(t.left)
+		known = at.Sub(t.left)
 	}
 	if t.heard != 0 {
-		known = max(known, at.Since(t.heard)-silences)
+		known = max(known, at.Sub(t.heard)-silences)
 	}
 	return known
 }
--- a/internal/testsupport/simulator/asleep_test.go
+++ b/internal/testsupport/simulator/asleep_test.go
@@ -38,8 +38,8 @@
 			}
 			w.later(9*time.Second, func() { target.freeze(11 * time.Second) })
 			due := ids.Time(60 * time.Second)
-			e := &errand{Job: dispatch.Job{ID: 1, Route: "flip", Service: "ledger", Repeatable: true, Due: due}, token: "flip:t1", try: 1}
-			w.later(c.sent, func() { p.desks.sent("ledger", dispatch.Ferry{ID: 1, Due: due}, e, target, time.Millisecond) })
+			e := &errand{Job: dispatch.Job{ID: 1, Route: "flip", Service: "ledger", Repeatable: true, Deadline: due}, token: "flip:t1", try: 1}
+			w.later(c.sent, func() { p.desks.sent("ledger", dispatch.Ferry{ID: 1, Deadline: due}, e, target, time.Millisecond) })
 			w.until(ids.Time(19 * time.Second))
 			is.Equal(w.Truth.Tally(time.Time{})["runs"], 0) // it waits in the socket
 			w.until(ids.Time(21 * time.Second))
--- a/internal/testsupport/simulator/books.go
+++ b/internal/testsupport/simulator/books.go
@@ -37,7 +37,7 @@
 // read is an agreement read: it may not be older than anything known before.
 func (w *World) read() {
 	floor, called := w.Truth.Known(), w.now
-	w.call(operator, w.Plan.Cell(0), func(x uint64) any { return registry.PolicyCall{ID: x} }, func(rep registry.Response) {
+	w.call(operator, w.Plan.Cell(0), func(x uint64) any { return registry.ReadConfigurationCall{ID: x} }, func(rep registry.Response) {
 		w.history.read(called, w.now, "a read", rep)
 		w.judge("a read", rep, floor)
 	}, nil)
@@ -45,7 +45,7 @@
 
 // judge shows the witness what was read.
 func (w *World) judge(who string, rep registry.Response, floor uint64) bool {
-	p, ok := rep.Body.(*configuration.Policy)
+	p, ok := rep.Body.(*configuration.Document)
 	if !ok {
 		return false
 	}
@@ -73,7 +73,7 @@
 			continue
 		}
 		read, floor, called := false, w.Truth.Known(), w.now
-		w.callAt(p, operator, w.Plan.Cell(0), func(x uint64) any { return registry.PolicyCall{ID: x} }, func(rep registry.Response) {
+		w.callAt(p, operator, w.Plan.Cell(0), func(x uint64) any { return registry.ReadConfigurationCall{ID: x} }, func(rep registry.Response) {
 			w.history.read(called, w.now, when, rep)
 			read = w.judge(when+", "+p.name, rep, floor)
 		}, nil)
--- a/internal/testsupport/simulator/catchup.go
+++ b/internal/testsupport/simulator/catchup.go
@@ -70,7 +70,7 @@
 	began, goal := w.now, ids.Revision(w.Truth.Known())
 	var look func()
 	look = func() {
-		switch took := w.now.Since(began); {
+		switch took := w.now.Sub(began); {
 		case p.disk.revision() >= goal:
 			then(took)
 		case took >= bound:
@@ -85,7 +85,7 @@
 // revision gives the policy's revision on the synced disk.
 func (d *disk) revision() ids.Revision {
 	_, raw := consensus.NewAcceptor(d.store, d, &event.Outbox{}).Value(configuration.Key)
-	held, err := configuration.Open(raw)
+	held, err := configuration.Decode(raw)
 	if err != nil {
 		return 0
 	}
--- a/internal/testsupport/simulator/cutoff.go
+++ b/internal/testsupport/simulator/cutoff.go
@@ -84,7 +84,7 @@
 		if r.Status != 503 && r.Status != 504 {
 			w.Truth.Wrong("%s, cut off, answered %s with %d: %v", p.name, name, r.Status, r.Body)
 		}
-		if took := w.now.Since(asked); took > answerBy {
+		if took := w.now.Sub(asked); took > answerBy {
 			w.Truth.Wrong("%s, cut off, took %s to answer %s", p.name, took, name)
 		}
 	}, nil)
@@ -104,7 +104,7 @@
 	case 0:
 		return "a change that it can't judge", func(id uint64) any { return registry.ChangeCall{ID: id, Raw: raw} }
 	case 1:
-		return "a read", func(id uint64) any { return registry.PolicyCall{ID: id} }
+		return "a read", func(id uint64) any { return registry.ReadConfigurationCall{ID: id} }
 	case 2:
 		return "a target's end", func(id uint64) any { return registry.HeartbeatCall{ID: id, Target: stranger} }
 	case 3:
@@ -138,8 +138,8 @@
 			since = 0
 		case since == 0:
 			since = w.now
-		case w.now.Since(since) > twoPlanners:
-			w.Truth.Wrong("%d registries have planned for %s: %v", count, w.now.Since(since), epochs)
+		case w.now.Sub(since) > twoPlanners:
+			w.Truth.Wrong("%d registries have planned for %s: %v", count, w.now.Sub(since), epochs)
 			since = w.now
 		}
 	})
--- a/internal/testsupport/simulator/daybook.go
+++ b/internal/testsupport/simulator/daybook.go
@@ -29,8 +29,8 @@
 var events = map[string]reflect.Type{}
 
 func init() {
-	for _, e := range []any{event.Tick{}, event.Synced{}, registry.ChangeCall{}, registry.PolicyCall{}, registry.ResolveCall{}, registry.HeartbeatCall{},
-		registry.StatusCall{}, registry.Stopping{}, store.RecoverRequest{}, store.Leave{}, proxy.Asked{}, proxy.Meter{}, proxy.Stopping{}} {
+	for _, e := range []any{event.Tick{}, event.Synced{}, registry.ChangeCall{}, registry.ReadConfigurationCall{}, registry.ResolveCall{}, registry.HeartbeatCall{},
+		registry.StatusCall{}, registry.Stopping{}, store.RecoverRequest{}, store.Leave{}, proxy.IdempotencyRequest{}, proxy.UsageSample{}, proxy.Stopping{}} {
 		events[fmt.Sprintf("%T", e)] = reflect.TypeOf(e)
 	}
 }
@@ -107,15 +107,15 @@
 	switch c := c.(type) {
 	case event.Sync:
 		var then []any
-		for _, t := range c.Then {
+		for _, t := range c.After {
 			then = append(then, said(t))
 		}
-		return []any{c.Turn, c.Records, then}
+		return []any{c.Batch, c.Records, then}
 	case event.Send:
 		raw, err := wire.Encode(c.Msg)
 		return []any{c.To, raw, err}
 	case proxy.DispatchEvent:
-		if s, ok := c.Event.(dispatch.Stock); ok {
+		if s, ok := c.Event.(dispatch.ServiceState); ok {
 			return []any{c.Service, s}
 		}
 	}
--- a/internal/testsupport/simulator/delivery.go
+++ b/internal/testsupport/simulator/delivery.go
@@ -17,8 +17,8 @@
 	if e == nil {
 		return
 	}
-	back := dispatch.Back{ID: f.ID, Turn: f.Turn, How: dispatch.NotSent, Why: "dial"}
-	end := func(after time.Duration, b dispatch.Back) {
+	back := dispatch.AttemptFinished{ID: f.ID, Turn: f.Turn, Result: dispatch.NotSent, Why: "dial"}
+	end := func(after time.Duration, b dispatch.AttemptFinished) {
 		p.later(after, func() { d.hand(s, b) })
 	}
 	t := w.owner[f.Target.Address]
@@ -31,14 +31,14 @@
 		return
 	}
 	if !w.open(p.name, p.cell, string(t.id), t.cell) || !w.open(string(t.id), t.cell, p.name, p.cell) {
-		end(min(time.Second, max(f.Due.Since(p.now()), 0)), back)
+		end(min(time.Second, max(f.Deadline.Sub(p.now()), 0)), back)
 		return
 	}
 	trip := w.far(p.cell, t.cell)
 	p.later(2*trip, func() {
 		// One that is frozen shows nothing: the dial runs out of time.
 		if t.frozen && !w.Defect.NoCheck {
-			end(min(time.Second, max(f.Due.Since(p.now()), 0)), back)
+			end(min(time.Second, max(f.Deadline.Sub(p.now()), 0)), back)
 			return
 		}
 		// The connection shows who is there now.
@@ -46,7 +46,7 @@
 			end(0, back)
 			return
 		}
-		if !proxy.MayLeave(p.now(), f.By, d.last) {
+		if !proxy.MayLeave(p.now(), f.SendBefore, d.last) {
 			end(0, back)
 			return
 		}
@@ -60,22 +60,22 @@
 	over := false
 	gen := p.gen
 	var call *exchange
-	end := func(b dispatch.Back) {
+	end := func(b dispatch.AttemptFinished) {
 		if !over {
 			over, call.over = true, true
 			d.hand(s, b)
 		}
 	}
-	maybe := dispatch.Back{ID: f.ID, Turn: f.Turn, How: dispatch.Maybe, Why: "no sealed answer"}
+	maybe := dispatch.AttemptFinished{ID: f.ID, Turn: f.Turn, Result: dispatch.MayHaveRun, Why: "no sealed answer"}
 	broken := maybe
 	if w.Defect.ResetIsUnsent {
-		broken.How = dispatch.NotSent
+		broken.Result = dispatch.NotSent
 	}
 	call = w.begin(&exchange{from: p.name, to: string(t.id), fromZone: p.cell, toZone: t.cell, broken: func() {
 		p.later(0, func() { end(broken) })
 	}})
-	p.later(max(f.Due.Since(p.now()), 0), func() { end(maybe) })
-	run, sent, left := t.gen, w.now, f.Due.Since(p.now())
+	p.later(max(f.Deadline.Sub(p.now()), 0), func() { end(maybe) })
+	run, sent, left := t.gen, w.now, f.Deadline.Sub(p.now())
 	w.later(trip, func() {
 		if !t.up || t.gen != run {
 			if p.gen == gen {
@@ -91,7 +91,7 @@
 				}
 				b := maybe
 				if ok {
-					b = dispatch.Back{ID: f.ID, Turn: f.Turn, How: dispatch.Sealed, Response: a}
+					b = dispatch.AttemptFinished{ID: f.ID, Turn: f.Turn, Result: dispatch.Complete, Response: a}
 					d.spent[[2]ids.Name{e.Route, s}] += w.Cost
 					p.total += w.Cost
 				}
--- a/internal/testsupport/simulator/disk.go
+++ b/internal/testsupport/simulator/disk.go
@@ -10,13 +10,13 @@
 )
 
 // Fetch finds a record that was synced.
-func (d *disk) Get(key ids.Key) ([]byte, bool) {
+func (d *disk) Get(key ids.RegisterKey) ([]byte, bool) {
 	raw, ok := d.records[key]
 	return raw, ok
 }
 
 // After lists records of items behind a key.
-func (d *disk) Scan(key ids.Key, n int) []event.Record {
+func (d *disk) Scan(key ids.RegisterKey, n int) []event.Record {
 	keys := d.sortedKeys()
 	from, found := slices.BinarySearch(keys, key)
 	if found {
@@ -34,7 +34,7 @@
 
 // sortedKeys gives all keys in order, sorted anew only after a key was added or
 // taken away, since a start reads the disk record by record.
-func (d *disk) sortedKeys() []ids.Key {
+func (d *disk) sortedKeys() []ids.RegisterKey {
 	if d.sorted == nil || len(d.sorted) != len(d.records) {
 		d.sorted = slices.Sorted(maps.Keys(d.records))
 	}
@@ -46,9 +46,9 @@
 	w       *World
 	store   uint64
 	run     uint64
-	records map[ids.Key][]byte
+	records map[ids.RegisterKey][]byte
 	// sorted are the keys of the records in order, nil where not known.
-	sorted  []ids.Key
+	sorted  []ids.RegisterKey
 	inbox   []event.Sync
 	busy    bool
 	stalled bool
@@ -58,7 +58,7 @@
 	ages
 }
 
-func newDisk(w *World) *disk { return &disk{w: w, records: map[ids.Key][]byte{}} }
+func newDisk(w *World) *disk { return &disk{w: w, records: map[ids.RegisterKey][]byte{}} }
 
 func (d *disk) open(p *proc) {
 	if d.store == 0 {
@@ -85,15 +85,15 @@
 }
 
 // wipe loses the disk: what comes next is another store.
-func (d *disk) wipe() { *d = disk{w: d.w, records: map[ids.Key][]byte{}, gen: d.gen + 1} }
+func (d *disk) wipe() { *d = disk{w: d.w, records: map[ids.RegisterKey][]byte{}, gen: d.gen + 1} }
 
 // writeBack is how long a disk that lies holds back what it says it has synced.
 const writeBack = 50 * time.Millisecond
 
 func (d *disk) settle(p *proc, s event.Sync) {
 	if d.w.Defect.SyncLate {
-		p.perform(s.Then)
-		s.Then = nil
+		p.perform(s.After)
+		s.After = nil
 	}
 	d.inbox = append(d.inbox, s)
 	d.next(p)
@@ -142,8 +142,8 @@
 		}
 	}
 	for _, s := range done {
-		p.perform(s.Then)
+		p.perform(s.After)
 	}
-	p.take(event.Synced{Turn: done[n-1].Turn})
+	p.take(event.Synced{Batch: done[n-1].Batch})
 	d.next(p)
 }
--- a/internal/testsupport/simulator/dispatchers.go
+++ b/internal/testsupport/simulator/dispatchers.go
@@ -19,11 +19,11 @@
 	c     *proxy.Control
 	list  map[ids.Name]*dispatch.Dispatcher
 	order []ids.Name
-	jobs  map[ids.Request]*errand
-	next  ids.Request
+	jobs  map[ids.RequestID]*errand
+	next  ids.RequestID
 	last  ids.Time
 	view  *configuration.View
-	ready proxy.Footing
+	ready proxy.ServingState
 	meter ids.Time
 	spent map[[2]ids.Name]float64
 	count uint64
@@ -40,12 +40,12 @@
 }
 
 func newDispatchers(p *proc, c *proxy.Control) *dispatchers {
-	return &dispatchers{p: p, c: c, list: map[ids.Name]*dispatch.Dispatcher{}, jobs: map[ids.Request]*errand{}, spent: map[[2]ids.Name]float64{}}
+	return &dispatchers{p: p, c: c, list: map[ids.Name]*dispatch.Dispatcher{}, jobs: map[ids.RequestID]*errand{}, spent: map[[2]ids.Name]float64{}}
 }
 
 func (d *dispatchers) at(s ids.Name) *dispatch.Dispatcher {
 	if d.list[s] == nil {
-		d.list[s] = dispatch.New(dispatch.Options{Dice: d.p.dice, Self: idempotency.Owner{Daemon: ids.Daemon(d.p.name), Start: d.p.start}})
+		d.list[s] = dispatch.New(dispatch.Options{Dice: d.p.dice, Self: idempotency.Owner{Daemon: ids.DaemonID(d.p.name), RunID: d.p.start}})
 		d.order = append(d.order, s)
 	}
 	return d.list[s]
@@ -58,10 +58,10 @@
 	for _, n := range d.order {
 		d.hand(n, event.Tick{})
 	}
-	if now := d.p.now(); now.Since(d.meter) >= meterEvery {
-		span := now.Since(d.meter)
+	if now := d.p.now(); now.Sub(d.meter) >= meterEvery {
+		span := now.Sub(d.meter)
 		d.meter = now
-		m := proxy.Meter{Interval: span, Latency: 2 * time.Millisecond, Count: d.count}
+		m := proxy.UsageSample{Interval: span, Latency: 2 * time.Millisecond, Count: d.count}
 		if p := d.p; p.w.Latency != nil {
 			used := 0.0
 			for _, r := range sortedPairs(d.spent) {
@@ -91,7 +91,7 @@
 	case proxy.Routes:
 		d.view = c.View
 		d.p.w.held(d, c.View)
-	case proxy.Footing:
+	case proxy.ServingState:
 		d.ready = c
 	}
 }
@@ -100,11 +100,11 @@
 func (d *dispatchers) do(s ids.Name, c event.Command) {
 	p := d.p
 	switch c := c.(type) {
-	case dispatch.Wish:
+	case dispatch.IdempotencyCall:
 		if c.Op == idempotency.OpClaim && p.w.atClaim != nil {
 			p.w.atClaim(p)
 		}
-		p.later(0, func() { p.take(proxy.Asked{Service: s, Wish: c}) })
+		p.later(0, func() { p.take(proxy.IdempotencyRequest{Service: s, Call: c}) })
 	case dispatch.Ferry:
 		// The scheduler may let a moment pass, or a freeze come between.
 		p.later(p.w.between(0, 2*time.Millisecond), func() { d.ferry(s, c) })
@@ -121,7 +121,7 @@
 }
 
 // dropAll is what the consumers of a killed proxy see.
-func (d *dispatchers) dropAll() { d.jobs = map[ids.Request]*errand{} }
+func (d *dispatchers) dropAll() { d.jobs = map[ids.RequestID]*errand{} }
 
 // arrive takes a consumer's request, as the real front does.
 func (d *dispatchers) arrive(route ids.Name, token string, mark ids.IdempotencyKey, try int, says bool, left time.Duration, done func(dispatch.Response)) {
@@ -143,11 +143,11 @@
 		attempt = 0
 	}
 	d.next++
-	j := dispatch.Job{ID: d.next, Route: route, Service: r.Service, Tier: r.Tier * 10, Repeatable: r.Repeatable, Mark: mark, Terms: proxy.Terms(r),
-		Attempt: uint32(attempt), Print: []byte(token), Due: d.p.now().Add(min(left, r.LimitTime()))}
+	j := dispatch.Job{ID: d.next, Route: route, Service: r.Service, Tier: r.Tier * 10, Repeatable: r.Repeatable, IdempotencyKey: mark, Terms: proxy.Terms(r),
+		Attempt: uint32(attempt), Fingerprint: []byte(token), Deadline: d.p.now().Add(min(left, r.LimitTime()))}
 	d.jobs[j.ID] = &errand{Job: j, token: token, try: try, done: done}
 	d.count++
-	d.hand(r.Service, dispatch.Arrive{Job: j})
+	d.hand(r.Service, dispatch.RequestArrived{Job: j})
 }
 
 // unknownYet answers for a proxy that doesn't know the route yet, which is
--- a/internal/testsupport/simulator/history.go
+++ b/internal/testsupport/simulator/history.go
@@ -63,7 +63,7 @@
 
 // read notes what a reading gave.
 func (h *history) read(called, now ids.Time, who string, rep registry.Response) {
-	if p, ok := rep.Body.(*configuration.Policy); ok {
+	if p, ok := rep.Body.(*configuration.Document); ok {
 		h.list = append(h.list, &Operation{Name: who, Called: called, Returned: now, Known: true, Revision: p.Revision, Content: string(page(p))})
 	}
 }
--- a/internal/testsupport/simulator/leaving_test.go
+++ b/internal/testsupport/simulator/leaving_test.go
@@ -19,7 +19,7 @@
 	began := w.now
 	var look func()
 	look = func() {
-		if p.up && w.now.Since(began) < 6*time.Second {
+		if p.up && w.now.Sub(began) < 6*time.Second {
 			w.later(20*time.Millisecond, look)
 			return
 		}
--- a/internal/testsupport/simulator/linear_test.go
+++ b/internal/testsupport/simulator/linear_test.go
@@ -86,7 +86,7 @@
 // lost acknowledges every tenth change and keeps nothing of it.
 func lost() map[consensus.Op]consensus.ChangeFunc {
 	n, inner := 0, configuration.Ops()[configuration.OpChange]
-	return map[consensus.Op]consensus.ChangeFunc{configuration.OpChange: func(key ids.Key, old, arg []byte) ([]byte, []byte) {
+	return map[consensus.Op]consensus.ChangeFunc{configuration.OpChange: func(key ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
 		next, out := inner(key, old, arg)
 		if n++; n%10 == 0 {
 			return old, out
@@ -101,10 +101,10 @@
 	n := 0
 	return func(_, _ string, msg any) (any, bool) {
 		r, ok := msg.(consensus.Response)
-		if !ok || r.State != consensus.Done {
+		if !ok || r.Outcome != consensus.Succeeded {
 			return msg, true
 		}
-		if p, err := configuration.Open(r.Result); err == nil && p.Revision > 2 && len(p.Services) > 0 && early == nil {
+		if p, err := configuration.Decode(r.Result); err == nil && p.Revision > 2 && len(p.Services) > 0 && early == nil {
 			early = r.Result
 		}
 		if n++; r.Same && early != nil && n%5 == 0 {
--- a/internal/testsupport/simulator/mistakes_test.go
+++ b/internal/testsupport/simulator/mistakes_test.go
@@ -17,13 +17,13 @@
 )
 
 // alwaysYours lets every claim stand, whoever has the mark.
-func alwaysYours(key ids.Key, old, arg []byte) ([]byte, []byte) {
+func alwaysYours(key ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
 	_, out := idempotency.Ops()[idempotency.OpClaim](key, nil, arg)
 	return old, out
 }
 
 // half applies the first part of a change alone.
-func half(key ids.Key, old, arg []byte) ([]byte, []byte) {
+func half(key ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
 	if i := bytes.Index(arg, []byte(`,{"kind":"route"`)); i > 0 && bytes.Contains(arg, []byte("shelf-")) {
 		arg = append(append([]byte{}, arg[:i]...), "]}"...)
 	}
@@ -106,7 +106,7 @@
 // refuseCopies confirms each order once, and refuses it from then on.
 func refuseCopies() func(registry.Response) registry.Response {
 	var mu sync.Mutex
-	confirmed := map[ids.Change]bool{}
+	confirmed := map[ids.ChangeID]bool{}
 	return func(rep registry.Response) registry.Response {
 		r, ok := rep.Body.(configuration.Result)
 		if !ok || rep.Status != 200 {
--- a/internal/testsupport/simulator/office.go
+++ b/internal/testsupport/simulator/office.go
@@ -107,7 +107,7 @@
 }
 
 // page gives a policy as its page would say it.
-func page(p *configuration.Policy) []byte {
+func page(p *configuration.Document) []byte {
 	raw, _ := json.Marshal(p)
 	return raw
 }
--- a/internal/testsupport/simulator/proc.go
+++ b/internal/testsupport/simulator/proc.go
@@ -126,8 +126,8 @@
 	p.start = ids.RunID(p.w.dice.Uint64()>>24 | 1)
 	p.calls = map[uint64]func(registry.Response){}
 	wall := time.Hour + time.Duration(p.w.now) + p.wall
-	self := membership.Member{ID: ids.Daemon(p.name), Role: p.role, Address: p.addr, HTTP: p.addr, Zone: p.cell,
-		Start: p.start, Incarnation: ids.Incarnation(max(wall.Milliseconds(), 1))}
+	self := membership.Member{ID: ids.DaemonID(p.name), Role: p.role, Address: p.addr, HTTP: p.addr, Zone: p.cell,
+		RunID: p.start, Incarnation: ids.Incarnation(max(wall.Milliseconds(), 1))}
 	roll := membership.Options{Self: self, Seeds: p.seeds}
 	h.Roll = roll
 	beat := otherBeat
@@ -144,7 +144,7 @@
 		p.machine = registry.New(registry.Options{Options: roll, Random: p.dice, PlanEvery: p.w.PlanEvery,
 			ControlLease: p.w.Defect.ControlLease})
 	default:
-		c := proxy.New(roll, proxy.Options{Lease: p.w.Lease})
+		c := proxy.New(roll, proxy.ControlOptions{Lease: p.w.Lease})
 		p.machine = c
 		p.desks = newDispatchers(p, c)
 	}
--- a/internal/testsupport/simulator/prune.go
+++ b/internal/testsupport/simulator/prune.go
@@ -19,18 +19,18 @@
 
 // ages is since when, in running time, each mark has been on the disk.
 type ages struct {
-	born map[ids.Key]time.Duration
+	born map[ids.RegisterKey]time.Duration
 	// ran is the running time up to the last start, as far as it was noted.
 	ran    time.Duration
 	opened ids.Time
 }
 
-func (d *disk) running() time.Duration { return d.ran + d.w.now.Since(d.opened) }
+func (d *disk) running() time.Duration { return d.ran + d.w.now.Sub(d.opened) }
 
 // age notes when a record was written.
-func (d *disk) age(key ids.Key) {
+func (d *disk) age(key ids.RegisterKey) {
 	if d.born == nil {
-		d.born = map[ids.Key]time.Duration{}
+		d.born = map[ids.RegisterKey]time.Duration{}
 	}
 	d.born[key] = d.running()
 }
--- a/internal/testsupport/simulator/repair.go
+++ b/internal/testsupport/simulator/repair.go
@@ -48,7 +48,7 @@
 }
 
 func syncedComplete(d *disk) bool {
-	standing, known := consensus.DiskStanding(d)
+	standing, known := consensus.ReadDiskState(d)
 	return known && standing == consensus.Complete
 }
 
@@ -58,7 +58,7 @@
 	began := w.now
 	var look func()
 	look = func() {
-		switch took := w.now.Since(began); {
+		switch took := w.now.Sub(began); {
 		case w.wholeVoterSet():
 			then(took)
 		case took >= bound:
@@ -93,7 +93,7 @@
 }
 
 // putBack gives a store a disk as it was at some earlier time.
-func (p *proc) putBack(records map[ids.Key][]byte, id, run uint64) {
+func (p *proc) putBack(records map[ids.RegisterKey][]byte, id, run uint64) {
 	p.w.trace("an old disk of %s is put back", p.name)
 	p.kill()
 	p.disk.wipe()
@@ -113,20 +113,20 @@
 	took := time.Duration(float64(len(raw)*8) / w.LinkBits * float64(time.Second))
 	from.linkOut = max(from.linkOut, w.now).Add(took)
 	to.linkIn = max(to.linkIn, from.linkOut.Add(-took)).Add(took)
-	return to.linkIn.Since(w.now)
+	return to.linkIn.Sub(w.now)
 }
 
 // fillStores puts the same accepted values on every store's disk, as much state
 // would have.
 func (w *World) fillStores(registers, size int) {
 	for i := range registers {
-		raw, err := wire.Encode(consensus.RegisterState{Promised: ids.Ballot{Count: 1}, Accepted: ids.Ballot{Count: 1}, Value: make([]byte, size)})
+		raw, err := wire.Encode(consensus.RegisterState{Promised: ids.Ballot{Counter: 1}, Accepted: ids.Ballot{Counter: 1}, Value: make([]byte, size)})
 		if err != nil {
 			return
 		}
 		for _, p := range w.procs {
 			if p.role == membership.Store && !p.lost {
-				p.disk.records[ids.Key(fmt.Sprintf("item/fill/%06d", i))] = raw
+				p.disk.records[ids.RegisterKey(fmt.Sprintf("item/fill/%06d", i))] = raw
 			}
 		}
 	}
--- a/internal/testsupport/simulator/returned_test.go
+++ b/internal/testsupport/simulator/returned_test.go
@@ -40,7 +40,7 @@
 		o := Run(Params{Seed: seed, Length: 40 * time.Second, Script: func(w *World) {
 			w.counted = true
 			p := w.procs[0]
-			var old map[ids.Key][]byte
+			var old map[ids.RegisterKey][]byte
 			var id, run uint64
 			w.later(2*time.Second, func() {
 				old, id, run = maps.Clone(p.disk.records), p.disk.store, p.disk.run
--- a/internal/testsupport/simulator/tape.go
+++ b/internal/testsupport/simulator/tape.go
@@ -35,7 +35,7 @@
 	case membership.Registry:
 		return registry.New(registry.Options{Options: h.Roll, Random: dice, PlanEvery: h.PlanEvery})
 	}
-	return proxy.New(h.Roll, proxy.Options{Lease: h.Lease})
+	return proxy.New(h.Roll, proxy.ControlOptions{Lease: h.Lease})
 }
 
 // tape records this run of a process from its start, if that was asked for.
@@ -72,7 +72,7 @@
 
 func (s *shelved) Step(now ids.Time, ev event.Event) []event.Command {
 	if e, ok := ev.(event.Synced); ok {
-		for ; s.done <= e.Turn; s.done++ {
+		for ; s.done <= e.Batch; s.done++ {
 			for _, r := range s.wait[s.done] {
 				s.disk.records[r.Key] = r.Value
 			}
@@ -82,7 +82,7 @@
 	out := s.Machine.Step(now, ev)
 	for _, c := range out {
 		if w, ok := c.(event.Sync); ok {
-			s.wait[w.Turn] = append(s.wait[w.Turn], w.Records...)
+			s.wait[w.Batch] = append(s.wait[w.Batch], w.Records...)
 		}
 	}
 	return out
--- a/internal/testsupport/simulator/target.go
+++ b/internal/testsupport/simulator/target.go
@@ -17,7 +17,7 @@
 // target is a stand-in target in the simulated world.
 type target struct {
 	w           *World
-	id          ids.Instance
+	id          ids.InstanceID
 	service     ids.Name
 	cell        ids.Name
 	addr        ids.Address
@@ -84,7 +84,7 @@
 }
 
 func (t *target) warmth() float64 {
-	return min(1, max(0.1, float64(t.w.now.Since(t.born))/float64(targetWarm)))
+	return min(1, max(0.1, float64(t.w.now.Sub(t.born))/float64(targetWarm)))
 }
 
 // announce tells some registry that can be reached.
@@ -118,7 +118,7 @@
 // is when its bytes left the proxy, and came when they reached the target.
 func (t *target) run(e *errand, p *proc, s ids.Name, sent, came ids.Time, left time.Duration, done func(idempotency.Response, bool)) {
 	t.busy++
-	r := checker.Ran{At: t.w.clock(), Sent: clock(sent), Instance: t.id, Service: t.service, Cell: t.cell, Token: e.token, Mark: string(e.Mark), Attempt: e.try, Untold: e.Job.Attempt == 0,
+	r := checker.Ran{At: t.w.clock(), Sent: clock(sent), Instance: t.id, Service: t.service, Cell: t.cell, Token: e.token, Mark: string(e.IdempotencyKey), Attempt: e.try, Untold: e.Job.Attempt == 0,
 		After: t.knownFor(came), Route: e.Route, Left: left, Proxy: p.name, By: p.cell}
 	t.w.Truth.Run(r)
 	t.w.trace("%s runs %s attempt %d for %s", t.id, e.token, e.try, p.name)
--- a/internal/testsupport/simulator/tolerance.go
+++ b/internal/testsupport/simulator/tolerance.go
@@ -37,7 +37,7 @@
 	if w.losses.vacant > 0 {
 		w.losses.calmSince = w.now
 	}
-	if w.now.Since(w.losses.calmSince) >= catchUp {
+	if w.now.Sub(w.losses.calmSince) >= catchUp {
 		w.losses.recovered = true
 	}
 	w.later(lookForLosses, w.watchLosses)
@@ -80,7 +80,7 @@
 		return false
 	}
 	for _, q := range w.living(membership.Store) {
-		if q != p && w.now.Since(q.impairedAt) < catchUp {
+		if q != p && w.now.Sub(q.impairedAt) < catchUp {
 			return false
 		}
 	}
--- a/internal/testsupport/testbed/stands.go
+++ b/internal/testsupport/testbed/stands.go
@@ -88,7 +88,7 @@
 		s.Truth.Wrong("replace %s: %v", t.Instance, err)
 		return
 	}
-	t.Instance, t.Address = ids.Instance(fmt.Sprintf("%s-new-%d", t.Service, s.fresh)), at
+	t.Instance, t.Address = ids.InstanceID(fmt.Sprintf("%s-new-%d", t.Service, s.fresh)), at
 	if err := t.Start(true); err != nil {
 		s.Truth.Wrong("start %s: %v", t.Instance, err)
 	}
--- a/internal/testsupport/testbed/target.go
+++ b/internal/testsupport/testbed/target.go
@@ -23,7 +23,7 @@
 // Target is a stand-in target. It announces itself, shows who it is, seals its
 // answers, and writes down each execution.
 type Target struct {
-	Instance ids.Instance
+	Instance ids.InstanceID
 	Service  ids.Name
 	Cell     ids.Name
 	Address  string
--- a/internal/transport/process/discard.go
+++ b/internal/transport/process/discard.go
@@ -47,7 +47,7 @@
 // Discard counts a message that a machine took no notice of, and logs the
 // first of its peer.
 func (p *Transport) Discard(d event.Discarded) {
-	p.discard(string(d.From), d.Reason, wire.KindFor(d.Msg), 0, "")
+	p.discard(string(d.From), d.Reason, wire.KindOfMessage(d.Msg), 0, "")
 }
 
 func (p *Transport) discard(peer string, why event.Reason, kind wire.Kind, size int, problem string) {
--- a/internal/transport/process/discard_test.go
+++ b/internal/transport/process/discard_test.go
@@ -136,7 +136,7 @@
 	is := is.New(t)
 	p, out, _ := receiver(t)
 	for _, from := range []ids.Address{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.1:1"} {
-		p.Discard(event.Discarded{From: from, Reason: event.NotAsked, Msg: note{}})
+		p.Discard(event.Discarded{From: from, Reason: event.Unsolicited, Msg: note{}})
 	}
 	is.Equal(discarded(p), uint64(3))
 	is.Equal(out.count("message discarded"), 2)
--- a/internal/transport/process/transport.go
+++ b/internal/transport/process/transport.go
@@ -115,7 +115,7 @@
 	select {
 	case line <- raw:
 	default:
-		p.Stats.count(Dropped, wire.KindOf(raw), len(raw))
+		p.Stats.count(Dropped, wire.KindOfFrame(raw), len(raw))
 	}
 }
 
@@ -157,7 +157,7 @@
 		// What waits for a peer that isn't there is old by the time it is.
 		for len(line) > queueLength/2 {
 			old := <-line
-			p.Stats.count(Dropped, wire.KindOf(old), len(old))
+			p.Stats.count(Dropped, wire.KindOfFrame(old), len(old))
 		}
 		select {
 		case <-ctx.Done():
@@ -188,7 +188,7 @@
 			if err == nil && len(line) == 0 {
 				err = w.Flush()
 			}
-			p.Stats.count(Sent, wire.KindOf(raw), len(raw))
+			p.Stats.count(Sent, wire.KindOfFrame(raw), len(raw))
 			if err != nil {
 				p.Log.Event("warn", "circuit lost", "peer", string(to), "problem", err.Error())
 				return false
--- a/internal/transport/wire/frame.go
+++ b/internal/transport/wire/frame.go
@@ -30,7 +30,7 @@
 type Header struct {
 	Magic   uint16
 	Version uint8
-	Spare   uint8
+	Flags   uint8
 	Kind    Kind
 	Length  uint32
 	Epoch   uint64
@@ -63,11 +63,11 @@
 	return ""
 }
 
-// KindFor gives the kind that a message goes as; 0 for none.
-func KindFor(msg any) Kind { return names[reflect.TypeOf(msg)] }
+// KindOfMessage gives the kind that a message goes as; 0 for none.
+func KindOfMessage(msg any) Kind { return names[reflect.TypeOf(msg)] }
 
-// KindOf gives the kind of a packed frame.
-func KindOf(frame []byte) Kind {
+// KindOfFrame gives the kind of a packed frame.
+func KindOfFrame(frame []byte) Kind {
 	if len(frame) < headSize {
 		return 0
 	}
@@ -90,10 +90,10 @@
 }
 
 // Epoched is met by messages sent under a duty's epoch.
-type Epoched interface{ UnderEpoch() uint64 }
+type Epoched interface{ MessageEpoch() uint64 }
 
 // Numbered is met by messages that count along a connection.
-type Numbered interface{ CountedAs() uint64 }
+type Numbered interface{ MessageNumber() uint64 }
 
 // Pack makes a frame of a message.
 func Encode(msg any) ([]byte, error) {
@@ -111,10 +111,10 @@
 		return nil, errs.New("pack", "", "%T of %d bytes is over the limit", msg, h.Length)
 	}
 	if e, ok := msg.(Epoched); ok {
-		h.Epoch = e.UnderEpoch()
+		h.Epoch = e.MessageEpoch()
 	}
 	if n, ok := msg.(Numbered); ok {
-		h.Number = n.CountedAs()
+		h.Number = n.MessageNumber()
 	}
 	out := buf.Bytes()
 	if _, err := binary.Encode(out[:headSize], binary.BigEndian, &h); err != nil {
@@ -142,7 +142,7 @@
 	if err != nil {
 		return h, nil, errs.Wrap(err, "read body", "")
 	}
-	if h.Spare == deflated {
+	if h.Flags == deflated {
 		if body, err = inflate(body); err != nil {
 			return h, nil, errs.Wrap(err, "read body", "")
 		}
--- a/internal/transport/wire/wire_test.go
+++ b/internal/transport/wire/wire_test.go
@@ -114,7 +114,7 @@
 		_, got, err := ReadBytes(small)
 		is.NoErr(err)
 		is.Equal(got, want)
-		is.Equal(h.Kind, KindOf(small))
+		is.Equal(h.Kind, KindOfFrame(small))
 		if n > deflateFrom {
 			// What is cut short is an error, not a shorter message.
 			binary.BigEndian.PutUint32(small[lengthAt:], uint32(len(small)/2-headSize))
