--- /dev/null
+++ b/internal/testsupport/compat/policy_test.go
@@ -0,0 +1,37 @@
+package compat
+
+import (
+	"testing"
+
+	"github.com/matryer/is"
+
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/state/configuration"
+)
+
+// The policy goes to proxies whole without its history, or as what changed since
+// a revision; both lead to the same policy.
+func TestPolicyForProxies(t *testing.T) {
+	is := is.New(t)
+	values, _ := writeSample(t, memoryDisk{})
+	whole, err := configuration.Decode(values[configuration.Key])
+	is.NoErr(err)
+	older, err := configuration.Decode(nil)
+	is.NoErr(err)
+	ops := configuration.Ops()
+	var early []byte
+	for _, o := range sampleChanges()[:3] {
+		early, _ = ops[o.op](o.key, early, o.arg)
+	}
+	older, err = older.Advance(early)
+	is.NoErr(err)
+	is.Equal(older.Revision, ids.Revision(3))
+	checkGolden(t, "policy.txt", map[string]string{
+		"kept":    string(whole.Encode(true)),
+		"whole":   string(whole.Encode(false)),
+		"since 3": string(whole.ChangesSince(3)),
+	})
+	next, err := older.Advance(whole.ChangesSince(3))
+	is.NoErr(err)
+	is.Equal(string(next.Encode(false)), string(whole.Encode(false)))
+}
