--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -1,4 +1,4 @@
-// Command proxy is the proxy: it carries consumers' requests to targets.
+// Command proxy is the proxy: it carries clients' requests to targets.
 package main
 
 import (
--- a/cmd/store/main.go
+++ b/cmd/store/main.go
@@ -1,4 +1,4 @@
-// Command store is the durable store of policy, marks and duties.
+// Command store is the durable store of configuration, marks and duties.
 package main
 
 import (
--- a/cmd/testbed/drill.go
+++ b/cmd/testbed/drill.go
@@ -53,9 +53,9 @@
 	return out, nil
 }
 
-// params are the options of one run.
-func (d *DrillCmd) params(p played) simulator.Params {
-	out := simulator.Params{Seed: p.seed, Plan: blueprint.Plans[d.Plan], Length: d.Length, Script: simulator.Scenes[p.scene]}
+// options are the options of one run.
+func (d *DrillCmd) options(p played) simulator.Options {
+	out := simulator.Options{Seed: p.seed, Plan: blueprint.Plans[d.Plan], Length: d.Length, Script: simulator.Scenes[p.scene]}
 	if d.Hot {
 		out = simulator.Hot(p.seed)
 	}
@@ -120,7 +120,7 @@
 	for range jobs {
 		all.Go(func() {
 			for p := range next {
-				o := simulator.Run(d.params(p))
+				o := simulator.Run(d.options(p))
 				mu.Lock()
 				total.add(o)
 				for _, line := range o.Log {
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -1,5 +1,5 @@
 // Command testbed plays a whole fleet on one machine, with stand-in targets
-// and consumers, and counts every promise kept or broken.
+// and clients, and counts every promise kept or broken.
 package main
 
 import (
@@ -24,13 +24,13 @@
 
 // Run starts it and waits for a signal.
 func (u *UpCmd) Run(ctx context.Context) error {
-	s, err := testbed.Raise(ctx, testbed.Params{Plan: u.Plan, Dir: u.Dir, Fixed: true, Out: os.Stdout})
+	s, err := testbed.Raise(ctx, testbed.Options{Plan: u.Plan, Dir: u.Dir, Fixed: true, Out: os.Stdout})
 	if err != nil {
 		return err
 	}
 	defer s.Lower()
 	for _, p := range s.Procs {
-		fmt.Printf("  %-12s cell %-8s http %s\n", p.Name, p.Cell, p.HTTP)
+		fmt.Printf("  %-12s cell %-8s http %s\n", p.Name, p.Zone, p.HTTP)
 	}
 	bin, err := filepath.Abs(s.Bin)
 	if err != nil {
@@ -83,7 +83,7 @@
 	if err != nil {
 		return err
 	}
-	s, err := testbed.Raise(ctx, testbed.Params{Plan: r.Plan, Dir: r.Dir, Out: os.Stdout, Relay: true, Bin: r.Bin, Other: r.Other, Rate: r.Rate, Target: r.Target, PlanEvery: r.PlanEvery})
+	s, err := testbed.Raise(ctx, testbed.Options{Plan: r.Plan, Dir: r.Dir, Out: os.Stdout, Relay: true, Bin: r.Bin, Other: r.Other, Rate: r.Rate, Target: r.Target, PlanEvery: r.PlanEvery})
 	if err != nil {
 		return err
 	}
--- a/internal/app/api/api.go
+++ b/internal/app/api/api.go
@@ -94,7 +94,7 @@
 // Handler gives the pages under /v1.
 func (w *Server) Handler() http.Handler {
 	m := http.NewServeMux()
-	m.HandleFunc("GET /v1/policy", w.policy)
+	m.HandleFunc("GET /v1/policy", w.configuration)
 	m.HandleFunc("GET "+RevisionPage, w.revision)
 	m.HandleFunc("GET /v1/{kind}", w.list)
 	m.HandleFunc("GET /v1/{kind}/{name}", w.one)
@@ -117,7 +117,7 @@
 			return
 		}
 		Write(rw, w.Do(func(id uint64) any {
-			return registry.ResolveCall{ID: id, Cell: ids.Name(q.Get("cell")), Route: ids.Name(q.Get("route"))}
+			return registry.ResolveCall{ID: id, Zone: ids.Name(q.Get("cell")), Route: ids.Name(q.Get("route"))}
 		}))
 	})
 	m.HandleFunc("POST /v1/announce", func(rw http.ResponseWriter, r *http.Request) {
--- a/internal/app/api/forward.go
+++ b/internal/app/api/forward.go
@@ -34,7 +34,7 @@
 	// forwardWithin is how long after its arrival a call is still handed to
 	// another registry, so that a daemon that reaches none says so in a second.
 	forwardWithin = 600 * time.Millisecond
-	// mostAnswer bounds a registry's answer, the largest of which is the policy.
+	// mostAnswer bounds a registry's answer, the largest of which is the configuration.
 	mostAnswer = 96 << 20
 )
 
--- a/internal/app/api/items.go
+++ b/internal/app/api/items.go
@@ -24,7 +24,7 @@
 	Body    json.RawMessage `json:"body"`
 }
 
-// read asks for the policy; local only where the caller wants that.
+// read asks for the configuration; local only where the caller wants that.
 func (w *Server) read(rw http.ResponseWriter, r *http.Request) (*configuration.Document, bool) {
 	local := r.URL.Query().Get("local") == "true"
 	rep := w.Do(func(id uint64) any { return registry.ReadConfigurationCall{ID: id, Local: local} })
@@ -35,10 +35,10 @@
 	return p, ok
 }
 
-func (w *Server) policy(rw http.ResponseWriter, r *http.Request) {
+func (w *Server) configuration(rw http.ResponseWriter, r *http.Request) {
 	if p, ok := w.read(rw, r); ok {
 		c := *p
-		c.Recent, c.Declined, c.History = nil, nil, nil
+		c.Recent, c.Rejected, c.History = nil, nil, nil
 		Write(rw, registry.Response{Status: 200, Body: c})
 	}
 }
@@ -52,7 +52,7 @@
 	return k, ok
 }
 
-// items finds the kind that a path names, and reads the policy.
+// items finds the kind that a path names, and reads the configuration.
 func (w *Server) items(rw http.ResponseWriter, r *http.Request) (string, *configuration.Document, bool) {
 	k, ok := kind(rw, r)
 	if !ok {
@@ -146,7 +146,7 @@
 	}
 }
 
-// deed empties or refills a cell, or shuts or opens its targets alone.
+// deed empties or refills a zone, or shuts or opens its targets alone.
 func (w *Server) deed(rw http.ResponseWriter, r *http.Request) {
 	switch r.PathValue("deed") {
 	case "empty":
--- a/internal/app/cli/books.go
+++ b/internal/app/cli/books.go
@@ -37,7 +37,7 @@
 		for _, f := range faults {
 			lines = append(lines, strings.Join([]string{f.Item, f.Path, f.Reason}, ": "))
 		}
-		return &Ended{ExitDeclined, "declined, nothing sent: " + strings.Join(lines, "; ")}
+		return &Ended{ExitRejected, "declined, nothing sent: " + strings.Join(lines, "; ")}
 	}
 	return c.change("POST", "/v1/change", change, nil)
 }
@@ -148,7 +148,7 @@
 		return &Ended{ExitUsage, err.Error()}
 	}
 	in := bufio.NewReader(os.Stdin)
-	return book.Run(runbook.Params{Values: b.Set, Dry: b.Dry, Out: c.Out, Now: time.Now,
+	return book.Run(runbook.Options{Values: b.Set, Dry: b.Dry, Out: c.Out, Now: time.Now,
 		Pause:   func() { time.Sleep(250 * time.Millisecond) },
 		Command: func(words []string) ([]byte, error) { return Capture(c, words) },
 		Hands: func(what string) bool {
--- a/internal/app/cli/cli.go
+++ b/internal/app/cli/cli.go
@@ -18,7 +18,7 @@
 // How a call ended, as exit codes.
 const (
 	ExitUsage       = 2
-	ExitDeclined    = 3
+	ExitRejected    = 3
 	ExitStale       = 4
 	ExitUnreachable = 5
 	ExitUncertain   = 6
@@ -50,7 +50,7 @@
 	case status >= 500:
 		return ExitUnreachable
 	case status >= 400:
-		return ExitDeclined
+		return ExitRejected
 	}
 	return 0
 }
--- a/internal/app/cli/items.go
+++ b/internal/app/cli/items.go
@@ -131,14 +131,14 @@
 	})
 }
 
-// CellDeed empties or refills a cell.
-type CellDeed struct {
+// ZoneDeed empties or refills a zone.
+type ZoneDeed struct {
 	Name string `arg:"" name:"name"`
 	Guard
 }
 
 // EmptyCmd empties.
-type EmptyCmd struct{ CellDeed }
+type EmptyCmd struct{ ZoneDeed }
 
 // Run empties.
 func (e *EmptyCmd) Run(c *Context) error {
@@ -146,7 +146,7 @@
 }
 
 // RefillCmd refills.
-type RefillCmd struct{ CellDeed }
+type RefillCmd struct{ ZoneDeed }
 
 // Run refills.
 func (e *RefillCmd) Run(c *Context) error {
@@ -154,7 +154,7 @@
 }
 
 // ShutCmd shuts.
-type ShutCmd struct{ CellDeed }
+type ShutCmd struct{ ZoneDeed }
 
 // Run shuts.
 func (e *ShutCmd) Run(c *Context) error {
@@ -162,7 +162,7 @@
 }
 
 // OpenCmd opens.
-type OpenCmd struct{ CellDeed }
+type OpenCmd struct{ ZoneDeed }
 
 // Run opens.
 func (e *OpenCmd) Run(c *Context) error {
@@ -198,19 +198,19 @@
 	return c.Show(raw, func() error {
 		ans, err := open[registry.Resolution](raw)
 		for _, a := range ans.Proxies {
-			fmt.Fprintf(c.Out, "%s (cell %s, for %d ms)\n", a, ans.Cell, ans.Lifetime)
+			fmt.Fprintf(c.Out, "%s (cell %s, for %d ms)\n", a, ans.Zone, ans.Lifetime)
 		}
 		return err
 	})
 }
 
-// PolicyCmd shows the whole policy.
-type PolicyCmd struct {
+// ConfigurationCmd shows the whole configuration.
+type ConfigurationCmd struct {
 	Local bool `help:"The registry's own copy, which may be old." name:"local"`
 }
 
 // Run shows it.
-func (p *PolicyCmd) Run(c *Context) error {
+func (p *ConfigurationCmd) Run(c *Context) error {
 	path := "/v1/policy"
 	if p.Local {
 		path += "?local=true"
--- a/internal/app/cli/merge_test.go
+++ b/internal/app/cli/merge_test.go
@@ -48,7 +48,7 @@
 	is.Equal(code, 0)
 	revision := "GET /v1/revision  " // for the ids of changes
 	is.Equal(calls, []string{`POST /v1/merge  {"items":[]}`, revision, "POST /v1/cells/quay/shut 3 ", revision, "POST /v1/cells/quay/open  "})
-	for s, want := range map[int]int{400: ExitDeclined, 503: ExitUnreachable, 504: ExitUncertain} {
+	for s, want := range map[int]int{400: ExitRejected, 503: ExitUnreachable, 504: ExitUncertain} {
 		status = s
 		_, code = line("merge", file)
 		is.Equal(code, want)
--- a/internal/app/cli/status.go
+++ b/internal/app/cli/status.go
@@ -28,14 +28,14 @@
 		Shut   ShutCmd   `cmd:"" help:"Send nothing more to a cell's targets; its proxies go on with those of others." name:"shut"`
 		Open   OpenCmd   `cmd:"" help:"Let work go to a shut cell's targets again." name:"open"`
 	} `cmd:"" help:"Cells: set points, distances, emptying." name:"cell"`
-	Change  ChangeCmd `cmd:"" help:"Send a whole change; all of it or nothing takes effect." name:"change"`
-	Merge   MergeCmd  `cmd:"" help:"Merge items whose versions you give; for each name the highest holds." name:"merge"`
-	Policy  PolicyCmd `cmd:"" help:"Show the whole policy." name:"policy"`
-	Where   WhereCmd  `cmd:"" help:"Ask the directory where to go." name:"where"`
-	Status  StatusCmd `cmd:"" help:"Show cells, moves, daemons, duties and problems." name:"status"`
-	Apply   ApplyCmd  `cmd:"" help:"Send Kubernetes-style objects as one whole change." name:"apply"`
-	Runbook BookCmd   `cmd:"" help:"Executable runbooks: each step a command with a check of its result." name:"runbook"`
-	Core    CoreCmd   `cmd:"" help:"For the store that is left after a great loss." name:"core"`
+	Change  ChangeCmd        `cmd:"" help:"Send a whole change; all of it or nothing takes effect." name:"change"`
+	Merge   MergeCmd         `cmd:"" help:"Merge items whose versions you give; for each name the highest holds." name:"merge"`
+	Policy  ConfigurationCmd `cmd:"" help:"Show the whole policy." name:"policy"`
+	Where   WhereCmd         `cmd:"" help:"Ask the directory where to go." name:"where"`
+	Status  StatusCmd        `cmd:"" help:"Show cells, moves, daemons, duties and problems." name:"status"`
+	Apply   ApplyCmd         `cmd:"" help:"Send Kubernetes-style objects as one whole change." name:"apply"`
+	Runbook BookCmd          `cmd:"" help:"Executable runbooks: each step a command with a check of its result." name:"runbook"`
+	Core    CoreCmd          `cmd:"" help:"For the store that is left after a great loss." name:"core"`
 }
 
 // StatusCmd shows how things stand.
@@ -66,7 +66,7 @@
 	}
 	fmt.Fprintf(w, "revision %d, %s (seen by registry %s)\n", st.Revision, force, st.Registry)
 	fmt.Fprintln(w, "\nCELL\tUSED\tACCEPT\tTARGET\tMAX\tMAX IS\tCOUNTERS\tTARGETS\tSTATE")
-	for _, x := range st.Cells {
+	for _, x := range st.Zones {
 		fmt.Fprintf(w, "%s\t%.0f\t%.0f\t%.0f\t%.0f\t%s\t%d\t%d\t%s\n", x.Name, x.Used, x.Acceptable, x.Target, x.Maximum, x.Learned, x.Proxies, x.Targets, x.State)
 	}
 	fmt.Fprintln(w, "\nMOVE\tROUTE\tSHARE\tMS/S\tWHY")
@@ -75,7 +75,7 @@
 	}
 	fmt.Fprintln(w, "\nDAEMON\tROLE\tCELL\tADDRESS\tHTTP\tREVISION\tSTATE")
 	for _, d := range st.Daemons {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%s\n", d.ID, d.Role, d.Cell, d.Address, d.HTTP, d.Revision, d.State)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%s\n", d.ID, d.Role, d.Zone, d.Address, d.HTTP, d.Revision, d.State)
 	}
 	fmt.Fprintln(w, "\nDUTY\tEPOCH\tPLAN\tHERE")
 	for _, d := range st.Leaderships {
--- a/internal/app/daemon/changes_bench_test.go
+++ b/internal/app/daemon/changes_bench_test.go
@@ -14,7 +14,7 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// BenchmarkChangesInARow makes 300 changes in a row of policies of three sizes,
+// BenchmarkChangesInARow makes 300 changes in a row of configurations of three sizes,
 // over real connections and disks. It gives times, and processor time for each
 // change of three stores and a registry together. Run it with -benchtime 1x.
 func BenchmarkChangesInARow(b *testing.B) {
--- a/internal/app/daemon/daemon.go
+++ b/internal/app/daemon/daemon.go
@@ -84,13 +84,13 @@
 	})
 }
 
-// Registries names the live registries's HTTP addresses, those of a cell first.
-func RegistryAddresses(members []membership.Member, cell ids.Name) []ids.Address {
+// Registries names the live registries's HTTP addresses, those of a zone first.
+func RegistryAddresses(members []membership.Member, zone ids.Name) []ids.Address {
 	var near, far []ids.Address
 	for _, m := range members {
 		switch {
 		case m.Role != membership.Registry || m.Gone:
-		case m.Zone == cell:
+		case m.Zone == zone:
 			near = append(near, m.HTTP)
 		default:
 			far = append(far, m.HTTP)
@@ -120,7 +120,7 @@
 	}
 }
 
-// Unfit is a param that the machine itself declines, such as a folder that
+// Unfit is a param that the machine itself rejects, such as a folder that
 // another process holds.
 type StartError struct{ error }
 
--- a/internal/app/daemon/registry.go
+++ b/internal/app/daemon/registry.go
@@ -18,7 +18,7 @@
 	"dunlinwell/internal/transport/process"
 )
 
-// ForemanParams are what a registry is told at its start.
+// ForemanOptions are what a registry is told at its start.
 type RegistryOptions struct {
 	settings.Common
 	PlanEvery time.Duration `help:"How often the spill is planned." default:"30s" name:"plan-every"`
@@ -34,7 +34,7 @@
 // registryStops is how long a registry sends callers on after the polite signal.
 const registryStops = time.Second
 
-// Validate checks what the common params don't cover.
+// Validate checks what the common options don't cover.
 func (p *RegistryOptions) Validate() error {
 	if p.Lifetime <= 0 || p.Lifetime > 3*time.Second {
 		return &StartError{errorf("--lifetime: must be over 0 and at most 3s")}
--- a/internal/app/daemon/store.go
+++ b/internal/app/daemon/store.go
@@ -26,7 +26,7 @@
 
 func errorf(format string, args ...any) error { return fmt.Errorf(format, args...) }
 
-// StockroomParams are what a store is told at its start.
+// StockroomOptions are what a store is told at its start.
 type StoreOptions struct {
 	settings.Common
 	Data   string `help:"The data folder, held by this process alone." required:"" placeholder:"DIR" name:"data"`
--- a/internal/app/manifest/manifest.go
+++ b/internal/app/manifest/manifest.go
@@ -1,5 +1,5 @@
 // Package manifest reads Kubernetes-style objects into the same checked change
-// that every other way of sending policy makes.
+// that every other way of sending configuration makes.
 package manifest
 
 import (
--- a/internal/app/runbook/run.go
+++ b/internal/app/runbook/run.go
@@ -12,8 +12,8 @@
 	"dunlinwell/internal/base/errs"
 )
 
-// Params are the options of a run.
-type Params struct {
+// Options are the options of a run.
+type Options struct {
 	Values map[string]string
 	Dry    bool
 	Out    io.Writer
@@ -27,7 +27,7 @@
 }
 
 // Run runs a book and stops at the first problem.
-func (b *Book) Run(p Params) error {
+func (b *Book) Run(p Options) error {
 	for _, n := range b.Needs {
 		if p.Values[n] == "" {
 			return errs.New("run "+b.Name, "", "it needs --set %s=...", n)
@@ -62,7 +62,7 @@
 }
 
 // fill puts values into holes.
-func (p Params) fill(s, item string) string {
+func (p Options) fill(s, item string) string {
 	for k, v := range p.Values {
 		s = strings.ReplaceAll(s, "{"+k+"}", v)
 	}
@@ -72,7 +72,7 @@
 	return s
 }
 
-func (p Params) words(list []string, item string) []string {
+func (p Options) words(list []string, item string) []string {
 	out := make([]string, len(list))
 	for i, w := range list {
 		out[i] = p.fill(w, item)
@@ -80,7 +80,7 @@
 	return out
 }
 
-func (p Params) step(n int, s *Step, item string) error {
+func (p Options) step(n int, s *Step, item string) error {
 	fmt.Fprintf(p.Out, "%d. %s\n", n, p.fill(s.Name, item))
 	if p.Dry {
 		p.tell(s, item)
@@ -115,7 +115,7 @@
 }
 
 // await looks until every check holds, or the time is over.
-func (p Params) await(s *Step, item string, look []string, raw []byte, before string) error {
+func (p Options) await(s *Step, item string, look []string, raw []byte, before string) error {
 	if len(s.Until) == 0 {
 		return nil
 	}
@@ -140,7 +140,7 @@
 	}
 }
 
-func (p Params) holds(c Check, item, raw, before string) error {
+func (p Options) holds(c Check, item, raw, before string) error {
 	path := p.fill(c.Path, item)
 	v := gjson.Get(raw, path)
 	bad := func(want string) error {
@@ -162,7 +162,7 @@
 }
 
 // tell says what a step would do.
-func (p Params) tell(s *Step, item string) {
+func (p Options) tell(s *Step, item string) {
 	if s.Each != "" {
 		fmt.Fprintf(p.Out, "   for each of %s\n", p.fill(s.Each, item))
 	}
--- a/internal/app/runbook/runbook_test.go
+++ b/internal/app/runbook/runbook_test.go
@@ -25,16 +25,16 @@
 			values[v] = "x"
 		}
 		var out bytes.Buffer
-		is.NoErr(b.Run(Params{Values: values, Dry: true, Out: &out, Command: func([]string) ([]byte, error) {
+		is.NoErr(b.Run(Options{Values: values, Dry: true, Out: &out, Command: func([]string) ([]byte, error) {
 			t.Fatal("a dry run ran a command")
 			return nil, nil
 		}}))
 		is.True(strings.Contains(out.String(), "done"))
-		is.True(len(b.Needs) == 0 || b.Run(Params{Out: &out}) != nil) // a missing value stops it
+		is.True(len(b.Needs) == 0 || b.Run(Options{Out: &out}) != nil) // a missing value stops it
 	}
 }
 
-// Broken runbooks are declined whole, with the file, the step and why.
+// Broken runbooks are rejected whole, with the file, the step and why.
 func TestBrokenBooks(t *testing.T) {
 	head := "name: x\nneeds: [cell]\nsteps:\n"
 	for raw, want := range map[string]string{
@@ -82,7 +82,7 @@
 	}
 	var out bytes.Buffer
 	n, now := 0, time.Unix(0, 0)
-	err = b.Run(Params{Values: map[string]string{"cell": "north"}, Out: &out, Now: func() time.Time { return now }, Pause: func() { now = now.Add(time.Second) },
+	err = b.Run(Options{Values: map[string]string{"cell": "north"}, Out: &out, Now: func() time.Time { return now }, Pause: func() { now = now.Add(time.Second) },
 		Hands: func(what string) bool { fmt.Fprintln(&out, "hands:", what); return true },
 		Command: func(words []string) ([]byte, error) {
 			n++
--- a/internal/base/delta/delta.go
+++ b/internal/base/delta/delta.go
@@ -80,7 +80,7 @@
 }
 
 // align looks for the nearest place of b that also stands at an anchor of a: the
-// one with the least left out and new together, as much of a policy is alike.
+// one with the least left out and new together, as much of a configuration is alike.
 func align(a, b []byte) (skip, insert int, found bool) {
 	places := make(map[uint32]int, len(a)/anchor)
 	for at := 0; at+anchor <= len(a); at += anchor {
--- a/internal/base/delta/delta_test.go
+++ b/internal/base/delta/delta_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-// items gives bytes like those of a policy: many items, then a list of results.
+// items gives bytes like those of a configuration: many items, then a list of results.
 func items(n, changed, results int) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"revision":%d,"routes":{`, 999+changed)
@@ -31,16 +31,16 @@
 
 func TestDifferenceLeadsToTheNext(t *testing.T) {
 	is := is.New(t)
-	dice := rand.New(rand.NewPCG(1, 2))
+	random := rand.New(rand.NewPCG(1, 2))
 	base := items(200, 0, 20)
 	for round := range 2000 {
 		next := slices.Clone(base)
-		for range dice.IntN(5) {
-			at := dice.IntN(len(next) + 1)
-			end := min(len(next), at+dice.IntN(200))
-			fresh := make([]byte, dice.IntN(200))
+		for range random.IntN(5) {
+			at := random.IntN(len(next) + 1)
+			end := min(len(next), at+random.IntN(200))
+			fresh := make([]byte, random.IntN(200))
 			for i := range fresh {
-				fresh[i] = "abc{},"[dice.IntN(6)]
+				fresh[i] = "abc{},"[random.IntN(6)]
 			}
 			next = slices.Replace(next, at, end, fresh...)
 		}
--- a/internal/base/event/event.go
+++ b/internal/base/event/event.go
@@ -10,7 +10,7 @@
 // Command is anything that a machine wants done.
 type Command = any
 
-// Machine is pure: clock, dice, disk and net are handed in, so the simulator
+// Machine is pure: clock, random, disk and net are handed in, so the simulator
 // runs the very code that the daemons run.
 type Machine interface {
 	Step(now ids.Time, ev Event) []Command
--- a/internal/base/ids/ids.go
+++ b/internal/base/ids/ids.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Name names something an operator made: a service, a route or a cell.
+// Name names something an operator made: a service, a route or a zone.
 type Name string
 
 // DaemonID names one process of ours; it stays the same over restarts.
@@ -20,7 +20,7 @@
 // Address is an IP number and port.
 type Address string
 
-// Mark is the consumer's own mark on an unrepeatable request.
+// Mark is the client's own mark on an unrepeatable request.
 type IdempotencyKey string
 
 // ChangeID names a change an operator sent, so that a resent one is known.
@@ -41,7 +41,7 @@
 // StreamNumber counts the pushes down one connection.
 type StreamNumber uint64
 
-// Revision counts the accepted changes of the whole policy.
+// Revision counts the accepted changes of the whole configuration.
 type Revision uint64
 
 // Epoch grows each time a duty changes hands.
--- a/internal/base/settings/config.go
+++ b/internal/base/settings/config.go
@@ -1,4 +1,4 @@
-// Package params reads what a daemon is told at its start, by flags or from a
+// Package options reads what a daemon is told at its start, by flags or from a
 // file, and checks all of it before anything runs.
 package settings
 
@@ -18,7 +18,7 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// Common are the params of every daemon.
+// Common are the options of every daemon.
 type Common struct {
 	Params   kong.ConfigFlag `help:"JSON file of params, named like the flags; flags win." placeholder:"FILE" name:"params"`
 	Name     string          `help:"This daemon's name, the same over restarts." required:"" placeholder:"NAME" name:"name"`
@@ -91,7 +91,7 @@
 	return out
 }
 
-// Read reads the params of a program, or ends it with one line and exit 2.
+// Read reads the options of a program, or ends it with one line and exit 2.
 func Read(name, about string, into any) {
 	k, err := kong.New(into, kong.Name(name), kong.Description(about), kong.Configuration(file))
 	if err != nil {
@@ -104,7 +104,7 @@
 	}
 }
 
-// file reads a params file; a key that is no flag is an error, not silence.
+// file reads a options file; a key that is no flag is an error, not silence.
 func file(r io.Reader) (kong.Resolver, error) {
 	raw, err := io.ReadAll(r)
 	if err != nil {
--- a/internal/base/settings/config_test.go
+++ b/internal/base/settings/config_test.go
@@ -22,7 +22,7 @@
 var good = []string{"--name", "c1", "--address", "10.0.0.1:1", "--http", "10.0.0.1:2", "--cell", "north", "--seeds", "10.0.0.1:3,10.0.0.2:3,10.0.0.3:3"}
 
 // Each bad param is named, and a key of the file that is none too.
-func TestBadParamsAreNamed(t *testing.T) {
+func TestBadOptionsAreNamed(t *testing.T) {
 	is := is.New(t)
 	is.NoErr(parse(t, good...))
 	for flag, bad := range map[string]string{"name": "C 1", "address": "host:1", "http": "10.0.0.1", "cell": "", "seeds": "10.0.0.1:3", "log": "loud"} {
--- a/internal/controlplane/directory/directory.go
+++ b/internal/controlplane/directory/directory.go
@@ -1,4 +1,4 @@
-// Package signpost answers "where do I go": addresses of proxies in the cell
+// Package signpost answers "where do I go": addresses of proxies in the zone
 // that a fresh ask is drawn to, and for how long to trust them.
 package directory
 
@@ -18,52 +18,52 @@
 	Proxies []membership.Member
 	Emptied map[ids.Name]bool
 	Moves   []spill.Move
-	// Demand is what a cell's fresh connections used when it was last well.
-	Demand   func(cell ids.Name) float64
+	// Demand is what a zone's fresh connections used when it was last well.
+	Demand   func(zone ids.Name) float64
 	Distance func(a, b ids.Name) float64
-	Room     func(cell ids.Name) float64
+	Room     func(zone ids.Name) float64
 }
 
 // Way is an answer.
 type Destination struct {
-	Cell    ids.Name
+	Zone    ids.Name
 	Proxies []ids.Address
-	// Moved tells that a plan drew the ask away from its own cell.
+	// Moved tells that a plan drew the ask away from its own zone.
 	Moved bool
 }
 
-// most is how many addresses one answer holds, all of the same cell.
+// most is how many addresses one answer holds, all of the same zone.
 const most = 3
 
 // Point draws the way for one fresh ask. Only fresh asks are drawn: a live
 // connection never hears of it.
-func (s Snapshot) Point(cell, route ids.Name, dice *rand.Rand) (Destination, bool) {
+func (s Snapshot) Point(zone, route ids.Name, random *rand.Rand) (Destination, bool) {
 	open := s.open()
-	if _, ok := open[cell]; ok {
-		draw := dice.Float64()
+	if _, ok := open[zone]; ok {
+		draw := random.Float64()
 		for _, m := range s.Moves {
-			if m.From != cell || m.Route != route {
+			if m.From != zone || m.Route != route {
 				continue
 			}
 			if draw -= m.Fraction; draw < 0 {
 				// A destination that is gone or emptied is left out at once,
 				// without waiting for the next plan.
 				if _, ok := open[m.To]; ok {
-					return s.way(open, m.To, true, dice), true
+					return s.way(open, m.To, true, random), true
 				}
 				break
 			}
 		}
-		return s.way(open, cell, false, dice), true
+		return s.way(open, zone, false, random), true
 	}
-	to, ok := s.failover(open, cell, dice)
+	to, ok := s.failover(open, zone, random)
 	if !ok {
 		return Destination{}, false
 	}
-	return s.way(open, to, false, dice), true
+	return s.way(open, to, false, random), true
 }
 
-// open gives the proxies of every cell that takes new work.
+// open gives the proxies of every zone that takes new work.
 func (s Snapshot) open() map[ids.Name][]membership.Member {
 	out := map[ids.Name][]membership.Member{}
 	for _, c := range s.Proxies {
@@ -74,9 +74,9 @@
 	return out
 }
 
-// failover shares a lost or emptied cell's asks by room, nearest first: each
+// failover shares a lost or emptied zone's asks by room, nearest first: each
 // neighbour is drawn in proportion to what it would be filled with.
-func (s Snapshot) failover(open map[ids.Name][]membership.Member, from ids.Name, dice *rand.Rand) (ids.Name, bool) {
+func (s Snapshot) failover(open map[ids.Name][]membership.Member, from ids.Name, random *rand.Rand) (ids.Name, bool) {
 	var near []ids.Name
 	for n := range open {
 		near = append(near, n)
@@ -103,7 +103,7 @@
 	if sum <= 0 {
 		return near[0], true
 	}
-	draw := dice.Float64() * sum
+	draw := random.Float64() * sum
 	for i, n := range near {
 		if draw -= share[i]; draw < 0 {
 			return n, true
@@ -112,15 +112,15 @@
 	return near[0], true
 }
 
-// spills tells whether a cell's own connections are sent away.
-func (s Snapshot) spills(cell ids.Name) bool {
-	return slices.ContainsFunc(s.Moves, func(m spill.Move) bool { return m.From == cell })
+// spills tells whether a zone's own connections are sent away.
+func (s Snapshot) spills(zone ids.Name) bool {
+	return slices.ContainsFunc(s.Moves, func(m spill.Move) bool { return m.From == zone })
 }
 
-func (s Snapshot) way(open map[ids.Name][]membership.Member, cell ids.Name, moved bool, dice *rand.Rand) Destination {
-	w := Destination{Cell: cell, Moved: moved}
-	list := slices.Clone(open[cell])
-	dice.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
+func (s Snapshot) way(open map[ids.Name][]membership.Member, zone ids.Name, moved bool, random *rand.Rand) Destination {
+	w := Destination{Zone: zone, Moved: moved}
+	list := slices.Clone(open[zone])
+	random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	for _, c := range list[:min(most, len(list))] {
 		w.Proxies = append(w.Proxies, c.ClientAddress())
 	}
--- a/internal/controlplane/directory/directory_test.go
+++ b/internal/controlplane/directory/directory_test.go
@@ -24,13 +24,13 @@
 	return s
 }
 
-// drawn counts the cells that many asks are sent to.
-func drawn(s Snapshot, cell, route ids.Name) map[ids.Name]float64 {
-	dice := rand.New(rand.NewPCG(1, 2))
+// drawn counts the zones that many asks are sent to.
+func drawn(s Snapshot, zone, route ids.Name) map[ids.Name]float64 {
+	random := rand.New(rand.NewPCG(1, 2))
 	out := map[ids.Name]float64{}
 	for range 10000 {
-		if w, ok := s.Point(cell, route, dice); ok {
-			out[w.Cell] += 0.0001
+		if w, ok := s.Point(zone, route, random); ok {
+			out[w.Zone] += 0.0001
 		}
 	}
 	return out
@@ -45,14 +45,14 @@
 	got := drawn(s, "a", "r")
 	is.True(near(got["a"], 0.7) && near(got["b"], 0.2) && near(got["c"], 0.1))
 	is.True(near(drawn(s, "a", "other")["a"], 1)) // another route stays
-	is.True(near(drawn(s, "b", "r")["b"], 1))     // and so does another cell
+	is.True(near(drawn(s, "b", "r")["b"], 1))     // and so does another zone
 	// A destination that is emptied is left out at once, before the next plan.
 	s.Emptied["b"] = true
 	got = drawn(s, "a", "r")
 	is.True(near(got["a"], 0.9) && got["b"] == 0)
 }
 
-// A lost cell's asks fill its neighbours by their room, the nearest first.
+// A lost zone's asks fill its neighbours by their room, the nearest first.
 func TestFailoverIsSharedByRoom(t *testing.T) {
 	is := is.New(t)
 	s := sight()
--- a/internal/controlplane/distribution/account.go
+++ b/internal/controlplane/distribution/account.go
@@ -13,7 +13,7 @@
 	revision ids.Revision
 	// until is when it is sent again, if nothing has come back.
 	until ids.Time
-	// number is the push that a policy was in.
+	// number is the push that a configuration was in.
 	number ids.StreamNumber
 }
 
--- a/internal/controlplane/distribution/deliver.go
+++ b/internal/controlplane/distribution/deliver.go
@@ -21,16 +21,16 @@
 		return
 	}
 	p := Push{Number: a.number + 1, RunID: r.start, Revision: load.Revision, EchoedTime: a.echo, ProxyRunID: a.start, Age: uint32(min(load.Age/time.Millisecond, 1<<30))}
-	if a.revision < load.Revision && a.due(now, a.policy, a.policy.revision == load.Revision) {
-		p.Policy = load.Policy(a.revision)
-		a.policy = flight{revision: load.Revision, until: now.Add(a.patience), number: p.Number}
+	if a.revision < load.Revision && a.due(now, a.configuration, a.configuration.revision == load.Revision) {
+		p.Configuration = load.Configuration(a.revision)
+		a.configuration = flight{revision: load.Revision, until: now.Add(a.patience), number: p.Number}
 	}
 	var in []stamp
 	if old || owed {
 		p.Targets, in = r.lacking(now, c, a, load.Targets())
 	}
 	a.seen, a.again = load.Version, false
-	if r.Quiet && !word && len(in) == 0 && len(p.Policy) == 0 {
+	if r.Quiet && !word && len(in) == 0 && len(p.Configuration) == 0 {
 		return
 	}
 	a.number++
@@ -92,7 +92,7 @@
 		}
 		delete(a.open, n)
 	}
-	if a.policy.number != 0 && a.policy.number < m.Number && m.Revision < a.policy.revision {
-		a.policy, a.again = flight{}, true
+	if a.configuration.number != 0 && a.configuration.number < m.Number && m.Revision < a.configuration.revision {
+		a.configuration, a.again = flight{}, true
 	}
 }
--- a/internal/controlplane/distribution/distribution.go
+++ b/internal/controlplane/distribution/distribution.go
@@ -13,16 +13,16 @@
 )
 
 // Push is one delivery. Its parts merge item by item, so a lost one costs a
-// resending and no more; Revision is told even where the policy isn't sent.
+// resending and no more; Revision is told even where the configuration isn't sent.
 type Push struct {
-	Number   ids.StreamNumber
-	Epoch    ids.Epoch
-	RunID    ids.RunID
-	Revision ids.Revision
-	Policy   []byte
-	Targets  []targets.Target
+	Number        ids.StreamNumber
+	Epoch         ids.Epoch
+	RunID         ids.RunID
+	Revision      ids.Revision
+	Configuration []byte
+	Targets       []targets.Target
 	// Age is how long ago, in milliseconds, the registry began the last read
-	// in which a majority told it the policy.
+	// in which a majority told it the configuration.
 	Age uint32
 	// EchoedTime is the proxy's own time, as its last acknowledgement gave it.
 	// Whatever waited on the way, this push was sent after that.
@@ -80,9 +80,9 @@
 	// flying is what was sent and may still be acknowledged: on a thin or long
 	// link, sending all of it again with each push would choke it. patience is how
 	// long that takes; it grows while nothing comes back.
-	flying   map[ids.InstanceID]flight
-	policy   flight
-	patience time.Duration
+	flying        map[ids.InstanceID]flight
+	configuration flight
+	patience      time.Duration
 	// held: something that it lacks isn't in flight.
 	held bool
 	// again: something was lost, and is to be sent again at once.
@@ -126,8 +126,8 @@
 // Consignment is what there is to deliver.
 type Content struct {
 	Revision ids.Revision
-	// Policy gives what leads to the revision from an earlier one.
-	Policy func(from ids.Revision) []byte
+	// Configuration gives what leads to the revision from an earlier one.
+	Configuration func(from ids.Revision) []byte
 	// Targets gives all targets.
 	Targets func() []targets.Target
 	Version uint64
--- a/internal/controlplane/distribution/distribution_test.go
+++ b/internal/controlplane/distribution/distribution_test.go
@@ -20,7 +20,7 @@
 	r := New(7, &out)
 	c := []membership.Member{{ID: "c1", Address: "c1", RunID: 1}}
 	announced := []targets.Target{{Instance: "a", Sequence: 1}}
-	load := Content{Revision: 3, Policy: func(ids.Revision) []byte { return []byte("p3") }, Version: 1, Targets: func() []targets.Target { return announced }}
+	load := Content{Revision: 3, Configuration: func(ids.Revision) []byte { return []byte("p3") }, Version: 1, Targets: func() []targets.Target { return announced }}
 	push := func(ms int) []Push {
 		r.Distribute(at(ms), c, load)
 		var list []Push
@@ -31,7 +31,7 @@
 	}
 	first := push(0)
 	is.Equal(len(first), 1)
-	is.Equal(string(first[0].Policy), "p3")
+	is.Equal(string(first[0].Configuration), "p3")
 	is.Equal(len(first[0].Targets), 1)
 	is.Equal(len(push(50)), 0) // nothing new, and no answer overdue
 	again := push(200)         // lost: all of it once more, under a new number
@@ -47,7 +47,7 @@
 	next := push(230)
 	is.Equal(len(next), 1)
 	is.Equal(len(next[0].Targets), 1)
-	is.Equal(len(next[0].Policy), 0)
+	is.Equal(len(next[0].Configuration), 0)
 	is.Equal(next[0].EchoedTime, ids.Time(55))
 	// Word now and then, though nothing changes.
 	r.HandleAck(at(240), Ack{Proxy: "c1", RunID: 1, Number: next[0].Number, Revision: 3, Now: 60})
@@ -58,7 +58,7 @@
 	r.HandleAck(at(550), Ack{Proxy: "c1", RunID: 1, Number: 99, Revision: 9})
 	snap := push(560)
 	is.Equal(len(snap[0].Targets), 2)
-	is.Equal(string(snap[0].Policy), "p3")
+	is.Equal(string(snap[0].Configuration), "p3")
 	is.Equal(snap[0].EchoedTime, ids.Time(0))
 	is.Equal(snap[0].ProxyRunID, ids.RunID(2))
 }
--- a/internal/controlplane/distribution/fulllink_test.go
+++ b/internal/controlplane/distribution/fulllink_test.go
@@ -16,13 +16,13 @@
 // link carries pushes to one proxy, in order, and its acknowledgements back.
 type link struct {
 	*Distributor
-	out      *event.Outbox
-	proxy    membership.Member
-	delay    time.Duration
-	lost     func(now ids.Time) bool
-	way      []arrival
-	carried  int
-	policies int
+	out            *event.Outbox
+	proxy          membership.Member
+	delay          time.Duration
+	lost           func(now ids.Time) bool
+	way            []arrival
+	carried        int
+	configurations int
 	// has is what the proxy goes by, and since when.
 	has map[ids.InstanceID]ids.Time
 }
@@ -47,7 +47,7 @@
 	for _, c := range l.out.Drain() {
 		p := c.(event.Send).Msg.(Push)
 		l.carried += len(p.Targets)
-		l.policies += len(p.Policy)
+		l.configurations += len(p.Configuration)
 		if !l.lost(now) {
 			l.way = append(l.way, arrival{now.Add(l.delay), p})
 		}
@@ -83,12 +83,12 @@
 		// One more target is news in each second.
 		n := all + ms/1000
 		list := news(n)
-		l.step(at(ms), Content{Revision: 1, Policy: func(ids.Revision) []byte { return []byte("p") }, Version: uint64(n), Targets: func() []targets.Target { return list }})
+		l.step(at(ms), Content{Revision: 1, Configuration: func(ids.Revision) []byte { return []byte("p") }, Version: uint64(n), Targets: func() []targets.Target { return list }})
 	}
-	t.Logf("%d targets were sent %d times in all, the policy %d times", all+19, l.carried, l.policies)
+	t.Logf("%d targets were sent %d times in all, the policy %d times", all+19, l.carried, l.configurations)
 	is.True(len(l.has) >= all+17)
 	is.True(l.carried < 3*all/2)
-	is.True(l.policies <= 3)
+	is.True(l.configurations <= 3)
 }
 
 // What a broken connection took with it goes again as soon as anything sent later is
--- a/internal/controlplane/distribution/lacking_test.go
+++ b/internal/controlplane/distribution/lacking_test.go
@@ -21,33 +21,33 @@
 	r.ResendAfter = 400 * time.Millisecond
 	c := []membership.Member{{ID: "c1", Address: "c1", RunID: 1}}
 	announced := []targets.Target{{Instance: "a", Sequence: 1}}
-	load := Content{Revision: 1, Policy: func(ids.Revision) []byte { return []byte("p") }, Version: 1, Targets: func() []targets.Target { return announced }}
-	sent := func(ms int) (names []ids.InstanceID, policies int) {
+	load := Content{Revision: 1, Configuration: func(ids.Revision) []byte { return []byte("p") }, Version: 1, Targets: func() []targets.Target { return announced }}
+	sent := func(ms int) (names []ids.InstanceID, configurations int) {
 		r.Distribute(at(ms), c, load)
 		for _, x := range out.Drain() {
 			p := x.(event.Send).Msg.(Push)
-			policies += len(p.Policy)
+			configurations += len(p.Configuration)
 			for _, t := range p.Targets {
 				names = append(names, t.Instance)
 			}
 		}
-		return names, policies
+		return names, configurations
 	}
-	names, policies := sent(0)
+	names, configurations := sent(0)
 	is.Equal(names, []ids.InstanceID{"a"})
-	is.Equal(policies, 1)
+	is.Equal(configurations, 1)
 	// News each moment: each of it goes once.
 	for i, n := range []ids.InstanceID{"b", "c", "d"} {
 		announced = append(announced, targets.Target{Instance: n, Sequence: 1})
 		load.Version++
-		names, policies = sent(50 * (i + 1))
+		names, configurations = sent(50 * (i + 1))
 		is.Equal(names, []ids.InstanceID{n})
-		is.Equal(policies, 0)
+		is.Equal(configurations, 0)
 	}
 	// Nothing came back: all of it again, and again, ever more slowly.
-	names, policies = sent(1000)
+	names, configurations = sent(1000)
 	is.Equal(len(names), 4)
-	is.Equal(policies, 1)
+	is.Equal(configurations, 1)
 	names, _ = sent(1100)
 	is.Equal(len(names), 0)
 	names, _ = sent(3000)
--- a/internal/controlplane/membership/detector_test.go
+++ b/internal/controlplane/membership/detector_test.go
@@ -44,7 +44,7 @@
 			n.starved = 700 * time.Millisecond
 		}
 		if i%2 == 0 {
-			n.delay = f.sawtooth(700*time.Millisecond, 5*time.Second, f.dice.Float64())
+			n.delay = f.sawtooth(700*time.Millisecond, 5*time.Second, f.random.Float64())
 		}
 	}
 }
@@ -151,7 +151,7 @@
 	const kills = 20
 	for i := range kills {
 		n := f.nodes[10+i*4]
-		f.pass(time.Duration(f.dice.Int64N(int64(400 * time.Millisecond))))
+		f.pass(time.Duration(f.random.Int64N(int64(400 * time.Millisecond))))
 		n.down = true
 		from := f.now
 		for !f.buried(n.list.Self.ID) && f.now.Sub(from) < 10*time.Second {
--- a/internal/controlplane/membership/fleet_test.go
+++ b/internal/controlplane/membership/fleet_test.go
@@ -14,11 +14,11 @@
 // fleet is a hundred members in nine zones, each with a clock and a link of its
 // own, in virtual time.
 type fleet struct {
-	now   ids.Time
-	dice  *rand.Rand
-	queue []delivery
-	nodes []*node
-	at    map[ids.Address]*node
+	now    ids.Time
+	random *rand.Rand
+	queue  []delivery
+	nodes  []*node
+	at     map[ids.Address]*node
 	// cut, if set, tells which messages can't pass.
 	cut func(from, to ids.Address) bool
 	// loss is the share of messages that never arrive.
@@ -43,7 +43,7 @@
 	starved time.Duration
 	// delay is how long messages wait for its link, on top of the distance.
 	delay func() time.Duration
-	inbox []delivery
+	queue []delivery
 }
 
 const (
@@ -52,7 +52,7 @@
 )
 
 func newFleet(seed uint64, proxies int) *fleet {
-	f := &fleet{now: 1, dice: rand.New(rand.NewPCG(seed, 7)), at: map[ids.Address]*node{}, verdicts: map[string]int{}}
+	f := &fleet{now: 1, random: rand.New(rand.NewPCG(seed, 7)), at: map[ids.Address]*node{}, verdicts: map[string]int{}}
 	for _, kind := range []struct {
 		role Role
 		n    int
@@ -66,7 +66,7 @@
 
 func (f *fleet) add(role Role, i int) {
 	at := ids.Address(fmt.Sprintf("machine-%d-%s", i, role))
-	n := &node{out: &event.Outbox{}, delay: func() time.Duration { return 0 }, next: ids.Time(f.dice.Int64N(int64(fleetTick))) + 1}
+	n := &node{out: &event.Outbox{}, delay: func() time.Duration { return 0 }, next: ids.Time(f.random.Int64N(int64(fleetTick))) + 1}
 	self := Member{ID: ids.DaemonID(at), Role: role, Address: at, Zone: ids.Name(fmt.Sprintf("z%d", i%fleetZones)), RunID: 1, Incarnation: 1, Ready: true}
 	n.list = New(Options{Self: self, Seeds: []ids.Address{"machine-0-registry", "machine-1-registry", "machine-2-registry"}, Incremental: true}, n.out)
 	f.nodes = append(f.nodes, n)
@@ -81,7 +81,7 @@
 			x := f.queue[0]
 			f.queue = f.queue[1:]
 			if n := f.at[x.to]; !n.down {
-				n.inbox = append(n.inbox, x)
+				n.queue = append(n.queue, x)
 			}
 		}
 		for _, n := range f.nodes {
@@ -95,14 +95,14 @@
 	if n.down || n.starved > 0 && f.now < n.next {
 		return
 	}
-	for _, x := range n.inbox {
+	for _, x := range n.queue {
 		n.list.Receive(f.now, x.from, x.msg)
 	}
-	n.inbox = nil
+	n.queue = nil
 	if f.now >= n.next {
 		n.next = f.now.Add(fleetTick)
 		if n.starved > 0 {
-			n.next = f.now.Add(time.Duration(f.dice.Int64N(int64(n.starved))))
+			n.next = f.now.Add(time.Duration(f.random.Int64N(int64(n.starved))))
 		}
 		n.list.Tick(f.now)
 		f.relay(n)
@@ -133,10 +133,10 @@
 			}
 		case event.Send:
 			to := f.at[c.To]
-			if to == nil || f.dice.Float64() < f.loss || f.cut != nil && f.cut(n.list.Self.Address, c.To) {
+			if to == nil || f.random.Float64() < f.loss || f.cut != nil && f.cut(n.list.Self.Address, c.To) {
 				continue
 			}
-			wait := time.Millisecond + time.Duration(f.dice.Int64N(int64(30*time.Millisecond))) + n.delay() + to.delay()
+			wait := time.Millisecond + time.Duration(f.random.Int64N(int64(30*time.Millisecond))) + n.delay() + to.delay()
 			f.queue = append(f.queue, delivery{f.now.Add(wait), n.list.Self.Address, c.To, c.Msg})
 		}
 	}
--- a/internal/controlplane/membership/list.go
+++ b/internal/controlplane/membership/list.go
@@ -61,7 +61,7 @@
 
 // Announce changes what this daemon says of itself.
 func (r *List) Announce(ready bool, holds ids.Revision) {
-	// Which policy a daemon holds is known from acknowledgements; told of each
+	// Which configuration a daemon holds is known from acknowledgements; told of each
 	// change by everybody, it would cost the square of the fleet.
 	if r.Self.Ready == ready && (r.Self.Revision == holds || r.Incremental) {
 		r.Self.Revision = holds
--- a/internal/controlplane/membership/member.go
+++ b/internal/controlplane/membership/member.go
@@ -39,15 +39,15 @@
 	Sequence    ids.Sequence
 	Gone        bool
 	Ready       bool
-	// Revision is the newest policy the daemon has, so a founder finds the best.
+	// Revision is the newest configuration the daemon has, so a founder finds the best.
 	Revision ids.Revision
 	// Store is the store id of a store; zero for the others.
 	Store uint64
-	// ClientListen is where a proxy takes consumers, if not at HTTP.
+	// ClientListen is where a proxy takes clients, if not at HTTP.
 	ClientListen ids.Address
 }
 
-// ClientAddress is where a proxy takes consumers.
+// ClientAddress is where a proxy takes clients.
 func (m Member) ClientAddress() ids.Address { return cmp.Or(m.ClientListen, m.HTTP) }
 
 // newer tells whether m replaces n. A suspicion beats its own incarnation's
@@ -99,7 +99,7 @@
 var _ = wire.Register(10, Heartbeat{}) && wire.Register(11, Snapshot{}) && wire.Register(12, Suspect{}) &&
 	wire.Register(13, Digest{}) && wire.Register(14, Delta{})
 
-// Params are the options of a roll; zero ones take the defaults.
+// Options are the options of a roll; zero ones take the defaults.
 type Options struct {
 	Self           Member
 	Seeds          []ids.Address
--- a/internal/controlplane/registry/calls.go
+++ b/internal/controlplane/registry/calls.go
@@ -20,7 +20,7 @@
 		ID  uint64
 		Raw []byte
 	}
-	// ReadConfigurationCall asks for the policy; Local for this registry's own copy.
+	// ReadConfigurationCall asks for the configuration; Local for this registry's own copy.
 	ReadConfigurationCall struct {
 		ID    uint64
 		Local bool
@@ -34,7 +34,7 @@
 	// routes of a host, known or not.
 	ResolveCall struct {
 		ID    uint64
-		Cell  ids.Name
+		Zone  ids.Name
 		Route ids.Name
 		Host  string
 	}
@@ -77,7 +77,7 @@
 
 func (f *Registry) call(now ids.Time, ev any) {
 	if id, ok := callID(ev); ok && f.stopping {
-		f.declines(id)
+		f.rejects(id)
 		return
 	}
 	switch c := ev.(type) {
@@ -85,12 +85,12 @@
 		f.change(now, c)
 	case MergeCall:
 		f.merge(now, c)
-	case CellOrderCall:
-		f.orderCell(now, c)
+	case ZoneOrderCall:
+		f.orderZone(now, c)
 	case DeregisterCall:
 		f.gone(now, c)
 	case ReadConfigurationCall:
-		f.policyCall(now, c)
+		f.configurationCall(now, c)
 	case ResolveCall:
 		f.where(now, c)
 	case HeartbeatCall:
@@ -108,12 +108,12 @@
 	f.Emit(Response{ID: id, Status: 503, Body: ErrorResponse{"no majority of stores can be reached"}, RetryAfter: 1})
 }
 
-func (f *Registry) policyCall(now ids.Time, c ReadConfigurationCall) {
+func (f *Registry) configurationCall(now ids.Time, c ReadConfigurationCall) {
 	switch {
 	case !c.Local:
 		f.underLease(now, c.ID, func(now ids.Time) { f.beginRead(now, c) })
 	case f.leased(now):
-		f.Emit(Response{ID: c.ID, Status: 200, Body: f.policy})
+		f.Emit(Response{ID: c.ID, Status: 200, Body: f.configuration})
 	default:
 		f.unavailable(c.ID)
 	}
@@ -129,16 +129,16 @@
 		}
 		f.agreed = max(f.agreed, now)
 		f.adopt(out)
-		p.Recent, p.Declined, p.History = nil, nil, nil
+		p.Recent, p.Rejected, p.History = nil, nil, nil
 		f.Emit(Response{ID: c.ID, Status: 200, Body: p})
 	}))
 }
 
-// sightFor is how long a sight is used again: drawing up every cell for each
+// sightFor is how long a sight is used again: drawing up every zone for each
 // ask would cost more than the answer.
 const snapshotFor = 50 * time.Millisecond
 
-// sight is what the directory answers from. A change of policy or of the roll
+// sight is what the directory answers from. A change of configuration or of the roll
 // makes it anew at once.
 func (f *Registry) snapshot(now ids.Time) directory.Snapshot {
 	k := snapshotKey{f.view.Revision, f.Version(), f.table.Epoch, f.table.Number}
@@ -156,21 +156,21 @@
 }
 
 func (f *Registry) look(now ids.Time) directory.Snapshot {
-	// Few asks need the room, and drawing every cell up costs more than they do.
-	var cells map[ids.Name]spill.Cell
+	// Few asks need the room, and drawing every zone up costs more than they do.
+	var zones map[ids.Name]spill.Zone
 	s := directory.Snapshot{Proxies: f.ready(now), Emptied: map[ids.Name]bool{},
 		Distance: f.view.Distance, Demand: f.Reports.Demand,
 		Room: func(n ids.Name) float64 {
-			if cells == nil {
-				cells = f.cells(now)
+			if zones == nil {
+				zones = f.zones(now)
 			}
-			c := cells[n]
+			c := zones[n]
 			if c.Stale {
 				return 0
 			}
 			return c.Target - c.Used()
 		}}
-	for n, c := range f.view.Cells {
+	for n, c := range f.view.Zones {
 		s.Emptied[n] = c.Drained
 	}
 	if !f.stale(now) {
@@ -182,7 +182,7 @@
 // stale tells whether the table has outlived its lifetime in a registry that
 // has lost its majority; with a majority and no planner the last one holds.
 func (f *Registry) stale(now ids.Time) bool {
-	return now.Sub(f.agreed) > 5*time.Second && now.Sub(f.tableAt) > 3*f.params.PlanEvery
+	return now.Sub(f.agreed) > 5*time.Second && now.Sub(f.tableAt) > 3*f.options.PlanEvery
 }
 
 // Moves gives the table in force here, for tests and status.
--- a/internal/controlplane/registry/cellorder.go
+++ b/internal/controlplane/registry/cellorder.go
@@ -8,10 +8,10 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// CellOrderCall asks for a cell to be shut or opened, in an order without an id.
-type CellOrderCall struct {
+// ZoneOrderCall asks for a zone to be shut or opened, in an order without an id.
+type ZoneOrderCall struct {
 	ID       uint64
-	Cell     ids.Name
+	Zone     ids.Name
 	Region   ids.Name
 	Evacuate bool
 }
@@ -20,20 +20,20 @@
 // has sent it again by then, and may have ordered otherwise since.
 const oldestOrder = time.Second
 
-// orderCell has an order agreed on, if no other change of the cell came between
+// orderZone has an order agreed on, if no other change of the zone came between
 // what is known here now and the order's effect.
-func (f *Registry) orderCell(now ids.Time, c CellOrderCall) {
+func (f *Registry) orderZone(now ids.Time, c ZoneOrderCall) {
 	if f.mayHaveSlept(now) {
 		f.orderOvertaken(c.ID)
 		return
 	}
-	order := configuration.CellOrder{Cell: c.Cell, Region: c.Region, Evacuate: c.Evacuate, Known: f.policy.CellVersion(c.Cell)}
+	order := configuration.ZoneOrder{Zone: c.Zone, Region: c.Region, Evacuate: c.Evacuate, Known: f.configuration.ZoneVersion(c.Zone)}
 	raw, err := json.Marshal(order)
 	if err != nil {
 		f.Emit(Response{ID: c.ID, Status: 400, Body: ErrorResponse{err.Error()}})
 		return
 	}
-	f.agree(now, c.ID, configuration.OpOrderCell, raw, func(now ids.Time, r configuration.Result) {
+	f.agree(now, c.ID, configuration.OpOrderZone, raw, func(now ids.Time, r configuration.Result) {
 		if len(r.Stale) == 0 {
 			f.answerResult(c.ID)(now, r)
 			return
@@ -55,9 +55,9 @@
 	return f.last != 0 && now.Sub(f.last) > oldestOrder || f.woke != 0 && now.Sub(f.woke) < oldestOrder
 }
 
-// catchUp reads the policy without waiting for the next poll.
+// catchUp reads the configuration without waiting for the next poll.
 func (f *Registry) catchUp(now ids.Time) {
 	if !f.reading {
-		f.readPolicy(now)
+		f.readConfiguration(now)
 	}
 }
--- a/internal/controlplane/registry/cellorder_test.go
+++ b/internal/controlplane/registry/cellorder_test.go
@@ -12,12 +12,12 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// orderedCell hands a registry an order, and gives what it sends to the stores.
-func (b *bench) orderedCell(id uint64) (order configuration.CellOrder, asked bool) {
-	for _, c := range b.Step(b.now, CellOrderCall{ID: id, Cell: "a", Region: "south", Evacuate: true}) {
+// orderedZone hands a registry an order, and gives what it sends to the stores.
+func (b *bench) orderedZone(id uint64) (order configuration.ZoneOrder, asked bool) {
+	for _, c := range b.Step(b.now, ZoneOrderCall{ID: id, Zone: "a", Region: "south", Evacuate: true}) {
 		switch c := c.(type) {
 		case event.Send:
-			if m, ok := c.Msg.(consensus.Request); ok && m.Op == configuration.OpOrderCell {
+			if m, ok := c.Msg.(consensus.Request); ok && m.Op == configuration.OpOrderZone {
 				asked = json.Unmarshal(m.Arg, &order) == nil
 				b.hear(consensus.Response{ID: m.ID, Outcome: consensus.Succeeded, Attempt: m.Attempt, Result: []byte(`{"stale":[{"kind":"cell","name":"a","version":3,"asked":2}]}`)})
 			}
@@ -35,12 +35,12 @@
 	b := newBench(true)
 	b.run(time.Second, nil)
 	p, _ := configuration.Decode(nil)
-	p, r := p.OrderCell(configuration.CellOrder{Cell: "a", Region: "south", Evacuate: false})
+	p, r := p.OrderZone(configuration.ZoneOrder{Zone: "a", Region: "south", Evacuate: false})
 	is.True(r.Accepted())
 	b.adopt(p.Encode(true))
-	order, asked := b.orderedCell(7)
+	order, asked := b.orderedZone(7)
 	is.True(asked)
-	is.Equal(order, configuration.CellOrder{Cell: "a", Region: "south", Evacuate: true, Known: 1})
+	is.Equal(order, configuration.ZoneOrder{Zone: "a", Region: "south", Evacuate: true, Known: 1})
 	is.Equal(b.status[7], 503)
 }
 
@@ -51,14 +51,14 @@
 	b := newBench(true)
 	b.run(time.Second, nil)
 	b.now = b.now.Add(5 * time.Second)
-	_, asked := b.orderedCell(7) // before the first tick
+	_, asked := b.orderedZone(7) // before the first tick
 	is.True(!asked)
 	is.Equal(b.status[7], 503)
 	b.run(2*tickEvery, nil)
-	_, asked = b.orderedCell(8) // and just after it
+	_, asked = b.orderedZone(8) // and just after it
 	is.True(!asked)
 	is.Equal(b.status[8], 503)
 	b.run(2*time.Second, nil)
-	_, asked = b.orderedCell(9)
+	_, asked = b.orderedZone(9)
 	is.True(asked)
 }
--- a/internal/controlplane/registry/changes.go
+++ b/internal/controlplane/registry/changes.go
@@ -30,7 +30,7 @@
 	f.agree(now, c.ID, configuration.OpMerge, raw, f.answerResult(c.ID))
 }
 
-// agree has a change of the policy agreed on under the control lease. Its caller
+// agree has a change of the configuration agreed on under the control lease. Its caller
 // is answered here, unless there is a result: settle answers that.
 func (f *Registry) agree(now ids.Time, id uint64, op consensus.Op, raw []byte, settle settleFunc) {
 	f.underLease(now, id, func(now ids.Time) { f.beginChange(now, id, op, raw, settle) })
@@ -43,7 +43,7 @@
 	f.await(now, len(raw), f.Client.Call(now, configuration.Key, op, raw, CallWait(len(raw)), func(now ids.Time, s consensus.Outcome, out []byte) {
 		var r configuration.Result
 		switch {
-		case s == consensus.Declined:
+		case s == consensus.Rejected:
 			f.unavailable(id)
 		case s != consensus.Succeeded || json.Unmarshal(out, &r) != nil:
 			f.Emit(Response{ID: id, Status: 504, Body: ErrorResponse{"uncertain: the change may have been accepted; send it again under the same id"}, RetryAfter: 1})
--- a/internal/controlplane/registry/deliver.go
+++ b/internal/controlplane/registry/deliver.go
@@ -16,13 +16,13 @@
 // deliver pushes what proxies lack.
 func (f *Registry) deliver(now ids.Time) {
 	f.delivered = now
-	f.Distributor.Distribute(now, f.served(now), distribution.Content{Revision: f.view.Revision, Policy: f.difference,
+	f.Distributor.Distribute(now, f.served(now), distribution.Content{Revision: f.view.Revision, Configuration: f.difference,
 		Targets: func() []targets.Target { return f.forProxies(now) }, Version: f.targetsVersion()<<20 + uint64(f.view.Revision), Age: f.age(now)})
 }
 
 // forProxies gives the targets as proxies are told of them.
 func (f *Registry) forProxies(now ids.Time) []targets.Target {
-	if f.params.Incremental {
+	if f.options.Incremental {
 		return f.Targets.Public(now)
 	}
 	return f.Targets.All(now)
@@ -30,17 +30,17 @@
 
 // targetsVersion grows with each change of them.
 func (f *Registry) targetsVersion() uint64 {
-	if f.params.Incremental {
+	if f.options.Incremental {
 		return f.Targets.PublicVersion()
 	}
 	return f.Targets.Version()
 }
 
-// difference gives what leads to the policy in force from an earlier revision.
+// difference gives what leads to the configuration in force from an earlier revision.
 func (f *Registry) difference(from ids.Revision) []byte {
-	if from == 0 || !f.params.Incremental {
-		if f.raw == nil && f.policy.Revision > 0 {
-			f.raw = f.policy.Encode(false)
+	if from == 0 || !f.options.Incremental {
+		if f.raw == nil && f.configuration.Revision > 0 {
+			f.raw = f.configuration.Encode(false)
 		}
 		return f.raw
 	}
@@ -48,7 +48,7 @@
 		f.deltas = map[ids.Revision][]byte{}
 	}
 	if f.deltas[from] == nil {
-		f.deltas[from] = f.policy.ChangesSince(from)
+		f.deltas[from] = f.configuration.ChangesSince(from)
 	}
 	return f.deltas[from]
 }
@@ -73,7 +73,7 @@
 	}
 	// What is new or warm again can wait for the others of its moment: told one
 	// by one, four hundred targets would be so many pushes to every proxy.
-	urgent := !f.params.Incremental
+	urgent := !f.options.Incremental
 	for _, t := range changed {
 		urgent = urgent || !t.Usable() || t.Cold > 0
 	}
@@ -105,7 +105,7 @@
 	f.deliver(now)
 }
 
-// adopt takes a chosen policy if it is newer. It never goes back.
+// adopt takes a chosen configuration if it is newer. It never goes back.
 func (f *Registry) adopt(raw []byte) {
 	if len(raw) > 0 && bytes.Equal(raw, f.whole) {
 		return
@@ -115,21 +115,21 @@
 		f.Log("error", "policy unreadable", "problem", err.Error())
 		return
 	}
-	if p.Revision < f.policy.Revision {
+	if p.Revision < f.configuration.Revision {
 		return
 	}
 	f.whole, f.sum = raw, consensus.Checksum(raw)
-	if p.Revision == f.policy.Revision {
+	if p.Revision == f.configuration.Revision {
 		return
 	}
-	f.view = p.ViewFrom(f.policy, f.view)
-	f.policy, f.raw = p, nil
+	f.view = p.ViewFrom(f.configuration, f.view)
+	f.configuration, f.raw = p, nil
 	clear(f.deltas)
-	f.view.SetRegions(f.params.Regions)
+	f.view.SetRegions(f.options.Regions)
 	f.Log("info", "policy", "revision", itoa(uint64(p.Revision)))
 }
 
-// age tells how old the last agreement on the policy is.
+// age tells how old the last agreement on the configuration is.
 func (f *Registry) age(now ids.Time) time.Duration {
 	if f.agreed == 0 {
 		return time.Hour
--- a/internal/controlplane/registry/departure.go
+++ b/internal/controlplane/registry/departure.go
@@ -25,7 +25,7 @@
 
 // announced takes a target's word.
 func (f *Registry) announced(now ids.Time, c HeartbeatCall) {
-	if f.params.Incremental {
+	if f.options.Incremental {
 		// The one that it is told to speak to keeps it, from the first word on:
 		// a keeper that changes is news for everybody.
 		if old, ok := f.Targets.Get(now, c.Target.Instance); ok {
@@ -37,9 +37,9 @@
 	changed := f.Targets.Merge(now, c.Target)
 	f.taken(now, changed)
 	f.tellRegistries(changed)
-	if !c.Target.Usable() && (len(changed) > 0 || f.params.Incremental) {
+	if !c.Target.Usable() && (len(changed) > 0 || f.options.Incremental) {
 		// What proxies have to hold is the word at which it changed to them.
-		if f.params.Incremental {
+		if f.options.Incremental {
 			c.Target.Sequence = f.Targets.MaterialSequence(c.Target.Instance)
 		}
 		p := departure{call: c.ID, target: c.Target, arrived: now, due: now.Add(departureWithin), waits: map[ids.DaemonID]bool{}}
@@ -48,7 +48,7 @@
 		f.part(now)
 		return
 	}
-	if !f.leased(now) || f.params.Incremental && f.isolated(now) {
+	if !f.leased(now) || f.options.Incremental && f.isolated(now) {
 		// Its word is taken, but the other registries wouldn't hear of it and would
 		// soon count it as gone: it is sent on to one of them.
 		f.unavailable(c.ID)
@@ -64,7 +64,7 @@
 // shareTargets keeps the other registries up to date with all targets. Thrifty ones
 // tell one another of changes, and by their pulses whether one was lost.
 func (f *Registry) shareTargets(now ids.Time) {
-	if !f.params.Incremental {
+	if !f.options.Incremental {
 		f.tellRegistries(f.Targets.All(now))
 	}
 }
@@ -74,7 +74,7 @@
 func (f *Registry) shared(now ids.Time, list []targets.Target) {
 	changed := f.Targets.Merge(now, list...)
 	f.taken(now, changed)
-	if !f.params.Incremental {
+	if !f.options.Incremental {
 		return
 	}
 	gone := map[ids.InstanceID]bool{}
@@ -91,16 +91,16 @@
 }
 
 // keeperFor names the registry that a target should speak to: one of its own
-// cell or region, so that its words go no further than they have to, and by lot
+// zone or region, so that its words go no further than they have to, and by lot
 // where several stand as near.
 func (f *Registry) keeperFor(now ids.Time, t targets.Target) membership.Member {
-	if !f.params.Incremental {
+	if !f.options.Incremental {
 		return membership.Member{}
 	}
 	f.served(now)
 	var best membership.Member
 	for _, m := range f.group {
-		d, have := f.view.Distance(t.Cell, m.Zone), f.view.Distance(t.Cell, best.Zone)
+		d, have := f.view.Distance(t.Zone, m.Zone), f.view.Distance(t.Zone, best.Zone)
 		if best.ID == "" || d < have || d == have && f.preferred(t, m.ID, best.ID) {
 			best = m
 		}
@@ -167,7 +167,7 @@
 
 // askParting asks the registries that serve proxies beside this one.
 func (f *Registry) askParting(now ids.Time, p departure) {
-	if !f.params.Incremental {
+	if !f.options.Incremental {
 		return
 	}
 	f.served(now)
--- a/internal/controlplane/registry/figures.go
+++ b/internal/controlplane/registry/figures.go
@@ -23,9 +23,9 @@
 		{"problems", nil, nil, float64(len(s.Warnings))},
 	}
 	for _, d := range s.Daemons {
-		out = append(out, Metric{"daemon_ready", []string{"daemon", "role", "cell"}, []string{string(d.ID), d.Role, string(d.Cell)}, flag(d.State == "ready")})
+		out = append(out, Metric{"daemon_ready", []string{"daemon", "role", "cell"}, []string{string(d.ID), d.Role, string(d.Zone)}, flag(d.State == "ready")})
 	}
-	for _, c := range s.Cells {
+	for _, c := range s.Zones {
 		for level, v := range map[string]float64{"used": c.Used, "acceptable": c.Acceptable, "target": c.Target, "maximum": c.Maximum} {
 			out = append(out, Metric{"cell_cpu_ms_per_s", []string{"cell", "level"}, []string{string(c.Name), level}, v})
 		}
--- a/internal/controlplane/registry/isolated.go
+++ b/internal/controlplane/registry/isolated.go
@@ -27,7 +27,7 @@
 	return f.Targets.Tick(now)
 }
 
-// answerable tells whether there is anyone to read the policy from. A registry
+// answerable tells whether there is anyone to read the configuration from. A registry
 // that just started knows nobody yet; an ask that leaves no one's way would
 // hold the next one up for the whole span of a try.
-func (f *Registry) answerable() bool { return !f.params.Incremental || len(f.stores("")) > 0 }
+func (f *Registry) answerable() bool { return !f.options.Incremental || len(f.stores("")) > 0 }
--- a/internal/controlplane/registry/isolated_test.go
+++ b/internal/controlplane/registry/isolated_test.go
@@ -63,7 +63,7 @@
 }
 
 func elsewhere(seq ids.Sequence) targets.Target {
-	return targets.Target{Instance: "i", Incarnation: 1, Sequence: seq, Service: "s", Address: "10.0.1.1:80", Cell: "c", Warmth: 1, Interval: 1000}
+	return targets.Target{Instance: "i", Incarnation: 1, Sequence: seq, Service: "s", Address: "10.0.1.1:80", Zone: "c", Warmth: 1, Interval: 1000}
 }
 
 // The core was cut in two while proxies and targets reached both sides. Each
--- a/internal/controlplane/registry/keeper_test.go
+++ b/internal/controlplane/registry/keeper_test.go
@@ -27,7 +27,7 @@
 
 func newKeeperBench() *keeperBench {
 	b := &keeperBench{bench: newBench(true)}
-	b.params.Incremental = true
+	b.options.Incremental = true
 	for _, n := range []ids.DaemonID{"g", "h"} {
 		b.hear(membership.Heartbeat{Self: membership.Member{ID: n, Role: membership.Registry, Address: ids.Address(n), RunID: 1, Incarnation: 1, Zone: "c"}})
 	}
@@ -73,7 +73,7 @@
 
 func word(i int, seq ids.Sequence, keeper ids.DaemonID) targets.Target {
 	return targets.Target{Instance: ids.InstanceID(fmt.Sprint("i", i)), Incarnation: 1, Sequence: seq, Service: "s",
-		Address: ids.Address(fmt.Sprintf("10.0.1.%d:80", i+1)), Cell: "c", Warmth: 1, Interval: 1000, Registrar: keeper, RegistrarRunID: 1}
+		Address: ids.Address(fmt.Sprintf("10.0.1.%d:80", i+1)), Zone: "c", Warmth: 1, Interval: 1000, Registrar: keeper, RegistrarRunID: 1}
 }
 
 // While the core was cut, keepers moved hundreds of times a second, and each move
--- a/internal/controlplane/registry/lease.go
+++ b/internal/controlplane/registry/lease.go
@@ -9,7 +9,7 @@
 )
 
 // The control lease. A registry speaks for the core only while the newest
-// agreement on the policy that it knows of began within the control lease on its own
+// agreement on the configuration that it knows of began within the control lease on its own
 // monotonic clock. An agreement counts from the moment the registry asked for
 // it, so that the way to the stores and back, and a freeze of this process in
 // between, shorten the lease and never lengthen it.
@@ -30,7 +30,7 @@
 )
 
 // leased tells whether this registry may speak for the core.
-func (f *Registry) leased(now ids.Time) bool { return f.age(now) <= f.params.ControlLease }
+func (f *Registry) leased(now ids.Time) bool { return f.age(now) <= f.options.ControlLease }
 
 // heldCall is a call that came while the lease had only just ended.
 type heldCall struct {
@@ -48,7 +48,7 @@
 	switch {
 	case f.agreed == 0 || f.leased(now):
 		begin(now)
-	case f.age(now) <= holdWithin*f.params.ControlLease:
+	case f.age(now) <= holdWithin*f.options.ControlLease:
 		f.held = append(f.held, heldCall{id: id, due: now.Add(answerWithin), begin: begin})
 	default:
 		f.unavailable(id)
@@ -127,16 +127,16 @@
 // lifetime is how long an answer of the directory may be trusted.
 func (f *Registry) lifetime(now ids.Time) time.Duration {
 	if f.leased(now) {
-		return f.params.Lifetime
+		return f.options.Lifetime
 	}
-	return min(f.params.Lifetime, lifetimeApart)
+	return min(f.options.Lifetime, lifetimeApart)
 }
 
-// readPolicy keeps up with the policy even where no news of it arrived.
-func (f *Registry) readPolicy(now ids.Time) {
+// readConfiguration keeps up with the configuration even where no news of it arrived.
+func (f *Registry) readConfiguration(now ids.Time) {
 	f.reading = true
 	f.poll = now.Add(pollEvery)
-	if f.params.Incremental && !f.Client.IsOverloaded(now) {
+	if f.options.Incremental && !f.Client.IsOverloaded(now) {
 		// News of a change comes by itself; what this renews is the agreement's age.
 		f.poll = now.Add(2 * pollEvery)
 	}
--- a/internal/controlplane/registry/lease_test.go
+++ b/internal/controlplane/registry/lease_test.go
@@ -27,7 +27,7 @@
 
 func heartbeat(edit func(*targets.Target)) func(uint64) event.Event {
 	return func(id uint64) event.Event {
-		t := targets.Target{Instance: "i", Incarnation: 1, Sequence: 9, Service: "s", Address: "10.0.1.1:80", Cell: "c", Warmth: 1, Interval: 1000}
+		t := targets.Target{Instance: "i", Incarnation: 1, Sequence: 9, Service: "s", Address: "10.0.1.1:80", Zone: "c", Warmth: 1, Interval: 1000}
 		edit(&t)
 		return registry.HeartbeatCall{ID: id, Target: t}
 	}
@@ -50,8 +50,8 @@
 	{"draining", heartbeat(func(t *targets.Target) { t.Leaving = true })},
 	{"end", deregister("known")},
 	{"end of a stranger", deregister("stranger")},
-	{"where, no such route", func(id uint64) event.Event { return registry.ResolveCall{ID: id, Cell: "c", Route: "none"} }},
-	{"where", func(id uint64) event.Event { return registry.ResolveCall{ID: id, Cell: "c", Host: "h"} }},
+	{"where, no such route", func(id uint64) event.Event { return registry.ResolveCall{ID: id, Zone: "c", Route: "none"} }},
+	{"where", func(id uint64) event.Event { return registry.ResolveCall{ID: id, Zone: "c", Host: "h"} }},
 	{"status", func(id uint64) event.Event { return registry.StatusCall{ID: id} }},
 }
 
@@ -72,12 +72,12 @@
 	{"cut off for long", 20 * time.Second, registrytest.Silent, cutOff},
 	{"cut off until the lease ends", 1700 * time.Millisecond, registrytest.Silent, cutOff},
 	{"heard but hears nothing", 20 * time.Second, registrytest.OneWay, cutOff},
-	{"its store has no majority", 20 * time.Second, registrytest.Declining, cutOff},
+	{"its store has no majority", 20 * time.Second, registrytest.Rejecting, cutOff},
 	{"cut off just now", 0, registrytest.Silent, changed(cutOff, map[string]int{"change": 504, "change that is stale": 504, "change without its item": 504,
 		"evacuate": 504, "merge": 504, "read of the own copy": 200, "heartbeat": 200, "end of a stranger": 200, "where, no such route": 404, "where": 200})},
 	{"deaf just now", 0, registrytest.OneWay, changed(cutOff, map[string]int{"change": 504, "change that is stale": 504, "change without its item": 504,
 		"evacuate": 504, "merge": 504, "read of the own copy": 200, "heartbeat": 200, "end of a stranger": 200, "where, no such route": 404, "where": 200})},
-	{"its store lost the majority just now", 0, registrytest.Declining, changed(cutOff, map[string]int{"read of the own copy": 200, "heartbeat": 200,
+	{"its store lost the majority just now", 0, registrytest.Rejecting, changed(cutOff, map[string]int{"read of the own copy": 200, "heartbeat": 200,
 		"end of a stranger": 200, "where, no such route": 404, "where": 200})},
 }
 
@@ -97,8 +97,8 @@
 }
 
 // A registry that was cut off answered changes 503 after 3 s, told a target that
-// its end is known everywhere, denied routes out of its old policy, and showed
-// that policy.
+// its end is known everywhere, denied routes out of its old configuration, and showed
+// that configuration.
 func TestWhatARegistryAnswersByItsLink(t *testing.T) {
 	for _, incremental := range []bool{false, true} {
 		for _, row := range table {
@@ -126,7 +126,7 @@
 // that has no majority: it has nothing to tell, and says so as soon.
 func TestWhatARegistryAnswersThatStartsWhileCutOff(t *testing.T) {
 	for _, incremental := range []bool{false, true} {
-		for _, link := range []registrytest.Link{registrytest.Silent, registrytest.OneWay, registrytest.Declining} {
+		for _, link := range []registrytest.Link{registrytest.Silent, registrytest.OneWay, registrytest.Rejecting} {
 			for _, call := range calls {
 				core := registrytest.NewStarting(registry.Options{Incremental: incremental})
 				core.Link = link
@@ -154,17 +154,17 @@
 
 // A change that was answered with 503 never takes effect; one that may have
 // taken effect is answered with 504, and its copy gets the first result.
-func TestADeclinedChangeHasNoEffect(t *testing.T) {
+func TestARejectedChangeHasNoEffect(t *testing.T) {
 	core := registrytest.New(registry.Options{})
 	setUp(t, core)
 	core.Link = registrytest.OneWay
 	lost, _ := core.Call(3, change(fmt.Sprintf(service, "lost"))(3))
 	core.Run(2 * time.Second)
 	before := string(core.Value())
-	declined, _ := core.Call(4, change(`{"id":"late","changes":[{"kind":"service","name":"late","put":{}}]}`)(4))
+	rejected, _ := core.Call(4, change(`{"id":"late","changes":[{"kind":"service","name":"late","put":{}}]}`)(4))
 	core.Run(5 * time.Second)
-	if lost.Status != 504 || declined.Status != 503 || string(core.Value()) != before {
-		t.Fatalf("%d and %d; the policy is now %s", lost.Status, declined.Status, core.Value())
+	if lost.Status != 504 || rejected.Status != 503 || string(core.Value()) != before {
+		t.Fatalf("%d and %d; the policy is now %s", lost.Status, rejected.Status, core.Value())
 	}
 	core.Link = registrytest.Connected
 	core.Run(2 * time.Second)
--- a/internal/controlplane/registry/peers.go
+++ b/internal/controlplane/registry/peers.go
@@ -92,7 +92,7 @@
 
 // keepPeers is the clock event's share of it all.
 func (f *Registry) keepPeers(now ids.Time) {
-	if !f.params.Incremental {
+	if !f.options.Incremental {
 		return
 	}
 	f.Targets.Vouch(now, func(id ids.DaemonID, s ids.RunID) bool {
@@ -181,7 +181,7 @@
 // part, with each proxy served by two of the registries that hear one another
 // and a majority.
 func (f *Registry) served(now ids.Time) []membership.Member {
-	if !f.params.Incremental {
+	if !f.options.Incremental {
 		return f.Live(membership.Proxy)
 	}
 	var group []membership.Member
--- a/internal/controlplane/registry/planner.go
+++ b/internal/controlplane/registry/planner.go
@@ -22,7 +22,7 @@
 	passOverAfter = 5 * time.Second
 )
 
-// raise notes a higher epoch; what is under a lower one is declined from then on.
+// raise notes a higher epoch; what is under a lower one is rejected from then on.
 func (f *Registry) raise(now ids.Time, e ids.Epoch) {
 	f.epoch = max(f.epoch, e)
 	if f.mine != 0 && f.epoch > f.mine {
@@ -55,7 +55,7 @@
 		f.spreadTable()
 	}
 	if now >= f.next {
-		f.next = now.Add(f.params.PlanEvery)
+		f.next = now.Add(f.options.PlanEvery)
 		f.plan(now)
 		f.spreadTable()
 	}
@@ -96,7 +96,7 @@
 		}
 		f.raise(at, term.Epoch)
 		f.mine, f.table.Epoch = term.Epoch, term.Epoch
-		f.next = at.Add(min(f.params.PlanEvery, 5*time.Second))
+		f.next = at.Add(min(f.options.PlanEvery, 5*time.Second))
 		f.Log("info", "duty taken", "duty", "planner", "epoch", itoa(uint64(term.Epoch)))
 	})
 }
--- a/internal/controlplane/registry/planner_test.go
+++ b/internal/controlplane/registry/planner_test.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// A plan of a tenure that has ended is declined by whoever knows of a later one.
-func TestAnOldPlanIsDeclined(t *testing.T) {
+// A plan of a tenure that has ended is rejected by whoever knows of a later one.
+func TestAnOldPlanIsRejected(t *testing.T) {
 	core := registrytest.New(registry.Options{PlanEvery: time.Hour})
 	setUp(t, core)
 	move := func(to ids.Name) []spill.Move { return []spill.Move{{From: "c", To: to, Fraction: 1}} }
@@ -143,7 +143,7 @@
 }
 
 // Where all started at once, each saw the others not ready, and took the duty:
-// three takings within 50 ms, and the one that planned in the end was declined by
+// three takings within 50 ms, and the one that planned in the end was rejected by
 // the others, as nobody had told it of the later epochs.
 func TestThoseThatStartTogetherTakeTheDutyOnce(t *testing.T) {
 	core := registrytest.NewStarting(registry.Options{})
--- a/internal/controlplane/registry/plans.go
+++ b/internal/controlplane/registry/plans.go
@@ -37,7 +37,7 @@
 // chargeFor is for how many plans a move is charged while it doesn't show.
 const chargeFor = 6
 
-// forecast is what a cell should come to use after a plan.
+// forecast is what a zone should come to use after a plan.
 type forecast struct {
 	amount float64
 	want   float64
@@ -77,7 +77,7 @@
 func (f *Registry) seats() []spill.LiveProxy {
 	var out []spill.LiveProxy
 	for _, m := range f.Live(membership.Proxy) {
-		out = append(out, spill.LiveProxy{ID: m.ID, RunID: m.RunID, Cell: m.Zone})
+		out = append(out, spill.LiveProxy{ID: m.ID, RunID: m.RunID, Zone: m.Zone})
 	}
 	return out
 }
@@ -90,15 +90,15 @@
 	return out
 }
 
-// cells draws up every cell of the policy as of now.
-func (f *Registry) cells(now ids.Time) map[ids.Name]spill.Cell {
+// zones draws up every zone of the configuration as of now.
+func (f *Registry) zones(now ids.Time) map[ids.Name]spill.Zone {
 	seats, ranks := f.seats(), f.ranks()
 	bears := f.bears(now)
-	out := map[ids.Name]spill.Cell{}
-	for n, c := range f.view.Cells {
-		h := f.Reports.Cell(now, n, seats, ranks)
+	out := map[ids.Name]spill.Zone{}
+	for n, c := range f.view.Zones {
+		h := f.Reports.Zone(now, n, seats, ranks)
 		h.Target, h.Acceptable, h.Maximum, h.Drained = c.Target, c.Acceptable, c.Maximum, c.Drained
-		if c.Unnamed && f.params.Derive {
+		if c.Unnamed && f.options.Derive {
 			f.derive(&h, bears[n])
 			out[n] = h
 			continue
@@ -116,18 +116,18 @@
 	f.Reports.Forget(f.seats())
 	v := spill.View{Distance: f.view.Distance, Ranks: f.ranks(),
 		Pending: map[ids.Name]float64{}, Leaving: map[ids.Name]float64{}}
-	for n, c := range f.view.Cells {
-		if c.Unnamed && f.params.Derive {
+	for n, c := range f.view.Zones {
+		if c.Unnamed && f.options.Derive {
 			continue
 		}
 		f.fits[n] = spill.Learn(f.Reports.Samples(n), c.Target, c.Maximum)
 	}
-	now0 := f.cells(now)
+	now0 := f.zones(now)
 	for _, n := range names(now0) {
 		c := now0[n]
 		c.Missed = f.Reports.Missed(c)
 		f.Reports.KeepDemand(c, f.table.Moves)
-		v.Cells = append(v.Cells, c)
+		v.Zones = append(v.Zones, c)
 		f.charge(now, c, v)
 	}
 	moves := spill.Plan(v, f.table.Moves)
@@ -138,11 +138,11 @@
 }
 
 // charge adds what earlier plans moved and reports can't show yet.
-func (f *Registry) charge(now ids.Time, c spill.Cell, v spill.View) {
+func (f *Registry) charge(now ids.Time, c spill.Zone, v spill.View) {
 	a, ok := f.ahead[c.Name]
 	// Live connections stay, so a move shows only as they end by themselves. What
 	// it was to bring is charged in full at first, then ever less.
-	left := 1 - float64(now.Sub(a.at))/float64(chargeFor*f.params.PlanEvery)
+	left := 1 - float64(now.Sub(a.at))/float64(chargeFor*f.options.PlanEvery)
 	if !ok || left <= 0 {
 		delete(f.ahead, c.Name)
 		return
@@ -156,8 +156,8 @@
 	}
 }
 
-// predict notes what each cell should come to use by the change of moves.
-func (f *Registry) predict(now ids.Time, cells map[ids.Name]spill.Cell, old, next []spill.Move) {
+// predict notes what each zone should come to use by the change of moves.
+func (f *Registry) predict(now ids.Time, zones map[ids.Name]spill.Zone, old, next []spill.Move) {
 	delta := map[ids.Name]float64{}
 	sum := func(list []spill.Move, sign float64) {
 		for _, m := range list {
@@ -169,7 +169,7 @@
 	sum(next, 1)
 	for n, d := range delta {
 		if d > 1 || d < -1 {
-			f.ahead[n] = forecast{amount: d, want: cells[n].Used() + d, at: now}
+			f.ahead[n] = forecast{amount: d, want: zones[n].Used() + d, at: now}
 		}
 	}
 }
--- a/internal/controlplane/registry/registry.go
+++ b/internal/controlplane/registry/registry.go
@@ -18,7 +18,7 @@
 	"dunlinwell/internal/state/election"
 )
 
-// Params are the options of a registry; zero ones take the defaults.
+// Options are the options of a registry; zero ones take the defaults.
 type Options struct {
 	membership.Options
 	Random    *rand.Rand
@@ -28,7 +28,7 @@
 	// refuse or hand out anything. Reads begin every second, and one that a lost
 	// store holds up is answered by the next store within another 400 ms.
 	ControlLease time.Duration
-	// Regions are the cells that this daemon was told of, and their regions.
+	// Regions are the zones that this daemon was told of, and their regions.
 	Regions map[ids.Name]string
 	// Thrifty: targets are told of only as something changes, and registries keep
 	// one another up to date on who is there.
@@ -59,17 +59,17 @@
 	Targets     *targets.Table
 	Distributor *distribution.Distributor
 	Reports     *spill.Reports
-	params      Options
+	options     Options
 
 	raw []byte
-	// deltas are differences to the policy in force, by the revision they are from.
+	// deltas are differences to the configuration in force, by the revision they are from.
 	deltas map[ids.Revision][]byte
 	// whole is the register's value as it was last read, and sum sums it up.
-	whole  []byte
-	sum    uint64
-	policy *configuration.Document
-	view   *configuration.View
-	// agreed is when a majority last told us the policy.
+	whole         []byte
+	sum           uint64
+	configuration *configuration.Document
+	view          *configuration.View
+	// agreed is when a majority last told us the configuration.
 	agreed  ids.Time
 	reading bool
 	poll    ids.Time
@@ -99,7 +99,7 @@
 func New(p Options) *Registry {
 	p.fill()
 	p.Self.Role = membership.Registry
-	f := &Registry{params: p, Targets: targets.New(), Reports: spill.NewReports()}
+	f := &Registry{options: p, Targets: targets.New(), Reports: spill.NewReports()}
 	f.Targets.Thrifty, f.Targets.Self = p.Incremental, p.Self.ID
 	f.List = membership.New(p.Options, &f.Outbox)
 	f.List.MayDeclareDead = func(now ids.Time) bool { return f.age(now) < declareDeadWithin }
@@ -115,15 +115,15 @@
 		f.Distributor.Quiet = true
 		f.Distributor.Spare = func(c membership.Member) bool { return !f.nearest(c) }
 	}
-	f.policy, _ = configuration.Decode(nil)
-	f.view = f.policy.View()
+	f.configuration, _ = configuration.Decode(nil)
+	f.view = f.configuration.View()
 	f.view.SetRegions(p.Regions)
 	f.plans = newPlans()
 	f.peers = newPeers()
 	return f
 }
 
-// stores names the stores to ask. For the policy all registries go to the
+// stores names the stores to ask. For the configuration all registries go to the
 // first live one, so that proposers seldom duel; ballots keep it safe anyway.
 func (f *Registry) stores(ids.RegisterKey) []ids.Address {
 	var out, rest []ids.Address
@@ -181,7 +181,7 @@
 	f.Client.Tick(now)
 	f.keepPeers(now)
 	silent := f.silent(now)
-	if f.params.Incremental {
+	if f.options.Incremental {
 		f.tellRegistries(silent)
 	}
 	for _, t := range silent {
@@ -189,13 +189,13 @@
 	}
 	f.Targets.Forget(now, time.Hour)
 	if (now >= f.poll || f.probeDue(now)) && !f.reading && f.answerable() {
-		f.readPolicy(now)
+		f.readConfiguration(now)
 	}
 	if now >= f.share {
 		f.share = now.Add(shareEvery)
 		f.shareTargets(now)
 	}
-	if !f.params.Incremental || now.Sub(f.delivered) >= deliverEvery {
+	if !f.options.Incremental || now.Sub(f.delivered) >= deliverEvery {
 		f.deliver(now)
 	}
 	f.part(now)
@@ -211,7 +211,7 @@
 	case consensus.Response:
 		before := f.view.Revision
 		f.Client.HandleResponse(now, from, m)
-		if !f.params.Incremental || f.view.Revision > before {
+		if !f.options.Incremental || f.view.Revision > before {
 			f.deliver(now)
 		}
 	case consensus.Chosen:
@@ -220,7 +220,7 @@
 		f.chosenDifference(now, m)
 	case distribution.Ack:
 		f.Distributor.HandleAck(now, m)
-		if f.params.Incremental && !f.Distributor.IsCurrent(m.Proxy, m.RunID) && m.TargetsDigest == f.Targets.Exact() {
+		if f.options.Incremental && !f.Distributor.IsCurrent(m.Proxy, m.RunID) && m.TargetsDigest == f.Targets.Exact() {
 			f.Distributor.HasAll(m.Proxy, m.RunID, f.forProxies(now))
 		}
 		f.part(now)
--- a/internal/controlplane/registry/registry_test.go
+++ b/internal/controlplane/registry/registry_test.go
@@ -12,9 +12,9 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// A registry reads the policy twice a second. The same again costs next to nothing,
+// A registry reads the configuration twice a second. The same again costs next to nothing,
 // however large it is.
-func TestTheSamePolicyAgainCostsNothing(t *testing.T) {
+func TestTheSameConfigurationAgainCostsNothing(t *testing.T) {
 	is := is.New(t)
 	var m configuration.Merge
 	for i := range 1000 {
--- a/internal/controlplane/registry/registrytest/core.go
+++ b/internal/controlplane/registry/registrytest/core.go
@@ -27,8 +27,8 @@
 	Silent
 	// OneWay: requests arrive and are carried out, but no answer comes back.
 	OneWay
-	// Declining: a store answers that it reaches no majority.
-	Declining
+	// Rejecting: a store answers that it reaches no majority.
+	Rejecting
 )
 
 // Addresses of the registry, of the store that stands for the majority, and of
@@ -85,7 +85,7 @@
 	return core
 }
 
-// Value is the policy's register as the majority has it.
+// Value is the configuration's register as the majority has it.
 func (c *Core) Value() []byte { return c.values[configuration.Key] }
 
 // Step hands an event to the registry and carries its commands out.
@@ -124,8 +124,8 @@
 	switch c.Link {
 	case Silent:
 		return
-	case Declining:
-		c.hear(consensus.Response{ID: request.ID, Attempt: request.Attempt, Outcome: consensus.Declined})
+	case Rejecting:
+		c.hear(consensus.Response{ID: request.ID, Attempt: request.Attempt, Outcome: consensus.Rejected})
 		return
 	}
 	result := c.values[request.Key]
@@ -160,7 +160,7 @@
 
 func (c *Core) tick() {
 	c.Now = c.Now.Add(tickEvery)
-	if c.Link == Connected || c.Link == Declining {
+	if c.Link == Connected || c.Link == Rejecting {
 		c.beat(membership.Member{ID: "store", Role: membership.Store, Address: Store})
 	}
 	if c.Link == Connected {
--- a/internal/controlplane/registry/resolve.go
+++ b/internal/controlplane/registry/resolve.go
@@ -11,14 +11,14 @@
 
 // Where is the body of an answer to "where do I go".
 type Resolution struct {
-	Cell     ids.Name      `json:"cell"`
+	Zone     ids.Name      `json:"cell"`
 	Proxies  []ids.Address `json:"proxies"`
 	Lifetime int64         `json:"lifetime_ms"`
 	Moved    bool          `json:"moved"`
 }
 
 func (f *Registry) where(now ids.Time, c ResolveCall) {
-	if !f.leased(now) && !f.params.Always {
+	if !f.leased(now) && !f.options.Always {
 		f.unavailable(c.ID)
 		return
 	}
@@ -26,20 +26,20 @@
 		f.Emit(Response{ID: c.ID, Status: 404, Body: ErrorResponse{"there is no route " + string(c.Route)}})
 		return
 	}
-	w, ok := f.snapshot(now).Point(c.Cell, f.draw(c), f.params.Random)
-	if !ok && f.params.Always {
-		w, ok = f.anybody(c.Cell)
+	w, ok := f.snapshot(now).Point(c.Zone, f.draw(c), f.options.Random)
+	if !ok && f.options.Always {
+		w, ok = f.anybody(c.Zone)
 	}
 	if !ok {
 		f.Emit(Response{ID: c.ID, Status: 503, Body: ErrorResponse{"no proxy takes work now"}, RetryAfter: 1})
 		return
 	}
-	f.Emit(Response{ID: c.ID, Status: 200, Body: Resolution{Cell: w.Cell, Proxies: w.Proxies,
+	f.Emit(Response{ID: c.ID, Status: 200, Body: Resolution{Zone: w.Zone, Proxies: w.Proxies,
 		Lifetime: f.lifetime(now).Milliseconds(), Moved: w.Moved}})
 }
 
 // draw gives the route that an ask stands for. One for a host stands for all of
-// its routes, so it is drawn by what each of them uses in the client's cell.
+// its routes, so it is drawn by what each of them uses in the client's zone.
 func (f *Registry) draw(c ResolveCall) ids.Name {
 	if c.Host == "" {
 		return c.Route
@@ -50,12 +50,12 @@
 			list = append(list, n)
 		}
 	}
-	return f.table.Draw(c.Cell, list, f.params.Random.Float64())
+	return f.table.Draw(c.Zone, list, f.options.Random.Float64())
 }
 
-// anybody names proxies by the roll alone, nearest cells first: a registry that
+// anybody names proxies by the roll alone, nearest zones first: a registry that
 // hears from none may be the one that is cut off, and its client may not be.
-func (f *Registry) anybody(cell ids.Name) (directory.Destination, bool) {
+func (f *Registry) anybody(zone ids.Name) (directory.Destination, bool) {
 	var list []membership.Member
 	for _, m := range f.All() {
 		if m.Role == membership.Proxy {
@@ -64,14 +64,14 @@
 	}
 	slices.SortStableFunc(list, func(a, b membership.Member) int {
 		gone := map[bool]int{true: 1}
-		return cmp.Or(cmp.Compare(gone[a.Gone], gone[b.Gone]), cmp.Compare(f.view.Distance(cell, a.Zone), f.view.Distance(cell, b.Zone)))
+		return cmp.Or(cmp.Compare(gone[a.Gone], gone[b.Gone]), cmp.Compare(f.view.Distance(zone, a.Zone), f.view.Distance(zone, b.Zone)))
 	})
 	if len(list) == 0 {
 		return directory.Destination{}, false
 	}
-	w := directory.Destination{Cell: list[0].Zone}
+	w := directory.Destination{Zone: list[0].Zone}
 	for _, m := range list {
-		if m.Zone == w.Cell {
+		if m.Zone == w.Zone {
 			w.Proxies = append(w.Proxies, m.ClientAddress())
 		}
 	}
@@ -84,7 +84,7 @@
 	var out []membership.Member
 	for _, m := range f.Live(membership.Proxy) {
 		// Where others deliver to it, its own word in the roll must do.
-		if m.Ready && (f.params.Incremental || f.Distributor.Fresh(now, m, proxyLag)) {
+		if m.Ready && (f.options.Incremental || f.Distributor.Fresh(now, m, proxyLag)) {
 			out = append(out, m)
 		}
 	}
--- a/internal/controlplane/registry/screen_test.go
+++ b/internal/controlplane/registry/screen_test.go
@@ -112,9 +112,9 @@
 // nor takes orders.
 func FuzzMessages(f *testing.F) {
 	for _, msg := range []any{consensus.ChosenDifference{Key: configuration.Key}, consensus.Chosen{Key: configuration.Key, Value: []byte(`{"revision":9}`)}, consensus.Response{ID: 1 << 24, Outcome: consensus.Succeeded},
-		distribution.Ack{Proxy: "p", RunID: 1, Number: 3}, targets.Update{List: []targets.Target{{Instance: "i", Service: "s", Address: "10.0.0.9:80", Cell: "c", Incarnation: 1, Sequence: 1, Warmth: 1}}},
+		distribution.Ack{Proxy: "p", RunID: 1, Number: 3}, targets.Update{List: []targets.Target{{Instance: "i", Service: "s", Address: "10.0.0.9:80", Zone: "c", Incarnation: 1, Sequence: 1, Warmth: 1}}},
 		PeerHeartbeat{ID: "g", RunID: 1}, DepartureNotice{Asker: stranger, Target: targets.Target{Instance: "i", Gone: true}}, DepartureAck{ID: "g", Instance: "i"},
-		spill.Report{Proxy: "p", RunID: 1, Cell: "c", Number: 1, Interval: 2000, Rows: []spill.Spent{{}}}, spill.Table{Epoch: 2}, election.Term{Epoch: 2},
+		spill.Report{Proxy: "p", RunID: 1, Zone: "c", Number: 1, Interval: 2000, Rows: []spill.Spent{{}}}, spill.Table{Epoch: 2}, election.Term{Epoch: 2},
 		membership.Heartbeat{Self: membership.Member{ID: "x", Role: membership.Proxy, Address: stranger}}, membership.Suspect{Watcher: "x", ID: "p"},
 		membership.Snapshot{Members: []membership.Member{{ID: "f", Gone: true}}}, membership.Delta{Parts: []uint16{70}}, membership.Digest{Parts: make([]uint64, 64)}} {
 		raw, err := wire.Encode(msg)
@@ -130,7 +130,7 @@
 		}
 		for _, thrifty := range []bool{false, true} {
 			b := newPeered()
-			b.params.Incremental = thrifty
+			b.options.Incremental = thrifty
 			b.Step(b.now, event.Received{From: stranger, Msg: msg})
 			for range 8 {
 				b.now = b.now.Add(300 * time.Millisecond)
--- a/internal/controlplane/registry/status.go
+++ b/internal/controlplane/registry/status.go
@@ -17,7 +17,7 @@
 	InForce     bool               `json:"in_force"`
 	Behind      []ids.DaemonID     `json:"behind"`
 	Daemons     []DaemonStatus     `json:"daemons"`
-	Cells       []ZoneStatus       `json:"cells"`
+	Zones       []ZoneStatus       `json:"cells"`
 	Moves       []Move             `json:"moves"`
 	Leaderships []LeadershipStatus `json:"duties"`
 	Targets     []targets.Target   `json:"targets"`
@@ -28,7 +28,7 @@
 type DaemonStatus struct {
 	ID       ids.DaemonID `json:"id"`
 	Role     string       `json:"role"`
-	Cell     ids.Name     `json:"cell"`
+	Zone     ids.Name     `json:"cell"`
 	Address  ids.Address  `json:"address"`
 	HTTP     ids.Address  `json:"http"`
 	State    string       `json:"state"`
@@ -37,7 +37,7 @@
 	Start string `json:"start"`
 }
 
-// ZoneStatus is a cell with its levels, in ms of CPU a second.
+// ZoneStatus is a zone with its levels, in ms of CPU a second.
 type ZoneStatus struct {
 	Name       ids.Name `json:"name"`
 	Used       float64  `json:"used"`
@@ -68,7 +68,7 @@
 	Plan  uint64    `json:"plan"`
 }
 
-func state(c spill.Cell) string {
+func state(c spill.Zone) string {
 	switch {
 	case c.Drained:
 		return "emptied"
@@ -100,7 +100,7 @@
 		s.Warnings = append(s.Warnings, "proxy "+string(id)+" lags behind revision "+itoa(uint64(f.view.Revision)))
 	}
 	for _, m := range f.All() {
-		d := DaemonStatus{ID: m.ID, Role: m.Role.String(), Cell: m.Zone, Address: m.Address, HTTP: m.HTTP, State: "ready", Revision: m.Revision, Start: strconv.FormatUint(uint64(m.RunID), 16)}
+		d := DaemonStatus{ID: m.ID, Role: m.Role.String(), Zone: m.Zone, Address: m.Address, HTTP: m.HTTP, State: "ready", Revision: m.Revision, Start: strconv.FormatUint(uint64(m.RunID), 16)}
 		if m.Gone {
 			d.State = "gone"
 		} else if !m.Ready {
@@ -114,8 +114,8 @@
 		}
 		s.Daemons = append(s.Daemons, d)
 	}
-	s.Cells = f.statusCells(now, proxies)
-	for _, c := range s.Cells {
+	s.Zones = f.statusZones(now, proxies)
+	for _, c := range s.Zones {
 		if c.State == "over maximum" || c.State == "stale" || c.State == "no proxy" {
 			s.Warnings = append(s.Warnings, "cell "+string(c.Name)+": "+c.State)
 		}
@@ -126,11 +126,11 @@
 	return s
 }
 
-func (f *Registry) statusCells(now ids.Time, proxies []membership.Member) []ZoneStatus {
-	cells := f.cells(now)
+func (f *Registry) statusZones(now ids.Time, proxies []membership.Member) []ZoneStatus {
+	zones := f.zones(now)
 	var out []ZoneStatus
-	for _, n := range names(cells) {
-		h := cells[n]
+	for _, n := range names(zones) {
+		h := zones[n]
 		c := ZoneStatus{Name: n, Used: h.Used(), Target: h.Target, Acceptable: h.Acceptable, Maximum: h.Maximum, State: state(h), Learned: f.fits[n].Why}
 		for _, m := range proxies {
 			if m.Zone == n {
@@ -138,7 +138,7 @@
 			}
 		}
 		for _, t := range f.Targets.All(now) {
-			if t.Cell == n && t.Usable() {
+			if t.Zone == n && t.Usable() {
 				c.Targets++
 			}
 		}
--- a/internal/controlplane/registry/stopping.go
+++ b/internal/controlplane/registry/stopping.go
@@ -20,12 +20,12 @@
 	f.Announce(false, f.view.Revision)
 }
 
-// declines answers a call that came after the signal: surely not run, ask another.
-func (f *Registry) declines(id uint64) {
+// rejects answers a call that came after the signal: surely not run, ask another.
+func (f *Registry) rejects(id uint64) {
 	f.Emit(Response{ID: id, Status: 503, Body: ErrorResponse{"this daemon is stopping"}, RetryAfter: 1})
 }
 
-// callID gives the number of a call that is declined while stopping; the status
+// callID gives the number of a call that is rejected while stopping; the status
 // is told to the last.
 func callID(ev any) (uint64, bool) {
 	switch c := ev.(type) {
@@ -33,7 +33,7 @@
 		return c.ID, true
 	case MergeCall:
 		return c.ID, true
-	case CellOrderCall:
+	case ZoneOrderCall:
 		return c.ID, true
 	case DeregisterCall:
 		return c.ID, true
--- a/internal/controlplane/spill/export.go
+++ b/internal/controlplane/spill/export.go
@@ -7,11 +7,11 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// account opens the one account of room: what each cell may still receive
-// before its acceptable level. A cell with moves of its own out, or over its
+// account opens the one account of room: what each zone may still receive
+// before its acceptable level. A zone with moves of its own out, or over its
 // acceptable level, or with stale reports, has none.
 func (p *planner) account() {
-	for n, c := range p.cells {
+	for n, c := range p.zones {
 		if c.Stale || c.Drained || c.Gone {
 			continue
 		}
@@ -24,10 +24,10 @@
 	}
 }
 
-// near orders the other cells by distance from one.
+// near orders the other zones by distance from one.
 func (p *planner) near(from ids.Name) []ids.Name {
 	var out []ids.Name
-	for n := range p.cells {
+	for n := range p.zones {
 		if n != from {
 			out = append(out, n)
 		}
@@ -38,19 +38,19 @@
 	return out
 }
 
-// export plans the moves out of every cell over its maximum.
+// export plans the moves out of every zone over its maximum.
 func (p *planner) export() {
 	wants, want, room := map[ids.Name]float64{}, 0.0, 0.0
 	// In order, as sums of floats differ by it, and one seed is one run.
-	for i := range p.Cells {
-		c := &p.Cells[i]
+	for i := range p.Zones {
+		c := &p.Zones[i]
 		n, used := c.Name, p.used(c)
 		if c.Stale || c.Drained || c.Gone || used <= c.Maximum {
 			continue
 		}
 		wants[n] = Excess(used, used, c.Target)
 		want += wants[n]
-		// A cell that sheds can't take in what another sheds.
+		// A zone that sheds can't take in what another sheds.
 		delete(p.room, n)
 	}
 	for _, n := range slices.Sorted(keys(p.room)) {
@@ -63,14 +63,14 @@
 	scale := min(1, room/want)
 	var leaving []Outgoing
 	for _, n := range slices.Sorted(keys(wants)) {
-		for _, r := range Leavers(p.own(p.cells[n]), wants[n]*scale) {
+		for _, r := range Leavers(p.own(p.zones[n]), wants[n]*scale) {
 			leaving = append(leaving, Outgoing{Row: r, From: n})
 		}
 	}
 	// Demand as it was before this pass: fractions refer to it.
 	demand := map[[2]ids.Name]float64{}
 	for _, l := range leaving {
-		demand[[2]ids.Name{l.From, l.Route}] = p.demand(p.cells[l.From], l.Route)
+		demand[[2]ids.Name{l.From, l.Route}] = p.demand(p.zones[l.From], l.Route)
 	}
 	for _, h := range Place(leaving, p.room, p.near) {
 		d := demand[[2]ids.Name{h.From, h.Route}]
@@ -91,13 +91,13 @@
 	}
 }
 
-// own is the CPU time that a cell can still hand on: its own fresh connections',
+// own is the CPU time that a zone can still hand on: its own fresh connections',
 // not what others gave it.
-func (p *planner) own(c *Cell) []Row {
+func (p *planner) own(c *Zone) []Row {
 	in := map[ids.Name]float64{}
 	for _, m := range p.moves {
-		if m.To == c.Name && p.cells[m.From] != nil {
-			in[m.Route] += m.Fraction * p.demand(p.cells[m.From], m.Route)
+		if m.To == c.Name && p.zones[m.From] != nil {
+			in[m.Route] += m.Fraction * p.demand(p.zones[m.From], m.Route)
 		}
 	}
 	var out []Row
@@ -118,7 +118,7 @@
 	return out
 }
 
-// add enters a move; all of a route's moves out of a cell make one at most.
+// add enters a move; all of a route's moves out of a zone make one at most.
 func (p *planner) add(m Move) {
 	m.Fraction = min(m.Fraction, 1-p.out(m.From, m.Route))
 	if m.Fraction <= 0 {
--- a/internal/controlplane/spill/fit.go
+++ b/internal/controlplane/spill/fit.go
@@ -8,14 +8,14 @@
 	"gonum.org/v1/gonum/mat"
 )
 
-// Sample is a cell's CPU time and its 95th percentile of front-line latency,
+// Sample is a zone's CPU time and its 95th percentile of front-line latency,
 // in milliseconds, over one report.
 type Sample struct {
 	CPU     float64
 	Latency float64
 }
 
-// Fit is what was learned of a cell's maximum, and whether to go by it.
+// Fit is what was learned of a zone's maximum, and whether to go by it.
 type Fit struct {
 	Maximum float64
 	Kept    bool
--- a/internal/controlplane/spill/plan.go
+++ b/internal/controlplane/spill/plan.go
@@ -9,12 +9,12 @@
 
 // View is all that one plan goes by.
 type View struct {
-	Cells    []Cell
+	Zones    []Zone
 	Distance func(a, b ids.Name) float64
 	Ranks    map[ids.Name]Rank
-	// Pending is CPU time that earlier plans sent to a cell and that its
+	// Pending is CPU time that earlier plans sent to a zone and that its
 	// reports can't show yet; it stays charged to its room. Leaving is the
-	// same for cells that plans took from.
+	// same for zones that plans took from.
 	Pending map[ids.Name]float64
 	Leaving map[ids.Name]float64
 }
@@ -23,35 +23,35 @@
 	// least is the smallest fraction worth keeping.
 	least = 0.005
 	// gain damps calling back: half of the free room each plan, so that a
-	// cell doesn't swing between its acceptable level and its maximum.
+	// zone doesn't swing between its acceptable level and its maximum.
 	gain = 0.5
 	// expireAfter is how many stale plans a move outlives before it shrinks.
 	expireAfter = 2
 )
 
-// planner is one pass over all cells.
+// planner is one pass over all zones.
 type planner struct {
 	View
-	cells map[ids.Name]*Cell
+	zones map[ids.Name]*Zone
 	moves []Move
 	room  map[ids.Name]float64
-	// back is CPU time, by cell and route, that comes home because its moves
+	// back is CPU time, by zone and route, that comes home because its moves
 	// ended just now; reports can't show it yet.
 	back map[[2]ids.Name]float64
 }
 
 // Plan gives the next moves from the last ones and what was reported.
 func Plan(v View, last []Move) []Move {
-	p := &planner{View: v, cells: map[ids.Name]*Cell{}, moves: slices.Clone(last), room: map[ids.Name]float64{}, back: map[[2]ids.Name]float64{}}
-	for i := range v.Cells {
-		p.cells[v.Cells[i].Name] = &v.Cells[i]
+	p := &planner{View: v, zones: map[ids.Name]*Zone{}, moves: slices.Clone(last), room: map[ids.Name]float64{}, back: map[[2]ids.Name]float64{}}
+	for i := range v.Zones {
+		p.zones[v.Zones[i].Name] = &v.Zones[i]
 	}
 	p.expire()
-	for i := range v.Cells {
-		p.recall(&v.Cells[i])
+	for i := range v.Zones {
+		p.recall(&v.Zones[i])
 	}
-	for i := range v.Cells {
-		p.sendBack(&v.Cells[i])
+	for i := range v.Zones {
+		p.sendBack(&v.Zones[i])
 	}
 	p.account()
 	p.swap()
@@ -63,8 +63,8 @@
 	return p.moves
 }
 
-// used is a cell's CPU time as it will be once earlier plans show.
-func (p *planner) used(c *Cell) float64 {
+// used is a zone's CPU time as it will be once earlier plans show.
+func (p *planner) used(c *Zone) float64 {
 	sum := c.Used() + p.Pending[c.Name] - p.Leaving[c.Name]
 	for _, r := range slices.Sorted(keys(p.Ranks)) {
 		sum += p.back[[2]ids.Name{c.Name, r}]
@@ -72,7 +72,7 @@
 	return max(sum, 0)
 }
 
-// out is the share of a route's fresh connections that a cell hands on.
+// out is the share of a route's fresh connections that a zone hands on.
 func (p *planner) out(from, route ids.Name) float64 {
 	sum := 0.0
 	for _, m := range p.moves {
@@ -83,11 +83,11 @@
 	return sum
 }
 
-// demand is a route's CPU time by fresh connections that begin at a cell: what
+// demand is a route's CPU time by fresh connections that begin at a zone: what
 // it keeps, scaled up by what it hands on. What it keeps includes connections held
 // since before the moves, so scaling alone would take a few of those for a
 // crowd: it never counts for more than what is kept and what was moved.
-func (p *planner) demand(c *Cell, route ids.Name) float64 {
+func (p *planner) demand(c *Zone, route ids.Name) float64 {
 	back := p.back[[2]ids.Name{c.Name, route}]
 	kept := 0.0
 	for _, r := range c.Rows {
@@ -112,7 +112,7 @@
 // whose ends have been silent for several plans.
 func (p *planner) expire() {
 	p.moves = slices.DeleteFunc(p.moves, func(m Move) bool {
-		from, to := p.cells[m.From], p.cells[m.To]
+		from, to := p.zones[m.From], p.zones[m.To]
 		_, ranked := p.Ranks[m.Route]
 		ended := !ranked || from == nil || to == nil || to.Drained || to.Gone || from.Drained
 		if ended {
@@ -121,7 +121,7 @@
 		return ended
 	})
 	for i, m := range p.moves {
-		if n := max(p.cells[m.From].Missed, p.cells[m.To].Missed); n > expireAfter {
+		if n := max(p.zones[m.From].Missed, p.zones[m.To].Missed); n > expireAfter {
 			p.back[[2]ids.Name{m.From, m.Route}] += m.Amount / 2
 			p.moves[i].Fraction /= 2
 			p.moves[i].Amount /= 2
@@ -130,10 +130,10 @@
 	}
 }
 
-// recall lets a recovered cell call its own moves home, the most urgent
+// recall lets a recovered zone call its own moves home, the most urgent
 // first, before anything else is weighed. It accepts from others only when
 // none of its own is left.
-func (p *planner) recall(c *Cell) {
+func (p *planner) recall(c *Zone) {
 	used := p.used(c)
 	if c.Stale || c.Drained || c.Gone || used >= c.Acceptable {
 		return
@@ -173,7 +173,7 @@
 
 // sendBack makes a destination that came over its maximum return what it was
 // given, lowest rank first, before it moves anything of its own.
-func (p *planner) sendBack(c *Cell) {
+func (p *planner) sendBack(c *Zone) {
 	used := p.used(c)
 	if c.Stale || used <= c.Maximum {
 		return
@@ -191,7 +191,7 @@
 		if over <= 0 || m.Fraction <= 0 {
 			break
 		}
-		d := p.demand(p.cells[m.From], m.Route)
+		d := p.demand(p.zones[m.From], m.Route)
 		back := min(over, m.Fraction*d)
 		if d > 0 {
 			m.Fraction -= back / d
--- a/internal/controlplane/spill/report.go
+++ b/internal/controlplane/spill/report.go
@@ -14,12 +14,12 @@
 type Report struct {
 	Proxy    ids.DaemonID
 	RunID    ids.RunID
-	Cell     ids.Name
+	Zone     ids.Name
 	Number   ids.StreamNumber
 	Interval uint32
 	Rows     []Spent
 	// Latency is the 95th percentile of the proxy's own time for a request,
-	// inbox and handling without the target's, in microseconds.
+	// queue and handling without the target's, in microseconds.
 	Latency uint64
 	Count   uint64
 }
@@ -39,7 +39,7 @@
 // Missing is how many intervals without a report make a proxy's stale.
 const Missing = 3
 
-// Reports keeps the newest report of every proxy, and samples of each cell.
+// Reports keeps the newest report of every proxy, and samples of each zone.
 type Reports struct {
 	last    map[ids.DaemonID]entry
 	samples map[ids.Name][]Sample
@@ -100,20 +100,20 @@
 		}
 	}
 	b.last[r.Proxy] = e
-	// A sample is the cell's whole CPU time with this proxy's latency.
+	// A sample is the zone's whole CPU time with this proxy's latency.
 	if r.Count >= 10 {
-		s := append(b.samples[r.Cell], Sample{b.used(r.Cell), float64(r.Latency) / 1000})
+		s := append(b.samples[r.Zone], Sample{b.used(r.Zone), float64(r.Latency) / 1000})
 		if len(s) > mostSamples {
 			s = s[len(s)-mostSamples:]
 		}
-		b.samples[r.Cell] = s
+		b.samples[r.Zone] = s
 	}
 }
 
-func (b *Reports) used(cell ids.Name) float64 {
+func (b *Reports) used(zone ids.Name) float64 {
 	sum := 0.0
 	for _, id := range slices.Sorted(maps.Keys(b.last)) {
-		if e := b.last[id]; e.Cell == cell {
+		if e := b.last[id]; e.Zone == zone {
 			for _, r := range e.Rows {
 				sum += r.CPU
 			}
@@ -126,16 +126,16 @@
 type LiveProxy struct {
 	ID    ids.DaemonID
 	RunID ids.RunID
-	Cell  ids.Name
+	Zone  ids.Name
 }
 
-// Cell draws up a cell from the reports of its live proxies. One whose live
+// Zone draws up a zone from the reports of its live proxies. One whose live
 // proxies have missed reports is stale.
-func (b *Reports) Cell(now ids.Time, name ids.Name, seats []LiveProxy, ranks map[ids.Name]Rank) Cell {
-	c := Cell{Name: name, Gone: true}
+func (b *Reports) Zone(now ids.Time, name ids.Name, seats []LiveProxy, ranks map[ids.Name]Rank) Zone {
+	c := Zone{Name: name, Gone: true}
 	sum := map[ids.Name]float64{}
 	for _, s := range seats {
-		if s.Cell != name {
+		if s.Zone != name {
 			continue
 		}
 		c.Gone = false
@@ -169,11 +169,11 @@
 	}
 }
 
-// Samples gives what a cell's maximum is learned from.
-func (b *Reports) Samples(cell ids.Name) []Sample { return b.samples[cell] }
+// Samples gives what a zone's maximum is learned from.
+func (b *Reports) Samples(zone ids.Name) []Sample { return b.samples[zone] }
 
-// Missed counts plans in a row for which a cell was stale.
-func (b *Reports) Missed(c Cell) int {
+// Missed counts plans in a row for which a zone was stale.
+func (b *Reports) Missed(c Zone) int {
 	if c.Stale {
 		b.missed[c.Name]++
 	} else {
@@ -182,9 +182,9 @@
 	return b.missed[c.Name]
 }
 
-// KeepDemand notes what a living cell's own fresh connections use, so that it is
-// known how much to place elsewhere once the cell is gone.
-func (b *Reports) KeepDemand(c Cell, moves []Move) {
+// KeepDemand notes what a living zone's own fresh connections use, so that it is
+// known how much to place elsewhere once the zone is gone.
+func (b *Reports) KeepDemand(c Zone, moves []Move) {
 	if c.Gone || c.Stale || c.Drained {
 		return
 	}
@@ -200,16 +200,16 @@
 	b.demand[c.Name] = d
 }
 
-// Demand gives what a cell's fresh connections used when it last was well.
-func (b *Reports) Demand(cell ids.Name) float64 {
+// Demand gives what a zone's fresh connections used when it last was well.
+func (b *Reports) Demand(zone ids.Name) float64 {
 	sum := 0.0
-	for _, n := range slices.Sorted(maps.Keys(b.demand[cell])) {
-		sum += b.demand[cell][n]
+	for _, n := range slices.Sorted(maps.Keys(b.demand[zone])) {
+		sum += b.demand[zone][n]
 	}
 	return sum
 }
 
-// Uses gives what each route uses in the cells that some moves are from.
+// Uses gives what each route uses in the zones that some moves are from.
 func (b *Reports) Uses(moves []Move) []Use {
 	var out []Use
 	seen := map[ids.Name]bool{}
@@ -225,12 +225,12 @@
 	return out
 }
 
-// Draw picks one of some routes by what each uses in a cell, with a draw from 0
+// Draw picks one of some routes by what each uses in a zone, with a draw from 0
 // up to 1; none where nothing is known, as nothing is moved there.
-func (t Table) Draw(cell ids.Name, routes []ids.Name, draw float64) ids.Name {
+func (t Table) Draw(zone ids.Name, routes []ids.Name, draw float64) ids.Name {
 	sum, own := 0.0, []Use{}
 	for _, u := range t.Uses {
-		if u.Cell == cell && slices.Contains(routes, u.Route) {
+		if u.Zone == zone && slices.Contains(routes, u.Route) {
 			own = append(own, u)
 			sum += u.CPU
 		}
--- a/internal/controlplane/spill/scale_test.go
+++ b/internal/controlplane/spill/scale_test.go
@@ -8,10 +8,10 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// large is a view of cells that each serve every route, a third of them over
+// large is a view of zones that each serve every route, a third of them over
 // their target.
-func large(cells, routes int) View {
-	dice := rand.New(rand.NewPCG(1, 2))
+func large(zones, routes int) View {
+	random := rand.New(rand.NewPCG(1, 2))
 	v := View{Ranks: map[ids.Name]Rank{}, Pending: map[ids.Name]float64{}, Leaving: map[ids.Name]float64{},
 		Distance: func(a, b ids.Name) float64 {
 			if a == b {
@@ -23,22 +23,22 @@
 		n := ids.Name(fmt.Sprintf("route-%d", r))
 		v.Ranks[n] = Rank{Tier: r % 10, Service: 5, Route: n}
 	}
-	for c := range cells {
-		x := Cell{Name: ids.Name(fmt.Sprintf("cell-%d", c)), Target: 8500, Acceptable: 6800, Maximum: 9350}
+	for c := range zones {
+		x := Zone{Name: ids.Name(fmt.Sprintf("cell-%d", c)), Target: 8500, Acceptable: 6800, Maximum: 9350}
 		level := 6000.0
 		if c%3 == 0 {
 			level = 10000
 		}
 		for _, rank := range v.Ranks {
-			x.Rows = append(x.Rows, Row{Rank: rank, CPU: level / float64(routes) * (0.5 + dice.Float64())})
+			x.Rows = append(x.Rows, Row{Rank: rank, CPU: level / float64(routes) * (0.5 + random.Float64())})
 		}
-		v.Cells = append(v.Cells, x)
+		v.Zones = append(v.Zones, x)
 	}
 	return v
 }
 
 // BenchmarkPlan makes two plans, the second with the first's moves to go by,
-// over more cells and routes.
+// over more zones and routes.
 func BenchmarkPlan(b *testing.B) {
 	for _, size := range [][2]int{{9, 50}, {18, 50}, {36, 50}, {9, 100}, {9, 200}, {9, 400}} {
 		b.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(b *testing.B) {
--- a/internal/controlplane/spill/spill.go
+++ b/internal/controlplane/spill/spill.go
@@ -1,6 +1,6 @@
-// Package spill plans the spill: what share of fresh connections each cell
+// Package spill plans the spill: what share of fresh connections each zone
 // hands to another, after Cloudflare's Traffic Manager. One plan covers all
-// cells and keeps one account of room.
+// zones and keeps one account of room.
 package spill
 
 import (
@@ -24,30 +24,30 @@
 	return cmp.Or(cmp.Compare(r.Tier, s.Tier), cmp.Compare(r.Service, s.Service), cmp.Compare(r.Route, s.Route)) < 0
 }
 
-// Row is CPU time that one route uses in a cell, in ms a second.
+// Row is CPU time that one route uses in a zone, in ms a second.
 type Row struct {
 	Rank
 	CPU float64
 }
 
-// Cell is a cell as the planner sees it.
-type Cell struct {
+// Zone is a zone as the planner sees it.
+type Zone struct {
 	Name       ids.Name
 	Target     float64
 	Acceptable float64
 	Maximum    float64
 	Rows       []Row
-	// Drained cells neither plan nor receive; Stale ones receive nothing more.
+	// Drained zones neither plan nor receive; Stale ones receive nothing more.
 	Drained bool
 	Stale   bool
-	// Gone cells have no proxy left at all.
+	// Gone zones have no proxy left at all.
 	Gone bool
-	// Missed counts the plans for which the cell has been stale.
+	// Missed counts the plans for which the zone has been stale.
 	Missed int
 }
 
-// Used is all CPU time used in the cell.
-func (c Cell) Used() float64 {
+// Used is all CPU time used in the zone.
+func (c Zone) Used() float64 {
 	sum := 0.0
 	for _, r := range c.Rows {
 		sum += r.CPU
@@ -55,7 +55,7 @@
 	return sum
 }
 
-// Move is a share of a route's fresh connections that one cell hands to another.
+// Move is a share of a route's fresh connections that one zone hands to another.
 type Move struct {
 	From     ids.Name
 	To       ids.Name
@@ -71,14 +71,14 @@
 	Epoch  ids.Epoch
 	Number ids.StreamNumber
 	Moves  []Move
-	// Uses are what routes use in cells that hand something on, for asks that
+	// Uses are what routes use in zones that hand something on, for asks that
 	// stand for several routes.
 	Uses []Use
 }
 
-// Use is what fresh connections of a route use in a cell, in ms a second.
+// Use is what fresh connections of a route use in a zone, in ms a second.
 type Use struct {
-	Cell, Route ids.Name
+	Zone, Route ids.Name
 	CPU         float64
 }
 
@@ -92,7 +92,7 @@
 
 var _ = wire.Register(90, Table{})
 
-// Excess is what a cell must move to come back to its target: what it uses
+// Excess is what a zone must move to come back to its target: what it uses
 // times 1 - target/utilisation. Both levels are in the same unit.
 func Excess(used, utilisation, target float64) float64 {
 	if utilisation <= target || utilisation <= 0 {
@@ -130,7 +130,7 @@
 	return 0
 }
 
-// Outgoing is CPU time that leaves a cell.
+// Outgoing is CPU time that leaves a zone.
 type Outgoing struct {
 	Row
 	From ids.Name
@@ -142,8 +142,8 @@
 	To ids.Name
 }
 
-// Place gives the most urgent of all that leaves, from whatever cell, the
-// nearest room. The account of room is one, so that several hot cells can't
+// Place gives the most urgent of all that leaves, from whatever zone, the
+// nearest room. The account of room is one, so that several hot zones can't
 // overfill a destination; it is used up in place.
 func Place(leaving []Outgoing, room map[ids.Name]float64, near func(from ids.Name) []ids.Name) []Transfer {
 	leaving = slices.Clone(leaving)
--- a/internal/controlplane/spill/spill_test.go
+++ b/internal/controlplane/spill/spill_test.go
@@ -20,31 +20,31 @@
 	is.Equal(Excess(18000, 85, 85), 0.0)
 }
 
-func sourceCells() []Cell {
-	a := Cell{Name: "a", Target: 1100, Acceptable: 900, Maximum: 1200}
+func sourceZones() []Zone {
+	a := Zone{Name: "a", Target: 1100, Acceptable: 900, Maximum: 1200}
 	for i, r := range []struct {
 		n ids.Name
 		c float64
 	}{{"free", 500}, {"pro", 400}, {"business", 200}, {"enterprise", 1000}} {
 		a.Rows = append(a.Rows, Row{Rank{Tier: i, Route: r.n}, r.c})
 	}
-	dest := func(n ids.Name, room float64) Cell {
-		return Cell{Name: n, Target: 1200, Acceptable: 1000, Maximum: 1300, Rows: []Row{{Rank{Route: "free"}, 1000 - room}}}
+	dest := func(n ids.Name, room float64) Zone {
+		return Zone{Name: n, Target: 1200, Acceptable: 1000, Maximum: 1300, Rows: []Row{{Rank{Route: "free"}, 1000 - room}}}
 	}
-	return []Cell{a, dest("b", 300), dest("c", 500), dest("d", 900)}
+	return []Zone{a, dest("b", 300), dest("c", 500), dest("d", 900)}
 }
 
 func ranks() map[ids.Name]Rank {
 	out := map[ids.Name]Rank{}
-	for _, r := range sourceCells()[0].Rows {
+	for _, r := range sourceZones()[0].Rows {
 		out[r.Route] = r.Rank
 	}
 	return out
 }
 
-func view(cells []Cell) View {
+func view(zones []Zone) View {
 	place := map[ids.Name]float64{"a": 0, "b": 1, "c": 2, "d": 3}
-	return View{Cells: cells, Ranks: ranks(), Pending: map[ids.Name]float64{}, Leaving: map[ids.Name]float64{},
+	return View{Zones: zones, Ranks: ranks(), Pending: map[ids.Name]float64{}, Leaving: map[ids.Name]float64{},
 		Distance: func(a, b ids.Name) float64 { return math.Abs(place[a] - place[b]) }}
 }
 
@@ -52,7 +52,7 @@
 func TestMovesOfTheSource(t *testing.T) {
 	is := is.New(t)
 	got := map[string]float64{}
-	for _, m := range Plan(view(sourceCells()), nil) {
+	for _, m := range Plan(view(sourceZones()), nil) {
 		is.Equal(m.From, ids.Name("a"))
 		got[string(m.Route+">"+m.To)] = m.Amount
 	}
@@ -63,51 +63,51 @@
 	}
 }
 
-// Two hot cells can't overfill one destination: the account of room is one.
-func TestSeveralHotCellsOneDestination(t *testing.T) {
+// Two hot zones can't overfill one destination: the account of room is one.
+func TestSeveralHotZonesOneDestination(t *testing.T) {
 	is := is.New(t)
-	hot := func(n ids.Name) Cell {
-		return Cell{Name: n, Target: 800, Acceptable: 600, Maximum: 900, Rows: []Row{{Rank{Tier: 0, Route: "free"}, 700}, {Rank{Tier: 1, Route: "pro"}, 700}}}
+	hot := func(n ids.Name) Zone {
+		return Zone{Name: n, Target: 800, Acceptable: 600, Maximum: 900, Rows: []Row{{Rank{Tier: 0, Route: "free"}, 700}, {Rank{Tier: 1, Route: "pro"}, 700}}}
 	}
-	cold := Cell{Name: "c", Target: 800, Acceptable: 600, Maximum: 900, Rows: []Row{{Rank{Tier: 0, Route: "free"}, 100}}}
+	cold := Zone{Name: "c", Target: 800, Acceptable: 600, Maximum: 900, Rows: []Row{{Rank{Tier: 0, Route: "free"}, 100}}}
 	sum := 0.0
-	for _, m := range Plan(view([]Cell{hot("a"), hot("b"), cold}), nil) {
+	for _, m := range Plan(view([]Zone{hot("a"), hot("b"), cold}), nil) {
 		is.Equal(m.To, ids.Name("c"))
 		is.Equal(m.Route, ids.Name("free")) // the lowest tier leaves first
 		sum += m.Amount
 	}
 	is.True(near(sum, 500))
 	// The same again before reports can show it: nothing more fits.
-	v := view([]Cell{hot("a"), hot("b"), cold})
+	v := view([]Zone{hot("a"), hot("b"), cold})
 	v.Pending["c"] = 500
 	is.Equal(len(Plan(v, nil)), 0)
 }
 
-func TestRecoveringCellCallsBackFirst(t *testing.T) {
+func TestRecoveringZoneCallsBackFirst(t *testing.T) {
 	is := is.New(t)
-	rec := Cell{Name: "a", Target: 800, Acceptable: 600, Maximum: 900, Rows: []Row{{Rank{Tier: 0, Route: "free"}, 300}}}
-	hot := Cell{Name: "b", Target: 800, Acceptable: 600, Maximum: 900, Rows: []Row{{Rank{Tier: 0, Route: "free"}, 1000}}}
-	far := Cell{Name: "d", Target: 800, Acceptable: 600, Maximum: 900, Rows: []Row{{Rank{Tier: 0, Route: "free"}, 500}}}
+	rec := Zone{Name: "a", Target: 800, Acceptable: 600, Maximum: 900, Rows: []Row{{Rank{Tier: 0, Route: "free"}, 300}}}
+	hot := Zone{Name: "b", Target: 800, Acceptable: 600, Maximum: 900, Rows: []Row{{Rank{Tier: 0, Route: "free"}, 1000}}}
+	far := Zone{Name: "d", Target: 800, Acceptable: 600, Maximum: 900, Rows: []Row{{Rank{Tier: 0, Route: "free"}, 500}}}
 	last := []Move{{From: "a", To: "d", Route: "free", Fraction: 0.6, Amount: 450}}
-	moves := Plan(view([]Cell{rec, hot, far}), last)
+	moves := Plan(view([]Zone{rec, hot, far}), last)
 	for _, m := range moves {
 		is.True(m.To != "a") // it still has moves out, so it takes nothing in
 		if m.From == "a" {
 			is.True(m.Fraction < 0.6)
 		}
 	}
-	is.Equal(len(moves), 2) // its own, shrunk, and the hot cell's to the far one
+	is.Equal(len(moves), 2) // its own, shrunk, and the hot zone's to the far one
 }
 
 func TestStaleMovesExpireInSteps(t *testing.T) {
 	is := is.New(t)
-	from := Cell{Name: "a", Target: 800, Acceptable: 600, Maximum: 900, Stale: true, Rows: []Row{{Rank{Route: "free"}, 700}}}
-	to := Cell{Name: "b", Target: 800, Acceptable: 600, Maximum: 900}
+	from := Zone{Name: "a", Target: 800, Acceptable: 600, Maximum: 900, Stale: true, Rows: []Row{{Rank{Route: "free"}, 700}}}
+	to := Zone{Name: "b", Target: 800, Acceptable: 600, Maximum: 900}
 	moves := []Move{{From: "a", To: "b", Route: "free", Fraction: 0.4, Amount: 100}}
 	var seen []float64
 	for n := 1; n < 12; n++ {
 		from.Missed = n
-		moves = Plan(view([]Cell{from, to}), moves)
+		moves = Plan(view([]Zone{from, to}), moves)
 		if len(moves) > 0 {
 			seen = append(seen, moves[0].Fraction)
 		}
@@ -118,11 +118,11 @@
 
 func TestLearnMaximum(t *testing.T) {
 	is := is.New(t)
-	dice := rand.New(rand.NewPCG(1, 2))
+	random := rand.New(rand.NewPCG(1, 2))
 	var s []Sample
 	for i := range 200 {
 		x := 200 + float64(i)*4
-		s = append(s, Sample{x, 2 + 18*(x/1000)*(x/1000) + dice.NormFloat64()*0.3})
+		s = append(s, Sample{x, 2 + 18*(x/1000)*(x/1000) + random.NormFloat64()*0.3})
 	}
 	for i := 0; i < 200; i += 20 {
 		s[i].Latency = 400 // outliers
@@ -139,14 +139,14 @@
 	is.Equal(Learn(s, 850, 900).Kept, false) // falls
 }
 
-// A route that was just removed still shows in the mean of what a cell used. It
+// A route that was just removed still shows in the mean of what a zone used. It
 // is not moved: what is there to move are the routes that there are.
 func TestRemovedRoutesAreNotMoved(t *testing.T) {
 	is := is.New(t)
 	stay := Rank{Tier: 3, Route: "stock"}
 	v := View{Distance: func(a, b ids.Name) float64 { return 1 }, Ranks: map[ids.Name]Rank{"stock": stay},
 		Pending: map[ids.Name]float64{}, Leaving: map[ids.Name]float64{},
-		Cells: []Cell{{Name: "a", Target: 100, Acceptable: 80, Maximum: 110, Rows: []Row{{stay, 100}, {Rank{Route: "flip"}, 50}}},
+		Zones: []Zone{{Name: "a", Target: 100, Acceptable: 80, Maximum: 110, Rows: []Row{{stay, 100}, {Rank{Route: "flip"}, 50}}},
 			{Name: "b", Target: 100, Acceptable: 80, Maximum: 110}}}
 	moves := Plan(v, nil)
 	is.Equal(len(moves), 1)
@@ -161,7 +161,7 @@
 	low, high := Rank{Tier: 1, Route: "low"}, Rank{Tier: 9, Route: "high"}
 	v := View{Distance: func(a, b ids.Name) float64 { return 1 }, Ranks: map[ids.Name]Rank{"low": low, "high": high},
 		Pending: map[ids.Name]float64{}, Leaving: map[ids.Name]float64{},
-		Cells: []Cell{{Name: "a", Target: 100, Acceptable: 80, Maximum: 110, Rows: []Row{{low, 4}, {high, 90}}},
+		Zones: []Zone{{Name: "a", Target: 100, Acceptable: 80, Maximum: 110, Rows: []Row{{low, 4}, {high, 90}}},
 			{Name: "b", Target: 100, Acceptable: 80, Maximum: 110, Drained: true}, {Name: "c", Target: 100, Acceptable: 80, Maximum: 110}}}
 	moves := Plan(v, []Move{{From: "a", To: "b", Route: "low", Fraction: 0.95, Amount: 76}})
 	is.Equal(len(moves), 1)
@@ -171,19 +171,19 @@
 }
 
 // A move's destination was emptied, and the route that it had taken went to a far
-// cell, in place of a more urgent one, though a nearer cell had come to have room.
+// zone, in place of a more urgent one, though a nearer zone had come to have room.
 func TestARouteThatIsExchangedGoesToTheNearestRoom(t *testing.T) {
 	is := is.New(t)
-	cells := sourceCells()
-	a := &cells[0]
+	zones := sourceZones()
+	a := &zones[0]
 	a.Maximum = 5000 // nothing new leaves
-	cells[2].Drained = true
+	zones[2].Drained = true
 	last := []Move{
 		{From: "a", To: "d", Route: "enterprise", Fraction: 0.5, Amount: 1000},
 		{From: "a", To: "c", Route: "free", Fraction: 0.5, Amount: 500},
 	}
 	amount := map[string]float64{}
-	for _, m := range Plan(view(cells), last) {
+	for _, m := range Plan(view(zones), last) {
 		amount[string(m.Route+">"+m.To)] += m.Amount
 	}
 	// b is nearer than d, and takes what it has room for.
--- a/internal/controlplane/spill/swap.go
+++ b/internal/controlplane/spill/swap.go
@@ -9,14 +9,14 @@
 // homely is the share of a route at home below which it counts as away.
 const homely = 0.05
 
-// swap puts the order of each cell's moves right. Moves end one by one: their
+// swap puts the order of each zone's moves right. Moves end one by one: their
 // destination is emptied, its reports stay away, or it sends them back. Then an
 // urgent route may be away while a lesser one is home. The lesser takes its
-// place, there and here, so that no cell's load changes by it; but for a nearer
-// cell that has come to have room meanwhile, which takes it first.
+// place, there and here, so that no zone's load changes by it; but for a nearer
+// zone that has come to have room meanwhile, which takes it first.
 func (p *planner) swap() {
-	for i := range p.Cells {
-		c := &p.Cells[i]
+	for i := range p.Zones {
+		c := &p.Zones[i]
 		if c.Stale || c.Drained || c.Gone {
 			continue
 		}
@@ -30,8 +30,8 @@
 	}
 }
 
-// all ranks the routes that a cell's own connections ask for, the least first.
-func (p *planner) all(c *Cell) []Row {
+// all ranks the routes that a zone's own connections ask for, the least first.
+func (p *planner) all(c *Zone) []Row {
 	rows := slices.Clone(c.Rows)
 	for _, m := range p.moves {
 		if m.From == c.Name && !slices.ContainsFunc(rows, func(r Row) bool { return r.Route == m.Route }) {
@@ -42,8 +42,8 @@
 	return rows
 }
 
-// exchange lets a lesser route go where an urgent one of the same cell went.
-func (p *planner) exchange(c *Cell, hi, lo ids.Name) {
+// exchange lets a lesser route go where an urgent one of the same zone went.
+func (p *planner) exchange(c *Zone, hi, lo ids.Name) {
 	high, low := p.demand(c, hi), p.demand(c, lo)
 	home := (1 - p.out(c.Name, lo)) * low
 	if high <= 0 || home <= homely*low {
--- a/internal/controlplane/store/founding.go
+++ b/internal/controlplane/store/founding.go
@@ -107,7 +107,7 @@
 		}
 	}
 	ready := len(s.founding.promised) == len(r.VoterSet.Voters) && s.founding.record.Repeats(r)
-	if !ready || now.Sub(s.founding.since) < collectPolicyFor {
+	if !ready || now.Sub(s.founding.since) < collectConfigurationFor {
 		return
 	}
 	s.bootstrap(consensus.Bootstrap{VoterSet: r.VoterSet, Round: r.Round})
@@ -127,12 +127,12 @@
 	}
 	s.noteEarlierCore()
 	out := consensus.FoundingResponse{Round: r.Round, VoterSet: r.VoterSet, Store: s.StoreID(), Promised: s.founding.record.Round}
-	if out.Declined = s.declinesFounding(r); out.Declined != "" {
+	if out.Rejected = s.rejectsFounding(r); out.Rejected != "" {
 		s.Send(from, out)
 		return
 	}
 	record, why := s.founding.record.Promise(r)
-	out.Declined, out.Promised = why, record.Round
+	out.Rejected, out.Promised = why, record.Round
 	if why == "" {
 		s.founding.record, s.founding.recorded = record, true
 		s.Persist(foundingKey, record)
@@ -140,8 +140,8 @@
 	s.AfterSync(sendTo(from, out))
 }
 
-// declinesFounding says what keeps this store from any part in the founding.
-func (s *Store) declinesFounding(r consensus.FoundingRequest) string {
+// rejectsFounding says what keeps this store from any part in the founding.
+func (s *Store) rejectsFounding(r consensus.FoundingRequest) string {
 	var at []ids.Address
 	for _, v := range r.VoterSet.Voters {
 		at = append(at, v.Address)
@@ -165,10 +165,10 @@
 	r := s.founding.request
 	switch {
 	case s.Acceptor.VoterSet().Number > 0 || r.Round != m.Round || !r.VoterSet.SameVoters(m.VoterSet):
-	case m.Declined == "":
+	case m.Rejected == "":
 		s.founding.promised[m.Store] = true
 	default:
-		s.Log("info", "founding declined", "store", itoa(m.Store), "why", m.Declined)
+		s.Log("info", "founding declined", "store", itoa(m.Store), "why", m.Rejected)
 		if m.Promised >= r.Round {
 			s.proposeRound(now, m.Promised+1, r.VoterSet)
 		}
@@ -176,7 +176,7 @@
 }
 
 // noteEarlierCore keeps on the disk that a core was seen to exist: someone
-// holds a policy that was accepted, or a store has a vote in a voter set that
+// holds a configuration that was accepted, or a store has a vote in a voter set that
 // this store didn't help to found. Such a disk never founds by itself.
 func (s *Store) noteEarlierCore() {
 	if s.founding.record.EarlierCore != "" {
@@ -223,8 +223,8 @@
 	}
 	// The values are planted before the voter set is: a member that votes has them.
 	s.Seed(consensus.VoterSetKey, raw)
-	if len(m.Policy) > 0 {
-		s.Seed(configuration.Key, m.Policy)
+	if len(m.Configuration) > 0 {
+		s.Seed(configuration.Key, m.Configuration)
 	}
 	// Before the first voter set nothing was agreed that a copy could lack.
 	if m.VoterSet.IsFirst() {
@@ -237,7 +237,7 @@
 func (s *Store) bootstrapFor(ro consensus.VoterSet) consensus.Bootstrap {
 	b := consensus.Bootstrap{VoterSet: ro, Round: s.founding.record.Round}
 	if at, v := s.Value(configuration.Key); at == (ids.Ballot{Counter: 1}) {
-		b.Policy = v
+		b.Configuration = v
 	}
 	return b
 }
--- a/internal/controlplane/store/founding_test.go
+++ b/internal/controlplane/store/founding_test.go
@@ -68,8 +68,8 @@
 }
 
 // The three old seeds come back blank beside a core that has moved elsewhere and that
-// they don't reach; but one of them hears of a proxy that holds an accepted policy.
-func TestOldSeedsHearOfThePolicy(t *testing.T) {
+// they don't reach; but one of them hears of a proxy that holds an accepted configuration.
+func TestOldSeedsHearOfTheConfiguration(t *testing.T) {
 	is := is.New(t)
 	c := newCluster()
 	for _, a := range seedAddresses {
--- a/internal/controlplane/store/membercache.go
+++ b/internal/controlplane/store/membercache.go
@@ -23,8 +23,8 @@
 )
 
 // remembered gives the addresses of all members that the disk knows.
-func cachedMembers(shelf consensus.Storage, self ids.Address) []ids.Address {
-	raw, _ := shelf.Get(rollKey)
+func cachedMembers(storage consensus.Storage, self ids.Address) []ids.Address {
+	raw, _ := storage.Get(rollKey)
 	_, msg, err := wire.ReadBytes(raw)
 	c, ok := msg.(membership.Snapshot)
 	if !ok || err != nil {
--- a/internal/controlplane/store/oldfolder_test.go
+++ b/internal/controlplane/store/oldfolder_test.go
@@ -30,7 +30,7 @@
 }
 
 // A store takes up a data folder of before the renaming: its id, the voter set
-// and the policy are all there.
+// and the configuration are all there.
 func TestAStoreTakesUpAnOldFolder(t *testing.T) {
 	is := is.New(t)
 	database := openOldFolder(t)
--- a/internal/controlplane/store/recover.go
+++ b/internal/controlplane/store/recover.go
@@ -41,9 +41,9 @@
 		return
 	}
 	s.Log("warn", "refounding")
-	s.survivingPolicy, s.refoundAt = consensus.PolicyReply{}, now.Add(collectPolicyFor)
+	s.survivingConfiguration, s.refoundAt = consensus.ConfigurationReply{}, now.Add(collectConfigurationFor)
 	for _, m := range s.Live(membership.Proxy) {
-		s.Send(m.Address, consensus.PolicyQuery{})
+		s.Send(m.Address, consensus.ConfigurationQuery{})
 	}
 }
 
@@ -98,8 +98,8 @@
 		Revision ids.Revision `json:"revision"`
 	}
 	_ = json.Unmarshal(s.LocalValue(configuration.Key), &own)
-	if json.Unmarshal(s.survivingPolicy.Policy, &theirs) == nil && theirs.Revision > own.Revision {
-		s.ForceValue(configuration.Key, s.survivingPolicy.Policy)
+	if json.Unmarshal(s.survivingConfiguration.Configuration, &theirs) == nil && theirs.Revision > own.Revision {
+		s.ForceValue(configuration.Key, s.survivingConfiguration.Configuration)
 		s.Log("info", "policy taken back from a proxy", "revision", itoa(uint64(theirs.Revision)))
 	}
 	s.ForceValue(consensus.VoterSetKey, raw)
--- a/internal/controlplane/store/recoverall.go
+++ b/internal/controlplane/store/recoverall.go
@@ -32,7 +32,7 @@
 }
 
 // recoverAllIfDue founds a core anew, on an operator's order alone, with the
-// policy that a proxy still holds. Its marks are counted as lost.
+// configuration that a proxy still holds. Its marks are counted as lost.
 func (s *Store) recoverAllIfDue(now ids.Time) {
 	if s.refoundAt == 0 || now < s.refoundAt || s.Acceptor.VoterSet().Number > 0 {
 		return
@@ -44,9 +44,9 @@
 	}
 	first := consensus.VoterSet{Number: consensus.NumberAfterTotalLoss, Loss: 1,
 		Voters: slices.Concat([]consensus.Voter{s.self()}, others[:2])}
-	b := consensus.Bootstrap{VoterSet: first, Policy: s.survivingPolicy.Policy}
+	b := consensus.Bootstrap{VoterSet: first, Configuration: s.survivingConfiguration.Configuration}
 	s.bootstrap(b)
-	s.Log("warn", "founded on order", "voter_set", itoa(first.Number), "policy", configuration.Describe(b.Policy))
+	s.Log("warn", "founded on order", "voter_set", itoa(first.Number), "policy", configuration.Describe(b.Configuration))
 	for _, v := range others[:2] {
 		s.Send(v.Address, b)
 	}
--- a/internal/controlplane/store/screen_test.go
+++ b/internal/controlplane/store/screen_test.go
@@ -138,7 +138,7 @@
 		consensus.Accept{Key: "policy", VoterSet: 4, Value: []byte("x")}, consensus.Accepted{Key: "policy", Store: 2, OK: true},
 		consensus.VoterSetUpdate{VoterSet: threeVoters}, consensus.Request{ID: 1, Key: "policy", Op: 1, Arg: []byte("{}"), Wait: 100},
 		consensus.Response{Outcome: consensus.Succeeded}, consensus.PageRequest{VoterSet: 4}, consensus.PageResponse{Store: 2, Last: true},
-		consensus.Hello{Store: consensus.Voter{ID: 9, Address: stranger}}, consensus.Bootstrap{VoterSet: threeVoters}, consensus.PolicyReply{Revision: 9, Policy: []byte("{}")},
+		consensus.Hello{Store: consensus.Voter{ID: 9, Address: stranger}}, consensus.Bootstrap{VoterSet: threeVoters}, consensus.ConfigurationReply{Revision: 9, Configuration: []byte("{}")},
 		membership.Heartbeat{Self: membership.Member{ID: "x", Role: membership.Store, Address: stranger}}, membership.Snapshot{Members: []membership.Member{{ID: "y"}}},
 		membership.Digest{Parts: make([]uint64, 64)}, membership.Delta{Parts: []uint16{1}}, membership.Suspect{Watcher: "x", ID: "store-1"}} {
 		raw, err := wire.Encode(msg)
--- a/internal/controlplane/store/store.go
+++ b/internal/controlplane/store/store.go
@@ -17,7 +17,7 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// Params are the options of a store.
+// Options are the options of a store.
 type Options struct {
 	membership.Options
 	// Store is the id made with the data folder; Run counts its starts.
@@ -68,7 +68,7 @@
 	return ops
 }
 
-// New makes a store on what its shelf holds.
+// New makes a store on what its storage holds.
 func New(p Options) *Store {
 	s := &Store{}
 	p.Self.Role, p.Self.Store = membership.Store, p.Store
@@ -178,11 +178,11 @@
 		// A proposer whose own disk is stuck would only hold the client up, and one
 		// that was replaced knows nothing of late.
 		if s.diskStalled || s.DiskState() == consensus.Replaced {
-			s.Send(from, consensus.Response{ID: m.ID, Attempt: m.Attempt, Outcome: consensus.Declined})
+			s.Send(from, consensus.Response{ID: m.ID, Attempt: m.Attempt, Outcome: consensus.Rejected})
 			return
 		}
 		s.Submit(now, from, m)
-	case consensus.Response, consensus.VoterSetUpdate, consensus.Hello, consensus.Bootstrap, consensus.PolicyReply, consensus.PageResponse,
+	case consensus.Response, consensus.VoterSetUpdate, consensus.Hello, consensus.Bootstrap, consensus.ConfigurationReply, consensus.PageResponse,
 		consensus.FoundingRequest, consensus.FoundingResponse:
 		s.receiveVoterMessage(now, from, msg)
 	default:
--- a/internal/controlplane/store/voters.go
+++ b/internal/controlplane/store/voters.go
@@ -11,15 +11,15 @@
 
 // keeper founds the voter set, and brings newcomers into it.
 type voterManager struct {
-	seeds           []ids.Address
-	hellos          map[ids.Address]receivedHello
-	requests        uint64
-	next            ids.Time
-	founding        founding
-	departure       departure
-	survivingPolicy consensus.PolicyReply
-	gone            map[uint64]ids.Time
-	learner         learner
+	seeds                  []ids.Address
+	hellos                 map[ids.Address]receivedHello
+	requests               uint64
+	next                   ids.Time
+	founding               founding
+	departure              departure
+	survivingConfiguration consensus.ConfigurationReply
+	gone                   map[uint64]ids.Time
+	learner                learner
 	// retired: the command to set the folder aside was given.
 	retired bool
 	// replicas is how many stores there are to be.
@@ -37,8 +37,8 @@
 
 const (
 	manageEvery = 500 * time.Millisecond
-	// askProxies is how long a founder listens for a policy that survived.
-	collectPolicyFor = 1500 * time.Millisecond
+	// askProxies is how long a founder listens for a configuration that survived.
+	collectConfigurationFor = 1500 * time.Millisecond
 	// surelyGone is how long a member must be gone before a newcomer asks
 	// for its place; a restart should not cost a copy of everything.
 	replaceSilentAfter = 3 * time.Second
@@ -120,9 +120,9 @@
 		s.promiseFounding(from, m)
 	case consensus.FoundingResponse:
 		s.countPromise(now, m)
-	case consensus.PolicyReply:
-		if m.Revision > s.survivingPolicy.Revision {
-			s.survivingPolicy = m
+	case consensus.ConfigurationReply:
+		if m.Revision > s.survivingConfiguration.Revision {
+			s.survivingConfiguration = m
 		}
 	case consensus.VoterSetUpdate:
 		s.adoptVoterSet(now, m.VoterSet)
--- a/internal/controlplane/targets/incremental_test.go
+++ b/internal/controlplane/targets/incremental_test.go
@@ -73,7 +73,7 @@
 	is.Equal(next(func(b *Target) { b.Leaving = true }), 0)
 	is.Equal(next(func(*Target) {}), 1) // it stays after all
 	is.Equal(next(func(b *Target) { b.Capacity = 4 }), 1)
-	is.Equal(next(func(b *Target) { b.Cell = "c" }), 1)
+	is.Equal(next(func(b *Target) { b.Zone = "c" }), 1)
 	is.Equal(next(func(b *Target) { b.Address = "10.0.0.9:1" }), 1)
 	is.Equal(next(func(b *Target) { b.Gone = true }), 1)
 	is.Equal(next(func(b *Target) { b.Gone = true }), 0)
--- a/internal/controlplane/targets/targets.go
+++ b/internal/controlplane/targets/targets.go
@@ -18,7 +18,7 @@
 	Sequence    ids.Sequence    `json:"sequence"`
 	Service     ids.Name        `json:"service"`
 	Address     ids.Address     `json:"address"`
-	Cell        ids.Name        `json:"cell"`
+	Zone        ids.Name        `json:"cell"`
 	Leaving     bool            `json:"leaving"`
 	Gone        bool            `json:"gone"`
 	Warmth      float64         `json:"warmth"`
--- a/internal/dataplane/dispatch/again.go
+++ b/internal/dataplane/dispatch/again.go
@@ -11,7 +11,7 @@
 }
 
 // turnedAway sends on what a target says that it did not run: to another one,
-// as a retry, or back to its consumer.
+// as a retry, or back to its client.
 func (d *Dispatcher) turnedAway(now ids.Time, j *job, e AttemptFinished) {
 	if j.marked() {
 		// Its mark's claim stands, and another place is asked for under it.
@@ -19,7 +19,7 @@
 		return
 	}
 	if j.tries++; d.sentEnough(j) || now.Add(d.mean) >= j.Deadline || !d.budget.spend() {
-		d.decline(now, j, "targets turned it away: "+e.Why)
+		d.reject(now, j, "targets turned it away: "+e.Why)
 		return
 	}
 	d.Tally.Retried++
@@ -42,8 +42,8 @@
 }
 
 // forwarded counts a request that leaves, by how far it goes.
-func (t *Counters) ferried(distance float64) {
-	t.Ferried++
+func (t *Counters) forwarded(distance float64) {
+	t.Forwarded++
 	switch {
 	case distance > 1:
 		t.Far++
--- a/internal/dataplane/dispatch/bench_test.go
+++ b/internal/dataplane/dispatch/bench_test.go
@@ -17,7 +17,7 @@
 func BenchmarkRequest(b *testing.B) {
 	for name, repeatable := range map[string]bool{"repeatable": true, "order": false} {
 		b.Run(name, func(b *testing.B) {
-			d := New(Options{Dice: rand.New(rand.NewPCG(1, 1)), Self: idempotency.Owner{Daemon: "c1", RunID: 1}})
+			d := New(Options{Random: rand.New(rand.NewPCG(1, 1)), Self: idempotency.Owner{Daemon: "c1", RunID: 1}})
 			s := ServiceState{Capacity: 16, InStep: true, Allowance: 2}
 			for i := range 20 {
 				s.Targets = append(s.Targets, Offer{Target: targets.Target{Instance: ids.InstanceID(rune('a' + i)), Warmth: 1, Age: 1e6, Capacity: 16}, Seats: 8, Seat: i % 8, Distance: float64(i % 3)})
@@ -34,7 +34,7 @@
 					switch c := out[0].(type) {
 					case IdempotencyCall:
 						out = d.Step(now, IdempotencyReply{ID: id, Turn: c.Turn, Outcome: consensus.Succeeded, Out: yours})
-					case Ferry:
+					case Forward:
 						out = d.Step(now, AttemptFinished{ID: id, Turn: c.Turn, Result: Complete, Response: idempotency.Response{Status: 200}})
 					default:
 						out = nil
--- a/internal/dataplane/dispatch/dispatch.go
+++ b/internal/dataplane/dispatch/dispatch.go
@@ -1,6 +1,6 @@
 // Package dispatcher takes a request through a proxy: it waits for a place at a
 // target, claims its mark if it may not be repeated, is forwarded once, and is
-// answered as declined, unknown or answered, never as two of them.
+// answered as rejected, unknown or answered, never as two of them.
 package dispatch
 
 import (
@@ -19,9 +19,9 @@
 	looking phase = iota + 1
 	entering
 	waiting
-	inInbox
+	inQueue
 	claiming
-	ferrying
+	forwarding
 	settling
 	barring
 )
@@ -52,14 +52,14 @@
 // marked tells whether a register keeps the job to one run.
 func (j *job) marked() bool { return !j.Repeatable && !j.Single }
 
-// Params are the options of a dispatcher.
+// Options are the options of a dispatcher.
 type Options struct {
-	Self  idempotency.Owner
-	Dice  *rand.Rand
-	Inbox int
+	Self   idempotency.Owner
+	Random *rand.Rand
+	Queue  int
 }
 
-// Desk is the machine for one service at one proxy. Its owner holds a short
+// Dispatcher is the machine for one service at one proxy. Its owner holds a short
 // lock around Step, and carries the commands out after letting go of it.
 type Dispatcher struct {
 	event.Outbox
@@ -67,7 +67,7 @@
 	stock ServiceState
 	lease ids.Time
 	jobs  map[ids.RequestID]*job
-	inbox []*job
+	queue []*job
 	spots map[ids.InstanceID]*spot
 	// list is the spots in order, and best is used anew by each choice.
 	list   []*spot
@@ -83,15 +83,15 @@
 
 // Counters counts what the dispatcher did, for reports and pages.
 type Counters struct {
-	Arrived, Declined, Unknown, Answered, Ferried, Retried, Repeats uint64
-	// Region and Far count those of Ferried that left their cell, and region.
+	Arrived, Rejected, Unknown, Answered, Forwarded, Retried, Repeats uint64
+	// Region and Far count those of Forwarded that left their zone, and region.
 	Region, Far uint64
 }
 
 // New makes a dispatcher with nothing to hand.
 func New(p Options) *Dispatcher {
-	if p.Inbox == 0 {
-		p.Inbox = 128
+	if p.Queue == 0 {
+		p.Queue = 128
 	}
 	return &Dispatcher{Options: p, jobs: map[ids.RequestID]*job{}, spots: map[ids.InstanceID]*spot{}, whole: map[ids.Name]time.Duration{}, mean: 20 * time.Millisecond}
 }
@@ -115,8 +115,8 @@
 	return d.Drain()
 }
 
-// Waiting counts the requests in the inbox.
-func (d *Dispatcher) Waiting() int { return len(d.inbox) }
+// Waiting counts the requests in the queue.
+func (d *Dispatcher) Waiting() int { return len(d.queue) }
 
 // Busy counts the requests in hand.
 func (d *Dispatcher) Busy() int { return len(d.jobs) }
@@ -136,7 +136,7 @@
 		d.wish(now, j, idempotency.OpEnter, entering, 2*time.Second)
 		return
 	}
-	// A repeat may find that it has run: that comes before any decline.
+	// A repeat may find that it has run: that comes before any reject.
 	if j.marked() && j.Attempt > 1 {
 		d.look(now, j)
 		return
--- a/internal/dataplane/dispatch/endings.go
+++ b/internal/dataplane/dispatch/endings.go
@@ -14,8 +14,8 @@
 	d.free(now, j)
 	delete(d.jobs, j.ID)
 	switch r.Class {
-	case Declined:
-		d.Tally.Declined++
+	case Rejected:
+		d.Tally.Rejected++
 		d.note(r.Why)
 	case Unknown:
 		d.Tally.Unknown++
@@ -56,9 +56,9 @@
 	d.respond(now, j, Response{Class: Unknown, Status: status, Why: why, RetryAfter: after})
 }
 
-// decline gives a job up that surely has not run. A later attempt must first
+// reject gives a job up that surely has not run. A later attempt must first
 // bar the earlier ones, or one of them might still run after this answer.
-func (d *Dispatcher) decline(now ids.Time, j *job, why string) {
+func (d *Dispatcher) reject(now ids.Time, j *job, why string) {
 	d.free(now, j)
 	if j.marked() && j.Attempt > 1 {
 		j.why = why
@@ -68,16 +68,16 @@
 	if j.claimed {
 		d.Emit(IdempotencyCall{Key: idempotency.Key(j.Route, j.IdempotencyKey), Op: idempotency.OpRelease, Operation: d.words(j), Wait: 10 * time.Second})
 	}
-	d.respond(now, j, Response{Class: Declined, Status: 503, Why: why, RetryAfter: d.after(now, j)})
+	d.respond(now, j, Response{Class: Rejected, Status: 503, Why: why, RetryAfter: d.after(now, j)})
 }
 
-// after is when a declined consumer should come back: when a place is likely,
+// after is when a rejected client should come back: when a place is likely,
 // by what waits now. Without a goal there is no telling how soon is soon.
 func (d *Dispatcher) after(now ids.Time, j *job) time.Duration {
 	if j.Goal == 0 {
 		return time.Second
 	}
-	wait := time.Duration(len(d.inbox)+1) * d.mean / time.Duration(max(d.places(now), 1))
+	wait := time.Duration(len(d.queue)+1) * d.mean / time.Duration(max(d.places(now), 1))
 	return min(max(wait, j.Goal/8), time.Second)
 }
 
--- a/internal/dataplane/dispatch/inbox.go
+++ b/internal/dataplane/dispatch/inbox.go
@@ -12,49 +12,49 @@
 
 func (d *Dispatcher) order() []ids.RequestID { return slices.Sorted(maps.Keys(d.jobs)) }
 
-// before orders the inbox: the most urgent first, of those the ones that can
+// before orders the queue: the most urgent first, of those the ones that can
 // still meet their goal, then the least time left.
 func before(a, b *job) int {
 	return cmp.Or(-cmp.Compare(a.Tier, b.Tier), late(a)-late(b), cmp.Compare(a.Deadline, b.Deadline), cmp.Compare(a.ID, b.ID))
 }
 
-// admit finds the job a place, or puts it into the short inbox. What can't
-// make it is declined now, not when its time is nearly over.
+// admit finds the job a place, or puts it into the short queue. What can't
+// make it is rejected now, not when its time is nearly over.
 func (d *Dispatcher) admit(now ids.Time, j *job) {
 	if why := d.withheld(now, j); why != "" {
-		d.decline(now, j, why)
+		d.reject(now, j, why)
 		return
 	}
-	j.phase = inInbox
+	j.phase = inQueue
 	// One that comes back from a target has waited before.
 	if j.since == 0 {
 		j.since = now
 	}
-	at, _ := slices.BinarySearchFunc(d.inbox, j, before)
-	d.inbox = slices.Insert(d.inbox, at, j)
+	at, _ := slices.BinarySearchFunc(d.queue, j, before)
+	d.queue = slices.Insert(d.queue, at, j)
 	d.drain(now)
-	if j.phase != inInbox || d.jobs[j.ID] != j {
+	if j.phase != inQueue || d.jobs[j.ID] != j {
 		return
 	}
-	why := d.hopeless(now, j, slices.Index(d.inbox, j), d.places(now))
+	why := d.hopeless(now, j, slices.Index(d.queue, j), d.places(now))
 	switch {
 	case why != "":
 		d.withdraw(j)
-		d.decline(now, j, why)
-	case len(d.inbox) > d.Inbox:
+		d.reject(now, j, why)
+	case len(d.queue) > d.Queue:
 		// The least urgent makes room.
-		last := d.inbox[len(d.inbox)-1]
+		last := d.queue[len(d.queue)-1]
 		d.withdraw(last)
-		d.decline(now, last, "too much work")
+		d.reject(now, last, "too much work")
 	}
 }
 
-// longest is how long a request may expect to wait in the inbox, where its
+// longest is how long a request may expect to wait in the queue, where its
 // route names no goal.
 const longest = time.Second
 
-// patience is how long a request may wait in the inbox. A quarter of the goal
-// leaves its consumer time for another try that is still worth most.
+// patience is how long a request may wait in the queue. A quarter of the goal
+// leaves its client time for another try that is still worth most.
 func (j *job) patience() time.Duration {
 	if j.Goal == 0 || j.late {
 		return longest
@@ -62,7 +62,7 @@
 	return min(j.Goal/4, longest)
 }
 
-// hopeless tells why a request at a place in the inbox won't make it, if so.
+// hopeless tells why a request at a place in the queue won't make it, if so.
 func (d *Dispatcher) hopeless(now ids.Time, j *job, at, places int) string {
 	wait := time.Duration(at+1) * d.mean / time.Duration(max(places, 1))
 	switch {
@@ -78,11 +78,11 @@
 // review gives up at once what can't make it any more, say because targets
 // went; nobody is held until near the deadline.
 func (d *Dispatcher) review(now ids.Time) {
-	if len(d.inbox) == 0 {
+	if len(d.queue) == 0 {
 		return
 	}
 	places, at := d.places(now), 0
-	for _, j := range slices.Clone(d.inbox) {
+	for _, j := range slices.Clone(d.queue) {
 		why := d.withheld(now, j)
 		if why == "" {
 			why = d.hopeless(now, j, at, places)
@@ -92,13 +92,13 @@
 			continue
 		}
 		d.withdraw(j)
-		d.decline(now, j, why)
+		d.reject(now, j, why)
 	}
 }
 
 func (d *Dispatcher) withdraw(j *job) {
-	if at := slices.Index(d.inbox, j); at >= 0 {
-		d.inbox = slices.Delete(d.inbox, at, at+1)
+	if at := slices.Index(d.queue, j); at >= 0 {
+		d.queue = slices.Delete(d.queue, at, at+1)
 	}
 }
 
@@ -107,16 +107,16 @@
 	if d.paused(now) || now >= d.lease {
 		return
 	}
-	for i := 0; i < len(d.inbox); {
-		j := d.inbox[i]
+	for i := 0; i < len(d.queue); {
+		j := d.queue[i]
 		if why := d.withheld(now, j); why != "" {
 			d.withdraw(j)
-			d.decline(now, j, why)
+			d.reject(now, j, why)
 			continue
 		}
 		s := d.pick(now, j)
 		if s == nil {
-			// Others of this inbox may still find a place that j avoids, or that
+			// Others of this queue may still find a place that j avoids, or that
 			// isn't among its homes, or that it has not waited long enough for.
 			if len(j.avoid) == 0 && len(j.Homes) == 0 && j.Goal == 0 {
 				return
@@ -135,7 +135,7 @@
 func (d *Dispatcher) placed(now ids.Time, j *job) {
 	switch {
 	case !j.marked():
-		d.ferry(now, j)
+		d.forward(now, j)
 	default:
 		// After a place that came to nothing the claim may stand, but is asked
 		// for again, as a barring may have come between.
--- a/internal/dataplane/dispatch/job.go
+++ b/internal/dataplane/dispatch/job.go
@@ -9,7 +9,7 @@
 	"dunlinwell/internal/state/idempotency"
 )
 
-// Job is a consumer's request as the dispatcher knows it.
+// Job is a client's request as the dispatcher knows it.
 type Job struct {
 	ID             ids.RequestID
 	Route          ids.Name
@@ -37,10 +37,10 @@
 // ResponseClass of an answer; the three are never mixed.
 type ResponseClass uint8
 
-// Declined: surely not run and will not. Unknown: may have run. Answered: a
-// target's whole, sealed answer. Misused: the consumer's own mistake.
+// Rejected: surely not run and will not. Unknown: may have run. Answered: a
+// target's whole, sealed answer. Misused: the client's own mistake.
 const (
-	Declined ResponseClass = iota + 1
+	Rejected ResponseClass = iota + 1
 	Unknown
 	Answered
 	Misused
@@ -97,8 +97,8 @@
 		Operation idempotency.Operation
 		Wait      time.Duration
 	}
-	// Ferry carries a request to a target, once.
-	Ferry struct {
+	// Forward carries a request to a target, once.
+	Forward struct {
 		ID       ids.RequestID
 		Turn     uint32
 		Target   targets.Target
@@ -111,7 +111,7 @@
 		// NewConnection asks for a new connection, whose target has just shown who it is.
 		NewConnection bool
 	}
-	// Response is the consumer's answer.
+	// Response is the client's answer.
 	Response struct {
 		ID     ids.RequestID
 		Class  ResponseClass
--- a/internal/dataplane/dispatch/late.go
+++ b/internal/dataplane/dispatch/late.go
@@ -2,12 +2,12 @@
 
 import "dunlinwell/internal/base/ids"
 
-// wholeShare is how fast the longest time that a route's consumers give is
+// wholeShare is how fast the longest time that a route's clients give is
 // forgotten: slowly, as after an outage most that come have waited already.
 const wholeShare = 1024
 
-// age tells a job that comes again after others were lost or declined: it has
-// less time left than its route's consumers give at first. Where that leaves
+// age tells a job that comes again after others were lost or rejected: it has
+// less time left than its route's clients give at first. Where that leaves
 // its goal out of reach, a wait costs it nothing, and those that can still meet
 // theirs go before it.
 func (d *Dispatcher) age(now ids.Time, j *job) {
--- a/internal/dataplane/dispatch/late_test.go
+++ b/internal/dataplane/dispatch/late_test.go
@@ -21,7 +21,7 @@
 // crowded is a dispatcher whose one place is taken by request 1.
 func crowded() (*Dispatcher, ids.Time) {
 	now := ids.Time(time.Second)
-	d := New(Options{Dice: rand.New(rand.NewPCG(1, 1)), Self: idempotency.Owner{Daemon: "c", RunID: 1}})
+	d := New(Options{Random: rand.New(rand.NewPCG(1, 1)), Self: idempotency.Owner{Daemon: "c", RunID: 1}})
 	d.Step(now, ServiceState{Capacity: 1, Allowance: 5, InStep: true, Lease: 1 << 60, Terms: map[ids.Name]RouteTerms{"r": {}},
 		Targets: []Offer{{Target: targets.Target{Instance: "t", Warmth: 1, Capacity: 1}, Seats: 1}}})
 	d.Step(now, event.Tick{})
@@ -33,20 +33,20 @@
 	return RequestArrived{Job{ID: id, Route: "r", Service: "s", Repeatable: true, Attempt: 1, Goal: goal, Deadline: now.Add(left)}}
 }
 
-// forwarded gives the request that left among commands, and declined the one
+// forwarded gives the request that left among commands, and rejected the one
 // that was turned away.
-func ferried(list []event.Command) (out, declined ids.RequestID) {
+func forwarded(list []event.Command) (out, rejected ids.RequestID) {
 	for _, c := range list {
 		switch c := c.(type) {
-		case Ferry:
+		case Forward:
 			out = c.ID
 		case Response:
-			if c.Class == Declined {
-				declined = c.ID
+			if c.Class == Rejected {
+				rejected = c.ID
 			}
 		}
 	}
-	return out, declined
+	return out, rejected
 }
 
 // After an outage the dispatcher served first those who had waited longest, so that
@@ -59,9 +59,9 @@
 	d.Step(now, request(now, 3, patience))
 	is.Equal(d.Waiting(), 2)
 	now = now.Add(20 * time.Millisecond)
-	out, _ := ferried(d.Step(now, AttemptFinished{ID: 1, Turn: d.jobs[1].turn, Result: Complete}))
+	out, _ := forwarded(d.Step(now, AttemptFinished{ID: 1, Turn: d.jobs[1].turn, Result: Complete}))
 	is.Equal(out, ids.RequestID(3))
-	out, _ = ferried(d.Step(now, AttemptFinished{ID: 3, Turn: d.jobs[3].turn, Result: Complete}))
+	out, _ = forwarded(d.Step(now, AttemptFinished{ID: 3, Turn: d.jobs[3].turn, Result: Complete}))
 	is.Equal(out, ids.RequestID(2))
 }
 
@@ -74,7 +74,7 @@
 	d.Step(now, request(now, 3, patience))
 	gone := map[ids.RequestID]time.Duration{}
 	for at := time.Duration(0); at < 1500*time.Millisecond; at += 10 * time.Millisecond {
-		if _, id := ferried(d.Step(now.Add(at), event.Tick{})); id != 0 {
+		if _, id := forwarded(d.Step(now.Add(at), event.Tick{})); id != 0 {
 			gone[id] = at
 		}
 	}
@@ -82,7 +82,7 @@
 	is.Equal(gone[2], longest+10*time.Millisecond)
 }
 
-// What a route's consumers give at first is learned from them: where all give
+// What a route's clients give at first is learned from them: where all give
 // less than before they aren't taken for late for ever.
 func TestAShorterDeadlineIsLearned(t *testing.T) {
 	is := is.New(t)
--- a/internal/dataplane/dispatch/places.go
+++ b/internal/dataplane/dispatch/places.go
@@ -10,7 +10,7 @@
 )
 
 // ServiceState is what a dispatcher has to hand: an event of its own, sent whole whenever
-// targets, policy or the number of proxies change.
+// targets, configuration or the number of proxies change.
 type ServiceState struct {
 	Targets  []Offer
 	Capacity int
@@ -19,7 +19,7 @@
 	Allowance float64
 	// InStep: the proxy goes by what is in force, as far as it can know.
 	InStep bool
-	// Closed: the proxy's own cell has been emptied for some seconds.
+	// Closed: the proxy's own zone has been emptied for some seconds.
 	Closed bool
 	// Lease is until when requests may leave by all this.
 	Lease ids.Time
@@ -39,7 +39,7 @@
 	Distance    float64
 	Emptied     bool
 	// Over is how many times the target's places are given out among the seats:
-	// its own small inbox takes what comes at the same time. 0 is once.
+	// its own small queue takes what comes at the same time. 0 is once.
 	Over int
 	// Region is where the target stands.
 	Region ids.Name
--- a/internal/dataplane/dispatch/player_test.go
+++ b/internal/dataplane/dispatch/player_test.go
@@ -203,7 +203,7 @@
 		}
 		p.turns[c.ID] = c.Turn
 		return fmt.Sprintf("%s %d %s", ops[c.Op], c.ID, c.Key)
-	case Ferry:
+	case Forward:
 		p.turns[c.ID] = c.Turn
 		fresh := ""
 		if c.NewConnection {
--- a/internal/dataplane/dispatch/spot.go
+++ b/internal/dataplane/dispatch/spot.go
@@ -135,7 +135,7 @@
 	farWait  = 0.15
 )
 
-// reach is how far a job may go by now. The way to another cell costs time and
+// reach is how far a job may go by now. The way to another zone costs time and
 // bytes that a short wait for a place of its own doesn't; where there is no
 // nearer place at all there is nothing to wait for.
 func (d *Dispatcher) reach(now ids.Time, j *job) float64 {
@@ -159,7 +159,7 @@
 	return math.Inf(1)
 }
 
-// pick chooses a target with a free place: the nearest cell that has one, and
+// pick chooses a target with a free place: the nearest zone that has one, and
 // there the less occupied of two drawn at random.
 func (d *Dispatcher) pick(now ids.Time, j *job) *spot {
 	best, rested := d.best[:0], false
@@ -186,14 +186,14 @@
 	if j.Goal > 0 {
 		return d.least(now, best)
 	}
-	a, b := best[d.Dice.IntN(len(best))], best[d.Dice.IntN(len(best))]
+	a, b := best[d.Random.IntN(len(best))], best[d.Random.IntN(len(best))]
 	if d.occupancy(now, b) < d.occupancy(now, a) {
 		return b
 	}
 	return a
 }
 
-// least gives the least occupied of a cell's few targets; of equals, any.
+// least gives the least occupied of a zone's few targets; of equals, any.
 func (d *Dispatcher) least(now ids.Time, list []*spot) *spot {
 	var out *spot
 	low, same := 0.0, 0
@@ -202,7 +202,7 @@
 		case out == nil || o < low:
 			out, low, same = s, o, 1
 		case o == low:
-			if same++; d.Dice.IntN(same) == 0 {
+			if same++; d.Random.IntN(same) == 0 {
 				out = s
 			}
 		}
--- a/internal/dataplane/dispatch/steps.go
+++ b/internal/dataplane/dispatch/steps.go
@@ -90,7 +90,7 @@
 func (d *Dispatcher) claimed(now ids.Time, j *job, e IdempotencyReply) {
 	r, ok := idempotency.DecodeResult(e.Out)
 	if e.Outcome != consensus.Succeeded || !ok {
-		d.decline(now, j, "the mark couldn't be claimed in time")
+		d.reject(now, j, "the mark couldn't be claimed in time")
 		return
 	}
 	switch r.Verdict {
@@ -98,11 +98,11 @@
 		// A claim alone is not enough: time must be left, and no pause noticed.
 		switch {
 		case now >= j.Deadline:
-			d.decline(now, j, "no time left")
+			d.reject(now, j, "no time left")
 		case d.paused(now):
-			d.decline(now, j, "this proxy was paused")
+			d.reject(now, j, "this proxy was paused")
 		default:
-			d.ferry(now, j)
+			d.forward(now, j)
 		}
 	case idempotency.InProgress:
 		d.wait(now, j, r.Record.Owner)
@@ -116,7 +116,7 @@
 	default:
 		// Barred: a later attempt was told that this one will never run.
 		j.claimed = false
-		d.respond(now, j, Response{Class: Declined, Status: 503, Why: "given up in favour of a later attempt", RetryAfter: time.Second})
+		d.respond(now, j, Response{Class: Rejected, Status: 503, Why: "given up in favour of a later attempt", RetryAfter: time.Second})
 	}
 }
 
@@ -126,7 +126,7 @@
 	case e.Outcome != consensus.Succeeded || !ok:
 		d.unknown(now, j, 504, j.why+"; whether an earlier attempt ran isn't known")
 	case r.Verdict == idempotency.Released:
-		d.respond(now, j, Response{Class: Declined, Status: 503, Why: j.why, RetryAfter: time.Second})
+		d.respond(now, j, Response{Class: Rejected, Status: 503, Why: j.why, RetryAfter: time.Second})
 	case r.Verdict == idempotency.AlreadyCompleted:
 		d.repeated(now, j, r.Record.Response)
 	case r.Verdict == idempotency.FingerprintMismatch:
@@ -136,12 +136,12 @@
 	}
 }
 
-// forward lets the request go. From here on "declined" is out of the question
+// forward lets the request go. From here on "rejected" is out of the question
 // unless no byte left.
-func (d *Dispatcher) ferry(now ids.Time, j *job) {
+func (d *Dispatcher) forward(now ids.Time, j *job) {
 	// The mark took its time: what was so when the place was found may not be.
 	if why := d.withheld(now, j); why != "" {
-		d.decline(now, j, why)
+		d.reject(now, j, why)
 		return
 	}
 	s := d.spots[j.target]
@@ -151,9 +151,9 @@
 		d.admit(now, j)
 		return
 	}
-	// A consumer's repeat that reaches a target is a retry like our own.
+	// A client's repeat that reaches a target is a retry like our own.
 	if j.Attempt > 1 && !j.counted && !d.budget.spend() {
-		d.decline(now, j, "the budget for repeated requests is used up")
+		d.reject(now, j, "the budget for repeated requests is used up")
 		return
 	}
 	// A first request earns as it leaves: counted any later, its share could
@@ -165,18 +165,18 @@
 			d.budget.earn()
 		}
 	}
-	j.phase = ferrying
+	j.phase = forwarding
 	j.sends++
 	j.turn++
 	j.placed = now
-	d.Tally.ferried(s.Distance)
-	d.Emit(Ferry{ID: j.ID, Turn: j.turn, Target: s.Target, Deadline: j.Deadline, SendBefore: min(j.Deadline, d.lease), NewConnection: j.marked(), Careful: j.Single})
+	d.Tally.forwarded(s.Distance)
+	d.Emit(Forward{ID: j.ID, Turn: j.turn, Target: s.Target, Deadline: j.Deadline, SendBefore: min(j.Deadline, d.lease), NewConnection: j.marked(), Careful: j.Single})
 }
 
 // back takes a forwarded request's end.
 func (d *Dispatcher) back(now ids.Time, e AttemptFinished) {
 	j := d.jobs[e.ID]
-	if j == nil || j.turn != e.Turn || j.phase != ferrying {
+	if j == nil || j.turn != e.Turn || j.phase != forwarding {
 		return
 	}
 	s := d.spots[j.target]
@@ -206,7 +206,7 @@
 		// Nothing left, so another target may have it, and no retry is spent.
 		j.sends--
 		if j.tries++; j.tries > 3 {
-			d.decline(now, j, "no target could be reached: "+e.Why)
+			d.reject(now, j, "no target could be reached: "+e.Why)
 			return
 		}
 		d.admit(now, j)
--- a/internal/dataplane/dispatch/trace_test.go
+++ b/internal/dataplane/dispatch/trace_test.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := New(Options{Dice: rand.New(rand.NewPCG(1, 1)), Self: idempotency.Owner{Daemon: "c1", RunID: 1}})
+	d := New(Options{Random: rand.New(rand.NewPCG(1, 1)), Self: idempotency.Owner{Daemon: "c1", RunID: 1}})
 	p := &player{}
 	var got, want []string
 	check := func(line int) {
--- a/internal/dataplane/dispatch/withheld.go
+++ b/internal/dataplane/dispatch/withheld.go
@@ -33,7 +33,7 @@
 	switch {
 	case d.paused(now):
 		return "this proxy is not in step"
-	// By what nobody has confirmed of late the cell may long be emptied, the
+	// By what nobody has confirmed of late the zone may long be emptied, the
 	// route gone, or the target another's.
 	case now >= d.lease:
 		return "no majority has confirmed of late what this proxy goes by"
--- a/internal/dataplane/proxy/agreement.go
+++ b/internal/dataplane/proxy/agreement.go
@@ -15,9 +15,9 @@
 // stores itself: all registries may be gone while a majority still agrees.
 const askAfter = time.Second
 
-func (c *Control) askPolicy(now ids.Time) {
+func (c *Control) askConfiguration(now ids.Time) {
 	after := askAfter
-	if c.ByCell {
+	if c.ByZone {
 		// Two registries say a word a second; to ask sooner than both are silent would
 		// cost a round of the stores for each proxy and second.
 		after = 4 * askAfter
@@ -32,7 +32,7 @@
 			return
 		}
 		if p, err := configuration.Decode(out); err == nil {
-			p.Recent, p.Declined, p.History = nil, nil, nil
+			p.Recent, p.Rejected, p.History = nil, nil, nil
 			c.adopt(at, out)
 			c.confirm(at, p.Revision, now)
 		}
@@ -53,7 +53,7 @@
 func (c *Control) sure() ids.Time { return min(c.agreed, c.word) }
 
 // until is when the lease on it ends. Nothing leaves after that: an accepted
-// change, an emptied cell, a target that left can't wait for us any longer.
+// change, an emptied zone, a target that left can't wait for us any longer.
 func (c *Control) until() ids.Time {
 	if c.Lease == Endless {
 		// Rules with a time bound hold for proxies in touch; one that isn't
--- a/internal/dataplane/proxy/carry.go
+++ b/internal/dataplane/proxy/carry.go
@@ -18,7 +18,7 @@
 	"dunlinwell/internal/transport/process"
 )
 
-// ClientRequest is a consumer's request, read whole.
+// ClientRequest is a client's request, read whole.
 type ClientRequest struct {
 	Job    dispatch.Job
 	Method string
@@ -53,20 +53,20 @@
 
 // requestID is the id that the target echoes.
 func (d *Daemon) requestID(r ids.RequestID) string {
-	return fmt.Sprintf("%s-%x-%d", d.Params.Name, uint64(d.self.RunID), r)
+	return fmt.Sprintf("%s-%x-%d", d.Options.Name, uint64(d.self.RunID), r)
 }
 
 // carry takes a request to its target, once, and judges what comes back.
-func (d *Daemon) carry(c *ClientRequest, f dispatch.Ferry) dispatch.AttemptFinished {
+func (d *Daemon) carry(c *ClientRequest, f dispatch.Forward) dispatch.AttemptFinished {
 	back := dispatch.AttemptFinished{ID: f.ID, Turn: f.Turn, Result: dispatch.NotSent}
 	until := time.Now().Add(f.Deadline.Sub(process.Now()))
-	var line *circuit
+	var line *connection
 	if !f.NewConnection {
-		line = d.circuits.takeFor(f.Target, f.Careful)
+		line = d.connections.takeFor(f.Target, f.Careful)
 	}
 	if line == nil {
 		var err error
-		if line, err = d.circuits.open(context.Background(), f.Target, until); err != nil {
+		if line, err = d.connections.open(context.Background(), f.Target, until); err != nil {
 			back.Why = err.Error()
 			return back
 		}
@@ -87,7 +87,7 @@
 		back.Result = dispatch.MayHaveRun
 	}
 	if err != nil {
-		d.circuits.dead(line)
+		d.connections.dead(line)
 		line.Close()
 		back.Why = "sending: " + err.Error()
 		return back
@@ -95,14 +95,14 @@
 	v, err := d.sealed(line, c, f)
 	if err != nil {
 		if !line.heard {
-			d.circuits.dead(line)
+			d.connections.dead(line)
 		}
 		line.Close()
 		back.Why = err.Error()
 		return back
 	}
 	if v.Again {
-		d.circuits.keep(f.Target.Instance, line, v.Idle)
+		d.connections.keep(f.Target.Instance, line, v.Idle)
 	} else {
 		line.Close()
 	}
@@ -116,8 +116,8 @@
 const mostPacked = 16 << 10
 
 // pack writes a request as it goes out. Method, path and body are the
-// consumer's own, to the byte: nothing is cleaned or encoded anew.
-func pack(c *ClientRequest, f dispatch.Ferry, head http.Header) []byte {
+// client's own, to the byte: nothing is cleaned or encoded anew.
+func pack(c *ClientRequest, f dispatch.Forward, head http.Header) []byte {
 	var b bytes.Buffer
 	b.Grow(1024 + min(len(c.Body), mostPacked))
 	host := c.Host
@@ -148,7 +148,7 @@
 
 // sealed reads an answer whole and lets the trade judge it. Only then may a
 // byte of it go on.
-func (d *Daemon) sealed(line *circuit, c *ClientRequest, f dispatch.Ferry) (Verdict, error) {
+func (d *Daemon) sealed(line *connection, c *ClientRequest, f dispatch.Forward) (Verdict, error) {
 	peer := string(f.Target.Address)
 	for range mostOthers + 1 {
 		line.bound.N = mostHead
@@ -181,7 +181,7 @@
 // body reads an answer's body, whole and within the limit.
 func (d *Daemon) body(res *http.Response, peer string, held *MemoryReservation) ([]byte, error) {
 	defer res.Body.Close()
-	limit := d.Params.MaxResponse
+	limit := d.Options.MaxResponse
 	if res.StatusCode < 200 {
 		return nil, errs.New("check response", peer, "answer of status %d", res.StatusCode)
 	}
--- a/internal/dataplane/proxy/carry_test.go
+++ b/internal/dataplane/proxy/carry_test.go
@@ -95,7 +95,7 @@
 	d.beat.Store(int64(process.Now()))
 	c := &ClientRequest{Method: "POST", URI: "/x?y=1", Body: []byte("{}"), Job: dispatch.Job{ID: 3, IdempotencyKey: "m", Attempt: 1, Repeatable: repeatable},
 		Header: http.Header{"Idempotency-Key": {"m"}, "Connection": {"X-Own"}, "X-Own": {"1"}, "X-Kept": {"2"}}}
-	return d.carry(c, dispatch.Ferry{ID: 3, Turn: 1, NewConnection: fresh, Deadline: process.Now().Add(5 * time.Second), SendBefore: process.Now().Add(5 * time.Second),
+	return d.carry(c, dispatch.Forward{ID: 3, Turn: 1, NewConnection: fresh, Deadline: process.Now().Add(5 * time.Second), SendBefore: process.Now().Add(5 * time.Second),
 		Target: targets.Target{Instance: "t", Service: "s", Incarnation: 4, Address: ids.Address(s.Addr().String())}})
 }
 
@@ -107,7 +107,7 @@
 	is.Equal(string(b.Response.Body), "hello")
 	h := *s.headers.Load()
 	is.Equal(h.Get("X-Kept"), "2")
-	is.Equal(h.Get("X-Own"), "") // belongs to the consumer's circuit alone
+	is.Equal(h.Get("X-Own"), "") // belongs to the client's connection alone
 	for _, line := range b.Response.Header {
 		is.True(line.Name != "Keep-Alive")
 	}
--- a/internal/dataplane/proxy/circuit.go
+++ b/internal/dataplane/proxy/circuit.go
@@ -13,7 +13,7 @@
 )
 
 // connection is one held connection to a target that has shown who it is.
-type circuit struct {
+type connection struct {
 	net.Conn
 	// run is what the connection leads to.
 	run   targetRun
@@ -40,7 +40,7 @@
 func runOf(t targets.Target) targetRun { return targetRun{t.Address, t.Incarnation} }
 
 // takeFor gives an idle connection to this very run of a target.
-func (p *circuits) takeFor(t targets.Target, careful bool) *circuit {
+func (p *connections) takeFor(t targets.Target, careful bool) *connection {
 	for {
 		c := p.take(t.Instance, careful)
 		if c == nil || c.run == runOf(t) {
@@ -52,7 +52,7 @@
 
 // Read notes whether anything came back: a connection that ends before that was
 // dead as it was used.
-func (c *circuit) Read(p []byte) (int, error) {
+func (c *connection) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	var slow net.Error
 	if n > 0 || errors.As(err, &slow) && slow.Timeout() {
@@ -63,7 +63,7 @@
 
 // quiet looks, without taking anything, whether the peer closed or spoke out
 // of turn; either way the connection is no good.
-func (c *circuit) quiet() bool {
+func (c *connection) quiet() bool {
 	s, ok := c.Conn.(syscall.Conn)
 	if !ok || c.read.Buffered() > 0 {
 		return false
--- a/internal/dataplane/proxy/circuits.go
+++ b/internal/dataplane/proxy/circuits.go
@@ -33,9 +33,9 @@
 
 // connections keeps idle connections by target. net/http's Transport is not used
 // here: it resends by itself on a dead connection, and then an order runs twice.
-type circuits struct {
+type connections struct {
 	mu   sync.Mutex
-	idle map[ids.InstanceID][]*circuit
+	idle map[ids.InstanceID][]*connection
 	from net.IP
 	// greets: a new connection first asks its target who it is.
 	greets bool
@@ -63,7 +63,7 @@
 )
 
 // take gives an idle connection that is surely still open.
-func (p *circuits) take(id ids.InstanceID, careful bool) *circuit {
+func (p *connections) take(id ids.InstanceID, careful bool) *connection {
 	for {
 		p.mu.Lock()
 		list := p.idle[id]
@@ -83,7 +83,7 @@
 	}
 }
 
-func (p *circuits) careful() time.Duration {
+func (p *connections) careful() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return cmp.Or(p.fresh, carefulIdle)
@@ -92,7 +92,7 @@
 // dead notes that a connection that had been idle was gone as it was used: targets
 // may forget connections sooner than they say, and what is lost so can't be sent
 // again. recover, now and then, trusts them a little longer.
-func (p *circuits) dead(c *circuit) {
+func (p *connections) dead(c *connection) {
 	if c.reused == 0 {
 		return
 	}
@@ -101,7 +101,7 @@
 	p.fresh = max(min(c.reused/2, cmp.Or(p.fresh, carefulIdle)), carefulLeast)
 }
 
-func (p *circuits) recover() {
+func (p *connections) recover() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.fresh > 0 {
@@ -110,7 +110,7 @@
 }
 
 // keep holds a connection for later, unless there are enough.
-func (p *circuits) keep(id ids.InstanceID, c *circuit, idle time.Duration) {
+func (p *connections) keep(id ids.InstanceID, c *connection, idle time.Duration) {
 	c.idled, c.usable = process.Now(), idleUsable
 	if idle > 0 {
 		c.usable = max(idle-idleMargin, 0)
@@ -123,17 +123,17 @@
 		return
 	}
 	if p.idle == nil {
-		p.idle = map[ids.InstanceID][]*circuit{}
+		p.idle = map[ids.InstanceID][]*connection{}
 	}
 	p.idle[id] = append(p.idle[id], c)
 }
 
 // sweep closes what has been idle for too long.
-func (p *circuits) sweep() {
+func (p *connections) sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, list := range p.idle {
-		var stay []*circuit
+		var stay []*connection
 		for _, c := range list {
 			if process.Now().Sub(c.idled) < c.usable {
 				stay = append(stay, c)
@@ -151,7 +151,7 @@
 
 // open dials a target and lets it show who it is, on the very connection that
 // requests will use: a later owner of the address never gets one.
-func (p *circuits) open(ctx context.Context, t targets.Target, until time.Time) (*circuit, error) {
+func (p *connections) open(ctx context.Context, t targets.Target, until time.Time) (*connection, error) {
 	d := net.Dialer{Timeout: p.dialWithin, Deadline: until, Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
 			_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, process.TCPUserLimit, int(ackWithin/time.Millisecond))
@@ -164,7 +164,7 @@
 	if err != nil {
 		return nil, errs.Wrap(err, "dial target", string(t.Address))
 	}
-	c := &circuit{Conn: conn, run: runOf(t)}
+	c := &connection{Conn: conn, run: runOf(t)}
 	c.bound = &io.LimitedReader{R: c, N: mostHead}
 	c.read = bufio.NewReader(c.bound)
 	if !p.greets {
@@ -188,7 +188,7 @@
 	return c, nil
 }
 
-func (c *circuit) ask(t targets.Target) (IdentityDocument, error) {
+func (c *connection) ask(t targets.Target) (IdentityDocument, error) {
 	var s IdentityDocument
 	req, err := http.NewRequest(http.MethodGet, "http://"+string(t.Address)+WellKnown, nil)
 	if err != nil {
--- a/internal/dataplane/proxy/circuits_test.go
+++ b/internal/dataplane/proxy/circuits_test.go
@@ -21,11 +21,11 @@
 
 func (plain) Greets() bool { return false }
 
-func (plain) Outgoing(c *ClientRequest, _ dispatch.Ferry, _ time.Duration) http.Header {
+func (plain) Outgoing(c *ClientRequest, _ dispatch.Forward, _ time.Duration) http.Header {
 	return Strip(c.Header)
 }
 
-func (p plain) Judge(res *http.Response, body []byte, c *ClientRequest, _ dispatch.Ferry) (Verdict, error) {
+func (p plain) Judge(res *http.Response, body []byte, c *ClientRequest, _ dispatch.Forward) (Verdict, error) {
 	v := Verdict{How: dispatch.Complete, Response: Sealed(res, body), Again: true, Idle: p.idle}
 	switch res.Header.Get("Id") {
 	case c.ID:
@@ -39,7 +39,7 @@
 func plainCarrier(idle time.Duration) *Daemon {
 	d := newCarrier()
 	d.trade = plain{idle}
-	d.circuits.greets = false
+	d.connections.greets = false
 	return d
 }
 
@@ -64,21 +64,21 @@
 func (d *Daemon) sendWithin(s *stand, c *ClientRequest, careful bool, within time.Duration) dispatch.AttemptFinished {
 	d.beat.Store(int64(process.Now()))
 	c.Method, c.URI, c.Header = "POST", "/x", http.Header{"Id": {c.ID}}
-	return d.carry(c, dispatch.Ferry{ID: 1, Turn: 1, Careful: careful, Deadline: process.Now().Add(within), SendBefore: process.Now().Add(within),
+	return d.carry(c, dispatch.Forward{ID: 1, Turn: 1, Careful: careful, Deadline: process.Now().Add(within), SendBefore: process.Now().Add(within),
 		Target: targets.Target{Instance: "t", Service: "s", Address: ids.Address(s.Addr().String())}})
 }
 
 // lay makes the one idle connection look as if it had been idle for a while.
 func (d *Daemon) lay(t *testing.T, idle time.Duration) {
 	t.Helper()
-	list := d.circuits.idle["t"]
+	list := d.connections.idle["t"]
 	if len(list) != 1 {
 		t.Fatalf("%d circuits are held, not one", len(list))
 	}
 	list[0].idled = process.Now().Add(-idle)
 }
 
-func TestCarefulCircuits(t *testing.T) {
+func TestCarefulConnections(t *testing.T) {
 	is := is.New(t)
 	s, d := newStand(t), plainCarrier(0)
 	s.answer = echo
@@ -100,8 +100,8 @@
 		is.Equal(s.circs.Load(), c.circs)
 	}
 	d.lay(t, idleUsable+time.Millisecond)
-	d.circuits.sweep()
-	is.Equal(len(d.circuits.idle), 0)
+	d.connections.sweep()
+	is.Equal(len(d.connections.idle), 0)
 }
 
 // A target's own word on how long a connection may be idle is kept, with a margin.
@@ -131,7 +131,7 @@
 	s, d := newStand(t), plainCarrier(0)
 	s.answer = func(r *http.Request) string { return echo(r) + "HTTP/1.1 200 OK\r\n" }
 	is.Equal(string(d.put(s, "a", false).Response.Body), "of a")
-	is.Equal(len(d.circuits.idle), 0)
+	is.Equal(len(d.connections.idle), 0)
 	s.answer = echo
 	is.Equal(string(d.put(s, "b", false).Response.Body), "of b")
 	is.Equal(s.circs.Load(), int64(2))
--- a/internal/dataplane/proxy/clientconn.go
+++ b/internal/dataplane/proxy/clientconn.go
@@ -12,7 +12,7 @@
 // longAgo is a deadline that ends a pending read at once.
 var longAgo = time.Unix(1, 0)
 
-// clientConn is a consumer's connection that can be ended while it is idle
+// clientConn is a client's connection that can be ended while it is idle
 // without losing a request: either its pending read ends with nothing read, or
 // the request that was read is answered. Closing it, as net/http does with idle
 // connections, loses one that was read just before.
@@ -124,7 +124,7 @@
 	}
 }
 
-// handler tells consumers of an ending door to go with their answer.
+// handler tells clients of an ending door to go with their answer.
 func (d *door) handler(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		h.ServeHTTP(&lastAnswer{ResponseWriter: w, door: d}, r)
--- a/internal/dataplane/proxy/clientconn_test.go
+++ b/internal/dataplane/proxy/clientconn_test.go
@@ -15,7 +15,7 @@
 
 const get = "GET /x HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// scriptedConn is a consumer's connection by hand: each read gives what the next
+// scriptedConn is a client's connection by hand: each read gives what the next
 // step of its script does.
 type scriptedConn struct {
 	net.Conn
@@ -44,7 +44,7 @@
 	}
 	script := c.script
 	if len(p) == 1 {
-		// The server only looks whether the consumer hangs up meanwhile.
+		// The server only looks whether the client hangs up meanwhile.
 		script = nil
 	}
 	select {
--- a/internal/dataplane/proxy/control.go
+++ b/internal/dataplane/proxy/control.go
@@ -1,4 +1,4 @@
-// Package proxy is the proxy: it carries consumers' requests to targets and
+// Package proxy is the proxy: it carries clients' requests to targets and
 // knows nothing but what is pushed to it.
 package proxy
 
@@ -21,11 +21,11 @@
 	*membership.List
 	Client  *consensus.Client
 	targets *targets.Table
-	// policy is what is in force here, as far as is known; view is it, read.
-	policy *configuration.Document
-	view   *configuration.View
+	// configuration is what is in force here, as far as is known; view is it, read.
+	configuration *configuration.Document
+	view          *configuration.View
 	// word is as of when the targets are known, by a registry's word; agreed is
-	// when the newest agreement began by which the policy held here is in force.
+	// when the newest agreement began by which the configuration held here is in force.
 	word   ids.Time
 	agreed ids.Time
 	// told: a registry has told of targets in this run; current: what this proxy goes
@@ -41,7 +41,7 @@
 	peerLease
 	// stopping: asked to stop, so no new work and none is to be sent here.
 	stopping bool
-	// empty is since when this cell is emptied; late, that this proxy could
+	// empty is since when this zone is emptied; late, that this proxy could
 	// not have heard of it in time, and so has no time left.
 	empty ids.Time
 	late  bool
@@ -58,7 +58,7 @@
 	// thaws are until when targets count as cold whatever they said: they were
 	// out of use and may have gone cold since.
 	thaws map[ids.Name]ids.Time
-	// ranks are worked out anew for each restocking, by cell.
+	// ranks are worked out anew for each restocking, by zone.
 	ranks map[ids.Name]rank
 }
 
@@ -74,8 +74,8 @@
 const (
 	// cutAfter is how long without word from any registry counts as cut off.
 	cutAfter = 1500 * time.Millisecond
-	// emptyAfter is when an emptied cell's proxy stops even ferrying; until
-	// then consumers who were sent here before are still carried elsewhere.
+	// emptyAfter is when an emptied zone's proxy stops even forwarding; until
+	// then clients who were sent here before are still carried elsewhere.
 	emptyAfter = 2 * time.Second
 	// agreedWithin bounds the age of the agreement that a ready proxy goes
 	// by: a registry on the wrong side of a split speaks, but knows no better.
@@ -88,7 +88,7 @@
 
 // ControlOptions of a control machine; zero ones take the defaults.
 type ControlOptions struct {
-	// Lease is how long requests are served by a policy and targets that can't
+	// Lease is how long requests are served by a configuration and targets that can't
 	// be confirmed.
 	Lease time.Duration
 	Layout
@@ -105,12 +105,12 @@
 		o.Lease = DefaultLease
 	}
 	c := &Control{ControlOptions: o, targets: targets.New(), seen: map[ids.DaemonID]ids.Time{}}
-	c.targets.Thrifty = o.ByCell
+	c.targets.Thrifty = o.ByZone
 	c.List = membership.New(p, &c.Outbox)
 	c.Client = consensus.NewClient(p.Self.RunID, &c.Outbox)
 	c.Client.StoreOrder = c.stores
 	empty, _ := configuration.Decode(nil)
-	c.policy, c.view = empty, empty.View()
+	c.configuration, c.view = empty, empty.View()
 	c.view.SetRegions(o.Regions)
 	return c
 }
@@ -155,9 +155,9 @@
 		c.push(now, from, m)
 	case consensus.Response:
 		c.Client.HandleResponse(now, from, m)
-	case consensus.PolicyQuery:
+	case consensus.ConfigurationQuery:
 		if c.view.Revision > 0 {
-			c.Send(from, consensus.PolicyReply{Revision: c.view.Revision, Policy: c.policy.Encode(false)})
+			c.Send(from, consensus.ConfigurationReply{Revision: c.view.Revision, Configuration: c.configuration.Encode(false)})
 		}
 	case LeaseRequest:
 		c.answerLeaseRequest(now, from, m)
@@ -170,8 +170,8 @@
 
 // push takes what a registry delivers. Dispatchers have it before it is acknowledged.
 func (c *Control) push(now ids.Time, from ids.Address, p distribution.Push) {
-	if p.Revision > c.view.Revision && len(p.Policy) > 0 {
-		c.adopt(now, p.Policy)
+	if p.Revision > c.view.Revision && len(p.Configuration) > 0 {
+		c.adopt(now, p.Configuration)
 	}
 	// A push may have waited in a socket while this process slept. Only what
 	// it echoes tells how old it can be at most.
@@ -186,19 +186,19 @@
 	c.refreshTargets(now)
 }
 
-// adopt takes a newer policy; a proxy never goes back to an older one.
+// adopt takes a newer configuration; a proxy never goes back to an older one.
 func (c *Control) adopt(now ids.Time, raw []byte) {
-	p, err := c.policy.Advance(raw)
-	if err != nil || p == c.policy {
+	p, err := c.configuration.Advance(raw)
+	if err != nil || p == c.configuration {
 		return
 	}
 	late := !c.inStep(now)
 	old := c.view
-	c.policy, c.view = p, p.View()
+	c.configuration, c.view = p, p.View()
 	c.view.SetRegions(c.Regions)
 	c.thaw(now, old)
 	switch {
-	case !c.view.Cells[c.Self.Zone].Drained:
+	case !c.view.Zones[c.Self.Zone].Drained:
 		c.empty, c.late = 0, false
 	case c.empty == 0:
 		c.empty, c.late = now, late
--- a/internal/dataplane/proxy/daemon.go
+++ b/internal/dataplane/proxy/daemon.go
@@ -26,19 +26,19 @@
 	settings.Common
 	MaxResponse int           `help:"Largest answer of a target that is taken, in bytes." default:"4194304" name:"max-response"`
 	ReportEvery time.Duration `help:"How often CPU time is reported." default:"2s" name:"report-every"`
-	Inbox       int           `help:"Longest inbox of a service." default:"128" name:"inbox"`
+	Queue       int           `help:"Longest inbox of a service." default:"128" name:"inbox"`
 	Lease       time.Duration `help:"How long requests are served by a policy and targets that can't be confirmed, 2s to 3s." default:"2500ms" name:"lease"`
-	Consumers   string        `help:"Where consumers come in, if not at --http." placeholder:"IP:PORT" name:"consumers"`
+	Clients     string        `help:"Where consumers come in, if not at --http." placeholder:"IP:PORT" name:"consumers"`
 	MaxHeld     int           `help:"Most bytes of bodies and answers that are kept at once; what doesn't fit is declined." default:"268435456" name:"max-held"`
 	Grace       time.Duration `help:"How long held requests may go on after the polite signal." default:"1700ms" name:"grace"`
 	DialWithin  time.Duration `help:"How long a circuit to a target may take to open." default:"1s" name:"dial-within"`
-	// Edge is the dialect spoken to consumers and targets; nil for our own.
+	// Edge is the dialect spoken to clients and targets; nil for our own.
 	Edge Frontend `kong:"-"`
-	// Layout is how targets' places are shared out, and Regions those of cells.
+	// Layout is how targets' places are shared out, and Regions those of zones.
 	Layout
 }
 
-// Validate checks what the common params don't cover.
+// Validate checks what the common options don't cover.
 func (p *DaemonOptions) Validate() error {
 	// Shorter than a few of the registries's rounds it would end by itself; longer
 	// a change would be in force too late.
@@ -50,55 +50,55 @@
 
 // Daemon is a proxy as a process.
 type Daemon struct {
-	Params   DaemonOptions
-	self     membership.Member
-	log      *process.Log
-	owner    *process.Owner
-	post     *process.Transport
-	circuits circuits
-	hold     hold
-	trade    TargetProtocol
-	edge     Frontend
-	gate     *gate
-	meter    *meter
-	router   atomic.Pointer[router]
-	footing  atomic.Pointer[ServingState]
-	requests atomic.Uint64
+	Options     DaemonOptions
+	self        membership.Member
+	log         *process.Log
+	owner       *process.Owner
+	post        *process.Transport
+	connections connections
+	hold        hold
+	trade       TargetProtocol
+	edge        Frontend
+	gate        *gate
+	meter       *meter
+	router      atomic.Pointer[router]
+	footing     atomic.Pointer[ServingState]
+	requests    atomic.Uint64
 	// beat is when the owner last stepped: a freeze shows as its age.
-	beat     atomic.Int64
-	emptied  atomic.Bool
-	stopping atomic.Bool
-	mu       sync.RWMutex
-	desks    map[ids.Name]*place
+	beat        atomic.Int64
+	emptied     atomic.Bool
+	stopping    atomic.Bool
+	mu          sync.RWMutex
+	dispatchers map[ids.Name]*place
 }
 
 // place is a dispatcher under its own short lock, with the requests it has in hand.
 type place struct {
-	mu    sync.Mutex
-	desk  *dispatch.Dispatcher
-	cargo map[ids.RequestID]*ride
+	mu         sync.Mutex
+	dispatcher *dispatch.Dispatcher
+	cargo      map[ids.RequestID]*ride
 	// soon: a clock event is on its way, for requests that wait.
 	soon bool
 }
 
 type ride struct {
 	*ClientRequest
-	response chan dispatch.Response
-	ferried  time.Duration
+	response  chan dispatch.Response
+	forwarded time.Duration
 }
 
 // NewDaemon puts a proxy together.
 func NewDaemon(p DaemonOptions) *Daemon {
-	d := &Daemon{Params: p, log: process.NewLog(p.Log, p.Name), meter: newMeter(), desks: map[ids.Name]*place{}}
+	d := &Daemon{Options: p, log: process.NewLog(p.Log, p.Name), meter: newMeter(), dispatchers: map[ids.Name]*place{}}
 	d.hold.most = int64(cmp.Or(p.MaxHeld, defaultHeld))
 	d.self = daemon.Self(p.Common, membership.Proxy)
-	d.self.ClientListen = ids.Address(p.Consumers)
-	control := New(membership.Options{Self: d.self, Seeds: p.SeedList(), Incremental: p.ByCell}, ControlOptions{Lease: p.Lease, Layout: p.Layout})
+	d.self.ClientListen = ids.Address(p.Clients)
+	control := New(membership.Options{Self: d.self, Seeds: p.SeedList(), Incremental: p.ByZone}, ControlOptions{Lease: p.Lease, Layout: p.Layout})
 	d.owner = process.NewOwner(&beating{control, d}, 50*time.Millisecond, d.do)
 	d.post = &process.Transport{Address: ids.Address(p.Address), Bind: ids.Address(p.Bind), Log: d.log, Stats: &process.TrafficStats{},
 		Deliver: func(from ids.Address, msg any) { d.owner.Offer(event.Received{From: from, Msg: msg}) }}
 	if a, err := netip.ParseAddrPort(p.Pages()); err == nil {
-		d.circuits.from = net.IP(a.Addr().AsSlice())
+		d.connections.from = net.IP(a.Addr().AsSlice())
 	}
 	d.edge, d.trade = p.Edge, house{d}
 	if d.edge == nil {
@@ -106,7 +106,7 @@
 	} else {
 		d.trade = d.edge.TargetProtocol()
 	}
-	d.circuits.greets, d.circuits.dialWithin = d.trade.Greets(), cmp.Or(p.DialWithin, dialTarget)
+	d.connections.greets, d.connections.dialWithin = d.trade.Greets(), cmp.Or(p.DialWithin, dialTarget)
 	empty, _ := configuration.Decode(nil)
 	d.router.Store(newRouter(empty.View()))
 	d.footing.Store(&ServingState{})
@@ -153,17 +153,17 @@
 // at gives a service's dispatcher.
 func (d *Daemon) at(service ids.Name) *place {
 	d.mu.RLock()
-	p := d.desks[service]
+	p := d.dispatchers[service]
 	d.mu.RUnlock()
 	if p != nil {
 		return p
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if p = d.desks[service]; p == nil {
-		dice := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-		p = &place{desk: dispatch.New(dispatch.Options{Dice: dice, Inbox: d.Params.Inbox, Self: idempotency.Owner{Daemon: d.self.ID, RunID: d.self.RunID}}), cargo: map[ids.RequestID]*ride{}}
-		d.desks[service] = p
+	if p = d.dispatchers[service]; p == nil {
+		random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
+		p = &place{dispatcher: dispatch.New(dispatch.Options{Random: random, Queue: d.Options.Queue, Self: idempotency.Owner{Daemon: d.self.ID, RunID: d.self.RunID}}), cargo: map[ids.RequestID]*ride{}}
+		d.dispatchers[service] = p
 	}
 	return p
 }
@@ -172,18 +172,18 @@
 func (d *Daemon) hand(service ids.Name, ev event.Event) {
 	p := d.at(service)
 	p.mu.Lock()
-	out := p.desk.Step(process.Now(), ev)
+	out := p.dispatcher.Step(process.Now(), ev)
 	loads := make([]*ride, len(out))
 	for i, c := range out {
 		switch c := c.(type) {
-		case dispatch.Ferry:
+		case dispatch.Forward:
 			loads[i] = p.cargo[c.ID]
 		case dispatch.Response:
 			loads[i] = p.cargo[c.ID]
 			delete(p.cargo, c.ID)
 		}
 	}
-	waits := p.desk.Waiting() > 0 && !p.soon
+	waits := p.dispatcher.Waiting() > 0 && !p.soon
 	p.soon = p.soon || waits
 	p.mu.Unlock()
 	if waits {
@@ -205,13 +205,13 @@
 	switch c := c.(type) {
 	case dispatch.IdempotencyCall:
 		// The owner hands events to dispatchers itself, so it must not wait on its
-		// own inbox.
+		// own queue.
 		go d.owner.Put(IdempotencyRequest{service, c})
-	case dispatch.Ferry:
+	case dispatch.Forward:
 		go func() {
 			from := time.Now()
 			back := d.carry(l.ClientRequest, c)
-			l.ferried += time.Since(from)
+			l.forwarded += time.Since(from)
 			d.hand(service, back)
 		}()
 	case dispatch.Response:
@@ -219,7 +219,7 @@
 	}
 }
 
-// Work takes a request through its dispatcher. A consumer that hangs up, or closes
+// Work takes a request through its dispatcher. A client that hangs up, or closes
 // its own side of the connection, changes nothing: its request goes on, its mark is
 // not freed, and the one answer is written, whether or not anybody reads it.
 func (d *Daemon) Work(c *ClientRequest) (dispatch.Response, time.Duration) {
@@ -229,5 +229,5 @@
 	p.cargo[c.Job.ID] = l
 	p.mu.Unlock()
 	d.hand(c.Job.Service, dispatch.RequestArrived{Job: c.Job})
-	return <-l.response, l.ferried
+	return <-l.response, l.forwarded
 }
--- a/internal/dataplane/proxy/edge.go
+++ b/internal/dataplane/proxy/edge.go
@@ -14,11 +14,11 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// Frontend is the dialect that a proxy speaks to consumers and targets. Ours is
+// Frontend is the dialect that a proxy speaks to clients and targets. Ours is
 // the first one; a platform that speaks otherwise brings its own.
 type Frontend interface {
-	// Consumers answers consumers' requests.
-	Consumers(d *Daemon) http.Handler
+	// Clients answers clients' requests.
+	Clients(d *Daemon) http.Handler
 	// TargetProtocol is how requests are put to targets.
 	TargetProtocol() TargetProtocol
 	// Pages are what is served besides, by address.
@@ -27,11 +27,11 @@
 
 type ownEdge struct{ d *Daemon }
 
-func (e ownEdge) Consumers(d *Daemon) http.Handler    { return http.HandlerFunc(d.consume) }
+func (e ownEdge) Clients(d *Daemon) http.Handler      { return http.HandlerFunc(d.consume) }
 func (e ownEdge) TargetProtocol() TargetProtocol      { return house(e) }
 func (ownEdge) Pages(*Daemon) map[string]http.Handler { return nil }
 
-// Find gives the route of a host and path, and the policy it stands in.
+// Find gives the route of a host and path, and the configuration it stands in.
 func (d *Daemon) Find(host, path string) (configuration.Route, *configuration.View, bool) {
 	ro := d.router.Load()
 	r, ok := ro.find(host, path)
@@ -56,21 +56,21 @@
 
 // Handled adds a request to the meter: the proxy's own handling, and its
 // front-line latency, which leaves the target's time out; forwarded is that time.
-func (d *Daemon) Handled(c *ClientRequest, handling, front, ferried time.Duration) {
+func (d *Daemon) Handled(c *ClientRequest, handling, front, forwarded time.Duration) {
 	d.meter.handled(c.Job.Route, c.Job.Service, handling, front)
-	if d.Params.ByCell {
+	if d.Options.ByZone {
 		// Targets that state no CPU time of their own: their time is what it costs.
-		d.meter.spent(c.Job.Route, c.Job.Service, ferried)
+		d.meter.spent(c.Job.Route, c.Job.Service, forwarded)
 	}
 }
 
-// serve serves the daemon's pages and its consumers, until the grace after the
+// serve serves the daemon's pages and its clients, until the grace after the
 // polite signal is over or nothing is under way any more.
 func (d *Daemon) serve(ctx context.Context, pages net.Listener) error {
-	if d.Params.Consumers == "" {
-		return api.Serve(ctx, pages, d.pages(true), d.Params.Grace)
+	if d.Options.Clients == "" {
+		return api.Serve(ctx, pages, d.pages(true), d.Options.Grace)
 	}
-	in, err := api.Listen(d.Params.Consumers)
+	in, err := api.Listen(d.Options.Clients)
 	if err != nil {
 		return err
 	}
@@ -80,11 +80,11 @@
 		if err != nil {
 			return err
 		}
-		all.Go(func() { _ = api.Serve(ctx, l, h, d.Params.Grace) })
+		all.Go(func() { _ = api.Serve(ctx, l, h, d.Options.Grace) })
 	}
-	all.Go(func() { _ = api.Serve(ctx, pages, d.pages(false), d.Params.Grace) })
-	d.gate = newGate(in, d.edge.Consumers(d))
-	err = d.gate.serve(ctx, d.Params.Grace)
+	all.Go(func() { _ = api.Serve(ctx, pages, d.pages(false), d.Options.Grace) })
+	d.gate = newGate(in, d.edge.Clients(d))
+	err = d.gate.serve(ctx, d.Options.Grace)
 	all.Wait()
 	return err
 }
--- a/internal/dataplane/proxy/events.go
+++ b/internal/dataplane/proxy/events.go
@@ -34,7 +34,7 @@
 	}
 	// Stopping is the platform's polite signal.
 	Stopping struct{}
-	// Routes hands the new policy to the router.
+	// Routes hands the new configuration to the router.
 	Routes struct{ View *configuration.View }
 	// ServingState says whether the proxy takes work, and whether it is cut off.
 	ServingState struct {
@@ -53,7 +53,7 @@
 	if w.Op != consensus.Read {
 		raw, err := wire.Encode(w.Operation)
 		if err != nil {
-			c.Emit(DispatchEvent{a.Service, dispatch.IdempotencyReply{ID: w.ID, Turn: w.Turn, Outcome: consensus.Declined}})
+			c.Emit(DispatchEvent{a.Service, dispatch.IdempotencyReply{ID: w.ID, Turn: w.Turn, Outcome: consensus.Rejected}})
 			return
 		}
 		arg = raw
@@ -68,10 +68,10 @@
 // report tells every registry what this proxy spent.
 func (c *Control) report(m UsageSample) {
 	c.number++
-	r := spill.Report{Proxy: c.Self.ID, RunID: c.Self.RunID, Cell: c.Self.Zone, Number: c.number,
+	r := spill.Report{Proxy: c.Self.ID, RunID: c.Self.RunID, Zone: c.Self.Zone, Number: c.number,
 		Interval: uint32(m.Interval / time.Millisecond), Rows: m.Rows, Latency: uint64(m.Latency / time.Microsecond), Count: m.Count}
 	to := c.Live(membership.Registry)
-	if c.ByCell && len(to) > reportTo {
+	if c.ByZone && len(to) > reportTo {
 		// The planner, and who would follow it.
 		to = to[:reportTo]
 	}
--- a/internal/dataplane/proxy/front.go
+++ b/internal/dataplane/proxy/front.go
@@ -80,7 +80,7 @@
 
 var markRule = regexp.MustCompile(`^[\x21-\x7e]{1,256}$`)
 
-// misuse answers the consumer's own mistakes.
+// misuse answers the client's own mistakes.
 func misuse(w http.ResponseWriter, status int, why string) {
 	word(w, status, "misused", why, 0)
 }
@@ -95,7 +95,7 @@
 	_ = json.NewEncoder(w).Encode(map[string]string{"class": class, "problem": why})
 }
 
-// consume takes one consumer's request from its first byte to its answer.
+// consume takes one client's request from its first byte to its answer.
 func (d *Daemon) consume(w http.ResponseWriter, r *http.Request) {
 	begun := time.Now()
 	if d.emptied.Load() || d.stopping.Load() {
@@ -130,10 +130,10 @@
 		return
 	}
 	before := time.Since(begun)
-	rep, ferried := d.Work(c)
+	rep, forwarded := d.Work(c)
 	after := time.Now()
 	write(w, r, rep)
-	d.meter.handled(route.Name, route.Service, before+time.Since(after), time.Since(begun)-ferried)
+	d.meter.handled(route.Name, route.Service, before+time.Since(after), time.Since(begun)-forwarded)
 }
 
 // early gives a request up before any dispatcher has it. A marked later attempt may
@@ -146,7 +146,7 @@
 	word(w, http.StatusServiceUnavailable, "declined", why, 1)
 }
 
-// read takes the request whole and checks what a consumer must say.
+// read takes the request whole and checks what a client must say.
 func (d *Daemon) read(r *http.Request, w http.ResponseWriter, route configuration.Route, v *configuration.View) (*ClientRequest, int, string) {
 	j := d.Job(route, v)
 	// Two of one header: each reader could take another for the truth.
@@ -197,7 +197,7 @@
 
 var classes = [...]string{"", "declined", "unknown", "answered", "misused"}
 
-// write gives the consumer the one answer.
+// write gives the client the one answer.
 func write(w http.ResponseWriter, r *http.Request, rep dispatch.Response) {
 	if rep.Class != dispatch.Answered || rep.Sealed.Cut {
 		word(w, rep.Status, classes[rep.Class], rep.Why, int((rep.RetryAfter+time.Second-1)/time.Second))
--- a/internal/dataplane/proxy/front_test.go
+++ b/internal/dataplane/proxy/front_test.go
@@ -25,8 +25,8 @@
 	is.True(!ok)
 }
 
-// A consumer's own mistakes, and a proxy that knows nothing yet.
-func TestConsumersMistakes(t *testing.T) {
+// A client's own mistakes, and a proxy that knows nothing yet.
+func TestClientsMistakes(t *testing.T) {
 	is := is.New(t)
 	d := newCarrier()
 	call := func(method, path, body string, head map[string]string) *httptest.ResponseRecorder {
--- a/internal/dataplane/proxy/frozen_test.go
+++ b/internal/dataplane/proxy/frozen_test.go
@@ -29,7 +29,7 @@
 			}
 			d.beat.Store(int64(min(c.beat, process.Now())))
 			b := d.carry(&ClientRequest{ID: "late", Method: "POST", URI: "/x", Header: http.Header{"Id": {"late"}}},
-				dispatch.Ferry{ID: 1, Turn: 1, Deadline: c.due, SendBefore: c.by, Target: targets.Target{Instance: "t", Service: "s", Address: ids.Address(f.Addr().String())}})
+				dispatch.Forward{ID: 1, Turn: 1, Deadline: c.due, SendBefore: c.by, Target: targets.Target{Instance: "t", Service: "s", Address: ids.Address(f.Addr().String())}})
 			if b.Result != dispatch.NotSent || f.runs("late") != 0 {
 				t.Errorf("%s, reused %t: %v (%s), it ran %d times", name, reused, b.Result, b.Why, f.runs("late"))
 			}
--- a/internal/dataplane/proxy/gate.go
+++ b/internal/dataplane/proxy/gate.go
@@ -13,7 +13,7 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// gate lets consumers in, within the limits that policy names. net/http fixes
+// gate lets clients in, within the limits that configuration names. net/http fixes
 // its limits when a server starts, so new limits get a new server; what the
 // old one holds ends there.
 type gate struct {
@@ -30,14 +30,14 @@
 // queue hands accepted connections to a server.
 type queue struct {
 	net.Listener
-	circuits chan net.Conn
-	closed   chan struct{}
-	once     sync.Once
+	connections chan net.Conn
+	closed      chan struct{}
+	once        sync.Once
 }
 
 func (q *queue) Accept() (net.Conn, error) {
 	select {
-	case c := <-q.circuits:
+	case c := <-q.connections:
 		return &clientConn{Conn: c}, nil
 	case <-q.closed:
 		return nil, net.ErrClosed
@@ -73,7 +73,7 @@
 
 // open starts a server with its own queue of connections.
 func (g *gate) open(l configuration.Limits) *door {
-	d := &door{queue: &queue{Listener: g.in, circuits: make(chan net.Conn), closed: make(chan struct{})}, conns: map[*clientConn]bool{}}
+	d := &door{queue: &queue{Listener: g.in, connections: make(chan net.Conn), closed: make(chan struct{})}, conns: map[*clientConn]bool{}}
 	d.server = &http.Server{Handler: d.handler(g.handler), MaxHeaderBytes: l.MaxHeader,
 		ReadHeaderTimeout: time.Duration(l.Header) * time.Millisecond, IdleTimeout: time.Duration(l.Idle) * time.Millisecond,
 		ConnState: func(c net.Conn, s http.ConnState) {
@@ -113,7 +113,7 @@
 			return
 		}
 		select {
-		case q.circuits <- c:
+		case q.connections <- c:
 			return
 		case <-q.closed:
 			last = q
@@ -135,11 +135,11 @@
 	return false
 }
 
-// lameFor is how long consumers are still let in after the polite signal: the
+// lameFor is how long clients are still let in after the polite signal: the
 // directory's answers that name this proxy live on for a moment.
 const lameFor = 1200 * time.Millisecond
 
-// serve lets consumers in until the context ends, and then lets what is under
+// serve lets clients in until the context ends, and then lets what is under
 // way end within the grace.
 func (g *gate) serve(ctx context.Context, grace time.Duration) error {
 	stop := context.AfterFunc(ctx, func() {
--- a/internal/dataplane/proxy/gate_test.go
+++ b/internal/dataplane/proxy/gate_test.go
@@ -18,7 +18,7 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// opened is a gate with its consumers' handler, closed as the test ends.
+// opened is a gate with its clients' handler, closed as the test ends.
 func opened(t *testing.T, in net.Listener, h http.HandlerFunc) (*gate, context.CancelFunc, chan error) {
 	t.Helper()
 	g := newGate(in, h)
@@ -38,7 +38,7 @@
 	return l
 }
 
-// caller is a consumer's connection by hand; every read has a bound.
+// caller is a client's connection by hand; every read has a bound.
 type caller struct {
 	net.Conn
 	read *bufio.Reader
@@ -83,7 +83,7 @@
 var narrow = configuration.Limits{MaxHeader: 1024, MaxBody: 1, Header: 100, Idle: 100}
 
 // New limits don't end what is under way, and connections that were held end in order.
-func TestLimitsChangeWhileCircuitsAreHeld(t *testing.T) {
+func TestLimitsChangeWhileConnectionsAreHeld(t *testing.T) {
 	is := is.New(t)
 	l := listen(t)
 	inside, release := make(chan struct{}), make(chan struct{})
@@ -105,7 +105,7 @@
 	close(release)
 	res := busy.answer(t)
 	is.Equal(res.StatusCode, 204)
-	is.True(res.Close) // its consumer is told to go
+	is.True(res.Close) // its client is told to go
 	is.True(busy.closed())
 	// The new limits hold for who comes now: a large head, and idling.
 	late := dial(t, l.Addr())
@@ -168,7 +168,7 @@
 	is.Equal(<-done, context.Canceled)
 }
 
-// After the polite signal consumers are still let in for a moment; what is under
+// After the polite signal clients are still let in for a moment; what is under
 // way ends, and only then the gate.
 func TestAGateEndsInOrder(t *testing.T) {
 	is := is.New(t)
