--- a/internal/dataplane/proxy/hold.go
+++ b/internal/dataplane/proxy/hold.go
@@ -57,7 +57,7 @@
 const firstRoom = 4 << 10
 
 // Body reads a request's body, whole and within a limit, and what it then holds.
-// A time, if there is one, bounds how long the consumer may take to send it.
+// A time, if there is one, bounds how long the client may take to send it.
 func (d *Daemon) Body(w http.ResponseWriter, r *http.Request, most int64, until time.Time) ([]byte, *MemoryReservation, error) {
 	h := &MemoryReservation{hold: &d.hold}
 	if r.ContentLength > most {
--- a/internal/dataplane/proxy/hold_test.go
+++ b/internal/dataplane/proxy/hold_test.go
@@ -59,7 +59,7 @@
 	is.NoErr(err)
 	_, err = take(30<<10, -1) // in chunks
 	is.True(errors.Is(err, ErrMemoryBudgetExceeded))
-	is.Equal(d.hold.used.Load(), int64(90<<10)) // what was declined holds nothing
+	is.Equal(d.hold.used.Load(), int64(90<<10)) // what was rejected holds nothing
 	first.Free()
 	first.Free()
 	third, err := take(30<<10, -1)
@@ -110,7 +110,7 @@
 func TestAnswersCount(t *testing.T) {
 	is := is.New(t)
 	s, d := newStand(t), plainCarrier(0)
-	d.Params.MaxResponse, d.hold.most = 50<<10, 40<<10
+	d.Options.MaxResponse, d.hold.most = 50<<10, 40<<10
 	s.answer = func(r *http.Request) string { return named(r, r.Header.Get("Id"), strings.Repeat("z", 50<<10)) }
 	h := &MemoryReservation{hold: &d.hold}
 	is.Equal(d.putHeld(s, "a", h).Result, dispatch.Complete)
@@ -124,8 +124,8 @@
 	is.Equal(d.hold.used.Load(), int64(0))
 }
 
-// At the proxy's own front: declined at once, with when to come back.
-func TestAFullProxyDeclines(t *testing.T) {
+// At the proxy's own front: rejected at once, with when to come back.
+func TestAFullProxyRejects(t *testing.T) {
 	is := is.New(t)
 	d := newCarrier()
 	d.inStepWith("orders")
--- a/internal/dataplane/proxy/leasegossip.go
+++ b/internal/dataplane/proxy/leasegossip.go
@@ -23,11 +23,11 @@
 // Tidings answer it: what the other proxy goes by, and how long ago that was
 // known to be in force. The travel, both ways, is counted against it.
 type LeaseGossip struct {
-	ProxyRunID ids.RunID
-	EchoedTime ids.Time
-	Revision   ids.Revision
-	Policy     []byte
-	Targets    []targets.Target
+	ProxyRunID    ids.RunID
+	EchoedTime    ids.Time
+	Revision      ids.Revision
+	Configuration []byte
+	Targets       []targets.Target
 	// Agreed and Word are the ages, in milliseconds, of the agreement and of
 	// the registry's word that the other goes by.
 	Agreed, Word uint32
@@ -77,7 +77,7 @@
 	t := LeaseGossip{ProxyRunID: q.RunID, EchoedTime: q.Now, Revision: c.view.Revision, Targets: c.targets.All(now),
 		Agreed: uint32(now.Sub(c.agreed) / time.Millisecond), Word: uint32(now.Sub(c.word) / time.Millisecond)}
 	if q.Revision < c.view.Revision {
-		t.Policy = c.policy.Encode(false)
+		t.Configuration = c.configuration.Encode(false)
 	}
 	c.Send(from, t)
 }
@@ -89,8 +89,8 @@
 		c.Discard(from, event.Unsolicited, LeaseGossip{})
 		return
 	}
-	if t.Revision > c.view.Revision && len(t.Policy) > 0 {
-		c.adopt(now, t.Policy)
+	if t.Revision > c.view.Revision && len(t.Configuration) > 0 {
+		c.adopt(now, t.Configuration)
 	}
 	known := t.EchoedTime.Add(-age(t.Word))
 	c.targets.MergeAsOf(now, known, t.Targets...)
--- a/internal/dataplane/proxy/meter.go
+++ b/internal/dataplane/proxy/meter.go
@@ -51,7 +51,7 @@
 }
 
 // handled adds one request: the proxy's handling, and its front-line
-// latency, which is inbox and handling without the target's own time.
+// latency, which is queue and handling without the target's own time.
 func (m *meter) handled(route, service ids.Name, handling, front time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/dataplane/proxy/opening_test.go
+++ b/internal/dataplane/proxy/opening_test.go
@@ -23,8 +23,8 @@
 	return &started{Control: New(membership.Options{Self: member("p", "quay")}, ControlOptions{Lease: lease}), now: 1}
 }
 
-// policyOf is a policy with as many services as its revision says.
-func policyOf(t *testing.T, revision int) []byte {
+// configurationOf is a configuration with as many services as its revision says.
+func configurationOf(t *testing.T, revision int) []byte {
 	t.Helper()
 	p, err := configuration.Decode(nil)
 	if err != nil {
@@ -39,7 +39,7 @@
 // tell pushes what a registry holds whose agreement is so old.
 func (s *started) tell(raw []byte, revision ids.Revision, age time.Duration, list ...targets.Target) {
 	s.count++
-	s.Step(s.now, event.Received{From: "r", Msg: distribution.Push{Number: s.count, Revision: revision, Policy: raw, Targets: list,
+	s.Step(s.now, event.Received{From: "r", Msg: distribution.Push{Number: s.count, Revision: revision, Configuration: raw, Targets: list,
 		Age: uint32(age.Milliseconds()), EchoedTime: s.now, ProxyRunID: s.Self.RunID}})
 }
 
@@ -59,7 +59,7 @@
 // A proxy that started while it reached only a registry cut off for 20 s served by
 // what that one told, as if it were in force.
 func TestAProxyStartsByAFreshAgreement(t *testing.T) {
-	old, new := policyOf(t, 1), policyOf(t, 2)
+	old, new := configurationOf(t, 1), configurationOf(t, 2)
 	s := start(Endless)
 	s.tell(old, 1, 20*time.Second)
 	s.run(2*time.Second, func() { s.tell(nil, 1, 20*time.Second) })
@@ -84,7 +84,7 @@
 	s := start(Endless)
 	s.run(50*time.Millisecond, nil)
 	s.now = ids.Time(300 * time.Millisecond)
-	s.tell(policyOf(t, 1), 1, 1200*time.Millisecond)
+	s.tell(configurationOf(t, 1), 1, 1200*time.Millisecond)
 	if !s.inStep(s.now) {
 		t.Fatal("it waits for an agreement that began after its start")
 	}
@@ -93,7 +93,7 @@
 // Where no fresh agreement can be had, a proxy serves after all, and says so.
 func TestAProxyServesUnconfirmedAfterAWhile(t *testing.T) {
 	s := start(Endless)
-	raw := policyOf(t, 1)
+	raw := configurationOf(t, 1)
 	logged := false
 	s.tell(raw, 1, 20*time.Second)
 	for range 100 {
@@ -111,11 +111,11 @@
 	}
 }
 
-// A proxy that asks the stores itself knows that its policy is in force; of the
+// A proxy that asks the stores itself knows that its configuration is in force; of the
 // targets it knows no more than the registry that is cut off from them.
 func TestARegistryWithoutTheLeaseDoesNotVouchForTargets(t *testing.T) {
 	s := start(0)
-	s.tell(policyOf(t, 1), 1, 0)
+	s.tell(configurationOf(t, 1), 1, 0)
 	for range 10 {
 		s.run(time.Second, func() {
 			s.tell(nil, 1, 1600*time.Millisecond+s.now.Sub(1))
@@ -135,8 +135,8 @@
 // what is newer, in whichever order it comes.
 func TestALatePushUndoesNothing(t *testing.T) {
 	s := start(Endless)
-	s.tell(policyOf(t, 1), 1, 0)
-	target := targets.Target{Instance: "i", Incarnation: 1, Sequence: 5, Service: "a", Address: "10.0.0.1:80", Cell: "quay", Warmth: 1, Interval: 1000}
+	s.tell(configurationOf(t, 1), 1, 0)
+	target := targets.Target{Instance: "i", Incarnation: 1, Sequence: 5, Service: "a", Address: "10.0.0.1:80", Zone: "quay", Warmth: 1, Interval: 1000}
 	leaving := target
 	leaving.Sequence, leaving.Leaving = 6, true
 	s.tell(nil, 1, 0, leaving)
--- a/internal/dataplane/proxy/places.go
+++ b/internal/dataplane/proxy/places.go
@@ -14,19 +14,19 @@
 
 // Layout says how targets' places are shared out among proxies.
 type Layout struct {
-	// ByCell gives a target's places to the proxies of its own cell first;
+	// ByZone gives a target's places to the proxies of its own zone first;
 	// otherwise all proxies of the fleet have equal parts.
-	ByCell bool `help:"Give a target's places to the proxies of its own cell first." name:"by-cell"`
-	// Regions are the cells that this daemon was told of, and their regions.
+	ByZone bool `help:"Give a target's places to the proxies of its own cell first." name:"by-cell"`
+	// Regions are the zones that this daemon was told of, and their regions.
 	Regions map[ids.Name]string `kong:"-"`
 }
 
 // offer works out this proxy's seat at a target. Each target has an order
 // of proxies of its own, so the odd places fall to different ones.
 func (c *Control) offer(now ids.Time, t targets.Target, seats []membership.Member) dispatch.Offer {
-	o := dispatch.Offer{Target: t, At: now, Distance: c.view.Distance(c.Self.Zone, t.Cell),
-		Emptied: c.view.Cells[t.Cell].Drained || c.view.Cells[t.Cell].Evacuated, Region: ids.Name(c.view.Cells[t.Cell].Region)}
-	if !c.ByCell {
+	o := dispatch.Offer{Target: t, At: now, Distance: c.view.Distance(c.Self.Zone, t.Zone),
+		Emptied: c.view.Zones[t.Zone].Drained || c.view.Zones[t.Zone].Evacuated, Region: ids.Name(c.view.Zones[t.Zone].Region)}
+	if !c.ByZone {
 		o.Seats, o.Seat = max(len(seats), 1), c.seat(string(t.Instance), seats)
 		return o
 	}
@@ -34,14 +34,14 @@
 	o.Seats, o.Seat, o.Over = max(len(peers), 1), c.seat(string(t.Instance), peers), 1
 	if class == 0 {
 		// Two proxies or more may each use what the other leaves; a target's own
-		// inbox takes what they send at the same time.
+		// queue takes what they send at the same time.
 		o.Over = min(o.Seats, 2)
 	}
 	c.chill(now, t, class, &o)
 	return o
 }
 
-// rank is how near this proxy is to the targets of a cell, as places go, and
+// rank is how near this proxy is to the targets of a zone, as places go, and
 // the proxies that are as near.
 type rank struct {
 	class int
@@ -50,24 +50,24 @@
 
 // class tells how near this proxy is to a target, as places go, and names the
 // proxies of that class: 0 has the target's places, 1 stands in its region
-// and 2 elsewhere, with as many places again for each of the two. Where a cell
+// and 2 elsewhere, with as many places again for each of the two. Where a zone
 // has no proxy the next class takes its part. It is the same for all targets
-// of a cell, so it is worked out once a cell and not once a target.
+// of a zone, so it is worked out once a zone and not once a target.
 func (c *Control) class(t targets.Target, seats []membership.Member) (int, []membership.Member) {
-	if r, ok := c.ranks[t.Cell]; ok {
+	if r, ok := c.ranks[t.Zone]; ok {
 		return r.class, r.peers
 	}
-	r := c.rank(t.Cell, seats)
+	r := c.rank(t.Zone, seats)
 	if c.ranks == nil {
 		c.ranks = map[ids.Name]rank{}
 	}
-	c.ranks[t.Cell] = r
+	c.ranks[t.Zone] = r
 	return r.class, r.peers
 }
 
-func (c *Control) rank(cell ids.Name, seats []membership.Member) rank {
+func (c *Control) rank(zone ids.Name, seats []membership.Member) rank {
 	near := func(n ids.Name) int {
-		switch d := c.view.Distance(n, cell); {
+		switch d := c.view.Distance(n, zone); {
 		case d == 0:
 			return 0
 		case d <= 1:
@@ -101,7 +101,7 @@
 	if sv.WarmRate <= 0 {
 		return
 	}
-	o.ColdUntil = max(now.Add(time.Duration(t.Cold)*time.Millisecond), c.thaws[t.Cell])
+	o.ColdUntil = max(now.Add(time.Duration(t.Cold)*time.Millisecond), c.thaws[t.Zone])
 	if class == 0 {
 		o.Rate = sv.WarmRate / float64(o.Seats)
 	}
@@ -109,12 +109,12 @@
 	o.Age = 1 << 40
 }
 
-// thaw notes cells whose targets are taken back into use: they may have gone
+// thaw notes zones whose targets are taken back into use: they may have gone
 // cold meanwhile, and their own word on it may still be on its way.
 func (c *Control) thaw(now ids.Time, old *configuration.View) {
-	for n, cell := range c.view.Cells {
-		was := old.Cells[n]
-		if !(was.Evacuated || was.Drained) || cell.Evacuated || cell.Drained {
+	for n, zone := range c.view.Zones {
+		was := old.Zones[n]
+		if !(was.Evacuated || was.Drained) || zone.Evacuated || zone.Drained {
 			continue
 		}
 		longest := 0
--- a/internal/dataplane/proxy/places_test.go
+++ b/internal/dataplane/proxy/places_test.go
@@ -18,24 +18,24 @@
 
 var regions = map[ids.Name]string{"quay": "west", "pier": "west", "mole": "west", "dune": "east", "reed": "east"}
 
-func member(id, cell string) membership.Member {
-	return membership.Member{ID: ids.DaemonID(id), Role: membership.Proxy, Zone: ids.Name(cell), RunID: 1}
+func member(id, zone string) membership.Member {
+	return membership.Member{ID: ids.DaemonID(id), Role: membership.Proxy, Zone: ids.Name(zone), RunID: 1}
 }
 
 func placer(self membership.Member, sv configuration.Service) *Control {
-	c := New(membership.Options{Self: self}, ControlOptions{Lease: Endless, Layout: Layout{ByCell: true, Regions: regions}})
+	c := New(membership.Options{Self: self}, ControlOptions{Lease: Endless, Layout: Layout{ByZone: true, Regions: regions}})
 	c.view.Services = map[ids.Name]configuration.Service{"wader": sv}
 	return c
 }
 
 // sends counts how many of many requests a dispatcher with this one offer lets go at once.
 func sends(o dispatch.Offer, now ids.Time) int {
-	d := dispatch.New(dispatch.Options{Dice: rand.New(rand.NewPCG(1, 2)), Inbox: 1000})
+	d := dispatch.New(dispatch.Options{Random: rand.New(rand.NewPCG(1, 2)), Queue: 1000})
 	d.Step(now, dispatch.ServiceState{Targets: []dispatch.Offer{o}, InStep: true, Lease: now.Add(time.Hour), Terms: map[ids.Name]dispatch.RouteTerms{"r": {}}})
 	n := 0
 	for i := range 200 {
 		for _, c := range d.Step(now, dispatch.RequestArrived{Job: dispatch.Job{ID: ids.RequestID(i + 1), Route: "r", Repeatable: true, Deadline: now.Add(time.Hour)}}) {
-			if _, ok := c.(dispatch.Ferry); ok {
+			if _, ok := c.(dispatch.Forward); ok {
 				n++
 			}
 		}
@@ -46,26 +46,26 @@
 // The fleet's sum at a target is bounded however many proxies there are: its
 // places once for each of the three circles that has proxies, and twice in the
 // first where two or more may use what the others leave.
-func TestPlacesByCellAddUp(t *testing.T) {
+func TestPlacesByZoneAddUp(t *testing.T) {
 	is := is.New(t)
 	const capacity = 7
 	now := ids.Time(time.Second)
-	for cells, want := range map[string]int{
+	for zones, want := range map[string]int{
 		"quay":                          capacity,
 		"quay quay":                     2 * capacity,
 		"quay quay quay":                2 * capacity,
 		"quay pier":                     2 * capacity,
 		"quay quay pier mole dune reed": 4 * capacity,
-		"pier":                          capacity,     // no proxy in its cell: the region's has its places
+		"pier":                          capacity,     // no proxy in its zone: the region's has its places
 		"pier mole":                     2 * capacity, // as have two of the region's
 		"pier dune":                     2 * capacity,
 		"dune":                          capacity,
 		"dune reed reed":                2 * capacity,
 		"quay quay quay quay quay quay quay quay quay quay quay quay quay quay quay": 2 * capacity,
 	} {
-		seats := fleet(cells)
+		seats := fleet(zones)
 		for n := range 4 {
-			target := targets.Target{Instance: ids.InstanceID(fmt.Sprint("t", n)), Service: "wader", Cell: "quay", Capacity: capacity, Warmth: 1, Age: 1e9}
+			target := targets.Target{Instance: ids.InstanceID(fmt.Sprint("t", n)), Service: "wader", Zone: "quay", Capacity: capacity, Warmth: 1, Age: 1e9}
 			sum := 0
 			for _, m := range seats {
 				sum += sends(placer(m, configuration.Service{}).offer(now, target, seats), now)
@@ -75,10 +75,10 @@
 	}
 }
 
-func fleet(cells string) []membership.Member {
+func fleet(zones string) []membership.Member {
 	var seats []membership.Member
-	for i, cell := range strings.Fields(cells) {
-		seats = append(seats, member(fmt.Sprintf("c%d", i), cell))
+	for i, zone := range strings.Fields(zones) {
+		seats = append(seats, member(fmt.Sprintf("c%d", i), zone))
 	}
 	return seats
 }
@@ -89,7 +89,7 @@
 	seats := fleet("quay quay quay")
 	got := map[ids.DaemonID]int{}
 	for n := range 60 {
-		target := targets.Target{Instance: ids.InstanceID(fmt.Sprint("t", n)), Service: "wader", Cell: "quay"}
+		target := targets.Target{Instance: ids.InstanceID(fmt.Sprint("t", n)), Service: "wader", Zone: "quay"}
 		for _, m := range seats {
 			if placer(m, configuration.Service{}).offer(1, target, seats).Seat == 0 {
 				got[m.ID]++
@@ -128,10 +128,10 @@
 func TestColdRateAddsUp(t *testing.T) {
 	is := is.New(t)
 	now := ids.Time(time.Second)
-	for _, cells := range []string{"quay", "quay quay quay", "quay pier dune", "pier mole dune", "dune reed"} {
-		seats, sum := fleet(cells), 0.0
+	for _, zones := range []string{"quay", "quay quay quay", "quay pier dune", "pier mole dune", "dune reed"} {
+		seats, sum := fleet(zones), 0.0
 		for _, m := range seats {
-			o := placer(m, configuration.Service{WarmRate: 12}).offer(now, targets.Target{Instance: "t", Service: "wader", Cell: "quay", Cold: 3000}, seats)
+			o := placer(m, configuration.Service{WarmRate: 12}).offer(now, targets.Target{Instance: "t", Service: "wader", Zone: "quay", Cold: 3000}, seats)
 			is.Equal(o.ColdUntil, now.Add(3*time.Second))
 			sum += o.Rate
 		}
@@ -139,11 +139,11 @@
 	}
 }
 
-// Targets of a cell that is taken back into use may have gone cold meanwhile: they
+// Targets of a zone that is taken back into use may have gone cold meanwhile: they
 // count as such for the longest that any of them stays so.
-func TestACellThatIsOpenedThawsSlowly(t *testing.T) {
+func TestAZoneThatIsOpenedThawsSlowly(t *testing.T) {
 	is := is.New(t)
-	c := New(membership.Options{Self: member("a", "quay")}, ControlOptions{Lease: Endless, Layout: Layout{ByCell: true, Regions: regions}})
+	c := New(membership.Options{Self: member("a", "quay")}, ControlOptions{Lease: Endless, Layout: Layout{ByZone: true, Regions: regions}})
 	p, err := configuration.Decode(nil)
 	is.NoErr(err)
 	n := 0
@@ -158,7 +158,7 @@
 	}
 	second := ids.Time(time.Second)
 	apply(`{"kind":"service","name":"wader","put":{"warm_rate":8,"warm_ms":3000}},{"kind":"service","name":"plover","put":{"warm_ms":60000}}`)
-	target := targets.Target{Instance: "t", Service: "wader", Cell: "quay"}
+	target := targets.Target{Instance: "t", Service: "wader", Zone: "quay"}
 	seats := fleet("quay")
 	seats[0].ID = "a"
 	is.True(c.offer(second, target, seats).ColdUntil <= second)
@@ -174,8 +174,8 @@
 	is.Equal(c.offer(4*second, target, seats).ColdUntil, 13*second)
 	target.Cold = 0
 	is.True(c.offer(7*second, target, seats).ColdUntil <= 7*second)
-	// Another cell's targets are as they were, and a change beside it thaws nothing anew.
+	// Another zone's targets are as they were, and a change beside it thaws nothing anew.
 	apply(`{"kind":"service","name":"wader","set":{"tier":3}}`)
 	is.Equal(c.offer(4*second, target, seats).ColdUntil, 6*second)
-	is.True(c.offer(4*second, targets.Target{Instance: "u", Service: "wader", Cell: "dune"}, seats).ColdUntil <= 4*second)
+	is.True(c.offer(4*second, targets.Target{Instance: "u", Service: "wader", Zone: "dune"}, seats).ColdUntil <= 4*second)
 }
--- a/internal/dataplane/proxy/readiness.go
+++ b/internal/dataplane/proxy/readiness.go
@@ -25,11 +25,11 @@
 	c.List.Tick(now)
 	c.Client.Tick(now)
 	// A registry that died may have been the only one to know of a silence.
-	if !c.ByCell {
+	if !c.ByZone {
 		c.targets.Lapse(now)
 	}
 	c.targets.Forget(now, time.Hour)
-	c.askPolicy(now)
+	c.askConfiguration(now)
 	c.inquire(now)
 	c.Announce(c.ready(now), c.view.Revision)
 	c.refreshTargets(now)
@@ -40,7 +40,7 @@
 // was confirmed since it last woke, and of late.
 func (c *Control) inStep(now ids.Time) bool { return now < c.until() }
 
-// ready tells whether the directory may send consumers here: in step, and not
+// ready tells whether the directory may send clients here: in step, and not
 // about to fall out of it.
 func (c *Control) ready(now ids.Time) bool {
 	if c.Lease == Endless {
@@ -61,7 +61,7 @@
 
 func (c *Control) cutOff(now ids.Time) bool {
 	after := cutAfter
-	if c.ByCell {
+	if c.ByZone {
 		// Registries say a word a second to those that nothing is new for.
 		after = 2 * cutAfter
 	}
@@ -104,7 +104,7 @@
 	for _, t := range c.targets.All(now) {
 		o := c.offer(now, t, seats)
 		// In a large fleet most targets are others' to use.
-		if !c.ByCell || some(o, c.view.Services[t.Service].Capacity) {
+		if !c.ByZone || some(o, c.view.Services[t.Service].Capacity) {
 			by[t.Service] = append(by[t.Service], o)
 		}
 	}
--- a/internal/dataplane/proxy/refreshpace_test.go
+++ b/internal/dataplane/proxy/refreshpace_test.go
@@ -23,7 +23,7 @@
 // stormFleet is a proxy of a large fleet that knows all targets.
 func stormFleet(t *testing.T) *started {
 	t.Helper()
-	s := &started{Control: New(membership.Options{Self: member("p", "quay"), Incremental: true}, ControlOptions{Lease: Endless, Layout: Layout{ByCell: true}}), now: 1}
+	s := &started{Control: New(membership.Options{Self: member("p", "quay"), Incremental: true}, ControlOptions{Lease: Endless, Layout: Layout{ByZone: true}}), now: 1}
 	var fleet []membership.Member
 	for i := range stormProxies {
 		fleet = append(fleet, member(fmt.Sprint("proxy-", i), "quay"))
@@ -33,14 +33,14 @@
 	for i := range stormTargets {
 		list = append(list, stormTarget(i))
 	}
-	s.tell(policyOf(t, 1), 1, 0, list...)
+	s.tell(configurationOf(t, 1), 1, 0, list...)
 	s.run(2*time.Second, func() { s.tell(nil, 1, 0) })
 	return s
 }
 
 func stormTarget(i int) targets.Target {
 	return targets.Target{Instance: ids.InstanceID(fmt.Sprint("t", i)), Incarnation: 1, Sequence: 1, Service: "a",
-		Address: ids.Address(fmt.Sprintf("10.0.%d.%d:80", i/200, i%200+1)), Cell: "quay", Capacity: 6, Warmth: 1}
+		Address: ids.Address(fmt.Sprintf("10.0.%d.%d:80", i/200, i%200+1)), Zone: "quay", Capacity: 6, Warmth: 1}
 }
 
 // A seventh of all targets falls silent at once, and registries tell of them one
@@ -97,7 +97,7 @@
 func TestNewsOfASmallFleetIsNeverHeldBack(t *testing.T) {
 	is := is.New(t)
 	s := start(DefaultLease)
-	s.tell(policyOf(t, 1), 1, 0)
+	s.tell(configurationOf(t, 1), 1, 0)
 	for i := range 10 {
 		s.now = s.now.Add(time.Millisecond)
 		s.tell(nil, 1, 0, stormTarget(i))
--- a/internal/dataplane/proxy/resets_test.go
+++ b/internal/dataplane/proxy/resets_test.go
@@ -39,14 +39,14 @@
 			if b := d.carryTo(f, next); b.Result != dispatch.Complete || string(b.Response.Body) != "of "+next {
 				t.Fatalf("%s at byte %d, the next: %v (%s) %q", end, cut, b.Result, b.Why, b.Response.Body)
 			}
-			d.forgetCircuits()
+			d.forgetConnections()
 		}
 	}
 }
 
-// forgetCircuits closes what is idle, so that the next request meets a new one.
-func (d *Daemon) forgetCircuits() {
-	for c := d.circuits.take("t", false); c != nil; c = d.circuits.take("t", false) {
+// forgetConnections closes what is idle, so that the next request meets a new one.
+func (d *Daemon) forgetConnections() {
+	for c := d.connections.take("t", false); c != nil; c = d.connections.take("t", false) {
 		c.Close()
 	}
 }
@@ -125,7 +125,7 @@
 		f.answer = answer
 		f.mu.Unlock()
 		for _, id := range []string{"one", "next", "two", "three"} {
-			d.Params.MaxResponse = 1000
+			d.Options.MaxResponse = 1000
 			b := d.carryWithin(f, id, 100*time.Millisecond)
 			if b.Result == dispatch.Complete && string(b.Response.Body) != "of "+id {
 				t.Errorf("%s: %q was given %q", name, id, b.Response.Body)
--- a/internal/dataplane/proxy/run.go
+++ b/internal/dataplane/proxy/run.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		return err
 	}
-	pages, err := api.Listen(d.Params.Pages())
+	pages, err := api.Listen(d.Options.Pages())
 	if err != nil {
 		return err
 	}
@@ -57,7 +57,7 @@
 
 // tend gives the dispatchers their clock and the meter its intervals.
 func (d *Daemon) tend(ctx context.Context) error {
-	beat, report := time.NewTicker(50*time.Millisecond), time.NewTicker(d.Params.ReportEvery)
+	beat, report := time.NewTicker(50*time.Millisecond), time.NewTicker(d.Options.ReportEvery)
 	carried := time.NewTicker(carriedEvery)
 	defer carried.Stop()
 	defer beat.Stop()
@@ -73,23 +73,23 @@
 		case <-carried.C:
 			d.sayCarried()
 		case <-report.C:
-			d.circuits.sweep()
-			d.circuits.recover()
+			d.connections.sweep()
+			d.connections.recover()
 			d.owner.Put(d.meter.read())
 			d.sayReasons()
 		}
 	}
 }
 
-// sayCarried logs where requests went: to the proxy's own cell, its region, or
+// sayCarried logs where requests went: to the proxy's own zone, its region, or
 // farther.
 func (d *Daemon) sayCarried() {
 	for _, n := range d.services() {
 		p := d.at(n)
 		p.mu.Lock()
-		t := p.desk.Tally
+		t := p.dispatcher.Tally
 		p.mu.Unlock()
-		d.log.Event("info", "carried", "service", string(n), "own", strconv.FormatUint(t.Ferried-t.Region-t.Far, 10),
+		d.log.Event("info", "carried", "service", string(n), "own", strconv.FormatUint(t.Forwarded-t.Region-t.Far, 10),
 			"region", strconv.FormatUint(t.Region, 10), "far", strconv.FormatUint(t.Far, 10), "retried", strconv.FormatUint(t.Retried, 10))
 	}
 }
@@ -99,7 +99,7 @@
 	for _, n := range d.services() {
 		p := d.at(n)
 		p.mu.Lock()
-		why := p.desk.Reasons()
+		why := p.dispatcher.Reasons()
 		p.mu.Unlock()
 		for _, w := range slices.Sorted(maps.Keys(why)) {
 			d.log.Event("warn", "unanswered", "service", string(n), "why", w, "count", strconv.Itoa(why[w]))
@@ -111,14 +111,14 @@
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	var out []ids.Name
-	for n := range d.desks {
+	for n := range d.dispatchers {
 		out = append(out, n)
 	}
 	return out
 }
 
-// pages are the proxy's own pages; all other paths are consumers'.
-func (d *Daemon) pages(consumers bool) http.Handler {
+// pages are the proxy's own pages; all other paths are clients'.
+func (d *Daemon) pages(clients bool) http.Handler {
 	m := http.NewServeMux()
 	daemon.Health(m, func() (bool, any) {
 		f := d.footing.Load()
@@ -128,8 +128,8 @@
 	m.Handle("/v1/", api.NewForwarder(func() []ids.Address {
 		return daemon.RegistryAddresses(d.footing.Load().Members, d.self.Zone)
 	}))
-	if consumers {
-		m.Handle("/", d.edge.Consumers(d))
+	if clients {
+		m.Handle("/", d.edge.Clients(d))
 	}
 	return m
 }
@@ -144,10 +144,10 @@
 	for _, n := range d.services() {
 		p := d.at(n)
 		p.mu.Lock()
-		t, busy := p.desk.Tally, p.desk.Busy()
+		t, busy := p.dispatcher.Tally, p.dispatcher.Busy()
 		p.mu.Unlock()
 		out = append(out, daemon.Gauge{Name: "occupancy", Labels: []string{"service"}, Values: []string{string(n)}, Value: float64(busy)})
-		for what, v := range map[string]uint64{"arrived": t.Arrived, "declined": t.Declined, "unknown": t.Unknown, "answered": t.Answered, "ferried": t.Ferried, "ferried_in_region": t.Region, "ferried_far": t.Far, "retried": t.Retried, "repeats": t.Repeats} {
+		for what, v := range map[string]uint64{"arrived": t.Arrived, "declined": t.Rejected, "unknown": t.Unknown, "answered": t.Answered, "ferried": t.Forwarded, "ferried_in_region": t.Region, "ferried_far": t.Far, "retried": t.Retried, "repeats": t.Repeats} {
 			out = append(out, daemon.Gauge{Name: "requests_total", Labels: []string{"service", "what"}, Values: []string{string(n), what}, Value: float64(v), Total: true})
 		}
 	}
--- a/internal/dataplane/proxy/targetprotocol.go
+++ b/internal/dataplane/proxy/targetprotocol.go
@@ -20,10 +20,10 @@
 	Greets() bool
 	// Outgoing gives the headers that go to the target, with what is left of
 	// the request's time.
-	Outgoing(c *ClientRequest, f dispatch.Ferry, left time.Duration) http.Header
+	Outgoing(c *ClientRequest, f dispatch.Forward, left time.Duration) http.Header
 	// Judge says what an answer, read whole, amounts to. An error means that no
 	// byte of it may go on, and that nobody knows whether the request has run.
-	Judge(res *http.Response, body []byte, c *ClientRequest, f dispatch.Ferry) (Verdict, error)
+	Judge(res *http.Response, body []byte, c *ClientRequest, f dispatch.Forward) (Verdict, error)
 }
 
 // Verdict is what an answer amounts to.
@@ -47,7 +47,7 @@
 
 func (house) Greets() bool { return true }
 
-func (h house) Outgoing(c *ClientRequest, f dispatch.Ferry, left time.Duration) http.Header {
+func (h house) Outgoing(c *ClientRequest, f dispatch.Forward, left time.Duration) http.Header {
 	out := Strip(c.Header)
 	out.Set("Request-Id", h.d.requestID(f.ID))
 	out.Set("Time-Left", strconv.FormatInt(max(left.Milliseconds(), 0), 10))
@@ -57,8 +57,8 @@
 }
 
 // Judge checks an answer's seal: the digest of its body, the request's id and
-// the consumer's mark.
-func (h house) Judge(res *http.Response, body []byte, c *ClientRequest, f dispatch.Ferry) (Verdict, error) {
+// the client's mark.
+func (h house) Judge(res *http.Response, body []byte, c *ClientRequest, f dispatch.Forward) (Verdict, error) {
 	sum := sha256.Sum256(body)
 	digest := "sha-256=:" + base64.StdEncoding.EncodeToString(sum[:]) + ":"
 	switch {
--- a/internal/state/configuration/bench_test.go
+++ b/internal/state/configuration/bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// BenchmarkMergeOne is one route's change of a policy of three thousand.
+// BenchmarkMergeOne is one route's change of a configuration of three thousand.
 func BenchmarkMergeOne(b *testing.B) {
 	list := []VersionedItem{givenService("wader", 1)}
 	for i := range 3000 {
--- a/internal/state/configuration/cellorder.go
+++ b/internal/state/configuration/cellorder.go
@@ -10,54 +10,54 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// OpOrderCell shuts or opens a cell by an order that has no id.
-const OpOrderCell consensus.Op = 3
+// OpOrderZone shuts or opens a zone by an order that has no id.
+const OpOrderZone consensus.Op = 3
 
-// CellOrder asks that a cell's targets get nothing more, or that they get work
+// ZoneOrder asks that a zone's targets get nothing more, or that they get work
 // again. Its copies can't be told from a later order of the same words, so one
 // takes effect only on the version that the registry knew when it came in: a
 // copy that is overtaken on its way does nothing.
-type CellOrder struct {
-	Cell     ids.Name     `json:"cell"`
+type ZoneOrder struct {
+	Zone     ids.Name     `json:"cell"`
 	Region   ids.Name     `json:"region"`
 	Evacuate bool         `json:"shut"`
 	Known    ids.Revision `json:"known"`
 }
 
-// CellVersion gives the version that an order for a cell is to name: that of the
-// cell, or of its removal.
-func (p *Document) CellVersion(cell ids.Name) ids.Revision {
-	v, _ := p.version("cell", cell)
+// ZoneVersion gives the version that an order for a zone is to name: that of the
+// zone, or of its removal.
+func (p *Document) ZoneVersion(zone ids.Name) ids.Revision {
+	v, _ := p.version("cell", zone)
 	return v
 }
 
-// OrderCell gives the policy after an order, or the same policy if the cell is as
+// OrderZone gives the configuration after an order, or the same configuration if the zone is as
 // it asks already, or if the order is stale.
-func (p *Document) OrderCell(o CellOrder) (*Document, Result) {
-	have, exists := p.Cells[o.Cell]
-	touched := ItemVersion{Kind: "cell", Name: o.Cell, Version: have.Version}
+func (p *Document) OrderZone(o ZoneOrder) (*Document, Result) {
+	have, exists := p.Zones[o.Zone]
+	touched := ItemVersion{Kind: "cell", Name: o.Zone, Version: have.Version}
 	res := Result{Revision: p.Revision, Items: []ItemVersion{touched}}
 	if exists && gjson.GetBytes(have.Body, "shut").Bool() == o.Evacuate {
 		return p, res
 	}
-	if now := p.CellVersion(o.Cell); now != o.Known {
+	if now := p.ZoneVersion(o.Zone); now != o.Known {
 		touched.Version = now
 		return p, Result{Revision: p.Revision, Stale: []VersionConflict{{touched, o.Known}}}
 	}
 	body, err := o.body(have, exists)
 	if err != nil {
-		return p, Result{Revision: p.Revision, Violations: []Violation{{"cell/" + string(o.Cell), "", err.Error()}}}
+		return p, Result{Revision: p.Revision, Violations: []Violation{{"cell/" + string(o.Zone), "", err.Error()}}}
 	}
 	next := p.copy()
 	res.Revision, res.Items[0].Version = next.Revision, max(next.Revision, o.Known+1)
-	delete(next.Removed, "cell/"+string(o.Cell))
-	next.Cells[o.Cell] = Item{Version: res.Items[0].Version, Body: pretty.Ugly(body), At: next.Revision,
-		Merged: have.merged(), Given: have.Given || p.Removed["cell/"+string(o.Cell)].Given}
+	delete(next.Removed, "cell/"+string(o.Zone))
+	next.Zones[o.Zone] = Item{Version: res.Items[0].Version, Body: pretty.Ugly(body), At: next.Revision,
+		Merged: have.merged(), Given: have.Given || p.Removed["cell/"+string(o.Zone)].Given}
 	return next, res
 }
 
-// body gives the cell as the order leaves it; what else was said of it stays.
-func (o CellOrder) body(have Item, exists bool) ([]byte, error) {
+// body gives the zone as the order leaves it; what else was said of it stays.
+func (o ZoneOrder) body(have Item, exists bool) ([]byte, error) {
 	if exists {
 		set, err := json.Marshal(map[string]bool{"shut": o.Evacuate})
 		return overlay(have.Body, set), err
@@ -65,11 +65,11 @@
 	return json.Marshal(map[string]any{"region": o.Region, "shut": o.Evacuate})
 }
 
-func orderCellStep(p *Document, arg []byte) (*Document, Result, bool) {
-	var o CellOrder
+func orderZoneStep(p *Document, arg []byte) (*Document, Result, bool) {
+	var o ZoneOrder
 	if json.Unmarshal(arg, &o) != nil {
 		return p, Result{}, false
 	}
-	next, res := p.OrderCell(o)
+	next, res := p.OrderZone(o)
 	return next, res, true
 }
--- a/internal/state/configuration/cellorder_test.go
+++ b/internal/state/configuration/cellorder_test.go
@@ -11,9 +11,9 @@
 
 // copyOfOrder is one copy of an order on its way: what its registry knew when it
 // came in may be older than the truth, and it takes effect later.
-type copyOfOrder struct{ CellOrder }
+type copyOfOrder struct{ ZoneOrder }
 
-// Orders to shut a cell and to open it again have no ids, and each is sent several
+// Orders to shut a zone and to open it again have no ids, and each is sent several
 // times. A copy that takes effect late, after the operator was told that a later
 // order holds, must not undo that one.
 func TestALateCopyOfAnOrderUndoesNothing(t *testing.T) {
@@ -26,29 +26,29 @@
 		for range 20 {
 			shut = !shut
 			// Some registries have not heard yet of what was agreed last.
-			known := p.CellVersion("a")
+			known := p.ZoneVersion("a")
 			for range 1 + random.IntN(3) {
 				behind := ids.Revision(0)
 				if random.IntN(3) == 0 {
 					behind = min(known, ids.Revision(random.IntN(2)))
 				}
-				onTheWay = append(onTheWay, copyOfOrder{CellOrder{"a", "south", shut, known - behind}})
+				onTheWay = append(onTheWay, copyOfOrder{ZoneOrder{"a", "south", shut, known - behind}})
 			}
 			for acknowledged := false; !acknowledged; {
 				i := random.IntN(len(onTheWay))
 				c := onTheWay[i]
-				next, r := p.OrderCell(c.CellOrder)
+				next, r := p.OrderZone(c.ZoneOrder)
 				onTheWay = append(onTheWay[:i], onTheWay[i+1:]...)
 				p = next
 				acknowledged = r.Accepted() && c.Evacuate == shut && isShut(p) == shut
 				if len(onTheWay) == 0 && !acknowledged {
-					onTheWay = append(onTheWay, copyOfOrder{CellOrder{"a", "south", shut, p.CellVersion("a")}})
+					onTheWay = append(onTheWay, copyOfOrder{ZoneOrder{"a", "south", shut, p.ZoneVersion("a")}})
 				}
 			}
 			// The operator knows that this order holds; now the late copies come.
 			for len(onTheWay) > 0 && random.IntN(3) > 0 {
 				i := random.IntN(len(onTheWay))
-				next, r := p.OrderCell(onTheWay[i].CellOrder)
+				next, r := p.OrderZone(onTheWay[i].ZoneOrder)
 				if len(r.Stale) > 0 {
 					late++
 				}
@@ -64,30 +64,30 @@
 	}
 }
 
-func isShut(p *Document) bool { return p.View().Cells["a"].Evacuated }
+func isShut(p *Document) bool { return p.View().Zones["a"].Evacuated }
 
-// What else was said of the cell stays, an order that changes nothing writes
-// nothing, and neither a removal nor a fresh cell is mistaken for what was known.
-func TestCellOrders(t *testing.T) {
+// What else was said of the zone stays, an order that changes nothing writes
+// nothing, and neither a removal nor a fresh zone is mistaken for what was known.
+func TestZoneOrders(t *testing.T) {
 	is := is.New(t)
 	p, _ := change(t, empty(t), "1", `{"kind":"cell","name":"a","put":{"target":100,"region":"south","emptied":true}}`)
-	q, r := p.OrderCell(CellOrder{"a", "south", true, p.CellVersion("a")})
+	q, r := p.OrderZone(ZoneOrder{"a", "south", true, p.ZoneVersion("a")})
 	is.True(r.Accepted())
 	is.Equal(r.Items, []ItemVersion{{"cell", "a", 2}})
-	v := q.View().Cells["a"]
+	v := q.View().Zones["a"]
 	is.True(v.Evacuated && v.Drained && v.Target == 100)
-	same, r := q.OrderCell(CellOrder{"a", "south", true, 0})
+	same, r := q.OrderZone(ZoneOrder{"a", "south", true, 0})
 	is.True(r.Accepted())
 	is.True(same == q)
-	same, r = q.OrderCell(CellOrder{"a", "south", false, 1})
+	same, r = q.OrderZone(ZoneOrder{"a", "south", false, 1})
 	is.Equal(r.Stale, []VersionConflict{{ItemVersion{"cell", "a", 2}, 1}})
 	is.True(same == q)
-	// A removed cell has the version of its removal.
+	// A removed zone has the version of its removal.
 	q, r = change(t, q, "2", `{"kind":"cell","name":"a","remove":true}`)
 	is.True(r.Accepted())
-	_, r = q.OrderCell(CellOrder{"a", "south", true, 0})
+	_, r = q.OrderZone(ZoneOrder{"a", "south", true, 0})
 	is.Equal(len(r.Stale), 1)
-	q, r = q.OrderCell(CellOrder{"a", "south", true, q.CellVersion("a")})
+	q, r = q.OrderZone(ZoneOrder{"a", "south", true, q.ZoneVersion("a")})
 	is.True(r.Accepted())
-	is.True(q.View().Cells["a"].Region == "south" && q.Cells["a"].Version == 4)
+	is.True(q.View().Zones["a"].Region == "south" && q.Zones["a"].Version == 4)
 }
--- a/internal/state/configuration/change.go
+++ b/internal/state/configuration/change.go
@@ -61,10 +61,10 @@
 	return len(r.Violations)+len(r.Stale)+len(r.Missing)+len(r.Conflicts) == 0 && r.Unknown == ""
 }
 
-// mostRecent and mostDeclined bound how many results are kept for resent changes.
+// mostRecent and mostRejected bound how many results are kept for resent changes.
 const (
 	mostRecent   = 256
-	mostDeclined = 128
+	mostRejected = 128
 )
 
 // keep adds a result to a bounded list, which is not shared with the old one.
@@ -169,7 +169,7 @@
 	}
 }
 
-// Apply gives the policy after a change, or the same policy if it is declined.
+// Apply gives the configuration after a change, or the same configuration if it is rejected.
 func (p *Document) Apply(c Change) (*Document, Result) {
 	if res, ended := p.earlierEnd(c); ended {
 		return p, res
@@ -193,7 +193,7 @@
 	case !res.Accepted():
 		same := *p
 		same.rememberChange(c, res)
-		same.Declined = keep(p.Declined, res, mostDeclined)
+		same.Rejected = keep(p.Rejected, res, mostRejected)
 		return &same, res
 	}
 	res.Revision, res.Items = next.Revision, done
--- a/internal/state/configuration/check.go
+++ b/internal/state/configuration/check.go
@@ -115,7 +115,7 @@
 	})
 	switch kind {
 	case "cell":
-		checkCell(doc, bad)
+		checkZone(doc, bad)
 	case "route":
 		checkSplit(doc, bad)
 	}
@@ -170,7 +170,7 @@
 	return false
 }
 
-func checkCell(doc gjson.Result, bad func(path, why string)) {
+func checkZone(doc gjson.Result, bad func(path, why string)) {
 	doc.Get("distances").ForEach(func(k, v gjson.Result) bool {
 		at := "distances." + k.String()
 		if !nameRule.MatchString(k.String()) {
--- a/internal/state/configuration/cluster_test.go
+++ b/internal/state/configuration/cluster_test.go
@@ -12,7 +12,7 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// cluster is three stores that keep the policy, and two registries' clients, in
+// cluster is three stores that keep the configuration, and two registries' clients, in
 // virtual time on a network that delays, loses and doubles messages.
 type cluster struct {
 	now     ids.Time
--- a/internal/state/configuration/decoded.go
+++ b/internal/state/configuration/decoded.go
@@ -8,14 +8,14 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// changer holds the policy that its last change led to, decoded, and that
+// changer holds the configuration that its last change led to, decoded, and that
 // change's outcome. Both are functions of bytes that are compared whole, so
 // what it gives is the same as without them; reading fifteen thousand items
 // anew for each change would be most of the change's cost.
 type changer struct {
-	raw    []byte
-	policy *Document
-	last   outcome
+	raw           []byte
+	configuration *Document
+	last          outcome
 }
 
 // outcome is what one change function gave for one value and argument. A round
@@ -26,7 +26,7 @@
 	next, response []byte
 }
 
-// step changes an opened policy; an unchanged policy is given back as it is.
+// step changes an opened configuration; an unchanged configuration is given back as it is.
 type step func(p *Document, arg []byte) (next *Document, res Result, ok bool)
 
 // change runs a step as a register's change function.
@@ -47,22 +47,22 @@
 		value := old
 		if next != p {
 			value = next.Encode(true)
-			c.raw, c.policy = value, next
+			c.raw, c.configuration = value, next
 		}
 		c.last = outcome{op, old, arg, value, response}
 		return value, response
 	}
 }
 
-// open reads a policy, or gives the one at hand if it is of the same bytes.
-// Policies are never changed in place once they were given out.
+// open reads a configuration, or gives the one at hand if it is of the same bytes.
+// Configurations are never changed in place once they were given out.
 func (c *changer) open(raw []byte) (*Document, error) {
-	if c.policy != nil && bytes.Equal(raw, c.raw) {
-		return c.policy, nil
+	if c.configuration != nil && bytes.Equal(raw, c.raw) {
+		return c.configuration, nil
 	}
 	p, err := Decode(raw)
 	if err == nil {
-		c.raw, c.policy = raw, p
+		c.raw, c.configuration = raw, p
 	}
 	return p, err
 }
--- a/internal/state/configuration/delta.go
+++ b/internal/state/configuration/delta.go
@@ -11,10 +11,10 @@
 var kindNames = []string{"service", "route", "cell", "limits"}
 
 // ChangesSince gives what changed after a revision, packed for those who only obey. A
-// change then costs its own items and not the whole policy.
+// change then costs its own items and not the whole configuration.
 func (p *Document) ChangesSince(base ids.Revision) []byte {
 	d := &Document{Revision: p.Revision, Base: base, Services: map[ids.Name]Item{}, Routes: map[ids.Name]Item{},
-		Cells: map[ids.Name]Item{}, Limits: map[ids.Name]Item{}, Removed: map[string]Tombstone{}}
+		Zones: map[ids.Name]Item{}, Limits: map[ids.Name]Item{}, Removed: map[string]Tombstone{}}
 	for _, k := range kindNames {
 		for n, it := range p.Items(k) {
 			if it.At > base {
@@ -31,8 +31,8 @@
 	return raw
 }
 
-// Advance gives the policy that a packed one or a difference leads to, or the
-// same policy if it is no newer, or builds on what isn't here.
+// Advance gives the configuration that a packed one or a difference leads to, or the
+// same configuration if it is no newer, or builds on what isn't here.
 func (p *Document) Advance(raw []byte) (*Document, error) {
 	d, err := Decode(raw)
 	if err != nil || d.Revision <= p.Revision {
@@ -46,7 +46,7 @@
 	}
 	next := p.copy()
 	next.Revision = d.Revision
-	next.Recent, next.Declined, next.History = nil, nil, nil
+	next.Recent, next.Rejected, next.History = nil, nil, nil
 	for _, k := range kindNames {
 		maps.Copy(next.Items(k), d.Items(k))
 		for n := range d.Items(k) {
--- a/internal/state/configuration/delta_test.go
+++ b/internal/state/configuration/delta_test.go
@@ -11,23 +11,23 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// A difference leads from any earlier revision to just the same policy, however
+// A difference leads from any earlier revision to just the same configuration, however
 // often it comes, and never back.
-func TestDifferencesLeadToTheSamePolicy(t *testing.T) {
+func TestDifferencesLeadToTheSameConfiguration(t *testing.T) {
 	is := is.New(t)
 	for seed := range uint64(30) {
-		dice := rand.New(rand.NewPCG(seed, 1))
+		random := rand.New(rand.NewPCG(seed, 1))
 		all := []*Document{empty(t)}
 		for n := range 40 {
-			p, name := all[len(all)-1], fmt.Sprint("s", dice.IntN(6))
+			p, name := all[len(all)-1], fmt.Sprint("s", random.IntN(6))
 			var q *Document
-			switch dice.IntN(4) {
+			switch random.IntN(4) {
 			case 0:
-				q, _ = p.Merge(merging(givenService(name, ids.Revision(dice.IntN(60)))))
+				q, _ = p.Merge(merging(givenService(name, ids.Revision(random.IntN(60)))))
 			case 1:
-				q, _ = p.Merge(merging(gone("service", name, ids.Revision(dice.IntN(60)))))
+				q, _ = p.Merge(merging(gone("service", name, ids.Revision(random.IntN(60)))))
 			case 2:
-				q, _ = change(t, p, fmt.Sprint("c", n), fmt.Sprintf(`{"kind":"service","name":%q,"put":{"tier":%d}}`, name, dice.IntN(9)))
+				q, _ = change(t, p, fmt.Sprint("c", n), fmt.Sprintf(`{"kind":"service","name":%q,"put":{"tier":%d}}`, name, random.IntN(9)))
 			case 3:
 				q, _ = change(t, p, fmt.Sprint("c", n), fmt.Sprintf(`{"kind":"service","name":%q,"remove":true}`, name))
 			}
@@ -39,7 +39,7 @@
 		for _, from := range all {
 			have, err := Decode(from.Encode(false))
 			is.NoErr(err)
-			base := all[dice.IntN(len(all))]
+			base := all[random.IntN(len(all))]
 			got, err := have.Advance(last.ChangesSince(base.Revision))
 			is.NoErr(err)
 			if from.Revision < base.Revision {
--- a/internal/state/configuration/encode.go
+++ b/internal/state/configuration/encode.go
@@ -11,11 +11,11 @@
 )
 
 // marshal writes the very bytes that json.Marshal does, without reading each
-// item's body again: it is most of a policy, and is nearly always in the form
+// item's body again: it is most of a configuration, and is nearly always in the form
 // that json.Marshal would give it.
 func (p *Document) marshal() []byte {
 	shell := *p
-	shell.Services, shell.Routes, shell.Cells, shell.Limits = nil, nil, nil, nil
+	shell.Services, shell.Routes, shell.Zones, shell.Limits = nil, nil, nil, nil
 	rest, err := json.Marshal(&shell)
 	if err != nil {
 		return nil
@@ -30,7 +30,7 @@
 	for _, part := range []struct {
 		name  string
 		items map[ids.Name]Item
-	}{{"services", p.Services}, {"routes", p.Routes}, {"cells", p.Cells}, {"limits", p.Limits}} {
+	}{{"services", p.Services}, {"routes", p.Routes}, {"cells", p.Zones}, {"limits", p.Limits}} {
 		if part.name == "limits" && len(part.items) == 0 {
 			continue
 		}
--- a/internal/state/configuration/encode_test.go
+++ b/internal/state/configuration/encode_test.go
@@ -11,7 +11,7 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// mergeOp merges as a proposer that has no policy at hand.
+// mergeOp merges as a proposer that has no configuration at hand.
 func mergeOp(key ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
 	return Ops()[OpMerge](key, old, arg)
 }
@@ -38,7 +38,7 @@
 		p.Recent = keep(p.Recent, Result{ID: "a", Revision: 2}, 5)
 		p.History = &History{Forgotten: ids.Revision(round)}
 	}
-	p.Base, p.Cells = 4, nil
+	p.Base, p.Zones = 4, nil
 	plain, _ := json.Marshal(p)
 	is.Equal(string(p.Encode(true)), string(plain))
 }
@@ -73,8 +73,8 @@
 	}
 }
 
-// A proposer that has the policy at hand gives what one gives that reads it anew.
-func TestDecodedPolicyGivesTheSame(t *testing.T) {
+// A proposer that has the configuration at hand gives what one gives that reads it anew.
+func TestDecodedConfigurationGivesTheSame(t *testing.T) {
 	is := is.New(t)
 	ops := Ops()
 	var value []byte
--- a/internal/state/configuration/history.go
+++ b/internal/state/configuration/history.go
@@ -15,7 +15,7 @@
 // what makes a resent call harmless is agreed on together with what the call did.
 type History struct {
 	// Changes holds an entry for each change id that ended: its content, and the
-	// revision that it made or was declined at.
+	// revision that it made or was rejected at.
 	Changes entries `json:"changes,omitempty"`
 	// Forgotten is the highest revision of an entry that Changes had to drop.
 	// Whatever was made after it is known.
@@ -38,8 +38,8 @@
 	keySize      = 8
 	revisionSize = 4
 	entrySize    = keySize + contentSize + revisionSize
-	// declinedBit marks a revision at which a change was declined.
-	declinedBit = 1 << 31
+	// rejectedBit marks a revision at which a change was rejected.
+	rejectedBit = 1 << 31
 )
 
 // entryKey is a hash of what an entry is about.
@@ -50,11 +50,11 @@
 	key      entryKey
 	content  contentSum
 	revision ids.Revision
-	declined bool
+	rejected bool
 }
 
 // entries is a list of entries, oldest first, each of entrySize bytes. It is
-// never altered in place, as policies share it.
+// never altered in place, as configurations share it.
 type entries []byte
 
 func keyOf(what string) entryKey {
@@ -67,7 +67,7 @@
 func (list entries) at(i int) entry {
 	raw := list[i*entrySize : (i+1)*entrySize]
 	revision := binary.BigEndian.Uint32(raw[keySize+contentSize:])
-	return entry{entryKey(raw[:keySize]), contentSum(raw[keySize:]), ids.Revision(revision &^ declinedBit), revision&declinedBit != 0}
+	return entry{entryKey(raw[:keySize]), contentSum(raw[keySize:]), ids.Revision(revision &^ rejectedBit), revision&rejectedBit != 0}
 }
 
 // find gives the newest entry under a key.
@@ -91,16 +91,16 @@
 		}
 		list = list[old*entrySize:]
 	}
-	revision := uint32(e.revision) &^ declinedBit
-	if e.declined {
-		revision |= declinedBit
+	revision := uint32(e.revision) &^ rejectedBit
+	if e.rejected {
+		revision |= rejectedBit
 	}
 	next := append(slices.Clone(list), e.key[:]...)
 	next = append(next, e.content[:]...)
 	return binary.BigEndian.AppendUint32(next, revision), dropped
 }
 
-// history gives what is remembered; of a policy that was written before there
+// history gives what is remembered; of a configuration that was written before there
 // was a history, as much as its results tell.
 func (p *Document) history() History {
 	if p.History != nil {
@@ -110,7 +110,7 @@
 	for _, list := range []struct {
 		results []Result
 		most    int
-	}{{p.Recent, mostRecent}, {p.Declined, mostDeclined}} {
+	}{{p.Recent, mostRecent}, {p.Rejected, mostRejected}} {
 		if len(list.results) >= list.most {
 			h.Forgotten = max(h.Forgotten, list.results[0].Revision)
 		}
--- a/internal/state/configuration/merge.go
+++ b/internal/state/configuration/merge.go
@@ -27,7 +27,7 @@
 	Removed bool            `json:"removed,omitempty"`
 }
 
-// Merging is a call's items; it is valid whole or declined whole. Sent again,
+// Merging is a call's items; it is valid whole or rejected whole. Sent again,
 // late or out of order it does no harm, so it needs no id.
 type Merge struct {
 	Items []VersionedItem `json:"items"`
@@ -69,8 +69,8 @@
 	return faults
 }
 
-// Merge gives the policy with a call's items merged in, or the same policy if
-// the call is declined or brings nothing newer.
+// Merge gives the configuration with a call's items merged in, or the same configuration if
+// the call is rejected or brings nothing newer.
 func (p *Document) Merge(m Merge) (*Document, Result) {
 	res := Result{Revision: p.Revision, Violations: m.Check()}
 	if len(res.Violations) > 0 {
@@ -114,10 +114,10 @@
 	return next, res
 }
 
-// copy gives the next revision's policy, with maps of its own.
+// copy gives the next revision's configuration, with maps of its own.
 func (p *Document) copy() *Document {
-	return &Document{Revision: p.Revision + 1, Services: maps.Clone(p.Services), Routes: maps.Clone(p.Routes), Cells: maps.Clone(p.Cells),
-		Limits: maps.Clone(p.Limits), Removed: maps.Clone(p.Removed), Recent: p.Recent, Declined: p.Declined, History: p.History}
+	return &Document{Revision: p.Revision + 1, Services: maps.Clone(p.Services), Routes: maps.Clone(p.Routes), Zones: maps.Clone(p.Zones),
+		Limits: maps.Clone(p.Limits), Removed: maps.Clone(p.Removed), Recent: p.Recent, Rejected: p.Rejected, History: p.History}
 }
 
 // version gives the version that holds for a name, set or removed.
--- a/internal/state/configuration/merge_test.go
+++ b/internal/state/configuration/merge_test.go
@@ -54,7 +54,7 @@
 	is.True(r.Accepted())
 	is.Equal(q.Routes["mud"].Version, ids.Revision(40))
 	is.Equal(q.Services["wader"].Version, ids.Revision(7))
-	is.Equal(p.Routes["mud"].Version, ids.Revision(7)) // the old policy is as it was
+	is.Equal(p.Routes["mud"].Version, ids.Revision(7)) // the old configuration is as it was
 	// Version 0 is one too, where there is none.
 	q, r = q.Merge(merging(givenService("plover", 0)))
 	is.True(r.Accepted())
@@ -106,7 +106,7 @@
 	is.Equal(r.Items, []ItemVersion{{"route", "mud", 6}})
 	is.Equal(len(p.Routes), 0)
 	// A copy that is older, or as old, doesn't bring it back; nor does a reopened
-	// policy forget it.
+	// configuration forget it.
 	p, err := Decode(p.Encode(false))
 	is.NoErr(err)
 	for _, v := range []ids.Revision{4, 5} {
--- a/internal/state/configuration/ops.go
+++ b/internal/state/configuration/ops.go
@@ -6,16 +6,16 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// OpChange applies a checked change to the policy.
+// OpChange applies a checked change to the configuration.
 const OpChange consensus.Op = 1
 
-// Ops are the change functions of the policy, for one proposer alone.
+// Ops are the change functions of the configuration, for one proposer alone.
 func Ops() map[consensus.Op]consensus.ChangeFunc {
 	c := &changer{}
 	return map[consensus.Op]consensus.ChangeFunc{
 		OpChange:    c.change(OpChange, changeStep),
 		OpMerge:     c.change(OpMerge, mergeStep),
-		OpOrderCell: c.change(OpOrderCell, orderCellStep),
+		OpOrderZone: c.change(OpOrderZone, orderZoneStep),
 	}
 }
 
--- a/internal/state/configuration/policy.go
+++ b/internal/state/configuration/policy.go
@@ -1,4 +1,4 @@
-// Package catalogue is the policy: services, routes and cells. It is one
+// Package catalogue is the configuration: services, routes and zones. It is one
 // register, because a change that names several items must be whole or
 // nothing and a route may not outlive its service; versions are each item's.
 package configuration
@@ -10,7 +10,7 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// Key is the policy's register.
+// Key is the configuration's register.
 const Key ids.RegisterKey = "policy"
 
 // Item is one thing an operator made, as it was sent, and its version. The
@@ -24,7 +24,7 @@
 	Source json.RawMessage `json:"source,omitempty"`
 	// Merged: it is its caller's business, though it may have kept no source.
 	Merged bool `json:"merged,omitempty"`
-	// At is the policy's revision that last changed the item.
+	// At is the configuration's revision that last changed the item.
 	At ids.Revision `json:"at,omitempty"`
 	// By marks the change that made this version, and Prev is the version that it
 	// followed; both are empty where the version came by merging.
@@ -52,7 +52,7 @@
 	Revision ids.Revision      `json:"revision"`
 	Services map[ids.Name]Item `json:"services"`
 	Routes   map[ids.Name]Item `json:"routes"`
-	Cells    map[ids.Name]Item `json:"cells"`
+	Zones    map[ids.Name]Item `json:"cells"`
 	Limits   map[ids.Name]Item `json:"limits,omitempty"`
 	// Removed holds, by kind/name, the version under which an item was removed:
 	// an older copy that arrives later must not bring it back.
@@ -60,9 +60,9 @@
 	// Base, if set, tells that only what changed since that revision is here.
 	Base   ids.Revision `json:"base,omitempty"`
 	Recent []Result     `json:"recent,omitempty"`
-	// Declined are kept as well: a late copy of a change whose caller was told
-	// that it is declined must not be accepted once the item it lacked is there.
-	Declined []Result `json:"declined,omitempty"`
+	// Rejected are kept as well: a late copy of a change whose caller was told
+	// that it is rejected must not be accepted once the item it lacked is there.
+	Rejected []Result `json:"declined,omitempty"`
 	// History is what is remembered beyond the results above.
 	History *History `json:"history,omitempty"`
 }
@@ -80,13 +80,13 @@
 	// WarmRate is how many requests a second a cold target bears from the whole
 	// fleet; 0 where only places bound it.
 	WarmRate float64 `json:"warm_rate"`
-	// Circuits is how many connections a target takes from all callers; 0 for any.
-	Circuits int `json:"circuits"`
+	// Connections is how many connections a target takes from all callers; 0 for any.
+	Connections int `json:"circuits"`
 }
 
-// Cell is a zone: its region, its set points in ms of CPU a second, and
+// Zone is a zone: its region, its set points in ms of CPU a second, and
 // whether it is emptied.
-type Cell struct {
+type Zone struct {
 	Name   ids.Name `json:"-"`
 	Region string   `json:"region"`
 	Target float64  `json:"target"`
@@ -95,13 +95,13 @@
 	Acceptable float64 `json:"acceptable"`
 	Maximum    float64 `json:"maximum"`
 	Drained    bool    `json:"emptied"`
-	// Shut: nothing more is sent to the cell's targets, while its proxies go on
-	// serving from the targets of other cells.
+	// Shut: nothing more is sent to the zone's targets, while its proxies go on
+	// serving from the targets of other zones.
 	Evacuated bool                     `json:"shut"`
 	Distances map[ids.Name]json.Number `json:"distances"`
 }
 
-// Decode reads a policy; nil bytes are an empty one.
+// Decode reads a configuration; nil bytes are an empty one.
 func Decode(raw []byte) (*Document, error) {
 	p := &Document{}
 	if len(raw) > 0 {
@@ -109,7 +109,7 @@
 			return nil, err
 		}
 	}
-	for _, m := range []*map[ids.Name]Item{&p.Services, &p.Routes, &p.Cells, &p.Limits} {
+	for _, m := range []*map[ids.Name]Item{&p.Services, &p.Routes, &p.Zones, &p.Limits} {
 		if *m == nil {
 			*m = map[ids.Name]Item{}
 		}
@@ -117,11 +117,11 @@
 	return p, nil
 }
 
-// Encode writes a policy; without the recent results for those who only obey.
+// Encode writes a configuration; without the recent results for those who only obey.
 func (p *Document) Encode(recent bool) []byte {
 	c := *p
 	if !recent {
-		c.Recent, c.Declined, c.History = nil, nil, nil
+		c.Recent, c.Rejected, c.History = nil, nil, nil
 	}
 	return c.marshal()
 }
@@ -134,14 +134,14 @@
 	case "route":
 		return p.Routes
 	case "cell":
-		return p.Cells
+		return p.Zones
 	case "limits":
 		return p.Limits
 	}
 	return nil
 }
 
-// Describe says in a few words what a packed policy is.
+// Describe says in a few words what a packed configuration is.
 func Describe(raw []byte) string {
 	p, err := Decode(raw)
 	if err != nil || len(raw) == 0 {
--- a/internal/state/configuration/policy_test.go
+++ b/internal/state/configuration/policy_test.go
@@ -37,7 +37,7 @@
 	same, again := change(t, p, "1", service+","+route)
 	is.Equal(again, r)
 	is.Equal(same, p)
-	// Stale: declined with the present version, and the good part with it.
+	// Stale: rejected with the present version, and the good part with it.
 	q, r := change(t, p, "2", `{"kind":"service","name":"new","put":{}},{"kind":"route","name":"orders","version":9,"put":{"prefix":"/o","service":"ledger","repeatable":true}}`)
 	is.Equal(string(q.Encode(false)), string(p.Encode(false)))
 	is.Equal(r.Stale[0].Version, p.Routes["orders"].Version)
@@ -57,9 +57,9 @@
 	is.Equal(len(r.Stale), 1)
 }
 
-// A change was declined, and a copy of it comes late, when it would be good:
-// its caller was told that it is declined, and that stands.
-func TestADeclinedChangeStaysDeclined(t *testing.T) {
+// A change was rejected, and a copy of it comes late, when it would be good:
+// its caller was told that it is rejected, and that stands.
+func TestARejectedChangeStaysRejected(t *testing.T) {
 	is := is.New(t)
 	p, _ := Decode(nil)
 	remove := `{"kind":"service","name":"ledger","remove":true}`
@@ -71,10 +71,10 @@
 	is.Equal(len(r.Missing), 1)
 	is.Equal(len(p.Services), 1)
 	// What is kept is bounded, and not shown to those who only obey.
-	for i := range 3 * mostDeclined {
+	for i := range 3 * mostRejected {
 		p, _ = change(t, p, fmt.Sprintf("d%d", i), `{"kind":"route","name":"none","remove":true}`)
 	}
-	is.Equal(len(p.Declined), mostDeclined)
+	is.Equal(len(p.Rejected), mostRejected)
 	is.True(!strings.Contains(string(p.Encode(false)), "declined"))
 }
 
@@ -85,13 +85,13 @@
 	is.True(r.Accepted())
 	p, r = change(t, p, "2", `{"kind":"cell","name":"a","set":{"emptied":true}}`)
 	is.True(r.Accepted())
-	v := p.View().Cells["a"]
+	v := p.View().Zones["a"]
 	is.True(v.Drained && v.Target == 100 && v.Region == "south")
 	_, r = change(t, p, "3", `{"kind":"cell","name":"a","set":{"emptied":"yes"}}`)
 	is.Equal(r.Violations, []Violation{{"cell/a", "emptied", "must be true or false"}})
 }
 
-// Each broken change is declined with the item and the path, and all of a
+// Each broken change is rejected with the item and the path, and all of a
 // batch's faults are listed.
 func TestBrokenChanges(t *testing.T) {
 	is := is.New(t)
--- a/internal/state/configuration/resend.go
+++ b/internal/state/configuration/resend.go
@@ -11,7 +11,7 @@
 // Reasons that a result gives.
 const (
 	reasonIDUsed     = "was used for another change: a change needs an id of its own"
-	reasonDeclined   = "names a change that was declined"
+	reasonRejected   = "names a change that was declined"
 	reasonUnknown    = "this may be a copy of a change so old that its end isn't known any more; read the item, and send what is still wanted under a new id"
 	reasonOtherValue = "this version holds already, with other content"
 )
@@ -52,8 +52,8 @@
 			return res, true
 		}
 		res := Result{ID: c.ID, Revision: e.revision}
-		if e.declined {
-			res.Conflicts = []Violation{{"change", "id", reasonDeclined}}
+		if e.rejected {
+			res.Conflicts = []Violation{{"change", "id", reasonRejected}}
 		}
 		return res, true
 	}
@@ -68,7 +68,7 @@
 
 // fullResult finds a result that is kept whole.
 func (p *Document) fullResult(id ids.ChangeID) (Result, bool) {
-	for _, list := range [][]Result{p.Recent, p.Declined} {
+	for _, list := range [][]Result{p.Recent, p.Rejected} {
 		for _, r := range list {
 			if r.ID == id {
 				return r, true
--- a/internal/state/configuration/resend_test.go
+++ b/internal/state/configuration/resend_test.go
@@ -21,7 +21,7 @@
 	return p
 }
 
-// reopened gives the policy as a store that restarts, or one that takes another's
+// reopened gives the configuration as a store that restarts, or one that takes another's
 // copy, reads it.
 func reopened(t *testing.T, p *Document) *Document {
 	t.Helper()
@@ -110,13 +110,13 @@
 	is.True(q == p)
 }
 
-// A change that was declined stays so after hundreds of other declined ones.
-func TestADeclinedChangeStaysDeclinedForLong(t *testing.T) {
+// A change that was rejected stays so after hundreds of other rejected ones.
+func TestARejectedChangeStaysRejectedForLong(t *testing.T) {
 	is := is.New(t)
 	remove := `{"kind":"service","name":"ledger","remove":true}`
 	p, r := change(t, empty(t), "early", remove)
 	is.Equal(len(r.Missing), 1)
-	for i := range 2 * mostDeclined {
+	for i := range 2 * mostRejected {
 		p, _ = change(t, p, fmt.Sprintf("d%d", i), `{"kind":"route","name":"none","remove":true}`)
 	}
 	p, _ = change(t, p, "make", service)
@@ -180,9 +180,9 @@
 	}
 }
 
-// A policy from before there was a history: what its results tell is known, and
+// A configuration from before there was a history: what its results tell is known, and
 // nothing is taken for certain beyond them.
-func TestAnOldPolicyIsRead(t *testing.T) {
+func TestAnOldConfigurationIsRead(t *testing.T) {
 	is := is.New(t)
 	p, _ := change(t, empty(t), "first", service)
 	p, _ = change(t, p, "second", `{"kind":"service","name":"ledger","version":1,"put":{"tier":3}}`)
--- a/internal/state/configuration/route.go
+++ b/internal/state/configuration/route.go
@@ -82,7 +82,7 @@
 	return last
 }
 
-// Limits bound what a consumer may send, and how long it may take or idle.
+// Limits bound what a client may send, and how long it may take or idle.
 type Limits struct {
 	MaxHeader int `json:"max_header"`
 	MaxBody   int `json:"max_body"`
@@ -90,5 +90,5 @@
 	Idle      int `json:"idle_ms"`
 }
 
-// NoLimits are those in force where policy names none.
+// NoLimits are those in force where configuration names none.
 var NoLimits = Limits{MaxHeader: 64 << 10, MaxBody: 1 << 30, Header: 5000, Idle: 60000}
--- a/internal/state/configuration/split_test.go
+++ b/internal/state/configuration/split_test.go
@@ -68,10 +68,10 @@
 			t.Errorf("%s gave %v, not %q", body, faults, want)
 		}
 	}
-	cell := VersionedItem{Kind: "cell", Name: "c", Version: 1, Body: json.RawMessage(`{"region":"North_1"}`)}
-	is.Equal(len(merging(cell).Check()), 0)
-	cell.Body = json.RawMessage(`{"shut":"yes"}`)
-	is.Equal(merging(cell).Check(), []Violation{{"cell/c", "shut", "must be true or false"}})
+	zone := VersionedItem{Kind: "cell", Name: "c", Version: 1, Body: json.RawMessage(`{"region":"North_1"}`)}
+	is.Equal(len(merging(zone).Check()), 0)
+	zone.Body = json.RawMessage(`{"shut":"yes"}`)
+	is.Equal(merging(zone).Check(), []Violation{{"cell/c", "shut", "must be true or false"}})
 }
 
 // A route may hold a request for ten minutes.
@@ -84,7 +84,7 @@
 	is.Equal(check("600001"), 1)
 }
 
-func TestLimitsOfConsumers(t *testing.T) {
+func TestLimitsOfClients(t *testing.T) {
 	is := is.New(t)
 	p := empty(t)
 	is.Equal(p.View().Limits, NoLimits)
@@ -108,20 +108,20 @@
 	is.Equal(p.View().Limits, NoLimits)
 }
 
-func TestWhatADaemonWasToldOfCells(t *testing.T) {
+func TestWhatADaemonWasToldOfZones(t *testing.T) {
 	is := is.New(t)
 	p := empty(t)
 	p, r := change(t, p, "1", `{"kind":"cell","name":"quay","put":{"region":"west","target":100,"shut":true}},{"kind":"cell","name":"pier","put":{"target":50}}`)
 	is.True(r.Accepted())
 	v := p.View()
 	v.SetRegions(map[ids.Name]string{"quay": "east", "pier": "east", "mole": "east"})
-	is.Equal(v.Cells["quay"].Region, "west") // policy's own word goes first
-	is.True(v.Cells["quay"].Evacuated)
-	is.Equal(v.Cells["quay"].Target, 100.0)
-	is.Equal(v.Cells["pier"].Region, "east")
-	is.Equal(v.Cells["pier"].Target, 50.0)
-	is.Equal(v.Cells["mole"].Name, ids.Name("mole"))
-	is.Equal(v.Cells["mole"].Target, float64(defaultTarget))
+	is.Equal(v.Zones["quay"].Region, "west") // configuration's own word goes first
+	is.True(v.Zones["quay"].Evacuated)
+	is.Equal(v.Zones["quay"].Target, 100.0)
+	is.Equal(v.Zones["pier"].Region, "east")
+	is.Equal(v.Zones["pier"].Target, 50.0)
+	is.Equal(v.Zones["mole"].Name, ids.Name("mole"))
+	is.Equal(v.Zones["mole"].Target, float64(defaultTarget))
 	is.Equal(v.Distance("pier", "mole"), 1.0)
 	is.Equal(v.Distance("quay", "mole"), 1000.0)
 	is.Equal(v.Distance("mole", "mole"), 0.0)
--- a/internal/state/configuration/view.go
+++ b/internal/state/configuration/view.go
@@ -7,28 +7,28 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// defaultTarget is a cell's comfortable level where nobody names one, in ms of
+// defaultTarget is a zone's comfortable level where nobody names one, in ms of
 // CPU a second.
 const defaultTarget = 8500
 
-// View is the policy as daemons use it: typed, with defaults filled in.
+// View is the configuration as daemons use it: typed, with defaults filled in.
 type View struct {
 	Revision ids.Revision
 	Services map[ids.Name]Service
 	Routes   map[ids.Name]Route
-	Cells    map[ids.Name]Cell
-	// Limits bound what consumers may send.
+	Zones    map[ids.Name]Zone
+	// Limits bound what clients may send.
 	Limits Limits
 }
 
 // View reads the items. They were checked when they were accepted.
 func (p *Document) View() *View { return p.ViewFrom(&Document{}, &View{}) }
 
-// ViewFrom reads the items, and takes over from the view of an earlier policy the
+// ViewFrom reads the items, and takes over from the view of an earlier configuration the
 // routes and services whose bodies are the same.
 func (p *Document) ViewFrom(earlier *Document, had *View) *View {
 	v := &View{Revision: p.Revision, Services: map[ids.Name]Service{},
-		Routes: map[ids.Name]Route{}, Cells: map[ids.Name]Cell{}, Limits: NoLimits}
+		Routes: map[ids.Name]Route{}, Zones: map[ids.Name]Zone{}, Limits: NoLimits}
 	for n, it := range p.Services {
 		if s, ok := had.Services[n]; ok && bytes.Equal(earlier.Services[n].Body, it.Body) {
 			v.Services[n] = s
@@ -52,8 +52,8 @@
 	for _, n := range sorted(p.Limits) {
 		_ = json.Unmarshal(p.Limits[n].Body, &v.Limits)
 	}
-	for n, it := range p.Cells {
-		c := Cell{}
+	for n, it := range p.Zones {
+		c := Zone{}
 		_ = json.Unmarshal(it.Body, &c)
 		c.Name = n
 		if c.Target == 0 {
@@ -65,40 +65,40 @@
 		if c.Acceptable == 0 {
 			c.Acceptable = c.Target * 0.8
 		}
-		v.Cells[n] = c
+		v.Zones[n] = c
 	}
 	return v
 }
 
-// SetRegions adds what a daemon was told of cells at its start, where policy says
+// SetRegions adds what a daemon was told of zones at its start, where configuration says
 // nothing of them: that they are there, and their regions.
 func (v *View) SetRegions(regions map[ids.Name]string) {
 	for n, region := range regions {
-		c, ok := v.Cells[n]
+		c, ok := v.Zones[n]
 		if !ok {
-			c = Cell{Name: n, Unnamed: true, Target: defaultTarget, Acceptable: defaultTarget * 0.8, Maximum: defaultTarget * 1.1}
+			c = Zone{Name: n, Unnamed: true, Target: defaultTarget, Acceptable: defaultTarget * 0.8, Maximum: defaultTarget * 1.1}
 		}
 		if c.Region == "" {
 			c.Region = region
 		}
-		v.Cells[n] = c
+		v.Zones[n] = c
 	}
 }
 
-// Distance tells how far two cells are apart, as policy says; far if it
+// Distance tells how far two zones are apart, as configuration says; far if it
 // doesn't, nearer within a region.
 func (v *View) Distance(a, b ids.Name) float64 {
 	if a == b {
 		return 0
 	}
 	for _, p := range [][2]ids.Name{{a, b}, {b, a}} {
-		if d, ok := v.Cells[p[0]].Distances[p[1]]; ok {
+		if d, ok := v.Zones[p[0]].Distances[p[1]]; ok {
 			if f, err := d.Float64(); err == nil {
 				return f
 			}
 		}
 	}
-	if r := v.Cells[a].Region; r != "" && r == v.Cells[b].Region {
+	if r := v.Zones[a].Region; r != "" && r == v.Zones[b].Region {
 		return 1
 	}
 	return 1000
--- a/internal/state/consensus/abandon.go
+++ b/internal/state/consensus/abandon.go
@@ -8,8 +8,8 @@
 // Pending tells whether a call still waits for its answer.
 func (a *Client) Pending(id CallID) bool { return a.pending[uint64(id)] != nil }
 
-// Abandon ends a call that nobody waits for any longer. It is Declined only
-// where every store that was asked has declined; any other may still carry it
+// Abandon ends a call that nobody waits for any longer. It is Rejected only
+// where every store that was asked has rejected; any other may still carry it
 // out, so then it is Uncertain.
 func (a *Client) Abandon(now ids.Time, id CallID) {
 	call := a.pending[uint64(id)]
@@ -17,7 +17,7 @@
 		return
 	}
 	delete(a.pending, uint64(id))
-	state := Declined
+	state := Rejected
 	if len(call.maybe) > 0 {
 		state = Indeterminate
 	}
--- a/internal/state/consensus/acceptor.go
+++ b/internal/state/consensus/acceptor.go
@@ -6,7 +6,7 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// RosterKey is the register that holds the voter set itself.
+// VoterSetKey is the register that holds the voter set itself.
 const VoterSetKey ids.RegisterKey = "roster"
 
 // Slot is what an acceptor keeps for each register.
@@ -16,7 +16,7 @@
 	Value    []byte
 }
 
-// Shelf is the disk as the machine reads it; writes go out as commands.
+// Storage is the disk as the machine reads it; writes go out as commands.
 type Storage interface {
 	// Fetch finds a record.
 	Get(key ids.RegisterKey) ([]byte, bool)
@@ -50,12 +50,12 @@
 const slotPrefix = "item/"
 
 // NewAcceptor takes up where the disk left off.
-func NewAcceptor(store uint64, shelf Storage, out *event.Outbox) *Acceptor {
-	a := &Acceptor{out: out, storage: shelf, store: store, unsynced: map[ids.RegisterKey]unsyncedRecord{}, registers: map[ids.RegisterKey]*register{}}
-	if raw, ok := shelf.Get("meta/roster"); ok {
+func NewAcceptor(store uint64, storage Storage, out *event.Outbox) *Acceptor {
+	a := &Acceptor{out: out, storage: storage, store: store, unsynced: map[ids.RegisterKey]unsyncedRecord{}, registers: map[ids.RegisterKey]*register{}}
+	if raw, ok := storage.Get("meta/roster"); ok {
 		a.voterSet, _ = unpack[VoterSet](raw)
 	}
-	if err := CheckDisk(shelf); err != nil {
+	if err := CheckDisk(storage); err != nil {
 		a.damaged = true
 		out.Log("error", "registers unreadable, taking no part", "problem", err.Error())
 	}
@@ -114,7 +114,7 @@
 	}
 }
 
-// Adopt takes a higher voter set; lower ones are declined from then on.
+// Adopt takes a higher voter set; lower ones are rejected from then on.
 func (a *Acceptor) AdoptVoterSet(r VoterSet) bool {
 	if r.Number <= a.voterSet.Number {
 		return false
@@ -181,7 +181,7 @@
 	a.save(m.Key, s, event.Send{To: from, Msg: w})
 }
 
-// Roster gives the voter set in force here.
+// VoterSet gives the voter set in force here.
 func (a *Acceptor) VoterSet() VoterSet { return a.voterSet }
 
 // Store gives this acceptor's store id.
--- a/internal/state/consensus/bringup.go
+++ b/internal/state/consensus/bringup.go
@@ -51,7 +51,7 @@
 		return
 	}
 	if s.ballot.Less(m.Promised) {
-		// It promised more meanwhile and would decline that Accept. The value is
+		// It promised more meanwhile and would reject that Accept. The value is
 		// agreed on once more, by a ballot above all promises.
 		sent[m.Store] = now
 		p.high = max(p.high, m.Promised.Counter)
--- a/internal/state/consensus/client.go
+++ b/internal/state/consensus/client.go
@@ -29,8 +29,8 @@
 	due   ids.Time
 	again ids.Time
 	tries int
-	// maybe holds the tries that no store has said to have declined, and asked
-	// where each try went. Not the stores alone: one may decline a second try
+	// maybe holds the tries that no store has said to have rejected, and asked
+	// where each try went. Not the stores alone: one may reject a second try
 	// and still be busy with the first.
 	maybe map[uint32]bool
 	asked map[uint32]attempt
@@ -102,7 +102,7 @@
 			m.Result = w.have
 		}
 		w.done(now, Succeeded, m.Result)
-	case Declined:
+	case Rejected:
 		// Another store may do better; one round through all, then a rest.
 		delete(w.maybe, m.Attempt)
 		if w.tries < len(a.StoreOrder(w.Key)) {
--- a/internal/state/consensus/client_test.go
+++ b/internal/state/consensus/client_test.go
@@ -10,10 +10,10 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// A store takes an ask, its disk stalls, and it declines the second copy of
+// A store takes an ask, its disk stalls, and it rejects the second copy of
 // that ask. It may still be busy with the first: the end is uncertain, which a
 // caller must not be told as "surely not accepted".
-func TestADeclinedTrySaysNothingOfAnEarlierOne(t *testing.T) {
+func TestARejectedTrySaysNothingOfAnEarlierOne(t *testing.T) {
 	is := is.New(t)
 	for _, answers := range [][]uint32{{2}, {1, 2}} {
 		out := &event.Outbox{}
@@ -27,9 +27,9 @@
 		is.Equal(first.ID, second.ID)
 		is.Equal(second.Attempt, uint32(2))
 		for _, try := range answers {
-			a.HandleResponse(ids.Time(510*time.Millisecond), "10.0.0.1:1", Response{ID: first.ID, Outcome: Declined, Attempt: try})
+			a.HandleResponse(ids.Time(510*time.Millisecond), "10.0.0.1:1", Response{ID: first.ID, Outcome: Rejected, Attempt: try})
 		}
 		a.Tick(ids.Time(800 * time.Millisecond))
-		is.Equal(end, map[int]Outcome{1: Indeterminate, 2: Declined}[len(answers)])
+		is.Equal(end, map[int]Outcome{1: Indeterminate, 2: Rejected}[len(answers)])
 	}
 }
--- a/internal/state/consensus/consensus_test.go
+++ b/internal/state/consensus/consensus_test.go
@@ -170,7 +170,7 @@
 	t.Fatal("the change of a was never answered")
 }
 
-// A ballot below a promise is declined, and the promise is on the disk.
+// A ballot below a promise is rejected, and the promise is on the disk.
 func TestPromiseOutlivesARestart(t *testing.T) {
 	is := is.New(t)
 	all := rooms(t)
@@ -193,7 +193,7 @@
 }
 
 // While a voter set is joint, a majority of either side alone decides nothing.
-func TestJointRosterNeedsBothMajorities(t *testing.T) {
+func TestJointVoterSetNeedsBothMajorities(t *testing.T) {
 	is := is.New(t)
 	r := VoterSet{Number: 2, Voters: []Voter{{ID: 1}, {ID: 2}, {ID: 3}}, Incoming: []Voter{{ID: 1}, {ID: 4}, {ID: 5}}}
 	is.True(!r.Majority(map[uint64]bool{2: true, 3: true}))
--- a/internal/state/consensus/difference.go
+++ b/internal/state/consensus/difference.go
@@ -99,7 +99,7 @@
 	s := a.slot(m.Key)
 	whole := Accept{Key: m.Key, Ballot: m.Ballot, NextBallot: m.NextBallot, VoterSet: m.VoterSet, Round: m.Round}
 	if s.Accepted == m.Ballot || m.Ballot.Less(s.Promised) {
-		// Taken before, or declined: the value isn't looked at.
+		// Taken before, or rejected: the value isn't looked at.
 		a.Accept(from, whole)
 		return
 	}
--- a/internal/state/consensus/founding.go
+++ b/internal/state/consensus/founding.go
@@ -13,13 +13,13 @@
 	VoterSet VoterSet
 }
 
-// FoundingResponse answers it, once the promise is on the disk. An empty Declined
+// FoundingResponse answers it, once the promise is on the disk. An empty Rejected
 // promises that the store will take no part in a founding of a lower round.
 type FoundingResponse struct {
 	Round    uint64
 	VoterSet VoterSet
 	Store    uint64
-	Declined string
+	Rejected string
 	// Promised is the highest round that the store has promised.
 	Promised uint64
 }
--- a/internal/state/consensus/lossy_test.go
+++ b/internal/state/consensus/lossy_test.go
@@ -24,13 +24,13 @@
 // lossyRun is three stores whose messages are lost, doubled and late, and which
 // are killed and started again from their disks.
 type lossyRun struct {
-	dice  *rand.Rand
-	now   ids.Time
-	all   map[ids.Address]*room
-	under []event.Send
-	from  []ids.Address
-	told  []Response
-	run   uint64
+	random *rand.Rand
+	now    ids.Time
+	all    map[ids.Address]*room
+	under  []event.Send
+	from   []ids.Address
+	told   []Response
+	run    uint64
 	// deaf is a store that hears nothing for some steps.
 	deaf      ids.Address
 	deafSteps int
@@ -40,7 +40,7 @@
 }
 
 func newLossyRun(seed uint64) *lossyRun {
-	l := &lossyRun{dice: rand.New(rand.NewPCG(seed, 7)), now: 1, all: map[ids.Address]*room{}}
+	l := &lossyRun{random: rand.New(rand.NewPCG(seed, 7)), now: 1, all: map[ids.Address]*room{}}
 	for i, at := range []ids.Address{"a", "b", "c"} {
 		l.all[at] = &room{mem: memory{}}
 		l.start(at, uint64(i+1))
@@ -54,7 +54,7 @@
 	l.run++
 	r := &room{mem: l.all[at].mem}
 	r.Acceptor = NewAcceptor(store, r.mem, &r.Outbox)
-	r.Proposer = NewProposer(store<<24|l.run, r.Acceptor.VoterSet, map[Op]ChangeFunc{opAdd: appendOnce}, l.dice, &r.Outbox)
+	r.Proposer = NewProposer(store<<24|l.run, r.Acceptor.VoterSet, map[Op]ChangeFunc{opAdd: appendOnce}, l.random, &r.Outbox)
 	l.all[at] = r
 }
 
@@ -75,7 +75,7 @@
 					l.told = append(l.told, r)
 					continue
 				}
-				for n := l.dice.IntN(20); n > 0; n -= 17 { // one in twenty lost, two doubled
+				for n := l.random.IntN(20); n > 0; n -= 17 { // one in twenty lost, two doubled
 					l.under, l.from = append(l.under, c), append(l.from, at)
 				}
 			}
@@ -88,12 +88,12 @@
 	if l.deafSteps--; l.deafSteps <= 0 {
 		l.deaf = ""
 	}
-	switch n := l.dice.IntN(400); {
+	switch n := l.random.IntN(400); {
 	case n == 0:
-		i := l.dice.IntN(3)
+		i := l.random.IntN(3)
 		l.start([]ids.Address{"a", "b", "c"}[i], uint64(i+1))
 	case n < 3 && l.deaf == "":
-		l.deaf, l.deafSteps = []ids.Address{"a", "b", "c"}[l.dice.IntN(3)], 300
+		l.deaf, l.deafSteps = []ids.Address{"a", "b", "c"}[l.random.IntN(3)], 300
 	case n < 60 || len(l.under) == 0:
 		l.now = l.now.Add(20 * time.Millisecond)
 		for _, at := range []ids.Address{"a", "b", "c"} {
@@ -102,8 +102,8 @@
 	default:
 		// Mostly in order, sometimes any of those under way.
 		i := 0
-		if l.dice.IntN(6) == 0 {
-			i = l.dice.IntN(len(l.under))
+		if l.random.IntN(6) == 0 {
+			i = l.random.IntN(len(l.under))
 		}
 		c, from := l.under[i], l.from[i]
 		l.under, l.from = append(l.under[:i], l.under[i+1:]...), append(l.from[:i], l.from[i+1:]...)
@@ -143,7 +143,7 @@
 			if i == 0 {
 				arg = base
 			}
-			at := []ids.Address{"a", "b", "c"}[l.dice.IntN(3)]
+			at := []ids.Address{"a", "b", "c"}[l.random.IntN(3)]
 			l.all[at].Submit(l.now, "w", Request{ID: uint64(i), Key: "policy", Op: opAdd, Arg: arg, Wait: 3000})
 			for range 60 {
 				l.step()
--- a/internal/state/consensus/messages.go
+++ b/internal/state/consensus/messages.go
@@ -15,7 +15,7 @@
 	Address ids.Address
 }
 
-// Roster names the acceptors. While Next is filled, both it and Stores must
+// VoterSet names the acceptors. While Next is filled, both it and Stores must
 // have a majority.
 type VoterSet struct {
 	Number   uint64
@@ -44,7 +44,7 @@
 	Known ids.Ballot
 }
 
-// Promise answers Prepare. Promised above the asked ballot is a decline.
+// Promise answers Prepare. Promised above the asked ballot is a reject.
 type Promise struct {
 	Key      ids.RegisterKey
 	Store    uint64
@@ -124,11 +124,11 @@
 // Outcome says how an Ask ended.
 type Outcome uint8
 
-// Done: chosen. Declined: surely without effect. Uncertain: may yet take
+// Done: chosen. Rejected: surely without effect. Uncertain: may yet take
 // effect. The three are never mixed.
 const (
 	Succeeded Outcome = iota + 1
-	Declined
+	Rejected
 	Indeterminate
 )
 
@@ -183,19 +183,19 @@
 
 // Found hands the first voter set to a blank member.
 type Bootstrap struct {
-	VoterSet VoterSet
-	Policy   []byte
+	VoterSet      VoterSet
+	Configuration []byte
 	// Round is the founding that the voter set comes from.
 	Round uint64
 }
 
-// WhoHolds asks a proxy for the policy it holds; Held answers.
-type PolicyQuery struct{}
+// WhoHolds asks a proxy for the configuration it holds; Held answers.
+type ConfigurationQuery struct{}
 
-// Held is a proxy's copy of the policy.
-type PolicyReply struct {
-	Revision ids.Revision
-	Policy   []byte
+// Held is a proxy's copy of the configuration.
+type ConfigurationReply struct {
+	Revision      ids.Revision
+	Configuration []byte
 }
 
 // Chosen tells registries of a register's new value.
@@ -209,8 +209,8 @@
 	wire.Register(24, VoterSetUpdate{}) && wire.Register(25, Request{}) &&
 	wire.Register(26, Response{}) && wire.Register(27, PageRequest{}) &&
 	wire.Register(28, PageResponse{}) && wire.Register(29, Hello{}) &&
-	wire.Register(30, Bootstrap{}) && wire.Register(31, PolicyQuery{}) &&
-	wire.Register(32, PolicyReply{}) && wire.Register(33, Chosen{})
+	wire.Register(30, Bootstrap{}) && wire.Register(31, ConfigurationQuery{}) &&
+	wire.Register(32, ConfigurationReply{}) && wire.Register(33, Chosen{})
 
 // Majority tells whether the stores that said yes suffice under the voter set.
 func (r VoterSet) Majority(yes map[uint64]bool) bool {
--- a/internal/state/consensus/model_state_test.go
+++ b/internal/state/consensus/model_state_test.go
@@ -44,10 +44,10 @@
 	}
 }
 
-// sameDice always falls the same way, so that a proposer has no hidden state.
-type sameDice struct{}
+// sameRandom always falls the same way, so that a proposer has no hidden state.
+type sameRandom struct{}
 
-func (sameDice) Uint64() uint64 { return 0x9e3779b97f4a7c15 }
+func (sameRandom) Uint64() uint64 { return 0x9e3779b97f4a7c15 }
 
 // modelStore is one store.
 type modelStore struct {
@@ -70,7 +70,7 @@
 	s := &modelStore{disk: d, run: run, now: 1}
 	s.acceptor = NewAcceptor(id, d, &s.Outbox)
 	s.acceptor.SetEpoch(run)
-	s.proposer = NewProposer(id<<24|run, s.acceptor.VoterSet, modelOps(), rand.New(sameDice{}), &s.Outbox)
+	s.proposer = NewProposer(id<<24|run, s.acceptor.VoterSet, modelOps(), rand.New(sameRandom{}), &s.Outbox)
 	return s
 }
 
--- a/internal/state/consensus/proposer.go
+++ b/internal/state/consensus/proposer.go
@@ -88,8 +88,8 @@
 }
 
 // NewProposer makes a proposer whose ballots no other run can have used.
-func NewProposer(by uint64, roster func() VoterSet, ops map[Op]ChangeFunc, dice *rand.Rand, out *event.Outbox) *Proposer {
-	return &Proposer{out: out, random: dice, by: by, count: firstRound(by), voterSet: roster, ops: ops,
+func NewProposer(by uint64, voterSet func() VoterSet, ops map[Op]ChangeFunc, random *rand.Rand, out *event.Outbox) *Proposer {
+	return &Proposer{out: out, random: random, by: by, count: firstRound(by), voterSet: voterSet, ops: ops,
 		IsReachable: func(uint64) bool { return true }, Subscribers: func(ids.RegisterKey) []ids.Address { return nil },
 		rounds: map[ids.RegisterKey]*round{}, promisedBallots: map[ids.RegisterKey]cachedValue{}, cachedValues: map[ids.RegisterKey]cachedValue{}, peers: newPeers()}
 }
@@ -103,11 +103,11 @@
 // Ask takes a request.
 func (p *Proposer) Submit(now ids.Time, from ids.Address, a Request) {
 	if len(p.voterSet().Voters) == 0 {
-		p.out.Send(from, Response{ID: a.ID, Attempt: a.Attempt, Outcome: Declined})
+		p.out.Send(from, Response{ID: a.ID, Attempt: a.Attempt, Outcome: Rejected})
 		return
 	}
 	if _, known := p.ops[a.Op]; !known && a.Op != Read {
-		p.out.Send(from, Response{ID: a.ID, Attempt: a.Attempt, Outcome: Declined})
+		p.out.Send(from, Response{ID: a.ID, Attempt: a.Attempt, Outcome: Rejected})
 		return
 	}
 	r := p.rounds[a.Key]
--- a/internal/state/consensus/registers.go
+++ b/internal/state/consensus/registers.go
@@ -12,7 +12,7 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// Registers other than idempotency keys are few, and the policy's is large. Each
+// Registers other than idempotency keys are few, and the configuration's is large. Each
 // is kept on disk as a base, which is a whole RegisterState, and changes behind
 // it, numbered from 0 on. What holds is the base with all changes applied, and it
 // is also at hand in memory. Both forms end with a checksum; a base written by an
--- a/internal/state/consensus/registers_test.go
+++ b/internal/state/consensus/registers_test.go
@@ -17,10 +17,10 @@
 )
 
 // text gives so many bytes that no part of is like another.
-func text(dice *rand.Rand, n int) []byte {
+func text(random *rand.Rand, n int) []byte {
 	out := make([]byte, n)
 	for i := range out {
-		out[i] = byte('a' + dice.IntN(26))
+		out[i] = byte('a' + random.IntN(26))
 	}
 	return out
 }
@@ -50,9 +50,9 @@
 // However a register comes about, a restart finds the very state.
 func TestRegisterOutlivesARestart(t *testing.T) {
 	is := is.New(t)
-	dice := rand.New(rand.NewPCG(3, 4))
+	random := rand.New(rand.NewPCG(3, 4))
 	r := keeper(memory{})
-	value := text(dice, 6000)
+	value := text(random, 6000)
 	for i := range 1500 {
 		b := ids.Ballot{Counter: uint64(i) + 1<<41, Proposer: 1}
 		next := RegisterState{Promised: b, Accepted: b, Value: value}
@@ -60,10 +60,10 @@
 		case i%50 == 49:
 			next.Accepted = r.slot("x").Accepted // a promise alone
 		case i%400 == 399:
-			value = text(dice, 100+dice.IntN(20000))
+			value = text(random, 100+random.IntN(20000))
 		default:
-			at := dice.IntN(len(value))
-			value = slices.Replace(slices.Clone(value), at, min(len(value), at+dice.IntN(30)), text(dice, dice.IntN(32))...)
+			at := random.IntN(len(value))
+			value = slices.Replace(slices.Clone(value), at, min(len(value), at+random.IntN(30)), text(random, random.IntN(32))...)
 		}
 		if next.Accepted == b {
 			next.Value = value
@@ -86,15 +86,15 @@
 // What a change writes goes by the change, not by the value.
 func TestBytesOfAChangeOnDisk(t *testing.T) {
 	is := is.New(t)
-	dice := rand.New(rand.NewPCG(3, 4))
+	random := rand.New(rand.NewPCG(3, 4))
 	for _, size := range []int{300_000, 1_500_000, 4_500_000} {
 		r := keeper(memory{})
-		value := text(dice, size)
+		value := text(random, size)
 		written := 0
 		for i := range 301 {
 			b := ids.Ballot{Counter: uint64(i) + 1<<41, Proposer: 1}
 			value = slices.Clone(value)
-			copy(value[dice.IntN(len(value)-300):], text(dice, 300))
+			copy(value[random.IntN(len(value)-300):], text(random, 300))
 			r.save("x", RegisterState{Promised: b, Accepted: b, Value: value})
 			if n := r.sync(); i > 0 {
 				written += n
@@ -108,9 +108,9 @@
 // A folder of an earlier version is one whole record without a checksum.
 func TestRegisterOfAnEarlierVersion(t *testing.T) {
 	is := is.New(t)
-	dice := rand.New(rand.NewPCG(3, 4))
+	random := rand.New(rand.NewPCG(3, 4))
 	b := ids.Ballot{Counter: 1 << 41, Proposer: 7}
-	old := RegisterState{Promised: b, Accepted: b, Value: text(dice, 9000)}
+	old := RegisterState{Promised: b, Accepted: b, Value: text(random, 9000)}
 	raw, err := wire.Encode(old)
 	is.NoErr(err)
 	mem := memory{"item/policy": raw, "item/mark/r/1": []byte("anything")}
@@ -130,12 +130,12 @@
 // that can't read what it voted for takes no part.
 func TestDamagedRegistersAreFound(t *testing.T) {
 	is := is.New(t)
-	dice := rand.New(rand.NewPCG(3, 4))
+	random := rand.New(rand.NewPCG(3, 4))
 	whole := memory{}
 	r := keeper(whole)
 	r.MarkComplete()
 	r.AdoptVoterSet(VoterSet{Number: 1, Voters: []Voter{{1, "a"}}})
-	value := text(dice, 5000)
+	value := text(random, 5000)
 	for i := range 5 {
 		b := ids.Ballot{Counter: uint64(i) + 1<<41, Proposer: 1}
 		value = append(slices.Clone(value), fmt.Sprint("change ", i)...)
--- a/internal/state/consensus/replies.go
+++ b/internal/state/consensus/replies.go
@@ -181,7 +181,7 @@
 		if now < a.due {
 			return false
 		}
-		s := Declined
+		s := Rejected
 		if a.sent {
 			s = Indeterminate
 		}
--- a/internal/state/consensus/voterset.go
+++ b/internal/state/consensus/voterset.go
@@ -27,7 +27,7 @@
 
 var _ = wire.Register(42, JoinRequest{}) && wire.Register(43, VoterSetNumber{})
 
-// RosterOps are the change functions of the voter set's register. Each reads
+// VoterSetOps are the change functions of the voter set's register. Each reads
 // what it is asked to change and leaves anything else alone, so that several
 // stores may ask for the same thing.
 func VoterSetOps() map[Op]ChangeFunc {
@@ -89,5 +89,5 @@
 	return write(old, r)
 }
 
-// OpenRoster reads a voter set from a register's value.
+// OpenVoterSet reads a voter set from a register's value.
 func DecodeVoterSet(raw []byte) (VoterSet, bool) { return unpack[VoterSet](raw) }
--- a/internal/state/election/election.go
+++ b/internal/state/election/election.go
@@ -1,6 +1,6 @@
 // Package duty gives a one-daemon duty to one daemon at a time. Who does it
 // is the first live one in the agreed order; what makes it safe is the epoch,
-// raised through a register, below which everybody declines.
+// raised through a register, below which everybody rejects.
 package election
 
 import (
--- a/internal/state/election/election_test.go
+++ b/internal/state/election/election_test.go
@@ -25,7 +25,7 @@
 func epoch(raw []byte) ids.Epoch { h, _ := Decode(raw); return h.Epoch }
 
 // Each taking raises the epoch, and asking again does not. A register that was
-// lost goes on above what its taker remembers, or everybody would decline it.
+// lost goes on above what its taker remembers, or everybody would reject it.
 func TestEpochsOnlyRise(t *testing.T) {
 	is := is.New(t)
 	a := taken(t, nil, Term{Holder: "f1", RunID: 1})
@@ -40,7 +40,7 @@
 // A run that gave the duty up takes it again under a new epoch. It used to get
 // the same one, so that nothing told its plans of before from those of after; and
 // one that had heard of a higher epoch went on under its old one, which all the
-// others declined.
+// others rejected.
 func TestARunThatTakesTheDutyAgainHasANewEpoch(t *testing.T) {
 	is := is.New(t)
 	first := taken(t, nil, Term{Holder: "f1", RunID: 1})
--- a/internal/state/idempotency/record.go
+++ b/internal/state/idempotency/record.go
@@ -21,7 +21,7 @@
 )
 
 // Retention is how long a mark's outcome is kept, in running time. A repeat after
-// that is a new request; consumers are told so with each answer.
+// that is a new request; clients are told so with each answer.
 const Retention = 24 * time.Hour
 
 // Key names a mark's register. Marks are kept apart by route.
@@ -71,7 +71,7 @@
 	Floor    uint32
 	Let      []Owner
 	Response Response
-	// Entered counts the attempts of a consumer that doesn't count itself.
+	// Entered counts the attempts of a client that doesn't count itself.
 	Entered uint32
 }
 
@@ -214,7 +214,7 @@
 	return s, Released
 }
 
-// enter numbers an attempt whose consumer gave no number, in the order in
+// enter numbers an attempt whose client gave no number, in the order in
 // which they are agreed on; a number that is skipped does no harm.
 func enter(s Record, w Operation) (Record, Verdict) {
 	if v, ok := seen(s, w); ok {
--- a/internal/state/storage/storage.go
+++ b/internal/state/storage/storage.go
@@ -1,4 +1,4 @@
-// Package shelf is the disk: records in SQLite, safe once synced.
+// Package storage is the disk: records in SQLite, safe once synced.
 package storage
 
 import (
@@ -23,7 +23,7 @@
 // register may have changes behind it, which a reader of 1 would not see.
 const Format = 2
 
-// Shelf is one data folder.
+// Storage is one data folder.
 type Database struct {
 	db   *sql.DB
 	lock *os.File
--- a/internal/state/storage/storage_test.go
+++ b/internal/state/storage/storage_test.go
@@ -133,7 +133,7 @@
 	is.NoErr(err)
 	is.Equal(n, int64(1))
 	_, ok := s.Get("item/policy")
-	is.True(ok) // policy never ages
+	is.True(ok) // configuration never ages
 }
 
 // Thirty hours of running time, with restarts: what is younger than a day is
--- a/internal/testsupport/blueprint/blueprint.go
+++ b/internal/testsupport/blueprint/blueprint.go
@@ -13,20 +13,20 @@
 type Plan struct {
 	Name    string
 	Regions int
-	Cells   int
+	Zones   int
 	Proxies int
 	Delay   int // between regions, in milliseconds
 	Rate    float64
-	// Target is the comfortable level of every cell; zero for the default.
+	// Target is the comfortable level of every zone; zero for the default.
 	Target float64
-	// Maximum is the default of every cell; zero for 1.1 of its target.
+	// Maximum is the default of every zone; zero for 1.1 of its target.
 	Maximum float64
 	// Allowance is each service's small allowance of retries; zero for the
 	// default.
 	Allowance int
 	Pools     []Pool
 	Ways      []Way
-	// Far, if set, is the distance between two cells as policy has it.
+	// Far, if set, is the distance between two zones as configuration has it.
 	Far func(a, b ids.Name) int
 }
 
@@ -50,39 +50,39 @@
 
 // Plans are the deployments that can be played.
 var Plans = map[string]Plan{
-	"small": {Name: "small", Regions: 3, Cells: 3, Proxies: 3, Rate: 40,
+	"small": {Name: "small", Regions: 3, Zones: 3, Proxies: 3, Rate: 40,
 		Pools: []Pool{{"catalog", 4, 16, 3}, {"ledger", 3, 16, 8}},
 		Ways:  []Way{{"stock", "/stock", "catalog", 3, true, 0.7}, {"orders", "/orders", "ledger", 8, false, 0.3}}},
-	"cooperative": {Name: "cooperative", Regions: 3, Cells: 6, Proxies: 8, Delay: 12, Rate: 150,
+	"cooperative": {Name: "cooperative", Regions: 3, Zones: 6, Proxies: 8, Delay: 12, Rate: 150,
 		Pools: []Pool{{"catalog", 20, 16, 3}, {"ledger", 12, 16, 8}},
 		Ways: []Way{{"stock", "/stock", "catalog", 3, true, 0.6}, {"browse", "/browse", "catalog", 1, true, 0.2},
 			{"orders", "/orders", "ledger", 8, false, 0.15}, {"credit", "/credit", "ledger", 9, false, 0.05}}},
-	"library": {Name: "library", Regions: 3, Cells: 6, Proxies: 11, Delay: 35, Rate: 480,
+	"library": {Name: "library", Regions: 3, Zones: 6, Proxies: 11, Delay: 35, Rate: 480,
 		Pools: []Pool{{"reader", 30, 16, 3}, {"loan", 12, 16, 8}},
 		Ways: []Way{{"pages", "/pages", "reader", 2, true, 0.85}, {"holds", "/holds", "loan", 7, false, 0.1},
 			{"loans", "/loans", "loan", 8, false, 0.05}}},
 }
 
-// Cell names the nth cell; cells take turns among the regions.
-func (p Plan) Cell(n int) ids.Name {
-	n %= p.Cells
+// Zone names the nth zone; zones take turns among the regions.
+func (p Plan) Zone(n int) ids.Name {
+	n %= p.Zones
 	return ids.Name(fmt.Sprintf("cell-%c%d", 'a'+n%p.Regions, n/p.Regions+1))
 }
 
-// Region names the region of a cell.
+// Region names the region of a zone.
 func (p Plan) Region(c ids.Name) string { return "region-" + string(c[len("cell-"):len("cell-")+1]) }
 
-// Change is the policy of the plan as one whole change.
+// Change is the configuration of the plan as one whole change.
 func (p Plan) Change() []byte {
 	var parts []any
 	put := func(kind string, name any, body map[string]any) {
 		parts = append(parts, map[string]any{"kind": kind, "name": name, "put": body})
 	}
-	for i := range p.Cells {
-		a := p.Cell(i)
+	for i := range p.Zones {
+		a := p.Zone(i)
 		far := map[ids.Name]int{}
-		for k := range p.Cells {
-			b := p.Cell(k)
+		for k := range p.Zones {
+			b := p.Zone(k)
 			if a != b {
 				far[b] = int(p.Distance(a, b))
 			}
@@ -103,7 +103,7 @@
 	return raw
 }
 
-// Distance is how far two cells are apart, as policy has it.
+// Distance is how far two zones are apart, as configuration has it.
 func (p Plan) Distance(a, b ids.Name) float64 {
 	switch {
 	case a == b:
@@ -116,9 +116,9 @@
 	return float64(max(p.Delay, 2) + (p.number(a)+p.number(b))%2)
 }
 
-func (p Plan) number(cell ids.Name) int {
-	for i := range p.Cells {
-		if p.Cell(i) == cell {
+func (p Plan) number(zone ids.Name) int {
+	for i := range p.Zones {
+		if p.Zone(i) == zone {
 			return i
 		}
 	}
@@ -138,7 +138,7 @@
 	return ids.InstanceID(fmt.Sprintf("%s-%d", p.Service, i+1))
 }
 
-// Comfort is each cell's comfortable level, in ms of CPU a second.
+// Comfort is each zone's comfortable level, in ms of CPU a second.
 func (p Plan) Comfort() float64 {
 	if p.Target > 0 {
 		return p.Target
--- a/internal/testsupport/blueprint/work.go
+++ b/internal/testsupport/blueprint/work.go
@@ -9,8 +9,8 @@
 
 // Work draws what stand-in operators send, each change as its own words.
 type Work struct {
-	Plan Plan
-	Dice *rand.Rand
+	Plan   Plan
+	Random *rand.Rand
 }
 
 const (
@@ -32,19 +32,19 @@
 	return whole(id, fmt.Sprintf(`{"kind":"route","name":"shelf-%[1]d","remove":true},{"kind":"service","name":"shelf-%[1]d","remove":true}`, pair))
 }
 
-// Level sets one field of a cell.
+// Level sets one field of a zone.
 func (w Work) Level(id string, n int) string {
-	return whole(id, fmt.Sprintf(`{"kind":"cell","name":%q,"set":{"maximum":%d}}`, w.Plan.Cell(n), int(w.Plan.Comfort()*1.1)+1+n%50))
+	return whole(id, fmt.Sprintf(`{"kind":"cell","name":%q,"set":{"maximum":%d}}`, w.Plan.Zone(n), int(w.Plan.Comfort()*1.1)+1+n%50))
 }
 
 // Flip moves a route to another service, gives it another limit, or removes
 // it. Targets see by which of its terms a request went.
 func (w Work) Flip(id string) string {
-	pool := w.Plan.Pools[w.Dice.IntN(len(w.Plan.Pools))]
-	if w.Dice.IntN(4) == 0 {
+	pool := w.Plan.Pools[w.Random.IntN(len(w.Plan.Pools))]
+	if w.Random.IntN(4) == 0 {
 		return whole(id, `{"kind":"route","name":"flip","remove":true}`)
 	}
-	return whole(id, fmt.Sprintf(`{"kind":"route","name":"flip","put":{"prefix":"/flip","service":%q,"repeatable":true,"limit_ms":%d}}`, pool.Service, []int{1500, 5000}[w.Dice.IntN(2)]))
+	return whole(id, fmt.Sprintf(`{"kind":"route","name":"flip","put":{"prefix":"/flip","service":%q,"repeatable":true,"limit_ms":%d}}`, pool.Service, []int{1500, 5000}[w.Random.IntN(2)]))
 }
 
 // Race changes a route by one version of it, as two operators do at once.
@@ -62,7 +62,7 @@
 	return whole(id, fmt.Sprintf(`{"kind":"service","name":"broken-%d","version":1,"put":{}}`, n))
 }
 
-// Emptied empties a cell or refills it.
-func (w Work) Emptied(id string, cell ids.Name, on bool) string {
-	return whole(id, fmt.Sprintf(`{"kind":"cell","name":%q,"set":{"emptied":%t}}`, cell, on))
+// Emptied empties a zone or refills it.
+func (w Work) Emptied(id string, zone ids.Name, on bool) string {
+	return whole(id, fmt.Sprintf(`{"kind":"cell","name":%q,"set":{"emptied":%t}}`, zone, on))
 }
--- a/internal/testsupport/checker/books.go
+++ b/internal/testsupport/checker/books.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Item names one thing of the policy, such as route/orders.
+// Item names one thing of the configuration, such as route/orders.
 type Item struct{ Kind, Name string }
 
 // String gives the item as kind/name.
@@ -28,7 +28,7 @@
 	Asked, Told time.Time
 	Revision    uint64
 	floor       uint64
-	declined    bool
+	rejected    bool
 }
 
 // Body is an item as it is read back.
@@ -37,8 +37,8 @@
 	Body    json.RawMessage `json:"body"`
 }
 
-// Policy is a whole policy as it is read back.
-type Policy struct {
+// Configuration is a whole configuration as it is read back.
+type Configuration struct {
 	Revision uint64
 	Items    map[Item]Body
 }
@@ -70,12 +70,12 @@
 	return c.ID
 }
 
-// Decline notes that a change was declined: no part of it may ever show.
-func (t *Truth) Decline(id string) {
+// Reject notes that a change was rejected: no part of it may ever show.
+func (t *Truth) Reject(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if c := t.books.by[id]; c != nil {
-		c.declined = true
+		c.rejected = true
 	}
 }
 
@@ -112,7 +112,7 @@
 	defer t.mu.Unlock()
 	n := 0
 	for _, c := range t.books.list {
-		if c.Revision == 0 && !c.declined {
+		if c.Revision == 0 && !c.rejected {
 			n++
 		}
 	}
@@ -132,9 +132,9 @@
 	return n
 }
 
-// Read judges a policy that was read: not older than was known when the read
+// Read judges a configuration that was read: not older than was known when the read
 // began, each change in it whole or not at all, and each item's body right.
-func (t *Truth) Read(who string, p Policy, floor uint64) {
+func (t *Truth) Read(who string, p Configuration, floor uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.books.reads++
@@ -167,7 +167,7 @@
 // touches an item up to a revision.
 func (b *Books) after(it Item, revision, upTo uint64) bool {
 	for _, c := range b.list {
-		if _, ok := c.Items[it]; ok && !c.declined && (c.Revision == 0 || c.Revision > revision && c.Revision <= upTo) {
+		if _, ok := c.Items[it]; ok && !c.rejected && (c.Revision == 0 || c.Revision > revision && c.Revision <= upTo) {
 			return true
 		}
 	}
@@ -183,7 +183,7 @@
 			continue
 		}
 		mine = true
-		if c.Revision == have.Version || c.Revision == 0 && !c.declined && want.shows(have.Body) {
+		if c.Revision == have.Version || c.Revision == 0 && !c.rejected && want.shows(have.Body) {
 			return
 		}
 	}
--- a/internal/testsupport/checker/checker.go
+++ b/internal/testsupport/checker/checker.go
@@ -1,4 +1,4 @@
-// Package witness judges what stand-in targets and consumers saw. Nothing in
+// Package witness judges what stand-in targets and clients saw. Nothing in
 // it comes from the daemons, so it can't share a mistake with them.
 package checker
 
@@ -19,11 +19,11 @@
 	Sent     time.Time
 	Instance ids.InstanceID
 	Service  ids.Name
-	Cell     ids.Name
+	Zone     ids.Name
 	Token    string
 	Mark     string
 	Attempt  int
-	// Untold: the consumer kept the number of its attempt to itself.
+	// Untold: the client kept the number of its attempt to itself.
 	Untold bool
 	// After is how long the core had known, when the target got it, that the
 	// target was leaving or gone.
@@ -36,7 +36,7 @@
 	By    ids.Name
 }
 
-// Got is one answer, or the lack of one, at a stand-in consumer.
+// Got is one answer, or the lack of one, at a stand-in client.
 type Got struct {
 	Sent, At time.Time
 	Token    string
@@ -46,11 +46,11 @@
 	Status   int
 	Body     string
 	Proxy    string
-	Cell     ids.Name
+	Zone     ids.Name
 	Problem  string
 	// Loose: no answer is owed, as when its route comes and goes.
 	Loose bool
-	// Held: it came down a connection that its consumer held, asking nobody.
+	// Held: it came down a connection that its client held, asking nobody.
 	Held bool
 }
 
@@ -68,7 +68,7 @@
 	closed  []Closed
 	// known counts targets that the core came to know as leaving or gone.
 	known int
-	// Allowed is the policy's small allowance of retries.
+	// Allowed is the configuration's small allowance of retries.
 	Allowed float64
 	// Calm: no fault of the run excuses a held connection that gets no answer.
 	Calm bool
--- a/internal/testsupport/checker/force.go
+++ b/internal/testsupport/checker/force.go
@@ -38,7 +38,7 @@
 	return r.Sent
 }
 
-// inForce finds runs that went by an older policy than one accepted over 3 s
+// inForce finds runs that went by an older configuration than one accepted over 3 s
 // before: by a route that was moved to another service, removed, or given
 // another limit. The targets saw them; whether their proxy was ready, cut
 // off or anything else makes no difference. What counts is when the bytes left
@@ -48,7 +48,7 @@
 	routes := map[string][]*Change{}
 	for _, ch := range t.books.list {
 		for it := range ch.Items {
-			if it.Kind == "route" && !ch.declined {
+			if it.Kind == "route" && !ch.rejected {
 				routes[it.Name] = append(routes[it.Name], ch)
 			}
 		}
--- a/internal/testsupport/checker/force_test.go
+++ b/internal/testsupport/checker/force_test.go
@@ -9,7 +9,7 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// A run goes by the policy that its proxy held when the bytes left: what then
+// A run goes by the configuration that its proxy held when the bytes left: what then
 // waits in a frozen target's socket is no fault of the proxy's.
 func TestInForceGoesByWhenTheBytesLeft(t *testing.T) {
 	at := func(s float64) time.Time { return time.Unix(0, int64(s*1e9)) }
--- a/internal/testsupport/checker/held.go
+++ b/internal/testsupport/checker/held.go
@@ -7,11 +7,11 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// Closed is a connection that a consumer held and that ended without its doing.
+// Closed is a connection that a client held and that ended without its doing.
 type Closed struct {
 	At    time.Time
 	Proxy string
-	Cell  ids.Name
+	Zone  ids.Name
 	Why   string
 	// Excused: its proxy was killed, stopped, frozen or cut off at that time.
 	Excused bool
@@ -24,11 +24,11 @@
 	t.closed = append(t.closed, c)
 }
 
-// emptiedAt tells whether a cell was, or had just been, emptied.
-func (t *Truth) emptiedAt(cell ids.Name, at time.Time) bool {
+// emptiedAt tells whether a zone was, or had just been, emptied.
+func (t *Truth) emptiedAt(zone ids.Name, at time.Time) bool {
 	for _, e := range t.emptied {
 		// Refilling takes its few seconds to be in force as well.
-		if e.Cell == cell && !at.Before(e.Asked) && (e.To.IsZero() || at.Before(e.Open.Add(forceWithin))) {
+		if e.Zone == zone && !at.Before(e.Asked) && (e.To.IsZero() || at.Before(e.Open.Add(forceWithin))) {
 			return true
 		}
 	}
@@ -36,12 +36,12 @@
 }
 
 // live counts held connections that a move touched: ended by the other side, or
-// turned away, with no fault and no emptying of their cell to excuse it.
+// turned away, with no fault and no emptying of their zone to excuse it.
 func (t *Truth) live() Count {
 	c := Count{What: "held circuit closed or turned away by a move"}
 	for _, x := range t.closed {
-		if !x.Excused && !t.emptiedAt(x.Cell, x.At) {
-			c.add(fmt.Sprintf("%s in %s closed one at %s: %s", x.Proxy, x.Cell, x.At.Format("15:04:05.000"), x.Why))
+		if !x.Excused && !t.emptiedAt(x.Zone, x.At) {
+			c.add(fmt.Sprintf("%s in %s closed one at %s: %s", x.Proxy, x.Zone, x.At.Format("15:04:05.000"), x.Why))
 		}
 	}
 	for _, g := range t.got {
@@ -49,8 +49,8 @@
 			continue
 		}
 		c.Judged++
-		if t.Calm && g.Class != "answered" && !t.emptiedAt(g.Cell, g.Sent) {
-			c.add(fmt.Sprintf("%s was %s by %s in %s", g.Token, g.Class, g.Proxy, g.Cell))
+		if t.Calm && g.Class != "answered" && !t.emptiedAt(g.Zone, g.Sent) {
+			c.add(fmt.Sprintf("%s was %s by %s in %s", g.Token, g.Class, g.Proxy, g.Zone))
 		}
 	}
 	return c
--- a/internal/testsupport/checker/moves.go
+++ b/internal/testsupport/checker/moves.go
@@ -11,7 +11,7 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// Order is what the order of moves is judged by: the policy as the operators
+// Order is what the order of moves is judged by: the configuration as the operators
 // set it, and how often the spill is planned.
 type Order struct {
 	Every      time.Duration
@@ -27,7 +27,7 @@
 }
 
 // moves is what was seen of the spill: the directory's answers, and the load
-// that the cells really had. Neither is the planner's own word.
+// that the zones really had. Neither is the planner's own word.
 type moves struct {
 	Order
 	asked []Asked
@@ -53,8 +53,8 @@
 	}
 }
 
-// Occupancy notes what a cell used over a window, and whether it was open to work.
-func (t *Truth) Occupancy(at time.Time, cell ids.Name, used float64, open bool) {
+// Occupancy notes what a zone used over a window, and whether it was open to work.
+func (t *Truth) Occupancy(at time.Time, zone ids.Name, used float64, open bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	m := &t.moves
@@ -65,19 +65,19 @@
 	if m.used[k] == nil {
 		m.used[k], m.shut[k] = map[ids.Name]float64{}, map[ids.Name]bool{}
 	}
-	m.used[k][cell] = max(m.used[k][cell], used)
-	m.shut[k][cell] = m.shut[k][cell] || !open
+	m.used[k][zone] = max(m.used[k][zone], used)
+	m.shut[k][zone] = m.shut[k][zone] || !open
 }
 
 func (m *moves) window(at time.Time) int { return int(at.UnixNano() / int64(m.Every)) }
 
-// flow is a route's fresh asks of one cell in one window.
+// flow is a route's fresh asks of one zone in one window.
 type flow struct{ home, route ids.Name }
 
 // fewestAsked is how many asks of a window carry a share.
 const fewestAsked = 25
 
-// shares gives, by window and flow, the share that went to each cell.
+// shares gives, by window and flow, the share that went to each zone.
 func (m *moves) shares() map[int]map[flow]map[ids.Name]float64 {
 	m.count = map[int]map[flow]int{}
 	count := map[int]map[flow]map[ids.Name]int{}
@@ -104,8 +104,8 @@
 			}
 			m.count[k][f] = n
 			out[k][f] = map[ids.Name]float64{}
-			for cell, c := range to {
-				out[k][f][cell] = float64(c) / float64(n)
+			for zone, c := range to {
+				out[k][f][zone] = float64(c) / float64(n)
 			}
 		}
 	}
@@ -125,7 +125,7 @@
 	})
 }
 
-// tiers finds cells that sent an urgent route away while a lesser one stayed.
+// tiers finds zones that sent an urgent route away while a lesser one stayed.
 // Two windows in a row, as a plan may fall into the midst of one.
 func (t *Truth) tiers() Count {
 	c := Count{What: "urgent route moved while a lesser one stayed"}
@@ -152,7 +152,7 @@
 	return c
 }
 
-// grew gives how much more of a flow went to a cell than a window before;
+// grew gives how much more of a flow went to a zone than a window before;
 // nothing, if the draw alone explains it.
 func (m *moves) grew(shares map[int]map[flow]map[ids.Name]float64, k int, f flow, to ids.Name) float64 {
 	a, b := shares[k-1][f], shares[k][f]
@@ -180,7 +180,7 @@
 	}
 }
 
-// nearest finds moves that began to a cell while a nearer one had room, before
+// nearest finds moves that began to a zone while a nearer one had room, before
 // and after, and took nothing.
 func (t *Truth) nearest() Count {
 	c := Count{What: "move to a far cell while a nearer one had room"}
@@ -197,28 +197,28 @@
 	return c
 }
 
-// roomy tells whether a cell stood open with much room and nothing of its own
+// roomy tells whether a zone stood open with much room and nothing of its own
 // away, from before a window until after it.
-func (m *moves) roomy(shares map[int]map[flow]map[ids.Name]float64, k int, cell ids.Name) bool {
+func (m *moves) roomy(shares map[int]map[flow]map[ids.Name]float64, k int, zone ids.Name) bool {
 	for w := k - 2; w <= k+1; w++ {
-		if m.shut[w] == nil || m.shut[w][cell] || m.used[w][cell] > 0.6*m.Acceptable[cell] || m.spills(shares, w, cell) {
+		if m.shut[w] == nil || m.shut[w][zone] || m.used[w][zone] > 0.6*m.Acceptable[zone] || m.spills(shares, w, zone) {
 			return false
 		}
 	}
 	return true
 }
 
-// spills tells whether a cell sends anything much of its own away.
-func (m *moves) spills(shares map[int]map[flow]map[ids.Name]float64, k int, cell ids.Name) bool {
+// spills tells whether a zone sends anything much of its own away.
+func (m *moves) spills(shares map[int]map[flow]map[ids.Name]float64, k int, zone ids.Name) bool {
 	for f, to := range shares[k] {
-		if f.home == cell && away(to, cell) > 0.1 {
+		if f.home == zone && away(to, zone) > 0.1 {
 			return true
 		}
 	}
 	return false
 }
 
-// homeFirst finds cells that took in more of others' traffic while their own
+// homeFirst finds zones that took in more of others' traffic while their own
 // was still away.
 func (t *Truth) homeFirst() Count {
 	c := Count{What: "took others' traffic before calling its own home"}
--- a/internal/testsupport/checker/read.go
+++ b/internal/testsupport/checker/read.go
@@ -2,19 +2,19 @@
 
 import "encoding/json"
 
-// ReadPolicy reads what the page of the policy says.
-func ReadPolicy(raw []byte) (Policy, error) {
+// ReadConfiguration reads what the page of the configuration says.
+func ReadConfiguration(raw []byte) (Configuration, error) {
 	var in struct {
 		Revision uint64          `json:"revision"`
 		Services map[string]Body `json:"services"`
 		Routes   map[string]Body `json:"routes"`
-		Cells    map[string]Body `json:"cells"`
+		Zones    map[string]Body `json:"cells"`
 	}
 	if err := json.Unmarshal(raw, &in); err != nil {
-		return Policy{}, err
+		return Configuration{}, err
 	}
-	p := Policy{Revision: in.Revision, Items: map[Item]Body{}}
-	for kind, list := range map[string]map[string]Body{"service": in.Services, "route": in.Routes, "cell": in.Cells} {
+	p := Configuration{Revision: in.Revision, Items: map[Item]Body{}}
+	for kind, list := range map[string]map[string]Body{"service": in.Services, "route": in.Routes, "cell": in.Zones} {
 		for n, b := range list {
 			p.Items[Item{kind, n}] = b
 		}
--- a/internal/testsupport/checker/restored.go
+++ b/internal/testsupport/checker/restored.go
@@ -32,7 +32,7 @@
 		}
 	}
 	for _, ch := range t.books.list {
-		if t.healed.IsZero() || ch.declined || ch.Asked.Sub(t.healed) <= restoreWithin {
+		if t.healed.IsZero() || ch.rejected || ch.Asked.Sub(t.healed) <= restoreWithin {
 			continue
 		}
 		c.Judged++
@@ -57,7 +57,7 @@
 	return last
 }
 
-// InTime gives the share of requests whose consumer had an answer within a
+// InTime gives the share of requests whose client had an answer within a
 // span of its first attempt, and how many there were.
 func (t *Truth) InTime(within time.Duration) (float64, int) {
 	t.mu.Lock()
--- a/internal/testsupport/compat/answers_test.go
+++ b/internal/testsupport/compat/answers_test.go
@@ -19,7 +19,7 @@
 )
 
 // answering gives a server of calls that a stand-in for the registry answers from
-// a policy, and the policy.
+// a configuration, and the configuration.
 func answering(t *testing.T) *api.Server {
 	t.Helper()
 	values, _ := writeSample(t, memoryDisk{})
@@ -39,13 +39,13 @@
 		case registry.StatusCall:
 			answer(c.ID, status)
 		case registry.ResolveCall:
-			answer(c.ID, registry.Resolution{Cell: c.Cell, Proxies: []ids.Address{"10.0.0.1:1"}, Lifetime: 1500, Moved: true})
+			answer(c.ID, registry.Resolution{Zone: c.Zone, Proxies: []ids.Address{"10.0.0.1:1"}, Lifetime: 1500, Moved: true})
 		case registry.HeartbeatCall:
 			answer(c.ID, map[string]any{"known": true, "keeper": ids.Address("10.0.0.7:1"), "heard": c.Target})
 		case registry.DeregisterCall:
 			answer(c.ID, map[string]any{"known": true, "gone": c.Instance})
-		case registry.CellOrderCall:
-			answer(c.ID, configuration.CellOrder{Cell: c.Cell, Region: c.Region, Evacuate: c.Evacuate})
+		case registry.ZoneOrderCall:
+			answer(c.ID, configuration.ZoneOrder{Zone: c.Zone, Region: c.Region, Evacuate: c.Evacuate})
 		case registry.ChangeCall:
 			answer(c.ID, string(c.Raw))
 		case registry.MergeCall:
--- a/internal/testsupport/compat/messages_test.go
+++ b/internal/testsupport/compat/messages_test.go
@@ -87,12 +87,12 @@
 		Store: consensus.Voter{ID: 4294967297, Address: "text-2"}, Blank: true, VoterSet: 4294967300, Response: true, Copied: false,
 	},
 	consensus.Bootstrap{
-		VoterSet: consensus.VoterSet{Number: 4294967297, Voters: []consensus.Voter{{ID: 4294967298, Address: "text-3"}, {ID: 4294967300, Address: "text-5"}}, Incoming: []consensus.Voter{{ID: 4294967302, Address: "text-7"}, {ID: 4294967304, Address: "text-9"}}, Loss: 4294967306, Learners: []uint64{4294967307, 4294967308}, Previous: []consensus.Voter{{ID: 4294967309, Address: "text-14"}, {ID: 4294967311, Address: "text-16"}}},
-		Policy:   []uint8{17, 18}, Round: 4294967315,
+		VoterSet:      consensus.VoterSet{Number: 4294967297, Voters: []consensus.Voter{{ID: 4294967298, Address: "text-3"}, {ID: 4294967300, Address: "text-5"}}, Incoming: []consensus.Voter{{ID: 4294967302, Address: "text-7"}, {ID: 4294967304, Address: "text-9"}}, Loss: 4294967306, Learners: []uint64{4294967307, 4294967308}, Previous: []consensus.Voter{{ID: 4294967309, Address: "text-14"}, {ID: 4294967311, Address: "text-16"}}},
+		Configuration: []uint8{17, 18}, Round: 4294967315,
 	},
-	consensus.PolicyQuery{},
-	consensus.PolicyReply{
-		Revision: 4294967297, Policy: []uint8{2, 3},
+	consensus.ConfigurationQuery{},
+	consensus.ConfigurationReply{
+		Revision: 4294967297, Configuration: []uint8{2, 3},
 	},
 	consensus.Chosen{
 		Key: "text-1", Value: []uint8{2, 3},
@@ -111,7 +111,7 @@
 	consensus.FoundingResponse{
 		Round:    4294967297,
 		VoterSet: consensus.VoterSet{Number: 4294967298, Voters: []consensus.Voter{{ID: 4294967299, Address: "text-4"}, {ID: 4294967301, Address: "text-6"}}, Incoming: []consensus.Voter{{ID: 4294967303, Address: "text-8"}, {ID: 4294967305, Address: "text-10"}}, Loss: 4294967307, Learners: []uint64{4294967308, 4294967309}, Previous: []consensus.Voter{{ID: 4294967310, Address: "text-15"}, {ID: 4294967312, Address: "text-17"}}},
-		Store:    4294967314, Declined: "text-19", Promised: 4294967316,
+		Store:    4294967314, Rejected: "text-19", Promised: 4294967316,
 	},
 	consensus.RegisterState{
 		Promised: ids.Ballot{Counter: 4294967297, Proposer: 4294967298}, Accepted: ids.Ballot{Counter: 4294967299, Proposer: 4294967300},
@@ -160,14 +160,14 @@
 		Record:  idempotency.Record{State: 2, Owner: idempotency.Owner{Daemon: "text-3", RunID: 4294967300, Request: 4294967301}, Attempt: 65542, Fingerprint: []uint8{7, 8}, Floor: 65545, Let: []idempotency.Owner{{Daemon: "text-10", RunID: 4294967307, Request: 4294967308}, {Daemon: "text-13", RunID: 4294967310, Request: 4294967311}}, Response: idempotency.Response{Status: 272, Header: []idempotency.Header{{Name: "text-17", Value: "text-18"}, {Name: "text-19", Value: "text-20"}}, Body: []uint8{21, 22}, Digest: "text-23", Cut: false}, Entered: 65561},
 	},
 	targets.Update{
-		List: []targets.Target{{Instance: "text-1", Incarnation: 4294967298, Sequence: 4294967299, Service: "text-4", Address: "text-5", Cell: "text-6", Leaving: true, Gone: false, Warmth: 9.5, Occupancy: 4294967306, Capacity: 4294967307, Interval: 65548, Age: 4294967309, Cold: 4294967310, Registrar: "text-15", RegistrarRunID: 4294967312, Material: 4294967313}, {Instance: "text-18", Incarnation: 4294967315, Sequence: 4294967316, Service: "text-21", Address: "text-22", Cell: "text-23", Leaving: false, Gone: true, Warmth: 26.5, Occupancy: 4294967323, Capacity: 4294967324, Interval: 65565, Age: 4294967326, Cold: 4294967327, Registrar: "text-32", RegistrarRunID: 4294967329, Material: 4294967330}},
+		List: []targets.Target{{Instance: "text-1", Incarnation: 4294967298, Sequence: 4294967299, Service: "text-4", Address: "text-5", Zone: "text-6", Leaving: true, Gone: false, Warmth: 9.5, Occupancy: 4294967306, Capacity: 4294967307, Interval: 65548, Age: 4294967309, Cold: 4294967310, Registrar: "text-15", RegistrarRunID: 4294967312, Material: 4294967313}, {Instance: "text-18", Incarnation: 4294967315, Sequence: 4294967316, Service: "text-21", Address: "text-22", Zone: "text-23", Leaving: false, Gone: true, Warmth: 26.5, Occupancy: 4294967323, Capacity: 4294967324, Interval: 65565, Age: 4294967326, Cold: 4294967327, Registrar: "text-32", RegistrarRunID: 4294967329, Material: 4294967330}},
 	},
 	registry.PeerHeartbeat{
 		ID: "text-1", RunID: 4294967298, AgreementAge: 65539, TargetsDigest: 4294967300, Number: 4294967301,
 	},
 	registry.DepartureNotice{
 		Asker:  "text-1",
-		Target: targets.Target{Instance: "text-2", Incarnation: 4294967299, Sequence: 4294967300, Service: "text-5", Address: "text-6", Cell: "text-7", Leaving: false, Gone: true, Warmth: 10.5, Occupancy: 4294967307, Capacity: 4294967308, Interval: 65549, Age: 4294967310, Cold: 4294967311, Registrar: "text-16", RegistrarRunID: 4294967313, Material: 4294967314},
+		Target: targets.Target{Instance: "text-2", Incarnation: 4294967299, Sequence: 4294967300, Service: "text-5", Address: "text-6", Zone: "text-7", Leaving: false, Gone: true, Warmth: 10.5, Occupancy: 4294967307, Capacity: 4294967308, Interval: 65549, Age: 4294967310, Cold: 4294967311, Registrar: "text-16", RegistrarRunID: 4294967313, Material: 4294967314},
 	},
 	registry.DepartureAck{
 		ID: "text-1", Instance: "text-2", Sequence: 4294967299, Incarnation: 4294967300,
@@ -176,8 +176,8 @@
 		Parts: []uint64{4294967297, 4294967298},
 	},
 	distribution.Push{
-		Number: 4294967297, Epoch: 4294967298, RunID: 4294967299, Revision: 4294967300, Policy: []uint8{5, 6},
-		Targets: []targets.Target{{Instance: "text-7", Incarnation: 4294967304, Sequence: 4294967305, Service: "text-10", Address: "text-11", Cell: "text-12", Leaving: true, Gone: false, Warmth: 15.5, Occupancy: 4294967312, Capacity: 4294967313, Interval: 65554, Age: 4294967315, Cold: 4294967316, Registrar: "text-21", RegistrarRunID: 4294967318, Material: 4294967319}, {Instance: "text-24", Incarnation: 4294967321, Sequence: 4294967322, Service: "text-27", Address: "text-28", Cell: "text-29", Leaving: false, Gone: true, Warmth: 32.5, Occupancy: 4294967329, Capacity: 4294967330, Interval: 65571, Age: 4294967332, Cold: 4294967333, Registrar: "text-38", RegistrarRunID: 4294967335, Material: 4294967336}},
+		Number: 4294967297, Epoch: 4294967298, RunID: 4294967299, Revision: 4294967300, Configuration: []uint8{5, 6},
+		Targets: []targets.Target{{Instance: "text-7", Incarnation: 4294967304, Sequence: 4294967305, Service: "text-10", Address: "text-11", Zone: "text-12", Leaving: true, Gone: false, Warmth: 15.5, Occupancy: 4294967312, Capacity: 4294967313, Interval: 65554, Age: 4294967315, Cold: 4294967316, Registrar: "text-21", RegistrarRunID: 4294967318, Material: 4294967319}, {Instance: "text-24", Incarnation: 4294967321, Sequence: 4294967322, Service: "text-27", Address: "text-28", Zone: "text-29", Leaving: false, Gone: true, Warmth: 32.5, Occupancy: 4294967329, Capacity: 4294967330, Interval: 65571, Age: 4294967332, Cold: 4294967333, Registrar: "text-38", RegistrarRunID: 4294967335, Material: 4294967336}},
 		Age:     65577, EchoedTime: 4294967338, ProxyRunID: 4294967339,
 	},
 	distribution.Ack{
@@ -187,17 +187,17 @@
 		Proxy: "text-1", RunID: 4294967298, Revision: 4294967299, Now: 4294967300,
 	},
 	proxy.LeaseGossip{
-		ProxyRunID: 4294967297, EchoedTime: 4294967298, Revision: 4294967299, Policy: []uint8{4, 5},
-		Targets: []targets.Target{{Instance: "text-6", Incarnation: 4294967303, Sequence: 4294967304, Service: "text-9", Address: "text-10", Cell: "text-11", Leaving: false, Gone: true, Warmth: 14.5, Occupancy: 4294967311, Capacity: 4294967312, Interval: 65553, Age: 4294967314, Cold: 4294967315, Registrar: "text-20", RegistrarRunID: 4294967317, Material: 4294967318}, {Instance: "text-23", Incarnation: 4294967320, Sequence: 4294967321, Service: "text-26", Address: "text-27", Cell: "text-28", Leaving: true, Gone: false, Warmth: 31.5, Occupancy: 4294967328, Capacity: 4294967329, Interval: 65570, Age: 4294967331, Cold: 4294967332, Registrar: "text-37", RegistrarRunID: 4294967334, Material: 4294967335}},
+		ProxyRunID: 4294967297, EchoedTime: 4294967298, Revision: 4294967299, Configuration: []uint8{4, 5},
+		Targets: []targets.Target{{Instance: "text-6", Incarnation: 4294967303, Sequence: 4294967304, Service: "text-9", Address: "text-10", Zone: "text-11", Leaving: false, Gone: true, Warmth: 14.5, Occupancy: 4294967311, Capacity: 4294967312, Interval: 65553, Age: 4294967314, Cold: 4294967315, Registrar: "text-20", RegistrarRunID: 4294967317, Material: 4294967318}, {Instance: "text-23", Incarnation: 4294967320, Sequence: 4294967321, Service: "text-26", Address: "text-27", Zone: "text-28", Leaving: true, Gone: false, Warmth: 31.5, Occupancy: 4294967328, Capacity: 4294967329, Interval: 65570, Age: 4294967331, Cold: 4294967332, Registrar: "text-37", RegistrarRunID: 4294967334, Material: 4294967335}},
 		Agreed:  65576, Word: 65577,
 	},
 	spill.Table{
 		Epoch: 4294967297, Number: 4294967298,
 		Moves: []spill.Move{{From: "text-3", To: "text-4", Route: "text-5", Fraction: 6.5, Amount: 7.5, Why: "text-8"}, {From: "text-9", To: "text-10", Route: "text-11", Fraction: 12.5, Amount: 13.5, Why: "text-14"}},
-		Uses:  []spill.Use{{Cell: "text-15", Route: "text-16", CPU: 17.5}, {Cell: "text-18", Route: "text-19", CPU: 20.5}},
+		Uses:  []spill.Use{{Zone: "text-15", Route: "text-16", CPU: 17.5}, {Zone: "text-18", Route: "text-19", CPU: 20.5}},
 	},
 	spill.Report{
-		Proxy: "text-1", RunID: 4294967298, Cell: "text-3", Number: 4294967300, Interval: 65541,
+		Proxy: "text-1", RunID: 4294967298, Zone: "text-3", Number: 4294967300, Interval: 65541,
 		Rows:    []spill.Spent{{Route: "text-6", Service: "text-7", CPU: 8.5}, {Route: "text-9", Service: "text-10", CPU: 11.5}},
 		Latency: 4294967308, Count: 4294967309,
 	},
--- a/internal/testsupport/compat/policy_test.go
+++ b/internal/testsupport/compat/policy_test.go
@@ -9,9 +9,9 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// The policy goes to proxies whole without its history, or as what changed since
-// a revision; both lead to the same policy.
-func TestPolicyForProxies(t *testing.T) {
+// The configuration goes to proxies whole without its history, or as what changed since
+// a revision; both lead to the same configuration.
+func TestConfigurationForProxies(t *testing.T) {
 	is := is.New(t)
 	values, _ := writeSample(t, memoryDisk{})
 	whole, err := configuration.Decode(values[configuration.Key])
--- a/internal/testsupport/compat/records_test.go
+++ b/internal/testsupport/compat/records_test.go
@@ -80,7 +80,7 @@
 }
 
 // What a store keeps on disk has the keys and the bytes that it had: the voter
-// set, its standing, duties, idempotency keys, and the policy as a base with
+// set, its standing, duties, idempotency keys, and the configuration as a base with
 // differences behind it, each with its checksum.
 func TestRecordsOnDisk(t *testing.T) {
 	is := is.New(t)
--- a/internal/testsupport/compat/sample_test.go
+++ b/internal/testsupport/compat/sample_test.go
@@ -30,8 +30,8 @@
 	return `{"id":"many","changes":[` + strings.Join(parts, ",") + `]}`
 }
 
-// sampleChanges are orders on the policy: changes that are accepted and declined,
-// one with a base in its id, items with versions of their own and orders for cells.
+// sampleChanges are orders on the configuration: changes that are accepted and rejected,
+// one with a base in its id, items with versions of their own and orders for zones.
 func sampleChanges() []order {
 	change := func(text string) order { return order{configuration.Key, configuration.OpChange, []byte(text)} }
 	merge := func(text string) order { return order{configuration.Key, configuration.OpMerge, []byte(text)} }
@@ -43,7 +43,7 @@
 		change(`{"id":"removal","changes":[{"kind":"service","name":"many-7","remove":true}]}`),
 		merge(`{"items":[{"kind":"service","name":"given","version":70,"body":{"tier":3},"source":{"name":"given","note":"<&>"}},{"kind":"service","name":"gone","version":9,"removed":true}]}`),
 		merge(`{"items":[{"kind":"service","name":"given","version":71,"body":{"tier":4},"source":{"name":"given"}}]}`),
-		{configuration.Key, configuration.OpOrderCell, []byte(`{"cell":"north","region":"isle","shut":true,"known":1}`)},
+		{configuration.Key, configuration.OpOrderZone, []byte(`{"cell":"north","region":"isle","shut":true,"known":1}`)},
 		change(`{"id":"limits","changes":[{"kind":"limits","name":"limits","put":{"max_body":100000}}]}`),
 	}
 }
--- a/internal/testsupport/compat/settings_test.go
+++ b/internal/testsupport/compat/settings_test.go
@@ -84,7 +84,7 @@
 }
 
 // Each flag of a daemon comes through to its options, given on the command line
-// or in a file of params, in which its name may have underscores.
+// or in a file of options, in which its name may have underscores.
 func TestSettingsOfADaemonComeThrough(t *testing.T) {
 	got := map[string]string{}
 	for name, blank := range programs() {
@@ -105,8 +105,8 @@
 			file := filepath.Join(t.TempDir(), "params.json")
 			is.NoErr(os.WriteFile(file, []byte("{"+strings.Join(lines, ",")+"}"), 0o600))
 			readWith(name, byFile, []string{"--params", file})
-			flags, params := values(byFlags), values(byFile)
-			is.Equal(flags, params)
+			flags, options := values(byFlags), values(byFile)
+			is.Equal(flags, options)
 			got[name] = strings.Join(flags, " ")
 		})
 	}
--- a/internal/testsupport/scaletest/fleet.go
+++ b/internal/testsupport/scaletest/fleet.go
@@ -14,8 +14,8 @@
 	"dunlinwell/internal/base/errs"
 )
 
-// Params are the options of a run over several sizes.
-type Params struct {
+// Options are the options of a run over several sizes.
+type Options struct {
 	Sizes []Size
 	// Bin holds the built registry and store; Crew is the program that runs
 	// hollow proxies as its command "crew".
@@ -48,7 +48,7 @@
 
 // fleet is the processes of one size.
 type fleet struct {
-	Params
+	Options
 	Size
 	mu    sync.Mutex
 	procs []*proc
@@ -59,8 +59,8 @@
 }
 
 // lay names every process of a size.
-func lay(p Params, s Size) *fleet {
-	f := &fleet{Params: p, Size: s}
+func lay(p Options, s Size) *fleet {
+	f := &fleet{Options: p, Size: s}
 	var seeds []string
 	for n := range 3 {
 		seeds = append(seeds, coreAt(p.Block, 1, n, wirePort))
@@ -69,7 +69,7 @@
 		for n := range s.Core {
 			x := &proc{role: role, name: fmt.Sprintf("%s-%d", role, n+1), daemons: 1, http: coreAt(p.Block, i+1, n, pagesPort), program: filepath.Join(p.Bin, role)}
 			x.args = []string{"--name", x.name, "--address", coreAt(p.Block, i+1, n, wirePort), "--http", x.http,
-				"--cell", string(s.Cell(n)), "--seeds", strings.Join(seeds, ",")}
+				"--cell", string(s.Zone(n)), "--seeds", strings.Join(seeds, ",")}
 			if role == "store" {
 				x.args = append(x.args, "--bootstrap", "--data", filepath.Join(p.Dir, x.name))
 			}
@@ -82,7 +82,7 @@
 	for first, n := 0, 0; first < s.Proxies; first, n = first+p.PerCrew, n+1 {
 		x := &proc{role: "proxy", name: fmt.Sprintf("crew-%d", n+1), daemons: min(p.PerCrew, s.Proxies-first),
 			http: coreAt(p.Block, 3, n, pagesPort), program: p.Crew}
-		x.args = []string{"crew", "--first", fmt.Sprint(first), "--count", fmt.Sprint(x.daemons), "--cells", fmt.Sprint(s.Cells),
+		x.args = []string{"crew", "--first", fmt.Sprint(first), "--count", fmt.Sprint(x.daemons), "--cells", fmt.Sprint(s.Zones),
 			"--rows", fmt.Sprint(min(p.Rows, s.Routes)), "--block", fmt.Sprint(p.Block), "--seeds", strings.Join(seeds, ","), "--http", x.http}
 		if p.Thrifty {
 			x.args = append(x.args, "--thrifty")
--- a/internal/testsupport/scaletest/need.go
+++ b/internal/testsupport/scaletest/need.go
@@ -35,14 +35,14 @@
 	program = 24 * mib
 	// buffer is what each end of a connection takes.
 	buffer = 64 << 10
-	// mostCircuits is how many ends a proxy was seen to hold at most, while
+	// mostConnections is how many ends a proxy was seen to hold at most, while
 	// all tell all of a change in the roll; at rest it is a third of that.
-	mostCircuits = 160
-	// Held by each daemon for each member, target and byte of policy: the roll
+	mostConnections = 160
+	// Held by each daemon for each member, target and byte of configuration: the roll
 	// and its copies, the target table or the stock made of it, the register and its view.
-	perMember = 2 << 10
-	perTarget = 2 << 10
-	perPolicy = 8
+	perMember        = 2 << 10
+	perTarget        = 2 << 10
+	perConfiguration = 8
 	// A registry keeps for each proxy what it was told of each target.
 	perTold = 160
 	// garbage is how far a heap may outgrow what it holds.
@@ -51,21 +51,21 @@
 
 // NeedOf works out what a fleet takes, with some proxies in a process.
 func NeedOf(s Size, crew int) Need {
-	policy := uint64(s.PolicyBytes())
+	configuration := uint64(s.ConfigurationBytes())
 	members, targets, proxies, core := uint64(s.Proxies+2*s.Core), uint64(s.Targets), uint64(s.Proxies), uint64(s.Core)
-	ends := min(2*members, mostCircuits)
-	each := members*perMember + targets*perTarget + policy*perPolicy
+	ends := min(2*members, mostConnections)
+	each := members*perMember + targets*perTarget + configuration*perConfiguration
 	crews := (s.Proxies + crew - 1) / crew
 	n := Need{Processes: crews + 2*s.Core}
 	n.Crews = uint64(crews)*program + proxies*(garbage*each+ends*buffer)
 	n.Registries = core * (program + garbage*(each+proxies*targets*perTold) + 2*members*buffer)
 	// Each write of the register leaves its old and new form, and frames of both.
-	n.Stores = core * (program + garbage*(each+4*policy) + 2*members*buffer)
+	n.Stores = core * (program + garbage*(each+4*configuration) + 2*members*buffer)
 	n.Files = max(uint64(min(crew, s.Proxies))*(ends+1), 4*members) + 256
 	return n
 }
 
-// Fits declines a fleet that the machine has no room for, with the bytes that
+// Fits rejects a fleet that the machine has no room for, with the bytes that
 // it would need.
 func (n Need) Fits(s Size, l Limits) error {
 	switch {
--- a/internal/testsupport/scaletest/phases.go
+++ b/internal/testsupport/scaletest/phases.go
@@ -8,8 +8,8 @@
 // settle is how long a fleet that has come together is left alone.
 const settle = 3 * time.Second
 
-// policies puts the whole policy in, change by change.
-func (x *play) policies(ph *Phase) {
+// configurations puts the whole configuration in, change by change.
+func (x *play) configurations(ph *Phase) {
 	list := x.Size.Whole()
 	slowest, from := time.Duration(0), time.Now()
 	for i, raw := range list {
@@ -20,23 +20,23 @@
 		rev, err := x.post(raw)
 		took := time.Since(from)
 		if err != nil {
-			ph.Note = fmt.Sprintf("change %d of %d (%d items and %d bytes in) declined after %.1f s: %v", i+1, len(list), x.run.Items, x.run.Policy, took.Seconds(), err)
+			ph.Note = fmt.Sprintf("change %d of %d (%d items and %d bytes in) declined after %.1f s: %v", i+1, len(list), x.run.Items, x.run.Configuration, took.Seconds(), err)
 			return
 		}
 		if took > x.Within {
-			ph.Note = fmt.Sprintf("change %d of %d took %.1f s, %d items and %d bytes in", i+1, len(list), took.Seconds(), x.run.Items, x.run.Policy)
+			ph.Note = fmt.Sprintf("change %d of %d took %.1f s, %d items and %d bytes in", i+1, len(list), took.Seconds(), x.run.Items, x.run.Configuration)
 			return
 		}
 		x.revision, slowest = rev, max(slowest, took)
-		x.run.Policy += len(raw)
-		x.run.Items += min(perChange, x.Cells+x.Services+x.Routes+x.Tenants-x.run.Items)
+		x.run.Configuration += len(raw)
+		x.run.Items += min(perChange, x.Zones+x.Services+x.Routes+x.Tenants-x.run.Items)
 		if i%10 == 9 {
 			x.Show(fmt.Sprintf("  policy: %d of %d changes, the last took %.2f s", i+1, len(list), took.Seconds()))
 		}
 	}
 	lags, ok := x.inForce(x.revision, from)
 	ph.Lag, ph.Done = lagOf(lags), ok
-	ph.Note = fmt.Sprintf("%d items, %d bytes, slowest change %.2f s, %d proxies have the last", x.run.Items, x.run.Policy, slowest.Seconds(), len(lags))
+	ph.Note = fmt.Sprintf("%d items, %d bytes, slowest change %.2f s, %d proxies have the last", x.run.Items, x.run.Configuration, slowest.Seconds(), len(lags))
 }
 
 // arrive lets targets announce themselves, and waits until all proxies serve.
--- a/internal/testsupport/scaletest/policy.go
+++ b/internal/testsupport/scaletest/policy.go
@@ -10,7 +10,7 @@
 
 type part map[string]any
 
-// Whole is the policy of a size, as changes in the order to be made.
+// Whole is the configuration of a size, as changes in the order to be made.
 func (s Size) Whole() [][]byte {
 	var out [][]byte
 	var parts []part
@@ -25,8 +25,8 @@
 			flush()
 		}
 	}
-	for n := range s.Cells {
-		put(part{"kind": "cell", "name": s.Cell(n), "put": part{"region": s.Region(n), "target": 8500}})
+	for n := range s.Zones {
+		put(part{"kind": "cell", "name": s.Zone(n), "put": part{"region": s.Region(n), "target": 8500}})
 	}
 	for n := range s.Services {
 		put(part{"kind": "service", "name": s.Service(n), "put": part{"tier": n % 10, "capacity": 16, "warm_ms": 3000, "allowance": 10}})
@@ -46,7 +46,7 @@
 		"service": s.Service(n), "tier": n % 10, "repeatable": n%4 != 0, "limit_ms": 5000}}
 }
 
-// tenant is the only form that policy has today for what is a tenant's own.
+// tenant is the only form that configuration has today for what is a tenant's own.
 func (s Size) tenant(n int) part {
 	return part{"kind": "route", "name": fmt.Sprintf("tenant-%d", n+1), "put": part{"host": fmt.Sprintf("t%06d.example", n+1),
 		"prefix": "/", "service": s.Service(n), "tier": n % 10, "repeatable": true, "limit_ms": 5000}}
@@ -59,12 +59,12 @@
 	return raw
 }
 
-// PolicyBytes is about how long the register is once all is in it: each item's
+// ConfigurationBytes is about how long the register is once all is in it: each item's
 // body, and its key and version around it.
-func (s Size) PolicyBytes() int {
+func (s Size) ConfigurationBytes() int {
 	around := func(p part) int {
 		body, _ := json.Marshal(p["put"])
 		return len(body) + len(fmt.Sprint(p["name"])) + len(`"":{"version":1000,"body":},`)
 	}
-	return s.Routes*around(s.route(s.Routes)) + s.Tenants*around(s.tenant(s.Tenants)) + 100*(s.Cells+s.Services)
+	return s.Routes*around(s.route(s.Routes)) + s.Tenants*around(s.tenant(s.Tenants)) + 100*(s.Zones+s.Services)
 }
--- a/internal/testsupport/scaletest/proxygroup.go
+++ b/internal/testsupport/scaletest/proxygroup.go
@@ -21,11 +21,11 @@
 	"dunlinwell/internal/transport/process"
 )
 
-// CrewParams are what a process of hollow proxies is told.
+// CrewOptions are what a process of hollow proxies is told.
 type ProxyGroupOptions struct {
 	First   int      `help:"Number of the first proxy." required:"" name:"first"`
 	Count   int      `help:"How many proxies." required:"" name:"count"`
-	Cells   int      `help:"Cells of the fleet." required:"" name:"cells"`
+	Zones   int      `help:"Cells of the fleet." required:"" name:"cells"`
 	Rows    int      `help:"Routes in each report of CPU time." required:"" name:"rows"`
 	Block   int      `help:"Second number of the loopback addresses." required:"" name:"block"`
 	Seeds   []string `help:"Addresses of three stores." required:"" name:"seeds"`
@@ -48,7 +48,7 @@
 type standing struct {
 	ready, inStep bool
 	revision      ids.Revision
-	// adopted and stood are when the policy and the footing last changed.
+	// adopted and stood are when the configuration and the footing last changed.
 	adopted, stood time.Time
 }
 
@@ -74,7 +74,7 @@
 // NewCrew makes proxies that know only themselves and their seeds.
 func NewProxyGroup(p ProxyGroupOptions) *ProxyGroup {
 	c := &ProxyGroup{ProxyGroupOptions: p}
-	size := Size{Cells: p.Cells, Regions: 1}
+	size := Size{Zones: p.Zones, Regions: 1}
 	var seeds []ids.Address
 	for _, s := range p.Seeds {
 		seeds = append(seeds, ids.Address(s))
@@ -83,10 +83,10 @@
 	for n := p.First; n < p.First+p.Count; n++ {
 		at := proxyAt(p.Block, n)
 		self := membership.Member{ID: ids.DaemonID(fmt.Sprintf("proxy-%d", n+1)), Role: membership.Proxy, Address: at, HTTP: at,
-			Zone: size.Cell(n), RunID: ids.RunID(rand.Uint64()>>24 | 1), Incarnation: ids.Incarnation(time.Now().UnixMilli())}
+			Zone: size.Zone(n), RunID: ids.RunID(rand.Uint64()>>24 | 1), Incarnation: ids.Incarnation(time.Now().UnixMilli())}
 		o := proxy.ControlOptions{}
 		if p.Thrifty {
-			o = proxy.ControlOptions{Lease: proxy.Endless, Layout: proxy.Layout{ByCell: true}}
+			o = proxy.ControlOptions{Lease: proxy.Endless, Layout: proxy.Layout{ByZone: true}}
 		}
 		s := &shell{control: proxy.New(membership.Options{Self: self, Seeds: seeds, Incremental: p.Thrifty}, o), stock: map[ids.Name]dispatch.ServiceState{}}
 		s.post = &process.Transport{Address: at, Log: log, Stats: &c.tally,
--- a/internal/testsupport/scaletest/run.go
+++ b/internal/testsupport/scaletest/run.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// Check declines sizes that this machine has no room for.
-func (p Params) Check() error {
+// Check rejects sizes that this machine has no room for.
+func (p Options) Check() error {
 	l, err := Machine()
 	if err != nil {
 		return err
@@ -27,7 +27,7 @@
 }
 
 // Play runs every size in turn, once all of them are found to fit.
-func Play(ctx context.Context, p Params) ([]Run, error) {
+func Play(ctx context.Context, p Options) ([]Run, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
 	}
@@ -56,7 +56,7 @@
 }
 
 // one plays all phases of one size, as far as they go.
-func one(ctx context.Context, p Params, s Size) (Run, error) {
+func one(ctx context.Context, p Options, s Size) (Run, error) {
 	r := Run{Size: s, Thrifty: p.Thrifty, Cores: runtime.NumCPU(), Threads: runtime.GOMAXPROCS(0), Changes: p.Changes}
 	// An earlier run's folders would found another fleet.
 	if err := os.RemoveAll(p.Dir); err != nil {
@@ -78,7 +78,7 @@
 		name string
 		do   func(*Phase)
 	}{
-		{"start", x.starts}, {"policy", x.policies}, {"targets", x.arrive}, {"steady", x.steady},
+		{"start", x.starts}, {"policy", x.configurations}, {"targets", x.arrive}, {"steady", x.steady},
 		{"change", x.changes}, {"registry-lost", x.registryLost}, {"proxies-back", x.proxiesBack},
 	} {
 		ph := Phase{Name: phase.name}
@@ -130,7 +130,7 @@
 }
 
 // starts waits until all stores and registries answer and the fleet has
-// found together: no proxy can be in step before there is a policy.
+// found together: no proxy can be in step before there is a configuration.
 func (x *play) starts(ph *Phase) {
 	_, ph.Done = until(x.ctx, x.Within, 100*time.Millisecond, func() bool {
 		return len(x.stands()) == x.Size.Proxies && x.readyCore() == 3+x.Core
--- a/internal/testsupport/scaletest/scaletest_test.go
+++ b/internal/testsupport/scaletest/scaletest_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err, string(out))
 	}
-	p := Params{Sizes: []Size{small}, Bin: bin, Crew: filepath.Join(bin, "testbed"), Dir: filepath.Join(t.TempDir(), "fleet"), Thrifty: true, PerCrew: 4,
+	p := Options{Sizes: []Size{small}, Bin: bin, Crew: filepath.Join(bin, "testbed"), Dir: filepath.Join(t.TempDir(), "fleet"), Thrifty: true, PerCrew: 4,
 		For: 2 * time.Second, Within: 30 * time.Second, Interval: 500 * time.Millisecond, Rows: 3, Changes: 2, Block: 250 + os.Getpid()%4, Show: func(s string) { t.Log(s) }}
 	runs, err := Play(t.Context(), p)
 	is.NoErr(err)
@@ -59,15 +59,15 @@
 	is.True(strings.Contains(table.String(), "distribution.Ack"))
 }
 
-var small = Size{Proxies: 6, Targets: 8, Services: 2, Routes: 5, Tenants: 3, Cells: 3, Regions: 2, Core: 3}
+var small = Size{Proxies: 6, Targets: 8, Services: 2, Routes: 5, Tenants: 3, Zones: 3, Regions: 2, Core: 3}
 
-// What doesn't fit is declined before anything starts, with the bytes.
-func TestPlayDeclinesBeforeAnythingStarts(t *testing.T) {
+// What doesn't fit is rejected before anything starts, with the bytes.
+func TestPlayRejectsBeforeAnythingStarts(t *testing.T) {
 	is := is.New(t)
 	dir := filepath.Join(t.TempDir(), "fleet")
 	s := small
 	s.Proxies, s.Targets, s.Tenants = 20000, 1000000, 10000000
-	_, err := Play(context.Background(), Params{Sizes: []Size{small, s}, Dir: dir, PerCrew: 400, Show: func(string) {}})
+	_, err := Play(context.Background(), Options{Sizes: []Size{small, s}, Dir: dir, PerCrew: 400, Show: func(string) {}})
 	is.True(err != nil)
 	is.True(strings.Contains(err.Error(), "bytes"))
 	_, err = os.Stat(dir)
--- a/internal/testsupport/scaletest/size.go
+++ b/internal/testsupport/scaletest/size.go
@@ -18,14 +18,14 @@
 	Services int `json:"services"`
 	Routes   int `json:"routes"`
 	Tenants  int `json:"tenants"`
-	Cells    int `json:"cells"`
+	Zones    int `json:"cells"`
 	Regions  int `json:"regions"`
 	// Core is how many machines have a registry and a store.
 	Core int `json:"core"`
 }
 
 // Letter is the size that the users ask to design for.
-var Letter = Size{Proxies: 1600, Targets: 4300, Services: 260, Routes: 2000, Tenants: 150000, Cells: 36, Regions: 9, Core: 6}
+var Letter = Size{Proxies: 1600, Targets: 4300, Services: 260, Routes: 2000, Tenants: 150000, Zones: 36, Regions: 9, Core: 6}
 
 // axes are what a slope can be taken over, the first that varies wins.
 var axes = []struct {
@@ -37,7 +37,7 @@
 	{"services", func(s *Size) *int { return &s.Services }},
 	{"routes", func(s *Size) *int { return &s.Routes }},
 	{"tenants", func(s *Size) *int { return &s.Tenants }},
-	{"cells", func(s *Size) *int { return &s.Cells }},
+	{"cells", func(s *Size) *int { return &s.Zones }},
 	{"regions", func(s *Size) *int { return &s.Regions }},
 	{"core", func(s *Size) *int { return &s.Core }},
 }
@@ -72,14 +72,14 @@
 	Services []int `help:"Services." default:"20" name:"services"`
 	Routes   []int `help:"Routes." default:"100" name:"routes"`
 	Tenants  []int `help:"Tenants, each a route with a host of its own." default:"0" name:"tenants"`
-	Cells    []int `help:"Cells." default:"12" name:"cells"`
+	Zones    []int `help:"Cells." default:"12" name:"cells"`
 	Regions  []int `help:"Regions." default:"3" name:"regions"`
 	Core     []int `help:"Core machines, each a registry and a store; three of the stores vote." default:"3" name:"core"`
 }
 
 // Sizes gives one size a run, or says which list doesn't fit the others.
 func (l Lists) Sizes() ([]Size, error) {
-	lists := [][]int{l.Proxies, l.Targets, l.Services, l.Routes, l.Tenants, l.Cells, l.Regions, l.Core}
+	lists := [][]int{l.Proxies, l.Targets, l.Services, l.Routes, l.Tenants, l.Zones, l.Regions, l.Core}
 	runs := 1
 	for _, list := range lists {
 		runs = max(runs, len(list))
@@ -116,8 +116,8 @@
 		}
 	}
 	switch {
-	case s.Regions > s.Cells:
-		return fmt.Errorf("--regions: there can't be more than the %d cells", s.Cells)
+	case s.Regions > s.Zones:
+		return fmt.Errorf("--regions: there can't be more than the %d cells", s.Zones)
 	case s.Services > s.Routes:
 		return fmt.Errorf("--services: there can't be more than the %d routes that lead to them", s.Routes)
 	case s.Proxies > mostProxies:
@@ -128,11 +128,11 @@
 	return nil
 }
 
-// Cell and the others name the parts of a hollow fleet.
-func (s Size) Cell(n int) ids.Name { return ids.Name(fmt.Sprintf("cell-%d", n%s.Cells+1)) }
+// Zone and the others name the parts of a hollow fleet.
+func (s Size) Zone(n int) ids.Name { return ids.Name(fmt.Sprintf("cell-%d", n%s.Zones+1)) }
 
-// Region is that of the nth cell.
-func (s Size) Region(n int) string { return fmt.Sprintf("region-%d", n%s.Cells%s.Regions+1) }
+// Region is that of the nth zone.
+func (s Size) Region(n int) string { return fmt.Sprintf("region-%d", n%s.Zones%s.Regions+1) }
 
 // Service names the nth service.
 func (s Size) Service(n int) ids.Name {
@@ -142,7 +142,7 @@
 // String is the size in a few words.
 func (s Size) String() string {
 	return fmt.Sprintf("%d proxies, %d targets, %d services, %d routes, %d tenants, %d cells, %d regions, %d core",
-		s.Proxies, s.Targets, s.Services, s.Routes, s.Tenants, s.Cells, s.Regions, s.Core)
+		s.Proxies, s.Targets, s.Services, s.Routes, s.Tenants, s.Zones, s.Regions, s.Core)
 }
 
 // largest gives the size with the most of each.
--- a/internal/testsupport/scaletest/size_test.go
+++ b/internal/testsupport/scaletest/size_test.go
@@ -22,7 +22,7 @@
 	got, err := l.Sizes()
 	is.NoErr(err)
 	is.Equal(len(got), 3)
-	is.Equal(got[1], Size{Proxies: 20, Targets: 60, Services: 3, Routes: 5, Cells: 6, Regions: 3, Core: 3})
+	is.Equal(got[1], Size{Proxies: 20, Targets: 60, Services: 3, Routes: 5, Zones: 6, Regions: 3, Core: 3})
 	is.Equal(Axis(got), "proxies")
 	l.Proxies = []int{10}
 	got, err = l.Sizes()
@@ -53,10 +53,10 @@
 	}
 }
 
-// The policy is one that the catalogue takes, and as long as was said.
-func TestWholePolicyIsAccepted(t *testing.T) {
+// The configuration is one that the catalogue takes, and as long as was said.
+func TestWholeConfigurationIsAccepted(t *testing.T) {
 	is := is.New(t)
-	s := Size{Proxies: 1, Services: 7, Routes: 40, Tenants: 3000, Cells: 4, Regions: 2, Core: 3}
+	s := Size{Proxies: 1, Services: 7, Routes: 40, Tenants: 3000, Zones: 4, Regions: 2, Core: 3}
 	p, err := configuration.Decode(nil)
 	is.NoErr(err)
 	apply := func(raw []byte) {
@@ -71,8 +71,8 @@
 	}
 	is.Equal(len(p.Routes), 3040)
 	is.Equal(len(p.Services), 7)
-	is.Equal(len(p.Cells), 4)
-	size, said := len(p.Encode(false)), s.PolicyBytes()
+	is.Equal(len(p.Zones), 4)
+	size, said := len(p.Encode(false)), s.ConfigurationBytes()
 	is.True(said > size*8/10 && said < size*12/10)
 	rev := p.Revision
 	apply(s.Change("a", 3))
@@ -84,7 +84,7 @@
 	is.Equal(body.Limit, 4003)
 }
 
-func TestNeedGrowsAndDeclines(t *testing.T) {
+func TestNeedGrowsAndRejects(t *testing.T) {
 	is := is.New(t)
 	a := NeedOf(small, 400)
 	is.Equal(a.Processes, 7)
--- a/internal/testsupport/scaletest/spend.go
+++ b/internal/testsupport/scaletest/spend.go
@@ -122,9 +122,9 @@
 	Phases  []Phase `json:"phases"`
 	// Stopped says why the run ended early.
 	Stopped string `json:"stopped,omitempty"`
-	// Policy is how many bytes of changes were accepted, of how many items.
-	Policy int `json:"policy_bytes"`
-	Items  int `json:"policy_items"`
+	// Configuration is how many bytes of changes were accepted, of how many items.
+	Configuration int `json:"policy_bytes"`
+	Items         int `json:"policy_items"`
 	// Cores is how many processors the machine has: a run that used most of
 	// them measures the machine rather than the fleet.
 	Cores int `json:"cores"`
--- a/internal/testsupport/simulator/asleep_test.go
+++ b/internal/testsupport/simulator/asleep_test.go
@@ -14,7 +14,7 @@
 )
 
 // What left a proxy before its route moved, and ran once a frozen target
-// woke, went by the policy of its time; what left after that did not.
+// woke, went by the configuration of its time; what left after that did not.
 func TestBytesWaitInAFrozenTarget(t *testing.T) {
 	for name, c := range map[string]struct {
 		sent time.Duration
@@ -25,10 +25,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w := NewWorld(Params{Seed: 1})
-			p := w.addProc(membership.Proxy, "proxy-1", w.Plan.Cell(0), "10.9.3.1:1")
-			p.up, p.dice, p.desks = true, w.dice, newDispatchers(p, nil)
-			target := &target{w: w, id: "ledger-3", service: "ledger", cell: w.Plan.Cell(0), addr: "10.9.9.1:1", capacity: 8}
+			w := NewWorld(Options{Seed: 1})
+			p := w.addProc(membership.Proxy, "proxy-1", w.Plan.Zone(0), "10.9.3.1:1")
+			p.up, p.random, p.dispatchers = true, w.random, newDispatchers(p, nil)
+			target := &target{w: w, id: "ledger-3", service: "ledger", zone: w.Plan.Zone(0), addr: "10.9.9.1:1", capacity: 8}
 			target.begin(false)
 			for n, service := range []string{"ledger", "catalog"} {
 				w.later(time.Duration(11*n)*time.Second, func() {
@@ -39,7 +39,9 @@
 			w.later(9*time.Second, func() { target.freeze(11 * time.Second) })
 			due := ids.Time(60 * time.Second)
 			e := &errand{Job: dispatch.Job{ID: 1, Route: "flip", Service: "ledger", Repeatable: true, Deadline: due}, token: "flip:t1", try: 1}
-			w.later(c.sent, func() { p.desks.sent("ledger", dispatch.Ferry{ID: 1, Deadline: due}, e, target, time.Millisecond) })
+			w.later(c.sent, func() {
+				p.dispatchers.sent("ledger", dispatch.Forward{ID: 1, Deadline: due}, e, target, time.Millisecond)
+			})
 			w.until(ids.Time(19 * time.Second))
 			is.Equal(w.Truth.Tally(time.Time{})["runs"], 0) // it waits in the socket
 			w.until(ids.Time(21 * time.Second))
--- a/internal/testsupport/simulator/books.go
+++ b/internal/testsupport/simulator/books.go
@@ -24,8 +24,8 @@
 	look := func(after time.Duration, counts func(*dispatchers) bool) {
 		w.later(after, func() {
 			for _, p := range w.procs {
-				if p.role == membership.Proxy && p.up && !p.frozen && counts(p.desks) && p.desks.held < r {
-					w.Truth.Wrong("%s goes by revision %d, %s after %d was accepted", p.name, p.desks.held, after, r)
+				if p.role == membership.Proxy && p.up && !p.frozen && counts(p.dispatchers) && p.dispatchers.held < r {
+					w.Truth.Wrong("%s goes by revision %d, %s after %d was accepted", p.name, p.dispatchers.held, after, r)
 				}
 			}
 		})
@@ -37,7 +37,7 @@
 // read is an agreement read: it may not be older than anything known before.
 func (w *World) read() {
 	floor, called := w.Truth.Known(), w.now
-	w.call(operator, w.Plan.Cell(0), func(x uint64) any { return registry.ReadConfigurationCall{ID: x} }, func(rep registry.Response) {
+	w.call(operator, w.Plan.Zone(0), func(x uint64) any { return registry.ReadConfigurationCall{ID: x} }, func(rep registry.Response) {
 		w.history.read(called, w.now, "a read", rep)
 		w.judge("a read", rep, floor)
 	}, nil)
@@ -49,7 +49,7 @@
 	if !ok {
 		return false
 	}
-	seen, err := checker.ReadPolicy(page(p))
+	seen, err := checker.ReadConfiguration(page(p))
 	if err != nil {
 		w.Truth.Wrong("%s gave no policy: %v", who, err)
 		return true
@@ -73,7 +73,7 @@
 			continue
 		}
 		read, floor, called := false, w.Truth.Known(), w.now
-		w.callAt(p, operator, w.Plan.Cell(0), func(x uint64) any { return registry.ReadConfigurationCall{ID: x} }, func(rep registry.Response) {
+		w.callAt(p, operator, w.Plan.Zone(0), func(x uint64) any { return registry.ReadConfigurationCall{ID: x} }, func(rep registry.Response) {
 			w.history.read(called, w.now, when, rep)
 			read = w.judge(when+", "+p.name, rep, floor)
 		}, nil)
--- a/internal/testsupport/simulator/catchup.go
+++ b/internal/testsupport/simulator/catchup.go
@@ -23,7 +23,7 @@
 	},
 	"cut off": func(w *World, p *proc) func() {
 		in := func(name string, _ ids.Name) bool { return name == p.name }
-		c := &cut{a: in, b: func(name string, cell ids.Name) bool { return !in(name, cell) }}
+		c := &cut{a: in, b: func(name string, zone ids.Name) bool { return !in(name, zone) }}
 		w.cutOff(time.Hour, c)
 		return func() { w.mend(c) }
 	},
@@ -82,7 +82,7 @@
 	look()
 }
 
-// revision gives the policy's revision on the synced disk.
+// revision gives the configuration's revision on the synced disk.
 func (d *disk) revision() ids.Revision {
 	_, raw := consensus.NewAcceptor(d.store, d, &event.Outbox{}).Value(configuration.Key)
 	held, err := configuration.Decode(raw)
--- a/internal/testsupport/simulator/catchup_test.go
+++ b/internal/testsupport/simulator/catchup_test.go
@@ -21,7 +21,7 @@
 				is := is.New(t)
 				for _, seed := range []uint64{1, 3} {
 					took := time.Duration(-2)
-					o := Run(Params{Seed: seed, Length: 50 * time.Second, FaultEvery: -1, Script: func(w *World) {
+					o := Run(Options{Seed: seed, Length: 50 * time.Second, FaultEvery: -1, Script: func(w *World) {
 						w.later(2*time.Second, func() {
 							w.missChanges(w.procs[store], absence, 300, catchUpWithin, func(d time.Duration) { took = d })
 						})
--- a/internal/testsupport/simulator/connections.go
+++ b/internal/testsupport/simulator/connections.go
@@ -58,13 +58,13 @@
 func (w *World) resetConnections(name string, share float64) {
 	w.trace("%s has connections reset: %.2f", name, share)
 	for _, p := range w.procs {
-		if p.name != name && w.dice.Float64() < share {
+		if p.name != name && w.random.Float64() < share {
 			w.connections.resets[ends(name, p.name)]++
 		}
 	}
 	w.dropEnded()
 	for _, x := range w.connections.open {
-		if (x.from == name || x.to == name) && w.dice.Float64() < share {
+		if (x.from == name || x.to == name) && w.random.Float64() < share {
 			x.reset()
 		}
 	}
@@ -74,7 +74,7 @@
 func (w *World) resetAcross(c *cut) {
 	for i, p := range w.procs {
 		for _, q := range w.procs[:i] {
-			if c.crosses(p.name, p.cell, q.name, q.cell) || c.crosses(q.name, q.cell, p.name, p.cell) {
+			if c.crosses(p.name, p.zone, q.name, q.zone) || c.crosses(q.name, q.zone, p.name, p.zone) {
 				w.connections.resets[ends(p.name, q.name)]++
 			}
 		}
--- a/internal/testsupport/simulator/crowd.go
+++ b/internal/testsupport/simulator/crowd.go
@@ -13,21 +13,21 @@
 	"dunlinwell/internal/testsupport/checker"
 )
 
-// crowd is the stand-in consumers.
+// crowd is the stand-in clients.
 type crowd struct {
 	n    int
 	stop bool
 	held map[string]held
 }
 
-// held is a live connection: its consumer asks nobody where to go.
+// held is a live connection: its client asks nobody where to go.
 type held struct {
 	at    ids.Address
-	cell  ids.Name
+	zone  ids.Name
 	until ids.Time
 }
 
-// heldBy is how many consumers of a cell and route hold connections: few of them
+// heldBy is how many clients of a zone and route hold connections: few of them
 // for short holds, or none would be used twice.
 func (w *World) heldBy() int {
 	if w.Hold >= time.Minute {
@@ -63,13 +63,13 @@
 	try   int
 	// says: it tells the number of each attempt.
 	says bool
-	// seat names the consumer among those that hold connections.
+	// seat names the client among those that hold connections.
 	seat string
 }
 
 func (w *World) newAsk() *asking {
-	a := &asking{home: w.Plan.Cell(w.dice.IntN(w.Plan.Cells)), try: 1}
-	x := w.dice.Float64()
+	a := &asking{home: w.Plan.Zone(w.random.IntN(w.Plan.Zones)), try: 1}
+	x := w.random.Float64()
 	a.way = w.Plan.Ways[0]
 	for _, way := range w.Plan.Ways {
 		if x -= way.Share; x < 0 {
@@ -78,17 +78,17 @@
 		}
 	}
 	// Some ask for the route that operators move about.
-	if w.office.flips && w.dice.IntN(12) == 0 {
+	if w.office.flips && w.random.IntN(12) == 0 {
 		a.way = blueprint.Way{Route: "flip", Repeatable: true}
 	}
 	if w.Hot != nil {
 		a.home = w.Hot(w, a.home)
 	}
-	if w.Brief == 0 || w.dice.Float64() >= w.Brief {
-		a.seat = fmt.Sprintf("%s/%s/%d", a.home, a.way.Route, w.dice.IntN(w.heldBy()))
+	if w.Brief == 0 || w.random.Float64() >= w.Brief {
+		a.seat = fmt.Sprintf("%s/%s/%d", a.home, a.way.Route, w.random.IntN(w.heldBy()))
 	}
 	a.token = fmt.Sprintf("%s:t%d", a.way.Route, w.crowd.n)
-	a.says = a.way.Repeatable || w.dice.IntN(4) > 0 || w.counted
+	a.says = a.way.Repeatable || w.random.IntN(4) > 0 || w.counted
 	if !a.way.Repeatable {
 		a.mark = ids.IdempotencyKey("m" + a.token)
 	}
@@ -99,21 +99,21 @@
 func (w *World) ask(a *asking) {
 	g := checker.Got{Sent: w.clock(), Token: a.token, Mark: string(a.mark), Attempt: a.try, Class: "unreached", Loose: a.way.Route == "flip"}
 	if h, ok := w.crowd.held[a.seat]; ok && w.now < h.until && a.try == 1 {
-		g.Cell, g.Held = h.cell, true
+		g.Zone, g.Held = h.zone, true
 		w.deliver(a, g, h.at)
 		return
 	}
-	w.call("consumer", a.home, func(id uint64) any { return registry.ResolveCall{ID: id, Cell: a.home, Route: a.way.Route} }, func(r registry.Response) {
+	w.call("consumer", a.home, func(id uint64) any { return registry.ResolveCall{ID: id, Zone: a.home, Route: a.way.Route} }, func(r registry.Response) {
 		way, ok := r.Body.(registry.Resolution)
 		if !ok || len(way.Proxies) == 0 {
 			w.responded(a, g)
 			return
 		}
-		g.Cell = way.Cell
-		w.Truth.Pointed(checker.Asked{At: w.clock(), Home: a.home, To: way.Cell, Route: a.way.Route})
-		at := way.Proxies[w.dice.IntN(len(way.Proxies))]
+		g.Zone = way.Zone
+		w.Truth.Pointed(checker.Asked{At: w.clock(), Home: a.home, To: way.Zone, Route: a.way.Route})
+		at := way.Proxies[w.random.IntN(len(way.Proxies))]
 		if w.Hold > 0 && a.seat != "" {
-			w.crowd.held[a.seat] = held{at, way.Cell, w.now.Add(w.between(w.Hold/2, w.Hold*3/2))}
+			w.crowd.held[a.seat] = held{at, way.Zone, w.now.Add(w.between(w.Hold/2, w.Hold*3/2))}
 		}
 		w.deliver(a, g, at)
 	}, func() { w.responded(a, g) })
@@ -136,29 +136,29 @@
 		return
 	}
 	g.Proxy = p.name
-	if w.refused("consumer", a.home, p.name, p.cell) {
+	if w.refused("consumer", a.home, p.name, p.zone) {
 		w.later(time.Millisecond, func() { end("unreached") })
 		return
 	}
-	if !w.open("consumer", a.home, p.name, p.cell) {
+	if !w.open("consumer", a.home, p.name, p.zone) {
 		w.later(time.Second, func() { end("unreached") })
 		return
 	}
-	*call = exchange{from: "consumer", to: p.name, fromZone: a.home, toZone: p.cell, broken: func() { end("lost") }}
+	*call = exchange{from: "consumer", to: p.name, fromZone: a.home, toZone: p.zone, broken: func() { end("lost") }}
 	w.begin(call)
 	w.later(patience, func() { end("lost") })
-	w.later(w.far(a.home, p.cell), func() {
+	w.later(w.far(a.home, p.zone), func() {
 		if !p.up {
 			w.later(time.Millisecond, func() { end("lost") })
 			return
 		}
 		gen := p.gen
 		take := func() {
-			p.desks.arrive(a.way.Route, a.token, a.mark, a.try, a.says, patience, func(r dispatch.Response) {
-				if p.gen != gen || !w.open(p.name, p.cell, "consumer", a.home) {
+			p.dispatchers.arrive(a.way.Route, a.token, a.mark, a.try, a.says, patience, func(r dispatch.Response) {
+				if p.gen != gen || !w.open(p.name, p.zone, "consumer", a.home) {
 					return
 				}
-				w.later(w.far(p.cell, a.home), func() {
+				w.later(w.far(p.zone, a.home), func() {
 					g.Status, g.Body = r.Status, string(r.Sealed.Body)
 					if r.Class == dispatch.Answered && !strings.HasPrefix(g.Body, a.token+"/") {
 						g.Problem = "answer is " + g.Body
@@ -172,7 +172,7 @@
 	})
 }
 
-// responded writes an attempt's end down; a consumer without an answer asks
+// responded writes an attempt's end down; a client without an answer asks
 // again, under the same mark.
 func (w *World) responded(a *asking, g checker.Got) {
 	if g.At.IsZero() {
@@ -186,7 +186,7 @@
 	w.trace("%s attempt %d %s %s at %s", a.token, a.try, g.Class, g.Body, g.Proxy)
 	// Now and then one that has its answer asks again all the same: it must get
 	// that answer once more.
-	done := g.Class == "answered" && (a.mark == "" || w.dice.IntN(8) > 0)
+	done := g.Class == "answered" && (a.mark == "" || w.random.IntN(8) > 0)
 	if done || g.Class == "misused" || a.try >= mostTries {
 		return
 	}
@@ -196,12 +196,12 @@
 }
 
 // closes ends a held connection as the real front does, after an answer: where its
-// cell is emptied, so that no new work comes down it.
+// zone is emptied, so that no new work comes down it.
 func (w *World) closes(p *proc, a *asking, g checker.Got) {
-	if !g.Held || !p.desks.ready.Emptied && !w.Defect.CloseHeld {
+	if !g.Held || !p.dispatchers.ready.Emptied && !w.Defect.CloseHeld {
 		return
 	}
 	delete(w.crowd.held, a.seat)
 	// One that is out of step serves nobody anyway, and may not know of a refilling.
-	w.Truth.Close(checker.Closed{At: w.clock(), Proxy: p.name, Cell: p.cell, Why: "after an answer", Excused: !p.desks.ready.InStep})
+	w.Truth.Close(checker.Closed{At: w.clock(), Proxy: p.name, Zone: p.zone, Why: "after an answer", Excused: !p.dispatchers.ready.InStep})
 }
--- a/internal/testsupport/simulator/cutoff.go
+++ b/internal/testsupport/simulator/cutoff.go
@@ -34,7 +34,7 @@
 )
 
 // coreMachineCut cuts one machine of the core off from the others; proxies,
-// targets and consumers reach either side. One that is deaf is still heard.
+// targets and clients reach either side. One that is deaf is still heard.
 // restarts: its processes, and some proxies, are killed during the cut.
 func coreMachineCut(w *World, number int, deaf, restarts bool) {
 	var mine []*proc
@@ -47,9 +47,9 @@
 		p := w.named(name)
 		return p != nil && p.role != membership.Proxy && (p == mine[0] || p == mine[1])
 	}
-	there := func(name string, cell ids.Name) bool {
+	there := func(name string, zone ids.Name) bool {
 		p := w.named(name)
-		return p != nil && p.role != membership.Proxy && !here(name, cell)
+		return p != nil && p.role != membership.Proxy && !here(name, zone)
 	}
 	w.later(cutFrom, func() {
 		w.trace("%s and %s are cut off", mine[0].name, mine[1].name)
@@ -79,7 +79,7 @@
 	name, call := cutOffCall(w, i)
 	answered := false
 	asked := w.now
-	w.callAt(p, "operator", p.cell, call, func(r registry.Response) {
+	w.callAt(p, "operator", p.zone, call, func(r registry.Response) {
 		answered = true
 		if r.Status != 503 && r.Status != 504 {
 			w.Truth.Wrong("%s, cut off, answered %s with %d: %v", p.name, name, r.Status, r.Body)
@@ -98,7 +98,7 @@
 // cutOffCall draws up one of the calls that need the core.
 func cutOffCall(w *World, i int) (string, func(id uint64) any) {
 	stranger := targets.Target{Instance: "probe", Incarnation: 1, Sequence: ids.Sequence(i + 1), Service: "ledger", Address: "10.99.0.1:80",
-		Cell: w.Plan.Cell(0), Warmth: 1, Interval: 1000, Gone: true, Leaving: true}
+		Zone: w.Plan.Zone(0), Warmth: 1, Interval: 1000, Gone: true, Leaving: true}
 	raw := []byte(fmt.Sprintf(`{"id":"probe-%d","changes":[{"kind":"service","name":"none","version":%d,"remove":true}]}`, i, i+1))
 	switch i % 6 {
 	case 0:
@@ -112,7 +112,7 @@
 	case 4:
 		return "a merge", func(id uint64) any { return registry.MergeCall{ID: id, Body: configuration.Merge{}} }
 	}
-	return "where to go", func(id uint64) any { return registry.ResolveCall{ID: id, Cell: w.Plan.Cell(0), Route: "none"} }
+	return "where to go", func(id uint64) any { return registry.ResolveCall{ID: id, Zone: w.Plan.Zone(0), Route: "none"} }
 }
 
 // watchPlanners looks again and again at who plans. Two may do so for as long as
--- a/internal/testsupport/simulator/defect.go
+++ b/internal/testsupport/simulator/defect.go
@@ -27,7 +27,7 @@
 	KeepMarks time.Duration
 	// NoCheck: connections are used without the target showing who it is.
 	NoCheck bool
-	// CloseHeld: connections that consumers hold are closed after each answer.
+	// CloseHeld: connections that clients hold are closed after each answer.
 	CloseHeld bool
 	// Response spoils a proxy's answers.
 	Response func(dispatch.Response) dispatch.Response
--- a/internal/testsupport/simulator/defect_test.go
+++ b/internal/testsupport/simulator/defect_test.go
@@ -47,7 +47,7 @@
 		})}},
 		"false busy": {want: "for what ran", defect: Defect{Response: func(r dispatch.Response) dispatch.Response {
 			if r.Class == dispatch.Unknown {
-				r.Class, r.Status = dispatch.Declined, 503
+				r.Class, r.Status = dispatch.Rejected, 503
 			}
 			return r
 		}}},
@@ -59,7 +59,7 @@
 		}}},
 		"not in force": {want: "that another was accepted over", defect: Defect{Message: pushes(func(p *distribution.Push) {
 			if p.Revision > 3 {
-				p.Policy, p.Revision = nil, 3
+				p.Configuration, p.Revision = nil, 3
 			}
 		})}},
 		"left target": {want: "known gone or leaving", script: drained, defect: Defect{NoCheck: true, Message: pushes(func(p *distribution.Push) {
@@ -112,7 +112,7 @@
 			is := is.New(t)
 			found, bite := false, regexp.MustCompile(c.want)
 			for seed := uint64(1); seed <= 8 && !found; seed++ {
-				p := Params{Seed: seed, Length: 40 * time.Second, Defect: c.defect, Rate: c.rate, Script: c.script, Lease: c.lease}
+				p := Options{Seed: seed, Length: 40 * time.Second, Defect: c.defect, Rate: c.rate, Script: c.script, Lease: c.lease}
 				if c.hot {
 					p = Hot(seed)
 					p.Length = 420 * time.Second // long enough for moves to begin, and more to come
--- a/internal/testsupport/simulator/delivery.go
+++ b/internal/testsupport/simulator/delivery.go
@@ -11,7 +11,7 @@
 
 // forward is the real carrier's part: dial, let the target show who it is, look
 // once more, send, and wait for a sealed answer.
-func (d *dispatchers) ferry(s ids.Name, f dispatch.Ferry) {
+func (d *dispatchers) forward(s ids.Name, f dispatch.Forward) {
 	p, w := d.p, d.p.w
 	e := d.jobs[f.ID]
 	if e == nil {
@@ -26,15 +26,15 @@
 		end(w.between(0, time.Millisecond), back)
 		return
 	}
-	if w.refused(p.name, p.cell, string(t.id), t.cell) {
+	if w.refused(p.name, p.zone, string(t.id), t.zone) {
 		end(w.between(0, time.Millisecond), back)
 		return
 	}
-	if !w.open(p.name, p.cell, string(t.id), t.cell) || !w.open(string(t.id), t.cell, p.name, p.cell) {
+	if !w.open(p.name, p.zone, string(t.id), t.zone) || !w.open(string(t.id), t.zone, p.name, p.zone) {
 		end(min(time.Second, max(f.Deadline.Sub(p.now()), 0)), back)
 		return
 	}
-	trip := w.far(p.cell, t.cell)
+	trip := w.far(p.zone, t.zone)
 	p.later(2*trip, func() {
 		// One that is frozen shows nothing: the dial runs out of time.
 		if t.frozen && !w.Defect.NoCheck {
@@ -55,7 +55,7 @@
 }
 
 // sent is a request whose bytes have left.
-func (d *dispatchers) sent(s ids.Name, f dispatch.Ferry, e *errand, t *target, trip time.Duration) {
+func (d *dispatchers) sent(s ids.Name, f dispatch.Forward, e *errand, t *target, trip time.Duration) {
 	p, w := d.p, d.p.w
 	over := false
 	gen := p.gen
@@ -71,7 +71,7 @@
 	if w.Defect.ResetIsUnsent {
 		broken.Result = dispatch.NotSent
 	}
-	call = w.begin(&exchange{from: p.name, to: string(t.id), fromZone: p.cell, toZone: t.cell, broken: func() {
+	call = w.begin(&exchange{from: p.name, to: string(t.id), fromZone: p.zone, toZone: t.zone, broken: func() {
 		p.later(0, func() { end(broken) })
 	}})
 	p.later(max(f.Deadline.Sub(p.now()), 0), func() { end(maybe) })
@@ -95,7 +95,7 @@
 					d.spent[[2]ids.Name{e.Route, s}] += w.Cost
 					p.total += w.Cost
 				}
-				if !w.open(string(t.id), t.cell, p.name, p.cell) {
+				if !w.open(string(t.id), t.zone, p.name, p.zone) {
 					return // lost on the way: the time limit ends it
 				}
 				p.later(trip, func() { end(b) })
--- a/internal/testsupport/simulator/disk.go
+++ b/internal/testsupport/simulator/disk.go
@@ -49,7 +49,7 @@
 	records map[ids.RegisterKey][]byte
 	// sorted are the keys of the records in order, nil where not known.
 	sorted  []ids.RegisterKey
-	inbox   []event.Sync
+	queue   []event.Sync
 	busy    bool
 	stalled bool
 	// slow is how many times as long a sync takes; 0 for an ordinary one.
@@ -62,11 +62,11 @@
 
 func (d *disk) open(p *proc) {
 	if d.store == 0 {
-		d.store = d.w.dice.Uint64()>>24 | 1
+		d.store = d.w.random.Uint64()>>24 | 1
 	}
 	d.run++
 	d.gen++
-	d.inbox, d.busy = nil, false
+	d.queue, d.busy = nil, false
 	d.opened = d.w.now
 	d.prune(p)
 }
@@ -74,10 +74,10 @@
 // crash loses what was not synced. A planted defect lets the disk lie.
 func (d *disk) crash() {
 	d.gen++
-	d.inbox, d.busy = nil, false
+	d.queue, d.busy = nil, false
 	if d.w.Defect.DiskForgets {
 		for k := range d.records {
-			if d.w.dice.IntN(2) == 0 && k != "meta/roster" {
+			if d.w.random.IntN(2) == 0 && k != "meta/roster" {
 				delete(d.records, k)
 			}
 		}
@@ -95,13 +95,13 @@
 		p.perform(s.After)
 		s.After = nil
 	}
-	d.inbox = append(d.inbox, s)
+	d.queue = append(d.queue, s)
 	d.next(p)
 }
 
 // next syncs all that waits in one go, as the real committer does.
 func (d *disk) next(p *proc) {
-	if d.busy || len(d.inbox) == 0 {
+	if d.busy || len(d.queue) == 0 {
 		return
 	}
 	d.busy = true
@@ -112,7 +112,7 @@
 	if d.w.Defect.SyncLate {
 		took += writeBack
 	}
-	gen, n := d.gen, len(d.inbox)
+	gen, n := d.gen, len(d.queue)
 	d.w.later(took, func() { d.synced(p, gen, n) })
 }
 
@@ -124,8 +124,8 @@
 		d.w.later(50*time.Millisecond, func() { d.synced(p, gen, n) })
 		return
 	}
-	done := d.inbox[:n:n]
-	d.inbox = d.inbox[n:]
+	done := d.queue[:n:n]
+	d.queue = d.queue[n:]
 	d.busy = false
 	for _, s := range done {
 		for _, r := range s.Records {
--- a/internal/testsupport/simulator/dispatchers.go
+++ b/internal/testsupport/simulator/dispatchers.go
@@ -34,7 +34,7 @@
 type errand struct {
 	dispatch.Job
 	token string
-	// try is the consumer's own count, which it may keep to itself.
+	// try is the client's own count, which it may keep to itself.
 	try  int
 	done func(dispatch.Response)
 }
@@ -45,7 +45,7 @@
 
 func (d *dispatchers) at(s ids.Name) *dispatch.Dispatcher {
 	if d.list[s] == nil {
-		d.list[s] = dispatch.New(dispatch.Options{Dice: d.p.dice, Self: idempotency.Owner{Daemon: ids.DaemonID(d.p.name), RunID: d.p.start}})
+		d.list[s] = dispatch.New(dispatch.Options{Random: d.p.random, Self: idempotency.Owner{Daemon: ids.DaemonID(d.p.name), RunID: d.p.start}})
 		d.order = append(d.order, s)
 	}
 	return d.list[s]
@@ -105,9 +105,9 @@
 			p.w.atClaim(p)
 		}
 		p.later(0, func() { p.take(proxy.IdempotencyRequest{Service: s, Call: c}) })
-	case dispatch.Ferry:
+	case dispatch.Forward:
 		// The scheduler may let a moment pass, or a freeze come between.
-		p.later(p.w.between(0, 2*time.Millisecond), func() { d.ferry(s, c) })
+		p.later(p.w.between(0, 2*time.Millisecond), func() { d.forward(s, c) })
 	case dispatch.Response:
 		e := d.jobs[c.ID]
 		delete(d.jobs, c.ID)
@@ -120,10 +120,10 @@
 	}
 }
 
-// dropAll is what the consumers of a killed proxy see.
+// dropAll is what the clients of a killed proxy see.
 func (d *dispatchers) dropAll() { d.jobs = map[ids.RequestID]*errand{} }
 
-// arrive takes a consumer's request, as the real front does.
+// arrive takes a client's request, as the real front does.
 func (d *dispatchers) arrive(route ids.Name, token string, mark ids.IdempotencyKey, try int, says bool, left time.Duration, done func(dispatch.Response)) {
 	var r configuration.Route
 	ok := false
@@ -156,5 +156,5 @@
 	if (try > 1 || !says) && mark != "" {
 		return dispatch.Response{Class: dispatch.Unknown, Status: 504}
 	}
-	return dispatch.Response{Class: dispatch.Declined, Status: 503}
+	return dispatch.Response{Class: dispatch.Rejected, Status: 503}
 }
--- a/internal/testsupport/simulator/emptying.go
+++ b/internal/testsupport/simulator/emptying.go
@@ -8,12 +8,12 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// emptyCell empties a cell as an operator does, and refills it later.
-func (w *World) emptyCell() {
+// emptyZone empties a zone as an operator does, and refills it later.
+func (w *World) emptyZone() {
 	if w.office.emptie != "" {
 		return
 	}
-	c := w.Plan.Cell(w.dice.IntN(w.Plan.Cells))
+	c := w.Plan.Zone(w.random.IntN(w.Plan.Zones))
 	w.office.emptie = c
 	w.setEmptied(c, true, func() {
 		w.later(w.between(8*time.Second, 14*time.Second), func() { w.refill() })
@@ -38,10 +38,10 @@
 	asked := w.clock()
 	w.change(w.work().Emptied(fmt.Sprintf("empty-%d", w.office.n), c, on), func(r configuration.Result) {
 		// Answers may overtake one another; revisions don't.
-		if on && r.Revision > w.office.cellAt {
+		if on && r.Revision > w.office.zoneAt {
 			w.Truth.Empty(c, asked, w.clock())
 		}
-		w.office.cellAt = max(w.office.cellAt, r.Revision)
+		w.office.zoneAt = max(w.office.zoneAt, r.Revision)
 		then()
 	})
 }
--- a/internal/testsupport/simulator/faults.go
+++ b/internal/testsupport/simulator/faults.go
@@ -55,7 +55,7 @@
 	for _, k := range faultKinds {
 		total += k.weight
 	}
-	drawn := w.dice.IntN(total)
+	drawn := w.random.IntN(total)
 	for _, k := range faultKinds {
 		if drawn -= k.weight; drawn < 0 {
 			return k
@@ -79,7 +79,7 @@
 // some draws a process that lives on, of a role or of any.
 func (w *World) some(role membership.Role) *proc {
 	up := w.living(role)
-	return up[w.dice.IntN(len(up))]
+	return up[w.random.IntN(len(up))]
 }
 
 // living lists the processes, of a role or of all, whose machines aren't gone.
--- a/internal/testsupport/simulator/faults_acknowledged.go
+++ b/internal/testsupport/simulator/faults_acknowledged.go
@@ -18,7 +18,7 @@
 // afterAck brings a fault about right after the next acknowledgement of a
 // change, for the process that gave it; or soon after the next one was sent.
 func (w *World) afterAck(fault func(*proc)) {
-	if w.dice.IntN(3) == 0 {
+	if w.random.IntN(3) == 0 {
 		w.atChange = func() {
 			w.later(w.between(strikeBlindFrom, strikeBlindTill), func() { fault(w.some(membership.Registry)) })
 		}
@@ -30,7 +30,7 @@
 // wipeMachineOf loses the disk of a registry's machine, or of another one.
 func (w *World) wipeMachineOf(registry *proc) {
 	store := w.storeOf(registry)
-	if store == nil || w.dice.IntN(3) == 0 {
+	if store == nil || w.random.IntN(3) == 0 {
 		store = w.some(membership.Store)
 	}
 	if w.now < w.quiet() && w.tolerates(store) {
@@ -77,7 +77,7 @@
 	}
 	w.afterAck(once)
 	w.office.n++
-	w.put(w.office.n, w.dice.IntN(blueprint.Pairs))
+	w.put(w.office.n, w.random.IntN(blueprint.Pairs))
 	w.later(closingWait, func() { once(w.some(membership.Registry)) })
 }
 
@@ -86,7 +86,7 @@
 	if wiped == nil {
 		wiped = w.some(membership.Store)
 	}
-	switch w.dice.IntN(4) {
+	switch w.random.IntN(4) {
 	case 0:
 		w.trace("closing: the disk of %s is lost", wiped.name)
 		w.wipe(wiped, w.restart())
--- a/internal/testsupport/simulator/faults_core.go
+++ b/internal/testsupport/simulator/faults_core.go
@@ -20,14 +20,14 @@
 		w.turnSeeds(nil)
 		w.bounce(w.some(0), w.restart())
 	}},
-	{"zone emptied", 1, func(w *World) { w.emptyCell() }},
+	{"zone emptied", 1, func(w *World) { w.emptyZone() }},
 }
 
 // machine lists the processes of a core process's machine.
 func (w *World) machine(p *proc) []*proc {
 	var out []*proc
 	for _, q := range w.core() {
-		if q.cell == p.cell {
+		if q.zone == p.zone {
 			out = append(out, q)
 		}
 	}
@@ -103,21 +103,21 @@
 		if p.role == membership.Store {
 			code = 1
 		}
-		w.add(p.role, code, p.cell)
+		w.add(p.role, code, p.zone)
 	}
 }
 
-func (w *World) addStore(cell ids.Name) { w.add(membership.Store, 1, cell) }
+func (w *World) addStore(zone ids.Name) { w.add(membership.Store, 1, zone) }
 
 // add puts up a blank core daemon at a new address.
-func (w *World) add(role membership.Role, code int, cell ids.Name) {
+func (w *World) add(role membership.Role, code int, zone ids.Name) {
 	n := 0
 	for _, q := range w.procs {
 		if q.role == role {
 			n++
 		}
 	}
-	q := w.addProc(role, fmt.Sprintf("%s-%d", role, n+1), cell, ids.Address(fmt.Sprintf("10.9.%d.%d:1", code, n+1)))
+	q := w.addProc(role, fmt.Sprintf("%s-%d", role, n+1), zone, ids.Address(fmt.Sprintf("10.9.%d.%d:1", code, n+1)))
 	// Whoever puts up a new machine gives it seeds that live.
 	q.seeds = nil
 	for _, p := range w.procs {
@@ -168,7 +168,7 @@
 		list = append(list, p.addr)
 	}
 	core := w.core()
-	for _, i := range w.dice.Perm(len(core)) {
+	for _, i := range w.random.Perm(len(core)) {
 		if len(list) < mostSeeds {
 			list = append(list, core[i].addr)
 		}
--- a/internal/testsupport/simulator/faults_network.go
+++ b/internal/testsupport/simulator/faults_network.go
@@ -17,7 +17,7 @@
 		m := w.machine(w.some(membership.Store))
 		w.cutOffMachine(m, longCut, w.cutStyle())
 		// At times new seeds name just this one, and proxies restart on them.
-		if w.dice.IntN(3) == 0 {
+		if w.random.IntN(3) == 0 {
 			w.turnSeeds(m)
 			w.later(w.between(time.Second, 8*time.Second), func() { w.bounce(w.some(membership.Proxy), 300*ms) })
 		}
@@ -28,20 +28,20 @@
 		w.later(w.short(), func() { w.net = weather{jitter: time.Millisecond} })
 	}},
 	{"connections reset", 2, func(w *World) {
-		share, each := 0.1+0.9*w.dice.Float64(), 0.3+0.7*w.dice.Float64()
+		share, each := 0.1+0.9*w.random.Float64(), 0.3+0.7*w.random.Float64()
 		for _, p := range w.living(0) {
-			if w.dice.Float64() < share {
+			if w.random.Float64() < share {
 				w.resetConnections(p.name, each)
 			}
 		}
 	}},
 	{"connections of the core reset", 1, func(w *World) {
 		for _, p := range w.core() {
-			w.resetConnections(p.name, 0.3+0.7*w.dice.Float64())
+			w.resetConnections(p.name, 0.3+0.7*w.random.Float64())
 		}
 	}},
 	{"answers to operators lost", 1, func(w *World) {
-		w.answerLoss = 0.5 + 0.4*w.dice.Float64()
+		w.answerLoss = 0.5 + 0.4*w.random.Float64()
 		w.later(w.between(2*time.Second, 10*time.Second), func() { w.answerLoss = 0 })
 	}},
 }
@@ -58,7 +58,7 @@
 
 // cutStyle draws how a cut behaves: silently, with resets, or refusing.
 func (w *World) cutStyle() cutStyle {
-	switch w.dice.IntN(6) {
+	switch w.random.IntN(6) {
 	case 0, 1:
 		return cutStyle{oneWay: true}
 	case 2:
@@ -71,7 +71,7 @@
 
 // cut keeps messages from one side from reaching the other.
 type cut struct {
-	a, b func(name string, cell ids.Name) bool
+	a, b func(name string, zone ids.Name) bool
 	cutStyle
 }
 
@@ -126,12 +126,12 @@
 func (w *World) split(d time.Duration) {
 	side := map[string]bool{}
 	for _, p := range w.procs {
-		side[p.name] = w.dice.IntN(2) == 0
+		side[p.name] = w.random.IntN(2) == 0
 	}
 	w.trace("the fleet splits")
 	w.cutOff(d, &cut{a: func(n string, _ ids.Name) bool { s, ok := side[n]; return ok && s },
 		b:        func(n string, _ ids.Name) bool { s, ok := side[n]; return ok && !s },
-		cutStyle: cutStyle{oneWay: w.dice.IntN(3) == 0}})
+		cutStyle: cutStyle{oneWay: w.random.IntN(3) == 0}})
 }
 
 // unheard cuts a target off from the core, which counts it as gone, while
--- a/internal/testsupport/simulator/faults_process.go
+++ b/internal/testsupport/simulator/faults_process.go
@@ -11,14 +11,14 @@
 var processFaults = []faultKind{
 	{"process killed", 2, func(w *World) { w.bounce(w.some(0), w.short()) }},
 	{"herd of a role killed", 1, func(w *World) {
-		role := membership.Role(1 + w.dice.IntN(3))
+		role := membership.Role(1 + w.random.IntN(3))
 		w.herd(w.living(role), w.short)
 	}},
 	{"core loses power", 1, func(w *World) { w.herd(w.core(), w.restart) }},
 	{"all lose power", 1, func(w *World) { w.herd(w.living(0), w.restart) }},
 	{"process frozen", 3, func(w *World) { w.some(0).freeze(w.between(500*ms, 6*time.Second)) }},
 	{"proxy frozen", 1, func(w *World) { w.some(membership.Proxy).freeze(w.between(time.Second, 5*time.Second)) }},
-	{"zone loses power", 1, func(w *World) { w.losePower(w.Plan.Cell(w.dice.IntN(w.Plan.Cells)), w.short()) }},
+	{"zone loses power", 1, func(w *World) { w.losePower(w.Plan.Zone(w.random.IntN(w.Plan.Zones)), w.short()) }},
 	{"disk stalled", 1, func(w *World) {
 		d := w.some(membership.Store).disk
 		d.stalled = true
@@ -61,12 +61,12 @@
 func (w *World) losePower(zone ids.Name, d time.Duration) {
 	w.trace("%s loses power", zone)
 	for _, p := range w.living(0) {
-		if p.cell == zone {
+		if p.zone == zone {
 			w.bounce(p, d+w.between(0, time.Second))
 		}
 	}
 	for _, t := range w.pool {
-		if t.cell == zone && t.up {
+		if t.zone == zone && t.up {
 			t.crash()
 			w.later(d+w.between(0, time.Second), func() { w.again(t) })
 		}
--- a/internal/testsupport/simulator/faults_target.go
+++ b/internal/testsupport/simulator/faults_target.go
@@ -46,7 +46,7 @@
 	}},
 }
 
-func (w *World) someTarget() *target { return w.pool[w.dice.IntN(len(w.pool))] }
+func (w *World) someTarget() *target { return w.pool[w.random.IntN(len(w.pool))] }
 
 // again starts a target that crashed, cold, unless its address is another's.
 func (w *World) again(t *target) {
--- a/internal/testsupport/simulator/founding_test.go
+++ b/internal/testsupport/simulator/founding_test.go
@@ -42,7 +42,7 @@
 	is := is.New(t)
 	for _, alone := range []bool{false, true} {
 		for seed := uint64(1); seed <= 3; seed++ {
-			o := Run(Params{Seed: seed, Length: 55 * time.Second, Keep: true, Script: func(w *World) { oldSeedsReturn(w, alone) }})
+			o := Run(Options{Seed: seed, Length: 55 * time.Second, Keep: true, Script: func(w *World) { oldSeedsReturn(w, alone) }})
 			report(t, o)
 			is.Equal(strings.Count(strings.Join(o.Log, "\n"), " founded ["), 1)
 		}
@@ -53,7 +53,7 @@
 func TestStaleSettingAfterTotalLoss(t *testing.T) {
 	is := is.New(t)
 	for seed := uint64(1); seed <= 3; seed++ {
-		o := Run(Params{Seed: seed, Length: 25 * time.Second, Keep: true, StaleBootstrap: true, Script: everyDiskLost})
+		o := Run(Options{Seed: seed, Length: 25 * time.Second, Keep: true, StaleBootstrap: true, Script: everyDiskLost})
 		report(t, o)
 		log := strings.Join(o.Log, "\n")
 		is.Equal(strings.Count(log, " founded ["), 1)
--- a/internal/testsupport/simulator/history.go
+++ b/internal/testsupport/simulator/history.go
@@ -8,7 +8,7 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// Operation is one call on the policy's register as its caller saw it: a change,
+// Operation is one call on the configuration's register as its caller saw it: a change,
 // or a reading. A change whose end its caller never learned may take effect at
 // any time, or never.
 type Operation struct {
@@ -50,8 +50,8 @@
 	}
 }
 
-// declined notes that a change surely had no effect.
-func (h *history) declined(id string) {
+// rejected notes that a change surely had no effect.
+func (h *history) rejected(id string) {
 	o := h.open[id]
 	for i, x := range h.list {
 		if x == o && o != nil {
--- a/internal/testsupport/simulator/hot.go
+++ b/internal/testsupport/simulator/hot.go
@@ -13,41 +13,41 @@
 )
 
 const (
-	// heatFrom and heatTill bound the load of the hot cells.
+	// heatFrom and heatTill bound the load of the hot zones.
 	heatFrom   = 60 * time.Second
 	heatTill   = 400 * time.Second
 	heatLength = 640 * time.Second
 	reportsOff = 70 * time.Second
 )
 
-// Hot is a run in which several cells are hot, with tiers, distances and loads
-// drawn from the seed: some consumers hold their connections for minutes, and the
-// planner is lost, reports stay away, a cell is emptied and taken back, and
+// Hot is a run in which several zones are hot, with tiers, distances and loads
+// drawn from the seed: some clients hold their connections for minutes, and the
+// planner is lost, reports stay away, a zone is emptied and taken back, and
 // operators storm meanwhile. Nothing of that excuses a held connection.
-func Hot(seed uint64) Params {
-	dice := rand.New(rand.NewPCG(seed, 0x686f74))
+func Hot(seed uint64) Options {
+	random := rand.New(rand.NewPCG(seed, 0x686f74))
 	far := map[[2]ids.Name]int{}
-	p := blueprint.Plan{Name: "hot", Regions: 5, Cells: 5, Proxies: 5, Rate: 64 + 10*dice.Float64(), Target: 500, Maximum: 550,
+	p := blueprint.Plan{Name: "hot", Regions: 5, Zones: 5, Proxies: 5, Rate: 64 + 10*random.Float64(), Target: 500, Maximum: 550,
 		Pools: []blueprint.Pool{{Service: "catalog", Targets: 10, Capacity: 16, Tier: 3}, {Service: "ledger", Targets: 5, Capacity: 16, Tier: 8}},
 		Far:   func(a, b ids.Name) int { return far[[2]ids.Name{min(a, b), max(a, b)}] }}
-	for i := range p.Cells {
+	for i := range p.Zones {
 		for k := range i {
-			a, b := p.Cell(i), p.Cell(k)
-			far[[2]ids.Name{min(a, b), max(a, b)}] = 2 + dice.IntN(40)
+			a, b := p.Zone(i), p.Zone(k)
+			far[[2]ids.Name{min(a, b), max(a, b)}] = 2 + random.IntN(40)
 		}
 	}
-	tiers := dice.Perm(10)
+	tiers := random.Perm(10)
 	for i, share := range []float64{0.4, 0.35, 0.25} {
 		p.Ways = append(p.Ways, blueprint.Way{Route: ids.Name(fmt.Sprintf("way-%d", i)), Prefix: fmt.Sprintf("/way-%d", i), Service: p.Pools[i%2].Service,
 			Tier: tiers[i], Repeatable: i != 1, Share: share})
 	}
-	hot := dice.Perm(p.Cells)[:1+dice.IntN(2)]
-	quiet := p.Cell(dice.IntN(p.Cells))
-	off := time.Duration(120+dice.IntN(200)) * time.Second
-	h := Params{Seed: seed, Plan: p, Length: heatLength, FaultEvery: -1, Hold: 2 * time.Minute, Brief: 0.7}
+	hot := random.Perm(p.Zones)[:1+random.IntN(2)]
+	quiet := p.Zone(random.IntN(p.Zones))
+	off := time.Duration(120+random.IntN(200)) * time.Second
+	h := Options{Seed: seed, Plan: p, Length: heatLength, FaultEvery: -1, Hold: 2 * time.Minute, Brief: 0.7}
 	h.Hot = func(w *World, drawn ids.Name) ids.Name {
-		if at := time.Duration(w.now); at > heatFrom && at < heatTill && w.dice.IntN(100) < 45+len(hot)*15 {
-			return p.Cell(hot[w.dice.IntN(len(hot))])
+		if at := time.Duration(w.now); at > heatFrom && at < heatTill && w.random.IntN(100) < 45+len(hot)*15 {
+			return p.Zone(hot[w.random.IntN(len(hot))])
 		}
 		return drawn
 	}
@@ -58,28 +58,28 @@
 			return msg, true
 		}
 		at := time.Duration(world.now)
-		return msg, at < off || at > off+reportsOff || world.named(from).cell != quiet
+		return msg, at < off || at > off+reportsOff || world.named(from).zone != quiet
 	}
 	h.Script = func(w *World) {
 		world = w
 		w.Truth.Calm = true
-		// A cell without reports receives nothing, however near it is.
+		// A zone without reports receives nothing, however near it is.
 		w.judgeOrder(func(c ids.Name) bool {
 			at := time.Duration(w.now)
 			return w.office.emptie != c && (c != quiet || at < off || at > off+reportsOff+2*w.PlanEvery)
 		})
-		w.later(time.Duration(100+dice.IntN(250))*time.Second, func() { w.bounce(w.some(membership.Registry), 40*time.Second) })
+		w.later(time.Duration(100+random.IntN(250))*time.Second, func() { w.bounce(w.some(membership.Registry), 40*time.Second) })
 		w.every(150*time.Second, 400*ms, 60, func(i int) { w.put(i+1, i%blueprint.Pairs) })
-		w.every(90*time.Second, 130*time.Second, 3, func(int) { w.emptyCell() })
+		w.every(90*time.Second, 130*time.Second, 3, func(int) { w.emptyZone() })
 	}
 	return h
 }
 
-// sampleEvery is how often the load that cells really carry is looked at.
+// sampleEvery is how often the load that zones really carry is looked at.
 const sampleEvery = 5 * time.Second
 
-// judgeOrder lets the witness judge the order of moves, by the policy as it
-// was set, the directory's answers, and what the cells' proxies carried.
+// judgeOrder lets the witness judge the order of moves, by the configuration as it
+// was set, the directory's answers, and what the zones' proxies carried.
 func (w *World) judgeOrder(open func(ids.Name) bool) {
 	o := checker.Order{Every: w.PlanEvery, Tier: map[ids.Name]int{}, Acceptable: map[ids.Name]float64{}, Distance: w.Plan.Distance}
 	tier := map[ids.Name]int{}
@@ -89,16 +89,16 @@
 	for _, way := range w.Plan.Ways {
 		o.Tier[way.Route] = way.Tier*10 + tier[way.Service]
 	}
-	for i := range w.Plan.Cells {
-		o.Acceptable[w.Plan.Cell(i)] = w.Plan.Target * 0.8
+	for i := range w.Plan.Zones {
+		o.Acceptable[w.Plan.Zone(i)] = w.Plan.Target * 0.8
 	}
 	w.Truth.Ordered(o)
 	last := w.costs()
 	var again func()
 	again = func() {
 		now := w.costs()
-		for i := range w.Plan.Cells {
-			c := w.Plan.Cell(i)
+		for i := range w.Plan.Zones {
+			c := w.Plan.Zone(i)
 			w.Truth.Occupancy(w.clock(), c, (now[c]-last[c])/sampleEvery.Seconds(), open(c))
 		}
 		last = now
--- a/internal/testsupport/simulator/hot_test.go
+++ b/internal/testsupport/simulator/hot_test.go
@@ -6,9 +6,9 @@
 	"github.com/matryer/is"
 )
 
-// Several hot cells, drawn tiers and distances, lost planners, stale reports, a
+// Several hot zones, drawn tiers and distances, lost planners, stale reports, a
 // storm, and emptying: moves keep their order, and no held connection is touched.
-func TestHotCells(t *testing.T) {
+func TestHotZones(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
--- a/internal/testsupport/simulator/lease_test.go
+++ b/internal/testsupport/simulator/lease_test.go
@@ -21,8 +21,8 @@
 		}
 	},
 	"a region and its core machine": func(w *World) {
-		for i := range w.Plan.Cells {
-			if c := w.Plan.Cell(i); w.Plan.Region(c) == "region-b" {
+		for i := range w.Plan.Zones {
+			if c := w.Plan.Zone(i); w.Plan.Region(c) == "region-b" {
 				w.losePower(c, 8*time.Second)
 			}
 		}
@@ -44,7 +44,7 @@
 			share := map[time.Duration]float64{}
 			for _, lease := range []time.Duration{0, time.Hour} {
 				var world *World
-				o := Run(Params{Seed: 1, Plan: blueprint.Plans["cooperative"], Length: 46 * time.Second, FaultEvery: -1, Lease: lease, Hold: time.Minute, Brief: 0.5,
+				o := Run(Options{Seed: 1, Plan: blueprint.Plans["cooperative"], Length: 46 * time.Second, FaultEvery: -1, Lease: lease, Hold: time.Minute, Brief: 0.5,
 					Script: func(w *World) { world = w; w.later(26*time.Second, func() { lose(w) }) }})
 				if lease == 0 {
 					report(t, o)
--- a/internal/testsupport/simulator/leaving_test.go
+++ b/internal/testsupport/simulator/leaving_test.go
@@ -64,10 +64,10 @@
 	is := is.New(t)
 	for seed := uint64(1); seed <= 4; seed++ {
 		settled := false
-		o := Run(Params{Seed: seed, Length: 45 * time.Second, Keep: true, Script: func(w *World) {
+		o := Run(Options{Seed: seed, Length: 45 * time.Second, Keep: true, Script: func(w *World) {
 			w.every(2*time.Second, 6*time.Second, 3, func(i int) {
 				p := w.procs[i]
-				w.addStore(p.cell)
+				w.addStore(p.zone)
 				w.later(3*time.Second, func() { w.leave(p, func() { w.retire(p) }) })
 			})
 			w.later(25*time.Second, func() { settled = w.allVotersServe() })
@@ -86,7 +86,7 @@
 	is := is.New(t)
 	for seed := uint64(1); seed <= 4; seed++ {
 		settled := false
-		o := Run(Params{Seed: seed, Length: 45 * time.Second, Keep: true, Script: func(w *World) {
+		o := Run(Options{Seed: seed, Length: 45 * time.Second, Keep: true, Script: func(w *World) {
 			w.addStore("cell-a1")
 			stores := append([]*proc{}, w.procs[:3]...)
 			stores = append(stores, w.procs[len(w.procs)-1])
@@ -106,7 +106,7 @@
 	is := is.New(t)
 	for seed := uint64(1); seed <= 8; seed++ {
 		settled := false
-		o := Run(Params{Seed: seed, Length: 45 * time.Second, Keep: true, Script: func(w *World) {
+		o := Run(Options{Seed: seed, Length: 45 * time.Second, Keep: true, Script: func(w *World) {
 			w.net.loss = 0.02
 			w.later(2*time.Second, func() { w.addStore("cell-b1"); w.addStore("cell-c1") })
 			w.later(6*time.Second, func() {
--- a/internal/testsupport/simulator/linear_test.go
+++ b/internal/testsupport/simulator/linear_test.go
@@ -13,7 +13,7 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// register is the policy's register as its callers may see it: each accepted
+// register is the configuration's register as its callers may see it: each accepted
 // change makes the next revision, and a reading gives the newest. One state is
 // one revision, and one revision one content.
 var register = porcupine.Model{
@@ -73,7 +73,7 @@
 			t.Run(fmt.Sprint(name, seed), func(t *testing.T) {
 				t.Parallel()
 				is := is.New(t)
-				o := Run(Params{Seed: seed, Length: 50 * time.Second, Script: script})
+				o := Run(Options{Seed: seed, Length: 50 * time.Second, Script: script})
 				changes, reads := counts(o.History)
 				t.Logf("%d changes, %d readings", changes, reads)
 				is.True(changes > 30 && reads > 10)
@@ -95,7 +95,7 @@
 	}}
 }
 
-// stale answers some readings with the policy as it was early in the run.
+// stale answers some readings with the configuration as it was early in the run.
 func stale() func(from, to string, msg any) (any, bool) {
 	var early []byte
 	n := 0
@@ -119,7 +119,7 @@
 	for name, defect := range map[string]Defect{"lost write": {Ops: lost()}, "stale reading": {Message: stale()}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			o := Run(Params{Seed: 1, Length: 40 * time.Second, Defect: defect})
+			o := Run(Options{Seed: 1, Length: 40 * time.Second, Defect: defect})
 			err := linearizable(o.History)
 			changes, reads := counts(o.History)
 			t.Logf("%d changes, %d readings: %v", changes, reads, err)
--- a/internal/testsupport/simulator/load_test.go
+++ b/internal/testsupport/simulator/load_test.go
@@ -20,7 +20,7 @@
 }
 
 // shares gives, of the first attempts of each route, the share answered, and
-// the longest that a declined one was held.
+// the longest that a rejected one was held.
 func (w *World) shares() (map[string]float64, time.Duration) {
 	good, all, held := map[string]float64{}, map[string]float64{}, time.Duration(0)
 	w.Truth.Each(func(token string, attempt int, class string, took time.Duration) {
@@ -43,12 +43,12 @@
 }
 
 // Twice the load that the targets bear: the urgent is served, the idle is
-// declined at once, and no target ever has more than it bears.
-func TestOverloadDeclinesTheLowestFirst(t *testing.T) {
+// rejected at once, and no target ever has more than it bears.
+func TestOverloadRejectsTheLowestFirst(t *testing.T) {
 	is := is.New(t)
 	// Four targets of 3 at 20 ms bear 600 a second at the very best.
 	var world *World
-	o := Run(Params{Seed: 1, Plan: tight(3), Rate: 1100, Length: 16 * time.Second, FaultEvery: -1, Script: func(w *World) { world = w }})
+	o := Run(Options{Seed: 1, Plan: tight(3), Rate: 1100, Length: 16 * time.Second, FaultEvery: -1, Script: func(w *World) { world = w }})
 	for _, c := range o.Counts {
 		if c.Count > 0 && !strings.Contains(c.What, "15 s after") { // "not restored" has no meaning here
 			t.Errorf("%s: %d, %s", c.What, c.Count, c.Sample)
@@ -58,14 +58,14 @@
 	t.Logf("answered at once: urgent %.3f, idle %.3f; a declined one was held %s at most", share["urgent"], share["idle"], held)
 	is.True(share["urgent"] > 0.97)
 	is.True(share["idle"] < 0.6 && share["idle"] > 0.05)
-	is.True(held < 1200*time.Millisecond) // of 4 s that the consumer would wait
+	is.True(held < 1200*time.Millisecond) // of 4 s that the client would wait
 }
 
 // Every target is restarted, over and over, under more load than a cold one
 // bears: none ever gets past 1.5 times what it bears, summed over proxies.
 func TestColdTargetsUnderLoad(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
-		o := Run(Params{Seed: seed, Plan: tight(8), Rate: 500, Length: 30 * time.Second, FaultEvery: -1, Script: func(w *World) {
+		o := Run(Options{Seed: seed, Plan: tight(8), Rate: 500, Length: 30 * time.Second, FaultEvery: -1, Script: func(w *World) {
 			w.every(time.Second, 700*time.Millisecond, 30, func(i int) {
 				x := w.pool[i%len(w.pool)]
 				x.crash()
--- a/internal/testsupport/simulator/mistakes_test.go
+++ b/internal/testsupport/simulator/mistakes_test.go
@@ -43,7 +43,9 @@
 }
 
 func swap(old, new string) func(p *distribution.Push) {
-	return func(p *distribution.Push) { p.Policy = bytes.ReplaceAll(p.Policy, []byte(old), []byte(new)) }
+	return func(p *distribution.Push) {
+		p.Configuration = bytes.ReplaceAll(p.Configuration, []byte(old), []byte(new))
+	}
 }
 
 // tables spoils the plans that registries tell one another.
@@ -80,7 +82,7 @@
 	return out
 }
 
-// crossed sends others' traffic of every route into a cell whose own is away.
+// crossed sends others' traffic of every route into a zone whose own is away.
 func crossed(in []spill.Move) []spill.Move {
 	out := slices.Clone(in)
 	for _, m := range in {
@@ -145,9 +147,9 @@
 	w.later(21*time.Second, func() { w.swap(w.procs[1]) })
 }
 
-// emptiedAgainAndAgain empties cells, each as soon as the one before is refilled.
+// emptiedAgainAndAgain empties zones, each as soon as the one before is refilled.
 func emptiedAgainAndAgain(w *World) {
-	w.every(3*time.Second, 2*time.Second, 18, func(int) { w.emptyCell() })
+	w.every(3*time.Second, 2*time.Second, 18, func(int) { w.emptyZone() })
 }
 
 // lostAfterCalm breaks half of all answers once a calm while has earned retries:
--- a/internal/testsupport/simulator/mixed_test.go
+++ b/internal/testsupport/simulator/mixed_test.go
@@ -29,7 +29,7 @@
 	is := is.New(t)
 	spoke := 0
 	for seed := uint64(1); seed <= 2; seed++ {
-		p := Params{Seed: seed}
+		p := Options{Seed: seed}
 		p.Defect.Message = func(from, _ string, msg any) (any, bool) {
 			raw, err := wire.Encode(msg)
 			is.NoErr(err)
