--- a/internal/testsupport/simulator/office.go
+++ b/internal/testsupport/simulator/office.go
@@ -20,8 +20,8 @@
 	n      int
 	stop   bool
 	emptie ids.Name
-	// cellAt is the newest revision that emptied or refilled a cell.
-	cellAt ids.Revision
+	// zoneAt is the newest revision that emptied or refilled a zone.
+	zoneAt ids.Revision
 	// raced is the version of the route that operators race for.
 	raced ids.Revision
 	// taken are the changes that a registry has confirmed, whether or not its
@@ -42,20 +42,20 @@
 	w.later(w.between(100*ms, 900*ms), func() {
 		w.office.n++
 		n := w.office.n
-		switch x := w.dice.IntN(14); {
+		switch x := w.random.IntN(14); {
 		case x < 4:
 			// Two operators at once, on the same items.
-			w.put(n, w.dice.IntN(blueprint.Pairs))
+			w.put(n, w.random.IntN(blueprint.Pairs))
 			if x == 0 {
 				w.office.n++
-				w.put(w.office.n, w.dice.IntN(blueprint.Pairs))
+				w.put(w.office.n, w.random.IntN(blueprint.Pairs))
 			}
 		case x < 5:
-			w.decline(w.work().Broken(fmt.Sprintf("broken-%d", n), n))
+			w.reject(w.work().Broken(fmt.Sprintf("broken-%d", n), n))
 		case x < 6:
-			w.decline(w.work().Stale(fmt.Sprintf("stale-%d", n), n))
+			w.reject(w.work().Stale(fmt.Sprintf("stale-%d", n), n))
 		case x < 7:
-			w.change(w.work().Unput(fmt.Sprintf("unput-%d", n), w.dice.IntN(blueprint.Pairs)), nil)
+			w.change(w.work().Unput(fmt.Sprintf("unput-%d", n), w.random.IntN(blueprint.Pairs)), nil)
 		case x < 8:
 			w.race(n)
 		case x < 9:
@@ -69,7 +69,7 @@
 	})
 }
 
-func (w *World) work() blueprint.Work { return blueprint.Work{Plan: w.Plan, Dice: w.dice} }
+func (w *World) work() blueprint.Work { return blueprint.Work{Plan: w.Plan, Random: w.random} }
 
 // put changes both items of a pair in one change; serial marks them.
 func (w *World) put(n, pair int) {
@@ -95,18 +95,18 @@
 	}
 }
 
-// decline sends a change that no daemon may accept.
-func (w *World) decline(raw string) {
+// reject sends a change that no daemon may accept.
+func (w *World) reject(raw string) {
 	id := w.Truth.Ask([]byte(raw), w.clock())
-	w.Truth.Decline(id)
-	w.call(operator, w.Plan.Cell(0), func(x uint64) any { return registry.ChangeCall{ID: x, Raw: []byte(raw)} }, func(rep registry.Response) {
+	w.Truth.Reject(id)
+	w.call(operator, w.Plan.Zone(0), func(x uint64) any { return registry.ChangeCall{ID: x, Raw: []byte(raw)} }, func(rep registry.Response) {
 		if rep.Status == 200 {
 			w.Truth.Wrong("%s was accepted", id)
 		}
 	}, nil)
 }
 
-// page gives a policy as its page would say it.
+// page gives a configuration as its page would say it.
 func page(p *configuration.Document) []byte {
 	raw, _ := json.Marshal(p)
 	return raw
--- a/internal/testsupport/simulator/order.go
+++ b/internal/testsupport/simulator/order.go
@@ -16,7 +16,7 @@
 
 // waits draws how long a caller waits for an answer.
 func (w *World) waits(caller string) time.Duration {
-	if caller == operator && w.dice.IntN(4) > 0 {
+	if caller == operator && w.random.IntN(4) > 0 {
 		return operatorWaits
 	}
 	return callerWaits
@@ -37,7 +37,7 @@
 		w.office.taken[string(r.ID)] = true
 		w.acknowledged(p)
 	}
-	return w.answerLoss > 0 && w.dice.Float64() < w.answerLoss
+	return w.answerLoss > 0 && w.random.Float64() < w.answerLoss
 }
 
 // judgeCopy judges the answer to an order that was sent more than once: one
@@ -51,7 +51,7 @@
 // sendCopies lets an order that was confirmed arrive again, at times, soon or
 // long after.
 func (w *World) sendCopies(id, raw string) {
-	if w.dice.IntN(4) > 0 || w.office.recordLost {
+	if w.random.IntN(4) > 0 || w.office.recordLost {
 		return
 	}
 	w.later(w.between(0, 20*time.Second), func() { w.sendCopy(id, raw) })
@@ -61,7 +61,7 @@
 	if w.office.recordLost {
 		return
 	}
-	w.call(operator, w.Plan.Cell(0), func(x uint64) any { return registry.ChangeCall{ID: x, Raw: []byte(raw)} }, func(rep registry.Response) {
+	w.call(operator, w.Plan.Zone(0), func(x uint64) any { return registry.ChangeCall{ID: x, Raw: []byte(raw)} }, func(rep registry.Response) {
 		w.trace("operator: a copy of %s ends with %d", id, rep.Status)
 		w.judgeCopy(id, rep)
 	}, nil)
@@ -79,7 +79,7 @@
 func (w *World) resend(id, raw string, sure bool, accepted func(configuration.Result)) {
 	again := func() { w.later(300*ms, func() { w.resend(id, raw, sure, accepted) }) }
 	maybe := func() { sure = false; again() }
-	w.call(operator, w.Plan.Cell(0), func(x uint64) any { return registry.ChangeCall{ID: x, Raw: []byte(raw)} }, func(rep registry.Response) {
+	w.call(operator, w.Plan.Zone(0), func(x uint64) any { return registry.ChangeCall{ID: x, Raw: []byte(raw)} }, func(rep registry.Response) {
 		r, ok := rep.Body.(configuration.Result)
 		switch {
 		case !ok && rep.Status != 503:
@@ -87,9 +87,9 @@
 			return
 		// Surely not accepted: some operators leave it at that, and then it may
 		// never show.
-		case !ok && sure && w.dice.IntN(3) == 0 && accepted == nil:
-			w.Truth.Decline(id)
-			w.history.declined(id)
+		case !ok && sure && w.random.IntN(3) == 0 && accepted == nil:
+			w.Truth.Reject(id)
+			w.history.rejected(id)
 			return
 		case !ok:
 			again()
@@ -108,11 +108,11 @@
 			}
 		case 400:
 			w.Truth.Wrong("%s was declined with %d: %+v", id, rep.Status, r)
-			w.Truth.Decline(id)
+			w.Truth.Reject(id)
 		default:
 			// What it removes is gone already, or another was sooner.
-			w.Truth.Decline(id)
-			w.history.declined(id)
+			w.Truth.Reject(id)
+			w.history.rejected(id)
 		}
 	}, maybe)
 }
--- a/internal/testsupport/simulator/proc.go
+++ b/internal/testsupport/simulator/proc.go
@@ -14,24 +14,24 @@
 
 // proc is one simulated process. Its machine is a real one.
 type proc struct {
-	w       *World
-	name    string
-	role    membership.Role
-	cell    ids.Name
-	addr    ids.Address
-	up      bool
-	frozen  bool
-	gen     int
-	born    ids.Time
-	wall    time.Duration
-	machine event.Machine
-	backlog []func()
-	disk    *disk
-	dice    *rand.Rand
-	start   ids.RunID
-	desks   *dispatchers
-	calls   map[uint64]func(registry.Response)
-	nextID  uint64
+	w           *World
+	name        string
+	role        membership.Role
+	zone        ids.Name
+	addr        ids.Address
+	up          bool
+	frozen      bool
+	gen         int
+	born        ids.Time
+	wall        time.Duration
+	machine     event.Machine
+	backlog     []func()
+	disk        *disk
+	random      *rand.Rand
+	start       ids.RunID
+	dispatchers *dispatchers
+	calls       map[uint64]func(registry.Response)
+	nextID      uint64
 	// lost processes don't come back: their machine was replaced.
 	lost bool
 	// bootstrap: the settings call the next start the fleet's first one.
@@ -111,7 +111,7 @@
 		case store.RecoverResponse:
 			p.w.trace("%s answers the order to recover: %q", p.name, c.Why)
 		default:
-			p.desks.perform(c)
+			p.dispatchers.perform(c)
 		}
 	}
 }
@@ -121,12 +121,12 @@
 	p.gen++
 	p.up, p.frozen, p.backlog = true, false, nil
 	p.born = p.w.now
-	h := TraceHeader{Dice: [2]uint64{p.w.dice.Uint64(), p.w.dice.Uint64()}, PlanEvery: p.w.PlanEvery, Lease: p.w.Lease}
-	p.dice = rand.New(rand.NewPCG(h.Dice[0], h.Dice[1]))
-	p.start = ids.RunID(p.w.dice.Uint64()>>24 | 1)
+	h := TraceHeader{Random: [2]uint64{p.w.random.Uint64(), p.w.random.Uint64()}, PlanEvery: p.w.PlanEvery, Lease: p.w.Lease}
+	p.random = rand.New(rand.NewPCG(h.Random[0], h.Random[1]))
+	p.start = ids.RunID(p.w.random.Uint64()>>24 | 1)
 	p.calls = map[uint64]func(registry.Response){}
 	wall := time.Hour + time.Duration(p.w.now) + p.wall
-	self := membership.Member{ID: ids.DaemonID(p.name), Role: p.role, Address: p.addr, HTTP: p.addr, Zone: p.cell,
+	self := membership.Member{ID: ids.DaemonID(p.name), Role: p.role, Address: p.addr, HTTP: p.addr, Zone: p.zone,
 		RunID: p.start, Incarnation: ids.Incarnation(max(wall.Milliseconds(), 1))}
 	roll := membership.Options{Self: self, Seeds: p.seeds}
 	h.Roll = roll
@@ -135,18 +135,18 @@
 	case membership.Store:
 		p.disk.open(p)
 		h.Store, h.Run, h.Bootstrap = p.disk.store, p.disk.run, p.bootstrap
-		s := store.New(store.Options{Options: roll, Store: p.disk.store, Run: p.disk.run, Storage: p.disk, Random: p.dice, Bootstrap: p.bootstrap, Replicas: p.w.Replicas})
+		s := store.New(store.Options{Options: roll, Store: p.disk.store, Run: p.disk.run, Storage: p.disk, Random: p.random, Bootstrap: p.bootstrap, Replicas: p.w.Replicas})
 		if p.w.Defect.Ops != nil {
 			s.Teach(p.w.Defect.Ops)
 		}
 		p.machine, beat = s, stockBeat
 	case membership.Registry:
-		p.machine = registry.New(registry.Options{Options: roll, Random: p.dice, PlanEvery: p.w.PlanEvery,
+		p.machine = registry.New(registry.Options{Options: roll, Random: p.random, PlanEvery: p.w.PlanEvery,
 			ControlLease: p.w.Defect.ControlLease})
 	default:
 		c := proxy.New(roll, proxy.ControlOptions{Lease: p.w.Lease})
 		p.machine = c
-		p.desks = newDispatchers(p, c)
+		p.dispatchers = newDispatchers(p, c)
 	}
 	p.record(h)
 	p.w.trace("%s starts", p.name)
@@ -155,8 +155,8 @@
 
 func (p *proc) beat(every time.Duration) {
 	p.later(every, func() {
-		if p.desks != nil {
-			p.desks.beat()
+		if p.dispatchers != nil {
+			p.dispatchers.beat()
 		}
 		p.take(event.Tick{})
 		p.beat(every)
@@ -174,8 +174,8 @@
 	if p.disk != nil {
 		p.disk.crash()
 	}
-	if p.desks != nil {
-		p.desks.dropAll()
+	if p.dispatchers != nil {
+		p.dispatchers.dropAll()
 	}
 }
 
--- a/internal/testsupport/simulator/recover_test.go
+++ b/internal/testsupport/simulator/recover_test.go
@@ -16,7 +16,7 @@
 	is := is.New(t)
 	for seed := uint64(1); seed <= 4; seed++ {
 		tooSoon, asked := "", ""
-		o := Run(Params{Seed: seed, Length: 50 * time.Second, Script: func(w *World) {
+		o := Run(Options{Seed: seed, Length: 50 * time.Second, Script: func(w *World) {
 			w.counted = true
 			responsesLost(w) // so that there are later attempts
 			w.later(15*time.Second, func() {
--- a/internal/testsupport/simulator/repair_test.go
+++ b/internal/testsupport/simulator/repair_test.go
@@ -16,7 +16,7 @@
 			is := is.New(t)
 			for seed := uint64(1); seed <= 3; seed++ {
 				var took []time.Duration
-				o := Run(Params{Seed: seed, Length: 50 * time.Second, Script: func(w *World) {
+				o := Run(Options{Seed: seed, Length: 50 * time.Second, Script: func(w *World) {
 					w.counted = true
 					w.later(3*time.Second, func() {
 						w.wipeInTurn([]int{0, 1, 2, 1}, gap, func(d time.Duration) { took = append(took, d) })
--- a/internal/testsupport/simulator/repairtime_test.go
+++ b/internal/testsupport/simulator/repairtime_test.go
@@ -10,7 +10,7 @@
 
 // repairTimes gives how long the voter set took to be whole again after each of
 // many lost disks, from the machine's return.
-func repairTimes(p Params, registers, size int) (took []time.Duration) {
+func repairTimes(p Options, registers, size int) (took []time.Duration) {
 	for p.Seed = 1; p.Seed <= 4; p.Seed++ {
 		p.Length, p.FaultEvery, p.Rate = 60*time.Second, -1, 5
 		p.Script = func(w *World) {
@@ -29,23 +29,23 @@
 func TestRepairTimes(t *testing.T) {
 	const slow, link = 40 * ms, 2.2e6
 	for name, c := range map[string]struct {
-		params          Params
+		options         Options
 		registers, size int
 		bound           time.Duration
 	}{
-		"3 members, small":             {Params{}, 0, 0, 1500 * ms},
-		"3 members, small, slow disk":  {Params{DiskSync: slow}, 0, 0, 1500 * ms},
-		"3 members, small, 2.2 Mbit/s": {Params{LinkBits: link}, 0, 0, 1500 * ms},
-		"5 members, small":             {Params{Replicas: 5}, 0, 0, 1500 * ms},
-		"3 members, 5,000 registers":   {Params{}, 5000, 100, 3 * time.Second},
-		"5 members, 5,000 registers":   {Params{Replicas: 5}, 5000, 100, 3 * time.Second},
-		"3 members, 1,000, 2.2 Mbit/s": {Params{LinkBits: link}, 1000, 100, 3 * time.Second},
-		"3 members, 5,000, slow disk":  {Params{DiskSync: slow}, 5000, 100, 3 * time.Second},
+		"3 members, small":             {Options{}, 0, 0, 1500 * ms},
+		"3 members, small, slow disk":  {Options{DiskSync: slow}, 0, 0, 1500 * ms},
+		"3 members, small, 2.2 Mbit/s": {Options{LinkBits: link}, 0, 0, 1500 * ms},
+		"5 members, small":             {Options{Replicas: 5}, 0, 0, 1500 * ms},
+		"3 members, 5,000 registers":   {Options{}, 5000, 100, 3 * time.Second},
+		"5 members, 5,000 registers":   {Options{Replicas: 5}, 5000, 100, 3 * time.Second},
+		"3 members, 1,000, 2.2 Mbit/s": {Options{LinkBits: link}, 1000, 100, 3 * time.Second},
+		"3 members, 5,000, slow disk":  {Options{DiskSync: slow}, 5000, 100, 3 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			took := repairTimes(c.params, c.registers, c.size)
+			took := repairTimes(c.options, c.registers, c.size)
 			is.Equal(len(took), 16)
 			t.Logf("%s: p50 %v, max %v", name, took[len(took)/2], took[len(took)-1])
 			is.True(took[0] >= 0) // each ended
--- a/internal/testsupport/simulator/resend_test.go
+++ b/internal/testsupport/simulator/resend_test.go
@@ -25,7 +25,7 @@
 	}
 	var orders []order
 	others, again := 0, 0
-	o := Run(Params{Seed: 5, Length: 60 * time.Second, Script: func(w *World) {
+	o := Run(Options{Seed: 5, Length: 60 * time.Second, Script: func(w *World) {
 		w.counted = true
 		w.every(6*time.Second, 200*time.Millisecond, 12, func(i int) {
 			raw := fmt.Sprintf(`{"id":"early-%d","changes":[{"kind":"service","name":"early-%d","version":0,"put":{}}]}`, i, i)
@@ -47,7 +47,7 @@
 					continue
 				}
 				for _, sent := range orders {
-					w.callAt(p, "operator", w.Plan.Cell(0), func(x uint64) any { return registry.ChangeCall{ID: x, Raw: []byte(sent.raw)} }, func(rep registry.Response) {
+					w.callAt(p, "operator", w.Plan.Zone(0), func(x uint64) any { return registry.ChangeCall{ID: x, Raw: []byte(sent.raw)} }, func(rep registry.Response) {
 						again++
 						if r, ok := rep.Body.(configuration.Result); rep.Status != 200 || !ok || r.Revision != sent.revision {
 							t.Errorf("%s, made in revision %d, got %d %+v", sent.id, sent.revision, rep.Status, rep.Body)
--- a/internal/testsupport/simulator/returned_test.go
+++ b/internal/testsupport/simulator/returned_test.go
@@ -20,7 +20,7 @@
 	for seed := uint64(1); seed <= 6; seed++ {
 		// Whoever goes first has been silent for longest.
 		for _, away := range []time.Duration{1800 * ms, 2200 * ms} {
-			o := Run(Params{Seed: seed, Length: 40 * time.Second, Script: func(w *World) {
+			o := Run(Options{Seed: seed, Length: 40 * time.Second, Script: func(w *World) {
 				w.counted = true
 				w.later(2*time.Second, func() { w.swap(w.procs[2]) })
 				w.later(away, func() { w.bounce(w.procs[1], time.Duration(4+seed)*time.Second) })
@@ -37,7 +37,7 @@
 	is := is.New(t)
 	for seed := uint64(1); seed <= 3; seed++ {
 		took := time.Duration(-1)
-		o := Run(Params{Seed: seed, Length: 40 * time.Second, Script: func(w *World) {
+		o := Run(Options{Seed: seed, Length: 40 * time.Second, Script: func(w *World) {
 			w.counted = true
 			p := w.procs[0]
 			var old map[ids.RegisterKey][]byte
@@ -61,7 +61,7 @@
 	is := is.New(t)
 	for seed := uint64(1); seed <= 4; seed++ {
 		var took []time.Duration
-		o := Run(Params{Seed: seed, Length: 40 * time.Second, Replicas: 5, Script: func(w *World) {
+		o := Run(Options{Seed: seed, Length: 40 * time.Second, Replicas: 5, Script: func(w *World) {
 			w.counted = true
 			w.every(4*time.Second, 6*time.Second, 4, func(i int) {
 				var stores []*proc
--- a/internal/testsupport/simulator/run.go
+++ b/internal/testsupport/simulator/run.go
@@ -12,8 +12,8 @@
 	"dunlinwell/internal/testsupport/checker"
 )
 
-// Params are the options of a run; zero ones take the defaults.
-type Params struct {
+// Options are the options of a run; zero ones take the defaults.
+type Options struct {
 	Seed   uint64
 	Plan   blueprint.Plan
 	Length time.Duration
@@ -24,15 +24,15 @@
 	PlanEvery  time.Duration
 	// Cost is what a request costs, in ms of CPU.
 	Cost float64
-	// Hot, if set, chooses the cell that a request begins in.
+	// Hot, if set, chooses the zone that a request begins in.
 	Hot func(w *World, drawn ids.Name) ids.Name
 	// Lease is the proxies' param of that name.
 	Lease time.Duration
-	// Hold is how long consumers hold a connection; zero for none.
+	// Hold is how long clients hold a connection; zero for none.
 	Hold time.Duration
-	// Brief is the share of consumers that hold none all the same.
+	// Brief is the share of clients that hold none all the same.
 	Brief float64
-	// Latency, if set, is the front-line latency of a proxy whose cell uses
+	// Latency, if set, is the front-line latency of a proxy whose zone uses
 	// so much CPU time.
 	Latency func(used float64) time.Duration
 	// Script, if set, brings faults about at set times instead of by lot.
@@ -55,7 +55,7 @@
 	Defect   Defect
 }
 
-func (p *Params) fill() {
+func (p *Options) fill() {
 	if p.Plan.Name == "" {
 		p.Plan = blueprint.Plans["small"]
 	}
@@ -71,7 +71,7 @@
 	if p.PlanEvery == 0 {
 		p.PlanEvery = 10 * time.Second
 	}
-	// Half of the consumers hold their connections for a while, wherever a fault
+	// Half of the clients hold their connections for a while, wherever a fault
 	// leaves the proxy at the other end.
 	if p.Hold == 0 && p.FaultEvery > 0 {
 		p.Hold, p.Brief = 8*time.Second, 0.5
@@ -94,7 +94,7 @@
 	// Struck counts the faults that came by lot, by kind.
 	Struck map[string]int
 	Log    []string
-	// History is what callers saw of the policy's register.
+	// History is what callers saw of the configuration's register.
 	History []Operation
 }
 
@@ -113,8 +113,8 @@
 	return []ids.Address{"10.9.1.1:1", "10.9.1.2:1", "10.9.1.3:1"}
 }
 
-func (w *World) addProc(role membership.Role, name string, cell ids.Name, addr ids.Address) *proc {
-	p := &proc{w: w, name: name, role: role, cell: cell, addr: addr, seeds: w.seeds()}
+func (w *World) addProc(role membership.Role, name string, zone ids.Name, addr ids.Address) *proc {
+	p := &proc{w: w, name: name, role: role, zone: zone, addr: addr, seeds: w.seeds()}
 	if role == membership.Store {
 		p.disk = newDisk(w)
 	}
@@ -131,7 +131,7 @@
 			n = w.Plan.Proxies
 		}
 		for k := range n {
-			p := w.addProc(role, fmt.Sprintf("%s-%d", role, k+1), w.Plan.Cell(k), ids.Address(fmt.Sprintf("10.9.%d.%d:1", i+1, k+1)))
+			p := w.addProc(role, fmt.Sprintf("%s-%d", role, k+1), w.Plan.Zone(k), ids.Address(fmt.Sprintf("10.9.%d.%d:1", i+1, k+1)))
 			p.bootstrap = true
 			w.later(w.between(0, 300*time.Millisecond), func() {
 				p.boot()
@@ -140,12 +140,12 @@
 		}
 	}
 	for range w.Replicas - 3 {
-		w.later(2500*time.Millisecond, func() { w.addStore(w.Plan.Cell(0)) })
+		w.later(2500*time.Millisecond, func() { w.addStore(w.Plan.Zone(0)) })
 	}
 	n := 0
 	for _, pool := range w.Plan.Pools {
 		for i := range pool.Targets {
-			t := &target{w: w, id: pool.Instance(i), service: pool.Service, cell: w.Plan.Cell(n), capacity: pool.Capacity,
+			t := &target{w: w, id: pool.Instance(i), service: pool.Service, zone: w.Plan.Zone(n), capacity: pool.Capacity,
 				addr: ids.Address(fmt.Sprintf("10.9.9.%d:1", n+1))}
 			w.pool = append(w.pool, t)
 			w.later(2*time.Second, func() { t.begin(false) })
@@ -155,12 +155,12 @@
 }
 
 // Run plays one seed: founding, load and faults, a quiet end, and the books.
-func Run(p Params) Outcome {
+func Run(p Options) Outcome {
 	w := NewWorld(p)
 	w.crowd.held = map[string]held{}
 	w.Truth.Allowed = float64(w.Plan.Allowed())
 	w.build()
-	w.later(time.Second, func() { w.policy() })
+	w.later(time.Second, func() { w.configuration() })
 	w.until(ids.Time(6 * time.Second))
 	w.arrivals()
 	w.watchLosses()
@@ -198,8 +198,8 @@
 	return o
 }
 
-// policy sets the plan's policy, as often as it takes.
-func (w *World) policy() {
+// configuration sets the plan's configuration, as often as it takes.
+func (w *World) configuration() {
 	w.change(string(w.Plan.Change()), func(configuration.Result) {})
 }
 
--- a/internal/testsupport/simulator/scenes.go
+++ b/internal/testsupport/simulator/scenes.go
@@ -13,7 +13,7 @@
 var Scenes = map[string]func(w *World){
 	"freeze-between-claim-and-send":       freezeAtClaim,
 	"swap-in-a-change-storm":              swapInStorm,
-	"core-restarts-while-a-cell-is-out":   coreRestartsCellOut,
+	"core-restarts-while-a-cell-is-out":   coreRestartsZoneOut,
 	"clock-jumps-in-the-retry-window":     clockJumps,
 	"stalled-disks-under-the-planner":     stalledDisks,
 	"one-way-cuts":                        oneWayCuts,
@@ -63,8 +63,8 @@
 	w.every(4*time.Second, 12*time.Second, 3, func(int) { w.swapCore() })
 }
 
-func coreRestartsCellOut(w *World) {
-	w.later(5*time.Second, func() { w.losePower(w.Plan.Cell(0), 8*time.Second) })
+func coreRestartsZoneOut(w *World) {
+	w.later(5*time.Second, func() { w.losePower(w.Plan.Zone(0), 8*time.Second) })
 	w.later(6*time.Second, func() {
 		for _, p := range w.procs {
 			if p.role != membership.Proxy && p.up && !p.lost {
@@ -107,7 +107,7 @@
 }
 
 // everyDiskLost wipes the whole core at once: on an operator's order it is founded
-// anew, and takes the policy back from the proxies.
+// anew, and takes the configuration back from the proxies.
 func everyDiskLost(w *World) {
 	w.counted = true
 	w.later(12*time.Second, func() {
@@ -137,9 +137,9 @@
 
 func regionLost(w *World) {
 	w.every(3*time.Second, 12*time.Second, 3, func(i int) {
-		r := w.Plan.Region(w.Plan.Cell(i))
-		for n := range w.Plan.Cells {
-			if c := w.Plan.Cell(n); w.Plan.Region(c) == r {
+		r := w.Plan.Region(w.Plan.Zone(i))
+		for n := range w.Plan.Zones {
+			if c := w.Plan.Zone(n); w.Plan.Region(c) == r {
 				w.losePower(c, 6*time.Second)
 			}
 		}
--- a/internal/testsupport/simulator/scenes_control.go
+++ b/internal/testsupport/simulator/scenes_control.go
@@ -15,7 +15,7 @@
 		w.cutOffMachine(w.machine(w.procs[i]), longCut, styles[i])
 	})
 	w.every(3*time.Second, 1100*ms, 40, func(i int) { w.flip(7000 + i) })
-	w.later(12*time.Second, func() { w.emptyCell() })
+	w.later(12*time.Second, func() { w.emptyZone() })
 }
 
 // coreMachineCutOffAndRestarted restarts a machine that is cut off, and proxies
@@ -30,7 +30,7 @@
 	w.every(6*time.Second, 3*time.Second, 3, func(i int) { w.bounce(w.living(membership.Proxy)[i], 300*ms) })
 	w.later(14*time.Second, func() {
 		for _, p := range w.core() {
-			if p.cell != m[0].cell {
+			if p.zone != m[0].zone {
 				w.bounce(p, w.restart())
 			}
 		}
--- a/internal/testsupport/simulator/scenes_network.go
+++ b/internal/testsupport/simulator/scenes_network.go
@@ -26,7 +26,7 @@
 func emptiedInSplit(w *World) {
 	w.every(3*time.Second, 16*time.Second, 3, func(int) {
 		w.split(11 * time.Second)
-		w.later(time.Second, func() { w.emptyCell() })
+		w.later(time.Second, func() { w.emptyZone() })
 	})
 }
 
@@ -43,6 +43,6 @@
 		w.trace("the proxies are cut off from the core")
 		w.cutOff(8*time.Second, &cut{a: func(n string, _ ids.Name) bool { q := w.named(n); return q != nil && q.role == membership.Proxy },
 			b: func(n string, _ ids.Name) bool { q := w.named(n); return q != nil && q.role != membership.Proxy }})
-		w.later(500*ms, func() { w.emptyCell(); w.flip(6000 + i) })
+		w.later(500*ms, func() { w.emptyZone(); w.flip(6000 + i) })
 	})
 }
--- a/internal/testsupport/simulator/scenes_target.go
+++ b/internal/testsupport/simulator/scenes_target.go
@@ -45,7 +45,7 @@
 	w.every(2*time.Second, 6*time.Second, 7, func(int) {
 		p := w.some(membership.Proxy)
 		for _, t := range w.pool {
-			if t.cell == p.cell {
+			if t.zone == p.zone {
 				w.unheard(t, p, 11*time.Second)
 			}
 		}
--- a/internal/testsupport/simulator/scenes_test.go
+++ b/internal/testsupport/simulator/scenes_test.go
@@ -11,7 +11,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(1); seed <= 3; seed++ {
-				p := Params{Seed: seed, Length: 50 * time.Second, Script: scene}
+				p := Options{Seed: seed, Length: 50 * time.Second, Script: scene}
 				o := Run(p)
 				report(t, o)
 				if o.Responses["answered"] < 500 || o.Changes < 20 {
--- a/internal/testsupport/simulator/seeds_test.go
+++ b/internal/testsupport/simulator/seeds_test.go
@@ -9,6 +9,6 @@
 // two replacements in a row leave the core whole.
 func TestSeedsTurnedOverThenReplaced(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
-		report(t, Run(Params{Seed: seed, Length: 40 * time.Second, Script: seedsTurnedThenReplaced}))
+		report(t, Run(Options{Seed: seed, Length: 40 * time.Second, Script: seedsTurnedThenReplaced}))
 	}
 }
--- a/internal/testsupport/simulator/simulator_test.go
+++ b/internal/testsupport/simulator/simulator_test.go
@@ -19,7 +19,7 @@
 func TestSeeds(t *testing.T) {
 	struck := map[string]int{}
 	for seed := uint64(1); seed <= 12; seed++ {
-		o := Run(Params{Seed: seed})
+		o := Run(Options{Seed: seed})
 		t.Logf("seed %d: %d events, %v, %d changes", seed, o.Events, o.Responses, o.Changes)
 		report(t, o)
 		if o.Pruned == 0 {
@@ -39,8 +39,8 @@
 // One seed is one run, to the last line.
 func TestSameSeedSameRun(t *testing.T) {
 	is := is.New(t)
-	a, b := Run(Params{Seed: 7}), Run(Params{Seed: 7})
+	a, b := Run(Options{Seed: 7}), Run(Options{Seed: 7})
 	is.Equal(a.Sum, b.Sum)
 	is.Equal(a.Events, b.Events)
-	is.True(a.Sum != Run(Params{Seed: 8}).Sum)
+	is.True(a.Sum != Run(Options{Seed: 8}).Sum)
 }
--- a/internal/testsupport/simulator/spill.go
+++ b/internal/testsupport/simulator/spill.go
@@ -12,7 +12,7 @@
 	"dunlinwell/internal/controlplane/spill"
 )
 
-// Point is how the spill stands at one time: what each cell uses, as its
+// Point is how the spill stands at one time: what each zone uses, as its
 // proxies measured it, and the moves in force.
 type Point struct {
 	At    time.Duration
@@ -20,11 +20,11 @@
 	Moves []spill.Move
 }
 
-// Out is the share of a cell's fresh connections that is handed on, all routes.
-func (p Point) Out(cell ids.Name) float64 {
+// Out is the share of a zone's fresh connections that is handed on, all routes.
+func (p Point) Out(zone ids.Name) float64 {
 	sum := 0.0
 	for _, m := range p.Moves {
-		if m.From == cell {
+		if m.From == zone {
 			sum += m.Fraction
 		}
 	}
@@ -52,15 +52,15 @@
 	w.later(every, again)
 }
 
-// costs sums what each cell's proxies have spent since the start.
+// costs sums what each zone's proxies have spent since the start.
 func (w *World) costs() map[ids.Name]float64 {
 	out := map[ids.Name]float64{}
-	for i := range w.Plan.Cells {
-		out[w.Plan.Cell(i)] = 0
+	for i := range w.Plan.Zones {
+		out[w.Plan.Zone(i)] = 0
 	}
 	for _, p := range w.procs {
 		if p.role == membership.Proxy {
-			out[p.cell] += p.total
+			out[p.zone] += p.total
 		}
 	}
 	return out
@@ -83,7 +83,7 @@
 }
 
 // Spill plays a load without faults but for the script, and gives its points.
-func Spill(p Params, every time.Duration) ([]Point, Outcome) {
+func Spill(p Options, every time.Duration) ([]Point, Outcome) {
 	var points []Point
 	script := p.Script
 	p.Script = func(w *World) {
--- a/internal/testsupport/simulator/spill_test.go
+++ b/internal/testsupport/simulator/spill_test.go
@@ -17,7 +17,7 @@
 	hotUntil = 600 * time.Second
 )
 
-// spillPlan is the small fleet with cells that can be filled: acceptable 400,
+// spillPlan is the small fleet with zones that can be filled: acceptable 400,
 // target 500, maximum 550 ms/s each.
 func spillPlan() blueprint.Plan {
 	p := blueprint.Plans["small"]
@@ -25,17 +25,17 @@
 	return p
 }
 
-// step sends four of five asks to one of the hot cells while it lasts.
+// step sends four of five asks to one of the hot zones while it lasts.
 func step(hot ...ids.Name) func(*World, ids.Name) ids.Name {
 	return func(w *World, drawn ids.Name) ids.Name {
-		if now := time.Duration(w.now); now >= hotFrom && now < hotUntil && w.dice.IntN(5) > 0 {
-			return hot[w.dice.IntN(len(hot))]
+		if now := time.Duration(w.now); now >= hotFrom && now < hotUntil && w.random.IntN(5) > 0 {
+			return hot[w.random.IntN(len(hot))]
 		}
 		return drawn
 	}
 }
 
-func spillRun(t *testing.T, p Params) []Point {
+func spillRun(t *testing.T, p Options) []Point {
 	t.Helper()
 	p.PlanEvery, p.FaultEvery = 30*time.Second, -1
 	if p.Plan.Name == "" {
@@ -52,12 +52,12 @@
 	return points
 }
 
-// changes counts how often a cell's share was planned anew between two times.
-func changes(points []Point, cell ids.Name, from, to time.Duration) int {
+// changes counts how often a zone's share was planned anew between two times.
+func changes(points []Point, zone ids.Name, from, to time.Duration) int {
 	n := 0
 	for i, p := range points {
 		if i > 0 && p.At > from && p.At < to {
-			if d := p.Out(cell) - points[i-1].Out(cell); d > 0.02 || d < -0.02 {
+			if d := p.Out(zone) - points[i-1].Out(zone); d > 0.02 || d < -0.02 {
 				n++
 			}
 		}
@@ -72,7 +72,7 @@
 		t.Run(hold.String(), func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			points := spillRun(t, Params{Seed: 1, Rate: 40, Hold: hold, Hot: step(a)})
+			points := spillRun(t, Options{Seed: 1, Rate: 40, Hold: hold, Hot: step(a)})
 			for _, p := range points {
 				if p.At > 300*time.Second && p.At < hotUntil {
 					is.True(p.Used[a] < 550*1.1 && p.Used[a] > 350) // settled around its target
@@ -89,11 +89,11 @@
 	}
 }
 
-// Two hot cells and one that has room: it is filled up to its acceptable
+// Two hot zones and one that has room: it is filled up to its acceptable
 // level, by both together.
-func TestTwoHotCellsShareTheRoom(t *testing.T) {
+func TestTwoHotZonesShareTheRoom(t *testing.T) {
 	is := is.New(t)
-	for _, p := range spillRun(t, Params{Seed: 2, Rate: 66, Length: 600 * time.Second, Hot: step(a, b)}) {
+	for _, p := range spillRun(t, Options{Seed: 2, Rate: 66, Length: 600 * time.Second, Hot: step(a, b)}) {
 		is.True(p.At < 90*time.Second || p.At > hotUntil || p.Used[c] < 400*1.1)
 		if p.At > 300*time.Second && p.At < hotUntil {
 			is.True(p.Used[a] < 550*1.1 && p.Used[b] < 550*1.1)
@@ -107,7 +107,7 @@
 func TestPlannerLostMidMove(t *testing.T) {
 	is := is.New(t)
 	var epochs []ids.Epoch
-	points := spillRun(t, Params{Seed: 3, Rate: 40, Length: 600 * time.Second, Hot: step(a), Script: func(w *World) {
+	points := spillRun(t, Options{Seed: 3, Rate: 40, Length: 600 * time.Second, Hot: step(a), Script: func(w *World) {
 		w.later(180*time.Second, func() {
 			epochs = append(epochs, w.planner().Moves().Epoch)
 			w.bounce(w.procs[3], 100*time.Second) // registry-1, first in the agreed order
@@ -129,7 +129,7 @@
 // which the witness judges, and what moved there finds other room.
 func TestDestinationEmptiedMidMove(t *testing.T) {
 	is := is.New(t)
-	for _, p := range spillRun(t, Params{Seed: 4, Rate: 40, Length: 600 * time.Second, Hot: step(a), Script: func(w *World) {
+	for _, p := range spillRun(t, Options{Seed: 4, Rate: 40, Length: 600 * time.Second, Hot: step(a), Script: func(w *World) {
 		w.later(240*time.Second, func() { w.setEmptied(c, true, func() { w.office.emptie = c }) })
 	}}) {
 		for _, m := range p.Moves {
@@ -148,7 +148,7 @@
 func TestStaleDestination(t *testing.T) {
 	is := is.New(t)
 	silent := false
-	p := Params{Seed: 5, Rate: 40, Length: 600 * time.Second, Hot: step(a), Script: func(w *World) {
+	p := Options{Seed: 5, Rate: 40, Length: 600 * time.Second, Hot: step(a), Script: func(w *World) {
 		w.later(240*time.Second, func() { silent = true })
 		w.later(580*time.Second, func() { silent = false })
 	}}
@@ -176,7 +176,7 @@
 }
 
 // The default maximum is set far too high. It is learned from what the proxies
-// measure that latency passes 20 ms at 560 ms/s, and the cell sheds there.
+// measure that latency passes 20 ms at 560 ms/s, and the zone sheds there.
 func TestLearnedMaximumActs(t *testing.T) {
 	is := is.New(t)
 	slow := func(used float64) time.Duration {
@@ -186,7 +186,7 @@
 	plan.Maximum = 800
 	settled := map[bool]float64{}
 	for _, learns := range []bool{false, true} {
-		p := Params{Seed: 6, Rate: 42, Length: 600 * time.Second, Hot: step(a), Plan: plan}
+		p := Options{Seed: 6, Rate: 42, Length: 600 * time.Second, Hot: step(a), Plan: plan}
 		if learns {
 			p.Latency = slow
 		}
--- a/internal/testsupport/simulator/target.go
+++ b/internal/testsupport/simulator/target.go
@@ -19,7 +19,7 @@
 	w           *World
 	id          ids.InstanceID
 	service     ids.Name
-	cell        ids.Name
+	zone        ids.Name
 	addr        ids.Address
 	capacity    int
 	up          bool
@@ -90,14 +90,14 @@
 // announce tells some registry that can be reached.
 func (t *target) announce() {
 	t.sequence++
-	a := targets.Target{Instance: t.id, Incarnation: t.incarnation, Sequence: t.sequence, Service: t.service, Address: t.addr, Cell: t.cell,
+	a := targets.Target{Instance: t.id, Incarnation: t.incarnation, Sequence: t.sequence, Service: t.service, Address: t.addr, Zone: t.zone,
 		Leaving: t.leaving, Warmth: t.warmth(), Occupancy: int64(t.busy), Capacity: int64(t.capacity), Interval: uint32(announceEvery / time.Millisecond)}
 	gen := t.gen
 	t.via = t.w.anyRegistry()
 	if t.via == nil {
 		return
 	}
-	t.w.callAt(t.via, string(t.id), t.cell, func(id uint64) any { t.heard = t.w.now; return registry.HeartbeatCall{ID: id, Target: a} }, func(registry.Response) {
+	t.w.callAt(t.via, string(t.id), t.zone, func(id uint64) any { t.heard = t.w.now; return registry.HeartbeatCall{ID: id, Target: a} }, func(registry.Response) {
 		// From here on the system has learned that it leaves.
 		if t.gen == gen && a.Leaving && t.left == 0 {
 			t.left = t.w.now
@@ -118,8 +118,8 @@
 // is when its bytes left the proxy, and came when they reached the target.
 func (t *target) run(e *errand, p *proc, s ids.Name, sent, came ids.Time, left time.Duration, done func(idempotency.Response, bool)) {
 	t.busy++
-	r := checker.Ran{At: t.w.clock(), Sent: clock(sent), Instance: t.id, Service: t.service, Cell: t.cell, Token: e.token, Mark: string(e.IdempotencyKey), Attempt: e.try, Untold: e.Job.Attempt == 0,
-		After: t.knownFor(came), Route: e.Route, Left: left, Proxy: p.name, By: p.cell}
+	r := checker.Ran{At: t.w.clock(), Sent: clock(sent), Instance: t.id, Service: t.service, Zone: t.zone, Token: e.token, Mark: string(e.IdempotencyKey), Attempt: e.try, Untold: e.Job.Attempt == 0,
+		After: t.knownFor(came), Route: e.Route, Left: left, Proxy: p.name, By: p.zone}
 	t.w.Truth.Run(r)
 	t.w.trace("%s runs %s attempt %d for %s", t.id, e.token, e.try, p.name)
 	if s != t.service {
@@ -129,14 +129,14 @@
 		t.w.Truth.Flood("%s had %d at once and bears %.1f, at %s", t.id, t.busy, bears, time.Duration(t.w.now))
 	}
 	gen := t.gen
-	body := fmt.Sprintf("%s/%s/%x", e.token, t.id, t.w.dice.Uint64())
+	body := fmt.Sprintf("%s/%s/%x", e.token, t.id, t.w.random.Uint64())
 	t.w.later(t.w.between(workTime/2, workTime*3/2), func() {
 		if t.gen != gen {
 			done(idempotency.Response{}, false)
 			return
 		}
 		t.busy--
-		bad := t.w.dice.Float64()
+		bad := t.w.random.Float64()
 		done(idempotency.Response{Status: 200, Body: []byte(body)}, bad >= t.mute+t.spoil)
 	})
 }
@@ -152,12 +152,12 @@
 	if len(up) == 0 {
 		return nil
 	}
-	return up[w.dice.IntN(len(up))]
+	return up[w.random.IntN(len(up))]
 }
 
 // call is an outside call to some registry that is up and within reach; none
 // is called where nobody is. Lost, if given, hears of a call that got no word.
-func (w *World) call(name string, cell ids.Name, make1 func(id uint64) any, done func(registry.Response), lost func()) {
+func (w *World) call(name string, zone ids.Name, make1 func(id uint64) any, done func(registry.Response), lost func()) {
 	p := w.anyRegistry()
 	if p == nil {
 		if lost != nil {
@@ -165,11 +165,11 @@
 		}
 		return
 	}
-	w.callAt(p, name, cell, make1, done, lost)
+	w.callAt(p, name, zone, make1, done, lost)
 }
 
 // callAt is an outside call to one registry.
-func (w *World) callAt(p *proc, name string, cell ids.Name, make1 func(id uint64) any, done func(registry.Response), lost func()) {
+func (w *World) callAt(p *proc, name string, zone ids.Name, make1 func(id uint64) any, done func(registry.Response), lost func()) {
 	over := false
 	var call *exchange
 	once := func(f func()) {
@@ -178,16 +178,16 @@
 			f()
 		}
 	}
-	call = w.begin(&exchange{from: name, to: p.name, fromZone: cell, toZone: p.cell, broken: func() { once(lost) }})
+	call = w.begin(&exchange{from: name, to: p.name, fromZone: zone, toZone: p.zone, broken: func() { once(lost) }})
 	w.later(w.waits(name), func() { once(lost) })
-	if w.refused(name, cell, p.name, p.cell) {
+	if w.refused(name, zone, p.name, p.zone) {
 		w.later(time.Millisecond, func() { once(lost) })
 		return
 	}
-	if !w.open(name, cell, p.name, p.cell) {
+	if !w.open(name, zone, p.name, p.zone) {
 		return
 	}
-	w.later(w.far(cell, p.cell), func() {
+	w.later(w.far(zone, p.zone), func() {
 		if !p.up {
 			w.later(time.Millisecond, func() { once(lost) })
 			return
@@ -201,8 +201,8 @@
 					return
 				}
 			}
-			if w.open(p.name, p.cell, name, cell) {
-				w.later(w.far(p.cell, cell), func() { once(func() { done(r) }) })
+			if w.open(p.name, p.zone, name, zone) {
+				w.later(w.far(p.zone, zone), func() { once(func() { done(r) }) })
 			}
 		}
 		p.take(make1(id))
--- a/internal/testsupport/simulator/tolerance.go
+++ b/internal/testsupport/simulator/tolerance.go
@@ -59,7 +59,7 @@
 // severed tells whether a cut keeps what one process sends from another.
 func (w *World) severed(from, to *proc) bool {
 	for _, c := range w.cuts {
-		if c.crosses(from.name, from.cell, to.name, to.cell) {
+		if c.crosses(from.name, from.zone, to.name, to.zone) {
 			return true
 		}
 	}
--- a/internal/testsupport/simulator/trace_test.go
+++ b/internal/testsupport/simulator/trace_test.go
@@ -33,7 +33,7 @@
 	is := is.New(t)
 	traces := map[string]*bytes.Buffer{}
 	if *record {
-		p := Params{Seed: 3, Length: 20 * time.Second, Traces: map[string]io.Writer{}, TraceFor: 13 * time.Second, FaultEvery: 700 * time.Millisecond}
+		p := Options{Seed: 3, Length: 20 * time.Second, Traces: map[string]io.Writer{}, TraceFor: 13 * time.Second, FaultEvery: 700 * time.Millisecond}
 		for _, n := range recordedMachines {
 			traces[n] = &bytes.Buffer{}
 			p.Traces[n] = traces[n]
--- a/internal/testsupport/simulator/tracerecorder.go
+++ b/internal/testsupport/simulator/tracerecorder.go
@@ -21,7 +21,7 @@
 // made with.
 type TraceHeader struct {
 	Roll       membership.Options
-	Dice       [2]uint64
+	Random     [2]uint64
 	Store, Run uint64
 	PlanEvery  time.Duration
 	Lease      time.Duration
@@ -31,12 +31,12 @@
 
 // machine makes the machine of a role.
 func (h TraceHeader) machine(storage *disk) event.Machine {
-	dice := rand.New(rand.NewPCG(h.Dice[0], h.Dice[1]))
+	random := rand.New(rand.NewPCG(h.Random[0], h.Random[1]))
 	switch h.Roll.Self.Role {
 	case membership.Store:
-		return store.New(store.Options{Options: h.Roll, Store: h.Store, Run: h.Run, Storage: storage, Random: dice, Bootstrap: h.Bootstrap})
+		return store.New(store.Options{Options: h.Roll, Store: h.Store, Run: h.Run, Storage: storage, Random: random, Bootstrap: h.Bootstrap})
 	case membership.Registry:
-		return registry.New(registry.Options{Options: h.Roll, Random: dice, PlanEvery: h.PlanEvery})
+		return registry.New(registry.Options{Options: h.Roll, Random: random, PlanEvery: h.PlanEvery})
 	}
 	return proxy.New(h.Roll, proxy.ControlOptions{Lease: h.Lease})
 }
--- a/internal/testsupport/simulator/world.go
+++ b/internal/testsupport/simulator/world.go
@@ -42,11 +42,11 @@
 
 // World is one simulated run.
 type World struct {
-	Params
+	Options
 	now     ids.Time
 	seq     uint64
 	agenda  agenda
-	dice    *rand.Rand
+	random  *rand.Rand
 	procs   []*proc
 	at      map[ids.Address]*proc
 	pool    []*target
@@ -61,7 +61,7 @@
 	sum     uint64
 	Events  uint64
 	healed  ids.Time
-	// counted: every consumer numbers its attempts. One that doesn't gets
+	// counted: every client numbers its attempts. One that doesn't gets
 	// "may have run" for a while after marks were lost.
 	counted bool
 	// pruned counts the marks that disks forgot in time.
@@ -87,9 +87,9 @@
 }
 
 // NewWorld makes an empty world for a seed.
-func NewWorld(p Params) *World {
+func NewWorld(p Options) *World {
 	p.fill()
-	return &World{Params: p, dice: rand.New(rand.NewPCG(p.Seed, 0x64756e6c696e)), at: map[ids.Address]*proc{},
+	return &World{Options: p, random: rand.New(rand.NewPCG(p.Seed, 0x64756e6c696e)), at: map[ids.Address]*proc{},
 		owner: map[ids.Address]*target{}, Truth: &checker.Truth{}, net: weather{jitter: time.Millisecond},
 		connections: connections{resets: map[endpoints]int{}}, struck: map[string]int{}, office: office{taken: map[string]bool{}}}
 }
@@ -130,10 +130,10 @@
 
 // between draws a span.
 func (w *World) between(a, b time.Duration) time.Duration {
-	return a + time.Duration(w.dice.Int64N(int64(b-a)+1))
+	return a + time.Duration(w.random.Int64N(int64(b-a)+1))
 }
 
-// far is the time a message takes between two cells.
+// far is the time a message takes between two zones.
 func (w *World) far(a, b ids.Name) time.Duration {
 	base := 200 * time.Microsecond
 	switch {
@@ -153,7 +153,7 @@
 			return false
 		}
 	}
-	return w.net.loss == 0 || w.dice.Float64() >= w.net.loss
+	return w.net.loss == 0 || w.random.Float64() >= w.net.loss
 }
 
 // send carries a message between daemons.
@@ -169,7 +169,7 @@
 		}
 	}
 	n := 1
-	if w.net.double > 0 && w.dice.Float64() < w.net.double {
+	if w.net.double > 0 && w.random.Float64() < w.net.double {
 		n = 2
 	}
 	for range n {
@@ -177,12 +177,12 @@
 		if q == nil {
 			return
 		}
-		if to != from.addr && !w.open(from.name, from.cell, q.name, q.cell) {
+		if to != from.addr && !w.open(from.name, from.zone, q.name, q.zone) {
 			continue
 		}
 		d := time.Duration(0)
 		if to != from.addr {
-			d = w.far(from.cell, q.cell) + w.onLink(from, q, msg)
+			d = w.far(from.zone, q.zone) + w.onLink(from, q, msg)
 		}
 		pair := ends(from.name, q.name)
 		resets := w.connections.resets[pair]
--- a/internal/testsupport/testbed/circuits.go
+++ b/internal/testsupport/testbed/circuits.go
@@ -41,10 +41,10 @@
 	return callers.list[key]
 }
 
-// consumerAt is where a cell's consumers call from.
-func consumerAt(cell int) string { return fmt.Sprintf("127.%d.9.1", block+cell) }
+// clientAt is where a zone's clients call from.
+func clientAt(zone int) string { return fmt.Sprintf("127.%d.9.1", block+zone) }
 
-// heldEach is how many consumers of a cell and repeatable route hold a connection
+// heldEach is how many clients of a zone and repeatable route hold a connection
 // for as long as they are let, and heldEvery how often each sends something.
 const (
 	heldEach  = 2
@@ -52,33 +52,33 @@
 )
 
 // hold keeps one connection to one proxy until it ends, and tells who ended it.
-func (c *Consumers) hold(ctx context.Context, home int, w blueprint.Way, seat int) {
-	cell := c.Plan.Cell(home)
+func (c *Clients) hold(ctx context.Context, home int, w blueprint.Way, seat int) {
+	zone := c.Plan.Zone(home)
 	for n := 0; ctx.Err() == nil; n++ {
-		to, ok := c.where(w, cell, slots+seat)
+		to, ok := c.where(w, zone, slots+seat)
 		if !ok {
 			wait(ctx, 500*time.Millisecond)
 			continue
 		}
-		c.keep(ctx, home, w, to, fmt.Sprintf("held-%s-%s-%d-%d", cell, w.Route, seat, n))
+		c.keep(ctx, home, w, to, fmt.Sprintf("held-%s-%s-%d-%d", zone, w.Route, seat, n))
 		wait(ctx, 200*time.Millisecond)
 	}
 }
 
 // keep sends down one connection until it is not the same connection any more.
-func (c *Consumers) keep(ctx context.Context, home int, w blueprint.Way, to way, name string) {
-	line := &http.Transport{DialContext: dialer(consumerAt(home)).DialContext, MaxConnsPerHost: 1, DisableCompression: true}
+func (c *Clients) keep(ctx context.Context, home int, w blueprint.Way, to way, name string) {
+	line := &http.Transport{DialContext: dialer(clientAt(home)).DialContext, MaxConnsPerHost: 1, DisableCompression: true}
 	defer line.CloseIdleConnections()
 	client := &http.Client{Timeout: patience, Transport: line}
 	at := to.proxies[rand.IntN(len(to.proxies))]
 	for n := 0; ctx.Err() == nil; n++ {
 		again := false
 		trace := httptrace.WithClientTrace(context.Background(), &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) { again = i.Reused }})
-		g, closes := c.request(trace, client, w, at, to.cell, fmt.Sprintf("%s-%d", name, n), "", 1)
+		g, closes := c.request(trace, client, w, at, to.zone, fmt.Sprintf("%s-%d", name, n), "", 1)
 		g.Held = n > 0
 		// The first one opens the connection; whatever comes of it, none was held.
 		if n > 0 && !again && g.Class != "unreached" {
-			c.ended(at, to.cell, "the next request found it closed")
+			c.ended(at, to.zone, "the next request found it closed")
 			return
 		}
 		c.Truth.Respond(g)
@@ -87,20 +87,20 @@
 			return
 		}
 		if g.Class == "lost" || g.Class == "unreached" {
-			c.ended(at, to.cell, g.Problem)
+			c.ended(at, to.zone, g.Problem)
 			return
 		}
 		if closes {
-			c.ended(at, to.cell, "closed after an answer")
+			c.ended(at, to.zone, "closed after an answer")
 			return
 		}
 		wait(ctx, heldEvery/2+time.Duration(rand.Int64N(int64(heldEvery))))
 	}
 }
 
-func (c *Consumers) ended(at string, cell ids.Name, why string) {
+func (c *Clients) ended(at string, zone ids.Name, why string) {
 	now := time.Now()
-	c.Truth.Close(checker.Closed{At: now, Proxy: at, Cell: cell, Why: why, Excused: c.Stage.Excused(at, now)})
+	c.Truth.Close(checker.Closed{At: now, Proxy: at, Zone: zone, Why: why, Excused: c.Stage.Excused(at, now)})
 }
 
 // judge tells whether an answer is the one to this very request.
--- a/internal/testsupport/testbed/consumer.go
+++ b/internal/testsupport/testbed/consumer.go
@@ -18,10 +18,10 @@
 	"dunlinwell/internal/testsupport/checker"
 )
 
-// Consumers are stand-in consumers: they ask where to go, trust the answer for
+// Clients are stand-in clients: they ask where to go, trust the answer for
 // as long as it says, carry a deadline and a mark, and ask again as a person's
 // program would. Some hold a connection for as long as they are let.
-type Consumers struct {
+type Clients struct {
 	Plan       blueprint.Plan
 	Truth      *checker.Truth
 	Registries func() []string
@@ -32,12 +32,12 @@
 	mu    sync.Mutex
 	ways  map[string]way
 	open  sync.WaitGroup
-	// hot, if set, is the cell that most requests begin in.
+	// hot, if set, is the zone that most requests begin in.
 	hot atomic.Pointer[ids.Name]
 }
 
 type way struct {
-	cell    ids.Name
+	zone    ids.Name
 	proxies []string
 	until   time.Time
 }
@@ -46,15 +46,15 @@
 	patience   = 4 * time.Second
 	mostTries  = 4
 	mostActive = 4000
-	// hotShare is how many of a hundred requests begin in a hot cell.
+	// hotShare is how many of a hundred requests begin in a hot zone.
 	hotShare = 60
 )
 
 // Run sends requests at the plan's rate until the context ends, then waits for
 // those under way.
-func (c *Consumers) Run(ctx context.Context) {
+func (c *Clients) Run(ctx context.Context) {
 	c.ways = map[string]way{}
-	for home := range c.Plan.Cells {
+	for home := range c.Plan.Zones {
 		for _, w := range c.Plan.Ways {
 			for seat := range heldEach {
 				if w.Repeatable {
@@ -81,7 +81,7 @@
 	c.open.Wait()
 }
 
-func (c *Consumers) draw() blueprint.Way {
+func (c *Clients) draw() blueprint.Way {
 	x := rand.Float64()
 	for _, w := range c.Plan.Ways {
 		if x -= w.Share; x < 0 {
@@ -92,17 +92,17 @@
 }
 
 // one is one request with its repeats.
-func (c *Consumers) one() {
+func (c *Clients) one() {
 	w, n := c.draw(), c.next.Add(1)
 	// Some ask for the route that operators move about.
 	loose := rand.IntN(15) == 0
 	if loose {
 		w = blueprint.Way{Route: blueprint.Flip, Prefix: "/" + blueprint.Flip, Repeatable: true}
 	}
-	home := rand.IntN(c.Plan.Cells)
+	home := rand.IntN(c.Plan.Zones)
 	if h := c.hot.Load(); h != nil && rand.IntN(100) < hotShare {
-		for i := range c.Plan.Cells {
-			if c.Plan.Cell(i) == *h {
+		for i := range c.Plan.Zones {
+			if c.Plan.Zone(i) == *h {
 				home = i
 			}
 		}
@@ -127,7 +127,7 @@
 }
 
 // where asks the directory, and keeps to its answer for its lifetime.
-func (c *Consumers) where(w blueprint.Way, home ids.Name, slot int) (way, bool) {
+func (c *Clients) where(w blueprint.Way, home ids.Name, slot int) (way, bool) {
 	key := key(home, w, slot)
 	c.mu.Lock()
 	have, ok := c.ways[key]
@@ -141,7 +141,7 @@
 			continue
 		}
 		var ans struct {
-			Cell     ids.Name `json:"cell"`
+			Zone     ids.Name `json:"cell"`
 			Proxies  []string `json:"proxies"`
 			Lifetime int64    `json:"lifetime_ms"`
 		}
@@ -150,8 +150,8 @@
 		if err != nil || res.StatusCode != 200 || len(ans.Proxies) == 0 {
 			continue
 		}
-		c.Truth.Pointed(checker.Asked{At: time.Now(), Home: home, To: ans.Cell, Route: w.Route})
-		have = way{ans.Cell, ans.Proxies, time.Now().Add(time.Duration(ans.Lifetime) * time.Millisecond)}
+		c.Truth.Pointed(checker.Asked{At: time.Now(), Home: home, To: ans.Zone, Route: w.Route})
+		have = way{ans.Zone, ans.Proxies, time.Now().Add(time.Duration(ans.Lifetime) * time.Millisecond)}
 		c.mu.Lock()
 		c.ways[key] = have
 		c.mu.Unlock()
@@ -160,51 +160,51 @@
 	return have, false
 }
 
-// slots is how many consumers of a cell and route ask for themselves.
+// slots is how many clients of a zone and route ask for themselves.
 const slots = 8
 
 func key(home ids.Name, w blueprint.Way, slot int) string {
 	return fmt.Sprintf("%s/%s/%d", home, w.Route, slot)
 }
 
-// at is where the consumers of a cell call from.
-func (c *Consumers) at(cell ids.Name) string {
-	for i := range c.Plan.Cells {
-		if c.Plan.Cell(i) == cell {
-			return consumerAt(i)
+// at is where the clients of a zone call from.
+func (c *Clients) at(zone ids.Name) string {
+	for i := range c.Plan.Zones {
+		if c.Plan.Zone(i) == zone {
+			return clientAt(i)
 		}
 	}
-	return consumerAt(0)
+	return clientAt(0)
 }
 
-func (c *Consumers) forget(w blueprint.Way, home ids.Name, slot int) {
+func (c *Clients) forget(w blueprint.Way, home ids.Name, slot int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.ways, key(home, w, slot))
 }
 
-func (c *Consumers) send(w blueprint.Way, home int, token, mark string, try int) checker.Got {
-	cell := c.Plan.Cell(home)
+func (c *Clients) send(w blueprint.Way, home int, token, mark string, try int) checker.Got {
+	zone := c.Plan.Zone(home)
 	slot := rand.IntN(slots)
-	to, ok := c.where(w, cell, slot)
+	to, ok := c.where(w, zone, slot)
 	if !ok {
 		now := time.Now()
 		return checker.Got{Sent: now, At: now, Token: token, Mark: mark, Attempt: try, Class: "unreached"}
 	}
 	at := to.proxies[rand.IntN(len(to.proxies))]
-	trip := c.Delay(consumerAt(home), host(at))
+	trip := c.Delay(clientAt(home), host(at))
 	time.Sleep(trip)
 	defer time.Sleep(trip)
-	g, _ := c.request(context.Background(), from(consumerAt(home), patience+time.Second), w, at, to.cell, token, mark, try)
+	g, _ := c.request(context.Background(), from(clientAt(home), patience+time.Second), w, at, to.zone, token, mark, try)
 	if g.Class != "answered" {
-		c.forget(w, cell, slot)
+		c.forget(w, zone, slot)
 	}
 	return g
 }
 
 // request sends one attempt to a proxy; closes tells that its connection ends.
-func (c *Consumers) request(ctx context.Context, client *http.Client, w blueprint.Way, at string, cell ids.Name, token, mark string, try int) (g checker.Got, closes bool) {
-	g = checker.Got{Sent: time.Now(), Token: token, Mark: mark, Attempt: try, Class: "lost", Proxy: at, Cell: cell}
+func (c *Clients) request(ctx context.Context, client *http.Client, w blueprint.Way, at string, zone ids.Name, token, mark string, try int) (g checker.Got, closes bool) {
+	g = checker.Got{Sent: time.Now(), Token: token, Mark: mark, Attempt: try, Class: "lost", Proxy: at, Zone: zone}
 	defer func() { g.At = time.Now() }()
 	uri := fmt.Sprintf("%s/item?token=%s&service=%s", w.Prefix, token, w.Service)
 	method, body := http.MethodGet, ""
--- a/internal/testsupport/testbed/deeds.go
+++ b/internal/testsupport/testbed/deeds.go
@@ -58,17 +58,17 @@
 	case "herd":
 		s.lose(func(p *Process) bool { return p.Role == d.Who }, func(*Target) bool { return false }, d, rest)
 	case "lose-cell", "lose-region":
-		cells := cellsOf(s.Plan, d.Who)
-		s.lose(func(p *Process) bool { return slices.Contains(cells, p.Cell) }, func(t *Target) bool { return slices.Contains(cells, t.Cell) }, d, rest)
+		zones := zonesOf(s.Plan, d.Who)
+		s.lose(func(p *Process) bool { return slices.Contains(zones, p.Zone) }, func(t *Target) bool { return slices.Contains(zones, t.Zone) }, d, rest)
 	case "empty":
 		s.emptyFor(ids.Name(d.Who), rest)
 	case "storm":
 		s.operators.Storm(ctx, d.Count, time.Duration(d.For))
 	case "hot":
-		cell := ids.Name(d.Who)
-		s.consumers.hot.Store(&cell)
+		zone := ids.Name(d.Who)
+		s.clients.hot.Store(&zone)
 		rest()
-		s.consumers.hot.Store(nil)
+		s.clients.hot.Store(nil)
 	case "stall-disk":
 		for _, p := range s.Machine(d.Who) {
 			s.stall(ctx, p, time.Duration(d.For))
@@ -203,7 +203,7 @@
 	}
 }
 
-// emptyFor empties a cell for a while, through any daemon.
+// emptyFor empties a zone for a while, through any daemon.
 func (s *Stage) emptyFor(c ids.Name, rest func()) {
 	id, _ := s.operators.id("empty")
 	asked := time.Now()
--- a/internal/testsupport/testbed/fleet.go
+++ b/internal/testsupport/testbed/fleet.go
@@ -19,7 +19,7 @@
 // Process is one daemon of the fleet.
 type Process struct {
 	Role, Name    string
-	Cell          ids.Name
+	Zone          ids.Name
 	Address, HTTP string
 	Data          string
 	cmd           *exec.Cmd
@@ -58,30 +58,30 @@
 	return 0
 }
 
-// lay gives a process its addresses. Core machines stand in the first cell of
+// lay gives a process its addresses. Core machines stand in the first zone of
 // each region, so that losing a region loses one.
-func (f *Fleet) lay(role string, code, n int, cell int) (*Process, error) {
-	p := &Process{Role: role, Name: fmt.Sprintf("%s-%d", role, n+1), Cell: f.Plan.Cell(cell)}
+func (f *Fleet) lay(role string, code, n int, zone int) (*Process, error) {
+	p := &Process{Role: role, Name: fmt.Sprintf("%s-%d", role, n+1), Zone: f.Plan.Zone(zone)}
 	var err error
-	if p.Address, err = loopback(cell, code, n, f.port(7401)); err != nil {
+	if p.Address, err = loopback(zone, code, n, f.port(7401)); err != nil {
 		return nil, err
 	}
-	if p.HTTP, err = loopback(cell, code, n, f.port(7400)); err != nil {
+	if p.HTTP, err = loopback(zone, code, n, f.port(7400)); err != nil {
 		return nil, err
 	}
 	if f.relay != nil {
-		if p.bound, err = f.behind(p.Address, cell, code, n); err != nil {
+		if p.bound, err = f.behind(p.Address, zone, code, n); err != nil {
 			return nil, err
 		}
-		p.pages, err = f.behind(p.HTTP, cell, code, n)
+		p.pages, err = f.behind(p.HTTP, zone, code, n)
 	}
 	p.Data = filepath.Join(f.Dir, p.Name)
 	return p, err
 }
 
 // behind gives an address of the same machine that another leads to.
-func (f *Fleet) behind(address string, cell, code, n int) (string, error) {
-	at, err := loopback(cell, code, n, 0)
+func (f *Fleet) behind(address string, zone, code, n int) (string, error) {
+	at, err := loopback(zone, code, n, 0)
 	if err != nil {
 		return "", err
 	}
@@ -91,7 +91,7 @@
 // Start lays out the fleet and starts it.
 func (f *Fleet) Start() error {
 	for n := range 3 {
-		p, err := f.lay("store", 1, n, n%f.Plan.Cells)
+		p, err := f.lay("store", 1, n, n%f.Plan.Zones)
 		if err != nil {
 			return err
 		}
@@ -99,14 +99,14 @@
 		f.Procs = append(f.Procs, p)
 	}
 	for n := range 3 {
-		p, err := f.lay("registry", 2, n, n%f.Plan.Cells)
+		p, err := f.lay("registry", 2, n, n%f.Plan.Zones)
 		if err != nil {
 			return err
 		}
 		f.Procs = append(f.Procs, p)
 	}
 	for n := range f.Proxies {
-		p, err := f.lay("proxy", 3, n, n%f.Plan.Cells)
+		p, err := f.lay("proxy", 3, n, n%f.Plan.Zones)
 		if err != nil {
 			return err
 		}
@@ -129,7 +129,7 @@
 
 // Run starts a process that isn't running.
 func (f *Fleet) Run(p *Process) error {
-	args := []string{"--name", p.Name, "--address", p.Address, "--http", p.HTTP, "--cell", string(p.Cell), "--seeds", strings.Join(f.seeds, ",")}
+	args := []string{"--name", p.Name, "--address", p.Address, "--http", p.HTTP, "--cell", string(p.Zone), "--seeds", strings.Join(f.seeds, ",")}
 	if p.bound != "" {
 		args = append(args, "--bind", p.bound, "--http-bind", p.pages)
 	}
--- a/internal/testsupport/testbed/machines.go
+++ b/internal/testsupport/testbed/machines.go
@@ -30,17 +30,17 @@
 	return append([]*Process{}, f.Procs...)
 }
 
-// replace puts up a blank process of the same role and cell at a new address.
+// replace puts up a blank process of the same role and zone at a new address.
 func (f *Fleet) replace(lost *Process) (*Process, error) {
 	f.Kill(lost)
 	lost.Gone = true
 	if err := os.RemoveAll(lost.Data); err != nil {
 		return nil, errs.Wrap(err, "lose data folder", lost.Name)
 	}
-	cell := 0
-	for n := range f.Plan.Cells {
-		if f.Plan.Cell(n) == lost.Cell {
-			cell = n
+	zone := 0
+	for n := range f.Plan.Zones {
+		if f.Plan.Zone(n) == lost.Zone {
+			zone = n
 		}
 	}
 	code := 1
@@ -50,7 +50,7 @@
 	f.mu.Lock()
 	n := f.made
 	f.mu.Unlock()
-	p, err := f.lay(lost.Role, code, n, cell)
+	p, err := f.lay(lost.Role, code, n, zone)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testsupport/testbed/net.go
+++ b/internal/testsupport/testbed/net.go
@@ -11,11 +11,11 @@
 // delay is the time one way between two loopback addresses, by their regions.
 func (s *Stage) delay(from, to string) time.Duration {
 	region := func(ip string) string {
-		var cell, x, y int
-		if _, err := fmt.Sscanf(ip, "127.%d.%d.%d", &cell, &x, &y); err != nil || cell < block {
+		var zone, x, y int
+		if _, err := fmt.Sscanf(ip, "127.%d.%d.%d", &zone, &x, &y); err != nil || zone < block {
 			return ""
 		}
-		return s.Region(s.Plan.Cell(cell - block))
+		return s.Region(s.Plan.Zone(zone - block))
 	}
 	if a, b := region(from), region(to); a == "" || b == "" || a == b {
 		return 0
@@ -49,16 +49,16 @@
 	}
 }
 
-// cellOf tells where a daemon stands.
-func (s *Stage) cellOf(name string) ids.Name {
+// zoneOf tells where a daemon stands.
+func (s *Stage) zoneOf(name string) ids.Name {
 	if p := s.Get(name); p != nil {
-		return p.Cell
+		return p.Zone
 	}
 	return ""
 }
 
 // numbers gives the IP numbers that stand behind a name: of a daemon, a core
-// machine, a target, or all of a cell or region, its consumers too.
+// machine, a target, or all of a zone or region, its clients too.
 func (s *Stage) numbers(name string) map[string]bool {
 	out := map[string]bool{}
 	for _, p := range s.Machine(name) {
@@ -67,20 +67,20 @@
 	if t := s.target(name); t != nil {
 		out[host(t.Address)] = true
 	}
-	for _, c := range cellsOf(s.Plan, name) {
+	for _, c := range zonesOf(s.Plan, name) {
 		for _, p := range s.all() {
-			if p.Cell == c {
+			if p.Zone == c {
 				out[host(p.Address)] = true
 			}
 		}
 		for _, t := range s.Targets {
-			if t.Cell == c {
+			if t.Zone == c {
 				out[host(t.Address)] = true
 			}
 		}
-		for i := range s.Plan.Cells {
-			if s.Plan.Cell(i) == c {
-				out[consumerAt(i)] = true
+		for i := range s.Plan.Zones {
+			if s.Plan.Zone(i) == c {
+				out[clientAt(i)] = true
 			}
 		}
 	}
--- a/internal/testsupport/testbed/odd_test.go
+++ b/internal/testsupport/testbed/odd_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// oddRequests are odd requests of consumers, at a proxy.
+// oddRequests are odd requests of clients, at a proxy.
 func oddRequests() []odd {
 	order := func(head ...string) string { return ask("POST", "/orders/item", `{}`, head...) }
 	return []odd{
--- a/internal/testsupport/testbed/operators.go
+++ b/internal/testsupport/testbed/operators.go
@@ -31,7 +31,7 @@
 
 // NewOperators makes operators for a stage.
 func NewOperators(s *Stage) *Operators {
-	return &Operators{Stage: s, work: blueprint.Work{Plan: s.Plan, Dice: rand.New(rand.NewPCG(rand.Uint64(), 1))}}
+	return &Operators{Stage: s, work: blueprint.Work{Plan: s.Plan, Random: rand.New(rand.NewPCG(rand.Uint64(), 1))}}
 }
 
 // Run works until the context ends, and waits for what is under way.
@@ -49,7 +49,7 @@
 	return fmt.Sprintf("%s-%d", what, n), n
 }
 
-// draw gives the words of a change; the dice are shared.
+// draw gives the words of a change; the random are shared.
 func (o *Operators) draw(f func(blueprint.Work) string) string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -71,9 +71,9 @@
 	case x < 9:
 		o.race(id, n)
 	case x < 10:
-		o.decline(o.work.Broken(id, n))
+		o.reject(o.work.Broken(id, n))
 	case x < 11:
-		o.decline(o.work.Stale(id, n))
+		o.reject(o.work.Stale(id, n))
 	default:
 		if at, ok := o.any(); ok {
 			floor := o.Truth.Known()
@@ -133,14 +133,14 @@
 	return up[rand.IntN(len(up))], true
 }
 
-// operatorAt is where operators call from: no cell's consumers stand there.
+// operatorAt is where operators call from: no zone's clients stand there.
 func operatorAt() string { return fmt.Sprintf("127.%d.8.1", block) }
 
 // sendFor bounds how long a change is sent again under its id.
 const sendFor = 40 * time.Second
 
 // send sends a change, through one daemon after another, until its end is
-// known; it gives the revision, or zero for a change that was declined. One that
+// known; it gives the revision, or zero for a change that was rejected. One that
 // may give up does so where a daemon says that it was surely not accepted.
 func (o *Operators) send(raw string, giveUp bool) uint64 {
 	id := o.Truth.Ask([]byte(raw), time.Now())
@@ -170,16 +170,16 @@
 			return r.Revision
 		case res.StatusCode == http.StatusBadRequest:
 			o.Truth.Wrong("%s was declined by %s: %s", id, p.Name, said)
-			o.Truth.Decline(id)
+			o.Truth.Reject(id)
 			return 0
 		case res.StatusCode == http.StatusNotFound || res.StatusCode == http.StatusConflict:
-			o.Truth.Decline(id)
+			o.Truth.Reject(id)
 			return 0
 		case res.StatusCode == http.StatusServiceUnavailable:
 			// Surely not accepted: some operators leave it at that, and then it
 			// may never show.
 			if sure && giveUp && rand.IntN(3) == 0 {
-				o.Truth.Decline(id)
+				o.Truth.Reject(id)
 				return 0
 			}
 		default:
@@ -189,10 +189,10 @@
 	return 0
 }
 
-// decline sends a change that no daemon may accept.
-func (o *Operators) decline(raw string) {
+// reject sends a change that no daemon may accept.
+func (o *Operators) reject(raw string) {
 	id := o.Truth.Ask([]byte(raw), time.Now())
-	o.Truth.Decline(id)
+	o.Truth.Reject(id)
 	if p, ok := o.any(); ok {
 		res, err := from(operatorAt(), 4*time.Second).Post("http://"+p.HTTP+"/v1/change", "application/json", strings.NewReader(raw))
 		if err != nil {
@@ -205,11 +205,11 @@
 	}
 }
 
-// read reads the policy through one daemon.
-func (o *Operators) read(p *Process) (checker.Policy, error) {
+// read reads the configuration through one daemon.
+func (o *Operators) read(p *Process) (checker.Configuration, error) {
 	res, err := from(operatorAt(), 4*time.Second).Get("http://" + p.HTTP + "/v1/policy")
 	if err != nil {
-		return checker.Policy{}, err
+		return checker.Configuration{}, err
 	}
 	defer res.Body.Close()
 	raw, err := io.ReadAll(res.Body)
@@ -217,9 +217,9 @@
 		err = errs.New("read policy", p.Name, "status %d", res.StatusCode)
 	}
 	if err != nil {
-		return checker.Policy{}, err
+		return checker.Configuration{}, err
 	}
-	return checker.ReadPolicy(raw)
+	return checker.ReadConfiguration(raw)
 }
 
 // Books reads everything back through every daemon at the day's end.
@@ -229,7 +229,7 @@
 			continue
 		}
 		floor := o.Truth.Known()
-		var seen checker.Policy
+		var seen checker.Configuration
 		var err error
 		for until := time.Now().Add(10 * time.Second); time.Now().Before(until); time.Sleep(200 * time.Millisecond) {
 			if seen, err = o.read(p); err == nil {
--- a/internal/testsupport/testbed/plan.go
+++ b/internal/testsupport/testbed/plan.go
@@ -1,5 +1,5 @@
 // Package testbed plays a whole fleet on one machine: the real daemons as
-// processes, stand-in targets and consumers, faults, and a count of every
+// processes, stand-in targets and clients, faults, and a count of every
 // promise kept or broken, judged from what the stand-ins saw.
 package testbed
 
@@ -18,8 +18,8 @@
 
 // loopback gives an address of its own to each process. Port zero asks for
 // any free one.
-func loopback(cell, role, n, port int) (string, error) {
-	ip := fmt.Sprintf("127.%d.%d.%d", block+cell, role, n+1)
+func loopback(zone, role, n, port int) (string, error) {
+	ip := fmt.Sprintf("127.%d.%d.%d", block+zone, role, n+1)
 	if port != 0 {
 		return fmt.Sprintf("%s:%d", ip, port), nil
 	}
--- a/internal/testsupport/testbed/relay.go
+++ b/internal/testsupport/testbed/relay.go
@@ -116,21 +116,21 @@
 
 // pipe carries bytes one way, each no sooner than its delay.
 func (r *Relay) pipe(l *line, from, to net.Conn, delay time.Duration) {
-	inbox := make(chan piece, 1024)
+	queue := make(chan piece, 1024)
 	go func() {
-		defer close(inbox)
+		defer close(queue)
 		for {
 			buf := make([]byte, 32<<10)
 			n, err := from.Read(buf)
 			if n > 0 {
-				inbox <- piece{time.Now().Add(delay), buf[:n]}
+				queue <- piece{time.Now().Add(delay), buf[:n]}
 			}
 			if err != nil {
 				return
 			}
 		}
 	}()
-	for p := range inbox {
+	for p := range queue {
 		time.Sleep(time.Until(p.at))
 		r.mu.Lock()
 		blocked := r.blocked(l.from, l.to)
--- a/internal/testsupport/testbed/run.go
+++ b/internal/testsupport/testbed/run.go
@@ -26,8 +26,8 @@
 	Truth   *checker.Truth
 	Targets []*Target
 	Out     io.Writer
-	// consumers are those of the play that is on.
-	consumers *Consumers
+	// clients are those of the play that is on.
+	clients   *Clients
 	operators *Operators
 	watcher   atomic.Pointer[watcher]
 	probes    probes
@@ -35,8 +35,8 @@
 	fresh int
 }
 
-// Params are the options of a testbed.
-type Params struct {
+// Options are the options of a testbed.
+type Options struct {
 	Plan  string
 	Dir   string
 	Fixed bool
@@ -50,14 +50,14 @@
 	Other string
 	// Rate replaces the plan's requests a second.
 	Rate float64
-	// Target is each cell's comfortable level, instead of the plan's.
+	// Target is each zone's comfortable level, instead of the plan's.
 	Target float64
 	// PlanEvery is how often the spill is planned; zero for 5 s.
 	PlanEvery time.Duration
 }
 
-// Raise starts a fleet, sets its policy and starts its targets.
-func Raise(ctx context.Context, p Params) (*Stage, error) {
+// Raise starts a fleet, sets its configuration and starts its targets.
+func Raise(ctx context.Context, p Options) (*Stage, error) {
 	plan, ok := blueprint.Plans[p.Plan]
 	if !ok {
 		return nil, errs.New("choose plan", "", "there is no plan %q", p.Plan)
@@ -92,7 +92,7 @@
 	took, err := s.Await(ctx, 20*time.Second)
 	if err == nil {
 		fmt.Fprintf(s.Out, "fleet of %d daemons ready after %s\n", len(s.Procs), took.Round(time.Millisecond))
-		err = s.policy(ctx)
+		err = s.configuration(ctx)
 	}
 	if err == nil {
 		err = s.targets()
@@ -104,8 +104,8 @@
 	return s, nil
 }
 
-// policy sends the plan's whole change until it is accepted.
-func (s *Stage) policy(ctx context.Context) error {
+// configuration sends the plan's whole change until it is accepted.
+func (s *Stage) configuration(ctx context.Context) error {
 	last := ""
 	id := s.Truth.Ask(s.Change(), time.Now())
 	for until := time.Now().Add(10 * time.Second); time.Now().Before(until) && ctx.Err() == nil; time.Sleep(200 * time.Millisecond) {
@@ -144,15 +144,15 @@
 	n := 0
 	for _, pool := range s.Pools {
 		for i := range pool.Targets {
-			at, err := loopback(n%s.Cells, 4, n, 0)
+			at, err := loopback(n%s.Zones, 4, n, 0)
 			if err != nil {
 				return err
 			}
-			t := &Target{Instance: pool.Instance(i), Service: pool.Service, Cell: s.Plan.Cell(n), Address: at,
+			t := &Target{Instance: pool.Instance(i), Service: pool.Service, Zone: s.Plan.Zone(n), Address: at,
 				Capacity: pool.Capacity, Work: 20 * time.Millisecond, Truth: s.Truth, Registries: s.registries, Delay: s.trip,
-				RouteOf: s.routeOf, CellOf: s.cellOf, Ran: s.ran}
+				RouteOf: s.routeOf, ZoneOf: s.zoneOf, Ran: s.ran}
 			if s.relay != nil {
-				if t.bound, err = s.behind(at, n%s.Cells, 4, n); err != nil {
+				if t.bound, err = s.behind(at, n%s.Zones, 4, n); err != nil {
 					return err
 				}
 			}
@@ -181,8 +181,8 @@
 func (s *Stage) Play(ctx context.Context, d time.Duration, deed func(context.Context)) {
 	load, stop := context.WithTimeout(ctx, d)
 	defer stop()
-	c := &Consumers{Plan: s.Plan, Truth: s.Truth, Registries: s.registries, Delay: s.trip, Stage: s}
-	s.consumers = c
+	c := &Clients{Plan: s.Plan, Truth: s.Truth, Registries: s.registries, Delay: s.trip, Stage: s}
+	s.clients = c
 	s.operators = NewOperators(s)
 	var all sync.WaitGroup
 	all.Go(func() { c.Run(load) })
--- a/internal/testsupport/testbed/runbooks_test.go
+++ b/internal/testsupport/testbed/runbooks_test.go
@@ -33,7 +33,7 @@
 		b.t.Fatal(err)
 	}
 	var out bytes.Buffer
-	err = book.Run(runbook.Params{Values: values, Out: &out, Now: time.Now, Pause: func() { <-time.After(100 * time.Millisecond) },
+	err = book.Run(runbook.Options{Values: values, Out: &out, Now: time.Now, Pause: func() { <-time.After(100 * time.Millisecond) },
 		Hands: func(what string) bool { b.hands(what); return true },
 		Command: func(words []string) ([]byte, error) {
 			return cli.Capture(&cli.Context{At: b.at, Timeout: 8 * time.Second}, words)
@@ -46,17 +46,17 @@
 func TestRunbooksOnAFleet(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	s, err := Raise(ctx, Params{Plan: "small", Dir: t.TempDir(), Out: &bytes.Buffer{}})
+	s, err := Raise(ctx, Options{Plan: "small", Dir: t.TempDir(), Out: &bytes.Buffer{}})
 	is.NoErr(err)
 	defer s.Lower()
 	b := &books{t: t, stage: s, at: s.Of("registry")[1].HTTP}
 	is.NoErr(b.run("health", nil))
-	cell := map[string]string{"cell": "cell-b1", "route": "stock"}
-	is.NoErr(b.run("empty-cell", cell))
+	zone := map[string]string{"cell": "cell-b1", "route": "stock"}
+	is.NoErr(b.run("empty-cell", zone))
 	// Not again: the first step finds it emptied, and nothing else is done.
-	err = b.run("empty-cell", cell)
+	err = b.run("empty-cell", zone)
 	is.True(err != nil && strings.Contains(err.Error(), "step 1"))
-	is.NoErr(b.run("refill-cell", cell))
+	is.NoErr(b.run("refill-cell", zone))
 	b.hands = func(what string) {
 		name := strings.Fields(strings.TrimPrefix(what, "Restart "))[0]
 		p := s.Get(name)
--- a/internal/testsupport/testbed/script.go
+++ b/internal/testsupport/testbed/script.go
@@ -147,10 +147,10 @@
 	return ""
 }
 
-// whole tells whether one side of a split holds every cell.
+// whole tells whether one side of a split holds every zone.
 func whole(plan blueprint.Plan, side []string) bool {
-	for i := range plan.Cells {
-		c := plan.Cell(i)
+	for i := range plan.Zones {
+		c := plan.Zone(i)
 		if !slices.Contains(side, string(c)) && !slices.Contains(side, plan.Region(c)) {
 			return false
 		}
@@ -169,8 +169,8 @@
 	for i := range plan.Proxies {
 		out["daemon"] = append(out["daemon"], fmt.Sprintf("proxy-%d", i+1))
 	}
-	for i := range plan.Cells {
-		c := plan.Cell(i)
+	for i := range plan.Zones {
+		c := plan.Zone(i)
 		out["cell"] = append(out["cell"], string(c))
 		if r := plan.Region(c); !slices.Contains(out["region"], r) {
 			out["region"] = append(out["region"], r)
@@ -184,11 +184,11 @@
 	return out
 }
 
-// cellsOf names the cells of a region, or the one cell of that name.
-func cellsOf(plan blueprint.Plan, region string) []ids.Name {
+// zonesOf names the zones of a region, or the one zone of that name.
+func zonesOf(plan blueprint.Plan, region string) []ids.Name {
 	var out []ids.Name
-	for i := range plan.Cells {
-		if c := plan.Cell(i); plan.Region(c) == region || string(c) == region {
+	for i := range plan.Zones {
+		if c := plan.Zone(i); plan.Region(c) == region || string(c) == region {
 			out = append(out, c)
 		}
 	}
--- a/internal/testsupport/testbed/script_test.go
+++ b/internal/testsupport/testbed/script_test.go
@@ -11,7 +11,7 @@
 	"dunlinwell/internal/testsupport/blueprint"
 )
 
-// A script with anything wrong in it is declined whole, with file and step.
+// A script with anything wrong in it is rejected whole, with file and step.
 func TestBadScripts(t *testing.T) {
 	plan := blueprint.Plans["small"]
 	for raw, want := range map[string]string{
--- a/internal/testsupport/testbed/scripts.go
+++ b/internal/testsupport/testbed/scripts.go
@@ -10,37 +10,37 @@
 
 func at(n int) Span { return Span(time.Duration(n) * time.Second) }
 
-// Grand is the script in which a core machine, a cell and a region are lost in
+// Grand is the script in which a core machine, a zone and a region are lost in
 // turn, each restored before the next, with a herd and a rolling stop.
 func Grand(plan blueprint.Plan) *Script {
 	return &Script{Steps: []Deed{
 		{at(5), "kill", "registry-2", at(6), 0}, {at(5), "swap-core", "core-1", 0, 0},
-		{at(25), "lose-cell", string(plan.Cell(1)), at(6), 0},
-		{at(45), "lose-region", plan.Region(plan.Cell(2)), at(6), 0},
+		{at(25), "lose-cell", string(plan.Zone(1)), at(6), 0},
+		{at(45), "lose-region", plan.Region(plan.Zone(2)), at(6), 0},
 		{at(65), "herd", "proxy", at(2), 0},
-		{at(80), "empty", string(plan.Cell(0)), at(12), 0},
+		{at(80), "empty", string(plan.Zone(0)), at(12), 0},
 	}}
 }
 
-// Worst is the script in which everything comes at once: a hot cell, storms, a
-// region lost and one more core machine frozen as it returns, a cell emptied
+// Worst is the script in which everything comes at once: a hot zone, storms, a
+// region lost and one more core machine frozen as it returns, a zone emptied
 // meanwhile, a stalled disk, a split, targets that are frozen, unheard and
 // replaced, a core machine swapped, and all that runs killed at the day's end.
 func Worst(plan blueprint.Plan) *Script {
 	first := plan.Pools[0]
 	return &Script{Steps: []Deed{
-		{at(4), "hot", string(plan.Cell(0)), at(70), 0},
+		{at(4), "hot", string(plan.Zone(0)), at(70), 0},
 		{at(6), "storm", "operators", at(4), 300},
 		{at(12), "stall-disk", "store-3", at(4), 0},
-		{at(18), "lose-region", plan.Region(plan.Cell(1)), at(7), 0},
-		{at(19), "empty", string(plan.Cell(2)), at(11), 0},
+		{at(18), "lose-region", plan.Region(plan.Zone(1)), at(7), 0},
+		{at(19), "empty", string(plan.Zone(2)), at(11), 0},
 		{at(25), "freeze", "core-1", at(5), 0},
 		{at(34), "freeze-target", string(first.Instance(0)), at(8), 0},
 		{at(35), "cut-out", string(first.Instance(1)), at(9), 0},
 		{at(36), "replace-target", string(first.Instance(2)), 0, 0},
 		{at(38), "cut", "proxy-2", at(7), 0},
-		{at(46), "split", "core-1+" + plan.Region(plan.Cell(0)), at(8), 0},
-		{at(47), "empty", string(plan.Cell(1)), at(10), 0},
+		{at(46), "split", "core-1+" + plan.Region(plan.Zone(0)), at(8), 0},
+		{at(47), "empty", string(plan.Zone(1)), at(10), 0},
 		{at(58), "swap-core", "core-2", 0, 0},
 		{at(60), "storm", "operators", at(4), 300},
 		{at(74), "hand-over", string(first.Instance(3)), at(4), 0},
@@ -54,18 +54,18 @@
 		{at(50), "storm", "operators", at(3), 150}}}
 }
 
-// Hot is the script in which one cell is hot for several turns of the loop.
+// Hot is the script in which one zone is hot for several turns of the loop.
 func Hot(plan blueprint.Plan, length time.Duration) *Script {
-	return &Script{Steps: []Deed{{at(20), "hot", string(plan.Cell(0)), Span(length - 160*time.Second), 0}}}
+	return &Script{Steps: []Deed{{at(20), "hot", string(plan.Zone(0)), Span(length - 160*time.Second), 0}}}
 }
 
 // Drawn draws a script from a seed.
 func Drawn(plan blueprint.Plan, seed uint64, length time.Duration) *Script {
-	dice := rand.New(rand.NewPCG(seed, 7))
+	random := rand.New(rand.NewPCG(seed, 7))
 	names := who(plan)
 	pick := func(kinds []string) string {
-		kind := kinds[dice.IntN(len(kinds))]
-		return names[kind][dice.IntN(len(names[kind]))]
+		kind := kinds[random.IntN(len(kinds))]
+		return names[kind][random.IntN(len(names[kind]))]
 	}
 	var kinds []string
 	for k := range deeds {
@@ -75,8 +75,8 @@
 	out := &Script{}
 	swapped := ""
 	// The last part of the day is left to come back whole in.
-	for when := 4 * time.Second; when < length-20*time.Second; when += time.Duration(1500+dice.IntN(4000)) * time.Millisecond {
-		d := Deed{At: Span(when), Do: kinds[dice.IntN(len(kinds))], For: Span(time.Duration(500+dice.IntN(5500)) * time.Millisecond)}
+	for when := 4 * time.Second; when < length-20*time.Second; when += time.Duration(1500+random.IntN(4000)) * time.Millisecond {
+		d := Deed{At: Span(when), Do: kinds[random.IntN(len(kinds))], For: Span(time.Duration(500+random.IntN(5500)) * time.Millisecond)}
 		d.Who = pick(deeds[d.Do].to)
 		switch d.Do {
 		case "swap-core":
@@ -88,7 +88,7 @@
 		case "empty":
 			d.For = Span(9 * time.Second)
 		case "storm":
-			d.Count = 50 + dice.IntN(200)
+			d.Count = 50 + random.IntN(200)
 		}
 		if !deeds[d.Do].lasts {
 			d.For = 0
--- a/internal/testsupport/testbed/stands.go
+++ b/internal/testsupport/testbed/stands.go
@@ -74,15 +74,15 @@
 	defer s.lock.Unlock()
 	s.fresh++
 	n := 200 + s.fresh%50
-	cell := 0
-	for i := range s.Cells {
-		if s.Plan.Cell(i) == t.Cell {
-			cell = i
+	zone := 0
+	for i := range s.Zones {
+		if s.Plan.Zone(i) == t.Zone {
+			zone = i
 		}
 	}
-	at, err := loopback(cell, 4, n, 0)
+	at, err := loopback(zone, 4, n, 0)
 	if err == nil && s.relay != nil {
-		t.bound, err = s.behind(at, cell, 4, n)
+		t.bound, err = s.behind(at, zone, 4, n)
 	}
 	if err != nil {
 		s.Truth.Wrong("replace %s: %v", t.Instance, err)
--- a/internal/testsupport/testbed/stop_test.go
+++ b/internal/testsupport/testbed/stop_test.go
@@ -19,7 +19,7 @@
 	is := is.New(t)
 	ctx := context.Background()
 	var out bytes.Buffer
-	s, err := Raise(ctx, Params{Plan: "small", Dir: t.TempDir(), Out: &out})
+	s, err := Raise(ctx, Options{Plan: "small", Dir: t.TempDir(), Out: &out})
 	is.NoErr(err)
 	defer s.Lower()
 	// Some targets take far longer than the signals leave.
@@ -28,7 +28,7 @@
 			x.Work = 1500 * time.Millisecond
 		}
 	}
-	// Circuits that say one thing, and then nothing.
+	// Connections that say one thing, and then nothing.
 	var idle []*http.Transport
 	for _, p := range s.all() {
 		line := &http.Transport{}
--- a/internal/testsupport/testbed/target.go
+++ b/internal/testsupport/testbed/target.go
@@ -25,7 +25,7 @@
 type Target struct {
 	Instance ids.InstanceID
 	Service  ids.Name
-	Cell     ids.Name
+	Zone     ids.Name
 	Address  string
 	Capacity int
 	Work     time.Duration
@@ -53,10 +53,10 @@
 	// have heard from it.
 	gate   sync.RWMutex
 	silent atomic.Int64
-	// Routes tells a path's route, and CellOf where a proxy stands.
+	// Routes tells a path's route, and ZoneOf where a proxy stands.
 	RouteOf func(path string) ids.Name
-	CellOf  func(proxy string) ids.Name
-	// Ran hears of each run, by the cell of the proxy that it came by.
+	ZoneOf  func(proxy string) ids.Name
+	// Ran hears of each run, by the zone of the proxy that it came by.
 	Ran func(by ids.Name)
 }
 
@@ -137,7 +137,7 @@
 	t.mu.Lock()
 	t.sequence++
 	body, _ := json.Marshal(map[string]any{"instance": t.Instance, "incarnation": t.incarnation, "sequence": t.sequence,
-		"service": t.Service, "address": t.Address, "cell": t.Cell, "leaving": t.leaving, "warmth": t.warmth(),
+		"service": t.Service, "address": t.Address, "cell": t.Zone, "leaving": t.leaving, "warmth": t.warmth(),
 		"occupancy": t.busy.Load(), "capacity": t.Capacity, "interval_ms": 1000})
 	t.mu.Unlock()
 	for _, f := range t.Registries() {
@@ -196,13 +196,13 @@
 // note writes an execution down, and what is wrong with it.
 func (t *Target) note(r *http.Request, now int64, came time.Time) {
 	n, _ := strconv.Atoi(r.Header.Get("Attempt"))
-	ran := checker.Ran{At: time.Now(), Sent: came, Instance: t.Instance, Service: t.Service, Cell: t.Cell, Token: r.URL.Query().Get("token"), Mark: r.Header.Get("Idempotency-Key"), Attempt: n}
+	ran := checker.Ran{At: time.Now(), Sent: came, Instance: t.Instance, Service: t.Service, Zone: t.Zone, Token: r.URL.Query().Get("token"), Mark: r.Header.Get("Idempotency-Key"), Attempt: n}
 	if ms, err := strconv.Atoi(r.Header.Get("Time-Left")); err == nil {
 		ran.Left = time.Duration(ms) * time.Millisecond
 	}
 	// Its bytes had left by the time they came, before any freeze held them up.
 	ran.Proxy, ran.Route = carrier(r.Header.Get("Request-Id")), t.RouteOf(r.URL.Path)
-	ran.By = t.CellOf(ran.Proxy)
+	ran.By = t.ZoneOf(ran.Proxy)
 	t.Ran(ran.By)
 	t.mu.Lock()
 	if !t.left.IsZero() {
--- a/internal/testsupport/testbed/testbed_test.go
+++ b/internal/testsupport/testbed/testbed_test.go
@@ -48,7 +48,7 @@
 	is := is.New(t)
 	ctx := context.Background()
 	var out bytes.Buffer
-	s, err := Raise(ctx, Params{Plan: "small", Dir: t.TempDir(), Out: &out})
+	s, err := Raise(ctx, Options{Plan: "small", Dir: t.TempDir(), Out: &out})
 	is.NoErr(err)
 	defer s.Lower()
 	control(t, s)
@@ -123,7 +123,7 @@
 	is.True(strings.Contains(string(line), "another process holds it"))
 }
 
-// mistakes are bad calls: each is declined, and nothing changes.
+// mistakes are bad calls: each is rejected, and nothing changes.
 func mistakes(t *testing.T, s *Stage) {
 	is := is.New(t)
 	at := s.Of("registry")[0].HTTP
--- a/internal/testsupport/testbed/watch.go
+++ b/internal/testsupport/testbed/watch.go
@@ -18,7 +18,7 @@
 // statedCost is what stand-in targets state as the CPU time of a request.
 const statedCost = 5.0
 
-// watcher looks at the load that each cell really carries: the CPU time of its
+// watcher looks at the load that each zone really carries: the CPU time of its
 // proxies' processes, and what targets stated for the runs that came by them.
 type watcher struct {
 	*Stage
@@ -34,7 +34,7 @@
 	w.runs[by]++
 }
 
-// spent sums what each cell has spent so far, in ms.
+// spent sums what each zone has spent so far, in ms.
 func (w *watcher) spent() map[ids.Name]float64 {
 	out := map[ids.Name]float64{}
 	w.mu.Lock()
@@ -49,14 +49,14 @@
 		}
 		for name, v := range figures(client, p) {
 			if name == "process_cpu_seconds_total" {
-				out[p.Cell] += 1000 * v
+				out[p.Zone] += 1000 * v
 			}
 		}
 	}
 	return out
 }
 
-// Watch shows every so often what each cell uses against its levels, and what
+// Watch shows every so often what each zone uses against its levels, and what
 // is moved by tier, until the context ends; the witness sees the load as well.
 func (s *Stage) Watch(ctx context.Context, every time.Duration) {
 	w := &watcher{Stage: s, runs: map[ids.Name]float64{}}
@@ -67,8 +67,8 @@
 		now, span := w.spent(), time.Since(last).Seconds()
 		last = time.Now()
 		line := fmt.Sprintf("%6.0fs", time.Since(from).Seconds())
-		for i := range s.Cells {
-			c := s.Plan.Cell(i)
+		for i := range s.Zones {
+			c := s.Plan.Zone(i)
 			used := (now[c] - w.last[c]) / span
 			s.Truth.Occupancy(last, c, used, true)
 			line += fmt.Sprintf("  %s %4.0f", strings.TrimPrefix(string(c), "cell-"), used)
@@ -132,17 +132,17 @@
 	return out
 }
 
-// judgeOrder lets the witness judge the order of moves by the plan's policy.
+// judgeOrder lets the witness judge the order of moves by the plan's configuration.
 func (s *Stage) judgeOrder() {
 	o := checker.Order{Every: s.PlanEvery, Tier: s.tiers(), Distance: s.Plan.Distance, Acceptable: map[ids.Name]float64{}}
-	for i := range s.Cells {
-		o.Acceptable[s.Plan.Cell(i)] = 0.8 * s.Plan.Comfort()
+	for i := range s.Zones {
+		o.Acceptable[s.Plan.Zone(i)] = 0.8 * s.Plan.Comfort()
 	}
 	s.Truth.Ordered(o)
 }
 
-// PlayHot plays one hot cell with no other fault, so that nothing excuses a
-// held connection, and shows each cell's load over time.
+// PlayHot plays one hot zone with no other fault, so that nothing excuses a
+// held connection, and shows each zone's load over time.
 func (s *Stage) PlayHot(ctx context.Context, d time.Duration, script *Script) {
 	s.judgeOrder()
 	s.Truth.Calm = true
--- a/internal/transport/process/owner.go
+++ b/internal/transport/process/owner.go
@@ -16,28 +16,28 @@
 // for "never" in the machines.
 func Now() ids.Time { return ids.Time(time.Since(begun)) + 1 }
 
-// Owner is the one that steps a machine. Events come through its inbox.
+// Owner is the one that steps a machine. Events come through its queue.
 type Owner struct {
 	event.Machine
 	// Do carries out one command; it must not wait for the owner.
 	Do        func(event.Command)
 	TickEvery time.Duration
-	inbox     chan event.Event
+	queue     chan event.Event
 }
 
-// NewOwner makes an owner with an inbox of some length.
+// NewOwner makes an owner with a queue of some length.
 func NewOwner(m event.Machine, beat time.Duration, do func(event.Command)) *Owner {
-	return &Owner{Machine: m, Do: do, TickEvery: beat, inbox: make(chan event.Event, 4096)}
+	return &Owner{Machine: m, Do: do, TickEvery: beat, queue: make(chan event.Event, 4096)}
 }
 
-// Put hands an event in and waits if the inbox is full.
-func (o *Owner) Put(ev event.Event) { o.inbox <- ev }
+// Put hands an event in and waits if the queue is full.
+func (o *Owner) Put(ev event.Event) { o.queue <- ev }
 
-// Offer hands an event in unless the inbox is full; what comes off the wire
+// Offer hands an event in unless the queue is full; what comes off the wire
 // may be lost, and must not hold the connections up.
 func (o *Owner) Offer(ev event.Event) {
 	select {
-	case o.inbox <- ev:
+	case o.queue <- ev:
 	default:
 	}
 }
@@ -51,7 +51,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case ev = <-o.inbox:
+		case ev = <-o.queue:
 		case <-beat.C:
 			ev = event.Tick{}
 		}
--- a/internal/transport/wire/frame.go
+++ b/internal/transport/wire/frame.go
@@ -15,7 +15,7 @@
 	// Version is the wire format spoken here. Bodies grow only at their end,
 	// so a reader of any version takes what it knows and skips the rest.
 	Version = 1
-	// MaxBody bounds a frame, the largest of which is a whole policy; it is
+	// MaxBody bounds a frame, the largest of which is a whole configuration; it is
 	// checked before anything is allocated.
 	MaxBody = 96 << 20
 	// firstRoom is what a frame gets before its bytes are there.
--- a/internal/transport/wire/wire_test.go
+++ b/internal/transport/wire/wire_test.go
@@ -75,7 +75,7 @@
 	is.True(err != nil)
 }
 
-// A policy of many thousand items is one frame; a claim of as much costs nothing
+// A configuration of many thousand items is one frame; a claim of as much costs nothing
 // until the bytes are there.
 func TestLargeFrames(t *testing.T) {
 	is := is.New(t)
