--- a/cmd/dunlinwell/main.go
+++ b/cmd/dunlinwell/main.go
@@ -4,7 +4,7 @@
 import (
 	"os"
 
-	"dunlinwell/internal/cli"
+	"dunlinwell/internal/app/cli"
 )
 
 func main() { os.Exit(cli.Main(os.Args[1:])) }
--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -2,9 +2,9 @@
 package main
 
 import (
-	"dunlinwell/internal/config"
-	"dunlinwell/internal/daemon"
-	"dunlinwell/internal/proxy"
+	"dunlinwell/internal/app/daemon"
+	"dunlinwell/internal/base/config"
+	"dunlinwell/internal/dataplane/proxy"
 )
 
 func main() {
--- a/cmd/store/main.go
+++ b/cmd/store/main.go
@@ -2,8 +2,8 @@
 package main
 
 import (
-	"dunlinwell/internal/config"
-	"dunlinwell/internal/daemon"
+	"dunlinwell/internal/app/daemon"
+	"dunlinwell/internal/base/config"
 )
 
 func main() {
--- a/cmd/testbed/drill.go
+++ b/cmd/testbed/drill.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"dunlinwell/internal/blueprint"
-	"dunlinwell/internal/simulator"
+	"dunlinwell/internal/testsupport/blueprint"
+	"dunlinwell/internal/testsupport/simulator"
 )
 
 // DrillCmd plays seeds in the simulator.
--- a/cmd/testbed/hollow.go
+++ b/cmd/testbed/hollow.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"dunlinwell/internal/scaletest"
-	"dunlinwell/internal/testbed"
+	"dunlinwell/internal/testsupport/scaletest"
+	"dunlinwell/internal/testsupport/testbed"
 )
 
 // HollowCmd plays hollow fleets of several sizes, and fits what control costs.
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -11,9 +11,9 @@
 
 	"github.com/alecthomas/kong"
 
-	"dunlinwell/internal/blueprint"
-	"dunlinwell/internal/daemon"
-	"dunlinwell/internal/testbed"
+	"dunlinwell/internal/app/daemon"
+	"dunlinwell/internal/testsupport/blueprint"
+	"dunlinwell/internal/testsupport/testbed"
 )
 
 // UpCmd starts a fleet to try things on.
--- a/internal/api/api.go
+++ b/internal/app/api/api.go
@@ -14,10 +14,10 @@
 	"sync/atomic"
 	"time"
 
-	"dunlinwell/internal/errs"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/registry"
-	"dunlinwell/internal/targets"
+	"dunlinwell/internal/base/errs"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/registry"
+	"dunlinwell/internal/controlplane/targets"
 )
 
 // Window serves the calls of one registry.
--- a/internal/api/forward.go
+++ b/internal/app/api/forward.go
@@ -11,9 +11,9 @@
 	"slices"
 	"time"
 
-	"dunlinwell/internal/errs"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/policy"
+	"dunlinwell/internal/base/errs"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/state/policy"
 )
 
 func sortedNames(m map[ids.Name]policy.Item) []ids.Name {
--- a/internal/api/forward_test.go
+++ b/internal/app/api/forward_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // registryAnswering is a registry whose every answer has one status.
--- a/internal/api/forwardcut_test.go
+++ b/internal/app/api/forwardcut_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // cutter is a registry that ends each answer after some bytes, and notes the
--- a/internal/api/fuzz_test.go
+++ b/internal/app/api/fuzz_test.go
@@ -9,12 +9,12 @@
 	"sync"
 	"testing"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/policy"
-	"dunlinwell/internal/registry"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/registry"
+	"dunlinwell/internal/state/consensus"
+	"dunlinwell/internal/state/policy"
 )
 
 // office is a registry with one store that agrees at once, behind its pages.
--- a/internal/api/items.go
+++ b/internal/app/api/items.go
@@ -7,10 +7,10 @@
 	"strconv"
 	"strings"
 
-	"dunlinwell/internal/errs"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/policy"
-	"dunlinwell/internal/registry"
+	"dunlinwell/internal/base/errs"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/registry"
+	"dunlinwell/internal/state/policy"
 )
 
 // kinds are the words of the pages' paths.
--- a/internal/api/merge_test.go
+++ b/internal/app/api/merge_test.go
@@ -9,9 +9,9 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/policy"
-	"dunlinwell/internal/registry"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/registry"
+	"dunlinwell/internal/state/policy"
 )
 
 // merger is a window whose registry merges at once.
--- a/internal/api/revision.go
+++ b/internal/app/api/revision.go
@@ -4,9 +4,9 @@
 	"crypto/rand"
 	"net/http"
 
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/policy"
-	"dunlinwell/internal/registry"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/registry"
+	"dunlinwell/internal/state/policy"
 )
 
 // RevisionPage gives the revision that a registry knows, which may be old. The
--- a/internal/cli/books.go
+++ b/internal/app/cli/books.go
@@ -11,8 +11,8 @@
 
 	"github.com/alecthomas/kong"
 
-	"dunlinwell/internal/manifest"
-	"dunlinwell/internal/runbook"
+	"dunlinwell/internal/app/manifest"
+	"dunlinwell/internal/app/runbook"
 )
 
 // ApplyCmd sends Kubernetes-style objects as one whole change.
--- a/internal/cli/change_id_test.go
+++ b/internal/app/cli/change_id_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/api"
+	"dunlinwell/internal/app/api"
 )
 
 // The id of a change says which revision its maker knew; where that can't be
--- a/internal/cli/cli.go
+++ b/internal/app/cli/cli.go
@@ -12,7 +12,7 @@
 	"strconv"
 	"time"
 
-	"dunlinwell/internal/api"
+	"dunlinwell/internal/app/api"
 )
 
 // How a call ended, as exit codes.
--- a/internal/cli/items.go
+++ b/internal/app/cli/items.go
@@ -5,9 +5,9 @@
 	"fmt"
 	"net/url"
 
-	"dunlinwell/internal/api"
-	"dunlinwell/internal/policy"
-	"dunlinwell/internal/registry"
+	"dunlinwell/internal/app/api"
+	"dunlinwell/internal/controlplane/registry"
+	"dunlinwell/internal/state/policy"
 )
 
 // Items are the commands on one kind of item.
--- a/internal/cli/merge.go
+++ b/internal/app/cli/merge.go
@@ -4,7 +4,7 @@
 	"errors"
 	"fmt"
 
-	"dunlinwell/internal/policy"
+	"dunlinwell/internal/state/policy"
 )
 
 const mergePath = "/v1/merge"
--- a/internal/cli/status.go
+++ b/internal/app/cli/status.go
@@ -10,7 +10,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"dunlinwell/internal/registry"
+	"dunlinwell/internal/controlplane/registry"
 )
 
 // CLI is the whole command line.
--- a/internal/daemon/changes_bench_test.go
+++ b/internal/app/daemon/changes_bench_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"dunlinwell/internal/policy"
+	"dunlinwell/internal/state/policy"
 )
 
 // BenchmarkChangesInARow makes 300 changes in a row of policies of three sizes,
--- a/internal/daemon/daemon.go
+++ b/internal/app/daemon/daemon.go
@@ -17,12 +17,12 @@
 
 	"github.com/thejerf/suture/v4"
 
-	"dunlinwell/internal/api"
-	"dunlinwell/internal/config"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/process"
-	"dunlinwell/internal/registry"
+	"dunlinwell/internal/app/api"
+	"dunlinwell/internal/base/config"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/registry"
+	"dunlinwell/internal/transport/process"
 )
 
 // Self describes this process for the roll. Its incarnation begins at the
--- a/internal/daemon/departure.go
+++ b/internal/app/daemon/departure.go
@@ -4,9 +4,9 @@
 	"context"
 	"time"
 
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/process"
-	"dunlinwell/internal/store"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/controlplane/store"
+	"dunlinwell/internal/transport/process"
 )
 
 const (
--- a/internal/daemon/large_test.go
+++ b/internal/app/daemon/large_test.go
@@ -12,9 +12,9 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/config"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/policy"
+	"dunlinwell/internal/base/config"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/state/policy"
 )
 
 // core is three stores and a registry in this process, over real connections and disks.
--- a/internal/daemon/metrics.go
+++ b/internal/app/daemon/metrics.go
@@ -8,7 +8,7 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"dunlinwell/internal/process"
+	"dunlinwell/internal/transport/process"
 )
 
 // Gauge is one figure as it stands at the moment of asking.
--- a/internal/daemon/recover.go
+++ b/internal/app/daemon/recover.go
@@ -6,10 +6,10 @@
 
 	"github.com/tidwall/gjson"
 
-	"dunlinwell/internal/api"
-	"dunlinwell/internal/process"
-	"dunlinwell/internal/registry"
-	"dunlinwell/internal/store"
+	"dunlinwell/internal/app/api"
+	"dunlinwell/internal/controlplane/registry"
+	"dunlinwell/internal/controlplane/store"
+	"dunlinwell/internal/transport/process"
 )
 
 // refound takes the one control call that a store answers by itself, since
--- a/internal/daemon/registry.go
+++ b/internal/app/daemon/registry.go
@@ -9,13 +9,13 @@
 
 	"github.com/thejerf/suture/v4"
 
-	"dunlinwell/internal/api"
-	"dunlinwell/internal/config"
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/process"
-	"dunlinwell/internal/registry"
+	"dunlinwell/internal/app/api"
+	"dunlinwell/internal/base/config"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/registry"
+	"dunlinwell/internal/transport/process"
 )
 
 // ForemanParams are what a registry is told at its start.
--- a/internal/daemon/retire.go
+++ b/internal/app/daemon/retire.go
@@ -4,8 +4,8 @@
 	"context"
 	"sync/atomic"
 
-	"dunlinwell/internal/process"
-	"dunlinwell/internal/storage"
+	"dunlinwell/internal/state/storage"
+	"dunlinwell/internal/transport/process"
 )
 
 // RunStore runs a store until the context ends. A folder whose disk was replaced
--- a/internal/daemon/store.go
+++ b/internal/app/daemon/store.go
@@ -11,17 +11,17 @@
 
 	"github.com/thejerf/suture/v4"
 
-	"dunlinwell/internal/api"
-	"dunlinwell/internal/config"
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/errs"
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/idempotency"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/process"
-	"dunlinwell/internal/storage"
-	"dunlinwell/internal/store"
+	"dunlinwell/internal/app/api"
+	"dunlinwell/internal/base/config"
+	"dunlinwell/internal/base/errs"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/store"
+	"dunlinwell/internal/state/consensus"
+	"dunlinwell/internal/state/idempotency"
+	"dunlinwell/internal/state/storage"
+	"dunlinwell/internal/transport/process"
 )
 
 func errorf(format string, args ...any) error { return fmt.Errorf(format, args...) }
--- a/internal/manifest/manifest.go
+++ b/internal/app/manifest/manifest.go
@@ -13,7 +13,7 @@
 	"github.com/tidwall/gjson"
 	"sigs.k8s.io/yaml"
 
-	"dunlinwell/internal/policy"
+	"dunlinwell/internal/state/policy"
 )
 
 // APIVersion is what the objects must say.
--- a/internal/manifest/manifest_test.go
+++ b/internal/app/manifest/manifest_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/policy"
+	"dunlinwell/internal/state/policy"
 )
 
 const good = `apiVersion: dunlinwell/v1
--- a/internal/runbook/book.go
+++ b/internal/app/runbook/book.go
@@ -12,7 +12,7 @@
 
 	"sigs.k8s.io/yaml"
 
-	"dunlinwell/internal/errs"
+	"dunlinwell/internal/base/errs"
 )
 
 //go:embed books/*.yaml
--- a/internal/runbook/run.go
+++ b/internal/app/runbook/run.go
@@ -9,7 +9,7 @@
 
 	"github.com/tidwall/gjson"
 
-	"dunlinwell/internal/errs"
+	"dunlinwell/internal/base/errs"
 )
 
 // Params are the options of a run.
--- a/internal/config/config.go
+++ b/internal/base/config/config.go
@@ -15,7 +15,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // Common are the params of every daemon.
--- a/internal/delta/delta.go
+++ b/internal/base/delta/delta.go
@@ -8,7 +8,7 @@
 	"encoding/binary"
 	"hash/crc32"
 
-	"dunlinwell/internal/errs"
+	"dunlinwell/internal/base/errs"
 )
 
 const (
--- a/internal/delta/edits.go
+++ b/internal/base/delta/edits.go
@@ -3,7 +3,7 @@
 import (
 	"encoding/binary"
 
-	"dunlinwell/internal/errs"
+	"dunlinwell/internal/base/errs"
 )
 
 // Edits are pairs: so many bytes that are new, then a run of the base's bytes,
--- a/internal/event/discarded.go
+++ b/internal/base/event/discarded.go
@@ -1,6 +1,6 @@
 package event
 
-import "dunlinwell/internal/ids"
+import "dunlinwell/internal/base/ids"
 
 // Reason says why a message was discarded.
 type Reason string
--- a/internal/event/event.go
+++ b/internal/base/event/event.go
@@ -2,7 +2,7 @@
 // a pure machine answers each with commands, and the owner carries them out.
 package event
 
-import "dunlinwell/internal/ids"
+import "dunlinwell/internal/base/ids"
 
 // Event is anything that happens to a machine.
 type Event = any
--- a/internal/directory/directory.go
+++ b/internal/controlplane/directory/directory.go
@@ -7,9 +7,9 @@
 	"math/rand/v2"
 	"slices"
 
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/spill"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/spill"
 )
 
 // Sight is all that an answer goes by.
--- a/internal/directory/directory_test.go
+++ b/internal/controlplane/directory/directory_test.go
@@ -7,9 +7,9 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/spill"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/spill"
 )
 
 func sight() Snapshot {
--- a/internal/distribution/account.go
+++ b/internal/controlplane/distribution/account.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/targets"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/targets"
 )
 
 type flight struct {
--- a/internal/distribution/deliver.go
+++ b/internal/controlplane/distribution/deliver.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
 )
 
 // parcel is what one push held, and when it left.
--- a/internal/distribution/distribution.go
+++ b/internal/controlplane/distribution/distribution.go
@@ -5,11 +5,11 @@
 import (
 	"time"
 
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/targets"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/targets"
+	"dunlinwell/internal/transport/wire"
 )
 
 // Push is one delivery. Its parts merge item by item, so a lost one costs a
--- a/internal/distribution/distribution_test.go
+++ b/internal/controlplane/distribution/distribution_test.go
@@ -6,10 +6,10 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/targets"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/targets"
 )
 
 func at(ms int) ids.Time { return ids.Time(time.Duration(ms)*time.Millisecond) + 1 }
--- a/internal/distribution/earlier_test.go
+++ b/internal/controlplane/distribution/earlier_test.go
@@ -5,10 +5,10 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/targets"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/targets"
 )
 
 // A proxy's acknowledgement waits in its queue while the registry restarts. It
--- a/internal/distribution/fulllink_test.go
+++ b/internal/controlplane/distribution/fulllink_test.go
@@ -7,10 +7,10 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/targets"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/targets"
 )
 
 // link carries pushes to one proxy, in order, and its acknowledgements back.
--- a/internal/distribution/lacking_test.go
+++ b/internal/controlplane/distribution/lacking_test.go
@@ -6,10 +6,10 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/targets"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/targets"
 )
 
 // What is in flight isn't sent again with every push: on a thin link, where an
--- a/internal/distribution/lease.go
+++ b/internal/controlplane/distribution/lease.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // ControlLease is how old an agreement may be for a registry to speak for the
--- a/internal/membership/detector.go
+++ b/internal/controlplane/membership/detector.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/transport/wire"
 )
 
 // Probe asks a member for a sign of life. It goes out before a member is accused
--- a/internal/membership/detector_test.go
+++ b/internal/controlplane/membership/detector_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 const grownProxies = 90
--- a/internal/membership/digest.go
+++ b/internal/controlplane/membership/digest.go
@@ -5,7 +5,7 @@
 	"hash/fnv"
 	"time"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 const (
--- a/internal/membership/failure.go
+++ b/internal/controlplane/membership/failure.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // suspicion is one daemon's word that another is silent.
--- a/internal/membership/fleet_test.go
+++ b/internal/controlplane/membership/fleet_test.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
 )
 
 // fleet is a hundred members in nine zones, each with a clock and a link of its
--- a/internal/membership/list.go
+++ b/internal/controlplane/membership/list.go
@@ -8,8 +8,8 @@
 	"slices"
 	"sync/atomic"
 
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
 )
 
 // List is the state machine that every daemon embeds.
--- a/internal/membership/list_test.go
+++ b/internal/controlplane/membership/list_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
 )
 
 // hall is a few rolls whose messages are passed by hand, in steps of a beat.
--- a/internal/membership/member.go
+++ b/internal/controlplane/membership/member.go
@@ -8,8 +8,8 @@
 	"strconv"
 	"time"
 
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/transport/wire"
 )
 
 // Role is what a daemon does.
--- a/internal/membership/ring.go
+++ b/internal/controlplane/membership/ring.go
@@ -5,7 +5,7 @@
 	"hash/fnv"
 	"slices"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // ringIndex is the ring of living members, with the place of each. It is drawn
--- a/internal/membership/tick.go
+++ b/internal/controlplane/membership/tick.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // Tick does what time asks for.
--- a/internal/registry/calls.go
+++ b/internal/controlplane/registry/calls.go
@@ -5,12 +5,12 @@
 	"slices"
 	"time"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/directory"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/policy"
-	"dunlinwell/internal/spill"
-	"dunlinwell/internal/targets"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/directory"
+	"dunlinwell/internal/controlplane/spill"
+	"dunlinwell/internal/controlplane/targets"
+	"dunlinwell/internal/state/consensus"
+	"dunlinwell/internal/state/policy"
 )
 
 // Calls from outside come as these events; each is answered by one Reply.
--- a/internal/registry/calls_test.go
+++ b/internal/controlplane/registry/calls_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/policy"
+	"dunlinwell/internal/state/policy"
 )
 
 // What a result means to a caller. One whose end is unknown is no refusal,
--- a/internal/registry/cellorder.go
+++ b/internal/controlplane/registry/cellorder.go
@@ -4,8 +4,8 @@
 	"encoding/json"
 	"time"
 
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/policy"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/state/policy"
 )
 
 // CellOrderCall asks for a cell to be shut or opened, in an order without an id.
--- a/internal/registry/cellorder_test.go
+++ b/internal/controlplane/registry/cellorder_test.go
@@ -7,9 +7,9 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/policy"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/state/consensus"
+	"dunlinwell/internal/state/policy"
 )
 
 // orderedCell hands a registry an order, and gives what it sends to the stores.
--- a/internal/registry/changes.go
+++ b/internal/controlplane/registry/changes.go
@@ -3,9 +3,9 @@
 import (
 	"encoding/json"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/policy"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/state/consensus"
+	"dunlinwell/internal/state/policy"
 )
 
 func (f *Registry) change(now ids.Time, c ChangeCall) {
--- a/internal/registry/deliver.go
+++ b/internal/controlplane/registry/deliver.go
@@ -4,13 +4,13 @@
 	"bytes"
 	"time"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/delta"
-	"dunlinwell/internal/distribution"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/policy"
-	"dunlinwell/internal/targets"
+	"dunlinwell/internal/base/delta"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/distribution"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/targets"
+	"dunlinwell/internal/state/consensus"
+	"dunlinwell/internal/state/policy"
 )
 
 // deliver pushes what proxies lack.
--- a/internal/registry/departure.go
+++ b/internal/controlplane/registry/departure.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/targets"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/targets"
 )
 
 // parting is a target's word that it leaves, which waits for its answer until
--- a/internal/registry/derive.go
+++ b/internal/controlplane/registry/derive.go
@@ -1,8 +1,8 @@
 package registry
 
 import (
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/spill"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/spill"
 )
 
 // Shares of what a cell's targets bear, for set points that nobody named. They
--- a/internal/registry/isolated.go
+++ b/internal/controlplane/registry/isolated.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/targets"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/targets"
 )
 
 // apartAfter is how old an agreement may be before a registry counts as apart
--- a/internal/registry/isolated_test.go
+++ b/internal/controlplane/registry/isolated_test.go
@@ -7,11 +7,11 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/targets"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/targets"
+	"dunlinwell/internal/state/consensus"
 )
 
 const tickEvery = 50 * time.Millisecond
--- a/internal/registry/lease.go
+++ b/internal/controlplane/registry/lease.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/policy"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/state/consensus"
+	"dunlinwell/internal/state/policy"
 )
 
 // The control lease. A registry speaks for the core only while the newest
--- a/internal/registry/lease_test.go
+++ b/internal/controlplane/registry/lease_test.go
@@ -5,12 +5,12 @@
 	"testing"
 	"time"
 
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/policy"
-	"dunlinwell/internal/registry"
-	"dunlinwell/internal/registry/registrytest"
-	"dunlinwell/internal/targets"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/registry"
+	"dunlinwell/internal/controlplane/registry/registrytest"
+	"dunlinwell/internal/controlplane/targets"
+	"dunlinwell/internal/state/policy"
 )
 
 // call makes one kind of control call.
--- a/internal/registry/peers.go
+++ b/internal/controlplane/registry/peers.go
@@ -6,10 +6,10 @@
 	"slices"
 	"time"
 
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/targets"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/targets"
+	"dunlinwell/internal/transport/wire"
 )
 
 // Pulse is what registries tell one another all the time: that they are there, how
--- a/internal/registry/planner.go
+++ b/internal/controlplane/registry/planner.go
@@ -3,11 +3,11 @@
 import (
 	"time"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/election"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/state/consensus"
+	"dunlinwell/internal/state/election"
+	"dunlinwell/internal/transport/wire"
 )
 
 const (
--- a/internal/registry/planner_test.go
+++ b/internal/controlplane/registry/planner_test.go
@@ -4,13 +4,13 @@
 	"testing"
 	"time"
 
-	"dunlinwell/internal/election"
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/registry"
-	"dunlinwell/internal/registry/registrytest"
-	"dunlinwell/internal/spill"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/registry"
+	"dunlinwell/internal/controlplane/registry/registrytest"
+	"dunlinwell/internal/controlplane/spill"
+	"dunlinwell/internal/state/election"
 )
 
 // planner gives the epoch that a registry plans under, 0 if it doesn't.
--- a/internal/registry/plans.go
+++ b/internal/controlplane/registry/plans.go
@@ -3,10 +3,10 @@
 import (
 	"strconv"
 
-	"dunlinwell/internal/election"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/spill"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/spill"
+	"dunlinwell/internal/state/election"
 )
 
 func itoa(n uint64) string { return strconv.FormatUint(n, 10) }
--- a/internal/registry/registry.go
+++ b/internal/controlplane/registry/registry.go
@@ -6,16 +6,16 @@
 	"math/rand/v2"
 	"time"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/directory"
-	"dunlinwell/internal/distribution"
-	"dunlinwell/internal/election"
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/policy"
-	"dunlinwell/internal/spill"
-	"dunlinwell/internal/targets"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/directory"
+	"dunlinwell/internal/controlplane/distribution"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/spill"
+	"dunlinwell/internal/controlplane/targets"
+	"dunlinwell/internal/state/consensus"
+	"dunlinwell/internal/state/election"
+	"dunlinwell/internal/state/policy"
 )
 
 // Params are the options of a registry; zero ones take the defaults.
--- a/internal/registry/registry_test.go
+++ b/internal/controlplane/registry/registry_test.go
@@ -7,9 +7,9 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/policy"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/state/policy"
 )
 
 // A registry reads the policy twice a second. The same again costs next to nothing,
--- a/internal/registry/registrytest/core.go
+++ b/internal/controlplane/registry/registrytest/core.go
@@ -7,14 +7,14 @@
 	"math/rand/v2"
 	"time"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/distribution"
-	"dunlinwell/internal/election"
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/policy"
-	"dunlinwell/internal/registry"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/distribution"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/registry"
+	"dunlinwell/internal/state/consensus"
+	"dunlinwell/internal/state/election"
+	"dunlinwell/internal/state/policy"
 )
 
 // Link is how the registry's way to the majority stands.
--- a/internal/registry/resolve.go
+++ b/internal/controlplane/registry/resolve.go
@@ -4,9 +4,9 @@
 	"cmp"
 	"slices"
 
-	"dunlinwell/internal/directory"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/directory"
+	"dunlinwell/internal/controlplane/membership"
 )
 
 // Where is the body of an answer to "where do I go".
--- a/internal/registry/screen.go
+++ b/internal/controlplane/registry/screen.go
@@ -3,13 +3,13 @@
 import (
 	"slices"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/distribution"
-	"dunlinwell/internal/election"
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/spill"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/distribution"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/spill"
+	"dunlinwell/internal/state/consensus"
+	"dunlinwell/internal/state/election"
 )
 
 // screen tells why a message must change nothing; empty for one that is taken.
--- a/internal/registry/screen_test.go
+++ b/internal/controlplane/registry/screen_test.go
@@ -6,16 +6,16 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/distribution"
-	"dunlinwell/internal/election"
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/policy"
-	"dunlinwell/internal/spill"
-	"dunlinwell/internal/targets"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/distribution"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/spill"
+	"dunlinwell/internal/controlplane/targets"
+	"dunlinwell/internal/state/consensus"
+	"dunlinwell/internal/state/election"
+	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/transport/wire"
 )
 
 const stranger = ids.Address("10.9.9.9:1")
--- a/internal/registry/status.go
+++ b/internal/controlplane/registry/status.go
@@ -3,10 +3,10 @@
 import (
 	"strconv"
 
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/spill"
-	"dunlinwell/internal/targets"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/spill"
+	"dunlinwell/internal/controlplane/targets"
 )
 
 // Status is what an operator at night needs on one page.
--- a/internal/registry/stopping.go
+++ b/internal/controlplane/registry/stopping.go
@@ -1,6 +1,6 @@
 package registry
 
-import "dunlinwell/internal/ids"
+import "dunlinwell/internal/base/ids"
 
 // Stopping tells this registry that its process is to end: what is under way is
 // finished, new calls are sent on, and its duty is free for the next in line.
--- a/internal/registry/stopping_test.go
+++ b/internal/controlplane/registry/stopping_test.go
@@ -4,10 +4,10 @@
 	"testing"
 	"time"
 
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/registry"
-	"dunlinwell/internal/registry/registrytest"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/registry"
+	"dunlinwell/internal/controlplane/registry/registrytest"
 )
 
 // A registry that is told to stop gives its duty up at once, says so to the roll, and
--- a/internal/spill/export.go
+++ b/internal/controlplane/spill/export.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"slices"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // account opens the one account of room: what each cell may still receive
--- a/internal/spill/plan.go
+++ b/internal/controlplane/spill/plan.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"slices"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // View is all that one plan goes by.
--- a/internal/spill/report.go
+++ b/internal/controlplane/spill/report.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/transport/wire"
 )
 
 // Report is what a proxy tells of its CPU time, every few seconds.
--- a/internal/spill/scale_test.go
+++ b/internal/controlplane/spill/scale_test.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"testing"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // large is a view of cells that each serve every route, a third of them over
--- a/internal/spill/spill.go
+++ b/internal/controlplane/spill/spill.go
@@ -7,8 +7,8 @@
 	"cmp"
 	"slices"
 
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/transport/wire"
 )
 
 // Rank orders routes: the route's tier, then its service's; 9 is the most
--- a/internal/spill/spill_test.go
+++ b/internal/controlplane/spill/spill_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 func near(a, b float64) bool { return math.Abs(a-b) < 1e-6*max(1, math.Abs(b)) }
--- a/internal/spill/swap.go
+++ b/internal/controlplane/spill/swap.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // homely is the share of a route at home below which it counts as away.
--- a/internal/store/cluster_test.go
+++ b/internal/controlplane/store/cluster_test.go
@@ -7,10 +7,10 @@
 	"strings"
 	"time"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/state/consensus"
 )
 
 // clusterDisk keeps records; a sync is done as soon as it is asked for.
--- a/internal/store/founding.go
+++ b/internal/controlplane/store/founding.go
@@ -5,11 +5,11 @@
 	"slices"
 	"time"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/policy"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/state/consensus"
+	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/transport/wire"
 )
 
 // founding is a blank store's part in making the first voter set. It takes
--- a/internal/store/founding_test.go
+++ b/internal/controlplane/store/founding_test.go
@@ -7,10 +7,10 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/state/consensus"
 )
 
 func TestBlankStoresNeverFoundWithoutLeave(t *testing.T) {
--- a/internal/store/learner.go
+++ b/internal/controlplane/store/learner.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/state/consensus"
 )
 
 // learner is a store without a vote that copies what the voters hold. It begins
--- a/internal/store/leaving.go
+++ b/internal/controlplane/store/leaving.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/state/consensus"
 )
 
 // Leave tells this store that its process is to end, at the latest after a while.
--- a/internal/store/membercache.go
+++ b/internal/controlplane/store/membercache.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/state/consensus"
+	"dunlinwell/internal/transport/wire"
 )
 
 // memory is the roll as the disk keeps it. Seeds are set once, while core
--- a/internal/store/oldfolder_test.go
+++ b/internal/controlplane/store/oldfolder_test.go
@@ -8,10 +8,10 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/policy"
-	"dunlinwell/internal/storage"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/state/storage"
 )
 
 // openOldFolder opens a copy of a data folder that commit c308b67 wrote: three
--- a/internal/store/recover.go
+++ b/internal/controlplane/store/recover.go
@@ -6,12 +6,12 @@
 	"slices"
 	"time"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/idempotency"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/policy"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/state/consensus"
+	"dunlinwell/internal/state/idempotency"
+	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/transport/wire"
 )
 
 // Refound is an operator's order, after two disks were lost for good, to go on
--- a/internal/store/recoverall.go
+++ b/internal/controlplane/store/recoverall.go
@@ -3,10 +3,10 @@
 import (
 	"slices"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/policy"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/state/consensus"
+	"dunlinwell/internal/state/policy"
 )
 
 func sendTo(to ids.Address, msg any) event.Command { return event.Send{To: to, Msg: msg} }
--- a/internal/store/replacement.go
+++ b/internal/controlplane/store/replacement.go
@@ -3,9 +3,9 @@
 import (
 	"strconv"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/state/consensus"
 )
 
 func itoa(n uint64) string { return strconv.FormatUint(n, 10) }
--- a/internal/store/retire.go
+++ b/internal/controlplane/store/retire.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"dunlinwell/internal/consensus"
+	"dunlinwell/internal/state/consensus"
 )
 
 // Retire is the command to set this store's folder aside and to start again as a
--- a/internal/store/screen.go
+++ b/internal/controlplane/store/screen.go
@@ -3,10 +3,10 @@
 import (
 	"slices"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/state/consensus"
 )
 
 // screen tells why a message must change nothing; empty for one that is taken.
--- a/internal/store/screen_test.go
+++ b/internal/controlplane/store/screen_test.go
@@ -8,11 +8,11 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/state/consensus"
+	"dunlinwell/internal/transport/wire"
 )
 
 // recordMap syncs whatever it is given at once.
--- a/internal/store/store.go
+++ b/internal/controlplane/store/store.go
@@ -7,14 +7,14 @@
 	"slices"
 	"time"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/election"
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/idempotency"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/policy"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/state/consensus"
+	"dunlinwell/internal/state/election"
+	"dunlinwell/internal/state/idempotency"
+	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/transport/wire"
 )
 
 // Params are the options of a store.
--- a/internal/store/voters.go
+++ b/internal/controlplane/store/voters.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/state/consensus"
 )
 
 // keeper founds the voter set, and brings newcomers into it.
--- a/internal/targets/announce.go
+++ b/internal/controlplane/targets/announce.go
@@ -8,7 +8,7 @@
 
 	"github.com/tidwall/gjson"
 
-	"dunlinwell/internal/jsoncheck"
+	"dunlinwell/internal/base/jsoncheck"
 )
 
 var (
--- a/internal/targets/entry.go
+++ b/internal/controlplane/targets/entry.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // last gives the entry as of its target's last word.
--- a/internal/targets/keeper.go
+++ b/internal/controlplane/targets/keeper.go
@@ -5,7 +5,7 @@
 	"hash"
 	"hash/fnv"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // Vouch counts targets as heard whose keeper is there: it would have told. Those
--- a/internal/targets/keeper_test.go
+++ b/internal/controlplane/targets/keeper_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 func kept(id ids.Instance, seq ids.Sequence, by ids.Daemon) Target {
--- a/internal/targets/material.go
+++ b/internal/controlplane/targets/material.go
@@ -1,6 +1,6 @@
 package targets
 
-import "dunlinwell/internal/ids"
+import "dunlinwell/internal/base/ids"
 
 // sameToProxies tells whether two states of a target differ in nothing that a
 // proxy goes by: who keeps it, and how often it has spoken, are matters between
--- a/internal/targets/targets.go
+++ b/internal/controlplane/targets/targets.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/transport/wire"
 )
 
 // Target is one target as it last announced itself.
--- a/internal/targets/targets_test.go
+++ b/internal/controlplane/targets/targets_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 func at(d time.Duration) ids.Time { return ids.Time(d) + 1 }
--- a/internal/dispatch/again.go
+++ b/internal/dataplane/dispatch/again.go
@@ -1,6 +1,6 @@
 package dispatch
 
-import "dunlinwell/internal/ids"
+import "dunlinwell/internal/base/ids"
 
 // sentEnough tells whether a job was sent to as many targets as it may be.
 func (d *Dispatcher) sentEnough(j *job) bool {
--- a/internal/dispatch/bench_test.go
+++ b/internal/dataplane/dispatch/bench_test.go
@@ -5,12 +5,12 @@
 	"testing"
 	"time"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/idempotency"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/targets"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/targets"
+	"dunlinwell/internal/state/consensus"
+	"dunlinwell/internal/state/idempotency"
+	"dunlinwell/internal/transport/wire"
 )
 
 // BenchmarkRequest takes requests through a dispatcher with twenty targets.
--- a/internal/dispatch/dispatch.go
+++ b/internal/dataplane/dispatch/dispatch.go
@@ -7,10 +7,10 @@
 	"math/rand/v2"
 	"time"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/idempotency"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/state/consensus"
+	"dunlinwell/internal/state/idempotency"
 )
 
 type phase uint8
--- a/internal/dispatch/endings.go
+++ b/internal/dataplane/dispatch/endings.go
@@ -4,8 +4,8 @@
 	"strings"
 	"time"
 
-	"dunlinwell/internal/idempotency"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/state/idempotency"
 )
 
 // respond ends a job with its one answer.
--- a/internal/dispatch/inbox.go
+++ b/internal/dataplane/dispatch/inbox.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"dunlinwell/internal/idempotency"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/state/idempotency"
 )
 
 func (d *Dispatcher) order() []ids.Request { return slices.Sorted(maps.Keys(d.jobs)) }
--- a/internal/dispatch/job.go
+++ b/internal/dataplane/dispatch/job.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/idempotency"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/targets"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/targets"
+	"dunlinwell/internal/state/consensus"
+	"dunlinwell/internal/state/idempotency"
 )
 
 // Job is a consumer's request as the dispatcher knows it.
--- a/internal/dispatch/late.go
+++ b/internal/dataplane/dispatch/late.go
@@ -1,6 +1,6 @@
 package dispatch
 
-import "dunlinwell/internal/ids"
+import "dunlinwell/internal/base/ids"
 
 // wholeShare is how fast the longest time that a route's consumers give is
 // forgotten: slowly, as after an outage most that come have waited already.
--- a/internal/dispatch/late_test.go
+++ b/internal/dataplane/dispatch/late_test.go
@@ -7,10 +7,10 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/idempotency"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/targets"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/targets"
+	"dunlinwell/internal/state/idempotency"
 )
 
 const (
--- a/internal/dispatch/outlier.go
+++ b/internal/dataplane/dispatch/outlier.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // outlier judges a target by what requests showed, not by what its page says:
--- a/internal/dispatch/places.go
+++ b/internal/dataplane/dispatch/places.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/targets"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/targets"
 )
 
 // Stock is what a dispatcher has to hand: an event of its own, sent whole whenever
--- a/internal/dispatch/spot.go
+++ b/internal/dataplane/dispatch/spot.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // spot is a target as this dispatcher uses it.
--- a/internal/dispatch/steps.go
+++ b/internal/dataplane/dispatch/steps.go
@@ -4,9 +4,9 @@
 	"bytes"
 	"time"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/idempotency"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/state/consensus"
+	"dunlinwell/internal/state/idempotency"
 )
 
 // told goes on with a job once its mark's register has spoken.
--- a/internal/dispatch/trace_test.go
+++ b/internal/dataplane/dispatch/trace_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"dunlinwell/internal/idempotency"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/state/idempotency"
 )
 
 // A recorded trace: "TIME > event" lines are played, and the "< command" lines
--- a/internal/dispatch/withheld.go
+++ b/internal/dataplane/dispatch/withheld.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // Lease tells until when requests may leave by what is known now.
--- a/internal/proxy/agreement.go
+++ b/internal/dataplane/proxy/agreement.go
@@ -5,10 +5,10 @@
 	"slices"
 	"time"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/dispatch"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/policy"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/dataplane/dispatch"
+	"dunlinwell/internal/state/consensus"
+	"dunlinwell/internal/state/policy"
 )
 
 // askAfter is how old an agreement may be before the proxy asks the
--- a/internal/proxy/carry.go
+++ b/internal/dataplane/proxy/carry.go
@@ -11,11 +11,11 @@
 	"strings"
 	"time"
 
-	"dunlinwell/internal/dispatch"
-	"dunlinwell/internal/errs"
-	"dunlinwell/internal/idempotency"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/process"
+	"dunlinwell/internal/base/errs"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/dataplane/dispatch"
+	"dunlinwell/internal/state/idempotency"
+	"dunlinwell/internal/transport/process"
 )
 
 // ClientRequest is a consumer's request, read whole.
--- a/internal/proxy/carry_test.go
+++ b/internal/dataplane/proxy/carry_test.go
@@ -15,12 +15,12 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/config"
-	"dunlinwell/internal/dispatch"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/process"
-	"dunlinwell/internal/targets"
+	"dunlinwell/internal/base/config"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/targets"
+	"dunlinwell/internal/dataplane/dispatch"
+	"dunlinwell/internal/transport/process"
 )
 
 // stand is a target written by hand, so that it can misbehave on the wire.
--- a/internal/proxy/circuit.go
+++ b/internal/dataplane/proxy/circuit.go
@@ -8,8 +8,8 @@
 	"syscall"
 	"time"
 
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/targets"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/targets"
 )
 
 // connection is one held connection to a target that has shown who it is.
--- a/internal/proxy/circuits.go
+++ b/internal/dataplane/proxy/circuits.go
@@ -12,10 +12,10 @@
 	"syscall"
 	"time"
 
-	"dunlinwell/internal/errs"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/process"
-	"dunlinwell/internal/targets"
+	"dunlinwell/internal/base/errs"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/targets"
+	"dunlinwell/internal/transport/process"
 )
 
 // WellKnown is the page on which a target says who it is.
--- a/internal/proxy/circuits_test.go
+++ b/internal/dataplane/proxy/circuits_test.go
@@ -9,11 +9,11 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/dispatch"
-	"dunlinwell/internal/errs"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/process"
-	"dunlinwell/internal/targets"
+	"dunlinwell/internal/base/errs"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/targets"
+	"dunlinwell/internal/dataplane/dispatch"
+	"dunlinwell/internal/transport/process"
 )
 
 // plain is a dialect that names each request's instance, and so asks nobody first.
--- a/internal/proxy/control.go
+++ b/internal/dataplane/proxy/control.go
@@ -5,13 +5,13 @@
 import (
 	"time"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/distribution"
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/policy"
-	"dunlinwell/internal/targets"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/distribution"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/targets"
+	"dunlinwell/internal/state/consensus"
+	"dunlinwell/internal/state/policy"
 )
 
 // Control is the proxy's control machine.
--- a/internal/proxy/daemon.go
+++ b/internal/dataplane/proxy/daemon.go
@@ -9,16 +9,16 @@
 	"sync/atomic"
 	"time"
 
-	"dunlinwell/internal/config"
-	"dunlinwell/internal/daemon"
-	"dunlinwell/internal/dispatch"
-	"dunlinwell/internal/errs"
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/idempotency"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/policy"
-	"dunlinwell/internal/process"
+	"dunlinwell/internal/app/daemon"
+	"dunlinwell/internal/base/config"
+	"dunlinwell/internal/base/errs"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/dataplane/dispatch"
+	"dunlinwell/internal/state/idempotency"
+	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/transport/process"
 )
 
 // Params are what a proxy is told at its start.
--- a/internal/proxy/edge.go
+++ b/internal/dataplane/proxy/edge.go
@@ -8,10 +8,10 @@
 	"sync"
 	"time"
 
-	"dunlinwell/internal/api"
-	"dunlinwell/internal/dispatch"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/policy"
+	"dunlinwell/internal/app/api"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/dataplane/dispatch"
+	"dunlinwell/internal/state/policy"
 )
 
 // Edge is the dialect that a proxy speaks to consumers and targets. Ours is
--- a/internal/proxy/events.go
+++ b/internal/dataplane/proxy/events.go
@@ -3,14 +3,14 @@
 import (
 	"time"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/dispatch"
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/policy"
-	"dunlinwell/internal/spill"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/spill"
+	"dunlinwell/internal/dataplane/dispatch"
+	"dunlinwell/internal/state/consensus"
+	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/transport/wire"
 )
 
 // Events and commands between the control machine and the rest of a proxy.
--- a/internal/proxy/front.go
+++ b/internal/dataplane/proxy/front.go
@@ -15,11 +15,11 @@
 
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 
-	"dunlinwell/internal/dispatch"
-	"dunlinwell/internal/idempotency"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/policy"
-	"dunlinwell/internal/process"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/dataplane/dispatch"
+	"dunlinwell/internal/state/idempotency"
+	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/transport/process"
 )
 
 // router finds a request's route by the longest prefix of whole path parts.
--- a/internal/proxy/front_test.go
+++ b/internal/dataplane/proxy/front_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/policy"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/state/policy"
 )
 
 func TestLongestPrefixOfWholeParts(t *testing.T) {
--- a/internal/proxy/frozen_test.go
+++ b/internal/dataplane/proxy/frozen_test.go
@@ -5,10 +5,10 @@
 	"testing"
 	"time"
 
-	"dunlinwell/internal/dispatch"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/process"
-	"dunlinwell/internal/targets"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/targets"
+	"dunlinwell/internal/dataplane/dispatch"
+	"dunlinwell/internal/transport/process"
 )
 
 // A proxy that wakes past a request's deadline, past its lease, or without having
--- a/internal/proxy/gate.go
+++ b/internal/dataplane/proxy/gate.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"dunlinwell/internal/policy"
+	"dunlinwell/internal/state/policy"
 )
 
 // gate lets consumers in, within the limits that policy names. net/http fixes
--- a/internal/proxy/gate_test.go
+++ b/internal/dataplane/proxy/gate_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/policy"
+	"dunlinwell/internal/state/policy"
 )
 
 // opened is a gate with its consumers' handler, closed as the test ends.
--- a/internal/proxy/hold_test.go
+++ b/internal/dataplane/proxy/hold_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/dispatch"
+	"dunlinwell/internal/dataplane/dispatch"
 )
 
 // arriving is a body of which a part has come, and the rest is awaited.
--- a/internal/proxy/leasegossip.go
+++ b/internal/dataplane/proxy/leasegossip.go
@@ -3,11 +3,11 @@
 import (
 	"time"
 
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/targets"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/targets"
+	"dunlinwell/internal/transport/wire"
 )
 
 // Inquiry asks another proxy for what is in force: this one's registries are
--- a/internal/proxy/meter.go
+++ b/internal/dataplane/proxy/meter.go
@@ -8,8 +8,8 @@
 	"syscall"
 	"time"
 
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/spill"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/spill"
 )
 
 // meter sums what requests cost: this process's CPU shared out by measured
--- a/internal/proxy/opening.go
+++ b/internal/dataplane/proxy/opening.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // unconfirmedFor is how long a proxy that has just started, and reaches nobody
--- a/internal/proxy/opening_test.go
+++ b/internal/dataplane/proxy/opening_test.go
@@ -4,12 +4,12 @@
 	"testing"
 	"time"
 
-	"dunlinwell/internal/distribution"
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/policy"
-	"dunlinwell/internal/targets"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/distribution"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/targets"
+	"dunlinwell/internal/state/policy"
 )
 
 // started is a proxy that has just started, and what two registries tell it.
--- a/internal/proxy/places.go
+++ b/internal/dataplane/proxy/places.go
@@ -5,11 +5,11 @@
 	"hash/fnv"
 	"time"
 
-	"dunlinwell/internal/dispatch"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/policy"
-	"dunlinwell/internal/targets"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/targets"
+	"dunlinwell/internal/dataplane/dispatch"
+	"dunlinwell/internal/state/policy"
 )
 
 // Layout says how targets' places are shared out among proxies.
--- a/internal/proxy/places_test.go
+++ b/internal/dataplane/proxy/places_test.go
@@ -9,11 +9,11 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/dispatch"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/policy"
-	"dunlinwell/internal/targets"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/targets"
+	"dunlinwell/internal/dataplane/dispatch"
+	"dunlinwell/internal/state/policy"
 )
 
 var regions = map[ids.Name]string{"quay": "west", "pier": "west", "mole": "west", "dune": "east", "reed": "east"}
--- a/internal/proxy/readiness.go
+++ b/internal/dataplane/proxy/readiness.go
@@ -6,10 +6,10 @@
 	"strconv"
 	"time"
 
-	"dunlinwell/internal/dispatch"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/policy"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/dataplane/dispatch"
+	"dunlinwell/internal/state/policy"
 )
 
 func itoa(n uint64) string { return strconv.FormatUint(n, 10) }
--- a/internal/proxy/refreshpace.go
+++ b/internal/dataplane/proxy/refreshpace.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"dunlinwell/internal/distribution"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/distribution"
 )
 
 // refreshPace bounds how often all targets are weighed against all proxies. That
--- a/internal/proxy/refreshpace_test.go
+++ b/internal/dataplane/proxy/refreshpace_test.go
@@ -7,12 +7,12 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/dispatch"
-	"dunlinwell/internal/distribution"
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/targets"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/distribution"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/targets"
+	"dunlinwell/internal/dataplane/dispatch"
 )
 
 const (
--- a/internal/proxy/resets_test.go
+++ b/internal/dataplane/proxy/resets_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"dunlinwell/internal/dispatch"
+	"dunlinwell/internal/dataplane/dispatch"
 )
 
 func (d *Daemon) carryTo(f *faulty, id string) dispatch.Back {
--- a/internal/proxy/router_test.go
+++ b/internal/dataplane/proxy/router_test.go
@@ -5,8 +5,8 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/policy"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/state/policy"
 )
 
 func TestRoutesByHostAndLongestPrefix(t *testing.T) {
--- a/internal/proxy/run.go
+++ b/internal/dataplane/proxy/run.go
@@ -8,10 +8,10 @@
 	"strconv"
 	"time"
 
-	"dunlinwell/internal/api"
-	"dunlinwell/internal/daemon"
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/app/api"
+	"dunlinwell/internal/app/daemon"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
 )
 
 // Run runs the proxy until the context ends.
--- a/internal/proxy/stranger_test.go
+++ b/internal/dataplane/proxy/stranger_test.go
@@ -6,13 +6,13 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/distribution"
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/targets"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/distribution"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/targets"
+	"dunlinwell/internal/state/consensus"
+	"dunlinwell/internal/transport/wire"
 )
 
 const (
--- a/internal/proxy/targetprotocol.go
+++ b/internal/dataplane/proxy/targetprotocol.go
@@ -8,9 +8,9 @@
 	"strings"
 	"time"
 
-	"dunlinwell/internal/dispatch"
-	"dunlinwell/internal/errs"
-	"dunlinwell/internal/idempotency"
+	"dunlinwell/internal/base/errs"
+	"dunlinwell/internal/dataplane/dispatch"
+	"dunlinwell/internal/state/idempotency"
 )
 
 // TargetProtocol is how requests are put to targets, and their answers judged. Ours is
--- a/internal/consensus/abandon.go
+++ b/internal/state/consensus/abandon.go
@@ -1,6 +1,6 @@
 package consensus
 
-import "dunlinwell/internal/ids"
+import "dunlinwell/internal/base/ids"
 
 // CallID names a call of a Client that is under way.
 type CallID uint64
--- a/internal/consensus/acceptor.go
+++ b/internal/state/consensus/acceptor.go
@@ -1,9 +1,9 @@
 package consensus
 
 import (
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/transport/wire"
 )
 
 // RosterKey is the register that holds the voter set itself.
--- a/internal/consensus/bringup.go
+++ b/internal/state/consensus/bringup.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // A store that was away takes part again at once, but holds old values until the
--- a/internal/consensus/cache.go
+++ b/internal/state/consensus/cache.go
@@ -3,7 +3,7 @@
 import (
 	"hash/fnv"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // Sum sums up a value, so that one who has it needn't be sent it again.
--- a/internal/consensus/changelog.go
+++ b/internal/state/consensus/changelog.go
@@ -3,8 +3,8 @@
 import (
 	"strings"
 
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
 )
 
 // changeLog lists the registers that this run changed of late, in order, so
--- a/internal/consensus/checkdisk.go
+++ b/internal/state/consensus/checkdisk.go
@@ -3,8 +3,8 @@
 import (
 	"strings"
 
-	"dunlinwell/internal/errs"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/errs"
+	"dunlinwell/internal/base/ids"
 )
 
 const (
--- a/internal/consensus/client.go
+++ b/internal/state/consensus/client.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
 )
 
 // Client carries requests to stores for the other daemons: to one after the
--- a/internal/consensus/client_test.go
+++ b/internal/state/consensus/client_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
 )
 
 // A store takes an ask, its disk stalls, and it declines the second copy of
--- a/internal/consensus/consensus_test.go
+++ b/internal/state/consensus/consensus_test.go
@@ -9,9 +9,9 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/transport/wire"
 )
 
 // memory is a disk that syncs at once.
--- a/internal/consensus/copier.go
+++ b/internal/state/consensus/copier.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // Copier follows a learner's copies from the voters. A pass goes over everything
--- a/internal/consensus/difference.go
+++ b/internal/state/consensus/difference.go
@@ -3,10 +3,10 @@
 import (
 	"bytes"
 
-	"dunlinwell/internal/delta"
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/delta"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/transport/wire"
 )
 
 // AcceptDifference is an Accept that carries its value as the difference to the
--- a/internal/consensus/difference_test.go
+++ b/internal/state/consensus/difference_test.go
@@ -9,9 +9,9 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/transport/wire"
 )
 
 // traffic counts what went between the stores.
--- a/internal/consensus/firstvalue.go
+++ b/internal/state/consensus/firstvalue.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // firstBallots is below every ballot of a full round, so a register's first
--- a/internal/consensus/founding.go
+++ b/internal/state/consensus/founding.go
@@ -1,6 +1,6 @@
 package consensus
 
-import "dunlinwell/internal/wire"
+import "dunlinwell/internal/transport/wire"
 
 // NumberAfterTotalLoss is the number of a voter set that an operator ordered
 // after every disk was lost. It is above any number that the lost core reached
--- a/internal/consensus/founding_state_test.go
+++ b/internal/state/consensus/founding_state_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"slices"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // The model of a founding: three seeds, of which the first proposes. Messages
--- a/internal/consensus/lossy_test.go
+++ b/internal/state/consensus/lossy_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
 )
 
 // appendOnce appends a token that isn't there yet, as every change function must
--- a/internal/consensus/messages.go
+++ b/internal/state/consensus/messages.go
@@ -4,8 +4,8 @@
 package consensus
 
 import (
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/transport/wire"
 )
 
 // Store is one acceptor of the voter set. Its id is made with its data folder,
--- a/internal/consensus/model_rounds_test.go
+++ b/internal/state/consensus/model_rounds_test.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // quorums are the groups of machines that a round may reach at once, where rounds
--- a/internal/consensus/model_state_test.go
+++ b/internal/state/consensus/model_state_test.go
@@ -8,8 +8,8 @@
 	"math/rand/v2"
 	"slices"
 
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
 )
 
 // The model: the real acceptors, proposers, copiers and voter set functions of
--- a/internal/consensus/model_test.go
+++ b/internal/state/consensus/model_test.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"dunlinwell/internal/event"
+	"dunlinwell/internal/base/event"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // modelBounds say how much may happen in one run of the model.
--- a/internal/consensus/model_world_test.go
+++ b/internal/state/consensus/model_world_test.go
@@ -5,8 +5,8 @@
 	"hash/fnv"
 	"slices"
 
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
 )
 
 // modelPacket is a question on its way; it may come late, or never.
--- a/internal/consensus/page.go
+++ b/internal/state/consensus/page.go
@@ -5,8 +5,8 @@
 	"slices"
 	"strings"
 
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
 )
 
 // Page serves a newcomer; only members that know of its voter set may.
--- a/internal/consensus/peers.go
+++ b/internal/state/consensus/peers.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // peers is what a proposer knows of the stores that it asks.
--- a/internal/consensus/proposer.go
+++ b/internal/state/consensus/proposer.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
 )
 
 // Func is a change function: it takes the register's value and an argument,
--- a/internal/consensus/registers.go
+++ b/internal/state/consensus/registers.go
@@ -5,11 +5,11 @@
 	"fmt"
 	"strings"
 
-	"dunlinwell/internal/delta"
-	"dunlinwell/internal/errs"
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/delta"
+	"dunlinwell/internal/base/errs"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/transport/wire"
 )
 
 // Registers other than idempotency keys are few, and the policy's is large. Each
--- a/internal/consensus/registers_test.go
+++ b/internal/state/consensus/registers_test.go
@@ -11,9 +11,9 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/transport/wire"
 )
 
 // text gives so many bytes that no part of is like another.
--- a/internal/consensus/replace.go
+++ b/internal/state/consensus/replace.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/transport/wire"
 )
 
 // Replacement of a voter in one step. The voter set changes at once, but the
--- a/internal/consensus/replace_test.go
+++ b/internal/state/consensus/replace_test.go
@@ -5,8 +5,8 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
 )
 
 func encoded(t *testing.T, msg any) []byte {
--- a/internal/consensus/replies.go
+++ b/internal/state/consensus/replies.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"slices"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // Promised takes an acceptor's promise.
--- a/internal/consensus/roundid_test.go
+++ b/internal/state/consensus/roundid_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
 )
 
 // restart gives a store's next run on the same disk.
--- a/internal/consensus/runs_test.go
+++ b/internal/state/consensus/runs_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
 )
 
 // letter is a message on its way. Letters are delayed, doubled, swapped and
--- a/internal/consensus/save.go
+++ b/internal/state/consensus/save.go
@@ -1,8 +1,8 @@
 package consensus
 
 import (
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
 )
 
 // register gives a register from memory, or from the disk the first time.
--- a/internal/consensus/silent.go
+++ b/internal/state/consensus/silent.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // silentFor is how long a store that left a try unanswered is tried after the
--- a/internal/consensus/silent_test.go
+++ b/internal/state/consensus/silent_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
 )
 
 // A store that was cut off, but not yet counted as gone, was the first to be asked
--- a/internal/consensus/standing.go
+++ b/internal/state/consensus/standing.go
@@ -1,6 +1,6 @@
 package consensus
 
-import "dunlinwell/internal/wire"
+import "dunlinwell/internal/transport/wire"
 
 // Standing is what a store's disk says of its right to vote. A store begins
 // blank and may not vote, whatever a voter set says, until it is complete.
--- a/internal/consensus/tick.go
+++ b/internal/state/consensus/tick.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // Clock resends, gives up on asks whose time is over, and ends graces.
--- a/internal/consensus/voteridentity.go
+++ b/internal/state/consensus/voteridentity.go
@@ -1,6 +1,6 @@
 package consensus
 
-import "dunlinwell/internal/ids"
+import "dunlinwell/internal/base/ids"
 
 // Voter finds a voter by its id.
 func (r VoterSet) Voter(id uint64) (Voter, bool) {
--- a/internal/consensus/voterset.go
+++ b/internal/state/consensus/voterset.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/transport/wire"
 )
 
 // The voter set's own operations; numbers from 200 up are kept for them.
--- a/internal/election/election.go
+++ b/internal/state/election/election.go
@@ -4,9 +4,9 @@
 package election
 
 import (
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/state/consensus"
+	"dunlinwell/internal/transport/wire"
 )
 
 // OpTake takes a duty.
--- a/internal/election/election_test.go
+++ b/internal/state/election/election_test.go
@@ -5,8 +5,8 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/transport/wire"
 )
 
 func taken(t *testing.T, old []byte, h Term) []byte {
--- a/internal/idempotency/record.go
+++ b/internal/state/idempotency/record.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/state/consensus"
+	"dunlinwell/internal/transport/wire"
 )
 
 // The operations on a mark.
--- a/internal/idempotency/record_test.go
+++ b/internal/state/idempotency/record_test.go
@@ -5,9 +5,9 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/state/consensus"
+	"dunlinwell/internal/transport/wire"
 )
 
 // mark is a register that operations are played on.
--- a/internal/policy/cellorder.go
+++ b/internal/state/policy/cellorder.go
@@ -6,8 +6,8 @@
 	"github.com/tidwall/gjson"
 	"github.com/tidwall/pretty"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/state/consensus"
 )
 
 // OpOrderCell shuts or opens a cell by an order that has no id.
--- a/internal/policy/cellorder_test.go
+++ b/internal/state/policy/cellorder_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // copyOfOrder is one copy of an order on its way: what its registry knew when it
--- a/internal/policy/change.go
+++ b/internal/state/policy/change.go
@@ -9,8 +9,8 @@
 	"github.com/tidwall/gjson"
 	"github.com/tidwall/pretty"
 
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/jsoncheck"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/base/jsoncheck"
 )
 
 // Part changes one item: put whole, set some fields of it, or remove it.
--- a/internal/policy/check.go
+++ b/internal/state/policy/check.go
@@ -7,7 +7,7 @@
 
 	"github.com/tidwall/gjson"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // Fault is one thing wrong with a change: the item, the path in it, and why.
--- a/internal/policy/cluster_test.go
+++ b/internal/state/policy/cluster_test.go
@@ -6,10 +6,10 @@
 	"math/rand/v2"
 	"time"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/policy"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/state/consensus"
+	"dunlinwell/internal/state/policy"
 )
 
 // cluster is three stores that keep the policy, and two registries' clients, in
--- a/internal/policy/clusterdisk_test.go
+++ b/internal/state/policy/clusterdisk_test.go
@@ -4,8 +4,8 @@
 	"maps"
 	"slices"
 
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
 )
 
 // diskMemory is a disk: what was synced outlives its process.
--- a/internal/policy/copies_test.go
+++ b/internal/state/policy/copies_test.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"testing"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // sent is a change that an operator may send again, and its first end.
--- a/internal/policy/decoded.go
+++ b/internal/state/policy/decoded.go
@@ -4,8 +4,8 @@
 	"bytes"
 	"encoding/json"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/state/consensus"
 )
 
 // changer holds the policy that its last change led to, decoded, and that
--- a/internal/policy/delta.go
+++ b/internal/state/policy/delta.go
@@ -5,7 +5,7 @@
 	"maps"
 	"strings"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 var kindNames = []string{"service", "route", "cell", "limits"}
--- a/internal/policy/delta_test.go
+++ b/internal/state/policy/delta_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // A difference leads from any earlier revision to just the same policy, however
--- a/internal/policy/encode.go
+++ b/internal/state/policy/encode.go
@@ -7,7 +7,7 @@
 	"slices"
 	"strconv"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // marshal writes the very bytes that json.Marshal does, without reading each
--- a/internal/policy/encode_test.go
+++ b/internal/state/policy/encode_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // mergeOp merges as a proposer that has no policy at hand.
--- a/internal/policy/given.go
+++ b/internal/state/policy/given.go
@@ -6,7 +6,7 @@
 
 	"github.com/tidwall/gjson"
 
-	"dunlinwell/internal/jsoncheck"
+	"dunlinwell/internal/base/jsoncheck"
 )
 
 // ReadMerging reads and checks the words of a merging; all faults are listed.
--- a/internal/policy/history.go
+++ b/internal/state/policy/history.go
@@ -7,7 +7,7 @@
 	"slices"
 	"strconv"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // History remembers, in few bytes each, how changes ended and what content
--- a/internal/policy/merge.go
+++ b/internal/state/policy/merge.go
@@ -8,9 +8,9 @@
 
 	"github.com/tidwall/pretty"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/jsoncheck"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/base/jsoncheck"
+	"dunlinwell/internal/state/consensus"
 )
 
 // OpMerge merges items whose versions their caller gave.
--- a/internal/policy/operators_test.go
+++ b/internal/state/policy/operators_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/policy"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/state/consensus"
+	"dunlinwell/internal/state/policy"
 )
 
 // ledger is what operators were told, and what may never be told together.
--- a/internal/policy/ops.go
+++ b/internal/state/policy/ops.go
@@ -3,7 +3,7 @@
 import (
 	"encoding/json"
 
-	"dunlinwell/internal/consensus"
+	"dunlinwell/internal/state/consensus"
 )
 
 // OpChange applies a checked change to the policy.
--- a/internal/policy/policy.go
+++ b/internal/state/policy/policy.go
@@ -7,7 +7,7 @@
 	"encoding/json"
 	"fmt"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // Key is the policy's register.
--- a/internal/policy/policy_test.go
+++ b/internal/state/policy/policy_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 func change(t *testing.T, p *Policy, id, parts string) (*Policy, Result) {
--- a/internal/policy/resend.go
+++ b/internal/state/policy/resend.go
@@ -5,7 +5,7 @@
 	"regexp"
 	"strconv"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // Reasons that a result gives.
--- a/internal/policy/route.go
+++ b/internal/state/policy/route.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // Route is how a request finds a service, how urgent it is, and whether it
--- a/internal/policy/split_test.go
+++ b/internal/state/policy/split_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 func TestASplitIsDrawnByWeight(t *testing.T) {
--- a/internal/policy/view.go
+++ b/internal/state/policy/view.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"encoding/json"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // defaultTarget is a cell's comfortable level where nobody names one, in ms of
--- a/internal/storage/bench_test.go
+++ b/internal/state/storage/bench_test.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"testing"
 
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
 )
 
 // BenchmarkKeep syncs one record, or many that waited together.
--- a/internal/storage/prune.go
+++ b/internal/state/storage/prune.go
@@ -7,8 +7,8 @@
 	"os"
 	"time"
 
-	"dunlinwell/internal/errs"
-	"dunlinwell/internal/event"
+	"dunlinwell/internal/base/errs"
+	"dunlinwell/internal/base/event"
 )
 
 // ranNow is how long this folder has been in use, in milliseconds of
--- a/internal/storage/setaside.go
+++ b/internal/state/storage/setaside.go
@@ -7,7 +7,7 @@
 	"path/filepath"
 	"time"
 
-	"dunlinwell/internal/errs"
+	"dunlinwell/internal/base/errs"
 )
 
 const databaseFile = "stockroom.db"
--- a/internal/storage/storage.go
+++ b/internal/state/storage/storage.go
@@ -14,9 +14,9 @@
 
 	_ "github.com/mattn/go-sqlite3" // the driver
 
-	"dunlinwell/internal/errs"
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/errs"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
 )
 
 // Format is the disk format written here; a newer one is left untouched. In 2 a
--- a/internal/storage/storage_test.go
+++ b/internal/state/storage/storage_test.go
@@ -12,8 +12,8 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
 )
 
 func TestRecordsOutliveTheProcess(t *testing.T) {
--- a/internal/blueprint/blueprint.go
+++ b/internal/testsupport/blueprint/blueprint.go
@@ -6,7 +6,7 @@
 	"encoding/json"
 	"fmt"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // Plan is the size and kind of a fleet.
--- a/internal/blueprint/work.go
+++ b/internal/testsupport/blueprint/work.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"math/rand/v2"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // Work draws what stand-in operators send, each change as its own words.
--- a/internal/checker/checker.go
+++ b/internal/testsupport/checker/checker.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // Ran is one execution at a stand-in target.
--- a/internal/checker/emptied.go
+++ b/internal/testsupport/checker/emptied.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // Emptied is a span for which a cell was to have no new work, from when the
--- a/internal/checker/force_test.go
+++ b/internal/testsupport/checker/force_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // A run goes by the policy that its proxy held when the bytes left: what then
--- a/internal/checker/held.go
+++ b/internal/testsupport/checker/held.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // Closed is a connection that a consumer held and that ended without its doing.
--- a/internal/checker/moves.go
+++ b/internal/testsupport/checker/moves.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // Order is what the order of moves is judged by: the policy as the operators
--- a/internal/checker/retries.go
+++ b/internal/testsupport/checker/retries.go
@@ -5,7 +5,7 @@
 	"sort"
 	"time"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // retries finds spans of ten seconds in which a service saw more repeated
--- a/internal/scaletest/fleet.go
+++ b/internal/testsupport/scaletest/fleet.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"dunlinwell/internal/errs"
+	"dunlinwell/internal/base/errs"
 )
 
 // Params are the options of a run over several sizes.
--- a/internal/scaletest/proxygroup.go
+++ b/internal/testsupport/scaletest/proxygroup.go
@@ -10,15 +10,15 @@
 	"sync"
 	"time"
 
-	"dunlinwell/internal/api"
-	"dunlinwell/internal/daemon"
-	"dunlinwell/internal/dispatch"
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/process"
-	"dunlinwell/internal/proxy"
-	"dunlinwell/internal/spill"
+	"dunlinwell/internal/app/api"
+	"dunlinwell/internal/app/daemon"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/spill"
+	"dunlinwell/internal/dataplane/dispatch"
+	"dunlinwell/internal/dataplane/proxy"
+	"dunlinwell/internal/transport/process"
 )
 
 // CrewParams are what a process of hollow proxies is told.
--- a/internal/scaletest/size.go
+++ b/internal/testsupport/scaletest/size.go
@@ -8,7 +8,7 @@
 	"fmt"
 	"slices"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // Size is how large one fleet is.
--- a/internal/scaletest/size_test.go
+++ b/internal/testsupport/scaletest/size_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/policy"
+	"dunlinwell/internal/state/policy"
 )
 
 func lists() Lists {
--- a/internal/simulator/asleep.go
+++ b/internal/testsupport/simulator/asleep.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // freeze stops it for a while; its connections stay open.
--- a/internal/simulator/asleep_test.go
+++ b/internal/testsupport/simulator/asleep_test.go
@@ -7,10 +7,10 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/checker"
-	"dunlinwell/internal/dispatch"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/dataplane/dispatch"
+	"dunlinwell/internal/testsupport/checker"
 )
 
 // What left a proxy before its route moved, and ran once a frozen target
--- a/internal/simulator/books.go
+++ b/internal/testsupport/simulator/books.go
@@ -3,11 +3,11 @@
 import (
 	"time"
 
-	"dunlinwell/internal/checker"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/policy"
-	"dunlinwell/internal/registry"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/registry"
+	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/testsupport/checker"
 )
 
 const (
--- a/internal/simulator/catchup.go
+++ b/internal/testsupport/simulator/catchup.go
@@ -5,10 +5,10 @@
 	"maps"
 	"time"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/policy"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/state/consensus"
+	"dunlinwell/internal/state/policy"
 )
 
 // Absences are the ways in which a store misses changes. Each gives how it returns.
--- a/internal/simulator/connections.go
+++ b/internal/testsupport/simulator/connections.go
@@ -1,6 +1,6 @@
 package simulator
 
-import "dunlinwell/internal/ids"
+import "dunlinwell/internal/base/ids"
 
 // endpoints are the two ends of a daemon's connection to another one.
 type endpoints struct{ a, b string }
--- a/internal/simulator/crowd.go
+++ b/internal/testsupport/simulator/crowd.go
@@ -5,12 +5,12 @@
 	"strings"
 	"time"
 
-	"dunlinwell/internal/blueprint"
-	"dunlinwell/internal/checker"
-	"dunlinwell/internal/dispatch"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/registry"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/registry"
+	"dunlinwell/internal/dataplane/dispatch"
+	"dunlinwell/internal/testsupport/blueprint"
+	"dunlinwell/internal/testsupport/checker"
 )
 
 // crowd is the stand-in consumers.
--- a/internal/simulator/cutoff.go
+++ b/internal/testsupport/simulator/cutoff.go
@@ -4,11 +4,11 @@
 	"fmt"
 	"time"
 
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/policy"
-	"dunlinwell/internal/registry"
-	"dunlinwell/internal/targets"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/registry"
+	"dunlinwell/internal/controlplane/targets"
+	"dunlinwell/internal/state/policy"
 )
 
 func init() {
--- a/internal/simulator/daybook.go
+++ b/internal/testsupport/simulator/daybook.go
@@ -12,13 +12,13 @@
 	"strings"
 	"time"
 
-	"dunlinwell/internal/dispatch"
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/proxy"
-	"dunlinwell/internal/registry"
-	"dunlinwell/internal/store"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/registry"
+	"dunlinwell/internal/controlplane/store"
+	"dunlinwell/internal/dataplane/dispatch"
+	"dunlinwell/internal/dataplane/proxy"
+	"dunlinwell/internal/transport/wire"
 )
 
 // A daybook is a recorded trace of one machine: every event that came to it in
--- a/internal/simulator/daybook_test.go
+++ b/internal/testsupport/simulator/daybook_test.go
@@ -13,8 +13,8 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
 )
 
 var record = flag.Bool("record", false, "record the daybooks anew, after a change that is meant")
--- a/internal/simulator/defect.go
+++ b/internal/testsupport/simulator/defect.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/dispatch"
-	"dunlinwell/internal/registry"
+	"dunlinwell/internal/controlplane/registry"
+	"dunlinwell/internal/dataplane/dispatch"
+	"dunlinwell/internal/state/consensus"
 )
 
 // Defect is a mistake planted on purpose, to see that its checker bites.
--- a/internal/simulator/defect_test.go
+++ b/internal/testsupport/simulator/defect_test.go
@@ -9,13 +9,13 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/dispatch"
-	"dunlinwell/internal/distribution"
-	"dunlinwell/internal/idempotency"
-	"dunlinwell/internal/policy"
-	"dunlinwell/internal/spill"
-	"dunlinwell/internal/targets"
+	"dunlinwell/internal/controlplane/distribution"
+	"dunlinwell/internal/controlplane/spill"
+	"dunlinwell/internal/controlplane/targets"
+	"dunlinwell/internal/dataplane/dispatch"
+	"dunlinwell/internal/state/consensus"
+	"dunlinwell/internal/state/idempotency"
+	"dunlinwell/internal/state/policy"
 )
 
 // Every checker catches the mistake it is there for.
--- a/internal/simulator/delivery.go
+++ b/internal/testsupport/simulator/delivery.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
-	"dunlinwell/internal/dispatch"
-	"dunlinwell/internal/idempotency"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/proxy"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/dataplane/dispatch"
+	"dunlinwell/internal/dataplane/proxy"
+	"dunlinwell/internal/state/idempotency"
 )
 
 // forward is the real carrier's part: dial, let the target show who it is, look
--- a/internal/simulator/disk.go
+++ b/internal/testsupport/simulator/disk.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
 )
 
 // Fetch finds a record that was synced.
--- a/internal/simulator/dispatchers.go
+++ b/internal/testsupport/simulator/dispatchers.go
@@ -3,13 +3,13 @@
 import (
 	"time"
 
-	"dunlinwell/internal/dispatch"
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/idempotency"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/policy"
-	"dunlinwell/internal/proxy"
-	"dunlinwell/internal/spill"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/spill"
+	"dunlinwell/internal/dataplane/dispatch"
+	"dunlinwell/internal/dataplane/proxy"
+	"dunlinwell/internal/state/idempotency"
+	"dunlinwell/internal/state/policy"
 )
 
 // dispatchers is the data plane of a simulated proxy: real dispatchers, and targets
--- a/internal/simulator/emptying.go
+++ b/internal/testsupport/simulator/emptying.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"time"
 
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/policy"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/state/policy"
 )
 
 // emptyCell empties a cell as an operator does, and refills it later.
--- a/internal/simulator/faults_acknowledged.go
+++ b/internal/testsupport/simulator/faults_acknowledged.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"dunlinwell/internal/blueprint"
-	"dunlinwell/internal/membership"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/testsupport/blueprint"
 )
 
 const (
--- a/internal/simulator/faults_core.go
+++ b/internal/testsupport/simulator/faults_core.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"time"
 
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
 )
 
 // coreFaults are those of core machines: losses for good, of disks, and right
--- a/internal/simulator/faults_target.go
+++ b/internal/testsupport/simulator/faults_target.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"dunlinwell/internal/membership"
+	"dunlinwell/internal/controlplane/membership"
 )
 
 // targetFaults are those of targets.
--- a/internal/simulator/founding_test.go
+++ b/internal/testsupport/simulator/founding_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
 )
 
 // oldSeedsReturn moves the whole core to other machines and then starts the
--- a/internal/simulator/history.go
+++ b/internal/testsupport/simulator/history.go
@@ -3,9 +3,9 @@
 import (
 	"math"
 
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/policy"
-	"dunlinwell/internal/registry"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/registry"
+	"dunlinwell/internal/state/policy"
 )
 
 // Operation is one call on the policy's register as its caller saw it: a change,
--- a/internal/simulator/hot.go
+++ b/internal/testsupport/simulator/hot.go
@@ -5,11 +5,11 @@
 	"math/rand/v2"
 	"time"
 
-	"dunlinwell/internal/blueprint"
-	"dunlinwell/internal/checker"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/spill"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/spill"
+	"dunlinwell/internal/testsupport/blueprint"
+	"dunlinwell/internal/testsupport/checker"
 )
 
 const (
--- a/internal/simulator/lease_test.go
+++ b/internal/testsupport/simulator/lease_test.go
@@ -6,9 +6,9 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/blueprint"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/testsupport/blueprint"
 )
 
 // losses are what the lease costs pages in, each for eight seconds.
--- a/internal/simulator/leaving_test.go
+++ b/internal/testsupport/simulator/leaving_test.go
@@ -7,9 +7,9 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/store"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/store"
+	"dunlinwell/internal/state/consensus"
 )
 
 // leave gives a store the polite signal and does something once it has ended.
--- a/internal/simulator/linear_test.go
+++ b/internal/testsupport/simulator/linear_test.go
@@ -8,9 +8,9 @@
 	"github.com/anishathalye/porcupine"
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/policy"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/state/consensus"
+	"dunlinwell/internal/state/policy"
 )
 
 // register is the policy's register as its callers may see it: each accepted
--- a/internal/simulator/load_test.go
+++ b/internal/testsupport/simulator/load_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/blueprint"
+	"dunlinwell/internal/testsupport/blueprint"
 )
 
 // tight is one service with two tiers on targets that bear little.
--- a/internal/simulator/mistakes_test.go
+++ b/internal/testsupport/simulator/mistakes_test.go
@@ -6,14 +6,14 @@
 	"sync"
 	"time"
 
-	"dunlinwell/internal/blueprint"
-	"dunlinwell/internal/distribution"
-	"dunlinwell/internal/idempotency"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/policy"
-	"dunlinwell/internal/proxy"
-	"dunlinwell/internal/registry"
-	"dunlinwell/internal/spill"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/distribution"
+	"dunlinwell/internal/controlplane/registry"
+	"dunlinwell/internal/controlplane/spill"
+	"dunlinwell/internal/dataplane/proxy"
+	"dunlinwell/internal/state/idempotency"
+	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/testsupport/blueprint"
 )
 
 // alwaysYours lets every claim stand, whoever has the mark.
--- a/internal/simulator/mixed_test.go
+++ b/internal/testsupport/simulator/mixed_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/transport/wire"
 )
 
 // headSize is the length of a frame's head, which no version may change.
--- a/internal/simulator/office.go
+++ b/internal/testsupport/simulator/office.go
@@ -4,10 +4,10 @@
 	"encoding/json"
 	"fmt"
 
-	"dunlinwell/internal/blueprint"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/policy"
-	"dunlinwell/internal/registry"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/registry"
+	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/testsupport/blueprint"
 )
 
 // operator is the name that operators have in cuts and exchanges.
--- a/internal/simulator/order.go
+++ b/internal/testsupport/simulator/order.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"dunlinwell/internal/policy"
-	"dunlinwell/internal/registry"
+	"dunlinwell/internal/controlplane/registry"
+	"dunlinwell/internal/state/policy"
 )
 
 const (
--- a/internal/simulator/proc.go
+++ b/internal/testsupport/simulator/proc.go
@@ -4,12 +4,12 @@
 	"math/rand/v2"
 	"time"
 
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/proxy"
-	"dunlinwell/internal/registry"
-	"dunlinwell/internal/store"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/registry"
+	"dunlinwell/internal/controlplane/store"
+	"dunlinwell/internal/dataplane/proxy"
 )
 
 // proc is one simulated process. Its machine is a real one.
--- a/internal/simulator/prune.go
+++ b/internal/testsupport/simulator/prune.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // A simulated disk forgets marks as the real one does: by its own measured
--- a/internal/simulator/recover_test.go
+++ b/internal/testsupport/simulator/recover_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/store"
+	"dunlinwell/internal/controlplane/store"
 )
 
 // Two disks are lost for good. On an operator's order the fleet goes on from
--- a/internal/simulator/repair.go
+++ b/internal/testsupport/simulator/repair.go
@@ -4,10 +4,10 @@
 	"fmt"
 	"time"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/state/consensus"
+	"dunlinwell/internal/transport/wire"
 )
 
 // wipeStore kills a store, loses its disk and starts it again after a while.
--- a/internal/simulator/resend_test.go
+++ b/internal/testsupport/simulator/resend_test.go
@@ -7,11 +7,11 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/blueprint"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/policy"
-	"dunlinwell/internal/registry"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/registry"
+	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/testsupport/blueprint"
 )
 
 // Orders are accepted, their answers lost; hundreds of others follow, every store
--- a/internal/simulator/returned_test.go
+++ b/internal/testsupport/simulator/returned_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
 )
 
 // Of three stores one is lost for good. While a spare copies, another is away
--- a/internal/simulator/run.go
+++ b/internal/testsupport/simulator/run.go
@@ -5,11 +5,11 @@
 	"io"
 	"time"
 
-	"dunlinwell/internal/blueprint"
-	"dunlinwell/internal/checker"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/policy"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/state/policy"
+	"dunlinwell/internal/testsupport/blueprint"
+	"dunlinwell/internal/testsupport/checker"
 )
 
 // Params are the options of a run; zero ones take the defaults.
--- a/internal/simulator/scenes.go
+++ b/internal/testsupport/simulator/scenes.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"dunlinwell/internal/blueprint"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/store"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/store"
+	"dunlinwell/internal/testsupport/blueprint"
 )
 
 // Scenes are faults in combination, at set times. Each goes with the usual
--- a/internal/simulator/scenes_control.go
+++ b/internal/testsupport/simulator/scenes_control.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"dunlinwell/internal/blueprint"
-	"dunlinwell/internal/membership"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/testsupport/blueprint"
 )
 
 // coreMachineCutOff cuts one core machine off from the others, and a second one
--- a/internal/simulator/scenes_network.go
+++ b/internal/testsupport/simulator/scenes_network.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
 )
 
 // Scenes of cuts.
--- a/internal/simulator/spill.go
+++ b/internal/testsupport/simulator/spill.go
@@ -6,10 +6,10 @@
 	"slices"
 	"time"
 
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/registry"
-	"dunlinwell/internal/spill"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/registry"
+	"dunlinwell/internal/controlplane/spill"
 )
 
 // Point is how the spill stands at one time: what each cell uses, as its
--- a/internal/simulator/spill_test.go
+++ b/internal/testsupport/simulator/spill_test.go
@@ -6,9 +6,9 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/blueprint"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/spill"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/spill"
+	"dunlinwell/internal/testsupport/blueprint"
 )
 
 const (
--- a/internal/simulator/target.go
+++ b/internal/testsupport/simulator/target.go
@@ -6,12 +6,12 @@
 	"slices"
 	"time"
 
-	"dunlinwell/internal/checker"
-	"dunlinwell/internal/idempotency"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
-	"dunlinwell/internal/registry"
-	"dunlinwell/internal/targets"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/registry"
+	"dunlinwell/internal/controlplane/targets"
+	"dunlinwell/internal/state/idempotency"
+	"dunlinwell/internal/testsupport/checker"
 )
 
 // target is a stand-in target in the simulated world.
--- a/internal/simulator/tolerance.go
+++ b/internal/testsupport/simulator/tolerance.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"dunlinwell/internal/consensus"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/membership"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/state/consensus"
 )
 
 // catchUp is how long a core machine still counts as lost after it is back, or
--- a/internal/simulator/world.go
+++ b/internal/testsupport/simulator/world.go
@@ -10,9 +10,9 @@
 	"math/rand/v2"
 	"time"
 
-	"dunlinwell/internal/checker"
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/testsupport/checker"
 )
 
 // task is something due at a virtual time; ties go by the order of asking.
--- a/internal/testbed/circuits.go
+++ b/internal/testsupport/testbed/circuits.go
@@ -13,9 +13,9 @@
 	"sync"
 	"time"
 
-	"dunlinwell/internal/blueprint"
-	"dunlinwell/internal/checker"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/testsupport/blueprint"
+	"dunlinwell/internal/testsupport/checker"
 )
 
 // callers are the clients of stand-ins, one for each machine that calls: its
--- a/internal/testbed/consumer.go
+++ b/internal/testsupport/testbed/consumer.go
@@ -13,9 +13,9 @@
 	"sync/atomic"
 	"time"
 
-	"dunlinwell/internal/blueprint"
-	"dunlinwell/internal/checker"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/testsupport/blueprint"
+	"dunlinwell/internal/testsupport/checker"
 )
 
 // Consumers are stand-in consumers: they ask where to go, trust the answer for
--- a/internal/testbed/deeds.go
+++ b/internal/testsupport/testbed/deeds.go
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // Perform carries a script out, and gives how long the fleet took to be whole
--- a/internal/testbed/fleet.go
+++ b/internal/testsupport/testbed/fleet.go
@@ -11,9 +11,9 @@
 	"syscall"
 	"time"
 
-	"dunlinwell/internal/blueprint"
-	"dunlinwell/internal/errs"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/errs"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/testsupport/blueprint"
 )
 
 // Process is one daemon of the fleet.
--- a/internal/testbed/machines.go
+++ b/internal/testsupport/testbed/machines.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"dunlinwell/internal/errs"
+	"dunlinwell/internal/base/errs"
 )
 
 // A core machine is one thing: its store and its registry come and go
--- a/internal/testbed/net.go
+++ b/internal/testsupport/testbed/net.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // delay is the time one way between two loopback addresses, by their regions.
--- a/internal/testbed/operators.go
+++ b/internal/testsupport/testbed/operators.go
@@ -12,10 +12,10 @@
 	"sync/atomic"
 	"time"
 
-	"dunlinwell/internal/blueprint"
-	"dunlinwell/internal/checker"
-	"dunlinwell/internal/errs"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/errs"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/testsupport/blueprint"
+	"dunlinwell/internal/testsupport/checker"
 )
 
 // Operators are stand-in operators and their automation, at work through any
--- a/internal/testbed/programs.go
+++ b/internal/testsupport/testbed/programs.go
@@ -5,7 +5,7 @@
 	"os/exec"
 	"path/filepath"
 
-	"dunlinwell/internal/errs"
+	"dunlinwell/internal/base/errs"
 )
 
 // programs are what a fleet needs: its daemons, and the command line.
--- a/internal/testbed/ready.go
+++ b/internal/testsupport/testbed/ready.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"time"
 
-	"dunlinwell/internal/errs"
+	"dunlinwell/internal/base/errs"
 )
 
 // Ready tells whether a process takes work.
--- a/internal/testbed/relay.go
+++ b/internal/testsupport/testbed/relay.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"dunlinwell/internal/errs"
+	"dunlinwell/internal/base/errs"
 )
 
 // Relay stands between all machines: each address leads through it, those of
--- a/internal/testbed/run.go
+++ b/internal/testsupport/testbed/run.go
@@ -15,9 +15,9 @@
 	"sync/atomic"
 	"time"
 
-	"dunlinwell/internal/blueprint"
-	"dunlinwell/internal/checker"
-	"dunlinwell/internal/errs"
+	"dunlinwell/internal/base/errs"
+	"dunlinwell/internal/testsupport/blueprint"
+	"dunlinwell/internal/testsupport/checker"
 )
 
 // Stage is a fleet with its stand-ins.
--- a/internal/testbed/runbooks_test.go
+++ b/internal/testsupport/testbed/runbooks_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/cli"
-	"dunlinwell/internal/runbook"
+	"dunlinwell/internal/app/cli"
+	"dunlinwell/internal/app/runbook"
 )
 
 // books runs shipped runbooks against a fleet, with the operator's hands.
--- a/internal/testbed/script.go
+++ b/internal/testsupport/testbed/script.go
@@ -9,9 +9,9 @@
 
 	"sigs.k8s.io/yaml"
 
-	"dunlinwell/internal/blueprint"
-	"dunlinwell/internal/errs"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/errs"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/testsupport/blueprint"
 )
 
 // Script is faults at set times.
--- a/internal/testbed/script_test.go
+++ b/internal/testsupport/testbed/script_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/blueprint"
+	"dunlinwell/internal/testsupport/blueprint"
 )
 
 // A script with anything wrong in it is declined whole, with file and step.
--- a/internal/testbed/scripts.go
+++ b/internal/testsupport/testbed/scripts.go
@@ -5,7 +5,7 @@
 	"sort"
 	"time"
 
-	"dunlinwell/internal/blueprint"
+	"dunlinwell/internal/testsupport/blueprint"
 )
 
 func at(n int) Span { return Span(time.Duration(n) * time.Second) }
--- a/internal/testbed/stands.go
+++ b/internal/testsupport/testbed/stands.go
@@ -10,7 +10,7 @@
 
 	_ "github.com/mattn/go-sqlite3" // to hold a store's database from outside
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 func (s *Stage) target(name string) *Target {
--- a/internal/testbed/target.go
+++ b/internal/testsupport/testbed/target.go
@@ -16,8 +16,8 @@
 	"sync/atomic"
 	"time"
 
-	"dunlinwell/internal/checker"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/testsupport/checker"
 )
 
 // Target is a stand-in target. It announces itself, shows who it is, seals its
--- a/internal/testbed/watch.go
+++ b/internal/testsupport/testbed/watch.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"dunlinwell/internal/checker"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/testsupport/checker"
 )
 
 // statedCost is what stand-in targets state as the CPU time of a request.
--- a/internal/doccheck/doccheck_test.go
+++ b/internal/tools/doccheck/doccheck_test.go
@@ -14,11 +14,11 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/ratchet"
+	"dunlinwell/internal/tools/ratchet"
 )
 
 // moduleRoot is where go.mod lies, seen from this folder.
-const moduleRoot = "../.."
+const moduleRoot = "../../.."
 
 // skippedFolders hold no source of this module.
 var skippedFolders = map[string]bool{".git": true, "target": true, "bin": true, "testdata": true, "journal": true}
--- a/internal/doccheck/naming_test.go
+++ b/internal/tools/doccheck/naming_test.go
@@ -9,7 +9,7 @@
 	"unicode"
 	"unicode/utf8"
 
-	"dunlinwell/internal/ratchet"
+	"dunlinwell/internal/tools/ratchet"
 )
 
 // articles may stand before the name of a type.
--- a/internal/knownred/judge/main.go
+++ b/internal/tools/knownred/judge/main.go
@@ -9,7 +9,7 @@
 	"os"
 	"os/exec"
 
-	"dunlinwell/internal/knownred"
+	"dunlinwell/internal/tools/knownred"
 )
 
 func main() {
--- a/internal/ratchet/lint/main.go
+++ b/internal/tools/ratchet/lint/main.go
@@ -10,7 +10,7 @@
 	"os"
 	"path/filepath"
 
-	"dunlinwell/internal/ratchet"
+	"dunlinwell/internal/tools/ratchet"
 )
 
 // report is the part of golangci-lint's JSON report that is read here.
--- a/internal/process/dial.go
+++ b/internal/transport/process/dial.go
@@ -7,8 +7,8 @@
 	"syscall"
 	"time"
 
-	"dunlinwell/internal/errs"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/errs"
+	"dunlinwell/internal/base/ids"
 )
 
 func (p *Transport) dial(ctx context.Context, to ids.Address) (net.Conn, error) {
--- a/internal/process/dialpace.go
+++ b/internal/transport/process/dialpace.go
@@ -5,7 +5,7 @@
 	"net"
 	"time"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 const (
--- a/internal/process/dialpace_test.go
+++ b/internal/transport/process/dialpace_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/ids"
 )
 
 // dark is a machine without power: whoever dials it hears nothing, and a dial
--- a/internal/process/discard.go
+++ b/internal/transport/process/discard.go
@@ -6,9 +6,9 @@
 	"strings"
 	"sync"
 
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/transport/wire"
 )
 
 // mostNamed bounds the peers that are remembered as having been logged.
--- a/internal/process/discard_test.go
+++ b/internal/transport/process/discard_test.go
@@ -14,9 +14,9 @@
 	"github.com/matryer/is"
 	"github.com/phuslu/log"
 
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/transport/wire"
 )
 
 // lines is a log that a test can count.
--- a/internal/process/log.go
+++ b/internal/transport/process/log.go
@@ -11,7 +11,7 @@
 
 	"github.com/phuslu/log"
 
-	"dunlinwell/internal/event"
+	"dunlinwell/internal/base/event"
 )
 
 // Log writes one line of key=value pairs for each event.
--- a/internal/process/owner.go
+++ b/internal/transport/process/owner.go
@@ -6,8 +6,8 @@
 	"context"
 	"time"
 
-	"dunlinwell/internal/event"
-	"dunlinwell/internal/ids"
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
 )
 
 var begun = time.Now()
--- a/internal/process/receive.go
+++ b/internal/transport/process/receive.go
@@ -5,8 +5,8 @@
 	"context"
 	"net"
 
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/transport/wire"
 )
 
 // receive reads one peer's connection. A malformed frame closes it, and so does
--- a/internal/process/traffic.go
+++ b/internal/transport/process/traffic.go
@@ -5,7 +5,7 @@
 	"slices"
 	"sync"
 
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/transport/wire"
 )
 
 // Way is where a message went.
--- a/internal/process/traffic_test.go
+++ b/internal/transport/process/traffic_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/transport/wire"
 )
 
 type note struct{ Text string }
--- a/internal/process/transport.go
+++ b/internal/transport/process/transport.go
@@ -7,9 +7,9 @@
 	"sync"
 	"time"
 
-	"dunlinwell/internal/errs"
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/errs"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/transport/wire"
 )
 
 // Greeting opens a connection: it tells where the sender takes messages.
--- a/internal/process/transport_test.go
+++ b/internal/transport/process/transport_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/transport/wire"
 )
 
 // away is a peer that refuses for a while, and counts how often it was asked.
--- a/internal/process/writeframe_test.go
+++ b/internal/transport/process/writeframe_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/matryer/is"
 
-	"dunlinwell/internal/ids"
-	"dunlinwell/internal/wire"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/transport/wire"
 )
 
 // large is a frame that a slow link carries for much longer than writeWithin.
--- a/internal/wire/body.go
+++ b/internal/transport/wire/body.go
@@ -8,7 +8,7 @@
 	"math"
 	"reflect"
 
-	"dunlinwell/internal/errs"
+	"dunlinwell/internal/base/errs"
 )
 
 // put writes a value field by field in big-endian order: numbers at their
--- a/internal/wire/deflate.go
+++ b/internal/transport/wire/deflate.go
@@ -7,7 +7,7 @@
 	"io"
 	"sync"
 
-	"dunlinwell/internal/errs"
+	"dunlinwell/internal/base/errs"
 )
 
 const (
--- a/internal/wire/frame.go
+++ b/internal/transport/wire/frame.go
@@ -8,7 +8,7 @@
 	"io"
 	"reflect"
 
-	"dunlinwell/internal/errs"
+	"dunlinwell/internal/base/errs"
 )
 
 const (
