--- a/cmd/testbed/hollow.go
+++ b/cmd/testbed/hollow.go
@@ -51,8 +51,10 @@
 	if err != nil {
 		return err
 	}
-	p := scaletest.Options{Sizes: sizes, Dir: h.Dir, Thrifty: h.Thrifty, PerCrew: h.Crew, For: h.For, Within: h.Within,
-		Interval: h.Interval, Rows: h.Rows, Changes: h.Changes, Block: 220 + os.Getpid()%30, Show: progress}
+	p := scaletest.Options{
+		Sizes: sizes, Dir: h.Dir, Thrifty: h.Thrifty, PerCrew: h.Crew, For: h.For, Within: h.Within,
+		Interval: h.Interval, Rows: h.Rows, Changes: h.Changes, Block: 220 + os.Getpid()%30, Show: progress,
+	}
 	if err := p.Check(); err != nil {
 		return err
 	}
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -73,8 +73,10 @@
 	case r.For < least[r.Play]:
 		return nil, fmt.Errorf("--for: %s takes %s", r.Play, least[r.Play])
 	}
-	return map[string]*testbed.Script{"grand": testbed.Grand(plan), "worst": testbed.Worst(plan), "swaps": testbed.Swaps(plan),
-		"hot": testbed.Hot(plan, r.For), "quiet": {}}[r.Play], nil
+	return map[string]*testbed.Script{
+		"grand": testbed.Grand(plan), "worst": testbed.Worst(plan), "swaps": testbed.Swaps(plan),
+		"hot": testbed.Hot(plan, r.For), "quiet": {},
+	}[r.Play], nil
 }
 
 // Run plays, reads everything back, and counts.
--- a/internal/app/api/fuzz_test.go
+++ b/internal/app/api/fuzz_test.go
@@ -74,8 +74,10 @@
 }
 
 func (o *office) call(method, path, match, body string) *httptest.ResponseRecorder {
-	r := &http.Request{Method: method, URL: &url.URL{Path: "/v1/" + path}, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Host: "h",
-		Header: http.Header{"If-Match": {match}}, Body: http.NoBody, RemoteAddr: "10.0.0.9:1"}
+	r := &http.Request{
+		Method: method, URL: &url.URL{Path: "/v1/" + path}, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Host: "h",
+		Header: http.Header{"If-Match": {match}}, Body: http.NoBody, RemoteAddr: "10.0.0.9:1",
+	}
 	if body != "" {
 		r.Body = http.MaxBytesReader(nil, readCloser{strings.NewReader(body)}, mostMerging)
 	}
@@ -93,11 +95,19 @@
 // success changes nothing, and each gets one of the documented answers.
 func FuzzCalls(f *testing.F) {
 	for _, c := range [][4]string{
-		{"PUT", "services/wader", "", `{}`}, {"PUT", "routes/mud", `"3"`, `{"prefix":"/mud/","service":"wader","repeatable":true}`},
-		{"DELETE", "services/wader", "1", ""}, {"POST", "cells/north/empty", "", ""}, {"POST", "cells/north/none", "", ""},
-		{"POST", "change", "", `{"id":"a","changes":[{"kind":"cell","name":"north","put":{}}]}`}, {"POST", "change", "", `{"id":"a","changes":[]}`},
-		{"POST", "merge", "", `{"items":[{"kind":"service","name":"wader","version":7,"body":{}}]}`}, {"GET", "policy", "", ""}, {"GET", "services", "", ""},
-		{"GET", "routes/mud", "", ""}, {"GET", "status", "", ""}, {"GET", "where", "", ""},
+		{"PUT", "services/wader", "", `{}`},
+		{"PUT", "routes/mud", `"3"`, `{"prefix":"/mud/","service":"wader","repeatable":true}`},
+		{"DELETE", "services/wader", "1", ""},
+		{"POST", "cells/north/empty", "", ""},
+		{"POST", "cells/north/none", "", ""},
+		{"POST", "change", "", `{"id":"a","changes":[{"kind":"cell","name":"north","put":{}}]}`},
+		{"POST", "change", "", `{"id":"a","changes":[]}`},
+		{"POST", "merge", "", `{"items":[{"kind":"service","name":"wader","version":7,"body":{}}]}`},
+		{"GET", "policy", "", ""},
+		{"GET", "services", "", ""},
+		{"GET", "routes/mud", "", ""},
+		{"GET", "status", "", ""},
+		{"GET", "where", "", ""},
 		{"POST", "announce", "", `{"instance":"i","incarnation":1,"sequence":1,"service":"wader","address":"10.0.0.5:80","cell":"north","warmth":1}`},
 	} {
 		f.Add(c[0], c[1], c[2], c[3])
--- a/internal/app/cli/books.go
+++ b/internal/app/cli/books.go
@@ -148,7 +148,8 @@
 		return &Ended{ExitUsage, err.Error()}
 	}
 	in := bufio.NewReader(os.Stdin)
-	return book.Run(runbook.Options{Values: b.Set, Dry: b.Dry, Out: c.Out, Now: time.Now,
+	return book.Run(runbook.Options{
+		Values: b.Set, Dry: b.Dry, Out: c.Out, Now: time.Now,
 		Pause:   func() { time.Sleep(250 * time.Millisecond) },
 		Command: func(words []string) ([]byte, error) { return Capture(c, words) },
 		Hands: func(what string) bool {
@@ -159,7 +160,8 @@
 			fmt.Fprint(c.Out, "   done? [y/N] ")
 			line, _ := in.ReadString('\n')
 			return strings.HasPrefix(strings.ToLower(strings.TrimSpace(line)), "y")
-		}})
+		},
+	})
 }
 
 // Capture runs one command within this process and gives its JSON answer.
--- a/internal/app/daemon/daemon.go
+++ b/internal/app/daemon/daemon.go
@@ -28,9 +28,11 @@
 // Self describes this process for the roll. Its incarnation begins at the
 // wall clock, and is raised by refuting where that clock went back.
 func Self(p settings.Common, role membership.Role) membership.Member {
-	return membership.Member{ID: ids.DaemonID(p.Name), Role: role, Address: ids.Address(p.Address),
+	return membership.Member{
+		ID: ids.DaemonID(p.Name), Role: role, Address: ids.Address(p.Address),
 		HTTP: ids.Address(p.HTTP), Zone: ids.Name(p.Cell), RunID: ids.RunID(rand.Uint64()>>24 | 1),
-		Incarnation: ids.Incarnation(time.Now().UnixMilli())}
+		Incarnation: ids.Incarnation(time.Now().UnixMilli()),
+	}
 }
 
 // Supervisor makes a suture supervisor that logs in our own way.
--- a/internal/app/daemon/large_test.go
+++ b/internal/app/daemon/large_test.go
@@ -92,8 +92,10 @@
 
 func route(i, version int) configuration.VersionedItem {
 	body := fmt.Sprintf(`{"prefix":"/r%05d","service":"wader","repeatable":true,"host":"h%d.example"}`, i, i)
-	return configuration.VersionedItem{Kind: "route", Name: ids.Name(fmt.Sprintf("r%05d", i)), Version: ids.Revision(version),
-		Body: json.RawMessage(body), Source: json.RawMessage(body)}
+	return configuration.VersionedItem{
+		Kind: "route", Name: ids.Name(fmt.Sprintf("r%05d", i)), Version: ids.Revision(version),
+		Body: json.RawMessage(body), Source: json.RawMessage(body),
+	}
 }
 
 // One call of 15,000 routes is acknowledged.
--- a/internal/app/daemon/registry.go
+++ b/internal/app/daemon/registry.go
@@ -48,8 +48,10 @@
 // RunForeman runs a registry until the context ends.
 func RunRegistry(ctx context.Context, p RegistryOptions) error {
 	log := process.NewLog(p.Log, p.Name)
-	m := registry.New(registry.Options{Options: membership.Options{Self: Self(p.Common, membership.Registry), Seeds: p.SeedList(), Incremental: p.Thrifty},
-		PlanEvery: p.PlanEvery, Lifetime: p.Lifetime, Regions: p.Regions, Incremental: p.Thrifty, Always: p.Always, Derive: p.Derive, Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))})
+	m := registry.New(registry.Options{
+		Options:   membership.Options{Self: Self(p.Common, membership.Registry), Seeds: p.SeedList(), Incremental: p.Thrifty},
+		PlanEvery: p.PlanEvery, Lifetime: p.Lifetime, Regions: p.Regions, Incremental: p.Thrifty, Always: p.Always, Derive: p.Derive, Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+	})
 	post := &process.Transport{Address: ids.Address(p.Address), Bind: ids.Address(p.Bind), Log: log, Stats: &process.TrafficStats{}}
 	win := &api.Server{Log: log.Event}
 	owner := process.NewOwner(m, 50*time.Millisecond, func(c event.Command) {
--- a/internal/app/daemon/store.go
+++ b/internal/app/daemon/store.go
@@ -157,8 +157,10 @@
 	if disk.SetAside != "" {
 		log.Event("error", "damaged database set aside, joining as blank", "kept", disk.SetAside, "problem", disk.Damage.Error())
 	}
-	m := store.New(store.Options{Options: membership.Options{Self: Self(p.Common, membership.Store), Seeds: p.SeedList(), Incremental: p.Thrifty},
-		Replicas: p.Copies, Bootstrap: p.Bootstrap, Store: disk.Store, Run: disk.Run, Storage: disk, Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))})
+	m := store.New(store.Options{
+		Options:  membership.Options{Self: Self(p.Common, membership.Store), Seeds: p.SeedList(), Incremental: p.Thrifty},
+		Replicas: p.Copies, Bootstrap: p.Bootstrap, Store: disk.Store, Run: disk.Run, Storage: disk, Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+	})
 	post := &process.Transport{Address: ids.Address(p.Address), Bind: ids.Address(p.Bind), Log: log, Stats: &process.TrafficStats{}}
 	c := &committer{shelf: disk, log: log, inbox: make(chan event.Sync, 1<<16)}
 	disk.OnReadError = c.fatal
@@ -198,10 +200,12 @@
 	mux.HandleFunc("POST /v1/core/refound", func(rw http.ResponseWriter, r *http.Request) { refound(rw, r, owner, orders) })
 	rollHealth(mux, m.SelfMember, &stopping)
 	Metrics(mux, func() []Gauge {
-		return append(TrafficGauges(post.Stats), []Gauge{{Name: "disk_syncs_total", Value: float64(c.syncs.Load()), Total: true},
+		return append(TrafficGauges(post.Stats), []Gauge{
+			{Name: "disk_syncs_total", Value: float64(c.syncs.Load()), Total: true},
 			{Name: "disk_records_total", Value: float64(c.records.Load()), Total: true},
 			{Name: "disk_bytes_total", Value: float64(c.bytes.Load()), Total: true},
-			{Name: "disk_inbox_length", Value: float64(len(c.inbox))}}...)
+			{Name: "disk_inbox_length", Value: float64(len(c.inbox))},
+		}...)
 	})
 	return live(ctx, "store", log, &stopping, func() error { return api.Serve(life.serving, pages, mux, leavePages) },
 		owner, c, Task("post", func(x context.Context) error { return post.Serve(x, wire) }))
--- a/internal/app/runbook/runbook_test.go
+++ b/internal/app/runbook/runbook_test.go
@@ -82,12 +82,14 @@
 	}
 	var out bytes.Buffer
 	n, now := 0, time.Unix(0, 0)
-	err = b.Run(Options{Values: map[string]string{"cell": "north"}, Out: &out, Now: func() time.Time { return now }, Pause: func() { now = now.Add(time.Second) },
+	err = b.Run(Options{
+		Values: map[string]string{"cell": "north"}, Out: &out, Now: func() time.Time { return now }, Pause: func() { now = now.Add(time.Second) },
 		Hands: func(what string) bool { fmt.Fprintln(&out, "hands:", what); return true },
 		Command: func(words []string) ([]byte, error) {
 			n++
 			return []byte(answer(n, words)), nil
-		}})
+		},
+	})
 	return out.String(), err
 }
 
--- a/internal/controlplane/directory/directory_test.go
+++ b/internal/controlplane/directory/directory_test.go
@@ -14,8 +14,10 @@
 
 func sight() Snapshot {
 	place := map[ids.Name]float64{"a": 0, "b": 1, "c": 2}
-	s := Snapshot{Emptied: map[ids.Name]bool{}, Distance: func(x, y ids.Name) float64 { return math.Abs(place[x] - place[y]) },
-		Demand: func(ids.Name) float64 { return 100 }, Room: func(ids.Name) float64 { return 60 }}
+	s := Snapshot{
+		Emptied: map[ids.Name]bool{}, Distance: func(x, y ids.Name) float64 { return math.Abs(place[x] - place[y]) },
+		Demand: func(ids.Name) float64 { return 100 }, Room: func(ids.Name) float64 { return 60 },
+	}
 	for _, c := range []ids.Name{"a", "b", "c"} {
 		for range 2 {
 			s.Proxies = append(s.Proxies, membership.Member{Zone: c, HTTP: ids.Address(c) + ":1"})
--- a/internal/controlplane/distribution/fulllink_test.go
+++ b/internal/controlplane/distribution/fulllink_test.go
@@ -34,8 +34,10 @@
 
 func newLink(delay time.Duration) *link {
 	out := &event.Outbox{}
-	l := &link{Distributor: New(7, out), out: out, proxy: membership.Member{ID: "c1", Address: "c1", RunID: 1}, delay: delay,
-		lost: func(ids.Time) bool { return false }, has: map[ids.InstanceID]ids.Time{}}
+	l := &link{
+		Distributor: New(7, out), out: out, proxy: membership.Member{ID: "c1", Address: "c1", RunID: 1}, delay: delay,
+		lost: func(ids.Time) bool { return false }, has: map[ids.InstanceID]ids.Time{},
+	}
 	l.ResendAfter, l.RefreshEvery = 400*time.Millisecond, time.Second
 	l.Quiet = true
 	return l
--- a/internal/controlplane/membership/list.go
+++ b/internal/controlplane/membership/list.go
@@ -50,11 +50,13 @@
 func New(p Options, out *event.Outbox) *List {
 	p.fill()
 	p.Self.Sequence = 1
-	r := &List{Options: p, out: out, dirty: true, asked: map[ids.DaemonID]ids.Time{}, differs: map[ids.DaemonID]ids.Time{},
+	r := &List{
+		Options: p, out: out, dirty: true, asked: map[ids.DaemonID]ids.Time{}, differs: map[ids.DaemonID]ids.Time{},
 		members:     map[ids.DaemonID]Member{p.Self.ID: p.Self},
 		heard:       map[ids.DaemonID]*arrivals{},
 		words:       map[ids.Address]ids.Time{},
-		accusations: map[ids.DaemonID]*accusation{}, buried: map[ids.DaemonID]burial{}}
+		accusations: map[ids.DaemonID]*accusation{}, buried: map[ids.DaemonID]burial{},
+	}
 	r.parts[part(p.Self.ID)] ^= imprint(p.Self)
 	return r
 }
--- a/internal/controlplane/registry/calls.go
+++ b/internal/controlplane/registry/calls.go
@@ -158,7 +158,8 @@
 func (f *Registry) look(now ids.Time) directory.Snapshot {
 	// Few asks need the room, and drawing every zone up costs more than they do.
 	var zones map[ids.Name]spill.Zone
-	s := directory.Snapshot{Proxies: f.ready(now), Emptied: map[ids.Name]bool{},
+	s := directory.Snapshot{
+		Proxies: f.ready(now), Emptied: map[ids.Name]bool{},
 		Distance: f.view.Distance, Demand: f.Reports.Demand,
 		Room: func(n ids.Name) float64 {
 			if zones == nil {
@@ -169,7 +170,8 @@
 				return 0
 			}
 			return c.Target - c.Used()
-		}}
+		},
+	}
 	for n, c := range f.view.Zones {
 		s.Emptied[n] = c.Drained
 	}
--- a/internal/controlplane/registry/deliver.go
+++ b/internal/controlplane/registry/deliver.go
@@ -16,8 +16,10 @@
 // deliver pushes what proxies lack.
 func (f *Registry) deliver(now ids.Time) {
 	f.delivered = now
-	f.Distributor.Distribute(now, f.served(now), distribution.Content{Revision: f.view.Revision, Configuration: f.difference,
-		Targets: func() []targets.Target { return f.forProxies(now) }, Version: f.targetsVersion()<<20 + uint64(f.view.Revision), Age: f.age(now)})
+	f.Distributor.Distribute(now, f.served(now), distribution.Content{
+		Revision: f.view.Revision, Configuration: f.difference,
+		Targets: func() []targets.Target { return f.forProxies(now) }, Version: f.targetsVersion()<<20 + uint64(f.view.Revision), Age: f.age(now),
+	})
 }
 
 // forProxies gives the targets as proxies are told of them.
--- a/internal/controlplane/registry/isolated_test.go
+++ b/internal/controlplane/registry/isolated_test.go
@@ -26,8 +26,10 @@
 
 func newBench(thrifty bool) *bench {
 	self := membership.Member{ID: "f", Role: membership.Registry, Address: "10.0.0.1:1", RunID: 1, Zone: "c"}
-	f := New(Options{Options: membership.Options{Self: self, Seeds: []ids.Address{"10.0.0.2:1"}},
-		Random: rand.New(rand.NewPCG(1, 1)), Incremental: thrifty})
+	f := New(Options{
+		Options: membership.Options{Self: self, Seeds: []ids.Address{"10.0.0.2:1"}},
+		Random:  rand.New(rand.NewPCG(1, 1)), Incremental: thrifty,
+	})
 	b := &bench{Registry: f, now: 1, status: map[uint64]int{}}
 	return b
 }
@@ -55,8 +57,10 @@
 		}
 		if !b.cut {
 			// Each beat refutes what may have been said of it meanwhile.
-			b.hear(membership.Heartbeat{Self: membership.Member{ID: "s", Role: membership.Store, Address: "10.0.0.2:1", RunID: 1, Ready: true,
-				Incarnation: ids.Incarnation(b.now)}})
+			b.hear(membership.Heartbeat{Self: membership.Member{
+				ID: "s", Role: membership.Store, Address: "10.0.0.2:1", RunID: 1, Ready: true,
+				Incarnation: ids.Incarnation(b.now),
+			}})
 		}
 		b.step(event.Tick{})
 	}
--- a/internal/controlplane/registry/keeper_test.go
+++ b/internal/controlplane/registry/keeper_test.go
@@ -72,8 +72,10 @@
 }
 
 func word(i int, seq ids.Sequence, keeper ids.DaemonID) targets.Target {
-	return targets.Target{Instance: ids.InstanceID(fmt.Sprint("i", i)), Incarnation: 1, Sequence: seq, Service: "s",
-		Address: ids.Address(fmt.Sprintf("10.0.1.%d:80", i+1)), Zone: "c", Warmth: 1, Interval: 1000, Registrar: keeper, RegistrarRunID: 1}
+	return targets.Target{
+		Instance: ids.InstanceID(fmt.Sprint("i", i)), Incarnation: 1, Sequence: seq, Service: "s",
+		Address: ids.Address(fmt.Sprintf("10.0.1.%d:80", i+1)), Zone: "c", Warmth: 1, Interval: 1000, Registrar: keeper, RegistrarRunID: 1,
+	}
 }
 
 // While the core was cut, keepers moved hundreds of times a second, and each move
--- a/internal/controlplane/registry/lease_test.go
+++ b/internal/controlplane/registry/lease_test.go
@@ -66,25 +66,35 @@
 // Where the link fails right before the call, the lease still stands, and the
 // call finds out by itself that nobody answers.
 var table = []row{
-	{"in touch", 0, registrytest.Connected, map[string]int{"change": 200, "change that is stale": 409, "change without its item": 404, "evacuate": 200,
+	{"in touch", 0, registrytest.Connected, map[string]int{
+		"change": 200, "change that is stale": 409, "change without its item": 404, "evacuate": 200,
 		"malformed change": 400, "merge": 200, "read": 200, "read of the own copy": 200, "heartbeat": 200, "draining": 200, "end": 200,
-		"end of a stranger": 200, "where, no such route": 404, "where": 200, "status": 200}},
+		"end of a stranger": 200, "where, no such route": 404, "where": 200, "status": 200,
+	}},
 	{"cut off for long", 20 * time.Second, registrytest.Silent, cutOff},
 	{"cut off until the lease ends", 1700 * time.Millisecond, registrytest.Silent, cutOff},
 	{"heard but hears nothing", 20 * time.Second, registrytest.OneWay, cutOff},
 	{"its store has no majority", 20 * time.Second, registrytest.Rejecting, cutOff},
-	{"cut off just now", 0, registrytest.Silent, changed(cutOff, map[string]int{"change": 504, "change that is stale": 504, "change without its item": 504,
-		"evacuate": 504, "merge": 504, "read of the own copy": 200, "heartbeat": 200, "end of a stranger": 200, "where, no such route": 404, "where": 200})},
-	{"deaf just now", 0, registrytest.OneWay, changed(cutOff, map[string]int{"change": 504, "change that is stale": 504, "change without its item": 504,
-		"evacuate": 504, "merge": 504, "read of the own copy": 200, "heartbeat": 200, "end of a stranger": 200, "where, no such route": 404, "where": 200})},
-	{"its store lost the majority just now", 0, registrytest.Rejecting, changed(cutOff, map[string]int{"read of the own copy": 200, "heartbeat": 200,
-		"end of a stranger": 200, "where, no such route": 404, "where": 200})},
+	{"cut off just now", 0, registrytest.Silent, changed(cutOff, map[string]int{
+		"change": 504, "change that is stale": 504, "change without its item": 504,
+		"evacuate": 504, "merge": 504, "read of the own copy": 200, "heartbeat": 200, "end of a stranger": 200, "where, no such route": 404, "where": 200,
+	})},
+	{"deaf just now", 0, registrytest.OneWay, changed(cutOff, map[string]int{
+		"change": 504, "change that is stale": 504, "change without its item": 504,
+		"evacuate": 504, "merge": 504, "read of the own copy": 200, "heartbeat": 200, "end of a stranger": 200, "where, no such route": 404, "where": 200,
+	})},
+	{"its store lost the majority just now", 0, registrytest.Rejecting, changed(cutOff, map[string]int{
+		"read of the own copy": 200, "heartbeat": 200,
+		"end of a stranger": 200, "where, no such route": 404, "where": 200,
+	})},
 }
 
 // cutOff: nothing is confirmed, refused or handed out.
-var cutOff = map[string]int{"change": 503, "change that is stale": 503, "change without its item": 503, "evacuate": 503, "malformed change": 400,
+var cutOff = map[string]int{
+	"change": 503, "change that is stale": 503, "change without its item": 503, "evacuate": 503, "malformed change": 400,
 	"merge": 503, "read": 503, "read of the own copy": 503, "heartbeat": 503, "draining": 503, "end": 503, "end of a stranger": 503,
-	"where, no such route": 503, "where": 503, "status": 200}
+	"where, no such route": 503, "where": 503, "status": 200,
+}
 
 func changed(base, by map[string]int) map[string]int {
 	out := map[string]int{}
@@ -208,8 +218,10 @@
 // At whichever moment of a cut's first seconds a call comes, it is answered within
 // one, and nothing that needs an agreement of its own is confirmed or refused.
 func TestEveryMomentOfACutsBegin(t *testing.T) {
-	own := map[string]bool{"change": true, "change that is stale": true, "change without its item": true, "evacuate": true, "merge": true,
-		"read": true, "draining": true, "end": true}
+	own := map[string]bool{
+		"change": true, "change that is stale": true, "change without its item": true, "evacuate": true, "merge": true,
+		"read": true, "draining": true, "end": true,
+	}
 	for after := time.Duration(0); after <= 4*time.Second; after += 100 * time.Millisecond {
 		for _, call := range calls {
 			core := registrytest.New(registry.Options{Incremental: true})
--- a/internal/controlplane/registry/planner_test.go
+++ b/internal/controlplane/registry/planner_test.go
@@ -28,15 +28,19 @@
 // other beats for a registry that stands before ours in line.
 func other(core *registrytest.Core, ready bool, span time.Duration) {
 	for end := core.Now.Add(span); core.Now < end; core.Run(100 * time.Millisecond) {
-		core.Hear(membership.Heartbeat{Self: membership.Member{ID: "another", Role: membership.Registry, Address: another, RunID: 1,
-			Ready: ready, Incarnation: ids.Incarnation(core.Now)}})
+		core.Hear(membership.Heartbeat{Self: membership.Member{
+			ID: "another", Role: membership.Registry, Address: another, RunID: 1,
+			Ready: ready, Incarnation: ids.Incarnation(core.Now),
+		}})
 	}
 }
 
 // declaredDead has others say that the registry before ours in line is gone.
 func declaredDead(core *registrytest.Core) {
-	core.Hear(membership.Snapshot{Members: []membership.Member{{ID: "another", Role: membership.Registry, Address: another, RunID: 1,
-		Gone: true, Incarnation: ids.Incarnation(core.Now)}}})
+	core.Hear(membership.Snapshot{Members: []membership.Member{{
+		ID: "another", Role: membership.Registry, Address: another, RunID: 1,
+		Gone: true, Incarnation: ids.Incarnation(core.Now),
+	}}})
 	core.Run(100 * time.Millisecond)
 }
 
--- a/internal/controlplane/registry/plans.go
+++ b/internal/controlplane/registry/plans.go
@@ -114,8 +114,10 @@
 // plan makes the next table from the last one and the books.
 func (f *Registry) plan(now ids.Time) {
 	f.Reports.Forget(f.seats())
-	v := spill.View{Distance: f.view.Distance, Ranks: f.ranks(),
-		Pending: map[ids.Name]float64{}, Leaving: map[ids.Name]float64{}}
+	v := spill.View{
+		Distance: f.view.Distance, Ranks: f.ranks(),
+		Pending: map[ids.Name]float64{}, Leaving: map[ids.Name]float64{},
+	}
 	for n, c := range f.view.Zones {
 		if c.Unnamed && f.options.Derive {
 			continue
--- a/internal/controlplane/registry/resolve.go
+++ b/internal/controlplane/registry/resolve.go
@@ -34,8 +34,10 @@
 		f.Emit(Response{ID: c.ID, Status: 503, Body: ErrorResponse{"no proxy takes work now"}, RetryAfter: 1})
 		return
 	}
-	f.Emit(Response{ID: c.ID, Status: 200, Body: Resolution{Zone: w.Zone, Proxies: w.Proxies,
-		Lifetime: f.lifetime(now).Milliseconds(), Moved: w.Moved}})
+	f.Emit(Response{ID: c.ID, Status: 200, Body: Resolution{
+		Zone: w.Zone, Proxies: w.Proxies,
+		Lifetime: f.lifetime(now).Milliseconds(), Moved: w.Moved,
+	}})
 }
 
 // draw gives the route that an ask stands for. One for a host stands for all of
--- a/internal/controlplane/registry/screen_test.go
+++ b/internal/controlplane/registry/screen_test.go
@@ -24,8 +24,11 @@
 func newPeered() *bench {
 	b := newBench(false)
 	b.cut = true
-	for _, m := range []membership.Member{{ID: "p", Role: membership.Proxy, Address: "10.0.0.3:1", RunID: 1}, {ID: "g", Role: membership.Registry, Address: "10.0.0.4:1", RunID: 1},
-		{ID: "s", Role: membership.Store, Address: "10.0.0.2:1", RunID: 1, Ready: true}} {
+	for _, m := range []membership.Member{
+		{ID: "p", Role: membership.Proxy, Address: "10.0.0.3:1", RunID: 1},
+		{ID: "g", Role: membership.Registry, Address: "10.0.0.4:1", RunID: 1},
+		{ID: "s", Role: membership.Store, Address: "10.0.0.2:1", RunID: 1, Ready: true},
+	} {
 		b.Step(b.now, event.Received{From: m.Address, Msg: membership.Heartbeat{Self: m}})
 	}
 	b.Step(b.now, event.Tick{})
@@ -111,12 +114,24 @@
 // FuzzMessages gives a registry any message from a stranger: it neither panics
 // nor takes orders.
 func FuzzMessages(f *testing.F) {
-	for _, msg := range []any{consensus.ChosenDifference{Key: configuration.Key}, consensus.Chosen{Key: configuration.Key, Value: []byte(`{"revision":9}`)}, consensus.Response{ID: 1 << 24, Outcome: consensus.Succeeded},
-		distribution.Ack{Proxy: "p", RunID: 1, Number: 3}, targets.Update{List: []targets.Target{{Instance: "i", Service: "s", Address: "10.0.0.9:80", Zone: "c", Incarnation: 1, Sequence: 1, Warmth: 1}}},
-		PeerHeartbeat{ID: "g", RunID: 1}, DepartureNotice{Asker: stranger, Target: targets.Target{Instance: "i", Gone: true}}, DepartureAck{ID: "g", Instance: "i"},
-		spill.Report{Proxy: "p", RunID: 1, Zone: "c", Number: 1, Interval: 2000, Rows: []spill.Spent{{}}}, spill.Table{Epoch: 2}, election.Term{Epoch: 2},
-		membership.Heartbeat{Self: membership.Member{ID: "x", Role: membership.Proxy, Address: stranger}}, membership.Suspect{Watcher: "x", ID: "p"},
-		membership.Snapshot{Members: []membership.Member{{ID: "f", Gone: true}}}, membership.Delta{Parts: []uint16{70}}, membership.Digest{Parts: make([]uint64, 64)}} {
+	for _, msg := range []any{
+		consensus.ChosenDifference{Key: configuration.Key},
+		consensus.Chosen{Key: configuration.Key, Value: []byte(`{"revision":9}`)},
+		consensus.Response{ID: 1 << 24, Outcome: consensus.Succeeded},
+		distribution.Ack{Proxy: "p", RunID: 1, Number: 3},
+		targets.Update{List: []targets.Target{{Instance: "i", Service: "s", Address: "10.0.0.9:80", Zone: "c", Incarnation: 1, Sequence: 1, Warmth: 1}}},
+		PeerHeartbeat{ID: "g", RunID: 1},
+		DepartureNotice{Asker: stranger, Target: targets.Target{Instance: "i", Gone: true}},
+		DepartureAck{ID: "g", Instance: "i"},
+		spill.Report{Proxy: "p", RunID: 1, Zone: "c", Number: 1, Interval: 2000, Rows: []spill.Spent{{}}},
+		spill.Table{Epoch: 2},
+		election.Term{Epoch: 2},
+		membership.Heartbeat{Self: membership.Member{ID: "x", Role: membership.Proxy, Address: stranger}},
+		membership.Suspect{Watcher: "x", ID: "p"},
+		membership.Snapshot{Members: []membership.Member{{ID: "f", Gone: true}}},
+		membership.Delta{Parts: []uint16{70}},
+		membership.Digest{Parts: make([]uint64, 64)},
+	} {
 		raw, err := wire.Encode(msg)
 		if err != nil {
 			f.Fatal(err)
--- a/internal/controlplane/registry/status.go
+++ b/internal/controlplane/registry/status.go
@@ -89,9 +89,11 @@
 // Status gathers how things stand, as this registry sees them.
 func (f *Registry) Status(now ids.Time) Status {
 	proxies := f.Live(membership.Proxy)
-	s := Status{Registry: f.Self.ID, Revision: f.view.Revision, Agreed: now.Sub(f.agreed).Milliseconds(),
+	s := Status{
+		Registry: f.Self.ID, Revision: f.view.Revision, Agreed: now.Sub(f.agreed).Milliseconds(),
 		Behind: f.Distributor.Lag(proxies, f.view.Revision), Targets: f.Targets.All(now),
-		Leaderships: []LeadershipStatus{{"planner", f.epoch, f.mine != 0, uint64(f.table.Number)}}}
+		Leaderships: []LeadershipStatus{{"planner", f.epoch, f.mine != 0, uint64(f.table.Number)}},
+	}
 	s.InForce = len(s.Behind) == 0
 	if f.agreed == 0 || s.Agreed > 5000 {
 		s.Warnings = append(s.Warnings, "no majority of stores for "+itoa(uint64(s.Agreed/1000))+" s")
--- a/internal/controlplane/registry/stopping_test.go
+++ b/internal/controlplane/registry/stopping_test.go
@@ -31,8 +31,10 @@
 	if planner(core) != 0 {
 		t.Fatal("it goes on planning")
 	}
-	calls := map[uint64]event.Event{901: registry.ReadConfigurationCall{ID: 901}, 902: registry.ChangeCall{ID: 902, Raw: []byte(`{}`)}, 903: registry.HeartbeatCall{ID: 903},
-		904: registry.ResolveCall{ID: 904}, 905: registry.DeregisterCall{ID: 905}, 906: registry.MergeCall{ID: 906}, 907: registry.ZoneOrderCall{ID: 907}}
+	calls := map[uint64]event.Event{
+		901: registry.ReadConfigurationCall{ID: 901}, 902: registry.ChangeCall{ID: 902, Raw: []byte(`{}`)}, 903: registry.HeartbeatCall{ID: 903},
+		904: registry.ResolveCall{ID: 904}, 905: registry.DeregisterCall{ID: 905}, 906: registry.MergeCall{ID: 906}, 907: registry.ZoneOrderCall{ID: 907},
+	}
 	for id, call := range calls {
 		if r, took := core.Call(id, call); r.Status != 503 || r.RetryAfter == 0 || took > 0 {
 			t.Fatalf("%T: %+v after %s", call, r, took)
--- a/internal/controlplane/spill/report.go
+++ b/internal/controlplane/spill/report.go
@@ -79,8 +79,10 @@
 
 // NewBooks makes empty books.
 func NewReports() *Reports {
-	return &Reports{last: map[ids.DaemonID]entry{}, samples: map[ids.Name][]Sample{},
-		demand: map[ids.Name]map[ids.Name]float64{}, missed: map[ids.Name]int{}, Span: span}
+	return &Reports{
+		last: map[ids.DaemonID]entry{}, samples: map[ids.Name][]Sample{},
+		demand: map[ids.Name]map[ids.Name]float64{}, missed: map[ids.Name]int{}, Span: span,
+	}
 }
 
 const mostSamples = 500
--- a/internal/controlplane/spill/scale_test.go
+++ b/internal/controlplane/spill/scale_test.go
@@ -12,13 +12,15 @@
 // their target.
 func large(zones, routes int) View {
 	random := rand.New(rand.NewPCG(1, 2))
-	v := View{Ranks: map[ids.Name]Rank{}, Pending: map[ids.Name]float64{}, Leaving: map[ids.Name]float64{},
+	v := View{
+		Ranks: map[ids.Name]Rank{}, Pending: map[ids.Name]float64{}, Leaving: map[ids.Name]float64{},
 		Distance: func(a, b ids.Name) float64 {
 			if a == b {
 				return 0
 			}
 			return 1
-		}}
+		},
+	}
 	for r := range routes {
 		n := ids.Name(fmt.Sprintf("route-%d", r))
 		v.Ranks[n] = Rank{Tier: r % 10, Service: 5, Route: n}
--- a/internal/controlplane/spill/spill_test.go
+++ b/internal/controlplane/spill/spill_test.go
@@ -44,8 +44,10 @@
 
 func view(zones []Zone) View {
 	place := map[ids.Name]float64{"a": 0, "b": 1, "c": 2, "d": 3}
-	return View{Zones: zones, Ranks: ranks(), Pending: map[ids.Name]float64{}, Leaving: map[ids.Name]float64{},
-		Distance: func(a, b ids.Name) float64 { return math.Abs(place[a] - place[b]) }}
+	return View{
+		Zones: zones, Ranks: ranks(), Pending: map[ids.Name]float64{}, Leaving: map[ids.Name]float64{},
+		Distance: func(a, b ids.Name) float64 { return math.Abs(place[a] - place[b]) },
+	}
 }
 
 // The source's second worked example: A moves 1,000 ms/s to B, C and D.
@@ -144,10 +146,14 @@
 func TestRemovedRoutesAreNotMoved(t *testing.T) {
 	is := is.New(t)
 	stay := Rank{Tier: 3, Route: "stock"}
-	v := View{Distance: func(a, b ids.Name) float64 { return 1 }, Ranks: map[ids.Name]Rank{"stock": stay},
+	v := View{
+		Distance: func(a, b ids.Name) float64 { return 1 }, Ranks: map[ids.Name]Rank{"stock": stay},
 		Pending: map[ids.Name]float64{}, Leaving: map[ids.Name]float64{},
-		Zones: []Zone{{Name: "a", Target: 100, Acceptable: 80, Maximum: 110, Rows: []Row{{stay, 100}, {Rank{Route: "flip"}, 50}}},
-			{Name: "b", Target: 100, Acceptable: 80, Maximum: 110}}}
+		Zones: []Zone{
+			{Name: "a", Target: 100, Acceptable: 80, Maximum: 110, Rows: []Row{{stay, 100}, {Rank{Route: "flip"}, 50}}},
+			{Name: "b", Target: 100, Acceptable: 80, Maximum: 110},
+		},
+	}
 	moves := Plan(v, nil)
 	is.Equal(len(moves), 1)
 	is.Equal(moves[0].Route, ids.Name("stock"))
@@ -159,10 +165,15 @@
 func TestEndedMovesArePlannedForAtOnce(t *testing.T) {
 	is := is.New(t)
 	low, high := Rank{Tier: 1, Route: "low"}, Rank{Tier: 9, Route: "high"}
-	v := View{Distance: func(a, b ids.Name) float64 { return 1 }, Ranks: map[ids.Name]Rank{"low": low, "high": high},
+	v := View{
+		Distance: func(a, b ids.Name) float64 { return 1 }, Ranks: map[ids.Name]Rank{"low": low, "high": high},
 		Pending: map[ids.Name]float64{}, Leaving: map[ids.Name]float64{},
-		Zones: []Zone{{Name: "a", Target: 100, Acceptable: 80, Maximum: 110, Rows: []Row{{low, 4}, {high, 90}}},
-			{Name: "b", Target: 100, Acceptable: 80, Maximum: 110, Drained: true}, {Name: "c", Target: 100, Acceptable: 80, Maximum: 110}}}
+		Zones: []Zone{
+			{Name: "a", Target: 100, Acceptable: 80, Maximum: 110, Rows: []Row{{low, 4}, {high, 90}}},
+			{Name: "b", Target: 100, Acceptable: 80, Maximum: 110, Drained: true},
+			{Name: "c", Target: 100, Acceptable: 80, Maximum: 110},
+		},
+	}
 	moves := Plan(v, []Move{{From: "a", To: "b", Route: "low", Fraction: 0.95, Amount: 76}})
 	is.Equal(len(moves), 1)
 	is.Equal(moves[0].To, ids.Name("c"))
--- a/internal/controlplane/store/cluster_test.go
+++ b/internal/controlplane/store/cluster_test.go
@@ -75,8 +75,10 @@
 	}
 	d.run++
 	self := membership.Member{ID: ids.DaemonID(at), Role: membership.Store, Address: at, Zone: "zone", RunID: ids.RunID(d.run), Incarnation: ids.Incarnation(c.now)}
-	s := New(Options{Options: membership.Options{Self: self, Seeds: seeds}, Replicas: 3, Store: d.id, Run: d.run, Storage: d,
-		Random: rand.New(rand.NewPCG(d.id, d.run)), Bootstrap: bootstrap})
+	s := New(Options{
+		Options: membership.Options{Self: self, Seeds: seeds}, Replicas: 3, Store: d.id, Run: d.run, Storage: d,
+		Random: rand.New(rand.NewPCG(d.id, d.run)), Bootstrap: bootstrap,
+	})
 	ops := Ops()
 	ops[opPut] = func(_ ids.RegisterKey, _, arg []byte) ([]byte, []byte) { return arg, arg }
 	s.Teach(ops)
--- a/internal/controlplane/store/leaving_test.go
+++ b/internal/controlplane/store/leaving_test.go
@@ -72,8 +72,10 @@
 	c.startAll(true)
 	c.run(5 * time.Second)
 	for i := range 300 {
-		c.perform(seedAddresses[0], c.stores[seedAddresses[0]].Step(c.now, event.Received{From: clientAddress,
-			Msg: consensus.Request{ID: uint64(i + 1), Key: ids.RegisterKey(fmt.Sprint("k", i)), Op: opPut, Arg: []byte("v"), Wait: 3000}}))
+		c.perform(seedAddresses[0], c.stores[seedAddresses[0]].Step(c.now, event.Received{
+			From: clientAddress,
+			Msg:  consensus.Request{ID: uint64(i + 1), Key: ids.RegisterKey(fmt.Sprint("k", i)), Op: opPut, Arg: []byte("v"), Wait: 3000},
+		}))
 	}
 	c.run(time.Second)
 	for _, a := range spares {
--- a/internal/controlplane/store/oldfolder_test.go
+++ b/internal/controlplane/store/oldfolder_test.go
@@ -36,8 +36,10 @@
 	database := openOldFolder(t)
 	is.Equal(database.SetAside, "")
 	self := membership.Member{ID: "store-1", Address: "127.0.0.1:1"}
-	s := New(Options{Options: membership.Options{Self: self}, Store: database.Store, Run: database.Run,
-		Random: rand.New(rand.NewPCG(1, 1)), Storage: database, Replicas: 3})
+	s := New(Options{
+		Options: membership.Options{Self: self}, Store: database.Store, Run: database.Run,
+		Random: rand.New(rand.NewPCG(1, 1)), Storage: database, Replicas: 3,
+	})
 	is.Equal(len(s.VoterSet().Voters), 3)
 	is.True(s.VoterSet().Has(database.Store))
 	p, err := configuration.Decode(s.LocalValue(configuration.Key))
--- a/internal/controlplane/store/recoverall.go
+++ b/internal/controlplane/store/recoverall.go
@@ -42,8 +42,10 @@
 	if len(others) < 2 {
 		return
 	}
-	first := consensus.VoterSet{Number: consensus.NumberAfterTotalLoss, Loss: 1,
-		Voters: slices.Concat([]consensus.Voter{s.self()}, others[:2])}
+	first := consensus.VoterSet{
+		Number: consensus.NumberAfterTotalLoss, Loss: 1,
+		Voters: slices.Concat([]consensus.Voter{s.self()}, others[:2]),
+	}
 	b := consensus.Bootstrap{VoterSet: first, Configuration: s.survivingConfiguration.Configuration}
 	s.bootstrap(b)
 	s.Log("warn", "founded on order", "voter_set", itoa(first.Number), "policy", configuration.Describe(b.Configuration))
--- a/internal/controlplane/store/screen_test.go
+++ b/internal/controlplane/store/screen_test.go
@@ -28,13 +28,16 @@
 )
 
 var threeVoters = consensus.VoterSet{Number: 4, Voters: []consensus.Voter{
-	{ID: 1, Address: "10.0.0.1:1"}, {ID: 2, Address: "10.0.0.2:1"}, {ID: 3, Address: "10.0.0.3:1"}}}
+	{ID: 1, Address: "10.0.0.1:1"}, {ID: 2, Address: "10.0.0.2:1"}, {ID: 3, Address: "10.0.0.3:1"},
+}}
 
 // newVoter gives store 1 of three, and its disk.
 func newVoter() (*Store, recordMap) {
 	disk := recordMap{}
-	s := New(Options{Options: membership.Options{Self: membership.Member{ID: "store-1", Address: "10.0.0.1:1", RunID: 5, Incarnation: 1}},
-		Store: 1, Run: 3, Storage: disk, Random: rand.New(rand.NewPCG(1, 1)), Replicas: 3})
+	s := New(Options{
+		Options: membership.Options{Self: membership.Member{ID: "store-1", Address: "10.0.0.1:1", RunID: 5, Incarnation: 1}},
+		Store:   1, Run: 3, Storage: disk, Random: rand.New(rand.NewPCG(1, 1)), Replicas: 3,
+	})
 	s.AdoptVoterSet(threeVoters)
 	s.MarkComplete()
 	settle(s, disk, s.Step(now, event.Tick{}))
@@ -134,13 +137,25 @@
 // FuzzMessages gives a voter any message from a stranger: it neither panics
 // nor votes, and its voter set stays.
 func FuzzMessages(f *testing.F) {
-	for _, msg := range []any{consensus.Prepare{Key: "policy", VoterSet: 4, Ballot: ids.Ballot{Counter: 9, Proposer: 9}}, consensus.Promise{Key: "policy", Store: 2},
-		consensus.Accept{Key: "policy", VoterSet: 4, Value: []byte("x")}, consensus.Accepted{Key: "policy", Store: 2, OK: true},
-		consensus.VoterSetUpdate{VoterSet: threeVoters}, consensus.Request{ID: 1, Key: "policy", Op: 1, Arg: []byte("{}"), Wait: 100},
-		consensus.Response{Outcome: consensus.Succeeded}, consensus.PageRequest{VoterSet: 4}, consensus.PageResponse{Store: 2, Last: true},
-		consensus.Hello{Store: consensus.Voter{ID: 9, Address: stranger}}, consensus.Bootstrap{VoterSet: threeVoters}, consensus.ConfigurationReply{Revision: 9, Configuration: []byte("{}")},
-		membership.Heartbeat{Self: membership.Member{ID: "x", Role: membership.Store, Address: stranger}}, membership.Snapshot{Members: []membership.Member{{ID: "y"}}},
-		membership.Digest{Parts: make([]uint64, 64)}, membership.Delta{Parts: []uint16{1}}, membership.Suspect{Watcher: "x", ID: "store-1"}} {
+	for _, msg := range []any{
+		consensus.Prepare{Key: "policy", VoterSet: 4, Ballot: ids.Ballot{Counter: 9, Proposer: 9}},
+		consensus.Promise{Key: "policy", Store: 2},
+		consensus.Accept{Key: "policy", VoterSet: 4, Value: []byte("x")},
+		consensus.Accepted{Key: "policy", Store: 2, OK: true},
+		consensus.VoterSetUpdate{VoterSet: threeVoters},
+		consensus.Request{ID: 1, Key: "policy", Op: 1, Arg: []byte("{}"), Wait: 100},
+		consensus.Response{Outcome: consensus.Succeeded},
+		consensus.PageRequest{VoterSet: 4},
+		consensus.PageResponse{Store: 2, Last: true},
+		consensus.Hello{Store: consensus.Voter{ID: 9, Address: stranger}},
+		consensus.Bootstrap{VoterSet: threeVoters},
+		consensus.ConfigurationReply{Revision: 9, Configuration: []byte("{}")},
+		membership.Heartbeat{Self: membership.Member{ID: "x", Role: membership.Store, Address: stranger}},
+		membership.Snapshot{Members: []membership.Member{{ID: "y"}}},
+		membership.Digest{Parts: make([]uint64, 64)},
+		membership.Delta{Parts: []uint16{1}},
+		membership.Suspect{Watcher: "x", ID: "store-1"},
+	} {
 		raw, err := wire.Encode(msg)
 		if err != nil {
 			f.Fatal(err)
--- a/internal/controlplane/targets/announce.go
+++ b/internal/controlplane/targets/announce.go
@@ -65,8 +65,10 @@
 		bad["leaving"] = "must be true or false"
 	}
 	seen := map[string]bool{}
-	known := map[string]bool{"instance": true, "service": true, "cell": true, "address": true, "incarnation": true, "sequence": true,
-		"warmth": true, "occupancy": true, "capacity": true, "interval_ms": true, "leaving": true}
+	known := map[string]bool{
+		"instance": true, "service": true, "cell": true, "address": true, "incarnation": true, "sequence": true,
+		"warmth": true, "occupancy": true, "capacity": true, "interval_ms": true, "leaving": true,
+	}
 	doc.ForEach(func(k, _ gjson.Result) bool {
 		if !known[k.String()] {
 			bad[k.String()] = "is not known"
--- a/internal/dataplane/dispatch/late_test.go
+++ b/internal/dataplane/dispatch/late_test.go
@@ -22,8 +22,10 @@
 func crowded() (*Dispatcher, ids.Time) {
 	now := ids.Time(time.Second)
 	d := New(Options{Random: rand.New(rand.NewPCG(1, 1)), Self: idempotency.Owner{Daemon: "c", RunID: 1}})
-	d.Step(now, ServiceState{Capacity: 1, Allowance: 5, InStep: true, Lease: 1 << 60, Terms: map[ids.Name]RouteTerms{"r": {}},
-		Targets: []Offer{{Target: targets.Target{Instance: "t", Warmth: 1, Capacity: 1}, Seats: 1}}})
+	d.Step(now, ServiceState{
+		Capacity: 1, Allowance: 5, InStep: true, Lease: 1 << 60, Terms: map[ids.Name]RouteTerms{"r": {}},
+		Targets: []Offer{{Target: targets.Target{Instance: "t", Warmth: 1, Capacity: 1}, Seats: 1}},
+	})
 	d.Step(now, event.Tick{})
 	d.Step(now, request(now, 1, patience))
 	return d, now
--- a/internal/dataplane/dispatch/player_test.go
+++ b/internal/dataplane/dispatch/player_test.go
@@ -117,9 +117,11 @@
 }
 
 func stock(t *testing.T, now ids.Time, a map[string]string) ServiceState {
-	s := ServiceState{Capacity: 2, InStep: a["outofstep"] == "", Closed: a["closed"] != "", Lease: now.Add(time.Hour), Allowance: 2,
+	s := ServiceState{
+		Capacity: 2, InStep: a["outofstep"] == "", Closed: a["closed"] != "", Lease: now.Add(time.Hour), Allowance: 2,
 		Terms: map[ids.Name]RouteTerms{"r": {Service: ids.Name(a["terms"])}},
-		Ended: func(d ids.DaemonID, _ ids.RunID) bool { return d == "gone" }}
+		Ended: func(d ids.DaemonID, _ ids.RunID) bool { return d == "gone" },
+	}
 	if span, err := time.ParseDuration(a["lease"]); err == nil {
 		s.Lease = now.Add(span)
 	}
--- a/internal/dataplane/proxy/carry_test.go
+++ b/internal/dataplane/proxy/carry_test.go
@@ -93,10 +93,14 @@
 
 func (d *Daemon) once(s *stand, fresh, repeatable bool) dispatch.AttemptFinished {
 	d.beat.Store(int64(process.Now()))
-	c := &ClientRequest{Method: "POST", URI: "/x?y=1", Body: []byte("{}"), Job: dispatch.Job{ID: 3, IdempotencyKey: "m", Attempt: 1, Repeatable: repeatable},
-		Header: http.Header{"Idempotency-Key": {"m"}, "Connection": {"X-Own"}, "X-Own": {"1"}, "X-Kept": {"2"}}}
-	return d.carry(c, dispatch.Forward{ID: 3, Turn: 1, NewConnection: fresh, Deadline: process.Now().Add(5 * time.Second), SendBefore: process.Now().Add(5 * time.Second),
-		Target: targets.Target{Instance: "t", Service: "s", Incarnation: 4, Address: ids.Address(s.Addr().String())}})
+	c := &ClientRequest{
+		Method: "POST", URI: "/x?y=1", Body: []byte("{}"), Job: dispatch.Job{ID: 3, IdempotencyKey: "m", Attempt: 1, Repeatable: repeatable},
+		Header: http.Header{"Idempotency-Key": {"m"}, "Connection": {"X-Own"}, "X-Own": {"1"}, "X-Kept": {"2"}},
+	}
+	return d.carry(c, dispatch.Forward{
+		ID: 3, Turn: 1, NewConnection: fresh, Deadline: process.Now().Add(5 * time.Second), SendBefore: process.Now().Add(5 * time.Second),
+		Target: targets.Target{Instance: "t", Service: "s", Incarnation: 4, Address: ids.Address(s.Addr().String())},
+	})
 }
 
 func TestSealedAnswerIsCarried(t *testing.T) {
@@ -148,8 +152,10 @@
 // new owner, or the same one was restarted, or leaves.
 func TestForeignTargetGetsNothing(t *testing.T) {
 	is := is.New(t)
-	for _, page := range []string{`{"instance":"u","service":"s"}`, `{"instance":"t","service":"other"}`, `{"instance":"t","service":"s","leaving":true}`,
-		`{"instance":"t","service":"s","incarnation":5}`, `{}`, `not JSON`} {
+	for _, page := range []string{
+		`{"instance":"u","service":"s"}`, `{"instance":"t","service":"other"}`, `{"instance":"t","service":"s","leaving":true}`,
+		`{"instance":"t","service":"s","incarnation":5}`, `{}`, `not JSON`,
+	} {
 		s, d := newStand(t), newCarrier()
 		s.page = page
 		is.Equal(d.once(s, true, false).Result, dispatch.NotSent)
--- a/internal/dataplane/proxy/circuits_test.go
+++ b/internal/dataplane/proxy/circuits_test.go
@@ -64,8 +64,10 @@
 func (d *Daemon) sendWithin(s *stand, c *ClientRequest, careful bool, within time.Duration) dispatch.AttemptFinished {
 	d.beat.Store(int64(process.Now()))
 	c.Method, c.URI, c.Header = "POST", "/x", http.Header{"Id": {c.ID}}
-	return d.carry(c, dispatch.Forward{ID: 1, Turn: 1, Careful: careful, Deadline: process.Now().Add(within), SendBefore: process.Now().Add(within),
-		Target: targets.Target{Instance: "t", Service: "s", Address: ids.Address(s.Addr().String())}})
+	return d.carry(c, dispatch.Forward{
+		ID: 1, Turn: 1, Careful: careful, Deadline: process.Now().Add(within), SendBefore: process.Now().Add(within),
+		Target: targets.Target{Instance: "t", Service: "s", Address: ids.Address(s.Addr().String())},
+	})
 }
 
 // lay makes the one idle connection look as if it had been idle for a while.
@@ -87,7 +89,8 @@
 		careful bool
 		circs   int64
 	}{
-		{0, true, 1}, {carefulIdle - 200*time.Millisecond, true, 1},
+		{0, true, 1},
+		{carefulIdle - 200*time.Millisecond, true, 1},
 		{carefulIdle + time.Millisecond, false, 1}, // one that may be sent again may try it
 		{carefulIdle + time.Millisecond, true, 2},
 		{idleUsable + time.Millisecond, false, 3},
--- a/internal/dataplane/proxy/daemon.go
+++ b/internal/dataplane/proxy/daemon.go
@@ -95,8 +95,10 @@
 	d.self.ClientListen = ids.Address(p.Clients)
 	control := New(membership.Options{Self: d.self, Seeds: p.SeedList(), Incremental: p.ByZone}, ControlOptions{Lease: p.Lease, Layout: p.Layout})
 	d.owner = process.NewOwner(&beating{control, d}, 50*time.Millisecond, d.do)
-	d.post = &process.Transport{Address: ids.Address(p.Address), Bind: ids.Address(p.Bind), Log: d.log, Stats: &process.TrafficStats{},
-		Deliver: func(from ids.Address, msg any) { d.owner.Offer(event.Received{From: from, Msg: msg}) }}
+	d.post = &process.Transport{
+		Address: ids.Address(p.Address), Bind: ids.Address(p.Bind), Log: d.log, Stats: &process.TrafficStats{},
+		Deliver: func(from ids.Address, msg any) { d.owner.Offer(event.Received{From: from, Msg: msg}) },
+	}
 	if a, err := netip.ParseAddrPort(p.Pages()); err == nil {
 		d.connections.from = net.IP(a.Addr().AsSlice())
 	}
--- a/internal/dataplane/proxy/events.go
+++ b/internal/dataplane/proxy/events.go
@@ -68,8 +68,10 @@
 // report tells every registry what this proxy spent.
 func (c *Control) report(m UsageSample) {
 	c.number++
-	r := spill.Report{Proxy: c.Self.ID, RunID: c.Self.RunID, Zone: c.Self.Zone, Number: c.number,
-		Interval: uint32(m.Interval / time.Millisecond), Rows: m.Rows, Latency: uint64(m.Latency / time.Microsecond), Count: m.Count}
+	r := spill.Report{
+		Proxy: c.Self.ID, RunID: c.Self.RunID, Zone: c.Self.Zone, Number: c.number,
+		Interval: uint32(m.Interval / time.Millisecond), Rows: m.Rows, Latency: uint64(m.Latency / time.Microsecond), Count: m.Count,
+	}
 	to := c.Live(membership.Registry)
 	if c.ByZone && len(to) > reportTo {
 		// The planner, and who would follow it.
--- a/internal/dataplane/proxy/front_test.go
+++ b/internal/dataplane/proxy/front_test.go
@@ -15,7 +15,8 @@
 func TestLongestPrefixOfWholeParts(t *testing.T) {
 	is := is.New(t)
 	r := newRouter(&configuration.View{Routes: map[ids.Name]configuration.Route{
-		"all": {Name: "all", Prefix: "/"}, "stock": {Name: "stock", Prefix: "/stock"}, "tiles": {Name: "tiles", Prefix: "/stock/tiles/"}}})
+		"all": {Name: "all", Prefix: "/"}, "stock": {Name: "stock", Prefix: "/stock"}, "tiles": {Name: "tiles", Prefix: "/stock/tiles/"},
+	}})
 	for path, want := range map[string]ids.Name{"/": "all", "/stock": "stock", "/stock/": "stock", "/stocking": "all", "/stock/tiles": "tiles", "/stock/tiles/9": "tiles", "/stock/tilesets": "stock"} {
 		got, ok := r.find("", path)
 		is.True(ok)
--- a/internal/dataplane/proxy/gate.go
+++ b/internal/dataplane/proxy/gate.go
@@ -74,14 +74,16 @@
 // open starts a server with its own queue of connections.
 func (g *gate) open(l configuration.Limits) *door {
 	d := &door{queue: &queue{Listener: g.in, connections: make(chan net.Conn), closed: make(chan struct{})}, conns: map[*clientConn]bool{}}
-	d.server = &http.Server{Handler: d.handler(g.handler), MaxHeaderBytes: l.MaxHeader,
+	d.server = &http.Server{
+		Handler: d.handler(g.handler), MaxHeaderBytes: l.MaxHeader,
 		ReadHeaderTimeout: time.Duration(l.Header) * time.Millisecond, IdleTimeout: time.Duration(l.Idle) * time.Millisecond,
 		ConnState: func(c net.Conn, s http.ConnState) {
 			d.follow(c, s)
 			if s == http.StateClosed || s == http.StateHijacked {
 				g.release()
 			}
-		}}
+		},
+	}
 	go func() { _ = d.server.Serve(d.queue) }()
 	return d
 }
--- a/internal/dataplane/proxy/leasegossip.go
+++ b/internal/dataplane/proxy/leasegossip.go
@@ -74,8 +74,10 @@
 	if !ok || m.Gone || m.RunID != q.RunID || !c.inStep(now) {
 		return
 	}
-	t := LeaseGossip{ProxyRunID: q.RunID, EchoedTime: q.Now, Revision: c.view.Revision, Targets: c.targets.All(now),
-		Agreed: uint32(now.Sub(c.agreed) / time.Millisecond), Word: uint32(now.Sub(c.word) / time.Millisecond)}
+	t := LeaseGossip{
+		ProxyRunID: q.RunID, EchoedTime: q.Now, Revision: c.view.Revision, Targets: c.targets.All(now),
+		Agreed: uint32(now.Sub(c.agreed) / time.Millisecond), Word: uint32(now.Sub(c.word) / time.Millisecond),
+	}
 	if q.Revision < c.view.Revision {
 		t.Configuration = c.configuration.Encode(false)
 	}
--- a/internal/dataplane/proxy/opening_test.go
+++ b/internal/dataplane/proxy/opening_test.go
@@ -39,8 +39,10 @@
 // tell pushes what a registry holds whose agreement is so old.
 func (s *started) tell(raw []byte, revision ids.Revision, age time.Duration, list ...targets.Target) {
 	s.count++
-	s.Step(s.now, event.Received{From: "r", Msg: distribution.Push{Number: s.count, Revision: revision, Configuration: raw, Targets: list,
-		Age: uint32(age.Milliseconds()), EchoedTime: s.now, ProxyRunID: s.Self.RunID}})
+	s.Step(s.now, event.Received{From: "r", Msg: distribution.Push{
+		Number: s.count, Revision: revision, Configuration: raw, Targets: list,
+		Age: uint32(age.Milliseconds()), EchoedTime: s.now, ProxyRunID: s.Self.RunID,
+	}})
 }
 
 // run lets time pass; each second something is told.
--- a/internal/dataplane/proxy/places.go
+++ b/internal/dataplane/proxy/places.go
@@ -24,8 +24,10 @@
 // offer works out this proxy's seat at a target. Each target has an order
 // of proxies of its own, so the odd places fall to different ones.
 func (c *Control) offer(now ids.Time, t targets.Target, seats []membership.Member) dispatch.Offer {
-	o := dispatch.Offer{Target: t, At: now, Distance: c.view.Distance(c.Self.Zone, t.Zone),
-		Emptied: c.view.Zones[t.Zone].Drained || c.view.Zones[t.Zone].Evacuated, Region: ids.Name(c.view.Zones[t.Zone].Region)}
+	o := dispatch.Offer{
+		Target: t, At: now, Distance: c.view.Distance(c.Self.Zone, t.Zone),
+		Emptied: c.view.Zones[t.Zone].Drained || c.view.Zones[t.Zone].Evacuated, Region: ids.Name(c.view.Zones[t.Zone].Region),
+	}
 	if !c.ByZone {
 		o.Seats, o.Seat = max(len(seats), 1), c.seat(string(t.Instance), seats)
 		return o
--- a/internal/dataplane/proxy/readiness.go
+++ b/internal/dataplane/proxy/readiness.go
@@ -118,8 +118,10 @@
 	c.shelved = slices.Sorted(maps.Keys(c.view.Services))
 	for _, n := range c.shelved {
 		sv := c.view.Services[n]
-		c.Emit(DispatchEvent{n, dispatch.ServiceState{Targets: by[n], Capacity: sv.Capacity, Warm: time.Duration(sv.Warm) * time.Millisecond,
-			Allowance: c.allowance(sv, seats), InStep: s.step || c.Lease == Endless, Lease: c.until(), Terms: terms[n], Closed: s.shut, Ended: ended}})
+		c.Emit(DispatchEvent{n, dispatch.ServiceState{
+			Targets: by[n], Capacity: sv.Capacity, Warm: time.Duration(sv.Warm) * time.Millisecond,
+			Allowance: c.allowance(sv, seats), InStep: s.step || c.Lease == Endless, Lease: c.until(), Terms: terms[n], Closed: s.shut, Ended: ended,
+		}})
 	}
 }
 
--- a/internal/dataplane/proxy/refreshpace_test.go
+++ b/internal/dataplane/proxy/refreshpace_test.go
@@ -39,8 +39,10 @@
 }
 
 func stormTarget(i int) targets.Target {
-	return targets.Target{Instance: ids.InstanceID(fmt.Sprint("t", i)), Incarnation: 1, Sequence: 1, Service: "a",
-		Address: ids.Address(fmt.Sprintf("10.0.%d.%d:80", i/200, i%200+1)), Zone: "quay", Capacity: 6, Warmth: 1}
+	return targets.Target{
+		Instance: ids.InstanceID(fmt.Sprint("t", i)), Incarnation: 1, Sequence: 1, Service: "a",
+		Address: ids.Address(fmt.Sprintf("10.0.%d.%d:80", i/200, i%200+1)), Zone: "quay", Capacity: 6, Warmth: 1,
+	}
 }
 
 // A seventh of all targets falls silent at once, and registries tell of them one
--- a/internal/dataplane/proxy/run.go
+++ b/internal/dataplane/proxy/run.go
@@ -138,8 +138,12 @@
 func (d *Daemon) figures() []daemon.Gauge {
 	f := d.footing.Load()
 	flag := map[bool]float64{true: 1}
-	out := []daemon.Gauge{{Name: "ready", Value: flag[f.Ready]}, {Name: "cut_off", Value: flag[f.CutOff]}, {Name: "emptied", Value: flag[f.Emptied]},
-		{Name: "held_bytes", Value: float64(d.hold.used.Load())}}
+	out := []daemon.Gauge{
+		{Name: "ready", Value: flag[f.Ready]},
+		{Name: "cut_off", Value: flag[f.CutOff]},
+		{Name: "emptied", Value: flag[f.Emptied]},
+		{Name: "held_bytes", Value: float64(d.hold.used.Load())},
+	}
 	out = append(out, daemon.TrafficGauges(d.post.Stats)...)
 	for _, n := range d.services() {
 		p := d.at(n)
--- a/internal/dataplane/proxy/stranger_test.go
+++ b/internal/dataplane/proxy/stranger_test.go
@@ -32,8 +32,10 @@
 func TestAnEchoOfATimeToComeIsNoLease(t *testing.T) {
 	is := is.New(t)
 	now := ids.Time(10 * time.Second)
-	for _, msg := range []any{distribution.Push{Number: 1, RunID: 1, EchoedTime: now.Add(time.Hour), ProxyRunID: runOfC1},
-		LeaseGossip{ProxyRunID: runOfC1, EchoedTime: now.Add(time.Hour)}} {
+	for _, msg := range []any{
+		distribution.Push{Number: 1, RunID: 1, EchoedTime: now.Add(time.Hour), ProxyRunID: runOfC1},
+		LeaseGossip{ProxyRunID: runOfC1, EchoedTime: now.Add(time.Hour)},
+	} {
 		c := newControl()
 		c.Step(now, event.Received{From: stranger, Msg: msg})
 		is.True(c.sure() <= now)
@@ -49,13 +51,21 @@
 // FuzzMessages gives a proxy any message: it doesn't panic, and no message makes
 // it sure of a time to come.
 func FuzzMessages(f *testing.F) {
-	for _, msg := range []any{distribution.Push{Number: 1, RunID: 1, Revision: 1, Configuration: []byte(`{"revision":1}`), EchoedTime: 1, ProxyRunID: runOfC1,
-		Targets: []targets.Target{{Instance: "i", Service: "s", Address: "10.0.0.9:80", Zone: "a", Incarnation: 1, Sequence: 1, Warmth: 1}}},
-		LeaseRequest{Proxy: "c2", RunID: 1}, LeaseGossip{ProxyRunID: runOfC1, EchoedTime: 1, Revision: 1, Configuration: []byte(`{"revision":1}`)},
-		consensus.Response{ID: uint64(runOfC1)<<24 + 1, Attempt: 1, Outcome: consensus.Succeeded}, consensus.ConfigurationQuery{},
+	for _, msg := range []any{
+		distribution.Push{
+			Number: 1, RunID: 1, Revision: 1, Configuration: []byte(`{"revision":1}`), EchoedTime: 1, ProxyRunID: runOfC1,
+			Targets: []targets.Target{{Instance: "i", Service: "s", Address: "10.0.0.9:80", Zone: "a", Incarnation: 1, Sequence: 1, Warmth: 1}},
+		},
+		LeaseRequest{Proxy: "c2", RunID: 1},
+		LeaseGossip{ProxyRunID: runOfC1, EchoedTime: 1, Revision: 1, Configuration: []byte(`{"revision":1}`)},
+		consensus.Response{ID: uint64(runOfC1)<<24 + 1, Attempt: 1, Outcome: consensus.Succeeded},
+		consensus.ConfigurationQuery{},
 		membership.Heartbeat{Self: membership.Member{ID: "x", Role: membership.Registry, Address: stranger, RunID: 1}},
-		membership.Snapshot{Members: []membership.Member{{ID: "c1", Gone: true, Incarnation: 9}}}, membership.Delta{Parts: []uint16{70}},
-		membership.Digest{Parts: make([]uint64, 64)}, membership.Suspect{Watcher: "x", ID: "c1"}} {
+		membership.Snapshot{Members: []membership.Member{{ID: "c1", Gone: true, Incarnation: 9}}},
+		membership.Delta{Parts: []uint16{70}},
+		membership.Digest{Parts: make([]uint64, 64)},
+		membership.Suspect{Watcher: "x", ID: "c1"},
+	} {
 		raw, err := wire.Encode(msg)
 		if err != nil {
 			f.Fatal(err)
--- a/internal/state/configuration/cellorder.go
+++ b/internal/state/configuration/cellorder.go
@@ -51,8 +51,10 @@
 	next := p.copy()
 	res.Revision, res.Items[0].Version = next.Revision, max(next.Revision, o.Known+1)
 	delete(next.Removed, "cell/"+string(o.Zone))
-	next.Zones[o.Zone] = Item{Version: res.Items[0].Version, Body: pretty.Ugly(body), At: next.Revision,
-		Merged: have.merged(), Given: have.Given || p.Removed["cell/"+string(o.Zone)].Given}
+	next.Zones[o.Zone] = Item{
+		Version: res.Items[0].Version, Body: pretty.Ugly(body), At: next.Revision,
+		Merged: have.merged(), Given: have.Given || p.Removed["cell/"+string(o.Zone)].Given,
+	}
 	return next, res
 }
 
--- a/internal/state/configuration/delta.go
+++ b/internal/state/configuration/delta.go
@@ -13,8 +13,10 @@
 // ChangesSince gives what changed after a revision, packed for those who only obey. A
 // change then costs its own items and not the whole configuration.
 func (p *Document) ChangesSince(base ids.Revision) []byte {
-	d := &Document{Revision: p.Revision, Base: base, Services: map[ids.Name]Item{}, Routes: map[ids.Name]Item{},
-		Zones: map[ids.Name]Item{}, Limits: map[ids.Name]Item{}, Removed: map[string]Tombstone{}}
+	d := &Document{
+		Revision: p.Revision, Base: base, Services: map[ids.Name]Item{}, Routes: map[ids.Name]Item{},
+		Zones: map[ids.Name]Item{}, Limits: map[ids.Name]Item{}, Removed: map[string]Tombstone{},
+	}
 	for _, k := range kindNames {
 		for n, it := range p.Items(k) {
 			if it.At > base {
--- a/internal/state/configuration/merge.go
+++ b/internal/state/configuration/merge.go
@@ -116,8 +116,10 @@
 
 // copy gives the next revision's configuration, with maps of its own.
 func (p *Document) copy() *Document {
-	return &Document{Revision: p.Revision + 1, Services: maps.Clone(p.Services), Routes: maps.Clone(p.Routes), Zones: maps.Clone(p.Zones),
-		Limits: maps.Clone(p.Limits), Removed: maps.Clone(p.Removed), Recent: p.Recent, Rejected: p.Rejected, History: p.History}
+	return &Document{
+		Revision: p.Revision + 1, Services: maps.Clone(p.Services), Routes: maps.Clone(p.Routes), Zones: maps.Clone(p.Zones),
+		Limits: maps.Clone(p.Limits), Removed: maps.Clone(p.Removed), Recent: p.Recent, Rejected: p.Rejected, History: p.History,
+	}
 }
 
 // version gives the version that holds for a name, set or removed.
--- a/internal/state/configuration/view.go
+++ b/internal/state/configuration/view.go
@@ -27,8 +27,10 @@
 // ViewFrom reads the items, and takes over from the view of an earlier configuration the
 // routes and services whose bodies are the same.
 func (p *Document) ViewFrom(earlier *Document, had *View) *View {
-	v := &View{Revision: p.Revision, Services: map[ids.Name]Service{},
-		Routes: map[ids.Name]Route{}, Zones: map[ids.Name]Zone{}, Limits: NoLimits}
+	v := &View{
+		Revision: p.Revision, Services: map[ids.Name]Service{},
+		Routes: map[ids.Name]Route{}, Zones: map[ids.Name]Zone{}, Limits: NoLimits,
+	}
 	for n, it := range p.Services {
 		if s, ok := had.Services[n]; ok && bytes.Equal(earlier.Services[n].Body, it.Body) {
 			v.Services[n] = s
--- a/internal/state/consensus/acceptor.go
+++ b/internal/state/consensus/acceptor.go
@@ -143,8 +143,10 @@
 		return
 	}
 	s := a.slot(m.Key)
-	p := Promise{Key: m.Key, Store: a.store, Round: m.Round, VoterSet: m.VoterSet,
-		Promised: s.Promised, Accepted: s.Accepted, Value: s.Value, Differences: len(s.Value) >= differencesFrom}
+	p := Promise{
+		Key: m.Key, Store: a.store, Round: m.Round, VoterSet: m.VoterSet,
+		Promised: s.Promised, Accepted: s.Accepted, Value: s.Value, Differences: len(s.Value) >= differencesFrom,
+	}
 	if !m.Known.IsZero() && m.Known == s.Accepted {
 		p.Value, p.Same = nil, true
 	}
--- a/internal/state/consensus/difference.go
+++ b/internal/state/consensus/difference.go
@@ -57,8 +57,10 @@
 // sendAccept asks a store to keep the round's value.
 func (p *Proposer) sendAccept(now ids.Time, s Voter, r *round, number uint64) {
 	if r.difference != nil && p.peer(s.ID).readsDifferences && !r.whole[s.ID] {
-		p.out.Send(s.Address, AcceptDifference{Key: r.key, Ballot: r.ballot, NextBallot: r.next, VoterSet: number, Round: r.id,
-			Base: r.base, Difference: r.difference})
+		p.out.Send(s.Address, AcceptDifference{
+			Key: r.key, Ballot: r.ballot, NextBallot: r.next, VoterSet: number, Round: r.id,
+			Base: r.base, Difference: r.difference,
+		})
 		return
 	}
 	if len(r.value) < largeValue || p.peer(s.ID).mayTakeWhole(now) {
@@ -108,8 +110,10 @@
 		whole.Value, err = delta.Apply(s.Value, m.Difference)
 	}
 	if s.Accepted != m.Base || err != nil {
-		a.AfterSync(event.Send{To: from, Msg: Accepted{Key: m.Key, Store: a.store, Round: m.Round, VoterSet: m.VoterSet,
-			Promised: s.Promised, Differences: true, Whole: true}})
+		a.AfterSync(event.Send{To: from, Msg: Accepted{
+			Key: m.Key, Store: a.store, Round: m.Round, VoterSet: m.VoterSet,
+			Promised: s.Promised, Differences: true, Whole: true,
+		}})
 		return
 	}
 	a.Accept(from, whole)
--- a/internal/state/consensus/page.go
+++ b/internal/state/consensus/page.go
@@ -25,8 +25,10 @@
 		return
 	}
 	list := a.storage.Scan(slotPrefix+m.After, recordsInPage)
-	l := PageResponse{Store: a.store, VoterSet: m.VoterSet, Number: m.Number, Last: len(list) < recordsInPage,
-		Epoch: a.changes.epoch, Changes: a.changes.count()}
+	l := PageResponse{
+		Store: a.store, VoterSet: m.VoterSet, Number: m.Number, Last: len(list) < recordsInPage,
+		Epoch: a.changes.epoch, Changes: a.changes.count(),
+	}
 	// What is still on its way to the disk belongs in the page as well.
 	rows := map[ids.RegisterKey][]byte{}
 	for _, r := range list {
--- a/internal/state/consensus/peers.go
+++ b/internal/state/consensus/peers.go
@@ -37,8 +37,10 @@
 )
 
 func newPeers() peers {
-	return peers{stores: map[uint64]*peer{}, settled: map[ids.RegisterKey]settledValue{}, broughtUp: map[ids.RegisterKey]map[uint64]ids.Time{},
-		again: map[ids.RegisterKey]bool{}}
+	return peers{
+		stores: map[uint64]*peer{}, settled: map[ids.RegisterKey]settledValue{}, broughtUp: map[ids.RegisterKey]map[uint64]ids.Time{},
+		again: map[ids.RegisterKey]bool{},
+	}
 }
 
 func (p *peers) peer(store uint64) *peer {
--- a/internal/state/consensus/proposer.go
+++ b/internal/state/consensus/proposer.go
@@ -89,9 +89,11 @@
 
 // NewProposer makes a proposer whose ballots no other run can have used.
 func NewProposer(by uint64, voterSet func() VoterSet, ops map[Op]ChangeFunc, random *rand.Rand, out *event.Outbox) *Proposer {
-	return &Proposer{out: out, random: random, by: by, count: firstRound(by), voterSet: voterSet, ops: ops,
+	return &Proposer{
+		out: out, random: random, by: by, count: firstRound(by), voterSet: voterSet, ops: ops,
 		IsReachable: func(uint64) bool { return true }, Subscribers: func(ids.RegisterKey) []ids.Address { return nil },
-		rounds: map[ids.RegisterKey]*round{}, promisedBallots: map[ids.RegisterKey]cachedValue{}, cachedValues: map[ids.RegisterKey]cachedValue{}, peers: newPeers()}
+		rounds: map[ids.RegisterKey]*round{}, promisedBallots: map[ids.RegisterKey]cachedValue{}, cachedValues: map[ids.RegisterKey]cachedValue{}, peers: newPeers(),
+	}
 }
 
 const (
--- a/internal/state/storage/storage.go
+++ b/internal/state/storage/storage.go
@@ -165,8 +165,10 @@
 		}
 		s.Store = binary.BigEndian.Uint64(raw[:])
 	}
-	return s.Write([]event.Record{{Key: "meta/store", Value: binary.BigEndian.AppendUint64(nil, s.Store)},
-		{Key: "meta/run", Value: binary.BigEndian.AppendUint64(nil, s.Run)}})
+	return s.Write([]event.Record{
+		{Key: "meta/store", Value: binary.BigEndian.AppendUint64(nil, s.Store)},
+		{Key: "meta/run", Value: binary.BigEndian.AppendUint64(nil, s.Run)},
+	})
 }
 
 // Keep writes records in one transaction and returns once they are synced.
--- a/internal/testsupport/blueprint/blueprint.go
+++ b/internal/testsupport/blueprint/blueprint.go
@@ -50,17 +50,30 @@
 
 // Plans are the deployments that can be played.
 var Plans = map[string]Plan{
-	"small": {Name: "small", Regions: 3, Zones: 3, Proxies: 3, Rate: 40,
+	"small": {
+		Name: "small", Regions: 3, Zones: 3, Proxies: 3, Rate: 40,
 		Pools: []Pool{{"catalog", 4, 16, 3}, {"ledger", 3, 16, 8}},
-		Ways:  []Way{{"stock", "/stock", "catalog", 3, true, 0.7}, {"orders", "/orders", "ledger", 8, false, 0.3}}},
-	"cooperative": {Name: "cooperative", Regions: 3, Zones: 6, Proxies: 8, Delay: 12, Rate: 150,
+		Ways:  []Way{{"stock", "/stock", "catalog", 3, true, 0.7}, {"orders", "/orders", "ledger", 8, false, 0.3}},
+	},
+	"cooperative": {
+		Name: "cooperative", Regions: 3, Zones: 6, Proxies: 8, Delay: 12, Rate: 150,
 		Pools: []Pool{{"catalog", 20, 16, 3}, {"ledger", 12, 16, 8}},
-		Ways: []Way{{"stock", "/stock", "catalog", 3, true, 0.6}, {"browse", "/browse", "catalog", 1, true, 0.2},
-			{"orders", "/orders", "ledger", 8, false, 0.15}, {"credit", "/credit", "ledger", 9, false, 0.05}}},
-	"library": {Name: "library", Regions: 3, Zones: 6, Proxies: 11, Delay: 35, Rate: 480,
+		Ways: []Way{
+			{"stock", "/stock", "catalog", 3, true, 0.6},
+			{"browse", "/browse", "catalog", 1, true, 0.2},
+			{"orders", "/orders", "ledger", 8, false, 0.15},
+			{"credit", "/credit", "ledger", 9, false, 0.05},
+		},
+	},
+	"library": {
+		Name: "library", Regions: 3, Zones: 6, Proxies: 11, Delay: 35, Rate: 480,
 		Pools: []Pool{{"reader", 30, 16, 3}, {"loan", 12, 16, 8}},
-		Ways: []Way{{"pages", "/pages", "reader", 2, true, 0.85}, {"holds", "/holds", "loan", 7, false, 0.1},
-			{"loans", "/loans", "loan", 8, false, 0.05}}},
+		Ways: []Way{
+			{"pages", "/pages", "reader", 2, true, 0.85},
+			{"holds", "/holds", "loan", 7, false, 0.1},
+			{"loans", "/loans", "loan", 8, false, 0.05},
+		},
+	},
 }
 
 // Zone names the nth zone; zones take turns among the regions.
--- a/internal/testsupport/compat/answers_test.go
+++ b/internal/testsupport/compat/answers_test.go
@@ -72,16 +72,33 @@
 
 // ownCalls are calls of our own interface, as method, path and body.
 var ownCalls = [][3]string{
-	{"GET", "/v1/policy", ""}, {"GET", "/v1/revision", ""}, {"GET", "/v1/services", ""}, {"GET", "/v1/routes", ""}, {"GET", "/v1/cells", ""},
-	{"GET", "/v1/routes/orders", ""}, {"GET", "/v1/routes/none", ""}, {"GET", "/v1/nothing", ""}, {"GET", "/v1/status", ""},
-	{"GET", "/v1/where?cell=north&route=orders", ""}, {"GET", "/v1/where", ""},
-	{"PUT", "/v1/services/ledger", `{"tier":2}`}, {"PUT", "/v1/services/ledger", `{`}, {"DELETE", "/v1/services/ledger", ""},
-	{"POST", "/v1/cells/north/empty", ""}, {"POST", "/v1/cells/north/refill", ""}, {"POST", "/v1/cells/north/shut", ""}, {"POST", "/v1/cells/north/open", ""},
-	{"POST", "/v1/cells/north/none", ""}, {"POST", "/v1/change", `{"id":"one","changes":[{"kind":"service","name":"new","put":{}}]}`}, {"POST", "/v1/change", `{"id":"one"}`},
-	{"POST", "/v1/merge", `{"items":[{"kind":"service","name":"new","version":4,"body":{}}]}`}, {"POST", "/v1/merge", `{"items":3}`},
+	{"GET", "/v1/policy", ""},
+	{"GET", "/v1/revision", ""},
+	{"GET", "/v1/services", ""},
+	{"GET", "/v1/routes", ""},
+	{"GET", "/v1/cells", ""},
+	{"GET", "/v1/routes/orders", ""},
+	{"GET", "/v1/routes/none", ""},
+	{"GET", "/v1/nothing", ""},
+	{"GET", "/v1/status", ""},
+	{"GET", "/v1/where?cell=north&route=orders", ""},
+	{"GET", "/v1/where", ""},
+	{"PUT", "/v1/services/ledger", `{"tier":2}`},
+	{"PUT", "/v1/services/ledger", `{`},
+	{"DELETE", "/v1/services/ledger", ""},
+	{"POST", "/v1/cells/north/empty", ""},
+	{"POST", "/v1/cells/north/refill", ""},
+	{"POST", "/v1/cells/north/shut", ""},
+	{"POST", "/v1/cells/north/open", ""},
+	{"POST", "/v1/cells/north/none", ""},
+	{"POST", "/v1/change", `{"id":"one","changes":[{"kind":"service","name":"new","put":{}}]}`},
+	{"POST", "/v1/change", `{"id":"one"}`},
+	{"POST", "/v1/merge", `{"items":[{"kind":"service","name":"new","version":4,"body":{}}]}`},
+	{"POST", "/v1/merge", `{"items":3}`},
 	{"POST", "/v1/announce", `{"instance":"t-1","service":"ledger","cell":"north","address":"10.0.0.5:80","incarnation":2,"sequence":3,"warmth":0.5,"occupancy":4,"capacity":5,"interval_ms":1500,"leaving":true}`},
 	{"POST", "/v1/announce", `{"instance":"t-1","colour":"red"}`},
-	{"GET", "/healthz", ""}, {"GET", "/readyz", ""},
+	{"GET", "/healthz", ""},
+	{"GET", "/readyz", ""},
 }
 
 // Each page of our own interface answers as it did.
@@ -131,8 +148,10 @@
 	is.NoErr(err)
 	d, err := s.Store()
 	is.NoErr(err)
-	got := map[string]string{"settings proxy": strings.Join(values(&p), " "), "settings registry": strings.Join(values(&r), " "),
-		"settings registry, not by flags": fmt.Sprint(r.Regions, r.Always, r.Derive), "settings store": strings.Join(values(&d), " ")}
+	got := map[string]string{
+		"settings proxy": strings.Join(values(&p), " "), "settings registry": strings.Join(values(&r), " "),
+		"settings registry, not by flags": fmt.Sprint(r.Regions, r.Always, r.Derive), "settings store": strings.Join(values(&d), " "),
+	}
 	pages := r.Edge(answering(t))
 	for _, c := range platformCalls {
 		got[c.method+" "+c.path+" "+strings.ReplaceAll(c.body, "\n", "")] = call(pages[c.listener], c.method, c.path, c.body)
--- a/internal/testsupport/compat/folder_test.go
+++ b/internal/testsupport/compat/folder_test.go
@@ -18,7 +18,8 @@
 	"dunlinwell/internal/state/storage"
 )
 
-// writeFolder names where to write the folder. The folder was written once, by commit 1724ad4, and isn't to be written anew:
+// writeFolder names where to write the folder. The committed one was written once,
+// by commit 1724ad4, and is not to be written anew:
 // a later format gets a folder of its own.
 var writeFolder = flag.String("write-folder", "", "write a data folder with today's code to this new path, and do nothing else")
 
@@ -33,8 +34,10 @@
 	t.Helper()
 	is := is.New(t)
 	is.NoErr(consensus.CheckDisk(disk))
-	s := store.New(store.Options{Options: membership.Options{Self: membership.Member{ID: "store-1", Address: "127.0.0.1:1"}},
-		Replicas: 3, Store: disk.Store, Run: disk.Run, Storage: disk})
+	s := store.New(store.Options{
+		Options:  membership.Options{Self: membership.Member{ID: "store-1", Address: "127.0.0.1:1"}},
+		Replicas: 3, Store: disk.Store, Run: disk.Run, Storage: disk,
+	})
 	set := s.VoterSet()
 	got := map[string]string{
 		"store":    fmt.Sprintf("%x", disk.Store),
--- a/internal/testsupport/compat/records_test.go
+++ b/internal/testsupport/compat/records_test.go
@@ -59,8 +59,10 @@
 	t.Helper()
 	var out event.Outbox
 	acceptor := consensus.NewAcceptor(1, disk, &out)
-	acceptor.AdoptVoterSet(consensus.VoterSet{Number: 3, Voters: []consensus.Voter{{ID: 1, Address: "10.0.0.1:1"}, {ID: 2, Address: "10.0.0.2:1"}},
-		Previous: []consensus.Voter{{ID: 9, Address: "10.0.0.9:1"}}, Learners: []uint64{2}, Loss: 1})
+	acceptor.AdoptVoterSet(consensus.VoterSet{
+		Number: 3, Voters: []consensus.Voter{{ID: 1, Address: "10.0.0.1:1"}, {ID: 2, Address: "10.0.0.2:1"}},
+		Previous: []consensus.Voter{{ID: 9, Address: "10.0.0.9:1"}}, Learners: []uint64{2}, Loss: 1,
+	})
 	acceptor.MarkComplete()
 	values = map[ids.RegisterKey][]byte{}
 	ops, count := store.Ops(), uint64(0)
--- a/internal/testsupport/scaletest/fit_test.go
+++ b/internal/testsupport/scaletest/fit_test.go
@@ -61,10 +61,12 @@
 	push := flowKey{"sent", "distribution.Push"}
 	a := &reading{at: from, procs: map[string]*spent{
 		"a": {pid: 1, daemons: 2, cpu: 5, flows: map[flowKey]flow{push: {100, 1000}}},
-		"b": {pid: 2, daemons: 2, cpu: 9, flows: map[flowKey]flow{push: {900, 9000}}}}}
+		"b": {pid: 2, daemons: 2, cpu: 9, flows: map[flowKey]flow{push: {900, 9000}}},
+	}}
 	b := &reading{at: from.Add(10 * time.Second), procs: map[string]*spent{
 		"a": {pid: 1, daemons: 2, cpu: 6, resident: 8e6, flows: map[flowKey]flow{push: {200, 3000}, {"lost", "x"}: {3, 30}}},
-		"b": {pid: 3, daemons: 2, cpu: 2, resident: 4e6, flows: map[flowKey]flow{push: {100, 2000}, {"received", "x"}: {1, 400}}}}}
+		"b": {pid: 3, daemons: 2, cpu: 2, resident: 4e6, flows: map[flowKey]flow{push: {100, 2000}, {"received", "x"}: {1, 400}}},
+	}}
 	s := between("proxy", a, b)
 	is.Equal(s.Daemons, 4)
 	is.True(near(s.CPU, 7.5))
@@ -94,8 +96,10 @@
 func TestSlopesLeaveOutRestlessRuns(t *testing.T) {
 	is := is.New(t)
 	run := func(proxies int, kinds ...Kind) Run {
-		return Run{Size: Size{Proxies: proxies}, Cores: 8, Threads: 2,
-			Phases: []Phase{{Name: "steady", Done: true, Spends: []Spend{{Role: "proxy", Daemons: proxies, CPU: float64(proxies), Kinds: kinds}}}}}
+		return Run{
+			Size: Size{Proxies: proxies}, Cores: 8, Threads: 2,
+			Phases: []Phase{{Name: "steady", Done: true, Spends: []Spend{{Role: "proxy", Daemons: proxies, CPU: float64(proxies), Kinds: kinds}}}},
+		}
 	}
 	ack := Kind{Kind: "distribution.Ack", Messages: 9}
 	list := SlopesOf([]Run{run(1, ack), run(2, ack), run(3, ack, Kind{Kind: "proxy.LeaseRequest", Messages: 0.06}), run(4, Kind{Kind: "membership.Suspect", Messages: 1})})
@@ -110,7 +114,8 @@
 		x := float64(proxies)
 		return Run{Size: Size{Proxies: proxies}, Cores: 8, Threads: 2, Changes: 4, Phases: []Phase{
 			{Name: "steady", Done: true, Spends: []Spend{{Role: "proxy", Seconds: 10, CPU: 1, Sent: 100, Received: 100}}},
-			{Name: "change", Done: true, Spends: []Spend{{Role: "proxy", Seconds: 2, CPU: 1 + x, Sent: 100 + x, Received: 100 + x}}}}}
+			{Name: "change", Done: true, Spends: []Spend{{Role: "proxy", Seconds: 2, CPU: 1 + x, Sent: 100 + x, Received: 100 + x}}},
+		}}
 	}
 	for _, s := range perChangeOf([]Run{run(10), run(20)}, "proxies")[:2] {
 		is.Equal(s.Fit.Points, 2)
@@ -127,8 +132,10 @@
 func TestSlopesLeaveOutFullRuns(t *testing.T) {
 	is := is.New(t)
 	run := func(proxies int, cpu, busiest, lost float64) Run {
-		return Run{Size: Size{Proxies: proxies}, Cores: 8, Threads: 2,
-			Phases: []Phase{{Name: "steady", Done: true, Spends: []Spend{{Role: "proxy", Daemons: proxies, CPU: cpu, Busiest: busiest, Lost: lost, Sent: 10, Received: 20}}}}}
+		return Run{
+			Size: Size{Proxies: proxies}, Cores: 8, Threads: 2,
+			Phases: []Phase{{Name: "steady", Done: true, Spends: []Spend{{Role: "proxy", Daemons: proxies, CPU: cpu, Busiest: busiest, Lost: lost, Sent: 10, Received: 20}}}},
+		}
 	}
 	list := SlopesOf([]Run{run(10, 1, 10, 0), run(20, 2, 40, 0), run(100, 7, 100, 0), run(40, 3, 180, 0), run(80, 4, 100, 1)})
 	for _, s := range list {
--- a/internal/testsupport/scaletest/fleet.go
+++ b/internal/testsupport/scaletest/fleet.go
@@ -68,8 +68,10 @@
 	for i, role := range []string{"store", "registry"} {
 		for n := range s.Core {
 			x := &proc{role: role, name: fmt.Sprintf("%s-%d", role, n+1), daemons: 1, http: coreAt(p.Block, i+1, n, pagesPort), program: filepath.Join(p.Bin, role)}
-			x.args = []string{"--name", x.name, "--address", coreAt(p.Block, i+1, n, wirePort), "--http", x.http,
-				"--cell", string(s.Zone(n)), "--seeds", strings.Join(seeds, ",")}
+			x.args = []string{
+				"--name", x.name, "--address", coreAt(p.Block, i+1, n, wirePort), "--http", x.http,
+				"--cell", string(s.Zone(n)), "--seeds", strings.Join(seeds, ","),
+			}
 			if role == "store" {
 				x.args = append(x.args, "--bootstrap", "--data", filepath.Join(p.Dir, x.name))
 			}
@@ -80,10 +82,14 @@
 		}
 	}
 	for first, n := 0, 0; first < s.Proxies; first, n = first+p.PerCrew, n+1 {
-		x := &proc{role: "proxy", name: fmt.Sprintf("crew-%d", n+1), daemons: min(p.PerCrew, s.Proxies-first),
-			http: coreAt(p.Block, 3, n, pagesPort), program: p.Crew}
-		x.args = []string{"crew", "--first", fmt.Sprint(first), "--count", fmt.Sprint(x.daemons), "--cells", fmt.Sprint(s.Zones),
-			"--rows", fmt.Sprint(min(p.Rows, s.Routes)), "--block", fmt.Sprint(p.Block), "--seeds", strings.Join(seeds, ","), "--http", x.http}
+		x := &proc{
+			role: "proxy", name: fmt.Sprintf("crew-%d", n+1), daemons: min(p.PerCrew, s.Proxies-first),
+			http: coreAt(p.Block, 3, n, pagesPort), program: p.Crew,
+		}
+		x.args = []string{
+			"crew", "--first", fmt.Sprint(first), "--count", fmt.Sprint(x.daemons), "--cells", fmt.Sprint(s.Zones),
+			"--rows", fmt.Sprint(min(p.Rows, s.Routes)), "--block", fmt.Sprint(p.Block), "--seeds", strings.Join(seeds, ","), "--http", x.http,
+		}
 		if p.Thrifty {
 			x.args = append(x.args, "--thrifty")
 		}
--- a/internal/testsupport/scaletest/policy.go
+++ b/internal/testsupport/scaletest/policy.go
@@ -42,20 +42,25 @@
 }
 
 func (s Size) route(n int) part {
-	return part{"kind": "route", "name": fmt.Sprintf("route-%d", n+1), "put": part{"prefix": fmt.Sprintf("/r%d", n+1),
-		"service": s.Service(n), "tier": n % 10, "repeatable": n%4 != 0, "limit_ms": 5000}}
+	return part{"kind": "route", "name": fmt.Sprintf("route-%d", n+1), "put": part{
+		"prefix":  fmt.Sprintf("/r%d", n+1),
+		"service": s.Service(n), "tier": n % 10, "repeatable": n%4 != 0, "limit_ms": 5000,
+	}}
 }
 
 // tenant is the only form that configuration has today for what is a tenant's own.
 func (s Size) tenant(n int) part {
-	return part{"kind": "route", "name": fmt.Sprintf("tenant-%d", n+1), "put": part{"host": fmt.Sprintf("t%06d.example", n+1),
-		"prefix": "/", "service": s.Service(n), "tier": n % 10, "repeatable": true, "limit_ms": 5000}}
+	return part{"kind": "route", "name": fmt.Sprintf("tenant-%d", n+1), "put": part{
+		"host":   fmt.Sprintf("t%06d.example", n+1),
+		"prefix": "/", "service": s.Service(n), "tier": n % 10, "repeatable": true, "limit_ms": 5000,
+	}}
 }
 
 // Change is the nth change of one route, for the phase of changes.
 func (s Size) Change(run string, n int) []byte {
 	raw, _ := json.Marshal(map[string]any{"id": fmt.Sprintf("hollow-%s-%d", run, n), "changes": []part{
-		{"kind": "route", "name": fmt.Sprintf("route-%d", n%s.Routes+1), "set": part{"limit_ms": 4000 + n}}}})
+		{"kind": "route", "name": fmt.Sprintf("route-%d", n%s.Routes+1), "set": part{"limit_ms": 4000 + n}},
+	}})
 	return raw
 }
 
--- a/internal/testsupport/scaletest/proxygroup.go
+++ b/internal/testsupport/scaletest/proxygroup.go
@@ -82,15 +82,19 @@
 	log := process.NewLog("error", "hollow")
 	for n := p.First; n < p.First+p.Count; n++ {
 		at := proxyAt(p.Block, n)
-		self := membership.Member{ID: ids.DaemonID(fmt.Sprintf("proxy-%d", n+1)), Role: membership.Proxy, Address: at, HTTP: at,
-			Zone: size.Zone(n), RunID: ids.RunID(rand.Uint64()>>24 | 1), Incarnation: ids.Incarnation(time.Now().UnixMilli())}
+		self := membership.Member{
+			ID: ids.DaemonID(fmt.Sprintf("proxy-%d", n+1)), Role: membership.Proxy, Address: at, HTTP: at,
+			Zone: size.Zone(n), RunID: ids.RunID(rand.Uint64()>>24 | 1), Incarnation: ids.Incarnation(time.Now().UnixMilli()),
+		}
 		o := proxy.ControlOptions{}
 		if p.Thrifty {
 			o = proxy.ControlOptions{Lease: proxy.Endless, Layout: proxy.Layout{ByZone: true}}
 		}
 		s := &shell{control: proxy.New(membership.Options{Self: self, Seeds: seeds, Incremental: p.Thrifty}, o), stock: map[ids.Name]dispatch.ServiceState{}}
-		s.post = &process.Transport{Address: at, Log: log, Stats: &c.tally,
-			Deliver: func(from ids.Address, msg any) { s.owner.Offer(event.Received{From: from, Msg: msg}) }}
+		s.post = &process.Transport{
+			Address: at, Log: log, Stats: &c.tally,
+			Deliver: func(from ids.Address, msg any) { s.owner.Offer(event.Received{From: from, Msg: msg}) },
+		}
 		s.owner = process.NewOwner(s.control, beat, s.do)
 		c.shells = append(c.shells, s)
 	}
--- a/internal/testsupport/scaletest/run.go
+++ b/internal/testsupport/scaletest/run.go
@@ -78,8 +78,13 @@
 		name string
 		do   func(*Phase)
 	}{
-		{"start", x.starts}, {"policy", x.configurations}, {"targets", x.arrive}, {"steady", x.steady},
-		{"change", x.changes}, {"registry-lost", x.registryLost}, {"proxies-back", x.proxiesBack},
+		{"start", x.starts},
+		{"policy", x.configurations},
+		{"targets", x.arrive},
+		{"steady", x.steady},
+		{"change", x.changes},
+		{"registry-lost", x.registryLost},
+		{"proxies-back", x.proxiesBack},
 	} {
 		ph := Phase{Name: phase.name}
 		before := f.read(true)
--- a/internal/testsupport/scaletest/scaletest_test.go
+++ b/internal/testsupport/scaletest/scaletest_test.go
@@ -21,8 +21,10 @@
 	if err != nil {
 		t.Fatal(err, string(out))
 	}
-	p := Options{Sizes: []Size{small}, Bin: bin, Crew: filepath.Join(bin, "testbed"), Dir: filepath.Join(t.TempDir(), "fleet"), Thrifty: true, PerCrew: 4,
-		For: 2 * time.Second, Within: 30 * time.Second, Interval: 500 * time.Millisecond, Rows: 3, Changes: 2, Block: 250 + os.Getpid()%4, Show: func(s string) { t.Log(s) }}
+	p := Options{
+		Sizes: []Size{small}, Bin: bin, Crew: filepath.Join(bin, "testbed"), Dir: filepath.Join(t.TempDir(), "fleet"), Thrifty: true, PerCrew: 4,
+		For: 2 * time.Second, Within: 30 * time.Second, Interval: 500 * time.Millisecond, Rows: 3, Changes: 2, Block: 250 + os.Getpid()%4, Show: func(s string) { t.Log(s) },
+	}
 	runs, err := Play(t.Context(), p)
 	is.NoErr(err)
 	is.Equal(len(runs), 1)
--- a/internal/testsupport/scaletest/targets.go
+++ b/internal/testsupport/scaletest/targets.go
@@ -65,9 +65,11 @@
 
 // announce tells a registry, each target its own first.
 func (t *targets) announce(ctx context.Context, n int) {
-	raw, _ := json.Marshal(map[string]any{"instance": fmt.Sprintf("target-%d", n+1), "incarnation": 1, "sequence": t.sequence.Add(1),
+	raw, _ := json.Marshal(map[string]any{
+		"instance": fmt.Sprintf("target-%d", n+1), "incarnation": 1, "sequence": t.sequence.Add(1),
 		"service": t.f.Service(n), "cell": t.f.Zone(n), "address": fmt.Sprintf("127.%d.%d.%d:8000", t.f.Block, 200+n/250, n%250+1),
-		"warmth": 1, "occupancy": n % 7, "capacity": 16, "interval_ms": t.f.Interval.Milliseconds()})
+		"warmth": 1, "occupancy": n % 7, "capacity": 16, "interval_ms": t.f.Interval.Milliseconds(),
+	})
 	registries := t.f.of("registry")
 	for i := range registries {
 		r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+registries[(n+i)%len(registries)].http+"/v1/announce", bytes.NewReader(raw))
--- a/internal/testsupport/simulator/faults_network.go
+++ b/internal/testsupport/simulator/faults_network.go
@@ -101,8 +101,10 @@
 // isolate cuts a process off from everything.
 func (w *World) isolate(p *proc, d time.Duration, style cutStyle) {
 	w.trace("%s is cut off: %+v", p.name, style)
-	w.cutOff(d, &cut{a: func(n string, _ ids.Name) bool { return n == p.name },
-		b: func(n string, _ ids.Name) bool { return n != p.name }, cutStyle: style})
+	w.cutOff(d, &cut{
+		a: func(n string, _ ids.Name) bool { return n == p.name },
+		b: func(n string, _ ids.Name) bool { return n != p.name }, cutStyle: style,
+	})
 }
 
 // cutOffMachine cuts a core machine off from the other ones; proxies, targets
@@ -113,8 +115,10 @@
 		inside[p.name] = true
 		w.trace("%s is cut off from the other core machines: %+v", p.name, style)
 	}
-	w.cutOff(d, &cut{a: func(n string, _ ids.Name) bool { return inside[n] },
-		b: func(n string, _ ids.Name) bool { return !inside[n] && w.isCore(n) }, cutStyle: style})
+	w.cutOff(d, &cut{
+		a: func(n string, _ ids.Name) bool { return inside[n] },
+		b: func(n string, _ ids.Name) bool { return !inside[n] && w.isCore(n) }, cutStyle: style,
+	})
 }
 
 func (w *World) isCore(name string) bool {
@@ -129,9 +133,11 @@
 		side[p.name] = w.random.IntN(2) == 0
 	}
 	w.trace("the fleet splits")
-	w.cutOff(d, &cut{a: func(n string, _ ids.Name) bool { s, ok := side[n]; return ok && s },
+	w.cutOff(d, &cut{
+		a:        func(n string, _ ids.Name) bool { s, ok := side[n]; return ok && s },
 		b:        func(n string, _ ids.Name) bool { s, ok := side[n]; return ok && !s },
-		cutStyle: cutStyle{oneWay: w.random.IntN(3) == 0}})
+		cutStyle: cutStyle{oneWay: w.random.IntN(3) == 0},
+	})
 }
 
 // unheard cuts a target off from the core, which counts it as gone, while
--- a/internal/testsupport/simulator/hot.go
+++ b/internal/testsupport/simulator/hot.go
@@ -27,9 +27,11 @@
 func Hot(seed uint64) Options {
 	random := rand.New(rand.NewPCG(seed, 0x686f74))
 	far := map[[2]ids.Name]int{}
-	p := blueprint.Plan{Name: "hot", Regions: 5, Zones: 5, Proxies: 5, Rate: 64 + 10*random.Float64(), Target: 500, Maximum: 550,
+	p := blueprint.Plan{
+		Name: "hot", Regions: 5, Zones: 5, Proxies: 5, Rate: 64 + 10*random.Float64(), Target: 500, Maximum: 550,
 		Pools: []blueprint.Pool{{Service: "catalog", Targets: 10, Capacity: 16, Tier: 3}, {Service: "ledger", Targets: 5, Capacity: 16, Tier: 8}},
-		Far:   func(a, b ids.Name) int { return far[[2]ids.Name{min(a, b), max(a, b)}] }}
+		Far:   func(a, b ids.Name) int { return far[[2]ids.Name{min(a, b), max(a, b)}] },
+	}
 	for i := range p.Zones {
 		for k := range i {
 			a, b := p.Zone(i), p.Zone(k)
@@ -38,8 +40,10 @@
 	}
 	tiers := random.Perm(10)
 	for i, share := range []float64{0.4, 0.35, 0.25} {
-		p.Ways = append(p.Ways, blueprint.Way{Route: ids.Name(fmt.Sprintf("way-%d", i)), Prefix: fmt.Sprintf("/way-%d", i), Service: p.Pools[i%2].Service,
-			Tier: tiers[i], Repeatable: i != 1, Share: share})
+		p.Ways = append(p.Ways, blueprint.Way{
+			Route: ids.Name(fmt.Sprintf("way-%d", i)), Prefix: fmt.Sprintf("/way-%d", i), Service: p.Pools[i%2].Service,
+			Tier: tiers[i], Repeatable: i != 1, Share: share,
+		})
 	}
 	hot := random.Perm(p.Zones)[:1+random.IntN(2)]
 	quiet := p.Zone(random.IntN(p.Zones))
--- a/internal/testsupport/simulator/lease_test.go
+++ b/internal/testsupport/simulator/lease_test.go
@@ -44,8 +44,10 @@
 			share := map[time.Duration]float64{}
 			for _, lease := range []time.Duration{0, time.Hour} {
 				var world *World
-				o := Run(Options{Seed: 1, Plan: blueprint.Plans["cooperative"], Length: 46 * time.Second, FaultEvery: -1, Lease: lease, Hold: time.Minute, Brief: 0.5,
-					Script: func(w *World) { world = w; w.later(26*time.Second, func() { lose(w) }) }})
+				o := Run(Options{
+					Seed: 1, Plan: blueprint.Plans["cooperative"], Length: 46 * time.Second, FaultEvery: -1, Lease: lease, Hold: time.Minute, Brief: 0.5,
+					Script: func(w *World) { world = w; w.later(26*time.Second, func() { lose(w) }) },
+				})
 				if lease == 0 {
 					report(t, o)
 				}
--- a/internal/testsupport/simulator/load_test.go
+++ b/internal/testsupport/simulator/load_test.go
@@ -14,8 +14,10 @@
 func tight(capacity int) blueprint.Plan {
 	p := blueprint.Plans["small"]
 	p.Pools = []blueprint.Pool{{Service: "catalog", Targets: 4, Capacity: capacity, Tier: 5}}
-	p.Ways = []blueprint.Way{{Route: "urgent", Prefix: "/urgent", Service: "catalog", Tier: 9, Repeatable: true, Share: 0.3},
-		{Route: "idle", Prefix: "/idle", Service: "catalog", Tier: 1, Repeatable: true, Share: 0.7}}
+	p.Ways = []blueprint.Way{
+		{Route: "urgent", Prefix: "/urgent", Service: "catalog", Tier: 9, Repeatable: true, Share: 0.3},
+		{Route: "idle", Prefix: "/idle", Service: "catalog", Tier: 1, Repeatable: true, Share: 0.7},
+	}
 	return p
 }
 
--- a/internal/testsupport/simulator/proc.go
+++ b/internal/testsupport/simulator/proc.go
@@ -126,8 +126,10 @@
 	p.start = ids.RunID(p.w.random.Uint64()>>24 | 1)
 	p.calls = map[uint64]func(registry.Response){}
 	wall := time.Hour + time.Duration(p.w.now) + p.wall
-	self := membership.Member{ID: ids.DaemonID(p.name), Role: p.role, Address: p.addr, HTTP: p.addr, Zone: p.zone,
-		RunID: p.start, Incarnation: ids.Incarnation(max(wall.Milliseconds(), 1))}
+	self := membership.Member{
+		ID: ids.DaemonID(p.name), Role: p.role, Address: p.addr, HTTP: p.addr, Zone: p.zone,
+		RunID: p.start, Incarnation: ids.Incarnation(max(wall.Milliseconds(), 1)),
+	}
 	roll := membership.Options{Self: self, Seeds: p.seeds}
 	h.Roll = roll
 	beat := otherBeat
@@ -141,8 +143,10 @@
 		}
 		p.machine, beat = s, stockBeat
 	case membership.Registry:
-		p.machine = registry.New(registry.Options{Options: roll, Random: p.random, PlanEvery: p.w.PlanEvery,
-			ControlLease: p.w.Defect.ControlLease})
+		p.machine = registry.New(registry.Options{
+			Options: roll, Random: p.random, PlanEvery: p.w.PlanEvery,
+			ControlLease: p.w.Defect.ControlLease,
+		})
 	default:
 		c := proxy.New(roll, proxy.ControlOptions{Lease: p.w.Lease})
 		p.machine = c
--- a/internal/testsupport/simulator/run.go
+++ b/internal/testsupport/simulator/run.go
@@ -145,8 +145,10 @@
 	n := 0
 	for _, pool := range w.Plan.Pools {
 		for i := range pool.Targets {
-			t := &target{w: w, id: pool.Instance(i), service: pool.Service, zone: w.Plan.Zone(n), capacity: pool.Capacity,
-				addr: ids.Address(fmt.Sprintf("10.9.9.%d:1", n+1))}
+			t := &target{
+				w: w, id: pool.Instance(i), service: pool.Service, zone: w.Plan.Zone(n), capacity: pool.Capacity,
+				addr: ids.Address(fmt.Sprintf("10.9.9.%d:1", n+1)),
+			}
 			w.pool = append(w.pool, t)
 			w.later(2*time.Second, func() { t.begin(false) })
 			n++
@@ -190,8 +192,10 @@
 }
 
 func (w *World) outcome() Outcome {
-	o := Outcome{Seed: w.Seed, Counts: w.Truth.Verdict(), Sum: w.sum, Events: w.Events, Responses: w.Truth.Tally(time.Unix(0, 0)),
-		Changes: w.Truth.Changes(), Pruned: w.pruned, Struck: w.struck, Log: w.Log, History: w.history.operations()}
+	o := Outcome{
+		Seed: w.Seed, Counts: w.Truth.Verdict(), Sum: w.sum, Events: w.Events, Responses: w.Truth.Tally(time.Unix(0, 0)),
+		Changes: w.Truth.Changes(), Pruned: w.pruned, Struck: w.struck, Log: w.Log, History: w.history.operations(),
+	}
 	for _, c := range o.Counts {
 		o.Broken += c.Count
 	}
--- a/internal/testsupport/simulator/scenes_network.go
+++ b/internal/testsupport/simulator/scenes_network.go
@@ -41,8 +41,10 @@
 func coreLostAndChanged(w *World) {
 	w.every(3*time.Second, 14*time.Second, 3, func(i int) {
 		w.trace("the proxies are cut off from the core")
-		w.cutOff(8*time.Second, &cut{a: func(n string, _ ids.Name) bool { q := w.named(n); return q != nil && q.role == membership.Proxy },
-			b: func(n string, _ ids.Name) bool { q := w.named(n); return q != nil && q.role != membership.Proxy }})
+		w.cutOff(8*time.Second, &cut{
+			a: func(n string, _ ids.Name) bool { q := w.named(n); return q != nil && q.role == membership.Proxy },
+			b: func(n string, _ ids.Name) bool { q := w.named(n); return q != nil && q.role != membership.Proxy },
+		})
 		w.later(500*ms, func() { w.emptyZone(); w.flip(6000 + i) })
 	})
 }
--- a/internal/testsupport/simulator/scenes_target.go
+++ b/internal/testsupport/simulator/scenes_target.go
@@ -13,11 +13,13 @@
 	w.every(3*time.Second, 8*time.Second, 4, func(i int) {
 		p := w.some(membership.Proxy)
 		w.trace("%s is cut off from the core", p.name)
-		w.cutOff(6*time.Second, &cut{a: func(n string, _ ids.Name) bool { return n == p.name },
+		w.cutOff(6*time.Second, &cut{
+			a: func(n string, _ ids.Name) bool { return n == p.name },
 			b: func(n string, _ ids.Name) bool {
 				q := w.named(n)
 				return q != nil && q.role != membership.Proxy
-			}})
+			},
+		})
 		w.later(500*time.Millisecond, func() { w.handOver(w.pool[i%len(w.pool)], 3*time.Second) })
 	})
 }
--- a/internal/testsupport/simulator/target.go
+++ b/internal/testsupport/simulator/target.go
@@ -90,8 +90,10 @@
 // announce tells some registry that can be reached.
 func (t *target) announce() {
 	t.sequence++
-	a := targets.Target{Instance: t.id, Incarnation: t.incarnation, Sequence: t.sequence, Service: t.service, Address: t.addr, Zone: t.zone,
-		Leaving: t.leaving, Warmth: t.warmth(), Occupancy: int64(t.busy), Capacity: int64(t.capacity), Interval: uint32(announceEvery / time.Millisecond)}
+	a := targets.Target{
+		Instance: t.id, Incarnation: t.incarnation, Sequence: t.sequence, Service: t.service, Address: t.addr, Zone: t.zone,
+		Leaving: t.leaving, Warmth: t.warmth(), Occupancy: int64(t.busy), Capacity: int64(t.capacity), Interval: uint32(announceEvery / time.Millisecond),
+	}
 	gen := t.gen
 	t.via = t.w.anyRegistry()
 	if t.via == nil {
@@ -118,8 +120,10 @@
 // is when its bytes left the proxy, and came when they reached the target.
 func (t *target) run(e *errand, p *proc, s ids.Name, sent, came ids.Time, left time.Duration, done func(idempotency.Response, bool)) {
 	t.busy++
-	r := checker.Ran{At: t.w.clock(), Sent: clock(sent), Instance: t.id, Service: t.service, Zone: t.zone, Token: e.token, Mark: string(e.IdempotencyKey), Attempt: e.try, Untold: e.Job.Attempt == 0,
-		After: t.knownFor(came), Route: e.Route, Left: left, Proxy: p.name, By: p.zone}
+	r := checker.Ran{
+		At: t.w.clock(), Sent: clock(sent), Instance: t.id, Service: t.service, Zone: t.zone, Token: e.token, Mark: string(e.IdempotencyKey), Attempt: e.try, Untold: e.Job.Attempt == 0,
+		After: t.knownFor(came), Route: e.Route, Left: left, Proxy: p.name, By: p.zone,
+	}
 	t.w.Truth.Run(r)
 	t.w.trace("%s runs %s attempt %d for %s", t.id, e.token, e.try, p.name)
 	if s != t.service {
--- a/internal/testsupport/simulator/trace_test.go
+++ b/internal/testsupport/simulator/trace_test.go
@@ -114,9 +114,17 @@
 // Every kind of event comes back from its line as it was, nil and empty apart.
 func TestTraceEventsRoundTrip(t *testing.T) {
 	is := is.New(t)
-	for _, ev := range []event.Event{event.Tick{}, event.Synced{Batch: 1 << 63}, registry.ChangeCall{Raw: []byte{}}, registry.ChangeCall{ID: 3},
-		registry.MergeCall{ID: 4}, store.Leave{Within: -time.Second}, proxy.UsageSample{Rows: []spill.Spent{}, Count: 9}, proxy.UsageSample{Latency: 5},
-		event.Received{From: "x", Msg: spill.Report{Number: 7}}} {
+	for _, ev := range []event.Event{
+		event.Tick{},
+		event.Synced{Batch: 1 << 63},
+		registry.ChangeCall{Raw: []byte{}},
+		registry.ChangeCall{ID: 3},
+		registry.MergeCall{ID: 4},
+		store.Leave{Within: -time.Second},
+		proxy.UsageSample{Rows: []spill.Spent{}, Count: 9},
+		proxy.UsageSample{Latency: 5},
+		event.Received{From: "x", Msg: spill.Report{Number: 7}},
+	} {
 		now, got, err := readEvent(writeEvent(12, ev))
 		is.NoErr(err)
 		is.Equal(now, ids.Time(12))
--- a/internal/testsupport/simulator/world.go
+++ b/internal/testsupport/simulator/world.go
@@ -89,9 +89,11 @@
 // NewWorld makes an empty world for a seed.
 func NewWorld(p Options) *World {
 	p.fill()
-	return &World{Options: p, random: rand.New(rand.NewPCG(p.Seed, 0x64756e6c696e)), at: map[ids.Address]*proc{},
+	return &World{
+		Options: p, random: rand.New(rand.NewPCG(p.Seed, 0x64756e6c696e)), at: map[ids.Address]*proc{},
 		owner: map[ids.Address]*target{}, Truth: &checker.Truth{}, net: weather{jitter: time.Millisecond},
-		connections: connections{resets: map[endpoints]int{}}, struck: map[string]int{}, office: office{taken: map[string]bool{}}}
+		connections: connections{resets: map[endpoints]int{}}, struck: map[string]int{}, office: office{taken: map[string]bool{}},
+	}
 }
 
 // later asks for something to be done after a while.
--- a/internal/testsupport/testbed/circuits.go
+++ b/internal/testsupport/testbed/circuits.go
@@ -35,8 +35,10 @@
 	defer callers.Unlock()
 	key := fmt.Sprint(ip, patience)
 	if callers.list[key] == nil {
-		callers.list[key] = &http.Client{Timeout: patience, Transport: &http.Transport{DialContext: dialer(ip).DialContext,
-			MaxIdleConnsPerHost: 64, IdleConnTimeout: 5 * time.Second, DisableCompression: true}}
+		callers.list[key] = &http.Client{Timeout: patience, Transport: &http.Transport{
+			DialContext:         dialer(ip).DialContext,
+			MaxIdleConnsPerHost: 64, IdleConnTimeout: 5 * time.Second, DisableCompression: true,
+		}}
 	}
 	return callers.list[key]
 }
--- a/internal/testsupport/testbed/run.go
+++ b/internal/testsupport/testbed/run.go
@@ -148,9 +148,11 @@
 			if err != nil {
 				return err
 			}
-			t := &Target{Instance: pool.Instance(i), Service: pool.Service, Zone: s.Plan.Zone(n), Address: at,
+			t := &Target{
+				Instance: pool.Instance(i), Service: pool.Service, Zone: s.Plan.Zone(n), Address: at,
 				Capacity: pool.Capacity, Work: 20 * time.Millisecond, Truth: s.Truth, Registries: s.registries, Delay: s.trip,
-				RouteOf: s.routeOf, ZoneOf: s.zoneOf, Ran: s.ran}
+				RouteOf: s.routeOf, ZoneOf: s.zoneOf, Ran: s.ran,
+			}
 			if s.relay != nil {
 				if t.bound, err = s.behind(at, n%s.Zones, 4, n); err != nil {
 					return err
--- a/internal/testsupport/testbed/runbooks_test.go
+++ b/internal/testsupport/testbed/runbooks_test.go
@@ -33,11 +33,13 @@
 		b.t.Fatal(err)
 	}
 	var out bytes.Buffer
-	err = book.Run(runbook.Options{Values: values, Out: &out, Now: time.Now, Pause: func() { <-time.After(100 * time.Millisecond) },
+	err = book.Run(runbook.Options{
+		Values: values, Out: &out, Now: time.Now, Pause: func() { <-time.After(100 * time.Millisecond) },
 		Hands: func(what string) bool { b.hands(what); return true },
 		Command: func(words []string) ([]byte, error) {
 			return cli.Capture(&cli.Context{At: b.at, Timeout: 8 * time.Second}, words)
-		}})
+		},
+	})
 	b.t.Log(out.String(), err)
 	return err
 }
--- a/internal/testsupport/testbed/scripts.go
+++ b/internal/testsupport/testbed/scripts.go
@@ -14,7 +14,8 @@
 // turn, each restored before the next, with a herd and a rolling stop.
 func Grand(plan blueprint.Plan) *Script {
 	return &Script{Steps: []Deed{
-		{at(5), "kill", "registry-2", at(6), 0}, {at(5), "swap-core", "core-1", 0, 0},
+		{at(5), "kill", "registry-2", at(6), 0},
+		{at(5), "swap-core", "core-1", 0, 0},
 		{at(25), "lose-cell", string(plan.Zone(1)), at(6), 0},
 		{at(45), "lose-region", plan.Region(plan.Zone(2)), at(6), 0},
 		{at(65), "herd", "proxy", at(2), 0},
@@ -44,14 +45,20 @@
 		{at(58), "swap-core", "core-2", 0, 0},
 		{at(60), "storm", "operators", at(4), 300},
 		{at(74), "hand-over", string(first.Instance(3)), at(4), 0},
-		{at(80), "herd", "proxy", at(2), 0}, {at(80), "herd", "registry", at(3), 0}, {at(80), "herd", "store", at(2), 0},
+		{at(80), "herd", "proxy", at(2), 0},
+		{at(80), "herd", "registry", at(3), 0},
+		{at(80), "herd", "store", at(2), 0},
 	}}
 }
 
 // Swaps is the script in which all three core machines are replaced in turn.
 func Swaps(blueprint.Plan) *Script {
-	return &Script{Steps: []Deed{{at(4), "swap-core", "core-1", 0, 0}, {at(26), "swap-core", "core-2", 0, 0}, {at(48), "swap-core", "core-3", 0, 0},
-		{at(50), "storm", "operators", at(3), 150}}}
+	return &Script{Steps: []Deed{
+		{at(4), "swap-core", "core-1", 0, 0},
+		{at(26), "swap-core", "core-2", 0, 0},
+		{at(48), "swap-core", "core-3", 0, 0},
+		{at(50), "storm", "operators", at(3), 150},
+	}}
 }
 
 // Hot is the script in which one zone is hot for several turns of the loop.
--- a/internal/testsupport/testbed/target.go
+++ b/internal/testsupport/testbed/target.go
@@ -136,9 +136,11 @@
 func (t *Target) announce() bool {
 	t.mu.Lock()
 	t.sequence++
-	body, _ := json.Marshal(map[string]any{"instance": t.Instance, "incarnation": t.incarnation, "sequence": t.sequence,
+	body, _ := json.Marshal(map[string]any{
+		"instance": t.Instance, "incarnation": t.incarnation, "sequence": t.sequence,
 		"service": t.Service, "address": t.Address, "cell": t.Zone, "leaving": t.leaving, "warmth": t.warmth(),
-		"occupancy": t.busy.Load(), "capacity": t.Capacity, "interval_ms": 1000})
+		"occupancy": t.busy.Load(), "capacity": t.Capacity, "interval_ms": 1000,
+	})
 	t.mu.Unlock()
 	for _, f := range t.Registries() {
 		res, err := from(host(t.Address), 700*time.Millisecond).Post("http://"+f+"/v1/announce", "application/json", bytes.NewReader(body))
--- a/internal/transport/process/discard_test.go
+++ b/internal/transport/process/discard_test.go
@@ -43,8 +43,10 @@
 	ctx, stop := context.WithCancel(t.Context())
 	t.Cleanup(stop)
 	got, out := make(chan any, 64), &lines{}
-	p := &Transport{Address: "127.0.0.1:0", Stats: &TrafficStats{}, Log: &Log{log.Logger{Writer: &log.IOWriter{Writer: out}}},
-		Deliver: func(_ ids.Address, msg any) { got <- msg }}
+	p := &Transport{
+		Address: "127.0.0.1:0", Stats: &TrafficStats{}, Log: &Log{log.Logger{Writer: &log.IOWriter{Writer: out}}},
+		Deliver: func(_ ids.Address, msg any) { got <- msg },
+	}
 	l, err := p.Listen()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/transport/process/log.go
+++ b/internal/transport/process/log.go
@@ -19,9 +19,11 @@
 
 // NewLog makes a log to standard error from a level up.
 func NewLog(level, daemon string) *Log {
-	return &Log{log.Logger{Level: log.ParseLevel(level), TimeField: "time", TimeFormat: "2006-01-02T15:04:05.000Z07:00",
+	return &Log{log.Logger{
+		Level: log.ParseLevel(level), TimeField: "time", TimeFormat: "2006-01-02T15:04:05.000Z07:00",
 		Context: log.NewContext(nil).Str("daemon", daemon).Value(),
-		Writer:  &log.ConsoleWriter{Writer: os.Stderr, Formatter: pairs}}}
+		Writer:  &log.ConsoleWriter{Writer: os.Stderr, Formatter: pairs},
+	}}
 }
 
 // pairs writes an entry as key=value, quoted where it has to be.
