--- a/internal/app/api/api.go
+++ b/internal/app/api/api.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"dunlinwell/internal/base/errs"
+	"dunlinwell/internal/base/event"
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/controlplane/registry"
 	"dunlinwell/internal/controlplane/targets"
@@ -25,7 +26,7 @@
 	// Put hands an event to the registry's owner.
 	Put func(ev any)
 	// Log, if set, writes what must not go unseen.
-	Log  func(level, event string, fields ...string)
+	Log  func(level event.Level, name event.LogEvent, fields ...string)
 	next atomic.Uint64
 	mu   sync.Mutex
 	open map[uint64]chan registry.Response
@@ -128,7 +129,7 @@
 		t, bad := targets.ReadAnnouncement(raw)
 		if len(bad) > 0 {
 			if w.Log != nil {
-				w.Log("warn", "announcement declined", "peer", r.RemoteAddr, "faults", fmt.Sprint(bad))
+				w.Log(event.LevelWarn, "announcement declined", "peer", r.RemoteAddr, "faults", fmt.Sprint(bad))
 			}
 			Write(rw, registry.Response{Status: 400, Body: map[string]any{"problem": "announcement declined", "errors": bad}})
 			return
--- a/internal/app/daemon/daemon.go
+++ b/internal/app/daemon/daemon.go
@@ -18,6 +18,7 @@
 	"github.com/thejerf/suture/v4"
 
 	"dunlinwell/internal/app/api"
+	"dunlinwell/internal/base/event"
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/base/settings"
 	"dunlinwell/internal/controlplane/membership"
@@ -38,7 +39,7 @@
 // Supervisor makes a suture supervisor that logs in our own way.
 func Supervisor(name string, l *process.Log) *suture.Supervisor {
 	return suture.New(name, suture.Spec{EventHook: func(e suture.Event) {
-		l.Event("warn", "supervisor", "what", e.String())
+		l.Event(event.LevelWarn, "supervisor", "what", e.String())
 	}})
 }
 
--- a/internal/app/daemon/retire.go
+++ b/internal/app/daemon/retire.go
@@ -4,6 +4,7 @@
 	"context"
 	"sync/atomic"
 
+	"dunlinwell/internal/base/event"
 	"dunlinwell/internal/state/storage"
 	"dunlinwell/internal/transport/process"
 )
@@ -21,6 +22,6 @@
 		if err != nil {
 			return err
 		}
-		process.NewLog(p.Log, p.Name).Event("error", "replaced database set aside, joining as blank", "kept", kept)
+		process.NewLog(p.Log, p.Name).Event(event.LevelError, "replaced database set aside, joining as blank", "kept", kept)
 	}
 }
--- a/internal/app/daemon/store.go
+++ b/internal/app/daemon/store.go
@@ -46,16 +46,16 @@
 	life, end := context.WithCancel(context.Background())
 	defer end()
 	done := s.ServeBackground(life)
-	stop := context.AfterFunc(ctx, func() { stopping.Store(true); log.Event("info", "stopping") })
+	stop := context.AfterFunc(ctx, func() { stopping.Store(true); log.Event(event.LevelInfo, "stopping") })
 	defer stop()
-	log.Event("info", "started", "role", name)
+	log.Event(event.LevelInfo, "started", "role", name)
 	err := pages()
 	end()
 	select {
 	case <-done:
 	case <-time.After(200 * time.Millisecond):
 	}
-	log.Event("info", "stopped")
+	log.Event(event.LevelInfo, "stopped")
 	if ctx.Err() != nil {
 		return nil
 	}
@@ -139,7 +139,7 @@
 }
 
 func (c *committer) fatal(err error) {
-	c.log.Event("error", "disk failed, stopping", "problem", err.Error())
+	c.log.Event(event.LevelError, "disk failed, stopping", "error", err.Error())
 	os.Exit(1)
 }
 
@@ -155,7 +155,7 @@
 	}
 	defer disk.Close()
 	if disk.SetAside != "" {
-		log.Event("error", "damaged database set aside, joining as blank", "kept", disk.SetAside, "problem", disk.Damage.Error())
+		log.Event(event.LevelError, "damaged database set aside, joining as blank", "kept", disk.SetAside, "error", disk.Damage.Error())
 	}
 	m := store.New(store.Options{
 		Options:  membership.Options{Self: Self(p.Common, membership.Store), Seeds: p.SeedList(), Incremental: p.Thrifty},
--- a/internal/base/event/event.go
+++ b/internal/base/event/event.go
@@ -50,10 +50,28 @@
 // Settled tells that the disk has done all up to this turn.
 type Synced struct{ Batch uint64 }
 
-// Note asks for a line in the log: an event and key=value pairs.
+// Level is the severity of a log entry.
+type Level string
+
+// The levels of a log entry. An error wants somebody to look; a warning says that
+// something failed and is dealt with; the rest is for reading afterwards.
+const (
+	LevelDebug Level = "debug"
+	LevelInfo  Level = "info"
+	LevelWarn  Level = "warn"
+	LevelError Level = "error"
+)
+
+// LogEvent names what a log entry is about, in snake case, such as lease_expired.
+// Each package lists its own as constants; docs/operators.md says what to do
+// about each.
+type LogEvent string
+
+// LogEntry asks for a line in the log: its event and key=value pairs, the keys and
+// values alternating in Fields.
 type LogEntry struct {
-	Level  string
-	Event  string
+	Level  Level
+	Event  LogEvent
 	Fields []string
 }
 
@@ -66,9 +84,9 @@
 // Tell adds a Send.
 func (o *Outbox) Send(to ids.Address, msg any) { o.Emit(Send{To: to, Msg: msg}) }
 
-// Say adds a Note.
-func (o *Outbox) Log(level, event string, fields ...string) {
-	o.Emit(LogEntry{Level: level, Event: event, Fields: fields})
+// Log adds a LogEntry.
+func (o *Outbox) Log(level Level, name LogEvent, fields ...string) {
+	o.Emit(LogEntry{Level: level, Event: name, Fields: fields})
 }
 
 // Take hands the commands over and starts afresh.
--- a/internal/controlplane/membership/failure.go
+++ b/internal/controlplane/membership/failure.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"dunlinwell/internal/base/event"
 	"dunlinwell/internal/base/ids"
 )
 
@@ -203,7 +204,7 @@
 	m.Gone = true
 	r.set(m)
 	delete(r.accusations, m.ID)
-	r.out.Log("warn", "member gone", "member", string(m.ID), "votes", itoa(uint64(votes)), "quorum", itoa(uint64(r.quorum())), "doubted", itoa(uint64(doubted)))
+	r.out.Log(event.LevelWarn, "member gone", "member", string(m.ID), "votes", itoa(uint64(votes)), "quorum", itoa(uint64(r.quorum())), "doubted", itoa(uint64(doubted)))
 	r.spread()
 }
 
--- a/internal/controlplane/membership/list.go
+++ b/internal/controlplane/membership/list.go
@@ -211,6 +211,6 @@
 		r.Self.Incarnation = m.Incarnation + 1
 		r.Self.Sequence++
 		r.set(r.Self)
-		r.out.Log("info", "refuted", "incarnation", itoa(uint64(r.Self.Incarnation)))
+		r.out.Log(event.LevelInfo, "refuted", "incarnation", itoa(uint64(r.Self.Incarnation)))
 	}
 }
--- a/internal/controlplane/registry/changes.go
+++ b/internal/controlplane/registry/changes.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 
+	"dunlinwell/internal/base/event"
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/state/configuration"
 	"dunlinwell/internal/state/consensus"
@@ -57,7 +58,7 @@
 func (f *Registry) answerResult(id uint64) func(ids.Time, configuration.Result) {
 	return func(_ ids.Time, r configuration.Result) {
 		for _, c := range r.Conflicts {
-			f.Log("warn", "number used twice", "item", c.Item, "path", c.Path)
+			f.Log(event.LevelWarn, "number used twice", "item", c.Item, "path", c.Path)
 		}
 		f.Emit(Response{ID: id, Status: statusOf(r), Body: r})
 	}
--- a/internal/controlplane/registry/deliver.go
+++ b/internal/controlplane/registry/deliver.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"dunlinwell/internal/base/delta"
+	"dunlinwell/internal/base/event"
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/controlplane/distribution"
 	"dunlinwell/internal/controlplane/membership"
@@ -70,7 +71,7 @@
 func (f *Registry) taken(now ids.Time, changed []targets.Target) {
 	for _, t := range changed {
 		if !t.Usable() {
-			f.Log("info", "target leaves", "target", string(t.Instance), "address", string(t.Address), "gone", yes(t.Gone))
+			f.Log(event.LevelInfo, "target leaves", "target", string(t.Instance), "address", string(t.Address), "gone", yes(t.Gone))
 		}
 	}
 	// What is new or warm again can wait for the others of its moment: told one
@@ -114,7 +115,7 @@
 	}
 	p, err := configuration.Decode(raw)
 	if err != nil {
-		f.Log("error", "policy unreadable", "problem", err.Error())
+		f.Log(event.LevelError, "policy unreadable", "error", err.Error())
 		return
 	}
 	if p.Revision < f.configuration.Revision {
@@ -128,7 +129,7 @@
 	f.configuration, f.raw = p, nil
 	clear(f.deltas)
 	f.view.SetRegions(f.options.Regions)
-	f.Log("info", "policy", "revision", itoa(uint64(p.Revision)))
+	f.Log(event.LevelInfo, "policy", "revision", itoa(uint64(p.Revision)))
 }
 
 // age tells how old the last agreement on the configuration is.
--- a/internal/controlplane/registry/planner.go
+++ b/internal/controlplane/registry/planner.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"dunlinwell/internal/base/event"
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/controlplane/membership"
 	"dunlinwell/internal/state/consensus"
@@ -30,8 +31,8 @@
 	}
 }
 
-func (f *Registry) giveUpDuty(now ids.Time, how string) {
-	f.Log("info", how, "duty", "planner", "epoch", itoa(uint64(f.mine)))
+func (f *Registry) giveUpDuty(now ids.Time, how event.LogEvent) {
+	f.Log(event.LevelInfo, how, "duty", "planner", "epoch", itoa(uint64(f.mine)))
 	f.mine, f.gaveUp = 0, now
 }
 
@@ -97,6 +98,6 @@
 		f.raise(at, term.Epoch)
 		f.mine, f.table.Epoch = term.Epoch, term.Epoch
 		f.next = at.Add(min(f.options.PlanEvery, 5*time.Second))
-		f.Log("info", "duty taken", "duty", "planner", "epoch", itoa(uint64(term.Epoch)))
+		f.Log(event.LevelInfo, "duty taken", "duty", "planner", "epoch", itoa(uint64(term.Epoch)))
 	})
 }
--- a/internal/controlplane/registry/plans.go
+++ b/internal/controlplane/registry/plans.go
@@ -3,6 +3,7 @@
 import (
 	"strconv"
 
+	"dunlinwell/internal/base/event"
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/controlplane/membership"
 	"dunlinwell/internal/controlplane/spill"
@@ -59,7 +60,7 @@
 	f.raise(now, t.Epoch)
 	if t.Newer(f.table) {
 		f.table = t
-		f.Log("info", "moves", "epoch", itoa(uint64(t.Epoch)), "number", itoa(uint64(t.Number)), "count", itoa(uint64(len(t.Moves))))
+		f.Log(event.LevelInfo, "moves", "epoch", itoa(uint64(t.Epoch)), "number", itoa(uint64(t.Number)), "count", itoa(uint64(len(t.Moves))))
 	}
 	if !f.table.Newer(t) {
 		f.tableAt = now
@@ -136,7 +137,7 @@
 	f.predict(now, now0, f.table.Moves, moves)
 	f.table = spill.Table{Epoch: f.mine, Number: f.table.Number + 1, Moves: moves, Uses: f.Reports.Uses(moves)}
 	f.tableAt = now
-	f.Log("info", "planned", "epoch", itoa(uint64(f.mine)), "number", itoa(uint64(f.table.Number)), "moves", itoa(uint64(len(moves))))
+	f.Log(event.LevelInfo, "planned", "epoch", itoa(uint64(f.mine)), "number", itoa(uint64(f.table.Number)), "moves", itoa(uint64(len(moves))))
 }
 
 // charge adds what earlier plans moved and reports can't show yet.
--- a/internal/controlplane/registry/registry.go
+++ b/internal/controlplane/registry/registry.go
@@ -168,7 +168,7 @@
 func (f *Registry) clock(now ids.Time) {
 	if f.last != 0 && now.Sub(f.last) > time.Second {
 		f.woke = now
-		f.Log("warn", "woke", "gap_ms", itoa(uint64(now.Sub(f.last)/time.Millisecond)))
+		f.Log(event.LevelWarn, "woke", "gap_ms", itoa(uint64(now.Sub(f.last)/time.Millisecond)))
 	}
 	f.last = now
 	if f.began == 0 {
@@ -185,7 +185,7 @@
 		f.tellRegistries(silent)
 	}
 	for _, t := range silent {
-		f.Log("warn", "target silent", "target", string(t.Instance), "service", string(t.Service), "address", string(t.Address))
+		f.Log(event.LevelWarn, "target silent", "target", string(t.Instance), "service", string(t.Service), "address", string(t.Address))
 	}
 	f.Targets.Forget(now, time.Hour)
 	if (now >= f.poll || f.probeDue(now)) && !f.reading && f.answerable() {
--- a/internal/controlplane/store/founding.go
+++ b/internal/controlplane/store/founding.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"dunlinwell/internal/base/event"
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/controlplane/membership"
 	"dunlinwell/internal/state/configuration"
@@ -60,7 +61,7 @@
 // explainWait logs a new reason to wait, once.
 func (s *Store) explainWait(why string) {
 	if why != "" && why != s.founding.waits {
-		s.Log("info", "not founding", "waits", why)
+		s.Log(event.LevelInfo, "not founding", "waits", why)
 	}
 	s.founding.waits = why
 }
@@ -111,7 +112,7 @@
 		return
 	}
 	s.bootstrap(consensus.Bootstrap{VoterSet: r.VoterSet, Round: r.Round})
-	s.Log("info", "founded", "voter_set", "1")
+	s.Log(event.LevelInfo, "founded", "voter_set", "1")
 	for _, v := range r.VoterSet.Voters {
 		if v.ID != s.StoreID() {
 			s.Send(v.Address, consensus.Bootstrap{VoterSet: r.VoterSet, Round: r.Round})
@@ -168,7 +169,7 @@
 	case m.Rejected == "":
 		s.founding.promised[m.Store] = true
 	default:
-		s.Log("info", "founding declined", "store", itoa(m.Store), "why", m.Rejected)
+		s.Log(event.LevelInfo, "founding declined", "store", itoa(m.Store), "why", m.Rejected)
 		if m.Promised >= r.Round {
 			s.proposeRound(now, m.Promised+1, r.VoterSet)
 		}
--- a/internal/controlplane/store/learner.go
+++ b/internal/controlplane/store/learner.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"dunlinwell/internal/base/event"
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/state/consensus"
 )
@@ -160,6 +161,6 @@
 	}
 	s.MarkComplete()
 	took := now.Sub(s.learner.began)
-	s.Log("info", "copy complete", "voter_set", itoa(set.Number), "ms", itoa(uint64(took.Milliseconds())))
+	s.Log(event.LevelInfo, "copy complete", "voter_set", itoa(set.Number), "ms", itoa(uint64(took.Milliseconds())))
 	s.reportComplete(set)
 }
--- a/internal/controlplane/store/leaving.go
+++ b/internal/controlplane/store/leaving.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"dunlinwell/internal/base/event"
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/controlplane/membership"
 	"dunlinwell/internal/state/consensus"
@@ -48,12 +49,12 @@
 	}
 	why := s.neededFor(now)
 	if why != d.stays && why != "" {
-		s.Log("info", "stays for now", "why", why)
+		s.Log(event.LevelInfo, "stays for now", "why", why)
 	}
 	d.stays = why
 	if why == "" || now >= d.until {
 		d.ended = true
-		s.Log("info", "may stop", "needed", why)
+		s.Log(event.LevelInfo, "may stop", "needed", why)
 		s.Emit(MayStop{})
 		return
 	}
--- a/internal/controlplane/store/recover.go
+++ b/internal/controlplane/store/recover.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"dunlinwell/internal/base/event"
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/controlplane/membership"
 	"dunlinwell/internal/state/configuration"
@@ -37,10 +38,10 @@
 	why := s.cannotRefound(now)
 	s.Emit(RecoverResponse{ID: r.ID, Why: why})
 	if why != "" {
-		s.Log("warn", "refounding declined", "why", why)
+		s.Log(event.LevelWarn, "refounding declined", "why", why)
 		return
 	}
-	s.Log("warn", "refounding")
+	s.Log(event.LevelWarn, "refounding")
 	s.survivingConfiguration, s.refoundAt = consensus.ConfigurationReply{}, now.Add(collectConfigurationFor)
 	for _, m := range s.Live(membership.Proxy) {
 		s.Send(m.Address, consensus.ConfigurationQuery{})
@@ -100,7 +101,7 @@
 	_ = json.Unmarshal(s.LocalValue(configuration.Key), &own)
 	if json.Unmarshal(s.survivingConfiguration.Configuration, &theirs) == nil && theirs.Revision > own.Revision {
 		s.ForceValue(configuration.Key, s.survivingConfiguration.Configuration)
-		s.Log("info", "policy taken back from a proxy", "revision", itoa(uint64(theirs.Revision)))
+		s.Log(event.LevelInfo, "policy taken back from a proxy", "revision", itoa(uint64(theirs.Revision)))
 	}
 	s.ForceValue(consensus.VoterSetKey, raw)
 	s.adoptVoterSet(now, next)
--- a/internal/controlplane/store/recoverall.go
+++ b/internal/controlplane/store/recoverall.go
@@ -48,7 +48,7 @@
 	}
 	b := consensus.Bootstrap{VoterSet: first, Configuration: s.survivingConfiguration.Configuration}
 	s.bootstrap(b)
-	s.Log("warn", "founded on order", "voter_set", itoa(first.Number), "policy", configuration.Describe(b.Configuration))
+	s.Log(event.LevelWarn, "founded on order", "voter_set", itoa(first.Number), "policy", configuration.Describe(b.Configuration))
 	for _, v := range others[:2] {
 		s.Send(v.Address, b)
 	}
--- a/internal/controlplane/store/store.go
+++ b/internal/controlplane/store/store.go
@@ -131,7 +131,7 @@
 		// A disk that can't sync for a second must not claim health.
 		tired := len(s.unsyncedTurns) > 0 && now.Sub(s.unsyncedTurns[0].at) > time.Second
 		if tired != s.diskStalled {
-			s.Log("warn", "disk", "stalled", map[bool]string{true: "yes", false: "no"}[tired])
+			s.Log(event.LevelWarn, "disk", "stalled", map[bool]string{true: "yes", false: "no"}[tired])
 		}
 		s.diskStalled = tired
 		s.Announce(!tired && s.MayVote(), 0)
--- a/internal/controlplane/store/voters.go
+++ b/internal/controlplane/store/voters.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"dunlinwell/internal/base/event"
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/controlplane/membership"
 	"dunlinwell/internal/state/consensus"
@@ -148,7 +149,7 @@
 		return
 	}
 	s.Restart(now)
-	s.Log("info", "voter_set", "number", itoa(r.Number), "stores", itoa(uint64(len(r.Voters))), "next", itoa(uint64(len(r.Incoming))))
+	s.Log(event.LevelInfo, "voter_set", "number", itoa(r.Number), "stores", itoa(uint64(len(r.Voters))), "next", itoa(uint64(len(r.Incoming))))
 	for _, st := range append(old.All(), r.All()...) {
 		if st.ID != s.StoreID() {
 			s.Send(st.Address, consensus.VoterSetUpdate{VoterSet: r})
--- a/internal/dataplane/proxy/control.go
+++ b/internal/dataplane/proxy/control.go
@@ -204,5 +204,5 @@
 		c.empty, c.late = now, late
 	}
 	c.Emit(Routes{View: c.view})
-	c.Log("info", "policy", "revision", itoa(uint64(p.Revision)))
+	c.Log(event.LevelInfo, "policy", "revision", itoa(uint64(p.Revision)))
 }
--- a/internal/dataplane/proxy/opening.go
+++ b/internal/dataplane/proxy/opening.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"dunlinwell/internal/base/event"
 	"dunlinwell/internal/base/ids"
 )
 
@@ -25,6 +26,6 @@
 		c.unconfirmed = now
 	case now.Sub(c.unconfirmed) >= unconfirmedFor:
 		c.opened = true
-		c.Log("warn", "serves unconfirmed", "revision", itoa(uint64(c.view.Revision)), "agreed_ms_ago", itoa(uint64(now.Sub(c.agreed)/time.Millisecond)))
+		c.Log(event.LevelWarn, "serves unconfirmed", "revision", itoa(uint64(c.view.Revision)), "agreed_ms_ago", itoa(uint64(now.Sub(c.agreed)/time.Millisecond)))
 	}
 }
--- a/internal/dataplane/proxy/readiness.go
+++ b/internal/dataplane/proxy/readiness.go
@@ -6,6 +6,7 @@
 	"strconv"
 	"time"
 
+	"dunlinwell/internal/base/event"
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/controlplane/membership"
 	"dunlinwell/internal/dataplane/dispatch"
@@ -19,7 +20,7 @@
 	// nothing that this proxy knows can be trusted.
 	if c.last != 0 && now.Sub(c.last) > frozen {
 		c.woke = now
-		c.Log("warn", "woke", "gap_ms", itoa(uint64(now.Sub(c.last)/time.Millisecond)))
+		c.Log(event.LevelWarn, "woke", "gap_ms", itoa(uint64(now.Sub(c.last)/time.Millisecond)))
 	}
 	c.last = now
 	c.List.Tick(now)
@@ -75,7 +76,7 @@
 		return
 	}
 	if f.CutOff != c.footing.CutOff || f.Ready != c.footing.Ready {
-		c.Log("info", "footing", "ready", strconv.FormatBool(f.Ready), "cut_off", strconv.FormatBool(f.CutOff))
+		c.Log(event.LevelInfo, "footing", "ready", strconv.FormatBool(f.Ready), "cut_off", strconv.FormatBool(f.CutOff))
 	}
 	f.Members = c.All()
 	c.footing, c.roll = f, c.Version()
--- a/internal/dataplane/proxy/run.go
+++ b/internal/dataplane/proxy/run.go
@@ -37,7 +37,7 @@
 		<-ctx.Done()
 		d.stopping.Store(true)
 		d.owner.Put(Stopping{})
-		d.log.Event("info", "stopping")
+		d.log.Event(event.LevelInfo, "stopping")
 	}()
 	err = d.serve(ctx, pages)
 	end()
@@ -45,7 +45,7 @@
 	case <-done:
 	case <-time.After(200 * time.Millisecond):
 	}
-	d.log.Event("info", "stopped")
+	d.log.Event(event.LevelInfo, "stopped")
 	if ctx.Err() != nil {
 		return nil
 	}
@@ -89,7 +89,7 @@
 		p.mu.Lock()
 		t := p.dispatcher.Tally
 		p.mu.Unlock()
-		d.log.Event("info", "carried", "service", string(n), "own", strconv.FormatUint(t.Forwarded-t.Region-t.Far, 10),
+		d.log.Event(event.LevelInfo, "carried", "service", string(n), "own", strconv.FormatUint(t.Forwarded-t.Region-t.Far, 10),
 			"region", strconv.FormatUint(t.Region, 10), "far", strconv.FormatUint(t.Far, 10), "retried", strconv.FormatUint(t.Retried, 10))
 	}
 }
@@ -102,7 +102,7 @@
 		why := p.dispatcher.Reasons()
 		p.mu.Unlock()
 		for _, w := range slices.Sorted(maps.Keys(why)) {
-			d.log.Event("warn", "unanswered", "service", string(n), "why", w, "count", strconv.Itoa(why[w]))
+			d.log.Event(event.LevelWarn, "unanswered", "service", string(n), "why", w, "count", strconv.Itoa(why[w]))
 		}
 	}
 }
--- a/internal/state/consensus/acceptor.go
+++ b/internal/state/consensus/acceptor.go
@@ -57,7 +57,7 @@
 	}
 	if err := CheckDisk(storage); err != nil {
 		a.damaged = true
-		out.Log("error", "registers unreadable, taking no part", "problem", err.Error())
+		out.Log(event.LevelError, "registers unreadable, taking no part", "error", err.Error())
 	}
 	a.loadStanding()
 	return a
@@ -89,7 +89,7 @@
 func (a *Acceptor) persist(key ids.RegisterKey, msg any, then ...event.Command) {
 	raw, err := wire.Encode(msg)
 	if err != nil {
-		a.out.Log("error", "record not kept", "key", string(key), "problem", err.Error())
+		a.out.Log(event.LevelError, "record not kept", "key", string(key), "error", err.Error())
 		return
 	}
 	a.turn++
--- a/internal/state/consensus/registers_test.go
+++ b/internal/state/consensus/registers_test.go
@@ -171,7 +171,7 @@
 			}
 			again := keeper(m)
 			log, ok := again.Drain()[0].(event.LogEntry)
-			is.True(ok && log.Level == "error" && strings.Contains(log.Event, "unreadable"))
+			is.True(ok && log.Level == event.LevelError && strings.Contains(string(log.Event), "unreadable"))
 			again.Prepare("a", Prepare{Key: "policy", Ballot: ids.Ballot{Counter: 1 << 50}, VoterSet: 1})
 			is.Equal(len(again.Drain()), 0)
 		}
--- a/internal/state/consensus/save.go
+++ b/internal/state/consensus/save.go
@@ -14,7 +14,7 @@
 	if err != nil {
 		// CheckDisk finds this at the start. Whatever comes after must not vote.
 		a.damaged = true
-		a.out.Log("error", "register unreadable, taking no part", "problem", err.Error())
+		a.out.Log(event.LevelError, "register unreadable, taking no part", "error", err.Error())
 	}
 	a.registers[key] = &r
 	return &r
@@ -29,7 +29,7 @@
 	list, err := a.register(key).records(key, next)
 	if err != nil {
 		a.damaged = true
-		a.out.Log("error", "record not kept", "key", string(key), "problem", err.Error())
+		a.out.Log(event.LevelError, "record not kept", "key", string(key), "error", err.Error())
 		return
 	}
 	a.turn++
--- a/internal/state/consensus/standing.go
+++ b/internal/state/consensus/standing.go
@@ -1,6 +1,9 @@
 package consensus
 
-import "dunlinwell/internal/transport/wire"
+import (
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/transport/wire"
+)
 
 // DiskState is what a store's disk says of its right to vote. A store begins
 // blank and may not vote, whatever a voter set says, until it is complete.
@@ -56,7 +59,7 @@
 		// Written before the voter set, so that no disk holds the one without the other.
 		a.setStanding(Blank)
 	case a.DiskState() == Complete && !next.Has(a.store):
-		a.out.Log("error", "this store was replaced and takes no further part")
+		a.out.Log(event.LevelError, "this store was replaced and takes no further part")
 		a.setStanding(Replaced)
 	}
 }
--- a/internal/transport/process/discard.go
+++ b/internal/transport/process/discard.go
@@ -53,7 +53,7 @@
 func (p *Transport) discard(peer string, why event.Reason, kind wire.Kind, size int, problem string) {
 	p.Stats.count(Direction("discarded_"+strings.ReplaceAll(string(why), " ", "_")), kind, size)
 	if p.logged.first(peer, string(why)) {
-		p.Log.Event("warn", "message discarded", "peer", peer, "reason", string(why), "kind", kind.Name(), "problem", problem)
+		p.Log.Event(event.LevelWarn, "message discarded", "peer", peer, "reason", string(why), "kind", kind.Name(), "error", problem)
 	}
 }
 
--- a/internal/transport/process/log.go
+++ b/internal/transport/process/log.go
@@ -45,12 +45,12 @@
 }
 
 // Event logs an event with its pairs.
-func (l *Log) Event(level, event string, fields ...string) {
-	e := l.WithLevel(log.ParseLevel(level))
+func (l *Log) Event(level event.Level, name event.LogEvent, fields ...string) {
+	e := l.WithLevel(log.ParseLevel(string(level)))
 	for i := 0; i+1 < len(fields); i += 2 {
 		e = e.Str(fields[i], fields[i+1])
 	}
-	e.Msg(event)
+	e.Msg(string(name))
 }
 
 // Note logs what a machine had to say.
--- a/internal/transport/process/trafficlog.go
+++ b/internal/transport/process/trafficlog.go
@@ -7,6 +7,8 @@
 	"strconv"
 	"strings"
 	"time"
+
+	"dunlinwell/internal/base/event"
 )
 
 const (
@@ -46,6 +48,6 @@
 		for _, r := range rows[:min(wireMost, len(rows))] {
 			parts = append(parts, r.kind+":"+strconv.FormatUint(r.bytes, 10))
 		}
-		p.Log.Event("info", "wire", "bytes", strconv.FormatUint(all, 10), "most", strings.Join(parts, ","))
+		p.Log.Event(event.LevelInfo, "wire", "bytes", strconv.FormatUint(all, 10), "most", strings.Join(parts, ","))
 	}
 }
--- a/internal/transport/process/transport.go
+++ b/internal/transport/process/transport.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"dunlinwell/internal/base/errs"
+	"dunlinwell/internal/base/event"
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/transport/wire"
 )
@@ -92,7 +93,7 @@
 	}
 	raw, err := wire.Encode(msg)
 	if err != nil {
-		p.Log.Event("error", "not packed", "peer", string(to), "problem", err.Error())
+		p.Log.Event(event.LevelError, "not packed", "peer", string(to), "error", err.Error())
 		return
 	}
 	if able, _ := p.inflates.Load(to); able == true {
@@ -190,7 +191,7 @@
 			}
 			p.Stats.count(Sent, wire.KindOfFrame(raw), len(raw))
 			if err != nil {
-				p.Log.Event("warn", "circuit lost", "peer", string(to), "problem", err.Error())
+				p.Log.Event(event.LevelWarn, "circuit lost", "peer", string(to), "error", err.Error())
 				return false
 			}
 			raw = nil
