--- a/internal/controlplane/registry/deliver.go
+++ b/internal/controlplane/registry/deliver.go
@@ -99,7 +99,7 @@
 	if m.Key != configuration.Key {
 		return
 	}
-	next, err := delta.Apply(f.whole, m.Difference)
+	next, err := delta.Apply(f.whole, m.Delta)
 	if err != nil {
 		f.poll = now
 		return
--- a/internal/controlplane/registry/lease.go
+++ b/internal/controlplane/registry/lease.go
@@ -93,7 +93,7 @@
 func (f *Registry) endOverdue(now ids.Time) {
 	left := f.awaited[:0]
 	for _, call := range f.awaited {
-		if !f.Client.Pending(call.id) {
+		if !f.Client.IsPending(call.id) {
 			continue
 		}
 		if now >= call.due && !f.agreedSince(call.arrived) {
@@ -136,7 +136,7 @@
 func (f *Registry) readConfiguration(now ids.Time) {
 	f.reading = true
 	f.poll = now.Add(pollEvery)
-	if f.options.Incremental && !f.Client.IsOverloaded(now) {
+	if f.options.Incremental && !f.Client.HadSilentStore(now) {
 		// News of a change comes by itself; what this renews is the agreement's age.
 		f.poll = now.Add(2 * pollEvery)
 	}
--- a/internal/controlplane/registry/planner.go
+++ b/internal/controlplane/registry/planner.go
@@ -87,9 +87,9 @@
 	}
 	f.taking = true
 	raw, _ := wire.Encode(election.Term{Holder: f.Self.ID, RunID: f.Self.RunID, Epoch: f.epoch})
-	f.Client.Call(now, election.Key("planner"), election.OpTake, raw, 2*time.Second, func(at ids.Time, s consensus.Outcome, out []byte) {
+	f.Client.Call(now, election.RegisterKey("planner"), election.OpAcquire, raw, 2*time.Second, func(at ids.Time, s consensus.Outcome, out []byte) {
 		f.taking = false
-		term, ok := election.Decode(out)
+		term, ok := election.DecodeTerm(out)
 		mine := ok && term.Holder == f.Self.ID && term.RunID == f.Self.RunID
 		// A higher epoch was heard of meanwhile: another holds the duty, or held it.
 		if s != consensus.Succeeded || !mine || term.Epoch < f.epoch {
--- a/internal/controlplane/store/founding.go
+++ b/internal/controlplane/store/founding.go
@@ -21,9 +21,9 @@
 	// allowed: this disk was first started with leave to found.
 	allowed  bool
 	recorded bool
-	record   consensus.FoundingRecord
+	record   consensus.BootstrapRecord
 	// request is what this store proposes as the founder, since a time.
-	request  consensus.FoundingRequest
+	request  consensus.BootstrapRequest
 	since    ids.Time
 	promised map[uint64]bool
 	// waits is why there was no founding when last looked.
@@ -40,7 +40,7 @@
 func loadFounding(disk consensus.Storage, leave bool) founding {
 	raw, _ := disk.Get(foundingKey)
 	_, msg, err := wire.ReadBytes(raw)
-	record, ok := msg.(consensus.FoundingRecord)
+	record, ok := msg.(consensus.BootstrapRecord)
 	ok = ok && err == nil
 	return founding{allowed: leave || ok, recorded: ok, record: record, promised: map[uint64]bool{}}
 }
@@ -71,8 +71,8 @@
 	switch {
 	case !s.founding.allowed:
 		return "this is no first start: a core must take this store in"
-	case s.founding.record.EarlierCore != "":
-		return s.founding.record.EarlierCore
+	case s.founding.record.ExistingCluster != "":
+		return s.founding.record.ExistingCluster
 	case len(s.seeds) == 0 || s.Self.Address != slices.Min(s.seeds):
 		return "the first of the seeds founds"
 	}
@@ -80,7 +80,7 @@
 	for _, a := range s.seeds {
 		m, ok := s.hellos[a]
 		if !ok || now.Sub(m.at) > helloFor || !m.Blank {
-			s.founding.request = consensus.FoundingRequest{}
+			s.founding.request = consensus.BootstrapRequest{}
 			return string(a)
 		}
 		first.Voters = append(first.Voters, m.Store)
@@ -93,7 +93,7 @@
 
 // proposeRound begins a proposal; promises to another count for nothing in it.
 func (s *Store) proposeRound(now ids.Time, round uint64, first consensus.VoterSet) {
-	s.founding.request = consensus.FoundingRequest{Round: round, VoterSet: first}
+	s.founding.request = consensus.BootstrapRequest{Round: round, VoterSet: first}
 	s.founding.since = now
 	s.founding.promised = map[uint64]bool{}
 }
@@ -107,7 +107,7 @@
 			s.Send(v.Address, r)
 		}
 	}
-	ready := len(s.founding.promised) == len(r.VoterSet.Voters) && s.founding.record.Repeats(r)
+	ready := len(s.founding.promised) == len(r.VoterSet.Voters) && s.founding.record.IsLastPromised(r)
 	if !ready || now.Sub(s.founding.since) < collectConfigurationFor {
 		return
 	}
@@ -121,19 +121,19 @@
 }
 
 // promiseFounding answers a founder.
-func (s *Store) promiseFounding(from ids.Address, r consensus.FoundingRequest) {
+func (s *Store) promiseFounding(from ids.Address, r consensus.BootstrapRequest) {
 	if ro := s.Acceptor.VoterSet(); ro.Number > 0 {
 		s.Send(from, consensus.VoterSetUpdate{VoterSet: ro})
 		return
 	}
 	s.noteEarlierCore()
-	out := consensus.FoundingResponse{Round: r.Round, VoterSet: r.VoterSet, Store: s.StoreID(), Promised: s.founding.record.Round}
-	if out.Rejected = s.rejectsFounding(r); out.Rejected != "" {
+	out := consensus.BootstrapResponse{Round: r.Round, VoterSet: r.VoterSet, Store: s.StoreID(), PromisedRound: s.founding.record.Round}
+	if out.Rejection = s.rejectsFounding(r); out.Rejection != "" {
 		s.Send(from, out)
 		return
 	}
 	record, why := s.founding.record.Promise(r)
-	out.Rejected, out.Promised = why, record.Round
+	out.Rejection, out.PromisedRound = why, record.Round
 	if why == "" {
 		s.founding.record, s.founding.recorded = record, true
 		s.Persist(foundingKey, record)
@@ -142,7 +142,7 @@
 }
 
 // rejectsFounding says what keeps this store from any part in the founding.
-func (s *Store) rejectsFounding(r consensus.FoundingRequest) string {
+func (s *Store) rejectsFounding(r consensus.BootstrapRequest) string {
 	var at []ids.Address
 	for _, v := range r.VoterSet.Voters {
 		at = append(at, v.Address)
@@ -151,27 +151,27 @@
 	switch {
 	case !s.founding.allowed:
 		return "no first start"
-	case s.founding.record.EarlierCore != "":
-		return s.founding.record.EarlierCore
+	case s.founding.record.ExistingCluster != "":
+		return s.founding.record.ExistingCluster
 	case !slices.Equal(at, slices.Sorted(slices.Values(s.seeds))):
 		return "other seeds"
-	case !r.VoterSet.Has(s.StoreID()):
+	case !r.VoterSet.HasVoter(s.StoreID()):
 		return "another disk"
 	}
 	return ""
 }
 
 // countPromise takes a seed's answer to this founder.
-func (s *Store) countPromise(now ids.Time, m consensus.FoundingResponse) {
+func (s *Store) countPromise(now ids.Time, m consensus.BootstrapResponse) {
 	r := s.founding.request
 	switch {
 	case s.Acceptor.VoterSet().Number > 0 || r.Round != m.Round || !r.VoterSet.SameVoters(m.VoterSet):
-	case m.Rejected == "":
+	case m.Rejection == "":
 		s.founding.promised[m.Store] = true
 	default:
-		s.Log(event.LevelInfo, "founding declined", "store", itoa(m.Store), "why", m.Rejected)
-		if m.Promised >= r.Round {
-			s.proposeRound(now, m.Promised+1, r.VoterSet)
+		s.Log(event.LevelInfo, "founding declined", "store", itoa(m.Store), "why", m.Rejection)
+		if m.PromisedRound >= r.Round {
+			s.proposeRound(now, m.PromisedRound+1, r.VoterSet)
 		}
 	}
 }
@@ -180,7 +180,7 @@
 // holds a configuration that was accepted, or a store has a vote in a voter set that
 // this store didn't help to found. Such a disk never founds by itself.
 func (s *Store) noteEarlierCore() {
-	if s.founding.record.EarlierCore != "" {
+	if s.founding.record.ExistingCluster != "" {
 		return
 	}
 	why := ""
@@ -189,23 +189,23 @@
 		case m.ID == s.Self.ID:
 		case m.Revision > 0:
 			why = fmt.Sprintf("%s holds an accepted policy", m.ID)
-		case m.Role == membership.Store && m.Ready && !s.founding.record.Names(m.Store):
+		case m.Role == membership.Store && m.Ready && !s.founding.record.IncludesStore(m.Store):
 			why = fmt.Sprintf("%s has a vote in an earlier core", m.ID)
 		}
 	}
 	if why != "" {
-		s.founding.record.EarlierCore = why
+		s.founding.record.ExistingCluster = why
 		s.Persist(foundingKey, s.founding.record)
 	}
 }
 
 // takeUp makes a blank store a member of the voter set that it was founded into.
 func (s *Store) takeUp(from ids.Address, m consensus.Bootstrap) {
-	if s.Acceptor.VoterSet().Number > 0 || !m.VoterSet.Has(s.StoreID()) {
+	if s.Acceptor.VoterSet().Number > 0 || !m.VoterSet.HasVoter(s.StoreID()) {
 		return
 	}
-	for _, v := range m.VoterSet.All() {
-		if v.Address == from && s.founding.record.Follows(m, v) {
+	for _, v := range m.VoterSet.AllVoters() {
+		if v.Address == from && s.founding.record.MayAdopt(m, v) {
 			s.bootstrap(m)
 			return
 		}
@@ -228,7 +228,7 @@
 		s.Seed(configuration.Key, m.Configuration)
 	}
 	// Before the first voter set nothing was agreed that a copy could lack.
-	if m.VoterSet.IsFirst() {
+	if m.VoterSet.IsInitial() {
 		s.MarkComplete()
 	}
 	s.AdoptVoterSet(m.VoterSet)
@@ -237,7 +237,7 @@
 // bootstrapFor is what a member that has no values yet is to take up.
 func (s *Store) bootstrapFor(ro consensus.VoterSet) consensus.Bootstrap {
 	b := consensus.Bootstrap{VoterSet: ro, Round: s.founding.record.Round}
-	if at, v := s.Value(configuration.Key); at == (ids.Ballot{Counter: 1}) {
+	if at, v := s.AcceptedValue(configuration.Key); at == (ids.Ballot{Counter: 1}) {
 		b.Configuration = v
 	}
 	return b
--- a/internal/controlplane/store/founding_test.go
+++ b/internal/controlplane/store/founding_test.go
@@ -132,7 +132,7 @@
 	c.run(5 * time.Second)
 	is.Equal(c.foundings(), 2)
 	for _, a := range seedAddresses {
-		is.Equal(c.voters(a).Number, uint64(consensus.NumberAfterTotalLoss))
-		is.Equal(c.voters(a).Loss, uint64(1))
+		is.Equal(c.voters(a).Number, uint64(consensus.VoterSetNumberAfterTotalLoss))
+		is.Equal(c.voters(a).LossCount, uint64(1))
 	}
 }
--- a/internal/controlplane/store/learner.go
+++ b/internal/controlplane/store/learner.go
@@ -61,8 +61,8 @@
 	old := consensus.VoterSet{Voters: set.Voters}
 	switch {
 	case slices.Contains(set.Learners, s.StoreID()):
-		s.submit(consensus.OpLearned, consensus.LearnedReport{ID: s.StoreID()})
-	case set.Has(s.StoreID()) && !old.Has(s.StoreID()):
+		s.submit(consensus.OpPromoteLearner, consensus.PromoteLearnerRequest{ID: s.StoreID()})
+	case set.HasVoter(s.StoreID()) && !old.HasVoter(s.StoreID()):
 		s.submit(consensus.OpFinalize, consensus.VoterSetNumber{Number: set.Number})
 	}
 }
@@ -80,12 +80,12 @@
 
 // copyRegisters asks each voter for what is wanted of it.
 func (s *Store) copyRegisters(now ids.Time, set consensus.VoterSet) {
-	for _, v := range set.Sources() {
+	for _, v := range set.CopySources() {
 		if v.ID == s.StoreID() {
 			continue
 		}
 		q := s.learner.question(v.ID)
-		switch busy := s.learner.Busy(v.ID); {
+		switch busy := s.learner.IsCopying(v.ID); {
 		case busy && q.under != set.Number:
 			s.requestPage(now, v, set.Number)
 		case busy && now.Sub(q.asked) >= q.wait:
@@ -94,7 +94,7 @@
 			q.wait = min(2*q.wait, longestWait)
 			s.requestPage(now, v, set.Number)
 		case !busy && s.wantsPass(now, v.ID, set):
-			s.learner.Begin(v.ID)
+			s.learner.BeginPass(v.ID)
 			q.wait = pageWait
 			s.requestPage(now, v, set.Number)
 		}
@@ -114,11 +114,11 @@
 // wantsPass tells whether a voter is to be copied from once more: never yet, or
 // not since it went by the voter set in force, or while one may be replaced.
 func (s *Store) wantsPass(now ids.Time, id uint64, set consensus.VoterSet) bool {
-	sealed := s.learner.Sealed(id)
+	sealed := s.learner.LastPassVoterSet(id)
 	if sealed == 0 {
 		return true
 	}
-	if set.Has(s.StoreID()) {
+	if set.HasVoter(s.StoreID()) {
 		return sealed < set.Number
 	}
 	return len(s.gone) > 0 && now.Sub(s.learner.question(id).ended) >= refreshAfter
@@ -127,18 +127,18 @@
 func (s *Store) requestPage(now ids.Time, v consensus.Voter, number uint64) {
 	q := s.learner.question(v.ID)
 	q.asked, q.under = now, number
-	s.Send(v.Address, s.learner.Request(v.ID, number))
+	s.Send(v.Address, s.learner.NextRequest(v.ID, number))
 }
 
 // receivePage merges a page, and asks for the next.
 func (s *Store) receivePage(now ids.Time, m consensus.PageResponse) {
 	set := s.Acceptor.VoterSet()
 	// A page from under another voter set is asked for once more.
-	if s.DiskState() != consensus.Blank || m.VoterSet != set.Number || !s.learner.Take(m) {
+	if s.DiskState() != consensus.Blank || m.VoterSetNumber != set.Number || !s.learner.HandlePage(m) {
 		return
 	}
 	for _, record := range m.Records {
-		s.Merge(record)
+		s.MergeRecord(record)
 	}
 	q := s.learner.question(m.Store)
 	if m.Last {
@@ -146,7 +146,7 @@
 		s.completeIfDue(now, set)
 		return
 	}
-	for _, v := range set.Sources() {
+	for _, v := range set.CopySources() {
 		if v.ID == m.Store {
 			q.wait = pageWait
 			s.requestPage(now, v, set.Number)
@@ -156,7 +156,7 @@
 
 // completeIfDue lets this store vote once its copy is complete.
 func (s *Store) completeIfDue(now ids.Time, set consensus.VoterSet) {
-	if !set.Has(s.StoreID()) || !s.learner.CompleteUnder(set) {
+	if !set.HasVoter(s.StoreID()) || !s.learner.IsCompleteFor(set) {
 		return
 	}
 	s.MarkComplete()
--- a/internal/controlplane/store/leaving.go
+++ b/internal/controlplane/store/leaving.go
@@ -67,7 +67,7 @@
 // neededFor says why the process shouldn't end yet; empty if it may.
 func (s *Store) neededFor(now ids.Time) string {
 	set := s.Acceptor.VoterSet()
-	if !set.Has(s.StoreID()) {
+	if !set.HasVoter(s.StoreID()) {
 		if slices.Contains(set.Learners, s.departure.successor) {
 			return "its successor still copies"
 		}
@@ -87,12 +87,12 @@
 func (s *Store) handOver(now ids.Time) {
 	set := s.Acceptor.VoterSet()
 	successor, ok := s.standby(now, set)
-	if !ok || !set.Has(s.StoreID()) {
+	if !ok || !set.HasVoter(s.StoreID()) {
 		s.submit(consensus.Read, nil)
 		return
 	}
 	s.departure.successor = successor.ID
-	s.submit(consensus.OpReplace, consensus.ReplaceRequest{New: successor, Lost: s.StoreID(), Replicas: s.replicas})
+	s.submit(consensus.OpReplace, consensus.ReplaceRequest{New: successor, LostID: s.StoreID(), Replicas: s.replicas})
 }
 
 // standby finds a store that has copied and waits for a place. As many of them as
@@ -100,7 +100,7 @@
 func (s *Store) standby(now ids.Time, set consensus.VoterSet) (consensus.Voter, bool) {
 	var ready []consensus.Voter
 	for _, m := range s.hellos {
-		if m.Copied && now.Sub(m.at) < helloFor && !set.Has(m.Store.ID) {
+		if m.HasCopied && now.Sub(m.at) < helloFor && !set.HasVoter(m.Store.ID) {
 			ready = append(ready, m.Store)
 		}
 	}
@@ -120,18 +120,18 @@
 	for _, id := range set.Learners {
 		delete(live, id)
 	}
-	return set.Majority(live)
+	return set.IsQuorum(live)
 }
 
 // liveVoters gives the voters that the roll counts as up, and this store.
 func (s *Store) liveVoters(set consensus.VoterSet) map[uint64]bool {
 	live := map[uint64]bool{}
 	for _, m := range s.Live(membership.Store) {
-		if (consensus.VoterSet{Voters: set.Voters}).Has(m.Store) {
+		if (consensus.VoterSet{Voters: set.Voters}).HasVoter(m.Store) {
 			live[m.Store] = true
 		}
 	}
-	if set.Has(s.StoreID()) {
+	if set.HasVoter(s.StoreID()) {
 		live[s.StoreID()] = true
 	}
 	return live
--- a/internal/controlplane/store/leaving_test.go
+++ b/internal/controlplane/store/leaving_test.go
@@ -28,7 +28,7 @@
 
 func (c *cluster) request(at ids.Address, key ids.RegisterKey, op consensus.Op, arg []byte) consensus.Response {
 	c.nextID++
-	r := consensus.Request{ID: 1<<40 + c.nextID, Key: key, Op: op, Arg: arg, Wait: 3000}
+	r := consensus.Request{ID: 1<<40 + c.nextID, Key: key, Op: op, Arg: arg, TimeoutMillis: 3000}
 	c.perform(at, c.stores[at].Step(c.now, event.Received{From: clientAddress, Msg: r}))
 	for range 200 {
 		c.run(20 * time.Millisecond)
@@ -74,7 +74,7 @@
 	for i := range 300 {
 		c.perform(seedAddresses[0], c.stores[seedAddresses[0]].Step(c.now, event.Received{
 			From: clientAddress,
-			Msg:  consensus.Request{ID: uint64(i + 1), Key: ids.RegisterKey(fmt.Sprint("k", i)), Op: opPut, Arg: []byte("v"), Wait: 3000},
+			Msg:  consensus.Request{ID: uint64(i + 1), Key: ids.RegisterKey(fmt.Sprint("k", i)), Op: opPut, Arg: []byte("v"), TimeoutMillis: 3000},
 		}))
 	}
 	c.run(time.Second)
@@ -126,8 +126,8 @@
 	is.True(c.stopped[leaver].Sub(began) < time.Second)
 	is.True(c.votes(spareA))
 	c.wipe(leaver)
-	is.True(c.voters(seedAddresses[0]).Has(c.disks[spareA].id))
-	is.True(!c.voters(seedAddresses[0]).Has(2))
+	is.True(c.voters(seedAddresses[0]).HasVoter(c.disks[spareA].id))
+	is.True(!c.voters(seedAddresses[0]).HasVoter(2))
 	c.wipe(seedAddresses[2])
 	c.holds(t, seedAddresses[0], "last", "word")
 }
--- a/internal/controlplane/store/oldfolder_test.go
+++ b/internal/controlplane/store/oldfolder_test.go
@@ -41,7 +41,7 @@
 		Random: rand.New(rand.NewPCG(1, 1)), Storage: database, Replicas: 3,
 	})
 	is.Equal(len(s.VoterSet().Voters), 3)
-	is.True(s.VoterSet().Has(database.Store))
+	is.True(s.VoterSet().HasVoter(database.Store))
 	p, err := configuration.Decode(s.LocalValue(configuration.Key))
 	is.NoErr(err)
 	is.Equal(p.Revision, ids.Revision(5))
--- a/internal/controlplane/store/recover.go
+++ b/internal/controlplane/store/recover.go
@@ -53,7 +53,7 @@
 	switch {
 	case ro.Number == 0:
 		return s.cannotRecoverAll(now)
-	case !ro.Has(s.StoreID()):
+	case !ro.HasVoter(s.StoreID()):
 		return "this store has no seat in the roster: it holds nothing to go on from"
 	// The roll may not know: who is gone is judged by a majority too. What
 	// counts is whether this store's own reads still reach one.
@@ -69,7 +69,7 @@
 func (s *Store) blanks(now ids.Time) []consensus.Voter {
 	var out []consensus.Voter
 	for _, m := range s.hellos {
-		if now.Sub(m.at) < 2*time.Second && !s.Acceptor.VoterSet().Has(m.Store.ID) {
+		if now.Sub(m.at) < 2*time.Second && !s.Acceptor.VoterSet().HasVoter(m.Store.ID) {
 			out = append(out, m.Store)
 		}
 	}
@@ -89,7 +89,7 @@
 		return
 	}
 	ro := s.Acceptor.VoterSet()
-	next := consensus.VoterSet{Number: ro.Number + 1000, Voters: []consensus.Voter{s.self()}, Incoming: []consensus.Voter{s.self(), blank[0], blank[1]}, Loss: ro.Loss + 1}
+	next := consensus.VoterSet{Number: ro.Number + 1000, Voters: []consensus.Voter{s.self()}, Incoming: []consensus.Voter{s.self(), blank[0], blank[1]}, LossCount: ro.LossCount + 1}
 	raw, err := wire.Encode(next)
 	if err != nil {
 		return
@@ -113,7 +113,7 @@
 	for _, op := range []consensus.Op{idempotency.OpClaim, idempotency.OpBlock, idempotency.OpEnter} {
 		inner := ops[op]
 		ops[op] = func(key ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
-			loss := s.Acceptor.VoterSet().Loss
+			loss := s.Acceptor.VoterSet().LossCount
 			if loss != s.lossCount {
 				s.lossCount, s.lossAt = loss, s.now
 			}
--- a/internal/controlplane/store/recoverall.go
+++ b/internal/controlplane/store/recoverall.go
@@ -43,7 +43,7 @@
 		return
 	}
 	first := consensus.VoterSet{
-		Number: consensus.NumberAfterTotalLoss, Loss: 1,
+		Number: consensus.VoterSetNumberAfterTotalLoss, LossCount: 1,
 		Voters: slices.Concat([]consensus.Voter{s.self()}, others[:2]),
 	}
 	b := consensus.Bootstrap{VoterSet: first, Configuration: s.survivingConfiguration.Configuration}
--- a/internal/controlplane/store/replacement.go
+++ b/internal/controlplane/store/replacement.go
@@ -18,11 +18,11 @@
 		s.abandonLost(now, set)
 		return
 	}
-	if set.Has(s.StoreID()) || s.DiskState() != consensus.Blank {
+	if set.HasVoter(s.StoreID()) || s.DiskState() != consensus.Blank {
 		return
 	}
 	if id, ok := s.placeFor(now, set); ok {
-		s.submit(consensus.OpReplace, consensus.ReplaceRequest{New: s.self(), Lost: id, Replicas: s.replicas})
+		s.submit(consensus.OpReplace, consensus.ReplaceRequest{New: s.self(), LostID: id, Replicas: s.replicas})
 	}
 }
 
@@ -55,7 +55,7 @@
 	for _, m := range s.Live(membership.Store) {
 		up[m.Store] = true
 	}
-	for _, v := range set.All() {
+	for _, v := range set.AllVoters() {
 		if up[v.ID] {
 			delete(s.gone, v.ID)
 		} else if _, ok := s.gone[v.ID]; !ok {
@@ -73,7 +73,7 @@
 func (s *Store) abandonLost(now ids.Time, set consensus.VoterSet) {
 	old := consensus.VoterSet{Voters: set.Voters}
 	for _, v := range set.Incoming {
-		if s.lost(now, v.ID) && !old.Has(v.ID) {
+		if s.lost(now, v.ID) && !old.HasVoter(v.ID) {
 			s.submit(consensus.OpAbandon, consensus.VoterSetNumber{Number: set.Number})
 		}
 	}
@@ -81,6 +81,6 @@
 
 // Holds gives this copy's own value for a caller that asked for no more.
 func (s *Store) LocalValue(key ids.RegisterKey) []byte {
-	_, v := s.Value(key)
+	_, v := s.AcceptedValue(key)
 	return v
 }
--- a/internal/controlplane/store/screen.go
+++ b/internal/controlplane/store/screen.go
@@ -21,16 +21,16 @@
 	case consensus.AcceptDifference:
 		return s.screenQuestion(from, maxOf(m.Ballot, m.NextBallot))
 	case consensus.Promise:
-		return s.screenAnswer(from, m.Store, m.VoterSet, m.Round)
+		return s.screenAnswer(from, m.Store, m.VoterSetNumber, m.Round)
 	case consensus.Accepted:
-		return s.screenAnswer(from, m.Store, m.VoterSet, m.Round)
+		return s.screenAnswer(from, m.Store, m.VoterSetNumber, m.Round)
 	case consensus.Response:
 		// This store puts its own requests to itself alone.
 		if from != s.Self.Address {
 			return event.Unsolicited
 		}
 	case consensus.PageResponse:
-		if !voters.SuppliesCopies(from, m.Store) {
+		if !voters.IsCopySource(from, m.Store) {
 			return event.UnknownSender
 		}
 	case consensus.Hello:
@@ -69,9 +69,9 @@
 
 func (s *Store) screenAnswer(from ids.Address, voter, number, round uint64) event.Reason {
 	switch {
-	case !s.Acceptor.VoterSet().SpeaksFor(from, voter, number):
+	case !s.Acceptor.VoterSet().MatchesSender(from, voter, number):
 		return event.UnknownSender
-	case !s.Began(round):
+	case !s.HasBegunRound(round):
 		return event.Unsolicited
 	}
 	return ""
@@ -80,7 +80,7 @@
 // screenVoterSet judges a voter set that would replace this store's own.
 func (s *Store) screenVoterSet(from ids.Address, r consensus.VoterSet) event.Reason {
 	switch {
-	case !r.Valid():
+	case !r.IsValid():
 		return event.Malformed
 	case !s.knownStore(from):
 		return event.UnknownSender
@@ -92,7 +92,7 @@
 // a member, or by its hello.
 func (s *Store) knownStore(at ids.Address) bool {
 	is := func(v consensus.Voter) bool { return v.Address == at }
-	if at == s.Self.Address || slices.Contains(s.seeds, at) || slices.ContainsFunc(s.Acceptor.VoterSet().All(), is) {
+	if at == s.Self.Address || slices.Contains(s.seeds, at) || slices.ContainsFunc(s.Acceptor.VoterSet().AllVoters(), is) {
 		return true
 	}
 	if _, ok := s.hellos[at]; ok {
--- a/internal/controlplane/store/screen_test.go
+++ b/internal/controlplane/store/screen_test.go
@@ -83,7 +83,7 @@
 func TestForgedMessagesChangeNothing(t *testing.T) {
 	future := consensus.VoterSet{Number: 1 << 40, Voters: []consensus.Voter{{ID: 9, Address: stranger}}}
 	raw, _ := wire.Encode(future)
-	own := consensus.Prepare{Key: "policy", Ballot: ids.Ballot{Counter: 1 << 41, Proposer: 2 << 24}, VoterSet: 4, Round: 7}
+	own := consensus.Prepare{Key: "policy", Ballot: ids.Ballot{Counter: 1 << 41, Proposer: 2 << 24}, VoterSetNumber: 4, Round: 7}
 	endless := own
 	endless.Ballot.Counter = 1<<64 - 1
 	for name, c := range map[string]struct {
@@ -96,13 +96,13 @@
 		"a founding by a stranger":           {stranger, consensus.Bootstrap{VoterSet: future}},
 		"an answer to a request of its own":  {"10.0.0.2:1", consensus.Response{Outcome: consensus.Succeeded, Result: raw}},
 		"a prepare of a stranger":            {stranger, own},
-		"an accept of a stranger":            {stranger, consensus.Accept{Key: "policy", Ballot: own.Ballot, VoterSet: 4, Value: []byte("x")}},
-		"a difference of a stranger":         {stranger, consensus.AcceptDifference{Key: "policy", Ballot: own.Ballot, VoterSet: 4}},
+		"an accept of a stranger":            {stranger, consensus.Accept{Key: "policy", Ballot: own.Ballot, VoterSetNumber: 4, Value: []byte("x")}},
+		"a difference of a stranger":         {stranger, consensus.AcceptDifference{Key: "policy", Ballot: own.Ballot, VoterSetNumber: 4}},
 		"a ballot that nothing can outrank":  {"10.0.0.2:1", endless},
-		"a promise in another's name":        {"10.0.0.3:1", consensus.Promise{Key: consensus.VoterSetKey, Store: 2, VoterSet: 4}},
-		"a promise of one who isn't a voter": {stranger, consensus.Promise{Key: consensus.VoterSetKey, Store: 99, VoterSet: 4}},
-		"a vote for an earlier run":          {"10.0.0.2:1", consensus.Accepted{Key: consensus.VoterSetKey, Store: 2, VoterSet: 4, Round: 1, OK: true}},
-		"a page in another's name":           {stranger, consensus.PageResponse{Store: 2, VoterSet: 4, Last: true}},
+		"a promise in another's name":        {"10.0.0.3:1", consensus.Promise{Key: consensus.VoterSetKey, Store: 2, VoterSetNumber: 4}},
+		"a promise of one who isn't a voter": {stranger, consensus.Promise{Key: consensus.VoterSetKey, Store: 99, VoterSetNumber: 4}},
+		"a vote for an earlier run":          {"10.0.0.2:1", consensus.Accepted{Key: consensus.VoterSetKey, Store: 2, VoterSetNumber: 4, Round: 1, OK: true}},
+		"a page in another's name":           {stranger, consensus.PageResponse{Store: 2, VoterSetNumber: 4, Last: true}},
 		"a hello for another address":        {stranger, consensus.Hello{Store: consensus.Voter{ID: 9, Address: "10.0.0.2:1"}, Blank: true}},
 		"a hello without a store":            {stranger, consensus.Hello{Store: consensus.Voter{Address: stranger}}},
 	} {
@@ -119,7 +119,7 @@
 func TestHonestMessagesAreTaken(t *testing.T) {
 	is := is.New(t)
 	s, disk := newVoter()
-	sent, discarded := hear(s, disk, "10.0.0.2:1", consensus.Prepare{Key: "policy", Ballot: ids.Ballot{Counter: 1 << 41, Proposer: 2 << 24}, VoterSet: 4, Round: 7})
+	sent, discarded := hear(s, disk, "10.0.0.2:1", consensus.Prepare{Key: "policy", Ballot: ids.Ballot{Counter: 1 << 41, Proposer: 2 << 24}, VoterSetNumber: 4, Round: 7})
 	is.Equal(len(sent), 1)
 	is.Equal(len(discarded), 0)
 	next := threeVoters
@@ -129,7 +129,7 @@
 	is.Equal(s.Acceptor.VoterSet().Number, next.Number)
 	// A newcomer that has said hello may propose.
 	hear(s, disk, "10.0.0.9:1", consensus.Hello{Store: consensus.Voter{ID: 9, Address: "10.0.0.9:1"}, Blank: true})
-	sent, discarded = hear(s, disk, "10.0.0.9:1", consensus.Prepare{Key: "roster", Ballot: ids.Ballot{Counter: 1 << 41, Proposer: 9 << 24}, VoterSet: 5, Round: 7})
+	sent, discarded = hear(s, disk, "10.0.0.9:1", consensus.Prepare{Key: "roster", Ballot: ids.Ballot{Counter: 1 << 41, Proposer: 9 << 24}, VoterSetNumber: 5, Round: 7})
 	is.Equal(len(sent), 1)
 	is.Equal(len(discarded), 0)
 }
@@ -138,14 +138,14 @@
 // nor votes, and its voter set stays.
 func FuzzMessages(f *testing.F) {
 	for _, msg := range []any{
-		consensus.Prepare{Key: "policy", VoterSet: 4, Ballot: ids.Ballot{Counter: 9, Proposer: 9}},
+		consensus.Prepare{Key: "policy", VoterSetNumber: 4, Ballot: ids.Ballot{Counter: 9, Proposer: 9}},
 		consensus.Promise{Key: "policy", Store: 2},
-		consensus.Accept{Key: "policy", VoterSet: 4, Value: []byte("x")},
+		consensus.Accept{Key: "policy", VoterSetNumber: 4, Value: []byte("x")},
 		consensus.Accepted{Key: "policy", Store: 2, OK: true},
 		consensus.VoterSetUpdate{VoterSet: threeVoters},
-		consensus.Request{ID: 1, Key: "policy", Op: 1, Arg: []byte("{}"), Wait: 100},
+		consensus.Request{ID: 1, Key: "policy", Op: 1, Arg: []byte("{}"), TimeoutMillis: 100},
 		consensus.Response{Outcome: consensus.Succeeded},
-		consensus.PageRequest{VoterSet: 4},
+		consensus.PageRequest{VoterSetNumber: 4},
 		consensus.PageResponse{Store: 2, Last: true},
 		consensus.Hello{Store: consensus.Voter{ID: 9, Address: stranger}},
 		consensus.Bootstrap{VoterSet: threeVoters},
--- a/internal/controlplane/store/store.go
+++ b/internal/controlplane/store/store.go
@@ -76,7 +76,7 @@
 	p.Seeds = append(slices.Clone(p.Seeds), cachedMembers(p.Storage, p.Self.Address)...)
 	s.List = membership.New(p.Options, &s.Outbox)
 	s.Acceptor = consensus.NewAcceptor(p.Store, p.Storage, &s.Outbox)
-	s.SetEpoch(p.Run)
+	s.SetRunID(p.Run)
 	s.Proposer = consensus.NewProposer(p.Store<<24|p.Run&0xffffff, s.Acceptor.VoterSet, s.guardLostKeys(Ops()), p.Random, &s.Outbox)
 	s.Proposer.IsReachable = s.live
 	s.Proposer.Subscribers = s.subscribers
@@ -163,17 +163,17 @@
 	}
 	switch m := msg.(type) {
 	case consensus.Prepare:
-		s.Prepare(from, m)
+		s.HandlePrepare(from, m)
 	case consensus.Accept:
-		s.Accept(from, m)
+		s.HandleAccept(from, m)
 	case consensus.AcceptDifference:
-		s.AcceptDifference(from, m)
+		s.HandleAcceptDifference(from, m)
 	case consensus.Promise:
 		s.HandlePromise(now, m)
 	case consensus.Accepted:
 		s.HandleAccepted(now, m)
 	case consensus.PageRequest:
-		s.Page(from, m)
+		s.HandlePageRequest(from, m)
 	case consensus.Request:
 		// A proposer whose own disk is stuck would only hold the client up, and one
 		// that was replaced knows nothing of late.
@@ -183,7 +183,7 @@
 		}
 		s.Submit(now, from, m)
 	case consensus.Response, consensus.VoterSetUpdate, consensus.Hello, consensus.Bootstrap, consensus.ConfigurationReply, consensus.PageResponse,
-		consensus.FoundingRequest, consensus.FoundingResponse:
+		consensus.BootstrapRequest, consensus.BootstrapResponse:
 		s.receiveVoterMessage(now, from, msg)
 	default:
 		s.List.Receive(now, from, msg)
@@ -206,5 +206,5 @@
 		raw, _ = wire.Encode(arg)
 	}
 	s.requests++
-	s.Submit(s.now, s.Self.Address, consensus.Request{ID: s.requests, Key: consensus.VoterSetKey, Op: op, Arg: raw, Wait: 2000})
+	s.Submit(s.now, s.Self.Address, consensus.Request{ID: s.requests, Key: consensus.VoterSetKey, Op: op, Arg: raw, TimeoutMillis: 2000})
 }
--- a/internal/controlplane/store/voters.go
+++ b/internal/controlplane/store/voters.go
@@ -56,7 +56,7 @@
 	}
 	s.next = now.Add(manageEvery)
 	ro := s.Acceptor.VoterSet()
-	if s.Incremental && ro.Number > 0 && len(ro.Incoming) == 0 && ro.Has(s.StoreID()) && len(ro.Voters) >= s.replicas {
+	if s.Incremental && ro.Number > 0 && len(ro.Incoming) == 0 && ro.HasVoter(s.StoreID()) && len(ro.Voters) >= s.replicas {
 		// Nothing is under way; what is read again is only for one that comes.
 		s.next = now.Add(2 * manageEvery)
 	}
@@ -66,7 +66,7 @@
 		s.recoverAllIfDue(now)
 		return
 	}
-	if !ro.Has(s.StoreID()) && s.DiskState() != consensus.Replaced {
+	if !ro.HasVoter(s.StoreID()) && s.DiskState() != consensus.Replaced {
 		s.sendHello()
 	}
 	s.refoundIfDue(now)
@@ -88,9 +88,9 @@
 			to = append(to, m.Address)
 		}
 	}
-	copied := s.DiskState() == consensus.Blank && !ro.Has(s.StoreID()) && s.learner.Copied(ro)
+	copied := s.DiskState() == consensus.Blank && !ro.HasVoter(s.StoreID()) && s.learner.HasCopiedQuorum(ro)
 	for _, a := range to {
-		s.Send(a, consensus.Hello{Store: s.self(), Blank: ro.Number == 0, VoterSet: ro.Number, Copied: copied})
+		s.Send(a, consensus.Hello{Store: s.self(), Blank: ro.Number == 0, VoterSetNumber: ro.Number, HasCopied: copied})
 	}
 }
 
@@ -104,22 +104,22 @@
 		}
 		s.hellos[m.Store.Address] = receivedHello{m, now}
 		switch {
-		case m.Blank && ro.Number > 0 && ro.Has(m.Store.ID):
+		case m.Blank && ro.Number > 0 && ro.HasVoter(m.Store.ID):
 			s.Send(from, s.bootstrapFor(ro))
-		case m.VoterSet < ro.Number && !m.Blank:
+		case m.VoterSetNumber < ro.Number && !m.Blank:
 			s.Send(from, consensus.VoterSetUpdate{VoterSet: ro})
-		case m.Blank && ro.Number > 0 && !m.Response:
+		case m.Blank && ro.Number > 0 && !m.IsReply:
 			// A newcomer needs the voter set to ask for a place in it.
 			s.Send(from, consensus.VoterSetUpdate{VoterSet: ro})
 		}
-		if !m.Response {
-			s.Send(from, consensus.Hello{Store: s.self(), Blank: ro.Number == 0, VoterSet: ro.Number, Response: true})
+		if !m.IsReply {
+			s.Send(from, consensus.Hello{Store: s.self(), Blank: ro.Number == 0, VoterSetNumber: ro.Number, IsReply: true})
 		}
 	case consensus.Bootstrap:
 		s.takeUp(from, m)
-	case consensus.FoundingRequest:
+	case consensus.BootstrapRequest:
 		s.promiseFounding(from, m)
-	case consensus.FoundingResponse:
+	case consensus.BootstrapResponse:
 		s.countPromise(now, m)
 	case consensus.ConfigurationReply:
 		if m.Revision > s.survivingConfiguration.Revision {
@@ -142,15 +142,15 @@
 	old := s.Acceptor.VoterSet()
 	// A blank member of the first voter set has a seat, but wants its founder's
 	// planted values with it; News alone would leave them out.
-	if old.Number == 0 && r.IsFirst() && r.Has(s.StoreID()) {
+	if old.Number == 0 && r.IsInitial() && r.HasVoter(s.StoreID()) {
 		return
 	}
 	if !s.AdoptVoterSet(r) {
 		return
 	}
-	s.Restart(now)
+	s.RestartRounds(now)
 	s.Log(event.LevelInfo, "voter_set", "number", itoa(r.Number), "stores", itoa(uint64(len(r.Voters))), "next", itoa(uint64(len(r.Incoming))))
-	for _, st := range append(old.All(), r.All()...) {
+	for _, st := range append(old.AllVoters(), r.AllVoters()...) {
 		if st.ID != s.StoreID() {
 			s.Send(st.Address, consensus.VoterSetUpdate{VoterSet: r})
 		}
--- a/internal/state/configuration/cluster_test.go
+++ b/internal/state/configuration/cluster_test.go
@@ -218,11 +218,11 @@
 	case consensus.Request:
 		s.Submit(now, from, m)
 	case consensus.Prepare:
-		s.Prepare(from, m)
+		s.HandlePrepare(from, m)
 	case consensus.Accept:
-		s.Accept(from, m)
+		s.HandleAccept(from, m)
 	case consensus.AcceptDifference:
-		s.AcceptDifference(from, m)
+		s.HandleAcceptDifference(from, m)
 	case consensus.Promise:
 		s.HandlePromise(now, m)
 	case consensus.Accepted:
--- a/internal/state/consensus/acceptor.go
+++ b/internal/state/consensus/acceptor.go
@@ -30,46 +30,46 @@
 type Acceptor struct {
 	out      *event.Outbox
 	storage  Storage
-	store    uint64
+	storeID  uint64
 	voterSet VoterSet
 	// ahead holds what is on its way to the disk, by the turn that syncs it.
-	unsynced map[ids.RegisterKey]unsyncedRecord
-	turn     uint64
+	unsynced  map[ids.RegisterKey]unsyncedRecord
+	lastBatch uint64
 	// registers are those at hand, damaged tells of one that can't be read.
 	registers map[ids.RegisterKey]*register
 	damaged   bool
-	standing  standing
+	diskState diskStateRecord
 	changes   changeLog
 }
 
 type unsyncedRecord struct {
-	raw  []byte
-	turn uint64
+	raw   []byte
+	batch uint64
 }
 
-const slotPrefix = "item/"
+const registerPrefix = "item/"
 
 // NewAcceptor takes up where the disk left off.
 func NewAcceptor(store uint64, storage Storage, out *event.Outbox) *Acceptor {
-	a := &Acceptor{out: out, storage: storage, store: store, unsynced: map[ids.RegisterKey]unsyncedRecord{}, registers: map[ids.RegisterKey]*register{}}
+	a := &Acceptor{out: out, storage: storage, storeID: store, unsynced: map[ids.RegisterKey]unsyncedRecord{}, registers: map[ids.RegisterKey]*register{}}
 	if raw, ok := storage.Get("meta/roster"); ok {
-		a.voterSet, _ = unpack[VoterSet](raw)
+		a.voterSet, _ = decodeMessage[VoterSet](raw)
 	}
 	if err := CheckDisk(storage); err != nil {
 		a.damaged = true
 		out.Log(event.LevelError, "registers unreadable, taking no part", "error", err.Error())
 	}
-	a.loadStanding()
+	a.loadDiskState()
 	return a
 }
 
-func unpack[T any](raw []byte) (T, bool) {
+func decodeMessage[T any](raw []byte) (T, bool) {
 	_, msg, err := wire.ReadBytes(raw)
 	t, ok := msg.(T)
 	return t, ok && err == nil
 }
 
-func (a *Acceptor) load(key ids.RegisterKey) []byte {
+func (a *Acceptor) rawRecord(key ids.RegisterKey) []byte {
 	if w, ok := a.unsynced[key]; ok {
 		return w.raw
 	}
@@ -77,11 +77,11 @@
 	return raw
 }
 
-func (a *Acceptor) slot(key ids.RegisterKey) RegisterState {
+func (a *Acceptor) registerState(key ids.RegisterKey) RegisterState {
 	if !isIdempotencyKey(key) {
-		return a.register(key).RegisterState
+		return a.cachedRegister(key).RegisterState
 	}
-	s, _ := unpack[RegisterState](a.load(slotPrefix + key))
+	s, _ := decodeMessage[RegisterState](a.rawRecord(registerPrefix + key))
 	return s
 }
 
@@ -92,23 +92,23 @@
 		a.out.Log(event.LevelError, "record not kept", "key", string(key), "error", err.Error())
 		return
 	}
-	a.turn++
-	a.unsynced[key] = unsyncedRecord{raw, a.turn}
-	a.changes.note(key)
-	a.out.Emit(event.Sync{Batch: a.turn, Records: []event.Record{{Key: key, Value: raw}}, After: then})
+	a.lastBatch++
+	a.unsynced[key] = unsyncedRecord{raw, a.lastBatch}
+	a.changes.add(key)
+	a.out.Emit(event.Sync{Batch: a.lastBatch, Records: []event.Record{{Key: key, Value: raw}}, After: then})
 }
 
 // Behind lets a command out only after all that was asked of the disk so far,
 // since it may speak of values not yet synced.
 func (a *Acceptor) AfterSync(c event.Command) {
-	a.turn++
-	a.out.Emit(event.Sync{Batch: a.turn, After: []event.Command{c}})
+	a.lastBatch++
+	a.out.Emit(event.Sync{Batch: a.lastBatch, After: []event.Command{c}})
 }
 
 // Settled forgets what the disk now has.
 func (a *Acceptor) Synced(turn uint64) {
 	for k, w := range a.unsynced {
-		if w.turn <= turn {
+		if w.batch <= turn {
 			delete(a.unsynced, k)
 		}
 	}
@@ -119,14 +119,14 @@
 	if r.Number <= a.voterSet.Number {
 		return false
 	}
-	a.changeStanding(r)
+	a.updateDiskState(r)
 	a.voterSet = r
 	a.persist("meta/roster", r)
 	return true
 }
 
-// stale answers one who goes by a lower voter set, and takes no part.
-func (a *Acceptor) stale(from ids.Address, number uint64) bool {
+// abstains answers one who goes by a lower voter set, and takes no part.
+func (a *Acceptor) abstains(from ids.Address, number uint64) bool {
 	if number < a.voterSet.Number {
 		a.AfterSync(event.Send{To: from, Msg: VoterSetUpdate{a.voterSet}})
 		return true
@@ -137,39 +137,39 @@
 	return a.damaged || number > a.voterSet.Number || !a.MayVote()
 }
 
-// Prepare promises, or tells of a higher promise.
-func (a *Acceptor) Prepare(from ids.Address, m Prepare) {
-	if a.stale(from, m.VoterSet) {
+// HandlePrepare promises, or tells of a higher promise.
+func (a *Acceptor) HandlePrepare(from ids.Address, m Prepare) {
+	if a.abstains(from, m.VoterSetNumber) {
 		return
 	}
-	s := a.slot(m.Key)
+	s := a.registerState(m.Key)
 	p := Promise{
-		Key: m.Key, Store: a.store, Round: m.Round, VoterSet: m.VoterSet,
-		Promised: s.Promised, Accepted: s.Accepted, Value: s.Value, Differences: len(s.Value) >= differencesFrom,
+		Key: m.Key, Store: a.storeID, Round: m.Round, VoterSetNumber: m.VoterSetNumber,
+		Promised: s.Promised, Accepted: s.Accepted, Value: s.Value, ReadsDeltas: len(s.Value) >= minDeltaValueSize,
 	}
-	if !m.Known.IsZero() && m.Known == s.Accepted {
-		p.Value, p.Same = nil, true
+	if !m.KnownBallot.IsZero() && m.KnownBallot == s.Accepted {
+		p.Value, p.MatchesKnown = nil, true
 	}
 	if m.ReadOnly || !s.Promised.Less(m.Ballot) {
 		a.AfterSync(event.Send{To: from, Msg: p})
 		return
 	}
 	s.Promised, p.Promised = m.Ballot, m.Ballot
-	a.save(m.Key, s, event.Send{To: from, Msg: p})
+	a.saveRegister(m.Key, s, event.Send{To: from, Msg: p})
 }
 
-// Accept keeps a value unless a higher ballot was promised.
-func (a *Acceptor) Accept(from ids.Address, m Accept) {
-	if a.stale(from, m.VoterSet) {
+// HandleAccept keeps a value unless a higher ballot was promised.
+func (a *Acceptor) HandleAccept(from ids.Address, m Accept) {
+	if a.abstains(from, m.VoterSetNumber) {
 		return
 	}
-	s := a.slot(m.Key)
+	s := a.registerState(m.Key)
 	// One that was taken before may come again, after the promise to Next.
 	ok := !m.Ballot.Less(s.Promised) || s.Accepted == m.Ballot
-	if m.First {
+	if m.FirstValue {
 		ok = (s.Promised.IsZero() && s.Accepted.IsZero()) || s.Accepted == m.Ballot
 	}
-	w := Accepted{Key: m.Key, Store: a.store, Round: m.Round, VoterSet: m.VoterSet, OK: ok, Promised: s.Promised, Differences: len(m.Value) >= differencesFrom}
+	w := Accepted{Key: m.Key, Store: a.storeID, Round: m.Round, VoterSetNumber: m.VoterSetNumber, OK: ok, Promised: s.Promised, ReadsDeltas: len(m.Value) >= minDeltaValueSize}
 	if !ok {
 		a.AfterSync(event.Send{To: from, Msg: w})
 		return
@@ -180,26 +180,26 @@
 	}
 	s.Promised, s.Accepted, s.Value = maxBallot(m.Ballot, m.NextBallot), m.Ballot, m.Value
 	w.Promised = s.Promised
-	a.save(m.Key, s, event.Send{To: from, Msg: w})
+	a.saveRegister(m.Key, s, event.Send{To: from, Msg: w})
 }
 
 // VoterSet gives the voter set in force here.
 func (a *Acceptor) VoterSet() VoterSet { return a.voterSet }
 
 // Store gives this acceptor's store id.
-func (a *Acceptor) StoreID() uint64 { return a.store }
+func (a *Acceptor) StoreID() uint64 { return a.storeID }
 
-// Value gives what this copy holds, chosen or not; for --local reads alone.
-func (a *Acceptor) Value(key ids.RegisterKey) (ids.Ballot, []byte) {
-	s := a.slot(key)
+// AcceptedValue gives what this copy holds, chosen or not; for --local reads alone.
+func (a *Acceptor) AcceptedValue(key ids.RegisterKey) (ids.Ballot, []byte) {
+	s := a.registerState(key)
 	return s.Accepted, s.Value
 }
 
 // Plant gives a founding member the value that its founder begins with.
 func (a *Acceptor) Seed(key ids.RegisterKey, value []byte) {
-	if s := a.slot(key); s.Accepted.IsZero() {
+	if s := a.registerState(key); s.Accepted.IsZero() {
 		b := ids.Ballot{Counter: 1}
-		a.save(key, RegisterState{Promised: maxBallot(b, s.Promised), Accepted: b, Value: value})
+		a.saveRegister(key, RegisterState{Promised: maxBallot(b, s.Promised), Accepted: b, Value: value})
 	}
 }
 
@@ -209,9 +209,9 @@
 // Raise puts a value above all that this copy holds. Only a refounding may,
 // where this store alone is a majority.
 func (a *Acceptor) ForceValue(key ids.RegisterKey, value []byte) {
-	s := a.slot(key)
-	b := ids.Ballot{Counter: max(s.Promised.Counter, s.Accepted.Counter) + 1, Proposer: a.store << 24}
-	a.save(key, RegisterState{Promised: b, Accepted: b, Value: value})
+	s := a.registerState(key)
+	b := ids.Ballot{Counter: max(s.Promised.Counter, s.Accepted.Counter) + 1, Proposer: a.storeID << 24}
+	a.saveRegister(key, RegisterState{Promised: b, Accepted: b, Value: value})
 }
 
 func maxBallot(a, b ids.Ballot) ids.Ballot {
--- a/internal/state/consensus/backoff.go
+++ b/internal/state/consensus/backoff.go
@@ -7,35 +7,35 @@
 )
 
 const (
-	// leastRest is how long a proposer rests at least after a round that it lost.
-	leastRest = 5 * time.Millisecond
-	// firstRest bounds its first rest where stores stand close together.
-	firstRest = 20 * time.Millisecond
-	// mostRest bounds every rest.
-	mostRest = time.Second
-	// mostLosses bounds the doublings of the rest.
-	mostLosses = 5
+	// minBackoff is how long a proposer rests at least after a round that it lost.
+	minBackoff = 5 * time.Millisecond
+	// initialBackoff bounds its first rest where stores stand close together.
+	initialBackoff = 20 * time.Millisecond
+	// maxBackoff bounds every rest.
+	maxBackoff = time.Second
+	// maxBackoffDoublings bounds the doublings of the rest.
+	maxBackoffDoublings = 5
 )
 
-// retreat gives a round up to a higher ballot and tries again after a rest.
-func (p *Proposer) retreat(now ids.Time, r *round, seen ids.Ballot) {
-	r.floor = max(r.floor, seen.Counter)
-	r.phase, r.retryAt = idle, now.Add(p.rest(now, r, seen))
+// retryAfterBackoff gives a round up to a higher ballot and tries again after a rest.
+func (p *Proposer) retryAfterBackoff(now ids.Time, r *round, seen ids.Ballot) {
+	r.minCounter = max(r.minCounter, seen.Counter)
+	r.phase, r.retryAt = idle, now.Add(p.backoffDelay(now, r, seen))
 	delete(p.promisedBallots, r.key)
 }
 
-// rest draws how long to leave a register alone after a round that was lost to
+// backoffDelay draws how long to leave a register alone after a round that was lost to
 // another proposer's ballot. The winner needs two round trips to the stores to
 // end its own; a loser that comes back sooner takes its ballot away in turn, and
 // neither ever ends. So the rest is drawn from a span that holds some of the
 // round trips that were met, and doubles with each further loss. A round that
 // nobody else's ballot ended rests for a moment only.
-func (p *Proposer) rest(now ids.Time, r *round, seen ids.Ballot) time.Duration {
+func (p *Proposer) backoffDelay(now ids.Time, r *round, seen ids.Ballot) time.Duration {
 	if seen == r.ballot {
-		return leastRest + time.Duration(p.random.Int64N(int64(firstRest)))
+		return minBackoff + time.Duration(p.random.Int64N(int64(initialBackoff)))
 	}
-	roundTrip := now.Sub(r.began)
-	span := min((firstRest+2*roundTrip)<<min(r.losses, mostLosses), mostRest)
-	r.losses++
-	return leastRest + time.Duration(p.random.Int64N(int64(span)))
+	roundTrip := now.Sub(r.startedAt)
+	span := min((initialBackoff+2*roundTrip)<<min(r.consecutiveLosses, maxBackoffDoublings), maxBackoff)
+	r.consecutiveLosses++
+	return minBackoff + time.Duration(p.random.Int64N(int64(span)))
 }
--- a/internal/state/consensus/bringup.go
+++ b/internal/state/consensus/bringup.go
@@ -13,58 +13,58 @@
 // promised a higher ballot since, the next reading agrees on the value anew.
 
 const (
-	// bringUpAfter is how long a value must have been chosen: before that, the
+	// catchUpMinAge is how long a value must have been chosen: before that, the
 	// store's own Accept may be under way.
-	bringUpAfter = 300 * time.Millisecond
-	bringUpEvery = time.Second
+	catchUpMinAge   = 300 * time.Millisecond
+	catchUpInterval = time.Second
 )
 
-// settledValue is a value that a majority is known to hold.
-type settledValue struct {
+// chosenValue is a value that a majority is known to hold.
+type chosenValue struct {
 	cachedValue
-	at ids.Time
+	chosenAt ids.Time
 }
 
-// noteSettled notes a value as chosen.
-func (p *Proposer) noteSettled(now ids.Time, key ids.RegisterKey, b ids.Ballot, value []byte) {
-	if isIdempotencyKey(key) || b.Counter <= firstBallots || !p.settled[key].ballot.Less(b) {
+// recordChosen notes a value as chosen.
+func (p *Proposer) recordChosen(now ids.Time, key ids.RegisterKey, b ids.Ballot, value []byte) {
+	if isIdempotencyKey(key) || b.Counter <= maxFirstValueCounter || !p.chosen[key].ballot.Less(b) {
 		return
 	}
-	p.settled[key] = settledValue{cachedValue{b, value}, now}
+	p.chosen[key] = chosenValue{cachedValue{b, value}, now}
 }
 
-// bringUp sends a store the chosen value that it missed.
-func (p *Proposer) bringUp(now ids.Time, m Promise) {
-	s, known := p.settled[m.Key]
-	if !known || !m.Accepted.Less(s.ballot) || now.Sub(s.at) < bringUpAfter {
+// catchUp sends a store the chosen value that it missed.
+func (p *Proposer) catchUp(now ids.Time, m Promise) {
+	s, known := p.chosen[m.Key]
+	if !known || !m.Accepted.Less(s.ballot) || now.Sub(s.chosenAt) < catchUpMinAge {
 		return
 	}
 	if r := p.rounds[m.Key]; r != nil && (r.phase == accepting || r.phase == replicating) {
 		return
 	}
-	sent := p.broughtUp[m.Key]
+	sent := p.catchUpSentAt[m.Key]
 	if sent == nil {
 		sent = map[uint64]ids.Time{}
-		p.broughtUp[m.Key] = sent
+		p.catchUpSentAt[m.Key] = sent
 	}
-	if at, ok := sent[m.Store]; ok && now.Sub(at) < bringUpEvery {
+	if at, ok := sent[m.Store]; ok && now.Sub(at) < catchUpInterval {
 		return
 	}
 	if s.ballot.Less(m.Promised) {
 		// It promised more meanwhile and would reject that Accept. The value is
 		// agreed on once more, by a ballot above all promises.
 		sent[m.Store] = now
-		p.high = max(p.high, m.Promised.Counter)
-		p.again[m.Key] = true
+		p.highestCounter = max(p.highestCounter, m.Promised.Counter)
+		p.mustRewrite[m.Key] = true
 		return
 	}
 	ro := p.voterSet()
-	for _, v := range ro.All() {
-		if v.ID == m.Store && m.VoterSet == ro.Number {
+	for _, v := range ro.AllVoters() {
+		if v.ID == m.Store && m.VoterSetNumber == ro.Number {
 			sent[m.Store] = now
 			// A round's number of its own: its vote must count for no other.
-			p.count++
-			p.out.Send(v.Address, Accept{Key: m.Key, Ballot: s.ballot, VoterSet: ro.Number, Round: p.count, Value: s.value})
+			p.lastRoundID++
+			p.out.Send(v.Address, Accept{Key: m.Key, Ballot: s.ballot, VoterSetNumber: ro.Number, Round: p.lastRoundID, Value: s.value})
 		}
 	}
 }
--- a/internal/state/consensus/changelog.go
+++ b/internal/state/consensus/changelog.go
@@ -10,53 +10,53 @@
 // changeLog lists the registers that this run changed of late, in order, so
 // that whoever copied everything before can be given the rest alone.
 type changeLog struct {
-	// epoch names this run of this store; 0 keeps no list.
-	epoch uint64
-	// first is how many changes were dropped off the front.
-	first uint64
-	keys  []ids.RegisterKey
+	// runID names this run of this store; 0 keeps no list.
+	runID uint64
+	// droppedCount is how many changes were dropped off the front.
+	droppedCount uint64
+	keys         []ids.RegisterKey
 }
 
 const (
-	mostChanges   = 1 << 15
-	recordsInPage = 200
-	bytesInPage   = 1 << 18
+	maxLoggedChanges = 1 << 15
+	maxPageRecords   = 200
+	maxPageBytes     = 1 << 18
 )
 
-// SetEpoch names this run; no two runs of a store may have the same.
-func (a *Acceptor) SetEpoch(epoch uint64) { a.changes.epoch = epoch }
+// SetRunID names this run; no two runs of a store may have the same.
+func (a *Acceptor) SetRunID(epoch uint64) { a.changes.runID = epoch }
 
-func (c *changeLog) note(key ids.RegisterKey) {
-	if c.epoch == 0 || !strings.HasPrefix(string(key), slotPrefix) {
+func (c *changeLog) add(key ids.RegisterKey) {
+	if c.runID == 0 || !strings.HasPrefix(string(key), registerPrefix) {
 		return
 	}
-	if len(c.keys) == mostChanges {
-		half := mostChanges / 2
-		c.keys, c.first = append([]ids.RegisterKey{}, c.keys[half:]...), c.first+uint64(half)
+	if len(c.keys) == maxLoggedChanges {
+		half := maxLoggedChanges / 2
+		c.keys, c.droppedCount = append([]ids.RegisterKey{}, c.keys[half:]...), c.droppedCount+uint64(half)
 	}
-	c.keys = append(c.keys, key[len(slotPrefix):])
+	c.keys = append(c.keys, key[len(registerPrefix):])
 }
 
-func (c *changeLog) count() uint64 { return c.first + uint64(len(c.keys)) }
+func (c *changeLog) total() uint64 { return c.droppedCount + uint64(len(c.keys)) }
 
 // covers tells whether all changes since a count in this run are listed.
-func (c *changeLog) covers(epoch, since uint64) bool {
-	return epoch != 0 && epoch == c.epoch && since >= c.first && since <= c.count()
+func (c *changeLog) covers(runID, since uint64) bool {
+	return runID != 0 && runID == c.runID && since >= c.droppedCount && since <= c.total()
 }
 
-// sendChanges answers with the records that changed since, each once.
-func (a *Acceptor) sendChanges(from ids.Address, m PageRequest) {
-	l := PageResponse{Store: a.store, VoterSet: m.VoterSet, Number: m.Number, Epoch: a.changes.epoch, Changes: m.Since, Delta: true}
+// sendChangedRecords answers with the records that changed since, each once.
+func (a *Acceptor) sendChangedRecords(from ids.Address, m PageRequest) {
+	l := PageResponse{Store: a.storeID, VoterSetNumber: m.VoterSetNumber, PageNumber: m.PageNumber, RunID: a.changes.runID, ChangeCount: m.SinceChange, Delta: true}
 	seen, size := map[ids.RegisterKey]bool{}, 0
-	for _, key := range a.changes.keys[m.Since-a.changes.first:] {
-		if !seen[key] && (len(l.Records) == recordsInPage || size > bytesInPage) {
+	for _, key := range a.changes.keys[m.SinceChange-a.changes.droppedCount:] {
+		if !seen[key] && (len(l.Records) == maxPageRecords || size > maxPageBytes) {
 			a.AfterSync(event.Send{To: from, Msg: l})
 			return
 		}
-		l.Changes++
+		l.ChangeCount++
 		if !seen[key] {
 			seen[key] = true
-			s := a.slot(key)
+			s := a.registerState(key)
 			l.Records = append(l.Records, PageRecord{key, s.Accepted, s.Value})
 			size += len(s.Value)
 		}
--- a/internal/state/consensus/checkdisk.go
+++ b/internal/state/consensus/checkdisk.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	marksPrefix = slotPrefix + "mark/"
-	behindMarks = slotPrefix + "mark0"
+	idempotencyPrefix      = registerPrefix + "mark/"
+	afterIdempotencyPrefix = registerPrefix + "mark0"
 )
 
 // CheckDisk reads all registers but idempotency keys, with the changes behind
@@ -17,28 +17,28 @@
 // what it can't read would forget what it voted for.
 func CheckDisk(disk Storage) error {
 	if raw, ok := disk.Get("meta/roster"); ok {
-		if _, fine := unpack[VoterSet](raw); !fine {
+		if _, fine := decodeMessage[VoterSet](raw); !fine {
 			return errs.New("read voter set", "meta/roster", "it is damaged or of another format")
 		}
 	}
-	if raw, ok := disk.Get(standingKey); ok {
-		if _, fine := unpack[standing](raw); !fine {
-			return errs.New("read standing", standingKey, "it is damaged or of another format")
+	if raw, ok := disk.Get(diskStateKey); ok {
+		if _, fine := decodeMessage[diskStateRecord](raw); !fine {
+			return errs.New("read standing", diskStateKey, "it is damaged or of another format")
 		}
 	}
 	known := map[ids.RegisterKey]bool{}
-	after := ids.RegisterKey(slotPrefix)
+	after := ids.RegisterKey(registerPrefix)
 	for {
 		list := disk.Scan(after, 1)
 		if len(list) == 0 {
 			break
 		}
 		after = list[0].Key
-		if strings.HasPrefix(string(after), marksPrefix) {
-			after = behindMarks
+		if strings.HasPrefix(string(after), idempotencyPrefix) {
+			after = afterIdempotencyPrefix
 			continue
 		}
-		key := after[len(slotPrefix):]
+		key := after[len(registerPrefix):]
 		if _, err := loadRegister(disk, key); err != nil {
 			return err
 		}
--- a/internal/state/consensus/client.go
+++ b/internal/state/consensus/client.go
@@ -16,117 +16,117 @@
 	// StoreOrder names the stores to try, best first.
 	StoreOrder func(key ids.RegisterKey) []ids.Address
 	pending    map[uint64]*pendingCall
-	next       uint64
-	// silent are stores that left a try unanswered, and until when others are
+	lastCallID uint64
+	// silentUntil are stores that left a try unanswered, and until when others are
 	// tried before them.
-	silent map[ids.Address]ids.Time
-	// took is how long each store took to answer of late.
-	took map[ids.Address]time.Duration
+	silentUntil map[ids.Address]ids.Time
+	// meanResponseTime is how long each store took to answer of late.
+	meanResponseTime map[ids.Address]time.Duration
 }
 
 type pendingCall struct {
 	Request
-	due   ids.Time
-	again ids.Time
-	tries int
-	// maybe holds the tries that no store has said to have rejected, and asked
+	deadline     ids.Time
+	retryAt      ids.Time
+	attemptCount int
+	// unresolved holds the tries that no store has said to have rejected, and asked
 	// where each try went. Not the stores alone: one may reject a second try
 	// and still be busy with the first.
-	maybe map[uint32]bool
-	asked map[uint32]attempt
-	done  func(now ids.Time, s Outcome, out []byte)
-	// have is the value that the client holds, for a read that finds the same.
-	have []byte
+	unresolved map[uint32]bool
+	attempts   map[uint32]attempt
+	onComplete func(now ids.Time, s Outcome, out []byte)
+	// held is the value that the client holds, for a read that finds the same.
+	held []byte
 }
 
 // attempt is where and when a try of a call was sent.
 type attempt struct {
-	to ids.Address
-	at ids.Time
+	store  ids.Address
+	sentAt ids.Time
 }
 
 // NewClient makes a client whose ids begin past a start's own number, so that
 // answers to an earlier run are not taken for its own.
 func NewClient(start ids.RunID, out *event.Outbox) *Client {
-	return &Client{out: out, pending: map[uint64]*pendingCall{}, silent: map[ids.Address]ids.Time{}, took: map[ids.Address]time.Duration{}, next: uint64(start) << 24}
+	return &Client{out: out, pending: map[uint64]*pendingCall{}, silentUntil: map[ids.Address]ids.Time{}, meanResponseTime: map[ids.Address]time.Duration{}, lastCallID: uint64(start) << 24}
 }
 
 // Call asks for an operation; done is called once, with how it ended.
-func (a *Client) Call(now ids.Time, key ids.RegisterKey, op Op, arg []byte, wait time.Duration, done func(ids.Time, Outcome, []byte)) CallID {
-	return a.call(now, Request{Key: key, Op: op, Arg: arg}, nil, wait, done)
+func (c *Client) Call(now ids.Time, key ids.RegisterKey, op Op, arg []byte, timeout time.Duration, onComplete func(ids.Time, Outcome, []byte)) CallID {
+	return c.call(now, Request{Key: key, Op: op, Arg: arg}, nil, timeout, onComplete)
 }
 
 // ReadIfChanged reads a register whose value the client already holds; where it is the
 // same still, no more than that is sent. sum is that of the value.
-func (a *Client) ReadIfChanged(now ids.Time, key ids.RegisterKey, have []byte, sum uint64, wait time.Duration, done func(ids.Time, Outcome, []byte)) CallID {
-	return a.call(now, Request{Key: key, Op: Read, HaveChecksum: sum}, have, wait, done)
+func (c *Client) ReadIfChanged(now ids.Time, key ids.RegisterKey, held []byte, checksum uint64, timeout time.Duration, onComplete func(ids.Time, Outcome, []byte)) CallID {
+	return c.call(now, Request{Key: key, Op: Read, HaveChecksum: checksum}, held, timeout, onComplete)
 }
 
-func (a *Client) call(now ids.Time, ask Request, have []byte, wait time.Duration, done func(ids.Time, Outcome, []byte)) CallID {
-	a.next++
-	ask.ID = a.next
-	w := &pendingCall{Request: ask, have: have, due: now.Add(wait), done: done, maybe: map[uint32]bool{}, asked: map[uint32]attempt{}}
-	a.pending[w.ID] = w
-	a.send(now, w)
-	return CallID(w.ID)
+func (c *Client) call(now ids.Time, request Request, held []byte, timeout time.Duration, onComplete func(ids.Time, Outcome, []byte)) CallID {
+	c.lastCallID++
+	request.ID = c.lastCallID
+	call := &pendingCall{Request: request, held: held, deadline: now.Add(timeout), onComplete: onComplete, unresolved: map[uint32]bool{}, attempts: map[uint32]attempt{}}
+	c.pending[call.ID] = call
+	c.send(now, call)
+	return CallID(call.ID)
 }
 
-func (a *Client) send(now ids.Time, w *pendingCall) {
-	w.again = now.Add(tryFor + TransferTime(len(w.Arg)))
-	to := a.order(now, w.Key)
+func (c *Client) send(now ids.Time, call *pendingCall) {
+	call.retryAt = now.Add(attemptTimeout + TransferTime(len(call.Arg)))
+	to := c.attemptOrder(now, call.Key)
 	if len(to) == 0 {
 		return
 	}
-	at := w.leastTried(to)
-	w.tries++
-	w.Attempt = uint32(w.tries)
-	w.maybe[w.Attempt], w.asked[w.Attempt] = true, attempt{at, now}
-	w.Wait = uint32(max(w.due.Sub(now), 0) / time.Millisecond)
-	a.out.Send(at, w.Request)
+	at := call.leastTriedStore(to)
+	call.attemptCount++
+	call.Attempt = uint32(call.attemptCount)
+	call.unresolved[call.Attempt], call.attempts[call.Attempt] = true, attempt{at, now}
+	call.TimeoutMillis = uint32(max(call.deadline.Sub(now), 0) / time.Millisecond)
+	c.out.Send(at, call.Request)
 }
 
 // HandleResponse takes the word of the store that a try went to; any other is
 // late, doubled, or not an answer to this run at all.
-func (a *Client) HandleResponse(now ids.Time, from ids.Address, m Response) {
-	w := a.pending[m.ID]
-	if w == nil || w.asked[m.Attempt].to != from {
-		a.out.Discard(from, event.Unsolicited, m)
+func (c *Client) HandleResponse(now ids.Time, from ids.Address, m Response) {
+	call := c.pending[m.ID]
+	if call == nil || call.attempts[m.Attempt].store != from {
+		c.out.Discard(from, event.Unsolicited, m)
 		return
 	}
-	delete(a.silent, from)
-	a.note(from, now.Sub(w.asked[m.Attempt].at))
+	delete(c.silentUntil, from)
+	c.recordResponseTime(from, now.Sub(call.attempts[m.Attempt].sentAt))
 	switch m.Outcome {
 	case Succeeded:
-		delete(a.pending, m.ID)
-		if m.Same {
-			m.Result = w.have
+		delete(c.pending, m.ID)
+		if m.Unchanged {
+			m.Result = call.held
 		}
-		w.done(now, Succeeded, m.Result)
+		call.onComplete(now, Succeeded, m.Result)
 	case Rejected:
 		// Another store may do better; one round through all, then a rest.
-		delete(w.maybe, m.Attempt)
-		if w.tries < len(a.StoreOrder(w.Key)) {
-			a.send(now, w)
+		delete(call.unresolved, m.Attempt)
+		if call.attemptCount < len(c.StoreOrder(call.Key)) {
+			c.send(now, call)
 		} else {
-			w.again = min(w.again, now.Add(tryFor/4))
+			call.retryAt = min(call.retryAt, now.Add(attemptTimeout/4))
 		}
 	}
 }
 
 // Tick tries again, and ends what has run out of time. Only a request that no
 // store can still be busy with is surely without effect.
-func (a *Client) Tick(now ids.Time) {
-	for _, id := range slices.Sorted(maps.Keys(a.pending)) {
-		w := a.pending[id]
-		if w == nil {
+func (c *Client) Tick(now ids.Time) {
+	for _, id := range slices.Sorted(maps.Keys(c.pending)) {
+		call := c.pending[id]
+		if call == nil {
 			continue
 		}
 		switch {
-		case now >= w.due:
-			a.Abandon(now, CallID(id))
-		case now >= w.again:
-			a.missed(now, w)
-			a.send(now, w)
+		case now >= call.deadline:
+			c.Abandon(now, CallID(id))
+		case now >= call.retryAt:
+			c.markSilentStores(now, call)
+			c.send(now, call)
 		}
 	}
 }
--- a/internal/state/consensus/consensus_test.go
+++ b/internal/state/consensus/consensus_test.go
@@ -104,11 +104,11 @@
 func give(now ids.Time, r *room, from ids.Address, msg any) {
 	switch m := msg.(type) {
 	case Prepare:
-		r.Prepare(from, m)
+		r.HandlePrepare(from, m)
 	case Accept:
-		r.Accept(from, m)
+		r.HandleAccept(from, m)
 	case AcceptDifference:
-		r.AcceptDifference(from, m)
+		r.HandleAcceptDifference(from, m)
 	case Promise:
 		r.HandlePromise(now, m)
 	case Accepted:
@@ -133,13 +133,13 @@
 	is := is.New(t)
 	all := rooms(t)
 	ask := func(at, who ids.Address, now time.Duration, arg string) {
-		all[at].Submit(ids.Time(now), who, Request{ID: 1, Key: "x", Op: opAdd, Arg: []byte(arg), Wait: 60000})
+		all[at].Submit(ids.Time(now), who, Request{ID: 1, Key: "x", Op: opAdd, Arg: []byte(arg), TimeoutMillis: 60000})
 	}
 	ask("a", "w1", 1, "1")
 	is.Equal(value(t, play(1, all, open2), "w1"), "1")
 	// Other work has taken a's ballots far beyond what the others use.
 	for range 10 {
-		all["a"].Submit(1, "w0", Request{ID: 1, Key: "y", Op: opAdd, Wait: 60000})
+		all["a"].Submit(1, "w0", Request{ID: 1, Key: "y", Op: opAdd, TimeoutMillis: 60000})
 		play(1, all, open2)
 	}
 	// Cut off: a's next value reaches a alone.
@@ -176,18 +176,18 @@
 	all := rooms(t)
 	play(1, all, open2)
 	b := all["b"]
-	b.Prepare("a", Prepare{Key: "x", Ballot: ids.Ballot{Counter: 5, Proposer: 1}, VoterSet: 1, Round: 1})
+	b.HandlePrepare("a", Prepare{Key: "x", Ballot: ids.Ballot{Counter: 5, Proposer: 1}, VoterSetNumber: 1, Round: 1})
 	play(1, all, func(ids.Address, ids.Address) bool { return false })
 	again := &room{mem: b.mem}
 	again.Acceptor = NewAcceptor(2, b.mem, &again.Outbox)
-	again.Accept("c", Accept{Key: "x", Ballot: ids.Ballot{Counter: 4, Proposer: 3}, VoterSet: 1, Round: 2, Value: []byte("old")})
+	again.HandleAccept("c", Accept{Key: "x", Ballot: ids.Ballot{Counter: 4, Proposer: 3}, VoterSetNumber: 1, Round: 2, Value: []byte("old")})
 	s := again.Drain()[0].(event.Sync)
 	is.Equal(len(s.Records), 0)
 	is.Equal(s.After[0].(event.Send).Msg.(Accepted).OK, false)
 	// A lower voter set has no say at all: it is told of the higher one.
 	again.AdoptVoterSet(VoterSet{Number: 2, Voters: []Voter{{2, "b"}}})
 	again.Drain()
-	again.Accept("c", Accept{Key: "x", Ballot: ids.Ballot{Counter: 9, Proposer: 3}, VoterSet: 1})
+	again.HandleAccept("c", Accept{Key: "x", Ballot: ids.Ballot{Counter: 9, Proposer: 3}, VoterSetNumber: 1})
 	_, news := again.Drain()[0].(event.Sync).After[0].(event.Send).Msg.(VoterSetUpdate)
 	is.True(news)
 }
@@ -196,17 +196,17 @@
 func TestJointVoterSetNeedsBothMajorities(t *testing.T) {
 	is := is.New(t)
 	r := VoterSet{Number: 2, Voters: []Voter{{ID: 1}, {ID: 2}, {ID: 3}}, Incoming: []Voter{{ID: 1}, {ID: 4}, {ID: 5}}}
-	is.True(!r.Majority(map[uint64]bool{2: true, 3: true}))
-	is.True(!r.Majority(map[uint64]bool{4: true, 5: true}))
-	is.True(r.Majority(map[uint64]bool{1: true, 2: true, 4: true}))
-	old, _ := write(nil, VoterSet{Number: 1, Voters: r.Voters})
+	is.True(!r.IsQuorum(map[uint64]bool{2: true, 3: true}))
+	is.True(!r.IsQuorum(map[uint64]bool{4: true, 5: true}))
+	is.True(r.IsQuorum(map[uint64]bool{1: true, 2: true, 4: true}))
+	old, _ := encodeVoterSet(nil, VoterSet{Number: 1, Voters: r.Voters})
 	arg := func(j JoinRequest) []byte { raw, _ := packed(j); return raw }
-	next, _ := join("", old, arg(JoinRequest{New: Voter{ID: 9}, Lost: 3}))
+	next, _ := joinVoter("", old, arg(JoinRequest{New: Voter{ID: 9}, LostID: 3}))
 	got, _ := DecodeVoterSet(next)
 	is.Equal(got.Number, uint64(2))
 	is.Equal(got.Incoming[2].ID, uint64(9))
 	// A second replacement waits; asking again changes nothing.
-	same, _ := join("", next, arg(JoinRequest{New: Voter{ID: 8}, Lost: 2}))
+	same, _ := joinVoter("", next, arg(JoinRequest{New: Voter{ID: 8}, LostID: 2}))
 	is.Equal(same, next)
 }
 
--- a/internal/state/consensus/difference.go
+++ b/internal/state/consensus/difference.go
@@ -14,107 +14,107 @@
 // gets the very bytes that an Accept would have brought, and does as if it had;
 // any other asks for the value whole and does nothing.
 type AcceptDifference struct {
-	Key        ids.RegisterKey
-	Ballot     ids.Ballot
-	NextBallot ids.Ballot
-	VoterSet   uint64
-	Round      uint64
-	Base       ids.Ballot
-	Difference []byte
+	Key            ids.RegisterKey
+	Ballot         ids.Ballot
+	NextBallot     ids.Ballot
+	VoterSetNumber uint64
+	Round          uint64
+	BaseBallot     ids.Ballot
+	Delta          []byte
 }
 
 // ChosenDifference tells registries of a register's new value, as the difference
 // to the one before it.
 type ChosenDifference struct {
-	Key        ids.RegisterKey
-	Difference []byte
+	Key   ids.RegisterKey
+	Delta []byte
 }
 
 var _ = wire.Register(34, AcceptDifference{}) && wire.Register(35, ChosenDifference{})
 
-// differing is how a round's value follows from one that others hold.
-type differing struct {
-	base       ids.Ballot
-	difference []byte
-	// whole holds the stores that asked for the value itself.
-	whole map[uint64]bool
+// valueDelta is how a round's value follows from one that others hold.
+type valueDelta struct {
+	baseBallot ids.Ballot
+	delta      []byte
+	// wholeSentTo holds the stores that asked for the value itself.
+	wholeSentTo map[uint64]bool
 }
 
-// differ gives the difference from the value that a round began with, if that is
+// computeDelta gives the difference from the value that a round began with, if that is
 // one whose ballot is known, and if it is worth it.
-func (p *Proposer) differ(r *round, old []byte) differing {
+func (p *Proposer) computeDelta(r *round, old []byte) valueDelta {
 	base := p.cachedValues[r.key]
-	if r.first || len(old) < differencesFrom || len(r.value) < differencesFrom || !bytes.Equal(base.value, old) {
-		return differing{}
+	if r.firstValue || len(old) < minDeltaValueSize || len(r.value) < minDeltaValueSize || !bytes.Equal(base.value, old) {
+		return valueDelta{}
 	}
 	difference := delta.Diff(old, r.value)
 	if len(difference) > len(r.value)/2 {
-		return differing{}
+		return valueDelta{}
 	}
-	return differing{base.ballot, difference, map[uint64]bool{}}
+	return valueDelta{base.ballot, difference, map[uint64]bool{}}
 }
 
 // sendAccept asks a store to keep the round's value.
 func (p *Proposer) sendAccept(now ids.Time, s Voter, r *round, number uint64) {
-	if r.difference != nil && p.peer(s.ID).readsDifferences && !r.whole[s.ID] {
+	if r.delta != nil && p.peer(s.ID).readsDeltas && !r.wholeSentTo[s.ID] {
 		p.out.Send(s.Address, AcceptDifference{
-			Key: r.key, Ballot: r.ballot, NextBallot: r.next, VoterSet: number, Round: r.id,
-			Base: r.base, Difference: r.difference,
+			Key: r.key, Ballot: r.ballot, NextBallot: r.nextBallot, VoterSetNumber: number, Round: r.id,
+			BaseBallot: r.baseBallot, Delta: r.delta,
 		})
 		return
 	}
-	if len(r.value) < largeValue || p.peer(s.ID).mayTakeWhole(now) {
-		p.out.Send(s.Address, Accept{Key: r.key, Ballot: r.ballot, NextBallot: r.next, VoterSet: number, Round: r.id, Value: r.value, First: r.first})
+	if len(r.value) < largeValueSize || p.peer(s.ID).allowWholeValue(now) {
+		p.out.Send(s.Address, Accept{Key: r.key, Ballot: r.ballot, NextBallot: r.nextBallot, VoterSetNumber: number, Round: r.id, Value: r.value, FirstValue: r.firstValue})
 	}
 }
 
-// sendWhole gives the value to a store that doesn't hold the base.
-func (p *Proposer) sendWhole(now ids.Time, r *round, store uint64) {
-	if r.whole == nil || r.whole[store] {
+// sendWholeValue gives the value to a store that doesn't hold the base.
+func (p *Proposer) sendWholeValue(now ids.Time, r *round, store uint64) {
+	if r.wholeSentTo == nil || r.wholeSentTo[store] {
 		return
 	}
-	r.whole[store] = true
+	r.wholeSentTo[store] = true
 	ro := p.voterSet()
-	for _, s := range ro.All() {
+	for _, s := range ro.AllVoters() {
 		if s.ID == store {
 			p.sendAccept(now, s, r, ro.Number)
 		}
 	}
 }
 
-// sendChosen tells those who must hear of it that a round's value is chosen.
-func (p *Proposer) sendChosen(r *round) {
+// notifySubscribers tells those who must hear of it that a round's value is chosen.
+func (p *Proposer) notifySubscribers(r *round) {
 	for _, to := range p.Subscribers(r.key) {
-		if r.difference != nil {
-			p.out.Send(to, ChosenDifference{Key: r.key, Difference: r.difference})
+		if r.delta != nil {
+			p.out.Send(to, ChosenDifference{Key: r.key, Delta: r.delta})
 		} else {
 			p.out.Send(to, Chosen{Key: r.key, Value: r.value})
 		}
 	}
 }
 
-// AcceptDifference keeps the value that a difference leads to.
-func (a *Acceptor) AcceptDifference(from ids.Address, m AcceptDifference) {
-	if a.stale(from, m.VoterSet) {
+// HandleAcceptDifference keeps the value that a difference leads to.
+func (a *Acceptor) HandleAcceptDifference(from ids.Address, m AcceptDifference) {
+	if a.abstains(from, m.VoterSetNumber) {
 		return
 	}
-	s := a.slot(m.Key)
-	whole := Accept{Key: m.Key, Ballot: m.Ballot, NextBallot: m.NextBallot, VoterSet: m.VoterSet, Round: m.Round}
+	s := a.registerState(m.Key)
+	whole := Accept{Key: m.Key, Ballot: m.Ballot, NextBallot: m.NextBallot, VoterSetNumber: m.VoterSetNumber, Round: m.Round}
 	if s.Accepted == m.Ballot || m.Ballot.Less(s.Promised) {
 		// Taken before, or rejected: the value isn't looked at.
-		a.Accept(from, whole)
+		a.HandleAccept(from, whole)
 		return
 	}
 	var err error
-	if s.Accepted == m.Base {
-		whole.Value, err = delta.Apply(s.Value, m.Difference)
+	if s.Accepted == m.BaseBallot {
+		whole.Value, err = delta.Apply(s.Value, m.Delta)
 	}
-	if s.Accepted != m.Base || err != nil {
+	if s.Accepted != m.BaseBallot || err != nil {
 		a.AfterSync(event.Send{To: from, Msg: Accepted{
-			Key: m.Key, Store: a.store, Round: m.Round, VoterSet: m.VoterSet,
-			Promised: s.Promised, Differences: true, Whole: true,
+			Key: m.Key, Store: a.storeID, Round: m.Round, VoterSetNumber: m.VoterSetNumber,
+			Promised: s.Promised, ReadsDeltas: true, NeedsWholeValue: true,
 		}})
 		return
 	}
-	a.Accept(from, whole)
+	a.HandleAccept(from, whole)
 }
--- a/internal/state/consensus/difference_test.go
+++ b/internal/state/consensus/difference_test.go
@@ -59,7 +59,7 @@
 			give(now, to, from, m)
 		}
 	case Accepted:
-		m.Differences = m.Differences && from != w.earlier
+		m.ReadsDeltas = m.ReadsDeltas && from != w.earlier
 		give(now, to, from, m)
 	default:
 		give(now, to, from, m)
@@ -71,7 +71,7 @@
 	w.bytes += len(raw)
 	switch m := c.Msg.(type) {
 	case Accept:
-		w.wholes += min(len(m.Value)/differencesFrom, 1)
+		w.wholes += min(len(m.Value)/minDeltaValueSize, 1)
 	case AcceptDifference:
 		w.differences++
 	}
@@ -80,7 +80,7 @@
 // run submits a change at a store and lets time pass until it is answered.
 func (w *traffic) run(t *testing.T, all map[ids.Address]*room, at ids.Address, now *ids.Time, arg string, down map[ids.Address]bool) {
 	t.Helper()
-	all[at].Submit(*now, "w", Request{ID: 1, Key: "policy", Op: opAdd, Arg: []byte(arg), Wait: 60000})
+	all[at].Submit(*now, "w", Request{ID: 1, Key: "policy", Op: opAdd, Arg: []byte(arg), TimeoutMillis: 60000})
 	for range 100 {
 		if told := w.watch(all, *now, down); len(told) > 0 {
 			if told[0].Outcome != Succeeded {
@@ -98,9 +98,9 @@
 
 func same(t *testing.T, all map[ids.Address]*room, want []byte) {
 	t.Helper()
-	b, _ := all["a"].Value("policy")
+	b, _ := all["a"].AcceptedValue("policy")
 	for at, r := range all {
-		has, got := r.Value("policy")
+		has, got := r.AcceptedValue("policy")
 		onDisk, err := loadRegister(r.mem, "policy")
 		if err != nil || has != b || !bytes.Equal(got, want) || !bytes.Equal(onDisk.Value, want) {
 			t.Fatalf("%s holds %v, %d bytes; want %v, %d bytes (%v)", at, has, len(got), b, len(want), err)
@@ -170,22 +170,22 @@
 	now, w := ids.Time(1), &traffic{}
 	w.run(t, all, "a", &now, string(text(rand.New(rand.NewPCG(1, 1)), 20_000)), nil)
 	b := all["b"]
-	held, value := b.Value("policy")
+	held, value := b.AcceptedValue("policy")
 	next := ids.Ballot{Counter: held.Counter + 100, Proposer: 1}
 	for _, m := range []AcceptDifference{
-		{Base: ids.Ballot{Counter: held.Counter - 1, Proposer: held.Proposer}, Difference: nil},
-		{Base: held, Difference: []byte("damaged")},
-		{Base: held, Difference: nil},
+		{BaseBallot: ids.Ballot{Counter: held.Counter - 1, Proposer: held.Proposer}, Delta: nil},
+		{BaseBallot: held, Delta: []byte("damaged")},
+		{BaseBallot: held, Delta: nil},
 	} {
-		m.Key, m.Ballot, m.VoterSet, m.Round = "policy", next, 1, 9
-		b.AcceptDifference("a", m)
+		m.Key, m.Ballot, m.VoterSetNumber, m.Round = "policy", next, 1, 9
+		b.HandleAcceptDifference("a", m)
 		list := b.Drain()
 		is.Equal(len(list), 1)
 		answer := list[0].(event.Sync)
 		is.Equal(len(answer.Records), 0)
 		vote := answer.After[0].(event.Send).Msg.(Accepted)
-		is.True(!vote.OK && vote.Whole)
-		has, got := b.Value("policy")
+		is.True(!vote.OK && vote.NeedsWholeValue)
+		has, got := b.AcceptedValue("policy")
 		is.Equal(has, held)
 		is.True(bytes.Equal(got, value))
 	}
@@ -213,11 +213,11 @@
 	if promised {
 		// Its own proposer asked, as it came back, under a ballot above all others.
 		c := all["c"]
-		c.Prepare("c", Prepare{Key: "policy", Ballot: ids.Ballot{Counter: 1 << 50, Proposer: 3}, VoterSet: 1, Round: 1})
+		c.HandlePrepare("c", Prepare{Key: "policy", Ballot: ids.Ballot{Counter: 1 << 50, Proposer: 3}, VoterSetNumber: 1, Round: 1})
 	}
 	back := now
 	read := func() {
-		all["b"].Submit(now, "w", Request{ID: 1, Key: "policy", Op: Read, Wait: 60000})
+		all["b"].Submit(now, "w", Request{ID: 1, Key: "policy", Op: Read, TimeoutMillis: 60000})
 	}
 	for now.Sub(back) < 2*time.Second {
 		if now.Sub(back)%(500*time.Millisecond) == 0 {
--- a/internal/state/consensus/founding_model_test.go
+++ b/internal/state/consensus/founding_model_test.go
@@ -45,7 +45,7 @@
 	proposal := func(p foundingProposal) { write(p.round, p.set[0], p.set[1], p.set[2]) }
 	for _, n := range s.nodes {
 		write(n.id, n.record.Round)
-		for _, v := range n.record.Proposed {
+		for _, v := range n.record.PromisedVoterSets {
 			write(v.Voters[0].ID, v.Voters[1].ID, v.Voters[2].ID)
 		}
 		proposal(n.active)
@@ -90,11 +90,11 @@
 // The model finds the mistakes that the rules are there for.
 func TestFoundingModelFindsMistakes(t *testing.T) {
 	anySet, anyFollow := soundFoundingRules, soundFoundingRules
-	anySet.promise = func(f FoundingRecord, r FoundingRequest) (FoundingRecord, string) {
-		f.Proposed = nil // what was promised before is forgotten
+	anySet.promise = func(f BootstrapRecord, r BootstrapRequest) (BootstrapRecord, string) {
+		f.PromisedVoterSets = nil // what was promised before is forgotten
 		return f.Promise(r)
 	}
-	anyFollow.follows = func(FoundingRecord, Bootstrap, Voter) bool { return true }
+	anyFollow.follows = func(BootstrapRecord, Bootstrap, Voter) bool { return true }
 	for name, rules := range map[string]foundingRules{"promises forgotten": anySet, "promises ignored": anyFollow} {
 		visited, _, broken := exploreFounding(100, rules)
 		t.Logf("%s: %s after %d states", name, broken, visited)
--- a/internal/state/consensus/founding_state_test.go
+++ b/internal/state/consensus/founding_state_test.go
@@ -30,7 +30,7 @@
 // seedNode is one seed: its disk's id, its record, and the set it is active in.
 type seedNode struct {
 	id       uint64
-	record   FoundingRecord
+	record   BootstrapRecord
 	active   foundingProposal
 	proposal foundingProposal
 }
@@ -76,11 +76,11 @@
 
 // foundingRules are the decisions under test; a mistake may be planted in them.
 type foundingRules struct {
-	promise func(f FoundingRecord, r FoundingRequest) (FoundingRecord, string)
-	follows func(f FoundingRecord, b Bootstrap, from Voter) bool
+	promise func(f BootstrapRecord, r BootstrapRequest) (BootstrapRecord, string)
+	follows func(f BootstrapRecord, b Bootstrap, from Voter) bool
 }
 
-var soundFoundingRules = foundingRules{promise: FoundingRecord.Promise, follows: FoundingRecord.Follows}
+var soundFoundingRules = foundingRules{promise: BootstrapRecord.Promise, follows: BootstrapRecord.MayAdopt}
 
 // idsAt are the disks that an address has had: hellos of old ones may be late.
 func (s foundingState) idsAt(i int) []uint64 {
@@ -149,7 +149,7 @@
 			promised++
 		}
 	}
-	if promised == 3 && f.record.Repeats(FoundingRequest{f.proposal.round, f.proposal.set.voterSet()}) {
+	if promised == 3 && f.record.IsLastPromised(BootstrapRequest{f.proposal.round, f.proposal.set.voterSet()}) {
 		c := s.clone()
 		c.activate(0, f.proposal)
 		out = append(out, c)
@@ -167,7 +167,7 @@
 		if !slices.Contains(p.set[:], n.id) {
 			continue
 		}
-		if record, why := rules.promise(n.record, FoundingRequest{p.round, p.set.voterSet()}); why == "" {
+		if record, why := rules.promise(n.record, BootstrapRequest{p.round, p.set.voterSet()}); why == "" {
 			c := s.clone()
 			c.nodes[i].record = record
 			c.promises = addMessage(c.promises, foundingPromiseMessage{p, n.id})
--- a/internal/state/consensus/lossy_test.go
+++ b/internal/state/consensus/lossy_test.go
@@ -116,7 +116,7 @@
 // hand gives a message to its store, and counts what came of a difference.
 func (l *lossyRun) hand(from ids.Address, c event.Send) {
 	to := l.all[c.To]
-	if vote, ok := c.Msg.(Accepted); ok && vote.Whole {
+	if vote, ok := c.Msg.(Accepted); ok && vote.NeedsWholeValue {
 		l.wholes++
 	}
 	v, ok := c.Msg.(AcceptDifference)
@@ -124,9 +124,9 @@
 		give(l.now, to, from, c.Msg)
 		return
 	}
-	held, _ := to.Value(v.Key)
+	held, _ := to.AcceptedValue(v.Key)
 	give(l.now, to, from, c.Msg)
-	if now, _ := to.Value(v.Key); now != held && now == v.Ballot {
+	if now, _ := to.AcceptedValue(v.Key); now != held && now == v.Ballot {
 		l.differences++
 	}
 }
@@ -144,7 +144,7 @@
 				arg = base
 			}
 			at := []ids.Address{"a", "b", "c"}[l.random.IntN(3)]
-			l.all[at].Submit(l.now, "w", Request{ID: uint64(i), Key: "policy", Op: opAdd, Arg: arg, Wait: 3000})
+			l.all[at].Submit(l.now, "w", Request{ID: uint64(i), Key: "policy", Op: opAdd, Arg: arg, TimeoutMillis: 3000})
 			for range 60 {
 				l.step()
 			}
--- a/internal/state/consensus/messages.go
+++ b/internal/state/consensus/messages.go
@@ -21,8 +21,8 @@
 	Number   uint64
 	Voters   []Voter
 	Incoming []Voter
-	// Loss counts the times that disks were given up and marks with them.
-	Loss uint64
+	// LossCount counts the times that disks were given up and marks with them.
+	LossCount uint64
 	// Learners are the ids of voters that have not yet said that their copy is
 	// complete. Safety does not rest on it: a voter knows by its own disk whether
 	// it may vote. It keeps a change from leaving too few that can.
@@ -34,57 +34,57 @@
 
 // Prepare asks for a promise, Peek set only for what was accepted.
 type Prepare struct {
-	Key      ids.RegisterKey
-	Ballot   ids.Ballot
-	VoterSet uint64
-	Round    uint64
-	ReadOnly bool
-	// Known is the ballot of a value that the proposer has at hand; one who holds
+	Key            ids.RegisterKey
+	Ballot         ids.Ballot
+	VoterSetNumber uint64
+	Round          uint64
+	ReadOnly       bool
+	// KnownBallot is the ballot of a value that the proposer has at hand; one who holds
 	// that very value needn't send it.
-	Known ids.Ballot
+	KnownBallot ids.Ballot
 }
 
 // Promise answers Prepare. Promised above the asked ballot is a reject.
 type Promise struct {
-	Key      ids.RegisterKey
-	Store    uint64
-	Round    uint64
-	VoterSet uint64
-	Promised ids.Ballot
-	Accepted ids.Ballot
-	Value    []byte
+	Key            ids.RegisterKey
+	Store          uint64
+	Round          uint64
+	VoterSetNumber uint64
+	Promised       ids.Ballot
+	Accepted       ids.Ballot
+	Value          []byte
 	// Same: the value is left out, as it is that of the Known ballot.
-	Same bool
-	// Differences tells that this store reads AcceptDifference.
-	Differences bool
+	MatchesKnown bool
+	// ReadsDeltas tells that this store reads AcceptDifference.
+	ReadsDeltas bool
 }
 
 // Accept asks for a value to be kept, and with it for a promise to Next, so
 // that the proposer's next change needs no Prepare of its own.
 type Accept struct {
-	Key        ids.RegisterKey
-	Ballot     ids.Ballot
-	NextBallot ids.Ballot
-	VoterSet   uint64
-	Round      uint64
-	Value      []byte
+	Key            ids.RegisterKey
+	Ballot         ids.Ballot
+	NextBallot     ids.Ballot
+	VoterSetNumber uint64
+	Round          uint64
+	Value          []byte
 	// First: only where nobody has promised or accepted anything yet. It takes
 	// every store to choose such a value, not a majority.
-	First bool
+	FirstValue bool
 }
 
 // Accepted answers Accept.
 type Accepted struct {
-	Key      ids.RegisterKey
-	Store    uint64
-	Round    uint64
-	VoterSet uint64
-	OK       bool
-	Promised ids.Ballot
-	// Differences tells that this store reads AcceptDifference, Whole that it
+	Key            ids.RegisterKey
+	Store          uint64
+	Round          uint64
+	VoterSetNumber uint64
+	OK             bool
+	Promised       ids.Ballot
+	// ReadsDeltas tells that this store reads AcceptDifference, Whole that it
 	// doesn't hold the base of one and asks for the value itself.
-	Differences bool
-	Whole       bool
+	ReadsDeltas     bool
+	NeedsWholeValue bool
 }
 
 // News carries a voter set to one who goes by an older one.
@@ -96,8 +96,8 @@
 	Key ids.RegisterKey
 	Op  Op
 	Arg []byte
-	// Wait is how long the client will wait, in milliseconds.
-	Wait uint32
+	// TimeoutMillis is how long the client will wait, in milliseconds.
+	TimeoutMillis uint32
 	// Attempt counts the times it was sent; an answer speaks for that one alone.
 	Attempt uint32
 	// Have sums up the value that the client holds; a read that finds the same
@@ -112,7 +112,7 @@
 	Result  []byte
 	Attempt uint32
 	// Same: Out is left out, as the client has it.
-	Same bool
+	Unchanged bool
 }
 
 // Op names a change function.
@@ -133,19 +133,19 @@
 )
 
 // String names the state in logs.
-func (s Outcome) String() string {
-	return [...]string{"none", "done", "declined", "uncertain"}[min(s, 3)]
+func (o Outcome) String() string {
+	return [...]string{"none", "done", "declined", "uncertain"}[min(o, 3)]
 }
 
 // Page asks a member for its records after a key, for a newcomer's copy.
 type PageRequest struct {
-	VoterSet uint64
-	After    ids.RegisterKey
-	Number   uint64
-	// Epoch and Since ask only for what changed since an earlier copy: the run
+	VoterSetNumber uint64
+	AfterKey       ids.RegisterKey
+	PageNumber     uint64
+	// RunID and Since ask only for what changed since an earlier copy: the run
 	// that answered then, and its count of changes when that copy began.
-	Epoch uint64
-	Since uint64
+	RunID       uint64
+	SinceChange uint64
 }
 
 // Leaf is one record in a page.
@@ -157,28 +157,28 @@
 
 // Leaves answers Page.
 type PageResponse struct {
-	Store    uint64
-	VoterSet uint64
-	Number   uint64
-	Records  []PageRecord
-	Last     bool
-	// Epoch names the run that answers, Changes its count of changes up to which
+	Store          uint64
+	VoterSetNumber uint64
+	PageNumber     uint64
+	Records        []PageRecord
+	Last           bool
+	// RunID names the run that answers, Changes its count of changes up to which
 	// the records go: for a whole copy that of its first page, for one of changes
 	// that of this page. Delta tells that these are changes alone.
-	Epoch   uint64
-	Changes uint64
-	Delta   bool
+	RunID       uint64
+	ChangeCount uint64
+	Delta       bool
 }
 
 // Hello is how blank and founded stores learn of one another.
 type Hello struct {
-	Store    Voter
-	Blank    bool
-	VoterSet uint64
-	// Response is set on the answer, which must not be answered again.
-	Response bool
+	Store          Voter
+	Blank          bool
+	VoterSetNumber uint64
+	// IsReply is set on the answer, which must not be answered again.
+	IsReply bool
 	// Copied: it has no vote, but has copied once what a majority of the voters hold.
-	Copied bool
+	HasCopied bool
 }
 
 // Found hands the first voter set to a blank member.
@@ -212,8 +212,8 @@
 	wire.Register(30, Bootstrap{}) && wire.Register(31, ConfigurationQuery{}) &&
 	wire.Register(32, ConfigurationReply{}) && wire.Register(33, Chosen{})
 
-// Majority tells whether the stores that said yes suffice under the voter set.
-func (r VoterSet) Majority(yes map[uint64]bool) bool {
+// IsQuorum tells whether the stores that said yes suffice under the voter set.
+func (s VoterSet) IsQuorum(yes map[uint64]bool) bool {
 	half := func(list []Voter) bool {
 		n := 0
 		for _, s := range list {
@@ -223,12 +223,12 @@
 		}
 		return n*2 > len(list)
 	}
-	return len(r.Voters) > 0 && half(r.Voters) && (len(r.Incoming) == 0 || half(r.Incoming))
+	return len(s.Voters) > 0 && half(s.Voters) && (len(s.Incoming) == 0 || half(s.Incoming))
 }
 
-// Has tells whether a store votes under the voter set.
-func (r VoterSet) Has(id uint64) bool {
-	for _, s := range r.All() {
+// HasVoter tells whether a store votes under the voter set.
+func (s VoterSet) HasVoter(id uint64) bool {
+	for _, s := range s.AllVoters() {
 		if s.ID == id {
 			return true
 		}
@@ -236,11 +236,11 @@
 	return false
 }
 
-// All gives each store once.
-func (r VoterSet) All() []Voter {
+// AllVoters gives each store once.
+func (s VoterSet) AllVoters() []Voter {
 	seen := map[uint64]bool{}
 	var out []Voter
-	for _, s := range append(append([]Voter{}, r.Voters...), r.Incoming...) {
+	for _, s := range append(append([]Voter{}, s.Voters...), s.Incoming...) {
 		if !seen[s.ID] {
 			seen[s.ID] = true
 			out = append(out, s)
--- a/internal/state/consensus/model_chosen_test.go
+++ b/internal/state/consensus/model_chosen_test.go
@@ -10,25 +10,25 @@
 func (w *modelState) note(by *modelStore, m Accept) {
 	set := by.acceptor.voterSet
 	at := slices.IndexFunc(w.votes, func(v modelVote) bool {
-		return v.key == m.Key && v.ballot == m.Ballot && v.number == m.VoterSet
+		return v.key == m.Key && v.ballot == m.Ballot && v.number == m.VoterSetNumber
 	})
 	if at < 0 {
 		at = len(w.votes)
-		w.votes = append(w.votes, modelVote{key: m.Key, ballot: m.Ballot, number: m.VoterSet, voters: set.Voters, value: string(m.Value)})
+		w.votes = append(w.votes, modelVote{key: m.Key, ballot: m.Ballot, number: m.VoterSetNumber, voters: set.Voters, value: string(m.Value)})
 	}
 	v := &w.votes[at]
 	if v.value != string(m.Value) {
 		w.wrong = fmt.Sprintf("two values of one ballot %v", m.Ballot)
 	}
-	if !slices.Contains(v.by, by.acceptor.store) {
-		v.by = append(slices.Clone(v.by), by.acceptor.store)
+	if !slices.Contains(v.by, by.acceptor.storeID) {
+		v.by = append(slices.Clone(v.by), by.acceptor.storeID)
 		slices.Sort(v.by)
 	}
 	yes := map[uint64]bool{}
 	for _, id := range v.by {
 		yes[id] = true
 	}
-	if !v.chosen && (VoterSet{Voters: v.voters}).Majority(yes) {
+	if !v.chosen && (VoterSet{Voters: v.voters}).IsQuorum(yes) {
 		v.chosen = true
 		w.checkChosen(*v)
 	}
--- a/internal/state/consensus/model_rounds_test.go
+++ b/internal/state/consensus/model_rounds_test.go
@@ -22,7 +22,7 @@
 	if lost, ok := w.place(i); ok && !s.joined {
 		do(func(n *modelState) { n.join(i, lost); n.reach(i, reached, VoterSetKey) })
 	}
-	if !s.reported && a.DiskState() == Complete && slices.Contains(a.voterSet.Learners, a.store) {
+	if !s.reported && a.DiskState() == Complete && slices.Contains(a.voterSet.Learners, a.storeID) {
 		do(func(n *modelState) { n.report(i); n.reach(i, reached, VoterSetKey) })
 	}
 	if b.coarse && !w.wroteQ && a.MayVote() {
@@ -32,7 +32,7 @@
 
 func (w *modelState) report(i int) {
 	w.touch(i).reported = true
-	w.submit(i, OpLearned, LearnedReport{ID: w.stores[i].acceptor.store})
+	w.submit(i, OpPromoteLearner, PromoteLearnerRequest{ID: w.stores[i].acceptor.storeID})
 }
 
 // reach lets a round of store i through to some machines, to its end; what it
@@ -42,7 +42,7 @@
 		return
 	}
 	ours := func(p modelPacket) bool {
-		return p.from == i && p.store == w.stores[i].acceptor.store && keyOf(p.msg) == key && !p.old
+		return p.from == i && p.store == w.stores[i].acceptor.storeID && keyOf(p.msg) == key && !p.old
 	}
 	for {
 		at := slices.IndexFunc(w.net, func(p modelPacket) bool { return ours(p) && slices.Contains(some, p.to) })
--- a/internal/state/consensus/model_search_test.go
+++ b/internal/state/consensus/model_search_test.go
@@ -94,10 +94,10 @@
 func (w *modelState) tolerable() bool {
 	have := map[uint64]bool{}
 	for _, s := range w.stores {
-		have[s.acceptor.store] = s.acceptor.DiskState() == Complete
+		have[s.acceptor.storeID] = s.acceptor.DiskState() == Complete
 	}
 	for _, set := range w.sets {
-		if set.Majority(have) {
+		if set.IsQuorum(have) {
 			return true
 		}
 	}
@@ -144,8 +144,8 @@
 			}
 		}
 		_, asking = w.stores[i].proposer.rounds[VoterSetKey]
-		if a := w.stores[i].acceptor; !asking && a.DiskState() == Complete && slices.Contains(a.voterSet.Learners, a.store) {
-			w.submit(i, OpLearned, LearnedReport{ID: a.store})
+		if a := w.stores[i].acceptor; !asking && a.DiskState() == Complete && slices.Contains(a.voterSet.Learners, a.storeID) {
+			w.submit(i, OpPromoteLearner, PromoteLearnerRequest{ID: a.storeID})
 		}
 		if len(w.stores[i].proposer.rounds) > 0 {
 			w.tick(i)
@@ -183,7 +183,7 @@
 	if !strings.Contains(w.acked, "z") {
 		return "a whole voter set takes no change"
 	}
-	_, value := w.stores[0].acceptor.Value("x")
+	_, value := w.stores[0].acceptor.AcceptedValue("x")
 	for _, token := range acked {
 		if strings.Count(string(value), string(token)) != 1 {
 			return "acknowledged " + acked + ", but the value is " + string(value)
--- a/internal/state/consensus/model_state_test.go
+++ b/internal/state/consensus/model_state_test.go
@@ -69,7 +69,7 @@
 func newModelStore(id uint64, d modelDisk, run uint64) *modelStore {
 	s := &modelStore{disk: d, run: run, now: 1}
 	s.acceptor = NewAcceptor(id, d, &s.Outbox)
-	s.acceptor.SetEpoch(run)
+	s.acceptor.SetRunID(run)
 	s.proposer = NewProposer(id<<24|run, s.acceptor.VoterSet, modelOps(), rand.New(sameRandom{}), &s.Outbox)
 	return s
 }
@@ -104,12 +104,12 @@
 	p.out, p.voterSet = &c.Outbox, a.VoterSet
 	p.voterSet = c.acceptor.VoterSet
 	p.promisedBallots, p.cachedValues = maps.Clone(p.promisedBallots), maps.Clone(p.cachedValues)
-	p.order = slices.Clone(p.order)
+	p.promisedOrder = slices.Clone(p.promisedOrder)
 	p.rounds = map[ids.RegisterKey]*round{}
 	for k, r := range s.proposer.rounds {
 		p.rounds[k] = cloneRound(r)
 	}
-	p.peers = clonePeers(s.proposer.peers)
+	p.replicaTracker = clonePeers(s.proposer.replicaTracker)
 	c.proposer = &p
 	for id, from := range s.copier.sources {
 		to := *from
@@ -118,15 +118,15 @@
 	return c
 }
 
-func clonePeers(from peers) peers {
-	to := newPeers()
-	for id, x := range from.stores {
+func clonePeers(from replicaTracker) replicaTracker {
+	to := newReplicaTracker()
+	for id, x := range from.peers {
 		one := *x
-		to.stores[id] = &one
+		to.peers[id] = &one
 	}
-	to.settled, to.again = maps.Clone(from.settled), maps.Clone(from.again)
-	for k, sent := range from.broughtUp {
-		to.broughtUp[k] = maps.Clone(sent)
+	to.chosen, to.mustRewrite = maps.Clone(from.chosen), maps.Clone(from.mustRewrite)
+	for k, sent := range from.catchUpSentAt {
+		to.catchUpSentAt[k] = maps.Clone(sent)
 	}
 	return to
 }
@@ -168,7 +168,7 @@
 		text(s.disk[k])
 	}
 	a, p := s.acceptor, s.proposer
-	number(a.store, a.voterSet.Number, uint64(a.standing.Standing), a.changes.count(), s.run, uint64(s.ticks), p.high, p.count)
+	number(a.storeID, a.voterSet.Number, uint64(a.diskState.State), a.changes.total(), s.run, uint64(s.ticks), p.highestCounter, p.lastRoundID)
 	truth(s.joined, s.reported)
 	for _, k := range slices.Sorted(maps.Keys(p.promisedBallots)) {
 		text([]byte(k))
@@ -178,18 +178,18 @@
 		text([]byte(k))
 		ballot(p.cachedValues[k].ballot)
 	}
-	for _, k := range slices.Sorted(maps.Keys(p.settled)) {
+	for _, k := range slices.Sorted(maps.Keys(p.chosen)) {
 		text([]byte(k))
-		ballot(p.settled[k].ballot)
-		truth(p.again[k])
-		number(uint64(len(p.broughtUp[k])))
+		ballot(p.chosen[k].ballot)
+		truth(p.mustRewrite[k])
+		number(uint64(len(p.catchUpSentAt[k])))
 	}
 	for _, k := range slices.Sorted(maps.Keys(p.rounds)) {
 		r := p.rounds[k]
 		text([]byte(k))
-		number(uint64(r.phase), r.id, r.floor, uint64(len(r.queued)), uint64(len(r.batch)))
+		number(uint64(r.phase), r.id, r.minCounter, uint64(len(r.queued)), uint64(len(r.batch)))
 		ballot(r.ballot)
-		ballot(r.next)
+		ballot(r.nextBallot)
 		text(r.value)
 		for _, id := range slices.Sorted(maps.Keys(r.promises)) {
 			number(id)
@@ -201,8 +201,8 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.copier.sources)) {
 		c := s.copier.sources[id]
-		number(id, c.set, c.epoch, c.changes, c.sealed)
-		truth(c.begun, c.whole)
+		number(id, c.passVoterSet, c.runID, c.changeCount, c.lastPassVoterSet)
+		truth(c.passRunning, c.fullPassDone)
 	}
 	h := fnv.New64a()
 	h.Write(b)
--- a/internal/state/consensus/model_test.go
+++ b/internal/state/consensus/model_test.go
@@ -53,14 +53,14 @@
 func (w *modelState) ask(i int, who ids.Address, token string) {
 	s := w.touch(i)
 	s.proposer.IsReachable = func(uint64) bool { return false }
-	s.proposer.Submit(s.now, who, Request{ID: 1, Key: "x", Op: opAdd, Arg: []byte(token), Wait: 1 << 31})
+	s.proposer.Submit(s.now, who, Request{ID: 1, Key: "x", Op: opAdd, Arg: []byte(token), TimeoutMillis: 1 << 31})
 	w.run(i)
 }
 
 func (w *modelState) submit(i int, op Op, arg any) {
 	raw, _ := packed(arg)
 	s := w.touch(i)
-	s.proposer.Submit(s.now, modelAddresses[i], Request{ID: 2, Key: VoterSetKey, Op: op, Arg: raw, Wait: 1 << 31})
+	s.proposer.Submit(s.now, modelAddresses[i], Request{ID: 2, Key: VoterSetKey, Op: op, Arg: raw, TimeoutMillis: 1 << 31})
 	w.run(i)
 }
 
@@ -111,14 +111,14 @@
 func (w *modelState) wipe(i int, hears bool) {
 	s := w.stores[i]
 	if w.old == nil {
-		w.old, w.oldID, w.oldAt, w.oldRun = s.disk, s.acceptor.store, i, s.run
+		w.old, w.oldID, w.oldAt, w.oldRun = s.disk, s.acceptor.storeID, i, s.run
 	}
 	w.wipes++
 	w.lossCame = true
 	w.lastID++
 	id := w.lastID
 	if w.fault.keepsID {
-		id = s.acceptor.store
+		id = s.acceptor.storeID
 	}
 	w.stores[i] = newModelStore(id, modelDisk{}, 1)
 	w.stores[i].proposer.IsReachable = func(uint64) bool { return false }
@@ -138,7 +138,7 @@
 	w.crashes++
 	w.lossCame = true
 	s := w.touch(i)
-	w.restart(i, s.acceptor.store, s.disk, s.run+1)
+	w.restart(i, s.acceptor.storeID, s.disk, s.run+1)
 }
 
 // putBack gives a machine the disk that was lost first.
@@ -160,7 +160,7 @@
 	s := newModelStore(id, d, run)
 	s.proposer.IsReachable = func(uint64) bool { return false }
 	if w.fault.replacedVotes {
-		s.acceptor.standing = standing{uint8(Complete)}
+		s.acceptor.diskState = diskStateRecord{uint8(Complete)}
 	}
 	w.stores[i] = s
 }
@@ -176,7 +176,7 @@
 // place is the voter whose place a blank store may ask for.
 func (w *modelState) place(i int) (uint64, bool) {
 	a := w.stores[i].acceptor
-	if a.DiskState() != Blank || a.voterSet.Number == 0 || a.voterSet.Has(a.store) {
+	if a.DiskState() != Blank || a.voterSet.Number == 0 || a.voterSet.HasVoter(a.storeID) {
 		return 0, false
 	}
 	for _, v := range a.voterSet.Voters {
@@ -190,7 +190,7 @@
 func (w *modelState) join(i int, lost uint64) {
 	w.touch(i).joined = true
 	a := w.stores[i].acceptor
-	w.submit(i, OpReplace, ReplaceRequest{New: Voter{a.store, modelAddresses[i]}, Lost: lost, Replicas: 3})
+	w.submit(i, OpReplace, ReplaceRequest{New: Voter{a.storeID, modelAddresses[i]}, LostID: lost, Replicas: 3})
 }
 
 func (w *modelState) mayComplete(s *modelStore, set VoterSet) bool {
@@ -198,7 +198,7 @@
 		// A copy from before the change was agreed counts as good enough.
 		set.Number--
 	}
-	return w.fault.votesBlank || s.copier.CompleteUnder(set)
+	return w.fault.votesBlank || s.copier.IsCompleteFor(set)
 }
 
 // mayCopy tells whether store i would ask j for a page and be given it.
@@ -206,22 +206,22 @@
 	to, from := w.stores[i], w.stores[j].acceptor
 	set := to.acceptor.voterSet
 	return i != j && to.acceptor.DiskState() == Blank && set.Number > 0 && from.voterSet.Number == set.Number &&
-		from.MayVote() && to.copier.Sealed(from.store) < set.Number
+		from.MayVote() && to.copier.LastPassVoterSet(from.storeID) < set.Number
 }
 
 // copyFrom is one pass of a newcomer's copy; these disks fit into one page.
 func (w *modelState) copyFrom(i, j int) {
 	to, from := w.touch(i), w.touch(j)
 	set := to.acceptor.voterSet
-	to.copier.Begin(from.acceptor.store)
-	from.acceptor.Page(modelAddresses[i], to.copier.Request(from.acceptor.store, set.Number))
+	to.copier.BeginPass(from.acceptor.storeID)
+	from.acceptor.HandlePageRequest(modelAddresses[i], to.copier.NextRequest(from.acceptor.storeID, set.Number))
 	for _, c := range from.Drain() {
 		page := c.(event.Sync).After[0].(event.Send).Msg.(PageResponse)
-		if !to.copier.Take(page) {
+		if !to.copier.HandlePage(page) {
 			w.wrong = "a page was not taken"
 		}
 		for _, record := range page.Records {
-			to.acceptor.Merge(record)
+			to.acceptor.MergeRecord(record)
 		}
 	}
 	w.run(i)
@@ -233,7 +233,7 @@
 func (w *modelState) completeIfDue(i int) {
 	to := w.stores[i]
 	set := to.acceptor.voterSet
-	if set.Has(to.acceptor.store) && w.mayComplete(to, set) {
+	if set.HasVoter(to.acceptor.storeID) && w.mayComplete(to, set) {
 		to.acceptor.MarkComplete()
 		w.run(i)
 	}
--- a/internal/state/consensus/model_world_test.go
+++ b/internal/state/consensus/model_world_test.go
@@ -120,7 +120,7 @@
 	switch m := c.Msg.(type) {
 	case Prepare, Accept:
 		to := slices.Index(modelAddresses, c.To)
-		p := modelPacket{from: i, to: to, store: s.acceptor.store, run: s.run, msg: m}
+		p := modelPacket{from: i, to: to, store: s.acceptor.storeID, run: s.run, msg: m}
 		h := fnv.New64a()
 		fmt.Fprint(h, p.from, p.to, p.store, p.run, p.msg)
 		p.hash = h.Sum64()
@@ -148,7 +148,7 @@
 		w.sets = append(w.sets, set)
 	}
 	if s.acceptor.AdoptVoterSet(set) {
-		s.proposer.Restart(s.now)
+		s.proposer.RestartRounds(s.now)
 		w.run(i)
 		if s.acceptor.DiskState() == Blank {
 			w.completeIfDue(i)
@@ -169,9 +169,9 @@
 	}
 	switch m := p.msg.(type) {
 	case Prepare:
-		s.acceptor.Prepare(modelAddresses[p.from], m)
+		s.acceptor.HandlePrepare(modelAddresses[p.from], m)
 	case Accept:
-		s.acceptor.Accept(modelAddresses[p.from], m)
+		s.acceptor.HandleAccept(modelAddresses[p.from], m)
 	}
 	for _, c := range s.Drain() {
 		y := c.(event.Sync)
@@ -186,9 +186,9 @@
 func askedUnder(msg any) uint64 {
 	switch m := msg.(type) {
 	case Prepare:
-		return m.VoterSet
+		return m.VoterSetNumber
 	case Accept:
-		return m.VoterSet
+		return m.VoterSetNumber
 	}
 	return 0
 }
@@ -198,7 +198,7 @@
 		w.note(by, p.msg.(Accept))
 	}
 	q := w.stores[p.from]
-	if q.acceptor.store != p.store || q.run != p.run {
+	if q.acceptor.storeID != p.store || q.run != p.run {
 		return
 	}
 	if by != q {
--- a/internal/state/consensus/page.go
+++ b/internal/state/consensus/page.go
@@ -9,25 +9,25 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// Page serves a newcomer; only members that know of its voter set may.
-func (a *Acceptor) Page(from ids.Address, m PageRequest) {
-	if m.VoterSet != a.voterSet.Number {
-		if m.VoterSet < a.voterSet.Number {
+// HandlePageRequest serves a newcomer; only members that know of its voter set may.
+func (a *Acceptor) HandlePageRequest(from ids.Address, m PageRequest) {
+	if m.VoterSetNumber != a.voterSet.Number {
+		if m.VoterSetNumber < a.voterSet.Number {
 			a.AfterSync(event.Send{To: from, Msg: VoterSetUpdate{a.voterSet}})
 		}
 		return
 	}
-	if a.damaged || !a.mayServe() {
+	if a.damaged || !a.mayServePages() {
 		return
 	}
-	if a.changes.covers(m.Epoch, m.Since) {
-		a.sendChanges(from, m)
+	if a.changes.covers(m.RunID, m.SinceChange) {
+		a.sendChangedRecords(from, m)
 		return
 	}
-	list := a.storage.Scan(slotPrefix+m.After, recordsInPage)
+	list := a.storage.Scan(registerPrefix+m.AfterKey, maxPageRecords)
 	l := PageResponse{
-		Store: a.store, VoterSet: m.VoterSet, Number: m.Number, Last: len(list) < recordsInPage,
-		Epoch: a.changes.epoch, Changes: a.changes.count(),
+		Store: a.storeID, VoterSetNumber: m.VoterSetNumber, PageNumber: m.PageNumber, Last: len(list) < maxPageRecords,
+		RunID: a.changes.runID, ChangeCount: a.changes.total(),
 	}
 	// What is still on its way to the disk belongs in the page as well.
 	rows := map[ids.RegisterKey][]byte{}
@@ -35,34 +35,34 @@
 		rows[r.Key] = r.Value
 	}
 	for k, w := range a.unsynced {
-		if strings.HasPrefix(string(k), slotPrefix) && k > slotPrefix+m.After && (l.Last || k <= list[len(list)-1].Key) {
+		if strings.HasPrefix(string(k), registerPrefix) && k > registerPrefix+m.AfterKey && (l.Last || k <= list[len(list)-1].Key) {
 			rows[k] = w.raw
 		}
 	}
 	for key, r := range a.registers {
-		if k := slotPrefix + key; r.onDisk && k > slotPrefix+m.After && (l.Last || k <= list[len(list)-1].Key) {
+		if k := registerPrefix + key; r.hasBase && k > registerPrefix+m.AfterKey && (l.Last || k <= list[len(list)-1].Key) {
 			rows[k] = nil
 		}
 	}
 	for _, k := range slices.Sorted(maps.Keys(rows)) {
-		if s, ok := a.pageState(k, rows[k]); ok {
-			l.Records = append(l.Records, PageRecord{k[len(slotPrefix):], s.Accepted, s.Value})
+		if s, ok := a.pageRegisterState(k, rows[k]); ok {
+			l.Records = append(l.Records, PageRecord{k[len(registerPrefix):], s.Accepted, s.Value})
 		}
 	}
 	a.AfterSync(event.Send{To: from, Msg: l})
 }
 
-// pageState gives a register as it stands, with the changes behind its base.
-func (a *Acceptor) pageState(k ids.RegisterKey, raw []byte) (RegisterState, bool) {
-	if key := k[len(slotPrefix):]; !isIdempotencyKey(key) {
-		return a.slot(key), true
+// pageRegisterState gives a register as it stands, with the changes behind its base.
+func (a *Acceptor) pageRegisterState(k ids.RegisterKey, raw []byte) (RegisterState, bool) {
+	if key := k[len(registerPrefix):]; !isIdempotencyKey(key) {
+		return a.registerState(key), true
 	}
-	return unpack[RegisterState](raw)
+	return decodeMessage[RegisterState](raw)
 }
 
-// Merge takes a record that a newcomer copied, if its ballot is higher.
-func (a *Acceptor) Merge(l PageRecord) {
-	s := a.slot(l.Key)
+// MergeRecord takes a record that a newcomer copied, if its ballot is higher.
+func (a *Acceptor) MergeRecord(l PageRecord) {
+	s := a.registerState(l.Key)
 	if !s.Accepted.Less(l.Accepted) {
 		return
 	}
@@ -70,5 +70,5 @@
 	if s.Promised.Less(l.Accepted) {
 		s.Promised = l.Accepted
 	}
-	a.save(l.Key, s)
+	a.saveRegister(l.Key, s)
 }
--- a/internal/state/consensus/patience_test.go
+++ b/internal/state/consensus/patience_test.go
@@ -36,7 +36,7 @@
 	is := is.New(t)
 	all := rooms(t)
 	a := all["a"]
-	a.Submit(1, "w", Request{ID: 1, Key: "x", Op: opAdd, Arg: make([]byte, largeSize), Wait: 60000})
+	a.Submit(1, "w", Request{ID: 1, Key: "x", Op: opAdd, Arg: make([]byte, largeSize), TimeoutMillis: 60000})
 	copies := 0
 	for now := ids.Time(1); now < ids.Time(2*time.Second); now = now.Add(20 * time.Millisecond) {
 		a.Proposer.Tick(now)
--- a/internal/state/consensus/peers.go
+++ b/internal/state/consensus/peers.go
@@ -6,76 +6,76 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// peers is what a proposer knows of the stores that it asks.
-type peers struct {
-	stores map[uint64]*peer
-	// settled holds values that a majority holds, broughtUp when a store that
+// replicaTracker is what a proposer knows of the stores that it asks.
+type replicaTracker struct {
+	peers map[uint64]*peerState
+	// chosen holds values that a majority holds, broughtUp when a store that
 	// missed one was given it.
-	settled   map[ids.RegisterKey]settledValue
-	broughtUp map[ids.RegisterKey]map[uint64]ids.Time
-	// again holds registers whose value is to be agreed on once more as it is.
-	again map[ids.RegisterKey]bool
+	chosen        map[ids.RegisterKey]chosenValue
+	catchUpSentAt map[ids.RegisterKey]map[uint64]ids.Time
+	// mustRewrite holds registers whose value is to be agreed on once more as it is.
+	mustRewrite map[ids.RegisterKey]bool
 }
 
-// peer is one store.
-type peer struct {
+// peerState is one store.
+type peerState struct {
 	// readsDifferences: it said so. One of an earlier version skips what it
 	// doesn't know, and would never answer.
-	readsDifferences bool
-	// unanswered counts the rounds in a row that ended without its vote.
-	unanswered int
-	wholeAt    ids.Time
+	readsDeltas bool
+	// missedRounds counts the rounds in a row that ended without its vote.
+	missedRounds     int
+	lastWholeValueAt ids.Time
 }
 
 const (
-	// mostUnanswered is when a store no longer counts as one that reads
+	// maxMissedRounds is when a store no longer counts as one that reads
 	// differences: it may have gone back to an earlier version.
-	mostUnanswered = 3
-	// wholeEvery bounds how often a store that doesn't answer is sent a large
+	maxMissedRounds = 3
+	// wholeValueInterval bounds how often a store that doesn't answer is sent a large
 	// value: what it can't take now would queue up.
-	wholeEvery = time.Second
+	wholeValueInterval = time.Second
 )
 
-func newPeers() peers {
-	return peers{
-		stores: map[uint64]*peer{}, settled: map[ids.RegisterKey]settledValue{}, broughtUp: map[ids.RegisterKey]map[uint64]ids.Time{},
-		again: map[ids.RegisterKey]bool{},
+func newReplicaTracker() replicaTracker {
+	return replicaTracker{
+		peers: map[uint64]*peerState{}, chosen: map[ids.RegisterKey]chosenValue{}, catchUpSentAt: map[ids.RegisterKey]map[uint64]ids.Time{},
+		mustRewrite: map[ids.RegisterKey]bool{},
 	}
 }
 
-func (p *peers) peer(store uint64) *peer {
-	if p.stores[store] == nil {
-		p.stores[store] = &peer{}
+func (t *replicaTracker) peer(store uint64) *peerState {
+	if t.peers[store] == nil {
+		t.peers[store] = &peerState{}
 	}
-	return p.stores[store]
+	return t.peers[store]
 }
 
-// answered notes a store's answer.
-func (p *peers) answered(store uint64, readsDifferences bool) {
-	x := p.peer(store)
-	x.unanswered = 0
-	x.readsDifferences = x.readsDifferences || readsDifferences
+// recordResponse notes a store's answer.
+func (t *replicaTracker) recordResponse(store uint64, readsDifferences bool) {
+	x := t.peer(store)
+	x.missedRounds = 0
+	x.readsDeltas = x.readsDeltas || readsDifferences
 }
 
-// missed notes the stores whose vote a round ended without.
-func (p *peers) missed(voters []Voter, votes map[uint64]bool) {
+// recordMissedVotes notes the stores whose vote a round ended without.
+func (t *replicaTracker) recordMissedVotes(voters []Voter, votes map[uint64]bool) {
 	for _, s := range voters {
 		if votes[s.ID] {
 			continue
 		}
-		x := p.peer(s.ID)
-		x.unanswered++
-		if x.unanswered >= mostUnanswered {
-			x.readsDifferences = false
+		x := t.peer(s.ID)
+		x.missedRounds++
+		if x.missedRounds >= maxMissedRounds {
+			x.readsDeltas = false
 		}
 	}
 }
 
-// mayTakeWhole tells whether to send a large value now, and notes that it is.
-func (x *peer) mayTakeWhole(now ids.Time) bool {
-	if x.unanswered > 0 && x.wholeAt != 0 && now.Sub(x.wholeAt) < wholeEvery {
+// allowWholeValue tells whether to send a large value now, and notes that it is.
+func (p *peerState) allowWholeValue(now ids.Time) bool {
+	if p.missedRounds > 0 && p.lastWholeValueAt != 0 && now.Sub(p.lastWholeValueAt) < wholeValueInterval {
 		return false
 	}
-	x.wholeAt = now
+	p.lastWholeValueAt = now
 	return true
 }
--- a/internal/state/consensus/registers.go
+++ b/internal/state/consensus/registers.go
@@ -20,21 +20,21 @@
 
 const (
 	changePrefix = "diff/"
-	// differencesFrom is the least value that is worth a difference.
-	differencesFrom = 4 << 10
-	// mostChangesBehind bounds what a restart has to apply. The changes are folded
+	// minDeltaValueSize is the least value that is worth a difference.
+	minDeltaValueSize = 4 << 10
+	// maxChangesPerBase bounds what a restart has to apply. The changes are folded
 	// into a new base there, or where they are as long as the value itself, so that
 	// folding costs no more a change than the change did.
-	mostChangesBehind = 4096
+	maxChangesPerBase = 4096
 	checksumSize      = 4
 )
 
 // registerChange is one change behind a base. Its Difference leads from the value
 // before it to the one accepted; empty means that the value stays as it is.
 type registerChange struct {
-	Promised   ids.Ballot
-	Accepted   ids.Ballot
-	Difference []byte
+	Promised ids.Ballot
+	Accepted ids.Ballot
+	Delta    []byte
 }
 
 var _ = wire.Register(47, registerChange{})
@@ -43,23 +43,23 @@
 type register struct {
 	RegisterState
 	// onDisk: there is a base; changes and size tell what is behind it.
-	onDisk  bool
-	changes int
-	size    int
+	hasBase     bool
+	changeCount int
+	changeBytes int
 }
 
 func changeKey(key ids.RegisterKey, number int) ids.RegisterKey {
 	return ids.RegisterKey(fmt.Sprintf("%s%s/%08x", changePrefix, key, number))
 }
 
-// seal encodes a record with its checksum behind it.
-func seal(msg any) ([]byte, error) {
+// encodeWithChecksum encodes a record with its checksum behind it.
+func encodeWithChecksum(msg any) ([]byte, error) {
 	raw, err := wire.Encode(msg)
 	return binary.BigEndian.AppendUint32(raw, delta.Checksum(raw)), err
 }
 
-// unseal reads a record. Only a base may be without a checksum.
-func unseal[T any](raw []byte, mayLack bool) (T, error) {
+// decodeWithChecksum reads a record. Only a base may be without a checksum.
+func decodeWithChecksum[T any](raw []byte, checksumOptional bool) (T, error) {
 	var none T
 	size, err := wire.FrameSize(raw)
 	if err != nil {
@@ -70,10 +70,10 @@
 		if binary.BigEndian.Uint32(raw[size:]) != delta.Checksum(raw[:size]) {
 			return none, errs.New("read record", "", "it fails its checksum")
 		}
-	case len(raw) != size || !mayLack:
+	case len(raw) != size || !checksumOptional:
 		return none, errs.New("read record", "", "it is cut short")
 	}
-	msg, ok := unpack[T](raw)
+	msg, ok := decodeMessage[T](raw)
 	if !ok {
 		return none, errs.New("read record", "", "it is of another format")
 	}
@@ -83,15 +83,15 @@
 // loadRegister reads a register from the disk.
 func loadRegister(disk Storage, key ids.RegisterKey) (register, error) {
 	var r register
-	raw, ok := disk.Get(slotPrefix + key)
+	raw, ok := disk.Get(registerPrefix + key)
 	if !ok {
 		return r, nil
 	}
-	state, err := unseal[RegisterState](raw, true)
+	state, err := decodeWithChecksum[RegisterState](raw, true)
 	if err != nil {
 		return r, errs.Wrap(err, "read register", string(key))
 	}
-	r.RegisterState, r.onDisk = state, true
+	r.RegisterState, r.hasBase = state, true
 	err = r.loadChanges(disk, key)
 	return r, errs.Wrap(err, "read register", string(key))
 }
@@ -107,7 +107,7 @@
 			if !strings.HasPrefix(string(record.Key), prefix) {
 				return nil
 			}
-			if record.Key != changeKey(key, r.changes) {
+			if record.Key != changeKey(key, r.changeCount) {
 				return errs.New("read change", string(record.Key), "one before it is missing")
 			}
 			if err := r.apply(record.Value); err != nil {
@@ -122,49 +122,49 @@
 }
 
 func (r *register) apply(raw []byte) error {
-	change, err := unseal[registerChange](raw, false)
+	change, err := decodeWithChecksum[registerChange](raw, false)
 	if err != nil {
 		return err
 	}
-	if len(change.Difference) > 0 {
-		if r.Value, err = delta.Apply(r.Value, change.Difference); err != nil {
+	if len(change.Delta) > 0 {
+		if r.Value, err = delta.Apply(r.Value, change.Delta); err != nil {
 			return err
 		}
 	}
 	r.Promised, r.Accepted = change.Promised, change.Accepted
-	r.changes++
-	r.size += len(raw)
+	r.changeCount++
+	r.changeBytes += len(raw)
 	return nil
 }
 
-// records gives what brings the disk from this register to another state: one
+// recordsFor gives what brings the disk from this register to another state: one
 // change, or a new base in place of the old one and of all changes behind it.
-func (r *register) records(key ids.RegisterKey, next RegisterState) ([]event.Record, error) {
-	if change, ok := r.change(next); ok {
-		raw, err := seal(change)
-		if r.size+len(raw) <= len(next.Value) || r.changes == 0 {
-			number := r.changes
-			r.RegisterState, r.changes, r.size = next, r.changes+1, r.size+len(raw)
+func (r *register) recordsFor(key ids.RegisterKey, next RegisterState) ([]event.Record, error) {
+	if change, ok := r.changeTo(next); ok {
+		raw, err := encodeWithChecksum(change)
+		if r.changeBytes+len(raw) <= len(next.Value) || r.changeCount == 0 {
+			number := r.changeCount
+			r.RegisterState, r.changeCount, r.changeBytes = next, r.changeCount+1, r.changeBytes+len(raw)
 			return []event.Record{{Key: changeKey(key, number), Value: raw}}, err
 		}
 	}
-	raw, err := seal(next)
-	list := []event.Record{{Key: slotPrefix + key, Value: raw}}
-	for number := range r.changes {
+	raw, err := encodeWithChecksum(next)
+	list := []event.Record{{Key: registerPrefix + key, Value: raw}}
+	for number := range r.changeCount {
 		list = append(list, event.Record{Key: changeKey(key, number), Delete: true})
 	}
-	*r = register{RegisterState: next, onDisk: true}
+	*r = register{RegisterState: next, hasBase: true}
 	return list, err
 }
 
-// change gives the change that leads to another state, if it is worth one.
-func (r *register) change(next RegisterState) (registerChange, bool) {
+// changeTo gives the change that leads to another state, if it is worth one.
+func (r *register) changeTo(next RegisterState) (registerChange, bool) {
 	c := registerChange{Promised: next.Promised, Accepted: next.Accepted}
-	if !r.onDisk || len(next.Value) < differencesFrom || len(r.Value) < differencesFrom || r.changes >= mostChangesBehind {
+	if !r.hasBase || len(next.Value) < minDeltaValueSize || len(r.Value) < minDeltaValueSize || r.changeCount >= maxChangesPerBase {
 		return c, false
 	}
 	if next.Accepted != r.Accepted {
-		c.Difference = delta.Diff(r.Value, next.Value)
+		c.Delta = delta.Diff(r.Value, next.Value)
 	}
-	return c, len(c.Difference) <= len(next.Value)/2
+	return c, len(c.Delta) <= len(next.Value)/2
 }
--- a/internal/state/consensus/registers_test.go
+++ b/internal/state/consensus/registers_test.go
@@ -58,7 +58,7 @@
 		next := RegisterState{Promised: b, Accepted: b, Value: value}
 		switch {
 		case i%50 == 49:
-			next.Accepted = r.slot("x").Accepted // a promise alone
+			next.Accepted = r.registerState("x").Accepted // a promise alone
 		case i%400 == 399:
 			value = text(random, 100+random.IntN(20000))
 		default:
@@ -68,9 +68,9 @@
 		if next.Accepted == b {
 			next.Value = value
 		} else {
-			next.Value = r.slot("x").Value
+			next.Value = r.registerState("x").Value
 		}
-		r.save("x", next)
+		r.saveRegister("x", next)
 		r.sync()
 		is.NoErr(CheckDisk(r.mem))
 		got, err := loadRegister(r.mem, "x")
@@ -79,7 +79,7 @@
 		is.True(bytes.Equal(got.Value, next.Value))
 		is.Equal(got.Accepted, next.Accepted)
 		is.Equal(got.Promised, next.Promised)
-		is.True(got.size <= max(len(got.Value), 1<<14)) // folded in time
+		is.True(got.changeBytes <= max(len(got.Value), 1<<14)) // folded in time
 	}
 }
 
@@ -95,7 +95,7 @@
 			b := ids.Ballot{Counter: uint64(i) + 1<<41, Proposer: 1}
 			value = slices.Clone(value)
 			copy(value[random.IntN(len(value)-300):], text(random, 300))
-			r.save("x", RegisterState{Promised: b, Accepted: b, Value: value})
+			r.saveRegister("x", RegisterState{Promised: b, Accepted: b, Value: value})
 			if n := r.sync(); i > 0 {
 				written += n
 			}
@@ -116,13 +116,13 @@
 	mem := memory{"item/policy": raw, "item/mark/r/1": []byte("anything")}
 	is.NoErr(CheckDisk(mem))
 	r := keeper(mem)
-	is.Equal(r.slot("policy"), old)
+	is.Equal(r.registerState("policy"), old)
 	next := old
 	next.Accepted.Counter++
 	next.Value = append(slices.Clone(old.Value), "and more"...)
-	r.save("policy", next)
+	r.saveRegister("policy", next)
 	is.True(r.sync() < 200)
-	is.Equal(keeper(mem).slot("policy"), next)
+	is.Equal(keeper(mem).registerState("policy"), next)
 	is.Equal(mem["item/policy"], raw) // the base stays
 }
 
@@ -139,13 +139,13 @@
 	for i := range 5 {
 		b := ids.Ballot{Counter: uint64(i) + 1<<41, Proposer: 1}
 		value = append(slices.Clone(value), fmt.Sprint("change ", i)...)
-		r.save("policy", RegisterState{Promised: b, Accepted: b, Value: value})
+		r.saveRegister("policy", RegisterState{Promised: b, Accepted: b, Value: value})
 	}
 	r.sync()
 	is.NoErr(CheckDisk(whole))
 	is.Equal(len(whole), 7)
 	sound := keeper(maps.Clone(whole))
-	sound.Prepare("a", Prepare{Key: "policy", Ballot: ids.Ballot{Counter: 1 << 50}, VoterSet: 1})
+	sound.HandlePrepare("a", Prepare{Key: "policy", Ballot: ids.Ballot{Counter: 1 << 50}, VoterSetNumber: 1})
 	is.Equal(len(sound.Drain()), 1) // it votes
 	for key, raw := range whole {
 		if strings.HasPrefix(string(key), "meta/") {
@@ -172,7 +172,7 @@
 			again := keeper(m)
 			log, ok := again.Drain()[0].(event.LogEntry)
 			is.True(ok && log.Level == event.LevelError && strings.Contains(string(log.Event), "unreadable"))
-			again.Prepare("a", Prepare{Key: "policy", Ballot: ids.Ballot{Counter: 1 << 50}, VoterSet: 1})
+			again.HandlePrepare("a", Prepare{Key: "policy", Ballot: ids.Ballot{Counter: 1 << 50}, VoterSetNumber: 1})
 			is.Equal(len(again.Drain()), 0)
 		}
 	}
--- a/internal/state/consensus/replace_test.go
+++ b/internal/state/consensus/replace_test.go
@@ -22,7 +22,7 @@
 	is := is.New(t)
 	set := encoded(t, VoterSet{Number: 1, Voters: []Voter{{ID: 1}, {ID: 2}, {ID: 3}}})
 	ask := func(old []byte, id, lost uint64) []byte {
-		next, _ := replace("", old, encoded(t, ReplaceRequest{New: Voter{ID: id}, Lost: lost, Replicas: 3}))
+		next, _ := replaceVoter("", old, encoded(t, ReplaceRequest{New: Voter{ID: id}, LostID: lost, Replicas: 3}))
 		return next
 	}
 	next := ask(set, 9, 3)
@@ -35,7 +35,7 @@
 	is.Equal(ask(next, 8, 77), next) // nobody's place
 	again, _ := DecodeVoterSet(ask(next, 8, 9))
 	is.Equal(again.Learners, []uint64{8}) // the newcomer itself was lost
-	done, _ := learned("", next, encoded(t, LearnedReport{ID: 9}))
+	done, _ := promoteLearner("", next, encoded(t, PromoteLearnerRequest{ID: 9}))
 	is.True(string(ask(done, 8, 2)) != string(done)) // its copy is complete
 }
 
@@ -62,13 +62,13 @@
 	x.AdoptVoterSet(set)
 	sync()
 	x.Acceptor = NewAcceptor(9, x.mem, &x.Outbox)
-	ballot := ids.Ballot{Counter: firstBallots + 1, Proposer: 1}
-	x.Prepare("a", Prepare{Key: "x", Ballot: ballot, VoterSet: 2})
-	x.Accept("a", Accept{Key: "x", Ballot: ballot, VoterSet: 2, Value: []byte("v")})
-	x.Page("a", PageRequest{VoterSet: 2})
+	ballot := ids.Ballot{Counter: maxFirstValueCounter + 1, Proposer: 1}
+	x.HandlePrepare("a", Prepare{Key: "x", Ballot: ballot, VoterSetNumber: 2})
+	x.HandleAccept("a", Accept{Key: "x", Ballot: ballot, VoterSetNumber: 2, Value: []byte("v")})
+	x.HandlePageRequest("a", PageRequest{VoterSetNumber: 2})
 	is.Equal(len(sync()), 0)
 	x.MarkComplete()
-	x.Accept("a", Accept{Key: "x", Ballot: ballot, VoterSet: 2, Value: []byte("v")})
+	x.HandleAccept("a", Accept{Key: "x", Ballot: ballot, VoterSetNumber: 2, Value: []byte("v")})
 	is.Equal(len(sync()), 1)
 }
 
@@ -94,24 +94,24 @@
 	is := is.New(t)
 	x := &room{mem: memory{}}
 	x.Acceptor = NewAcceptor(1, x.mem, &x.Outbox)
-	x.SetEpoch(7)
+	x.SetRunID(7)
 	x.MarkComplete()
 	x.AdoptVoterSet(VoterSet{Number: 1, Voters: []Voter{{1, "a"}}})
 	page := func(q PageRequest) PageResponse {
 		x.Drain()
-		x.Page("n", q)
+		x.HandlePageRequest("n", q)
 		return x.Drain()[0].(event.Sync).After[0].(event.Send).Msg.(PageResponse)
 	}
 	x.Seed("x", []byte("1"))
-	first := page(PageRequest{VoterSet: 1})
+	first := page(PageRequest{VoterSetNumber: 1})
 	is.True(first.Last && !first.Delta)
-	is.Equal(first.Changes, uint64(1))
+	is.Equal(first.ChangeCount, uint64(1))
 	x.ForceValue("y", []byte("2"))
 	x.ForceValue("y", []byte("3"))
-	second := page(PageRequest{VoterSet: 1, Epoch: first.Epoch, Since: first.Changes})
+	second := page(PageRequest{VoterSetNumber: 1, RunID: first.RunID, SinceChange: first.ChangeCount})
 	is.True(second.Last && second.Delta)
-	is.Equal(second.Changes, uint64(3))
+	is.Equal(second.ChangeCount, uint64(3))
 	is.Equal(len(second.Records), 1)
 	is.Equal(string(second.Records[0].Value), "3")
-	is.True(!page(PageRequest{VoterSet: 1, Epoch: 6, Since: 1}).Delta) // another run's count
+	is.True(!page(PageRequest{VoterSetNumber: 1, RunID: 6, SinceChange: 1}).Delta) // another run's count
 }
--- a/internal/state/consensus/replies.go
+++ b/internal/state/consensus/replies.go
@@ -9,49 +9,49 @@
 
 // Promised takes an acceptor's promise.
 func (p *Proposer) HandlePromise(now ids.Time, m Promise) {
-	p.answered(m.Store, m.Differences)
-	p.bringUp(now, m)
+	p.recordResponse(m.Store, m.ReadsDeltas)
+	p.catchUp(now, m)
 	r := p.rounds[m.Key]
-	if r == nil || r.id != m.Round || (r.phase != reading && r.phase != preparing) || m.VoterSet != p.voterSet().Number {
+	if r == nil || r.id != m.Round || (r.phase != reading && r.phase != preparing) || m.VoterSetNumber != p.voterSet().Number {
 		return
 	}
 	if r.phase == preparing && m.Promised != r.ballot {
-		p.retreat(now, r, m.Promised)
+		p.retryAfterBackoff(now, r, m.Promised)
 		return
 	}
-	if m.Same {
+	if m.MatchesKnown {
 		// What was at hand as the question left may have been replaced since.
 		s := p.cachedValues[m.Key]
 		if s.ballot != m.Accepted {
-			r.floor = max(r.floor, m.Promised.Counter)
-			p.begin(now, r)
+			r.minCounter = max(r.minCounter, m.Promised.Counter)
+			p.beginRound(now, r)
 			return
 		}
 		m.Value = s.value
 	}
 	r.promises[m.Store] = m
-	top, settled := p.survey(r)
+	top, settled := p.highestAccepted(r)
 	if r.phase == reading {
-		p.peeked(now, r, top, settled)
+		p.handleReadPromises(now, r, top, settled)
 		return
 	}
 	yes := map[uint64]bool{}
 	for id := range r.promises {
 		yes[id] = true
 	}
-	if !p.voterSet().Majority(yes) {
+	if !p.voterSet().IsQuorum(yes) {
 		return
 	}
 	// A settled value that no ask changes needs no second phase.
-	if settled && !p.again[m.Key] && p.unchanged(r, top.Value) {
-		p.finish(now, r)
+	if settled && !p.mustRewrite[m.Key] && p.batchIsNoOp(r, top.Value) {
+		p.finishRound(now, r)
 		return
 	}
 	p.propose(now, r, top.Value)
 }
 
-// survey gives the highest accepted value, and whether a majority holds it.
-func (p *Proposer) survey(r *round) (Promise, bool) {
+// highestAccepted gives the highest accepted value, and whether a majority holds it.
+func (p *Proposer) highestAccepted(r *round) (Promise, bool) {
 	var top Promise
 	for _, m := range r.promises {
 		if top.Accepted.Less(m.Accepted) {
@@ -62,34 +62,34 @@
 		p.cacheValue(r.key, top.Accepted, top.Value)
 	}
 	same, all := map[uint64]bool{}, true
-	for _, s := range p.voterSet().All() {
+	for _, s := range p.voterSet().AllVoters() {
 		m, said := r.promises[s.ID]
 		same[s.ID] = said && m.Accepted == top.Accepted
 		all = all && same[s.ID]
 	}
 	// A first value that a majority holds may yet lose to another store's.
-	if !top.Accepted.IsZero() && top.Accepted.Counter <= firstBallots {
+	if !top.Accepted.IsZero() && top.Accepted.Counter <= maxFirstValueCounter {
 		return top, all
 	}
-	return top, p.voterSet().Majority(same)
+	return top, p.voterSet().IsQuorum(same)
 }
 
-func (p *Proposer) peeked(now ids.Time, r *round, top Promise, settled bool) {
+func (p *Proposer) handleReadPromises(now ids.Time, r *round, top Promise, settled bool) {
 	if settled {
-		p.noteSettled(now, r.key, top.Accepted, top.Value)
+		p.recordChosen(now, r.key, top.Accepted, top.Value)
 		for _, a := range r.batch {
-			a.out = top.Value
+			a.result = top.Value
 		}
-		p.finish(now, r)
+		p.finishRound(now, r)
 		return
 	}
-	if len(r.promises) == len(p.voterSet().All()) {
-		r.floor = max(r.floor, top.Promised.Counter) + 1
-		p.begin(now, r)
+	if len(r.promises) == len(p.voterSet().AllVoters()) {
+		r.minCounter = max(r.minCounter, top.Promised.Counter) + 1
+		p.beginRound(now, r)
 	}
 }
 
-func (p *Proposer) unchanged(r *round, value []byte) bool {
+func (p *Proposer) batchIsNoOp(r *round, value []byte) bool {
 	outs := make([][]byte, len(r.batch))
 	v := value
 	for i, a := range r.batch {
@@ -103,7 +103,7 @@
 		}
 	}
 	for i, a := range r.batch {
-		a.out = outs[i]
+		a.result = outs[i]
 	}
 	return true
 }
@@ -117,43 +117,43 @@
 
 // Accepted takes an acceptor's vote.
 func (p *Proposer) HandleAccepted(now ids.Time, m Accepted) {
-	p.answered(m.Store, m.Differences)
+	p.recordResponse(m.Store, m.ReadsDeltas)
 	r := p.rounds[m.Key]
-	if r == nil || r.id != m.Round || (r.phase != accepting && r.phase != replicating) || m.VoterSet != p.voterSet().Number {
+	if r == nil || r.id != m.Round || (r.phase != accepting && r.phase != replicating) || m.VoterSetNumber != p.voterSet().Number {
 		return
 	}
-	if m.Whole {
-		p.sendWhole(now, r, m.Store)
+	if m.NeedsWholeValue {
+		p.sendWholeValue(now, r, m.Store)
 		return
 	}
 	if !m.OK {
 		if r.phase == accepting {
-			p.retreat(now, r, m.Promised)
+			p.retryAfterBackoff(now, r, m.Promised)
 		}
 		return
 	}
 	r.votes[m.Store] = true
-	if !p.voterSet().Majority(r.votes) || r.first && !p.all(r) {
+	if !p.voterSet().IsQuorum(r.votes) || r.firstValue && !p.votedByAll(r) {
 		return
 	}
 	if r.phase == accepting {
-		r.phase, r.began = replicating, now
-		p.cacheBallot(r)
+		r.phase, r.startedAt = replicating, now
+		p.cachePromisedBallot(r)
 		p.cacheValue(r.key, r.ballot, r.value)
-		p.noteSettled(now, r.key, r.ballot, r.value)
-		p.sendChosen(r)
+		p.recordChosen(now, r.key, r.ballot, r.value)
+		p.notifySubscribers(r)
 	}
 	// Marks need no grace: a lost disk's place is filled from a majority.
-	if isIdempotencyKey(r.key) || p.everyLive(r) {
-		p.finish(now, r)
+	if isIdempotencyKey(r.key) || p.votedByAllReachable(r) {
+		p.finishRound(now, r)
 	}
 }
 
 func isIdempotencyKey(k ids.RegisterKey) bool { return len(k) > 5 && k[:5] == "mark/" }
 
-// everyLive tells whether every copy that can be reached has the value.
-func (p *Proposer) everyLive(r *round) bool {
-	for _, s := range p.voterSet().All() {
+// votedByAllReachable tells whether every copy that can be reached has the value.
+func (p *Proposer) votedByAllReachable(r *round) bool {
+	for _, s := range p.voterSet().AllVoters() {
 		if !r.votes[s.ID] && p.IsReachable(s.ID) {
 			return false
 		}
@@ -161,28 +161,28 @@
 	return true
 }
 
-func (p *Proposer) cacheBallot(r *round) {
+func (p *Proposer) cachePromisedBallot(r *round) {
 	// Large values are outcomes, which are not changed again.
 	if isIdempotencyKey(r.key) && len(r.value) > 2048 {
 		return
 	}
 	if _, ok := p.promisedBallots[r.key]; !ok {
-		p.order = append(p.order, r.key)
+		p.promisedOrder = append(p.promisedOrder, r.key)
 	}
-	p.promisedBallots[r.key] = cachedValue{r.next, r.value}
-	for len(p.order) > mostLast {
-		delete(p.promisedBallots, p.order[0])
-		p.order = p.order[1:]
+	p.promisedBallots[r.key] = cachedValue{r.nextBallot, r.value}
+	for len(p.promisedOrder) > maxPromisedBallots {
+		delete(p.promisedBallots, p.promisedOrder[0])
+		p.promisedOrder = p.promisedOrder[1:]
 	}
 }
 
-func (p *Proposer) expire(now ids.Time, list []*pendingRequest) []*pendingRequest {
+func (p *Proposer) expireRequests(now ids.Time, list []*pendingRequest) []*pendingRequest {
 	return slices.DeleteFunc(list, func(a *pendingRequest) bool {
-		if now < a.due {
+		if now < a.deadline {
 			return false
 		}
 		s := Rejected
-		if a.sent {
+		if a.proposed {
 			s = Indeterminate
 		}
 		p.out.Send(a.from, Response{ID: a.ID, Attempt: a.Attempt, Outcome: s})
--- a/internal/state/consensus/roundid_test.go
+++ b/internal/state/consensus/roundid_test.go
@@ -54,10 +54,10 @@
 	play(1, all, open2)
 	// Another register took the first round, as it will in the second run a
 	// round that is turned down for its low ballot.
-	all["a"].Submit(1, "w0", Request{ID: 1, Key: "y", Op: opAdd, Wait: 60000})
+	all["a"].Submit(1, "w0", Request{ID: 1, Key: "y", Op: opAdd, TimeoutMillis: 60000})
 	play(1, all, open2)
 	wish := func(arg string) {
-		all["a"].Submit(1, "w", Request{ID: 1, Key: "x", Op: opAdd, Arg: []byte(arg), Wait: 60000})
+		all["a"].Submit(1, "w", Request{ID: 1, Key: "x", Op: opAdd, Arg: []byte(arg), TimeoutMillis: 60000})
 	}
 	// Until a proposes, a and b hear one another; c hears nobody.
 	prepared := func(from, to ids.Address) bool {
@@ -69,7 +69,7 @@
 	first := all["a"].rounds["x"]
 	is.Equal(first.phase, accepting)
 	b := all["b"]
-	b.Accept("a", Accept{Key: "x", Ballot: first.ballot, NextBallot: first.next, VoterSet: 1, Round: first.id, Value: first.value})
+	b.HandleAccept("a", Accept{Key: "x", Ballot: first.ballot, NextBallot: first.nextBallot, VoterSetNumber: 1, Round: first.id, Value: first.value})
 	late := holdBack(b, "a")
 	is.Equal(len(late), 1)
 	restart(all, "a", 1|1<<30)
@@ -82,10 +82,10 @@
 	for _, s := range late {
 		give(later, all["a"], "b", s.Msg)
 	}
-	all["a"].Proposer.Tick(later.Add(grace))
+	all["a"].Proposer.Tick(later.Add(replicationGrace))
 	told := play(later, all, func(ids.Address, ids.Address) bool { return false })
 	if len(told) > 0 {
-		_, held := b.Value("x")
+		_, held := b.AcceptedValue("x")
 		t.Fatalf("the caller was told %q, while b holds %q and c nothing", told["w"][0].Result, held)
 	}
 }
@@ -96,7 +96,7 @@
 	is := is.New(t)
 	all := rooms(t)
 	play(1, all, open2)
-	read := Request{ID: 1, Key: "x", Op: Read, Wait: 60000}
+	read := Request{ID: 1, Key: "x", Op: Read, TimeoutMillis: 60000}
 	all["a"].Submit(1, "w1", read)
 	var asked Prepare
 	for _, c := range all["a"].Drain() {
@@ -104,12 +104,12 @@
 			asked = s.Msg.(Prepare)
 		}
 	}
-	all["b"].Prepare("a", asked)
-	all["c"].Prepare("a", asked)
+	all["b"].HandlePrepare("a", asked)
+	all["c"].HandlePrepare("a", asked)
 	late := append(holdBack(all["b"], "a"), holdBack(all["c"], "a")...)
 	is.Equal(len(late), 2)
 	all["b"].IsReachable = func(store uint64) bool { return store != 1 }
-	all["b"].Submit(1, "w2", Request{ID: 1, Key: "x", Op: opAdd, Arg: []byte("new"), Wait: 60000})
+	all["b"].Submit(1, "w2", Request{ID: 1, Key: "x", Op: opAdd, Arg: []byte("new"), TimeoutMillis: 60000})
 	is.Equal(value(t, play(1, all, func(from, to ids.Address) bool { return from != "a" && to != "a" }), "w2"), "new")
 	restart(all, "a", 1|1<<30)
 	all["a"].Submit(1, "w3", read)
@@ -130,8 +130,8 @@
 		for run := range uint64(50) {
 			p := NewProposer(store<<24|run, nil, nil, nil, nil)
 			for n := range uint64(20) {
-				is.True(!seen[p.count+n+1])
-				seen[p.count+n+1] = true
+				is.True(!seen[p.lastRoundID+n+1])
+				seen[p.lastRoundID+n+1] = true
 			}
 		}
 	}
--- a/internal/state/consensus/runs_test.go
+++ b/internal/state/consensus/runs_test.go
@@ -113,7 +113,7 @@
 
 func (n *network) call(at ids.Address) {
 	n.calls++
-	r := Request{ID: n.calls, Key: "x", Op: Read, Wait: 3000}
+	r := Request{ID: n.calls, Key: "x", Op: Read, TimeoutMillis: 3000}
 	c := appended{before: len(n.done)}
 	if n.IntN(3) > 0 {
 		c.tag = fmt.Sprintf("%d;", n.calls+1000)
@@ -150,7 +150,7 @@
 	restart(n.all, at, id<<24|n.runs)
 	n.all[at].SetOps(map[Op]ChangeFunc{opAdd: addTagOnce})
 	if n.sameNumbers {
-		n.all[at].count = 0
+		n.all[at].lastRoundID = 0
 	}
 }
 
--- a/internal/state/consensus/save.go
+++ b/internal/state/consensus/save.go
@@ -5,8 +5,8 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// register gives a register from memory, or from the disk the first time.
-func (a *Acceptor) register(key ids.RegisterKey) *register {
+// cachedRegister gives a register from memory, or from the disk the first time.
+func (a *Acceptor) cachedRegister(key ids.RegisterKey) *register {
 	if r := a.registers[key]; r != nil {
 		return r
 	}
@@ -20,19 +20,19 @@
 	return &r
 }
 
-// save syncs a register's new state, and only then lets the commands out.
-func (a *Acceptor) save(key ids.RegisterKey, next RegisterState, then ...event.Command) {
+// saveRegister syncs a register's new state, and only then lets the commands out.
+func (a *Acceptor) saveRegister(key ids.RegisterKey, next RegisterState, then ...event.Command) {
 	if isIdempotencyKey(key) {
-		a.persist(slotPrefix+key, next, then...)
+		a.persist(registerPrefix+key, next, then...)
 		return
 	}
-	list, err := a.register(key).records(key, next)
+	list, err := a.cachedRegister(key).recordsFor(key, next)
 	if err != nil {
 		a.damaged = true
 		a.out.Log(event.LevelError, "record not kept", "key", string(key), "error", err.Error())
 		return
 	}
-	a.turn++
-	a.changes.note(slotPrefix + key)
-	a.out.Emit(event.Sync{Batch: a.turn, Records: list, After: then})
+	a.lastBatch++
+	a.changes.add(registerPrefix + key)
+	a.out.Emit(event.Sync{Batch: a.lastBatch, Records: list, After: then})
 }
--- a/internal/state/consensus/silent_test.go
+++ b/internal/state/consensus/silent_test.go
@@ -33,7 +33,7 @@
 		}
 		return now.Sub(began)
 	}
-	if first := took(); first < tryFor || first > tryFor+100*time.Millisecond {
+	if first := took(); first < attemptTimeout || first > attemptTimeout+100*time.Millisecond {
 		t.Fatalf("the first call took %s", first)
 	}
 	slow := 0
@@ -46,7 +46,7 @@
 	if slow > 3 {
 		t.Fatalf("%d of 60 calls waited for the silent store", slow)
 	}
-	if !c.IsOverloaded(now) {
+	if !c.HadSilentStore(now) {
 		t.Fatal("nobody is told")
 	}
 }
@@ -57,7 +57,7 @@
 	c := NewClient(1, out)
 	c.StoreOrder = func(ids.RegisterKey) []ids.Address { return []ids.Address{"cut", "a"} }
 	c.Call(1, "k", Read, nil, 3*time.Second, func(ids.Time, Outcome, []byte) {})
-	c.Tick(ids.Time(1).Add(tryFor))
+	c.Tick(ids.Time(1).Add(attemptTimeout))
 	var asked []ids.Address
 	for _, command := range out.Drain() {
 		asked = append(asked, command.(event.Send).To)
--- a/internal/state/consensus/standing.go
+++ b/internal/state/consensus/standing.go
@@ -19,64 +19,64 @@
 	Replaced
 )
 
-// standing is the record of it.
-type standing struct{ Standing uint8 }
+// diskStateRecord is the record of it.
+type diskStateRecord struct{ State uint8 }
 
-const standingKey = "meta/standing"
+const diskStateKey = "meta/standing"
 
-var _ = wire.Register(44, standing{})
+var _ = wire.Register(44, diskStateRecord{})
 
-// loadStanding reads it. A disk of before this record existed is complete
+// loadDiskState reads it. A disk of before this record existed is complete
 // where its voter set counts it as a voter.
-func (a *Acceptor) loadStanding() {
-	if raw, ok := a.storage.Get(standingKey); ok {
-		a.standing, _ = unpack[standing](raw)
+func (a *Acceptor) loadDiskState() {
+	if raw, ok := a.storage.Get(diskStateKey); ok {
+		a.diskState, _ = decodeMessage[diskStateRecord](raw)
 		return
 	}
-	if a.inVoters(a.voterSet) {
-		a.standing = standing{uint8(Complete)}
+	if a.isVoterIn(a.voterSet) {
+		a.diskState = diskStateRecord{uint8(Complete)}
 	}
 }
 
 // ReadDiskState reads a disk's record of its standing; false where there is none.
 func ReadDiskState(disk Storage) (DiskState, bool) {
-	raw, ok := disk.Get(standingKey)
+	raw, ok := disk.Get(diskStateKey)
 	if !ok {
 		return Blank, false
 	}
-	s, ok := unpack[standing](raw)
-	return DiskState(s.Standing), ok
+	s, ok := decodeMessage[diskStateRecord](raw)
+	return DiskState(s.State), ok
 }
 
-func (a *Acceptor) inVoters(r VoterSet) bool {
-	return VoterSet{Voters: r.Voters}.Has(a.store)
+func (a *Acceptor) isVoterIn(r VoterSet) bool {
+	return VoterSet{Voters: r.Voters}.HasVoter(a.storeID)
 }
 
-// changeStanding goes before a higher voter set is adopted.
-func (a *Acceptor) changeStanding(next VoterSet) {
+// updateDiskState goes before a higher voter set is adopted.
+func (a *Acceptor) updateDiskState(next VoterSet) {
 	switch {
 	case a.voterSet.Number == 0 && a.DiskState() == Blank:
 		// Written before the voter set, so that no disk holds the one without the other.
-		a.setStanding(Blank)
-	case a.DiskState() == Complete && !next.Has(a.store):
+		a.setDiskState(Blank)
+	case a.DiskState() == Complete && !next.HasVoter(a.storeID):
 		a.out.Log(event.LevelError, "this store was replaced and takes no further part")
-		a.setStanding(Replaced)
+		a.setDiskState(Replaced)
 	}
 }
 
-func (a *Acceptor) setStanding(to DiskState) {
-	a.standing = standing{uint8(to)}
-	a.persist(standingKey, a.standing)
+func (a *Acceptor) setDiskState(to DiskState) {
+	a.diskState = diskStateRecord{uint8(to)}
+	a.persist(diskStateKey, a.diskState)
 }
 
 // DiskState gives this disk's right to vote.
-func (a *Acceptor) DiskState() DiskState { return DiskState(a.standing.Standing) }
+func (a *Acceptor) DiskState() DiskState { return DiskState(a.diskState.State) }
 
 // MarkComplete lets this store vote. What it copied was asked of the disk
 // before, and every vote waits for the disk in turn.
 func (a *Acceptor) MarkComplete() {
 	if a.DiskState() == Blank {
-		a.setStanding(Complete)
+		a.setDiskState(Complete)
 	}
 }
 
@@ -85,15 +85,15 @@
 func (a *Acceptor) MayVote() bool {
 	switch a.DiskState() {
 	case Complete:
-		return a.voterSet.Has(a.store)
+		return a.voterSet.HasVoter(a.storeID)
 	case Blank:
-		return a.voterSet.Has(a.store) && !a.inVoters(a.voterSet)
+		return a.voterSet.HasVoter(a.storeID) && !a.isVoterIn(a.voterSet)
 	}
 	return false
 }
 
-// mayServe tells whether a newcomer may copy from this store.
-func (a *Acceptor) mayServe() bool {
-	replaced := a.DiskState() == Replaced && VoterSet{Voters: a.voterSet.Previous}.Has(a.store)
+// mayServePages tells whether a newcomer may copy from this store.
+func (a *Acceptor) mayServePages() bool {
+	replaced := a.DiskState() == Replaced && VoterSet{Voters: a.voterSet.Previous}.HasVoter(a.storeID)
 	return a.MayVote() || replaced
 }
--- a/internal/state/consensus/tick.go
+++ b/internal/state/consensus/tick.go
@@ -11,29 +11,29 @@
 func (p *Proposer) Tick(now ids.Time) {
 	for _, k := range slices.Sorted(maps.Keys(p.rounds)) {
 		r := p.rounds[k]
-		r.queued = p.expire(now, r.queued)
+		r.queued = p.expireRequests(now, r.queued)
 		if r.phase != replicating {
-			r.batch = p.expire(now, r.batch)
+			r.batch = p.expireRequests(now, r.batch)
 		}
 		switch {
-		case r.phase == replicating && now.Sub(r.began) >= grace:
-			p.missed(p.voterSet().All(), r.votes)
-			p.finish(now, r)
+		case r.phase == replicating && now.Sub(r.startedAt) >= replicationGrace:
+			p.recordMissedVotes(p.voterSet().AllVoters(), r.votes)
+			p.finishRound(now, r)
 		case r.phase == idle && now >= r.retryAt:
-			p.begin(now, r)
+			p.beginRound(now, r)
 		case r.phase != idle && len(r.batch) == 0 && len(r.queued) == 0:
 			delete(p.rounds, k)
-		case r.first && r.phase == accepting && now.Sub(r.began) >= resendAfter/2:
+		case r.firstValue && r.phase == accepting && now.Sub(r.startedAt) >= resendTimeout/2:
 			// Not every store answers: a full round settles it, and the change
 			// knows itself where some of them have it already.
-			p.retreat(now, r, r.ballot)
-		case r.phase == reading && now.Sub(r.began) >= resendAfter:
+			p.retryAfterBackoff(now, r, r.ballot)
+		case r.phase == reading && now.Sub(r.startedAt) >= resendTimeout:
 			// Copies differ or are silent: a full round settles it.
-			r.floor++
-			p.begin(now, r)
+			r.minCounter++
+			p.beginRound(now, r)
 		case r.phase != idle && now >= r.resendAt:
-			r.resent++
-			p.send(now, r)
+			r.resendCount++
+			p.sendPhaseRequests(now, r)
 		}
 	}
 }
--- a/internal/state/consensus/voteridentity.go
+++ b/internal/state/consensus/voteridentity.go
@@ -3,8 +3,8 @@
 import "dunlinwell/internal/base/ids"
 
 // Voter finds a voter by its id.
-func (r VoterSet) Voter(id uint64) (Voter, bool) {
-	for _, v := range r.All() {
+func (s VoterSet) Voter(id uint64) (Voter, bool) {
+	for _, v := range s.AllVoters() {
 		if v.ID == id {
 			return v, true
 		}
@@ -12,13 +12,13 @@
 	return Voter{}, false
 }
 
-// Valid tells whether a voter set can be one at all. No honest store makes one
+// IsValid tells whether a voter set can be one at all. No honest store makes one
 // without voters, or with two of one id: nothing could be agreed on under it.
-func (r VoterSet) Valid() bool {
-	return r.Number > 0 && len(r.Voters) > 0 && distinct(r.Voters) && distinct(r.Incoming)
+func (s VoterSet) IsValid() bool {
+	return s.Number > 0 && len(s.Voters) > 0 && hasDistinctVoters(s.Voters) && hasDistinctVoters(s.Incoming)
 }
 
-func distinct(list []Voter) bool {
+func hasDistinctVoters(list []Voter) bool {
 	seen := map[uint64]bool{}
 	for _, v := range list {
 		if v.ID == 0 || v.Address == "" || seen[v.ID] {
@@ -29,15 +29,15 @@
 	return true
 }
 
-// SpeaksFor tells whether a voter's answer came from where the voter is. An
+// MatchesSender tells whether a voter's answer came from where the voter is. An
 // answer under another voter set is dropped for that alone.
-func (r VoterSet) SpeaksFor(from ids.Address, id, number uint64) bool {
-	v, ok := r.Voter(id)
-	return number != r.Number || ok && v.Address == from
+func (s VoterSet) MatchesSender(from ids.Address, id, number uint64) bool {
+	v, ok := s.Voter(id)
+	return number != s.Number || ok && v.Address == from
 }
 
-// Began tells whether this run has begun a round of that number.
-func (p *Proposer) Began(round uint64) bool {
+// HasBegunRound tells whether this run has begun a round of that number.
+func (p *Proposer) HasBegunRound(round uint64) bool {
 	// Both differences wrap around in step, as the numbers may.
-	return round-firstRound(p.by)-1 < p.count-firstRound(p.by)
+	return round-initialRoundID(p.proposerID)-1 < p.lastRoundID-initialRoundID(p.proposerID)
 }
--- a/internal/state/consensus/voterset.go
+++ b/internal/state/consensus/voterset.go
@@ -16,10 +16,10 @@
 
 // Joining asks for a store to take a lost one's place.
 type JoinRequest struct {
-	New  Voter
-	Lost uint64
-	// Copies is how many stores the voter set may grow to, where Lost is 0.
-	Copies int
+	New    Voter
+	LostID uint64
+	// Replicas is how many stores the voter set may grow to, where Lost is 0.
+	Replicas int
 }
 
 // Number names the voter set that a settling or abandoning is about.
@@ -31,10 +31,10 @@
 // what it is asked to change and leaves anything else alone, so that several
 // stores may ask for the same thing.
 func VoterSetOps() map[Op]ChangeFunc {
-	return map[Op]ChangeFunc{OpJoin: join, OpFinalize: settle, OpAbandon: abandon, OpReplace: replace, OpLearned: learned}
+	return map[Op]ChangeFunc{OpJoin: joinVoter, OpFinalize: finalizeVoterSet, OpAbandon: abandonJoin, OpReplace: replaceVoter, OpPromoteLearner: promoteLearner}
 }
 
-func write(old []byte, r VoterSet) ([]byte, []byte) {
+func encodeVoterSet(old []byte, r VoterSet) ([]byte, []byte) {
 	raw, err := wire.Encode(r)
 	if err != nil {
 		return old, old
@@ -42,52 +42,52 @@
 	return raw, raw
 }
 
-// join makes the voter set joint: old and next must both agree from here on.
-func join(_ ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
-	r, ok := unpack[VoterSet](old)
-	j, fine := unpack[JoinRequest](arg)
+// joinVoter makes the voter set joint: old and next must both agree from here on.
+func joinVoter(_ ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
+	r, ok := decodeMessage[VoterSet](old)
+	j, fine := decodeMessage[JoinRequest](arg)
 	// One replacement at a time; another waits until this one is settled.
-	if !ok || !fine || len(r.Incoming) > 0 || r.Has(j.New.ID) {
+	if !ok || !fine || len(r.Incoming) > 0 || r.HasVoter(j.New.ID) {
 		return old, old
 	}
 	r.Incoming = slices.Clone(r.Voters)
-	switch at := slices.IndexFunc(r.Voters, func(s Voter) bool { return s.ID == j.Lost }); {
+	switch at := slices.IndexFunc(r.Voters, func(s Voter) bool { return s.ID == j.LostID }); {
 	case at >= 0:
 		r.Incoming[at] = j.New
-	case j.Lost == 0 && len(r.Voters) < j.Copies:
+	case j.LostID == 0 && len(r.Voters) < j.Replicas:
 		// Nobody is lost: there are to be more copies than were founded with.
 		r.Incoming = append(r.Incoming, j.New)
 	default:
 		return old, old
 	}
 	r.Number++
-	return write(old, r)
+	return encodeVoterSet(old, r)
 }
 
-// settle ends the joint time once the newcomer holds a copy of everything.
-func settle(_ ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
-	r, ok := unpack[VoterSet](old)
-	n, fine := unpack[VoterSetNumber](arg)
+// finalizeVoterSet ends the joint time once the newcomer holds a copy of everything.
+func finalizeVoterSet(_ ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
+	r, ok := decodeMessage[VoterSet](old)
+	n, fine := decodeMessage[VoterSetNumber](arg)
 	if !ok || !fine || n.Number != r.Number || len(r.Incoming) == 0 {
 		return old, old
 	}
 	r.Voters, r.Incoming = r.Incoming, nil
 	r.Number++
-	return write(old, r)
+	return encodeVoterSet(old, r)
 }
 
-// abandon goes back to the old stores when the newcomer itself was lost.
+// abandonJoin goes back to the old stores when the newcomer itself was lost.
 // What was agreed meanwhile had a majority of the old as well.
-func abandon(_ ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
-	r, ok := unpack[VoterSet](old)
-	n, fine := unpack[VoterSetNumber](arg)
+func abandonJoin(_ ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
+	r, ok := decodeMessage[VoterSet](old)
+	n, fine := decodeMessage[VoterSetNumber](arg)
 	if !ok || !fine || n.Number != r.Number || len(r.Incoming) == 0 {
 		return old, old
 	}
 	r.Incoming = nil
 	r.Number++
-	return write(old, r)
+	return encodeVoterSet(old, r)
 }
 
 // OpenVoterSet reads a voter set from a register's value.
-func DecodeVoterSet(raw []byte) (VoterSet, bool) { return unpack[VoterSet](raw) }
+func DecodeVoterSet(raw []byte) (VoterSet, bool) { return decodeMessage[VoterSet](raw) }
--- a/internal/state/election/election.go
+++ b/internal/state/election/election.go
@@ -9,11 +9,11 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// OpTake takes a duty.
-const OpTake consensus.Op = 10
+// OpAcquire takes a duty.
+const OpAcquire consensus.Op = 10
 
-// Key names a duty's register.
-func Key(name string) ids.RegisterKey { return ids.RegisterKey("duty/" + name) }
+// RegisterKey names a duty's register.
+func RegisterKey(name string) ids.RegisterKey { return ids.RegisterKey("duty/" + name) }
 
 // Held is a duty's register.
 type Term struct {
@@ -26,16 +26,16 @@
 
 // Ops are the change functions of duties.
 func Ops() map[consensus.Op]consensus.ChangeFunc {
-	return map[consensus.Op]consensus.ChangeFunc{OpTake: take}
+	return map[consensus.Op]consensus.ChangeFunc{OpAcquire: acquire}
 }
 
-// take gives the duty to whoever asks, and raises the epoch each time: one that
+// acquire gives the duty to whoever asks, and raises the epoch each time: one that
 // gave the duty up and takes it again has a new epoch too, as what it sent
 // before may still be on its way. Only a copy of an asking that has taken effect
 // changes nothing: the taker didn't know yet of the epoch that it gave.
-func take(_ ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
-	have, _ := Decode(old)
-	want, ok := Decode(arg)
+func acquire(_ ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
+	have, _ := DecodeTerm(old)
+	want, ok := DecodeTerm(arg)
 	if !ok {
 		return old, old
 	}
@@ -53,8 +53,8 @@
 	return raw, raw
 }
 
-// Decode reads a duty's register.
-func Decode(raw []byte) (Term, bool) {
+// DecodeTerm reads a duty's register.
+func DecodeTerm(raw []byte) (Term, bool) {
 	_, msg, err := wire.ReadBytes(raw)
 	h, ok := msg.(Term)
 	return h, ok && err == nil
--- a/internal/state/election/election_test.go
+++ b/internal/state/election/election_test.go
@@ -15,14 +15,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	next, out := take("", old, arg)
+	next, out := acquire("", old, arg)
 	if string(next) != string(out) {
 		t.Fatal("told something else than was kept")
 	}
 	return next
 }
 
-func epoch(raw []byte) ids.Epoch { h, _ := Decode(raw); return h.Epoch }
+func epoch(raw []byte) ids.Epoch { h, _ := DecodeTerm(raw); return h.Epoch }
 
 // Each taking raises the epoch, and asking again does not. A register that was
 // lost goes on above what its taker remembers, or everybody would reject it.
--- a/internal/testsupport/compat/core_test.go
+++ b/internal/testsupport/compat/core_test.go
@@ -115,7 +115,7 @@
 func (c *core) order(t *testing.T, o order) {
 	t.Helper()
 	id := uint64(len(c.answers) + 1)
-	c.queue = append(c.queue, letter{clientAddress, coreAddresses[0], consensus.Request{ID: id, Key: o.key, Op: o.op, Arg: o.arg, Wait: 2000, Attempt: 1}})
+	c.queue = append(c.queue, letter{clientAddress, coreAddresses[0], consensus.Request{ID: id, Key: o.key, Op: o.op, Arg: o.arg, TimeoutMillis: 2000, Attempt: 1}})
 	c.run(t, func() bool { _, told := c.answers[id]; return told })
 	if c.answers[id].Outcome != consensus.Succeeded {
 		t.Fatalf("%s: %s", o.key, c.answers[id].Outcome)
--- a/internal/testsupport/compat/folder_test.go
+++ b/internal/testsupport/compat/folder_test.go
@@ -42,7 +42,7 @@
 	got := map[string]string{
 		"store":    fmt.Sprintf("%x", disk.Store),
 		"standing": fmt.Sprint(uint8(s.DiskState())),
-		"voters":   fmt.Sprintf("number %d loss %d", set.Number, set.Loss),
+		"voters":   fmt.Sprintf("number %d loss %d", set.Number, set.LossCount),
 		"policy":   string(s.LocalValue(configuration.Key)),
 	}
 	for i, v := range set.Voters {
--- a/internal/testsupport/compat/messages_test.go
+++ b/internal/testsupport/compat/messages_test.go
@@ -50,44 +50,44 @@
 		Watcher: "text-1", ID: "text-2",
 	},
 	consensus.Prepare{
-		Key: "text-1", Ballot: ids.Ballot{Counter: 4294967298, Proposer: 4294967299}, VoterSet: 4294967300, Round: 4294967301, ReadOnly: false,
-		Known: ids.Ballot{Counter: 4294967303, Proposer: 4294967304},
+		Key: "text-1", Ballot: ids.Ballot{Counter: 4294967298, Proposer: 4294967299}, VoterSetNumber: 4294967300, Round: 4294967301, ReadOnly: false,
+		KnownBallot: ids.Ballot{Counter: 4294967303, Proposer: 4294967304},
 	},
 	consensus.Promise{
-		Key: "text-1", Store: 4294967298, Round: 4294967299, VoterSet: 4294967300,
+		Key: "text-1", Store: 4294967298, Round: 4294967299, VoterSetNumber: 4294967300,
 		Promised: ids.Ballot{Counter: 4294967301, Proposer: 4294967302}, Accepted: ids.Ballot{Counter: 4294967303, Proposer: 4294967304},
-		Value: []uint8{9, 10}, Same: true, Differences: false,
+		Value: []uint8{9, 10}, MatchesKnown: true, ReadsDeltas: false,
 	},
 	consensus.Accept{
 		Key: "text-1", Ballot: ids.Ballot{Counter: 4294967298, Proposer: 4294967299}, NextBallot: ids.Ballot{Counter: 4294967300, Proposer: 4294967301},
-		VoterSet: 4294967302, Round: 4294967303, Value: []uint8{8, 9}, First: false,
+		VoterSetNumber: 4294967302, Round: 4294967303, Value: []uint8{8, 9}, FirstValue: false,
 	},
 	consensus.Accepted{
-		Key: "text-1", Store: 4294967298, Round: 4294967299, VoterSet: 4294967300, OK: true,
-		Promised: ids.Ballot{Counter: 4294967302, Proposer: 4294967303}, Differences: false, Whole: true,
+		Key: "text-1", Store: 4294967298, Round: 4294967299, VoterSetNumber: 4294967300, OK: true,
+		Promised: ids.Ballot{Counter: 4294967302, Proposer: 4294967303}, ReadsDeltas: false, NeedsWholeValue: true,
 	},
 	consensus.VoterSetUpdate{
-		VoterSet: consensus.VoterSet{Number: 4294967297, Voters: []consensus.Voter{{ID: 4294967298, Address: "text-3"}, {ID: 4294967300, Address: "text-5"}}, Incoming: []consensus.Voter{{ID: 4294967302, Address: "text-7"}, {ID: 4294967304, Address: "text-9"}}, Loss: 4294967306, Learners: []uint64{4294967307, 4294967308}, Previous: []consensus.Voter{{ID: 4294967309, Address: "text-14"}, {ID: 4294967311, Address: "text-16"}}},
+		VoterSet: consensus.VoterSet{Number: 4294967297, Voters: []consensus.Voter{{ID: 4294967298, Address: "text-3"}, {ID: 4294967300, Address: "text-5"}}, Incoming: []consensus.Voter{{ID: 4294967302, Address: "text-7"}, {ID: 4294967304, Address: "text-9"}}, LossCount: 4294967306, Learners: []uint64{4294967307, 4294967308}, Previous: []consensus.Voter{{ID: 4294967309, Address: "text-14"}, {ID: 4294967311, Address: "text-16"}}},
 	},
 	consensus.Request{
-		ID: 4294967297, Key: "text-2", Op: 3, Arg: []uint8{4, 5}, Wait: 65542, Attempt: 65543, HaveChecksum: 4294967304,
+		ID: 4294967297, Key: "text-2", Op: 3, Arg: []uint8{4, 5}, TimeoutMillis: 65542, Attempt: 65543, HaveChecksum: 4294967304,
 	},
 	consensus.Response{
-		ID: 4294967297, Outcome: 2, Result: []uint8{3, 4}, Attempt: 65541, Same: false,
+		ID: 4294967297, Outcome: 2, Result: []uint8{3, 4}, Attempt: 65541, Unchanged: false,
 	},
 	consensus.PageRequest{
-		VoterSet: 4294967297, After: "text-2", Number: 4294967299, Epoch: 4294967300, Since: 4294967301,
+		VoterSetNumber: 4294967297, AfterKey: "text-2", PageNumber: 4294967299, RunID: 4294967300, SinceChange: 4294967301,
 	},
 	consensus.PageResponse{
-		Store: 4294967297, VoterSet: 4294967298, Number: 4294967299,
+		Store: 4294967297, VoterSetNumber: 4294967298, PageNumber: 4294967299,
 		Records: []consensus.PageRecord{{Key: "text-4", Accepted: ids.Ballot{Counter: 4294967301, Proposer: 4294967302}, Value: []uint8{7, 8}}, {Key: "text-9", Accepted: ids.Ballot{Counter: 4294967306, Proposer: 4294967307}, Value: []uint8{12, 13}}},
-		Last:    false, Epoch: 4294967311, Changes: 4294967312, Delta: true,
+		Last:    false, RunID: 4294967311, ChangeCount: 4294967312, Delta: true,
 	},
 	consensus.Hello{
-		Store: consensus.Voter{ID: 4294967297, Address: "text-2"}, Blank: true, VoterSet: 4294967300, Response: true, Copied: false,
+		Store: consensus.Voter{ID: 4294967297, Address: "text-2"}, Blank: true, VoterSetNumber: 4294967300, IsReply: true, HasCopied: false,
 	},
 	consensus.Bootstrap{
-		VoterSet:      consensus.VoterSet{Number: 4294967297, Voters: []consensus.Voter{{ID: 4294967298, Address: "text-3"}, {ID: 4294967300, Address: "text-5"}}, Incoming: []consensus.Voter{{ID: 4294967302, Address: "text-7"}, {ID: 4294967304, Address: "text-9"}}, Loss: 4294967306, Learners: []uint64{4294967307, 4294967308}, Previous: []consensus.Voter{{ID: 4294967309, Address: "text-14"}, {ID: 4294967311, Address: "text-16"}}},
+		VoterSet:      consensus.VoterSet{Number: 4294967297, Voters: []consensus.Voter{{ID: 4294967298, Address: "text-3"}, {ID: 4294967300, Address: "text-5"}}, Incoming: []consensus.Voter{{ID: 4294967302, Address: "text-7"}, {ID: 4294967304, Address: "text-9"}}, LossCount: 4294967306, Learners: []uint64{4294967307, 4294967308}, Previous: []consensus.Voter{{ID: 4294967309, Address: "text-14"}, {ID: 4294967311, Address: "text-16"}}},
 		Configuration: []uint8{17, 18}, Round: 4294967315,
 	},
 	consensus.ConfigurationQuery{},
@@ -99,47 +99,47 @@
 	},
 	consensus.AcceptDifference{
 		Key: "text-1", Ballot: ids.Ballot{Counter: 4294967298, Proposer: 4294967299}, NextBallot: ids.Ballot{Counter: 4294967300, Proposer: 4294967301},
-		VoterSet: 4294967302, Round: 4294967303, Base: ids.Ballot{Counter: 4294967304, Proposer: 4294967305}, Difference: []uint8{10, 11},
+		VoterSetNumber: 4294967302, Round: 4294967303, BaseBallot: ids.Ballot{Counter: 4294967304, Proposer: 4294967305}, Delta: []uint8{10, 11},
 	},
 	consensus.ChosenDifference{
-		Key: "text-1", Difference: []uint8{2, 3},
+		Key: "text-1", Delta: []uint8{2, 3},
 	},
-	consensus.FoundingRequest{
+	consensus.BootstrapRequest{
 		Round:    4294967297,
-		VoterSet: consensus.VoterSet{Number: 4294967298, Voters: []consensus.Voter{{ID: 4294967299, Address: "text-4"}, {ID: 4294967301, Address: "text-6"}}, Incoming: []consensus.Voter{{ID: 4294967303, Address: "text-8"}, {ID: 4294967305, Address: "text-10"}}, Loss: 4294967307, Learners: []uint64{4294967308, 4294967309}, Previous: []consensus.Voter{{ID: 4294967310, Address: "text-15"}, {ID: 4294967312, Address: "text-17"}}},
+		VoterSet: consensus.VoterSet{Number: 4294967298, Voters: []consensus.Voter{{ID: 4294967299, Address: "text-4"}, {ID: 4294967301, Address: "text-6"}}, Incoming: []consensus.Voter{{ID: 4294967303, Address: "text-8"}, {ID: 4294967305, Address: "text-10"}}, LossCount: 4294967307, Learners: []uint64{4294967308, 4294967309}, Previous: []consensus.Voter{{ID: 4294967310, Address: "text-15"}, {ID: 4294967312, Address: "text-17"}}},
 	},
-	consensus.FoundingResponse{
+	consensus.BootstrapResponse{
 		Round:    4294967297,
-		VoterSet: consensus.VoterSet{Number: 4294967298, Voters: []consensus.Voter{{ID: 4294967299, Address: "text-4"}, {ID: 4294967301, Address: "text-6"}}, Incoming: []consensus.Voter{{ID: 4294967303, Address: "text-8"}, {ID: 4294967305, Address: "text-10"}}, Loss: 4294967307, Learners: []uint64{4294967308, 4294967309}, Previous: []consensus.Voter{{ID: 4294967310, Address: "text-15"}, {ID: 4294967312, Address: "text-17"}}},
-		Store:    4294967314, Rejected: "text-19", Promised: 4294967316,
+		VoterSet: consensus.VoterSet{Number: 4294967298, Voters: []consensus.Voter{{ID: 4294967299, Address: "text-4"}, {ID: 4294967301, Address: "text-6"}}, Incoming: []consensus.Voter{{ID: 4294967303, Address: "text-8"}, {ID: 4294967305, Address: "text-10"}}, LossCount: 4294967307, Learners: []uint64{4294967308, 4294967309}, Previous: []consensus.Voter{{ID: 4294967310, Address: "text-15"}, {ID: 4294967312, Address: "text-17"}}},
+		Store:    4294967314, Rejection: "text-19", PromisedRound: 4294967316,
 	},
 	consensus.RegisterState{
 		Promised: ids.Ballot{Counter: 4294967297, Proposer: 4294967298}, Accepted: ids.Ballot{Counter: 4294967299, Proposer: 4294967300},
 		Value: []uint8{5, 6},
 	},
 	consensus.VoterSet{
-		Number:   4294967297,
-		Voters:   []consensus.Voter{{ID: 4294967298, Address: "text-3"}, {ID: 4294967300, Address: "text-5"}},
-		Incoming: []consensus.Voter{{ID: 4294967302, Address: "text-7"}, {ID: 4294967304, Address: "text-9"}},
-		Loss:     4294967306, Learners: []uint64{4294967307, 4294967308},
+		Number:    4294967297,
+		Voters:    []consensus.Voter{{ID: 4294967298, Address: "text-3"}, {ID: 4294967300, Address: "text-5"}},
+		Incoming:  []consensus.Voter{{ID: 4294967302, Address: "text-7"}, {ID: 4294967304, Address: "text-9"}},
+		LossCount: 4294967306, Learners: []uint64{4294967307, 4294967308},
 		Previous: []consensus.Voter{{ID: 4294967309, Address: "text-14"}, {ID: 4294967311, Address: "text-16"}},
 	},
 	consensus.JoinRequest{
-		New: consensus.Voter{ID: 4294967297, Address: "text-2"}, Lost: 4294967299, Copies: 4294967300,
+		New: consensus.Voter{ID: 4294967297, Address: "text-2"}, LostID: 4294967299, Replicas: 4294967300,
 	},
 	consensus.VoterSetNumber{
 		Number: 4294967297,
 	},
 	consensus.ReplaceRequest{
-		New: consensus.Voter{ID: 4294967297, Address: "text-2"}, Lost: 4294967299, Replicas: 4294967300,
+		New: consensus.Voter{ID: 4294967297, Address: "text-2"}, LostID: 4294967299, Replicas: 4294967300,
 	},
-	consensus.LearnedReport{
+	consensus.PromoteLearnerRequest{
 		ID: 4294967297,
 	},
-	consensus.FoundingRecord{
-		Round:       4294967297,
-		Proposed:    []consensus.VoterSet{{Number: 4294967298, Voters: []consensus.Voter{{ID: 4294967299, Address: "text-4"}, {ID: 4294967301, Address: "text-6"}}, Incoming: []consensus.Voter{{ID: 4294967303, Address: "text-8"}, {ID: 4294967305, Address: "text-10"}}, Loss: 4294967307, Learners: []uint64{4294967308, 4294967309}, Previous: []consensus.Voter{{ID: 4294967310, Address: "text-15"}, {ID: 4294967312, Address: "text-17"}}}, {Number: 4294967314, Voters: []consensus.Voter{{ID: 4294967315, Address: "text-20"}, {ID: 4294967317, Address: "text-22"}}, Incoming: []consensus.Voter{{ID: 4294967319, Address: "text-24"}, {ID: 4294967321, Address: "text-26"}}, Loss: 4294967323, Learners: []uint64{4294967324, 4294967325}, Previous: []consensus.Voter{{ID: 4294967326, Address: "text-31"}, {ID: 4294967328, Address: "text-33"}}}},
-		EarlierCore: "text-34",
+	consensus.BootstrapRecord{
+		Round:             4294967297,
+		PromisedVoterSets: []consensus.VoterSet{{Number: 4294967298, Voters: []consensus.Voter{{ID: 4294967299, Address: "text-4"}, {ID: 4294967301, Address: "text-6"}}, Incoming: []consensus.Voter{{ID: 4294967303, Address: "text-8"}, {ID: 4294967305, Address: "text-10"}}, LossCount: 4294967307, Learners: []uint64{4294967308, 4294967309}, Previous: []consensus.Voter{{ID: 4294967310, Address: "text-15"}, {ID: 4294967312, Address: "text-17"}}}, {Number: 4294967314, Voters: []consensus.Voter{{ID: 4294967315, Address: "text-20"}, {ID: 4294967317, Address: "text-22"}}, Incoming: []consensus.Voter{{ID: 4294967319, Address: "text-24"}, {ID: 4294967321, Address: "text-26"}}, LossCount: 4294967323, Learners: []uint64{4294967324, 4294967325}, Previous: []consensus.Voter{{ID: 4294967326, Address: "text-31"}, {ID: 4294967328, Address: "text-33"}}}},
+		ExistingCluster:   "text-34",
 	},
 	election.Term{
 		Epoch: 4294967297, Holder: "text-2", RunID: 4294967299,
--- a/internal/testsupport/compat/records_test.go
+++ b/internal/testsupport/compat/records_test.go
@@ -61,7 +61,7 @@
 	acceptor := consensus.NewAcceptor(1, disk, &out)
 	acceptor.AdoptVoterSet(consensus.VoterSet{
 		Number: 3, Voters: []consensus.Voter{{ID: 1, Address: "10.0.0.1:1"}, {ID: 2, Address: "10.0.0.2:1"}},
-		Previous: []consensus.Voter{{ID: 9, Address: "10.0.0.9:1"}}, Learners: []uint64{2}, Loss: 1,
+		Previous: []consensus.Voter{{ID: 9, Address: "10.0.0.9:1"}}, Learners: []uint64{2}, LossCount: 1,
 	})
 	acceptor.MarkComplete()
 	values = map[ids.RegisterKey][]byte{}
@@ -75,7 +75,7 @@
 		answers = append(answers, told)
 		count++
 		ballot := ids.Ballot{Counter: count, Proposer: 1<<24 | 5}
-		acceptor.Accept("10.0.0.2:1", consensus.Accept{Key: o.key, Ballot: ballot, NextBallot: ids.Ballot{Counter: count + 1, Proposer: ballot.Proposer}, VoterSet: 3, Value: next})
+		acceptor.HandleAccept("10.0.0.2:1", consensus.Accept{Key: o.key, Ballot: ballot, NextBallot: ids.Ballot{Counter: count + 1, Proposer: ballot.Proposer}, VoterSetNumber: 3, Value: next})
 		disk.write(out.Drain())
 	}
 	return values, answers
@@ -127,7 +127,7 @@
 	is.True(len(values) > 4)
 	for key, want := range values {
 		t.Run(fmt.Sprint(key), func(t *testing.T) {
-			_, value := acceptor.Value(key)
+			_, value := acceptor.AcceptedValue(key)
 			is.New(t).Equal(string(value), string(want))
 		})
 	}
--- a/internal/testsupport/compat/sample_test.go
+++ b/internal/testsupport/compat/sample_test.go
@@ -63,7 +63,7 @@
 	response := idempotency.Response{Status: 201, Header: []idempotency.Header{{Name: "X-Part", Value: "seven"}}, Body: []byte("done"), Digest: "sum"}
 	over, let, clear := idempotency.Key("orders", "key-1"), idempotency.Key("orders", "key-2"), idempotency.Key("orders", "key-3")
 	return []order{
-		{election.Key("planner"), election.OpTake, packed(election.Term{Epoch: 4, Holder: "registry-1", RunID: 99})},
+		{election.RegisterKey("planner"), election.OpAcquire, packed(election.Term{Epoch: 4, Holder: "registry-1", RunID: 99})},
 		{over, idempotency.OpClaim, claim},
 		{over, idempotency.OpOutcome, packed(idempotency.Operation{Owner: owner, Attempt: 1, Response: response})},
 		{let, idempotency.OpClaim, claim},
--- a/internal/testsupport/simulator/catchup.go
+++ b/internal/testsupport/simulator/catchup.go
@@ -84,7 +84,7 @@
 
 // revision gives the configuration's revision on the synced disk.
 func (d *disk) revision() ids.Revision {
-	_, raw := consensus.NewAcceptor(d.store, d, &event.Outbox{}).Value(configuration.Key)
+	_, raw := consensus.NewAcceptor(d.store, d, &event.Outbox{}).AcceptedValue(configuration.Key)
 	held, err := configuration.Decode(raw)
 	if err != nil {
 		return 0
--- a/internal/testsupport/simulator/linear_test.go
+++ b/internal/testsupport/simulator/linear_test.go
@@ -107,8 +107,8 @@
 		if p, err := configuration.Decode(r.Result); err == nil && p.Revision > 2 && len(p.Services) > 0 && early == nil {
 			early = r.Result
 		}
-		if n++; r.Same && early != nil && n%5 == 0 {
-			r.Same, r.Result = false, early
+		if n++; r.Unchanged && early != nil && n%5 == 0 {
+			r.Unchanged, r.Result = false, early
 		}
 		return r, true
 	}
--- a/internal/testsupport/simulator/repair.go
+++ b/internal/testsupport/simulator/repair.go
@@ -34,7 +34,7 @@
 		stores++
 		raw, _ := p.disk.Get("meta/roster")
 		set, ok := consensus.DecodeVoterSet(raw)
-		if !p.up || !ok || len(set.Incoming) > 0 || !set.Has(p.disk.store) || len(set.Learners) > 0 {
+		if !p.up || !ok || len(set.Incoming) > 0 || !set.HasVoter(p.disk.store) || len(set.Learners) > 0 {
 			return false
 		}
 		if number == 0 {
