--- a/internal/app/daemon/recover.go
+++ b/internal/app/daemon/recover.go
@@ -26,8 +26,8 @@
 	owner.Put(store.RecoverRequest{})
 	select {
 	case a := <-orders:
-		if a.Why != "" {
-			api.Say(rw, 409, "declined: "+a.Why)
+		if a.Rejection != "" {
+			api.Say(rw, 409, "declined: "+a.Rejection)
 			return
 		}
 		api.Write(rw, registry.Response{Status: 200, Body: map[string]bool{"refounding": true}})
--- a/internal/app/daemon/store.go
+++ b/internal/app/daemon/store.go
@@ -154,12 +154,12 @@
 		return &StartError{errs.Wrap(err, "--data", "")}
 	}
 	defer disk.Close()
-	if disk.SetAside != "" {
-		log.Event(event.LevelError, "damaged database set aside, joining as blank", "kept", disk.SetAside, "error", disk.Damage.Error())
+	if disk.SetAsidePath != "" {
+		log.Event(event.LevelError, "damaged database set aside, joining as blank", "kept", disk.SetAsidePath, "error", disk.DamageCause.Error())
 	}
 	m := store.New(store.Options{
 		Options:  membership.Options{Self: Self(p.Common, membership.Store), Seeds: p.SeedList(), Incremental: p.Thrifty},
-		Replicas: p.Copies, Bootstrap: p.Bootstrap, Store: disk.Store, Run: disk.Run, Storage: disk, Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		Replicas: p.Copies, Bootstrap: p.Bootstrap, StoreID: disk.StoreID, RunNumber: disk.RunNumber, Storage: disk, Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
 	post := &process.Transport{Address: ids.Address(p.Address), Bind: ids.Address(p.Bind), Log: log, Stats: &process.TrafficStats{}}
 	c := &committer{shelf: disk, log: log, inbox: make(chan event.Sync, 1<<16)}
--- a/internal/controlplane/store/cluster_test.go
+++ b/internal/controlplane/store/cluster_test.go
@@ -13,18 +13,18 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// clusterDisk keeps records; a sync is done as soon as it is asked for.
-type clusterDisk struct {
+// testDisk keeps records; a sync is done as soon as it is asked for.
+type testDisk struct {
 	id, run uint64
 	records map[ids.RegisterKey][]byte
 }
 
-func (d *clusterDisk) Get(key ids.RegisterKey) ([]byte, bool) {
+func (d *testDisk) Get(key ids.RegisterKey) ([]byte, bool) {
 	raw, ok := d.records[key]
 	return raw, ok
 }
 
-func (d *clusterDisk) Scan(after ids.RegisterKey, n int) []event.Record {
+func (d *testDisk) Scan(after ids.RegisterKey, n int) []event.Record {
 	var out []event.Record
 	for _, k := range slices.Sorted(maps.Keys(d.records)) {
 		if k > after && strings.HasPrefix(string(k), "item/") && len(out) < n {
@@ -46,23 +46,23 @@
 type cluster struct {
 	now    ids.Time
 	stores map[ids.Address]*Store
-	disks  map[ids.Address]*clusterDisk
+	disks  map[ids.Address]*testDisk
 	queue  []message
 	nextID uint64
-	cut    func(from, to ids.Address) bool
+	isCut  func(from, to ids.Address) bool
 	logged []event.LogEntry
-	// stopped are the stores that said that they may stop, and when.
-	stopped map[ids.Address]ids.Time
+	// mayStopAt are the stores that said that they may stop, and when.
+	mayStopAt map[ids.Address]ids.Time
 	// budget, if above 0, is how many messages pass before onBudget is called.
-	budget   int
-	onBudget func()
-	answers  []consensus.Response
+	messagesBeforeFault int
+	fault               func()
+	responses           []consensus.Response
 }
 
 var seedAddresses = []ids.Address{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}
 
 func newCluster() *cluster {
-	return &cluster{now: ids.Time(time.Second), stopped: map[ids.Address]ids.Time{}, stores: map[ids.Address]*Store{}, disks: map[ids.Address]*clusterDisk{}}
+	return &cluster{now: ids.Time(time.Second), mayStopAt: map[ids.Address]ids.Time{}, stores: map[ids.Address]*Store{}, disks: map[ids.Address]*testDisk{}}
 }
 
 // start starts a store on the disk of its address, which is blank at first.
@@ -70,18 +70,18 @@
 	d := c.disks[at]
 	if d == nil {
 		c.nextID++
-		d = &clusterDisk{id: c.nextID, records: map[ids.RegisterKey][]byte{}}
+		d = &testDisk{id: c.nextID, records: map[ids.RegisterKey][]byte{}}
 		c.disks[at] = d
 	}
 	d.run++
 	self := membership.Member{ID: ids.DaemonID(at), Role: membership.Store, Address: at, Zone: "zone", RunID: ids.RunID(d.run), Incarnation: ids.Incarnation(c.now)}
 	s := New(Options{
-		Options: membership.Options{Self: self, Seeds: seeds}, Replicas: 3, Store: d.id, Run: d.run, Storage: d,
+		Options: membership.Options{Self: self, Seeds: seeds}, Replicas: 3, StoreID: d.id, RunNumber: d.run, Storage: d,
 		Random: rand.New(rand.NewPCG(d.id, d.run)), Bootstrap: bootstrap,
 	})
 	ops := Ops()
 	ops[opPut] = func(_ ids.RegisterKey, _, arg []byte) ([]byte, []byte) { return arg, arg }
-	s.Teach(ops)
+	s.ReplaceOps(ops)
 	c.stores[at] = s
 }
 
@@ -108,7 +108,7 @@
 			}
 			c.perform(at, c.stores[at].Step(c.now, event.Synced{Batch: x.Batch}))
 		case MayStop:
-			c.stopped[at] = c.now
+			c.mayStopAt[at] = c.now
 		case event.LogEntry:
 			c.logged = append(c.logged, x)
 		}
@@ -132,22 +132,22 @@
 			c.queue = c.queue[1:]
 			if m.to == clientAddress {
 				if r, ok := m.msg.(consensus.Response); ok {
-					c.answers = append(c.answers, r)
+					c.responses = append(c.responses, r)
 				}
 				continue
 			}
-			if c.budget--; c.budget == 0 {
-				c.onBudget()
+			if c.messagesBeforeFault--; c.messagesBeforeFault == 0 {
+				c.fault()
 			}
-			if s := c.stores[m.to]; s != nil && (c.cut == nil || !c.cut(m.from, m.to)) {
+			if s := c.stores[m.to]; s != nil && (c.isCut == nil || !c.isCut(m.from, m.to)) {
 				c.perform(m.to, s.Step(c.now, event.Received{From: m.from, Msg: m.msg}))
 			}
 		}
 	}
 }
 
-// foundings counts how often a voter set was founded.
-func (c *cluster) foundings() int {
+// bootstrapCount counts how often a voter set was founded.
+func (c *cluster) bootstrapCount() int {
 	n := 0
 	for _, l := range c.logged {
 		if l.Event == "founded" || l.Event == "founded on order" {
@@ -157,8 +157,10 @@
 	return n
 }
 
-// voters gives the voter set in force at a store.
-func (c *cluster) voters(at ids.Address) consensus.VoterSet { return c.stores[at].Acceptor.VoterSet() }
+// voterSet gives the voter set in force at a store.
+func (c *cluster) voterSet(at ids.Address) consensus.VoterSet {
+	return c.stores[at].Acceptor.VoterSet()
+}
 
 func (c *cluster) startAll(bootstrap bool) {
 	for _, a := range seedAddresses {
--- a/internal/controlplane/store/founding.go
+++ b/internal/controlplane/store/founding.go
@@ -13,214 +13,214 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// founding is a blank store's part in making the first voter set. It takes
+// bootstrapState is a blank store's part in making the first voter set. It takes
 // three things: leave (the setting, or the record of it on this very disk), no
 // sign of an earlier core at any seed, and a synced promise of every seed to
 // one and the same proposal.
-type founding struct {
+type bootstrapState struct {
 	// allowed: this disk was first started with leave to found.
 	allowed  bool
 	recorded bool
 	record   consensus.BootstrapRecord
-	// request is what this store proposes as the founder, since a time.
-	request  consensus.BootstrapRequest
-	since    ids.Time
-	promised map[uint64]bool
-	// waits is why there was no founding when last looked.
-	waits string
+	// proposal is what this store proposes as the founder, since a time.
+	proposal   consensus.BootstrapRequest
+	proposedAt ids.Time
+	promised   map[uint64]bool
+	// waitReason is why there was no founding when last looked.
+	waitReason string
 }
 
 const (
-	foundingKey = ids.RegisterKey("meta/founding")
-	// helloFor is how long a store's hello says that it is there.
-	helloFor = 2 * time.Second
+	bootstrapRecordKey = ids.RegisterKey("meta/founding")
+	// helloLifetime is how long a store's hello says that it is there.
+	helloLifetime = 2 * time.Second
 )
 
-// loadFounding takes up where the disk left off.
-func loadFounding(disk consensus.Storage, leave bool) founding {
-	raw, _ := disk.Get(foundingKey)
+// loadBootstrapState takes up where the disk left off.
+func loadBootstrapState(disk consensus.Storage, allowed bool) bootstrapState {
+	raw, _ := disk.Get(bootstrapRecordKey)
 	_, msg, err := wire.ReadBytes(raw)
 	record, ok := msg.(consensus.BootstrapRecord)
 	ok = ok && err == nil
-	return founding{allowed: leave || ok, recorded: ok, record: record, promised: map[uint64]bool{}}
+	return bootstrapState{allowed: allowed || ok, recorded: ok, record: record, promised: map[uint64]bool{}}
 }
 
-// found is a blank store's share of each round of management.
-func (s *Store) found(now ids.Time) {
-	if s.founding.allowed && !s.founding.recorded {
-		s.founding.recorded = true
-		s.Persist(foundingKey, s.founding.record)
+// tryBootstrap is a blank store's share of each round of management.
+func (s *Store) tryBootstrap(now ids.Time) {
+	if s.bootstrap.allowed && !s.bootstrap.recorded {
+		s.bootstrap.recorded = true
+		s.Persist(bootstrapRecordKey, s.bootstrap.record)
 	}
-	s.noteEarlierCore()
-	s.explainWait(s.whyNotFounding(now))
-	if s.founding.request.Round != 0 && s.founding.waits == "" {
-		s.propose(now)
+	s.recordEarlierCluster()
+	s.logWaitReason(s.prepareProposal(now))
+	if s.bootstrap.proposal.Round != 0 && s.bootstrap.waitReason == "" {
+		s.advanceProposal(now)
 	}
 }
 
-// explainWait logs a new reason to wait, once.
-func (s *Store) explainWait(why string) {
-	if why != "" && why != s.founding.waits {
-		s.Log(event.LevelInfo, "not founding", "waits", why)
+// logWaitReason logs a new reason to wait, once.
+func (s *Store) logWaitReason(reason string) {
+	if reason != "" && reason != s.bootstrap.waitReason {
+		s.Log(event.LevelInfo, "not founding", "waits", reason)
 	}
-	s.founding.waits = why
+	s.bootstrap.waitReason = reason
 }
 
-// whyNotFounding prepares the proposal, or says what is in its way.
-func (s *Store) whyNotFounding(now ids.Time) string {
+// prepareProposal prepares the proposal, or says what is in its way.
+func (s *Store) prepareProposal(now ids.Time) string {
 	switch {
-	case !s.founding.allowed:
+	case !s.bootstrap.allowed:
 		return "this is no first start: a core must take this store in"
-	case s.founding.record.ExistingCluster != "":
-		return s.founding.record.ExistingCluster
+	case s.bootstrap.record.ExistingCluster != "":
+		return s.bootstrap.record.ExistingCluster
 	case len(s.seeds) == 0 || s.Self.Address != slices.Min(s.seeds):
 		return "the first of the seeds founds"
 	}
 	first := consensus.VoterSet{Number: 1}
-	for _, a := range s.seeds {
-		m, ok := s.hellos[a]
-		if !ok || now.Sub(m.at) > helloFor || !m.Blank {
-			s.founding.request = consensus.BootstrapRequest{}
-			return string(a)
+	for _, address := range s.seeds {
+		hello, ok := s.hellos[address]
+		if !ok || now.Sub(hello.receivedAt) > helloLifetime || !hello.Blank {
+			s.bootstrap.proposal = consensus.BootstrapRequest{}
+			return string(address)
 		}
-		first.Voters = append(first.Voters, m.Store)
+		first.Voters = append(first.Voters, hello.Store)
 	}
-	if s.founding.request.Round == 0 || !s.founding.request.VoterSet.SameVoters(first) {
-		s.proposeRound(now, s.founding.record.Round+1, first)
+	if s.bootstrap.proposal.Round == 0 || !s.bootstrap.proposal.VoterSet.SameVoters(first) {
+		s.beginProposal(now, s.bootstrap.record.Round+1, first)
 	}
 	return ""
 }
 
-// proposeRound begins a proposal; promises to another count for nothing in it.
-func (s *Store) proposeRound(now ids.Time, round uint64, first consensus.VoterSet) {
-	s.founding.request = consensus.BootstrapRequest{Round: round, VoterSet: first}
-	s.founding.since = now
-	s.founding.promised = map[uint64]bool{}
+// beginProposal begins a proposal; promises to another count for nothing in it.
+func (s *Store) beginProposal(now ids.Time, round uint64, first consensus.VoterSet) {
+	s.bootstrap.proposal = consensus.BootstrapRequest{Round: round, VoterSet: first}
+	s.bootstrap.proposedAt = now
+	s.bootstrap.promised = map[uint64]bool{}
 }
 
-// propose asks those who haven't promised, and founds once all have and the
+// advanceProposal asks those who haven't promised, and founds once all have and the
 // roll had its time to bring signs of an earlier core.
-func (s *Store) propose(now ids.Time) {
-	r := s.founding.request
-	for _, v := range r.VoterSet.Voters {
-		if !s.founding.promised[v.ID] {
-			s.Send(v.Address, r)
+func (s *Store) advanceProposal(now ids.Time) {
+	proposal := s.bootstrap.proposal
+	for _, v := range proposal.VoterSet.Voters {
+		if !s.bootstrap.promised[v.ID] {
+			s.Send(v.Address, proposal)
 		}
 	}
-	ready := len(s.founding.promised) == len(r.VoterSet.Voters) && s.founding.record.IsLastPromised(r)
-	if !ready || now.Sub(s.founding.since) < collectConfigurationFor {
+	ready := len(s.bootstrap.promised) == len(proposal.VoterSet.Voters) && s.bootstrap.record.IsLastPromised(proposal)
+	if !ready || now.Sub(s.bootstrap.proposedAt) < configurationCollectTime {
 		return
 	}
-	s.bootstrap(consensus.Bootstrap{VoterSet: r.VoterSet, Round: r.Round})
+	s.applyBootstrap(consensus.Bootstrap{VoterSet: proposal.VoterSet, Round: proposal.Round})
 	s.Log(event.LevelInfo, "founded", "voter_set", "1")
-	for _, v := range r.VoterSet.Voters {
+	for _, v := range proposal.VoterSet.Voters {
 		if v.ID != s.StoreID() {
-			s.Send(v.Address, consensus.Bootstrap{VoterSet: r.VoterSet, Round: r.Round})
+			s.Send(v.Address, consensus.Bootstrap{VoterSet: proposal.VoterSet, Round: proposal.Round})
 		}
 	}
 }
 
-// promiseFounding answers a founder.
-func (s *Store) promiseFounding(from ids.Address, r consensus.BootstrapRequest) {
-	if ro := s.Acceptor.VoterSet(); ro.Number > 0 {
-		s.Send(from, consensus.VoterSetUpdate{VoterSet: ro})
+// handleFoundingRequest answers a founder.
+func (s *Store) handleFoundingRequest(from ids.Address, request consensus.BootstrapRequest) {
+	if voterSet := s.Acceptor.VoterSet(); voterSet.Number > 0 {
+		s.Send(from, consensus.VoterSetUpdate{VoterSet: voterSet})
 		return
 	}
-	s.noteEarlierCore()
-	out := consensus.BootstrapResponse{Round: r.Round, VoterSet: r.VoterSet, Store: s.StoreID(), PromisedRound: s.founding.record.Round}
-	if out.Rejection = s.rejectsFounding(r); out.Rejection != "" {
-		s.Send(from, out)
+	s.recordEarlierCluster()
+	response := consensus.BootstrapResponse{Round: request.Round, VoterSet: request.VoterSet, Store: s.StoreID(), PromisedRound: s.bootstrap.record.Round}
+	if response.Rejection = s.foundingRejection(request); response.Rejection != "" {
+		s.Send(from, response)
 		return
 	}
-	record, why := s.founding.record.Promise(r)
-	out.Rejection, out.PromisedRound = why, record.Round
-	if why == "" {
-		s.founding.record, s.founding.recorded = record, true
-		s.Persist(foundingKey, record)
+	record, reason := s.bootstrap.record.Promise(request)
+	response.Rejection, response.PromisedRound = reason, record.Round
+	if reason == "" {
+		s.bootstrap.record, s.bootstrap.recorded = record, true
+		s.Persist(bootstrapRecordKey, record)
 	}
-	s.AfterSync(sendTo(from, out))
+	s.AfterSync(sendCommand(from, response))
 }
 
-// rejectsFounding says what keeps this store from any part in the founding.
-func (s *Store) rejectsFounding(r consensus.BootstrapRequest) string {
-	var at []ids.Address
-	for _, v := range r.VoterSet.Voters {
-		at = append(at, v.Address)
+// foundingRejection says what keeps this store from any part in the founding.
+func (s *Store) foundingRejection(request consensus.BootstrapRequest) string {
+	var addresses []ids.Address
+	for _, v := range request.VoterSet.Voters {
+		addresses = append(addresses, v.Address)
 	}
-	slices.Sort(at)
+	slices.Sort(addresses)
 	switch {
-	case !s.founding.allowed:
+	case !s.bootstrap.allowed:
 		return "no first start"
-	case s.founding.record.ExistingCluster != "":
-		return s.founding.record.ExistingCluster
-	case !slices.Equal(at, slices.Sorted(slices.Values(s.seeds))):
+	case s.bootstrap.record.ExistingCluster != "":
+		return s.bootstrap.record.ExistingCluster
+	case !slices.Equal(addresses, slices.Sorted(slices.Values(s.seeds))):
 		return "other seeds"
-	case !r.VoterSet.HasVoter(s.StoreID()):
+	case !request.VoterSet.HasVoter(s.StoreID()):
 		return "another disk"
 	}
 	return ""
 }
 
-// countPromise takes a seed's answer to this founder.
-func (s *Store) countPromise(now ids.Time, m consensus.BootstrapResponse) {
-	r := s.founding.request
+// handleFoundingResponse takes a seed's answer to this founder.
+func (s *Store) handleFoundingResponse(now ids.Time, m consensus.BootstrapResponse) {
+	proposal := s.bootstrap.proposal
 	switch {
-	case s.Acceptor.VoterSet().Number > 0 || r.Round != m.Round || !r.VoterSet.SameVoters(m.VoterSet):
+	case s.Acceptor.VoterSet().Number > 0 || proposal.Round != m.Round || !proposal.VoterSet.SameVoters(m.VoterSet):
 	case m.Rejection == "":
-		s.founding.promised[m.Store] = true
+		s.bootstrap.promised[m.Store] = true
 	default:
-		s.Log(event.LevelInfo, "founding declined", "store", itoa(m.Store), "why", m.Rejection)
-		if m.PromisedRound >= r.Round {
-			s.proposeRound(now, m.PromisedRound+1, r.VoterSet)
+		s.Log(event.LevelInfo, "founding declined", "store", formatUint(m.Store), "why", m.Rejection)
+		if m.PromisedRound >= proposal.Round {
+			s.beginProposal(now, m.PromisedRound+1, proposal.VoterSet)
 		}
 	}
 }
 
-// noteEarlierCore keeps on the disk that a core was seen to exist: someone
+// recordEarlierCluster keeps on the disk that a core was seen to exist: someone
 // holds a configuration that was accepted, or a store has a vote in a voter set that
 // this store didn't help to found. Such a disk never founds by itself.
-func (s *Store) noteEarlierCore() {
-	if s.founding.record.ExistingCluster != "" {
+func (s *Store) recordEarlierCluster() {
+	if s.bootstrap.record.ExistingCluster != "" {
 		return
 	}
-	why := ""
+	reason := ""
 	for _, m := range s.All() {
 		switch {
 		case m.ID == s.Self.ID:
 		case m.Revision > 0:
-			why = fmt.Sprintf("%s holds an accepted policy", m.ID)
-		case m.Role == membership.Store && m.Ready && !s.founding.record.IncludesStore(m.Store):
-			why = fmt.Sprintf("%s has a vote in an earlier core", m.ID)
+			reason = fmt.Sprintf("%s holds an accepted policy", m.ID)
+		case m.Role == membership.Store && m.Ready && !s.bootstrap.record.IncludesStore(m.Store):
+			reason = fmt.Sprintf("%s has a vote in an earlier core", m.ID)
 		}
 	}
-	if why != "" {
-		s.founding.record.ExistingCluster = why
-		s.Persist(foundingKey, s.founding.record)
+	if reason != "" {
+		s.bootstrap.record.ExistingCluster = reason
+		s.Persist(bootstrapRecordKey, s.bootstrap.record)
 	}
 }
 
-// takeUp makes a blank store a member of the voter set that it was founded into.
-func (s *Store) takeUp(from ids.Address, m consensus.Bootstrap) {
+// handleBootstrap makes a blank store a member of the voter set that it was founded into.
+func (s *Store) handleBootstrap(from ids.Address, m consensus.Bootstrap) {
 	if s.Acceptor.VoterSet().Number > 0 || !m.VoterSet.HasVoter(s.StoreID()) {
 		return
 	}
 	for _, v := range m.VoterSet.AllVoters() {
-		if v.Address == from && s.founding.record.MayAdopt(m, v) {
-			s.bootstrap(m)
+		if v.Address == from && s.bootstrap.record.MayAdopt(m, v) {
+			s.applyBootstrap(m)
 			return
 		}
 	}
 }
 
-// bootstrap takes up the first voter set, here or at another founding member.
-func (s *Store) bootstrap(m consensus.Bootstrap) {
+// applyBootstrap takes up the first voter set, here or at another founding member.
+func (s *Store) applyBootstrap(m consensus.Bootstrap) {
 	raw, err := wire.Encode(m.VoterSet)
 	if err != nil {
 		return
 	}
 	if m.Round > 0 {
-		s.founding.record.Round = m.Round
-		s.Persist(foundingKey, s.founding.record)
+		s.bootstrap.record.Round = m.Round
+		s.Persist(bootstrapRecordKey, s.bootstrap.record)
 	}
 	// The values are planted before the voter set is: a member that votes has them.
 	s.Seed(consensus.VoterSetKey, raw)
@@ -234,11 +234,11 @@
 	s.AdoptVoterSet(m.VoterSet)
 }
 
-// bootstrapFor is what a member that has no values yet is to take up.
-func (s *Store) bootstrapFor(ro consensus.VoterSet) consensus.Bootstrap {
-	b := consensus.Bootstrap{VoterSet: ro, Round: s.founding.record.Round}
-	if at, v := s.AcceptedValue(configuration.Key); at == (ids.Ballot{Counter: 1}) {
-		b.Configuration = v
+// bootstrapMessage is what a member that has no values yet is to take up.
+func (s *Store) bootstrapMessage(voterSet consensus.VoterSet) consensus.Bootstrap {
+	b := consensus.Bootstrap{VoterSet: voterSet, Round: s.bootstrap.record.Round}
+	if ballot, value := s.AcceptedValue(configuration.Key); ballot == (ids.Ballot{Counter: 1}) {
+		b.Configuration = value
 	}
 	return b
 }
--- a/internal/controlplane/store/founding_test.go
+++ b/internal/controlplane/store/founding_test.go
@@ -13,35 +13,35 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-func TestBlankStoresNeverFoundWithoutLeave(t *testing.T) {
+func TestBootstrap_NeedsPermissionOnEverySeed(t *testing.T) {
 	is := is.New(t)
 	c := newCluster()
 	c.startAll(false)
 	c.run(time.Minute)
-	is.Equal(c.foundings(), 0)
+	is.Equal(c.bootstrapCount(), 0)
 	// Two of the three with leave aren't enough either.
 	c.wipe(seedAddresses[0])
 	c.wipe(seedAddresses[1])
 	c.start(seedAddresses[0], seedAddresses, true)
 	c.start(seedAddresses[1], seedAddresses, true)
 	c.run(time.Minute)
-	is.Equal(c.foundings(), 0)
+	is.Equal(c.bootstrapCount(), 0)
 }
 
-func TestFoundsOnceWithLeave(t *testing.T) {
+func TestBootstrap_HappensOnce(t *testing.T) {
 	is := is.New(t)
 	c := newCluster()
 	c.startAll(true)
 	c.run(5 * time.Second)
-	is.Equal(c.foundings(), 1)
+	is.Equal(c.bootstrapCount(), 1)
 	for _, a := range seedAddresses {
-		is.Equal(c.voters(a).Number, uint64(1))
+		is.Equal(c.voterSet(a).Number, uint64(1))
 	}
 }
 
 // A seed that is restarted before the founding keeps its leave with its disk, as
 // the settings of the second start don't give it any more; a wiped one has none.
-func TestLeaveStaysWithTheDisk(t *testing.T) {
+func TestBootstrap_PermissionIsKeptOnDisk(t *testing.T) {
 	is := is.New(t)
 	c := newCluster()
 	for _, a := range seedAddresses[:2] {
@@ -53,7 +53,7 @@
 	c.run(time.Second)
 	c.start(seedAddresses[2], seedAddresses, true)
 	c.run(5 * time.Second)
-	is.Equal(c.foundings(), 1)
+	is.Equal(c.bootstrapCount(), 1)
 
 	c = newCluster()
 	for _, a := range seedAddresses[:2] {
@@ -64,12 +64,12 @@
 	c.start(seedAddresses[1], seedAddresses, false)
 	c.start(seedAddresses[2], seedAddresses, true)
 	c.run(time.Minute)
-	is.Equal(c.foundings(), 0)
+	is.Equal(c.bootstrapCount(), 0)
 }
 
 // The three old seeds come back blank beside a core that has moved elsewhere and that
 // they don't reach; but one of them hears of a proxy that holds an accepted configuration.
-func TestOldSeedsHearOfTheConfiguration(t *testing.T) {
+func TestBootstrap_RefusedOnceAcceptedConfigurationIsSeen(t *testing.T) {
 	is := is.New(t)
 	c := newCluster()
 	for _, a := range seedAddresses {
@@ -79,7 +79,7 @@
 	last := c.stores[seedAddresses[2]]
 	c.perform(seedAddresses[2], last.Step(c.now, event.Received{From: old.Address, Msg: membership.Heartbeat{Self: old}}))
 	c.run(time.Minute)
-	is.Equal(c.foundings(), 0)
+	is.Equal(c.bootstrapCount(), 0)
 	why := slices.IndexFunc(c.logged, func(l event.LogEntry) bool { return l.Event == "founding declined" || l.Event == "not founding" })
 	is.True(why >= 0)
 	// What was seen stays with the disk: the proxy needn't be there at the next start.
@@ -88,29 +88,29 @@
 		c.start(a, seedAddresses, true)
 	}
 	c.run(time.Minute)
-	is.Equal(c.foundings(), 0)
+	is.Equal(c.bootstrapCount(), 0)
 }
 
 // A machine whose settings still give leave is wiped beside a running core, of
 // which it reaches none but a second wiped one.
-func TestWipedSeedsBesideTheCore(t *testing.T) {
+func TestBootstrap_RefusedForWipedSeedsOfRunningCluster(t *testing.T) {
 	is := is.New(t)
 	c := newCluster()
 	c.startAll(true)
 	c.run(5 * time.Second)
 	third := seedAddresses[2]
-	c.cut = func(from, to ids.Address) bool { return from != to && (from == third || to == third) }
+	c.isCut = func(from, to ids.Address) bool { return from != to && (from == third || to == third) }
 	for _, a := range seedAddresses[:2] {
 		c.wipe(a)
 		c.start(a, seedAddresses, true)
 	}
 	c.run(time.Minute)
-	is.Equal(c.foundings(), 1)
+	is.Equal(c.bootstrapCount(), 1)
 }
 
 // Every disk is lost. Nothing is founded by itself; an operator's order at one of
 // three blank stores founds a core above any number that the lost one had.
-func TestOrderAfterTotalLoss(t *testing.T) {
+func TestRecovery_AfterTotalLossOnOperatorRequest(t *testing.T) {
 	is := is.New(t)
 	c := newCluster()
 	c.startAll(true)
@@ -120,19 +120,19 @@
 		c.start(a, seedAddresses, false)
 	}
 	c.run(30 * time.Second)
-	is.Equal(c.foundings(), 1)
+	is.Equal(c.bootstrapCount(), 1)
 	first := seedAddresses[0]
 	var answer string
 	for _, x := range c.stores[first].Step(c.now, RecoverRequest{ID: 1}) {
 		if r, ok := x.(RecoverResponse); ok {
-			answer = r.Why
+			answer = r.Rejection
 		}
 	}
 	is.Equal(answer, "")
 	c.run(5 * time.Second)
-	is.Equal(c.foundings(), 2)
+	is.Equal(c.bootstrapCount(), 2)
 	for _, a := range seedAddresses {
-		is.Equal(c.voters(a).Number, uint64(consensus.VoterSetNumberAfterTotalLoss))
-		is.Equal(c.voters(a).LossCount, uint64(1))
+		is.Equal(c.voterSet(a).Number, uint64(consensus.VoterSetNumberAfterTotalLoss))
+		is.Equal(c.voterSet(a).LossCount, uint64(1))
 	}
 }
--- a/internal/controlplane/store/learner.go
+++ b/internal/controlplane/store/learner.go
@@ -14,153 +14,153 @@
 // once its copy is complete under a voter set that it belongs to.
 type learner struct {
 	consensus.Copier
-	questions map[uint64]*pageQuestion
-	// next is when this learner asks for a change once more.
-	next ids.Time
-	// began is when this run first learned, for the log.
-	began ids.Time
+	pageRequests map[uint64]*pageRequest
+	// nextRequestAt is when this learner asks for a change once more.
+	nextRequestAt ids.Time
+	// startedAt is when this run first learned, for the log.
+	startedAt ids.Time
 }
 
-// pageQuestion is when a voter was asked for the page that is waited for.
-type pageQuestion struct {
-	asked ids.Time
-	wait  time.Duration
-	// under is the voter set that it was asked under.
-	under uint64
-	// ended is when the last pass ended.
-	ended ids.Time
+// pageRequest is when a voter was asked for the page that is waited for.
+type pageRequest struct {
+	sentAt  ids.Time
+	timeout time.Duration
+	// voterSetNumber is the voter set that it was asked under.
+	voterSetNumber uint64
+	// passEndedAt is when the last pass ended.
+	passEndedAt ids.Time
 }
 
 const (
-	learnEvery = 100 * time.Millisecond
-	// pageWait is how long an answer is waited for at first; it doubles, as a
+	learnerRequestInterval = 100 * time.Millisecond
+	// initialPageTimeout is how long an answer is waited for at first; it doubles, as a
 	// page may take long on a slow link.
-	pageWait     = 400 * time.Millisecond
-	longestWait  = 8 * time.Second
-	refreshAfter = 2 * time.Second
+	initialPageTimeout  = 400 * time.Millisecond
+	maxPageTimeout      = 8 * time.Second
+	copyRefreshInterval = 2 * time.Second
 )
 
-// learn is the learner's share of each clock event.
-func (s *Store) learn(now ids.Time) {
-	set := s.Acceptor.VoterSet()
+// tickLearner is the learner's share of each clock event.
+func (s *Store) tickLearner(now ids.Time) {
+	voterSet := s.Acceptor.VoterSet()
 	switch {
-	case set.Number == 0:
+	case voterSet.Number == 0:
 		// Nobody has told it yet whom to copy from; manageVoters says hello.
 	case s.DiskState() == consensus.Blank:
-		if s.learnerDue(now) {
-			s.replaceLost(now, set)
+		if s.learnerRequestDue(now) {
+			s.replaceLostVoter(now, voterSet)
 		}
-		s.copyRegisters(now, set)
-	case s.DiskState() == consensus.Complete && s.learnerDue(now):
-		s.reportComplete(set)
+		s.copyRegisters(now, voterSet)
+	case s.DiskState() == consensus.Complete && s.learnerRequestDue(now):
+		s.reportCopyComplete(voterSet)
 	}
 }
 
-// reportComplete asks for this store to be counted as one that votes.
-func (s *Store) reportComplete(set consensus.VoterSet) {
-	old := consensus.VoterSet{Voters: set.Voters}
+// reportCopyComplete asks for this store to be counted as one that votes.
+func (s *Store) reportCopyComplete(voterSet consensus.VoterSet) {
+	oldVoters := consensus.VoterSet{Voters: voterSet.Voters}
 	switch {
-	case slices.Contains(set.Learners, s.StoreID()):
-		s.submit(consensus.OpPromoteLearner, consensus.PromoteLearnerRequest{ID: s.StoreID()})
-	case set.HasVoter(s.StoreID()) && !old.HasVoter(s.StoreID()):
-		s.submit(consensus.OpFinalize, consensus.VoterSetNumber{Number: set.Number})
+	case slices.Contains(voterSet.Learners, s.StoreID()):
+		s.submitVoterSetRequest(consensus.OpPromoteLearner, consensus.PromoteLearnerRequest{ID: s.StoreID()})
+	case voterSet.HasVoter(s.StoreID()) && !oldVoters.HasVoter(s.StoreID()):
+		s.submitVoterSetRequest(consensus.OpFinalize, consensus.VoterSetNumber{Number: voterSet.Number})
 	}
 }
 
-func (s *Store) learnerDue(now ids.Time) bool {
-	if s.learner.began == 0 {
-		s.learner.began = now
+func (s *Store) learnerRequestDue(now ids.Time) bool {
+	if s.learner.startedAt == 0 {
+		s.learner.startedAt = now
 	}
-	if now < s.learner.next {
+	if now < s.learner.nextRequestAt {
 		return false
 	}
-	s.learner.next = now.Add(learnEvery)
+	s.learner.nextRequestAt = now.Add(learnerRequestInterval)
 	return true
 }
 
 // copyRegisters asks each voter for what is wanted of it.
-func (s *Store) copyRegisters(now ids.Time, set consensus.VoterSet) {
-	for _, v := range set.CopySources() {
+func (s *Store) copyRegisters(now ids.Time, voterSet consensus.VoterSet) {
+	for _, v := range voterSet.CopySources() {
 		if v.ID == s.StoreID() {
 			continue
 		}
-		q := s.learner.question(v.ID)
+		request := s.learner.pageRequest(v.ID)
 		switch busy := s.learner.IsCopying(v.ID); {
-		case busy && q.under != set.Number:
-			s.requestPage(now, v, set.Number)
-		case busy && now.Sub(q.asked) >= q.wait:
+		case busy && request.voterSetNumber != voterSet.Number:
+			s.requestPage(now, v, voterSet.Number)
+		case busy && now.Sub(request.sentAt) >= request.timeout:
 			// It may not have heard of this voter set.
-			s.Send(v.Address, consensus.VoterSetUpdate{VoterSet: set})
-			q.wait = min(2*q.wait, longestWait)
-			s.requestPage(now, v, set.Number)
-		case !busy && s.wantsPass(now, v.ID, set):
+			s.Send(v.Address, consensus.VoterSetUpdate{VoterSet: voterSet})
+			request.timeout = min(2*request.timeout, maxPageTimeout)
+			s.requestPage(now, v, voterSet.Number)
+		case !busy && s.needsCopyPass(now, v.ID, voterSet):
 			s.learner.BeginPass(v.ID)
-			q.wait = pageWait
-			s.requestPage(now, v, set.Number)
+			request.timeout = initialPageTimeout
+			s.requestPage(now, v, voterSet.Number)
 		}
 	}
 }
 
-func (l *learner) question(id uint64) *pageQuestion {
-	if l.questions == nil {
-		l.questions = map[uint64]*pageQuestion{}
+func (l *learner) pageRequest(id uint64) *pageRequest {
+	if l.pageRequests == nil {
+		l.pageRequests = map[uint64]*pageRequest{}
 	}
-	if l.questions[id] == nil {
-		l.questions[id] = &pageQuestion{}
+	if l.pageRequests[id] == nil {
+		l.pageRequests[id] = &pageRequest{}
 	}
-	return l.questions[id]
+	return l.pageRequests[id]
 }
 
-// wantsPass tells whether a voter is to be copied from once more: never yet, or
+// needsCopyPass tells whether a voter is to be copied from once more: never yet, or
 // not since it went by the voter set in force, or while one may be replaced.
-func (s *Store) wantsPass(now ids.Time, id uint64, set consensus.VoterSet) bool {
-	sealed := s.learner.LastPassVoterSet(id)
-	if sealed == 0 {
+func (s *Store) needsCopyPass(now ids.Time, id uint64, voterSet consensus.VoterSet) bool {
+	copiedUnder := s.learner.LastPassVoterSet(id)
+	if copiedUnder == 0 {
 		return true
 	}
-	if set.HasVoter(s.StoreID()) {
-		return sealed < set.Number
+	if voterSet.HasVoter(s.StoreID()) {
+		return copiedUnder < voterSet.Number
 	}
-	return len(s.gone) > 0 && now.Sub(s.learner.question(id).ended) >= refreshAfter
+	return len(s.silentSince) > 0 && now.Sub(s.learner.pageRequest(id).passEndedAt) >= copyRefreshInterval
 }
 
 func (s *Store) requestPage(now ids.Time, v consensus.Voter, number uint64) {
-	q := s.learner.question(v.ID)
-	q.asked, q.under = now, number
+	request := s.learner.pageRequest(v.ID)
+	request.sentAt, request.voterSetNumber = now, number
 	s.Send(v.Address, s.learner.NextRequest(v.ID, number))
 }
 
-// receivePage merges a page, and asks for the next.
-func (s *Store) receivePage(now ids.Time, m consensus.PageResponse) {
-	set := s.Acceptor.VoterSet()
+// handlePage merges a page, and asks for the next.
+func (s *Store) handlePage(now ids.Time, m consensus.PageResponse) {
+	voterSet := s.Acceptor.VoterSet()
 	// A page from under another voter set is asked for once more.
-	if s.DiskState() != consensus.Blank || m.VoterSetNumber != set.Number || !s.learner.HandlePage(m) {
+	if s.DiskState() != consensus.Blank || m.VoterSetNumber != voterSet.Number || !s.learner.HandlePage(m) {
 		return
 	}
 	for _, record := range m.Records {
 		s.MergeRecord(record)
 	}
-	q := s.learner.question(m.Store)
+	request := s.learner.pageRequest(m.Store)
 	if m.Last {
-		q.ended = now
-		s.completeIfDue(now, set)
+		request.passEndedAt = now
+		s.completeCopyIfDue(now, voterSet)
 		return
 	}
-	for _, v := range set.CopySources() {
+	for _, v := range voterSet.CopySources() {
 		if v.ID == m.Store {
-			q.wait = pageWait
-			s.requestPage(now, v, set.Number)
+			request.timeout = initialPageTimeout
+			s.requestPage(now, v, voterSet.Number)
 		}
 	}
 }
 
-// completeIfDue lets this store vote once its copy is complete.
-func (s *Store) completeIfDue(now ids.Time, set consensus.VoterSet) {
-	if !set.HasVoter(s.StoreID()) || !s.learner.IsCompleteFor(set) {
+// completeCopyIfDue lets this store vote once its copy is complete.
+func (s *Store) completeCopyIfDue(now ids.Time, voterSet consensus.VoterSet) {
+	if !voterSet.HasVoter(s.StoreID()) || !s.learner.IsCompleteFor(voterSet) {
 		return
 	}
 	s.MarkComplete()
-	took := now.Sub(s.learner.began)
-	s.Log(event.LevelInfo, "copy complete", "voter_set", itoa(set.Number), "ms", itoa(uint64(took.Milliseconds())))
-	s.reportComplete(set)
+	took := now.Sub(s.learner.startedAt)
+	s.Log(event.LevelInfo, "copy complete", "voter_set", formatUint(voterSet.Number), "ms", formatUint(uint64(took.Milliseconds())))
+	s.reportCopyComplete(voterSet)
 }
--- a/internal/controlplane/store/leaving_test.go
+++ b/internal/controlplane/store/leaving_test.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	spareA = ids.Address("10.0.0.4:1")
-	spareB = ids.Address("10.0.0.5:1")
+	standbyA = ids.Address("10.0.0.4:1")
+	standbyB = ids.Address("10.0.0.5:1")
 )
 
 // put changes a register through a store; it is known to be chosen or fails.
@@ -32,7 +32,7 @@
 	c.perform(at, c.stores[at].Step(c.now, event.Received{From: clientAddress, Msg: r}))
 	for range 200 {
 		c.run(20 * time.Millisecond)
-		for _, a := range c.answers {
+		for _, a := range c.responses {
 			if a.ID == r.ID {
 				return a
 			}
@@ -41,8 +41,8 @@
 	return consensus.Response{Outcome: consensus.Indeterminate}
 }
 
-// holds checks that a register still reads as it was acknowledged.
-func (c *cluster) holds(t *testing.T, at ids.Address, key ids.RegisterKey, value string) {
+// requireValue checks that a register still reads as it was acknowledged.
+func (c *cluster) requireValue(t *testing.T, at ids.Address, key ids.RegisterKey, value string) {
 	t.Helper()
 	if r := c.request(at, key, consensus.Read, nil); r.Outcome != consensus.Succeeded || string(r.Result) != value {
 		t.Fatalf("read of %s at %s: %s %q, acknowledged was %q", key, at, r.Outcome, r.Result, value)
@@ -53,8 +53,8 @@
 	c.perform(at, c.stores[at].Step(c.now, Leave{Within: 5 * time.Second}))
 }
 
-// bury makes the roll count a store as gone, as a registry's verdict does.
-func (c *cluster) bury(at ids.Address) {
+// declareDead makes the roll count a store as gone, as a registry's verdict does.
+func (c *cluster) declareDead(at ids.Address) {
 	for to, s := range c.stores {
 		for _, m := range s.All() {
 			if m.Address == at && to != at {
@@ -65,8 +65,8 @@
 	}
 }
 
-// core is a running one of three, with spares that had their time to copy.
-func core(t *testing.T, spares ...ids.Address) *cluster {
+// newRunningCluster is a running one of three, with spares that had their time to copy.
+func newRunningCluster(t *testing.T, standbys ...ids.Address) *cluster {
 	t.Helper()
 	c := newCluster()
 	c.startAll(true)
@@ -78,7 +78,7 @@
 		}))
 	}
 	c.run(time.Second)
-	for _, a := range spares {
+	for _, a := range standbys {
 		c.start(a, seedAddresses, false)
 	}
 	c.run(4 * time.Second)
@@ -86,117 +86,117 @@
 }
 
 // has tells whether a store's disk has a vote and may use it.
-func (c *cluster) votes(at ids.Address) bool {
+func (c *cluster) canVote(at ids.Address) bool {
 	s := c.stores[at]
 	return s != nil && s.MayVote() && s.DiskState() == consensus.Complete
 }
 
 // A plain restart, with nobody standing by, changes no membership and ends at once.
-func TestRestartCostsNoMembershipChange(t *testing.T) {
+func TestLeave_PlainRestartKeepsVoterSet(t *testing.T) {
 	is := is.New(t)
-	c := core(t)
-	before := c.voters(seedAddresses[0]).Number
+	c := newRunningCluster(t)
+	before := c.voterSet(seedAddresses[0]).Number
 	for _, a := range seedAddresses {
-		began := c.now
+		leftAt := c.now
 		c.leave(a)
 		c.run(100 * time.Millisecond)
-		is.True(c.stopped[a] != 0 && c.stopped[a].Sub(began) <= 40*time.Millisecond)
+		is.True(c.mayStopAt[a] != 0 && c.mayStopAt[a].Sub(leftAt) <= 40*time.Millisecond)
 		c.stop(a)
 		c.run(time.Second)
 		c.start(a, seedAddresses, false)
 		c.run(2 * time.Second)
-		is.True(c.votes(a))
+		is.True(c.canVote(a))
 	}
-	is.Equal(c.voters(seedAddresses[0]).Number, before)
+	is.Equal(c.voterSet(seedAddresses[0]).Number, before)
 }
 
 // A planned replacement: the new machine first, then the signal. The vote is moved
 // before the leaver stops, and right after it a second machine may lose its disk.
-func TestPlannedReplacementHandsOver(t *testing.T) {
+func TestLeave_HandsVoteToStandby(t *testing.T) {
 	is := is.New(t)
-	c := core(t, spareA)
+	c := newRunningCluster(t, standbyA)
 	leaver := seedAddresses[1]
 	c.put(t, leaver, "last", "word")
-	began := c.now
+	leftAt := c.now
 	c.leave(leaver)
-	for c.stopped[leaver] == 0 && c.now.Sub(began) < 6*time.Second {
+	for c.mayStopAt[leaver] == 0 && c.now.Sub(leftAt) < 6*time.Second {
 		c.run(20 * time.Millisecond)
 	}
-	t.Logf("handed over in %s", c.stopped[leaver].Sub(began))
-	is.True(c.stopped[leaver].Sub(began) < time.Second)
-	is.True(c.votes(spareA))
+	t.Logf("handed over in %s", c.mayStopAt[leaver].Sub(leftAt))
+	is.True(c.mayStopAt[leaver].Sub(leftAt) < time.Second)
+	is.True(c.canVote(standbyA))
 	c.wipe(leaver)
-	is.True(c.voters(seedAddresses[0]).HasVoter(c.disks[spareA].id))
-	is.True(!c.voters(seedAddresses[0]).HasVoter(2))
+	is.True(c.voterSet(seedAddresses[0]).HasVoter(c.disks[standbyA].id))
+	is.True(!c.voterSet(seedAddresses[0]).HasVoter(2))
 	c.wipe(seedAddresses[2])
-	c.holds(t, seedAddresses[0], "last", "word")
+	c.requireValue(t, seedAddresses[0], "last", "word")
 }
 
 // Two leave at once, with two standing by.
-func TestTwoLeaveAtOnce(t *testing.T) {
+func TestLeave_TwoVotersAtOnce(t *testing.T) {
 	is := is.New(t)
-	c := core(t, spareA, spareB)
+	c := newRunningCluster(t, standbyA, standbyB)
 	c.put(t, seedAddresses[1], "last", "word")
-	began := c.now
+	leftAt := c.now
 	c.leave(seedAddresses[1])
 	c.leave(seedAddresses[2])
 	for _, a := range seedAddresses[1:] {
-		for c.stopped[a] == 0 && c.now.Sub(began) < 6*time.Second {
+		for c.mayStopAt[a] == 0 && c.now.Sub(leftAt) < 6*time.Second {
 			c.run(20 * time.Millisecond)
 		}
-		t.Logf("%s may stop after %s", a, c.stopped[a].Sub(began))
+		t.Logf("%s may stop after %s", a, c.mayStopAt[a].Sub(leftAt))
 	}
 	for _, a := range seedAddresses[1:] {
-		is.True(c.stopped[a].Sub(began) < 4*time.Second)
+		is.True(c.mayStopAt[a].Sub(leftAt) < 4*time.Second)
 		c.wipe(a)
 	}
-	is.True(c.votes(spareA) && c.votes(spareB))
+	is.True(c.canVote(standbyA) && c.canVote(standbyB))
 	c.wipe(seedAddresses[0])
-	c.holds(t, spareA, "last", "word")
+	c.requireValue(t, standbyA, "last", "word")
 }
 
 // One leaves while another is lost, with one standing by: it is for the lost one's
 // place, and the leaver serves until that one votes.
-func TestLeavesAsAnotherIsLost(t *testing.T) {
+func TestLeave_StandbyReplacesLostVoterFirst(t *testing.T) {
 	is := is.New(t)
-	c := core(t, spareA)
+	c := newRunningCluster(t, standbyA)
 	c.put(t, seedAddresses[1], "last", "word")
 	c.wipe(seedAddresses[2])
-	c.bury(seedAddresses[2])
-	began := c.now
+	c.declareDead(seedAddresses[2])
+	leftAt := c.now
 	c.leave(seedAddresses[1])
-	for c.stopped[seedAddresses[1]] == 0 && c.now.Sub(began) < 6*time.Second {
+	for c.mayStopAt[seedAddresses[1]] == 0 && c.now.Sub(leftAt) < 6*time.Second {
 		c.run(20 * time.Millisecond)
 	}
-	t.Logf("may stop after %s", c.stopped[seedAddresses[1]].Sub(began))
-	is.True(c.votes(spareA))
-	is.True(c.stopped[seedAddresses[1]].Sub(began) < 5*time.Second)
+	t.Logf("may stop after %s", c.mayStopAt[seedAddresses[1]].Sub(leftAt))
+	is.True(c.canVote(standbyA))
+	is.True(c.mayStopAt[seedAddresses[1]].Sub(leftAt) < 5*time.Second)
 	c.stop(seedAddresses[1])
-	c.holds(t, seedAddresses[0], "last", "word")
+	c.requireValue(t, seedAddresses[0], "last", "word")
 	// The voter that left is still one, and comes back with its disk.
 	c.start(seedAddresses[1], seedAddresses, false)
 	c.run(2 * time.Second)
-	is.True(c.votes(seedAddresses[1]))
+	is.True(c.canVote(seedAddresses[1]))
 }
 
 // The leaver is killed, disk and all, after each of the messages of the hand-over in
 // turn. Whether its vote was moved by then or not, three vote in the end.
-func TestLeaverKilledHalfWay(t *testing.T) {
-	for k := 1; k <= 120; k += 2 {
-		c := core(t, spareA)
+func TestLeave_LeaverKilledAfterEachMessage(t *testing.T) {
+	for messages := 1; messages <= 120; messages += 2 {
+		c := newRunningCluster(t, standbyA)
 		leaver := seedAddresses[1]
 		c.put(t, leaver, "last", "word")
 		c.leave(leaver)
-		c.budget, c.onBudget = k, func() { c.wipe(leaver) }
+		c.messagesBeforeFault, c.fault = messages, func() { c.wipe(leaver) }
 		c.run(500 * time.Millisecond)
 		c.wipe(leaver)
-		c.bury(leaver)
+		c.declareDead(leaver)
 		c.run(8 * time.Second)
-		for _, a := range []ids.Address{seedAddresses[0], seedAddresses[2], spareA} {
-			if !c.votes(a) {
-				t.Fatalf("killed after %d messages: %s has no vote", k, a)
+		for _, a := range []ids.Address{seedAddresses[0], seedAddresses[2], standbyA} {
+			if !c.canVote(a) {
+				t.Fatalf("killed after %d messages: %s has no vote", messages, a)
 			}
 		}
-		c.holds(t, spareA, "last", "word")
+		c.requireValue(t, standbyA, "last", "word")
 	}
 }
--- a/internal/controlplane/store/membercache.go
+++ b/internal/controlplane/store/membercache.go
@@ -13,37 +13,37 @@
 // machines are replaced one by one; without it a fleet whose first three core
 // machines are gone could not find itself after a restart of everything.
 type memberCache struct {
-	saved  uint64
-	rested ids.Time
+	savedVersion uint64
+	nextSaveAt   ids.Time
 }
 
 const (
-	rollKey     = ids.RegisterKey("meta/roll")
-	rememberNow = 2 * time.Second
+	memberCacheKey      = ids.RegisterKey("meta/roll")
+	memberCacheInterval = 2 * time.Second
 )
 
 // remembered gives the addresses of all members that the disk knows.
-func cachedMembers(storage consensus.Storage, self ids.Address) []ids.Address {
-	raw, _ := storage.Get(rollKey)
+func cachedAddresses(storage consensus.Storage, self ids.Address) []ids.Address {
+	raw, _ := storage.Get(memberCacheKey)
 	_, msg, err := wire.ReadBytes(raw)
-	c, ok := msg.(membership.Snapshot)
+	snapshot, ok := msg.(membership.Snapshot)
 	if !ok || err != nil {
 		return nil
 	}
-	var out []ids.Address
-	for _, m := range c.Members {
+	var addresses []ids.Address
+	for _, m := range snapshot.Members {
 		if m.Address != self {
-			out = append(out, m.Address)
+			addresses = append(addresses, m.Address)
 		}
 	}
-	return out
+	return addresses
 }
 
 // remember keeps the roll once it has changed, not too often.
-func (s *Store) cacheMembers(now ids.Time) {
-	if now < s.memberCache.rested || s.memberCache.saved == s.Version() {
+func (s *Store) cacheMembersIfDue(now ids.Time) {
+	if now < s.memberCache.nextSaveAt || s.memberCache.savedVersion == s.Version() {
 		return
 	}
-	s.memberCache = memberCache{s.Version(), now.Add(rememberNow)}
-	s.Persist(rollKey, membership.Snapshot{Members: s.All()})
+	s.memberCache = memberCache{s.Version(), now.Add(memberCacheInterval)}
+	s.Persist(memberCacheKey, membership.Snapshot{Members: s.All()})
 }
--- a/internal/controlplane/store/oldfolder_test.go
+++ b/internal/controlplane/store/oldfolder_test.go
@@ -14,9 +14,9 @@
 	"dunlinwell/internal/state/storage"
 )
 
-// openOldFolder opens a copy of a data folder that commit c308b67 wrote: three
+// openFirstFormatFolder opens a copy of a data folder that commit c308b67 wrote: three
 // stores, revision 5, services svc1 and svc3 made and svc2 removed.
-func openOldFolder(t *testing.T) *storage.Database {
+func openFirstFormatFolder(t *testing.T) *storage.Database {
 	t.Helper()
 	is := is.New(t)
 	raw, err := os.ReadFile(filepath.Join("testdata", "first-format", "stockroom.db"))
@@ -31,17 +31,17 @@
 
 // A store takes up a data folder of before the renaming: its id, the voter set
 // and the configuration are all there.
-func TestAStoreTakesUpAnOldFolder(t *testing.T) {
+func TestNew_ReadsDataFolderOfFirstFormat(t *testing.T) {
 	is := is.New(t)
-	database := openOldFolder(t)
-	is.Equal(database.SetAside, "")
+	database := openFirstFormatFolder(t)
+	is.Equal(database.SetAsidePath, "")
 	self := membership.Member{ID: "store-1", Address: "127.0.0.1:1"}
 	s := New(Options{
-		Options: membership.Options{Self: self}, Store: database.Store, Run: database.Run,
+		Options: membership.Options{Self: self}, StoreID: database.StoreID, RunNumber: database.RunNumber,
 		Random: rand.New(rand.NewPCG(1, 1)), Storage: database, Replicas: 3,
 	})
 	is.Equal(len(s.VoterSet().Voters), 3)
-	is.True(s.VoterSet().HasVoter(database.Store))
+	is.True(s.VoterSet().HasVoter(database.StoreID))
 	p, err := configuration.Decode(s.LocalValue(configuration.Key))
 	is.NoErr(err)
 	is.Equal(p.Revision, ids.Revision(5))
--- a/internal/controlplane/store/retire.go
+++ b/internal/controlplane/store/retire.go
@@ -12,17 +12,17 @@
 
 // retireIfDue gives the command once nobody may want to copy from this disk.
 func (s *Store) retireIfDue() {
-	if s.DiskState() != consensus.Replaced || s.retired || s.departure.until != 0 {
+	if s.DiskState() != consensus.Replaced || s.retireOrdered || s.departure.deadline != 0 {
 		return
 	}
-	set := s.Acceptor.VoterSet()
+	voterSet := s.Acceptor.VoterSet()
 	self := s.StoreID()
 	isSelf := func(v consensus.Voter) bool { return v.ID == self }
 	// Where the successor has this store's own address it doesn't run any more.
-	here := slices.ContainsFunc(set.Voters, func(v consensus.Voter) bool { return v.Address == s.Self.Address && v.ID != self })
-	if slices.ContainsFunc(set.Previous, isSelf) && !here {
+	successorHere := slices.ContainsFunc(voterSet.Voters, func(v consensus.Voter) bool { return v.Address == s.Self.Address && v.ID != self })
+	if slices.ContainsFunc(voterSet.Previous, isSelf) && !successorHere {
 		return
 	}
-	s.retired = true
+	s.retireOrdered = true
 	s.Emit(Retire{})
 }
--- a/internal/controlplane/store/screen.go
+++ b/internal/controlplane/store/screen.go
@@ -9,28 +9,28 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// screen tells why a message must change nothing; empty for one that is taken.
+// discardReason tells why a message must change nothing; empty for one that is taken.
 // It looks at who says it and to which question, before any of it is used.
-func (s *Store) screen(from ids.Address, msg any) event.Reason {
-	voters := s.Acceptor.VoterSet()
+func (s *Store) discardReason(from ids.Address, msg any) event.Reason {
+	voterSet := s.Acceptor.VoterSet()
 	switch m := msg.(type) {
 	case consensus.Prepare:
-		return s.screenQuestion(from, m.Ballot)
+		return s.validateProposal(from, m.Ballot)
 	case consensus.Accept:
-		return s.screenQuestion(from, maxOf(m.Ballot, m.NextBallot))
+		return s.validateProposal(from, maxBallot(m.Ballot, m.NextBallot))
 	case consensus.AcceptDifference:
-		return s.screenQuestion(from, maxOf(m.Ballot, m.NextBallot))
+		return s.validateProposal(from, maxBallot(m.Ballot, m.NextBallot))
 	case consensus.Promise:
-		return s.screenAnswer(from, m.Store, m.VoterSetNumber, m.Round)
+		return s.validateVote(from, m.Store, m.VoterSetNumber, m.Round)
 	case consensus.Accepted:
-		return s.screenAnswer(from, m.Store, m.VoterSetNumber, m.Round)
+		return s.validateVote(from, m.Store, m.VoterSetNumber, m.Round)
 	case consensus.Response:
 		// This store puts its own requests to itself alone.
 		if from != s.Self.Address {
 			return event.Unsolicited
 		}
 	case consensus.PageResponse:
-		if !voters.IsCopySource(from, m.Store) {
+		if !voterSet.IsCopySource(from, m.Store) {
 			return event.UnknownSender
 		}
 	case consensus.Hello:
@@ -38,38 +38,38 @@
 			return event.Malformed
 		}
 	case consensus.VoterSetUpdate:
-		return s.screenVoterSet(from, m.VoterSet)
+		return s.validateVoterSet(from, m.VoterSet)
 	case consensus.Bootstrap:
-		return s.screenVoterSet(from, m.VoterSet)
+		return s.validateVoterSet(from, m.VoterSet)
 	}
 	return ""
 }
 
-// mostRounds is far above every honest ballot's count. One ballot at the end of
+// maxBallotCounter is far above every honest ballot's count. One ballot at the end of
 // the numbers would keep a register from ever being changed again.
-const mostRounds = 1 << 62
+const maxBallotCounter = 1 << 62
 
-// screenQuestion judges a proposer's question: only stores propose.
-func (s *Store) screenQuestion(from ids.Address, b ids.Ballot) event.Reason {
+// validateProposal judges a proposer's question: only stores propose.
+func (s *Store) validateProposal(from ids.Address, ballot ids.Ballot) event.Reason {
 	switch {
-	case b.Counter > mostRounds:
+	case ballot.Counter > maxBallotCounter:
 		return event.Malformed
-	case !s.knownStore(from):
+	case !s.isKnownStore(from):
 		return event.UnknownSender
 	}
 	return ""
 }
 
-func maxOf(a, b ids.Ballot) ids.Ballot {
+func maxBallot(a, b ids.Ballot) ids.Ballot {
 	if a.Less(b) {
 		return b
 	}
 	return a
 }
 
-func (s *Store) screenAnswer(from ids.Address, voter, number, round uint64) event.Reason {
+func (s *Store) validateVote(from ids.Address, voter, voterSetNumber, round uint64) event.Reason {
 	switch {
-	case !s.Acceptor.VoterSet().MatchesSender(from, voter, number):
+	case !s.Acceptor.VoterSet().MatchesSender(from, voter, voterSetNumber):
 		return event.UnknownSender
 	case !s.HasBegunRound(round):
 		return event.Unsolicited
@@ -77,26 +77,26 @@
 	return ""
 }
 
-// screenVoterSet judges a voter set that would replace this store's own.
-func (s *Store) screenVoterSet(from ids.Address, r consensus.VoterSet) event.Reason {
+// validateVoterSet judges a voter set that would replace this store's own.
+func (s *Store) validateVoterSet(from ids.Address, voterSet consensus.VoterSet) event.Reason {
 	switch {
-	case !r.IsValid():
+	case !voterSet.IsValid():
 		return event.Malformed
-	case !s.knownStore(from):
+	case !s.isKnownStore(from):
 		return event.UnknownSender
 	}
 	return ""
 }
 
-// knownStore tells whether a store is known at an address: as a voter, a seed,
+// isKnownStore tells whether a store is known at an address: as a voter, a seed,
 // a member, or by its hello.
-func (s *Store) knownStore(at ids.Address) bool {
-	is := func(v consensus.Voter) bool { return v.Address == at }
-	if at == s.Self.Address || slices.Contains(s.seeds, at) || slices.ContainsFunc(s.Acceptor.VoterSet().AllVoters(), is) {
+func (s *Store) isKnownStore(address ids.Address) bool {
+	hasAddress := func(v consensus.Voter) bool { return v.Address == address }
+	if address == s.Self.Address || slices.Contains(s.seeds, address) || slices.ContainsFunc(s.Acceptor.VoterSet().AllVoters(), hasAddress) {
 		return true
 	}
-	if _, ok := s.hellos[at]; ok {
+	if _, ok := s.hellos[address]; ok {
 		return true
 	}
-	return slices.ContainsFunc(s.All(), func(m membership.Member) bool { return m.Role == membership.Store && m.Address == at })
+	return slices.ContainsFunc(s.All(), func(m membership.Member) bool { return m.Role == membership.Store && m.Address == address })
 }
--- a/internal/controlplane/store/screen_test.go
+++ b/internal/controlplane/store/screen_test.go
@@ -15,16 +15,16 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// recordMap syncs whatever it is given at once.
-type recordMap map[ids.RegisterKey][]byte
+// memoryStorage syncs whatever it is given at once.
+type memoryStorage map[ids.RegisterKey][]byte
 
-func (m recordMap) Get(k ids.RegisterKey) ([]byte, bool) { v, ok := m[k]; return v, ok }
+func (m memoryStorage) Get(k ids.RegisterKey) ([]byte, bool) { v, ok := m[k]; return v, ok }
 
-func (m recordMap) Scan(ids.RegisterKey, int) []event.Record { return nil }
+func (m memoryStorage) Scan(ids.RegisterKey, int) []event.Record { return nil }
 
 const (
-	stranger = ids.Address("10.9.9.9:1")
-	now      = ids.Time(time.Second)
+	unknownAddress = ids.Address("10.9.9.9:1")
+	testTime       = ids.Time(time.Second)
 )
 
 var threeVoters = consensus.VoterSet{Number: 4, Voters: []consensus.Voter{
@@ -32,29 +32,29 @@
 }}
 
 // newVoter gives store 1 of three, and its disk.
-func newVoter() (*Store, recordMap) {
-	disk := recordMap{}
+func newVoter() (*Store, memoryStorage) {
+	disk := memoryStorage{}
 	s := New(Options{
 		Options: membership.Options{Self: membership.Member{ID: "store-1", Address: "10.0.0.1:1", RunID: 5, Incarnation: 1}},
-		Store:   1, Run: 3, Storage: disk, Random: rand.New(rand.NewPCG(1, 1)), Replicas: 3,
+		StoreID: 1, RunNumber: 3, Storage: disk, Random: rand.New(rand.NewPCG(1, 1)), Replicas: 3,
 	})
 	s.AdoptVoterSet(threeVoters)
 	s.MarkComplete()
-	settle(s, disk, s.Step(now, event.Tick{}))
+	performCommands(s, disk, s.Step(testTime, event.Tick{}))
 	return s, disk
 }
 
-// settle writes what was to be synced, and gives what was sent and discarded.
-func settle(s *Store, disk recordMap, list []event.Command) (sent []event.Send, discarded []event.Discarded) {
-	for len(list) > 0 {
-		c := list[0]
-		list = list[1:]
+// performCommands writes what was to be synced, and gives what was sent and discarded.
+func performCommands(s *Store, disk memoryStorage, commands []event.Command) (sent []event.Send, discarded []event.Discarded) {
+	for len(commands) > 0 {
+		c := commands[0]
+		commands = commands[1:]
 		switch c := c.(type) {
 		case event.Sync:
 			for _, r := range c.Records {
 				disk[r.Key] = r.Value
 			}
-			list = append(append(list, c.After...), s.Step(now, event.Synced{Batch: c.Batch})...)
+			commands = append(append(commands, c.After...), s.Step(testTime, event.Synced{Batch: c.Batch})...)
 		case event.Send:
 			sent = append(sent, c)
 		case event.Discarded:
@@ -64,72 +64,72 @@
 	return sent, discarded
 }
 
-func hear(s *Store, disk recordMap, from ids.Address, msg any) ([]event.Send, []event.Discarded) {
-	return settle(s, disk, s.Step(now, event.Received{From: from, Msg: msg}))
+func deliver(s *Store, disk memoryStorage, from ids.Address, msg any) ([]event.Send, []event.Discarded) {
+	return performCommands(s, disk, s.Step(testTime, event.Received{From: from, Msg: msg}))
 }
 
-func kept(disk recordMap) map[ids.RegisterKey]string {
-	out := map[ids.RegisterKey]string{}
+func persistedRecords(disk memoryStorage) map[ids.RegisterKey]string {
+	records := map[ids.RegisterKey]string{}
 	for k, v := range disk {
-		if k != rollKey {
-			out[k] = string(v)
+		if k != memberCacheKey {
+			records[k] = string(v)
 		}
 	}
-	return out
+	return records
 }
 
 // What can't be true, or comes from one who isn't what it claims, changes
 // nothing, is answered by nothing, and is reported.
-func TestForgedMessagesChangeNothing(t *testing.T) {
-	future := consensus.VoterSet{Number: 1 << 40, Voters: []consensus.Voter{{ID: 9, Address: stranger}}}
+func TestReceive_ForgedMessagesChangeNothing(t *testing.T) {
+	future := consensus.VoterSet{Number: 1 << 40, Voters: []consensus.Voter{{ID: 9, Address: unknownAddress}}}
 	raw, _ := wire.Encode(future)
-	own := consensus.Prepare{Key: "policy", Ballot: ids.Ballot{Counter: 1 << 41, Proposer: 2 << 24}, VoterSetNumber: 4, Round: 7}
-	endless := own
-	endless.Ballot.Counter = 1<<64 - 1
+	prepare := consensus.Prepare{Key: "policy", Ballot: ids.Ballot{Counter: 1 << 41, Proposer: 2 << 24}, VoterSetNumber: 4, Round: 7}
+	maximalBallot := prepare
+	maximalBallot.Ballot.Counter = 1<<64 - 1
 	for name, c := range map[string]struct {
 		from ids.Address
 		msg  any
 	}{
-		"a voter set from the future":        {stranger, consensus.VoterSetUpdate{VoterSet: future}},
+		"a voter set from the future":        {unknownAddress, consensus.VoterSetUpdate{VoterSet: future}},
 		"a voter set without voters":         {"10.0.0.2:1", consensus.VoterSetUpdate{VoterSet: consensus.VoterSet{Number: 9}}},
 		"a voter set with one voter twice":   {"10.0.0.2:1", consensus.VoterSetUpdate{VoterSet: consensus.VoterSet{Number: 9, Voters: append(threeVoters.Voters, threeVoters.Voters[0])}}},
-		"a founding by a stranger":           {stranger, consensus.Bootstrap{VoterSet: future}},
+		"a founding by a stranger":           {unknownAddress, consensus.Bootstrap{VoterSet: future}},
 		"an answer to a request of its own":  {"10.0.0.2:1", consensus.Response{Outcome: consensus.Succeeded, Result: raw}},
-		"a prepare of a stranger":            {stranger, own},
-		"an accept of a stranger":            {stranger, consensus.Accept{Key: "policy", Ballot: own.Ballot, VoterSetNumber: 4, Value: []byte("x")}},
-		"a difference of a stranger":         {stranger, consensus.AcceptDifference{Key: "policy", Ballot: own.Ballot, VoterSetNumber: 4}},
-		"a ballot that nothing can outrank":  {"10.0.0.2:1", endless},
+		"a prepare of a stranger":            {unknownAddress, prepare},
+		"an accept of a stranger":            {unknownAddress, consensus.Accept{Key: "policy", Ballot: prepare.Ballot, VoterSetNumber: 4, Value: []byte("x")}},
+		"a difference of a stranger":         {unknownAddress, consensus.AcceptDifference{Key: "policy", Ballot: prepare.Ballot, VoterSetNumber: 4}},
+		"a ballot that nothing can outrank":  {"10.0.0.2:1", maximalBallot},
 		"a promise in another's name":        {"10.0.0.3:1", consensus.Promise{Key: consensus.VoterSetKey, Store: 2, VoterSetNumber: 4}},
-		"a promise of one who isn't a voter": {stranger, consensus.Promise{Key: consensus.VoterSetKey, Store: 99, VoterSetNumber: 4}},
+		"a promise of one who isn't a voter": {unknownAddress, consensus.Promise{Key: consensus.VoterSetKey, Store: 99, VoterSetNumber: 4}},
 		"a vote for an earlier run":          {"10.0.0.2:1", consensus.Accepted{Key: consensus.VoterSetKey, Store: 2, VoterSetNumber: 4, Round: 1, OK: true}},
-		"a page in another's name":           {stranger, consensus.PageResponse{Store: 2, VoterSetNumber: 4, Last: true}},
-		"a hello for another address":        {stranger, consensus.Hello{Store: consensus.Voter{ID: 9, Address: "10.0.0.2:1"}, Blank: true}},
-		"a hello without a store":            {stranger, consensus.Hello{Store: consensus.Voter{Address: stranger}}},
+		"a page in another's name":           {unknownAddress, consensus.PageResponse{Store: 2, VoterSetNumber: 4, Last: true}},
+		"a hello for another address":        {unknownAddress, consensus.Hello{Store: consensus.Voter{ID: 9, Address: "10.0.0.2:1"}, Blank: true}},
+		"a hello without a store":            {unknownAddress, consensus.Hello{Store: consensus.Voter{Address: unknownAddress}}},
 	} {
 		s, disk := newVoter()
-		before := kept(disk)
-		sent, discarded := hear(s, disk, c.from, c.msg)
-		if len(sent) > 0 || len(discarded) != 1 || !reflect.DeepEqual(kept(disk), before) || !reflect.DeepEqual(s.Acceptor.VoterSet(), threeVoters) {
+		before := persistedRecords(disk)
+		sent, discarded := deliver(s, disk, c.from, c.msg)
+		if len(sent) > 0 || len(discarded) != 1 || !reflect.DeepEqual(persistedRecords(disk), before) || !reflect.DeepEqual(s.Acceptor.VoterSet(), threeVoters) {
 			t.Errorf("%s: sent %v, discarded %v, voter set %v", name, sent, discarded, s.Acceptor.VoterSet())
 		}
 	}
 }
 
 // The same words, true and from the right one, are taken.
-func TestHonestMessagesAreTaken(t *testing.T) {
+func TestReceive_HonestMessagesAreAccepted(t *testing.T) {
 	is := is.New(t)
 	s, disk := newVoter()
-	sent, discarded := hear(s, disk, "10.0.0.2:1", consensus.Prepare{Key: "policy", Ballot: ids.Ballot{Counter: 1 << 41, Proposer: 2 << 24}, VoterSetNumber: 4, Round: 7})
+	sent, discarded := deliver(s, disk, "10.0.0.2:1", consensus.Prepare{Key: "policy", Ballot: ids.Ballot{Counter: 1 << 41, Proposer: 2 << 24}, VoterSetNumber: 4, Round: 7})
 	is.Equal(len(sent), 1)
 	is.Equal(len(discarded), 0)
 	next := threeVoters
 	next.Number++
-	_, discarded = hear(s, disk, "10.0.0.3:1", consensus.VoterSetUpdate{VoterSet: next})
+	_, discarded = deliver(s, disk, "10.0.0.3:1", consensus.VoterSetUpdate{VoterSet: next})
 	is.Equal(len(discarded), 0)
 	is.Equal(s.Acceptor.VoterSet().Number, next.Number)
 	// A newcomer that has said hello may propose.
-	hear(s, disk, "10.0.0.9:1", consensus.Hello{Store: consensus.Voter{ID: 9, Address: "10.0.0.9:1"}, Blank: true})
-	sent, discarded = hear(s, disk, "10.0.0.9:1", consensus.Prepare{Key: "roster", Ballot: ids.Ballot{Counter: 1 << 41, Proposer: 9 << 24}, VoterSetNumber: 5, Round: 7})
+	deliver(s, disk, "10.0.0.9:1", consensus.Hello{Store: consensus.Voter{ID: 9, Address: "10.0.0.9:1"}, Blank: true})
+	sent, discarded = deliver(s, disk, "10.0.0.9:1", consensus.Prepare{Key: "roster", Ballot: ids.Ballot{Counter: 1 << 41, Proposer: 9 << 24}, VoterSetNumber: 5, Round: 7})
 	is.Equal(len(sent), 1)
 	is.Equal(len(discarded), 0)
 }
@@ -147,10 +147,10 @@
 		consensus.Response{Outcome: consensus.Succeeded},
 		consensus.PageRequest{VoterSetNumber: 4},
 		consensus.PageResponse{Store: 2, Last: true},
-		consensus.Hello{Store: consensus.Voter{ID: 9, Address: stranger}},
+		consensus.Hello{Store: consensus.Voter{ID: 9, Address: unknownAddress}},
 		consensus.Bootstrap{VoterSet: threeVoters},
 		consensus.ConfigurationReply{Revision: 9, Configuration: []byte("{}")},
-		membership.Heartbeat{Self: membership.Member{ID: "x", Role: membership.Store, Address: stranger}},
+		membership.Heartbeat{Self: membership.Member{ID: "x", Role: membership.Store, Address: unknownAddress}},
 		membership.Snapshot{Members: []membership.Member{{ID: "y"}}},
 		membership.Digest{Parts: make([]uint64, 64)},
 		membership.Delta{Parts: []uint16{1}},
@@ -168,9 +168,9 @@
 			return
 		}
 		s, disk := newVoter()
-		hear(s, disk, stranger, msg)
+		deliver(s, disk, unknownAddress, msg)
 		for i := range 5 {
-			settle(s, disk, s.Step(now.Add(time.Duration(i)*300*time.Millisecond), event.Tick{}))
+			performCommands(s, disk, s.Step(testTime.Add(time.Duration(i)*300*time.Millisecond), event.Tick{}))
 		}
 		if !reflect.DeepEqual(s.Acceptor.VoterSet(), threeVoters) {
 			t.Fatalf("%#v led to the voter set %v", msg, s.Acceptor.VoterSet())
--- a/internal/controlplane/store/store.go
+++ b/internal/controlplane/store/store.go
@@ -20,11 +20,11 @@
 // Options are the options of a store.
 type Options struct {
 	membership.Options
-	// Store is the id made with the data folder; Run counts its starts.
-	Store   uint64
-	Run     uint64
-	Random  *rand.Rand
-	Storage consensus.Storage
+	// StoreID is the id made with the data folder; Run counts its starts.
+	StoreID   uint64
+	RunNumber uint64
+	Random    *rand.Rand
+	Storage   consensus.Storage
 	// Copies is how many stores keep each item, 3 or more.
 	Replicas int
 	// Bootstrap: the fleet starts for the first time, and blank seeds may found it.
@@ -41,16 +41,16 @@
 	memberCache
 	now ids.Time
 	// owed is the oldest turn that the disk has not done, and since when.
-	unsyncedTurns []unsyncedTurn
-	diskStalled   bool
+	unsyncedBatches []unsyncedBatch
+	diskStalled     bool
 	// lossSeen and lossAt tell since when marks may have been lost.
-	lossCount uint64
-	lossAt    ids.Time
+	lossCount  uint64
+	lossSeenAt ids.Time
 }
 
-type unsyncedTurn struct {
-	turn uint64
-	at   ids.Time
+type unsyncedBatch struct {
+	number      uint64
+	requestedAt ids.Time
 }
 
 // Ops are all the change functions that stores know.
@@ -69,30 +69,30 @@
 }
 
 // New makes a store on what its storage holds.
-func New(p Options) *Store {
+func New(options Options) *Store {
 	s := &Store{}
-	p.Self.Role, p.Self.Store = membership.Store, p.Store
-	founders := p.Seeds
-	p.Seeds = append(slices.Clone(p.Seeds), cachedMembers(p.Storage, p.Self.Address)...)
-	s.List = membership.New(p.Options, &s.Outbox)
-	s.Acceptor = consensus.NewAcceptor(p.Store, p.Storage, &s.Outbox)
-	s.SetRunID(p.Run)
-	s.Proposer = consensus.NewProposer(p.Store<<24|p.Run&0xffffff, s.Acceptor.VoterSet, s.guardLostKeys(Ops()), p.Random, &s.Outbox)
-	s.Proposer.IsReachable = s.live
+	options.Self.Role, options.Self.Store = membership.Store, options.StoreID
+	founders := options.Seeds
+	options.Seeds = append(slices.Clone(options.Seeds), cachedAddresses(options.Storage, options.Self.Address)...)
+	s.List = membership.New(options.Options, &s.Outbox)
+	s.Acceptor = consensus.NewAcceptor(options.StoreID, options.Storage, &s.Outbox)
+	s.SetRunID(options.RunNumber)
+	s.Proposer = consensus.NewProposer(options.StoreID<<24|options.RunNumber&0xffffff, s.Acceptor.VoterSet, s.guardLostRecords(Ops()), options.Random, &s.Outbox)
+	s.Proposer.IsReachable = s.isLive
 	s.Proposer.Subscribers = s.subscribers
 	s.voterManager = newVoterManager(founders)
-	s.voterManager.replicas = p.Replicas
-	s.founding = loadFounding(p.Storage, p.Bootstrap)
+	s.voterManager.replicas = options.Replicas
+	s.bootstrap = loadBootstrapState(options.Storage, options.Bootstrap)
 	return s
 }
 
-// Teach replaces change functions, so that tests can plant a defect.
-func (s *Store) Teach(ops map[consensus.Op]consensus.ChangeFunc) { s.SetOps(ops) }
+// ReplaceOps replaces change functions, so that tests can plant a defect.
+func (s *Store) ReplaceOps(ops map[consensus.Op]consensus.ChangeFunc) { s.SetOps(ops) }
 
-// live tells whether a store's daemon is up, by the roll.
-func (s *Store) live(store uint64) bool {
+// isLive tells whether a store's daemon is up, by the roll.
+func (s *Store) isLive(storeID uint64) bool {
 	for _, m := range s.Live(membership.Store) {
-		if m.Store == store {
+		if m.Store == storeID {
 			return m.Ready
 		}
 	}
@@ -104,11 +104,11 @@
 	if key != configuration.Key {
 		return nil
 	}
-	var out []ids.Address
+	var addresses []ids.Address
 	for _, m := range s.Live(membership.Registry) {
-		out = append(out, m.Address)
+		addresses = append(addresses, m.Address)
 	}
-	return out
+	return addresses
 }
 
 // Step is the machine's one entrance.
@@ -120,36 +120,36 @@
 		s.receive(now, e.From, e.Msg)
 	case event.Synced:
 		s.Acceptor.Synced(e.Batch)
-		for len(s.unsyncedTurns) > 0 && s.unsyncedTurns[0].turn <= e.Batch {
-			s.unsyncedTurns = s.unsyncedTurns[1:]
+		for len(s.unsyncedBatches) > 0 && s.unsyncedBatches[0].number <= e.Batch {
+			s.unsyncedBatches = s.unsyncedBatches[1:]
 		}
 	case RecoverRequest:
-		s.refound(now, e)
+		s.handleRecoverRequest(now, e)
 	case Leave:
-		s.leave(now, e)
+		s.handleLeave(now, e)
 	case event.Tick:
 		// A disk that can't sync for a second must not claim health.
-		tired := len(s.unsyncedTurns) > 0 && now.Sub(s.unsyncedTurns[0].at) > time.Second
-		if tired != s.diskStalled {
-			s.Log(event.LevelWarn, "disk", "stalled", map[bool]string{true: "yes", false: "no"}[tired])
+		stalled := len(s.unsyncedBatches) > 0 && now.Sub(s.unsyncedBatches[0].requestedAt) > time.Second
+		if stalled != s.diskStalled {
+			s.Log(event.LevelWarn, "disk", "stalled", map[bool]string{true: "yes", false: "no"}[stalled])
 		}
-		s.diskStalled = tired
-		s.Announce(!tired && s.MayVote(), 0)
+		s.diskStalled = stalled
+		s.Announce(!stalled && s.MayVote(), 0)
 		s.List.Tick(now)
 		s.Proposer.Tick(now)
 		s.manageVoters(now)
-		s.leaveIfDue(now)
-		s.learn(now)
+		s.tickDeparture(now)
+		s.tickLearner(now)
 		s.retireIfDue()
-		s.cacheMembers(now)
+		s.cacheMembersIfDue(now)
 	}
-	out := s.Drain()
-	for _, c := range out {
-		if w, ok := c.(event.Sync); ok {
-			s.unsyncedTurns = append(s.unsyncedTurns, unsyncedTurn{w.Batch, now})
+	commands := s.Drain()
+	for _, c := range commands {
+		if sync, ok := c.(event.Sync); ok {
+			s.unsyncedBatches = append(s.unsyncedBatches, unsyncedBatch{sync.Batch, now})
 		}
 	}
-	return out
+	return commands
 }
 
 func (s *Store) receive(now ids.Time, from ids.Address, msg any) {
@@ -157,8 +157,8 @@
 		// Others go on without this copy; what waited for its disk would be old.
 		return
 	}
-	if why := s.screen(from, msg); why != "" {
-		s.Discard(from, why, msg)
+	if reason := s.discardReason(from, msg); reason != "" {
+		s.Discard(from, reason, msg)
 		return
 	}
 	switch m := msg.(type) {
@@ -200,11 +200,11 @@
 }
 
 // ask sends a request of the keeper's own to this very store.
-func (s *Store) submit(op consensus.Op, arg any) {
+func (s *Store) submitVoterSetRequest(op consensus.Op, arg any) {
 	var raw []byte
 	if arg != nil {
 		raw, _ = wire.Encode(arg)
 	}
-	s.requests++
-	s.Submit(s.now, s.Self.Address, consensus.Request{ID: s.requests, Key: consensus.VoterSetKey, Op: op, Arg: raw, TimeoutMillis: 2000})
+	s.lastRequestID++
+	s.Submit(s.now, s.Self.Address, consensus.Request{ID: s.lastRequestID, Key: consensus.VoterSetKey, Op: op, Arg: raw, TimeoutMillis: 2000})
 }
--- a/internal/state/storage/bench_test.go
+++ b/internal/state/storage/bench_test.go
@@ -8,8 +8,8 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// BenchmarkKeep syncs one record, or many that waited together.
-func BenchmarkKeep(b *testing.B) {
+// BenchmarkWrite syncs one record, or many that waited together.
+func BenchmarkWrite(b *testing.B) {
 	for _, n := range []int{1, 16} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			s, err := Open(b.TempDir())
--- a/internal/state/storage/storage_test.go
+++ b/internal/state/storage/storage_test.go
@@ -16,7 +16,7 @@
 	"dunlinwell/internal/base/ids"
 )
 
-func TestRecordsOutliveTheProcess(t *testing.T) {
+func TestDatabase_RecordsSurviveReopening(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
 	s, err := Open(dir)
@@ -25,13 +25,13 @@
 	// Another process may not hold the same folder.
 	_, err = Open(dir)
 	is.True(err != nil && strings.Contains(err.Error(), "another process holds it"))
-	store := s.Store
+	store := s.StoreID
 	is.NoErr(s.Close())
 	s, err = Open(dir)
 	is.NoErr(err)
 	defer s.Close()
-	is.Equal(s.Store, store)
-	is.Equal(s.Run, uint64(2))
+	is.Equal(s.StoreID, store)
+	is.Equal(s.RunNumber, uint64(2))
 	raw, ok := s.Get("item/a")
 	is.True(ok && string(raw) == "1")
 	list := s.Scan("item/", 10)
@@ -42,10 +42,10 @@
 	other, err := Open(t.TempDir())
 	is.NoErr(err)
 	defer other.Close()
-	is.True(other.Store != store)
+	is.True(other.StoreID != store)
 }
 
-func TestNewerFormatIsNotTouched(t *testing.T) {
+func TestOpen_NewerFormatIsNotTouched(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
 	path := filepath.Join(dir, "stockroom.db")
@@ -57,7 +57,7 @@
 	before, err := os.ReadFile(path)
 	is.NoErr(err)
 	_, err = Open(dir)
-	var newer *NewerFormat
+	var newer *NewerFormatError
 	is.True(errors.As(err, &newer))
 	after, err := os.ReadFile(path)
 	is.NoErr(err)
@@ -65,12 +65,12 @@
 }
 
 // A damaged database is kept aside, and the store begins anew as another one.
-func TestDamagedDatabaseIsSetAside(t *testing.T) {
+func TestOpen_DamagedDatabaseIsSetAside(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
 	s, err := Open(dir)
 	is.NoErr(err)
-	store := s.Store
+	store := s.StoreID
 	is.NoErr(s.Close())
 	path := filepath.Join(dir, "stockroom.db")
 	raw, err := os.ReadFile(path)
@@ -82,14 +82,14 @@
 	s, err = Open(dir)
 	is.NoErr(err)
 	defer s.Close()
-	is.True(s.Store != store)
-	kept, err := os.ReadFile(s.SetAside)
+	is.True(s.StoreID != store)
+	kept, err := os.ReadFile(s.SetAsidePath)
 	is.NoErr(err)
 	is.Equal(kept, raw)
 }
 
 // A database whose records fail the check is set aside as a damaged one is.
-func TestRecordsThatFailTheCheckAreSetAside(t *testing.T) {
+func TestOpenChecked_FailedCheckSetsDatabaseAside(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
 	check := func(d *Database) error {
@@ -100,23 +100,23 @@
 	}
 	s, err := OpenChecked(dir, check)
 	is.NoErr(err)
-	is.Equal(s.SetAside, "")
-	store := s.Store
+	is.Equal(s.SetAsidePath, "")
+	store := s.StoreID
 	is.NoErr(s.Write([]event.Record{{Key: "item/policy", Value: []byte("damaged")}}))
 	is.NoErr(s.Close())
 	s, err = OpenChecked(dir, check)
 	is.NoErr(err)
 	defer s.Close()
-	is.True(s.Store != store)
-	is.Equal(s.Damage.Error(), "it is damaged")
+	is.True(s.StoreID != store)
+	is.Equal(s.DamageCause.Error(), "it is damaged")
 	_, ok := s.Get("item/policy")
 	is.True(!ok)
-	_, err = os.Stat(s.SetAside)
+	_, err = os.Stat(s.SetAsidePath)
 	is.NoErr(err)
 }
 
 // Marks age by measured running time, and go in small batches.
-func TestPrune(t *testing.T) {
+func TestPrune_DeletesExpiredRecordsInBatches(t *testing.T) {
 	is := is.New(t)
 	s, err := Open(t.TempDir())
 	is.NoErr(err)
@@ -125,7 +125,7 @@
 	n, err := s.Prune(time.Hour, 10)
 	is.NoErr(err)
 	is.Equal(n, int64(0))
-	s.ran += 2 * time.Hour.Milliseconds()
+	s.earlierUptimeMillis += 2 * time.Hour.Milliseconds()
 	n, err = s.Prune(time.Hour, 1)
 	is.NoErr(err)
 	is.Equal(n, int64(1))
@@ -138,35 +138,35 @@
 
 // Thirty hours of running time, with restarts: what is younger than a day is
 // always there, and what is older goes.
-func TestADayOfMarks(t *testing.T) {
+func TestPrune_KeepsYoungRecordsOverRestarts(t *testing.T) {
 	is := is.New(t)
-	const keep, step = 24 * time.Hour, 10 * time.Minute
+	const retention, step = 24 * time.Hour, 10 * time.Minute
 	dir, now := t.TempDir(), time.Duration(0)
 	clock := func() time.Duration { return now }
-	s, err := open(dir, clock, nil)
+	s, err := openWithClock(dir, clock, nil)
 	is.NoErr(err)
 	key := func(i int) ids.RegisterKey { return ids.RegisterKey(fmt.Sprintf("item/mark/r/%03d", i)) }
-	forgotten := 0
+	pruned := 0
 	for i := range 180 {
 		is.NoErr(s.Write([]event.Record{{Key: key(i), Value: []byte("claimed")}}))
 		is.NoErr(s.Write([]event.Record{{Key: key(i), Value: []byte("over")}}))
 		now += step
-		n, err := s.Prune(keep, 512)
+		n, err := s.Prune(retention, 512)
 		is.NoErr(err)
-		forgotten += int(n)
+		pruned += int(n)
 		if i%17 == 0 {
 			// Another run, whose own clock begins anew wherever it likes.
 			is.NoErr(s.Close())
 			now = time.Duration(i%3) * 1000 * time.Hour
-			s, err = open(dir, clock, nil)
+			s, err = openWithClock(dir, clock, nil)
 			is.NoErr(err)
 		}
 		for k := range i + 1 {
-			if _, ok := s.Get(key(k)); !ok && time.Duration(i+1-k)*step < keep {
+			if _, ok := s.Get(key(k)); !ok && time.Duration(i+1-k)*step < retention {
 				t.Fatalf("mark %d is forgotten after %s", k, time.Duration(i+1-k)*step)
 			}
 		}
 	}
-	is.True(forgotten > 30) // those of the first hours
+	is.True(pruned > 30) // those of the first hours
 	is.NoErr(s.Close())
 }
--- a/internal/testsupport/compat/core_test.go
+++ b/internal/testsupport/compat/core_test.go
@@ -50,7 +50,7 @@
 		self := membership.Member{ID: ids.DaemonID("store-" + string('1'+rune(i))), Role: membership.Store, Address: address, Zone: "north", RunID: 1, Incarnation: 1}
 		c.stores[address] = store.New(store.Options{
 			Options: membership.Options{Self: self, Seeds: coreAddresses}, Replicas: 3,
-			Store: disk.Store, Run: disk.Run, Storage: disk, Random: rand.New(rand.NewPCG(uint64(i), 1)), Bootstrap: true,
+			StoreID: disk.StoreID, RunNumber: disk.RunNumber, Storage: disk, Random: rand.New(rand.NewPCG(uint64(i), 1)), Bootstrap: true,
 		})
 	}
 	return c
--- a/internal/testsupport/compat/folder_test.go
+++ b/internal/testsupport/compat/folder_test.go
@@ -36,11 +36,11 @@
 	is.NoErr(consensus.CheckDisk(disk))
 	s := store.New(store.Options{
 		Options:  membership.Options{Self: membership.Member{ID: "store-1", Address: "127.0.0.1:1"}},
-		Replicas: 3, Store: disk.Store, Run: disk.Run, Storage: disk,
+		Replicas: 3, StoreID: disk.StoreID, RunNumber: disk.RunNumber, Storage: disk,
 	})
 	set := s.VoterSet()
 	got := map[string]string{
-		"store":    fmt.Sprintf("%x", disk.Store),
+		"store":    fmt.Sprintf("%x", disk.StoreID),
 		"standing": fmt.Sprint(uint8(s.DiskState())),
 		"voters":   fmt.Sprintf("number %d loss %d", set.Number, set.LossCount),
 		"policy":   string(s.LocalValue(configuration.Key)),
@@ -103,7 +103,7 @@
 	disk, err := storage.Open(folder)
 	is.NoErr(err)
 	defer disk.Close()
-	is.Equal(disk.SetAside, "")
+	is.Equal(disk.SetAsidePath, "")
 	got := content(t, disk)
 	want := readGolden(t, filepath.Join(oldFolder, contentName))
 	is.Equal(len(got), len(want))
--- a/internal/testsupport/simulator/proc.go
+++ b/internal/testsupport/simulator/proc.go
@@ -109,7 +109,7 @@
 			p.kill()
 			return
 		case store.RecoverResponse:
-			p.w.trace("%s answers the order to recover: %q", p.name, c.Why)
+			p.w.trace("%s answers the order to recover: %q", p.name, c.Rejection)
 		default:
 			p.dispatchers.perform(c)
 		}
@@ -137,9 +137,9 @@
 	case membership.Store:
 		p.disk.open(p)
 		h.Store, h.Run, h.Bootstrap = p.disk.store, p.disk.run, p.bootstrap
-		s := store.New(store.Options{Options: roll, Store: p.disk.store, Run: p.disk.run, Storage: p.disk, Random: p.random, Bootstrap: p.bootstrap, Replicas: p.w.Replicas})
+		s := store.New(store.Options{Options: roll, StoreID: p.disk.store, RunNumber: p.disk.run, Storage: p.disk, Random: p.random, Bootstrap: p.bootstrap, Replicas: p.w.Replicas})
 		if p.w.Defect.Ops != nil {
-			s.Teach(p.w.Defect.Ops)
+			s.ReplaceOps(p.w.Defect.Ops)
 		}
 		p.machine, beat = s, stockBeat
 	case membership.Registry:
--- a/internal/testsupport/simulator/recover_test.go
+++ b/internal/testsupport/simulator/recover_test.go
@@ -29,7 +29,7 @@
 			order := func(into *string) {
 				for _, c := range w.procs[0].machine.Step(w.procs[0].now(), store.RecoverRequest{ID: 1}) {
 					if r, ok := c.(store.RecoverResponse); ok {
-						*into = r.Why
+						*into = r.Rejection
 						continue
 					}
 					w.procs[0].perform([]any{c})
--- a/internal/testsupport/simulator/tracerecorder.go
+++ b/internal/testsupport/simulator/tracerecorder.go
@@ -34,7 +34,7 @@
 	random := rand.New(rand.NewPCG(h.Random[0], h.Random[1]))
 	switch h.Roll.Self.Role {
 	case membership.Store:
-		return store.New(store.Options{Options: h.Roll, Store: h.Store, Run: h.Run, Storage: storage, Random: random, Bootstrap: h.Bootstrap})
+		return store.New(store.Options{Options: h.Roll, StoreID: h.Store, RunNumber: h.Run, Storage: storage, Random: random, Bootstrap: h.Bootstrap})
 	case membership.Registry:
 		return registry.New(registry.Options{Options: h.Roll, Random: random, PlanEvery: h.PlanEvery})
 	}
