--- a/internal/app/api/api.go
+++ b/internal/app/api/api.go
@@ -26,149 +26,149 @@
 	// Put hands an event to the registry's owner.
 	Put func(ev any)
 	// Log, if set, writes what must not go unseen.
-	Log  func(level event.Level, name event.LogEvent, fields ...string)
-	next atomic.Uint64
-	mu   sync.Mutex
-	open map[uint64]chan registry.Response
+	Log     func(level event.Level, name event.LogEvent, fields ...string)
+	nextID  atomic.Uint64
+	mu      sync.Mutex
+	pending map[uint64]chan registry.Response
 }
 
 const (
-	mostCall     = 1 << 20
-	mostMerging  = 64 << 20
-	responseTime = 5 * time.Second
+	maxCallBody         = 1 << 20
+	maxMergeBody        = 64 << 20
+	baseResponseTimeout = 5 * time.Second
 )
 
-// Responded takes the owner's reply.
-func (w *Server) Responded(r registry.Response) {
-	w.mu.Lock()
-	c := w.open[r.ID]
-	delete(w.open, r.ID)
-	w.mu.Unlock()
-	if c != nil {
-		c <- r
+// HandleResponse takes the owner's reply.
+func (s *Server) HandleResponse(r registry.Response) {
+	s.mu.Lock()
+	waiting := s.pending[r.ID]
+	delete(s.pending, r.ID)
+	s.mu.Unlock()
+	if waiting != nil {
+		waiting <- r
 	}
 }
 
 // Ask hands an event in and waits for its reply.
-func (w *Server) Do(make1 func(id uint64) any) registry.Response {
-	id := w.next.Add(1)
-	c := make(chan registry.Response, 1)
-	w.mu.Lock()
-	if w.open == nil {
-		w.open = map[uint64]chan registry.Response{}
+func (s *Server) Do(newCall func(id uint64) any) registry.Response {
+	id := s.nextID.Add(1)
+	reply := make(chan registry.Response, 1)
+	s.mu.Lock()
+	if s.pending == nil {
+		s.pending = map[uint64]chan registry.Response{}
 	}
-	w.open[id] = c
-	w.mu.Unlock()
-	call := make1(id)
-	w.Put(call)
+	s.pending[id] = reply
+	s.mu.Unlock()
+	call := newCall(id)
+	s.Put(call)
 	select {
-	case r := <-c:
+	case r := <-reply:
 		return r
-	case <-time.After(patience(call)):
-		w.mu.Lock()
-		delete(w.open, id)
-		w.mu.Unlock()
+	case <-time.After(responseTimeout(call)):
+		s.mu.Lock()
+		delete(s.pending, id)
+		s.mu.Unlock()
 		return registry.Response{Status: 504, Body: registry.ErrorResponse{Message: "uncertain: no answer in time"}, RetryAfter: 1}
 	}
 }
 
-// patience is how long a call is waited for: longer than the registry waits
+// responseTimeout is how long a call is waited for: longer than the registry waits
 // for the stores.
-func patience(call any) time.Duration {
+func responseTimeout(call any) time.Duration {
 	m, ok := call.(registry.MergeCall)
 	if !ok {
-		return responseTime
+		return baseResponseTimeout
 	}
 	size := 0
 	for _, g := range m.Body.Items {
 		size += len(g.Body) + len(g.Source) + len(g.Name)
 	}
-	return responseTime + 2*(registry.CallWait(size)-registry.CallWait(0))
+	return baseResponseTimeout + 2*(registry.CallWait(size)-registry.CallWait(0))
 }
 
 // Status asks the registry how things stand; an empty one if it doesn't answer.
-func (w *Server) Status() registry.Status {
-	s, _ := w.Do(func(id uint64) any { return registry.StatusCall{ID: id} }).Body.(registry.Status)
-	return s
+func (s *Server) Status() registry.Status {
+	status, _ := s.Do(func(id uint64) any { return registry.StatusCall{ID: id} }).Body.(registry.Status)
+	return status
 }
 
 // Handler gives the pages under /v1.
-func (w *Server) Handler() http.Handler {
+func (s *Server) Handler() http.Handler {
 	m := http.NewServeMux()
-	m.HandleFunc("GET /v1/policy", w.configuration)
-	m.HandleFunc("GET "+RevisionPage, w.revision)
-	m.HandleFunc("GET /v1/{kind}", w.list)
-	m.HandleFunc("GET /v1/{kind}/{name}", w.one)
-	m.HandleFunc("PUT /v1/{kind}/{name}", w.put)
-	m.HandleFunc("DELETE /v1/{kind}/{name}", w.remove)
-	m.HandleFunc("POST /v1/cells/{name}/{deed}", w.deed)
+	m.HandleFunc("GET /v1/policy", s.getConfiguration)
+	m.HandleFunc("GET "+RevisionPath, s.getRevision)
+	m.HandleFunc("GET /v1/{kind}", s.listItems)
+	m.HandleFunc("GET /v1/{kind}/{name}", s.getItem)
+	m.HandleFunc("PUT /v1/{kind}/{name}", s.putItem)
+	m.HandleFunc("DELETE /v1/{kind}/{name}", s.removeItem)
+	m.HandleFunc("POST /v1/cells/{name}/{deed}", s.setZoneState)
 	m.HandleFunc("POST /v1/change", func(rw http.ResponseWriter, r *http.Request) {
-		if raw, ok := Body(rw, r); ok {
-			w.change(rw, raw)
+		if raw, ok := ReadBody(rw, r); ok {
+			s.submitChange(rw, raw)
 		}
 	})
-	m.HandleFunc("POST "+mergePage, w.merge)
+	m.HandleFunc("POST "+mergePath, s.submitMerge)
 	m.HandleFunc("GET /v1/status", func(rw http.ResponseWriter, _ *http.Request) {
-		Write(rw, w.Do(func(id uint64) any { return registry.StatusCall{ID: id} }))
+		WriteResponse(rw, s.Do(func(id uint64) any { return registry.StatusCall{ID: id} }))
 	})
 	m.HandleFunc("GET /v1/where", func(rw http.ResponseWriter, r *http.Request) {
 		q := r.URL.Query()
 		if q.Get("route") == "" || q.Get("cell") == "" {
-			Say(rw, 400, "route and cell must be given")
+			WriteError(rw, 400, "route and cell must be given")
 			return
 		}
-		Write(rw, w.Do(func(id uint64) any {
+		WriteResponse(rw, s.Do(func(id uint64) any {
 			return registry.ResolveCall{ID: id, Zone: ids.Name(q.Get("cell")), Route: ids.Name(q.Get("route"))}
 		}))
 	})
 	m.HandleFunc("POST /v1/announce", func(rw http.ResponseWriter, r *http.Request) {
-		raw, ok := Body(rw, r)
+		raw, ok := ReadBody(rw, r)
 		if !ok {
 			return
 		}
 		t, bad := targets.ReadAnnouncement(raw)
 		if len(bad) > 0 {
-			if w.Log != nil {
-				w.Log(event.LevelWarn, "announcement declined", "peer", r.RemoteAddr, "faults", fmt.Sprint(bad))
+			if s.Log != nil {
+				s.Log(event.LevelWarn, "announcement declined", "peer", r.RemoteAddr, "faults", fmt.Sprint(bad))
 			}
-			Write(rw, registry.Response{Status: 400, Body: map[string]any{"problem": "announcement declined", "errors": bad}})
+			WriteResponse(rw, registry.Response{Status: 400, Body: map[string]any{"problem": "announcement declined", "errors": bad}})
 			return
 		}
-		Write(rw, w.Do(func(id uint64) any { return registry.HeartbeatCall{ID: id, Target: t} }))
+		WriteResponse(rw, s.Do(func(id uint64) any { return registry.HeartbeatCall{ID: id, Target: t} }))
 	})
 	return m
 }
 
-// Body reads a call's body, up to its limit.
-func Body(rw http.ResponseWriter, r *http.Request) ([]byte, bool) {
-	most := int64(mostCall)
+// ReadBody reads a call's body, up to its limit.
+func ReadBody(rw http.ResponseWriter, r *http.Request) ([]byte, bool) {
+	most := int64(maxCallBody)
 	// A whole configuration may come as one merging.
-	if r.URL.Path == mergePage {
-		most = mostMerging
+	if r.URL.Path == mergePath {
+		most = maxMergeBody
 	}
 	raw, err := io.ReadAll(http.MaxBytesReader(rw, r.Body, most))
 	if _, big := err.(*http.MaxBytesError); big {
-		Say(rw, 413, "body over the limit of "+strconv.FormatInt(most, 10)+" bytes")
+		WriteError(rw, 413, "body over the limit of "+strconv.FormatInt(most, 10)+" bytes")
 		return nil, false
 	}
 	if err != nil {
-		Say(rw, 400, "the body ended early")
+		WriteError(rw, 400, "the body ended early")
 		return nil, false
 	}
 	return raw, true
 }
 
-// Say answers with one problem.
-func Say(rw http.ResponseWriter, status int, why string) {
+// WriteError answers with one problem.
+func WriteError(rw http.ResponseWriter, status int, message string) {
 	retry := 0
 	if status == 503 || status == 504 {
 		retry = 1
 	}
-	Write(rw, registry.Response{Status: status, Body: registry.ErrorResponse{Message: why}, RetryAfter: retry})
+	WriteResponse(rw, registry.Response{Status: status, Body: registry.ErrorResponse{Message: message}, RetryAfter: retry})
 }
 
-// Write answers a call.
-func Write(rw http.ResponseWriter, r registry.Response) {
+// WriteResponse answers a call.
+func WriteResponse(rw http.ResponseWriter, r registry.Response) {
 	rw.Header().Set("Content-Type", "application/json")
 	if r.RetryAfter > 0 {
 		rw.Header().Set("Retry-After", strconv.Itoa(r.RetryAfter))
--- a/internal/app/api/forward_test.go
+++ b/internal/app/api/forward_test.go
@@ -11,16 +11,16 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// registryAnswering is a registry whose every answer has one status.
-func registryAnswering(t *testing.T, status int) ids.Address {
+// newRegistryAnswering is a registry whose every answer has one status.
+func newRegistryAnswering(t *testing.T, status int) ids.Address {
 	t.Helper()
-	s := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) { Say(rw, status, "so") }))
+	s := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) { WriteError(rw, status, "so") }))
 	t.Cleanup(s.Close)
 	return ids.Address(strings.TrimPrefix(s.URL, "http://"))
 }
 
-// breaking is an address that takes connections and closes them.
-func breaking(t *testing.T) ids.Address {
+// newBreakingRegistry is an address that takes connections and closes them.
+func newBreakingRegistry(t *testing.T) ids.Address {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -39,8 +39,8 @@
 	return ids.Address(l.Addr().String())
 }
 
-// closed is an address that refuses connections.
-func closed(t *testing.T) ids.Address {
+// closedAddress is an address that refuses connections.
+func closedAddress(t *testing.T) ids.Address {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -53,8 +53,8 @@
 // A daemon handed the 503 of a registry that was cut off to its caller, though
 // the next one had a majority; and where a connection broke after a change had left,
 // a later 503 must not promise that it has no effect.
-func TestAForwarderGoesOnToARegistryWithAMajority(t *testing.T) {
-	apart, with, broken, none := registryAnswering(t, 503), registryAnswering(t, 200), breaking(t), closed(t)
+func TestForwarder_TriesNextRegistry(t *testing.T) {
+	apart, with, broken, none := newRegistryAnswering(t, 503), newRegistryAnswering(t, 200), newBreakingRegistry(t), closedAddress(t)
 	for _, c := range []struct {
 		name       string
 		method     string
--- a/internal/app/api/fuzz_test.go
+++ b/internal/app/api/fuzz_test.go
@@ -17,19 +17,19 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// office is a registry with one store that agrees at once, behind its pages.
-type office struct {
+// testRegistry is a registry with one store that agrees at once, behind its pages.
+type testRegistry struct {
 	*Server
-	mu    sync.Mutex
-	f     *registry.Registry
-	value []byte
-	now   ids.Time
+	mu       sync.Mutex
+	registry *registry.Registry
+	value    []byte
+	now      ids.Time
 }
 
-func newOffice() *office {
+func newTestRegistry() *testRegistry {
 	self := membership.Member{ID: "f", Role: membership.Registry, Address: "10.0.0.1:1", RunID: 1, Zone: "north"}
-	o := &office{Server: &Server{}, now: 1}
-	o.f = registry.New(registry.Options{Options: membership.Options{Self: self}, Random: rand.New(rand.NewPCG(1, 1))})
+	o := &testRegistry{Server: &Server{}, now: 1}
+	o.registry = registry.New(registry.Options{Options: membership.Options{Self: self}, Random: rand.New(rand.NewPCG(1, 1))})
 	o.Put = func(ev any) {
 		o.mu.Lock()
 		defer o.mu.Unlock()
@@ -43,21 +43,21 @@
 	return o
 }
 
-func (o *office) step(ev event.Event) {
-	for _, c := range o.f.Step(o.now, ev) {
+func (o *testRegistry) step(ev event.Event) {
+	for _, c := range o.registry.Step(o.now, ev) {
 		switch c := c.(type) {
 		case event.Send:
 			if r, ok := c.Msg.(consensus.Request); ok {
 				o.step(event.Received{From: c.To, Msg: o.agree(r)})
 			}
 		case registry.Response:
-			o.Responded(c)
+			o.HandleResponse(c)
 		}
 	}
 }
 
 // agree is the store's part.
-func (o *office) agree(r consensus.Request) consensus.Response {
+func (o *testRegistry) agree(r consensus.Request) consensus.Response {
 	out := o.value
 	if change := configuration.Ops()[r.Op]; change != nil && r.Key == configuration.Key {
 		o.value, out = change(r.Key, o.value, r.Arg)
@@ -65,7 +65,7 @@
 	return consensus.Response{ID: r.ID, Attempt: r.Attempt, Outcome: consensus.Succeeded, Result: out}
 }
 
-func (o *office) revision() ids.Revision {
+func (o *testRegistry) revision() ids.Revision {
 	p, err := configuration.Decode(o.value)
 	if err != nil {
 		return 0
@@ -73,13 +73,13 @@
 	return p.Revision
 }
 
-func (o *office) call(method, path, match, body string) *httptest.ResponseRecorder {
+func (o *testRegistry) call(method, path, match, body string) *httptest.ResponseRecorder {
 	r := &http.Request{
 		Method: method, URL: &url.URL{Path: "/v1/" + path}, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Host: "h",
 		Header: http.Header{"If-Match": {match}}, Body: http.NoBody, RemoteAddr: "10.0.0.9:1",
 	}
 	if body != "" {
-		r.Body = http.MaxBytesReader(nil, readCloser{strings.NewReader(body)}, mostMerging)
+		r.Body = http.MaxBytesReader(nil, readCloser{strings.NewReader(body)}, maxMergeBody)
 	}
 	rw := httptest.NewRecorder()
 	o.Handler().ServeHTTP(rw, r)
@@ -113,7 +113,7 @@
 		f.Add(c[0], c[1], c[2], c[3])
 	}
 	f.Fuzz(func(t *testing.T, method, path, match, body string) {
-		o := newOffice()
+		o := newTestRegistry()
 		o.call("PUT", "services/wader", "", `{}`)
 		before, value := o.revision(), string(o.value)
 		if before != 1 {
--- a/internal/app/api/items.go
+++ b/internal/app/api/items.go
@@ -13,8 +13,8 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// kinds are the words of the pages' paths.
-var kinds = map[string]string{"services": "service", "routes": "route", "cells": "cell"}
+// kindsByPath are the words of the pages' paths.
+var kindsByPath = map[string]string{"services": "service", "routes": "route", "cells": "cell"}
 
 // Item is one item as it is read back.
 type Item struct {
@@ -24,46 +24,46 @@
 	Body    json.RawMessage `json:"body"`
 }
 
-// read asks for the configuration; local only where the caller wants that.
-func (w *Server) read(rw http.ResponseWriter, r *http.Request) (*configuration.Document, bool) {
+// readConfiguration asks for the configuration; local only where the caller wants that.
+func (s *Server) readConfiguration(rw http.ResponseWriter, r *http.Request) (*configuration.Document, bool) {
 	local := r.URL.Query().Get("local") == "true"
-	rep := w.Do(func(id uint64) any { return registry.ReadConfigurationCall{ID: id, Local: local} })
+	rep := s.Do(func(id uint64) any { return registry.ReadConfigurationCall{ID: id, Local: local} })
 	p, ok := rep.Body.(*configuration.Document)
 	if !ok {
-		Write(rw, rep)
+		WriteResponse(rw, rep)
 	}
 	return p, ok
 }
 
-func (w *Server) configuration(rw http.ResponseWriter, r *http.Request) {
-	if p, ok := w.read(rw, r); ok {
+func (s *Server) getConfiguration(rw http.ResponseWriter, r *http.Request) {
+	if p, ok := s.readConfiguration(rw, r); ok {
 		c := *p
 		c.Recent, c.Rejected, c.History = nil, nil, nil
-		Write(rw, registry.Response{Status: 200, Body: c})
+		WriteResponse(rw, registry.Response{Status: 200, Body: c})
 	}
 }
 
-// kind finds the kind that a path names.
-func kind(rw http.ResponseWriter, r *http.Request) (string, bool) {
-	k, ok := kinds[r.PathValue("kind")]
+// pathKind finds the kind that a path names.
+func pathKind(rw http.ResponseWriter, r *http.Request) (string, bool) {
+	k, ok := kindsByPath[r.PathValue("kind")]
 	if !ok {
-		Say(rw, 404, "there is no page "+r.URL.Path)
+		WriteError(rw, 404, "there is no page "+r.URL.Path)
 	}
 	return k, ok
 }
 
-// items finds the kind that a path names, and reads the configuration.
-func (w *Server) items(rw http.ResponseWriter, r *http.Request) (string, *configuration.Document, bool) {
-	k, ok := kind(rw, r)
+// readItems finds the kind that a path names, and reads the configuration.
+func (s *Server) readItems(rw http.ResponseWriter, r *http.Request) (string, *configuration.Document, bool) {
+	k, ok := pathKind(rw, r)
 	if !ok {
 		return k, nil, false
 	}
-	p, ok := w.read(rw, r)
+	p, ok := s.readConfiguration(rw, r)
 	return k, p, ok
 }
 
-func (w *Server) list(rw http.ResponseWriter, r *http.Request) {
-	k, p, ok := w.items(rw, r)
+func (s *Server) listItems(rw http.ResponseWriter, r *http.Request) {
+	k, p, ok := s.readItems(rw, r)
 	if !ok {
 		return
 	}
@@ -72,33 +72,33 @@
 		it := p.Items(k)[n]
 		list = append(list, Item{k, n, it.Version, it.Body})
 	}
-	Write(rw, registry.Response{Status: 200, Body: map[string]any{"revision": p.Revision, "items": list}})
+	WriteResponse(rw, registry.Response{Status: 200, Body: map[string]any{"revision": p.Revision, "items": list}})
 }
 
-func (w *Server) one(rw http.ResponseWriter, r *http.Request) {
-	k, p, ok := w.items(rw, r)
+func (s *Server) getItem(rw http.ResponseWriter, r *http.Request) {
+	k, p, ok := s.readItems(rw, r)
 	if !ok {
 		return
 	}
 	n := ids.Name(r.PathValue("name"))
 	it, found := p.Items(k)[n]
 	if !found {
-		Say(rw, 404, fmt.Sprintf("there is no %s %q", k, n))
+		WriteError(rw, 404, fmt.Sprintf("there is no %s %q", k, n))
 		return
 	}
 	rw.Header().Set("ETag", `"`+strconv.FormatUint(uint64(it.Version), 10)+`"`)
-	Write(rw, registry.Response{Status: 200, Body: Item{k, n, it.Version, it.Body}})
+	WriteResponse(rw, registry.Response{Status: 200, Body: Item{k, n, it.Version, it.Body}})
 }
 
-// part writes one part of a change as JSON, keeping the body as it was sent.
-func (w *Server) part(r *http.Request, kind, deed string, body []byte) ([]byte, error) {
+// buildChange writes one part of a change as JSON, keeping the body as it was sent.
+func (s *Server) buildChange(r *http.Request, kind, action string, body []byte) ([]byte, error) {
 	name, err := json.Marshal(r.PathValue("name"))
 	if err != nil {
 		return nil, err
 	}
 	id := r.Header.Get("Change-Id")
 	if id == "" {
-		id = w.newChange()
+		id = s.newChangeID()
 	}
 	quoted, err := json.Marshal(id)
 	if err != nil {
@@ -111,73 +111,73 @@
 		}
 		version = `,"version":` + v
 	}
-	return []byte(fmt.Sprintf(`{"id":%s,"changes":[{"kind":%q,"name":%s%s,%q:%s}]}`, quoted, kind, name, version, deed, body)), nil
+	return []byte(fmt.Sprintf(`{"id":%s,"changes":[{"kind":%q,"name":%s%s,%q:%s}]}`, quoted, kind, name, version, action, body)), nil
 }
 
-func (w *Server) single(rw http.ResponseWriter, r *http.Request, kind, deed string, body []byte) {
-	raw, err := w.part(r, kind, deed, body)
+func (s *Server) submitItemChange(rw http.ResponseWriter, r *http.Request, kind, action string, body []byte) {
+	raw, err := s.buildChange(r, kind, action, body)
 	if err != nil {
-		Say(rw, 400, err.Error())
+		WriteError(rw, 400, err.Error())
 		return
 	}
-	w.change(rw, raw)
+	s.submitChange(rw, raw)
 }
 
-func (w *Server) put(rw http.ResponseWriter, r *http.Request) {
-	k, ok := kind(rw, r)
+func (s *Server) putItem(rw http.ResponseWriter, r *http.Request) {
+	k, ok := pathKind(rw, r)
 	if !ok {
 		return
 	}
-	raw, ok := Body(rw, r)
+	raw, ok := ReadBody(rw, r)
 	if !ok {
 		return
 	}
 	// Checked by itself first, or a body could close the part it is put into.
 	if !json.Valid(raw) {
-		Write(rw, registry.Response{Status: 400, Body: configuration.Result{Violations: []configuration.Violation{{Item: k + "/" + r.PathValue("name"), Reason: "is not valid JSON"}}}})
+		WriteResponse(rw, registry.Response{Status: 400, Body: configuration.Result{Violations: []configuration.Violation{{Item: k + "/" + r.PathValue("name"), Reason: "is not valid JSON"}}}})
 		return
 	}
-	w.single(rw, r, k, "put", raw)
+	s.submitItemChange(rw, r, k, "put", raw)
 }
 
-func (w *Server) remove(rw http.ResponseWriter, r *http.Request) {
-	if k, ok := kind(rw, r); ok {
-		w.single(rw, r, k, "remove", []byte("true"))
+func (s *Server) removeItem(rw http.ResponseWriter, r *http.Request) {
+	if k, ok := pathKind(rw, r); ok {
+		s.submitItemChange(rw, r, k, "remove", []byte("true"))
 	}
 }
 
-// deed empties or refills a zone, or shuts or opens its targets alone.
-func (w *Server) deed(rw http.ResponseWriter, r *http.Request) {
+// setZoneState empties or refills a zone, or shuts or opens its targets alone.
+func (s *Server) setZoneState(rw http.ResponseWriter, r *http.Request) {
 	switch r.PathValue("deed") {
 	case "empty":
-		w.single(rw, r, "cell", "set", []byte(`{"emptied":true}`))
+		s.submitItemChange(rw, r, "cell", "set", []byte(`{"emptied":true}`))
 	case "refill":
-		w.single(rw, r, "cell", "set", []byte(`{"emptied":false}`))
+		s.submitItemChange(rw, r, "cell", "set", []byte(`{"emptied":false}`))
 	case "shut":
-		w.single(rw, r, "cell", "set", []byte(`{"shut":true}`))
+		s.submitItemChange(rw, r, "cell", "set", []byte(`{"shut":true}`))
 	case "open":
-		w.single(rw, r, "cell", "set", []byte(`{"shut":false}`))
+		s.submitItemChange(rw, r, "cell", "set", []byte(`{"shut":false}`))
 	default:
-		Say(rw, 404, "there is no page "+r.URL.Path)
+		WriteError(rw, 404, "there is no page "+r.URL.Path)
 	}
 }
 
-func (w *Server) change(rw http.ResponseWriter, raw []byte) {
-	Write(rw, w.Do(func(id uint64) any { return registry.ChangeCall{ID: id, Raw: raw} }))
+func (s *Server) submitChange(rw http.ResponseWriter, raw []byte) {
+	WriteResponse(rw, s.Do(func(id uint64) any { return registry.ChangeCall{ID: id, Raw: raw} }))
 }
 
-// mergePage takes items whose versions their caller gives.
-const mergePage = "/v1/merge"
+// mergePath takes items whose versions their caller gives.
+const mergePath = "/v1/merge"
 
-func (w *Server) merge(rw http.ResponseWriter, r *http.Request) {
-	raw, ok := Body(rw, r)
+func (s *Server) submitMerge(rw http.ResponseWriter, r *http.Request) {
+	raw, ok := ReadBody(rw, r)
 	if !ok {
 		return
 	}
 	m, faults := configuration.ReadMerge(raw)
 	if len(faults) > 0 {
-		Write(rw, registry.Response{Status: 400, Body: configuration.Result{Violations: faults}})
+		WriteResponse(rw, registry.Response{Status: 400, Body: configuration.Result{Violations: faults}})
 		return
 	}
-	Write(rw, w.Do(func(id uint64) any { return registry.MergeCall{ID: id, Body: m} }))
+	WriteResponse(rw, s.Do(func(id uint64) any { return registry.MergeCall{ID: id, Body: m} }))
 }
--- a/internal/app/api/merge_test.go
+++ b/internal/app/api/merge_test.go
@@ -14,8 +14,8 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// merger is a window whose registry merges at once.
-func merger() (*Server, **configuration.Document) {
+// newMergingServer is a window whose registry merges at once.
+func newMergingServer() (*Server, **configuration.Document) {
 	p, _ := configuration.Decode(nil)
 	w := &Server{}
 	w.Put = func(ev any) {
@@ -26,15 +26,15 @@
 		if !r.Accepted() {
 			status = 400
 		}
-		go w.Responded(registry.Response{ID: c.ID, Status: status, Body: r})
+		go w.HandleResponse(registry.Response{ID: c.ID, Status: status, Body: r})
 	}
 	return w, &p
 }
 
 // The page itself, and any other daemon's forward to it.
-func TestMergePage(t *testing.T) {
+func TestServer_Merge(t *testing.T) {
 	is := is.New(t)
-	w, p := merger()
+	w, p := newMergingServer()
 	at := httptest.NewServer(w.Handler())
 	defer at.Close()
 	ferry := NewForwarder(func() []ids.Address {
@@ -58,11 +58,11 @@
 		is.Equal(call(`{"items":`).Code, 400)
 		is.Equal(call("").Code, 400)
 		// Larger than other calls may be, up to a limit of its own.
-		is.Equal(call(strings.Repeat(" ", 2*mostCall)+`{"items":[{"kind":"service","name":"wader","version":7,"body":{}}]}`).Code, 200)
-		is.Equal(call(strings.Repeat(" ", mostMerging+1)).Code, 413)
+		is.Equal(call(strings.Repeat(" ", 2*maxCallBody)+`{"items":[{"kind":"service","name":"wader","version":7,"body":{}}]}`).Code, 200)
+		is.Equal(call(strings.Repeat(" ", maxMergeBody+1)).Code, 413)
 		is.Equal(len((*p).Services), 1)
 		rw = httptest.NewRecorder()
-		h.ServeHTTP(rw, httptest.NewRequest("POST", "/v1/change", strings.NewReader(strings.Repeat(" ", mostCall+1))))
+		h.ServeHTTP(rw, httptest.NewRequest("POST", "/v1/change", strings.NewReader(strings.Repeat(" ", maxCallBody+1))))
 		is.Equal(rw.Code, 413)
 	}
 }
--- a/internal/app/api/revision.go
+++ b/internal/app/api/revision.go
@@ -9,19 +9,19 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// RevisionPage gives the revision that a registry knows, which may be old. The
+// RevisionPath gives the revision that a registry knows, which may be old. The
 // id of a change says it, so that copies of the change can be told from new ones
 // at any later time.
-const RevisionPage = "/v1/revision"
+const RevisionPath = "/v1/revision"
 
 // Revision is the body of that page.
 type Revision struct {
 	Revision ids.Revision `json:"revision"`
 }
 
-// known gives the revision that the registry knows, if it answers.
-func (w *Server) known() (ids.Revision, bool) {
-	rep := w.Do(func(id uint64) any { return registry.ReadConfigurationCall{ID: id, Local: true} })
+// knownRevision gives the revision that the registry knows, if it answers.
+func (s *Server) knownRevision() (ids.Revision, bool) {
+	rep := s.Do(func(id uint64) any { return registry.ReadConfigurationCall{ID: id, Local: true} })
 	p, ok := rep.Body.(*configuration.Document)
 	if !ok {
 		return 0, false
@@ -29,27 +29,27 @@
 	return p.Revision, true
 }
 
-// newChange makes an id for a change whose caller gave none.
-func (w *Server) newChange() string {
-	if known, ok := w.known(); ok {
-		return NewChangeAt(known)
+// newChangeID makes an id for a change whose caller gave none.
+func (s *Server) newChangeID() string {
+	if known, ok := s.knownRevision(); ok {
+		return NewChangeIDAt(known)
 	}
-	return NewChange()
+	return NewChangeID()
 }
 
-func (w *Server) revision(rw http.ResponseWriter, _ *http.Request) {
-	known, ok := w.known()
+func (s *Server) getRevision(rw http.ResponseWriter, _ *http.Request) {
+	known, ok := s.knownRevision()
 	if !ok {
-		Say(rw, 503, "the registry doesn't answer")
+		WriteError(rw, 503, "the registry doesn't answer")
 		return
 	}
-	Write(rw, registry.Response{Status: 200, Body: Revision{known}})
+	WriteResponse(rw, registry.Response{Status: 200, Body: Revision{known}})
 }
 
-// NewChange makes an id for a change whose maker couldn't learn the revision.
-func NewChange() string { return "auto-" + rand.Text() }
+// NewChangeID makes an id for a change whose maker couldn't learn the revision.
+func NewChangeID() string { return "auto-" + rand.Text() }
 
-// NewChangeAt makes an id for a change whose maker has read a revision.
-func NewChangeAt(base ids.Revision) string {
+// NewChangeIDAt makes an id for a change whose maker has read a revision.
+func NewChangeIDAt(base ids.Revision) string {
 	return string(configuration.ChangeIDAt(base, rand.Text()))
 }
--- a/internal/app/cli/books.go
+++ b/internal/app/cli/books.go
@@ -23,13 +23,13 @@
 
 // Run sends them.
 func (a *ApplyCmd) Run(c *Context) error {
-	raw, err := file(a.File)
+	raw, err := readFile(a.File)
 	if err != nil {
 		return err
 	}
 	id := a.ChangeID
 	if id == "" {
-		id = c.newChange("/v1/change")
+		id = c.newChangeID("/v1/change")
 	}
 	change, faults := manifest.Read(id, raw)
 	if len(faults) > 0 {
@@ -37,48 +37,48 @@
 		for _, f := range faults {
 			lines = append(lines, strings.Join([]string{f.Item, f.Path, f.Reason}, ": "))
 		}
-		return &Ended{ExitRejected, "declined, nothing sent: " + strings.Join(lines, "; ")}
+		return &ExitError{ExitRejected, "declined, nothing sent: " + strings.Join(lines, "; ")}
 	}
-	return c.change("POST", "/v1/change", change, nil)
+	return c.submitChange("POST", "/v1/change", change, nil)
 }
 
 // CoreCmd is for the store that is left after a great loss.
 type CoreCmd struct {
-	Refound RefoundCmd `cmd:"" help:"Go on from the one store that is left, with two blank ones. Only after two disks are lost for good." name:"refound"`
+	Recover RecoverCmd `cmd:"" help:"Go on from the one store that is left, with two blank ones. Only after two disks are lost for good." name:"refound"`
 }
 
-// RefoundCmd asks the store at --at to go on alone.
-type RefoundCmd struct {
+// RecoverCmd asks the store at --at to go on alone.
+type RecoverCmd struct {
 	AcceptLoss bool `help:"Yes, what only the lost disks held is lost." required:"" name:"accept-loss"`
 }
 
 // Run asks.
-func (r *RefoundCmd) Run(c *Context) error {
+func (r *RecoverCmd) Run(c *Context) error {
 	raw, err := c.Call("POST", "/v1/core/refound", []byte(`{"accept_loss":true}`), nil)
 	if err != nil {
 		return err
 	}
-	return c.Show(raw, func() error {
+	return c.Print(raw, func() error {
 		fmt.Fprintf(c.Out, "%s\n", bytes.TrimSpace(raw))
 		return nil
 	})
 }
 
-// BookCmd is the runbooks.
-type BookCmd struct {
-	List  BookListCmd `cmd:"" help:"List the runbooks that come with dunlinwell." name:"list"`
-	Show  BookShowCmd `cmd:"" help:"Print a runbook." name:"show"`
-	Run   BookRunCmd  `cmd:"" help:"Run a runbook, and stop at the first problem." name:"run"`
-	Check BookFileCmd `cmd:"" help:"Read a runbook of your own and check it." name:"check"`
+// RunbookCmd is the runbooks.
+type RunbookCmd struct {
+	List  RunbookListCmd  `cmd:"" help:"List the runbooks that come with dunlinwell." name:"list"`
+	Show  RunbookShowCmd  `cmd:"" help:"Print a runbook." name:"show"`
+	Run   RunbookRunCmd   `cmd:"" help:"Run a runbook, and stop at the first problem." name:"run"`
+	Check RunbookCheckCmd `cmd:"" help:"Read a runbook of your own and check it." name:"check"`
 }
 
-// BookListCmd lists.
-type BookListCmd struct{}
+// RunbookListCmd lists.
+type RunbookListCmd struct{}
 
 // Run lists.
-func (b *BookListCmd) Run(c *Context) error {
-	for _, n := range runbook.Shipped() {
-		raw, err := runbook.Find(n)
+func (b *RunbookListCmd) Run(c *Context) error {
+	for _, n := range runbook.BundledNames() {
+		raw, err := runbook.ReadBundled(n)
 		if err != nil {
 			return err
 		}
@@ -86,73 +86,73 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(c.Out, "%-14s %s  needs: %s\n", n, book.About, strings.Join(book.Needs, ", "))
+		fmt.Fprintf(c.Out, "%-14s %s  needs: %s\n", n, book.Description, strings.Join(book.Parameters, ", "))
 	}
 	return nil
 }
 
-// BookShowCmd prints.
-type BookShowCmd struct {
+// RunbookShowCmd prints.
+type RunbookShowCmd struct {
 	Name string `arg:"" name:"name"`
 }
 
 // Run prints.
-func (b *BookShowCmd) Run(c *Context) error {
-	raw, err := runbook.Find(b.Name)
+func (b *RunbookShowCmd) Run(c *Context) error {
+	raw, err := runbook.ReadBundled(b.Name)
 	if err != nil {
-		return &Ended{ExitUsage, err.Error()}
+		return &ExitError{ExitUsage, err.Error()}
 	}
 	_, err = c.Out.Write(raw)
 	return err
 }
 
-// BookFileCmd checks.
-type BookFileCmd struct {
+// RunbookCheckCmd checks.
+type RunbookCheckCmd struct {
 	File string `arg:"" name:"file"`
 }
 
 // Run checks.
-func (b *BookFileCmd) Run(c *Context) error {
-	raw, err := file(b.File)
+func (b *RunbookCheckCmd) Run(c *Context) error {
+	raw, err := readFile(b.File)
 	if err != nil {
 		return err
 	}
 	if _, err := runbook.Read(b.File, raw); err != nil {
-		return &Ended{ExitUsage, err.Error()}
+		return &ExitError{ExitUsage, err.Error()}
 	}
 	fmt.Fprintln(c.Out, "fine")
 	return nil
 }
 
-// BookRunCmd runs.
-type BookRunCmd struct {
-	Name string            `arg:"" help:"Name of a shipped runbook, or a file with --file." name:"name"`
-	File bool              `help:"Name is a file." name:"file"`
-	Set  map[string]string `help:"Values that the runbook needs, as name=value." name:"set"`
-	Dry  bool              `help:"Say what would be done, and do nothing." name:"dry-run"`
-	Yes  bool              `help:"Go on after each step by hand without asking." name:"yes"`
+// RunbookRunCmd runs.
+type RunbookRunCmd struct {
+	Name   string            `arg:"" help:"Name of a shipped runbook, or a file with --file." name:"name"`
+	IsFile bool              `help:"Name is a file." name:"file"`
+	Values map[string]string `help:"Values that the runbook needs, as name=value." name:"set"`
+	DryRun bool              `help:"Say what would be done, and do nothing." name:"dry-run"`
+	Yes    bool              `help:"Go on after each step by hand without asking." name:"yes"`
 }
 
 // Run runs it.
-func (b *BookRunCmd) Run(c *Context) error {
-	find := runbook.Find
-	if b.File {
-		find = file
+func (b *RunbookRunCmd) Run(c *Context) error {
+	find := runbook.ReadBundled
+	if b.IsFile {
+		find = readFile
 	}
 	raw, err := find(b.Name)
 	if err != nil {
-		return &Ended{ExitUsage, err.Error()}
+		return &ExitError{ExitUsage, err.Error()}
 	}
 	book, err := runbook.Read(b.Name, raw)
 	if err != nil {
-		return &Ended{ExitUsage, err.Error()}
+		return &ExitError{ExitUsage, err.Error()}
 	}
 	in := bufio.NewReader(os.Stdin)
 	return book.Run(runbook.Options{
-		Values: b.Set, Dry: b.Dry, Out: c.Out, Now: time.Now,
+		Values: b.Values, DryRun: b.DryRun, Out: c.Out, Now: time.Now,
 		Pause:   func() { time.Sleep(250 * time.Millisecond) },
-		Command: func(words []string) ([]byte, error) { return Capture(c, words) },
-		Hands: func(what string) bool {
+		Execute: func(words []string) ([]byte, error) { return RunJSON(c, words) },
+		Confirm: func(what string) bool {
 			fmt.Fprintf(c.Out, "   by hand: %s\n", what)
 			if b.Yes {
 				return true
@@ -164,11 +164,11 @@
 	})
 }
 
-// Capture runs one command within this process and gives its JSON answer.
-func Capture(c *Context, words []string) ([]byte, error) {
+// RunJSON runs one command within this process and gives its JSON answer.
+func RunJSON(c *Context, words []string) ([]byte, error) {
 	var out bytes.Buffer
-	err := run(words, func(CLI) *Context { return &Context{At: c.At, JSON: true, Out: &out, Timeout: c.Timeout} }, kong.Exit(func(int) {}))
-	var e *Ended
+	err := run(words, func(CLI) *Context { return &Context{Address: c.Address, JSON: true, Out: &out, Timeout: c.Timeout} }, kong.Exit(func(int) {}))
+	var e *ExitError
 	if errors.As(err, &e) {
 		return nil, err
 	}
--- a/internal/app/cli/change_id_test.go
+++ b/internal/app/cli/change_id_test.go
@@ -16,11 +16,11 @@
 
 // The id of a change says which revision its maker knew; where that can't be
 // learnt, the change is sent all the same.
-func TestAChangesIDSaysItsRevision(t *testing.T) {
+func TestContext_ChangeIDNamesRevision(t *testing.T) {
 	is := is.New(t)
 	known, id := 200, ""
 	at := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.URL.Path == api.RevisionPage {
+		if r.URL.Path == api.RevisionPath {
 			w.WriteHeader(known)
 			_, _ = io.WriteString(w, `{"revision":4711}`)
 			return
@@ -29,15 +29,15 @@
 		_, _ = io.WriteString(w, `{"id":"x","revision":4712}`)
 	}))
 	defer at.Close()
-	c := &Context{At: strings.TrimPrefix(at.URL, "http://"), Out: &bytes.Buffer{}, Timeout: time.Second}
-	is.NoErr(c.change("DELETE", "/v1/services/a", nil, nil))
+	c := &Context{Address: strings.TrimPrefix(at.URL, "http://"), Out: &bytes.Buffer{}, Timeout: time.Second}
+	is.NoErr(c.submitChange("DELETE", "/v1/services/a", nil, nil))
 	is.True(strings.HasPrefix(id, "at-4711-"))
 	first := id
-	is.NoErr(c.change("DELETE", "/v1/services/a", nil, nil))
+	is.NoErr(c.submitChange("DELETE", "/v1/services/a", nil, nil))
 	is.True(id != first)
 	known = 404 // a daemon of an earlier release
-	is.NoErr(c.change("DELETE", "/v1/services/a", nil, nil))
+	is.NoErr(c.submitChange("DELETE", "/v1/services/a", nil, nil))
 	is.True(strings.HasPrefix(id, "auto-"))
-	is.NoErr(c.change("DELETE", "/v1/services/a", nil, map[string]string{"Change-Id": "own"}))
+	is.NoErr(c.submitChange("DELETE", "/v1/services/a", nil, map[string]string{"Change-Id": "own"}))
 	is.Equal(id, "own")
 }
--- a/internal/app/cli/items.go
+++ b/internal/app/cli/items.go
@@ -10,16 +10,16 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// Items are the commands on one kind of item.
-type Items struct {
+// ItemCommands are the commands on one kind of item.
+type ItemCommands struct {
 	List   ListCmd   `cmd:"" help:"List all, with their versions." name:"list"`
 	Get    GetCmd    `cmd:"" help:"Show one." name:"get"`
 	Put    PutCmd    `cmd:"" help:"Make one, or replace it whole." name:"put"`
 	Remove RemoveCmd `cmd:"" help:"Remove one." name:"remove"`
 }
 
-// Kind is bound by the command that holds Items.
-type Kind string
+// ItemKind is bound by the command that holds Items.
+type ItemKind string
 
 // ListCmd lists items.
 type ListCmd struct {
@@ -27,7 +27,7 @@
 }
 
 // Run lists.
-func (l *ListCmd) Run(c *Context, k Kind) error {
+func (l *ListCmd) Run(c *Context, k ItemKind) error {
 	path := "/v1/" + string(k) + "s"
 	if l.Local {
 		path += "?local=true"
@@ -36,8 +36,8 @@
 	if err != nil {
 		return err
 	}
-	return c.Show(raw, func() error {
-		list, err := open[struct {
+	return c.Print(raw, func() error {
+		list, err := decodeResponse[struct {
 			Revision uint64
 			Items    []api.Item
 		}](raw)
@@ -54,26 +54,26 @@
 }
 
 // Run shows.
-func (g *GetCmd) Run(c *Context, k Kind) error {
+func (g *GetCmd) Run(c *Context, k ItemKind) error {
 	raw, err := c.Call("GET", "/v1/"+string(k)+"s/"+url.PathEscape(g.Name), nil, nil)
 	if err != nil {
 		return err
 	}
-	return c.Show(raw, func() error {
-		it, err := open[api.Item](raw)
+	return c.Print(raw, func() error {
+		it, err := decodeResponse[api.Item](raw)
 		fmt.Fprintf(c.Out, "%s version %d %s\n", it.Name, it.Version, it.Body)
 		return err
 	})
 }
 
-// Guard are the flags of every change.
-type Guard struct {
+// ChangeFlags are the flags of every change.
+type ChangeFlags struct {
 	Version  *uint64 `help:"Only if this is the item's version; 0 if it must not exist." name:"version"`
 	ChangeID string  `help:"Id of the change; the same id gives the first result again." name:"change-id"`
 }
 
-func (g Guard) head() map[string]string {
-	return map[string]string{"If-Match": version(g.Version), "Change-Id": g.ChangeID}
+func (g ChangeFlags) headers() map[string]string {
+	return map[string]string{"If-Match": formatVersion(g.Version), "Change-Id": g.ChangeID}
 }
 
 // PutCmd puts an item.
@@ -81,35 +81,35 @@
 	Name string `arg:"" name:"name"`
 	File string `short:"f" help:"File with the JSON body; - for standard input." xor:"body" required:"" name:"file"`
 	Body string `help:"The JSON body itself." xor:"body" required:"" name:"body"`
-	Guard
+	ChangeFlags
 }
 
 // Run puts.
-func (p *PutCmd) Run(c *Context, k Kind) error {
+func (p *PutCmd) Run(c *Context, k ItemKind) error {
 	body := []byte(p.Body)
 	if p.File != "" {
-		raw, err := file(p.File)
+		raw, err := readFile(p.File)
 		if err != nil {
 			return err
 		}
 		body = raw
 	}
-	return c.change("PUT", "/v1/"+string(k)+"s/"+url.PathEscape(p.Name), body, p.head())
+	return c.submitChange("PUT", "/v1/"+string(k)+"s/"+url.PathEscape(p.Name), body, p.headers())
 }
 
 // RemoveCmd removes an item.
 type RemoveCmd struct {
 	Name string `arg:"" name:"name"`
-	Guard
+	ChangeFlags
 }
 
 // Run removes.
-func (r *RemoveCmd) Run(c *Context, k Kind) error {
-	return c.change("DELETE", "/v1/"+string(k)+"s/"+url.PathEscape(r.Name), nil, r.head())
+func (r *RemoveCmd) Run(c *Context, k ItemKind) error {
+	return c.submitChange("DELETE", "/v1/"+string(k)+"s/"+url.PathEscape(r.Name), nil, r.headers())
 }
 
-// change sends a change and shows what came of it.
-func (c *Context) change(method, path string, body []byte, head map[string]string) error {
+// submitChange sends a change and shows what came of it.
+func (c *Context) submitChange(method, path string, body []byte, head map[string]string) error {
 	raw, err := c.Call(method, path, body, head)
 	if err != nil {
 		if c.JSON && len(raw) > 0 {
@@ -117,8 +117,8 @@
 		}
 		return err
 	}
-	return c.Show(raw, func() error {
-		res, err := open[configuration.Result](raw)
+	return c.Print(raw, func() error {
+		res, err := decodeResponse[configuration.Result](raw)
 		fmt.Fprintf(c.Out, "accepted: revision %d, change %s\n", res.Revision, res.ID)
 		for _, t := range res.Items {
 			if t.Version == 0 {
@@ -131,42 +131,42 @@
 	})
 }
 
-// ZoneDeed empties or refills a zone.
-type ZoneDeed struct {
+// ZoneCmd empties or refills a zone.
+type ZoneCmd struct {
 	Name string `arg:"" name:"name"`
-	Guard
+	ChangeFlags
 }
 
-// EmptyCmd empties.
-type EmptyCmd struct{ ZoneDeed }
+// DrainZoneCmd empties.
+type DrainZoneCmd struct{ ZoneCmd }
 
 // Run empties.
-func (e *EmptyCmd) Run(c *Context) error {
-	return c.change("POST", "/v1/cells/"+url.PathEscape(e.Name)+"/empty", nil, e.head())
+func (e *DrainZoneCmd) Run(c *Context) error {
+	return c.submitChange("POST", "/v1/cells/"+url.PathEscape(e.Name)+"/empty", nil, e.headers())
 }
 
-// RefillCmd refills.
-type RefillCmd struct{ ZoneDeed }
+// RestoreZoneCmd refills.
+type RestoreZoneCmd struct{ ZoneCmd }
 
 // Run refills.
-func (e *RefillCmd) Run(c *Context) error {
-	return c.change("POST", "/v1/cells/"+url.PathEscape(e.Name)+"/refill", nil, e.head())
+func (e *RestoreZoneCmd) Run(c *Context) error {
+	return c.submitChange("POST", "/v1/cells/"+url.PathEscape(e.Name)+"/refill", nil, e.headers())
 }
 
-// ShutCmd shuts.
-type ShutCmd struct{ ZoneDeed }
+// EvacuateZoneCmd shuts.
+type EvacuateZoneCmd struct{ ZoneCmd }
 
 // Run shuts.
-func (e *ShutCmd) Run(c *Context) error {
-	return c.change("POST", "/v1/cells/"+url.PathEscape(e.Name)+"/shut", nil, e.head())
+func (e *EvacuateZoneCmd) Run(c *Context) error {
+	return c.submitChange("POST", "/v1/cells/"+url.PathEscape(e.Name)+"/shut", nil, e.headers())
 }
 
-// OpenCmd opens.
-type OpenCmd struct{ ZoneDeed }
+// EndEvacuationCmd opens.
+type EndEvacuationCmd struct{ ZoneCmd }
 
 // Run opens.
-func (e *OpenCmd) Run(c *Context) error {
-	return c.change("POST", "/v1/cells/"+url.PathEscape(e.Name)+"/open", nil, e.head())
+func (e *EndEvacuationCmd) Run(c *Context) error {
+	return c.submitChange("POST", "/v1/cells/"+url.PathEscape(e.Name)+"/open", nil, e.headers())
 }
 
 // ChangeCmd sends a whole change.
@@ -176,27 +176,27 @@
 
 // Run sends it.
 func (h *ChangeCmd) Run(c *Context) error {
-	raw, err := file(h.File)
+	raw, err := readFile(h.File)
 	if err != nil {
 		return err
 	}
-	return c.change("POST", "/v1/change", raw, nil)
+	return c.submitChange("POST", "/v1/change", raw, nil)
 }
 
-// WhereCmd asks the directory.
-type WhereCmd struct {
-	Cell  string `required:"" help:"The asker's own cell." name:"cell"`
+// ResolveCmd asks the directory.
+type ResolveCmd struct {
+	Zone  string `required:"" help:"The asker's own cell." name:"cell"`
 	Route string `required:"" help:"The route to take." name:"route"`
 }
 
 // Run asks.
-func (w *WhereCmd) Run(c *Context) error {
-	raw, err := c.Call("GET", "/v1/where?cell="+url.QueryEscape(w.Cell)+"&route="+url.QueryEscape(w.Route), nil, nil)
+func (w *ResolveCmd) Run(c *Context) error {
+	raw, err := c.Call("GET", "/v1/where?cell="+url.QueryEscape(w.Zone)+"&route="+url.QueryEscape(w.Route), nil, nil)
 	if err != nil {
 		return err
 	}
-	return c.Show(raw, func() error {
-		ans, err := open[registry.Resolution](raw)
+	return c.Print(raw, func() error {
+		ans, err := decodeResponse[registry.Resolution](raw)
 		for _, a := range ans.Proxies {
 			fmt.Fprintf(c.Out, "%s (cell %s, for %d ms)\n", a, ans.Zone, ans.Lifetime)
 		}
@@ -219,7 +219,7 @@
 	if err != nil {
 		return err
 	}
-	return c.Show(raw, func() error {
+	return c.Print(raw, func() error {
 		var all any
 		if err := json.Unmarshal(raw, &all); err != nil {
 			return err
--- a/internal/app/cli/merge.go
+++ b/internal/app/cli/merge.go
@@ -16,14 +16,14 @@
 
 // Run sends it. One whose end is uncertain may be sent again as it is.
 func (m *MergeCmd) Run(c *Context) error {
-	raw, err := file(m.File)
+	raw, err := readFile(m.File)
 	if err != nil {
 		return err
 	}
 	out, err := c.Call("POST", mergePath, raw, nil)
-	var e *Ended
-	if errors.As(err, &e) && e.Code == ExitUncertain {
-		return &Ended{ExitUncertain, "uncertain: the merging may have been accepted; send it again as it is"}
+	var e *ExitError
+	if errors.As(err, &e) && e.Code == ExitIndeterminate {
+		return &ExitError{ExitIndeterminate, "uncertain: the merging may have been accepted; send it again as it is"}
 	}
 	if err != nil {
 		if c.JSON && len(out) > 0 {
@@ -31,8 +31,8 @@
 		}
 		return err
 	}
-	return c.Show(out, func() error {
-		res, err := open[configuration.Result](out)
+	return c.Print(out, func() error {
+		res, err := decodeResponse[configuration.Result](out)
 		fmt.Fprintf(c.Out, "merged: revision %d\n", res.Revision)
 		for _, t := range res.Items {
 			fmt.Fprintf(c.Out, "  %s %s version %d holds\n", t.Kind, t.Name, t.Version)
--- a/internal/app/cli/merge_test.go
+++ b/internal/app/cli/merge_test.go
@@ -15,7 +15,7 @@
 	"github.com/matryer/is"
 )
 
-func TestMergeShutAndOpen(t *testing.T) {
+func TestRun_MergeAndEvacuate(t *testing.T) {
 	is := is.New(t)
 	var calls []string
 	status := 200
@@ -31,11 +31,11 @@
 	line := func(words ...string) (string, int) {
 		var out bytes.Buffer
 		err := run(words, func(cli CLI) *Context {
-			return &Context{At: strings.TrimPrefix(at.URL, "http://"), JSON: cli.JSON, Out: &out, Timeout: cli.Timeout}
+			return &Context{Address: strings.TrimPrefix(at.URL, "http://"), JSON: cli.JSON, Out: &out, Timeout: cli.Timeout}
 		}, kong.Exit(func(int) {}))
-		var e *Ended
+		var e *ExitError
 		if errors.As(err, &e) {
-			return e.Why, e.Code
+			return e.Reason, e.Code
 		}
 		return out.String(), 0
 	}
@@ -48,7 +48,7 @@
 	is.Equal(code, 0)
 	revision := "GET /v1/revision  " // for the ids of changes
 	is.Equal(calls, []string{`POST /v1/merge  {"items":[]}`, revision, "POST /v1/cells/quay/shut 3 ", revision, "POST /v1/cells/quay/open  "})
-	for s, want := range map[int]int{400: ExitRejected, 503: ExitUnreachable, 504: ExitUncertain} {
+	for s, want := range map[int]int{400: ExitRejected, 503: ExitUnreachable, 504: ExitIndeterminate} {
 		status = s
 		_, code = line("merge", file)
 		is.Equal(code, want)
--- a/internal/app/cli/status.go
+++ b/internal/app/cli/status.go
@@ -15,27 +15,27 @@
 
 // CLI is the whole command line.
 type CLI struct {
-	At      string        `help:"HTTP address of any daemon." default:"127.0.0.1:7400" env:"DUNLINWELL_AT" placeholder:"IP:PORT" name:"at"`
+	Address string        `help:"HTTP address of any daemon." default:"127.0.0.1:7400" env:"DUNLINWELL_AT" placeholder:"IP:PORT" name:"at"`
 	JSON    bool          `help:"Print answers as they come, in JSON." name:"json"`
 	Timeout time.Duration `help:"How long to wait for an answer." default:"8s" name:"timeout"`
 
-	Service struct{ Items } `cmd:"" help:"Services: pools of targets that announce themselves." name:"service"`
-	Route   struct{ Items } `cmd:"" help:"Routes: how a request finds a service." name:"route"`
-	Cell    struct {
-		Items
-		Empty  EmptyCmd  `cmd:"" help:"Take a cell out of new work." name:"empty"`
-		Refill RefillCmd `cmd:"" help:"Bring an emptied cell back." name:"refill"`
-		Shut   ShutCmd   `cmd:"" help:"Send nothing more to a cell's targets; its proxies go on with those of others." name:"shut"`
-		Open   OpenCmd   `cmd:"" help:"Let work go to a shut cell's targets again." name:"open"`
+	Service struct{ ItemCommands } `cmd:"" help:"Services: pools of targets that announce themselves." name:"service"`
+	Route   struct{ ItemCommands } `cmd:"" help:"Routes: how a request finds a service." name:"route"`
+	Zone    struct {
+		ItemCommands
+		Empty  DrainZoneCmd     `cmd:"" help:"Take a cell out of new work." name:"empty"`
+		Refill RestoreZoneCmd   `cmd:"" help:"Bring an emptied cell back." name:"refill"`
+		Shut   EvacuateZoneCmd  `cmd:"" help:"Send nothing more to a cell's targets; its proxies go on with those of others." name:"shut"`
+		Open   EndEvacuationCmd `cmd:"" help:"Let work go to a shut cell's targets again." name:"open"`
 	} `cmd:"" help:"Cells: set points, distances, emptying." name:"cell"`
-	Change  ChangeCmd        `cmd:"" help:"Send a whole change; all of it or nothing takes effect." name:"change"`
-	Merge   MergeCmd         `cmd:"" help:"Merge items whose versions you give; for each name the highest holds." name:"merge"`
-	Policy  ConfigurationCmd `cmd:"" help:"Show the whole policy." name:"policy"`
-	Where   WhereCmd         `cmd:"" help:"Ask the directory where to go." name:"where"`
-	Status  StatusCmd        `cmd:"" help:"Show cells, moves, daemons, duties and problems." name:"status"`
-	Apply   ApplyCmd         `cmd:"" help:"Send Kubernetes-style objects as one whole change." name:"apply"`
-	Runbook BookCmd          `cmd:"" help:"Executable runbooks: each step a command with a check of its result." name:"runbook"`
-	Core    CoreCmd          `cmd:"" help:"For the store that is left after a great loss." name:"core"`
+	Change        ChangeCmd        `cmd:"" help:"Send a whole change; all of it or nothing takes effect." name:"change"`
+	Merge         MergeCmd         `cmd:"" help:"Merge items whose versions you give; for each name the highest holds." name:"merge"`
+	Configuration ConfigurationCmd `cmd:"" help:"Show the whole policy." name:"policy"`
+	Resolve       ResolveCmd       `cmd:"" help:"Ask the directory where to go." name:"where"`
+	Status        StatusCmd        `cmd:"" help:"Show cells, moves, daemons, duties and problems." name:"status"`
+	Apply         ApplyCmd         `cmd:"" help:"Send Kubernetes-style objects as one whole change." name:"apply"`
+	Runbook       RunbookCmd       `cmd:"" help:"Executable runbooks: each step a command with a check of its result." name:"runbook"`
+	Core          CoreCmd          `cmd:"" help:"For the store that is left after a great loss." name:"core"`
 }
 
 // StatusCmd shows how things stand.
@@ -47,17 +47,17 @@
 	if err != nil {
 		return err
 	}
-	return c.Show(raw, func() error {
-		st, err := open[registry.Status](raw)
+	return c.Print(raw, func() error {
+		st, err := decodeResponse[registry.Status](raw)
 		if err != nil {
 			return err
 		}
-		show(c, st)
+		printStatus(c, st)
 		return nil
 	})
 }
 
-func show(c *Context, st registry.Status) {
+func printStatus(c *Context, st registry.Status) {
 	w := tabwriter.NewWriter(c.Out, 0, 4, 2, ' ', 0)
 	defer w.Flush()
 	force := "in force on every live proxy"
@@ -91,13 +91,13 @@
 // Main runs the command line and gives its exit code.
 func Main(args []string) int {
 	err := run(args, func(cli CLI) *Context {
-		return &Context{At: cli.At, JSON: cli.JSON, Out: os.Stdout, Timeout: cli.Timeout}
+		return &Context{Address: cli.Address, JSON: cli.JSON, Out: os.Stdout, Timeout: cli.Timeout}
 	})
 	if err == nil {
 		return 0
 	}
 	fmt.Fprintln(os.Stderr, "dunlinwell: "+err.Error())
-	var e *Ended
+	var e *ExitError
 	if errors.As(err, &e) {
 		return e.Code
 	}
@@ -107,14 +107,14 @@
 // run reads a command line and runs it with the context made of its flags.
 func run(args []string, with func(CLI) *Context, options ...kong.Option) error {
 	var cli CLI
-	k, err := kong.New(&cli, append(options, kong.Name("dunlinwell"), kong.Description("Drives dunlinwell through any of its daemons."), kong.Bind(Kind("")))...)
+	k, err := kong.New(&cli, append(options, kong.Name("dunlinwell"), kong.Description("Drives dunlinwell through any of its daemons."), kong.Bind(ItemKind("")))...)
 	if err != nil {
-		return &Ended{ExitUsage, err.Error()}
+		return &ExitError{ExitUsage, err.Error()}
 	}
 	ctx, err := k.Parse(args)
 	if err != nil {
-		return &Ended{ExitUsage, err.Error()}
+		return &ExitError{ExitUsage, err.Error()}
 	}
 	word, _, _ := strings.Cut(ctx.Command(), " ")
-	return ctx.Run(with(cli), Kind(word))
+	return ctx.Run(with(cli), ItemKind(word))
 }
--- a/internal/app/daemon/changes_bench_test.go
+++ b/internal/app/daemon/changes_bench_test.go
@@ -21,7 +21,7 @@
 	for _, size := range []int{1000, 5000, 15000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			c := startCore(b)
-			c.founded(b)
+			c.waitBootstrapped(b)
 			var m configuration.Merge
 			for i := range size {
 				m.Items = append(m.Items, route(i, 1))
@@ -36,11 +36,11 @@
 	}
 }
 
-func changesInARow(b *testing.B, c *core, size int) {
+func changesInARow(b *testing.B, c *testCore, size int) {
 	b.Helper()
 	const changes = 300
 	var times []time.Duration
-	before, wire, disk := processorTime(), c.changeBytes(), c.figure("disk_bytes_total")
+	before, wire, disk := processorTime(), c.changeBytesSent(), c.metricSum("disk_bytes_total")
 	for i := range changes {
 		status, took := c.merge(configuration.Merge{Items: []configuration.VersionedItem{route(i%size, 2+i)}})
 		if status != 200 {
@@ -51,22 +51,22 @@
 	slices.Sort(times)
 	b.ReportMetric(float64(times[changes/2].Milliseconds()), "ms_median")
 	b.ReportMetric(float64(times[changes-1].Milliseconds()), "ms_worst")
-	b.ReportMetric((c.changeBytes()-wire)/changes, "wire_B/change")
-	b.ReportMetric((c.figure("disk_bytes_total")-disk)/changes, "synced_B/change")
+	b.ReportMetric((c.changeBytesSent()-wire)/changes, "wire_B/change")
+	b.ReportMetric((c.metricSum("disk_bytes_total")-disk)/changes, "synced_B/change")
 	b.ReportMetric(float64((processorTime()-before).Milliseconds())/changes, "cpu_ms/change")
 }
 
-// changeBytes is what changes sent between daemons. Readings, which come with time
+// changeBytesSent is what changes sent between daemons. Readings, which come with time
 // and not with changes, are left out.
-func (c *core) changeBytes() float64 {
+func (c *testCore) changeBytesSent() float64 {
 	const sent = `way="sent"`
-	return c.figure("wire_bytes_total", `kind="consensus.Accept`, sent) + c.figure("wire_bytes_total", `kind="consensus.Chosen`, sent)
+	return c.metricSum("wire_bytes_total", `kind="consensus.Accept`, sent) + c.metricSum("wire_bytes_total", `kind="consensus.Chosen`, sent)
 }
 
-// figure sums a figure over all daemons, of those lines that have every part.
-func (c *core) figure(name string, parts ...string) float64 {
+// metricSum sums a figure over all daemons, of those lines that have every part.
+func (c *testCore) metricSum(name string, parts ...string) float64 {
 	sum := 0.0
-	for _, pages := range c.all {
+	for _, pages := range c.allHTTP {
 		res, err := http.Get("http://" + pages + "/metrics")
 		if err != nil {
 			continue
--- a/internal/app/daemon/daemon.go
+++ b/internal/app/daemon/daemon.go
@@ -26,18 +26,18 @@
 	"dunlinwell/internal/transport/process"
 )
 
-// Self describes this process for the roll. Its incarnation begins at the
+// NewMember describes this process for the roll. Its incarnation begins at the
 // wall clock, and is raised by refuting where that clock went back.
-func Self(p settings.Common, role membership.Role) membership.Member {
+func NewMember(p settings.Common, role membership.Role) membership.Member {
 	return membership.Member{
 		ID: ids.DaemonID(p.Name), Role: role, Address: ids.Address(p.Address),
-		HTTP: ids.Address(p.HTTP), Zone: ids.Name(p.Cell), RunID: ids.RunID(rand.Uint64()>>24 | 1),
+		HTTP: ids.Address(p.HTTPAddress), Zone: ids.Name(p.Zone), RunID: ids.RunID(rand.Uint64()>>24 | 1),
 		Incarnation: ids.Incarnation(time.Now().UnixMilli()),
 	}
 }
 
-// Supervisor makes a suture supervisor that logs in our own way.
-func Supervisor(name string, l *process.Log) *suture.Supervisor {
+// NewSupervisor makes a suture supervisor that logs in our own way.
+func NewSupervisor(name string, l *process.Log) *suture.Supervisor {
 	return suture.New(name, suture.Spec{EventHook: func(e suture.Event) {
 		l.Event(event.LevelWarn, "supervisor", "what", e.String())
 	}})
@@ -48,17 +48,17 @@
 	run  func(context.Context) error
 }
 
-// Task makes a service out of a function.
-func Task(name string, run func(context.Context) error) suture.Service { return &task{name, run} }
+// NewTask makes a service out of a function.
+func NewTask(name string, run func(context.Context) error) suture.Service { return &task{name, run} }
 
 func (t *task) String() string { return t.name }
 
 func (t *task) Serve(ctx context.Context) error { return t.run(ctx) }
 
-// Health adds the two pages that the platform probes.
-func Health(m *http.ServeMux, ready func() (bool, any)) {
+// HandleHealth adds the two pages that the platform probes.
+func HandleHealth(m *http.ServeMux, ready func() (bool, any)) {
 	m.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) {
-		api.Write(w, registry.Response{Status: 200, Body: map[string]bool{"alive": true}})
+		api.WriteResponse(w, registry.Response{Status: 200, Body: map[string]bool{"alive": true}})
 	})
 	m.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) {
 		ok, body := ready()
@@ -66,22 +66,22 @@
 		if !ok {
 			status = 503
 		}
-		api.Write(w, registry.Response{Status: status, Body: body})
+		api.WriteResponse(w, registry.Response{Status: status, Body: body})
 	})
 }
 
-// ports opens both ports of a core daemon before anything of it runs.
-func ports(post *process.Transport, http string) (wire, pages net.Listener, err error) {
-	if wire, err = post.Listen(); err != nil {
+// openListeners opens both ports of a core daemon before anything of it runs.
+func openListeners(transport *process.Transport, http string) (peerListener, httpListener net.Listener, err error) {
+	if peerListener, err = transport.Listen(); err != nil {
 		return nil, nil, err
 	}
-	pages, err = api.Listen(http)
-	return wire, pages, err
+	httpListener, err = api.Listen(http)
+	return peerListener, httpListener, err
 }
 
-// rollHealth is the health of a daemon that goes by its own entry in the roll.
-func rollHealth(m *http.ServeMux, me func() (membership.Member, bool), stopping *atomic.Bool) {
-	Health(m, func() (bool, any) {
+// handleMemberHealth is the health of a daemon that goes by its own entry in the roll.
+func handleMemberHealth(m *http.ServeMux, me func() (membership.Member, bool), stopping *atomic.Bool) {
+	HandleHealth(m, func() (bool, any) {
 		self, _ := me()
 		return self.Ready && !stopping.Load(), map[string]any{"ready": self.Ready, "stopping": stopping.Load()}
 	})
--- a/internal/app/daemon/large_test.go
+++ b/internal/app/daemon/large_test.go
@@ -17,11 +17,11 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// core is three stores and a registry in this process, over real connections and disks.
-type core struct {
-	// pages is the registry's address for calls, all are those of every daemon.
-	pages string
-	all   []string
+// testCore is three stores and a registry in this process, over real connections and disks.
+type testCore struct {
+	// registryHTTP is the registry's address for calls, all are those of every daemon.
+	registryHTTP string
+	allHTTP      []string
 }
 
 // freeAddress gives an address that nobody listens at.
@@ -35,25 +35,25 @@
 	return l.Addr().String()
 }
 
-func startCore(t testing.TB) *core {
+func startCore(t testing.TB) *testCore {
 	t.Helper()
 	ctx, end := context.WithCancel(context.Background())
 	ended := make(chan error, 4)
-	c := &core{}
+	c := &testCore{}
 	var seeds []string
 	for range 3 {
 		seeds = append(seeds, freeAddress(t))
 	}
 	common := func(name, address string) settings.Common {
-		c.pages = freeAddress(t)
-		c.all = append(c.all, c.pages)
-		return settings.Common{Name: name, Cell: "cell", Log: "error", Address: address, HTTP: c.pages, Seeds: seeds}
+		c.registryHTTP = freeAddress(t)
+		c.allHTTP = append(c.allHTTP, c.registryHTTP)
+		return settings.Common{Name: name, Zone: "cell", LogLevel: "error", Address: address, HTTPAddress: c.registryHTTP, Seeds: seeds}
 	}
 	for i, at := range seeds {
-		o := StoreOptions{Common: common(fmt.Sprint("store-", i+1), at), Data: t.TempDir(), Copies: 3, Bootstrap: true}
+		o := StoreOptions{Common: common(fmt.Sprint("store-", i+1), at), DataDir: t.TempDir(), Replicas: 3, Bootstrap: true}
 		go func() { ended <- RunStore(ctx, o) }()
 	}
-	o := RegistryOptions{Common: common("registry-1", freeAddress(t)), PlanEvery: 30 * time.Second, Lifetime: 2 * time.Second}
+	o := RegistryOptions{Common: common("registry-1", freeAddress(t)), PlanEvery: 30 * time.Second, ResolutionLifetime: 2 * time.Second}
 	go func() { ended <- RunRegistry(ctx, o) }()
 	t.Cleanup(func() {
 		end()
@@ -65,10 +65,10 @@
 }
 
 // merge posts a call and gives its status, 0 for none, and how long it took.
-func (c *core) merge(m configuration.Merge) (int, time.Duration) {
+func (c *testCore) merge(m configuration.Merge) (int, time.Duration) {
 	raw, _ := json.Marshal(m)
 	began := time.Now()
-	res, err := http.Post("http://"+c.pages+"/v1/merge", "application/json", bytes.NewReader(raw))
+	res, err := http.Post("http://"+c.registryHTTP+"/v1/merge", "application/json", bytes.NewReader(raw))
 	if err != nil {
 		return 0, time.Since(began)
 	}
@@ -76,8 +76,8 @@
 	return res.StatusCode, time.Since(began)
 }
 
-// founded waits until a first change is accepted.
-func (c *core) founded(t testing.TB) {
+// waitBootstrapped waits until a first change is accepted.
+func (c *testCore) waitBootstrapped(t testing.TB) {
 	t.Helper()
 	body := json.RawMessage(`{"tier":3}`)
 	first := configuration.VersionedItem{Kind: "service", Name: "wader", Version: 1, Body: body, Source: body}
@@ -99,10 +99,10 @@
 }
 
 // One call of 15,000 routes is acknowledged.
-func TestOneCallOf15000Routes(t *testing.T) {
+func TestCore_Accepts15000RoutesInOneCall(t *testing.T) {
 	is := is.New(t)
 	c := startCore(t)
-	c.founded(t)
+	c.waitBootstrapped(t)
 	var m configuration.Merge
 	for i := range 15000 {
 		m.Items = append(m.Items, route(i, 1))
--- a/internal/app/daemon/retire.go
+++ b/internal/app/daemon/retire.go
@@ -11,17 +11,17 @@
 
 // RunStore runs a store until the context ends. A folder whose disk was replaced
 // is set aside, and the store joins once more as blank.
-func RunStore(ctx context.Context, p StoreOptions) error {
+func RunStore(ctx context.Context, options StoreOptions) error {
 	for {
 		var replaced atomic.Bool
-		err := runStore(ctx, p, &replaced)
+		err := runStore(ctx, options, &replaced)
 		if err != nil || !replaced.Load() || ctx.Err() != nil {
 			return err
 		}
-		kept, err := storage.SetAside(p.Data, "replaced")
+		kept, err := storage.SetAside(options.DataDir, "replaced")
 		if err != nil {
 			return err
 		}
-		process.NewLog(p.Log, p.Name).Event(event.LevelError, "replaced database set aside, joining as blank", "kept", kept)
+		process.NewLog(options.LogLevel, options.Name).Event(event.LevelError, "replaced database set aside, joining as blank", "kept", kept)
 	}
 }
--- a/internal/app/manifest/manifest.go
+++ b/internal/app/manifest/manifest.go
@@ -19,50 +19,50 @@
 // APIVersion is what the objects must say.
 const APIVersion = "dunlinwell/v1"
 
-var kinds = map[string]string{"Service": "service", "Route": "route", "Cell": "cell"}
+var itemKinds = map[string]string{"Service": "service", "Route": "route", "Cell": "cell"}
 
 // Read makes one whole change of all documents, YAML or JSON. Unknown kinds
 // and fields are faults that name the document and the path.
 func Read(id string, raw []byte) ([]byte, []configuration.Violation) {
-	var faults []configuration.Violation
+	var violations []configuration.Violation
 	var parts []json.RawMessage
-	for i, doc := range split(raw) {
+	for i, doc := range splitDocuments(raw) {
 		item := fmt.Sprintf("document %d", i+1)
-		bad := func(path, why string) {
-			faults = append(faults, configuration.Violation{Item: item, Path: path, Reason: why})
+		report := func(path, why string) {
+			violations = append(violations, configuration.Violation{Item: item, Path: path, Reason: why})
 		}
 		// Strict: a doubled key is an error here already.
 		js, err := yaml.YAMLToJSONStrict(doc)
 		if err != nil {
-			bad("", err.Error())
+			report("", err.Error())
 			continue
 		}
 		if string(js) == "null" {
 			continue
 		}
-		if part := object(gjson.ParseBytes(js), bad); part != nil {
+		if part := itemChange(gjson.ParseBytes(js), report); part != nil {
 			parts = append(parts, part)
 		}
 	}
-	if len(parts) == 0 && len(faults) == 0 {
-		faults = append(faults, configuration.Violation{Item: "file", Reason: "holds no objects"})
+	if len(parts) == 0 && len(violations) == 0 {
+		violations = append(violations, configuration.Violation{Item: "file", Reason: "holds no objects"})
 	}
-	if len(faults) > 0 {
-		return nil, faults
+	if len(violations) > 0 {
+		return nil, violations
 	}
 	change, err := json.Marshal(map[string]any{"id": id, "changes": parts})
 	if err != nil {
 		return nil, []configuration.Violation{{Item: "file", Reason: err.Error()}}
 	}
 	// The very check that the registry makes, so that faults show before sending.
-	if _, faults := configuration.ReadChange(change); len(faults) > 0 {
-		return nil, faults
+	if _, violations := configuration.ReadChange(change); len(violations) > 0 {
+		return nil, violations
 	}
 	return change, nil
 }
 
-// split cuts a stream into documents at lines of three dashes.
-func split(raw []byte) [][]byte {
+// splitDocuments cuts a stream into documents at lines of three dashes.
+func splitDocuments(raw []byte) [][]byte {
 	var docs [][]byte
 	var doc bytes.Buffer
 	lines := bufio.NewScanner(bytes.NewReader(raw))
@@ -80,28 +80,28 @@
 	return slices.DeleteFunc(docs, func(d []byte) bool { return len(bytes.TrimSpace(d)) == 0 })
 }
 
-// object turns one object into one part of the change.
-func object(doc gjson.Result, bad func(path, why string)) json.RawMessage {
+// itemChange turns one object into one part of the change.
+func itemChange(doc gjson.Result, report func(path, why string)) json.RawMessage {
 	if !doc.IsObject() {
-		bad("", "must be an object")
+		report("", "must be an object")
 		return nil
 	}
-	configuration.CheckKeys(doc, "", bad, "apiVersion", "kind", "metadata", "spec")
+	configuration.CheckKeys(doc, "", report, "apiVersion", "kind", "metadata", "spec")
 	if v := doc.Get("apiVersion"); v.String() != APIVersion {
-		bad("apiVersion", "must be "+APIVersion)
+		report("apiVersion", "must be "+APIVersion)
 	}
-	kind, known := kinds[doc.Get("kind").String()]
+	kind, known := itemKinds[doc.Get("kind").String()]
 	if !known {
-		bad("kind", fmt.Sprintf("%q is not known; there are Service, Route and Cell", doc.Get("kind").String()))
+		report("kind", fmt.Sprintf("%q is not known; there are Service, Route and Cell", doc.Get("kind").String()))
 	}
 	meta := doc.Get("metadata")
-	configuration.CheckKeys(meta, "metadata", bad, "name", "resourceVersion")
+	configuration.CheckKeys(meta, "metadata", report, "name", "resourceVersion")
 	if !meta.IsObject() || meta.Get("name").Type != gjson.String {
-		bad("metadata.name", "is missing")
+		report("metadata.name", "is missing")
 	}
 	spec := doc.Get("spec")
 	if !spec.IsObject() {
-		bad("spec", "must be an object")
+		report("spec", "must be an object")
 	}
 	if !known || !spec.IsObject() {
 		return nil
@@ -110,13 +110,13 @@
 	if v := meta.Get("resourceVersion"); v.Exists() {
 		part["version"] = json.RawMessage(strings.Trim(v.Raw, `"`))
 		if !json.Valid(part["version"].(json.RawMessage)) {
-			bad("metadata.resourceVersion", "must be an item's version")
+			report("metadata.resourceVersion", "must be an item's version")
 			return nil
 		}
 	}
 	raw, err := json.Marshal(part)
 	if err != nil {
-		bad("", err.Error())
+		report("", err.Error())
 	}
 	return raw
 }
--- a/internal/app/manifest/manifest_test.go
+++ b/internal/app/manifest/manifest_test.go
@@ -9,7 +9,7 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-const good = `apiVersion: dunlinwell/v1
+const validManifest = `apiVersion: dunlinwell/v1
 kind: Service
 metadata: {name: ledger}
 spec:
@@ -21,9 +21,9 @@
  "spec": {"prefix": "/orders", "service": "ledger", "repeatable": false}}
 `
 
-func TestObjectsBecomeOneChange(t *testing.T) {
+func TestRead_MakesOneChange(t *testing.T) {
 	is := is.New(t)
-	raw, faults := Read("x", []byte(good))
+	raw, faults := Read("x", []byte(validManifest))
 	is.Equal(len(faults), 0)
 	c, faults := configuration.ReadChange(raw)
 	is.Equal(len(faults), 0)
@@ -35,18 +35,18 @@
 	is.True(r.Accepted())
 }
 
-func TestBadObjectsAreNamed(t *testing.T) {
+func TestRead_NamesEachViolation(t *testing.T) {
 	for raw, want := range map[string]string{
 		"":      "file||holds no objects",
 		"a: [1": "document 1||",
-		"apiVersion: v1\nkind: Service\nmetadata: {name: a}\nspec: {}":                               "document 1|apiVersion|must be dunlinwell/v1",
-		"apiVersion: dunlinwell/v1\nkind: Pod\nmetadata: {name: a}\nspec: {}":                        "document 1|kind|\"Pod\" is not known",
-		"apiVersion: dunlinwell/v1\nkind: Service\nmetadata: {name: a, labels: {}}\nspec: {}":        "document 1|metadata.labels|is not known",
-		"apiVersion: dunlinwell/v1\nkind: Service\nmetadata: {name: a}\nspec: {}\nstatus: {}":        "document 1|status|is not known",
-		"apiVersion: dunlinwell/v1\nkind: Service\nmetadata: {name: a}\nspec: {replicas: 3}":         "service/a|replicas|is not known",
-		"apiVersion: dunlinwell/v1\nkind: Service\nmetadata: {name: a}\nspec: {tier: 1, tier: 2}":    "document 1||",
-		good + "---\napiVersion: dunlinwell/v1\nkind: Cell\nmetadata: {name: c}\nspec: {target: -1}": "cell/c|target|must be from",
-		"apiVersion: dunlinwell/v1\nkind: Service\nspec: {}":                                         "document 1|metadata.name|is missing",
+		"apiVersion: v1\nkind: Service\nmetadata: {name: a}\nspec: {}":                                        "document 1|apiVersion|must be dunlinwell/v1",
+		"apiVersion: dunlinwell/v1\nkind: Pod\nmetadata: {name: a}\nspec: {}":                                 "document 1|kind|\"Pod\" is not known",
+		"apiVersion: dunlinwell/v1\nkind: Service\nmetadata: {name: a, labels: {}}\nspec: {}":                 "document 1|metadata.labels|is not known",
+		"apiVersion: dunlinwell/v1\nkind: Service\nmetadata: {name: a}\nspec: {}\nstatus: {}":                 "document 1|status|is not known",
+		"apiVersion: dunlinwell/v1\nkind: Service\nmetadata: {name: a}\nspec: {replicas: 3}":                  "service/a|replicas|is not known",
+		"apiVersion: dunlinwell/v1\nkind: Service\nmetadata: {name: a}\nspec: {tier: 1, tier: 2}":             "document 1||",
+		validManifest + "---\napiVersion: dunlinwell/v1\nkind: Cell\nmetadata: {name: c}\nspec: {target: -1}": "cell/c|target|must be from",
+		"apiVersion: dunlinwell/v1\nkind: Service\nspec: {}":                                                  "document 1|metadata.name|is missing",
 	} {
 		change, faults := Read("x", []byte(raw))
 		all := ""
--- a/internal/app/runbook/runbook_test.go
+++ b/internal/app/runbook/runbook_test.go
@@ -11,31 +11,31 @@
 )
 
 // Every shipped runbook reads, and its dry run touches nothing.
-func TestShippedBooks(t *testing.T) {
+func TestBundledBooks_ReadAndDryRun(t *testing.T) {
 	is := is.New(t)
-	is.True(len(Shipped()) >= 6)
-	for _, n := range Shipped() {
-		raw, err := Find(n)
+	is.True(len(BundledNames()) >= 6)
+	for _, n := range BundledNames() {
+		raw, err := ReadBundled(n)
 		is.NoErr(err)
 		b, err := Read(n, raw)
 		is.NoErr(err)
 		is.Equal(b.Name, n)
 		values := map[string]string{}
-		for _, v := range b.Needs {
+		for _, v := range b.Parameters {
 			values[v] = "x"
 		}
 		var out bytes.Buffer
-		is.NoErr(b.Run(Options{Values: values, Dry: true, Out: &out, Command: func([]string) ([]byte, error) {
+		is.NoErr(b.Run(Options{Values: values, DryRun: true, Out: &out, Execute: func([]string) ([]byte, error) {
 			t.Fatal("a dry run ran a command")
 			return nil, nil
 		}}))
 		is.True(strings.Contains(out.String(), "done"))
-		is.True(len(b.Needs) == 0 || b.Run(Options{Out: &out}) != nil) // a missing value stops it
+		is.True(len(b.Parameters) == 0 || b.Run(Options{Out: &out}) != nil) // a missing value stops it
 	}
 }
 
 // Broken runbooks are rejected whole, with the file, the step and why.
-func TestBrokenBooks(t *testing.T) {
+func TestRead_RejectsBrokenBooks(t *testing.T) {
 	head := "name: x\nneeds: [cell]\nsteps:\n"
 	for raw, want := range map[string]string{
 		"name: x": "no steps",
@@ -56,7 +56,7 @@
 	}
 }
 
-const book = `name: demo
+const demoBook = `name: demo
 needs: [cell]
 steps:
   - name: empty it
@@ -73,10 +73,10 @@
     until: [{path: 'daemons.#(id=="{item}").start', changed: true}]
 `
 
-// played runs the demo against answers that change with each look.
-func played(t *testing.T, answer func(n int, words []string) string) (string, error) {
+// runDemo runs the demo against answers that change with each look.
+func runDemo(t *testing.T, answer func(n int, words []string) string) (string, error) {
 	t.Helper()
-	b, err := Read("demo", []byte(book))
+	b, err := Read("demo", []byte(demoBook))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,8 +84,8 @@
 	n, now := 0, time.Unix(0, 0)
 	err = b.Run(Options{
 		Values: map[string]string{"cell": "north"}, Out: &out, Now: func() time.Time { return now }, Pause: func() { now = now.Add(time.Second) },
-		Hands: func(what string) bool { fmt.Fprintln(&out, "hands:", what); return true },
-		Command: func(words []string) ([]byte, error) {
+		Confirm: func(what string) bool { fmt.Fprintln(&out, "hands:", what); return true },
+		Execute: func(words []string) ([]byte, error) {
 			n++
 			return []byte(answer(n, words)), nil
 		},
@@ -93,32 +93,32 @@
 	return out.String(), err
 }
 
-func status(n, start int) string {
+func statusAnswer(n, start int) string {
 	return fmt.Sprintf(`{"in_force":%t,"lag":%d,"problems":[],"daemons":[{"id":"a","start":"%d"}]}`, n > 3, 5-n, start)
 }
 
-func TestStepsWaitForTheirChecks(t *testing.T) {
+func TestRun_StepsWaitForTheirChecks(t *testing.T) {
 	is := is.New(t)
 	emptied := 0
-	out, err := played(t, func(n int, words []string) string {
+	out, err := runDemo(t, func(n int, words []string) string {
 		if words[0] == "cell" {
 			emptied++
 			return `{"items":[{"name":"north"}]}`
 		}
-		return status(n, n)
+		return statusAnswer(n, n)
 	})
 	is.NoErr(err)
 	is.Equal(emptied, 1) // a change is sent once; only looks repeat
 	is.True(strings.Contains(out, "hands: restart a"))
 }
 
-func TestStopsAtTheFirstProblem(t *testing.T) {
+func TestRun_StopsAtTheFirstFailure(t *testing.T) {
 	is := is.New(t)
-	out, err := played(t, func(_ int, words []string) string {
+	out, err := runDemo(t, func(_ int, words []string) string {
 		if words[0] == "cell" {
 			return `{"items":[{"name":"north"}]}`
 		}
-		return status(1, 1)
+		return statusAnswer(1, 1)
 	})
 	is.True(err != nil && strings.Contains(err.Error(), `demo step 2 (wait)`))
 	is.True(strings.Contains(err.Error(), `in_force is "false", but should be true`))
--- a/internal/base/delta/delta.go
+++ b/internal/base/delta/delta.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// anchor is how many equal bytes tell that both strings go on alike.
-	anchor = 24
-	// firstWindow is how far ahead a common place is looked for at first.
-	firstWindow = 4 << 10
+	// anchorLength is how many equal bytes tell that both strings go on alike.
+	anchorLength = 24
+	// initialWindow is how far ahead a common place is looked for at first.
+	initialWindow = 4 << 10
 )
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // Checksum is the checksum by which a difference knows its base and its outcome.
-func Checksum(raw []byte) uint32 { return crc32.Checksum(raw, table) }
+func Checksum(raw []byte) uint32 { return crc32.Checksum(raw, castagnoli) }
 
 // Diff gives the difference that leads from base to next. Its length goes by
 // what differs, and not by how long the two are.
 func Diff(base, next []byte) []byte {
-	w := writer{out: header(base, next)}
+	w := editWriter{output: header(base, next)}
 	from, to := 0, 0
 	for to < len(next) {
 		n := commonPrefix(base[from:], next[to:])
@@ -35,12 +35,12 @@
 		if to == len(next) {
 			break
 		}
-		skip, insert := resume(base[from:], next[to:])
+		skip, insert := nextCommonPlace(base[from:], next[to:])
 		w.insert(next[to : to+insert])
 		from, to = from+skip, to+insert
 	}
 	w.flush()
-	return w.out
+	return w.output
 }
 
 // header names the base and the outcome, by length and checksum.
@@ -65,12 +65,12 @@
 	return at
 }
 
-// resume finds where both strings go on alike: so many bytes of the base are
+// nextCommonPlace finds where both strings go on alike: so many bytes of the base are
 // left out and so many of the next are new. It looks ever further ahead.
-func resume(base, next []byte) (skip, insert int) {
-	for window := firstWindow; ; window *= 4 {
+func nextCommonPlace(base, next []byte) (skip, insert int) {
+	for window := initialWindow; ; window *= 4 {
 		a, b := base[:min(window, len(base))], next[:min(window, len(next))]
-		if skip, insert, found := align(a, b); found {
+		if skip, insert, found := nearestCommonAnchor(a, b); found {
 			return skip, insert
 		}
 		if len(a) == len(base) && len(b) == len(next) {
@@ -79,34 +79,34 @@
 	}
 }
 
-// align looks for the nearest place of b that also stands at an anchor of a: the
+// nearestCommonAnchor looks for the nearest place of b that also stands at an anchor of a: the
 // one with the least left out and new together, as much of a configuration is alike.
-func align(a, b []byte) (skip, insert int, found bool) {
-	places := make(map[uint32]int, len(a)/anchor)
-	for at := 0; at+anchor <= len(a); at += anchor {
+func nearestCommonAnchor(a, b []byte) (skip, insert int, found bool) {
+	positions := make(map[uint32]int, len(a)/anchorLength)
+	for offset := 0; offset+anchorLength <= len(a); offset += anchorLength {
 		// Of equal anchors the first is the nearest.
-		h := hash(a[at:])
-		if _, known := places[h]; !known {
-			places[h] = at
+		h := hashAnchor(a[offset:])
+		if _, known := positions[h]; !known {
+			positions[h] = offset
 		}
 	}
-	best := len(a) + len(b)
-	for at := 0; at+anchor <= len(b) && at < best; at++ {
-		place, known := places[hash(b[at:])]
-		if !known || place+at >= best || !bytes.Equal(a[place:place+anchor], b[at:at+anchor]) {
+	bestDistance := len(a) + len(b)
+	for offset := 0; offset+anchorLength <= len(b) && offset < bestDistance; offset++ {
+		position, known := positions[hashAnchor(b[offset:])]
+		if !known || position+offset >= bestDistance || !bytes.Equal(a[position:position+anchorLength], b[offset:offset+anchorLength]) {
 			continue
 		}
-		back := 0
-		for back < min(place, at) && a[place-back-1] == b[at-back-1] {
-			back++
+		extension := 0
+		for extension < min(position, offset) && a[position-extension-1] == b[offset-extension-1] {
+			extension++
 		}
-		skip, insert, found, best = place-back, at-back, true, place+at
+		skip, insert, found, bestDistance = position-extension, offset-extension, true, position+offset
 	}
 	return skip, insert, found
 }
 
-// hash mixes the bytes of an anchor; whatever it gives is compared in full.
-func hash(raw []byte) uint32 {
+// hashAnchor mixes the bytes of an anchor; whatever it gives is compared in full.
+func hashAnchor(raw []byte) uint32 {
 	x := binary.LittleEndian.Uint64(raw) * 0x9e3779b97f4a7c15
 	x = (x ^ binary.LittleEndian.Uint64(raw[8:])) * 0xff51afd7ed558ccd
 	x = (x ^ binary.LittleEndian.Uint64(raw[16:])) * 0xc4ceb9fe1a85ec53
@@ -116,13 +116,13 @@
 // Apply gives what a difference leads to from its base. A base that is not the
 // one it was made from, or a difference that was damaged, is an error.
 func Apply(base, difference []byte) ([]byte, error) {
-	r := reader{raw: difference}
-	baseLength, baseSum := r.number(), r.sum()
-	length, sum := r.number(), r.sum()
-	if r.bad || baseLength != uint64(len(base)) || baseSum != Checksum(base) {
+	r := editReader{remaining: difference}
+	baseLength, baseSum := r.uvarint(), r.checksum()
+	length, sum := r.uvarint(), r.checksum()
+	if r.malformed || baseLength != uint64(len(base)) || baseSum != Checksum(base) {
 		return nil, errs.New("apply difference", "", "it is for another base")
 	}
-	next, err := r.edits(base, length)
+	next, err := r.applyEdits(base, length)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/base/delta/delta_test.go
+++ b/internal/base/delta/delta_test.go
@@ -10,8 +10,8 @@
 	"github.com/matryer/is"
 )
 
-// items gives bytes like those of a configuration: many items, then a list of results.
-func items(n, changed, results int) []byte {
+// configurationLike gives bytes like those of a configuration: many items, then a list of results.
+func configurationLike(n, changed, results int) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"revision":%d,"routes":{`, 999+changed)
 	for i := range n {
@@ -29,10 +29,10 @@
 	return b.Bytes()
 }
 
-func TestDifferenceLeadsToTheNext(t *testing.T) {
+func TestApply_RestoresNextFromDiff(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 2))
-	base := items(200, 0, 20)
+	base := configurationLike(200, 0, 20)
 	for round := range 2000 {
 		next := slices.Clone(base)
 		for range random.IntN(5) {
@@ -52,7 +52,7 @@
 			base = next
 		}
 		if len(base) == 0 {
-			base = items(200, 0, 20)
+			base = configurationLike(200, 0, 20)
 		}
 	}
 	for _, pair := range [][2]string{{"", ""}, {"", "a"}, {"a", ""}, {"abc", "abc"}} {
@@ -63,20 +63,20 @@
 }
 
 // A difference goes by what changed, not by how much there is.
-func TestDifferenceIsSmall(t *testing.T) {
+func TestDiff_SizeFollowsTheChange(t *testing.T) {
 	is := is.New(t)
 	for _, n := range []int{1000, 5000, 15000} {
 		for changed := range 12 {
-			d := Diff(items(n, changed, 250), items(n, changed+1, 250))
+			d := Diff(configurationLike(n, changed, 250), configurationLike(n, changed+1, 250))
 			is.True(len(d) < 200)
 		}
 	}
 }
 
 // What was damaged, cut short or made for another base is an error.
-func TestDamagedDifferences(t *testing.T) {
+func TestApply_RejectsDamagedDifferences(t *testing.T) {
 	is := is.New(t)
-	base, next := items(50, 0, 5), items(50, 3, 5)
+	base, next := configurationLike(50, 0, 5), configurationLike(50, 3, 5)
 	good := Diff(base, next)
 	_, err := Apply(next, good)
 	is.True(err != nil)
@@ -96,9 +96,9 @@
 }
 
 // Many changed items that are much like one another cost no more than they are.
-func TestManyChangesAmongLikeItems(t *testing.T) {
+func TestDiff_ManyChangesAmongSimilarItems(t *testing.T) {
 	is := is.New(t)
-	base := items(5000, 0, 0)
+	base := configurationLike(5000, 0, 0)
 	next := bytes.ReplaceAll(base, []byte(`"s3"`), []byte(`"another"`))
 	d := Diff(base, next)
 	got, err := Apply(base, d)
@@ -107,8 +107,8 @@
 	is.True(len(d) < 5000/7*40)
 }
 
-func BenchmarkOneOf15000(b *testing.B) {
-	base, next := items(15000, 0, 250), items(15000, 1, 250)
+func BenchmarkOneChangedItemOf15000(b *testing.B) {
+	base, next := configurationLike(15000, 0, 250), configurationLike(15000, 1, 250)
 	d := Diff(base, next)
 	b.Run("make", func(b *testing.B) {
 		for b.Loop() {
--- a/internal/base/errs/errs.go
+++ b/internal/base/errs/errs.go
@@ -16,15 +16,15 @@
 }
 
 // Error gives the step, the peer and the cause in one line.
-func (p *OpError) Error() string {
-	if p.Peer == "" {
-		return fmt.Sprintf("%s: %v", p.Step, p.error)
+func (e *OpError) Error() string {
+	if e.Peer == "" {
+		return fmt.Sprintf("%s: %v", e.Step, e.error)
 	}
-	return fmt.Sprintf("%s (peer %s): %v", p.Step, p.Peer, p.error)
+	return fmt.Sprintf("%s (peer %s): %v", e.Step, e.Peer, e.error)
 }
 
 // Unwrap gives the cause, so that errors.Is and errors.As see through.
-func (p *OpError) Unwrap() error { return p.error }
+func (e *OpError) Unwrap() error { return e.error }
 
 // At wraps err with its step and peer; a nil error stays nil.
 func Wrap(err error, step, peer string) error {
--- a/internal/base/event/discarded.go
+++ b/internal/base/event/discarded.go
@@ -23,6 +23,6 @@
 }
 
 // Discard adds a Discarded.
-func (o *Outbox) Discard(from ids.Address, why Reason, msg any) {
-	o.Emit(Discarded{From: from, Reason: why, Msg: msg})
+func (o *Outbox) Discard(from ids.Address, reason Reason, msg any) {
+	o.Emit(Discarded{From: from, Reason: reason, Msg: msg})
 }
--- a/internal/base/event/event.go
+++ b/internal/base/event/event.go
@@ -76,10 +76,10 @@
 }
 
 // Out gathers commands within a step; machines embed it.
-type Outbox struct{ cmds []Command }
+type Outbox struct{ commands []Command }
 
 // Do adds a command.
-func (o *Outbox) Emit(c Command) { o.cmds = append(o.cmds, c) }
+func (o *Outbox) Emit(c Command) { o.commands = append(o.commands, c) }
 
 // Tell adds a Send.
 func (o *Outbox) Send(to ids.Address, msg any) { o.Emit(Send{To: to, Msg: msg}) }
@@ -91,7 +91,7 @@
 
 // Take hands the commands over and starts afresh.
 func (o *Outbox) Drain() []Command {
-	c := o.cmds
-	o.cmds = nil
+	c := o.commands
+	o.commands = nil
 	return c
 }
--- a/internal/base/ids/ids.go
+++ b/internal/base/ids/ids.go
@@ -55,10 +55,10 @@
 type Time int64
 
 // Add gives the tick a span later.
-func (t Time) Add(d time.Duration) Time { return t + Time(d) }
+func (t Time) Add(duration time.Duration) Time { return t + Time(duration) }
 
 // Sub gives the span from an earlier tick to this one.
-func (t Time) Sub(u Time) time.Duration { return time.Duration(t - u) }
+func (t Time) Sub(earlier Time) time.Duration { return time.Duration(t - earlier) }
 
 // Ballot orders the rounds on a register. By names one run of one proposer,
 // so a restarted proposer can't use a ballot twice for two values.
@@ -68,11 +68,11 @@
 }
 
 // Less tells whether b is before c.
-func (b Ballot) Less(c Ballot) bool {
-	if b.Counter != c.Counter {
-		return b.Counter < c.Counter
+func (b Ballot) Less(other Ballot) bool {
+	if b.Counter != other.Counter {
+		return b.Counter < other.Counter
 	}
-	return b.Proposer < c.Proposer
+	return b.Proposer < other.Proposer
 }
 
 // IsZero tells whether the ballot is none at all.
--- a/internal/base/jsoncheck/jsoncheck.go
+++ b/internal/base/jsoncheck/jsoncheck.go
@@ -3,29 +3,29 @@
 
 import "github.com/tidwall/gjson"
 
-// deepest is how far objects and lists may stand within one another. gjson reads
+// maxDepth is how far objects and lists may stand within one another. gjson reads
 // each level by a call of its own, and the stack of millions ends the process.
-const deepest = 1 << 15
+const maxDepth = 1 << 15
 
-// JSON tells whether raw is valid JSON that doesn't nest without measure.
-func JSON(raw []byte) bool { return Depth(raw) <= deepest && gjson.ValidBytes(raw) }
+// Valid tells whether raw is valid JSON that doesn't nest without measure.
+func Valid(raw []byte) bool { return Depth(raw) <= maxDepth && gjson.ValidBytes(raw) }
 
 // Depth tells how far objects and lists stand within one another.
 func Depth(raw []byte) int {
-	most, now, text := 0, 0, false
+	deepest, depth, inString := 0, 0, false
 	for i := 0; i < len(raw); i++ {
 		switch c := raw[i]; {
-		case text && c == '\\':
+		case inString && c == '\\':
 			i++
 		case c == '"':
-			text = !text
-		case text:
+			inString = !inString
+		case inString:
 		case c == '{' || c == '[':
-			now++
-			most = max(most, now)
+			depth++
+			deepest = max(deepest, depth)
 		case c == '}' || c == ']':
-			now--
+			depth--
 		}
 	}
-	return most
+	return deepest
 }
--- a/internal/base/settings/config.go
+++ b/internal/base/settings/config.go
@@ -20,29 +20,29 @@
 
 // Common are the options of every daemon.
 type Common struct {
-	Params   kong.ConfigFlag `help:"JSON file of params, named like the flags; flags win." placeholder:"FILE" name:"params"`
-	Name     string          `help:"This daemon's name, the same over restarts." required:"" placeholder:"NAME" name:"name"`
-	Address  string          `help:"IP number and port for our own processes, as peers are told it." required:"" placeholder:"IP:PORT" name:"address"`
-	Bind     string          `help:"Where to listen for our own processes, if not at the address." placeholder:"IP:PORT" name:"bind"`
-	HTTP     string          `help:"IP number and port for HTTP." name:"http" required:"" placeholder:"IP:PORT"`
-	Cell     string          `help:"The cell this daemon stands in." required:"" placeholder:"CELL" name:"cell"`
-	Seeds    []string        `help:"Addresses of the three stores to begin from." required:"" placeholder:"IP:PORT,..." name:"seeds"`
-	HTTPBind string          `help:"Where to listen for HTTP, if not at that address." placeholder:"IP:PORT" name:"http-bind"`
-	Log      string          `help:"Least level to log: debug, info, warn or error." default:"info" enum:"debug,info,warn,error" name:"log"`
+	ConfigFile  kong.ConfigFlag `help:"JSON file of params, named like the flags; flags win." placeholder:"FILE" name:"params"`
+	Name        string          `help:"This daemon's name, the same over restarts." required:"" placeholder:"NAME" name:"name"`
+	Address     string          `help:"IP number and port for our own processes, as peers are told it." required:"" placeholder:"IP:PORT" name:"address"`
+	Bind        string          `help:"Where to listen for our own processes, if not at the address." placeholder:"IP:PORT" name:"bind"`
+	HTTPAddress string          `help:"IP number and port for HTTP." name:"http" required:"" placeholder:"IP:PORT"`
+	Zone        string          `help:"The cell this daemon stands in." required:"" placeholder:"CELL" name:"cell"`
+	Seeds       []string        `help:"Addresses of the three stores to begin from." required:"" placeholder:"IP:PORT,..." name:"seeds"`
+	HTTPBind    string          `help:"Where to listen for HTTP, if not at that address." placeholder:"IP:PORT" name:"http-bind"`
+	LogLevel    string          `help:"Least level to log: debug, info, warn or error." default:"info" enum:"debug,info,warn,error" name:"log"`
 }
 
-var nameRule = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
+var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
 
 // Validate is called by kong once all is read.
 func (c *Common) Validate() error {
-	if !nameRule.MatchString(c.Name) {
+	if !namePattern.MatchString(c.Name) {
 		return fmt.Errorf("--name: %q must be lower-case letters, digits and inner dashes", c.Name)
 	}
-	if !nameRule.MatchString(c.Cell) {
-		return fmt.Errorf("--cell: %q must be lower-case letters, digits and inner dashes", c.Cell)
+	if !namePattern.MatchString(c.Zone) {
+		return fmt.Errorf("--cell: %q must be lower-case letters, digits and inner dashes", c.Zone)
 	}
-	for flag, a := range map[string]string{"address": c.Address, "http": c.HTTP} {
-		if err := checkAddress(flag, a); err != nil {
+	for flag, a := range map[string]string{"address": c.Address, "http": c.HTTPAddress} {
+		if err := validateAddress(flag, a); err != nil {
 			return err
 		}
 	}
@@ -50,18 +50,18 @@
 		if a == "" {
 			continue
 		}
-		if err := checkAddress(flag, a); err != nil {
+		if err := validateAddress(flag, a); err != nil {
 			return err
 		}
 	}
-	if c.Address == c.HTTP {
+	if c.Address == c.HTTPAddress {
 		return fmt.Errorf("--http: must differ from --address")
 	}
 	if len(c.Seeds) != 3 {
 		return fmt.Errorf("--seeds: must be three addresses, not %d", len(c.Seeds))
 	}
 	for i, s := range c.Seeds {
-		if err := checkAddress("seeds", s); err != nil {
+		if err := validateAddress("seeds", s); err != nil {
 			return err
 		}
 		if slices.Contains(c.Seeds[:i], s) {
@@ -71,19 +71,19 @@
 	return nil
 }
 
-func checkAddress(flag, s string) error {
-	a, err := netip.ParseAddrPort(s)
-	if err != nil || a.Port() == 0 || a.Addr().IsUnspecified() {
-		return fmt.Errorf("--%s: %q must be an IP number and a port", flag, s)
+func validateAddress(flag, address string) error {
+	parsed, err := netip.ParseAddrPort(address)
+	if err != nil || parsed.Port() == 0 || parsed.Addr().IsUnspecified() {
+		return fmt.Errorf("--%s: %q must be an IP number and a port", flag, address)
 	}
 	return nil
 }
 
-// Pages is where to listen for HTTP.
-func (c *Common) Pages() string { return cmp.Or(c.HTTPBind, c.HTTP) }
+// HTTPListenAddress is where to listen for HTTP.
+func (c *Common) HTTPListenAddress() string { return cmp.Or(c.HTTPBind, c.HTTPAddress) }
 
-// SeedList gives the seeds as addresses.
-func (c *Common) SeedList() []ids.Address {
+// SeedAddresses gives the seeds as addresses.
+func (c *Common) SeedAddresses() []ids.Address {
 	var out []ids.Address
 	for _, s := range c.Seeds {
 		out = append(out, ids.Address(s))
@@ -93,7 +93,7 @@
 
 // Read reads the options of a program, or ends it with one line and exit 2.
 func Read(name, about string, into any) {
-	k, err := kong.New(into, kong.Name(name), kong.Description(about), kong.Configuration(file))
+	k, err := kong.New(into, kong.Name(name), kong.Description(about), kong.Configuration(newFileResolver))
 	if err != nil {
 		fmt.Fprintln(os.Stderr, name+": "+err.Error())
 		os.Exit(2)
@@ -104,8 +104,8 @@
 	}
 }
 
-// file reads a options file; a key that is no flag is an error, not silence.
-func file(r io.Reader) (kong.Resolver, error) {
+// newFileResolver reads a options file; a key that is no flag is an error, not silence.
+func newFileResolver(r io.Reader) (kong.Resolver, error) {
 	raw, err := io.ReadAll(r)
 	if err != nil {
 		return nil, err
@@ -118,23 +118,23 @@
 	if err != nil {
 		return nil, err
 	}
-	return &checked{inner, all}, nil
+	return &strictResolver{inner, all}, nil
 }
 
-type checked struct {
+type strictResolver struct {
 	kong.Resolver
-	keys map[string]any
+	values map[string]any
 }
 
 // Validate finds keys of the file that no flag is named like.
-func (c *checked) Validate(app *kong.Application) error {
+func (c *strictResolver) Validate(app *kong.Application) error {
 	known := map[string]bool{}
 	for _, f := range app.Flags {
 		known[f.Name] = true
 		known[strings.ReplaceAll(f.Name, "-", "_")] = true
 	}
 	var bad []string
-	for k := range c.keys {
+	for k := range c.values {
 		if !known[k] {
 			bad = append(bad, k)
 		}
--- a/internal/base/settings/config_test.go
+++ b/internal/base/settings/config_test.go
@@ -8,10 +8,10 @@
 	"github.com/matryer/is"
 )
 
-func parse(t *testing.T, args ...string) error {
+func parseFlags(t *testing.T, args ...string) error {
 	t.Helper()
 	var c Common
-	k, err := kong.New(&c, kong.Configuration(file))
+	k, err := kong.New(&c, kong.Configuration(newFileResolver))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -19,25 +19,25 @@
 	return err
 }
 
-var good = []string{"--name", "c1", "--address", "10.0.0.1:1", "--http", "10.0.0.1:2", "--cell", "north", "--seeds", "10.0.0.1:3,10.0.0.2:3,10.0.0.3:3"}
+var validArgs = []string{"--name", "c1", "--address", "10.0.0.1:1", "--http", "10.0.0.1:2", "--cell", "north", "--seeds", "10.0.0.1:3,10.0.0.2:3,10.0.0.3:3"}
 
 // Each bad param is named, and a key of the file that is none too.
-func TestBadOptionsAreNamed(t *testing.T) {
+func TestCommon_NamesTheInvalidFlag(t *testing.T) {
 	is := is.New(t)
-	is.NoErr(parse(t, good...))
+	is.NoErr(parseFlags(t, validArgs...))
 	for flag, bad := range map[string]string{"name": "C 1", "address": "host:1", "http": "10.0.0.1", "cell": "", "seeds": "10.0.0.1:3", "log": "loud"} {
-		args := append([]string{}, good...)
+		args := append([]string{}, validArgs...)
 		args = append(args, "--"+flag, bad)
-		err := parse(t, args...)
+		err := parseFlags(t, args...)
 		if err == nil || !strings.Contains(err.Error(), "--"+flag) {
 			t.Errorf("--%s %q gave %v", flag, bad, err)
 		}
 	}
-	err := parse(t, append(append([]string{}, good...), "--seeds", "10.0.0.1:3,10.0.0.1:3,10.0.0.2:3")...)
+	err := parseFlags(t, append(append([]string{}, validArgs...), "--seeds", "10.0.0.1:3,10.0.0.1:3,10.0.0.2:3")...)
 	is.True(err != nil)
-	_, err = file(strings.NewReader(`{"name":`))
+	_, err = newFileResolver(strings.NewReader(`{"name":`))
 	is.True(err != nil && strings.Contains(err.Error(), "--params"))
-	r, err := file(strings.NewReader(`{"name":"c1","colour":"red"}`))
+	r, err := newFileResolver(strings.NewReader(`{"name":"c1","colour":"red"}`))
 	is.NoErr(err)
 	var c Common
 	k, err := kong.New(&c)
--- a/internal/controlplane/targets/announce.go
+++ b/internal/controlplane/targets/announce.go
@@ -30,7 +30,7 @@
 	var t Target
 	bad := map[string]string{}
 	doc := gjson.ParseBytes(raw)
-	if !jsoncheck.JSON(raw) || !doc.IsObject() {
+	if !jsoncheck.Valid(raw) || !doc.IsObject() {
 		bad["(body)"] = "must be a JSON object"
 		return t, bad
 	}
--- a/internal/dataplane/proxy/carry_test.go
+++ b/internal/dataplane/proxy/carry_test.go
@@ -86,7 +86,7 @@
 }
 
 func newCarrier() *Daemon {
-	d := NewDaemon(DaemonOptions{Common: settings.Common{Name: "c1", Address: "127.0.0.1:1", HTTP: "127.0.0.1:2", Cell: "a", Log: "error"}, MaxResponse: 1000})
+	d := NewDaemon(DaemonOptions{Common: settings.Common{Name: "c1", Address: "127.0.0.1:1", HTTPAddress: "127.0.0.1:2", Zone: "a", LogLevel: "error"}, MaxResponse: 1000})
 	d.self = membership.Member{ID: "c1", RunID: 7}
 	return d
 }
--- a/internal/dataplane/proxy/circuits.go
+++ b/internal/dataplane/proxy/circuits.go
@@ -154,7 +154,7 @@
 func (p *connections) open(ctx context.Context, t targets.Target, until time.Time) (*connection, error) {
 	d := net.Dialer{Timeout: p.dialWithin, Deadline: until, Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
-			_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, process.TCPUserLimit, int(ackWithin/time.Millisecond))
+			_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, process.TCPUserTimeout, int(ackWithin/time.Millisecond))
 		})
 	}}
 	if p.from != nil {
--- a/internal/dataplane/proxy/daemon.go
+++ b/internal/dataplane/proxy/daemon.go
@@ -89,17 +89,17 @@
 
 // NewDaemon puts a proxy together.
 func NewDaemon(p DaemonOptions) *Daemon {
-	d := &Daemon{Options: p, log: process.NewLog(p.Log, p.Name), meter: newMeter(), dispatchers: map[ids.Name]*place{}}
+	d := &Daemon{Options: p, log: process.NewLog(p.LogLevel, p.Name), meter: newMeter(), dispatchers: map[ids.Name]*place{}}
 	d.hold.most = int64(cmp.Or(p.MaxHeld, defaultHeld))
-	d.self = daemon.Self(p.Common, membership.Proxy)
+	d.self = daemon.NewMember(p.Common, membership.Proxy)
 	d.self.ClientListen = ids.Address(p.Clients)
-	control := New(membership.Options{Self: d.self, Seeds: p.SeedList(), Incremental: p.ByZone}, ControlOptions{Lease: p.Lease, Layout: p.Layout})
+	control := New(membership.Options{Self: d.self, Seeds: p.SeedAddresses(), Incremental: p.ByZone}, ControlOptions{Lease: p.Lease, Layout: p.Layout})
 	d.owner = process.NewOwner(&beating{control, d}, 50*time.Millisecond, d.do)
 	d.post = &process.Transport{
 		Address: ids.Address(p.Address), Bind: ids.Address(p.Bind), Log: d.log, Stats: &process.TrafficStats{},
 		Deliver: func(from ids.Address, msg any) { d.owner.Offer(event.Received{From: from, Msg: msg}) },
 	}
-	if a, err := netip.ParseAddrPort(p.Pages()); err == nil {
+	if a, err := netip.ParseAddrPort(p.HTTPListenAddress()); err == nil {
 		d.connections.from = net.IP(a.Addr().AsSlice())
 	}
 	d.edge, d.trade = p.Edge, house{d}
@@ -133,7 +133,7 @@
 	case event.Send:
 		d.post.Send(c.To, c.Msg)
 	case event.LogEntry:
-		d.log.Note(c)
+		d.log.WriteEntry(c)
 	case event.Discarded:
 		d.post.Discard(c)
 	case DispatchEvent:
--- a/internal/dataplane/proxy/run.go
+++ b/internal/dataplane/proxy/run.go
@@ -20,14 +20,14 @@
 	if err != nil {
 		return err
 	}
-	pages, err := api.Listen(d.Options.Pages())
+	pages, err := api.Listen(d.Options.HTTPListenAddress())
 	if err != nil {
 		return err
 	}
-	s := daemon.Supervisor("proxy", d.log)
+	s := daemon.NewSupervisor("proxy", d.log)
 	s.Add(d.owner)
-	s.Add(daemon.Task("post", func(c context.Context) error { return d.post.Serve(c, wire) }))
-	s.Add(daemon.Task("desks", d.tend))
+	s.Add(daemon.NewTask("post", func(c context.Context) error { return d.post.Serve(c, wire) }))
+	s.Add(daemon.NewTask("desks", d.tend))
 	// The pages outlive the supervisor's context by the grace, so that held
 	// requests end while the owner still turns.
 	life, end := context.WithCancel(context.Background())
@@ -120,11 +120,11 @@
 // pages are the proxy's own pages; all other paths are clients'.
 func (d *Daemon) pages(clients bool) http.Handler {
 	m := http.NewServeMux()
-	daemon.Health(m, func() (bool, any) {
+	daemon.HandleHealth(m, func() (bool, any) {
 		f := d.footing.Load()
 		return f.Ready && !d.stopping.Load(), map[string]any{"ready": f.Ready, "cut_off": f.CutOff, "emptied": f.Emptied, "stopping": d.stopping.Load()}
 	})
-	daemon.Metrics(m, d.figures)
+	daemon.HandleMetrics(m, d.figures)
 	m.Handle("/v1/", api.NewForwarder(func() []ids.Address {
 		return daemon.RegistryAddresses(d.footing.Load().Members, d.self.Zone)
 	}))
@@ -135,24 +135,24 @@
 }
 
 // figures are the proxy's numbers for the page of metrics.
-func (d *Daemon) figures() []daemon.Gauge {
+func (d *Daemon) figures() []daemon.Metric {
 	f := d.footing.Load()
 	flag := map[bool]float64{true: 1}
-	out := []daemon.Gauge{
+	out := []daemon.Metric{
 		{Name: "ready", Value: flag[f.Ready]},
 		{Name: "cut_off", Value: flag[f.CutOff]},
 		{Name: "emptied", Value: flag[f.Emptied]},
 		{Name: "held_bytes", Value: float64(d.hold.used.Load())},
 	}
-	out = append(out, daemon.TrafficGauges(d.post.Stats)...)
+	out = append(out, daemon.TrafficMetrics(d.post.Stats)...)
 	for _, n := range d.services() {
 		p := d.at(n)
 		p.mu.Lock()
 		t, busy := p.dispatcher.Tally, p.dispatcher.Busy()
 		p.mu.Unlock()
-		out = append(out, daemon.Gauge{Name: "occupancy", Labels: []string{"service"}, Values: []string{string(n)}, Value: float64(busy)})
+		out = append(out, daemon.Metric{Name: "occupancy", Labels: []string{"service"}, Values: []string{string(n)}, Value: float64(busy)})
 		for what, v := range map[string]uint64{"arrived": t.Arrived, "declined": t.Rejected, "unknown": t.Unknown, "answered": t.Answered, "ferried": t.Forwarded, "ferried_in_region": t.Region, "ferried_far": t.Far, "retried": t.Retried, "repeats": t.Repeats} {
-			out = append(out, daemon.Gauge{Name: "requests_total", Labels: []string{"service", "what"}, Values: []string{string(n), what}, Value: float64(v), Total: true})
+			out = append(out, daemon.Metric{Name: "requests_total", Labels: []string{"service", "what"}, Values: []string{string(n), what}, Value: float64(v), IsCounter: true})
 		}
 	}
 	return out
--- a/internal/state/configuration/change.go
+++ b/internal/state/configuration/change.go
@@ -81,7 +81,7 @@
 	var faults []Violation
 	item := "change"
 	bad := func(path, why string) { faults = append(faults, Violation{item, path, why}) }
-	if !jsoncheck.JSON(raw) {
+	if !jsoncheck.Valid(raw) {
 		bad("", "is not valid JSON")
 		return c, faults
 	}
--- a/internal/state/configuration/given.go
+++ b/internal/state/configuration/given.go
@@ -16,7 +16,7 @@
 	item := "merging"
 	bad := func(path, why string) { faults = append(faults, Violation{item, path, why}) }
 	doc := gjson.ParseBytes(raw)
-	if !jsoncheck.JSON(raw) || !doc.IsObject() {
+	if !jsoncheck.Valid(raw) || !doc.IsObject() {
 		bad("", "is not a JSON object")
 		return m, faults
 	}
@@ -87,7 +87,7 @@
 	case len(raw) == 0:
 	case jsoncheck.Depth(raw) > deepestSource:
 		bad("source", "nests too deep")
-	case !jsoncheck.JSON(raw):
+	case !jsoncheck.Valid(raw):
 		bad("source", "is not valid JSON")
 	}
 }
--- a/internal/state/configuration/merge.go
+++ b/internal/state/configuration/merge.go
@@ -59,7 +59,7 @@
 		if g.Removed {
 			continue
 		}
-		if !jsoncheck.JSON(g.Body) {
+		if !jsoncheck.Valid(g.Body) {
 			bad("", "is not valid JSON")
 			continue
 		}
--- a/internal/testsupport/compat/answers_test.go
+++ b/internal/testsupport/compat/answers_test.go
@@ -31,7 +31,7 @@
 	w := &api.Server{}
 	w.Put = func(ev any) {
 		answer := func(id uint64, body any) {
-			go w.Responded(registry.Response{ID: id, Status: 200, Body: body})
+			go w.HandleResponse(registry.Response{ID: id, Status: 200, Body: body})
 		}
 		switch c := ev.(type) {
 		case registry.ReadConfigurationCall:
@@ -104,7 +104,7 @@
 // Each page of our own interface answers as it did.
 func TestAnswersOfOurOwnInterface(t *testing.T) {
 	m := http.NewServeMux()
-	daemon.Health(m, func() (bool, any) { return false, map[string]bool{"ready": false} })
+	daemon.HandleHealth(m, func() (bool, any) { return false, map[string]bool{"ready": false} })
 	m.Handle("/v1/", answering(t).Handler())
 	got := map[string]string{}
 	for _, c := range ownCalls {
@@ -150,9 +150,9 @@
 	is.NoErr(err)
 	got := map[string]string{
 		"settings proxy": strings.Join(values(&p), " "), "settings registry": strings.Join(values(&r), " "),
-		"settings registry, not by flags": fmt.Sprint(r.Regions, r.Always, r.Derive), "settings store": strings.Join(values(&d), " "),
+		"settings registry, not by flags": fmt.Sprint(r.Regions, r.AlwaysResolve, r.DeriveSetPoints), "settings store": strings.Join(values(&d), " "),
 	}
-	pages := r.Edge(answering(t))
+	pages := r.ExtraHandlers(answering(t))
 	for _, c := range platformCalls {
 		got[c.method+" "+c.path+" "+strings.ReplaceAll(c.body, "\n", "")] = call(pages[c.listener], c.method, c.path, c.body)
 	}
--- a/internal/testsupport/compat/messages_test.go
+++ b/internal/testsupport/compat/messages_test.go
@@ -19,7 +19,7 @@
 // fields of one type that change places.
 var messages = []any{
 	process.Hello{
-		Address: "text-1", Inflates: false,
+		Address: "text-1", AcceptsDeflated: false,
 	},
 	membership.Heartbeat{
 		Self:   membership.Member{ID: "text-1", Role: 2, Address: "text-3", HTTP: "text-4", Zone: "text-5", RunID: 4294967302, Incarnation: 4294967303, Sequence: 4294967304, Gone: true, Ready: false, Revision: 4294967307, Store: 4294967308, ClientListen: "text-13"},
--- a/internal/testsupport/compat/metrics_test.go
+++ b/internal/testsupport/compat/metrics_test.go
@@ -19,10 +19,10 @@
 	is := is.New(t)
 	status := filledJSON(t, reflect.TypeFor[registry.Status]()).(*registry.Status)
 	m := http.NewServeMux()
-	daemon.Metrics(m, func() []daemon.Gauge {
-		var out []daemon.Gauge
+	daemon.HandleMetrics(m, func() []daemon.Metric {
+		var out []daemon.Metric
 		for _, f := range status.Metrics() {
-			out = append(out, daemon.Gauge{Name: f.Name, Labels: f.Labels, Values: f.Values, Value: f.Value})
+			out = append(out, daemon.Metric{Name: f.Name, Labels: f.Labels, Values: f.Values, Value: f.Value})
 		}
 		return out
 	})
--- a/internal/testsupport/compat/wire_test.go
+++ b/internal/testsupport/compat/wire_test.go
@@ -29,7 +29,7 @@
 // header and the same fields in the same order and width.
 func TestFramesOnTheWire(t *testing.T) {
 	got := map[string]string{}
-	for kind, of := range wire.Kinds() {
+	for kind, of := range wire.RegisteredKinds() {
 		raw, err := wire.Encode(filledMessage(t, of))
 		if err != nil {
 			t.Fatalf("kind %d: %v", kind, err)
@@ -42,7 +42,7 @@
 // Each golden frame is read to the filled value and packs to the same again.
 func TestFramesAreReadBack(t *testing.T) {
 	golden := readGolden(t, "testdata/wire.txt")
-	for kind, of := range wire.Kinds() {
+	for kind, of := range wire.RegisteredKinds() {
 		t.Run(kindName(kind), func(t *testing.T) {
 			is := is.New(t)
 			raw, err := hex.DecodeString(golden[kindName(kind)])
@@ -71,7 +71,7 @@
 		is.NoErr(err)
 		is.Equal(hex.EncodeToString(raw), golden[kindName(kind)])
 	}
-	for kind, of := range wire.Kinds() {
+	for kind, of := range wire.RegisteredKinds() {
 		if !given[kind] && token.IsExported(of.Name()) {
 			t.Errorf("kind %d has no value in messages", kind)
 		}
--- a/internal/testsupport/scaletest/proxygroup.go
+++ b/internal/testsupport/scaletest/proxygroup.go
@@ -126,22 +126,22 @@
 
 // Run runs them until the context ends.
 func (c *ProxyGroup) Run(ctx context.Context) error {
-	sup := daemon.Supervisor("crew", process.NewLog("warn", "crew"))
+	sup := daemon.NewSupervisor("crew", process.NewLog("warn", "crew"))
 	for _, s := range c.shells {
 		l, err := s.post.Listen()
 		if err != nil {
 			return err
 		}
 		sup.Add(s.owner)
-		sup.Add(daemon.Task("post", func(x context.Context) error { return s.post.Serve(x, l) }))
+		sup.Add(daemon.NewTask("post", func(x context.Context) error { return s.post.Serve(x, l) }))
 	}
-	sup.Add(daemon.Task("reports", c.report))
+	sup.Add(daemon.NewTask("reports", c.report))
 	pages, err := api.Listen(c.HTTP)
 	if err != nil {
 		return err
 	}
 	mux := http.NewServeMux()
-	daemon.Metrics(mux, func() []daemon.Gauge { return daemon.TrafficGauges(&c.tally) })
+	daemon.HandleMetrics(mux, func() []daemon.Metric { return daemon.TrafficMetrics(&c.tally) })
 	mux.HandleFunc("GET /state", func(rw http.ResponseWriter, _ *http.Request) {
 		rw.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(rw).Encode(c.state())
--- a/internal/testsupport/testbed/runbooks_test.go
+++ b/internal/testsupport/testbed/runbooks_test.go
@@ -24,7 +24,7 @@
 
 func (b *books) run(name string, values map[string]string) error {
 	b.t.Helper()
-	raw, err := runbook.Find(name)
+	raw, err := runbook.ReadBundled(name)
 	if err != nil {
 		b.t.Fatal(err)
 	}
@@ -35,9 +35,9 @@
 	var out bytes.Buffer
 	err = book.Run(runbook.Options{
 		Values: values, Out: &out, Now: time.Now, Pause: func() { <-time.After(100 * time.Millisecond) },
-		Hands: func(what string) bool { b.hands(what); return true },
-		Command: func(words []string) ([]byte, error) {
-			return cli.Capture(&cli.Context{At: b.at, Timeout: 8 * time.Second}, words)
+		Confirm: func(what string) bool { b.hands(what); return true },
+		Execute: func(words []string) ([]byte, error) {
+			return cli.RunJSON(&cli.Context{Address: b.at, Timeout: 8 * time.Second}, words)
 		},
 	})
 	b.t.Log(out.String(), err)
@@ -101,7 +101,7 @@
 
 // unseated lists the stores that the status shows alive and not ready.
 func (s *Stage) unseated(p *Process) []string {
-	raw, err := cli.Capture(&cli.Context{At: p.HTTP, Timeout: 8 * time.Second}, []string{"status"})
+	raw, err := cli.RunJSON(&cli.Context{Address: p.HTTP, Timeout: 8 * time.Second}, []string{"status"})
 	if err != nil {
 		return nil
 	}
--- a/internal/tools/knownred/judge/main.go
+++ b/internal/tools/knownred/judge/main.go
@@ -50,14 +50,14 @@
 	// to run leaves it at -1.
 	_ = cmd.Wait()
 	v := j.Verdict(known, cmd.ProcessState.ExitCode())
-	for _, line := range v.Passed {
+	for _, line := range v.KnownFailures {
 		fmt.Println("known red: " + line)
 	}
-	for _, line := range v.Against {
+	for _, line := range v.Objections {
 		fmt.Println("against: " + line)
 	}
-	if len(v.Against) > 0 {
-		return fmt.Errorf("%d against the run", len(v.Against))
+	if len(v.Objections) > 0 {
+		return fmt.Errorf("%d against the run", len(v.Objections))
 	}
 	return nil
 }
--- a/internal/tools/knownred/knownred_test.go
+++ b/internal/tools/knownred/knownred_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// stream gives the events of a run; a word is package action test output.
-func stream(events ...event) string {
+// encodeEvents gives the events of a run; a word is package action test output.
+func encodeEvents(events ...testEvent) string {
 	var b strings.Builder
 	for _, e := range events {
 		raw, _ := json.Marshal(e)
@@ -18,81 +18,81 @@
 	return b.String()
 }
 
-// ran is a test from its start to its end.
-func ran(pkg, test, result string) []event {
-	return []event{{"run", pkg, test, ""}, {"output", pkg, test, "=== RUN   " + test + "\n"}, {"output", pkg, test, "--- " + result + ": " + test + "\n"}, {result, pkg, test, ""}}
+// testRun is a test from its start to its end.
+func testRun(pkg, test, result string) []testEvent {
+	return []testEvent{{"run", pkg, test, ""}, {"output", pkg, test, "=== RUN   " + test + "\n"}, {"output", pkg, test, "--- " + result + ": " + test + "\n"}, {result, pkg, test, ""}}
 }
 
-// green and red are how an orderly package ends.
-func green(pkg string, tests ...[]event) []event {
-	return append(whole(pkg, tests), event{"output", pkg, "", "PASS\n"}, event{"output", pkg, "", "ok  \t" + pkg + "\t0.1s\n"}, event{"pass", pkg, "", ""})
+// passedPackage and red are how an orderly package ends.
+func passedPackage(pkg string, tests ...[]testEvent) []testEvent {
+	return append(packageEvents(pkg, tests), testEvent{"output", pkg, "", "PASS\n"}, testEvent{"output", pkg, "", "ok  \t" + pkg + "\t0.1s\n"}, testEvent{"pass", pkg, "", ""})
 }
 
-func red(pkg string, tests ...[]event) []event {
-	return append(whole(pkg, tests), event{"output", pkg, "", "FAIL\n"}, event{"output", pkg, "", "FAIL\t" + pkg + "\t0.1s\n"}, event{"fail", pkg, "", ""})
+func failedPackage(pkg string, tests ...[]testEvent) []testEvent {
+	return append(packageEvents(pkg, tests), testEvent{"output", pkg, "", "FAIL\n"}, testEvent{"output", pkg, "", "FAIL\t" + pkg + "\t0.1s\n"}, testEvent{"fail", pkg, "", ""})
 }
 
-// cutShort is a package whose binary died: no closing line of its own.
-func cutShort(pkg string, tests ...[]event) []event {
-	return append(whole(pkg, tests), event{"output", pkg, "", "FAIL\t" + pkg + "\t0.1s\n"}, event{"fail", pkg, "", ""})
+// crashedPackage is a package whose binary died: no closing line of its own.
+func crashedPackage(pkg string, tests ...[]testEvent) []testEvent {
+	return append(packageEvents(pkg, tests), testEvent{"output", pkg, "", "FAIL\t" + pkg + "\t0.1s\n"}, testEvent{"fail", pkg, "", ""})
 }
 
-func whole(pkg string, tests [][]event) []event {
-	out := []event{{"start", pkg, "", ""}}
+func packageEvents(pkg string, tests [][]testEvent) []testEvent {
+	out := []testEvent{{"start", pkg, "", ""}}
 	for _, t := range tests {
 		out = append(out, t...)
 	}
 	return out
 }
 
-func TestVerdict(t *testing.T) {
+func TestJudge_Verdict(t *testing.T) {
 	for name, c := range map[string]struct {
-		run    []event
+		run    []testEvent
 		list   string
 		exit   int
 		passed string
 		want   string
 	}{
-		"all green":               {run: green("m/a", ran("m/a", "TestX", "pass"))},
-		"red, not listed":         {run: red("m/a", ran("m/a", "TestX", "fail")), exit: 1, want: "m/a.TestX is red and not listed"},
-		"red and listed":          {run: red("m/a", ran("m/a", "TestX", "fail")), exit: 1, list: "m/a.TestX | slow | 11", passed: "m/a.TestX | slow | 11"},
-		"another red beside":      {run: red("m/a", ran("m/a", "TestX", "fail"), ran("m/a", "TestY", "fail")), exit: 1, list: "m/a.TestX | slow | 11", passed: "m/a.TestX | slow | 11", want: "m/a.TestY is red and not listed"},
-		"same name elsewhere":     {run: append(red("m/a", ran("m/a", "TestX", "fail")), red("m/b", ran("m/b", "TestX", "fail"))...), exit: 1, list: "m/a.TestX | slow | 11", passed: "m/a.TestX | slow | 11", want: "m/b.TestX is red and not listed"},
-		"listed, passes":          {run: green("m/a", ran("m/a", "TestX", "pass")), list: "m/a.TestX | slow | 11", want: `m/a.TestX is listed as red, but ended with "pass"`},
-		"listed, skipped":         {run: green("m/a", ran("m/a", "TestX", "skip")), list: "m/a.TestX | slow | 11", want: `m/a.TestX is listed as red, but ended with "skip"`},
-		"listed, not run":         {run: green("m/a", ran("m/a", "TestX", "pass")), list: "m/a.TestY | slow | 11", want: "m/a.TestY is listed as red, but didn't run"},
-		"subtest and parent":      {run: red("m/a", ran("m/a", "TestX/one", "fail"), ran("m/a", "TestX", "fail")), exit: 1, list: "m/a.TestX | c | 1\nm/a.TestX/one | c | 1", passed: "m/a.TestX | c | 1\nm/a.TestX/one | c | 1"},
-		"subtest, parent unsaid":  {run: red("m/a", ran("m/a", "TestX/one", "fail"), ran("m/a", "TestX", "fail")), exit: 1, list: "m/a.TestX/one | c | 1", passed: "m/a.TestX/one | c | 1", want: "m/a.TestX is red and not listed"},
-		"another subtest":         {run: red("m/a", ran("m/a", "TestX/two", "fail"), ran("m/a", "TestX", "fail")), exit: 1, list: "m/a.TestX | c | 1\nm/a.TestX/one | c | 1", passed: "m/a.TestX | c | 1", want: "m/a.TestX/one is listed as red, but didn't run\nm/a.TestX/two is red and not listed"},
-		"red once of two":         {run: red("m/a", ran("m/a", "TestX", "fail"), ran("m/a", "TestX", "pass")), exit: 1, want: "m/a.TestX is red and not listed"},
-		"package doesn't build":   {run: cutShort("m/a"), exit: 1, want: "m/a didn't build, panicked, ran out of time or exited"},
-		"listed one panics":       {run: cutShort("m/a", ran("m/a", "TestX", "fail")), exit: 1, list: "m/a.TestX | slow | 11", passed: "m/a.TestX | slow | 11", want: "m/a didn't build, panicked, ran out of time or exited"},
-		"out of time, no result":  {run: cutShort("m/a", ran("m/a", "TestX", "pass"), ran("m/a", "TestY", "")[:2]), exit: 1, list: "m/a.TestY | slow | 11", want: "m/a ended in the midst of TestY"},
-		"cut off":                 {run: green("m/a", ran("m/a", "TestX", "pass"))[:4], exit: 1, want: "m/a came to no end\ngo test ended with 1 and 0 failed packages"},
-		"fails without a red one": {run: red("m/a", ran("m/a", "TestX", "pass")), exit: 1, want: "m/a failed without a red test"},
+		"all green":               {run: passedPackage("m/a", testRun("m/a", "TestX", "pass"))},
+		"red, not listed":         {run: failedPackage("m/a", testRun("m/a", "TestX", "fail")), exit: 1, want: "m/a.TestX is red and not listed"},
+		"red and listed":          {run: failedPackage("m/a", testRun("m/a", "TestX", "fail")), exit: 1, list: "m/a.TestX | slow | 11", passed: "m/a.TestX | slow | 11"},
+		"another red beside":      {run: failedPackage("m/a", testRun("m/a", "TestX", "fail"), testRun("m/a", "TestY", "fail")), exit: 1, list: "m/a.TestX | slow | 11", passed: "m/a.TestX | slow | 11", want: "m/a.TestY is red and not listed"},
+		"same name elsewhere":     {run: append(failedPackage("m/a", testRun("m/a", "TestX", "fail")), failedPackage("m/b", testRun("m/b", "TestX", "fail"))...), exit: 1, list: "m/a.TestX | slow | 11", passed: "m/a.TestX | slow | 11", want: "m/b.TestX is red and not listed"},
+		"listed, passes":          {run: passedPackage("m/a", testRun("m/a", "TestX", "pass")), list: "m/a.TestX | slow | 11", want: `m/a.TestX is listed as red, but ended with "pass"`},
+		"listed, skipped":         {run: passedPackage("m/a", testRun("m/a", "TestX", "skip")), list: "m/a.TestX | slow | 11", want: `m/a.TestX is listed as red, but ended with "skip"`},
+		"listed, not run":         {run: passedPackage("m/a", testRun("m/a", "TestX", "pass")), list: "m/a.TestY | slow | 11", want: "m/a.TestY is listed as red, but didn't run"},
+		"subtest and parent":      {run: failedPackage("m/a", testRun("m/a", "TestX/one", "fail"), testRun("m/a", "TestX", "fail")), exit: 1, list: "m/a.TestX | c | 1\nm/a.TestX/one | c | 1", passed: "m/a.TestX | c | 1\nm/a.TestX/one | c | 1"},
+		"subtest, parent unsaid":  {run: failedPackage("m/a", testRun("m/a", "TestX/one", "fail"), testRun("m/a", "TestX", "fail")), exit: 1, list: "m/a.TestX/one | c | 1", passed: "m/a.TestX/one | c | 1", want: "m/a.TestX is red and not listed"},
+		"another subtest":         {run: failedPackage("m/a", testRun("m/a", "TestX/two", "fail"), testRun("m/a", "TestX", "fail")), exit: 1, list: "m/a.TestX | c | 1\nm/a.TestX/one | c | 1", passed: "m/a.TestX | c | 1", want: "m/a.TestX/one is listed as red, but didn't run\nm/a.TestX/two is red and not listed"},
+		"red once of two":         {run: failedPackage("m/a", testRun("m/a", "TestX", "fail"), testRun("m/a", "TestX", "pass")), exit: 1, want: "m/a.TestX is red and not listed"},
+		"package doesn't build":   {run: crashedPackage("m/a"), exit: 1, want: "m/a didn't build, panicked, ran out of time or exited"},
+		"listed one panics":       {run: crashedPackage("m/a", testRun("m/a", "TestX", "fail")), exit: 1, list: "m/a.TestX | slow | 11", passed: "m/a.TestX | slow | 11", want: "m/a didn't build, panicked, ran out of time or exited"},
+		"out of time, no result":  {run: crashedPackage("m/a", testRun("m/a", "TestX", "pass"), testRun("m/a", "TestY", "")[:2]), exit: 1, list: "m/a.TestY | slow | 11", want: "m/a ended in the midst of TestY"},
+		"cut off":                 {run: passedPackage("m/a", testRun("m/a", "TestX", "pass"))[:4], exit: 1, want: "m/a came to no end\ngo test ended with 1 and 0 failed packages"},
+		"fails without a red one": {run: failedPackage("m/a", testRun("m/a", "TestX", "pass")), exit: 1, want: "m/a failed without a red test"},
 		"nothing ran":             {exit: 1, want: "no package was tested"},
-		"go test fails by itself": {run: green("m/a"), exit: 1, want: "go test ended with 1 and 0 failed packages"},
-		"go test was killed":      {run: red("m/a", ran("m/a", "TestX", "fail")), exit: -1, list: "m/a.TestX | slow | 11", passed: "m/a.TestX | slow | 11", want: "go test ended with -1 and 1 failed packages"},
+		"go test fails by itself": {run: passedPackage("m/a"), exit: 1, want: "go test ended with 1 and 0 failed packages"},
+		"go test was killed":      {run: failedPackage("m/a", testRun("m/a", "TestX", "fail")), exit: -1, list: "m/a.TestX | slow | 11", passed: "m/a.TestX | slow | 11", want: "go test ended with -1 and 1 failed packages"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			j := New(&strings.Builder{})
-			is.NoErr(j.Follow(strings.NewReader(stream(c.run...))))
+			is.NoErr(j.Follow(strings.NewReader(encodeEvents(c.run...))))
 			list, err := Read(c.list)
 			is.NoErr(err)
 			v := j.Verdict(list, c.exit)
-			is.Equal(strings.Join(v.Passed, "\n"), c.passed)
-			is.Equal(strings.Join(v.Against, "\n"), c.want)
+			is.Equal(strings.Join(v.KnownFailures, "\n"), c.passed)
+			is.Equal(strings.Join(v.Objections, "\n"), c.want)
 		})
 	}
 }
 
 // A reader sees what go test prints: the closing lines, and all of a red package.
-func TestPrints(t *testing.T) {
+func TestJudge_Follow_PrintsAsGoTest(t *testing.T) {
 	is := is.New(t)
 	var out strings.Builder
 	j := New(&out)
-	run := "go: not JSON\n" + stream(event{Action: "build-output", Output: "# m/c\n"}) + stream(green("m/a", ran("m/a", "TestX", "pass"))...) + stream(red("m/b", ran("m/b", "TestY", "fail"))...)
+	run := "go: not JSON\n" + encodeEvents(testEvent{Action: "build-output", Output: "# m/c\n"}) + encodeEvents(passedPackage("m/a", testRun("m/a", "TestX", "pass"))...) + encodeEvents(failedPackage("m/b", testRun("m/b", "TestY", "fail"))...)
 	is.NoErr(j.Follow(strings.NewReader(run)))
 	is.Equal(out.String(), "go: not JSON\n# m/c\nok  \tm/a\t0.1s\n--- fail: TestY\nFAIL\nFAIL\tm/b\t0.1s\n")
 }
@@ -101,7 +101,7 @@
 	is := is.New(t)
 	list, err := Read("# why\n\n  m/a.TestX/a.b | it is slow | 11\n#m/b.TestY\n")
 	is.NoErr(err)
-	is.Equal(list, []Known{{"m/a.TestX/a.b", "it is slow", "11"}})
+	is.Equal(list, []Entry{{"m/a.TestX/a.b", "it is slow", "11"}})
 	for raw, want := range map[string]string{
 		"m/a.TestX":                            "line 1: want",
 		"#\nm/a.TestX | cause":                 "line 2: want",
--- a/internal/tools/knownred/list.go
+++ b/internal/tools/knownred/list.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// Known is one test that is known to be red, and why.
-type Known struct{ Test, Cause, Issue string }
+// Entry is one test that is known to be red, and why.
+type Entry struct{ Test, Cause, Issue string }
 
 // Read reads the list: `package.TestName | cause | issue`, one a line; lines
 // that start with # are comments. A line that can't be read spoils the list, or
 // a record of the pen would go unseen.
-func Read(raw string) ([]Known, error) {
-	var out []Known
+func Read(raw string) ([]Entry, error) {
+	var out []Entry
 	seen := map[string]bool{}
 	for n, line := range strings.Split(raw, "\n") {
 		line = strings.TrimSpace(line)
@@ -24,7 +24,7 @@
 		if len(parts) != 3 {
 			return nil, fmt.Errorf("line %d: want `package.TestName | cause | issue`, not %q", n+1, line)
 		}
-		k := Known{strings.TrimSpace(parts[0]), strings.TrimSpace(parts[1]), strings.TrimSpace(parts[2])}
+		k := Entry{strings.TrimSpace(parts[0]), strings.TrimSpace(parts[1]), strings.TrimSpace(parts[2])}
 		switch {
 		case k.Test == "" || k.Cause == "" || k.Issue == "":
 			return nil, fmt.Errorf("line %d: the test, its cause or its issue is missing", n+1)
--- a/internal/transport/process/dialpace_test.go
+++ b/internal/transport/process/dialpace_test.go
@@ -12,16 +12,16 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// dark is a machine without power: whoever dials it hears nothing, and a dial
+// unpoweredPeer is a machine without power: whoever dials it hears nothing, and a dial
 // that began before its power came back is not heard of later either.
-type dark struct {
-	until time.Time
-	met   time.Time
-	peer  net.Conn
+type unpoweredPeer struct {
+	downUntil   time.Time
+	connectedAt time.Time
+	peer        net.Conn
 }
 
-func (d *dark) dial(ctx context.Context, _ ids.Address) (net.Conn, error) {
-	if time.Now().Before(d.until) {
+func (p *unpoweredPeer) dial(ctx context.Context, _ ids.Address) (net.Conn, error) {
+	if time.Now().Before(p.downUntil) {
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
@@ -30,25 +30,25 @@
 		}
 	}
 	ours, theirs := net.Pipe()
-	d.met, d.peer = time.Now(), theirs
+	p.connectedAt, p.peer = time.Now(), theirs
 	return ours, nil
 }
 
 // All machines lost power and come back within tenths of a second of each other.
 // One dial that hung for a second held up the first agreement for as long.
-func TestAPeerWhosePowerComesBackIsFoundSoon(t *testing.T) {
+func TestTransport_ReconnectsSoonAfterPowerReturns(t *testing.T) {
 	for _, down := range []time.Duration{50 * time.Millisecond, 200 * time.Millisecond, 290 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			ctx, stop := context.WithCancel(context.Background())
 			defer stop()
-			d := &dark{until: time.Now().Add(down)}
+			d := &unpoweredPeer{downUntil: time.Now().Add(down)}
 			p := &Transport{Address: "10.0.0.1:1", Dial: d.dial, Log: NewLog("error", "d"), ctx: ctx}
-			p.Send("10.0.0.2:1", word())
+			p.Send("10.0.0.2:1", anyMessage())
 			<-time.After(2 * time.Second)
 			synctest.Wait()
 			is.True(d.peer != nil)
-			is.True(d.met.Sub(d.until) <= firstDial+mostRest)
+			is.True(d.connectedAt.Sub(d.downUntil) <= initialDialTimeout+maxRedialDelay)
 			stop()
 			d.peer.Close()
 		})
--- a/internal/transport/process/discard_test.go
+++ b/internal/transport/process/discard_test.go
@@ -19,30 +19,30 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// lines is a log that a test can count.
-type lines struct {
+// logBuffer is a log that a test can count.
+type logBuffer struct {
 	mu  sync.Mutex
 	out bytes.Buffer
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.out.Write(p)
 }
 
-func (l *lines) count(word string) int {
+func (l *logBuffer) count(word string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Count(l.out.String(), word)
 }
 
-// receiver is a transport that serves, and what was delivered to its machine.
-func receiver(t *testing.T) (*Transport, *lines, chan any) {
+// startReceiver is a transport that serves, and what was delivered to its machine.
+func startReceiver(t *testing.T) (*Transport, *logBuffer, chan any) {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
 	t.Cleanup(stop)
-	got, out := make(chan any, 64), &lines{}
+	got, out := make(chan any, 64), &logBuffer{}
 	p := &Transport{
 		Address: "127.0.0.1:0", Stats: &TrafficStats{}, Log: &Log{log.Logger{Writer: &log.IOWriter{Writer: out}}},
 		Deliver: func(_ ids.Address, msg any) { got <- msg },
@@ -56,7 +56,7 @@
 	return p, out, got
 }
 
-func frame(t *testing.T, msg any) []byte {
+func encodeFrame(t *testing.T, msg any) []byte {
 	t.Helper()
 	raw, err := wire.Encode(msg)
 	if err != nil {
@@ -65,9 +65,9 @@
 	return raw
 }
 
-// say sends bytes on a connection of their own, closes its own side, and waits
+// sendRaw sends bytes on a connection of their own, closes its own side, and waits
 // until the receiver has read them and closed the other.
-func say(t *testing.T, to *Transport, parts ...[]byte) {
+func sendRaw(t *testing.T, to *Transport, parts ...[]byte) {
 	t.Helper()
 	c, err := net.Dial("tcp", string(to.Address))
 	if err != nil {
@@ -84,8 +84,8 @@
 	_, _ = io.Copy(io.Discard, c)
 }
 
-func discarded(p *Transport) (n uint64) {
-	for _, f := range p.Stats.Flows() {
+func discardedMessages(p *Transport) (n uint64) {
+	for _, f := range p.Stats.Snapshot() {
 		if strings.HasPrefix(string(f.Direction), "discarded") {
 			n += f.Messages
 		}
@@ -95,10 +95,10 @@
 
 // Bad input on our own wire changes nothing, is counted each time, and is
 // logged once a peer.
-func TestBadInputIsCountedAndLoggedOnce(t *testing.T) {
-	hello, word := frame(t, Hello{Address: "127.0.0.1:4"}), frame(t, note{"word"})
+func TestTransport_CountsEachDiscardAndLogsPeerOnce(t *testing.T) {
+	hello, word := encodeFrame(t, Hello{Address: "127.0.0.1:4"}), encodeFrame(t, textMessage{"word"})
 	long, strange := bytes.Clone(word), bytes.Clone(word)
-	binary.BigEndian.PutUint32(long[6:], wire.MaxBody+1)
+	binary.BigEndian.PutUint32(long[6:], wire.MaxBodySize+1)
 	binary.BigEndian.PutUint16(strange[4:], 64999)
 	short := bytes.Clone(word)
 	binary.BigEndian.PutUint32(short[26:], 1<<31) // a list longer than its frame
@@ -108,9 +108,9 @@
 	}{
 		"no hello":                        {[][]byte{word}, 0},
 		"hello in this daemon's own name": {nil, 0},
-		"hello for another machine":       {[][]byte{frame(t, Hello{Address: "127.9.9.9:4"}), word}, 0},
-		"hello without an address":        {[][]byte{frame(t, Hello{}), word}, 0},
-		"a second hello":                  {[][]byte{hello, word, frame(t, Hello{Address: "127.0.0.1:5"}), word}, 1},
+		"hello for another machine":       {[][]byte{encodeFrame(t, Hello{Address: "127.9.9.9:4"}), word}, 0},
+		"hello without an address":        {[][]byte{encodeFrame(t, Hello{}), word}, 0},
+		"a second hello":                  {[][]byte{hello, word, encodeFrame(t, Hello{Address: "127.0.0.1:5"}), word}, 1},
 		"oversized frame":                 {[][]byte{hello, long, word}, 0},
 		"body that ends early":            {[][]byte{hello, short, word}, 0},
 		"no frame at all":                 {[][]byte{hello, []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"), word}, 0},
@@ -118,48 +118,48 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			p, out, got := receiver(t)
+			p, out, got := startReceiver(t)
 			if c.parts == nil {
-				c.parts = [][]byte{frame(t, Hello{Address: p.Address}), word}
+				c.parts = [][]byte{encodeFrame(t, Hello{Address: p.Address}), word}
 			}
 			const times = 4
 			for range times {
-				say(t, p, c.parts...)
+				sendRaw(t, p, c.parts...)
 			}
 			is.Equal(len(got), times*c.delivered)
-			is.Equal(discarded(p), uint64(times))
+			is.Equal(discardedMessages(p), uint64(times))
 			is.Equal(out.count("message discarded"), 1)
 		})
 	}
 }
 
 // What a machine discarded is counted by its kind, and logged once a peer.
-func TestDiscardsOfMachines(t *testing.T) {
+func TestTransport_CountsDiscardsOfMachines(t *testing.T) {
 	is := is.New(t)
-	p, out, _ := receiver(t)
+	p, out, _ := startReceiver(t)
 	for _, from := range []ids.Address{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.1:1"} {
-		p.Discard(event.Discarded{From: from, Reason: event.Unsolicited, Msg: note{}})
+		p.Discard(event.Discarded{From: from, Reason: event.Unsolicited, Msg: textMessage{}})
 	}
-	is.Equal(discarded(p), uint64(3))
+	is.Equal(discardedMessages(p), uint64(3))
 	is.Equal(out.count("message discarded"), 2)
 }
 
 // However a connection ends, and wherever, whole frames alone are delivered, in
 // their order and once.
-func TestAResetAtEveryByteDeliversWholeFramesAlone(t *testing.T) {
+func TestTransport_DeliversOnlyWholeFramesWhenCutAtAnyByte(t *testing.T) {
 	is := is.New(t)
-	p, out, got := receiver(t)
-	stream := frame(t, Hello{Address: "127.0.0.1:4"})
+	p, out, got := startReceiver(t)
+	stream := encodeFrame(t, Hello{Address: "127.0.0.1:4"})
 	ends := []int{len(stream)}
 	for _, text := range []string{"one", "two", "three"} {
-		stream = append(stream, frame(t, note{text})...)
+		stream = append(stream, encodeFrame(t, textMessage{text})...)
 		ends = append(ends, len(stream))
 	}
 	for cut := range len(stream) + 1 {
-		say(t, p, stream[:cut])
+		sendRaw(t, p, stream[:cut])
 		for i, text := range []string{"one", "two", "three"} {
 			if cut >= ends[i+1] {
-				is.Equal(<-got, note{text})
+				is.Equal(<-got, textMessage{text})
 			}
 		}
 		is.Equal(len(got), 0)
--- a/internal/transport/process/log.go
+++ b/internal/transport/process/log.go
@@ -22,22 +22,22 @@
 	return &Log{log.Logger{
 		Level: log.ParseLevel(level), TimeField: "time", TimeFormat: "2006-01-02T15:04:05.000Z07:00",
 		Context: log.NewContext(nil).Str("daemon", daemon).Value(),
-		Writer:  &log.ConsoleWriter{Writer: os.Stderr, Formatter: pairs},
+		Writer:  &log.ConsoleWriter{Writer: os.Stderr, Formatter: formatKeyValues},
 	}}
 }
 
-// pairs writes an entry as key=value, quoted where it has to be.
-func pairs(w io.Writer, a *log.FormatterArgs) (int, error) {
+// formatKeyValues writes an entry as key=value, quoted where it has to be.
+func formatKeyValues(w io.Writer, a *log.FormatterArgs) (int, error) {
 	var b strings.Builder
-	fmt.Fprintf(&b, "time=%s level=%s event=%s", a.Time, a.Level, quote(a.Message))
+	fmt.Fprintf(&b, "time=%s level=%s event=%s", a.Time, a.Level, quoteValue(a.Message))
 	for _, kv := range a.KeyValues {
-		fmt.Fprintf(&b, " %s=%s", kv.Key, quote(kv.Value))
+		fmt.Fprintf(&b, " %s=%s", kv.Key, quoteValue(kv.Value))
 	}
 	b.WriteByte('\n')
 	return io.WriteString(w, b.String())
 }
 
-func quote(s string) string {
+func quoteValue(s string) string {
 	if s == "" || strings.ContainsAny(s, " =\"\n\t") {
 		return strconv.Quote(s)
 	}
@@ -53,10 +53,10 @@
 	e.Msg(string(name))
 }
 
-// Note logs what a machine had to say.
-func (l *Log) Note(n event.LogEntry) { l.Event(n.Level, n.Event, n.Fields...) }
+// WriteEntry logs what a machine had to say.
+func (l *Log) WriteEntry(entry event.LogEntry) { l.Event(entry.Level, entry.Event, entry.Fields...) }
 
-// ended tells whether a connection just ended, as connections do.
-func ended(err error) bool {
+// isConnectionEnd tells whether a connection just ended, as connections do.
+func isConnectionEnd(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, net.ErrClosed) || strings.Contains(err.Error(), "connection reset")
 }
--- a/internal/transport/process/owner.go
+++ b/internal/transport/process/owner.go
@@ -10,24 +10,24 @@
 	"dunlinwell/internal/base/ids"
 )
 
-var begun = time.Now()
+var processStart = time.Now()
 
 // Now is the process's own monotonic time. It starts at one, as zero stands
 // for "never" in the machines.
-func Now() ids.Time { return ids.Time(time.Since(begun)) + 1 }
+func Now() ids.Time { return ids.Time(time.Since(processStart)) + 1 }
 
 // Owner is the one that steps a machine. Events come through its queue.
 type Owner struct {
 	event.Machine
-	// Do carries out one command; it must not wait for the owner.
-	Do        func(event.Command)
+	// Execute carries out one command; it must not wait for the owner.
+	Execute   func(event.Command)
 	TickEvery time.Duration
 	queue     chan event.Event
 }
 
 // NewOwner makes an owner with a queue of some length.
-func NewOwner(m event.Machine, beat time.Duration, do func(event.Command)) *Owner {
-	return &Owner{Machine: m, Do: do, TickEvery: beat, queue: make(chan event.Event, 4096)}
+func NewOwner(machine event.Machine, tickEvery time.Duration, execute func(event.Command)) *Owner {
+	return &Owner{Machine: machine, Execute: execute, TickEvery: tickEvery, queue: make(chan event.Event, 4096)}
 }
 
 // Put hands an event in and waits if the queue is full.
@@ -44,19 +44,19 @@
 
 // Serve steps the machine until the context ends.
 func (o *Owner) Serve(ctx context.Context) error {
-	beat := time.NewTicker(o.TickEvery)
-	defer beat.Stop()
+	ticker := time.NewTicker(o.TickEvery)
+	defer ticker.Stop()
 	for {
 		var ev event.Event
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case ev = <-o.queue:
-		case <-beat.C:
+		case <-ticker.C:
 			ev = event.Tick{}
 		}
 		for _, c := range o.Step(Now(), ev) {
-			o.Do(c)
+			o.Execute(c)
 		}
 	}
 }
--- a/internal/transport/process/receive.go
+++ b/internal/transport/process/receive.go
@@ -11,7 +11,7 @@
 
 // receive reads one peer's connection. A malformed frame closes it, and so does
 // a hello that can't be true.
-func (p *Transport) receive(ctx context.Context, c net.Conn) {
+func (t *Transport) receive(ctx context.Context, c net.Conn) {
 	defer c.Close()
 	stop := context.AfterFunc(ctx, func() { c.Close() })
 	defer stop()
@@ -20,27 +20,27 @@
 	for {
 		head, msg, err := wire.Read(r)
 		if err != nil {
-			if ctx.Err() == nil && !ended(err) {
-				p.discard(host(c.RemoteAddr()), malformed, head.Kind, 0, err.Error())
+			if ctx.Err() == nil && !isConnectionEnd(err) {
+				t.discard(remoteHost(c.RemoteAddr()), malformed, head.Kind, 0, err.Error())
 			}
 			return
 		}
-		p.Stats.count(Received, head.Kind, head.Size())
+		t.Stats.count(Received, head.Kind, head.Size())
 		hello, greets := msg.(Hello)
 		switch {
-		case greets && from == "" && p.admits(hello.Address, c.RemoteAddr()):
+		case greets && from == "" && t.acceptsHello(hello.Address, c.RemoteAddr()):
 			from = hello.Address
-			p.inflates.Store(from, hello.Inflates)
+			t.acceptsDeflated.Store(from, hello.AcceptsDeflated)
 		case greets:
-			p.discard(host(c.RemoteAddr()), badHello, head.Kind, head.Size(), string(hello.Address))
+			t.discard(remoteHost(c.RemoteAddr()), badHello, head.Kind, head.Size(), string(hello.Address))
 			return
 		case msg == nil:
 			// A newer version may say things that this one doesn't know yet.
-			p.discard(host(c.RemoteAddr()), unknownKind, head.Kind, head.Size(), "")
+			t.discard(remoteHost(c.RemoteAddr()), unknownKind, head.Kind, head.Size(), "")
 		case from == "":
-			p.discard(host(c.RemoteAddr()), noHello, head.Kind, head.Size(), "")
+			t.discard(remoteHost(c.RemoteAddr()), noHello, head.Kind, head.Size(), "")
 		default:
-			p.Deliver(from, msg)
+			t.Deliver(from, msg)
 		}
 	}
 }
--- a/internal/transport/process/traffic.go
+++ b/internal/transport/process/traffic.go
@@ -27,39 +27,39 @@
 
 // Tally counts frames by way and kind; a nil one counts nothing.
 type TrafficStats struct {
-	mu    sync.Mutex
-	flows map[flowKey]*Traffic
+	mu     sync.Mutex
+	byKind map[trafficKey]*Traffic
 }
 
-type flowKey struct {
-	way  Direction
-	kind wire.Kind
+type trafficKey struct {
+	direction Direction
+	kind      wire.Kind
 }
 
-func (t *TrafficStats) count(w Direction, k wire.Kind, size int) {
+func (t *TrafficStats) count(direction Direction, kind wire.Kind, size int) {
 	if t == nil {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	f := t.flows[flowKey{w, k}]
-	if f == nil {
-		if t.flows == nil {
-			t.flows = map[flowKey]*Traffic{}
+	traffic := t.byKind[trafficKey{direction, kind}]
+	if traffic == nil {
+		if t.byKind == nil {
+			t.byKind = map[trafficKey]*Traffic{}
 		}
-		f = &Traffic{Direction: w, Kind: cmp.Or(k.Name(), "unknown")}
-		t.flows[flowKey{w, k}] = f
+		traffic = &Traffic{Direction: direction, Kind: cmp.Or(kind.Name(), "unknown")}
+		t.byKind[trafficKey{direction, kind}] = traffic
 	}
-	f.Messages++
-	f.Bytes += uint64(size)
+	traffic.Messages++
+	traffic.Bytes += uint64(size)
 }
 
-// Flows gives what was counted so far, in a steady order.
-func (t *TrafficStats) Flows() []Traffic {
+// Snapshot gives what was counted so far, in a steady order.
+func (t *TrafficStats) Snapshot() []Traffic {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []Traffic
-	for _, f := range t.flows {
+	for _, f := range t.byKind {
 		out = append(out, *f)
 	}
 	slices.SortFunc(out, func(a, b Traffic) int {
--- a/internal/transport/process/traffic_test.go
+++ b/internal/transport/process/traffic_test.go
@@ -11,12 +11,12 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-type note struct{ Text string }
+type textMessage struct{ Text string }
 
-var _ = wire.Register(65001, note{})
+var _ = wire.Register(65001, textMessage{})
 
 // What one post counts as sent, the other counts as received, byte for byte.
-func TestTallyOfBothEndsAgrees(t *testing.T) {
+func TestTrafficStats_SenderAndReceiverAgree(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
@@ -29,14 +29,14 @@
 		p.Deliver = func(_ ids.Address, msg any) { got <- msg }
 		go func() { _ = p.Serve(ctx, l) }()
 	}
-	raw, err := wire.Encode(note{"hello"})
+	raw, err := wire.Encode(textMessage{"hello"})
 	is.NoErr(err)
 	// A post sends nothing before it serves.
 	for heard := false; !heard; {
-		a.Send(b.Address, note{"hello"})
+		a.Send(b.Address, textMessage{"hello"})
 		select {
 		case m := <-got:
-			is.Equal(m, note{"hello"})
+			is.Equal(m, textMessage{"hello"})
 			heard = true
 		case <-time.After(20 * time.Millisecond):
 		case <-ctx.Done():
@@ -45,14 +45,14 @@
 	}
 	var sent, received Traffic
 	for ctx.Err() == nil && (sent.Messages == 0 || sent != received) {
-		sent, received = find(a.Stats, Sent), find(b.Stats, Received)
+		sent, received = findTraffic(a.Stats, Sent), findTraffic(b.Stats, Received)
 	}
 	is.Equal(sent, received)
 	is.Equal(sent.Bytes, sent.Messages*uint64(len(raw)))
 }
 
-func find(t *TrafficStats, w Direction) Traffic {
-	for _, f := range t.Flows() {
+func findTraffic(t *TrafficStats, w Direction) Traffic {
+	for _, f := range t.Snapshot() {
 		if f.Direction == w && f.Kind == "hoist.note" {
 			f.Direction = ""
 			return f
@@ -61,7 +61,7 @@
 	return Traffic{}
 }
 
-func TestNilTallyCountsNothing(t *testing.T) {
+func TestTrafficStats_NilCountsNothing(t *testing.T) {
 	var none *TrafficStats
 	none.count(Sent, 1, 10)
 }
--- a/internal/transport/process/trafficlog.go
+++ b/internal/transport/process/trafficlog.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// wireEvery is how often what was sent is logged, and wireMost of how many
+	// trafficLogInterval is how often what was sent is logged, and wireMost of how many
 	// kinds.
-	wireEvery = 20 * time.Second
-	wireMost  = 5
+	trafficLogInterval = 20 * time.Second
+	trafficLogKinds    = 5
 )
 
-// sayWire logs, now and then, what most of the bytes sent were.
-func (p *Transport) sayWire(ctx context.Context) {
-	tick := time.NewTicker(wireEvery)
+// logTraffic logs, now and then, what most of the bytes sent were.
+func (t *Transport) logTraffic(ctx context.Context) {
+	tick := time.NewTicker(trafficLogInterval)
 	defer tick.Stop()
 	last := map[string]uint64{}
 	for {
@@ -35,7 +35,7 @@
 		}
 		var rows []row
 		all := uint64(0)
-		for _, f := range p.Stats.Flows() {
+		for _, f := range t.Stats.Snapshot() {
 			if f.Direction != Sent {
 				continue
 			}
@@ -45,9 +45,9 @@
 		}
 		slices.SortFunc(rows, func(a, b row) int { return cmp.Or(-cmp.Compare(a.bytes, b.bytes), cmp.Compare(a.kind, b.kind)) })
 		var parts []string
-		for _, r := range rows[:min(wireMost, len(rows))] {
+		for _, r := range rows[:min(trafficLogKinds, len(rows))] {
 			parts = append(parts, r.kind+":"+strconv.FormatUint(r.bytes, 10))
 		}
-		p.Log.Event(event.LevelInfo, "wire", "bytes", strconv.FormatUint(all, 10), "most", strings.Join(parts, ","))
+		t.Log.Event(event.LevelInfo, "wire", "bytes", strconv.FormatUint(all, 10), "most", strings.Join(parts, ","))
 	}
 }
--- a/internal/transport/process/transport.go
+++ b/internal/transport/process/transport.go
@@ -16,8 +16,8 @@
 // Greeting opens a connection: it tells where the sender takes messages.
 type Hello struct {
 	Address ids.Address
-	// Inflates tells that the sender reads frames whose body is deflated.
-	Inflates bool
+	// AcceptsDeflated tells that the sender reads frames whose body is deflated.
+	AcceptsDeflated bool
 }
 
 var _ = wire.Register(1, Hello{})
@@ -38,40 +38,40 @@
 
 	mu     sync.Mutex
 	queues map[ids.Address]chan []byte
-	// inflates holds the peers that said that they read deflated frames.
-	inflates sync.Map
-	ctx      context.Context
-	logged   logOnce
+	// acceptsDeflated holds the peers that said that they read deflated frames.
+	acceptsDeflated sync.Map
+	ctx             context.Context
+	discardLog      logOnce
 }
 
-// TCPUserLimit is the socket option TCP_USER_TIMEOUT.
-const TCPUserLimit = 18
+// TCPUserTimeout is the socket option TCP_USER_TIMEOUT.
+const TCPUserTimeout = 18
 
 const (
-	queueLength = 512
-	writeWithin = 2 * time.Second
-	idleFor     = time.Minute
+	queueLength  = 512
+	writeTimeout = 2 * time.Second
+	idleTimeout  = time.Minute
 )
 
 // Listen opens the port, so that a taken one is known before anything runs.
-func (p *Transport) Listen() (net.Listener, error) {
-	at := p.Bind
+func (t *Transport) Listen() (net.Listener, error) {
+	at := t.Bind
 	if at == "" {
-		at = p.Address
+		at = t.Address
 	}
 	l, err := net.Listen("tcp", string(at))
 	return l, errs.Wrap(err, "listen", string(at))
 }
 
 // Serve takes connections until the context ends.
-func (p *Transport) Serve(ctx context.Context, l net.Listener) error {
-	p.mu.Lock()
-	p.ctx = ctx
-	p.mu.Unlock()
+func (t *Transport) Serve(ctx context.Context, l net.Listener) error {
+	t.mu.Lock()
+	t.ctx = ctx
+	t.mu.Unlock()
 	stop := context.AfterFunc(ctx, func() { l.Close() })
 	defer stop()
-	if p.Stats != nil {
-		go p.sayWire(ctx)
+	if t.Stats != nil {
+		go t.logTraffic(ctx)
 	}
 	for {
 		c, err := l.Accept()
@@ -81,117 +81,117 @@
 			}
 			return errs.Wrap(err, "accept", "")
 		}
-		go p.receive(ctx, c)
+		go t.receive(ctx, c)
 	}
 }
 
 // Send queues a message on the peer's line; a full line loses it.
-func (p *Transport) Send(to ids.Address, msg any) {
-	if to == p.Address {
-		p.Deliver(to, msg)
+func (t *Transport) Send(to ids.Address, msg any) {
+	if to == t.Address {
+		t.Deliver(to, msg)
 		return
 	}
 	raw, err := wire.Encode(msg)
 	if err != nil {
-		p.Log.Event(event.LevelError, "not packed", "peer", string(to), "error", err.Error())
+		t.Log.Event(event.LevelError, "not packed", "peer", string(to), "error", err.Error())
 		return
 	}
-	if able, _ := p.inflates.Load(to); able == true {
+	if able, _ := t.acceptsDeflated.Load(to); able == true {
 		raw = wire.Deflate(raw)
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.ctx == nil || p.ctx.Err() != nil {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.ctx == nil || t.ctx.Err() != nil {
 		return
 	}
-	if p.queues == nil {
-		p.queues = map[ids.Address]chan []byte{}
+	if t.queues == nil {
+		t.queues = map[ids.Address]chan []byte{}
 	}
-	line := p.queues[to]
-	if line == nil {
-		line = make(chan []byte, queueLength)
-		p.queues[to] = line
-		go p.maintain(p.ctx, to, line)
+	queue := t.queues[to]
+	if queue == nil {
+		queue = make(chan []byte, queueLength)
+		t.queues[to] = queue
+		go t.maintainConnection(t.ctx, to, queue)
 	}
 	select {
-	case line <- raw:
+	case queue <- raw:
 	default:
-		p.Stats.count(Dropped, wire.KindOfFrame(raw), len(raw))
+		t.Stats.count(Dropped, wire.KindOfFrame(raw), len(raw))
 	}
 }
 
-// drop forgets an idle line, unless something was queued meanwhile.
-func (p *Transport) drop(to ids.Address, line chan []byte) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if len(line) > 0 {
+// removeIdleQueue forgets an idle line, unless something was queued meanwhile.
+func (t *Transport) removeIdleQueue(to ids.Address, queue chan []byte) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if len(queue) > 0 {
 		return false
 	}
-	delete(p.queues, to)
+	delete(t.queues, to)
 	return true
 }
 
 // hold keeps a connection to one peer while there is something to say.
-func (p *Transport) maintain(ctx context.Context, to ids.Address, line chan []byte) {
+func (t *Transport) maintainConnection(ctx context.Context, to ids.Address, queue chan []byte) {
 	var first []byte
-	pace := newDialPace()
+	pace := newDialBackoff()
 	for {
 		// A peer that is gone for good isn't dialled for nothing.
 		if first == nil {
 			select {
 			case <-ctx.Done():
 				return
-			case first = <-line:
+			case first = <-queue:
 			}
 		}
-		dial := p.Dial
+		dial := t.Dial
 		if dial == nil {
-			dial = p.dial
+			dial = t.dial
 		}
 		c, err := pace.dial(ctx, to, dial)
 		if err == nil {
-			if p.write(ctx, c, to, first, line) {
+			if t.writeQueue(ctx, c, to, first, queue) {
 				return
 			}
 			first = nil
 		}
 		// What waits for a peer that isn't there is old by the time it is.
-		for len(line) > queueLength/2 {
-			old := <-line
-			p.Stats.count(Dropped, wire.KindOfFrame(old), len(old))
+		for len(queue) > queueLength/2 {
+			old := <-queue
+			t.Stats.count(Dropped, wire.KindOfFrame(old), len(old))
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(pace.rest):
+		case <-time.After(pace.delay):
 		}
 	}
 }
 
-// write carries the line's messages; true once the line was idle and dropped.
-func (p *Transport) write(ctx context.Context, c net.Conn, to ids.Address, first []byte, line chan []byte) bool {
+// writeQueue carries the line's messages; true once the line was idle and dropped.
+func (t *Transport) writeQueue(ctx context.Context, c net.Conn, to ids.Address, first []byte, queue chan []byte) bool {
 	defer c.Close()
 	// The peer never writes here: a read that ends tells that it closed.
-	gone := make(chan struct{})
-	go func() { defer close(gone); _, _ = c.Read(make([]byte, 1)) }()
-	w := bufio.NewWriterSize(c, 64<<10)
-	hello, err := wire.Encode(Hello{Address: p.Address, Inflates: true})
+	closedByPeer := make(chan struct{})
+	go func() { defer close(closedByPeer); _, _ = c.Read(make([]byte, 1)) }()
+	buffered := bufio.NewWriterSize(c, 64<<10)
+	hello, err := wire.Encode(Hello{Address: t.Address, AcceptsDeflated: true})
 	if err != nil {
 		return true
 	}
-	_, _ = w.Write(hello)
-	idle := time.NewTimer(idleFor)
+	_, _ = buffered.Write(hello)
+	idle := time.NewTimer(idleTimeout)
 	defer idle.Stop()
 	for raw := first; ; {
 		if raw != nil {
-			idle.Reset(idleFor)
-			err := writeFrame(c, w, raw)
-			if err == nil && len(line) == 0 {
-				err = w.Flush()
+			idle.Reset(idleTimeout)
+			err := writeFrame(c, buffered, raw)
+			if err == nil && len(queue) == 0 {
+				err = buffered.Flush()
 			}
-			p.Stats.count(Sent, wire.KindOfFrame(raw), len(raw))
+			t.Stats.count(Sent, wire.KindOfFrame(raw), len(raw))
 			if err != nil {
-				p.Log.Event(event.LevelWarn, "circuit lost", "peer", string(to), "error", err.Error())
+				t.Log.Event(event.LevelWarn, "circuit lost", "peer", string(to), "error", err.Error())
 				return false
 			}
 			raw = nil
@@ -199,14 +199,14 @@
 		select {
 		case <-ctx.Done():
 			return true
-		case <-gone:
+		case <-closedByPeer:
 			return false
 		case <-idle.C:
-			if p.drop(to, line) {
+			if t.removeIdleQueue(to, queue) {
 				return true
 			}
-			idle.Reset(idleFor)
-		case raw = <-line:
+			idle.Reset(idleTimeout)
+		case raw = <-queue:
 		}
 	}
 }
--- a/internal/transport/process/transport_test.go
+++ b/internal/transport/process/transport_test.go
@@ -14,43 +14,43 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// away is a peer that refuses for a while, and counts how often it was asked.
-type away struct {
-	until time.Time
-	dials int
-	met   time.Time
-	peer  net.Conn
+// refusingPeer is a peer that refuses for a while, and counts how often it was asked.
+type refusingPeer struct {
+	refusesUntil time.Time
+	dials        int
+	connectedAt  time.Time
+	peer         net.Conn
 }
 
-func (a *away) dial(context.Context, ids.Address) (net.Conn, error) {
-	a.dials++
-	if time.Now().Before(a.until) {
+func (p *refusingPeer) dial(context.Context, ids.Address) (net.Conn, error) {
+	p.dials++
+	if time.Now().Before(p.refusesUntil) {
 		return nil, errors.New("refused")
 	}
 	ours, theirs := net.Pipe()
-	a.met, a.peer = time.Now(), theirs
+	p.connectedAt, p.peer = time.Now(), theirs
 	return ours, nil
 }
 
-func word() Hello { return Hello{Address: "10.0.0.9:1"} }
+func anyMessage() Hello { return Hello{Address: "10.0.0.9:1"} }
 
 // After a loss of the whole fleet each daemon refuses the others until it has
 // started, and a proxy is ready only once several have found one another.
-func TestAPeerThatStartsIsFoundSoon(t *testing.T) {
+func TestTransport_ConnectsSoonAfterPeerStarts(t *testing.T) {
 	for _, down := range []time.Duration{0, 300 * time.Millisecond, 1700 * time.Millisecond, 30 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			ctx, stop := context.WithCancel(context.Background())
 			defer stop()
-			a := &away{until: time.Now().Add(down)}
+			a := &refusingPeer{refusesUntil: time.Now().Add(down)}
 			p := &Transport{Address: "10.0.0.1:1", Dial: a.dial, Log: NewLog("error", "d"), ctx: ctx}
-			p.Send("10.0.0.2:1", word())
-			<-time.After(down + mostRest)
+			p.Send("10.0.0.2:1", anyMessage())
+			<-time.After(down + maxRedialDelay)
 			synctest.Wait()
 			is.True(a.peer != nil)
-			is.True(a.met.Sub(a.until) <= mostRest)
+			is.True(a.connectedAt.Sub(a.refusesUntil) <= maxRedialDelay)
 			// What was said first is there, behind the greeting.
-			for _, want := range []any{Hello{Address: "10.0.0.1:1", Inflates: true}, word()} {
+			for _, want := range []any{Hello{Address: "10.0.0.1:1", AcceptsDeflated: true}, anyMessage()} {
 				_, got, err := wire.Read(a.peer)
 				is.NoErr(err)
 				is.Equal(got, want)
@@ -62,14 +62,14 @@
 }
 
 // A member that is gone for good must not be dialled for ever.
-func TestAPeerIsNotDialledForNothing(t *testing.T) {
+func TestTransport_DialsOnlyWithQueuedMessages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, stop := context.WithCancel(context.Background())
 		defer stop()
-		a := &away{}
+		a := &refusingPeer{}
 		p := &Transport{Address: "10.0.0.1:1", Dial: a.dial, Log: NewLog("error", "d"), ctx: ctx}
-		p.Send("10.0.0.2:1", word())
+		p.Send("10.0.0.2:1", anyMessage())
 		synctest.Wait()
 		_, _, err := wire.Read(a.peer)
 		is.NoErr(err)
@@ -79,7 +79,7 @@
 		<-time.After(time.Hour)
 		synctest.Wait()
 		is.Equal(a.dials, 1)
-		p.Send("10.0.0.2:1", word())
+		p.Send("10.0.0.2:1", anyMessage())
 		synctest.Wait()
 		is.Equal(a.dials, 2)
 		stop()
--- a/internal/transport/process/writeframe_test.go
+++ b/internal/transport/process/writeframe_test.go
@@ -14,10 +14,10 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// large is a frame that a slow link carries for much longer than writeWithin.
-type large struct{ Body []byte }
+// largeMessage is a frame that a slow link carries for much longer than writeWithin.
+type largeMessage struct{ Body []byte }
 
-var _ = wire.Register(65000, large{})
+var _ = wire.Register(65000, largeMessage{})
 
 // slowReader takes a few bytes at a time, with a pause after each.
 type slowReader struct {
@@ -32,7 +32,7 @@
 
 // A frame that is carried slowly, but steadily, arrives; one that a peer takes
 // nothing of ends the connection.
-func TestALargeFrameOnASlowLink(t *testing.T) {
+func TestTransport_SlowLinkCarriesLargeFrames(t *testing.T) {
 	for _, pause := range []time.Duration{50 * time.Millisecond, time.Hour} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
@@ -41,7 +41,7 @@
 			p := &Transport{Address: "10.0.0.1:1", Log: NewLog("fatal", "d"), ctx: ctx}
 			p.Dial = func(context.Context, ids.Address) (net.Conn, error) { return ours, nil }
 			body := make([]byte, 1<<20)
-			p.Send("10.0.0.2:1", large{Body: body})
+			p.Send("10.0.0.2:1", largeMessage{Body: body})
 			_, _, err := wire.Read(theirs)
 			is.NoErr(err)
 			began := time.Now()
@@ -50,8 +50,8 @@
 				is.True(err != nil)
 			} else {
 				is.NoErr(err)
-				is.Equal(len(got.(large).Body), len(body))
-				is.True(time.Since(began) > 2*writeWithin)
+				is.Equal(len(got.(largeMessage).Body), len(body))
+				is.True(time.Since(began) > 2*writeTimeout)
 			}
 			stop()
 			theirs.Close()
--- a/internal/transport/wire/body.go
+++ b/internal/transport/wire/body.go
@@ -11,9 +11,9 @@
 	"dunlinwell/internal/base/errs"
 )
 
-// put writes a value field by field in big-endian order: numbers at their
+// encodeValue writes a value field by field in big-endian order: numbers at their
 // own width, strings, bytes and lists behind a 32-bit count.
-func put(b *bytes.Buffer, v reflect.Value) error {
+func encodeValue(b *bytes.Buffer, v reflect.Value) error {
 	switch v.Kind() {
 	case reflect.Bool:
 		if v.Bool() {
@@ -42,7 +42,7 @@
 			return nil
 		}
 		for i := range v.Len() {
-			if err := put(b, v.Index(i)); err != nil {
+			if err := encodeValue(b, v.Index(i)); err != nil {
 				return err
 			}
 		}
@@ -50,7 +50,7 @@
 		// Structs in lists are sized, so a newer one may have more fields.
 		var in bytes.Buffer
 		for i := range v.NumField() {
-			if err := put(&in, v.Field(i)); err != nil {
+			if err := encodeValue(&in, v.Field(i)); err != nil {
 				return err
 			}
 		}
@@ -62,67 +62,67 @@
 	return nil
 }
 
-var errShort = errors.New("body too short")
+var ErrBodyTooShort = errors.New("body too short")
 
-func word(r *bytes.Reader, n int) (uint64, error) {
+func readUint(r *bytes.Reader, n int) (uint64, error) {
 	var raw [8]byte
 	if _, err := io.ReadFull(r, raw[8-n:]); err != nil {
-		return 0, errShort
+		return 0, ErrBodyTooShort
 	}
 	return binary.BigEndian.Uint64(raw[:]), nil
 }
 
-// span reads a count and checks it against what is left before any use.
-func span(r *bytes.Reader) (int, error) {
-	n, err := word(r, 4)
+// readLength reads a count and checks it against what is left before any use.
+func readLength(r *bytes.Reader) (int, error) {
+	n, err := readUint(r, 4)
 	if err != nil {
 		return 0, err
 	}
 	if n > uint64(r.Len()) {
-		return 0, errShort
+		return 0, ErrBodyTooShort
 	}
 	return int(n), nil
 }
 
-func get(r *bytes.Reader, v reflect.Value) error {
+func decodeValue(r *bytes.Reader, v reflect.Value) error {
 	var x uint64
 	var err error
 	switch v.Kind() {
 	case reflect.Bool:
-		if x, err = word(r, 1); err == nil {
+		if x, err = readUint(r, 1); err == nil {
 			v.SetBool(x != 0)
 		}
 	case reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		if x, err = word(r, int(v.Type().Size())); err == nil {
+		if x, err = readUint(r, int(v.Type().Size())); err == nil {
 			v.SetUint(x)
 		}
 	case reflect.Int, reflect.Int64:
-		if x, err = word(r, 8); err == nil {
+		if x, err = readUint(r, 8); err == nil {
 			v.SetInt(int64(x))
 		}
 	case reflect.Float64:
-		if x, err = word(r, 8); err == nil {
+		if x, err = readUint(r, 8); err == nil {
 			v.SetFloat(math.Float64frombits(x))
 		}
 	case reflect.String, reflect.Slice:
-		return getList(r, v)
+		return decodeList(r, v)
 	case reflect.Struct:
-		return getStruct(r, v)
+		return decodeStruct(r, v)
 	default:
 		return errs.New("unpack", "", "can't unpack a %s", v.Type())
 	}
 	return err
 }
 
-func getList(r *bytes.Reader, v reflect.Value) error {
-	n, err := span(r)
+func decodeList(r *bytes.Reader, v reflect.Value) error {
+	n, err := readLength(r)
 	if err != nil {
 		return err
 	}
 	if v.Kind() == reflect.String || v.Type().Elem().Kind() == reflect.Uint8 {
 		raw := make([]byte, n)
 		if _, err := io.ReadFull(r, raw); err != nil {
-			return errShort
+			return ErrBodyTooShort
 		}
 		if v.Kind() == reflect.String {
 			v.SetString(string(raw))
@@ -134,7 +134,7 @@
 	// Grown as it is read: a lying count runs out of bytes, not of memory.
 	for range n {
 		e := reflect.New(v.Type().Elem()).Elem()
-		if err := get(r, e); err != nil {
+		if err := decodeValue(r, e); err != nil {
 			return err
 		}
 		v.Set(reflect.Append(v, e))
@@ -142,14 +142,14 @@
 	return nil
 }
 
-func getStruct(r *bytes.Reader, v reflect.Value) error {
-	n, err := span(r)
+func decodeStruct(r *bytes.Reader, v reflect.Value) error {
+	n, err := readLength(r)
 	if err != nil {
 		return err
 	}
 	raw := make([]byte, n)
 	if _, err := io.ReadFull(r, raw); err != nil {
-		return errShort
+		return ErrBodyTooShort
 	}
 	in := bytes.NewReader(raw)
 	for i := range v.NumField() {
@@ -157,7 +157,7 @@
 		if in.Len() == 0 {
 			return nil
 		}
-		if err := get(in, v.Field(i)); err != nil {
+		if err := decodeValue(in, v.Field(i)); err != nil {
 			return err
 		}
 	}
--- a/internal/transport/wire/fuzz_test.go
+++ b/internal/transport/wire/fuzz_test.go
@@ -9,7 +9,7 @@
 // FuzzRead gives the frame reader any stream: it neither panics nor reads past
 // a frame, and what it takes can be packed again, and is then the same.
 func FuzzRead(f *testing.F) {
-	for _, msg := range []any{newMsg{List: []newPart{{"a", 7}}, Extra: []byte("xyz"), Share: 0.5}, oldMsg{}, newMsg{Extra: bytes.Repeat([]byte("x"), deflateFrom)}} {
+	for _, msg := range []any{newMessage{List: []newPart{{"a", 7}}, Extra: []byte("xyz"), Share: 0.5}, oldMessage{}, newMessage{Extra: bytes.Repeat([]byte("x"), minDeflateSize)}} {
 		raw, err := Encode(msg)
 		if err != nil {
 			f.Fatal(err)
@@ -18,7 +18,7 @@
 		f.Add(Deflate(raw))
 		f.Add(append(bytes.Clone(raw), raw...))
 		f.Add(raw[:len(raw)-1])
-		for at, value := range map[int]uint32{lengthAt: MaxBody + 1, lengthAt + 1: 7, headSize: 1 << 31, spareAt: 1 << 24} {
+		for at, value := range map[int]uint32{lengthOffset: MaxBodySize + 1, lengthOffset + 1: 7, headerSize: 1 << 31, flagsOffset: 1 << 24} {
 			bad := bytes.Clone(raw)
 			binary.BigEndian.PutUint32(bad[at:], value)
 			f.Add(bad)
--- a/internal/transport/wire/kinds.go
+++ b/internal/transport/wire/kinds.go
@@ -5,5 +5,5 @@
 	"reflect"
 )
 
-// Kinds gives the message type of every registered kind.
-func Kinds() map[Kind]reflect.Type { return maps.Clone(kinds) }
+// RegisteredKinds gives the message type of every registered kind.
+func RegisteredKinds() map[Kind]reflect.Type { return maps.Clone(typesByKind) }
