--- a/internal/app/api/api.go
+++ b/internal/app/api/api.go
@@ -83,7 +83,7 @@
 	for _, g := range m.Body.Items {
 		size += len(g.Body) + len(g.Source) + len(g.Name)
 	}
-	return baseResponseTimeout + 2*(registry.CallWait(size)-registry.CallWait(0))
+	return baseResponseTimeout + 2*(registry.CallTimeout(size)-registry.CallTimeout(0))
 }
 
 // Status asks the registry how things stand; an empty one if it doesn't answer.
--- a/internal/app/cli/items.go
+++ b/internal/app/cli/items.go
@@ -198,7 +198,7 @@
 	return c.Print(raw, func() error {
 		ans, err := decodeResponse[registry.Resolution](raw)
 		for _, a := range ans.Proxies {
-			fmt.Fprintf(c.Out, "%s (cell %s, for %d ms)\n", a, ans.Zone, ans.Lifetime)
+			fmt.Fprintf(c.Out, "%s (cell %s, for %d ms)\n", a, ans.Zone, ans.LifetimeMillis)
 		}
 		return err
 	})
--- a/internal/app/cli/status.go
+++ b/internal/app/cli/status.go
@@ -62,7 +62,7 @@
 	defer w.Flush()
 	force := "in force on every live proxy"
 	if !st.InForce {
-		force = fmt.Sprintf("not yet in force on %v", st.Behind)
+		force = fmt.Sprintf("not yet in force on %v", st.LaggingProxies)
 	}
 	fmt.Fprintf(w, "revision %d, %s (seen by registry %s)\n", st.Revision, force, st.Registry)
 	fmt.Fprintln(w, "\nCELL\tUSED\tACCEPT\tTARGET\tMAX\tMAX IS\tCOUNTERS\tTARGETS\tSTATE")
@@ -71,7 +71,7 @@
 	}
 	fmt.Fprintln(w, "\nMOVE\tROUTE\tSHARE\tMS/S\tWHY")
 	for _, m := range st.Moves {
-		fmt.Fprintf(w, "%s > %s\t%s\t%.1f%%\t%.0f\t%s\n", m.From, m.To, m.Route, m.Fraction*100, m.Amount, m.Why)
+		fmt.Fprintf(w, "%s > %s\t%s\t%.1f%%\t%.0f\t%s\n", m.From, m.To, m.Route, m.Fraction*100, m.Amount, m.Reason)
 	}
 	fmt.Fprintln(w, "\nDAEMON\tROLE\tCELL\tADDRESS\tHTTP\tREVISION\tSTATE")
 	for _, d := range st.Daemons {
@@ -79,7 +79,7 @@
 	}
 	fmt.Fprintln(w, "\nDUTY\tEPOCH\tPLAN\tHERE")
 	for _, d := range st.Leaderships {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%t\n", d.Name, d.Epoch, d.Plan, d.Held)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%t\n", d.Name, d.Epoch, d.PlanNumber, d.Held)
 	}
 	if len(st.Warnings) == 0 {
 		fmt.Fprintln(w, "\nno problems")
--- a/internal/app/daemon/registry.go
+++ b/internal/app/daemon/registry.go
@@ -50,7 +50,7 @@
 	log := process.NewLog(options.LogLevel, options.Name)
 	machine := registry.New(registry.Options{
 		Options:   membership.Options{Self: NewMember(options.Common, membership.Registry), Seeds: options.SeedAddresses(), Incremental: options.Incremental},
-		PlanEvery: options.PlanEvery, Lifetime: options.ResolutionLifetime, Regions: options.Regions, Incremental: options.Incremental, Always: options.AlwaysResolve, Derive: options.DeriveSetPoints, Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		PlanEvery: options.PlanEvery, Lifetime: options.ResolutionLifetime, Regions: options.Regions, Incremental: options.Incremental, AlwaysAnswer: options.AlwaysResolve, DeriveLevels: options.DeriveSetPoints, Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
 	transport := &process.Transport{Address: ids.Address(options.Address), Bind: ids.Address(options.Bind), Log: log, Stats: &process.TrafficStats{}}
 	server := &api.Server{Log: log.Event}
--- a/internal/controlplane/registry/calls.go
+++ b/internal/controlplane/registry/calls.go
@@ -66,104 +66,104 @@
 	Message string `json:"problem"`
 }
 
-// callWait bounds how long a call waits for a majority.
-const callWait = 3 * time.Second
+// callTimeout bounds how long a call waits for a majority.
+const callTimeout = 3 * time.Second
 
-// CallWait is how long a call of so many bytes waits: a large one takes its
+// CallTimeout is how long a call of so many bytes waits: a large one takes its
 // time to the store, and from there to the others.
-func CallWait(bytes int) time.Duration { return callWait + 2*consensus.TransferTime(bytes) }
+func CallTimeout(bytes int) time.Duration { return callTimeout + 2*consensus.TransferTime(bytes) }
 
-func names[V any](m map[ids.Name]V) []ids.Name { return slices.Sorted(maps.Keys(m)) }
+func sortedNames[V any](m map[ids.Name]V) []ids.Name { return slices.Sorted(maps.Keys(m)) }
 
-func (f *Registry) call(now ids.Time, ev any) {
-	if id, ok := callID(ev); ok && f.stopping {
-		f.rejects(id)
+func (r *Registry) handleCall(now ids.Time, ev any) {
+	if id, ok := callID(ev); ok && r.stopping {
+		r.replyStopping(id)
 		return
 	}
-	switch c := ev.(type) {
+	switch call := ev.(type) {
 	case ChangeCall:
-		f.change(now, c)
+		r.handleChange(now, call)
 	case MergeCall:
-		f.merge(now, c)
+		r.handleMerge(now, call)
 	case ZoneOrderCall:
-		f.orderZone(now, c)
+		r.handleZoneOrder(now, call)
 	case DeregisterCall:
-		f.gone(now, c)
+		r.handleDeregister(now, call)
 	case ReadConfigurationCall:
-		f.configurationCall(now, c)
+		r.handleReadConfiguration(now, call)
 	case ResolveCall:
-		f.where(now, c)
+		r.handleResolve(now, call)
 	case HeartbeatCall:
-		f.announced(now, c)
+		r.handleHeartbeat(now, call)
 	case Stopping:
-		f.stop(now)
+		r.handleStopping(now)
 	case StatusCall:
 		// It tells of this daemon itself, and how old its agreement is.
-		f.Emit(Response{ID: c.ID, Status: 200, Body: f.Status(now)})
+		r.Emit(Response{ID: call.ID, Status: 200, Body: r.Status(now)})
 	}
 }
 
 // unreached answers a call that surely had no effect for want of a majority.
-func (f *Registry) unavailable(id uint64) {
-	f.Emit(Response{ID: id, Status: 503, Body: ErrorResponse{"no majority of stores can be reached"}, RetryAfter: 1})
+func (r *Registry) replyUnavailable(id uint64) {
+	r.Emit(Response{ID: id, Status: 503, Body: ErrorResponse{"no majority of stores can be reached"}, RetryAfter: 1})
 }
 
-func (f *Registry) configurationCall(now ids.Time, c ReadConfigurationCall) {
+func (r *Registry) handleReadConfiguration(now ids.Time, call ReadConfigurationCall) {
 	switch {
-	case !c.Local:
-		f.underLease(now, c.ID, func(now ids.Time) { f.beginRead(now, c) })
-	case f.leased(now):
-		f.Emit(Response{ID: c.ID, Status: 200, Body: f.configuration})
+	case !call.Local:
+		r.withLease(now, call.ID, func(now ids.Time) { r.startLinearizableRead(now, call) })
+	case r.hasLease(now):
+		r.Emit(Response{ID: call.ID, Status: 200, Body: r.configuration})
 	default:
-		f.unavailable(c.ID)
+		r.replyUnavailable(call.ID)
 	}
 }
 
-// beginRead begins an agreement read: every daemon gives the same truth, or none.
-func (f *Registry) beginRead(now ids.Time, c ReadConfigurationCall) {
-	f.await(now, 0, f.Client.ReadIfChanged(now, configuration.Key, f.whole, f.sum, callWait, func(_ ids.Time, s consensus.Outcome, out []byte) {
-		p, err := configuration.Decode(out)
-		if s != consensus.Succeeded || err != nil {
-			f.unavailable(c.ID)
+// startLinearizableRead begins an agreement read: every daemon gives the same truth, or none.
+func (r *Registry) startLinearizableRead(now ids.Time, call ReadConfigurationCall) {
+	r.trackPendingCall(now, 0, r.Client.ReadIfChanged(now, configuration.Key, r.registerValue, r.registerChecksum, callTimeout, func(_ ids.Time, outcome consensus.Outcome, out []byte) {
+		document, err := configuration.Decode(out)
+		if outcome != consensus.Succeeded || err != nil {
+			r.replyUnavailable(call.ID)
 			return
 		}
-		f.agreed = max(f.agreed, now)
-		f.adopt(out)
-		p.Recent, p.Rejected, p.History = nil, nil, nil
-		f.Emit(Response{ID: c.ID, Status: 200, Body: p})
+		r.agreedAt = max(r.agreedAt, now)
+		r.adoptConfiguration(out)
+		document.Recent, document.Rejected, document.History = nil, nil, nil
+		r.Emit(Response{ID: call.ID, Status: 200, Body: document})
 	}))
 }
 
 // sightFor is how long a sight is used again: drawing up every zone for each
 // ask would cost more than the answer.
-const snapshotFor = 50 * time.Millisecond
+const snapshotLifetime = 50 * time.Millisecond
 
 // sight is what the directory answers from. A change of configuration or of the roll
 // makes it anew at once.
-func (f *Registry) snapshot(now ids.Time) directory.Snapshot {
-	k := snapshotKey{f.view.Revision, f.Version(), f.table.Epoch, f.table.Number}
-	if k != f.seenBy || now.Sub(f.seenAt) >= snapshotFor {
-		f.seen, f.seenBy, f.seenAt = f.look(now), k, now
+func (r *Registry) directorySnapshot(now ids.Time) directory.Snapshot {
+	k := snapshotKey{r.view.Revision, r.Version(), r.spillTable.Epoch, r.spillTable.Number}
+	if k != r.cachedSnapshotKey || now.Sub(r.cachedSnapshotAt) >= snapshotLifetime {
+		r.cachedSnapshot, r.cachedSnapshotKey, r.cachedSnapshotAt = r.buildSnapshot(now), k, now
 	}
-	return f.seen
+	return r.cachedSnapshot
 }
 
 type snapshotKey struct {
-	revision ids.Revision
-	roll     uint64
-	epoch    ids.Epoch
-	table    ids.StreamNumber
+	revision          ids.Revision
+	membershipVersion uint64
+	tableEpoch        ids.Epoch
+	tableNumber       ids.StreamNumber
 }
 
-func (f *Registry) look(now ids.Time) directory.Snapshot {
+func (r *Registry) buildSnapshot(now ids.Time) directory.Snapshot {
 	// Few asks need the room, and drawing every zone up costs more than they do.
 	var zones map[ids.Name]spill.Zone
 	s := directory.Snapshot{
-		Proxies: f.ready(now), Emptied: map[ids.Name]bool{},
-		Distance: f.view.Distance, Demand: f.Reports.Demand,
+		Proxies: r.eligibleProxies(now), Emptied: map[ids.Name]bool{},
+		Distance: r.view.Distance, Demand: r.Reports.Demand,
 		Room: func(n ids.Name) float64 {
 			if zones == nil {
-				zones = f.zones(now)
+				zones = r.currentZones(now)
 			}
 			c := zones[n]
 			if c.Stale {
@@ -172,20 +172,20 @@
 			return c.Target - c.Used()
 		},
 	}
-	for n, c := range f.view.Zones {
+	for n, c := range r.view.Zones {
 		s.Emptied[n] = c.Drained
 	}
-	if !f.stale(now) {
-		s.Moves = f.table.Moves
+	if !r.spillTableExpired(now) {
+		s.Moves = r.spillTable.Moves
 	}
 	return s
 }
 
-// stale tells whether the table has outlived its lifetime in a registry that
+// spillTableExpired tells whether the table has outlived its lifetime in a registry that
 // has lost its majority; with a majority and no planner the last one holds.
-func (f *Registry) stale(now ids.Time) bool {
-	return now.Sub(f.agreed) > 5*time.Second && now.Sub(f.tableAt) > 3*f.options.PlanEvery
+func (r *Registry) spillTableExpired(now ids.Time) bool {
+	return now.Sub(r.agreedAt) > 5*time.Second && now.Sub(r.spillTableConfirmedAt) > 3*r.options.PlanEvery
 }
 
-// Moves gives the table in force here, for tests and status.
-func (f *Registry) Moves() spill.Table { return f.table }
+// SpillTable gives the table in force here, for tests and status.
+func (r *Registry) SpillTable() spill.Table { return r.spillTable }
--- a/internal/controlplane/registry/calls_test.go
+++ b/internal/controlplane/registry/calls_test.go
@@ -10,7 +10,7 @@
 
 // What a result means to a caller. One whose end is unknown is no refusal,
 // whatever else it holds.
-func TestStatusOfResults(t *testing.T) {
+func TestHTTPStatus_FollowsResult(t *testing.T) {
 	is := is.New(t)
 	fault := []configuration.Violation{{Item: "route/mud"}}
 	for status, r := range map[int]configuration.Result{
@@ -20,7 +20,7 @@
 		409: {Conflicts: fault},
 		504: {Unknown: "forgotten", Violations: fault, Stale: []configuration.VersionConflict{{}}},
 	} {
-		is.Equal(statusOf(r), status)
+		is.Equal(httpStatus(r), status)
 	}
-	is.Equal(statusOf(configuration.Result{Stale: []configuration.VersionConflict{{}}}), 409)
+	is.Equal(httpStatus(configuration.Result{Stale: []configuration.VersionConflict{{}}}), 409)
 }
--- a/internal/controlplane/registry/cellorder.go
+++ b/internal/controlplane/registry/cellorder.go
@@ -16,48 +16,48 @@
 	Evacuate bool
 }
 
-// oldestOrder is how long an order may have waited for this process: its caller
+// maxOrderAge is how long an order may have waited for this process: its caller
 // has sent it again by then, and may have ordered otherwise since.
-const oldestOrder = time.Second
+const maxOrderAge = time.Second
 
-// orderZone has an order agreed on, if no other change of the zone came between
+// handleZoneOrder has an order agreed on, if no other change of the zone came between
 // what is known here now and the order's effect.
-func (f *Registry) orderZone(now ids.Time, c ZoneOrderCall) {
-	if f.mayHaveSlept(now) {
-		f.orderOvertaken(c.ID)
+func (r *Registry) handleZoneOrder(now ids.Time, call ZoneOrderCall) {
+	if r.mayHaveBeenSuspended(now) {
+		r.replyOrderConflict(call.ID)
 		return
 	}
-	order := configuration.ZoneOrder{Zone: c.Zone, Region: c.Region, Evacuate: c.Evacuate, Known: f.configuration.ZoneVersion(c.Zone)}
+	order := configuration.ZoneOrder{Zone: call.Zone, Region: call.Region, Evacuate: call.Evacuate, Known: r.configuration.ZoneVersion(call.Zone)}
 	raw, err := json.Marshal(order)
 	if err != nil {
-		f.Emit(Response{ID: c.ID, Status: 400, Body: ErrorResponse{err.Error()}})
+		r.Emit(Response{ID: call.ID, Status: 400, Body: ErrorResponse{err.Error()}})
 		return
 	}
-	f.agree(now, c.ID, configuration.OpOrderZone, raw, func(now ids.Time, r configuration.Result) {
-		if len(r.Stale) == 0 {
-			f.answerResult(c.ID)(now, r)
+	r.submitChange(now, call.ID, configuration.OpOrderZone, raw, func(now ids.Time, result configuration.Result) {
+		if len(result.Stale) == 0 {
+			r.replyWithResult(call.ID)(now, result)
 			return
 		}
-		f.orderOvertaken(c.ID)
-		f.catchUp(now)
+		r.replyOrderConflict(call.ID)
+		r.refreshConfiguration(now)
 	})
 }
 
-// orderOvertaken answers an order that had no effect, and that its caller may
+// replyOrderConflict answers an order that had no effect, and that its caller may
 // not want any more: no refusal, as a copy of it may have been taken.
-func (f *Registry) orderOvertaken(id uint64) {
-	f.Emit(Response{ID: id, Status: 503, Body: ErrorResponse{"the cell was changed meanwhile; send the order again if it is still wanted"}, RetryAfter: 1})
+func (r *Registry) replyOrderConflict(id uint64) {
+	r.Emit(Response{ID: id, Status: 503, Body: ErrorResponse{"the cell was changed meanwhile; send the order again if it is still wanted"}, RetryAfter: 1})
 }
 
-// mayHaveSlept tells whether what comes in now may have waited for a process
+// mayHaveBeenSuspended tells whether what comes in now may have waited for a process
 // that stood still.
-func (f *Registry) mayHaveSlept(now ids.Time) bool {
-	return f.last != 0 && now.Sub(f.last) > oldestOrder || f.woke != 0 && now.Sub(f.woke) < oldestOrder
+func (r *Registry) mayHaveBeenSuspended(now ids.Time) bool {
+	return r.lastTick != 0 && now.Sub(r.lastTick) > maxOrderAge || r.resumedAt != 0 && now.Sub(r.resumedAt) < maxOrderAge
 }
 
-// catchUp reads the configuration without waiting for the next poll.
-func (f *Registry) catchUp(now ids.Time) {
-	if !f.reading {
-		f.readConfiguration(now)
+// refreshConfiguration reads the configuration without waiting for the next poll.
+func (r *Registry) refreshConfiguration(now ids.Time) {
+	if !r.readPending {
+		r.pollConfiguration(now)
 	}
 }
--- a/internal/controlplane/registry/departure.go
+++ b/internal/controlplane/registry/departure.go
@@ -12,69 +12,69 @@
 // every live proxy goes by it: this registry may die right after answering,
 // and the target may stop as soon as it has the answer.
 type departure struct {
-	call    uint64
-	target  targets.Target
-	arrived ids.Time
-	due     ids.Time
-	// waits are the other registries that have not said yet that theirs go by it.
-	waits map[ids.DaemonID]bool
+	callID   uint64
+	target   targets.Target
+	arrived  ids.Time
+	deadline ids.Time
+	// awaitedPeers are the other registries that have not said yet that theirs go by it.
+	awaitedPeers map[ids.DaemonID]bool
 }
 
 // partWithin bounds the wait. The answer says whether all have it.
-const departureWithin = 500 * time.Millisecond
+const departureTimeout = 500 * time.Millisecond
 
-// announced takes a target's word.
-func (f *Registry) announced(now ids.Time, c HeartbeatCall) {
-	if f.options.Incremental {
+// handleHeartbeat takes a target's word.
+func (r *Registry) handleHeartbeat(now ids.Time, call HeartbeatCall) {
+	if r.options.Incremental {
 		// The one that it is told to speak to keeps it, from the first word on:
 		// a keeper that changes is news for everybody.
-		if old, ok := f.Targets.Get(now, c.Target.Instance); ok {
-			c.Target.Registrar = old.Registrar
+		if old, ok := r.Targets.Get(now, call.Target.Instance); ok {
+			call.Target.Registrar = old.Registrar
 		}
-		k := f.keeperFor(now, c.Target)
-		c.Target.Registrar, c.Target.RegistrarRunID = k.ID, k.RunID
+		registrar := r.registrarFor(now, call.Target)
+		call.Target.Registrar, call.Target.RegistrarRunID = registrar.ID, registrar.RunID
 	}
-	changed := f.Targets.Merge(now, c.Target)
-	f.taken(now, changed)
-	f.tellRegistries(changed)
-	if !c.Target.Usable() && (len(changed) > 0 || f.options.Incremental) {
+	changed := r.Targets.Merge(now, call.Target)
+	r.handleChangedTargets(now, changed)
+	r.sendTargetsToPeers(changed)
+	if !call.Target.Usable() && (len(changed) > 0 || r.options.Incremental) {
 		// What proxies have to hold is the word at which it changed to them.
-		if f.options.Incremental {
-			c.Target.Sequence = f.Targets.MaterialSequence(c.Target.Instance)
+		if r.options.Incremental {
+			call.Target.Sequence = r.Targets.MaterialSequence(call.Target.Instance)
 		}
-		p := departure{call: c.ID, target: c.Target, arrived: now, due: now.Add(departureWithin), waits: map[ids.DaemonID]bool{}}
-		f.askParting(now, p)
-		f.departures = append(f.departures, p)
-		f.part(now)
+		p := departure{callID: call.ID, target: call.Target, arrived: now, deadline: now.Add(departureTimeout), awaitedPeers: map[ids.DaemonID]bool{}}
+		r.requestDepartureAcks(now, p)
+		r.departures = append(r.departures, p)
+		r.completeDepartures(now)
 		return
 	}
-	if !f.leased(now) || f.options.Incremental && f.isolated(now) {
+	if !r.hasLease(now) || r.options.Incremental && r.isolated(now) {
 		// Its word is taken, but the other registries wouldn't hear of it and would
 		// soon count it as gone: it is sent on to one of them.
-		f.unavailable(c.ID)
+		r.replyUnavailable(call.ID)
 		return
 	}
 	body := map[string]any{"known": len(changed) > 0}
-	if k := f.keeperFor(now, c.Target); k.Address != "" {
-		body["keeper"] = k.Address
+	if registrar := r.registrarFor(now, call.Target); registrar.Address != "" {
+		body["keeper"] = registrar.Address
 	}
-	f.Emit(Response{ID: c.ID, Status: 200, Body: body})
+	r.Emit(Response{ID: call.ID, Status: 200, Body: body})
 }
 
-// shareTargets keeps the other registries up to date with all targets. Thrifty ones
+// syncTargets keeps the other registries up to date with all targets. Thrifty ones
 // tell one another of changes, and by their pulses whether one was lost.
-func (f *Registry) shareTargets(now ids.Time) {
-	if !f.options.Incremental {
-		f.tellRegistries(f.Targets.All(now))
+func (r *Registry) syncTargets(now ids.Time) {
+	if !r.options.Incremental {
+		r.sendTargetsToPeers(r.Targets.All(now))
 	}
 }
 
-// shared takes what another registry tells of targets, and tells all where this
+// handleTargetUpdate takes what another registry tells of targets, and tells all where this
 // one knows better.
-func (f *Registry) shared(now ids.Time, list []targets.Target) {
-	changed := f.Targets.Merge(now, list...)
-	f.taken(now, changed)
-	if !f.options.Incremental {
+func (r *Registry) handleTargetUpdate(now ids.Time, list []targets.Target) {
+	changed := r.Targets.Merge(now, list...)
+	r.handleChangedTargets(now, changed)
+	if !r.options.Incremental {
 		return
 	}
 	gone := map[ids.InstanceID]bool{}
@@ -87,111 +87,111 @@
 			insist = append(insist, t)
 		}
 	}
-	f.tellRegistries(insist)
+	r.sendTargetsToPeers(insist)
 }
 
-// keeperFor names the registry that a target should speak to: one of its own
+// registrarFor names the registry that a target should speak to: one of its own
 // zone or region, so that its words go no further than they have to, and by lot
 // where several stand as near.
-func (f *Registry) keeperFor(now ids.Time, t targets.Target) membership.Member {
-	if !f.options.Incremental {
+func (r *Registry) registrarFor(now ids.Time, t targets.Target) membership.Member {
+	if !r.options.Incremental {
 		return membership.Member{}
 	}
-	f.served(now)
+	r.assignedProxies(now)
 	var best membership.Member
-	for _, m := range f.group {
-		d, have := f.view.Distance(t.Zone, m.Zone), f.view.Distance(t.Zone, best.Zone)
-		if best.ID == "" || d < have || d == have && f.preferred(t, m.ID, best.ID) {
+	for _, m := range r.deliveryGroup {
+		d, have := r.view.Distance(t.Zone, m.Zone), r.view.Distance(t.Zone, best.Zone)
+		if best.ID == "" || d < have || d == have && r.isPreferredRegistrar(t, m.ID, best.ID) {
 			best = m
 		}
 	}
 	return best
 }
 
-// preferred tells which of two registries that are as near keeps a target: the
+// isPreferredRegistrar tells which of two registries that are as near keeps a target: the
 // one that does already, or else by lot.
-func (f *Registry) preferred(t targets.Target, a, b ids.DaemonID) bool {
+func (r *Registry) isPreferredRegistrar(t targets.Target, a, b ids.DaemonID) bool {
 	if t.Registrar == a || t.Registrar == b {
 		return t.Registrar == a
 	}
-	return lot(ids.DaemonID(t.Instance), a) < lot(ids.DaemonID(t.Instance), b)
+	return rendezvousHash(ids.DaemonID(t.Instance), a) < rendezvousHash(ids.DaemonID(t.Instance), b)
 }
 
-// gone takes a target's word that it ends, where it says no more than its name.
-func (f *Registry) gone(now ids.Time, c DeregisterCall) {
-	t, ok := f.Targets.Get(now, c.Instance)
-	if !ok && !f.leased(now) {
-		f.unavailable(c.ID)
+// handleDeregister takes a target's word that it ends, where it says no more than its name.
+func (r *Registry) handleDeregister(now ids.Time, call DeregisterCall) {
+	t, ok := r.Targets.Get(now, call.Instance)
+	if !ok && !r.hasLease(now) {
+		r.replyUnavailable(call.ID)
 		return
 	}
 	if !ok {
-		f.Emit(Response{ID: c.ID, Status: 200, Body: map[string]any{"known": false}})
+		r.Emit(Response{ID: call.ID, Status: 200, Body: map[string]any{"known": false}})
 		return
 	}
 	if !t.Gone {
-		t.Sequence, t.Gone, t.Leaving = f.Targets.Newest(c.Instance)+1, true, true
+		t.Sequence, t.Gone, t.Leaving = r.Targets.Newest(call.Instance)+1, true, true
 	}
-	f.announced(now, HeartbeatCall{ID: c.ID, Target: t})
+	r.handleHeartbeat(now, HeartbeatCall{ID: call.ID, Target: t})
 }
 
-// part answers those whose word has reached every proxy, or is overdue.
-func (f *Registry) part(now ids.Time) {
-	left := f.departures[:0]
-	for _, p := range f.departures {
+// completeDepartures answers those whose word has reached every proxy, or is overdue.
+func (r *Registry) completeDepartures(now ids.Time) {
+	left := r.departures[:0]
+	for _, pending := range r.departures {
 		switch {
-		case f.leased(now) && len(p.waits) == 0 && f.Distributor.Reached(f.served(now), p.target):
-			f.Emit(Response{ID: p.call, Status: 200, Body: map[string]any{"known": true, "everywhere": true}})
-		case now >= p.due && f.agreedSince(p.arrived):
-			f.Emit(Response{ID: p.call, Status: 200, Body: map[string]any{"known": true, "everywhere": false}})
-		case now.Sub(p.arrived) >= answerWithin:
+		case r.hasLease(now) && len(pending.awaitedPeers) == 0 && r.Distributor.Reached(r.assignedProxies(now), pending.target):
+			r.Emit(Response{ID: pending.callID, Status: 200, Body: map[string]any{"known": true, "everywhere": true}})
+		case now >= pending.deadline && r.agreedSince(pending.arrived):
+			r.Emit(Response{ID: pending.callID, Status: 200, Body: map[string]any{"known": true, "everywhere": false}})
+		case now.Sub(pending.arrived) >= majorityTimeout:
 			// The proxies on this side go by it; nobody may take it as known to all.
-			f.unavailable(p.call)
+			r.replyUnavailable(pending.callID)
 		default:
-			left = append(left, p)
+			left = append(left, pending)
 		}
 	}
-	f.departures = left
-	owes := f.owes[:0]
-	for _, o := range f.owes {
-		if f.Distributor.Reached(f.served(now), o.Target) {
-			f.Send(o.Asker, DepartureAck{ID: f.Self.ID, Instance: o.Target.Instance, Sequence: o.Target.Sequence, Incarnation: o.Target.Incarnation})
-		} else if len(f.owes) < mostOwed {
+	r.departures = left
+	owes := r.owedAcks[:0]
+	for _, o := range r.owedAcks {
+		if r.Distributor.Reached(r.assignedProxies(now), o.Target) {
+			r.Send(o.Asker, DepartureAck{ID: r.Self.ID, Instance: o.Target.Instance, Sequence: o.Target.Sequence, Incarnation: o.Target.Incarnation})
+		} else if len(r.owedAcks) < maxOwedAcks {
 			owes = append(owes, o)
 		}
 	}
-	f.owes = owes
+	r.owedAcks = owes
 }
 
-// mostOwed bounds what is kept for askers that may be gone.
-const mostOwed = 4096
+// maxOwedAcks bounds what is kept for askers that may be gone.
+const maxOwedAcks = 4096
 
-// askParting asks the registries that serve proxies beside this one.
-func (f *Registry) askParting(now ids.Time, p departure) {
-	if !f.options.Incremental {
+// requestDepartureAcks asks the registries that serve proxies beside this one.
+func (r *Registry) requestDepartureAcks(now ids.Time, pending departure) {
+	if !r.options.Incremental {
 		return
 	}
-	f.served(now)
-	for _, m := range f.group {
-		if m.ID != f.Self.ID {
-			p.waits[m.ID] = true
-			f.Send(m.Address, DepartureNotice{Asker: f.Self.Address, Target: p.target})
+	r.assignedProxies(now)
+	for _, m := range r.deliveryGroup {
+		if m.ID != r.Self.ID {
+			pending.awaitedPeers[m.ID] = true
+			r.Send(m.Address, DepartureNotice{Asker: r.Self.Address, Target: pending.target})
 		}
 	}
 }
 
 // covers tells whether an acknowledgement is for this word of a target or for a
 // later one. A registry of an earlier version doesn't say the incarnation.
-func (m DepartureAck) covers(t targets.Target) bool {
-	same := m.Incarnation == t.Incarnation || m.Incarnation == 0
-	return m.Instance == t.Instance && same && m.Sequence >= t.Sequence
+func (a DepartureAck) covers(t targets.Target) bool {
+	same := a.Incarnation == t.Incarnation || a.Incarnation == 0
+	return a.Instance == t.Instance && same && a.Sequence >= t.Sequence
 }
 
-// parted takes another registry's word that all whom it serves go by it.
-func (f *Registry) parted(now ids.Time, m DepartureAck) {
-	for _, p := range f.departures {
-		if m.covers(p.target) {
-			delete(p.waits, m.ID)
+// handleDepartureAck takes another registry's word that all whom it serves go by it.
+func (r *Registry) handleDepartureAck(now ids.Time, m DepartureAck) {
+	for _, pending := range r.departures {
+		if m.covers(pending.target) {
+			delete(pending.awaitedPeers, m.ID)
 		}
 	}
-	f.part(now)
+	r.completeDepartures(now)
 }
--- a/internal/controlplane/registry/derive.go
+++ b/internal/controlplane/registry/derive.go
@@ -8,28 +8,28 @@
 // Shares of what a zone's targets bear, for set points that nobody named. They
 // stand as far apart as the source's: target between acceptable and maximum.
 const (
-	ofAcceptable = 0.6
-	ofTarget     = 0.75
-	ofMaximum    = 0.9
+	acceptableShare = 0.6
+	targetShare     = 0.75
+	maximumShare    = 0.9
 )
 
-// bears gives what each zone's targets bear, in ms of work a second, as they
+// zoneCapacities gives what each zone's targets bear, in ms of work a second, as they
 // state it themselves. A cold one bears little, a shut zone's nothing.
-func (f *Registry) bears(now ids.Time) map[ids.Name]float64 {
-	if !f.options.Derive {
+func (r *Registry) zoneCapacities(now ids.Time) map[ids.Name]float64 {
+	if !r.options.DeriveLevels {
 		return nil
 	}
-	out := map[ids.Name]float64{}
-	for _, t := range f.Targets.All(now) {
-		if c := f.view.Zones[t.Zone]; t.Usable() && !c.Evacuated && !c.Drained && t.Cold == 0 {
-			out[t.Zone] += float64(t.Capacity) * 1000
+	capacities := map[ids.Name]float64{}
+	for _, t := range r.Targets.All(now) {
+		if c := r.view.Zones[t.Zone]; t.Usable() && !c.Evacuated && !c.Drained && t.Cold == 0 {
+			capacities[t.Zone] += float64(t.Capacity) * 1000
 		}
 	}
-	return out
+	return capacities
 }
 
-// derive sets a zone's levels by what its targets bear.
-func (f *Registry) derive(h *spill.Zone, bears float64) {
-	bears = max(bears, 1)
-	h.Acceptable, h.Target, h.Maximum = ofAcceptable*bears, ofTarget*bears, ofMaximum*bears
+// deriveLevels sets a zone's levels by what its targets bear.
+func (r *Registry) deriveLevels(zone *spill.Zone, capacity float64) {
+	capacity = max(capacity, 1)
+	zone.Acceptable, zone.Target, zone.Maximum = acceptableShare*capacity, targetShare*capacity, maximumShare*capacity
 }
--- a/internal/controlplane/registry/figures.go
+++ b/internal/controlplane/registry/figures.go
@@ -19,7 +19,7 @@
 	out := []Metric{
 		{"policy_revision", nil, nil, float64(s.Revision)},
 		{"policy_in_force", nil, nil, flag(s.InForce)},
-		{"agreed_ms_ago", nil, nil, float64(s.Agreed)},
+		{"agreed_ms_ago", nil, nil, float64(s.AgreementAgeMillis)},
 		{"problems", nil, nil, float64(len(s.Warnings))},
 	}
 	for _, d := range s.Daemons {
--- a/internal/controlplane/registry/keeper_test.go
+++ b/internal/controlplane/registry/keeper_test.go
@@ -15,44 +15,44 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-var proxies = []ids.DaemonID{"p", "q", "r", "s1"}
+var testProxies = []ids.DaemonID{"p", "q", "r", "s1"}
 
-// keeperBench is one registry of three, with proxies that acknowledge all.
-type keeperBench struct {
-	*bench
-	pushes, pushed int
+// incrementalRegistry is one registry of three, with proxies that acknowledge all.
+type incrementalRegistry struct {
+	*testRegistry
+	pushes, pushedTargets int
 	// updates are the targets that it told the other registries of.
 	updates int
 }
 
-func newKeeperBench() *keeperBench {
-	b := &keeperBench{bench: newBench(true)}
+func newIncrementalRegistry() *incrementalRegistry {
+	b := &incrementalRegistry{testRegistry: newTestRegistry(true)}
 	b.options.Incremental = true
 	for _, n := range []ids.DaemonID{"g", "h"} {
-		b.hear(membership.Heartbeat{Self: membership.Member{ID: n, Role: membership.Registry, Address: ids.Address(n), RunID: 1, Incarnation: 1, Zone: "c"}})
+		b.deliver(membership.Heartbeat{Self: membership.Member{ID: n, Role: membership.Registry, Address: ids.Address(n), RunID: 1, Incarnation: 1, Zone: "c"}})
 	}
-	for _, n := range proxies {
-		b.hear(membership.Heartbeat{Self: membership.Member{ID: n, Role: membership.Proxy, Address: ids.Address(n), RunID: 1, Incarnation: 1, Zone: "c"}})
+	for _, n := range testProxies {
+		b.deliver(membership.Heartbeat{Self: membership.Member{ID: n, Role: membership.Proxy, Address: ids.Address(n), RunID: 1, Incarnation: 1, Zone: "c"}})
 	}
 	return b
 }
 
-// turn lets one clock event happen, with pulses of the other two whose agreement
+// tickWithPeers lets one clock event happen, with pulses of the other two whose agreement
 // is of some age.
-func (b *keeperBench) turn(age time.Duration) {
+func (b *incrementalRegistry) tickWithPeers(age time.Duration) {
 	for _, n := range []ids.DaemonID{"g", "h"} {
-		b.hear(PeerHeartbeat{ID: n, RunID: 1, AgreementAge: uint32(age / time.Millisecond), TargetsDigest: b.Targets.Sum()})
+		b.deliver(PeerHeartbeat{ID: n, RunID: 1, AgreementAgeMillis: uint32(age / time.Millisecond), TargetsDigest: b.Targets.Sum()})
 	}
-	b.hear(membership.Heartbeat{Self: membership.Member{ID: "s", Role: membership.Store, Address: "10.0.0.2:1", RunID: 1, Ready: true, Incarnation: 1}})
+	b.deliver(membership.Heartbeat{Self: membership.Member{ID: "s", Role: membership.Store, Address: "10.0.0.2:1", RunID: 1, Ready: true, Incarnation: 1}})
 	b.now = b.now.Add(tickEvery)
-	b.feed(event.Tick{})
-	b.served(b.now)
+	b.step(event.Tick{})
+	b.assignedProxies(b.now)
 }
 
-func (b *keeperBench) hear(msg any) { b.feed(event.Received{From: "10.0.0.2:1", Msg: msg}) }
+func (b *incrementalRegistry) deliver(msg any) { b.step(event.Received{From: "10.0.0.2:1", Msg: msg}) }
 
-// feed steps the registry, answers for its store and its proxies, and counts.
-func (b *keeperBench) feed(ev event.Event) {
+// step steps the registry, answers for its store and its proxies, and counts.
+func (b *incrementalRegistry) step(ev event.Event) {
 	for _, c := range b.Step(b.now, ev) {
 		s, ok := c.(event.Send)
 		if !ok {
@@ -60,10 +60,10 @@
 		}
 		switch m := s.Msg.(type) {
 		case consensus.Request:
-			b.hear(consensus.Response{ID: m.ID, Outcome: consensus.Succeeded, Attempt: m.Attempt})
+			b.deliver(consensus.Response{ID: m.ID, Outcome: consensus.Succeeded, Attempt: m.Attempt})
 		case distribution.Push:
 			b.pushes++
-			b.pushed += len(m.Targets)
+			b.pushedTargets += len(m.Targets)
 			b.Step(b.now, event.Received{From: s.To, Msg: distribution.Ack{Proxy: ids.DaemonID(s.To), RunID: 1, Number: m.Number, Revision: m.Revision, Now: b.now}})
 		case targets.Update:
 			b.updates += len(m.List)
@@ -71,7 +71,7 @@
 	}
 }
 
-func word(i int, seq ids.Sequence, keeper ids.DaemonID) targets.Target {
+func targetAt(i int, seq ids.Sequence, keeper ids.DaemonID) targets.Target {
 	return targets.Target{
 		Instance: ids.InstanceID(fmt.Sprint("i", i)), Incarnation: 1, Sequence: seq, Service: "s",
 		Address: ids.Address(fmt.Sprintf("10.0.1.%d:80", i+1)), Zone: "c", Warmth: 1, Interval: 1000, Registrar: keeper, RegistrarRunID: 1,
@@ -81,86 +81,86 @@
 // While the core was cut, keepers moved hundreds of times a second, and each move
 // was pushed to every proxy: their links were full of it. Who keeps a target is no
 // news to a proxy.
-func TestAKeeperThatMovesIsNoNewsToProxies(t *testing.T) {
+func TestRegistrarChange_IsNotPushedToProxies(t *testing.T) {
 	is := is.New(t)
-	b := newKeeperBench()
+	b := newIncrementalRegistry()
 	for i := range 50 {
-		b.hear(targets.Update{List: []targets.Target{word(i, 1, "g")}})
+		b.deliver(targets.Update{List: []targets.Target{targetAt(i, 1, "g")}})
 	}
 	for range 40 {
-		b.turn(100 * time.Millisecond)
+		b.tickWithPeers(100 * time.Millisecond)
 	}
-	served := len(b.served(b.now))
-	is.True(served > 0 && b.pushed >= 50*served)
-	b.pushes, b.pushed = 0, 0
+	served := len(b.assignedProxies(b.now))
+	is.True(served > 0 && b.pushedTargets >= 50*served)
+	b.pushes, b.pushedTargets = 0, 0
 	for n := range 60 {
 		keeper := []ids.DaemonID{"g", "h"}[n%2]
 		for i := range 50 {
-			b.hear(targets.Update{List: []targets.Target{word(i, ids.Sequence(n+2), keeper)}})
+			b.deliver(targets.Update{List: []targets.Target{targetAt(i, ids.Sequence(n+2), keeper)}})
 		}
-		b.turn(100 * time.Millisecond)
+		b.tickWithPeers(100 * time.Millisecond)
 	}
 	got, _ := b.Targets.Get(b.now, "i7")
 	is.Equal(got.Sequence, ids.Sequence(61)) // registries do go by it
-	is.Equal(b.pushed, 0)
+	is.Equal(b.pushedTargets, 0)
 	is.True(b.pushes <= 4*served) // a word a second
 	// A target that leaves is news, whoever keeps it.
-	leaving := word(7, 80, "h")
+	leaving := targetAt(7, 80, "h")
 	leaving.Leaving = true
-	b.hear(targets.Update{List: []targets.Target{leaving}})
-	b.turn(100 * time.Millisecond)
-	b.turn(100 * time.Millisecond)
-	is.Equal(b.pushed, served)
+	b.deliver(targets.Update{List: []targets.Target{leaving}})
+	b.tickWithPeers(100 * time.Millisecond)
+	b.tickWithPeers(100 * time.Millisecond)
+	is.Equal(b.pushedTargets, served)
 }
 
 // A registry whose agreement takes a little longer now and then keeps its targets
 // and its proxies; one that has none for long loses them.
-func TestWhoKeepsWhatDoesNotMoveWithEachRound(t *testing.T) {
+func TestDeliveryGroup_StableUnderSlowAgreement(t *testing.T) {
 	is := is.New(t)
-	b := newKeeperBench()
+	b := newIncrementalRegistry()
 	for range 5 {
-		b.turn(100 * time.Millisecond)
+		b.tickWithPeers(100 * time.Millisecond)
 	}
-	is.Equal(len(b.group), 3)
+	is.Equal(len(b.deliveryGroup), 3)
 	for range 40 {
-		b.turn(1600 * time.Millisecond)
-		is.Equal(len(b.group), 3)
-		b.turn(900 * time.Millisecond)
-		is.Equal(len(b.group), 3)
+		b.tickWithPeers(1600 * time.Millisecond)
+		is.Equal(len(b.deliveryGroup), 3)
+		b.tickWithPeers(900 * time.Millisecond)
+		is.Equal(len(b.deliveryGroup), 3)
 	}
-	b.turn(2600 * time.Millisecond)
-	is.Equal(len(b.group), 1)
-	b.turn(1600 * time.Millisecond) // not at once again
-	is.Equal(len(b.group), 1)
-	b.turn(500 * time.Millisecond)
-	is.Equal(len(b.group), 3)
+	b.tickWithPeers(2600 * time.Millisecond)
+	is.Equal(len(b.deliveryGroup), 1)
+	b.tickWithPeers(1600 * time.Millisecond) // not at once again
+	is.Equal(len(b.deliveryGroup), 1)
+	b.tickWithPeers(500 * time.Millisecond)
+	is.Equal(len(b.deliveryGroup), 3)
 	// And a target stays with the one that keeps it, of two that are as near.
 	for _, n := range []ids.DaemonID{"f", "g", "h"} {
-		is.Equal(b.keeperFor(b.now, word(1, 1, n)).ID, n)
+		is.Equal(b.registrarFor(b.now, targetAt(1, 1, n)).ID, n)
 	}
 }
 
 // Copies of all targets that differ send what differs, not all there is, and end
 // the same though each knows something newer.
-func TestCopiesThatDifferSendThatAlone(t *testing.T) {
+func TestTableDigest_SendsOnlyDifferingPartitions(t *testing.T) {
 	is := is.New(t)
-	a, b := newKeeperBench(), newKeeperBench()
+	a, b := newIncrementalRegistry(), newIncrementalRegistry()
 	for i := range 300 {
-		w := targets.Update{List: []targets.Target{word(i, 1, "g")}}
-		a.hear(w)
-		b.hear(w)
+		w := targets.Update{List: []targets.Target{targetAt(i, 1, "g")}}
+		a.deliver(w)
+		b.deliver(w)
 	}
-	a.hear(targets.Update{List: []targets.Target{word(3, 2, "h")}})
+	a.deliver(targets.Update{List: []targets.Target{targetAt(3, 2, "h")}})
 	// Here the target spoke again since, and said nothing new.
-	b.hear(targets.Update{List: []targets.Target{word(3, 9, "g")}})
+	b.deliver(targets.Update{List: []targets.Target{targetAt(3, 9, "g")}})
 	is.True(a.Targets.Sum() != b.Targets.Sum())
 	sent := 0
-	compare := func(x, y *keeperBench) {
+	compare := func(x, y *incrementalRegistry) {
 		for _, c := range x.Step(x.now, event.Received{From: "y", Msg: TableDigest{Parts: y.Targets.Parts()}}) {
 			if s, ok := c.(event.Send); ok {
 				if u, ok := s.Msg.(targets.Update); ok {
 					sent += len(u.List)
-					y.hear(u)
+					y.deliver(u)
 				}
 			}
 		}
--- a/internal/controlplane/registry/lease_test.go
+++ b/internal/controlplane/registry/lease_test.go
@@ -13,10 +13,10 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// call makes one kind of control call.
-type call struct {
-	name string
-	make func(id uint64) event.Event
+// callCase makes one kind of control call.
+type callCase struct {
+	name    string
+	newCall func(id uint64) event.Event
 }
 
 const service = `{"id":%q,"changes":[{"kind":"service","name":"s","put":{}}]}`
@@ -37,7 +37,7 @@
 	return func(id uint64) event.Event { return registry.DeregisterCall{ID: id, Instance: instance} }
 }
 
-var calls = []call{
+var calls = []callCase{
 	{"change", change(fmt.Sprintf(service, "new"))},
 	{"change that is stale", change(`{"id":"old","changes":[{"kind":"service","name":"s","version":77,"put":{}}]}`)},
 	{"change without its item", change(`{"id":"none","changes":[{"kind":"service","name":"no","remove":true}]}`)},
@@ -55,17 +55,17 @@
 	{"status", func(id uint64) event.Event { return registry.StatusCall{ID: id} }},
 }
 
-// row is what each call is answered in one state of the link.
-type row struct {
-	state  string
-	before time.Duration
-	link   registrytest.Link
-	want   map[string]int
+// linkCase is what each call is answered in one state of the link.
+type linkCase struct {
+	state   string
+	elapsed time.Duration
+	link    registrytest.Link
+	want    map[string]int
 }
 
 // Where the link fails right before the call, the lease still stands, and the
 // call finds out by itself that nobody answers.
-var table = []row{
+var linkCases = []linkCase{
 	{"in touch", 0, registrytest.Connected, map[string]int{
 		"change": 200, "change that is stale": 409, "change without its item": 404, "evacuate": 200,
 		"malformed change": 400, "merge": 200, "read": 200, "read of the own copy": 200, "heartbeat": 200, "draining": 200, "end": 200,
@@ -75,15 +75,15 @@
 	{"cut off until the lease ends", 1700 * time.Millisecond, registrytest.Silent, cutOff},
 	{"heard but hears nothing", 20 * time.Second, registrytest.OneWay, cutOff},
 	{"its store has no majority", 20 * time.Second, registrytest.Rejecting, cutOff},
-	{"cut off just now", 0, registrytest.Silent, changed(cutOff, map[string]int{
+	{"cut off just now", 0, registrytest.Silent, override(cutOff, map[string]int{
 		"change": 504, "change that is stale": 504, "change without its item": 504,
 		"evacuate": 504, "merge": 504, "read of the own copy": 200, "heartbeat": 200, "end of a stranger": 200, "where, no such route": 404, "where": 200,
 	})},
-	{"deaf just now", 0, registrytest.OneWay, changed(cutOff, map[string]int{
+	{"deaf just now", 0, registrytest.OneWay, override(cutOff, map[string]int{
 		"change": 504, "change that is stale": 504, "change without its item": 504,
 		"evacuate": 504, "merge": 504, "read of the own copy": 200, "heartbeat": 200, "end of a stranger": 200, "where, no such route": 404, "where": 200,
 	})},
-	{"its store lost the majority just now", 0, registrytest.Rejecting, changed(cutOff, map[string]int{
+	{"its store lost the majority just now", 0, registrytest.Rejecting, override(cutOff, map[string]int{
 		"read of the own copy": 200, "heartbeat": 200,
 		"end of a stranger": 200, "where, no such route": 404, "where": 200,
 	})},
@@ -96,7 +96,7 @@
 	"where, no such route": 503, "where": 503, "status": 200,
 }
 
-func changed(base, by map[string]int) map[string]int {
+func override(base, by map[string]int) map[string]int {
 	out := map[string]int{}
 	for _, list := range []map[string]int{base, by} {
 		for name, status := range list {
@@ -109,15 +109,15 @@
 // A registry that was cut off answered changes 503 after 3 s, told a target that
 // its end is known everywhere, denied routes out of its old configuration, and showed
 // that configuration.
-func TestWhatARegistryAnswersByItsLink(t *testing.T) {
+func TestCalls_AnswerByLinkState(t *testing.T) {
 	for _, incremental := range []bool{false, true} {
-		for _, row := range table {
+		for _, row := range linkCases {
 			for _, call := range calls {
 				core := registrytest.New(registry.Options{Incremental: incremental})
 				setUp(t, core)
 				core.Link = row.link
-				core.Run(row.before)
-				got, took := core.Call(100, call.make(100))
+				core.Run(row.elapsed)
+				got, took := core.Call(100, call.newCall(100))
 				if got.Status != row.want[call.name] {
 					t.Errorf("%s, %s (incremental %v): %d %v, not %d", row.state, call.name, incremental, got.Status, got.Body, row.want[call.name])
 				}
@@ -134,14 +134,14 @@
 
 // A registry that starts on the lesser side of a cut knows no store at all, or one
 // that has no majority: it has nothing to tell, and says so as soon.
-func TestWhatARegistryAnswersThatStartsWhileCutOff(t *testing.T) {
+func TestCalls_AnswerWhenStartedPartitioned(t *testing.T) {
 	for _, incremental := range []bool{false, true} {
 		for _, link := range []registrytest.Link{registrytest.Silent, registrytest.OneWay, registrytest.Rejecting} {
 			for _, call := range calls {
 				core := registrytest.NewStarting(registry.Options{Incremental: incremental})
 				core.Link = link
 				core.Run(20 * time.Second)
-				got, took := core.Call(100, call.make(100))
+				got, took := core.Call(100, call.newCall(100))
 				if got.Status != cutOff[call.name] || took >= time.Second || got.Status >= 500 && got.RetryAfter == 0 {
 					t.Errorf("link %d, %s (incremental %v): %d %v after %s, not %d", link, call.name, incremental, got.Status, got.Body, took, cutOff[call.name])
 				}
@@ -150,7 +150,7 @@
 	}
 }
 
-func setUp(t *testing.T, core *registrytest.Core) {
+func setUp(t *testing.T, core *registrytest.Harness) {
 	t.Helper()
 	if got, _ := core.Call(1, change(fmt.Sprintf(service, "first"))(1)); got.Status != 200 {
 		t.Fatalf("the first change: %+v", got)
@@ -164,7 +164,7 @@
 
 // A change that was answered with 503 never takes effect; one that may have
 // taken effect is answered with 504, and its copy gets the first result.
-func TestARejectedChangeHasNoEffect(t *testing.T) {
+func TestChange_RejectedHasNoEffect(t *testing.T) {
 	core := registrytest.New(registry.Options{})
 	setUp(t, core)
 	core.Link = registrytest.OneWay
@@ -186,10 +186,10 @@
 
 // A majority that is slow, but there, keeps its calls: what a slow disk holds up
 // isn't answered as lost.
-func TestASlowMajorityKeepsItsCalls(t *testing.T) {
+func TestChange_WaitsForSlowMajority(t *testing.T) {
 	core := registrytest.New(registry.Options{})
 	setUp(t, core)
-	core.Slow = 1500 * time.Millisecond
+	core.ChangeDelay = 1500 * time.Millisecond
 	got, took := core.Call(3, change(fmt.Sprintf(service, "slow"))(3))
 	if got.Status != 200 || took < time.Second {
 		t.Fatalf("%+v after %s", got, took)
@@ -198,7 +198,7 @@
 
 // A machine that is busy for longer than a lease, and then goes on, refused the
 // call that came meanwhile, though its majority was there all the time.
-func TestACallWaitsForALeaseThatHasJustEnded(t *testing.T) {
+func TestChange_WaitsForLeaseRenewal(t *testing.T) {
 	core := registrytest.New(registry.Options{})
 	setUp(t, core)
 	core.Now = core.Now.Add(2 * time.Second)
@@ -217,7 +217,7 @@
 
 // At whichever moment of a cut's first seconds a call comes, it is answered within
 // one, and nothing that needs an agreement of its own is confirmed or refused.
-func TestEveryMomentOfACutsBegin(t *testing.T) {
+func TestCalls_BoundedThroughoutPartitionStart(t *testing.T) {
 	own := map[string]bool{
 		"change": true, "change that is stale": true, "change without its item": true, "evacuate": true, "merge": true,
 		"read": true, "draining": true, "end": true,
@@ -228,7 +228,7 @@
 			setUp(t, core)
 			core.Link = registrytest.Silent
 			core.Run(after)
-			got, took := core.Call(100, call.make(100))
+			got, took := core.Call(100, call.newCall(100))
 			if took >= time.Second {
 				t.Errorf("%s, %s after the cut: answered after %s", call.name, after, took)
 			}
--- a/internal/controlplane/registry/peers.go
+++ b/internal/controlplane/registry/peers.go
@@ -15,11 +15,11 @@
 // PeerHeartbeat is what registries tell one another all the time: that they are there, how
 // old their agreement is, and what their targets sum up to.
 type PeerHeartbeat struct {
-	ID            ids.DaemonID
-	RunID         ids.RunID
-	AgreementAge  uint32
-	TargetsDigest uint64
-	Number        ids.StreamNumber
+	ID                 ids.DaemonID
+	RunID              ids.RunID
+	AgreementAgeMillis uint32
+	TargetsDigest      uint64
+	Number             ids.StreamNumber
 }
 
 // Parting asks a registry to say when all proxies that it serves go by a
@@ -46,202 +46,202 @@
 // peers is what a registry knows of the others, heard from themselves: across a
 // cut the roll may still hold them for alive.
 type peers struct {
-	heard map[ids.DaemonID]peer
-	pulse ids.Time
-	count ids.StreamNumber
-	// owes are the partings that other registries wait for.
-	owes []DepartureNotice
-	// group are those who share the proxies out, and ours the ones served here.
-	group []membership.Member
-	ours  []membership.Member
-	drawn uint64
-	// relayed is when changed members were last handed on.
-	relayed ids.Time
+	peersByID       map[ids.DaemonID]peer
+	nextHeartbeat   ids.Time
+	heartbeatNumber ids.StreamNumber
+	// owedAcks are the partings that other registries wait for.
+	owedAcks []DepartureNotice
+	// deliveryGroup are those who share the proxies out, and ours the ones served here.
+	deliveryGroup []membership.Member
+	assignment    []membership.Member
+	assignmentKey uint64
+	// lastRelay is when changed members were last handed on.
+	lastRelay ids.Time
 }
 
 type peer struct {
 	PeerHeartbeat
-	at ids.Time
-	// differ is for how many pulses its targets have been others than ours.
-	differ int
+	receivedAt ids.Time
+	// digestMismatches is for how many pulses its targets have been others than ours.
+	digestMismatches int
 	// trusted: it may deliver to proxies and keep targets.
 	trusted bool
 }
 
-func newPeers() peers { return peers{heard: map[ids.DaemonID]peer{}} }
+func newPeers() peers { return peers{peersByID: map[ids.DaemonID]peer{}} }
 
 const (
-	pulseEvery = 400 * time.Millisecond
-	// peerFor is how long a registry counts as there after its last pulse.
-	peerFor = 1600 * time.Millisecond
-	// serveBy is how many registries deliver to each proxy.
-	serveBy = 2
-	// trustWithin is how old a registry's agreement may be for it to be relied on
+	peerHeartbeatInterval = 400 * time.Millisecond
+	// peerTimeout is how long a registry counts as there after its last pulse.
+	peerTimeout = 1600 * time.Millisecond
+	// registriesPerProxy is how many registries deliver to each proxy.
+	registriesPerProxy = 2
+	// trustWithinAge is how old a registry's agreement may be for it to be relied on
 	// from then on, and distrustAfter how old for it not to be any more. Between
 	// the two it stays as it was: who delivers to whom, and who keeps which
 	// targets, doesn't move with every round that takes a little longer.
-	trustWithin   = 1200 * time.Millisecond
-	distrustAfter = 2500 * time.Millisecond
-	// compareAfter is for how many pulses copies must differ to be compared, and
+	trustWithinAge   = 1200 * time.Millisecond
+	distrustAfterAge = 2500 * time.Millisecond
+	// compareAfterMismatches is for how many pulses copies must differ to be compared, and
 	// sendAllAfter for how many until all is sent, to one that can't compare.
-	compareAfter = 3
-	sendAllAfter = 15
-	// relayEvery is how often changed members are handed on.
-	relayEvery = 150 * time.Millisecond
+	compareAfterMismatches = 3
+	sendAllAfterMismatches = 15
+	// relayInterval is how often changed members are handed on.
+	relayInterval = 150 * time.Millisecond
 )
 
-// keepPeers is the clock event's share of it all.
-func (f *Registry) keepPeers(now ids.Time) {
-	if !f.options.Incremental {
+// tickPeers is the clock event's share of it all.
+func (r *Registry) tickPeers(now ids.Time) {
+	if !r.options.Incremental {
 		return
 	}
-	f.Targets.Vouch(now, func(id ids.DaemonID, s ids.RunID) bool {
-		p, ok := f.heard[id]
-		return id != f.Self.ID && ok && p.RunID == s && now.Sub(p.at) < peerFor
+	r.Targets.Vouch(now, func(id ids.DaemonID, s ids.RunID) bool {
+		p, ok := r.peersByID[id]
+		return id != r.Self.ID && ok && p.RunID == s && now.Sub(p.receivedAt) < peerTimeout
 	})
-	f.relay(now)
-	if now < f.pulse {
+	r.relayMembership(now)
+	if now < r.nextHeartbeat {
 		return
 	}
-	f.pulse = now.Add(pulseEvery)
-	f.count++
-	m := PeerHeartbeat{ID: f.Self.ID, RunID: f.Self.RunID, AgreementAge: uint32(min(f.age(now)/time.Millisecond, 1<<30)), TargetsDigest: f.Targets.Sum(), Number: f.count}
-	for _, p := range f.Live(membership.Registry) {
-		if p.ID != f.Self.ID {
-			f.Send(p.Address, m)
+	r.nextHeartbeat = now.Add(peerHeartbeatInterval)
+	r.heartbeatNumber++
+	m := PeerHeartbeat{ID: r.Self.ID, RunID: r.Self.RunID, AgreementAgeMillis: uint32(min(r.agreementAge(now)/time.Millisecond, 1<<30)), TargetsDigest: r.Targets.Sum(), Number: r.heartbeatNumber}
+	for _, p := range r.Live(membership.Registry) {
+		if p.ID != r.Self.ID {
+			r.Send(p.Address, m)
 		}
 	}
 }
 
-// pulsed takes another registry's pulse, and compares targets with it where its
+// handlePeerHeartbeat takes another registry's pulse, and compares targets with it where its
 // copy goes on differing: an update may have been lost.
-func (f *Registry) pulsed(now ids.Time, m PeerHeartbeat) {
-	p := f.heard[m.ID]
+func (r *Registry) handlePeerHeartbeat(now ids.Time, m PeerHeartbeat) {
+	p := r.peersByID[m.ID]
 	fresh := p.RunID != m.RunID
-	p.PeerHeartbeat, p.at = m, now
-	p.trusted = trusted(p.trusted && !fresh, time.Duration(m.AgreementAge)*time.Millisecond)
-	if m.TargetsDigest == f.Targets.Sum() {
-		p.differ = 0
+	p.PeerHeartbeat, p.receivedAt = m, now
+	p.trusted = remainsTrusted(p.trusted && !fresh, time.Duration(m.AgreementAgeMillis)*time.Millisecond)
+	if m.TargetsDigest == r.Targets.Sum() {
+		p.digestMismatches = 0
 	} else {
-		p.differ++
+		p.digestMismatches++
 	}
-	f.heard[m.ID] = p
-	to, ok := f.Get(m.ID)
+	r.peersByID[m.ID] = p
+	to, ok := r.Get(m.ID)
 	switch {
 	case !ok:
-	case fresh || p.differ > 0 && p.differ%sendAllAfter == 0:
-		f.Send(to.Address, targets.Update{List: f.Targets.All(now)})
-	case p.differ > 0 && p.differ%compareAfter == 0:
-		f.Send(to.Address, TableDigest{Parts: f.Targets.Parts()})
+	case fresh || p.digestMismatches > 0 && p.digestMismatches%sendAllAfterMismatches == 0:
+		r.Send(to.Address, targets.Update{List: r.Targets.All(now)})
+	case p.digestMismatches > 0 && p.digestMismatches%compareAfterMismatches == 0:
+		r.Send(to.Address, TableDigest{Parts: r.Targets.Parts()})
 	}
 }
 
-// trusted tells whether a registry with an agreement of some age is relied on.
-func trusted(before bool, age time.Duration) bool {
+// remainsTrusted tells whether a registry with an agreement of some age is relied on.
+func remainsTrusted(before bool, age time.Duration) bool {
 	if before {
-		return age < distrustAfter
+		return age < distrustAfterAge
 	}
-	return age < trustWithin
+	return age < trustWithinAge
 }
 
-// compared answers another registry's sums with the targets that differ.
-func (f *Registry) compared(now ids.Time, from ids.Address, m TableDigest) {
-	if list := f.Targets.Differing(now, m.Parts); len(list) > 0 {
-		f.Send(from, targets.Update{List: list})
+// handleTableDigest answers another registry's sums with the targets that differ.
+func (r *Registry) handleTableDigest(now ids.Time, from ids.Address, m TableDigest) {
+	if list := r.Targets.Differing(now, m.Parts); len(list) > 0 {
+		r.Send(from, targets.Update{List: list})
 	}
 }
 
-// relay hands on what changed in the roll to those served here, and what this
+// relayMembership hands on what changed in the roll to those served here, and what this
 // registry judged to the others.
-func (f *Registry) relay(now ids.Time) {
-	if now < f.relayed.Add(relayEvery) {
+func (r *Registry) relayMembership(now ids.Time) {
+	if now < r.lastRelay.Add(relayInterval) {
 		return
 	}
-	f.relayed = now
-	list := f.Changed()
+	r.lastRelay = now
+	list := r.Changed()
 	if len(list) == 0 {
 		return
 	}
 	msg := membership.Delta{Members: list, Final: true}
-	for _, m := range f.served(now) {
-		f.Send(m.Address, msg)
+	for _, m := range r.assignedProxies(now) {
+		r.Send(m.Address, msg)
 	}
-	first := len(f.group) > 0 && f.group[0].ID == f.Self.ID
-	for _, m := range f.All() {
-		if m.Gone || m.ID == f.Self.ID {
+	first := len(r.deliveryGroup) > 0 && r.deliveryGroup[0].ID == r.Self.ID
+	for _, m := range r.All() {
+		if m.Gone || m.ID == r.Self.ID {
 			continue
 		}
 		if m.Role == membership.Registry || m.Role == membership.Store && first {
-			f.Send(m.Address, msg)
+			r.Send(m.Address, msg)
 		}
 	}
 }
 
-// served gives the proxies that this registry delivers to: all of them, or its
+// assignedProxies gives the proxies that this registry delivers to: all of them, or its
 // part, with each proxy served by two of the registries that hear one another
 // and a majority.
-func (f *Registry) served(now ids.Time) []membership.Member {
-	if !f.options.Incremental {
-		return f.Live(membership.Proxy)
+func (r *Registry) assignedProxies(now ids.Time) []membership.Member {
+	if !r.options.Incremental {
+		return r.Live(membership.Proxy)
 	}
 	var group []membership.Member
 	sum := fnv.New64a()
-	for _, m := range f.All() {
+	for _, m := range r.All() {
 		if m.Role != membership.Registry {
 			continue
 		}
 		// Its own pulses say more than a verdict that it may be about to refute.
-		p, ok := f.heard[m.ID]
-		if m.ID == f.Self.ID || ok && p.RunID == m.RunID && now.Sub(p.at) < peerFor && p.trusted {
+		p, ok := r.peersByID[m.ID]
+		if m.ID == r.Self.ID || ok && p.RunID == m.RunID && now.Sub(p.receivedAt) < peerTimeout && p.trusted {
 			group = append(group, m)
 			sum.Write([]byte(m.ID))
 		}
 	}
-	drawn := sum.Sum64() ^ f.Version()
-	if f.ours != nil && f.drawn == drawn {
-		return f.ours
+	drawn := sum.Sum64() ^ r.Version()
+	if r.assignment != nil && r.assignmentKey == drawn {
+		return r.assignment
 	}
-	f.group, f.drawn, f.ours = group, drawn, []membership.Member{}
-	for _, c := range f.Live(membership.Proxy) {
-		if f.serves(c, group) {
-			f.ours = append(f.ours, c)
+	r.deliveryGroup, r.assignmentKey, r.assignment = group, drawn, []membership.Member{}
+	for _, c := range r.Live(membership.Proxy) {
+		if r.isAssigned(c, group) {
+			r.assignment = append(r.assignment, c)
 		}
 	}
-	return f.ours
+	return r.assignment
 }
 
-// serves tells whether this registry is among the two of a group that deliver to
+// isAssigned tells whether this registry is among the two of a group that deliver to
 // a proxy: the nearest one, and one by lot.
-func (f *Registry) serves(c membership.Member, group []membership.Member) bool {
-	if len(group) <= serveBy {
+func (r *Registry) isAssigned(proxy membership.Member, group []membership.Member) bool {
+	if len(group) <= registriesPerProxy {
 		return true
 	}
 	order := slices.Clone(group)
 	slices.SortFunc(order, func(a, b membership.Member) int {
-		return cmp.Or(cmp.Compare(lot(c.ID, a.ID), lot(c.ID, b.ID)), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(rendezvousHash(proxy.ID, a.ID), rendezvousHash(proxy.ID, b.ID)), cmp.Compare(a.ID, b.ID))
 	})
-	near := f.near(c, order)
-	if near.ID == f.Self.ID {
+	near := r.nearestRegistry(proxy, order)
+	if near.ID == r.Self.ID {
 		return true
 	}
 	order = slices.DeleteFunc(order, func(m membership.Member) bool { return m.ID == near.ID })
-	return slices.ContainsFunc(order[:serveBy-1], func(m membership.Member) bool { return m.ID == f.Self.ID })
+	return slices.ContainsFunc(order[:registriesPerProxy-1], func(m membership.Member) bool { return m.ID == r.Self.ID })
 }
 
-// near gives the registry of an order that stands nearest to a proxy.
-func (f *Registry) near(c membership.Member, order []membership.Member) membership.Member {
+// nearestRegistry gives the registry of an order that stands nearest to a proxy.
+func (r *Registry) nearestRegistry(proxy membership.Member, order []membership.Member) membership.Member {
 	return slices.MinFunc(order, func(a, b membership.Member) int {
-		return cmp.Or(cmp.Compare(f.view.Distance(c.Zone, a.Zone), f.view.Distance(c.Zone, b.Zone)), cmp.Compare(lot(c.ID, a.ID), lot(c.ID, b.ID)))
+		return cmp.Or(cmp.Compare(r.view.Distance(proxy.Zone, a.Zone), r.view.Distance(proxy.Zone, b.Zone)), cmp.Compare(rendezvousHash(proxy.ID, a.ID), rendezvousHash(proxy.ID, b.ID)))
 	})
 }
 
-// nearest tells whether this registry is the one that delivers to a proxy
+// isNearestRegistry tells whether this registry is the one that delivers to a proxy
 // first; the other is there in case that it doesn't.
-func (f *Registry) nearest(c membership.Member) bool {
-	return len(f.group) == 0 || f.near(c, f.group).ID == f.Self.ID
+func (r *Registry) isNearestRegistry(proxy membership.Member) bool {
+	return len(r.deliveryGroup) == 0 || r.nearestRegistry(proxy, r.deliveryGroup).ID == r.Self.ID
 }
 
-func lot(a, b ids.DaemonID) uint64 {
+func rendezvousHash(a, b ids.DaemonID) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(a))
 	h.Write([]byte{0})
--- a/internal/controlplane/registry/registry.go
+++ b/internal/controlplane/registry/registry.go
@@ -34,20 +34,20 @@
 	// one another up to date on who is there.
 	Incremental bool
 	// Always: the directory names somebody wherever it knows anybody.
-	Always bool
+	AlwaysAnswer bool
 	// Derive: set points that nobody named follow from what targets state.
-	Derive bool
+	DeriveLevels bool
 }
 
-func (p *Options) fill() {
-	if p.PlanEvery == 0 {
-		p.PlanEvery = 30 * time.Second
+func (o *Options) setDefaults() {
+	if o.PlanEvery == 0 {
+		o.PlanEvery = 30 * time.Second
 	}
-	if p.ControlLease == 0 {
-		p.ControlLease = distribution.ControlLease
+	if o.ControlLease == 0 {
+		o.ControlLease = distribution.ControlLease
 	}
-	if p.Lifetime == 0 {
-		p.Lifetime = 2 * time.Second
+	if o.Lifetime == 0 {
+		o.Lifetime = 2 * time.Second
 	}
 }
 
@@ -61,73 +61,73 @@
 	Reports     *spill.Reports
 	options     Options
 
-	raw []byte
-	// deltas are differences to the configuration in force, by the revision they are from.
-	deltas map[ids.Revision][]byte
-	// whole is the register's value as it was last read, and sum sums it up.
-	whole         []byte
-	sum           uint64
-	configuration *configuration.Document
-	view          *configuration.View
-	// agreed is when a majority last told us the configuration.
-	agreed  ids.Time
-	reading bool
-	poll    ids.Time
-	share   ids.Time
-	woke    ids.Time
+	encodedConfiguration []byte
+	// configurationDeltas are differences to the configuration in force, by the revision they are from.
+	configurationDeltas map[ids.Revision][]byte
+	// registerValue is the register's value as it was last read, and sum sums it up.
+	registerValue    []byte
+	registerChecksum uint64
+	configuration    *configuration.Document
+	view             *configuration.View
+	// agreedAt is when a majority last told us the configuration.
+	agreedAt       ids.Time
+	readPending    bool
+	nextRead       ids.Time
+	nextTargetSync ids.Time
+	resumedAt      ids.Time
 	// stopping: the process was told to end.
 	stopping bool
-	// delivered is when proxies were last told what they lack.
-	delivered ids.Time
-	last      ids.Time
-	// began is when this run had its first clock event.
-	began  ids.Time
-	seen   directory.Snapshot
-	seenBy snapshotKey
-	seenAt ids.Time
+	// lastPush is when proxies were last told what they lack.
+	lastPush ids.Time
+	lastTick ids.Time
+	// startedAt is when this run had its first clock event.
+	startedAt         ids.Time
+	cachedSnapshot    directory.Snapshot
+	cachedSnapshotKey snapshotKey
+	cachedSnapshotAt  ids.Time
 	// partings are targets that wait to hear that they may stop.
 	departures []departure
-	// awaited are control calls that wait for an agreement.
-	awaited []agreementCall
-	held    []heldCall
+	// pendingCalls are control calls that wait for an agreement.
+	pendingCalls  []pendingCall
+	deferredCalls []deferredCall
 	peers
 
-	plans
+	plannerState
 }
 
 // New makes a registry that knows nothing yet.
-func New(p Options) *Registry {
-	p.fill()
-	p.Self.Role = membership.Registry
-	f := &Registry{options: p, Targets: targets.New(), Reports: spill.NewReports()}
-	f.Targets.Thrifty, f.Targets.Self = p.Incremental, p.Self.ID
-	f.List = membership.New(p.Options, &f.Outbox)
-	f.List.MayDeclareDead = func(now ids.Time) bool { return f.age(now) < declareDeadWithin }
-	f.Client = consensus.NewClient(p.Self.RunID, &f.Outbox)
-	f.Client.StoreOrder = f.stores
-	f.Distributor = distribution.New(p.Self.RunID, &f.Outbox)
-	if p.Derive {
+func New(options Options) *Registry {
+	options.setDefaults()
+	options.Self.Role = membership.Registry
+	r := &Registry{options: options, Targets: targets.New(), Reports: spill.NewReports()}
+	r.Targets.Thrifty, r.Targets.Self = options.Incremental, options.Self.ID
+	r.List = membership.New(options.Options, &r.Outbox)
+	r.List.MayDeclareDead = func(now ids.Time) bool { return r.agreementAge(now) < declareDeadWithinAge }
+	r.Client = consensus.NewClient(options.Self.RunID, &r.Outbox)
+	r.Client.StoreOrder = r.storeOrder
+	r.Distributor = distribution.New(options.Self.RunID, &r.Outbox)
+	if options.DeriveLevels {
 		// Two reports and more, of a plan's period each.
-		f.Reports.Span = 2*p.PlanEvery + 100*time.Millisecond
-	}
-	if p.Incremental {
-		f.Distributor.RefreshEvery, f.Distributor.ResendAfter = time.Second, 400*time.Millisecond
-		f.Distributor.Quiet = true
-		f.Distributor.Spare = func(c membership.Member) bool { return !f.nearest(c) }
-	}
-	f.configuration, _ = configuration.Decode(nil)
-	f.view = f.configuration.View()
-	f.view.SetRegions(p.Regions)
-	f.plans = newPlans()
-	f.peers = newPeers()
-	return f
+		r.Reports.Span = 2*options.PlanEvery + 100*time.Millisecond
+	}
+	if options.Incremental {
+		r.Distributor.RefreshEvery, r.Distributor.ResendAfter = time.Second, 400*time.Millisecond
+		r.Distributor.Quiet = true
+		r.Distributor.Spare = func(c membership.Member) bool { return !r.isNearestRegistry(c) }
+	}
+	r.configuration, _ = configuration.Decode(nil)
+	r.view = r.configuration.View()
+	r.view.SetRegions(options.Regions)
+	r.plannerState = newPlannerState()
+	r.peers = newPeers()
+	return r
 }
 
-// stores names the stores to ask. For the configuration all registries go to the
+// storeOrder names the stores to ask. For the configuration all registries go to the
 // first live one, so that proposers seldom duel; ballots keep it safe anyway.
-func (f *Registry) stores(ids.RegisterKey) []ids.Address {
+func (r *Registry) storeOrder(ids.RegisterKey) []ids.Address {
 	var out, rest []ids.Address
-	for _, m := range f.Live(membership.Store) {
+	for _, m := range r.Live(membership.Store) {
 		if m.Ready {
 			out = append(out, m.Address)
 		} else {
@@ -138,110 +138,110 @@
 }
 
 const (
-	// deliverEvery bounds how often what isn't urgent is told.
-	deliverEvery = 150 * time.Millisecond
-	pollEvery    = 500 * time.Millisecond
-	shareEvery   = time.Second
-	// declareDeadWithin is how old an agreement may be for a registry to declare
+	// pushInterval bounds how often what isn't urgent is told.
+	pushInterval       = 150 * time.Millisecond
+	pollInterval       = 500 * time.Millisecond
+	targetSyncInterval = time.Second
+	// declareDeadWithinAge is how old an agreement may be for a registry to declare
 	// members dead. It is less than what a verdict takes from the last sign of
 	// life on, so that one cut off from the majority never passes any.
-	declareDeadWithin = 1500 * time.Millisecond
-	// proxyLag is how long a proxy may leave a change unacknowledged
+	declareDeadWithinAge = 1500 * time.Millisecond
+	// maxProxyLag is how long a proxy may leave a change unacknowledged
 	// before the directory leaves it out.
-	proxyLag = 2 * time.Second
+	maxProxyLag = 2 * time.Second
 )
 
 // Step is the machine's one entrance.
-func (f *Registry) Step(now ids.Time, ev event.Event) []event.Command {
+func (r *Registry) Step(now ids.Time, ev event.Event) []event.Command {
 	switch e := ev.(type) {
 	case event.Received:
-		f.RecordContact(now, e.From)
-		f.receive(now, e.From, e.Msg)
+		r.RecordContact(now, e.From)
+		r.receive(now, e.From, e.Msg)
 	case event.Tick:
-		f.clock(now)
+		r.tick(now)
 	default:
-		f.call(now, ev)
+		r.handleCall(now, ev)
 	}
-	return f.Drain()
+	return r.Drain()
 }
 
-func (f *Registry) clock(now ids.Time) {
-	if f.last != 0 && now.Sub(f.last) > time.Second {
-		f.woke = now
-		f.Log(event.LevelWarn, "woke", "gap_ms", itoa(uint64(now.Sub(f.last)/time.Millisecond)))
-	}
-	f.last = now
-	if f.began == 0 {
-		f.began = now
-	}
-	f.Announce(!f.stopping && f.agreed != 0 && now.Sub(f.agreed) < 5*time.Second, f.view.Revision)
-	f.List.Tick(now)
-	f.endOverdue(now)
-	f.beginHeld(now)
-	f.Client.Tick(now)
-	f.keepPeers(now)
-	silent := f.silent(now)
-	if f.options.Incremental {
-		f.tellRegistries(silent)
+func (r *Registry) tick(now ids.Time) {
+	if r.lastTick != 0 && now.Sub(r.lastTick) > time.Second {
+		r.resumedAt = now
+		r.Log(event.LevelWarn, "woke", "gap_ms", formatUint(uint64(now.Sub(r.lastTick)/time.Millisecond)))
+	}
+	r.lastTick = now
+	if r.startedAt == 0 {
+		r.startedAt = now
+	}
+	r.Announce(!r.stopping && r.agreedAt != 0 && now.Sub(r.agreedAt) < 5*time.Second, r.view.Revision)
+	r.List.Tick(now)
+	r.abandonOverdueCalls(now)
+	r.runDeferredCalls(now)
+	r.Client.Tick(now)
+	r.tickPeers(now)
+	silent := r.expireSilentTargets(now)
+	if r.options.Incremental {
+		r.sendTargetsToPeers(silent)
 	}
 	for _, t := range silent {
-		f.Log(event.LevelWarn, "target silent", "target", string(t.Instance), "service", string(t.Service), "address", string(t.Address))
+		r.Log(event.LevelWarn, "target silent", "target", string(t.Instance), "service", string(t.Service), "address", string(t.Address))
 	}
-	f.Targets.Forget(now, time.Hour)
-	if (now >= f.poll || f.probeDue(now)) && !f.reading && f.answerable() {
-		f.readConfiguration(now)
+	r.Targets.Forget(now, time.Hour)
+	if (now >= r.nextRead || r.probeDue(now)) && !r.readPending && r.knowsStore() {
+		r.pollConfiguration(now)
 	}
-	if now >= f.share {
-		f.share = now.Add(shareEvery)
-		f.shareTargets(now)
+	if now >= r.nextTargetSync {
+		r.nextTargetSync = now.Add(targetSyncInterval)
+		r.syncTargets(now)
 	}
-	if !f.options.Incremental || now.Sub(f.delivered) >= deliverEvery {
-		f.deliver(now)
+	if !r.options.Incremental || now.Sub(r.lastPush) >= pushInterval {
+		r.pushToProxies(now)
 	}
-	f.part(now)
-	f.planning(now)
+	r.completeDepartures(now)
+	r.tickPlanner(now)
 }
 
-func (f *Registry) receive(now ids.Time, from ids.Address, msg any) {
-	if why := f.screen(from, msg); why != "" {
-		f.Discard(from, why, msg)
+func (r *Registry) receive(now ids.Time, from ids.Address, msg any) {
+	if why := r.checkSender(from, msg); why != "" {
+		r.Discard(from, why, msg)
 		return
 	}
 	switch m := msg.(type) {
 	case consensus.Response:
-		before := f.view.Revision
-		f.Client.HandleResponse(now, from, m)
-		if !f.options.Incremental || f.view.Revision > before {
-			f.deliver(now)
+		before := r.view.Revision
+		r.Client.HandleResponse(now, from, m)
+		if !r.options.Incremental || r.view.Revision > before {
+			r.pushToProxies(now)
 		}
 	case consensus.Chosen:
-		f.chosen(now, m)
+		r.handleChosen(now, m)
 	case consensus.ChosenDifference:
-		f.chosenDifference(now, m)
+		r.handleChosenDifference(now, m)
 	case distribution.Ack:
-		f.Distributor.HandleAck(now, m)
-		if f.options.Incremental && !f.Distributor.IsCurrent(m.Proxy, m.RunID) && m.TargetsDigest == f.Targets.Exact() {
-			f.Distributor.HasAll(m.Proxy, m.RunID, f.forProxies(now))
+		r.Distributor.HandleAck(now, m)
+		if r.options.Incremental && !r.Distributor.IsCurrent(m.Proxy, m.RunID) && m.TargetsDigest == r.Targets.Exact() {
+			r.Distributor.HasAll(m.Proxy, m.RunID, r.targetsForProxies(now))
 		}
-		f.part(now)
+		r.completeDepartures(now)
 	case targets.Update:
-		f.shared(now, m.List)
+		r.handleTargetUpdate(now, m.List)
 	case PeerHeartbeat:
-		f.pulsed(now, m)
+		r.handlePeerHeartbeat(now, m)
 	case TableDigest:
-		f.compared(now, from, m)
+		r.handleTableDigest(now, from, m)
 	case DepartureNotice:
-		f.owes = append(f.owes, m)
-		f.part(now)
+		r.owedAcks = append(r.owedAcks, m)
+		r.completeDepartures(now)
 	case DepartureAck:
-		f.parted(now, m)
+		r.handleDepartureAck(now, m)
 	case spill.Report:
-		f.Reports.Enter(now, m)
+		r.Reports.Enter(now, m)
 	case spill.Table:
-		f.takeTable(now, from, m)
+		r.handleSpillTable(now, from, m)
 	case election.Term:
-		f.raise(now, m.Epoch)
+		r.observeEpoch(now, m.Epoch)
 	default:
-		f.List.Receive(now, from, msg)
+		r.List.Receive(now, from, msg)
 	}
 }
--- a/internal/controlplane/registry/registry_test.go
+++ b/internal/controlplane/registry/registry_test.go
@@ -14,7 +14,7 @@
 
 // A registry reads the configuration twice a second. The same again costs next to nothing,
 // however large it is.
-func TestTheSameConfigurationAgainCostsNothing(t *testing.T) {
+func TestAdoptConfiguration_UnchangedValueAllocatesLittle(t *testing.T) {
 	is := is.New(t)
 	var m configuration.Merge
 	for i := range 1000 {
@@ -25,14 +25,14 @@
 	p, r := p.Merge(m)
 	is.True(r.Accepted())
 	f := New(Options{Options: membership.Options{Self: membership.Member{ID: "f"}}})
-	f.adopt(p.Encode(true))
+	f.adoptConfiguration(p.Encode(true))
 	is.Equal(f.view.Revision, ids.Revision(1))
 	again := p.Encode(true)
-	is.True(testing.AllocsPerRun(10, func() { f.adopt(again) }) < 5)
+	is.True(testing.AllocsPerRun(10, func() { f.adoptConfiguration(again) }) < 5)
 	// What is newer is taken, and what is older isn't.
 	q, _ := p.Merge(configuration.Merge{Items: []configuration.VersionedItem{{Kind: "service", Name: "s1", Version: 2, Removed: true}}})
-	f.adopt(q.Encode(true))
-	f.adopt(p.Encode(true))
+	f.adoptConfiguration(q.Encode(true))
+	f.adoptConfiguration(p.Encode(true))
 	is.Equal(f.view.Revision, ids.Revision(2))
 	is.Equal(len(f.view.Services), 999)
 }
--- a/internal/controlplane/registry/registrytest/core.go
+++ b/internal/controlplane/registry/registrytest/core.go
@@ -42,155 +42,157 @@
 const (
 	proxy     ids.DaemonID = "proxy"
 	tickEvery              = 50 * time.Millisecond
-	// giveUp is when a call counts as never answered.
-	giveUp = 10 * time.Second
+	// callTimeout is when a call counts as never answered.
+	callTimeout = 10 * time.Second
 )
 
-// Core is a registry, the majority that it asks, and a proxy on the majority's
+// Harness is a registry, the majority that it asks, and a proxy on the majority's
 // side of whatever cuts the registry off.
-type Core struct {
+type Harness struct {
 	*registry.Registry
 	Link Link
 	Now  ids.Time
-	// Slow is how long changes take that a disk must hold.
-	Slow time.Duration
+	// ChangeDelay is how long changes take that a disk must hold.
+	ChangeDelay time.Duration
 	// Sent, if set, sees every message that the registry sends.
-	Sent     func(event.Send)
+	OnSend   func(event.Send)
 	values   map[ids.RegisterKey][]byte
 	ops      map[consensus.Op]consensus.ChangeFunc
 	answered map[uint64]registry.Response
-	late     []lateResponse
+	delayed  []delayedResponse
 }
 
-// lateResponse is an answer that a slow disk holds up.
-type lateResponse struct {
-	due ids.Time
+// delayedResponse is an answer that a slow disk holds up.
+type delayedResponse struct {
+	deliverAt ids.Time
 	consensus.Response
 }
 
 // New makes a registry that has been in touch with its majority for a while.
-func New(options registry.Options) *Core {
-	core := NewStarting(options)
-	core.Run(3 * time.Second)
-	return core
+func New(options registry.Options) *Harness {
+	harness := NewStarting(options)
+	harness.Run(3 * time.Second)
+	return harness
 }
 
 // NewStarting makes a registry that has just started.
-func NewStarting(options registry.Options) *Core {
+func NewStarting(options registry.Options) *Harness {
 	options.Self = membership.Member{ID: "registry", Address: Self, RunID: 1, Zone: "c"}
 	options.Seeds = []ids.Address{Store}
 	options.Random = rand.New(rand.NewPCG(1, 1))
-	core := &Core{Registry: registry.New(options), Now: 1, ops: configuration.Ops(), values: map[ids.RegisterKey][]byte{}, answered: map[uint64]registry.Response{}}
-	maps.Copy(core.ops, election.Ops())
-	return core
+	harness := &Harness{Registry: registry.New(options), Now: 1, ops: configuration.Ops(), values: map[ids.RegisterKey][]byte{}, answered: map[uint64]registry.Response{}}
+	maps.Copy(harness.ops, election.Ops())
+	return harness
 }
 
 // Value is the configuration's register as the majority has it.
-func (c *Core) Value() []byte { return c.values[configuration.Key] }
+func (h *Harness) Value() []byte { return h.values[configuration.Key] }
 
 // Step hands an event to the registry and carries its commands out.
-func (c *Core) Step(ev event.Event) {
-	for _, command := range c.Registry.Step(c.Now, ev) {
+func (h *Harness) Step(ev event.Event) {
+	for _, command := range h.Registry.Step(h.Now, ev) {
 		switch command := command.(type) {
 		case event.Send:
-			c.send(command)
+			h.send(command)
 		case registry.Response:
-			c.answered[command.ID] = command
+			h.answered[command.ID] = command
 		}
 	}
 }
 
-func (c *Core) send(s event.Send) {
-	if c.Sent != nil {
-		c.Sent(s)
+func (h *Harness) send(s event.Send) {
+	if h.OnSend != nil {
+		h.OnSend(s)
 	}
 	switch msg := s.Msg.(type) {
 	case consensus.Request:
-		c.serve(msg)
+		h.serve(msg)
 	case distribution.Push:
-		c.acknowledge(msg)
+		h.acknowledge(msg)
 	}
 }
 
 // acknowledge has the proxy go by what it was sent.
-func (c *Core) acknowledge(push distribution.Push) {
-	if c.Link == Connected {
-		c.HearFrom(Proxy, distribution.Ack{Proxy: proxy, RunID: 1, Number: push.Number, Revision: push.Revision, Now: c.Now})
+func (h *Harness) acknowledge(push distribution.Push) {
+	if h.Link == Connected {
+		h.DeliverFrom(Proxy, distribution.Ack{Proxy: proxy, RunID: 1, Number: push.Number, Revision: push.Revision, Now: h.Now})
 	}
 }
 
 // serve carries a request out as a majority of stores would.
-func (c *Core) serve(request consensus.Request) {
-	switch c.Link {
+func (h *Harness) serve(request consensus.Request) {
+	switch h.Link {
 	case Silent:
 		return
 	case Rejecting:
-		c.hear(consensus.Response{ID: request.ID, Attempt: request.Attempt, Outcome: consensus.Rejected})
+		h.deliver(consensus.Response{ID: request.ID, Attempt: request.Attempt, Outcome: consensus.Rejected})
 		return
 	}
-	result := c.values[request.Key]
-	slow := request.Op != consensus.Read && c.Slow > 0
-	if op := c.ops[request.Op]; op != nil {
-		c.values[request.Key], result = op(request.Key, result, request.Arg)
+	result := h.values[request.Key]
+	slow := request.Op != consensus.Read && h.ChangeDelay > 0
+	if op := h.ops[request.Op]; op != nil {
+		h.values[request.Key], result = op(request.Key, result, request.Arg)
 	}
 	response := consensus.Response{ID: request.ID, Attempt: request.Attempt, Outcome: consensus.Succeeded, Result: result}
 	switch {
-	case c.Link != Connected:
+	case h.Link != Connected:
 	case slow:
-		c.late = append(c.late, lateResponse{c.Now.Add(c.Slow), response})
+		h.delayed = append(h.delayed, delayedResponse{h.Now.Add(h.ChangeDelay), response})
 	default:
-		c.hear(response)
+		h.deliver(response)
 	}
 }
 
-// Hear hands the registry a message as if the majority's side had sent it.
-func (c *Core) Hear(msg any) { c.hear(msg) }
+// Deliver hands the registry a message as if the majority's side had sent it.
+func (h *Harness) Deliver(msg any) { h.deliver(msg) }
 
-func (c *Core) hear(msg any) { c.HearFrom(Store, msg) }
+func (h *Harness) deliver(msg any) { h.DeliverFrom(Store, msg) }
 
-// HearFrom hands the registry a message of one that the majority's side names.
-func (c *Core) HearFrom(from ids.Address, msg any) { c.Step(event.Received{From: from, Msg: msg}) }
+// DeliverFrom hands the registry a message of one that the majority's side names.
+func (h *Harness) DeliverFrom(from ids.Address, msg any) {
+	h.Step(event.Received{From: from, Msg: msg})
+}
 
 // Run lets time pass.
-func (c *Core) Run(span time.Duration) {
-	for end := c.Now.Add(span); c.Now < end; {
-		c.tick()
+func (h *Harness) Run(span time.Duration) {
+	for end := h.Now.Add(span); h.Now < end; {
+		h.tick()
 	}
 }
 
-func (c *Core) tick() {
-	c.Now = c.Now.Add(tickEvery)
-	if c.Link == Connected || c.Link == Rejecting {
-		c.beat(membership.Member{ID: "store", Role: membership.Store, Address: Store})
+func (h *Harness) tick() {
+	h.Now = h.Now.Add(tickEvery)
+	if h.Link == Connected || h.Link == Rejecting {
+		h.sendHeartbeat(membership.Member{ID: "store", Role: membership.Store, Address: Store})
 	}
-	if c.Link == Connected {
-		c.beat(membership.Member{ID: proxy, Role: membership.Proxy, Address: Proxy, Zone: "c"})
+	if h.Link == Connected {
+		h.sendHeartbeat(membership.Member{ID: proxy, Role: membership.Proxy, Address: Proxy, Zone: "c"})
 	}
-	for len(c.late) > 0 && c.Now >= c.late[0].due {
-		first := c.late[0]
-		c.late = c.late[1:]
-		c.hear(first.Response)
+	for len(h.delayed) > 0 && h.Now >= h.delayed[0].deliverAt {
+		first := h.delayed[0]
+		h.delayed = h.delayed[1:]
+		h.deliver(first.Response)
 	}
-	c.Step(event.Tick{})
+	h.Step(event.Tick{})
 }
 
-func (c *Core) beat(member membership.Member) {
-	member.RunID, member.Ready, member.Incarnation = 1, true, ids.Incarnation(c.Now)
-	c.hear(membership.Heartbeat{Self: member})
+func (h *Harness) sendHeartbeat(member membership.Member) {
+	member.RunID, member.Ready, member.Incarnation = 1, true, ids.Incarnation(h.Now)
+	h.deliver(membership.Heartbeat{Self: member})
 }
 
 // Call hands a call in, and gives its answer and how long that took.
-func (c *Core) Call(id uint64, call event.Event) (registry.Response, time.Duration) {
-	began := c.Now
-	c.Step(call)
+func (h *Harness) Call(id uint64, call event.Event) (registry.Response, time.Duration) {
+	began := h.Now
+	h.Step(call)
 	for {
-		if response, ok := c.answered[id]; ok {
-			delete(c.answered, id)
-			return response, c.Now.Sub(began)
+		if response, ok := h.answered[id]; ok {
+			delete(h.answered, id)
+			return response, h.Now.Sub(began)
 		}
-		if c.Now.Sub(began) > giveUp {
-			return registry.Response{ID: id}, giveUp
+		if h.Now.Sub(began) > callTimeout {
+			return registry.Response{ID: id}, callTimeout
 		}
-		c.tick()
+		h.tick()
 	}
 }
--- a/internal/controlplane/registry/resolve.go
+++ b/internal/controlplane/registry/resolve.go
@@ -11,82 +11,82 @@
 
 // Where is the body of an answer to "where do I go".
 type Resolution struct {
-	Zone     ids.Name      `json:"cell"`
-	Proxies  []ids.Address `json:"proxies"`
-	Lifetime int64         `json:"lifetime_ms"`
-	Moved    bool          `json:"moved"`
+	Zone           ids.Name      `json:"cell"`
+	Proxies        []ids.Address `json:"proxies"`
+	LifetimeMillis int64         `json:"lifetime_ms"`
+	Moved          bool          `json:"moved"`
 }
 
-func (f *Registry) where(now ids.Time, c ResolveCall) {
-	if !f.leased(now) && !f.options.Always {
-		f.unavailable(c.ID)
+func (r *Registry) handleResolve(now ids.Time, call ResolveCall) {
+	if !r.hasLease(now) && !r.options.AlwaysAnswer {
+		r.replyUnavailable(call.ID)
 		return
 	}
-	if _, ok := f.view.Routes[c.Route]; !ok && c.Host == "" {
-		f.Emit(Response{ID: c.ID, Status: 404, Body: ErrorResponse{"there is no route " + string(c.Route)}})
+	if _, ok := r.view.Routes[call.Route]; !ok && call.Host == "" {
+		r.Emit(Response{ID: call.ID, Status: 404, Body: ErrorResponse{"there is no route " + string(call.Route)}})
 		return
 	}
-	w, ok := f.snapshot(now).Point(c.Zone, f.draw(c), f.options.Random)
-	if !ok && f.options.Always {
-		w, ok = f.anybody(c.Zone)
+	destination, ok := r.directorySnapshot(now).Point(call.Zone, r.chooseRoute(call), r.options.Random)
+	if !ok && r.options.AlwaysAnswer {
+		destination, ok = r.nearestKnownProxies(call.Zone)
 	}
 	if !ok {
-		f.Emit(Response{ID: c.ID, Status: 503, Body: ErrorResponse{"no proxy takes work now"}, RetryAfter: 1})
+		r.Emit(Response{ID: call.ID, Status: 503, Body: ErrorResponse{"no proxy takes work now"}, RetryAfter: 1})
 		return
 	}
-	f.Emit(Response{ID: c.ID, Status: 200, Body: Resolution{
-		Zone: w.Zone, Proxies: w.Proxies,
-		Lifetime: f.lifetime(now).Milliseconds(), Moved: w.Moved,
+	r.Emit(Response{ID: call.ID, Status: 200, Body: Resolution{
+		Zone: destination.Zone, Proxies: destination.Proxies,
+		LifetimeMillis: r.resolutionLifetime(now).Milliseconds(), Moved: destination.Moved,
 	}})
 }
 
-// draw gives the route that an ask stands for. One for a host stands for all of
+// chooseRoute gives the route that an ask stands for. One for a host stands for all of
 // its routes, so it is drawn by what each of them uses in the client's zone.
-func (f *Registry) draw(c ResolveCall) ids.Name {
-	if c.Host == "" {
-		return c.Route
+func (r *Registry) chooseRoute(call ResolveCall) ids.Name {
+	if call.Host == "" {
+		return call.Route
 	}
-	var list []ids.Name
-	for _, n := range names(f.view.Routes) {
-		if f.view.Routes[n].Host == c.Host {
-			list = append(list, n)
+	var routes []ids.Name
+	for _, n := range sortedNames(r.view.Routes) {
+		if r.view.Routes[n].Host == call.Host {
+			routes = append(routes, n)
 		}
 	}
-	return f.table.Draw(c.Zone, list, f.options.Random.Float64())
+	return r.spillTable.Draw(call.Zone, routes, r.options.Random.Float64())
 }
 
-// anybody names proxies by the roll alone, nearest zones first: a registry that
+// nearestKnownProxies names proxies by the roll alone, nearest zones first: a registry that
 // hears from none may be the one that is cut off, and its client may not be.
-func (f *Registry) anybody(zone ids.Name) (directory.Destination, bool) {
-	var list []membership.Member
-	for _, m := range f.All() {
+func (r *Registry) nearestKnownProxies(zone ids.Name) (directory.Destination, bool) {
+	var proxies []membership.Member
+	for _, m := range r.All() {
 		if m.Role == membership.Proxy {
-			list = append(list, m)
+			proxies = append(proxies, m)
 		}
 	}
-	slices.SortStableFunc(list, func(a, b membership.Member) int {
+	slices.SortStableFunc(proxies, func(a, b membership.Member) int {
 		gone := map[bool]int{true: 1}
-		return cmp.Or(cmp.Compare(gone[a.Gone], gone[b.Gone]), cmp.Compare(f.view.Distance(zone, a.Zone), f.view.Distance(zone, b.Zone)))
+		return cmp.Or(cmp.Compare(gone[a.Gone], gone[b.Gone]), cmp.Compare(r.view.Distance(zone, a.Zone), r.view.Distance(zone, b.Zone)))
 	})
-	if len(list) == 0 {
+	if len(proxies) == 0 {
 		return directory.Destination{}, false
 	}
-	w := directory.Destination{Zone: list[0].Zone}
-	for _, m := range list {
-		if m.Zone == w.Zone {
-			w.Proxies = append(w.Proxies, m.ClientAddress())
+	destination := directory.Destination{Zone: proxies[0].Zone}
+	for _, m := range proxies {
+		if m.Zone == destination.Zone {
+			destination.Proxies = append(destination.Proxies, m.ClientAddress())
 		}
 	}
-	return w, true
+	return destination, true
 }
 
-// ready gives the proxies that the directory may name: those in step, and
+// eligibleProxies gives the proxies that the directory may name: those in step, and
 // known to be by their own acknowledgements.
-func (f *Registry) ready(now ids.Time) []membership.Member {
+func (r *Registry) eligibleProxies(now ids.Time) []membership.Member {
 	var out []membership.Member
-	for _, m := range f.Live(membership.Proxy) {
+	for _, m := range r.Live(membership.Proxy) {
 		// Where others deliver to it, its own word in the roll must do.
-		if m.Ready && (f.options.Incremental || f.Distributor.Fresh(now, m, proxyLag)) {
+		if m.Ready && (r.options.Incremental || r.Distributor.Fresh(now, m, maxProxyLag)) {
 			out = append(out, m)
 		}
 	}
--- a/internal/controlplane/registry/screen_test.go
+++ b/internal/controlplane/registry/screen_test.go
@@ -18,12 +18,12 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-const stranger = ids.Address("10.9.9.9:1")
+const unknownAddress = ids.Address("10.9.9.9:1")
 
-// newPeered is a registry that knows a proxy, another registry and a store.
-func newPeered() *bench {
-	b := newBench(false)
-	b.cut = true
+// newRegistryWithPeers is a registry that knows a proxy, another registry and a store.
+func newRegistryWithPeers() *testRegistry {
+	b := newTestRegistry(false)
+	b.partitioned = true
 	for _, m := range []membership.Member{
 		{ID: "p", Role: membership.Proxy, Address: "10.0.0.3:1", RunID: 1},
 		{ID: "g", Role: membership.Registry, Address: "10.0.0.4:1", RunID: 1},
@@ -35,7 +35,7 @@
 	return b
 }
 
-func (b *bench) discards(from ids.Address, msg any) (n int) {
+func (b *testRegistry) countDiscards(from ids.Address, msg any) (n int) {
 	for _, c := range b.Step(b.now, event.Received{From: from, Msg: msg}) {
 		if _, ok := c.(event.Discarded); ok {
 			n++
@@ -46,7 +46,7 @@
 
 // Orders and acknowledgements are taken only from the daemon that may give
 // them, at the address where it is known.
-func TestForgedMessagesAreDiscarded(t *testing.T) {
+func TestCheckSender_DiscardsForgedMessages(t *testing.T) {
 	is := is.New(t)
 	p, _ := configuration.Decode(nil)
 	p.Revision = 1 << 40
@@ -62,33 +62,33 @@
 		{"10.0.0.3:1", spill.Report{Proxy: "p", RunID: 1, Number: 1 << 60}},
 		{"10.0.0.4:1", DepartureAck{ID: "g", Instance: "i"}},
 	} {
-		b := newPeered()
-		for _, from := range []ids.Address{stranger, "10.0.0.5:1"} {
-			is.Equal(b.discards(from, c.msg), 1)
+		b := newRegistryWithPeers()
+		for _, from := range []ids.Address{unknownAddress, "10.0.0.5:1"} {
+			is.Equal(b.countDiscards(from, c.msg), 1)
 		}
-		is.Equal(b.epoch, ids.Epoch(0))
+		is.Equal(b.highestEpoch, ids.Epoch(0))
 		is.Equal(b.view.Revision, ids.Revision(0))
-		is.Equal(b.discards(c.right, c.msg), 0)
+		is.Equal(b.countDiscards(c.right, c.msg), 0)
 	}
 }
 
 // Word that all proxies go by a target's earlier incarnation says nothing of
 // this one, however far the earlier one had counted.
-func TestAnAcknowledgementOfAnEarlierIncarnationIsNotCounted(t *testing.T) {
+func TestDepartureAck_IgnoresEarlierIncarnation(t *testing.T) {
 	is := is.New(t)
-	b := newPeered()
+	b := newRegistryWithPeers()
 	leaving := targets.Target{Instance: "i", Incarnation: 2, Sequence: 1, Leaving: true}
-	b.departures = []departure{{call: 1, target: leaving, due: b.now.Add(time.Hour), waits: map[ids.DaemonID]bool{"g": true}}}
-	b.discards("10.0.0.4:1", DepartureAck{ID: "g", Instance: "i", Incarnation: 1, Sequence: 9})
-	is.True(b.departures[0].waits["g"])
-	b.discards("10.0.0.4:1", DepartureAck{ID: "g", Instance: "i", Incarnation: 2, Sequence: 1})
-	is.True(!b.departures[0].waits["g"])
+	b.departures = []departure{{callID: 1, target: leaving, deadline: b.now.Add(time.Hour), awaitedPeers: map[ids.DaemonID]bool{"g": true}}}
+	b.countDiscards("10.0.0.4:1", DepartureAck{ID: "g", Instance: "i", Incarnation: 1, Sequence: 9})
+	is.True(b.departures[0].awaitedPeers["g"])
+	b.countDiscards("10.0.0.4:1", DepartureAck{ID: "g", Instance: "i", Incarnation: 2, Sequence: 1})
+	is.True(!b.departures[0].awaitedPeers["g"])
 }
 
 // A store's answer counts for the try that went to that store, once.
-func TestAnswersToNoQuestionAreDiscarded(t *testing.T) {
+func TestStoreResponses_DiscardedWhenUnsolicited(t *testing.T) {
 	is := is.New(t)
-	b := newPeered()
+	b := newRegistryWithPeers()
 	var asked []event.Send
 	for b.now = b.now.Add(time.Second); len(asked) == 0; b.now = b.now.Add(tickEvery) {
 		for _, c := range b.Step(b.now, event.Tick{}) {
@@ -104,11 +104,11 @@
 	other, earlier := answer, answer
 	other.Attempt++
 	earlier.ID -= 1 << 24
-	is.Equal(b.discards(stranger, answer), 1)
-	is.Equal(b.discards(asked[0].To, other), 1)
-	is.Equal(b.discards(asked[0].To, earlier), 1)
-	is.Equal(b.discards(asked[0].To, answer), 0)
-	is.Equal(b.discards(asked[0].To, answer), 1) // doubled
+	is.Equal(b.countDiscards(unknownAddress, answer), 1)
+	is.Equal(b.countDiscards(asked[0].To, other), 1)
+	is.Equal(b.countDiscards(asked[0].To, earlier), 1)
+	is.Equal(b.countDiscards(asked[0].To, answer), 0)
+	is.Equal(b.countDiscards(asked[0].To, answer), 1) // doubled
 }
 
 // FuzzMessages gives a registry any message from a stranger: it neither panics
@@ -121,12 +121,12 @@
 		distribution.Ack{Proxy: "p", RunID: 1, Number: 3},
 		targets.Update{List: []targets.Target{{Instance: "i", Service: "s", Address: "10.0.0.9:80", Zone: "c", Incarnation: 1, Sequence: 1, Warmth: 1}}},
 		PeerHeartbeat{ID: "g", RunID: 1},
-		DepartureNotice{Asker: stranger, Target: targets.Target{Instance: "i", Gone: true}},
+		DepartureNotice{Asker: unknownAddress, Target: targets.Target{Instance: "i", Gone: true}},
 		DepartureAck{ID: "g", Instance: "i"},
 		spill.Report{Proxy: "p", RunID: 1, Zone: "c", Number: 1, Interval: 2000, Rows: []spill.Spent{{}}},
 		spill.Table{Epoch: 2},
 		election.Term{Epoch: 2},
-		membership.Heartbeat{Self: membership.Member{ID: "x", Role: membership.Proxy, Address: stranger}},
+		membership.Heartbeat{Self: membership.Member{ID: "x", Role: membership.Proxy, Address: unknownAddress}},
 		membership.Suspect{Watcher: "x", ID: "p"},
 		membership.Snapshot{Members: []membership.Member{{ID: "f", Gone: true}}},
 		membership.Delta{Parts: []uint16{70}},
@@ -144,14 +144,14 @@
 			return
 		}
 		for _, thrifty := range []bool{false, true} {
-			b := newPeered()
+			b := newRegistryWithPeers()
 			b.options.Incremental = thrifty
-			b.Step(b.now, event.Received{From: stranger, Msg: msg})
+			b.Step(b.now, event.Received{From: unknownAddress, Msg: msg})
 			for range 8 {
 				b.now = b.now.Add(300 * time.Millisecond)
 				b.Step(b.now, event.Tick{})
 			}
-			if b.epoch != 0 || b.view.Revision != 0 || len(b.table.Moves) > 0 {
+			if b.highestEpoch != 0 || b.view.Revision != 0 || len(b.spillTable.Moves) > 0 {
 				t.Fatalf("%#v was taken as an order", msg)
 			}
 		}
--- a/internal/controlplane/registry/status.go
+++ b/internal/controlplane/registry/status.go
@@ -11,17 +11,17 @@
 
 // Status is what an operator at night needs on one page.
 type Status struct {
-	Registry    ids.DaemonID       `json:"registry"`
-	Agreed      int64              `json:"agreed_ms_ago"`
-	Revision    ids.Revision       `json:"revision"`
-	InForce     bool               `json:"in_force"`
-	Behind      []ids.DaemonID     `json:"behind"`
-	Daemons     []DaemonStatus     `json:"daemons"`
-	Zones       []ZoneStatus       `json:"cells"`
-	Moves       []Move             `json:"moves"`
-	Leaderships []LeadershipStatus `json:"duties"`
-	Targets     []targets.Target   `json:"targets"`
-	Warnings    []string           `json:"problems"`
+	Registry           ids.DaemonID       `json:"registry"`
+	AgreementAgeMillis int64              `json:"agreed_ms_ago"`
+	Revision           ids.Revision       `json:"revision"`
+	InForce            bool               `json:"in_force"`
+	LaggingProxies     []ids.DaemonID     `json:"behind"`
+	Daemons            []DaemonStatus     `json:"daemons"`
+	Zones              []ZoneStatus       `json:"cells"`
+	Moves              []Move             `json:"moves"`
+	Leaderships        []LeadershipStatus `json:"duties"`
+	Targets            []targets.Target   `json:"targets"`
+	Warnings           []string           `json:"problems"`
 }
 
 // DaemonStatus is one of our processes.
@@ -33,8 +33,8 @@
 	HTTP     ids.Address  `json:"http"`
 	State    string       `json:"state"`
 	Revision ids.Revision `json:"revision"`
-	// Start tells one run of the daemon from another.
-	Start string `json:"start"`
+	// RunID tells one run of the daemon from another.
+	RunID string `json:"start"`
 }
 
 // ZoneStatus is a zone with its levels, in ms of CPU a second.
@@ -57,89 +57,89 @@
 	Route    ids.Name `json:"route"`
 	Fraction float64  `json:"fraction"`
 	Amount   float64  `json:"amount"`
-	Why      string   `json:"why"`
+	Reason   string   `json:"why"`
 }
 
 // LeadershipStatus is a one-daemon duty as this registry knows it.
 type LeadershipStatus struct {
-	Name  string    `json:"name"`
-	Epoch ids.Epoch `json:"epoch"`
-	Held  bool      `json:"mine"`
-	Plan  uint64    `json:"plan"`
+	Name       string    `json:"name"`
+	Epoch      ids.Epoch `json:"epoch"`
+	Held       bool      `json:"mine"`
+	PlanNumber uint64    `json:"plan"`
 }
 
-func state(c spill.Zone) string {
+func zoneState(zone spill.Zone) string {
 	switch {
-	case c.Drained:
+	case zone.Drained:
 		return "emptied"
-	case c.Gone:
+	case zone.Gone:
 		return "no proxy"
-	case c.Stale:
+	case zone.Stale:
 		return "stale"
-	case c.Used() > c.Maximum:
+	case zone.Used() > zone.Maximum:
 		return "over maximum"
-	case c.Used() > c.Target:
+	case zone.Used() > zone.Target:
 		return "over target"
-	case c.Used() < c.Acceptable:
+	case zone.Used() < zone.Acceptable:
 		return "has room"
 	}
 	return "comfortable"
 }
 
 // Status gathers how things stand, as this registry sees them.
-func (f *Registry) Status(now ids.Time) Status {
-	proxies := f.Live(membership.Proxy)
-	s := Status{
-		Registry: f.Self.ID, Revision: f.view.Revision, Agreed: now.Sub(f.agreed).Milliseconds(),
-		Behind: f.Distributor.Lag(proxies, f.view.Revision), Targets: f.Targets.All(now),
-		Leaderships: []LeadershipStatus{{"planner", f.epoch, f.mine != 0, uint64(f.table.Number)}},
+func (r *Registry) Status(now ids.Time) Status {
+	proxies := r.Live(membership.Proxy)
+	status := Status{
+		Registry: r.Self.ID, Revision: r.view.Revision, AgreementAgeMillis: now.Sub(r.agreedAt).Milliseconds(),
+		LaggingProxies: r.Distributor.Lag(proxies, r.view.Revision), Targets: r.Targets.All(now),
+		Leaderships: []LeadershipStatus{{"planner", r.highestEpoch, r.ownEpoch != 0, uint64(r.spillTable.Number)}},
 	}
-	s.InForce = len(s.Behind) == 0
-	if f.agreed == 0 || s.Agreed > 5000 {
-		s.Warnings = append(s.Warnings, "no majority of stores for "+itoa(uint64(s.Agreed/1000))+" s")
+	status.InForce = len(status.LaggingProxies) == 0
+	if r.agreedAt == 0 || status.AgreementAgeMillis > 5000 {
+		status.Warnings = append(status.Warnings, "no majority of stores for "+formatUint(uint64(status.AgreementAgeMillis/1000))+" s")
 	}
-	for _, id := range s.Behind {
-		s.Warnings = append(s.Warnings, "proxy "+string(id)+" lags behind revision "+itoa(uint64(f.view.Revision)))
+	for _, id := range status.LaggingProxies {
+		status.Warnings = append(status.Warnings, "proxy "+string(id)+" lags behind revision "+formatUint(uint64(r.view.Revision)))
 	}
-	for _, m := range f.All() {
-		d := DaemonStatus{ID: m.ID, Role: m.Role.String(), Zone: m.Zone, Address: m.Address, HTTP: m.HTTP, State: "ready", Revision: m.Revision, Start: strconv.FormatUint(uint64(m.RunID), 16)}
+	for _, m := range r.All() {
+		d := DaemonStatus{ID: m.ID, Role: m.Role.String(), Zone: m.Zone, Address: m.Address, HTTP: m.HTTP, State: "ready", Revision: m.Revision, RunID: strconv.FormatUint(uint64(m.RunID), 16)}
 		if m.Gone {
 			d.State = "gone"
 		} else if !m.Ready {
 			d.State = "not ready"
 		}
 		if d.State != "ready" {
-			s.Warnings = append(s.Warnings, d.Role+" "+string(m.ID)+" is "+d.State)
+			status.Warnings = append(status.Warnings, d.Role+" "+string(m.ID)+" is "+d.State)
 		}
 		if m.Role == membership.Proxy && !m.Gone {
-			d.Revision = f.Distributor.Has(m)
+			d.Revision = r.Distributor.Has(m)
 		}
-		s.Daemons = append(s.Daemons, d)
+		status.Daemons = append(status.Daemons, d)
 	}
-	s.Zones = f.statusZones(now, proxies)
-	for _, c := range s.Zones {
+	status.Zones = r.zoneStatuses(now, proxies)
+	for _, c := range status.Zones {
 		if c.State == "over maximum" || c.State == "stale" || c.State == "no proxy" {
-			s.Warnings = append(s.Warnings, "cell "+string(c.Name)+": "+c.State)
+			status.Warnings = append(status.Warnings, "cell "+string(c.Name)+": "+c.State)
 		}
 	}
-	for _, m := range f.table.Moves {
-		s.Moves = append(s.Moves, Move{m.From, m.To, m.Route, m.Fraction, m.Amount, m.Why})
+	for _, m := range r.spillTable.Moves {
+		status.Moves = append(status.Moves, Move{m.From, m.To, m.Route, m.Fraction, m.Amount, m.Why})
 	}
-	return s
+	return status
 }
 
-func (f *Registry) statusZones(now ids.Time, proxies []membership.Member) []ZoneStatus {
-	zones := f.zones(now)
+func (r *Registry) zoneStatuses(now ids.Time, proxies []membership.Member) []ZoneStatus {
+	zones := r.currentZones(now)
 	var out []ZoneStatus
-	for _, n := range names(zones) {
+	for _, n := range sortedNames(zones) {
 		h := zones[n]
-		c := ZoneStatus{Name: n, Used: h.Used(), Target: h.Target, Acceptable: h.Acceptable, Maximum: h.Maximum, State: state(h), Learned: f.fits[n].Why}
+		c := ZoneStatus{Name: n, Used: h.Used(), Target: h.Target, Acceptable: h.Acceptable, Maximum: h.Maximum, State: zoneState(h), Learned: r.learnedMaxima[n].Why}
 		for _, m := range proxies {
 			if m.Zone == n {
 				c.Proxies++
 			}
 		}
-		for _, t := range f.Targets.All(now) {
+		for _, t := range r.Targets.All(now) {
 			if t.Zone == n && t.Usable() {
 				c.Targets++
 			}
--- a/internal/controlplane/registry/stopping.go
+++ b/internal/controlplane/registry/stopping.go
@@ -6,23 +6,23 @@
 // finished, new calls are sent on, and its duty is free for the next in line.
 type Stopping struct{}
 
-// stop gives up what others can take over. Targets' words that it has taken and
+// handleStopping gives up what others can take over. Targets' words that it has taken and
 // not yet answered are with the other registries, and are answered as always.
-func (f *Registry) stop(now ids.Time) {
-	if f.stopping {
+func (r *Registry) handleStopping(now ids.Time) {
+	if r.stopping {
 		return
 	}
-	f.stopping = true
-	if f.mine != 0 {
-		f.giveUpDuty(now, "duty given up")
+	r.stopping = true
+	if r.ownEpoch != 0 {
+		r.stepDown(now, "duty given up")
 	}
 	// The roll tells it at once, so that the next in line needn't wait for a verdict.
-	f.Announce(false, f.view.Revision)
+	r.Announce(false, r.view.Revision)
 }
 
-// rejects answers a call that came after the signal: surely not run, ask another.
-func (f *Registry) rejects(id uint64) {
-	f.Emit(Response{ID: id, Status: 503, Body: ErrorResponse{"this daemon is stopping"}, RetryAfter: 1})
+// replyStopping answers a call that came after the signal: surely not run, ask another.
+func (r *Registry) replyStopping(id uint64) {
+	r.Emit(Response{ID: id, Status: 503, Body: ErrorResponse{"this daemon is stopping"}, RetryAfter: 1})
 }
 
 // callID gives the number of a call that is rejected while stopping; the status
--- a/internal/controlplane/registry/stopping_test.go
+++ b/internal/controlplane/registry/stopping_test.go
@@ -12,23 +12,23 @@
 
 // A registry that is told to stop gives its duty up at once, says so to the roll, and
 // sends callers on; it takes no duty any more.
-func TestAStoppingRegistryHandsOn(t *testing.T) {
+func TestStopping_StepsDownAndRejectsCalls(t *testing.T) {
 	core := registrytest.New(registry.Options{})
 	setUp(t, core)
 	core.Run(time.Second)
-	if planner(core) == 0 {
+	if plannerEpoch(core) == 0 {
 		t.Fatal("the only registry doesn't plan")
 	}
-	other(core, true, 200*time.Millisecond)
+	heartbeatPeer(core, true, 200*time.Millisecond)
 	core.Run(time.Second)
 	ready := true
-	core.Sent = func(s event.Send) {
+	core.OnSend = func(s event.Send) {
 		if h, ok := s.Msg.(membership.Heartbeat); ok {
 			ready = h.Self.Ready
 		}
 	}
 	core.Step(registry.Stopping{})
-	if planner(core) != 0 {
+	if plannerEpoch(core) != 0 {
 		t.Fatal("it goes on planning")
 	}
 	calls := map[uint64]event.Event{
@@ -41,7 +41,7 @@
 		}
 	}
 	core.Run(5 * time.Second)
-	if planner(core) != 0 || ready {
-		t.Fatalf("plans under %d, says that it is ready: %v", planner(core), ready)
+	if plannerEpoch(core) != 0 || ready {
+		t.Fatalf("plans under %d, says that it is ready: %v", plannerEpoch(core), ready)
 	}
 }
--- a/internal/testsupport/compat/answers_test.go
+++ b/internal/testsupport/compat/answers_test.go
@@ -39,7 +39,7 @@
 		case registry.StatusCall:
 			answer(c.ID, status)
 		case registry.ResolveCall:
-			answer(c.ID, registry.Resolution{Zone: c.Zone, Proxies: []ids.Address{"10.0.0.1:1"}, Lifetime: 1500, Moved: true})
+			answer(c.ID, registry.Resolution{Zone: c.Zone, Proxies: []ids.Address{"10.0.0.1:1"}, LifetimeMillis: 1500, Moved: true})
 		case registry.HeartbeatCall:
 			answer(c.ID, map[string]any{"known": true, "keeper": ids.Address("10.0.0.7:1"), "heard": c.Target})
 		case registry.DeregisterCall:
--- a/internal/testsupport/simulator/cutoff.go
+++ b/internal/testsupport/simulator/cutoff.go
@@ -153,5 +153,5 @@
 	if !ok || !p.up {
 		return 0, false
 	}
-	return f.Planning()
+	return f.PlannerEpoch()
 }
--- a/internal/testsupport/simulator/spill.go
+++ b/internal/testsupport/simulator/spill.go
@@ -44,7 +44,7 @@
 		}
 		last = now
 		if f := w.planner(); f != nil {
-			p.Moves = f.Moves().Moves
+			p.Moves = f.SpillTable().Moves
 		}
 		*points = append(*points, p)
 		w.later(every, again)
@@ -78,7 +78,7 @@
 		return nil
 	}
 	return slices.MaxFunc(list, func(a, b *registry.Registry) int {
-		return cmp.Or(cmp.Compare(a.Moves().Epoch, b.Moves().Epoch), cmp.Compare(a.Moves().Number, b.Moves().Number))
+		return cmp.Or(cmp.Compare(a.SpillTable().Epoch, b.SpillTable().Epoch), cmp.Compare(a.SpillTable().Number, b.SpillTable().Number))
 	})
 }
 
--- a/internal/testsupport/simulator/spill_test.go
+++ b/internal/testsupport/simulator/spill_test.go
@@ -109,11 +109,11 @@
 	var epochs []ids.Epoch
 	points := spillRun(t, Options{Seed: 3, Rate: 40, Length: 600 * time.Second, Hot: step(a), Script: func(w *World) {
 		w.later(180*time.Second, func() {
-			epochs = append(epochs, w.planner().Moves().Epoch)
+			epochs = append(epochs, w.planner().SpillTable().Epoch)
 			w.bounce(w.procs[3], 100*time.Second) // registry-1, first in the agreed order
 		})
-		w.later(250*time.Second, func() { epochs = append(epochs, w.planner().Moves().Epoch) })
-		w.later(400*time.Second, func() { epochs = append(epochs, w.planner().Moves().Epoch) })
+		w.later(250*time.Second, func() { epochs = append(epochs, w.planner().SpillTable().Epoch) })
+		w.later(400*time.Second, func() { epochs = append(epochs, w.planner().SpillTable().Epoch) })
 	}})
 	is.Equal(len(epochs), 3)
 	is.True(epochs[0] < epochs[1] && epochs[1] < epochs[2])
