--- a/internal/app/api/api.go
+++ b/internal/app/api/api.go
@@ -126,7 +126,7 @@
 		if !ok {
 			return
 		}
-		t, bad := targets.ReadAnnouncement(raw)
+		t, bad := targets.ParseAnnouncement(raw)
 		if len(bad) > 0 {
 			if s.Log != nil {
 				s.Log(event.LevelWarn, "announcement declined", "peer", r.RemoteAddr, "faults", fmt.Sprint(bad))
--- a/internal/controlplane/distribution/account.go
+++ b/internal/controlplane/distribution/account.go
@@ -8,107 +8,107 @@
 	"dunlinwell/internal/controlplane/targets"
 )
 
-type flight struct {
-	stamp
+type inFlightItem struct {
+	targetVersion
 	revision ids.Revision
-	// until is when it is sent again, if nothing has come back.
-	until ids.Time
-	// number is the push that a configuration was in.
-	number ids.StreamNumber
+	// retryAt is when it is sent again, if nothing has come back.
+	retryAt ids.Time
+	// pushNumber is the push that a configuration was in.
+	pushNumber ids.StreamNumber
 }
 
-// due tells whether a thing in flight is to be sent again.
-func (a *account) due(now ids.Time, f flight, same bool) bool {
-	return !same || now >= f.until
+// shouldSend tells whether a thing in flight is to be sent again.
+func (p *progress) shouldSend(now ids.Time, item inFlightItem, isInFlight bool) bool {
+	return !isInFlight || now >= item.retryAt
 }
 
-// lacking gives what a proxy lacks and isn't in flight to it.
-func (r *Distributor) lacking(now ids.Time, c membership.Member, a *account, all []targets.Target) ([]targets.Target, []stamp) {
-	spare := r.Spare != nil && r.Spare(c)
-	a.held = false
-	var list []targets.Target
-	var in []stamp
-	for _, t := range all {
-		s := stampOf(t)
-		f, flies := a.flying[t.Instance]
-		same := flies && f.stamp == s
+// takeMissingTargets gives what a proxy lacks and isn't in flight to it.
+func (d *Distributor) takeMissingTargets(now ids.Time, proxy membership.Member, p *progress, all []targets.Target) ([]targets.Target, []targetVersion) {
+	isBackup := d.IsBackup != nil && d.IsBackup(proxy)
+	p.hasUnsent = false
+	var missing []targets.Target
+	var versions []targetVersion
+	for _, target := range all {
+		version := versionOf(target)
+		item, inFlight := p.inFlight[target.Instance]
+		unchanged := inFlight && item.targetVersion == version
 		switch {
-		case a.has[t.Instance] == s:
+		case p.acknowledged[target.Instance] == version:
 			continue
-		case !same && spare && t.Usable():
+		case !unchanged && isBackup && target.Usable():
 			// As if it had been sent, so that it goes once the time for that is over.
-			a.flying[t.Instance] = flight{stamp: s, until: now.Add(holdBack)}
-			a.held = true
+			p.inFlight[target.Instance] = inFlightItem{targetVersion: version, retryAt: now.Add(backupDelay)}
+			p.hasUnsent = true
 			continue
-		case !a.due(now, f, same):
-			a.held = true
+		case !p.shouldSend(now, item, unchanged):
+			p.hasUnsent = true
 			continue
 		}
-		list, in = append(list, t), append(in, s)
+		missing, versions = append(missing, target), append(versions, version)
 	}
-	until := now.Add(a.patience + time.Duration(len(in))*perTarget)
-	for _, s := range in {
-		a.flying[s.id] = flight{stamp: s, until: until}
+	retryAt := now.Add(p.retryTimeout + time.Duration(len(versions))*retryTimeoutPerTarget)
+	for _, version := range versions {
+		p.inFlight[version.id] = inFlightItem{targetVersion: version, retryAt: retryAt}
 	}
-	return list, in
+	return missing, versions
 }
 
-// HasAll notes that a proxy goes by all of these, as its own sum showed.
-func (r *Distributor) HasAll(c ids.DaemonID, start ids.RunID, list []targets.Target) {
-	a := r.list[c]
-	if a == nil || a.start != start {
+// ConfirmTargets notes that a proxy goes by all of these, as its own sum showed.
+func (d *Distributor) ConfirmTargets(proxy ids.DaemonID, runID ids.RunID, confirmed []targets.Target) {
+	p := d.proxies[proxy]
+	if p == nil || p.runID != runID {
 		return
 	}
-	for _, t := range list {
-		a.has[t.Instance] = stampOf(t)
+	for _, target := range confirmed {
+		p.acknowledged[target.Instance] = versionOf(target)
 	}
-	clear(a.open)
-	clear(a.flying)
-	a.held = false
+	clear(p.unacknowledged)
+	clear(p.inFlight)
+	p.hasUnsent = false
 }
 
 // Knows tells whether a proxy is known to go by what is of some version.
-func (r *Distributor) IsCurrent(c ids.DaemonID, start ids.RunID) bool {
-	a := r.list[c]
-	return a != nil && a.start == start && len(a.open) == 0 && !a.held
+func (d *Distributor) IsCurrent(proxy ids.DaemonID, runID ids.RunID) bool {
+	p := d.proxies[proxy]
+	return p != nil && p.runID == runID && len(p.unacknowledged) == 0 && !p.hasUnsent
 }
 
-// Lag tells who among the proxies hasn't acknowledged a revision, and for
+// Lagging tells who among the proxies hasn't acknowledged a revision, and for
 // how long a proxy has said nothing at all.
-func (r *Distributor) Lag(proxies []membership.Member, rev ids.Revision) []ids.DaemonID {
+func (d *Distributor) Lagging(proxies []membership.Member, revision ids.Revision) []ids.DaemonID {
 	var out []ids.DaemonID
-	for _, c := range proxies {
-		if a := r.list[c.ID]; a == nil || a.start != c.RunID || a.revision < rev {
-			out = append(out, c.ID)
+	for _, proxy := range proxies {
+		if p := d.proxies[proxy.ID]; p == nil || p.runID != proxy.RunID || p.ackedRevision < revision {
+			out = append(out, proxy.ID)
 		}
 	}
 	return out
 }
 
-// Reached tells whether every proxy has acknowledged that a target leaves.
-func (r *Distributor) Reached(proxies []membership.Member, t targets.Target) bool {
-	for _, c := range proxies {
-		a := r.list[c.ID]
-		if a == nil || a.start != c.RunID {
+// AllAcknowledged tells whether every proxy has acknowledged that a target leaves.
+func (d *Distributor) AllAcknowledged(proxies []membership.Member, target targets.Target) bool {
+	for _, proxy := range proxies {
+		p := d.proxies[proxy.ID]
+		if p == nil || p.runID != proxy.RunID {
 			return false
 		}
-		if s := a.has[t.Instance]; s.incarnation < t.Incarnation || s.incarnation == t.Incarnation && s.sequence < t.Sequence {
+		if acknowledged := p.acknowledged[target.Instance]; acknowledged.incarnation < target.Incarnation || acknowledged.incarnation == target.Incarnation && acknowledged.sequence < target.Sequence {
 			return false
 		}
 	}
 	return true
 }
 
-// Fresh tells whether a proxy has acknowledged anything of late.
-func (r *Distributor) Fresh(now ids.Time, c membership.Member, within time.Duration) bool {
-	a := r.list[c.ID]
-	return a != nil && a.start == c.RunID && a.acked > 0 && now.Sub(a.ackedAt) <= within
+// AcknowledgedWithin tells whether a proxy has acknowledged anything of late.
+func (d *Distributor) AcknowledgedWithin(now ids.Time, proxy membership.Member, within time.Duration) bool {
+	p := d.proxies[proxy.ID]
+	return p != nil && p.runID == proxy.RunID && p.lastAcked > 0 && now.Sub(p.lastAckAt) <= within
 }
 
-// Has gives the revision that a proxy acknowledged.
-func (r *Distributor) Has(c membership.Member) ids.Revision {
-	if a := r.list[c.ID]; a != nil && a.start == c.RunID {
-		return a.revision
+// AcknowledgedRevision gives the revision that a proxy acknowledged.
+func (d *Distributor) AcknowledgedRevision(proxy membership.Member) ids.Revision {
+	if p := d.proxies[proxy.ID]; p != nil && p.runID == proxy.RunID {
+		return p.ackedRevision
 	}
 	return 0
 }
--- a/internal/controlplane/distribution/deliver.go
+++ b/internal/controlplane/distribution/deliver.go
@@ -7,92 +7,92 @@
 	"dunlinwell/internal/controlplane/membership"
 )
 
-// parcel is what one push held, and when it left.
-type parcel struct {
-	at ids.Time
-	in []stamp
+// sentPush is what one push held, and when it left.
+type sentPush struct {
+	sentAt  ids.Time
+	targets []targetVersion
 }
 
-func (r *Distributor) deliver(now ids.Time, c membership.Member, a *account, load Content) {
-	old := a.seen != load.Version || a.revision < load.Revision
-	owed := len(a.open) > 0 || a.revision < load.Revision || a.held
-	word := (a.told == 0 && a.echo != 0) || now.Sub(a.sent) >= r.RefreshEvery
-	if !word && !a.again && a.seen == load.Version && (!owed || now.Sub(a.sent) < a.patience) {
+func (d *Distributor) pushTo(now ids.Time, proxy membership.Member, p *progress, content Content) {
+	outdated := p.contentVersion != content.Version || p.ackedRevision < content.Revision
+	incomplete := len(p.unacknowledged) > 0 || p.ackedRevision < content.Revision || p.hasUnsent
+	refreshDue := (p.echoedTime == 0 && p.proxyTime != 0) || now.Sub(p.lastSentAt) >= d.RefreshInterval
+	if !refreshDue && !p.resendNow && p.contentVersion == content.Version && (!incomplete || now.Sub(p.lastSentAt) < p.retryTimeout) {
 		return
 	}
-	p := Push{Number: a.number + 1, RunID: r.start, Revision: load.Revision, EchoedTime: a.echo, ProxyRunID: a.start, Age: uint32(min(load.Age/time.Millisecond, 1<<30))}
-	if a.revision < load.Revision && a.due(now, a.configuration, a.configuration.revision == load.Revision) {
-		p.Configuration = load.Configuration(a.revision)
-		a.configuration = flight{revision: load.Revision, until: now.Add(a.patience), number: p.Number}
+	push := Push{Number: p.lastPush + 1, RunID: d.runID, Revision: content.Revision, EchoedTime: p.proxyTime, ProxyRunID: p.runID, ReadAgeMillis: uint32(min(content.ReadAge/time.Millisecond, 1<<30))}
+	if p.ackedRevision < content.Revision && p.shouldSend(now, p.inFlightConfiguration, p.inFlightConfiguration.revision == content.Revision) {
+		push.Configuration = content.Configuration(p.ackedRevision)
+		p.inFlightConfiguration = inFlightItem{revision: content.Revision, retryAt: now.Add(p.retryTimeout), pushNumber: push.Number}
 	}
-	var in []stamp
-	if old || owed {
-		p.Targets, in = r.lacking(now, c, a, load.Targets())
+	var versions []targetVersion
+	if outdated || incomplete {
+		push.Targets, versions = d.takeMissingTargets(now, proxy, p, content.Targets())
 	}
-	a.seen, a.again = load.Version, false
-	if r.Quiet && !word && len(in) == 0 && len(p.Configuration) == 0 {
+	p.contentVersion, p.resendNow = content.Version, false
+	if d.SkipEmptyPushes && !refreshDue && len(versions) == 0 && len(push.Configuration) == 0 {
 		return
 	}
-	a.number++
+	p.lastPush++
 	// Only the newest few can still be acknowledged; the rest is sent again.
-	if len(a.open) >= mostOpen {
-		clear(a.open)
-		a.held = true
+	if len(p.unacknowledged) >= maxUnacknowledged {
+		clear(p.unacknowledged)
+		p.hasUnsent = true
 	}
-	if len(in) > 0 {
-		a.open[a.number] = parcel{now, in}
+	if len(versions) > 0 {
+		p.unacknowledged[p.lastPush] = sentPush{now, versions}
 	}
-	if owed && now.Sub(a.ackedAt) >= a.patience {
-		a.patience = min(2*a.patience, mostPatience)
+	if incomplete && now.Sub(p.lastAckAt) >= p.retryTimeout {
+		p.retryTimeout = min(2*p.retryTimeout, maxRetryTimeout)
 	}
-	a.sent, a.told = now, a.echo
-	r.out.Send(c.Address, p)
+	p.lastSentAt, p.echoedTime = now, p.proxyTime
+	d.out.Send(proxy.Address, push)
 }
 
 // HandleAck takes a proxy's word.
-func (r *Distributor) HandleAck(now ids.Time, m Ack) {
-	a := r.list[m.Proxy]
-	if a == nil || a.start != m.RunID {
+func (d *Distributor) HandleAck(now ids.Time, ack Ack) {
+	p := d.proxies[ack.Proxy]
+	if p == nil || p.runID != ack.RunID {
 		return
 	}
-	a.ackedAt, a.echo = now, max(a.echo, m.Now)
-	a.acked, a.revision = max(a.acked, m.Number), max(a.revision, m.Revision)
-	a.patience = r.ResendAfter
-	if p, ok := a.open[m.Number]; ok {
+	p.lastAckAt, p.proxyTime = now, max(p.proxyTime, ack.Now)
+	p.lastAcked, p.ackedRevision = max(p.lastAcked, ack.Number), max(p.ackedRevision, ack.Revision)
+	p.retryTimeout = d.InitialRetryTimeout
+	if push, ok := p.unacknowledged[ack.Number]; ok {
 		// A full or long link takes its time; what is on it isn't lost.
-		a.patience = min(max(r.ResendAfter, 2*now.Sub(p.at)), mostPatience)
-		a.settle(p)
+		p.retryTimeout = min(max(d.InitialRetryTimeout, 2*now.Sub(push.sentAt)), maxRetryTimeout)
+		p.acknowledge(push)
 	}
-	delete(a.open, m.Number)
-	a.findLost(m)
+	delete(p.unacknowledged, ack.Number)
+	p.detectLost(ack)
 }
 
-// settle notes that a proxy goes by what a push held.
-func (a *account) settle(p parcel) {
-	for _, s := range p.in {
-		a.has[s.id] = s
-		if a.flying[s.id].stamp == s {
-			delete(a.flying, s.id)
+// acknowledge notes that a proxy goes by what a push held.
+func (p *progress) acknowledge(push sentPush) {
+	for _, version := range push.targets {
+		p.acknowledged[version.id] = version
+		if p.inFlight[version.id].targetVersion == version {
+			delete(p.inFlight, version.id)
 		}
 	}
 }
 
-// findLost takes what earlier pushes held for lost: pushes arrive in order, and a
+// detectLost takes what earlier pushes held for lost: pushes arrive in order, and a
 // later one has been acknowledged.
-func (a *account) findLost(m Ack) {
-	for n, p := range a.open {
-		if n > m.Number {
+func (p *progress) detectLost(ack Ack) {
+	for number, push := range p.unacknowledged {
+		if number > ack.Number {
 			continue
 		}
-		for _, s := range p.in {
-			if f, flies := a.flying[s.id]; a.has[s.id] != s && flies && f.stamp == s {
-				delete(a.flying, s.id)
-				a.held, a.again = true, true
+		for _, version := range push.targets {
+			if item, inFlight := p.inFlight[version.id]; p.acknowledged[version.id] != version && inFlight && item.targetVersion == version {
+				delete(p.inFlight, version.id)
+				p.hasUnsent, p.resendNow = true, true
 			}
 		}
-		delete(a.open, n)
+		delete(p.unacknowledged, number)
 	}
-	if a.configuration.number != 0 && a.configuration.number < m.Number && m.Revision < a.configuration.revision {
-		a.configuration, a.again = flight{}, true
+	if p.inFlightConfiguration.pushNumber != 0 && p.inFlightConfiguration.pushNumber < ack.Number && ack.Revision < p.inFlightConfiguration.revision {
+		p.inFlightConfiguration, p.resendNow = inFlightItem{}, true
 	}
 }
--- a/internal/controlplane/distribution/distribution.go
+++ b/internal/controlplane/distribution/distribution.go
@@ -21,9 +21,9 @@
 	Revision      ids.Revision
 	Configuration []byte
 	Targets       []targets.Target
-	// Age is how long ago, in milliseconds, the registry began the last read
+	// ReadAgeMillis is how long ago, in milliseconds, the registry began the last read
 	// in which a majority told it the configuration.
-	Age uint32
+	ReadAgeMillis uint32
 	// EchoedTime is the proxy's own time, as its last acknowledgement gave it.
 	// Whatever waited on the way, this push was sent after that.
 	EchoedTime ids.Time
@@ -56,71 +56,73 @@
 
 // Rounds keeps account of what each proxy has.
 type Distributor struct {
-	out   *event.Outbox
-	start ids.RunID
-	list  map[ids.DaemonID]*account
-	// RefreshEvery is how often a proxy hears from us where nothing is new.
-	RefreshEvery time.Duration
-	// ResendAfter is how long at first what was sent is given to be acknowledged.
-	ResendAfter time.Duration
+	out     *event.Outbox
+	runID   ids.RunID
+	proxies map[ids.DaemonID]*progress
+	// RefreshInterval is how often a proxy hears from us where nothing is new.
+	RefreshInterval time.Duration
+	// InitialRetryTimeout is how long at first what was sent is given to be acknowledged.
+	InitialRetryTimeout time.Duration
 	// Quiet: a push that would hold nothing waits until a word is due.
-	Quiet bool
+	SkipEmptyPushes bool
 	// Spare, if set, tells which proxies somebody else delivers to first: what
 	// isn't urgent is held back from them, as they are likely to have it by then.
-	Spare func(c membership.Member) bool
+	IsBackup func(c membership.Member) bool
 }
 
-type account struct {
-	start    ids.RunID
-	number   ids.StreamNumber
-	acked    ids.StreamNumber
-	revision ids.Revision
-	ackedAt  ids.Time
-	sent     ids.Time
-	// flying is what was sent and may still be acknowledged: on a thin or long
+type progress struct {
+	runID         ids.RunID
+	lastPush      ids.StreamNumber
+	lastAcked     ids.StreamNumber
+	ackedRevision ids.Revision
+	lastAckAt     ids.Time
+	lastSentAt    ids.Time
+	// inFlight is what was sent and may still be acknowledged: on a thin or long
 	// link, sending all of it again with each push would choke it. patience is how
 	// long that takes; it grows while nothing comes back.
-	flying        map[ids.InstanceID]flight
-	configuration flight
-	patience      time.Duration
+	inFlight              map[ids.InstanceID]inFlightItem
+	inFlightConfiguration inFlightItem
+	retryTimeout          time.Duration
 	// held: something that it lacks isn't in flight.
-	held bool
+	hasUnsent bool
 	// again: something was lost, and is to be sent again at once.
-	again bool
-	// open holds, for each push not yet acknowledged, what was in it.
-	open map[ids.StreamNumber]parcel
-	has  map[ids.InstanceID]stamp
-	seen uint64
-	echo ids.Time
-	told ids.Time
+	resendNow bool
+	// unacknowledged holds, for each push not yet acknowledged, what was in it.
+	unacknowledged map[ids.StreamNumber]sentPush
+	acknowledged   map[ids.InstanceID]targetVersion
+	contentVersion uint64
+	proxyTime      ids.Time
+	echoedTime     ids.Time
 }
 
-type stamp struct {
+type targetVersion struct {
 	id          ids.InstanceID
 	incarnation ids.Incarnation
 	sequence    ids.Sequence
 	gone        bool
 }
 
-func stampOf(t targets.Target) stamp { return stamp{t.Instance, t.Incarnation, t.Sequence, t.Gone} }
+func versionOf(t targets.Target) targetVersion {
+	return targetVersion{t.Instance, t.Incarnation, t.Sequence, t.Gone}
+}
 
 // New makes empty accounts.
-func New(start ids.RunID, out *event.Outbox) *Distributor {
-	return &Distributor{out: out, start: start, RefreshEvery: wordEvery, ResendAfter: resendAfter, list: map[ids.DaemonID]*account{}}
+func New(runID ids.RunID, out *event.Outbox) *Distributor {
+	return &Distributor{out: out, runID: runID, RefreshInterval: refreshInterval, InitialRetryTimeout: initialRetryTimeout, proxies: map[ids.DaemonID]*progress{}}
 }
 
 const (
-	resendAfter = 150 * time.Millisecond
-	wordEvery   = 300 * time.Millisecond
-	mostOpen    = 64
-	// mostPatience bounds the wait for one that says nothing at all. Words go on
+	initialRetryTimeout = 150 * time.Millisecond
+	refreshInterval     = 300 * time.Millisecond
+	maxUnacknowledged   = 64
+	// maxRetryTimeout bounds the wait for one that says nothing at all. Words go on
 	// meanwhile, and the first acknowledgement shows what was lost.
-	mostPatience = 4800 * time.Millisecond
-	// perTarget is how much longer a push is given for each target in it: a whole
+	maxRetryTimeout = 4800 * time.Millisecond
+	// retryTimeoutPerTarget is how much longer a push is given for each target in it: a whole
 	// list takes a thin link's time.
-	perTarget = 5 * time.Millisecond
-	// holdBack is how long what isn't urgent waits where another delivers first.
-	holdBack = 700 * time.Millisecond
+	retryTimeoutPerTarget = 5 * time.Millisecond
+	// backupDelay is how long what isn't urgent waits where another delivers first.
+	backupDelay = 700 * time.Millisecond
 )
 
 // Consignment is what there is to deliver.
@@ -131,29 +133,29 @@
 	// Targets gives all targets.
 	Targets func() []targets.Target
 	Version uint64
-	Age     time.Duration
+	ReadAge time.Duration
 }
 
 // Go makes the round over the live proxies.
-func (r *Distributor) Distribute(now ids.Time, proxies []membership.Member, load Content) {
+func (d *Distributor) Distribute(now ids.Time, proxies []membership.Member, content Content) {
 	// Drawn up once a round, and only if anybody lacks anything.
-	var all []targets.Target
-	draw := load.Targets
-	load.Targets = func() []targets.Target {
-		if all == nil {
-			all = draw()
+	var cached []targets.Target
+	load := content.Targets
+	content.Targets = func() []targets.Target {
+		if cached == nil {
+			cached = load()
 		}
-		return all
+		return cached
 	}
-	for _, c := range proxies {
-		a := r.list[c.ID]
+	for _, proxy := range proxies {
+		p := d.proxies[proxy.ID]
 		// A proxy's new run has nothing: it gets a snapshot.
-		if a == nil || a.start != c.RunID {
+		if p == nil || p.runID != proxy.RunID {
 			// Numbers begin past the run's own, so that an acknowledgement of an
 			// earlier run's push isn't taken for one of ours.
-			a = &account{number: ids.StreamNumber(r.start) << 24, patience: r.ResendAfter, flying: map[ids.InstanceID]flight{}, start: c.RunID, open: map[ids.StreamNumber]parcel{}, has: map[ids.InstanceID]stamp{}}
-			r.list[c.ID] = a
+			p = &progress{lastPush: ids.StreamNumber(d.runID) << 24, retryTimeout: d.InitialRetryTimeout, inFlight: map[ids.InstanceID]inFlightItem{}, runID: proxy.RunID, unacknowledged: map[ids.StreamNumber]sentPush{}, acknowledged: map[ids.InstanceID]targetVersion{}}
+			d.proxies[proxy.ID] = p
 		}
-		r.deliver(now, c, a, load)
+		d.pushTo(now, proxy, p, content)
 	}
 }
--- a/internal/controlplane/distribution/distribution_test.go
+++ b/internal/controlplane/distribution/distribution_test.go
@@ -14,7 +14,7 @@
 
 func at(ms int) ids.Time { return ids.Time(time.Duration(ms)*time.Millisecond) + 1 }
 
-func TestPushesAreCountedOff(t *testing.T) {
+func TestDistributor_PushesUntilAcknowledged(t *testing.T) {
 	is := is.New(t)
 	var out event.Outbox
 	r := New(7, &out)
@@ -37,10 +37,10 @@
 	again := push(200)         // lost: all of it once more, under a new number
 	is.Equal(len(again), 1)
 	is.True(again[0].Number > first[0].Number && len(again[0].Targets) == 1)
-	is.Equal(r.Lag(c, 3), []ids.DaemonID{"c1"})
+	is.Equal(r.Lagging(c, 3), []ids.DaemonID{"c1"})
 	r.HandleAck(at(210), Ack{Proxy: "c1", RunID: 1, Number: again[0].Number, Revision: 3, Now: 55})
-	is.Equal(len(r.Lag(c, 3)), 0)
-	is.True(r.Fresh(at(220), c[0], time.Second))
+	is.Equal(len(r.Lagging(c, 3)), 0)
+	is.True(r.AcknowledgedWithin(at(220), c[0], time.Second))
 	// Once it has all, only what changed goes, with the proxy's time echoed.
 	announced = append(announced, targets.Target{Instance: "b", Sequence: 1})
 	load.Version++
--- a/internal/controlplane/distribution/earlier_test.go
+++ b/internal/controlplane/distribution/earlier_test.go
@@ -14,7 +14,7 @@
 // A proxy's acknowledgement waits in its queue while the registry restarts. It
 // must not count for the new run's push: the target that leaves would be told
 // that every proxy goes by it, and stop, while one still sends to it.
-func TestAnAcknowledgementToAnEarlierRunIsNotCounted(t *testing.T) {
+func TestDistributor_IgnoresAckOfEarlierRun(t *testing.T) {
 	is := is.New(t)
 	proxies := []membership.Member{{ID: "c1", Address: "c1", RunID: 1}}
 	leaving := targets.Target{Instance: "a", Sequence: 9, Leaving: true}
@@ -30,9 +30,9 @@
 	second, own := push(8)
 	ack := func(p Push) Ack { return Ack{Proxy: "c1", RunID: 1, Number: p.Number, Now: 1} }
 	second.HandleAck(at(10), ack(earlier))
-	is.True(!second.Reached(proxies, leaving))
+	is.True(!second.AllAcknowledged(proxies, leaving))
 	second.HandleAck(at(20), ack(own))
-	is.True(second.Reached(proxies, leaving))
+	is.True(second.AllAcknowledged(proxies, leaving))
 	first.HandleAck(at(30), ack(own))
-	is.True(!first.Reached(proxies, leaving))
+	is.True(!first.AllAcknowledged(proxies, leaving))
 }
--- a/internal/controlplane/distribution/lacking_test.go
+++ b/internal/controlplane/distribution/lacking_test.go
@@ -14,11 +14,11 @@
 
 // What is in flight isn't sent again with every push: on a thin link, where an
 // acknowledgement takes half a second, that was a storm.
-func TestWhatIsInFlightWaits(t *testing.T) {
+func TestDistributor_DoesNotResendInFlightTargets(t *testing.T) {
 	is := is.New(t)
 	var out event.Outbox
 	r := New(7, &out)
-	r.ResendAfter = 400 * time.Millisecond
+	r.InitialRetryTimeout = 400 * time.Millisecond
 	c := []membership.Member{{ID: "c1", Address: "c1", RunID: 1}}
 	announced := []targets.Target{{Instance: "a", Sequence: 1}}
 	load := Content{Revision: 1, Configuration: func(ids.Revision) []byte { return []byte("p") }, Version: 1, Targets: func() []targets.Target { return announced }}
@@ -56,11 +56,11 @@
 
 // Where another registry delivers first, what isn't urgent waits for it, and an
 // acknowledgement that shows the same targets settles it.
-func TestTheSpareHoldsBack(t *testing.T) {
+func TestDistributor_BackupDelaysPushes(t *testing.T) {
 	is := is.New(t)
 	var out event.Outbox
 	r := New(7, &out)
-	r.Spare = func(membership.Member) bool { return true }
+	r.IsBackup = func(membership.Member) bool { return true }
 	c := []membership.Member{{ID: "c1", Address: "c1", RunID: 1}}
 	announced := []targets.Target{{Instance: "a", Sequence: 1}, {Instance: "b", Sequence: 1}}
 	load := Content{Version: 1, Targets: func() []targets.Target { return announced }}
@@ -81,7 +81,7 @@
 	load.Version++
 	is.Equal(sent(950), 0)
 	is.True(!r.IsCurrent("c1", 1))
-	r.HasAll("c1", 1, announced)
+	r.ConfirmTargets("c1", 1, announced)
 	is.True(r.IsCurrent("c1", 1))
 	is.Equal(sent(2500), 0)
 }
--- a/internal/controlplane/distribution/lease.go
+++ b/internal/controlplane/distribution/lease.go
@@ -10,19 +10,19 @@
 // core: to confirm, to refuse, or to hand out what it knows as what holds.
 const ControlLease = 1500 * time.Millisecond
 
-// Agreed is when, by the proxy's own clock, the agreement began by which the
+// ConfirmedAsOf is when, by the proxy's own clock, the agreement began by which the
 // push's revision is in force; the travel of the echo is counted against it.
-func (p Push) Agreed() ids.Time { return p.EchoedTime.Add(-p.age()) }
+func (p Push) ConfirmedAsOf() ids.Time { return p.EchoedTime.Add(-p.readAge()) }
 
-// Vouched is as of when, by the proxy's own clock, the sender answers for the
+// TargetsAsOf is as of when, by the proxy's own clock, the sender answers for the
 // targets that it tells. One without the control lease doesn't hear of those that
 // call on the other side of a cut, so it answers for them as of its last agreement.
-func (p Push) Vouched() ids.Time {
-	if p.age() > ControlLease {
-		return p.Agreed()
+func (p Push) TargetsAsOf() ids.Time {
+	if p.readAge() > ControlLease {
+		return p.ConfirmedAsOf()
 	}
 	return p.EchoedTime
 }
 
-// age is rounded so as never to seem shorter than it is.
-func (p Push) age() time.Duration { return time.Duration(p.Age+1) * time.Millisecond }
+// readAge is rounded so as never to seem shorter than it is.
+func (p Push) readAge() time.Duration { return time.Duration(p.ReadAgeMillis+1) * time.Millisecond }
--- a/internal/controlplane/membership/detector.go
+++ b/internal/controlplane/membership/detector.go
@@ -24,207 +24,207 @@
 var _ = wire.Register(15, Probe{}) && wire.Register(16, ProbeReply{}) && wire.Register(17, Withdraw{})
 
 const (
-	// probeWait is how long a registry gives a member to answer a probe before it
+	// probeTimeout is how long a registry gives a member to answer a probe before it
 	// may declare it dead.
-	probeWait = 600 * time.Millisecond
-	// probeEvery is how soon a probe is sent again: one message may be lost.
-	probeEvery = 200 * time.Millisecond
-	// probeExpires is how long ago the last probe may be for the silence since the
+	probeTimeout = 600 * time.Millisecond
+	// probeInterval is how soon a probe is sent again: one message may be lost.
+	probeInterval = 200 * time.Millisecond
+	// probeSequenceTimeout is how long ago the last probe may be for the silence since the
 	// first one to count as one.
-	probeExpires = 2 * time.Second
-	// maxPatience is how many times SuspectAfter a member may be silent whose
+	probeSequenceTimeout = 2 * time.Second
+	// maxTimeoutFactor is how many times SuspectAfter a member may be silent whose
 	// heartbeats were irregular before.
-	maxPatience = 3
-	// youngFor is how long a daemon counts as just started.
-	youngFor = 6 * time.Second
-	// forgetWord is how long the last word from an address is remembered.
-	forgetWord = time.Minute
+	maxTimeoutFactor = 3
+	// startupPeriod is how long a daemon counts as just started.
+	startupPeriod = 6 * time.Second
+	// contactRetention is how long the last word from an address is remembered.
+	contactRetention = time.Minute
 )
 
-// arrivals is the history of one watched member's heartbeats.
-type arrivals struct {
-	// last is when it was heard last, or since when it is watched.
-	last ids.Time
-	// mean and deviation are moving averages of the gaps between heartbeats.
-	mean, deviation time.Duration
-	probed, accused ids.Time
+// heartbeatHistory is the history of one watched member's heartbeats.
+type heartbeatHistory struct {
+	// lastHeard is when it was heard last, or since when it is watched.
+	lastHeard ids.Time
+	// meanInterval and deviation are moving averages of the gaps between heartbeats.
+	meanInterval, intervalDeviation time.Duration
+	lastProbe, suspectedAt          ids.Time
 }
 
-// newArrivals is the history of a member that is watched from now on. A daemon
+// newHeartbeatHistory is the history of a member that is watched from now on. A daemon
 // that has just started may have started with the whole fleet, whose links are full
 // of what all tell one another: it takes heartbeats for irregular until it has seen
 // some.
-func (r *List) newArrivals(now ids.Time) *arrivals {
-	a := &arrivals{last: now, mean: r.HeartbeatEvery}
-	if now.Sub(r.begun) < youngFor {
-		a.deviation = r.SuspectAfter / 3
+func (l *List) newHeartbeatHistory(now ids.Time) *heartbeatHistory {
+	history := &heartbeatHistory{lastHeard: now, meanInterval: l.HeartbeatInterval}
+	if now.Sub(l.firstTick) < startupPeriod {
+		history.intervalDeviation = l.SuspicionTimeout / 3
 	}
-	return a
+	return history
 }
 
-// beat notes a heartbeat. A gap past what is ever waited for says that the member
+// record notes a heartbeat. A gap past what is ever waited for says that the member
 // was away, and nothing about how regular its heartbeats are.
-func (a *arrivals) beat(now ids.Time, longest time.Duration) {
-	gap := now.Sub(a.last)
-	a.last = now
+func (h *heartbeatHistory) record(now ids.Time, longest time.Duration) {
+	gap := now.Sub(h.lastHeard)
+	h.lastHeard = now
 	if gap > longest {
 		return
 	}
 	const weight = 8
-	off := gap - a.mean
-	a.mean += off / weight
-	a.deviation += (max(off, -off) - a.deviation) / weight
+	deviation := gap - h.meanInterval
+	h.meanInterval += deviation / weight
+	h.intervalDeviation += (max(deviation, -deviation) - h.intervalDeviation) / weight
 }
 
-// patience is how long a member may be silent before it is accused: by its own
+// suspicionTimeout is how long a member may be silent before it is accused: by its own
 // history, and never less than SuspectAfter.
-func (r *List) patience(a *arrivals) time.Duration {
-	return min(max(2*a.mean+6*a.deviation, r.SuspectAfter), maxPatience*r.SuspectAfter)
+func (l *List) suspicionTimeout(history *heartbeatHistory) time.Duration {
+	return min(max(2*history.meanInterval+6*history.intervalDeviation, l.SuspicionTimeout), maxTimeoutFactor*l.SuspicionTimeout)
 }
 
-// heartbeat notes a sign of life that a member sent as such.
-func (r *List) heartbeat(now ids.Time, id ids.DaemonID) {
-	if a := r.heard[id]; a != nil {
-		a.beat(now, maxPatience*r.SuspectAfter)
+// recordHeartbeat notes a sign of life that a member sent as such.
+func (l *List) recordHeartbeat(now ids.Time, id ids.DaemonID) {
+	if history := l.heartbeats[id]; history != nil {
+		history.record(now, maxTimeoutFactor*l.SuspicionTimeout)
 	}
-	if a := r.accusations[id]; a != nil {
-		a.dismiss()
+	if history := l.suspicions[id]; history != nil {
+		history.clear()
 	}
 }
 
-// probed answers one who asks for a sign of life. Whoever had this address before
+// handleProbe answers one who asks for a sign of life. Whoever had this address before
 // gives none.
-func (r *List) probed(from ids.Address, p Probe) {
-	if p.ID == r.Self.ID {
-		r.out.Send(from, ProbeReply{Self: r.Self})
+func (l *List) handleProbe(from ids.Address, p Probe) {
+	if p.ID == l.Self.ID {
+		l.out.Send(from, ProbeReply{Self: l.Self})
 	}
 }
 
 // RecordContact notes that any message came from an address: proof that whoever has it
 // lives, better than what others say of it.
-func (r *List) RecordContact(now ids.Time, from ids.Address) {
-	if from != r.Self.Address {
-		r.words[from] = now
+func (l *List) RecordContact(now ids.Time, from ids.Address) {
+	if from != l.Self.Address {
+		l.lastContact[from] = now
 	}
 }
 
-// silence is how long nothing at all came from a watched member.
-func (r *List) silence(now ids.Time, m Member, a *arrivals) time.Duration {
-	return now.Sub(max(a.last, r.words[m.Address]))
+// silenceOf is how long nothing at all came from a watched member.
+func (l *List) silenceOf(now ids.Time, m Member, history *heartbeatHistory) time.Duration {
+	return now.Sub(max(history.lastHeard, l.lastContact[m.Address]))
 }
 
-// excuse takes a gap between clock events into account: what this daemon didn't
+// compensatePause takes a gap between clock events into account: what this daemon didn't
 // hear while it stood still was its own silence.
-func (r *List) excuse(now ids.Time) {
-	gap := now.Sub(r.ticked)
-	late := gap - r.HeartbeatEvery
-	first := r.ticked == 0
-	if first {
-		r.begun = now
-	}
-	r.ticked = now
+func (l *List) compensatePause(now ids.Time) {
+	gap := now.Sub(l.lastTick)
+	delay := gap - l.HeartbeatInterval
+	isFirst := l.lastTick == 0
+	if isFirst {
+		l.firstTick = now
+	}
+	l.lastTick = now
 	switch {
-	case first || late <= 0:
-	case gap > r.SuspectAfter/2:
-		for _, a := range r.heard {
-			a.last, a.probed = now, 0
+	case isFirst || delay <= 0:
+	case gap > l.SuspicionTimeout/2:
+		for _, a := range l.heartbeats {
+			a.lastHeard, a.lastProbe = now, 0
 		}
-		clear(r.accusations)
+		clear(l.suspicions)
 	default:
-		for _, a := range r.heard {
-			a.last = min(a.last.Add(late), now)
+		for _, a := range l.heartbeats {
+			a.lastHeard = min(a.lastHeard.Add(delay), now)
 		}
-		for _, a := range r.accusations {
-			if a.asked != 0 {
-				a.asked = min(a.asked.Add(late), now)
+		for _, a := range l.suspicions {
+			if a.probingSince != 0 {
+				a.probingSince = min(a.probingSince.Add(delay), now)
 			}
 		}
 	}
 }
 
-// watch accuses members that should be heard, and that neither were nor answer.
-func (r *List) watch(now ids.Time) {
-	list := r.ringOf().watched(r.Self.ID, r.Watchers)
-	for _, m := range list {
-		a := r.heard[m.ID]
-		if a == nil || a.last == 0 {
-			r.heard[m.ID] = r.newArrivals(now)
+// checkWatched accuses members that should be heard, and that neither were nor answer.
+func (l *List) checkWatched(now ids.Time) {
+	watched := l.currentRing().watched(l.Self.ID, l.Watchers)
+	for _, m := range watched {
+		history := l.heartbeats[m.ID]
+		if history == nil || history.lastHeard == 0 {
+			l.heartbeats[m.ID] = l.newHeartbeatHistory(now)
 			continue
 		}
-		silence, patience := r.silence(now, m, a), r.patience(a)
-		if a.accused != 0 && silence < patience {
-			a.accused = 0
-			r.withdraw(m)
+		silence, timeout := l.silenceOf(now, m, history), l.suspicionTimeout(history)
+		if history.suspectedAt != 0 && silence < timeout {
+			history.suspectedAt = 0
+			l.broadcastWithdraw(m)
 		}
-		if silence >= patience*2/3 && now.Sub(a.probed) >= probeEvery {
-			a.probed = now
-			r.out.Send(m.Address, Probe{ID: m.ID})
+		if silence >= timeout*2/3 && now.Sub(history.lastProbe) >= probeInterval {
+			history.lastProbe = now
+			l.out.Send(m.Address, Probe{ID: m.ID})
 		}
-		if silence >= patience && now.Sub(a.accused) >= r.HeartbeatEvery && r.hearsOthers(now, m, list) {
-			a.accused = now
-			r.accuse(now, m, patience)
+		if silence >= timeout && now.Sub(history.suspectedAt) >= l.HeartbeatInterval && l.hearsAnyoneElse(now, m, watched) {
+			history.suspectedAt = now
+			l.broadcastSuspect(now, m, timeout)
 		}
 	}
-	if len(r.heard) > len(list) {
-		r.forgetUnwatched(list)
+	if len(l.heartbeats) > len(watched) {
+		l.forgetUnwatched(watched)
 	}
 }
 
-// hearsOthers tells whether this daemon heard anybody but a member of late: one
+// hearsAnyoneElse tells whether this daemon heard anybody but a member of late: one
 // that hears nobody is itself cut off, and its word against others is worth
 // nothing.
-func (r *List) hearsOthers(now ids.Time, but Member, watched []Member) bool {
-	if len(r.ringOf().members) <= 2 {
+func (l *List) hearsAnyoneElse(now ids.Time, except Member, watched []Member) bool {
+	if len(l.currentRing().members) <= 2 {
 		return true
 	}
 	for _, m := range watched {
-		if a := r.heard[m.ID]; a != nil && m.ID != but.ID && now.Sub(a.last) < r.SuspectAfter/2 {
+		if history := l.heartbeats[m.ID]; history != nil && m.ID != except.ID && now.Sub(history.lastHeard) < l.SuspicionTimeout/2 {
 			return true
 		}
 	}
-	for at, word := range r.words {
-		if at != but.Address && now.Sub(word) < r.SuspectAfter/2 {
+	for address, lastContact := range l.lastContact {
+		if address != except.Address && now.Sub(lastContact) < l.SuspicionTimeout/2 {
 			return true
 		}
 	}
 	return false
 }
 
-func (r *List) forgetUnwatched(list []Member) {
-	keep := make(map[ids.DaemonID]*arrivals, len(list))
-	for _, m := range list {
-		keep[m.ID] = r.heard[m.ID]
+func (l *List) forgetUnwatched(watched []Member) {
+	kept := make(map[ids.DaemonID]*heartbeatHistory, len(watched))
+	for _, m := range watched {
+		kept[m.ID] = l.heartbeats[m.ID]
 	}
-	r.heard = keep
+	l.heartbeats = kept
 }
 
-// accuse tells every registry, this one too, that a member is silent.
-func (r *List) accuse(now ids.Time, m Member, silence time.Duration) {
-	s := Suspect{Watcher: r.Self.ID, ID: m.ID, Incarnation: m.Incarnation, Silence: uint32(silence / time.Millisecond)}
-	r.suspect(now, s)
-	for _, f := range r.Live(Registry) {
-		if f.ID != r.Self.ID {
-			r.out.Send(f.Address, s)
+// broadcastSuspect tells every registry, this one too, that a member is silent.
+func (l *List) broadcastSuspect(now ids.Time, m Member, silence time.Duration) {
+	suspect := Suspect{Watcher: l.Self.ID, ID: m.ID, Incarnation: m.Incarnation, SilenceMillis: uint32(silence / time.Millisecond)}
+	l.handleSuspect(now, suspect)
+	for _, registry := range l.Live(Registry) {
+		if registry.ID != l.Self.ID {
+			l.out.Send(registry.Address, suspect)
 		}
 	}
 }
 
-// withdraw tells every registry that an accused member has shown itself.
-func (r *List) withdraw(m Member) {
-	w := Withdraw{Watcher: r.Self.ID, ID: m.ID}
-	r.withdrawn(w)
-	for _, f := range r.Live(Registry) {
-		if f.ID != r.Self.ID {
-			r.out.Send(f.Address, w)
+// broadcastWithdraw tells every registry that an accused member has shown itself.
+func (l *List) broadcastWithdraw(m Member) {
+	withdraw := Withdraw{Watcher: l.Self.ID, ID: m.ID}
+	l.handleWithdraw(withdraw)
+	for _, registry := range l.Live(Registry) {
+		if registry.ID != l.Self.ID {
+			l.out.Send(registry.Address, withdraw)
 		}
 	}
 }
 
-// forgetWords drops what is remembered of addresses that have long been silent.
-func (r *List) forgetWords(now ids.Time) {
-	for at, word := range r.words {
-		if now.Sub(word) > forgetWord {
-			delete(r.words, at)
+// forgetOldContacts drops what is remembered of addresses that have long been silent.
+func (l *List) forgetOldContacts(now ids.Time) {
+	for address, lastContact := range l.lastContact {
+		if now.Sub(lastContact) > contactRetention {
+			delete(l.lastContact, address)
 		}
 	}
 }
--- a/internal/controlplane/membership/digest.go
+++ b/internal/controlplane/membership/digest.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// parts is into how many parts a roll is summed up: of 1,600 members one that
+	// digestParts is into how many parts a roll is summed up: of 1,600 members one that
 	// differs costs a part of 25.
-	parts = 64
-	// compareEvery is how often at most a roll is compared with one peer's. What
+	digestParts = 64
+	// digestInterval is how often at most a roll is compared with one peer's. What
 	// just changed is on its way to both by itself.
-	compareEvery = time.Second
-	// differFor is how long it must differ from one that was compared before.
-	differFor = 1200 * time.Millisecond
-	// relayMost bounds the members of one relayed message.
-	relayMost = 64
+	digestInterval = time.Second
+	// divergenceDelay is how long it must differ from one that was compared before.
+	divergenceDelay = 1200 * time.Millisecond
+	// maxRelayedMembers bounds the members of one relayed message.
+	maxRelayedMembers = 64
 )
 
-func part(id ids.DaemonID) int { return int(place(id) % parts) }
+func digestPart(id ids.DaemonID) int { return int(ringPosition(id) % digestParts) }
 
-// imprint sums up one member, so that a part's sum is the exclusive or of its
+// memberDigest sums up one member, so that a part's sum is the exclusive or of its
 // members' and changes with each of them alone.
-func imprint(m Member) uint64 {
+func memberDigest(m Member) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(m.ID))
 	gone := uint64(0)
@@ -40,111 +40,111 @@
 	return h.Sum64()
 }
 
-// fold sums up the whole roll from its parts.
-func (r *List) fold() uint64 {
+// combinePartDigests sums up the whole roll from its parts.
+func (l *List) combinePartDigests() uint64 {
 	h := fnv.New64a()
 	var raw [8]byte
-	for _, p := range r.parts {
+	for _, p := range l.partDigests {
 		binary.BigEndian.PutUint64(raw[:], p)
 		h.Write(raw[:])
 	}
 	return h.Sum64()
 }
 
-// differ answers a peer whose roll isn't ours: with the whole, or, where that
+// reconcile answers a peer whose roll isn't ours: with the whole, or, where that
 // would cost too much, with what the parts come to.
-func (r *List) differ(now ids.Time, peer Member) {
-	if !r.Incremental {
-		r.out.Send(peer.Address, Snapshot{Members: r.All()})
+func (l *List) reconcile(now ids.Time, peer Member) {
+	if !l.Incremental {
+		l.out.Send(peer.Address, Snapshot{Members: l.All()})
 		return
 	}
-	if at, ok := r.asked[peer.ID]; ok && now.Sub(at) < compareEvery {
+	if sentAt, ok := l.digestSentAt[peer.ID]; ok && now.Sub(sentAt) < digestInterval {
 		return
 	}
 	// What changed just now is on its way to both; what differs for longer got lost.
-	since, ok := r.differs[peer.ID]
+	since, ok := l.divergedSince[peer.ID]
 	if !ok {
-		r.differs[peer.ID] = now
+		l.divergedSince[peer.ID] = now
 	}
-	if _, met := r.asked[peer.ID]; met && (!ok || now.Sub(since) < differFor) {
+	if _, contacted := l.digestSentAt[peer.ID]; contacted && (!ok || now.Sub(since) < divergenceDelay) {
 		return
 	}
-	r.asked[peer.ID] = now
-	r.out.Send(peer.Address, Digest{Parts: r.parts[:]})
+	l.digestSentAt[peer.ID] = now
+	l.out.Send(peer.Address, Digest{Parts: l.partDigests[:]})
 }
 
-// compare answers an outline with our members of the parts that differ.
-func (r *List) compare(from ids.Address, o Digest) {
-	if len(o.Parts) != parts {
+// handleDigest answers an outline with our members of the parts that differ.
+func (l *List) handleDigest(from ids.Address, theirs Digest) {
+	if len(theirs.Parts) != digestParts {
 		return
 	}
-	p := Delta{}
-	for i, sum := range o.Parts {
-		if sum != r.parts[i] {
-			p.Parts = append(p.Parts, uint16(i))
+	delta := Delta{}
+	for i, sum := range theirs.Parts {
+		if sum != l.partDigests[i] {
+			delta.Parts = append(delta.Parts, uint16(i))
 		}
 	}
-	if len(p.Parts) > 0 {
-		p.Members = r.within(p.Parts)
-		r.out.Send(from, p)
+	if len(delta.Parts) > 0 {
+		delta.Members = l.membersInParts(delta.Parts)
+		l.out.Send(from, delta)
 	}
 }
 
-// within gives our members of some parts.
-func (r *List) within(list []uint16) []Member {
-	var in [parts]bool
-	for _, i := range list {
-		if int(i) < parts {
-			in[i] = true
+// membersInParts gives our members of some parts.
+func (l *List) membersInParts(parts []uint16) []Member {
+	var wanted [digestParts]bool
+	for _, i := range parts {
+		if int(i) < digestParts {
+			wanted[i] = true
 		}
 	}
 	var out []Member
-	for _, m := range r.All() {
-		if in[part(m.ID)] {
+	for _, m := range l.All() {
+		if wanted[digestPart(m.ID)] {
 			out = append(out, m)
 		}
 	}
 	return out
 }
 
-// take merges a portion and answers with what its sender lacks.
-func (r *List) take(from ids.Address, p Delta) {
+// handleDelta merges a portion and answers with what its sender lacks.
+func (l *List) handleDelta(from ids.Address, delta Delta) {
 	theirs := map[ids.DaemonID]Member{}
-	for _, m := range p.Members {
+	for _, m := range delta.Members {
 		theirs[m.ID] = m
 	}
-	r.merge(p.Members)
-	if p.Final {
+	l.merge(delta.Members)
+	if delta.Final {
 		return
 	}
-	back := Delta{Final: true}
-	for _, m := range r.within(p.Parts) {
-		if have, ok := theirs[m.ID]; !ok || m.newer(have) {
-			back.Members = append(back.Members, m)
+	reply := Delta{Final: true}
+	for _, m := range l.membersInParts(delta.Parts) {
+		if have, ok := theirs[m.ID]; !ok || m.supersedes(have) {
+			reply.Members = append(reply.Members, m)
 		}
 	}
-	if len(back.Members) > 0 {
-		r.out.Send(from, back)
+	if len(reply.Members) > 0 {
+		l.out.Send(from, reply)
 	}
 }
 
-// introduce tells a registry of ourselves at once; it relays that to the rest.
-func (r *List) introduce(f Member) {
-	if f.ID != r.Self.ID {
-		r.out.Send(f.Address, Delta{Members: []Member{r.Self}, Final: true})
+// sendSelf tells a registry of ourselves at once; it relays that to the rest.
+func (l *List) sendSelf(registry Member) {
+	if registry.ID != l.Self.ID {
+		l.out.Send(registry.Address, Delta{Members: []Member{l.Self}, Final: true})
 	}
 }
 
-// Changed gives the members that changed since it was last asked, for a registry
+// DrainChanged gives the members that changed since it was last asked, for a registry
 // to relay; nil where copies are told whole.
-func (r *List) Changed() []Member {
-	seen := map[ids.DaemonID]bool{}
+func (l *List) DrainChanged() []Member {
+	included := map[ids.DaemonID]bool{}
 	var out []Member
-	for len(r.changed) > 0 && len(out) < relayMost {
-		id := r.changed[0]
-		r.changed = r.changed[1:]
-		if m, ok := r.members[id]; ok && !seen[id] {
-			seen[id] = true
+	for len(l.pendingRelay) > 0 && len(out) < maxRelayedMembers {
+		id := l.pendingRelay[0]
+		l.pendingRelay = l.pendingRelay[1:]
+		if m, ok := l.members[id]; ok && !included[id] {
+			included[id] = true
 			out = append(out, m)
 		}
 	}
--- a/internal/controlplane/membership/list.go
+++ b/internal/controlplane/membership/list.go
@@ -17,96 +17,96 @@
 	Options
 	out     *event.Outbox
 	members map[ids.DaemonID]Member
-	// heard are those that this daemon watches, and words when any message last
+	// heartbeats are those that this daemon watches, and words when any message last
 	// came from an address.
-	heard map[ids.DaemonID]*arrivals
-	words map[ids.Address]ids.Time
-	// accusations are what is said against members.
-	accusations map[ids.DaemonID]*accusation
-	// buried are the verdicts that this registry passed itself.
-	buried       map[ids.DaemonID]burial
-	ticked, beat ids.Time
-	// begun is when the clock first ticked.
-	begun        ids.Time
-	nextSeedCall ids.Time
-	digest       uint64
-	dirty        bool
-	// all are the members in order of id, and index the ring of the living ones;
+	heartbeats  map[ids.DaemonID]*heartbeatHistory
+	lastContact map[ids.Address]ids.Time
+	// suspicions are what is said against members.
+	suspicions map[ids.DaemonID]*suspicion
+	// declarations are the verdicts that this registry passed itself.
+	declarations            map[ids.DaemonID]deathDeclaration
+	lastTick, nextHeartbeat ids.Time
+	// firstTick is when the clock first ticked.
+	firstTick   ids.Time
+	nextRejoin  ids.Time
+	digest      uint64
+	digestStale bool
+	// sorted are the members in order of id, and index the ring of the living ones;
 	// nil once they have to be drawn up anew.
-	all            []Member
-	index          *ringIndex
-	parts          [parts]uint64
-	seedCalls      int
-	asked, differs map[ids.DaemonID]ids.Time
-	changed        []ids.DaemonID
-	version        uint64
-	shown          uint64
+	sorted                      []Member
+	ring                        *ring
+	partDigests                 [digestParts]uint64
+	seedRotation                int
+	digestSentAt, divergedSince map[ids.DaemonID]ids.Time
+	pendingRelay                []ids.DaemonID
+	version                     uint64
+	publishedVersion            uint64
 	// MayDeclareDead, if set, tells whether this registry may count others as gone.
 	MayDeclareDead func(now ids.Time) bool
-	page           atomic.Pointer[page]
+	published      atomic.Pointer[publishedList]
 }
 
 // New makes a list that knows itself and its seeds alone.
-func New(p Options, out *event.Outbox) *List {
-	p.fill()
-	p.Self.Sequence = 1
-	r := &List{
-		Options: p, out: out, dirty: true, asked: map[ids.DaemonID]ids.Time{}, differs: map[ids.DaemonID]ids.Time{},
-		members:     map[ids.DaemonID]Member{p.Self.ID: p.Self},
-		heard:       map[ids.DaemonID]*arrivals{},
-		words:       map[ids.Address]ids.Time{},
-		accusations: map[ids.DaemonID]*accusation{}, buried: map[ids.DaemonID]burial{},
+func New(options Options, out *event.Outbox) *List {
+	options.setDefaults()
+	options.Self.Sequence = 1
+	l := &List{
+		Options: options, out: out, digestStale: true, digestSentAt: map[ids.DaemonID]ids.Time{}, divergedSince: map[ids.DaemonID]ids.Time{},
+		members:     map[ids.DaemonID]Member{options.Self.ID: options.Self},
+		heartbeats:  map[ids.DaemonID]*heartbeatHistory{},
+		lastContact: map[ids.Address]ids.Time{},
+		suspicions:  map[ids.DaemonID]*suspicion{}, declarations: map[ids.DaemonID]deathDeclaration{},
 	}
-	r.parts[part(p.Self.ID)] ^= imprint(p.Self)
-	return r
+	l.partDigests[digestPart(options.Self.ID)] ^= memberDigest(options.Self)
+	return l
 }
 
-// Announce changes what this daemon says of itself.
-func (r *List) Announce(ready bool, holds ids.Revision) {
+// UpdateSelf changes what this daemon says of itself.
+func (l *List) UpdateSelf(ready bool, revision ids.Revision) {
 	// Which configuration a daemon holds is known from acknowledgements; told of each
 	// change by everybody, it would cost the square of the fleet.
-	if r.Self.Ready == ready && (r.Self.Revision == holds || r.Incremental) {
-		r.Self.Revision = holds
+	if l.Self.Ready == ready && (l.Self.Revision == revision || l.Incremental) {
+		l.Self.Revision = revision
 		return
 	}
-	r.Self.Ready, r.Self.Revision = ready, holds
-	r.Self.Sequence++
-	r.set(r.Self)
-	if r.Incremental {
-		for _, f := range r.Live(Registry) {
-			r.introduce(f)
+	l.Self.Ready, l.Self.Revision = ready, revision
+	l.Self.Sequence++
+	l.put(l.Self)
+	if l.Incremental {
+		for _, registry := range l.Live(Registry) {
+			l.sendSelf(registry)
 		}
 	}
 }
 
-func (r *List) set(m Member) {
-	if old, ok := r.members[m.ID]; ok {
-		r.parts[part(m.ID)] ^= imprint(old)
+func (l *List) put(m Member) {
+	if previous, ok := l.members[m.ID]; ok {
+		l.partDigests[digestPart(m.ID)] ^= memberDigest(previous)
 	}
-	r.parts[part(m.ID)] ^= imprint(m)
-	r.members[m.ID] = m
-	r.dirty, r.all, r.index = true, nil, nil
-	if r.Incremental {
-		r.changed = append(r.changed, m.ID)
+	l.partDigests[digestPart(m.ID)] ^= memberDigest(m)
+	l.members[m.ID] = m
+	l.digestStale, l.sorted, l.ring = true, nil, nil
+	if l.Incremental {
+		l.pendingRelay = append(l.pendingRelay, m.ID)
 	}
-	r.version++
+	l.version++
 }
 
 // Version grows with each change of the roll, so that owners can tell.
-func (r *List) Version() uint64 { return r.version }
+func (l *List) Version() uint64 { return l.version }
 
 // All gives every member known, in order of id.
-func (r *List) All() []Member {
-	if r.all == nil {
-		r.all = slices.SortedFunc(maps.Values(r.members), func(a, b Member) int { return cmp.Compare(a.ID, b.ID) })
+func (l *List) All() []Member {
+	if l.sorted == nil {
+		l.sorted = slices.SortedFunc(maps.Values(l.members), func(a, b Member) int { return cmp.Compare(a.ID, b.ID) })
 	}
-	return r.all[:len(r.all):len(r.all)]
+	return l.sorted[:len(l.sorted):len(l.sorted)]
 }
 
 // Live gives the members of a role that are not gone, in the agreed order.
-func (r *List) Live(role Role) []Member {
+func (l *List) Live(role Role) []Member {
 	var out []Member
-	for _, m := range r.All() {
+	for _, m := range l.All() {
 		if !m.Gone && m.Role == role {
 			out = append(out, m)
 		}
@@ -115,28 +115,28 @@
 }
 
 // Get finds one member.
-func (r *List) Get(id ids.DaemonID) (Member, bool) {
-	m, ok := r.members[id]
+func (l *List) Get(id ids.DaemonID) (Member, bool) {
+	m, ok := l.members[id]
 	return m, ok
 }
 
-// Ended tells whether the run of a daemon is surely over or suspected so.
-func (r *List) Ended(id ids.DaemonID, s ids.RunID) bool {
-	m, ok := r.members[id]
-	return !ok || m.Gone || m.RunID != s
+// RunEnded tells whether the run of a daemon is surely over or suspected so.
+func (l *List) RunEnded(id ids.DaemonID, run ids.RunID) bool {
+	m, ok := l.members[id]
+	return !ok || m.Gone || m.RunID != run
 }
 
-func (r *List) sum() uint64 {
-	if r.dirty {
-		r.digest, r.dirty = r.fold(), false
-		if !r.Incremental {
-			r.digest = sum(r.All())
+func (l *List) currentDigest() uint64 {
+	if l.digestStale {
+		l.digest, l.digestStale = l.combinePartDigests(), false
+		if !l.Incremental {
+			l.digest = listDigest(l.All())
 		}
 	}
-	return r.digest
+	return l.digest
 }
 
-func sum(list []Member) uint64 {
+func listDigest(list []Member) uint64 {
 	h := fnv.New64a()
 	for _, m := range list {
 		h.Write([]byte(m.ID))
@@ -154,63 +154,63 @@
 }
 
 // Receive takes a message; false means that it belongs to another slice.
-func (r *List) Receive(now ids.Time, from ids.Address, msg any) bool {
-	r.RecordContact(now, from)
+func (l *List) Receive(now ids.Time, from ids.Address, msg any) bool {
+	l.RecordContact(now, from)
 	switch m := msg.(type) {
 	case Heartbeat:
-		r.merge([]Member{m.Self})
-		r.heartbeat(now, m.Self.ID)
+		l.merge([]Member{m.Self})
+		l.recordHeartbeat(now, m.Self.ID)
 		// Copies that differ merge at once rather than in rounds.
-		if m.Digest != r.sum() {
-			r.differ(now, m.Self)
+		if m.Digest != l.currentDigest() {
+			l.reconcile(now, m.Self)
 		} else {
-			delete(r.differs, m.Self.ID)
+			delete(l.divergedSince, m.Self.ID)
 		}
 	case Digest:
-		r.compare(from, m)
+		l.handleDigest(from, m)
 	case Delta:
-		r.take(from, m)
+		l.handleDelta(from, m)
 	case Snapshot:
-		r.merge(m.Members)
-		if !m.Final && sum(m.Members) != r.sum() {
-			r.out.Send(from, Snapshot{Members: r.All(), Final: true})
+		l.merge(m.Members)
+		if !m.Final && listDigest(m.Members) != l.currentDigest() {
+			l.out.Send(from, Snapshot{Members: l.All(), Final: true})
 		}
 	case Suspect:
-		r.suspect(now, m)
+		l.handleSuspect(now, m)
 	case Withdraw:
-		r.withdrawn(m)
+		l.handleWithdraw(m)
 	case Probe:
-		r.probed(from, m)
+		l.handleProbe(from, m)
 	case ProbeReply:
-		r.merge([]Member{m.Self})
-		r.heartbeat(now, m.Self.ID)
+		l.merge([]Member{m.Self})
+		l.recordHeartbeat(now, m.Self.ID)
 	default:
 		return false
 	}
 	return true
 }
 
-func (r *List) merge(list []Member) {
+func (l *List) merge(list []Member) {
 	for _, m := range list {
-		if m.ID == r.Self.ID {
-			r.refute(m)
+		if m.ID == l.Self.ID {
+			l.refute(m)
 			continue
 		}
-		if have, ok := r.members[m.ID]; !ok || m.newer(have) {
-			r.set(m)
-			if r.Incremental && m.Role == Registry && !m.Gone && (!ok || have.RunID != m.RunID || have.Gone) {
-				r.introduce(m)
+		if known, exists := l.members[m.ID]; !exists || m.supersedes(known) {
+			l.put(m)
+			if l.Incremental && m.Role == Registry && !m.Gone && (!exists || known.RunID != m.RunID || known.Gone) {
+				l.sendSelf(m)
 			}
 		}
 	}
 }
 
 // refute answers word of our own end, or of an earlier run of ours.
-func (r *List) refute(m Member) {
-	if m.Incarnation > r.Self.Incarnation || (m.Incarnation == r.Self.Incarnation && (m.Gone || m.RunID != r.Self.RunID)) {
-		r.Self.Incarnation = m.Incarnation + 1
-		r.Self.Sequence++
-		r.set(r.Self)
-		r.out.Log(event.LevelInfo, "refuted", "incarnation", itoa(uint64(r.Self.Incarnation)))
+func (l *List) refute(m Member) {
+	if m.Incarnation > l.Self.Incarnation || (m.Incarnation == l.Self.Incarnation && (m.Gone || m.RunID != l.Self.RunID)) {
+		l.Self.Incarnation = m.Incarnation + 1
+		l.Self.Sequence++
+		l.put(l.Self)
+		l.out.Log(event.LevelInfo, "refuted", "incarnation", itoa(uint64(l.Self.Incarnation)))
 	}
 }
--- a/internal/controlplane/membership/list_test.go
+++ b/internal/controlplane/membership/list_test.go
@@ -11,16 +11,16 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// hall is a few rolls whose messages are passed by hand, in steps of a beat.
-type hall struct {
-	now   ids.Time
-	rolls map[ids.Address]*List
-	outs  map[ids.Address]*event.Outbox
-	mute  map[ids.Address]bool
+// cluster is a few rolls whose messages are passed by hand, in steps of a beat.
+type cluster struct {
+	now      ids.Time
+	lists    map[ids.Address]*List
+	outboxes map[ids.Address]*event.Outbox
+	muted    map[ids.Address]bool
 }
 
-func newHall(n int) *hall {
-	h := &hall{now: 1, rolls: map[ids.Address]*List{}, outs: map[ids.Address]*event.Outbox{}, mute: map[ids.Address]bool{}}
+func newCluster(n int) *cluster {
+	c := &cluster{now: 1, lists: map[ids.Address]*List{}, outboxes: map[ids.Address]*event.Outbox{}, muted: map[ids.Address]bool{}}
 	for i := range n {
 		role := Proxy
 		if i < 2 {
@@ -28,30 +28,30 @@
 		}
 		at := ids.Address(fmt.Sprintf("m%d", i))
 		out := &event.Outbox{}
-		h.outs[at] = out
-		h.rolls[at] = New(Options{Self: Member{ID: ids.DaemonID(at), Role: role, Address: at, RunID: ids.RunID(i + 1), Incarnation: 1, Ready: true}, Seeds: []ids.Address{"m0"}}, out)
+		c.outboxes[at] = out
+		c.lists[at] = New(Options{Self: Member{ID: ids.DaemonID(at), Role: role, Address: at, RunID: ids.RunID(i + 1), Incarnation: 1, Ready: true}, Seeds: []ids.Address{"m0"}}, out)
 	}
-	return h
+	return c
 }
 
-// pass lets time go by and carries every message, but for those of the mute.
-func (h *hall) pass(d time.Duration) {
-	for end := h.now.Add(d); h.now < end; h.now = h.now.Add(250 * time.Millisecond) {
-		for i := range len(h.rolls) {
+// advance lets time go by and carries every message, but for those of the mute.
+func (c *cluster) advance(d time.Duration) {
+	for end := c.now.Add(d); c.now < end; c.now = c.now.Add(250 * time.Millisecond) {
+		for i := range len(c.lists) {
 			at := ids.Address(fmt.Sprintf("m%d", i))
-			if !h.mute[at] {
-				h.rolls[at].Tick(h.now)
+			if !c.muted[at] {
+				c.lists[at].Tick(c.now)
 			}
 		}
 		for busy := true; busy; {
 			busy = false
-			for i := range len(h.rolls) {
+			for i := range len(c.lists) {
 				at := ids.Address(fmt.Sprintf("m%d", i))
-				for _, c := range h.outs[at].Drain() {
-					s, ok := c.(event.Send)
-					if ok && !h.mute[at] && !h.mute[s.To] && h.rolls[s.To] != nil {
+				for _, command := range c.outboxes[at].Drain() {
+					send, ok := command.(event.Send)
+					if ok && !c.muted[at] && !c.muted[send.To] && c.lists[send.To] != nil {
 						busy = true
-						h.rolls[s.To].Receive(h.now, at, s.Msg)
+						c.lists[send.To].Receive(c.now, at, send.Msg)
 					}
 				}
 			}
@@ -59,16 +59,16 @@
 	}
 }
 
-func (h *hall) gone(seer, who ids.DaemonID) bool {
-	m, ok := h.rolls[ids.Address(seer)].Get(who)
+func (c *cluster) isGone(observer, member ids.DaemonID) bool {
+	m, ok := c.lists[ids.Address(observer)].Get(member)
 	return ok && m.Gone
 }
 
-func TestAllMeetThroughOneSeed(t *testing.T) {
+func TestList_MembersJoinThroughOneSeed(t *testing.T) {
 	is := is.New(t)
-	h := newHall(9)
-	h.pass(3 * time.Second)
-	for _, r := range h.rolls {
+	h := newCluster(9)
+	h.advance(3 * time.Second)
+	for _, r := range h.lists {
 		is.Equal(len(r.All()), 9)
 		is.Equal(len(r.Live(Registry)), 2)
 	}
@@ -76,28 +76,28 @@
 
 // A daemon that falls silent is judged gone by its watchers' majority, all
 // learn it, and when it speaks again it refutes.
-func TestSilentOnesAreGoneAndComeBack(t *testing.T) {
+func TestList_SilentMemberIsDeclaredDeadAndRefutes(t *testing.T) {
 	is := is.New(t)
-	h := newHall(9)
-	h.pass(3 * time.Second)
-	h.mute["m5"] = true
-	h.pass(2500 * time.Millisecond)
+	h := newCluster(9)
+	h.advance(3 * time.Second)
+	h.muted["m5"] = true
+	h.advance(2500 * time.Millisecond)
 	for i := range 9 {
-		is.True(i == 5 || h.gone(ids.DaemonID(fmt.Sprintf("m%d", i)), "m5"))
+		is.True(i == 5 || h.isGone(ids.DaemonID(fmt.Sprintf("m%d", i)), "m5"))
 	}
-	h.mute["m5"] = false
-	h.pass(3 * time.Second)
-	m, _ := h.rolls["m0"].Get("m5")
+	h.muted["m5"] = false
+	h.advance(3 * time.Second)
+	m, _ := h.lists["m0"].Get("m5")
 	is.True(!m.Gone && m.Incarnation > 1)
-	is.True(!h.rolls["m0"].Ended("m5", 6)) // the same run all along
+	is.True(!h.lists["m0"].RunEnded("m5", 6)) // the same run all along
 }
 
 // Three in a row on the ring die at once, among them each other's watchers.
-func TestWatchersDieToo(t *testing.T) {
+func TestList_WatchersThatDieTogetherAreDeclaredDead(t *testing.T) {
 	is := is.New(t)
-	h := newHall(9)
-	h.pass(3 * time.Second)
-	stand := h.rolls["m0"].livingMembers()
+	h := newCluster(9)
+	h.advance(3 * time.Second)
+	stand := h.lists["m0"].liveMembers()
 	for i, m := range stand {
 		if m.Role == Registry {
 			continue
@@ -105,36 +105,36 @@
 		// From here on round the ring, all but registries.
 		for k := 0; k < 3; k++ {
 			if x := stand[(i+k)%len(stand)]; x.Role != Registry {
-				h.mute[x.Address] = true
+				h.muted[x.Address] = true
 			}
 		}
 		break
 	}
-	h.pass(4 * time.Second)
-	for at := range h.mute {
-		is.True(h.gone("m0", ids.DaemonID(at)))
+	h.advance(4 * time.Second)
+	for at := range h.muted {
+		is.True(h.isGone("m0", ids.DaemonID(at)))
 	}
-	is.Equal(len(h.rolls["m0"].livingMembers()), 9-len(h.mute))
+	is.Equal(len(h.lists["m0"].liveMembers()), 9-len(h.muted))
 }
 
 // One that was frozen doubts nobody for its own silence, and a registry that
 // may not judge doesn't.
-func TestOwnSilenceProvesNothing(t *testing.T) {
+func TestList_OwnPauseCausesNoSuspicion(t *testing.T) {
 	is := is.New(t)
-	h := newHall(5)
-	h.pass(3 * time.Second)
+	h := newCluster(5)
+	h.advance(3 * time.Second)
 	for _, at := range []ids.Address{"m0", "m1"} {
-		h.rolls[at].MayDeclareDead = func(ids.Time) bool { return false }
+		h.lists[at].MayDeclareDead = func(ids.Time) bool { return false }
 	}
-	h.mute["m3"] = true
-	h.pass(5 * time.Second)
-	is.True(!h.gone("m0", "m3"))
-	h.mute["m3"] = false
-	h.pass(time.Second)
-	for _, r := range h.rolls {
+	h.muted["m3"] = true
+	h.advance(5 * time.Second)
+	is.True(!h.isGone("m0", "m3"))
+	h.muted["m3"] = false
+	h.advance(time.Second)
+	for _, r := range h.lists {
 		r.MayDeclareDead = nil
 	}
 	h.now = h.now.Add(time.Minute) // everybody slept
-	h.pass(time.Second)
-	is.Equal(len(h.rolls["m0"].livingMembers()), 5)
+	h.advance(time.Second)
+	is.Equal(len(h.lists["m0"].liveMembers()), 5)
 }
--- a/internal/controlplane/membership/member.go
+++ b/internal/controlplane/membership/member.go
@@ -50,16 +50,16 @@
 // ClientAddress is where a proxy takes clients.
 func (m Member) ClientAddress() ids.Address { return cmp.Or(m.ClientListen, m.HTTP) }
 
-// newer tells whether m replaces n. A suspicion beats its own incarnation's
+// supersedes tells whether m replaces n. A suspicion beats its own incarnation's
 // life, and only a higher incarnation refutes it.
-func (m Member) newer(n Member) bool {
-	if m.Incarnation != n.Incarnation {
-		return m.Incarnation > n.Incarnation
+func (m Member) supersedes(other Member) bool {
+	if m.Incarnation != other.Incarnation {
+		return m.Incarnation > other.Incarnation
 	}
-	if m.Gone != n.Gone {
+	if m.Gone != other.Gone {
 		return m.Gone
 	}
-	return m.Sequence > n.Sequence
+	return m.Sequence > other.Sequence
 }
 
 // Heartbeat is what a daemon tells its watchers. Digest sums up its roll, so
@@ -91,9 +91,9 @@
 	Watcher     ids.DaemonID
 	ID          ids.DaemonID
 	Incarnation ids.Incarnation
-	// Silence is how long the member was silent, in milliseconds. A member whose
+	// SilenceMillis is how long the member was silent, in milliseconds. A member whose
 	// heartbeats are irregular is accused later, and is given longer to answer.
-	Silence uint32
+	SilenceMillis uint32
 }
 
 var _ = wire.Register(10, Heartbeat{}) && wire.Register(11, Snapshot{}) && wire.Register(12, Suspect{}) &&
@@ -101,28 +101,28 @@
 
 // Options are the options of a roll; zero ones take the defaults.
 type Options struct {
-	Self           Member
-	Seeds          []ids.Address
-	Watchers       int
-	HeartbeatEvery time.Duration
-	SuspectAfter   time.Duration
+	Self              Member
+	Seeds             []ids.Address
+	Watchers          int
+	HeartbeatInterval time.Duration
+	SuspicionTimeout  time.Duration
 	// Thrifty: what a daemon tells of the roll doesn't grow with the fleet. Copies
 	// that differ are compared part by part, and registries relay what changed.
 	Incremental bool
 }
 
-func (p *Options) fill() {
-	if p.Watchers == 0 {
-		p.Watchers = 3
+func (o *Options) setDefaults() {
+	if o.Watchers == 0 {
+		o.Watchers = 3
 	}
-	if p.Incremental && p.HeartbeatEvery == 0 && p.SuspectAfter == 0 {
-		p.HeartbeatEvery, p.SuspectAfter = 400*time.Millisecond, 1200*time.Millisecond
+	if o.Incremental && o.HeartbeatInterval == 0 && o.SuspicionTimeout == 0 {
+		o.HeartbeatInterval, o.SuspicionTimeout = 400*time.Millisecond, 1200*time.Millisecond
 	}
-	if p.HeartbeatEvery == 0 {
-		p.HeartbeatEvery = 250 * time.Millisecond
+	if o.HeartbeatInterval == 0 {
+		o.HeartbeatInterval = 250 * time.Millisecond
 	}
-	if p.SuspectAfter == 0 {
-		p.SuspectAfter = time.Second
+	if o.SuspicionTimeout == 0 {
+		o.SuspicionTimeout = time.Second
 	}
 }
 
--- a/internal/controlplane/membership/tick.go
+++ b/internal/controlplane/membership/tick.go
@@ -7,65 +7,65 @@
 )
 
 // Tick does what time asks for.
-func (r *List) Tick(now ids.Time) {
-	defer r.publish()
-	if r.Self.Role != Registry {
-		r.changed = nil
+func (l *List) Tick(now ids.Time) {
+	defer l.publish()
+	if l.Self.Role != Registry {
+		l.pendingRelay = nil
 	}
-	r.excuse(now)
-	r.watch(now)
+	l.compensatePause(now)
+	l.checkWatched(now)
 	// A registry that no majority speaks to may itself be the one cut off.
-	if r.Self.Role == Registry && (r.MayDeclareDead == nil || r.MayDeclareDead(now)) {
-		r.declareDead(now)
+	if l.Self.Role == Registry && (l.MayDeclareDead == nil || l.MayDeclareDead(now)) {
+		l.evaluateSuspicions(now)
 	}
-	if now < r.beat {
+	if now < l.nextHeartbeat {
 		return
 	}
-	r.beat = now.Add(r.HeartbeatEvery)
-	stand := r.livingMembers()
-	for _, w := range r.ringOf().watchers(r.Self.ID, r.Watchers) {
-		r.out.Send(w.Address, Heartbeat{Self: r.Self, Digest: r.sum()})
+	l.nextHeartbeat = now.Add(l.HeartbeatInterval)
+	live := l.liveMembers()
+	for _, watcher := range l.currentRing().watchers(l.Self.ID, l.Watchers) {
+		l.out.Send(watcher.Address, Heartbeat{Self: l.Self, Digest: l.currentDigest()})
 	}
-	if now >= r.nextSeedCall {
-		r.nextSeedCall = now.Add(4 * r.HeartbeatEvery)
-		r.forgetWords(now)
-		r.call(stand)
+	if now >= l.nextRejoin {
+		l.nextRejoin = now.Add(4 * l.HeartbeatInterval)
+		l.forgetOldContacts(now)
+		l.contactUnreachable(live)
 	}
 }
 
-// strangers gives the seeds that aren't known: all, or one in turn once others
+// unknownSeeds gives the seeds that aren't known: all, or one in turn once others
 // are, so that a fleet that starts as one doesn't drown its seeds.
-func (r *List) strangers(known map[ids.Address]bool) []ids.Address {
-	var out []ids.Address
-	for _, s := range r.Seeds {
-		if !known[s] {
-			out = append(out, s)
+func (l *List) unknownSeeds(known map[ids.Address]bool) []ids.Address {
+	var unknown []ids.Address
+	for _, seed := range l.Seeds {
+		if !known[seed] {
+			unknown = append(unknown, seed)
 		}
 	}
-	if r.Incremental && len(out) > 1 && len(r.members) > 1 {
-		r.seedCalls++
-		return out[r.seedCalls%len(out):][:1]
+	if l.Incremental && len(unknown) > 1 && len(l.members) > 1 {
+		l.seedRotation++
+		return unknown[l.seedRotation%len(unknown):][:1]
 	}
-	return out
+	return unknown
 }
 
-// call greets seeds and, in turn, one of the gone, so that halves rejoin.
-func (r *List) call(stand []Member) {
-	known := map[ids.Address]bool{r.Self.Address: true}
-	for _, m := range stand {
+// contactUnreachable greets seeds and, in turn, one of the gone, so that halves rejoin.
+func (l *List) contactUnreachable(live []Member) {
+	known := map[ids.Address]bool{l.Self.Address: true}
+	for _, m := range live {
 		known[m.Address] = true
 	}
-	for _, s := range r.strangers(known) {
-		r.out.Send(s, Heartbeat{Self: r.Self, Digest: r.sum()})
+	for _, seed := range l.unknownSeeds(known) {
+		l.out.Send(seed, Heartbeat{Self: l.Self, Digest: l.currentDigest()})
 	}
-	var lost []Member
-	for _, m := range r.All() {
+	var dead []Member
+	for _, m := range l.All() {
 		if m.Gone && !known[m.Address] {
-			lost = append(lost, m)
+			dead = append(dead, m)
 		}
 	}
-	if len(lost) > 0 {
-		m := lost[int(r.Self.Sequence+ids.Sequence(r.version)+ids.Sequence(r.nextSeedCall/ids.Time(time.Second)))%len(lost)]
-		r.out.Send(m.Address, Heartbeat{Self: r.Self, Digest: r.sum()})
+	if len(dead) > 0 {
+		m := dead[int(l.Self.Sequence+ids.Sequence(l.version)+ids.Sequence(l.nextRejoin/ids.Time(time.Second)))%len(dead)]
+		l.out.Send(m.Address, Heartbeat{Self: l.Self, Digest: l.currentDigest()})
 	}
 }
--- a/internal/controlplane/registry/deliver.go
+++ b/internal/controlplane/registry/deliver.go
@@ -19,14 +19,14 @@
 	r.lastPush = now
 	r.Distributor.Distribute(now, r.assignedProxies(now), distribution.Content{
 		Revision: r.view.Revision, Configuration: r.configurationDelta,
-		Targets: func() []targets.Target { return r.targetsForProxies(now) }, Version: r.targetsVersion()<<20 + uint64(r.view.Revision), Age: r.agreementAge(now),
+		Targets: func() []targets.Target { return r.targetsForProxies(now) }, Version: r.targetsVersion()<<20 + uint64(r.view.Revision), ReadAge: r.agreementAge(now),
 	})
 }
 
 // targetsForProxies gives the targets as proxies are told of them.
 func (r *Registry) targetsForProxies(now ids.Time) []targets.Target {
 	if r.options.Incremental {
-		return r.Targets.Public(now)
+		return r.Targets.ForProxies(now)
 	}
 	return r.Targets.All(now)
 }
@@ -34,7 +34,7 @@
 // targetsVersion grows with each change of them.
 func (r *Registry) targetsVersion() uint64 {
 	if r.options.Incremental {
-		return r.Targets.PublicVersion()
+		return r.Targets.ProxyVersion()
 	}
 	return r.Targets.Version()
 }
@@ -62,7 +62,7 @@
 	}
 	for _, m := range r.Live(membership.Registry) {
 		if m.ID != r.Self.ID {
-			r.Send(m.Address, targets.Update{List: list})
+			r.Send(m.Address, targets.Update{Targets: list})
 		}
 	}
 }
@@ -78,7 +78,7 @@
 	// by one, four hundred targets would be so many pushes to every proxy.
 	urgent := !r.options.Incremental
 	for _, t := range changed {
-		urgent = urgent || !t.Usable() || t.Cold > 0
+		urgent = urgent || !t.Usable() || t.SlowStartMillis > 0
 	}
 	if len(changed) > 0 && urgent {
 		r.pushToProxies(now)
--- a/internal/controlplane/registry/departure.go
+++ b/internal/controlplane/registry/departure.go
@@ -40,7 +40,7 @@
 	if !call.Target.Usable() && (len(changed) > 0 || r.options.Incremental) {
 		// What proxies have to hold is the word at which it changed to them.
 		if r.options.Incremental {
-			call.Target.Sequence = r.Targets.MaterialSequence(call.Target.Instance)
+			call.Target.Sequence = r.Targets.ProxySequence(call.Target.Instance)
 		}
 		p := departure{callID: call.ID, target: call.Target, arrived: now, deadline: now.Add(departureTimeout), awaitedPeers: map[ids.DaemonID]bool{}}
 		r.requestDepartureAcks(now, p)
@@ -129,7 +129,7 @@
 		return
 	}
 	if !t.Gone {
-		t.Sequence, t.Gone, t.Leaving = r.Targets.Newest(call.Instance)+1, true, true
+		t.Sequence, t.Gone, t.Leaving = r.Targets.LatestSequence(call.Instance)+1, true, true
 	}
 	r.handleHeartbeat(now, HeartbeatCall{ID: call.ID, Target: t})
 }
@@ -139,7 +139,7 @@
 	left := r.departures[:0]
 	for _, pending := range r.departures {
 		switch {
-		case r.hasLease(now) && len(pending.awaitedPeers) == 0 && r.Distributor.Reached(r.assignedProxies(now), pending.target):
+		case r.hasLease(now) && len(pending.awaitedPeers) == 0 && r.Distributor.AllAcknowledged(r.assignedProxies(now), pending.target):
 			r.Emit(Response{ID: pending.callID, Status: 200, Body: map[string]any{"known": true, "everywhere": true}})
 		case now >= pending.deadline && r.agreedSince(pending.arrived):
 			r.Emit(Response{ID: pending.callID, Status: 200, Body: map[string]any{"known": true, "everywhere": false}})
@@ -153,7 +153,7 @@
 	r.departures = left
 	owes := r.owedAcks[:0]
 	for _, o := range r.owedAcks {
-		if r.Distributor.Reached(r.assignedProxies(now), o.Target) {
+		if r.Distributor.AllAcknowledged(r.assignedProxies(now), o.Target) {
 			r.Send(o.Asker, DepartureAck{ID: r.Self.ID, Instance: o.Target.Instance, Sequence: o.Target.Sequence, Incarnation: o.Target.Incarnation})
 		} else if len(r.owedAcks) < maxOwedAcks {
 			owes = append(owes, o)
--- a/internal/controlplane/registry/derive.go
+++ b/internal/controlplane/registry/derive.go
@@ -21,7 +21,7 @@
 	}
 	capacities := map[ids.Name]float64{}
 	for _, t := range r.Targets.All(now) {
-		if c := r.view.Zones[t.Zone]; t.Usable() && !c.Evacuated && !c.Drained && t.Cold == 0 {
+		if c := r.view.Zones[t.Zone]; t.Usable() && !c.Evacuated && !c.Drained && t.SlowStartMillis == 0 {
 			capacities[t.Zone] += float64(t.Capacity) * 1000
 		}
 	}
--- a/internal/controlplane/registry/isolated.go
+++ b/internal/controlplane/registry/isolated.go
@@ -22,7 +22,7 @@
 // back, as their silence was its own.
 func (r *Registry) expireSilentTargets(now ids.Time) []targets.Target {
 	if r.isolated(now) {
-		r.Targets.Excuse(now)
+		r.Targets.ExtendDeadlines(now)
 	}
 	return r.Targets.Tick(now)
 }
--- a/internal/controlplane/registry/isolated_test.go
+++ b/internal/controlplane/registry/isolated_test.go
@@ -53,7 +53,7 @@
 func (b *testRegistry) run(for_ time.Duration, news func(ids.Sequence) targets.Target) {
 	for end := b.now.Add(for_); b.now < end; b.now = b.now.Add(tickEvery) {
 		if news != nil {
-			b.deliver(targets.Update{List: []targets.Target{news(ids.Sequence(b.now))}})
+			b.deliver(targets.Update{Targets: []targets.Target{news(ids.Sequence(b.now))}})
 		}
 		if !b.partitioned {
 			// Each beat refutes what may have been said of it meanwhile.
@@ -67,7 +67,7 @@
 }
 
 func remoteTarget(seq ids.Sequence) targets.Target {
-	return targets.Target{Instance: "i", Incarnation: 1, Sequence: seq, Service: "s", Address: "10.0.1.1:80", Zone: "c", Warmth: 1, Interval: 1000}
+	return targets.Target{Instance: "i", Incarnation: 1, Sequence: seq, Service: "s", Address: "10.0.1.1:80", Zone: "c", Warmth: 1, IntervalMillis: 1000}
 }
 
 // The core was cut in two while proxies and targets reached both sides. Each
@@ -106,7 +106,7 @@
 	b.run(2*time.Second, nil)
 	b.step(HeartbeatCall{ID: 2, Target: remoteTarget(2)})
 	is.Equal(b.status[2], 503)
-	is.Equal(b.Targets.Newest("i"), ids.Sequence(2))
+	is.Equal(b.Targets.LatestSequence("i"), ids.Sequence(2))
 	// A target that leaves is heard all the same, as the proxies here must know;
 	// but it isn't told that this holds everywhere, and calls on another.
 	leaving := remoteTarget(3)
--- a/internal/controlplane/registry/keeper_test.go
+++ b/internal/controlplane/registry/keeper_test.go
@@ -41,7 +41,7 @@
 // is of some age.
 func (b *incrementalRegistry) tickWithPeers(age time.Duration) {
 	for _, n := range []ids.DaemonID{"g", "h"} {
-		b.deliver(PeerHeartbeat{ID: n, RunID: 1, AgreementAgeMillis: uint32(age / time.Millisecond), TargetsDigest: b.Targets.Sum()})
+		b.deliver(PeerHeartbeat{ID: n, RunID: 1, AgreementAgeMillis: uint32(age / time.Millisecond), TargetsDigest: b.Targets.Digest()})
 	}
 	b.deliver(membership.Heartbeat{Self: membership.Member{ID: "s", Role: membership.Store, Address: "10.0.0.2:1", RunID: 1, Ready: true, Incarnation: 1}})
 	b.now = b.now.Add(tickEvery)
@@ -66,7 +66,7 @@
 			b.pushedTargets += len(m.Targets)
 			b.Step(b.now, event.Received{From: s.To, Msg: distribution.Ack{Proxy: ids.DaemonID(s.To), RunID: 1, Number: m.Number, Revision: m.Revision, Now: b.now}})
 		case targets.Update:
-			b.updates += len(m.List)
+			b.updates += len(m.Targets)
 		}
 	}
 }
@@ -74,7 +74,7 @@
 func targetAt(i int, seq ids.Sequence, keeper ids.DaemonID) targets.Target {
 	return targets.Target{
 		Instance: ids.InstanceID(fmt.Sprint("i", i)), Incarnation: 1, Sequence: seq, Service: "s",
-		Address: ids.Address(fmt.Sprintf("10.0.1.%d:80", i+1)), Zone: "c", Warmth: 1, Interval: 1000, Registrar: keeper, RegistrarRunID: 1,
+		Address: ids.Address(fmt.Sprintf("10.0.1.%d:80", i+1)), Zone: "c", Warmth: 1, IntervalMillis: 1000, Registrar: keeper, RegistrarRunID: 1,
 	}
 }
 
@@ -85,7 +85,7 @@
 	is := is.New(t)
 	b := newIncrementalRegistry()
 	for i := range 50 {
-		b.deliver(targets.Update{List: []targets.Target{targetAt(i, 1, "g")}})
+		b.deliver(targets.Update{Targets: []targets.Target{targetAt(i, 1, "g")}})
 	}
 	for range 40 {
 		b.tickWithPeers(100 * time.Millisecond)
@@ -96,7 +96,7 @@
 	for n := range 60 {
 		keeper := []ids.DaemonID{"g", "h"}[n%2]
 		for i := range 50 {
-			b.deliver(targets.Update{List: []targets.Target{targetAt(i, ids.Sequence(n+2), keeper)}})
+			b.deliver(targets.Update{Targets: []targets.Target{targetAt(i, ids.Sequence(n+2), keeper)}})
 		}
 		b.tickWithPeers(100 * time.Millisecond)
 	}
@@ -107,7 +107,7 @@
 	// A target that leaves is news, whoever keeps it.
 	leaving := targetAt(7, 80, "h")
 	leaving.Leaving = true
-	b.deliver(targets.Update{List: []targets.Target{leaving}})
+	b.deliver(targets.Update{Targets: []targets.Target{leaving}})
 	b.tickWithPeers(100 * time.Millisecond)
 	b.tickWithPeers(100 * time.Millisecond)
 	is.Equal(b.pushedTargets, served)
@@ -146,20 +146,20 @@
 	is := is.New(t)
 	a, b := newIncrementalRegistry(), newIncrementalRegistry()
 	for i := range 300 {
-		w := targets.Update{List: []targets.Target{targetAt(i, 1, "g")}}
+		w := targets.Update{Targets: []targets.Target{targetAt(i, 1, "g")}}
 		a.deliver(w)
 		b.deliver(w)
 	}
-	a.deliver(targets.Update{List: []targets.Target{targetAt(3, 2, "h")}})
+	a.deliver(targets.Update{Targets: []targets.Target{targetAt(3, 2, "h")}})
 	// Here the target spoke again since, and said nothing new.
-	b.deliver(targets.Update{List: []targets.Target{targetAt(3, 9, "g")}})
-	is.True(a.Targets.Sum() != b.Targets.Sum())
+	b.deliver(targets.Update{Targets: []targets.Target{targetAt(3, 9, "g")}})
+	is.True(a.Targets.Digest() != b.Targets.Digest())
 	sent := 0
 	compare := func(x, y *incrementalRegistry) {
-		for _, c := range x.Step(x.now, event.Received{From: "y", Msg: TableDigest{Parts: y.Targets.Parts()}}) {
+		for _, c := range x.Step(x.now, event.Received{From: "y", Msg: TableDigest{Parts: y.Targets.PartDigests()}}) {
 			if s, ok := c.(event.Send); ok {
 				if u, ok := s.Msg.(targets.Update); ok {
-					sent += len(u.List)
+					sent += len(u.Targets)
 					y.deliver(u)
 				}
 			}
@@ -167,6 +167,6 @@
 	}
 	compare(a, b)
 	compare(b, a)
-	is.Equal(a.Targets.Sum(), b.Targets.Sum())
+	is.Equal(a.Targets.Digest(), b.Targets.Digest())
 	is.True(sent < 30)
 }
--- a/internal/controlplane/registry/lease_test.go
+++ b/internal/controlplane/registry/lease_test.go
@@ -27,7 +27,7 @@
 
 func heartbeat(edit func(*targets.Target)) func(uint64) event.Event {
 	return func(id uint64) event.Event {
-		t := targets.Target{Instance: "i", Incarnation: 1, Sequence: 9, Service: "s", Address: "10.0.1.1:80", Zone: "c", Warmth: 1, Interval: 1000}
+		t := targets.Target{Instance: "i", Incarnation: 1, Sequence: 9, Service: "s", Address: "10.0.1.1:80", Zone: "c", Warmth: 1, IntervalMillis: 1000}
 		edit(&t)
 		return registry.HeartbeatCall{ID: id, Target: t}
 	}
--- a/internal/controlplane/registry/peers.go
+++ b/internal/controlplane/registry/peers.go
@@ -95,7 +95,7 @@
 	if !r.options.Incremental {
 		return
 	}
-	r.Targets.Vouch(now, func(id ids.DaemonID, s ids.RunID) bool {
+	r.Targets.ConfirmRegistrars(now, func(id ids.DaemonID, s ids.RunID) bool {
 		p, ok := r.peersByID[id]
 		return id != r.Self.ID && ok && p.RunID == s && now.Sub(p.receivedAt) < peerTimeout
 	})
@@ -105,7 +105,7 @@
 	}
 	r.nextHeartbeat = now.Add(peerHeartbeatInterval)
 	r.heartbeatNumber++
-	m := PeerHeartbeat{ID: r.Self.ID, RunID: r.Self.RunID, AgreementAgeMillis: uint32(min(r.agreementAge(now)/time.Millisecond, 1<<30)), TargetsDigest: r.Targets.Sum(), Number: r.heartbeatNumber}
+	m := PeerHeartbeat{ID: r.Self.ID, RunID: r.Self.RunID, AgreementAgeMillis: uint32(min(r.agreementAge(now)/time.Millisecond, 1<<30)), TargetsDigest: r.Targets.Digest(), Number: r.heartbeatNumber}
 	for _, p := range r.Live(membership.Registry) {
 		if p.ID != r.Self.ID {
 			r.Send(p.Address, m)
@@ -120,7 +120,7 @@
 	fresh := p.RunID != m.RunID
 	p.PeerHeartbeat, p.receivedAt = m, now
 	p.trusted = remainsTrusted(p.trusted && !fresh, time.Duration(m.AgreementAgeMillis)*time.Millisecond)
-	if m.TargetsDigest == r.Targets.Sum() {
+	if m.TargetsDigest == r.Targets.Digest() {
 		p.digestMismatches = 0
 	} else {
 		p.digestMismatches++
@@ -130,9 +130,9 @@
 	switch {
 	case !ok:
 	case fresh || p.digestMismatches > 0 && p.digestMismatches%sendAllAfterMismatches == 0:
-		r.Send(to.Address, targets.Update{List: r.Targets.All(now)})
+		r.Send(to.Address, targets.Update{Targets: r.Targets.All(now)})
 	case p.digestMismatches > 0 && p.digestMismatches%compareAfterMismatches == 0:
-		r.Send(to.Address, TableDigest{Parts: r.Targets.Parts()})
+		r.Send(to.Address, TableDigest{Parts: r.Targets.PartDigests()})
 	}
 }
 
@@ -146,8 +146,8 @@
 
 // handleTableDigest answers another registry's sums with the targets that differ.
 func (r *Registry) handleTableDigest(now ids.Time, from ids.Address, m TableDigest) {
-	if list := r.Targets.Differing(now, m.Parts); len(list) > 0 {
-		r.Send(from, targets.Update{List: list})
+	if list := r.Targets.InDifferingParts(now, m.Parts); len(list) > 0 {
+		r.Send(from, targets.Update{Targets: list})
 	}
 }
 
@@ -158,7 +158,7 @@
 		return
 	}
 	r.lastRelay = now
-	list := r.Changed()
+	list := r.DrainChanged()
 	if len(list) == 0 {
 		return
 	}
--- a/internal/controlplane/registry/registry.go
+++ b/internal/controlplane/registry/registry.go
@@ -100,7 +100,7 @@
 	options.setDefaults()
 	options.Self.Role = membership.Registry
 	r := &Registry{options: options, Targets: targets.New(), Reports: spill.NewReports()}
-	r.Targets.Thrifty, r.Targets.Self = options.Incremental, options.Self.ID
+	r.Targets.Incremental, r.Targets.Self = options.Incremental, options.Self.ID
 	r.List = membership.New(options.Options, &r.Outbox)
 	r.List.MayDeclareDead = func(now ids.Time) bool { return r.agreementAge(now) < declareDeadWithinAge }
 	r.Client = consensus.NewClient(options.Self.RunID, &r.Outbox)
@@ -111,9 +111,9 @@
 		r.Reports.Span = 2*options.PlanEvery + 100*time.Millisecond
 	}
 	if options.Incremental {
-		r.Distributor.RefreshEvery, r.Distributor.ResendAfter = time.Second, 400*time.Millisecond
-		r.Distributor.Quiet = true
-		r.Distributor.Spare = func(c membership.Member) bool { return !r.isNearestRegistry(c) }
+		r.Distributor.RefreshInterval, r.Distributor.InitialRetryTimeout = time.Second, 400*time.Millisecond
+		r.Distributor.SkipEmptyPushes = true
+		r.Distributor.IsBackup = func(c membership.Member) bool { return !r.isNearestRegistry(c) }
 	}
 	r.configuration, _ = configuration.Decode(nil)
 	r.view = r.configuration.View()
@@ -174,7 +174,7 @@
 	if r.startedAt == 0 {
 		r.startedAt = now
 	}
-	r.Announce(!r.stopping && r.agreedAt != 0 && now.Sub(r.agreedAt) < 5*time.Second, r.view.Revision)
+	r.UpdateSelf(!r.stopping && r.agreedAt != 0 && now.Sub(r.agreedAt) < 5*time.Second, r.view.Revision)
 	r.List.Tick(now)
 	r.abandonOverdueCalls(now)
 	r.runDeferredCalls(now)
@@ -220,12 +220,12 @@
 		r.handleChosenDifference(now, m)
 	case distribution.Ack:
 		r.Distributor.HandleAck(now, m)
-		if r.options.Incremental && !r.Distributor.IsCurrent(m.Proxy, m.RunID) && m.TargetsDigest == r.Targets.Exact() {
-			r.Distributor.HasAll(m.Proxy, m.RunID, r.targetsForProxies(now))
+		if r.options.Incremental && !r.Distributor.IsCurrent(m.Proxy, m.RunID) && m.TargetsDigest == r.Targets.ProxyDigest() {
+			r.Distributor.ConfirmTargets(m.Proxy, m.RunID, r.targetsForProxies(now))
 		}
 		r.completeDepartures(now)
 	case targets.Update:
-		r.handleTargetUpdate(now, m.List)
+		r.handleTargetUpdate(now, m.Targets)
 	case PeerHeartbeat:
 		r.handlePeerHeartbeat(now, m)
 	case TableDigest:
--- a/internal/controlplane/registry/resolve.go
+++ b/internal/controlplane/registry/resolve.go
@@ -86,7 +86,7 @@
 	var out []membership.Member
 	for _, m := range r.Live(membership.Proxy) {
 		// Where others deliver to it, its own word in the roll must do.
-		if m.Ready && (r.options.Incremental || r.Distributor.Fresh(now, m, maxProxyLag)) {
+		if m.Ready && (r.options.Incremental || r.Distributor.AcknowledgedWithin(now, m, maxProxyLag)) {
 			out = append(out, m)
 		}
 	}
--- a/internal/controlplane/registry/screen_test.go
+++ b/internal/controlplane/registry/screen_test.go
@@ -119,7 +119,7 @@
 		consensus.Chosen{Key: configuration.Key, Value: []byte(`{"revision":9}`)},
 		consensus.Response{ID: 1 << 24, Outcome: consensus.Succeeded},
 		distribution.Ack{Proxy: "p", RunID: 1, Number: 3},
-		targets.Update{List: []targets.Target{{Instance: "i", Service: "s", Address: "10.0.0.9:80", Zone: "c", Incarnation: 1, Sequence: 1, Warmth: 1}}},
+		targets.Update{Targets: []targets.Target{{Instance: "i", Service: "s", Address: "10.0.0.9:80", Zone: "c", Incarnation: 1, Sequence: 1, Warmth: 1}}},
 		PeerHeartbeat{ID: "g", RunID: 1},
 		DepartureNotice{Asker: unknownAddress, Target: targets.Target{Instance: "i", Gone: true}},
 		DepartureAck{ID: "g", Instance: "i"},
--- a/internal/controlplane/registry/status.go
+++ b/internal/controlplane/registry/status.go
@@ -91,7 +91,7 @@
 	proxies := r.Live(membership.Proxy)
 	status := Status{
 		Registry: r.Self.ID, Revision: r.view.Revision, AgreementAgeMillis: now.Sub(r.agreedAt).Milliseconds(),
-		LaggingProxies: r.Distributor.Lag(proxies, r.view.Revision), Targets: r.Targets.All(now),
+		LaggingProxies: r.Distributor.Lagging(proxies, r.view.Revision), Targets: r.Targets.All(now),
 		Leaderships: []LeadershipStatus{{"planner", r.highestEpoch, r.ownEpoch != 0, uint64(r.spillTable.Number)}},
 	}
 	status.InForce = len(status.LaggingProxies) == 0
@@ -112,7 +112,7 @@
 			status.Warnings = append(status.Warnings, d.Role+" "+string(m.ID)+" is "+d.State)
 		}
 		if m.Role == membership.Proxy && !m.Gone {
-			d.Revision = r.Distributor.Has(m)
+			d.Revision = r.Distributor.AcknowledgedRevision(m)
 		}
 		status.Daemons = append(status.Daemons, d)
 	}
--- a/internal/controlplane/registry/stopping.go
+++ b/internal/controlplane/registry/stopping.go
@@ -17,7 +17,7 @@
 		r.stepDown(now, "duty given up")
 	}
 	// The roll tells it at once, so that the next in line needn't wait for a verdict.
-	r.Announce(false, r.view.Revision)
+	r.UpdateSelf(false, r.view.Revision)
 }
 
 // replyStopping answers a call that came after the signal: surely not run, ask another.
--- a/internal/controlplane/store/store.go
+++ b/internal/controlplane/store/store.go
@@ -134,7 +134,7 @@
 			s.Log(event.LevelWarn, "disk", "stalled", map[bool]string{true: "yes", false: "no"}[stalled])
 		}
 		s.diskStalled = stalled
-		s.Announce(!stalled && s.MayVote(), 0)
+		s.UpdateSelf(!stalled && s.MayVote(), 0)
 		s.List.Tick(now)
 		s.Proposer.Tick(now)
 		s.manageVoters(now)
--- a/internal/controlplane/targets/announce.go
+++ b/internal/controlplane/targets/announce.go
@@ -12,8 +12,8 @@
 )
 
 var (
-	instanceRule = regexp.MustCompile(`^[A-Za-z0-9._:-]{1,128}$`)
-	nameRule     = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
+	instancePattern = regexp.MustCompile(`^[A-Za-z0-9._:-]{1,128}$`)
+	namePattern     = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
 )
 
 // CheckAddress tells what is wrong with an IP number and port, if anything.
@@ -25,35 +25,35 @@
 	return ""
 }
 
-// ReadAnnouncement reads and checks what a target sent; faults name paths.
-func ReadAnnouncement(raw []byte) (Target, map[string]string) {
+// ParseAnnouncement reads and checks what a target sent; faults name paths.
+func ParseAnnouncement(raw []byte) (Target, map[string]string) {
 	var t Target
-	bad := map[string]string{}
+	violations := map[string]string{}
 	doc := gjson.ParseBytes(raw)
 	if !jsoncheck.Valid(raw) || !doc.IsObject() {
-		bad["(body)"] = "must be a JSON object"
-		return t, bad
+		violations["(body)"] = "must be a JSON object"
+		return t, violations
 	}
 	text := func(path string, rule *regexp.Regexp) {
 		if v := doc.Get(path); v.Type != gjson.String || !rule.MatchString(v.Str) {
-			bad[path] = "is missing or not a proper name"
+			violations[path] = "is missing or not a proper name"
 		}
 	}
-	number := func(path string, low, high float64, must, whole bool) {
+	number := func(path string, low, high float64, required, whole bool) {
 		v := doc.Get(path)
 		switch {
-		case !v.Exists() && !must:
+		case !v.Exists() && !required:
 		case v.Type != gjson.Number || v.Num < low || v.Num > high:
-			bad[path] = fmt.Sprintf("must be a number from %g to %g", low, high)
+			violations[path] = fmt.Sprintf("must be a number from %g to %g", low, high)
 		case whole && v.Raw != fmt.Sprint(v.Uint()):
-			bad[path] = "must be a whole number"
+			violations[path] = "must be a whole number"
 		}
 	}
-	text("instance", instanceRule)
-	text("service", nameRule)
-	text("cell", nameRule)
+	text("instance", instancePattern)
+	text("service", namePattern)
+	text("cell", namePattern)
 	if v := doc.Get("address"); v.Type != gjson.String || CheckAddress(v.Str) != "" {
-		bad["address"] = "must be an IP number and a port"
+		violations["address"] = "must be an IP number and a port"
 	}
 	number("incarnation", 1, 1<<62, true, true)
 	number("sequence", 1, 1<<62, true, true)
@@ -62,7 +62,7 @@
 	number("capacity", 0, 1e6, false, true)
 	number("interval_ms", 100, 60000, false, true)
 	if v := doc.Get("leaving"); v.Exists() && !v.IsBool() {
-		bad["leaving"] = "must be true or false"
+		violations["leaving"] = "must be true or false"
 	}
 	seen := map[string]bool{}
 	known := map[string]bool{
@@ -71,20 +71,20 @@
 	}
 	doc.ForEach(func(k, _ gjson.Result) bool {
 		if !known[k.String()] {
-			bad[k.String()] = "is not known"
+			violations[k.String()] = "is not known"
 		}
 		if seen[k.String()] {
-			bad[k.String()] = "stands twice"
+			violations[k.String()] = "stands twice"
 		}
 		seen[k.String()] = true
 		return true
 	})
-	if len(bad) > 0 {
-		return t, bad
+	if len(violations) > 0 {
+		return t, violations
 	}
-	t.Warmth, t.Interval = 1, 2000
+	t.Warmth, t.IntervalMillis = 1, 2000
 	if err := json.Unmarshal(raw, &t); err != nil {
-		bad["(body)"] = err.Error()
+		violations["(body)"] = err.Error()
 	}
-	return t, bad
+	return t, violations
 }
--- a/internal/controlplane/targets/entry.go
+++ b/internal/controlplane/targets/entry.go
@@ -6,29 +6,29 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// last gives the entry as of its target's last word.
-func (e *entry) last() Target {
+// latest gives the entry as of its target's last word.
+func (e *entry) latest() Target {
 	t := e.Target
-	t.Sequence = max(t.Sequence, e.newest)
+	t.Sequence = max(t.Sequence, e.latestSequence)
 	return t
 }
 
-// coldSlack is how far two words on the same cold time may differ.
-const coldSlack = 300 * time.Millisecond
+// slowStartTolerance is how far two words on the same cold time may differ.
+const slowStartTolerance = 300 * time.Millisecond
 
-// alike tells whether a later word says nothing new of its target.
-func (e *entry) alike(now ids.Time, t Target) bool {
-	u := e.Target
-	if e.colder(now, t) {
+// isRenewal tells whether a later word says nothing new of its target.
+func (e *entry) isRenewal(now ids.Time, update Target) bool {
+	known := e.Target
+	if e.extendsSlowStart(now, update) {
 		return false
 	}
-	u.Material = t.Material
-	u.Sequence, u.Age, u.Cold, u.Occupancy = t.Sequence, t.Age, t.Cold, t.Occupancy
-	return u == t
+	known.ProxySequence = update.ProxySequence
+	known.Sequence, known.AgeMillis, known.SlowStartMillis, known.Occupancy = update.Sequence, update.AgeMillis, update.SlowStartMillis, update.Occupancy
+	return known == update
 }
 
-// colder tells whether a later word says that its target bears little for longer
+// extendsSlowStart tells whether a later word says that its target bears little for longer
 // than was known.
-func (e *entry) colder(now ids.Time, t Target) bool {
-	return t.Cold > 0 && now.Add(time.Duration(t.Cold)*time.Millisecond).Sub(e.cold) > coldSlack
+func (e *entry) extendsSlowStart(now ids.Time, update Target) bool {
+	return update.SlowStartMillis > 0 && now.Add(time.Duration(update.SlowStartMillis)*time.Millisecond).Sub(e.slowStartUntil) > slowStartTolerance
 }
--- a/internal/controlplane/targets/material.go
+++ b/internal/controlplane/targets/material.go
@@ -7,48 +7,48 @@
 // registries.
 func sameToProxies(a, b Target) bool {
 	for _, t := range []*Target{&a, &b} {
-		t.Sequence, t.Material, t.Age, t.Cold, t.Occupancy = 0, 0, 0, 0, 0
+		t.Sequence, t.ProxySequence, t.AgeMillis, t.SlowStartMillis, t.Occupancy = 0, 0, 0, 0, 0
 		t.Registrar, t.RegistrarRunID = "", 0
 	}
 	return a == b
 }
 
-// material gives a later word as it is to be kept: with the sequence at which the
+// withProxySequence gives a later word as it is to be kept: with the sequence at which the
 // target last changed to proxies.
-func (y *Table) material(now ids.Time, e *entry, t Target) Target {
-	known := e.Incarnation == t.Incarnation && e.Instance != ""
+func (t *Table) withProxySequence(now ids.Time, e *entry, update Target) Target {
+	known := e.Incarnation == update.Incarnation && e.Instance != ""
 	switch {
-	case !y.Thrifty:
-		t.Material = t.Sequence
-	case known && sameToProxies(e.Target, t) && !e.colder(now, t):
-		t.Material = e.Material
-		return t
-	case t.Material == 0 || t.Material > t.Sequence || known && t.Material <= e.Material:
-		t.Material = t.Sequence
+	case !t.Incremental:
+		update.ProxySequence = update.Sequence
+	case known && sameToProxies(e.Target, update) && !e.extendsSlowStart(now, update):
+		update.ProxySequence = e.ProxySequence
+		return update
+	case update.ProxySequence == 0 || update.ProxySequence > update.Sequence || known && update.ProxySequence <= e.ProxySequence:
+		update.ProxySequence = update.Sequence
 	}
-	y.public++
-	return t
+	t.proxyVersion++
+	return update
 }
 
-// Public gives every target as proxies are told of it: without its keeper, and
+// ForProxies gives every target as proxies are told of it: without its keeper, and
 // with the sequence at which it last changed to them. A keeper that moves is no
 // news to a fleet of proxies.
-func (y *Table) Public(now ids.Time) []Target {
-	list := y.All(now)
+func (t *Table) ForProxies(now ids.Time) []Target {
+	list := t.All(now)
 	for i := range list {
-		t := &list[i]
-		t.Sequence, t.Registrar, t.RegistrarRunID = t.Material, "", 0
+		target := &list[i]
+		target.Sequence, target.Registrar, target.RegistrarRunID = target.ProxySequence, "", 0
 	}
 	return list
 }
 
-// PublicVersion grows with each change that proxies have to hear of.
-func (y *Table) PublicVersion() uint64 { return y.public }
+// ProxyVersion grows with each change that proxies have to hear of.
+func (t *Table) ProxyVersion() uint64 { return t.proxyVersion }
 
-// MaterialSequence gives the sequence at which a target last changed to proxies.
-func (y *Table) MaterialSequence(id ids.InstanceID) ids.Sequence {
-	if e, ok := y.list[id]; ok {
-		return e.Material
+// ProxySequence gives the sequence at which a target last changed to proxies.
+func (t *Table) ProxySequence(id ids.InstanceID) ids.Sequence {
+	if e, ok := t.entries[id]; ok {
+		return e.ProxySequence
 	}
 	return 0
 }
--- a/internal/controlplane/targets/targets.go
+++ b/internal/controlplane/targets/targets.go
@@ -13,143 +13,143 @@
 
 // Target is one target as it last announced itself.
 type Target struct {
-	Instance    ids.InstanceID  `json:"instance"`
-	Incarnation ids.Incarnation `json:"incarnation"`
-	Sequence    ids.Sequence    `json:"sequence"`
-	Service     ids.Name        `json:"service"`
-	Address     ids.Address     `json:"address"`
-	Zone        ids.Name        `json:"cell"`
-	Leaving     bool            `json:"leaving"`
-	Gone        bool            `json:"gone"`
-	Warmth      float64         `json:"warmth"`
-	Occupancy   int64           `json:"occupancy"`
-	Capacity    int64           `json:"capacity"`
-	Interval    uint32          `json:"interval_ms"`
-	// Age is how long this incarnation has been known, in milliseconds, when
+	Instance       ids.InstanceID  `json:"instance"`
+	Incarnation    ids.Incarnation `json:"incarnation"`
+	Sequence       ids.Sequence    `json:"sequence"`
+	Service        ids.Name        `json:"service"`
+	Address        ids.Address     `json:"address"`
+	Zone           ids.Name        `json:"cell"`
+	Leaving        bool            `json:"leaving"`
+	Gone           bool            `json:"gone"`
+	Warmth         float64         `json:"warmth"`
+	Occupancy      int64           `json:"occupancy"`
+	Capacity       int64           `json:"capacity"`
+	IntervalMillis uint32          `json:"interval_ms"`
+	// AgeMillis is how long this incarnation has been known, in milliseconds, when
 	// the entry was last handed on.
-	Age uint64 `json:"age_ms"`
-	// Cold is how much longer, in milliseconds, the target says it bears little,
+	AgeMillis uint64 `json:"age_ms"`
+	// SlowStartMillis is how much longer, in milliseconds, the target says it bears little,
 	// as of when the entry was last handed on.
-	Cold uint64 `json:"cold_ms"`
+	SlowStartMillis uint64 `json:"cold_ms"`
 	// Registrar is the registry that the target last spoke to, in which of its runs:
 	// while it is there, the others needn't be told that the target is.
 	Registrar      ids.DaemonID `json:"-"`
 	RegistrarRunID ids.RunID    `json:"-"`
-	// Material is the sequence at which the target last changed in what proxies go
+	// ProxySequence is the sequence at which the target last changed in what proxies go
 	// by; zero from one that doesn't say.
-	Material ids.Sequence `json:"-"`
+	ProxySequence ids.Sequence `json:"-"`
 }
 
 // Newer tells whether t replaces u. A verdict of "gone" holds until the
 // target itself says something later.
-func (t Target) Newer(u Target) bool {
-	if t.Incarnation != u.Incarnation {
-		return t.Incarnation > u.Incarnation
+func (t Target) Newer(other Target) bool {
+	if t.Incarnation != other.Incarnation {
+		return t.Incarnation > other.Incarnation
 	}
-	if t.Sequence != u.Sequence {
-		return t.Sequence > u.Sequence
+	if t.Sequence != other.Sequence {
+		return t.Sequence > other.Sequence
 	}
-	return t.Gone && !u.Gone
+	return t.Gone && !other.Gone
 }
 
 // Usable tells whether new work may go to the target at all.
 func (t Target) Usable() bool { return !t.Gone && !t.Leaving }
 
 // Share carries targets between registries.
-type Update struct{ List []Target }
+type Update struct{ Targets []Target }
 
 var _ = wire.Register(70, Update{})
 
 // Yard is a copy of all targets.
 type Table struct {
-	list    map[ids.InstanceID]*entry
+	entries map[ids.InstanceID]*entry
 	version uint64
-	// public counts the changes that matter to proxies.
-	public uint64
-	last   ids.Time
+	// proxyVersion counts the changes that matter to proxies.
+	proxyVersion uint64
+	lastTick     ids.Time
 	// Thrifty: a word that says nothing new but that its target is there is noted
 	// and not handed on, so that what is told of targets doesn't grow with beats.
-	Thrifty bool
+	Incremental bool
 	// Self is the registry whose copy this is, if it is one's.
 	Self ids.DaemonID
 }
 
 type entry struct {
 	Target
-	heard ids.Time
-	born  ids.Time
-	// newest is the sequence of the target's last word, whether or not it said
+	lastHeard ids.Time
+	firstSeen ids.Time
+	// latestSequence is the sequence of the target's last word, whether or not it said
 	// anything new; cold is until when it bears little.
-	newest ids.Sequence
-	cold   ids.Time
+	latestSequence ids.Sequence
+	slowStartUntil ids.Time
 	// orphan: its keeper isn't there, so that its silence may be the keeper's.
-	orphan bool
+	registrarLost bool
 }
 
 // New makes an empty target table.
-func New() *Table { return &Table{list: map[ids.InstanceID]*entry{}} }
+func New() *Table { return &Table{entries: map[ids.InstanceID]*entry{}} }
 
-// Silences is how many intervals of silence count as gone.
-const Silences = 3
+// MaxMissedHeartbeats is how many intervals of silence count as gone.
+const MaxMissedHeartbeats = 3
 
 // Merge takes what a target or another copy says; it gives what changed,
 // among it earlier owners of an address that now is another's.
-func (y *Table) Merge(now ids.Time, list ...Target) []Target {
-	return y.MergeAsOf(now, now, list...)
+func (t *Table) Merge(now ids.Time, updates ...Target) []Target {
+	return t.MergeAsOf(now, now, updates...)
 }
 
 // MergeAsOf is Merge of news that may have waited on its way since a time: a
 // target that was alive then needn't be now.
-func (y *Table) MergeAsOf(now, since ids.Time, list ...Target) []Target {
+func (t *Table) MergeAsOf(now, asOf ids.Time, updates ...Target) []Target {
 	var changed []Target
-	for _, t := range list {
-		e, known := y.list[t.Instance]
-		if known && !t.Newer(e.last()) {
-			if y.Thrifty && e.insists(t) {
+	for _, update := range updates {
+		e, known := t.entries[update.Instance]
+		if known && !update.Newer(e.latest()) {
+			if t.Incremental && e.refutesDeath(update) {
 				// Others go by a verdict that this copy knows to be wrong.
-				e.Target.Sequence, e.Target.Material = e.newest, e.newest
-				y.version++
-				y.public++
+				e.Target.Sequence, e.Target.ProxySequence = e.latestSequence, e.latestSequence
+				t.version++
+				t.proxyVersion++
 				changed = append(changed, e.Target)
 			}
 			continue
 		}
-		if known && y.Thrifty && e.alike(now, t) {
-			e.newest, e.heard = t.Sequence, max(e.heard, since)
+		if known && t.Incremental && e.isRenewal(now, update) {
+			e.latestSequence, e.lastHeard = update.Sequence, max(e.lastHeard, asOf)
 			continue
 		}
-		fresh := !known || e.Incarnation != t.Incarnation
-		if fresh {
-			e = &entry{born: now.Add(-time.Duration(t.Age) * time.Millisecond)}
-			y.list[t.Instance] = e
-		} else if b := now.Add(-time.Duration(t.Age) * time.Millisecond); b < e.born {
+		isNew := !known || e.Incarnation != update.Incarnation
+		if isNew {
+			e = &entry{firstSeen: now.Add(-time.Duration(update.AgeMillis) * time.Millisecond)}
+			t.entries[update.Instance] = e
+		} else if firstSeen := now.Add(-time.Duration(update.AgeMillis) * time.Millisecond); firstSeen < e.firstSeen {
 			// Another copy has known it for longer.
-			e.born = b
+			e.firstSeen = firstSeen
 		}
-		if !t.Gone {
-			e.heard = since
+		if !update.Gone {
+			e.lastHeard = asOf
 		}
-		t = y.material(now, e, t)
-		e.Target, e.newest = t, t.Sequence
-		e.cold = now.Add(time.Duration(t.Cold) * time.Millisecond)
-		y.version++
-		changed = append(changed, t)
-		if fresh && !t.Gone {
-			changed = append(changed, y.displace(t)...)
+		update = t.withProxySequence(now, e, update)
+		e.Target, e.latestSequence = update, update.Sequence
+		e.slowStartUntil = now.Add(time.Duration(update.SlowStartMillis) * time.Millisecond)
+		t.version++
+		changed = append(changed, update)
+		if isNew && !update.Gone {
+			changed = append(changed, t.displaceAddress(update)...)
 		}
 	}
 	return changed
 }
 
-// displace ends whoever had the address before its newer owner.
-func (y *Table) displace(t Target) []Target {
+// displaceAddress ends whoever had the address before its newer owner.
+func (t *Table) displaceAddress(owner Target) []Target {
 	var out []Target
-	for _, id := range slices.Sorted(maps.Keys(y.list)) {
-		e := y.list[id]
-		if e.Address == t.Address && id != t.Instance && !e.Gone {
+	for _, id := range slices.Sorted(maps.Keys(t.entries)) {
+		e := t.entries[id]
+		if e.Address == owner.Address && id != owner.Instance && !e.Gone {
 			e.Gone = true
-			y.version++
-			y.public++
+			t.version++
+			t.proxyVersion++
 			out = append(out, e.Target)
 		}
 	}
@@ -157,87 +157,87 @@
 }
 
 // Tick counts those silent for too long as gone, and gives them.
-func (y *Table) Tick(now ids.Time) []Target {
+func (t *Table) Tick(now ids.Time) []Target {
 	// A gap in our own clock events is our silence, not the targets'.
-	if y.last != 0 && now.Sub(y.last) > time.Second {
-		y.Excuse(now)
+	if t.lastTick != 0 && now.Sub(t.lastTick) > time.Second {
+		t.ExtendDeadlines(now)
 	}
-	y.last = now
-	return y.Lapse(now)
+	t.lastTick = now
+	return t.ExpireSilent(now)
 }
 
-// Excuse counts silence from now on: until now nothing could be heard here.
-func (y *Table) Excuse(now ids.Time) {
-	for _, e := range y.list {
-		e.heard = now
+// ExtendDeadlines counts silence from now on: until now nothing could be heard here.
+func (t *Table) ExtendDeadlines(now ids.Time) {
+	for _, e := range t.entries {
+		e.lastHeard = now
 	}
 }
 
-// Lapse counts the silent without minding a gap of our own. For a proxy, which
+// ExpireSilent counts the silent without minding a gap of our own. For a proxy, which
 // hears all targets anew in the first push after it woke, that is the safer way.
-func (y *Table) Lapse(now ids.Time) []Target {
+func (t *Table) ExpireSilent(now ids.Time) []Target {
 	var out []Target
-	for _, id := range slices.Sorted(maps.Keys(y.list)) {
-		e := y.list[id]
-		silences := time.Duration(Silences)
-		if e.orphan {
-			silences = orphanSilences
+	for _, id := range slices.Sorted(maps.Keys(t.entries)) {
+		e := t.entries[id]
+		missed := time.Duration(MaxMissedHeartbeats)
+		if e.registrarLost {
+			missed = maxMissedWithoutRegistrar
 		}
-		if e.Gone || now.Sub(e.heard) <= silences*time.Duration(e.Interval)*time.Millisecond {
+		if e.Gone || now.Sub(e.lastHeard) <= missed*time.Duration(e.IntervalMillis)*time.Millisecond {
 			continue
 		}
 		e.Gone = true
-		y.version++
-		y.public++
+		t.version++
+		t.proxyVersion++
 		out = append(out, e.Target)
 	}
 	return out
 }
 
 // Forget drops those gone for a good while; a target table must not grow for ever.
-func (y *Table) Forget(now ids.Time, after time.Duration) {
-	for id, e := range y.list {
-		if e.Gone && now.Sub(e.heard) > after {
-			delete(y.list, id)
-			y.version++
-			y.public++
+func (t *Table) Forget(now ids.Time, retention time.Duration) {
+	for id, e := range t.entries {
+		if e.Gone && now.Sub(e.lastHeard) > retention {
+			delete(t.entries, id)
+			t.version++
+			t.proxyVersion++
 		}
 	}
 }
 
 // All gives every target, in order of instance, with its age as of now.
-func (y *Table) All(now ids.Time) []Target {
-	out := make([]Target, 0, len(y.list))
-	for _, id := range slices.Sorted(maps.Keys(y.list)) {
-		t := y.list[id].Target
-		t.Age = uint64(max(now.Sub(y.list[id].born), 0) / time.Millisecond)
-		t.Cold = uint64(max(y.list[id].cold.Sub(now), 0) / time.Millisecond)
-		out = append(out, t)
+func (t *Table) All(now ids.Time) []Target {
+	out := make([]Target, 0, len(t.entries))
+	for _, id := range slices.Sorted(maps.Keys(t.entries)) {
+		target := t.entries[id].Target
+		target.AgeMillis = uint64(max(now.Sub(t.entries[id].firstSeen), 0) / time.Millisecond)
+		target.SlowStartMillis = uint64(max(t.entries[id].slowStartUntil.Sub(now), 0) / time.Millisecond)
+		out = append(out, target)
 	}
 	return out
 }
 
 // Get finds a target, with its age as of now.
-func (y *Table) Get(now ids.Time, id ids.InstanceID) (Target, bool) {
-	e, ok := y.list[id]
+func (t *Table) Get(now ids.Time, id ids.InstanceID) (Target, bool) {
+	e, ok := t.entries[id]
 	if !ok {
 		return Target{}, false
 	}
-	t := e.Target
-	t.Age = uint64(max(now.Sub(e.born), 0) / time.Millisecond)
-	return t, true
+	target := e.Target
+	target.AgeMillis = uint64(max(now.Sub(e.firstSeen), 0) / time.Millisecond)
+	return target, true
 }
 
-// Newest gives the sequence of a target's last word.
-func (y *Table) Newest(id ids.InstanceID) ids.Sequence {
-	if e, ok := y.list[id]; ok {
-		return e.last().Sequence
+// LatestSequence gives the sequence of a target's last word.
+func (t *Table) LatestSequence(id ids.InstanceID) ids.Sequence {
+	if e, ok := t.entries[id]; ok {
+		return e.latest().Sequence
 	}
 	return 0
 }
 
 // Len is how many targets are known, gone ones among them.
-func (y *Table) Len() int { return len(y.list) }
+func (t *Table) Len() int { return len(t.entries) }
 
 // Version grows with each change.
-func (y *Table) Version() uint64 { return y.version }
+func (t *Table) Version() uint64 { return t.version }
--- a/internal/dataplane/dispatch/bench_test.go
+++ b/internal/dataplane/dispatch/bench_test.go
@@ -20,7 +20,7 @@
 			d := New(Options{Random: rand.New(rand.NewPCG(1, 1)), Self: idempotency.Owner{Daemon: "c1", RunID: 1}})
 			s := ServiceState{Capacity: 16, InStep: true, Allowance: 2}
 			for i := range 20 {
-				s.Targets = append(s.Targets, Offer{Target: targets.Target{Instance: ids.InstanceID(rune('a' + i)), Warmth: 1, Age: 1e6, Capacity: 16}, Seats: 8, Seat: i % 8, Distance: float64(i % 3)})
+				s.Targets = append(s.Targets, Offer{Target: targets.Target{Instance: ids.InstanceID(rune('a' + i)), Warmth: 1, AgeMillis: 1e6, Capacity: 16}, Seats: 8, Seat: i % 8, Distance: float64(i % 3)})
 			}
 			now := ids.Time(1)
 			d.Step(now, s)
--- a/internal/dataplane/dispatch/player_test.go
+++ b/internal/dataplane/dispatch/player_test.go
@@ -130,7 +130,7 @@
 			continue
 		}
 		n, more, _ := strings.Cut(n, ";")
-		o := Offer{Target: targets.Target{Instance: ids.InstanceID(n), Warmth: 1, Age: 1e6, Capacity: 1}, At: now, Seats: 1}
+		o := Offer{Target: targets.Target{Instance: ids.InstanceID(n), Warmth: 1, AgeMillis: 1e6, Capacity: 1}, At: now, Seats: 1}
 		o.Leaving = n == a["leaving"]
 		o.Distance = float64(len(n))
 		s.Targets = append(s.Targets, placed(t, now, o, args(strings.Split(more, ";"))))
--- a/internal/dataplane/dispatch/spot.go
+++ b/internal/dataplane/dispatch/spot.go
@@ -99,7 +99,7 @@
 	warm := o.Warmth
 	if d.stock.Warm > 0 {
 		// Back from a restart it starts cold and ramps, whatever it says.
-		age := time.Duration(o.Age)*time.Millisecond + now.Sub(o.At)
+		age := time.Duration(o.AgeMillis)*time.Millisecond + now.Sub(o.At)
 		warm = min(warm, max(coldest, float64(age)/float64(d.stock.Warm)))
 	}
 	bears := int(math.Max(1, capacity*warm)) * max(o.Over, 1)
--- a/internal/dataplane/proxy/control.go
+++ b/internal/dataplane/proxy/control.go
@@ -105,7 +105,7 @@
 		o.Lease = DefaultLease
 	}
 	c := &Control{ControlOptions: o, targets: targets.New(), seen: map[ids.DaemonID]ids.Time{}}
-	c.targets.Thrifty = o.ByZone
+	c.targets.Incremental = o.ByZone
 	c.List = membership.New(p, &c.Outbox)
 	c.Client = consensus.NewClient(p.Self.RunID, &c.Outbox)
 	c.Client.StoreOrder = c.stores
@@ -179,8 +179,8 @@
 		c.targets.Merge(now, p.Targets...)
 	} else {
 		c.targets.MergeAsOf(now, p.EchoedTime, p.Targets...)
-		c.word, c.told = max(c.word, p.Vouched()), true
-		c.confirm(now, p.Revision, p.Agreed())
+		c.word, c.told = max(c.word, p.TargetsAsOf()), true
+		c.confirm(now, p.Revision, p.ConfirmedAsOf())
 	}
 	c.unacknowledged = append(c.unacknowledged, receivedPush{from, p.Number})
 	c.refreshTargets(now)
--- a/internal/dataplane/proxy/opening_test.go
+++ b/internal/dataplane/proxy/opening_test.go
@@ -41,7 +41,7 @@
 	s.count++
 	s.Step(s.now, event.Received{From: "r", Msg: distribution.Push{
 		Number: s.count, Revision: revision, Configuration: raw, Targets: list,
-		Age: uint32(age.Milliseconds()), EchoedTime: s.now, ProxyRunID: s.Self.RunID,
+		ReadAgeMillis: uint32(age.Milliseconds()), EchoedTime: s.now, ProxyRunID: s.Self.RunID,
 	}})
 }
 
@@ -138,7 +138,7 @@
 func TestALatePushUndoesNothing(t *testing.T) {
 	s := start(Endless)
 	s.tell(configurationOf(t, 1), 1, 0)
-	target := targets.Target{Instance: "i", Incarnation: 1, Sequence: 5, Service: "a", Address: "10.0.0.1:80", Zone: "quay", Warmth: 1, Interval: 1000}
+	target := targets.Target{Instance: "i", Incarnation: 1, Sequence: 5, Service: "a", Address: "10.0.0.1:80", Zone: "quay", Warmth: 1, IntervalMillis: 1000}
 	leaving := target
 	leaving.Sequence, leaving.Leaving = 6, true
 	s.tell(nil, 1, 0, leaving)
--- a/internal/dataplane/proxy/places.go
+++ b/internal/dataplane/proxy/places.go
@@ -103,12 +103,12 @@
 	if sv.WarmRate <= 0 {
 		return
 	}
-	o.ColdUntil = max(now.Add(time.Duration(t.Cold)*time.Millisecond), c.thaws[t.Zone])
+	o.ColdUntil = max(now.Add(time.Duration(t.SlowStartMillis)*time.Millisecond), c.thaws[t.Zone])
 	if class == 0 {
 		o.Rate = sv.WarmRate / float64(o.Seats)
 	}
 	// It says itself how long it is cold, so its age tells nothing.
-	o.Age = 1 << 40
+	o.AgeMillis = 1 << 40
 }
 
 // thaw notes zones whose targets are taken back into use: they may have gone
--- a/internal/dataplane/proxy/places_test.go
+++ b/internal/dataplane/proxy/places_test.go
@@ -65,7 +65,7 @@
 	} {
 		seats := fleet(zones)
 		for n := range 4 {
-			target := targets.Target{Instance: ids.InstanceID(fmt.Sprint("t", n)), Service: "wader", Zone: "quay", Capacity: capacity, Warmth: 1, Age: 1e9}
+			target := targets.Target{Instance: ids.InstanceID(fmt.Sprint("t", n)), Service: "wader", Zone: "quay", Capacity: capacity, Warmth: 1, AgeMillis: 1e9}
 			sum := 0
 			for _, m := range seats {
 				sum += sends(placer(m, configuration.Service{}).offer(now, target, seats), now)
@@ -131,7 +131,7 @@
 	for _, zones := range []string{"quay", "quay quay quay", "quay pier dune", "pier mole dune", "dune reed"} {
 		seats, sum := fleet(zones), 0.0
 		for _, m := range seats {
-			o := placer(m, configuration.Service{WarmRate: 12}).offer(now, targets.Target{Instance: "t", Service: "wader", Zone: "quay", Cold: 3000}, seats)
+			o := placer(m, configuration.Service{WarmRate: 12}).offer(now, targets.Target{Instance: "t", Service: "wader", Zone: "quay", SlowStartMillis: 3000}, seats)
 			is.Equal(o.ColdUntil, now.Add(3*time.Second))
 			sum += o.Rate
 		}
@@ -170,9 +170,9 @@
 	is.Equal(o.ColdUntil, 6*second) // not the minute of a service that has no rate
 	is.Equal(o.Rate, 8.0)
 	// Its own word counts where it is the longer one.
-	target.Cold = 9000
+	target.SlowStartMillis = 9000
 	is.Equal(c.offer(4*second, target, seats).ColdUntil, 13*second)
-	target.Cold = 0
+	target.SlowStartMillis = 0
 	is.True(c.offer(7*second, target, seats).ColdUntil <= 7*second)
 	// Another zone's targets are as they were, and a change beside it thaws nothing anew.
 	apply(`{"kind":"service","name":"wader","set":{"tier":3}}`)
--- a/internal/dataplane/proxy/readiness.go
+++ b/internal/dataplane/proxy/readiness.go
@@ -27,12 +27,12 @@
 	c.Client.Tick(now)
 	// A registry that died may have been the only one to know of a silence.
 	if !c.ByZone {
-		c.targets.Lapse(now)
+		c.targets.ExpireSilent(now)
 	}
 	c.targets.Forget(now, time.Hour)
 	c.askConfiguration(now)
 	c.inquire(now)
-	c.Announce(c.ready(now), c.view.Revision)
+	c.UpdateSelf(c.ready(now), c.view.Revision)
 	c.refreshTargets(now)
 	c.stand(now)
 }
@@ -54,7 +54,7 @@
 // while the requests in hand are finished.
 func (c *Control) stop() {
 	c.stopping = true
-	c.Announce(false, c.view.Revision)
+	c.UpdateSelf(false, c.view.Revision)
 	for _, f := range c.Live(membership.Registry) {
 		c.Send(f.Address, membership.Snapshot{Members: []membership.Member{c.Self}, Final: true})
 	}
--- a/internal/dataplane/proxy/refreshpace.go
+++ b/internal/dataplane/proxy/refreshpace.go
@@ -49,7 +49,7 @@
 // acknowledge answers the pushes that dispatchers go by now, in their order.
 func (c *Control) acknowledge(now ids.Time) {
 	for _, p := range c.unacknowledged {
-		c.Send(p.from, distribution.Ack{Proxy: c.Self.ID, RunID: c.Self.RunID, Number: p.number, Revision: c.view.Revision, Now: now, TargetsDigest: c.targets.Exact()})
+		c.Send(p.from, distribution.Ack{Proxy: c.Self.ID, RunID: c.Self.RunID, Number: p.number, Revision: c.view.Revision, Now: now, TargetsDigest: c.targets.ProxyDigest()})
 	}
 	c.unacknowledged = nil
 }
--- a/internal/testsupport/compat/messages_test.go
+++ b/internal/testsupport/compat/messages_test.go
@@ -30,7 +30,7 @@
 		Final:   true,
 	},
 	membership.Suspect{
-		Watcher: "text-1", ID: "text-2", Incarnation: 4294967299, Silence: 65540,
+		Watcher: "text-1", ID: "text-2", Incarnation: 4294967299, SilenceMillis: 65540,
 	},
 	membership.Digest{
 		Parts: []uint64{4294967297, 4294967298},
@@ -160,14 +160,14 @@
 		Record:  idempotency.Record{State: 2, Owner: idempotency.Owner{Daemon: "text-3", RunID: 4294967300, Request: 4294967301}, Attempt: 65542, Fingerprint: []uint8{7, 8}, Floor: 65545, Let: []idempotency.Owner{{Daemon: "text-10", RunID: 4294967307, Request: 4294967308}, {Daemon: "text-13", RunID: 4294967310, Request: 4294967311}}, Response: idempotency.Response{Status: 272, Header: []idempotency.Header{{Name: "text-17", Value: "text-18"}, {Name: "text-19", Value: "text-20"}}, Body: []uint8{21, 22}, Digest: "text-23", Cut: false}, Entered: 65561},
 	},
 	targets.Update{
-		List: []targets.Target{{Instance: "text-1", Incarnation: 4294967298, Sequence: 4294967299, Service: "text-4", Address: "text-5", Zone: "text-6", Leaving: true, Gone: false, Warmth: 9.5, Occupancy: 4294967306, Capacity: 4294967307, Interval: 65548, Age: 4294967309, Cold: 4294967310, Registrar: "text-15", RegistrarRunID: 4294967312, Material: 4294967313}, {Instance: "text-18", Incarnation: 4294967315, Sequence: 4294967316, Service: "text-21", Address: "text-22", Zone: "text-23", Leaving: false, Gone: true, Warmth: 26.5, Occupancy: 4294967323, Capacity: 4294967324, Interval: 65565, Age: 4294967326, Cold: 4294967327, Registrar: "text-32", RegistrarRunID: 4294967329, Material: 4294967330}},
+		Targets: []targets.Target{{Instance: "text-1", Incarnation: 4294967298, Sequence: 4294967299, Service: "text-4", Address: "text-5", Zone: "text-6", Leaving: true, Gone: false, Warmth: 9.5, Occupancy: 4294967306, Capacity: 4294967307, IntervalMillis: 65548, AgeMillis: 4294967309, SlowStartMillis: 4294967310, Registrar: "text-15", RegistrarRunID: 4294967312, ProxySequence: 4294967313}, {Instance: "text-18", Incarnation: 4294967315, Sequence: 4294967316, Service: "text-21", Address: "text-22", Zone: "text-23", Leaving: false, Gone: true, Warmth: 26.5, Occupancy: 4294967323, Capacity: 4294967324, IntervalMillis: 65565, AgeMillis: 4294967326, SlowStartMillis: 4294967327, Registrar: "text-32", RegistrarRunID: 4294967329, ProxySequence: 4294967330}},
 	},
 	registry.PeerHeartbeat{
 		ID: "text-1", RunID: 4294967298, AgreementAgeMillis: 65539, TargetsDigest: 4294967300, Number: 4294967301,
 	},
 	registry.DepartureNotice{
 		Asker:  "text-1",
-		Target: targets.Target{Instance: "text-2", Incarnation: 4294967299, Sequence: 4294967300, Service: "text-5", Address: "text-6", Zone: "text-7", Leaving: false, Gone: true, Warmth: 10.5, Occupancy: 4294967307, Capacity: 4294967308, Interval: 65549, Age: 4294967310, Cold: 4294967311, Registrar: "text-16", RegistrarRunID: 4294967313, Material: 4294967314},
+		Target: targets.Target{Instance: "text-2", Incarnation: 4294967299, Sequence: 4294967300, Service: "text-5", Address: "text-6", Zone: "text-7", Leaving: false, Gone: true, Warmth: 10.5, Occupancy: 4294967307, Capacity: 4294967308, IntervalMillis: 65549, AgeMillis: 4294967310, SlowStartMillis: 4294967311, Registrar: "text-16", RegistrarRunID: 4294967313, ProxySequence: 4294967314},
 	},
 	registry.DepartureAck{
 		ID: "text-1", Instance: "text-2", Sequence: 4294967299, Incarnation: 4294967300,
@@ -177,8 +177,8 @@
 	},
 	distribution.Push{
 		Number: 4294967297, Epoch: 4294967298, RunID: 4294967299, Revision: 4294967300, Configuration: []uint8{5, 6},
-		Targets: []targets.Target{{Instance: "text-7", Incarnation: 4294967304, Sequence: 4294967305, Service: "text-10", Address: "text-11", Zone: "text-12", Leaving: true, Gone: false, Warmth: 15.5, Occupancy: 4294967312, Capacity: 4294967313, Interval: 65554, Age: 4294967315, Cold: 4294967316, Registrar: "text-21", RegistrarRunID: 4294967318, Material: 4294967319}, {Instance: "text-24", Incarnation: 4294967321, Sequence: 4294967322, Service: "text-27", Address: "text-28", Zone: "text-29", Leaving: false, Gone: true, Warmth: 32.5, Occupancy: 4294967329, Capacity: 4294967330, Interval: 65571, Age: 4294967332, Cold: 4294967333, Registrar: "text-38", RegistrarRunID: 4294967335, Material: 4294967336}},
-		Age:     65577, EchoedTime: 4294967338, ProxyRunID: 4294967339,
+		Targets:       []targets.Target{{Instance: "text-7", Incarnation: 4294967304, Sequence: 4294967305, Service: "text-10", Address: "text-11", Zone: "text-12", Leaving: true, Gone: false, Warmth: 15.5, Occupancy: 4294967312, Capacity: 4294967313, IntervalMillis: 65554, AgeMillis: 4294967315, SlowStartMillis: 4294967316, Registrar: "text-21", RegistrarRunID: 4294967318, ProxySequence: 4294967319}, {Instance: "text-24", Incarnation: 4294967321, Sequence: 4294967322, Service: "text-27", Address: "text-28", Zone: "text-29", Leaving: false, Gone: true, Warmth: 32.5, Occupancy: 4294967329, Capacity: 4294967330, IntervalMillis: 65571, AgeMillis: 4294967332, SlowStartMillis: 4294967333, Registrar: "text-38", RegistrarRunID: 4294967335, ProxySequence: 4294967336}},
+		ReadAgeMillis: 65577, EchoedTime: 4294967338, ProxyRunID: 4294967339,
 	},
 	distribution.Ack{
 		Proxy: "text-1", RunID: 4294967298, Number: 4294967299, Revision: 4294967300, Now: 4294967301, TargetsDigest: 4294967302,
@@ -188,7 +188,7 @@
 	},
 	proxy.LeaseGossip{
 		ProxyRunID: 4294967297, EchoedTime: 4294967298, Revision: 4294967299, Configuration: []uint8{4, 5},
-		Targets: []targets.Target{{Instance: "text-6", Incarnation: 4294967303, Sequence: 4294967304, Service: "text-9", Address: "text-10", Zone: "text-11", Leaving: false, Gone: true, Warmth: 14.5, Occupancy: 4294967311, Capacity: 4294967312, Interval: 65553, Age: 4294967314, Cold: 4294967315, Registrar: "text-20", RegistrarRunID: 4294967317, Material: 4294967318}, {Instance: "text-23", Incarnation: 4294967320, Sequence: 4294967321, Service: "text-26", Address: "text-27", Zone: "text-28", Leaving: true, Gone: false, Warmth: 31.5, Occupancy: 4294967328, Capacity: 4294967329, Interval: 65570, Age: 4294967331, Cold: 4294967332, Registrar: "text-37", RegistrarRunID: 4294967334, Material: 4294967335}},
+		Targets: []targets.Target{{Instance: "text-6", Incarnation: 4294967303, Sequence: 4294967304, Service: "text-9", Address: "text-10", Zone: "text-11", Leaving: false, Gone: true, Warmth: 14.5, Occupancy: 4294967311, Capacity: 4294967312, IntervalMillis: 65553, AgeMillis: 4294967314, SlowStartMillis: 4294967315, Registrar: "text-20", RegistrarRunID: 4294967317, ProxySequence: 4294967318}, {Instance: "text-23", Incarnation: 4294967320, Sequence: 4294967321, Service: "text-26", Address: "text-27", Zone: "text-28", Leaving: true, Gone: false, Warmth: 31.5, Occupancy: 4294967328, Capacity: 4294967329, IntervalMillis: 65570, AgeMillis: 4294967331, SlowStartMillis: 4294967332, Registrar: "text-37", RegistrarRunID: 4294967334, ProxySequence: 4294967335}},
 		Agreed:  65576, Word: 65577,
 	},
 	spill.Table{
--- a/internal/testsupport/simulator/cutoff.go
+++ b/internal/testsupport/simulator/cutoff.go
@@ -99,7 +99,7 @@
 func cutOffCall(w *World, i int) (string, func(id uint64) any) {
 	stranger := targets.Target{
 		Instance: "probe", Incarnation: 1, Sequence: ids.Sequence(i + 1), Service: "ledger", Address: "10.99.0.1:80",
-		Zone: w.Plan.Zone(0), Warmth: 1, Interval: 1000, Gone: true, Leaving: true,
+		Zone: w.Plan.Zone(0), Warmth: 1, IntervalMillis: 1000, Gone: true, Leaving: true,
 	}
 	raw := []byte(fmt.Sprintf(`{"id":"probe-%d","changes":[{"kind":"service","name":"none","version":%d,"remove":true}]}`, i, i+1))
 	switch i % 6 {
--- a/internal/testsupport/simulator/defect_test.go
+++ b/internal/testsupport/simulator/defect_test.go
@@ -69,7 +69,7 @@
 		})}},
 		"flood": {want: "flooded", rate: 400, defect: Defect{NoCheck: true, Message: pushes(func(p *distribution.Push) {
 			for i := range p.Targets {
-				p.Targets[i].Warmth, p.Targets[i].Age, p.Targets[i].Capacity = 1, 1e6, 200
+				p.Targets[i].Warmth, p.Targets[i].AgeMillis, p.Targets[i].Capacity = 1, 1e6, 200
 			}
 		})}},
 		"retries": {want: "retries past", script: lostAfterCalm, defect: Defect{Message: pushes(swap(`"allowance":10`, `"allowance":900`))}},
--- a/internal/testsupport/simulator/mistakes_test.go
+++ b/internal/testsupport/simulator/mistakes_test.go
@@ -100,7 +100,7 @@
 	}
 	return pushes(func(p *distribution.Push) {
 		for i := range p.Targets {
-			p.Targets[i].Interval = 1e6
+			p.Targets[i].IntervalMillis = 1e6
 		}
 	})(from, to, msg)
 }
--- a/internal/testsupport/simulator/target.go
+++ b/internal/testsupport/simulator/target.go
@@ -92,7 +92,7 @@
 	t.sequence++
 	a := targets.Target{
 		Instance: t.id, Incarnation: t.incarnation, Sequence: t.sequence, Service: t.service, Address: t.addr, Zone: t.zone,
-		Leaving: t.leaving, Warmth: t.warmth(), Occupancy: int64(t.busy), Capacity: int64(t.capacity), Interval: uint32(announceEvery / time.Millisecond),
+		Leaving: t.leaving, Warmth: t.warmth(), Occupancy: int64(t.busy), Capacity: int64(t.capacity), IntervalMillis: uint32(announceEvery / time.Millisecond),
 	}
 	gen := t.gen
 	t.via = t.w.anyRegistry()
