--- a/internal/app/api/items.go
+++ b/internal/app/api/items.go
@@ -38,7 +38,7 @@
 func (s *Server) getConfiguration(rw http.ResponseWriter, r *http.Request) {
 	if p, ok := s.readConfiguration(rw, r); ok {
 		c := *p
-		c.Recent, c.Rejected, c.History = nil, nil, nil
+		c.RecentResults, c.RejectedResults, c.History = nil, nil, nil
 		WriteResponse(rw, registry.Response{Status: 200, Body: c})
 	}
 }
--- a/internal/controlplane/registry/calls.go
+++ b/internal/controlplane/registry/calls.go
@@ -129,7 +129,7 @@
 		}
 		r.agreedAt = max(r.agreedAt, now)
 		r.adoptConfiguration(out)
-		document.Recent, document.Rejected, document.History = nil, nil, nil
+		document.RecentResults, document.RejectedResults, document.History = nil, nil, nil
 		r.Emit(Response{ID: call.ID, Status: 200, Body: document})
 	}))
 }
--- a/internal/controlplane/registry/calls_test.go
+++ b/internal/controlplane/registry/calls_test.go
@@ -16,11 +16,11 @@
 	for status, r := range map[int]configuration.Result{
 		200: {},
 		400: {Violations: fault},
-		404: {Missing: []configuration.ItemVersion{{}}},
-		409: {Conflicts: fault},
-		504: {Unknown: "forgotten", Violations: fault, Stale: []configuration.VersionConflict{{}}},
+		404: {MissingItems: []configuration.ItemVersion{{}}},
+		409: {ReuseConflicts: fault},
+		504: {UnknownReason: "forgotten", Violations: fault, VersionConflicts: []configuration.VersionConflict{{}}},
 	} {
 		is.Equal(httpStatus(r), status)
 	}
-	is.Equal(httpStatus(configuration.Result{Stale: []configuration.VersionConflict{{}}}), 409)
+	is.Equal(httpStatus(configuration.Result{VersionConflicts: []configuration.VersionConflict{{}}}), 409)
 }
--- a/internal/controlplane/registry/cellorder.go
+++ b/internal/controlplane/registry/cellorder.go
@@ -27,14 +27,14 @@
 		r.replyOrderConflict(call.ID)
 		return
 	}
-	order := configuration.ZoneOrder{Zone: call.Zone, Region: call.Region, Evacuate: call.Evacuate, Known: r.configuration.ZoneVersion(call.Zone)}
+	order := configuration.ZoneOrder{Zone: call.Zone, Region: call.Region, Evacuate: call.Evacuate, KnownVersion: r.configuration.ZoneVersion(call.Zone)}
 	raw, err := json.Marshal(order)
 	if err != nil {
 		r.Emit(Response{ID: call.ID, Status: 400, Body: ErrorResponse{err.Error()}})
 		return
 	}
 	r.submitChange(now, call.ID, configuration.OpOrderZone, raw, func(now ids.Time, result configuration.Result) {
-		if len(result.Stale) == 0 {
+		if len(result.VersionConflicts) == 0 {
 			r.replyWithResult(call.ID)(now, result)
 			return
 		}
--- a/internal/controlplane/registry/cellorder_test.go
+++ b/internal/controlplane/registry/cellorder_test.go
@@ -40,7 +40,7 @@
 	b.adoptConfiguration(p.Encode(true))
 	order, asked := b.orderZone(7)
 	is.True(asked)
-	is.Equal(order, configuration.ZoneOrder{Zone: "a", Region: "south", Evacuate: true, Known: 1})
+	is.Equal(order, configuration.ZoneOrder{Zone: "a", Region: "south", Evacuate: true, KnownVersion: 1})
 	is.Equal(b.status[7], 503)
 }
 
--- a/internal/controlplane/registry/changes.go
+++ b/internal/controlplane/registry/changes.go
@@ -57,7 +57,7 @@
 // replyWithResult answers a call with what came of it.
 func (r *Registry) replyWithResult(id uint64) func(ids.Time, configuration.Result) {
 	return func(_ ids.Time, result configuration.Result) {
-		for _, c := range result.Conflicts {
+		for _, c := range result.ReuseConflicts {
 			r.Log(event.LevelWarn, "number used twice", "item", c.Item, "path", c.Path)
 		}
 		r.Emit(Response{ID: id, Status: httpStatus(result), Body: result})
@@ -66,13 +66,13 @@
 
 func httpStatus(result configuration.Result) int {
 	switch {
-	case result.Unknown != "":
+	case result.UnknownReason != "":
 		return 504
 	case len(result.Violations) > 0:
 		return 400
-	case len(result.Stale)+len(result.Conflicts) > 0:
+	case len(result.VersionConflicts)+len(result.ReuseConflicts) > 0:
 		return 409
-	case len(result.Missing) > 0:
+	case len(result.MissingItems) > 0:
 		return 404
 	}
 	return 200
--- a/internal/controlplane/registry/deliver.go
+++ b/internal/controlplane/registry/deliver.go
@@ -125,7 +125,7 @@
 	if document.Revision == r.configuration.Revision {
 		return
 	}
-	r.view = document.ViewFrom(r.configuration, r.view)
+	r.view = document.ViewReusing(r.configuration, r.view)
 	r.configuration, r.encodedConfiguration = document, nil
 	clear(r.configurationDeltas)
 	r.view.SetRegions(r.options.Regions)
--- a/internal/controlplane/registry/plans.go
+++ b/internal/controlplane/registry/plans.go
@@ -98,14 +98,14 @@
 	out := map[ids.Name]spill.Zone{}
 	for n, c := range r.view.Zones {
 		h := r.Reports.Zone(now, n, seats, ranks)
-		h.Target, h.Acceptable, h.Maximum, h.Drained = c.Target, c.Acceptable, c.Maximum, c.Drained
-		if c.Unnamed && r.options.DeriveLevels {
+		h.Target, h.Acceptable, h.Maximum, h.Drained = c.TargetLoad, c.AcceptableLoad, c.MaximumLoad, c.Drained
+		if c.LoadDefaulted && r.options.DeriveLevels {
 			r.deriveLevels(&h, bears[n])
 			out[n] = h
 			continue
 		}
 		if fit, ok := r.learnedMaxima[n]; ok && fit.Kept {
-			h.Maximum = max(fit.Maximum, c.Target*1.02)
+			h.Maximum = max(fit.Maximum, c.TargetLoad*1.02)
 		}
 		out[n] = h
 	}
@@ -120,10 +120,10 @@
 		Pending: map[ids.Name]float64{}, Leaving: map[ids.Name]float64{},
 	}
 	for n, c := range r.view.Zones {
-		if c.Unnamed && r.options.DeriveLevels {
+		if c.LoadDefaulted && r.options.DeriveLevels {
 			continue
 		}
-		r.learnedMaxima[n] = spill.Learn(r.Reports.Samples(n), c.Target, c.Maximum)
+		r.learnedMaxima[n] = spill.Learn(r.Reports.Samples(n), c.TargetLoad, c.MaximumLoad)
 	}
 	zones := r.currentZones(now)
 	for _, n := range sortedNames(zones) {
--- a/internal/controlplane/store/recover.go
+++ b/internal/controlplane/store/recover.go
@@ -110,14 +110,14 @@
 // lossy wraps the operations that let a request run. For a while after marks
 // were lost, a later attempt that finds nothing may still have run.
 func (s *Store) guardLostRecords(ops map[consensus.Op]consensus.ChangeFunc) map[consensus.Op]consensus.ChangeFunc {
-	for _, op := range []consensus.Op{idempotency.OpClaim, idempotency.OpBlock, idempotency.OpEnter} {
+	for _, op := range []consensus.Op{idempotency.OpClaim, idempotency.OpBlock, idempotency.OpNumberAttempt} {
 		inner := ops[op]
 		ops[op] = func(key ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
 			lossCount := s.Acceptor.VoterSet().LossCount
 			if lossCount != s.lossCount {
 				s.lossCount, s.lossSeenAt = lossCount, s.now
 			}
-			if lossCount > 0 && len(old) == 0 && s.now.Sub(s.lossSeenAt) < recordLossWindow && idempotency.Later(arg) {
+			if lossCount > 0 && len(old) == 0 && s.now.Sub(s.lossSeenAt) < recordLossWindow && idempotency.MayBeRetry(arg) {
 				out, err := wire.Encode(idempotency.Result{Verdict: idempotency.RecordLost})
 				if err == nil {
 					return old, out
--- a/internal/dataplane/dispatch/dispatch.go
+++ b/internal/dataplane/dispatch/dispatch.go
@@ -133,7 +133,7 @@
 	default:
 		// Without a number of its own, this attempt could not be told from
 		// the ones that it must be fenced against.
-		d.wish(now, j, idempotency.OpEnter, entering, 2*time.Second)
+		d.wish(now, j, idempotency.OpNumberAttempt, entering, 2*time.Second)
 		return
 	}
 	// A repeat may find that it has run: that comes before any reject.
@@ -148,7 +148,7 @@
 func (d *Dispatcher) wish(now ids.Time, j *job, op consensus.Op, p phase, wait time.Duration) {
 	j.phase = p
 	j.turn++
-	d.Emit(IdempotencyCall{ID: j.ID, Turn: j.turn, Key: idempotency.Key(j.Route, j.IdempotencyKey), Op: op, Operation: d.words(j), Wait: min(wait, max(j.Deadline.Sub(now), 50*time.Millisecond))})
+	d.Emit(IdempotencyCall{ID: j.ID, Turn: j.turn, Key: idempotency.RegisterKey(j.Route, j.IdempotencyKey), Op: op, Operation: d.words(j), Wait: min(wait, max(j.Deadline.Sub(now), 50*time.Millisecond))})
 }
 
 func (d *Dispatcher) words(j *job) idempotency.Operation {
@@ -163,7 +163,7 @@
 
 func kept(a idempotency.Response) idempotency.Response {
 	if len(a.Body) > mostKept {
-		return idempotency.Response{Status: a.Status, Digest: a.Digest, Cut: true}
+		return idempotency.Response{Status: a.Status, Digest: a.Digest, BodyOmitted: true}
 	}
 	return a
 }
--- a/internal/dataplane/dispatch/endings.go
+++ b/internal/dataplane/dispatch/endings.go
@@ -66,7 +66,7 @@
 		return
 	}
 	if j.claimed {
-		d.Emit(IdempotencyCall{Key: idempotency.Key(j.Route, j.IdempotencyKey), Op: idempotency.OpRelease, Operation: d.words(j), Wait: 10 * time.Second})
+		d.Emit(IdempotencyCall{Key: idempotency.RegisterKey(j.Route, j.IdempotencyKey), Op: idempotency.OpRelease, Operation: d.words(j), Wait: 10 * time.Second})
 	}
 	d.respond(now, j, Response{Class: Rejected, Status: 503, Why: why, RetryAfter: d.after(now, j)})
 }
@@ -85,9 +85,9 @@
 func (d *Dispatcher) repeated(now ids.Time, j *job, a idempotency.Response) {
 	d.Tally.Repeats++
 	switch {
-	case a.Status == 0 || a.Status == 504 && a.Cut:
+	case a.Status == 0 || a.Status == 504 && a.BodyOmitted:
 		d.unknown(now, j, 504, "may have run; its answer was lost")
-	case a.Cut:
+	case a.BodyOmitted:
 		d.respond(now, j, Response{Class: Answered, Status: 200, Why: "it ran; the answer was too large to keep", Sealed: a})
 	default:
 		d.respond(now, j, Response{Class: Answered, Status: int(a.Status), Sealed: a})
--- a/internal/dataplane/dispatch/player_test.go
+++ b/internal/dataplane/dispatch/player_test.go
@@ -98,7 +98,7 @@
 		s.State = idempotency.Claimed
 	}
 	if a["entered"] != "" {
-		s.Entered = uint32(number(t, a["entered"]))
+		s.NumberedAttempts = uint32(number(t, a["entered"]))
 	}
 	verdicts := map[string]idempotency.Verdict{"yours": idempotency.Granted, "running": idempotency.InProgress, "over": idempotency.AlreadyCompleted, "barred": idempotency.AttemptBlocked, "unlike": idempotency.FingerprintMismatch, "free": idempotency.Released}
 	if a["slip"] != "" {
@@ -199,7 +199,7 @@
 func (p *player) command(c event.Command) string {
 	switch c := c.(type) {
 	case IdempotencyCall:
-		ops := map[consensus.Op]string{consensus.Read: "look", idempotency.OpClaim: "claim", idempotency.OpBlock: "bar", idempotency.OpRelease: "release", idempotency.OpOutcome: "outcome", idempotency.OpEnter: "enter"}
+		ops := map[consensus.Op]string{consensus.Read: "look", idempotency.OpClaim: "claim", idempotency.OpBlock: "bar", idempotency.OpRelease: "release", idempotency.OpComplete: "outcome", idempotency.OpNumberAttempt: "enter"}
 		if c.Turn == 0 {
 			return fmt.Sprintf("%s in passing %s", ops[c.Op], c.Key)
 		}
--- a/internal/dataplane/dispatch/steps.go
+++ b/internal/dataplane/dispatch/steps.go
@@ -54,7 +54,7 @@
 	case e.Outcome != consensus.Succeeded || !ok:
 		d.unknown(now, j, 504, "an earlier attempt may have run; its mark can't be read now")
 	case r.Verdict == idempotency.Released:
-		j.Attempt = max(r.Record.Entered, 1)
+		j.Attempt = max(r.Record.NumberedAttempts, 1)
 		d.admit(now, j)
 	case r.Verdict == idempotency.FingerprintMismatch:
 		d.misused(now, j)
@@ -201,7 +201,7 @@
 		d.respond(now, j, Response{Class: Answered, Status: int(e.Response.Status), Sealed: e.Response})
 	case e.Result == Complete:
 		j.response = e.Response
-		d.wish(now, j, idempotency.OpOutcome, settling, 500*time.Millisecond)
+		d.wish(now, j, idempotency.OpComplete, settling, 500*time.Millisecond)
 	case e.Result == NotSent:
 		// Nothing left, so another target may have it, and no retry is spent.
 		j.sends--
@@ -218,8 +218,8 @@
 		d.unknown(now, j, status(now, j), "may have run: "+e.Why)
 	default:
 		// Final: a repeat learns at once that nobody will ever know more.
-		j.response = idempotency.Response{Status: 504, Cut: true}
-		d.Emit(IdempotencyCall{Key: idempotency.Key(j.Route, j.IdempotencyKey), Op: idempotency.OpOutcome, Operation: d.words(j), Wait: 10 * time.Second})
+		j.response = idempotency.Response{Status: 504, BodyOmitted: true}
+		d.Emit(IdempotencyCall{Key: idempotency.RegisterKey(j.Route, j.IdempotencyKey), Op: idempotency.OpComplete, Operation: d.words(j), Wait: 10 * time.Second})
 		d.unknown(now, j, status(now, j), "may have run: "+e.Why)
 	}
 	d.drain(now)
--- a/internal/dataplane/proxy/agreement.go
+++ b/internal/dataplane/proxy/agreement.go
@@ -32,7 +32,7 @@
 			return
 		}
 		if p, err := configuration.Decode(out); err == nil {
-			p.Recent, p.Rejected, p.History = nil, nil, nil
+			p.RecentResults, p.RejectedResults, p.History = nil, nil, nil
 			c.adopt(at, out)
 			c.confirm(at, p.Revision, now)
 		}
--- a/internal/dataplane/proxy/edge.go
+++ b/internal/dataplane/proxy/edge.go
@@ -49,10 +49,10 @@
 
 // Job begins a request's job by its route; a split is drawn here, once.
 func (d *Daemon) Job(r configuration.Route, v *configuration.View) dispatch.Job {
-	r.Service = r.Draw(rand.Float64())
+	r.Service = r.SelectService(rand.Float64())
 	return dispatch.Job{
 		ID: ids.RequestID(d.requests.Add(1)), Route: r.Name, Service: r.Service, Tier: r.Tier*10 + v.Services[r.Service].Tier,
-		Repeatable: r.Repeatable, Single: r.Single, Goal: r.GoalTime(), Attempts: r.Attempts, Homes: r.Homes, Terms: Terms(r),
+		Repeatable: r.Repeatable, Single: r.WithoutIdempotencyKey, Goal: r.LatencyGoal(), Attempts: r.MaxAttempts, Homes: r.HomeRegions, Terms: Terms(r),
 	}
 }
 
--- a/internal/dataplane/proxy/front.go
+++ b/internal/dataplane/proxy/front.go
@@ -122,7 +122,7 @@
 		return
 	}
 	defer c.Memory.Free()
-	if !route.Repeatable && !route.Single {
+	if !route.Repeatable && !route.WithoutIdempotencyKey {
 		w.Header().Set("Mark-Kept", strconv.Itoa(int(idempotency.Retention/time.Second)))
 	}
 	if d.stopping.Load() {
@@ -155,7 +155,7 @@
 			return nil, http.StatusBadRequest, name + " stands twice"
 		}
 	}
-	came, limit := process.Now(), route.LimitTime()
+	came, limit := process.Now(), route.Timeout()
 	if s := r.Header.Get("Time-Left"); s != "" {
 		ms, err := strconv.ParseInt(s, 10, 64)
 		if err != nil || ms < 0 || ms > 1e9 {
@@ -171,14 +171,14 @@
 		j.Attempt = uint32(n)
 	}
 	j.IdempotencyKey = ids.IdempotencyKey(r.Header.Get("Idempotency-Key"))
-	if !route.Repeatable && !route.Single && !markRule.MatchString(string(j.IdempotencyKey)) {
+	if !route.Repeatable && !route.WithoutIdempotencyKey && !markRule.MatchString(string(j.IdempotencyKey)) {
 		return nil, http.StatusBadRequest, "this route takes no request without an Idempotency-Key of 1 to 256 printable characters"
 	}
-	body, held, err := d.Body(w, r, int64(route.MaxBody), time.Time{})
+	body, held, err := d.Body(w, r, int64(route.MaxBodyBytes), time.Time{})
 	var big *http.MaxBytesError
 	switch {
 	case errors.As(err, &big):
-		return nil, http.StatusRequestEntityTooLarge, "body over the route's limit of " + strconv.Itoa(route.MaxBody) + " bytes"
+		return nil, http.StatusRequestEntityTooLarge, "body over the route's limit of " + strconv.Itoa(route.MaxBodyBytes) + " bytes"
 	case errors.Is(err, ErrMemoryBudgetExceeded):
 		return nil, http.StatusServiceUnavailable, err.Error()
 	case err != nil:
@@ -199,7 +199,7 @@
 
 // write gives the client the one answer.
 func write(w http.ResponseWriter, r *http.Request, rep dispatch.Response) {
-	if rep.Class != dispatch.Answered || rep.Sealed.Cut {
+	if rep.Class != dispatch.Answered || rep.Sealed.BodyOmitted {
 		word(w, rep.Status, classes[rep.Class], rep.Why, int((rep.RetryAfter+time.Second-1)/time.Second))
 		return
 	}
--- a/internal/dataplane/proxy/front_test.go
+++ b/internal/dataplane/proxy/front_test.go
@@ -63,5 +63,5 @@
 // inStepWith lets a proxy know of one route, and that it is in force.
 func (d *Daemon) inStepWith(route string) {
 	d.footing.Store(&ServingState{InStep: true})
-	d.router.Store(newRouter(&configuration.View{Routes: map[ids.Name]configuration.Route{ids.Name(route): {Name: ids.Name(route), Prefix: "/" + route, Service: "ledger", Limit: 1000, MaxBody: 10}}}))
+	d.router.Store(newRouter(&configuration.View{Routes: map[ids.Name]configuration.Route{ids.Name(route): {Name: ids.Name(route), Prefix: "/" + route, Service: "ledger", TimeoutMillis: 1000, MaxBodyBytes: 10}}}))
 }
--- a/internal/dataplane/proxy/gate.go
+++ b/internal/dataplane/proxy/gate.go
@@ -51,7 +51,7 @@
 
 func newGate(in net.Listener, h http.Handler) *gate {
 	g := &gate{handler: h, in: in, empty: make(chan struct{}, 1)}
-	g.limit(configuration.NoLimits)
+	g.limit(configuration.DefaultLimits)
 	return g
 }
 
@@ -75,8 +75,8 @@
 func (g *gate) open(l configuration.Limits) *door {
 	d := &door{queue: &queue{Listener: g.in, connections: make(chan net.Conn), closed: make(chan struct{})}, conns: map[*clientConn]bool{}}
 	d.server = &http.Server{
-		Handler: d.handler(g.handler), MaxHeaderBytes: l.MaxHeader,
-		ReadHeaderTimeout: time.Duration(l.Header) * time.Millisecond, IdleTimeout: time.Duration(l.Idle) * time.Millisecond,
+		Handler: d.handler(g.handler), MaxHeaderBytes: l.MaxHeaderBytes,
+		ReadHeaderTimeout: time.Duration(l.HeaderTimeoutMillis) * time.Millisecond, IdleTimeout: time.Duration(l.IdleTimeoutMillis) * time.Millisecond,
 		ConnState: func(c net.Conn, s http.ConnState) {
 			d.follow(c, s)
 			if s == http.StateClosed || s == http.StateHijacked {
--- a/internal/dataplane/proxy/gate_test.go
+++ b/internal/dataplane/proxy/gate_test.go
@@ -80,7 +80,7 @@
 
 func fine(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) }
 
-var narrow = configuration.Limits{MaxHeader: 1024, MaxBody: 1, Header: 100, Idle: 100}
+var narrow = configuration.Limits{MaxHeaderBytes: 1024, MaxBodyBytes: 1, HeaderTimeoutMillis: 100, IdleTimeoutMillis: 100}
 
 // New limits don't end what is under way, and connections that were held end in order.
 func TestLimitsChangeWhileConnectionsAreHeld(t *testing.T) {
@@ -132,8 +132,8 @@
 	go func() {
 		defer close(changed)
 		for i := 0; !stop.Load(); i++ {
-			limits := configuration.NoLimits
-			limits.MaxBody = i
+			limits := configuration.DefaultLimits
+			limits.MaxBodyBytes = i
 			g.limit(limits)
 		}
 	}()
--- a/internal/dataplane/proxy/places.go
+++ b/internal/dataplane/proxy/places.go
@@ -100,12 +100,12 @@
 // its places, and nobody else sends it anything.
 func (c *Control) chill(now ids.Time, t targets.Target, class int, o *dispatch.Offer) {
 	sv := c.view.Services[t.Service]
-	if sv.WarmRate <= 0 {
+	if sv.SlowStartRate <= 0 {
 		return
 	}
 	o.ColdUntil = max(now.Add(time.Duration(t.SlowStartMillis)*time.Millisecond), c.thaws[t.Zone])
 	if class == 0 {
-		o.Rate = sv.WarmRate / float64(o.Seats)
+		o.Rate = sv.SlowStartRate / float64(o.Seats)
 	}
 	// It says itself how long it is cold, so its age tells nothing.
 	o.AgeMillis = 1 << 40
@@ -121,8 +121,8 @@
 		}
 		longest := 0
 		for _, s := range c.view.Services {
-			if s.WarmRate > 0 {
-				longest = max(longest, s.Warm)
+			if s.SlowStartRate > 0 {
+				longest = max(longest, s.SlowStartMillis)
 			}
 		}
 		if c.thaws == nil {
--- a/internal/dataplane/proxy/places_test.go
+++ b/internal/dataplane/proxy/places_test.go
@@ -131,7 +131,7 @@
 	for _, zones := range []string{"quay", "quay quay quay", "quay pier dune", "pier mole dune", "dune reed"} {
 		seats, sum := fleet(zones), 0.0
 		for _, m := range seats {
-			o := placer(m, configuration.Service{WarmRate: 12}).offer(now, targets.Target{Instance: "t", Service: "wader", Zone: "quay", SlowStartMillis: 3000}, seats)
+			o := placer(m, configuration.Service{SlowStartRate: 12}).offer(now, targets.Target{Instance: "t", Service: "wader", Zone: "quay", SlowStartMillis: 3000}, seats)
 			is.Equal(o.ColdUntil, now.Add(3*time.Second))
 			sum += o.Rate
 		}
--- a/internal/dataplane/proxy/readiness.go
+++ b/internal/dataplane/proxy/readiness.go
@@ -105,7 +105,7 @@
 	for _, t := range c.targets.All(now) {
 		o := c.offer(now, t, seats)
 		// In a large fleet most targets are others' to use.
-		if !c.ByZone || some(o, c.view.Services[t.Service].Capacity) {
+		if !c.ByZone || some(o, c.view.Services[t.Service].DefaultCapacity) {
 			by[t.Service] = append(by[t.Service], o)
 		}
 	}
@@ -120,7 +120,7 @@
 	for _, n := range c.shelved {
 		sv := c.view.Services[n]
 		c.Emit(DispatchEvent{n, dispatch.ServiceState{
-			Targets: by[n], Capacity: sv.Capacity, Warm: time.Duration(sv.Warm) * time.Millisecond,
+			Targets: by[n], Capacity: sv.DefaultCapacity, Warm: time.Duration(sv.SlowStartMillis) * time.Millisecond,
 			Allowance: c.allowance(sv, seats), InStep: s.step || c.Lease == Endless, Lease: c.until(), Terms: terms[n], Closed: s.shut, Ended: ended,
 		}})
 	}
@@ -144,14 +144,14 @@
 
 // Terms are what a route says of its requests.
 func Terms(r configuration.Route) dispatch.RouteTerms {
-	return dispatch.RouteTerms{Host: r.Host, Prefix: r.Prefix, Service: r.Service, Repeatable: r.Repeatable, Limit: r.LimitTime()}
+	return dispatch.RouteTerms{Host: r.Host, Prefix: r.Prefix, Service: r.Service, Repeatable: r.Repeatable, Limit: r.Timeout()}
 }
 
 // allowance is this proxy's part of a service's retry allowance. Parts are
 // whole, as places are, and add up to it: half a retry is of no use to anybody.
 func (c *Control) allowance(s configuration.Service, seats []membership.Member) float64 {
 	n, at := max(len(seats), 1), c.seat("retries/"+string(s.Name), seats)
-	return float64(s.Allowance*(at+1)/n - s.Allowance*at/n)
+	return float64(s.RetryBudget*(at+1)/n - s.RetryBudget*at/n)
 }
 
 // seatsHeld is how long a lost proxy's places stay its own: it may be cut off
--- a/internal/state/configuration/bench_test.go
+++ b/internal/state/configuration/bench_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-// BenchmarkMergeOne is one route's change of a configuration of three thousand.
-func BenchmarkMergeOne(b *testing.B) {
-	list := []VersionedItem{givenService("wader", 1)}
+// BenchmarkMerge_OneRouteOfThousands is one route's change of a configuration of three thousand.
+func BenchmarkMerge_OneRouteOfThousands(b *testing.B) {
+	list := []VersionedItem{versionedService("wader", 1)}
 	for i := range 3000 {
-		list = append(list, givenRoute(fmt.Sprint("r", i), "wader", 1))
+		list = append(list, versionedRoute(fmt.Sprint("r", i), "wader", 1))
 	}
-	raw, _ := json.Marshal(merging(list...))
+	raw, _ := json.Marshal(mergeOf(list...))
 	old, _ := mergeOp(Key, nil, raw)
-	one, _ := json.Marshal(merging(givenRoute("r7", "wader", 2)))
+	one, _ := json.Marshal(mergeOf(versionedRoute("r7", "wader", 2)))
 	b.ReportAllocs()
 	for b.Loop() {
 		mergeOp(Key, old, one)
--- a/internal/state/configuration/cellorder.go
+++ b/internal/state/configuration/cellorder.go
@@ -18,51 +18,51 @@
 // takes effect only on the version that the registry knew when it came in: a
 // copy that is overtaken on its way does nothing.
 type ZoneOrder struct {
-	Zone     ids.Name     `json:"cell"`
-	Region   ids.Name     `json:"region"`
-	Evacuate bool         `json:"shut"`
-	Known    ids.Revision `json:"known"`
+	Zone         ids.Name     `json:"cell"`
+	Region       ids.Name     `json:"region"`
+	Evacuate     bool         `json:"shut"`
+	KnownVersion ids.Revision `json:"known"`
 }
 
 // ZoneVersion gives the version that an order for a zone is to name: that of the
 // zone, or of its removal.
-func (p *Document) ZoneVersion(zone ids.Name) ids.Revision {
-	v, _ := p.version("cell", zone)
+func (d *Document) ZoneVersion(zone ids.Name) ids.Revision {
+	v, _ := d.version("cell", zone)
 	return v
 }
 
 // OrderZone gives the configuration after an order, or the same configuration if the zone is as
 // it asks already, or if the order is stale.
-func (p *Document) OrderZone(o ZoneOrder) (*Document, Result) {
-	have, exists := p.Zones[o.Zone]
+func (d *Document) OrderZone(o ZoneOrder) (*Document, Result) {
+	have, exists := d.Zones[o.Zone]
 	touched := ItemVersion{Kind: "cell", Name: o.Zone, Version: have.Version}
-	res := Result{Revision: p.Revision, Items: []ItemVersion{touched}}
+	res := Result{Revision: d.Revision, Items: []ItemVersion{touched}}
 	if exists && gjson.GetBytes(have.Body, "shut").Bool() == o.Evacuate {
-		return p, res
+		return d, res
 	}
-	if now := p.ZoneVersion(o.Zone); now != o.Known {
+	if now := d.ZoneVersion(o.Zone); now != o.KnownVersion {
 		touched.Version = now
-		return p, Result{Revision: p.Revision, Stale: []VersionConflict{{touched, o.Known}}}
+		return d, Result{Revision: d.Revision, VersionConflicts: []VersionConflict{{touched, o.KnownVersion}}}
 	}
-	body, err := o.body(have, exists)
+	body, err := o.zoneBody(have, exists)
 	if err != nil {
-		return p, Result{Revision: p.Revision, Violations: []Violation{{"cell/" + string(o.Zone), "", err.Error()}}}
+		return d, Result{Revision: d.Revision, Violations: []Violation{{"cell/" + string(o.Zone), "", err.Error()}}}
 	}
-	next := p.copy()
-	res.Revision, res.Items[0].Version = next.Revision, max(next.Revision, o.Known+1)
-	delete(next.Removed, "cell/"+string(o.Zone))
+	next := d.nextRevision()
+	res.Revision, res.Items[0].Version = next.Revision, max(next.Revision, o.KnownVersion+1)
+	delete(next.Tombstones, "cell/"+string(o.Zone))
 	next.Zones[o.Zone] = Item{
-		Version: res.Items[0].Version, Body: pretty.Ugly(body), At: next.Revision,
-		Merged: have.merged(), Given: have.Given || p.Removed["cell/"+string(o.Zone)].Given,
+		Version: res.Items[0].Version, Body: pretty.Ugly(body), ChangedAt: next.Revision,
+		Merged: have.isMerged(), EverMerged: have.EverMerged || d.Tombstones["cell/"+string(o.Zone)].EverMerged,
 	}
 	return next, res
 }
 
-// body gives the zone as the order leaves it; what else was said of it stays.
-func (o ZoneOrder) body(have Item, exists bool) ([]byte, error) {
+// zoneBody gives the zone as the order leaves it; what else was said of it stays.
+func (o ZoneOrder) zoneBody(have Item, exists bool) ([]byte, error) {
 	if exists {
 		set, err := json.Marshal(map[string]bool{"shut": o.Evacuate})
-		return overlay(have.Body, set), err
+		return overlayFields(have.Body, set), err
 	}
 	return json.Marshal(map[string]any{"region": o.Region, "shut": o.Evacuate})
 }
--- a/internal/state/configuration/change.go
+++ b/internal/state/configuration/change.go
@@ -26,7 +26,7 @@
 // Change is whole or nothing.
 type Change struct {
 	ID    ids.ChangeID `json:"id"`
-	Parts []ItemChange `json:"changes"`
+	Items []ItemChange `json:"changes"`
 }
 
 // ItemVersion is an item as a change left it; version 0 is a removed one.
@@ -39,41 +39,41 @@
 // VersionConflict is an item whose version is not the one the change was made for.
 type VersionConflict struct {
 	ItemVersion
-	Asked ids.Revision `json:"asked"`
+	Expected ids.Revision `json:"asked"`
 }
 
 // Result is what came of a change.
 type Result struct {
-	ID         ids.ChangeID      `json:"id"`
-	Revision   ids.Revision      `json:"revision"`
-	Items      []ItemVersion     `json:"items,omitempty"`
-	Violations []Violation       `json:"errors,omitempty"`
-	Stale      []VersionConflict `json:"stale,omitempty"`
-	Missing    []ItemVersion     `json:"missing,omitempty"`
-	// Conflicts are numbers that already stand for something else.
-	Conflicts []Violation `json:"conflicts,omitempty"`
+	ID               ids.ChangeID      `json:"id"`
+	Revision         ids.Revision      `json:"revision"`
+	Items            []ItemVersion     `json:"items,omitempty"`
+	Violations       []Violation       `json:"errors,omitempty"`
+	VersionConflicts []VersionConflict `json:"stale,omitempty"`
+	MissingItems     []ItemVersion     `json:"missing,omitempty"`
+	// ReuseConflicts are numbers that already stand for something else.
+	ReuseConflicts []Violation `json:"conflicts,omitempty"`
 	// Unknown, if set, says why the end of this change can't be told.
-	Unknown string `json:"unknown,omitempty"`
+	UnknownReason string `json:"unknown,omitempty"`
 }
 
 // Accepted tells whether the change took effect.
 func (r Result) Accepted() bool {
-	return len(r.Violations)+len(r.Stale)+len(r.Missing)+len(r.Conflicts) == 0 && r.Unknown == ""
+	return len(r.Violations)+len(r.VersionConflicts)+len(r.MissingItems)+len(r.ReuseConflicts) == 0 && r.UnknownReason == ""
 }
 
 // mostRecent and mostRejected bound how many results are kept for resent changes.
 const (
-	mostRecent   = 256
-	mostRejected = 128
+	maxRecentResults   = 256
+	maxRejectedResults = 128
 )
 
-// keep adds a result to a bounded list, which is not shared with the old one.
-func keep(list []Result, r Result, most int) []Result {
+// appendBounded adds a result to a bounded list, which is not shared with the old one.
+func appendBounded(list []Result, r Result, most int) []Result {
 	list = append(slices.Clone(list), r)
 	return list[max(0, len(list)-most):]
 }
 
-func sorted[V any](m map[ids.Name]V) []ids.Name { return slices.Sorted(maps.Keys(m)) }
+func sortedNames[V any](m map[ids.Name]V) []ids.Name { return slices.Sorted(maps.Keys(m)) }
 
 // ReadChange reads and checks the words of a change; all faults are listed.
 func ReadChange(raw []byte) (Change, []Violation) {
@@ -90,9 +90,9 @@
 		bad("", "must be an object")
 		return c, faults
 	}
-	twice("", doc, bad)
+	checkDuplicateKeys("", doc, bad)
 	CheckKeys(doc, "", bad, "id", "changes")
-	if id := doc.Get("id"); id.Type != gjson.String || !changeRule.MatchString(id.Str) {
+	if id := doc.Get("id"); id.Type != gjson.String || !changeIDPattern.MatchString(id.Str) {
 		bad("id", "must be 1 to 128 letters, digits or . _ : -")
 	}
 	list := doc.Get("changes")
@@ -107,7 +107,7 @@
 			bad("", "must be an object")
 			continue
 		}
-		checkPart(part, &item, seen, bad)
+		checkItemChange(part, &item, seen, bad)
 	}
 	if len(faults) > 0 {
 		return c, faults
@@ -122,21 +122,21 @@
 func CheckKeys(doc gjson.Result, path string, bad func(path, why string), known ...string) {
 	doc.ForEach(func(k, _ gjson.Result) bool {
 		if !slices.Contains(known, k.String()) {
-			bad(join2(path, k.String()), "is not known")
+			bad(joinPath(path, k.String()), "is not known")
 		}
 		return true
 	})
 }
 
-func checkPart(part gjson.Result, item *string, seen map[string]bool, bad func(path, why string)) {
+func checkItemChange(part gjson.Result, item *string, seen map[string]bool, bad func(path, why string)) {
 	CheckKeys(part, "", bad, "kind", "name", "version", "put", "set", "remove")
 	kind, name := part.Get("kind"), part.Get("name")
-	if _, ok := fields[kind.Str]; !ok || kind.Type != gjson.String {
+	if _, ok := fieldRules[kind.Str]; !ok || kind.Type != gjson.String {
 		bad("kind", "must be service, route, cell or limits")
 		return
 	}
-	if name.Type != gjson.String || !nameRule.MatchString(name.Str) {
-		bad("name", "must be "+nameHint)
+	if name.Type != gjson.String || !namePattern.MatchString(name.Str) {
+		bad("name", "must be "+nameDescription)
 		return
 	}
 	*item = kind.Str + "/" + name.Str
@@ -170,75 +170,75 @@
 }
 
 // Apply gives the configuration after a change, or the same configuration if it is rejected.
-func (p *Document) Apply(c Change) (*Document, Result) {
-	if res, ended := p.earlierEnd(c); ended {
-		return p, res
+func (d *Document) Apply(c Change) (*Document, Result) {
+	if res, ended := d.earlierResult(c); ended {
+		return d, res
 	}
-	sure := p.surelyNew(c)
-	if _, named := baseOf(c.ID); named && !sure {
-		return p, Result{ID: c.ID, Revision: p.Revision, Unknown: reasonUnknown}
+	sure := d.isSurelyNew(c)
+	if _, named := baseRevisionOf(c.ID); named && !sure {
+		return d, Result{ID: c.ID, Revision: d.Revision, UnknownReason: reasonUnknown}
 	}
-	next := p.copy()
-	res := Result{ID: c.ID, Revision: p.Revision}
+	next := d.nextRevision()
+	res := Result{ID: c.ID, Revision: d.Revision}
 	var done []ItemVersion
-	for _, part := range c.Parts {
-		done = append(done, next.apply(part, by(c.ID), &res))
+	for _, part := range c.Items {
+		done = append(done, next.applyItem(part, changeHash(c.ID), &res))
 	}
 	if res.Accepted() {
-		res.Violations = next.checkWhole(c)
+		res.Violations = next.checkReferences(c)
 	}
 	switch {
 	case !res.Accepted() && !sure:
-		return p, Result{ID: c.ID, Revision: p.Revision, Unknown: reasonUnknown}
+		return d, Result{ID: c.ID, Revision: d.Revision, UnknownReason: reasonUnknown}
 	case !res.Accepted():
-		same := *p
-		same.rememberChange(c, res)
-		same.Rejected = keep(p.Rejected, res, mostRejected)
+		same := *d
+		same.recordChange(c, res)
+		same.RejectedResults = appendBounded(d.RejectedResults, res, maxRejectedResults)
 		return &same, res
 	}
 	res.Revision, res.Items = next.Revision, done
-	next.rememberChange(c, res)
-	next.Recent = keep(p.Recent, res, mostRecent)
+	next.recordChange(c, res)
+	next.RecentResults = appendBounded(d.RecentResults, res, maxRecentResults)
 	return next, res
 }
 
-// apply makes one part's change in place, and notes what stands against it.
-func (p *Document) apply(part ItemChange, by string, res *Result) ItemVersion {
-	items := p.Items(part.Kind)
+// applyItem makes one part's change in place, and notes what stands against it.
+func (d *Document) applyItem(part ItemChange, by string, res *Result) ItemVersion {
+	items := d.Items(part.Kind)
 	have, exists := items[part.Name]
 	key := part.Kind + "/" + string(part.Name)
-	given := have.merged() || have.Given || p.Removed[key].Given
+	given := have.isMerged() || have.EverMerged || d.Tombstones[key].EverMerged
 	t := ItemVersion{Kind: part.Kind, Name: part.Name, Version: have.Version}
 	if part.Version != nil && *part.Version != have.Version {
-		res.Stale = append(res.Stale, VersionConflict{t, *part.Version})
+		res.VersionConflicts = append(res.VersionConflicts, VersionConflict{t, *part.Version})
 		return t
 	}
 	if !exists && part.Put == nil {
-		res.Missing = append(res.Missing, t)
+		res.MissingItems = append(res.MissingItems, t)
 		return t
 	}
 	if part.Remove {
-		p.rememberGiven(part.Kind, part.Name, given)
+		d.recordVersionIfMerged(part.Kind, part.Name, given)
 		delete(items, part.Name)
 		// It stays removed for copies of it that arrive later, too.
-		p.bury(key, Tombstone{Version: have.Version + 1, By: by, Prev: have.Version, Given: given})
+		d.addTombstone(key, Tombstone{Version: have.Version + 1, ChangeHash: by, PreviousVersion: have.Version, EverMerged: given})
 		return ItemVersion{Kind: part.Kind, Name: part.Name}
 	}
 	body := part.Put
 	if part.Set != nil {
-		body = overlay(have.Body, part.Set)
+		body = overlayFields(have.Body, part.Set)
 		checkBody(part.Kind, string(body), func(path, why string) {
 			res.Violations = append(res.Violations, Violation{key, path, why})
 		})
 	}
-	t.Version = p.Revision
+	t.Version = d.Revision
 	// Versions given from outside may run ahead of ours; none goes back.
-	before, known := p.version(part.Kind, part.Name)
+	before, known := d.version(part.Kind, part.Name)
 	if known {
 		t.Version = max(t.Version, before+1)
 	}
-	p.rememberGiven(part.Kind, part.Name, given)
-	delete(p.Removed, key)
-	items[part.Name] = Item{Version: t.Version, Body: pretty.Ugly(body), At: p.Revision, Merged: have.merged(), By: by, Prev: before, Given: given}
+	d.recordVersionIfMerged(part.Kind, part.Name, given)
+	delete(d.Tombstones, key)
+	items[part.Name] = Item{Version: t.Version, Body: pretty.Ugly(body), ChangedAt: d.Revision, Merged: have.isMerged(), ChangeHash: by, PreviousVersion: before, EverMerged: given}
 	return t
 }
--- a/internal/state/configuration/check.go
+++ b/internal/state/configuration/check.go
@@ -17,71 +17,71 @@
 	Reason string `json:"problem"`
 }
 
-// field is what a path of an item must hold.
-type field struct {
+// fieldRule is what a path of an item must hold.
+type fieldRule struct {
 	path     string
 	kind     gjson.Type
 	required bool
-	low      float64
-	high     float64
-	rule     *regexp.Regexp
-	hint     string
+	minimum  float64
+	maximum  float64
+	pattern  *regexp.Regexp
+	expected string
 }
 
 var (
-	nameRule   = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
-	prefixRule = regexp.MustCompile(`^/[A-Za-z0-9._~/-]{0,255}$`)
-	hostRule   = regexp.MustCompile(`^[A-Za-z0-9._:\[\]-]{1,255}$`)
-	changeRule = regexp.MustCompile(`^[A-Za-z0-9._:-]{1,128}$`)
+	namePattern     = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
+	prefixPattern   = regexp.MustCompile(`^/[A-Za-z0-9._~/-]{0,255}$`)
+	hostPattern     = regexp.MustCompile(`^[A-Za-z0-9._:\[\]-]{1,255}$`)
+	changeIDPattern = regexp.MustCompile(`^[A-Za-z0-9._:-]{1,128}$`)
 )
 
-const nameHint = "lower-case letters, digits and inner dashes, 63 at most"
+const nameDescription = "lower-case letters, digits and inner dashes, 63 at most"
 
-// fields lists, for each kind, every path an operator may write.
-var fields = map[string][]field{
+// fieldRules lists, for each kind, every path an operator may write.
+var fieldRules = map[string][]fieldRule{
 	"service": {
-		{path: "tier", kind: gjson.Number, low: 0, high: 9},
-		{path: "capacity", kind: gjson.Number, low: 1, high: 100000},
-		{path: "warm_ms", kind: gjson.Number, low: 0, high: 600000},
-		{path: "allowance", kind: gjson.Number, low: 0, high: 1000},
-		{path: "warm_rate", kind: gjson.Number, low: 0, high: 1e6},
-		{path: "circuits", kind: gjson.Number, low: 0, high: 1e6},
+		{path: "tier", kind: gjson.Number, minimum: 0, maximum: 9},
+		{path: "capacity", kind: gjson.Number, minimum: 1, maximum: 100000},
+		{path: "warm_ms", kind: gjson.Number, minimum: 0, maximum: 600000},
+		{path: "allowance", kind: gjson.Number, minimum: 0, maximum: 1000},
+		{path: "warm_rate", kind: gjson.Number, minimum: 0, maximum: 1e6},
+		{path: "circuits", kind: gjson.Number, minimum: 0, maximum: 1e6},
 	},
 	"route": {
-		{path: "prefix", kind: gjson.String, required: true, rule: prefixRule, hint: "a path that starts with /"},
-		{path: "service", kind: gjson.String, rule: nameRule, hint: nameHint},
-		{path: "host", kind: gjson.String, rule: hostRule, hint: "a host's name or IP number"},
+		{path: "prefix", kind: gjson.String, required: true, pattern: prefixPattern, expected: "a path that starts with /"},
+		{path: "service", kind: gjson.String, pattern: namePattern, expected: nameDescription},
+		{path: "host", kind: gjson.String, pattern: hostPattern, expected: "a host's name or IP number"},
 		{path: "split", kind: gjson.JSON},
 		{path: "single", kind: gjson.True},
-		{path: "goal_ms", kind: gjson.Number, low: 0, high: 660000},
-		{path: "attempts", kind: gjson.Number, low: 1, high: 100},
+		{path: "goal_ms", kind: gjson.Number, minimum: 0, maximum: 660000},
+		{path: "attempts", kind: gjson.Number, minimum: 1, maximum: 100},
 		{path: "homes", kind: gjson.JSON},
-		{path: "tier", kind: gjson.Number, low: 0, high: 9},
+		{path: "tier", kind: gjson.Number, minimum: 0, maximum: 9},
 		{path: "repeatable", kind: gjson.True, required: true},
-		{path: "limit_ms", kind: gjson.Number, low: 10, high: 600000},
-		{path: "max_body", kind: gjson.Number, low: 0, high: 4 << 20},
+		{path: "limit_ms", kind: gjson.Number, minimum: 10, maximum: 600000},
+		{path: "max_body", kind: gjson.Number, minimum: 0, maximum: 4 << 20},
 	},
 	"cell": {
-		{path: "region", kind: gjson.String, rule: nameRule, hint: nameHint},
-		{path: "target", kind: gjson.Number, low: 1, high: 1e9},
-		{path: "acceptable", kind: gjson.Number, low: 1, high: 1e9},
-		{path: "maximum", kind: gjson.Number, low: 1, high: 1e9},
+		{path: "region", kind: gjson.String, pattern: namePattern, expected: nameDescription},
+		{path: "target", kind: gjson.Number, minimum: 1, maximum: 1e9},
+		{path: "acceptable", kind: gjson.Number, minimum: 1, maximum: 1e9},
+		{path: "maximum", kind: gjson.Number, minimum: 1, maximum: 1e9},
 		{path: "emptied", kind: gjson.True},
 		{path: "shut", kind: gjson.True},
 		{path: "distances", kind: gjson.JSON},
 	},
 	"limits": {
-		{path: "max_header", kind: gjson.Number, low: 1024, high: 1 << 24},
-		{path: "max_body", kind: gjson.Number, low: 0, high: 1 << 31},
-		{path: "header_ms", kind: gjson.Number, low: 100, high: 600000},
-		{path: "idle_ms", kind: gjson.Number, low: 100, high: 3600000},
+		{path: "max_header", kind: gjson.Number, minimum: 1024, maximum: 1 << 24},
+		{path: "max_body", kind: gjson.Number, minimum: 0, maximum: 1 << 31},
+		{path: "header_ms", kind: gjson.Number, minimum: 100, maximum: 600000},
+		{path: "idle_ms", kind: gjson.Number, minimum: 100, maximum: 3600000},
 	},
 }
 
-// whole are the fields that count things, so no fraction will do.
-var whole = map[string]bool{"tier": true, "capacity": true, "warm_ms": true, "allowance": true, "limit_ms": true, "max_body": true, "circuits": true, "goal_ms": true, "attempts": true, "max_header": true, "header_ms": true, "idle_ms": true}
+// integerFields are the fields that count things, so no fraction will do.
+var integerFields = map[string]bool{"tier": true, "capacity": true, "warm_ms": true, "allowance": true, "limit_ms": true, "max_body": true, "circuits": true, "goal_ms": true, "attempts": true, "max_header": true, "header_ms": true, "idle_ms": true}
 
-func join2(a, b string) string {
+func joinPath(a, b string) string {
 	if a == "" {
 		return b
 	}
@@ -96,7 +96,7 @@
 		return
 	}
 	known := map[string]bool{}
-	for _, f := range fields[kind] {
+	for _, f := range fieldRules[kind] {
 		known[f.path] = true
 		v := doc.Get(f.path)
 		if !v.Exists() {
@@ -121,7 +121,7 @@
 	}
 }
 
-func (f field) check(v gjson.Result, bad func(path, why string)) {
+func (f fieldRule) check(v gjson.Result, bad func(path, why string)) {
 	switch f.kind {
 	case gjson.True:
 		if v.Type != gjson.True && v.Type != gjson.False {
@@ -131,21 +131,21 @@
 		switch {
 		case v.Type != gjson.Number:
 			bad(f.path, "must be a number")
-		case v.Num < f.low || v.Num > f.high:
-			bad(f.path, fmt.Sprintf("must be from %g to %g", f.low, f.high))
-		case whole[f.path] && v.Num != float64(int64(v.Num)):
+		case v.Num < f.minimum || v.Num > f.maximum:
+			bad(f.path, fmt.Sprintf("must be from %g to %g", f.minimum, f.maximum))
+		case integerFields[f.path] && v.Num != float64(int64(v.Num)):
 			bad(f.path, "must be a whole number")
 		// Such as 1e2: one number, but not every reader takes it for a whole one.
-		case whole[f.path] && strings.ContainsAny(v.Raw, ".eE"):
+		case integerFields[f.path] && strings.ContainsAny(v.Raw, ".eE"):
 			bad(f.path, "must be written as a whole number")
 		}
 	case gjson.String:
 		switch {
 		case v.Type != gjson.String:
 			bad(f.path, "must be a string")
-		case !f.rule.MatchString(v.Str):
-			bad(f.path, "must be "+f.hint)
-		case f.path == "prefix" && reserved(v.Str):
+		case !f.pattern.MatchString(v.Str):
+			bad(f.path, "must be "+f.expected)
+		case f.path == "prefix" && isReservedPath(v.Str):
 			bad(f.path, "is kept for the daemons' own pages")
 		}
 	case gjson.JSON:
@@ -160,8 +160,8 @@
 	}
 }
 
-// reserved paths belong to the daemons on every proxy.
-func reserved(p string) bool {
+// isReservedPath paths belong to the daemons on every proxy.
+func isReservedPath(p string) bool {
 	for _, r := range []string{"/v1", "/healthz", "/readyz", "/metrics", "/.well-known"} {
 		if p == r || strings.HasPrefix(p, r+"/") {
 			return true
@@ -173,8 +173,8 @@
 func checkZone(doc gjson.Result, bad func(path, why string)) {
 	doc.Get("distances").ForEach(func(k, v gjson.Result) bool {
 		at := "distances." + k.String()
-		if !nameRule.MatchString(k.String()) {
-			bad(at, "must be named by "+nameHint)
+		if !namePattern.MatchString(k.String()) {
+			bad(at, "must be named by "+nameDescription)
 		}
 		if v.Type != gjson.Number || v.Num < 0 || v.Num > 100000 {
 			bad(at, "must be from 0 to 100000")
@@ -193,27 +193,27 @@
 	}
 }
 
-// checkWhole checks what no single item shows: routes to their services, and
+// checkReferences checks what no single item shows: routes to their services, and
 // prefixes that two routes would fight over. Routes that the change leaves alone
 // had their services before it, and have them still unless it removes one.
-func (p *Document) checkWhole(c Change) []Violation {
+func (d *Document) checkReferences(c Change) []Violation {
 	orphaned, touched := false, map[ids.Name]bool{}
-	for _, part := range c.Parts {
+	for _, part := range c.Items {
 		orphaned = orphaned || part.Kind == "service" && part.Remove
 		touched[part.Name] = touched[part.Name] || part.Kind == "route"
 	}
 	var faults []Violation
 	prefix := map[string]ids.Name{}
-	for _, n := range sorted(p.Routes) {
+	for _, n := range sortedNames(d.Routes) {
 		if orphaned || touched[n] {
-			faults = append(faults, p.unknownServices(n, p.Routes[n].Body)...)
+			faults = append(faults, d.unknownServices(n, d.Routes[n].Body)...)
 		}
 		// Those merged from outside are their caller's own business; of two with
 		// one place the first by name holds.
-		if p.Routes[n].merged() {
+		if d.Routes[n].isMerged() {
 			continue
 		}
-		doc := gjson.ParseBytes(p.Routes[n].Body)
+		doc := gjson.ParseBytes(d.Routes[n].Body)
 		at := doc.Get("host").Str + strings.TrimRight(doc.Get("prefix").Str, "/")
 		if other, used := prefix[at]; used {
 			faults = append(faults, Violation{"route/" + string(n), "prefix", fmt.Sprintf("is that of route %q too", other)})
--- a/internal/state/configuration/cluster_test.go
+++ b/internal/state/configuration/cluster_test.go
@@ -15,36 +15,36 @@
 // cluster is three stores that keep the configuration, and two registries' clients, in
 // virtual time on a network that delays, loses and doubles messages.
 type cluster struct {
-	now     ids.Time
-	random  *rand.Rand
-	queue   timeline
-	count   uint64
-	stores  []*storeNode
-	clients []*clientNode
+	now       ids.Time
+	random    *rand.Rand
+	queue     eventQueue
+	scheduled uint64
+	stores    []*storeNode
+	clients   []*clientNode
 	// oneWay is how long a message takes, and spread what chance adds.
-	oneWay, spread time.Duration
-	lose, double   float64
-	// cut tells which pairs can't reach each other.
-	cut      map[[2]ids.Address]bool
-	prepares int
+	oneWay, jitter          time.Duration
+	lossRate, duplicateRate float64
+	// partitioned tells which pairs can't reach each other.
+	partitioned map[[2]ids.Address]bool
+	prepares    int
 }
 
-// moment is something that happens later.
-type moment struct {
-	at    ids.Time
-	order uint64
-	do    func()
+// scheduledEvent is something that happens later.
+type scheduledEvent struct {
+	at       ids.Time
+	sequence uint64
+	run      func()
 }
 
-type timeline []moment
+type eventQueue []scheduledEvent
 
-func (t timeline) Len() int { return len(t) }
-func (t timeline) Less(i, j int) bool {
-	return t[i].at < t[j].at || t[i].at == t[j].at && t[i].order < t[j].order
+func (t eventQueue) Len() int { return len(t) }
+func (t eventQueue) Less(i, j int) bool {
+	return t[i].at < t[j].at || t[i].at == t[j].at && t[i].sequence < t[j].sequence
 }
-func (t timeline) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
-func (t *timeline) Push(x any)   { *t = append(*t, x.(moment)) }
-func (t *timeline) Pop() any {
+func (t eventQueue) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
+func (t *eventQueue) Push(x any)   { *t = append(*t, x.(scheduledEvent)) }
+func (t *eventQueue) Pop() any {
 	last := (*t)[len(*t)-1]
 	*t = (*t)[:len(*t)-1]
 	return last
@@ -55,7 +55,7 @@
 	event.Outbox
 	address ids.Address
 	id      uint64
-	disk    diskMemory
+	disk    memoryDisk
 	run     uint64
 	up      bool
 	*consensus.Acceptor
@@ -75,10 +75,10 @@
 )
 
 func newCluster(seed uint64, oneWay, spread time.Duration) *cluster {
-	c := &cluster{now: 1, random: rand.New(rand.NewPCG(seed, 1)), oneWay: oneWay, spread: spread, cut: map[[2]ids.Address]bool{}}
+	c := &cluster{now: 1, random: rand.New(rand.NewPCG(seed, 1)), oneWay: oneWay, jitter: spread, partitioned: map[[2]ids.Address]bool{}}
 	voters := consensus.VoterSet{Number: 1}
 	for i := range 3 {
-		s := &storeNode{address: ids.Address(fmt.Sprint("store", i)), id: uint64(i + 1), disk: diskMemory{}}
+		s := &storeNode{address: ids.Address(fmt.Sprint("store", i)), id: uint64(i + 1), disk: memoryDisk{}}
 		voters.Voters = append(voters.Voters, consensus.Voter{ID: s.id, Address: s.address})
 		c.stores = append(c.stores, s)
 	}
@@ -86,7 +86,7 @@
 		c.start(s)
 		s.MarkComplete()
 		s.AdoptVoterSet(voters)
-		c.carry(s)
+		c.processCommands(s)
 	}
 	for i := range 2 {
 		n := &clientNode{address: ids.Address(fmt.Sprint("registry", i))}
@@ -97,7 +97,7 @@
 		}
 		c.clients = append(c.clients, n)
 	}
-	c.after(tickEvery, c.tick)
+	c.schedule(tickEvery, c.tick)
 	return c
 }
 
@@ -115,21 +115,21 @@
 func (c *cluster) crash(s *storeNode, down time.Duration) {
 	if s.up {
 		s.up = false
-		c.after(down, func() { c.start(s) })
+		c.schedule(down, func() { c.start(s) })
 	}
 }
 
-func (c *cluster) after(d time.Duration, do func()) {
-	c.count++
-	heap.Push(&c.queue, moment{c.now.Add(d), c.count, do})
+func (c *cluster) schedule(d time.Duration, do func()) {
+	c.scheduled++
+	heap.Push(&c.queue, scheduledEvent{c.now.Add(d), c.scheduled, do})
 }
 
 // run lets virtual time pass.
 func (c *cluster) run(d time.Duration) {
 	for end := c.now.Add(d); len(c.queue) > 0 && c.queue[0].at <= end; {
-		m := heap.Pop(&c.queue).(moment)
+		m := heap.Pop(&c.queue).(scheduledEvent)
 		c.now = m.at
-		m.do()
+		m.run()
 	}
 }
 
@@ -137,20 +137,20 @@
 	for _, s := range c.stores {
 		if s.up {
 			s.Proposer.Tick(c.now)
-			c.carry(s)
+			c.processCommands(s)
 		}
 	}
 	for _, n := range c.clients {
 		n.Tick(c.now)
 		c.send(n.address, n.Drain())
 	}
-	c.after(tickEvery, c.tick)
+	c.schedule(tickEvery, c.tick)
 }
 
-func (c *cluster) carry(s *storeNode) { c.obey(s, s.Drain()) }
+func (c *cluster) processCommands(s *storeNode) { c.execute(s, s.Drain()) }
 
-// obey does a store's commands; what waits for the disk is lost in a crash.
-func (c *cluster) obey(s *storeNode, list []event.Command) {
+// execute does a store's commands; what waits for the disk is lost in a crash.
+func (c *cluster) execute(s *storeNode, list []event.Command) {
 	run := s.run
 	for _, command := range list {
 		sync, ok := command.(event.Sync)
@@ -158,14 +158,14 @@
 			c.send(s.address, []event.Command{command})
 			continue
 		}
-		c.after(diskDelay, func() {
+		c.schedule(diskDelay, func() {
 			if !s.up || s.run != run {
 				return
 			}
 			s.disk.write(sync.Records)
 			s.Acceptor.Synced(sync.Batch)
-			c.obey(s, sync.After)
-			c.carry(s)
+			c.execute(s, sync.After)
+			c.processCommands(s)
 		})
 	}
 }
@@ -180,7 +180,7 @@
 			c.prepares++
 		}
 		copies := 1
-		if from != m.To && c.random.Float64() < c.double {
+		if from != m.To && c.random.Float64() < c.duplicateRate {
 			copies++
 		}
 		for range copies {
@@ -192,16 +192,16 @@
 func (c *cluster) deliver(from ids.Address, m event.Send) {
 	delay := time.Duration(0)
 	if from != m.To {
-		if c.cut[[2]ids.Address{from, m.To}] || c.random.Float64() < c.lose {
+		if c.partitioned[[2]ids.Address{from, m.To}] || c.random.Float64() < c.lossRate {
 			return
 		}
-		delay = c.oneWay + time.Duration(c.random.Int64N(int64(c.spread)+1))
+		delay = c.oneWay + time.Duration(c.random.Int64N(int64(c.jitter)+1))
 	}
-	c.after(delay, func() {
+	c.schedule(delay, func() {
 		for _, s := range c.stores {
 			if s.address == m.To && s.up {
-				s.hear(c.now, from, m.Msg)
-				c.carry(s)
+				s.handleMessage(c.now, from, m.Msg)
+				c.processCommands(s)
 			}
 		}
 		for _, n := range c.clients {
@@ -213,7 +213,7 @@
 	})
 }
 
-func (s *storeNode) hear(now ids.Time, from ids.Address, msg any) {
+func (s *storeNode) handleMessage(now ids.Time, from ids.Address, msg any) {
 	switch m := msg.(type) {
 	case consensus.Request:
 		s.Submit(now, from, m)
--- a/internal/state/configuration/clusterdisk_test.go
+++ b/internal/state/configuration/clusterdisk_test.go
@@ -8,12 +8,12 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// diskMemory is a disk: what was synced outlives its process.
-type diskMemory map[ids.RegisterKey][]byte
+// memoryDisk is a disk: what was synced outlives its process.
+type memoryDisk map[ids.RegisterKey][]byte
 
-func (m diskMemory) Get(k ids.RegisterKey) ([]byte, bool) { v, ok := m[k]; return v, ok }
+func (m memoryDisk) Get(k ids.RegisterKey) ([]byte, bool) { v, ok := m[k]; return v, ok }
 
-func (m diskMemory) Scan(after ids.RegisterKey, n int) []event.Record {
+func (m memoryDisk) Scan(after ids.RegisterKey, n int) []event.Record {
 	var list []event.Record
 	for _, k := range slices.Sorted(maps.Keys(m)) {
 		if k > after && k < "item0" && len(list) < n {
@@ -23,7 +23,7 @@
 	return list
 }
 
-func (m diskMemory) write(list []event.Record) {
+func (m memoryDisk) write(list []event.Record) {
 	for _, r := range list {
 		if r.Delete {
 			delete(m, r.Key)
--- a/internal/state/configuration/content.go
+++ b/internal/state/configuration/content.go
@@ -11,34 +11,34 @@
 	"github.com/tidwall/gjson"
 )
 
-// contentSize is how many bytes of a content's hash are kept.
-const contentSize = 6
+// contentHashSize is how many bytes of a content's hash are kept.
+const contentHashSize = 6
 
-// contentSum sums up a content: equal for two spellings of one JSON value,
+// contentHash sums up a content: equal for two spellings of one JSON value,
 // whatever the order of keys, the blanks, the escapes or the form of numbers.
-type contentSum [contentSize]byte
+type contentHash [contentHashSize]byte
 
-// removedContent is the content of an item that a version removes.
-var removedContent = sumOf("removed")
+// removedContentHash is the content of an item that a version removes.
+var removedContentHash = hashParts("removed")
 
-func sumOf(parts ...string) contentSum {
+func hashParts(parts ...string) contentHash {
 	whole := sha256.Sum256([]byte(strings.Join(parts, "\x00")))
-	return contentSum(whole[:contentSize])
+	return contentHash(whole[:contentHashSize])
 }
 
-// sumOfItem sums up an item by its caller's own form, or by its body where it
+// hashItem sums up an item by its caller's own form, or by its body where it
 // has none: a body may be derived in another way by another release.
-func sumOfItem(body, source json.RawMessage) contentSum {
+func hashItem(body, source json.RawMessage) contentHash {
 	if len(source) > 0 {
-		return sumOf("source", canonical(gjson.ParseBytes(source)))
+		return hashParts("source", canonical(gjson.ParseBytes(source)))
 	}
-	return sumOf("body", canonical(gjson.ParseBytes(body)))
+	return hashParts("body", canonical(gjson.ParseBytes(body)))
 }
 
-// sumOfChange sums up what a change asks for, without its id.
-func sumOfChange(c Change) contentSum {
+// hashChange sums up what a change asks for, without its id.
+func hashChange(c Change) contentHash {
 	var parts []string
-	for _, part := range c.Parts {
+	for _, part := range c.Items {
 		version := "any"
 		if part.Version != nil {
 			version = strconv.FormatUint(uint64(*part.Version), 10)
@@ -46,7 +46,7 @@
 		parts = append(parts, part.Kind, string(part.Name), version, strconv.FormatBool(part.Remove),
 			canonical(gjson.ParseBytes(part.Put)), canonical(gjson.ParseBytes(part.Set)))
 	}
-	return sumOf(parts...)
+	return hashParts(parts...)
 }
 
 // canonical writes a JSON value in its one canonical spelling.
@@ -59,7 +59,7 @@
 func writeCanonical(out *strings.Builder, v gjson.Result) {
 	switch {
 	case v.IsObject():
-		writeObject(out, v)
+		writeCanonicalObject(out, v)
 	case v.IsArray():
 		out.WriteByte('[')
 		v.ForEach(func(_, element gjson.Result) bool {
@@ -77,8 +77,8 @@
 	}
 }
 
-// writeObject writes the members by key; members of one key keep their order.
-func writeObject(out *strings.Builder, v gjson.Result) {
+// writeCanonicalObject writes the members by key; members of one key keep their order.
+func writeCanonicalObject(out *strings.Builder, v gjson.Result) {
 	type member struct {
 		key   string
 		value gjson.Result
--- a/internal/state/configuration/copies_test.go
+++ b/internal/state/configuration/copies_test.go
@@ -8,26 +8,26 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// sent is a change that an operator may send again, and its first end.
-type sent struct {
+// sentChange is a change that an operator may send again, and its first end.
+type sentChange struct {
 	id, parts string
 	first     Result
 }
 
 // Operators in a race, with copies of any age: one that was taken is never
 // refused nor made a second time, and one that was refused never comes in force.
-func TestCopiesOfAnyAge(t *testing.T) {
+func TestApply_ResentChangesOfAnyAgeKeepTheirOutcome(t *testing.T) {
 	for seed := range uint64(3) {
 		random := rand.New(rand.NewPCG(seed, 18))
-		p := empty(t)
-		var all []sent
+		p := emptyDocument(t)
+		var all []sentChange
 		unclear := 0
-		for i := range 3 * mostChanges {
+		for i := range 3 * maxChangeEntries {
 			if i > 0 && i%4 == 0 {
 				s := all[random.IntN(len(all))]
-				q, r := change(t, p, s.id, s.parts)
+				q, r := applyChange(t, p, s.id, s.parts)
 				switch {
-				case r.Unknown != "":
+				case r.UnknownReason != "":
 					unclear++
 				case s.first.Accepted() != r.Accepted():
 					t.Fatalf("%s %s: first %+v, then %+v", s.id, s.parts, s.first, r)
@@ -37,7 +37,7 @@
 				}
 				continue
 			}
-			s := sent{id: fmt.Sprintf("c%d", i)}
+			s := sentChange{id: fmt.Sprintf("c%d", i)}
 			name := ids.Name(fmt.Sprintf("s%d", random.IntN(5)))
 			known := p.Services[name].Version
 			if random.IntN(4) == 0 {
@@ -52,16 +52,16 @@
 				version, s.id = "", string(ChangeIDAt(p.Revision-min(p.Revision, 3), s.id))
 			}
 			s.parts = fmt.Sprintf(`{"kind":"service","name":%q,%s%s}`, name, version, deed)
-			p, s.first = change(t, p, s.id, s.parts)
-			if s.first.Unknown != "" {
+			p, s.first = applyChange(t, p, s.id, s.parts)
+			if s.first.UnknownReason != "" {
 				t.Fatalf("%s is new: %+v", s.id, s.first)
 			}
 			all = append(all, s)
 			if i%1000 == 0 {
-				p = reopened(t, p)
+				p = reencoded(t, p)
 			}
 		}
-		if unclear == 0 || p.history().Forgotten == 0 {
+		if unclear == 0 || p.history().ForgottenRevision == 0 {
 			t.Fatal("no copy was older than what is remembered")
 		}
 	}
--- a/internal/state/configuration/delta.go
+++ b/internal/state/configuration/delta.go
@@ -8,62 +8,62 @@
 	"dunlinwell/internal/base/ids"
 )
 
-var kindNames = []string{"service", "route", "cell", "limits"}
+var itemKinds = []string{"service", "route", "cell", "limits"}
 
 // ChangesSince gives what changed after a revision, packed for those who only obey. A
 // change then costs its own items and not the whole configuration.
-func (p *Document) ChangesSince(base ids.Revision) []byte {
-	d := &Document{
-		Revision: p.Revision, Base: base, Services: map[ids.Name]Item{}, Routes: map[ids.Name]Item{},
-		Zones: map[ids.Name]Item{}, Limits: map[ids.Name]Item{}, Removed: map[string]Tombstone{},
+func (d *Document) ChangesSince(base ids.Revision) []byte {
+	delta := &Document{
+		Revision: d.Revision, BaseRevision: base, Services: map[ids.Name]Item{}, Routes: map[ids.Name]Item{},
+		Zones: map[ids.Name]Item{}, Limits: map[ids.Name]Item{}, Tombstones: map[string]Tombstone{},
 	}
-	for _, k := range kindNames {
-		for n, it := range p.Items(k) {
-			if it.At > base {
-				d.Items(k)[n] = it
+	for _, k := range itemKinds {
+		for n, it := range d.Items(k) {
+			if it.ChangedAt > base {
+				delta.Items(k)[n] = it
 			}
 		}
 	}
-	for k, b := range p.Removed {
-		if b.At > base {
-			d.Removed[k] = b
+	for k, b := range d.Tombstones {
+		if b.ChangedAt > base {
+			delta.Tombstones[k] = b
 		}
 	}
-	raw, _ := json.Marshal(d)
+	raw, _ := json.Marshal(delta)
 	return raw
 }
 
 // Advance gives the configuration that a packed one or a difference leads to, or the
 // same configuration if it is no newer, or builds on what isn't here.
-func (p *Document) Advance(raw []byte) (*Document, error) {
-	d, err := Decode(raw)
-	if err != nil || d.Revision <= p.Revision {
-		return p, err
+func (d *Document) Advance(raw []byte) (*Document, error) {
+	received, err := Decode(raw)
+	if err != nil || received.Revision <= d.Revision {
+		return d, err
 	}
-	if d.Base == 0 {
-		return d, nil
+	if received.BaseRevision == 0 {
+		return received, nil
 	}
-	if p.Revision < d.Base {
-		return p, nil
+	if d.Revision < received.BaseRevision {
+		return d, nil
 	}
-	next := p.copy()
-	next.Revision = d.Revision
-	next.Recent, next.Rejected, next.History = nil, nil, nil
-	for _, k := range kindNames {
-		maps.Copy(next.Items(k), d.Items(k))
-		for n := range d.Items(k) {
-			delete(next.Removed, k+"/"+string(n))
+	next := d.nextRevision()
+	next.Revision = received.Revision
+	next.RecentResults, next.RejectedResults, next.History = nil, nil, nil
+	for _, k := range itemKinds {
+		maps.Copy(next.Items(k), received.Items(k))
+		for n := range received.Items(k) {
+			delete(next.Tombstones, k+"/"+string(n))
 		}
 	}
-	for key, b := range d.Removed {
+	for key, b := range received.Tombstones {
 		kind, name, _ := strings.Cut(key, "/")
 		if items := next.Items(kind); items != nil {
 			delete(items, ids.Name(name))
 		}
-		if next.Removed == nil {
-			next.Removed = map[string]Tombstone{}
+		if next.Tombstones == nil {
+			next.Tombstones = map[string]Tombstone{}
 		}
-		next.Removed[key] = b
+		next.Tombstones[key] = b
 	}
 	return next, nil
 }
--- a/internal/state/configuration/delta_test.go
+++ b/internal/state/configuration/delta_test.go
@@ -13,23 +13,23 @@
 
 // A difference leads from any earlier revision to just the same configuration, however
 // often it comes, and never back.
-func TestDifferencesLeadToTheSameConfiguration(t *testing.T) {
+func TestAdvance_DeltaFromAnyRevisionGivesSameDocument(t *testing.T) {
 	is := is.New(t)
 	for seed := range uint64(30) {
 		random := rand.New(rand.NewPCG(seed, 1))
-		all := []*Document{empty(t)}
+		all := []*Document{emptyDocument(t)}
 		for n := range 40 {
 			p, name := all[len(all)-1], fmt.Sprint("s", random.IntN(6))
 			var q *Document
 			switch random.IntN(4) {
 			case 0:
-				q, _ = p.Merge(merging(givenService(name, ids.Revision(random.IntN(60)))))
+				q, _ = p.Merge(mergeOf(versionedService(name, ids.Revision(random.IntN(60)))))
 			case 1:
-				q, _ = p.Merge(merging(gone("service", name, ids.Revision(random.IntN(60)))))
+				q, _ = p.Merge(mergeOf(versionedRemoval("service", name, ids.Revision(random.IntN(60)))))
 			case 2:
-				q, _ = change(t, p, fmt.Sprint("c", n), fmt.Sprintf(`{"kind":"service","name":%q,"put":{"tier":%d}}`, name, random.IntN(9)))
+				q, _ = applyChange(t, p, fmt.Sprint("c", n), fmt.Sprintf(`{"kind":"service","name":%q,"put":{"tier":%d}}`, name, random.IntN(9)))
 			case 3:
-				q, _ = change(t, p, fmt.Sprint("c", n), fmt.Sprintf(`{"kind":"service","name":%q,"remove":true}`, name))
+				q, _ = applyChange(t, p, fmt.Sprint("c", n), fmt.Sprintf(`{"kind":"service","name":%q,"remove":true}`, name))
 			}
 			if q.Revision > p.Revision {
 				all = append(all, q)
@@ -58,15 +58,15 @@
 			is.True(older == got)
 		}
 	}
-	_, err := empty(t).Advance([]byte("{"))
+	_, err := emptyDocument(t).Advance([]byte("{"))
 	is.True(err != nil)
 }
 
 // The register's change function gives the very bytes back where nothing
 // changed, and does nothing with words that it can't read.
-func TestTheRegistersMerge(t *testing.T) {
+func TestOpMerge_LeavesValueUnchangedUnlessNewer(t *testing.T) {
 	is := is.New(t)
-	raw, _ := json.Marshal(merging(givenService("wader", 5)))
+	raw, _ := json.Marshal(mergeOf(versionedService("wader", 5)))
 	first, out := mergeOp(Key, nil, raw)
 	var r Result
 	is.NoErr(json.Unmarshal(out, &r))
@@ -78,7 +78,7 @@
 	same, out := mergeOp(Key, first, []byte(`{`))
 	is.Equal(string(same), string(first))
 	is.Equal(out, nil)
-	bad, _ := json.Marshal(merging(givenRoute("mud", "nobody", 1)))
+	bad, _ := json.Marshal(mergeOf(versionedRoute("mud", "nobody", 1)))
 	same, out = mergeOp(Key, first, bad)
 	is.Equal(string(same), string(first))
 	r = Result{}
--- a/internal/state/configuration/encode.go
+++ b/internal/state/configuration/encode.go
@@ -13,24 +13,24 @@
 // marshal writes the very bytes that json.Marshal does, without reading each
 // item's body again: it is most of a configuration, and is nearly always in the form
 // that json.Marshal would give it.
-func (p *Document) marshal() []byte {
-	shell := *p
+func (d *Document) marshal() []byte {
+	shell := *d
 	shell.Services, shell.Routes, shell.Zones, shell.Limits = nil, nil, nil, nil
 	rest, err := json.Marshal(&shell)
 	if err != nil {
 		return nil
 	}
-	head := append([]byte(`{"revision":`), strconv.FormatUint(uint64(p.Revision), 10)...)
+	head := append([]byte(`{"revision":`), strconv.FormatUint(uint64(d.Revision), 10)...)
 	rest, plain := bytes.CutPrefix(rest, append(slices.Clone(head), `,"services":null,"routes":null,"cells":null`...))
 	if !plain {
-		raw, _ := json.Marshal(p)
+		raw, _ := json.Marshal(d)
 		return raw
 	}
 	out := head
 	for _, part := range []struct {
 		name  string
 		items map[ids.Name]Item
-	}{{"services", p.Services}, {"routes", p.Routes}, {"cells", p.Zones}, {"limits", p.Limits}} {
+	}{{"services", d.Services}, {"routes", d.Routes}, {"cells", d.Zones}, {"limits", d.Limits}} {
 		if part.name == "limits" && len(part.items) == 0 {
 			continue
 		}
@@ -66,13 +66,13 @@
 		out = appendRaw(append(out, `,"source":`...), it.Source)
 	}
 	out = appendTrue(out, "merged", it.Merged)
-	out = appendNumber(out, "at", it.At)
-	if it.By != "" {
-		by, _ := json.Marshal(it.By)
+	out = appendNumber(out, "at", it.ChangedAt)
+	if it.ChangeHash != "" {
+		by, _ := json.Marshal(it.ChangeHash)
 		out = append(append(out, `,"by":`...), by...)
 	}
-	out = appendNumber(out, "prev", it.Prev)
-	out = appendTrue(out, "given", it.Given)
+	out = appendNumber(out, "prev", it.PreviousVersion)
+	out = appendTrue(out, "given", it.EverMerged)
 	return append(out, '}')
 }
 
--- a/internal/state/configuration/encode_test.go
+++ b/internal/state/configuration/encode_test.go
@@ -17,7 +17,7 @@
 }
 
 // What is written without reading each body again is what json.Marshal writes.
-func TestPackedAsJSONMarshalDoes(t *testing.T) {
+func TestEncode_MatchesJSONMarshal(t *testing.T) {
 	is := is.New(t)
 	odd := []string{`{"a":1}`, `{ "a" : [ 1 , 2 ] }`, `"<&>"`, "\"\u2028 \u2029\"", `"\u003c"`, "\"\xff\xe2\x80\"", `null`, "{\n\t}"}
 	p, _ := Decode(nil)
@@ -25,26 +25,26 @@
 		plain, err := json.Marshal(p)
 		is.NoErr(err)
 		is.Equal(string(p.Encode(true)), string(plain))
-		p = p.copy()
+		p = p.nextRevision()
 		for i, body := range odd {
 			n := ids.Name(fmt.Sprintf("é<%d>%d", i, round))
-			p.Routes[n] = Item{Version: 3, Body: json.RawMessage(body), At: ids.Revision(i)}
-			p.Services[n] = Item{Version: 1 << 60, By: "b<", Prev: 3, Given: true, Body: json.RawMessage(`{}`), Source: json.RawMessage(body), Merged: i%2 == 0}
+			p.Routes[n] = Item{Version: 3, Body: json.RawMessage(body), ChangedAt: ids.Revision(i)}
+			p.Services[n] = Item{Version: 1 << 60, ChangeHash: "b<", PreviousVersion: 3, EverMerged: true, Body: json.RawMessage(`{}`), Source: json.RawMessage(body), Merged: i%2 == 0}
 			if round > 1 {
-				p.Limits[n] = Item{Body: json.RawMessage(body), By: "id<", Prev: 2, Given: true}
+				p.Limits[n] = Item{Body: json.RawMessage(body), ChangeHash: "id<", PreviousVersion: 2, EverMerged: true}
 			}
 		}
-		p.bury("route/x", Tombstone{Version: 7, By: "x", Prev: 6, Given: true})
-		p.Recent = keep(p.Recent, Result{ID: "a", Revision: 2}, 5)
-		p.History = &History{Forgotten: ids.Revision(round)}
+		p.addTombstone("route/x", Tombstone{Version: 7, ChangeHash: "x", PreviousVersion: 6, EverMerged: true})
+		p.RecentResults = appendBounded(p.RecentResults, Result{ID: "a", Revision: 2}, 5)
+		p.History = &History{ForgottenRevision: ids.Revision(round)}
 	}
-	p.Base, p.Zones = 4, nil
+	p.BaseRevision, p.Zones = 4, nil
 	plain, _ := json.Marshal(p)
 	is.Equal(string(p.Encode(true)), string(plain))
 }
 
 // No field of an item is left out, also none that is added later.
-func TestEveryFieldOfAnItemIsPacked(t *testing.T) {
+func TestItemAppendJSON_WritesEveryField(t *testing.T) {
 	is := is.New(t)
 	kind := reflect.TypeFor[Item]()
 	for set := range 1 << kind.NumField() {
@@ -74,19 +74,19 @@
 }
 
 // A proposer that has the configuration at hand gives what one gives that reads it anew.
-func TestDecodedConfigurationGivesTheSame(t *testing.T) {
+func TestOps_CachedDocumentGivesSameResult(t *testing.T) {
 	is := is.New(t)
 	ops := Ops()
 	var value []byte
 	for i := range 40 {
-		list := []VersionedItem{givenService("wader", 1), givenRoute(fmt.Sprint("r", i%7), "wader", ids.Revision(i))}
+		list := []VersionedItem{versionedService("wader", 1), versionedRoute(fmt.Sprint("r", i%7), "wader", ids.Revision(i))}
 		if i%5 == 4 {
 			list[1].Removed, list[1].Body = true, nil
 		}
 		if i%11 == 10 {
-			list[1] = givenRoute("r1", "nobody", 99)
+			list[1] = versionedRoute("r1", "nobody", 99)
 		}
-		arg, _ := json.Marshal(merging(list...))
+		arg, _ := json.Marshal(mergeOf(list...))
 		old := value
 		want, wantOut := mergeOp(Key, old, arg)
 		for range 2 {
@@ -97,7 +97,7 @@
 		value = want
 		if i%9 == 8 {
 			// Another proposer's value lies between.
-			other, _ := json.Marshal(merging(givenService(fmt.Sprint("s", i), 1)))
+			other, _ := json.Marshal(mergeOf(versionedService(fmt.Sprint("s", i), 1)))
 			value, _ = mergeOp(Key, value, other)
 		}
 	}
--- a/internal/state/configuration/given.go
+++ b/internal/state/configuration/given.go
@@ -22,13 +22,13 @@
 	}
 	CheckKeys(doc, "", bad, "items")
 	list := doc.Get("items").Array()
-	if !doc.Get("items").IsArray() || len(list) == 0 || len(list) > mostGiven {
-		bad("items", fmt.Sprintf("must be a list of 1 to %d", mostGiven))
+	if !doc.Get("items").IsArray() || len(list) == 0 || len(list) > maxMergeItems {
+		bad("items", fmt.Sprintf("must be a list of 1 to %d", maxMergeItems))
 		return m, faults
 	}
 	for i, g := range list {
 		item = fmt.Sprintf("items.%d", i)
-		readGiven(g, bad)
+		checkVersionedItem(g, bad)
 	}
 	if len(faults) == 0 {
 		if err := json.Unmarshal(raw, &m); err != nil {
@@ -42,8 +42,8 @@
 	return m, faults
 }
 
-// readGiven checks what surrounds an item's body; the body is checked later.
-func readGiven(g gjson.Result, bad func(path, why string)) {
+// checkVersionedItem checks what surrounds an item's body; the body is checked later.
+func checkVersionedItem(g gjson.Result, bad func(path, why string)) {
 	if !g.IsObject() {
 		bad("", "must be an object")
 		return
@@ -56,7 +56,7 @@
 		}
 		seen[k.String()] = true
 		if k.String() == "body" {
-			twice("body", v, bad)
+			checkDuplicateKeys("body", v, bad)
 		}
 		return true
 	})
@@ -78,14 +78,14 @@
 	}
 }
 
-// deepestSource is how far a source may nest: encoding/json reads no more than
+// maxSourceDepth is how far a source may nest: encoding/json reads no more than
 // ten thousand levels, and what it can't read again nobody could keep.
-const deepestSource = 256
+const maxSourceDepth = 256
 
 func checkSource(raw json.RawMessage, bad func(path, why string)) {
 	switch {
 	case len(raw) == 0:
-	case jsoncheck.Depth(raw) > deepestSource:
+	case jsoncheck.Depth(raw) > maxSourceDepth:
 		bad("source", "nests too deep")
 	case !jsoncheck.Valid(raw):
 		bad("source", "is not valid JSON")
--- a/internal/state/configuration/given_test.go
+++ b/internal/state/configuration/given_test.go
@@ -11,7 +11,7 @@
 	"dunlinwell/internal/base/ids"
 )
 
-func TestReadMerging(t *testing.T) {
+func TestReadMerge_ListsViolations(t *testing.T) {
 	is := is.New(t)
 	m, faults := ReadMerge([]byte(`{"items":[{"kind":"service","name":"Wader_1","version":7,"body":{"tier":3},"source":{"x":1,"x":2}},{"kind":"route","name":"mud","version":0,"removed":true}]}`))
 	is.Equal(len(faults), 0)
@@ -48,32 +48,32 @@
 
 // Routes that were merged are their caller's business, though it kept no source:
 // two of them with one place don't stand in the way of our own changes.
-func TestMergedRoutesMayShareAPlace(t *testing.T) {
+func TestApply_AllowsMergedRoutesWithSamePrefix(t *testing.T) {
 	is := is.New(t)
-	a, b := givenRoute("mud", "wader", 1), givenRoute("mud", "wader", 1)
+	a, b := versionedRoute("mud", "wader", 1), versionedRoute("mud", "wader", 1)
 	b.Name, a.Source, b.Source = "sand", nil, nil
-	p, r := empty(t).Merge(merging(givenService("wader", 1), a, b))
+	p, r := emptyDocument(t).Merge(mergeOf(versionedService("wader", 1), a, b))
 	is.True(r.Accepted())
-	_, r = change(t, p, "1", service)
+	_, r = applyChange(t, p, "1", service)
 	is.True(r.Accepted())
 }
 
 // What nests thousands deep could be kept by nobody: it is a fault, not an
 // uncertain end.
-func TestDeepSourcesAreFaults(t *testing.T) {
+func TestMergeCheck_RejectsDeeplyNestedSource(t *testing.T) {
 	is := is.New(t)
 	nested := func(n int) VersionedItem {
-		g := givenService("wader", 1)
+		g := versionedService("wader", 1)
 		g.Source = json.RawMessage(`{"a":"[[[[{\"","b":` + strings.Repeat("[", n) + strings.Repeat("]", n) + `}`)
 		return g
 	}
-	is.Equal(len(merging(nested(deepestSource-1)).Check()), 0)
-	for _, n := range []int{deepestSource, 20000, 1000000} {
+	is.Equal(len(mergeOf(nested(maxSourceDepth-1)).Check()), 0)
+	for _, n := range []int{maxSourceDepth, 20000, 1000000} {
 		from := time.Now()
-		is.Equal(merging(nested(n)).Check(), []Violation{{"service/wader", "source", "nests too deep"}})
+		is.Equal(mergeOf(nested(n)).Check(), []Violation{{"service/wader", "source", "nests too deep"}})
 		is.True(time.Since(from) < 2*time.Second)
 	}
-	g := givenService("wader", 1)
+	g := versionedService("wader", 1)
 	g.Source = json.RawMessage(`{"a":`)
-	is.Equal(merging(g).Check(), []Violation{{"service/wader", "source", "is not valid JSON"}})
+	is.Equal(mergeOf(g).Check(), []Violation{{"service/wader", "source", "is not valid JSON"}})
 }
--- a/internal/state/configuration/history.go
+++ b/internal/state/configuration/history.go
@@ -16,76 +16,76 @@
 type History struct {
 	// Changes holds an entry for each change id that ended: its content, and the
 	// revision that it made or was rejected at.
-	Changes entries `json:"changes,omitempty"`
-	// Forgotten is the highest revision of an entry that Changes had to drop.
+	Changes historyEntries `json:"changes,omitempty"`
+	// ForgottenRevision is the highest revision of an entry that Changes had to drop.
 	// Whatever was made after it is known.
-	Forgotten ids.Revision `json:"forgotten,omitempty"`
+	ForgottenRevision ids.Revision `json:"forgotten,omitempty"`
 	// Versions holds an entry for each version of a merged item that once held.
-	Versions entries `json:"versions,omitempty"`
+	Versions historyEntries `json:"versions,omitempty"`
 }
 
 const (
-	// mostChanges is a day of changes at the size that is designed for.
-	mostChanges = 4300
-	// mostVersions bounds the versions whose content is known though overtaken.
-	mostVersions = 256
-	// dropAtOnce is how many entries are dropped together, so that most changes
+	// maxChangeEntries is a day of changes at the size that is designed for.
+	maxChangeEntries = 4300
+	// maxVersionEntries bounds the versions whose content is known though overtaken.
+	maxVersionEntries = 256
+	// evictionBatch is how many entries are dropped together, so that most changes
 	// only append to the list.
-	dropAtOnce = 64
+	evictionBatch = 64
 )
 
 const (
-	keySize      = 8
-	revisionSize = 4
-	entrySize    = keySize + contentSize + revisionSize
+	historyKeySize = 8
+	revisionSize   = 4
+	entrySize      = historyKeySize + contentHashSize + revisionSize
 	// rejectedBit marks a revision at which a change was rejected.
 	rejectedBit = 1 << 31
 )
 
-// entryKey is a hash of what an entry is about.
-type entryKey [keySize]byte
+// historyKey is a hash of what an entry is about.
+type historyKey [historyKeySize]byte
 
-// entry is what is remembered of one change or of one version of an item.
-type entry struct {
-	key      entryKey
-	content  contentSum
-	revision ids.Revision
-	rejected bool
+// historyEntry is what is remembered of one change or of one version of an item.
+type historyEntry struct {
+	key         historyKey
+	contentHash contentHash
+	revision    ids.Revision
+	rejected    bool
 }
 
-// entries is a list of entries, oldest first, each of entrySize bytes. It is
+// historyEntries is a list of entries, oldest first, each of entrySize bytes. It is
 // never altered in place, as configurations share it.
-type entries []byte
+type historyEntries []byte
 
-func keyOf(what string) entryKey {
+func historyKeyOf(what string) historyKey {
 	whole := sha256.Sum256([]byte(what))
-	return entryKey(whole[:keySize])
+	return historyKey(whole[:historyKeySize])
 }
 
-func (list entries) count() int { return len(list) / entrySize }
+func (list historyEntries) count() int { return len(list) / entrySize }
 
-func (list entries) at(i int) entry {
+func (list historyEntries) at(i int) historyEntry {
 	raw := list[i*entrySize : (i+1)*entrySize]
-	revision := binary.BigEndian.Uint32(raw[keySize+contentSize:])
-	return entry{entryKey(raw[:keySize]), contentSum(raw[keySize:]), ids.Revision(revision &^ rejectedBit), revision&rejectedBit != 0}
+	revision := binary.BigEndian.Uint32(raw[historyKeySize+contentHashSize:])
+	return historyEntry{historyKey(raw[:historyKeySize]), contentHash(raw[historyKeySize:]), ids.Revision(revision &^ rejectedBit), revision&rejectedBit != 0}
 }
 
 // find gives the newest entry under a key.
-func (list entries) find(key entryKey) (entry, bool) {
+func (list historyEntries) find(key historyKey) (historyEntry, bool) {
 	for i := list.count() - 1; i >= 0; i-- {
-		if bytes.Equal(list[i*entrySize:i*entrySize+keySize], key[:]) {
+		if bytes.Equal(list[i*entrySize:i*entrySize+historyKeySize], key[:]) {
 			return list.at(i), true
 		}
 	}
-	return entry{}, false
+	return historyEntry{}, false
 }
 
 // add gives the list with one more entry and at most so many of them, and the
 // highest revision among those that were dropped.
-func (list entries) add(e entry, most int) (entries, ids.Revision) {
+func (list historyEntries) add(e historyEntry, most int) (historyEntries, ids.Revision) {
 	var dropped ids.Revision
 	if list.count() >= most {
-		old := min(list.count(), list.count()-most+dropAtOnce)
+		old := min(list.count(), list.count()-most+evictionBatch)
 		for i := range old {
 			dropped = max(dropped, list.at(i).revision)
 		}
@@ -96,98 +96,98 @@
 		revision |= rejectedBit
 	}
 	next := append(slices.Clone(list), e.key[:]...)
-	next = append(next, e.content[:]...)
+	next = append(next, e.contentHash[:]...)
 	return binary.BigEndian.AppendUint32(next, revision), dropped
 }
 
 // history gives what is remembered; of a configuration that was written before there
 // was a history, as much as its results tell.
-func (p *Document) history() History {
-	if p.History != nil {
-		return *p.History
+func (d *Document) history() History {
+	if d.History != nil {
+		return *d.History
 	}
 	var h History
 	for _, list := range []struct {
 		results []Result
 		most    int
-	}{{p.Recent, mostRecent}, {p.Rejected, mostRejected}} {
+	}{{d.RecentResults, maxRecentResults}, {d.RejectedResults, maxRejectedResults}} {
 		if len(list.results) >= list.most {
-			h.Forgotten = max(h.Forgotten, list.results[0].Revision)
+			h.ForgottenRevision = max(h.ForgottenRevision, list.results[0].Revision)
 		}
 	}
 	return h
 }
 
-// rememberChange notes how a change ended.
-func (p *Document) rememberChange(c Change, res Result) {
-	h := p.history()
-	e := entry{keyOf(string(c.ID)), sumOfChange(c), res.Revision, !res.Accepted()}
+// recordChange notes how a change ended.
+func (d *Document) recordChange(c Change, res Result) {
+	h := d.history()
+	e := historyEntry{historyKeyOf(string(c.ID)), hashChange(c), res.Revision, !res.Accepted()}
 	var dropped ids.Revision
-	h.Changes, dropped = h.Changes.add(e, mostChanges)
-	h.Forgotten = max(h.Forgotten, dropped)
-	p.History = &h
+	h.Changes, dropped = h.Changes.add(e, maxChangeEntries)
+	h.ForgottenRevision = max(h.ForgottenRevision, dropped)
+	d.History = &h
 }
 
 // versionKey names one version of an item.
-func versionKey(kind string, name ids.Name, v ids.Revision) entryKey {
-	return keyOf(kind + "/" + string(name) + "@" + strconv.FormatUint(uint64(v), 10))
+func versionKey(kind string, name ids.Name, v ids.Revision) historyKey {
+	return historyKeyOf(kind + "/" + string(name) + "@" + strconv.FormatUint(uint64(v), 10))
 }
 
-// rememberVersion notes the content of a version that is about to be overtaken.
-func (p *Document) rememberVersion(kind string, name ids.Name) {
-	v, ok := p.version(kind, name)
+// recordVersion notes the content of a version that is about to be overtaken.
+func (d *Document) recordVersion(kind string, name ids.Name) {
+	v, ok := d.version(kind, name)
 	if !ok {
 		return
 	}
-	h := p.history()
-	e := entry{key: versionKey(kind, name, v), content: p.contentOf(kind, name), revision: p.Revision}
-	h.Versions, _ = h.Versions.add(e, mostVersions)
-	p.History = &h
+	h := d.history()
+	e := historyEntry{key: versionKey(kind, name, v), contentHash: d.contentHashOf(kind, name), revision: d.Revision}
+	h.Versions, _ = h.Versions.add(e, maxVersionEntries)
+	d.History = &h
 }
 
-// rememberGiven notes the version that holds, if versions of the name were given
+// recordVersionIfMerged notes the version that holds, if versions of the name were given
 // from outside.
-func (p *Document) rememberGiven(kind string, name ids.Name, given bool) {
+func (d *Document) recordVersionIfMerged(kind string, name ids.Name, given bool) {
 	if given {
-		p.rememberVersion(kind, name)
+		d.recordVersion(kind, name)
 	}
 }
 
-// conflicts tells whether an item's version stands for another content already:
+// reuseConflicts tells whether an item's version stands for another content already:
 // two callers can't both be told that one number is theirs.
-func (p *Document) conflicts(g VersionedItem) []Violation {
-	have, known := p.version(g.Kind, g.Name)
+func (d *Document) reuseConflicts(g VersionedItem) []Violation {
+	have, known := d.version(g.Kind, g.Name)
 	if !known || g.Version > have {
 		return nil
 	}
-	content := p.contentOf(g.Kind, g.Name)
+	content := d.contentHashOf(g.Kind, g.Name)
 	if g.Version < have {
-		e, ok := p.history().Versions.find(versionKey(g.Kind, g.Name, g.Version))
+		e, ok := d.history().Versions.find(versionKey(g.Kind, g.Name, g.Version))
 		if !ok {
 			// It never held, or that is long ago: overtaken, it has no effect.
 			return nil
 		}
-		content = e.content
+		content = e.contentHash
 	}
-	if content == g.content() {
+	if content == g.contentHash() {
 		return nil
 	}
 	return []Violation{{g.Kind + "/" + string(g.Name), "version", reasonOtherValue}}
 }
 
-// content sums up what a given item asks for.
-func (g VersionedItem) content() contentSum {
+// contentHash sums up what a given item asks for.
+func (g VersionedItem) contentHash() contentHash {
 	if g.Removed {
-		return removedContent
+		return removedContentHash
 	}
-	return sumOfItem(g.Body, g.Source)
+	return hashItem(g.Body, g.Source)
 }
 
-// contentOf sums up what holds for a name: an item, or its removal.
-func (p *Document) contentOf(kind string, name ids.Name) contentSum {
-	it, ok := p.Items(kind)[name]
+// contentHashOf sums up what holds for a name: an item, or its removal.
+func (d *Document) contentHashOf(kind string, name ids.Name) contentHash {
+	it, ok := d.Items(kind)[name]
 	if !ok {
-		return removedContent
+		return removedContentHash
 	}
-	return sumOfItem(it.Body, it.Source)
+	return hashItem(it.Body, it.Source)
 }
--- a/internal/state/configuration/merge.go
+++ b/internal/state/configuration/merge.go
@@ -33,21 +33,21 @@
 	Items []VersionedItem `json:"items"`
 }
 
-// mostGiven bounds the items of one call.
-const mostGiven = 200000
+// maxMergeItems bounds the items of one call.
+const maxMergeItems = 200000
 
 // Check finds what a merging's own words show to be wrong.
 func (m Merge) Check() []Violation {
 	var faults []Violation
 	item := "items"
 	bad := func(path, why string) { faults = append(faults, Violation{item, path, why}) }
-	if len(m.Items) > mostGiven {
-		bad("", fmt.Sprintf("must be %d at most", mostGiven))
+	if len(m.Items) > maxMergeItems {
+		bad("", fmt.Sprintf("must be %d at most", maxMergeItems))
 		return faults
 	}
 	for i, g := range m.Items {
 		item = fmt.Sprintf("items.%d", i)
-		if _, ok := fields[g.Kind]; !ok {
+		if _, ok := fieldRules[g.Kind]; !ok {
 			bad("kind", "is not known")
 			continue
 		}
@@ -64,23 +64,23 @@
 			continue
 		}
 		checkSource(g.Source, bad)
-		checkGiven(g.Kind, string(g.Body), bad)
+		checkVersionedBody(g.Kind, string(g.Body), bad)
 	}
 	return faults
 }
 
 // Merge gives the configuration with a call's items merged in, or the same configuration if
 // the call is rejected or brings nothing newer.
-func (p *Document) Merge(m Merge) (*Document, Result) {
-	res := Result{Revision: p.Revision, Violations: m.Check()}
+func (d *Document) Merge(m Merge) (*Document, Result) {
+	res := Result{Revision: d.Revision, Violations: m.Check()}
 	if len(res.Violations) > 0 {
-		return p, res
+		return d, res
 	}
-	next := p.copy()
+	next := d.nextRevision()
 	changed, orphaned := false, false
 	for _, g := range m.Items {
-		res.Conflicts = append(res.Conflicts, next.conflicts(g)...)
-		if next.merge(g) {
+		res.ReuseConflicts = append(res.ReuseConflicts, next.reuseConflicts(g)...)
+		if next.mergeItem(g) {
 			changed = true
 			orphaned = orphaned || g.Kind == "service" && g.Removed
 		}
@@ -96,7 +96,7 @@
 	}
 	// The others stand by services that they had, unless some of those went.
 	if orphaned {
-		for _, n := range sorted(next.Routes) {
+		for _, n := range sortedNames(next.Routes) {
 			for _, f := range next.unknownServices(n, next.Routes[n].Body) {
 				if !slices.Contains(res.Violations, f) {
 					res.Violations = append(res.Violations, f)
@@ -105,60 +105,60 @@
 		}
 	}
 	if !res.Accepted() {
-		return p, Result{Revision: p.Revision, Violations: res.Violations, Conflicts: res.Conflicts}
+		return d, Result{Revision: d.Revision, Violations: res.Violations, ReuseConflicts: res.ReuseConflicts}
 	}
 	if !changed {
-		return p, res
+		return d, res
 	}
 	res.Revision = next.Revision
 	return next, res
 }
 
-// copy gives the next revision's configuration, with maps of its own.
-func (p *Document) copy() *Document {
+// nextRevision gives the next revision's configuration, with maps of its own.
+func (d *Document) nextRevision() *Document {
 	return &Document{
-		Revision: p.Revision + 1, Services: maps.Clone(p.Services), Routes: maps.Clone(p.Routes), Zones: maps.Clone(p.Zones),
-		Limits: maps.Clone(p.Limits), Removed: maps.Clone(p.Removed), Recent: p.Recent, Rejected: p.Rejected, History: p.History,
+		Revision: d.Revision + 1, Services: maps.Clone(d.Services), Routes: maps.Clone(d.Routes), Zones: maps.Clone(d.Zones),
+		Limits: maps.Clone(d.Limits), Tombstones: maps.Clone(d.Tombstones), RecentResults: d.RecentResults, RejectedResults: d.RejectedResults, History: d.History,
 	}
 }
 
 // version gives the version that holds for a name, set or removed.
-func (p *Document) version(kind string, name ids.Name) (ids.Revision, bool) {
-	if it, ok := p.Items(kind)[name]; ok {
+func (d *Document) version(kind string, name ids.Name) (ids.Revision, bool) {
+	if it, ok := d.Items(kind)[name]; ok {
 		return it.Version, true
 	}
-	v, ok := p.Removed[kind+"/"+string(name)]
+	v, ok := d.Tombstones[kind+"/"+string(name)]
 	return v.Version, ok
 }
 
-// merge takes one item if its version is the highest for its name.
-func (p *Document) merge(g VersionedItem) bool {
-	if v, ok := p.version(g.Kind, g.Name); ok && g.Version <= v {
+// mergeItem takes one item if its version is the highest for its name.
+func (d *Document) mergeItem(g VersionedItem) bool {
+	if v, ok := d.version(g.Kind, g.Name); ok && g.Version <= v {
 		return false
 	}
 	key := g.Kind + "/" + string(g.Name)
-	p.rememberVersion(g.Kind, g.Name)
+	d.recordVersion(g.Kind, g.Name)
 	if g.Removed {
-		delete(p.Items(g.Kind), g.Name)
-		p.bury(key, Tombstone{Version: g.Version, Given: true})
+		delete(d.Items(g.Kind), g.Name)
+		d.addTombstone(key, Tombstone{Version: g.Version, EverMerged: true})
 		return true
 	}
-	delete(p.Removed, key)
-	p.Items(g.Kind)[g.Name] = Item{Version: g.Version, Body: pretty.Ugly(g.Body), Source: g.Source, At: p.Revision, Merged: true, Given: true}
+	delete(d.Tombstones, key)
+	d.Items(g.Kind)[g.Name] = Item{Version: g.Version, Body: pretty.Ugly(g.Body), Source: g.Source, ChangedAt: d.Revision, Merged: true, EverMerged: true}
 	return true
 }
 
-// bury notes how an item was removed.
-func (p *Document) bury(key string, t Tombstone) {
-	if p.Removed == nil {
-		p.Removed = map[string]Tombstone{}
+// addTombstone notes how an item was removed.
+func (d *Document) addTombstone(key string, t Tombstone) {
+	if d.Tombstones == nil {
+		d.Tombstones = map[string]Tombstone{}
 	}
-	t.At = p.Revision
-	p.Removed[key] = t
+	t.ChangedAt = d.Revision
+	d.Tombstones[key] = t
 }
 
 // unknownServices finds services that a route names and that aren't there.
-func (p *Document) unknownServices(n ids.Name, body []byte) []Violation {
+func (d *Document) unknownServices(n ids.Name, body []byte) []Violation {
 	var r Route
 	if err := json.Unmarshal(body, &r); err != nil {
 		return []Violation{{"route/" + string(n), "", err.Error()}}
@@ -172,7 +172,7 @@
 		}
 	}
 	for _, s := range names {
-		if _, ok := p.Services[s]; !ok {
+		if _, ok := d.Services[s]; !ok {
 			faults = append(faults, Violation{"route/" + string(n), "service", fmt.Sprintf("there is no service %q", s)})
 		}
 	}
--- a/internal/state/configuration/merge_test.go
+++ b/internal/state/configuration/merge_test.go
@@ -10,22 +10,22 @@
 	"dunlinwell/internal/base/ids"
 )
 
-func givenService(name string, v ids.Revision) VersionedItem {
+func versionedService(name string, v ids.Revision) VersionedItem {
 	return VersionedItem{Kind: "service", Name: ids.Name(name), Version: v, Body: json.RawMessage(`{"circuits":9}`), Source: json.RawMessage(fmt.Sprintf(`{"called": %q,  "v":%d}`, name, v))}
 }
 
-func givenRoute(name, service string, v ids.Revision) VersionedItem {
+func versionedRoute(name, service string, v ids.Revision) VersionedItem {
 	body := fmt.Sprintf(`{"host":"tern.example","prefix":"/%s/","service":%q,"repeatable":true}`, name, service)
 	return VersionedItem{Kind: "route", Name: ids.Name(name), Version: v, Body: json.RawMessage(body), Source: json.RawMessage(fmt.Sprintf(`{"n":%q, "to" : %q}`, name, service))}
 }
 
-func gone(kind, name string, v ids.Revision) VersionedItem {
+func versionedRemoval(kind, name string, v ids.Revision) VersionedItem {
 	return VersionedItem{Kind: kind, Name: ids.Name(name), Version: v, Removed: true}
 }
 
-func merging(items ...VersionedItem) Merge { return Merge{Items: items} }
+func mergeOf(items ...VersionedItem) Merge { return Merge{Items: items} }
 
-func empty(t *testing.T) *Document {
+func emptyDocument(t *testing.T) *Document {
 	t.Helper()
 	p, err := Decode(nil)
 	if err != nil {
@@ -34,44 +34,44 @@
 	return p
 }
 
-func TestTheHighestVersionHolds(t *testing.T) {
+func TestMerge_HighestVersionWins(t *testing.T) {
 	is := is.New(t)
-	p, r := empty(t).Merge(merging(givenService("wader", 7), givenRoute("mud", "wader", 7)))
+	p, r := emptyDocument(t).Merge(mergeOf(versionedService("wader", 7), versionedRoute("mud", "wader", 7)))
 	is.True(r.Accepted())
 	is.Equal(r.Revision, ids.Revision(1))
 	is.Equal(p.Routes["mud"].Version, ids.Revision(7))
 	is.Equal(r.Items, []ItemVersion{{"service", "wader", 7}, {"route", "mud", 7}})
 	// Equal and lower ones succeed, name what holds, and change nothing at all.
 	for _, v := range []ids.Revision{7, 6, 0} {
-		q, r := p.Merge(merging(givenRoute("mud", "wader", v)))
+		q, r := p.Merge(mergeOf(versionedRoute("mud", "wader", v)))
 		is.True(q == p)
 		is.True(r.Accepted())
 		is.Equal(r.Revision, p.Revision)
 		is.Equal(r.Items, []ItemVersion{{"route", "mud", 7}})
 	}
 	// Steps may be uneven, and one item may be newer beside one that is older.
-	q, r := p.Merge(merging(givenRoute("mud", "wader", 40), givenService("wader", 3)))
+	q, r := p.Merge(mergeOf(versionedRoute("mud", "wader", 40), versionedService("wader", 3)))
 	is.True(r.Accepted())
 	is.Equal(q.Routes["mud"].Version, ids.Revision(40))
 	is.Equal(q.Services["wader"].Version, ids.Revision(7))
 	is.Equal(p.Routes["mud"].Version, ids.Revision(7)) // the old configuration is as it was
 	// Version 0 is one too, where there is none.
-	q, r = q.Merge(merging(givenService("plover", 0)))
+	q, r = q.Merge(mergeOf(versionedService("plover", 0)))
 	is.True(r.Accepted())
 	_, ok := q.Services["plover"]
 	is.True(ok)
 }
 
 // Whatever the order in which calls arrive, and however often, the same holds.
-func TestCallsCommute(t *testing.T) {
+func TestMerge_IsCommutativeAndIdempotent(t *testing.T) {
 	is := is.New(t)
-	base, _ := empty(t).Merge(merging(givenService("wader", 1), givenService("plover", 1)))
+	base, _ := emptyDocument(t).Merge(mergeOf(versionedService("wader", 1), versionedService("plover", 1)))
 	calls := []Merge{
-		merging(givenRoute("mud", "wader", 2)),
-		merging(givenRoute("mud", "plover", 5), givenRoute("sand", "wader", 5)),
-		merging(gone("route", "mud", 9), givenRoute("sand", "plover", 3)),
-		merging(givenRoute("mud", "wader", 8)),
-		merging(gone("route", "sand", 4)),
+		mergeOf(versionedRoute("mud", "wader", 2)),
+		mergeOf(versionedRoute("mud", "plover", 5), versionedRoute("sand", "wader", 5)),
+		mergeOf(versionedRemoval("route", "mud", 9), versionedRoute("sand", "plover", 3)),
+		mergeOf(versionedRoute("mud", "wader", 8)),
+		mergeOf(versionedRemoval("route", "sand", 4)),
 	}
 	var play func(p *Document, left []int)
 	runs := 0
@@ -80,7 +80,7 @@
 			runs++
 			_, there := p.Routes["mud"]
 			is.True(!there)
-			is.Equal(p.Removed["route/mud"].Version, ids.Revision(9))
+			is.Equal(p.Tombstones["route/mud"].Version, ids.Revision(9))
 			is.Equal(string(p.Routes["sand"].Source), `{"n":"sand", "to" : "wader"}`)
 			return
 		}
@@ -98,10 +98,10 @@
 	is.Equal(runs, 120)
 }
 
-func TestWhatIsRemovedStaysSo(t *testing.T) {
+func TestMerge_OlderVersionDoesNotRestoreRemovedItem(t *testing.T) {
 	is := is.New(t)
-	p, _ := empty(t).Merge(merging(givenService("wader", 1), givenRoute("mud", "wader", 4)))
-	p, r := p.Merge(merging(gone("route", "mud", 6)))
+	p, _ := emptyDocument(t).Merge(mergeOf(versionedService("wader", 1), versionedRoute("mud", "wader", 4)))
+	p, r := p.Merge(mergeOf(versionedRemoval("route", "mud", 6)))
 	is.True(r.Accepted())
 	is.Equal(r.Items, []ItemVersion{{"route", "mud", 6}})
 	is.Equal(len(p.Routes), 0)
@@ -110,35 +110,35 @@
 	p, err := Decode(p.Encode(false))
 	is.NoErr(err)
 	for _, v := range []ids.Revision{4, 5} {
-		q, r := p.Merge(merging(givenRoute("mud", "wader", v)))
+		q, r := p.Merge(mergeOf(versionedRoute("mud", "wader", v)))
 		is.True(r.Accepted())
 		is.True(q == p)
 	}
 	// The number of the removal is taken: it can't stand for an item as well.
-	q, r := p.Merge(merging(givenRoute("mud", "wader", 6)))
-	is.Equal(r.Conflicts, []Violation{{"route/mud", "version", reasonOtherValue}})
+	q, r := p.Merge(mergeOf(versionedRoute("mud", "wader", 6)))
+	is.Equal(r.ReuseConflicts, []Violation{{"route/mud", "version", reasonOtherValue}})
 	is.True(q == p)
-	q, r = p.Merge(merging(gone("route", "mud", 6)))
+	q, r = p.Merge(mergeOf(versionedRemoval("route", "mud", 6)))
 	is.True(r.Accepted())
 	is.True(q == p)
-	p, _ = p.Merge(merging(givenRoute("mud", "wader", 7)))
+	p, _ = p.Merge(mergeOf(versionedRoute("mud", "wader", 7)))
 	is.Equal(p.Routes["mud"].Version, ids.Revision(7))
-	is.Equal(len(p.Removed), 0)
+	is.Equal(len(p.Tombstones), 0)
 	// One that never was there can be removed beforehand.
-	p, r = p.Merge(merging(gone("route", "early", 3)))
+	p, r = p.Merge(mergeOf(versionedRemoval("route", "early", 3)))
 	is.True(r.Accepted())
-	p, _ = p.Merge(merging(givenRoute("early", "wader", 2)))
+	p, _ = p.Merge(mergeOf(versionedRoute("early", "wader", 2)))
 	_, there := p.Routes["early"]
 	is.True(!there)
 	// A removal that is overtaken removes nothing.
-	p, _ = p.Merge(merging(gone("route", "mud", 7)))
+	p, _ = p.Merge(mergeOf(versionedRemoval("route", "mud", 7)))
 	_, there = p.Routes["mud"]
 	is.True(there)
 }
 
-func TestMergingsAreWholeOrNothing(t *testing.T) {
+func TestMerge_IsAtomic(t *testing.T) {
 	is := is.New(t)
-	p, _ := empty(t).Merge(merging(givenService("wader", 1), givenRoute("mud", "wader", 4)))
+	p, _ := emptyDocument(t).Merge(mergeOf(versionedService("wader", 1), versionedRoute("mud", "wader", 4)))
 	body := func(kind, raw string) VersionedItem {
 		return VersionedItem{Kind: kind, Name: "odd", Version: 50, Body: json.RawMessage(raw)}
 	}
@@ -153,14 +153,14 @@
 		"out of bounds":     body("service", `{"tier":10}`),
 		"no service":        body("route", `{"prefix":"/x/","repeatable":true}`),
 		"empty service":     body("route", `{"prefix":"/x/","repeatable":true,"service":""}`),
-		"unknown service":   givenRoute("odd", "nobody", 50),
+		"unknown service":   versionedRoute("odd", "nobody", 50),
 		"no weight":         body("route", `{"prefix":"/x/","repeatable":true,"split":[{"service":"wader","weight":0}]}`),
 		"unknown in split":  body("route", `{"prefix":"/x/","repeatable":true,"split":[{"service":"wader","weight":1},{"service":"nobody","weight":0}]}`),
 		"prefix no path":    body("route", `{"prefix":"x/","repeatable":true,"service":"wader"}`),
-		"service in use":    gone("service", "wader", 50),
-		"overtaken unknown": givenRoute("mud", "nobody", 2),
+		"service in use":    versionedRemoval("service", "wader", 50),
+		"overtaken unknown": versionedRoute("mud", "nobody", 2),
 	} {
-		q, r := p.Merge(merging(givenService("plover", 50), givenRoute("sand", "plover", 50), bad))
+		q, r := p.Merge(mergeOf(versionedService("plover", 50), versionedRoute("sand", "plover", 50), bad))
 		if r.Accepted() || len(r.Violations) == 0 {
 			t.Errorf("%s: accepted", name)
 		}
@@ -170,60 +170,60 @@
 		is.Equal(len(r.Items), 0)
 	}
 	// A route may come with its service, and both may go in one call.
-	q, r := p.Merge(merging(givenRoute("sand", "plover", 50), givenService("plover", 50)))
+	q, r := p.Merge(mergeOf(versionedRoute("sand", "plover", 50), versionedService("plover", 50)))
 	is.True(r.Accepted())
-	_, r = q.Merge(merging(gone("service", "plover", 51), gone("route", "sand", 51)))
+	_, r = q.Merge(mergeOf(versionedRemoval("service", "plover", 51), versionedRemoval("route", "sand", 51)))
 	is.True(r.Accepted())
 }
 
-func TestAMergingIsBounded(t *testing.T) {
+func TestMergeCheck_LimitsItemCount(t *testing.T) {
 	is := is.New(t)
-	faults := Merge{Items: make([]VersionedItem, mostGiven+1)}.Check()
+	faults := Merge{Items: make([]VersionedItem, maxMergeItems+1)}.Check()
 	is.Equal(len(faults), 1)
 	is.Equal(faults[0].Item, "items")
 }
 
 // What the operators of our own interface do to merged items goes on from the
 // version that holds, never back.
-func TestOwnChangesNeverGoBackInVersion(t *testing.T) {
+func TestApply_VersionOfMergedItemNeverDecreases(t *testing.T) {
 	is := is.New(t)
-	p, _ := empty(t).Merge(merging(givenService("wader", 100), givenRoute("mud", "wader", 100)))
-	p, r := change(t, p, "1", `{"kind":"service","name":"wader","set":{"tier":7}}`)
+	p, _ := emptyDocument(t).Merge(mergeOf(versionedService("wader", 100), versionedRoute("mud", "wader", 100)))
+	p, r := applyChange(t, p, "1", `{"kind":"service","name":"wader","set":{"tier":7}}`)
 	is.True(r.Accepted())
 	is.Equal(p.Services["wader"].Version, ids.Revision(101))
-	q, _ := p.Merge(merging(givenService("wader", 101)))
+	q, _ := p.Merge(mergeOf(versionedService("wader", 101)))
 	is.True(q == p)
-	p, r = change(t, p, "2", `{"kind":"route","name":"mud","remove":true}`)
+	p, r = applyChange(t, p, "2", `{"kind":"route","name":"mud","remove":true}`)
 	is.True(r.Accepted())
-	is.Equal(p.Removed["route/mud"].Version, ids.Revision(101))
-	q, _ = p.Merge(merging(givenRoute("mud", "wader", 101)))
+	is.Equal(p.Tombstones["route/mud"].Version, ids.Revision(101))
+	q, _ = p.Merge(mergeOf(versionedRoute("mud", "wader", 101)))
 	is.True(q == p)
-	p, r = change(t, p, "3", `{"kind":"route","name":"mud","put":{"prefix":"/mud","service":"wader","repeatable":true}}`)
+	p, r = applyChange(t, p, "3", `{"kind":"route","name":"mud","put":{"prefix":"/mud","service":"wader","repeatable":true}}`)
 	is.True(r.Accepted())
 	is.Equal(p.Routes["mud"].Version, ids.Revision(102))
-	p, _ = p.Merge(merging(givenRoute("mud", "wader", 103)))
+	p, _ = p.Merge(mergeOf(versionedRoute("mud", "wader", 103)))
 	is.Equal(p.Routes["mud"].Version, ids.Revision(103))
 }
 
 // An item that our own interface changed, and then removes, was merged once:
 // the copies of its caller must not bring it back.
-func TestOwnChangeThenRemovalOfAMergedItem(t *testing.T) {
+func TestMerge_StaleCopyDoesNotRestoreItemChangedThenRemoved(t *testing.T) {
 	is := is.New(t)
-	p, _ := empty(t).Merge(merging(givenService("wader", 100), givenRoute("mud", "wader", 100)))
-	p, r := change(t, p, "1", `{"kind":"route","name":"mud","set":{"tier":3}}`)
+	p, _ := emptyDocument(t).Merge(mergeOf(versionedService("wader", 100), versionedRoute("mud", "wader", 100)))
+	p, r := applyChange(t, p, "1", `{"kind":"route","name":"mud","set":{"tier":3}}`)
 	is.True(r.Accepted())
-	p, r = change(t, p, "2", `{"kind":"route","name":"mud","remove":true}`)
+	p, r = applyChange(t, p, "2", `{"kind":"route","name":"mud","remove":true}`)
 	is.True(r.Accepted())
-	q, _ := p.Merge(merging(givenRoute("mud", "wader", 100)))
+	q, _ := p.Merge(mergeOf(versionedRoute("mud", "wader", 100)))
 	is.True(q == p)
 }
 
-func TestSourceIsKeptToTheByte(t *testing.T) {
+func TestMerge_KeepsSourceExceptWhitespace(t *testing.T) {
 	is := is.New(t)
 	odd := `{ "z" : 1.50 , "a":"\u00e4ä",	"list":[ 1,2 ],"big":12345678901234567890 }`
-	g := givenService("wader", 1)
+	g := versionedService("wader", 1)
 	g.Source = json.RawMessage(odd)
-	raw, err := json.Marshal(merging(g))
+	raw, err := json.Marshal(mergeOf(g))
 	is.NoErr(err)
 	out, _ := mergeOp(Key, nil, raw)
 	p, err := Decode(out)
--- a/internal/state/configuration/nesting.go
+++ b/internal/state/configuration/nesting.go
@@ -6,17 +6,17 @@
 	"github.com/tidwall/gjson"
 )
 
-// twice finds keys that stand twice in an object: two readers could each take
+// checkDuplicateKeys finds keys that stand twice in an object: two readers could each take
 // another of them for the truth.
-func twice(path string, v gjson.Result, bad func(path, why string)) {
-	twiceWithin(path, v, deepest, bad)
+func checkDuplicateKeys(path string, v gjson.Result, bad func(path, why string)) {
+	checkDuplicateKeysWithin(path, v, maxChangeDepth, bad)
 }
 
-// deepest is how far objects and lists may stand within one another. Ours need
+// maxChangeDepth is how far objects and lists may stand within one another. Ours need
 // three; each level is read anew, so that thousands of them would take seconds.
-const deepest = 16
+const maxChangeDepth = 16
 
-func twiceWithin(path string, v gjson.Result, left int, bad func(path, why string)) {
+func checkDuplicateKeysWithin(path string, v gjson.Result, left int, bad func(path, why string)) {
 	if left == 0 {
 		bad(path, "is nested too deeply")
 		return
@@ -24,16 +24,16 @@
 	seen, n := map[string]bool{}, -1
 	v.ForEach(func(k, in gjson.Result) bool {
 		n++
-		at := join2(path, strconv.Itoa(n))
+		at := joinPath(path, strconv.Itoa(n))
 		if v.IsObject() {
-			at = join2(path, k.String())
+			at = joinPath(path, k.String())
 			if seen[k.String()] {
 				bad(at, "stands twice")
 			}
 			seen[k.String()] = true
 		}
 		if in.IsObject() || in.IsArray() {
-			twiceWithin(at, in, left-1, bad)
+			checkDuplicateKeysWithin(at, in, left-1, bad)
 		}
 		return true
 	})
--- a/internal/state/configuration/ops.go
+++ b/internal/state/configuration/ops.go
@@ -11,11 +11,11 @@
 
 // Ops are the change functions of the configuration, for one proposer alone.
 func Ops() map[consensus.Op]consensus.ChangeFunc {
-	c := &changer{}
+	c := &cachedDocument{}
 	return map[consensus.Op]consensus.ChangeFunc{
-		OpChange:    c.change(OpChange, changeStep),
-		OpMerge:     c.change(OpMerge, mergeStep),
-		OpOrderZone: c.change(OpOrderZone, orderZoneStep),
+		OpChange:    c.changeFunc(OpChange, changeStep),
+		OpMerge:     c.changeFunc(OpMerge, mergeStep),
+		OpOrderZone: c.changeFunc(OpOrderZone, orderZoneStep),
 	}
 }
 
--- a/internal/state/configuration/policy.go
+++ b/internal/state/configuration/policy.go
@@ -24,28 +24,28 @@
 	Source json.RawMessage `json:"source,omitempty"`
 	// Merged: it is its caller's business, though it may have kept no source.
 	Merged bool `json:"merged,omitempty"`
-	// At is the configuration's revision that last changed the item.
-	At ids.Revision `json:"at,omitempty"`
-	// By marks the change that made this version, and Prev is the version that it
+	// ChangedAt is the configuration's revision that last changed the item.
+	ChangedAt ids.Revision `json:"at,omitempty"`
+	// ChangeHash marks the change that made this version, and Prev is the version that it
 	// followed; both are empty where the version came by merging.
-	By   string       `json:"by,omitempty"`
-	Prev ids.Revision `json:"prev,omitempty"`
+	ChangeHash      string       `json:"by,omitempty"`
+	PreviousVersion ids.Revision `json:"prev,omitempty"`
 	// Given: a version of this name was given from outside, once.
-	Given bool `json:"given,omitempty"`
+	EverMerged bool `json:"given,omitempty"`
 }
 
 // Buried is what is known of an item that was removed.
 type Tombstone struct {
-	Version ids.Revision `json:"version"`
-	At      ids.Revision `json:"at"`
+	Version   ids.Revision `json:"version"`
+	ChangedAt ids.Revision `json:"at"`
 	// By, Prev and Given are as in an Item, for the change that removed it.
-	By    string       `json:"by,omitempty"`
-	Prev  ids.Revision `json:"prev,omitempty"`
-	Given bool         `json:"given,omitempty"`
+	ChangeHash      string       `json:"by,omitempty"`
+	PreviousVersion ids.Revision `json:"prev,omitempty"`
+	EverMerged      bool         `json:"given,omitempty"`
 }
 
-// merged tells whether an item came by merging.
-func (it Item) merged() bool { return it.Merged || it.Source != nil }
+// isMerged tells whether an item came by merging.
+func (it Item) isMerged() bool { return it.Merged || it.Source != nil }
 
 // Document is all items, and the results of recent changes by change id.
 type Document struct {
@@ -54,15 +54,15 @@
 	Routes   map[ids.Name]Item `json:"routes"`
 	Zones    map[ids.Name]Item `json:"cells"`
 	Limits   map[ids.Name]Item `json:"limits,omitempty"`
-	// Removed holds, by kind/name, the version under which an item was removed:
+	// Tombstones holds, by kind/name, the version under which an item was removed:
 	// an older copy that arrives later must not bring it back.
-	Removed map[string]Tombstone `json:"removed,omitempty"`
+	Tombstones map[string]Tombstone `json:"removed,omitempty"`
 	// Base, if set, tells that only what changed since that revision is here.
-	Base   ids.Revision `json:"base,omitempty"`
-	Recent []Result     `json:"recent,omitempty"`
-	// Rejected are kept as well: a late copy of a change whose caller was told
+	BaseRevision  ids.Revision `json:"base,omitempty"`
+	RecentResults []Result     `json:"recent,omitempty"`
+	// RejectedResults are kept as well: a late copy of a change whose caller was told
 	// that it is rejected must not be accepted once the item it lacked is there.
-	Rejected []Result `json:"declined,omitempty"`
+	RejectedResults []Result `json:"declined,omitempty"`
 	// History is what is remembered beyond the results above.
 	History *History `json:"history,omitempty"`
 }
@@ -71,15 +71,15 @@
 type Service struct {
 	Name ids.Name `json:"-"`
 	Tier int      `json:"tier"`
-	// Capacity is how many requests at once a target bears that doesn't say.
-	Capacity int `json:"capacity"`
-	// Warm is how long a target back from a restart takes to bear all.
-	Warm int `json:"warm_ms"`
-	// Allowance is the fleet's small allowance of retries beyond one in five.
-	Allowance int `json:"allowance"`
-	// WarmRate is how many requests a second a cold target bears from the whole
+	// DefaultCapacity is how many requests at once a target bears that doesn't say.
+	DefaultCapacity int `json:"capacity"`
+	// SlowStartMillis is how long a target back from a restart takes to bear all.
+	SlowStartMillis int `json:"warm_ms"`
+	// RetryBudget is the fleet's small allowance of retries beyond one in five.
+	RetryBudget int `json:"allowance"`
+	// SlowStartRate is how many requests a second a cold target bears from the whole
 	// fleet; 0 where only places bound it.
-	WarmRate float64 `json:"warm_rate"`
+	SlowStartRate float64 `json:"warm_rate"`
 	// Connections is how many connections a target takes from all callers; 0 for any.
 	Connections int `json:"circuits"`
 }
@@ -87,14 +87,14 @@
 // Zone is a zone: its region, its set points in ms of CPU a second, and
 // whether it is emptied.
 type Zone struct {
-	Name   ids.Name `json:"-"`
-	Region string   `json:"region"`
-	Target float64  `json:"target"`
+	Name       ids.Name `json:"-"`
+	Region     string   `json:"region"`
+	TargetLoad float64  `json:"target"`
 	// Unnamed: no operator named a target level.
-	Unnamed    bool    `json:"-"`
-	Acceptable float64 `json:"acceptable"`
-	Maximum    float64 `json:"maximum"`
-	Drained    bool    `json:"emptied"`
+	LoadDefaulted  bool    `json:"-"`
+	AcceptableLoad float64 `json:"acceptable"`
+	MaximumLoad    float64 `json:"maximum"`
+	Drained        bool    `json:"emptied"`
 	// Shut: nothing more is sent to the zone's targets, while its proxies go on
 	// serving from the targets of other zones.
 	Evacuated bool                     `json:"shut"`
@@ -118,25 +118,25 @@
 }
 
 // Encode writes a configuration; without the recent results for those who only obey.
-func (p *Document) Encode(recent bool) []byte {
-	c := *p
+func (d *Document) Encode(recent bool) []byte {
+	c := *d
 	if !recent {
-		c.Recent, c.Rejected, c.History = nil, nil, nil
+		c.RecentResults, c.RejectedResults, c.History = nil, nil, nil
 	}
 	return c.marshal()
 }
 
 // Items gives the items of a kind; nil for a kind that isn't one.
-func (p *Document) Items(kind string) map[ids.Name]Item {
+func (d *Document) Items(kind string) map[ids.Name]Item {
 	switch kind {
 	case "service":
-		return p.Services
+		return d.Services
 	case "route":
-		return p.Routes
+		return d.Routes
 	case "cell":
-		return p.Zones
+		return d.Zones
 	case "limits":
-		return p.Limits
+		return d.Limits
 	}
 	return nil
 }
--- a/internal/state/configuration/policy_test.go
+++ b/internal/state/configuration/policy_test.go
@@ -12,7 +12,7 @@
 	"dunlinwell/internal/base/ids"
 )
 
-func change(t *testing.T, p *Document, id, parts string) (*Document, Result) {
+func applyChange(t *testing.T, p *Document, id, parts string) (*Document, Result) {
 	t.Helper()
 	c, faults := ReadChange([]byte(fmt.Sprintf(`{"id":%q,"changes":[%s]}`, id, parts)))
 	if len(faults) > 0 {
@@ -26,74 +26,74 @@
 	route   = `{"kind":"route","name":"orders","put":{"prefix":"/orders","service":"ledger","repeatable":false}}`
 )
 
-func TestChangesAreWholeOrNothing(t *testing.T) {
+func TestApply_IsAtomic(t *testing.T) {
 	is := is.New(t)
 	empty, _ := Decode(nil)
-	p, r := change(t, empty, "1", service+","+route)
+	p, r := applyChange(t, empty, "1", service+","+route)
 	is.True(r.Accepted())
 	is.Equal(p.Revision, r.Revision)
 	is.Equal(string(p.Services["ledger"].Body), `{"tier":8}`) // read back as it was sent
 	// Resent: the first result, and no second revision.
-	same, again := change(t, p, "1", service+","+route)
+	same, again := applyChange(t, p, "1", service+","+route)
 	is.Equal(again, r)
 	is.Equal(same, p)
 	// Stale: rejected with the present version, and the good part with it.
-	q, r := change(t, p, "2", `{"kind":"service","name":"new","put":{}},{"kind":"route","name":"orders","version":9,"put":{"prefix":"/o","service":"ledger","repeatable":true}}`)
+	q, r := applyChange(t, p, "2", `{"kind":"service","name":"new","put":{}},{"kind":"route","name":"orders","version":9,"put":{"prefix":"/o","service":"ledger","repeatable":true}}`)
 	is.Equal(string(q.Encode(false)), string(p.Encode(false)))
-	is.Equal(r.Stale[0].Version, p.Routes["orders"].Version)
+	is.Equal(r.VersionConflicts[0].Version, p.Routes["orders"].Version)
 	// A route may not outlive its service, nor begin without one.
-	_, r = change(t, p, "3", `{"kind":"service","name":"ledger","remove":true}`)
+	_, r = applyChange(t, p, "3", `{"kind":"service","name":"ledger","remove":true}`)
 	is.Equal(r.Violations, []Violation{{"route/orders", "service", `there is no service "ledger"`}})
-	q, r = change(t, p, "4", `{"kind":"service","name":"ledger","remove":true},{"kind":"route","name":"orders","remove":true}`)
+	q, r = applyChange(t, p, "4", `{"kind":"service","name":"ledger","remove":true},{"kind":"route","name":"orders","remove":true}`)
 	is.True(r.Accepted())
 	is.Equal(len(q.Services)+len(q.Routes), 0)
-	_, r = change(t, q, "5", `{"kind":"cell","name":"nowhere","remove":true}`)
-	is.Equal(len(r.Missing), 1)
+	_, r = applyChange(t, q, "5", `{"kind":"cell","name":"nowhere","remove":true}`)
+	is.Equal(len(r.MissingItems), 1)
 	// Made anew, an item never has an old version again.
-	s, r := change(t, q, "6", service)
+	s, r := applyChange(t, q, "6", service)
 	is.True(r.Accepted())
 	is.True(s.Services["ledger"].Version > p.Services["ledger"].Version)
-	_, r = change(t, s, "7", `{"kind":"service","name":"ledger","version":0,"put":{}}`)
-	is.Equal(len(r.Stale), 1)
+	_, r = applyChange(t, s, "7", `{"kind":"service","name":"ledger","version":0,"put":{}}`)
+	is.Equal(len(r.VersionConflicts), 1)
 }
 
 // A change was rejected, and a copy of it comes late, when it would be good:
 // its caller was told that it is rejected, and that stands.
-func TestARejectedChangeStaysRejected(t *testing.T) {
+func TestApply_RejectedChangeStaysRejected(t *testing.T) {
 	is := is.New(t)
 	p, _ := Decode(nil)
 	remove := `{"kind":"service","name":"ledger","remove":true}`
-	p, r := change(t, p, "1", remove)
-	is.Equal(len(r.Missing), 1)
-	p, r = change(t, p, "2", service)
+	p, r := applyChange(t, p, "1", remove)
+	is.Equal(len(r.MissingItems), 1)
+	p, r = applyChange(t, p, "2", service)
 	is.True(r.Accepted())
-	p, r = change(t, p, "1", remove)
-	is.Equal(len(r.Missing), 1)
+	p, r = applyChange(t, p, "1", remove)
+	is.Equal(len(r.MissingItems), 1)
 	is.Equal(len(p.Services), 1)
 	// What is kept is bounded, and not shown to those who only obey.
-	for i := range 3 * mostRejected {
-		p, _ = change(t, p, fmt.Sprintf("d%d", i), `{"kind":"route","name":"none","remove":true}`)
+	for i := range 3 * maxRejectedResults {
+		p, _ = applyChange(t, p, fmt.Sprintf("d%d", i), `{"kind":"route","name":"none","remove":true}`)
 	}
-	is.Equal(len(p.Rejected), mostRejected)
+	is.Equal(len(p.RejectedResults), maxRejectedResults)
 	is.True(!strings.Contains(string(p.Encode(false)), "declined"))
 }
 
-func TestEmptyingKeepsTheRest(t *testing.T) {
+func TestApply_SetKeepsOtherFields(t *testing.T) {
 	is := is.New(t)
 	p, _ := Decode(nil)
-	p, r := change(t, p, "1", `{"kind":"cell","name":"a","put":{"target":100,"region":"south"}}`)
+	p, r := applyChange(t, p, "1", `{"kind":"cell","name":"a","put":{"target":100,"region":"south"}}`)
 	is.True(r.Accepted())
-	p, r = change(t, p, "2", `{"kind":"cell","name":"a","set":{"emptied":true}}`)
+	p, r = applyChange(t, p, "2", `{"kind":"cell","name":"a","set":{"emptied":true}}`)
 	is.True(r.Accepted())
 	v := p.View().Zones["a"]
-	is.True(v.Drained && v.Target == 100 && v.Region == "south")
-	_, r = change(t, p, "3", `{"kind":"cell","name":"a","set":{"emptied":"yes"}}`)
+	is.True(v.Drained && v.TargetLoad == 100 && v.Region == "south")
+	_, r = applyChange(t, p, "3", `{"kind":"cell","name":"a","set":{"emptied":"yes"}}`)
 	is.Equal(r.Violations, []Violation{{"cell/a", "emptied", "must be true or false"}})
 }
 
 // Each broken change is rejected with the item and the path, and all of a
 // batch's faults are listed.
-func TestBrokenChanges(t *testing.T) {
+func TestReadChange_ListsViolations(t *testing.T) {
 	is := is.New(t)
 	part := func(s string) string { return `{"id":"x","changes":[` + s + `]}` }
 	for raw, want := range map[string]string{
@@ -136,17 +136,17 @@
 	is.Equal(string(raw), `{"item":"service/a","path":"tier","problem":"must be from 0 to 9"}`)
 }
 
-func TestTwoRoutesCannotShareAPrefix(t *testing.T) {
+func TestApply_RejectsSecondRouteWithSamePrefix(t *testing.T) {
 	is := is.New(t)
 	p, _ := Decode(nil)
-	p, _ = change(t, p, "1", service+","+route)
-	_, r := change(t, p, "2", `{"kind":"route","name":"more","put":{"prefix":"/orders/","service":"ledger","repeatable":true}}`)
+	p, _ = applyChange(t, p, "1", service+","+route)
+	_, r := applyChange(t, p, "2", `{"kind":"route","name":"more","put":{"prefix":"/orders/","service":"ledger","repeatable":true}}`)
 	is.Equal(len(r.Violations), 1)
 }
 
 // A registry reads changes in its owner: a body that nests thousands deep must not
 // hold all others up.
-func TestDeepNestingCostsNothing(t *testing.T) {
+func TestReadChange_RejectsDeepNestingQuickly(t *testing.T) {
 	is := is.New(t)
 	deep := strings.Repeat(`{"a":`, 100000) + "1" + strings.Repeat("}", 100000)
 	from := time.Now()
@@ -156,18 +156,18 @@
 }
 
 // A view taken over from an earlier one is the one read anew.
-func TestViewFromAnEarlierOne(t *testing.T) {
+func TestViewReusing_EqualsFreshView(t *testing.T) {
 	is := is.New(t)
 	p, _ := Decode(nil)
 	v := p.View()
 	for i := range 60 {
-		list := []VersionedItem{givenService("wader", ids.Revision(1+i/7)), givenRoute(fmt.Sprint("r", i%9), "wader", ids.Revision(i+1))}
+		list := []VersionedItem{versionedService("wader", ids.Revision(1+i/7)), versionedRoute(fmt.Sprint("r", i%9), "wader", ids.Revision(i+1))}
 		if i%4 == 3 {
 			list[1].Removed, list[1].Body = true, nil
 		}
-		next, res := p.Merge(merging(list...))
+		next, res := p.Merge(mergeOf(list...))
 		is.True(res.Accepted())
-		v = next.ViewFrom(p, v)
+		v = next.ViewReusing(p, v)
 		p = next
 		is.Equal(v, p.View())
 	}
--- a/internal/state/configuration/resend.go
+++ b/internal/state/configuration/resend.go
@@ -25,8 +25,8 @@
 	return "at-" + strconv.FormatUint(uint64(base), 10) + "-" + random
 }
 
-// baseOf gives the revision that an id names.
-func baseOf(id ids.ChangeID) (ids.Revision, bool) {
+// baseRevisionOf gives the revision that an id names.
+func baseRevisionOf(id ids.ChangeID) (ids.Revision, bool) {
 	m := basePattern.FindStringSubmatch(string(id))
 	if m == nil {
 		return 0, false
@@ -35,40 +35,40 @@
 	return ids.Revision(base), err == nil
 }
 
-// by is what an item keeps of the id of the change that made its version.
-func by(id ids.ChangeID) string {
-	key := keyOf(string(id))
+// changeHash is what an item keeps of the id of the change that made its version.
+func changeHash(id ids.ChangeID) string {
+	key := historyKeyOf(string(id))
 	return base64.RawStdEncoding.EncodeToString(key[:])
 }
 
-// earlierEnd gives the end of a change that was met before. A resent change gets
+// earlierResult gives the end of a change that was met before. A resent change gets
 // its first result, not a second version; another change under its id gets none.
-func (p *Document) earlierEnd(c Change) (Result, bool) {
-	if e, ok := p.history().Changes.find(keyOf(string(c.ID))); ok {
-		if e.content != sumOfChange(c) {
-			return Result{ID: c.ID, Revision: p.Revision, Conflicts: []Violation{{"change", "id", reasonIDUsed}}}, true
+func (d *Document) earlierResult(c Change) (Result, bool) {
+	if e, ok := d.history().Changes.find(historyKeyOf(string(c.ID))); ok {
+		if e.contentHash != hashChange(c) {
+			return Result{ID: c.ID, Revision: d.Revision, ReuseConflicts: []Violation{{"change", "id", reasonIDUsed}}}, true
 		}
-		if res, ok := p.fullResult(c.ID); ok {
+		if res, ok := d.keptResult(c.ID); ok {
 			return res, true
 		}
 		res := Result{ID: c.ID, Revision: e.revision}
 		if e.rejected {
-			res.Conflicts = []Violation{{"change", "id", reasonRejected}}
+			res.ReuseConflicts = []Violation{{"change", "id", reasonRejected}}
 		}
 		return res, true
 	}
-	if res, ok := p.fullResult(c.ID); ok {
+	if res, ok := d.keptResult(c.ID); ok {
 		return res, true
 	}
-	if r, ok := p.madeItem(c); ok {
+	if r, ok := d.revisionOfItemMadeBy(c); ok {
 		return Result{ID: c.ID, Revision: r}, true
 	}
 	return Result{}, false
 }
 
-// fullResult finds a result that is kept whole.
-func (p *Document) fullResult(id ids.ChangeID) (Result, bool) {
-	for _, list := range [][]Result{p.Recent, p.Rejected} {
+// keptResult finds a result that is kept whole.
+func (d *Document) keptResult(id ids.ChangeID) (Result, bool) {
+	for _, list := range [][]Result{d.RecentResults, d.RejectedResults} {
 		for _, r := range list {
 			if r.ID == id {
 				return r, true
@@ -78,34 +78,34 @@
 	return Result{}, false
 }
 
-// madeItem tells whether one of a change's items says that it was this change
+// revisionOfItemMadeBy tells whether one of a change's items says that it was this change
 // that made its version, and at which revision. Changes are whole or nothing, so
 // one item speaks for all.
-func (p *Document) madeItem(c Change) (ids.Revision, bool) {
-	mark := by(c.ID)
-	for _, part := range c.Parts {
-		if it, ok := p.Items(part.Kind)[part.Name]; ok && it.By == mark {
-			return it.At, true
+func (d *Document) revisionOfItemMadeBy(c Change) (ids.Revision, bool) {
+	mark := changeHash(c.ID)
+	for _, part := range c.Items {
+		if it, ok := d.Items(part.Kind)[part.Name]; ok && it.ChangeHash == mark {
+			return it.ChangedAt, true
 		}
-		if t, ok := p.Removed[part.Kind+"/"+string(part.Name)]; ok && t.By == mark {
-			return t.At, true
+		if t, ok := d.Tombstones[part.Kind+"/"+string(part.Name)]; ok && t.ChangeHash == mark {
+			return t.ChangedAt, true
 		}
 	}
 	return 0, false
 }
 
-// surelyNew tells whether a change of unknown id was surely never accepted: had
+// isSurelyNew tells whether a change of unknown id was surely never accepted: had
 // it been, its end would be known still, or the items would differ.
-func (p *Document) surelyNew(c Change) bool {
-	forgotten := p.history().Forgotten
+func (d *Document) isSurelyNew(c Change) bool {
+	forgotten := d.history().ForgottenRevision
 	if forgotten == 0 {
 		return true
 	}
-	if base, ok := baseOf(c.ID); ok && base >= forgotten {
+	if base, ok := baseRevisionOf(c.ID); ok && base >= forgotten {
 		return true
 	}
-	for _, part := range c.Parts {
-		if p.provesNew(part, forgotten) {
+	for _, part := range c.Items {
+		if d.provesNew(part, forgotten) {
 			return true
 		}
 	}
@@ -113,28 +113,28 @@
 }
 
 // provesNew tells whether a part shows that its change was never accepted.
-func (p *Document) provesNew(part ItemChange, forgotten ids.Revision) bool {
-	it, exists := p.Items(part.Kind)[part.Name]
-	tomb, removed := p.Removed[part.Kind+"/"+string(part.Name)]
+func (d *Document) provesNew(part ItemChange, forgotten ids.Revision) bool {
+	it, exists := d.Items(part.Kind)[part.Name]
+	tomb, removed := d.Tombstones[part.Kind+"/"+string(part.Name)]
 	switch {
 	case !exists && !removed:
 		// Accepted, it would have left an item or the mark of its removal.
 		return true
 	case part.Version == nil:
 		return false
-	case *part.Version == 0 && part.Put == nil && !it.Given && !tomb.Given:
+	case *part.Version == 0 && part.Put == nil && !it.EverMerged && !tomb.EverMerged:
 		// No item that is there to be altered has version 0.
 		return true
 	case exists && it.Version == *part.Version:
 		// Accepted, it would have moved the item on, for good.
 		return true
-	case exists && it.By != "" && it.Prev == *part.Version:
+	case exists && it.ChangeHash != "" && it.PreviousVersion == *part.Version:
 		// The one change that followed this version is another.
 		return true
-	case removed && tomb.By != "" && tomb.Prev == *part.Version:
+	case removed && tomb.ChangeHash != "" && tomb.PreviousVersion == *part.Version:
 		return true
 	}
 	// A version is the revision that made it, unless it was given from outside:
 	// whatever followed this one came after all that was forgotten.
-	return !it.merged() && !it.Given && !tomb.Given && *part.Version >= forgotten
+	return !it.isMerged() && !it.EverMerged && !tomb.EverMerged && *part.Version >= forgotten
 }
--- a/internal/state/configuration/route.go
+++ b/internal/state/configuration/route.go
@@ -20,16 +20,16 @@
 	Repeatable bool              `json:"repeatable"`
 	// Single: a request that may not be repeated carries no mark; each attempt
 	// reaches one proxy, which alone sees to it that it runs at most once.
-	Single  bool `json:"single"`
-	Limit   int  `json:"limit_ms"`
-	MaxBody int  `json:"max_body"`
-	// Goal is the time within which an answer is worth most, in ms; 0 for none.
-	Goal int `json:"goal_ms"`
-	// Attempts is the most targets that one request may be sent to.
-	Attempts int `json:"attempts"`
-	// Homes are the regions in which the route's requests may be served; none
+	WithoutIdempotencyKey bool `json:"single"`
+	TimeoutMillis         int  `json:"limit_ms"`
+	MaxBodyBytes          int  `json:"max_body"`
+	// LatencyGoalMillis is the time within which an answer is worth most, in ms; 0 for none.
+	LatencyGoalMillis int `json:"goal_ms"`
+	// MaxAttempts is the most targets that one request may be sent to.
+	MaxAttempts int `json:"attempts"`
+	// HomeRegions are the regions in which the route's requests may be served; none
 	// for all.
-	Homes []ids.Name `json:"homes"`
+	HomeRegions []ids.Name `json:"homes"`
 }
 
 // WeightedService is a service's part of a split route.
@@ -38,11 +38,13 @@
 	Weight  float64  `json:"weight"`
 }
 
-// LimitTime is the route's time limit.
-func (r Route) LimitTime() time.Duration { return time.Duration(r.Limit) * time.Millisecond }
+// Timeout is the route's time limit.
+func (r Route) Timeout() time.Duration { return time.Duration(r.TimeoutMillis) * time.Millisecond }
 
-// GoalTime is the time within which an answer is worth most; 0 for none.
-func (r Route) GoalTime() time.Duration { return time.Duration(r.Goal) * time.Millisecond }
+// LatencyGoal is the time within which an answer is worth most; 0 for none.
+func (r Route) LatencyGoal() time.Duration {
+	return time.Duration(r.LatencyGoalMillis) * time.Millisecond
+}
 
 // Services gives each service that the route's requests may go to, once.
 func (r Route) Services() []ids.Name {
@@ -60,8 +62,8 @@
 	return out
 }
 
-// Draw gives the service for one request, by a draw from 0 up to 1.
-func (r Route) Draw(draw float64) ids.Name {
+// SelectService gives the service for one request, by a draw from 0 up to 1.
+func (r Route) SelectService(draw float64) ids.Name {
 	sum := 0.0
 	for _, s := range r.Split {
 		sum += s.Weight
@@ -84,11 +86,11 @@
 
 // Limits bound what a client may send, and how long it may take or idle.
 type Limits struct {
-	MaxHeader int `json:"max_header"`
-	MaxBody   int `json:"max_body"`
-	Header    int `json:"header_ms"`
-	Idle      int `json:"idle_ms"`
+	MaxHeaderBytes      int `json:"max_header"`
+	MaxBodyBytes        int `json:"max_body"`
+	HeaderTimeoutMillis int `json:"header_ms"`
+	IdleTimeoutMillis   int `json:"idle_ms"`
 }
 
-// NoLimits are those in force where configuration names none.
-var NoLimits = Limits{MaxHeader: 64 << 10, MaxBody: 1 << 30, Header: 5000, Idle: 60000}
+// DefaultLimits are those in force where configuration names none.
+var DefaultLimits = Limits{MaxHeaderBytes: 64 << 10, MaxBodyBytes: 1 << 30, HeaderTimeoutMillis: 5000, IdleTimeoutMillis: 60000}
--- a/internal/state/configuration/split.go
+++ b/internal/state/configuration/split.go
@@ -36,9 +36,9 @@
 	}
 }
 
-// checkGiven checks an item whose caller has its own rule for names and paths;
+// checkVersionedBody checks an item whose caller has its own rule for names and paths;
 // numbers and types are ours.
-func checkGiven(kind, body string, bad func(path, why string)) {
+func checkVersionedBody(kind, body string, bad func(path, why string)) {
 	checkBody(kind, body, func(path, why string) {
 		switch {
 		case kind == "route" && (path == "prefix" || path == "service"):
--- a/internal/state/configuration/view.go
+++ b/internal/state/configuration/view.go
@@ -7,9 +7,9 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// defaultTarget is a zone's comfortable level where nobody names one, in ms of
+// defaultTargetLoad is a zone's comfortable level where nobody names one, in ms of
 // CPU a second.
-const defaultTarget = 8500
+const defaultTargetLoad = 8500
 
 // View is the configuration as daemons use it: typed, with defaults filled in.
 type View struct {
@@ -22,50 +22,50 @@
 }
 
 // View reads the items. They were checked when they were accepted.
-func (p *Document) View() *View { return p.ViewFrom(&Document{}, &View{}) }
+func (d *Document) View() *View { return d.ViewReusing(&Document{}, &View{}) }
 
-// ViewFrom reads the items, and takes over from the view of an earlier configuration the
+// ViewReusing reads the items, and takes over from the view of an earlier configuration the
 // routes and services whose bodies are the same.
-func (p *Document) ViewFrom(earlier *Document, had *View) *View {
+func (d *Document) ViewReusing(earlier *Document, had *View) *View {
 	v := &View{
-		Revision: p.Revision, Services: map[ids.Name]Service{},
-		Routes: map[ids.Name]Route{}, Zones: map[ids.Name]Zone{}, Limits: NoLimits,
+		Revision: d.Revision, Services: map[ids.Name]Service{},
+		Routes: map[ids.Name]Route{}, Zones: map[ids.Name]Zone{}, Limits: DefaultLimits,
 	}
-	for n, it := range p.Services {
+	for n, it := range d.Services {
 		if s, ok := had.Services[n]; ok && bytes.Equal(earlier.Services[n].Body, it.Body) {
 			v.Services[n] = s
 			continue
 		}
-		s := Service{Tier: 5, Capacity: 16, Warm: 10000, Allowance: 10}
+		s := Service{Tier: 5, DefaultCapacity: 16, SlowStartMillis: 10000, RetryBudget: 10}
 		_ = json.Unmarshal(it.Body, &s)
 		s.Name = n
 		v.Services[n] = s
 	}
-	for n, it := range p.Routes {
+	for n, it := range d.Routes {
 		if r, ok := had.Routes[n]; ok && bytes.Equal(earlier.Routes[n].Body, it.Body) {
 			v.Routes[n] = r
 			continue
 		}
-		r := Route{Tier: 5, Limit: 5000, MaxBody: 1 << 20, Attempts: 3}
+		r := Route{Tier: 5, TimeoutMillis: 5000, MaxBodyBytes: 1 << 20, MaxAttempts: 3}
 		_ = json.Unmarshal(it.Body, &r)
 		r.Name = n
 		v.Routes[n] = r
 	}
-	for _, n := range sorted(p.Limits) {
-		_ = json.Unmarshal(p.Limits[n].Body, &v.Limits)
+	for _, n := range sortedNames(d.Limits) {
+		_ = json.Unmarshal(d.Limits[n].Body, &v.Limits)
 	}
-	for n, it := range p.Zones {
+	for n, it := range d.Zones {
 		c := Zone{}
 		_ = json.Unmarshal(it.Body, &c)
 		c.Name = n
-		if c.Target == 0 {
-			c.Target, c.Unnamed = defaultTarget, true
+		if c.TargetLoad == 0 {
+			c.TargetLoad, c.LoadDefaulted = defaultTargetLoad, true
 		}
-		if c.Maximum == 0 {
-			c.Maximum = c.Target * 1.1
+		if c.MaximumLoad == 0 {
+			c.MaximumLoad = c.TargetLoad * 1.1
 		}
-		if c.Acceptable == 0 {
-			c.Acceptable = c.Target * 0.8
+		if c.AcceptableLoad == 0 {
+			c.AcceptableLoad = c.TargetLoad * 0.8
 		}
 		v.Zones[n] = c
 	}
@@ -78,7 +78,7 @@
 	for n, region := range regions {
 		c, ok := v.Zones[n]
 		if !ok {
-			c = Zone{Name: n, Unnamed: true, Target: defaultTarget, Acceptable: defaultTarget * 0.8, Maximum: defaultTarget * 1.1}
+			c = Zone{Name: n, LoadDefaulted: true, TargetLoad: defaultTargetLoad, AcceptableLoad: defaultTargetLoad * 0.8, MaximumLoad: defaultTargetLoad * 1.1}
 		}
 		if c.Region == "" {
 			c.Region = region
@@ -106,8 +106,8 @@
 	return 1000
 }
 
-// overlay lays the fields of set over a body.
-func overlay(body, set json.RawMessage) json.RawMessage {
+// overlayFields lays the fields of set over a body.
+func overlayFields(body, set json.RawMessage) json.RawMessage {
 	m := map[string]json.RawMessage{}
 	_ = json.Unmarshal(body, &m)
 	_ = json.Unmarshal(set, &m)
--- a/internal/state/idempotency/record.go
+++ b/internal/state/idempotency/record.go
@@ -16,16 +16,16 @@
 	OpClaim consensus.Op = 20 + iota
 	OpBlock
 	OpRelease
-	OpOutcome
-	OpEnter
+	OpComplete
+	OpNumberAttempt
 )
 
 // Retention is how long a mark's outcome is kept, in running time. A repeat after
 // that is a new request; clients are told so with each answer.
 const Retention = 24 * time.Hour
 
-// Key names a mark's register. Marks are kept apart by route.
-func Key(route ids.Name, m ids.IdempotencyKey) ids.RegisterKey {
+// RegisterKey names a mark's register. Marks are kept apart by route.
+func RegisterKey(route ids.Name, m ids.IdempotencyKey) ids.RegisterKey {
 	return ids.RegisterKey("mark/" + string(route) + "/" + string(m))
 }
 
@@ -56,7 +56,7 @@
 	Body   []byte
 	Digest string
 	// Cut: the body was too large to keep; that it ran is all that is known.
-	Cut bool
+	BodyOmitted bool
 }
 
 // Slip is a mark's register.
@@ -67,12 +67,12 @@
 	// Fingerprint sums up method, path and body, so that a mark can't be used for
 	// something else.
 	Fingerprint []byte
-	// Floor bars attempts below it: a later attempt was told that nothing ran.
-	Floor    uint32
-	Let      []Owner
-	Response Response
-	// Entered counts the attempts of a client that doesn't count itself.
-	Entered uint32
+	// MinAttempt bars attempts below it: a later attempt was told that nothing ran.
+	MinAttempt     uint32
+	ReleasedOwners []Owner
+	Response       Response
+	// NumberedAttempts counts the attempts of a client that doesn't count itself.
+	NumberedAttempts uint32
 }
 
 // Operation is the argument of each operation.
@@ -108,18 +108,18 @@
 
 var _ = wire.Register(60, Record{}) && wire.Register(61, Operation{}) && wire.Register(62, Result{})
 
-const mostLet = 16
+const maxReleasedOwners = 16
 
 // Ops are the change functions of marks.
 func Ops() map[consensus.Op]consensus.ChangeFunc {
-	return map[consensus.Op]consensus.ChangeFunc{OpClaim: on(claim), OpBlock: on(bar), OpRelease: on(release), OpOutcome: on(outcome), OpEnter: on(enter)}
+	return map[consensus.Op]consensus.ChangeFunc{OpClaim: changeFunc(claim), OpBlock: changeFunc(block), OpRelease: changeFunc(release), OpComplete: changeFunc(complete), OpNumberAttempt: changeFunc(numberAttempt)}
 }
 
-// on opens the register and the request, and packs what comes of them.
-func on(f func(Record, Operation) (Record, Verdict)) consensus.ChangeFunc {
+// changeFunc opens the register and the request, and packs what comes of them.
+func changeFunc(f func(Record, Operation) (Record, Verdict)) consensus.ChangeFunc {
 	return func(_ ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
-		s, _ := open[Record](old)
-		w, ok := open[Operation](arg)
+		s, _ := decode[Record](old)
+		w, ok := decode[Operation](arg)
 		if !ok {
 			return old, nil
 		}
@@ -138,7 +138,7 @@
 	}
 }
 
-func open[T any](raw []byte) (T, bool) {
+func decode[T any](raw []byte) (T, bool) {
 	_, msg, err := wire.ReadBytes(raw)
 	t, ok := msg.(T)
 	return t, ok && err == nil
@@ -149,20 +149,20 @@
 	if len(raw) == 0 {
 		return Record{}, true
 	}
-	return open[Record](raw)
+	return decode[Record](raw)
 }
 
-// Later tells whether a request may be a later attempt's.
-func Later(arg []byte) bool {
-	w, ok := open[Operation](arg)
+// MayBeRetry tells whether a request may be a later attempt's.
+func MayBeRetry(arg []byte) bool {
+	w, ok := decode[Operation](arg)
 	return ok && w.Attempt != 1
 }
 
 // DecodeResult reads what an operation told.
-func DecodeResult(raw []byte) (Result, bool) { return open[Result](raw) }
+func DecodeResult(raw []byte) (Result, bool) { return decode[Result](raw) }
 
-// seen answers for a mark that is not clear.
-func seen(s Record, w Operation) (Verdict, bool) {
+// verdictOfHeldKey answers for a mark that is not clear.
+func verdictOfHeldKey(s Record, w Operation) (Verdict, bool) {
 	switch {
 	case s.State != Unclaimed && !slices.Equal(s.Fingerprint, w.Fingerprint):
 		return FingerprintMismatch, true
@@ -177,29 +177,29 @@
 }
 
 func claim(s Record, w Operation) (Record, Verdict) {
-	if v, ok := seen(s, w); ok {
+	if v, ok := verdictOfHeldKey(s, w); ok {
 		return s, v
 	}
 	// A claim that was let go must not rise again from a late message.
-	if w.Attempt < s.Floor || slices.Contains(s.Let, w.Owner) {
+	if w.Attempt < s.MinAttempt || slices.Contains(s.ReleasedOwners, w.Owner) {
 		return s, AttemptBlocked
 	}
 	s.State, s.Owner, s.Attempt, s.Fingerprint = Claimed, w.Owner, w.Attempt, w.Fingerprint
 	return s, Granted
 }
 
-// bar is what a later attempt asks before it is told "surely not run": from
+// block is what a later attempt asks before it is told "surely not run": from
 // then on no earlier attempt, still waiting elsewhere, may run either.
-func bar(s Record, w Operation) (Record, Verdict) {
+func block(s Record, w Operation) (Record, Verdict) {
 	// The client's own claim never left: it goes with the rest.
 	if s.State == Claimed && s.Owner == w.Owner {
 		s.State, s.Owner, s.Fingerprint = Unclaimed, Owner{}, nil
 	}
-	if v, ok := seen(s, w); ok {
+	if v, ok := verdictOfHeldKey(s, w); ok {
 		return s, v
 	}
-	s.Floor = max(s.Floor, w.Attempt)
-	s.let(w.Owner)
+	s.MinAttempt = max(s.MinAttempt, w.Attempt)
+	s.addReleasedOwner(w.Owner)
 	return s, Released
 }
 
@@ -209,33 +209,33 @@
 		s.State, s.Owner, s.Fingerprint = Unclaimed, Owner{}, nil
 	}
 	if s.State == Unclaimed {
-		s.let(w.Owner)
+		s.addReleasedOwner(w.Owner)
 	}
 	return s, Released
 }
 
-// enter numbers an attempt whose client gave no number, in the order in
+// numberAttempt numbers an attempt whose client gave no number, in the order in
 // which they are agreed on; a number that is skipped does no harm.
-func enter(s Record, w Operation) (Record, Verdict) {
-	if v, ok := seen(s, w); ok {
+func numberAttempt(s Record, w Operation) (Record, Verdict) {
+	if v, ok := verdictOfHeldKey(s, w); ok {
 		return s, v
 	}
-	s.Entered = max(s.Entered, s.Floor) + 1
+	s.NumberedAttempts = max(s.NumberedAttempts, s.MinAttempt) + 1
 	return s, Released
 }
 
-func outcome(s Record, w Operation) (Record, Verdict) {
+func complete(s Record, w Operation) (Record, Verdict) {
 	if s.State == Claimed && s.Owner == w.Owner {
 		s.State, s.Response = Completed, w.Response
 	}
 	return s, AlreadyCompleted
 }
 
-func (s *Record) let(o Owner) {
-	if !slices.Contains(s.Let, o) {
-		s.Let = append(s.Let[:len(s.Let):len(s.Let)], o)
+func (r *Record) addReleasedOwner(o Owner) {
+	if !slices.Contains(r.ReleasedOwners, o) {
+		r.ReleasedOwners = append(r.ReleasedOwners[:len(r.ReleasedOwners):len(r.ReleasedOwners)], o)
 	}
-	if len(s.Let) > mostLet {
-		s.Let = s.Let[1:]
+	if len(r.ReleasedOwners) > maxReleasedOwners {
+		r.ReleasedOwners = r.ReleasedOwners[1:]
 	}
 }
--- a/internal/state/idempotency/record_test.go
+++ b/internal/state/idempotency/record_test.go
@@ -10,13 +10,13 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// mark is a register that operations are played on.
-type mark struct {
+// testRegister is a register that operations are played on.
+type testRegister struct {
 	t   *testing.T
 	raw []byte
 }
 
-func (m *mark) do(op consensus.Op, who ids.RequestID, attempt uint32, print string) Result {
+func (m *testRegister) do(op consensus.Op, who ids.RequestID, attempt uint32, print string) Result {
 	m.t.Helper()
 	arg, err := wire.Encode(Operation{Owner: Owner{"c", 1, who}, Attempt: attempt, Fingerprint: []byte(print), Response: Response{Status: 200, Body: []byte("done")}})
 	if err != nil {
@@ -31,9 +31,9 @@
 	return r
 }
 
-func TestOneClaimStands(t *testing.T) {
+func TestClaim_OnlyOneOwnerAtATime(t *testing.T) {
 	is := is.New(t)
-	m := &mark{t: t}
+	m := &testRegister{t: t}
 	is.Equal(m.do(OpClaim, 1, 1, "p").Verdict, Granted)
 	is.Equal(m.do(OpClaim, 1, 1, "p").Verdict, Granted) // a round that was run again
 	is.Equal(m.do(OpClaim, 2, 2, "p").Verdict, InProgress)
@@ -41,18 +41,18 @@
 	is.Equal(m.do(OpBlock, 2, 2, "p").Verdict, InProgress) // too late to say that nothing ran
 	is.Equal(m.do(OpRelease, 2, 2, "p").Verdict, Released)
 	is.Equal(m.do(OpClaim, 2, 2, "p").Verdict, InProgress) // another's claim isn't let go
-	is.Equal(m.do(OpOutcome, 2, 2, "p").Verdict, AlreadyCompleted)
+	is.Equal(m.do(OpComplete, 2, 2, "p").Verdict, AlreadyCompleted)
 	is.Equal(m.do(OpClaim, 3, 3, "p").Verdict, InProgress) // nor is its outcome another's
-	m.do(OpOutcome, 1, 1, "p")
+	m.do(OpComplete, 1, 1, "p")
 	r := m.do(OpClaim, 2, 2, "p")
 	is.Equal(r.Verdict, AlreadyCompleted)
 	is.Equal(string(r.Record.Response.Body), "done")
 	is.Equal(m.do(OpRelease, 1, 1, "p").Record.State, Completed) // what ran stays
 }
 
-func TestWhatWasLetGoStaysGone(t *testing.T) {
+func TestClaim_ReleasedOrBlockedAttemptNeverRuns(t *testing.T) {
 	is := is.New(t)
-	m := &mark{t: t}
+	m := &testRegister{t: t}
 	m.do(OpClaim, 1, 1, "p")
 	m.do(OpRelease, 1, 1, "p")
 	is.Equal(m.do(OpClaim, 1, 1, "p").Verdict, AttemptBlocked) // a late message
@@ -66,14 +66,14 @@
 	is.Equal(m.do(OpClaim, 5, 5, "q").Verdict, Granted) // the print went with the claim
 }
 
-func TestUncountedAttemptsAreNumbered(t *testing.T) {
+func TestNumberAttempt_CountsAttemptsWithoutNumber(t *testing.T) {
 	is := is.New(t)
-	m := &mark{t: t}
-	is.Equal(m.do(OpEnter, 1, 0, "p").Record.Entered, uint32(1))
-	is.Equal(m.do(OpEnter, 2, 0, "p").Record.Entered, uint32(2))
+	m := &testRegister{t: t}
+	is.Equal(m.do(OpNumberAttempt, 1, 0, "p").Record.NumberedAttempts, uint32(1))
+	is.Equal(m.do(OpNumberAttempt, 2, 0, "p").Record.NumberedAttempts, uint32(2))
 	is.Equal(m.do(OpBlock, 2, 2, "p").Verdict, Released)
 	is.Equal(m.do(OpClaim, 1, 1, "p").Verdict, AttemptBlocked)
-	is.Equal(m.do(OpEnter, 3, 0, "p").Record.Entered, uint32(3))
+	is.Equal(m.do(OpNumberAttempt, 3, 0, "p").Record.NumberedAttempts, uint32(3))
 	is.Equal(m.do(OpClaim, 3, 3, "p").Verdict, Granted)
-	is.Equal(m.do(OpEnter, 4, 0, "p").Verdict, InProgress)
+	is.Equal(m.do(OpNumberAttempt, 4, 0, "p").Verdict, InProgress)
 }
--- a/internal/testsupport/compat/folder_test.go
+++ b/internal/testsupport/compat/folder_test.go
@@ -116,5 +116,5 @@
 	is.NoErr(err)
 	is.Equal(p.Revision, ids.Revision(8))
 	is.Equal(string(p.Services["ledger"].Body), `{"tier":8,"capacity":40}`)
-	is.Equal(len(p.Rejected), 1)
+	is.Equal(len(p.RejectedResults), 1)
 }
--- a/internal/testsupport/compat/sample_test.go
+++ b/internal/testsupport/compat/sample_test.go
@@ -61,13 +61,13 @@
 	owner := idempotency.Owner{Daemon: "proxy-1", RunID: 77, Request: 5}
 	claim := packed(idempotency.Operation{Owner: owner, Attempt: 1, Fingerprint: []byte("print")})
 	response := idempotency.Response{Status: 201, Header: []idempotency.Header{{Name: "X-Part", Value: "seven"}}, Body: []byte("done"), Digest: "sum"}
-	over, let, clear := idempotency.Key("orders", "key-1"), idempotency.Key("orders", "key-2"), idempotency.Key("orders", "key-3")
+	over, let, clear := idempotency.RegisterKey("orders", "key-1"), idempotency.RegisterKey("orders", "key-2"), idempotency.RegisterKey("orders", "key-3")
 	return []order{
 		{election.RegisterKey("planner"), election.OpAcquire, packed(election.Term{Epoch: 4, Holder: "registry-1", RunID: 99})},
 		{over, idempotency.OpClaim, claim},
-		{over, idempotency.OpOutcome, packed(idempotency.Operation{Owner: owner, Attempt: 1, Response: response})},
+		{over, idempotency.OpComplete, packed(idempotency.Operation{Owner: owner, Attempt: 1, Response: response})},
 		{let, idempotency.OpClaim, claim},
 		{clear, idempotency.OpBlock, packed(idempotency.Operation{Owner: owner, Attempt: 3})},
-		{clear, idempotency.OpEnter, packed(idempotency.Operation{Owner: owner, Fingerprint: []byte("print")})},
+		{clear, idempotency.OpNumberAttempt, packed(idempotency.Operation{Owner: owner, Fingerprint: []byte("print")})},
 	}
 }
--- a/internal/testsupport/simulator/dispatchers.go
+++ b/internal/testsupport/simulator/dispatchers.go
@@ -145,7 +145,7 @@
 	d.next++
 	j := dispatch.Job{
 		ID: d.next, Route: route, Service: r.Service, Tier: r.Tier * 10, Repeatable: r.Repeatable, IdempotencyKey: mark, Terms: proxy.Terms(r),
-		Attempt: uint32(attempt), Fingerprint: []byte(token), Deadline: d.p.now().Add(min(left, r.LimitTime())),
+		Attempt: uint32(attempt), Fingerprint: []byte(token), Deadline: d.p.now().Add(min(left, r.Timeout())),
 	}
 	d.jobs[j.ID] = &errand{Job: j, token: token, try: try, done: done}
 	d.count++
