--- a/internal/dataplane/proxy/carry.go
+++ b/internal/dataplane/proxy/carry.go
@@ -28,24 +28,24 @@
 	Header http.Header
 	Body   []byte
 	// Memory is the room that the body has, and the answer will.
-	Memory *MemoryReservation
-	Remote string
-	// ID is what the target is to echo.
-	ID string
+	Memory   *MemoryReservation
+	ClientIP string
+	// AttemptID is what the target is to echo.
+	AttemptID string
 }
 
-// hops are headers of one connection; they are not carried on.
-var hops = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Host", "Expect"}
+// hopByHopHeaders are headers of one connection; they are not carried on.
+var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Host", "Expect"}
 
-// Strip gives the headers that are carried on.
-func Strip(h http.Header) http.Header {
+// StripHopByHopHeaders gives the headers that are carried on.
+func StripHopByHopHeaders(h http.Header) http.Header {
 	out := h.Clone()
 	for _, line := range h.Values("Connection") {
 		for _, name := range strings.Split(line, ",") {
 			out.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, n := range hops {
+	for _, n := range hopByHopHeaders {
 		out.Del(n)
 	}
 	return out
@@ -56,70 +56,70 @@
 	return fmt.Sprintf("%s-%x-%d", d.Options.Name, uint64(d.self.RunID), r)
 }
 
-// carry takes a request to its target, once, and judges what comes back.
-func (d *Daemon) carry(c *ClientRequest, f dispatch.Forward) dispatch.AttemptFinished {
+// forward takes a request to its target, once, and judges what comes back.
+func (d *Daemon) forward(c *ClientRequest, f dispatch.Forward) dispatch.AttemptFinished {
 	back := dispatch.AttemptFinished{ID: f.ID, Turn: f.Turn, Result: dispatch.NotSent}
 	until := time.Now().Add(f.Deadline.Sub(process.Now()))
 	var line *connection
 	if !f.NewConnection {
-		line = d.connections.takeFor(f.Target, f.Careful)
+		line = d.pool.take(f.Target, f.Careful)
 	}
 	if line == nil {
 		var err error
-		if line, err = d.connections.open(context.Background(), f.Target, until); err != nil {
+		if line, err = d.pool.dial(context.Background(), f.Target, until); err != nil {
 			back.Why = err.Error()
 			return back
 		}
 	}
 	// The last look before the first byte: time left, and no pause since.
-	if !MayLeave(process.Now(), f.SendBefore, ids.Time(d.beat.Load())) {
+	if !MaySend(process.Now(), f.SendBefore, ids.Time(d.lastStep.Load())) {
 		line.Close()
 		back.Why = "no time left, or this proxy was paused"
 		return back
 	}
 	_ = line.SetDeadline(until)
-	head := d.trade.Outgoing(c, f, f.Deadline.Sub(process.Now()))
-	n, err := line.Write(pack(c, f, head))
-	if err == nil && len(c.Body) > mostPacked {
+	head := d.targetProtocol.RequestHeader(c, f, f.Deadline.Sub(process.Now()))
+	n, err := line.Write(encodeRequest(c, f, head))
+	if err == nil && len(c.Body) > maxCopiedBody {
 		_, err = line.Write(c.Body)
 	}
 	if n > 0 {
 		back.Result = dispatch.MayHaveRun
 	}
 	if err != nil {
-		d.connections.dead(line)
+		d.pool.recordStale(line)
 		line.Close()
 		back.Why = "sending: " + err.Error()
 		return back
 	}
-	v, err := d.sealed(line, c, f)
+	v, err := d.readResponse(line, c, f)
 	if err != nil {
-		if !line.heard {
-			d.connections.dead(line)
+		if !line.responsive {
+			d.pool.recordStale(line)
 		}
 		line.Close()
 		back.Why = err.Error()
 		return back
 	}
-	if v.Again {
-		d.connections.keep(f.Target.Instance, line, v.Idle)
+	if v.KeepAlive {
+		d.pool.put(f.Target.Instance, line, v.IdleTimeout)
 	} else {
 		line.Close()
 	}
-	back.Result, back.Response, back.Why = v.How, v.Response, v.Why
-	back.Told, back.Running, back.Waiting, back.Slots = v.Told, v.Running, v.Waiting, v.Slots
+	back.Result, back.Response, back.Why = v.Result, v.Response, v.Reason
+	back.Told, back.Running, back.Waiting, back.Slots = v.LoadReported, v.Running, v.Waiting, v.Slots
 	return back
 }
 
-// mostPacked is the largest body that leaves with its head; larger ones aren't
+// maxCopiedBody is the largest body that leaves with its head; larger ones aren't
 // copied, and follow it.
-const mostPacked = 16 << 10
+const maxCopiedBody = 16 << 10
 
-// pack writes a request as it goes out. Method, path and body are the
+// encodeRequest writes a request as it goes out. Method, path and body are the
 // client's own, to the byte: nothing is cleaned or encoded anew.
-func pack(c *ClientRequest, f dispatch.Forward, head http.Header) []byte {
+func encodeRequest(c *ClientRequest, f dispatch.Forward, head http.Header) []byte {
 	var b bytes.Buffer
-	b.Grow(1024 + min(len(c.Body), mostPacked))
+	b.Grow(1024 + min(len(c.Body), maxCopiedBody))
 	host := c.Host
 	if host == "" {
 		host = string(f.Target.Address)
@@ -134,58 +134,58 @@
 		b.WriteString("Content-Length: " + strconv.Itoa(len(c.Body)) + "\r\n")
 	}
 	b.WriteString("\r\n")
-	if len(c.Body) <= mostPacked {
+	if len(c.Body) <= maxCopiedBody {
 		b.Write(c.Body)
 	}
 	return b.Bytes()
 }
 
-// mostOthers bounds the answers to other requests that are read past.
-const mostOthers = 2
+// maxStaleResponses bounds the answers to other requests that are read past.
+const maxStaleResponses = 2
 
-// mostHead bounds the head of an answer.
-const mostHead = 1 << 20
+// maxResponseHeader bounds the head of an answer.
+const maxResponseHeader = 1 << 20
 
-// sealed reads an answer whole and lets the trade judge it. Only then may a
+// readResponse reads an answer whole and lets the trade judge it. Only then may a
 // byte of it go on.
-func (d *Daemon) sealed(line *connection, c *ClientRequest, f dispatch.Forward) (Verdict, error) {
+func (d *Daemon) readResponse(line *connection, c *ClientRequest, f dispatch.Forward) (CheckedResponse, error) {
 	peer := string(f.Target.Address)
-	for range mostOthers + 1 {
-		line.bound.N = mostHead
-		res, err := http.ReadResponse(line.read, &http.Request{Method: c.Method})
+	for range maxStaleResponses + 1 {
+		line.headerLimit.N = maxResponseHeader
+		res, err := http.ReadResponse(line.reader, &http.Request{Method: c.Method})
 		if err != nil {
-			return Verdict{}, errs.Wrap(err, "read response", peer)
+			return CheckedResponse{}, errs.Wrap(err, "read response", peer)
 		}
 		// The body has a limit of its own.
-		line.bound.N = math.MaxInt64
-		body, err := d.body(res, peer, c.Memory)
+		line.headerLimit.N = math.MaxInt64
+		body, err := d.readResponseBody(res, peer, c.Memory)
 		if err != nil {
-			return Verdict{}, err
+			return CheckedResponse{}, err
 		}
-		v, err := d.trade.Judge(res, body, c, f)
+		v, err := d.targetProtocol.CheckResponse(res, body, c, f)
 		if err != nil {
 			return v, errs.Wrap(err, "check response", peer)
 		}
-		if v.Other {
+		if v.ForOtherRequest {
 			// A late answer to an earlier request stood in this one's place.
 			continue
 		}
-		d.meter.target(c.Job.Route, c.Job.Service, res.Header.Values("Server-Timing"))
+		d.meter.recordServerTiming(c.Job.Route, c.Job.Service, res.Header.Values("Server-Timing"))
 		// What was sent beyond the answer belongs to nobody.
-		v.Again = v.Again && !res.Close && line.read.Buffered() == 0
+		v.KeepAlive = v.KeepAlive && !res.Close && line.reader.Buffered() == 0
 		return v, nil
 	}
-	return Verdict{}, errs.New("check response", peer, "answers to other requests stand in this one's place")
+	return CheckedResponse{}, errs.New("check response", peer, "answers to other requests stand in this one's place")
 }
 
-// body reads an answer's body, whole and within the limit.
-func (d *Daemon) body(res *http.Response, peer string, held *MemoryReservation) ([]byte, error) {
+// readResponseBody reads an answer's body, whole and within the limit.
+func (d *Daemon) readResponseBody(res *http.Response, peer string, held *MemoryReservation) ([]byte, error) {
 	defer res.Body.Close()
-	limit := d.Options.MaxResponse
+	limit := d.Options.MaxResponseBytes
 	if res.StatusCode < 200 {
 		return nil, errs.New("check response", peer, "answer of status %d", res.StatusCode)
 	}
-	body, err := io.ReadAll(counted{io.LimitReader(res.Body, int64(limit)+1), held})
+	body, err := io.ReadAll(countingReader{io.LimitReader(res.Body, int64(limit)+1), held})
 	if err != nil {
 		return nil, errs.Wrap(err, "read body", peer)
 	}
@@ -195,10 +195,10 @@
 	return body, nil
 }
 
-// Sealed makes the answer that a target's response is kept and handed on as.
-func Sealed(res *http.Response, body []byte) idempotency.Response {
+// NewResponse makes the answer that a target's response is kept and handed on as.
+func NewResponse(res *http.Response, body []byte) idempotency.Response {
 	a := idempotency.Response{Status: uint16(res.StatusCode), Body: body}
-	for n, list := range Strip(res.Header) {
+	for n, list := range StripHopByHopHeaders(res.Header) {
 		for _, v := range list {
 			a.Header = append(a.Header, idempotency.Header{Name: n, Value: v})
 		}
--- a/internal/dataplane/proxy/carry_test.go
+++ b/internal/dataplane/proxy/carry_test.go
@@ -23,37 +23,37 @@
 	"dunlinwell/internal/transport/process"
 )
 
-// stand is a target written by hand, so that it can misbehave on the wire.
-type stand struct {
+// fakeTarget is a target written by hand, so that it can misbehave on the wire.
+type fakeTarget struct {
 	net.Listener
-	asked   atomic.Int64
-	circs   atomic.Int64
-	page    string
-	answer  func(r *http.Request) string
-	headers atomic.Pointer[http.Header]
+	requests    atomic.Int64
+	connections atomic.Int64
+	identity    string
+	respond     func(r *http.Request) string
+	headers     atomic.Pointer[http.Header]
 }
 
-func newStand(t *testing.T) *stand {
+func newFakeTarget(t *testing.T) *fakeTarget {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	s := &stand{Listener: l, page: `{"instance":"t","service":"s"}`, answer: good}
+	s := &fakeTarget{Listener: l, identity: `{"instance":"t","service":"s"}`, respond: validResponse}
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			s.circs.Add(1)
+			s.connections.Add(1)
 			go s.serve(c)
 		}
 	}()
 	return s
 }
 
-func (s *stand) serve(c net.Conn) {
+func (s *fakeTarget) serve(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for {
@@ -62,14 +62,14 @@
 			return
 		}
 		_, _ = io.Copy(io.Discard, req.Body)
-		if req.URL.Path == WellKnown {
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(s.page), s.page)
+		if req.URL.Path == IdentityPath {
+			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(s.identity), s.identity)
 			continue
 		}
-		s.asked.Add(1)
+		s.requests.Add(1)
 		h := req.Header.Clone()
 		s.headers.Store(&h)
-		out := s.answer(req)
+		out := s.respond(req)
 		if out == "" {
 			return
 		}
@@ -77,36 +77,36 @@
 	}
 }
 
-func good(r *http.Request) string { return sealedAnswer(r, "hello", "hello") }
+func validResponse(r *http.Request) string { return responseWithDigest(r, "hello", "hello") }
 
-func sealedAnswer(r *http.Request, body, sum string) string {
+func responseWithDigest(r *http.Request, body, sum string) string {
 	d := sha256.Sum256([]byte(sum))
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\nContent-Digest: sha-256=:%s:\r\nRequest-Id: %s\r\nIdempotency-Key: %s\r\nKeep-Alive: timeout=9\r\n\r\n%s",
 		len(body), base64.StdEncoding.EncodeToString(d[:]), r.Header.Get("Request-Id"), r.Header.Get("Idempotency-Key"), body)
 }
 
-func newCarrier() *Daemon {
-	d := NewDaemon(DaemonOptions{Common: settings.Common{Name: "c1", Address: "127.0.0.1:1", HTTPAddress: "127.0.0.1:2", Zone: "a", LogLevel: "error"}, MaxResponse: 1000})
+func newTestDaemon() *Daemon {
+	d := NewDaemon(DaemonOptions{Common: settings.Common{Name: "c1", Address: "127.0.0.1:1", HTTPAddress: "127.0.0.1:2", Zone: "a", LogLevel: "error"}, MaxResponseBytes: 1000})
 	d.self = membership.Member{ID: "c1", RunID: 7}
 	return d
 }
 
-func (d *Daemon) once(s *stand, fresh, repeatable bool) dispatch.AttemptFinished {
-	d.beat.Store(int64(process.Now()))
+func (d *Daemon) forwardNative(s *fakeTarget, fresh, repeatable bool) dispatch.AttemptFinished {
+	d.lastStep.Store(int64(process.Now()))
 	c := &ClientRequest{
 		Method: "POST", URI: "/x?y=1", Body: []byte("{}"), Job: dispatch.Job{ID: 3, IdempotencyKey: "m", Attempt: 1, Repeatable: repeatable},
 		Header: http.Header{"Idempotency-Key": {"m"}, "Connection": {"X-Own"}, "X-Own": {"1"}, "X-Kept": {"2"}},
 	}
-	return d.carry(c, dispatch.Forward{
+	return d.forward(c, dispatch.Forward{
 		ID: 3, Turn: 1, NewConnection: fresh, Deadline: process.Now().Add(5 * time.Second), SendBefore: process.Now().Add(5 * time.Second),
 		Target: targets.Target{Instance: "t", Service: "s", Incarnation: 4, Address: ids.Address(s.Addr().String())},
 	})
 }
 
-func TestSealedAnswerIsCarried(t *testing.T) {
+func TestForward_ReturnsCompleteResponse(t *testing.T) {
 	is := is.New(t)
-	s, d := newStand(t), newCarrier()
-	b := d.once(s, true, false)
+	s, d := newFakeTarget(t), newTestDaemon()
+	b := d.forwardNative(s, true, false)
 	is.Equal(b.Result, dispatch.Complete)
 	is.Equal(string(b.Response.Body), "hello")
 	h := *s.headers.Load()
@@ -116,65 +116,67 @@
 		is.True(line.Name != "Keep-Alive")
 	}
 	// A repeatable one may use the connection again, an unrepeatable one may not.
-	is.Equal(d.once(s, false, true).Result, dispatch.Complete)
-	is.Equal(s.circs.Load(), int64(1))
-	is.Equal(d.once(s, true, false).Result, dispatch.Complete)
-	is.Equal(s.circs.Load(), int64(2))
+	is.Equal(d.forwardNative(s, false, true).Result, dispatch.Complete)
+	is.Equal(s.connections.Load(), int64(1))
+	is.Equal(d.forwardNative(s, true, false).Result, dispatch.Complete)
+	is.Equal(s.connections.Load(), int64(2))
 }
 
 // Every way in which an answer is not the target's whole, sealed one.
-func TestUnsealedAnswersAreNotCarried(t *testing.T) {
+func TestForward_DiscardsInvalidResponse(t *testing.T) {
 	is := is.New(t)
 	for name, answer := range map[string]func(*http.Request) string{
-		"closed":        func(*http.Request) string { return "" },
-		"garbage":       func(*http.Request) string { return "nonsense\r\n\r\n" },
-		"wrong seal":    func(r *http.Request) string { return sealedAnswer(r, "hello", "other") },
-		"no seal":       func(r *http.Request) string { return strings.Replace(good(r), "Content-Digest", "X", 1) },
-		"other request": func(r *http.Request) string { return strings.Replace(good(r), "Request-Id: c1", "Request-Id: c2", 1) },
+		"closed":     func(*http.Request) string { return "" },
+		"garbage":    func(*http.Request) string { return "nonsense\r\n\r\n" },
+		"wrong seal": func(r *http.Request) string { return responseWithDigest(r, "hello", "other") },
+		"no seal":    func(r *http.Request) string { return strings.Replace(validResponse(r), "Content-Digest", "X", 1) },
+		"other request": func(r *http.Request) string {
+			return strings.Replace(validResponse(r), "Request-Id: c1", "Request-Id: c2", 1)
+		},
 		"two requests": func(r *http.Request) string {
-			return strings.Replace(good(r), "Idempotency-Key", "Request-Id: c2\r\nIdempotency-Key", 1)
+			return strings.Replace(validResponse(r), "Idempotency-Key", "Request-Id: c2\r\nIdempotency-Key", 1)
 		},
-		"other mark": func(r *http.Request) string { return strings.Replace(good(r), "Key: m", "Key: n", 1) },
-		"too large":  func(r *http.Request) string { b := strings.Repeat("x", 2000); return sealedAnswer(r, b, b) },
+		"other mark": func(r *http.Request) string { return strings.Replace(validResponse(r), "Key: m", "Key: n", 1) },
+		"too large":  func(r *http.Request) string { b := strings.Repeat("x", 2000); return responseWithDigest(r, b, b) },
 		"redirect":   func(*http.Request) string { return "HTTP/1.1 302 Found\r\nLocation: /y\r\nContent-Length: 0\r\n\r\n" },
 	} {
-		s, d := newStand(t), newCarrier()
-		s.answer = answer
-		b := d.once(s, true, false)
+		s, d := newFakeTarget(t), newTestDaemon()
+		s.respond = answer
+		b := d.forwardNative(s, true, false)
 		if b.Result != dispatch.MayHaveRun {
 			t.Errorf("%s: %v %s", name, b.Result, b.Why)
 		}
-		is.Equal(s.asked.Load(), int64(1)) // sent once, whatever came back
+		is.Equal(s.requests.Load(), int64(1)) // sent once, whatever came back
 	}
 }
 
 // A connection on which another shows itself carries nothing: the address has a
 // new owner, or the same one was restarted, or leaves.
-func TestForeignTargetGetsNothing(t *testing.T) {
+func TestForward_SendsNothingToUnverifiedTarget(t *testing.T) {
 	is := is.New(t)
 	for _, page := range []string{
 		`{"instance":"u","service":"s"}`, `{"instance":"t","service":"other"}`, `{"instance":"t","service":"s","leaving":true}`,
 		`{"instance":"t","service":"s","incarnation":5}`, `{}`, `not JSON`,
 	} {
-		s, d := newStand(t), newCarrier()
-		s.page = page
-		is.Equal(d.once(s, true, false).Result, dispatch.NotSent)
-		is.Equal(s.asked.Load(), int64(0))
+		s, d := newFakeTarget(t), newTestDaemon()
+		s.identity = page
+		is.Equal(d.forwardNative(s, true, false).Result, dispatch.NotSent)
+		is.Equal(s.requests.Load(), int64(0))
 	}
 	// A connection that was closed while it lay idle is not used.
-	s, d := newStand(t), newCarrier()
-	s.answer = func(r *http.Request) string {
-		return strings.Replace(good(r), "Content-Length", "Connection: close\r\nContent-Length", 1)
+	s, d := newFakeTarget(t), newTestDaemon()
+	s.respond = func(r *http.Request) string {
+		return strings.Replace(validResponse(r), "Content-Length", "Connection: close\r\nContent-Length", 1)
 	}
-	is.Equal(d.once(s, false, true).Result, dispatch.Complete)
-	is.Equal(d.once(s, false, true).Result, dispatch.Complete)
-	is.Equal(s.circs.Load(), int64(2))
+	is.Equal(d.forwardNative(s, false, true).Result, dispatch.Complete)
+	is.Equal(d.forwardNative(s, false, true).Result, dispatch.Complete)
+	is.Equal(s.connections.Load(), int64(2))
 }
 
 // After a freeze, or with no time left, nothing leaves.
-func TestNothingLeavesAfterAFreeze(t *testing.T) {
+func TestMaySend_DeadlineAndFreeze(t *testing.T) {
 	is := is.New(t)
-	is.True(MayLeave(100, 200, 50))
-	is.True(!MayLeave(200, 200, 50))
-	is.True(!MayLeave(ids.Time(3*time.Second), ids.Time(time.Hour), ids.Time(time.Second)))
+	is.True(MaySend(100, 200, 50))
+	is.True(!MaySend(200, 200, 50))
+	is.True(!MaySend(ids.Time(3*time.Second), ids.Time(time.Hour), ids.Time(time.Second)))
 }
--- a/internal/dataplane/proxy/circuit.go
+++ b/internal/dataplane/proxy/circuit.go
@@ -15,19 +15,19 @@
 // connection is one held connection to a target that has shown who it is.
 type connection struct {
 	net.Conn
-	// run is what the connection leads to.
-	run   targetRun
-	read  *bufio.Reader
-	bound *io.LimitedReader
-	idled ids.Time
-	// usable is how long it may be idle and still be used.
-	usable time.Duration
-	// reused is how long it had been idle before the request now on it; 0 for a
+	// target is what the connection leads to.
+	target      targetRun
+	reader      *bufio.Reader
+	headerLimit *io.LimitedReader
+	idleSince   ids.Time
+	// maxIdle is how long it may be idle and still be used.
+	maxIdle time.Duration
+	// idleBeforeUse is how long it had been idle before the request now on it; 0 for a
 	// new connection.
-	reused time.Duration
+	idleBeforeUse time.Duration
 	// heard: something came back for the request now on it, or its time ran out
 	// in silence.
-	heard bool
+	responsive bool
 }
 
 // targetRun is one run of a target, at its address. The next run of the same
@@ -37,13 +37,13 @@
 	incarnation ids.Incarnation
 }
 
-func runOf(t targets.Target) targetRun { return targetRun{t.Address, t.Incarnation} }
+func targetRunOf(t targets.Target) targetRun { return targetRun{t.Address, t.Incarnation} }
 
-// takeFor gives an idle connection to this very run of a target.
-func (p *connections) takeFor(t targets.Target, careful bool) *connection {
+// take gives an idle connection to this very run of a target.
+func (p *connectionPool) take(t targets.Target, careful bool) *connection {
 	for {
-		c := p.take(t.Instance, careful)
-		if c == nil || c.run == runOf(t) {
+		c := p.takeAny(t.Instance, careful)
+		if c == nil || c.target == targetRunOf(t) {
 			return c
 		}
 		c.Close()
@@ -56,16 +56,16 @@
 	n, err := c.Conn.Read(p)
 	var slow net.Error
 	if n > 0 || errors.As(err, &slow) && slow.Timeout() {
-		c.heard = true
+		c.responsive = true
 	}
 	return n, err
 }
 
-// quiet looks, without taking anything, whether the peer closed or spoke out
+// isOpen looks, without taking anything, whether the peer closed or spoke out
 // of turn; either way the connection is no good.
-func (c *connection) quiet() bool {
+func (c *connection) isOpen() bool {
 	s, ok := c.Conn.(syscall.Conn)
-	if !ok || c.read.Buffered() > 0 {
+	if !ok || c.reader.Buffered() > 0 {
 		return false
 	}
 	raw, err := s.SyscallConn()
--- a/internal/dataplane/proxy/circuits.go
+++ b/internal/dataplane/proxy/circuits.go
@@ -18,8 +18,8 @@
 	"dunlinwell/internal/transport/process"
 )
 
-// WellKnown is the page on which a target says who it is.
-const WellKnown = "/.well-known/dunlinwell"
+// IdentityPath is the page on which a target says who it is.
+const IdentityPath = "/.well-known/dunlinwell"
 
 // IdentityDocument is what that page says.
 type IdentityDocument struct {
@@ -31,39 +31,39 @@
 	Incarnation ids.Incarnation `json:"incarnation"`
 }
 
-// connections keeps idle connections by target. net/http's Transport is not used
+// connectionPool keeps idle connections by target. net/http's Transport is not used
 // here: it resends by itself on a dead connection, and then an order runs twice.
-type connections struct {
-	mu   sync.Mutex
-	idle map[ids.InstanceID][]*connection
-	from net.IP
+type connectionPool struct {
+	mu      sync.Mutex
+	idle    map[ids.InstanceID][]*connection
+	localIP net.IP
 	// greets: a new connection first asks its target who it is.
-	greets bool
-	// dialWithin bounds the opening of a connection.
-	dialWithin time.Duration
-	// fresh is how long a connection may have been idle for a careful request, as
+	verifyIdentity bool
+	// dialTimeout bounds the opening of a connection.
+	dialTimeout time.Duration
+	// recentIdleLimit is how long a connection may have been idle for a careful request, as
 	// learned from those that were found dead; 0 for the most there is.
-	fresh time.Duration
+	recentIdleLimit time.Duration
 }
 
 const (
-	mostIdle   = 32
-	idleUsable = 5 * time.Second
-	dialTarget = time.Second
-	// carefulIdle is how long a connection may have been idle where what is lost on
+	maxIdlePerTarget   = 32
+	defaultMaxIdle     = 5 * time.Second
+	defaultDialTimeout = time.Second
+	// recentIdleMax is how long a connection may have been idle where what is lost on
 	// a dead one can't be sent again.
-	carefulIdle  = 1500 * time.Millisecond
-	carefulLeast = 20 * time.Millisecond
-	// idleMargin is how much sooner than its target a connection is given up.
-	idleMargin = 1500 * time.Millisecond
-	// ackWithin is how long what was sent may go without the target machine's
+	recentIdleMax = 1500 * time.Millisecond
+	recentIdleMin = 20 * time.Millisecond
+	// keepAliveMargin is how much sooner than its target a connection is given up.
+	keepAliveMargin = 1500 * time.Millisecond
+	// tcpUserTimeout is how long what was sent may go without the target machine's
 	// own acknowledgement before the connection counts as dead.
-	ackWithin   = 1200 * time.Millisecond
-	wellKnownIs = 64 << 10
+	tcpUserTimeout      = 1200 * time.Millisecond
+	maxIdentityDocument = 64 << 10
 )
 
-// take gives an idle connection that is surely still open.
-func (p *connections) take(id ids.InstanceID, careful bool) *connection {
+// takeAny gives an idle connection that is surely still open.
+func (p *connectionPool) takeAny(id ids.InstanceID, careful bool) *connection {
 	for {
 		p.mu.Lock()
 		list := p.idle[id]
@@ -74,51 +74,51 @@
 		c := list[len(list)-1]
 		p.idle[id] = list[:len(list)-1]
 		p.mu.Unlock()
-		idled := process.Now().Sub(c.idled)
-		if idled < c.usable && !(careful && idled > p.careful()) && c.quiet() {
-			c.reused, c.heard = idled, false
+		idled := process.Now().Sub(c.idleSince)
+		if idled < c.maxIdle && !(careful && idled > p.maxRecentIdle()) && c.isOpen() {
+			c.idleBeforeUse, c.responsive = idled, false
 			return c
 		}
 		c.Close()
 	}
 }
 
-func (p *connections) careful() time.Duration {
+func (p *connectionPool) maxRecentIdle() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return cmp.Or(p.fresh, carefulIdle)
+	return cmp.Or(p.recentIdleLimit, recentIdleMax)
 }
 
-// dead notes that a connection that had been idle was gone as it was used: targets
+// recordStale notes that a connection that had been idle was gone as it was used: targets
 // may forget connections sooner than they say, and what is lost so can't be sent
 // again. recover, now and then, trusts them a little longer.
-func (p *connections) dead(c *connection) {
-	if c.reused == 0 {
+func (p *connectionPool) recordStale(c *connection) {
+	if c.idleBeforeUse == 0 {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.fresh = max(min(c.reused/2, cmp.Or(p.fresh, carefulIdle)), carefulLeast)
+	p.recentIdleLimit = max(min(c.idleBeforeUse/2, cmp.Or(p.recentIdleLimit, recentIdleMax)), recentIdleMin)
 }
 
-func (p *connections) recover() {
+func (p *connectionPool) relaxRecentIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.fresh > 0 {
-		p.fresh = min(p.fresh*5/4, carefulIdle)
+	if p.recentIdleLimit > 0 {
+		p.recentIdleLimit = min(p.recentIdleLimit*5/4, recentIdleMax)
 	}
 }
 
-// keep holds a connection for later, unless there are enough.
-func (p *connections) keep(id ids.InstanceID, c *connection, idle time.Duration) {
-	c.idled, c.usable = process.Now(), idleUsable
+// put holds a connection for later, unless there are enough.
+func (p *connectionPool) put(id ids.InstanceID, c *connection, idle time.Duration) {
+	c.idleSince, c.maxIdle = process.Now(), defaultMaxIdle
 	if idle > 0 {
-		c.usable = max(idle-idleMargin, 0)
+		c.maxIdle = max(idle-keepAliveMargin, 0)
 	}
 	_ = c.SetDeadline(time.Time{})
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[id]) >= mostIdle {
+	if len(p.idle[id]) >= maxIdlePerTarget {
 		c.Close()
 		return
 	}
@@ -128,14 +128,14 @@
 	p.idle[id] = append(p.idle[id], c)
 }
 
-// sweep closes what has been idle for too long.
-func (p *connections) sweep() {
+// closeExpired closes what has been idle for too long.
+func (p *connectionPool) closeExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, list := range p.idle {
 		var stay []*connection
 		for _, c := range list {
-			if process.Now().Sub(c.idled) < c.usable {
+			if process.Now().Sub(c.idleSince) < c.maxIdle {
 				stay = append(stay, c)
 			} else {
 				c.Close()
@@ -149,29 +149,29 @@
 	}
 }
 
-// open dials a target and lets it show who it is, on the very connection that
+// dial dials a target and lets it show who it is, on the very connection that
 // requests will use: a later owner of the address never gets one.
-func (p *connections) open(ctx context.Context, t targets.Target, until time.Time) (*connection, error) {
-	d := net.Dialer{Timeout: p.dialWithin, Deadline: until, Control: func(_, _ string, raw syscall.RawConn) error {
+func (p *connectionPool) dial(ctx context.Context, t targets.Target, until time.Time) (*connection, error) {
+	d := net.Dialer{Timeout: p.dialTimeout, Deadline: until, Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
-			_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, process.TCPUserTimeout, int(ackWithin/time.Millisecond))
+			_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, process.TCPUserTimeout, int(tcpUserTimeout/time.Millisecond))
 		})
 	}}
-	if p.from != nil {
-		d.LocalAddr = &net.TCPAddr{IP: p.from}
+	if p.localIP != nil {
+		d.LocalAddr = &net.TCPAddr{IP: p.localIP}
 	}
 	conn, err := d.DialContext(ctx, "tcp", string(t.Address))
 	if err != nil {
 		return nil, errs.Wrap(err, "dial target", string(t.Address))
 	}
-	c := &connection{Conn: conn, run: runOf(t)}
-	c.bound = &io.LimitedReader{R: c, N: mostHead}
-	c.read = bufio.NewReader(c.bound)
-	if !p.greets {
+	c := &connection{Conn: conn, target: targetRunOf(t)}
+	c.headerLimit = &io.LimitedReader{R: c, N: maxResponseHeader}
+	c.reader = bufio.NewReader(c.headerLimit)
+	if !p.verifyIdentity {
 		return c, nil
 	}
-	_ = c.SetDeadline(earlier(until, time.Now().Add(dialTarget)))
-	s, err := c.ask(t)
+	_ = c.SetDeadline(earlier(until, time.Now().Add(defaultDialTimeout)))
+	s, err := c.fetchIdentity(t)
 	if err == nil && (s.Instance != t.Instance || s.Service != t.Service) {
 		err = errs.New("check target", string(t.Address), "it is %s of %s, not %s of %s", s.Instance, s.Service, t.Instance, t.Service)
 	}
@@ -188,21 +188,21 @@
 	return c, nil
 }
 
-func (c *connection) ask(t targets.Target) (IdentityDocument, error) {
+func (c *connection) fetchIdentity(t targets.Target) (IdentityDocument, error) {
 	var s IdentityDocument
-	req, err := http.NewRequest(http.MethodGet, "http://"+string(t.Address)+WellKnown, nil)
+	req, err := http.NewRequest(http.MethodGet, "http://"+string(t.Address)+IdentityPath, nil)
 	if err != nil {
 		return s, errs.Wrap(err, "ask target", string(t.Address))
 	}
 	if err := req.Write(c.Conn); err != nil {
 		return s, errs.Wrap(err, "ask target", string(t.Address))
 	}
-	res, err := http.ReadResponse(c.read, req)
+	res, err := http.ReadResponse(c.reader, req)
 	if err != nil {
 		return s, errs.Wrap(err, "ask target", string(t.Address))
 	}
 	defer res.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(res.Body, wellKnownIs))
+	raw, err := io.ReadAll(io.LimitReader(res.Body, maxIdentityDocument))
 	if err != nil || res.StatusCode != http.StatusOK || res.Close {
 		return s, errs.New("ask target", string(t.Address), "status %d, close %t, %v", res.StatusCode, res.Close, err)
 	}
--- a/internal/dataplane/proxy/circuits_test.go
+++ b/internal/dataplane/proxy/circuits_test.go
@@ -16,160 +16,166 @@
 	"dunlinwell/internal/transport/process"
 )
 
-// plain is a dialect that names each request's instance, and so asks nobody first.
-type plain struct{ idle time.Duration }
+// plainProtocol is a dialect that names each request's instance, and so asks nobody first.
+type plainProtocol struct{ idleTimeout time.Duration }
 
-func (plain) Greets() bool { return false }
+func (plainProtocol) VerifiesIdentity() bool { return false }
 
-func (plain) Outgoing(c *ClientRequest, _ dispatch.Forward, _ time.Duration) http.Header {
-	return Strip(c.Header)
+func (plainProtocol) RequestHeader(c *ClientRequest, _ dispatch.Forward, _ time.Duration) http.Header {
+	return StripHopByHopHeaders(c.Header)
 }
 
-func (p plain) Judge(res *http.Response, body []byte, c *ClientRequest, _ dispatch.Forward) (Verdict, error) {
-	v := Verdict{How: dispatch.Complete, Response: Sealed(res, body), Again: true, Idle: p.idle}
+func (p plainProtocol) CheckResponse(res *http.Response, body []byte, c *ClientRequest, _ dispatch.Forward) (CheckedResponse, error) {
+	v := CheckedResponse{Result: dispatch.Complete, Response: NewResponse(res, body), KeepAlive: true, IdleTimeout: p.idleTimeout}
 	switch res.Header.Get("Id") {
-	case c.ID:
+	case c.AttemptID:
 		return v, nil
 	case "":
 		return v, errs.New("check response", "", "no id")
 	}
-	return Verdict{Other: true, Again: true}, nil
+	return CheckedResponse{ForOtherRequest: true, KeepAlive: true}, nil
 }
 
-func plainCarrier(idle time.Duration) *Daemon {
-	d := newCarrier()
-	d.trade = plain{idle}
-	d.connections.greets = false
+func newPlainDaemon(idle time.Duration) *Daemon {
+	d := newTestDaemon()
+	d.targetProtocol = plainProtocol{idle}
+	d.pool.verifyIdentity = false
 	return d
 }
 
-func named(r *http.Request, id, body string) string {
+func responseFor(r *http.Request, id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\nId: %s\r\n\r\n%s", len(body), id, body)
 }
 
-func echo(r *http.Request) string { return named(r, r.Header.Get("Id"), "of "+r.Header.Get("Id")) }
+func echoResponse(r *http.Request) string {
+	return responseFor(r, r.Header.Get("Id"), "of "+r.Header.Get("Id"))
+}
 
-func (d *Daemon) put(s *stand, id string, careful bool) dispatch.AttemptFinished {
-	return d.send(s, &ClientRequest{ID: id}, careful)
+func (d *Daemon) forwardPlain(s *fakeTarget, id string, careful bool) dispatch.AttemptFinished {
+	return d.forwardRequest(s, &ClientRequest{AttemptID: id}, careful)
 }
 
-func (d *Daemon) putHeld(s *stand, id string, h *MemoryReservation) dispatch.AttemptFinished {
-	return d.send(s, &ClientRequest{ID: id, Memory: h}, false)
+func (d *Daemon) forwardReserved(s *fakeTarget, id string, h *MemoryReservation) dispatch.AttemptFinished {
+	return d.forwardRequest(s, &ClientRequest{AttemptID: id, Memory: h}, false)
 }
 
-func (d *Daemon) send(s *stand, c *ClientRequest, careful bool) dispatch.AttemptFinished {
-	return d.sendWithin(s, c, careful, 5*time.Second)
+func (d *Daemon) forwardRequest(s *fakeTarget, c *ClientRequest, careful bool) dispatch.AttemptFinished {
+	return d.forwardRequestWithin(s, c, careful, 5*time.Second)
 }
 
-func (d *Daemon) sendWithin(s *stand, c *ClientRequest, careful bool, within time.Duration) dispatch.AttemptFinished {
-	d.beat.Store(int64(process.Now()))
-	c.Method, c.URI, c.Header = "POST", "/x", http.Header{"Id": {c.ID}}
-	return d.carry(c, dispatch.Forward{
+func (d *Daemon) forwardRequestWithin(s *fakeTarget, c *ClientRequest, careful bool, within time.Duration) dispatch.AttemptFinished {
+	d.lastStep.Store(int64(process.Now()))
+	c.Method, c.URI, c.Header = "POST", "/x", http.Header{"Id": {c.AttemptID}}
+	return d.forward(c, dispatch.Forward{
 		ID: 1, Turn: 1, Careful: careful, Deadline: process.Now().Add(within), SendBefore: process.Now().Add(within),
 		Target: targets.Target{Instance: "t", Service: "s", Address: ids.Address(s.Addr().String())},
 	})
 }
 
-// lay makes the one idle connection look as if it had been idle for a while.
-func (d *Daemon) lay(t *testing.T, idle time.Duration) {
+// ageIdleConnection makes the one idle connection look as if it had been idle for a while.
+func (d *Daemon) ageIdleConnection(t *testing.T, idle time.Duration) {
 	t.Helper()
-	list := d.connections.idle["t"]
+	list := d.pool.idle["t"]
 	if len(list) != 1 {
 		t.Fatalf("%d circuits are held, not one", len(list))
 	}
-	list[0].idled = process.Now().Add(-idle)
+	list[0].idleSince = process.Now().Add(-idle)
 }
 
-func TestCarefulConnections(t *testing.T) {
+func TestConnectionPool_RecentOnly(t *testing.T) {
 	is := is.New(t)
-	s, d := newStand(t), plainCarrier(0)
-	s.answer = echo
+	s, d := newFakeTarget(t), newPlainDaemon(0)
+	s.respond = echoResponse
 	for i, c := range []struct {
 		idle    time.Duration
 		careful bool
 		circs   int64
 	}{
 		{0, true, 1},
-		{carefulIdle - 200*time.Millisecond, true, 1},
-		{carefulIdle + time.Millisecond, false, 1}, // one that may be sent again may try it
-		{carefulIdle + time.Millisecond, true, 2},
-		{idleUsable + time.Millisecond, false, 3},
+		{recentIdleMax - 200*time.Millisecond, true, 1},
+		{recentIdleMax + time.Millisecond, false, 1}, // one that may be sent again may try it
+		{recentIdleMax + time.Millisecond, true, 2},
+		{defaultMaxIdle + time.Millisecond, false, 3},
 	} {
 		if i > 0 {
-			d.lay(t, c.idle)
+			d.ageIdleConnection(t, c.idle)
 		}
 		id := fmt.Sprint("r", i)
-		is.Equal(string(d.put(s, id, c.careful).Response.Body), "of "+id)
-		is.Equal(s.circs.Load(), c.circs)
+		is.Equal(string(d.forwardPlain(s, id, c.careful).Response.Body), "of "+id)
+		is.Equal(s.connections.Load(), c.circs)
 	}
-	d.lay(t, idleUsable+time.Millisecond)
-	d.connections.sweep()
-	is.Equal(len(d.connections.idle), 0)
+	d.ageIdleConnection(t, defaultMaxIdle+time.Millisecond)
+	d.pool.closeExpired()
+	is.Equal(len(d.pool.idle), 0)
 }
 
 // A target's own word on how long a connection may be idle is kept, with a margin.
-func TestTargetsIdleTime(t *testing.T) {
+func TestConnectionPool_ObservesTargetKeepAlive(t *testing.T) {
 	is := is.New(t)
 	for idle, want := range map[time.Duration]int64{9 * time.Second: 1, time.Second: 2} {
-		s, d := newStand(t), plainCarrier(idle)
-		s.answer = echo
-		is.Equal(d.put(s, "a", false).Result, dispatch.Complete)
-		is.Equal(d.put(s, "b", false).Result, dispatch.Complete)
-		is.Equal(s.circs.Load(), want)
+		s, d := newFakeTarget(t), newPlainDaemon(idle)
+		s.respond = echoResponse
+		is.Equal(d.forwardPlain(s, "a", false).Result, dispatch.Complete)
+		is.Equal(d.forwardPlain(s, "b", false).Result, dispatch.Complete)
+		is.Equal(s.connections.Load(), want)
 	}
-	s, d := newStand(t), plainCarrier(9*time.Second)
-	s.answer = echo
-	d.put(s, "a", false)
-	d.lay(t, 9*time.Second-idleMargin+time.Millisecond)
-	d.put(s, "b", false)
-	is.Equal(s.circs.Load(), int64(2))
-	d.lay(t, 7*time.Second) // longer than where nothing is said
-	d.put(s, "c", false)
-	is.Equal(s.circs.Load(), int64(2))
+	s, d := newFakeTarget(t), newPlainDaemon(9*time.Second)
+	s.respond = echoResponse
+	d.forwardPlain(s, "a", false)
+	d.ageIdleConnection(t, 9*time.Second-keepAliveMargin+time.Millisecond)
+	d.forwardPlain(s, "b", false)
+	is.Equal(s.connections.Load(), int64(2))
+	d.ageIdleConnection(t, 7*time.Second) // longer than where nothing is said
+	d.forwardPlain(s, "c", false)
+	is.Equal(s.connections.Load(), int64(2))
 }
 
 // Bytes after an answer belong to nobody: the connection carries nothing more.
-func TestBytesAfterAnAnswer(t *testing.T) {
+func TestForward_DropsConnectionWithTrailingBytes(t *testing.T) {
 	is := is.New(t)
-	s, d := newStand(t), plainCarrier(0)
-	s.answer = func(r *http.Request) string { return echo(r) + "HTTP/1.1 200 OK\r\n" }
-	is.Equal(string(d.put(s, "a", false).Response.Body), "of a")
-	is.Equal(len(d.connections.idle), 0)
-	s.answer = echo
-	is.Equal(string(d.put(s, "b", false).Response.Body), "of b")
-	is.Equal(s.circs.Load(), int64(2))
+	s, d := newFakeTarget(t), newPlainDaemon(0)
+	s.respond = func(r *http.Request) string { return echoResponse(r) + "HTTP/1.1 200 OK\r\n" }
+	is.Equal(string(d.forwardPlain(s, "a", false).Response.Body), "of a")
+	is.Equal(len(d.pool.idle), 0)
+	s.respond = echoResponse
+	is.Equal(string(d.forwardPlain(s, "b", false).Response.Body), "of b")
+	is.Equal(s.connections.Load(), int64(2))
 }
 
 // A late answer to an earlier request stands in this one's place: it is read past,
 // a few times, and never taken for this one's.
-func TestAnswersToOthersAreReadPast(t *testing.T) {
+func TestForward_SkipsResponsesToOtherRequests(t *testing.T) {
 	is := is.New(t)
-	s, d := newStand(t), plainCarrier(0)
-	s.answer = func(r *http.Request) string { return named(r, "old", "of old") + named(r, "older", "") + echo(r) }
-	b := d.put(s, "a", false)
+	s, d := newFakeTarget(t), newPlainDaemon(0)
+	s.respond = func(r *http.Request) string {
+		return responseFor(r, "old", "of old") + responseFor(r, "older", "") + echoResponse(r)
+	}
+	b := d.forwardPlain(s, "a", false)
 	is.Equal(b.Result, dispatch.Complete)
 	is.Equal(string(b.Response.Body), "of a")
-	s, d = newStand(t), plainCarrier(0)
-	s.answer = func(r *http.Request) string { return strings.Repeat(named(r, "old", ""), mostOthers+1) + echo(r) }
-	is.Equal(d.put(s, "a", false).Result, dispatch.MayHaveRun)
+	s, d = newFakeTarget(t), newPlainDaemon(0)
+	s.respond = func(r *http.Request) string {
+		return strings.Repeat(responseFor(r, "old", ""), maxStaleResponses+1) + echoResponse(r)
+	}
+	is.Equal(d.forwardPlain(s, "a", false).Result, dispatch.MayHaveRun)
 }
 
 // A target that sends a head without end costs no more than a head may.
-func TestAHeadWithoutEnd(t *testing.T) {
+func TestForward_BoundsResponseHeader(t *testing.T) {
 	is := is.New(t)
-	s, d := newStand(t), plainCarrier(0)
-	head := strings.Repeat("X-More: "+strings.Repeat("y", 1000)+"\r\n", 3*mostHead/1000)
-	s.answer = func(r *http.Request) string {
+	s, d := newFakeTarget(t), newPlainDaemon(0)
+	head := strings.Repeat("X-More: "+strings.Repeat("y", 1000)+"\r\n", 3*maxResponseHeader/1000)
+	s.respond = func(r *http.Request) string {
 		return "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nId: a\r\n" + head + "\r\n"
 	}
-	is.Equal(d.put(s, "a", false).Result, dispatch.MayHaveRun)
+	is.Equal(d.forwardPlain(s, "a", false).Result, dispatch.MayHaveRun)
 	// One of a proper size is read, however much the connection has carried before.
-	s, d = newStand(t), plainCarrier(0)
-	s.answer = func(r *http.Request) string {
-		return "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nX-Large: " + strings.Repeat("y", mostHead/2) + "\r\nId: " + r.Header.Get("Id") + "\r\n\r\n"
+	s, d = newFakeTarget(t), newPlainDaemon(0)
+	s.respond = func(r *http.Request) string {
+		return "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nX-Large: " + strings.Repeat("y", maxResponseHeader/2) + "\r\nId: " + r.Header.Get("Id") + "\r\n\r\n"
 	}
 	for _, id := range []string{"a", "b", "c", "d"} {
-		is.Equal(d.put(s, id, false).Result, dispatch.Complete)
+		is.Equal(d.forwardPlain(s, id, false).Result, dispatch.Complete)
 	}
-	is.Equal(s.circs.Load(), int64(1))
+	is.Equal(s.connections.Load(), int64(1))
 }
--- a/internal/dataplane/proxy/clientconn.go
+++ b/internal/dataplane/proxy/clientconn.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// longAgo is a deadline that ends a pending read at once.
-var longAgo = time.Unix(1, 0)
+// pastDeadline is a deadline that ends a pending read at once.
+var pastDeadline = time.Unix(1, 0)
 
 // clientConn is a client's connection that can be ended while it is idle
 // without losing a request: either its pending read ends with nothing read, or
@@ -20,11 +20,11 @@
 	net.Conn
 	mu sync.Mutex
 	// idle: between two requests. read: something of the next one was read.
-	idle, read bool
+	idle, reading bool
 	// ending: to be ended as soon as it is idle. expired: its read is being ended.
-	ending, expired bool
-	// deadline is the server's own for reading.
-	deadline time.Time
+	closing, readExpired bool
+	// readDeadline is the server's own for reading.
+	readDeadline time.Time
 }
 
 func (c *clientConn) Read(p []byte) (int, error) {
@@ -32,14 +32,14 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case n > 0 && c.expired:
+	case n > 0 && c.readExpired:
 		// The request came first: it is read to its end and answered.
-		c.expired = false
-		_ = c.Conn.SetReadDeadline(c.deadline)
-		c.read = true
+		c.readExpired = false
+		_ = c.Conn.SetReadDeadline(c.readDeadline)
+		c.reading = true
 	case n > 0:
-		c.read = true
-	case c.expired:
+		c.reading = true
+	case c.readExpired:
 		return 0, io.EOF
 	}
 	return n, err
@@ -49,8 +49,8 @@
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.deadline = t
-	if c.expired {
+	c.readDeadline = t
+	if c.readExpired {
 		return nil
 	}
 	return c.Conn.SetReadDeadline(t)
@@ -62,47 +62,47 @@
 	defer c.mu.Unlock()
 	c.idle = idle
 	if idle {
-		c.read = false
-		c.expire()
+		c.reading = false
+		c.expireRead()
 	}
 }
 
-// end ends the connection now if it is idle, or else once it is.
-func (c *clientConn) end() {
+// closeWhenIdle ends the connection now if it is idle, or else once it is.
+func (c *clientConn) closeWhenIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ending = true
-	c.expire()
+	c.closing = true
+	c.expireRead()
 }
 
-func (c *clientConn) expire() {
-	if c.ending && c.idle && !c.read {
-		c.expired = true
-		_ = c.Conn.SetReadDeadline(longAgo)
+func (c *clientConn) expireRead() {
+	if c.closing && c.idle && !c.reading {
+		c.readExpired = true
+		_ = c.Conn.SetReadDeadline(pastDeadline)
 	}
 }
 
-// door is one HTTP server, with its limits, and the connections that it holds.
-type door struct {
-	server *http.Server
-	queue  *queue
-	ending atomic.Bool
-	mu     sync.Mutex
-	conns  map[*clientConn]bool
+// clientServer is one HTTP server, with its limits, and the connections that it holds.
+type clientServer struct {
+	server   *http.Server
+	listener *connQueue
+	draining atomic.Bool
+	mu       sync.Mutex
+	conns    map[*clientConn]bool
 }
 
-// end lets a door end: who is idle goes now, the others with their answer.
-func (d *door) end() {
-	d.ending.Store(true)
+// drain lets a door end: who is idle goes now, the others with their answer.
+func (d *clientServer) drain() {
+	d.draining.Store(true)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for c := range d.conns {
-		c.end()
+		c.closeWhenIdle()
 	}
 }
 
-// follow keeps account of the door's connections.
-func (d *door) follow(conn net.Conn, s http.ConnState) {
+// trackConn keeps account of the door's connections.
+func (d *clientServer) trackConn(conn net.Conn, s http.ConnState) {
 	c, ok := conn.(*clientConn)
 	if !ok {
 		return
@@ -112,8 +112,8 @@
 		d.mu.Lock()
 		d.conns[c] = true
 		d.mu.Unlock()
-		if d.ending.Load() {
-			c.end()
+		if d.draining.Load() {
+			c.closeWhenIdle()
 		}
 	case http.StateClosed, http.StateHijacked:
 		d.mu.Lock()
@@ -124,35 +124,35 @@
 	}
 }
 
-// handler tells clients of an ending door to go with their answer.
-func (d *door) handler(h http.Handler) http.Handler {
+// wrapHandler tells clients of an ending door to go with their answer.
+func (d *clientServer) wrapHandler(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		h.ServeHTTP(&lastAnswer{ResponseWriter: w, door: d}, r)
+		h.ServeHTTP(&drainingWriter{ResponseWriter: w, server: d}, r)
 	})
 }
 
-// lastAnswer sets Connection: close on an answer as it begins, if the door is
+// drainingWriter sets Connection: close on an answer as it begins, if the door is
 // ending by then.
-type lastAnswer struct {
+type drainingWriter struct {
 	http.ResponseWriter
-	door  *door
-	begun bool
+	server        *clientServer
+	headerWritten bool
 }
 
-func (l *lastAnswer) WriteHeader(status int) {
-	l.begun = true
-	if l.door.ending.Load() {
+func (l *drainingWriter) WriteHeader(status int) {
+	l.headerWritten = true
+	if l.server.draining.Load() {
 		l.Header().Set("Connection", "close")
 	}
 	l.ResponseWriter.WriteHeader(status)
 }
 
-func (l *lastAnswer) Write(p []byte) (int, error) {
-	if !l.begun {
+func (l *drainingWriter) Write(p []byte) (int, error) {
+	if !l.headerWritten {
 		l.WriteHeader(http.StatusOK)
 	}
 	return l.ResponseWriter.Write(p)
 }
 
 // Unwrap lets an http.ResponseController reach the server's own writer.
-func (l *lastAnswer) Unwrap() http.ResponseWriter { return l.ResponseWriter }
+func (l *drainingWriter) Unwrap() http.ResponseWriter { return l.ResponseWriter }
--- a/internal/dataplane/proxy/clientconn_test.go
+++ b/internal/dataplane/proxy/clientconn_test.go
@@ -13,23 +13,23 @@
 	"github.com/matryer/is"
 )
 
-const get = "GET /x HTTP/1.1\r\nHost: h\r\n\r\n"
+const getRequest = "GET /x HTTP/1.1\r\nHost: h\r\n\r\n"
 
 // scriptedConn is a client's connection by hand: each read gives what the next
 // step of its script does.
 type scriptedConn struct {
 	net.Conn
-	script chan func(p []byte) (int, error)
-	mu     sync.Mutex
-	wrote  bytes.Buffer
-	closed chan struct{}
-	once   sync.Once
-	// expired ends a pending read.
-	expired chan struct{}
+	script    chan func(p []byte) (int, error)
+	mu        sync.Mutex
+	written   bytes.Buffer
+	closed    chan struct{}
+	closeOnce sync.Once
+	// readExpired ends a pending read.
+	readExpired chan struct{}
 }
 
 func newScriptedConn(script ...func(p []byte) (int, error)) *scriptedConn {
-	c := &scriptedConn{script: make(chan func([]byte) (int, error), len(script)), closed: make(chan struct{}), expired: make(chan struct{}, 8)}
+	c := &scriptedConn{script: make(chan func([]byte) (int, error), len(script)), closed: make(chan struct{}), readExpired: make(chan struct{}, 8)}
 	for _, s := range script {
 		c.script <- s
 	}
@@ -50,7 +50,7 @@
 	select {
 	case s := <-script:
 		return s(p)
-	case <-c.expired:
+	case <-c.readExpired:
 		return 0, os.ErrDeadlineExceeded
 	case <-c.closed:
 		return 0, net.ErrClosed
@@ -65,14 +65,14 @@
 		return 0, net.ErrClosed
 	default:
 	}
-	return c.wrote.Write(p)
+	return c.written.Write(p)
 }
 
-func (c *scriptedConn) Close() error { c.once.Do(func() { close(c.closed) }); return nil }
+func (c *scriptedConn) Close() error { c.closeOnce.Do(func() { close(c.closed) }); return nil }
 
 func (c *scriptedConn) SetReadDeadline(t time.Time) error {
 	if !t.IsZero() && t.Before(time.Now()) {
-		c.expired <- struct{}{}
+		c.readExpired <- struct{}{}
 	}
 	return nil
 }
@@ -82,40 +82,40 @@
 func (c *scriptedConn) LocalAddr() net.Addr              { return &net.TCPAddr{} }
 func (c *scriptedConn) RemoteAddr() net.Addr             { return &net.TCPAddr{} }
 
-// oneConn is a listener that gives one connection.
-type oneConn struct {
+// singleConnListener is a listener that gives one connection.
+type singleConnListener struct {
 	net.Listener
 	conns chan net.Conn
 }
 
-func (l *oneConn) Accept() (net.Conn, error) {
+func (l *singleConnListener) Accept() (net.Conn, error) {
 	if c, ok := <-l.conns; ok {
 		return c, nil
 	}
 	return nil, net.ErrClosed
 }
 
-func (l *oneConn) Close() error { return nil }
+func (l *singleConnListener) Close() error { return nil }
 
 // A request was read whole just as its idle connection was ended, by new limits
 // or by the end of the grace's first part: it ran, and nobody got the answer.
-func TestARequestReadAsItsConnectionEndsIsAnswered(t *testing.T) {
+func TestClientListener_AnswersRequestReadWhileConnectionCloses(t *testing.T) {
 	is := is.New(t)
-	l := &oneConn{conns: make(chan net.Conn, 1)}
-	var g *gate
+	l := &singleConnListener{conns: make(chan net.Conn, 1)}
+	var g *clientListener
 	ready := make(chan struct{})
 	send := func(s string) func([]byte) (int, error) {
 		return func(p []byte) (int, error) { return copy(p, s), nil }
 	}
 	// The second request is read in the very moment in which limits change.
-	c := newScriptedConn(send(get), func(p []byte) (int, error) {
+	c := newScriptedConn(send(getRequest), func(p []byte) (int, error) {
 		<-ready
-		n := copy(p, get)
-		g.limit(narrow)
+		n := copy(p, getRequest)
+		g.setLimits(strictLimits)
 		return n, nil
 	})
 	ran := make(chan struct{}, 2)
-	g = newGate(l, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	g = newClientListener(l, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ran <- struct{}{}
 		w.WriteHeader(http.StatusOK)
 	}))
@@ -134,20 +134,20 @@
 	<-done
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	is.Equal(strings.Count(c.wrote.String(), "HTTP/1.1 200"), 2) // both answers
-	is.Equal(strings.Count(c.wrote.String(), "Connection: close"), 1)
+	is.Equal(strings.Count(c.written.String(), "HTTP/1.1 200"), 2) // both answers
+	is.Equal(strings.Count(c.written.String(), "Connection: close"), 1)
 }
 
 // An idle connection ends at once, and a busy one after its answer.
-func TestAnIdleConnectionEndsAtOnce(t *testing.T) {
+func TestClientConn_ClosesWhenIdle(t *testing.T) {
 	is := is.New(t)
 	inner := newScriptedConn()
 	c := &clientConn{Conn: inner}
 	c.setIdle(false)
-	c.end()
-	is.Equal(len(inner.expired), 0) // busy
+	c.closeWhenIdle()
+	is.Equal(len(inner.readExpired), 0) // busy
 	c.setIdle(true)
-	is.Equal(len(inner.expired), 1)
+	is.Equal(len(inner.readExpired), 1)
 	_ = c.SetReadDeadline(time.Now().Add(time.Hour)) // the server's doesn't undo it
 	n, err := c.Read(make([]byte, 8))
 	is.Equal(n, 0)
--- a/internal/dataplane/proxy/control.go
+++ b/internal/dataplane/proxy/control.go
@@ -24,63 +24,63 @@
 	// configuration is what is in force here, as far as is known; view is it, read.
 	configuration *configuration.Document
 	view          *configuration.View
-	// word is as of when the targets are known, by a registry's word; agreed is
+	// targetsConfirmedAt is as of when the targets are known, by a registry's word; agreed is
 	// when the newest agreement began by which the configuration held here is in force.
-	word   ids.Time
-	agreed ids.Time
+	targetsConfirmedAt       ids.Time
+	configurationConfirmedAt ids.Time
 	// told: a registry has told of targets in this run; current: what this proxy goes
 	// by was once confirmed by a fresh agreement. opened: a proxy with an endless
 	// lease has begun to serve; unconfirmed is since when it could have, but for the
 	// age of what it was told.
-	told, current, opened bool
-	unconfirmed           ids.Time
-	// leased is as of when the dispatchers were last told how long they may serve.
-	leased ids.Time
-	woke   ids.Time
-	last   ids.Time
-	peerLease
+	targetsReceived, everConfirmed, serving bool
+	unconfirmedSince                        ids.Time
+	// sentConfirmedAt is as of when the dispatchers were last told how long they may serve.
+	sentConfirmedAt ids.Time
+	resumedAt       ids.Time
+	lastTick        ids.Time
+	gossipState
 	// stopping: asked to stop, so no new work and none is to be sent here.
 	stopping bool
-	// empty is since when this zone is emptied; late, that this proxy could
+	// drainedSince is since when this zone is emptied; late, that this proxy could
 	// not have heard of it in time, and so has no time left.
-	empty ids.Time
-	late  bool
+	drainedSince ids.Time
+	drainedLate  bool
 	// reading: this proxy asks the stores itself what is in force.
-	reading bool
-	seen    map[ids.DaemonID]ids.Time
-	number  ids.StreamNumber
-	stocked stamp
+	readingConfiguration bool
+	proxyLastSeen        map[ids.DaemonID]ids.Time
+	reportNumber         ids.StreamNumber
+	sentState            stateVersion
 	refreshPace
-	footing ServingState
-	roll    uint64
-	// shelved are the services whose dispatchers were stocked last.
-	shelved []ids.Name
-	// thaws are until when targets count as cold whatever they said: they were
+	servingState       ServingState
+	sentMembersVersion uint64
+	// sentServices are the services whose dispatchers were stocked last.
+	sentServices []ids.Name
+	// slowStartUntil are until when targets count as cold whatever they said: they were
 	// out of use and may have gone cold since.
-	thaws map[ids.Name]ids.Time
-	// ranks are worked out anew for each restocking, by zone.
-	ranks map[ids.Name]rank
+	slowStartUntil map[ids.Name]ids.Time
+	// proximities are worked out anew for each restocking, by zone.
+	proximities map[ids.Name]proximity
 }
 
-// stamp tells whether anything that dispatchers go by has changed.
-type stamp struct {
-	yard, roll uint64
-	revision   ids.Revision
-	step, shut bool
-	opened     bool
-	seats      int
+// stateVersion tells whether anything that dispatchers go by has changed.
+type stateVersion struct {
+	targets, members  uint64
+	revision          ids.Revision
+	confirmed, closed bool
+	serving           bool
+	slotHolders       int
 }
 
 const (
-	// cutAfter is how long without word from any registry counts as cut off.
-	cutAfter = 1500 * time.Millisecond
-	// emptyAfter is when an emptied zone's proxy stops even forwarding; until
+	// cutOffTimeout is how long without word from any registry counts as cut off.
+	cutOffTimeout = 1500 * time.Millisecond
+	// zoneDrainDelay is when an emptied zone's proxy stops even forwarding; until
 	// then clients who were sent here before are still carried elsewhere.
-	emptyAfter = 2 * time.Second
-	// agreedWithin bounds the age of the agreement that a ready proxy goes
+	zoneDrainDelay = 2 * time.Second
+	// maxConfirmationAge bounds the age of the agreement that a ready proxy goes
 	// by: a registry on the wrong side of a split speaks, but knows no better.
-	agreedWithin = 1900 * time.Millisecond
-	frozen       = time.Second
+	maxConfirmationAge = 1900 * time.Millisecond
+	freezeThreshold    = time.Second
 	// DefaultLease is how long a proxy serves by what it can't confirm: the
 	// rules give a change 2 to 3 s to be in force, whatever is cut.
 	DefaultLease = 2500 * time.Millisecond
@@ -91,12 +91,12 @@
 	// Lease is how long requests are served by a configuration and targets that can't
 	// be confirmed.
 	Lease time.Duration
-	Layout
+	SlotLayout
 }
 
-// Endless is the lease of a proxy that goes on serving by what it last knew,
+// EndlessLease is the lease of a proxy that goes on serving by what it last knew,
 // however long it is cut off.
-const Endless = -1
+const EndlessLease = -1
 
 // New makes a control machine that knows only itself and its seeds.
 func New(p membership.Options, o ControlOptions) *Control {
@@ -104,19 +104,19 @@
 	if o.Lease == 0 {
 		o.Lease = DefaultLease
 	}
-	c := &Control{ControlOptions: o, targets: targets.New(), seen: map[ids.DaemonID]ids.Time{}}
+	c := &Control{ControlOptions: o, targets: targets.New(), proxyLastSeen: map[ids.DaemonID]ids.Time{}}
 	c.targets.Incremental = o.ByZone
 	c.List = membership.New(p, &c.Outbox)
 	c.Client = consensus.NewClient(p.Self.RunID, &c.Outbox)
-	c.Client.StoreOrder = c.stores
+	c.Client.StoreOrder = c.orderStores
 	empty, _ := configuration.Decode(nil)
 	c.configuration, c.view = empty, empty.View()
 	c.view.SetRegions(o.Regions)
 	return c
 }
 
-// stores names the stores, nearest and ready ones first.
-func (c *Control) stores(ids.RegisterKey) []ids.Address {
+// orderStores names the stores, nearest and ready ones first.
+func (c *Control) orderStores(ids.RegisterKey) []ids.Address {
 	var near, far, rest []ids.Address
 	for _, m := range c.Live(membership.Store) {
 		switch {
@@ -138,13 +138,13 @@
 		c.RecordContact(now, e.From)
 		c.receive(now, e.From, e.Msg)
 	case event.Tick:
-		c.clock(now)
+		c.tick(now)
 	case IdempotencyRequest:
-		c.asked(now, e)
+		c.callIdempotencyRegister(now, e)
 	case UsageSample:
-		c.report(e)
+		c.reportUsage(e)
 	case Stopping:
-		c.stop()
+		c.announceStop()
 	}
 	return c.Drain()
 }
@@ -152,7 +152,7 @@
 func (c *Control) receive(now ids.Time, from ids.Address, msg any) {
 	switch m := msg.(type) {
 	case distribution.Push:
-		c.push(now, from, m)
+		c.handlePush(now, from, m)
 	case consensus.Response:
 		c.Client.HandleResponse(now, from, m)
 	case consensus.ConfigurationQuery:
@@ -162,16 +162,16 @@
 	case LeaseRequest:
 		c.answerLeaseRequest(now, from, m)
 	case LeaseGossip:
-		c.takeLeaseGossip(now, from, m)
+		c.handleLeaseGossip(now, from, m)
 	default:
 		c.List.Receive(now, from, msg)
 	}
 }
 
-// push takes what a registry delivers. Dispatchers have it before it is acknowledged.
-func (c *Control) push(now ids.Time, from ids.Address, p distribution.Push) {
+// handlePush takes what a registry delivers. Dispatchers have it before it is acknowledged.
+func (c *Control) handlePush(now ids.Time, from ids.Address, p distribution.Push) {
 	if p.Revision > c.view.Revision && len(p.Configuration) > 0 {
-		c.adopt(now, p.Configuration)
+		c.adoptConfiguration(now, p.Configuration)
 	}
 	// A push may have waited in a socket while this process slept. Only what
 	// it echoes tells how old it can be at most.
@@ -179,30 +179,30 @@
 		c.targets.Merge(now, p.Targets...)
 	} else {
 		c.targets.MergeAsOf(now, p.EchoedTime, p.Targets...)
-		c.word, c.told = max(c.word, p.TargetsAsOf()), true
-		c.confirm(now, p.Revision, p.ConfirmedAsOf())
+		c.targetsConfirmedAt, c.targetsReceived = max(c.targetsConfirmedAt, p.TargetsAsOf()), true
+		c.confirmConfiguration(now, p.Revision, p.ConfirmedAsOf())
 	}
 	c.unacknowledged = append(c.unacknowledged, receivedPush{from, p.Number})
-	c.refreshTargets(now)
+	c.refreshDispatchers(now)
 }
 
-// adopt takes a newer configuration; a proxy never goes back to an older one.
-func (c *Control) adopt(now ids.Time, raw []byte) {
+// adoptConfiguration takes a newer configuration; a proxy never goes back to an older one.
+func (c *Control) adoptConfiguration(now ids.Time, raw []byte) {
 	p, err := c.configuration.Advance(raw)
 	if err != nil || p == c.configuration {
 		return
 	}
-	late := !c.inStep(now)
+	late := !c.leaseValid(now)
 	old := c.view
 	c.configuration, c.view = p, p.View()
 	c.view.SetRegions(c.Regions)
-	c.thaw(now, old)
+	c.startSlowStart(now, old)
 	switch {
 	case !c.view.Zones[c.Self.Zone].Drained:
-		c.empty, c.late = 0, false
-	case c.empty == 0:
-		c.empty, c.late = now, late
+		c.drainedSince, c.drainedLate = 0, false
+	case c.drainedSince == 0:
+		c.drainedSince, c.drainedLate = now, late
 	}
-	c.Emit(Routes{View: c.view})
-	c.Log(event.LevelInfo, "policy", "revision", itoa(uint64(p.Revision)))
+	c.Emit(UpdateRoutes{View: c.view})
+	c.Log(event.LevelInfo, "policy", "revision", formatUint(uint64(p.Revision)))
 }
--- a/internal/dataplane/proxy/daemon.go
+++ b/internal/dataplane/proxy/daemon.go
@@ -24,136 +24,136 @@
 // DaemonOptions are what a proxy is told at its start.
 type DaemonOptions struct {
 	settings.Common
-	MaxResponse int           `help:"Largest answer of a target that is taken, in bytes." default:"4194304" name:"max-response"`
-	ReportEvery time.Duration `help:"How often CPU time is reported." default:"2s" name:"report-every"`
-	Queue       int           `help:"Longest inbox of a service." default:"128" name:"inbox"`
-	Lease       time.Duration `help:"How long requests are served by a policy and targets that can't be confirmed, 2s to 3s." default:"2500ms" name:"lease"`
-	Clients     string        `help:"Where consumers come in, if not at --http." placeholder:"IP:PORT" name:"consumers"`
-	MaxHeld     int           `help:"Most bytes of bodies and answers that are kept at once; what doesn't fit is declined." default:"268435456" name:"max-held"`
-	Grace       time.Duration `help:"How long held requests may go on after the polite signal." default:"1700ms" name:"grace"`
-	DialWithin  time.Duration `help:"How long a circuit to a target may take to open." default:"1s" name:"dial-within"`
-	// Edge is the dialect spoken to clients and targets; nil for our own.
-	Edge Frontend `kong:"-"`
+	MaxResponseBytes int           `help:"Largest answer of a target that is taken, in bytes." default:"4194304" name:"max-response"`
+	ReportInterval   time.Duration `help:"How often CPU time is reported." default:"2s" name:"report-every"`
+	MaxQueueLength   int           `help:"Longest inbox of a service." default:"128" name:"inbox"`
+	Lease            time.Duration `help:"How long requests are served by a policy and targets that can't be confirmed, 2s to 3s." default:"2500ms" name:"lease"`
+	ClientListen     string        `help:"Where consumers come in, if not at --http." placeholder:"IP:PORT" name:"consumers"`
+	MemoryLimit      int           `help:"Most bytes of bodies and answers that are kept at once; what doesn't fit is declined." default:"268435456" name:"max-held"`
+	GracePeriod      time.Duration `help:"How long held requests may go on after the polite signal." default:"1700ms" name:"grace"`
+	DialTimeout      time.Duration `help:"How long a circuit to a target may take to open." default:"1s" name:"dial-within"`
+	// Frontend is the dialect spoken to clients and targets; nil for our own.
+	Frontend Frontend `kong:"-"`
 	// Layout is how targets' places are shared out, and Regions those of zones.
-	Layout
+	SlotLayout
 }
 
 // Validate checks what the common options don't cover.
-func (p *DaemonOptions) Validate() error {
+func (o *DaemonOptions) Validate() error {
 	// Shorter than a few of the registries's rounds it would end by itself; longer
 	// a change would be in force too late.
-	if p.Lease != Endless && (p.Lease < 2*time.Second || p.Lease > 3*time.Second) {
+	if o.Lease != EndlessLease && (o.Lease < 2*time.Second || o.Lease > 3*time.Second) {
 		return errs.New("read params", "", "--lease: must be from 2s to 3s")
 	}
-	return p.Common.Validate()
+	return o.Common.Validate()
 }
 
 // Daemon is a proxy as a process.
 type Daemon struct {
-	Options     DaemonOptions
-	self        membership.Member
-	log         *process.Log
-	owner       *process.Owner
-	post        *process.Transport
-	connections connections
-	hold        hold
-	trade       TargetProtocol
-	edge        Frontend
-	gate        *gate
-	meter       *meter
-	router      atomic.Pointer[router]
-	footing     atomic.Pointer[ServingState]
-	requests    atomic.Uint64
-	// beat is when the owner last stepped: a freeze shows as its age.
-	beat        atomic.Int64
-	emptied     atomic.Bool
+	Options        DaemonOptions
+	self           membership.Member
+	log            *process.Log
+	owner          *process.Owner
+	transport      *process.Transport
+	pool           connectionPool
+	memory         memoryBudget
+	targetProtocol TargetProtocol
+	frontend       Frontend
+	clientListener *clientListener
+	meter          *usageMeter
+	router         atomic.Pointer[router]
+	servingState   atomic.Pointer[ServingState]
+	lastRequestID  atomic.Uint64
+	// lastStep is when the owner last stepped: a freeze shows as its age.
+	lastStep    atomic.Int64
+	zoneDrained atomic.Bool
 	stopping    atomic.Bool
 	mu          sync.RWMutex
-	dispatchers map[ids.Name]*place
+	dispatchers map[ids.Name]*serviceDispatcher
 }
 
-// place is a dispatcher under its own short lock, with the requests it has in hand.
-type place struct {
+// serviceDispatcher is a dispatcher under its own short lock, with the requests it has in hand.
+type serviceDispatcher struct {
 	mu         sync.Mutex
 	dispatcher *dispatch.Dispatcher
-	cargo      map[ids.RequestID]*ride
+	requests   map[ids.RequestID]*pendingRequest
 	// soon: a clock event is on its way, for requests that wait.
-	soon bool
+	tickPending bool
 }
 
-type ride struct {
+type pendingRequest struct {
 	*ClientRequest
-	response  chan dispatch.Response
-	forwarded time.Duration
+	response    chan dispatch.Response
+	forwardTime time.Duration
 }
 
 // NewDaemon puts a proxy together.
-func NewDaemon(p DaemonOptions) *Daemon {
-	d := &Daemon{Options: p, log: process.NewLog(p.LogLevel, p.Name), meter: newMeter(), dispatchers: map[ids.Name]*place{}}
-	d.hold.most = int64(cmp.Or(p.MaxHeld, defaultHeld))
-	d.self = daemon.NewMember(p.Common, membership.Proxy)
-	d.self.ClientListen = ids.Address(p.Clients)
-	control := New(membership.Options{Self: d.self, Seeds: p.SeedAddresses(), Incremental: p.ByZone}, ControlOptions{Lease: p.Lease, Layout: p.Layout})
-	d.owner = process.NewOwner(&beating{control, d}, 50*time.Millisecond, d.do)
-	d.post = &process.Transport{
-		Address: ids.Address(p.Address), Bind: ids.Address(p.Bind), Log: d.log, Stats: &process.TrafficStats{},
+func NewDaemon(options DaemonOptions) *Daemon {
+	d := &Daemon{Options: options, log: process.NewLog(options.LogLevel, options.Name), meter: newUsageMeter(), dispatchers: map[ids.Name]*serviceDispatcher{}}
+	d.memory.limit = int64(cmp.Or(options.MemoryLimit, defaultMemoryLimit))
+	d.self = daemon.NewMember(options.Common, membership.Proxy)
+	d.self.ClientListen = ids.Address(options.ClientListen)
+	control := New(membership.Options{Self: d.self, Seeds: options.SeedAddresses(), Incremental: options.ByZone}, ControlOptions{Lease: options.Lease, SlotLayout: options.SlotLayout})
+	d.owner = process.NewOwner(&stepRecorder{control, d}, 50*time.Millisecond, d.execute)
+	d.transport = &process.Transport{
+		Address: ids.Address(options.Address), Bind: ids.Address(options.Bind), Log: d.log, Stats: &process.TrafficStats{},
 		Deliver: func(from ids.Address, msg any) { d.owner.Offer(event.Received{From: from, Msg: msg}) },
 	}
-	if a, err := netip.ParseAddrPort(p.HTTPListenAddress()); err == nil {
-		d.connections.from = net.IP(a.Addr().AsSlice())
+	if a, err := netip.ParseAddrPort(options.HTTPListenAddress()); err == nil {
+		d.pool.localIP = net.IP(a.Addr().AsSlice())
 	}
-	d.edge, d.trade = p.Edge, house{d}
-	if d.edge == nil {
-		d.edge = ownEdge{d}
+	d.frontend, d.targetProtocol = options.Frontend, nativeTargetProtocol{d}
+	if d.frontend == nil {
+		d.frontend = nativeFrontend{d}
 	} else {
-		d.trade = d.edge.TargetProtocol()
+		d.targetProtocol = d.frontend.TargetProtocol()
 	}
-	d.connections.greets, d.connections.dialWithin = d.trade.Greets(), cmp.Or(p.DialWithin, dialTarget)
+	d.pool.verifyIdentity, d.pool.dialTimeout = d.targetProtocol.VerifiesIdentity(), cmp.Or(options.DialTimeout, defaultDialTimeout)
 	empty, _ := configuration.Decode(nil)
 	d.router.Store(newRouter(empty.View()))
-	d.footing.Store(&ServingState{})
+	d.servingState.Store(&ServingState{})
 	return d
 }
 
-// beating notes each step, so that others can tell a freeze.
-type beating struct {
+// stepRecorder notes each step, so that others can tell a freeze.
+type stepRecorder struct {
 	event.Machine
-	d *Daemon
+	daemon *Daemon
 }
 
-func (b *beating) Step(now ids.Time, ev event.Event) []event.Command {
-	out := b.Machine.Step(now, ev)
-	b.d.beat.Store(int64(now))
+func (r *stepRecorder) Step(now ids.Time, ev event.Event) []event.Command {
+	out := r.Machine.Step(now, ev)
+	r.daemon.lastStep.Store(int64(now))
 	return out
 }
 
-// do carries out a command of the control machine.
-func (d *Daemon) do(c event.Command) {
+// execute carries out a command of the control machine.
+func (d *Daemon) execute(c event.Command) {
 	switch c := c.(type) {
 	case event.Send:
-		d.post.Send(c.To, c.Msg)
+		d.transport.Send(c.To, c.Msg)
 	case event.LogEntry:
 		d.log.WriteEntry(c)
 	case event.Discarded:
-		d.post.Discard(c)
+		d.transport.Discard(c)
 	case DispatchEvent:
-		d.hand(c.Service, c.Event)
-	case Routes:
+		d.stepDispatcher(c.Service, c.Event)
+	case UpdateRoutes:
 		d.router.Store(newRouter(c.View))
-		if g := d.gate; g != nil {
-			g.limit(c.View.Limits)
+		if g := d.clientListener; g != nil {
+			g.setLimits(c.View.Limits)
 		}
 	case ServingState:
-		d.emptied.Store(c.Emptied)
-		d.footing.Store(&c)
+		d.zoneDrained.Store(c.ZoneDrained)
+		d.servingState.Store(&c)
 	}
 }
 
-// waitTick is how often a dispatcher looks again at what waits.
-const waitTick = 15 * time.Millisecond
+// waitingTickDelay is how often a dispatcher looks again at what waits.
+const waitingTickDelay = 15 * time.Millisecond
 
-// at gives a service's dispatcher.
-func (d *Daemon) at(service ids.Name) *place {
+// dispatcherOf gives a service's dispatcher.
+func (d *Daemon) dispatcherOf(service ids.Name) *serviceDispatcher {
 	d.mu.RLock()
 	p := d.dispatchers[service]
 	d.mu.RUnlock()
@@ -164,46 +164,46 @@
 	defer d.mu.Unlock()
 	if p = d.dispatchers[service]; p == nil {
 		random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-		p = &place{dispatcher: dispatch.New(dispatch.Options{Random: random, Queue: d.Options.Queue, Self: idempotency.Owner{Daemon: d.self.ID, RunID: d.self.RunID}}), cargo: map[ids.RequestID]*ride{}}
+		p = &serviceDispatcher{dispatcher: dispatch.New(dispatch.Options{Random: random, Queue: d.Options.MaxQueueLength, Self: idempotency.Owner{Daemon: d.self.ID, RunID: d.self.RunID}}), requests: map[ids.RequestID]*pendingRequest{}}
 		d.dispatchers[service] = p
 	}
 	return p
 }
 
-// hand gives an event to a dispatcher, and carries its commands out unlocked.
-func (d *Daemon) hand(service ids.Name, ev event.Event) {
-	p := d.at(service)
+// stepDispatcher gives an event to a dispatcher, and carries its commands out unlocked.
+func (d *Daemon) stepDispatcher(service ids.Name, ev event.Event) {
+	p := d.dispatcherOf(service)
 	p.mu.Lock()
 	out := p.dispatcher.Step(process.Now(), ev)
-	loads := make([]*ride, len(out))
+	loads := make([]*pendingRequest, len(out))
 	for i, c := range out {
 		switch c := c.(type) {
 		case dispatch.Forward:
-			loads[i] = p.cargo[c.ID]
+			loads[i] = p.requests[c.ID]
 		case dispatch.Response:
-			loads[i] = p.cargo[c.ID]
-			delete(p.cargo, c.ID)
+			loads[i] = p.requests[c.ID]
+			delete(p.requests, c.ID)
 		}
 	}
-	waits := p.dispatcher.Waiting() > 0 && !p.soon
-	p.soon = p.soon || waits
+	waits := p.dispatcher.Waiting() > 0 && !p.tickPending
+	p.tickPending = p.tickPending || waits
 	p.mu.Unlock()
 	if waits {
 		// What waits may reach further, or has waited long enough, before the
 		// ordinary clock comes round.
-		time.AfterFunc(waitTick, func() {
+		time.AfterFunc(waitingTickDelay, func() {
 			p.mu.Lock()
-			p.soon = false
+			p.tickPending = false
 			p.mu.Unlock()
-			d.hand(service, event.Tick{})
+			d.stepDispatcher(service, event.Tick{})
 		})
 	}
 	for i, c := range out {
-		d.perform(service, c, loads[i])
+		d.executeDispatch(service, c, loads[i])
 	}
 }
 
-func (d *Daemon) perform(service ids.Name, c event.Command, l *ride) {
+func (d *Daemon) executeDispatch(service ids.Name, c event.Command, l *pendingRequest) {
 	switch c := c.(type) {
 	case dispatch.IdempotencyCall:
 		// The owner hands events to dispatchers itself, so it must not wait on its
@@ -212,24 +212,24 @@
 	case dispatch.Forward:
 		go func() {
 			from := time.Now()
-			back := d.carry(l.ClientRequest, c)
-			l.forwarded += time.Since(from)
-			d.hand(service, back)
+			back := d.forward(l.ClientRequest, c)
+			l.forwardTime += time.Since(from)
+			d.stepDispatcher(service, back)
 		}()
 	case dispatch.Response:
 		l.response <- c
 	}
 }
 
-// Work takes a request through its dispatcher. A client that hangs up, or closes
+// Dispatch takes a request through its dispatcher. A client that hangs up, or closes
 // its own side of the connection, changes nothing: its request goes on, its mark is
 // not freed, and the one answer is written, whether or not anybody reads it.
-func (d *Daemon) Work(c *ClientRequest) (dispatch.Response, time.Duration) {
-	l := &ride{ClientRequest: c, response: make(chan dispatch.Response, 1)}
-	p := d.at(c.Job.Service)
+func (d *Daemon) Dispatch(c *ClientRequest) (dispatch.Response, time.Duration) {
+	l := &pendingRequest{ClientRequest: c, response: make(chan dispatch.Response, 1)}
+	p := d.dispatcherOf(c.Job.Service)
 	p.mu.Lock()
-	p.cargo[c.Job.ID] = l
+	p.requests[c.Job.ID] = l
 	p.mu.Unlock()
-	d.hand(c.Job.Service, dispatch.RequestArrived{Job: c.Job})
-	return <-l.response, l.forwarded
+	d.stepDispatcher(c.Job.Service, dispatch.RequestArrived{Job: c.Job})
+	return <-l.response, l.forwardTime
 }
--- a/internal/dataplane/proxy/events.go
+++ b/internal/dataplane/proxy/events.go
@@ -22,10 +22,10 @@
 	}
 	// UsageSample is what the requests of an interval have cost.
 	UsageSample struct {
-		Interval time.Duration
-		Rows     []spill.Spent
-		Latency  time.Duration
-		Count    uint64
+		Interval   time.Duration
+		Rows       []spill.Spent
+		LatencyP95 time.Duration
+		Requests   uint64
 	}
 	// DispatchEvent hands an event to a service's dispatcher.
 	DispatchEvent struct {
@@ -34,20 +34,20 @@
 	}
 	// Stopping is the platform's polite signal.
 	Stopping struct{}
-	// Routes hands the new configuration to the router.
-	Routes struct{ View *configuration.View }
+	// UpdateRoutes hands the new configuration to the router.
+	UpdateRoutes struct{ View *configuration.View }
 	// ServingState says whether the proxy takes work, and whether it is cut off.
 	ServingState struct {
-		Ready   bool
-		InStep  bool
-		CutOff  bool
-		Emptied bool
-		Members []membership.Member
+		Ready       bool
+		LeaseValid  bool
+		CutOff      bool
+		ZoneDrained bool
+		Members     []membership.Member
 	}
 )
 
-// asked carries a dispatcher's request to the stores.
-func (c *Control) asked(now ids.Time, a IdempotencyRequest) {
+// callIdempotencyRegister carries a dispatcher's request to the stores.
+func (c *Control) callIdempotencyRegister(now ids.Time, a IdempotencyRequest) {
 	w := a.Call
 	var arg []byte
 	if w.Op != consensus.Read {
@@ -65,22 +65,22 @@
 	})
 }
 
-// report tells every registry what this proxy spent.
-func (c *Control) report(m UsageSample) {
-	c.number++
+// reportUsage tells every registry what this proxy spent.
+func (c *Control) reportUsage(m UsageSample) {
+	c.reportNumber++
 	r := spill.Report{
-		Proxy: c.Self.ID, RunID: c.Self.RunID, Zone: c.Self.Zone, Number: c.number,
-		Interval: uint32(m.Interval / time.Millisecond), Rows: m.Rows, Latency: uint64(m.Latency / time.Microsecond), Count: m.Count,
+		Proxy: c.Self.ID, RunID: c.Self.RunID, Zone: c.Self.Zone, Number: c.reportNumber,
+		Interval: uint32(m.Interval / time.Millisecond), Rows: m.Rows, Latency: uint64(m.LatencyP95 / time.Microsecond), Count: m.Requests,
 	}
 	to := c.Live(membership.Registry)
-	if c.ByZone && len(to) > reportTo {
+	if c.ByZone && len(to) > maxReportRecipients {
 		// The planner, and who would follow it.
-		to = to[:reportTo]
+		to = to[:maxReportRecipients]
 	}
 	for _, f := range to {
 		c.Send(f.Address, r)
 	}
 }
 
-// reportTo is how many registries are told what a proxy spent.
-const reportTo = 2
+// maxReportRecipients is how many registries are told what a proxy spent.
+const maxReportRecipients = 2
--- a/internal/dataplane/proxy/faulty_test.go
+++ b/internal/dataplane/proxy/faulty_test.go
@@ -9,49 +9,49 @@
 	"testing"
 )
 
-// ending is how a target ends a connection.
-type ending string
+// connectionEnd is how a target ends a connection.
+type connectionEnd string
 
 const (
-	resets     ending = "reset"
-	closes     ending = "close"
-	halfCloses ending = "half-close"
+	resetConnection     connectionEnd = "reset"
+	closeConnection     connectionEnd = "close"
+	halfCloseConnection connectionEnd = "half-close"
 )
 
-func (e ending) apply(c net.Conn) {
+func (e connectionEnd) apply(c net.Conn) {
 	tcp := c.(*net.TCPConn)
 	switch e {
-	case resets:
+	case resetConnection:
 		_ = tcp.SetLinger(0)
 		tcp.Close()
-	case closes:
+	case closeConnection:
 		tcp.Close()
-	case halfCloses:
+	case halfCloseConnection:
 		_ = tcp.CloseWrite()
 	}
 }
 
-// faulty is a target whose connections end where a test says. It counts how
+// faultyTarget is a target whose connections end where a test says. It counts how
 // often each request's first byte reached it.
-type faulty struct {
+type faultyTarget struct {
 	net.Listener
-	mu   sync.Mutex
-	seen map[string]int
-	open []net.Conn
-	// requestAt is after how many bytes of a request the connection ends, and
+	mu       sync.Mutex
+	requests map[string]int
+	open     []net.Conn
+	// requestCut is after how many bytes of a request the connection ends, and
 	// answerAt after how many of its answer; below 0 for never.
-	requestAt, answerAt int
-	end                 ending
-	answer              func(id string) string
+	requestCut, responseCut int
+	end                     connectionEnd
+	respond                 func(id string) string
 }
 
-func newFaulty(t *testing.T, end ending) *faulty {
+func newFaultyTarget(t *testing.T, end connectionEnd) *faultyTarget {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	f := &faulty{Listener: l, seen: map[string]int{}, requestAt: -1, answerAt: -1, end: end, answer: func(id string) string { return named(nil, id, "of "+id) }}
+	f := &faultyTarget{Listener: l, requests: map[string]int{}, requestCut: -1, responseCut: -1, end: end, respond: func(id string) string { return responseFor(nil, id, "of "+id) }}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -64,10 +64,10 @@
 	return f
 }
 
-func (f *faulty) serve(c net.Conn) {
+func (f *faultyTarget) serve(c net.Conn) {
 	f.mu.Lock()
 	f.open = append(f.open, c)
-	requestAt := f.requestAt
+	requestAt := f.requestCut
 	f.mu.Unlock()
 	if requestAt >= 0 {
 		_, _ = io.ReadFull(c, make([]byte, requestAt))
@@ -83,8 +83,8 @@
 		}
 		id := req.Header.Get("Id")
 		f.mu.Lock()
-		f.seen[id]++
-		answerAt, answer := f.answerAt, f.answer
+		f.requests[id]++
+		answerAt, answer := f.responseCut, f.respond
 		f.mu.Unlock()
 		out := answer(id)
 		if answerAt >= 0 && answerAt < len(out) {
@@ -97,7 +97,7 @@
 }
 
 // endAll ends every connection, as a target that restarts or is idle for too long.
-func (f *faulty) endAll() {
+func (f *faultyTarget) endAll() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, c := range f.open {
@@ -106,14 +106,14 @@
 	f.open = nil
 }
 
-func (f *faulty) set(requestAt, answerAt int) {
+func (f *faultyTarget) set(requestAt, answerAt int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.requestAt, f.answerAt = requestAt, answerAt
+	f.requestCut, f.responseCut = requestAt, answerAt
 }
 
-func (f *faulty) runs(id string) int {
+func (f *faultyTarget) runs(id string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.seen[id]
+	return f.requests[id]
 }
--- a/internal/dataplane/proxy/front.go
+++ b/internal/dataplane/proxy/front.go
@@ -55,17 +55,17 @@
 	}
 	host = strings.ToLower(host)
 	if t := r.hosts[host]; t != nil && host != "" {
-		if best, ok := longest(t, path); ok {
+		if best, ok := longestPrefix(t, path); ok {
 			return best, true
 		}
 	}
 	if t := r.hosts[""]; t != nil {
-		return longest(t, path)
+		return longestPrefix(t, path)
 	}
 	return configuration.Route{}, false
 }
 
-func longest(t *iradix.Tree[configuration.Route], path string) (configuration.Route, bool) {
+func longestPrefix(t *iradix.Tree[configuration.Route], path string) (configuration.Route, bool) {
 	var best configuration.Route
 	found := false
 	t.Root().WalkPath([]byte(path), func(k []byte, v configuration.Route) bool {
@@ -78,14 +78,14 @@
 	return best, found
 }
 
-var markRule = regexp.MustCompile(`^[\x21-\x7e]{1,256}$`)
+var idempotencyKeyPattern = regexp.MustCompile(`^[\x21-\x7e]{1,256}$`)
 
-// misuse answers the client's own mistakes.
-func misuse(w http.ResponseWriter, status int, why string) {
-	word(w, status, "misused", why, 0)
+// writeMisuse answers the client's own mistakes.
+func writeMisuse(w http.ResponseWriter, status int, why string) {
+	writeProblem(w, status, "misused", why, 0)
 }
 
-func word(w http.ResponseWriter, status int, class, why string, retry int) {
+func writeProblem(w http.ResponseWriter, status int, class, why string, retry int) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Dunlinwell-Class", class)
 	if retry > 0 {
@@ -95,60 +95,60 @@
 	_ = json.NewEncoder(w).Encode(map[string]string{"class": class, "problem": why})
 }
 
-// consume takes one client's request from its first byte to its answer.
-func (d *Daemon) consume(w http.ResponseWriter, r *http.Request) {
+// handleClientRequest takes one client's request from its first byte to its answer.
+func (d *Daemon) handleClientRequest(w http.ResponseWriter, r *http.Request) {
 	begun := time.Now()
-	if d.emptied.Load() || d.stopping.Load() {
+	if d.zoneDrained.Load() || d.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	ro := d.router.Load()
 	route, ok := ro.find(r.Host, r.URL.Path)
-	if !ok && !d.footing.Load().InStep {
+	if !ok && !d.servingState.Load().LeaseValid {
 		// The route may well exist: this proxy doesn't know yet.
-		d.early(w, r, "this proxy is not in step")
+		d.rejectEarly(w, r, "this proxy is not in step")
 		return
 	}
 	if !ok {
-		misuse(w, http.StatusNotFound, "no route has a prefix of this path")
+		writeMisuse(w, http.StatusNotFound, "no route has a prefix of this path")
 		return
 	}
-	c, status, why := d.read(r, w, route, ro.view)
+	c, status, why := d.readClientRequest(r, w, route, ro.view)
 	if status == http.StatusServiceUnavailable {
-		d.early(w, r, why)
+		d.rejectEarly(w, r, why)
 		return
 	}
 	if status != 0 {
-		misuse(w, status, why)
+		writeMisuse(w, status, why)
 		return
 	}
-	defer c.Memory.Free()
+	defer c.Memory.Release()
 	if !route.Repeatable && !route.WithoutIdempotencyKey {
 		w.Header().Set("Mark-Kept", strconv.Itoa(int(idempotency.Retention/time.Second)))
 	}
 	if d.stopping.Load() {
-		d.early(w, r, "this proxy is stopping")
+		d.rejectEarly(w, r, "this proxy is stopping")
 		return
 	}
 	before := time.Since(begun)
-	rep, forwarded := d.Work(c)
+	rep, forwarded := d.Dispatch(c)
 	after := time.Now()
-	write(w, r, rep)
-	d.meter.handled(route.Name, route.Service, before+time.Since(after), time.Since(begun)-forwarded)
+	writeResponse(w, r, rep)
+	d.meter.recordRequest(route.Name, route.Service, before+time.Since(after), time.Since(begun)-forwarded)
 }
 
-// early gives a request up before any dispatcher has it. A marked later attempt may
+// rejectEarly gives a request up before any dispatcher has it. A marked later attempt may
 // have run before, and only a dispatcher could tell: it gets no "busy".
-func (d *Daemon) early(w http.ResponseWriter, r *http.Request, why string) {
+func (d *Daemon) rejectEarly(w http.ResponseWriter, r *http.Request, why string) {
 	if a := r.Header.Get("Attempt"); a != "1" && r.Header.Get("Idempotency-Key") != "" {
-		word(w, http.StatusGatewayTimeout, "unknown", why+"; whether an earlier attempt ran isn't known", 0)
+		writeProblem(w, http.StatusGatewayTimeout, "unknown", why+"; whether an earlier attempt ran isn't known", 0)
 		return
 	}
-	word(w, http.StatusServiceUnavailable, "declined", why, 1)
+	writeProblem(w, http.StatusServiceUnavailable, "declined", why, 1)
 }
 
-// read takes the request whole and checks what a client must say.
-func (d *Daemon) read(r *http.Request, w http.ResponseWriter, route configuration.Route, v *configuration.View) (*ClientRequest, int, string) {
-	j := d.Job(route, v)
+// readClientRequest takes the request whole and checks what a client must say.
+func (d *Daemon) readClientRequest(r *http.Request, w http.ResponseWriter, route configuration.Route, v *configuration.View) (*ClientRequest, int, string) {
+	j := d.NewJob(route, v)
 	// Two of one header: each reader could take another for the truth.
 	for _, name := range []string{"Idempotency-Key", "Attempt", "Time-Left"} {
 		if len(r.Header.Values(name)) > 1 {
@@ -171,10 +171,10 @@
 		j.Attempt = uint32(n)
 	}
 	j.IdempotencyKey = ids.IdempotencyKey(r.Header.Get("Idempotency-Key"))
-	if !route.Repeatable && !route.WithoutIdempotencyKey && !markRule.MatchString(string(j.IdempotencyKey)) {
+	if !route.Repeatable && !route.WithoutIdempotencyKey && !idempotencyKeyPattern.MatchString(string(j.IdempotencyKey)) {
 		return nil, http.StatusBadRequest, "this route takes no request without an Idempotency-Key of 1 to 256 printable characters"
 	}
-	body, held, err := d.Body(w, r, int64(route.MaxBodyBytes), time.Time{})
+	body, held, err := d.ReadBody(w, r, int64(route.MaxBodyBytes), time.Time{})
 	var big *http.MaxBytesError
 	switch {
 	case errors.As(err, &big):
@@ -192,15 +192,15 @@
 	j.Fingerprint = h.Sum(nil)
 	j.Deadline = came.Add(limit)
 	host, _, _ := net.SplitHostPort(r.RemoteAddr)
-	return &ClientRequest{Job: j, Method: r.Method, URI: r.URL.RequestURI(), Header: r.Header, Body: body, Memory: held, Remote: host}, 0, ""
+	return &ClientRequest{Job: j, Method: r.Method, URI: r.URL.RequestURI(), Header: r.Header, Body: body, Memory: held, ClientIP: host}, 0, ""
 }
 
-var classes = [...]string{"", "declined", "unknown", "answered", "misused"}
+var classNames = [...]string{"", "declined", "unknown", "answered", "misused"}
 
-// write gives the client the one answer.
-func write(w http.ResponseWriter, r *http.Request, rep dispatch.Response) {
+// writeResponse gives the client the one answer.
+func writeResponse(w http.ResponseWriter, r *http.Request, rep dispatch.Response) {
 	if rep.Class != dispatch.Answered || rep.Sealed.BodyOmitted {
-		word(w, rep.Status, classes[rep.Class], rep.Why, int((rep.RetryAfter+time.Second-1)/time.Second))
+		writeProblem(w, rep.Status, classNames[rep.Class], rep.Why, int((rep.RetryAfter+time.Second-1)/time.Second))
 		return
 	}
 	for _, h := range rep.Sealed.Header {
--- a/internal/dataplane/proxy/front_test.go
+++ b/internal/dataplane/proxy/front_test.go
@@ -12,7 +12,7 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-func TestLongestPrefixOfWholeParts(t *testing.T) {
+func TestRouter_LongestPrefixOfWholeSegments(t *testing.T) {
 	is := is.New(t)
 	r := newRouter(&configuration.View{Routes: map[ids.Name]configuration.Route{
 		"all": {Name: "all", Prefix: "/"}, "stock": {Name: "stock", Prefix: "/stock"}, "tiles": {Name: "tiles", Prefix: "/stock/tiles/"},
@@ -27,15 +27,15 @@
 }
 
 // A client's own mistakes, and a proxy that knows nothing yet.
-func TestClientsMistakes(t *testing.T) {
+func TestHandleClientRequest_RejectsInvalidRequests(t *testing.T) {
 	is := is.New(t)
-	d := newCarrier()
+	d := newTestDaemon()
 	call := func(method, path, body string, head map[string]string) *httptest.ResponseRecorder {
 		w, r := httptest.NewRecorder(), httptest.NewRequest(method, path, strings.NewReader(body))
 		for k, v := range head {
 			r.Header.Set(k, v)
 		}
-		d.pages(true).ServeHTTP(w, r)
+		d.handler(true).ServeHTTP(w, r)
 		return w
 	}
 	// Not in step: nobody can say yet that there is no such route.
@@ -46,7 +46,7 @@
 	w = call("POST", "/orders", "", map[string]string{"Idempotency-Key": "m", "Attempt": "2"})
 	is.Equal(w.Code, http.StatusGatewayTimeout)
 	is.Equal(w.Header().Get("Dunlinwell-Class"), "unknown")
-	d.inStepWith("orders")
+	d.setRoute("orders")
 	is.Equal(call("GET", "/stock/1", "", nil).Code, http.StatusNotFound)
 	mark := map[string]string{"Idempotency-Key": "m"}
 	is.Equal(call("POST", "/orders", "", nil).Code, http.StatusBadRequest) // no mark
@@ -60,8 +60,8 @@
 	is.Equal(call("GET", "/healthz", "", nil).Code, http.StatusOK)
 }
 
-// inStepWith lets a proxy know of one route, and that it is in force.
-func (d *Daemon) inStepWith(route string) {
-	d.footing.Store(&ServingState{InStep: true})
+// setRoute lets a proxy know of one route, and that it is in force.
+func (d *Daemon) setRoute(route string) {
+	d.servingState.Store(&ServingState{LeaseValid: true})
 	d.router.Store(newRouter(&configuration.View{Routes: map[ids.Name]configuration.Route{ids.Name(route): {Name: ids.Name(route), Prefix: "/" + route, Service: "ledger", TimeoutMillis: 1000, MaxBodyBytes: 10}}}))
 }
--- a/internal/dataplane/proxy/hold.go
+++ b/internal/dataplane/proxy/hold.go
@@ -11,55 +11,55 @@
 // ErrFull: bodies and answers that are kept leave no room for another body.
 var ErrMemoryBudgetExceeded = errors.New("too many bytes are held; come back")
 
-// defaultHeld is how many bytes of bodies and answers are kept at once.
-const defaultHeld = 256 << 20
+// defaultMemoryLimit is how many bytes of bodies and answers are kept at once.
+const defaultMemoryLimit = 256 << 20
 
-// hold counts the bytes kept on behalf of slow peers, over all requests. Bodies
+// memoryBudget counts the bytes kept on behalf of slow peers, over all requests. Bodies
 // are read whole, so without it each slow one would cost its own size.
-type hold struct {
-	most int64
-	used atomic.Int64
+type memoryBudget struct {
+	limit    int64
+	reserved atomic.Int64
 }
 
 // MemoryReservation is what one request holds.
 type MemoryReservation struct {
-	hold *hold
-	n    int64
+	budget *memoryBudget
+	bytes  int64
 }
 
-// more takes room, or none if there isn't as much.
-func (h *MemoryReservation) more(n int64) bool {
-	if h.hold.used.Add(n) > h.hold.most {
-		h.hold.used.Add(-n)
+// tryReserve takes room, or none if there isn't as much.
+func (h *MemoryReservation) tryReserve(n int64) bool {
+	if h.budget.reserved.Add(n) > h.budget.limit {
+		h.budget.reserved.Add(-n)
 		return false
 	}
-	h.n += n
+	h.bytes += n
 	return true
 }
 
-// must takes room whether or not there is any: an answer has been run for.
-func (h *MemoryReservation) must(n int64) {
+// reserve takes room whether or not there is any: an answer has been run for.
+func (h *MemoryReservation) reserve(n int64) {
 	if h != nil {
-		h.hold.used.Add(n)
-		h.n += n
+		h.budget.reserved.Add(n)
+		h.bytes += n
 	}
 }
 
-// Free gives all of it back.
-func (h *MemoryReservation) Free() {
+// Release gives all of it back.
+func (h *MemoryReservation) Release() {
 	if h != nil {
-		h.hold.used.Add(-h.n)
-		h.n = 0
+		h.budget.reserved.Add(-h.bytes)
+		h.bytes = 0
 	}
 }
 
-// firstRoom is what a body of unknown length begins with.
-const firstRoom = 4 << 10
+// initialBodyBuffer is what a body of unknown length begins with.
+const initialBodyBuffer = 4 << 10
 
-// Body reads a request's body, whole and within a limit, and what it then holds.
+// ReadBody reads a request's body, whole and within a limit, and what it then holds.
 // A time, if there is one, bounds how long the client may take to send it.
-func (d *Daemon) Body(w http.ResponseWriter, r *http.Request, most int64, until time.Time) ([]byte, *MemoryReservation, error) {
-	h := &MemoryReservation{hold: &d.hold}
+func (d *Daemon) ReadBody(w http.ResponseWriter, r *http.Request, most int64, until time.Time) ([]byte, *MemoryReservation, error) {
+	h := &MemoryReservation{budget: &d.memory}
 	if r.ContentLength > most {
 		return nil, h, &http.MaxBytesError{Limit: most}
 	}
@@ -70,28 +70,28 @@
 	if !until.IsZero() {
 		_ = c.SetReadDeadline(until)
 	}
-	body, err := h.read(http.MaxBytesReader(w, r.Body, most), r.ContentLength)
+	body, err := h.readBody(http.MaxBytesReader(w, r.Body, most), r.ContentLength)
 	if err != nil {
-		h.Free()
+		h.Release()
 		return nil, h, err
 	}
 	_ = c.SetReadDeadline(time.Time{})
 	return body, h, nil
 }
 
-func (h *MemoryReservation) read(in io.Reader, length int64) ([]byte, error) {
+func (h *MemoryReservation) readBody(in io.Reader, length int64) ([]byte, error) {
 	if length > 0 {
-		if !h.more(length) {
+		if !h.tryReserve(length) {
 			return nil, ErrMemoryBudgetExceeded
 		}
 		body := make([]byte, length)
 		_, err := io.ReadFull(in, body)
 		return body, err
 	}
-	if !h.more(firstRoom) {
+	if !h.tryReserve(initialBodyBuffer) {
 		return nil, ErrMemoryBudgetExceeded
 	}
-	body := make([]byte, 0, firstRoom)
+	body := make([]byte, 0, initialBodyBuffer)
 	for {
 		n, err := in.Read(body[len(body):cap(body)])
 		body = body[:len(body)+n]
@@ -106,22 +106,22 @@
 		}
 		// Both copies are there for a moment.
 		old := int64(cap(body))
-		if !h.more(2 * old) {
+		if !h.tryReserve(2 * old) {
 			return nil, ErrMemoryBudgetExceeded
 		}
 		body = append(make([]byte, 0, 2*old), body...)
-		h.must(-old)
+		h.reserve(-old)
 	}
 }
 
-// counted counts an answer's bytes as they come.
-type counted struct {
+// countingReader counts an answer's bytes as they come.
+type countingReader struct {
 	io.Reader
-	held *MemoryReservation
+	reservation *MemoryReservation
 }
 
-func (c counted) Read(p []byte) (int, error) {
+func (c countingReader) Read(p []byte) (int, error) {
 	n, err := c.Reader.Read(p)
-	c.held.must(int64(n))
+	c.reservation.reserve(int64(n))
 	return n, err
 }
--- a/internal/dataplane/proxy/leasegossip.go
+++ b/internal/dataplane/proxy/leasegossip.go
@@ -28,42 +28,42 @@
 	Revision      ids.Revision
 	Configuration []byte
 	Targets       []targets.Target
-	// Agreed and Word are the ages, in milliseconds, of the agreement and of
+	// ConfigurationAge and Word are the ages, in milliseconds, of the agreement and of
 	// the registry's word that the other goes by.
-	Agreed, Word uint32
+	ConfigurationAge, TargetsAge uint32
 }
 
 var _ = wire.Register(82, LeaseRequest{}) && wire.Register(83, LeaseGossip{})
 
 // lease gossip is what a proxy knows of asking others.
-type peerLease struct {
-	since ids.Time
-	turn  int
+type gossipState struct {
+	lastRequest ids.Time
+	peerCursor  int
 }
 
 const (
-	// inquireAfter is how old the knowledge must be: pushes come far sooner.
-	inquireAfter = 1200 * time.Millisecond
-	inquireEvery = 200 * time.Millisecond
-	// inquireOf is how many others are asked at a time, in turn.
-	inquireOf = 2
+	// gossipAfter is how old the knowledge must be: pushes come far sooner.
+	gossipAfter    = 1200 * time.Millisecond
+	gossipInterval = 200 * time.Millisecond
+	// gossipFanout is how many others are asked at a time, in turn.
+	gossipFanout = 2
 )
 
-// inquire asks other proxies, once registries and stores have not answered.
-func (c *Control) inquire(now ids.Time) {
-	if c.Lease == Endless || now.Sub(c.sure()) < inquireAfter || now.Sub(c.since) < inquireEvery {
+// requestLease asks other proxies, once registries and stores have not answered.
+func (c *Control) requestLease(now ids.Time) {
+	if c.Lease == EndlessLease || now.Sub(c.confirmedAt()) < gossipAfter || now.Sub(c.lastRequest) < gossipInterval {
 		return
 	}
-	c.since = now
+	c.lastRequest = now
 	var others []membership.Member
 	for _, m := range c.Live(membership.Proxy) {
 		if m.ID != c.Self.ID {
 			others = append(others, m)
 		}
 	}
-	for range min(inquireOf, len(others)) {
-		c.turn++
-		c.Send(others[c.turn%len(others)].Address, LeaseRequest{Proxy: c.Self.ID, RunID: c.Self.RunID, Revision: c.view.Revision, Now: now})
+	for range min(gossipFanout, len(others)) {
+		c.peerCursor++
+		c.Send(others[c.peerCursor%len(others)].Address, LeaseRequest{Proxy: c.Self.ID, RunID: c.Self.RunID, Revision: c.view.Revision, Now: now})
 	}
 }
 
@@ -71,12 +71,12 @@
 // places and its retries are about to be divided among the others.
 func (c *Control) answerLeaseRequest(now ids.Time, from ids.Address, q LeaseRequest) {
 	m, ok := c.Get(q.Proxy)
-	if !ok || m.Gone || m.RunID != q.RunID || !c.inStep(now) {
+	if !ok || m.Gone || m.RunID != q.RunID || !c.leaseValid(now) {
 		return
 	}
 	t := LeaseGossip{
 		ProxyRunID: q.RunID, EchoedTime: q.Now, Revision: c.view.Revision, Targets: c.targets.All(now),
-		Agreed: uint32(now.Sub(c.agreed) / time.Millisecond), Word: uint32(now.Sub(c.word) / time.Millisecond),
+		ConfigurationAge: uint32(now.Sub(c.configurationConfirmedAt) / time.Millisecond), TargetsAge: uint32(now.Sub(c.targetsConfirmedAt) / time.Millisecond),
 	}
 	if q.Revision < c.view.Revision {
 		t.Configuration = c.configuration.Encode(false)
@@ -85,18 +85,18 @@
 }
 
 // tidings take what another proxy goes by.
-func (c *Control) takeLeaseGossip(now ids.Time, from ids.Address, t LeaseGossip) {
+func (c *Control) handleLeaseGossip(now ids.Time, from ids.Address, t LeaseGossip) {
 	// What was meant for an earlier run of ours may be any age.
 	if t.ProxyRunID != c.Self.RunID || t.EchoedTime > now {
 		c.Discard(from, event.Unsolicited, LeaseGossip{})
 		return
 	}
 	if t.Revision > c.view.Revision && len(t.Configuration) > 0 {
-		c.adopt(now, t.Configuration)
+		c.adoptConfiguration(now, t.Configuration)
 	}
-	known := t.EchoedTime.Add(-age(t.Word))
+	known := t.EchoedTime.Add(-roundedUpAge(t.TargetsAge))
 	c.targets.MergeAsOf(now, known, t.Targets...)
-	c.word = max(c.word, known)
-	c.confirm(now, t.Revision, t.EchoedTime.Add(-age(t.Agreed)))
-	c.refreshTargets(now)
+	c.targetsConfirmedAt = max(c.targetsConfirmedAt, known)
+	c.confirmConfiguration(now, t.Revision, t.EchoedTime.Add(-roundedUpAge(t.ConfigurationAge)))
+	c.refreshDispatchers(now)
 }
--- a/internal/dataplane/proxy/meter.go
+++ b/internal/dataplane/proxy/meter.go
@@ -12,29 +12,29 @@
 	"dunlinwell/internal/controlplane/spill"
 )
 
-// meter sums what requests cost: this process's CPU shared out by measured
+// usageMeter sums what requests cost: this process's CPU shared out by measured
 // handling, plus what targets state of their own.
-type meter struct {
-	mu     sync.Mutex
-	work   map[[2]ids.Name]*cost
-	delays []time.Duration
-	count  uint64
-	cpu    time.Duration
-	at     time.Time
+type usageMeter struct {
+	mu            sync.Mutex
+	usage         map[[2]ids.Name]*routeUsage
+	latencies     []time.Duration
+	requests      uint64
+	lastCPUTime   time.Duration
+	intervalStart time.Time
 }
 
-type cost struct {
-	handling time.Duration
-	target   float64
+type routeUsage struct {
+	handlingTime time.Duration
+	targetMillis float64
 }
 
-const mostDelays = 4096
+const maxLatencySamples = 4096
 
-func newMeter() *meter {
-	return &meter{work: map[[2]ids.Name]*cost{}, cpu: processCPU(), at: time.Now()}
+func newUsageMeter() *usageMeter {
+	return &usageMeter{usage: map[[2]ids.Name]*routeUsage{}, lastCPUTime: processCPUTime(), intervalStart: time.Now()}
 }
 
-func processCPU() time.Duration {
+func processCPUTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
 		return 0
@@ -42,35 +42,35 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-func (m *meter) at2(route, service ids.Name) *cost {
+func (m *usageMeter) usageOf(route, service ids.Name) *routeUsage {
 	k := [2]ids.Name{route, service}
-	if m.work[k] == nil {
-		m.work[k] = &cost{}
+	if m.usage[k] == nil {
+		m.usage[k] = &routeUsage{}
 	}
-	return m.work[k]
+	return m.usage[k]
 }
 
-// handled adds one request: the proxy's handling, and its front-line
+// recordRequest adds one request: the proxy's handling, and its front-line
 // latency, which is queue and handling without the target's own time.
-func (m *meter) handled(route, service ids.Name, handling, front time.Duration) {
+func (m *usageMeter) recordRequest(route, service ids.Name, handling, front time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.at2(route, service).handling += handling
-	m.count++
-	if len(m.delays) < mostDelays {
-		m.delays = append(m.delays, front)
+	m.usageOf(route, service).handlingTime += handling
+	m.requests++
+	if len(m.latencies) < maxLatencySamples {
+		m.latencies = append(m.latencies, front)
 	}
 }
 
-// spent adds a target's time for one request.
-func (m *meter) spent(route, service ids.Name, span time.Duration) {
+// recordTargetTime adds a target's time for one request.
+func (m *usageMeter) recordTargetTime(route, service ids.Name, span time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.at2(route, service).target += float64(span) / float64(time.Millisecond)
+	m.usageOf(route, service).targetMillis += float64(span) / float64(time.Millisecond)
 }
 
-// target adds what a target states in Server-Timing as cpu;dur=ms.
-func (m *meter) target(route, service ids.Name, lines []string) {
+// recordServerTiming adds what a target states in Server-Timing as cpu;dur=ms.
+func (m *usageMeter) recordServerTiming(route, service ids.Name, lines []string) {
 	for _, line := range lines {
 		for _, e := range strings.Split(line, ",") {
 			name, rest, _ := strings.Cut(strings.TrimSpace(e), ";")
@@ -81,7 +81,7 @@
 				k, v, _ := strings.Cut(strings.TrimSpace(p), "=")
 				if ms, err := strconv.ParseFloat(v, 64); k == "dur" && err == nil && ms >= 0 && ms < 1e7 {
 					m.mu.Lock()
-					m.at2(route, service).target += ms
+					m.usageOf(route, service).targetMillis += ms
 					m.mu.Unlock()
 				}
 			}
@@ -89,29 +89,29 @@
 	}
 }
 
-// read closes an interval.
-func (m *meter) read() UsageSample {
+// takeSample closes an interval.
+func (m *usageMeter) takeSample() UsageSample {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now, cpu := time.Now(), processCPU()
-	span := now.Sub(m.at)
-	spent := float64(cpu-m.cpu) / float64(time.Millisecond)
+	now, cpu := time.Now(), processCPUTime()
+	span := now.Sub(m.intervalStart)
+	spent := float64(cpu-m.lastCPUTime) / float64(time.Millisecond)
 	all := time.Duration(0)
-	for _, c := range m.work {
-		all += c.handling
+	for _, c := range m.usage {
+		all += c.handlingTime
 	}
-	out := UsageSample{Interval: span, Count: m.count}
-	for k, c := range m.work {
-		ms := c.target
+	out := UsageSample{Interval: span, Requests: m.requests}
+	for k, c := range m.usage {
+		ms := c.targetMillis
 		if all > 0 {
-			ms += spent * float64(c.handling) / float64(all)
+			ms += spent * float64(c.handlingTime) / float64(all)
 		}
 		out.Rows = append(out.Rows, spill.Spent{Route: k[0], Service: k[1], CPU: ms / span.Seconds()})
 	}
-	slices.Sort(m.delays)
-	if n := len(m.delays); n > 0 {
-		out.Latency = m.delays[n*95/100]
+	slices.Sort(m.latencies)
+	if n := len(m.latencies); n > 0 {
+		out.LatencyP95 = m.latencies[n*95/100]
 	}
-	m.work, m.delays, m.count, m.cpu, m.at = map[[2]ids.Name]*cost{}, nil, 0, cpu, now
+	m.usage, m.latencies, m.requests, m.lastCPUTime, m.intervalStart = map[[2]ids.Name]*routeUsage{}, nil, 0, cpu, now
 	return out
 }
--- a/internal/dataplane/proxy/opening_test.go
+++ b/internal/dataplane/proxy/opening_test.go
@@ -12,19 +12,19 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// started is a proxy that has just started, and what two registries tell it.
-type started struct {
+// controlFixture is a proxy that has just started, and what two registries tell it.
+type controlFixture struct {
 	*Control
-	now   ids.Time
-	count ids.StreamNumber
+	now    ids.Time
+	pushes ids.StreamNumber
 }
 
-func start(lease time.Duration) *started {
-	return &started{Control: New(membership.Options{Self: member("p", "quay")}, ControlOptions{Lease: lease}), now: 1}
+func newControlFixture(lease time.Duration) *controlFixture {
+	return &controlFixture{Control: New(membership.Options{Self: member("p", "quay")}, ControlOptions{Lease: lease}), now: 1}
 }
 
-// configurationOf is a configuration with as many services as its revision says.
-func configurationOf(t *testing.T, revision int) []byte {
+// encodedConfiguration is a configuration with as many services as its revision says.
+func encodedConfiguration(t *testing.T, revision int) []byte {
 	t.Helper()
 	p, err := configuration.Decode(nil)
 	if err != nil {
@@ -36,17 +36,17 @@
 	return p.Encode(false)
 }
 
-// tell pushes what a registry holds whose agreement is so old.
-func (s *started) tell(raw []byte, revision ids.Revision, age time.Duration, list ...targets.Target) {
-	s.count++
+// push pushes what a registry holds whose agreement is so old.
+func (s *controlFixture) push(raw []byte, revision ids.Revision, age time.Duration, list ...targets.Target) {
+	s.pushes++
 	s.Step(s.now, event.Received{From: "r", Msg: distribution.Push{
-		Number: s.count, Revision: revision, Configuration: raw, Targets: list,
+		Number: s.pushes, Revision: revision, Configuration: raw, Targets: list,
 		ReadAgeMillis: uint32(age.Milliseconds()), EchoedTime: s.now, ProxyRunID: s.Self.RunID,
 	}})
 }
 
 // run lets time pass; each second something is told.
-func (s *started) run(span time.Duration, each func()) {
+func (s *controlFixture) run(span time.Duration, each func()) {
 	for end := s.now.Add(span); s.now < end; {
 		if each != nil {
 			each()
@@ -60,52 +60,52 @@
 
 // A proxy that started while it reached only a registry cut off for 20 s served by
 // what that one told, as if it were in force.
-func TestAProxyStartsByAFreshAgreement(t *testing.T) {
-	old, new := configurationOf(t, 1), configurationOf(t, 2)
-	s := start(Endless)
-	s.tell(old, 1, 20*time.Second)
-	s.run(2*time.Second, func() { s.tell(nil, 1, 20*time.Second) })
-	if s.inStep(s.now) || s.ready(s.now) {
+func TestEndlessLease_StartsWithFreshConfirmation(t *testing.T) {
+	old, new := encodedConfiguration(t, 1), encodedConfiguration(t, 2)
+	s := newControlFixture(EndlessLease)
+	s.push(old, 1, 20*time.Second)
+	s.run(2*time.Second, func() { s.push(nil, 1, 20*time.Second) })
+	if s.leaseValid(s.now) || s.ready(s.now) {
 		t.Fatal("it serves by what may be 20 s old")
 	}
 	// The other side is reached: it serves at once, by the newer.
-	s.tell(new, 2, 300*time.Millisecond)
-	if !s.inStep(s.now) || s.view.Revision != 2 {
+	s.push(new, 2, 300*time.Millisecond)
+	if !s.leaseValid(s.now) || s.view.Revision != 2 {
 		t.Fatalf("it doesn't serve by revision %d", s.view.Revision)
 	}
 	// From then on it never stops, and never goes back.
-	s.run(20*time.Second, func() { s.tell(old, 1, 20*time.Second) })
-	if !s.inStep(s.now) || s.view.Revision != 2 {
+	s.run(20*time.Second, func() { s.push(old, 1, 20*time.Second) })
+	if !s.leaseValid(s.now) || s.view.Revision != 2 {
 		t.Fatalf("it went back to %d", s.view.Revision)
 	}
 }
 
 // An agreement of before the proxy's own start is fresh all the same: one that
 // restarted with all the others served 1 s later than it could.
-func TestAProxyStartsByAnAgreementOfBeforeItsStart(t *testing.T) {
-	s := start(Endless)
+func TestEndlessLease_AcceptsConfirmationFromBeforeStart(t *testing.T) {
+	s := newControlFixture(EndlessLease)
 	s.run(50*time.Millisecond, nil)
 	s.now = ids.Time(300 * time.Millisecond)
-	s.tell(configurationOf(t, 1), 1, 1200*time.Millisecond)
-	if !s.inStep(s.now) {
+	s.push(encodedConfiguration(t, 1), 1, 1200*time.Millisecond)
+	if !s.leaseValid(s.now) {
 		t.Fatal("it waits for an agreement that began after its start")
 	}
 }
 
 // Where no fresh agreement can be had, a proxy serves after all, and says so.
-func TestAProxyServesUnconfirmedAfterAWhile(t *testing.T) {
-	s := start(Endless)
-	raw := configurationOf(t, 1)
+func TestEndlessLease_ServesUnconfirmedAfterDelay(t *testing.T) {
+	s := newControlFixture(EndlessLease)
+	raw := encodedConfiguration(t, 1)
 	logged := false
-	s.tell(raw, 1, 20*time.Second)
+	s.push(raw, 1, 20*time.Second)
 	for range 100 {
 		s.now = s.now.Add(50 * time.Millisecond)
 		for _, c := range s.Step(s.now, event.Tick{}) {
 			entry, ok := c.(event.LogEntry)
 			logged = logged || ok && entry.Event == "serves unconfirmed"
 		}
-		if waited := s.now.Sub(1); s.inStep(s.now) != (waited >= unconfirmedFor) {
-			t.Fatalf("in step after %s: %v", waited, s.inStep(s.now))
+		if waited := s.now.Sub(1); s.leaseValid(s.now) != (waited >= unconfirmedStartDelay) {
+			t.Fatalf("in step after %s: %v", waited, s.leaseValid(s.now))
 		}
 	}
 	if !logged {
@@ -115,34 +115,34 @@
 
 // A proxy that asks the stores itself knows that its configuration is in force; of the
 // targets it knows no more than the registry that is cut off from them.
-func TestARegistryWithoutTheLeaseDoesNotVouchForTargets(t *testing.T) {
-	s := start(0)
-	s.tell(configurationOf(t, 1), 1, 0)
+func TestLease_NeedsConfirmedTargets(t *testing.T) {
+	s := newControlFixture(0)
+	s.push(encodedConfiguration(t, 1), 1, 0)
 	for range 10 {
 		s.run(time.Second, func() {
-			s.tell(nil, 1, 1600*time.Millisecond+s.now.Sub(1))
-			s.confirm(s.now, 1, s.now) // by the stores' own word
+			s.push(nil, 1, 1600*time.Millisecond+s.now.Sub(1))
+			s.confirmConfiguration(s.now, 1, s.now) // by the stores' own word
 		})
 	}
-	if s.inStep(s.now) {
+	if s.leaseValid(s.now) {
 		t.Fatal("it serves by targets that nobody vouches for")
 	}
-	s.tell(nil, 1, 0)
-	if !s.inStep(s.now) {
+	s.push(nil, 1, 0)
+	if !s.leaseValid(s.now) {
 		t.Fatal("it doesn't serve though a registry with the lease vouches for them")
 	}
 }
 
 // What an older run, or the other side of a cut, tells of a target doesn't undo
 // what is newer, in whichever order it comes.
-func TestALatePushUndoesNothing(t *testing.T) {
-	s := start(Endless)
-	s.tell(configurationOf(t, 1), 1, 0)
+func TestPush_LateUpdateIsIgnored(t *testing.T) {
+	s := newControlFixture(EndlessLease)
+	s.push(encodedConfiguration(t, 1), 1, 0)
 	target := targets.Target{Instance: "i", Incarnation: 1, Sequence: 5, Service: "a", Address: "10.0.0.1:80", Zone: "quay", Warmth: 1, IntervalMillis: 1000}
 	leaving := target
 	leaving.Sequence, leaving.Leaving = 6, true
-	s.tell(nil, 1, 0, leaving)
-	s.tell(nil, 1, 20*time.Second, target)
+	s.push(nil, 1, 0, leaving)
+	s.push(nil, 1, 20*time.Second, target)
 	if got, _ := s.targets.Get(s.now, "i"); !got.Leaving {
 		t.Fatal("a target that leaves came back by a late push")
 	}
--- a/internal/dataplane/proxy/places.go
+++ b/internal/dataplane/proxy/places.go
@@ -12,8 +12,8 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// Layout says how targets' places are shared out among proxies.
-type Layout struct {
+// SlotLayout says how targets' places are shared out among proxies.
+type SlotLayout struct {
 	// ByZone gives a target's places to the proxies of its own zone first;
 	// otherwise all proxies of the fleet have equal parts.
 	ByZone bool `help:"Give a target's places to the proxies of its own cell first." name:"by-cell"`
@@ -21,53 +21,53 @@
 	Regions map[ids.Name]string `kong:"-"`
 }
 
-// offer works out this proxy's seat at a target. Each target has an order
+// offerOf works out this proxy's seat at a target. Each target has an order
 // of proxies of its own, so the odd places fall to different ones.
-func (c *Control) offer(now ids.Time, t targets.Target, seats []membership.Member) dispatch.Offer {
+func (c *Control) offerOf(now ids.Time, t targets.Target, seats []membership.Member) dispatch.Offer {
 	o := dispatch.Offer{
 		Target: t, At: now, Distance: c.view.Distance(c.Self.Zone, t.Zone),
 		Emptied: c.view.Zones[t.Zone].Drained || c.view.Zones[t.Zone].Evacuated, Region: ids.Name(c.view.Zones[t.Zone].Region),
 	}
 	if !c.ByZone {
-		o.Seats, o.Seat = max(len(seats), 1), c.seat(string(t.Instance), seats)
+		o.Seats, o.Seat = max(len(seats), 1), c.rendezvousRank(string(t.Instance), seats)
 		return o
 	}
-	class, peers := c.class(t, seats)
-	o.Seats, o.Seat, o.Over = max(len(peers), 1), c.seat(string(t.Instance), peers), 1
+	class, peers := c.proximityOf(t, seats)
+	o.Seats, o.Seat, o.Over = max(len(peers), 1), c.rendezvousRank(string(t.Instance), peers), 1
 	if class == 0 {
 		// Two proxies or more may each use what the other leaves; a target's own
 		// queue takes what they send at the same time.
 		o.Over = min(o.Seats, 2)
 	}
-	c.chill(now, t, class, &o)
+	c.limitSlowStart(now, t, class, &o)
 	return o
 }
 
-// rank is how near this proxy is to the targets of a zone, as places go, and
+// proximity is how near this proxy is to the targets of a zone, as places go, and
 // the proxies that are as near.
-type rank struct {
+type proximity struct {
 	class int
 	peers []membership.Member
 }
 
-// class tells how near this proxy is to a target, as places go, and names the
+// proximityOf tells how near this proxy is to a target, as places go, and names the
 // proxies of that class: 0 has the target's places, 1 stands in its region
 // and 2 elsewhere, with as many places again for each of the two. Where a zone
 // has no proxy the next class takes its part. It is the same for all targets
 // of a zone, so it is worked out once a zone and not once a target.
-func (c *Control) class(t targets.Target, seats []membership.Member) (int, []membership.Member) {
-	if r, ok := c.ranks[t.Zone]; ok {
+func (c *Control) proximityOf(t targets.Target, seats []membership.Member) (int, []membership.Member) {
+	if r, ok := c.proximities[t.Zone]; ok {
 		return r.class, r.peers
 	}
-	r := c.rank(t.Zone, seats)
-	if c.ranks == nil {
-		c.ranks = map[ids.Name]rank{}
+	r := c.computeProximity(t.Zone, seats)
+	if c.proximities == nil {
+		c.proximities = map[ids.Name]proximity{}
 	}
-	c.ranks[t.Zone] = r
+	c.proximities[t.Zone] = r
 	return r.class, r.peers
 }
 
-func (c *Control) rank(zone ids.Name, seats []membership.Member) rank {
+func (c *Control) computeProximity(zone ids.Name, seats []membership.Member) proximity {
 	near := func(n ids.Name) int {
 		switch d := c.view.Distance(n, zone); {
 		case d == 0:
@@ -90,20 +90,20 @@
 	own := near(c.Self.Zone)
 	for n := range own {
 		if len(by[n]) > 0 {
-			return rank{own, by[own]}
+			return proximity{own, by[own]}
 		}
 	}
-	return rank{0, by[own]}
+	return proximity{0, by[own]}
 }
 
-// chill bounds what a cold target gets: its rate is shared by those who have
+// limitSlowStart bounds what a cold target gets: its rate is shared by those who have
 // its places, and nobody else sends it anything.
-func (c *Control) chill(now ids.Time, t targets.Target, class int, o *dispatch.Offer) {
+func (c *Control) limitSlowStart(now ids.Time, t targets.Target, class int, o *dispatch.Offer) {
 	sv := c.view.Services[t.Service]
 	if sv.SlowStartRate <= 0 {
 		return
 	}
-	o.ColdUntil = max(now.Add(time.Duration(t.SlowStartMillis)*time.Millisecond), c.thaws[t.Zone])
+	o.ColdUntil = max(now.Add(time.Duration(t.SlowStartMillis)*time.Millisecond), c.slowStartUntil[t.Zone])
 	if class == 0 {
 		o.Rate = sv.SlowStartRate / float64(o.Seats)
 	}
@@ -111,9 +111,9 @@
 	o.AgeMillis = 1 << 40
 }
 
-// thaw notes zones whose targets are taken back into use: they may have gone
+// startSlowStart notes zones whose targets are taken back into use: they may have gone
 // cold meanwhile, and their own word on it may still be on its way.
-func (c *Control) thaw(now ids.Time, old *configuration.View) {
+func (c *Control) startSlowStart(now ids.Time, old *configuration.View) {
 	for n, zone := range c.view.Zones {
 		was := old.Zones[n]
 		if !(was.Evacuated || was.Drained) || zone.Evacuated || zone.Drained {
@@ -125,25 +125,25 @@
 				longest = max(longest, s.SlowStartMillis)
 			}
 		}
-		if c.thaws == nil {
-			c.thaws = map[ids.Name]ids.Time{}
+		if c.slowStartUntil == nil {
+			c.slowStartUntil = map[ids.Name]ids.Time{}
 		}
-		c.thaws[n] = now.Add(time.Duration(longest) * time.Millisecond)
+		c.slowStartUntil[n] = now.Add(time.Duration(longest) * time.Millisecond)
 	}
 }
 
-// seat is this proxy's place in the order of proxies for one thing.
-func (c *Control) seat(of string, seats []membership.Member) int {
-	own, n := lot(of, c.Self.ID), 0
+// rendezvousRank is this proxy's place in the order of proxies for one thing.
+func (c *Control) rendezvousRank(of string, seats []membership.Member) int {
+	own, n := rendezvousHash(of, c.Self.ID), 0
 	for _, m := range seats {
-		if m.ID != c.Self.ID && cmp.Or(cmp.Compare(lot(of, m.ID), own), cmp.Compare(m.ID, c.Self.ID)) < 0 {
+		if m.ID != c.Self.ID && cmp.Or(cmp.Compare(rendezvousHash(of, m.ID), own), cmp.Compare(m.ID, c.Self.ID)) < 0 {
 			n++
 		}
 	}
 	return n
 }
 
-func lot(of string, d ids.DaemonID) uint64 {
+func rendezvousHash(of string, d ids.DaemonID) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(of))
 	h.Write([]byte{0})
@@ -151,8 +151,8 @@
 	return h.Sum64()
 }
 
-// some tells whether any place at all falls to a seat, when the target is warm.
-func some(o dispatch.Offer, capacity int) bool {
+// hasSlots tells whether any place at all falls to a seat, when the target is warm.
+func hasSlots(o dispatch.Offer, capacity int) bool {
 	if o.Capacity > 0 {
 		capacity = int(o.Capacity)
 	}
--- a/internal/dataplane/proxy/places_test.go
+++ b/internal/dataplane/proxy/places_test.go
@@ -22,14 +22,14 @@
 	return membership.Member{ID: ids.DaemonID(id), Role: membership.Proxy, Zone: ids.Name(zone), RunID: 1}
 }
 
-func placer(self membership.Member, sv configuration.Service) *Control {
-	c := New(membership.Options{Self: self}, ControlOptions{Lease: Endless, Layout: Layout{ByZone: true, Regions: regions}})
+func newZoneControl(self membership.Member, sv configuration.Service) *Control {
+	c := New(membership.Options{Self: self}, ControlOptions{Lease: EndlessLease, SlotLayout: SlotLayout{ByZone: true, Regions: regions}})
 	c.view.Services = map[ids.Name]configuration.Service{"wader": sv}
 	return c
 }
 
-// sends counts how many of many requests a dispatcher with this one offer lets go at once.
-func sends(o dispatch.Offer, now ids.Time) int {
+// countForwarded counts how many of many requests a dispatcher with this one offer lets go at once.
+func countForwarded(o dispatch.Offer, now ids.Time) int {
 	d := dispatch.New(dispatch.Options{Random: rand.New(rand.NewPCG(1, 2)), Queue: 1000})
 	d.Step(now, dispatch.ServiceState{Targets: []dispatch.Offer{o}, InStep: true, Lease: now.Add(time.Hour), Terms: map[ids.Name]dispatch.RouteTerms{"r": {}}})
 	n := 0
@@ -46,7 +46,7 @@
 // The fleet's sum at a target is bounded however many proxies there are: its
 // places once for each of the three circles that has proxies, and twice in the
 // first where two or more may use what the others leave.
-func TestPlacesByZoneAddUp(t *testing.T) {
+func TestSlots_ZoneSharesAddUp(t *testing.T) {
 	is := is.New(t)
 	const capacity = 7
 	now := ids.Time(time.Second)
@@ -63,19 +63,19 @@
 		"dune reed reed":                2 * capacity,
 		"quay quay quay quay quay quay quay quay quay quay quay quay quay quay quay": 2 * capacity,
 	} {
-		seats := fleet(zones)
+		seats := proxiesIn(zones)
 		for n := range 4 {
 			target := targets.Target{Instance: ids.InstanceID(fmt.Sprint("t", n)), Service: "wader", Zone: "quay", Capacity: capacity, Warmth: 1, AgeMillis: 1e9}
 			sum := 0
 			for _, m := range seats {
-				sum += sends(placer(m, configuration.Service{}).offer(now, target, seats), now)
+				sum += countForwarded(newZoneControl(m, configuration.Service{}).offerOf(now, target, seats), now)
 			}
 			is.Equal(sum, want)
 		}
 	}
 }
 
-func fleet(zones string) []membership.Member {
+func proxiesIn(zones string) []membership.Member {
 	var seats []membership.Member
 	for i, zone := range strings.Fields(zones) {
 		seats = append(seats, member(fmt.Sprintf("c%d", i), zone))
@@ -84,14 +84,14 @@
 }
 
 // Odd places fall to different proxies for different targets.
-func TestOddPlacesAreSpread(t *testing.T) {
+func TestSlots_RemainderIsSpread(t *testing.T) {
 	is := is.New(t)
-	seats := fleet("quay quay quay")
+	seats := proxiesIn("quay quay quay")
 	got := map[ids.DaemonID]int{}
 	for n := range 60 {
 		target := targets.Target{Instance: ids.InstanceID(fmt.Sprint("t", n)), Service: "wader", Zone: "quay"}
 		for _, m := range seats {
-			if placer(m, configuration.Service{}).offer(1, target, seats).Seat == 0 {
+			if newZoneControl(m, configuration.Service{}).offerOf(1, target, seats).Seat == 0 {
 				got[m.ID]++
 			}
 		}
@@ -103,35 +103,35 @@
 }
 
 // A lost proxy's places stay its own for a while, as it may still use them.
-func TestPlacesAsProxiesComeAndGo(t *testing.T) {
+func TestSlotHolders_LostProxyKeepsShare(t *testing.T) {
 	is := is.New(t)
 	self, other := member("a", "quay"), member("b", "quay")
-	c := placer(self, configuration.Service{})
+	c := newZoneControl(self, configuration.Service{})
 	now := ids.Time(time.Second)
 	join := func(m membership.Member) {
 		c.List.Receive(now, "x", membership.Snapshot{Members: []membership.Member{m}, Final: true})
 	}
-	is.Equal(len(c.seats(now)), 1)
+	is.Equal(len(c.slotHolders(now)), 1)
 	other.Incarnation = 5
 	join(other)
-	is.Equal(len(c.seats(now)), 2)
+	is.Equal(len(c.slotHolders(now)), 2)
 	other.Gone = true
 	join(other)
-	is.Equal(len(c.seats(now.Add(seatsHeld-time.Millisecond))), 2)
-	is.Equal(len(c.seats(now.Add(seatsHeld))), 1)
+	is.Equal(len(c.slotHolders(now.Add(lostProxyHoldTime-time.Millisecond))), 2)
+	is.Equal(len(c.slotHolders(now.Add(lostProxyHoldTime))), 1)
 	// Others than proxies have no seat.
 	join(membership.Member{ID: "f", Role: membership.Registry, Zone: "quay", RunID: 1, Incarnation: 1})
-	is.Equal(len(c.seats(now.Add(seatsHeld))), 1)
+	is.Equal(len(c.slotHolders(now.Add(lostProxyHoldTime))), 1)
 }
 
 // What all proxies together may send to a cold target is its rate, once.
-func TestColdRateAddsUp(t *testing.T) {
+func TestSlowStart_RatesAddUp(t *testing.T) {
 	is := is.New(t)
 	now := ids.Time(time.Second)
 	for _, zones := range []string{"quay", "quay quay quay", "quay pier dune", "pier mole dune", "dune reed"} {
-		seats, sum := fleet(zones), 0.0
+		seats, sum := proxiesIn(zones), 0.0
 		for _, m := range seats {
-			o := placer(m, configuration.Service{SlowStartRate: 12}).offer(now, targets.Target{Instance: "t", Service: "wader", Zone: "quay", SlowStartMillis: 3000}, seats)
+			o := newZoneControl(m, configuration.Service{SlowStartRate: 12}).offerOf(now, targets.Target{Instance: "t", Service: "wader", Zone: "quay", SlowStartMillis: 3000}, seats)
 			is.Equal(o.ColdUntil, now.Add(3*time.Second))
 			sum += o.Rate
 		}
@@ -141,9 +141,9 @@
 
 // Targets of a zone that is taken back into use may have gone cold meanwhile: they
 // count as such for the longest that any of them stays so.
-func TestAZoneThatIsOpenedThawsSlowly(t *testing.T) {
+func TestSlowStart_AfterZoneReopens(t *testing.T) {
 	is := is.New(t)
-	c := New(membership.Options{Self: member("a", "quay")}, ControlOptions{Lease: Endless, Layout: Layout{ByZone: true, Regions: regions}})
+	c := New(membership.Options{Self: member("a", "quay")}, ControlOptions{Lease: EndlessLease, SlotLayout: SlotLayout{ByZone: true, Regions: regions}})
 	p, err := configuration.Decode(nil)
 	is.NoErr(err)
 	n := 0
@@ -154,28 +154,28 @@
 		var r configuration.Result
 		p, r = p.Apply(ch)
 		is.True(r.Accepted())
-		c.adopt(ids.Time(n)*ids.Time(time.Second), p.Encode(false))
+		c.adoptConfiguration(ids.Time(n)*ids.Time(time.Second), p.Encode(false))
 	}
 	second := ids.Time(time.Second)
 	apply(`{"kind":"service","name":"wader","put":{"warm_rate":8,"warm_ms":3000}},{"kind":"service","name":"plover","put":{"warm_ms":60000}}`)
 	target := targets.Target{Instance: "t", Service: "wader", Zone: "quay"}
-	seats := fleet("quay")
+	seats := proxiesIn("quay")
 	seats[0].ID = "a"
-	is.True(c.offer(second, target, seats).ColdUntil <= second)
+	is.True(c.offerOf(second, target, seats).ColdUntil <= second)
 	apply(`{"kind":"cell","name":"quay","put":{"region":"west","shut":true}}`)
-	is.True(c.offer(2*second, target, seats).Emptied)
+	is.True(c.offerOf(2*second, target, seats).Emptied)
 	apply(`{"kind":"cell","name":"quay","put":{"region":"west","shut":false}}`)
-	o := c.offer(3*second, target, seats)
+	o := c.offerOf(3*second, target, seats)
 	is.True(!o.Emptied)
 	is.Equal(o.ColdUntil, 6*second) // not the minute of a service that has no rate
 	is.Equal(o.Rate, 8.0)
 	// Its own word counts where it is the longer one.
 	target.SlowStartMillis = 9000
-	is.Equal(c.offer(4*second, target, seats).ColdUntil, 13*second)
+	is.Equal(c.offerOf(4*second, target, seats).ColdUntil, 13*second)
 	target.SlowStartMillis = 0
-	is.True(c.offer(7*second, target, seats).ColdUntil <= 7*second)
+	is.True(c.offerOf(7*second, target, seats).ColdUntil <= 7*second)
 	// Another zone's targets are as they were, and a change beside it thaws nothing anew.
 	apply(`{"kind":"service","name":"wader","set":{"tier":3}}`)
-	is.Equal(c.offer(4*second, target, seats).ColdUntil, 6*second)
-	is.True(c.offer(4*second, targets.Target{Instance: "u", Service: "wader", Zone: "dune"}, seats).ColdUntil <= 4*second)
+	is.Equal(c.offerOf(4*second, target, seats).ColdUntil, 6*second)
+	is.True(c.offerOf(4*second, targets.Target{Instance: "u", Service: "wader", Zone: "dune"}, seats).ColdUntil <= 4*second)
 }
--- a/internal/dataplane/proxy/refreshpace.go
+++ b/internal/dataplane/proxy/refreshpace.go
@@ -12,7 +12,7 @@
 // found silent at once), it kept a small machine from reading what came next for
 // seconds, a change of configuration among it.
 type refreshPace struct {
-	refreshed ids.Time
+	lastRefresh ids.Time
 	// unacknowledged are pushes that dispatchers don't go by yet.
 	unacknowledged []receivedPush
 }
@@ -27,23 +27,23 @@
 	// pairCost is what a target and a proxy more cost a refresh, on a tenth of a
 	// processor core (measured: 0.88 µs on a whole one).
 	pairCost = 10 * time.Microsecond
-	// longestPace bounds how long news may wait for a refresh: well below the time
+	// maxRefreshInterval bounds how long news may wait for a refresh: well below the time
 	// in which it has to be in force.
-	longestPace = 400 * time.Millisecond
-	// leastPace is below what waiting for a clock event would save.
-	leastPace = 50 * time.Millisecond
+	maxRefreshInterval = 400 * time.Millisecond
+	// minRefreshInterval is below what waiting for a clock event would save.
+	minRefreshInterval = 50 * time.Millisecond
 )
 
-// mayWait tells whether a refresh may wait for the next clock event after its
+// mayDelayRefresh tells whether a refresh may wait for the next clock event after its
 // time: what says whether this proxy serves at all never waits.
-func (c *Control) mayWait(now ids.Time, next stamp) bool {
-	have := c.stocked
-	if have.step != next.step || have.shut != next.shut || have.opened != next.opened {
+func (c *Control) mayDelayRefresh(now ids.Time, next stateVersion) bool {
+	have := c.sentState
+	if have.confirmed != next.confirmed || have.closed != next.closed || have.serving != next.serving {
 		return false
 	}
-	pairs := c.targets.Len() * next.seats
-	pace := min(time.Duration(pairs)*pairCost, longestPace)
-	return c.refreshed != 0 && pace >= leastPace && now.Sub(c.refreshed) < pace
+	pairs := c.targets.Len() * next.slotHolders
+	pace := min(time.Duration(pairs)*pairCost, maxRefreshInterval)
+	return c.lastRefresh != 0 && pace >= minRefreshInterval && now.Sub(c.lastRefresh) < pace
 }
 
 // acknowledge answers the pushes that dispatchers go by now, in their order.
--- a/internal/dataplane/proxy/refreshpace_test.go
+++ b/internal/dataplane/proxy/refreshpace_test.go
@@ -20,10 +20,10 @@
 	stormProxies = 90
 )
 
-// stormFleet is a proxy of a large fleet that knows all targets.
-func stormFleet(t *testing.T) *started {
+// newStormFixture is a proxy of a large fleet that knows all targets.
+func newStormFixture(t *testing.T) *controlFixture {
 	t.Helper()
-	s := &started{Control: New(membership.Options{Self: member("p", "quay"), Incremental: true}, ControlOptions{Lease: Endless, Layout: Layout{ByZone: true}}), now: 1}
+	s := &controlFixture{Control: New(membership.Options{Self: member("p", "quay"), Incremental: true}, ControlOptions{Lease: EndlessLease, SlotLayout: SlotLayout{ByZone: true}}), now: 1}
 	var fleet []membership.Member
 	for i := range stormProxies {
 		fleet = append(fleet, member(fmt.Sprint("proxy-", i), "quay"))
@@ -33,8 +33,8 @@
 	for i := range stormTargets {
 		list = append(list, stormTarget(i))
 	}
-	s.tell(configurationOf(t, 1), 1, 0, list...)
-	s.run(2*time.Second, func() { s.tell(nil, 1, 0) })
+	s.push(encodedConfiguration(t, 1), 1, 0, list...)
+	s.run(2*time.Second, func() { s.push(nil, 1, 0) })
 	return s
 }
 
@@ -48,9 +48,9 @@
 // A seventh of all targets falls silent at once, and registries tell of them one
 // by one. Each push had all targets weighed against all proxies: 64 times, 31 ms
 // of a whole core each. What was pushed next was read seconds later.
-func TestAStormOfNewsIsWeighedOnce(t *testing.T) {
+func TestRefresh_PushStormIsBatched(t *testing.T) {
 	is := is.New(t)
-	s := stormFleet(t)
+	s := newStormFixture(t)
 	const gone = 64
 	refreshes := 0
 	var acknowledged []ids.StreamNumber
@@ -73,13 +73,13 @@
 			refreshes++
 		}
 	}
-	before, first := s.now, s.count+1
+	before, first := s.now, s.pushes+1
 	for i := range gone {
 		s.now = s.now.Add(time.Millisecond)
-		s.count++
+		s.pushes++
 		target := stormTarget(i)
 		target.Gone, target.Sequence = true, 2
-		step(event.Received{From: "r", Msg: distribution.Push{Number: s.count, Revision: 1, Targets: []targets.Target{target}, EchoedTime: s.now, ProxyRunID: s.Self.RunID}})
+		step(event.Received{From: "r", Msg: distribution.Push{Number: s.pushes, Revision: 1, Targets: []targets.Target{target}, EchoedTime: s.now, ProxyRunID: s.Self.RunID}})
 	}
 	for len(acknowledged) < gone && s.now.Sub(before) < 5*time.Second {
 		s.now = s.now.Add(50 * time.Millisecond)
@@ -87,7 +87,7 @@
 	}
 	t.Logf("%d pushes were weighed in %d refreshes, and acknowledged after %s", gone, refreshes, s.now.Sub(before))
 	is.True(refreshes <= 3)
-	is.True(s.now.Sub(before) <= longestPace+150*time.Millisecond)
+	is.True(s.now.Sub(before) <= maxRefreshInterval+150*time.Millisecond)
 	is.Equal(len(acknowledged), gone)
 	for i, n := range acknowledged {
 		is.Equal(n, first+ids.StreamNumber(i))
@@ -96,13 +96,13 @@
 }
 
 // In a small fleet a refresh costs next to nothing, and news never waits.
-func TestNewsOfASmallFleetIsNeverHeldBack(t *testing.T) {
+func TestRefresh_SmallFleetIsImmediate(t *testing.T) {
 	is := is.New(t)
-	s := start(DefaultLease)
-	s.tell(configurationOf(t, 1), 1, 0)
+	s := newControlFixture(DefaultLease)
+	s.push(encodedConfiguration(t, 1), 1, 0)
 	for i := range 10 {
 		s.now = s.now.Add(time.Millisecond)
-		s.tell(nil, 1, 0, stormTarget(i))
+		s.push(nil, 1, 0, stormTarget(i))
 		is.Equal(len(s.unacknowledged), 0)
 	}
 }
--- a/internal/dataplane/proxy/resets_test.go
+++ b/internal/dataplane/proxy/resets_test.go
@@ -9,24 +9,24 @@
 	"dunlinwell/internal/dataplane/dispatch"
 )
 
-func (d *Daemon) carryTo(f *faulty, id string) dispatch.AttemptFinished {
-	return d.put(&stand{Listener: f}, id, false)
+func (d *Daemon) forwardTo(f *faultyTarget, id string) dispatch.AttemptFinished {
+	return d.forwardPlain(&fakeTarget{Listener: f}, id, false)
 }
 
-func (d *Daemon) carryWithin(f *faulty, id string, within time.Duration) dispatch.AttemptFinished {
-	return d.sendWithin(&stand{Listener: f}, &ClientRequest{ID: id}, false, within)
+func (d *Daemon) forwardToWithin(f *faultyTarget, id string, within time.Duration) dispatch.AttemptFinished {
+	return d.forwardRequestWithin(&fakeTarget{Listener: f}, &ClientRequest{AttemptID: id}, false, within)
 }
 
 // Wherever an answer ends early, and however, the request has left once, nobody
 // says that it didn't, and the next one gets its own answer.
-func TestAnAnswerThatEndsAtEachByte(t *testing.T) {
-	whole := named(nil, "cut-000", "of cut-000")
-	for _, end := range []ending{resets, closes, halfCloses} {
-		f, d := newFaulty(t, end), plainCarrier(0)
+func TestForward_ResponseCutAtEveryByte(t *testing.T) {
+	whole := responseFor(nil, "cut-000", "of cut-000")
+	for _, end := range []connectionEnd{resetConnection, closeConnection, halfCloseConnection} {
+		f, d := newFaultyTarget(t, end), newPlainDaemon(0)
 		for cut := range len(whole) + 1 {
 			f.set(-1, cut)
 			id := fmt.Sprintf("cut-%03d", cut)
-			b := d.carryTo(f, id)
+			b := d.forwardTo(f, id)
 			want := dispatch.MayHaveRun
 			if cut == len(whole) {
 				want = dispatch.Complete
@@ -36,29 +36,29 @@
 			}
 			f.set(-1, -1)
 			next := fmt.Sprintf("nxt-%03d", cut)
-			if b := d.carryTo(f, next); b.Result != dispatch.Complete || string(b.Response.Body) != "of "+next {
+			if b := d.forwardTo(f, next); b.Result != dispatch.Complete || string(b.Response.Body) != "of "+next {
 				t.Fatalf("%s at byte %d, the next: %v (%s) %q", end, cut, b.Result, b.Why, b.Response.Body)
 			}
-			d.forgetConnections()
+			d.closeIdleConnections()
 		}
 	}
 }
 
-// forgetConnections closes what is idle, so that the next request meets a new one.
-func (d *Daemon) forgetConnections() {
-	for c := d.connections.take("t", false); c != nil; c = d.connections.take("t", false) {
+// closeIdleConnections closes what is idle, so that the next request meets a new one.
+func (d *Daemon) closeIdleConnections() {
+	for c := d.pool.takeAny("t", false); c != nil; c = d.pool.takeAny("t", false) {
 		c.Close()
 	}
 }
 
 // Wherever a request's connection ends, a byte of it may have been read: that
 // is unknown, it isn't sent again, and it is never said not to have left.
-func TestARequestThatEndsAtEachByte(t *testing.T) {
-	for _, end := range []ending{resets, closes, halfCloses} {
-		f, d := newFaulty(t, end), plainCarrier(0)
+func TestForward_RequestCutAtEveryByte(t *testing.T) {
+	for _, end := range []connectionEnd{resetConnection, closeConnection, halfCloseConnection} {
+		f, d := newFaultyTarget(t, end), newPlainDaemon(0)
 		for cut := range 60 {
 			f.set(cut, -1)
-			if b := d.carryTo(f, "a"); b.Result != dispatch.MayHaveRun && !(cut == 0 && b.Result == dispatch.NotSent) {
+			if b := d.forwardTo(f, "a"); b.Result != dispatch.MayHaveRun && !(cut == 0 && b.Result == dispatch.NotSent) {
 				t.Fatalf("%s at byte %d: %v (%s)", end, cut, b.Result, b.Why)
 			}
 		}
@@ -67,18 +67,18 @@
 
 // A connection that was idle when its target closed it carries nothing more; one
 // that ends as it is used has carried its request, which isn't sent elsewhere.
-func TestAConnectionThatEndsWhileIdleOrAsItIsUsed(t *testing.T) {
-	for _, end := range []ending{resets, closes, halfCloses} {
-		f, d := newFaulty(t, end), plainCarrier(0)
-		if b := d.carryTo(f, "first"); b.Result != dispatch.Complete {
+func TestForward_ConnectionEndsIdleOrInUse(t *testing.T) {
+	for _, end := range []connectionEnd{resetConnection, closeConnection, halfCloseConnection} {
+		f, d := newFaultyTarget(t, end), newPlainDaemon(0)
+		if b := d.forwardTo(f, "first"); b.Result != dispatch.Complete {
 			t.Fatal(b.Why)
 		}
 		f.endAll()
-		if b := d.carryTo(f, "second"); b.Result != dispatch.Complete || f.runs("second") != 1 {
+		if b := d.forwardTo(f, "second"); b.Result != dispatch.Complete || f.runs("second") != 1 {
 			t.Fatalf("%s while idle: %v %s, it ran %d times", end, b.Result, b.Why, f.runs("second"))
 		}
 		f.set(-1, 0)
-		if b := d.carryTo(f, "third"); b.Result != dispatch.MayHaveRun || f.runs("third") != 1 {
+		if b := d.forwardTo(f, "third"); b.Result != dispatch.MayHaveRun || f.runs("third") != 1 {
 			t.Fatalf("%s as it is used: %v %s, it ran %d times", end, b.Result, b.Why, f.runs("third"))
 		}
 	}
@@ -86,47 +86,47 @@
 
 // The next run of a target may be elsewhere while its earlier one still answers
 // on an idle connection: nothing more goes there.
-func TestAnIdleConnectionToAnEarlierRunIsNotUsed(t *testing.T) {
-	earlier, later, d := newFaulty(t, closes), newFaulty(t, closes), plainCarrier(0)
-	if b := d.carryTo(earlier, "first"); b.Result != dispatch.Complete {
+func TestForward_IgnoresConnectionToEarlierRun(t *testing.T) {
+	earlier, later, d := newFaultyTarget(t, closeConnection), newFaultyTarget(t, closeConnection), newPlainDaemon(0)
+	if b := d.forwardTo(earlier, "first"); b.Result != dispatch.Complete {
 		t.Fatal(b.Why)
 	}
-	if b := d.carryTo(later, "second"); b.Result != dispatch.Complete || earlier.runs("second") != 0 || later.runs("second") != 1 {
+	if b := d.forwardTo(later, "second"); b.Result != dispatch.Complete || earlier.runs("second") != 0 || later.runs("second") != 1 {
 		t.Fatalf("%v %s, it ran %d times at the earlier run, %d times at the later", b.Result, b.Why, earlier.runs("second"), later.runs("second"))
 	}
 }
 
 // Answers that are swapped, doubled, pipelined ahead of their question, or late
 // are never given to another request.
-func TestAnswersOutOfTheirOrder(t *testing.T) {
+func TestForward_ResponsesOutOfOrder(t *testing.T) {
 	previous := "none"
 	var mu sync.Mutex
 	for name, answer := range map[string]func(id string) string{
-		"doubled": func(id string) string { return named(nil, id, "of "+id) + named(nil, id, "of "+id) },
+		"doubled": func(id string) string { return responseFor(nil, id, "of "+id) + responseFor(nil, id, "of "+id) },
 		"late": func(id string) string {
 			mu.Lock()
 			defer mu.Unlock()
 			old := previous
 			previous = id
-			return named(nil, old, "of "+old)
+			return responseFor(nil, old, "of "+old)
 		},
-		"swapped": func(id string) string { return named(nil, "next", "of next") + named(nil, id, "of "+id) },
-		"ahead":   func(id string) string { return named(nil, id, "of "+id) + named(nil, "next", "of next") },
+		"swapped": func(id string) string { return responseFor(nil, "next", "of next") + responseFor(nil, id, "of "+id) },
+		"ahead":   func(id string) string { return responseFor(nil, id, "of "+id) + responseFor(nil, "next", "of next") },
 		"two names": func(id string) string {
 			return "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nId: other\r\nId: " + id + "\r\n\r\nof "
 		},
 		"two lengths": func(id string) string {
 			return "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 2\r\nId: " + id + "\r\n\r\nof "
 		},
-		"before question": func(id string) string { return "HTTP/1.1 100 Continue\r\n\r\n" + named(nil, id, "of "+id) },
+		"before question": func(id string) string { return "HTTP/1.1 100 Continue\r\n\r\n" + responseFor(nil, id, "of "+id) },
 	} {
-		f, d := newFaulty(t, closes), plainCarrier(0)
+		f, d := newFaultyTarget(t, closeConnection), newPlainDaemon(0)
 		f.mu.Lock()
-		f.answer = answer
+		f.respond = answer
 		f.mu.Unlock()
 		for _, id := range []string{"one", "next", "two", "three"} {
-			d.Options.MaxResponse = 1000
-			b := d.carryWithin(f, id, 100*time.Millisecond)
+			d.Options.MaxResponseBytes = 1000
+			b := d.forwardToWithin(f, id, 100*time.Millisecond)
 			if b.Result == dispatch.Complete && string(b.Response.Body) != "of "+id {
 				t.Errorf("%s: %q was given %q", name, id, b.Response.Body)
 			}
--- a/internal/dataplane/proxy/router_test.go
+++ b/internal/dataplane/proxy/router_test.go
@@ -9,7 +9,7 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-func TestRoutesByHostAndLongestPrefix(t *testing.T) {
+func TestRouter_HostAndLongestPrefix(t *testing.T) {
 	is := is.New(t)
 	routes := map[ids.Name]configuration.Route{}
 	for name, at := range map[ids.Name][2]string{
--- a/internal/dataplane/proxy/run.go
+++ b/internal/dataplane/proxy/run.go
@@ -16,7 +16,7 @@
 
 // Run runs the proxy until the context ends.
 func (d *Daemon) Run(ctx context.Context) error {
-	wire, err := d.post.Listen()
+	wire, err := d.transport.Listen()
 	if err != nil {
 		return err
 	}
@@ -26,8 +26,8 @@
 	}
 	s := daemon.NewSupervisor("proxy", d.log)
 	s.Add(d.owner)
-	s.Add(daemon.NewTask("post", func(c context.Context) error { return d.post.Serve(c, wire) }))
-	s.Add(daemon.NewTask("desks", d.tend))
+	s.Add(daemon.NewTask("post", func(c context.Context) error { return d.transport.Serve(c, wire) }))
+	s.Add(daemon.NewTask("desks", d.runTimers))
 	// The pages outlive the supervisor's context by the grace, so that held
 	// requests end while the owner still turns.
 	life, end := context.WithCancel(context.Background())
@@ -39,7 +39,7 @@
 		d.owner.Put(Stopping{})
 		d.log.Event(event.LevelInfo, "stopping")
 	}()
-	err = d.serve(ctx, pages)
+	err = d.serveListeners(ctx, pages)
 	end()
 	select {
 	case <-done:
@@ -52,13 +52,13 @@
 	return err
 }
 
-// carriedEvery is how often a proxy logs where requests went.
-const carriedEvery = 20 * time.Second
+// trafficLogInterval is how often a proxy logs where requests went.
+const trafficLogInterval = 20 * time.Second
 
-// tend gives the dispatchers their clock and the meter its intervals.
-func (d *Daemon) tend(ctx context.Context) error {
-	beat, report := time.NewTicker(50*time.Millisecond), time.NewTicker(d.Options.ReportEvery)
-	carried := time.NewTicker(carriedEvery)
+// runTimers gives the dispatchers their clock and the meter its intervals.
+func (d *Daemon) runTimers(ctx context.Context) error {
+	beat, report := time.NewTicker(50*time.Millisecond), time.NewTicker(d.Options.ReportInterval)
+	carried := time.NewTicker(trafficLogInterval)
 	defer carried.Stop()
 	defer beat.Stop()
 	defer report.Stop()
@@ -67,25 +67,25 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-beat.C:
-			for _, n := range d.services() {
-				d.hand(n, event.Tick{})
+			for _, n := range d.serviceNames() {
+				d.stepDispatcher(n, event.Tick{})
 			}
 		case <-carried.C:
-			d.sayCarried()
+			d.logTraffic()
 		case <-report.C:
-			d.connections.sweep()
-			d.connections.recover()
-			d.owner.Put(d.meter.read())
-			d.sayReasons()
+			d.pool.closeExpired()
+			d.pool.relaxRecentIdle()
+			d.owner.Put(d.meter.takeSample())
+			d.logFailures()
 		}
 	}
 }
 
-// sayCarried logs where requests went: to the proxy's own zone, its region, or
+// logTraffic logs where requests went: to the proxy's own zone, its region, or
 // farther.
-func (d *Daemon) sayCarried() {
-	for _, n := range d.services() {
-		p := d.at(n)
+func (d *Daemon) logTraffic() {
+	for _, n := range d.serviceNames() {
+		p := d.dispatcherOf(n)
 		p.mu.Lock()
 		t := p.dispatcher.Tally
 		p.mu.Unlock()
@@ -94,10 +94,10 @@
 	}
 }
 
-// sayReasons logs why requests got no answer of late, a line a reason.
-func (d *Daemon) sayReasons() {
-	for _, n := range d.services() {
-		p := d.at(n)
+// logFailures logs why requests got no answer of late, a line a reason.
+func (d *Daemon) logFailures() {
+	for _, n := range d.serviceNames() {
+		p := d.dispatcherOf(n)
 		p.mu.Lock()
 		why := p.dispatcher.Reasons()
 		p.mu.Unlock()
@@ -107,7 +107,7 @@
 	}
 }
 
-func (d *Daemon) services() []ids.Name {
+func (d *Daemon) serviceNames() []ids.Name {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	var out []ids.Name
@@ -117,36 +117,36 @@
 	return out
 }
 
-// pages are the proxy's own pages; all other paths are clients'.
-func (d *Daemon) pages(clients bool) http.Handler {
+// handler are the proxy's own pages; all other paths are clients'.
+func (d *Daemon) handler(clients bool) http.Handler {
 	m := http.NewServeMux()
 	daemon.HandleHealth(m, func() (bool, any) {
-		f := d.footing.Load()
-		return f.Ready && !d.stopping.Load(), map[string]any{"ready": f.Ready, "cut_off": f.CutOff, "emptied": f.Emptied, "stopping": d.stopping.Load()}
+		f := d.servingState.Load()
+		return f.Ready && !d.stopping.Load(), map[string]any{"ready": f.Ready, "cut_off": f.CutOff, "emptied": f.ZoneDrained, "stopping": d.stopping.Load()}
 	})
-	daemon.HandleMetrics(m, d.figures)
+	daemon.HandleMetrics(m, d.metrics)
 	m.Handle("/v1/", api.NewForwarder(func() []ids.Address {
-		return daemon.RegistryAddresses(d.footing.Load().Members, d.self.Zone)
+		return daemon.RegistryAddresses(d.servingState.Load().Members, d.self.Zone)
 	}))
 	if clients {
-		m.Handle("/", d.edge.Clients(d))
+		m.Handle("/", d.frontend.ClientHandler(d))
 	}
 	return m
 }
 
-// figures are the proxy's numbers for the page of metrics.
-func (d *Daemon) figures() []daemon.Metric {
-	f := d.footing.Load()
+// metrics are the proxy's numbers for the page of metrics.
+func (d *Daemon) metrics() []daemon.Metric {
+	f := d.servingState.Load()
 	flag := map[bool]float64{true: 1}
 	out := []daemon.Metric{
 		{Name: "ready", Value: flag[f.Ready]},
 		{Name: "cut_off", Value: flag[f.CutOff]},
-		{Name: "emptied", Value: flag[f.Emptied]},
-		{Name: "held_bytes", Value: float64(d.hold.used.Load())},
+		{Name: "emptied", Value: flag[f.ZoneDrained]},
+		{Name: "held_bytes", Value: float64(d.memory.reserved.Load())},
 	}
-	out = append(out, daemon.TrafficMetrics(d.post.Stats)...)
-	for _, n := range d.services() {
-		p := d.at(n)
+	out = append(out, daemon.TrafficMetrics(d.transport.Stats)...)
+	for _, n := range d.serviceNames() {
+		p := d.dispatcherOf(n)
 		p.mu.Lock()
 		t, busy := p.dispatcher.Tally, p.dispatcher.Busy()
 		p.mu.Unlock()
--- a/internal/dataplane/proxy/stranger_test.go
+++ b/internal/dataplane/proxy/stranger_test.go
@@ -17,11 +17,11 @@
 
 const (
 	stranger = ids.Address("10.9.9.9:1")
-	runOfC1  = ids.RunID(7)
+	ownRunID = ids.RunID(7)
 )
 
 func newControl() *Control {
-	self := membership.Member{ID: "c1", Role: membership.Proxy, Address: "10.0.0.1:1", RunID: runOfC1, Zone: "a"}
+	self := membership.Member{ID: "c1", Role: membership.Proxy, Address: "10.0.0.1:1", RunID: ownRunID, Zone: "a"}
 	c := New(membership.Options{Self: self, Seeds: []ids.Address{"10.0.0.2:1"}}, ControlOptions{})
 	c.Step(1, event.Tick{})
 	return c
@@ -29,23 +29,23 @@
 
 // An echo of a time still to come can't be ours, whatever run it names: it would
 // lengthen the lease beyond what anybody agreed on.
-func TestAnEchoOfATimeToComeIsNoLease(t *testing.T) {
+func TestLease_IgnoresEchoFromFutureOrEarlierRun(t *testing.T) {
 	is := is.New(t)
 	now := ids.Time(10 * time.Second)
 	for _, msg := range []any{
-		distribution.Push{Number: 1, RunID: 1, EchoedTime: now.Add(time.Hour), ProxyRunID: runOfC1},
-		LeaseGossip{ProxyRunID: runOfC1, EchoedTime: now.Add(time.Hour)},
+		distribution.Push{Number: 1, RunID: 1, EchoedTime: now.Add(time.Hour), ProxyRunID: ownRunID},
+		LeaseGossip{ProxyRunID: ownRunID, EchoedTime: now.Add(time.Hour)},
 	} {
 		c := newControl()
 		c.Step(now, event.Received{From: stranger, Msg: msg})
-		is.True(c.sure() <= now)
-		is.Equal(c.word, ids.Time(0))
-		is.Equal(c.agreed, ids.Time(0))
+		is.True(c.confirmedAt() <= now)
+		is.Equal(c.targetsConfirmedAt, ids.Time(0))
+		is.Equal(c.configurationConfirmedAt, ids.Time(0))
 	}
 	// One of an earlier run's time is no better.
 	c := newControl()
-	c.Step(now, event.Received{From: stranger, Msg: distribution.Push{Number: 1, RunID: 1, EchoedTime: now, ProxyRunID: runOfC1 - 1}})
-	is.Equal(c.word, ids.Time(0))
+	c.Step(now, event.Received{From: stranger, Msg: distribution.Push{Number: 1, RunID: 1, EchoedTime: now, ProxyRunID: ownRunID - 1}})
+	is.Equal(c.targetsConfirmedAt, ids.Time(0))
 }
 
 // FuzzMessages gives a proxy any message: it doesn't panic, and no message makes
@@ -53,12 +53,12 @@
 func FuzzMessages(f *testing.F) {
 	for _, msg := range []any{
 		distribution.Push{
-			Number: 1, RunID: 1, Revision: 1, Configuration: []byte(`{"revision":1}`), EchoedTime: 1, ProxyRunID: runOfC1,
+			Number: 1, RunID: 1, Revision: 1, Configuration: []byte(`{"revision":1}`), EchoedTime: 1, ProxyRunID: ownRunID,
 			Targets: []targets.Target{{Instance: "i", Service: "s", Address: "10.0.0.9:80", Zone: "a", Incarnation: 1, Sequence: 1, Warmth: 1}},
 		},
 		LeaseRequest{Proxy: "c2", RunID: 1},
-		LeaseGossip{ProxyRunID: runOfC1, EchoedTime: 1, Revision: 1, Configuration: []byte(`{"revision":1}`)},
-		consensus.Response{ID: uint64(runOfC1)<<24 + 1, Attempt: 1, Outcome: consensus.Succeeded},
+		LeaseGossip{ProxyRunID: ownRunID, EchoedTime: 1, Revision: 1, Configuration: []byte(`{"revision":1}`)},
+		consensus.Response{ID: uint64(ownRunID)<<24 + 1, Attempt: 1, Outcome: consensus.Succeeded},
 		consensus.ConfigurationQuery{},
 		membership.Heartbeat{Self: membership.Member{ID: "x", Role: membership.Registry, Address: stranger, RunID: 1}},
 		membership.Snapshot{Members: []membership.Member{{ID: "c1", Gone: true, Incarnation: 9}}},
@@ -82,7 +82,7 @@
 		for range 6 {
 			now = now.Add(300 * time.Millisecond)
 			c.Step(now, event.Tick{})
-			if c.agreed > now || c.word > now {
+			if c.configurationConfirmedAt > now || c.targetsConfirmedAt > now {
 				t.Fatalf("%#v made it sure of a time to come", msg)
 			}
 		}
--- a/internal/dataplane/proxy/targetprotocol.go
+++ b/internal/dataplane/proxy/targetprotocol.go
@@ -16,65 +16,65 @@
 // TargetProtocol is how requests are put to targets, and their answers judged. Ours is
 // the first one; a platform whose targets speak otherwise brings its own.
 type TargetProtocol interface {
-	// Greets tells whether a new connection first asks its target who it is.
-	Greets() bool
-	// Outgoing gives the headers that go to the target, with what is left of
+	// VerifiesIdentity tells whether a new connection first asks its target who it is.
+	VerifiesIdentity() bool
+	// RequestHeader gives the headers that go to the target, with what is left of
 	// the request's time.
-	Outgoing(c *ClientRequest, f dispatch.Forward, left time.Duration) http.Header
-	// Judge says what an answer, read whole, amounts to. An error means that no
+	RequestHeader(c *ClientRequest, f dispatch.Forward, left time.Duration) http.Header
+	// CheckResponse says what an answer, read whole, amounts to. An error means that no
 	// byte of it may go on, and that nobody knows whether the request has run.
-	Judge(res *http.Response, body []byte, c *ClientRequest, f dispatch.Forward) (Verdict, error)
+	CheckResponse(res *http.Response, body []byte, c *ClientRequest, f dispatch.Forward) (CheckedResponse, error)
 }
 
-// Verdict is what an answer amounts to.
-type Verdict struct {
-	How      dispatch.AttemptResult
+// CheckedResponse is what an answer amounts to.
+type CheckedResponse struct {
+	Result   dispatch.AttemptResult
 	Response idempotency.Response
-	Why      string
+	Reason   string
 	// Other: the answer belongs to another request; this one's may follow.
-	Other bool
+	ForOtherRequest bool
 	// Again: the connection may be used again; Idle is how long it may be idle, 0
 	// where the target didn't say.
-	Again bool
-	Idle  time.Duration
+	KeepAlive   bool
+	IdleTimeout time.Duration
 	// Told: the target said how full it is.
-	Told                    bool
+	LoadReported            bool
 	Running, Waiting, Slots int64
 }
 
-// house is our own dialect to targets.
-type house struct{ d *Daemon }
+// nativeTargetProtocol is our own dialect to targets.
+type nativeTargetProtocol struct{ d *Daemon }
 
-func (house) Greets() bool { return true }
+func (nativeTargetProtocol) VerifiesIdentity() bool { return true }
 
-func (h house) Outgoing(c *ClientRequest, f dispatch.Forward, left time.Duration) http.Header {
-	out := Strip(c.Header)
-	out.Set("Request-Id", h.d.requestID(f.ID))
+func (p nativeTargetProtocol) RequestHeader(c *ClientRequest, f dispatch.Forward, left time.Duration) http.Header {
+	out := StripHopByHopHeaders(c.Header)
+	out.Set("Request-Id", p.d.requestID(f.ID))
 	out.Set("Time-Left", strconv.FormatInt(max(left.Milliseconds(), 0), 10))
 	out.Set("Attempt", strconv.FormatUint(uint64(c.Job.Attempt), 10))
-	out.Add("X-Forwarded-For", c.Remote)
+	out.Add("X-Forwarded-For", c.ClientIP)
 	return out
 }
 
-// Judge checks an answer's seal: the digest of its body, the request's id and
+// CheckResponse checks an answer's seal: the digest of its body, the request's id and
 // the client's mark.
-func (h house) Judge(res *http.Response, body []byte, c *ClientRequest, f dispatch.Forward) (Verdict, error) {
+func (p nativeTargetProtocol) CheckResponse(res *http.Response, body []byte, c *ClientRequest, f dispatch.Forward) (CheckedResponse, error) {
 	sum := sha256.Sum256(body)
 	digest := "sha-256=:" + base64.StdEncoding.EncodeToString(sum[:]) + ":"
 	switch {
 	// The answer to HEAD has no body that a digest could be of.
 	case c.Method != http.MethodHead && !hasDigest(res.Header.Get("Content-Digest"), digest):
-		return Verdict{}, errs.New("check response", "", "answer's seal is missing or broken")
+		return CheckedResponse{}, errs.New("check response", "", "answer's seal is missing or broken")
 	case len(res.Header.Values("Request-Id")) > 1:
-		return Verdict{}, errs.New("check response", "", "answer names several requests")
-	case res.Header.Get("Request-Id") != h.d.requestID(f.ID):
-		return Verdict{}, errs.New("check response", "", "answer is for request %q", res.Header.Get("Request-Id"))
+		return CheckedResponse{}, errs.New("check response", "", "answer names several requests")
+	case res.Header.Get("Request-Id") != p.d.requestID(f.ID):
+		return CheckedResponse{}, errs.New("check response", "", "answer is for request %q", res.Header.Get("Request-Id"))
 	case !c.Job.Repeatable && res.Header.Get("Idempotency-Key") != string(c.Job.IdempotencyKey):
-		return Verdict{}, errs.New("check response", "", "answer is for mark %q", res.Header.Get("Idempotency-Key"))
+		return CheckedResponse{}, errs.New("check response", "", "answer is for mark %q", res.Header.Get("Idempotency-Key"))
 	}
-	a := Sealed(res, body)
+	a := NewResponse(res, body)
 	a.Digest = digest
-	return Verdict{How: dispatch.Complete, Response: a, Again: true}, nil
+	return CheckedResponse{Result: dispatch.Complete, Response: a, KeepAlive: true}, nil
 }
 
 // hasDigest finds the sha-256 entry among the digests of RFC 9530.
--- a/internal/testsupport/compat/messages_test.go
+++ b/internal/testsupport/compat/messages_test.go
@@ -188,8 +188,8 @@
 	},
 	proxy.LeaseGossip{
 		ProxyRunID: 4294967297, EchoedTime: 4294967298, Revision: 4294967299, Configuration: []uint8{4, 5},
-		Targets: []targets.Target{{Instance: "text-6", Incarnation: 4294967303, Sequence: 4294967304, Service: "text-9", Address: "text-10", Zone: "text-11", Leaving: false, Gone: true, Warmth: 14.5, Occupancy: 4294967311, Capacity: 4294967312, IntervalMillis: 65553, AgeMillis: 4294967314, SlowStartMillis: 4294967315, Registrar: "text-20", RegistrarRunID: 4294967317, ProxySequence: 4294967318}, {Instance: "text-23", Incarnation: 4294967320, Sequence: 4294967321, Service: "text-26", Address: "text-27", Zone: "text-28", Leaving: true, Gone: false, Warmth: 31.5, Occupancy: 4294967328, Capacity: 4294967329, IntervalMillis: 65570, AgeMillis: 4294967331, SlowStartMillis: 4294967332, Registrar: "text-37", RegistrarRunID: 4294967334, ProxySequence: 4294967335}},
-		Agreed:  65576, Word: 65577,
+		Targets:          []targets.Target{{Instance: "text-6", Incarnation: 4294967303, Sequence: 4294967304, Service: "text-9", Address: "text-10", Zone: "text-11", Leaving: false, Gone: true, Warmth: 14.5, Occupancy: 4294967311, Capacity: 4294967312, IntervalMillis: 65553, AgeMillis: 4294967314, SlowStartMillis: 4294967315, Registrar: "text-20", RegistrarRunID: 4294967317, ProxySequence: 4294967318}, {Instance: "text-23", Incarnation: 4294967320, Sequence: 4294967321, Service: "text-26", Address: "text-27", Zone: "text-28", Leaving: true, Gone: false, Warmth: 31.5, Occupancy: 4294967328, Capacity: 4294967329, IntervalMillis: 65570, AgeMillis: 4294967331, SlowStartMillis: 4294967332, Registrar: "text-37", RegistrarRunID: 4294967334, ProxySequence: 4294967335}},
+		ConfigurationAge: 65576, TargetsAge: 65577,
 	},
 	spill.Table{
 		Epoch: 4294967297, Number: 4294967298,
--- a/internal/testsupport/scaletest/proxygroup.go
+++ b/internal/testsupport/scaletest/proxygroup.go
@@ -88,7 +88,7 @@
 		}
 		o := proxy.ControlOptions{}
 		if p.Thrifty {
-			o = proxy.ControlOptions{Lease: proxy.Endless, Layout: proxy.Layout{ByZone: true}}
+			o = proxy.ControlOptions{Lease: proxy.EndlessLease, SlotLayout: proxy.SlotLayout{ByZone: true}}
 		}
 		s := &shell{control: proxy.New(membership.Options{Self: self, Seeds: seeds, Incremental: p.Thrifty}, o), stock: map[ids.Name]dispatch.ServiceState{}}
 		s.post = &process.Transport{
@@ -110,16 +110,16 @@
 		if stock, ok := c.Event.(dispatch.ServiceState); ok {
 			s.stock[c.Service] = stock
 		}
-	case proxy.Routes:
+	case proxy.UpdateRoutes:
 		s.mu.Lock()
 		s.revision, s.adopted = c.View.Revision, time.Now()
 		s.mu.Unlock()
 	case proxy.ServingState:
 		s.mu.Lock()
-		if s.ready != c.Ready || s.inStep != c.InStep {
+		if s.ready != c.Ready || s.inStep != c.LeaseValid {
 			s.stood = time.Now()
 		}
-		s.ready, s.inStep = c.Ready, c.InStep
+		s.ready, s.inStep = c.Ready, c.LeaseValid
 		s.mu.Unlock()
 	}
 }
@@ -166,7 +166,7 @@
 			return ctx.Err()
 		case <-t.C:
 		}
-		m := proxy.UsageSample{Interval: reportEvery, Latency: 3 * time.Millisecond, Count: 100}
+		m := proxy.UsageSample{Interval: reportEvery, LatencyP95: 3 * time.Millisecond, Requests: 100}
 		for i := range c.Rows {
 			m.Rows = append(m.Rows, spill.Spent{Route: ids.Name(fmt.Sprintf("route-%d", i+1)), Service: "service-1", CPU: rand.Float64() * 10})
 		}
--- a/internal/testsupport/simulator/books.go
+++ b/internal/testsupport/simulator/books.go
@@ -31,7 +31,7 @@
 		})
 	}
 	look(readyWithin, func(d *dispatchers) bool { return d.ready.Ready })
-	look(servesWithin, func(d *dispatchers) bool { return d.ready.InStep })
+	look(servesWithin, func(d *dispatchers) bool { return d.ready.LeaseValid })
 }
 
 // read is an agreement read: it may not be older than anything known before.
--- a/internal/testsupport/simulator/crowd.go
+++ b/internal/testsupport/simulator/crowd.go
@@ -198,10 +198,10 @@
 // closes ends a held connection as the real front does, after an answer: where its
 // zone is emptied, so that no new work comes down it.
 func (w *World) closes(p *proc, a *asking, g checker.Got) {
-	if !g.Held || !p.dispatchers.ready.Emptied && !w.Defect.CloseHeld {
+	if !g.Held || !p.dispatchers.ready.ZoneDrained && !w.Defect.CloseHeld {
 		return
 	}
 	delete(w.crowd.held, a.seat)
 	// One that is out of step serves nobody anyway, and may not know of a refilling.
-	w.Truth.Close(checker.Closed{At: w.clock(), Proxy: p.name, Zone: p.zone, Why: "after an answer", Excused: !p.dispatchers.ready.InStep})
+	w.Truth.Close(checker.Closed{At: w.clock(), Proxy: p.name, Zone: p.zone, Why: "after an answer", Excused: !p.dispatchers.ready.LeaseValid})
 }
--- a/internal/testsupport/simulator/delivery.go
+++ b/internal/testsupport/simulator/delivery.go
@@ -46,7 +46,7 @@
 			end(0, back)
 			return
 		}
-		if !proxy.MayLeave(p.now(), f.SendBefore, d.last) {
+		if !proxy.MaySend(p.now(), f.SendBefore, d.last) {
 			end(0, back)
 			return
 		}
--- a/internal/testsupport/simulator/dispatchers.go
+++ b/internal/testsupport/simulator/dispatchers.go
@@ -61,13 +61,13 @@
 	if now := d.p.now(); now.Sub(d.meter) >= meterEvery {
 		span := now.Sub(d.meter)
 		d.meter = now
-		m := proxy.UsageSample{Interval: span, Latency: 2 * time.Millisecond, Count: d.count}
+		m := proxy.UsageSample{Interval: span, LatencyP95: 2 * time.Millisecond, Requests: d.count}
 		if p := d.p; p.w.Latency != nil {
 			used := 0.0
 			for _, r := range sortedPairs(d.spent) {
 				used += d.spent[r] / span.Seconds()
 			}
-			m.Latency = p.w.Latency(used)
+			m.LatencyP95 = p.w.Latency(used)
 		}
 		for _, r := range sortedPairs(d.spent) {
 			m.Rows = append(m.Rows, spill.Spent{Route: r[0], Service: r[1], CPU: d.spent[r] / span.Seconds()})
@@ -88,7 +88,7 @@
 	switch c := c.(type) {
 	case proxy.DispatchEvent:
 		d.hand(c.Service, c.Event)
-	case proxy.Routes:
+	case proxy.UpdateRoutes:
 		d.view = c.View
 		d.p.w.held(d, c.View)
 	case proxy.ServingState:
@@ -130,7 +130,7 @@
 	if d.view != nil {
 		r, ok = d.view.Routes[route]
 	}
-	if !ok && !d.ready.InStep {
+	if !ok && !d.ready.LeaseValid {
 		done(unknownYet(try, says, mark))
 		return
 	}
@@ -144,7 +144,7 @@
 	}
 	d.next++
 	j := dispatch.Job{
-		ID: d.next, Route: route, Service: r.Service, Tier: r.Tier * 10, Repeatable: r.Repeatable, IdempotencyKey: mark, Terms: proxy.Terms(r),
+		ID: d.next, Route: route, Service: r.Service, Tier: r.Tier * 10, Repeatable: r.Repeatable, IdempotencyKey: mark, Terms: proxy.RouteTerms(r),
 		Attempt: uint32(attempt), Fingerprint: []byte(token), Deadline: d.p.now().Add(min(left, r.Timeout())),
 	}
 	d.jobs[j.ID] = &errand{Job: j, token: token, try: try, done: done}
--- a/internal/testsupport/simulator/trace.go
+++ b/internal/testsupport/simulator/trace.go
@@ -56,7 +56,7 @@
 	"may-stop":       reflect.TypeFor[store.MayStop](),
 	"retire":         reflect.TypeFor[store.Retire](),
 	"dispatch":       reflect.TypeFor[proxy.DispatchEvent](),
-	"routes":         reflect.TypeFor[proxy.Routes](),
+	"routes":         reflect.TypeFor[proxy.UpdateRoutes](),
 	"readiness":      reflect.TypeFor[proxy.ServingState](),
 	"targets":        reflect.TypeFor[dispatch.ServiceState](),
 	"store-response": reflect.TypeFor[dispatch.IdempotencyReply](),
--- a/internal/testsupport/simulator/trace_test.go
+++ b/internal/testsupport/simulator/trace_test.go
@@ -121,8 +121,8 @@
 		registry.ChangeCall{ID: 3},
 		registry.MergeCall{ID: 4},
 		store.Leave{Within: -time.Second},
-		proxy.UsageSample{Rows: []spill.Spent{}, Count: 9},
-		proxy.UsageSample{Latency: 5},
+		proxy.UsageSample{Rows: []spill.Spent{}, Requests: 9},
+		proxy.UsageSample{LatencyP95: 5},
 		event.Received{From: "x", Msg: spill.Report{Number: 7}},
 	} {
 		now, got, err := readEvent(writeEvent(12, ev))
