--- a/internal/controlplane/directory/directory.go
+++ b/internal/controlplane/directory/directory.go
@@ -16,7 +16,7 @@
 type Snapshot struct {
 	// Proxies are those alive, ready and in step.
 	Proxies []membership.Member
-	Emptied map[ids.Name]bool
+	Drained map[ids.Name]bool
 	Moves   []spill.Move
 	// Demand is what a zone's fresh connections used when it was last well.
 	Demand   func(zone ids.Name) float64
@@ -32,14 +32,14 @@
 	Moved bool
 }
 
-// most is how many addresses one answer holds, all of the same zone.
-const most = 3
+// maxProxies is how many addresses one answer holds, all of the same zone.
+const maxProxies = 3
 
-// Point draws the way for one fresh ask. Only fresh asks are drawn: a live
+// Resolve draws the way for one fresh ask. Only fresh asks are drawn: a live
 // connection never hears of it.
-func (s Snapshot) Point(zone, route ids.Name, random *rand.Rand) (Destination, bool) {
-	open := s.open()
-	if _, ok := open[zone]; ok {
+func (s Snapshot) Resolve(zone, route ids.Name, random *rand.Rand) (Destination, bool) {
+	openZones := s.proxiesByZone()
+	if _, ok := openZones[zone]; ok {
 		draw := random.Float64()
 		for _, m := range s.Moves {
 			if m.From != zone || m.Route != route {
@@ -48,81 +48,81 @@
 			if draw -= m.Fraction; draw < 0 {
 				// A destination that is gone or emptied is left out at once,
 				// without waiting for the next plan.
-				if _, ok := open[m.To]; ok {
-					return s.way(open, m.To, true, random), true
+				if _, ok := openZones[m.To]; ok {
+					return s.destination(openZones, m.To, true, random), true
 				}
 				break
 			}
 		}
-		return s.way(open, zone, false, random), true
+		return s.destination(openZones, zone, false, random), true
 	}
-	to, ok := s.failover(open, zone, random)
+	to, ok := s.pickFailover(openZones, zone, random)
 	if !ok {
 		return Destination{}, false
 	}
-	return s.way(open, to, false, random), true
+	return s.destination(openZones, to, false, random), true
 }
 
-// open gives the proxies of every zone that takes new work.
-func (s Snapshot) open() map[ids.Name][]membership.Member {
-	out := map[ids.Name][]membership.Member{}
-	for _, c := range s.Proxies {
-		if !s.Emptied[c.Zone] {
-			out[c.Zone] = append(out[c.Zone], c)
+// proxiesByZone gives the proxies of every zone that takes new work.
+func (s Snapshot) proxiesByZone() map[ids.Name][]membership.Member {
+	byZone := map[ids.Name][]membership.Member{}
+	for _, proxy := range s.Proxies {
+		if !s.Drained[proxy.Zone] {
+			byZone[proxy.Zone] = append(byZone[proxy.Zone], proxy)
 		}
 	}
-	return out
+	return byZone
 }
 
-// failover shares a lost or emptied zone's asks by room, nearest first: each
+// pickFailover shares a lost or emptied zone's asks by room, nearest first: each
 // neighbour is drawn in proportion to what it would be filled with.
-func (s Snapshot) failover(open map[ids.Name][]membership.Member, from ids.Name, random *rand.Rand) (ids.Name, bool) {
-	var near []ids.Name
-	for n := range open {
-		near = append(near, n)
+func (s Snapshot) pickFailover(openZones map[ids.Name][]membership.Member, from ids.Name, random *rand.Rand) (ids.Name, bool) {
+	var candidates []ids.Name
+	for n := range openZones {
+		candidates = append(candidates, n)
 	}
-	if len(near) == 0 {
+	if len(candidates) == 0 {
 		return "", false
 	}
-	slices.SortFunc(near, func(a, b ids.Name) int {
+	slices.SortFunc(candidates, func(a, b ids.Name) int {
 		return cmp.Or(cmp.Compare(s.Distance(from, a), s.Distance(from, b)), cmp.Compare(a, b))
 	})
 	// One whose own connections are still sent away has no room for others'.
-	if home := slices.DeleteFunc(slices.Clone(near), s.spills); len(home) > 0 {
-		near = home
+	if receiving := slices.DeleteFunc(slices.Clone(candidates), s.hasOutgoingMoves); len(receiving) > 0 {
+		candidates = receiving
 	}
-	left := s.Demand(from)
-	share := make([]float64, len(near))
-	sum := 0.0
-	for i, n := range near {
-		share[i] = min(left, max(s.Room(n), 0))
-		left -= share[i]
-		sum += share[i]
+	demand := s.Demand(from)
+	weights := make([]float64, len(candidates))
+	totalWeight := 0.0
+	for i, n := range candidates {
+		weights[i] = min(demand, max(s.Room(n), 0))
+		demand -= weights[i]
+		totalWeight += weights[i]
 	}
 	// Nothing known of demand or room: the nearest it is.
-	if sum <= 0 {
-		return near[0], true
+	if totalWeight <= 0 {
+		return candidates[0], true
 	}
-	draw := random.Float64() * sum
-	for i, n := range near {
-		if draw -= share[i]; draw < 0 {
+	draw := random.Float64() * totalWeight
+	for i, n := range candidates {
+		if draw -= weights[i]; draw < 0 {
 			return n, true
 		}
 	}
-	return near[0], true
+	return candidates[0], true
 }
 
-// spills tells whether a zone's own connections are sent away.
-func (s Snapshot) spills(zone ids.Name) bool {
+// hasOutgoingMoves tells whether a zone's own connections are sent away.
+func (s Snapshot) hasOutgoingMoves(zone ids.Name) bool {
 	return slices.ContainsFunc(s.Moves, func(m spill.Move) bool { return m.From == zone })
 }
 
-func (s Snapshot) way(open map[ids.Name][]membership.Member, zone ids.Name, moved bool, random *rand.Rand) Destination {
-	w := Destination{Zone: zone, Moved: moved}
-	list := slices.Clone(open[zone])
-	random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-	for _, c := range list[:min(most, len(list))] {
-		w.Proxies = append(w.Proxies, c.ClientAddress())
+func (s Snapshot) destination(openZones map[ids.Name][]membership.Member, zone ids.Name, moved bool, random *rand.Rand) Destination {
+	destination := Destination{Zone: zone, Moved: moved}
+	proxies := slices.Clone(openZones[zone])
+	random.Shuffle(len(proxies), func(i, j int) { proxies[i], proxies[j] = proxies[j], proxies[i] })
+	for _, proxy := range proxies[:min(maxProxies, len(proxies))] {
+		destination.Proxies = append(destination.Proxies, proxy.ClientAddress())
 	}
-	return w
+	return destination
 }
--- a/internal/controlplane/directory/directory_test.go
+++ b/internal/controlplane/directory/directory_test.go
@@ -12,10 +12,10 @@
 	"dunlinwell/internal/controlplane/spill"
 )
 
-func sight() Snapshot {
-	place := map[ids.Name]float64{"a": 0, "b": 1, "c": 2}
+func newSnapshot() Snapshot {
+	position := map[ids.Name]float64{"a": 0, "b": 1, "c": 2}
 	s := Snapshot{
-		Emptied: map[ids.Name]bool{}, Distance: func(x, y ids.Name) float64 { return math.Abs(place[x] - place[y]) },
+		Drained: map[ids.Name]bool{}, Distance: func(x, y ids.Name) float64 { return math.Abs(position[x] - position[y]) },
 		Demand: func(ids.Name) float64 { return 100 }, Room: func(ids.Name) float64 { return 60 },
 	}
 	for _, c := range []ids.Name{"a", "b", "c"} {
@@ -26,43 +26,43 @@
 	return s
 }
 
-// drawn counts the zones that many asks are sent to.
-func drawn(s Snapshot, zone, route ids.Name) map[ids.Name]float64 {
+// sampleZones counts the zones that many asks are sent to.
+func sampleZones(s Snapshot, zone, route ids.Name) map[ids.Name]float64 {
 	random := rand.New(rand.NewPCG(1, 2))
 	out := map[ids.Name]float64{}
 	for range 10000 {
-		if w, ok := s.Point(zone, route, random); ok {
+		if w, ok := s.Resolve(zone, route, random); ok {
 			out[w.Zone] += 0.0001
 		}
 	}
 	return out
 }
 
-func near(x, y float64) bool { return math.Abs(x-y) < 0.02 }
+func approximately(x, y float64) bool { return math.Abs(x-y) < 0.02 }
 
-func TestFreshAsksAreDrawnByFraction(t *testing.T) {
+func TestSnapshot_ResolvesByMoveFraction(t *testing.T) {
 	is := is.New(t)
-	s := sight()
+	s := newSnapshot()
 	s.Moves = []spill.Move{{From: "a", To: "b", Route: "r", Fraction: 0.2}, {From: "a", To: "c", Route: "r", Fraction: 0.1}}
-	got := drawn(s, "a", "r")
-	is.True(near(got["a"], 0.7) && near(got["b"], 0.2) && near(got["c"], 0.1))
-	is.True(near(drawn(s, "a", "other")["a"], 1)) // another route stays
-	is.True(near(drawn(s, "b", "r")["b"], 1))     // and so does another zone
+	got := sampleZones(s, "a", "r")
+	is.True(approximately(got["a"], 0.7) && approximately(got["b"], 0.2) && approximately(got["c"], 0.1))
+	is.True(approximately(sampleZones(s, "a", "other")["a"], 1)) // another route stays
+	is.True(approximately(sampleZones(s, "b", "r")["b"], 1))     // and so does another zone
 	// A destination that is emptied is left out at once, before the next plan.
-	s.Emptied["b"] = true
-	got = drawn(s, "a", "r")
-	is.True(near(got["a"], 0.9) && got["b"] == 0)
+	s.Drained["b"] = true
+	got = sampleZones(s, "a", "r")
+	is.True(approximately(got["a"], 0.9) && got["b"] == 0)
 }
 
 // A lost zone's asks fill its neighbours by their room, the nearest first.
-func TestFailoverIsSharedByRoom(t *testing.T) {
+func TestSnapshot_SharesFailoverByRoom(t *testing.T) {
 	is := is.New(t)
-	s := sight()
+	s := newSnapshot()
 	s.Proxies = s.Proxies[2:]
-	got := drawn(s, "a", "r")
-	is.True(near(got["b"], 0.6) && near(got["c"], 0.4)) // 60 of 100, then the rest
+	got := sampleZones(s, "a", "r")
+	is.True(approximately(got["b"], 0.6) && approximately(got["c"], 0.4)) // 60 of 100, then the rest
 	s.Room = func(ids.Name) float64 { return 0 }
-	is.True(near(drawn(s, "a", "r")["b"], 1)) // nothing known: the nearest
+	is.True(approximately(sampleZones(s, "a", "r")["b"], 1)) // nothing known: the nearest
 	s.Proxies = nil
-	is.Equal(len(drawn(s, "a", "r")), 0)
+	is.Equal(len(sampleZones(s, "a", "r")), 0)
 }
--- a/internal/controlplane/registry/calls.go
+++ b/internal/controlplane/registry/calls.go
@@ -159,7 +159,7 @@
 	// Few asks need the room, and drawing every zone up costs more than they do.
 	var zones map[ids.Name]spill.Zone
 	s := directory.Snapshot{
-		Proxies: r.eligibleProxies(now), Emptied: map[ids.Name]bool{},
+		Proxies: r.eligibleProxies(now), Drained: map[ids.Name]bool{},
 		Distance: r.view.Distance, Demand: r.Reports.Demand,
 		Room: func(n ids.Name) float64 {
 			if zones == nil {
@@ -173,7 +173,7 @@
 		},
 	}
 	for n, c := range r.view.Zones {
-		s.Emptied[n] = c.Drained
+		s.Drained[n] = c.Drained
 	}
 	if !r.spillTableExpired(now) {
 		s.Moves = r.spillTable.Moves
--- a/internal/controlplane/registry/plans.go
+++ b/internal/controlplane/registry/plans.go
@@ -97,14 +97,14 @@
 	bears := r.zoneCapacities(now)
 	out := map[ids.Name]spill.Zone{}
 	for n, c := range r.view.Zones {
-		h := r.Reports.Zone(now, n, seats, ranks)
+		h := r.Reports.BuildZone(now, n, seats, ranks)
 		h.Target, h.Acceptable, h.Maximum, h.Drained = c.TargetLoad, c.AcceptableLoad, c.MaximumLoad, c.Drained
 		if c.LoadDefaulted && r.options.DeriveLevels {
 			r.deriveLevels(&h, bears[n])
 			out[n] = h
 			continue
 		}
-		if fit, ok := r.learnedMaxima[n]; ok && fit.Kept {
+		if fit, ok := r.learnedMaxima[n]; ok && fit.Learned {
 			h.Maximum = max(fit.Maximum, c.TargetLoad*1.02)
 		}
 		out[n] = h
@@ -114,34 +114,34 @@
 
 // plan makes the next table from the last one and the books.
 func (r *Registry) plan(now ids.Time) {
-	r.Reports.Forget(r.liveProxies())
-	view := spill.View{
+	r.Reports.Prune(r.liveProxies())
+	view := spill.PlannerInput{
 		Distance: r.view.Distance, Ranks: r.routeRanks(),
-		Pending: map[ids.Name]float64{}, Leaving: map[ids.Name]float64{},
+		PendingIn: map[ids.Name]float64{}, PendingOut: map[ids.Name]float64{},
 	}
 	for n, c := range r.view.Zones {
 		if c.LoadDefaulted && r.options.DeriveLevels {
 			continue
 		}
-		r.learnedMaxima[n] = spill.Learn(r.Reports.Samples(n), c.TargetLoad, c.MaximumLoad)
+		r.learnedMaxima[n] = spill.LearnMaximum(r.Reports.Samples(n), c.TargetLoad, c.MaximumLoad)
 	}
 	zones := r.currentZones(now)
 	for _, n := range sortedNames(zones) {
 		c := zones[n]
-		c.Missed = r.Reports.Missed(c)
-		r.Reports.KeepDemand(c, r.spillTable.Moves)
+		c.StalePlans = r.Reports.CountStalePlans(c)
+		r.Reports.RecordDemand(c, r.spillTable.Moves)
 		view.Zones = append(view.Zones, c)
 		r.chargeForecast(now, c, view)
 	}
 	moves := spill.Plan(view, r.spillTable.Moves)
 	r.recordForecasts(now, zones, r.spillTable.Moves, moves)
-	r.spillTable = spill.Table{Epoch: r.ownEpoch, Number: r.spillTable.Number + 1, Moves: moves, Uses: r.Reports.Uses(moves)}
+	r.spillTable = spill.Table{Epoch: r.ownEpoch, Number: r.spillTable.Number + 1, Moves: moves, Demands: r.Reports.RouteDemands(moves)}
 	r.spillTableConfirmedAt = now
 	r.Log(event.LevelInfo, "planned", "epoch", formatUint(uint64(r.ownEpoch)), "number", formatUint(uint64(r.spillTable.Number)), "moves", formatUint(uint64(len(moves))))
 }
 
 // chargeForecast adds what earlier plans moved and reports can't show yet.
-func (r *Registry) chargeForecast(now ids.Time, zone spill.Zone, view spill.View) {
+func (r *Registry) chargeForecast(now ids.Time, zone spill.Zone, view spill.PlannerInput) {
 	expected, ok := r.forecasts[zone.Name]
 	// Live connections stay, so a move shows only as they end by themselves. What
 	// it was to bring is charged in full at first, then ever less.
@@ -153,9 +153,9 @@
 	expected.change *= left
 	used := zone.Used()
 	if expected.change > 0 {
-		view.Pending[zone.Name] = min(expected.change, max(0, expected.expectedUsage-used))
+		view.PendingIn[zone.Name] = min(expected.change, max(0, expected.expectedUsage-used))
 	} else {
-		view.Leaving[zone.Name] = min(-expected.change, max(0, used-expected.expectedUsage))
+		view.PendingOut[zone.Name] = min(-expected.change, max(0, used-expected.expectedUsage))
 	}
 }
 
@@ -164,8 +164,8 @@
 	delta := map[ids.Name]float64{}
 	sum := func(list []spill.Move, sign float64) {
 		for _, m := range list {
-			delta[m.To] += sign * m.Amount
-			delta[m.From] -= sign * m.Amount
+			delta[m.To] += sign * m.PlannedCPU
+			delta[m.From] -= sign * m.PlannedCPU
 		}
 	}
 	sum(old, -1)
--- a/internal/controlplane/registry/registry.go
+++ b/internal/controlplane/registry/registry.go
@@ -108,7 +108,7 @@
 	r.Distributor = distribution.New(options.Self.RunID, &r.Outbox)
 	if options.DeriveLevels {
 		// Two reports and more, of a plan's period each.
-		r.Reports.Span = 2*options.PlanEvery + 100*time.Millisecond
+		r.Reports.AveragingWindow = 2*options.PlanEvery + 100*time.Millisecond
 	}
 	if options.Incremental {
 		r.Distributor.RefreshInterval, r.Distributor.InitialRetryTimeout = time.Second, 400*time.Millisecond
@@ -236,7 +236,7 @@
 	case DepartureAck:
 		r.handleDepartureAck(now, m)
 	case spill.Report:
-		r.Reports.Enter(now, m)
+		r.Reports.Add(now, m)
 	case spill.Table:
 		r.handleSpillTable(now, from, m)
 	case election.Term:
--- a/internal/controlplane/registry/resolve.go
+++ b/internal/controlplane/registry/resolve.go
@@ -26,7 +26,7 @@
 		r.Emit(Response{ID: call.ID, Status: 404, Body: ErrorResponse{"there is no route " + string(call.Route)}})
 		return
 	}
-	destination, ok := r.directorySnapshot(now).Point(call.Zone, r.chooseRoute(call), r.options.Random)
+	destination, ok := r.directorySnapshot(now).Resolve(call.Zone, r.chooseRoute(call), r.options.Random)
 	if !ok && r.options.AlwaysAnswer {
 		destination, ok = r.nearestKnownProxies(call.Zone)
 	}
@@ -52,7 +52,7 @@
 			routes = append(routes, n)
 		}
 	}
-	return r.spillTable.Draw(call.Zone, routes, r.options.Random.Float64())
+	return r.spillTable.PickRoute(call.Zone, routes, r.options.Random.Float64())
 }
 
 // nearestKnownProxies names proxies by the roll alone, nearest zones first: a registry that
--- a/internal/controlplane/registry/screen_test.go
+++ b/internal/controlplane/registry/screen_test.go
@@ -123,7 +123,7 @@
 		PeerHeartbeat{ID: "g", RunID: 1},
 		DepartureNotice{Asker: unknownAddress, Target: targets.Target{Instance: "i", Gone: true}},
 		DepartureAck{ID: "g", Instance: "i"},
-		spill.Report{Proxy: "p", RunID: 1, Zone: "c", Number: 1, Interval: 2000, Rows: []spill.Spent{{}}},
+		spill.Report{Proxy: "p", RunID: 1, Zone: "c", Number: 1, IntervalMillis: 2000, Usage: []spill.ServiceUsage{{}}},
 		spill.Table{Epoch: 2},
 		election.Term{Epoch: 2},
 		membership.Heartbeat{Self: membership.Member{ID: "x", Role: membership.Proxy, Address: unknownAddress}},
--- a/internal/controlplane/registry/status.go
+++ b/internal/controlplane/registry/status.go
@@ -72,7 +72,7 @@
 	switch {
 	case zone.Drained:
 		return "emptied"
-	case zone.Gone:
+	case zone.NoProxies:
 		return "no proxy"
 	case zone.Stale:
 		return "stale"
@@ -123,7 +123,7 @@
 		}
 	}
 	for _, m := range r.spillTable.Moves {
-		status.Moves = append(status.Moves, Move{m.From, m.To, m.Route, m.Fraction, m.Amount, m.Why})
+		status.Moves = append(status.Moves, Move{m.From, m.To, m.Route, m.Fraction, m.PlannedCPU, m.Reason})
 	}
 	return status
 }
@@ -133,7 +133,7 @@
 	var out []ZoneStatus
 	for _, n := range sortedNames(zones) {
 		h := zones[n]
-		c := ZoneStatus{Name: n, Used: h.Used(), Target: h.Target, Acceptable: h.Acceptable, Maximum: h.Maximum, State: zoneState(h), Learned: r.learnedMaxima[n].Why}
+		c := ZoneStatus{Name: n, Used: h.Used(), Target: h.Target, Acceptable: h.Acceptable, Maximum: h.Maximum, State: zoneState(h), Learned: r.learnedMaxima[n].Reason}
 		for _, m := range proxies {
 			if m.Zone == n {
 				c.Proxies++
--- a/internal/controlplane/spill/export.go
+++ b/internal/controlplane/spill/export.go
@@ -7,25 +7,25 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// account opens the one account of room: what each zone may still receive
+// computeRoom opens the one account of room: what each zone may still receive
 // before its acceptable level. A zone with moves of its own out, or over its
 // acceptable level, or with stale reports, has none.
-func (p *planner) account() {
-	for n, c := range p.zones {
-		if c.Stale || c.Drained || c.Gone {
+func (p *planner) computeRoom() {
+	for name, zone := range p.zones {
+		if zone.Stale || zone.Drained || zone.NoProxies {
 			continue
 		}
-		if slices.ContainsFunc(p.moves, func(m Move) bool { return m.From == n }) {
+		if slices.ContainsFunc(p.moves, func(m Move) bool { return m.From == name }) {
 			continue
 		}
-		if free := c.Acceptable - p.used(c); free > 0 {
-			p.room[n] = free
+		if free := zone.Acceptable - p.expectedUse(zone); free > 0 {
+			p.room[name] = free
 		}
 	}
 }
 
-// near orders the other zones by distance from one.
-func (p *planner) near(from ids.Name) []ids.Name {
+// zonesByDistance orders the other zones by distance from one.
+func (p *planner) zonesByDistance(from ids.Name) []ids.Name {
 	var out []ids.Name
 	for n := range p.zones {
 		if n != from {
@@ -38,46 +38,46 @@
 	return out
 }
 
-// export plans the moves out of every zone over its maximum.
-func (p *planner) export() {
-	wants, want, room := map[ids.Name]float64{}, 0.0, 0.0
+// exportExcess plans the moves out of every zone over its maximum.
+func (p *planner) exportExcess() {
+	excess, totalExcess, totalRoom := map[ids.Name]float64{}, 0.0, 0.0
 	// In order, as sums of floats differ by it, and one seed is one run.
 	for i := range p.Zones {
-		c := &p.Zones[i]
-		n, used := c.Name, p.used(c)
-		if c.Stale || c.Drained || c.Gone || used <= c.Maximum {
+		zone := &p.Zones[i]
+		n, used := zone.Name, p.expectedUse(zone)
+		if zone.Stale || zone.Drained || zone.NoProxies || used <= zone.Maximum {
 			continue
 		}
-		wants[n] = Excess(used, used, c.Target)
-		want += wants[n]
+		excess[n] = ExcessCPU(used, used, zone.Target)
+		totalExcess += excess[n]
 		// A zone that sheds can't take in what another sheds.
 		delete(p.room, n)
 	}
 	for _, n := range slices.Sorted(keys(p.room)) {
-		room += p.room[n]
+		totalRoom += p.room[n]
 	}
-	if want == 0 || room == 0 {
+	if totalExcess == 0 || totalRoom == 0 {
 		return
 	}
 	// Too little room is shared by need; the lowest tiers still go first.
-	scale := min(1, room/want)
+	scale := min(1, totalRoom/totalExcess)
 	var leaving []Outgoing
-	for _, n := range slices.Sorted(keys(wants)) {
-		for _, r := range Leavers(p.own(p.zones[n]), wants[n]*scale) {
-			leaving = append(leaving, Outgoing{Row: r, From: n})
+	for _, n := range slices.Sorted(keys(excess)) {
+		for _, r := range SelectOutgoing(p.exportableUsage(p.zones[n]), excess[n]*scale) {
+			leaving = append(leaving, Outgoing{RouteUsage: r, From: n})
 		}
 	}
 	// Demand as it was before this pass: fractions refer to it.
 	demand := map[[2]ids.Name]float64{}
-	for _, l := range leaving {
-		demand[[2]ids.Name{l.From, l.Route}] = p.demand(p.zones[l.From], l.Route)
+	for _, outgoing := range leaving {
+		demand[[2]ids.Name{outgoing.From, outgoing.Route}] = p.demand(p.zones[outgoing.From], outgoing.Route)
 	}
-	for _, h := range Place(leaving, p.room, p.near) {
-		d := demand[[2]ids.Name{h.From, h.Route}]
-		if d <= 0 {
+	for _, transfer := range PlaceOutgoing(leaving, p.room, p.zonesByDistance) {
+		demandNow := demand[[2]ids.Name{transfer.From, transfer.Route}]
+		if demandNow <= 0 {
 			continue
 		}
-		p.add(Move{From: h.From, To: h.To, Route: h.Route, Fraction: h.CPU / d, Amount: h.CPU, Why: "over its maximum"})
+		p.addMove(Move{From: transfer.From, To: transfer.To, Route: transfer.Route, Fraction: transfer.CPU / demandNow, PlannedCPU: transfer.CPU, Reason: "over its maximum"})
 	}
 }
 
@@ -91,26 +91,26 @@
 	}
 }
 
-// own is the CPU time that a zone can still hand on: its own fresh connections',
+// exportableUsage is the CPU time that a zone can still hand on: its own fresh connections',
 // not what others gave it.
-func (p *planner) own(c *Zone) []Row {
-	in := map[ids.Name]float64{}
+func (p *planner) exportableUsage(zone *Zone) []RouteUsage {
+	received := map[ids.Name]float64{}
 	for _, m := range p.moves {
-		if m.To == c.Name && p.zones[m.From] != nil {
-			in[m.Route] += m.Fraction * p.demand(p.zones[m.From], m.Route)
+		if m.To == zone.Name && p.zones[m.From] != nil {
+			received[m.Route] += m.Fraction * p.demand(p.zones[m.From], m.Route)
 		}
 	}
-	var out []Row
-	for _, r := range c.Rows {
+	var out []RouteUsage
+	for _, r := range zone.Usage {
 		// A route that is gone shows in the mean for a while. Counting it as moved
 		// would leave what it can't move where it is, and charge for it.
 		if _, ranked := p.Ranks[r.Route]; !ranked {
 			continue
 		}
-		r.CPU = max(r.CPU+p.back[[2]ids.Name{c.Name, r.Route}]-in[r.Route], 0)
+		r.CPU = max(r.CPU+p.returning[[2]ids.Name{zone.Name, r.Route}]-received[r.Route], 0)
 		// Of a route that is all away there is nothing fresh left to hand on;
 		// what it uses here are connections that stay until they end by themselves.
-		if p.out(c.Name, r.Route) > 1-homely {
+		if p.movedFraction(zone.Name, r.Route) > 1-minHomeShare {
 			r.CPU = 0
 		}
 		out = append(out, r)
@@ -118,17 +118,17 @@
 	return out
 }
 
-// add enters a move; all of a route's moves out of a zone make one at most.
-func (p *planner) add(m Move) {
-	m.Fraction = min(m.Fraction, 1-p.out(m.From, m.Route))
+// addMove enters a move; all of a route's moves out of a zone make one at most.
+func (p *planner) addMove(m Move) {
+	m.Fraction = min(m.Fraction, 1-p.movedFraction(m.From, m.Route))
 	if m.Fraction <= 0 {
 		return
 	}
 	for i, have := range p.moves {
 		if have.From == m.From && have.To == m.To && have.Route == m.Route {
 			p.moves[i].Fraction += m.Fraction
-			p.moves[i].Amount += m.Amount
-			p.moves[i].Why = m.Why
+			p.moves[i].PlannedCPU += m.PlannedCPU
+			p.moves[i].Reason = m.Reason
 			return
 		}
 	}
--- a/internal/controlplane/spill/plan.go
+++ b/internal/controlplane/spill/plan.go
@@ -7,73 +7,73 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// View is all that one plan goes by.
-type View struct {
+// PlannerInput is all that one plan goes by.
+type PlannerInput struct {
 	Zones    []Zone
 	Distance func(a, b ids.Name) float64
 	Ranks    map[ids.Name]Rank
-	// Pending is CPU time that earlier plans sent to a zone and that its
+	// PendingIn is CPU time that earlier plans sent to a zone and that its
 	// reports can't show yet; it stays charged to its room. Leaving is the
 	// same for zones that plans took from.
-	Pending map[ids.Name]float64
-	Leaving map[ids.Name]float64
+	PendingIn  map[ids.Name]float64
+	PendingOut map[ids.Name]float64
 }
 
 const (
-	// least is the smallest fraction worth keeping.
-	least = 0.005
-	// gain damps calling back: half of the free room each plan, so that a
+	// minFraction is the smallest fraction worth keeping.
+	minFraction = 0.005
+	// recallGain damps calling back: half of the free room each plan, so that a
 	// zone doesn't swing between its acceptable level and its maximum.
-	gain = 0.5
-	// expireAfter is how many stale plans a move outlives before it shrinks.
-	expireAfter = 2
+	recallGain = 0.5
+	// maxStalePlans is how many stale plans a move outlives before it shrinks.
+	maxStalePlans = 2
 )
 
 // planner is one pass over all zones.
 type planner struct {
-	View
+	PlannerInput
 	zones map[ids.Name]*Zone
 	moves []Move
 	room  map[ids.Name]float64
-	// back is CPU time, by zone and route, that comes home because its moves
+	// returning is CPU time, by zone and route, that comes home because its moves
 	// ended just now; reports can't show it yet.
-	back map[[2]ids.Name]float64
+	returning map[[2]ids.Name]float64
 }
 
 // Plan gives the next moves from the last ones and what was reported.
-func Plan(v View, last []Move) []Move {
-	p := &planner{View: v, zones: map[ids.Name]*Zone{}, moves: slices.Clone(last), room: map[ids.Name]float64{}, back: map[[2]ids.Name]float64{}}
-	for i := range v.Zones {
-		p.zones[v.Zones[i].Name] = &v.Zones[i]
-	}
-	p.expire()
-	for i := range v.Zones {
-		p.recall(&v.Zones[i])
-	}
-	for i := range v.Zones {
-		p.sendBack(&v.Zones[i])
-	}
-	p.account()
-	p.swap()
-	p.export()
-	p.moves = slices.DeleteFunc(p.moves, func(m Move) bool { return m.Fraction < least })
+func Plan(input PlannerInput, previous []Move) []Move {
+	p := &planner{PlannerInput: input, zones: map[ids.Name]*Zone{}, moves: slices.Clone(previous), room: map[ids.Name]float64{}, returning: map[[2]ids.Name]float64{}}
+	for i := range input.Zones {
+		p.zones[input.Zones[i].Name] = &input.Zones[i]
+	}
+	p.expireMoves()
+	for i := range input.Zones {
+		p.recallMoves(&input.Zones[i])
+	}
+	for i := range input.Zones {
+		p.returnExcess(&input.Zones[i])
+	}
+	p.computeRoom()
+	p.prioritizeMoves()
+	p.exportExcess()
+	p.moves = slices.DeleteFunc(p.moves, func(m Move) bool { return m.Fraction < minFraction })
 	slices.SortFunc(p.moves, func(a, b Move) int {
 		return cmp.Or(cmp.Compare(a.From, b.From), cmp.Compare(a.Route, b.Route), cmp.Compare(a.To, b.To))
 	})
 	return p.moves
 }
 
-// used is a zone's CPU time as it will be once earlier plans show.
-func (p *planner) used(c *Zone) float64 {
-	sum := c.Used() + p.Pending[c.Name] - p.Leaving[c.Name]
+// expectedUse is a zone's CPU time as it will be once earlier plans show.
+func (p *planner) expectedUse(zone *Zone) float64 {
+	sum := zone.Used() + p.PendingIn[zone.Name] - p.PendingOut[zone.Name]
 	for _, r := range slices.Sorted(keys(p.Ranks)) {
-		sum += p.back[[2]ids.Name{c.Name, r}]
+		sum += p.returning[[2]ids.Name{zone.Name, r}]
 	}
 	return max(sum, 0)
 }
 
-// out is the share of a route's fresh connections that a zone hands on.
-func (p *planner) out(from, route ids.Name) float64 {
+// movedFraction is the share of a route's fresh connections that a zone hands on.
+func (p *planner) movedFraction(from, route ids.Name) float64 {
 	sum := 0.0
 	for _, m := range p.moves {
 		if m.From == from && m.Route == route {
@@ -87,74 +87,74 @@
 // it keeps, scaled up by what it hands on. What it keeps includes connections held
 // since before the moves, so scaling alone would take a few of those for a
 // crowd: it never counts for more than what is kept and what was moved.
-func (p *planner) demand(c *Zone, route ids.Name) float64 {
-	back := p.back[[2]ids.Name{c.Name, route}]
+func (p *planner) demand(zone *Zone, route ids.Name) float64 {
+	back := p.returning[[2]ids.Name{zone.Name, route}]
 	kept := 0.0
-	for _, r := range c.Rows {
+	for _, r := range zone.Usage {
 		if r.Route == route {
 			kept += r.CPU
 		}
 	}
 	sum := kept + back
 	for _, m := range p.moves {
-		if m.From == c.Name && m.Route == route {
-			sum += m.Amount
+		if m.From == zone.Name && m.Route == route {
+			sum += m.PlannedCPU
 		}
 	}
-	share := 1 - p.out(c.Name, route)
+	share := 1 - p.movedFraction(zone.Name, route)
 	if share < 0.05 {
 		return sum
 	}
 	return min((kept+back)/share, sum)
 }
 
-// expire drops moves that have lost an end, and shrinks, step by step, those
+// expireMoves drops moves that have lost an end, and shrinks, step by step, those
 // whose ends have been silent for several plans.
-func (p *planner) expire() {
+func (p *planner) expireMoves() {
 	p.moves = slices.DeleteFunc(p.moves, func(m Move) bool {
 		from, to := p.zones[m.From], p.zones[m.To]
 		_, ranked := p.Ranks[m.Route]
-		ended := !ranked || from == nil || to == nil || to.Drained || to.Gone || from.Drained
+		ended := !ranked || from == nil || to == nil || to.Drained || to.NoProxies || from.Drained
 		if ended {
-			p.back[[2]ids.Name{m.From, m.Route}] += m.Amount
+			p.returning[[2]ids.Name{m.From, m.Route}] += m.PlannedCPU
 		}
 		return ended
 	})
 	for i, m := range p.moves {
-		if n := max(p.zones[m.From].Missed, p.zones[m.To].Missed); n > expireAfter {
-			p.back[[2]ids.Name{m.From, m.Route}] += m.Amount / 2
+		if n := max(p.zones[m.From].StalePlans, p.zones[m.To].StalePlans); n > maxStalePlans {
+			p.returning[[2]ids.Name{m.From, m.Route}] += m.PlannedCPU / 2
 			p.moves[i].Fraction /= 2
-			p.moves[i].Amount /= 2
-			p.moves[i].Why = "expiring: reports are stale"
+			p.moves[i].PlannedCPU /= 2
+			p.moves[i].Reason = "expiring: reports are stale"
 		}
 	}
 }
 
-// recall lets a recovered zone call its own moves home, the most urgent
+// recallMoves lets a recovered zone call its own moves home, the most urgent
 // first, before anything else is weighed. It accepts from others only when
 // none of its own is left.
-func (p *planner) recall(c *Zone) {
-	used := p.used(c)
-	if c.Stale || c.Drained || c.Gone || used >= c.Acceptable {
+func (p *planner) recallMoves(zone *Zone) {
+	used := p.expectedUse(zone)
+	if zone.Stale || zone.Drained || zone.NoProxies || used >= zone.Acceptable {
 		return
 	}
-	free := (c.Target - used) * gain
-	var own []int
+	free := (zone.Target - used) * recallGain
+	var outgoing []int
 	for i, m := range p.moves {
-		if m.From == c.Name {
-			own = append(own, i)
+		if m.From == zone.Name {
+			outgoing = append(outgoing, i)
 		}
 	}
-	slices.SortStableFunc(own, func(a, b int) int { return -order(p.Ranks[p.moves[a].Route], p.Ranks[p.moves[b].Route]) })
+	slices.SortStableFunc(outgoing, func(a, b int) int { return -compareRanks(p.Ranks[p.moves[a].Route], p.Ranks[p.moves[b].Route]) })
 	// Demand is taken before any fraction changes, or the sums would drift.
 	demands := map[ids.Name]float64{}
-	for _, i := range own {
+	for _, i := range outgoing {
 		r := p.moves[i].Route
 		if _, ok := demands[r]; !ok {
-			demands[r] = p.demand(c, r)
+			demands[r] = p.demand(zone, r)
 		}
 	}
-	for _, i := range own {
+	for _, i := range outgoing {
 		m := &p.moves[i]
 		d := demands[m.Route]
 		moved := m.Fraction * d
@@ -164,44 +164,44 @@
 			continue
 		}
 		m.Fraction -= max(free, 0) / d
-		m.Amount = m.Fraction * d
-		m.Why = "being called back"
+		m.PlannedCPU = m.Fraction * d
+		m.Reason = "being called back"
 		free = 0
 	}
-	p.moves = slices.DeleteFunc(p.moves, func(m Move) bool { return m.Fraction < least })
+	p.moves = slices.DeleteFunc(p.moves, func(m Move) bool { return m.Fraction < minFraction })
 }
 
-// sendBack makes a destination that came over its maximum return what it was
+// returnExcess makes a destination that came over its maximum return what it was
 // given, lowest rank first, before it moves anything of its own.
-func (p *planner) sendBack(c *Zone) {
-	used := p.used(c)
-	if c.Stale || used <= c.Maximum {
+func (p *planner) returnExcess(zone *Zone) {
+	used := p.expectedUse(zone)
+	if zone.Stale || used <= zone.Maximum {
 		return
 	}
-	over := Excess(used, used, c.Target)
-	var in []int
+	excess := ExcessCPU(used, used, zone.Target)
+	var incoming []int
 	for i, m := range p.moves {
-		if m.To == c.Name {
-			in = append(in, i)
+		if m.To == zone.Name {
+			incoming = append(incoming, i)
 		}
 	}
-	slices.SortStableFunc(in, func(a, b int) int { return order(p.Ranks[p.moves[a].Route], p.Ranks[p.moves[b].Route]) })
-	for _, i := range in {
+	slices.SortStableFunc(incoming, func(a, b int) int { return compareRanks(p.Ranks[p.moves[a].Route], p.Ranks[p.moves[b].Route]) })
+	for _, i := range incoming {
 		m := &p.moves[i]
-		if over <= 0 || m.Fraction <= 0 {
+		if excess <= 0 || m.Fraction <= 0 {
 			break
 		}
 		d := p.demand(p.zones[m.From], m.Route)
-		back := min(over, m.Fraction*d)
+		back := min(excess, m.Fraction*d)
 		if d > 0 {
 			m.Fraction -= back / d
-			m.Amount = m.Fraction * d
+			m.PlannedCPU = m.Fraction * d
 		} else {
 			m.Fraction = 0
 		}
-		m.Why = "shrunk: the destination is over its maximum"
-		over -= back
-		p.Leaving[c.Name] += back
-		p.Pending[m.From] += back
+		m.Reason = "shrunk: the destination is over its maximum"
+		excess -= back
+		p.PendingOut[zone.Name] += back
+		p.PendingIn[m.From] += back
 	}
 }
--- a/internal/controlplane/spill/scale_test.go
+++ b/internal/controlplane/spill/scale_test.go
@@ -8,12 +8,12 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// large is a view of zones that each serve every route, a third of them over
+// newLargeInput is a view of zones that each serve every route, a third of them over
 // their target.
-func large(zones, routes int) View {
+func newLargeInput(zones, routes int) PlannerInput {
 	random := rand.New(rand.NewPCG(1, 2))
-	v := View{
-		Ranks: map[ids.Name]Rank{}, Pending: map[ids.Name]float64{}, Leaving: map[ids.Name]float64{},
+	v := PlannerInput{
+		Ranks: map[ids.Name]Rank{}, PendingIn: map[ids.Name]float64{}, PendingOut: map[ids.Name]float64{},
 		Distance: func(a, b ids.Name) float64 {
 			if a == b {
 				return 0
@@ -32,7 +32,7 @@
 			level = 10000
 		}
 		for _, rank := range v.Ranks {
-			x.Rows = append(x.Rows, Row{Rank: rank, CPU: level / float64(routes) * (0.5 + random.Float64())})
+			x.Usage = append(x.Usage, RouteUsage{Rank: rank, CPU: level / float64(routes) * (0.5 + random.Float64())})
 		}
 		v.Zones = append(v.Zones, x)
 	}
@@ -44,7 +44,7 @@
 func BenchmarkPlan(b *testing.B) {
 	for _, size := range [][2]int{{9, 50}, {18, 50}, {36, 50}, {9, 100}, {9, 200}, {9, 400}} {
 		b.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(b *testing.B) {
-			v := large(size[0], size[1])
+			v := newLargeInput(size[0], size[1])
 			for b.Loop() {
 				moves := Plan(v, nil)
 				b.ReportMetric(float64(len(Plan(v, moves))), "moves")
--- a/internal/controlplane/spill/spill.go
+++ b/internal/controlplane/spill/spill.go
@@ -24,8 +24,8 @@
 	return cmp.Or(cmp.Compare(r.Tier, s.Tier), cmp.Compare(r.Service, s.Service), cmp.Compare(r.Route, s.Route)) < 0
 }
 
-// Row is CPU time that one route uses in a zone, in ms a second.
-type Row struct {
+// RouteUsage is CPU time that one route uses in a zone, in ms a second.
+type RouteUsage struct {
 	Rank
 	CPU float64
 }
@@ -36,20 +36,20 @@
 	Target     float64
 	Acceptable float64
 	Maximum    float64
-	Rows       []Row
+	Usage      []RouteUsage
 	// Drained zones neither plan nor receive; Stale ones receive nothing more.
 	Drained bool
 	Stale   bool
-	// Gone zones have no proxy left at all.
-	Gone bool
-	// Missed counts the plans for which the zone has been stale.
-	Missed int
+	// NoProxies zones have no proxy left at all.
+	NoProxies bool
+	// StalePlans counts the plans for which the zone has been stale.
+	StalePlans int
 }
 
 // Used is all CPU time used in the zone.
-func (c Zone) Used() float64 {
+func (z Zone) Used() float64 {
 	sum := 0.0
-	for _, r := range c.Rows {
+	for _, r := range z.Usage {
 		sum += r.CPU
 	}
 	return sum
@@ -61,9 +61,9 @@
 	To       ids.Name
 	Route    ids.Name
 	Fraction float64
-	// Amount is the CPU time that the move was planned to be, in ms a second.
-	Amount float64
-	Why    string
+	// PlannedCPU is the CPU time that the move was planned to be, in ms a second.
+	PlannedCPU float64
+	Reason     string
 }
 
 // Table is a plan under its epoch; a higher epoch or number replaces it.
@@ -71,13 +71,13 @@
 	Epoch  ids.Epoch
 	Number ids.StreamNumber
 	Moves  []Move
-	// Uses are what routes use in zones that hand something on, for asks that
+	// Demands are what routes use in zones that hand something on, for asks that
 	// stand for several routes.
-	Uses []Use
+	Demands []RouteDemand
 }
 
-// Use is what fresh connections of a route use in a zone, in ms a second.
-type Use struct {
+// RouteDemand is what fresh connections of a route use in a zone, in ms a second.
+type RouteDemand struct {
 	Zone, Route ids.Name
 	CPU         float64
 }
@@ -92,35 +92,35 @@
 
 var _ = wire.Register(90, Table{})
 
-// Excess is what a zone must move to come back to its target: what it uses
+// ExcessCPU is what a zone must move to come back to its target: what it uses
 // times 1 - target/utilisation. Both levels are in the same unit.
-func Excess(used, utilisation, target float64) float64 {
-	if utilisation <= target || utilisation <= 0 {
+func ExcessCPU(used, utilization, target float64) float64 {
+	if utilization <= target || utilization <= 0 {
 		return 0
 	}
-	return used * (1 - target/utilisation)
+	return used * (1 - target/utilization)
 }
 
-// Leavers picks what leaves of an amount, lowest rank first; the last one
+// SelectOutgoing picks what leaves of an amount, lowest rank first; the last one
 // leaves in part.
-func Leavers(rows []Row, amount float64) []Row {
-	rows = slices.Clone(rows)
-	slices.SortFunc(rows, func(a, b Row) int { return order(a.Rank, b.Rank) })
-	var out []Row
-	for _, r := range rows {
+func SelectOutgoing(usage []RouteUsage, amount float64) []RouteUsage {
+	usage = slices.Clone(usage)
+	slices.SortFunc(usage, func(a, b RouteUsage) int { return compareRanks(a.Rank, b.Rank) })
+	var outgoing []RouteUsage
+	for _, r := range usage {
 		if amount <= 0 {
 			break
 		}
 		r.CPU = min(r.CPU, amount)
 		amount -= r.CPU
 		if r.CPU > 0 {
-			out = append(out, r)
+			outgoing = append(outgoing, r)
 		}
 	}
-	return out
+	return outgoing
 }
 
-func order(a, b Rank) int {
+func compareRanks(a, b Rank) int {
 	switch {
 	case a.Less(b):
 		return -1
@@ -132,7 +132,7 @@
 
 // Outgoing is CPU time that leaves a zone.
 type Outgoing struct {
-	Row
+	RouteUsage
 	From ids.Name
 }
 
@@ -142,31 +142,31 @@
 	To ids.Name
 }
 
-// Place gives the most urgent of all that leaves, from whatever zone, the
+// PlaceOutgoing gives the most urgent of all that leaves, from whatever zone, the
 // nearest room. The account of room is one, so that several hot zones can't
 // overfill a destination; it is used up in place.
-func Place(leaving []Outgoing, room map[ids.Name]float64, near func(from ids.Name) []ids.Name) []Transfer {
+func PlaceOutgoing(leaving []Outgoing, room map[ids.Name]float64, zonesByDistance func(from ids.Name) []ids.Name) []Transfer {
 	leaving = slices.Clone(leaving)
 	slices.SortStableFunc(leaving, func(a, b Outgoing) int {
-		return cmp.Or(-order(a.Rank, b.Rank), cmp.Compare(a.From, b.From))
+		return cmp.Or(-compareRanks(a.Rank, b.Rank), cmp.Compare(a.From, b.From))
 	})
-	var out []Transfer
-	for _, l := range leaving {
-		left := l.CPU
-		for _, to := range near(l.From) {
-			if left <= 0 {
+	var transfers []Transfer
+	for _, outgoing := range leaving {
+		remaining := outgoing.CPU
+		for _, to := range zonesByDistance(outgoing.From) {
+			if remaining <= 0 {
 				break
 			}
-			part := min(left, room[to])
-			if to == l.From || part <= 0 {
+			part := min(remaining, room[to])
+			if to == outgoing.From || part <= 0 {
 				continue
 			}
 			room[to] -= part
-			left -= part
-			h := Transfer{Outgoing: l, To: to}
-			h.CPU = part
-			out = append(out, h)
+			remaining -= part
+			transfer := Transfer{Outgoing: outgoing, To: to}
+			transfer.CPU = part
+			transfers = append(transfers, transfer)
 		}
 	}
-	return out
+	return transfers
 }
--- a/internal/dataplane/dispatch/again.go
+++ b/internal/dataplane/dispatch/again.go
@@ -2,52 +2,52 @@
 
 import "dunlinwell/internal/base/ids"
 
-// sentEnough tells whether a job was sent to as many targets as it may be.
-func (d *Dispatcher) sentEnough(j *job) bool {
-	if j.Attempts > 0 {
-		return j.sends >= j.Attempts
+// attemptsExhausted tells whether a job was sent to as many targets as it may be.
+func (d *Dispatcher) attemptsExhausted(j *job) bool {
+	if j.MaxAttempts > 0 {
+		return j.timesSent >= j.MaxAttempts
 	}
-	return j.tries > 2
+	return j.failedAttempts > 2
 }
 
-// turnedAway sends on what a target says that it did not run: to another one,
+// onNotExecuted sends on what a target says that it did not run: to another one,
 // as a retry, or back to its client.
-func (d *Dispatcher) turnedAway(now ids.Time, j *job, e AttemptFinished) {
-	if j.marked() {
+func (d *Dispatcher) onNotExecuted(now ids.Time, j *job, result AttemptFinished) {
+	if j.hasIdempotencyRecord() {
 		// Its mark's claim stands, and another place is asked for under it.
 		d.admit(now, j)
 		return
 	}
-	if j.tries++; d.sentEnough(j) || now.Add(d.mean) >= j.Deadline || !d.budget.spend() {
-		d.reject(now, j, "targets turned it away: "+e.Why)
+	if j.failedAttempts++; d.attemptsExhausted(j) || now.Add(d.meanResponseTime) >= j.Deadline || !d.retryBudget.withdraw() {
+		d.reject(now, j, "targets turned it away: "+result.Reason)
 		return
 	}
-	d.Tally.Retried++
+	d.Counters.Retried++
 	d.admit(now, j)
 }
 
 // retry sends a repeatable request again, within the budget and the time.
-func (d *Dispatcher) retry(now ids.Time, j *job, e AttemptFinished) {
-	if j.tries++; d.sentEnough(j) || now.Add(d.mean) >= j.Deadline || !d.budget.spend() {
+func (d *Dispatcher) retry(now ids.Time, j *job, result AttemptFinished) {
+	if j.failedAttempts++; d.attemptsExhausted(j) || now.Add(d.meanResponseTime) >= j.Deadline || !d.retryBudget.withdraw() {
 		// A failure of the target's own is still its answer.
-		if e.Result == TargetFailed {
-			d.respond(now, j, Response{Class: Answered, Status: int(e.Response.Status), Sealed: e.Response})
+		if result.Result == TargetFailed {
+			d.respond(now, j, Response{Class: Answered, Status: int(result.Response.Status), TargetResponse: result.Response})
 			return
 		}
-		d.unknown(now, j, status(now, j), "given up: "+e.Why)
+		d.respondUnknown(now, j, unknownStatus(now, j), "given up: "+result.Reason)
 		return
 	}
-	d.Tally.Retried++
+	d.Counters.Retried++
 	d.admit(now, j)
 }
 
-// forwarded counts a request that leaves, by how far it goes.
-func (t *Counters) forwarded(distance float64) {
-	t.Forwarded++
+// countForward counts a request that leaves, by how far it goes.
+func (c *Counters) countForward(distance float64) {
+	c.Forwarded++
 	switch {
 	case distance > 1:
-		t.Far++
+		c.CrossRegion++
 	case distance > 0:
-		t.Region++
+		c.CrossZone++
 	}
 }
--- a/internal/dataplane/dispatch/bench_test.go
+++ b/internal/dataplane/dispatch/bench_test.go
@@ -18,9 +18,9 @@
 	for name, repeatable := range map[string]bool{"repeatable": true, "order": false} {
 		b.Run(name, func(b *testing.B) {
 			d := New(Options{Random: rand.New(rand.NewPCG(1, 1)), Self: idempotency.Owner{Daemon: "c1", RunID: 1}})
-			s := ServiceState{Capacity: 16, InStep: true, Allowance: 2}
+			s := ServiceState{DefaultCapacity: 16, IsCurrent: true, RetryBudget: 2}
 			for i := range 20 {
-				s.Targets = append(s.Targets, Offer{Target: targets.Target{Instance: ids.InstanceID(rune('a' + i)), Warmth: 1, AgeMillis: 1e6, Capacity: 16}, Seats: 8, Seat: i % 8, Distance: float64(i % 3)})
+				s.Targets = append(s.Targets, Allocation{Target: targets.Target{Instance: ids.InstanceID(rune('a' + i)), Warmth: 1, AgeMillis: 1e6, Capacity: 16}, SlotShareCount: 8, SlotShareIndex: i % 8, Distance: float64(i % 3)})
 			}
 			now := ids.Time(1)
 			d.Step(now, s)
@@ -33,9 +33,9 @@
 				for len(out) > 0 {
 					switch c := out[0].(type) {
 					case IdempotencyCall:
-						out = d.Step(now, IdempotencyReply{ID: id, Turn: c.Turn, Outcome: consensus.Succeeded, Out: yours})
+						out = d.Step(now, IdempotencyReply{ID: id, Sequence: c.Sequence, Outcome: consensus.Succeeded, Payload: yours})
 					case Forward:
-						out = d.Step(now, AttemptFinished{ID: id, Turn: c.Turn, Result: Complete, Response: idempotency.Response{Status: 200}})
+						out = d.Step(now, AttemptFinished{ID: id, Sequence: c.Sequence, Result: Complete, Response: idempotency.Response{Status: 200}})
 					default:
 						out = nil
 					}
--- a/internal/dataplane/dispatch/dispatch.go
+++ b/internal/dataplane/dispatch/dispatch.go
@@ -13,50 +13,50 @@
 	"dunlinwell/internal/state/idempotency"
 )
 
-type phase uint8
+type jobState uint8
 
 const (
-	looking phase = iota + 1
-	entering
-	waiting
-	inQueue
-	claiming
+	readingRecord jobState = iota + 1
+	registeringAttempt
+	waitingForOwner
+	queued
+	claimingKey
 	forwarding
-	settling
-	barring
+	storingOutcome
+	blockingAttempts
 )
 
 type job struct {
 	Job
-	phase phase
-	turn  uint32
-	tries int
-	// sends counts the targets that it was sent to.
-	sends  int
-	target ids.InstanceID
-	avoid  map[ids.InstanceID]bool
+	state          jobState
+	sequence       uint32
+	failedAttempts int
+	// timesSent counts the targets that it was sent to.
+	timesSent    int
+	target       ids.InstanceID
+	triedTargets map[ids.InstanceID]bool
 	// claimed: a claim was asked for and may stand.
-	claimed bool
+	claimRequested bool
 	// counted: this request has been counted towards the retry budget.
-	counted bool
-	earned  bool
-	again   ids.Time
-	since   ids.Time
-	placed  ids.Time
-	why     string
+	budgetCounted bool
+	budgetEarned  bool
+	recheckAt     ids.Time
+	queuedAt      ids.Time
+	forwardedAt   ids.Time
+	rejectReason  string
 	// late: its goal was past reach as it came.
-	late     bool
-	response idempotency.Response
+	goalUnreachable bool
+	response        idempotency.Response
 }
 
-// marked tells whether a register keeps the job to one run.
-func (j *job) marked() bool { return !j.Repeatable && !j.Single }
+// hasIdempotencyRecord tells whether a register keeps the job to one run.
+func (j *job) hasIdempotencyRecord() bool { return !j.Repeatable && !j.AtMostOnce }
 
 // Options are the options of a dispatcher.
 type Options struct {
-	Self   idempotency.Owner
-	Random *rand.Rand
-	Queue  int
+	Self       idempotency.Owner
+	Random     *rand.Rand
+	QueueLimit int
 }
 
 // Dispatcher is the machine for one service at one proxy. Its owner holds a short
@@ -64,110 +64,110 @@
 type Dispatcher struct {
 	event.Outbox
 	Options
-	stock ServiceState
-	lease ids.Time
-	jobs  map[ids.RequestID]*job
-	queue []*job
-	spots map[ids.InstanceID]*spot
-	// list is the spots in order, and best is used anew by each choice.
-	list   []*spot
-	best   []*spot
-	budget budget
-	whole  map[ids.Name]time.Duration
-	mean   time.Duration
-	last   ids.Time
-	Tally  Counters
-	// reasons count why requests got no answer of a target.
-	reasons map[string]int
+	service        ServiceState
+	leaseExpiresAt ids.Time
+	jobs           map[ids.RequestID]*job
+	queue          []*job
+	endpoints      map[ids.InstanceID]*endpoint
+	// sortedEndpoints is the spots in order, and best is used anew by each choice.
+	sortedEndpoints  []*endpoint
+	candidates       []*endpoint
+	retryBudget      retryBudget
+	longestTimeout   map[ids.Name]time.Duration
+	meanResponseTime time.Duration
+	lastTickAt       ids.Time
+	Counters         Counters
+	// failureReasons count why requests got no answer of a target.
+	failureReasons map[string]int
 }
 
 // Counters counts what the dispatcher did, for reports and pages.
 type Counters struct {
-	Arrived, Rejected, Unknown, Answered, Forwarded, Retried, Repeats uint64
-	// Region and Far count those of Forwarded that left their zone, and region.
-	Region, Far uint64
+	Arrived, Rejected, Unknown, Answered, Forwarded, Retried, Replayed uint64
+	// CrossZone and Far count those of Forwarded that left their zone, and region.
+	CrossZone, CrossRegion uint64
 }
 
 // New makes a dispatcher with nothing to hand.
-func New(p Options) *Dispatcher {
-	if p.Queue == 0 {
-		p.Queue = 128
+func New(options Options) *Dispatcher {
+	if options.QueueLimit == 0 {
+		options.QueueLimit = 128
 	}
-	return &Dispatcher{Options: p, jobs: map[ids.RequestID]*job{}, spots: map[ids.InstanceID]*spot{}, whole: map[ids.Name]time.Duration{}, mean: 20 * time.Millisecond}
+	return &Dispatcher{Options: options, jobs: map[ids.RequestID]*job{}, endpoints: map[ids.InstanceID]*endpoint{}, longestTimeout: map[ids.Name]time.Duration{}, meanResponseTime: 20 * time.Millisecond}
 }
 
 // Step is the machine's one entrance.
 func (d *Dispatcher) Step(now ids.Time, ev event.Event) []event.Command {
 	switch e := ev.(type) {
 	case RequestArrived:
-		d.arrive(now, e.Job)
+		d.onRequestArrived(now, e.Job)
 	case IdempotencyReply:
-		d.told(now, e)
+		d.onIdempotencyReply(now, e)
 	case AttemptFinished:
-		d.back(now, e)
+		d.onAttemptFinished(now, e)
 	case ServiceState:
-		d.restock(now, e)
-	case Lease:
-		d.lease = e.Until
+		d.onServiceState(now, e)
+	case LeaseUpdated:
+		d.leaseExpiresAt = e.ExpiresAt
 	case event.Tick:
-		d.clock(now)
+		d.onTick(now)
 	}
 	return d.Drain()
 }
 
-// Waiting counts the requests in the queue.
-func (d *Dispatcher) Waiting() int { return len(d.queue) }
+// QueueLength counts the requests in the queue.
+func (d *Dispatcher) QueueLength() int { return len(d.queue) }
 
-// Busy counts the requests in hand.
-func (d *Dispatcher) Busy() int { return len(d.jobs) }
+// JobCount counts the requests in hand.
+func (d *Dispatcher) JobCount() int { return len(d.jobs) }
 
-func (d *Dispatcher) arrive(now ids.Time, in Job) {
-	j := &job{Job: in, avoid: map[ids.InstanceID]bool{}}
-	d.jobs[in.ID] = j
-	d.age(now, j)
-	d.Tally.Arrived++
+func (d *Dispatcher) onRequestArrived(now ids.Time, request Job) {
+	j := &job{Job: request, triedTargets: map[ids.InstanceID]bool{}}
+	d.jobs[request.ID] = j
+	d.checkGoalReachable(now, j)
+	d.Counters.Arrived++
 	switch {
 	case j.Attempt > 0:
-	case j.Repeatable, j.Single:
+	case j.Repeatable, j.AtMostOnce:
 		j.Attempt = 1
 	default:
 		// Without a number of its own, this attempt could not be told from
 		// the ones that it must be fenced against.
-		d.wish(now, j, idempotency.OpNumberAttempt, entering, 2*time.Second)
+		d.callIdempotency(now, j, idempotency.OpNumberAttempt, registeringAttempt, 2*time.Second)
 		return
 	}
 	// A repeat may find that it has run: that comes before any reject.
-	if j.marked() && j.Attempt > 1 {
-		d.look(now, j)
+	if j.hasIdempotencyRecord() && j.Attempt > 1 {
+		d.readRecord(now, j)
 		return
 	}
 	d.admit(now, j)
 }
 
 // request asks for an operation on the job's mark.
-func (d *Dispatcher) wish(now ids.Time, j *job, op consensus.Op, p phase, wait time.Duration) {
-	j.phase = p
-	j.turn++
-	d.Emit(IdempotencyCall{ID: j.ID, Turn: j.turn, Key: idempotency.RegisterKey(j.Route, j.IdempotencyKey), Op: op, Operation: d.words(j), Wait: min(wait, max(j.Deadline.Sub(now), 50*time.Millisecond))})
+func (d *Dispatcher) callIdempotency(now ids.Time, j *job, op consensus.Op, state jobState, timeout time.Duration) {
+	j.state = state
+	j.sequence++
+	d.Emit(IdempotencyCall{ID: j.ID, Sequence: j.sequence, Key: idempotency.RegisterKey(j.Route, j.IdempotencyKey), Op: op, Operation: d.idempotencyOperation(j), Timeout: min(timeout, max(j.Deadline.Sub(now), 50*time.Millisecond))})
 }
 
-func (d *Dispatcher) words(j *job) idempotency.Operation {
-	o := d.Self
-	o.Request = j.ID
-	return idempotency.Operation{Owner: o, Attempt: j.Attempt, Fingerprint: j.Fingerprint, Response: kept(j.response)}
+func (d *Dispatcher) idempotencyOperation(j *job) idempotency.Operation {
+	owner := d.Self
+	owner.Request = j.ID
+	return idempotency.Operation{Owner: owner, Attempt: j.Attempt, Fingerprint: j.Fingerprint, Response: truncateForStorage(j.response)}
 }
 
-// mostKept bounds the body that is kept with an outcome. Beyond it a repeat
+// maxStoredBody bounds the body that is kept with an outcome. Beyond it a repeat
 // learns that it ran, and the digest, but not the answer.
-const mostKept = 64 << 10
+const maxStoredBody = 64 << 10
 
-func kept(a idempotency.Response) idempotency.Response {
-	if len(a.Body) > mostKept {
-		return idempotency.Response{Status: a.Status, Digest: a.Digest, BodyOmitted: true}
+func truncateForStorage(response idempotency.Response) idempotency.Response {
+	if len(response.Body) > maxStoredBody {
+		return idempotency.Response{Status: response.Status, Digest: response.Digest, BodyOmitted: true}
 	}
-	return a
+	return response
 }
 
-func (d *Dispatcher) look(now ids.Time, j *job) {
-	d.wish(now, j, consensus.Read, looking, 2*time.Second)
+func (d *Dispatcher) readRecord(now ids.Time, j *job) {
+	d.callIdempotency(now, j, consensus.Read, readingRecord, 2*time.Second)
 }
--- a/internal/dataplane/dispatch/endings.go
+++ b/internal/dataplane/dispatch/endings.go
@@ -9,92 +9,92 @@
 )
 
 // respond ends a job with its one answer.
-func (d *Dispatcher) respond(now ids.Time, j *job, r Response) {
-	r.ID = j.ID
-	d.free(now, j)
+func (d *Dispatcher) respond(now ids.Time, j *job, response Response) {
+	response.ID = j.ID
+	d.releaseSlot(now, j)
 	delete(d.jobs, j.ID)
-	switch r.Class {
+	switch response.Class {
 	case Rejected:
-		d.Tally.Rejected++
-		d.note(r.Why)
+		d.Counters.Rejected++
+		d.countReason(response.Reason)
 	case Unknown:
-		d.Tally.Unknown++
-		d.note(r.Why)
+		d.Counters.Unknown++
+		d.countReason(response.Reason)
 	case Answered:
-		d.Tally.Answered++
+		d.Counters.Answered++
 	}
-	d.Emit(r)
+	d.Emit(response)
 }
 
-// mostReasons bounds the reasons kept apart; some name addresses.
-const mostReasons = 16
+// maxReasons bounds the reasons kept apart; some name addresses.
+const maxReasons = 16
 
-// note counts a reason, by its words before any colon.
-func (d *Dispatcher) note(why string) {
-	why, _, _ = strings.Cut(why, ":")
-	if _, known := d.reasons[why]; !known && len(d.reasons) >= mostReasons {
-		why = "other"
+// countReason counts a reason, by its words before any colon.
+func (d *Dispatcher) countReason(reason string) {
+	reason, _, _ = strings.Cut(reason, ":")
+	if _, known := d.failureReasons[reason]; !known && len(d.failureReasons) >= maxReasons {
+		reason = "other"
 	}
-	if d.reasons == nil {
-		d.reasons = map[string]int{}
+	if d.failureReasons == nil {
+		d.failureReasons = map[string]int{}
 	}
-	d.reasons[why]++
+	d.failureReasons[reason]++
 }
 
-// Reasons gives why requests got no answer since it was last asked.
-func (d *Dispatcher) Reasons() map[string]int {
-	out := d.reasons
-	d.reasons = nil
-	return out
+// TakeFailureReasons gives why requests got no answer since it was last asked.
+func (d *Dispatcher) TakeFailureReasons() map[string]int {
+	reasons := d.failureReasons
+	d.failureReasons = nil
+	return reasons
 }
 
-func (d *Dispatcher) unknown(now ids.Time, j *job, status int, why string) {
-	after := time.Duration(0)
+func (d *Dispatcher) respondUnknown(now ids.Time, j *job, status int, reason string) {
+	retryAfter := time.Duration(0)
 	if j.Repeatable {
-		after = time.Second
+		retryAfter = time.Second
 	}
-	d.respond(now, j, Response{Class: Unknown, Status: status, Why: why, RetryAfter: after})
+	d.respond(now, j, Response{Class: Unknown, Status: status, Reason: reason, RetryAfter: retryAfter})
 }
 
 // reject gives a job up that surely has not run. A later attempt must first
 // bar the earlier ones, or one of them might still run after this answer.
-func (d *Dispatcher) reject(now ids.Time, j *job, why string) {
-	d.free(now, j)
-	if j.marked() && j.Attempt > 1 {
-		j.why = why
-		d.wish(now, j, idempotency.OpBlock, barring, 500*time.Millisecond)
+func (d *Dispatcher) reject(now ids.Time, j *job, reason string) {
+	d.releaseSlot(now, j)
+	if j.hasIdempotencyRecord() && j.Attempt > 1 {
+		j.rejectReason = reason
+		d.callIdempotency(now, j, idempotency.OpBlock, blockingAttempts, 500*time.Millisecond)
 		return
 	}
-	if j.claimed {
-		d.Emit(IdempotencyCall{Key: idempotency.RegisterKey(j.Route, j.IdempotencyKey), Op: idempotency.OpRelease, Operation: d.words(j), Wait: 10 * time.Second})
+	if j.claimRequested {
+		d.Emit(IdempotencyCall{Key: idempotency.RegisterKey(j.Route, j.IdempotencyKey), Op: idempotency.OpRelease, Operation: d.idempotencyOperation(j), Timeout: 10 * time.Second})
 	}
-	d.respond(now, j, Response{Class: Rejected, Status: 503, Why: why, RetryAfter: d.after(now, j)})
+	d.respond(now, j, Response{Class: Rejected, Status: 503, Reason: reason, RetryAfter: d.retryAfter(now, j)})
 }
 
-// after is when a rejected client should come back: when a place is likely,
+// retryAfter is when a rejected client should come back: when a place is likely,
 // by what waits now. Without a goal there is no telling how soon is soon.
-func (d *Dispatcher) after(now ids.Time, j *job) time.Duration {
-	if j.Goal == 0 {
+func (d *Dispatcher) retryAfter(now ids.Time, j *job) time.Duration {
+	if j.LatencyGoal == 0 {
 		return time.Second
 	}
-	wait := time.Duration(len(d.queue)+1) * d.mean / time.Duration(max(d.places(now), 1))
-	return min(max(wait, j.Goal/8), time.Second)
+	wait := time.Duration(len(d.queue)+1) * d.meanResponseTime / time.Duration(max(d.totalSlots(now), 1))
+	return min(max(wait, j.LatencyGoal/8), time.Second)
 }
 
-// repeated answers with the outcome of the run that there was.
-func (d *Dispatcher) repeated(now ids.Time, j *job, a idempotency.Response) {
-	d.Tally.Repeats++
+// replay answers with the outcome of the run that there was.
+func (d *Dispatcher) replay(now ids.Time, j *job, stored idempotency.Response) {
+	d.Counters.Replayed++
 	switch {
-	case a.Status == 0 || a.Status == 504 && a.BodyOmitted:
-		d.unknown(now, j, 504, "may have run; its answer was lost")
-	case a.BodyOmitted:
-		d.respond(now, j, Response{Class: Answered, Status: 200, Why: "it ran; the answer was too large to keep", Sealed: a})
+	case stored.Status == 0 || stored.Status == 504 && stored.BodyOmitted:
+		d.respondUnknown(now, j, 504, "may have run; its answer was lost")
+	case stored.BodyOmitted:
+		d.respond(now, j, Response{Class: Answered, Status: 200, Reason: "it ran; the answer was too large to keep", TargetResponse: stored})
 	default:
-		d.respond(now, j, Response{Class: Answered, Status: int(a.Status), Sealed: a})
+		d.respond(now, j, Response{Class: Answered, Status: int(stored.Status), TargetResponse: stored})
 	}
 }
 
-func status(now ids.Time, j *job) int {
+func unknownStatus(now ids.Time, j *job) int {
 	if now >= j.Deadline {
 		return 504
 	}
--- a/internal/dataplane/dispatch/job.go
+++ b/internal/dataplane/dispatch/job.go
@@ -22,12 +22,12 @@
 	Deadline       ids.Time
 	// Single: unrepeatable without a mark. This attempt reaches this proxy
 	// alone, which lets it begin at one target at most.
-	Single bool
-	// Goal is the time within which an answer is worth most; 0 for none.
-	Goal time.Duration
-	// Attempts is the most targets that the request may be sent to; 0 for the
+	AtMostOnce bool
+	// LatencyGoal is the time within which an answer is worth most; 0 for none.
+	LatencyGoal time.Duration
+	// MaxAttempts is the most targets that the request may be sent to; 0 for the
 	// dispatcher's own limit.
-	Attempts int
+	MaxAttempts int
 	// Homes are the regions whose targets may have it; none for all.
 	Homes []ids.Name
 	// Terms are what the route said when the request was taken.
@@ -43,7 +43,7 @@
 	Rejected ResponseClass = iota + 1
 	Unknown
 	Answered
-	Misused
+	ClientError
 )
 
 // AttemptResult a forwarded request came back.
@@ -68,20 +68,20 @@
 	RequestArrived struct{ Job Job }
 	// IdempotencyReply is what came of a request about a mark.
 	IdempotencyReply struct {
-		ID      ids.RequestID
-		Turn    uint32
-		Outcome consensus.Outcome
-		Out     []byte
+		ID       ids.RequestID
+		Sequence uint32
+		Outcome  consensus.Outcome
+		Payload  []byte
 	}
 	// AttemptFinished is a forwarded request that ended.
 	AttemptFinished struct {
 		ID       ids.RequestID
-		Turn     uint32
+		Sequence uint32
 		Result   AttemptResult
 		Response idempotency.Response
-		Why      string
+		Reason   string
 		// Told: the target said how full it is, in Running, Waiting and Slots.
-		Told                    bool
+		LoadReported            bool
 		Running, Waiting, Slots int64
 	}
 )
@@ -91,23 +91,23 @@
 	// IdempotencyCall asks for an operation on a mark; a Turn of zero wants no word back.
 	IdempotencyCall struct {
 		ID        ids.RequestID
-		Turn      uint32
+		Sequence  uint32
 		Key       ids.RegisterKey
 		Op        consensus.Op
 		Operation idempotency.Operation
-		Wait      time.Duration
+		Timeout   time.Duration
 	}
 	// Forward carries a request to a target, once.
 	Forward struct {
 		ID       ids.RequestID
-		Turn     uint32
+		Sequence uint32
 		Target   targets.Target
 		Deadline ids.Time
 		// SendBefore is the last moment at which its first byte may leave.
 		SendBefore ids.Time
 		// Careful: of held connections only one that was in use a moment ago will
 		// do, since what is lost on a dead one can't be sent again.
-		Careful bool
+		RecentOnly bool
 		// NewConnection asks for a new connection, whose target has just shown who it is.
 		NewConnection bool
 	}
@@ -116,9 +116,9 @@
 		ID     ids.RequestID
 		Class  ResponseClass
 		Status int
-		Why    string
+		Reason string
 		// RetryAfter is when to come back; 0 for no word on that.
-		RetryAfter time.Duration
-		Sealed     idempotency.Response
+		RetryAfter     time.Duration
+		TargetResponse idempotency.Response
 	}
 )
--- a/internal/dataplane/dispatch/late.go
+++ b/internal/dataplane/dispatch/late.go
@@ -2,27 +2,27 @@
 
 import "dunlinwell/internal/base/ids"
 
-// wholeShare is how fast the longest time that a route's clients give is
+// longestTimeoutDecay is how fast the longest time that a route's clients give is
 // forgotten: slowly, as after an outage most that come have waited already.
-const wholeShare = 1024
+const longestTimeoutDecay = 1024
 
-// age tells a job that comes again after others were lost or rejected: it has
+// checkGoalReachable tells a job that comes again after others were lost or rejected: it has
 // less time left than its route's clients give at first. Where that leaves
 // its goal out of reach, a wait costs it nothing, and those that can still meet
 // theirs go before it.
-func (d *Dispatcher) age(now ids.Time, j *job) {
-	if j.Goal == 0 {
+func (d *Dispatcher) checkGoalReachable(now ids.Time, j *job) {
+	if j.LatencyGoal == 0 {
 		return
 	}
-	left := j.Deadline.Sub(now)
-	whole := d.whole[j.Route]
-	whole = max(left, whole-(whole-left)/wholeShare)
-	d.whole[j.Route] = whole
-	j.late = whole-left+d.mean > j.Goal
+	timeLeft := j.Deadline.Sub(now)
+	longest := d.longestTimeout[j.Route]
+	longest = max(timeLeft, longest-(longest-timeLeft)/longestTimeoutDecay)
+	d.longestTimeout[j.Route] = longest
+	j.goalUnreachable = longest-timeLeft+d.meanResponseTime > j.LatencyGoal
 }
 
-func late(j *job) int {
-	if j.late {
+func latenessRank(j *job) int {
+	if j.goalUnreachable {
 		return 1
 	}
 	return 0
--- a/internal/dataplane/dispatch/outlier.go
+++ b/internal/dataplane/dispatch/outlier.go
@@ -6,53 +6,53 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// outlier judges a target by what requests showed, not by what its page says:
+// outlierDetector judges a target by what requests showed, not by what its page says:
 // one that fails a part of them is left alone, for longer each time, while
 // there are others. It is left alone and no more, so that however many fail,
 // what a service still bears is used.
-type outlier struct {
-	share float64
-	count int
-	spells
+type outlierDetector struct {
+	failureRate float64
+	samples     int
+	ejections
 }
 
-// spells count how often in a row the target was left alone.
-type spells struct {
-	in    int
-	until ids.Time
+// ejections count how often in a row the target was left alone.
+type ejections struct {
+	ejectionCount int
+	ejectedUntil  ids.Time
 }
 
 const (
-	// weigh is how much the newest answer counts for.
-	weigh = 0.15
-	// failing is the share of failures from which a target is left alone, once
+	// failureRateWeight is how much the newest answer counts for.
+	failureRateWeight = 0.15
+	// ejectionThreshold is the share of failures from which a target is left alone, once
 	// there were a few answers.
-	failing    = 0.25
-	fewAnswers = 4
-	// manyAnswers are enough to take a target for well again.
-	manyAnswers = 20
-	// spell is how long it is left alone at first; spellMost bounds the doubling.
-	spell     = 2 * time.Second
-	spellMost = 3
+	ejectionThreshold  = 0.25
+	minEjectionSamples = 4
+	// recoverySamples are enough to take a target for well again.
+	recoverySamples = 20
+	// baseEjectionTime is how long it is left alone at first; spellMost bounds the doubling.
+	baseEjectionTime     = 2 * time.Second
+	maxEjectionDoublings = 3
 )
 
-// seen notes an answer and gives until when the target is left alone.
-func (o *outlier) seen(now ids.Time, bad bool) ids.Time {
-	x := 0.0
-	if bad {
-		x = 1
+// record notes an answer and gives until when the target is left alone.
+func (o *outlierDetector) record(now ids.Time, failed bool) ids.Time {
+	sample := 0.0
+	if failed {
+		sample = 1
 	}
-	o.share += weigh * (x - o.share)
-	o.count++
-	if o.count < fewAnswers || o.share < failing || !bad || now < o.until {
-		if !bad && o.count >= manyAnswers && o.share < failing/4 {
-			o.in = 0
+	o.failureRate += failureRateWeight * (sample - o.failureRate)
+	o.samples++
+	if o.samples < minEjectionSamples || o.failureRate < ejectionThreshold || !failed || now < o.ejectedUntil {
+		if !failed && o.samples >= recoverySamples && o.failureRate < ejectionThreshold/4 {
+			o.ejectionCount = 0
 		}
 		return 0
 	}
-	o.until = now.Add(spell << min(o.in, spellMost))
-	o.in++
+	o.ejectedUntil = now.Add(baseEjectionTime << min(o.ejectionCount, maxEjectionDoublings))
+	o.ejectionCount++
 	// What it does next is judged anew.
-	o.share, o.count = 0, 0
-	return o.until
+	o.failureRate, o.samples = 0, 0
+	return o.ejectedUntil
 }
--- a/internal/dataplane/dispatch/outlier_test.go
+++ b/internal/dataplane/dispatch/outlier_test.go
@@ -9,21 +9,21 @@
 	"dunlinwell/internal/base/ids"
 )
 
-func TestOutlierGoesByWhatRequestsShowed(t *testing.T) {
+func TestOutlierDetector_EjectsByFailureRate(t *testing.T) {
 	is := is.New(t)
 	at := func(ms int) ids.Time { return ids.Time(time.Duration(ms)*time.Millisecond) + 1 }
 	// Good ones and a stray failure: used on.
-	o := &outlier{}
+	o := &outlierDetector{}
 	for i := range 50 {
-		is.Equal(o.seen(at(i*10), i == 20), ids.Time(0))
+		is.Equal(o.record(at(i*10), i == 20), ids.Time(0))
 	}
 	// Half of them fail: left alone after a few, for longer each time.
-	o = &outlier{}
+	o = &outlierDetector{}
 	var until []ids.Time
 	now := 0
 	for i := range 200 {
 		now += 10
-		if u := o.seen(at(now), i%2 == 0); u > 0 {
+		if u := o.record(at(now), i%2 == 0); u > 0 {
 			until = append(until, u-at(now))
 			now += int(time.Duration(u-at(now)) / time.Millisecond)
 		}
@@ -35,21 +35,21 @@
 	// Well again: the next trouble begins with a short spell.
 	for range 40 {
 		now += 10
-		o.seen(at(now), false)
+		o.record(at(now), false)
 	}
-	for o.seen(at(now), true) == 0 {
+	for o.record(at(now), true) == 0 {
 		now += 10
 	}
-	is.Equal(o.in, 1)
+	is.Equal(o.ejectionCount, 1)
 }
 
 // A target that is left alone is still used where there is no other.
-func TestOutlierNeverTakesTheLast(t *testing.T) {
+func TestOutlierDetector_KeepsTargetUsable(t *testing.T) {
 	is := is.New(t)
-	s := &spot{}
+	s := &endpoint{}
 	for range 20 {
-		s.came(1, AttemptFinished{Result: TargetFailed})
+		s.recordResult(1, AttemptFinished{Result: TargetFailed})
 	}
-	is.True(s.rest > 1)
-	is.True(!s.out && s.Usable())
+	is.True(s.cooldownUntil > 1)
+	is.True(!s.removed && s.Usable())
 }
--- a/internal/dataplane/dispatch/places.go
+++ b/internal/dataplane/dispatch/places.go
@@ -12,95 +12,95 @@
 // ServiceState is what a dispatcher has to hand: an event of its own, sent whole whenever
 // targets, configuration or the number of proxies change.
 type ServiceState struct {
-	Targets  []Offer
-	Capacity int
-	Warm     time.Duration
-	// Allowance is this proxy's share of the retry allowance.
-	Allowance float64
+	Targets           []Allocation
+	DefaultCapacity   int
+	SlowStartDuration time.Duration
+	// RetryBudget is this proxy's share of the retry allowance.
+	RetryBudget float64
 	// InStep: the proxy goes by what is in force, as far as it can know.
-	InStep bool
+	IsCurrent bool
 	// Closed: the proxy's own zone has been emptied for some seconds.
-	Closed bool
-	// Lease is until when requests may leave by all this.
-	Lease ids.Time
+	OwnZoneDrained bool
+	// LeaseExpiresAt is until when requests may leave by all this.
+	LeaseExpiresAt ids.Time
 	// Terms are those in force, by route.
 	Terms map[ids.Name]RouteTerms
-	// Ended tells whether a run of a proxy is over.
-	Ended func(ids.DaemonID, ids.RunID) bool `json:"-"`
+	// RunEnded tells whether a run of a proxy is over.
+	RunEnded func(ids.DaemonID, ids.RunID) bool `json:"-"`
 }
 
-// Offer is a target as it is offered to this proxy.
-type Offer struct {
+// Allocation is a target as it is offered to this proxy.
+type Allocation struct {
 	targets.Target
-	// At is when Age was right.
-	At ids.Time
+	// AgeMeasuredAt is when Age was right.
+	AgeMeasuredAt ids.Time
 	// LiveProxy is this proxy's place among the Seats that share the target.
-	Seat, Seats int
-	Distance    float64
-	Emptied     bool
-	// Over is how many times the target's places are given out among the seats:
+	SlotShareIndex, SlotShareCount int
+	Distance                       float64
+	ZoneDrained                    bool
+	// Oversubscription is how many times the target's places are given out among the seats:
 	// its own small queue takes what comes at the same time. 0 is once.
-	Over int
+	Oversubscription int
 	// Region is where the target stands.
 	Region ids.Name
-	// ColdUntil and Rate bound a cold target: until then it gets Rate requests a
+	// SlowStartUntil and Rate bound a cold target: until then it gets Rate requests a
 	// second from this proxy, and none where that is 0.
-	ColdUntil ids.Time
-	Rate      float64
+	SlowStartUntil ids.Time
+	SlowStartRate  float64
 }
 
-func (d *Dispatcher) restock(now ids.Time, s ServiceState) {
-	d.stock, d.lease = s, s.Lease
-	d.budget.depth = s.Allowance
+func (d *Dispatcher) onServiceState(now ids.Time, state ServiceState) {
+	d.service, d.leaseExpiresAt = state, state.LeaseExpiresAt
+	d.retryBudget.capacity = state.RetryBudget
 	seen := map[ids.InstanceID]bool{}
-	for _, o := range s.Targets {
-		seen[o.Instance] = true
-		sp := d.spots[o.Instance]
-		if sp == nil {
-			sp = &spot{}
-			d.spots[o.Instance] = sp
+	for _, allocation := range state.Targets {
+		seen[allocation.Instance] = true
+		e := d.endpoints[allocation.Instance]
+		if e == nil {
+			e = &endpoint{}
+			d.endpoints[allocation.Instance] = e
 		}
-		sp.Offer, sp.out = o, false
+		e.Allocation, e.removed = allocation, false
 	}
-	for id, sp := range d.spots {
+	for id, e := range d.endpoints {
 		if !seen[id] {
-			sp.out = true
-			if sp.busy <= 0 {
-				delete(d.spots, id)
+			e.removed = true
+			if e.inFlight <= 0 {
+				delete(d.endpoints, id)
 			}
 		}
 	}
 	// The order of instances, so that one seed is one run.
-	d.list = d.list[:0]
-	for _, id := range slices.Sorted(maps.Keys(d.spots)) {
-		d.list = append(d.list, d.spots[id])
+	d.sortedEndpoints = d.sortedEndpoints[:0]
+	for _, id := range slices.Sorted(maps.Keys(d.endpoints)) {
+		d.sortedEndpoints = append(d.sortedEndpoints, d.endpoints[id])
 	}
-	d.drain(now)
+	d.dispatchQueue(now)
 }
 
-// coldest is the share of its capacity that a target gets as it comes back.
-const coldest = 0.2
+// minWarmth is the share of its capacity that a target gets as it comes back.
+const minWarmth = 0.2
 
-// budget bounds retries. A bucket rather than a sliding window: over any span
+// retryBudget bounds retries. A bucket rather than a sliding window: over any span
 // at all, retries are at most a fifth of the first requests plus the depth,
 // while a window counted back from each retry lets a later span pass that.
 // It starts empty, so a restarted proxy has no allowance to begin with.
-type budget struct {
-	depth  float64
-	tokens float64
+type retryBudget struct {
+	capacity float64
+	tokens   float64
 }
 
-// retryShare is a little under one in five: what leaves here within ten seconds
+// retryRatio is a little under one in five: what leaves here within ten seconds
 // may reach targets within nine, if this process is held up just then.
-const retryShare = 0.18
+const retryRatio = 0.18
 
-func (b *budget) earn() { b.tokens = min(b.depth, b.tokens+retryShare) }
+func (b *retryBudget) deposit() { b.tokens = min(b.capacity, b.tokens+retryRatio) }
 
-// unearn takes a share back for a request that didn't leave after all; what
+// cancelDeposit takes a share back for a request that didn't leave after all; what
 // was spent of it meanwhile becomes a debt.
-func (b *budget) unearn() { b.tokens -= retryShare }
+func (b *retryBudget) cancelDeposit() { b.tokens -= retryRatio }
 
-func (b *budget) spend() bool {
+func (b *retryBudget) withdraw() bool {
 	if b.tokens < 1-1e-9 {
 		return false
 	}
--- a/internal/dataplane/dispatch/trace_test.go
+++ b/internal/dataplane/dispatch/trace_test.go
@@ -20,17 +20,17 @@
 		t.Fatal("no traces", err)
 	}
 	for _, f := range files {
-		t.Run(strings.TrimSuffix(filepath.Base(f), ".trace"), func(t *testing.T) { playFile(t, f) })
+		t.Run(strings.TrimSuffix(filepath.Base(f), ".trace"), func(t *testing.T) { runTrace(t, f) })
 	}
 }
 
-func playFile(t *testing.T, name string) {
+func runTrace(t *testing.T, name string) {
 	raw, err := os.ReadFile(name)
 	if err != nil {
 		t.Fatal(err)
 	}
 	d := New(Options{Random: rand.New(rand.NewPCG(1, 1)), Self: idempotency.Owner{Daemon: "c1", RunID: 1}})
-	p := &player{}
+	p := &scriptRunner{}
 	var got, want []string
 	check := func(line int) {
 		if strings.Join(got, "\n") != strings.Join(want, "\n") {
@@ -53,9 +53,9 @@
 				t.Fatalf("line %d: %v", n+1, err)
 			}
 			now := ids.Time(span) + 1
-			for _, ev := range p.event(t, now, strings.Fields(words)) {
+			for _, ev := range p.parseEvent(t, now, strings.Fields(words)) {
 				for _, c := range d.Step(now, ev) {
-					got = append(got, strings.TrimSpace(p.command(c)))
+					got = append(got, strings.TrimSpace(p.formatCommand(c)))
 				}
 			}
 		}
--- a/internal/dataplane/proxy/agreement.go
+++ b/internal/dataplane/proxy/agreement.go
@@ -78,7 +78,7 @@
 	}
 	c.sentConfirmedAt = c.confirmedAt()
 	for _, n := range slices.Sorted(maps.Keys(c.view.Services)) {
-		c.Emit(DispatchEvent{n, dispatch.Lease{Until: c.leaseEnd()}})
+		c.Emit(DispatchEvent{n, dispatch.LeaseUpdated{ExpiresAt: c.leaseEnd()}})
 	}
 }
 
--- a/internal/dataplane/proxy/carry.go
+++ b/internal/dataplane/proxy/carry.go
@@ -58,23 +58,23 @@
 
 // forward takes a request to its target, once, and judges what comes back.
 func (d *Daemon) forward(c *ClientRequest, f dispatch.Forward) dispatch.AttemptFinished {
-	back := dispatch.AttemptFinished{ID: f.ID, Turn: f.Turn, Result: dispatch.NotSent}
+	back := dispatch.AttemptFinished{ID: f.ID, Sequence: f.Sequence, Result: dispatch.NotSent}
 	until := time.Now().Add(f.Deadline.Sub(process.Now()))
 	var line *connection
 	if !f.NewConnection {
-		line = d.pool.take(f.Target, f.Careful)
+		line = d.pool.take(f.Target, f.RecentOnly)
 	}
 	if line == nil {
 		var err error
 		if line, err = d.pool.dial(context.Background(), f.Target, until); err != nil {
-			back.Why = err.Error()
+			back.Reason = err.Error()
 			return back
 		}
 	}
 	// The last look before the first byte: time left, and no pause since.
 	if !MaySend(process.Now(), f.SendBefore, ids.Time(d.lastStep.Load())) {
 		line.Close()
-		back.Why = "no time left, or this proxy was paused"
+		back.Reason = "no time left, or this proxy was paused"
 		return back
 	}
 	_ = line.SetDeadline(until)
@@ -89,7 +89,7 @@
 	if err != nil {
 		d.pool.recordStale(line)
 		line.Close()
-		back.Why = "sending: " + err.Error()
+		back.Reason = "sending: " + err.Error()
 		return back
 	}
 	v, err := d.readResponse(line, c, f)
@@ -98,7 +98,7 @@
 			d.pool.recordStale(line)
 		}
 		line.Close()
-		back.Why = err.Error()
+		back.Reason = err.Error()
 		return back
 	}
 	if v.KeepAlive {
@@ -106,8 +106,8 @@
 	} else {
 		line.Close()
 	}
-	back.Result, back.Response, back.Why = v.Result, v.Response, v.Reason
-	back.Told, back.Running, back.Waiting, back.Slots = v.LoadReported, v.Running, v.Waiting, v.Slots
+	back.Result, back.Response, back.Reason = v.Result, v.Response, v.Reason
+	back.LoadReported, back.Running, back.Waiting, back.Slots = v.LoadReported, v.Running, v.Waiting, v.Slots
 	return back
 }
 
--- a/internal/dataplane/proxy/carry_test.go
+++ b/internal/dataplane/proxy/carry_test.go
@@ -98,7 +98,7 @@
 		Header: http.Header{"Idempotency-Key": {"m"}, "Connection": {"X-Own"}, "X-Own": {"1"}, "X-Kept": {"2"}},
 	}
 	return d.forward(c, dispatch.Forward{
-		ID: 3, Turn: 1, NewConnection: fresh, Deadline: process.Now().Add(5 * time.Second), SendBefore: process.Now().Add(5 * time.Second),
+		ID: 3, Sequence: 1, NewConnection: fresh, Deadline: process.Now().Add(5 * time.Second), SendBefore: process.Now().Add(5 * time.Second),
 		Target: targets.Target{Instance: "t", Service: "s", Incarnation: 4, Address: ids.Address(s.Addr().String())},
 	})
 }
@@ -144,7 +144,7 @@
 		s.respond = answer
 		b := d.forwardNative(s, true, false)
 		if b.Result != dispatch.MayHaveRun {
-			t.Errorf("%s: %v %s", name, b.Result, b.Why)
+			t.Errorf("%s: %v %s", name, b.Result, b.Reason)
 		}
 		is.Equal(s.requests.Load(), int64(1)) // sent once, whatever came back
 	}
--- a/internal/dataplane/proxy/circuits_test.go
+++ b/internal/dataplane/proxy/circuits_test.go
@@ -67,7 +67,7 @@
 	d.lastStep.Store(int64(process.Now()))
 	c.Method, c.URI, c.Header = "POST", "/x", http.Header{"Id": {c.AttemptID}}
 	return d.forward(c, dispatch.Forward{
-		ID: 1, Turn: 1, Careful: careful, Deadline: process.Now().Add(within), SendBefore: process.Now().Add(within),
+		ID: 1, Sequence: 1, RecentOnly: careful, Deadline: process.Now().Add(within), SendBefore: process.Now().Add(within),
 		Target: targets.Target{Instance: "t", Service: "s", Address: ids.Address(s.Addr().String())},
 	})
 }
--- a/internal/dataplane/proxy/daemon.go
+++ b/internal/dataplane/proxy/daemon.go
@@ -164,7 +164,7 @@
 	defer d.mu.Unlock()
 	if p = d.dispatchers[service]; p == nil {
 		random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-		p = &serviceDispatcher{dispatcher: dispatch.New(dispatch.Options{Random: random, Queue: d.Options.MaxQueueLength, Self: idempotency.Owner{Daemon: d.self.ID, RunID: d.self.RunID}}), requests: map[ids.RequestID]*pendingRequest{}}
+		p = &serviceDispatcher{dispatcher: dispatch.New(dispatch.Options{Random: random, QueueLimit: d.Options.MaxQueueLength, Self: idempotency.Owner{Daemon: d.self.ID, RunID: d.self.RunID}}), requests: map[ids.RequestID]*pendingRequest{}}
 		d.dispatchers[service] = p
 	}
 	return p
@@ -185,7 +185,7 @@
 			delete(p.requests, c.ID)
 		}
 	}
-	waits := p.dispatcher.Waiting() > 0 && !p.tickPending
+	waits := p.dispatcher.QueueLength() > 0 && !p.tickPending
 	p.tickPending = p.tickPending || waits
 	p.mu.Unlock()
 	if waits {
--- a/internal/dataplane/proxy/edge.go
+++ b/internal/dataplane/proxy/edge.go
@@ -54,7 +54,7 @@
 	r.Service = r.SelectService(rand.Float64())
 	return dispatch.Job{
 		ID: ids.RequestID(d.lastRequestID.Add(1)), Route: r.Name, Service: r.Service, Tier: r.Tier*10 + v.Services[r.Service].Tier,
-		Repeatable: r.Repeatable, Single: r.WithoutIdempotencyKey, Goal: r.LatencyGoal(), Attempts: r.MaxAttempts, Homes: r.HomeRegions, Terms: RouteTerms(r),
+		Repeatable: r.Repeatable, AtMostOnce: r.WithoutIdempotencyKey, LatencyGoal: r.LatencyGoal(), MaxAttempts: r.MaxAttempts, Homes: r.HomeRegions, Terms: RouteTerms(r),
 	}
 }
 
--- a/internal/dataplane/proxy/events.go
+++ b/internal/dataplane/proxy/events.go
@@ -23,7 +23,7 @@
 	// UsageSample is what the requests of an interval have cost.
 	UsageSample struct {
 		Interval   time.Duration
-		Rows       []spill.Spent
+		Rows       []spill.ServiceUsage
 		LatencyP95 time.Duration
 		Requests   uint64
 	}
@@ -53,14 +53,14 @@
 	if w.Op != consensus.Read {
 		raw, err := wire.Encode(w.Operation)
 		if err != nil {
-			c.Emit(DispatchEvent{a.Service, dispatch.IdempotencyReply{ID: w.ID, Turn: w.Turn, Outcome: consensus.Rejected}})
+			c.Emit(DispatchEvent{a.Service, dispatch.IdempotencyReply{ID: w.ID, Sequence: w.Sequence, Outcome: consensus.Rejected}})
 			return
 		}
 		arg = raw
 	}
-	c.Client.Call(now, w.Key, w.Op, arg, w.Wait, func(_ ids.Time, s consensus.Outcome, out []byte) {
-		if w.Turn != 0 {
-			c.Emit(DispatchEvent{a.Service, dispatch.IdempotencyReply{ID: w.ID, Turn: w.Turn, Outcome: s, Out: out}})
+	c.Client.Call(now, w.Key, w.Op, arg, w.Timeout, func(_ ids.Time, s consensus.Outcome, out []byte) {
+		if w.Sequence != 0 {
+			c.Emit(DispatchEvent{a.Service, dispatch.IdempotencyReply{ID: w.ID, Sequence: w.Sequence, Outcome: s, Payload: out}})
 		}
 	})
 }
@@ -70,7 +70,7 @@
 	c.reportNumber++
 	r := spill.Report{
 		Proxy: c.Self.ID, RunID: c.Self.RunID, Zone: c.Self.Zone, Number: c.reportNumber,
-		Interval: uint32(m.Interval / time.Millisecond), Rows: m.Rows, Latency: uint64(m.LatencyP95 / time.Microsecond), Count: m.Requests,
+		IntervalMillis: uint32(m.Interval / time.Millisecond), Usage: m.Rows, LatencyMicros: uint64(m.LatencyP95 / time.Microsecond), RequestCount: m.Requests,
 	}
 	to := c.Live(membership.Registry)
 	if c.ByZone && len(to) > maxReportRecipients {
--- a/internal/dataplane/proxy/front.go
+++ b/internal/dataplane/proxy/front.go
@@ -199,17 +199,17 @@
 
 // writeResponse gives the client the one answer.
 func writeResponse(w http.ResponseWriter, r *http.Request, rep dispatch.Response) {
-	if rep.Class != dispatch.Answered || rep.Sealed.BodyOmitted {
-		writeProblem(w, rep.Status, classNames[rep.Class], rep.Why, int((rep.RetryAfter+time.Second-1)/time.Second))
+	if rep.Class != dispatch.Answered || rep.TargetResponse.BodyOmitted {
+		writeProblem(w, rep.Status, classNames[rep.Class], rep.Reason, int((rep.RetryAfter+time.Second-1)/time.Second))
 		return
 	}
-	for _, h := range rep.Sealed.Header {
+	for _, h := range rep.TargetResponse.Header {
 		w.Header().Add(h.Name, h.Value)
 	}
 	w.Header().Set("Dunlinwell-Class", "answered")
-	w.Header().Set("Content-Length", strconv.Itoa(len(rep.Sealed.Body)))
+	w.Header().Set("Content-Length", strconv.Itoa(len(rep.TargetResponse.Body)))
 	w.WriteHeader(rep.Status)
 	if r.Method != http.MethodHead {
-		_, _ = w.Write(rep.Sealed.Body)
+		_, _ = w.Write(rep.TargetResponse.Body)
 	}
 }
--- a/internal/dataplane/proxy/frozen_test.go
+++ b/internal/dataplane/proxy/frozen_test.go
@@ -24,14 +24,14 @@
 			f, d := newFaultyTarget(t, closeConnection), newPlainDaemon(0)
 			if reused {
 				if b := d.forwardTo(f, "first"); b.Result != dispatch.Complete {
-					t.Fatal(b.Why)
+					t.Fatal(b.Reason)
 				}
 			}
 			d.lastStep.Store(int64(min(c.beat, process.Now())))
 			b := d.forward(&ClientRequest{AttemptID: "late", Method: "POST", URI: "/x", Header: http.Header{"Id": {"late"}}},
-				dispatch.Forward{ID: 1, Turn: 1, Deadline: c.due, SendBefore: c.by, Target: targets.Target{Instance: "t", Service: "s", Address: ids.Address(f.Addr().String())}})
+				dispatch.Forward{ID: 1, Sequence: 1, Deadline: c.due, SendBefore: c.by, Target: targets.Target{Instance: "t", Service: "s", Address: ids.Address(f.Addr().String())}})
 			if b.Result != dispatch.NotSent || f.runs("late") != 0 {
-				t.Errorf("%s, reused %t: %v (%s), it ran %d times", name, reused, b.Result, b.Why, f.runs("late"))
+				t.Errorf("%s, reused %t: %v (%s), it ran %d times", name, reused, b.Result, b.Reason, f.runs("late"))
 			}
 		}
 	}
--- a/internal/dataplane/proxy/meter.go
+++ b/internal/dataplane/proxy/meter.go
@@ -106,7 +106,7 @@
 		if all > 0 {
 			ms += spent * float64(c.handlingTime) / float64(all)
 		}
-		out.Rows = append(out.Rows, spill.Spent{Route: k[0], Service: k[1], CPU: ms / span.Seconds()})
+		out.Rows = append(out.Rows, spill.ServiceUsage{Route: k[0], Service: k[1], CPU: ms / span.Seconds()})
 	}
 	slices.Sort(m.latencies)
 	if n := len(m.latencies); n > 0 {
--- a/internal/dataplane/proxy/places.go
+++ b/internal/dataplane/proxy/places.go
@@ -23,21 +23,21 @@
 
 // offerOf works out this proxy's seat at a target. Each target has an order
 // of proxies of its own, so the odd places fall to different ones.
-func (c *Control) offerOf(now ids.Time, t targets.Target, seats []membership.Member) dispatch.Offer {
-	o := dispatch.Offer{
-		Target: t, At: now, Distance: c.view.Distance(c.Self.Zone, t.Zone),
-		Emptied: c.view.Zones[t.Zone].Drained || c.view.Zones[t.Zone].Evacuated, Region: ids.Name(c.view.Zones[t.Zone].Region),
+func (c *Control) offerOf(now ids.Time, t targets.Target, seats []membership.Member) dispatch.Allocation {
+	o := dispatch.Allocation{
+		Target: t, AgeMeasuredAt: now, Distance: c.view.Distance(c.Self.Zone, t.Zone),
+		ZoneDrained: c.view.Zones[t.Zone].Drained || c.view.Zones[t.Zone].Evacuated, Region: ids.Name(c.view.Zones[t.Zone].Region),
 	}
 	if !c.ByZone {
-		o.Seats, o.Seat = max(len(seats), 1), c.rendezvousRank(string(t.Instance), seats)
+		o.SlotShareCount, o.SlotShareIndex = max(len(seats), 1), c.rendezvousRank(string(t.Instance), seats)
 		return o
 	}
 	class, peers := c.proximityOf(t, seats)
-	o.Seats, o.Seat, o.Over = max(len(peers), 1), c.rendezvousRank(string(t.Instance), peers), 1
+	o.SlotShareCount, o.SlotShareIndex, o.Oversubscription = max(len(peers), 1), c.rendezvousRank(string(t.Instance), peers), 1
 	if class == 0 {
 		// Two proxies or more may each use what the other leaves; a target's own
 		// queue takes what they send at the same time.
-		o.Over = min(o.Seats, 2)
+		o.Oversubscription = min(o.SlotShareCount, 2)
 	}
 	c.limitSlowStart(now, t, class, &o)
 	return o
@@ -98,14 +98,14 @@
 
 // limitSlowStart bounds what a cold target gets: its rate is shared by those who have
 // its places, and nobody else sends it anything.
-func (c *Control) limitSlowStart(now ids.Time, t targets.Target, class int, o *dispatch.Offer) {
+func (c *Control) limitSlowStart(now ids.Time, t targets.Target, class int, o *dispatch.Allocation) {
 	sv := c.view.Services[t.Service]
 	if sv.SlowStartRate <= 0 {
 		return
 	}
-	o.ColdUntil = max(now.Add(time.Duration(t.SlowStartMillis)*time.Millisecond), c.slowStartUntil[t.Zone])
+	o.SlowStartUntil = max(now.Add(time.Duration(t.SlowStartMillis)*time.Millisecond), c.slowStartUntil[t.Zone])
 	if class == 0 {
-		o.Rate = sv.SlowStartRate / float64(o.Seats)
+		o.SlowStartRate = sv.SlowStartRate / float64(o.SlotShareCount)
 	}
 	// It says itself how long it is cold, so its age tells nothing.
 	o.AgeMillis = 1 << 40
@@ -152,11 +152,11 @@
 }
 
 // hasSlots tells whether any place at all falls to a seat, when the target is warm.
-func hasSlots(o dispatch.Offer, capacity int) bool {
+func hasSlots(o dispatch.Allocation, capacity int) bool {
 	if o.Capacity > 0 {
 		capacity = int(o.Capacity)
 	}
-	bears := max(capacity, 1) * max(o.Over, 1)
-	n := max(o.Seats, 1)
-	return bears*(o.Seat+1)/n > bears*o.Seat/n
+	bears := max(capacity, 1) * max(o.Oversubscription, 1)
+	n := max(o.SlotShareCount, 1)
+	return bears*(o.SlotShareIndex+1)/n > bears*o.SlotShareIndex/n
 }
--- a/internal/dataplane/proxy/places_test.go
+++ b/internal/dataplane/proxy/places_test.go
@@ -29,9 +29,9 @@
 }
 
 // countForwarded counts how many of many requests a dispatcher with this one offer lets go at once.
-func countForwarded(o dispatch.Offer, now ids.Time) int {
-	d := dispatch.New(dispatch.Options{Random: rand.New(rand.NewPCG(1, 2)), Queue: 1000})
-	d.Step(now, dispatch.ServiceState{Targets: []dispatch.Offer{o}, InStep: true, Lease: now.Add(time.Hour), Terms: map[ids.Name]dispatch.RouteTerms{"r": {}}})
+func countForwarded(o dispatch.Allocation, now ids.Time) int {
+	d := dispatch.New(dispatch.Options{Random: rand.New(rand.NewPCG(1, 2)), QueueLimit: 1000})
+	d.Step(now, dispatch.ServiceState{Targets: []dispatch.Allocation{o}, IsCurrent: true, LeaseExpiresAt: now.Add(time.Hour), Terms: map[ids.Name]dispatch.RouteTerms{"r": {}}})
 	n := 0
 	for i := range 200 {
 		for _, c := range d.Step(now, dispatch.RequestArrived{Job: dispatch.Job{ID: ids.RequestID(i + 1), Route: "r", Repeatable: true, Deadline: now.Add(time.Hour)}}) {
@@ -91,7 +91,7 @@
 	for n := range 60 {
 		target := targets.Target{Instance: ids.InstanceID(fmt.Sprint("t", n)), Service: "wader", Zone: "quay"}
 		for _, m := range seats {
-			if newZoneControl(m, configuration.Service{}).offerOf(1, target, seats).Seat == 0 {
+			if newZoneControl(m, configuration.Service{}).offerOf(1, target, seats).SlotShareIndex == 0 {
 				got[m.ID]++
 			}
 		}
@@ -132,8 +132,8 @@
 		seats, sum := proxiesIn(zones), 0.0
 		for _, m := range seats {
 			o := newZoneControl(m, configuration.Service{SlowStartRate: 12}).offerOf(now, targets.Target{Instance: "t", Service: "wader", Zone: "quay", SlowStartMillis: 3000}, seats)
-			is.Equal(o.ColdUntil, now.Add(3*time.Second))
-			sum += o.Rate
+			is.Equal(o.SlowStartUntil, now.Add(3*time.Second))
+			sum += o.SlowStartRate
 		}
 		is.True(sum > 11.99 && sum < 12.01)
 	}
@@ -161,21 +161,21 @@
 	target := targets.Target{Instance: "t", Service: "wader", Zone: "quay"}
 	seats := proxiesIn("quay")
 	seats[0].ID = "a"
-	is.True(c.offerOf(second, target, seats).ColdUntil <= second)
+	is.True(c.offerOf(second, target, seats).SlowStartUntil <= second)
 	apply(`{"kind":"cell","name":"quay","put":{"region":"west","shut":true}}`)
-	is.True(c.offerOf(2*second, target, seats).Emptied)
+	is.True(c.offerOf(2*second, target, seats).ZoneDrained)
 	apply(`{"kind":"cell","name":"quay","put":{"region":"west","shut":false}}`)
 	o := c.offerOf(3*second, target, seats)
-	is.True(!o.Emptied)
-	is.Equal(o.ColdUntil, 6*second) // not the minute of a service that has no rate
-	is.Equal(o.Rate, 8.0)
+	is.True(!o.ZoneDrained)
+	is.Equal(o.SlowStartUntil, 6*second) // not the minute of a service that has no rate
+	is.Equal(o.SlowStartRate, 8.0)
 	// Its own word counts where it is the longer one.
 	target.SlowStartMillis = 9000
-	is.Equal(c.offerOf(4*second, target, seats).ColdUntil, 13*second)
+	is.Equal(c.offerOf(4*second, target, seats).SlowStartUntil, 13*second)
 	target.SlowStartMillis = 0
-	is.True(c.offerOf(7*second, target, seats).ColdUntil <= 7*second)
+	is.True(c.offerOf(7*second, target, seats).SlowStartUntil <= 7*second)
 	// Another zone's targets are as they were, and a change beside it thaws nothing anew.
 	apply(`{"kind":"service","name":"wader","set":{"tier":3}}`)
-	is.Equal(c.offerOf(4*second, target, seats).ColdUntil, 6*second)
-	is.True(c.offerOf(4*second, targets.Target{Instance: "u", Service: "wader", Zone: "dune"}, seats).ColdUntil <= 4*second)
+	is.Equal(c.offerOf(4*second, target, seats).SlowStartUntil, 6*second)
+	is.True(c.offerOf(4*second, targets.Target{Instance: "u", Service: "wader", Zone: "dune"}, seats).SlowStartUntil <= 4*second)
 }
--- a/internal/dataplane/proxy/readiness.go
+++ b/internal/dataplane/proxy/readiness.go
@@ -100,7 +100,7 @@
 	c.sentState, c.sentConfirmedAt = s, c.confirmedAt()
 	defer c.acknowledge(now)
 	ended := c.endedRuns()
-	by := map[ids.Name][]dispatch.Offer{}
+	by := map[ids.Name][]dispatch.Allocation{}
 	clear(c.proximities)
 	for _, t := range c.targets.All(now) {
 		o := c.offerOf(now, t, seats)
@@ -120,8 +120,8 @@
 	for _, n := range c.sentServices {
 		sv := c.view.Services[n]
 		c.Emit(DispatchEvent{n, dispatch.ServiceState{
-			Targets: by[n], Capacity: sv.DefaultCapacity, Warm: time.Duration(sv.SlowStartMillis) * time.Millisecond,
-			Allowance: c.retryBudget(sv, seats), InStep: s.confirmed || c.Lease == EndlessLease, Lease: c.leaseEnd(), Terms: terms[n], Closed: s.closed, Ended: ended,
+			Targets: by[n], DefaultCapacity: sv.DefaultCapacity, SlowStartDuration: time.Duration(sv.SlowStartMillis) * time.Millisecond,
+			RetryBudget: c.retryBudget(sv, seats), IsCurrent: s.confirmed || c.Lease == EndlessLease, LeaseExpiresAt: c.leaseEnd(), Terms: terms[n], OwnZoneDrained: s.closed, RunEnded: ended,
 		}})
 	}
 }
@@ -144,7 +144,7 @@
 
 // RouteTerms are what a route says of its requests.
 func RouteTerms(r configuration.Route) dispatch.RouteTerms {
-	return dispatch.RouteTerms{Host: r.Host, Prefix: r.Prefix, Service: r.Service, Repeatable: r.Repeatable, Limit: r.Timeout()}
+	return dispatch.RouteTerms{Host: r.Host, Prefix: r.Prefix, Service: r.Service, Repeatable: r.Repeatable, TimeLimit: r.Timeout()}
 }
 
 // retryBudget is this proxy's part of a service's retry allowance. Parts are
--- a/internal/dataplane/proxy/resets_test.go
+++ b/internal/dataplane/proxy/resets_test.go
@@ -32,12 +32,12 @@
 				want = dispatch.Complete
 			}
 			if b.Result != want || f.runs(id) != 1 {
-				t.Fatalf("%s at byte %d: %v (%s), it ran %d times", end, cut, b.Result, b.Why, f.runs(id))
+				t.Fatalf("%s at byte %d: %v (%s), it ran %d times", end, cut, b.Result, b.Reason, f.runs(id))
 			}
 			f.set(-1, -1)
 			next := fmt.Sprintf("nxt-%03d", cut)
 			if b := d.forwardTo(f, next); b.Result != dispatch.Complete || string(b.Response.Body) != "of "+next {
-				t.Fatalf("%s at byte %d, the next: %v (%s) %q", end, cut, b.Result, b.Why, b.Response.Body)
+				t.Fatalf("%s at byte %d, the next: %v (%s) %q", end, cut, b.Result, b.Reason, b.Response.Body)
 			}
 			d.closeIdleConnections()
 		}
@@ -59,7 +59,7 @@
 		for cut := range 60 {
 			f.set(cut, -1)
 			if b := d.forwardTo(f, "a"); b.Result != dispatch.MayHaveRun && !(cut == 0 && b.Result == dispatch.NotSent) {
-				t.Fatalf("%s at byte %d: %v (%s)", end, cut, b.Result, b.Why)
+				t.Fatalf("%s at byte %d: %v (%s)", end, cut, b.Result, b.Reason)
 			}
 		}
 	}
@@ -71,15 +71,15 @@
 	for _, end := range []connectionEnd{resetConnection, closeConnection, halfCloseConnection} {
 		f, d := newFaultyTarget(t, end), newPlainDaemon(0)
 		if b := d.forwardTo(f, "first"); b.Result != dispatch.Complete {
-			t.Fatal(b.Why)
+			t.Fatal(b.Reason)
 		}
 		f.endAll()
 		if b := d.forwardTo(f, "second"); b.Result != dispatch.Complete || f.runs("second") != 1 {
-			t.Fatalf("%s while idle: %v %s, it ran %d times", end, b.Result, b.Why, f.runs("second"))
+			t.Fatalf("%s while idle: %v %s, it ran %d times", end, b.Result, b.Reason, f.runs("second"))
 		}
 		f.set(-1, 0)
 		if b := d.forwardTo(f, "third"); b.Result != dispatch.MayHaveRun || f.runs("third") != 1 {
-			t.Fatalf("%s as it is used: %v %s, it ran %d times", end, b.Result, b.Why, f.runs("third"))
+			t.Fatalf("%s as it is used: %v %s, it ran %d times", end, b.Result, b.Reason, f.runs("third"))
 		}
 	}
 }
@@ -89,10 +89,10 @@
 func TestForward_IgnoresConnectionToEarlierRun(t *testing.T) {
 	earlier, later, d := newFaultyTarget(t, closeConnection), newFaultyTarget(t, closeConnection), newPlainDaemon(0)
 	if b := d.forwardTo(earlier, "first"); b.Result != dispatch.Complete {
-		t.Fatal(b.Why)
+		t.Fatal(b.Reason)
 	}
 	if b := d.forwardTo(later, "second"); b.Result != dispatch.Complete || earlier.runs("second") != 0 || later.runs("second") != 1 {
-		t.Fatalf("%v %s, it ran %d times at the earlier run, %d times at the later", b.Result, b.Why, earlier.runs("second"), later.runs("second"))
+		t.Fatalf("%v %s, it ran %d times at the earlier run, %d times at the later", b.Result, b.Reason, earlier.runs("second"), later.runs("second"))
 	}
 }
 
--- a/internal/dataplane/proxy/run.go
+++ b/internal/dataplane/proxy/run.go
@@ -87,10 +87,10 @@
 	for _, n := range d.serviceNames() {
 		p := d.dispatcherOf(n)
 		p.mu.Lock()
-		t := p.dispatcher.Tally
+		t := p.dispatcher.Counters
 		p.mu.Unlock()
-		d.log.Event(event.LevelInfo, "carried", "service", string(n), "own", strconv.FormatUint(t.Forwarded-t.Region-t.Far, 10),
-			"region", strconv.FormatUint(t.Region, 10), "far", strconv.FormatUint(t.Far, 10), "retried", strconv.FormatUint(t.Retried, 10))
+		d.log.Event(event.LevelInfo, "carried", "service", string(n), "own", strconv.FormatUint(t.Forwarded-t.CrossZone-t.CrossRegion, 10),
+			"region", strconv.FormatUint(t.CrossZone, 10), "far", strconv.FormatUint(t.CrossRegion, 10), "retried", strconv.FormatUint(t.Retried, 10))
 	}
 }
 
@@ -99,7 +99,7 @@
 	for _, n := range d.serviceNames() {
 		p := d.dispatcherOf(n)
 		p.mu.Lock()
-		why := p.dispatcher.Reasons()
+		why := p.dispatcher.TakeFailureReasons()
 		p.mu.Unlock()
 		for _, w := range slices.Sorted(maps.Keys(why)) {
 			d.log.Event(event.LevelWarn, "unanswered", "service", string(n), "why", w, "count", strconv.Itoa(why[w]))
@@ -148,10 +148,10 @@
 	for _, n := range d.serviceNames() {
 		p := d.dispatcherOf(n)
 		p.mu.Lock()
-		t, busy := p.dispatcher.Tally, p.dispatcher.Busy()
+		t, busy := p.dispatcher.Counters, p.dispatcher.JobCount()
 		p.mu.Unlock()
 		out = append(out, daemon.Metric{Name: "occupancy", Labels: []string{"service"}, Values: []string{string(n)}, Value: float64(busy)})
-		for what, v := range map[string]uint64{"arrived": t.Arrived, "declined": t.Rejected, "unknown": t.Unknown, "answered": t.Answered, "ferried": t.Forwarded, "ferried_in_region": t.Region, "ferried_far": t.Far, "retried": t.Retried, "repeats": t.Repeats} {
+		for what, v := range map[string]uint64{"arrived": t.Arrived, "declined": t.Rejected, "unknown": t.Unknown, "answered": t.Answered, "ferried": t.Forwarded, "ferried_in_region": t.CrossZone, "ferried_far": t.CrossRegion, "retried": t.Retried, "repeats": t.Replayed} {
 			out = append(out, daemon.Metric{Name: "requests_total", Labels: []string{"service", "what"}, Values: []string{string(n), what}, Value: float64(v), IsCounter: true})
 		}
 	}
--- a/internal/testsupport/compat/messages_test.go
+++ b/internal/testsupport/compat/messages_test.go
@@ -193,12 +193,12 @@
 	},
 	spill.Table{
 		Epoch: 4294967297, Number: 4294967298,
-		Moves: []spill.Move{{From: "text-3", To: "text-4", Route: "text-5", Fraction: 6.5, Amount: 7.5, Why: "text-8"}, {From: "text-9", To: "text-10", Route: "text-11", Fraction: 12.5, Amount: 13.5, Why: "text-14"}},
-		Uses:  []spill.Use{{Zone: "text-15", Route: "text-16", CPU: 17.5}, {Zone: "text-18", Route: "text-19", CPU: 20.5}},
+		Moves:   []spill.Move{{From: "text-3", To: "text-4", Route: "text-5", Fraction: 6.5, PlannedCPU: 7.5, Reason: "text-8"}, {From: "text-9", To: "text-10", Route: "text-11", Fraction: 12.5, PlannedCPU: 13.5, Reason: "text-14"}},
+		Demands: []spill.RouteDemand{{Zone: "text-15", Route: "text-16", CPU: 17.5}, {Zone: "text-18", Route: "text-19", CPU: 20.5}},
 	},
 	spill.Report{
-		Proxy: "text-1", RunID: 4294967298, Zone: "text-3", Number: 4294967300, Interval: 65541,
-		Rows:    []spill.Spent{{Route: "text-6", Service: "text-7", CPU: 8.5}, {Route: "text-9", Service: "text-10", CPU: 11.5}},
-		Latency: 4294967308, Count: 4294967309,
+		Proxy: "text-1", RunID: 4294967298, Zone: "text-3", Number: 4294967300, IntervalMillis: 65541,
+		Usage:         []spill.ServiceUsage{{Route: "text-6", Service: "text-7", CPU: 8.5}, {Route: "text-9", Service: "text-10", CPU: 11.5}},
+		LatencyMicros: 4294967308, RequestCount: 4294967309,
 	},
 }
--- a/internal/testsupport/scaletest/proxygroup.go
+++ b/internal/testsupport/scaletest/proxygroup.go
@@ -168,7 +168,7 @@
 		}
 		m := proxy.UsageSample{Interval: reportEvery, LatencyP95: 3 * time.Millisecond, Requests: 100}
 		for i := range c.Rows {
-			m.Rows = append(m.Rows, spill.Spent{Route: ids.Name(fmt.Sprintf("route-%d", i+1)), Service: "service-1", CPU: rand.Float64() * 10})
+			m.Rows = append(m.Rows, spill.ServiceUsage{Route: ids.Name(fmt.Sprintf("route-%d", i+1)), Service: "service-1", CPU: rand.Float64() * 10})
 		}
 		c.shells[n%c.Count].owner.Offer(m)
 	}
--- a/internal/testsupport/simulator/crowd.go
+++ b/internal/testsupport/simulator/crowd.go
@@ -159,7 +159,7 @@
 					return
 				}
 				w.later(w.far(p.zone, a.home), func() {
-					g.Status, g.Body = r.Status, string(r.Sealed.Body)
+					g.Status, g.Body = r.Status, string(r.TargetResponse.Body)
 					if r.Class == dispatch.Answered && !strings.HasPrefix(g.Body, a.token+"/") {
 						g.Problem = "answer is " + g.Body
 					}
--- a/internal/testsupport/simulator/defect_test.go
+++ b/internal/testsupport/simulator/defect_test.go
@@ -53,7 +53,7 @@
 		}}},
 		"foreign answer": {want: "not the target's own", defect: Defect{Response: func(r dispatch.Response) dispatch.Response {
 			if r.Class == dispatch.Answered {
-				r.Sealed.Body = append([]byte("x"), r.Sealed.Body...)
+				r.TargetResponse.Body = append([]byte("x"), r.TargetResponse.Body...)
 			}
 			return r
 		}}},
--- a/internal/testsupport/simulator/delivery.go
+++ b/internal/testsupport/simulator/delivery.go
@@ -17,7 +17,7 @@
 	if e == nil {
 		return
 	}
-	back := dispatch.AttemptFinished{ID: f.ID, Turn: f.Turn, Result: dispatch.NotSent, Why: "dial"}
+	back := dispatch.AttemptFinished{ID: f.ID, Sequence: f.Sequence, Result: dispatch.NotSent, Reason: "dial"}
 	end := func(after time.Duration, b dispatch.AttemptFinished) {
 		p.later(after, func() { d.hand(s, b) })
 	}
@@ -66,7 +66,7 @@
 			d.hand(s, b)
 		}
 	}
-	maybe := dispatch.AttemptFinished{ID: f.ID, Turn: f.Turn, Result: dispatch.MayHaveRun, Why: "no sealed answer"}
+	maybe := dispatch.AttemptFinished{ID: f.ID, Sequence: f.Sequence, Result: dispatch.MayHaveRun, Reason: "no sealed answer"}
 	broken := maybe
 	if w.Defect.ResetIsUnsent {
 		broken.Result = dispatch.NotSent
@@ -91,7 +91,7 @@
 				}
 				b := maybe
 				if ok {
-					b = dispatch.AttemptFinished{ID: f.ID, Turn: f.Turn, Result: dispatch.Complete, Response: a}
+					b = dispatch.AttemptFinished{ID: f.ID, Sequence: f.Sequence, Result: dispatch.Complete, Response: a}
 					d.spent[[2]ids.Name{e.Route, s}] += w.Cost
 					p.total += w.Cost
 				}
--- a/internal/testsupport/simulator/dispatchers.go
+++ b/internal/testsupport/simulator/dispatchers.go
@@ -70,7 +70,7 @@
 			m.LatencyP95 = p.w.Latency(used)
 		}
 		for _, r := range sortedPairs(d.spent) {
-			m.Rows = append(m.Rows, spill.Spent{Route: r[0], Service: r[1], CPU: d.spent[r] / span.Seconds()})
+			m.Rows = append(m.Rows, spill.ServiceUsage{Route: r[0], Service: r[1], CPU: d.spent[r] / span.Seconds()})
 		}
 		d.spent, d.count = map[[2]ids.Name]float64{}, 0
 		d.p.take(m)
@@ -135,7 +135,7 @@
 		return
 	}
 	if !ok {
-		done(dispatch.Response{Class: dispatch.Misused, Status: 404})
+		done(dispatch.Response{Class: dispatch.ClientError, Status: 404})
 		return
 	}
 	attempt := try
--- a/internal/testsupport/simulator/trace.go
+++ b/internal/testsupport/simulator/trace.go
@@ -60,7 +60,7 @@
 	"readiness":      reflect.TypeFor[proxy.ServingState](),
 	"targets":        reflect.TypeFor[dispatch.ServiceState](),
 	"store-response": reflect.TypeFor[dispatch.IdempotencyReply](),
-	"lease":          reflect.TypeFor[dispatch.Lease](),
+	"lease":          reflect.TypeFor[dispatch.LeaseUpdated](),
 }
 
 // traceKinds gives the kind of each type in the tables.
--- a/internal/testsupport/simulator/trace_test.go
+++ b/internal/testsupport/simulator/trace_test.go
@@ -98,7 +98,7 @@
 	is.True(!same(base, synced(1, "a", []byte{})))
 
 	stock := func(capacity int, limit time.Duration) event.Command {
-		return proxy.DispatchEvent{Service: "s", Event: dispatch.ServiceState{Capacity: capacity, Terms: map[ids.Name]dispatch.RouteTerms{"a": {Limit: limit}, "b": {}}}}
+		return proxy.DispatchEvent{Service: "s", Event: dispatch.ServiceState{DefaultCapacity: capacity, Terms: map[ids.Name]dispatch.RouteTerms{"a": {TimeLimit: limit}, "b": {}}}}
 	}
 	is.True(same(stock(1, 2), stock(1, 2)))
 	is.True(!same(stock(1, 2), stock(2, 2)))
@@ -121,7 +121,7 @@
 		registry.ChangeCall{ID: 3},
 		registry.MergeCall{ID: 4},
 		store.Leave{Within: -time.Second},
-		proxy.UsageSample{Rows: []spill.Spent{}, Requests: 9},
+		proxy.UsageSample{Rows: []spill.ServiceUsage{}, Requests: 9},
 		proxy.UsageSample{LatencyP95: 5},
 		event.Received{From: "x", Msg: spill.Report{Number: 7}},
 	} {
