--- a/cmd/testbed/drill.go
+++ b/cmd/testbed/drill.go
@@ -59,7 +59,7 @@
 	if d.Hot {
 		out = simulator.Hot(p.seed)
 	}
-	out.Keep, out.EagerLosses = d.Trace, d.Eager
+	out.KeepLog, out.EagerLosses = d.Trace, d.Eager
 	return out
 }
 
@@ -79,15 +79,15 @@
 		s.counts[k] += n
 	}
 	s.counts["changes"] += o.Changes
-	for kind, n := range o.Struck {
+	for kind, n := range o.FaultCounts {
 		s.struck[kind] += n
 	}
 	for _, c := range o.Counts {
-		if _, ok := s.judged[c.What]; !ok {
-			s.order = append(s.order, c.What)
+		if _, ok := s.judged[c.Rule]; !ok {
+			s.order = append(s.order, c.Rule)
 		}
-		s.judged[c.What] += c.Judged
-		s.broken[c.What] += c.Count
+		s.judged[c.Rule] += c.Judged
+		s.broken[c.Rule] += c.Violations
 	}
 }
 
@@ -126,12 +126,12 @@
 				for _, line := range o.Log {
 					fmt.Println(line)
 				}
-				if o.Broken > 0 {
+				if o.Violations > 0 {
 					bad++
 					fmt.Println(o.Replay(d.Plan, p.scene, d.Hot, d.Length))
 					for _, c := range o.Counts {
-						if c.Count > 0 {
-							fmt.Printf("  %s: %d, such as %s\n", c.What, c.Count, c.Sample)
+						if c.Violations > 0 {
+							fmt.Printf("  %s: %d, such as %s\n", c.Rule, c.Violations, c.Sample)
 						}
 					}
 				}
--- a/cmd/testbed/hollow.go
+++ b/cmd/testbed/hollow.go
@@ -52,7 +52,7 @@
 		return err
 	}
 	p := scaletest.Options{
-		Sizes: sizes, Dir: h.Dir, Thrifty: h.Thrifty, PerCrew: h.Crew, For: h.For, Within: h.Within,
+		Sizes: sizes, Dir: h.Dir, Thrifty: h.Thrifty, ProxiesPerGroup: h.Crew, PhaseDuration: h.For, PhaseTimeout: h.Within,
 		Interval: h.Interval, Rows: h.Rows, Changes: h.Changes, Block: 220 + os.Getpid()%30, Show: progress,
 	}
 	if err := p.Check(); err != nil {
@@ -61,10 +61,10 @@
 	if p.Bin, err = testbed.Programs(h.Bin, filepath.Join(h.Out, "bin")); err != nil {
 		return err
 	}
-	if p.Crew, err = os.Executable(); err != nil {
+	if p.ProxyGroupBinary, err = os.Executable(); err != nil {
 		return err
 	}
-	runs, err := scaletest.Play(ctx, p)
+	runs, err := scaletest.RunSizes(ctx, p)
 	r := scaletest.Report{Command: "testbed " + strings.Join(os.Args[1:], " "), Runs: runs, Slopes: scaletest.SlopesOf(runs)}
 	if len(runs) > 0 {
 		if e := r.Write(h.Out); e != nil {
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -24,11 +24,11 @@
 
 // Run starts it and waits for a signal.
 func (u *UpCmd) Run(ctx context.Context) error {
-	s, err := testbed.Raise(ctx, testbed.Options{Plan: u.Plan, Dir: u.Dir, Fixed: true, Out: os.Stdout})
+	s, err := testbed.Start(ctx, testbed.Options{Plan: u.Plan, Dir: u.Dir, Fixed: true, Out: os.Stdout})
 	if err != nil {
 		return err
 	}
-	defer s.Lower()
+	defer s.Close()
 	for _, p := range s.Procs {
 		fmt.Printf("  %-12s cell %-8s http %s\n", p.Name, p.Zone, p.HTTP)
 	}
@@ -74,7 +74,7 @@
 		return nil, fmt.Errorf("--for: %s takes %s", r.Play, least[r.Play])
 	}
 	return map[string]*testbed.Script{
-		"grand": testbed.Grand(plan), "worst": testbed.Worst(plan), "swaps": testbed.Swaps(plan),
+		"grand": testbed.Grand(plan), "worst": testbed.WorstCase(plan), "swaps": testbed.Swaps(plan),
 		"hot": testbed.Hot(plan, r.For), "quiet": {},
 	}[r.Play], nil
 }
@@ -85,11 +85,11 @@
 	if err != nil {
 		return err
 	}
-	s, err := testbed.Raise(ctx, testbed.Options{Plan: r.Plan, Dir: r.Dir, Out: os.Stdout, Relay: true, Bin: r.Bin, Other: r.Other, Rate: r.Rate, Target: r.Target, PlanEvery: r.PlanEvery})
+	s, err := testbed.Start(ctx, testbed.Options{Plan: r.Plan, Dir: r.Dir, Out: os.Stdout, Relay: true, Bin: r.Bin, Other: r.Other, Rate: r.Rate, Target: r.Target, PlanEvery: r.PlanEvery})
 	if err != nil {
 		return err
 	}
-	defer s.Lower()
+	defer s.Close()
 	from := time.Now()
 	before := s.Costs()
 	if r.Play == "hot" && r.Script == "" && r.Seed == 0 {
@@ -100,7 +100,7 @@
 	if r.Play == "quiet" {
 		s.ShowCosts(before)
 	}
-	s.Night(ctx)
+	s.RestartAndVerify(ctx)
 	if n := s.Report(from); n > 0 {
 		return fmt.Errorf("%d promises were broken", n)
 	}
--- a/internal/base/delta/edits.go
+++ b/internal/base/delta/edits.go
@@ -81,6 +81,7 @@
 // maxLength bounds an outcome, as the wire bounds a value sent whole.
 const maxLength = 96 << 20
 
+// ErrCorrupt: a difference does not belong to its base, or is damaged.
 var ErrCorrupt = errs.New("apply difference", "", "it is damaged")
 
 // applyEdits builds the outcome, which is to be of a stated length; nothing is taken
--- a/internal/testsupport/blueprint/blueprint.go
+++ b/internal/testsupport/blueprint/blueprint.go
@@ -11,12 +11,12 @@
 
 // Plan is the size and kind of a fleet.
 type Plan struct {
-	Name    string
-	Regions int
-	Zones   int
-	Proxies int
-	Delay   int // between regions, in milliseconds
-	Rate    float64
+	Name          string
+	Regions       int
+	Zones         int
+	Proxies       int
+	LatencyMillis int // between regions, in milliseconds
+	Rate          float64
 	// Target is the comfortable level of every zone; zero for the default.
 	Target float64
 	// Maximum is the default of every zone; zero for 1.1 of its target.
@@ -25,9 +25,9 @@
 	// default.
 	Allowance int
 	Pools     []Pool
-	Ways      []Way
+	Routes    []Route
 	// Far, if set, is the distance between two zones as configuration has it.
-	Far func(a, b ids.Name) int
+	Latency func(a, b ids.Name) int
 }
 
 // Pool is a service with its stand-in targets.
@@ -38,9 +38,9 @@
 	Tier     int
 }
 
-// Way is a route and its share of the load.
-type Way struct {
-	Route      ids.Name
+// Route is a route and its share of the load.
+type Route struct {
+	Name       ids.Name
 	Prefix     string
 	Service    ids.Name
 	Tier       int
@@ -52,13 +52,13 @@
 var Plans = map[string]Plan{
 	"small": {
 		Name: "small", Regions: 3, Zones: 3, Proxies: 3, Rate: 40,
-		Pools: []Pool{{"catalog", 4, 16, 3}, {"ledger", 3, 16, 8}},
-		Ways:  []Way{{"stock", "/stock", "catalog", 3, true, 0.7}, {"orders", "/orders", "ledger", 8, false, 0.3}},
+		Pools:  []Pool{{"catalog", 4, 16, 3}, {"ledger", 3, 16, 8}},
+		Routes: []Route{{"stock", "/stock", "catalog", 3, true, 0.7}, {"orders", "/orders", "ledger", 8, false, 0.3}},
 	},
 	"cooperative": {
-		Name: "cooperative", Regions: 3, Zones: 6, Proxies: 8, Delay: 12, Rate: 150,
+		Name: "cooperative", Regions: 3, Zones: 6, Proxies: 8, LatencyMillis: 12, Rate: 150,
 		Pools: []Pool{{"catalog", 20, 16, 3}, {"ledger", 12, 16, 8}},
-		Ways: []Way{
+		Routes: []Route{
 			{"stock", "/stock", "catalog", 3, true, 0.6},
 			{"browse", "/browse", "catalog", 1, true, 0.2},
 			{"orders", "/orders", "ledger", 8, false, 0.15},
@@ -66,9 +66,9 @@
 		},
 	},
 	"library": {
-		Name: "library", Regions: 3, Zones: 6, Proxies: 11, Delay: 35, Rate: 480,
+		Name: "library", Regions: 3, Zones: 6, Proxies: 11, LatencyMillis: 35, Rate: 480,
 		Pools: []Pool{{"reader", 30, 16, 3}, {"loan", 12, 16, 8}},
-		Ways: []Way{
+		Routes: []Route{
 			{"pages", "/pages", "reader", 2, true, 0.85},
 			{"holds", "/holds", "loan", 7, false, 0.1},
 			{"loans", "/loans", "loan", 8, false, 0.05},
@@ -85,8 +85,8 @@
 // Region names the region of a zone.
 func (p Plan) Region(c ids.Name) string { return "region-" + string(c[len("cell-"):len("cell-")+1]) }
 
-// Change is the configuration of the plan as one whole change.
-func (p Plan) Change() []byte {
+// InitialChange is the configuration of the plan as one whole change.
+func (p Plan) InitialChange() []byte {
 	var parts []any
 	put := func(kind string, name any, body map[string]any) {
 		parts = append(parts, map[string]any{"kind": kind, "name": name, "put": body})
@@ -100,7 +100,7 @@
 				far[b] = int(p.Distance(a, b))
 			}
 		}
-		body := map[string]any{"region": p.Region(a), "target": p.Comfort(), "distances": far}
+		body := map[string]any{"region": p.Region(a), "target": p.TargetLevel(), "distances": far}
 		if p.Maximum > 0 {
 			body["maximum"] = p.Maximum
 		}
@@ -109,8 +109,8 @@
 	for _, s := range p.Pools {
 		put("service", s.Service, map[string]any{"tier": s.Tier, "capacity": s.Capacity, "warm_ms": 3000, "allowance": p.Allowed()})
 	}
-	for _, w := range p.Ways {
-		put("route", w.Route, map[string]any{"prefix": w.Prefix, "service": w.Service, "tier": w.Tier, "repeatable": w.Repeatable, "limit_ms": 5000})
+	for _, w := range p.Routes {
+		put("route", w.Name, map[string]any{"prefix": w.Prefix, "service": w.Service, "tier": w.Tier, "repeatable": w.Repeatable, "limit_ms": 5000})
 	}
 	raw, _ := json.Marshal(map[string]any{"id": "testbed-" + p.Name, "changes": parts})
 	return raw
@@ -121,12 +121,12 @@
 	switch {
 	case a == b:
 		return 0
-	case p.Far != nil:
-		return float64(p.Far(a, b))
+	case p.Latency != nil:
+		return float64(p.Latency(a, b))
 	case p.Region(a) == p.Region(b):
 		return 1
 	}
-	return float64(max(p.Delay, 2) + (p.number(a)+p.number(b))%2)
+	return float64(max(p.LatencyMillis, 2) + (p.number(a)+p.number(b))%2)
 }
 
 func (p Plan) number(zone ids.Name) int {
@@ -151,8 +151,8 @@
 	return ids.InstanceID(fmt.Sprintf("%s-%d", p.Service, i+1))
 }
 
-// Comfort is each zone's comfortable level, in ms of CPU a second.
-func (p Plan) Comfort() float64 {
+// TargetLevel is each zone's comfortable level, in ms of CPU a second.
+func (p Plan) TargetLevel() float64 {
 	if p.Target > 0 {
 		return p.Target
 	}
--- a/internal/testsupport/checker/books.go
+++ b/internal/testsupport/checker/books.go
@@ -13,8 +13,8 @@
 // String gives the item as kind/name.
 func (i Item) String() string { return i.Kind + "/" + i.Name }
 
-// Want is what a change asks for an item: put whole, set some fields, remove.
-type Want struct {
+// ExpectedItem is what a change asks for an item: put whole, set some fields, remove.
+type ExpectedItem struct {
 	Put    json.RawMessage `json:"put"`
 	Set    json.RawMessage `json:"set"`
 	Remove bool            `json:"remove"`
@@ -23,12 +23,12 @@
 // Change is one that a stand-in operator sent, and what it was told of it.
 type Change struct {
 	ID    string
-	Items map[Item]Want
-	// Asked is when it was first sent, Told when its acceptance was known.
-	Asked, Told time.Time
-	Revision    uint64
-	floor       uint64
-	rejected    bool
+	Items map[Item]ExpectedItem
+	// SentAt is when it was first sent, Told when its acceptance was known.
+	SentAt, AnsweredAt time.Time
+	Revision           uint64
+	floor              uint64
+	rejected           bool
 }
 
 // Body is an item as it is read back.
@@ -43,9 +43,9 @@
 	Items    map[Item]Body
 }
 
-// Books are what operators sent and were told. Nothing in them comes from the
+// Ledger are what operators sent and were told. Nothing in them comes from the
 // daemons but their answers.
-type Books struct {
+type Ledger struct {
 	list []*Change
 	by   map[string]*Change
 	// known is the highest revision that anybody was told of.
@@ -53,41 +53,41 @@
 	reads int
 }
 
-// Ask notes a change before it is sent for the first time.
-func (t *Truth) Ask(raw []byte, at time.Time) string {
+// ChangeSent notes a change before it is sent for the first time.
+func (t *Checker) ChangeSent(raw []byte, at time.Time) string {
 	c, err := ReadChange(raw)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if err != nil {
 		return ""
 	}
-	if t.books.by == nil {
-		t.books.by = map[string]*Change{}
+	if t.ledger.by == nil {
+		t.ledger.by = map[string]*Change{}
 	}
-	c.Asked, c.floor = at, t.books.known
-	t.books.by[c.ID] = &c
-	t.books.list = append(t.books.list, &c)
+	c.SentAt, c.floor = at, t.ledger.known
+	t.ledger.by[c.ID] = &c
+	t.ledger.list = append(t.ledger.list, &c)
 	return c.ID
 }
 
-// Reject notes that a change was rejected: no part of it may ever show.
-func (t *Truth) Reject(id string) {
+// ChangeRejected notes that a change was rejected: no part of it may ever show.
+func (t *Checker) ChangeRejected(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if c := t.books.by[id]; c != nil {
+	if c := t.ledger.by[id]; c != nil {
 		c.rejected = true
 	}
 }
 
-// Accept notes that a change was accepted as a revision.
-func (t *Truth) Accept(id string, revision uint64, at time.Time) {
+// ChangeAccepted notes that a change was accepted as a revision.
+func (t *Checker) ChangeAccepted(id string, revision uint64, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	c := t.books.by[id]
+	c := t.ledger.by[id]
 	if c == nil || c.Revision != 0 {
 		return
 	}
-	for _, o := range t.books.list {
+	for _, o := range t.ledger.list {
 		if o.Revision == revision {
 			t.wrongly("revision %d was given to %s and to %s", revision, o.ID, id)
 		}
@@ -95,23 +95,23 @@
 	if revision <= c.floor {
 		t.wrongly("%s got revision %d after %d was known", id, revision, c.floor)
 	}
-	c.Told, c.Revision = at, revision
-	t.books.known = max(t.books.known, revision)
+	c.AnsweredAt, c.Revision = at, revision
+	t.ledger.known = max(t.ledger.known, revision)
 }
 
-// Known is the highest revision known so far: no later read may be older.
-func (t *Truth) Known() uint64 {
+// KnownRevision is the highest revision known so far: no later read may be older.
+func (t *Checker) KnownRevision() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.books.known
+	return t.ledger.known
 }
 
-// Open counts changes of which it isn't known what came of them.
-func (t *Truth) Open() int {
+// OpenChanges counts changes of which it isn't known what came of them.
+func (t *Checker) OpenChanges() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
-	for _, c := range t.books.list {
+	for _, c := range t.ledger.list {
 		if c.Revision == 0 && !c.rejected {
 			n++
 		}
@@ -120,11 +120,11 @@
 }
 
 // Changes counts the accepted ones.
-func (t *Truth) Changes() int {
+func (t *Checker) Changes() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
-	for _, c := range t.books.list {
+	for _, c := range t.ledger.list {
 		if c.Revision != 0 {
 			n++
 		}
@@ -132,28 +132,28 @@
 	return n
 }
 
-// Read judges a configuration that was read: not older than was known when the read
+// ConfigurationRead judges a configuration that was read: not older than was known when the read
 // began, each change in it whole or not at all, and each item's body right.
-func (t *Truth) Read(who string, p Configuration, floor uint64) {
+func (t *Checker) ConfigurationRead(who string, p Configuration, floor uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.books.reads++
+	t.ledger.reads++
 	if p.Revision < floor {
 		t.wrongly("%s gave revision %d after %d was known", who, p.Revision, floor)
 	}
-	t.books.known = max(t.books.known, p.Revision)
-	for _, c := range t.books.list {
+	t.ledger.known = max(t.ledger.known, p.Revision)
+	for _, c := range t.ledger.list {
 		if c.Revision == 0 || c.Revision > p.Revision {
 			continue
 		}
 		// An accepted change shows in each of its items, unless a later one does.
 		for it, want := range c.Items {
 			have, ok := p.Items[it]
-			switch later := t.books.after(it, c.Revision, p.Revision); {
+			switch later := t.ledger.after(it, c.Revision, p.Revision); {
 			case ok && have.Version > c.Revision, !ok && later:
 			case !ok && !want.Remove, ok && want.Remove, ok && have.Version < c.Revision:
 				t.wrongly("%s: %s of change %s (revision %d) reads back as version %d", who, it, c.ID, c.Revision, have.Version)
-			case ok && !want.shows(have.Body):
+			case ok && !want.matchesBody(have.Body):
 				t.wrongly("%s: %s of change %s reads back as %s", who, it, c.ID, have.Body)
 			}
 		}
@@ -165,7 +165,7 @@
 
 // after tells whether a later change, or one that may have been accepted,
 // touches an item up to a revision.
-func (b *Books) after(it Item, revision, upTo uint64) bool {
+func (b *Ledger) after(it Item, revision, upTo uint64) bool {
 	for _, c := range b.list {
 		if _, ok := c.Items[it]; ok && !c.rejected && (c.Revision == 0 || c.Revision > revision && c.Revision <= upTo) {
 			return true
@@ -175,15 +175,15 @@
 }
 
 // origin finds items that no accepted change can have made.
-func (t *Truth) origin(who string, it Item, have Body) {
+func (t *Checker) origin(who string, it Item, have Body) {
 	mine := false
-	for _, c := range t.books.list {
+	for _, c := range t.ledger.list {
 		want, ok := c.Items[it]
 		if !ok {
 			continue
 		}
 		mine = true
-		if c.Revision == have.Version || c.Revision == 0 && !c.rejected && want.shows(have.Body) {
+		if c.Revision == have.Version || c.Revision == 0 && !c.rejected && want.matchesBody(have.Body) {
 			return
 		}
 	}
@@ -192,8 +192,8 @@
 	}
 }
 
-// shows tells whether a body is as the change wanted it.
-func (w Want) shows(body json.RawMessage) bool {
+// matchesBody tells whether a body is as the change wanted it.
+func (w ExpectedItem) matchesBody(body json.RawMessage) bool {
 	switch {
 	case w.Remove:
 		return false
--- a/internal/testsupport/checker/emptied.go
+++ b/internal/testsupport/checker/emptied.go
@@ -7,9 +7,9 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// Emptied is a span for which a zone was to have no new work, from when the
+// Drain is a span for which a zone was to have no new work, from when the
 // emptying was accepted until it was refilled; zero while it lasts.
-type Emptied struct {
+type Drain struct {
 	Zone     ids.Name
 	From, To time.Time
 	// Asked is when the emptying was first asked for: its answer may come long
@@ -19,19 +19,19 @@
 	Open time.Time
 }
 
-// Empty notes that an emptying was accepted; Refill, that it ends.
-func (t *Truth) Empty(zone ids.Name, asked, at time.Time) {
+// ZoneDrained notes that an emptying was accepted; Refill, that it ends.
+func (t *Checker) ZoneDrained(zone ids.Name, asked, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.emptied = append(t.emptied, Emptied{Zone: zone, Asked: asked, From: at})
+	t.drains = append(t.drains, Drain{Zone: zone, Asked: asked, From: at})
 }
 
-// Refill must be noted when it is asked for, as it may hold before its answer.
-func (t *Truth) Refill(zone ids.Name, at time.Time) {
+// ZoneRestored must be noted when it is asked for, as it may hold before its answer.
+func (t *Checker) ZoneRestored(zone ids.Name, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for i := len(t.emptied) - 1; i >= 0; i-- {
-		if e := &t.emptied[i]; e.Zone == zone {
+	for i := len(t.drains) - 1; i >= 0; i-- {
+		if e := &t.drains[i]; e.Zone == zone {
 			if e.To.IsZero() {
 				e.To = at
 			}
@@ -41,22 +41,22 @@
 	}
 }
 
-// emptyWithin is how soon an emptied zone must be free of new work.
-const emptyWithin = 5 * time.Second
+// drainWithin is how soon an emptied zone must be free of new work.
+const drainWithin = 5 * time.Second
 
 // late counts new work in emptied zones.
-func (t *Truth) late() Count {
-	c := Count{What: "new work in a cell emptied over 5 s ago"}
-	for _, e := range t.emptied {
+func (t *Checker) late() RuleResult {
+	c := RuleResult{Rule: "new work in a cell emptied over 5 s ago"}
+	for _, e := range t.drains {
 		in := func(zone ids.Name, at time.Time) bool {
-			return zone == e.Zone && at.After(e.From.Add(emptyWithin)) && (e.To.IsZero() || at.Before(e.To))
+			return zone == e.Zone && at.After(e.From.Add(drainWithin)) && (e.To.IsZero() || at.Before(e.To))
 		}
-		for _, r := range t.ran {
-			if r.At.After(e.From.Add(emptyWithin)) {
+		for _, r := range t.executions {
+			if r.At.After(e.From.Add(drainWithin)) {
 				c.Judged++
 			}
-			if in(r.Zone, r.At) || in(r.By, r.At) {
-				c.add(fmt.Sprintf("%s in %s ran %s through %s in %s, %s after", r.Instance, r.Zone, r.Token, r.Proxy, r.By, r.At.Sub(e.From).Round(time.Millisecond)))
+			if in(r.Zone, r.At) || in(r.ProxyZone, r.At) {
+				c.add(fmt.Sprintf("%s in %s ran %s through %s in %s, %s after", r.Instance, r.Zone, r.Token, r.Proxy, r.ProxyZone, r.At.Sub(e.From).Round(time.Millisecond)))
 			}
 		}
 	}
--- a/internal/testsupport/checker/force_test.go
+++ b/internal/testsupport/checker/force_test.go
@@ -31,20 +31,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			var w Truth
+			var w Checker
 			for n, service := range []string{"old", "new"} {
 				asked := at(float64(10 * n))
-				id := w.Ask([]byte(`{"id":"to-`+service+`","changes":[{"kind":"route","name":"way","put":{"service":"`+service+`","repeatable":true}}]}`), asked)
-				w.Accept(id, uint64(n+1), asked)
+				id := w.ChangeSent([]byte(`{"id":"to-`+service+`","changes":[{"kind":"route","name":"way","put":{"service":"`+service+`","repeatable":true}}]}`), asked)
+				w.ChangeAccepted(id, uint64(n+1), asked)
 			}
-			r := Ran{At: at(c.ran), Service: c.service, Route: "way"}
+			r := Execution{At: at(c.ran), Service: c.service, Route: "way"}
 			if c.sent != 0 {
 				r.Sent = at(c.sent)
 			}
-			w.Run(r)
+			w.RequestExecuted(r)
 			got := w.inForce()
 			is.Equal(got.Judged, c.judged)
-			is.Equal(got.Count, c.want)
+			is.Equal(got.Violations, c.want)
 		})
 	}
 }
--- a/internal/testsupport/checker/held.go
+++ b/internal/testsupport/checker/held.go
@@ -7,8 +7,8 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// Closed is a connection that a client held and that ended without its doing.
-type Closed struct {
+// ClosedConnection is a connection that a client held and that ended without its doing.
+type ClosedConnection struct {
 	At    time.Time
 	Proxy string
 	Zone  ids.Name
@@ -17,18 +17,18 @@
 	Excused bool
 }
 
-// Close notes that a held connection was ended from the other side.
-func (t *Truth) Close(c Closed) {
+// ConnectionClosed notes that a held connection was ended from the other side.
+func (t *Checker) ConnectionClosed(c ClosedConnection) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.closed = append(t.closed, c)
+	t.closedConnections = append(t.closedConnections, c)
 }
 
 // emptiedAt tells whether a zone was, or had just been, emptied.
-func (t *Truth) emptiedAt(zone ids.Name, at time.Time) bool {
-	for _, e := range t.emptied {
+func (t *Checker) emptiedAt(zone ids.Name, at time.Time) bool {
+	for _, e := range t.drains {
 		// Refilling takes its few seconds to be in force as well.
-		if e.Zone == zone && !at.Before(e.Asked) && (e.To.IsZero() || at.Before(e.Open.Add(forceWithin))) {
+		if e.Zone == zone && !at.Before(e.Asked) && (e.To.IsZero() || at.Before(e.Open.Add(configurationInForceWithin))) {
 			return true
 		}
 	}
@@ -37,19 +37,19 @@
 
 // live counts held connections that a move touched: ended by the other side, or
 // turned away, with no fault and no emptying of their zone to excuse it.
-func (t *Truth) live() Count {
-	c := Count{What: "held circuit closed or turned away by a move"}
-	for _, x := range t.closed {
+func (t *Checker) live() RuleResult {
+	c := RuleResult{Rule: "held circuit closed or turned away by a move"}
+	for _, x := range t.closedConnections {
 		if !x.Excused && !t.emptiedAt(x.Zone, x.At) {
 			c.add(fmt.Sprintf("%s in %s closed one at %s: %s", x.Proxy, x.Zone, x.At.Format("15:04:05.000"), x.Why))
 		}
 	}
-	for _, g := range t.got {
-		if !g.Held || g.Loose {
+	for _, g := range t.responses {
+		if !g.Held || g.NoAnswerOwed {
 			continue
 		}
 		c.Judged++
-		if t.Calm && g.Class != "answered" && !t.emptiedAt(g.Zone, g.Sent) {
+		if t.NoFaults && g.Class != "answered" && !t.emptiedAt(g.Zone, g.Sent) {
 			c.add(fmt.Sprintf("%s was %s by %s in %s", g.Token, g.Class, g.Proxy, g.Zone))
 		}
 	}
--- a/internal/testsupport/checker/read.go
+++ b/internal/testsupport/checker/read.go
@@ -29,14 +29,14 @@
 		Changes []struct {
 			Kind string `json:"kind"`
 			Name string `json:"name"`
-			Want
+			ExpectedItem
 		} `json:"changes"`
 	}
-	c := Change{Items: map[Item]Want{}}
+	c := Change{Items: map[Item]ExpectedItem{}}
 	err := json.Unmarshal(raw, &in)
 	c.ID = in.ID
 	for _, p := range in.Changes {
-		c.Items[Item{p.Kind, p.Name}] = p.Want
+		c.Items[Item{p.Kind, p.Name}] = p.ExpectedItem
 	}
 	return c, err
 }
--- a/internal/testsupport/checker/retries.go
+++ b/internal/testsupport/checker/retries.go
@@ -10,16 +10,16 @@
 
 // retries finds spans of ten seconds in which a service saw more repeated
 // requests than one in five first ones and the allowance.
-func (t *Truth) retries() Count {
-	c := Count{What: "retries past one in five and the allowance in 10 s"}
+func (t *Checker) retries() RuleResult {
+	c := RuleResult{Rule: "retries past one in five and the allowance in 10 s"}
 	type hit struct {
 		at    time.Time
 		again bool
 	}
 	by := map[ids.Name][]hit{}
 	seen := map[string]bool{}
-	for _, r := range t.ran {
-		by[r.Service] = append(by[r.Service], hit{r.At, seen[r.Token] || (r.Attempt > 1 && !r.Untold)})
+	for _, r := range t.executions {
+		by[r.Service] = append(by[r.Service], hit{r.At, seen[r.Token] || (r.Attempt > 1 && !r.AttemptHidden)})
 		seen[r.Token] = true
 	}
 	for s, list := range by {
@@ -39,7 +39,7 @@
 			} else {
 				firsts++
 			}
-			if float64(again) > 0.2*float64(firsts)+t.Allowed {
+			if float64(again) > 0.2*float64(firsts)+t.RetryAllowance {
 				c.add(fmt.Sprintf("%s: %d retries on %d first requests", s, again, firsts))
 			}
 		}
@@ -47,16 +47,16 @@
 	return c
 }
 
-// Tally counts answers by class, and shares in time.
-func (t *Truth) Tally(since time.Time) map[string]int {
+// CountByClass counts answers by class, and shares in time.
+func (t *Checker) CountByClass(since time.Time) map[string]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := map[string]int{}
-	for _, g := range t.got {
+	for _, g := range t.responses {
 		if g.Sent.After(since) {
 			out[g.Class]++
 		}
 	}
-	out["runs"] = len(t.ran)
+	out["runs"] = len(t.executions)
 	return out
 }
--- a/internal/testsupport/scaletest/fit.go
+++ b/internal/testsupport/scaletest/fit.go
@@ -27,8 +27,8 @@
 const (
 	linear = "linear"
 	square = "square"
-	// clearly is what part of the unexplained rest the square must take away.
-	clearly = 0.5
+	// squareTermShare is what part of the unexplained rest the square must take away.
+	squareTermShare = 0.5
 	// leastForSquare points are wanted before a curve is believed.
 	leastForSquare = 4
 )
@@ -48,7 +48,7 @@
 	}
 	best := line(linear, xs, ys)
 	if len(seen) >= leastForSquare {
-		if s := line(square, squares, ys); s.B > 0 && 1-s.R2 < clearly*(1-best.R2) {
+		if s := line(square, squares, ys); s.B > 0 && 1-s.R2 < squareTermShare*(1-best.R2) {
 			best = s
 		}
 	}
--- a/internal/testsupport/scaletest/fit_test.go
+++ b/internal/testsupport/scaletest/fit_test.go
@@ -59,11 +59,11 @@
 	is := is.New(t)
 	from := time.Unix(100, 0)
 	push := flowKey{"sent", "distribution.Push"}
-	a := &reading{at: from, procs: map[string]*spent{
+	a := &measurement{at: from, procs: map[string]*processUsage{
 		"a": {pid: 1, daemons: 2, cpu: 5, flows: map[flowKey]flow{push: {100, 1000}}},
 		"b": {pid: 2, daemons: 2, cpu: 9, flows: map[flowKey]flow{push: {900, 9000}}},
 	}}
-	b := &reading{at: from.Add(10 * time.Second), procs: map[string]*spent{
+	b := &measurement{at: from.Add(10 * time.Second), procs: map[string]*processUsage{
 		"a": {pid: 1, daemons: 2, cpu: 6, resident: 8e6, flows: map[flowKey]flow{push: {200, 3000}, {"lost", "x"}: {3, 30}}},
 		"b": {pid: 3, daemons: 2, cpu: 2, resident: 4e6, flows: map[flowKey]flow{push: {100, 2000}, {"received", "x"}: {1, 400}}},
 	}}
@@ -98,7 +98,7 @@
 	run := func(proxies int, kinds ...Kind) Run {
 		return Run{
 			Size: Size{Proxies: proxies}, Cores: 8, Threads: 2,
-			Phases: []Phase{{Name: "steady", Done: true, Spends: []Spend{{Role: "proxy", Daemons: proxies, CPU: float64(proxies), Kinds: kinds}}}},
+			Phases: []Phase{{Name: "steady", Done: true, Usages: []Usage{{Role: "proxy", Daemons: proxies, CPU: float64(proxies), Kinds: kinds}}}},
 		}
 	}
 	ack := Kind{Kind: "distribution.Ack", Messages: 9}
@@ -113,8 +113,8 @@
 	run := func(proxies int) Run {
 		x := float64(proxies)
 		return Run{Size: Size{Proxies: proxies}, Cores: 8, Threads: 2, Changes: 4, Phases: []Phase{
-			{Name: "steady", Done: true, Spends: []Spend{{Role: "proxy", Seconds: 10, CPU: 1, Sent: 100, Received: 100}}},
-			{Name: "change", Done: true, Spends: []Spend{{Role: "proxy", Seconds: 2, CPU: 1 + x, Sent: 100 + x, Received: 100 + x}}},
+			{Name: "steady", Done: true, Usages: []Usage{{Role: "proxy", Seconds: 10, CPU: 1, Sent: 100, Received: 100}}},
+			{Name: "change", Done: true, Usages: []Usage{{Role: "proxy", Seconds: 2, CPU: 1 + x, Sent: 100 + x, Received: 100 + x}}},
 		}}
 	}
 	for _, s := range perChangeOf([]Run{run(10), run(20)}, "proxies")[:2] {
@@ -134,14 +134,14 @@
 	run := func(proxies int, cpu, busiest, lost float64) Run {
 		return Run{
 			Size: Size{Proxies: proxies}, Cores: 8, Threads: 2,
-			Phases: []Phase{{Name: "steady", Done: true, Spends: []Spend{{Role: "proxy", Daemons: proxies, CPU: cpu, Busiest: busiest, Lost: lost, Sent: 10, Received: 20}}}},
+			Phases: []Phase{{Name: "steady", Done: true, Usages: []Usage{{Role: "proxy", Daemons: proxies, CPU: cpu, Busiest: busiest, Lost: lost, Sent: 10, Received: 20}}}},
 		}
 	}
 	list := SlopesOf([]Run{run(10, 1, 10, 0), run(20, 2, 40, 0), run(100, 7, 100, 0), run(40, 3, 180, 0), run(80, 4, 100, 1)})
 	for _, s := range list {
 		if s.Measure == "CPU, % of a core" {
 			is.Equal(s.Fit.Points, 2)
-			is.True(near(s.Worked, 160))
+			is.True(near(s.Extrapolated, 160))
 			is.Equal(s.beside(), "1.7: 94.1 times over")
 		}
 		if s.Measure == "sent and received, bytes/s" {
--- a/internal/testsupport/scaletest/fleet.go
+++ b/internal/testsupport/scaletest/fleet.go
@@ -19,23 +19,23 @@
 	Sizes []Size
 	// Bin holds the built registry and store; Crew is the program that runs
 	// hollow proxies as its command "crew".
-	Bin, Crew string
-	Dir       string
-	Thrifty   bool
-	// PerCrew is how many proxies one process has.
-	PerCrew int
-	// For is how long the steady phase lasts, Within how long any other may.
-	For, Within time.Duration
-	Interval    time.Duration
-	Rows        int
-	Changes     int
-	Block       int
+	Bin, ProxyGroupBinary string
+	Dir                   string
+	Thrifty               bool
+	// ProxiesPerGroup is how many proxies one process has.
+	ProxiesPerGroup int
+	// PhaseDuration is how long the steady phase lasts, Within how long any other may.
+	PhaseDuration, PhaseTimeout time.Duration
+	Interval                    time.Duration
+	Rows                        int
+	Changes                     int
+	Block                       int
 	// Show takes one line of progress at a time.
 	Show func(line string)
 }
 
-// proc is one process of the fleet.
-type proc struct {
+// daemonProcess is one process of the fleet.
+type daemonProcess struct {
 	role, name string
 	// daemons is how many it stands for.
 	daemons int
@@ -51,15 +51,15 @@
 	Options
 	Size
 	mu    sync.Mutex
-	procs []*proc
+	procs []*daemonProcess
 }
 
 func coreAt(block, role, n, port int) string {
 	return fmt.Sprintf("127.%d.%d.%d:%d", block, role, n+1, port)
 }
 
-// lay names every process of a size.
-func lay(p Options, s Size) *fleet {
+// layOut names every process of a size.
+func layOut(p Options, s Size) *fleet {
 	f := &fleet{Options: p, Size: s}
 	var seeds []string
 	for n := range 3 {
@@ -67,7 +67,7 @@
 	}
 	for i, role := range []string{"store", "registry"} {
 		for n := range s.Core {
-			x := &proc{role: role, name: fmt.Sprintf("%s-%d", role, n+1), daemons: 1, http: coreAt(p.Block, i+1, n, pagesPort), program: filepath.Join(p.Bin, role)}
+			x := &daemonProcess{role: role, name: fmt.Sprintf("%s-%d", role, n+1), daemons: 1, http: coreAt(p.Block, i+1, n, pagesPort), program: filepath.Join(p.Bin, role)}
 			x.args = []string{
 				"--name", x.name, "--address", coreAt(p.Block, i+1, n, wirePort), "--http", x.http,
 				"--cell", string(s.Zone(n)), "--seeds", strings.Join(seeds, ","),
@@ -81,10 +81,10 @@
 			f.procs = append(f.procs, x)
 		}
 	}
-	for first, n := 0, 0; first < s.Proxies; first, n = first+p.PerCrew, n+1 {
-		x := &proc{
-			role: "proxy", name: fmt.Sprintf("crew-%d", n+1), daemons: min(p.PerCrew, s.Proxies-first),
-			http: coreAt(p.Block, 3, n, pagesPort), program: p.Crew,
+	for first, n := 0, 0; first < s.Proxies; first, n = first+p.ProxiesPerGroup, n+1 {
+		x := &daemonProcess{
+			role: "proxy", name: fmt.Sprintf("crew-%d", n+1), daemons: min(p.ProxiesPerGroup, s.Proxies-first),
+			http: coreAt(p.Block, 3, n, pagesPort), program: p.ProxyGroupBinary,
 		}
 		x.args = []string{
 			"crew", "--first", fmt.Sprint(first), "--count", fmt.Sprint(x.daemons), "--cells", fmt.Sprint(s.Zones),
@@ -99,10 +99,10 @@
 }
 
 // of gives the processes of a role that run.
-func (f *fleet) of(role string) []*proc {
+func (f *fleet) of(role string) []*daemonProcess {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var out []*proc
+	var out []*daemonProcess
 	for _, p := range f.procs {
 		if p.role == role && p.cmd != nil {
 			out = append(out, p)
@@ -112,7 +112,7 @@
 }
 
 // pid is that of a process; 0 if it doesn't run.
-func (f *fleet) pid(p *proc) int {
+func (f *fleet) pid(p *daemonProcess) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if p.cmd == nil {
@@ -122,7 +122,7 @@
 }
 
 // start runs a process; it ends with this one, whatever happens here.
-func (f *fleet) start(p *proc) error {
+func (f *fleet) start(p *daemonProcess) error {
 	log, err := os.OpenFile(filepath.Join(f.Dir, p.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
@@ -155,7 +155,7 @@
 }
 
 // kill ends a process at once.
-func (f *fleet) kill(p *proc) {
+func (f *fleet) kill(p *daemonProcess) {
 	f.mu.Lock()
 	cmd, ended := p.cmd, p.ended
 	p.cmd = nil
--- a/internal/testsupport/scaletest/phases.go
+++ b/internal/testsupport/scaletest/phases.go
@@ -9,7 +9,7 @@
 const settle = 3 * time.Second
 
 // configurations puts the whole configuration in, change by change.
-func (x *play) configurations(ph *Phase) {
+func (x *sizeRun) configurations(ph *Phase) {
 	list := x.Size.Whole()
 	slowest, from := time.Duration(0), time.Now()
 	for i, raw := range list {
@@ -23,7 +23,7 @@
 			ph.Note = fmt.Sprintf("change %d of %d (%d items and %d bytes in) declined after %.1f s: %v", i+1, len(list), x.run.Items, x.run.Configuration, took.Seconds(), err)
 			return
 		}
-		if took > x.Within {
+		if took > x.PhaseTimeout {
 			ph.Note = fmt.Sprintf("change %d of %d took %.1f s, %d items and %d bytes in", i+1, len(list), took.Seconds(), x.run.Items, x.run.Configuration)
 			return
 		}
@@ -40,9 +40,9 @@
 }
 
 // arrive lets targets announce themselves, and waits until all proxies serve.
-func (x *play) arrive(ph *Phase) {
+func (x *sizeRun) arrive(ph *Phase) {
 	go x.targets.run(x.ctx)
-	_, ok := until(x.ctx, x.Within, 100*time.Millisecond, func() bool {
+	_, ok := until(x.ctx, x.PhaseTimeout, 100*time.Millisecond, func() bool {
 		return int(x.targets.answered.Load()) >= x.Size.Targets && x.count() == x.Size.Proxies
 	})
 	// The roll goes on telling of what has just become ready.
@@ -52,20 +52,20 @@
 }
 
 // steady does nothing for a while.
-func (x *play) steady(ph *Phase) {
+func (x *sizeRun) steady(ph *Phase) {
 	least := x.Size.Proxies
 	before := x.targets.answered.Load()
-	_, _ = until(x.ctx, x.For, x.For/4, func() bool {
+	_, _ = until(x.ctx, x.PhaseDuration, x.PhaseDuration/4, func() bool {
 		least = min(least, x.count())
 		return false
 	})
 	ph.Done = x.ctx.Err() == nil
 	told := x.targets.answered.Load() - before
-	ph.Note = fmt.Sprintf("%d proxies ready at least, %d announcements answered (%.0f wanted)", least, told, x.For.Seconds()/x.Interval.Seconds()*float64(x.Size.Targets))
+	ph.Note = fmt.Sprintf("%d proxies ready at least, %d announcements answered (%.0f wanted)", least, told, x.PhaseDuration.Seconds()/x.Interval.Seconds()*float64(x.Size.Targets))
 }
 
 // changes are changes of one route each, every one awaited everywhere.
-func (x *play) changes(ph *Phase) {
+func (x *sizeRun) changes(ph *Phase) {
 	var all []time.Duration
 	for n := range x.Changes {
 		from := time.Now()
@@ -77,7 +77,7 @@
 		lags, ok := x.inForce(rev, from)
 		all = append(all, lags...)
 		if !ok {
-			ph.Note = fmt.Sprintf("change %d: in force at %d proxies within %s", n+1, len(lags), x.Within)
+			ph.Note = fmt.Sprintf("change %d: in force at %d proxies within %s", n+1, len(lags), x.PhaseTimeout)
 			return
 		}
 	}
@@ -88,7 +88,7 @@
 }
 
 // registryLost kills the registry that plans, and lets it come back.
-func (x *play) registryLost(ph *Phase) {
+func (x *sizeRun) registryLost(ph *Phase) {
 	p := x.of("registry")[0]
 	x.kill(p)
 	least := x.Size.Proxies
@@ -100,7 +100,7 @@
 		ph.Note = err.Error()
 		return
 	}
-	took, ok := until(x.ctx, x.Within, 100*time.Millisecond, func() bool {
+	took, ok := until(x.ctx, x.PhaseTimeout, 100*time.Millisecond, func() bool {
 		return x.readyCore() == 3+x.Core && x.count() == x.Size.Proxies
 	})
 	ph.Done = ok
@@ -108,18 +108,18 @@
 }
 
 // proxiesBack loses all proxies at once, and starts them at once.
-func (x *play) proxiesBack(ph *Phase) {
+func (x *sizeRun) proxiesBack(ph *Phase) {
 	x.killAll("proxy")
 	from := time.Now()
 	if err := x.startAll("proxy"); err != nil {
 		ph.Note = err.Error()
 		return
 	}
-	took, ok := until(x.ctx, x.Within, 100*time.Millisecond, func() bool { return x.count() == x.Size.Proxies })
+	took, ok := until(x.ctx, x.PhaseTimeout, 100*time.Millisecond, func() bool { return x.count() == x.Size.Proxies })
 	var lags []time.Duration
 	for _, s := range x.stands() {
 		if s.Ready {
-			lags = append(lags, time.Duration(s.Stood-from.UnixNano()))
+			lags = append(lags, time.Duration(s.ServingStateChangedAt-from.UnixNano()))
 		}
 	}
 	ph.Lag, ph.Done = lagOf(lags), ok
--- a/internal/testsupport/scaletest/plot.go
+++ b/internal/testsupport/scaletest/plot.go
@@ -45,7 +45,7 @@
 		f.Color = color.RGBA{R: 200, A: 255}
 		f.XMin, f.XMax = 0, s.At
 		p.Add(f)
-		p.X.Max, p.Y.Max = s.At, max(s.Worked*1.05, p.Y.Max)
+		p.X.Max, p.Y.Max = s.At, max(s.Extrapolated*1.05, p.Y.Max)
 		p.Legend.Add(fmt.Sprintf("fit, r2 %.3f", s.Fit.R2), f)
 	}
 	if s.Budget > 0 {
--- a/internal/testsupport/scaletest/policy.go
+++ b/internal/testsupport/scaletest/policy.go
@@ -8,28 +8,28 @@
 // perChange is how many items go into one change: as many as one may name.
 const perChange = 1000
 
-type part map[string]any
+type item map[string]any
 
 // Whole is the configuration of a size, as changes in the order to be made.
 func (s Size) Whole() [][]byte {
 	var out [][]byte
-	var parts []part
+	var parts []item
 	flush := func() {
 		if len(parts) > 0 {
 			raw, _ := json.Marshal(map[string]any{"id": fmt.Sprintf("hollow-%d", len(out)), "changes": parts})
 			out, parts = append(out, raw), nil
 		}
 	}
-	put := func(p part) {
+	put := func(p item) {
 		if parts = append(parts, p); len(parts) == perChange {
 			flush()
 		}
 	}
 	for n := range s.Zones {
-		put(part{"kind": "cell", "name": s.Zone(n), "put": part{"region": s.Region(n), "target": 8500}})
+		put(item{"kind": "cell", "name": s.Zone(n), "put": item{"region": s.Region(n), "target": 8500}})
 	}
 	for n := range s.Services {
-		put(part{"kind": "service", "name": s.Service(n), "put": part{"tier": n % 10, "capacity": 16, "warm_ms": 3000, "allowance": 10}})
+		put(item{"kind": "service", "name": s.Service(n), "put": item{"tier": n % 10, "capacity": 16, "warm_ms": 3000, "allowance": 10}})
 	}
 	for n := range s.Routes {
 		put(s.route(n))
@@ -41,16 +41,16 @@
 	return out
 }
 
-func (s Size) route(n int) part {
-	return part{"kind": "route", "name": fmt.Sprintf("route-%d", n+1), "put": part{
+func (s Size) route(n int) item {
+	return item{"kind": "route", "name": fmt.Sprintf("route-%d", n+1), "put": item{
 		"prefix":  fmt.Sprintf("/r%d", n+1),
 		"service": s.Service(n), "tier": n % 10, "repeatable": n%4 != 0, "limit_ms": 5000,
 	}}
 }
 
 // tenant is the only form that configuration has today for what is a tenant's own.
-func (s Size) tenant(n int) part {
-	return part{"kind": "route", "name": fmt.Sprintf("tenant-%d", n+1), "put": part{
+func (s Size) tenant(n int) item {
+	return item{"kind": "route", "name": fmt.Sprintf("tenant-%d", n+1), "put": item{
 		"host":   fmt.Sprintf("t%06d.example", n+1),
 		"prefix": "/", "service": s.Service(n), "tier": n % 10, "repeatable": true, "limit_ms": 5000,
 	}}
@@ -58,8 +58,8 @@
 
 // Change is the nth change of one route, for the phase of changes.
 func (s Size) Change(run string, n int) []byte {
-	raw, _ := json.Marshal(map[string]any{"id": fmt.Sprintf("hollow-%s-%d", run, n), "changes": []part{
-		{"kind": "route", "name": fmt.Sprintf("route-%d", n%s.Routes+1), "set": part{"limit_ms": 4000 + n}},
+	raw, _ := json.Marshal(map[string]any{"id": fmt.Sprintf("hollow-%s-%d", run, n), "changes": []item{
+		{"kind": "route", "name": fmt.Sprintf("route-%d", n%s.Routes+1), "set": item{"limit_ms": 4000 + n}},
 	}})
 	return raw
 }
@@ -67,7 +67,7 @@
 // ConfigurationBytes is about how long the register is once all is in it: each item's
 // body, and its key and version around it.
 func (s Size) ConfigurationBytes() int {
-	around := func(p part) int {
+	around := func(p item) int {
 		body, _ := json.Marshal(p["put"])
 		return len(body) + len(fmt.Sprint(p["name"])) + len(`"":{"version":1000,"body":},`)
 	}
--- a/internal/testsupport/scaletest/proxygroup.go
+++ b/internal/testsupport/scaletest/proxygroup.go
@@ -33,36 +33,36 @@
 	Thrifty bool     `help:"As proxies with --by-cell, and a lease without end." name:"thrifty"`
 }
 
-// shell is one proxy without its pages, dispatchers and connections to targets.
-type shell struct {
-	control *proxy.Control
-	owner   *process.Owner
-	post    *process.Transport
-	mu      sync.Mutex
-	standing
-	// stock is what its dispatchers would hold.
-	stock map[ids.Name]dispatch.ServiceState
+// hollowProxy is one proxy without its pages, dispatchers and connections to targets.
+type hollowProxy struct {
+	control   *proxy.Control
+	owner     *process.Owner
+	transport *process.Transport
+	mu        sync.Mutex
+	proxyStatus
+	// serviceStates is what its dispatchers would hold.
+	serviceStates map[ids.Name]dispatch.ServiceState
 }
 
-// standing is what is known of a proxy from outside.
-type standing struct {
+// proxyStatus is what is known of a proxy from outside.
+type proxyStatus struct {
 	ready, inStep bool
 	revision      ids.Revision
-	// adopted and stood are when the configuration and the footing last changed.
-	adopted, stood time.Time
+	// configurationChangedAt and stood are when the configuration and the footing last changed.
+	configurationChangedAt, servingStateChangedAt time.Time
 }
 
 // ProxyGroup is many hollow proxies.
 type ProxyGroup struct {
 	ProxyGroupOptions
-	tally  process.TrafficStats
-	shells []*shell
+	traffic process.TrafficStats
+	proxies []*hollowProxy
 }
 
 const (
 	wirePort    = 7401
 	pagesPort   = 7400
-	beat        = 50 * time.Millisecond
+	tickEvery   = 50 * time.Millisecond
 	reportEvery = 2 * time.Second
 )
 
@@ -90,34 +90,34 @@
 		if p.Thrifty {
 			o = proxy.ControlOptions{Lease: proxy.EndlessLease, SlotLayout: proxy.SlotLayout{ByZone: true}}
 		}
-		s := &shell{control: proxy.New(membership.Options{Self: self, Seeds: seeds, Incremental: p.Thrifty}, o), stock: map[ids.Name]dispatch.ServiceState{}}
-		s.post = &process.Transport{
-			Address: at, Log: log, Stats: &c.tally,
+		s := &hollowProxy{control: proxy.New(membership.Options{Self: self, Seeds: seeds, Incremental: p.Thrifty}, o), serviceStates: map[ids.Name]dispatch.ServiceState{}}
+		s.transport = &process.Transport{
+			Address: at, Log: log, Stats: &c.traffic,
 			Deliver: func(from ids.Address, msg any) { s.owner.Offer(event.Received{From: from, Msg: msg}) },
 		}
-		s.owner = process.NewOwner(s.control, beat, s.do)
-		c.shells = append(c.shells, s)
+		s.owner = process.NewOwner(s.control, tickEvery, s.do)
+		c.proxies = append(c.proxies, s)
 	}
 	return c
 }
 
 // do carries out a command as a proxy does, up to where requests begin.
-func (s *shell) do(c event.Command) {
+func (s *hollowProxy) do(c event.Command) {
 	switch c := c.(type) {
 	case event.Send:
-		s.post.Send(c.To, c.Msg)
+		s.transport.Send(c.To, c.Msg)
 	case proxy.DispatchEvent:
 		if stock, ok := c.Event.(dispatch.ServiceState); ok {
-			s.stock[c.Service] = stock
+			s.serviceStates[c.Service] = stock
 		}
 	case proxy.UpdateRoutes:
 		s.mu.Lock()
-		s.revision, s.adopted = c.View.Revision, time.Now()
+		s.revision, s.configurationChangedAt = c.View.Revision, time.Now()
 		s.mu.Unlock()
 	case proxy.ServingState:
 		s.mu.Lock()
 		if s.ready != c.Ready || s.inStep != c.LeaseValid {
-			s.stood = time.Now()
+			s.servingStateChangedAt = time.Now()
 		}
 		s.ready, s.inStep = c.Ready, c.LeaseValid
 		s.mu.Unlock()
@@ -127,13 +127,13 @@
 // Run runs them until the context ends.
 func (c *ProxyGroup) Run(ctx context.Context) error {
 	sup := daemon.NewSupervisor("crew", process.NewLog("warn", "crew"))
-	for _, s := range c.shells {
-		l, err := s.post.Listen()
+	for _, s := range c.proxies {
+		l, err := s.transport.Listen()
 		if err != nil {
 			return err
 		}
 		sup.Add(s.owner)
-		sup.Add(daemon.NewTask("post", func(x context.Context) error { return s.post.Serve(x, l) }))
+		sup.Add(daemon.NewTask("post", func(x context.Context) error { return s.transport.Serve(x, l) }))
 	}
 	sup.Add(daemon.NewTask("reports", c.report))
 	pages, err := api.Listen(c.HTTP)
@@ -141,7 +141,7 @@
 		return err
 	}
 	mux := http.NewServeMux()
-	daemon.HandleMetrics(mux, func() []daemon.Metric { return daemon.TrafficMetrics(&c.tally) })
+	daemon.HandleMetrics(mux, func() []daemon.Metric { return daemon.TrafficMetrics(&c.traffic) })
 	mux.HandleFunc("GET /state", func(rw http.ResponseWriter, _ *http.Request) {
 		rw.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(rw).Encode(c.state())
@@ -170,25 +170,25 @@
 		for i := range c.Rows {
 			m.Rows = append(m.Rows, spill.ServiceUsage{Route: ids.Name(fmt.Sprintf("route-%d", i+1)), Service: "service-1", CPU: rand.Float64() * 10})
 		}
-		c.shells[n%c.Count].owner.Offer(m)
+		c.proxies[n%c.Count].owner.Offer(m)
 	}
 }
 
-// Stand is how one proxy stands.
-type Stand struct {
+// ProxyState is how one proxy stands.
+type ProxyState struct {
 	Ready    bool  `json:"ready"`
 	InStep   bool  `json:"in_step"`
 	Revision int64 `json:"revision"`
-	// Adopted and Stood are wall times in ns, of this one machine.
-	Adopted int64 `json:"adopted"`
-	Stood   int64 `json:"stood"`
+	// ConfigurationChangedAt and Stood are wall times in ns, of this one machine.
+	ConfigurationChangedAt int64 `json:"adopted"`
+	ServingStateChangedAt  int64 `json:"stood"`
 }
 
-func (c *ProxyGroup) state() []Stand {
-	var out []Stand
-	for _, s := range c.shells {
+func (c *ProxyGroup) state() []ProxyState {
+	var out []ProxyState
+	for _, s := range c.proxies {
 		s.mu.Lock()
-		out = append(out, Stand{s.ready, s.inStep, int64(s.revision), s.adopted.UnixNano(), s.stood.UnixNano()})
+		out = append(out, ProxyState{s.ready, s.inStep, int64(s.revision), s.configurationChangedAt.UnixNano(), s.servingStateChangedAt.UnixNano()})
 		s.mu.Unlock()
 	}
 	return out
--- a/internal/testsupport/scaletest/reading.go
+++ b/internal/testsupport/scaletest/reading.go
@@ -17,14 +17,14 @@
 
 type flowKey struct{ way, kind string }
 
-// reading is what a role's processes have spent so far, by name.
-type reading struct {
+// measurement is what a role's processes have spent so far, by name.
+type measurement struct {
 	at    time.Time
-	procs map[string]*spent
+	procs map[string]*processUsage
 }
 
-// spent is what one run of a process has spent.
-type spent struct {
+// processUsage is what one run of a process has spent.
+type processUsage struct {
 	pid, daemons, files int
 	// cpu is in seconds; resident and peak in bytes.
 	cpu, resident, peak, syncs float64
@@ -34,7 +34,7 @@
 var client = http.Client{Timeout: 10 * time.Second}
 
 // system adds what the kernel says of a process.
-func (r *spent) system(pid int) {
+func (r *processUsage) system(pid int) {
 	r.pid = pid
 	x, err := procfs.NewProc(r.pid)
 	if err != nil {
@@ -52,7 +52,7 @@
 }
 
 // page adds what the process says of itself.
-func (r *spent) page(p *proc) {
+func (r *processUsage) page(p *daemonProcess) {
 	res, err := client.Get("http://" + p.http + "/metrics")
 	if err != nil {
 		return
@@ -92,15 +92,15 @@
 
 // read takes a reading of every role. The pages cost CPU time of their own, so
 // a span begins after them and ends before them.
-func (f *fleet) read(begins bool) map[string]*reading {
-	out := map[string]*reading{}
+func (f *fleet) read(begins bool) map[string]*measurement {
+	out := map[string]*measurement{}
 	for _, role := range roles {
-		r := &reading{procs: map[string]*spent{}}
+		r := &measurement{procs: map[string]*processUsage{}}
 		list := f.of(role)
 		for _, p := range list {
-			r.procs[p.name] = &spent{daemons: p.daemons, flows: map[flowKey]flow{}}
+			r.procs[p.name] = &processUsage{daemons: p.daemons, flows: map[flowKey]flow{}}
 		}
-		parts := []func(*proc){func(p *proc) { r.procs[p.name].page(p) }, func(p *proc) { r.procs[p.name].system(f.pid(p)) }}
+		parts := []func(*daemonProcess){func(p *daemonProcess) { r.procs[p.name].page(p) }, func(p *daemonProcess) { r.procs[p.name].system(f.pid(p)) }}
 		if !begins {
 			slices.Reverse(parts)
 		}
@@ -119,14 +119,14 @@
 }
 
 // stands asks the crews how their proxies stand.
-func (f *fleet) stands() []Stand {
-	var out []Stand
+func (f *fleet) stands() []ProxyState {
+	var out []ProxyState
 	for _, p := range f.of("proxy") {
 		res, err := client.Get("http://" + p.http + "/state")
 		if err != nil {
 			continue
 		}
-		var list []Stand
+		var list []ProxyState
 		if json.NewDecoder(res.Body).Decode(&list) == nil {
 			out = append(out, list...)
 		}
--- a/internal/testsupport/scaletest/report.go
+++ b/internal/testsupport/scaletest/report.go
@@ -51,7 +51,7 @@
 	fmt.Fprintln(w, "size\tphase\ttook s\trole\tCPU %\tbusiest %\tMB\tsent B/s\trecv B/s\tmsg/s\tlost\tfiles\tlag p50/p99/max ms\tmostly")
 	for _, run := range r.Runs {
 		for _, p := range run.Phases {
-			for _, s := range p.Spends {
+			for _, s := range p.Usages {
 				mostly := ""
 				for _, k := range s.Kinds[:min(2, len(s.Kinds))] {
 					mostly += fmt.Sprintf("%s %.1f/s of %.0f B; ", k.Kind, k.Messages, k.Size)
@@ -61,7 +61,7 @@
 			}
 		}
 		for _, p := range run.Phases {
-			if n := p.Distrust(); n > restless && (p.Name == "steady" || p.Name == "change") {
+			if n := p.Distrust(); n > restlessSuspicionsPerSecond && (p.Name == "steady" || p.Name == "change") {
 				fmt.Fprintf(w, "not at rest: %s, %.2f inquiries and suspicions a second from each proxy\n", p.Name, n)
 			}
 		}
@@ -81,7 +81,7 @@
 			x = "x²"
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%.4g + %.4g %s\t%.3f\t%d\t%d\t%.0f %s\t%.4g\t%s\n", s.Phase, s.Role, s.Measure, s.Fit.A, s.Fit.B, x, s.Fit.R2,
-			s.Fit.Points, len(s.Points)-s.Fit.Points, s.At, s.Axis, s.Worked, s.beside())
+			s.Fit.Points, len(s.Points)-s.Fit.Points, s.At, s.Axis, s.Extrapolated, s.beside())
 	}
 	return w.Flush()
 }
@@ -91,8 +91,8 @@
 	switch {
 	case s.Budget == 0:
 		return ""
-	case s.Worked > s.Budget:
-		return fmt.Sprintf("%.4g: %.1f times over", s.Budget, s.Worked/s.Budget)
+	case s.Extrapolated > s.Budget:
+		return fmt.Sprintf("%.4g: %.1f times over", s.Budget, s.Extrapolated/s.Budget)
 	}
 	return fmt.Sprintf("%.4g: within", s.Budget)
 }
--- a/internal/testsupport/scaletest/run.go
+++ b/internal/testsupport/scaletest/run.go
@@ -19,15 +19,15 @@
 		return err
 	}
 	for _, s := range p.Sizes {
-		if err := NeedOf(s, p.PerCrew).Fits(s, l); err != nil {
+		if err := RequirementsOf(s, p.ProxiesPerGroup).Fits(s, l); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Play runs every size in turn, once all of them are found to fit.
-func Play(ctx context.Context, p Options) ([]Run, error) {
+// RunSizes runs every size in turn, once all of them are found to fit.
+func RunSizes(ctx context.Context, p Options) ([]Run, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
 	}
@@ -46,8 +46,8 @@
 	return out, nil
 }
 
-// play is one run under way.
-type play struct {
+// sizeRun is one run under way.
+type sizeRun struct {
 	*fleet
 	run      *Run
 	ctx      context.Context
@@ -65,7 +65,7 @@
 	if err := os.MkdirAll(p.Dir, 0o755); err != nil {
 		return r, err
 	}
-	f := lay(p, s)
+	f := layOut(p, s)
 	defer f.killAll("")
 	if err := f.startAll(""); err != nil {
 		return r, err
@@ -73,7 +73,7 @@
 	life, end := context.WithCancelCause(ctx)
 	defer end(nil)
 	go f.guard(life, end)
-	x := &play{fleet: f, run: &r, ctx: life, targets: newTargets(f)}
+	x := &sizeRun{fleet: f, run: &r, ctx: life, targets: newTargets(f)}
 	for _, phase := range []struct {
 		name string
 		do   func(*Phase)
@@ -93,7 +93,7 @@
 		ph.Took = time.Since(from).Seconds()
 		after := f.read(false)
 		for _, role := range roles {
-			ph.Spends = append(ph.Spends, between(role, before[role], after[role]))
+			ph.Usages = append(ph.Usages, between(role, before[role], after[role]))
 		}
 		r.Phases = append(r.Phases, ph)
 		p.Show(fmt.Sprintf("  %-14s %6.1f s  done %v  %s", ph.Name, ph.Took, ph.Done, ph.Note))
@@ -121,7 +121,7 @@
 		held := 0.0
 		for _, role := range roles {
 			for _, p := range f.of(role) {
-				var s spent
+				var s processUsage
 				s.system(f.pid(p))
 				held += s.resident
 			}
@@ -136,15 +136,15 @@
 
 // starts waits until all stores and registries answer and the fleet has
 // found together: no proxy can be in step before there is a configuration.
-func (x *play) starts(ph *Phase) {
-	_, ph.Done = until(x.ctx, x.Within, 100*time.Millisecond, func() bool {
+func (x *sizeRun) starts(ph *Phase) {
+	_, ph.Done = until(x.ctx, x.PhaseTimeout, 100*time.Millisecond, func() bool {
 		return len(x.stands()) == x.Size.Proxies && x.readyCore() == 3+x.Core
 	})
 	ph.Note = fmt.Sprintf("%d core daemons ready", x.readyCore())
 }
 
 // readyCore counts registries and voting stores that are ready.
-func (x *play) readyCore() int {
+func (x *sizeRun) readyCore() int {
 	n := 0
 	for _, role := range []string{"store", "registry"} {
 		for i, p := range x.of(role) {
@@ -163,7 +163,7 @@
 }
 
 // post makes a change through any registry; it gives the revision.
-func (x *play) post(raw []byte) (int64, error) {
+func (x *sizeRun) post(raw []byte) (int64, error) {
 	var last error
 	// An uncertain outcome is asked for again under the same id.
 	for range 3 {
@@ -193,9 +193,9 @@
 
 // inForce waits until every proxy goes by a revision, and gives how long
 // after the change was asked for each did.
-func (x *play) inForce(rev int64, from time.Time) ([]time.Duration, bool) {
-	var stands []Stand
-	_, ok := until(x.ctx, x.Within, 50*time.Millisecond, func() bool {
+func (x *sizeRun) inForce(rev int64, from time.Time) ([]time.Duration, bool) {
+	var stands []ProxyState
+	_, ok := until(x.ctx, x.PhaseTimeout, 50*time.Millisecond, func() bool {
 		stands = x.stands()
 		n := 0
 		for _, s := range stands {
@@ -208,14 +208,14 @@
 	var out []time.Duration
 	for _, s := range stands {
 		if s.Revision >= rev {
-			out = append(out, time.Duration(s.Adopted-from.UnixNano()))
+			out = append(out, time.Duration(s.ConfigurationChangedAt-from.UnixNano()))
 		}
 	}
 	return out, ok
 }
 
 // count tells how many proxies are ready.
-func (x *play) count() int {
+func (x *sizeRun) count() int {
 	n := 0
 	for _, s := range x.stands() {
 		if s.Ready {
--- a/internal/testsupport/scaletest/scaletest_test.go
+++ b/internal/testsupport/scaletest/scaletest_test.go
@@ -22,10 +22,10 @@
 		t.Fatal(err, string(out))
 	}
 	p := Options{
-		Sizes: []Size{small}, Bin: bin, Crew: filepath.Join(bin, "testbed"), Dir: filepath.Join(t.TempDir(), "fleet"), Thrifty: true, PerCrew: 4,
-		For: 2 * time.Second, Within: 30 * time.Second, Interval: 500 * time.Millisecond, Rows: 3, Changes: 2, Block: 250 + os.Getpid()%4, Show: func(s string) { t.Log(s) },
+		Sizes: []Size{small}, Bin: bin, ProxyGroupBinary: filepath.Join(bin, "testbed"), Dir: filepath.Join(t.TempDir(), "fleet"), Thrifty: true, ProxiesPerGroup: 4,
+		PhaseDuration: 2 * time.Second, PhaseTimeout: 30 * time.Second, Interval: 500 * time.Millisecond, Rows: 3, Changes: 2, Block: 250 + os.Getpid()%4, Show: func(s string) { t.Log(s) },
 	}
-	runs, err := Play(t.Context(), p)
+	runs, err := RunSizes(t.Context(), p)
 	is.NoErr(err)
 	is.Equal(len(runs), 1)
 	is.Equal(runs[0].Stopped, "")
@@ -69,7 +69,7 @@
 	dir := filepath.Join(t.TempDir(), "fleet")
 	s := small
 	s.Proxies, s.Targets, s.Tenants = 20000, 1000000, 10000000
-	_, err := Play(context.Background(), Options{Sizes: []Size{small, s}, Dir: dir, PerCrew: 400, Show: func(string) {}})
+	_, err := RunSizes(context.Background(), Options{Sizes: []Size{small, s}, Dir: dir, ProxiesPerGroup: 400, Show: func(string) {}})
 	is.True(err != nil)
 	is.True(strings.Contains(err.Error(), "bytes"))
 	_, err = os.Stat(dir)
--- a/internal/testsupport/scaletest/size.go
+++ b/internal/testsupport/scaletest/size.go
@@ -24,8 +24,8 @@
 	Core int `json:"core"`
 }
 
-// Letter is the size that the users ask to design for.
-var Letter = Size{Proxies: 1600, Targets: 4300, Services: 260, Routes: 2000, Tenants: 150000, Zones: 36, Regions: 9, Core: 6}
+// DesignSize is the size that the users ask to design for.
+var DesignSize = Size{Proxies: 1600, Targets: 4300, Services: 260, Routes: 2000, Tenants: 150000, Zones: 36, Regions: 9, Core: 6}
 
 // axes are what a slope can be taken over, the first that varies wins.
 var axes = []struct {
@@ -120,8 +120,8 @@
 		return fmt.Errorf("--regions: there can't be more than the %d cells", s.Zones)
 	case s.Services > s.Routes:
 		return fmt.Errorf("--services: there can't be more than the %d routes that lead to them", s.Routes)
-	case s.Proxies > mostProxies:
-		return fmt.Errorf("--proxies: at most %d have addresses of their own", mostProxies)
+	case s.Proxies > maxProxies:
+		return fmt.Errorf("--proxies: at most %d have addresses of their own", maxProxies)
 	case s.Core > 200:
 		return fmt.Errorf("--core: at most 200 have addresses of their own")
 	}
@@ -145,8 +145,8 @@
 		s.Proxies, s.Targets, s.Services, s.Routes, s.Tenants, s.Zones, s.Regions, s.Core)
 }
 
-// largest gives the size with the most of each.
-func largest(list []Size) Size {
+// maximumSize gives the size with the most of each.
+func maximumSize(list []Size) Size {
 	out := list[0]
 	for _, a := range axes {
 		for i := range list {
--- a/internal/testsupport/scaletest/size_test.go
+++ b/internal/testsupport/scaletest/size_test.go
@@ -30,7 +30,7 @@
 	is.Equal(Axis(got), "targets")
 	is.Equal(Axis(got[:1]), "proxies")
 	is.Equal(got[2].Of("targets"), 120.0)
-	is.Equal(largest(got).Targets, 120)
+	is.Equal(maximumSize(got).Targets, 120)
 }
 
 func TestBadSizesNameTheirFlag(t *testing.T) {
@@ -86,16 +86,16 @@
 
 func TestNeedGrowsAndRejects(t *testing.T) {
 	is := is.New(t)
-	a := NeedOf(small, 400)
+	a := RequirementsOf(small, 400)
 	is.Equal(a.Processes, 7)
-	is.Equal(a.Bytes(), a.Crews+a.Registries+a.Stores)
+	is.Equal(a.Bytes(), a.ProxyGroups+a.Registries+a.Stores)
 	for _, axis := range axes[:2] {
 		b := small
 		*axis.of(&b) *= 10
-		is.True(NeedOf(b, 400).Bytes() > a.Bytes())
+		is.True(RequirementsOf(b, 400).Bytes() > a.Bytes())
 	}
-	is.Equal(NeedOf(small, 2).Processes, 9)
-	is.True(NeedOf(small, 2).Files <= a.Files)
+	is.Equal(RequirementsOf(small, 2).Processes, 9)
+	is.True(RequirementsOf(small, 2).Files <= a.Files)
 	is.NoErr(a.Fits(small, Limits{Memory: 2 * a.Bytes(), Processes: 7, Files: a.Files}))
 	for what, l := range map[string]Limits{
 		"bytes":       {Memory: 2*a.Bytes() - 2, Processes: 7, Files: a.Files},
--- a/internal/testsupport/scaletest/slopes.go
+++ b/internal/testsupport/scaletest/slopes.go
@@ -9,8 +9,8 @@
 	Points  []Point `json:"points"`
 	Fit     *Fit    `json:"fit,omitempty"`
 	// At is the letter's size along the axis, and Worked what the fit gives there.
-	At     float64 `json:"at"`
-	Worked float64 `json:"worked_out,omitempty"`
+	At           float64 `json:"at"`
+	Extrapolated float64 `json:"worked_out,omitempty"`
 	// Budget is what one daemon may spend; 0 where none is named.
 	Budget float64 `json:"budget,omitempty"`
 }
@@ -19,22 +19,22 @@
 var measures = []struct {
 	name   string
 	budget float64
-	of     func(p Phase, s Spend) float64
+	of     func(p Phase, s Usage) float64
 }{
-	{"CPU, % of a core", 1.7, func(_ Phase, s Spend) float64 { return s.CPU }},
-	{"memory, MB", 64, func(_ Phase, s Spend) float64 { return s.Memory }},
-	{"sent, bytes/s", 0, func(_ Phase, s Spend) float64 { return s.Sent }},
-	{"sent and received, bytes/s", 13000, func(_ Phase, s Spend) float64 { return s.Control() }},
-	{"messages sent, /s", 0, func(_ Phase, s Spend) float64 { return s.Messages }},
+	{"CPU, % of a core", 1.7, func(_ Phase, s Usage) float64 { return s.CPU }},
+	{"memory, MB", 64, func(_ Phase, s Usage) float64 { return s.Memory }},
+	{"sent, bytes/s", 0, func(_ Phase, s Usage) float64 { return s.Sent }},
+	{"sent and received, bytes/s", 13000, func(_ Phase, s Usage) float64 { return s.Control() }},
+	{"messages sent, /s", 0, func(_ Phase, s Usage) float64 { return s.Messages }},
 }
 
-// full is the share of the machine, or of what one process may use of it, over
+// saturationShare is the share of the machine, or of what one process may use of it, over
 // which a run measures what it runs on.
-const full = 0.85
+const saturationShare = 0.85
 
-// restless is how many words of distrust a proxy may send in a second while
+// restlessSuspicionsPerSecond is how many words of distrust a proxy may send in a second while
 // a fleet still counts as at rest.
-const restless = 0.05
+const restlessSuspicionsPerSecond = 0.05
 
 // Distrust is how many inquiries and suspicions each proxy sent in a second: a
 // fleet that sends them no longer keeps up, and tells itself ever more.
@@ -52,17 +52,17 @@
 // saturated tells whether a phase measured a machine that is full, or a fleet
 // that doesn't keep up, and not what a fleet costs.
 func saturated(r Run, p Phase) bool {
-	if (p.Name == "steady" || p.Name == "change") && p.Distrust() > restless {
+	if (p.Name == "steady" || p.Name == "change") && p.Distrust() > restlessSuspicionsPerSecond {
 		return true
 	}
 	all := 0.0
-	for _, s := range p.Spends {
+	for _, s := range p.Usages {
 		all += s.CPU * float64(s.Daemons)
-		if s.Lost > 0 || s.Busiest > full*100*float64(r.Threads) {
+		if s.Lost > 0 || s.Busiest > saturationShare*100*float64(r.Threads) {
 			return true
 		}
 	}
-	return all > full*100*float64(r.Cores)
+	return all > saturationShare*100*float64(r.Cores)
 }
 
 // SlopesOf fits every measure over the runs.
@@ -79,7 +79,7 @@
 	for _, phase := range []string{"steady", "change", "registry-lost", "proxies-back"} {
 		for _, role := range roles {
 			for _, m := range measures {
-				s := Slope{Phase: phase, Role: role, Measure: m.name, Axis: axis, At: Letter.Of(axis)}
+				s := Slope{Phase: phase, Role: role, Measure: m.name, Axis: axis, At: DesignSize.Of(axis)}
 				if role == "proxy" {
 					s.Budget = m.budget
 				}
@@ -104,12 +104,12 @@
 	for _, role := range roles {
 		for _, m := range []struct {
 			name string
-			of   func(s Spend) float64
+			of   func(s Usage) float64
 		}{
-			{"one change: CPU ms", func(s Spend) float64 { return 10 * s.CPU * s.Seconds }},
-			{"one change: bytes sent and received", func(s Spend) float64 { return s.Control() * s.Seconds }},
+			{"one change: CPU ms", func(s Usage) float64 { return 10 * s.CPU * s.Seconds }},
+			{"one change: bytes sent and received", func(s Usage) float64 { return s.Control() * s.Seconds }},
 		} {
-			s := Slope{Phase: "change", Role: role, Measure: m.name, Axis: axis, At: Letter.Of(axis)}
+			s := Slope{Phase: "change", Role: role, Measure: m.name, Axis: axis, At: DesignSize.Of(axis)}
 			for _, r := range runs {
 				change, ok := r.Phase("change")
 				steady, calm := r.Phase("steady")
@@ -128,7 +128,7 @@
 
 // lagSlope is how long 99 in 100 proxies took.
 func lagSlope(runs []Run, phase, axis string) Slope {
-	s := Slope{Phase: phase, Role: "fleet", Measure: "99 in 100 proxies, ms", Axis: axis, At: Letter.Of(axis)}
+	s := Slope{Phase: phase, Role: "fleet", Measure: "99 in 100 proxies, ms", Axis: axis, At: DesignSize.Of(axis)}
 	if phase == "change" {
 		s.Budget = 5000
 	}
@@ -142,7 +142,7 @@
 
 func (s Slope) fitted() Slope {
 	if f, ok := FitOf(s.Points); ok {
-		s.Fit, s.Worked = &f, f.At(s.At)
+		s.Fit, s.Extrapolated = &f, f.At(s.At)
 	}
 	return s
 }
--- a/internal/testsupport/scaletest/spend.go
+++ b/internal/testsupport/scaletest/spend.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Spend is what one daemon of a role spent in a phase, on average.
-type Spend struct {
+// Usage is what one daemon of a role spent in a phase, on average.
+type Usage struct {
 	Role    string  `json:"role"`
 	Daemons int     `json:"daemons"`
 	Seconds float64 `json:"seconds"`
@@ -38,17 +38,17 @@
 }
 
 // Control is both ways together, as the budget counts it.
-func (s Spend) Control() float64 { return s.Sent + s.Received }
+func (s Usage) Control() float64 { return s.Sent + s.Received }
 
 // between works out what a role spent from one reading to the next. A process
 // that began anew meanwhile is counted from its start.
-func between(role string, a, b *reading) Spend {
-	s := Spend{Role: role, Seconds: b.at.Sub(a.at).Seconds()}
+func between(role string, a, b *measurement) Usage {
+	s := Usage{Role: role, Seconds: b.at.Sub(a.at).Seconds()}
 	sent := map[string]flow{}
 	for name, now := range b.procs {
 		was := a.procs[name]
 		if was == nil || was.pid != now.pid {
-			was = &spent{}
+			was = &processUsage{}
 		}
 		cpu := 100 * (now.cpu - was.cpu) / s.Seconds
 		s.Busiest = max(s.Busiest, cpu)
@@ -112,7 +112,7 @@
 	Done   bool    `json:"done"`
 	Note   string  `json:"note,omitempty"`
 	Lag    Lag     `json:"lag"`
-	Spends []Spend `json:"spends"`
+	Usages []Usage `json:"spends"`
 }
 
 // Run is one size's run.
@@ -147,11 +147,11 @@
 }
 
 // Of finds a role's spend.
-func (p Phase) Of(role string) (Spend, bool) {
-	for _, s := range p.Spends {
+func (p Phase) Of(role string) (Usage, bool) {
+	for _, s := range p.Usages {
 		if s.Role == role {
 			return s, true
 		}
 	}
-	return Spend{}, false
+	return Usage{}, false
 }
--- a/internal/testsupport/simulator/asleep.go
+++ b/internal/testsupport/simulator/asleep.go
@@ -13,9 +13,9 @@
 	}
 	t.w.trace("%s freezes for %s", t.id, d)
 	t.frozen = true
-	gen := t.gen
+	gen := t.generation
 	t.w.later(d, func() {
-		if t.gen != gen {
+		if t.generation != gen {
 			return
 		}
 		t.w.trace("%s wakes", t.id)
@@ -30,12 +30,12 @@
 
 // awake does something now, or once the target wakes; never if it crashed.
 func (t *target) awake(f func()) {
-	gen := t.gen
+	gen := t.generation
 	switch {
 	case !t.up:
 	case t.frozen:
 		t.wait = append(t.wait, func() {
-			if t.gen == gen {
+			if t.generation == gen {
 				f()
 			}
 		})
@@ -44,8 +44,8 @@
 	}
 }
 
-// silences is how long without an announcement counts as gone.
-const silences = 3 * (announceEvery + 100*time.Millisecond)
+// silenceTimeout is how long without an announcement counts as gone.
+const silenceTimeout = 3 * (announceEvery + 100*time.Millisecond)
 
 // knownFor is how long the core had known at some time that this target was
 // leaving, or gone for its silence.
@@ -54,8 +54,8 @@
 	if t.left != 0 {
 		known = at.Sub(t.left)
 	}
-	if t.heard != 0 {
-		known = max(known, at.Sub(t.heard)-silences)
+	if t.lastAcknowledged != 0 {
+		known = max(known, at.Sub(t.lastAcknowledged)-silenceTimeout)
 	}
 	return known
 }
--- a/internal/testsupport/simulator/asleep_test.go
+++ b/internal/testsupport/simulator/asleep_test.go
@@ -32,28 +32,28 @@
 			target.begin(false)
 			for n, service := range []string{"ledger", "catalog"} {
 				w.later(time.Duration(11*n)*time.Second, func() {
-					id := w.Truth.Ask([]byte(`{"id":"to-`+service+`","changes":[{"kind":"route","name":"flip","put":{"service":"`+service+`","repeatable":true}}]}`), w.clock())
-					w.Truth.Accept(id, uint64(n+1), w.clock())
+					id := w.Checker.ChangeSent([]byte(`{"id":"to-`+service+`","changes":[{"kind":"route","name":"flip","put":{"service":"`+service+`","repeatable":true}}]}`), w.clock())
+					w.Checker.ChangeAccepted(id, uint64(n+1), w.clock())
 				})
 			}
 			w.later(9*time.Second, func() { target.freeze(11 * time.Second) })
 			due := ids.Time(60 * time.Second)
-			e := &errand{Job: dispatch.Job{ID: 1, Route: "flip", Service: "ledger", Repeatable: true, Deadline: due}, token: "flip:t1", try: 1}
+			e := &forwardedRequest{Job: dispatch.Job{ID: 1, Route: "flip", Service: "ledger", Repeatable: true, Deadline: due}, requestToken: "flip:t1", attempt: 1}
 			w.later(c.sent, func() {
 				p.dispatchers.sent("ledger", dispatch.Forward{ID: 1, Deadline: due}, e, target, time.Millisecond)
 			})
 			w.until(ids.Time(19 * time.Second))
-			is.Equal(w.Truth.Tally(time.Time{})["runs"], 0) // it waits in the socket
+			is.Equal(w.Checker.CountByClass(time.Time{})["runs"], 0) // it waits in the socket
 			w.until(ids.Time(21 * time.Second))
-			is.Equal(w.Truth.Tally(time.Time{})["runs"], 1) // 9 s after the move
-			var got checker.Count
-			for _, k := range w.Truth.Verdict() {
-				if strings.HasPrefix(k.What, "request by a policy") {
+			is.Equal(w.Checker.CountByClass(time.Time{})["runs"], 1) // 9 s after the move
+			var got checker.RuleResult
+			for _, k := range w.Checker.Results() {
+				if strings.HasPrefix(k.Rule, "request by a policy") {
 					got = k
 				}
 			}
 			is.Equal(got.Judged, 1)
-			is.Equal(got.Count, c.bad)
+			is.Equal(got.Violations, c.bad)
 		})
 	}
 }
--- a/internal/testsupport/simulator/books.go
+++ b/internal/testsupport/simulator/books.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	ms            = time.Millisecond
+	millisecond   = time.Millisecond
 	restoreWithin = 15 * time.Second
 	// readyWithin and servesWithin are how soon an accepted change must be held
 	// by a proxy that is ready, and by one that serves anything at all.
@@ -25,7 +25,7 @@
 		w.later(after, func() {
 			for _, p := range w.procs {
 				if p.role == membership.Proxy && p.up && !p.frozen && counts(p.dispatchers) && p.dispatchers.held < r {
-					w.Truth.Wrong("%s goes by revision %d, %s after %d was accepted", p.name, p.dispatchers.held, after, r)
+					w.Checker.Violation("%s goes by revision %d, %s after %d was accepted", p.name, p.dispatchers.held, after, r)
 				}
 			}
 		})
@@ -36,7 +36,7 @@
 
 // read is an agreement read: it may not be older than anything known before.
 func (w *World) read() {
-	floor, called := w.Truth.Known(), w.now
+	floor, called := w.Checker.KnownRevision(), w.now
 	w.call(operator, w.Plan.Zone(0), func(x uint64) any { return registry.ReadConfigurationCall{ID: x} }, func(rep registry.Response) {
 		w.history.read(called, w.now, "a read", rep)
 		w.judge("a read", rep, floor)
@@ -51,35 +51,35 @@
 	}
 	seen, err := checker.ReadConfiguration(page(p))
 	if err != nil {
-		w.Truth.Wrong("%s gave no policy: %v", who, err)
+		w.Checker.Violation("%s gave no policy: %v", who, err)
 		return true
 	}
-	w.Truth.Read(who, seen, floor)
+	w.Checker.ConfigurationRead(who, seen, floor)
 	return true
 }
 
 // held checks what a proxy goes by from now on.
 func (w *World) held(d *dispatchers, v *configuration.View) {
 	if v.Revision < d.held {
-		w.Truth.Wrong("%s went back from revision %d to %d", d.p.name, d.held, v.Revision)
+		w.Checker.Violation("%s went back from revision %d to %d", d.p.name, d.held, v.Revision)
 	}
 	d.held = v.Revision
 }
 
-// closeBooks reads everything back at the day's end, through every registry.
-func (w *World) closeBooks(when string) {
+// finishLedger reads everything back at the day's end, through every registry.
+func (w *World) finishLedger(when string) {
 	for _, p := range w.procs {
 		if p.role != membership.Registry || p.lost {
 			continue
 		}
-		read, floor, called := false, w.Truth.Known(), w.now
+		read, floor, called := false, w.Checker.KnownRevision(), w.now
 		w.callAt(p, operator, w.Plan.Zone(0), func(x uint64) any { return registry.ReadConfigurationCall{ID: x} }, func(rep registry.Response) {
 			w.history.read(called, w.now, when, rep)
 			read = w.judge(when+", "+p.name, rep, floor)
 		}, nil)
 		w.later(5*time.Second, func() {
 			if !read {
-				w.Truth.Wrong("%s: the policy can't be read through %s", when, p.name)
+				w.Checker.Violation("%s: the policy can't be read through %s", when, p.name)
 			}
 		})
 	}
--- a/internal/testsupport/simulator/catchup_test.go
+++ b/internal/testsupport/simulator/catchup_test.go
@@ -14,7 +14,7 @@
 // A store that missed 300 changes holds them all soon after its return, with no
 // change made meanwhile, and nobody was ever answered out of what it had before.
 func TestAStoreThatMissed300Changes(t *testing.T) {
-	for absence := range Absences {
+	for absence := range MachineOutages {
 		for store := range 2 {
 			t.Run(fmt.Sprint(absence, store), func(t *testing.T) {
 				t.Parallel()
--- a/internal/testsupport/simulator/connections.go
+++ b/internal/testsupport/simulator/connections.go
@@ -24,12 +24,12 @@
 	open []*exchange
 }
 
-// mostEnded bounds the exchanges that are over and not yet dropped.
-const mostEnded = 1024
+// maxEnded bounds the exchanges that are over and not yet dropped.
+const maxEnded = 1024
 
 // begin notes an exchange. Whoever began it ends it.
 func (w *World) begin(x *exchange) *exchange {
-	if len(w.connections.open) >= mostEnded {
+	if len(w.connections.open) >= maxEnded {
 		w.dropEnded()
 	}
 	w.connections.open = append(w.connections.open, x)
--- a/internal/testsupport/simulator/cutoff.go
+++ b/internal/testsupport/simulator/cutoff.go
@@ -37,7 +37,7 @@
 // targets and clients reach either side. One that is deaf is still heard.
 // restarts: its processes, and some proxies, are killed during the cut.
 func coreMachineCut(w *World, number int, deaf, restarts bool) {
-	var mine []*proc
+	var mine []*process
 	for _, p := range w.procs {
 		if p.role != membership.Proxy && p.name[len(p.name)-1:] == fmt.Sprint(number+1) {
 			mine = append(mine, p)
@@ -72,8 +72,8 @@
 
 // probeCutOff makes one call at a registry that is cut off, and wants to be told
 // within a second that it isn't answered here.
-func (w *World) probeCutOff(p *proc, i int) {
-	if !p.up || w.Truth == nil {
+func (w *World) probeCutOff(p *process, i int) {
+	if !p.up || w.Checker == nil {
 		return
 	}
 	name, call := cutOffCall(w, i)
@@ -82,15 +82,15 @@
 	w.callAt(p, "operator", p.zone, call, func(r registry.Response) {
 		answered = true
 		if r.Status != 503 && r.Status != 504 {
-			w.Truth.Wrong("%s, cut off, answered %s with %d: %v", p.name, name, r.Status, r.Body)
+			w.Checker.Violation("%s, cut off, answered %s with %d: %v", p.name, name, r.Status, r.Body)
 		}
 		if took := w.now.Sub(asked); took > answerBy {
-			w.Truth.Wrong("%s, cut off, took %s to answer %s", p.name, took, name)
+			w.Checker.Violation("%s, cut off, took %s to answer %s", p.name, took, name)
 		}
 	}, nil)
 	w.later(answerBy+100*time.Millisecond, func() {
 		if !answered && p.up && !p.frozen {
-			w.Truth.Wrong("%s, cut off, left %s unanswered", p.name, name)
+			w.Checker.Violation("%s, cut off, left %s unanswered", p.name, name)
 		}
 	})
 }
@@ -131,7 +131,7 @@
 			}
 			count++
 			if other, same := epochs[epoch]; same {
-				w.Truth.Wrong("%s and %s both plan under epoch %d", other, p.name, epoch)
+				w.Checker.Violation("%s and %s both plan under epoch %d", other, p.name, epoch)
 			}
 			epochs[epoch] = p.name
 		}
@@ -141,14 +141,14 @@
 		case since == 0:
 			since = w.now
 		case w.now.Sub(since) > twoPlanners:
-			w.Truth.Wrong("%d registries have planned for %s: %v", count, w.now.Sub(since), epochs)
+			w.Checker.Violation("%d registries have planned for %s: %v", count, w.now.Sub(since), epochs)
 			since = w.now
 		}
 	})
 }
 
 // planning gives the epoch under which a process plans, if it does.
-func planning(p *proc) (ids.Epoch, bool) {
+func planning(p *process) (ids.Epoch, bool) {
 	f, ok := p.machine.(*registry.Registry)
 	if !ok || !p.up {
 		return 0, false
--- a/internal/testsupport/simulator/defect.go
+++ b/internal/testsupport/simulator/defect.go
@@ -23,12 +23,12 @@
 	DeadSeeds bool
 	// ResetIsUnsent: a request whose connection was reset counts as not sent.
 	ResetIsUnsent bool
-	// KeepMarks is how long disks keep marks, if not for as long as they should.
-	KeepMarks time.Duration
+	// IdempotencyRetention is how long disks keep marks, if not for as long as they should.
+	IdempotencyRetention time.Duration
 	// NoCheck: connections are used without the target showing who it is.
-	NoCheck bool
+	SkipIdentityCheck bool
 	// CloseHeld: connections that clients hold are closed after each answer.
-	CloseHeld bool
+	CloseLongLived bool
 	// Response spoils a proxy's answers.
 	Response func(dispatch.Response) dispatch.Response
 	// ControlLease is how long registries speak for the core by one agreement, if
--- a/internal/testsupport/simulator/defect_test.go
+++ b/internal/testsupport/simulator/defect_test.go
@@ -38,7 +38,7 @@
 				}
 			})
 		}},
-		"foreign target": {want: "got a request meant for", defect: Defect{NoCheck: true, Message: pushes(func(p *distribution.Push) {
+		"foreign target": {want: "got a request meant for", defect: Defect{SkipIdentityCheck: true, Message: pushes(func(p *distribution.Push) {
 			// The proxies never hear of anything but the first runs.
 			p.Targets = slices.DeleteFunc(p.Targets, func(t targets.Target) bool { return t.Incarnation > 2001 })
 			for i := range p.Targets {
@@ -62,28 +62,28 @@
 				p.Configuration, p.Revision = nil, 3
 			}
 		})}},
-		"left target": {want: "known gone or leaving", script: drained, defect: Defect{NoCheck: true, Message: pushes(func(p *distribution.Push) {
+		"left target": {want: "known gone or leaving", script: drained, defect: Defect{SkipIdentityCheck: true, Message: pushes(func(p *distribution.Push) {
 			for i := range p.Targets {
 				p.Targets[i].Leaving, p.Targets[i].Gone = false, false
 			}
 		})}},
-		"flood": {want: "flooded", rate: 400, defect: Defect{NoCheck: true, Message: pushes(func(p *distribution.Push) {
+		"flood": {want: "flooded", rate: 400, defect: Defect{SkipIdentityCheck: true, Message: pushes(func(p *distribution.Push) {
 			for i := range p.Targets {
 				p.Targets[i].Warmth, p.Targets[i].AgeMillis, p.Targets[i].Capacity = 1, 1e6, 200
 			}
 		})}},
 		"retries": {want: "retries past", script: lostAfterCalm, defect: Defect{Message: pushes(swap(`"allowance":10`, `"allowance":900`))}},
 		// Leases without end: a proxy that is cut off serves on.
-		"marks forgotten": {want: "run twice", defect: Defect{KeepMarks: 300 * time.Millisecond}, script: func(w *World) {
+		"marks forgotten": {want: "run twice", defect: Defect{IdempotencyRetention: 300 * time.Millisecond}, script: func(w *World) {
 			// Proposers remember for a while what disks forgot: they restart.
 			responsesLost(w)
 			w.every(time.Second, 900*time.Millisecond, 36, func(i int) { w.bounce(w.procs[i%3], 150*time.Millisecond) })
 		}},
-		"emptied in a split": {want: "emptied over", lease: time.Hour, script: emptiedInSplit},
+		"emptied in a split": {want: "emptied over", lease: time.Hour, script: zoneDrainedDuringPartition},
 		// Nor does it mind a silence, or ask another proxy.
-		"unheard of":          {want: "known gone or leaving", lease: time.Hour, script: goneButRunning, defect: Defect{Message: deaf}},
-		"moved in a split":    {want: "that another was accepted over", lease: time.Hour, rate: 200, script: movedInSplit, defect: Defect{Message: deaf}},
-		"held circuit closed": {want: "held circuit", hot: true, defect: Defect{CloseHeld: true}},
+		"unheard of":          {want: "known gone or leaving", lease: time.Hour, script: declaredDeadButRunning, defect: Defect{Message: deaf}},
+		"moved in a split":    {want: "that another was accepted over", lease: time.Hour, rate: 200, script: configurationMovedDuringPartition, defect: Defect{Message: deaf}},
+		"held circuit closed": {want: "held circuit", hot: true, defect: Defect{CloseLongLived: true}},
 		"urgent routes moved": {want: "urgent route moved", hot: true, defect: Defect{Message: tables(func(t *spill.Table) { t.Moves = reversed(t.Moves) })}},
 		"far cells first":     {want: "move to a far cell", hot: true, defect: Defect{Message: tables(func(t *spill.Table) { t.Moves = farther(t.Moves) })}},
 		"others' traffic first": {want: "before calling its own home", hot: true, defect: Defect{Message: tables(func(t *spill.Table) {
@@ -119,7 +119,7 @@
 					p.Defect = c.defect
 				}
 				for _, k := range Run(p).Counts {
-					found = found || k.Count > 0 && bite.MatchString(k.What+"\n"+strings.Join(k.More, "\n"))
+					found = found || k.Violations > 0 && bite.MatchString(k.Rule+"\n"+strings.Join(k.More, "\n"))
 				}
 			}
 			is.True(found) // the planted defect was seen
--- a/internal/testsupport/simulator/delivery.go
+++ b/internal/testsupport/simulator/delivery.go
@@ -21,7 +21,7 @@
 	end := func(after time.Duration, b dispatch.AttemptFinished) {
 		p.later(after, func() { d.hand(s, b) })
 	}
-	t := w.owner[f.Target.Address]
+	t := w.targetByAddress[f.Target.Address]
 	if t == nil || !t.up {
 		end(w.between(0, time.Millisecond), back)
 		return
@@ -37,12 +37,12 @@
 	trip := w.far(p.zone, t.zone)
 	p.later(2*trip, func() {
 		// One that is frozen shows nothing: the dial runs out of time.
-		if t.frozen && !w.Defect.NoCheck {
+		if t.frozen && !w.Defect.SkipIdentityCheck {
 			end(min(time.Second, max(f.Deadline.Sub(p.now()), 0)), back)
 			return
 		}
 		// The connection shows who is there now.
-		if !w.Defect.NoCheck && (!t.up || t.id != f.Target.Instance || t.service != f.Target.Service || t.incarnation != f.Target.Incarnation || t.leaving) {
+		if !w.Defect.SkipIdentityCheck && (!t.up || t.id != f.Target.Instance || t.service != f.Target.Service || t.incarnation != f.Target.Incarnation || t.leaving) {
 			end(0, back)
 			return
 		}
@@ -55,10 +55,10 @@
 }
 
 // sent is a request whose bytes have left.
-func (d *dispatchers) sent(s ids.Name, f dispatch.Forward, e *errand, t *target, trip time.Duration) {
+func (d *dispatchers) sent(s ids.Name, f dispatch.Forward, e *forwardedRequest, t *target, trip time.Duration) {
 	p, w := d.p, d.p.w
 	over := false
-	gen := p.gen
+	gen := p.generation
 	var call *exchange
 	end := func(b dispatch.AttemptFinished) {
 		if !over {
@@ -75,10 +75,10 @@
 		p.later(0, func() { end(broken) })
 	}})
 	p.later(max(f.Deadline.Sub(p.now()), 0), func() { end(maybe) })
-	run, sent, left := t.gen, w.now, f.Deadline.Sub(p.now())
+	run, sent, left := t.generation, w.now, f.Deadline.Sub(p.now())
 	w.later(trip, func() {
-		if !t.up || t.gen != run {
-			if p.gen == gen {
+		if !t.up || t.generation != run {
+			if p.generation == gen {
 				p.later(trip, func() { end(maybe) })
 			}
 			return
@@ -86,7 +86,7 @@
 		came := w.now
 		t.awake(func() {
 			t.run(e, p, s, sent, came, left, func(a idempotency.Response, ok bool) {
-				if p.gen != gen {
+				if p.generation != gen {
 					return
 				}
 				b := maybe
--- a/internal/testsupport/simulator/disk.go
+++ b/internal/testsupport/simulator/disk.go
@@ -53,19 +53,19 @@
 	busy    bool
 	stalled bool
 	// slow is how many times as long a sync takes; 0 for an ordinary one.
-	slow int
-	gen  int
+	slow       int
+	generation int
 	ages
 }
 
 func newDisk(w *World) *disk { return &disk{w: w, records: map[ids.RegisterKey][]byte{}} }
 
-func (d *disk) open(p *proc) {
+func (d *disk) open(p *process) {
 	if d.store == 0 {
 		d.store = d.w.random.Uint64()>>24 | 1
 	}
 	d.run++
-	d.gen++
+	d.generation++
 	d.queue, d.busy = nil, false
 	d.opened = d.w.now
 	d.prune(p)
@@ -73,7 +73,7 @@
 
 // crash loses what was not synced. A planted defect lets the disk lie.
 func (d *disk) crash() {
-	d.gen++
+	d.generation++
 	d.queue, d.busy = nil, false
 	if d.w.Defect.DiskForgets {
 		for k := range d.records {
@@ -85,12 +85,14 @@
 }
 
 // wipe loses the disk: what comes next is another store.
-func (d *disk) wipe() { *d = disk{w: d.w, records: map[ids.RegisterKey][]byte{}, gen: d.gen + 1} }
+func (d *disk) wipe() {
+	*d = disk{w: d.w, records: map[ids.RegisterKey][]byte{}, generation: d.generation + 1}
+}
 
 // writeBack is how long a disk that lies holds back what it says it has synced.
 const writeBack = 50 * time.Millisecond
 
-func (d *disk) settle(p *proc, s event.Sync) {
+func (d *disk) sync(p *process, s event.Sync) {
 	if d.w.Defect.SyncLate {
 		p.perform(s.After)
 		s.After = nil
@@ -100,7 +102,7 @@
 }
 
 // next syncs all that waits in one go, as the real committer does.
-func (d *disk) next(p *proc) {
+func (d *disk) next(p *process) {
 	if d.busy || len(d.queue) == 0 {
 		return
 	}
@@ -112,12 +114,12 @@
 	if d.w.Defect.SyncLate {
 		took += writeBack
 	}
-	gen, n := d.gen, len(d.queue)
+	gen, n := d.generation, len(d.queue)
 	d.w.later(took, func() { d.synced(p, gen, n) })
 }
 
-func (d *disk) synced(p *proc, gen, n int) {
-	if d.gen != gen {
+func (d *disk) synced(p *process, gen, n int) {
+	if d.generation != gen {
 		return
 	}
 	if d.stalled || p.frozen {
--- a/internal/testsupport/simulator/dispatchers.go
+++ b/internal/testsupport/simulator/dispatchers.go
@@ -15,11 +15,11 @@
 // dispatchers is the data plane of a simulated proxy: real dispatchers, and targets
 // reached over the simulated net.
 type dispatchers struct {
-	p     *proc
+	p     *process
 	c     *proxy.Control
 	list  map[ids.Name]*dispatch.Dispatcher
 	order []ids.Name
-	jobs  map[ids.RequestID]*errand
+	jobs  map[ids.RequestID]*forwardedRequest
 	next  ids.RequestID
 	last  ids.Time
 	view  *configuration.View
@@ -30,22 +30,22 @@
 	held  ids.Revision
 }
 
-// errand is a request in hand at a proxy.
-type errand struct {
+// forwardedRequest is a request in hand at a proxy.
+type forwardedRequest struct {
 	dispatch.Job
-	token string
-	// try is the client's own count, which it may keep to itself.
-	try  int
-	done func(dispatch.Response)
+	requestToken string
+	// attempt is the client's own count, which it may keep to itself.
+	attempt    int
+	onResponse func(dispatch.Response)
 }
 
-func newDispatchers(p *proc, c *proxy.Control) *dispatchers {
-	return &dispatchers{p: p, c: c, list: map[ids.Name]*dispatch.Dispatcher{}, jobs: map[ids.RequestID]*errand{}, spent: map[[2]ids.Name]float64{}}
+func newDispatchers(p *process, c *proxy.Control) *dispatchers {
+	return &dispatchers{p: p, c: c, list: map[ids.Name]*dispatch.Dispatcher{}, jobs: map[ids.RequestID]*forwardedRequest{}, spent: map[[2]ids.Name]float64{}}
 }
 
 func (d *dispatchers) at(s ids.Name) *dispatch.Dispatcher {
 	if d.list[s] == nil {
-		d.list[s] = dispatch.New(dispatch.Options{Random: d.p.random, Self: idempotency.Owner{Daemon: ids.DaemonID(d.p.name), RunID: d.p.start}})
+		d.list[s] = dispatch.New(dispatch.Options{Random: d.p.random, Self: idempotency.Owner{Daemon: ids.DaemonID(d.p.name), RunID: d.p.runID}})
 		d.order = append(d.order, s)
 	}
 	return d.list[s]
@@ -111,17 +111,17 @@
 	case dispatch.Response:
 		e := d.jobs[c.ID]
 		delete(d.jobs, c.ID)
-		if e != nil && e.done != nil {
+		if e != nil && e.onResponse != nil {
 			if p.w.Defect.Response != nil {
 				c = p.w.Defect.Response(c)
 			}
-			e.done(c)
+			e.onResponse(c)
 		}
 	}
 }
 
 // dropAll is what the clients of a killed proxy see.
-func (d *dispatchers) dropAll() { d.jobs = map[ids.RequestID]*errand{} }
+func (d *dispatchers) dropAll() { d.jobs = map[ids.RequestID]*forwardedRequest{} }
 
 // arrive takes a client's request, as the real front does.
 func (d *dispatchers) arrive(route ids.Name, token string, mark ids.IdempotencyKey, try int, says bool, left time.Duration, done func(dispatch.Response)) {
@@ -147,7 +147,7 @@
 		ID: d.next, Route: route, Service: r.Service, Tier: r.Tier * 10, Repeatable: r.Repeatable, IdempotencyKey: mark, Terms: proxy.RouteTerms(r),
 		Attempt: uint32(attempt), Fingerprint: []byte(token), Deadline: d.p.now().Add(min(left, r.Timeout())),
 	}
-	d.jobs[j.ID] = &errand{Job: j, token: token, try: try, done: done}
+	d.jobs[j.ID] = &forwardedRequest{Job: j, requestToken: token, attempt: try, onResponse: done}
 	d.count++
 	d.hand(r.Service, dispatch.RequestArrived{Job: j})
 }
--- a/internal/testsupport/simulator/emptying.go
+++ b/internal/testsupport/simulator/emptying.go
@@ -10,38 +10,38 @@
 
 // emptyZone empties a zone as an operator does, and refills it later.
 func (w *World) emptyZone() {
-	if w.office.emptie != "" {
+	if w.operators.drainedZone != "" {
 		return
 	}
 	c := w.Plan.Zone(w.random.IntN(w.Plan.Zones))
-	w.office.emptie = c
+	w.operators.drainedZone = c
 	w.setEmptied(c, true, func() {
 		w.later(w.between(8*time.Second, 14*time.Second), func() { w.refill() })
 	})
 }
 
 func (w *World) refill() {
-	c := w.office.emptie
+	c := w.operators.drainedZone
 	if c == "" {
 		return
 	}
-	w.Truth.Refill(c, w.clock())
+	w.Checker.ZoneRestored(c, w.clock())
 	w.setEmptied(c, false, func() {
 		// Again, for an emptying that was accepted between asking and now.
-		w.Truth.Refill(c, w.clock())
-		w.office.emptie = ""
+		w.Checker.ZoneRestored(c, w.clock())
+		w.operators.drainedZone = ""
 	})
 }
 
 func (w *World) setEmptied(c ids.Name, on bool, then func()) {
-	w.office.n++
+	w.operators.n++
 	asked := w.clock()
-	w.change(w.work().Emptied(fmt.Sprintf("empty-%d", w.office.n), c, on), func(r configuration.Result) {
+	w.change(w.work().Drain(fmt.Sprintf("empty-%d", w.operators.n), c, on), func(r configuration.Result) {
 		// Answers may overtake one another; revisions don't.
-		if on && r.Revision > w.office.zoneAt {
-			w.Truth.Empty(c, asked, w.clock())
+		if on && r.Revision > w.operators.zoneAt {
+			w.Checker.ZoneDrained(c, asked, w.clock())
 		}
-		w.office.zoneAt = max(w.office.zoneAt, r.Revision)
+		w.operators.zoneAt = max(w.operators.zoneAt, r.Revision)
 		then()
 	})
 }
--- a/internal/testsupport/simulator/faults.go
+++ b/internal/testsupport/simulator/faults.go
@@ -66,7 +66,7 @@
 
 func (w *World) strike(k faultKind) {
 	w.trace("fault: %s", k.name)
-	w.struck[k.name]++
+	w.faultCounts[k.name]++
 	k.strike(w)
 }
 
@@ -74,17 +74,17 @@
 func (w *World) quiet() ids.Time { return ids.Time(w.Length) }
 
 // short draws how long an ordinary fault lasts.
-func (w *World) short() time.Duration { return w.between(300*ms, 5*time.Second) }
+func (w *World) short() time.Duration { return w.between(300*millisecond, 5*time.Second) }
 
 // some draws a process that lives on, of a role or of any.
-func (w *World) some(role membership.Role) *proc {
+func (w *World) some(role membership.Role) *process {
 	up := w.living(role)
 	return up[w.random.IntN(len(up))]
 }
 
 // living lists the processes, of a role or of all, whose machines aren't gone.
-func (w *World) living(role membership.Role) []*proc {
-	var out []*proc
+func (w *World) living(role membership.Role) []*process {
+	var out []*process
 	for _, p := range w.procs {
 		if !p.lost && (role == 0 || p.role == role) {
 			out = append(out, p)
@@ -94,12 +94,12 @@
 }
 
 // core lists the living processes of the core machines.
-func (w *World) core() []*proc {
+func (w *World) core() []*process {
 	return append(w.living(membership.Store), w.living(membership.Registry)...)
 }
 
 // named finds a process by its name.
-func (w *World) named(name string) *proc {
+func (w *World) named(name string) *process {
 	for _, p := range w.procs {
 		if p.name == name {
 			return p
--- a/internal/testsupport/simulator/faults_acknowledged.go
+++ b/internal/testsupport/simulator/faults_acknowledged.go
@@ -9,26 +9,26 @@
 
 const (
 	// strikeWithin is how soon after an acknowledgement such a fault comes.
-	strikeWithin = 4 * ms
+	strikeWithin = 4 * millisecond
 	// strikeBlind is how soon it comes after a change was sent, if it doesn't
 	// wait for the acknowledgement.
-	strikeBlindFrom, strikeBlindTill = 5 * ms, 400 * ms
+	strikeBlindFrom, strikeBlindTill = 5 * millisecond, 400 * millisecond
 )
 
 // afterAck brings a fault about right after the next acknowledgement of a
 // change, for the process that gave it; or soon after the next one was sent.
-func (w *World) afterAck(fault func(*proc)) {
+func (w *World) afterAck(fault func(*process)) {
 	if w.random.IntN(3) == 0 {
 		w.atChange = func() {
 			w.later(w.between(strikeBlindFrom, strikeBlindTill), func() { fault(w.some(membership.Registry)) })
 		}
 		return
 	}
-	w.atAck = func(p *proc) { w.later(w.between(0, strikeWithin), func() { fault(p) }) }
+	w.atAck = func(p *process) { w.later(w.between(0, strikeWithin), func() { fault(p) }) }
 }
 
 // wipeMachineOf loses the disk of a registry's machine, or of another one.
-func (w *World) wipeMachineOf(registry *proc) {
+func (w *World) wipeMachineOf(registry *process) {
 	store := w.storeOf(registry)
 	if store == nil || w.random.IntN(3) == 0 {
 		store = w.some(membership.Store)
@@ -39,14 +39,14 @@
 }
 
 // killMachineOf takes the power of a registry's machine.
-func (w *World) killMachineOf(registry *proc) {
+func (w *World) killMachineOf(registry *process) {
 	for _, p := range w.machine(registry) {
 		w.bounce(p, w.short())
 	}
 }
 
 // acknowledged hears of each change that a registry has just confirmed.
-func (w *World) acknowledged(p *proc) {
+func (w *World) acknowledged(p *process) {
 	if f := w.atAck; f != nil {
 		w.atAck = nil
 		f(p)
@@ -69,19 +69,19 @@
 // while everything else loses power.
 func (w *World) closing() {
 	struck := false
-	once := func(p *proc) {
+	once := func(p *process) {
 		if !struck {
 			struck = true
 			w.closingFault(p)
 		}
 	}
 	w.afterAck(once)
-	w.office.n++
-	w.put(w.office.n, w.random.IntN(blueprint.Pairs))
+	w.operators.n++
+	w.put(w.operators.n, w.random.IntN(blueprint.RoutePairs))
 	w.later(closingWait, func() { once(w.some(membership.Registry)) })
 }
 
-func (w *World) closingFault(p *proc) {
+func (w *World) closingFault(p *process) {
 	wiped := w.storeOf(p)
 	if wiped == nil {
 		wiped = w.some(membership.Store)
--- a/internal/testsupport/simulator/faults_core.go
+++ b/internal/testsupport/simulator/faults_core.go
@@ -24,8 +24,8 @@
 }
 
 // machine lists the processes of a core process's machine.
-func (w *World) machine(p *proc) []*proc {
-	var out []*proc
+func (w *World) machine(p *process) []*process {
+	var out []*process
 	for _, q := range w.core() {
 		if q.zone == p.zone {
 			out = append(out, q)
@@ -35,7 +35,7 @@
 }
 
 // storeOf finds the store on a core process's machine.
-func (w *World) storeOf(p *proc) *proc {
+func (w *World) storeOf(p *process) *process {
 	for _, q := range w.machine(p) {
 		if q.role == membership.Store {
 			return q
@@ -47,7 +47,7 @@
 // replaceCore replaces a core machine by a blank one at a new address, once the
 // losses before allow it: after it is gone, or, if planned, before.
 func (w *World) replaceCore(planned bool) {
-	w.whenTolerated(func() *proc { return w.some(membership.Store) }, func(p *proc) {
+	w.whenTolerated(func() *process { return w.some(membership.Store) }, func(p *process) {
 		if planned {
 			w.replacePlanned(p)
 		} else {
@@ -60,7 +60,7 @@
 func (w *World) swapCore() { w.replaceCore(false) }
 
 // swap loses a core machine and its disk, and sets up a blank one.
-func (w *World) swap(p *proc) {
+func (w *World) swap(p *process) {
 	w.trace("the machine of %s is lost for good", p.name)
 	m := w.machine(p)
 	for _, q := range m {
@@ -68,14 +68,14 @@
 	}
 	w.lose()
 	w.losses.vacant++
-	w.later(w.between(100*ms, 2*time.Second), func() {
+	w.later(w.between(100*millisecond, 2*time.Second), func() {
 		w.losses.vacant--
 		w.succeed(m)
 	})
 }
 
 // replacePlanned sets up a blank machine, and then takes the old one away.
-func (w *World) replacePlanned(p *proc) {
+func (w *World) replacePlanned(p *process) {
 	w.trace("the machine of %s is to be replaced", p.name)
 	m := w.machine(p)
 	w.losses.vacant++
@@ -90,14 +90,14 @@
 }
 
 // remove takes a process away for good.
-func (w *World) remove(p *proc) {
+func (w *World) remove(p *process) {
 	p.kill()
 	p.lost = true
-	delete(w.at, p.addr)
+	delete(w.processByAddress, p.addr)
 }
 
 // succeed puts up a blank process for each of a machine's.
-func (w *World) succeed(m []*proc) {
+func (w *World) succeed(m []*process) {
 	for _, p := range m {
 		code := 2
 		if p.role == membership.Store {
@@ -121,7 +121,7 @@
 	// Whoever puts up a new machine gives it seeds that live.
 	q.seeds = nil
 	for _, p := range w.procs {
-		if p != q && !p.lost && p.role != membership.Proxy && len(q.seeds) < mostSeeds {
+		if p != q && !p.lost && p.role != membership.Proxy && len(q.seeds) < maxSeeds {
 			q.seeds = append(q.seeds, p.addr)
 		}
 	}
@@ -136,12 +136,12 @@
 
 // wipeSome loses one disk, as soon as the losses before allow it.
 func (w *World) wipeSome() {
-	w.whenTolerated(func() *proc { return w.some(membership.Store) }, func(p *proc) { w.wipe(p, w.short()) })
+	w.whenTolerated(func() *process { return w.some(membership.Store) }, func(p *process) { w.wipe(p, w.short()) })
 }
 
 // wipe takes a core machine's power and disk; it comes back blank at the same
 // address.
-func (w *World) wipe(store *proc, d time.Duration) {
+func (w *World) wipe(store *process, d time.Duration) {
 	w.trace("the disk of %s is lost", store.name)
 	for _, p := range w.machine(store) {
 		w.bounce(p, d)
@@ -149,7 +149,7 @@
 	w.loseDisk(store)
 }
 
-func (w *World) loseDisk(store *proc) {
+func (w *World) loseDisk(store *process) {
 	w.lose()
 	if w.Defect.BlankKeepsIdentity {
 		clear(store.disk.records)
@@ -158,18 +158,18 @@
 	store.disk.wipe()
 }
 
-const mostSeeds = 3
+const maxSeeds = 3
 
 // turnSeeds changes the settings: whoever starts from now on is given other
 // seeds, the processes named first among them.
-func (w *World) turnSeeds(first []*proc) {
+func (w *World) turnSeeds(first []*process) {
 	var list []ids.Address
 	for _, p := range first {
 		list = append(list, p.addr)
 	}
 	core := w.core()
 	for _, i := range w.random.Perm(len(core)) {
-		if len(list) < mostSeeds {
+		if len(list) < maxSeeds {
 			list = append(list, core[i].addr)
 		}
 	}
--- a/internal/testsupport/simulator/faults_network.go
+++ b/internal/testsupport/simulator/faults_network.go
@@ -19,13 +19,13 @@
 		// At times new seeds name just this one, and proxies restart on them.
 		if w.random.IntN(3) == 0 {
 			w.turnSeeds(m)
-			w.later(w.between(time.Second, 8*time.Second), func() { w.bounce(w.some(membership.Proxy), 300*ms) })
+			w.later(w.between(time.Second, 8*time.Second), func() { w.bounce(w.some(membership.Proxy), 300*millisecond) })
 		}
 	}},
 	{"fleet split", 1, func(w *World) { w.split(w.short()) }},
 	{"bad weather", 1, func(w *World) {
-		w.net = weather{loss: 0.05, double: 0.1, jitter: 40 * time.Millisecond}
-		w.later(w.short(), func() { w.net = weather{jitter: time.Millisecond} })
+		w.network = networkConditions{loss: 0.05, double: 0.1, jitter: 40 * time.Millisecond}
+		w.later(w.short(), func() { w.network = networkConditions{jitter: time.Millisecond} })
 	}},
 	{"connections reset", 2, func(w *World) {
 		share, each := 0.1+0.9*w.random.Float64(), 0.3+0.7*w.random.Float64()
@@ -99,7 +99,7 @@
 }
 
 // isolate cuts a process off from everything.
-func (w *World) isolate(p *proc, d time.Duration, style cutStyle) {
+func (w *World) isolate(p *process, d time.Duration, style cutStyle) {
 	w.trace("%s is cut off: %+v", p.name, style)
 	w.cutOff(d, &cut{
 		a: func(n string, _ ids.Name) bool { return n == p.name },
@@ -109,7 +109,7 @@
 
 // cutOffMachine cuts a core machine off from the other ones; proxies, targets
 // and operators still reach it.
-func (w *World) cutOffMachine(m []*proc, d time.Duration, style cutStyle) {
+func (w *World) cutOffMachine(m []*process, d time.Duration, style cutStyle) {
 	inside := map[string]bool{}
 	for _, p := range m {
 		inside[p.name] = true
@@ -142,9 +142,9 @@
 
 // unheard cuts a target off from the core, which counts it as gone, while
 // proxies still reach it; one of them may be cut off from the core as well.
-func (w *World) unheard(t *target, with *proc, d time.Duration) {
+func (w *World) unheard(t *target, with *process, d time.Duration) {
 	w.trace("%s is cut off from the core", t.id)
-	w.Truth.Parted()
+	w.Checker.NetworkPartitioned()
 	who := func(n string, _ ids.Name) bool { return n == string(t.id) || with != nil && n == with.name }
 	w.cutOff(d, &cut{a: who, b: func(n string, _ ids.Name) bool { return w.isCore(n) }})
 }
--- a/internal/testsupport/simulator/faults_process.go
+++ b/internal/testsupport/simulator/faults_process.go
@@ -16,7 +16,7 @@
 	}},
 	{"core loses power", 1, func(w *World) { w.herd(w.core(), w.restart) }},
 	{"all lose power", 1, func(w *World) { w.herd(w.living(0), w.restart) }},
-	{"process frozen", 3, func(w *World) { w.some(0).freeze(w.between(500*ms, 6*time.Second)) }},
+	{"process frozen", 3, func(w *World) { w.some(0).freeze(w.between(500*millisecond, 6*time.Second)) }},
 	{"proxy frozen", 1, func(w *World) { w.some(membership.Proxy).freeze(w.between(time.Second, 5*time.Second)) }},
 	{"zone loses power", 1, func(w *World) { w.losePower(w.Plan.Zone(w.random.IntN(w.Plan.Zones)), w.short()) }},
 	{"disk stalled", 1, func(w *World) {
@@ -35,11 +35,11 @@
 const slowDisk = 30
 
 // restart draws how long it takes until machines that lost power at once run.
-func (w *World) restart() time.Duration { return w.between(200*ms, 1500*ms) }
+func (w *World) restart() time.Duration { return w.between(200*millisecond, 1500*millisecond) }
 
 // bounce kills a process and starts it again after a while. What its disk had
 // not synced is gone, as with a loss of power.
-func (w *World) bounce(p *proc, d time.Duration) {
+func (w *World) bounce(p *process, d time.Duration) {
 	p.kill()
 	w.later(d, func() {
 		if !p.up && !p.lost {
@@ -51,7 +51,7 @@
 }
 
 // herd kills processes at one and the same moment.
-func (w *World) herd(list []*proc, down func() time.Duration) {
+func (w *World) herd(list []*process, down func() time.Duration) {
 	for _, p := range list {
 		w.bounce(p, down())
 	}
@@ -65,7 +65,7 @@
 			w.bounce(p, d+w.between(0, time.Second))
 		}
 	}
-	for _, t := range w.pool {
+	for _, t := range w.targets {
 		if t.zone == zone && t.up {
 			t.crash()
 			w.later(d+w.between(0, time.Second), func() { w.again(t) })
--- a/internal/testsupport/simulator/faults_target.go
+++ b/internal/testsupport/simulator/faults_target.go
@@ -24,8 +24,8 @@
 	}},
 	{"answers of a target lost", 1, func(w *World) {
 		if t := w.someTarget(); t.up {
-			t.mute, t.spoil = 0.2, 0.1
-			w.later(w.between(time.Second, 8*time.Second), func() { t.mute, t.spoil = 0, 0 })
+			t.silentShare, t.corruptShare = 0.2, 0.1
+			w.later(w.between(time.Second, 8*time.Second), func() { t.silentShare, t.corruptShare = 0, 0 })
 		}
 	}},
 	{"address handed on", 1, func(w *World) {
@@ -36,7 +36,7 @@
 	{"target restarted", 1, func(w *World) {
 		if t := w.someTarget(); t.up {
 			t.crash()
-			w.later(50*ms, func() { w.again(t) })
+			w.later(50*millisecond, func() { w.again(t) })
 		}
 	}},
 	{"target frozen", 1, func(w *World) { w.someTarget().freeze(w.between(time.Second, 8*time.Second)) }},
@@ -46,11 +46,11 @@
 	}},
 }
 
-func (w *World) someTarget() *target { return w.pool[w.random.IntN(len(w.pool))] }
+func (w *World) someTarget() *target { return w.targets[w.random.IntN(len(w.targets))] }
 
 // again starts a target that crashed, cold, unless its address is another's.
 func (w *World) again(t *target) {
-	if !t.up && w.owner[t.addr] == t {
+	if !t.up && w.targetByAddress[t.addr] == t {
 		t.begin(true)
 	}
 }
@@ -59,7 +59,7 @@
 // first one a new address.
 func (w *World) handOver(t *target, back time.Duration) {
 	t.crash()
-	for _, other := range w.pool {
+	for _, other := range w.targets {
 		if other.service == t.service || !other.up {
 			continue
 		}
@@ -67,7 +67,7 @@
 		other.crash()
 		other.addr, t.addr = t.addr, other.addr
 		other.begin(true)
-		w.owner[t.addr] = t
+		w.targetByAddress[t.addr] = t
 		w.later(back, func() { w.again(t) })
 		return
 	}
--- a/internal/testsupport/simulator/founding_test.go
+++ b/internal/testsupport/simulator/founding_test.go
@@ -30,7 +30,7 @@
 		for _, p := range w.procs[:3] {
 			p.lost, p.bootstrap = false, true
 			p.disk.wipe()
-			w.at[p.addr] = p
+			w.processByAddress[p.addr] = p
 			p.boot()
 		}
 	})
@@ -42,7 +42,7 @@
 	is := is.New(t)
 	for _, alone := range []bool{false, true} {
 		for seed := uint64(1); seed <= 3; seed++ {
-			o := Run(Options{Seed: seed, Length: 55 * time.Second, Keep: true, Script: func(w *World) { oldSeedsReturn(w, alone) }})
+			o := Run(Options{Seed: seed, Length: 55 * time.Second, KeepLog: true, Script: func(w *World) { oldSeedsReturn(w, alone) }})
 			report(t, o)
 			is.Equal(strings.Count(strings.Join(o.Log, "\n"), " founded ["), 1)
 		}
@@ -53,7 +53,7 @@
 func TestStaleSettingAfterTotalLoss(t *testing.T) {
 	is := is.New(t)
 	for seed := uint64(1); seed <= 3; seed++ {
-		o := Run(Options{Seed: seed, Length: 25 * time.Second, Keep: true, StaleBootstrap: true, Script: everyDiskLost})
+		o := Run(Options{Seed: seed, Length: 25 * time.Second, KeepLog: true, StaleBootstrap: true, Script: everyDiskLost})
 		report(t, o)
 		log := strings.Join(o.Log, "\n")
 		is.Equal(strings.Count(log, " founded ["), 1)
--- a/internal/testsupport/simulator/history.go
+++ b/internal/testsupport/simulator/history.go
@@ -23,7 +23,7 @@
 	Content string
 }
 
-const never = ids.Time(math.MaxInt64)
+const farFuture = ids.Time(math.MaxInt64)
 
 // history gathers the operations of a run. Those that surely had no effect, and
 // readings that were never answered, are left out.
@@ -38,7 +38,7 @@
 		h.open = map[string]*Operation{}
 	}
 	if h.open[id] == nil {
-		h.open[id] = &Operation{Change: true, Name: id, Called: now, Returned: never}
+		h.open[id] = &Operation{Change: true, Name: id, Called: now, Returned: farFuture}
 		h.list = append(h.list, h.open[id])
 	}
 }
--- a/internal/testsupport/simulator/hot_test.go
+++ b/internal/testsupport/simulator/hot_test.go
@@ -16,7 +16,7 @@
 			o := Run(Hot(seed))
 			report(t, o)
 			for _, c := range o.Counts {
-				t.Logf("%s: %d in %d", c.What, c.Count, c.Judged)
+				t.Logf("%s: %d in %d", c.Rule, c.Violations, c.Judged)
 			}
 			is.True(o.Responses["answered"] > 30000)
 		})
--- a/internal/testsupport/simulator/lease_test.go
+++ b/internal/testsupport/simulator/lease_test.go
@@ -45,14 +45,14 @@
 			for _, lease := range []time.Duration{0, time.Hour} {
 				var world *World
 				o := Run(Options{
-					Seed: 1, Plan: blueprint.Plans["cooperative"], Length: 46 * time.Second, FaultEvery: -1, Lease: lease, Hold: time.Minute, Brief: 0.5,
+					Seed: 1, Plan: blueprint.Plans["cooperative"], Length: 46 * time.Second, FaultEvery: -1, Lease: lease, HoldConnectionsFor: time.Minute, BriefConnectionShare: 0.5,
 					Script: func(w *World) { world = w; w.later(26*time.Second, func() { lose(w) }) },
 				})
 				if lease == 0 {
 					report(t, o)
 				}
 				from := time.Unix(32, 0)
-				good, all := world.Truth.Served(from, from.Add(8*time.Second))
+				good, all := world.Checker.Served(from, from.Add(8*time.Second))
 				is.True(all > 500)
 				share[lease] = float64(good) / float64(all)
 			}
--- a/internal/testsupport/simulator/leaving_test.go
+++ b/internal/testsupport/simulator/leaving_test.go
@@ -13,7 +13,7 @@
 )
 
 // leave gives a store the polite signal and does something once it has ended.
-func (w *World) leave(p *proc, then func()) {
+func (w *World) leave(p *process, then func()) {
 	w.trace("%s is told to stop", p.name)
 	p.take(store.Leave{Within: 5 * time.Second})
 	began := w.now
@@ -53,9 +53,9 @@
 }
 
 // retire ends a machine for good.
-func (w *World) retire(p *proc) {
+func (w *World) retire(p *process) {
 	p.lost = true
-	delete(w.at, p.addr)
+	delete(w.processByAddress, p.addr)
 }
 
 // All three founders are replaced as planned, under load and operators' changes:
@@ -64,7 +64,7 @@
 	is := is.New(t)
 	for seed := uint64(1); seed <= 4; seed++ {
 		settled := false
-		o := Run(Options{Seed: seed, Length: 45 * time.Second, Keep: true, Script: func(w *World) {
+		o := Run(Options{Seed: seed, Length: 45 * time.Second, KeepLog: true, Script: func(w *World) {
 			w.every(2*time.Second, 6*time.Second, 3, func(i int) {
 				p := w.procs[i]
 				w.addStore(p.zone)
@@ -86,9 +86,9 @@
 	is := is.New(t)
 	for seed := uint64(1); seed <= 4; seed++ {
 		settled := false
-		o := Run(Options{Seed: seed, Length: 45 * time.Second, Keep: true, Script: func(w *World) {
+		o := Run(Options{Seed: seed, Length: 45 * time.Second, KeepLog: true, Script: func(w *World) {
 			w.addStore("cell-a1")
-			stores := append([]*proc{}, w.procs[:3]...)
+			stores := append([]*process{}, w.procs[:3]...)
 			stores = append(stores, w.procs[len(w.procs)-1])
 			w.every(3*time.Second, 5*time.Second, 4, func(i int) {
 				w.leave(stores[i], func() { w.later(500*time.Millisecond, func() { stores[i].boot() }) })
@@ -106,8 +106,8 @@
 	is := is.New(t)
 	for seed := uint64(1); seed <= 8; seed++ {
 		settled := false
-		o := Run(Options{Seed: seed, Length: 45 * time.Second, Keep: true, Script: func(w *World) {
-			w.net.loss = 0.02
+		o := Run(Options{Seed: seed, Length: 45 * time.Second, KeepLog: true, Script: func(w *World) {
+			w.network.loss = 0.02
 			w.later(2*time.Second, func() { w.addStore("cell-b1"); w.addStore("cell-c1") })
 			w.later(6*time.Second, func() {
 				p := w.procs[1]
--- a/internal/testsupport/simulator/linear_test.go
+++ b/internal/testsupport/simulator/linear_test.go
@@ -66,7 +66,7 @@
 // and disks lost in turn: each has an order in which every caller saw a register.
 func TestHistoriesAreLinearizable(t *testing.T) {
 	wipes := func(w *World) {
-		w.later(3*time.Second, func() { w.wipeInTurn([]int{0, 1, 2, 1}, 4500*ms, func(time.Duration) {}) })
+		w.later(3*time.Second, func() { w.wipeInTurn([]int{0, 1, 2, 1}, 4500*millisecond, func(time.Duration) {}) })
 	}
 	for name, script := range map[string]func(*World){"trouble": nil, "wipes": wipes} {
 		for seed := uint64(1); seed <= 4; seed++ {
--- a/internal/testsupport/simulator/load_test.go
+++ b/internal/testsupport/simulator/load_test.go
@@ -14,9 +14,9 @@
 func tight(capacity int) blueprint.Plan {
 	p := blueprint.Plans["small"]
 	p.Pools = []blueprint.Pool{{Service: "catalog", Targets: 4, Capacity: capacity, Tier: 5}}
-	p.Ways = []blueprint.Way{
-		{Route: "urgent", Prefix: "/urgent", Service: "catalog", Tier: 9, Repeatable: true, Share: 0.3},
-		{Route: "idle", Prefix: "/idle", Service: "catalog", Tier: 1, Repeatable: true, Share: 0.7},
+	p.Routes = []blueprint.Route{
+		{Name: "urgent", Prefix: "/urgent", Service: "catalog", Tier: 9, Repeatable: true, Share: 0.3},
+		{Name: "idle", Prefix: "/idle", Service: "catalog", Tier: 1, Repeatable: true, Share: 0.7},
 	}
 	return p
 }
@@ -25,7 +25,7 @@
 // the longest that a rejected one was held.
 func (w *World) shares() (map[string]float64, time.Duration) {
 	good, all, held := map[string]float64{}, map[string]float64{}, time.Duration(0)
-	w.Truth.Each(func(token string, attempt int, class string, took time.Duration) {
+	w.Checker.Each(func(token string, attempt int, class string, took time.Duration) {
 		route, _, _ := strings.Cut(token, ":")
 		if attempt != 1 {
 			return
@@ -52,8 +52,8 @@
 	var world *World
 	o := Run(Options{Seed: 1, Plan: tight(3), Rate: 1100, Length: 16 * time.Second, FaultEvery: -1, Script: func(w *World) { world = w }})
 	for _, c := range o.Counts {
-		if c.Count > 0 && !strings.Contains(c.What, "15 s after") { // "not restored" has no meaning here
-			t.Errorf("%s: %d, %s", c.What, c.Count, c.Sample)
+		if c.Violations > 0 && !strings.Contains(c.Rule, "15 s after") { // "not restored" has no meaning here
+			t.Errorf("%s: %d, %s", c.Rule, c.Violations, c.Sample)
 		}
 	}
 	share, held := world.shares()
@@ -69,14 +69,14 @@
 	for seed := uint64(1); seed <= 3; seed++ {
 		o := Run(Options{Seed: seed, Plan: tight(8), Rate: 500, Length: 30 * time.Second, FaultEvery: -1, Script: func(w *World) {
 			w.every(time.Second, 700*time.Millisecond, 30, func(i int) {
-				x := w.pool[i%len(w.pool)]
+				x := w.targets[i%len(w.targets)]
 				x.crash()
 				w.later(30*time.Millisecond, func() { w.again(x) })
 			})
 		}})
 		for _, c := range o.Counts {
-			if c.Count > 0 && !strings.Contains(c.What, "15 s after") {
-				t.Errorf("seed %d: %s: %d, %s", seed, c.What, c.Count, c.Sample)
+			if c.Violations > 0 && !strings.Contains(c.Rule, "15 s after") {
+				t.Errorf("seed %d: %s: %d, %s", seed, c.Rule, c.Violations, c.Sample)
 			}
 		}
 		t.Logf("seed %d: %v", seed, o.Responses)
--- a/internal/testsupport/simulator/mistakes_test.go
+++ b/internal/testsupport/simulator/mistakes_test.go
@@ -127,12 +127,12 @@
 // wipedAndRestarted loses a disk, and right after the power of another store:
 // the blank one and the one that missed the last changes are a majority.
 func wipedAndRestarted(w *World) {
-	w.every(time.Second, 60*ms, 400, func(i int) { w.put(600+i, i%blueprint.Pairs) })
+	w.every(time.Second, 60*millisecond, 400, func(i int) { w.put(600+i, i%blueprint.RoutePairs) })
 	w.every(3*time.Second, 8*time.Second, 5, func(i int) {
 		behind, wiped, up := w.procs[i%3], w.procs[(i+1)%3], w.procs[(i+2)%3]
 		w.bounce(behind, 3*time.Second)
-		w.later(2900*ms, func() {
-			w.wipe(wiped, 200*ms)
+		w.later(2900*millisecond, func() {
+			w.wipe(wiped, 200*millisecond)
 			w.bounce(up, 3*time.Second)
 		})
 	})
@@ -157,8 +157,8 @@
 // for more retries than there may be.
 func lostAfterCalm(w *World) {
 	w.later(18*time.Second, func() {
-		for _, t := range w.pool {
-			t.spoil = 0.5
+		for _, t := range w.targets {
+			t.corruptShare = 0.5
 		}
 	})
 }
--- a/internal/testsupport/simulator/office.go
+++ b/internal/testsupport/simulator/office.go
@@ -13,13 +13,13 @@
 // operator is the name that operators have in cuts and exchanges.
 const operator = "operator"
 
-// office is the operators and their automation: changes in races and storms,
+// operatorState is the operators and their automation: changes in races and storms,
 // broken and stale ones, and reads. What was promised stands in the witness's
 // books; here is only what the next change needs.
-type office struct {
-	n      int
-	stop   bool
-	emptie ids.Name
+type operatorState struct {
+	n           int
+	stop        bool
+	drainedZone ids.Name
 	// zoneAt is the newest revision that emptied or refilled a zone.
 	zoneAt ids.Revision
 	// raced is the version of the route that operators race for.
@@ -34,42 +34,44 @@
 	flips bool
 }
 
-// business goes on by itself until it is stopped.
-func (w *World) business() {
-	if w.office.stop {
+// operate goes on by itself until it is stopped.
+func (w *World) operate() {
+	if w.operators.stop {
 		return
 	}
-	w.later(w.between(100*ms, 900*ms), func() {
-		w.office.n++
-		n := w.office.n
+	w.later(w.between(100*millisecond, 900*millisecond), func() {
+		w.operators.n++
+		n := w.operators.n
 		switch x := w.random.IntN(14); {
 		case x < 4:
 			// Two operators at once, on the same items.
-			w.put(n, w.random.IntN(blueprint.Pairs))
+			w.put(n, w.random.IntN(blueprint.RoutePairs))
 			if x == 0 {
-				w.office.n++
-				w.put(w.office.n, w.random.IntN(blueprint.Pairs))
+				w.operators.n++
+				w.put(w.operators.n, w.random.IntN(blueprint.RoutePairs))
 			}
 		case x < 5:
-			w.reject(w.work().Broken(fmt.Sprintf("broken-%d", n), n))
+			w.reject(w.work().Invalid(fmt.Sprintf("broken-%d", n), n))
 		case x < 6:
 			w.reject(w.work().Stale(fmt.Sprintf("stale-%d", n), n))
 		case x < 7:
-			w.change(w.work().Unput(fmt.Sprintf("unput-%d", n), w.random.IntN(blueprint.Pairs)), nil)
+			w.change(w.work().Remove(fmt.Sprintf("unput-%d", n), w.random.IntN(blueprint.RoutePairs)), nil)
 		case x < 8:
 			w.race(n)
 		case x < 9:
-			w.change(w.work().Level(fmt.Sprintf("level-%d", n), n), nil)
+			w.change(w.work().TargetLevel(fmt.Sprintf("level-%d", n), n), nil)
 		case x < 11:
 			w.flip(n)
 		default:
 			w.read()
 		}
-		w.business()
+		w.operate()
 	})
 }
 
-func (w *World) work() blueprint.Work { return blueprint.Work{Plan: w.Plan, Random: w.random} }
+func (w *World) work() blueprint.ChangeGenerator {
+	return blueprint.ChangeGenerator{Plan: w.Plan, Random: w.random}
+}
 
 // put changes both items of a pair in one change; serial marks them.
 func (w *World) put(n, pair int) {
@@ -78,7 +80,7 @@
 
 // flip moves a route about.
 func (w *World) flip(n int) {
-	w.office.flips = true
+	w.operators.flips = true
 	w.change(w.work().Flip(fmt.Sprintf("flip-%d", n)), nil)
 }
 
@@ -86,10 +88,10 @@
 func (w *World) race(n int) {
 	won := 0
 	for _, who := range []string{"a", "b"} {
-		w.change(w.work().Race(fmt.Sprintf("race-%d%s", n, who), n, w.office.raced), func(r configuration.Result) {
-			w.office.raced = max(w.office.raced, r.Revision)
+		w.change(w.work().Race(fmt.Sprintf("race-%d%s", n, who), n, w.operators.raced), func(r configuration.Result) {
+			w.operators.raced = max(w.operators.raced, r.Revision)
 			if won++; won > 1 {
-				w.Truth.Wrong("both sides of race-%d were accepted", n)
+				w.Checker.Violation("both sides of race-%d were accepted", n)
 			}
 		})
 	}
@@ -97,11 +99,11 @@
 
 // reject sends a change that no daemon may accept.
 func (w *World) reject(raw string) {
-	id := w.Truth.Ask([]byte(raw), w.clock())
-	w.Truth.Reject(id)
+	id := w.Checker.ChangeSent([]byte(raw), w.clock())
+	w.Checker.ChangeRejected(id)
 	w.call(operator, w.Plan.Zone(0), func(x uint64) any { return registry.ChangeCall{ID: x, Raw: []byte(raw)} }, func(rep registry.Response) {
 		if rep.Status == 200 {
-			w.Truth.Wrong("%s was accepted", id)
+			w.Checker.Violation("%s was accepted", id)
 		}
 	}, nil)
 }
--- a/internal/testsupport/simulator/order.go
+++ b/internal/testsupport/simulator/order.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// operatorWaits is how long an operator waits for an answer before the same
+	// operatorTimeout is how long an operator waits for an answer before the same
 	// order goes to another daemon; some wait for as long as everybody else.
-	operatorWaits = time.Second
-	callerWaits   = 4 * time.Second
+	operatorTimeout = time.Second
+	callerTimeout   = 4 * time.Second
 )
 
 // waits draws how long a caller waits for an answer.
 func (w *World) waits(caller string) time.Duration {
 	if caller == operator && w.random.IntN(4) > 0 {
-		return operatorWaits
+		return operatorTimeout
 	}
-	return callerWaits
+	return callerTimeout
 }
 
 // confirm gives an answer to an operator as a planted mistake may spoil it.
@@ -32,9 +32,9 @@
 
 // answeredOperator hears of an answer that a registry gives an operator, and
 // tells whether it is lost on its way.
-func (w *World) answeredOperator(p *proc, rep registry.Response) bool {
+func (w *World) answeredOperator(p *process, rep registry.Response) bool {
 	if r, ok := rep.Body.(configuration.Result); ok && rep.Status == 200 {
-		w.office.taken[string(r.ID)] = true
+		w.operators.taken[string(r.ID)] = true
 		w.acknowledged(p)
 	}
 	return w.answerLoss > 0 && w.random.Float64() < w.answerLoss
@@ -43,22 +43,22 @@
 // judgeCopy judges the answer to an order that was sent more than once: one
 // that was taken is confirmed again or left without a clear answer.
 func (w *World) judgeCopy(id string, rep registry.Response) {
-	if w.office.taken[id] && !w.office.recordLost && rep.Status >= 400 && rep.Status < 500 {
-		w.Truth.Wrong("%s was taken, and refused with %d when it came again", id, rep.Status)
+	if w.operators.taken[id] && !w.operators.recordLost && rep.Status >= 400 && rep.Status < 500 {
+		w.Checker.Violation("%s was taken, and refused with %d when it came again", id, rep.Status)
 	}
 }
 
 // sendCopies lets an order that was confirmed arrive again, at times, soon or
 // long after.
 func (w *World) sendCopies(id, raw string) {
-	if w.random.IntN(4) > 0 || w.office.recordLost {
+	if w.random.IntN(4) > 0 || w.operators.recordLost {
 		return
 	}
 	w.later(w.between(0, 20*time.Second), func() { w.sendCopy(id, raw) })
 }
 
 func (w *World) sendCopy(id, raw string) {
-	if w.office.recordLost {
+	if w.operators.recordLost {
 		return
 	}
 	w.call(operator, w.Plan.Zone(0), func(x uint64) any { return registry.ChangeCall{ID: x, Raw: []byte(raw)} }, func(rep registry.Response) {
@@ -69,7 +69,7 @@
 
 // change sends a change until its end is known, under the same id each time.
 func (w *World) change(raw string, accepted func(configuration.Result)) {
-	id := w.Truth.Ask([]byte(raw), w.clock())
+	id := w.Checker.ChangeSent([]byte(raw), w.clock())
 	w.history.begin(w.now, id)
 	w.resend(id, raw, true, accepted)
 	w.changeSent()
@@ -77,7 +77,7 @@
 
 // resend sends it once more; sure tells that no earlier copy can take effect.
 func (w *World) resend(id, raw string, sure bool, accepted func(configuration.Result)) {
-	again := func() { w.later(300*ms, func() { w.resend(id, raw, sure, accepted) }) }
+	again := func() { w.later(300*millisecond, func() { w.resend(id, raw, sure, accepted) }) }
 	maybe := func() { sure = false; again() }
 	w.call(operator, w.Plan.Zone(0), func(x uint64) any { return registry.ChangeCall{ID: x, Raw: []byte(raw)} }, func(rep registry.Response) {
 		r, ok := rep.Body.(configuration.Result)
@@ -88,7 +88,7 @@
 		// Surely not accepted: some operators leave it at that, and then it may
 		// never show.
 		case !ok && sure && w.random.IntN(3) == 0 && accepted == nil:
-			w.Truth.Reject(id)
+			w.Checker.ChangeRejected(id)
 			w.history.rejected(id)
 			return
 		case !ok:
@@ -99,7 +99,7 @@
 		w.judgeCopy(id, rep)
 		switch rep.Status {
 		case 200:
-			w.Truth.Accept(id, uint64(r.Revision), w.clock())
+			w.Checker.ChangeAccepted(id, uint64(r.Revision), w.clock())
 			w.history.accepted(w.now, id, r.Revision)
 			w.promise(r.Revision)
 			w.sendCopies(id, raw)
@@ -107,11 +107,11 @@
 				accepted(r)
 			}
 		case 400:
-			w.Truth.Wrong("%s was declined with %d: %+v", id, rep.Status, r)
-			w.Truth.Reject(id)
+			w.Checker.Violation("%s was declined with %d: %+v", id, rep.Status, r)
+			w.Checker.ChangeRejected(id)
 		default:
 			// What it removes is gone already, or another was sooner.
-			w.Truth.Reject(id)
+			w.Checker.ChangeRejected(id)
 			w.history.rejected(id)
 		}
 	}, maybe)
--- a/internal/testsupport/simulator/proc.go
+++ b/internal/testsupport/simulator/proc.go
@@ -12,8 +12,8 @@
 	"dunlinwell/internal/dataplane/proxy"
 )
 
-// proc is one simulated process. Its machine is a real one.
-type proc struct {
+// process is one simulated process. Its machine is a real one.
+type process struct {
 	w           *World
 	name        string
 	role        membership.Role
@@ -21,14 +21,14 @@
 	addr        ids.Address
 	up          bool
 	frozen      bool
-	gen         int
+	generation  int
 	born        ids.Time
 	wall        time.Duration
 	machine     event.Machine
 	backlog     []func()
 	disk        *disk
 	random      *rand.Rand
-	start       ids.RunID
+	runID       ids.RunID
 	dispatchers *dispatchers
 	calls       map[uint64]func(registry.Response)
 	nextID      uint64
@@ -47,20 +47,20 @@
 }
 
 const (
-	stockBeat = 20 * time.Millisecond
-	otherBeat = 50 * time.Millisecond
+	dispatcherTick = 20 * time.Millisecond
+	controlTick    = 50 * time.Millisecond
 )
 
 // now is the process's own monotonic time, which goes on while it is frozen.
-func (p *proc) now() ids.Time { return p.w.now - p.born + 1 }
+func (p *process) now() ids.Time { return p.w.now - p.born + 1 }
 
 // later does something in this run of the process; a frozen one does it when
 // it wakes, one that was killed never.
-func (p *proc) later(d time.Duration, f func()) {
-	gen := p.gen
+func (p *process) later(d time.Duration, f func()) {
+	gen := p.generation
 	p.w.later(d, func() {
 		switch {
-		case p.gen != gen || !p.up:
+		case p.generation != gen || !p.up:
 		case p.frozen:
 			p.backlog = append(p.backlog, f)
 		default:
@@ -70,16 +70,16 @@
 }
 
 // take hands an event to the machine.
-func (p *proc) take(ev event.Event) {
+func (p *process) take(ev event.Event) {
 	if !p.up {
 		return
 	}
 	if p.frozen {
 		// What fits into the sockets waits; the rest is lost.
 		if len(p.backlog) < 500 {
-			gen := p.gen
+			gen := p.generation
 			p.backlog = append(p.backlog, func() {
-				if p.gen == gen {
+				if p.generation == gen {
 					p.take(ev)
 				}
 			})
@@ -89,7 +89,7 @@
 	p.perform(p.machine.Step(p.now(), ev))
 }
 
-func (p *proc) perform(out []event.Command) {
+func (p *process) perform(out []event.Command) {
 	for _, c := range out {
 		switch c := c.(type) {
 		case event.Send:
@@ -97,7 +97,7 @@
 		case event.LogEntry:
 			p.w.trace("%s %s %v", p.name, c.Event, c.Fields)
 		case event.Sync:
-			p.disk.settle(p, c)
+			p.disk.sync(p, c)
 		case store.Retire:
 			p.later(0, p.startBlank)
 		case registry.Response:
@@ -117,22 +117,22 @@
 }
 
 // boot starts a new run of the process.
-func (p *proc) boot() {
-	p.gen++
+func (p *process) boot() {
+	p.generation++
 	p.up, p.frozen, p.backlog = true, false, nil
 	p.born = p.w.now
 	h := TraceHeader{Random: [2]uint64{p.w.random.Uint64(), p.w.random.Uint64()}, PlanEvery: p.w.PlanEvery, Lease: p.w.Lease}
 	p.random = rand.New(rand.NewPCG(h.Random[0], h.Random[1]))
-	p.start = ids.RunID(p.w.random.Uint64()>>24 | 1)
+	p.runID = ids.RunID(p.w.random.Uint64()>>24 | 1)
 	p.calls = map[uint64]func(registry.Response){}
 	wall := time.Hour + time.Duration(p.w.now) + p.wall
 	self := membership.Member{
 		ID: ids.DaemonID(p.name), Role: p.role, Address: p.addr, HTTP: p.addr, Zone: p.zone,
-		RunID: p.start, Incarnation: ids.Incarnation(max(wall.Milliseconds(), 1)),
+		RunID: p.runID, Incarnation: ids.Incarnation(max(wall.Milliseconds(), 1)),
 	}
 	roll := membership.Options{Self: self, Seeds: p.seeds}
 	h.Roll = roll
-	beat := otherBeat
+	beat := controlTick
 	switch p.role {
 	case membership.Store:
 		p.disk.open(p)
@@ -141,7 +141,7 @@
 		if p.w.Defect.Ops != nil {
 			s.ReplaceOps(p.w.Defect.Ops)
 		}
-		p.machine, beat = s, stockBeat
+		p.machine, beat = s, dispatcherTick
 	case membership.Registry:
 		p.machine = registry.New(registry.Options{
 			Options: roll, Random: p.random, PlanEvery: p.w.PlanEvery,
@@ -157,7 +157,7 @@
 	p.beat(beat)
 }
 
-func (p *proc) beat(every time.Duration) {
+func (p *process) beat(every time.Duration) {
 	p.later(every, func() {
 		if p.dispatchers != nil {
 			p.dispatchers.beat()
@@ -168,13 +168,13 @@
 }
 
 // kill ends the run at once; what the disk had not synced is gone.
-func (p *proc) kill() {
+func (p *process) kill() {
 	if !p.up {
 		return
 	}
 	p.w.trace("%s is killed", p.name)
 	p.up = false
-	p.gen++
+	p.generation++
 	if p.disk != nil {
 		p.disk.crash()
 	}
@@ -183,21 +183,21 @@
 	}
 }
 
-func (p *proc) freeze(d time.Duration) {
+func (p *process) freeze(d time.Duration) {
 	if !p.up || p.frozen {
 		return
 	}
 	p.w.trace("%s freezes for %s", p.name, d)
 	p.frozen = true
-	gen := p.gen
+	gen := p.generation
 	p.w.later(d, func() {
-		if p.gen == gen && p.up {
+		if p.generation == gen && p.up {
 			p.wake()
 		}
 	})
 }
 
-func (p *proc) wake() {
+func (p *process) wake() {
 	p.w.trace("%s wakes", p.name)
 	p.frozen = false
 	list := p.backlog
--- a/internal/testsupport/simulator/prune.go
+++ b/internal/testsupport/simulator/prune.go
@@ -12,9 +12,9 @@
 // A simulated disk forgets marks as the real one does: by its own measured
 // running time, which wall clocks can't touch, and a small batch at a time.
 const (
-	keepMarks  = 45 * time.Second
-	pruneEvery = 500 * time.Millisecond
-	mostPruned = 64
+	idempotencyRetention = 45 * time.Second
+	pruneEvery           = 500 * time.Millisecond
+	maxPruned            = 64
 )
 
 // ages is since when, in running time, each mark has been on the disk.
@@ -36,21 +36,21 @@
 }
 
 // prune drops marks that have been kept for long enough.
-func (d *disk) prune(p *proc) {
+func (d *disk) prune(p *process) {
 	p.later(pruneEvery, func() {
 		if d.stalled {
 			d.prune(p)
 			return
 		}
-		keep := keepMarks
-		if d.w.Defect.KeepMarks > 0 {
-			keep = d.w.Defect.KeepMarks
+		keep := idempotencyRetention
+		if d.w.Defect.IdempotencyRetention > 0 {
+			keep = d.w.Defect.IdempotencyRetention
 		}
 		now, n := d.running(), 0
 		d.ran, d.opened = now, d.w.now
 		// In order, so that one seed is one run.
 		for _, k := range slices.Sorted(maps.Keys(d.born)) {
-			if n < mostPruned && strings.HasPrefix(string(k), "item/mark/") && now-d.born[k] > keep {
+			if n < maxPruned && strings.HasPrefix(string(k), "item/mark/") && now-d.born[k] > keep {
 				delete(d.records, k)
 				delete(d.born, k)
 				n++
--- a/internal/testsupport/simulator/recover_test.go
+++ b/internal/testsupport/simulator/recover_test.go
@@ -23,7 +23,7 @@
 				for _, p := range w.procs[1:3] {
 					p.kill()
 					p.lost = true
-					delete(w.at, p.addr)
+					delete(w.processByAddress, p.addr)
 				}
 			})
 			order := func(into *string) {
--- a/internal/testsupport/simulator/repair.go
+++ b/internal/testsupport/simulator/repair.go
@@ -11,7 +11,7 @@
 )
 
 // wipeStore kills a store, loses its disk and starts it again after a while.
-func (w *World) wipeStore(p *proc, down time.Duration) {
+func (w *World) wipeStore(p *process, down time.Duration) {
 	w.trace("the disk of %s is lost", p.name)
 	p.kill()
 	p.disk.wipe()
@@ -85,7 +85,7 @@
 }
 
 // startBlank is what the daemon does on a store's command to retire its disk.
-func (p *proc) startBlank() {
+func (p *process) startBlank() {
 	p.w.trace("%s sets its folder aside", p.name)
 	p.kill()
 	p.disk.wipe()
@@ -93,7 +93,7 @@
 }
 
 // putBack gives a store a disk as it was at some earlier time.
-func (p *proc) putBack(records map[ids.RegisterKey][]byte, id, run uint64) {
+func (p *process) putBack(records map[ids.RegisterKey][]byte, id, run uint64) {
 	p.w.trace("an old disk of %s is put back", p.name)
 	p.kill()
 	p.disk.wipe()
@@ -102,7 +102,7 @@
 }
 
 // onLink is how long a message waits for the links of two stores and passes them.
-func (w *World) onLink(from, to *proc, msg any) time.Duration {
+func (w *World) onLink(from, to *process, msg any) time.Duration {
 	if w.LinkBits == 0 || from.role != membership.Store || to.role != membership.Store {
 		return 0
 	}
--- a/internal/testsupport/simulator/repair_test.go
+++ b/internal/testsupport/simulator/repair_test.go
@@ -10,7 +10,7 @@
 // Disks are lost one after the other, each a while after the machine before
 // came back. No change may be lost, and each repair ends before the next loss.
 func TestDisksLostInTurn(t *testing.T) {
-	for _, gap := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 4500 * ms, 5 * time.Second, 6 * time.Second} {
+	for _, gap := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 4500 * millisecond, 5 * time.Second, 6 * time.Second} {
 		t.Run(gap.String(), func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
--- a/internal/testsupport/simulator/repairtime_test.go
+++ b/internal/testsupport/simulator/repairtime_test.go
@@ -27,16 +27,16 @@
 
 // A lost disk's place is filled within the bound, from its machine's return.
 func TestRepairTimes(t *testing.T) {
-	const slow, link = 40 * ms, 2.2e6
+	const slow, link = 40 * millisecond, 2.2e6
 	for name, c := range map[string]struct {
 		options         Options
 		registers, size int
 		bound           time.Duration
 	}{
-		"3 members, small":             {Options{}, 0, 0, 1500 * ms},
-		"3 members, small, slow disk":  {Options{DiskSync: slow}, 0, 0, 1500 * ms},
-		"3 members, small, 2.2 Mbit/s": {Options{LinkBits: link}, 0, 0, 1500 * ms},
-		"5 members, small":             {Options{Replicas: 5}, 0, 0, 1500 * ms},
+		"3 members, small":             {Options{}, 0, 0, 1500 * millisecond},
+		"3 members, small, slow disk":  {Options{DiskSync: slow}, 0, 0, 1500 * millisecond},
+		"3 members, small, 2.2 Mbit/s": {Options{LinkBits: link}, 0, 0, 1500 * millisecond},
+		"5 members, small":             {Options{Replicas: 5}, 0, 0, 1500 * millisecond},
 		"3 members, 5,000 registers":   {Options{}, 5000, 100, 3 * time.Second},
 		"5 members, 5,000 registers":   {Options{Replicas: 5}, 5000, 100, 3 * time.Second},
 		"3 members, 1,000, 2.2 Mbit/s": {Options{LinkBits: link}, 1000, 100, 3 * time.Second},
--- a/internal/testsupport/simulator/returned_test.go
+++ b/internal/testsupport/simulator/returned_test.go
@@ -19,7 +19,7 @@
 	is := is.New(t)
 	for seed := uint64(1); seed <= 6; seed++ {
 		// Whoever goes first has been silent for longest.
-		for _, away := range []time.Duration{1800 * ms, 2200 * ms} {
+		for _, away := range []time.Duration{1800 * millisecond, 2200 * millisecond} {
 			o := Run(Options{Seed: seed, Length: 40 * time.Second, Script: func(w *World) {
 				w.counted = true
 				w.later(2*time.Second, func() { w.swap(w.procs[2]) })
@@ -44,10 +44,10 @@
 			var id, run uint64
 			w.later(2*time.Second, func() {
 				old, id, run = maps.Clone(p.disk.records), p.disk.store, p.disk.run
-				w.wipeStore(p, 200*ms)
+				w.wipeStore(p, 200*millisecond)
 			})
 			w.later(8*time.Second, func() { p.putBack(old, id, run) })
-			w.later(8100*ms, func() { w.untilWhole(4*time.Second, func(d time.Duration) { took = d }) })
+			w.later(8100*millisecond, func() { w.untilWhole(4*time.Second, func(d time.Duration) { took = d }) })
 			w.later(14*time.Second, func() { is.True(p.disk.store != id) })
 		}})
 		report(t, o)
@@ -64,15 +64,15 @@
 		o := Run(Options{Seed: seed, Length: 40 * time.Second, Replicas: 5, Script: func(w *World) {
 			w.counted = true
 			w.every(4*time.Second, 6*time.Second, 4, func(i int) {
-				var stores []*proc
+				var stores []*process
 				for _, p := range w.procs {
 					if p.role == membership.Store {
 						stores = append(stores, p)
 					}
 				}
-				w.wipeStore(stores[i%5], 200*ms)
-				w.wipeStore(stores[(i+2)%5], 200*ms)
-				w.later(200*ms, func() { w.untilWhole(4*time.Second, func(d time.Duration) { took = append(took, d) }) })
+				w.wipeStore(stores[i%5], 200*millisecond)
+				w.wipeStore(stores[(i+2)%5], 200*millisecond)
+				w.later(200*millisecond, func() { w.untilWhole(4*time.Second, func(d time.Duration) { took = append(took, d) }) })
 			})
 		}})
 		report(t, o)
@@ -80,7 +80,7 @@
 		is.Equal(len(took), 4)
 		t.Logf("seed %d: %v", seed, took)
 		is.True(took[0] >= 0)
-		is.True(took[3] <= 1500*ms)
+		is.True(took[3] <= 1500*millisecond)
 		is.True(o.Changes > 30)
 	}
 }
--- a/internal/testsupport/simulator/run.go
+++ b/internal/testsupport/simulator/run.go
@@ -28,10 +28,10 @@
 	Hot func(w *World, drawn ids.Name) ids.Name
 	// Lease is the proxies' param of that name.
 	Lease time.Duration
-	// Hold is how long clients hold a connection; zero for none.
-	Hold time.Duration
-	// Brief is the share of clients that hold none all the same.
-	Brief float64
+	// HoldConnectionsFor is how long clients hold a connection; zero for none.
+	HoldConnectionsFor time.Duration
+	// BriefConnectionShare is the share of clients that hold none all the same.
+	BriefConnectionShare float64
 	// Latency, if set, is the front-line latency of a proxy whose zone uses
 	// so much CPU time.
 	Latency func(used float64) time.Duration
@@ -40,7 +40,7 @@
 	// EagerLosses lets the next core machine be lost once the core has been calm
 	// for a while, whether or not the last loss is repaired.
 	EagerLosses bool
-	Keep        bool
+	KeepLog     bool
 	// StaleBootstrap leaves the setting of the first start where it was.
 	StaleBootstrap bool
 	// Replicas, if over 3, is how many stores there are to be.
@@ -73,8 +73,8 @@
 	}
 	// Half of the clients hold their connections for a while, wherever a fault
 	// leaves the proxy at the other end.
-	if p.Hold == 0 && p.FaultEvery > 0 {
-		p.Hold, p.Brief = 8*time.Second, 0.5
+	if p.HoldConnectionsFor == 0 && p.FaultEvery > 0 {
+		p.HoldConnectionsFor, p.BriefConnectionShare = 8*time.Second, 0.5
 	}
 	if p.Cost == 0 {
 		p.Cost = 20
@@ -83,17 +83,17 @@
 
 // Outcome is what a run came to.
 type Outcome struct {
-	Seed      uint64
-	Counts    []checker.Count
-	Broken    int
-	Sum       uint64
-	Events    uint64
-	Responses map[string]int
-	Changes   int
-	Pruned    int
-	// Struck counts the faults that came by lot, by kind.
-	Struck map[string]int
-	Log    []string
+	Seed       uint64
+	Counts     []checker.RuleResult
+	Violations int
+	Sum        uint64
+	Events     uint64
+	Responses  map[string]int
+	Changes    int
+	Pruned     int
+	// FaultCounts counts the faults that came by lot, by kind.
+	FaultCounts map[string]int
+	Log         []string
 	// History is what callers saw of the configuration's register.
 	History []Operation
 }
@@ -113,13 +113,13 @@
 	return []ids.Address{"10.9.1.1:1", "10.9.1.2:1", "10.9.1.3:1"}
 }
 
-func (w *World) addProc(role membership.Role, name string, zone ids.Name, addr ids.Address) *proc {
-	p := &proc{w: w, name: name, role: role, zone: zone, addr: addr, seeds: w.seeds()}
+func (w *World) addProc(role membership.Role, name string, zone ids.Name, addr ids.Address) *process {
+	p := &process{w: w, name: name, role: role, zone: zone, addr: addr, seeds: w.seeds()}
 	if role == membership.Store {
 		p.disk = newDisk(w)
 	}
 	w.procs = append(w.procs, p)
-	w.at[addr] = p
+	w.processByAddress[addr] = p
 	return p
 }
 
@@ -149,7 +149,7 @@
 				w: w, id: pool.Instance(i), service: pool.Service, zone: w.Plan.Zone(n), capacity: pool.Capacity,
 				addr: ids.Address(fmt.Sprintf("10.9.9.%d:1", n+1)),
 			}
-			w.pool = append(w.pool, t)
+			w.targets = append(w.targets, t)
 			w.later(2*time.Second, func() { t.begin(false) })
 			n++
 		}
@@ -159,15 +159,15 @@
 // Run plays one seed: founding, load and faults, a quiet end, and the books.
 func Run(p Options) Outcome {
 	w := NewWorld(p)
-	w.crowd.held = map[string]held{}
-	w.Truth.Allowed = float64(w.Plan.Allowed())
+	w.longLived.connections = map[string]longLivedConnection{}
+	w.Checker.RetryAllowance = float64(w.Plan.Allowed())
 	w.build()
 	w.later(time.Second, func() { w.configuration() })
 	w.until(ids.Time(6 * time.Second))
 	w.arrivals()
 	w.watchLosses()
 	if w.FaultEvery > 0 {
-		w.business()
+		w.operate()
 	}
 	switch {
 	case w.Script != nil:
@@ -178,14 +178,14 @@
 	w.until(w.quiet())
 	w.heal()
 	w.until(w.quiet().Add(restoreWithin + 10*time.Second))
-	w.crowd.stop, w.office.stop = true, true
+	w.longLived.stop, w.operators.stop = true, true
 	w.until(w.now.Add(20 * time.Second))
-	w.closeBooks("the day's end")
+	w.finishLedger("the day's end")
 	w.until(w.now.Add(6 * time.Second))
 	if w.FaultEvery > 0 {
 		w.closing()
 		w.until(w.now.Add(closingWait + restoreWithin))
-		w.closeBooks("after the closing fault")
+		w.finishLedger("after the closing fault")
 		w.until(w.now.Add(6 * time.Second))
 	}
 	return w.outcome()
@@ -193,28 +193,28 @@
 
 func (w *World) outcome() Outcome {
 	o := Outcome{
-		Seed: w.Seed, Counts: w.Truth.Verdict(), Sum: w.sum, Events: w.Events, Responses: w.Truth.Tally(time.Unix(0, 0)),
-		Changes: w.Truth.Changes(), Pruned: w.pruned, Struck: w.struck, Log: w.Log, History: w.history.operations(),
+		Seed: w.Seed, Counts: w.Checker.Results(), Sum: w.sum, Events: w.Events, Responses: w.Checker.CountByClass(time.Unix(0, 0)),
+		Changes: w.Checker.Changes(), Pruned: w.pruned, FaultCounts: w.faultCounts, Log: w.Log, History: w.history.operations(),
 	}
 	for _, c := range o.Counts {
-		o.Broken += c.Count
+		o.Violations += c.Violations
 	}
 	return o
 }
 
 // configuration sets the plan's configuration, as often as it takes.
 func (w *World) configuration() {
-	w.change(string(w.Plan.Change()), func(configuration.Result) {})
+	w.change(string(w.Plan.InitialChange()), func(configuration.Result) {})
 }
 
 // heal ends every fault, as when the machines are back.
 func (w *World) heal() {
 	w.trace("the machines are back")
-	w.healed = w.now
-	w.Truth.Healed(w.clock())
+	w.recoveredAt = w.now
+	w.Checker.MachinesRecovered(w.clock())
 	w.cuts, w.answerLoss = nil, 0
 	w.atAck, w.atChange = nil, nil
-	w.net = weather{jitter: time.Millisecond}
+	w.network = networkConditions{jitter: time.Millisecond}
 	for _, p := range w.procs {
 		if p.disk != nil {
 			p.disk.stalled, p.disk.slow = false, 0
@@ -227,8 +227,8 @@
 			p.wake()
 		}
 	}
-	for _, t := range w.pool {
-		t.mute, t.spoil = 0, 0
+	for _, t := range w.targets {
+		t.silentShare, t.corruptShare = 0, 0
 		if t.leaving {
 			t.crash()
 		}
--- a/internal/testsupport/simulator/scenes.go
+++ b/internal/testsupport/simulator/scenes.go
@@ -12,24 +12,24 @@
 // load and the usual operators.
 var Scenes = map[string]func(w *World){
 	"freeze-between-claim-and-send":       freezeAtClaim,
-	"swap-in-a-change-storm":              swapInStorm,
+	"swap-in-a-change-storm":              coreReplacedDuringChangeStorm,
 	"core-restarts-while-a-cell-is-out":   coreRestartsZoneOut,
 	"clock-jumps-in-the-retry-window":     clockJumps,
 	"stalled-disks-under-the-planner":     stalledDisks,
 	"one-way-cuts":                        oneWayCuts,
 	"rolling-restart":                     rollingRestart,
-	"herd-at-the-days-end":                herdAtEnd,
+	"herd-at-the-days-end":                massRestartAtEnd,
 	"every-disk-lost":                     everyDiskLost,
-	"first-core-gone-and-all-restart":     firstCoreGone,
+	"first-core-gone-and-all-restart":     firstCoreMachineReplaced,
 	"region-lost":                         regionLost,
 	"two-disks-stall-and-one-is-lost":     stallAndLose,
-	"address-handed-on-while-cut-off":     handedWhileCut,
+	"address-handed-on-while-cut-off":     addressReusedDuringPartition,
 	"answers-lost-under-load":             responsesLost,
 	"drained-one-by-one":                  drained,
-	"emptied-while-the-core-splits":       emptiedInSplit,
-	"gone-but-running":                    goneButRunning,
-	"left-to-a-dying-registry":            leftToDying,
-	"policy-moves-while-the-core-splits":  movedInSplit,
+	"emptied-while-the-core-splits":       zoneDrainedDuringPartition,
+	"gone-but-running":                    declaredDeadButRunning,
+	"left-to-a-dying-registry":            departureThroughDyingRegistry,
+	"policy-moves-while-the-core-splits":  configurationMovedDuringPartition,
 	"targets-freeze-and-wake":             targetsFreeze,
 	"whole-core-lost-and-changed":         coreLostAndChanged,
 	"core-machine-cut-off-twice":          coreMachineCutOff,
@@ -50,7 +50,7 @@
 
 func freezeAtClaim(w *World) {
 	n := 0
-	w.atClaim = func(p *proc) {
+	w.atClaim = func(p *process) {
 		if n++; n%15 == 0 && w.now < w.quiet() {
 			// Long enough for others to count it as gone, or only to be late.
 			p.later(time.Duration(n%4)*time.Millisecond, func() { p.freeze(w.between(500*time.Millisecond, 4*time.Second)) })
@@ -58,8 +58,8 @@
 	}
 }
 
-func swapInStorm(w *World) {
-	w.every(time.Second, 50*time.Millisecond, 300, func(i int) { w.put(600+i, i%blueprint.Pairs) })
+func coreReplacedDuringChangeStorm(w *World) {
+	w.every(time.Second, 50*time.Millisecond, 300, func(i int) { w.put(600+i, i%blueprint.RoutePairs) })
 	w.every(4*time.Second, 12*time.Second, 3, func(int) { w.swapCore() })
 }
 
@@ -98,7 +98,7 @@
 	}
 }
 
-func herdAtEnd(w *World) {
+func massRestartAtEnd(w *World) {
 	w.later(time.Duration(w.quiet()-w.now)-time.Millisecond, func() {
 		for _, p := range w.procs {
 			p.kill()
@@ -111,7 +111,7 @@
 func everyDiskLost(w *World) {
 	w.counted = true
 	w.later(12*time.Second, func() {
-		w.office.recordLost = true
+		w.operators.recordLost = true
 		w.trace("every core disk is lost")
 		for _, p := range w.procs[:3] {
 			p.kill()
@@ -122,9 +122,9 @@
 	})
 }
 
-// firstCoreGone replaces all three first core machines, one after the other,
+// firstCoreMachineReplaced replaces all three first core machines, one after the other,
 // and then restarts everything: nobody's seeds lead anywhere any more.
-func firstCoreGone(w *World) {
+func firstCoreMachineReplaced(w *World) {
 	w.every(2*time.Second, 11*time.Second, 3, func(i int) { w.swap(w.procs[i]) })
 	w.later(36*time.Second, func() {
 		for _, p := range w.procs {
--- a/internal/testsupport/simulator/scenes_network.go
+++ b/internal/testsupport/simulator/scenes_network.go
@@ -23,17 +23,17 @@
 	})
 }
 
-func emptiedInSplit(w *World) {
+func zoneDrainedDuringPartition(w *World) {
 	w.every(3*time.Second, 16*time.Second, 3, func(int) {
 		w.split(11 * time.Second)
 		w.later(time.Second, func() { w.emptyZone() })
 	})
 }
 
-// movedInSplit moves a route about while the core splits again and again.
-func movedInSplit(w *World) {
+// configurationMovedDuringPartition moves a route about while the core splits again and again.
+func configurationMovedDuringPartition(w *World) {
 	w.every(3*time.Second, 11*time.Second, 4, func(int) { w.split(7 * time.Second) })
-	w.every(time.Second, 900*ms, 50, func(i int) { w.flip(5000 + i) })
+	w.every(time.Second, 900*millisecond, 50, func(i int) { w.flip(5000 + i) })
 }
 
 // coreLostAndChanged loses the core but for two stores, which no proxy
@@ -45,6 +45,6 @@
 			a: func(n string, _ ids.Name) bool { q := w.named(n); return q != nil && q.role == membership.Proxy },
 			b: func(n string, _ ids.Name) bool { q := w.named(n); return q != nil && q.role != membership.Proxy },
 		})
-		w.later(500*ms, func() { w.emptyZone(); w.flip(6000 + i) })
+		w.later(500*millisecond, func() { w.emptyZone(); w.flip(6000 + i) })
 	})
 }
--- a/internal/testsupport/simulator/scenes_target.go
+++ b/internal/testsupport/simulator/scenes_target.go
@@ -9,7 +9,7 @@
 
 // Scenes of targets.
 
-func handedWhileCut(w *World) {
+func addressReusedDuringPartition(w *World) {
 	w.every(3*time.Second, 8*time.Second, 4, func(i int) {
 		p := w.some(membership.Proxy)
 		w.trace("%s is cut off from the core", p.name)
@@ -20,18 +20,18 @@
 				return q != nil && q.role != membership.Proxy
 			},
 		})
-		w.later(500*time.Millisecond, func() { w.handOver(w.pool[i%len(w.pool)], 3*time.Second) })
+		w.later(500*time.Millisecond, func() { w.handOver(w.targets[i%len(w.targets)], 3*time.Second) })
 	})
 }
 
 func responsesLost(w *World) {
-	for _, t := range w.pool {
-		t.mute, t.spoil = 0.2, 0.1
+	for _, t := range w.targets {
+		t.silentShare, t.corruptShare = 0.2, 0.1
 	}
 }
 
 func drained(w *World) {
-	for i, t := range w.pool {
+	for i, t := range w.targets {
 		w.later(2*time.Second+time.Duration(i)*4*time.Second, func() {
 			t.leave()
 			w.later(5*time.Second, func() { t.crash() })
@@ -40,13 +40,13 @@
 	}
 }
 
-// goneButRunning cuts targets off from the core, which counts them as gone,
+// declaredDeadButRunning cuts targets off from the core, which counts them as gone,
 // while a proxy that is cut off as well still reaches them.
-func goneButRunning(w *World) {
-	w.Hold = 20 * time.Second
+func declaredDeadButRunning(w *World) {
+	w.HoldConnectionsFor = 20 * time.Second
 	w.every(2*time.Second, 6*time.Second, 7, func(int) {
 		p := w.some(membership.Proxy)
-		for _, t := range w.pool {
+		for _, t := range w.targets {
 			if t.zone == p.zone {
 				w.unheard(t, p, 11*time.Second)
 			}
@@ -54,18 +54,18 @@
 	})
 }
 
-// leftToDying lets a target say that it leaves to a registry that dies right
+// departureThroughDyingRegistry lets a target say that it leaves to a registry that dies right
 // after, which one proxy doesn't hear; nor does the core hear from it again.
-func leftToDying(w *World) {
+func departureThroughDyingRegistry(w *World) {
 	w.every(2*time.Second, 6*time.Second, 7, func(i int) {
-		t, deaf := w.pool[i%len(w.pool)], w.some(membership.Proxy)
+		t, deaf := w.targets[i%len(w.targets)], w.some(membership.Proxy)
 		t.leave()
-		via := t.via
+		via := t.lastRegistry
 		if via == nil {
 			return
 		}
 		w.cutOff(2*time.Second, &cut{a: func(n string, _ ids.Name) bool { return n == via.name }, b: func(n string, _ ids.Name) bool { return n == deaf.name }})
-		w.later(60*ms, func() {
+		w.later(60*millisecond, func() {
 			w.bounce(via, 4*time.Second)
 			w.unheard(t, nil, 9*time.Second)
 		})
@@ -74,7 +74,7 @@
 }
 
 func targetsFreeze(w *World) {
-	w.every(2*time.Second, 1500*ms, 28, func(i int) {
-		w.pool[i%len(w.pool)].freeze(w.between(time.Second, 9*time.Second))
+	w.every(2*time.Second, 1500*millisecond, 28, func(i int) {
+		w.targets[i%len(w.targets)].freeze(w.between(time.Second, 9*time.Second))
 	})
 }
--- a/internal/testsupport/simulator/simulator_test.go
+++ b/internal/testsupport/simulator/simulator_test.go
@@ -9,8 +9,8 @@
 func report(t *testing.T, o Outcome) {
 	t.Helper()
 	for _, c := range o.Counts {
-		if c.Count > 0 {
-			t.Errorf("seed %d: %s: %d, such as %s", o.Seed, c.What, c.Count, c.Sample)
+		if c.Violations > 0 {
+			t.Errorf("seed %d: %s: %d, such as %s", o.Seed, c.Rule, c.Violations, c.Sample)
 		}
 	}
 }
@@ -25,7 +25,7 @@
 		if o.Pruned == 0 {
 			t.Errorf("seed %d: no mark was old enough to be forgotten", seed)
 		}
-		for kind, n := range o.Struck {
+		for kind, n := range o.FaultCounts {
 			struck[kind] += n
 		}
 	}
--- a/internal/testsupport/simulator/spill_test.go
+++ b/internal/testsupport/simulator/spill_test.go
@@ -72,7 +72,7 @@
 		t.Run(hold.String(), func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			points := spillRun(t, Options{Seed: 1, Rate: 40, Hold: hold, Hot: step(a)})
+			points := spillRun(t, Options{Seed: 1, Rate: 40, HoldConnectionsFor: hold, Hot: step(a)})
 			for _, p := range points {
 				if p.At > 300*time.Second && p.At < hotUntil {
 					is.True(p.Used[a] < 550*1.1 && p.Used[a] > 350) // settled around its target
@@ -130,7 +130,7 @@
 func TestDestinationEmptiedMidMove(t *testing.T) {
 	is := is.New(t)
 	for _, p := range spillRun(t, Options{Seed: 4, Rate: 40, Length: 600 * time.Second, Hot: step(a), Script: func(w *World) {
-		w.later(240*time.Second, func() { w.setEmptied(c, true, func() { w.office.emptie = c }) })
+		w.later(240*time.Second, func() { w.setEmptied(c, true, func() { w.operators.drainedZone = c }) })
 	}}) {
 		for _, m := range p.Moves {
 			if p.At > 320*time.Second && p.At < hotUntil {
--- a/internal/testsupport/simulator/target.go
+++ b/internal/testsupport/simulator/target.go
@@ -23,22 +23,22 @@
 	addr        ids.Address
 	capacity    int
 	up          bool
-	gen         int
+	generation  int
 	leaving     bool
 	left        ids.Time
 	born        ids.Time
 	incarnation ids.Incarnation
 	sequence    ids.Sequence
 	busy        int
-	// heard is when a registry last took its announcement. While frozen it does
+	// lastAcknowledged is when a registry last took its announcement. While frozen it does
 	// nothing, and what comes waits in its sockets.
-	heard  ids.Time
-	frozen bool
-	wait   []func()
-	// via is the registry that was told last.
-	via *proc
-	// mute and spoil are shares of answers lost after the work, or broken.
-	mute, spoil float64
+	lastAcknowledged ids.Time
+	frozen           bool
+	wait             []func()
+	// lastRegistry is the registry that was told last.
+	lastRegistry *process
+	// silentShare and spoil are shares of answers lost after the work, or broken.
+	silentShare, corruptShare float64
 }
 
 const (
@@ -49,17 +49,17 @@
 
 // begin starts a new incarnation at the target's address.
 func (t *target) begin(cold bool) {
-	t.gen++
+	t.generation++
 	t.up, t.leaving, t.left, t.busy, t.sequence = true, false, 0, 0, 0
-	t.frozen, t.wait, t.heard = false, nil, 0
+	t.frozen, t.wait, t.lastAcknowledged = false, nil, 0
 	t.incarnation = ids.Incarnation(t.w.now/ids.Time(time.Millisecond)) + 1
 	t.born = t.w.now
 	if !cold {
 		t.born = t.w.now.Add(-targetWarm)
 	}
-	t.w.owner[t.addr] = t
+	t.w.targetByAddress[t.addr] = t
 	t.w.trace("%s begins at %s", t.id, t.addr)
-	t.announcing(t.gen)
+	t.announcing(t.generation)
 }
 
 func (t *target) crash() {
@@ -67,12 +67,12 @@
 		t.w.trace("%s crashes", t.id)
 	}
 	t.up = false
-	t.gen++
+	t.generation++
 	t.frozen, t.wait = false, nil
 }
 
 func (t *target) announcing(gen int) {
-	if t.gen != gen {
+	if t.generation != gen {
 		return
 	}
 	if t.frozen {
@@ -94,16 +94,16 @@
 		Instance: t.id, Incarnation: t.incarnation, Sequence: t.sequence, Service: t.service, Address: t.addr, Zone: t.zone,
 		Leaving: t.leaving, Warmth: t.warmth(), Occupancy: int64(t.busy), Capacity: int64(t.capacity), IntervalMillis: uint32(announceEvery / time.Millisecond),
 	}
-	gen := t.gen
-	t.via = t.w.anyRegistry()
-	if t.via == nil {
+	gen := t.generation
+	t.lastRegistry = t.w.anyRegistry()
+	if t.lastRegistry == nil {
 		return
 	}
-	t.w.callAt(t.via, string(t.id), t.zone, func(id uint64) any { t.heard = t.w.now; return registry.HeartbeatCall{ID: id, Target: a} }, func(registry.Response) {
+	t.w.callAt(t.lastRegistry, string(t.id), t.zone, func(id uint64) any { t.lastAcknowledged = t.w.now; return registry.HeartbeatCall{ID: id, Target: a} }, func(registry.Response) {
 		// From here on the system has learned that it leaves.
-		if t.gen == gen && a.Leaving && t.left == 0 {
+		if t.generation == gen && a.Leaving && t.left == 0 {
 			t.left = t.w.now
-			t.w.Truth.Parted()
+			t.w.Checker.NetworkPartitioned()
 		}
 	}, nil)
 }
@@ -118,36 +118,36 @@
 
 // run is one execution: it is written down, and answered after its work. Sent
 // is when its bytes left the proxy, and came when they reached the target.
-func (t *target) run(e *errand, p *proc, s ids.Name, sent, came ids.Time, left time.Duration, done func(idempotency.Response, bool)) {
+func (t *target) run(e *forwardedRequest, p *process, s ids.Name, sent, came ids.Time, left time.Duration, done func(idempotency.Response, bool)) {
 	t.busy++
-	r := checker.Ran{
-		At: t.w.clock(), Sent: clock(sent), Instance: t.id, Service: t.service, Zone: t.zone, Token: e.token, Mark: string(e.IdempotencyKey), Attempt: e.try, Untold: e.Job.Attempt == 0,
-		After: t.knownFor(came), Route: e.Route, Left: left, Proxy: p.name, By: p.zone,
+	r := checker.Execution{
+		At: t.w.clock(), Sent: clock(sent), Instance: t.id, Service: t.service, Zone: t.zone, Token: e.requestToken, IdempotencyKey: string(e.IdempotencyKey), Attempt: e.attempt, AttemptHidden: e.Job.Attempt == 0,
+		After: t.knownFor(came), Route: e.Route, TimeLeft: left, Proxy: p.name, ProxyZone: p.zone,
 	}
-	t.w.Truth.Run(r)
-	t.w.trace("%s runs %s attempt %d for %s", t.id, e.token, e.try, p.name)
+	t.w.Checker.RequestExecuted(r)
+	t.w.trace("%s runs %s attempt %d for %s", t.id, e.requestToken, e.attempt, p.name)
 	if s != t.service {
-		t.w.Truth.Wrong("%s of %s got a request meant for %s", t.id, t.service, s)
+		t.w.Checker.Violation("%s of %s got a request meant for %s", t.id, t.service, s)
 	}
 	if bears := max(float64(t.capacity)*t.warmth(), 1); float64(t.busy) > 1.5*bears+1 {
-		t.w.Truth.Flood("%s had %d at once and bears %.1f, at %s", t.id, t.busy, bears, time.Duration(t.w.now))
+		t.w.Checker.Overloaded("%s had %d at once and bears %.1f, at %s", t.id, t.busy, bears, time.Duration(t.w.now))
 	}
-	gen := t.gen
-	body := fmt.Sprintf("%s/%s/%x", e.token, t.id, t.w.random.Uint64())
+	gen := t.generation
+	body := fmt.Sprintf("%s/%s/%x", e.requestToken, t.id, t.w.random.Uint64())
 	t.w.later(t.w.between(workTime/2, workTime*3/2), func() {
-		if t.gen != gen {
+		if t.generation != gen {
 			done(idempotency.Response{}, false)
 			return
 		}
 		t.busy--
 		bad := t.w.random.Float64()
-		done(idempotency.Response{Status: 200, Body: []byte(body)}, bad >= t.mute+t.spoil)
+		done(idempotency.Response{Status: 200, Body: []byte(body)}, bad >= t.silentShare+t.corruptShare)
 	})
 }
 
 // anyRegistry draws one that is up; nil where none is.
-func (w *World) anyRegistry() *proc {
-	var up []*proc
+func (w *World) anyRegistry() *process {
+	var up []*process
 	for _, p := range w.procs {
 		if p.role == membership.Registry && p.up {
 			up = append(up, p)
@@ -173,7 +173,7 @@
 }
 
 // callAt is an outside call to one registry.
-func (w *World) callAt(p *proc, name string, zone ids.Name, make1 func(id uint64) any, done func(registry.Response), lost func()) {
+func (w *World) callAt(p *process, name string, zone ids.Name, make1 func(id uint64) any, done func(registry.Response), lost func()) {
 	over := false
 	var call *exchange
 	once := func(f func()) {
--- a/internal/testsupport/simulator/tolerance.go
+++ b/internal/testsupport/simulator/tolerance.go
@@ -12,7 +12,7 @@
 // after its start if it is new. One may be lost at once.
 const catchUp = 4 * time.Second
 
-const lookForLosses = 50 * ms
+const lossCheckInterval = 50 * millisecond
 
 // coreLosses is what counts as lost of the core.
 type coreLosses struct {
@@ -40,12 +40,12 @@
 	if w.now.Sub(w.losses.calmSince) >= catchUp {
 		w.losses.recovered = true
 	}
-	w.later(lookForLosses, w.watchLosses)
+	w.later(lossCheckInterval, w.watchLosses)
 }
 
 // impaired tells whether a store is down, frozen, slowed or cut off.
-func (w *World) impaired(p *proc) bool {
-	if !p.up || p.frozen || p.disk.stalled || p.disk.slow > 0 || w.net.loss > 0 {
+func (w *World) impaired(p *process) bool {
+	if !p.up || p.frozen || p.disk.stalled || p.disk.slow > 0 || w.network.loss > 0 {
 		return true
 	}
 	for _, q := range w.living(membership.Store) {
@@ -57,7 +57,7 @@
 }
 
 // severed tells whether a cut keeps what one process sends from another.
-func (w *World) severed(from, to *proc) bool {
+func (w *World) severed(from, to *process) bool {
 	for _, c := range w.cuts {
 		if c.crosses(from.name, from.zone, to.name, to.zone) {
 			return true
@@ -70,7 +70,7 @@
 // while a successor is due, nor before all voters hold their places. Eager losses
 // don't wait for that: the core had catchUp without trouble since the last such
 // loss, and no other machine counts as lost.
-func (w *World) tolerates(p *proc) bool {
+func (w *World) tolerates(p *process) bool {
 	switch {
 	case w.losses.vacant > 0:
 		return false
@@ -89,7 +89,7 @@
 
 // whenTolerated does something to a core machine as soon as it may be lost;
 // until then it waits its turn.
-func (w *World) whenTolerated(draw func() *proc, do func(*proc)) {
+func (w *World) whenTolerated(draw func() *process, do func(*process)) {
 	if w.now >= w.quiet() {
 		return
 	}
@@ -97,7 +97,7 @@
 		do(p)
 		return
 	}
-	w.later(lookForLosses, func() { w.whenTolerated(draw, do) })
+	w.later(lossCheckInterval, func() { w.whenTolerated(draw, do) })
 }
 
 // settledVoters tells whether stores that live on hold all places of the voter set,
--- a/internal/testsupport/simulator/trace.go
+++ b/internal/testsupport/simulator/trace.go
@@ -192,8 +192,8 @@
 	return out
 }
 
-// Play replays a trace to a machine, and gives the first line that differs.
-func Play(m event.Machine, trace io.Reader) (int, error) {
+// ReplayTrace replays a trace to a machine, and gives the first line that differs.
+func ReplayTrace(m event.Machine, trace io.Reader) (int, error) {
 	lines := bufio.NewScanner(trace)
 	lines.Buffer(nil, 16<<20)
 	want, got, n, last := "", "", 0, ""
--- a/internal/testsupport/simulator/trace_test.go
+++ b/internal/testsupport/simulator/trace_test.go
@@ -58,7 +58,7 @@
 		trace := bufio.NewReader(z)
 		header, err := trace.ReadString('\n')
 		is.NoErr(err)
-		lines, err := Replay(header, trace)
+		lines, err := ReplayRecorded(header, trace)
 		if err != nil {
 			t.Errorf("%s: %v", n, err)
 		}
@@ -71,7 +71,7 @@
 func TestRecordedTracesDetectChange(t *testing.T) {
 	is := is.New(t)
 	trace := "5 tick\n6 tick\n< cbf29ce484222325 \n"
-	line, err := Play(quietMachine{}, bytes.NewReader([]byte(trace)))
+	line, err := ReplayTrace(quietMachine{}, bytes.NewReader([]byte(trace)))
 	is.True(err != nil)
 	is.Equal(line, 3)
 }
--- a/internal/testsupport/simulator/tracerecorder.go
+++ b/internal/testsupport/simulator/tracerecorder.go
@@ -42,9 +42,9 @@
 }
 
 // record records this run of a process from its start, if that was asked for.
-func (p *proc) record(h TraceHeader) {
+func (p *process) record(h TraceHeader) {
 	into := p.w.Traces[p.name]
-	if into == nil || p.gen != 1 {
+	if into == nil || p.generation != 1 {
 		return
 	}
 	raw, err := appendValue(nil, reflect.ValueOf(h), 0)
@@ -58,7 +58,7 @@
 // until a time.
 type traceRecorder struct {
 	event.Machine
-	p     *proc
+	p     *process
 	into  io.Writer
 	until time.Duration
 	err   error
@@ -79,8 +79,8 @@
 	return out
 }
 
-// Replay makes the machine of a trace and replays the trace to it.
-func Replay(header string, trace io.Reader) (int, error) {
+// ReplayRecorded makes the machine of a trace and replays the trace to it.
+func ReplayRecorded(header string, trace io.Reader) (int, error) {
 	var h TraceHeader
 	raw, err := hex.DecodeString(strings.TrimSpace(strings.TrimPrefix(header, "# ")))
 	if err == nil {
@@ -90,7 +90,7 @@
 		return 0, fmt.Errorf("trace header %.80q: %w", header, err)
 	}
 	d := newDisk(nil)
-	return Play(&replayDisk{Machine: h.machine(d), disk: d, wait: map[uint64][]event.Record{}}, trace)
+	return ReplayTrace(&replayDisk{Machine: h.machine(d), disk: d, wait: map[uint64][]event.Record{}}, trace)
 }
 
 // replayDisk keeps the records that a machine syncs, and has them on disk once
--- a/internal/testsupport/simulator/world.go
+++ b/internal/testsupport/simulator/world.go
@@ -43,45 +43,45 @@
 // World is one simulated run.
 type World struct {
 	Options
-	now     ids.Time
-	seq     uint64
-	agenda  agenda
-	random  *rand.Rand
-	procs   []*proc
-	at      map[ids.Address]*proc
-	pool    []*target
-	owner   map[ids.Address]*target
-	cuts    []*cut
-	Truth   *checker.Truth
-	Log     []string
-	net     weather
-	office  office
-	history history
-	crowd   crowd
-	sum     uint64
-	Events  uint64
-	healed  ids.Time
+	now              ids.Time
+	seq              uint64
+	agenda           agenda
+	random           *rand.Rand
+	procs            []*process
+	processByAddress map[ids.Address]*process
+	targets          []*target
+	targetByAddress  map[ids.Address]*target
+	cuts             []*cut
+	Checker          *checker.Checker
+	Log              []string
+	network          networkConditions
+	operators        operatorState
+	history          history
+	longLived        longLivedClients
+	sum              uint64
+	Events           uint64
+	recoveredAt      ids.Time
 	// counted: every client numbers its attempts. One that doesn't gets
 	// "may have run" for a while after marks were lost.
 	counted bool
 	// pruned counts the marks that disks forgot in time.
 	pruned int
 	// atClaim, if set, hears of each claim as it is asked for.
-	atClaim func(p *proc)
+	atClaim func(p *process)
 	// atAck and atChange, if set, hear of the next change that is confirmed, or
 	// sent.
-	atAck    func(p *proc)
+	atAck    func(p *process)
 	atChange func()
 	// answerLoss is the share of answers to operators that are lost.
 	answerLoss  float64
 	connections connections
 	losses      coreLosses
-	// struck counts the faults that came by lot.
-	struck map[string]int
+	// faultCounts counts the faults that came by lot.
+	faultCounts map[string]int
 }
 
-// weather is how badly the net behaves just now.
-type weather struct {
+// networkConditions is how badly the net behaves just now.
+type networkConditions struct {
 	loss, double float64
 	jitter       time.Duration
 }
@@ -90,9 +90,9 @@
 func NewWorld(p Options) *World {
 	p.fill()
 	return &World{
-		Options: p, random: rand.New(rand.NewPCG(p.Seed, 0x64756e6c696e)), at: map[ids.Address]*proc{},
-		owner: map[ids.Address]*target{}, Truth: &checker.Truth{}, net: weather{jitter: time.Millisecond},
-		connections: connections{resets: map[endpoints]int{}}, struck: map[string]int{}, office: office{taken: map[string]bool{}},
+		Options: p, random: rand.New(rand.NewPCG(p.Seed, 0x64756e6c696e)), processByAddress: map[ids.Address]*process{},
+		targetByAddress: map[ids.Address]*target{}, Checker: &checker.Checker{}, network: networkConditions{jitter: time.Millisecond},
+		connections: connections{resets: map[endpoints]int{}}, faultCounts: map[string]int{}, operators: operatorState{taken: map[string]bool{}},
 	}
 }
 
@@ -125,7 +125,7 @@
 	for i := 0; i < len(line); i++ {
 		w.sum = (w.sum ^ uint64(line[i])) * 1099511628211
 	}
-	if w.Keep {
+	if w.KeepLog {
 		w.Log = append(w.Log, line)
 	}
 }
@@ -143,9 +143,9 @@
 	case w.Plan.Region(a) == w.Plan.Region(b):
 		base = time.Millisecond
 	default:
-		base = time.Duration(max(w.Plan.Delay, 2)) * time.Millisecond / 2
+		base = time.Duration(max(w.Plan.LatencyMillis, 2)) * time.Millisecond / 2
 	}
-	return base + w.between(0, w.net.jitter)
+	return base + w.between(0, w.network.jitter)
 }
 
 // open tells whether a message can pass.
@@ -155,14 +155,14 @@
 			return false
 		}
 	}
-	return w.net.loss == 0 || w.random.Float64() >= w.net.loss
+	return w.network.loss == 0 || w.random.Float64() >= w.network.loss
 }
 
 // send carries a message between daemons.
-func (w *World) send(from *proc, to ids.Address, msg any) {
+func (w *World) send(from *process, to ids.Address, msg any) {
 	if w.Defect.Message != nil {
 		name := ""
-		if q := w.at[to]; q != nil {
+		if q := w.processByAddress[to]; q != nil {
 			name = q.name
 		}
 		var pass bool
@@ -171,11 +171,11 @@
 		}
 	}
 	n := 1
-	if w.net.double > 0 && w.random.Float64() < w.net.double {
+	if w.network.double > 0 && w.random.Float64() < w.network.double {
 		n = 2
 	}
 	for range n {
-		q := w.at[to]
+		q := w.processByAddress[to]
 		if q == nil {
 			return
 		}
@@ -190,7 +190,7 @@
 		resets := w.connections.resets[pair]
 		w.later(d, func() {
 			// Whoever has the address when it arrives gets it.
-			if q := w.at[to]; q != nil && q.up && w.connections.resets[pair] == resets {
+			if q := w.processByAddress[to]; q != nil && q.up && w.connections.resets[pair] == resets {
 				q.take(event.Received{From: from.addr, Msg: msg})
 			}
 		})
--- a/internal/testsupport/testbed/asleep.go
+++ b/internal/testsupport/testbed/asleep.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// silences is how long without an announcement counts as gone, and some.
-const silences = 3500 * time.Millisecond
+// silenceTimeout is how long without an announcement counts as gone, and some.
+const silenceTimeout = 3500 * time.Millisecond
 
 // Silence notes that the core can't hear from it any more, or can again.
 func (t *Target) Silence(on bool) {
@@ -15,7 +15,7 @@
 		return
 	}
 	t.silent.Store(time.Now().UnixNano())
-	t.Truth.Parted()
+	t.Checker.NetworkPartitioned()
 }
 
 // Freeze holds everything it does for a while; its connections stay open.
--- a/internal/testsupport/testbed/circuits.go
+++ b/internal/testsupport/testbed/circuits.go
@@ -54,7 +54,7 @@
 )
 
 // hold keeps one connection to one proxy until it ends, and tells who ended it.
-func (c *Clients) hold(ctx context.Context, home int, w blueprint.Way, seat int) {
+func (c *Clients) hold(ctx context.Context, home int, w blueprint.Route, seat int) {
 	zone := c.Plan.Zone(home)
 	for n := 0; ctx.Err() == nil; n++ {
 		to, ok := c.where(w, zone, slots+seat)
@@ -62,16 +62,16 @@
 			wait(ctx, 500*time.Millisecond)
 			continue
 		}
-		c.keep(ctx, home, w, to, fmt.Sprintf("held-%s-%s-%d-%d", zone, w.Route, seat, n))
+		c.keep(ctx, home, w, to, fmt.Sprintf("held-%s-%s-%d-%d", zone, w.Name, seat, n))
 		wait(ctx, 200*time.Millisecond)
 	}
 }
 
 // keep sends down one connection until it is not the same connection any more.
-func (c *Clients) keep(ctx context.Context, home int, w blueprint.Way, to way, name string) {
+func (c *Clients) keep(ctx context.Context, home int, w blueprint.Route, to resolution, name string) {
 	line := &http.Transport{DialContext: dialer(clientAt(home)).DialContext, MaxConnsPerHost: 1, DisableCompression: true}
 	defer line.CloseIdleConnections()
-	client := &http.Client{Timeout: patience, Transport: line}
+	client := &http.Client{Timeout: attemptTimeout, Transport: line}
 	at := to.proxies[rand.IntN(len(to.proxies))]
 	for n := 0; ctx.Err() == nil; n++ {
 		again := false
@@ -83,7 +83,7 @@
 			c.ended(at, to.zone, "the next request found it closed")
 			return
 		}
-		c.Truth.Respond(g)
+		c.Checker.RequestAnswered(g)
 		// Its own patience ended, as with a target that froze under the request.
 		if strings.Contains(g.Problem, "Client.Timeout") {
 			return
@@ -102,7 +102,7 @@
 
 func (c *Clients) ended(at string, zone ids.Name, why string) {
 	now := time.Now()
-	c.Truth.Close(checker.Closed{At: now, Proxy: at, Zone: zone, Why: why, Excused: c.Stage.Excused(at, now)})
+	c.Checker.ConnectionClosed(checker.ClosedConnection{At: now, Proxy: at, Zone: zone, Why: why, Excused: c.Testbed.Excused(at, now)})
 }
 
 // judge tells whether an answer is the one to this very request.
--- a/internal/testsupport/testbed/consumer.go
+++ b/internal/testsupport/testbed/consumer.go
@@ -23,29 +23,29 @@
 // program would. Some hold a connection for as long as they are let.
 type Clients struct {
 	Plan       blueprint.Plan
-	Truth      *checker.Truth
+	Checker    *checker.Checker
 	Registries func() []string
 	// Delay is the time one way between two IP numbers.
-	Delay func(from, to string) time.Duration
-	Stage *Stage
-	next  atomic.Int64
-	mu    sync.Mutex
-	ways  map[string]way
-	open  sync.WaitGroup
+	Delay       func(from, to string) time.Duration
+	Testbed     *Testbed
+	next        atomic.Int64
+	mu          sync.Mutex
+	resolutions map[string]resolution
+	open        sync.WaitGroup
 	// hot, if set, is the zone that most requests begin in.
 	hot atomic.Pointer[ids.Name]
 }
 
-type way struct {
+type resolution struct {
 	zone    ids.Name
 	proxies []string
 	until   time.Time
 }
 
 const (
-	patience   = 4 * time.Second
-	mostTries  = 4
-	mostActive = 4000
+	attemptTimeout = 4 * time.Second
+	maxAttempts    = 4
+	maxActive      = 4000
 	// hotShare is how many of a hundred requests begin in a hot zone.
 	hotShare = 60
 )
@@ -53,9 +53,9 @@
 // Run sends requests at the plan's rate until the context ends, then waits for
 // those under way.
 func (c *Clients) Run(ctx context.Context) {
-	c.ways = map[string]way{}
+	c.resolutions = map[string]resolution{}
 	for home := range c.Plan.Zones {
-		for _, w := range c.Plan.Ways {
+		for _, w := range c.Plan.Routes {
 			for seat := range heldEach {
 				if w.Repeatable {
 					c.open.Go(func() { c.hold(ctx, home, w, seat) })
@@ -66,7 +66,7 @@
 	gap := time.Duration(float64(time.Second) / c.Plan.Rate)
 	tick := time.NewTicker(gap)
 	defer tick.Stop()
-	room := make(chan struct{}, mostActive)
+	room := make(chan struct{}, maxActive)
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
@@ -81,14 +81,14 @@
 	c.open.Wait()
 }
 
-func (c *Clients) draw() blueprint.Way {
+func (c *Clients) draw() blueprint.Route {
 	x := rand.Float64()
-	for _, w := range c.Plan.Ways {
+	for _, w := range c.Plan.Routes {
 		if x -= w.Share; x < 0 {
 			return w
 		}
 	}
-	return c.Plan.Ways[0]
+	return c.Plan.Routes[0]
 }
 
 // one is one request with its repeats.
@@ -97,7 +97,7 @@
 	// Some ask for the route that operators move about.
 	loose := rand.IntN(15) == 0
 	if loose {
-		w = blueprint.Way{Route: blueprint.Flip, Prefix: "/" + blueprint.Flip, Repeatable: true}
+		w = blueprint.Route{Name: blueprint.FlippedRoute, Prefix: "/" + blueprint.FlippedRoute, Repeatable: true}
 	}
 	home := rand.IntN(c.Plan.Zones)
 	if h := c.hot.Load(); h != nil && rand.IntN(100) < hotShare {
@@ -109,13 +109,13 @@
 	}
 	token, mark := fmt.Sprintf("t%d", n), ""
 	if !w.Repeatable {
-		mark = fmt.Sprintf("%s-%d-%x", w.Route, n, rand.Uint32())
+		mark = fmt.Sprintf("%s-%d-%x", w.Name, n, rand.Uint32())
 	}
-	due := time.Now().Add(3 * patience)
-	for try := 1; try <= mostTries && time.Now().Before(due); try++ {
+	due := time.Now().Add(3 * attemptTimeout)
+	for try := 1; try <= maxAttempts && time.Now().Before(due); try++ {
 		g := c.send(w, home, token, mark, try)
-		g.Loose = loose
-		c.Truth.Respond(g)
+		g.NoAnswerOwed = loose
+		c.Checker.RequestAnswered(g)
 		// Now and then one that has its answer asks again all the same.
 		if g.Class == "misused" || g.Class == "answered" && (mark == "" || rand.IntN(8) > 0) {
 			return
@@ -127,16 +127,16 @@
 }
 
 // where asks the directory, and keeps to its answer for its lifetime.
-func (c *Clients) where(w blueprint.Way, home ids.Name, slot int) (way, bool) {
+func (c *Clients) where(w blueprint.Route, home ids.Name, slot int) (resolution, bool) {
 	key := key(home, w, slot)
 	c.mu.Lock()
-	have, ok := c.ways[key]
+	have, ok := c.resolutions[key]
 	c.mu.Unlock()
 	if ok && time.Now().Before(have.until) {
 		return have, true
 	}
 	for _, f := range c.Registries() {
-		res, err := from(c.at(home), 500*time.Millisecond).Get(fmt.Sprintf("http://%s/v1/where?cell=%s&route=%s", f, home, w.Route))
+		res, err := from(c.at(home), 500*time.Millisecond).Get(fmt.Sprintf("http://%s/v1/where?cell=%s&route=%s", f, home, w.Name))
 		if err != nil {
 			continue
 		}
@@ -150,10 +150,10 @@
 		if err != nil || res.StatusCode != 200 || len(ans.Proxies) == 0 {
 			continue
 		}
-		c.Truth.Pointed(checker.Asked{At: time.Now(), Home: home, To: ans.Zone, Route: w.Route})
-		have = way{ans.Zone, ans.Proxies, time.Now().Add(time.Duration(ans.Lifetime) * time.Millisecond)}
+		c.Checker.DirectoryAnswered(checker.DirectoryAnswer{At: time.Now(), ClientZone: home, ProxyZone: ans.Zone, Route: w.Name})
+		have = resolution{ans.Zone, ans.Proxies, time.Now().Add(time.Duration(ans.Lifetime) * time.Millisecond)}
 		c.mu.Lock()
-		c.ways[key] = have
+		c.resolutions[key] = have
 		c.mu.Unlock()
 		return have, true
 	}
@@ -163,8 +163,8 @@
 // slots is how many clients of a zone and route ask for themselves.
 const slots = 8
 
-func key(home ids.Name, w blueprint.Way, slot int) string {
-	return fmt.Sprintf("%s/%s/%d", home, w.Route, slot)
+func key(home ids.Name, w blueprint.Route, slot int) string {
+	return fmt.Sprintf("%s/%s/%d", home, w.Name, slot)
 }
 
 // at is where the clients of a zone call from.
@@ -177,25 +177,25 @@
 	return clientAt(0)
 }
 
-func (c *Clients) forget(w blueprint.Way, home ids.Name, slot int) {
+func (c *Clients) forget(w blueprint.Route, home ids.Name, slot int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.ways, key(home, w, slot))
+	delete(c.resolutions, key(home, w, slot))
 }
 
-func (c *Clients) send(w blueprint.Way, home int, token, mark string, try int) checker.Got {
+func (c *Clients) send(w blueprint.Route, home int, token, mark string, try int) checker.ClientResponse {
 	zone := c.Plan.Zone(home)
 	slot := rand.IntN(slots)
 	to, ok := c.where(w, zone, slot)
 	if !ok {
 		now := time.Now()
-		return checker.Got{Sent: now, At: now, Token: token, Mark: mark, Attempt: try, Class: "unreached"}
+		return checker.ClientResponse{Sent: now, At: now, Token: token, IdempotencyKey: mark, Attempt: try, Class: "unreached"}
 	}
 	at := to.proxies[rand.IntN(len(to.proxies))]
 	trip := c.Delay(clientAt(home), host(at))
 	time.Sleep(trip)
 	defer time.Sleep(trip)
-	g, _ := c.request(context.Background(), from(clientAt(home), patience+time.Second), w, at, to.zone, token, mark, try)
+	g, _ := c.request(context.Background(), from(clientAt(home), attemptTimeout+time.Second), w, at, to.zone, token, mark, try)
 	if g.Class != "answered" {
 		c.forget(w, zone, slot)
 	}
@@ -203,8 +203,8 @@
 }
 
 // request sends one attempt to a proxy; closes tells that its connection ends.
-func (c *Clients) request(ctx context.Context, client *http.Client, w blueprint.Way, at string, zone ids.Name, token, mark string, try int) (g checker.Got, closes bool) {
-	g = checker.Got{Sent: time.Now(), Token: token, Mark: mark, Attempt: try, Class: "lost", Proxy: at, Zone: zone}
+func (c *Clients) request(ctx context.Context, client *http.Client, w blueprint.Route, at string, zone ids.Name, token, mark string, try int) (g checker.ClientResponse, closes bool) {
+	g = checker.ClientResponse{Sent: time.Now(), Token: token, IdempotencyKey: mark, Attempt: try, Class: "lost", Proxy: at, Zone: zone}
 	defer func() { g.At = time.Now() }()
 	uri := fmt.Sprintf("%s/item?token=%s&service=%s", w.Prefix, token, w.Service)
 	method, body := http.MethodGet, ""
@@ -218,7 +218,7 @@
 	}
 	// This client must not send by itself what it may not repeat.
 	req.GetBody = nil
-	req.Header.Set("Time-Left", strconv.Itoa(int(patience.Milliseconds())))
+	req.Header.Set("Time-Left", strconv.Itoa(int(attemptTimeout.Milliseconds())))
 	req.Header.Set("Attempt", strconv.Itoa(try))
 	if mark != "" {
 		req.Header["Idempotency-Key"] = []string{mark}
--- a/internal/testsupport/testbed/costs.go
+++ b/internal/testsupport/testbed/costs.go
@@ -22,7 +22,7 @@
 }
 
 // Costs reads every running process's page.
-func (s *Stage) Costs() Costs {
+func (s *Testbed) Costs() Costs {
 	out := Costs{}
 	client := http.Client{Timeout: 2 * time.Second}
 	for _, p := range s.Procs {
@@ -56,8 +56,8 @@
 }
 
 // ShowCosts prints what a thousand answered requests cost since before.
-func (s *Stage) ShowCosts(before Costs) {
-	now, n := s.Costs(), float64(s.Truth.Tally(time.Time{})["answered"])/1000
+func (s *Testbed) ShowCosts(before Costs) {
+	now, n := s.Costs(), float64(s.Checker.CountByClass(time.Time{})["answered"])/1000
 	if n == 0 {
 		return
 	}
--- a/internal/testsupport/testbed/deeds.go
+++ b/internal/testsupport/testbed/deeds.go
@@ -14,7 +14,7 @@
 
 // Perform carries a script out, and gives how long the fleet took to be whole
 // again after the last thing that was broken came back.
-func (s *Stage) Perform(ctx context.Context, script *Script) {
+func (s *Testbed) Perform(ctx context.Context, script *Script) {
 	var all sync.WaitGroup
 	from := time.Now()
 	for _, d := range script.Steps {
@@ -22,18 +22,18 @@
 			if !wait(ctx, time.Until(from.Add(time.Duration(d.At)))) {
 				return
 			}
-			fmt.Fprintf(s.Out, "%7.1fs %s %s for %s\n", time.Since(from).Seconds(), d.Do, d.Who, d.For)
-			s.do(ctx, d)
+			fmt.Fprintf(s.Out, "%7.1fs %s %s for %s\n", time.Since(from).Seconds(), d.Action, d.Subject, d.For)
+			s.perform(ctx, d)
 		})
 	}
 	all.Wait()
-	s.Truth.Healed(time.Now())
+	s.Checker.MachinesRecovered(time.Now())
 	took, err := s.Await(ctx, 30*time.Second)
 	fmt.Fprintf(s.Out, "%7.1fs every daemon ready %s after the last machine was back\n", time.Since(from).Seconds(), took.Round(time.Millisecond))
 	if err != nil {
-		s.Truth.Wrong("not whole again: %v", err)
+		s.Checker.Violation("not whole again: %v", err)
 	} else if took > 15*time.Second {
-		s.Truth.Wrong("whole again only after %s", took)
+		s.Checker.Violation("whole again only after %s", took)
 	}
 }
 
@@ -46,61 +46,61 @@
 	}
 }
 
-func (s *Stage) do(ctx context.Context, d Deed) {
+func (s *Testbed) perform(ctx context.Context, d Step) {
 	rest := func() { wait(ctx, time.Duration(d.For)) }
-	switch d.Do {
+	switch d.Action {
 	case "kill", "stop", "freeze":
-		s.doMachine(d, s.Machine(d.Who), rest)
+		s.doMachine(d, s.Machine(d.Subject), rest)
 	case "cut", "cut-in", "cut-out", "split":
 		s.doCut(d, rest)
 	case "swap-core":
-		s.swap(d.Who)
+		s.swap(d.Subject)
 	case "herd":
-		s.lose(func(p *Process) bool { return p.Role == d.Who }, func(*Target) bool { return false }, d, rest)
+		s.lose(func(p *Process) bool { return p.Role == d.Subject }, func(*Target) bool { return false }, d, rest)
 	case "lose-cell", "lose-region":
-		zones := zonesOf(s.Plan, d.Who)
+		zones := zonesOf(s.Plan, d.Subject)
 		s.lose(func(p *Process) bool { return slices.Contains(zones, p.Zone) }, func(t *Target) bool { return slices.Contains(zones, t.Zone) }, d, rest)
 	case "empty":
-		s.emptyFor(ids.Name(d.Who), rest)
+		s.emptyFor(ids.Name(d.Subject), rest)
 	case "storm":
 		s.operators.Storm(ctx, d.Count, time.Duration(d.For))
 	case "hot":
-		zone := ids.Name(d.Who)
+		zone := ids.Name(d.Subject)
 		s.clients.hot.Store(&zone)
 		rest()
 		s.clients.hot.Store(nil)
 	case "stall-disk":
-		for _, p := range s.Machine(d.Who) {
+		for _, p := range s.Machine(d.Subject) {
 			s.stall(ctx, p, time.Duration(d.For))
 		}
 	default:
-		s.doTarget(d, s.target(d.Who), rest)
+		s.doTarget(d, s.target(d.Subject), rest)
 	}
 }
 
 // touch excuses the connections of processes that a fault is done to.
-func (s *Stage) touch(list []*Process, d Deed) {
+func (s *Testbed) touch(list []*Process, d Step) {
 	for _, p := range list {
-		s.Hurt(p, time.Now().Add(time.Duration(d.For)+hurtFor))
+		s.MarkImpaired(p, time.Now().Add(time.Duration(d.For)+impairedFor))
 	}
 }
 
-// hurtFor is how long after a fault its connections may still be found dead.
-const hurtFor = 10 * time.Second
+// impairedFor is how long after a fault its connections may still be found dead.
+const impairedFor = 10 * time.Second
 
-func (s *Stage) doMachine(d Deed, list []*Process, rest func()) {
+func (s *Testbed) doMachine(d Step, list []*Process, rest func()) {
 	s.touch(list, d)
 	var all sync.WaitGroup
 	for _, p := range list {
 		all.Go(func() {
-			switch d.Do {
+			switch d.Action {
 			case "freeze":
 				s.Signal(p, syscall.SIGSTOP)
 			case "kill":
 				s.Kill(p)
 			default:
 				if took := s.Stop(p); took > 2500*time.Millisecond {
-					s.Truth.Wrong("%s took %s to stop", p.Name, took)
+					s.Checker.Violation("%s took %s to stop", p.Name, took)
 				}
 			}
 		})
@@ -108,7 +108,7 @@
 	all.Wait()
 	rest()
 	for _, p := range list {
-		if d.Do == "freeze" {
+		if d.Action == "freeze" {
 			s.Signal(p, syscall.SIGCONT)
 		} else {
 			s.revive(p)
@@ -118,25 +118,25 @@
 
 // doCut takes machines off the net: all that they send or get, or one way. A
 // split keeps what is on one side together.
-func (s *Stage) doCut(d Deed, rest func()) {
+func (s *Testbed) doCut(d Step, rest func()) {
 	in := map[string]bool{}
-	for _, name := range strings.Split(d.Who, "+") {
+	for _, name := range strings.Split(d.Subject, "+") {
 		for ip := range s.numbers(name) {
 			in[ip] = true
 		}
 	}
 	c := &Cut{Blocks: func(from, to string) bool {
-		return d.Do != "cut-in" && in[from] && !in[to] || d.Do != "cut-out" && in[to] && !in[from]
+		return d.Action != "cut-in" && in[from] && !in[to] || d.Action != "cut-out" && in[to] && !in[from]
 	}}
-	if d.Do == "split" {
+	if d.Action == "split" {
 		s.touch(s.all(), d)
 	} else {
-		s.touch(s.Machine(d.Who), d)
+		s.touch(s.Machine(d.Subject), d)
 	}
 	// A target whose word doesn't get out counts as gone.
 	var unheard []*Target
 	for _, t := range s.Targets {
-		if d.Do != "cut-in" && in[host(t.Address)] && d.Do != "split" {
+		if d.Action != "cut-in" && in[host(t.Address)] && d.Action != "split" {
 			unheard = append(unheard, t)
 			t.Silence(true)
 		}
@@ -150,27 +150,27 @@
 }
 
 // swap loses a core machine for good and puts up a blank one.
-func (s *Stage) swap(name string) {
+func (s *Testbed) swap(name string) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	if err := s.SwapMachine(name); err != nil {
-		s.Truth.Wrong("swap %s: %v", name, err)
+		s.Checker.Violation("swap %s: %v", name, err)
 	}
 }
 
 // revive starts a process again unless it runs or was replaced.
-func (s *Stage) revive(p *Process) {
+func (s *Testbed) revive(p *Process) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	if p.Lost && !p.Gone {
 		if err := s.Run(p); err != nil {
-			s.Truth.Wrong("start %s: %v", p.Name, err)
+			s.Checker.Violation("start %s: %v", p.Name, err)
 		}
 	}
 }
 
 // lose takes the power from daemons and targets, and gives it back.
-func (s *Stage) lose(procs func(*Process) bool, targets func(*Target) bool, d Deed, rest func()) {
+func (s *Testbed) lose(procs func(*Process) bool, targets func(*Target) bool, d Step, rest func()) {
 	var lost []*Process
 	var dark []*Target
 	s.lock.Lock()
@@ -198,25 +198,25 @@
 	}
 	for _, t := range dark {
 		if err := t.Start(true); err != nil {
-			s.Truth.Wrong("start %s: %v", t.Instance, err)
+			s.Checker.Violation("start %s: %v", t.Instance, err)
 		}
 	}
 }
 
 // emptyFor empties a zone for a while, through any daemon.
-func (s *Stage) emptyFor(c ids.Name, rest func()) {
+func (s *Testbed) emptyFor(c ids.Name, rest func()) {
 	id, _ := s.operators.id("empty")
 	asked := time.Now()
-	if s.operators.send(s.operators.work.Emptied(id, c, true), false) == 0 {
-		s.Truth.Wrong("%s couldn't be emptied", c)
+	if s.operators.send(s.operators.work.Drain(id, c, true), false) == 0 {
+		s.Checker.Violation("%s couldn't be emptied", c)
 		return
 	}
-	s.Truth.Empty(c, asked, time.Now())
+	s.Checker.ZoneDrained(c, asked, time.Now())
 	rest()
-	s.Truth.Refill(c, time.Now())
+	s.Checker.ZoneRestored(c, time.Now())
 	id, _ = s.operators.id("refill")
-	if s.operators.send(s.operators.work.Emptied(id, c, false), false) == 0 {
-		s.Truth.Wrong("%s couldn't be refilled", c)
+	if s.operators.send(s.operators.work.Drain(id, c, false), false) == 0 {
+		s.Checker.Violation("%s couldn't be refilled", c)
 	}
-	s.Truth.Refill(c, time.Now())
+	s.Checker.ZoneRestored(c, time.Now())
 }
--- a/internal/testsupport/testbed/fleet.go
+++ b/internal/testsupport/testbed/fleet.go
@@ -25,8 +25,8 @@
 	cmd           *exec.Cmd
 	log           *os.File
 	ended         chan struct{}
-	// bound and pages are where it listens behind the relay.
-	bound, pages string
+	// boundAddress and pages are where it listens behind the relay.
+	boundAddress, pages string
 	// Lost: not running now. Gone: replaced by another, for good.
 	Lost, Gone bool
 }
@@ -46,7 +46,7 @@
 	seeds     []string
 	made      int
 	relay     *Relay
-	hurt      hurts
+	impaired  impairments
 	// lock keeps deeds from starting one process twice.
 	lock sync.Mutex
 }
@@ -70,7 +70,7 @@
 		return nil, err
 	}
 	if f.relay != nil {
-		if p.bound, err = f.behind(p.Address, zone, code, n); err != nil {
+		if p.boundAddress, err = f.behind(p.Address, zone, code, n); err != nil {
 			return nil, err
 		}
 		p.pages, err = f.behind(p.HTTP, zone, code, n)
@@ -85,7 +85,7 @@
 	if err != nil {
 		return "", err
 	}
-	return at, f.relay.Lead(address, at)
+	return at, f.relay.Forward(address, at)
 }
 
 // Start lays out the fleet and starts it.
@@ -130,8 +130,8 @@
 // Run starts a process that isn't running.
 func (f *Fleet) Run(p *Process) error {
 	args := []string{"--name", p.Name, "--address", p.Address, "--http", p.HTTP, "--cell", string(p.Zone), "--seeds", strings.Join(f.seeds, ",")}
-	if p.bound != "" {
-		args = append(args, "--bind", p.bound, "--http-bind", p.pages)
+	if p.boundAddress != "" {
+		args = append(args, "--bind", p.boundAddress, "--http-bind", p.pages)
 	}
 	switch p.Role {
 	case "store":
--- a/internal/testsupport/testbed/machines.go
+++ b/internal/testsupport/testbed/machines.go
@@ -93,18 +93,18 @@
 	return nil
 }
 
-// hurts remembers whose connections a fault excuses, and until when.
-type hurts map[string]time.Time
+// impairments remembers whose connections a fault excuses, and until when.
+type impairments map[string]time.Time
 
-// Hurt notes that a fault touches a process until some time after it ended.
-func (f *Fleet) Hurt(p *Process, until time.Time) {
+// MarkImpaired notes that a fault touches a process until some time after it ended.
+func (f *Fleet) MarkImpaired(p *Process, until time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.hurt == nil {
-		f.hurt = hurts{}
+	if f.impaired == nil {
+		f.impaired = impairments{}
 	}
-	if until.After(f.hurt[p.HTTP]) {
-		f.hurt[p.HTTP] = until
+	if until.After(f.impaired[p.HTTP]) {
+		f.impaired[p.HTTP] = until
 	}
 }
 
@@ -112,5 +112,5 @@
 func (f *Fleet) Excused(http string, at time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return at.Before(f.hurt[http])
+	return at.Before(f.impaired[http])
 }
--- a/internal/testsupport/testbed/net.go
+++ b/internal/testsupport/testbed/net.go
@@ -9,7 +9,7 @@
 )
 
 // delay is the time one way between two loopback addresses, by their regions.
-func (s *Stage) delay(from, to string) time.Duration {
+func (s *Testbed) delay(from, to string) time.Duration {
 	region := func(ip string) string {
 		var zone, x, y int
 		if _, err := fmt.Sscanf(ip, "127.%d.%d.%d", &zone, &x, &y); err != nil || zone < block {
@@ -20,11 +20,11 @@
 	if a, b := region(from), region(to); a == "" || b == "" || a == b {
 		return 0
 	}
-	return time.Duration(s.Plan.Delay) * time.Millisecond / 2
+	return time.Duration(s.Plan.LatencyMillis) * time.Millisecond / 2
 }
 
 // trip is what stand-ins wait for themselves: where there is a relay, it does.
-func (s *Stage) trip(from, to string) time.Duration {
+func (s *Testbed) trip(from, to string) time.Duration {
 	if s.relay != nil {
 		return 0
 	}
@@ -32,25 +32,25 @@
 }
 
 // routeOf tells a path's route by the plan.
-func (s *Stage) routeOf(path string) ids.Name {
+func (s *Testbed) routeOf(path string) ids.Name {
 	first, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
-	for _, w := range s.Ways {
+	for _, w := range s.Routes {
 		if w.Prefix == "/"+first {
-			return w.Route
+			return w.Name
 		}
 	}
 	return ids.Name(first)
 }
 
 // ran tells whoever watches the load of a run.
-func (s *Stage) ran(by ids.Name) {
+func (s *Testbed) ran(by ids.Name) {
 	if w := s.watcher.Load(); w != nil {
 		w.ran(by)
 	}
 }
 
 // zoneOf tells where a daemon stands.
-func (s *Stage) zoneOf(name string) ids.Name {
+func (s *Testbed) zoneOf(name string) ids.Name {
 	if p := s.Get(name); p != nil {
 		return p.Zone
 	}
@@ -59,7 +59,7 @@
 
 // numbers gives the IP numbers that stand behind a name: of a daemon, a core
 // machine, a target, or all of a zone or region, its clients too.
-func (s *Stage) numbers(name string) map[string]bool {
+func (s *Testbed) numbers(name string) map[string]bool {
 	out := map[string]bool{}
 	for _, p := range s.Machine(name) {
 		out[host(p.Address)] = true
--- a/internal/testsupport/testbed/night.go
+++ b/internal/testsupport/testbed/night.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Night kills every daemon at once, starts them from what the disks hold, and
+// RestartAndVerify kills every daemon at once, starts them from what the disks hold, and
 // reads everything back again.
-func (s *Stage) Night(ctx context.Context) {
+func (s *Testbed) RestartAndVerify(ctx context.Context) {
 	var all sync.WaitGroup
 	for _, p := range s.all() {
 		if !p.Gone {
@@ -20,7 +20,7 @@
 		s.revive(p)
 	}
 	if _, err := s.Await(ctx, 30*time.Second); err != nil {
-		s.Truth.Wrong("not whole after the night: %v", err)
+		s.Checker.Violation("not whole after the night: %v", err)
 	}
-	s.operators.Books("after the night")
+	s.operators.VerifyLedger("after the night")
 }
--- a/internal/testsupport/testbed/odd_cli_test.go
+++ b/internal/testsupport/testbed/odd_cli_test.go
@@ -48,7 +48,7 @@
 }
 
 // oddLine plays the mistakes through every kind of daemon; nothing changes.
-func oddLine(t *testing.T, s *Stage) {
+func oddLine(t *testing.T, s *Testbed) {
 	is := is.New(t)
 	before := call(t, "GET", s.Of("registry")[0].HTTP, "/v1/policy", "").body
 	for _, role := range []string{"proxy", "registry", "store"} {
--- a/internal/testsupport/testbed/odd_test.go
+++ b/internal/testsupport/testbed/odd_test.go
@@ -132,7 +132,7 @@
 }
 
 // oddInput plays the tables against every kind of daemon; nothing changes.
-func oddInput(t *testing.T, s *Stage) {
+func oddInput(t *testing.T, s *Testbed) {
 	is := is.New(t)
 	before := call(t, "GET", s.Of("registry")[0].HTTP, "/v1/policy", "").body
 	play := func(at, who string, list []odd) {
--- a/internal/testsupport/testbed/operators.go
+++ b/internal/testsupport/testbed/operators.go
@@ -21,8 +21,8 @@
 // Operators are stand-in operators and their automation, at work through any
 // daemon. All that they send and hear goes into the witness's books.
 type Operators struct {
-	*Stage
-	work  blueprint.Work
+	*Testbed
+	work  blueprint.ChangeGenerator
 	mu    sync.Mutex
 	n     atomic.Int64
 	raced atomic.Uint64
@@ -30,8 +30,8 @@
 }
 
 // NewOperators makes operators for a stage.
-func NewOperators(s *Stage) *Operators {
-	return &Operators{Stage: s, work: blueprint.Work{Plan: s.Plan, Random: rand.New(rand.NewPCG(rand.Uint64(), 1))}}
+func NewOperators(s *Testbed) *Operators {
+	return &Operators{Testbed: s, work: blueprint.ChangeGenerator{Plan: s.Plan, Random: rand.New(rand.NewPCG(rand.Uint64(), 1))}}
 }
 
 // Run works until the context ends, and waits for what is under way.
@@ -50,7 +50,7 @@
 }
 
 // draw gives the words of a change; the random are shared.
-func (o *Operators) draw(f func(blueprint.Work) string) string {
+func (o *Operators) draw(f func(blueprint.ChangeGenerator) string) string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return f(o.work)
@@ -58,27 +58,27 @@
 
 func (o *Operators) one() {
 	id, n := o.id("op")
-	pair := rand.IntN(blueprint.Pairs)
+	pair := rand.IntN(blueprint.RoutePairs)
 	switch x := rand.IntN(14); {
 	case x < 4:
 		o.send(o.work.Put(id, n, pair), true)
 	case x < 5:
-		o.send(o.work.Unput(id, pair), true)
+		o.send(o.work.Remove(id, pair), true)
 	case x < 6:
-		o.send(o.work.Level(id, n), true)
+		o.send(o.work.TargetLevel(id, n), true)
 	case x < 8:
-		o.send(o.draw(func(w blueprint.Work) string { return w.Flip(id) }), true)
+		o.send(o.draw(func(w blueprint.ChangeGenerator) string { return w.Flip(id) }), true)
 	case x < 9:
 		o.race(id, n)
 	case x < 10:
-		o.reject(o.work.Broken(id, n))
+		o.reject(o.work.Invalid(id, n))
 	case x < 11:
 		o.reject(o.work.Stale(id, n))
 	default:
 		if at, ok := o.any(); ok {
-			floor := o.Truth.Known()
+			floor := o.Checker.KnownRevision()
 			if p, err := o.read(at); err == nil {
-				o.Truth.Read("a read at "+at.Name, p, floor)
+				o.Checker.ConfigurationRead("a read at "+at.Name, p, floor)
 			}
 		}
 	}
@@ -92,7 +92,7 @@
 		room <- struct{}{}
 		all.Go(func() {
 			id, n := o.id("storm")
-			o.send(o.work.Put(id, n, rand.IntN(blueprint.Pairs)), true)
+			o.send(o.work.Put(id, n, rand.IntN(blueprint.RoutePairs)), true)
 			<-room
 		})
 		wait(ctx, d/time.Duration(count))
@@ -115,7 +115,7 @@
 	}
 	both.Wait()
 	if won.Load() > 1 {
-		o.Truth.Wrong("both sides of %s were accepted", id)
+		o.Checker.Violation("both sides of %s were accepted", id)
 	}
 }
 
@@ -143,7 +143,7 @@
 // known; it gives the revision, or zero for a change that was rejected. One that
 // may give up does so where a daemon says that it was surely not accepted.
 func (o *Operators) send(raw string, giveUp bool) uint64 {
-	id := o.Truth.Ask([]byte(raw), time.Now())
+	id := o.Checker.ChangeSent([]byte(raw), time.Now())
 	sure := true
 	for until := time.Now().Add(sendFor); time.Now().Before(until); time.Sleep(100 * time.Millisecond) {
 		p, ok := o.any()
@@ -166,20 +166,20 @@
 		}
 		switch err := json.Unmarshal(said, &r); {
 		case res.StatusCode == http.StatusOK && err == nil:
-			o.Truth.Accept(id, r.Revision, time.Now())
+			o.Checker.ChangeAccepted(id, r.Revision, time.Now())
 			return r.Revision
 		case res.StatusCode == http.StatusBadRequest:
-			o.Truth.Wrong("%s was declined by %s: %s", id, p.Name, said)
-			o.Truth.Reject(id)
+			o.Checker.Violation("%s was declined by %s: %s", id, p.Name, said)
+			o.Checker.ChangeRejected(id)
 			return 0
 		case res.StatusCode == http.StatusNotFound || res.StatusCode == http.StatusConflict:
-			o.Truth.Reject(id)
+			o.Checker.ChangeRejected(id)
 			return 0
 		case res.StatusCode == http.StatusServiceUnavailable:
 			// Surely not accepted: some operators leave it at that, and then it
 			// may never show.
 			if sure && giveUp && rand.IntN(3) == 0 {
-				o.Truth.Reject(id)
+				o.Checker.ChangeRejected(id)
 				return 0
 			}
 		default:
@@ -191,8 +191,8 @@
 
 // reject sends a change that no daemon may accept.
 func (o *Operators) reject(raw string) {
-	id := o.Truth.Ask([]byte(raw), time.Now())
-	o.Truth.Reject(id)
+	id := o.Checker.ChangeSent([]byte(raw), time.Now())
+	o.Checker.ChangeRejected(id)
 	if p, ok := o.any(); ok {
 		res, err := from(operatorAt(), 4*time.Second).Post("http://"+p.HTTP+"/v1/change", "application/json", strings.NewReader(raw))
 		if err != nil {
@@ -200,7 +200,7 @@
 		}
 		res.Body.Close()
 		if res.StatusCode == http.StatusOK {
-			o.Truth.Wrong("%s was accepted by %s", id, p.Name)
+			o.Checker.Violation("%s was accepted by %s", id, p.Name)
 		}
 	}
 }
@@ -222,13 +222,13 @@
 	return checker.ReadConfiguration(raw)
 }
 
-// Books reads everything back through every daemon at the day's end.
-func (o *Operators) Books(when string) {
+// VerifyLedger reads everything back through every daemon at the day's end.
+func (o *Operators) VerifyLedger(when string) {
 	for _, p := range o.all() {
 		if p.Gone {
 			continue
 		}
-		floor := o.Truth.Known()
+		floor := o.Checker.KnownRevision()
 		var seen checker.Configuration
 		var err error
 		for until := time.Now().Add(10 * time.Second); time.Now().Before(until); time.Sleep(200 * time.Millisecond) {
@@ -237,9 +237,9 @@
 			}
 		}
 		if err != nil {
-			o.Truth.Wrong("%s: the policy can't be read through %s: %v", when, p.Name, err)
+			o.Checker.Violation("%s: the policy can't be read through %s: %v", when, p.Name, err)
 			continue
 		}
-		o.Truth.Read(when+", "+p.Name, seen, floor)
+		o.Checker.ConfigurationRead(when+", "+p.Name, seen, floor)
 	}
 }
--- a/internal/testsupport/testbed/probes.go
+++ b/internal/testsupport/testbed/probes.go
@@ -18,7 +18,7 @@
 const probeWithin = time.Second
 
 // run probes every proxy that nothing is wrong with, until the context ends.
-func (b *probes) run(ctx context.Context, s *Stage) {
+func (b *probes) run(ctx context.Context, s *Testbed) {
 	client := &http.Client{Timeout: probeWithin}
 	var all sync.WaitGroup
 	for wait(ctx, time.Second) {
@@ -54,7 +54,7 @@
 
 // show tells what came of them. It is a report, not a promise: how soon an
 // answer comes is this machine's matter as well.
-func (b *probes) show(s *Stage) {
+func (b *probes) show(s *Testbed) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	fmt.Fprintf(s.Out, "probes of sound proxies: %d sent, %d without an answer within %s, %d slower than %s; %d left out for a fault\n",
