--- a/internal/testsupport/testbed/relay.go
+++ b/internal/testsupport/testbed/relay.go
@@ -14,30 +14,30 @@
 // regions, and cut.
 type Relay struct {
 	// Delay tells how long a byte takes from one IP number to another.
-	Delay func(from, to string) time.Duration
-	mu    sync.Mutex
-	cuts  map[*Cut]bool
-	lines map[*line]bool
-	ports []net.Listener
+	Delay       func(from, to string) time.Duration
+	mu          sync.Mutex
+	cuts        map[*Cut]bool
+	connections map[*relayedConnection]bool
+	ports       []net.Listener
 }
 
 // Cut keeps one side's bytes from reaching the other's address.
 type Cut struct{ Blocks func(from, to string) bool }
 
-type line struct {
+type relayedConnection struct {
 	from, to string
 	a, b     net.Conn
 }
 
-func (l *line) close() {
+func (l *relayedConnection) close() {
 	l.a.Close()
 	if l.b != nil {
 		l.b.Close()
 	}
 }
 
-// Lead opens an address that leads to another.
-func (r *Relay) Lead(address, to string) error {
+// Forward opens an address that leads to another.
+func (r *Relay) Forward(address, to string) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return errs.Wrap(err, "relay", address)
@@ -76,12 +76,12 @@
 
 // take carries one connection; a cut one hangs, as it would on a real net.
 func (r *Relay) take(c net.Conn, to string) {
-	l := &line{from: host(c.RemoteAddr().String()), to: host(to), a: c}
+	l := &relayedConnection{from: host(c.RemoteAddr().String()), to: host(to), a: c}
 	r.mu.Lock()
-	if r.lines == nil {
-		r.lines = map[*line]bool{}
+	if r.connections == nil {
+		r.connections = map[*relayedConnection]bool{}
 	}
-	r.lines[l] = true
+	r.connections[l] = true
 	blocked := r.blocked(l.from, l.to)
 	r.mu.Unlock()
 	if blocked {
@@ -102,28 +102,28 @@
 	r.pipe(l, c, b, delay)
 }
 
-func (r *Relay) drop(l *line) {
+func (r *Relay) drop(l *relayedConnection) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.lines, l)
+	delete(r.connections, l)
 	l.close()
 }
 
-type piece struct {
+type delayedBytes struct {
 	at  time.Time
 	raw []byte
 }
 
 // pipe carries bytes one way, each no sooner than its delay.
-func (r *Relay) pipe(l *line, from, to net.Conn, delay time.Duration) {
-	queue := make(chan piece, 1024)
+func (r *Relay) pipe(l *relayedConnection, from, to net.Conn, delay time.Duration) {
+	queue := make(chan delayedBytes, 1024)
 	go func() {
 		defer close(queue)
 		for {
 			buf := make([]byte, 32<<10)
 			n, err := from.Read(buf)
 			if n > 0 {
-				queue <- piece{time.Now().Add(delay), buf[:n]}
+				queue <- delayedBytes{time.Now().Add(delay), buf[:n]}
 			}
 			if err != nil {
 				return
@@ -160,9 +160,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.cuts, c)
-	for l := range r.lines {
+	for l := range r.connections {
 		if c.Blocks(l.from, l.to) {
-			delete(r.lines, l)
+			delete(r.connections, l)
 			l.close()
 		}
 	}
@@ -175,7 +175,7 @@
 	for _, p := range r.ports {
 		p.Close()
 	}
-	for l := range r.lines {
+	for l := range r.connections {
 		l.close()
 	}
 }
--- a/internal/testsupport/testbed/run.go
+++ b/internal/testsupport/testbed/run.go
@@ -20,10 +20,10 @@
 	"dunlinwell/internal/testsupport/checker"
 )
 
-// Stage is a fleet with its stand-ins.
-type Stage struct {
+// Testbed is a fleet with its stand-ins.
+type Testbed struct {
 	*Fleet
-	Truth   *checker.Truth
+	Checker *checker.Checker
 	Targets []*Target
 	Out     io.Writer
 	// clients are those of the play that is on.
@@ -56,8 +56,8 @@
 	PlanEvery time.Duration
 }
 
-// Raise starts a fleet, sets its configuration and starts its targets.
-func Raise(ctx context.Context, p Options) (*Stage, error) {
+// Start starts a fleet, sets its configuration and starts its targets.
+func Start(ctx context.Context, p Options) (*Testbed, error) {
 	plan, ok := blueprint.Plans[p.Plan]
 	if !ok {
 		return nil, errs.New("choose plan", "", "there is no plan %q", p.Plan)
@@ -74,12 +74,12 @@
 	if err := os.MkdirAll(p.Dir, 0o755); err != nil {
 		return nil, err
 	}
-	s := &Stage{Fleet: &Fleet{Plan: plan, Dir: p.Dir, Fixed: p.Fixed, PlanEvery: cmp.Or(p.PlanEvery, 5*time.Second)}, Truth: &checker.Truth{}, Out: p.Out}
+	s := &Testbed{Fleet: &Fleet{Plan: plan, Dir: p.Dir, Fixed: p.Fixed, PlanEvery: cmp.Or(p.PlanEvery, 5*time.Second)}, Checker: &checker.Checker{}, Out: p.Out}
 	if p.Relay {
 		s.relay = &Relay{Delay: s.delay}
 	}
 	s.Other = p.Other
-	s.Truth.Allowed = float64(plan.Allowed())
+	s.Checker.RetryAllowance = float64(plan.Allowed())
 	var err error
 	if s.Bin, err = chooseBin(p.Bin, beside(), filepath.Join(p.Dir, "bin"), Build); err != nil {
 		return nil, err
@@ -98,18 +98,18 @@
 		err = s.targets()
 	}
 	if err != nil {
-		s.Lower()
+		s.Close()
 		return nil, err
 	}
 	return s, nil
 }
 
 // configuration sends the plan's whole change until it is accepted.
-func (s *Stage) configuration(ctx context.Context) error {
+func (s *Testbed) configuration(ctx context.Context) error {
 	last := ""
-	id := s.Truth.Ask(s.Change(), time.Now())
+	id := s.Checker.ChangeSent(s.InitialChange(), time.Now())
 	for until := time.Now().Add(10 * time.Second); time.Now().Before(until) && ctx.Err() == nil; time.Sleep(200 * time.Millisecond) {
-		res, err := http.Post("http://"+s.Of("registry")[0].HTTP+"/v1/change", "application/json", bytes.NewReader(s.Change()))
+		res, err := http.Post("http://"+s.Of("registry")[0].HTTP+"/v1/change", "application/json", bytes.NewReader(s.InitialChange()))
 		if err != nil {
 			last = err.Error()
 			continue
@@ -121,7 +121,7 @@
 				Revision uint64 `json:"revision"`
 			}
 			err := json.Unmarshal(raw, &r)
-			s.Truth.Accept(id, r.Revision, time.Now())
+			s.Checker.ChangeAccepted(id, r.Revision, time.Now())
 			return errs.Wrap(err, "read answer to policy", "")
 		}
 	}
@@ -129,7 +129,7 @@
 }
 
 // registries gives the registries's pages in an order of the day.
-func (s *Stage) registries() []string {
+func (s *Testbed) registries() []string {
 	var out []string
 	for _, p := range s.all() {
 		if p.Role == "registry" && !p.Gone {
@@ -140,7 +140,7 @@
 	return out
 }
 
-func (s *Stage) targets() error {
+func (s *Testbed) targets() error {
 	n := 0
 	for _, pool := range s.Pools {
 		for i := range pool.Targets {
@@ -150,11 +150,11 @@
 			}
 			t := &Target{
 				Instance: pool.Instance(i), Service: pool.Service, Zone: s.Plan.Zone(n), Address: at,
-				Capacity: pool.Capacity, Work: 20 * time.Millisecond, Truth: s.Truth, Registries: s.registries, Delay: s.trip,
+				Capacity: pool.Capacity, Work: 20 * time.Millisecond, Checker: s.Checker, Registries: s.registries, Delay: s.trip,
 				RouteOf: s.routeOf, ZoneOf: s.zoneOf, Ran: s.ran,
 			}
 			if s.relay != nil {
-				if t.bound, err = s.behind(at, n%s.Zones, 4, n); err != nil {
+				if t.boundAddress, err = s.behind(at, n%s.Zones, 4, n); err != nil {
 					return err
 				}
 			}
@@ -168,8 +168,8 @@
 	return nil
 }
 
-// Lower ends everything that was started.
-func (s *Stage) Lower() {
+// Close ends everything that was started.
+func (s *Testbed) Close() {
 	for _, t := range s.Targets {
 		t.Crash()
 	}
@@ -180,10 +180,10 @@
 }
 
 // Play runs load for a while, with something done in the midst of it.
-func (s *Stage) Play(ctx context.Context, d time.Duration, deed func(context.Context)) {
+func (s *Testbed) Play(ctx context.Context, d time.Duration, deed func(context.Context)) {
 	load, stop := context.WithTimeout(ctx, d)
 	defer stop()
-	c := &Clients{Plan: s.Plan, Truth: s.Truth, Registries: s.registries, Delay: s.trip, Stage: s}
+	c := &Clients{Plan: s.Plan, Checker: s.Checker, Registries: s.registries, Delay: s.trip, Testbed: s}
 	s.clients = c
 	s.operators = NewOperators(s)
 	var all sync.WaitGroup
@@ -194,28 +194,28 @@
 		deed(load)
 	}
 	all.Wait()
-	s.operators.Books("the day's end")
+	s.operators.VerifyLedger("the day's end")
 }
 
 // Report prints what was counted, and gives the number of broken promises.
-func (s *Stage) Report(since time.Time) int {
-	tally := s.Truth.Tally(since)
+func (s *Testbed) Report(since time.Time) int {
+	tally := s.Checker.CountByClass(since)
 	fmt.Fprintf(s.Out, "\nanswers: %d answered, %d declined, %d unknown, %d lost, %d unreached; %d runs at targets\n",
 		tally["answered"], tally["declined"], tally["unknown"], tally["lost"], tally["unreached"], tally["runs"])
-	soon, n := s.Truth.InTime(time.Second)
-	late, _ := s.Truth.InTime(5 * time.Second)
+	soon, n := s.Checker.ShareWithin(time.Second)
+	late, _ := s.Checker.ShareWithin(5 * time.Second)
 	fmt.Fprintf(s.Out, "of %d requests %.2f%% had their answer within 1 s of the first attempt, %.2f%% within 5 s\n", n, soon*100, late*100)
-	fmt.Fprintf(s.Out, "last first attempt without an answer: %s after the machines were back\n", s.Truth.Recovery().Round(time.Millisecond))
+	fmt.Fprintf(s.Out, "last first attempt without an answer: %s after the machines were back\n", s.Checker.Recovery().Round(time.Millisecond))
 	broken := 0
-	for _, c := range s.Truth.Verdict() {
-		broken += c.Count
-		if c.Judged == 0 && c.Count == 0 {
-			fmt.Fprintf(s.Out, "  %-62s nothing to judge\n", c.What)
+	for _, c := range s.Checker.Results() {
+		broken += c.Violations
+		if c.Judged == 0 && c.Violations == 0 {
+			fmt.Fprintf(s.Out, "  %-62s nothing to judge\n", c.Rule)
 			continue
 		}
-		fmt.Fprintf(s.Out, "  %-62s %d in %d  %s\n", c.What, c.Count, c.Judged, c.Sample)
+		fmt.Fprintf(s.Out, "  %-62s %d in %d  %s\n", c.Rule, c.Violations, c.Judged, c.Sample)
 	}
 	s.probes.show(s)
-	fmt.Fprintf(s.Out, "%d changes accepted, %d of unknown end\n", s.Truth.Changes(), s.Truth.Open())
+	fmt.Fprintf(s.Out, "%d changes accepted, %d of unknown end\n", s.Checker.Changes(), s.Checker.OpenChanges())
 	return broken
 }
--- a/internal/testsupport/testbed/runbooks_test.go
+++ b/internal/testsupport/testbed/runbooks_test.go
@@ -17,7 +17,7 @@
 // books runs shipped runbooks against a fleet, with the operator's hands.
 type books struct {
 	t     *testing.T
-	stage *Stage
+	stage *Testbed
 	at    string
 	hands func(what string)
 }
@@ -48,9 +48,9 @@
 func TestRunbooksOnAFleet(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	s, err := Raise(ctx, Options{Plan: "small", Dir: t.TempDir(), Out: &bytes.Buffer{}})
+	s, err := Start(ctx, Options{Plan: "small", Dir: t.TempDir(), Out: &bytes.Buffer{}})
 	is.NoErr(err)
-	defer s.Lower()
+	defer s.Close()
 	b := &books{t: t, stage: s, at: s.Of("registry")[1].HTTP}
 	is.NoErr(b.run("health", nil))
 	zone := map[string]string{"cell": "cell-b1", "route": "stock"}
@@ -100,7 +100,7 @@
 }
 
 // unseated lists the stores that the status shows alive and not ready.
-func (s *Stage) unseated(p *Process) []string {
+func (s *Testbed) unseated(p *Process) []string {
 	raw, err := cli.RunJSON(&cli.Context{Address: p.HTTP, Timeout: 8 * time.Second}, []string{"status"})
 	if err != nil {
 		return nil
@@ -115,7 +115,7 @@
 }
 
 // until looks again and again, with a generous bound.
-func (s *Stage) until(t *testing.T, f func() bool) {
+func (s *Testbed) until(t *testing.T, f func() bool) {
 	t.Helper()
 	for end := time.Now().Add(time.Minute); !f(); <-time.After(100 * time.Millisecond) {
 		if time.Now().After(end) {
--- a/internal/testsupport/testbed/script.go
+++ b/internal/testsupport/testbed/script.go
@@ -16,14 +16,14 @@
 
 // Script is faults at set times.
 type Script struct {
-	Steps []Deed `json:"steps"`
+	Steps []Step `json:"steps"`
 }
 
-// Deed is one fault.
-type Deed struct {
-	At  Span   `json:"at"`
-	Do  string `json:"do"`
-	Who string `json:"who"`
+// Step is one fault.
+type Step struct {
+	At      Span   `json:"at"`
+	Action  string `json:"do"`
+	Subject string `json:"who"`
 	// For is how long it lasts; what comes back comes back then.
 	For Span `json:"for"`
 	// Count is how many changes a storm has.
@@ -49,11 +49,11 @@
 // String gives the span as time.Duration writes it.
 func (s Span) String() string { return time.Duration(s).String() }
 
-// swapRest is how far apart two replacements must be.
-const swapRest = Span(20 * time.Second)
+// swapPause is how far apart two replacements must be.
+const swapPause = Span(20 * time.Second)
 
 // what each deed is done to, and whether it lasts for a while.
-var deeds = map[string]struct {
+var actions = map[string]struct {
 	to    []string
 	lasts bool
 }{
@@ -85,21 +85,21 @@
 	swap := -1
 	gone := map[string]Span{}
 	for i, d := range s.Steps {
-		why := d.wrong(plan, length)
+		why := d.invalid(plan, length)
 		// What was replaced isn't there any more.
-		for _, name := range strings.Split(d.Who, "+") {
+		for _, name := range strings.Split(d.Subject, "+") {
 			if at, ok := gone[name]; ok && d.At >= at && why == "" {
 				why = name + " was replaced before"
 			}
 		}
 		// The blank one needs its copy before another may be lost.
-		if d.Do == "swap-core" && why == "" {
-			if swap >= 0 && d.At-s.Steps[swap].At < swapRest {
-				why = s.Steps[swap].Who + " is still being replaced"
+		if d.Action == "swap-core" && why == "" {
+			if swap >= 0 && d.At-s.Steps[swap].At < swapPause {
+				why = s.Steps[swap].Subject + " is still being replaced"
 			}
 			swap = i
-			n := strings.TrimPrefix(d.Who, "core-")
-			gone[d.Who], gone["store-"+n], gone["registry-"+n] = d.At, d.At, d.At
+			n := strings.TrimPrefix(d.Subject, "core-")
+			gone[d.Subject], gone["store-"+n], gone["registry-"+n] = d.At, d.At, d.At
 		}
 		if why != "" {
 			return nil, errs.New("read script", file, "step %d: %s", i+1, why)
@@ -109,38 +109,38 @@
 	return &s, nil
 }
 
-func (d Deed) wrong(plan blueprint.Plan, length time.Duration) string {
-	k, ok := deeds[d.Do]
+func (d Step) invalid(plan blueprint.Plan, length time.Duration) string {
+	k, ok := actions[d.Action]
 	if !ok {
-		return fmt.Sprintf("there is no deed %q", d.Do)
+		return fmt.Sprintf("there is no deed %q", d.Action)
 	}
 	names := who(plan)
 	known := func(name string) bool {
 		return slices.ContainsFunc(k.to, func(kind string) bool { return slices.Contains(names[kind], name) })
 	}
-	list := []string{d.Who}
-	if d.Do == "split" {
-		list = strings.Split(d.Who, "+")
+	list := []string{d.Subject}
+	if d.Action == "split" {
+		list = strings.Split(d.Subject, "+")
 	}
 	for _, name := range list {
 		switch {
 		case name == "":
 			return "who is missing"
 		case !known(name):
-			return fmt.Sprintf("%s is done to a %s, and there is none named %q", d.Do, strings.Join(k.to, " or "), name)
+			return fmt.Sprintf("%s is done to a %s, and there is none named %q", d.Action, strings.Join(k.to, " or "), name)
 		}
 	}
 	switch {
-	case d.Do == "split" && whole(plan, list):
+	case d.Action == "split" && whole(plan, list):
 		return "the other side of the split is empty"
-	case d.Do == "storm" && (d.Count < 1 || d.Count > 5000):
+	case d.Action == "storm" && (d.Count < 1 || d.Count > 5000):
 		return "count must be from 1 to 5000"
-	case d.Do != "storm" && d.Count != 0:
-		return d.Do + " has no count"
+	case d.Action != "storm" && d.Count != 0:
+		return d.Action + " has no count"
 	case k.lasts && d.For <= 0:
 		return "for is missing"
 	case !k.lasts && d.For != 0:
-		return d.Do + " doesn't last, so for has no meaning"
+		return d.Action + " doesn't last, so for has no meaning"
 	case time.Duration(d.At+d.For) > length:
 		return fmt.Sprintf("it ends at %s, after the testbed's %s", d.At+d.For, length)
 	}
--- a/internal/testsupport/testbed/script_test.go
+++ b/internal/testsupport/testbed/script_test.go
@@ -48,7 +48,7 @@
 	is := is.New(t)
 	for _, plan := range blueprint.Plans {
 		for seed := uint64(1); seed < 50; seed++ {
-			for _, script := range []*Script{Drawn(plan, seed, 2*time.Minute), Grand(plan), Worst(plan), Swaps(plan), Hot(plan, 4*time.Minute)} {
+			for _, script := range []*Script{Drawn(plan, seed, 2*time.Minute), Grand(plan), WorstCase(plan), Swaps(plan), Hot(plan, 4*time.Minute)} {
 				raw, err := json.Marshal(script)
 				is.NoErr(err)
 				_, err = ReadScript("own", raw, plan, 4*time.Minute)
@@ -58,5 +58,5 @@
 	}
 	s, err := ReadScript("f", []byte("steps:\n- {at: 9s, do: cut, who: registry-2, for: 2s}\n- {at: 3s, do: empty, who: cell-b1, for: 8s}"), blueprint.Plans["small"], time.Minute)
 	is.NoErr(err)
-	is.Equal(s.Steps[0].Do, "empty") // in order of time
+	is.Equal(s.Steps[0].Action, "empty") // in order of time
 }
--- a/internal/testsupport/testbed/stands.go
+++ b/internal/testsupport/testbed/stands.go
@@ -13,7 +13,7 @@
 	"dunlinwell/internal/base/ids"
 )
 
-func (s *Stage) target(name string) *Target {
+func (s *Testbed) target(name string) *Target {
 	for _, t := range s.Targets {
 		if string(t.Instance) == name {
 			return t
@@ -22,13 +22,13 @@
 	return nil
 }
 
-func (s *Stage) doTarget(d Deed, t *Target, rest func()) {
+func (s *Testbed) doTarget(d Step, t *Target, rest func()) {
 	start := func(t *Target) {
 		if err := t.Start(true); err != nil {
-			s.Truth.Wrong("start %s: %v", t.Instance, err)
+			s.Checker.Violation("start %s: %v", t.Instance, err)
 		}
 	}
-	switch d.Do {
+	switch d.Action {
 	case "crash-target":
 		t.Crash()
 		rest()
@@ -44,17 +44,17 @@
 	case "replace-target":
 		s.replaceTarget(t)
 	case "mute-target":
-		t.Mute.Store(20)
-		t.Garbage.Store(10)
+		t.LostPercent.Store(20)
+		t.CorruptPercent.Store(10)
 		rest()
-		t.Mute.Store(0)
-		t.Garbage.Store(0)
+		t.LostPercent.Store(0)
+		t.CorruptPercent.Store(0)
 	case "hand-over":
 		for _, o := range s.Targets {
 			if o.Service != t.Service {
 				t.Crash()
 				o.Crash()
-				t.Address, o.Address, t.bound, o.bound = o.Address, t.Address, o.bound, t.bound
+				t.Address, o.Address, t.boundAddress, o.boundAddress = o.Address, t.Address, o.boundAddress, t.boundAddress
 				start(o)
 				rest()
 				start(t)
@@ -66,7 +66,7 @@
 
 // replaceTarget drains a target, and another of its service takes over, by
 // another name, at another address, for good.
-func (s *Stage) replaceTarget(t *Target) {
+func (s *Testbed) replaceTarget(t *Target) {
 	t.Leave()
 	time.Sleep(4 * time.Second)
 	t.Crash()
@@ -82,25 +82,25 @@
 	}
 	at, err := loopback(zone, 4, n, 0)
 	if err == nil && s.relay != nil {
-		t.bound, err = s.behind(at, zone, 4, n)
+		t.boundAddress, err = s.behind(at, zone, 4, n)
 	}
 	if err != nil {
-		s.Truth.Wrong("replace %s: %v", t.Instance, err)
+		s.Checker.Violation("replace %s: %v", t.Instance, err)
 		return
 	}
 	t.Instance, t.Address = ids.InstanceID(fmt.Sprintf("%s-new-%d", t.Service, s.fresh)), at
 	if err := t.Start(true); err != nil {
-		s.Truth.Wrong("start %s: %v", t.Instance, err)
+		s.Checker.Violation("start %s: %v", t.Instance, err)
 	}
 }
 
 // stall keeps a store's disk from writing, by a lock held on its database
 // from outside, as long as its own patience lasts or longer: then it must end
 // itself. Whichever, a stalled disk may not pass for health.
-func (s *Stage) stall(ctx context.Context, p *Process, d time.Duration) {
+func (s *Testbed) stall(ctx context.Context, p *Process, d time.Duration) {
 	db, err := sql.Open("sqlite3", "file:"+filepath.Join(p.Data, "stockroom.db")+"?_busy_timeout=2000")
 	if err != nil {
-		s.Truth.Wrong("stall %s: %v", p.Name, err)
+		s.Checker.Violation("stall %s: %v", p.Name, err)
 		return
 	}
 	defer db.Close()
@@ -110,7 +110,7 @@
 		_, err = line.ExecContext(ctx, "BEGIN IMMEDIATE")
 	}
 	if err != nil {
-		s.Truth.Wrong("stall %s: %v", p.Name, err)
+		s.Checker.Violation("stall %s: %v", p.Name, err)
 		return
 	}
 	from := time.Now()
@@ -119,7 +119,7 @@
 	if err == nil {
 		res.Body.Close()
 		if res.StatusCode == http.StatusOK && d > 2*time.Second {
-			s.Truth.Wrong("%s says it is ready, its disk stalled for %s", p.Name, time.Since(from).Round(time.Millisecond))
+			s.Checker.Violation("%s says it is ready, its disk stalled for %s", p.Name, time.Since(from).Round(time.Millisecond))
 		}
 	}
 	wait(ctx, d-time.Since(from))
--- a/internal/testsupport/testbed/stop_test.go
+++ b/internal/testsupport/testbed/stop_test.go
@@ -19,9 +19,9 @@
 	is := is.New(t)
 	ctx := context.Background()
 	var out bytes.Buffer
-	s, err := Raise(ctx, Options{Plan: "small", Dir: t.TempDir(), Out: &out})
+	s, err := Start(ctx, Options{Plan: "small", Dir: t.TempDir(), Out: &out})
 	is.NoErr(err)
-	defer s.Lower()
+	defer s.Close()
 	// Some targets take far longer than the signals leave.
 	for i, x := range s.Targets {
 		if i%3 == 0 {
@@ -41,7 +41,7 @@
 	s.Play(ctx, 30*time.Second, func(load context.Context) {
 		for _, name := range []string{"proxy-1", "registry-1", "store-1", "proxy-2", "registry-2", "store-2"} {
 			p := s.Get(name)
-			s.Hurt(p, time.Now().Add(time.Minute))
+			s.MarkImpaired(p, time.Now().Add(time.Minute))
 			s.Stop(p)
 			by.Store(name, p.cmd.ProcessState.ExitCode())
 			is.NoErr(s.Fleet.Run(p))
--- a/internal/testsupport/testbed/target.go
+++ b/internal/testsupport/testbed/target.go
@@ -29,7 +29,7 @@
 	Address  string
 	Capacity int
 	Work     time.Duration
-	Truth    *checker.Truth
+	Checker  *checker.Checker
 	// Registries names where to announce; any of them will do.
 	Registries func() []string
 	// Delay is the time one way between two IP numbers.
@@ -43,12 +43,12 @@
 	left        time.Time
 	leaving     bool
 	busy        atomic.Int64
-	// Garbage and Mute are shares of answers that are spoiled, or lost after
+	// CorruptPercent and Mute are shares of answers that are spoiled, or lost after
 	// the work was done.
-	Garbage, Mute atomic.Int64
-	stop          context.CancelFunc
-	// bound is where it listens behind the relay; Source is where it calls from.
-	bound string
+	CorruptPercent, LostPercent atomic.Int64
+	stop                        context.CancelFunc
+	// boundAddress is where it listens behind the relay; Source is where it calls from.
+	boundAddress string
 	// gate is held while it is frozen; silent is since when the core can't
 	// have heard from it.
 	gate   sync.RWMutex
@@ -66,8 +66,8 @@
 // Start begins a new incarnation, cold unless it is the first.
 func (t *Target) Start(cold bool) error {
 	at := t.Address
-	if t.bound != "" {
-		at = t.bound
+	if t.boundAddress != "" {
+		at = t.boundAddress
 	}
 	l, err := net.Listen("tcp", at)
 	if err != nil {
@@ -110,7 +110,7 @@
 		t.mu.Lock()
 		t.left = time.Now()
 		t.mu.Unlock()
-		t.Truth.Parted()
+		t.Checker.NetworkPartitioned()
 	}
 }
 
@@ -175,12 +175,12 @@
 	defer t.busy.Add(-1)
 	t.note(r, now, came)
 	time.Sleep(t.Work/2 + time.Duration(rand.Int64N(int64(t.Work))))
-	if rand.Int64N(100) < t.Mute.Load() {
+	if rand.Int64N(100) < t.LostPercent.Load() {
 		panic(http.ErrAbortHandler)
 	}
 	body := []byte(fmt.Sprintf(`{"uri":%q,"mark":%q,"instance":%q,"run":"%x"}`, r.RequestURI, r.Header.Get("Idempotency-Key"), t.Instance, rand.Uint64()))
 	sum := sha256.Sum256(body)
-	if rand.Int64N(100) < t.Garbage.Load() {
+	if rand.Int64N(100) < t.CorruptPercent.Load() {
 		body[len(body)/2] ^= 0x20
 	}
 	h := w.Header()
@@ -198,30 +198,30 @@
 // note writes an execution down, and what is wrong with it.
 func (t *Target) note(r *http.Request, now int64, came time.Time) {
 	n, _ := strconv.Atoi(r.Header.Get("Attempt"))
-	ran := checker.Ran{At: time.Now(), Sent: came, Instance: t.Instance, Service: t.Service, Zone: t.Zone, Token: r.URL.Query().Get("token"), Mark: r.Header.Get("Idempotency-Key"), Attempt: n}
+	ran := checker.Execution{At: time.Now(), Sent: came, Instance: t.Instance, Service: t.Service, Zone: t.Zone, Token: r.URL.Query().Get("token"), IdempotencyKey: r.Header.Get("Idempotency-Key"), Attempt: n}
 	if ms, err := strconv.Atoi(r.Header.Get("Time-Left")); err == nil {
-		ran.Left = time.Duration(ms) * time.Millisecond
+		ran.TimeLeft = time.Duration(ms) * time.Millisecond
 	}
 	// Its bytes had left by the time they came, before any freeze held them up.
 	ran.Proxy, ran.Route = carrier(r.Header.Get("Request-Id")), t.RouteOf(r.URL.Path)
-	ran.By = t.ZoneOf(ran.Proxy)
-	t.Ran(ran.By)
+	ran.ProxyZone = t.ZoneOf(ran.Proxy)
+	t.Ran(ran.ProxyZone)
 	t.mu.Lock()
 	if !t.left.IsZero() {
 		ran.After = came.Sub(t.left)
 	}
 	// The core counts three intervals of silence as gone.
 	if s := t.silent.Load(); s != 0 {
-		ran.After = max(ran.After, came.Sub(time.Unix(0, s))-silences)
+		ran.After = max(ran.After, came.Sub(time.Unix(0, s))-silenceTimeout)
 	}
 	bears := max(float64(t.Capacity)*t.warmth(), 1)
 	t.mu.Unlock()
-	t.Truth.Run(ran)
+	t.Checker.RequestExecuted(ran)
 	if want := r.URL.Query().Get("service"); want != "" && want != string(t.Service) {
-		t.Truth.Wrong("%s of %s got a request meant for %s", t.Instance, t.Service, want)
+		t.Checker.Violation("%s of %s got a request meant for %s", t.Instance, t.Service, want)
 	}
 	// One more than the fraction: places are whole.
 	if float64(now) > 1.5*bears+1 {
-		t.Truth.Flood("%s had %d at once and bears %.1f", t.Instance, now, bears)
+		t.Checker.Overloaded("%s had %d at once and bears %.1f", t.Instance, now, bears)
 	}
 }
--- a/internal/testsupport/testbed/testbed_test.go
+++ b/internal/testsupport/testbed/testbed_test.go
@@ -48,9 +48,9 @@
 	is := is.New(t)
 	ctx := context.Background()
 	var out bytes.Buffer
-	s, err := Raise(ctx, Options{Plan: "small", Dir: t.TempDir(), Out: &out})
+	s, err := Start(ctx, Options{Plan: "small", Dir: t.TempDir(), Out: &out})
 	is.NoErr(err)
-	defer s.Lower()
+	defer s.Close()
 	control(t, s)
 	mistakes(t, s)
 	oddInput(t, s)
@@ -58,7 +58,7 @@
 	s.Play(ctx, 6*time.Second, func(context.Context) {
 		for _, name := range []string{"proxy-1", "registry-1", "store-2"} {
 			p := s.Get(name)
-			s.Hurt(p, time.Now().Add(time.Minute))
+			s.MarkImpaired(p, time.Now().Add(time.Minute))
 			s.Kill(p)
 			is.NoErr(s.Fleet.Run(p))
 		}
@@ -70,7 +70,7 @@
 	broken := s.Report(time.Time{})
 	t.Log(out.String())
 	is.Equal(broken, 0) // broken promises
-	is.True(s.Truth.Tally(time.Time{})["answered"] > 0)
+	is.True(s.Checker.CountByClass(time.Time{})["answered"] > 0)
 	// What was accepted before all that reads back right through any daemon.
 	for _, p := range s.Procs {
 		if !p.Lost {
@@ -80,7 +80,7 @@
 }
 
 // control drives the fleet through one daemon of each kind.
-func control(t *testing.T, s *Stage) {
+func control(t *testing.T, s *Testbed) {
 	is := is.New(t)
 	proxy, registry, stock := s.Of("proxy")[0].HTTP, s.Of("registry")[1].HTTP, s.Of("store")[2].HTTP
 	p := call(t, "PUT", proxy, "/v1/services/papers", `{"tier":4}`)
@@ -124,7 +124,7 @@
 }
 
 // mistakes are bad calls: each is rejected, and nothing changes.
-func mistakes(t *testing.T, s *Stage) {
+func mistakes(t *testing.T, s *Testbed) {
 	is := is.New(t)
 	at := s.Of("registry")[0].HTTP
 	before := call(t, "GET", at, "/v1/policy", "").body
--- a/internal/testsupport/testbed/watch.go
+++ b/internal/testsupport/testbed/watch.go
@@ -21,7 +21,7 @@
 // watcher looks at the load that each zone really carries: the CPU time of its
 // proxies' processes, and what targets stated for the runs that came by them.
 type watcher struct {
-	*Stage
+	*Testbed
 	mu   sync.Mutex
 	runs map[ids.Name]float64
 	last map[ids.Name]float64
@@ -58,8 +58,8 @@
 
 // Watch shows every so often what each zone uses against its levels, and what
 // is moved by tier, until the context ends; the witness sees the load as well.
-func (s *Stage) Watch(ctx context.Context, every time.Duration) {
-	w := &watcher{Stage: s, runs: map[ids.Name]float64{}}
+func (s *Testbed) Watch(ctx context.Context, every time.Duration) {
+	w := &watcher{Testbed: s, runs: map[ids.Name]float64{}}
 	s.watcher.Store(w)
 	w.last = w.spent()
 	from, last := time.Now(), time.Now()
@@ -70,7 +70,7 @@
 		for i := range s.Zones {
 			c := s.Plan.Zone(i)
 			used := (now[c] - w.last[c]) / span
-			s.Truth.Occupancy(last, c, used, true)
+			s.Checker.ZoneUsage(last, c, used, true)
 			line += fmt.Sprintf("  %s %4.0f", strings.TrimPrefix(string(c), "cell-"), used)
 		}
 		w.last = now
@@ -89,7 +89,7 @@
 }
 
 // moved tells the moves in force, as the status page shows them.
-func (s *Stage) moved() string {
+func (s *Testbed) moved() string {
 	for _, f := range s.registries() {
 		res, err := from(operatorAt(), time.Second).Get("http://" + f + "/v1/status")
 		if err != nil {
@@ -119,13 +119,13 @@
 }
 
 // tiers ranks the plan's routes, by their own tier and then their service's.
-func (s *Stage) tiers() map[ids.Name]int {
+func (s *Testbed) tiers() map[ids.Name]int {
 	out := map[ids.Name]int{}
-	for _, w := range s.Ways {
-		out[w.Route] = w.Tier * 10
+	for _, w := range s.Routes {
+		out[w.Name] = w.Tier * 10
 		for _, p := range s.Pools {
 			if p.Service == w.Service {
-				out[w.Route] += p.Tier
+				out[w.Name] += p.Tier
 			}
 		}
 	}
@@ -133,21 +133,21 @@
 }
 
 // judgeOrder lets the witness judge the order of moves by the plan's configuration.
-func (s *Stage) judgeOrder() {
-	o := checker.Order{Every: s.PlanEvery, Tier: s.tiers(), Distance: s.Plan.Distance, Acceptable: map[ids.Name]float64{}}
+func (s *Testbed) judgeOrder() {
+	o := checker.SpillOrder{Every: s.PlanEvery, Tier: s.tiers(), Distance: s.Plan.Distance, Acceptable: map[ids.Name]float64{}}
 	for i := range s.Zones {
-		o.Acceptable[s.Plan.Zone(i)] = 0.8 * s.Plan.Comfort()
+		o.Acceptable[s.Plan.Zone(i)] = 0.8 * s.Plan.TargetLevel()
 	}
-	s.Truth.Ordered(o)
+	s.Checker.SetSpillOrder(o)
 }
 
 // PlayHot plays one hot zone with no other fault, so that nothing excuses a
 // held connection, and shows each zone's load over time.
-func (s *Stage) PlayHot(ctx context.Context, d time.Duration, script *Script) {
+func (s *Testbed) PlayHot(ctx context.Context, d time.Duration, script *Script) {
 	s.judgeOrder()
-	s.Truth.Calm = true
+	s.Checker.NoFaults = true
 	s.Play(ctx, d, func(load context.Context) {
-		fmt.Fprintf(s.Out, "each cell: acceptable %.0f, target %.0f, maximum %.0f ms of CPU a second\n", 0.8*s.Plan.Comfort(), s.Plan.Comfort(), 1.1*s.Plan.Comfort())
+		fmt.Fprintf(s.Out, "each cell: acceptable %.0f, target %.0f, maximum %.0f ms of CPU a second\n", 0.8*s.Plan.TargetLevel(), s.Plan.TargetLevel(), 1.1*s.Plan.TargetLevel())
 		var all sync.WaitGroup
 		all.Go(func() { s.Watch(load, s.PlanEvery) })
 		s.Perform(ctx, script)
--- a/internal/transport/wire/body.go
+++ b/internal/transport/wire/body.go
@@ -62,6 +62,7 @@
 	return nil
 }
 
+// ErrBodyTooShort: a body ends before the fields that its kind has.
 var ErrBodyTooShort = errors.New("body too short")
 
 func readUint(r *bytes.Reader, n int) (uint64, error) {
