--- /dev/null
+++ b/internal/controlplane/targets/expiry_test.go
@@ -0,0 +1,27 @@
+package targets
+
+import (
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+)
+
+// A gap between two ticks is this process's own silence and expires no target. Targets
+// that are silent from then on expire, and are forgotten after the retention time.
+func TestTable_OwnPauseExpiresNoTarget(t *testing.T) {
+	is := is.New(t)
+	table := New()
+	table.Merge(at(0), newTarget("a", 1, 1))
+	for i := range 3 {
+		is.Equal(len(table.Tick(at(time.Duration(i+1)*900*time.Millisecond))), 0)
+	}
+	// Five seconds without a tick are a pause of this process.
+	is.Equal(len(table.Tick(at(8*time.Second))), 0)
+	for now := 8500 * time.Millisecond; now <= 11*time.Second; now += 500 * time.Millisecond {
+		is.Equal(len(table.Tick(at(now))), 0)
+	}
+	is.Equal(len(table.Tick(at(11500*time.Millisecond))), 1)
+	table.Forget(at(2*time.Hour), time.Hour)
+	is.Equal(len(table.All(at(2*time.Hour))), 0)
+}
--- a/internal/controlplane/targets/incremental_test.go
+++ b/internal/controlplane/targets/incremental_test.go
@@ -9,95 +9,85 @@
 	"dunlinwell/internal/base/ids"
 )
 
-func newIncrementalTable() *Table {
-	table := New()
-	table.Incremental = true
-	return table
-}
-
-func withSlowStart(t Target, remaining time.Duration) Target {
-	t.SlowStartMillis = uint64(remaining / time.Millisecond)
-	return t
-}
-
-// A beat that says nothing new is handed on to nobody, and keeps its target alive.
+// A heartbeat that changes nothing is passed on to nobody, and keeps its target alive.
 func TestTable_UnchangedHeartbeatIsNotForwarded(t *testing.T) {
 	is := is.New(t)
 	table := newIncrementalTable()
 	is.Equal(len(table.Merge(at(0), newTarget("a", 1, 1))), 1)
-	v := table.Version()
+	version := table.Version()
 	seq := ids.Sequence(1)
 	for now := 500 * time.Millisecond; now <= 20*time.Second; now += 500 * time.Millisecond {
 		if now%time.Second == 0 {
 			seq++
-			beat := newTarget("a", 1, seq)
-			beat.Occupancy, beat.AgeMillis = int64(seq), 7 // these alone are no news
-			is.Equal(len(table.Merge(at(now), beat)), 0)
+			heartbeat := newTarget("a", 1, seq)
+			heartbeat.Occupancy, heartbeat.AgeMillis = int64(seq), 7 // these alone are no change
+			is.Equal(len(table.Merge(at(now), heartbeat)), 0)
 		}
 		is.Equal(len(table.Tick(at(now))), 0)
 	}
-	is.Equal(table.Version(), v)
+	is.Equal(table.Version(), version)
 	is.Equal(table.LatestSequence("a"), seq)
 	got, _ := table.Get(at(20*time.Second), "a")
-	is.Equal(got.Sequence, ids.Sequence(1)) // as it was last handed on
-	// What is older than its last word changes nothing, though newer than what was
-	// handed on.
+	is.Equal(got.Sequence, ids.Sequence(1)) // as it was last passed on
+	// An update that is older than the latest heartbeat changes nothing, though it is
+	// newer than what was passed on.
 	late := newTarget("a", 1, 3)
 	late.Leaving = true
 	is.Equal(len(table.Merge(at(20*time.Second), late)), 0)
-	// Silence is told, and a beat after it.
+	// Its expiry is passed on, and so is the first heartbeat after it.
 	is.Equal(len(table.Tick(at(20900*time.Millisecond))), 0)
 	is.Equal(len(table.Tick(at(21800*time.Millisecond))), 0)
 	is.Equal(len(table.Tick(at(22700*time.Millisecond))), 0)
 	is.Equal(len(table.Tick(at(23200*time.Millisecond))), 1)
-	is.Equal(len(table.Merge(at(24*time.Second), newTarget("a", 1, seq))), 0) // a doubled old word
-	back := table.Merge(at(24*time.Second), newTarget("a", 1, seq+1))
-	is.Equal(len(back), 1)
-	is.True(back[0].Usable())
-	is.True(table.Version() > v)
+	is.Equal(len(table.Merge(at(24*time.Second), newTarget("a", 1, seq))), 0) // a repeated heartbeat
+	returned := table.Merge(at(24*time.Second), newTarget("a", 1, seq+1))
+	is.Equal(len(returned), 1)
+	is.True(returned[0].Usable())
+	is.True(table.Version() > version)
 }
 
+// A heartbeat that changes a field is passed on, once.
 func TestTable_ChangedFieldsAreForwarded(t *testing.T) {
 	is := is.New(t)
 	table := newIncrementalTable()
 	table.Merge(at(0), newTarget("a", 1, 1))
 	seq := ids.Sequence(1)
-	next := func(change func(*Target)) int {
+	mergeNext := func(change func(*Target)) int {
 		seq++
-		b := newTarget("a", 1, seq)
-		change(&b)
-		return len(table.Merge(at(0), b))
+		update := newTarget("a", 1, seq)
+		change(&update)
+		return len(table.Merge(at(0), update))
 	}
-	is.Equal(next(func(*Target) {}), 0)
-	is.Equal(next(func(b *Target) { b.Leaving = true }), 1)
-	is.Equal(next(func(b *Target) { b.Leaving = true }), 0)
-	is.Equal(next(func(*Target) {}), 1) // it stays after all
-	is.Equal(next(func(b *Target) { b.Capacity = 4 }), 1)
-	is.Equal(next(func(b *Target) { b.Zone = "c" }), 1)
-	is.Equal(next(func(b *Target) { b.Address = "10.0.0.9:1" }), 1)
-	is.Equal(next(func(b *Target) { b.Gone = true }), 1)
-	is.Equal(next(func(b *Target) { b.Gone = true }), 0)
-	is.Equal(next(func(*Target) {}), 1)
+	is.Equal(mergeNext(func(*Target) {}), 0)
+	is.Equal(mergeNext(func(update *Target) { update.Leaving = true }), 1)
+	is.Equal(mergeNext(func(update *Target) { update.Leaving = true }), 0)
+	is.Equal(mergeNext(func(*Target) {}), 1) // no longer draining
+	is.Equal(mergeNext(func(update *Target) { update.Capacity = 4 }), 1)
+	is.Equal(mergeNext(func(update *Target) { update.Zone = "c" }), 1)
+	is.Equal(mergeNext(func(update *Target) { update.Address = "10.0.0.9:1" }), 1)
+	is.Equal(mergeNext(func(update *Target) { update.Gone = true }), 1)
+	is.Equal(mergeNext(func(update *Target) { update.Gone = true }), 0)
+	is.Equal(mergeNext(func(*Target) {}), 1)
 }
 
-// The same cold time, counted down by beats, is no news; a longer one is.
+// The remaining time of the same slow start is no change; a longer slow start is one.
 func TestTable_ExtendedSlowStartIsForwarded(t *testing.T) {
 	is := is.New(t)
 	table := newIncrementalTable()
 	table.Merge(at(0), withSlowStart(newTarget("a", 1, 1), 3*time.Second))
 	is.Equal(len(table.Merge(at(time.Second), withSlowStart(newTarget("a", 1, 2), 2*time.Second))), 0)
-	is.Equal(len(table.Merge(at(2*time.Second), withSlowStart(newTarget("a", 1, 3), 1200*time.Millisecond))), 0) // words differ a little
+	is.Equal(len(table.Merge(at(2*time.Second), withSlowStart(newTarget("a", 1, 3), 1200*time.Millisecond))), 0) // within the tolerance
 	all := table.All(at(2 * time.Second))
 	is.Equal(all[0].SlowStartMillis, uint64(1000))
-	is.Equal(len(table.Merge(at(3*time.Second), newTarget("a", 1, 4))), 0) // warm when it should be
+	is.Equal(len(table.Merge(at(3*time.Second), newTarget("a", 1, 4))), 0) // over when it was expected
 	is.Equal(table.All(at(4 * time.Second))[0].SlowStartMillis, uint64(0))
-	again := table.Merge(at(5*time.Second), withSlowStart(newTarget("a", 1, 5), 3*time.Second))
-	is.Equal(len(again), 1)
+	extended := table.Merge(at(5*time.Second), withSlowStart(newTarget("a", 1, 5), 3*time.Second))
+	is.Equal(len(extended), 1)
 	is.Equal(table.All(at(6 * time.Second))[0].SlowStartMillis, uint64(2000))
-	is.Equal(len(table.Merge(at(6*time.Second), withSlowStart(newTarget("a", 1, 6), 3*time.Second))), 1) // and anew
+	is.Equal(len(table.Merge(at(6*time.Second), withSlowStart(newTarget("a", 1, 6), 3*time.Second))), 1) // extended once more
 }
 
-// A word that waited on its way keeps its target alive only from when it was said.
+// A delayed update keeps its target alive only from when it was sent.
 func TestTable_DelayedUpdateConfirmsOnlyItsOwnTime(t *testing.T) {
 	is := is.New(t)
 	table := newIncrementalTable()
@@ -107,7 +97,7 @@
 	is.Equal(len(table.ExpireSilent(at(4100*time.Millisecond))), 1)
 }
 
-// A target table that isn't thrifty hands each word on.
+// A table that isn't incremental passes each heartbeat on.
 func TestTable_FullModeForwardsEveryHeartbeat(t *testing.T) {
 	is := is.New(t)
 	table := New()
