--- a/internal/controlplane/distribution/lease.go
+++ b/internal/controlplane/distribution/lease.go
@@ -6,17 +6,20 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// ControlLease is how old an agreement may be for a registry to speak for the
-// core: to confirm, to refuse, or to hand out what it knows as what holds.
+// ControlLease is how old a registry's last read from a majority of stores may be for
+// the registry to act for the control plane: to confirm or reject changes, and to hand
+// out its configuration as the one in force. docs/control.md derives it.
 const ControlLease = 1500 * time.Millisecond
 
-// ConfirmedAsOf is when, by the proxy's own clock, the agreement began by which the
-// push's revision is in force; the travel of the echo is counted against it.
+// ConfirmedAsOf returns the time, by the proxy's own clock, as of which the push's
+// revision is known to be in force: the start of the majority read. The time that the
+// echo travelled is counted against it, so it is never too late.
 func (p Push) ConfirmedAsOf() ids.Time { return p.EchoedTime.Add(-p.readAge()) }
 
-// TargetsAsOf is as of when, by the proxy's own clock, the sender answers for the
-// targets that it tells. One without the control lease doesn't hear of those that
-// call on the other side of a cut, so it answers for them as of its last agreement.
+// TargetsAsOf returns the time, by the proxy's own clock, as of which the sender
+// vouches for its targets. A registry without the control lease may be cut off from
+// the registries that the targets send heartbeats to, so it vouches for them only as of
+// its last majority read.
 func (p Push) TargetsAsOf() ids.Time {
 	if p.readAge() > ControlLease {
 		return p.ConfirmedAsOf()
@@ -24,5 +27,5 @@
 	return p.EchoedTime
 }
 
-// readAge is rounded so as never to seem shorter than it is.
+// readAge is the age of the majority read, rounded up.
 func (p Push) readAge() time.Duration { return time.Duration(p.ReadAgeMillis+1) * time.Millisecond }
--- /dev/null
+++ b/internal/controlplane/distribution/push.go
@@ -0,0 +1,114 @@
+package distribution
+
+import (
+	"time"
+
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/targets"
+)
+
+const (
+	// retryTimeoutPerTarget extends the retry time-out for each target in a push: a
+	// thin link takes its time for a whole list.
+	retryTimeoutPerTarget = 5 * time.Millisecond
+	// backupDelay is how long a registry holds back usable targets from a proxy that
+	// another registry pushes to first. It is longer than that push and its
+	// acknowledgement usually take.
+	backupDelay = 700 * time.Millisecond
+)
+
+// pushTo sends a proxy what it lacks, if anything is due: something changed, was lost
+// or wasn't acknowledged in time, or the last push is RefreshInterval ago.
+func (d *Distributor) pushTo(now ids.Time, proxy membership.Member, p *progress, content Content) {
+	changed := p.contentVersion != content.Version
+	incomplete := p.isIncomplete(content.Revision)
+	retryDue := incomplete && now.Sub(p.lastSentAt) >= p.retryTimeout
+	refreshDue := d.isRefreshDue(now, p)
+	if !changed && !retryDue && !refreshDue && !p.resendNow {
+		return
+	}
+	push := d.newPush(p, content)
+	push.Configuration = p.takeConfiguration(now, push.Number, content)
+	var versions []targetVersion
+	if changed || incomplete {
+		push.Targets, versions = d.takeMissingTargets(now, proxy, p, content.Targets())
+	}
+	p.contentVersion, p.resendNow = content.Version, false
+	isEmpty := len(versions) == 0 && len(push.Configuration) == 0
+	if d.SkipEmptyPushes && isEmpty && !refreshDue {
+		return
+	}
+	if incomplete && now.Sub(p.lastAckAt) >= p.retryTimeout {
+		p.retryTimeout = min(2*p.retryTimeout, maxRetryTimeout)
+	}
+	p.recordSent(now, versions)
+	d.out.Send(proxy.Address, push)
+}
+
+// isRefreshDue reports whether a proxy is to be sent a push even if nothing is new.
+// The first acknowledgement is echoed at once: until then the proxy can't tell how old a
+// push is, and doesn't take it for a confirmation of what is in force.
+func (d *Distributor) isRefreshDue(now ids.Time, p *progress) bool {
+	firstEcho := p.echoedTime == 0 && p.proxyTime != 0
+	return firstEcho || now.Sub(p.lastSentAt) >= d.RefreshInterval
+}
+
+// newPush makes the next push to a proxy, still without configuration and targets.
+func (d *Distributor) newPush(p *progress, content Content) Push {
+	return Push{
+		Number:        p.lastPush + 1,
+		RunID:         d.runID,
+		Revision:      content.Revision,
+		ReadAgeMillis: readAgeMillis(content.ReadAge),
+		EchoedTime:    p.proxyTime,
+		ProxyRunID:    p.runID,
+	}
+}
+
+// takeConfiguration returns the configuration for a push, or nil if the proxy has the
+// newest one or it is in flight, and notes it as in flight.
+func (p *progress) takeConfiguration(now ids.Time, number ids.StreamNumber, content Content) []byte {
+	if p.ackedRevision >= content.Revision {
+		return nil
+	}
+	isInFlight := p.configuration.revision == content.Revision
+	if isInFlight && now < p.configuration.retryAt {
+		return nil
+	}
+	raw := content.Configuration(p.ackedRevision)
+	p.configuration = inFlightConfiguration{revision: content.Revision, retryAt: now.Add(p.retryTimeout), push: number}
+	return raw
+}
+
+// takeMissingTargets returns the targets that a proxy lacks and that aren't in flight
+// to it, with their versions, and notes them as in flight.
+func (d *Distributor) takeMissingTargets(now ids.Time, proxy membership.Member, p *progress, all []targets.Target) ([]targets.Target, []targetVersion) {
+	isBackup := d.IsBackup != nil && d.IsBackup(proxy)
+	p.hasUnsent = false
+	var missing []targets.Target
+	var versions []targetVersion
+	for _, target := range all {
+		version := versionOf(target)
+		if p.acknowledged[target.Instance] == version {
+			continue
+		}
+		retryAt, isInFlight := p.isInFlight(version)
+		if !isInFlight && isBackup && target.Usable() {
+			// Held back as if it had been sent, so that it goes when backupDelay is over.
+			p.inFlight[target.Instance] = inFlightTarget{targetVersion: version, retryAt: now.Add(backupDelay)}
+			p.hasUnsent = true
+			continue
+		}
+		if isInFlight && now < retryAt {
+			p.hasUnsent = true
+			continue
+		}
+		missing, versions = append(missing, target), append(versions, version)
+	}
+	retryAt := now.Add(p.retryTimeout + time.Duration(len(versions))*retryTimeoutPerTarget)
+	for _, version := range versions {
+		p.inFlight[version.id] = inFlightTarget{targetVersion: version, retryAt: retryAt}
+	}
+	return missing, versions
+}
