--- a/internal/controlplane/membership/fleet_test.go
+++ b/internal/controlplane/membership/fleet_test.go
@@ -128,7 +128,7 @@
 	for _, c := range n.out.Drain() {
 		switch c := c.(type) {
 		case event.LogEntry:
-			if c.Event == "member gone" {
+			if c.Event == "member_declared_dead" {
 				f.declarations[c.Fields[1]]++
 			}
 		case event.Send:
--- a/internal/controlplane/membership/list.go
+++ b/internal/controlplane/membership/list.go
@@ -2,8 +2,6 @@
 
 import (
 	"cmp"
-	"encoding/binary"
-	"hash/fnv"
 	"maps"
 	"slices"
 	"sync/atomic"
@@ -12,59 +10,93 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// List is the state machine that every daemon embeds.
+// Log events of this package.
+const (
+	// EventMemberDeclaredDead says that this registry declared a member dead.
+	EventMemberDeclaredDead event.LogEvent = "member_declared_dead"
+	// EventDeathRefuted says that this daemon raised its incarnation, as others held it
+	// for dead or knew an earlier run of it.
+	EventDeathRefuted event.LogEvent = "death_refuted"
+)
+
+// List is the membership list and failure detector of one daemon, a state machine that
+// the daemon embeds: it hands in messages (Receive) and time (Tick).
 type List struct {
 	Options
-	out     *event.Outbox
+	out *event.Outbox
+	// MayDeclareDead, if set, reports whether this registry may declare members dead.
+	// One that is cut off from the majority of stores may not.
+	MayDeclareDead func(now ids.Time) bool
+
 	members map[ids.DaemonID]Member
-	// heartbeats are those that this daemon watches, and words when any message last
-	// came from an address.
-	heartbeats  map[ids.DaemonID]*heartbeatHistory
+	// version counts the changes of members.
+	version uint64
+	// sorted are the members in order of id; nil when it must be made anew.
+	sorted []Member
+	// ring has the live members in order of the ring; nil when it must be made anew.
+	ring *ring
+	// published is the list as other goroutines see it, and publishedVersion the
+	// version that it was made of.
+	published        atomic.Pointer[publishedList]
+	publishedVersion uint64
+
+	// heartbeats are the histories of the members that this daemon watches.
+	heartbeats map[ids.DaemonID]*heartbeatHistory
+	// lastContact is when any message last arrived from an address.
 	lastContact map[ids.Address]ids.Time
-	// suspicions are what is said against members.
+	// suspicions are what is held against members. Only registries are sent reports.
 	suspicions map[ids.DaemonID]*suspicion
-	// declarations are the verdicts that this registry passed itself.
-	declarations            map[ids.DaemonID]deathDeclaration
-	lastTick, nextHeartbeat ids.Time
-	// firstTick is when the clock first ticked.
-	firstTick   ids.Time
-	nextRejoin  ids.Time
+	// declarations are the deaths that this registry declared itself.
+	declarations map[ids.DaemonID]deathDeclaration
+
+	// firstTick and lastTick are when Tick was first and last called; 0 before.
+	firstTick, lastTick ids.Time
+	// nextHeartbeat is when the watchers are next sent a heartbeat.
+	nextHeartbeat ids.Time
+	// nextRejoin is when unknown seeds and dead members are next sent a heartbeat.
+	nextRejoin ids.Time
+	// seedRotation counts the heartbeats to single seeds, so that each has its turn.
+	seedRotation int
+
+	// partDigests are the checksums of the parts of the list, and digest the one of
+	// the whole list unless digestStale.
+	partDigests [digestParts]uint64
 	digest      uint64
 	digestStale bool
-	// sorted are the members in order of id, and index the ring of the living ones;
-	// nil once they have to be drawn up anew.
-	sorted                      []Member
-	ring                        *ring
-	partDigests                 [digestParts]uint64
-	seedRotation                int
-	digestSentAt, divergedSince map[ids.DaemonID]ids.Time
-	pendingRelay                []ids.DaemonID
-	version                     uint64
-	publishedVersion            uint64
-	// MayDeclareDead, if set, tells whether this registry may count others as gone.
-	MayDeclareDead func(now ids.Time) bool
-	published      atomic.Pointer[publishedList]
+	// digestSentAt is when a peer was last sent the part digests.
+	digestSentAt map[ids.DaemonID]ids.Time
+	// divergedSince is since when a peer's list has differed from this one.
+	divergedSince map[ids.DaemonID]ids.Time
+	// pendingRelay are the members that changed and weren't relayed yet.
+	pendingRelay []ids.DaemonID
 }
 
-// New makes a list that knows itself and its seeds alone.
+// New makes a list that knows no member but its own daemon. Messages and log entries
+// go to out.
 func New(options Options, out *event.Outbox) *List {
 	options.setDefaults()
 	options.Self.Sequence = 1
 	l := &List{
-		Options: options, out: out, digestStale: true, digestSentAt: map[ids.DaemonID]ids.Time{}, divergedSince: map[ids.DaemonID]ids.Time{},
-		members:     map[ids.DaemonID]Member{options.Self.ID: options.Self},
-		heartbeats:  map[ids.DaemonID]*heartbeatHistory{},
-		lastContact: map[ids.Address]ids.Time{},
-		suspicions:  map[ids.DaemonID]*suspicion{}, declarations: map[ids.DaemonID]deathDeclaration{},
+		Options:       options,
+		out:           out,
+		members:       map[ids.DaemonID]Member{options.Self.ID: options.Self},
+		heartbeats:    map[ids.DaemonID]*heartbeatHistory{},
+		lastContact:   map[ids.Address]ids.Time{},
+		suspicions:    map[ids.DaemonID]*suspicion{},
+		declarations:  map[ids.DaemonID]deathDeclaration{},
+		digestStale:   true,
+		digestSentAt:  map[ids.DaemonID]ids.Time{},
+		divergedSince: map[ids.DaemonID]ids.Time{},
 	}
 	l.partDigests[digestPart(options.Self.ID)] ^= memberDigest(options.Self)
 	return l
 }
 
-// UpdateSelf changes what this daemon says of itself.
+// UpdateSelf changes the readiness and the configuration revision of the daemon's own
+// entry. In an incremental list a new revision alone isn't announced: registries know
+// it from acknowledgements, and the announcements would grow with the square of the
+// number of members.
 func (l *List) UpdateSelf(ready bool, revision ids.Revision) {
-	// Which configuration a daemon holds is known from acknowledgements; told of each
-	// change by everybody, it would cost the square of the fleet.
 	if l.Self.Ready == ready && (l.Self.Revision == revision || l.Incremental) {
 		l.Self.Revision = revision
 		return
@@ -79,6 +111,7 @@
 	}
 }
 
+// put adds or replaces a member.
 func (l *List) put(m Member) {
 	if previous, ok := l.members[m.ID]; ok {
 		l.partDigests[digestPart(m.ID)] ^= memberDigest(previous)
@@ -92,125 +125,37 @@
 	l.version++
 }
 
-// Version grows with each change of the roll, so that owners can tell.
+// Version returns a number that grows with each change of the list.
 func (l *List) Version() uint64 { return l.version }
 
-// All gives every member known, in order of id.
+// All returns all known members, dead ones included, in order of id.
 func (l *List) All() []Member {
 	if l.sorted == nil {
 		l.sorted = slices.SortedFunc(maps.Values(l.members), func(a, b Member) int { return cmp.Compare(a.ID, b.ID) })
 	}
-	return l.sorted[:len(l.sorted):len(l.sorted)]
+	return slices.Clip(l.sorted)
 }
 
-// Live gives the members of a role that are not gone, in the agreed order.
+// Live returns the live members of a role in order of id.
 func (l *List) Live(role Role) []Member {
-	var out []Member
+	var live []Member
 	for _, m := range l.All() {
 		if !m.Gone && m.Role == role {
-			out = append(out, m)
+			live = append(live, m)
 		}
 	}
-	return out
+	return live
 }
 
-// Get finds one member.
+// Get returns a member; the second result is false if it isn't known.
 func (l *List) Get(id ids.DaemonID) (Member, bool) {
 	m, ok := l.members[id]
 	return m, ok
 }
 
-// RunEnded tells whether the run of a daemon is surely over or suspected so.
+// RunEnded reports whether a run of a daemon is over as far as is known: the daemon was
+// declared dead, has a later run, or isn't known at all.
 func (l *List) RunEnded(id ids.DaemonID, run ids.RunID) bool {
 	m, ok := l.members[id]
 	return !ok || m.Gone || m.RunID != run
 }
-
-func (l *List) currentDigest() uint64 {
-	if l.digestStale {
-		l.digest, l.digestStale = l.combinePartDigests(), false
-		if !l.Incremental {
-			l.digest = listDigest(l.All())
-		}
-	}
-	return l.digest
-}
-
-func listDigest(list []Member) uint64 {
-	h := fnv.New64a()
-	for _, m := range list {
-		h.Write([]byte(m.ID))
-		gone := uint64(0)
-		if m.Gone {
-			gone = 1
-		}
-		var raw []byte
-		for _, x := range []uint64{uint64(m.Incarnation), uint64(m.Sequence), gone} {
-			raw = binary.BigEndian.AppendUint64(raw, x)
-		}
-		h.Write(raw)
-	}
-	return h.Sum64()
-}
-
-// Receive takes a message; false means that it belongs to another slice.
-func (l *List) Receive(now ids.Time, from ids.Address, msg any) bool {
-	l.RecordContact(now, from)
-	switch m := msg.(type) {
-	case Heartbeat:
-		l.merge([]Member{m.Self})
-		l.recordHeartbeat(now, m.Self.ID)
-		// Copies that differ merge at once rather than in rounds.
-		if m.Digest != l.currentDigest() {
-			l.reconcile(now, m.Self)
-		} else {
-			delete(l.divergedSince, m.Self.ID)
-		}
-	case Digest:
-		l.handleDigest(from, m)
-	case Delta:
-		l.handleDelta(from, m)
-	case Snapshot:
-		l.merge(m.Members)
-		if !m.Final && listDigest(m.Members) != l.currentDigest() {
-			l.out.Send(from, Snapshot{Members: l.All(), Final: true})
-		}
-	case Suspect:
-		l.handleSuspect(now, m)
-	case Withdraw:
-		l.handleWithdraw(m)
-	case Probe:
-		l.handleProbe(from, m)
-	case ProbeReply:
-		l.merge([]Member{m.Self})
-		l.recordHeartbeat(now, m.Self.ID)
-	default:
-		return false
-	}
-	return true
-}
-
-func (l *List) merge(list []Member) {
-	for _, m := range list {
-		if m.ID == l.Self.ID {
-			l.refute(m)
-			continue
-		}
-		if known, exists := l.members[m.ID]; !exists || m.supersedes(known) {
-			l.put(m)
-			if l.Incremental && m.Role == Registry && !m.Gone && (!exists || known.RunID != m.RunID || known.Gone) {
-				l.sendSelf(m)
-			}
-		}
-	}
-}
-
-// refute answers word of our own end, or of an earlier run of ours.
-func (l *List) refute(m Member) {
-	if m.Incarnation > l.Self.Incarnation || (m.Incarnation == l.Self.Incarnation && (m.Gone || m.RunID != l.Self.RunID)) {
-		l.Self.Incarnation = m.Incarnation + 1
-		l.Self.Sequence++
-		l.put(l.Self)
-		l.out.Log(event.LevelInfo, "refuted", "incarnation", itoa(uint64(l.Self.Incarnation)))
-	}
-}
--- /dev/null
+++ b/internal/controlplane/membership/options.go
@@ -0,0 +1,56 @@
+package membership
+
+import (
+	"time"
+
+	"dunlinwell/internal/base/ids"
+)
+
+// Defaults of Options. Four heartbeats fit into a suspicion time-out, or three of a
+// large deployment, so that a member isn't suspected for one or two lost ones.
+const (
+	defaultWatchers          = 3
+	defaultHeartbeatInterval = 250 * time.Millisecond
+	defaultSuspicionTimeout  = time.Second
+	// incrementalHeartbeatInterval and incrementalSuspicionTimeout are the defaults of
+	// an incremental list, which is made for large deployments.
+	incrementalHeartbeatInterval = 400 * time.Millisecond
+	incrementalSuspicionTimeout  = 1200 * time.Millisecond
+)
+
+// Options are the options of a List. Zero values take the defaults.
+type Options struct {
+	// Self is the daemon's own entry.
+	Self Member
+	// Seeds are the addresses that a daemon joins through.
+	Seeds []ids.Address
+	// Watchers is how many members watch each member; 3 by default. All daemons must
+	// use the same number.
+	Watchers int
+	// HeartbeatInterval is the time between two heartbeats; 250 ms by default, or
+	// 400 ms if Incremental is set and SuspicionTimeout is zero.
+	HeartbeatInterval time.Duration
+	// SuspicionTimeout is the least silence for which a member is suspected; 1 s by
+	// default, or 1.2 s if Incremental is set and HeartbeatInterval is zero.
+	SuspicionTimeout time.Duration
+	// Incremental keeps the size of messages independent of the number of members:
+	// lists that differ are compared part by part, and registries relay changes.
+	// Otherwise whole lists are sent.
+	Incremental bool
+}
+
+// setDefaults replaces zero values by the defaults.
+func (o *Options) setDefaults() {
+	if o.Watchers == 0 {
+		o.Watchers = defaultWatchers
+	}
+	if o.Incremental && o.HeartbeatInterval == 0 && o.SuspicionTimeout == 0 {
+		o.HeartbeatInterval, o.SuspicionTimeout = incrementalHeartbeatInterval, incrementalSuspicionTimeout
+	}
+	if o.HeartbeatInterval == 0 {
+		o.HeartbeatInterval = defaultHeartbeatInterval
+	}
+	if o.SuspicionTimeout == 0 {
+		o.SuspicionTimeout = defaultSuspicionTimeout
+	}
+}
--- a/internal/controlplane/membership/published.go
+++ b/internal/controlplane/membership/published.go
@@ -1,21 +1,23 @@
 package membership
 
-// publishedList is the roll as readers outside the owner may see it.
+// publishedList is the list as other goroutines see it. It isn't changed once it is
+// published.
 type publishedList struct {
 	self    Member
 	members []Member
 }
 
-// publish puts out a fresh page after a change; the owner calls it.
+// publish makes the list visible to other goroutines if it changed.
 func (l *List) publish() {
 	if l.publishedVersion == l.version && l.published.Load() != nil {
 		return
 	}
 	l.publishedVersion = l.version
-	l.published.Store(&publishedList{l.Self, l.All()})
+	l.published.Store(&publishedList{self: l.Self, members: l.All()})
 }
 
-// SelfMember gives this daemon's own entry; safe from any thread.
+// SelfMember returns this daemon's own entry as of the last Tick; the second result is
+// false before the first one. It is safe for concurrent use.
 func (l *List) SelfMember() (Member, bool) {
 	if p := l.published.Load(); p != nil {
 		return p.self, true
@@ -23,7 +25,8 @@
 	return Member{}, false
 }
 
-// Members gives the whole roll; safe from any thread.
+// Members returns all known members as of the last Tick, in order of id. It is safe for
+// concurrent use; callers mustn't change the result.
 func (l *List) Members() []Member {
 	if p := l.published.Load(); p != nil {
 		return p.members
--- a/internal/controlplane/membership/ring.go
+++ b/internal/controlplane/membership/ring.go
@@ -3,21 +3,24 @@
 import (
 	"cmp"
 	"hash/fnv"
+	"maps"
 	"slices"
 
 	"dunlinwell/internal/base/ids"
 )
 
-// ring is the ring of living members, with the place of each. It is drawn
-// up anew after a change of the list.
+// ring has the live members in order of a hash of their ids. Each member is watched by
+// the ones that follow it.
 type ring struct {
 	members []Member
-	// doubled is the ring twice over, so that the watchers of any member are one
+	// doubled is the ring twice in a row, so that the neighbours of any member are one
 	// slice of it.
 	doubled []Member
-	index   map[ids.DaemonID]int
+	// index is the position of each member in members.
+	index map[ids.DaemonID]int
 }
 
+// newRing makes a ring of live members, which are in order already.
 func newRing(members []Member) *ring {
 	r := &ring{members: members, doubled: slices.Concat(members, members), index: make(map[ids.DaemonID]int, len(members))}
 	for i, m := range members {
@@ -26,7 +29,7 @@
 	return r
 }
 
-// watchers gives the k members that come after a member on the ring.
+// watchers returns the k members that follow a member; they watch it.
 func (r *ring) watchers(id ids.DaemonID, k int) []Member {
 	i, ok := r.index[id]
 	if !ok {
@@ -35,7 +38,7 @@
 	return r.doubled[i+1 : i+1+min(k, len(r.members)-1)]
 }
 
-// watched gives the members that a member watches: the k before it on the ring.
+// watched returns the k members that precede a member; it watches them.
 func (r *ring) watched(id ids.DaemonID, k int) []Member {
 	i, ok := r.index[id]
 	if !ok {
@@ -46,13 +49,15 @@
 	return r.doubled[end-k : end]
 }
 
+// ringPosition is a member's position on the ring.
 func ringPosition(id ids.DaemonID) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(id))
 	return h.Sum64()
 }
 
-// sortByRingPosition orders members by their place; ids break ties.
+// sortByRingPosition orders members by their position on the ring, and members at the
+// same position by id.
 func sortByRingPosition(members []Member) {
 	positions := make(map[ids.DaemonID]uint64, len(members))
 	for _, m := range members {
@@ -63,23 +68,15 @@
 	})
 }
 
-// currentRing gives the ring as the list stands now.
+// currentRing returns the ring of the members that are live now.
 func (l *List) currentRing() *ring {
 	if l.ring == nil {
-		var living []Member
-		for _, m := range l.members {
-			if !m.Gone {
-				living = append(living, m)
-			}
-		}
-		sortByRingPosition(living)
-		l.ring = newRing(living)
+		live := slices.DeleteFunc(slices.Collect(maps.Values(l.members)), func(m Member) bool { return m.Gone })
+		sortByRingPosition(live)
+		l.ring = newRing(live)
 	}
 	return l.ring
 }
 
-// liveMembers gives the members that aren't gone, in order of the ring.
-func (l *List) liveMembers() []Member {
-	list := l.currentRing().members
-	return list[:len(list):len(list)]
-}
+// liveMembers returns the live members in order of the ring.
+func (l *List) liveMembers() []Member { return slices.Clip(l.currentRing().members) }
--- a/internal/controlplane/membership/tick.go
+++ b/internal/controlplane/membership/tick.go
@@ -6,15 +6,21 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// Tick does what time asks for.
+// rejoinInterval is how many heartbeat intervals pass between two attempts to reach
+// unknown seeds and dead members. They are rarely there, so it is less often than
+// heartbeats.
+const rejoinInterval = 4
+
+// Tick does what has become due: checks on watched members, declarations of death, and
+// heartbeats. The owner calls it several times per heartbeat interval.
 func (l *List) Tick(now ids.Time) {
 	defer l.publish()
 	if l.Self.Role != Registry {
+		// Only registries relay changes.
 		l.pendingRelay = nil
 	}
 	l.compensatePause(now)
 	l.checkWatched(now)
-	// A registry that no majority speaks to may itself be the one cut off.
 	if l.Self.Role == Registry && (l.MayDeclareDead == nil || l.MayDeclareDead(now)) {
 		l.evaluateSuspicions(now)
 	}
@@ -22,50 +28,62 @@
 		return
 	}
 	l.nextHeartbeat = now.Add(l.HeartbeatInterval)
-	live := l.liveMembers()
 	for _, watcher := range l.currentRing().watchers(l.Self.ID, l.Watchers) {
-		l.out.Send(watcher.Address, Heartbeat{Self: l.Self, Digest: l.currentDigest()})
+		l.sendHeartbeat(watcher.Address)
 	}
 	if now >= l.nextRejoin {
-		l.nextRejoin = now.Add(4 * l.HeartbeatInterval)
+		l.nextRejoin = now.Add(rejoinInterval * l.HeartbeatInterval)
 		l.forgetOldContacts(now)
-		l.contactUnreachable(live)
+		l.contactUnreachable()
 	}
 }
 
-// unknownSeeds gives the seeds that aren't known: all, or one in turn once others
-// are, so that a fleet that starts as one doesn't drown its seeds.
-func (l *List) unknownSeeds(known map[ids.Address]bool) []ids.Address {
-	var unknown []ids.Address
-	for _, seed := range l.Seeds {
-		if !known[seed] {
-			unknown = append(unknown, seed)
-		}
-	}
-	if l.Incremental && len(unknown) > 1 && len(l.members) > 1 {
-		l.seedRotation++
-		return unknown[l.seedRotation%len(unknown):][:1]
-	}
-	return unknown
+// sendHeartbeat sends a heartbeat to an address.
+func (l *List) sendHeartbeat(to ids.Address) {
+	l.out.Send(to, Heartbeat{Self: l.Self, Digest: l.currentDigest()})
 }
 
-// contactUnreachable greets seeds and, in turn, one of the gone, so that halves rejoin.
-func (l *List) contactUnreachable(live []Member) {
-	known := map[ids.Address]bool{l.Self.Address: true}
-	for _, m := range live {
-		known[m.Address] = true
+// contactUnreachable sends a heartbeat to seeds that aren't live members and to one of
+// the dead members, so that daemons join and the sides of a partition rejoin.
+func (l *List) contactUnreachable() {
+	live := map[ids.Address]bool{l.Self.Address: true}
+	for _, m := range l.liveMembers() {
+		live[m.Address] = true
 	}
-	for _, seed := range l.unknownSeeds(known) {
-		l.out.Send(seed, Heartbeat{Self: l.Self, Digest: l.currentDigest()})
+	for _, seed := range l.unknownSeeds(live) {
+		l.sendHeartbeat(seed)
 	}
 	var dead []Member
 	for _, m := range l.All() {
-		if m.Gone && !known[m.Address] {
+		if m.Gone && !live[m.Address] {
 			dead = append(dead, m)
 		}
 	}
 	if len(dead) > 0 {
-		m := dead[int(l.Self.Sequence+ids.Sequence(l.version)+ids.Sequence(l.nextRejoin/ids.Time(time.Second)))%len(dead)]
-		l.out.Send(m.Address, Heartbeat{Self: l.Self, Digest: l.currentDigest()})
+		l.sendHeartbeat(dead[l.deadMemberTurn(len(dead))].Address)
 	}
 }
+
+// deadMemberTurn chooses one of n dead members. The choice changes with time and
+// differs between daemons, which have no common counter.
+func (l *List) deadMemberTurn(n int) int {
+	seconds := ids.Sequence(l.nextRejoin / ids.Time(time.Second))
+	return int(l.Self.Sequence+ids.Sequence(l.version)+seconds) % n
+}
+
+// unknownSeeds returns the seeds that aren't among the addresses of live members. In an
+// incremental list that knows other members it is one of them in turn, so that a
+// whole deployment that starts at once doesn't overload its seeds.
+func (l *List) unknownSeeds(live map[ids.Address]bool) []ids.Address {
+	var unknown []ids.Address
+	for _, seed := range l.Seeds {
+		if !live[seed] {
+			unknown = append(unknown, seed)
+		}
+	}
+	if l.Incremental && len(unknown) > 1 && len(l.members) > 1 {
+		l.seedRotation++
+		return unknown[l.seedRotation%len(unknown):][:1]
+	}
+	return unknown
+}
