--- a/internal/controlplane/membership/fleet_test.go
+++ b/internal/controlplane/membership/fleet_test.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"fmt"
+	"math"
 	"math/rand/v2"
 	"slices"
 	"time"
@@ -11,46 +12,55 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// fleet is a hundred members in nine zones, each with a clock and a link of its
-// own, in virtual time.
+// fleet is about a hundred members in nine zones, each with a clock and a link of its
+// own, in virtual time. All is determined by the seed.
 type fleet struct {
-	now       ids.Time
-	random    *rand.Rand
-	queue     []delivery
+	now    ids.Time
+	random *rand.Rand
+	// inTransit are the messages on their way.
+	inTransit []delivery
 	nodes     []*node
 	byAddress map[ids.Address]*node
-	// cut, if set, tells which messages can't pass.
+	// cut, if set, reports which messages can't pass.
 	cut func(from, to ids.Address) bool
 	// loss is the share of messages that never arrive.
 	loss float64
-	// declarations are those that registries passed, by member.
+	// declarations counts the declarations of death, by member.
 	declarations map[string]int
 }
 
+// delivery is a message on its way.
 type delivery struct {
 	at       ids.Time
 	from, to ids.Address
 	msg      any
 }
 
+// node is one member of a fleet.
 type node struct {
 	list *List
 	out  *event.Outbox
 	down bool
-	// nextTick is when it turns next: a starved process turns late, and reads all
-	// that arrived meanwhile only then.
-	nextTick     ids.Time
+	// nextTick is when the node ticks next.
+	nextTick ids.Time
+	// maxTickDelay, if not 0, starves the process: it ticks up to that late, and reads
+	// what arrived meanwhile only then.
 	maxTickDelay time.Duration
-	// linkDelay is how long messages wait for its link, on top of the distance.
+	// linkDelay is how long messages wait for the node's link, on top of the time
+	// that the distance takes.
 	linkDelay func() time.Duration
-	received  []delivery
+	// received are the messages that weren't read yet.
+	received []delivery
 }
 
 const (
 	fleetTick  = 50 * time.Millisecond
 	fleetZones = 9
+	// largeFleet is the number of proxies of a large fleet.
+	largeFleet = 90
 )
 
+// newFleet makes five registries, five stores and some proxies.
 func newFleet(seed uint64, proxies int) *fleet {
 	f := &fleet{now: 1, random: rand.New(rand.NewPCG(seed, 7)), byAddress: map[ids.Address]*node{}, declarations: map[string]int{}}
 	for _, kind := range []struct {
@@ -64,6 +74,7 @@
 	return f
 }
 
+// add adds the i-th member of a role.
 func (f *fleet) add(role Role, i int) {
 	at := ids.Address(fmt.Sprintf("machine-%d-%s", i, role))
 	n := &node{out: &event.Outbox{}, linkDelay: func() time.Duration { return 0 }, nextTick: ids.Time(f.random.Int64N(int64(fleetTick))) + 1}
@@ -73,13 +84,13 @@
 	f.byAddress[at] = n
 }
 
-// advance lets time go by.
+// advance lets time pass in steps of 10 ms.
 func (f *fleet) advance(d time.Duration) {
 	for end := f.now.Add(d); f.now < end; f.now = f.now.Add(10 * time.Millisecond) {
-		slices.SortStableFunc(f.queue, func(a, b delivery) int { return cmp.Compare(a.at, b.at) })
-		for len(f.queue) > 0 && f.queue[0].at <= f.now {
-			message := f.queue[0]
-			f.queue = f.queue[1:]
+		slices.SortStableFunc(f.inTransit, func(a, b delivery) int { return cmp.Compare(a.at, b.at) })
+		for len(f.inTransit) > 0 && f.inTransit[0].at <= f.now {
+			message := f.inTransit[0]
+			f.inTransit = f.inTransit[1:]
 			if n := f.byAddress[message.to]; !n.down {
 				n.received = append(n.received, message)
 			}
@@ -90,7 +101,7 @@
 	}
 }
 
-// stepNode lets a node read what arrived, and step its clock if it is time.
+// stepNode lets a node read what arrived, tick if it is time, and send.
 func (f *fleet) stepNode(n *node) {
 	if n.down || n.maxTickDelay > 0 && f.now < n.nextTick {
 		return
@@ -110,7 +121,7 @@
 	f.sendAll(n)
 }
 
-// relay hands on what changed, as registries do.
+// relay sends what changed to all live members, as registries do.
 func (f *fleet) relay(n *node) {
 	if n.list.Self.Role != Registry {
 		return
@@ -124,6 +135,7 @@
 	}
 }
 
+// sendAll puts a node's messages on their way and counts its declarations of death.
 func (f *fleet) sendAll(n *node) {
 	for _, c := range n.out.Drain() {
 		switch c := c.(type) {
@@ -137,7 +149,77 @@
 				continue
 			}
 			wait := time.Millisecond + time.Duration(f.random.Int64N(int64(30*time.Millisecond))) + n.linkDelay() + to.linkDelay()
-			f.queue = append(f.queue, delivery{f.now.Add(wait), n.list.Self.Address, c.To, c.Msg})
+			f.inTransit = append(f.inTransit, delivery{f.now.Add(wait), n.list.Self.Address, c.To, c.Msg})
 		}
 	}
 }
+
+// sawtoothDelay is the delay of a thin link whose queue fills up and drains again. It
+// grows gradually at first, as no queue is full from one moment to the next.
+func (f *fleet) sawtoothDelay(depth, period time.Duration, phase float64) func() time.Duration {
+	start := f.now
+	return func() time.Duration {
+		_, fill := math.Modf(float64(f.now)/float64(period) + phase)
+		return min(time.Duration(fill*float64(depth)), f.now.Sub(start)/4)
+	}
+}
+
+// allAlive reports whether all running registries have all nodes as live members.
+func (f *fleet) allAlive() bool {
+	for _, n := range f.nodes {
+		if n.list.Self.Role == Registry && !n.down && len(n.list.liveMembers()) != len(f.nodes) {
+			return false
+		}
+	}
+	return true
+}
+
+// injectFaults starves a third of the proxies, congests the links of half of them and
+// loses messages; nobody dies.
+func (f *fleet) injectFaults() {
+	f.loss = 0.03
+	for i, n := range f.nodes {
+		if n.list.Self.Role != Proxy {
+			continue
+		}
+		if i%3 == 0 {
+			n.maxTickDelay = 700 * time.Millisecond
+		}
+		if i%2 == 0 {
+			n.linkDelay = f.sawtoothDelay(700*time.Millisecond, 5*time.Second, f.random.Float64())
+		}
+	}
+}
+
+// clearFaults ends all starvation, congestion, loss and partitions.
+func (f *fleet) clearFaults() {
+	f.loss, f.cut = 0, nil
+	for _, n := range f.nodes {
+		n.maxTickDelay = 0
+		n.linkDelay = func() time.Duration { return 0 }
+	}
+}
+
+// isDeclaredDead reports whether all running registries have a member as dead.
+func (f *fleet) isDeclaredDead(id ids.DaemonID) bool {
+	for _, n := range f.nodes {
+		if n.list.Self.Role != Registry || n.down {
+			continue
+		}
+		if m, ok := n.list.Get(id); !ok || !m.Gone {
+			return false
+		}
+	}
+	return true
+}
+
+// areDeclaredDead reports whether all running registries have all of these members as
+// dead.
+func (f *fleet) areDeclaredDead(members []ids.DaemonID) bool {
+	for _, id := range members {
+		if !f.isDeclaredDead(id) {
+			return false
+		}
+	}
+	return true
+}
