--- a/internal/controlplane/distribution/lease.go
+++ b/internal/controlplane/distribution/lease.go
@@ -8,7 +8,7 @@
 
 // ControlLease is how old a registry's last read from a majority of stores may be for
 // the registry to act for the control plane: to confirm or reject changes, and to hand
-// out its configuration as the one in force. docs/control.md derives it.
+// out its configuration as the one in force. docs/control.md lists what rests on it.
 const ControlLease = 1500 * time.Millisecond
 
 // ConfirmedAsOf returns the time, by the proxy's own clock, as of which the push's
--- a/internal/controlplane/distribution/messages.go
+++ b/internal/controlplane/distribution/messages.go
@@ -14,7 +14,8 @@
 type Push struct {
 	// Number is one higher than that of the previous push to the same proxy.
 	Number ids.StreamNumber
-	Epoch  ids.Epoch
+	// Epoch is 0: every registry pushes, under no election term.
+	Epoch ids.Epoch
 	// RunID is the run of the registry.
 	RunID ids.RunID
 	// Revision is the newest configuration that the registry has, whether or not the
