--- a/internal/controlplane/distribution/doc.go
+++ b/internal/controlplane/distribution/doc.go
@@ -10,8 +10,8 @@
 //   - A target counts as acknowledged by a proxy only if the proxy acknowledged a push
 //     of this run of the registry, to this run of the proxy, that held it; or if the
 //     proxy showed by its digest that it has the same targets (ConfirmTargets).
-//   - Pushes are idempotent and merge item by item, so that losing, repeating or
-//     overtaking of a push costs time and nothing else.
+//   - Pushes are idempotent and merge item by item, so that one that is lost, repeated or
+//     overtaken costs time and nothing else.
 //   - A proxy's new run starts from nothing: it is sent everything.
 //
 // The package does no input or output and reads no clock: commands go to the owner's
