--- a/internal/controlplane/store/leaving.go
+++ b/internal/controlplane/store/departure.go
@@ -1,39 +1,40 @@
 package store
 
 import (
-	"cmp"
 	"slices"
 	"time"
 
 	"dunlinwell/internal/base/event"
 	"dunlinwell/internal/base/ids"
-	"dunlinwell/internal/controlplane/membership"
 	"dunlinwell/internal/state/consensus"
 )
 
-// Leave tells this store that its process is to end, at the latest after a while.
+// Leave is the event that this store's process is to end. The store hands its vote
+// over or waits for others, and emits MayStop after Within at the latest.
 type Leave struct{ Within time.Duration }
 
-// MayStop says that the process may end: this store isn't needed any more, or its
-// time is up.
+// MayStop is the command to end the process: this store isn't needed any more, or
+// its time is up.
 type MayStop struct{}
 
-// departure is how far a store that is to end has come.
+// departure is the state of a store that is to end; its deadline is 0 until then.
 type departure struct {
 	deadline ids.Time
-	// nextHandOverAt is when the voter set is asked or changed once more.
+	// nextHandOverAt is when the vote is next offered, or the voter set read.
 	nextHandOverAt ids.Time
-	// successorID is the store that the vote was offered to last.
+	// successorID is the store that the vote was last offered to.
 	successorID uint64
-	// stayReason is why this store went on when last looked.
+	// stayReason is why this store was still needed at the last tick.
 	stayReason string
-	ended      bool
+	// ended is set once MayStop was emitted.
+	ended bool
 }
 
-// handOverInterval is how often a leaving store tries to hand its vote over.
+// handOverInterval is how often a leaving store tries to hand its vote over. A
+// process has a few seconds to end, so that many attempts fit in.
 const handOverInterval = 100 * time.Millisecond
 
-// handleLeave takes the order to end. It may be repeated.
+// handleLeave begins the departure. A repetition changes nothing.
 func (s *Store) handleLeave(now ids.Time, request Leave) {
 	if s.departure.deadline == 0 {
 		s.departure.deadline = now.Add(request.Within)
@@ -41,7 +42,8 @@
 	s.tickDeparture(now)
 }
 
-// tickDeparture ends the run once nothing needs it, and works towards that.
+// tickDeparture emits MayStop once this store isn't needed any more or its time is
+// up, and until then tries to hand the vote over.
 func (s *Store) tickDeparture(now ids.Time) {
 	d := &s.departure
 	if d.deadline == 0 || d.ended {
@@ -64,7 +66,7 @@
 	}
 }
 
-// stayReason says why the process shouldn't end yet; empty if it may.
+// stayReason returns why the process shouldn't end yet; empty if it may.
 func (s *Store) stayReason(now ids.Time) string {
 	voterSet := s.Acceptor.VoterSet()
 	if !voterSet.HasVoter(s.StoreID()) {
@@ -76,14 +78,14 @@
 	if _, ok := s.readyStandby(now, voterSet); ok {
 		return "hands its vote over"
 	}
-	if !s.othersHaveMajority(voterSet) {
+	if !s.othersHaveQuorum(voterSet) {
 		return "too few voters would be left"
 	}
 	return ""
 }
 
-// handOverVote gives this store's place to one that stands by, or else reads the
-// voter set, to see what has become of it.
+// handOverVote asks for a ready standby to replace this store. Where there is none,
+// it reads the voter set to learn how the last replacement proceeds.
 func (s *Store) handOverVote(now ids.Time) {
 	voterSet := s.Acceptor.VoterSet()
 	successor, ok := s.readyStandby(now, voterSet)
@@ -95,16 +97,10 @@
 	s.submitVoterSetRequest(consensus.OpReplace, consensus.ReplaceRequest{New: successor, LostID: s.StoreID(), Replicas: s.replicas})
 }
 
-// readyStandby finds a store that has copied and waits for a place. As many of them as
-// there are silent voters are left for those: their places come first.
+// readyStandby finds a store that has copied the registers and waits to become a
+// voter. As many standbys as there are silent voters are left to replace those first.
 func (s *Store) readyStandby(now ids.Time, voterSet consensus.VoterSet) (consensus.Voter, bool) {
-	var ready []consensus.Voter
-	for _, hello := range s.hellos {
-		if hello.HasCopied && now.Sub(hello.receivedAt) < helloLifetime && !voterSet.HasVoter(hello.Store.ID) {
-			ready = append(ready, hello.Store)
-		}
-	}
-	slices.SortFunc(ready, func(a, b consensus.Voter) int { return cmp.Compare(a.ID, b.ID) })
+	ready := s.recentStores(now, func(hello consensus.Hello) bool { return hello.HasCopied })
 	silent := len(voterSet.Voters) - len(s.liveVoters(voterSet))
 	if silent >= len(ready) {
 		return consensus.Voter{}, false
@@ -112,9 +108,9 @@
 	return ready[0], true
 }
 
-// othersHaveMajority tells whether a majority is left without this store, of voters
-// that are up and have their copy.
-func (s *Store) othersHaveMajority(voterSet consensus.VoterSet) bool {
+// othersHaveQuorum reports whether the live voters with a complete copy, without
+// this store, are a quorum.
+func (s *Store) othersHaveQuorum(voterSet consensus.VoterSet) bool {
 	live := s.liveVoters(voterSet)
 	delete(live, s.StoreID())
 	for _, id := range voterSet.Learners {
@@ -122,17 +118,3 @@
 	}
 	return voterSet.IsQuorum(live)
 }
-
-// liveVoters gives the voters that the roll counts as up, and this store.
-func (s *Store) liveVoters(voterSet consensus.VoterSet) map[uint64]bool {
-	live := map[uint64]bool{}
-	for _, m := range s.Live(membership.Store) {
-		if (consensus.VoterSet{Voters: voterSet.Voters}).HasVoter(m.Store) {
-			live[m.Store] = true
-		}
-	}
-	if voterSet.HasVoter(s.StoreID()) {
-		live[s.StoreID()] = true
-	}
-	return live
-}
--- a/internal/controlplane/store/learner.go
+++ b/internal/controlplane/store/learner.go
@@ -9,43 +9,51 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// learner is a store without a vote that copies what the voters hold. It begins
-// as soon as it knows who they are, whether or not a place is free, and may vote
-// once its copy is complete under a voter set that it belongs to.
+// learner is the state of a store without a vote that copies what the voters hold.
+// It begins as soon as it knows the voter set, whether or not there is room for
+// another voter, and may vote once its copy is complete under a voter set that it
+// belongs to.
 type learner struct {
 	consensus.Copier
+	// pageRequests is the last request to each voter, by the voter's id.
 	pageRequests map[uint64]*pageRequest
-	// nextRequestAt is when this learner asks for a change once more.
+	// nextRequestAt is when this learner next asks for a change of the voter set.
 	nextRequestAt ids.Time
-	// startedAt is when this run first learned, for the log.
+	// startedAt is when this run began to learn, for the log.
 	startedAt ids.Time
 }
 
-// pageRequest is when a voter was asked for the page that is waited for.
+// pageRequest is the last request for a page of records that went to one voter.
 type pageRequest struct {
-	sentAt  ids.Time
+	sentAt ids.Time
+	// timeout is how long after sentAt the request is sent again.
 	timeout time.Duration
-	// voterSetNumber is the voter set that it was asked under.
+	// voterSetNumber is that of the voter set in force when it was sent.
 	voterSetNumber uint64
-	// passEndedAt is when the last pass ended.
+	// passEndedAt is when the last pass over this voter's records ended.
 	passEndedAt ids.Time
 }
 
 const (
+	// learnerRequestInterval is how often a learner asks for a change of the voter
+	// set. A change that was made already is left alone, so that asking is cheap.
 	learnerRequestInterval = 100 * time.Millisecond
-	// initialPageTimeout is how long an answer is waited for at first; it doubles, as a
-	// page may take long on a slow link.
-	initialPageTimeout  = 400 * time.Millisecond
-	maxPageTimeout      = 8 * time.Second
+	// initialPageTimeout is the time-out of a page's first request; each repetition
+	// doubles it, as a page may take long on a slow link.
+	initialPageTimeout = 400 * time.Millisecond
+	// maxPageTimeout bounds the doubling.
+	maxPageTimeout = 8 * time.Second
+	// copyRefreshInterval is the time between two passes over one voter while a voter
+	// is silent: the copy should be recent when it is needed.
 	copyRefreshInterval = 2 * time.Second
 )
 
-// tickLearner is the learner's share of each clock event.
+// tickLearner is the learner's share of each tick.
 func (s *Store) tickLearner(now ids.Time) {
 	voterSet := s.Acceptor.VoterSet()
 	switch {
 	case voterSet.Number == 0:
-		// Nobody has told it yet whom to copy from; manageVoters says hello.
+		// There is no known voter to copy from yet; manageVoters sends hellos.
 	case s.DiskState() == consensus.Blank:
 		if s.learnerRequestDue(now) {
 			s.replaceLostVoter(now, voterSet)
@@ -56,17 +64,19 @@
 	}
 }
 
-// reportCopyComplete asks for this store to be counted as one that votes.
+// reportCopyComplete asks for this store to be counted as a voter with a complete
+// copy, where the voter set doesn't do so yet.
 func (s *Store) reportCopyComplete(voterSet consensus.VoterSet) {
-	oldVoters := consensus.VoterSet{Voters: voterSet.Voters}
 	switch {
 	case slices.Contains(voterSet.Learners, s.StoreID()):
 		s.submitVoterSetRequest(consensus.OpPromoteLearner, consensus.PromoteLearnerRequest{ID: s.StoreID()})
-	case voterSet.HasVoter(s.StoreID()) && !oldVoters.HasVoter(s.StoreID()):
+	case voterSet.HasVoter(s.StoreID()) && !isCurrentVoter(voterSet, s.StoreID()):
 		s.submitVoterSetRequest(consensus.OpFinalize, consensus.VoterSetNumber{Number: voterSet.Number})
 	}
 }
 
+// learnerRequestDue reports whether this learner may ask for a change of the voter
+// set, and if so puts the next time off by learnerRequestInterval.
 func (s *Store) learnerRequestDue(now ids.Time) bool {
 	if s.learner.startedAt == 0 {
 		s.learner.startedAt = now
@@ -78,22 +88,23 @@
 	return true
 }
 
-// copyRegisters asks each voter for what is wanted of it.
+// copyRegisters requests the next page of each voter, or requests one again that is
+// overdue.
 func (s *Store) copyRegisters(now ids.Time, voterSet consensus.VoterSet) {
 	for _, v := range voterSet.CopySources() {
 		if v.ID == s.StoreID() {
 			continue
 		}
 		request := s.learner.pageRequest(v.ID)
-		switch busy := s.learner.IsCopying(v.ID); {
-		case busy && request.voterSetNumber != voterSet.Number:
+		switch isCopying := s.learner.IsCopying(v.ID); {
+		case isCopying && request.voterSetNumber != voterSet.Number:
 			s.requestPage(now, v, voterSet.Number)
-		case busy && now.Sub(request.sentAt) >= request.timeout:
-			// It may not have heard of this voter set.
+		case isCopying && now.Sub(request.sentAt) >= request.timeout:
+			// The voter may not have received this voter set yet.
 			s.Send(v.Address, consensus.VoterSetUpdate{VoterSet: voterSet})
 			request.timeout = min(2*request.timeout, maxPageTimeout)
 			s.requestPage(now, v, voterSet.Number)
-		case !busy && s.needsCopyPass(now, v.ID, voterSet):
+		case !isCopying && s.needsCopyPass(now, v.ID, voterSet):
 			s.learner.BeginPass(v.ID)
 			request.timeout = initialPageTimeout
 			s.requestPage(now, v, voterSet.Number)
@@ -101,39 +112,42 @@
 	}
 }
 
-func (l *learner) pageRequest(id uint64) *pageRequest {
+// pageRequest returns the last request to a voter; a zero one if there was none.
+func (l *learner) pageRequest(voterID uint64) *pageRequest {
 	if l.pageRequests == nil {
 		l.pageRequests = map[uint64]*pageRequest{}
 	}
-	if l.pageRequests[id] == nil {
-		l.pageRequests[id] = &pageRequest{}
+	if l.pageRequests[voterID] == nil {
+		l.pageRequests[voterID] = &pageRequest{}
 	}
-	return l.pageRequests[id]
+	return l.pageRequests[voterID]
 }
 
-// needsCopyPass tells whether a voter is to be copied from once more: never yet, or
-// not since it went by the voter set in force, or while one may be replaced.
-func (s *Store) needsCopyPass(now ids.Time, id uint64, voterSet consensus.VoterSet) bool {
-	copiedUnder := s.learner.LastPassVoterSet(id)
+// needsCopyPass reports whether another pass over a voter's records is needed. A
+// store that belongs to the voter set needs one that began under it; one that
+// doesn't needs any, and a recent one while a voter is silent.
+func (s *Store) needsCopyPass(now ids.Time, voterID uint64, voterSet consensus.VoterSet) bool {
+	copiedUnder := s.learner.LastPassVoterSet(voterID)
 	if copiedUnder == 0 {
 		return true
 	}
 	if voterSet.HasVoter(s.StoreID()) {
 		return copiedUnder < voterSet.Number
 	}
-	return len(s.silentSince) > 0 && now.Sub(s.learner.pageRequest(id).passEndedAt) >= copyRefreshInterval
+	return len(s.silentSince) > 0 && now.Sub(s.learner.pageRequest(voterID).passEndedAt) >= copyRefreshInterval
 }
 
-func (s *Store) requestPage(now ids.Time, v consensus.Voter, number uint64) {
+// requestPage sends the request for a voter's next page.
+func (s *Store) requestPage(now ids.Time, v consensus.Voter, voterSetNumber uint64) {
 	request := s.learner.pageRequest(v.ID)
-	request.sentAt, request.voterSetNumber = now, number
-	s.Send(v.Address, s.learner.NextRequest(v.ID, number))
+	request.sentAt, request.voterSetNumber = now, voterSetNumber
+	s.Send(v.Address, s.learner.NextRequest(v.ID, voterSetNumber))
 }
 
-// handlePage merges a page, and asks for the next.
+// handlePage merges a page of records and requests the next. One that was sent under
+// another voter set is ignored, and so requested again by copyRegisters.
 func (s *Store) handlePage(now ids.Time, m consensus.PageResponse) {
 	voterSet := s.Acceptor.VoterSet()
-	// A page from under another voter set is asked for once more.
 	if s.DiskState() != consensus.Blank || m.VoterSetNumber != voterSet.Number || !s.learner.HandlePage(m) {
 		return
 	}
@@ -154,13 +168,14 @@
 	}
 }
 
-// completeCopyIfDue lets this store vote once its copy is complete.
+// completeCopyIfDue gives this store its vote once its copy is complete under a voter
+// set that it belongs to.
 func (s *Store) completeCopyIfDue(now ids.Time, voterSet consensus.VoterSet) {
 	if !voterSet.HasVoter(s.StoreID()) || !s.learner.IsCompleteFor(voterSet) {
 		return
 	}
 	s.MarkComplete()
-	took := now.Sub(s.learner.startedAt)
-	s.Log(event.LevelInfo, "copy complete", "voter_set", formatUint(voterSet.Number), "ms", formatUint(uint64(took.Milliseconds())))
+	duration := now.Sub(s.learner.startedAt)
+	s.Log(event.LevelInfo, "copy complete", "voter_set", formatUint(voterSet.Number), "ms", formatUint(uint64(duration.Milliseconds())))
 	s.reportCopyComplete(voterSet)
 }
--- a/internal/controlplane/store/membercache.go
+++ b/internal/controlplane/store/member_cache.go
@@ -9,20 +9,24 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// memory is the roll as the disk keeps it. Seeds are set once, while core
-// machines are replaced one by one; without it a fleet whose first three core
-// machines are gone could not find itself after a restart of everything.
+// memberCache is the state of the membership list's copy on the disk. The seeds are
+// set once, while machines with stores are replaced one by one. Without the copy a
+// fleet whose first three such machines are gone could not find itself after a
+// restart of everything.
 type memberCache struct {
+	// savedVersion is the version of the list that was saved last.
 	savedVersion uint64
 	nextSaveAt   ids.Time
 }
 
 const (
-	memberCacheKey      = ids.RegisterKey("meta/roll")
+	memberCacheKey = ids.RegisterKey("meta/roll")
+	// memberCacheInterval is the least time between two saves. It bounds the writes
+	// while the list changes fast; a copy that is a little old serves as well.
 	memberCacheInterval = 2 * time.Second
 )
 
-// remembered gives the addresses of all members that the disk knows.
+// cachedAddresses returns the addresses of all members of the saved list but this one.
 func cachedAddresses(storage consensus.Storage, self ids.Address) []ids.Address {
 	raw, _ := storage.Get(memberCacheKey)
 	_, msg, err := wire.ReadBytes(raw)
@@ -39,7 +43,7 @@
 	return addresses
 }
 
-// remember keeps the roll once it has changed, not too often.
+// cacheMembersIfDue saves the list if it has changed since the last time.
 func (s *Store) cacheMembersIfDue(now ids.Time) {
 	if now < s.memberCache.nextSaveAt || s.memberCache.savedVersion == s.Version() {
 		return
--- /dev/null
+++ b/internal/controlplane/store/receive.go
@@ -0,0 +1,106 @@
+package store
+
+import (
+	"time"
+
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/state/consensus"
+	"dunlinwell/internal/transport/wire"
+)
+
+// receive hands a message to whatever handles its type, or discards it.
+func (s *Store) receive(now ids.Time, from ids.Address, msg any) {
+	if s.disk.stalled && needsDisk(msg) {
+		// Others proceed without this copy. An answer released after the stall would
+		// be out of date.
+		return
+	}
+	if reason := s.discardReason(from, msg); reason != "" {
+		s.Discard(from, reason, msg)
+		return
+	}
+	switch m := msg.(type) {
+	case consensus.Prepare:
+		s.HandlePrepare(from, m)
+	case consensus.Accept:
+		s.HandleAccept(from, m)
+	case consensus.AcceptDifference:
+		s.HandleAcceptDifference(from, m)
+	case consensus.Promise:
+		s.HandlePromise(now, m)
+	case consensus.Accepted:
+		s.HandleAccepted(now, m)
+	case consensus.PageRequest:
+		s.HandlePageRequest(from, m)
+	case consensus.PageResponse:
+		s.handlePage(now, m)
+	case consensus.Request:
+		s.handleClientRequest(now, from, m)
+	case consensus.Response:
+		s.handleOwnResponse(now, m)
+	case consensus.Hello:
+		s.handleHello(now, from, m)
+	case consensus.VoterSetUpdate:
+		s.adoptVoterSet(now, m.VoterSet)
+	case consensus.BootstrapRequest:
+		s.handleBootstrapRequest(from, m)
+	case consensus.BootstrapResponse:
+		s.handleBootstrapResponse(now, m)
+	case consensus.Bootstrap:
+		s.handleBootstrap(from, m)
+	case consensus.ConfigurationReply:
+		s.handleConfigurationReply(m)
+	default:
+		s.List.Receive(now, from, msg)
+	}
+}
+
+// needsDisk reports whether a message can't be answered without the disk.
+func needsDisk(msg any) bool {
+	switch msg.(type) {
+	case consensus.Prepare, consensus.Accept, consensus.AcceptDifference, consensus.PageRequest:
+		return true
+	}
+	return false
+}
+
+// handleClientRequest proposes what a client asks for. A proposer whose own disk is
+// stalled would only delay the client, and one that was replaced knows no current
+// values; both reject, so that the client tries another store.
+func (s *Store) handleClientRequest(now ids.Time, from ids.Address, m consensus.Request) {
+	if s.disk.stalled || s.DiskState() == consensus.Replaced {
+		s.Send(from, consensus.Response{ID: m.ID, Attempt: m.Attempt, Outcome: consensus.Rejected})
+		return
+	}
+	s.Submit(now, from, m)
+}
+
+// voterSetRequestTimeout is how long a request of this store on the voter set may
+// take. Every round of management makes a new one, so that a lost one is no loss.
+const voterSetRequestTimeout = 2 * time.Second
+
+// submitVoterSetRequest asks this very store to read or change the voter set's
+// register; handleOwnResponse receives the answer. A nil argument is none.
+func (s *Store) submitVoterSetRequest(op consensus.Op, argument any) {
+	var raw []byte
+	if argument != nil {
+		// Only messages registered with the wire format come here; if one couldn't be
+		// encoded, the empty argument would leave the voter set as it is.
+		raw, _ = wire.Encode(argument)
+	}
+	s.lastRequestID++
+	s.Submit(s.now, s.Self.Address, consensus.Request{
+		ID: s.lastRequestID, Key: consensus.VoterSetKey, Op: op, Arg: raw,
+		TimeoutMillis: uint32(voterSetRequestTimeout.Milliseconds()),
+	})
+}
+
+// handleOwnResponse adopts the voter set that a majority has agreed on.
+func (s *Store) handleOwnResponse(now ids.Time, m consensus.Response) {
+	voterSet, ok := consensus.DecodeVoterSet(m.Result)
+	if !ok || m.Outcome != consensus.Succeeded {
+		return
+	}
+	s.lastQuorumReadAt = now
+	s.adoptVoterSet(now, voterSet)
+}
--- a/internal/controlplane/store/replacement.go
+++ b/internal/controlplane/store/replacement.go
@@ -1,17 +1,26 @@
 package store
 
 import (
-	"strconv"
+	"slices"
+	"time"
 
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/controlplane/membership"
 	"dunlinwell/internal/state/consensus"
 )
 
-func formatUint(n uint64) string { return strconv.FormatUint(n, 10) }
+// Retire is the command to set this store's data folder aside and to start again as a
+// blank store: another store has replaced this disk.
+type Retire struct{}
 
-// replaceLostVoter asks for a lost member's place, or undoes a joint replacement of an
-// older version whose newcomer was lost in its turn.
+// silentVoterTimeout is how long a voter must have been silent before a store
+// without a vote asks to replace it. A restart takes less, and should not cost a copy
+// of all registers.
+const silentVoterTimeout = 3 * time.Second
+
+// replaceLostVoter asks for this store to replace a lost voter, if it has no vote. A
+// joint voter set, which only older versions make, is abandoned if the store that it
+// brings in was lost in turn.
 func (s *Store) replaceLostVoter(now ids.Time, voterSet consensus.VoterSet) {
 	s.trackSilentVoters(now, voterSet)
 	if len(voterSet.Incoming) > 0 {
@@ -26,17 +35,17 @@
 	}
 }
 
-// replaceableVoter finds the voter whose place this store may take; 0 stands for a
-// place that nobody holds yet.
+// replaceableVoter finds the voter that this store may replace. The id 0 stands for
+// none: the voter set has fewer voters than it should have.
 func (s *Store) replaceableVoter(now ids.Time, voterSet consensus.VoterSet) (uint64, bool) {
 	for _, v := range voterSet.Voters {
-		// A voter is reached at its address alone. Whoever runs there with another
-		// disk shows that the voter's is gone; no silence has to show it.
+		// A voter is reached at its address alone. This store, with another disk at that
+		// address, is the proof that the voter's disk is gone; no silence is needed.
 		if v.Address == s.Self.Address {
 			return v.ID, true
 		}
 	}
-	// One that has been silent for longest is the least likely to come back.
+	// The one that has been silent for longest is the least likely to come back.
 	longestSilent := uint64(0)
 	for _, v := range voterSet.Voters {
 		if s.isLost(now, v.ID) && (longestSilent == 0 || s.silentSince[v.ID] < s.silentSince[longestSilent]) {
@@ -49,7 +58,8 @@
 	return 0, len(voterSet.Voters) < s.replicas
 }
 
-// trackSilentVoters keeps since when each voter has not been heard of.
+// trackSilentVoters notes since when each voter has not been live by the membership
+// list.
 func (s *Store) trackSilentVoters(now ids.Time, voterSet consensus.VoterSet) {
 	live := map[uint64]bool{}
 	for _, m := range s.Live(membership.Store) {
@@ -64,23 +74,41 @@
 	}
 }
 
-// isLost tells whether a voter has been silent for long enough to be replaced.
-func (s *Store) isLost(now ids.Time, id uint64) bool {
-	since, ok := s.silentSince[id]
+// isLost reports whether a voter has been silent for long enough to be replaced.
+func (s *Store) isLost(now ids.Time, voterID uint64) bool {
+	since, ok := s.silentSince[voterID]
 	return ok && now.Sub(since) >= silentVoterTimeout
 }
 
+// abandonLostIncoming asks for a joint voter set to go back to its current voters if
+// a store that it brings in is lost.
 func (s *Store) abandonLostIncoming(now ids.Time, voterSet consensus.VoterSet) {
-	oldVoters := consensus.VoterSet{Voters: voterSet.Voters}
 	for _, v := range voterSet.Incoming {
-		if s.isLost(now, v.ID) && !oldVoters.HasVoter(v.ID) {
+		if s.isLost(now, v.ID) && !isCurrentVoter(voterSet, v.ID) {
 			s.submitVoterSetRequest(consensus.OpAbandon, consensus.VoterSetNumber{Number: voterSet.Number})
 		}
 	}
 }
 
-// Holds gives this copy's own value for a caller that asked for no more.
-func (s *Store) LocalValue(key ids.RegisterKey) []byte {
-	_, value := s.AcceptedValue(key)
-	return value
+// retireIfDue emits Retire once this disk was replaced and nobody may need to copy
+// from it any more. A store that is leaving doesn't begin anew.
+func (s *Store) retireIfDue() {
+	if s.DiskState() != consensus.Replaced || s.retireOrdered || s.departure.deadline != 0 {
+		return
+	}
+	if s.mayBeCopiedFrom(s.Acceptor.VoterSet()) {
+		return
+	}
+	s.retireOrdered = true
+	s.Emit(Retire{})
+}
+
+// mayBeCopiedFrom reports whether the successor of this replaced store may still copy
+// from it. A successor at this store's own address isn't running: this process has
+// that address now.
+func (s *Store) mayBeCopiedFrom(voterSet consensus.VoterSet) bool {
+	self := s.StoreID()
+	isSelf := func(v consensus.Voter) bool { return v.ID == self }
+	isSuccessorHere := func(v consensus.Voter) bool { return v.Address == s.Self.Address && v.ID != self }
+	return slices.ContainsFunc(voterSet.Previous, isSelf) && !slices.ContainsFunc(voterSet.Voters, isSuccessorHere)
 }
--- /dev/null
+++ b/internal/controlplane/store/total_loss_recovery.go
@@ -0,0 +1,48 @@
+package store
+
+import (
+	"slices"
+
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/state/configuration"
+	"dunlinwell/internal/state/consensus"
+)
+
+// totalLossRejection returns why a blank store can't recover after every disk was
+// lost; empty if it can. The text is shown to the operator.
+func (s *Store) totalLossRejection(now ids.Time) string {
+	if len(s.otherBlankStores(now)) < recoveryStores {
+		return "two other blank stores must be running first"
+	}
+	return ""
+}
+
+// otherBlankStores returns the other stores that know of no voter set.
+func (s *Store) otherBlankStores(now ids.Time) []consensus.Voter {
+	return s.recentStores(now, func(hello consensus.Hello) bool { return hello.Blank && hello.Store.ID != s.StoreID() })
+}
+
+// recoverFromTotalLossIfDue forms an initial voter set after an operator's request,
+// with the configuration that a proxy still holds. All idempotency records count as
+// lost.
+func (s *Store) recoverFromTotalLossIfDue(now ids.Time) {
+	if s.Acceptor.VoterSet().Number > 0 || !s.recoveryDue(now) {
+		return
+	}
+	others := s.otherBlankStores(now)
+	if len(others) < recoveryStores {
+		return
+	}
+	others = others[:recoveryStores]
+	initial := consensus.VoterSet{
+		Number: consensus.VoterSetNumberAfterTotalLoss, LossCount: 1,
+		Voters: slices.Concat([]consensus.Voter{s.selfVoter()}, others),
+	}
+	message := consensus.Bootstrap{VoterSet: initial, Configuration: s.recovery.configuration.Configuration}
+	s.applyBootstrap(message)
+	s.Log(event.LevelWarn, "founded on order", "voter_set", formatUint(initial.Number), "policy", configuration.Describe(message.Configuration))
+	for _, v := range others {
+		s.Send(v.Address, message)
+	}
+}
--- a/internal/controlplane/store/screen.go
+++ b/internal/controlplane/store/validation.go
@@ -9,10 +9,14 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// discardReason tells why a message must change nothing; empty for one that is taken.
-// It looks at who says it and to which question, before any of it is used.
+// maxBallotCounter is far above the counter of every honest ballot. A ballot at the
+// end of the numbers would keep a register from ever being changed again.
+const maxBallotCounter = 1 << 62
+
+// discardReason returns why a message must change nothing; empty if it may be
+// handled. It looks at the sender and at what the message claims to answer, before
+// any of it is used.
 func (s *Store) discardReason(from ids.Address, msg any) event.Reason {
-	voterSet := s.Acceptor.VoterSet()
 	switch m := msg.(type) {
 	case consensus.Prepare:
 		return s.validateProposal(from, m.Ballot)
@@ -25,12 +29,12 @@
 	case consensus.Accepted:
 		return s.validateVote(from, m.Store, m.VoterSetNumber, m.Round)
 	case consensus.Response:
-		// This store puts its own requests to itself alone.
+		// A store submits its own requests to itself alone.
 		if from != s.Self.Address {
 			return event.Unsolicited
 		}
 	case consensus.PageResponse:
-		if !voterSet.IsCopySource(from, m.Store) {
+		if !s.Acceptor.VoterSet().IsCopySource(from, m.Store) {
 			return event.UnknownSender
 		}
 	case consensus.Hello:
@@ -45,11 +49,7 @@
 	return ""
 }
 
-// maxBallotCounter is far above every honest ballot's count. One ballot at the end of
-// the numbers would keep a register from ever being changed again.
-const maxBallotCounter = 1 << 62
-
-// validateProposal judges a proposer's question: only stores propose.
+// validateProposal checks a proposer's question: only stores propose.
 func (s *Store) validateProposal(from ids.Address, ballot ids.Ballot) event.Reason {
 	switch {
 	case ballot.Counter > maxBallotCounter:
@@ -60,6 +60,7 @@
 	return ""
 }
 
+// maxBallot returns the higher of two ballots.
 func maxBallot(a, b ids.Ballot) ids.Ballot {
 	if a.Less(b) {
 		return b
@@ -67,9 +68,11 @@
 	return a
 }
 
-func (s *Store) validateVote(from ids.Address, voter, voterSetNumber, round uint64) event.Reason {
+// validateVote checks an answer to this store's own proposal: it comes from the
+// voter's own address, and to a round that this run has begun.
+func (s *Store) validateVote(from ids.Address, voterID, voterSetNumber, round uint64) event.Reason {
 	switch {
-	case !s.Acceptor.VoterSet().MatchesSender(from, voter, voterSetNumber):
+	case !s.Acceptor.VoterSet().MatchesSender(from, voterID, voterSetNumber):
 		return event.UnknownSender
 	case !s.HasBegunRound(round):
 		return event.Unsolicited
@@ -77,7 +80,7 @@
 	return ""
 }
 
-// validateVoterSet judges a voter set that would replace this store's own.
+// validateVoterSet checks a voter set that would replace this store's own.
 func (s *Store) validateVoterSet(from ids.Address, voterSet consensus.VoterSet) event.Reason {
 	switch {
 	case !voterSet.IsValid():
@@ -88,15 +91,19 @@
 	return ""
 }
 
-// isKnownStore tells whether a store is known at an address: as a voter, a seed,
-// a member, or by its hello.
+// isKnownStore reports whether a store is known at an address: as this one, a seed, a
+// voter, by its hello, or as a member.
 func (s *Store) isKnownStore(address ids.Address) bool {
-	hasAddress := func(v consensus.Voter) bool { return v.Address == address }
-	if address == s.Self.Address || slices.Contains(s.seeds, address) || slices.ContainsFunc(s.Acceptor.VoterSet().AllVoters(), hasAddress) {
+	if address == s.Self.Address || slices.Contains(s.seeds, address) {
+		return true
+	}
+	isVoter := func(v consensus.Voter) bool { return v.Address == address }
+	if slices.ContainsFunc(s.Acceptor.VoterSet().AllVoters(), isVoter) {
 		return true
 	}
 	if _, ok := s.hellos[address]; ok {
 		return true
 	}
-	return slices.ContainsFunc(s.All(), func(m membership.Member) bool { return m.Role == membership.Store && m.Address == address })
+	isStore := func(m membership.Member) bool { return m.Role == membership.Store && m.Address == address }
+	return slices.ContainsFunc(s.All(), isStore)
 }
--- /dev/null
+++ b/internal/controlplane/store/voter_set.go
@@ -0,0 +1,132 @@
+package store
+
+import (
+	"slices"
+	"strconv"
+	"time"
+
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/state/consensus"
+)
+
+// voterManager is what a store keeps beside the registers to manage the voter set
+// and its own place in it.
+type voterManager struct {
+	// seeds are those of the settings; only they may form the first voter set.
+	seeds []ids.Address
+	// replicas is how many voters there are to be.
+	replicas int
+	// hellos holds the last hello of each store, by its address.
+	hellos map[ids.Address]receivedHello
+	// lastRequestID numbers this store's own requests on the voter set.
+	lastRequestID uint64
+	// nextManageAt is when the next round of management is due.
+	nextManageAt ids.Time
+	// lastQuorumReadAt is when this store last read the voter set from a majority;
+	// 0 if it never did in this run.
+	lastQuorumReadAt ids.Time
+	// silentSince is since when each voter that isn't live has been silent, by id.
+	silentSince map[uint64]ids.Time
+	// retireOrdered is set once Retire was emitted.
+	retireOrdered bool
+
+	bootstrap bootstrapState
+	learner   learner
+	departure departure
+	recovery  recoveryState
+}
+
+// voterManagementInterval is how often a store looks after the voter set: several
+// times within helloLifetime and silentVoterTimeout.
+const voterManagementInterval = 500 * time.Millisecond
+
+func newVoterManager(seeds []ids.Address) voterManager {
+	return voterManager{seeds: seeds, hellos: map[ids.Address]receivedHello{}, silentSince: map[uint64]ids.Time{}}
+}
+
+// manageVoters is one round of management: bootstrap or recovery while there is no
+// voter set, replacement of lost voters after.
+func (s *Store) manageVoters(now ids.Time) {
+	if now < s.nextManageAt {
+		return
+	}
+	voterSet := s.Acceptor.VoterSet()
+	s.nextManageAt = now.Add(s.managementInterval(voterSet))
+	if voterSet.Number == 0 {
+		s.broadcastHello()
+		s.tryBootstrap(now)
+		s.recoverFromTotalLossIfDue(now)
+		return
+	}
+	if !voterSet.HasVoter(s.StoreID()) && s.DiskState() != consensus.Replaced {
+		s.broadcastHello()
+	}
+	s.recoverIfDue(now)
+	// Reading the voter set finishes a change whose proposer died half way.
+	s.submitVoterSetRequest(consensus.Read, nil)
+	s.replaceLostVoter(now, voterSet)
+}
+
+// managementInterval returns the time until the next round. In fleets with
+// incremental membership, a voter of a complete voter set that isn't changing takes
+// twice as long: it reads only to notice a store that joins.
+func (s *Store) managementInterval(voterSet consensus.VoterSet) time.Duration {
+	isChanging := voterSet.Number == 0 || len(voterSet.Incoming) > 0
+	isComplete := voterSet.HasVoter(s.StoreID()) && len(voterSet.Voters) >= s.replicas
+	if s.Incremental && !isChanging && isComplete {
+		return 2 * voterManagementInterval
+	}
+	return voterManagementInterval
+}
+
+// selfVoter returns this store as a voter.
+func (s *Store) selfVoter() consensus.Voter {
+	return consensus.Voter{ID: s.StoreID(), Address: s.Self.Address}
+}
+
+// adoptVoterSet adopts a voter set if it is newer than this store's, restarts the
+// rounds under way and passes it on to the stores of both.
+func (s *Store) adoptVoterSet(now ids.Time, voterSet consensus.VoterSet) {
+	previous := s.Acceptor.VoterSet()
+	// A blank member of the initial voter set also needs the values that the voter
+	// set was formed with: only the Bootstrap message has them.
+	if previous.Number == 0 && voterSet.IsInitial() && voterSet.HasVoter(s.StoreID()) {
+		return
+	}
+	if !s.AdoptVoterSet(voterSet) {
+		return
+	}
+	s.RestartRounds(now)
+	s.Log(event.LevelInfo, "voter_set", "number", formatUint(voterSet.Number), "stores", formatUint(uint64(len(voterSet.Voters))), "next", formatUint(uint64(len(voterSet.Incoming))))
+	for _, voter := range append(previous.AllVoters(), voterSet.AllVoters()...) {
+		if voter.ID != s.StoreID() {
+			s.Send(voter.Address, consensus.VoterSetUpdate{VoterSet: voterSet})
+		}
+	}
+}
+
+// liveVoters returns the ids of the voters that are live by the membership list,
+// with this store's own if it is one.
+func (s *Store) liveVoters(voterSet consensus.VoterSet) map[uint64]bool {
+	live := map[uint64]bool{}
+	for _, m := range s.Live(membership.Store) {
+		if isCurrentVoter(voterSet, m.Store) {
+			live[m.Store] = true
+		}
+	}
+	if voterSet.HasVoter(s.StoreID()) {
+		live[s.StoreID()] = true
+	}
+	return live
+}
+
+// isCurrentVoter reports whether a store is among the voters of a voter set other
+// than those that a joint one brings in.
+func isCurrentVoter(voterSet consensus.VoterSet, storeID uint64) bool {
+	return slices.ContainsFunc(voterSet.Voters, func(v consensus.Voter) bool { return v.ID == storeID })
+}
+
+// formatUint writes a number for a field of the log.
+func formatUint(n uint64) string { return strconv.FormatUint(n, 10) }
