--- a/internal/state/storage/bench_test.go
+++ b/internal/state/storage/bench_test.go
@@ -8,7 +8,7 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// BenchmarkWrite syncs one record, or many that waited together.
+// BenchmarkWrite syncs one record, or a batch of them.
 func BenchmarkWrite(b *testing.B) {
 	for _, n := range []int{1, 16} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -16,14 +16,14 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			defer s.Close()
+			closeAtEnd(b, s)
 			value := make([]byte, 300)
 			for i := range b.N {
-				var list []event.Record
+				var records []event.Record
 				for k := range n {
-					list = append(list, event.Record{Key: ids.RegisterKey(fmt.Sprintf("item/mark/r/%d-%d", i, k)), Value: value})
+					records = append(records, event.Record{Key: ids.RegisterKey(fmt.Sprintf("item/mark/r/%d-%d", i, k)), Value: value})
 				}
-				if err := s.Write(list); err != nil {
+				if err := s.Write(records); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/state/storage/storage_test.go
+++ b/internal/state/storage/database_test.go
@@ -16,6 +16,16 @@
 	"dunlinwell/internal/base/ids"
 )
 
+// closeAtEnd closes a database at the end of the test.
+func closeAtEnd(t testing.TB, database *Database) {
+	t.Helper()
+	t.Cleanup(func() {
+		if err := database.Close(); err != nil {
+			t.Error(err)
+		}
+	})
+}
+
 func TestDatabase_RecordsSurviveReopening(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
@@ -25,23 +35,24 @@
 	// Another process may not hold the same folder.
 	_, err = Open(dir)
 	is.True(err != nil && strings.Contains(err.Error(), "another process holds it"))
+	is.True(errors.Is(err, ErrLocked))
 	store := s.StoreID
 	is.NoErr(s.Close())
 	s, err = Open(dir)
 	is.NoErr(err)
-	defer s.Close()
+	closeAtEnd(t, s)
 	is.Equal(s.StoreID, store)
 	is.Equal(s.RunNumber, uint64(2))
 	raw, ok := s.Get("item/a")
 	is.True(ok && string(raw) == "1")
-	list := s.Scan("item/", 10)
-	is.Equal(len(list), 2) // items alone, in order
-	is.Equal(string(list[1].Value), "2")
+	records := s.Scan("item/", 10)
+	is.Equal(len(records), 2) // registers alone, in order
+	is.Equal(string(records[1].Value), "2")
 	is.Equal(len(s.Scan("item/a", 10)), 1)
-	// A blank folder is another store.
+	// A blank folder gets another store id.
 	other, err := Open(t.TempDir())
 	is.NoErr(err)
-	defer other.Close()
+	closeAtEnd(t, other)
 	is.True(other.StoreID != store)
 }
 
@@ -64,7 +75,7 @@
 	is.Equal(before, after)
 }
 
-// A damaged database is kept aside, and the store begins anew as another one.
+// A damaged database is set aside, and a blank one with another store id is opened.
 func TestOpen_DamagedDatabaseIsSetAside(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
@@ -81,13 +92,41 @@
 	is.NoErr(os.WriteFile(path, raw, 0o644))
 	s, err = Open(dir)
 	is.NoErr(err)
-	defer s.Close()
+	closeAtEnd(t, s)
 	is.True(s.StoreID != store)
 	kept, err := os.ReadFile(s.SetAsidePath)
 	is.NoErr(err)
 	is.Equal(kept, raw)
 }
 
+// Damage that leaves the file's header and schema intact is found by SQLite's own check.
+func TestOpen_DamagedPageIsAnIntegrityError(t *testing.T) {
+	is := is.New(t)
+	dir := t.TempDir()
+	s, err := Open(dir)
+	is.NoErr(err)
+	var records []event.Record
+	for i := range 2000 {
+		records = append(records, event.Record{Key: ids.RegisterKey(fmt.Sprintf("item/%04d", i)), Value: make([]byte, 100)})
+	}
+	is.NoErr(s.Write(records))
+	is.NoErr(s.Close())
+	path := filepath.Join(dir, databaseFile)
+	raw, err := os.ReadFile(path)
+	is.NoErr(err)
+	const pageSize = 4096
+	copy(raw[10*pageSize:11*pageSize], make([]byte, pageSize))
+	is.NoErr(os.WriteFile(path, raw, 0o644))
+	s, err = Open(dir)
+	is.NoErr(err)
+	closeAtEnd(t, s)
+	var damage *IntegrityError
+	is.True(errors.As(s.DamageCause, &damage))
+	is.Equal(s.DamageCause.Error(), "read database (peer "+path+"): check database: "+damage.Report)
+	_, ok := s.Get("item/0000")
+	is.True(!ok)
+}
+
 // A database whose records fail the check is set aside as a damaged one is.
 func TestOpenChecked_FailedCheckSetsDatabaseAside(t *testing.T) {
 	is := is.New(t)
@@ -106,7 +145,7 @@
 	is.NoErr(s.Close())
 	s, err = OpenChecked(dir, check)
 	is.NoErr(err)
-	defer s.Close()
+	closeAtEnd(t, s)
 	is.True(s.StoreID != store)
 	is.Equal(s.DamageCause.Error(), "it is damaged")
 	_, ok := s.Get("item/policy")
@@ -115,12 +154,12 @@
 	is.NoErr(err)
 }
 
-// Marks age by measured running time, and go in small batches.
+// Idempotency records age by uptime, and are deleted in batches of the given limit.
 func TestPrune_DeletesExpiredRecordsInBatches(t *testing.T) {
 	is := is.New(t)
 	s, err := Open(t.TempDir())
 	is.NoErr(err)
-	defer s.Close()
+	closeAtEnd(t, s)
 	is.NoErr(s.Write([]event.Record{{Key: "item/mark/r/1", Value: []byte("x")}, {Key: "item/mark/r/2", Value: []byte("x")}, {Key: "item/policy", Value: []byte("x")}}))
 	n, err := s.Prune(time.Hour, 10)
 	is.NoErr(err)
@@ -136,8 +175,8 @@
 	is.True(ok) // configuration never ages
 }
 
-// Thirty hours of running time, with restarts: what is younger than a day is
-// always there, and what is older goes.
+// In thirty hours of uptime with restarts, records younger than the retention of a
+// day are always there, and older ones are deleted.
 func TestPrune_KeepsYoungRecordsOverRestarts(t *testing.T) {
 	is := is.New(t)
 	const retention, step = 24 * time.Hour, 10 * time.Minute
@@ -155,7 +194,7 @@
 		is.NoErr(err)
 		pruned += int(n)
 		if i%17 == 0 {
-			// Another run, whose own clock begins anew wherever it likes.
+			// Another run, whose clock has another origin.
 			is.NoErr(s.Close())
 			now = time.Duration(i%3) * 1000 * time.Hour
 			s, err = openWithClock(dir, clock, nil)
@@ -163,10 +202,10 @@
 		}
 		for k := range i + 1 {
 			if _, ok := s.Get(key(k)); !ok && time.Duration(i+1-k)*step < retention {
-				t.Fatalf("mark %d is forgotten after %s", k, time.Duration(i+1-k)*step)
+				t.Fatalf("record %d is gone after %s", k, time.Duration(i+1-k)*step)
 			}
 		}
 	}
-	is.True(pruned > 30) // those of the first hours
+	is.True(pruned > 30) // the records of the first hours
 	is.NoErr(s.Close())
 }
--- /dev/null
+++ b/internal/state/storage/set_aside.go
@@ -0,0 +1,24 @@
+package storage
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"time"
+
+	"dunlinwell/internal/base/errs"
+)
+
+// SetAside renames a folder's database, so that the next Open begins with a blank one
+// and the old one can be examined. The reason becomes part of the new name, which is
+// returned. The database must not be open.
+func SetAside(dir, reason string) (string, error) {
+	path := filepath.Join(dir, databaseFile)
+	setAsidePath := fmt.Sprintf("%s.%s-%d", path, reason, time.Now().UnixNano())
+	for _, suffix := range []string{"", "-wal", "-shm"} {
+		if err := os.Rename(path+suffix, setAsidePath+suffix); err != nil && !os.IsNotExist(err) {
+			return "", errs.Wrap(err, "set database aside", dir)
+		}
+	}
+	return setAsidePath, nil
+}
