--- a/internal/controlplane/store/bootstrap.go
+++ b/internal/controlplane/store/bootstrap.go
@@ -68,7 +68,7 @@
 // logWaitReason logs why there is no proposal, once for each new reason.
 func (s *Store) logWaitReason(reason string) {
 	if reason != "" && reason != s.bootstrap.waitReason {
-		s.Log(event.LevelInfo, "not founding", "waits", reason)
+		s.Log(event.LevelInfo, eventBootstrapWaiting, "reason", reason)
 	}
 	s.bootstrap.waitReason = reason
 }
@@ -78,11 +78,11 @@
 func (s *Store) prepareProposal(now ids.Time) string {
 	switch {
 	case !s.bootstrap.allowed:
-		return "this is no first start: a core must take this store in"
+		return "bootstrap not permitted on this disk: waiting to join a voter set"
 	case s.bootstrap.record.ExistingCluster != "":
 		return s.bootstrap.record.ExistingCluster
 	case len(s.seeds) == 0 || s.Self.Address != slices.Min(s.seeds):
-		return "the first of the seeds founds"
+		return "the seed with the lowest address proposes"
 	}
 	initial := consensus.VoterSet{Number: 1}
 	for _, address := range s.seeds {
@@ -90,7 +90,7 @@
 		// A hello of exactly helloLifetime still counts here, other than in isRecent.
 		if !ok || now.Sub(hello.receivedAt) > helloLifetime || !hello.Blank {
 			s.bootstrap.proposal = consensus.BootstrapRequest{}
-			return string(address)
+			return "no recent hello of a blank store at " + string(address)
 		}
 		initial.Voters = append(initial.Voters, hello.Store)
 	}
@@ -122,7 +122,7 @@
 	}
 	message := consensus.Bootstrap{VoterSet: proposal.VoterSet, Round: proposal.Round}
 	s.applyBootstrap(message)
-	s.Log(event.LevelInfo, "founded", "voter_set", "1")
+	s.Log(event.LevelInfo, eventBootstrapCompleted, "voter_set", formatUint(proposal.VoterSet.Number))
 	for _, v := range proposal.VoterSet.Voters {
 		if v.ID != s.StoreID() {
 			s.Send(v.Address, message)
@@ -142,7 +142,7 @@
 		s.bootstrap.promised[m.Store] = true
 		return
 	}
-	s.Log(event.LevelInfo, "founding declined", "store", formatUint(m.Store), "why", m.Rejection)
+	s.Log(event.LevelInfo, eventBootstrapRejected, "store", formatUint(m.Store), "reason", m.Rejection)
 	if m.PromisedRound >= proposal.Round {
 		s.beginProposal(now, m.PromisedRound+1, proposal.VoterSet)
 	}
--- a/internal/controlplane/store/bootstrap_test.go
+++ b/internal/controlplane/store/bootstrap_test.go
@@ -80,7 +80,9 @@
 	c.perform(seedAddresses[2], last.Step(c.now, event.Received{From: old.Address, Msg: membership.Heartbeat{Self: old}}))
 	c.run(time.Minute)
 	is.Equal(c.bootstrapCount(), 0)
-	why := slices.IndexFunc(c.logged, func(l event.LogEntry) bool { return l.Event == "founding declined" || l.Event == "not founding" })
+	why := slices.IndexFunc(c.logged, func(l event.LogEntry) bool {
+		return l.Event == eventBootstrapRejected || l.Event == eventBootstrapWaiting
+	})
 	is.True(why >= 0)
 	// What was seen stays with the disk: the proxy needn't be there at the next start.
 	for _, a := range seedAddresses {
--- a/internal/controlplane/store/cluster_test.go
+++ b/internal/controlplane/store/cluster_test.go
@@ -150,7 +150,7 @@
 func (c *cluster) bootstrapCount() int {
 	n := 0
 	for _, l := range c.logged {
-		if l.Event == "founded" || l.Event == "founded on order" {
+		if l.Event == eventBootstrapCompleted || l.Event == eventTotalLossRecovered {
 			n++
 		}
 	}
--- a/internal/controlplane/store/departure.go
+++ b/internal/controlplane/store/departure.go
@@ -51,12 +51,12 @@
 	}
 	reason := s.stayReason(now)
 	if reason != d.stayReason && reason != "" {
-		s.Log(event.LevelInfo, "stays for now", "why", reason)
+		s.Log(event.LevelInfo, eventDepartureWaiting, "reason", reason)
 	}
 	d.stayReason = reason
 	if reason == "" || now >= d.deadline {
 		d.ended = true
-		s.Log(event.LevelInfo, "may stop", "needed", reason)
+		s.Log(event.LevelInfo, eventDepartureEnded, "needed_for", reason)
 		s.Emit(MayStop{})
 		return
 	}
@@ -71,15 +71,15 @@
 	voterSet := s.Acceptor.VoterSet()
 	if !voterSet.HasVoter(s.StoreID()) {
 		if slices.Contains(voterSet.Learners, s.departure.successorID) {
-			return "its successor still copies"
+			return "successor is still copying"
 		}
 		return ""
 	}
 	if _, ok := s.readyStandby(now, voterSet); ok {
-		return "hands its vote over"
+		return "handing the vote over"
 	}
 	if !s.othersHaveQuorum(voterSet) {
-		return "too few voters would be left"
+		return "the other voters are no quorum"
 	}
 	return ""
 }
--- a/internal/controlplane/store/disk_monitor.go
+++ b/internal/controlplane/store/disk_monitor.go
@@ -50,8 +50,11 @@
 // updateDiskStalled brings the stall up to date, and logs where one begins or ends.
 func (s *Store) updateDiskStalled(now ids.Time) {
 	stalled := s.disk.isOverdue(now)
-	if stalled != s.disk.stalled {
-		s.Log(event.LevelWarn, "disk", "stalled", map[bool]string{true: "yes", false: "no"}[stalled])
+	switch {
+	case stalled && !s.disk.stalled:
+		s.Log(event.LevelWarn, eventDiskStalled)
+	case !stalled && s.disk.stalled:
+		s.Log(event.LevelWarn, eventDiskRecovered)
 	}
 	s.disk.stalled = stalled
 }
--- a/internal/controlplane/store/recovery.go
+++ b/internal/controlplane/store/recovery.go
@@ -52,10 +52,10 @@
 	reason := s.recoveryRejection(now)
 	s.Emit(RecoverResponse{ID: request.ID, Rejection: reason})
 	if reason != "" {
-		s.Log(event.LevelWarn, "refounding declined", "why", reason)
+		s.Log(event.LevelWarn, eventRecoveryRejected, "reason", reason)
 		return
 	}
-	s.Log(event.LevelWarn, "refounding")
+	s.Log(event.LevelWarn, eventRecoveryStarted)
 	s.recovery = recoveryState{dueAt: now.Add(configurationCollectTime)}
 	for _, m := range s.Live(membership.Proxy) {
 		s.Send(m.Address, consensus.ConfigurationQuery{})
@@ -137,6 +137,6 @@
 	_ = json.Unmarshal(s.LocalValue(configuration.Key), &own)
 	if json.Unmarshal(s.recovery.configuration.Configuration, &surviving) == nil && surviving.Revision > own.Revision {
 		s.ForceValue(configuration.Key, s.recovery.configuration.Configuration)
-		s.Log(event.LevelInfo, "policy taken back from a proxy", "revision", formatUint(uint64(surviving.Revision)))
+		s.Log(event.LevelInfo, eventConfigurationRestored, "revision", formatUint(uint64(surviving.Revision)))
 	}
 }
--- a/internal/controlplane/store/total_loss_recovery.go
+++ b/internal/controlplane/store/total_loss_recovery.go
@@ -41,7 +41,7 @@
 	}
 	message := consensus.Bootstrap{VoterSet: initial, Configuration: s.recovery.configuration.Configuration}
 	s.applyBootstrap(message)
-	s.Log(event.LevelWarn, "founded on order", "voter_set", formatUint(initial.Number), "policy", configuration.Describe(message.Configuration))
+	s.Log(event.LevelWarn, eventTotalLossRecovered, "voter_set", formatUint(initial.Number), "configuration", configuration.Describe(message.Configuration))
 	for _, v := range others {
 		s.Send(v.Address, message)
 	}
--- a/internal/controlplane/store/voter_set.go
+++ b/internal/controlplane/store/voter_set.go
@@ -99,7 +99,10 @@
 		return
 	}
 	s.RestartRounds(now)
-	s.Log(event.LevelInfo, "voter_set", "number", formatUint(voterSet.Number), "stores", formatUint(uint64(len(voterSet.Voters))), "next", formatUint(uint64(len(voterSet.Incoming))))
+	s.Log(event.LevelInfo, eventVoterSetAdopted,
+		"number", formatUint(voterSet.Number),
+		"voters", strconv.Itoa(len(voterSet.Voters)),
+		"incoming", strconv.Itoa(len(voterSet.Incoming)))
 	for _, voter := range append(previous.AllVoters(), voterSet.AllVoters()...) {
 		if voter.ID != s.StoreID() {
 			s.Send(voter.Address, consensus.VoterSetUpdate{VoterSet: voterSet})
--- a/internal/testsupport/simulator/founding_test.go
+++ b/internal/testsupport/simulator/founding_test.go
@@ -44,7 +44,7 @@
 		for seed := uint64(1); seed <= 3; seed++ {
 			o := Run(Options{Seed: seed, Length: 55 * time.Second, KeepLog: true, Script: func(w *World) { oldSeedsReturn(w, alone) }})
 			report(t, o)
-			is.Equal(strings.Count(strings.Join(o.Log, "\n"), " founded ["), 1)
+			is.Equal(strings.Count(strings.Join(o.Log, "\n"), " bootstrap_completed ["), 1)
 		}
 	}
 }
@@ -56,7 +56,7 @@
 		o := Run(Options{Seed: seed, Length: 25 * time.Second, KeepLog: true, StaleBootstrap: true, Script: everyDiskLost})
 		report(t, o)
 		log := strings.Join(o.Log, "\n")
-		is.Equal(strings.Count(log, " founded ["), 1)
-		is.Equal(strings.Count(log, " founded on order "), 1)
+		is.Equal(strings.Count(log, " bootstrap_completed ["), 1)
+		is.Equal(strings.Count(log, " total_loss_recovered "), 1)
 	}
 }
--- a/internal/testsupport/simulator/leaving_test.go
+++ b/internal/testsupport/simulator/leaving_test.go
@@ -75,7 +75,7 @@
 		report(t, o)
 		log := strings.Join(o.Log, "\n")
 		is.True(settled)
-		is.Equal(strings.Count(log, "may stop [needed ]"), 3) // none ended because its time was up
+		is.Equal(strings.Count(log, "departure_ended [needed_for ]"), 3) // none ended because its time was up
 		is.Equal(strings.Count(log, "is told to stop"), 3)
 	}
 }
