--- a/internal/controlplane/store/cluster_test.go
+++ b/internal/controlplane/store/cluster_test.go
@@ -4,7 +4,6 @@
 	"maps"
 	"math/rand/v2"
 	"slices"
-	"strings"
 	"time"
 
 	"dunlinwell/internal/base/event"
@@ -13,100 +12,108 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// testDisk keeps records; a sync is done as soon as it is asked for.
-type testDisk struct {
-	id, run uint64
-	records map[ids.RegisterKey][]byte
-}
+const (
+	// clientAddress is where responses to the tests' own requests go.
+	clientAddress = ids.Address("10.0.0.99:1")
+	// opPut is a change function of the tests: the register gets the argument's value.
+	opPut consensus.Op = 250
+	// tickInterval is that of the daemons.
+	tickInterval = 20 * time.Millisecond
+)
 
-func (d *testDisk) Get(key ids.RegisterKey) ([]byte, bool) {
-	raw, ok := d.records[key]
-	return raw, ok
-}
+var seedAddresses = []ids.Address{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}
 
-func (d *testDisk) Scan(after ids.RegisterKey, n int) []event.Record {
-	var out []event.Record
-	for _, k := range slices.Sorted(maps.Keys(d.records)) {
-		if k > after && strings.HasPrefix(string(k), "item/") && len(out) < n {
-			out = append(out, event.Record{Key: k, Value: d.records[k]})
-		}
-	}
-	return out
+// testDisk is the disk of one store, with its id and how often it was opened.
+type testDisk struct {
+	memoryStorage
+	storeID, runNumber uint64
 }
 
-// opPut is a change that the tests make: the register becomes what is given.
-const opPut consensus.Op = 250
-
+// message is one on its way.
 type message struct {
 	from, to ids.Address
 	msg      any
 }
 
-// cluster is a few stores with a network that loses nothing but across a cut.
+// cluster is a few stores on an in-memory network, which delivers every message in
+// order unless it is cut.
 type cluster struct {
 	now    ids.Time
 	stores map[ids.Address]*Store
 	disks  map[ids.Address]*testDisk
 	queue  []message
+	// nextID numbers disks and requests.
 	nextID uint64
+	// isCut, if set, tells which messages are lost.
 	isCut  func(from, to ids.Address) bool
 	logged []event.LogEntry
-	// mayStopAt are the stores that said that they may stop, and when.
+	// mayStopAt is when each store emitted MayStop.
 	mayStopAt map[ids.Address]ids.Time
-	// budget, if above 0, is how many messages pass before onBudget is called.
+	// messagesBeforeFault, if above 0, is how many messages are delivered before fault
+	// is called.
 	messagesBeforeFault int
 	fault               func()
 	responses           []consensus.Response
 }
 
-var seedAddresses = []ids.Address{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}
-
 func newCluster() *cluster {
 	return &cluster{now: ids.Time(time.Second), mayStopAt: map[ids.Address]ids.Time{}, stores: map[ids.Address]*Store{}, disks: map[ids.Address]*testDisk{}}
 }
 
 // start starts a store on the disk of its address, which is blank at first.
 func (c *cluster) start(at ids.Address, seeds []ids.Address, bootstrap bool) {
-	d := c.disks[at]
-	if d == nil {
+	disk := c.disks[at]
+	if disk == nil {
 		c.nextID++
-		d = &testDisk{id: c.nextID, records: map[ids.RegisterKey][]byte{}}
-		c.disks[at] = d
+		disk = &testDisk{storeID: c.nextID, memoryStorage: memoryStorage{}}
+		c.disks[at] = disk
 	}
-	d.run++
-	self := membership.Member{ID: ids.DaemonID(at), Role: membership.Store, Address: at, Zone: "zone", RunID: ids.RunID(d.run), Incarnation: ids.Incarnation(c.now)}
+	disk.runNumber++
+	self := membership.Member{ID: ids.DaemonID(at), Role: membership.Store, Address: at, Zone: "zone", RunID: ids.RunID(disk.runNumber), Incarnation: ids.Incarnation(c.now)}
 	s := New(Options{
-		Options: membership.Options{Self: self, Seeds: seeds}, Replicas: 3, StoreID: d.id, RunNumber: d.run, Storage: d,
-		Random: rand.New(rand.NewPCG(d.id, d.run)), Bootstrap: bootstrap,
+		Options: membership.Options{Self: self, Seeds: seeds}, Replicas: 3, StoreID: disk.storeID, RunNumber: disk.runNumber, Storage: disk,
+		Random: rand.New(rand.NewPCG(disk.storeID, disk.runNumber)), Bootstrap: bootstrap,
 	})
 	ops := Ops()
-	ops[opPut] = func(_ ids.RegisterKey, _, arg []byte) ([]byte, []byte) { return arg, arg }
+	ops[opPut] = func(_ ids.RegisterKey, _, argument []byte) ([]byte, []byte) { return argument, argument }
 	s.ReplaceOps(ops)
 	c.stores[at] = s
 }
 
+// startSeeds starts all seeds.
+func (c *cluster) startSeeds(bootstrap bool) {
+	for _, address := range seedAddresses {
+		c.start(address, seedAddresses, bootstrap)
+	}
+}
+
+// stop ends a store's process and leaves its disk.
 func (c *cluster) stop(at ids.Address) { delete(c.stores, at) }
 
-// wipe loses the disk too.
+// wipe ends a store's process and loses its disk.
 func (c *cluster) wipe(at ids.Address) {
 	c.stop(at)
 	delete(c.disks, at)
 }
 
+// step lets a store handle an event.
+func (c *cluster) step(at ids.Address, ev event.Event) {
+	c.perform(at, c.stores[at].Step(c.now, ev))
+}
+
+// perform carries out a store's commands. A sync is done at once.
 func (c *cluster) perform(at ids.Address, commands []event.Command) {
 	for _, command := range commands {
 		switch x := command.(type) {
 		case event.Send:
 			c.queue = append(c.queue, message{at, x.To, x.Msg})
 		case event.Sync:
-			for _, r := range x.Records {
-				c.disks[at].records[r.Key] = r.Value
-			}
+			c.disks[at].write(x.Records)
 			c.perform(at, x.After)
 			if c.stores[at] == nil {
 				return
 			}
-			c.perform(at, c.stores[at].Step(c.now, event.Synced{Batch: x.Batch}))
+			c.step(at, event.Synced{Batch: x.Batch})
 		case MayStop:
 			c.mayStopAt[at] = c.now
 		case event.LogEntry:
@@ -115,55 +122,56 @@
 	}
 }
 
-// client is where answers to the tests' own requests go.
-const clientAddress = ids.Address("10.0.0.99:1")
-
 // run lets time pass.
 func (c *cluster) run(d time.Duration) {
-	for end := c.now.Add(d); c.now < end; c.now = c.now.Add(20 * time.Millisecond) {
+	for end := c.now.Add(d); c.now < end; c.now = c.now.Add(tickInterval) {
 		for _, at := range slices.Sorted(maps.Keys(c.stores)) {
-			if c.stores[at] == nil {
-				continue
+			if c.stores[at] != nil {
+				c.step(at, event.Tick{})
 			}
-			c.perform(at, c.stores[at].Step(c.now, event.Tick{}))
 		}
-		for len(c.queue) > 0 {
-			m := c.queue[0]
-			c.queue = c.queue[1:]
-			if m.to == clientAddress {
-				if r, ok := m.msg.(consensus.Response); ok {
-					c.responses = append(c.responses, r)
-				}
-				continue
-			}
-			if c.messagesBeforeFault--; c.messagesBeforeFault == 0 {
-				c.fault()
-			}
-			if s := c.stores[m.to]; s != nil && (c.isCut == nil || !c.isCut(m.from, m.to)) {
-				c.perform(m.to, s.Step(c.now, event.Received{From: m.from, Msg: m.msg}))
+		c.deliverAll()
+	}
+}
+
+// deliverAll delivers the messages on their way, and those that follow from them.
+func (c *cluster) deliverAll() {
+	for len(c.queue) > 0 {
+		m := c.queue[0]
+		c.queue = c.queue[1:]
+		if m.to == clientAddress {
+			if r, ok := m.msg.(consensus.Response); ok {
+				c.responses = append(c.responses, r)
 			}
+			continue
+		}
+		if c.messagesBeforeFault--; c.messagesBeforeFault == 0 {
+			c.fault()
+		}
+		if c.stores[m.to] != nil && (c.isCut == nil || !c.isCut(m.from, m.to)) {
+			c.step(m.to, event.Received{From: m.from, Msg: m.msg})
 		}
 	}
 }
 
-// bootstrapCount counts how often a voter set was founded.
+// bootstrapCount counts how often a first voter set was formed.
 func (c *cluster) bootstrapCount() int {
 	n := 0
-	for _, l := range c.logged {
-		if l.Event == eventBootstrapCompleted || l.Event == eventTotalLossRecovered {
+	for _, entry := range c.logged {
+		if entry.Event == eventBootstrapCompleted || entry.Event == eventTotalLossRecovered {
 			n++
 		}
 	}
 	return n
 }
 
-// voterSet gives the voter set in force at a store.
+// voterSet returns the voter set in force at a store.
 func (c *cluster) voterSet(at ids.Address) consensus.VoterSet {
 	return c.stores[at].Acceptor.VoterSet()
 }
 
-func (c *cluster) startAll(bootstrap bool) {
-	for _, a := range seedAddresses {
-		c.start(a, seedAddresses, bootstrap)
-	}
+// canVote reports whether a store runs, has a vote and may use it.
+func (c *cluster) canVote(at ids.Address) bool {
+	s := c.stores[at]
+	return s != nil && s.MayVote() && s.DiskState() == consensus.Complete
 }
--- a/internal/controlplane/store/data_folder_test.go
+++ b/internal/controlplane/store/data_folder_test.go
@@ -14,8 +14,9 @@
 	"dunlinwell/internal/state/storage"
 )
 
-// openFirstFormatFolder opens a copy of a data folder that commit c308b67 wrote: three
-// stores, revision 5, services svc1 and svc3 made and svc2 removed.
+// openFirstFormatFolder opens a copy of a data folder that commit c308b67 wrote, in
+// format 1: a voter set of three stores, and the configuration's revision 5, in which
+// the services svc1 and svc3 were made and svc2 was removed.
 func openFirstFormatFolder(t *testing.T) *storage.Database {
 	t.Helper()
 	is := is.New(t)
@@ -25,12 +26,16 @@
 	is.NoErr(os.WriteFile(filepath.Join(folder, "stockroom.db"), raw, 0o600))
 	database, err := storage.Open(folder)
 	is.NoErr(err)
-	t.Cleanup(func() { _ = database.Close() })
+	t.Cleanup(func() {
+		if err := database.Close(); err != nil {
+			t.Error(err)
+		}
+	})
 	return database
 }
 
-// A store takes up a data folder of before the renaming: its id, the voter set
-// and the configuration are all there.
+// A store continues from a data folder of the first format: its id, the voter set and
+// the configuration are all there.
 func TestNew_ReadsDataFolderOfFirstFormat(t *testing.T) {
 	is := is.New(t)
 	database := openFirstFormatFolder(t)
--- /dev/null
+++ b/internal/controlplane/store/voter_test.go
@@ -0,0 +1,71 @@
+package store
+
+import (
+	"math/rand/v2"
+	"time"
+
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/state/consensus"
+)
+
+const (
+	// unknownAddress is one where no store is known.
+	unknownAddress = ids.Address("10.9.9.9:1")
+	// testTime is the time of all steps of a voter that is tested alone.
+	testTime = ids.Time(time.Second)
+)
+
+// threeVoters is a voter set that was changed three times.
+var threeVoters = consensus.VoterSet{Number: 4, Voters: []consensus.Voter{
+	{ID: 1, Address: "10.0.0.1:1"}, {ID: 2, Address: "10.0.0.2:1"}, {ID: 3, Address: "10.0.0.3:1"},
+}}
+
+// newVoter returns a store that is one of threeVoters, and its disk.
+func newVoter() (*Store, memoryStorage) {
+	disk := memoryStorage{}
+	s := New(Options{
+		Options: membership.Options{Self: membership.Member{ID: "store-1", Address: "10.0.0.1:1", RunID: 5, Incarnation: 1}},
+		StoreID: 1, RunNumber: 3, Storage: disk, Random: rand.New(rand.NewPCG(1, 1)), Replicas: 3,
+	})
+	s.AdoptVoterSet(threeVoters)
+	s.MarkComplete()
+	performCommands(s, disk, s.Step(testTime, event.Tick{}))
+	return s, disk
+}
+
+// performCommands carries out a store's commands, and those that follow from them. It
+// returns which messages were sent, and which of the received ones discarded.
+func performCommands(s *Store, disk memoryStorage, commands []event.Command) (sent []event.Send, discarded []event.Discarded) {
+	for len(commands) > 0 {
+		c := commands[0]
+		commands = commands[1:]
+		switch c := c.(type) {
+		case event.Sync:
+			disk.write(c.Records)
+			commands = append(append(commands, c.After...), s.Step(testTime, event.Synced{Batch: c.Batch})...)
+		case event.Send:
+			sent = append(sent, c)
+		case event.Discarded:
+			discarded = append(discarded, c)
+		}
+	}
+	return sent, discarded
+}
+
+// deliver gives a store a message, and performs what follows.
+func deliver(s *Store, disk memoryStorage, from ids.Address, msg any) ([]event.Send, []event.Discarded) {
+	return performCommands(s, disk, s.Step(testTime, event.Received{From: from, Msg: msg}))
+}
+
+// persistedRecords copies what is on a disk, but for the saved membership list.
+func persistedRecords(disk memoryStorage) map[ids.RegisterKey]string {
+	records := map[ids.RegisterKey]string{}
+	for k, v := range disk {
+		if k != memberCacheKey {
+			records[k] = string(v)
+		}
+	}
+	return records
+}
