--- a/internal/controlplane/store/bootstrap.go
+++ b/internal/controlplane/store/bootstrap.go
@@ -68,7 +68,7 @@
 // logWaitReason logs why there is no proposal, once for each new reason.
 func (s *Store) logWaitReason(reason string) {
 	if reason != "" && reason != s.bootstrap.waitReason {
-		s.Log(event.LevelInfo, eventBootstrapWaiting, "reason", reason)
+		s.Log(event.LevelInfo, logBootstrapWaiting, "reason", reason)
 	}
 	s.bootstrap.waitReason = reason
 }
@@ -76,23 +76,17 @@
 // prepareProposal makes or keeps a proposal of all seeds, or returns why there can
 // be none.
 func (s *Store) prepareProposal(now ids.Time) string {
-	switch {
-	case !s.bootstrap.allowed:
-		return "bootstrap not permitted on this disk: waiting to join a voter set"
-	case s.bootstrap.record.ExistingCluster != "":
-		return s.bootstrap.record.ExistingCluster
-	case len(s.seeds) == 0 || s.Self.Address != slices.Min(s.seeds):
-		return "the seed with the lowest address proposes"
+	if reason := s.reasonNotToPropose(); reason != "" {
+		return reason
 	}
 	initial := consensus.VoterSet{Number: 1}
 	for _, address := range s.seeds {
-		hello, ok := s.hellos[address]
-		// A hello of exactly helloLifetime still counts here, other than in isRecent.
-		if !ok || now.Sub(hello.receivedAt) > helloLifetime || !hello.Blank {
+		store, ok := s.blankStoreAt(now, address)
+		if !ok {
 			s.bootstrap.proposal = consensus.BootstrapRequest{}
 			return "no recent hello of a blank store at " + string(address)
 		}
-		initial.Voters = append(initial.Voters, hello.Store)
+		initial.Voters = append(initial.Voters, store)
 	}
 	if s.bootstrap.proposal.Round == 0 || !s.bootstrap.proposal.VoterSet.SameVoters(initial) {
 		s.beginProposal(now, s.bootstrap.record.Round+1, initial)
@@ -100,6 +94,31 @@
 	return ""
 }
 
+// reasonNotToPropose returns why this store must not propose, whatever the others do;
+// empty if it may. Of the seeds only one proposes, so that proposals don't compete.
+func (s *Store) reasonNotToPropose() string {
+	switch {
+	case !s.bootstrap.allowed:
+		return "bootstrap not permitted on this disk: waiting to join a voter set"
+	case s.bootstrap.record.ExistingCluster != "":
+		return s.bootstrap.record.ExistingCluster
+	case len(s.seeds) == 0 || s.Self.Address != slices.Min(s.seeds):
+		return "the seed with the lowest address proposes"
+	}
+	return ""
+}
+
+// blankStoreAt returns the blank store that has sent a hello from an address of late;
+// false if there is none. A hello as old as helloLifetime counts, other than in
+// isRecent.
+func (s *Store) blankStoreAt(now ids.Time, address ids.Address) (consensus.Voter, bool) {
+	hello, ok := s.hellos[address]
+	if !ok || now.Sub(hello.receivedAt) > helloLifetime || !hello.Blank {
+		return consensus.Voter{}, false
+	}
+	return hello.Store, true
+}
+
 // beginProposal begins a proposal; promises to an earlier one don't count for it.
 func (s *Store) beginProposal(now ids.Time, round uint64, initial consensus.VoterSet) {
 	s.bootstrap.proposal = consensus.BootstrapRequest{Round: round, VoterSet: initial}
@@ -122,7 +141,7 @@
 	}
 	message := consensus.Bootstrap{VoterSet: proposal.VoterSet, Round: proposal.Round}
 	s.applyBootstrap(message)
-	s.Log(event.LevelInfo, eventBootstrapCompleted, "voter_set", formatUint(proposal.VoterSet.Number))
+	s.Log(event.LevelInfo, logBootstrapCompleted, "voter_set", formatUint(proposal.VoterSet.Number))
 	for _, v := range proposal.VoterSet.Voters {
 		if v.ID != s.StoreID() {
 			s.Send(v.Address, message)
@@ -142,7 +161,7 @@
 		s.bootstrap.promised[m.Store] = true
 		return
 	}
-	s.Log(event.LevelInfo, eventBootstrapRejected, "store", formatUint(m.Store), "reason", m.Rejection)
+	s.Log(event.LevelInfo, logBootstrapRejected, "store", formatUint(m.Store), "reason", m.Rejection)
 	if m.PromisedRound >= proposal.Round {
 		s.beginProposal(now, m.PromisedRound+1, proposal.VoterSet)
 	}
--- a/internal/controlplane/store/bootstrap_promise.go
+++ b/internal/controlplane/store/bootstrap_promise.go
@@ -10,6 +10,21 @@
 	"dunlinwell/internal/state/consensus"
 )
 
+// The reasons for which a seed takes no part in a proposal. They go over the wire: their
+// texts stay as they were first released.
+const (
+	rejectionNotPermitted = "no first start"
+	rejectionOtherSeeds   = "other seeds"
+	rejectionOtherDisk    = "another disk"
+)
+
+// The signs of an existing cluster. They are stored and go over the wire, after the name
+// of the member that gave them.
+const (
+	signAcceptedConfiguration = "holds an accepted policy"
+	signEarlierVote           = "has a vote in an earlier core"
+)
+
 // handleBootstrapRequest answers a proposal of the first voter set. A promise leaves
 // only after it is on the disk.
 func (s *Store) handleBootstrapRequest(from ids.Address, request consensus.BootstrapRequest) {
@@ -33,7 +48,7 @@
 }
 
 // bootstrapRejection returns why this store takes no part in a proposal at all; empty
-// if it may. The texts go over the wire.
+// if it may.
 func (s *Store) bootstrapRejection(request consensus.BootstrapRequest) string {
 	var addresses []ids.Address
 	for _, v := range request.VoterSet.Voters {
@@ -42,13 +57,13 @@
 	slices.Sort(addresses)
 	switch {
 	case !s.bootstrap.allowed:
-		return "no first start"
+		return rejectionNotPermitted
 	case s.bootstrap.record.ExistingCluster != "":
 		return s.bootstrap.record.ExistingCluster
 	case !slices.Equal(addresses, slices.Sorted(slices.Values(s.seeds))):
-		return "other seeds"
+		return rejectionOtherSeeds
 	case !request.VoterSet.HasVoter(s.StoreID()):
-		return "another disk"
+		return rejectionOtherDisk
 	}
 	return ""
 }
@@ -56,7 +71,7 @@
 // recordExistingCluster looks for signs of an existing cluster and keeps one on the
 // disk: a member that holds an accepted configuration, or a store with a vote in
 // a voter set that this store has not promised. A disk with such a record never
-// bootstraps. The text is stored and goes over the wire.
+// bootstraps.
 func (s *Store) recordExistingCluster() {
 	if s.bootstrap.record.ExistingCluster != "" {
 		return
@@ -66,9 +81,9 @@
 		switch {
 		case m.ID == s.Self.ID:
 		case m.Revision > 0:
-			sign = fmt.Sprintf("%s holds an accepted policy", m.ID)
+			sign = fmt.Sprintf("%s %s", m.ID, signAcceptedConfiguration)
 		case m.Role == membership.Store && m.Ready && !s.bootstrap.record.IncludesStore(m.Store):
-			sign = fmt.Sprintf("%s has a vote in an earlier core", m.ID)
+			sign = fmt.Sprintf("%s %s", m.ID, signEarlierVote)
 		}
 	}
 	if sign != "" {
--- a/internal/controlplane/store/bootstrap_test.go
+++ b/internal/controlplane/store/bootstrap_test.go
@@ -86,7 +86,7 @@
 	c.run(time.Minute)
 	is.Equal(c.bootstrapCount(), 0)
 	is.True(slices.ContainsFunc(c.logged, func(entry event.LogEntry) bool {
-		return entry.Event == eventBootstrapRejected || entry.Event == eventBootstrapWaiting
+		return entry.Event == logBootstrapRejected || entry.Event == logBootstrapWaiting
 	}))
 	// The sign is kept on the disk: the proxy needn't be there at the next start.
 	for _, address := range seedAddresses {
--- a/internal/controlplane/store/cluster_test.go
+++ b/internal/controlplane/store/cluster_test.go
@@ -158,7 +158,7 @@
 func (c *cluster) bootstrapCount() int {
 	n := 0
 	for _, entry := range c.logged {
-		if entry.Event == eventBootstrapCompleted || entry.Event == eventTotalLossRecovered {
+		if entry.Event == logBootstrapCompleted || entry.Event == logTotalLossRecovered {
 			n++
 		}
 	}
--- a/internal/controlplane/store/departure.go
+++ b/internal/controlplane/store/departure.go
@@ -51,12 +51,12 @@
 	}
 	reason := s.stayReason(now)
 	if reason != d.stayReason && reason != "" {
-		s.Log(event.LevelInfo, eventDepartureWaiting, "reason", reason)
+		s.Log(event.LevelInfo, logDepartureWaiting, "reason", reason)
 	}
 	d.stayReason = reason
 	if reason == "" || now >= d.deadline {
 		d.ended = true
-		s.Log(event.LevelInfo, eventDepartureEnded, "needed_for", reason)
+		s.Log(event.LevelInfo, logDepartureEnded, "needed_for", reason)
 		s.Emit(MayStop{})
 		return
 	}
--- a/internal/controlplane/store/disk_monitor.go
+++ b/internal/controlplane/store/disk_monitor.go
@@ -52,9 +52,9 @@
 	stalled := s.disk.isOverdue(now)
 	switch {
 	case stalled && !s.disk.stalled:
-		s.Log(event.LevelWarn, eventDiskStalled)
+		s.Log(event.LevelWarn, logDiskStalled)
 	case !stalled && s.disk.stalled:
-		s.Log(event.LevelWarn, eventDiskRecovered)
+		s.Log(event.LevelWarn, logDiskRecovered)
 	}
 	s.disk.stalled = stalled
 }
--- a/internal/controlplane/store/hello.go
+++ b/internal/controlplane/store/hello.go
@@ -10,8 +10,8 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// helloLifetime is how long a hello counts as a sign that its store is there. They
-// come every voterManagementInterval, so that three may be lost in a row.
+// helloLifetime is how long a hello counts as a sign that its store is there: four times
+// the interval at which they are sent (voterManagementInterval), as some may be lost.
 const helloLifetime = 2 * time.Second
 
 // receivedHello is a store's last hello, and when it came.
--- a/internal/controlplane/store/learner.go
+++ b/internal/controlplane/store/learner.go
@@ -176,6 +176,6 @@
 	}
 	s.MarkComplete()
 	duration := now.Sub(s.learner.startedAt)
-	s.Log(event.LevelInfo, eventCopyCompleted, "voter_set", formatUint(voterSet.Number), "duration_ms", formatUint(uint64(duration.Milliseconds())))
+	s.Log(event.LevelInfo, logCopyCompleted, "voter_set", formatUint(voterSet.Number), "duration_ms", formatUint(uint64(duration.Milliseconds())))
 	s.reportCopyComplete(voterSet)
 }
--- /dev/null
+++ b/internal/controlplane/store/log.go
@@ -0,0 +1,33 @@
+package store
+
+import "dunlinwell/internal/base/event"
+
+// The log events of a store.
+const (
+	// logDiskStalled and logDiskRecovered: syncs take longer than diskStallTimeout,
+	// and no longer do.
+	logDiskStalled   event.LogEvent = "disk_stalled"
+	logDiskRecovered event.LogEvent = "disk_recovered"
+	// logVoterSetAdopted: this store has adopted a newer voter set.
+	logVoterSetAdopted event.LogEvent = "voter_set_adopted"
+	// logBootstrapWaiting: this blank store proposes no first voter set, and why.
+	logBootstrapWaiting event.LogEvent = "bootstrap_waiting"
+	// logBootstrapRejected: a seed has rejected this store's proposal.
+	logBootstrapRejected event.LogEvent = "bootstrap_rejected"
+	// logBootstrapCompleted: this store has formed the first voter set.
+	logBootstrapCompleted event.LogEvent = "bootstrap_completed"
+	// logCopyCompleted: this store has copied all registers and may vote.
+	logCopyCompleted event.LogEvent = "copy_completed"
+	// logDepartureWaiting: this store is to end, and is still needed.
+	logDepartureWaiting event.LogEvent = "departure_waiting"
+	// logDepartureEnded: this store's process may end.
+	logDepartureEnded event.LogEvent = "departure_ended"
+	// logRecoveryRejected and logRecoveryStarted answer an operator's request.
+	logRecoveryRejected event.LogEvent = "recovery_rejected"
+	logRecoveryStarted  event.LogEvent = "recovery_started"
+	// logConfigurationRestored: a recovery has taken over a proxy's newer
+	// configuration.
+	logConfigurationRestored event.LogEvent = "configuration_restored"
+	// logTotalLossRecovered: a recovery has formed a new first voter set.
+	logTotalLossRecovered event.LogEvent = "total_loss_recovered"
+)
--- a/internal/controlplane/store/receive.go
+++ b/internal/controlplane/store/receive.go
@@ -1,11 +1,8 @@
 package store
 
 import (
-	"time"
-
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/state/consensus"
-	"dunlinwell/internal/transport/wire"
 )
 
 // receive hands a message to whatever handles its type, or discards it.
@@ -74,33 +71,3 @@
 	}
 	s.Submit(now, from, m)
 }
-
-// voterSetRequestTimeout is how long a request of this store on the voter set may
-// take. Every round of management makes a new one, so that a lost one is no loss.
-const voterSetRequestTimeout = 2 * time.Second
-
-// submitVoterSetRequest asks this very store to read or change the voter set's
-// register; handleOwnResponse receives the answer. A nil argument is none.
-func (s *Store) submitVoterSetRequest(op consensus.Op, argument any) {
-	var raw []byte
-	if argument != nil {
-		// Only messages registered with the wire format come here; if one couldn't be
-		// encoded, the empty argument would leave the voter set as it is.
-		raw, _ = wire.Encode(argument)
-	}
-	s.lastRequestID++
-	s.Submit(s.now, s.Self.Address, consensus.Request{
-		ID: s.lastRequestID, Key: consensus.VoterSetKey, Op: op, Arg: raw,
-		TimeoutMillis: uint32(voterSetRequestTimeout.Milliseconds()),
-	})
-}
-
-// handleOwnResponse adopts the voter set that a majority has agreed on.
-func (s *Store) handleOwnResponse(now ids.Time, m consensus.Response) {
-	voterSet, ok := consensus.DecodeVoterSet(m.Result)
-	if !ok || m.Outcome != consensus.Succeeded {
-		return
-	}
-	s.lastQuorumReadAt = now
-	s.adoptVoterSet(now, voterSet)
-}
--- a/internal/controlplane/store/recovery.go
+++ b/internal/controlplane/store/recovery.go
@@ -46,16 +46,25 @@
 	recoveryStores = 2
 )
 
+// The reasons for which a recovery is rejected. The operator sees them, and documents
+// name them.
+const (
+	rejectionNoVote           = "this store has no seat in the roster: it holds nothing to go on from"
+	rejectionQuorumReached    = "a majority of the roster is still there"
+	rejectionTooFewStores     = "two blank stores must be running first"
+	rejectionTooFewOtherBlank = "two other blank stores must be running first"
+)
+
 // handleRecoverRequest answers the operator, and if the recovery is accepted asks the
 // proxies for the configuration that they hold.
 func (s *Store) handleRecoverRequest(now ids.Time, request RecoverRequest) {
 	reason := s.recoveryRejection(now)
 	s.Emit(RecoverResponse{ID: request.ID, Rejection: reason})
 	if reason != "" {
-		s.Log(event.LevelWarn, eventRecoveryRejected, "reason", reason)
+		s.Log(event.LevelWarn, logRecoveryRejected, "reason", reason)
 		return
 	}
-	s.Log(event.LevelWarn, eventRecoveryStarted)
+	s.Log(event.LevelWarn, logRecoveryStarted)
 	s.recovery = recoveryState{dueAt: now.Add(configurationCollectTime)}
 	for _, m := range s.Live(membership.Proxy) {
 		s.Send(m.Address, consensus.ConfigurationQuery{})
@@ -63,20 +72,20 @@
 }
 
 // recoveryRejection returns why there can be no recovery from this store; empty if
-// there can be one. The texts are shown to the operator.
+// there can be one.
 func (s *Store) recoveryRejection(now ids.Time) string {
 	voterSet := s.Acceptor.VoterSet()
 	switch {
 	case voterSet.Number == 0:
 		return s.totalLossRejection(now)
 	case !voterSet.HasVoter(s.StoreID()):
-		return "this store has no seat in the roster: it holds nothing to go on from"
+		return rejectionNoVote
 	// The membership list can't tell: it takes a majority to declare a member dead.
 	// What counts is whether this store's own reads still reach one.
 	case s.lastQuorumReadAt != 0 && now.Sub(s.lastQuorumReadAt) < quorumLossTimeout && len(voterSet.Voters) > 1:
-		return "a majority of the roster is still there"
+		return rejectionQuorumReached
 	case len(s.storesWithoutVote(now)) < recoveryStores:
-		return "two blank stores must be running first"
+		return rejectionTooFewStores
 	}
 	return ""
 }
@@ -137,6 +146,6 @@
 	_ = json.Unmarshal(s.LocalValue(configuration.Key), &own)
 	if json.Unmarshal(s.recovery.configuration.Configuration, &surviving) == nil && surviving.Revision > own.Revision {
 		s.ForceValue(configuration.Key, s.recovery.configuration.Configuration)
-		s.Log(event.LevelInfo, eventConfigurationRestored, "revision", formatUint(uint64(surviving.Revision)))
+		s.Log(event.LevelInfo, logConfigurationRestored, "revision", formatUint(uint64(surviving.Revision)))
 	}
 }
--- a/internal/controlplane/store/total_loss_recovery.go
+++ b/internal/controlplane/store/total_loss_recovery.go
@@ -10,10 +10,10 @@
 )
 
 // totalLossRejection returns why a blank store can't recover after every disk was
-// lost; empty if it can. The text is shown to the operator.
+// lost; empty if it can.
 func (s *Store) totalLossRejection(now ids.Time) string {
 	if len(s.otherBlankStores(now)) < recoveryStores {
-		return "two other blank stores must be running first"
+		return rejectionTooFewOtherBlank
 	}
 	return ""
 }
@@ -41,7 +41,7 @@
 	}
 	message := consensus.Bootstrap{VoterSet: initial, Configuration: s.recovery.configuration.Configuration}
 	s.applyBootstrap(message)
-	s.Log(event.LevelWarn, eventTotalLossRecovered, "voter_set", formatUint(initial.Number), "configuration", configuration.Describe(message.Configuration))
+	s.Log(event.LevelWarn, logTotalLossRecovered, "voter_set", formatUint(initial.Number), "configuration", configuration.Describe(message.Configuration))
 	for _, v := range others {
 		s.Send(v.Address, message)
 	}
--- a/internal/controlplane/store/voter_set.go
+++ b/internal/controlplane/store/voter_set.go
@@ -9,6 +9,7 @@
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/controlplane/membership"
 	"dunlinwell/internal/state/consensus"
+	"dunlinwell/internal/transport/wire"
 )
 
 // voterManager is what a store keeps beside the registers to manage the voter set
@@ -81,6 +82,36 @@
 	return voterManagementInterval
 }
 
+// voterSetRequestTimeout is how long a request of this store on the voter set may
+// take. Every round of management makes a new one, so that a lost one is no loss.
+const voterSetRequestTimeout = 2 * time.Second
+
+// submitVoterSetRequest asks this very store to read or change the voter set's
+// register; handleOwnResponse receives the answer. A nil argument is none.
+func (s *Store) submitVoterSetRequest(op consensus.Op, argument any) {
+	var raw []byte
+	if argument != nil {
+		// Only messages registered with the wire format come here; if one couldn't be
+		// encoded, the empty argument would leave the voter set as it is.
+		raw, _ = wire.Encode(argument)
+	}
+	s.lastRequestID++
+	s.Submit(s.now, s.Self.Address, consensus.Request{
+		ID: s.lastRequestID, Key: consensus.VoterSetKey, Op: op, Arg: raw,
+		TimeoutMillis: uint32(voterSetRequestTimeout.Milliseconds()),
+	})
+}
+
+// handleOwnResponse adopts the voter set that a majority has agreed on.
+func (s *Store) handleOwnResponse(now ids.Time, m consensus.Response) {
+	voterSet, ok := consensus.DecodeVoterSet(m.Result)
+	if !ok || m.Outcome != consensus.Succeeded {
+		return
+	}
+	s.lastQuorumReadAt = now
+	s.adoptVoterSet(now, voterSet)
+}
+
 // selfVoter returns this store as a voter.
 func (s *Store) selfVoter() consensus.Voter {
 	return consensus.Voter{ID: s.StoreID(), Address: s.Self.Address}
@@ -99,7 +130,7 @@
 		return
 	}
 	s.RestartRounds(now)
-	s.Log(event.LevelInfo, eventVoterSetAdopted,
+	s.Log(event.LevelInfo, logVoterSetAdopted,
 		"number", formatUint(voterSet.Number),
 		"voters", strconv.Itoa(len(voterSet.Voters)),
 		"incoming", strconv.Itoa(len(voterSet.Incoming)))
