--- a/internal/controlplane/store/cluster_test.go
+++ b/internal/controlplane/store/cluster_test.go
@@ -49,6 +49,8 @@
 	logged []event.LogEntry
 	// mayStopAt is when each store emitted MayStop.
 	mayStopAt map[ids.Address]ids.Time
+	// retired are the stores that emitted Retire.
+	retired map[ids.Address]bool
 	// messagesBeforeFault, if above 0, is how many messages are delivered before fault
 	// is called.
 	messagesBeforeFault int
@@ -57,7 +59,11 @@
 }
 
 func newCluster() *cluster {
-	return &cluster{now: ids.Time(time.Second), mayStopAt: map[ids.Address]ids.Time{}, stores: map[ids.Address]*Store{}, disks: map[ids.Address]*testDisk{}}
+	return &cluster{
+		now:    ids.Time(time.Second),
+		stores: map[ids.Address]*Store{}, disks: map[ids.Address]*testDisk{},
+		mayStopAt: map[ids.Address]ids.Time{}, retired: map[ids.Address]bool{},
+	}
 }
 
 // start starts a store on the disk of its address, which is blank at first.
@@ -116,6 +122,8 @@
 			c.step(at, event.Synced{Batch: x.Batch})
 		case MayStop:
 			c.mayStopAt[at] = c.now
+		case Retire:
+			c.retired[at] = true
 		case event.LogEntry:
 			c.logged = append(c.logged, x)
 		}
--- a/internal/controlplane/store/recovery_test.go
+++ b/internal/controlplane/store/recovery_test.go
@@ -6,9 +6,54 @@
 
 	"github.com/matryer/is"
 
+	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/state/consensus"
 )
 
+// requestRecovery makes an operator's request at a store, and returns why it was
+// rejected; empty if it wasn't.
+func (c *cluster) requestRecovery(at ids.Address) string {
+	rejection := "no response"
+	commands := c.stores[at].Step(c.now, RecoverRequest{ID: 1})
+	for _, command := range commands {
+		if r, ok := command.(RecoverResponse); ok {
+			rejection = r.Rejection
+		}
+	}
+	c.perform(at, commands)
+	return rejection
+}
+
+// Two of three disks are lost for good. The third store continues with two blank ones
+// once an operator asks for it, and not before both are there.
+func TestRecovery_FromOneDiskOnOperatorRequest(t *testing.T) {
+	is := is.New(t)
+	c := newRunningCluster(t)
+	survivor := seedAddresses[0]
+	c.put(t, survivor, "last", "word")
+	number := c.voterSet(survivor).Number
+	is.Equal(c.requestRecovery(survivor), "a majority of the roster is still there")
+	for _, address := range seedAddresses[1:] {
+		c.wipe(address)
+	}
+	c.run(5 * time.Second)
+	is.Equal(c.requestRecovery(survivor), "two blank stores must be running first")
+	for _, address := range []ids.Address{standbyA, standbyB} {
+		c.start(address, seedAddresses, false)
+	}
+	c.run(2 * time.Second)
+	is.Equal(c.requestRecovery(standbyA), "this store has no seat in the roster: it holds nothing to go on from")
+	is.Equal(c.requestRecovery(survivor), "")
+	c.run(10 * time.Second)
+	for _, address := range []ids.Address{survivor, standbyA, standbyB} {
+		is.True(c.canVote(address))
+		is.True(c.voterSet(address).Number > number+recoveryNumberStep)
+		is.Equal(c.voterSet(address).LossCount, uint64(1))
+	}
+	c.wipe(survivor)
+	c.requireValue(t, standbyA, "last", "word")
+}
+
 // Every disk is lost. The blank stores form no voter set by themselves; an operator's
 // request at one of the three forms one whose number is above any of the lost one.
 func TestRecovery_AfterTotalLossOnOperatorRequest(t *testing.T) {
@@ -22,14 +67,7 @@
 	}
 	c.run(30 * time.Second)
 	is.Equal(c.bootstrapCount(), 1)
-	first := seedAddresses[0]
-	var rejection string
-	for _, command := range c.stores[first].Step(c.now, RecoverRequest{ID: 1}) {
-		if r, ok := command.(RecoverResponse); ok {
-			rejection = r.Rejection
-		}
-	}
-	is.Equal(rejection, "")
+	is.Equal(c.requestRecovery(seedAddresses[0]), "")
 	c.run(5 * time.Second)
 	is.Equal(c.bootstrapCount(), 2)
 	for _, address := range seedAddresses {
