--- a/internal/state/storage/bench_test.go
+++ b/internal/state/storage/bench_test.go
@@ -12,18 +12,14 @@
 func BenchmarkWrite(b *testing.B) {
 	for _, n := range []int{1, 16} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			s, err := Open(b.TempDir())
-			if err != nil {
-				b.Fatal(err)
-			}
-			closeAtEnd(b, s)
+			database := openForTest(b, b.TempDir())
 			value := make([]byte, 300)
 			for i := range b.N {
 				var records []event.Record
 				for k := range n {
 					records = append(records, event.Record{Key: ids.RegisterKey(fmt.Sprintf("item/mark/r/%d-%d", i, k)), Value: value})
 				}
-				if err := s.Write(records); err != nil {
+				if err := database.Write(records); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/state/storage/database_test.go
+++ b/internal/state/storage/database_test.go
@@ -8,7 +8,6 @@
 	"path/filepath"
 	"strings"
 	"testing"
-	"time"
 
 	"github.com/matryer/is"
 
@@ -16,7 +15,7 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// closeAtEnd closes a database at the end of the test.
+// closeAtEnd closes a database at the end of a test or benchmark.
 func closeAtEnd(t testing.TB, database *Database) {
 	t.Helper()
 	t.Cleanup(func() {
@@ -26,33 +25,40 @@
 	})
 }
 
+// openForTest opens a data folder until the end of the test.
+func openForTest(t testing.TB, dir string) *Database {
+	t.Helper()
+	database, err := Open(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	closeAtEnd(t, database)
+	return database
+}
+
 func TestDatabase_RecordsSurviveReopening(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
-	s, err := Open(dir)
+	database, err := Open(dir)
 	is.NoErr(err)
-	is.NoErr(s.Write([]event.Record{{Key: "item/a", Value: []byte("1")}, {Key: "item/b", Value: []byte("2")}, {Key: "meta/x", Value: []byte("3")}}))
+	is.NoErr(database.Write([]event.Record{{Key: "item/a", Value: []byte("1")}, {Key: "item/b", Value: []byte("2")}, {Key: "meta/x", Value: []byte("3")}}))
 	// Another process may not hold the same folder.
 	_, err = Open(dir)
 	is.True(err != nil && strings.Contains(err.Error(), "another process holds it"))
 	is.True(errors.Is(err, ErrLocked))
-	store := s.StoreID
-	is.NoErr(s.Close())
-	s, err = Open(dir)
-	is.NoErr(err)
-	closeAtEnd(t, s)
-	is.Equal(s.StoreID, store)
-	is.Equal(s.RunNumber, uint64(2))
-	raw, ok := s.Get("item/a")
+	store := database.StoreID
+	is.NoErr(database.Close())
+	database = openForTest(t, dir)
+	is.Equal(database.StoreID, store)
+	is.Equal(database.RunNumber, uint64(2))
+	raw, ok := database.Get("item/a")
 	is.True(ok && string(raw) == "1")
-	records := s.Scan("item/", 10)
+	records := database.Scan("item/", 10)
 	is.Equal(len(records), 2) // registers alone, in order
 	is.Equal(string(records[1].Value), "2")
-	is.Equal(len(s.Scan("item/a", 10)), 1)
+	is.Equal(len(database.Scan("item/a", 10)), 1)
 	// A blank folder gets another store id.
-	other, err := Open(t.TempDir())
-	is.NoErr(err)
-	closeAtEnd(t, other)
+	other := openForTest(t, t.TempDir())
 	is.True(other.StoreID != store)
 }
 
@@ -79,10 +85,10 @@
 func TestOpen_DamagedDatabaseIsSetAside(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
-	s, err := Open(dir)
+	database, err := Open(dir)
 	is.NoErr(err)
-	store := s.StoreID
-	is.NoErr(s.Close())
+	store := database.StoreID
+	is.NoErr(database.Close())
 	path := filepath.Join(dir, "stockroom.db")
 	raw, err := os.ReadFile(path)
 	is.NoErr(err)
@@ -90,11 +96,9 @@
 		raw[i] = 0xa5
 	}
 	is.NoErr(os.WriteFile(path, raw, 0o644))
-	s, err = Open(dir)
-	is.NoErr(err)
-	closeAtEnd(t, s)
-	is.True(s.StoreID != store)
-	kept, err := os.ReadFile(s.SetAsidePath)
+	database = openForTest(t, dir)
+	is.True(database.StoreID != store)
+	kept, err := os.ReadFile(database.SetAsidePath)
 	is.NoErr(err)
 	is.Equal(kept, raw)
 }
@@ -103,27 +107,25 @@
 func TestOpen_DamagedPageIsAnIntegrityError(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
-	s, err := Open(dir)
+	database, err := Open(dir)
 	is.NoErr(err)
 	var records []event.Record
 	for i := range 2000 {
 		records = append(records, event.Record{Key: ids.RegisterKey(fmt.Sprintf("item/%04d", i)), Value: make([]byte, 100)})
 	}
-	is.NoErr(s.Write(records))
-	is.NoErr(s.Close())
+	is.NoErr(database.Write(records))
+	is.NoErr(database.Close())
 	path := filepath.Join(dir, databaseFile)
 	raw, err := os.ReadFile(path)
 	is.NoErr(err)
 	const pageSize = 4096
 	copy(raw[10*pageSize:11*pageSize], make([]byte, pageSize))
 	is.NoErr(os.WriteFile(path, raw, 0o644))
-	s, err = Open(dir)
-	is.NoErr(err)
-	closeAtEnd(t, s)
+	database = openForTest(t, dir)
 	var damage *IntegrityError
-	is.True(errors.As(s.DamageCause, &damage))
-	is.Equal(s.DamageCause.Error(), "read database (peer "+path+"): check database: "+damage.Report)
-	_, ok := s.Get("item/0000")
+	is.True(errors.As(database.DamageCause, &damage))
+	is.Equal(database.DamageCause.Error(), "read database (peer "+path+"): check database: "+damage.Report)
+	_, ok := database.Get("item/0000")
 	is.True(!ok)
 }
 
@@ -137,75 +139,41 @@
 		}
 		return nil
 	}
-	s, err := OpenChecked(dir, check)
-	is.NoErr(err)
-	is.Equal(s.SetAsidePath, "")
-	store := s.StoreID
-	is.NoErr(s.Write([]event.Record{{Key: "item/policy", Value: []byte("damaged")}}))
-	is.NoErr(s.Close())
-	s, err = OpenChecked(dir, check)
-	is.NoErr(err)
-	closeAtEnd(t, s)
-	is.True(s.StoreID != store)
-	is.Equal(s.DamageCause.Error(), "it is damaged")
-	_, ok := s.Get("item/policy")
+	database, err := OpenChecked(dir, check)
+	is.NoErr(err)
+	is.Equal(database.SetAsidePath, "")
+	store := database.StoreID
+	is.NoErr(database.Write([]event.Record{{Key: "item/policy", Value: []byte("damaged")}}))
+	is.NoErr(database.Close())
+	database, err = OpenChecked(dir, check)
+	is.NoErr(err)
+	closeAtEnd(t, database)
+	is.True(database.StoreID != store)
+	is.Equal(database.DamageCause.Error(), "it is damaged")
+	_, ok := database.Get("item/policy")
 	is.True(!ok)
-	_, err = os.Stat(s.SetAsidePath)
+	_, err = os.Stat(database.SetAsidePath)
 	is.NoErr(err)
 }
 
-// Idempotency records age by uptime, and are deleted in batches of the given limit.
-func TestPrune_DeletesExpiredRecordsInBatches(t *testing.T) {
-	is := is.New(t)
-	s, err := Open(t.TempDir())
-	is.NoErr(err)
-	closeAtEnd(t, s)
-	is.NoErr(s.Write([]event.Record{{Key: "item/mark/r/1", Value: []byte("x")}, {Key: "item/mark/r/2", Value: []byte("x")}, {Key: "item/policy", Value: []byte("x")}}))
-	n, err := s.Prune(time.Hour, 10)
-	is.NoErr(err)
-	is.Equal(n, int64(0))
-	s.earlierUptimeMillis += 2 * time.Hour.Milliseconds()
-	n, err = s.Prune(time.Hour, 1)
-	is.NoErr(err)
-	is.Equal(n, int64(1))
-	n, err = s.Prune(time.Hour, 10)
-	is.NoErr(err)
-	is.Equal(n, int64(1))
-	_, ok := s.Get("item/policy")
-	is.True(ok) // configuration never ages
-}
-
-// In thirty hours of uptime with restarts, records younger than the retention of a
-// day are always there, and older ones are deleted.
-func TestPrune_KeepsYoungRecordsOverRestarts(t *testing.T) {
-	is := is.New(t)
-	const retention, step = 24 * time.Hour, 10 * time.Minute
-	dir, now := t.TempDir(), time.Duration(0)
-	clock := func() time.Duration { return now }
-	s, err := openWithClock(dir, clock, nil)
-	is.NoErr(err)
-	key := func(i int) ids.RegisterKey { return ids.RegisterKey(fmt.Sprintf("item/mark/r/%03d", i)) }
-	pruned := 0
-	for i := range 180 {
-		is.NoErr(s.Write([]event.Record{{Key: key(i), Value: []byte("claimed")}}))
-		is.NoErr(s.Write([]event.Record{{Key: key(i), Value: []byte("over")}}))
-		now += step
-		n, err := s.Prune(retention, 512)
-		is.NoErr(err)
-		pruned += int(n)
-		if i%17 == 0 {
-			// Another run, whose clock has another origin.
-			is.NoErr(s.Close())
-			now = time.Duration(i%3) * 1000 * time.Hour
-			s, err = openWithClock(dir, clock, nil)
+// A disk that can't be read is reported, and never passes for an empty one.
+func TestDatabase_ReadErrorIsReportedAndPanics(t *testing.T) {
+	for name, read := range map[string]func(*Database){
+		"get":  func(d *Database) { d.Get("item/a") },
+		"scan": func(d *Database) { d.Scan("item/", 10) },
+	} {
+		t.Run(name, func(t *testing.T) {
+			is := is.New(t)
+			database, err := Open(t.TempDir())
 			is.NoErr(err)
-		}
-		for k := range i + 1 {
-			if _, ok := s.Get(key(k)); !ok && time.Duration(i+1-k)*step < retention {
-				t.Fatalf("record %d is gone after %s", k, time.Duration(i+1-k)*step)
-			}
-		}
+			is.NoErr(database.Close()) // from here on every read fails
+			var reported error
+			database.OnReadError = func(err error) { reported = err }
+			defer func() {
+				is.True(recover() != nil)
+				is.True(reported != nil && strings.HasPrefix(reported.Error(), "read (peer disk): "))
+			}()
+			read(database)
+		})
 	}
-	is.True(pruned > 30) // the records of the first hours
-	is.NoErr(s.Close())
 }
--- /dev/null
+++ b/internal/state/storage/prune_test.go
@@ -0,0 +1,66 @@
+package storage
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+)
+
+// Idempotency records age by uptime, and are deleted in batches of the given limit.
+func TestPrune_DeletesExpiredRecordsInBatches(t *testing.T) {
+	is := is.New(t)
+	database := openForTest(t, t.TempDir())
+	is.NoErr(database.Write([]event.Record{{Key: "item/mark/r/1", Value: []byte("x")}, {Key: "item/mark/r/2", Value: []byte("x")}, {Key: "item/policy", Value: []byte("x")}}))
+	n, err := database.Prune(time.Hour, 10)
+	is.NoErr(err)
+	is.Equal(n, int64(0))
+	database.earlierUptimeMillis += 2 * time.Hour.Milliseconds()
+	n, err = database.Prune(time.Hour, 1)
+	is.NoErr(err)
+	is.Equal(n, int64(1))
+	n, err = database.Prune(time.Hour, 10)
+	is.NoErr(err)
+	is.Equal(n, int64(1))
+	_, ok := database.Get("item/policy")
+	is.True(ok) // configuration never ages
+}
+
+// In thirty hours of uptime with restarts, records younger than the retention of a
+// day are always there, and older ones are deleted.
+func TestPrune_KeepsYoungRecordsOverRestarts(t *testing.T) {
+	is := is.New(t)
+	const retention, step = 24 * time.Hour, 10 * time.Minute
+	dir, now := t.TempDir(), time.Duration(0)
+	clock := func() time.Duration { return now }
+	database, err := openWithClock(dir, clock, nil)
+	is.NoErr(err)
+	key := func(i int) ids.RegisterKey { return ids.RegisterKey(fmt.Sprintf("item/mark/r/%03d", i)) }
+	pruned := 0
+	for i := range 180 {
+		is.NoErr(database.Write([]event.Record{{Key: key(i), Value: []byte("claimed")}}))
+		is.NoErr(database.Write([]event.Record{{Key: key(i), Value: []byte("over")}}))
+		now += step
+		n, err := database.Prune(retention, 512)
+		is.NoErr(err)
+		pruned += int(n)
+		if i%17 == 0 {
+			// Another run, whose clock has another origin.
+			is.NoErr(database.Close())
+			now = time.Duration(i%3) * 1000 * time.Hour
+			database, err = openWithClock(dir, clock, nil)
+			is.NoErr(err)
+		}
+		for k := range i + 1 {
+			if _, ok := database.Get(key(k)); !ok && time.Duration(i+1-k)*step < retention {
+				t.Fatalf("record %d is gone after %database", k, time.Duration(i+1-k)*step)
+			}
+		}
+	}
+	is.True(pruned > 30) // the records of the first hours
+	is.NoErr(database.Close())
+}
