--- a/internal/state/idempotency/record.go
+++ b/internal/state/idempotency/record.go
@@ -1,5 +1,3 @@
-// Package till keeps unrepeatable requests to one run each. A mark is a
-// register: clear, claimed by one run of one proxy, or holding the outcome.
 package idempotency
 
 import (
@@ -7,35 +5,29 @@
 	"time"
 
 	"dunlinwell/internal/base/ids"
-	"dunlinwell/internal/state/consensus"
 	"dunlinwell/internal/transport/wire"
 )
 
-// The operations on a mark.
-const (
-	OpClaim consensus.Op = 20 + iota
-	OpBlock
-	OpRelease
-	OpComplete
-	OpNumberAttempt
-)
-
-// Retention is how long a mark's outcome is kept, in running time. A repeat after
-// that is a new request; clients are told so with each answer.
+// Retention is how long a record is kept, in the running time of the stores. A
+// request that is repeated later is a new one; each response tells clients so.
 const Retention = 24 * time.Hour
 
-// RegisterKey names a mark's register. Marks are kept apart by route.
-func RegisterKey(route ids.Name, m ids.IdempotencyKey) ids.RegisterKey {
-	return ids.RegisterKey("mark/" + string(route) + "/" + string(m))
+// RegisterKey names the register of an idempotency key. Keys are separate for each
+// route.
+func RegisterKey(route ids.Name, key ids.IdempotencyKey) ids.RegisterKey {
+	return ids.RegisterKey("mark/" + string(route) + "/" + string(key))
 }
 
-// State of a mark.
+// State is the state of a record.
 type State uint8
 
-// A mark that is Clear may carry a floor and the claims that were let go.
+// The states of a record, in their order.
 const (
+	// Unclaimed: no request holds the key. Earlier claims may have been released.
 	Unclaimed State = iota
+	// Claimed: one owner may have run the request.
 	Claimed
+	// Completed: the request ran, and the response is known.
 	Completed
 )
 
@@ -46,105 +38,47 @@
 	Request ids.RequestID
 }
 
-// Header is one line of a kept answer.
+// Header is one header field of a kept response.
 type Header struct{ Name, Value string }
 
-// Response is a target's sealed answer as it is kept and repeated.
+// Response is a target's response as it is kept and given to repeated requests.
 type Response struct {
 	Status uint16
 	Header []Header
 	Body   []byte
 	Digest string
-	// Cut: the body was too large to keep; that it ran is all that is known.
+	// BodyOmitted: the body was too large to keep or is lost. All that is known is
+	// that the request ran.
 	BodyOmitted bool
 }
 
-// Slip is a mark's register.
+// Record is the value of an idempotency key's register.
 type Record struct {
 	State   State
 	Owner   Owner
 	Attempt uint32
-	// Fingerprint sums up method, path and body, so that a mark can't be used for
-	// something else.
+	// Fingerprint is a hash of method, path and body, so that a key can't be used for
+	// another request.
 	Fingerprint []byte
-	// MinAttempt bars attempts below it: a later attempt was told that nothing ran.
-	MinAttempt     uint32
+	// MinAttempt is the lowest attempt that may still claim the key.
+	MinAttempt uint32
+	// ReleasedOwners are the last owners that released a claim, or were refused one for
+	// good; see maxReleasedOwners.
 	ReleasedOwners []Owner
 	Response       Response
-	// NumberedAttempts counts the attempts of a client that doesn't count itself.
+	// NumberedAttempts is the highest number given to an attempt whose client doesn't
+	// number its attempts.
 	NumberedAttempts uint32
 }
 
-// Operation is the argument of each operation.
-type Operation struct {
-	Owner       Owner
-	Attempt     uint32
-	Fingerprint []byte
-	Response    Response
-}
-
-// Verdict says what a request came to.
-type Verdict uint8
-
-// Yours: the claim stands for this owner. Running: another's claim stands.
-// Ended: there is an outcome. Barred: this attempt may never run. Unlike: the
-// mark belongs to another request. Free: nothing ran and nothing below will.
-const (
-	Granted Verdict = iota + 1
-	InProgress
-	AlreadyCompleted
-	AttemptBlocked
-	FingerprintMismatch
-	Released
-	// Lost: nothing is known of the mark, but marks were lost of late.
-	RecordLost
-)
-
-// Result is what an operation tells.
-type Result struct {
-	Verdict Verdict
-	Record  Record
-}
-
-var _ = wire.Register(60, Record{}) && wire.Register(61, Operation{}) && wire.Register(62, Result{})
-
+// maxReleasedOwners bounds Record.ReleasedOwners, so that a record stays small; the oldest
+// is dropped.
 const maxReleasedOwners = 16
 
-// Ops are the change functions of marks.
-func Ops() map[consensus.Op]consensus.ChangeFunc {
-	return map[consensus.Op]consensus.ChangeFunc{OpClaim: changeFunc(claim), OpBlock: changeFunc(block), OpRelease: changeFunc(release), OpComplete: changeFunc(complete), OpNumberAttempt: changeFunc(numberAttempt)}
-}
-
-// changeFunc opens the register and the request, and packs what comes of them.
-func changeFunc(f func(Record, Operation) (Record, Verdict)) consensus.ChangeFunc {
-	return func(_ ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
-		s, _ := decode[Record](old)
-		w, ok := decode[Operation](arg)
-		if !ok {
-			return old, nil
-		}
-		next, v := f(s, w)
-		told := next
-		if v == AlreadyCompleted && next.Owner == w.Owner {
-			// Its owner has the answer at hand.
-			told.Response = Response{}
-		}
-		out, err := wire.Encode(Result{Verdict: v, Record: told})
-		raw, fault := wire.Encode(next)
-		if err != nil || fault != nil {
-			return old, nil
-		}
-		return raw, out
-	}
-}
-
-func decode[T any](raw []byte) (T, bool) {
-	_, msg, err := wire.ReadBytes(raw)
-	t, ok := msg.(T)
-	return t, ok && err == nil
-}
+var _ = wire.Register(60, Record{}) && wire.Register(61, Operation{}) && wire.Register(62, Result{})
 
-// DecodeRecord reads a mark's register; an empty one is a clear mark.
+// DecodeRecord reads the value of a register, and reports whether it can be read. An
+// empty value is an unclaimed record.
 func DecodeRecord(raw []byte) (Record, bool) {
 	if len(raw) == 0 {
 		return Record{}, true
@@ -152,88 +86,26 @@
 	return decode[Record](raw)
 }
 
-// MayBeRetry tells whether a request may be a later attempt's.
-func MayBeRetry(arg []byte) bool {
-	w, ok := decode[Operation](arg)
-	return ok && w.Attempt != 1
-}
-
-// DecodeResult reads what an operation told.
-func DecodeResult(raw []byte) (Result, bool) { return decode[Result](raw) }
-
-// verdictOfHeldKey answers for a mark that is not clear.
-func verdictOfHeldKey(s Record, w Operation) (Verdict, bool) {
-	switch {
-	case s.State != Unclaimed && !slices.Equal(s.Fingerprint, w.Fingerprint):
-		return FingerprintMismatch, true
-	case s.State == Completed:
-		return AlreadyCompleted, true
-	case s.State == Claimed && s.Owner == w.Owner:
-		return Granted, true
-	case s.State == Claimed:
-		return InProgress, true
-	}
-	return 0, false
-}
-
-func claim(s Record, w Operation) (Record, Verdict) {
-	if v, ok := verdictOfHeldKey(s, w); ok {
-		return s, v
-	}
-	// A claim that was let go must not rise again from a late message.
-	if w.Attempt < s.MinAttempt || slices.Contains(s.ReleasedOwners, w.Owner) {
-		return s, AttemptBlocked
-	}
-	s.State, s.Owner, s.Attempt, s.Fingerprint = Claimed, w.Owner, w.Attempt, w.Fingerprint
-	return s, Granted
-}
-
-// block is what a later attempt asks before it is told "surely not run": from
-// then on no earlier attempt, still waiting elsewhere, may run either.
-func block(s Record, w Operation) (Record, Verdict) {
-	// The client's own claim never left: it goes with the rest.
-	if s.State == Claimed && s.Owner == w.Owner {
-		s.State, s.Owner, s.Fingerprint = Unclaimed, Owner{}, nil
-	}
-	if v, ok := verdictOfHeldKey(s, w); ok {
-		return s, v
-	}
-	s.MinAttempt = max(s.MinAttempt, w.Attempt)
-	s.addReleasedOwner(w.Owner)
-	return s, Released
-}
-
-// release lets go of a claim whose request surely did not leave.
-func release(s Record, w Operation) (Record, Verdict) {
-	if s.State == Claimed && s.Owner == w.Owner {
-		s.State, s.Owner, s.Fingerprint = Unclaimed, Owner{}, nil
-	}
-	if s.State == Unclaimed {
-		s.addReleasedOwner(w.Owner)
-	}
-	return s, Released
+// decode reads a message of one type.
+func decode[T any](raw []byte) (T, bool) {
+	_, msg, err := wire.ReadBytes(raw)
+	t, ok := msg.(T)
+	return t, ok && err == nil
 }
 
-// numberAttempt numbers an attempt whose client gave no number, in the order in
-// which they are agreed on; a number that is skipped does no harm.
-func numberAttempt(s Record, w Operation) (Record, Verdict) {
-	if v, ok := verdictOfHeldKey(s, w); ok {
-		return s, v
-	}
-	s.NumberedAttempts = max(s.NumberedAttempts, s.MinAttempt) + 1
-	return s, Released
-}
+// isClaimedBy reports whether an owner holds the claim.
+func (r *Record) isClaimedBy(owner Owner) bool { return r.State == Claimed && r.Owner == owner }
 
-func complete(s Record, w Operation) (Record, Verdict) {
-	if s.State == Claimed && s.Owner == w.Owner {
-		s.State, s.Response = Completed, w.Response
-	}
-	return s, AlreadyCompleted
+// dropClaim makes a claimed record unclaimed.
+func (r *Record) dropClaim() {
+	r.State, r.Owner, r.Fingerprint = Unclaimed, Owner{}, nil
 }
 
-func (r *Record) addReleasedOwner(o Owner) {
-	if !slices.Contains(r.ReleasedOwners, o) {
-		r.ReleasedOwners = append(r.ReleasedOwners[:len(r.ReleasedOwners):len(r.ReleasedOwners)], o)
+// addReleasedOwner notes that an owner may not claim any more.
+func (r *Record) addReleasedOwner(owner Owner) {
+	if !slices.Contains(r.ReleasedOwners, owner) {
+		// Clipped, since the list is shared with the record before the operation.
+		r.ReleasedOwners = append(slices.Clip(r.ReleasedOwners), owner)
 	}
 	if len(r.ReleasedOwners) > maxReleasedOwners {
 		r.ReleasedOwners = r.ReleasedOwners[1:]
