--- a/internal/state/configuration/content_hash.go
+++ b/internal/state/configuration/content_hash.go
@@ -9,50 +9,69 @@
 	"strings"
 
 	"github.com/tidwall/gjson"
+
+	"dunlinwell/internal/base/ids"
 )
 
 // contentHashSize is how many bytes of a content's hash are kept.
 const contentHashSize = 6
 
-// contentHash sums up a content: equal for two spellings of one JSON value,
-// whatever the order of keys, the blanks, the escapes or the form of numbers.
+// contentHash identifies a content. It is equal for two spellings of one JSON value,
+// whatever the order of keys, the white space, the escapes or the format of numbers.
 type contentHash [contentHashSize]byte
 
-// removedContentHash is the content of an item that a version removes.
+// removedContentHash stands for the removal of an item.
 var removedContentHash = hashParts("removed")
 
 func hashParts(parts ...string) contentHash {
-	whole := sha256.Sum256([]byte(strings.Join(parts, "\x00")))
-	return contentHash(whole[:contentHashSize])
+	sum := sha256.Sum256([]byte(strings.Join(parts, "\x00")))
+	return contentHash(sum[:contentHashSize])
 }
 
-// hashItem sums up an item by its caller's own form, or by its body where it
-// has none: a body may be derived in another way by another release.
+// hashItem hashes an item by its source, or by its body if there is none: another
+// release may derive another body from the same source.
 func hashItem(body, source json.RawMessage) contentHash {
 	if len(source) > 0 {
-		return hashParts("source", canonical(gjson.ParseBytes(source)))
+		return hashParts("source", canonical(source))
 	}
-	return hashParts("body", canonical(gjson.ParseBytes(body)))
+	return hashParts("body", canonical(body))
 }
 
-// hashChange sums up what a change asks for, without its id.
+// hashChange hashes what a change asks for, without its id.
 func hashChange(c Change) contentHash {
 	var parts []string
-	for _, part := range c.Items {
+	for _, item := range c.Items {
 		version := "any"
-		if part.Version != nil {
-			version = strconv.FormatUint(uint64(*part.Version), 10)
+		if item.Version != nil {
+			version = strconv.FormatUint(uint64(*item.Version), 10)
 		}
-		parts = append(parts, part.Kind, string(part.Name), version, strconv.FormatBool(part.Remove),
-			canonical(gjson.ParseBytes(part.Put)), canonical(gjson.ParseBytes(part.Set)))
+		parts = append(parts, item.Kind, string(item.Name), version, strconv.FormatBool(item.Remove),
+			canonical(item.Put), canonical(item.Set))
 	}
 	return hashParts(parts...)
 }
 
-// canonical writes a JSON value in its one canonical spelling.
-func canonical(v gjson.Result) string {
+// contentHash hashes what the item asks for.
+func (v VersionedItem) contentHash() contentHash {
+	if v.Removed {
+		return removedContentHash
+	}
+	return hashItem(v.Body, v.Source)
+}
+
+// contentHashOf hashes what a name stands for at present: an item or its removal.
+func (d *Document) contentHashOf(kind string, name ids.Name) contentHash {
+	item, ok := d.Items(kind)[name]
+	if !ok {
+		return removedContentHash
+	}
+	return hashItem(item.Body, item.Source)
+}
+
+// canonical returns a JSON value in its one canonical spelling.
+func canonical(raw json.RawMessage) string {
 	var out strings.Builder
-	writeCanonical(&out, v)
+	writeCanonical(&out, gjson.ParseBytes(raw))
 	return out.String()
 }
 
@@ -77,7 +96,8 @@
 	}
 }
 
-// writeCanonicalObject writes the members by key; members of one key keep their order.
+// writeCanonicalObject writes the members by key. Members with the same key keep their
+// order.
 func writeCanonicalObject(out *strings.Builder, v gjson.Result) {
 	type member struct {
 		key   string
@@ -99,18 +119,18 @@
 	out.WriteByte('}')
 }
 
-// canonicalNumber gives 4, 4.0 and 4e0 one form. Whole numbers keep all their
-// digits, also those that a float doesn't hold.
+// canonicalNumber gives 4, 4.0 and 4e0 one spelling. Whole numbers keep all their
+// digits, also those that a float64 can't hold.
 func canonicalNumber(raw string) string {
 	if !strings.ContainsAny(raw, ".eE") {
 		return raw
 	}
-	f, err := strconv.ParseFloat(raw, 64)
+	value, err := strconv.ParseFloat(raw, 64)
 	switch {
 	case err != nil:
 		return raw
-	case f == math.Trunc(f) && math.Abs(f) < 1<<53:
-		return strconv.FormatInt(int64(f), 10)
+	case value == math.Trunc(value) && math.Abs(value) < 1<<53:
+		return strconv.FormatInt(int64(value), 10)
 	}
-	return strconv.FormatFloat(f, 'g', -1, 64)
+	return strconv.FormatFloat(value, 'g', -1, 64)
 }
--- a/internal/state/configuration/deduplication.go
+++ b/internal/state/configuration/deduplication.go
@@ -8,94 +8,93 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// Reasons that a result gives.
+// Reasons of results, as clients see them.
 const (
-	reasonIDUsed     = "was used for another change: a change needs an id of its own"
-	reasonRejected   = "names a change that was declined"
-	reasonUnknown    = "this may be a copy of a change so old that its end isn't known any more; read the item, and send what is still wanted under a new id"
-	reasonOtherValue = "this version holds already, with other content"
+	reasonIDUsed       = "was used for another change: a change needs an id of its own"
+	reasonRejected     = "names a change that was declined"
+	reasonUnknown      = "this may be a copy of a change so old that its end isn't known any more; read the item, and send what is still wanted under a new id"
+	reasonOtherContent = "this version holds already, with other content"
 )
 
-// basePattern is that of an id whose maker says which revision it had read.
-var basePattern = regexp.MustCompile(`^at-([0-9]{1,18})-`)
+// baseRevisionPattern matches an id whose author names the revision that was read.
+var baseRevisionPattern = regexp.MustCompile(`^at-([0-9]{1,18})-`)
 
-// ChangeIDAt writes a change's id that says which revision its maker had read:
-// a change made later than that can be told from one made earlier for ever.
+// ChangeIDAt returns a change id that names the revision its author had read. Such a
+// change can always be told from one that was made before that revision.
 func ChangeIDAt(base ids.Revision, random string) string {
 	return "at-" + strconv.FormatUint(uint64(base), 10) + "-" + random
 }
 
-// baseRevisionOf gives the revision that an id names.
+// baseRevisionOf returns the revision that an id names, and whether it names one.
 func baseRevisionOf(id ids.ChangeID) (ids.Revision, bool) {
-	m := basePattern.FindStringSubmatch(string(id))
-	if m == nil {
+	match := baseRevisionPattern.FindStringSubmatch(string(id))
+	if match == nil {
 		return 0, false
 	}
-	base, err := strconv.ParseUint(m[1], 10, 62)
+	base, err := strconv.ParseUint(match[1], 10, 62)
 	return ids.Revision(base), err == nil
 }
 
-// changeHash is what an item keeps of the id of the change that made its version.
+// changeHash is the hash of a change's id that Item.ChangeHash holds.
 func changeHash(id ids.ChangeID) string {
 	key := historyKeyOf(string(id))
 	return base64.RawStdEncoding.EncodeToString(key[:])
 }
 
-// earlierResult gives the end of a change that was met before. A resent change gets
-// its first result, not a second version; another change under its id gets none.
+// earlierResult returns the result of a change whose outcome is remembered. Another
+// change under the same id is rejected.
 func (d *Document) earlierResult(c Change) (Result, bool) {
-	if e, ok := d.history().Changes.find(historyKeyOf(string(c.ID))); ok {
-		if e.contentHash != hashChange(c) {
-			return Result{ID: c.ID, Revision: d.Revision, ReuseConflicts: []Violation{{"change", "id", reasonIDUsed}}}, true
-		}
-		if res, ok := d.keptResult(c.ID); ok {
-			return res, true
-		}
-		res := Result{ID: c.ID, Revision: e.revision}
-		if e.rejected {
-			res.ReuseConflicts = []Violation{{"change", "id", reasonRejected}}
-		}
-		return res, true
+	entry, remembered := d.history().Changes.find(historyKeyOf(string(c.ID)))
+	if remembered && entry.contentHash != hashChange(c) {
+		return Result{ID: c.ID, Revision: d.Revision, ReuseConflicts: []Violation{{"change", "id", reasonIDUsed}}}, true
 	}
 	if res, ok := d.keptResult(c.ID); ok {
 		return res, true
 	}
-	if r, ok := d.revisionOfItemMadeBy(c); ok {
-		return Result{ID: c.ID, Revision: r}, true
+	if remembered {
+		res := Result{ID: c.ID, Revision: entry.revision}
+		if entry.rejected {
+			res.ReuseConflicts = []Violation{{"change", "id", reasonRejected}}
+		}
+		return res, true
+	}
+	if revision, ok := d.revisionOfItemMadeBy(c); ok {
+		return Result{ID: c.ID, Revision: revision}, true
 	}
 	return Result{}, false
 }
 
-// keptResult finds a result that is kept whole.
+// keptResult returns a result that is kept whole.
 func (d *Document) keptResult(id ids.ChangeID) (Result, bool) {
-	for _, list := range [][]Result{d.RecentResults, d.RejectedResults} {
-		for _, r := range list {
-			if r.ID == id {
-				return r, true
+	for _, results := range [][]Result{d.RecentResults, d.RejectedResults} {
+		for _, res := range results {
+			if res.ID == id {
+				return res, true
 			}
 		}
 	}
 	return Result{}, false
 }
 
-// revisionOfItemMadeBy tells whether one of a change's items says that it was this change
-// that made its version, and at which revision. Changes are whole or nothing, so
-// one item speaks for all.
+// revisionOfItemMadeBy reports whether the present version or the removal of one of a
+// change's items was made by this change, and at which revision. Changes take effect
+// whole, so one item proves it for all.
 func (d *Document) revisionOfItemMadeBy(c Change) (ids.Revision, bool) {
-	mark := changeHash(c.ID)
-	for _, part := range c.Items {
-		if it, ok := d.Items(part.Kind)[part.Name]; ok && it.ChangeHash == mark {
-			return it.ChangedAt, true
+	hash := changeHash(c.ID)
+	for _, change := range c.Items {
+		if item, ok := d.Items(change.Kind)[change.Name]; ok && item.ChangeHash == hash {
+			return item.ChangedAt, true
 		}
-		if t, ok := d.Tombstones[part.Kind+"/"+string(part.Name)]; ok && t.ChangeHash == mark {
+		if t, ok := d.Tombstones[itemKey(change.Kind, change.Name)]; ok && t.ChangeHash == hash {
 			return t.ChangedAt, true
 		}
 	}
 	return 0, false
 }
 
-// isSurelyNew tells whether a change of unknown id was surely never accepted: had
-// it been, its end would be known still, or the items would differ.
+// isSurelyNew reports whether a change that isn't remembered can't have been accepted
+// before: if it had been, its outcome would still be known, or its items would
+// differ. False means only that it can't be excluded.
 func (d *Document) isSurelyNew(c Change) bool {
 	forgotten := d.history().ForgottenRevision
 	if forgotten == 0 {
@@ -104,37 +103,38 @@
 	if base, ok := baseRevisionOf(c.ID); ok && base >= forgotten {
 		return true
 	}
-	for _, part := range c.Items {
-		if d.provesNew(part, forgotten) {
+	for _, change := range c.Items {
+		if d.provesNew(change, forgotten) {
 			return true
 		}
 	}
 	return false
 }
 
-// provesNew tells whether a part shows that its change was never accepted.
-func (d *Document) provesNew(part ItemChange, forgotten ids.Revision) bool {
-	it, exists := d.Items(part.Kind)[part.Name]
-	tomb, removed := d.Tombstones[part.Kind+"/"+string(part.Name)]
+// provesNew reports whether one item shows that its change was never accepted.
+// Outcomes after the forgotten revision are all remembered.
+func (d *Document) provesNew(change ItemChange, forgotten ids.Revision) bool {
+	item, exists := d.Items(change.Kind)[change.Name]
+	tombstone, removed := d.Tombstones[itemKey(change.Kind, change.Name)]
 	switch {
 	case !exists && !removed:
-		// Accepted, it would have left an item or the mark of its removal.
+		// Accepted, it would have left an item or a tombstone.
 		return true
-	case part.Version == nil:
+	case change.Version == nil:
 		return false
-	case *part.Version == 0 && part.Put == nil && !it.EverMerged && !tomb.EverMerged:
-		// No item that is there to be altered has version 0.
+	case *change.Version == 0 && change.Put == nil && !item.EverMerged && !tombstone.EverMerged:
+		// No item that exists to be altered has version 0.
 		return true
-	case exists && it.Version == *part.Version:
-		// Accepted, it would have moved the item on, for good.
+	case exists && item.Version == *change.Version:
+		// Accepted, it would have replaced this version, and versions don't come back.
 		return true
-	case exists && it.ChangeHash != "" && it.PreviousVersion == *part.Version:
-		// The one change that followed this version is another.
+	case exists && item.ChangeHash != "" && item.PreviousVersion == *change.Version:
+		// The one change that replaced this version is another one.
 		return true
-	case removed && tomb.ChangeHash != "" && tomb.PreviousVersion == *part.Version:
+	case removed && tombstone.ChangeHash != "" && tombstone.PreviousVersion == *change.Version:
 		return true
 	}
-	// A version is the revision that made it, unless it was given from outside:
-	// whatever followed this one came after all that was forgotten.
-	return !it.isMerged() && !it.EverMerged && !tomb.EverMerged && *part.Version >= forgotten
+	// A version that no Merge assigned is the revision that made it, so whatever
+	// replaced it came later than all that is forgotten.
+	return !item.isMerged() && !item.EverMerged && !tombstone.EverMerged && *change.Version >= forgotten
 }
--- a/internal/state/configuration/deduplication_test.go
+++ b/internal/state/configuration/deduplication_test.go
@@ -82,10 +82,10 @@
 	is.True(r.UnknownReason != "" && !r.Accepted())
 	is.True(q == p)
 	// An unconditional one isn't made again either, if its id tells its age.
-	q, r = applyChange(t, p, string(ChangeIDAt(2, "abc")), `{"kind":"service","name":"ledger","put":{"tier":5}}`)
+	q, r = applyChange(t, p, ChangeIDAt(2, "abc"), `{"kind":"service","name":"ledger","put":{"tier":5}}`)
 	is.True(r.UnknownReason != "")
 	is.True(q == p)
-	_, r = applyChange(t, p, string(ChangeIDAt(p.Revision, "abc")), `{"kind":"service","name":"ledger","put":{"tier":5}}`)
+	_, r = applyChange(t, p, ChangeIDAt(p.Revision, "abc"), `{"kind":"service","name":"ledger","put":{"tier":5}}`)
 	is.True(r.Accepted())
 	// Two operators had read version 2, and one was quicker, long ago.
 	_, r = applyChange(t, p, "slow", `{"kind":"service","name":"ledger","version":2,"put":{"tier":6}}`)
@@ -134,7 +134,7 @@
 	one, other := versionedRoute("mud", "wader", 5), versionedRoute("mud", "plover", 5)
 	p, r := base.Merge(mergeOf(one))
 	is.True(r.Accepted())
-	refused := []Violation{{"route/mud", "version", reasonOtherValue}}
+	refused := []Violation{{"route/mud", "version", reasonOtherContent}}
 	q, r := p.Merge(mergeOf(other, versionedRoute("sand", "plover", 5)))
 	is.Equal(r.ReuseConflicts, refused)
 	is.True(q == p) // whole or nothing
--- a/internal/state/configuration/delta.go
+++ b/internal/state/configuration/delta.go
@@ -8,62 +8,70 @@
 	"dunlinwell/internal/base/ids"
 )
 
-var itemKinds = []string{"service", "route", "cell", "limits"}
-
-// ChangesSince gives what changed after a revision, packed for those who only obey. A
-// change then costs its own items and not the whole configuration.
+// ChangesSince returns, encoded, what changed after a revision, so that a change costs
+// its own items to send and not the whole configuration. History is left out.
 func (d *Document) ChangesSince(base ids.Revision) []byte {
 	delta := &Document{
-		Revision: d.Revision, BaseRevision: base, Services: map[ids.Name]Item{}, Routes: map[ids.Name]Item{},
-		Zones: map[ids.Name]Item{}, Limits: map[ids.Name]Item{}, Tombstones: map[string]Tombstone{},
+		Revision:     d.Revision,
+		BaseRevision: base,
+		Services:     map[ids.Name]Item{},
+		Routes:       map[ids.Name]Item{},
+		Zones:        map[ids.Name]Item{},
+		Limits:       map[ids.Name]Item{},
+		Tombstones:   map[string]Tombstone{},
 	}
-	for _, k := range itemKinds {
-		for n, it := range d.Items(k) {
-			if it.ChangedAt > base {
-				delta.Items(k)[n] = it
+	for _, kind := range itemKinds {
+		for name, item := range d.Items(kind) {
+			if item.ChangedAt > base {
+				delta.Items(kind)[name] = item
 			}
 		}
 	}
-	for k, b := range d.Tombstones {
-		if b.ChangedAt > base {
-			delta.Tombstones[k] = b
+	for key, tombstone := range d.Tombstones {
+		if tombstone.ChangedAt > base {
+			delta.Tombstones[key] = tombstone
 		}
 	}
 	raw, _ := json.Marshal(delta)
 	return raw
 }
 
-// Advance gives the configuration that a packed one or a difference leads to, or the
-// same configuration if it is no newer, or builds on what isn't here.
+// Advance returns the document that an encoded document or delta leads to. It returns
+// the same document if that is no newer, or is a delta from a later revision than
+// this one. The error is that of Decode.
 func (d *Document) Advance(raw []byte) (*Document, error) {
 	received, err := Decode(raw)
-	if err != nil || received.Revision <= d.Revision {
+	switch {
+	case err != nil || received.Revision <= d.Revision:
 		return d, err
-	}
-	if received.BaseRevision == 0 {
+	case received.BaseRevision == 0:
 		return received, nil
-	}
-	if d.Revision < received.BaseRevision {
+	case received.BaseRevision > d.Revision:
 		return d, nil
 	}
+	return d.withDelta(received), nil
+}
+
+// withDelta returns a copy of the document with a delta applied.
+func (d *Document) withDelta(delta *Document) *Document {
 	next := d.nextRevision()
-	next.Revision = received.Revision
+	next.Revision = delta.Revision
 	next.RecentResults, next.RejectedResults, next.History = nil, nil, nil
-	for _, k := range itemKinds {
-		maps.Copy(next.Items(k), received.Items(k))
-		for n := range received.Items(k) {
-			delete(next.Tombstones, k+"/"+string(n))
+	for _, kind := range itemKinds {
+		maps.Copy(next.Items(kind), delta.Items(kind))
+		for name := range delta.Items(kind) {
+			delete(next.Tombstones, itemKey(kind, name))
 		}
 	}
-	for key, b := range received.Tombstones {
+	if next.Tombstones == nil && len(delta.Tombstones) > 0 {
+		next.Tombstones = map[string]Tombstone{}
+	}
+	for key, tombstone := range delta.Tombstones {
 		kind, name, _ := strings.Cut(key, "/")
 		if items := next.Items(kind); items != nil {
 			delete(items, ids.Name(name))
 		}
-		if next.Tombstones == nil {
-			next.Tombstones = map[string]Tombstone{}
-		}
-		next.Tombstones[key] = b
+		next.Tombstones[key] = tombstone
 	}
-	return next, nil
+	return next
 }
--- a/internal/state/configuration/document.go
+++ b/internal/state/configuration/document.go
@@ -1,151 +1,178 @@
-// Package catalogue is the configuration: services, routes and zones. It is one
-// register, because a change that names several items must be whole or
-// nothing and a route may not outlive its service; versions are each item's.
 package configuration
 
 import (
 	"encoding/json"
 	"fmt"
+	"maps"
+	"slices"
 
 	"dunlinwell/internal/base/ids"
 )
 
-// Key is the configuration's register.
+// Key is the replicated register that holds the configuration.
 const Key ids.RegisterKey = "policy"
 
-// Item is one thing an operator made, as it was sent, and its version. The
-// version is the revision that last changed it, so one made anew after its
-// removal never has an old version again.
+// Kinds of items, as they stand in requests and in stored keys.
+const (
+	kindService = "service"
+	kindRoute   = "route"
+	kindZone    = "cell"
+	kindLimits  = "limits"
+)
+
+var itemKinds = []string{kindService, kindRoute, kindZone, kindLimits}
+
+// Item is one service, route, zone or set of limits as its author sent it, with its
+// version. The version of an item that came by a Change is the revision that made
+// it, so an item that is removed and made again never reuses a version.
 type Item struct {
 	Version ids.Revision    `json:"version"`
 	Body    json.RawMessage `json:"body"`
-	// Source is the item in its caller's own form, where that isn't ours; it is
-	// kept as it was sent, to be read back.
+	// Source is the item in its caller's own format, kept to be read back. Empty if
+	// the caller uses ours.
 	Source json.RawMessage `json:"source,omitempty"`
-	// Merged: it is its caller's business, though it may have kept no source.
+	// Merged reports that the present version came by a Merge. Such an item may
+	// share its prefix with others.
 	Merged bool `json:"merged,omitempty"`
-	// ChangedAt is the configuration's revision that last changed the item.
+	// ChangedAt is the revision of the document that last changed the item.
 	ChangedAt ids.Revision `json:"at,omitempty"`
-	// ChangeHash marks the change that made this version, and Prev is the version that it
-	// followed; both are empty where the version came by merging.
+	// ChangeHash identifies the Change that made this version (see changeHash), and
+	// PreviousVersion is the version it replaced. Both are empty after a Merge.
 	ChangeHash      string       `json:"by,omitempty"`
 	PreviousVersion ids.Revision `json:"prev,omitempty"`
-	// Given: a version of this name was given from outside, once.
+	// EverMerged reports that some version of this name came by a Merge, so versions
+	// may be ahead of revisions.
 	EverMerged bool `json:"given,omitempty"`
 }
 
-// Buried is what is known of an item that was removed.
+// isMerged reports whether the present version came by a Merge. Documents written
+// before Merged existed show it by a Source.
+func (i Item) isMerged() bool { return i.Merged || i.Source != nil }
+
+// Tombstone records the removal of an item.
 type Tombstone struct {
-	Version   ids.Revision `json:"version"`
+	Version ids.Revision `json:"version"`
+	// ChangedAt is the revision of the document that removed the item.
 	ChangedAt ids.Revision `json:"at"`
-	// By, Prev and Given are as in an Item, for the change that removed it.
+	// ChangeHash, PreviousVersion and EverMerged are as in Item, for the change that
+	// removed the item.
 	ChangeHash      string       `json:"by,omitempty"`
 	PreviousVersion ids.Revision `json:"prev,omitempty"`
 	EverMerged      bool         `json:"given,omitempty"`
 }
 
-// isMerged tells whether an item came by merging.
-func (it Item) isMerged() bool { return it.Merged || it.Source != nil }
-
-// Document is all items, and the results of recent changes by change id.
+// Document is the whole configuration: all items by kind and name, and what is
+// remembered to recognise requests that are sent again.
 type Document struct {
+	// Revision counts the operations that changed the document.
 	Revision ids.Revision      `json:"revision"`
 	Services map[ids.Name]Item `json:"services"`
 	Routes   map[ids.Name]Item `json:"routes"`
 	Zones    map[ids.Name]Item `json:"cells"`
 	Limits   map[ids.Name]Item `json:"limits,omitempty"`
-	// Tombstones holds, by kind/name, the version under which an item was removed:
-	// an older copy that arrives later must not bring it back.
+	// Tombstones holds removed items by itemKey: a copy of an older version that
+	// arrives later must not restore the item.
 	Tombstones map[string]Tombstone `json:"removed,omitempty"`
-	// Base, if set, tells that only what changed since that revision is here.
+	// BaseRevision, if not 0, makes this a delta: it holds only what changed after
+	// that revision.
 	BaseRevision  ids.Revision `json:"base,omitempty"`
 	RecentResults []Result     `json:"recent,omitempty"`
-	// RejectedResults are kept as well: a late copy of a change whose caller was told
-	// that it is rejected must not be accepted once the item it lacked is there.
+	// RejectedResults are kept because a change that was reported as rejected must
+	// not be accepted when a copy of it arrives after the missing item was made.
 	RejectedResults []Result `json:"declined,omitempty"`
-	// History is what is remembered beyond the results above.
+	// History is what is remembered beyond these results; nil in documents that were
+	// written before it existed.
 	History *History `json:"history,omitempty"`
 }
 
-// Service is a pool of targets that announce themselves.
-type Service struct {
-	Name ids.Name `json:"-"`
-	Tier int      `json:"tier"`
-	// DefaultCapacity is how many requests at once a target bears that doesn't say.
-	DefaultCapacity int `json:"capacity"`
-	// SlowStartMillis is how long a target back from a restart takes to bear all.
-	SlowStartMillis int `json:"warm_ms"`
-	// RetryBudget is the fleet's small allowance of retries beyond one in five.
-	RetryBudget int `json:"allowance"`
-	// SlowStartRate is how many requests a second a cold target bears from the whole
-	// fleet; 0 where only places bound it.
-	SlowStartRate float64 `json:"warm_rate"`
-	// Connections is how many connections a target takes from all callers; 0 for any.
-	Connections int `json:"circuits"`
-}
-
-// Zone is a zone: its region, its set points in ms of CPU a second, and
-// whether it is emptied.
-type Zone struct {
-	Name       ids.Name `json:"-"`
-	Region     string   `json:"region"`
-	TargetLoad float64  `json:"target"`
-	// Unnamed: no operator named a target level.
-	LoadDefaulted  bool    `json:"-"`
-	AcceptableLoad float64 `json:"acceptable"`
-	MaximumLoad    float64 `json:"maximum"`
-	Drained        bool    `json:"emptied"`
-	// Shut: nothing more is sent to the zone's targets, while its proxies go on
-	// serving from the targets of other zones.
-	Evacuated bool                     `json:"shut"`
-	Distances map[ids.Name]json.Number `json:"distances"`
-}
-
-// Decode reads a configuration; nil bytes are an empty one.
+// Decode reads a document. Empty input is the empty document; the only errors are
+// those of encoding/json.
 func Decode(raw []byte) (*Document, error) {
-	p := &Document{}
+	d := &Document{}
 	if len(raw) > 0 {
-		if err := json.Unmarshal(raw, p); err != nil {
+		if err := json.Unmarshal(raw, d); err != nil {
 			return nil, err
 		}
 	}
-	for _, m := range []*map[ids.Name]Item{&p.Services, &p.Routes, &p.Zones, &p.Limits} {
-		if *m == nil {
-			*m = map[ids.Name]Item{}
+	for _, items := range []*map[ids.Name]Item{&d.Services, &d.Routes, &d.Zones, &d.Limits} {
+		if *items == nil {
+			*items = map[ids.Name]Item{}
 		}
 	}
-	return p, nil
+	return d, nil
+}
+
+// Encode writes a document. With history it is the register's value; without, it is
+// what daemons need that never apply changes themselves.
+func (d *Document) Encode(withHistory bool) []byte {
+	encoded := *d
+	if !withHistory {
+		encoded.RecentResults, encoded.RejectedResults, encoded.History = nil, nil, nil
+	}
+	return encoded.marshal()
 }
 
-// Encode writes a configuration; without the recent results for those who only obey.
-func (d *Document) Encode(recent bool) []byte {
-	c := *d
-	if !recent {
-		c.RecentResults, c.RejectedResults, c.History = nil, nil, nil
+// Describe summarises an encoded document for a log line: its revision, or "none".
+func Describe(raw []byte) string {
+	d, err := Decode(raw)
+	if err != nil || len(raw) == 0 {
+		return "none"
 	}
-	return c.marshal()
+	return fmt.Sprintf("revision %d", d.Revision)
 }
 
-// Items gives the items of a kind; nil for a kind that isn't one.
+// Items returns the items of a kind, or nil if there is no such kind.
 func (d *Document) Items(kind string) map[ids.Name]Item {
 	switch kind {
-	case "service":
+	case kindService:
 		return d.Services
-	case "route":
+	case kindRoute:
 		return d.Routes
-	case "cell":
+	case kindZone:
 		return d.Zones
-	case "limits":
+	case kindLimits:
 		return d.Limits
 	}
 	return nil
 }
 
-// Describe says in a few words what a packed configuration is.
-func Describe(raw []byte) string {
-	p, err := Decode(raw)
-	if err != nil || len(raw) == 0 {
-		return "none"
+// itemKey names an item among all kinds, such as "route/orders".
+func itemKey(kind string, name ids.Name) string { return kind + "/" + string(name) }
+
+// sortedNames returns the names of items in order.
+func sortedNames(items map[ids.Name]Item) []ids.Name { return slices.Sorted(maps.Keys(items)) }
+
+// nextRevision returns a copy of the document with maps of its own, numbered as the
+// next revision.
+func (d *Document) nextRevision() *Document {
+	return &Document{
+		Revision:        d.Revision + 1,
+		Services:        maps.Clone(d.Services),
+		Routes:          maps.Clone(d.Routes),
+		Zones:           maps.Clone(d.Zones),
+		Limits:          maps.Clone(d.Limits),
+		Tombstones:      maps.Clone(d.Tombstones),
+		RecentResults:   d.RecentResults,
+		RejectedResults: d.RejectedResults,
+		History:         d.History,
+	}
+}
+
+// version returns the version of an item or of its removal, and whether there is
+// either.
+func (d *Document) version(kind string, name ids.Name) (ids.Revision, bool) {
+	if item, ok := d.Items(kind)[name]; ok {
+		return item.Version, true
+	}
+	tombstone, ok := d.Tombstones[itemKey(kind, name)]
+	return tombstone.Version, ok
+}
+
+// addTombstone records in place that an item is removed at the present revision.
+func (d *Document) addTombstone(key string, t Tombstone) {
+	if d.Tombstones == nil {
+		d.Tombstones = map[string]Tombstone{}
 	}
-	return fmt.Sprintf("revision %d", p.Revision)
+	t.ChangedAt = d.Revision
+	d.Tombstones[key] = t
 }
--- a/internal/state/configuration/encode.go
+++ b/internal/state/configuration/encode.go
@@ -3,41 +3,35 @@
 import (
 	"bytes"
 	"encoding/json"
-	"maps"
 	"slices"
 	"strconv"
 
 	"dunlinwell/internal/base/ids"
 )
 
-// marshal writes the very bytes that json.Marshal does, without reading each
-// item's body again: it is most of a configuration, and is nearly always in the form
-// that json.Marshal would give it.
+// marshal writes the bytes that json.Marshal would, without parsing the body of each
+// item again. Bodies are most of a document, and nearly always in the form that
+// json.Marshal gives them already.
 func (d *Document) marshal() []byte {
-	shell := *d
-	shell.Services, shell.Routes, shell.Zones, shell.Limits = nil, nil, nil, nil
-	rest, err := json.Marshal(&shell)
+	withoutItems := *d
+	withoutItems.Services, withoutItems.Routes, withoutItems.Zones, withoutItems.Limits = nil, nil, nil, nil
+	tail, err := json.Marshal(&withoutItems)
 	if err != nil {
 		return nil
 	}
-	head := append([]byte(`{"revision":`), strconv.FormatUint(uint64(d.Revision), 10)...)
-	rest, plain := bytes.CutPrefix(rest, append(slices.Clone(head), `,"services":null,"routes":null,"cells":null`...))
-	if !plain {
+	out := append([]byte(`{"revision":`), strconv.FormatUint(uint64(d.Revision), 10)...)
+	tail, asExpected := bytes.CutPrefix(tail, append(slices.Clone(out), `,"services":null,"routes":null,"cells":null`...))
+	if !asExpected {
 		raw, _ := json.Marshal(d)
 		return raw
 	}
-	out := head
-	for _, part := range []struct {
-		name  string
-		items map[ids.Name]Item
-	}{{"services", d.Services}, {"routes", d.Routes}, {"cells", d.Zones}, {"limits", d.Limits}} {
-		if part.name == "limits" && len(part.items) == 0 {
-			continue
-		}
-		out = append(out, `,"`+part.name+`":`...)
-		out = appendItems(out, part.items)
+	out = appendItems(append(out, `,"services":`...), d.Services)
+	out = appendItems(append(out, `,"routes":`...), d.Routes)
+	out = appendItems(append(out, `,"cells":`...), d.Zones)
+	if len(d.Limits) > 0 {
+		out = appendItems(append(out, `,"limits":`...), d.Limits)
 	}
-	return append(out, rest...)
+	return append(out, tail...)
 }
 
 func appendItems(out []byte, items map[ids.Name]Item) []byte {
@@ -45,55 +39,57 @@
 		return append(out, "null"...)
 	}
 	out = append(out, '{')
-	for i, n := range slices.Sorted(maps.Keys(items)) {
+	for i, name := range sortedNames(items) {
 		if i > 0 {
 			out = append(out, ',')
 		}
-		name, _ := json.Marshal(n)
-		out = append(append(out, name...), ':')
-		out = items[n].appendJSON(out)
+		key, _ := json.Marshal(name)
+		out = append(append(out, key...), ':')
+		out = items[name].appendJSON(out)
 	}
 	return append(out, '}')
 }
 
-// appendJSON appends an item, field by field in their order. A test sets every
-// field that an Item has and compares with what json.Marshal writes.
-func (it Item) appendJSON(out []byte) []byte {
+// appendJSON appends the item as json.Marshal would write it, field by field in their
+// order. A test compares the two for every combination of the fields of Item.
+func (i Item) appendJSON(out []byte) []byte {
 	out = append(out, `{"version":`...)
-	out = strconv.AppendUint(out, uint64(it.Version), 10)
-	out = appendRaw(append(out, `,"body":`...), it.Body)
-	if len(it.Source) > 0 {
-		out = appendRaw(append(out, `,"source":`...), it.Source)
+	out = strconv.AppendUint(out, uint64(i.Version), 10)
+	out = appendRaw(append(out, `,"body":`...), i.Body)
+	if len(i.Source) > 0 {
+		out = appendRaw(append(out, `,"source":`...), i.Source)
 	}
-	out = appendTrue(out, "merged", it.Merged)
-	out = appendNumber(out, "at", it.ChangedAt)
-	if it.ChangeHash != "" {
-		by, _ := json.Marshal(it.ChangeHash)
-		out = append(append(out, `,"by":`...), by...)
+	out = appendTrue(out, "merged", i.Merged)
+	out = appendNumber(out, "at", i.ChangedAt)
+	if i.ChangeHash != "" {
+		hash, _ := json.Marshal(i.ChangeHash)
+		out = append(append(out, `,"by":`...), hash...)
 	}
-	out = appendNumber(out, "prev", it.PreviousVersion)
-	out = appendTrue(out, "given", it.EverMerged)
+	out = appendNumber(out, "prev", i.PreviousVersion)
+	out = appendTrue(out, "given", i.EverMerged)
 	return append(out, '}')
 }
 
-func appendTrue(out []byte, name string, set bool) []byte {
-	if set {
-		out = append(out, `,"`+name+`":true`...)
+// appendTrue appends a member that is omitted when false.
+func appendTrue(out []byte, key string, value bool) []byte {
+	if value {
+		out = append(out, `,"`+key+`":true`...)
 	}
 	return out
 }
 
-func appendNumber(out []byte, name string, n ids.Revision) []byte {
-	if n != 0 {
-		out = strconv.AppendUint(append(out, `,"`+name+`":`...), uint64(n), 10)
+// appendNumber appends a member that is omitted when 0.
+func appendNumber(out []byte, key string, value ids.Revision) []byte {
+	if value != 0 {
+		out = strconv.AppendUint(append(out, `,"`+key+`":`...), uint64(value), 10)
 	}
 	return out
 }
 
-// appendRaw appends JSON in the form that json.Marshal gives it: compact, and
-// with what HTML minds escaped.
+// appendRaw appends JSON as json.Marshal would write it: compact, with the characters
+// escaped that are special in HTML or JavaScript.
 func appendRaw(out []byte, raw json.RawMessage) []byte {
-	// U+2028 and U+2029 begin with the byte e2.
+	// U+2028 and U+2029, which json.Marshal escapes, begin with the byte e2 in UTF-8.
 	if len(raw) > 0 && !bytes.ContainsAny(raw, " \t\r\n<>&") && bytes.IndexByte(raw, 0xe2) < 0 {
 		return append(out, raw...)
 	}
--- a/internal/state/configuration/merge_test.go
+++ b/internal/state/configuration/merge_test.go
@@ -116,7 +116,7 @@
 	}
 	// The number of the removal is taken: it can't stand for an item as well.
 	q, r := p.Merge(mergeOf(versionedRoute("mud", "wader", 6)))
-	is.Equal(r.ReuseConflicts, []Violation{{"route/mud", "version", reasonOtherValue}})
+	is.Equal(r.ReuseConflicts, []Violation{{"route/mud", "version", reasonOtherContent}})
 	is.True(q == p)
 	q, r = p.Merge(mergeOf(versionedRemoval("route", "mud", 6)))
 	is.True(r.Accepted())
--- a/internal/state/configuration/operations.go
+++ b/internal/state/configuration/operations.go
@@ -8,61 +8,116 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// cachedDocument holds the configuration that its last change led to, decoded, and that
-// change's outcome. Both are functions of bytes that are compared whole, so
-// what it gives is the same as without them; reading fifteen thousand items
-// anew for each change would be most of the change's cost.
+// The operations of the configuration's register. The numbers go over the wire.
+const (
+	// OpChange applies a Change.
+	OpChange consensus.Op = 1
+	// OpMerge applies a Merge.
+	OpMerge consensus.Op = 2
+	// OpOrderZone applies a ZoneOrder.
+	OpOrderZone consensus.Op = 3
+)
+
+// Ops returns the change functions of the configuration's register. They share a
+// cache, so each proposer needs its own.
+func Ops() map[consensus.Op]consensus.ChangeFunc {
+	c := &cachedDocument{}
+	return map[consensus.Op]consensus.ChangeFunc{
+		OpChange:    c.changeFunc(OpChange, changeStep),
+		OpMerge:     c.changeFunc(OpMerge, mergeStep),
+		OpOrderZone: c.changeFunc(OpOrderZone, orderZoneStep),
+	}
+}
+
+// step applies an encoded request to a document. It returns the same document if
+// nothing changes, and ok false if the request can't be read.
+type step func(d *Document, arg []byte) (next *Document, res Result, ok bool)
+
+func changeStep(d *Document, arg []byte) (*Document, Result, bool) {
+	change, violations := ReadChange(arg)
+	if len(violations) > 0 {
+		return d, Result{ID: change.ID, Revision: d.Revision, Violations: violations}, true
+	}
+	next, res := d.Apply(change)
+	return next, res, true
+}
+
+func mergeStep(d *Document, arg []byte) (*Document, Result, bool) {
+	var m Merge
+	if json.Unmarshal(arg, &m) != nil {
+		return d, Result{}, false
+	}
+	next, res := d.Merge(m)
+	return next, res, true
+}
+
+func orderZoneStep(d *Document, arg []byte) (*Document, Result, bool) {
+	var order ZoneOrder
+	if json.Unmarshal(arg, &order) != nil {
+		return d, Result{}, false
+	}
+	next, res := d.OrderZone(order)
+	return next, res, true
+}
+
+// cachedDocument holds the last value that was decoded or produced, as bytes and as a
+// document, and the last operation on it. Results don't depend on the cache, since
+// the bytes are compared whole; without it, decoding fifteen thousand items for each
+// change would be most of the change's cost.
 type cachedDocument struct {
 	encoded  []byte
 	document *Document
 	lastRun  stepRun
 }
 
-// stepRun is what one change function gave for one value and argument. A round
-// asks twice: first whether anything changes, then for the value to propose.
+// stepRun is one run of a step with its input and output. A consensus round asks
+// twice: first whether the value changes, then for the value to propose.
 type stepRun struct {
 	op                 consensus.Op
 	oldValue, arg      []byte
 	newValue, response []byte
 }
 
-// step changes an opened configuration; an unchanged configuration is given back as it is.
-type step func(p *Document, arg []byte) (next *Document, res Result, ok bool)
+// isOf reports whether this run had just this input.
+func (r stepRun) isOf(op consensus.Op, oldValue, arg []byte) bool {
+	return r.op == op && r.response != nil && bytes.Equal(r.oldValue, oldValue) && bytes.Equal(r.arg, arg)
+}
 
-// changeFunc runs a step as a register's change function.
+// changeFunc makes a step a change function of the register. The function returns
+// the old value and no response if the value or the request can't be read.
 func (c *cachedDocument) changeFunc(op consensus.Op, run step) consensus.ChangeFunc {
-	return func(_ ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
-		if l := c.lastRun; l.op == op && l.response != nil && bytes.Equal(l.oldValue, old) && bytes.Equal(l.arg, arg) {
-			return l.newValue, l.response
+	return func(_ ids.RegisterKey, oldValue, arg []byte) ([]byte, []byte) {
+		if c.lastRun.isOf(op, oldValue, arg) {
+			return c.lastRun.newValue, c.lastRun.response
 		}
-		p, err := c.decode(old)
+		d, err := c.decode(oldValue)
 		if err != nil {
-			return old, nil
+			return oldValue, nil
 		}
-		next, res, ok := run(p, arg)
+		next, res, ok := run(d, arg)
 		if !ok {
-			return old, nil
+			return oldValue, nil
 		}
+		// A Result has no field that encoding/json can't write.
 		response, _ := json.Marshal(res)
-		value := old
-		if next != p {
-			value = next.Encode(true)
-			c.encoded, c.document = value, next
+		newValue := oldValue
+		if next != d {
+			newValue = next.Encode(true)
+			c.encoded, c.document = newValue, next
 		}
-		c.lastRun = stepRun{op, old, arg, value, response}
-		return value, response
+		c.lastRun = stepRun{op, oldValue, arg, newValue, response}
+		return newValue, response
 	}
 }
 
-// decode reads a configuration, or gives the one at hand if it is of the same bytes.
-// Configurations are never changed in place once they were given out.
-func (c *cachedDocument) decode(raw []byte) (*Document, error) {
-	if c.document != nil && bytes.Equal(raw, c.encoded) {
+// decode returns the document of a value, from the cache if the bytes are the same.
+func (c *cachedDocument) decode(value []byte) (*Document, error) {
+	if c.document != nil && bytes.Equal(value, c.encoded) {
 		return c.document, nil
 	}
-	p, err := Decode(raw)
+	d, err := Decode(value)
 	if err == nil {
-		c.encoded, c.document = raw, p
+		c.encoded, c.document = value, d
 	}
-	return p, err
+	return d, err
 }
--- a/internal/state/configuration/read_merge.go
+++ b/internal/state/configuration/read_merge.go
@@ -9,85 +9,133 @@
 	"dunlinwell/internal/base/jsoncheck"
 )
 
-// ReadMerging reads and checks the words of a merging; all faults are listed.
+// maxMergeItems bounds the items of one Merge.
+const maxMergeItems = 200000
+
+// maxNameBytes bounds the name of an item of a Merge.
+const maxNameBytes = 256
+
+// maxSourceDepth bounds how deep a source nests. encoding/json reads no more than ten
+// thousand levels, and a source that can't be read again couldn't be kept.
+const maxSourceDepth = 256
+
+// ReadMerge decodes and checks a merge. All violations are listed; if there are any,
+// the merge is incomplete.
 func ReadMerge(raw []byte) (Merge, []Violation) {
-	var m Merge
-	var faults []Violation
-	item := "merging"
-	bad := func(path, why string) { faults = append(faults, Violation{item, path, why}) }
+	var merge Merge
+	violations := violationList{item: "merging"}
 	doc := gjson.ParseBytes(raw)
 	if !jsoncheck.Valid(raw) || !doc.IsObject() {
-		bad("", "is not a JSON object")
-		return m, faults
-	}
-	CheckKeys(doc, "", bad, "items")
-	list := doc.Get("items").Array()
-	if !doc.Get("items").IsArray() || len(list) == 0 || len(list) > maxMergeItems {
-		bad("items", fmt.Sprintf("must be a list of 1 to %d", maxMergeItems))
-		return m, faults
-	}
-	for i, g := range list {
-		item = fmt.Sprintf("items.%d", i)
-		checkVersionedItem(g, bad)
-	}
-	if len(faults) == 0 {
-		if err := json.Unmarshal(raw, &m); err != nil {
-			item = "merging"
-			bad("", err.Error())
-		}
+		violations.report("", "is not a JSON object")
+		return merge, violations.list
+	}
+	CheckKeys(doc, "", violations.report, "items")
+	items := doc.Get("items").Array()
+	if !doc.Get("items").IsArray() || len(items) == 0 || len(items) > maxMergeItems {
+		violations.report("items", fmt.Sprintf("must be a list of 1 to %d", maxMergeItems))
+		return merge, violations.list
+	}
+	for i, item := range items {
+		violations.item = fmt.Sprintf("items.%d", i)
+		checkVersionedItem(item, violations.report)
+	}
+	if len(violations.list) > 0 {
+		return merge, violations.list
 	}
-	if len(faults) == 0 {
-		faults = m.Check()
+	if err := json.Unmarshal(raw, &merge); err != nil {
+		violations.item = "merging"
+		violations.report("", err.Error())
+		return merge, violations.list
 	}
-	return m, faults
+	return merge, merge.Check()
 }
 
-// checkVersionedItem checks what surrounds an item's body; the body is checked later.
-func checkVersionedItem(g gjson.Result, bad func(path, why string)) {
-	if !g.IsObject() {
-		bad("", "must be an object")
+// checkVersionedItem checks the fields around an item's body. Merge.Check checks the
+// body.
+func checkVersionedItem(item gjson.Result, report ReportFunc) {
+	if !item.IsObject() {
+		report("", "must be an object")
 		return
 	}
-	// A source is its caller's own, whatever it holds.
+	checkDuplicateItemKeys(item, report)
+	CheckKeys(item, "", report, "kind", "name", "version", "body", "source", "removed")
+	for _, key := range []string{"kind", "name"} {
+		if item.Get(key).Type != gjson.String {
+			report(key, "must be a string")
+		}
+	}
+	if version := item.Get("version"); !isWholeNumber(version) || version.Num >= 1<<62 {
+		report("version", "must be a whole number")
+	}
+	removed := item.Get("removed")
+	if removed.Exists() && !removed.IsBool() {
+		report("removed", "must be true or false")
+	}
+	if removed.Bool() == item.Get("body").Exists() {
+		report("", "must have one of body and removed")
+	}
+}
+
+// checkDuplicateItemKeys reports keys that stand twice in an item or in its body. A
+// source is in its caller's own format, in which they may be allowed.
+func checkDuplicateItemKeys(item gjson.Result, report ReportFunc) {
 	seen := map[string]bool{}
-	g.ForEach(func(k, v gjson.Result) bool {
-		if seen[k.String()] {
-			bad(k.String(), "stands twice")
+	item.ForEach(func(key, value gjson.Result) bool {
+		if seen[key.String()] {
+			report(key.String(), "stands twice")
 		}
-		seen[k.String()] = true
-		if k.String() == "body" {
-			checkDuplicateKeys("body", v, bad)
+		seen[key.String()] = true
+		if key.String() == "body" {
+			checkDuplicateKeys("body", value, report)
 		}
 		return true
 	})
-	CheckKeys(g, "", bad, "kind", "name", "version", "body", "source", "removed")
-	for _, f := range []string{"kind", "name"} {
-		if g.Get(f).Type != gjson.String {
-			bad(f, "must be a string")
-		}
+}
+
+// Check lists the violations that the merge itself shows, without the document.
+func (m Merge) Check() []Violation {
+	violations := violationList{item: "items"}
+	if len(m.Items) > maxMergeItems {
+		violations.report("", fmt.Sprintf("must be %d at most", maxMergeItems))
+		return violations.list
 	}
-	if v := g.Get("version"); v.Type != gjson.Number || v.Num < 0 || v.Num >= 1<<62 || v.Raw != fmt.Sprint(v.Uint()) {
-		bad("version", "must be a whole number")
+	for i, item := range m.Items {
+		violations.item = fmt.Sprintf("items.%d", i)
+		item.check(&violations)
 	}
-	removed := g.Get("removed")
-	if removed.Exists() && !removed.IsBool() {
-		bad("removed", "must be true or false")
+	return violations.list
+}
+
+// check checks one item. Once its kind and name are known, violations are reported
+// under them.
+func (v VersionedItem) check(violations *violationList) {
+	if _, ok := fieldRules[v.Kind]; !ok {
+		violations.report("kind", "is not known")
+		return
 	}
-	if removed.Bool() == g.Get("body").Exists() {
-		bad("", "must have one of body and removed")
+	if len(v.Name) == 0 || len(v.Name) > maxNameBytes {
+		violations.report("name", fmt.Sprintf("must be 1 to %d bytes", maxNameBytes))
+		return
+	}
+	violations.item = itemKey(v.Kind, v.Name)
+	if v.Removed {
+		return
 	}
+	if !jsoncheck.Valid(v.Body) {
+		violations.report("", "is not valid JSON")
+		return
+	}
+	checkSource(v.Source, violations.report)
+	checkVersionedBody(v.Kind, string(v.Body), violations.report)
 }
 
-// maxSourceDepth is how far a source may nest: encoding/json reads no more than
-// ten thousand levels, and what it can't read again nobody could keep.
-const maxSourceDepth = 256
-
-func checkSource(raw json.RawMessage, bad func(path, why string)) {
+// checkSource checks that a source, if there is one, can be kept.
+func checkSource(source json.RawMessage, report ReportFunc) {
 	switch {
-	case len(raw) == 0:
-	case jsoncheck.Depth(raw) > maxSourceDepth:
-		bad("source", "nests too deep")
-	case !jsoncheck.Valid(raw):
-		bad("source", "is not valid JSON")
+	case len(source) == 0:
+	case jsoncheck.Depth(source) > maxSourceDepth:
+		report("source", "nests too deep")
+	case !jsoncheck.Valid(source):
+		report("source", "is not valid JSON")
 	}
 }
--- a/internal/state/configuration/resent_changes_test.go
+++ b/internal/state/configuration/resent_changes_test.go
@@ -49,7 +49,7 @@
 			}
 			version := fmt.Sprintf(`"version":%d,`, known)
 			if known == 0 || random.IntN(3) == 0 {
-				version, s.id = "", string(ChangeIDAt(p.Revision-min(p.Revision, 3), s.id))
+				version, s.id = "", ChangeIDAt(p.Revision-min(p.Revision, 3), s.id)
 			}
 			s.parts = fmt.Sprintf(`{"kind":"service","name":%q,%s%s}`, name, version, deed)
 			p, s.first = applyChange(t, p, s.id, s.parts)
--- a/internal/state/configuration/route.go
+++ b/internal/state/configuration/route.go
@@ -6,39 +6,53 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// Route is how a request finds a service, how urgent it is, and whether it
-// may be repeated.
+// Route maps requests by host and path prefix to a service, and says how urgent they
+// are and whether they may be repeated.
 type Route struct {
 	Name ids.Name `json:"-"`
 	// Host, if set, is the only host that the route is for.
 	Host    string   `json:"host"`
 	Prefix  string   `json:"prefix"`
 	Service ids.Name `json:"service"`
-	// Split, if set, shares the requests out among services by weight.
-	Split      []WeightedService `json:"split"`
-	Tier       int               `json:"tier"`
-	Repeatable bool              `json:"repeatable"`
-	// Single: a request that may not be repeated carries no mark; each attempt
-	// reaches one proxy, which alone sees to it that it runs at most once.
+	// Split, if set, distributes the requests among services by weight, in place of
+	// Service.
+	Split []WeightedService `json:"split"`
+	// Tier is the priority class, from 0 to 9; 5 by default.
+	Tier int `json:"tier"`
+	// Repeatable requests may be sent to a second target after an attempt that may
+	// have run. Others run at most once.
+	Repeatable bool `json:"repeatable"`
+	// WithoutIdempotencyKey: requests that aren't repeatable carry no idempotency key.
+	// Each attempt reaches one proxy, which alone ensures that it runs at most once.
 	WithoutIdempotencyKey bool `json:"single"`
-	TimeoutMillis         int  `json:"limit_ms"`
-	MaxBodyBytes          int  `json:"max_body"`
-	// LatencyGoalMillis is the time within which an answer is worth most, in ms; 0 for none.
+	// TimeoutMillis is the time limit of a request in milliseconds; 5000 by default.
+	TimeoutMillis int `json:"limit_ms"`
+	// MaxBodyBytes bounds a request's body; 1 MiB by default.
+	MaxBodyBytes int `json:"max_body"`
+	// LatencyGoalMillis is the time in milliseconds within which an answer is worth
+	// most; 0 for none.
 	LatencyGoalMillis int `json:"goal_ms"`
-	// MaxAttempts is the most targets that one request may be sent to.
+	// MaxAttempts is the most targets that one request may be sent to; 3 by default.
 	MaxAttempts int `json:"attempts"`
-	// HomeRegions are the regions in which the route's requests may be served; none
-	// for all.
+	// HomeRegions are the regions in which requests may be served; empty for all.
 	HomeRegions []ids.Name `json:"homes"`
 }
 
-// WeightedService is a service's part of a split route.
+// Route settings that hold where the configuration names none.
+const (
+	defaultTier          = 5
+	defaultTimeoutMillis = 5000
+	defaultMaxBodyBytes  = 1 << 20
+	defaultMaxAttempts   = 3
+)
+
+// WeightedService is one service of a route that splits its requests.
 type WeightedService struct {
 	Service ids.Name `json:"service"`
 	Weight  float64  `json:"weight"`
 }
 
-// Timeout is the route's time limit.
+// Timeout is the route's time limit for a request.
 func (r Route) Timeout() time.Duration { return time.Duration(r.TimeoutMillis) * time.Millisecond }
 
 // LatencyGoal is the time within which an answer is worth most; 0 for none.
@@ -46,51 +60,42 @@
 	return time.Duration(r.LatencyGoalMillis) * time.Millisecond
 }
 
-// Services gives each service that the route's requests may go to, once.
+// Services returns each service that the route's requests may go to, once.
 func (r Route) Services() []ids.Name {
 	if len(r.Split) == 0 {
 		return []ids.Name{r.Service}
 	}
-	var out []ids.Name
+	var services []ids.Name
 	seen := map[ids.Name]bool{}
-	for _, s := range r.Split {
-		if s.Weight > 0 && !seen[s.Service] {
-			seen[s.Service] = true
-			out = append(out, s.Service)
+	for _, weighted := range r.Split {
+		if weighted.Weight > 0 && !seen[weighted.Service] {
+			seen[weighted.Service] = true
+			services = append(services, weighted.Service)
 		}
 	}
-	return out
+	return services
 }
 
-// SelectService gives the service for one request, by a draw from 0 up to 1.
-func (r Route) SelectService(draw float64) ids.Name {
+// SelectService returns the service for one request by weight. The random number is
+// at least 0 and below 1.
+func (r Route) SelectService(random float64) ids.Name {
 	sum := 0.0
-	for _, s := range r.Split {
-		sum += s.Weight
+	for _, weighted := range r.Split {
+		sum += weighted.Weight
 	}
 	if sum <= 0 {
 		return r.Service
 	}
-	last := r.Service
-	for _, s := range r.Split {
-		if s.Weight <= 0 {
+	selected := r.Service
+	for _, weighted := range r.Split {
+		if weighted.Weight <= 0 {
 			continue
 		}
-		last = s.Service
-		if draw -= s.Weight / sum; draw < 0 {
-			return last
+		selected = weighted.Service
+		if random -= weighted.Weight / sum; random < 0 {
+			return selected
 		}
 	}
-	return last
+	// Sums of fractions round: the last service of any weight takes the remainder.
+	return selected
 }
-
-// Limits bound what a client may send, and how long it may take or idle.
-type Limits struct {
-	MaxHeaderBytes      int `json:"max_header"`
-	MaxBodyBytes        int `json:"max_body"`
-	HeaderTimeoutMillis int `json:"header_ms"`
-	IdleTimeoutMillis   int `json:"idle_ms"`
-}
-
-// DefaultLimits are those in force where configuration names none.
-var DefaultLimits = Limits{MaxHeaderBytes: 64 << 10, MaxBodyBytes: 1 << 30, HeaderTimeoutMillis: 5000, IdleTimeoutMillis: 60000}
--- a/internal/state/configuration/validate_body.go
+++ b/internal/state/configuration/validate_body.go
@@ -6,51 +6,118 @@
 	"github.com/tidwall/gjson"
 )
 
-// checkSplit checks a route's services: one, or a list of them by weight.
-func checkSplit(doc gjson.Result, bad func(path, why string)) {
+// checkBody checks the body of one item field by field.
+func checkBody(kind string, body string, report ReportFunc) {
+	doc := gjson.Parse(body)
+	if !doc.IsObject() {
+		report("", "must be an object")
+		return
+	}
+	known := map[string]bool{}
+	for _, rule := range fieldRules[kind] {
+		known[rule.path] = true
+		value := doc.Get(rule.path)
+		switch {
+		case value.Exists():
+			rule.check(value, report)
+		case rule.required:
+			report(rule.path, "is missing")
+		}
+	}
+	doc.ForEach(func(key, _ gjson.Result) bool {
+		if !known[key.String()] {
+			report(key.String(), "is not known")
+		}
+		return true
+	})
+	switch kind {
+	case kindZone:
+		checkZone(doc, report)
+	case kindRoute:
+		checkRoute(doc, report)
+	}
+}
+
+// checkZone checks a zone's distances, and its load levels against one another.
+func checkZone(doc gjson.Result, report ReportFunc) {
+	doc.Get("distances").ForEach(func(key, distance gjson.Result) bool {
+		path := "distances." + key.String()
+		if !namePattern.MatchString(key.String()) {
+			report(path, "must be named by "+nameDescription)
+		}
+		if distance.Type != gjson.Number || distance.Num < 0 || distance.Num > 100000 {
+			report(path, "must be from 0 to 100000")
+		}
+		return true
+	})
+	target, acceptable, maximum := doc.Get("target"), doc.Get("acceptable"), doc.Get("maximum")
+	if acceptable.Exists() && target.Exists() && acceptable.Num >= target.Num {
+		report("acceptable", "must be below target")
+	}
+	if maximum.Exists() && target.Exists() && maximum.Num <= target.Num {
+		report("maximum", "must be above target")
+	}
+	if (acceptable.Exists() || maximum.Exists()) && !target.Exists() {
+		report("target", "is missing beside acceptable or maximum")
+	}
+}
+
+// checkRoute checks a route's destination, one service or several by weight, and its
+// home regions.
+func checkRoute(doc gjson.Result, report ReportFunc) {
 	split, service := doc.Get("split"), doc.Get("service")
 	if !service.Exists() && !split.Exists() {
-		bad("service", "is missing")
+		report("service", "is missing")
 		return
 	}
+	checkWeights(split, report)
+	for i, region := range doc.Get("homes").Array() {
+		if region.Type != gjson.String || region.Str == "" {
+			report("homes."+strconv.Itoa(i), "must be a region's name")
+		}
+	}
+}
+
+// checkWeights checks the weighted services of a route, if it has any.
+func checkWeights(split gjson.Result, report ReportFunc) {
 	sum := 0.0
-	for i, s := range split.Array() {
-		at := "split." + strconv.Itoa(i)
-		if n := s.Get("service"); n.Type != gjson.String || n.Str == "" {
-			bad(at+".service", "must be a service's name")
+	for i, weighted := range split.Array() {
+		path := "split." + strconv.Itoa(i)
+		if name := weighted.Get("service"); name.Type != gjson.String || name.Str == "" {
+			report(path+".service", "must be a service's name")
 		}
-		w := s.Get("weight")
-		if w.Type != gjson.Number || w.Num < 0 || w.Num > 1e9 {
-			bad(at+".weight", "must be a number from 0 to 1e9")
+		weight := weighted.Get("weight")
+		if weight.Type != gjson.Number || weight.Num < 0 || weight.Num > 1e9 {
+			report(path+".weight", "must be a number from 0 to 1e9")
 		}
-		sum += w.Num
-		CheckKeys(s, at, bad, "service", "weight")
+		sum += weight.Num
+		CheckKeys(weighted, path, report, "service", "weight")
 	}
 	if split.Exists() && sum <= 0 {
-		bad("split", "must have weights that add up to more than 0")
-	}
-	for i, h := range doc.Get("homes").Array() {
-		if h.Type != gjson.String || h.Str == "" {
-			bad("homes."+strconv.Itoa(i), "must be a region's name")
-		}
+		report("split", "must have weights that add up to more than 0")
 	}
 }
 
-// checkVersionedBody checks an item whose caller has its own rule for names and paths;
-// numbers and types are ours.
-func checkVersionedBody(kind, body string, bad func(path, why string)) {
-	checkBody(kind, body, func(path, why string) {
-		switch {
-		case kind == "route" && (path == "prefix" || path == "service"):
-			doc := gjson.Parse(body)
-			if v := doc.Get(path); path == "prefix" && v.Type == gjson.String && len(v.Str) > 0 && v.Str[0] == '/' {
-				return
-			} else if path == "service" && (v.Type == gjson.String && v.Str != "" || doc.Get("split").Exists()) {
-				return
-			}
-		case kind == "cell" && path == "region":
-			return
-		}
-		bad(path, why)
+// checkVersionedBody checks the body of an item of a Merge. Its caller has rules of its
+// own for the names of services and regions and for prefixes, so these need only be
+// of the right type; everything else is checked as in a Change.
+func checkVersionedBody(kind, body string, report ReportFunc) {
+	checkBody(kind, body, func(path, reason string) {
+		if !isLeftToCaller(kind, path, gjson.Parse(body)) {
+			report(path, reason)
+		}
 	})
 }
+
+// isLeftToCaller reports whether a violation at a path doesn't count for an item of a
+// Merge.
+func isLeftToCaller(kind, path string, doc gjson.Result) bool {
+	value := doc.Get(path)
+	switch {
+	case kind == kindRoute && path == "prefix":
+		return value.Type == gjson.String && len(value.Str) > 0 && value.Str[0] == '/'
+	case kind == kindRoute && path == "service":
+		return value.Type == gjson.String && value.Str != "" || doc.Get("split").Exists()
+	}
+	return kind == kindZone && path == "region"
+}
--- a/internal/state/configuration/zone_order.go
+++ b/internal/state/configuration/zone_order.go
@@ -7,71 +7,75 @@
 	"github.com/tidwall/pretty"
 
 	"dunlinwell/internal/base/ids"
-	"dunlinwell/internal/state/consensus"
 )
 
-// OpOrderZone shuts or opens a zone by an order that has no id.
-const OpOrderZone consensus.Op = 3
-
-// ZoneOrder asks that a zone's targets get nothing more, or that they get work
-// again. Its copies can't be told from a later order of the same words, so one
-// takes effect only on the version that the registry knew when it came in: a
-// copy that is overtaken on its way does nothing.
+// ZoneOrder evacuates a zone, so that its targets get no more requests, or ends the
+// evacuation. It has no id, so a copy can't be told from a later order of the same
+// content. Therefore it takes effect only on the version that the registry knew when
+// the order came in: a copy that is overtaken by a later order changes nothing.
 type ZoneOrder struct {
-	Zone         ids.Name     `json:"cell"`
-	Region       ids.Name     `json:"region"`
-	Evacuate     bool         `json:"shut"`
+	Zone     ids.Name `json:"cell"`
+	Region   ids.Name `json:"region"`
+	Evacuate bool     `json:"shut"`
+	// KnownVersion is the ZoneVersion of the registry that received the order.
 	KnownVersion ids.Revision `json:"known"`
 }
 
-// ZoneVersion gives the version that an order for a zone is to name: that of the
-// zone, or of its removal.
+// zoneEvacuation is the field of a zone's body that an order sets.
+type zoneEvacuation struct {
+	Evacuated bool `json:"shut"`
+}
+
+// evacuatedZone is the body of a zone that an order makes.
+type evacuatedZone struct {
+	Region ids.Name `json:"region"`
+	zoneEvacuation
+}
+
+// ZoneVersion returns the version that an order for a zone has to name: that of the
+// zone or of its removal, 0 if there is neither.
 func (d *Document) ZoneVersion(zone ids.Name) ids.Revision {
-	v, _ := d.version("cell", zone)
-	return v
+	version, _ := d.version(kindZone, zone)
+	return version
 }
 
-// OrderZone gives the configuration after an order, or the same configuration if the zone is as
-// it asks already, or if the order is stale.
-func (d *Document) OrderZone(o ZoneOrder) (*Document, Result) {
-	have, exists := d.Zones[o.Zone]
-	touched := ItemVersion{Kind: "cell", Name: o.Zone, Version: have.Version}
-	res := Result{Revision: d.Revision, Items: []ItemVersion{touched}}
-	if exists && gjson.GetBytes(have.Body, "shut").Bool() == o.Evacuate {
+// OrderZone returns the document after an order. It returns the same document if the
+// zone is already as ordered, or if the order is overtaken (Result.VersionConflicts).
+func (d *Document) OrderZone(order ZoneOrder) (*Document, Result) {
+	present, exists := d.Zones[order.Zone]
+	item := ItemVersion{Kind: kindZone, Name: order.Zone, Version: present.Version}
+	res := Result{Revision: d.Revision, Items: []ItemVersion{item}}
+	if exists && gjson.GetBytes(present.Body, "shut").Bool() == order.Evacuate {
 		return d, res
 	}
-	if now := d.ZoneVersion(o.Zone); now != o.KnownVersion {
-		touched.Version = now
-		return d, Result{Revision: d.Revision, VersionConflicts: []VersionConflict{{touched, o.KnownVersion}}}
+	if version := d.ZoneVersion(order.Zone); version != order.KnownVersion {
+		item.Version = version
+		return d, Result{Revision: d.Revision, VersionConflicts: []VersionConflict{{item, order.KnownVersion}}}
 	}
-	body, err := o.zoneBody(have, exists)
+	key := itemKey(kindZone, order.Zone)
+	body, err := order.zoneBody(present, exists)
 	if err != nil {
-		return d, Result{Revision: d.Revision, Violations: []Violation{{"cell/" + string(o.Zone), "", err.Error()}}}
+		return d, Result{Revision: d.Revision, Violations: []Violation{{key, "", err.Error()}}}
 	}
 	next := d.nextRevision()
-	res.Revision, res.Items[0].Version = next.Revision, max(next.Revision, o.KnownVersion+1)
-	delete(next.Tombstones, "cell/"+string(o.Zone))
-	next.Zones[o.Zone] = Item{
-		Version: res.Items[0].Version, Body: pretty.Ugly(body), ChangedAt: next.Revision,
-		Merged: have.isMerged(), EverMerged: have.EverMerged || d.Tombstones["cell/"+string(o.Zone)].EverMerged,
+	res.Revision, res.Items[0].Version = next.Revision, max(next.Revision, order.KnownVersion+1)
+	delete(next.Tombstones, key)
+	next.Zones[order.Zone] = Item{
+		Version:    res.Items[0].Version,
+		Body:       pretty.Ugly(body),
+		ChangedAt:  next.Revision,
+		Merged:     present.isMerged(),
+		EverMerged: present.EverMerged || d.Tombstones[key].EverMerged,
 	}
 	return next, res
 }
 
-// zoneBody gives the zone as the order leaves it; what else was said of it stays.
-func (o ZoneOrder) zoneBody(have Item, exists bool) ([]byte, error) {
+// zoneBody returns the zone's body after the order. Other fields stay as they are.
+func (o ZoneOrder) zoneBody(present Item, exists bool) ([]byte, error) {
+	evacuation := zoneEvacuation{Evacuated: o.Evacuate}
 	if exists {
-		set, err := json.Marshal(map[string]bool{"shut": o.Evacuate})
-		return overlayFields(have.Body, set), err
-	}
-	return json.Marshal(map[string]any{"region": o.Region, "shut": o.Evacuate})
-}
-
-func orderZoneStep(p *Document, arg []byte) (*Document, Result, bool) {
-	var o ZoneOrder
-	if json.Unmarshal(arg, &o) != nil {
-		return p, Result{}, false
+		changed, err := json.Marshal(evacuation)
+		return overlayFields(present.Body, changed), err
 	}
-	next, res := p.OrderZone(o)
-	return next, res, true
+	return json.Marshal(evacuatedZone{o.Region, evacuation})
 }
