--- a/internal/state/configuration/deduplication_test.go
+++ b/internal/state/configuration/deduplication_test.go
@@ -1,201 +1,199 @@
 package configuration
 
 import (
-	"encoding/json"
 	"fmt"
+	"math/rand/v2"
 	"testing"
 
 	"github.com/matryer/is"
-)
-
-// applyOtherChanges makes so many other changes, all of one other item.
-func applyOtherChanges(t *testing.T, p *Document, many int) *Document {
-	t.Helper()
-	for i := range many {
-		var r Result
-		p, r = applyChange(t, p, fmt.Sprintf("other-%d-%d", p.Revision, i), fmt.Sprintf(`{"kind":"service","name":"busy","put":{"circuits":%d}}`, i%9))
-		if !r.Accepted() {
-			t.Fatalf("%+v", r)
-		}
-	}
-	return p
-}
 
-// reencoded gives the configuration as a store that restarts, or one that takes another's
-// copy, reads it.
-func reencoded(t *testing.T, p *Document) *Document {
-	t.Helper()
-	q, err := Decode(p.Encode(true))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return q
-}
+	"dunlinwell/internal/base/ids"
+)
 
-// A change is acknowledged, its answer is lost, and its copy comes after hundreds
-// of others and a restart.
+// The response to an accepted change is lost, and its copy arrives after hundreds of
+// other changes and a restart.
 func TestApply_AcknowledgesResentAcceptedChange(t *testing.T) {
 	is := is.New(t)
 	conditional := `{"kind":"service","name":"ledger","version":1,"put":{"tier":3}}`
-	p, _ := applyChange(t, emptyDocument(t), "make", service)
-	p, first := applyChange(t, p, "order", conditional)
+	d, _ := applyChange(t, emptyDocument(t), "make", putLedgerService)
+	d, first := applyChange(t, d, "order", conditional)
 	is.True(first.Accepted())
-	p, second := applyChange(t, p, "after", `{"kind":"service","name":"ledger","version":2,"put":{"tier":4}}`)
+	d, second := applyChange(t, d, "after", `{"kind":"service","name":"ledger","version":2,"put":{"tier":4}}`)
 	is.True(second.Accepted())
-	p, removed := applyChange(t, p, "removal", `{"kind":"service","name":"ledger","version":3,"remove":true}`)
+	d, removed := applyChange(t, d, "removal", `{"kind":"service","name":"ledger","version":3,"remove":true}`)
 	is.True(removed.Accepted())
-	p = reencoded(t, applyOtherChanges(t, p, 300))
-	for id, parts := range map[string]string{"order": conditional, "make": service, "removal": `{"kind":"service","name":"ledger","version":3,"remove":true}`} {
-		q, r := applyChange(t, p, id, parts)
-		is.True(r.Accepted())
-		is.True(q == p)
+	d = reencoded(t, applyOtherChanges(t, d, 300))
+	for id, items := range map[string]string{"order": conditional, "make": putLedgerService, "removal": `{"kind":"service","name":"ledger","version":3,"remove":true}`} {
+		next, res := applyChange(t, d, id, items)
+		is.True(res.Accepted())
+		is.True(next == d)
 	}
-	_, r := applyChange(t, p, "order", conditional)
-	is.Equal(r.Revision, first.Revision)
+	_, res := applyChange(t, d, "order", conditional)
+	is.Equal(res.Revision, first.Revision)
 }
 
-// What made an item's present version, or removed it, is known for ever.
+// The change that made an item's present version, or removed the item, is always known.
 func TestApply_ItemIdentifiesItsChangeAfterHistoryIsTrimmed(t *testing.T) {
 	is := is.New(t)
-	p, made := applyChange(t, emptyDocument(t), "order", `{"kind":"service","name":"ledger","version":0,"put":{}}`)
-	p, _ = applyChange(t, p, "x", `{"kind":"service","name":"gone","put":{}}`)
-	p, _ = applyChange(t, p, "removal", `{"kind":"service","name":"gone","remove":true}`)
-	p = reencoded(t, applyOtherChanges(t, p, maxChangeEntries+evictionBatch))
-	is.True(p.history().ForgottenRevision > 3)
-	_, r := applyChange(t, p, "order", `{"kind":"service","name":"ledger","version":0,"put":{}}`)
-	is.True(r.Accepted())
-	is.Equal(r.Revision, made.Revision)
-	q, r := applyChange(t, p, "removal", `{"kind":"service","name":"gone","remove":true}`)
-	is.True(r.Accepted())
-	is.True(q == p)
+	d, made := applyChange(t, emptyDocument(t), "order", `{"kind":"service","name":"ledger","version":0,"put":{}}`)
+	d, _ = applyChange(t, d, "x", `{"kind":"service","name":"gone","put":{}}`)
+	d, _ = applyChange(t, d, "removal", `{"kind":"service","name":"gone","remove":true}`)
+	d = reencoded(t, applyOtherChanges(t, d, maxChangeEntries+evictionBatch))
+	is.True(d.history().ForgottenRevision > 3)
+	_, res := applyChange(t, d, "order", `{"kind":"service","name":"ledger","version":0,"put":{}}`)
+	is.True(res.Accepted())
+	is.Equal(res.Revision, made.Revision)
+	next, res := applyChange(t, d, "removal", `{"kind":"service","name":"gone","remove":true}`)
+	is.True(res.Accepted())
+	is.True(next == d)
 }
 
-// Where the end of a change is forgotten, its copy gets no clear answer; where it
-// can't have been accepted, it is refused as ever.
+// A copy of a change whose outcome is forgotten has an unknown outcome. If the change
+// can't have been accepted, it is rejected as usual.
 func TestApply_ForgottenChangeHasUnknownOutcome(t *testing.T) {
 	is := is.New(t)
-	p, _ := applyChange(t, emptyDocument(t), "1", service)
-	p, _ = applyChange(t, p, "2", `{"kind":"service","name":"ledger","version":1,"put":{"tier":3}}`)
-	p, _ = applyChange(t, p, "3", `{"kind":"service","name":"ledger","version":2,"put":{"tier":4}}`)
-	p = reencoded(t, applyOtherChanges(t, p, maxChangeEntries+evictionBatch))
-	q, r := applyChange(t, p, "2", `{"kind":"service","name":"ledger","version":1,"put":{"tier":3}}`)
-	is.True(r.UnknownReason != "" && !r.Accepted())
-	is.True(q == p)
-	// An unconditional one isn't made again either, if its id tells its age.
-	q, r = applyChange(t, p, ChangeIDAt(2, "abc"), `{"kind":"service","name":"ledger","put":{"tier":5}}`)
-	is.True(r.UnknownReason != "")
-	is.True(q == p)
-	_, r = applyChange(t, p, ChangeIDAt(p.Revision, "abc"), `{"kind":"service","name":"ledger","put":{"tier":5}}`)
-	is.True(r.Accepted())
-	// Two operators had read version 2, and one was quicker, long ago.
-	_, r = applyChange(t, p, "slow", `{"kind":"service","name":"ledger","version":2,"put":{"tier":6}}`)
-	is.Equal(len(r.VersionConflicts), 1)
-	// Nothing of that name ever was.
-	_, r = applyChange(t, p, "slip", `{"kind":"service","name":"legder","remove":true}`)
-	is.Equal(len(r.MissingItems), 1)
-	is.True(p.history().Changes.count() <= maxChangeEntries)
+	d, _ := applyChange(t, emptyDocument(t), "1", putLedgerService)
+	d, _ = applyChange(t, d, "2", `{"kind":"service","name":"ledger","version":1,"put":{"tier":3}}`)
+	d, _ = applyChange(t, d, "3", `{"kind":"service","name":"ledger","version":2,"put":{"tier":4}}`)
+	d = reencoded(t, applyOtherChanges(t, d, maxChangeEntries+evictionBatch))
+	next, res := applyChange(t, d, "2", `{"kind":"service","name":"ledger","version":1,"put":{"tier":3}}`)
+	is.True(res.UnknownReason != "" && !res.Accepted())
+	is.True(next == d)
+	// Neither is one without a version applied again, if its id tells its age.
+	next, res = applyChange(t, d, ChangeIDAt(2, "abc"), `{"kind":"service","name":"ledger","put":{"tier":5}}`)
+	is.True(res.UnknownReason != "")
+	is.True(next == d)
+	_, res = applyChange(t, d, ChangeIDAt(d.Revision, "abc"), `{"kind":"service","name":"ledger","put":{"tier":5}}`)
+	is.True(res.Accepted())
+	// Another change replaced version 2 long ago, so this one wasn't accepted.
+	_, res = applyChange(t, d, "slow", `{"kind":"service","name":"ledger","version":2,"put":{"tier":6}}`)
+	is.Equal(len(res.VersionConflicts), 1)
+	// There never was an item of that name.
+	_, res = applyChange(t, d, "slip", `{"kind":"service","name":"legder","remove":true}`)
+	is.Equal(len(res.MissingItems), 1)
+	is.True(d.history().Changes.count() <= maxChangeEntries)
 }
 
-// Two operators take the same id for two changes: one of them isn't in force, so
-// it isn't confirmed.
+// Two operators use one id for two changes: the second is rejected. The same change in
+// another spelling is a copy.
 func TestApply_RejectsReusedChangeID(t *testing.T) {
 	is := is.New(t)
-	p, r := applyChange(t, emptyDocument(t), "release-7", `{"kind":"service","name":"ledger","put":{"tier":8,"circuits":2}}`)
-	is.True(r.Accepted())
-	q, r := applyChange(t, p, "release-7", `{"kind":"service","name":"ledger","put":{"tier":7,"circuits":2}}`)
-	is.Equal(len(r.ReuseConflicts), 1)
-	is.True(q == p)
-	q, r = applyChange(t, p, "release-7", `{"name":"ledger","put":{ "circuits": 2, "tier": 8 },"kind":"service"}`)
-	is.True(r.Accepted())
-	is.True(q == p)
+	d, res := applyChange(t, emptyDocument(t), "release-7", `{"kind":"service","name":"ledger","put":{"tier":8,"circuits":2}}`)
+	is.True(res.Accepted())
+	next, res := applyChange(t, d, "release-7", `{"kind":"service","name":"ledger","put":{"tier":7,"circuits":2}}`)
+	is.Equal(len(res.ReuseConflicts), 1)
+	is.True(next == d)
+	next, res = applyChange(t, d, "release-7", `{"name":"ledger","put":{ "circuits": 2, "tier": 8 },"kind":"service"}`)
+	is.True(res.Accepted())
+	is.True(next == d)
 }
 
-// A change that was rejected stays so after hundreds of other rejected ones.
+// A rejected change stays rejected after hundreds of others, whose results push its own
+// out of RejectedResults.
 func TestApply_RejectedChangeStaysRejectedBeyondKeptResults(t *testing.T) {
 	is := is.New(t)
 	remove := `{"kind":"service","name":"ledger","remove":true}`
-	p, r := applyChange(t, emptyDocument(t), "early", remove)
-	is.Equal(len(r.MissingItems), 1)
+	d, res := applyChange(t, emptyDocument(t), "early", remove)
+	is.Equal(len(res.MissingItems), 1)
 	for i := range 2 * maxRejectedResults {
-		p, _ = applyChange(t, p, fmt.Sprintf("d%d", i), `{"kind":"route","name":"none","remove":true}`)
+		d, _ = applyChange(t, d, fmt.Sprintf("d%d", i), `{"kind":"route","name":"none","remove":true}`)
 	}
-	p, _ = applyChange(t, p, "make", service)
-	q, r := applyChange(t, reencoded(t, p), "early", remove)
-	is.True(!r.Accepted())
-	is.Equal(len(r.Violations), 0) // a valid change isn't called invalid
-	is.Equal(len(q.Services), 1)
+	d, _ = applyChange(t, d, "make", putLedgerService)
+	next, res := applyChange(t, reencoded(t, d), "early", remove)
+	is.True(!res.Accepted())
+	is.Equal(len(res.Violations), 0) // it is a reuse conflict: the change itself is valid
+	is.Equal(len(next.Services), 1)
 }
 
-// Two operators send two contents of one version: one is confirmed, the other is
-// refused with the reason, and each gets the same answer to its copies.
-func TestMerge_RejectsOtherContentUnderUsedVersion(t *testing.T) {
+// A document that was written before History existed: the results in it are known, and
+// nothing beyond them is taken to be certain.
+func TestApply_ReadsDocumentWithoutHistory(t *testing.T) {
 	is := is.New(t)
-	base, _ := emptyDocument(t).Merge(mergeOf(versionedService("wader", 1), versionedService("plover", 1)))
-	one, other := versionedRoute("mud", "wader", 5), versionedRoute("mud", "plover", 5)
-	p, r := base.Merge(mergeOf(one))
-	is.True(r.Accepted())
-	refused := []Violation{{"route/mud", "version", reasonOtherContent}}
-	q, r := p.Merge(mergeOf(other, versionedRoute("sand", "plover", 5)))
-	is.Equal(r.ReuseConflicts, refused)
-	is.True(q == p) // whole or nothing
-	_, r = p.Merge(mergeOf(versionedRemoval("route", "mud", 5)))
-	is.Equal(r.ReuseConflicts, refused)
-	// So it is once both are overtaken, and once the item is removed.
-	for _, next := range []VersionedItem{versionedRoute("mud", "plover", 9), versionedRemoval("route", "mud", 11)} {
-		p, _ = p.Merge(mergeOf(next))
-		p = reencoded(t, p)
-		q, r = p.Merge(mergeOf(one))
-		is.True(r.Accepted())
-		is.True(q == p)
-		q, r = p.Merge(mergeOf(other))
-		is.Equal(r.ReuseConflicts, refused)
-		is.True(q == p)
+	d, _ := applyChange(t, emptyDocument(t), "first", putLedgerService)
+	d, _ = applyChange(t, d, "second", `{"kind":"service","name":"ledger","version":1,"put":{"tier":3}}`)
+	d = applyOtherChanges(t, d, maxRecentResults)
+	d.History = nil
+	for name, item := range d.Services {
+		item.ChangeHash, item.PreviousVersion, item.EverMerged = "", 0, false
+		d.Services[name] = item
 	}
-	// Both in one call.
-	_, r = base.Merge(mergeOf(one, other))
-	is.Equal(r.ReuseConflicts, refused)
+	d = reencoded(t, d)
+	_, res := applyChange(t, d, "second", `{"kind":"service","name":"ledger","version":1,"put":{"tier":3}}`)
+	is.True(res.UnknownReason != "")
+	last := d.RecentResults[len(d.RecentResults)-1]
+	_, res = applyChange(t, d, string(last.ID), `{"kind":"service","name":"busy","put":{}}`)
+	is.Equal(res, last)
 }
 
-// The same content in another spelling is the same content.
-func TestMerge_ComparesContentNotSpelling(t *testing.T) {
-	is := is.New(t)
-	spelled := func(source string) VersionedItem {
-		g := versionedService("wader", 3)
-		g.Source = json.RawMessage(source)
-		return g
+// sentChange is a change that an operator may send again, and its first result.
+type sentChange struct {
+	id, items   string
+	firstResult Result
+}
+
+// randomChange returns a change of one of five services, often for a version that is
+// out of date, with an id that tells its age if it has no version.
+func randomChange(random *rand.Rand, d *Document, number int) sentChange {
+	change := sentChange{id: fmt.Sprintf("c%d", number)}
+	name := ids.Name(fmt.Sprintf("s%d", random.IntN(5)))
+	known := d.Services[name].Version
+	if random.IntN(4) == 0 {
+		known -= min(known, ids.Revision(random.IntN(6)))
+	}
+	action := fmt.Sprintf(`"put":{"circuits":%d}`, random.IntN(50))
+	if random.IntN(5) == 0 {
+		action = `"remove":true`
 	}
-	p, _ := emptyDocument(t).Merge(mergeOf(spelled(`{"a":"\u00e4<","n":4.0,"list":[1,2],"big":9007199254740993}`)))
-	p = reencoded(t, p)
-	q, r := p.Merge(mergeOf(spelled(`{ "list":[1, 2], "big":9007199254740993, "n":4, "a":"ä\u003c" }`)))
-	is.True(r.Accepted())
-	is.True(q == p)
-	for _, differs := range []string{
-		`{"a":"ä<","n":4,"list":[2,1],"big":9007199254740993}`,
-		`{"a":"ä<","n":4,"list":[1,2],"big":9007199254740992}`,
-		`{"a":"ä<","n":"4","list":[1,2],"big":9007199254740993}`,
-		`{"a":"ä<","n":4,"list":[1,2]}`,
-	} {
-		_, r = p.Merge(mergeOf(spelled(differs)))
-		is.Equal(len(r.ReuseConflicts), 1)
+	version := fmt.Sprintf(`"version":%d,`, known)
+	if known == 0 || random.IntN(3) == 0 {
+		version, change.id = "", ChangeIDAt(d.Revision-min(d.Revision, 3), change.id)
 	}
+	change.items = fmt.Sprintf(`{"kind":"service","name":%q,%s%s}`, name, version, action)
+	return change
 }
 
-// A configuration from before there was a history: what its results tell is known, and
-// nothing is taken for certain beyond them.
-func TestApply_ReadsDocumentWithoutHistory(t *testing.T) {
-	is := is.New(t)
-	p, _ := applyChange(t, emptyDocument(t), "first", service)
-	p, _ = applyChange(t, p, "second", `{"kind":"service","name":"ledger","version":1,"put":{"tier":3}}`)
-	p = applyOtherChanges(t, p, maxRecentResults)
-	p.History = nil
-	for n, it := range p.Services {
-		it.ChangeHash, it.PreviousVersion, it.EverMerged = "", 0, false
-		p.Services[n] = it
+// resend applies a change again, checks its result against the first one, and reports
+// whether its outcome was unknown.
+func (c sentChange) resend(t *testing.T, d *Document) bool {
+	t.Helper()
+	next, res := applyChange(t, d, c.id, c.items)
+	unknown := res.UnknownReason != ""
+	if !unknown && c.firstResult.Accepted() != res.Accepted() {
+		t.Fatalf("%s %s: first %+v, then %+v", c.id, c.items, c.firstResult, res)
+	}
+	if next.Revision != d.Revision {
+		t.Fatalf("%s was applied twice", c.id)
+	}
+	return unknown
+}
+
+// Operators send changes, and copies of any age of them: one that was accepted is never
+// rejected nor applied a second time, and one that was rejected is never accepted.
+func TestApply_ResentChangesOfAnyAgeKeepTheirOutcome(t *testing.T) {
+	for seed := range uint64(3) {
+		random := rand.New(rand.NewPCG(seed, 18))
+		d := emptyDocument(t)
+		var sent []sentChange
+		unknown := 0
+		for i := range 3 * maxChangeEntries {
+			if i > 0 && i%4 == 0 {
+				if sent[random.IntN(len(sent))].resend(t, d) {
+					unknown++
+				}
+				continue
+			}
+			change := randomChange(random, d, i)
+			d, change.firstResult = applyChange(t, d, change.id, change.items)
+			if change.firstResult.UnknownReason != "" {
+				t.Fatalf("%s is new: %+v", change.id, change.firstResult)
+			}
+			sent = append(sent, change)
+			if i%1000 == 0 {
+				d = reencoded(t, d)
+			}
+		}
+		if unknown == 0 || d.history().ForgottenRevision == 0 {
+			t.Fatal("no copy was older than what is remembered")
+		}
 	}
-	p = reencoded(t, p)
-	_, r := applyChange(t, p, "second", `{"kind":"service","name":"ledger","version":1,"put":{"tier":3}}`)
-	is.True(r.UnknownReason != "")
-	last := p.RecentResults[len(p.RecentResults)-1]
-	_, r = applyChange(t, p, string(last.ID), `{"kind":"service","name":"busy","put":{}}`)
-	is.Equal(r, last)
 }
--- a/internal/state/configuration/delta_test.go
+++ b/internal/state/configuration/delta_test.go
@@ -1,7 +1,6 @@
 package configuration
 
 import (
-	"encoding/json"
 	"fmt"
 	"math/rand/v2"
 	"testing"
@@ -11,77 +10,60 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// A difference leads from any earlier revision to just the same configuration, however
-// often it comes, and never back.
+// randomHistory returns the documents that forty random operations lead through.
+func randomHistory(t *testing.T, random *rand.Rand) []*Document {
+	t.Helper()
+	documents := []*Document{emptyDocument(t)}
+	for n := range 40 {
+		d, name := documents[len(documents)-1], fmt.Sprint("s", random.IntN(6))
+		var next *Document
+		switch random.IntN(4) {
+		case 0:
+			next, _ = d.Merge(mergeOf(versionedService(name, ids.Revision(random.IntN(60)))))
+		case 1:
+			next, _ = d.Merge(mergeOf(versionedRemoval("service", name, ids.Revision(random.IntN(60)))))
+		case 2:
+			next, _ = applyChange(t, d, fmt.Sprint("c", n), fmt.Sprintf(`{"kind":"service","name":%q,"put":{"tier":%d}}`, name, random.IntN(9)))
+		case 3:
+			next, _ = applyChange(t, d, fmt.Sprint("c", n), fmt.Sprintf(`{"kind":"service","name":%q,"remove":true}`, name))
+		}
+		if next.Revision > d.Revision {
+			documents = append(documents, next)
+		}
+	}
+	return documents
+}
+
+// A delta leads from its base and any later revision to the same document, however
+// often it arrives, and never back to an older one.
 func TestAdvance_DeltaFromAnyRevisionGivesSameDocument(t *testing.T) {
 	is := is.New(t)
 	for seed := range uint64(30) {
 		random := rand.New(rand.NewPCG(seed, 1))
-		all := []*Document{emptyDocument(t)}
-		for n := range 40 {
-			p, name := all[len(all)-1], fmt.Sprint("s", random.IntN(6))
-			var q *Document
-			switch random.IntN(4) {
-			case 0:
-				q, _ = p.Merge(mergeOf(versionedService(name, ids.Revision(random.IntN(60)))))
-			case 1:
-				q, _ = p.Merge(mergeOf(versionedRemoval("service", name, ids.Revision(random.IntN(60)))))
-			case 2:
-				q, _ = applyChange(t, p, fmt.Sprint("c", n), fmt.Sprintf(`{"kind":"service","name":%q,"put":{"tier":%d}}`, name, random.IntN(9)))
-			case 3:
-				q, _ = applyChange(t, p, fmt.Sprint("c", n), fmt.Sprintf(`{"kind":"service","name":%q,"remove":true}`, name))
-			}
-			if q.Revision > p.Revision {
-				all = append(all, q)
-			}
-		}
-		last := all[len(all)-1]
-		for _, from := range all {
-			have, err := Decode(from.Encode(false))
+		documents := randomHistory(t, random)
+		last := documents[len(documents)-1]
+		for _, from := range documents {
+			received, err := Decode(from.Encode(false))
 			is.NoErr(err)
-			base := all[random.IntN(len(all))]
-			got, err := have.Advance(last.ChangesSince(base.Revision))
+			base := documents[random.IntN(len(documents))]
+			advanced, err := received.Advance(last.ChangesSince(base.Revision))
 			is.NoErr(err)
 			if from.Revision < base.Revision {
-				is.True(got == have) // it builds on what isn't here
+				is.True(advanced == received) // the delta needs a later revision
 				continue
 			}
 			if from.Revision < last.Revision {
-				is.Equal(string(got.Encode(false)), string(last.Encode(false)))
-				is.Equal(got.View(), last.View())
+				is.Equal(string(advanced.Encode(false)), string(last.Encode(false)))
+				is.Equal(advanced.View(), last.View())
 			}
-			again, err := got.Advance(last.ChangesSince(base.Revision))
+			again, err := advanced.Advance(last.ChangesSince(base.Revision))
 			is.NoErr(err)
-			is.True(again == got)
-			older, err := got.Advance(all[0].Encode(false))
+			is.True(again == advanced)
+			older, err := advanced.Advance(documents[0].Encode(false))
 			is.NoErr(err)
-			is.True(older == got)
+			is.True(older == advanced)
 		}
 	}
 	_, err := emptyDocument(t).Advance([]byte("{"))
 	is.True(err != nil)
 }
-
-// The register's change function gives the very bytes back where nothing
-// changed, and does nothing with words that it can't read.
-func TestOpMerge_LeavesValueUnchangedUnlessNewer(t *testing.T) {
-	is := is.New(t)
-	raw, _ := json.Marshal(mergeOf(versionedService("wader", 5)))
-	first, out := mergeOp(Key, nil, raw)
-	var r Result
-	is.NoErr(json.Unmarshal(out, &r))
-	is.True(r.Accepted())
-	second, out := mergeOp(Key, first, raw)
-	is.Equal(string(second), string(first))
-	is.NoErr(json.Unmarshal(out, &r))
-	is.True(r.Accepted())
-	same, out := mergeOp(Key, first, []byte(`{`))
-	is.Equal(string(same), string(first))
-	is.Equal(out, nil)
-	bad, _ := json.Marshal(mergeOf(versionedRoute("mud", "nobody", 1)))
-	same, out = mergeOp(Key, first, bad)
-	is.Equal(string(same), string(first))
-	r = Result{}
-	is.NoErr(json.Unmarshal(out, &r))
-	is.Equal(len(r.Violations), 1)
-}
--- a/internal/state/configuration/zone_order_test.go
+++ b/internal/state/configuration/zone_order_test.go
@@ -9,85 +9,102 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// copyOfOrder is one copy of an order on its way: what its registry knew when it
-// came in may be older than the truth, and it takes effect later.
-type copyOfOrder struct{ ZoneOrder }
+// ordersInFlight are copies of orders that haven't arrived yet. Each names what its
+// registry knew when the order came in, which may be out of date.
+type ordersInFlight struct {
+	random *rand.Rand
+	orders []ZoneOrder
+}
+
+// send adds one to three copies of an order. Some of their registries haven't learned
+// the present version yet.
+func (o *ordersInFlight) send(evacuate bool, present ids.Revision) {
+	for range 1 + o.random.IntN(3) {
+		behind := ids.Revision(0)
+		if o.random.IntN(3) == 0 {
+			behind = min(present, ids.Revision(o.random.IntN(2)))
+		}
+		o.orders = append(o.orders, ZoneOrder{"a", "south", evacuate, present - behind})
+	}
+}
+
+// takeOne removes and returns any of the orders.
+func (o *ordersInFlight) takeOne() ZoneOrder {
+	i := o.random.IntN(len(o.orders))
+	order := o.orders[i]
+	o.orders = append(o.orders[:i], o.orders[i+1:]...)
+	return order
+}
+
+// deliverUntilAcknowledged applies orders until one is acknowledged that leaves the zone
+// as asked, and sends another copy if none is left.
+func (o *ordersInFlight) deliverUntilAcknowledged(d *Document, evacuate bool) *Document {
+	for {
+		order := o.takeOne()
+		next, res := d.OrderZone(order)
+		d = next
+		if res.Accepted() && order.Evacuate == evacuate && zoneAIsEvacuated(d) == evacuate {
+			return d
+		}
+		if len(o.orders) == 0 {
+			o.orders = append(o.orders, ZoneOrder{"a", "south", evacuate, d.ZoneVersion("a")})
+		}
+	}
+}
 
-// Orders to shut a zone and to open it again have no ids, and each is sent several
-// times. A copy that takes effect late, after the operator was told that a later
-// order holds, must not undo that one.
+// Orders to evacuate a zone and to end the evacuation have no ids, and each is sent
+// several times. A copy that arrives late, after a later order was acknowledged, must not
+// undo that one.
 func TestOrderZone_LateCopyNeverUndoesAcknowledgedOrder(t *testing.T) {
-	late := 0
+	lateCopies := 0
 	for seed := range uint64(200) {
-		random := rand.New(rand.NewPCG(seed, 4))
-		p := emptyDocument(t)
-		var onTheWay []copyOfOrder
-		shut := false
+		inFlight := ordersInFlight{random: rand.New(rand.NewPCG(seed, 4))}
+		d := emptyDocument(t)
+		evacuate := false
 		for range 20 {
-			shut = !shut
-			// Some registries have not heard yet of what was agreed last.
-			known := p.ZoneVersion("a")
-			for range 1 + random.IntN(3) {
-				behind := ids.Revision(0)
-				if random.IntN(3) == 0 {
-					behind = min(known, ids.Revision(random.IntN(2)))
-				}
-				onTheWay = append(onTheWay, copyOfOrder{ZoneOrder{"a", "south", shut, known - behind}})
-			}
-			for acknowledged := false; !acknowledged; {
-				i := random.IntN(len(onTheWay))
-				c := onTheWay[i]
-				next, r := p.OrderZone(c.ZoneOrder)
-				onTheWay = append(onTheWay[:i], onTheWay[i+1:]...)
-				p = next
-				acknowledged = r.Accepted() && c.Evacuate == shut && isEvacuated(p) == shut
-				if len(onTheWay) == 0 && !acknowledged {
-					onTheWay = append(onTheWay, copyOfOrder{ZoneOrder{"a", "south", shut, p.ZoneVersion("a")}})
-				}
-			}
-			// The operator knows that this order holds; now the late copies come.
-			for len(onTheWay) > 0 && random.IntN(3) > 0 {
-				i := random.IntN(len(onTheWay))
-				next, r := p.OrderZone(onTheWay[i].ZoneOrder)
-				if len(r.VersionConflicts) > 0 {
-					late++
+			evacuate = !evacuate
+			inFlight.send(evacuate, d.ZoneVersion("a"))
+			d = inFlight.deliverUntilAcknowledged(d, evacuate)
+			for len(inFlight.orders) > 0 && inFlight.random.IntN(3) > 0 {
+				next, res := d.OrderZone(inFlight.takeOne())
+				if len(res.VersionConflicts) > 0 {
+					lateCopies++
 				}
-				onTheWay = append(onTheWay[:i], onTheWay[i+1:]...)
-				if p = next; isEvacuated(p) != shut {
+				if d = next; zoneAIsEvacuated(d) != evacuate {
 					t.Fatalf("seed %d: a late copy undid an acknowledged order", seed)
 				}
 			}
 		}
 	}
-	if late < 100 {
-		t.Fatalf("only %d copies were late", late)
+	if lateCopies < 100 {
+		t.Fatalf("only %d copies were late", lateCopies)
 	}
 }
 
-func isEvacuated(p *Document) bool { return p.View().Zones["a"].Evacuated }
+func zoneAIsEvacuated(d *Document) bool { return d.View().Zones["a"].Evacuated }
 
-// What else was said of the zone stays, an order that changes nothing writes
-// nothing, and neither a removal nor a fresh zone is mistaken for what was known.
+// Other fields of the zone stay, an order that changes nothing writes nothing, and an
+// order is stale after the zone was changed or removed.
 func TestOrderZone_KeepsOtherFieldsAndRejectsStaleOrders(t *testing.T) {
 	is := is.New(t)
-	p, _ := applyChange(t, emptyDocument(t), "1", `{"kind":"cell","name":"a","put":{"target":100,"region":"south","emptied":true}}`)
-	q, r := p.OrderZone(ZoneOrder{"a", "south", true, p.ZoneVersion("a")})
-	is.True(r.Accepted())
-	is.Equal(r.Items, []ItemVersion{{"cell", "a", 2}})
-	v := q.View().Zones["a"]
+	d, _ := applyChange(t, emptyDocument(t), "1", `{"kind":"cell","name":"a","put":{"target":100,"region":"south","emptied":true}}`)
+	next, res := d.OrderZone(ZoneOrder{"a", "south", true, d.ZoneVersion("a")})
+	is.True(res.Accepted())
+	is.Equal(res.Items, []ItemVersion{{"cell", "a", 2}})
+	v := next.View().Zones["a"]
 	is.True(v.Evacuated && v.Drained && v.TargetLoad == 100)
-	same, r := q.OrderZone(ZoneOrder{"a", "south", true, 0})
-	is.True(r.Accepted())
-	is.True(same == q)
-	same, r = q.OrderZone(ZoneOrder{"a", "south", false, 1})
-	is.Equal(r.VersionConflicts, []VersionConflict{{ItemVersion{"cell", "a", 2}, 1}})
-	is.True(same == q)
+	same, res := next.OrderZone(ZoneOrder{"a", "south", true, 0})
+	is.True(res.Accepted())
+	is.True(same == next)
+	same, res = next.OrderZone(ZoneOrder{"a", "south", false, 1})
+	is.Equal(res.VersionConflicts, []VersionConflict{{ItemVersion{"cell", "a", 2}, 1}})
+	is.True(same == next)
 	// A removed zone has the version of its removal.
-	q, r = applyChange(t, q, "2", `{"kind":"cell","name":"a","remove":true}`)
-	is.True(r.Accepted())
-	_, r = q.OrderZone(ZoneOrder{"a", "south", true, 0})
-	is.Equal(len(r.VersionConflicts), 1)
-	q, r = q.OrderZone(ZoneOrder{"a", "south", true, q.ZoneVersion("a")})
-	is.True(r.Accepted())
-	is.True(q.View().Zones["a"].Region == "south" && q.Zones["a"].Version == 4)
+	next, res = applyChange(t, next, "2", `{"kind":"cell","name":"a","remove":true}`)
+	is.True(res.Accepted())
+	_, res = next.OrderZone(ZoneOrder{"a", "south", true, 0})
+	is.Equal(len(res.VersionConflicts), 1)
+	next, res = next.OrderZone(ZoneOrder{"a", "south", true, next.ZoneVersion("a")})
+	is.True(res.Accepted())
+	is.True(next.View().Zones["a"].Region == "south" && next.Zones["a"].Version == 4)
 }
