--- a/internal/state/configuration/encode.go
+++ b/internal/state/configuration/encode.go
@@ -17,6 +17,7 @@
 	withoutItems.Services, withoutItems.Routes, withoutItems.Zones, withoutItems.Limits = nil, nil, nil, nil
 	tail, err := json.Marshal(&withoutItems)
 	if err != nil {
+		// Not reached: without its items a document has no type that can't be written.
 		return nil
 	}
 	out := append([]byte(`{"revision":`), strconv.FormatUint(uint64(d.Revision), 10)...)
--- a/internal/state/configuration/view.go
+++ b/internal/state/configuration/view.go
@@ -51,14 +51,16 @@
 type Zone struct {
 	Name   ids.Name `json:"-"`
 	Region string   `json:"region"`
-	// TargetLoad is the load to aim for. AcceptableLoad, by default 0.8 of it, and
-	// MaximumLoad, by default 1.1 of it, are the levels below and above.
+	// TargetLoad is the load to aim for; 8500 by default. A zone above MaximumLoad, by
+	// default 1.1 of it, spills requests over to zones below their AcceptableLoad, by
+	// default 0.8 of it.
 	TargetLoad float64 `json:"target"`
 	// LoadDefaulted: no operator named a target load.
 	LoadDefaulted  bool    `json:"-"`
 	AcceptableLoad float64 `json:"acceptable"`
 	MaximumLoad    float64 `json:"maximum"`
-	// Drained zones send their requests to other zones.
+	// Drained: the zone takes no new requests. Clients are directed to other zones, and
+	// nothing more is sent to its targets.
 	Drained bool `json:"emptied"`
 	// Evacuated: nothing more is sent to the zone's targets, while its proxies go on
 	// serving from the targets of other zones.
