--- a/internal/state/configuration/document.go
+++ b/internal/state/configuration/document.go
@@ -28,8 +28,8 @@
 type Item struct {
 	Version ids.Revision    `json:"version"`
 	Body    json.RawMessage `json:"body"`
-	// Source is the item in its caller's own format, kept to be read back. Empty if
-	// the caller uses ours.
+	// Source is the item in its caller's own format, kept to be read back; empty if the
+	// caller uses the format of Body.
 	Source json.RawMessage `json:"source,omitempty"`
 	// Merged reports that the present version came by a Merge. Such an item may
 	// share its prefix with others.
--- a/internal/state/configuration/operations.go
+++ b/internal/state/configuration/operations.go
@@ -24,8 +24,8 @@
 	c := &cachedDocument{}
 	return map[consensus.Op]consensus.ChangeFunc{
 		OpChange:    c.changeFunc(OpChange, changeStep),
-		OpMerge:     c.changeFunc(OpMerge, mergeStep),
-		OpOrderZone: c.changeFunc(OpOrderZone, orderZoneStep),
+		OpMerge:     c.changeFunc(OpMerge, decodedStep((*Document).Merge)),
+		OpOrderZone: c.changeFunc(OpOrderZone, decodedStep((*Document).OrderZone)),
 	}
 }
 
@@ -33,6 +33,7 @@
 // nothing changes, and ok false if the request can't be read.
 type step func(d *Document, arg []byte) (next *Document, res Result, ok bool)
 
+// changeStep checks a change before it is applied, and reports all its violations.
 func changeStep(d *Document, arg []byte) (*Document, Result, bool) {
 	change, violations := ReadChange(arg)
 	if len(violations) > 0 {
@@ -42,22 +43,16 @@
 	return next, res, true
 }
 
-func mergeStep(d *Document, arg []byte) (*Document, Result, bool) {
-	var m Merge
-	if json.Unmarshal(arg, &m) != nil {
-		return d, Result{}, false
-	}
-	next, res := d.Merge(m)
-	return next, res, true
-}
-
-func orderZoneStep(d *Document, arg []byte) (*Document, Result, bool) {
-	var order ZoneOrder
-	if json.Unmarshal(arg, &order) != nil {
-		return d, Result{}, false
+// decodedStep is the step that decodes a request as JSON and applies it.
+func decodedStep[T any](apply func(*Document, T) (*Document, Result)) step {
+	return func(d *Document, arg []byte) (*Document, Result, bool) {
+		var request T
+		if json.Unmarshal(arg, &request) != nil {
+			return d, Result{}, false
+		}
+		next, res := apply(d, request)
+		return next, res, true
 	}
-	next, res := d.OrderZone(order)
-	return next, res, true
 }
 
 // cachedDocument holds the last value that was decoded or produced, as bytes and as a
--- a/internal/state/idempotency/doc.go
+++ b/internal/state/idempotency/doc.go
@@ -11,11 +11,12 @@
 // # Invariants
 //
 //   - At most one owner holds a claim, and only the owner completes it.
-//   - An owner that released its claim never gets it again, and no attempt below
-//     Record.MinAttempt gets one: a later attempt was told that none of them ran.
+//   - An owner that released its claim never gets it again (the last maxReleasedOwners of
+//     them are remembered), and no attempt below Record.MinAttempt gets one: the client
+//     of a later attempt was told that none of them ran.
 //   - A completed record never changes. It is kept for Retention.
-//   - An operation that is run again with the same argument gives the same verdict,
-//     since a consensus round may run twice.
+//   - A consensus round may run an operation twice: the second run gives the same verdict
+//     if nothing came between. Only OpNumberAttempt skips a number.
 //
 // # What it never does
 //
