--- a/internal/state/consensus/acceptor.go
+++ b/internal/state/consensus/acceptor.go
@@ -1,217 +1,185 @@
 package consensus
 
 import (
+	"dunlinwell/internal/base/delta"
 	"dunlinwell/internal/base/event"
 	"dunlinwell/internal/base/ids"
-	"dunlinwell/internal/transport/wire"
 )
 
-// VoterSetKey is the register that holds the voter set itself.
-const VoterSetKey ids.RegisterKey = "roster"
-
-// Slot is what an acceptor keeps for each register.
-type RegisterState struct {
-	Promised ids.Ballot
-	Accepted ids.Ballot
-	Value    []byte
-}
-
-// Storage is the disk as the machine reads it; writes go out as commands.
-type Storage interface {
-	// Fetch finds a record.
-	Get(key ids.RegisterKey) ([]byte, bool)
-	// After lists up to n records behind a key, in order.
-	Scan(key ids.RegisterKey, n int) []event.Record
-}
-
-var _ = wire.Register(40, RegisterState{}) && wire.Register(41, VoterSet{})
-
-// Acceptor votes. All that it says waits for the disk.
+// Acceptor is the acceptor of one store. It answers a request only after the state that
+// the answer speaks of is on disk.
 type Acceptor struct {
-	out      *event.Outbox
-	storage  Storage
+	out     *event.Outbox
+	storage Storage
+	// storeID is made together with the store's disk, so that a blank disk can't vote
+	// as the one that it replaces.
 	storeID  uint64
 	voterSet VoterSet
-	// ahead holds what is on its way to the disk, by the turn that syncs it.
-	unsynced  map[ids.RegisterKey]unsyncedRecord
+	// unsynced holds the records of idempotency keys and of the acceptor itself that
+	// are on their way to the disk.
+	unsynced map[ids.RegisterKey]unsyncedRecord
+	// lastBatch is the number of the last event.Sync that was emitted.
 	lastBatch uint64
-	// registers are those at hand, damaged tells of one that can't be read.
+	// registers caches every register but idempotency keys that was used in this run,
+	// including what is on its way to the disk.
 	registers map[ids.RegisterKey]*register
+	// damaged is set where a register can't be read. The acceptor then takes no part,
+	// as it can't know what it promised.
 	damaged   bool
 	diskState diskStateRecord
 	changes   changeLog
 }
 
-type unsyncedRecord struct {
-	raw   []byte
-	batch uint64
-}
-
-const registerPrefix = "item/"
-
-// NewAcceptor takes up where the disk left off.
+// NewAcceptor returns the acceptor of a store with the state that its disk holds.
 func NewAcceptor(store uint64, storage Storage, out *event.Outbox) *Acceptor {
-	a := &Acceptor{out: out, storage: storage, storeID: store, unsynced: map[ids.RegisterKey]unsyncedRecord{}, registers: map[ids.RegisterKey]*register{}}
-	if raw, ok := storage.Get("meta/roster"); ok {
+	a := &Acceptor{
+		out: out, storage: storage, storeID: store,
+		unsynced:  map[ids.RegisterKey]unsyncedRecord{},
+		registers: map[ids.RegisterKey]*register{},
+	}
+	if raw, ok := storage.Get(voterSetRecordKey); ok {
 		a.voterSet, _ = decodeMessage[VoterSet](raw)
 	}
 	if err := CheckDisk(storage); err != nil {
 		a.damaged = true
-		out.Log(event.LevelError, "registers unreadable, taking no part", "error", err.Error())
+		out.Log(event.LevelError, EventRegisterUnreadable, "error", err.Error())
 	}
 	a.loadDiskState()
 	return a
 }
 
-func decodeMessage[T any](raw []byte) (T, bool) {
-	_, msg, err := wire.ReadBytes(raw)
-	t, ok := msg.(T)
-	return t, ok && err == nil
-}
-
-func (a *Acceptor) rawRecord(key ids.RegisterKey) []byte {
-	if w, ok := a.unsynced[key]; ok {
-		return w.raw
-	}
-	raw, _ := a.storage.Get(key)
-	return raw
-}
-
-func (a *Acceptor) registerState(key ids.RegisterKey) RegisterState {
-	if !isIdempotencyKey(key) {
-		return a.cachedRegister(key).RegisterState
-	}
-	s, _ := decodeMessage[RegisterState](a.rawRecord(registerPrefix + key))
-	return s
-}
-
-// keep syncs a record, and only then lets the commands out.
-func (a *Acceptor) persist(key ids.RegisterKey, msg any, then ...event.Command) {
-	raw, err := wire.Encode(msg)
-	if err != nil {
-		a.out.Log(event.LevelError, "record not kept", "key", string(key), "error", err.Error())
-		return
-	}
-	a.lastBatch++
-	a.unsynced[key] = unsyncedRecord{raw, a.lastBatch}
-	a.changes.add(key)
-	a.out.Emit(event.Sync{Batch: a.lastBatch, Records: []event.Record{{Key: key, Value: raw}}, After: then})
-}
+// VoterSet returns the highest voter set that this acceptor knows.
+func (a *Acceptor) VoterSet() VoterSet { return a.voterSet }
 
-// Behind lets a command out only after all that was asked of the disk so far,
-// since it may speak of values not yet synced.
-func (a *Acceptor) AfterSync(c event.Command) {
-	a.lastBatch++
-	a.out.Emit(event.Sync{Batch: a.lastBatch, After: []event.Command{c}})
-}
+// StoreID returns the id of the acceptor's store.
+func (a *Acceptor) StoreID() uint64 { return a.storeID }
 
-// Settled forgets what the disk now has.
-func (a *Acceptor) Synced(turn uint64) {
-	for k, w := range a.unsynced {
-		if w.batch <= turn {
-			delete(a.unsynced, k)
-		}
-	}
+// AcceptedValue returns what this acceptor alone holds, chosen or not, and the ballot
+// that it was accepted under. Only reads that ask for the local copy may use it.
+func (a *Acceptor) AcceptedValue(key ids.RegisterKey) (ids.Ballot, []byte) {
+	state := a.registerState(key)
+	return state.Accepted, state.Value
 }
 
-// Adopt takes a higher voter set; lower ones are rejected from then on.
-func (a *Acceptor) AdoptVoterSet(r VoterSet) bool {
-	if r.Number <= a.voterSet.Number {
+// AdoptVoterSet takes up a voter set if its number is higher than that of the one in
+// force, and reports whether it was. Requests under lower ones are rejected from then on.
+func (a *Acceptor) AdoptVoterSet(set VoterSet) bool {
+	if set.Number <= a.voterSet.Number {
 		return false
 	}
-	a.updateDiskState(r)
-	a.voterSet = r
-	a.persist("meta/roster", r)
+	a.updateDiskState(set)
+	a.voterSet = set
+	a.persist(voterSetRecordKey, set)
 	return true
 }
 
-// abstains answers one who goes by a lower voter set, and takes no part.
-func (a *Acceptor) abstains(from ids.Address, number uint64) bool {
-	if number < a.voterSet.Number {
+// abstains reports whether this acceptor takes no part in a request under a voter set.
+// The sender of a request under a lower one is told of the voter set in force.
+func (a *Acceptor) abstains(from ids.Address, voterSetNumber uint64) bool {
+	if voterSetNumber < a.voterSet.Number {
 		a.AfterSync(event.Send{To: from, Msg: VoterSetUpdate{a.voterSet}})
 		return true
 	}
-	// One that hasn't heard of the voter set yet, isn't in it or has not copied
-	// what was agreed before it came can't vote, nor can one that can't read what
-	// it voted for.
-	return a.damaged || number > a.voterSet.Number || !a.MayVote()
+	// An acceptor doesn't vote under a voter set that it doesn't know yet, nor before
+	// its disk holds what was agreed earlier, nor if it can't read what it promised.
+	return a.damaged || voterSetNumber > a.voterSet.Number || !a.MayVote()
 }
 
-// HandlePrepare promises, or tells of a higher promise.
+// HandlePrepare promises the ballot, or answers with the higher one that was promised.
 func (a *Acceptor) HandlePrepare(from ids.Address, m Prepare) {
 	if a.abstains(from, m.VoterSetNumber) {
 		return
 	}
-	s := a.registerState(m.Key)
-	p := Promise{
+	state := a.registerState(m.Key)
+	promise := Promise{
 		Key: m.Key, Store: a.storeID, Round: m.Round, VoterSetNumber: m.VoterSetNumber,
-		Promised: s.Promised, Accepted: s.Accepted, Value: s.Value, ReadsDeltas: len(s.Value) >= minDeltaValueSize,
+		Promised: state.Promised, Accepted: state.Accepted, Value: state.Value,
+		ReadsDeltas: len(state.Value) >= minDeltaValueSize,
 	}
-	if !m.KnownBallot.IsZero() && m.KnownBallot == s.Accepted {
-		p.Value, p.MatchesKnown = nil, true
+	if !m.KnownBallot.IsZero() && m.KnownBallot == state.Accepted {
+		promise.Value, promise.MatchesKnown = nil, true
 	}
-	if m.ReadOnly || !s.Promised.Less(m.Ballot) {
-		a.AfterSync(event.Send{To: from, Msg: p})
+	if m.ReadOnly || !state.Promised.Less(m.Ballot) {
+		a.AfterSync(event.Send{To: from, Msg: promise})
 		return
 	}
-	s.Promised, p.Promised = m.Ballot, m.Ballot
-	a.saveRegister(m.Key, s, event.Send{To: from, Msg: p})
+	state.Promised, promise.Promised = m.Ballot, m.Ballot
+	a.saveRegister(m.Key, state, event.Send{To: from, Msg: promise})
 }
 
-// HandleAccept keeps a value unless a higher ballot was promised.
+// HandleAccept accepts the value unless a higher ballot was promised.
 func (a *Acceptor) HandleAccept(from ids.Address, m Accept) {
 	if a.abstains(from, m.VoterSetNumber) {
 		return
 	}
-	s := a.registerState(m.Key)
-	// One that was taken before may come again, after the promise to Next.
-	ok := !m.Ballot.Less(s.Promised) || s.Accepted == m.Ballot
+	state := a.registerState(m.Key)
+	// A duplicate may arrive after the promise to NextBallot, and is a vote still.
+	duplicate := state.Accepted == m.Ballot
+	ok := !m.Ballot.Less(state.Promised) || duplicate
 	if m.FirstValue {
-		ok = (s.Promised.IsZero() && s.Accepted.IsZero()) || s.Accepted == m.Ballot
+		ok = (state.Promised.IsZero() && state.Accepted.IsZero()) || duplicate
 	}
-	w := Accepted{Key: m.Key, Store: a.storeID, Round: m.Round, VoterSetNumber: m.VoterSetNumber, OK: ok, Promised: s.Promised, ReadsDeltas: len(m.Value) >= minDeltaValueSize}
-	if !ok {
-		a.AfterSync(event.Send{To: from, Msg: w})
-		return
+	vote := Accepted{
+		Key: m.Key, Store: a.storeID, Round: m.Round, VoterSetNumber: m.VoterSetNumber,
+		OK: ok, Promised: state.Promised, ReadsDeltas: len(m.Value) >= minDeltaValueSize,
 	}
-	if s.Accepted == m.Ballot {
-		a.AfterSync(event.Send{To: from, Msg: w})
+	if !ok || duplicate {
+		a.AfterSync(event.Send{To: from, Msg: vote})
 		return
 	}
-	s.Promised, s.Accepted, s.Value = maxBallot(m.Ballot, m.NextBallot), m.Ballot, m.Value
-	w.Promised = s.Promised
-	a.saveRegister(m.Key, s, event.Send{To: from, Msg: w})
+	state.Promised, state.Accepted, state.Value = maxBallot(m.Ballot, m.NextBallot), m.Ballot, m.Value
+	vote.Promised = state.Promised
+	a.saveRegister(m.Key, state, event.Send{To: from, Msg: vote})
 }
 
-// VoterSet gives the voter set in force here.
-func (a *Acceptor) VoterSet() VoterSet { return a.voterSet }
-
-// Store gives this acceptor's store id.
-func (a *Acceptor) StoreID() uint64 { return a.storeID }
-
-// AcceptedValue gives what this copy holds, chosen or not; for --local reads alone.
-func (a *Acceptor) AcceptedValue(key ids.RegisterKey) (ids.Ballot, []byte) {
-	s := a.registerState(key)
-	return s.Accepted, s.Value
+// HandleAcceptDifference does as HandleAccept for the value that the delta leads to. An
+// acceptor without the delta's base changes nothing and asks for the whole value.
+func (a *Acceptor) HandleAcceptDifference(from ids.Address, m AcceptDifference) {
+	if a.abstains(from, m.VoterSetNumber) {
+		return
+	}
+	state := a.registerState(m.Key)
+	accept := Accept{Key: m.Key, Ballot: m.Ballot, NextBallot: m.NextBallot, VoterSetNumber: m.VoterSetNumber, Round: m.Round}
+	if state.Accepted == m.Ballot || m.Ballot.Less(state.Promised) {
+		// A duplicate or a rejection: HandleAccept doesn't look at the value.
+		a.HandleAccept(from, accept)
+		return
+	}
+	var err error
+	if state.Accepted == m.BaseBallot {
+		accept.Value, err = delta.Apply(state.Value, m.Delta)
+	}
+	if state.Accepted != m.BaseBallot || err != nil {
+		a.AfterSync(event.Send{To: from, Msg: Accepted{
+			Key: m.Key, Store: a.storeID, Round: m.Round, VoterSetNumber: m.VoterSetNumber,
+			Promised: state.Promised, ReadsDeltas: true, NeedsWholeValue: true,
+		}})
+		return
+	}
+	a.HandleAccept(from, accept)
 }
 
-// Plant gives a founding member the value that its founder begins with.
+// Seed gives a register that has accepted nothing the value that a new cluster begins
+// with. Every member of the first voter set does so for itself.
 func (a *Acceptor) Seed(key ids.RegisterKey, value []byte) {
-	if s := a.registerState(key); s.Accepted.IsZero() {
-		b := ids.Ballot{Counter: 1}
-		a.saveRegister(key, RegisterState{Promised: maxBallot(b, s.Promised), Accepted: b, Value: value})
+	state := a.registerState(key)
+	if !state.Accepted.IsZero() {
+		return
 	}
+	ballot := ids.Ballot{Counter: 1}
+	a.saveRegister(key, RegisterState{Promised: maxBallot(ballot, state.Promised), Accepted: ballot, Value: value})
 }
 
-// Note keeps something beside the registers.
-func (a *Acceptor) Persist(key ids.RegisterKey, msg any) { a.persist(key, msg) }
-
-// Raise puts a value above all that this copy holds. Only a refounding may,
-// where this store alone is a majority.
+// ForceValue accepts a value under a ballot above all that this acceptor has seen. It is
+// safe only in the recovery of a cluster whose quorum is lost, where this store alone is
+// a quorum.
 func (a *Acceptor) ForceValue(key ids.RegisterKey, value []byte) {
-	s := a.registerState(key)
-	b := ids.Ballot{Counter: max(s.Promised.Counter, s.Accepted.Counter) + 1, Proposer: a.storeID << 24}
-	a.saveRegister(key, RegisterState{Promised: b, Accepted: b, Value: value})
+	state := a.registerState(key)
+	ballot := ids.Ballot{
+		Counter:  max(state.Promised.Counter, state.Accepted.Counter) + 1,
+		Proposer: a.storeID << 24,
+	}
+	a.saveRegister(key, RegisterState{Promised: ballot, Accepted: ballot, Value: value})
 }
 
 func maxBallot(a, b ids.Ballot) ids.Ballot {
--- a/internal/state/consensus/client.go
+++ b/internal/state/consensus/client.go
@@ -9,55 +9,66 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// Client carries requests to stores for the other daemons: to one after the
-// other until one answers, which is safe as each operation knows itself again.
+// CallID identifies a call of a Client.
+type CallID uint64
+
+// Client sends requests to the stores on behalf of a daemon: to one store after the
+// other until one answers. That is safe as change functions recognise repeated changes.
 type Client struct {
 	out *event.Outbox
-	// StoreOrder names the stores to try, best first.
+	// StoreOrder returns the stores that may be asked for a register, best first. It
+	// must be set before the first call.
 	StoreOrder func(key ids.RegisterKey) []ids.Address
 	pending    map[uint64]*pendingCall
 	lastCallID uint64
-	// silentUntil are stores that left a try unanswered, and until when others are
-	// tried before them.
+	// silentUntil holds the stores that left an attempt unanswered, and until when the
+	// others are asked before them.
 	silentUntil map[ids.Address]ids.Time
-	// meanResponseTime is how long each store took to answer of late.
+	// meanResponseTime is a moving average for each store.
 	meanResponseTime map[ids.Address]time.Duration
 }
 
+// pendingCall is a call that waits for its outcome.
 type pendingCall struct {
 	Request
 	deadline     ids.Time
 	retryAt      ids.Time
 	attemptCount int
-	// unresolved holds the tries that no store has said to have rejected, and asked
-	// where each try went. Not the stores alone: one may reject a second try
-	// and still be busy with the first.
+	// unresolved holds the attempts that were not rejected. Attempts, not stores: a
+	// store may reject a second attempt and still be busy with the first.
 	unresolved map[uint32]bool
 	attempts   map[uint32]attempt
-	onComplete func(now ids.Time, s Outcome, out []byte)
-	// held is the value that the client holds, for a read that finds the same.
+	onComplete func(now ids.Time, outcome Outcome, result []byte)
+	// held is the value that the caller holds, which the store needn't send again.
 	held []byte
 }
 
-// attempt is where and when a try of a call was sent.
+// attempt is where and when an attempt of a call was sent.
 type attempt struct {
 	store  ids.Address
 	sentAt ids.Time
 }
 
-// NewClient makes a client whose ids begin past a start's own number, so that
-// answers to an earlier run are not taken for its own.
-func NewClient(start ids.RunID, out *event.Outbox) *Client {
-	return &Client{out: out, pending: map[uint64]*pendingCall{}, silentUntil: map[ids.Address]ids.Time{}, meanResponseTime: map[ids.Address]time.Duration{}, lastCallID: uint64(start) << 24}
+// NewClient returns a client for one run of a process. Its call ids begin at the run's own
+// number, so that answers to an earlier run aren't taken for its own.
+func NewClient(run ids.RunID, out *event.Outbox) *Client {
+	return &Client{
+		out:              out,
+		pending:          map[uint64]*pendingCall{},
+		lastCallID:       uint64(run) << 24,
+		silentUntil:      map[ids.Address]ids.Time{},
+		meanResponseTime: map[ids.Address]time.Duration{},
+	}
 }
 
-// Call asks for an operation; done is called once, with how it ended.
+// Call reads or changes a register. onComplete is called once, at the time-out at the
+// latest.
 func (c *Client) Call(now ids.Time, key ids.RegisterKey, op Op, arg []byte, timeout time.Duration, onComplete func(ids.Time, Outcome, []byte)) CallID {
 	return c.call(now, Request{Key: key, Op: op, Arg: arg}, nil, timeout, onComplete)
 }
 
-// ReadIfChanged reads a register whose value the client already holds; where it is the
-// same still, no more than that is sent. sum is that of the value.
+// ReadIfChanged reads a register of which the caller holds a value with the given Checksum.
+// If the value is the same still, it isn't sent, and onComplete is given the held one.
 func (c *Client) ReadIfChanged(now ids.Time, key ids.RegisterKey, held []byte, checksum uint64, timeout time.Duration, onComplete func(ids.Time, Outcome, []byte)) CallID {
 	return c.call(now, Request{Key: key, Op: Read, HaveChecksum: checksum}, held, timeout, onComplete)
 }
@@ -65,28 +76,33 @@
 func (c *Client) call(now ids.Time, request Request, held []byte, timeout time.Duration, onComplete func(ids.Time, Outcome, []byte)) CallID {
 	c.lastCallID++
 	request.ID = c.lastCallID
-	call := &pendingCall{Request: request, held: held, deadline: now.Add(timeout), onComplete: onComplete, unresolved: map[uint32]bool{}, attempts: map[uint32]attempt{}}
+	call := &pendingCall{
+		Request: request, held: held, deadline: now.Add(timeout), onComplete: onComplete,
+		unresolved: map[uint32]bool{}, attempts: map[uint32]attempt{},
+	}
 	c.pending[call.ID] = call
 	c.send(now, call)
 	return CallID(call.ID)
 }
 
+// send makes the next attempt of a call.
 func (c *Client) send(now ids.Time, call *pendingCall) {
 	call.retryAt = now.Add(attemptTimeout + TransferTime(len(call.Arg)))
-	to := c.attemptOrder(now, call.Key)
-	if len(to) == 0 {
+	stores := c.attemptOrder(now, call.Key)
+	if len(stores) == 0 {
 		return
 	}
-	at := call.leastTriedStore(to)
+	store := call.leastTriedStore(stores)
 	call.attemptCount++
 	call.Attempt = uint32(call.attemptCount)
-	call.unresolved[call.Attempt], call.attempts[call.Attempt] = true, attempt{at, now}
+	call.unresolved[call.Attempt] = true
+	call.attempts[call.Attempt] = attempt{store, now}
 	call.TimeoutMillis = uint32(max(call.deadline.Sub(now), 0) / time.Millisecond)
-	c.out.Send(at, call.Request)
+	c.out.Send(store, call.Request)
 }
 
-// HandleResponse takes the word of the store that a try went to; any other is
-// late, doubled, or not an answer to this run at all.
+// HandleResponse takes the answer to an attempt from the store that it was sent to. Any
+// other is late, a duplicate, or not meant for this run, and is discarded.
 func (c *Client) HandleResponse(now ids.Time, from ids.Address, m Response) {
 	call := c.pending[m.ID]
 	if call == nil || call.attempts[m.Attempt].store != from {
@@ -103,7 +119,7 @@
 		}
 		call.onComplete(now, Succeeded, m.Result)
 	case Rejected:
-		// Another store may do better; one round through all, then a rest.
+		// Another store may do better: one attempt at each, then a short pause.
 		delete(call.unresolved, m.Attempt)
 		if call.attemptCount < len(c.StoreOrder(call.Key)) {
 			c.send(now, call)
@@ -113,12 +129,13 @@
 	}
 }
 
-// Tick tries again, and ends what has run out of time. Only a request that no
-// store can still be busy with is surely without effect.
+// Tick makes further attempts, and ends calls at their deadline. It is to be called every
+// few milliseconds.
 func (c *Client) Tick(now ids.Time) {
 	for _, id := range slices.Sorted(maps.Keys(c.pending)) {
 		call := c.pending[id]
 		if call == nil {
+			// Ended by the onComplete of another call.
 			continue
 		}
 		switch {
@@ -130,3 +147,21 @@
 		}
 	}
 }
+
+// IsPending reports whether a call still waits for its outcome.
+func (c *Client) IsPending(id CallID) bool { return c.pending[uint64(id)] != nil }
+
+// Abandon ends a call before its deadline. It ends as Rejected only if every attempt was
+// rejected; a store with any other may still carry it out, so it is Indeterminate then.
+func (c *Client) Abandon(now ids.Time, id CallID) {
+	call := c.pending[uint64(id)]
+	if call == nil {
+		return
+	}
+	delete(c.pending, uint64(id))
+	outcome := Rejected
+	if len(call.unresolved) > 0 {
+		outcome = Indeterminate
+	}
+	call.onComplete(now, outcome, nil)
+}
--- a/internal/state/consensus/copier.go
+++ b/internal/state/consensus/copier.go
@@ -1,31 +1,29 @@
 package consensus
 
-import (
-	"slices"
+import "dunlinwell/internal/base/ids"
 
-	"dunlinwell/internal/base/ids"
-)
-
-// Copier follows a learner's copies from the voters. A pass goes over everything
-// a voter holds, later ones over what changed since the pass before began.
+// Copier tracks a learner's copies of the voters' registers. A copy is made in passes:
+// the first reads all that a voter holds, later ones what changed since the pass before
+// began. The zero Copier is ready to use.
 type Copier struct{ sources map[uint64]*copySource }
 
-// copySource is how far the copy from one voter has come.
+// copySource is the progress of the copy from one voter.
 type copySource struct {
-	// pageNumber numbers the page that is waited for.
+	// pageNumber is the number of the page that is awaited.
 	pageNumber uint64
-	// afterKey is where a pass over everything goes on.
-	afterKey ids.RegisterKey
-	// passRunning tells that a pass is under way, set is the voter set that its first
-	// page was given under.
-	passRunning  bool
+	// afterKey is the last key that a pass over everything has read.
+	afterKey    ids.RegisterKey
+	passRunning bool
+	// passVoterSet is the number of the voter set under which the running pass got its
+	// first page, 0 before that.
 	passVoterSet uint64
-	// runID and changes are where the next pass begins; whole tells that one over
-	// everything has ended, so that changes are enough.
+	// runID and changeCount are where the next pass begins, if fullPassDone says that a
+	// pass over everything has ended. A runID of 0 means that the run changed meanwhile.
 	runID        uint64
 	changeCount  uint64
 	fullPassDone bool
-	// lastPassVoterSet is the voter set under which the last pass that ended began.
+	// lastPassVoterSet is the number of the voter set under which the last pass that
+	// ended got its first page, 0 for none.
 	lastPassVoterSet uint64
 }
 
@@ -46,41 +44,42 @@
 	s.pageNumber++
 }
 
-// IsCopying tells whether a pass is under way.
+// IsCopying reports whether a pass over a voter is running.
 func (c *Copier) IsCopying(id uint64) bool { return c.source(id).passRunning }
 
-// LastPassVoterSet gives the voter set under which the last pass that ended began.
+// LastPassVoterSet returns the number of the voter set under which the last pass over a
+// voter that ended had begun, 0 for none.
 func (c *Copier) LastPassVoterSet(id uint64) uint64 { return c.source(id).lastPassVoterSet }
 
-// NextRequest gives the question for the page that is waited for.
-func (c *Copier) NextRequest(id, number uint64) PageRequest {
+// NextRequest returns the request for the page that is awaited from a voter.
+func (c *Copier) NextRequest(id, voterSetNumber uint64) PageRequest {
 	s := c.source(id)
-	q := PageRequest{VoterSetNumber: number, AfterKey: s.afterKey, PageNumber: s.pageNumber}
+	request := PageRequest{VoterSetNumber: voterSetNumber, AfterKey: s.afterKey, PageNumber: s.pageNumber}
 	if s.fullPassDone {
-		q.RunID, q.SinceChange = s.runID, s.changeCount
+		request.RunID, request.SinceChange = s.runID, s.changeCount
 	}
-	return q
+	return request
 }
 
-// HandlePage notes where a page leaves the copy; false for one that isn't waited for.
-// The records must have been merged before the next event.
+// HandlePage notes a page and reports whether it was awaited. If so, the caller must merge
+// its records before the next event.
 func (c *Copier) HandlePage(m PageResponse) bool {
 	s := c.source(m.Store)
 	if !s.passRunning || m.PageNumber != s.pageNumber {
 		return false
 	}
-	first := s.passVoterSet == 0
-	if first {
+	isFirstPage := s.passVoterSet == 0
+	if isFirstPage {
 		s.passVoterSet = m.VoterSetNumber
 	}
 	switch {
 	case m.Delta:
 		s.changeCount = m.ChangeCount
-	case first:
-		// A pass over everything; what changes from here on is asked for after it.
+	case isFirstPage:
+		// A pass over everything; the next one asks for what changes from here on.
 		s.fullPassDone, s.runID, s.changeCount = false, m.RunID, m.ChangeCount
 	case m.RunID != s.runID:
-		// Its run ended between two pages: it no longer knows what changed.
+		// The voter restarted between two pages: it no longer knows what changed.
 		s.runID = 0
 	}
 	if !m.Delta && len(m.Records) > 0 {
@@ -94,34 +93,25 @@
 	return true
 }
 
-// HasCopiedQuorum tells whether a majority of a voter set has given all that it held at
-// some time, so that only what changed since is left to copy.
+// HasCopiedQuorum reports whether a majority of a voter set has been copied at least once,
+// so that only what changed since is left to copy.
 func (c *Copier) HasCopiedQuorum(set VoterSet) bool {
-	given := map[uint64]bool{}
+	copied := map[uint64]bool{}
 	for id, s := range c.sources {
-		given[id] = s.lastPassVoterSet > 0
+		copied[id] = s.lastPassVoterSet > 0
 	}
-	return set.Number > 0 && VoterSet{Voters: set.Voters}.IsQuorum(given)
+	return set.Number > 0 && VoterSet{Voters: set.Voters}.IsQuorum(copied)
 }
 
-// IsCompleteFor tells whether a majority of a voter set, or of the one before the
-// last replacement, has given all that it held when it already went by the voter
-// set in force, so that nothing can be agreed any more under an earlier one that
-// this copy lacks. In a joint voter set the majority is that of the old stores.
+// IsCompleteFor reports whether the copy lacks nothing that can have been agreed under an
+// earlier voter set: a majority of the set, or of the one before the last replacement, has
+// been copied while it used the set or a later one already. In a joint voter set the
+// majority is that of the old voters.
 func (c *Copier) IsCompleteFor(set VoterSet) bool {
-	sealed := map[uint64]bool{}
+	copied := map[uint64]bool{}
 	for id, s := range c.sources {
-		sealed[id] = s.lastPassVoterSet >= set.Number
+		copied[id] = s.lastPassVoterSet >= set.Number
 	}
-	return set.Number > 0 && (VoterSet{Voters: set.Voters}.IsQuorum(sealed) || VoterSet{Voters: set.Previous}.IsQuorum(sealed))
-}
-
-// CopySources are the voters that a newcomer may copy from.
-func (s VoterSet) CopySources() []Voter {
-	return VoterSet{Voters: s.Voters, Incoming: s.Previous}.AllVoters()
-}
-
-// IsCopySource tells whether a newcomer may copy from a store at an address.
-func (s VoterSet) IsCopySource(from ids.Address, id uint64) bool {
-	return slices.Contains(s.CopySources(), Voter{ID: id, Address: from})
+	current, previous := VoterSet{Voters: set.Voters}, VoterSet{Voters: set.Previous}
+	return set.Number > 0 && (current.IsQuorum(copied) || previous.IsQuorum(copied))
 }
--- /dev/null
+++ b/internal/state/consensus/pages.go
@@ -0,0 +1,132 @@
+package consensus
+
+import (
+	"maps"
+	"slices"
+	"strings"
+
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/transport/wire"
+)
+
+// PageRequest asks a voter for a page of its registers, for a learner's copy.
+type PageRequest struct {
+	VoterSetNumber uint64
+	// AfterKey is the last key of the page before, empty for the first page.
+	AfterKey ids.RegisterKey
+	// PageNumber identifies the request and is repeated by the answer.
+	PageNumber uint64
+	// RunID and SinceChange ask only for what changed since an earlier copy: the run
+	// that answered then, and its ChangeCount when that copy began. A zero RunID asks
+	// for everything.
+	RunID       uint64
+	SinceChange uint64
+}
+
+// PageRecord is one register in a page.
+type PageRecord struct {
+	Key      ids.RegisterKey
+	Accepted ids.Ballot
+	Value    []byte
+}
+
+// PageResponse answers a PageRequest.
+type PageResponse struct {
+	Store          uint64
+	VoterSetNumber uint64
+	PageNumber     uint64
+	Records        []PageRecord
+	// Last says that no further page follows.
+	Last bool
+	// RunID identifies the run of the store that answers, and ChangeCount how many
+	// changes of that run the records include: for a copy of everything those before
+	// its first page, for a copy of changes those up to the end of this page.
+	RunID       uint64
+	ChangeCount uint64
+	// Delta says that the records are only those that changed since SinceChange.
+	Delta bool
+}
+
+var _ = wire.Register(27, PageRequest{}) && wire.Register(28, PageResponse{})
+
+const (
+	// maxPageRecords and maxPageBytes bound the size of a message. The second holds for
+	// pages of changes alone, and is exceeded by one record at most.
+	maxPageRecords = 200
+	maxPageBytes   = 1 << 18
+)
+
+// HandlePageRequest sends a page to a learner under the same voter set. A learner under
+// a lower one is told of the voter set in force, one under a higher one is ignored.
+func (a *Acceptor) HandlePageRequest(from ids.Address, m PageRequest) {
+	if m.VoterSetNumber != a.voterSet.Number {
+		if m.VoterSetNumber < a.voterSet.Number {
+			a.AfterSync(event.Send{To: from, Msg: VoterSetUpdate{a.voterSet}})
+		}
+		return
+	}
+	if a.damaged || !a.mayServePages() {
+		return
+	}
+	if a.changes.covers(m.RunID, m.SinceChange) {
+		a.sendChangedRecords(from, m)
+		return
+	}
+	stored := a.storage.Scan(registerPrefix+m.AfterKey, maxPageRecords)
+	page := PageResponse{
+		Store: a.storeID, VoterSetNumber: m.VoterSetNumber, PageNumber: m.PageNumber,
+		Last: len(stored) < maxPageRecords, RunID: a.changes.runID, ChangeCount: a.changes.total(),
+	}
+	rows := a.pageRows(registerPrefix+m.AfterKey, stored, page.Last)
+	for _, key := range slices.Sorted(maps.Keys(rows)) {
+		if state, ok := a.pageRegisterState(key, rows[key]); ok {
+			page.Records = append(page.Records, PageRecord{key[len(registerPrefix):], state.Accepted, state.Value})
+		}
+	}
+	a.AfterSync(event.Send{To: from, Msg: page})
+}
+
+// pageRows returns the stored records of a page behind a key, together with those in its
+// range that are on their way to the disk. The last page's range has no end.
+func (a *Acceptor) pageRows(after ids.RegisterKey, stored []event.Record, last bool) map[ids.RegisterKey][]byte {
+	inRange := func(key ids.RegisterKey) bool {
+		return key > after && (last || key <= stored[len(stored)-1].Key)
+	}
+	rows := map[ids.RegisterKey][]byte{}
+	for _, record := range stored {
+		rows[record.Key] = record.Value
+	}
+	for key, record := range a.unsynced {
+		if strings.HasPrefix(string(key), registerPrefix) && inRange(key) {
+			rows[key] = record.raw
+		}
+	}
+	for key, r := range a.registers {
+		if r.hasBase && inRange(registerPrefix+key) {
+			rows[registerPrefix+key] = nil
+		}
+	}
+	return rows
+}
+
+// pageRegisterState returns the state behind a page's row. Only the rows of idempotency
+// keys are whole; other registers may have changes that follow their base.
+func (a *Acceptor) pageRegisterState(rowKey ids.RegisterKey, raw []byte) (RegisterState, bool) {
+	if key := rowKey[len(registerPrefix):]; !isIdempotencyKey(key) {
+		return a.registerState(key), true
+	}
+	return decodeMessage[RegisterState](raw)
+}
+
+// MergeRecord takes over a copied register if it was accepted under a higher ballot than
+// what this acceptor holds.
+func (a *Acceptor) MergeRecord(record PageRecord) {
+	state := a.registerState(record.Key)
+	if !state.Accepted.Less(record.Accepted) {
+		return
+	}
+	state.Accepted, state.Value = record.Accepted, record.Value
+	state.Promised = maxBallot(state.Promised, record.Accepted)
+	a.saveRegister(record.Key, state)
+}
--- a/internal/state/consensus/proposer.go
+++ b/internal/state/consensus/proposer.go
@@ -1,6 +1,7 @@
 package consensus
 
 import (
+	"maps"
 	"math/rand/v2"
 	"slices"
 	"time"
@@ -9,213 +10,168 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// Func is a change function: it takes the register's value and an argument,
-// and gives the next value and what to tell the client. It must know a change
-// that it has made before, since a round that was cut short is run again.
-type ChangeFunc func(key ids.RegisterKey, old, arg []byte) (next, out []byte)
+// ChangeFunc is a change function: it takes a register's value and an argument, and
+// returns the next value and the result for the client. It must recognise a change that
+// it has made before and leave the value alone then, since rounds are repeated.
+type ChangeFunc func(key ids.RegisterKey, old, arg []byte) (next, result []byte)
 
-// Proposer runs rounds for whoever asks. Any store may; ballots, not the
-// choice of store, keep it safe.
+// Proposer runs the rounds for the requests that are submitted to its store. Any number
+// of proposers may be active; ballots, not the choice of proposer, keep registers safe.
 type Proposer struct {
-	out        *event.Outbox
-	random     *rand.Rand
+	out    *event.Outbox
+	random *rand.Rand
+	// proposerID is part of every ballot; no other run of any store uses the same.
 	proposerID uint64
 	voterSet   func() VoterSet
 	ops        map[Op]ChangeFunc
-	// Reached tells whether a store's daemon is not gone, for the short grace.
+	// IsReachable reports whether a store seems to be alive. Rounds wait a moment for
+	// the votes of all reachable stores. Always true by default.
 	IsReachable func(store uint64) bool
-	// Audience names who must hear of a register's new value.
-	Subscribers     func(key ids.RegisterKey) []ids.Address
-	rounds          map[ids.RegisterKey]*round
-	promisedBallots map[ids.RegisterKey]cachedValue
-	// seen holds values of registers other than marks, by the ballot that they
-	// were last met under: they are large, and read far more often than changed.
-	cachedValues  map[ids.RegisterKey]cachedValue
-	promisedOrder []ids.RegisterKey
+	// Subscribers returns who is sent each new value of a register. None by default.
+	Subscribers func(key ids.RegisterKey) []ids.Address
+	rounds      map[ids.RegisterKey]*round
+	valueCache
 	replicaTracker
-	// lastRoundID numbers the rounds; no other run has used these numbers.
-	lastRoundID, highestCounter uint64
-	// lastFirstValueCounter counts the ballots of first values, all below those of rounds.
+	// lastRoundID is the id of the last round. No other run begins at the same number.
+	lastRoundID uint64
+	// highestCounter is the highest ballot counter that this run used or met.
+	highestCounter uint64
+	// lastFirstValueCounter is the last ballot counter used for a first value; all of
+	// them are below those of full rounds (maxFirstValueCounter).
 	lastFirstValueCounter uint64
 }
 
-type cachedValue struct {
-	ballot ids.Ballot
-	value  []byte
-}
-
-type phase uint8
-
 const (
-	idle phase = iota
-	reading
-	preparing
-	accepting
-	replicating
+	// resendTimeout is how long a round waits for answers before it repeats a small
+	// message. Stores answer within some milliseconds unless a message was lost.
+	resendTimeout = 100 * time.Millisecond
+	// replicationGrace is how long a chosen value waits for the votes beyond the quorum,
+	// so that usually every reachable store holds it before the client is answered.
+	replicationGrace = 200 * time.Millisecond
 )
 
-type pendingRequest struct {
-	Request
-	from     ids.Address
-	deadline ids.Time
-	// sent: a value with this ask's effect has left, so it may take effect.
-	proposed bool
-	result   []byte
-}
-
-type round struct {
-	key        ids.RegisterKey
-	queued     []*pendingRequest
-	batch      []*pendingRequest
-	phase      phase
-	id         uint64
-	ballot     ids.Ballot
-	nextBallot ids.Ballot
-	minCounter uint64
-	startedAt  ids.Time
-	resendAt   ids.Time
-	retryAt    ids.Time
-	// consecutiveLosses counts the rounds in a row that another proposer's ballot ended.
-	consecutiveLosses int
-	promises          map[uint64]Promise
-	votes             map[uint64]bool
-	value             []byte
-	// first: this round tried to be the register's first; tried: one did.
-	firstValue, firstValueTried bool
-	// resendCount counts how often this phase's question was sent again.
-	resendCount int
-	valueDelta
-}
-
-// NewProposer makes a proposer whose ballots no other run can have used.
+// NewProposer returns a proposer. No other run may ever have used its proposer id.
 func NewProposer(proposerID uint64, voterSet func() VoterSet, ops map[Op]ChangeFunc, random *rand.Rand, out *event.Outbox) *Proposer {
 	return &Proposer{
-		out: out, random: random, proposerID: proposerID, lastRoundID: initialRoundID(proposerID), voterSet: voterSet, ops: ops,
-		IsReachable: func(uint64) bool { return true }, Subscribers: func(ids.RegisterKey) []ids.Address { return nil },
-		rounds: map[ids.RegisterKey]*round{}, promisedBallots: map[ids.RegisterKey]cachedValue{}, cachedValues: map[ids.RegisterKey]cachedValue{}, replicaTracker: newReplicaTracker(),
+		out: out, random: random, proposerID: proposerID, voterSet: voterSet, ops: ops,
+		IsReachable:    func(uint64) bool { return true },
+		Subscribers:    func(ids.RegisterKey) []ids.Address { return nil },
+		rounds:         map[ids.RegisterKey]*round{},
+		valueCache:     newValueCache(),
+		replicaTracker: newReplicaTracker(),
+		lastRoundID:    initialRoundID(proposerID),
 	}
 }
 
-const (
-	resendTimeout      = 100 * time.Millisecond
-	replicationGrace   = 200 * time.Millisecond
-	maxPromisedBallots = 4096
-)
+// SetOps adds change functions, or replaces those of the same Op.
+func (p *Proposer) SetOps(ops map[Op]ChangeFunc) { maps.Copy(p.ops, ops) }
 
-// Ask takes a request.
-func (p *Proposer) Submit(now ids.Time, from ids.Address, a Request) {
-	if len(p.voterSet().Voters) == 0 {
-		p.out.Send(from, Response{ID: a.ID, Attempt: a.Attempt, Outcome: Rejected})
-		return
-	}
-	if _, known := p.ops[a.Op]; !known && a.Op != Read {
-		p.out.Send(from, Response{ID: a.ID, Attempt: a.Attempt, Outcome: Rejected})
+// Submit takes a request and answers it later, within the request's time-out.
+func (p *Proposer) Submit(now ids.Time, from ids.Address, request Request) {
+	_, known := p.ops[request.Op]
+	if len(p.voterSet().Voters) == 0 || !known && request.Op != Read {
+		p.respond(from, request, Rejected)
 		return
 	}
-	r := p.rounds[a.Key]
+	r := p.rounds[request.Key]
 	if r == nil {
-		r = &round{key: a.Key}
-		p.rounds[a.Key] = r
+		r = &round{key: request.Key}
+		p.rounds[request.Key] = r
 	}
-	r.queued = append(r.queued, &pendingRequest{Request: a, from: from, deadline: now.Add(time.Duration(a.TimeoutMillis) * time.Millisecond)})
+	timeout := time.Duration(request.TimeoutMillis) * time.Millisecond
+	r.queued = append(r.queued, &pendingRequest{Request: request, from: from, deadline: now.Add(timeout)})
 	if r.phase == idle && now >= r.retryAt {
 		p.beginRound(now, r)
 	}
 }
 
-// beginRound runs all that waits as one round, each ask judged alone.
-func (p *Proposer) beginRound(now ids.Time, r *round) {
-	r.batch = append(r.batch, r.queued...)
-	r.queued = nil
-	if len(r.batch) == 0 {
-		r.phase = idle
-		delete(p.rounds, r.key)
-		return
+// respond answers a request that did not succeed.
+func (p *Proposer) respond(to ids.Address, request Request, outcome Outcome) {
+	p.out.Send(to, Response{ID: request.ID, Attempt: request.Attempt, Outcome: outcome})
+}
+
+// Tick repeats messages, ends requests that are past their deadline, and begins rounds
+// whose backoff is over. It is to be called every few milliseconds.
+func (p *Proposer) Tick(now ids.Time) {
+	for _, key := range slices.Sorted(maps.Keys(p.rounds)) {
+		r := p.rounds[key]
+		r.queued = p.expireRequests(now, r.queued)
+		if r.phase != replicating {
+			r.batch = p.expireRequests(now, r.batch)
+		}
+		p.tickRound(now, r)
 	}
-	p.lastRoundID++
-	r.id, r.startedAt, r.resendCount = p.lastRoundID, now, 0
-	r.promises, r.votes = map[uint64]Promise{}, map[uint64]bool{}
-	reads := !slices.ContainsFunc(r.batch, func(a *pendingRequest) bool { return a.Op != Read })
-	h, known := p.promisedBallots[r.key]
-	r.firstValue = false
+}
+
+func (p *Proposer) tickRound(now ids.Time, r *round) {
+	elapsed := now.Sub(r.startedAt)
 	switch {
-	case reads && r.minCounter == 0 && !p.mustRewrite[r.key]:
-		r.phase = reading
-	case known:
-		// A majority promised this ballot when it took our last value.
-		r.ballot = h.ballot
-		delete(p.promisedBallots, r.key)
-		p.propose(now, r, h.value)
-		return
-	case p.mayProposeFirstValue(r):
-		// A mark is nearly always new: its first value needs no promise where
-		// every store takes it as the first.
-		r.firstValue = true
-		p.lastFirstValueCounter++
-		r.ballot = ids.Ballot{Counter: p.lastFirstValueCounter, Proposer: p.proposerID}
-		p.propose(now, r, nil)
-		return
-	default:
-		r.phase = preparing
-		r.ballot = p.nextBallot(r)
+	case r.phase == replicating && elapsed >= replicationGrace:
+		p.recordMissedVotes(p.voterSet().AllVoters(), r.votes)
+		p.finishRound(now, r)
+	case r.phase == idle && now >= r.retryAt:
+		p.beginRound(now, r)
+	case r.phase != idle && len(r.batch) == 0 && len(r.queued) == 0:
+		delete(p.rounds, r.key)
+	case r.firstValue && r.phase == accepting && elapsed >= resendTimeout/2:
+		// Not every store answers, as a first value needs. A full round decides, and
+		// the change function recognises its value where some stores accepted it.
+		p.retryAfterBackoff(now, r, r.ballot)
+	case r.phase == reading && elapsed >= resendTimeout:
+		// The copies differ or are silent: a full round decides which value holds.
+		r.minCounter++
+		p.beginRound(now, r)
+	case r.phase != idle && now >= r.resendAt:
+		r.resendCount++
+		p.sendPhaseRequests(now, r)
 	}
-	p.sendPhaseRequests(now, r)
 }
 
-// nextBallot gives one above the floor that this run has never used, whatever
-// register it was for: a ballot used twice could stand for two values.
-func (p *Proposer) nextBallot(r *round) ids.Ballot {
-	p.highestCounter = max(p.highestCounter, r.minCounter, maxFirstValueCounter) + 1
-	r.minCounter = p.highestCounter
-	return ids.Ballot{Counter: p.highestCounter, Proposer: p.proposerID}
+// expireRequests answers the requests that are past their deadline and returns the others.
+func (p *Proposer) expireRequests(now ids.Time, requests []*pendingRequest) []*pendingRequest {
+	return slices.DeleteFunc(requests, func(request *pendingRequest) bool {
+		if now < request.deadline {
+			return false
+		}
+		outcome := Rejected
+		if request.proposed {
+			outcome = Indeterminate
+		}
+		p.respond(request.from, request.Request, outcome)
+		return true
+	})
 }
 
-// propose folds the batch over the value and asks for it to be kept.
-func (p *Proposer) propose(now ids.Time, r *round, value []byte) {
-	old := value
-	delete(p.mustRewrite, r.key)
-	for _, a := range r.batch {
-		if a.Op == Read {
-			a.result = value
-			continue
+// RestartRounds begins every round anew, as a new voter set requires.
+func (p *Proposer) RestartRounds(now ids.Time) {
+	p.forgetPromisedBallots()
+	for _, key := range slices.Sorted(maps.Keys(p.rounds)) {
+		r := p.rounds[key]
+		if r.phase != idle {
+			r.minCounter = max(r.minCounter, r.ballot.Counter)
+			r.phase, r.retryAt = idle, now
 		}
-		value, a.result = p.ops[a.Op](r.key, value, a.Arg)
-		a.proposed = true
 	}
-	r.value, r.phase, r.votes, r.resendCount = value, accepting, map[uint64]bool{}, 0
-	r.valueDelta = p.computeDelta(r, old)
-	r.minCounter = max(r.minCounter, r.ballot.Counter)
-	r.nextBallot = p.nextBallot(r)
-	p.sendPhaseRequests(now, r)
 }
 
-// sendPhaseRequests carries the phase's question to those who have not answered it.
-func (p *Proposer) sendPhaseRequests(now ids.Time, r *round) {
-	r.resendAt = now.Add(p.retryTimeout(r))
-	ro := p.voterSet()
-	for _, s := range ro.AllVoters() {
-		switch r.phase {
-		case reading, preparing:
-			if _, ok := r.promises[s.ID]; !ok {
-				p.out.Send(s.Address, Prepare{Key: r.key, Ballot: r.ballot, VoterSetNumber: ro.Number, Round: r.id, ReadOnly: r.phase == reading, KnownBallot: p.cachedValues[r.key].ballot})
-			}
-		case accepting, replicating:
-			if !r.votes[s.ID] {
-				p.sendAccept(now, s, r, ro.Number)
-			}
-		}
-	}
+// HasBegunRound reports whether this run has begun a round of that id. Answers to any
+// other are not meant for it.
+func (p *Proposer) HasBegunRound(round uint64) bool {
+	// Ids wrap around at 2^64, and so do both differences.
+	initial := initialRoundID(p.proposerID)
+	return round-initial-1 < p.lastRoundID-initial
 }
 
-// finishRound answers the batch and goes on with what came meanwhile.
-func (p *Proposer) finishRound(now ids.Time, r *round) {
-	for _, a := range r.batch {
-		t := Response{ID: a.ID, Attempt: a.Attempt, Outcome: Succeeded, Result: a.result}
-		if a.Op == Read && a.HaveChecksum != 0 && a.HaveChecksum == Checksum(a.result) {
-			t.Result, t.Unchanged = nil, true
-		}
-		p.out.Send(a.from, t)
-	}
-	r.batch, r.minCounter, r.consecutiveLosses = nil, 0, 0
-	p.beginRound(now, r)
+// initialRoundID returns the id before a run's first round. An answer is matched to its
+// round by this id alone, and may be delivered after the proposer has restarted; so
+// each run counts from a start of its own, far from those of the others.
+//
+// The mixing is the finalizer of splitmix64, a bijection: no two proposer ids begin at
+// the same number, and two runs only share one if one of them counts through the gap
+// that is left when 2^64 is divided among all runs.
+func initialRoundID(proposerID uint64) uint64 {
+	x := proposerID
+	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
+	x = (x ^ x>>27) * 0x94d049bb133111eb
+	return x ^ x>>31
 }
--- /dev/null
+++ b/internal/state/consensus/round.go
@@ -0,0 +1,212 @@
+package consensus
+
+import (
+	"bytes"
+	"slices"
+
+	"dunlinwell/internal/base/ids"
+)
+
+// phase is the phase of a round.
+type phase uint8
+
+const (
+	// idle: the round is over, and the next one waits for its backoff.
+	idle phase = iota
+	// reading: accepted values are collected without a ballot.
+	reading
+	// preparing: promises for the ballot are collected.
+	preparing
+	// accepting: votes for the value are collected; it isn't chosen yet.
+	accepting
+	// replicating: the value is chosen, and votes beyond the quorum are awaited.
+	replicating
+)
+
+// pendingRequest is a request whose answer is due.
+type pendingRequest struct {
+	Request
+	from     ids.Address
+	deadline ids.Time
+	// proposed says that a value with this request's change was sent to acceptors, so
+	// the change may take effect whatever becomes of the round.
+	proposed bool
+	result   []byte
+}
+
+// round is the work on one register: the requests of the current round, those that wait
+// for the next one, and the state of the protocol.
+type round struct {
+	key    ids.RegisterKey
+	queued []*pendingRequest
+	batch  []*pendingRequest
+	phase  phase
+	// id identifies the round in messages.
+	id     uint64
+	ballot ids.Ballot
+	// nextBallot is promised along with the vote for the value.
+	nextBallot ids.Ballot
+	// minCounter is a counter that the next ballot must exceed. Above 0, a full round is
+	// needed.
+	minCounter uint64
+	// startedAt is when the round began, or, while replicating, when its value was chosen.
+	startedAt ids.Time
+	resendAt  ids.Time
+	// retryAt is when an idle round may begin anew.
+	retryAt ids.Time
+	// consecutiveLosses counts rounds in a row that another proposer's ballot ended.
+	consecutiveLosses int
+	// promises and votes are the answers by store id.
+	promises map[uint64]Promise
+	votes    map[uint64]bool
+	value    []byte
+	// firstValue says that this round proposes the register's first value without a
+	// prepare phase, firstValueTried that one of its rounds did.
+	firstValue, firstValueTried bool
+	// resendCount is how often the phase's messages were repeated.
+	resendCount int
+	valueDelta
+}
+
+// maxFirstValueCounter is below every ballot counter of a full round, so that a first
+// value, which has no promises behind it, never outranks what was agreed on later.
+const maxFirstValueCounter = 1 << 40
+
+// beginRound runs all waiting requests in one round, each with its own result.
+func (p *Proposer) beginRound(now ids.Time, r *round) {
+	r.batch = append(r.batch, r.queued...)
+	r.queued = nil
+	if len(r.batch) == 0 {
+		r.phase = idle
+		delete(p.rounds, r.key)
+		return
+	}
+	p.lastRoundID++
+	r.id, r.startedAt, r.resendCount = p.lastRoundID, now, 0
+	r.promises, r.votes = map[uint64]Promise{}, map[uint64]bool{}
+	r.firstValue = false
+	promised, known := p.promisedBallots[r.key]
+	switch {
+	case r.onlyReads() && r.minCounter == 0 && !p.mustRewrite[r.key]:
+		r.phase = reading
+	case known:
+		// A quorum promised this ballot when it accepted our last value.
+		r.ballot = promised.ballot
+		delete(p.promisedBallots, r.key)
+		p.propose(now, r, promised.value)
+		return
+	case p.mayProposeFirstValue(r):
+		r.firstValue = true
+		p.lastFirstValueCounter++
+		r.ballot = ids.Ballot{Counter: p.lastFirstValueCounter, Proposer: p.proposerID}
+		p.propose(now, r, nil)
+		return
+	default:
+		r.phase = preparing
+		r.ballot = p.nextBallot(r)
+	}
+	p.sendPhaseRequests(now, r)
+}
+
+func (r *round) onlyReads() bool {
+	return !slices.ContainsFunc(r.batch, func(request *pendingRequest) bool { return request.Op != Read })
+}
+
+// mayProposeFirstValue reports, once for a register, whether to propose its first value
+// with no prepare phase. That pays for idempotency keys, which are nearly always new,
+// while every voter of a set that isn't joint is reachable, as all must accept it.
+func (p *Proposer) mayProposeFirstValue(r *round) bool {
+	set := p.voterSet()
+	if !isIdempotencyKey(r.key) || r.firstValueTried || r.minCounter > 0 || len(set.Incoming) > 0 {
+		return false
+	}
+	for _, v := range set.Voters {
+		if !p.IsReachable(v.ID) {
+			return false
+		}
+	}
+	r.firstValueTried = true
+	return true
+}
+
+// nextBallot returns a ballot above the round's minimum that this run has never used for
+// any register: a ballot that is used twice could stand for two values.
+func (p *Proposer) nextBallot(r *round) ids.Ballot {
+	p.highestCounter = max(p.highestCounter, r.minCounter, maxFirstValueCounter) + 1
+	r.minCounter = p.highestCounter
+	return ids.Ballot{Counter: p.highestCounter, Proposer: p.proposerID}
+}
+
+// propose applies the batch to the register's value and asks for the result to be accepted.
+func (p *Proposer) propose(now ids.Time, r *round, value []byte) {
+	old := value
+	delete(p.mustRewrite, r.key)
+	for _, request := range r.batch {
+		if request.Op == Read {
+			request.result = value
+			continue
+		}
+		value, request.result = p.ops[request.Op](r.key, value, request.Arg)
+		request.proposed = true
+	}
+	r.value, r.phase, r.votes, r.resendCount = value, accepting, map[uint64]bool{}, 0
+	r.valueDelta = p.computeDelta(r, old)
+	r.minCounter = max(r.minCounter, r.ballot.Counter)
+	r.nextBallot = p.nextBallot(r)
+	p.sendPhaseRequests(now, r)
+}
+
+// sendPhaseRequests sends the phase's request to the voters that have not answered it.
+func (p *Proposer) sendPhaseRequests(now ids.Time, r *round) {
+	r.resendAt = now.Add(p.retryTimeout(r))
+	set := p.voterSet()
+	for _, v := range set.AllVoters() {
+		switch r.phase {
+		case reading, preparing:
+			if _, answered := r.promises[v.ID]; !answered {
+				p.out.Send(v.Address, Prepare{
+					Key: r.key, Ballot: r.ballot, VoterSetNumber: set.Number, Round: r.id,
+					ReadOnly: r.phase == reading, KnownBallot: p.cachedValues[r.key].ballot,
+				})
+			}
+		case accepting, replicating:
+			if !r.votes[v.ID] {
+				p.sendAccept(now, v, r, set.Number)
+			}
+		}
+	}
+}
+
+// finishRound answers the batch and begins the next round with what was queued meanwhile.
+func (p *Proposer) finishRound(now ids.Time, r *round) {
+	for _, request := range r.batch {
+		response := Response{ID: request.ID, Attempt: request.Attempt, Outcome: Succeeded, Result: request.result}
+		if request.Op == Read && request.HaveChecksum != 0 && request.HaveChecksum == Checksum(request.result) {
+			response.Result, response.Unchanged = nil, true
+		}
+		p.out.Send(request.from, response)
+	}
+	r.batch, r.minCounter, r.consecutiveLosses = nil, 0, 0
+	p.beginRound(now, r)
+}
+
+// finishIfNoOp finishes the round if no request of the batch changes the value.
+func (p *Proposer) finishIfNoOp(now ids.Time, r *round, value []byte) bool {
+	results := make([][]byte, len(r.batch))
+	current := value
+	for i, request := range r.batch {
+		if request.Op == Read {
+			results[i] = current
+			continue
+		}
+		current, results[i] = p.ops[request.Op](r.key, current, request.Arg)
+		if !bytes.Equal(current, value) {
+			return false
+		}
+	}
+	for i, request := range r.batch {
+		request.result = results[i]
+	}
+	p.finishRound(now, r)
+	return true
+}
