--- a/internal/state/consensus/founding_model_test.go
+++ b/internal/state/consensus/bootstrap_model_test.go
@@ -5,17 +5,17 @@
 	"testing"
 )
 
-// exploreFounding visits every state within the bounds, up to a number of
+// exploreBootstrap visits every state within the bounds, up to a number of
 // steps, and gives what is broken first.
-func exploreFounding(depth int, rules foundingRules) (visited int, served bool, broken string) {
-	start := foundingState{}
+func exploreBootstrap(depth int, rules bootstrapRules) (visited int, served bool, broken string) {
+	start := bootstrapState{}
 	for i := range start.nodes {
 		start.nodes[i].id = uint64(i+1) * 10
 	}
 	seen := map[uint64]bool{}
-	layer := []foundingState{start}
+	layer := []bootstrapState{start}
 	for range depth {
-		var next []foundingState
+		var next []bootstrapState
 		for _, s := range layer {
 			for _, c := range s.steps(rules) {
 				if key := c.key(); !seen[key] {
@@ -23,7 +23,7 @@
 					next = append(next, c)
 				}
 				served = served || len(c.serving) > 0
-				if why := c.broken(); why != "" {
+				if why := c.violation(); why != "" {
 					return len(seen), served, why
 				}
 			}
@@ -34,7 +34,7 @@
 }
 
 // key sums a state up; lists are kept in order, so that equal states are one.
-func (s foundingState) key() uint64 {
+func (s bootstrapState) key() uint64 {
 	h := fnv.New64a()
 	write := func(values ...uint64) {
 		for _, v := range values {
@@ -42,7 +42,7 @@
 		}
 		_, _ = h.Write([]byte{255})
 	}
-	proposal := func(p foundingProposal) { write(p.round, p.set[0], p.set[1], p.set[2]) }
+	proposal := func(p bootstrapProposal) { write(p.round, p.set[0], p.set[1], p.set[2]) }
 	for _, n := range s.nodes {
 		write(n.id, n.record.Round)
 		for _, v := range n.record.PromisedVoterSets {
@@ -79,8 +79,8 @@
 
 // Whatever the order of messages, wipes and proposals: no two foundings both
 // serve with a disk in common, and no two members that live disagree.
-func TestFoundingModel(t *testing.T) {
-	visited, served, broken := exploreFounding(100, soundFoundingRules)
+func TestBootstrapModel(t *testing.T) {
+	visited, served, broken := exploreBootstrap(100, correctBootstrapRules)
 	t.Logf("%d states, all that can be reached", visited)
 	if broken != "" || !served {
 		t.Fatalf("served %v, broken: %s", served, broken)
@@ -88,15 +88,15 @@
 }
 
 // The model finds the mistakes that the rules are there for.
-func TestFoundingModelFindsMistakes(t *testing.T) {
-	anySet, anyFollow := soundFoundingRules, soundFoundingRules
+func TestBootstrapModel_FindsPlantedMistakes(t *testing.T) {
+	anySet, anyFollow := correctBootstrapRules, correctBootstrapRules
 	anySet.promise = func(f BootstrapRecord, r BootstrapRequest) (BootstrapRecord, string) {
 		f.PromisedVoterSets = nil // what was promised before is forgotten
 		return f.Promise(r)
 	}
 	anyFollow.follows = func(BootstrapRecord, Bootstrap, Voter) bool { return true }
-	for name, rules := range map[string]foundingRules{"promises forgotten": anySet, "promises ignored": anyFollow} {
-		visited, _, broken := exploreFounding(100, rules)
+	for name, rules := range map[string]bootstrapRules{"promises forgotten": anySet, "promises ignored": anyFollow} {
+		visited, _, broken := exploreBootstrap(100, rules)
 		t.Logf("%s: %s after %d states", name, broken, visited)
 		if broken == "" {
 			t.Errorf("%s: not found", name)
--- a/internal/state/consensus/founding_state_test.go
+++ b/internal/state/consensus/bootstrap_state_test.go
@@ -12,9 +12,9 @@
 // the paths; a disk may be wiped and the founder restarted between any two steps.
 // FoundingRecord's own functions decide.
 
-type foundingSet [3]uint64
+type bootstrapVoters [3]uint64
 
-func (v foundingSet) voterSet() VoterSet {
+func (v bootstrapVoters) voterSet() VoterSet {
 	r := VoterSet{Number: 1}
 	for i, id := range v {
 		r.Voters = append(r.Voters, Voter{ID: id, Address: ids.Address(fmt.Sprint(i))})
@@ -22,40 +22,40 @@
 	return r
 }
 
-type foundingProposal struct {
+type bootstrapProposal struct {
 	round uint64
-	set   foundingSet
+	set   bootstrapVoters
 }
 
-// seedNode is one seed: its disk's id, its record, and the set it is active in.
-type seedNode struct {
+// bootstrapNode is one seed: its disk's id, its record, and the set it is active in.
+type bootstrapNode struct {
 	id       uint64
 	record   BootstrapRecord
-	active   foundingProposal
-	proposal foundingProposal
+	active   bootstrapProposal
+	proposal bootstrapProposal
 }
 
-type foundingPromiseMessage struct {
-	foundingProposal
+type bootstrapPromise struct {
+	bootstrapProposal
 	store uint64
 }
 
-type foundingBootstrapMessage struct {
-	foundingProposal
+type bootstrapMessage struct {
+	bootstrapProposal
 	from Voter
 }
 
-type foundingState struct {
-	nodes      [3]seedNode
+type bootstrapState struct {
+	nodes      [3]bootstrapNode
 	wipes      int
-	requests   []foundingProposal
-	promises   []foundingPromiseMessage
-	bootstraps []foundingBootstrapMessage
+	requests   []bootstrapProposal
+	promises   []bootstrapPromise
+	bootstraps []bootstrapMessage
 	// serving are the sets that a majority was active in at one time.
-	serving []foundingSet
+	serving []bootstrapVoters
 }
 
-func (s foundingState) clone() foundingState {
+func (s bootstrapState) clone() bootstrapState {
 	s.requests, s.promises, s.bootstraps = slices.Clone(s.requests), slices.Clone(s.promises), slices.Clone(s.bootstraps)
 	s.serving = slices.Clone(s.serving)
 	return s
@@ -69,21 +69,21 @@
 }
 
 const (
-	foundingWipes    = 2
-	foundingRounds   = 2
-	foundingRequests = 3
+	maxBootstrapWipes    = 2
+	maxBootstrapRounds   = 2
+	maxBootstrapRequests = 3
 )
 
-// foundingRules are the decisions under test; a mistake may be planted in them.
-type foundingRules struct {
+// bootstrapRules are the decisions under test; a mistake may be planted in them.
+type bootstrapRules struct {
 	promise func(f BootstrapRecord, r BootstrapRequest) (BootstrapRecord, string)
 	follows func(f BootstrapRecord, b Bootstrap, from Voter) bool
 }
 
-var soundFoundingRules = foundingRules{promise: BootstrapRecord.Promise, follows: BootstrapRecord.MayAdopt}
+var correctBootstrapRules = bootstrapRules{promise: BootstrapRecord.Promise, follows: BootstrapRecord.MayAdopt}
 
 // idsAt are the disks that an address has had: hellos of old ones may be late.
-func (s foundingState) idsAt(i int) []uint64 {
+func (s bootstrapState) idsAt(i int) []uint64 {
 	var out []uint64
 	for id := uint64(i+1) * 10; id <= s.nodes[i].id; id++ {
 		out = append(out, id)
@@ -92,10 +92,10 @@
 }
 
 // activate makes a node a member, which from then on hands its set on.
-func (s *foundingState) activate(i int, p foundingProposal) {
+func (s *bootstrapState) activate(i int, p bootstrapProposal) {
 	s.nodes[i].active = p
 	s.nodes[i].record.Round = p.round
-	s.bootstraps = addMessage(s.bootstraps, foundingBootstrapMessage{p, Voter{ID: s.nodes[i].id, Address: ids.Address(fmt.Sprint(i))}})
+	s.bootstraps = addMessage(s.bootstraps, bootstrapMessage{p, Voter{ID: s.nodes[i].id, Address: ids.Address(fmt.Sprint(i))}})
 	n := 0
 	for _, x := range s.nodes {
 		if x.active.set == p.set {
@@ -108,32 +108,32 @@
 }
 
 // steps gives every state that may come next.
-func (s foundingState) steps(rules foundingRules) []foundingState {
-	var out []foundingState
-	out = append(out, s.founderSteps()...)
+func (s bootstrapState) steps(rules bootstrapRules) []bootstrapState {
+	var out []bootstrapState
+	out = append(out, s.proposerSteps()...)
 	for i := range s.nodes {
 		out = append(out, s.seedSteps(i, rules)...)
-		if s.wipes < foundingWipes {
+		if s.wipes < maxBootstrapWipes {
 			c := s.clone()
 			c.wipes++
-			c.nodes[i] = seedNode{id: s.nodes[i].id + 1}
+			c.nodes[i] = bootstrapNode{id: s.nodes[i].id + 1}
 			out = append(out, c)
 		}
 	}
 	return out
 }
 
-func (s foundingState) founderSteps() []foundingState {
-	var out []foundingState
+func (s bootstrapState) proposerSteps() []bootstrapState {
+	var out []bootstrapState
 	f := s.nodes[0]
 	if f.active.round != 0 {
 		return nil
 	}
-	for round := f.record.Round + 1; round <= foundingRounds && len(s.requests) < foundingRequests; round++ {
+	for round := f.record.Round + 1; round <= maxBootstrapRounds && len(s.requests) < maxBootstrapRequests; round++ {
 		for _, b := range s.idsAt(1) {
 			for _, c := range s.idsAt(2) {
 				next := s.clone()
-				p := foundingProposal{round, foundingSet{f.id, b, c}}
+				p := bootstrapProposal{round, bootstrapVoters{f.id, b, c}}
 				next.nodes[0].proposal = p
 				next.requests = addMessage(next.requests, p)
 				out = append(out, next)
@@ -145,7 +145,7 @@
 	}
 	promised := 0
 	for _, id := range f.proposal.set {
-		if slices.Contains(s.promises, foundingPromiseMessage{f.proposal, id}) {
+		if slices.Contains(s.promises, bootstrapPromise{f.proposal, id}) {
 			promised++
 		}
 	}
@@ -157,8 +157,8 @@
 	return out
 }
 
-func (s foundingState) seedSteps(i int, rules foundingRules) []foundingState {
-	var out []foundingState
+func (s bootstrapState) seedSteps(i int, rules bootstrapRules) []bootstrapState {
+	var out []bootstrapState
 	n := s.nodes[i]
 	if n.active.round != 0 {
 		return nil
@@ -170,22 +170,22 @@
 		if record, why := rules.promise(n.record, BootstrapRequest{p.round, p.set.voterSet()}); why == "" {
 			c := s.clone()
 			c.nodes[i].record = record
-			c.promises = addMessage(c.promises, foundingPromiseMessage{p, n.id})
+			c.promises = addMessage(c.promises, bootstrapPromise{p, n.id})
 			out = append(out, c)
 		}
 	}
 	for _, m := range s.bootstraps {
 		if slices.Contains(m.set[:], n.id) && rules.follows(n.record, Bootstrap{VoterSet: m.set.voterSet(), Round: m.round}, m.from) {
 			c := s.clone()
-			c.activate(i, m.foundingProposal)
+			c.activate(i, m.bootstrapProposal)
 			out = append(out, c)
 		}
 	}
 	return out
 }
 
-// broken says which promise a state breaks.
-func (s foundingState) broken() string {
+// violation says which promise a state breaks.
+func (s bootstrapState) violation() string {
 	for i, v := range s.serving {
 		for _, w := range s.serving[:i] {
 			for _, id := range v {
--- a/internal/state/consensus/check_disk.go
+++ b/internal/state/consensus/check_disk.go
@@ -9,9 +9,9 @@
 )
 
 var (
-	// ErrDamaged: a record of the acceptor itself can't be read.
+	// ErrDamaged means that a record of the acceptor itself can't be read.
 	ErrDamaged = errors.New("it is damaged or of another format")
-	// ErrMissingBase: changes to a register are on disk, but not what they change.
+	// ErrMissingBase means that changes to a register are on disk, but not what they change.
 	ErrMissingBase = errors.New("its base is missing")
 )
 
--- a/internal/state/consensus/client_test.go
+++ b/internal/state/consensus/client_test.go
@@ -13,7 +13,7 @@
 // A store takes an ask, its disk stalls, and it rejects the second copy of
 // that ask. It may still be busy with the first: the end is uncertain, which a
 // caller must not be told as "surely not accepted".
-func TestARejectedTrySaysNothingOfAnEarlierOne(t *testing.T) {
+func TestClient_RejectionSettlesOnlyItsOwnAttempt(t *testing.T) {
 	is := is.New(t)
 	for _, answers := range [][]uint32{{2}, {1, 2}} {
 		out := &event.Outbox{}
--- a/internal/state/consensus/doc.go
+++ b/internal/state/consensus/doc.go
@@ -35,6 +35,6 @@
 //
 // The safety of replacement and bootstrap is checked by exhaustive search over the real
 // code: model_search_test.go (losses, repairs, restarts) and bootstrap_model_test.go
-// (first voter sets). lossy_network_test.go and restart_test.go run random schedules with
-// loss, duplication, delay and restarts.
+// (first voter sets). lossy_network_test.go and restart_network_test.go run random
+// schedules with loss, duplication, delay and restarts.
 package consensus
--- a/internal/state/consensus/model_chosen_test.go
+++ b/internal/state/consensus/model_chosen_test.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// note records a vote, and checks each value that is chosen by it.
-func (w *modelState) note(by *modelStore, m Accept) {
+// recordVote records a vote, and checks each value that is chosen by it.
+func (w *modelWorld) recordVote(by *modelStore, m Accept) {
 	set := by.acceptor.voterSet
 	at := slices.IndexFunc(w.votes, func(v modelVote) bool {
 		return v.key == m.Key && v.ballot == m.Ballot && v.number == m.VoterSetNumber
@@ -18,14 +18,14 @@
 	}
 	v := &w.votes[at]
 	if v.value != string(m.Value) {
-		w.wrong = fmt.Sprintf("two values of one ballot %v", m.Ballot)
+		w.violation = fmt.Sprintf("two values of one ballot %v", m.Ballot)
 	}
-	if !slices.Contains(v.by, by.acceptor.storeID) {
-		v.by = append(slices.Clone(v.by), by.acceptor.storeID)
-		slices.Sort(v.by)
+	if !slices.Contains(v.stores, by.acceptor.storeID) {
+		v.stores = append(slices.Clone(v.stores), by.acceptor.storeID)
+		slices.Sort(v.stores)
 	}
 	yes := map[uint64]bool{}
-	for _, id := range v.by {
+	for _, id := range v.stores {
 		yes[id] = true
 	}
 	if !v.chosen && (VoterSet{Voters: v.voters}).IsQuorum(yes) {
@@ -36,7 +36,7 @@
 
 // checkChosen: of two chosen values the one of the lower ballot must be what the
 // other was made from.
-func (w *modelState) checkChosen(c modelVote) {
+func (w *modelWorld) checkChosen(c modelVote) {
 	for _, v := range w.votes {
 		low, high := v, c
 		if high.ballot.Less(low.ballot) {
@@ -47,14 +47,14 @@
 		}
 		if c.key != VoterSetKey {
 			if !strings.HasPrefix(high.value, low.value) {
-				w.wrong = fmt.Sprintf("%q was chosen over %q", high.value, low.value)
+				w.violation = fmt.Sprintf("%q was chosen over %q", high.value, low.value)
 			}
 			continue
 		}
 		a, _ := DecodeVoterSet([]byte(low.value))
 		b, _ := DecodeVoterSet([]byte(high.value))
 		if a.Number > b.Number || a.Number == b.Number && low.value != high.value {
-			w.wrong = fmt.Sprintf("voter set %+v was chosen over %+v", b, a)
+			w.violation = fmt.Sprintf("voter set %+v was chosen over %+v", b, a)
 		}
 	}
 	if set, ok := DecodeVoterSet([]byte(c.value)); ok && c.key == VoterSetKey && set.Number == uint64(len(w.sets))+1 {
--- a/internal/state/consensus/model_search_test.go
+++ b/internal/state/consensus/model_search_test.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// modelFinding is what a search came to.
-type modelFinding struct {
-	states, settled, depth int
-	wrong                  string
+// searchResult is what a search came to.
+type searchResult struct {
+	states, repaired, depth int
+	violation               string
 }
 
 // search visits, level by level, every state that a number of events lead to,
 // each once.
-func search(b modelBounds) modelFinding {
-	found := modelFinding{}
+func search(b modelBounds) searchResult {
+	found := searchResult{}
 	seen := map[uint64]bool{}
-	level := []*modelState{modelRoot(b)}
+	level := []*modelWorld{initialModelState(b)}
 	for ; len(level) > 0 && found.depth <= b.depth; found.depth++ {
 		results := make([]modelVisit, len(level))
 		var workers sync.WaitGroup
@@ -38,9 +38,9 @@
 		level = nil
 		for _, r := range results {
 			found.states++
-			found.settled += r.settled
-			if r.wrong != "" {
-				found.wrong = r.wrong
+			found.repaired += r.repaired
+			if r.violation != "" {
+				found.violation = r.violation
 				return found
 			}
 			for i, n := range r.next {
@@ -58,24 +58,24 @@
 	modelWorkers = 3
 	// settleEach: of the states that no loss has just led to, one in so many is
 	// let go on to its end.
-	settleEach = 16
+	repairEach = 16
 )
 
 type modelVisit struct {
-	next    []*modelState
-	hashes  []uint64
-	settled int
-	wrong   string
+	next      []*modelWorld
+	hashes    []uint64
+	repaired  int
+	violation string
 }
 
 // visit checks one state and gives those that follow.
-func visit(w *modelState, b modelBounds, depth int) (v modelVisit) {
-	if v.wrong = w.wrong; v.wrong != "" {
+func visit(w *modelWorld, b modelBounds, depth int) (v modelVisit) {
+	if v.violation = w.violation; v.violation != "" {
 		return v
 	}
-	if w.tolerable() && (w.lossCame || w.hash()%settleEach == 0) {
-		v.settled = 1
-		if v.wrong = w.copy().settle(); v.wrong != "" {
+	if w.isRepairable() && (w.lastWasLoss || w.hash()%repairEach == 0) {
+		v.repaired = 1
+		if v.violation = w.copy().repair(); v.violation != "" {
 			return v
 		}
 	}
@@ -89,9 +89,9 @@
 	return v
 }
 
-// tolerable tells whether a majority of an agreed voter set still has its disks
+// isRepairable tells whether a majority of an agreed voter set still has its disks
 // with a complete copy.
-func (w *modelState) tolerable() bool {
+func (w *modelWorld) isRepairable() bool {
 	have := map[uint64]bool{}
 	for _, s := range w.stores {
 		have[s.acceptor.storeID] = s.acceptor.DiskState() == Complete
@@ -104,23 +104,23 @@
 	return false
 }
 
-// settle lets everything happen that is under way, with no more losses. It ends
+// repair lets everything happen that is under way, with no more losses. It ends
 // with three voters, and with every acknowledged change in the value, once.
-func (w *modelState) settle() string {
+func (w *modelWorld) repair() string {
 	for range 40 {
-		if w.wrong != "" {
-			return w.wrong
+		if w.violation != "" {
+			return w.violation
 		}
-		if w.whole() {
-			return w.readBack()
+		if w.isRepaired() {
+			return w.checkAcknowledged()
 		}
-		w.goOn()
+		w.repairStep()
 	}
 	return "not whole in the end"
 }
 
-func (w *modelState) goOn() {
-	for len(w.net) > 0 {
+func (w *modelWorld) repairStep() {
+	for len(w.inTransit) > 0 {
 		w.deliver(0)
 	}
 	for i := range w.stores {
@@ -130,12 +130,12 @@
 		}
 		for _, set := range w.sets {
 			if set.Number > w.stores[i].acceptor.voterSet.Number {
-				w.touch(i)
+				w.ownStore(i)
 				w.adopt(i, set)
 			}
 		}
 		_, asking := w.stores[i].proposer.rounds[VoterSetKey]
-		if lost, ok := w.place(i); ok && !asking {
+		if lost, ok := w.replaceableVoter(i); ok && !asking {
 			w.join(i, lost)
 		}
 		for j := range w.stores {
@@ -153,7 +153,7 @@
 	}
 }
 
-func (w *modelState) whole() bool {
+func (w *modelWorld) isRepaired() bool {
 	set := w.sets[len(w.sets)-1]
 	for _, s := range w.stores {
 		a := s.acceptor
@@ -164,23 +164,23 @@
 	return true
 }
 
-// readBack adds a last change and looks for all that was acknowledged.
-func (w *modelState) readBack() string {
-	acked := w.acked
-	w.ask(0, "z", "z")
+// checkAcknowledged adds a last change and looks for all that was acknowledged.
+func (w *modelWorld) checkAcknowledged() string {
+	acked := w.acknowledged
+	w.submitAppend(0, "z", "z")
 	for range 20 {
-		for len(w.net) > 0 {
+		for len(w.inTransit) > 0 {
 			w.deliver(0)
 		}
-		if strings.Contains(w.acked, "z") || w.wrong != "" {
+		if strings.Contains(w.acknowledged, "z") || w.violation != "" {
 			break
 		}
 		w.tick(0)
 	}
-	if w.wrong != "" {
-		return w.wrong
+	if w.violation != "" {
+		return w.violation
 	}
-	if !strings.Contains(w.acked, "z") {
+	if !strings.Contains(w.acknowledged, "z") {
 		return "a whole voter set takes no change"
 	}
 	_, value := w.stores[0].acceptor.AcceptedValue("x")
@@ -197,36 +197,36 @@
 
 // The searches that CI makes. Rounds are one event in the first two, and every
 // message is in the third.
-func TestEveryOrderOfLossesAndRepairs(t *testing.T) {
+func TestModel_AllOrdersOfLossesAndRepairs(t *testing.T) {
 	for name, b := range map[string]modelBounds{
-		"two losses":                   {depth: 7 + *deeper, wipes: 2, coarse: true},
-		"a loss, and its disk is back": {depth: 6 + *deeper, wipes: 1, backs: 1, crashes: 1, coarse: true},
+		"two losses":                   {depth: 7 + *deeper, wipes: 2, wholeRounds: true},
+		"a loss, and its disk is back": {depth: 6 + *deeper, wipes: 1, restores: 1, crashes: 1, wholeRounds: true},
 		"message by message":           {depth: 5 + *deeper, wipes: 2, crashes: 1, ticks: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			began := time.Now()
 			f := search(b)
-			t.Logf("%d states up to depth %d, %d of them let go on to the end, %v", f.states, b.depth, f.settled, time.Since(began))
-			if f.wrong != "" {
-				t.Fatal(f.wrong)
+			t.Logf("%d states up to depth %d, %d of them let go on to the end, %v", f.states, b.depth, f.repaired, time.Since(began))
+			if f.violation != "" {
+				t.Fatal(f.violation)
 			}
 		})
 	}
 }
 
 // Each planted mistake is found.
-func TestTheModelFindsPlantedMistakes(t *testing.T) {
+func TestModel_FindsPlantedMistakes(t *testing.T) {
 	for name, b := range map[string]modelBounds{
-		"votes before the last pass":   {depth: 9, wipes: 1, coarse: true, fault: modelFault{votesEarly: true}},
-		"votes though blank":           {depth: 9, wipes: 1, coarse: true, fault: modelFault{votesBlank: true}},
-		"blank disk with the old id":   {depth: 9, wipes: 2, coarse: true, fault: modelFault{keepsID: true}},
-		"votes under lower voter sets": {depth: 9, wipes: 1, coarse: true, fault: modelFault{noSeal: true}},
+		"votes before the last pass":   {depth: 9, wipes: 1, wholeRounds: true, fault: modelFault{completesEarly: true}},
+		"votes though blank":           {depth: 9, wipes: 1, wholeRounds: true, fault: modelFault{votesBlank: true}},
+		"blank disk with the old id":   {depth: 9, wipes: 2, wholeRounds: true, fault: modelFault{keepsID: true}},
+		"votes under lower voter sets": {depth: 9, wipes: 1, wholeRounds: true, fault: modelFault{votesUnderLowerSets: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			began := time.Now()
 			f := search(b)
-			t.Logf("found after %d states at depth %d: %s %v", f.states, f.depth, f.wrong, time.Since(began))
-			if f.wrong == "" {
+			t.Logf("found after %d states at depth %d: %s %v", f.states, f.depth, f.violation, time.Since(began))
+			if f.violation == "" {
 				t.Fatal("not found")
 			}
 		})
--- a/internal/state/consensus/model_state_test.go
+++ b/internal/state/consensus/model_state_test.go
@@ -44,10 +44,10 @@
 	}
 }
 
-// sameRandom always falls the same way, so that a proposer has no hidden state.
-type sameRandom struct{}
+// constantRandom always falls the same way, so that a proposer has no hidden state.
+type constantRandom struct{}
 
-func (sameRandom) Uint64() uint64 { return 0x9e3779b97f4a7c15 }
+func (constantRandom) Uint64() uint64 { return 0x9e3779b97f4a7c15 }
 
 // modelStore is one store.
 type modelStore struct {
@@ -70,22 +70,22 @@
 	s := &modelStore{disk: d, run: run, now: 1}
 	s.acceptor = NewAcceptor(id, d, &s.Outbox)
 	s.acceptor.SetRunID(run)
-	s.proposer = NewProposer(id<<24|run, s.acceptor.VoterSet, modelOps(), rand.New(sameRandom{}), &s.Outbox)
+	s.proposer = NewProposer(id<<24|run, s.acceptor.VoterSet, modelOps(), rand.New(constantRandom{}), &s.Outbox)
 	return s
 }
 
 func modelOps() map[Op]ChangeFunc {
 	ops := VoterSetOps()
-	ops[opAdd] = addLetterOnce
+	ops[opAdd] = appendLetterOnce
 	return ops
 }
 
-// addLetterOnce adds a letter, and knows one that it has added before.
-func addLetterOnce(key ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
+// appendLetterOnce adds a letter, and knows one that it has added before.
+func appendLetterOnce(key ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
 	if bytes.Contains(old, arg) {
 		return old, old
 	}
-	return add(key, old, arg)
+	return appendArg(key, old, arg)
 }
 
 // clone copies a store; values are never changed in place and are shared.
--- a/internal/state/consensus/model_test.go
+++ b/internal/state/consensus/model_test.go
@@ -10,23 +10,23 @@
 
 // modelBounds say how much may happen in one run of the model.
 type modelBounds struct {
-	depth, wipes, crashes, backs, ticks int
+	depth, wipes, crashes, restores, ticks int
 	// coarse: the rounds of newcomers and of the second writer are one event each,
 	// and reach some machines only.
-	coarse bool
-	fault  modelFault
+	wholeRounds bool
+	fault       modelFault
 }
 
-// modelRoot is three stores that agree on a value, two of which are about to add
+// initialModelState is three stores that agree on a value, two of which are about to add
 // to it: one with a promise in hand, one that must ask for one.
-func modelRoot(b modelBounds) *modelState {
-	w := &modelState{lastID: 3, fault: b.fault}
+func initialModelState(b modelBounds) *modelWorld {
+	w := &modelWorld{lastID: 3, fault: b.fault}
 	first := VoterSet{Number: 1}
 	for i, at := range modelAddresses {
 		first.Voters = append(first.Voters, Voter{uint64(i + 1), at})
 	}
 	w.sets = []VoterSet{first}
-	raw, _ := packed(first)
+	raw, _ := encode(first)
 	for i := range modelAddresses {
 		s := newModelStore(uint64(i+1), modelDisk{}, 1)
 		w.stores[i] = s
@@ -35,86 +35,86 @@
 		s.acceptor.AdoptVoterSet(first)
 		w.run(i)
 	}
-	w.ask(0, "", "0")
-	for len(w.net) > 0 {
+	w.submitAppend(0, "", "0")
+	for len(w.inTransit) > 0 {
 		w.deliver(0)
 	}
-	w.acked, w.votes = "", nil
-	w.ask(0, "p", "p")
-	if !b.coarse {
-		w.ask(1, "q", "q")
+	w.acknowledged, w.votes = "", nil
+	w.submitAppend(0, "p", "p")
+	if !b.wholeRounds {
+		w.submitAppend(1, "q", "q")
 	}
-	for i := range w.net {
-		w.net[i].old = true
+	for i := range w.inTransit {
+		w.inTransit[i].beforeSearch = true
 	}
 	return w
 }
 
-func (w *modelState) ask(i int, who ids.Address, token string) {
-	s := w.touch(i)
+func (w *modelWorld) submitAppend(i int, who ids.Address, token string) {
+	s := w.ownStore(i)
 	s.proposer.IsReachable = func(uint64) bool { return false }
 	s.proposer.Submit(s.now, who, Request{ID: 1, Key: "x", Op: opAdd, Arg: []byte(token), TimeoutMillis: 1 << 31})
 	w.run(i)
 }
 
-func (w *modelState) submit(i int, op Op, arg any) {
-	raw, _ := packed(arg)
-	s := w.touch(i)
+func (w *modelWorld) submit(i int, op Op, arg any) {
+	raw, _ := encode(arg)
+	s := w.ownStore(i)
 	s.proposer.Submit(s.now, modelAddresses[i], Request{ID: 2, Key: VoterSetKey, Op: op, Arg: raw, TimeoutMillis: 1 << 31})
 	w.run(i)
 }
 
 // next gives every state that one event leads to.
-func (w *modelState) next(b modelBounds) (out []*modelState) {
-	do := func(f func(w *modelState)) {
+func (w *modelWorld) next(b modelBounds) (out []*modelWorld) {
+	do := func(f func(w *modelWorld)) {
 		n := w.copy()
-		n.lossCame = false
+		n.lastWasLoss = false
 		f(n)
 		out = append(out, n)
 	}
-	for i := range w.net {
-		do(func(n *modelState) { n.deliver(i) })
+	for i := range w.inTransit {
+		do(func(n *modelWorld) { n.deliver(i) })
 	}
 	for i := range w.stores {
 		if w.wipes < b.wipes {
-			do(func(n *modelState) { n.wipe(i, b.coarse) })
+			do(func(n *modelWorld) { n.wipe(i, b.wholeRounds) })
 		}
 		if w.crashes < b.crashes {
-			do(func(n *modelState) { n.crash(i) })
+			do(func(n *modelWorld) { n.crash(i) })
 		}
 		s := w.stores[i]
 		for _, set := range w.sets {
 			if set.Number > s.acceptor.voterSet.Number {
-				do(func(n *modelState) { n.touch(i); n.adopt(i, set) })
+				do(func(n *modelWorld) { n.ownStore(i); n.adopt(i, set) })
 			}
 		}
 		if len(s.proposer.rounds) > 0 && s.ticks < b.ticks {
-			do(func(n *modelState) { n.tick(i) })
+			do(func(n *modelWorld) { n.tick(i) })
 		}
 		for _, some := range b.quorums() {
-			w.nextRounds(b, i, some, do)
+			w.roundEvents(b, i, some, do)
 		}
 		for j := range w.stores {
 			if w.mayCopy(i, j) {
-				do(func(n *modelState) { n.copyFrom(i, j) })
+				do(func(n *modelWorld) { n.copyFrom(i, j) })
 			}
 		}
 	}
-	if w.old != nil && w.backs < b.backs {
-		do(func(n *modelState) { n.putBack() })
+	if w.lostDisk != nil && w.restores < b.restores {
+		do(func(n *modelWorld) { n.restoreLostDisk() })
 	}
 	return out
 }
 
 // wipe loses a disk; where events are coarse, the blank store hears of a voter set
 // at once.
-func (w *modelState) wipe(i int, hears bool) {
+func (w *modelWorld) wipe(i int, hears bool) {
 	s := w.stores[i]
-	if w.old == nil {
-		w.old, w.oldID, w.oldAt, w.oldRun = s.disk, s.acceptor.storeID, i, s.run
+	if w.lostDisk == nil {
+		w.lostDisk, w.lostID, w.lostMachine, w.lostRun = s.disk, s.acceptor.storeID, i, s.run
 	}
 	w.wipes++
-	w.lossCame = true
+	w.lastWasLoss = true
 	w.lastID++
 	id := w.lastID
 	if w.fault.keepsID {
@@ -134,18 +134,18 @@
 	w.adopt(i, newest)
 }
 
-func (w *modelState) crash(i int) {
+func (w *modelWorld) crash(i int) {
 	w.crashes++
-	w.lossCame = true
-	s := w.touch(i)
+	w.lastWasLoss = true
+	s := w.ownStore(i)
 	w.restart(i, s.acceptor.storeID, s.disk, s.run+1)
 }
 
-// putBack gives a machine the disk that was lost first.
-func (w *modelState) putBack() {
-	w.backs++
-	w.restart(w.oldAt, w.oldID, modelDisk(copyOf(w.old)), w.oldRun+1)
-	w.old = nil
+// restoreLostDisk gives a machine the disk that was lost first.
+func (w *modelWorld) restoreLostDisk() {
+	w.restores++
+	w.restart(w.lostMachine, w.lostID, copyOf(w.lostDisk), w.lostRun+1)
+	w.lostDisk = nil
 }
 
 func copyOf(d modelDisk) modelDisk {
@@ -156,7 +156,7 @@
 	return out
 }
 
-func (w *modelState) restart(i int, id uint64, d modelDisk, run uint64) {
+func (w *modelWorld) restart(i int, id uint64, d modelDisk, run uint64) {
 	s := newModelStore(id, d, run)
 	s.proposer.IsReachable = func(uint64) bool { return false }
 	if w.fault.replacedVotes {
@@ -165,16 +165,16 @@
 	w.stores[i] = s
 }
 
-func (w *modelState) tick(i int) {
-	s := w.touch(i)
+func (w *modelWorld) tick(i int) {
+	s := w.ownStore(i)
 	s.ticks++
 	s.now = s.now.Add(time.Second)
 	s.proposer.Tick(s.now)
 	w.run(i)
 }
 
-// place is the voter whose place a blank store may ask for.
-func (w *modelState) place(i int) (uint64, bool) {
+// replaceableVoter is the voter whose place a blank store may ask for.
+func (w *modelWorld) replaceableVoter(i int) (uint64, bool) {
 	a := w.stores[i].acceptor
 	if a.DiskState() != Blank || a.voterSet.Number == 0 || a.voterSet.HasVoter(a.storeID) {
 		return 0, false
@@ -187,14 +187,14 @@
 	return 0, false
 }
 
-func (w *modelState) join(i int, lost uint64) {
-	w.touch(i).joined = true
+func (w *modelWorld) join(i int, lost uint64) {
+	w.ownStore(i).joined = true
 	a := w.stores[i].acceptor
 	w.submit(i, OpReplace, ReplaceRequest{New: Voter{a.storeID, modelAddresses[i]}, LostID: lost, Replicas: 3})
 }
 
-func (w *modelState) mayComplete(s *modelStore, set VoterSet) bool {
-	if w.fault.votesEarly {
+func (w *modelWorld) mayComplete(s *modelStore, set VoterSet) bool {
+	if w.fault.completesEarly {
 		// A copy from before the change was agreed counts as good enough.
 		set.Number--
 	}
@@ -202,7 +202,7 @@
 }
 
 // mayCopy tells whether store i would ask j for a page and be given it.
-func (w *modelState) mayCopy(i, j int) bool {
+func (w *modelWorld) mayCopy(i, j int) bool {
 	to, from := w.stores[i], w.stores[j].acceptor
 	set := to.acceptor.voterSet
 	return i != j && to.acceptor.DiskState() == Blank && set.Number > 0 && from.voterSet.Number == set.Number &&
@@ -210,15 +210,15 @@
 }
 
 // copyFrom is one pass of a newcomer's copy; these disks fit into one page.
-func (w *modelState) copyFrom(i, j int) {
-	to, from := w.touch(i), w.touch(j)
+func (w *modelWorld) copyFrom(i, j int) {
+	to, from := w.ownStore(i), w.ownStore(j)
 	set := to.acceptor.voterSet
 	to.copier.BeginPass(from.acceptor.storeID)
 	from.acceptor.HandlePageRequest(modelAddresses[i], to.copier.NextRequest(from.acceptor.storeID, set.Number))
 	for _, c := range from.Drain() {
 		page := c.(event.Sync).After[0].(event.Send).Msg.(PageResponse)
 		if !to.copier.HandlePage(page) {
-			w.wrong = "a page was not taken"
+			w.violation = "a page was not taken"
 		}
 		for _, record := range page.Records {
 			to.acceptor.MergeRecord(record)
@@ -230,7 +230,7 @@
 
 // completeIfDue lets a newcomer vote, as its store does after each page; with
 // some planted mistakes sooner.
-func (w *modelState) completeIfDue(i int) {
+func (w *modelWorld) completeIfDue(i int) {
 	to := w.stores[i]
 	set := to.acceptor.voterSet
 	if set.HasVoter(to.acceptor.storeID) && w.mayComplete(to, set) {
--- a/internal/state/consensus/register.go
+++ b/internal/state/consensus/register.go
@@ -19,13 +19,13 @@
 // memory. Both records end with a checksum; bases of earlier versions have none.
 
 var (
-	// ErrChecksumMismatch: a record on disk was altered.
+	// ErrChecksumMismatch means that a record on disk was altered.
 	ErrChecksumMismatch = errors.New("it fails its checksum")
-	// ErrTruncated: a record on disk has more or fewer bytes than it says.
+	// ErrTruncated means that a record on disk has more or fewer bytes than it says.
 	ErrTruncated = errors.New("it is cut short")
-	// ErrUnknownFormat: a record on disk is whole, but not of the expected type.
+	// ErrUnknownFormat means that a record on disk is whole, but not of the expected type.
 	ErrUnknownFormat = errors.New("it is of another format")
-	// ErrMissingChange: a change on disk follows one that is not there.
+	// ErrMissingChange means that a change on disk follows one that is not there.
 	ErrMissingChange = errors.New("one before it is missing")
 )
 
--- a/internal/state/consensus/registers_test.go
+++ b/internal/state/consensus/register_test.go
@@ -16,8 +16,8 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// text gives so many bytes that no part of is like another.
-func text(random *rand.Rand, n int) []byte {
+// randomText gives so many bytes that no part of is like another.
+func randomText(random *rand.Rand, n int) []byte {
 	out := make([]byte, n)
 	for i := range out {
 		out[i] = byte('a' + random.IntN(26))
@@ -25,19 +25,19 @@
 	return out
 }
 
-// keeper is an acceptor of one store, whose disk can be read again.
-func keeper(mem memory) *room {
-	r := &room{mem: mem}
+// openStore is an acceptor of one store, whose disk can be read again.
+func openStore(mem memoryDisk) *testStore {
+	r := &testStore{disk: mem}
 	r.Acceptor = NewAcceptor(1, mem, &r.Outbox)
 	return r
 }
 
 // sync carries out what the disk was asked for, and gives the bytes written.
-func (r *room) sync() int {
+func (r *testStore) sync() int {
 	n := 0
 	for _, c := range r.Drain() {
 		if s, ok := c.(event.Sync); ok {
-			r.mem.write(s.Records)
+			r.disk.write(s.Records)
 			for _, rec := range s.Records {
 				n += len(rec.Value)
 			}
@@ -48,11 +48,11 @@
 }
 
 // However a register comes about, a restart finds the very state.
-func TestRegisterOutlivesARestart(t *testing.T) {
+func TestRegister_SurvivesRestart(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(3, 4))
-	r := keeper(memory{})
-	value := text(random, 6000)
+	r := openStore(memoryDisk{})
+	value := randomText(random, 6000)
 	for i := range 1500 {
 		b := ids.Ballot{Counter: uint64(i) + 1<<41, Proposer: 1}
 		next := RegisterState{Promised: b, Accepted: b, Value: value}
@@ -60,10 +60,10 @@
 		case i%50 == 49:
 			next.Accepted = r.registerState("x").Accepted // a promise alone
 		case i%400 == 399:
-			value = text(random, 100+random.IntN(20000))
+			value = randomText(random, 100+random.IntN(20000))
 		default:
 			at := random.IntN(len(value))
-			value = slices.Replace(slices.Clone(value), at, min(len(value), at+random.IntN(30)), text(random, random.IntN(32))...)
+			value = slices.Replace(slices.Clone(value), at, min(len(value), at+random.IntN(30)), randomText(random, random.IntN(32))...)
 		}
 		if next.Accepted == b {
 			next.Value = value
@@ -72,8 +72,8 @@
 		}
 		r.saveRegister("x", next)
 		r.sync()
-		is.NoErr(CheckDisk(r.mem))
-		got, err := loadRegister(r.mem, "x")
+		is.NoErr(CheckDisk(r.disk))
+		got, err := loadRegister(r.disk, "x")
 		is.NoErr(err)
 		is.Equal(got, *r.registers["x"])
 		is.True(bytes.Equal(got.Value, next.Value))
@@ -84,17 +84,17 @@
 }
 
 // What a change writes goes by the change, not by the value.
-func TestBytesOfAChangeOnDisk(t *testing.T) {
+func TestRegister_DiskBytesFollowTheChange(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(3, 4))
 	for _, size := range []int{300_000, 1_500_000, 4_500_000} {
-		r := keeper(memory{})
-		value := text(random, size)
+		r := openStore(memoryDisk{})
+		value := randomText(random, size)
 		written := 0
 		for i := range 301 {
 			b := ids.Ballot{Counter: uint64(i) + 1<<41, Proposer: 1}
 			value = slices.Clone(value)
-			copy(value[random.IntN(len(value)-300):], text(random, 300))
+			copy(value[random.IntN(len(value)-300):], randomText(random, 300))
 			r.saveRegister("x", RegisterState{Promised: b, Accepted: b, Value: value})
 			if n := r.sync(); i > 0 {
 				written += n
@@ -106,36 +106,36 @@
 }
 
 // A folder of an earlier version is one whole record without a checksum.
-func TestRegisterOfAnEarlierVersion(t *testing.T) {
+func TestRegister_ReadsRecordOfEarlierVersion(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(3, 4))
 	b := ids.Ballot{Counter: 1 << 41, Proposer: 7}
-	old := RegisterState{Promised: b, Accepted: b, Value: text(random, 9000)}
+	old := RegisterState{Promised: b, Accepted: b, Value: randomText(random, 9000)}
 	raw, err := wire.Encode(old)
 	is.NoErr(err)
-	mem := memory{"item/policy": raw, "item/mark/r/1": []byte("anything")}
+	mem := memoryDisk{"item/policy": raw, "item/mark/r/1": []byte("anything")}
 	is.NoErr(CheckDisk(mem))
-	r := keeper(mem)
+	r := openStore(mem)
 	is.Equal(r.registerState("policy"), old)
 	next := old
 	next.Accepted.Counter++
 	next.Value = append(slices.Clone(old.Value), "and more"...)
 	r.saveRegister("policy", next)
 	is.True(r.sync() < 200)
-	is.Equal(keeper(mem).registerState("policy"), next)
+	is.Equal(openStore(mem).registerState("policy"), next)
 	is.Equal(mem["item/policy"], raw) // the base stays
 }
 
 // Whatever is damaged, cut short or missing is found at the start, and a store
 // that can't read what it voted for takes no part.
-func TestDamagedRegistersAreFound(t *testing.T) {
+func TestCheckDisk_FindsDamage(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(3, 4))
-	whole := memory{}
-	r := keeper(whole)
+	whole := memoryDisk{}
+	r := openStore(whole)
 	r.MarkComplete()
 	r.AdoptVoterSet(VoterSet{Number: 1, Voters: []Voter{{1, "a"}}})
-	value := text(random, 5000)
+	value := randomText(random, 5000)
 	for i := range 5 {
 		b := ids.Ballot{Counter: uint64(i) + 1<<41, Proposer: 1}
 		value = append(slices.Clone(value), fmt.Sprint("change ", i)...)
@@ -144,20 +144,20 @@
 	r.sync()
 	is.NoErr(CheckDisk(whole))
 	is.Equal(len(whole), 7)
-	sound := keeper(maps.Clone(whole))
+	sound := openStore(maps.Clone(whole))
 	sound.HandlePrepare("a", Prepare{Key: "policy", Ballot: ids.Ballot{Counter: 1 << 50}, VoterSetNumber: 1})
 	is.Equal(len(sound.Drain()), 1) // it votes
 	for key, raw := range whole {
 		if strings.HasPrefix(string(key), "meta/") {
 			continue
 		}
-		for name, spoil := range map[string]func(memory){
-			"missing":      func(m memory) { delete(m, key) },
-			"cut short":    func(m memory) { m[key] = raw[:len(raw)-1] },
-			"cut in half":  func(m memory) { m[key] = raw[:len(raw)/2] },
-			"empty":        func(m memory) { m[key] = nil },
-			"flipped":      func(m memory) { m[key] = flip(raw, len(raw)/2) },
-			"newer format": func(m memory) { m[key] = flip(raw, 4) },
+		for name, spoil := range map[string]func(memoryDisk){
+			"missing":      func(m memoryDisk) { delete(m, key) },
+			"cut short":    func(m memoryDisk) { m[key] = raw[:len(raw)-1] },
+			"cut in half":  func(m memoryDisk) { m[key] = raw[:len(raw)/2] },
+			"empty":        func(m memoryDisk) { m[key] = nil },
+			"flipped":      func(m memoryDisk) { m[key] = flipByte(raw, len(raw)/2) },
+			"newer format": func(m memoryDisk) { m[key] = flipByte(raw, 4) },
 		} {
 			m := maps.Clone(whole)
 			spoil(m)
@@ -169,7 +169,7 @@
 			if err := CheckDisk(m); err == nil {
 				t.Errorf("%s %s: not found", key, name)
 			}
-			again := keeper(m)
+			again := openStore(m)
 			log, ok := again.Drain()[0].(event.LogEntry)
 			is.True(ok && log.Level == event.LevelError && strings.Contains(string(log.Event), "unreadable"))
 			again.HandlePrepare("a", Prepare{Key: "policy", Ballot: ids.Ballot{Counter: 1 << 50}, VoterSetNumber: 1})
@@ -178,7 +178,7 @@
 	}
 }
 
-func flip(raw []byte, at int) []byte {
+func flipByte(raw []byte, at int) []byte {
 	out := slices.Clone(raw)
 	out[at] ^= 0x55
 	return out
--- a/internal/state/consensus/roundid_test.go
+++ b/internal/state/consensus/restart_test.go
@@ -11,17 +11,17 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// restart gives a store's next run on the same disk.
-func restart(all map[ids.Address]*room, at ids.Address, by uint64) {
+// restartStore gives a store's next run on the same disk.
+func restartStore(all map[ids.Address]*testStore, at ids.Address, by uint64) {
 	old := all[at]
-	x := &room{mem: old.mem}
-	x.Acceptor = NewAcceptor(old.StoreID(), x.mem, &x.Outbox)
-	x.Proposer = NewProposer(by, x.Acceptor.VoterSet, map[Op]ChangeFunc{opAdd: add}, rand.New(rand.NewPCG(1, by)), &x.Outbox)
+	x := &testStore{disk: old.disk}
+	x.Acceptor = NewAcceptor(old.StoreID(), x.disk, &x.Outbox)
+	x.Proposer = NewProposer(by, x.Acceptor.VoterSet, map[Op]ChangeFunc{opAdd: appendArg}, rand.New(rand.NewPCG(1, by)), &x.Outbox)
 	all[at] = x
 }
 
-// holdBack takes the answers that one store has for another off the network.
-func holdBack(r *room, to ids.Address) []event.Send {
+// withholdAnswers takes the answers that one store has for another off the network.
+func withholdAnswers(r *testStore, to ids.Address) []event.Send {
 	var held []event.Send
 	var rest []event.Command
 	for _, c := range r.Drain() {
@@ -31,7 +31,7 @@
 			continue
 		}
 		for _, rec := range sync.Records {
-			r.mem[rec.Key] = rec.Value
+			r.disk[rec.Key] = rec.Value
 		}
 		r.Acceptor.Synced(sync.Batch)
 		for _, then := range sync.After {
@@ -48,14 +48,14 @@
 
 // A vote for a value of an earlier run waits in its sender's queue while the
 // proposer restarts. It must not count as a vote for the new run's value.
-func TestAVoteForAnEarlierRunIsNotCounted(t *testing.T) {
+func TestProposer_IgnoresVoteForEarlierRun(t *testing.T) {
 	is := is.New(t)
-	all := rooms(t)
-	play(1, all, open2)
+	all := newTestStores(t)
+	deliverAll(1, all, allLinks)
 	// Another register took the first round, as it will in the second run a
 	// round that is turned down for its low ballot.
 	all["a"].Submit(1, "w0", Request{ID: 1, Key: "y", Op: opAdd, TimeoutMillis: 60000})
-	play(1, all, open2)
+	deliverAll(1, all, allLinks)
 	wish := func(arg string) {
 		all["a"].Submit(1, "w", Request{ID: 1, Key: "x", Op: opAdd, Arg: []byte(arg), TimeoutMillis: 60000})
 	}
@@ -65,25 +65,25 @@
 		return from != "c" && to != "c" && (from != "a" || r == nil || r.phase == preparing)
 	}
 	wish("1")
-	play(1, all, prepared)
+	deliverAll(1, all, prepared)
 	first := all["a"].rounds["x"]
 	is.Equal(first.phase, accepting)
 	b := all["b"]
 	b.HandleAccept("a", Accept{Key: "x", Ballot: first.ballot, NextBallot: first.nextBallot, VoterSetNumber: 1, Round: first.id, Value: first.value})
-	late := holdBack(b, "a")
+	late := withholdAnswers(b, "a")
 	is.Equal(len(late), 1)
-	restart(all, "a", 1|1<<30)
+	restartStore(all, "a", 1|1<<30)
 	wish("2")
-	play(1, all, prepared)
+	deliverAll(1, all, prepared)
 	later := ids.Time(time.Second)
 	all["a"].Proposer.Tick(later)
-	is.Equal(len(play(later, all, prepared)), 0)
+	is.Equal(len(deliverAll(later, all, prepared)), 0)
 	is.Equal(all["a"].rounds["x"].phase, accepting)
 	for _, s := range late {
-		give(later, all["a"], "b", s.Msg)
+		deliver(later, all["a"], "b", s.Msg)
 	}
 	all["a"].Proposer.Tick(later.Add(replicationGrace))
-	told := play(later, all, func(ids.Address, ids.Address) bool { return false })
+	told := deliverAll(later, all, func(ids.Address, ids.Address) bool { return false })
 	if len(told) > 0 {
 		_, held := b.AcceptedValue("x")
 		t.Fatalf("the caller was told %q, while b holds %q and c nothing", told["w"][0].Result, held)
@@ -92,10 +92,10 @@
 
 // A promise to an earlier run's read tells of a value that may since have been
 // replaced. A read of the new run must not go by it.
-func TestAPromiseToAnEarlierRunIsNotCounted(t *testing.T) {
+func TestProposer_IgnoresPromiseToEarlierRun(t *testing.T) {
 	is := is.New(t)
-	all := rooms(t)
-	play(1, all, open2)
+	all := newTestStores(t)
+	deliverAll(1, all, allLinks)
 	read := Request{ID: 1, Key: "x", Op: Read, TimeoutMillis: 60000}
 	all["a"].Submit(1, "w1", read)
 	var asked Prepare
@@ -106,24 +106,24 @@
 	}
 	all["b"].HandlePrepare("a", asked)
 	all["c"].HandlePrepare("a", asked)
-	late := append(holdBack(all["b"], "a"), holdBack(all["c"], "a")...)
+	late := append(withholdAnswers(all["b"], "a"), withholdAnswers(all["c"], "a")...)
 	is.Equal(len(late), 2)
 	all["b"].IsReachable = func(store uint64) bool { return store != 1 }
 	all["b"].Submit(1, "w2", Request{ID: 1, Key: "x", Op: opAdd, Arg: []byte("new"), TimeoutMillis: 60000})
-	is.Equal(value(t, play(1, all, func(from, to ids.Address) bool { return from != "a" && to != "a" }), "w2"), "new")
-	restart(all, "a", 1|1<<30)
+	is.Equal(soleResult(t, deliverAll(1, all, func(from, to ids.Address) bool { return from != "a" && to != "a" }), "w2"), "new")
+	restartStore(all, "a", 1|1<<30)
 	all["a"].Submit(1, "w3", read)
 	for _, s := range late {
-		give(1, all["a"], s.To, s.Msg)
+		deliver(1, all["a"], s.To, s.Msg)
 	}
-	told := play(1, all, func(ids.Address, ids.Address) bool { return false })
+	told := deliverAll(1, all, func(ids.Address, ids.Address) bool { return false })
 	if len(told) > 0 {
 		t.Fatalf("a read after the change was told %+v", told)
 	}
 }
 
 // Two runs of one store, or of two stores with the same address, share no round.
-func TestRunsShareNoRound(t *testing.T) {
+func TestProposer_RunsShareNoRoundID(t *testing.T) {
 	is := is.New(t)
 	seen := map[uint64]bool{}
 	for store := range uint64(200) {
--- a/internal/state/consensus/patience_test.go
+++ b/internal/state/consensus/retry_test.go
@@ -32,9 +32,9 @@
 
 // A large value takes its time to arrive. Sent again every 100 ms meanwhile, it
 // queued up behind itself: 20 copies of 4 MB to each store within two seconds.
-func TestALargeValueDoesNotQueueUpBehindItself(t *testing.T) {
+func TestProposer_LargeValueIsNotResentBeforeItCanArrive(t *testing.T) {
 	is := is.New(t)
-	all := rooms(t)
+	all := newTestStores(t)
 	a := all["a"]
 	a.Submit(1, "w", Request{ID: 1, Key: "x", Op: opAdd, Arg: make([]byte, largeSize), TimeoutMillis: 60000})
 	copies := 0
@@ -46,20 +46,20 @@
 			a.Emit(c)
 		}
 		// Promises come at once; what carries the value is still under way.
-		play(now, all, func(ids.Address, ids.Address) bool { return !a.accepting("x") })
+		deliverAll(now, all, func(ids.Address, ids.Address) bool { return !a.accepting("x") })
 	}
 	is.True(copies >= 1)
 	is.True(copies <= 2)
 }
 
-func (r *room) accepting(key ids.RegisterKey) bool {
+func (r *testStore) accepting(key ids.RegisterKey) bool {
 	x := r.rounds[key]
 	return x != nil && x.phase == accepting
 }
 
 // A large request is given the time to arrive before another store is asked,
 // which would only begin to contend with the first.
-func TestALargeRequestIsNotSentToEveryStore(t *testing.T) {
+func TestClient_LargeRequestIsNotSentToEveryStore(t *testing.T) {
 	is := is.New(t)
 	for size, most := range map[int]int{10: 10, largeSize: 1} {
 		var out event.Outbox
--- a/internal/state/consensus/silent_test.go
+++ b/internal/state/consensus/store_order_test.go
@@ -11,7 +11,7 @@
 // A store that was cut off, but not yet counted as gone, was the first to be asked
 // by each call, which lost 400 ms by it: registries' agreements grew too old to
 // speak by, though the majority was there.
-func TestASilentStoreIsTriedLast(t *testing.T) {
+func TestClient_AsksSilentStoreLast(t *testing.T) {
 	out := &event.Outbox{}
 	c := NewClient(1, out)
 	c.StoreOrder = func(ids.RegisterKey) []ids.Address { return []ids.Address{"cut", "a", "b"} }
@@ -52,7 +52,7 @@
 }
 
 // With only two stores known the second try goes to the other one.
-func TestTheNextTryGoesToAnotherStore(t *testing.T) {
+func TestClient_NextAttemptGoesToAnotherStore(t *testing.T) {
 	out := &event.Outbox{}
 	c := NewClient(1, out)
 	c.StoreOrder = func(ids.RegisterKey) []ids.Address { return []ids.Address{"cut", "a"} }
--- a/internal/state/consensus/consensus_test.go
+++ b/internal/state/consensus/store_test.go
@@ -14,12 +14,12 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// memory is a disk that syncs at once.
-type memory map[ids.RegisterKey][]byte
+// memoryDisk is a disk that syncs at once.
+type memoryDisk map[ids.RegisterKey][]byte
 
-func (m memory) Get(k ids.RegisterKey) ([]byte, bool) { v, ok := m[k]; return v, ok }
+func (m memoryDisk) Get(k ids.RegisterKey) ([]byte, bool) { v, ok := m[k]; return v, ok }
 
-func (m memory) Scan(after ids.RegisterKey, n int) []event.Record {
+func (m memoryDisk) Scan(after ids.RegisterKey, n int) []event.Record {
 	var list []event.Record
 	for _, k := range slices.Sorted(maps.Keys(m)) {
 		if k > after && k < "item0" && len(list) < n {
@@ -29,7 +29,7 @@
 	return list
 }
 
-func (m memory) write(list []event.Record) {
+func (m memoryDisk) write(list []event.Record) {
 	for _, r := range list {
 		if r.Delete {
 			delete(m, r.Key)
@@ -39,29 +39,29 @@
 	}
 }
 
-// room is one store with its acceptor and proposer, driven by hand.
-type room struct {
+// testStore is one store with its acceptor and proposer, driven by hand.
+type testStore struct {
 	event.Outbox
-	mem memory
+	disk memoryDisk
 	*Acceptor
 	*Proposer
 }
 
 const opAdd Op = 99
 
-func add(_ ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
+func appendArg(_ ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
 	next := append(append([]byte{}, old...), arg...)
 	return next, next
 }
 
-func rooms(t *testing.T) map[ids.Address]*room {
+func newTestStores(t *testing.T) map[ids.Address]*testStore {
 	t.Helper()
 	r := VoterSet{Number: 1, Voters: []Voter{{1, "a"}, {2, "b"}, {3, "c"}}}
-	out := map[ids.Address]*room{}
+	out := map[ids.Address]*testStore{}
 	for i, at := range []ids.Address{"a", "b", "c"} {
-		x := &room{mem: memory{}}
-		x.Acceptor = NewAcceptor(uint64(i+1), x.mem, &x.Outbox)
-		x.Proposer = NewProposer(uint64(i+1), x.Acceptor.VoterSet, map[Op]ChangeFunc{opAdd: add}, rand.New(rand.NewPCG(1, uint64(i))), &x.Outbox)
+		x := &testStore{disk: memoryDisk{}}
+		x.Acceptor = NewAcceptor(uint64(i+1), x.disk, &x.Outbox)
+		x.Proposer = NewProposer(uint64(i+1), x.Acceptor.VoterSet, map[Op]ChangeFunc{opAdd: appendArg}, rand.New(rand.NewPCG(1, uint64(i))), &x.Outbox)
 		x.MarkComplete()
 		x.AdoptVoterSet(r)
 		out[at] = x
@@ -69,8 +69,8 @@
 	return out
 }
 
-// play lets messages through until none is left; pass decides which may.
-func play(now ids.Time, all map[ids.Address]*room, pass func(from, to ids.Address) bool) map[ids.Address][]Response {
+// deliverAll lets messages through until none is left; pass decides which may.
+func deliverAll(now ids.Time, all map[ids.Address]*testStore, pass func(from, to ids.Address) bool) map[ids.Address][]Response {
 	told := map[ids.Address][]Response{}
 	for busy := true; busy; {
 		busy = false
@@ -82,7 +82,7 @@
 				list = list[1:]
 				switch c := c.(type) {
 				case event.Sync:
-					r.mem.write(c.Records)
+					r.disk.write(c.Records)
 					r.Acceptor.Synced(c.Batch)
 					list = append(append([]event.Command{}, c.After...), list...)
 				case event.Send:
@@ -92,7 +92,7 @@
 						continue
 					}
 					if to := all[c.To]; to != nil && (c.To == at || pass(at, c.To)) {
-						give(now, to, at, c.Msg)
+						deliver(now, to, at, c.Msg)
 					}
 				}
 			}
@@ -101,7 +101,7 @@
 	return told
 }
 
-func give(now ids.Time, r *room, from ids.Address, msg any) {
+func deliver(now ids.Time, r *testStore, from ids.Address, msg any) {
 	switch m := msg.(type) {
 	case Prepare:
 		r.HandlePrepare(from, m)
@@ -116,9 +116,9 @@
 	}
 }
 
-func open2(ids.Address, ids.Address) bool { return true }
+func allLinks(ids.Address, ids.Address) bool { return true }
 
-func value(t *testing.T, told map[ids.Address][]Response, who ids.Address) string {
+func soleResult(t *testing.T, told map[ids.Address][]Response, who ids.Address) string {
 	t.Helper()
 	if len(told[who]) != 1 || told[who][0].Outcome != Succeeded {
 		t.Fatalf("%s was told %+v", who, told[who])
@@ -129,31 +129,31 @@
 // Recorded from seed 2 of the simulator: a proposer that is cut off sends its
 // next value with no Prepare, to its own acceptor alone, while the others go
 // on. Its value must not win once the split ends.
-func TestTraceOfASplitProposer(t *testing.T) {
+func TestProposer_ValueOfPartitionedProposerDoesNotWin(t *testing.T) {
 	is := is.New(t)
-	all := rooms(t)
+	all := newTestStores(t)
 	ask := func(at, who ids.Address, now time.Duration, arg string) {
 		all[at].Submit(ids.Time(now), who, Request{ID: 1, Key: "x", Op: opAdd, Arg: []byte(arg), TimeoutMillis: 60000})
 	}
 	ask("a", "w1", 1, "1")
-	is.Equal(value(t, play(1, all, open2), "w1"), "1")
+	is.Equal(soleResult(t, deliverAll(1, all, allLinks), "w1"), "1")
 	// Other work has taken a's ballots far beyond what the others use.
 	for range 10 {
 		all["a"].Submit(1, "w0", Request{ID: 1, Key: "y", Op: opAdd, TimeoutMillis: 60000})
-		play(1, all, open2)
+		deliverAll(1, all, allLinks)
 	}
 	// Cut off: a's next value reaches a alone.
 	split := func(from, to ids.Address) bool { return from != "a" && to != "a" }
 	ask("a", "w2", 2, "2")
-	is.Equal(len(play(2, all, split)), 0)
+	is.Equal(len(deliverAll(2, all, split)), 0)
 	for i, arg := range []string{"3", "4", "5"} {
 		now := time.Duration(10+i) * time.Second
 		ask("b", ids.Address("w"+arg), now, arg)
 		for step := range 10 {
 			at := ids.Time(now).Add(time.Duration(step) * 60 * time.Millisecond)
 			all["b"].Proposer.Tick(at)
-			if told := play(at, all, split); len(told) > 0 {
-				is.Equal(value(t, told, ids.Address("w"+arg)), "1345"[:i+2])
+			if told := deliverAll(at, all, split); len(told) > 0 {
+				is.Equal(soleResult(t, told, ids.Address("w"+arg)), "1345"[:i+2])
 				break
 			}
 		}
@@ -162,8 +162,8 @@
 	for step := range 20 {
 		at := ids.Time(20 * time.Second).Add(time.Duration(step) * 150 * time.Millisecond)
 		all["a"].Proposer.Tick(at)
-		if told := play(at, all, func(from, to ids.Address) bool { return from != "c" && to != "c" }); len(told) > 0 {
-			is.Equal(value(t, told, "w2"), "13452")
+		if told := deliverAll(at, all, func(from, to ids.Address) bool { return from != "c" && to != "c" }); len(told) > 0 {
+			is.Equal(soleResult(t, told, "w2"), "13452")
 			return
 		}
 	}
@@ -171,15 +171,15 @@
 }
 
 // A ballot below a promise is rejected, and the promise is on the disk.
-func TestPromiseOutlivesARestart(t *testing.T) {
+func TestAcceptor_PromiseSurvivesRestart(t *testing.T) {
 	is := is.New(t)
-	all := rooms(t)
-	play(1, all, open2)
+	all := newTestStores(t)
+	deliverAll(1, all, allLinks)
 	b := all["b"]
 	b.HandlePrepare("a", Prepare{Key: "x", Ballot: ids.Ballot{Counter: 5, Proposer: 1}, VoterSetNumber: 1, Round: 1})
-	play(1, all, func(ids.Address, ids.Address) bool { return false })
-	again := &room{mem: b.mem}
-	again.Acceptor = NewAcceptor(2, b.mem, &again.Outbox)
+	deliverAll(1, all, func(ids.Address, ids.Address) bool { return false })
+	again := &testStore{disk: b.disk}
+	again.Acceptor = NewAcceptor(2, b.disk, &again.Outbox)
 	again.HandleAccept("c", Accept{Key: "x", Ballot: ids.Ballot{Counter: 4, Proposer: 3}, VoterSetNumber: 1, Round: 2, Value: []byte("old")})
 	s := again.Drain()[0].(event.Sync)
 	is.Equal(len(s.Records), 0)
@@ -193,14 +193,14 @@
 }
 
 // While a voter set is joint, a majority of either side alone decides nothing.
-func TestJointVoterSetNeedsBothMajorities(t *testing.T) {
+func TestVoterSet_JointQuorumNeedsBothMajorities(t *testing.T) {
 	is := is.New(t)
 	r := VoterSet{Number: 2, Voters: []Voter{{ID: 1}, {ID: 2}, {ID: 3}}, Incoming: []Voter{{ID: 1}, {ID: 4}, {ID: 5}}}
 	is.True(!r.IsQuorum(map[uint64]bool{2: true, 3: true}))
 	is.True(!r.IsQuorum(map[uint64]bool{4: true, 5: true}))
 	is.True(r.IsQuorum(map[uint64]bool{1: true, 2: true, 4: true}))
 	old, _ := encodeVoterSet(nil, VoterSet{Number: 1, Voters: r.Voters})
-	arg := func(j JoinRequest) []byte { raw, _ := packed(j); return raw }
+	arg := func(j JoinRequest) []byte { raw, _ := encode(j); return raw }
 	next, _ := joinVoter("", old, arg(JoinRequest{New: Voter{ID: 9}, LostID: 3}))
 	got, _ := DecodeVoterSet(next)
 	is.Equal(got.Number, uint64(2))
@@ -210,4 +210,4 @@
 	is.Equal(same, next)
 }
 
-func packed(msg any) ([]byte, error) { return wire.Encode(msg) }
+func encode(msg any) ([]byte, error) { return wire.Encode(msg) }
--- a/internal/state/consensus/difference_test.go
+++ b/internal/state/consensus/value_delta_test.go
@@ -14,15 +14,15 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// traffic counts what went between the stores.
-type traffic struct {
-	bytes, wholes, differences int
-	// earlier is a store of an earlier version.
-	earlier ids.Address
+// meteredNetwork counts what went between the stores.
+type meteredNetwork struct {
+	bytes, wholeValues, deltas int
+	// earlierVersion is a store of an earlier version.
+	earlierVersion ids.Address
 }
 
-// watch lets messages pass and counts them; down holds stores that hear nothing.
-func (w *traffic) watch(all map[ids.Address]*room, now ids.Time, down map[ids.Address]bool) []Response {
+// deliverAll lets messages pass and counts them; down holds stores that hear nothing.
+func (n *meteredNetwork) deliverAll(all map[ids.Address]*testStore, now ids.Time, down map[ids.Address]bool) []Response {
 	var told []Response
 	for busy := true; busy; {
 		busy = false
@@ -33,7 +33,7 @@
 				list = list[1:]
 				switch c := c.(type) {
 				case event.Sync:
-					all[at].mem.write(c.Records)
+					all[at].disk.write(c.Records)
 					all[at].Acceptor.Synced(c.Batch)
 					list = append(append([]event.Command{}, c.After...), list...)
 				case event.Send:
@@ -41,8 +41,8 @@
 					if r, ok := c.Msg.(Response); ok {
 						told = append(told, r)
 					} else if to := all[c.To]; to != nil && (c.To == at || !down[at] && !down[c.To]) {
-						w.count(c)
-						w.give(now, to, at, c)
+						n.count(c)
+						n.deliver(now, to, at, c)
 					}
 				}
 			}
@@ -51,38 +51,38 @@
 	return told
 }
 
-// give hands a message over; an earlier version skips what it doesn't know.
-func (w *traffic) give(now ids.Time, to *room, from ids.Address, c event.Send) {
+// deliver hands a message over; an earlier version skips what it doesn't know.
+func (n *meteredNetwork) deliver(now ids.Time, to *testStore, from ids.Address, c event.Send) {
 	switch m := c.Msg.(type) {
 	case AcceptDifference:
-		if c.To != w.earlier {
-			give(now, to, from, m)
+		if c.To != n.earlierVersion {
+			deliver(now, to, from, m)
 		}
 	case Accepted:
-		m.ReadsDeltas = m.ReadsDeltas && from != w.earlier
-		give(now, to, from, m)
+		m.ReadsDeltas = m.ReadsDeltas && from != n.earlierVersion
+		deliver(now, to, from, m)
 	default:
-		give(now, to, from, m)
+		deliver(now, to, from, m)
 	}
 }
 
-func (w *traffic) count(c event.Send) {
+func (n *meteredNetwork) count(c event.Send) {
 	raw, _ := wire.Encode(c.Msg)
-	w.bytes += len(raw)
+	n.bytes += len(raw)
 	switch m := c.Msg.(type) {
 	case Accept:
-		w.wholes += min(len(m.Value)/minDeltaValueSize, 1)
+		n.wholeValues += min(len(m.Value)/minDeltaValueSize, 1)
 	case AcceptDifference:
-		w.differences++
+		n.deltas++
 	}
 }
 
 // run submits a change at a store and lets time pass until it is answered.
-func (w *traffic) run(t *testing.T, all map[ids.Address]*room, at ids.Address, now *ids.Time, arg string, down map[ids.Address]bool) {
+func (n *meteredNetwork) run(t *testing.T, all map[ids.Address]*testStore, at ids.Address, now *ids.Time, arg string, down map[ids.Address]bool) {
 	t.Helper()
 	all[at].Submit(*now, "w", Request{ID: 1, Key: "policy", Op: opAdd, Arg: []byte(arg), TimeoutMillis: 60000})
 	for range 100 {
-		if told := w.watch(all, *now, down); len(told) > 0 {
+		if told := n.deliverAll(all, *now, down); len(told) > 0 {
 			if told[0].Outcome != Succeeded {
 				t.Fatalf("%q: %s", arg, told[0].Outcome)
 			}
@@ -96,12 +96,12 @@
 	t.Fatalf("%q was never answered", arg)
 }
 
-func same(t *testing.T, all map[ids.Address]*room, want []byte) {
+func mustAllHold(t *testing.T, all map[ids.Address]*testStore, want []byte) {
 	t.Helper()
 	b, _ := all["a"].AcceptedValue("policy")
 	for at, r := range all {
 		has, got := r.AcceptedValue("policy")
-		onDisk, err := loadRegister(r.mem, "policy")
+		onDisk, err := loadRegister(r.disk, "policy")
 		if err != nil || has != b || !bytes.Equal(got, want) || !bytes.Equal(onDisk.Value, want) {
 			t.Fatalf("%s holds %v, %d bytes; want %v, %d bytes (%v)", at, has, len(got), b, len(want), err)
 		}
@@ -110,11 +110,11 @@
 
 // A change travels as its difference, and every store holds the very same bytes.
 // One that missed changes, or whose proposer is new, is sent the value whole once.
-func TestAChangeTravelsAsItsDifference(t *testing.T) {
+func TestProposer_SendsChangesAsDeltas(t *testing.T) {
 	is := is.New(t)
-	all := rooms(t)
-	now, w, nobody := ids.Time(1), &traffic{}, map[ids.Address]bool{}
-	want := text(rand.New(rand.NewPCG(1, 1)), 200_000)
+	all := newTestStores(t)
+	now, w, nobody := ids.Time(1), &meteredNetwork{}, map[ids.Address]bool{}
+	want := randomText(rand.New(rand.NewPCG(1, 1)), 200_000)
 	w.run(t, all, "a", &now, string(want), nobody)
 	change := func(at ids.Address, i int, down map[ids.Address]bool) {
 		arg := fmt.Sprintf("change %d;", i)
@@ -122,53 +122,53 @@
 		want = append(want, arg...)
 	}
 	change("a", 0, nobody)
-	same(t, all, want)
-	*w = traffic{}
+	mustAllHold(t, all, want)
+	*w = meteredNetwork{}
 	for i := range 50 {
 		change("a", i, nobody)
 	}
-	same(t, all, want)
-	is.Equal(w.wholes, 0)
-	is.Equal(w.differences, 150)
+	mustAllHold(t, all, want)
+	is.Equal(w.wholeValues, 0)
+	is.Equal(w.deltas, 150)
 	is.True(w.bytes/50 < 1500) // to three stores and back
 	// c is away for 300 changes, then holds what the others do after one.
 	for i := range 300 {
 		change("a", i, map[ids.Address]bool{"c": true})
 	}
-	*w = traffic{}
+	*w = meteredNetwork{}
 	change("a", 301, nobody)
-	same(t, all, want)
-	is.Equal(w.wholes, 1)
+	mustAllHold(t, all, want)
+	is.Equal(w.wholeValues, 1)
 	// Another proposer reads, then goes on by differences.
 	change("b", 302, nobody)
-	*w = traffic{}
+	*w = meteredNetwork{}
 	change("b", 303, nobody)
-	same(t, all, want)
-	is.Equal(w.wholes, 0)
+	mustAllHold(t, all, want)
+	is.Equal(w.wholeValues, 0)
 }
 
 // A store of an earlier version skips what it doesn't know; it is sent the value
 // whole, also if it went back to that version.
-func TestAStoreThatReadsNoDifferences(t *testing.T) {
-	all := rooms(t)
-	now, w := ids.Time(1), &traffic{}
-	want := text(rand.New(rand.NewPCG(1, 1)), 20_000)
+func TestProposer_SendsWholeValuesToEarlierVersions(t *testing.T) {
+	all := newTestStores(t)
+	now, w := ids.Time(1), &meteredNetwork{}
+	want := randomText(rand.New(rand.NewPCG(1, 1)), 20_000)
 	w.run(t, all, "a", &now, string(want), nil)
-	w.earlier = "b"
+	w.earlierVersion = "b"
 	for i := range 6 {
 		arg := fmt.Sprint("change ", i)
 		w.run(t, all, "a", &now, arg, nil)
 		want = append(want, arg...)
 	}
-	same(t, all, want)
+	mustAllHold(t, all, want)
 }
 
 // A difference to anything but the value held does nothing at all.
-func TestADifferenceToAnotherBase(t *testing.T) {
+func TestAcceptor_DeltaToAnotherBaseChangesNothing(t *testing.T) {
 	is := is.New(t)
-	all := rooms(t)
-	now, w := ids.Time(1), &traffic{}
-	w.run(t, all, "a", &now, string(text(rand.New(rand.NewPCG(1, 1)), 20_000)), nil)
+	all := newTestStores(t)
+	now, w := ids.Time(1), &meteredNetwork{}
+	w.run(t, all, "a", &now, string(randomText(rand.New(rand.NewPCG(1, 1)), 20_000)), nil)
 	b := all["b"]
 	held, value := b.AcceptedValue("policy")
 	next := ids.Ballot{Counter: held.Counter + 100, Proposer: 1}
@@ -193,18 +193,18 @@
 
 // A store that came back is found behind by the next reading, and brought up with
 // no change made.
-func TestAStoreThatWasAwayIsBroughtUp(t *testing.T) {
+func TestProposer_CatchesUpReturningStore(t *testing.T) {
 	for _, promised := range []bool{false, true} {
-		broughtUp(t, promised)
+		checkCatchUp(t, promised)
 	}
 }
 
-func broughtUp(t *testing.T, promised bool) {
+func checkCatchUp(t *testing.T, promised bool) {
 	t.Helper()
 	is := is.New(t)
-	all := rooms(t)
-	now, w, nobody := ids.Time(1), &traffic{}, map[ids.Address]bool{}
-	want := text(rand.New(rand.NewPCG(1, 1)), 20_000)
+	all := newTestStores(t)
+	now, w, nobody := ids.Time(1), &meteredNetwork{}, map[ids.Address]bool{}
+	want := randomText(rand.New(rand.NewPCG(1, 1)), 20_000)
 	w.run(t, all, "a", &now, string(want), nobody)
 	for range 300 {
 		w.run(t, all, "a", &now, "x", map[ids.Address]bool{"c": true})
@@ -223,12 +223,12 @@
 		if now.Sub(back)%(500*time.Millisecond) == 0 {
 			read() // as registries do
 		}
-		w.watch(all, now, nobody)
+		w.deliverAll(all, now, nobody)
 		now = now.Add(20 * time.Millisecond)
 		for _, r := range all {
 			r.Proposer.Tick(now)
 		}
 	}
-	same(t, all, want)
-	is.True(w.wholes >= 2)
+	mustAllHold(t, all, want)
+	is.True(w.wholeValues >= 2)
 }
--- a/internal/state/consensus/replace_test.go
+++ b/internal/state/consensus/voter_set_ops_test.go
@@ -9,20 +9,20 @@
 	"dunlinwell/internal/base/ids"
 )
 
-func encoded(t *testing.T, msg any) []byte {
+func mustEncode(t *testing.T, msg any) []byte {
 	t.Helper()
-	raw, err := packed(msg)
+	raw, err := encode(msg)
 	is.New(t).NoErr(err)
 	return raw
 }
 
 // A newcomer takes a lost voter's place at once, but never so that too few are
 // left whose copy is complete.
-func TestReplaceLeavesEnoughThatVote(t *testing.T) {
+func TestReplaceVoter_LeavesAQuorumOfCompleteCopies(t *testing.T) {
 	is := is.New(t)
-	set := encoded(t, VoterSet{Number: 1, Voters: []Voter{{ID: 1}, {ID: 2}, {ID: 3}}})
+	set := mustEncode(t, VoterSet{Number: 1, Voters: []Voter{{ID: 1}, {ID: 2}, {ID: 3}}})
 	ask := func(old []byte, id, lost uint64) []byte {
-		next, _ := replaceVoter("", old, encoded(t, ReplaceRequest{New: Voter{ID: id}, LostID: lost, Replicas: 3}))
+		next, _ := replaceVoter("", old, mustEncode(t, ReplaceRequest{New: Voter{ID: id}, LostID: lost, Replicas: 3}))
 		return next
 	}
 	next := ask(set, 9, 3)
@@ -35,23 +35,23 @@
 	is.Equal(ask(next, 8, 77), next) // nobody's place
 	again, _ := DecodeVoterSet(ask(next, 8, 9))
 	is.Equal(again.Learners, []uint64{8}) // the newcomer itself was lost
-	done, _ := promoteLearner("", next, encoded(t, PromoteLearnerRequest{ID: 9}))
+	done, _ := promoteLearner("", next, mustEncode(t, PromoteLearnerRequest{ID: 9}))
 	is.True(string(ask(done, 8, 2)) != string(done)) // its copy is complete
 }
 
 // A blank store is asked for a vote like any other voter, and withholds it
 // until its copy is complete; after a restart too.
-func TestABlankVoterWithholdsItsVote(t *testing.T) {
+func TestAcceptor_BlankVoterWithholdsItsVote(t *testing.T) {
 	is := is.New(t)
 	set := VoterSet{Number: 2, Voters: []Voter{{1, "a"}, {2, "b"}, {9, "c"}}}
-	x := &room{mem: memory{}}
-	x.Acceptor = NewAcceptor(9, x.mem, &x.Outbox)
+	x := &testStore{disk: memoryDisk{}}
+	x.Acceptor = NewAcceptor(9, x.disk, &x.Outbox)
 	sync := func() (sent []any) {
 		for _, c := range x.Drain() {
 			s, ok := c.(event.Sync)
 			is.True(ok)
 			for _, r := range s.Records {
-				x.mem[r.Key] = r.Value
+				x.disk[r.Key] = r.Value
 			}
 			for _, then := range s.After {
 				sent = append(sent, then.(event.Send).Msg)
@@ -61,7 +61,7 @@
 	}
 	x.AdoptVoterSet(set)
 	sync()
-	x.Acceptor = NewAcceptor(9, x.mem, &x.Outbox)
+	x.Acceptor = NewAcceptor(9, x.disk, &x.Outbox)
 	ballot := ids.Ballot{Counter: maxFirstValueCounter + 1, Proposer: 1}
 	x.HandlePrepare("a", Prepare{Key: "x", Ballot: ballot, VoterSetNumber: 2})
 	x.HandleAccept("a", Accept{Key: "x", Ballot: ballot, VoterSetNumber: 2, Value: []byte("v")})
@@ -73,27 +73,27 @@
 }
 
 // A disk whose member was replaced never votes again, whatever it is told.
-func TestAReplacedDiskTakesNoPart(t *testing.T) {
+func TestAcceptor_ReplacedDiskNeverVotes(t *testing.T) {
 	is := is.New(t)
-	all := rooms(t)
-	play(1, all, open2)
+	all := newTestStores(t)
+	deliverAll(1, all, allLinks)
 	c := all["c"]
 	c.AdoptVoterSet(VoterSet{Number: 2, Voters: []Voter{{1, "a"}, {2, "b"}, {9, "c"}}})
 	is.Equal(c.DiskState(), Replaced)
 	c.MarkComplete()
 	c.AdoptVoterSet(VoterSet{Number: 3, Voters: []Voter{{1, "a"}, {2, "b"}, {3, "c"}}})
 	is.True(!c.MayVote())
-	play(1, all, open2)
-	again := NewAcceptor(3, c.mem, &c.Outbox)
+	deliverAll(1, all, allLinks)
+	again := NewAcceptor(3, c.disk, &c.Outbox)
 	is.Equal(again.DiskState(), Replaced)
 }
 
 // Who copied everything once is given only what changed since, each record
 // once; where the run or the list has gone, everything.
-func TestOnlyChangesAreCopiedAgain(t *testing.T) {
+func TestAcceptor_LaterCopiesHoldChangesOnly(t *testing.T) {
 	is := is.New(t)
-	x := &room{mem: memory{}}
-	x.Acceptor = NewAcceptor(1, x.mem, &x.Outbox)
+	x := &testStore{disk: memoryDisk{}}
+	x.Acceptor = NewAcceptor(1, x.disk, &x.Outbox)
 	x.SetRunID(7)
 	x.MarkComplete()
 	x.AdoptVoterSet(VoterSet{Number: 1, Voters: []Voter{{1, "a"}}})
--- a/internal/state/election/election.go
+++ b/internal/state/election/election.go
@@ -1,6 +1,3 @@
-// Package duty gives a one-daemon duty to one daemon at a time. Who does it
-// is the first live one in the agreed order; what makes it safe is the epoch,
-// raised through a register, below which everybody rejects.
 package election
 
 import (
@@ -9,53 +6,58 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// OpAcquire takes a duty.
+// OpAcquire acquires a role. Its argument is an encoded Term: the candidate, and the
+// highest epoch of the role that it has met.
 const OpAcquire consensus.Op = 10
 
-// RegisterKey names a duty's register.
-func RegisterKey(name string) ids.RegisterKey { return ids.RegisterKey("duty/" + name) }
-
-// Held is a duty's register.
+// Term is the value of a role's register.
 type Term struct {
-	Epoch  ids.Epoch
+	// Epoch is the fencing token. It is higher than that of every earlier term.
+	Epoch ids.Epoch
+	// Holder is the daemon that holds the role, and RunID the run of its process.
 	Holder ids.DaemonID
 	RunID  ids.RunID
 }
 
 var _ = wire.Register(50, Term{})
 
-// Ops are the change functions of duties.
+// RegisterKey returns the key of a role's register.
+func RegisterKey(role string) ids.RegisterKey { return ids.RegisterKey("duty/" + role) }
+
+// Ops returns the change functions of the registers of roles.
 func Ops() map[consensus.Op]consensus.ChangeFunc {
 	return map[consensus.Op]consensus.ChangeFunc{OpAcquire: acquire}
 }
 
-// acquire gives the duty to whoever asks, and raises the epoch each time: one that
-// gave the duty up and takes it again has a new epoch too, as what it sent
-// before may still be on its way. Only a copy of an asking that has taken effect
-// changes nothing: the taker didn't know yet of the epoch that it gave.
-func acquire(_ ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
-	have, _ := DecodeTerm(old)
-	want, ok := DecodeTerm(arg)
+// DecodeTerm decodes the value of a role's register.
+func DecodeTerm(raw []byte) (Term, bool) {
+	_, msg, err := wire.ReadBytes(raw)
+	term, ok := msg.(Term)
+	return term, ok && err == nil
+}
+
+// acquire gives the role to the candidate and raises the epoch. A candidate that held the
+// role before gets a new epoch as well, since messages of its former term may still be
+// on their way.
+//
+// Only a copy of an acquisition that took effect changes nothing: the candidate didn't
+// know then of the epoch that it was given.
+func acquire(_ ids.RegisterKey, old, arg []byte) (next, result []byte) {
+	current, _ := DecodeTerm(old)
+	candidate, ok := DecodeTerm(arg)
 	if !ok {
 		return old, old
 	}
-	sameRun := have.Holder == want.Holder && have.RunID == want.RunID
-	if sameRun && have.Epoch > want.Epoch {
+	sameRun := current.Holder == candidate.Holder && current.RunID == candidate.RunID
+	if sameRun && current.Epoch > candidate.Epoch {
 		return old, old
 	}
-	// The taker tells the highest epoch it has met: a register that was lost
-	// and founded anew must not begin below what others remember.
-	want.Epoch = max(have.Epoch, want.Epoch) + 1
-	raw, err := wire.Encode(want)
+	// The candidate's own epoch counts too: a register that was lost and created anew
+	// must not begin below what other daemons remember.
+	candidate.Epoch = max(current.Epoch, candidate.Epoch) + 1
+	raw, err := wire.Encode(candidate)
 	if err != nil {
 		return old, old
 	}
 	return raw, raw
 }
-
-// DecodeTerm reads a duty's register.
-func DecodeTerm(raw []byte) (Term, bool) {
-	_, msg, err := wire.ReadBytes(raw)
-	h, ok := msg.(Term)
-	return h, ok && err == nil
-}
--- a/internal/state/election/election_test.go
+++ b/internal/state/election/election_test.go
@@ -9,43 +9,49 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-func taken(t *testing.T, old []byte, h Term) []byte {
+// mustAcquire applies an acquisition to a register's value and returns the next value,
+// which must be the result for the candidate as well.
+func mustAcquire(t *testing.T, old []byte, candidate Term) []byte {
 	t.Helper()
-	arg, err := wire.Encode(h)
+	arg, err := wire.Encode(candidate)
 	if err != nil {
 		t.Fatal(err)
 	}
-	next, out := acquire("", old, arg)
-	if string(next) != string(out) {
-		t.Fatal("told something else than was kept")
+	next, result := acquire("", old, arg)
+	if string(next) != string(result) {
+		t.Fatal("the result differs from the stored value")
 	}
 	return next
 }
 
-func epoch(raw []byte) ids.Epoch { h, _ := DecodeTerm(raw); return h.Epoch }
+func epochOf(raw []byte) ids.Epoch {
+	term, _ := DecodeTerm(raw)
+	return term.Epoch
+}
 
-// Each taking raises the epoch, and asking again does not. A register that was
-// lost goes on above what its taker remembers, or everybody would reject it.
-func TestEpochsOnlyRise(t *testing.T) {
+// Each acquisition raises the epoch, and a copy of it does not. A register that was lost
+// continues above what its candidate remembers, or everybody would reject it.
+func TestAcquire_EpochsOnlyRise(t *testing.T) {
 	is := is.New(t)
-	a := taken(t, nil, Term{Holder: "f1", RunID: 1})
-	is.Equal(epoch(a), ids.Epoch(1))
-	is.Equal(epoch(taken(t, a, Term{Holder: "f1", RunID: 1})), ids.Epoch(1))
-	b := taken(t, a, Term{Holder: "f1", RunID: 2}) // another run
-	is.Equal(epoch(b), ids.Epoch(2))
-	is.Equal(epoch(taken(t, b, Term{Holder: "f2", RunID: 9})), ids.Epoch(3))
-	is.Equal(epoch(taken(t, nil, Term{Holder: "f2", RunID: 9, Epoch: 7})), ids.Epoch(8))
+	first := mustAcquire(t, nil, Term{Holder: "f1", RunID: 1})
+	is.Equal(epochOf(first), ids.Epoch(1))
+	is.Equal(epochOf(mustAcquire(t, first, Term{Holder: "f1", RunID: 1})), ids.Epoch(1))
+	second := mustAcquire(t, first, Term{Holder: "f1", RunID: 2}) // another run
+	is.Equal(epochOf(second), ids.Epoch(2))
+	is.Equal(epochOf(mustAcquire(t, second, Term{Holder: "f2", RunID: 9})), ids.Epoch(3))
+	is.Equal(epochOf(mustAcquire(t, nil, Term{Holder: "f2", RunID: 9, Epoch: 7})), ids.Epoch(8))
 }
 
-// A run that gave the duty up takes it again under a new epoch. It used to get
-// the same one, so that nothing told its plans of before from those of after; and
-// one that had heard of a higher epoch went on under its old one, which all the
-// others rejected.
-func TestARunThatTakesTheDutyAgainHasANewEpoch(t *testing.T) {
+// A run that gave the role up acquires it again under a new epoch. It used to get the same
+// one, so that its plans from before were taken for those from after; and a run that had
+// met a higher epoch went on under its old one, which all others rejected.
+func TestAcquire_SameRunGetsNewEpoch(t *testing.T) {
 	is := is.New(t)
-	first := taken(t, nil, Term{Holder: "f1", RunID: 1})
-	again := taken(t, first, Term{Holder: "f1", RunID: 1, Epoch: 1})
-	is.Equal(epoch(again), ids.Epoch(2))
-	is.Equal(epoch(taken(t, again, Term{Holder: "f1", RunID: 1, Epoch: 1})), ids.Epoch(2)) // a copy of that asking
-	is.Equal(epoch(taken(t, again, Term{Holder: "f1", RunID: 1, Epoch: 5})), ids.Epoch(6)) // another was heard of
+	first := mustAcquire(t, nil, Term{Holder: "f1", RunID: 1})
+	again := mustAcquire(t, first, Term{Holder: "f1", RunID: 1, Epoch: 1})
+	is.Equal(epochOf(again), ids.Epoch(2))
+	duplicate := mustAcquire(t, again, Term{Holder: "f1", RunID: 1, Epoch: 1})
+	is.Equal(epochOf(duplicate), ids.Epoch(2))
+	metHigher := mustAcquire(t, again, Term{Holder: "f1", RunID: 1, Epoch: 5})
+	is.Equal(epochOf(metHigher), ids.Epoch(6))
 }
