--- /dev/null
+++ b/internal/state/consensus/acceptor_test.go
@@ -0,0 +1,136 @@
+package consensus
+
+import (
+	"bytes"
+	"math/rand/v2"
+	"testing"
+
+	"github.com/matryer/is"
+
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+)
+
+// A ballot below a promise is rejected, and the promise is on disk.
+func TestAcceptor_PromiseSurvivesRestart(t *testing.T) {
+	is := is.New(t)
+	stores := newTestStores()
+	deliverAll(1, stores, allLinks)
+	b := stores["b"]
+	b.HandlePrepare("a", Prepare{Key: "x", Ballot: ids.Ballot{Counter: 5, Proposer: 1}, VoterSetNumber: 1, Round: 1})
+	deliverAll(1, stores, noLinks)
+	restarted := newTestAcceptor(2, b.disk)
+	restarted.HandleAccept("c", Accept{Key: "x", Ballot: ids.Ballot{Counter: 4, Proposer: 3}, VoterSetNumber: 1, Round: 2, Value: []byte("old")})
+	sync := restarted.Drain()[0].(event.Sync)
+	is.Equal(len(sync.Records), 0)
+	is.Equal(sync.After[0].(event.Send).Msg.(Accepted).OK, false)
+	// A proposer under a lower voter set has no say at all: it is told of the higher one.
+	restarted.AdoptVoterSet(VoterSet{Number: 2, Voters: []Voter{{2, "b"}}})
+	restarted.Drain()
+	restarted.HandleAccept("c", Accept{Key: "x", Ballot: ids.Ballot{Counter: 9, Proposer: 3}, VoterSetNumber: 1})
+	_, updated := restarted.Drain()[0].(event.Sync).After[0].(event.Send).Msg.(VoterSetUpdate)
+	is.True(updated)
+}
+
+// A delta to anything but the accepted value changes nothing.
+func TestAcceptor_DeltaToAnotherBaseChangesNothing(t *testing.T) {
+	stores := newTestStores()
+	now, network := ids.Time(1), &meteredNetwork{}
+	network.run(t, stores, "a", &now, string(randomText(rand.New(rand.NewPCG(1, 1)), 20_000)), nil)
+	b := stores["b"]
+	held, value := b.AcceptedValue("policy")
+	next := ids.Ballot{Counter: held.Counter + 100, Proposer: 1}
+	for name, m := range map[string]AcceptDifference{
+		"an earlier base": {BaseBallot: ids.Ballot{Counter: held.Counter - 1, Proposer: held.Proposer}, Delta: nil},
+		"damaged delta":   {BaseBallot: held, Delta: []byte("damaged")},
+		"no delta":        {BaseBallot: held, Delta: nil},
+	} {
+		t.Run(name, func(t *testing.T) {
+			is := is.New(t)
+			m.Key, m.Ballot, m.VoterSetNumber, m.Round = "policy", next, 1, 9
+			b.HandleAcceptDifference("a", m)
+			commands := b.Drain()
+			is.Equal(len(commands), 1)
+			answer := commands[0].(event.Sync)
+			is.Equal(len(answer.Records), 0)
+			vote := answer.After[0].(event.Send).Msg.(Accepted)
+			is.True(!vote.OK && vote.NeedsWholeValue)
+			ballot, got := b.AcceptedValue("policy")
+			is.Equal(ballot, held)
+			is.True(bytes.Equal(got, value))
+		})
+	}
+}
+
+// A blank store is asked for a vote like any other voter, and withholds it until its copy
+// is complete; after a restart too.
+func TestAcceptor_BlankVoterWithholdsItsVote(t *testing.T) {
+	is := is.New(t)
+	set := VoterSet{Number: 2, Voters: []Voter{{1, "a"}, {2, "b"}, {9, "c"}}}
+	blank := newTestAcceptor(9, memoryDisk{})
+	answers := func() (sent []any) {
+		for _, c := range blank.Drain() {
+			sync, ok := c.(event.Sync)
+			is.True(ok)
+			blank.disk.write(sync.Records)
+			for _, after := range sync.After {
+				sent = append(sent, after.(event.Send).Msg)
+			}
+		}
+		return sent
+	}
+	blank.AdoptVoterSet(set)
+	answers()
+	blank.Acceptor = NewAcceptor(9, blank.disk, &blank.Outbox)
+	ballot := ids.Ballot{Counter: maxFirstValueCounter + 1, Proposer: 1}
+	blank.HandlePrepare("a", Prepare{Key: "x", Ballot: ballot, VoterSetNumber: 2})
+	blank.HandleAccept("a", Accept{Key: "x", Ballot: ballot, VoterSetNumber: 2, Value: []byte("v")})
+	blank.HandlePageRequest("a", PageRequest{VoterSetNumber: 2})
+	is.Equal(len(answers()), 0)
+	blank.MarkComplete()
+	blank.HandleAccept("a", Accept{Key: "x", Ballot: ballot, VoterSetNumber: 2, Value: []byte("v")})
+	is.Equal(len(answers()), 1)
+}
+
+// A disk whose store was replaced never votes again, whatever voter set it learns of.
+func TestAcceptor_ReplacedDiskNeverVotes(t *testing.T) {
+	is := is.New(t)
+	stores := newTestStores()
+	deliverAll(1, stores, allLinks)
+	c := stores["c"]
+	c.AdoptVoterSet(VoterSet{Number: 2, Voters: []Voter{{1, "a"}, {2, "b"}, {9, "c"}}})
+	is.Equal(c.DiskState(), Replaced)
+	c.MarkComplete()
+	c.AdoptVoterSet(VoterSet{Number: 3, Voters: []Voter{{1, "a"}, {2, "b"}, {3, "c"}}})
+	is.True(!c.MayVote())
+	deliverAll(1, stores, allLinks)
+	restarted := NewAcceptor(3, c.disk, &c.Outbox)
+	is.Equal(restarted.DiskState(), Replaced)
+}
+
+// A learner that copied everything once is sent only what changed since, each register
+// once; where the run or the list is gone, everything.
+func TestAcceptor_LaterCopiesHoldChangesOnly(t *testing.T) {
+	is := is.New(t)
+	s := newTestAcceptor(1, memoryDisk{})
+	s.SetRunID(7)
+	s.MarkComplete()
+	s.AdoptVoterSet(VoterSet{Number: 1, Voters: []Voter{{1, "a"}}})
+	page := func(request PageRequest) PageResponse {
+		s.Drain()
+		s.HandlePageRequest("n", request)
+		return s.Drain()[0].(event.Sync).After[0].(event.Send).Msg.(PageResponse)
+	}
+	s.Seed("x", []byte("1"))
+	first := page(PageRequest{VoterSetNumber: 1})
+	is.True(first.Last && !first.Delta)
+	is.Equal(first.ChangeCount, uint64(1))
+	s.ForceValue("y", []byte("2"))
+	s.ForceValue("y", []byte("3"))
+	second := page(PageRequest{VoterSetNumber: 1, RunID: first.RunID, SinceChange: first.ChangeCount})
+	is.True(second.Last && second.Delta)
+	is.Equal(second.ChangeCount, uint64(3))
+	is.Equal(len(second.Records), 1)
+	is.Equal(string(second.Records[0].Value), "3")
+	is.True(!page(PageRequest{VoterSetNumber: 1, RunID: 6, SinceChange: 1}).Delta) // another run's count
+}
--- /dev/null
+++ b/internal/state/consensus/check_disk_test.go
@@ -0,0 +1,108 @@
+package consensus
+
+import (
+	"errors"
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/matryer/is"
+
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+)
+
+// Whatever is damaged, cut short or missing is found at the start, and a store that can't
+// read what it promised takes no part.
+func TestCheckDisk_FindsDamage(t *testing.T) {
+	is := is.New(t)
+	random := rand.New(rand.NewPCG(3, 4))
+	whole := memoryDisk{}
+	s := newTestAcceptor(1, whole)
+	s.MarkComplete()
+	s.AdoptVoterSet(VoterSet{Number: 1, Voters: []Voter{{1, "a"}}})
+	value := randomText(random, 5000)
+	for i := range 5 {
+		ballot := ids.Ballot{Counter: uint64(i) + 1<<41, Proposer: 1}
+		value = append(slices.Clone(value), fmt.Sprint("change ", i)...)
+		s.saveRegister("policy", RegisterState{Promised: ballot, Accepted: ballot, Value: value})
+	}
+	s.syncAll()
+	is.NoErr(CheckDisk(whole))
+	is.Equal(len(whole), 7)
+	sound := newTestAcceptor(1, maps.Clone(whole))
+	sound.HandlePrepare("a", Prepare{Key: "policy", Ballot: ids.Ballot{Counter: 1 << 50}, VoterSetNumber: 1})
+	is.Equal(len(sound.Drain()), 1) // it votes
+	for key, raw := range whole {
+		if strings.HasPrefix(string(key), "meta/") {
+			continue
+		}
+		for name, damage := range map[string]func(memoryDisk){
+			"missing":      func(d memoryDisk) { delete(d, key) },
+			"cut short":    func(d memoryDisk) { d[key] = raw[:len(raw)-1] },
+			"cut in half":  func(d memoryDisk) { d[key] = raw[:len(raw)/2] },
+			"empty":        func(d memoryDisk) { d[key] = nil },
+			"flipped":      func(d memoryDisk) { d[key] = flipByte(raw, len(raw)/2) },
+			"newer format": func(d memoryDisk) { d[key] = flipByte(raw, 4) },
+		} {
+			disk := maps.Clone(whole)
+			damage(disk)
+			// Without its last change the disk looks as it did before that change.
+			if last := changeKey("policy", 3); name == "missing" && key == last {
+				continue
+			}
+			if err := CheckDisk(disk); err == nil {
+				t.Errorf("%s %s: not found", key, name)
+			}
+			damaged := newTestAcceptor(1, disk)
+			log, ok := damaged.Drain()[0].(event.LogEntry)
+			is.True(ok && log.Level == event.LevelError && log.Event == EventRegisterUnreadable)
+			damaged.HandlePrepare("a", Prepare{Key: "policy", Ballot: ids.Ballot{Counter: 1 << 50}, VoterSetNumber: 1})
+			is.Equal(len(damaged.Drain()), 0)
+		}
+	}
+}
+
+// A caller can tell the causes of damage apart.
+func TestCheckDisk_WrapsTheCause(t *testing.T) {
+	whole := memoryDisk{}
+	s := newTestAcceptor(1, whole)
+	s.AdoptVoterSet(VoterSet{Number: 1, Voters: []Voter{{1, "a"}}})
+	value := randomText(rand.New(rand.NewPCG(3, 4)), 5000)
+	for i := range 3 {
+		ballot := ids.Ballot{Counter: uint64(i) + 1<<41, Proposer: 1}
+		value = append(slices.Clone(value), "more"...)
+		s.saveRegister("policy", RegisterState{Promised: ballot, Accepted: ballot, Value: value})
+	}
+	s.syncAll()
+	base, firstChange := ids.RegisterKey("item/policy"), changeKey("policy", 0)
+	for name, c := range map[string]struct {
+		damage func(memoryDisk)
+		want   error
+	}{
+		"altered":        {func(d memoryDisk) { d[base] = flipByte(d[base], len(d[base])-1) }, ErrChecksumMismatch},
+		"cut short":      {func(d memoryDisk) { d[firstChange] = d[firstChange][:len(d[firstChange])-1] }, ErrTruncated},
+		"another type":   {func(d memoryDisk) { d[base] = d[firstChange] }, ErrUnknownFormat},
+		"missing change": {func(d memoryDisk) { delete(d, firstChange) }, ErrMissingChange},
+		"missing base":   {func(d memoryDisk) { delete(d, base) }, ErrMissingBase},
+		"voter set":      {func(d memoryDisk) { d[voterSetRecordKey] = []byte("no record") }, ErrDamaged},
+		"disk state":     {func(d memoryDisk) { d[diskStateKey] = []byte("no record") }, ErrDamaged},
+	} {
+		t.Run(name, func(t *testing.T) {
+			disk := maps.Clone(whole)
+			c.damage(disk)
+			if err := CheckDisk(disk); !errors.Is(err, c.want) {
+				t.Fatalf("got %v, want %v", err, c.want)
+			}
+		})
+	}
+}
+
+func flipByte(raw []byte, at int) []byte {
+	out := slices.Clone(raw)
+	out[at] ^= 0x55
+	return out
+}
--- a/internal/state/consensus/client_test.go
+++ b/internal/state/consensus/client_test.go
@@ -10,26 +10,66 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// A store takes an ask, its disk stalls, and it rejects the second copy of
-// that ask. It may still be busy with the first: the end is uncertain, which a
-// caller must not be told as "surely not accepted".
+// newTestClient returns a client that asks the stores in the given order.
+func newTestClient(stores ...ids.Address) (*Client, *event.Outbox) {
+	out := &event.Outbox{}
+	c := NewClient(1, out)
+	c.StoreOrder = func(ids.RegisterKey) []ids.Address { return stores }
+	return c, out
+}
+
+// A store takes a request, its disk stalls, and it rejects the second attempt of that
+// request. It may still be busy with the first: the outcome is indeterminate, and the
+// caller must not take the request for rejected.
 func TestClient_RejectionSettlesOnlyItsOwnAttempt(t *testing.T) {
-	is := is.New(t)
-	for _, answers := range [][]uint32{{2}, {1, 2}} {
-		out := &event.Outbox{}
-		a := NewClient(1, out)
-		a.StoreOrder = func(ids.RegisterKey) []ids.Address { return []ids.Address{"10.0.0.1:1"} }
-		end := Outcome(0)
-		a.Call(1, "policy", 1, nil, 700*time.Millisecond, func(_ ids.Time, s Outcome, _ []byte) { end = s })
-		first := out.Drain()[0].(event.Send).Msg.(Request)
-		a.Tick(ids.Time(500 * time.Millisecond))
-		second := out.Drain()[0].(event.Send).Msg.(Request)
-		is.Equal(first.ID, second.ID)
-		is.Equal(second.Attempt, uint32(2))
-		for _, try := range answers {
-			a.HandleResponse(ids.Time(510*time.Millisecond), "10.0.0.1:1", Response{ID: first.ID, Outcome: Rejected, Attempt: try})
-		}
-		a.Tick(ids.Time(800 * time.Millisecond))
-		is.Equal(end, map[int]Outcome{1: Indeterminate, 2: Rejected}[len(answers)])
+	for name, c := range map[string]struct {
+		rejected []uint32
+		want     Outcome
+	}{
+		"second attempt": {[]uint32{2}, Indeterminate},
+		"both attempts":  {[]uint32{1, 2}, Rejected},
+	} {
+		t.Run(name, func(t *testing.T) {
+			is := is.New(t)
+			client, out := newTestClient("10.0.0.1:1")
+			outcome := Outcome(0)
+			client.Call(1, "policy", 1, nil, 700*time.Millisecond, func(_ ids.Time, o Outcome, _ []byte) { outcome = o })
+			first := out.Drain()[0].(event.Send).Msg.(Request)
+			client.Tick(ids.Time(500 * time.Millisecond))
+			second := out.Drain()[0].(event.Send).Msg.(Request)
+			is.Equal(first.ID, second.ID)
+			is.Equal(second.Attempt, uint32(2))
+			for _, attempt := range c.rejected {
+				client.HandleResponse(ids.Time(510*time.Millisecond), "10.0.0.1:1", Response{ID: first.ID, Outcome: Rejected, Attempt: attempt})
+			}
+			client.Tick(ids.Time(800 * time.Millisecond))
+			is.Equal(outcome, c.want)
+		})
+	}
+}
+
+// A large request is given the time to arrive before another store is asked, which would
+// only begin to contend with the first.
+func TestClient_LargeRequestIsNotSentToEveryStore(t *testing.T) {
+	for name, c := range map[string]struct{ size, maxSent int }{
+		"small": {10, 10},
+		"large": {largeSize, 1},
+	} {
+		t.Run(name, func(t *testing.T) {
+			is := is.New(t)
+			client, out := newTestClient("a", "b", "c")
+			client.Call(1, "x", opAppend, make([]byte, c.size), 10*time.Second, func(ids.Time, Outcome, []byte) {})
+			sent := 0
+			for now := ids.Time(1); now < ids.Time(3*time.Second); now = now.Add(50 * time.Millisecond) {
+				client.Tick(now)
+				for _, command := range out.Drain() {
+					if _, ok := command.(event.Send); ok {
+						sent++
+					}
+				}
+			}
+			is.True(sent >= 1)
+			is.True(sent <= c.maxSent)
+		})
 	}
 }
--- a/internal/state/consensus/lossy_network_test.go
+++ b/internal/state/consensus/lossy_network_test.go
@@ -11,18 +11,8 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// appendOnce appends a token that isn't there yet, as every change function must
-// know a change that it has made before.
-func appendOnce(_ ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
-	if bytes.Contains(old, arg) {
-		return old, old
-	}
-	next := append(append([]byte{}, old...), arg...)
-	return next, next
-}
-
-// lossyNetwork is three stores whose messages are lost, doubled and late, and which
-// are killed and started again from their disks.
+// lossyNetwork is three stores whose messages are lost, duplicated and delayed, and which
+// are killed and restarted from their disks.
 type lossyNetwork struct {
 	random    *rand.Rand
 	now       ids.Time
@@ -31,53 +21,40 @@
 	senders   []ids.Address
 	responses []Response
 	runCount  uint64
-	// cutOff is a store that hears nothing for some steps.
+	// cutOff is a store that receives nothing for some steps.
 	cutOff      ids.Address
 	cutOffSteps int
-	// deltas counts the votes that a difference brought about, wholes the
-	// times that a store asked for the value itself.
+	// deltas counts the votes for a value that came as a delta, wholeValueRequests the
+	// times that a store asked for the whole value.
 	deltas, wholeValueRequests int
 }
 
 func newLossyNetwork(seed uint64) *lossyNetwork {
 	l := &lossyNetwork{random: rand.New(rand.NewPCG(seed, 7)), now: 1, stores: map[ids.Address]*testStore{}}
-	for i, at := range []ids.Address{"a", "b", "c"} {
-		l.stores[at] = &testStore{disk: memoryDisk{}}
-		l.start(at, uint64(i+1))
+	for i, at := range addresses {
+		l.start(at, uint64(i+1), memoryDisk{})
 		l.stores[at].MarkComplete()
-		l.stores[at].AdoptVoterSet(VoterSet{Number: 1, Voters: []Voter{{1, "a"}, {2, "b"}, {3, "c"}}})
+		l.stores[at].AdoptVoterSet(threeVoters)
 	}
 	return l
 }
 
-func (l *lossyNetwork) start(at ids.Address, store uint64) {
+// start begins a run of a store on a disk.
+func (l *lossyNetwork) start(at ids.Address, store uint64, disk memoryDisk) {
 	l.runCount++
-	r := &testStore{disk: l.stores[at].disk}
-	r.Acceptor = NewAcceptor(store, r.disk, &r.Outbox)
-	r.Proposer = NewProposer(store<<24|l.runCount, r.Acceptor.VoterSet, map[Op]ChangeFunc{opAdd: appendOnce}, l.random, &r.Outbox)
-	l.stores[at] = r
+	l.stores[at] = newTestStore(store, disk, store<<24|l.runCount, appendArgOnce, l.random)
 }
 
-// collect carries out what stores asked for; messages go under way.
+// collect carries out what the stores asked for; their messages are in transit then.
 func (l *lossyNetwork) collect() {
-	for _, at := range []ids.Address{"a", "b", "c"} {
-		list := l.stores[at].Drain()
-		for len(list) > 0 {
-			c := list[0]
-			list = list[1:]
-			switch c := c.(type) {
-			case event.Sync:
-				l.stores[at].disk.write(c.Records)
-				l.stores[at].Acceptor.Synced(c.Batch)
-				list = append(append([]event.Command{}, c.After...), list...)
-			case event.Send:
-				if r, ok := c.Msg.(Response); ok {
-					l.responses = append(l.responses, r)
-					continue
-				}
-				for n := l.random.IntN(20); n > 0; n -= 17 { // one in twenty lost, two doubled
-					l.inTransit, l.senders = append(l.inTransit, c), append(l.senders, at)
-				}
+	for _, at := range addresses {
+		for _, c := range l.stores[at].syncAll() {
+			if r, ok := c.Msg.(Response); ok {
+				l.responses = append(l.responses, r)
+				continue
+			}
+			for n := l.random.IntN(20); n > 0; n -= 17 { // one in twenty lost, two duplicated
+				l.inTransit, l.senders = append(l.inTransit, c), append(l.senders, at)
 			}
 		}
 	}
@@ -91,16 +68,16 @@
 	switch n := l.random.IntN(400); {
 	case n == 0:
 		i := l.random.IntN(3)
-		l.start([]ids.Address{"a", "b", "c"}[i], uint64(i+1))
+		l.start(addresses[i], uint64(i+1), l.stores[addresses[i]].disk)
 	case n < 3 && l.cutOff == "":
-		l.cutOff, l.cutOffSteps = []ids.Address{"a", "b", "c"}[l.random.IntN(3)], 300
+		l.cutOff, l.cutOffSteps = addresses[l.random.IntN(3)], 300
 	case n < 60 || len(l.inTransit) == 0:
 		l.now = l.now.Add(20 * time.Millisecond)
-		for _, at := range []ids.Address{"a", "b", "c"} {
+		for _, at := range addresses {
 			l.stores[at].Proposer.Tick(l.now)
 		}
 	default:
-		// Mostly in order, sometimes any of those under way.
+		// Mostly in order, sometimes any of those in transit.
 		i := 0
 		if l.random.IntN(6) == 0 {
 			i = l.random.IntN(len(l.inTransit))
@@ -113,7 +90,7 @@
 	}
 }
 
-// deliver gives a message to its store, and counts what came of a difference.
+// deliver hands a message to its store, and counts what became of a delta.
 func (l *lossyNetwork) deliver(from ids.Address, c event.Send) {
 	to := l.stores[c.To]
 	if vote, ok := c.Msg.(Accepted); ok && vote.NeedsWholeValue {
@@ -121,20 +98,20 @@
 	}
 	v, ok := c.Msg.(AcceptDifference)
 	if !ok {
-		deliver(l.now, to, from, c.Msg)
+		to.deliver(l.now, from, c.Msg)
 		return
 	}
 	held, _ := to.AcceptedValue(v.Key)
-	deliver(l.now, to, from, c.Msg)
+	to.deliver(l.now, from, c.Msg)
 	if now, _ := to.AcceptedValue(v.Key); now != held && now == v.Ballot {
 		l.deltas++
 	}
 }
 
-// Whatever is lost, doubled, late or killed: all values told are one history, no
-// change told as made is ever missing from it, and differences carry most of it.
+// Whatever is lost, duplicated, delayed or killed: all results are prefixes of one history,
+// no acknowledged change is missing from it, and deltas carry most of it.
 func TestDeltas_OneHistoryUnderLossAndRestarts(t *testing.T) {
-	differences, wholes := 0, 0
+	deltas, wholeValueRequests := 0, 0
 	for seed := range uint64(60) {
 		l := newLossyNetwork(seed)
 		base := randomText(rand.New(rand.NewPCG(seed, 1)), 6000)
@@ -143,8 +120,8 @@
 			if i == 0 {
 				arg = base
 			}
-			at := []ids.Address{"a", "b", "c"}[l.random.IntN(3)]
-			l.stores[at].Submit(l.now, "w", Request{ID: uint64(i), Key: "policy", Op: opAdd, Arg: arg, TimeoutMillis: 3000})
+			at := addresses[l.random.IntN(3)]
+			l.stores[at].Submit(l.now, "w", Request{ID: uint64(i), Key: "policy", Op: opAppend, Arg: arg, TimeoutMillis: 3000})
 			for range 60 {
 				l.step()
 			}
@@ -153,25 +130,25 @@
 			l.step()
 		}
 		checkOneHistory(t, seed, l.responses)
-		differences, wholes = differences+l.deltas, wholes+l.wholeValueRequests
+		deltas, wholeValueRequests = deltas+l.deltas, wholeValueRequests+l.wholeValueRequests
 	}
-	t.Logf("votes by difference: %d, asked for whole: %d", differences, wholes)
-	if differences < 1000 || wholes < 50 {
+	t.Logf("votes for deltas: %d, requests for whole values: %d", deltas, wholeValueRequests)
+	if deltas < 1000 || wholeValueRequests < 50 {
 		t.Fatal("too few of either: the test shows little")
 	}
 }
 
-func checkOneHistory(t *testing.T, seed uint64, told []Response) {
+func checkOneHistory(t *testing.T, seed uint64, responses []Response) {
 	t.Helper()
 	var longest []byte
-	for _, r := range told {
+	for _, r := range responses {
 		if r.Outcome == Succeeded && len(r.Result) > len(longest) {
 			longest = r.Result
 		}
 	}
-	for _, r := range told {
+	for _, r := range responses {
 		if r.Outcome == Succeeded && !bytes.HasPrefix(longest, r.Result) {
-			t.Fatalf("seed %d: change %d was told a value that the last one doesn't lead on from", seed, r.ID)
+			t.Fatalf("seed %d: change %d has a result that the last one doesn't continue", seed, r.ID)
 		}
 	}
 }
--- a/internal/state/consensus/model_state_test.go
+++ b/internal/state/consensus/model_state_test.go
@@ -1,7 +1,6 @@
 package consensus
 
 import (
-	"bytes"
 	"encoding/binary"
 	"hash/fnv"
 	"maps"
@@ -19,31 +18,6 @@
 // messages, which may be late by any time. Disks sync at once: an acceptor says
 // nothing before, so a loss before a sync is a message that never came.
 
-// disk3 is a disk that syncs at once and can be listed.
-type modelDisk map[ids.RegisterKey][]byte
-
-func (d modelDisk) Get(k ids.RegisterKey) ([]byte, bool) { v, ok := d[k]; return v, ok }
-
-func (d modelDisk) Scan(after ids.RegisterKey, n int) []event.Record {
-	var out []event.Record
-	for _, k := range slices.Sorted(maps.Keys(d)) {
-		if k > after && k < "item0" && len(out) < n {
-			out = append(out, event.Record{Key: k, Value: d[k]})
-		}
-	}
-	return out
-}
-
-func (d modelDisk) write(list []event.Record) {
-	for _, r := range list {
-		if r.Delete {
-			delete(d, r.Key)
-			continue
-		}
-		d[r.Key] = r.Value
-	}
-}
-
 // constantRandom always falls the same way, so that a proposer has no hidden state.
 type constantRandom struct{}
 
@@ -52,7 +26,7 @@
 // modelStore is one store.
 type modelStore struct {
 	event.Outbox
-	disk      modelDisk
+	disk      memoryDisk
 	acceptor  *Acceptor
 	proposer  *Proposer
 	copier    Copier
@@ -64,9 +38,7 @@
 	hashCache uint64
 }
 
-var modelAddresses = []ids.Address{"a", "b", "c"}
-
-func newModelStore(id uint64, d modelDisk, run uint64) *modelStore {
+func newModelStore(id uint64, d memoryDisk, run uint64) *modelStore {
 	s := &modelStore{disk: d, run: run, now: 1}
 	s.acceptor = NewAcceptor(id, d, &s.Outbox)
 	s.acceptor.SetRunID(run)
@@ -76,18 +48,10 @@
 
 func modelOps() map[Op]ChangeFunc {
 	ops := VoterSetOps()
-	ops[opAdd] = appendLetterOnce
+	ops[opAppend] = appendArgOnce
 	return ops
 }
 
-// appendLetterOnce adds a letter, and knows one that it has added before.
-func appendLetterOnce(key ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
-	if bytes.Contains(old, arg) {
-		return old, old
-	}
-	return appendArg(key, old, arg)
-}
-
 // clone copies a store; values are never changed in place and are shared.
 func (s *modelStore) clone() *modelStore {
 	c := &modelStore{disk: maps.Clone(s.disk), run: s.run, now: s.now, ticks: s.ticks, joined: s.joined, reported: s.reported}
--- a/internal/state/consensus/model_test.go
+++ b/internal/state/consensus/model_test.go
@@ -6,6 +6,7 @@
 	"dunlinwell/internal/base/event"
 
 	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/transport/wire"
 )
 
 // modelBounds say how much may happen in one run of the model.
@@ -22,13 +23,13 @@
 func initialModelState(b modelBounds) *modelWorld {
 	w := &modelWorld{lastID: 3, fault: b.fault}
 	first := VoterSet{Number: 1}
-	for i, at := range modelAddresses {
+	for i, at := range addresses {
 		first.Voters = append(first.Voters, Voter{uint64(i + 1), at})
 	}
 	w.sets = []VoterSet{first}
-	raw, _ := encode(first)
-	for i := range modelAddresses {
-		s := newModelStore(uint64(i+1), modelDisk{}, 1)
+	raw, _ := wire.Encode(first)
+	for i := range addresses {
+		s := newModelStore(uint64(i+1), memoryDisk{}, 1)
 		w.stores[i] = s
 		s.acceptor.Seed(VoterSetKey, raw)
 		s.acceptor.MarkComplete()
@@ -53,14 +54,14 @@
 func (w *modelWorld) submitAppend(i int, who ids.Address, token string) {
 	s := w.ownStore(i)
 	s.proposer.IsReachable = func(uint64) bool { return false }
-	s.proposer.Submit(s.now, who, Request{ID: 1, Key: "x", Op: opAdd, Arg: []byte(token), TimeoutMillis: 1 << 31})
+	s.proposer.Submit(s.now, who, Request{ID: 1, Key: "x", Op: opAppend, Arg: []byte(token), TimeoutMillis: 1 << 31})
 	w.run(i)
 }
 
 func (w *modelWorld) submit(i int, op Op, arg any) {
-	raw, _ := encode(arg)
+	raw, _ := wire.Encode(arg)
 	s := w.ownStore(i)
-	s.proposer.Submit(s.now, modelAddresses[i], Request{ID: 2, Key: VoterSetKey, Op: op, Arg: raw, TimeoutMillis: 1 << 31})
+	s.proposer.Submit(s.now, addresses[i], Request{ID: 2, Key: VoterSetKey, Op: op, Arg: raw, TimeoutMillis: 1 << 31})
 	w.run(i)
 }
 
@@ -120,7 +121,7 @@
 	if w.fault.keepsID {
 		id = s.acceptor.storeID
 	}
-	w.stores[i] = newModelStore(id, modelDisk{}, 1)
+	w.stores[i] = newModelStore(id, memoryDisk{}, 1)
 	w.stores[i].proposer.IsReachable = func(uint64) bool { return false }
 	if !hears {
 		return
@@ -148,15 +149,15 @@
 	w.lostDisk = nil
 }
 
-func copyOf(d modelDisk) modelDisk {
-	out := modelDisk{}
+func copyOf(d memoryDisk) memoryDisk {
+	out := memoryDisk{}
 	for k, v := range d {
 		out[k] = v
 	}
 	return out
 }
 
-func (w *modelWorld) restart(i int, id uint64, d modelDisk, run uint64) {
+func (w *modelWorld) restart(i int, id uint64, d memoryDisk, run uint64) {
 	s := newModelStore(id, d, run)
 	s.proposer.IsReachable = func(uint64) bool { return false }
 	if w.fault.replacedVotes {
@@ -180,7 +181,7 @@
 		return 0, false
 	}
 	for _, v := range a.voterSet.Voters {
-		if v.Address == modelAddresses[i] {
+		if v.Address == addresses[i] {
 			return v.ID, true
 		}
 	}
@@ -190,7 +191,7 @@
 func (w *modelWorld) join(i int, lost uint64) {
 	w.ownStore(i).joined = true
 	a := w.stores[i].acceptor
-	w.submit(i, OpReplace, ReplaceRequest{New: Voter{a.storeID, modelAddresses[i]}, LostID: lost, Replicas: 3})
+	w.submit(i, OpReplace, ReplaceRequest{New: Voter{a.storeID, addresses[i]}, LostID: lost, Replicas: 3})
 }
 
 func (w *modelWorld) mayComplete(s *modelStore, set VoterSet) bool {
@@ -214,7 +215,7 @@
 	to, from := w.ownStore(i), w.ownStore(j)
 	set := to.acceptor.voterSet
 	to.copier.BeginPass(from.acceptor.storeID)
-	from.acceptor.HandlePageRequest(modelAddresses[i], to.copier.NextRequest(from.acceptor.storeID, set.Number))
+	from.acceptor.HandlePageRequest(addresses[i], to.copier.NextRequest(from.acceptor.storeID, set.Number))
 	for _, c := range from.Drain() {
 		page := c.(event.Sync).After[0].(event.Send).Msg.(PageResponse)
 		if !to.copier.HandlePage(page) {
--- a/internal/state/consensus/model_world_test.go
+++ b/internal/state/consensus/model_world_test.go
@@ -41,7 +41,7 @@
 	acknowledged string
 	lastID       uint64
 	// lostDisk is the disk that a machine lost first, for one that is put back.
-	lostDisk    modelDisk
+	lostDisk    memoryDisk
 	lostID      uint64
 	lostMachine int
 	lostRun     uint64
@@ -119,7 +119,7 @@
 	s := w.stores[i]
 	switch m := c.Msg.(type) {
 	case Prepare, Accept:
-		to := slices.Index(modelAddresses, c.To)
+		to := slices.Index(addresses, c.To)
 		p := modelRequest{from: i, to: to, store: s.acceptor.storeID, run: s.run, msg: m}
 		h := fnv.New64a()
 		fmt.Fprint(h, p.from, p.to, p.store, p.run, p.msg)
@@ -169,9 +169,9 @@
 	}
 	switch m := p.msg.(type) {
 	case Prepare:
-		s.acceptor.HandlePrepare(modelAddresses[p.from], m)
+		s.acceptor.HandlePrepare(addresses[p.from], m)
 	case Accept:
-		s.acceptor.HandleAccept(modelAddresses[p.from], m)
+		s.acceptor.HandleAccept(addresses[p.from], m)
 	}
 	for _, c := range s.Drain() {
 		y := c.(event.Sync)
--- a/internal/state/consensus/restart_network_test.go
+++ b/internal/state/consensus/restart_network_test.go
@@ -1,30 +1,28 @@
 package consensus
 
 import (
-	"bytes"
 	"fmt"
 	"math/rand/v2"
 	"strings"
 	"testing"
 	"time"
 
-	"dunlinwell/internal/base/event"
 	"dunlinwell/internal/base/ids"
 )
 
-// delayedMessage is a message on its way. Letters are delayed, doubled, swapped and
+// delayedMessage is a message in transit. Messages are delayed, duplicated, reordered and
 // lost, and reach whichever run of their receiver there is by then.
 type delayedMessage struct {
 	from, to ids.Address
 	msg      any
 }
 
-// restartNetwork plays three stores that restart, and judges what callers are told.
+// restartNetwork is three stores that restart. It checks the results of their clients.
 type restartNetwork struct {
 	*rand.Rand
 	stores        map[ids.Address]*testStore
 	inTransit     []delayedMessage
-	cutLinks      map[[2]ids.Address]bool // ways on which letters wait
+	cutLinks      map[[2]ids.Address]bool // links whose messages wait
 	now           ids.Time
 	runCount      uint64
 	callCount     uint64
@@ -32,60 +30,41 @@
 	agreedTags    []string
 	longestResult string
 	violations    []string
-	// sharedRoundIDs plants the mistake that each run counts its rounds from 1.
+	// sharedRoundIDs plants a fault: each run counts its rounds from 1.
 	sharedRoundIDs bool
 }
 
-// appendCall is a call that appends a tag: what was agreed on before it began must
-// stand in its result.
+// appendCall is a call that appends a tag. Its result must contain the first agreedBefore
+// tags, which were agreed on before it began.
 type appendCall struct {
 	tag          string
 	agreedBefore int
 }
 
-var addresses = []ids.Address{"a", "b", "c"}
-
-// appendTagOnce appends a tag unless it is there, as every change must know itself.
-func appendTagOnce(_ ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
-	if bytes.Contains(old, arg) {
-		return old, old
+func newRestartNetwork(seed uint64, sharedRoundIDs bool) *restartNetwork {
+	n := &restartNetwork{
+		Rand: rand.New(rand.NewPCG(seed, 7)), stores: newTestStores(), openCalls: map[uint64]appendCall{},
+		cutLinks: map[[2]ids.Address]bool{}, now: 1, sharedRoundIDs: sharedRoundIDs,
 	}
-	return appendArg("", old, arg)
-}
-
-func newRestartNetwork(t *testing.T, seed uint64, sameNumbers bool) *restartNetwork {
-	n := &restartNetwork{Rand: rand.New(rand.NewPCG(seed, 7)), stores: newTestStores(t), openCalls: map[uint64]appendCall{}, cutLinks: map[[2]ids.Address]bool{}, now: 1, sharedRoundIDs: sameNumbers}
 	for _, at := range addresses {
-		n.stores[at].SetOps(map[Op]ChangeFunc{opAdd: appendTagOnce})
+		n.stores[at].SetOps(map[Op]ChangeFunc{opAppend: appendArgOnce})
 		n.collect(at)
 	}
 	return n
 }
 
-// collect syncs what a store wants kept, and takes what it sends.
+// collect carries out what a store asked for; its messages are in transit then.
 func (n *restartNetwork) collect(at ids.Address) {
-	r := n.stores[at]
-	for list := r.Drain(); len(list) > 0; list = append(list, r.Drain()...) {
-		c := list[0]
-		list = list[1:]
-		switch c := c.(type) {
-		case event.Sync:
-			for _, rec := range c.Records {
-				r.disk[rec.Key] = rec.Value
-			}
-			r.Acceptor.Synced(c.Batch)
-			list = append(list, c.After...)
-		case event.Send:
-			if m, ok := c.Msg.(Response); ok {
-				n.checkResponse(m)
-			} else {
-				n.inTransit = append(n.inTransit, delayedMessage{at, c.To, c.Msg})
-			}
+	for _, c := range n.stores[at].syncAll() {
+		if response, ok := c.Msg.(Response); ok {
+			n.checkResponse(response)
+		} else {
+			n.inTransit = append(n.inTransit, delayedMessage{at, c.To, c.Msg})
 		}
 	}
 }
 
-// checkResponse checks a caller's result against all that callers were told before.
+// checkResponse checks a result against all results before it.
 func (n *restartNetwork) checkResponse(m Response) {
 	call, open := n.openCalls[m.ID]
 	if m.Outcome != Succeeded || !open {
@@ -117,7 +96,7 @@
 	c := appendCall{agreedBefore: len(n.agreedTags)}
 	if n.IntN(3) > 0 {
 		c.tag = fmt.Sprintf("%d;", n.callCount+1000)
-		r.Op, r.Arg = opAdd, []byte(c.tag)
+		r.Op, r.Arg = opAppend, []byte(c.tag)
 	}
 	n.openCalls[r.ID] = c
 	n.stores[at].Submit(n.now, "caller", r)
@@ -139,7 +118,7 @@
 		n.inTransit = append(n.inTransit[:i], n.inTransit[i+1:]...)
 	}
 	if n.IntN(12) > 0 {
-		deliver(n.now, n.stores[l.to], l.from, l.msg)
+		n.stores[l.to].deliver(n.now, l.from, l.msg)
 		n.collect(l.to)
 	}
 }
@@ -147,14 +126,13 @@
 func (n *restartNetwork) restart(at ids.Address) {
 	n.runCount++
 	id := n.stores[at].StoreID()
-	restartStore(n.stores, at, id<<24|n.runCount)
-	n.stores[at].SetOps(map[Op]ChangeFunc{opAdd: appendTagOnce})
+	restartStore(n.stores, at, id<<24|n.runCount, appendArgOnce)
 	if n.sharedRoundIDs {
 		n.stores[at].lastRoundID = 0
 	}
 }
 
-// run takes random steps and gives what was wrong.
+// run takes random steps and returns what was violated.
 func (n *restartNetwork) run(steps int) []string {
 	for range steps {
 		at := addresses[n.IntN(len(addresses))]
@@ -179,16 +157,15 @@
 
 const stepsPerSeed = 4000
 
-// Callers of one register never see two histories, nor lose what they were told
-// was agreed on, whatever the order, the number and the lateness of the answers,
-// over restarts.
+// Clients of one register never see two histories, nor lose a change that was acknowledged,
+// whatever the order, the number and the delay of the answers, over restarts.
 func TestProposer_OneHistoryOverRestarts(t *testing.T) {
 	const seeds = 80
 	agreed := 0
 	for seed := range uint64(seeds) {
-		n := newRestartNetwork(t, seed, false)
-		if wrong := n.run(stepsPerSeed); len(wrong) > 0 {
-			t.Fatalf("seed %d: %v", seed, wrong)
+		n := newRestartNetwork(seed, false)
+		if violations := n.run(stepsPerSeed); len(violations) > 0 {
+			t.Fatalf("seed %d: %v", seed, violations)
 		}
 		agreed += len(n.agreedTags)
 	}
@@ -197,13 +174,13 @@
 	}
 }
 
-// The judge above finds out runs that share their rounds' numbers.
+// The checks above detect runs that share round ids.
 func TestProposer_SharedRoundIDsAreDetected(t *testing.T) {
 	for seed := range uint64(1000) {
-		if wrong := newRestartNetwork(t, seed, true).run(stepsPerSeed); len(wrong) > 0 {
-			t.Logf("seed %d: %v", seed, wrong[0])
+		if violations := newRestartNetwork(seed, true).run(stepsPerSeed); len(violations) > 0 {
+			t.Logf("seed %d: %v", seed, violations[0])
 			return
 		}
 	}
-	t.Fatal("the planted mistake was not found")
+	t.Fatal("the planted fault was not found")
 }
--- a/internal/state/consensus/store_order_test.go
+++ b/internal/state/consensus/store_order_test.go
@@ -8,56 +8,52 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// A store that was cut off, but not yet counted as gone, was the first to be asked
-// by each call, which lost 400 ms by it: registries' agreements grew too old to
-// speak by, though the majority was there.
+// A store that was cut off, but not yet declared dead, was the first to be asked by each
+// call, which lost 400 ms by it: the registries' last reads grew too old to act on, though
+// a quorum was there.
 func TestClient_AsksSilentStoreLast(t *testing.T) {
-	out := &event.Outbox{}
-	c := NewClient(1, out)
-	c.StoreOrder = func(ids.RegisterKey) []ids.Address { return []ids.Address{"cut", "a", "b"} }
+	client, out := newTestClient("cut", "a", "b")
 	now := ids.Time(1)
-	took := func() time.Duration {
+	call := func() (responseTime time.Duration) {
 		began, done := now, false
-		c.Call(now, "k", Read, nil, 3*time.Second, func(_ ids.Time, s Outcome, _ []byte) { done = s == Succeeded })
+		client.Call(now, "k", Read, nil, 3*time.Second, func(_ ids.Time, o Outcome, _ []byte) { done = o == Succeeded })
 		for !done && now.Sub(began) < 3*time.Second {
 			for _, command := range out.Drain() {
 				send := command.(event.Send)
 				if request := send.Msg.(Request); send.To != "cut" {
-					c.HandleResponse(now, send.To, Response{ID: request.ID, Attempt: request.Attempt, Outcome: Succeeded})
+					client.HandleResponse(now, send.To, Response{ID: request.ID, Attempt: request.Attempt, Outcome: Succeeded})
 				}
 			}
 			if !done {
 				now = now.Add(50 * time.Millisecond)
-				c.Tick(now)
+				client.Tick(now)
 			}
 		}
 		return now.Sub(began)
 	}
-	if first := took(); first < attemptTimeout || first > attemptTimeout+100*time.Millisecond {
+	if first := call(); first < attemptTimeout || first > attemptTimeout+100*time.Millisecond {
 		t.Fatalf("the first call took %s", first)
 	}
 	slow := 0
 	for range 60 { // half a second apart: half a minute
 		now = now.Add(500 * time.Millisecond)
-		if took() > 50*time.Millisecond {
+		if call() > 50*time.Millisecond {
 			slow++
 		}
 	}
 	if slow > 3 {
 		t.Fatalf("%d of 60 calls waited for the silent store", slow)
 	}
-	if !c.HadSilentStore(now) {
-		t.Fatal("nobody is told")
+	if !client.HadSilentStore(now) {
+		t.Fatal("the silent store is not reported")
 	}
 }
 
-// With only two stores known the second try goes to the other one.
+// With only two stores known, the second attempt goes to the other one.
 func TestClient_NextAttemptGoesToAnotherStore(t *testing.T) {
-	out := &event.Outbox{}
-	c := NewClient(1, out)
-	c.StoreOrder = func(ids.RegisterKey) []ids.Address { return []ids.Address{"cut", "a"} }
-	c.Call(1, "k", Read, nil, 3*time.Second, func(ids.Time, Outcome, []byte) {})
-	c.Tick(ids.Time(1).Add(attemptTimeout))
+	client, out := newTestClient("cut", "a")
+	client.Call(1, "k", Read, nil, 3*time.Second, func(ids.Time, Outcome, []byte) {})
+	client.Tick(ids.Time(1).Add(attemptTimeout))
 	var asked []ids.Address
 	for _, command := range out.Drain() {
 		asked = append(asked, command.(event.Send).To)
--- a/internal/state/consensus/store_test.go
+++ b/internal/state/consensus/store_test.go
@@ -1,213 +1,207 @@
 package consensus
 
 import (
+	"bytes"
 	"maps"
 	"math/rand/v2"
 	"slices"
 	"testing"
-	"time"
-
-	"github.com/matryer/is"
 
 	"dunlinwell/internal/base/event"
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/transport/wire"
 )
 
-// memoryDisk is a disk that syncs at once.
+// This file holds what the tests of the package share: a disk in memory, a store with its
+// acceptor and proposer, and the exchange of messages between three of them.
+
+// memoryDisk is a Storage that syncs at once and can be read again after a restart.
 type memoryDisk map[ids.RegisterKey][]byte
 
-func (m memoryDisk) Get(k ids.RegisterKey) ([]byte, bool) { v, ok := m[k]; return v, ok }
+func (d memoryDisk) Get(key ids.RegisterKey) ([]byte, bool) {
+	value, ok := d[key]
+	return value, ok
+}
 
-func (m memoryDisk) Scan(after ids.RegisterKey, n int) []event.Record {
-	var list []event.Record
-	for _, k := range slices.Sorted(maps.Keys(m)) {
-		if k > after && k < "item0" && len(list) < n {
-			list = append(list, event.Record{Key: k, Value: m[k]})
+func (d memoryDisk) Scan(after ids.RegisterKey, n int) []event.Record {
+	var records []event.Record
+	for _, key := range slices.Sorted(maps.Keys(d)) {
+		if key > after && key < "item0" && len(records) < n {
+			records = append(records, event.Record{Key: key, Value: d[key]})
 		}
 	}
-	return list
+	return records
 }
 
-func (m memoryDisk) write(list []event.Record) {
-	for _, r := range list {
-		if r.Delete {
-			delete(m, r.Key)
+func (d memoryDisk) write(records []event.Record) {
+	for _, record := range records {
+		if record.Delete {
+			delete(d, record.Key)
 		} else {
-			m[r.Key] = r.Value
+			d[record.Key] = record.Value
 		}
 	}
 }
 
-// testStore is one store with its acceptor and proposer, driven by hand.
+// testStore is one store. A test carries out its commands and delivers its messages.
 type testStore struct {
 	event.Outbox
 	disk memoryDisk
 	*Acceptor
 	*Proposer
+	// bytesSynced counts the bytes of the values that syncAll wrote to the disk.
+	bytesSynced int
 }
 
-const opAdd Op = 99
+// addresses are those of the stores 1, 2 and 3.
+var addresses = []ids.Address{"a", "b", "c"}
+
+// threeVoters is the voter set of the stores 1, 2 and 3.
+var threeVoters = VoterSet{Number: 1, Voters: []Voter{{1, "a"}, {2, "b"}, {3, "c"}}}
+
+// opAppend is the change function of the tests.
+const opAppend Op = 99
 
-func appendArg(_ ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
-	next := append(append([]byte{}, old...), arg...)
+// appendArg appends the argument, once for each call.
+func appendArg(_ ids.RegisterKey, old, arg []byte) (next, result []byte) {
+	next = slices.Concat(old, arg)
 	return next, next
 }
 
-func newTestStores(t *testing.T) map[ids.Address]*testStore {
-	t.Helper()
-	r := VoterSet{Number: 1, Voters: []Voter{{1, "a"}, {2, "b"}, {3, "c"}}}
-	out := map[ids.Address]*testStore{}
-	for i, at := range []ids.Address{"a", "b", "c"} {
-		x := &testStore{disk: memoryDisk{}}
-		x.Acceptor = NewAcceptor(uint64(i+1), x.disk, &x.Outbox)
-		x.Proposer = NewProposer(uint64(i+1), x.Acceptor.VoterSet, map[Op]ChangeFunc{opAdd: appendArg}, rand.New(rand.NewPCG(1, uint64(i))), &x.Outbox)
-		x.MarkComplete()
-		x.AdoptVoterSet(r)
-		out[at] = x
+// appendArgOnce appends the argument unless it is there, as a change function must
+// recognise a change that it has made before.
+func appendArgOnce(key ids.RegisterKey, old, arg []byte) (next, result []byte) {
+	if bytes.Contains(old, arg) {
+		return old, old
 	}
-	return out
+	return appendArg(key, old, arg)
 }
 
-// deliverAll lets messages through until none is left; pass decides which may.
-func deliverAll(now ids.Time, all map[ids.Address]*testStore, pass func(from, to ids.Address) bool) map[ids.Address][]Response {
-	told := map[ids.Address][]Response{}
-	for busy := true; busy; {
-		busy = false
-		for _, at := range []ids.Address{"a", "b", "c"} {
-			r := all[at]
-			list := r.Drain()
-			for len(list) > 0 {
-				c := list[0]
-				list = list[1:]
-				switch c := c.(type) {
-				case event.Sync:
-					r.disk.write(c.Records)
-					r.Acceptor.Synced(c.Batch)
-					list = append(append([]event.Command{}, c.After...), list...)
-				case event.Send:
-					busy = true
-					if x, ok := c.Msg.(Response); ok {
-						told[c.To] = append(told[c.To], x)
-						continue
-					}
-					if to := all[c.To]; to != nil && (c.To == at || pass(at, c.To)) {
-						deliver(now, to, at, c.Msg)
-					}
-				}
+// newTestAcceptor returns a store without a proposer.
+func newTestAcceptor(id uint64, disk memoryDisk) *testStore {
+	s := &testStore{disk: disk}
+	s.Acceptor = NewAcceptor(id, disk, &s.Outbox)
+	return s
+}
+
+// newTestStore returns one run of a store.
+func newTestStore(id uint64, disk memoryDisk, proposerID uint64, change ChangeFunc, random *rand.Rand) *testStore {
+	s := newTestAcceptor(id, disk)
+	s.Proposer = NewProposer(proposerID, s.Acceptor.VoterSet, map[Op]ChangeFunc{opAppend: change}, random, &s.Outbox)
+	return s
+}
+
+// newTestStores returns three voters that append.
+func newTestStores() map[ids.Address]*testStore {
+	stores := map[ids.Address]*testStore{}
+	for i, at := range addresses {
+		id := uint64(i + 1)
+		s := newTestStore(id, memoryDisk{}, id, appendArg, rand.New(rand.NewPCG(1, uint64(i))))
+		s.MarkComplete()
+		s.AdoptVoterSet(threeVoters)
+		stores[at] = s
+	}
+	return stores
+}
+
+// syncAll carries out what the store asked of its disk, and returns the messages that it
+// sends, in order.
+func (s *testStore) syncAll() []event.Send {
+	var sent []event.Send
+	commands := s.Drain()
+	for len(commands) > 0 {
+		command := commands[0]
+		commands = commands[1:]
+		switch c := command.(type) {
+		case event.Sync:
+			s.disk.write(c.Records)
+			for _, record := range c.Records {
+				s.bytesSynced += len(record.Value)
 			}
+			s.Acceptor.Synced(c.Batch)
+			commands = slices.Concat(c.After, commands)
+		case event.Send:
+			sent = append(sent, c)
 		}
 	}
-	return told
+	return sent
 }
 
-func deliver(now ids.Time, r *testStore, from ids.Address, msg any) {
+// deliver hands a message to the store.
+func (s *testStore) deliver(now ids.Time, from ids.Address, msg any) {
 	switch m := msg.(type) {
 	case Prepare:
-		r.HandlePrepare(from, m)
+		s.HandlePrepare(from, m)
 	case Accept:
-		r.HandleAccept(from, m)
+		s.HandleAccept(from, m)
 	case AcceptDifference:
-		r.HandleAcceptDifference(from, m)
+		s.HandleAcceptDifference(from, m)
 	case Promise:
-		r.HandlePromise(now, m)
+		s.HandlePromise(now, m)
 	case Accepted:
-		r.HandleAccepted(now, m)
+		s.HandleAccepted(now, m)
+	}
+}
+
+// exchange carries out the commands of the stores until none is left. Messages are
+// handed to onSend.
+func exchange(stores map[ids.Address]*testStore, onSend func(from ids.Address, c event.Send)) {
+	for busy := true; busy; {
+		busy = false
+		for _, at := range addresses {
+			for _, c := range stores[at].syncAll() {
+				busy = true
+				onSend(at, c)
+			}
+		}
 	}
 }
 
+// deliverAll delivers messages until none is left, those to other stores only where the
+// link between the two is up. It returns the responses by their receivers.
+func deliverAll(now ids.Time, stores map[ids.Address]*testStore, isUp func(from, to ids.Address) bool) map[ids.Address][]Response {
+	responses := map[ids.Address][]Response{}
+	exchange(stores, func(from ids.Address, c event.Send) {
+		if response, ok := c.Msg.(Response); ok {
+			responses[c.To] = append(responses[c.To], response)
+			return
+		}
+		if to := stores[c.To]; to != nil && (c.To == from || isUp(from, c.To)) {
+			to.deliver(now, from, c.Msg)
+		}
+	})
+	return responses
+}
+
 func allLinks(ids.Address, ids.Address) bool { return true }
 
-func soleResult(t *testing.T, told map[ids.Address][]Response, who ids.Address) string {
+func noLinks(ids.Address, ids.Address) bool { return false }
+
+// mustSucceed returns the result of a client's only response.
+func mustSucceed(t *testing.T, responses map[ids.Address][]Response, client ids.Address) string {
 	t.Helper()
-	if len(told[who]) != 1 || told[who][0].Outcome != Succeeded {
-		t.Fatalf("%s was told %+v", who, told[who])
+	got := responses[client]
+	if len(got) != 1 || got[0].Outcome != Succeeded {
+		t.Fatalf("%s got %+v", client, got)
 	}
-	return string(told[who][0].Result)
+	return string(got[0].Result)
 }
 
-// Recorded from seed 2 of the simulator: a proposer that is cut off sends its
-// next value with no Prepare, to its own acceptor alone, while the others go
-// on. Its value must not win once the split ends.
-func TestProposer_ValueOfPartitionedProposerDoesNotWin(t *testing.T) {
-	is := is.New(t)
-	all := newTestStores(t)
-	ask := func(at, who ids.Address, now time.Duration, arg string) {
-		all[at].Submit(ids.Time(now), who, Request{ID: 1, Key: "x", Op: opAdd, Arg: []byte(arg), TimeoutMillis: 60000})
-	}
-	ask("a", "w1", 1, "1")
-	is.Equal(soleResult(t, deliverAll(1, all, allLinks), "w1"), "1")
-	// Other work has taken a's ballots far beyond what the others use.
-	for range 10 {
-		all["a"].Submit(1, "w0", Request{ID: 1, Key: "y", Op: opAdd, TimeoutMillis: 60000})
-		deliverAll(1, all, allLinks)
-	}
-	// Cut off: a's next value reaches a alone.
-	split := func(from, to ids.Address) bool { return from != "a" && to != "a" }
-	ask("a", "w2", 2, "2")
-	is.Equal(len(deliverAll(2, all, split)), 0)
-	for i, arg := range []string{"3", "4", "5"} {
-		now := time.Duration(10+i) * time.Second
-		ask("b", ids.Address("w"+arg), now, arg)
-		for step := range 10 {
-			at := ids.Time(now).Add(time.Duration(step) * 60 * time.Millisecond)
-			all["b"].Proposer.Tick(at)
-			if told := deliverAll(at, all, split); len(told) > 0 {
-				is.Equal(soleResult(t, told, ids.Address("w"+arg)), "1345"[:i+2])
-				break
-			}
-		}
+// mustEncode encodes a message.
+func mustEncode(t testing.TB, msg any) []byte {
+	t.Helper()
+	raw, err := wire.Encode(msg)
+	if err != nil {
+		t.Fatal(err)
 	}
-	// The split ends, for a and b at first: a's change comes after the others', or not at all.
-	for step := range 20 {
-		at := ids.Time(20 * time.Second).Add(time.Duration(step) * 150 * time.Millisecond)
-		all["a"].Proposer.Tick(at)
-		if told := deliverAll(at, all, func(from, to ids.Address) bool { return from != "c" && to != "c" }); len(told) > 0 {
-			is.Equal(soleResult(t, told, "w2"), "13452")
-			return
-		}
+	return raw
+}
+
+// randomText returns n letters, no part of which is like another.
+func randomText(random *rand.Rand, n int) []byte {
+	text := make([]byte, n)
+	for i := range text {
+		text[i] = byte('a' + random.IntN(26))
 	}
-	t.Fatal("the change of a was never answered")
-}
-
-// A ballot below a promise is rejected, and the promise is on the disk.
-func TestAcceptor_PromiseSurvivesRestart(t *testing.T) {
-	is := is.New(t)
-	all := newTestStores(t)
-	deliverAll(1, all, allLinks)
-	b := all["b"]
-	b.HandlePrepare("a", Prepare{Key: "x", Ballot: ids.Ballot{Counter: 5, Proposer: 1}, VoterSetNumber: 1, Round: 1})
-	deliverAll(1, all, func(ids.Address, ids.Address) bool { return false })
-	again := &testStore{disk: b.disk}
-	again.Acceptor = NewAcceptor(2, b.disk, &again.Outbox)
-	again.HandleAccept("c", Accept{Key: "x", Ballot: ids.Ballot{Counter: 4, Proposer: 3}, VoterSetNumber: 1, Round: 2, Value: []byte("old")})
-	s := again.Drain()[0].(event.Sync)
-	is.Equal(len(s.Records), 0)
-	is.Equal(s.After[0].(event.Send).Msg.(Accepted).OK, false)
-	// A lower voter set has no say at all: it is told of the higher one.
-	again.AdoptVoterSet(VoterSet{Number: 2, Voters: []Voter{{2, "b"}}})
-	again.Drain()
-	again.HandleAccept("c", Accept{Key: "x", Ballot: ids.Ballot{Counter: 9, Proposer: 3}, VoterSetNumber: 1})
-	_, news := again.Drain()[0].(event.Sync).After[0].(event.Send).Msg.(VoterSetUpdate)
-	is.True(news)
-}
-
-// While a voter set is joint, a majority of either side alone decides nothing.
-func TestVoterSet_JointQuorumNeedsBothMajorities(t *testing.T) {
-	is := is.New(t)
-	r := VoterSet{Number: 2, Voters: []Voter{{ID: 1}, {ID: 2}, {ID: 3}}, Incoming: []Voter{{ID: 1}, {ID: 4}, {ID: 5}}}
-	is.True(!r.IsQuorum(map[uint64]bool{2: true, 3: true}))
-	is.True(!r.IsQuorum(map[uint64]bool{4: true, 5: true}))
-	is.True(r.IsQuorum(map[uint64]bool{1: true, 2: true, 4: true}))
-	old, _ := encodeVoterSet(nil, VoterSet{Number: 1, Voters: r.Voters})
-	arg := func(j JoinRequest) []byte { raw, _ := encode(j); return raw }
-	next, _ := joinVoter("", old, arg(JoinRequest{New: Voter{ID: 9}, LostID: 3}))
-	got, _ := DecodeVoterSet(next)
-	is.Equal(got.Number, uint64(2))
-	is.Equal(got.Incoming[2].ID, uint64(9))
-	// A second replacement waits; asking again changes nothing.
-	same, _ := joinVoter("", next, arg(JoinRequest{New: Voter{ID: 8}, LostID: 2}))
-	is.Equal(same, next)
-}
-
-func encode(msg any) ([]byte, error) { return wire.Encode(msg) }
+	return text
+}
