--- a/internal/state/consensus/bootstrap_model_test.go
+++ b/internal/state/consensus/bootstrap_model_test.go
@@ -5,35 +5,35 @@
 	"testing"
 )
 
-// exploreBootstrap visits every state within the bounds, up to a number of
-// steps, and gives what is broken first.
-func exploreBootstrap(depth int, rules bootstrapRules) (visited int, served bool, broken string) {
+// exploreBootstrap visits, breadth first, every state within the bounds and up to a number
+// of steps. It returns whether some voter set came to serve, and the first violation.
+func exploreBootstrap(depth int, rules bootstrapRules) (visited int, served bool, violation string) {
 	start := bootstrapState{}
 	for i := range start.nodes {
 		start.nodes[i].id = uint64(i+1) * 10
 	}
 	seen := map[uint64]bool{}
-	layer := []bootstrapState{start}
+	level := []bootstrapState{start}
 	for range depth {
 		var next []bootstrapState
-		for _, s := range layer {
+		for _, s := range level {
 			for _, c := range s.steps(rules) {
 				if key := c.key(); !seen[key] {
 					seen[key] = true
 					next = append(next, c)
 				}
 				served = served || len(c.serving) > 0
-				if why := c.violation(); why != "" {
-					return len(seen), served, why
+				if violation := c.violation(); violation != "" {
+					return len(seen), served, violation
 				}
 			}
 		}
-		layer = next
+		level = next
 	}
 	return len(seen), served, ""
 }
 
-// key sums a state up; lists are kept in order, so that equal states are one.
+// key identifies a state; the messages count in any order.
 func (s bootstrapState) key() uint64 {
 	h := fnv.New64a()
 	write := func(values ...uint64) {
@@ -68,7 +68,7 @@
 	return h.Sum64() + sum
 }
 
-// mix sums up the parts of an item of a set.
+// mix identifies an item of a set by its parts.
 func mix(parts ...uint64) uint64 {
 	h := fnv.New64a()
 	for _, p := range parts {
@@ -77,28 +77,28 @@
 	return h.Sum64() * 0x9e3779b97f4a7c15
 }
 
-// Whatever the order of messages, wipes and proposals: no two foundings both
-// serve with a disk in common, and no two members that live disagree.
+// Whatever the order of messages, wipes and proposals: no two voter sets that both served
+// have a disk in common, and no two active members disagree.
 func TestBootstrapModel(t *testing.T) {
-	visited, served, broken := exploreBootstrap(100, correctBootstrapRules)
+	visited, served, violation := exploreBootstrap(100, correctBootstrapRules)
 	t.Logf("%d states, all that can be reached", visited)
-	if broken != "" || !served {
-		t.Fatalf("served %v, broken: %s", served, broken)
+	if violation != "" || !served {
+		t.Fatalf("served %v, violation: %s", served, violation)
 	}
 }
 
-// The model finds the mistakes that the rules are there for.
+// The model finds the faults that the rules are there to prevent.
 func TestBootstrapModel_FindsPlantedMistakes(t *testing.T) {
-	anySet, anyFollow := correctBootstrapRules, correctBootstrapRules
-	anySet.promise = func(f BootstrapRecord, r BootstrapRequest) (BootstrapRecord, string) {
-		f.PromisedVoterSets = nil // what was promised before is forgotten
-		return f.Promise(r)
+	forgetful, heedless := correctBootstrapRules, correctBootstrapRules
+	forgetful.promise = func(r BootstrapRecord, request BootstrapRequest) (BootstrapRecord, string) {
+		r.PromisedVoterSets = nil // what was promised before is forgotten
+		return r.Promise(request)
 	}
-	anyFollow.follows = func(BootstrapRecord, Bootstrap, Voter) bool { return true }
-	for name, rules := range map[string]bootstrapRules{"promises forgotten": anySet, "promises ignored": anyFollow} {
-		visited, _, broken := exploreBootstrap(100, rules)
-		t.Logf("%s: %s after %d states", name, broken, visited)
-		if broken == "" {
+	heedless.mayAdopt = func(BootstrapRecord, Bootstrap, Voter) bool { return true }
+	for name, rules := range map[string]bootstrapRules{"promises forgotten": forgetful, "promises ignored": heedless} {
+		visited, _, violation := exploreBootstrap(100, rules)
+		t.Logf("%s: %s after %d states", name, violation, visited)
+		if violation == "" {
 			t.Errorf("%s: not found", name)
 		}
 	}
--- a/internal/state/consensus/bootstrap_state_test.go
+++ b/internal/state/consensus/bootstrap_state_test.go
@@ -7,27 +7,30 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// The model of a founding: three seeds, of which the first proposes. Messages
-// are never used up, so every order, loss, delay and doubling of them is among
-// the paths; a disk may be wiped and the founder restarted between any two steps.
-// FoundingRecord's own functions decide.
+// The model of a bootstrap: three seeds, of which the first proposes. Messages are never
+// used up, so every order, loss, delay and duplication of them is among the paths. A disk
+// may be wiped and the proposer restarted between any two steps. The decisions are those of
+// the real BootstrapRecord.
 
+// bootstrapVoters are the disk ids of a proposed voter set, by address.
 type bootstrapVoters [3]uint64
 
 func (v bootstrapVoters) voterSet() VoterSet {
-	r := VoterSet{Number: 1}
+	set := VoterSet{Number: 1}
 	for i, id := range v {
-		r.Voters = append(r.Voters, Voter{ID: id, Address: ids.Address(fmt.Sprint(i))})
+		set.Voters = append(set.Voters, Voter{ID: id, Address: ids.Address(fmt.Sprint(i))})
 	}
-	return r
+	return set
 }
 
+// bootstrapProposal is a request to take part in a voter set.
 type bootstrapProposal struct {
 	round uint64
 	set   bootstrapVoters
 }
 
-// bootstrapNode is one seed: its disk's id, its record, and the set it is active in.
+// bootstrapNode is one seed: its disk's id, its record, the voter set that it is active in,
+// and, for the proposer, what it proposed last.
 type bootstrapNode struct {
 	id       uint64
 	record   BootstrapRecord
@@ -35,23 +38,26 @@
 	proposal bootstrapProposal
 }
 
+// bootstrapPromise is a store's promise for a proposal.
 type bootstrapPromise struct {
 	bootstrapProposal
 	store uint64
 }
 
+// bootstrapMessage hands a voter set on to another of its members.
 type bootstrapMessage struct {
 	bootstrapProposal
 	from Voter
 }
 
+// bootstrapState is one state of the model.
 type bootstrapState struct {
 	nodes      [3]bootstrapNode
 	wipes      int
 	requests   []bootstrapProposal
 	promises   []bootstrapPromise
 	bootstraps []bootstrapMessage
-	// serving are the sets that a majority was active in at one time.
+	// serving are the voter sets of which a majority was active at one time.
 	serving []bootstrapVoters
 }
 
@@ -68,21 +74,22 @@
 	return append(list, x)
 }
 
+// Bounds of the search.
 const (
 	maxBootstrapWipes    = 2
 	maxBootstrapRounds   = 2
 	maxBootstrapRequests = 3
 )
 
-// bootstrapRules are the decisions under test; a mistake may be planted in them.
+// bootstrapRules are the decisions under test, in which a fault may be planted.
 type bootstrapRules struct {
-	promise func(f BootstrapRecord, r BootstrapRequest) (BootstrapRecord, string)
-	follows func(f BootstrapRecord, b Bootstrap, from Voter) bool
+	promise  func(r BootstrapRecord, request BootstrapRequest) (BootstrapRecord, string)
+	mayAdopt func(r BootstrapRecord, bootstrap Bootstrap, from Voter) bool
 }
 
-var correctBootstrapRules = bootstrapRules{promise: BootstrapRecord.Promise, follows: BootstrapRecord.MayAdopt}
+var correctBootstrapRules = bootstrapRules{promise: BootstrapRecord.Promise, mayAdopt: BootstrapRecord.MayAdopt}
 
-// idsAt are the disks that an address has had: hellos of old ones may be late.
+// idsAt returns the disks that an address has had, as a Hello of an old one may be late.
 func (s bootstrapState) idsAt(i int) []uint64 {
 	var out []uint64
 	for id := uint64(i+1) * 10; id <= s.nodes[i].id; id++ {
@@ -91,23 +98,23 @@
 	return out
 }
 
-// activate makes a node a member, which from then on hands its set on.
+// activate makes a node an active member, which hands its voter set on from then on.
 func (s *bootstrapState) activate(i int, p bootstrapProposal) {
 	s.nodes[i].active = p
 	s.nodes[i].record.Round = p.round
 	s.bootstraps = addMessage(s.bootstraps, bootstrapMessage{p, Voter{ID: s.nodes[i].id, Address: ids.Address(fmt.Sprint(i))}})
-	n := 0
-	for _, x := range s.nodes {
-		if x.active.set == p.set {
-			n++
+	active := 0
+	for _, node := range s.nodes {
+		if node.active.set == p.set {
+			active++
 		}
 	}
-	if n >= 2 {
+	if active >= 2 {
 		s.serving = addMessage(s.serving, p.set)
 	}
 }
 
-// steps gives every state that may come next.
+// steps returns every state that may come next.
 func (s bootstrapState) steps(rules bootstrapRules) []bootstrapState {
 	var out []bootstrapState
 	out = append(out, s.proposerSteps()...)
@@ -123,40 +130,43 @@
 	return out
 }
 
+// proposerSteps are the steps of the first node: to propose, and to activate a voter set
+// that all have promised.
 func (s bootstrapState) proposerSteps() []bootstrapState {
 	var out []bootstrapState
-	f := s.nodes[0]
-	if f.active.round != 0 {
+	proposer := s.nodes[0]
+	if proposer.active.round != 0 {
 		return nil
 	}
-	for round := f.record.Round + 1; round <= maxBootstrapRounds && len(s.requests) < maxBootstrapRequests; round++ {
+	for round := proposer.record.Round + 1; round <= maxBootstrapRounds && len(s.requests) < maxBootstrapRequests; round++ {
 		for _, b := range s.idsAt(1) {
 			for _, c := range s.idsAt(2) {
 				next := s.clone()
-				p := bootstrapProposal{round, bootstrapVoters{f.id, b, c}}
+				p := bootstrapProposal{round, bootstrapVoters{proposer.id, b, c}}
 				next.nodes[0].proposal = p
 				next.requests = addMessage(next.requests, p)
 				out = append(out, next)
 			}
 		}
 	}
-	if f.proposal.round == 0 {
+	if proposer.proposal.round == 0 {
 		return out
 	}
 	promised := 0
-	for _, id := range f.proposal.set {
-		if slices.Contains(s.promises, bootstrapPromise{f.proposal, id}) {
+	for _, id := range proposer.proposal.set {
+		if slices.Contains(s.promises, bootstrapPromise{proposer.proposal, id}) {
 			promised++
 		}
 	}
-	if promised == 3 && f.record.IsLastPromised(BootstrapRequest{f.proposal.round, f.proposal.set.voterSet()}) {
+	if promised == 3 && proposer.record.IsLastPromised(BootstrapRequest{proposer.proposal.round, proposer.proposal.set.voterSet()}) {
 		c := s.clone()
-		c.activate(0, f.proposal)
+		c.activate(0, proposer.proposal)
 		out = append(out, c)
 	}
 	return out
 }
 
+// seedSteps are the steps of any node: to promise, and to adopt a voter set.
 func (s bootstrapState) seedSteps(i int, rules bootstrapRules) []bootstrapState {
 	var out []bootstrapState
 	n := s.nodes[i]
@@ -167,7 +177,7 @@
 		if !slices.Contains(p.set[:], n.id) {
 			continue
 		}
-		if record, why := rules.promise(n.record, BootstrapRequest{p.round, p.set.voterSet()}); why == "" {
+		if record, rejection := rules.promise(n.record, BootstrapRequest{p.round, p.set.voterSet()}); rejection == "" {
 			c := s.clone()
 			c.nodes[i].record = record
 			c.promises = addMessage(c.promises, bootstrapPromise{p, n.id})
@@ -175,7 +185,7 @@
 		}
 	}
 	for _, m := range s.bootstraps {
-		if slices.Contains(m.set[:], n.id) && rules.follows(n.record, Bootstrap{VoterSet: m.set.voterSet(), Round: m.round}, m.from) {
+		if slices.Contains(m.set[:], n.id) && rules.mayAdopt(n.record, Bootstrap{VoterSet: m.set.voterSet(), Round: m.round}, m.from) {
 			c := s.clone()
 			c.activate(i, m.bootstrapProposal)
 			out = append(out, c)
@@ -184,7 +194,7 @@
 	return out
 }
 
-// violation says which promise a state breaks.
+// violation says which invariant a state violates, empty for none.
 func (s bootstrapState) violation() string {
 	for i, v := range s.serving {
 		for _, w := range s.serving[:i] {
@@ -195,7 +205,7 @@
 			}
 		}
 	}
-	// A set whose only active member was wiped is gone; two at work are a split.
+	// A voter set whose only active member was wiped is gone; two active ones are a split.
 	for _, n := range s.nodes {
 		for _, m := range s.nodes {
 			if n.active.round != 0 && m.active.round != 0 && n.active.set != m.active.set && slices.Contains(m.active.set[:], n.id) {
--- a/internal/state/consensus/model_test.go
+++ b/internal/state/consensus/model_events_test.go
@@ -1,39 +1,35 @@
 package consensus
 
 import (
+	"maps"
 	"time"
 
 	"dunlinwell/internal/base/event"
-
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/transport/wire"
 )
 
-// modelBounds say how much may happen in one run of the model.
+// modelBounds bound a search: the number of events in all (depth), and of some kinds.
 type modelBounds struct {
 	depth, wipes, crashes, restores, ticks int
-	// coarse: the rounds of newcomers and of the second writer are one event each,
-	// and reach some machines only.
+	// wholeRounds: the rounds of learners and of the second writer are one event each,
+	// and reach some machines only. Else each of their messages is an event.
 	wholeRounds bool
 	fault       modelFault
 }
 
-// initialModelState is three stores that agree on a value, two of which are about to add
-// to it: one with a promise in hand, one that must ask for one.
+// initialModelState is three stores that agree on a value, two of which are about to append
+// to it: one with a promised ballot, one that must prepare.
 func initialModelState(b modelBounds) *modelWorld {
 	w := &modelWorld{lastID: 3, fault: b.fault}
-	first := VoterSet{Number: 1}
-	for i, at := range addresses {
-		first.Voters = append(first.Voters, Voter{uint64(i + 1), at})
-	}
-	w.sets = []VoterSet{first}
-	raw, _ := wire.Encode(first)
+	w.sets = []VoterSet{threeVoters}
+	raw, _ := wire.Encode(threeVoters)
 	for i := range addresses {
 		s := newModelStore(uint64(i+1), memoryDisk{}, 1)
 		w.stores[i] = s
 		s.acceptor.Seed(VoterSetKey, raw)
 		s.acceptor.MarkComplete()
-		s.acceptor.AdoptVoterSet(first)
+		s.acceptor.AdoptVoterSet(threeVoters)
 		w.run(i)
 	}
 	w.submitAppend(0, "", "0")
@@ -51,13 +47,15 @@
 	return w
 }
 
-func (w *modelWorld) submitAppend(i int, who ids.Address, token string) {
+// submitAppend has machine i append a letter for a client.
+func (w *modelWorld) submitAppend(i int, client ids.Address, letter string) {
 	s := w.ownStore(i)
 	s.proposer.IsReachable = func(uint64) bool { return false }
-	s.proposer.Submit(s.now, who, Request{ID: 1, Key: "x", Op: opAppend, Arg: []byte(token), TimeoutMillis: 1 << 31})
+	s.proposer.Submit(s.now, client, Request{ID: 1, Key: "x", Op: opAppend, Arg: []byte(letter), TimeoutMillis: 1 << 31})
 	w.run(i)
 }
 
+// submit has machine i change the voter set.
 func (w *modelWorld) submit(i int, op Op, arg any) {
 	raw, _ := wire.Encode(arg)
 	s := w.ownStore(i)
@@ -65,7 +63,7 @@
 	w.run(i)
 }
 
-// next gives every state that one event leads to.
+// next returns every state that one event leads to.
 func (w *modelWorld) next(b modelBounds) (out []*modelWorld) {
 	do := func(f func(w *modelWorld)) {
 		n := w.copy()
@@ -92,8 +90,8 @@
 		if len(s.proposer.rounds) > 0 && s.ticks < b.ticks {
 			do(func(n *modelWorld) { n.tick(i) })
 		}
-		for _, some := range b.quorums() {
-			w.roundEvents(b, i, some, do)
+		for _, reached := range b.quorums() {
+			w.roundEvents(b, i, reached, do)
 		}
 		for j := range w.stores {
 			if w.mayCopy(i, j) {
@@ -107,9 +105,8 @@
 	return out
 }
 
-// wipe loses a disk; where events are coarse, the blank store hears of a voter set
-// at once.
-func (w *modelWorld) wipe(i int, hears bool) {
+// wipe loses a disk. With learnsVoterSet, the blank store learns of a voter set at once.
+func (w *modelWorld) wipe(i int, learnsVoterSet bool) {
 	s := w.stores[i]
 	if w.lostDisk == nil {
 		w.lostDisk, w.lostID, w.lostMachine, w.lostRun = s.disk, s.acceptor.storeID, i, s.run
@@ -123,7 +120,7 @@
 	}
 	w.stores[i] = newModelStore(id, memoryDisk{}, 1)
 	w.stores[i].proposer.IsReachable = func(uint64) bool { return false }
-	if !hears {
+	if !learnsVoterSet {
 		return
 	}
 	newest := VoterSet{}
@@ -135,6 +132,7 @@
 	w.adopt(i, newest)
 }
 
+// crash restarts a store on its disk.
 func (w *modelWorld) crash(i int) {
 	w.crashes++
 	w.lastWasLoss = true
@@ -142,21 +140,14 @@
 	w.restart(i, s.acceptor.storeID, s.disk, s.run+1)
 }
 
-// restoreLostDisk gives a machine the disk that was lost first.
+// restoreLostDisk puts the disk that was lost first back into its machine.
 func (w *modelWorld) restoreLostDisk() {
 	w.restores++
-	w.restart(w.lostMachine, w.lostID, copyOf(w.lostDisk), w.lostRun+1)
+	w.restart(w.lostMachine, w.lostID, maps.Clone(w.lostDisk), w.lostRun+1)
 	w.lostDisk = nil
 }
 
-func copyOf(d memoryDisk) memoryDisk {
-	out := memoryDisk{}
-	for k, v := range d {
-		out[k] = v
-	}
-	return out
-}
-
+// restart begins a run of a store on a disk.
 func (w *modelWorld) restart(i int, id uint64, d memoryDisk, run uint64) {
 	s := newModelStore(id, d, run)
 	s.proposer.IsReachable = func(uint64) bool { return false }
@@ -166,6 +157,7 @@
 	w.stores[i] = s
 }
 
+// tick lets enough time pass at a store for all its timers.
 func (w *modelWorld) tick(i int) {
 	s := w.ownStore(i)
 	s.ticks++
@@ -188,21 +180,23 @@
 	return 0, false
 }
 
+// join asks for the place of a lost voter.
 func (w *modelWorld) join(i int, lost uint64) {
 	w.ownStore(i).joined = true
 	a := w.stores[i].acceptor
 	w.submit(i, OpReplace, ReplaceRequest{New: Voter{a.storeID, addresses[i]}, LostID: lost, Replicas: 3})
 }
 
+// mayComplete reports whether a learner's copy counts as complete.
 func (w *modelWorld) mayComplete(s *modelStore, set VoterSet) bool {
 	if w.fault.completesEarly {
-		// A copy from before the change was agreed counts as good enough.
+		// A copy from before the replacement is taken for complete.
 		set.Number--
 	}
 	return w.fault.votesBlank || s.copier.IsCompleteFor(set)
 }
 
-// mayCopy tells whether store i would ask j for a page and be given it.
+// mayCopy reports whether store i would ask j for a page and be sent one.
 func (w *modelWorld) mayCopy(i, j int) bool {
 	to, from := w.stores[i], w.stores[j].acceptor
 	set := to.acceptor.voterSet
@@ -210,7 +204,7 @@
 		from.MayVote() && to.copier.LastPassVoterSet(from.storeID) < set.Number
 }
 
-// copyFrom is one pass of a newcomer's copy; these disks fit into one page.
+// copyFrom is one pass of a learner's copy; these disks fit into one page.
 func (w *modelWorld) copyFrom(i, j int) {
 	to, from := w.ownStore(i), w.ownStore(j)
 	set := to.acceptor.voterSet
@@ -219,7 +213,7 @@
 	for _, c := range from.Drain() {
 		page := c.(event.Sync).After[0].(event.Send).Msg.(PageResponse)
 		if !to.copier.HandlePage(page) {
-			w.violation = "a page was not taken"
+			w.violation = "a page was not awaited"
 		}
 		for _, record := range page.Records {
 			to.acceptor.MergeRecord(record)
@@ -229,8 +223,8 @@
 	w.completeIfDue(i)
 }
 
-// completeIfDue lets a newcomer vote, as its store does after each page; with
-// some planted mistakes sooner.
+// completeIfDue lets a learner vote once its copy is complete, as its store does after
+// each page; with some planted faults sooner.
 func (w *modelWorld) completeIfDue(i int) {
 	to := w.stores[i]
 	set := to.acceptor.voterSet
--- a/internal/state/consensus/model_rounds_test.go
+++ b/internal/state/consensus/model_rounds_test.go
@@ -6,8 +6,8 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// quorums are the groups of machines that a round may reach at once, where rounds
-// are one event; else each of their messages is an event of its own.
+// quorums returns the groups of machines that a whole round may reach. Where each message
+// is an event of its own, it is one group that stands for none.
 func (b modelBounds) quorums() [][]int {
 	if !b.wholeRounds {
 		return [][]int{nil}
@@ -15,7 +15,7 @@
 	return [][]int{{0, 1}, {0, 2}, {1, 2}}
 }
 
-// roundEvents gives the states that a round begun by store i leads to.
+// roundEvents adds the events that begin a round at machine i.
 func (w *modelWorld) roundEvents(b modelBounds, i int, reached []int, do func(func(*modelWorld))) {
 	s := w.stores[i]
 	a := s.acceptor
@@ -34,28 +34,29 @@
 	}
 }
 
+// report asks for the promotion of machine i's learner.
 func (w *modelWorld) report(i int) {
 	w.ownStore(i).reported = true
 	w.submit(i, OpPromoteLearner, PromoteLearnerRequest{ID: w.stores[i].acceptor.storeID})
 }
 
-// runRound lets a round of store i through to some machines, to its end; what it
-// asked of others is lost.
-func (w *modelWorld) runRound(i int, some []int, key ids.RegisterKey) {
-	if some == nil {
+// runRound delivers the requests of machine i's round to some machines until it ends; its
+// requests to the others are lost.
+func (w *modelWorld) runRound(i int, reached []int, key ids.RegisterKey) {
+	if reached == nil {
 		return
 	}
-	ours := func(p modelRequest) bool {
-		return p.from == i && p.store == w.stores[i].acceptor.storeID && keyOf(p.msg) == key && !p.beforeSearch
+	ofRound := func(r modelRequest) bool {
+		return r.from == i && r.store == w.stores[i].acceptor.storeID && keyOf(r.msg) == key && !r.beforeSearch
 	}
 	for {
-		at := slices.IndexFunc(w.inTransit, func(p modelRequest) bool { return ours(p) && slices.Contains(some, p.to) })
+		at := slices.IndexFunc(w.inTransit, func(r modelRequest) bool { return ofRound(r) && slices.Contains(reached, r.to) })
 		if at < 0 {
 			break
 		}
 		w.deliver(at)
 	}
-	w.inTransit = slices.DeleteFunc(w.inTransit, ours)
+	w.inTransit = slices.DeleteFunc(w.inTransit, ofRound)
 }
 
 func keyOf(msg any) ids.RegisterKey {
--- a/internal/state/consensus/model_search_test.go
+++ b/internal/state/consensus/model_search_test.go
@@ -9,19 +9,18 @@
 	"time"
 )
 
-// searchResult is what a search came to.
+// searchResult is what a search has visited and result.
 type searchResult struct {
 	states, repaired, depth int
 	violation               string
 }
 
-// search visits, level by level, every state that a number of events lead to,
-// each once.
+// search visits, breadth first, every state that b.depth events lead to, each once.
 func search(b modelBounds) searchResult {
-	found := searchResult{}
+	result := searchResult{}
 	seen := map[uint64]bool{}
 	level := []*modelWorld{initialModelState(b)}
-	for ; len(level) > 0 && found.depth <= b.depth; found.depth++ {
+	for ; len(level) > 0 && result.depth <= b.depth; result.depth++ {
 		results := make([]modelVisit, len(level))
 		var workers sync.WaitGroup
 		share := (len(level) + modelWorkers - 1) / modelWorkers
@@ -30,18 +29,18 @@
 			go func() {
 				defer workers.Done()
 				for i := from; i < min(from+share, len(level)); i++ {
-					results[i] = visit(level[i], b, found.depth)
+					results[i] = visit(level[i], b, result.depth)
 				}
 			}()
 		}
 		workers.Wait()
 		level = nil
 		for _, r := range results {
-			found.states++
-			found.repaired += r.repaired
+			result.states++
+			result.repaired += r.repaired
 			if r.violation != "" {
-				found.violation = r.violation
-				return found
+				result.violation = r.violation
+				return result
 			}
 			for i, n := range r.next {
 				if !seen[r.hashes[i]] {
@@ -51,16 +50,17 @@
 			}
 		}
 	}
-	return found
+	return result
 }
 
 const (
 	modelWorkers = 3
-	// settleEach: of the states that no loss has just led to, one in so many is
-	// let go on to its end.
+	// repairEach: one in so many of the states that no loss has just led to is repaired,
+	// to see that it can be.
 	repairEach = 16
 )
 
+// modelVisit is what the visit of one state has found.
 type modelVisit struct {
 	next      []*modelWorld
 	hashes    []uint64
@@ -68,7 +68,7 @@
 	violation string
 }
 
-// visit checks one state and gives those that follow.
+// visit checks one state and returns those that follow.
 func visit(w *modelWorld, b modelBounds, depth int) (v modelVisit) {
 	if v.violation = w.violation; v.violation != "" {
 		return v
@@ -89,23 +89,23 @@
 	return v
 }
 
-// isRepairable tells whether a majority of an agreed voter set still has its disks
-// with a complete copy.
+// isRepairable reports whether a quorum of some chosen voter set still has complete disks.
 func (w *modelWorld) isRepairable() bool {
-	have := map[uint64]bool{}
+	complete := map[uint64]bool{}
 	for _, s := range w.stores {
-		have[s.acceptor.storeID] = s.acceptor.DiskState() == Complete
+		complete[s.acceptor.storeID] = s.acceptor.DiskState() == Complete
 	}
 	for _, set := range w.sets {
-		if set.IsQuorum(have) {
+		if set.IsQuorum(complete) {
 			return true
 		}
 	}
 	return false
 }
 
-// repair lets everything happen that is under way, with no more losses. It ends
-// with three voters, and with every acknowledged change in the value, once.
+// repair lets all pending events happen, with no more losses, and returns what is violated
+// then: there must be three complete voters, and every acknowledged change must be in the
+// value, once.
 func (w *modelWorld) repair() string {
 	for range 40 {
 		if w.violation != "" {
@@ -116,15 +116,16 @@
 		}
 		w.repairStep()
 	}
-	return "not whole in the end"
+	return "not repaired in the end"
 }
 
+// repairStep does at each machine what its store would do next.
 func (w *modelWorld) repairStep() {
 	for len(w.inTransit) > 0 {
 		w.deliver(0)
 	}
 	for i := range w.stores {
-		// Its folder is set aside, as its successor can't run at its address.
+		// The folder of a replaced store is set aside, and it restarts as blank.
 		if w.stores[i].acceptor.DiskState() == Replaced {
 			w.wipe(i, true)
 		}
@@ -153,6 +154,7 @@
 	}
 }
 
+// isRepaired reports whether three complete voters use the newest voter set.
 func (w *modelWorld) isRepaired() bool {
 	set := w.sets[len(w.sets)-1]
 	for _, s := range w.stores {
@@ -164,9 +166,9 @@
 	return true
 }
 
-// checkAcknowledged adds a last change and looks for all that was acknowledged.
+// checkAcknowledged makes a last change and looks for all that was acknowledged before.
 func (w *modelWorld) checkAcknowledged() string {
-	acked := w.acknowledged
+	acknowledged := w.acknowledged
 	w.submitAppend(0, "z", "z")
 	for range 20 {
 		for len(w.inTransit) > 0 {
@@ -181,32 +183,32 @@
 		return w.violation
 	}
 	if !strings.Contains(w.acknowledged, "z") {
-		return "a whole voter set takes no change"
+		return "a repaired voter set takes no change"
 	}
 	_, value := w.stores[0].acceptor.AcceptedValue("x")
-	for _, token := range acked {
-		if strings.Count(string(value), string(token)) != 1 {
-			return "acknowledged " + acked + ", but the value is " + string(value)
+	for _, letter := range acknowledged {
+		if strings.Count(string(value), string(letter)) != 1 {
+			return "acknowledged " + acknowledged + ", but the value is " + string(value)
 		}
 	}
 	return ""
 }
 
-// deeper adds events to each search; CI adds none.
+// deeper adds events to the depth of each search. CI adds none.
 var deeper = flag.Int("deeper", 0, "how many more events the searches of the model go through")
 
-// The searches that CI makes. Rounds are one event in the first two, and every
-// message is in the third.
+// Whatever the order of losses, repairs and messages, no invariant is violated. Rounds are
+// one event in the first two searches, and every message is one in the third.
 func TestModel_AllOrdersOfLossesAndRepairs(t *testing.T) {
 	for name, b := range map[string]modelBounds{
-		"two losses":                   {depth: 7 + *deeper, wipes: 2, wholeRounds: true},
-		"a loss, and its disk is back": {depth: 6 + *deeper, wipes: 1, restores: 1, crashes: 1, wholeRounds: true},
-		"message by message":           {depth: 5 + *deeper, wipes: 2, crashes: 1, ticks: 1},
+		"two losses":                       {depth: 7 + *deeper, wipes: 2, wholeRounds: true},
+		"a loss, and its disk is restored": {depth: 6 + *deeper, wipes: 1, restores: 1, crashes: 1, wholeRounds: true},
+		"message by message":               {depth: 5 + *deeper, wipes: 2, crashes: 1, ticks: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			began := time.Now()
 			f := search(b)
-			t.Logf("%d states up to depth %d, %d of them let go on to the end, %v", f.states, b.depth, f.repaired, time.Since(began))
+			t.Logf("%d states up to depth %d, %d of them repaired, %v", f.states, b.depth, f.repaired, time.Since(began))
 			if f.violation != "" {
 				t.Fatal(f.violation)
 			}
@@ -214,13 +216,13 @@
 	}
 }
 
-// Each planted mistake is found.
+// Each planted fault is found.
 func TestModel_FindsPlantedMistakes(t *testing.T) {
 	for name, b := range map[string]modelBounds{
-		"votes before the last pass":   {depth: 9, wipes: 1, wholeRounds: true, fault: modelFault{completesEarly: true}},
-		"votes though blank":           {depth: 9, wipes: 1, wholeRounds: true, fault: modelFault{votesBlank: true}},
-		"blank disk with the old id":   {depth: 9, wipes: 2, wholeRounds: true, fault: modelFault{keepsID: true}},
-		"votes under lower voter sets": {depth: 9, wipes: 1, wholeRounds: true, fault: modelFault{votesUnderLowerSets: true}},
+		"completes before the last pass": {depth: 9, wipes: 1, wholeRounds: true, fault: modelFault{completesEarly: true}},
+		"votes though blank":             {depth: 9, wipes: 1, wholeRounds: true, fault: modelFault{votesBlank: true}},
+		"blank disk with the lost id":    {depth: 9, wipes: 2, wholeRounds: true, fault: modelFault{keepsID: true}},
+		"votes under lower voter sets":   {depth: 9, wipes: 1, wholeRounds: true, fault: modelFault{votesUnderLowerSets: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			began := time.Now()
--- a/internal/state/consensus/model_state_test.go
+++ b/internal/state/consensus/model_store_test.go
@@ -11,19 +11,19 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// The model: the real acceptors, proposers, copiers and voter set functions of
-// three machines. What a test chooses is the order of all that happens.
+// The model consists of the real acceptors, proposers, copiers and change functions of the
+// voter set on three machines. The search chooses the order of all events.
 //
-// A reply is handled as soon as it is given: a proposer answers only with
-// messages, which may be late by any time. Disks sync at once: an acceptor says
-// nothing before, so a loss before a sync is a message that never came.
+// An answer is handled as soon as it is given: a proposer reacts only by messages, which
+// may be delayed at will. Disks sync at once: an acceptor sends nothing before a sync, so a
+// loss before it is the same as a request that never arrived.
 
-// constantRandom always falls the same way, so that a proposer has no hidden state.
+// constantRandom is a random source without hidden state.
 type constantRandom struct{}
 
 func (constantRandom) Uint64() uint64 { return 0x9e3779b97f4a7c15 }
 
-// modelStore is one store.
+// modelStore is one store, with the progress of its machine in the search.
 type modelStore struct {
 	event.Outbox
 	disk      memoryDisk
@@ -52,7 +52,7 @@
 	return ops
 }
 
-// clone copies a store; values are never changed in place and are shared.
+// clone copies a store. Values are shared, as they are never changed in place.
 func (s *modelStore) clone() *modelStore {
 	c := &modelStore{disk: maps.Clone(s.disk), run: s.run, now: s.now, ticks: s.ticks, joined: s.joined, reported: s.reported}
 	a := *s.acceptor
@@ -65,8 +65,7 @@
 	}
 	c.acceptor = &a
 	p := *s.proposer
-	p.out, p.voterSet = &c.Outbox, a.VoterSet
-	p.voterSet = c.acceptor.VoterSet
+	p.out, p.voterSet = &c.Outbox, c.acceptor.VoterSet
 	p.promisedBallots, p.cachedValues = maps.Clone(p.promisedBallots), maps.Clone(p.cachedValues)
 	p.promisedOrder = slices.Clone(p.promisedOrder)
 	p.rounds = map[ids.RegisterKey]*round{}
@@ -109,67 +108,82 @@
 	return &c
 }
 
-// hash sums up all of a store that may matter to what it does later.
+// stateEncoder encodes what may matter to a store's later behaviour.
+type stateEncoder struct{ out []byte }
+
+func (e *stateEncoder) numbers(list ...uint64) {
+	for _, n := range list {
+		e.out = binary.BigEndian.AppendUint64(e.out, n)
+	}
+}
+
+func (e *stateEncoder) text(t []byte) {
+	e.numbers(uint64(len(t)))
+	e.out = append(e.out, t...)
+}
+
+func (e *stateEncoder) flags(list ...bool) {
+	for _, flag := range list {
+		e.numbers(map[bool]uint64{true: 1}[flag])
+	}
+}
+
+func (e *stateEncoder) ballot(b ids.Ballot) { e.numbers(b.Counter, b.Proposer) }
+
+// hash identifies the state of a store.
 func (s *modelStore) hash() uint64 {
 	if s.hashCache != 0 {
 		return s.hashCache
 	}
-	var b []byte
-	number := func(list ...uint64) {
-		for _, n := range list {
-			b = binary.BigEndian.AppendUint64(b, n)
-		}
-	}
-	text := func(t []byte) { number(uint64(len(t))); b = append(b, t...) }
-	truth := func(list ...bool) {
-		for _, t := range list {
-			number(map[bool]uint64{true: 1}[t])
-		}
-	}
-	ballot := func(x ids.Ballot) { number(x.Counter, x.Proposer) }
-	for _, k := range slices.Sorted(maps.Keys(s.disk)) {
-		text([]byte(k))
-		text(s.disk[k])
+	e := &stateEncoder{}
+	for _, key := range slices.Sorted(maps.Keys(s.disk)) {
+		e.text([]byte(key))
+		e.text(s.disk[key])
 	}
 	a, p := s.acceptor, s.proposer
-	number(a.storeID, a.voterSet.Number, uint64(a.diskState.State), a.changes.total(), s.run, uint64(s.ticks), p.highestCounter, p.lastRoundID)
-	truth(s.joined, s.reported)
-	for _, k := range slices.Sorted(maps.Keys(p.promisedBallots)) {
-		text([]byte(k))
-		ballot(p.promisedBallots[k].ballot)
+	e.numbers(a.storeID, a.voterSet.Number, uint64(a.diskState.State), a.changes.total(), s.run, uint64(s.ticks), p.highestCounter, p.lastRoundID)
+	e.flags(s.joined, s.reported)
+	e.proposer(p)
+	for _, id := range slices.Sorted(maps.Keys(s.copier.sources)) {
+		source := s.copier.sources[id]
+		e.numbers(id, source.passVoterSet, source.runID, source.changeCount, source.lastPassVoterSet)
+		e.flags(source.passRunning, source.fullPassDone)
 	}
-	for _, k := range slices.Sorted(maps.Keys(p.cachedValues)) {
-		text([]byte(k))
-		ballot(p.cachedValues[k].ballot)
+	h := fnv.New64a()
+	_, _ = h.Write(e.out) // a hash never fails
+	s.hashCache = h.Sum64() | 1
+	return s.hashCache
+}
+
+// proposer encodes a proposer's caches and rounds.
+func (e *stateEncoder) proposer(p *Proposer) {
+	for _, key := range slices.Sorted(maps.Keys(p.promisedBallots)) {
+		e.text([]byte(key))
+		e.ballot(p.promisedBallots[key].ballot)
 	}
-	for _, k := range slices.Sorted(maps.Keys(p.chosen)) {
-		text([]byte(k))
-		ballot(p.chosen[k].ballot)
-		truth(p.mustRewrite[k])
-		number(uint64(len(p.catchUpSentAt[k])))
+	for _, key := range slices.Sorted(maps.Keys(p.cachedValues)) {
+		e.text([]byte(key))
+		e.ballot(p.cachedValues[key].ballot)
 	}
-	for _, k := range slices.Sorted(maps.Keys(p.rounds)) {
-		r := p.rounds[k]
-		text([]byte(k))
-		number(uint64(r.phase), r.id, r.minCounter, uint64(len(r.queued)), uint64(len(r.batch)))
-		ballot(r.ballot)
-		ballot(r.nextBallot)
-		text(r.value)
+	for _, key := range slices.Sorted(maps.Keys(p.chosen)) {
+		e.text([]byte(key))
+		e.ballot(p.chosen[key].ballot)
+		e.flags(p.mustRewrite[key])
+		e.numbers(uint64(len(p.catchUpSentAt[key])))
+	}
+	for _, key := range slices.Sorted(maps.Keys(p.rounds)) {
+		r := p.rounds[key]
+		e.text([]byte(key))
+		e.numbers(uint64(r.phase), r.id, r.minCounter, uint64(len(r.queued)), uint64(len(r.batch)))
+		e.ballot(r.ballot)
+		e.ballot(r.nextBallot)
+		e.text(r.value)
 		for _, id := range slices.Sorted(maps.Keys(r.promises)) {
-			number(id)
-			ballot(r.promises[id].Accepted)
+			e.numbers(id)
+			e.ballot(r.promises[id].Accepted)
 		}
 		for _, id := range slices.Sorted(maps.Keys(r.votes)) {
-			number(id)
+			e.numbers(id)
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(s.copier.sources)) {
-		c := s.copier.sources[id]
-		number(id, c.passVoterSet, c.runID, c.changeCount, c.lastPassVoterSet)
-		truth(c.passRunning, c.fullPassDone)
-	}
-	h := fnv.New64a()
-	h.Write(b)
-	s.hashCache = h.Sum64() | 1
-	return s.hashCache
 }
--- a/internal/state/consensus/model_chosen_test.go
+++ b/internal/state/consensus/model_votes_test.go
@@ -6,15 +6,15 @@
 	"strings"
 )
 
-// recordVote records a vote, and checks each value that is chosen by it.
+// recordVote records a vote, and checks the value if it is chosen by it.
 func (w *modelWorld) recordVote(by *modelStore, m Accept) {
 	set := by.acceptor.voterSet
 	at := slices.IndexFunc(w.votes, func(v modelVote) bool {
-		return v.key == m.Key && v.ballot == m.Ballot && v.number == m.VoterSetNumber
+		return v.key == m.Key && v.ballot == m.Ballot && v.voterSetNumber == m.VoterSetNumber
 	})
 	if at < 0 {
 		at = len(w.votes)
-		w.votes = append(w.votes, modelVote{key: m.Key, ballot: m.Ballot, number: m.VoterSetNumber, voters: set.Voters, value: string(m.Value)})
+		w.votes = append(w.votes, modelVote{key: m.Key, ballot: m.Ballot, voterSetNumber: m.VoterSetNumber, voters: set.Voters, value: string(m.Value)})
 	}
 	v := &w.votes[at]
 	if v.value != string(m.Value) {
@@ -24,18 +24,18 @@
 		v.stores = append(slices.Clone(v.stores), by.acceptor.storeID)
 		slices.Sort(v.stores)
 	}
-	yes := map[uint64]bool{}
+	accepted := map[uint64]bool{}
 	for _, id := range v.stores {
-		yes[id] = true
+		accepted[id] = true
 	}
-	if !v.chosen && (VoterSet{Voters: v.voters}).IsQuorum(yes) {
+	if !v.chosen && (VoterSet{Voters: v.voters}).IsQuorum(accepted) {
 		v.chosen = true
 		w.checkChosen(*v)
 	}
 }
 
-// checkChosen: of two chosen values the one of the lower ballot must be what the
-// other was made from.
+// checkChosen checks that of two chosen values the one of the higher ballot was made from
+// the other.
 func (w *modelWorld) checkChosen(c modelVote) {
 	for _, v := range w.votes {
 		low, high := v, c
--- a/internal/state/consensus/model_world_test.go
+++ b/internal/state/consensus/model_world_test.go
@@ -9,38 +9,41 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// modelRequest is a question on its way; it may come late, or never.
+// modelRequest is a request in transit between machines; it may arrive late, or never.
 type modelRequest struct {
 	from, to int
-	// run is the store and run that asked: an answer to an earlier one is lost.
+	// store and run are those that sent it: an answer to an earlier run is lost.
 	store, run uint64
 	msg        any
 	hash       uint64
-	// old: it was sent before the search began, and stays on its way.
+	// beforeSearch: it was sent before the search began, and stays in transit.
 	beforeSearch bool
 }
 
-// modelVote records who took a value, and under which voter set.
+// modelVote is the value of a ballot, and who accepted it under which voter set.
 type modelVote struct {
-	key    ids.RegisterKey
-	ballot ids.Ballot
-	number uint64
-	voters []Voter
-	value  string
-	stores []uint64
-	chosen bool
+	key            ids.RegisterKey
+	ballot         ids.Ballot
+	voterSetNumber uint64
+	voters         []Voter
+	value          string
+	stores         []uint64
+	chosen         bool
 }
 
-// modelWorld is everything at one moment. States share what didn't change.
+// modelWorld is one state of the model: three machines, the requests between them, and
+// what was chosen so far. States share the stores that didn't change.
 type modelWorld struct {
 	stores    [3]*modelStore
 	inTransit []modelRequest
 	votes     []modelVote
-	// sets are the voter sets agreed on so far, in order of their numbers.
-	sets         []VoterSet
+	// sets are the voter sets chosen so far, in order of their numbers.
+	sets []VoterSet
+	// acknowledged are the letters whose append was acknowledged.
 	acknowledged string
-	lastID       uint64
-	// lostDisk is the disk that a machine lost first, for one that is put back.
+	// lastID is the id that was last given to a disk.
+	lastID uint64
+	// lostDisk is the disk that was lost first, nil for none or once it is restored.
 	lostDisk    memoryDisk
 	lostID      uint64
 	lostMachine int
@@ -48,84 +51,89 @@
 	wipes       int
 	crashes     int
 	restores    int
-	violation   string
-	fault       modelFault
-	// lastWasLoss tells that the last event was a loss.
+	// violation says which invariant is violated, empty for none.
+	violation string
+	fault     modelFault
+	// lastWasLoss says that the last event lost something.
 	lastWasLoss     bool
 	secondWriteSent bool
 }
 
-// modelFault is a mistake planted on purpose.
+// modelFault is a fault that is planted on purpose.
 type modelFault struct {
-	// votesEarly: a newcomer counts as complete after its first pass, whatever
-	// voter set its source went by.
+	// completesEarly: a learner's copy counts as complete after a pass that began under
+	// the voter set before.
 	completesEarly bool
-	// votesBlank: a store that is in the voter set votes, copied or not.
+	// votesBlank: a voter votes whether or not its copy is complete.
 	votesBlank bool
-	// keepsID: a wiped store goes by the id of the one that was lost.
+	// keepsID: a wiped store keeps the id of its lost disk.
 	keepsID bool
-	// noSeal: acceptors go on voting under lower voter sets.
+	// votesUnderLowerSets: acceptors go on voting under lower voter sets.
 	votesUnderLowerSets bool
-	// replacedVotes: a disk that was replaced counts as complete again.
+	// replacedVotes: a disk that was replaced counts as complete after a restart.
 	replacedVotes bool
 }
 
+// ownStore replaces machine i's store by a copy that this state may change.
 func (w *modelWorld) ownStore(i int) *modelStore {
 	c := w.stores[i].clone()
 	w.stores[i] = c
 	return c
 }
 
+// copy returns a state that shares the stores.
 func (w modelWorld) copy() *modelWorld {
 	w.inTransit, w.votes, w.sets = slices.Clone(w.inTransit), slices.Clone(w.votes), slices.Clone(w.sets)
 	return &w
 }
 
+// hash identifies a state; requests and votes count in any order.
 func (w *modelWorld) hash() uint64 {
 	h := fnv.New64a()
 	fmt.Fprint(h, w.stores[0].hash(), " ", w.stores[1].hash(), " ", w.stores[2].hash(), w.wipes, w.crashes, w.restores, w.acknowledged, w.lastID, w.secondWriteSent)
 	sum := h.Sum64()
-	for _, p := range w.inTransit {
-		sum += p.hash
+	for _, request := range w.inTransit {
+		sum += request.hash
 	}
 	for _, v := range w.votes {
-		x := fnv.New64a()
-		fmt.Fprint(x, v.key, v.ballot, v.number, v.stores)
-		sum += x.Sum64() * 31
+		vote := fnv.New64a()
+		fmt.Fprint(vote, v.key, v.ballot, v.voterSetNumber, v.stores)
+		sum += vote.Sum64() * 31
 	}
 	return sum
 }
 
-// run carries out what store i wants, to the end.
+// run carries out the commands of machine i's store until none is left.
 func (w *modelWorld) run(i int) {
 	s := w.stores[i]
-	list := s.Drain()
-	for len(list) > 0 {
-		c := list[0]
-		list = list[1:]
-		switch c := c.(type) {
+	commands := s.Drain()
+	for len(commands) > 0 {
+		command := commands[0]
+		commands = commands[1:]
+		switch c := command.(type) {
 		case event.Sync:
 			s.disk.write(c.Records)
 			s.acceptor.Synced(c.Batch)
-			list = append(slices.Clone(c.After), list...)
+			commands = slices.Concat(c.After, commands)
 		case event.Send:
 			w.handleSend(i, c)
-			list = append(list, s.Drain()...)
+			commands = append(commands, s.Drain()...)
 		}
 	}
 }
 
+// handleSend puts a request in transit, and takes a response to the store's own request.
 func (w *modelWorld) handleSend(i int, c event.Send) {
 	s := w.stores[i]
 	switch m := c.Msg.(type) {
 	case Prepare, Accept:
 		to := slices.Index(addresses, c.To)
-		p := modelRequest{from: i, to: to, store: s.acceptor.storeID, run: s.run, msg: m}
+		request := modelRequest{from: i, to: to, store: s.acceptor.storeID, run: s.run, msg: m}
 		h := fnv.New64a()
-		fmt.Fprint(h, p.from, p.to, p.store, p.run, p.msg)
-		p.hash = h.Sum64()
-		if !slices.ContainsFunc(w.inTransit, func(q modelRequest) bool { return q.hash == p.hash }) {
-			w.inTransit = append(w.inTransit, p)
+		fmt.Fprint(h, request.from, request.to, request.store, request.run, request.msg)
+		request.hash = h.Sum64()
+		if !slices.ContainsFunc(w.inTransit, func(r modelRequest) bool { return r.hash == request.hash }) {
+			w.inTransit = append(w.inTransit, request)
 		}
 	case Response:
 		if m.Outcome != Succeeded {
@@ -141,7 +149,7 @@
 	}
 }
 
-// adopt is what a store does with a higher voter set.
+// adopt does as a store does with a voter set that it learns of.
 func (w *modelWorld) adopt(i int, set VoterSet) {
 	s := w.stores[i]
 	if set.Number == uint64(len(w.sets))+1 {
@@ -156,34 +164,34 @@
 	}
 }
 
-// deliver hands a packet over, and the answer back to whoever asked.
+// deliver hands over the n-th request in transit, and its answer to the sender.
 func (w *modelWorld) deliver(n int) {
-	p := w.inTransit[n]
+	request := w.inTransit[n]
 	w.inTransit = slices.Delete(w.inTransit, n, n+1)
-	s := w.ownStore(p.to)
+	s := w.ownStore(request.to)
 	if w.fault.votesUnderLowerSets {
 		defer func(set VoterSet) { s.acceptor.voterSet = set }(s.acceptor.voterSet)
-		if number := askedUnder(p.msg); number < s.acceptor.voterSet.Number && number > 0 {
+		if number := voterSetNumberOf(request.msg); number < s.acceptor.voterSet.Number && number > 0 {
 			s.acceptor.voterSet = w.sets[number-1]
 		}
 	}
-	switch m := p.msg.(type) {
+	switch m := request.msg.(type) {
 	case Prepare:
-		s.acceptor.HandlePrepare(addresses[p.from], m)
+		s.acceptor.HandlePrepare(addresses[request.from], m)
 	case Accept:
-		s.acceptor.HandleAccept(addresses[p.from], m)
+		s.acceptor.HandleAccept(addresses[request.from], m)
 	}
 	for _, c := range s.Drain() {
-		y := c.(event.Sync)
-		s.disk.write(y.Records)
-		s.acceptor.Synced(y.Batch)
-		for _, then := range y.After {
-			w.answer(p, s, then.(event.Send).Msg)
+		sync := c.(event.Sync)
+		s.disk.write(sync.Records)
+		s.acceptor.Synced(sync.Batch)
+		for _, after := range sync.After {
+			w.answer(request, s, after.(event.Send).Msg)
 		}
 	}
 }
 
-func askedUnder(msg any) uint64 {
+func voterSetNumberOf(msg any) uint64 {
 	switch m := msg.(type) {
 	case Prepare:
 		return m.VoterSetNumber
@@ -193,24 +201,25 @@
 	return 0
 }
 
-func (w *modelWorld) answer(p modelRequest, by *modelStore, msg any) {
+// answer hands an answer to the proposer that sent the request, unless its run has ended.
+func (w *modelWorld) answer(request modelRequest, by *modelStore, msg any) {
 	if m, ok := msg.(Accepted); ok && m.OK {
-		w.recordVote(by, p.msg.(Accept))
+		w.recordVote(by, request.msg.(Accept))
 	}
-	q := w.stores[p.from]
-	if q.acceptor.storeID != p.store || q.run != p.run {
+	sender := w.stores[request.from]
+	if sender.acceptor.storeID != request.store || sender.run != request.run {
 		return
 	}
-	if by != q {
-		q = w.ownStore(p.from)
+	if by != sender {
+		sender = w.ownStore(request.from)
 	}
 	switch m := msg.(type) {
 	case Promise:
-		q.proposer.HandlePromise(q.now, m)
+		sender.proposer.HandlePromise(sender.now, m)
 	case Accepted:
-		q.proposer.HandleAccepted(q.now, m)
+		sender.proposer.HandleAccepted(sender.now, m)
 	default:
-		return // news of a voter set; adoptions are chosen by themselves
+		return // a VoterSetUpdate; adoptions are events of their own
 	}
-	w.run(p.from)
+	w.run(request.from)
 }
