--- a/internal/state/consensus/acceptor.go
+++ b/internal/state/consensus/acceptor.go
@@ -7,7 +7,7 @@
 )
 
 // Acceptor is the acceptor of one store. It answers a request only after the state that
-// the answer speaks of is on disk.
+// the answer reports is on disk.
 type Acceptor struct {
 	out     *event.Outbox
 	storage Storage
@@ -74,7 +74,7 @@
 }
 
 // abstains reports whether this acceptor takes no part in a request under a voter set.
-// The sender of a request under a lower one is told of the voter set in force.
+// The sender of a request under a lower one is sent the voter set in force.
 func (a *Acceptor) abstains(from ids.Address, voterSetNumber uint64) bool {
 	if voterSetNumber < a.voterSet.Number {
 		a.AfterSync(event.Send{To: from, Msg: VoterSetUpdate{a.voterSet}})
--- a/internal/state/consensus/acceptor_storage.go
+++ b/internal/state/consensus/acceptor_storage.go
@@ -70,7 +70,7 @@
 }
 
 // AfterSync carries out a command once all that was written so far is on disk, as the
-// command may speak of it.
+// command may reveal it.
 func (a *Acceptor) AfterSync(c event.Command) {
 	a.lastBatch++
 	a.out.Emit(event.Sync{Batch: a.lastBatch, After: []event.Command{c}})
--- a/internal/state/consensus/acceptor_test.go
+++ b/internal/state/consensus/acceptor_test.go
@@ -24,7 +24,7 @@
 	sync := restarted.Drain()[0].(event.Sync)
 	is.Equal(len(sync.Records), 0)
 	is.Equal(sync.After[0].(event.Send).Msg.(Accepted).OK, false)
-	// A proposer under a lower voter set has no say at all: it is told of the higher one.
+	// A request under a lower voter set is not voted on: its sender gets the higher one.
 	restarted.AdoptVoterSet(VoterSet{Number: 2, Voters: []Voter{{2, "b"}}})
 	restarted.Drain()
 	restarted.HandleAccept("c", Accept{Key: "x", Ballot: ids.Ballot{Counter: 9, Proposer: 3}, VoterSetNumber: 1})
--- a/internal/state/consensus/bootstrap.go
+++ b/internal/state/consensus/bootstrap.go
@@ -66,6 +66,12 @@
 	ExistingCluster string
 }
 
+// Reasons of a Rejection. Operators see them at the proposing store.
+const (
+	rejectedForHigherRound = "a later founding was promised"
+	rejectedForLostDisks   = "too many disks of an earlier founding are lost"
+)
+
 var _ = wire.Register(29, Hello{}) && wire.Register(30, Bootstrap{}) &&
 	wire.Register(31, ConfigurationQuery{}) && wire.Register(32, ConfigurationReply{}) &&
 	wire.Register(36, BootstrapRequest{}) && wire.Register(37, BootstrapResponse{}) &&
@@ -79,11 +85,11 @@
 		return r, ""
 	}
 	if request.Round <= r.Round {
-		return r, "a later founding was promised"
+		return r, rejectedForHigherRound
 	}
 	for _, earlier := range r.PromisedVoterSets {
 		if !earlier.IsQuorum(request.VoterSet.voterIDs()) {
-			return r, "too many disks of an earlier founding are lost"
+			return r, rejectedForLostDisks
 		}
 	}
 	r.Round = request.Round
--- a/internal/state/consensus/check_disk.go
+++ b/internal/state/consensus/check_disk.go
@@ -33,7 +33,7 @@
 	}
 	if raw, ok := disk.Get(diskStateKey); ok {
 		if _, ok := decodeMessage[diskStateRecord](raw); !ok {
-			return errs.Wrap(ErrDamaged, "read standing", diskStateKey)
+			return errs.Wrap(ErrDamaged, "read disk state", diskStateKey)
 		}
 	}
 	bases := map[ids.RegisterKey]bool{}
--- a/internal/state/consensus/check_disk_test.go
+++ b/internal/state/consensus/check_disk_test.go
@@ -48,24 +48,32 @@
 			"flipped":      func(d memoryDisk) { d[key] = flipByte(raw, len(raw)/2) },
 			"newer format": func(d memoryDisk) { d[key] = flipByte(raw, 4) },
 		} {
-			disk := maps.Clone(whole)
-			damage(disk)
 			// Without its last change the disk looks as it did before that change.
 			if last := changeKey("policy", 3); name == "missing" && key == last {
 				continue
 			}
-			if err := CheckDisk(disk); err == nil {
-				t.Errorf("%s %s: not found", key, name)
-			}
-			damaged := newTestAcceptor(1, disk)
-			log, ok := damaged.Drain()[0].(event.LogEntry)
-			is.True(ok && log.Level == event.LevelError && log.Event == EventRegisterUnreadable)
-			damaged.HandlePrepare("a", Prepare{Key: "policy", Ballot: ids.Ballot{Counter: 1 << 50}, VoterSetNumber: 1})
-			is.Equal(len(damaged.Drain()), 0)
+			t.Run(string(key)+" "+name, func(t *testing.T) {
+				disk := maps.Clone(whole)
+				damage(disk)
+				checkDamageIsFound(t, disk)
+			})
 		}
 	}
 }
 
+func checkDamageIsFound(t *testing.T, disk memoryDisk) {
+	t.Helper()
+	is := is.New(t)
+	if err := CheckDisk(disk); err == nil {
+		t.Error("not found")
+	}
+	damaged := newTestAcceptor(1, disk)
+	log, ok := damaged.Drain()[0].(event.LogEntry)
+	is.True(ok && log.Level == event.LevelError && log.Event == EventRegisterUnreadable)
+	damaged.HandlePrepare("a", Prepare{Key: "policy", Ballot: ids.Ballot{Counter: 1 << 50}, VoterSetNumber: 1})
+	is.Equal(len(damaged.Drain()), 0)
+}
+
 // A caller can tell the causes of damage apart.
 func TestCheckDisk_WrapsTheCause(t *testing.T) {
 	whole := memoryDisk{}
--- a/internal/state/consensus/client.go
+++ b/internal/state/consensus/client.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// Tick makes further attempts, and ends calls at their deadline. It is to be called every
-// few milliseconds.
+// Tick makes further attempts, and ends calls at their deadline. It is to be called several
+// times in each attemptTimeout.
 func (c *Client) Tick(now ids.Time) {
 	for _, id := range slices.Sorted(maps.Keys(c.pending)) {
 		call := c.pending[id]
--- a/internal/state/consensus/doc.go
+++ b/internal/state/consensus/doc.go
@@ -18,9 +18,11 @@
 // Invariants:
 //
 //   - A ballot stands for one value of one register for ever. NewProposer therefore
-//     requires a proposer id that no other run has used (Paxos Made Simple, 2.2).
+//     requires a proposer id that no other run has used (Lamport, Paxos Made Simple:
+//     proposers choose their numbers from disjoint sets).
 //   - An acceptor sends a promise or a vote only after the state behind it is on
-//     disk, and never votes below a ballot that it promised (CASPaxos, section 2).
+//     disk, and never votes below a ballot that it promised (the acceptor's rule of
+//     Paxos and CASPaxos).
 //   - Two quorums of one voter set intersect. While a voter set is joint, a quorum
 //     needs a majority of both sides (Raft's joint consensus, thesis section 4.3).
 //   - A store votes under the highest voter set that it knows, and only once its disk
--- a/internal/state/consensus/messages.go
+++ b/internal/state/consensus/messages.go
@@ -39,7 +39,8 @@
 }
 
 // Accept asks an acceptor to accept a value, and to promise NextBallot along with it,
-// so that the proposer's next change needs no prepare phase (CASPaxos, section 2.2.1).
+// so that the proposer's next change needs no prepare phase (the one-round-trip
+// optimization of CASPaxos).
 type Accept struct {
 	Key        ids.RegisterKey
 	Ballot     ids.Ballot
@@ -110,8 +111,8 @@
 	Arg []byte
 	// TimeoutMillis is how long the client will wait for the answer, in milliseconds.
 	TimeoutMillis uint32
-	// Attempt counts the times that the request was sent, from 1 on. A Response speaks
-	// for its attempt alone.
+	// Attempt counts the times that the request was sent, from 1 on. A Response answers
+	// its attempt alone.
 	Attempt uint32
 	// HaveChecksum is the Checksum of the value that the client holds, 0 for none. A
 	// read that finds the same value leaves it out of the Response.
--- a/internal/state/consensus/pages.go
+++ b/internal/state/consensus/pages.go
@@ -58,7 +58,7 @@
 )
 
 // HandlePageRequest sends a page to a learner under the same voter set. A learner under
-// a lower one is told of the voter set in force, one under a higher one is ignored.
+// a lower one is sent the voter set in force, one under a higher one is ignored.
 func (a *Acceptor) HandlePageRequest(from ids.Address, m PageRequest) {
 	if m.VoterSetNumber != a.voterSet.Number {
 		if m.VoterSetNumber < a.voterSet.Number {
--- a/internal/state/consensus/proposer.go
+++ b/internal/state/consensus/proposer.go
@@ -43,7 +43,7 @@
 
 const (
 	// resendTimeout is how long a round waits for answers before it repeats a small
-	// message. Stores answer within some milliseconds unless a message was lost.
+	// message. It is longer than a round trip, so that repetitions are rare.
 	resendTimeout = 100 * time.Millisecond
 	// replicationGrace is how long a chosen value waits for the votes beyond the quorum,
 	// so that usually every reachable store holds it before the client is answered.
@@ -91,7 +91,7 @@
 }
 
 // Tick repeats messages, ends requests that are past their deadline, and begins rounds
-// whose backoff is over. It is to be called every few milliseconds.
+// whose backoff is over. It is to be called many times in each resendTimeout.
 func (p *Proposer) Tick(now ids.Time) {
 	for _, key := range slices.Sorted(maps.Keys(p.rounds)) {
 		r := p.rounds[key]
--- a/internal/state/consensus/retry.go
+++ b/internal/state/consensus/retry.go
@@ -10,12 +10,11 @@
 const (
 	// minBackoff is the least time that a proposer leaves a register alone.
 	minBackoff = 5 * time.Millisecond
-	// initialBackoff bounds the first backoff where stores are close to one another. It
-	// covers some round trips within a region.
+	// initialBackoff bounds the first backoff where stores are close to one another.
 	initialBackoff = 20 * time.Millisecond
 	// maxBackoff bounds every backoff.
 	maxBackoff = time.Second
-	// maxBackoffDoublings bounds the exponent, so that the shift can't overflow.
+	// maxBackoffDoublings bounds the exponent of the backoff.
 	maxBackoffDoublings = 5
 )
 
