--- a/internal/state/consensus/model_world_test.go
+++ b/internal/state/consensus/model_world_test.go
@@ -9,123 +9,131 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// modelPacket is a question on its way; it may come late, or never.
-type modelPacket struct {
+// modelRequest is a request in transit between machines; it may arrive late, or never.
+type modelRequest struct {
 	from, to int
-	// run is the store and run that asked: an answer to an earlier one is lost.
+	// store and run are those that sent it: an answer to an earlier run is lost.
 	store, run uint64
 	msg        any
 	hash       uint64
-	// old: it was sent before the search began, and stays on its way.
-	old bool
+	// beforeSearch: it was sent before the search began, and stays in transit.
+	beforeSearch bool
 }
 
-// modelVote records who took a value, and under which voter set.
+// modelVote is the value of a ballot, and who accepted it under which voter set.
 type modelVote struct {
-	key    ids.RegisterKey
-	ballot ids.Ballot
-	number uint64
-	voters []Voter
-	value  string
-	by     []uint64
-	chosen bool
+	key            ids.RegisterKey
+	ballot         ids.Ballot
+	voterSetNumber uint64
+	voters         []Voter
+	value          string
+	stores         []uint64
+	chosen         bool
 }
 
-// modelState is everything at one moment. States share what didn't change.
-type modelState struct {
-	stores [3]*modelStore
-	net    []modelPacket
-	votes  []modelVote
-	// sets are the voter sets agreed on so far, in order of their numbers.
-	sets   []VoterSet
-	acked  string
+// modelWorld is one state of the model: three machines, the requests between them, and
+// what was chosen so far. States share the stores that didn't change.
+type modelWorld struct {
+	stores    [3]*modelStore
+	inTransit []modelRequest
+	votes     []modelVote
+	// sets are the voter sets chosen so far, in order of their numbers.
+	sets []VoterSet
+	// acknowledged are the letters whose append was acknowledged.
+	acknowledged string
+	// lastID is the id that was last given to a disk.
 	lastID uint64
-	// old is the disk that a machine lost first, for one that is put back.
-	old     modelDisk
-	oldID   uint64
-	oldAt   int
-	oldRun  uint64
-	wipes   int
-	crashes int
-	backs   int
-	wrong   string
-	fault   modelFault
-	// lossCame tells that the last event was a loss.
-	lossCame bool
-	wroteQ   bool
+	// lostDisk is the disk that was lost first, nil for none or once it is restored.
+	lostDisk    memoryDisk
+	lostID      uint64
+	lostMachine int
+	lostRun     uint64
+	wipes       int
+	crashes     int
+	restores    int
+	// violation says which invariant is violated, empty for none.
+	violation string
+	fault     modelFault
+	// lastWasLoss says that the last event lost something.
+	lastWasLoss     bool
+	secondWriteSent bool
 }
 
-// modelFault is a mistake planted on purpose.
+// modelFault is a fault that is planted on purpose.
 type modelFault struct {
-	// votesEarly: a newcomer counts as complete after its first pass, whatever
-	// voter set its source went by.
-	votesEarly bool
-	// votesBlank: a store that is in the voter set votes, copied or not.
+	// completesEarly: a learner's copy counts as complete after a pass that began under
+	// the voter set before.
+	completesEarly bool
+	// votesBlank: a voter votes whether or not its copy is complete.
 	votesBlank bool
-	// keepsID: a wiped store goes by the id of the one that was lost.
+	// keepsID: a wiped store keeps the id of its lost disk.
 	keepsID bool
-	// noSeal: acceptors go on voting under lower voter sets.
-	noSeal bool
-	// replacedVotes: a disk that was replaced counts as complete again.
+	// votesUnderLowerSets: acceptors go on voting under lower voter sets.
+	votesUnderLowerSets bool
+	// replacedVotes: a disk that was replaced counts as complete after a restart.
 	replacedVotes bool
 }
 
-func (w *modelState) touch(i int) *modelStore {
+// ownStore replaces machine i's store by a copy that this state may change.
+func (w *modelWorld) ownStore(i int) *modelStore {
 	c := w.stores[i].clone()
 	w.stores[i] = c
 	return c
 }
 
-func (w modelState) copy() *modelState {
-	w.net, w.votes, w.sets = slices.Clone(w.net), slices.Clone(w.votes), slices.Clone(w.sets)
+// copy returns a state that shares the stores.
+func (w modelWorld) copy() *modelWorld {
+	w.inTransit, w.votes, w.sets = slices.Clone(w.inTransit), slices.Clone(w.votes), slices.Clone(w.sets)
 	return &w
 }
 
-func (w *modelState) hash() uint64 {
+// hash identifies a state; requests and votes count in any order.
+func (w *modelWorld) hash() uint64 {
 	h := fnv.New64a()
-	fmt.Fprint(h, w.stores[0].hash(), " ", w.stores[1].hash(), " ", w.stores[2].hash(), w.wipes, w.crashes, w.backs, w.acked, w.lastID, w.wroteQ)
+	fmt.Fprint(h, w.stores[0].hash(), " ", w.stores[1].hash(), " ", w.stores[2].hash(), w.wipes, w.crashes, w.restores, w.acknowledged, w.lastID, w.secondWriteSent)
 	sum := h.Sum64()
-	for _, p := range w.net {
-		sum += p.hash
+	for _, request := range w.inTransit {
+		sum += request.hash
 	}
 	for _, v := range w.votes {
-		x := fnv.New64a()
-		fmt.Fprint(x, v.key, v.ballot, v.number, v.by)
-		sum += x.Sum64() * 31
+		vote := fnv.New64a()
+		fmt.Fprint(vote, v.key, v.ballot, v.voterSetNumber, v.stores)
+		sum += vote.Sum64() * 31
 	}
 	return sum
 }
 
-// run carries out what store i wants, to the end.
-func (w *modelState) run(i int) {
+// run carries out the commands of machine i's store until none is left.
+func (w *modelWorld) run(i int) {
 	s := w.stores[i]
-	list := s.Drain()
-	for len(list) > 0 {
-		c := list[0]
-		list = list[1:]
-		switch c := c.(type) {
+	commands := s.Drain()
+	for len(commands) > 0 {
+		command := commands[0]
+		commands = commands[1:]
+		switch c := command.(type) {
 		case event.Sync:
 			s.disk.write(c.Records)
 			s.acceptor.Synced(c.Batch)
-			list = append(slices.Clone(c.After), list...)
+			commands = slices.Concat(c.After, commands)
 		case event.Send:
-			w.sent(i, c)
-			list = append(list, s.Drain()...)
+			w.handleSend(i, c)
+			commands = append(commands, s.Drain()...)
 		}
 	}
 }
 
-func (w *modelState) sent(i int, c event.Send) {
+// handleSend puts a request in transit, and takes a response to the store's own request.
+func (w *modelWorld) handleSend(i int, c event.Send) {
 	s := w.stores[i]
 	switch m := c.Msg.(type) {
 	case Prepare, Accept:
-		to := slices.Index(modelAddresses, c.To)
-		p := modelPacket{from: i, to: to, store: s.acceptor.storeID, run: s.run, msg: m}
+		to := slices.Index(addresses, c.To)
+		request := modelRequest{from: i, to: to, store: s.acceptor.storeID, run: s.run, msg: m}
 		h := fnv.New64a()
-		fmt.Fprint(h, p.from, p.to, p.store, p.run, p.msg)
-		p.hash = h.Sum64()
-		if !slices.ContainsFunc(w.net, func(q modelPacket) bool { return q.hash == p.hash }) {
-			w.net = append(w.net, p)
+		fmt.Fprint(h, request.from, request.to, request.store, request.run, request.msg)
+		request.hash = h.Sum64()
+		if !slices.ContainsFunc(w.inTransit, func(r modelRequest) bool { return r.hash == request.hash }) {
+			w.inTransit = append(w.inTransit, request)
 		}
 	case Response:
 		if m.Outcome != Succeeded {
@@ -136,13 +144,13 @@
 			return
 		}
 		if c.To != "reader" {
-			w.acked += string(c.To)
+			w.acknowledged += string(c.To)
 		}
 	}
 }
 
-// adopt is what a store does with a higher voter set.
-func (w *modelState) adopt(i int, set VoterSet) {
+// adopt does as a store does with a voter set that it learns of.
+func (w *modelWorld) adopt(i int, set VoterSet) {
 	s := w.stores[i]
 	if set.Number == uint64(len(w.sets))+1 {
 		w.sets = append(w.sets, set)
@@ -156,34 +164,34 @@
 	}
 }
 
-// deliver hands a packet over, and the answer back to whoever asked.
-func (w *modelState) deliver(n int) {
-	p := w.net[n]
-	w.net = slices.Delete(w.net, n, n+1)
-	s := w.touch(p.to)
-	if w.fault.noSeal {
+// deliver hands over the n-th request in transit, and its answer to the sender.
+func (w *modelWorld) deliver(n int) {
+	request := w.inTransit[n]
+	w.inTransit = slices.Delete(w.inTransit, n, n+1)
+	s := w.ownStore(request.to)
+	if w.fault.votesUnderLowerSets {
 		defer func(set VoterSet) { s.acceptor.voterSet = set }(s.acceptor.voterSet)
-		if number := askedUnder(p.msg); number < s.acceptor.voterSet.Number && number > 0 {
+		if number := voterSetNumberOf(request.msg); number < s.acceptor.voterSet.Number && number > 0 {
 			s.acceptor.voterSet = w.sets[number-1]
 		}
 	}
-	switch m := p.msg.(type) {
+	switch m := request.msg.(type) {
 	case Prepare:
-		s.acceptor.HandlePrepare(modelAddresses[p.from], m)
+		s.acceptor.HandlePrepare(addresses[request.from], m)
 	case Accept:
-		s.acceptor.HandleAccept(modelAddresses[p.from], m)
+		s.acceptor.HandleAccept(addresses[request.from], m)
 	}
 	for _, c := range s.Drain() {
-		y := c.(event.Sync)
-		s.disk.write(y.Records)
-		s.acceptor.Synced(y.Batch)
-		for _, then := range y.After {
-			w.answer(p, s, then.(event.Send).Msg)
+		sync := c.(event.Sync)
+		s.disk.write(sync.Records)
+		s.acceptor.Synced(sync.Batch)
+		for _, after := range sync.After {
+			w.answer(request, s, after.(event.Send).Msg)
 		}
 	}
 }
 
-func askedUnder(msg any) uint64 {
+func voterSetNumberOf(msg any) uint64 {
 	switch m := msg.(type) {
 	case Prepare:
 		return m.VoterSetNumber
@@ -193,24 +201,25 @@
 	return 0
 }
 
-func (w *modelState) answer(p modelPacket, by *modelStore, msg any) {
+// answer hands an answer to the proposer that sent the request, unless its run has ended.
+func (w *modelWorld) answer(request modelRequest, by *modelStore, msg any) {
 	if m, ok := msg.(Accepted); ok && m.OK {
-		w.note(by, p.msg.(Accept))
+		w.recordVote(by, request.msg.(Accept))
 	}
-	q := w.stores[p.from]
-	if q.acceptor.storeID != p.store || q.run != p.run {
+	sender := w.stores[request.from]
+	if sender.acceptor.storeID != request.store || sender.run != request.run {
 		return
 	}
-	if by != q {
-		q = w.touch(p.from)
+	if by != sender {
+		sender = w.ownStore(request.from)
 	}
 	switch m := msg.(type) {
 	case Promise:
-		q.proposer.HandlePromise(q.now, m)
+		sender.proposer.HandlePromise(sender.now, m)
 	case Accepted:
-		q.proposer.HandleAccepted(q.now, m)
+		sender.proposer.HandleAccepted(sender.now, m)
 	default:
-		return // news of a voter set; adoptions are chosen by themselves
+		return // a VoterSetUpdate; adoptions are events of their own
 	}
-	w.run(p.from)
+	w.run(request.from)
 }
--- /dev/null
+++ b/internal/state/consensus/restart_network_test.go
@@ -0,0 +1,186 @@
+package consensus
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"strings"
+	"testing"
+	"time"
+
+	"dunlinwell/internal/base/ids"
+)
+
+// delayedMessage is a message in transit. Messages are delayed, duplicated, reordered and
+// lost, and reach whichever run of their receiver there is by then.
+type delayedMessage struct {
+	from, to ids.Address
+	msg      any
+}
+
+// restartNetwork is three stores that restart. It checks the results of their clients.
+type restartNetwork struct {
+	*rand.Rand
+	stores        map[ids.Address]*testStore
+	inTransit     []delayedMessage
+	cutLinks      map[[2]ids.Address]bool // links whose messages wait
+	now           ids.Time
+	runCount      uint64
+	callCount     uint64
+	openCalls     map[uint64]appendCall
+	agreedTags    []string
+	longestResult string
+	violations    []string
+	// sharedRoundIDs plants a fault: each run counts its rounds from 1.
+	sharedRoundIDs bool
+}
+
+// appendCall is a call that appends a tag. Its result must contain the first agreedBefore
+// tags, which were agreed on before it began.
+type appendCall struct {
+	tag          string
+	agreedBefore int
+}
+
+func newRestartNetwork(seed uint64, sharedRoundIDs bool) *restartNetwork {
+	n := &restartNetwork{
+		Rand: rand.New(rand.NewPCG(seed, 7)), stores: newTestStores(), openCalls: map[uint64]appendCall{},
+		cutLinks: map[[2]ids.Address]bool{}, now: 1, sharedRoundIDs: sharedRoundIDs,
+	}
+	for _, at := range addresses {
+		n.stores[at].SetOps(map[Op]ChangeFunc{opAppend: appendArgOnce})
+		n.collect(at)
+	}
+	return n
+}
+
+// collect carries out what a store asked for; its messages are in transit then.
+func (n *restartNetwork) collect(at ids.Address) {
+	for _, c := range n.stores[at].syncAll() {
+		if response, ok := c.Msg.(Response); ok {
+			n.checkResponse(response)
+		} else {
+			n.inTransit = append(n.inTransit, delayedMessage{at, c.To, c.Msg})
+		}
+	}
+}
+
+// checkResponse checks a result against all results before it.
+func (n *restartNetwork) checkResponse(m Response) {
+	call, open := n.openCalls[m.ID]
+	if m.Outcome != Succeeded || !open {
+		return
+	}
+	delete(n.openCalls, m.ID)
+	result := string(m.Result)
+	shorter, longer := result, n.longestResult
+	if len(shorter) > len(longer) {
+		shorter, longer = longer, shorter
+	}
+	if !strings.HasPrefix(longer, shorter) {
+		n.violations = append(n.violations, fmt.Sprintf("%q and %q were both agreed on", shorter, longer))
+	}
+	for _, tag := range append(n.agreedTags[:call.agreedBefore:call.agreedBefore], call.tag) {
+		if !strings.Contains(result, tag) {
+			n.violations = append(n.violations, fmt.Sprintf("%q is lost in %q", tag, result))
+		}
+	}
+	n.longestResult = longer
+	if call.tag != "" {
+		n.agreedTags = append(n.agreedTags, call.tag)
+	}
+}
+
+func (n *restartNetwork) call(at ids.Address) {
+	n.callCount++
+	r := Request{ID: n.callCount, Key: "x", Op: Read, TimeoutMillis: 3000}
+	c := appendCall{agreedBefore: len(n.agreedTags)}
+	if n.IntN(3) > 0 {
+		c.tag = fmt.Sprintf("%d;", n.callCount+1000)
+		r.Op, r.Arg = opAppend, []byte(c.tag)
+	}
+	n.openCalls[r.ID] = c
+	n.stores[at].Submit(n.now, "caller", r)
+}
+
+func (n *restartNetwork) deliver() {
+	var open []int
+	for i, l := range n.inTransit {
+		if !n.cutLinks[[2]ids.Address{l.from, l.to}] {
+			open = append(open, i)
+		}
+	}
+	if len(open) == 0 {
+		return
+	}
+	i := open[n.IntN(len(open))]
+	l := n.inTransit[i]
+	if n.IntN(6) > 0 {
+		n.inTransit = append(n.inTransit[:i], n.inTransit[i+1:]...)
+	}
+	if n.IntN(12) > 0 {
+		n.stores[l.to].deliver(n.now, l.from, l.msg)
+		n.collect(l.to)
+	}
+}
+
+func (n *restartNetwork) restart(at ids.Address) {
+	n.runCount++
+	id := n.stores[at].StoreID()
+	restartStore(n.stores, at, id<<24|n.runCount, appendArgOnce)
+	if n.sharedRoundIDs {
+		n.stores[at].lastRoundID = 0
+	}
+}
+
+// run takes random steps and returns what was violated.
+func (n *restartNetwork) run(steps int) []string {
+	for range steps {
+		at := addresses[n.IntN(len(addresses))]
+		switch k := n.IntN(100); {
+		case k < 70:
+			n.deliver()
+		case k < 80:
+			n.call(at)
+		case k < 82:
+			to := addresses[n.IntN(len(addresses))]
+			n.cutLinks[[2]ids.Address{at, to}] = to != at && n.IntN(3) == 0
+		case k < 98:
+			n.now = n.now.Add(time.Duration(n.IntN(60)) * time.Millisecond)
+			n.stores[at].Proposer.Tick(n.now)
+		default:
+			n.restart(at)
+		}
+		n.collect(at)
+	}
+	return n.violations
+}
+
+const stepsPerSeed = 4000
+
+// Clients of one register never see two histories, nor lose a change that was acknowledged,
+// whatever the order, the number and the delay of the answers, over restarts.
+func TestProposer_OneHistoryOverRestarts(t *testing.T) {
+	const seeds = 80
+	agreed := 0
+	for seed := range uint64(seeds) {
+		n := newRestartNetwork(seed, false)
+		if violations := n.run(stepsPerSeed); len(violations) > 0 {
+			t.Fatalf("seed %d: %v", seed, violations)
+		}
+		agreed += len(n.agreedTags)
+	}
+	if agreed < 10*seeds {
+		t.Fatalf("only %d changes were agreed on", agreed)
+	}
+}
+
+// The checks above detect runs that share round ids.
+func TestProposer_SharedRoundIDsAreDetected(t *testing.T) {
+	for seed := range uint64(1000) {
+		if violations := newRestartNetwork(seed, true).run(stepsPerSeed); len(violations) > 0 {
+			t.Logf("seed %d: %v", seed, violations[0])
+			return
+		}
+	}
+	t.Fatal("the planted fault was not found")
+}
