--- a/internal/dataplane/proxy/clientconn_test.go
+++ b/internal/dataplane/proxy/client_conn_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"net"
 	"net/http"
 	"os"
@@ -15,8 +16,7 @@
 
 const getRequest = "GET /x HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// scriptedConn is a client's connection by hand: each read gives what the next
-// step of its script does.
+// scriptedConn is a client's connection whose reads are the steps of a script.
 type scriptedConn struct {
 	net.Conn
 	script    chan func(p []byte) (int, error)
@@ -97,12 +97,12 @@
 
 func (l *singleConnListener) Close() error { return nil }
 
-// A request was read whole just as its idle connection was ended, by new limits
-// or by the end of the grace's first part: it ran, and nobody got the answer.
+// A request that is read just as its idle connection is being closed, for new limits or for
+// a shutdown, gets its response. It once ran without.
 func TestClientListener_AnswersRequestReadWhileConnectionCloses(t *testing.T) {
 	is := is.New(t)
 	l := &singleConnListener{conns: make(chan net.Conn, 1)}
-	var g *clientListener
+	var clients *clientListener
 	ready := make(chan struct{})
 	send := func(s string) func([]byte) (int, error) {
 		return func(p []byte) (int, error) { return copy(p, s), nil }
@@ -111,34 +111,34 @@
 	c := newScriptedConn(send(getRequest), func(p []byte) (int, error) {
 		<-ready
 		n := copy(p, getRequest)
-		g.setLimits(strictLimits)
+		clients.setLimits(strictLimits)
 		return n, nil
 	})
 	ran := make(chan struct{}, 2)
-	g = newClientListener(l, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	clients = newClientListener(l, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		ran <- struct{}{}
 		w.WriteHeader(http.StatusOK)
 	}))
 	l.conns <- c
 	done := make(chan error, 1)
-	go func() { done <- g.serve(t.Context(), 300*time.Millisecond) }()
+	go func() { done <- clients.serve(t.Context(), 300*time.Millisecond) }()
 	<-ran
 	close(ready)
 	<-ran
 	select {
 	case <-c.closed:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the connection doesn't end")
+		t.Fatal("the connection isn't closed")
 	}
 	close(l.conns)
-	<-done
+	is.True(errors.Is(<-done, net.ErrClosed))
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	is.Equal(strings.Count(c.written.String(), "HTTP/1.1 200"), 2) // both answers
+	is.Equal(strings.Count(c.written.String(), "HTTP/1.1 200"), 2) // both responses
 	is.Equal(strings.Count(c.written.String(), "Connection: close"), 1)
 }
 
-// An idle connection ends at once, and a busy one after its answer.
+// An idle connection is closed at once, and a busy one after its response.
 func TestClientConn_ClosesWhenIdle(t *testing.T) {
 	is := is.New(t)
 	inner := newScriptedConn()
@@ -148,7 +148,7 @@
 	is.Equal(len(inner.readExpired), 0) // busy
 	c.setIdle(true)
 	is.Equal(len(inner.readExpired), 1)
-	_ = c.SetReadDeadline(time.Now().Add(time.Hour)) // the server's doesn't undo it
+	_ = c.SetReadDeadline(time.Now().Add(time.Hour)) // the server's deadline doesn't undo it
 	n, err := c.Read(make([]byte, 8))
 	is.Equal(n, 0)
 	is.Equal(err.Error(), "EOF")
--- a/internal/dataplane/proxy/gate_test.go
+++ b/internal/dataplane/proxy/client_listener_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -18,46 +19,38 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// startClientListener is a gate with its clients' handler, closed as the test ends.
-func startClientListener(t *testing.T, in net.Listener, h http.HandlerFunc) (*clientListener, context.CancelFunc, chan error) {
+// startClientListener serves clients until the test ends or the returned function is
+// called; the channel then gives what serve returned.
+func startClientListener(t *testing.T, listener net.Listener, h http.HandlerFunc) (*clientListener, context.CancelFunc, chan error) {
 	t.Helper()
-	g := newClientListener(in, h)
+	clients := newClientListener(listener, h)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	go func() { done <- g.serve(ctx, 300*time.Millisecond) }()
+	go func() { done <- clients.serve(ctx, 300*time.Millisecond) }()
 	t.Cleanup(cancel)
-	return g, cancel, done
+	return clients, cancel, done
 }
 
-func listen(t *testing.T) net.Listener {
-	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	return l
-}
-
-// testClient is a client's connection by hand; every read has a bound.
+// testClient is a client's connection; every read has a deadline.
 type testClient struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
-func dial(t *testing.T, at net.Addr) *testClient {
+func dial(t *testing.T, address net.Addr) *testClient {
 	t.Helper()
-	c, err := net.Dial("tcp", at.String())
+	c, err := net.Dial("tcp", address.String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
+	t.Cleanup(func() { _ = c.Close() })
 	_ = c.SetDeadline(time.Now().Add(10 * time.Second))
 	return &testClient{c, bufio.NewReader(c)}
 }
 
-func (c *testClient) roundTrip(t *testing.T, head string) *http.Response {
+func (c *testClient) roundTrip(t *testing.T, header string) *http.Response {
 	t.Helper()
-	if _, err := io.WriteString(c, "GET /x HTTP/1.1\r\nHost: h\r\n"+head+"\r\n"); err != nil {
+	if _, err := io.WriteString(c, "GET /x HTTP/1.1\r\nHost: h\r\n"+header+"\r\n"); err != nil {
 		t.Fatal(err)
 	}
 	return c.readResponse(t)
@@ -75,19 +68,20 @@
 
 func (c *testClient) closed() bool {
 	_, err := c.reader.ReadByte()
-	return err == io.EOF || strings.Contains(fmt.Sprint(err), "reset")
+	return errors.Is(err, io.EOF) || strings.Contains(fmt.Sprint(err), "reset")
 }
 
 func noContent(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) }
 
 var strictLimits = configuration.Limits{MaxHeaderBytes: 1024, MaxBodyBytes: 1, HeaderTimeoutMillis: 100, IdleTimeoutMillis: 100}
 
-// New limits don't end what is under way, and connections that were held end in order.
+// New limits don't end requests in flight, and connections of the old server are closed
+// when they are idle.
 func TestClientListener_LimitsChangeWithOpenConnections(t *testing.T) {
 	is := is.New(t)
 	l := listen(t)
 	inside, release := make(chan struct{}), make(chan struct{})
-	g, _, _ := startClientListener(t, l, func(w http.ResponseWriter, r *http.Request) {
+	clients, _, _ := startClientListener(t, l, func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Slow") != "" {
 			close(inside)
 			<-release
@@ -99,22 +93,22 @@
 	_, err := io.WriteString(busy, "GET /x HTTP/1.1\r\nHost: h\r\nSlow: 1\r\n\r\n")
 	is.NoErr(err)
 	<-inside
-	g.setLimits(strictLimits)
-	g.setLimits(strictLimits) // the same again changes nothing
+	clients.setLimits(strictLimits)
+	clients.setLimits(strictLimits) // the same again changes nothing
 	is.True(idle.closed())
 	close(release)
 	res := busy.readResponse(t)
 	is.Equal(res.StatusCode, 204)
-	is.True(res.Close) // its client is told to go
+	is.True(res.Close) // its client is told not to use it again
 	is.True(busy.closed())
-	// The new limits hold for who comes now: a large head, and idling.
+	// The new limits hold for new connections: a large header, and idling.
 	late := dial(t, l.Addr())
 	is.Equal(late.roundTrip(t, "").StatusCode, 204)
 	is.True(late.closed())
 	large := dial(t, l.Addr())
 	is.Equal(large.roundTrip(t, "Large: "+strings.Repeat("x", 8000)+"\r\n").StatusCode, 431)
 	is.True(large.closed())
-	// One that doesn't end its head is let go.
+	// One that doesn't end its header is closed.
 	slow := dial(t, l.Addr())
 	_, err = io.WriteString(slow, "GET /x HTTP/1.1\r\n")
 	is.NoErr(err)
@@ -122,11 +116,11 @@
 	is.True(slow.closed())
 }
 
-// While limits change over and over, nobody who comes is sent away unheard.
+// While limits change over and over, no request is lost.
 func TestClientListener_LimitsChangeLosesNoRequest(t *testing.T) {
 	is := is.New(t)
 	l := listen(t)
-	g, _, _ := startClientListener(t, l, noContent)
+	clients, _, _ := startClientListener(t, l, noContent)
 	var stop atomic.Bool
 	changed := make(chan struct{})
 	go func() {
@@ -134,7 +128,7 @@
 		for i := 0; !stop.Load(); i++ {
 			limits := configuration.DefaultLimits
 			limits.MaxBodyBytes = i
-			g.setLimits(limits)
+			clients.setLimits(limits)
 		}
 	}()
 	for range 100 {
@@ -144,20 +138,20 @@
 	<-changed
 }
 
-// exhaustedListener is a listener that runs out of descriptors at first.
+// exhaustedListener fails to accept for lack of file descriptors at first.
 type exhaustedListener struct {
 	net.Listener
 	failures atomic.Int64
 }
 
-func (s *exhaustedListener) Accept() (net.Conn, error) {
-	if s.failures.Add(-1) >= 0 {
+func (l *exhaustedListener) Accept() (net.Conn, error) {
+	if l.failures.Add(-1) >= 0 {
 		return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
 	}
-	return s.Listener.Accept()
+	return l.Listener.Accept()
 }
 
-// A process out of descriptors lets the next one in once it has some again.
+// A process out of file descriptors accepts the next connection once it has some again.
 func TestClientListener_SurvivesDescriptorExhaustion(t *testing.T) {
 	is := is.New(t)
 	l := &exhaustedListener{Listener: listen(t)}
@@ -168,13 +162,13 @@
 	is.Equal(<-done, context.Canceled)
 }
 
-// After the polite signal clients are still let in for a moment; what is under
-// way ends, and only then the gate.
+// After the signal to stop, clients are still accepted for a moment; requests in flight end,
+// and only then does the listener.
 func TestClientListener_GracefulShutdown(t *testing.T) {
 	is := is.New(t)
 	l := listen(t)
 	inside, release := make(chan struct{}), make(chan struct{})
-	g, cancel, done := startClientListener(t, l, func(w http.ResponseWriter, r *http.Request) {
+	clients, cancel, done := startClientListener(t, l, func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Slow") != "" {
 			close(inside)
 			<-release
@@ -187,10 +181,10 @@
 	<-inside
 	cancel()
 	is.Equal(dial(t, l.Addr()).roundTrip(t, "").StatusCode, 204)
-	g.setLimits(strictLimits) // even now, with a request of the server before still under way
+	clients.setLimits(strictLimits) // even now, with a request of the earlier server in flight
 	select {
-	case <-done:
-		t.Fatal("ended with a request under way")
+	case err := <-done:
+		t.Fatalf("ended with a request in flight: %v", err)
 	default:
 	}
 	close(release)
--- /dev/null
+++ b/internal/dataplane/proxy/connection_pool_test.go
@@ -0,0 +1,69 @@
+package proxy
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"dunlinwell/internal/dataplane/dispatch"
+)
+
+func TestConnectionPool_RecentOnly(t *testing.T) {
+	is := is.New(t)
+	target, d := newFakeTarget(t), newPlainDaemon(0)
+	target.respond = echoResponse
+	// The cases build on each other: each uses the connection that the one before left.
+	for i, c := range []struct {
+		idle        time.Duration
+		recentOnly  bool
+		connections int64
+	}{
+		{0, true, 1},
+		{recentIdleMax - 200*time.Millisecond, true, 1},
+		{recentIdleMax + time.Millisecond, false, 1}, // a request that may be sent again may try it
+		{recentIdleMax + time.Millisecond, true, 2},
+		{defaultMaxIdle + time.Millisecond, false, 3},
+	} {
+		if i > 0 {
+			d.ageIdleConnection(t, c.idle)
+		}
+		id := fmt.Sprint("r", i)
+		forward := d.forwardPlain
+		if c.recentOnly {
+			forward = d.forwardRecentOnly
+		}
+		is.Equal(string(forward(target, id).Response.Body), "of "+id)
+		is.Equal(target.connections.Load(), c.connections)
+	}
+	d.ageIdleConnection(t, defaultMaxIdle+time.Millisecond)
+	d.pool.closeExpired()
+	is.Equal(len(d.pool.idle), 0)
+}
+
+// How long a target says that a connection may be idle is observed, with a margin.
+func TestConnectionPool_ObservesTargetKeepAlive(t *testing.T) {
+	for idle, connections := range map[time.Duration]int64{9 * time.Second: 1, time.Second: 2} {
+		t.Run(idle.String(), func(t *testing.T) {
+			is := is.New(t)
+			target, d := newFakeTarget(t), newPlainDaemon(idle)
+			target.respond = echoResponse
+			is.Equal(d.forwardPlain(target, "a").Result, dispatch.Complete)
+			is.Equal(d.forwardPlain(target, "b").Result, dispatch.Complete)
+			is.Equal(target.connections.Load(), connections)
+		})
+	}
+	t.Run("margin", func(t *testing.T) {
+		is := is.New(t)
+		target, d := newFakeTarget(t), newPlainDaemon(9*time.Second)
+		target.respond = echoResponse
+		d.forwardPlain(target, "a")
+		d.ageIdleConnection(t, 9*time.Second-keepAliveMargin+time.Millisecond)
+		d.forwardPlain(target, "b")
+		is.Equal(target.connections.Load(), int64(2))
+		d.ageIdleConnection(t, 7*time.Second) // longer than defaultMaxIdle
+		d.forwardPlain(target, "c")
+		is.Equal(target.connections.Load(), int64(2))
+	})
+}
--- a/internal/dataplane/proxy/stranger_test.go
+++ b/internal/dataplane/proxy/control_messages_test.go
@@ -20,6 +20,7 @@
 	ownRunID = ids.RunID(7)
 )
 
+// newControl is a proxy that has ticked once and heard nothing.
 func newControl() *Control {
 	self := membership.Member{ID: "c1", Role: membership.Proxy, Address: "10.0.0.1:1", RunID: ownRunID, Zone: "a"}
 	c := New(membership.Options{Self: self, Seeds: []ids.Address{"10.0.0.2:1"}}, ControlOptions{})
@@ -27,8 +28,8 @@
 	return c
 }
 
-// An echo of a time still to come can't be ours, whatever run it names: it would
-// lengthen the lease beyond what anybody agreed on.
+// An echo of a time in the future can't be this proxy's own, whatever run it names. It would
+// lengthen the lease beyond what any majority read allows.
 func TestLease_IgnoresEchoFromFutureOrEarlierRun(t *testing.T) {
 	is := is.New(t)
 	now := ids.Time(10 * time.Second)
@@ -42,14 +43,14 @@
 		is.Equal(c.targetsConfirmedAt, ids.Time(0))
 		is.Equal(c.configurationConfirmedAt, ids.Time(0))
 	}
-	// One of an earlier run's time is no better.
+	// Nor does the echo of an earlier run's time count.
 	c := newControl()
 	c.Step(now, event.Received{From: stranger, Msg: distribution.Push{Number: 1, RunID: 1, EchoedTime: now, ProxyRunID: ownRunID - 1}})
 	is.Equal(c.targetsConfirmedAt, ids.Time(0))
 }
 
-// FuzzMessages gives a proxy any message: it doesn't panic, and no message makes
-// it sure of a time to come.
+// FuzzMessages gives a proxy any message: it doesn't panic, and no message confirms
+// anything for a time in the future.
 func FuzzMessages(f *testing.F) {
 	for _, msg := range []any{
 		distribution.Push{
@@ -83,7 +84,7 @@
 			now = now.Add(300 * time.Millisecond)
 			c.Step(now, event.Tick{})
 			if c.configurationConfirmedAt > now || c.targetsConfirmedAt > now {
-				t.Fatalf("%#v made it sure of a time to come", msg)
+				t.Fatalf("%#v confirms a time in the future", msg)
 			}
 		}
 	})
--- /dev/null
+++ b/internal/dataplane/proxy/faulty_target_test.go
@@ -0,0 +1,124 @@
+package proxy
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"net/http"
+	"sync"
+	"testing"
+)
+
+// connectionEnd is how a target ends a connection.
+type connectionEnd string
+
+const (
+	resetConnection     connectionEnd = "reset"
+	closeConnection     connectionEnd = "close"
+	halfCloseConnection connectionEnd = "half-close"
+)
+
+var connectionEnds = []connectionEnd{resetConnection, closeConnection, halfCloseConnection}
+
+func (e connectionEnd) apply(conn net.Conn) {
+	tcp := conn.(*net.TCPConn)
+	switch e {
+	case resetConnection:
+		_ = tcp.SetLinger(0)
+		_ = tcp.Close()
+	case closeConnection:
+		_ = tcp.Close()
+	case halfCloseConnection:
+		_ = tcp.CloseWrite()
+	}
+}
+
+// faultyTarget is a target of plainProtocol whose connections end where a test says. It
+// counts how often each request has reached it.
+type faultyTarget struct {
+	net.Listener
+	end connectionEnd
+
+	mu       sync.Mutex
+	requests map[string]int
+	open     []net.Conn
+	// requestCut is after how many bytes of a request the connection ends, and
+	// responseCut after how many of its response; below 0 for never.
+	requestCut, responseCut int
+	respond                 func(id string) string
+}
+
+func newFaultyTarget(t *testing.T, end connectionEnd) *faultyTarget {
+	t.Helper()
+	f := &faultyTarget{
+		Listener: listen(t), end: end, requests: map[string]int{}, requestCut: -1, responseCut: -1,
+		respond: func(id string) string { return plainResponse(id, "of "+id) },
+	}
+	go acceptAll(f.Listener, f.serve)
+	return f
+}
+
+func (f *faultyTarget) serve(conn net.Conn) {
+	f.mu.Lock()
+	f.open = append(f.open, conn)
+	requestCut := f.requestCut
+	f.mu.Unlock()
+	if requestCut >= 0 {
+		_, _ = io.ReadFull(conn, make([]byte, requestCut))
+		f.end.apply(conn)
+		return
+	}
+	reader := bufio.NewReader(conn)
+	for {
+		request, err := http.ReadRequest(reader)
+		if err != nil {
+			_ = conn.Close()
+			return
+		}
+		id := request.Header.Get("Id")
+		responseCut, respond := f.countRequest(id)
+		response := respond(id)
+		if responseCut >= 0 && responseCut < len(response) {
+			_, _ = io.WriteString(conn, response[:responseCut])
+			f.end.apply(conn)
+			return
+		}
+		_, _ = io.WriteString(conn, response)
+	}
+}
+
+func (f *faultyTarget) countRequest(id string) (int, func(string) string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.requests[id]++
+	return f.responseCut, f.respond
+}
+
+// endAll ends every connection, as a target does that restarts or closes idle ones.
+func (f *faultyTarget) endAll() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, conn := range f.open {
+		f.end.apply(conn)
+	}
+	f.open = nil
+}
+
+func (f *faultyTarget) setCuts(requestCut, responseCut int) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.requestCut, f.responseCut = requestCut, responseCut
+}
+
+func (f *faultyTarget) setResponse(respond func(id string) string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.respond = respond
+}
+
+// runs is how often a request has reached the target.
+func (f *faultyTarget) runs(id string) int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.requests[id]
+}
--- /dev/null
+++ b/internal/dataplane/proxy/forward_faults_test.go
@@ -0,0 +1,166 @@
+package proxy
+
+import (
+	"fmt"
+	"net/http"
+	"sync"
+	"testing"
+	"time"
+
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/targets"
+	"dunlinwell/internal/dataplane/dispatch"
+	"dunlinwell/internal/transport/process"
+)
+
+// Wherever a response ends early, and however, the request has been sent once, the result
+// doesn't deny that, and the next request gets its own response.
+func TestForward_ResponseCutAtEveryByte(t *testing.T) {
+	whole := plainResponse("cut-000", "of cut-000")
+	for _, end := range connectionEnds {
+		t.Run(string(end), func(t *testing.T) {
+			target, d := newFaultyTarget(t, end), newPlainDaemon(0)
+			for cut := range len(whole) + 1 {
+				target.setCuts(-1, cut)
+				id := fmt.Sprintf("cut-%03d", cut)
+				finished := d.forwardPlain(target, id)
+				want := dispatch.MayHaveRun
+				if cut == len(whole) {
+					want = dispatch.Complete
+				}
+				if finished.Result != want || target.runs(id) != 1 {
+					t.Fatalf("at byte %d: %v (%s), it ran %d times", cut, finished.Result, finished.Reason, target.runs(id))
+				}
+				target.setCuts(-1, -1)
+				next := fmt.Sprintf("nxt-%03d", cut)
+				if finished := d.forwardPlain(target, next); finished.Result != dispatch.Complete || string(finished.Response.Body) != "of "+next {
+					t.Fatalf("at byte %d, the next: %v (%s) %q", cut, finished.Result, finished.Reason, finished.Response.Body)
+				}
+				d.closeIdleConnections()
+			}
+		})
+	}
+}
+
+// Wherever a request's connection ends, a byte of it may have been read: the result is
+// that it may have run, and never NotSent unless no byte was read.
+func TestForward_RequestCutAtEveryByte(t *testing.T) {
+	for _, end := range connectionEnds {
+		t.Run(string(end), func(t *testing.T) {
+			target, d := newFaultyTarget(t, end), newPlainDaemon(0)
+			for cut := range 60 {
+				target.setCuts(cut, -1)
+				if finished := d.forwardPlain(target, "a"); finished.Result != dispatch.MayHaveRun && (cut != 0 || finished.Result != dispatch.NotSent) {
+					t.Fatalf("at byte %d: %v (%s)", cut, finished.Result, finished.Reason)
+				}
+			}
+		})
+	}
+}
+
+// A connection that its target closed while it was idle carries nothing more; one that
+// ends as it is used has carried its request, which isn't sent again.
+func TestForward_ConnectionEndsIdleOrInUse(t *testing.T) {
+	for _, end := range connectionEnds {
+		t.Run(string(end), func(t *testing.T) {
+			target, d := newFaultyTarget(t, end), newPlainDaemon(0)
+			if finished := d.forwardPlain(target, "first"); finished.Result != dispatch.Complete {
+				t.Fatal(finished.Reason)
+			}
+			target.endAll()
+			if finished := d.forwardPlain(target, "second"); finished.Result != dispatch.Complete || target.runs("second") != 1 {
+				t.Fatalf("while idle: %v %s, it ran %d times", finished.Result, finished.Reason, target.runs("second"))
+			}
+			target.setCuts(-1, 0)
+			if finished := d.forwardPlain(target, "third"); finished.Result != dispatch.MayHaveRun || target.runs("third") != 1 {
+				t.Fatalf("as it is used: %v %s, it ran %d times", finished.Result, finished.Reason, target.runs("third"))
+			}
+		})
+	}
+}
+
+// The next run of a target may be at another address while its earlier one still answers
+// on an idle connection: nothing more is sent there.
+func TestForward_IgnoresConnectionToEarlierRun(t *testing.T) {
+	earlier, later, d := newFaultyTarget(t, closeConnection), newFaultyTarget(t, closeConnection), newPlainDaemon(0)
+	if finished := d.forwardPlain(earlier, "first"); finished.Result != dispatch.Complete {
+		t.Fatal(finished.Reason)
+	}
+	if finished := d.forwardPlain(later, "second"); finished.Result != dispatch.Complete || earlier.runs("second") != 0 || later.runs("second") != 1 {
+		t.Fatalf("%v %s, it ran %d times at the earlier run, %d times at the later", finished.Result, finished.Reason, earlier.runs("second"), later.runs("second"))
+	}
+}
+
+// Responses that are swapped, doubled, sent ahead of their request, or late are never
+// given to another request.
+func TestForward_ResponsesOutOfOrder(t *testing.T) {
+	previous := "none"
+	var mu sync.Mutex
+	for name, respond := range map[string]func(id string) string{
+		"doubled": func(id string) string { return plainResponse(id, "of "+id) + plainResponse(id, "of "+id) },
+		"late": func(id string) string {
+			mu.Lock()
+			defer mu.Unlock()
+			old := previous
+			previous = id
+			return plainResponse(old, "of "+old)
+		},
+		"swapped": func(id string) string { return plainResponse("next", "of next") + plainResponse(id, "of "+id) },
+		"ahead":   func(id string) string { return plainResponse(id, "of "+id) + plainResponse("next", "of next") },
+		"two ids": func(id string) string {
+			return "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nId: other\r\nId: " + id + "\r\n\r\nof "
+		},
+		"two lengths": func(id string) string {
+			return "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 2\r\nId: " + id + "\r\n\r\nof "
+		},
+		"interim response first": func(id string) string { return "HTTP/1.1 100 Continue\r\n\r\n" + plainResponse(id, "of "+id) },
+	} {
+		t.Run(name, func(t *testing.T) {
+			target, d := newFaultyTarget(t, closeConnection), newPlainDaemon(0)
+			target.setResponse(respond)
+			d.Options.MaxResponseBytes = 1000
+			for _, id := range []string{"one", "next", "two", "three"} {
+				finished := d.forwardRequest(target, &ClientRequest{AttemptID: id}, false, 100*time.Millisecond)
+				if finished.Result == dispatch.Complete && string(finished.Response.Body) != "of "+id {
+					t.Errorf("%q was given %q", id, finished.Response.Body)
+				}
+				if target.runs(id) != 1 {
+					t.Errorf("%q ran %d times", id, target.runs(id))
+				}
+			}
+		})
+	}
+}
+
+// A proxy that resumes past a request's deadline, past its lease, or before its control
+// machine has stepped again, sends nothing, on a new connection or on an idle one.
+func TestForward_SendsNothingAfterFreeze(t *testing.T) {
+	now := process.Now().Add(time.Hour)
+	for name, c := range map[string]struct{ deadline, sendBefore, lastStep ids.Time }{
+		"past its deadline": {process.Now(), now, now},
+		"past its lease":    {now, process.Now(), now},
+		"not yet stepped":   {now, now, process.Now().Add(-2 * freezeThreshold)},
+	} {
+		for _, reused := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s, reused %t", name, reused), func(t *testing.T) {
+				target, d := newFaultyTarget(t, closeConnection), newPlainDaemon(0)
+				if reused {
+					if finished := d.forwardPlain(target, "first"); finished.Result != dispatch.Complete {
+						t.Fatal(finished.Reason)
+					}
+				}
+				d.lastStep.Store(int64(min(c.lastStep, process.Now())))
+				finished := d.forward(
+					&ClientRequest{AttemptID: "late", Method: "POST", URI: "/x", Header: http.Header{"Id": {"late"}}},
+					dispatch.Forward{
+						ID: 1, Sequence: 1, Deadline: c.deadline, SendBefore: c.sendBefore,
+						Target: targets.Target{Instance: "t", Service: "s", Address: ids.Address(target.Addr().String())},
+					},
+				)
+				if finished.Result != dispatch.NotSent || target.runs("late") != 0 {
+					t.Errorf("%v (%s), it ran %d times", finished.Result, finished.Reason, target.runs("late"))
+				}
+			})
+		}
+	}
+}
--- a/internal/dataplane/proxy/hold_test.go
+++ b/internal/dataplane/proxy/memory_budget_test.go
@@ -15,7 +15,7 @@
 	"dunlinwell/internal/dataplane/dispatch"
 )
 
-// blockingBody is a body of which a part has come, and the rest is awaited.
+// blockingBody is a body of which a part has arrived; the end is awaited.
 type blockingBody struct {
 	prefix     io.Reader
 	prefixRead chan struct{}
@@ -23,12 +23,12 @@
 	once       sync.Once
 }
 
-func (a *blockingBody) Read(p []byte) (int, error) {
-	if n, err := a.prefix.Read(p); err == nil {
+func (b *blockingBody) Read(p []byte) (int, error) {
+	if n, err := b.prefix.Read(p); err == nil {
 		return n, nil
 	}
-	a.once.Do(func() { close(a.prefixRead) })
-	<-a.finish
+	b.once.Do(func() { close(b.prefixRead) })
+	<-b.finish
 	return 0, io.EOF
 }
 
@@ -38,18 +38,18 @@
 	return r
 }
 
-// All bodies together are bounded, whole or not yet, with a length or in chunks;
-// what doesn't fit is told so at once, and what ends makes room.
+// All bodies together are bounded, whole or not yet, with a length or in chunks. One that
+// doesn't fit is rejected at once, and a release makes room.
 func TestReadBody_SharesMemoryBudget(t *testing.T) {
 	is := is.New(t)
 	d := newTestDaemon()
 	d.memory.limit = 100 << 10
 	take := func(n int, length int64) (*MemoryReservation, error) {
-		b, h, err := d.ReadBody(httptest.NewRecorder(), newBodyRequest(strings.NewReader(strings.Repeat("x", n)), length), 1<<20, time.Time{})
+		body, reservation, err := d.ReadBody(httptest.NewRecorder(), newBodyRequest(strings.NewReader(strings.Repeat("x", n)), length), 1<<20, time.Time{})
 		if err == nil {
-			is.Equal(len(b), n)
+			is.Equal(len(body), n)
 		}
-		return h, err
+		return reservation, err
 	}
 	first, err := take(60<<10, 60<<10)
 	is.NoErr(err)
@@ -59,7 +59,7 @@
 	is.NoErr(err)
 	_, err = take(30<<10, -1) // in chunks
 	is.True(errors.Is(err, ErrMemoryBudgetExceeded))
-	is.Equal(d.memory.reserved.Load(), int64(90<<10)) // what was rejected holds nothing
+	is.Equal(d.memory.reserved.Load(), int64(90<<10)) // what was rejected reserves nothing
 	first.Release()
 	first.Release()
 	third, err := take(30<<10, -1)
@@ -68,63 +68,64 @@
 	second.Release()
 	third.Release()
 	is.Equal(d.memory.reserved.Load(), int64(0))
-	// One that is over the limit, or ends early, holds nothing.
+	// One that is over the limit, or ends early, reserves nothing.
 	_, _, err = d.ReadBody(httptest.NewRecorder(), newBodyRequest(strings.NewReader("12345"), 5), 4, time.Time{})
-	var big *http.MaxBytesError
-	is.True(errors.As(err, &big))
+	var tooLarge *http.MaxBytesError
+	is.True(errors.As(err, &tooLarge))
 	_, _, err = d.ReadBody(httptest.NewRecorder(), newBodyRequest(strings.NewReader("12345"), -1), 4, time.Time{})
-	is.True(errors.As(err, &big))
+	is.True(errors.As(err, &tooLarge))
 	_, _, err = d.ReadBody(httptest.NewRecorder(), newBodyRequest(strings.NewReader("123"), 5), 10, time.Time{})
-	is.True(err != nil && !errors.As(err, &big))
+	is.True(err != nil && !errors.As(err, &tooLarge))
 	is.Equal(d.memory.reserved.Load(), int64(0))
 }
 
-// A body that comes slowly counts while it comes.
+// A body that arrives slowly counts while it arrives.
 func TestReadBody_CountsPartialBody(t *testing.T) {
 	is := is.New(t)
 	d := newTestDaemon()
 	d.memory.limit = 128 << 10
 	for _, length := range []int64{40 << 10, -1} {
-		a := &blockingBody{prefix: strings.NewReader(strings.Repeat("x", 40<<10)), prefixRead: make(chan struct{}), finish: make(chan struct{})}
+		slow := &blockingBody{prefix: strings.NewReader(strings.Repeat("x", 40<<10)), prefixRead: make(chan struct{}), finish: make(chan struct{})}
 		done := make(chan error)
 		go func() {
-			_, h, err := d.ReadBody(httptest.NewRecorder(), newBodyRequest(a, length), 1<<20, time.Time{})
-			h.Release()
+			_, reservation, err := d.ReadBody(httptest.NewRecorder(), newBodyRequest(slow, length), 1<<20, time.Time{})
+			reservation.Release()
 			done <- err
 		}()
 		select {
-		case <-a.prefixRead:
-		case <-done: // with its length known it is whole already
+		case <-slow.prefixRead:
+		case err := <-done: // with its length known it is whole already
+			is.NoErr(err)
 		}
 		if length < 0 {
 			_, _, err := d.ReadBody(httptest.NewRecorder(), newBodyRequest(strings.NewReader(strings.Repeat("y", 70<<10)), 70<<10), 1<<20, time.Time{})
 			is.True(errors.Is(err, ErrMemoryBudgetExceeded))
-			close(a.finish)
+			close(slow.finish)
 			is.NoErr(<-done)
 		}
 	}
 	is.Equal(d.memory.reserved.Load(), int64(0))
 }
 
-// Answers count as well, though none is refused: it has been run for.
+// Responses count as well, though none is rejected: its request has run.
 func TestForward_CountsResponseBytes(t *testing.T) {
 	is := is.New(t)
-	s, d := newFakeTarget(t), newPlainDaemon(0)
+	target, d := newFakeTarget(t), newPlainDaemon(0)
 	d.Options.MaxResponseBytes, d.memory.limit = 50<<10, 40<<10
-	s.respond = func(r *http.Request) string { return responseFor(r, r.Header.Get("Id"), strings.Repeat("z", 50<<10)) }
-	h := &MemoryReservation{budget: &d.memory}
-	is.Equal(d.forwardReserved(s, "a", h).Result, dispatch.Complete)
+	target.respond = func(r *http.Request) string { return plainResponse(r.Header.Get("Id"), strings.Repeat("z", 50<<10)) }
+	reservation := &MemoryReservation{budget: &d.memory}
+	is.Equal(d.forwardRequest(target, &ClientRequest{AttemptID: "a", Memory: reservation}, false, 5*time.Second).Result, dispatch.Complete)
 	is.Equal(d.memory.reserved.Load(), int64(50<<10))
 	_, _, err := d.ReadBody(httptest.NewRecorder(), newBodyRequest(strings.NewReader("x"), 1), 10, time.Time{})
 	is.True(errors.Is(err, ErrMemoryBudgetExceeded))
 	_, empty, err := d.ReadBody(httptest.NewRecorder(), newBodyRequest(http.NoBody, 0), 10, time.Time{})
-	is.NoErr(err) // what has no body needs no room
+	is.NoErr(err) // without a body nothing is reserved
 	empty.Release()
-	h.Release()
+	reservation.Release()
 	is.Equal(d.memory.reserved.Load(), int64(0))
 }
 
-// At the proxy's own front: rejected at once, with when to come back.
+// A client whose body doesn't fit is rejected at once and told when to come back.
 func TestHandleClientRequest_RejectsWhenMemoryIsExhausted(t *testing.T) {
 	is := is.New(t)
 	d := newTestDaemon()
@@ -137,7 +138,7 @@
 	is.Equal(w.Code, http.StatusServiceUnavailable)
 	is.Equal(w.Header().Get("Retry-After"), "1")
 	is.Equal(w.Header().Get("Dunlinwell-Class"), "declined")
-	// A later attempt may have run before, and isn't told that it surely hasn't.
+	// An earlier attempt may have run, so a later one isn't told that it surely hasn't.
 	w, r = httptest.NewRecorder(), httptest.NewRequest("POST", "/orders", strings.NewReader("12345"))
 	r.Header.Set("Idempotency-Key", "m")
 	r.Header.Set("Attempt", "2")
--- /dev/null
+++ b/internal/dataplane/proxy/refresh_test.go
@@ -0,0 +1,120 @@
+package proxy
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/distribution"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/targets"
+	"dunlinwell/internal/dataplane/dispatch"
+)
+
+const (
+	stormTargets = 420
+	stormProxies = 90
+)
+
+// newStormFixture is a proxy of a large fleet that knows all targets.
+func newStormFixture(t *testing.T) *controlFixture {
+	t.Helper()
+	f := &controlFixture{now: 1, Control: New(
+		membership.Options{Self: proxyMember("p", "quay"), Incremental: true},
+		ControlOptions{Lease: EndlessLease, SlotLayout: SlotLayout{ByZone: true}},
+	)}
+	var proxies []membership.Member
+	for i := range stormProxies {
+		proxies = append(proxies, proxyMember(fmt.Sprint("proxy-", i), "quay"))
+	}
+	f.Step(f.now, event.Received{From: "r", Msg: membership.Snapshot{Members: proxies, Final: true}})
+	var list []targets.Target
+	for i := range stormTargets {
+		list = append(list, stormTarget(i))
+	}
+	f.push(encodedConfiguration(t, 1), 1, 0, list...)
+	f.run(2*time.Second, func() { f.push(nil, 1, 0) })
+	return f
+}
+
+func stormTarget(i int) targets.Target {
+	return targets.Target{
+		Instance: ids.InstanceID(fmt.Sprint("t", i)), Incarnation: 1, Sequence: 1, Service: "a",
+		Address: ids.Address(fmt.Sprintf("10.0.%d.%d:80", i/200, i%200+1)), Zone: "quay", Capacity: 6, Warmth: 1,
+	}
+}
+
+// refreshCounter steps a control machine and notes what its commands show.
+type refreshCounter struct {
+	*controlFixture
+	refreshes    int
+	acknowledged []ids.StreamNumber
+	// allocations is how many targets the last refresh gave to a dispatcher.
+	allocations int
+}
+
+func (c *refreshCounter) step(ev event.Event) {
+	refreshed := false
+	for _, command := range c.Step(c.now, ev) {
+		switch command := command.(type) {
+		case DispatchEvent:
+			if state, ok := command.Event.(dispatch.ServiceState); ok {
+				refreshed, c.allocations = true, len(state.Targets)
+			}
+		case event.Send:
+			if ack, ok := command.Msg.(distribution.Ack); ok {
+				c.acknowledged = append(c.acknowledged, ack.Number)
+			}
+		}
+	}
+	if refreshed {
+		c.refreshes++
+	}
+}
+
+// A seventh of all targets falls silent at once, and registries push that one target at a
+// time. Each push once caused a refresh: 64 of them, 31 ms of a whole core each, and the
+// next message was read seconds later.
+func TestRefresh_PushStormIsBatched(t *testing.T) {
+	is := is.New(t)
+	c := &refreshCounter{controlFixture: newStormFixture(t)}
+	const gone = 64
+	before, first := c.now, c.pushes+1
+	for i := range gone {
+		c.now = c.now.Add(time.Millisecond)
+		c.pushes++
+		target := stormTarget(i)
+		target.Gone, target.Sequence = true, 2
+		c.step(event.Received{From: "r", Msg: distribution.Push{
+			Number: c.pushes, Revision: 1, Targets: []targets.Target{target}, EchoedTime: c.now, ProxyRunID: c.Self.RunID,
+		}})
+	}
+	for len(c.acknowledged) < gone && c.now.Sub(before) < 5*time.Second {
+		c.now = c.now.Add(50 * time.Millisecond)
+		c.step(event.Tick{})
+	}
+	t.Logf("%d pushes caused %d refreshes, and were acknowledged after %s", gone, c.refreshes, c.now.Sub(before))
+	is.True(c.refreshes <= 3)
+	is.True(c.now.Sub(before) <= maxRefreshInterval+150*time.Millisecond)
+	is.Equal(len(c.acknowledged), gone)
+	for i, number := range c.acknowledged {
+		is.Equal(number, first+ids.StreamNumber(i))
+	}
+	is.True(c.allocations <= stormTargets-gone)
+}
+
+// In a small fleet a refresh costs next to nothing, and no push waits.
+func TestRefresh_SmallFleetIsImmediate(t *testing.T) {
+	is := is.New(t)
+	f := newControlFixture(DefaultLease)
+	f.push(encodedConfiguration(t, 1), 1, 0)
+	for i := range 10 {
+		f.now = f.now.Add(time.Millisecond)
+		f.push(nil, 1, 0, stormTarget(i))
+		is.Equal(len(f.unacknowledged), 0)
+	}
+}
--- a/internal/dataplane/proxy/router_test.go
+++ b/internal/dataplane/proxy/router_test.go
@@ -53,3 +53,17 @@
 		is.True(!ok)
 	}
 }
+
+func TestRouter_LongestPrefixOfWholeSegments(t *testing.T) {
+	is := is.New(t)
+	r := newRouter(&configuration.View{Routes: map[ids.Name]configuration.Route{
+		"all": {Name: "all", Prefix: "/"}, "stock": {Name: "stock", Prefix: "/stock"}, "tiles": {Name: "tiles", Prefix: "/stock/tiles/"},
+	}})
+	for path, want := range map[string]ids.Name{"/": "all", "/stock": "stock", "/stock/": "stock", "/stocking": "all", "/stock/tiles": "tiles", "/stock/tiles/9": "tiles", "/stock/tilesets": "stock"} {
+		got, ok := r.find("", path)
+		is.True(ok)
+		is.Equal(got.Name, want)
+	}
+	_, ok := newRouter(&configuration.View{}).find("", "/x")
+	is.True(!ok)
+}
--- /dev/null
+++ b/internal/dataplane/proxy/slots_test.go
@@ -0,0 +1,116 @@
+package proxy
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/targets"
+	"dunlinwell/internal/dataplane/dispatch"
+	"dunlinwell/internal/state/configuration"
+)
+
+var regions = map[ids.Name]string{"quay": "west", "pier": "west", "mole": "west", "dune": "east", "reed": "east"}
+
+// newZoneControl is a proxy that shares slots by zone, with the one service "wader".
+func newZoneControl(self membership.Member, service configuration.Service) *Control {
+	c := New(membership.Options{Self: self}, ControlOptions{Lease: EndlessLease, SlotLayout: SlotLayout{ByZone: true, Regions: regions}})
+	c.view.Services = map[ids.Name]configuration.Service{"wader": service}
+	return c
+}
+
+// countForwarded counts how many of 200 requests a dispatcher with this one allocation
+// forwards at once.
+func countForwarded(allocation dispatch.Allocation, now ids.Time) int {
+	d := dispatch.New(dispatch.Options{Random: rand.New(rand.NewPCG(1, 2)), QueueLimit: 1000})
+	d.Step(now, dispatch.ServiceState{Targets: []dispatch.Allocation{allocation}, IsCurrent: true, LeaseExpiresAt: now.Add(time.Hour), Terms: map[ids.Name]dispatch.RouteTerms{"r": {}}})
+	forwarded := 0
+	for i := range 200 {
+		for _, c := range d.Step(now, dispatch.RequestArrived{Job: dispatch.Job{ID: ids.RequestID(i + 1), Route: "r", Repeatable: true, Deadline: now.Add(time.Hour)}}) {
+			if _, ok := c.(dispatch.Forward); ok {
+				forwarded++
+			}
+		}
+	}
+	return forwarded
+}
+
+// What all proxies together may send to a target is bounded however many there are: its
+// slots once for each of the three classes that has proxies, and twice in the first class
+// if two or more may use what the others leave.
+func TestSlots_ZoneSharesAddUp(t *testing.T) {
+	const capacity = 7
+	now := ids.Time(time.Second)
+	for zones, want := range map[string]int{
+		"quay":                          capacity,
+		"quay quay":                     2 * capacity,
+		"quay quay quay":                2 * capacity,
+		"quay pier":                     2 * capacity,
+		"quay quay pier mole dune reed": 4 * capacity,
+		"pier":                          capacity,     // no proxy in its zone: the region's proxy has its slots
+		"pier mole":                     2 * capacity, // as have two proxies of the region
+		"pier dune":                     2 * capacity,
+		"dune":                          capacity,
+		"dune reed reed":                2 * capacity,
+		"quay quay quay quay quay quay quay quay quay quay quay quay quay quay quay": 2 * capacity,
+	} {
+		t.Run(zones, func(t *testing.T) {
+			is := is.New(t)
+			proxies := proxiesIn(zones)
+			for n := range 4 {
+				target := targets.Target{Instance: ids.InstanceID(fmt.Sprint("t", n)), Service: "wader", Zone: "quay", Capacity: capacity, Warmth: 1, AgeMillis: 1e9}
+				sum := 0
+				for _, proxy := range proxies {
+					sum += countForwarded(newZoneControl(proxy, configuration.Service{}).allocate(now, target, proxies), now)
+				}
+				is.Equal(sum, want)
+			}
+		})
+	}
+}
+
+// The slots left over by division fall to different proxies for different targets.
+func TestSlots_RemainderIsSpread(t *testing.T) {
+	is := is.New(t)
+	proxies := proxiesIn("quay quay quay")
+	firstShares := map[ids.DaemonID]int{}
+	for n := range 60 {
+		target := targets.Target{Instance: ids.InstanceID(fmt.Sprint("t", n)), Service: "wader", Zone: "quay"}
+		for _, proxy := range proxies {
+			if newZoneControl(proxy, configuration.Service{}).allocate(1, target, proxies).SlotShareIndex == 0 {
+				firstShares[proxy.ID]++
+			}
+		}
+	}
+	is.Equal(firstShares["c0"]+firstShares["c1"]+firstShares["c2"], 60)
+	for _, n := range firstShares {
+		is.True(n > 5)
+	}
+}
+
+// A lost proxy keeps its share for a while, as it may still use it.
+func TestSlotHolders_LostProxyKeepsShare(t *testing.T) {
+	is := is.New(t)
+	self, other := proxyMember("a", "quay"), proxyMember("b", "quay")
+	c := newZoneControl(self, configuration.Service{})
+	now := ids.Time(time.Second)
+	join := func(m membership.Member) {
+		c.List.Receive(now, "x", membership.Snapshot{Members: []membership.Member{m}, Final: true})
+	}
+	is.Equal(len(c.slotHolders(now)), 1)
+	other.Incarnation = 5
+	join(other)
+	is.Equal(len(c.slotHolders(now)), 2)
+	other.Gone = true
+	join(other)
+	is.Equal(len(c.slotHolders(now.Add(lostProxyHoldTime-time.Millisecond))), 2)
+	is.Equal(len(c.slotHolders(now.Add(lostProxyHoldTime))), 1)
+	// Other daemons than proxies have no share.
+	join(membership.Member{ID: "f", Role: membership.Registry, Zone: "quay", RunID: 1, Incarnation: 1})
+	is.Equal(len(c.slotHolders(now.Add(lostProxyHoldTime))), 1)
+}
