--- a/internal/dataplane/proxy/client_listener_test.go
+++ b/internal/dataplane/proxy/client_listener_test.go
@@ -56,6 +56,14 @@
 	return c.readResponse(t)
 }
 
+// sendSlow sends a request that slowHandler blocks, and doesn't await the response.
+func (c *testClient) sendSlow(t *testing.T) {
+	t.Helper()
+	if _, err := io.WriteString(c, "GET /x HTTP/1.1\r\nHost: h\r\nSlow: 1\r\n\r\n"); err != nil {
+		t.Fatal(err)
+	}
+}
+
 func (c *testClient) readResponse(t *testing.T) *http.Response {
 	t.Helper()
 	res, err := http.ReadResponse(c.reader, nil)
@@ -73,6 +81,19 @@
 
 func noContent(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) }
 
+// slowHandler blocks the one request of sendSlow until release is closed; inside is closed
+// when that request has arrived.
+func slowHandler() (handler http.HandlerFunc, inside, release chan struct{}) {
+	inside, release = make(chan struct{}), make(chan struct{})
+	return func(w http.ResponseWriter, r *http.Request) {
+		if r.Header.Get("Slow") != "" {
+			close(inside)
+			<-release
+		}
+		noContent(w, r)
+	}, inside, release
+}
+
 var strictLimits = configuration.Limits{MaxHeaderBytes: 1024, MaxBodyBytes: 1, HeaderTimeoutMillis: 100, IdleTimeoutMillis: 100}
 
 // New limits don't end requests in flight, and connections of the old server are closed
@@ -80,18 +101,11 @@
 func TestClientListener_LimitsChangeWithOpenConnections(t *testing.T) {
 	is := is.New(t)
 	l := listen(t)
-	inside, release := make(chan struct{}), make(chan struct{})
-	clients, _, _ := startClientListener(t, l, func(w http.ResponseWriter, r *http.Request) {
-		if r.Header.Get("Slow") != "" {
-			close(inside)
-			<-release
-		}
-		noContent(w, r)
-	})
+	handler, inside, release := slowHandler()
+	clients, _, _ := startClientListener(t, l, handler)
 	idle, busy := dial(t, l.Addr()), dial(t, l.Addr())
 	is.Equal(idle.roundTrip(t, "").StatusCode, 204)
-	_, err := io.WriteString(busy, "GET /x HTTP/1.1\r\nHost: h\r\nSlow: 1\r\n\r\n")
-	is.NoErr(err)
+	busy.sendSlow(t)
 	<-inside
 	clients.setLimits(strictLimits)
 	clients.setLimits(strictLimits) // the same again changes nothing
@@ -110,7 +124,7 @@
 	is.True(large.closed())
 	// One that doesn't end its header is closed.
 	slow := dial(t, l.Addr())
-	_, err = io.WriteString(slow, "GET /x HTTP/1.1\r\n")
+	_, err := io.WriteString(slow, "GET /x HTTP/1.1\r\n")
 	is.NoErr(err)
 	_, _ = io.Copy(io.Discard, slow.reader)
 	is.True(slow.closed())
@@ -167,17 +181,10 @@
 func TestClientListener_GracefulShutdown(t *testing.T) {
 	is := is.New(t)
 	l := listen(t)
-	inside, release := make(chan struct{}), make(chan struct{})
-	clients, cancel, done := startClientListener(t, l, func(w http.ResponseWriter, r *http.Request) {
-		if r.Header.Get("Slow") != "" {
-			close(inside)
-			<-release
-		}
-		noContent(w, r)
-	})
+	handler, inside, release := slowHandler()
+	clients, cancel, done := startClientListener(t, l, handler)
 	busy := dial(t, l.Addr())
-	_, err := io.WriteString(busy, "GET /x HTTP/1.1\r\nHost: h\r\nSlow: 1\r\n\r\n")
-	is.NoErr(err)
+	busy.sendSlow(t)
 	<-inside
 	cancel()
 	is.Equal(dial(t, l.Addr()).roundTrip(t, "").StatusCode, 204)
--- a/internal/dataplane/proxy/client_request.go
+++ b/internal/dataplane/proxy/client_request.go
@@ -35,8 +35,8 @@
 	AttemptID string
 }
 
-// requestError is a client's request that is not accepted, with the status and the
-// problem that the client is told.
+// requestError is why a client's request is not accepted: the status of the response, and
+// the problem that it states.
 type requestError struct {
 	status  int
 	problem string
--- a/internal/dataplane/proxy/control.go
+++ b/internal/dataplane/proxy/control.go
@@ -14,7 +14,7 @@
 )
 
 // Control is the proxy's control machine: configuration, targets, lease and membership,
-// and what dispatchers are told of them. It is pure and not safe for concurrent use.
+// and the state that dispatchers get of them. It is pure and not safe for concurrent use.
 type Control struct {
 	event.Outbox
 	ControlOptions
@@ -32,7 +32,7 @@
 	stopping bool
 	// queryingStores: a read of the configuration register is under way.
 	queryingStores bool
-	// reportNumber counts usage reports, so that registries can tell old ones.
+	// reportNumber counts usage reports, so that registries can ignore late ones.
 	reportNumber ids.StreamNumber
 	refreshState
 	servingState ServingState
--- a/internal/dataplane/proxy/forward.go
+++ b/internal/dataplane/proxy/forward.go
@@ -58,6 +58,13 @@
 	}
 	// It fails only on a closed connection, as the write that follows does.
 	_ = conn.SetDeadline(deadline)
+	d.exchange(conn, request, f, &finished)
+	return finished
+}
+
+// exchange sends a request and reads the response, whose meaning it puts into finished.
+// Afterwards the connection is in the pool or closed.
+func (d *Daemon) exchange(conn *connection, request *ClientRequest, f dispatch.Forward, finished *dispatch.AttemptFinished) {
 	header := d.targetProtocol.RequestHeader(request, f, f.Deadline.Sub(process.Now()))
 	written, err := conn.send(request, f, header)
 	if written > 0 {
@@ -67,7 +74,7 @@
 		d.pool.recordStale(conn)
 		conn.discard()
 		finished.Reason = "sending: " + err.Error()
-		return finished
+		return
 	}
 	response, err := d.readResponse(conn, request, f)
 	if err != nil {
@@ -76,7 +83,7 @@
 		}
 		conn.discard()
 		finished.Reason = err.Error()
-		return finished
+		return
 	}
 	if response.KeepAlive {
 		d.pool.put(f.Target.Instance, conn, response.IdleTimeout)
@@ -86,7 +93,6 @@
 	finished.Result, finished.Response, finished.Reason = response.Result, response.Response, response.Reason
 	finished.LoadReported, finished.Running = response.LoadReported, response.Running
 	finished.Waiting, finished.Slots = response.Waiting, response.Slots
-	return finished
 }
 
 // connect takes an idle connection from the pool, or opens one if there is none or the
--- a/internal/dataplane/proxy/lease.go
+++ b/internal/dataplane/proxy/lease.go
@@ -27,7 +27,7 @@
 	freezeThreshold = time.Second
 	// unconfirmedStartDelay is how long a proxy with an endless lease that has just
 	// started, and can't get a fresh confirmation, waits for one before it serves by
-	// what it was told.
+	// what registries have pushed.
 	unconfirmedStartDelay = 3 * time.Second
 	// farFuture is the end of an endless lease.
 	farFuture ids.Time = 1 << 62
@@ -104,7 +104,7 @@
 	c.lastTick = now
 }
 
-// startServing lets a proxy with an endless lease begin to serve. What it was told at
+// startServing lets a proxy with an endless lease begin to serve. What was pushed to it at
 // its start may come from a registry that has been cut off for long, so it waits for a
 // recent confirmation. If none can be had it starts all the same after
 // unconfirmedStartDelay, as it would go on had it not been restarted, and logs that.
--- a/internal/dataplane/proxy/options.go
+++ b/internal/dataplane/proxy/options.go
@@ -17,7 +17,8 @@
 	ReportInterval time.Duration `help:"How often CPU time is reported." default:"2s" name:"report-every"`
 	// MaxQueueLength bounds the requests that wait for a slot, for each service.
 	MaxQueueLength int `help:"Longest inbox of a service." default:"128" name:"inbox"`
-	// Lease is how long requests are served by what can't be confirmed; see Control.
+	// Lease is how long requests are served by what can't be confirmed; see
+	// ControlOptions.Lease.
 	Lease time.Duration `help:"How long requests are served by a policy and targets that can't be confirmed, 2s to 3s." default:"2500ms" name:"lease"`
 	// ClientListen is the address for clients' requests. If empty, they are served at the
 	// address of the HTTP pages.
--- a/internal/dataplane/proxy/refresh.go
+++ b/internal/dataplane/proxy/refresh.go
@@ -23,7 +23,7 @@
 	unacknowledged []receivedPush
 }
 
-// stateVersion changes whenever anything changes that dispatchers are told.
+// stateVersion changes whenever anything changes in the state that dispatchers get.
 type stateVersion struct {
 	targets, members uint64
 	revision         ids.Revision
--- a/internal/dataplane/proxy/run.go
+++ b/internal/dataplane/proxy/run.go
@@ -18,7 +18,7 @@
 	// trafficLogInterval is how often the proxy logs where requests were forwarded to.
 	trafficLogInterval = 20 * time.Second
 	// supervisorStopTimeout is how long the process waits for its background tasks at
-	// the end; whatever they still do can't matter to anybody.
+	// the end. All responses are written by then, so a task that hangs loses nothing.
 	supervisorStopTimeout = 200 * time.Millisecond
 )
 
@@ -82,7 +82,7 @@
 		if err != nil {
 			return err
 		}
-		// How a page's server ends is nothing to do anything about.
+		// The pages are of no use after the shutdown, however their server ends.
 		servers.Go(func() { _ = api.Serve(ctx, listener, handler, gracePeriod) })
 	}
 	servers.Go(func() { _ = api.Serve(ctx, pages, d.handler(false), gracePeriod) })
@@ -121,17 +121,17 @@
 
 // logTraffic logs, for each service, where its requests were forwarded to since the start.
 func (d *Daemon) logTraffic() {
-	format := func(n uint64) string { return strconv.FormatUint(n, 10) }
 	for _, service := range d.serviceNames() {
 		counters, _ := d.dispatcherOf(service).counters()
 		sameZone := counters.Forwarded - counters.CrossZone - counters.CrossRegion
 		d.log.Event(event.LevelInfo, logRequestsForwarded, "service", string(service),
-			"same_zone", format(sameZone), "same_region", format(counters.CrossZone),
-			"cross_region", format(counters.CrossRegion), "retried", format(counters.Retried))
+			"same_zone", formatUint(sameZone), "same_region", formatUint(counters.CrossZone),
+			"cross_region", formatUint(counters.CrossRegion), "retried", formatUint(counters.Retried))
 	}
 }
 
-// logFailures logs, for each service, why requests got no response of late.
+// logFailures logs, for each service and reason, how many requests got no response from a
+// target since the last call.
 func (d *Daemon) logFailures() {
 	for _, service := range d.serviceNames() {
 		counts := d.dispatcherOf(service).takeFailureReasons()
--- a/internal/dataplane/proxy/slots.go
+++ b/internal/dataplane/proxy/slots.go
@@ -17,8 +17,7 @@
 	// ByZone gives a target's slots to the proxies of its own zone first; otherwise
 	// all proxies of the fleet have equal shares.
 	ByZone bool `help:"Give a target's places to the proxies of its own cell first." name:"by-cell"`
-	// Regions are the zones that this daemon was told of at its start, and the region
-	// of each.
+	// Regions are the zones that the process's settings name, and the region of each.
 	Regions map[ids.Name]string `kong:"-"`
 }
 
