--- /dev/null
+++ b/internal/controlplane/registry/assignment.go
@@ -0,0 +1,120 @@
+package registry
+
+import (
+	"cmp"
+	"hash/fnv"
+	"slices"
+
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+)
+
+// registriesPerProxy is how many registries push to each proxy, so that one may fail.
+const registriesPerProxy = 2
+
+// assignment is how the proxies are shared out among the registries. Each registry
+// computes it by itself from the members and peers that it knows.
+type assignment struct {
+	// registries share the proxies: this one and its trusted peers, in order of id.
+	registries []membership.Member
+	// proxies are assigned to this registry; nil before the first computation.
+	proxies []membership.Member
+	// key identifies the membership and the registries that both were computed from.
+	key uint64
+}
+
+// assignedProxies gives the proxies that this registry pushes to, and updates the
+// assignment. Without Options.Incremental these are all live proxies.
+func (r *Registry) assignedProxies(now ids.Time) []membership.Member {
+	if !r.options.Incremental {
+		return r.Live(membership.Proxy)
+	}
+	registries := r.trustedRegistries(now)
+	key := assignmentKey(registries, r.Version())
+	if r.assignment.proxies != nil && r.assignment.key == key {
+		return r.assignment.proxies
+	}
+	r.assignment = assignment{registries: registries, proxies: []membership.Member{}, key: key}
+	for _, proxy := range r.Live(membership.Proxy) {
+		if r.isAssigned(proxy, registries) {
+			r.assignment.proxies = append(r.assignment.proxies, proxy)
+		}
+	}
+	return r.assignment.proxies
+}
+
+// trustedRegistries gives this registry and its trusted peers. A peer's own heartbeats
+// outweigh a declaration of its death, which it may be about to refute.
+func (r *Registry) trustedRegistries(now ids.Time) []membership.Member {
+	var registries []membership.Member
+	for _, member := range r.All() {
+		if member.Role != membership.Registry {
+			continue
+		}
+		if member.ID == r.Self.ID || r.peers.isTrusted(now, member.ID, member.RunID) {
+			registries = append(registries, member)
+		}
+	}
+	return registries
+}
+
+func assignmentKey(registries []membership.Member, membershipVersion uint64) uint64 {
+	hash := fnv.New64a()
+	for _, member := range registries {
+		hash.Write([]byte(member.ID))
+	}
+	return hash.Sum64() ^ membershipVersion
+}
+
+// isAssigned tells whether this registry is among those of the given registries that
+// push to a proxy: the nearest one, and the others by rendezvous hashing.
+func (r *Registry) isAssigned(proxy membership.Member, registries []membership.Member) bool {
+	if len(registries) <= registriesPerProxy {
+		return true
+	}
+	ranked := slices.Clone(registries)
+	slices.SortFunc(ranked, func(a, b membership.Member) int {
+		return cmp.Or(compareHash(proxy.ID, a.ID, b.ID), cmp.Compare(a.ID, b.ID))
+	})
+	nearest := r.nearestRegistry(proxy, ranked)
+	if nearest.ID == r.Self.ID {
+		return true
+	}
+	ranked = slices.DeleteFunc(ranked, func(member membership.Member) bool { return member.ID == nearest.ID })
+	return slices.ContainsFunc(ranked[:registriesPerProxy-1], func(member membership.Member) bool { return member.ID == r.Self.ID })
+}
+
+// nearestRegistry gives the registry whose zone is nearest to a proxy's; among equally
+// near ones rendezvous hashing decides.
+func (r *Registry) nearestRegistry(proxy membership.Member, registries []membership.Member) membership.Member {
+	return slices.MinFunc(registries, func(a, b membership.Member) int {
+		return cmp.Or(r.compareDistance(proxy.Zone, a.Zone, b.Zone), compareHash(proxy.ID, a.ID, b.ID))
+	})
+}
+
+// isBackupFor tells whether another registry pushes to a proxy first; what isn't urgent
+// is held back from it here, as it will likely have it by then.
+func (r *Registry) isBackupFor(proxy membership.Member) bool {
+	registries := r.assignment.registries
+	return len(registries) > 0 && r.nearestRegistry(proxy, registries).ID != r.Self.ID
+}
+
+// compareDistance orders two zones by their distance from a third.
+func (r *Registry) compareDistance(from, a, b ids.Name) int {
+	view := r.configuration.view
+	return cmp.Compare(view.Distance(from, a), view.Distance(from, b))
+}
+
+// compareHash orders two registries by rendezvous hashing for a key, so that each key
+// keeps its registry when others come and go.
+func compareHash(key, a, b ids.DaemonID) int {
+	return cmp.Compare(rendezvousHash(key, a), rendezvousHash(key, b))
+}
+
+func rendezvousHash(key, candidate ids.DaemonID) uint64 {
+	hash := fnv.New64a()
+	hash.Write([]byte(key))
+	hash.Write([]byte{0})
+	hash.Write([]byte(candidate))
+	return hash.Sum64()
+}
--- /dev/null
+++ b/internal/controlplane/registry/directory.go
@@ -0,0 +1,194 @@
+package registry
+
+import (
+	"cmp"
+	"net/http"
+	"slices"
+	"time"
+
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/directory"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/spill"
+)
+
+const (
+	// snapshotLifetime is how long a directory snapshot is reused. Computing the load
+	// of every zone for each call would cost more than the answer.
+	snapshotLifetime = 50 * time.Millisecond
+	// lifetimeWithoutLease bounds how long clients may use an answer that was given
+	// without the control lease (Options.AlwaysAnswer).
+	lifetimeWithoutLease = 500 * time.Millisecond
+	// maxProxyLag is how long a proxy may leave pushes unacknowledged before the
+	// directory leaves it out.
+	maxProxyLag = 2 * time.Second
+)
+
+// Resolution is the body of the answer to a ResolveCall.
+type Resolution struct {
+	Zone           ids.Name      `json:"cell"`
+	Proxies        []ids.Address `json:"proxies"`
+	LifetimeMillis int64         `json:"lifetime_ms"`
+	// Moved tells that the spill plan led the connection away from its own zone.
+	Moved bool `json:"moved"`
+}
+
+// snapshotCache holds the last directory snapshot.
+type snapshotCache struct {
+	snapshot directory.Snapshot
+	key      snapshotKey
+	builtAt  ids.Time
+}
+
+// snapshotKey identifies what a snapshot was computed from. A change of it makes the
+// snapshot obsolete at once.
+type snapshotKey struct {
+	revision          ids.Revision
+	membershipVersion uint64
+	tableEpoch        ids.Epoch
+	tableNumber       ids.StreamNumber
+}
+
+// handleResolve answers which proxies a new connection should go to.
+func (r *Registry) handleResolve(now ids.Time, call ResolveCall) {
+	if !r.lease.isHeld(now) && !r.options.AlwaysAnswer {
+		r.replyUnavailable(call.ID)
+		return
+	}
+	if _, known := r.configuration.view.Routes[call.Route]; !known && call.Host == "" {
+		r.replyError(call.ID, http.StatusNotFound, "there is no route "+string(call.Route))
+		return
+	}
+	destination, found := r.directorySnapshot(now).Resolve(call.Zone, r.chooseRoute(call), r.options.Random)
+	if !found && r.options.AlwaysAnswer {
+		destination, found = r.nearestKnownProxies(call.Zone)
+	}
+	if !found {
+		r.replyRetry(call.ID, http.StatusServiceUnavailable, "no proxy takes work now")
+		return
+	}
+	r.reply(call.ID, http.StatusOK, Resolution{
+		Zone:           destination.Zone,
+		Proxies:        destination.Proxies,
+		LifetimeMillis: r.resolutionLifetime(now).Milliseconds(),
+		Moved:          destination.Moved,
+	})
+}
+
+// resolutionLifetime gives how long clients may use an answer of the directory.
+func (r *Registry) resolutionLifetime(now ids.Time) time.Duration {
+	if r.lease.isHeld(now) {
+		return r.options.Lifetime
+	}
+	return min(r.options.Lifetime, lifetimeWithoutLease)
+}
+
+// chooseRoute gives the route that a call is resolved for. A call for a host stands for
+// all of its routes: one of them is drawn by what each uses in the client's zone.
+func (r *Registry) chooseRoute(call ResolveCall) ids.Name {
+	if call.Host == "" {
+		return call.Route
+	}
+	all := r.configuration.view.Routes
+	var routes []ids.Name
+	for _, name := range sortedNames(all) {
+		if all[name].Host == call.Host {
+			routes = append(routes, name)
+		}
+	}
+	return r.planner.table.PickRoute(call.Zone, routes, r.options.Random.Float64())
+}
+
+// directorySnapshot gives what the directory answers from.
+func (r *Registry) directorySnapshot(now ids.Time) directory.Snapshot {
+	cache := &r.snapshotCache
+	key := snapshotKey{
+		revision:          r.configuration.view.Revision,
+		membershipVersion: r.Version(),
+		tableEpoch:        r.planner.table.Epoch,
+		tableNumber:       r.planner.table.Number,
+	}
+	if key != cache.key || now.Sub(cache.builtAt) >= snapshotLifetime {
+		*cache = snapshotCache{snapshot: r.buildSnapshot(now), key: key, builtAt: now}
+	}
+	return cache.snapshot
+}
+
+func (r *Registry) buildSnapshot(now ids.Time) directory.Snapshot {
+	// Computed at the first use: few calls need the capacity left.
+	var zones map[ids.Name]spill.Zone
+	capacityLeft := func(name ids.Name) float64 {
+		if zones == nil {
+			zones = r.currentZones(now)
+		}
+		zone := zones[name]
+		if zone.Stale {
+			return 0
+		}
+		return zone.Target - zone.Used()
+	}
+	view := r.configuration.view
+	snapshot := directory.Snapshot{
+		Proxies:  r.eligibleProxies(now),
+		Drained:  map[ids.Name]bool{},
+		Distance: view.Distance,
+		Demand:   r.Reports.Demand,
+		Room:     capacityLeft,
+	}
+	for name, zone := range view.Zones {
+		snapshot.Drained[name] = zone.Drained
+	}
+	if !r.isSpillTableExpired(now) {
+		snapshot.Moves = r.planner.table.Moves
+	}
+	return snapshot
+}
+
+// eligibleProxies gives the proxies that the directory may name: those that report
+// themselves ready and acknowledge what this registry pushes. Incremental registries
+// share the proxies out, and rely on the report alone.
+func (r *Registry) eligibleProxies(now ids.Time) []membership.Member {
+	var eligible []membership.Member
+	for _, proxy := range r.Live(membership.Proxy) {
+		if proxy.Ready && (r.options.Incremental || r.Distributor.AcknowledgedWithin(now, proxy, maxProxyLag)) {
+			eligible = append(eligible, proxy)
+		}
+	}
+	return eligible
+}
+
+// nearestKnownProxies gives the proxies of the nearest zone by the membership list alone,
+// preferring members that aren't declared dead. If no proxy seems eligible it may be
+// this registry that is cut off, and not its client.
+func (r *Registry) nearestKnownProxies(zone ids.Name) (directory.Destination, bool) {
+	var proxies []membership.Member
+	for _, member := range r.All() {
+		if member.Role == membership.Proxy {
+			proxies = append(proxies, member)
+		}
+	}
+	if len(proxies) == 0 {
+		return directory.Destination{}, false
+	}
+	slices.SortStableFunc(proxies, func(a, b membership.Member) int {
+		return cmp.Or(compareBool(a.Gone, b.Gone), r.compareDistance(zone, a.Zone, b.Zone))
+	})
+	destination := directory.Destination{Zone: proxies[0].Zone}
+	for _, proxy := range proxies {
+		if proxy.Zone == destination.Zone {
+			destination.Proxies = append(destination.Proxies, proxy.ClientAddress())
+		}
+	}
+	return destination, true
+}
+
+// compareBool orders false before true.
+func compareBool(a, b bool) int {
+	switch {
+	case a == b:
+		return 0
+	case b:
+		return -1
+	}
+	return 1
+}
--- a/internal/controlplane/registry/isolated_test.go
+++ b/internal/controlplane/registry/isolated_test.go
@@ -129,8 +129,8 @@
 	b := newTestRegistry(true)
 	b.partitioned = true
 	b.run(3*tickEvery, nil)
-	is.Equal(b.agreedAt, ids.Time(0))
+	is.Equal(b.lease.agreedAt, ids.Time(0))
 	b.partitioned = false
 	b.run(2*tickEvery, nil)
-	is.True(b.agreedAt != 0)
+	is.True(b.lease.agreedAt != 0)
 }
--- a/internal/controlplane/registry/keeper_test.go
+++ b/internal/controlplane/registry/keeper_test.go
@@ -121,19 +121,19 @@
 	for range 5 {
 		b.tickWithPeers(100 * time.Millisecond)
 	}
-	is.Equal(len(b.deliveryGroup), 3)
+	is.Equal(len(b.assignment.registries), 3)
 	for range 40 {
 		b.tickWithPeers(1600 * time.Millisecond)
-		is.Equal(len(b.deliveryGroup), 3)
+		is.Equal(len(b.assignment.registries), 3)
 		b.tickWithPeers(900 * time.Millisecond)
-		is.Equal(len(b.deliveryGroup), 3)
+		is.Equal(len(b.assignment.registries), 3)
 	}
 	b.tickWithPeers(2600 * time.Millisecond)
-	is.Equal(len(b.deliveryGroup), 1)
+	is.Equal(len(b.assignment.registries), 1)
 	b.tickWithPeers(1600 * time.Millisecond) // not at once again
-	is.Equal(len(b.deliveryGroup), 1)
+	is.Equal(len(b.assignment.registries), 1)
 	b.tickWithPeers(500 * time.Millisecond)
-	is.Equal(len(b.deliveryGroup), 3)
+	is.Equal(len(b.assignment.registries), 3)
 	// And a target stays with the one that keeps it, of two that are as near.
 	for _, n := range []ids.DaemonID{"f", "g", "h"} {
 		is.Equal(b.registrarFor(b.now, targetAt(1, 1, n)).ID, n)
--- a/internal/controlplane/registry/lease.go
+++ b/internal/controlplane/registry/lease.go
@@ -4,148 +4,66 @@
 	"time"
 
 	"dunlinwell/internal/base/ids"
-	"dunlinwell/internal/state/configuration"
-	"dunlinwell/internal/state/consensus"
 )
 
-// The control lease. A registry speaks for the core only while the newest
-// agreement on the configuration that it knows of began within the control lease on its own
-// monotonic clock. An agreement counts from the moment the registry asked for
-// it, so that the way to the stores and back, and a freeze of this process in
-// between, shorten the lease and never lengthen it.
 const (
-	// majorityTimeout is how long a call may wait for a majority that hasn't been
-	// heard of since the call came. Its caller goes elsewhere after a second, and
-	// later with a large body, which takes its time on the way to the stores.
-	majorityTimeout = 800 * time.Millisecond
-	// probeAfter is when a call that isn't answered yet has the stores asked
-	// whether a majority is there at all.
-	probeAfter = 250 * time.Millisecond
-	// maxDeferLeases is how many leases old an agreement may be for a call to wait
-	// whether it is renewed.
-	maxDeferLeases = 2
-	// lifetimeWithoutLease is how long an answer of the directory may be trusted that a
-	// registry without the lease gives where any answer is better than none.
-	lifetimeWithoutLease = 500 * time.Millisecond
+	// isolatedAfter is how old the last agreement may be before a registry counts as
+	// isolated. Reads begin every second, and one that a lost store delays is
+	// answered by the next store within this time.
+	isolatedAfter = 1200 * time.Millisecond
+	// readyWithinAge is how old the last agreement may be for a registry to report
+	// itself ready. It is longer than the lease, so that readiness doesn't flap with
+	// each slow read.
+	readyWithinAge = 5 * time.Second
+	// declareDeadWithinAge is how old the last agreement may be for a registry to
+	// declare members dead. It is shorter than the silence that precedes a
+	// declaration (1.8 s at least), so that a registry cut off from the majority
+	// never declares anybody dead.
+	declareDeadWithinAge = 1500 * time.Millisecond
+	// ageWithoutAgreement is the age reported while there has been no agreement: longer
+	// than any limit that ages are compared with.
+	ageWithoutAgreement = time.Hour
 )
 
-// hasLease tells whether this registry may speak for the core.
-func (r *Registry) hasLease(now ids.Time) bool { return r.agreementAge(now) <= r.options.ControlLease }
-
-// deferredCall is a call that came while the lease had only just ended.
-type deferredCall struct {
-	id       uint64
-	deadline ids.Time
-	start    func(now ids.Time)
+// controlLease is the right of a registry to confirm, reject or hand out anything. It
+// is held while the newest agreement on the configuration (a read of its register at a
+// majority of the stores) began at most duration ago.
+//
+// An agreement counts from the moment at which the registry asked for it, by its own
+// monotonic clock, so that network delay and a suspension of this process shorten the
+// lease and never lengthen it. See docs/control/cutoff.md.
+type controlLease struct {
+	duration time.Duration
+	// agreedAt is when the newest agreement began; zero if there was none.
+	agreedAt ids.Time
 }
 
-// withLease begins a call that needs an agreement of its own. Without the lease
-// nothing of it leaves, so that a 503 surely means that it has no effect: one that
-// has been without for long says so at once, and one whose lease has only just
-// ended, as may come of a busy machine, first waits whether it is renewed. A run
-// that has just started can't know yet, and finds out by the call itself.
-func (r *Registry) withLease(now ids.Time, id uint64, begin func(now ids.Time)) {
-	switch {
-	case r.agreedAt == 0 || r.hasLease(now):
-		begin(now)
-	case r.agreementAge(now) <= maxDeferLeases*r.options.ControlLease:
-		r.deferredCalls = append(r.deferredCalls, deferredCall{id: id, deadline: now.Add(majorityTimeout), start: begin})
-	default:
-		r.replyUnavailable(id)
-	}
-}
+// renew notes an agreement that began at a moment.
+func (l *controlLease) renew(began ids.Time) { l.agreedAt = max(l.agreedAt, began) }
 
-// runDeferredCalls begins the calls that waited for the lease, or ends their wait.
-func (r *Registry) runDeferredCalls(now ids.Time) {
-	waiting := r.deferredCalls
-	r.deferredCalls = nil
-	for _, call := range waiting {
-		switch {
-		case r.hasLease(now):
-			call.start(now)
-		case now >= call.deadline:
-			r.replyUnavailable(call.id)
-		default:
-			r.deferredCalls = append(r.deferredCalls, call)
-		}
+// age gives the time since the last agreement began.
+func (l *controlLease) age(now ids.Time) time.Duration {
+	if l.agreedAt == 0 {
+		return ageWithoutAgreement
 	}
+	return now.Sub(l.agreedAt)
 }
 
-// agreedSince tells whether an agreement is known that began after a moment.
-func (r *Registry) agreedSince(moment ids.Time) bool { return r.agreedAt > moment }
-
-// pendingCall is a control call that waits for an agreement of its own.
-type pendingCall struct {
-	id       consensus.CallID
-	arrived  ids.Time
-	deadline ids.Time
-}
-
-// trackPendingCall has a call of so many bytes ended early if the majority turns out to be
-// out of reach.
-func (r *Registry) trackPendingCall(now ids.Time, bytes int, id consensus.CallID) {
-	r.pendingCalls = append(r.pendingCalls, pendingCall{id: id, arrived: now, deadline: now.Add(majorityTimeout + consensus.TransferTime(bytes))})
-}
+// isHeld tells whether this registry may speak for the control plane.
+func (l *controlLease) isHeld(now ids.Time) bool { return l.age(now) <= l.duration }
 
-// abandonOverdueCalls ends the calls that have waited for answerWithin while nothing
-// shows that a majority can be reached. A slow majority keeps its calls: the
-// probe that begins after them is answered by reads, which wait for no disk.
-func (r *Registry) abandonOverdueCalls(now ids.Time) {
-	left := r.pendingCalls[:0]
-	for _, call := range r.pendingCalls {
-		if !r.Client.IsPending(call.id) {
-			continue
-		}
-		if now >= call.deadline && !r.agreedSince(call.arrived) {
-			r.Client.Abandon(now, call.id)
-			continue
-		}
-		left = append(left, call)
-	}
-	r.pendingCalls = left
-}
+// isIsolated tells whether this registry may be on the minority side of a partition:
+// it doesn't hear of targets that heartbeat to the other side, nor does that side hear
+// of those that heartbeat here.
+func (l *controlLease) isIsolated(now ids.Time) bool { return l.age(now) > isolatedAfter }
 
-// probeDue tells whether a call has waited long enough for the stores to be
-// asked whether a majority is there.
-func (r *Registry) probeDue(now ids.Time) bool {
-	waits := func(arrived ids.Time) bool {
-		return now.Sub(arrived) >= probeAfter && !r.agreedSince(arrived)
-	}
-	for _, call := range r.pendingCalls {
-		if waits(call.arrived) {
-			return true
-		}
-	}
-	for _, d := range r.departures {
-		if waits(d.arrived) {
-			return true
-		}
-	}
-	return false
-}
+// renewedSince tells whether an agreement is known that began after a moment.
+func (l *controlLease) renewedSince(moment ids.Time) bool { return l.agreedAt > moment }
 
-// resolutionLifetime is how long an answer of the directory may be trusted.
-func (r *Registry) resolutionLifetime(now ids.Time) time.Duration {
-	if r.hasLease(now) {
-		return r.options.Lifetime
-	}
-	return min(r.options.Lifetime, lifetimeWithoutLease)
+// isReady tells whether this registry reports itself ready to the others.
+func (r *Registry) isReady(now ids.Time) bool {
+	return !r.stopping && r.lease.agreedAt != 0 && now.Sub(r.lease.agreedAt) < readyWithinAge
 }
 
-// pollConfiguration keeps up with the configuration even where no news of it arrived.
-func (r *Registry) pollConfiguration(now ids.Time) {
-	r.readPending = true
-	r.nextRead = now.Add(pollInterval)
-	if r.options.Incremental && !r.Client.HadSilentStore(now) {
-		// News of a change comes by itself; what this renews is the agreement's age.
-		r.nextRead = now.Add(2 * pollInterval)
-	}
-	began := now
-	r.Client.ReadIfChanged(now, configuration.Key, r.registerValue, r.registerChecksum, 2*time.Second, func(_ ids.Time, outcome consensus.Outcome, out []byte) {
-		r.readPending = false
-		if outcome == consensus.Succeeded {
-			r.agreedAt = max(r.agreedAt, began)
-			r.adoptConfiguration(out)
-		}
-	})
-}
+// mayDeclareDead tells whether this registry may declare members dead.
+func (r *Registry) mayDeclareDead(now ids.Time) bool { return r.lease.age(now) < declareDeadWithinAge }
--- a/internal/controlplane/registry/lease_test.go
+++ b/internal/controlplane/registry/lease_test.go
@@ -63,8 +63,8 @@
 	want    map[string]int
 }
 
-// Where the link fails right before the call, the lease still stands, and the
-// call finds out by itself that nobody answers.
+// linkCases hold what each call is answered. If the link fails right before the call,
+// the lease is still held, and the call finds out by itself that nobody answers.
 var linkCases = []linkCase{
 	{"in touch", 0, registrytest.Connected, map[string]int{
 		"change": 200, "change that is stale": 409, "change without its item": 404, "evacuate": 200,
--- a/internal/controlplane/registry/planner.go
+++ b/internal/controlplane/registry/planner.go
@@ -6,98 +6,160 @@
 	"dunlinwell/internal/base/event"
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/controlplane/membership"
-	"dunlinwell/internal/state/consensus"
-	"dunlinwell/internal/state/election"
-	"dunlinwell/internal/transport/wire"
+	"dunlinwell/internal/controlplane/spill"
 )
 
 const (
-	// campaignBackoff is how long a registry leaves the duty of planner alone that it
-	// has just given up: failure detection that wavers must not have it change
-	// hands with each verdict.
-	campaignBackoff = 2 * time.Second
-	// resumeSettleTime is how long a registry that was frozen listens before it plans.
-	resumeSettleTime = 2 * time.Second
-	// startupGrace is how long a run waits before it passes over those who say that
-	// they reach no majority: where all start at once, none of them does at first.
-	startupGrace = 5 * time.Second
+	// tableBroadcastInterval is the interval at which the planner repeats its table to
+	// the other registries.
+	tableBroadcastInterval = time.Second
+	// forecastPlans is the number of plans for which a move counts that reports don't
+	// show yet.
+	forecastPlans = 6
+	// minForecastChange is the smallest change of a zone's load that is forecast, in
+	// milliseconds of CPU time per second.
+	minForecastChange = 1
 )
 
-// observeEpoch notes a higher epoch; what is under a lower one is rejected from then on.
-func (r *Registry) observeEpoch(now ids.Time, epoch ids.Epoch) {
-	r.highestEpoch = max(r.highestEpoch, epoch)
-	if r.ownEpoch != 0 && r.highestEpoch > r.ownEpoch {
-		r.stepDown(now, "duty lost")
-	}
+// planner is the spill plan in use and, while this registry leads, what it plans from.
+type planner struct {
+	// table is the spill table in use.
+	table spill.Table
+	// tableConfirmedAt is when the table was made here, or last received.
+	tableConfirmedAt ids.Time
+	nextPlan         ids.Time
+	nextBroadcast    ids.Time
+	// forecasts are the effects of earlier plans, by zone.
+	forecasts map[ids.Name]forecast
+	// learnedMaxima are the maximum loads learned from latencies, by zone.
+	learnedMaxima map[ids.Name]spill.Fit
 }
 
-func (r *Registry) stepDown(now ids.Time, reason event.LogEvent) {
-	r.Log(event.LevelInfo, reason, "duty", "planner", "epoch", formatUint(uint64(r.ownEpoch)))
-	r.ownEpoch, r.steppedDownAt = 0, now
+// forecast is the load that a zone should come to by a plan.
+type forecast struct {
+	// change is the load that the plan moved into the zone; negative if out of it.
+	// Loads are in milliseconds of CPU time per second.
+	change float64
+	// expectedUsage is the zone's load once the move has taken full effect.
+	expectedUsage float64
+	plannedAt     ids.Time
 }
 
-// PlannerEpoch gives the epoch under which this registry plans, if it does.
-func (r *Registry) PlannerEpoch() (ids.Epoch, bool) { return r.ownEpoch, r.ownEpoch != 0 }
+func newPlanner() planner {
+	return planner{forecasts: map[ids.Name]forecast{}, learnedMaxima: map[ids.Name]spill.Fit{}}
+}
 
-// tickPlanner takes the duty when it is this registry's turn, and plans.
+// tickPlanner makes and broadcasts plans when they are due.
 func (r *Registry) tickPlanner(now ids.Time) {
-	if !r.shouldLead(now) {
-		if r.ownEpoch != 0 {
-			r.stepDown(now, "duty given up")
-		}
-		return
-	}
-	if r.ownEpoch == 0 {
-		r.campaign(now)
-		return
-	}
-	if now >= r.nextBroadcast {
-		r.nextBroadcast = now.Add(time.Second)
-		r.broadcastSpillTable()
+	if now >= r.planner.nextBroadcast {
+		r.planner.nextBroadcast = now.Add(tableBroadcastInterval)
+		r.sendToPeers(r.planner.table)
 	}
-	if now >= r.nextPlan {
-		r.nextPlan = now.Add(r.options.PlanEvery)
+	if now >= r.planner.nextPlan {
+		r.planner.nextPlan = now.Add(r.options.PlanEvery)
 		r.plan(now)
-		r.broadcastSpillTable()
+		r.sendToPeers(r.planner.table)
 	}
 }
 
-// shouldLead tells whether the duty is this registry's: it holds the control
-// lease, and is the first of those that say that they reach a majority. One that
-// is heard but hears nothing says that it doesn't, and gives the duty up itself.
-func (r *Registry) shouldLead(now ids.Time) bool {
-	if r.stopping || !r.hasLease(now) || now.Sub(r.resumedAt) <= resumeSettleTime {
-		return false
+// plan makes the next spill table from the last one and the proxies' reports.
+func (r *Registry) plan(now ids.Time) {
+	p := &r.planner
+	r.Reports.Prune(r.liveProxies())
+	r.learnMaxima()
+	zones := r.currentZones(now)
+	moves := spill.Plan(r.plannerInput(now, zones), p.table.Moves)
+	p.recordForecasts(now, zones, p.table.Moves, moves)
+	p.table = spill.Table{
+		Epoch:   r.leadership.ownEpoch,
+		Number:  p.table.Number + 1,
+		Moves:   moves,
+		Demands: r.Reports.RouteDemands(moves),
 	}
-	for _, m := range r.Live(membership.Registry) {
-		if m.ID == r.Self.ID {
-			return true
-		}
-		if m.Ready || now.Sub(r.startedAt) < startupGrace {
-			return false
+	p.tableConfirmedAt = now
+	r.Log(event.LevelInfo, "planned", "epoch", formatUint(p.table.Epoch), "number", formatUint(p.table.Number), "moves", formatUint(uint64(len(moves))))
+}
+
+// learnMaxima learns the maximum load of every zone from its latencies. Zones whose levels
+// are derived from capacities are left out.
+func (r *Registry) learnMaxima() {
+	for name, zone := range r.configuration.view.Zones {
+		if !r.hasDerivedLevels(zone) {
+			r.planner.learnedMaxima[name] = spill.LearnMaximum(r.Reports.Samples(name), zone.TargetLoad, zone.MaximumLoad)
 		}
 	}
-	return false
 }
 
-func (r *Registry) campaign(now ids.Time) {
-	recent := r.steppedDownAt != 0 && now.Sub(r.steppedDownAt) < campaignBackoff
-	if r.campaigning || recent || r.view.Revision == 0 {
+// plannerInput gathers what a plan is made from, zones in order of name.
+func (r *Registry) plannerInput(now ids.Time, zones map[ids.Name]spill.Zone) spill.PlannerInput {
+	input := spill.PlannerInput{
+		Distance:   r.configuration.view.Distance,
+		Ranks:      r.routeRanks(),
+		PendingIn:  map[ids.Name]float64{},
+		PendingOut: map[ids.Name]float64{},
+	}
+	for _, name := range sortedNames(zones) {
+		zone := zones[name]
+		zone.StalePlans = r.Reports.CountStalePlans(zone)
+		r.Reports.RecordDemand(zone, r.planner.table.Moves)
+		input.Zones = append(input.Zones, zone)
+		r.addPendingMoves(now, zone, input)
+	}
+	return input
+}
+
+// addPendingMoves adds to a zone's load what earlier plans moved and reports don't show
+// yet: connections that are open stay, so a move takes effect only as they end. Moves
+// count in full at first, and then less with time.
+func (r *Registry) addPendingMoves(now ids.Time, zone spill.Zone, input spill.PlannerInput) {
+	expected, known := r.planner.forecasts[zone.Name]
+	horizon := forecastPlans * r.options.PlanEvery
+	remaining := 1 - float64(now.Sub(expected.plannedAt))/float64(horizon)
+	if !known || remaining <= 0 {
+		delete(r.planner.forecasts, zone.Name)
 		return
 	}
-	r.campaigning = true
-	raw, _ := wire.Encode(election.Term{Holder: r.Self.ID, RunID: r.Self.RunID, Epoch: r.highestEpoch})
-	r.Client.Call(now, election.RegisterKey("planner"), election.OpAcquire, raw, 2*time.Second, func(at ids.Time, s consensus.Outcome, out []byte) {
-		r.campaigning = false
-		term, ok := election.DecodeTerm(out)
-		mine := ok && term.Holder == r.Self.ID && term.RunID == r.Self.RunID
-		// A higher epoch was heard of meanwhile: another holds the duty, or held it.
-		if s != consensus.Succeeded || !mine || term.Epoch < r.highestEpoch {
-			return
+	change, used := expected.change*remaining, zone.Used()
+	if change > 0 {
+		input.PendingIn[zone.Name] = min(change, max(0, expected.expectedUsage-used))
+	} else {
+		input.PendingOut[zone.Name] = min(-change, max(0, used-expected.expectedUsage))
+	}
+}
+
+// recordForecasts notes the load that each zone should come to as moves change.
+func (p *planner) recordForecasts(now ids.Time, zones map[ids.Name]spill.Zone, previous, next []spill.Move) {
+	changes := map[ids.Name]float64{}
+	for _, move := range previous {
+		changes[move.To] -= move.PlannedCPU
+		changes[move.From] += move.PlannedCPU
+	}
+	for _, move := range next {
+		changes[move.To] += move.PlannedCPU
+		changes[move.From] -= move.PlannedCPU
+	}
+	for name, change := range changes {
+		if change > minForecastChange || change < -minForecastChange {
+			p.forecasts[name] = forecast{change: change, expectedUsage: zones[name].Used() + change, plannedAt: now}
 		}
-		r.observeEpoch(at, term.Epoch)
-		r.ownEpoch, r.spillTable.Epoch = term.Epoch, term.Epoch
-		r.nextPlan = at.Add(min(r.options.PlanEvery, 5*time.Second))
-		r.Log(event.LevelInfo, "duty taken", "duty", "planner", "epoch", formatUint(uint64(term.Epoch)))
-	})
+	}
+}
+
+// liveProxies gives the live proxies in the form that spill.Reports needs.
+func (r *Registry) liveProxies() []spill.LiveProxy {
+	var proxies []spill.LiveProxy
+	for _, member := range r.Live(membership.Proxy) {
+		proxies = append(proxies, spill.LiveProxy{ID: member.ID, RunID: member.RunID, Zone: member.Zone})
+	}
+	return proxies
+}
+
+// routeRanks gives the order in which routes are moved out of an overloaded zone.
+func (r *Registry) routeRanks() map[ids.Name]spill.Rank {
+	view := r.configuration.view
+	ranks := map[ids.Name]spill.Rank{}
+	for name, route := range view.Routes {
+		ranks[name] = spill.Rank{Tier: route.Tier, Service: view.Services[route.Service].Tier, Route: name}
+	}
+	return ranks
 }
--- a/internal/controlplane/registry/registry_test.go
+++ b/internal/controlplane/registry/registry_test.go
@@ -26,13 +26,13 @@
 	is.True(r.Accepted())
 	f := New(Options{Options: membership.Options{Self: membership.Member{ID: "f"}}})
 	f.adoptConfiguration(p.Encode(true))
-	is.Equal(f.view.Revision, ids.Revision(1))
+	is.Equal(f.configuration.view.Revision, ids.Revision(1))
 	again := p.Encode(true)
 	is.True(testing.AllocsPerRun(10, func() { f.adoptConfiguration(again) }) < 5)
 	// What is newer is taken, and what is older isn't.
 	q, _ := p.Merge(configuration.Merge{Items: []configuration.VersionedItem{{Kind: "service", Name: "s1", Version: 2, Removed: true}}})
 	f.adoptConfiguration(q.Encode(true))
 	f.adoptConfiguration(p.Encode(true))
-	is.Equal(f.view.Revision, ids.Revision(2))
-	is.Equal(len(f.view.Services), 999)
+	is.Equal(f.configuration.view.Revision, ids.Revision(2))
+	is.Equal(len(f.configuration.view.Services), 999)
 }
--- a/internal/controlplane/registry/registrytest/core.go
+++ b/internal/controlplane/registry/registrytest/harness.go
@@ -1,5 +1,3 @@
-// Package registrytest drives one real registry against a stand-in for the
-// core's majority, in virtual time, so that tests can cut it off.
 package registrytest
 
 import (
@@ -17,17 +15,18 @@
 	"dunlinwell/internal/state/election"
 )
 
-// Link is how the registry's way to the majority stands.
+// Link is the state of the connection between the registry and the majority.
 type Link int
 
+// The states of a Link.
 const (
-	// Connected: the majority answers at once.
+	// Connected lets everything through; the majority answers at once.
 	Connected Link = iota
-	// Silent: nothing gets through, either way.
+	// Silent lets nothing through, in either direction.
 	Silent
-	// OneWay: requests arrive and are carried out, but no answer comes back.
+	// OneWay lets requests through, which are carried out, but no reply.
 	OneWay
-	// Rejecting: a store answers that it reaches no majority.
+	// Rejecting has a store answer that it reaches no majority.
 	Rejecting
 )
 
@@ -40,8 +39,14 @@
 )
 
 const (
-	proxy     ids.DaemonID = "proxy"
-	tickEvery              = 50 * time.Millisecond
+	proxyID ids.DaemonID = "proxy"
+	zone    ids.Name     = "c"
+	// runID is the run of every daemon.
+	runID ids.RunID = 1
+
+	tickInterval = 50 * time.Millisecond
+	// connectTime is long enough for a registry to have reached its majority.
+	connectTime = 3 * time.Second
 	// callTimeout is when a call counts as never answered.
 	callTimeout = 10 * time.Second
 )
@@ -52,43 +57,50 @@
 	*registry.Registry
 	Link Link
 	Now  ids.Time
-	// ChangeDelay is how long changes take that a disk must hold.
+	// ChangeDelay is how long changes take that have to be synced to a disk.
 	ChangeDelay time.Duration
-	// Sent, if set, sees every message that the registry sends.
-	OnSend   func(event.Send)
+	// OnSend, if set, is called with every message that the registry sends.
+	OnSend func(event.Send)
+
 	values   map[ids.RegisterKey][]byte
 	ops      map[consensus.Op]consensus.ChangeFunc
 	answered map[uint64]registry.Response
-	delayed  []delayedResponse
+	// delayed are the responses that ChangeDelay holds back, earliest first.
+	delayed []delayedResponse
 }
 
-// delayedResponse is an answer that a slow disk holds up.
 type delayedResponse struct {
 	deliverAt ids.Time
 	consensus.Response
 }
 
-// New makes a registry that has been in touch with its majority for a while.
+// New makes a registry that has been connected to its majority for a while.
 func New(options registry.Options) *Harness {
 	harness := NewStarting(options)
-	harness.Run(3 * time.Second)
+	harness.Run(connectTime)
 	return harness
 }
 
 // NewStarting makes a registry that has just started.
 func NewStarting(options registry.Options) *Harness {
-	options.Self = membership.Member{ID: "registry", Address: Self, RunID: 1, Zone: "c"}
+	options.Self = membership.Member{ID: "registry", Address: Self, RunID: runID, Zone: zone}
 	options.Seeds = []ids.Address{Store}
 	options.Random = rand.New(rand.NewPCG(1, 1))
-	harness := &Harness{Registry: registry.New(options), Now: 1, ops: configuration.Ops(), values: map[ids.RegisterKey][]byte{}, answered: map[uint64]registry.Response{}}
+	harness := &Harness{
+		Registry: registry.New(options),
+		Now:      1,
+		ops:      configuration.Ops(),
+		values:   map[ids.RegisterKey][]byte{},
+		answered: map[uint64]registry.Response{},
+	}
 	maps.Copy(harness.ops, election.Ops())
 	return harness
 }
 
-// Value is the configuration's register as the majority has it.
+// Value gives the configuration's register as the majority has it.
 func (h *Harness) Value() []byte { return h.values[configuration.Key] }
 
-// Step hands an event to the registry and carries its commands out.
+// Step hands an event to the registry and carries out its commands.
 func (h *Harness) Step(ev event.Event) {
 	for _, command := range h.Registry.Step(h.Now, ev) {
 		switch command := command.(type) {
@@ -112,10 +124,10 @@
 	}
 }
 
-// acknowledge has the proxy go by what it was sent.
+// acknowledge has the proxy apply and acknowledge a push.
 func (h *Harness) acknowledge(push distribution.Push) {
 	if h.Link == Connected {
-		h.DeliverFrom(Proxy, distribution.Ack{Proxy: proxy, RunID: 1, Number: push.Number, Revision: push.Revision, Now: h.Now})
+		h.DeliverFrom(Proxy, distribution.Ack{Proxy: proxyID, RunID: runID, Number: push.Number, Revision: push.Revision, Now: h.Now})
 	}
 }
 
@@ -125,63 +137,64 @@
 	case Silent:
 		return
 	case Rejecting:
-		h.deliver(consensus.Response{ID: request.ID, Attempt: request.Attempt, Outcome: consensus.Rejected})
+		h.Deliver(consensus.Response{ID: request.ID, Attempt: request.Attempt, Outcome: consensus.Rejected})
 		return
 	}
 	result := h.values[request.Key]
-	slow := request.Op != consensus.Read && h.ChangeDelay > 0
 	if op := h.ops[request.Op]; op != nil {
 		h.values[request.Key], result = op(request.Key, result, request.Arg)
 	}
 	response := consensus.Response{ID: request.ID, Attempt: request.Attempt, Outcome: consensus.Succeeded, Result: result}
+	isDelayed := request.Op != consensus.Read && h.ChangeDelay > 0
 	switch {
 	case h.Link != Connected:
-	case slow:
+	case isDelayed:
 		h.delayed = append(h.delayed, delayedResponse{h.Now.Add(h.ChangeDelay), response})
 	default:
-		h.deliver(response)
+		h.Deliver(response)
 	}
 }
 
-// Deliver hands the registry a message as if the majority's side had sent it.
-func (h *Harness) Deliver(msg any) { h.deliver(msg) }
-
-func (h *Harness) deliver(msg any) { h.DeliverFrom(Store, msg) }
+// Deliver hands the registry a message from the store.
+func (h *Harness) Deliver(msg any) { h.DeliverFrom(Store, msg) }
 
-// DeliverFrom hands the registry a message of one that the majority's side names.
+// DeliverFrom hands the registry a message from an address.
 func (h *Harness) DeliverFrom(from ids.Address, msg any) {
 	h.Step(event.Received{From: from, Msg: msg})
 }
 
 // Run lets time pass.
-func (h *Harness) Run(span time.Duration) {
-	for end := h.Now.Add(span); h.Now < end; {
+func (h *Harness) Run(duration time.Duration) {
+	for end := h.Now.Add(duration); h.Now < end; {
 		h.tick()
 	}
 }
 
 func (h *Harness) tick() {
-	h.Now = h.Now.Add(tickEvery)
+	h.Now = h.Now.Add(tickInterval)
 	if h.Link == Connected || h.Link == Rejecting {
 		h.sendHeartbeat(membership.Member{ID: "store", Role: membership.Store, Address: Store})
 	}
 	if h.Link == Connected {
-		h.sendHeartbeat(membership.Member{ID: proxy, Role: membership.Proxy, Address: Proxy, Zone: "c"})
+		h.sendHeartbeat(membership.Member{ID: proxyID, Role: membership.Proxy, Address: Proxy, Zone: zone})
 	}
 	for len(h.delayed) > 0 && h.Now >= h.delayed[0].deliverAt {
 		first := h.delayed[0]
 		h.delayed = h.delayed[1:]
-		h.deliver(first.Response)
+		h.Deliver(first.Response)
 	}
 	h.Step(event.Tick{})
 }
 
+// sendHeartbeat hands the registry a member's heartbeat. Each refutes what may have been
+// declared of the member meanwhile.
 func (h *Harness) sendHeartbeat(member membership.Member) {
-	member.RunID, member.Ready, member.Incarnation = 1, true, ids.Incarnation(h.Now)
-	h.deliver(membership.Heartbeat{Self: member})
+	member.RunID, member.Ready, member.Incarnation = runID, true, ids.Incarnation(h.Now)
+	h.Deliver(membership.Heartbeat{Self: member})
 }
 
-// Call hands a call in, and gives its answer and how long that took.
+// Call hands a call in, and gives its response and how long that took. A call that is
+// never answered gives a response without a status after callTimeout.
 func (h *Harness) Call(id uint64, call event.Event) (registry.Response, time.Duration) {
 	began := h.Now
 	h.Step(call)
--- a/internal/controlplane/registry/screen_test.go
+++ b/internal/controlplane/registry/screen_test.go
@@ -66,8 +66,8 @@
 		for _, from := range []ids.Address{unknownAddress, "10.0.0.5:1"} {
 			is.Equal(b.countDiscards(from, c.msg), 1)
 		}
-		is.Equal(b.highestEpoch, ids.Epoch(0))
-		is.Equal(b.view.Revision, ids.Revision(0))
+		is.Equal(b.leadership.highestEpoch, ids.Epoch(0))
+		is.Equal(b.configuration.view.Revision, ids.Revision(0))
 		is.Equal(b.countDiscards(c.right, c.msg), 0)
 	}
 }
@@ -78,11 +78,11 @@
 	is := is.New(t)
 	b := newRegistryWithPeers()
 	leaving := targets.Target{Instance: "i", Incarnation: 2, Sequence: 1, Leaving: true}
-	b.departures = []departure{{callID: 1, target: leaving, deadline: b.now.Add(time.Hour), awaitedPeers: map[ids.DaemonID]bool{"g": true}}}
+	b.departures.waiting = []departure{{callID: 1, target: leaving, deadline: b.now.Add(time.Hour), awaitedPeers: map[ids.DaemonID]bool{"g": true}}}
 	b.countDiscards("10.0.0.4:1", DepartureAck{ID: "g", Instance: "i", Incarnation: 1, Sequence: 9})
-	is.True(b.departures[0].awaitedPeers["g"])
+	is.True(b.departures.waiting[0].awaitedPeers["g"])
 	b.countDiscards("10.0.0.4:1", DepartureAck{ID: "g", Instance: "i", Incarnation: 2, Sequence: 1})
-	is.True(!b.departures[0].awaitedPeers["g"])
+	is.True(!b.departures.waiting[0].awaitedPeers["g"])
 }
 
 // A store's answer counts for the try that went to that store, once.
@@ -151,7 +151,7 @@
 				b.now = b.now.Add(300 * time.Millisecond)
 				b.Step(b.now, event.Tick{})
 			}
-			if b.highestEpoch != 0 || b.view.Revision != 0 || len(b.spillTable.Moves) > 0 {
+			if b.leadership.highestEpoch != 0 || b.configuration.view.Revision != 0 || len(b.planner.table.Moves) > 0 {
 				t.Fatalf("%#v was taken as an order", msg)
 			}
 		}
--- a/internal/controlplane/registry/status.go
+++ b/internal/controlplane/registry/status.go
@@ -2,6 +2,7 @@
 
 import (
 	"strconv"
+	"time"
 
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/controlplane/membership"
@@ -9,142 +10,227 @@
 	"dunlinwell/internal/controlplane/targets"
 )
 
-// Status is what an operator at night needs on one page.
+// majorityWarningAge is the age of the last agreement from which on Status warns that no
+// majority of stores can be reached.
+const majorityWarningAge = 5 * time.Second
+
+// Values of DaemonStatus.State.
+const (
+	daemonReady    = "ready"
+	daemonNotReady = "not ready"
+	daemonGone     = "gone"
+)
+
+// Values of ZoneStatus.State, by falling precedence.
+const (
+	zoneDrained          = "emptied"
+	zoneNoProxies        = "no proxy"
+	zoneStale            = "stale"
+	zoneOverMaximum      = "over maximum"
+	zoneOverTarget       = "over target"
+	zoneBelowAcceptable  = "has room"
+	zoneWithinAcceptable = "comfortable"
+)
+
+// Status is what an operator needs to know of the cluster, as one registry sees it.
 type Status struct {
-	Registry           ids.DaemonID       `json:"registry"`
-	AgreementAgeMillis int64              `json:"agreed_ms_ago"`
-	Revision           ids.Revision       `json:"revision"`
-	InForce            bool               `json:"in_force"`
-	LaggingProxies     []ids.DaemonID     `json:"behind"`
-	Daemons            []DaemonStatus     `json:"daemons"`
-	Zones              []ZoneStatus       `json:"cells"`
-	Moves              []Move             `json:"moves"`
-	Leaderships        []LeadershipStatus `json:"duties"`
-	Targets            []targets.Target   `json:"targets"`
-	Warnings           []string           `json:"problems"`
+	Registry ids.DaemonID `json:"registry"`
+	// AgreementAgeMillis is the time since a majority of stores last confirmed the
+	// configuration, in milliseconds.
+	AgreementAgeMillis int64        `json:"agreed_ms_ago"`
+	Revision           ids.Revision `json:"revision"`
+	// InForce tells that every live proxy has acknowledged Revision.
+	InForce        bool               `json:"in_force"`
+	LaggingProxies []ids.DaemonID     `json:"behind"`
+	Daemons        []DaemonStatus     `json:"daemons"`
+	Zones          []ZoneStatus       `json:"cells"`
+	Moves          []Move             `json:"moves"`
+	Leaderships    []LeadershipStatus `json:"duties"`
+	Targets        []targets.Target   `json:"targets"`
+	// Warnings are the conditions that an operator should look at, one line each.
+	Warnings []string `json:"problems"`
 }
 
-// DaemonStatus is one of our processes.
+// DaemonStatus is the state of one daemon.
 type DaemonStatus struct {
-	ID       ids.DaemonID `json:"id"`
-	Role     string       `json:"role"`
-	Zone     ids.Name     `json:"cell"`
-	Address  ids.Address  `json:"address"`
-	HTTP     ids.Address  `json:"http"`
-	State    string       `json:"state"`
+	ID      ids.DaemonID `json:"id"`
+	Role    string       `json:"role"`
+	Zone    ids.Name     `json:"cell"`
+	Address ids.Address  `json:"address"`
+	HTTP    ids.Address  `json:"http"`
+	State   string       `json:"state"`
+	// Revision is the configuration that the daemon uses; of a proxy, the one that it
+	// has acknowledged.
 	Revision ids.Revision `json:"revision"`
-	// RunID tells one run of the daemon from another.
+	// RunID identifies one run of the daemon, in hexadecimal.
 	RunID string `json:"start"`
 }
 
-// ZoneStatus is a zone with its levels, in ms of CPU a second.
+// ZoneStatus is the load of a zone and its levels, in milliseconds of CPU time per second.
 type ZoneStatus struct {
 	Name       ids.Name `json:"name"`
 	Used       float64  `json:"used"`
 	Target     float64  `json:"target"`
 	Acceptable float64  `json:"acceptable"`
 	Maximum    float64  `json:"maximum"`
-	Learned    string   `json:"learned"`
-	State      string   `json:"state"`
-	Proxies    int      `json:"proxies"`
-	Targets    int      `json:"targets"`
+	// Learned says whether Maximum was learned, or why it wasn't.
+	Learned string `json:"learned"`
+	State   string `json:"state"`
+	// Proxies and Targets count the live proxies and the usable targets.
+	Proxies int `json:"proxies"`
+	Targets int `json:"targets"`
 }
 
-// Move is a share of fresh connections under way, and why.
+// Move is a share of a route's new connections that one zone hands to another.
 type Move struct {
 	From     ids.Name `json:"from"`
 	To       ids.Name `json:"to"`
 	Route    ids.Name `json:"route"`
 	Fraction float64  `json:"fraction"`
-	Amount   float64  `json:"amount"`
-	Reason   string   `json:"why"`
+	// Amount is the load that the move was planned to shift, in milliseconds of CPU
+	// time per second.
+	Amount float64 `json:"amount"`
+	Reason string  `json:"why"`
 }
 
-// LeadershipStatus is a one-daemon duty as this registry knows it.
+// LeadershipStatus is the state of an election as this registry knows it.
 type LeadershipStatus struct {
-	Name       string    `json:"name"`
-	Epoch      ids.Epoch `json:"epoch"`
-	Held       bool      `json:"mine"`
-	PlanNumber uint64    `json:"plan"`
+	Name  string    `json:"name"`
+	Epoch ids.Epoch `json:"epoch"`
+	// Held tells that this registry leads.
+	Held bool `json:"mine"`
+	// PlanNumber is the number of the spill table in use.
+	PlanNumber uint64 `json:"plan"`
 }
 
-func zoneState(zone spill.Zone) string {
-	switch {
-	case zone.Drained:
-		return "emptied"
-	case zone.NoProxies:
-		return "no proxy"
-	case zone.Stale:
-		return "stale"
-	case zone.Used() > zone.Maximum:
-		return "over maximum"
-	case zone.Used() > zone.Target:
-		return "over target"
-	case zone.Used() < zone.Acceptable:
-		return "has room"
-	}
-	return "comfortable"
-}
-
-// Status gathers how things stand, as this registry sees them.
+// Status gives the state of the cluster as this registry sees it.
 func (r *Registry) Status(now ids.Time) Status {
 	proxies := r.Live(membership.Proxy)
+	revision := r.configuration.view.Revision
 	status := Status{
-		Registry: r.Self.ID, Revision: r.view.Revision, AgreementAgeMillis: now.Sub(r.agreedAt).Milliseconds(),
-		LaggingProxies: r.Distributor.Lagging(proxies, r.view.Revision), Targets: r.Targets.All(now),
-		Leaderships: []LeadershipStatus{{"planner", r.highestEpoch, r.ownEpoch != 0, uint64(r.spillTable.Number)}},
+		Registry:           r.Self.ID,
+		AgreementAgeMillis: now.Sub(r.lease.agreedAt).Milliseconds(),
+		Revision:           revision,
+		LaggingProxies:     r.Distributor.Lagging(proxies, revision),
+		Daemons:            r.daemonStatuses(),
+		Zones:              r.zoneStatuses(now, proxies),
+		Leaderships: []LeadershipStatus{{
+			Name:       plannerElection,
+			Epoch:      r.leadership.highestEpoch,
+			Held:       r.leadership.leads(),
+			PlanNumber: uint64(r.planner.table.Number),
+		}},
+		Targets: r.Targets.All(now),
 	}
 	status.InForce = len(status.LaggingProxies) == 0
-	if r.agreedAt == 0 || status.AgreementAgeMillis > 5000 {
-		status.Warnings = append(status.Warnings, "no majority of stores for "+formatUint(uint64(status.AgreementAgeMillis/1000))+" s")
+	for _, move := range r.planner.table.Moves {
+		status.Moves = append(status.Moves, Move{
+			From: move.From, To: move.To, Route: move.Route,
+			Fraction: move.Fraction, Amount: move.PlannedCPU, Reason: move.Reason,
+		})
 	}
-	for _, id := range status.LaggingProxies {
-		status.Warnings = append(status.Warnings, "proxy "+string(id)+" lags behind revision "+formatUint(uint64(r.view.Revision)))
+	status.Warnings = status.warnings(r.lease.agreedAt != 0)
+	return status
+}
+
+// warnings lists what an operator should look at; hadAgreement tells whether a majority
+// of stores was ever reached.
+func (s *Status) warnings(hadAgreement bool) []string {
+	var warnings []string
+	if !hadAgreement || s.AgreementAgeMillis > majorityWarningAge.Milliseconds() {
+		warnings = append(warnings, "no majority of stores for "+formatUint(uint64(s.AgreementAgeMillis/1000))+" s")
 	}
-	for _, m := range r.All() {
-		d := DaemonStatus{ID: m.ID, Role: m.Role.String(), Zone: m.Zone, Address: m.Address, HTTP: m.HTTP, State: "ready", Revision: m.Revision, RunID: strconv.FormatUint(uint64(m.RunID), 16)}
-		if m.Gone {
-			d.State = "gone"
-		} else if !m.Ready {
-			d.State = "not ready"
-		}
-		if d.State != "ready" {
-			status.Warnings = append(status.Warnings, d.Role+" "+string(m.ID)+" is "+d.State)
+	for _, id := range s.LaggingProxies {
+		warnings = append(warnings, "proxy "+string(id)+" lags behind revision "+formatUint(s.Revision))
+	}
+	for _, daemon := range s.Daemons {
+		if daemon.State != daemonReady {
+			warnings = append(warnings, daemon.Role+" "+string(daemon.ID)+" is "+daemon.State)
 		}
-		if m.Role == membership.Proxy && !m.Gone {
-			d.Revision = r.Distributor.AcknowledgedRevision(m)
+	}
+	for _, zone := range s.Zones {
+		switch zone.State {
+		case zoneOverMaximum, zoneStale, zoneNoProxies:
+			warnings = append(warnings, "cell "+string(zone.Name)+": "+zone.State)
 		}
-		status.Daemons = append(status.Daemons, d)
 	}
-	status.Zones = r.zoneStatuses(now, proxies)
-	for _, c := range status.Zones {
-		if c.State == "over maximum" || c.State == "stale" || c.State == "no proxy" {
-			status.Warnings = append(status.Warnings, "cell "+string(c.Name)+": "+c.State)
+	return warnings
+}
+
+func (r *Registry) daemonStatuses() []DaemonStatus {
+	var statuses []DaemonStatus
+	for _, member := range r.All() {
+		status := DaemonStatus{
+			ID:       member.ID,
+			Role:     member.Role.String(),
+			Zone:     member.Zone,
+			Address:  member.Address,
+			HTTP:     member.HTTP,
+			State:    daemonState(member),
+			Revision: member.Revision,
+			RunID:    strconv.FormatUint(uint64(member.RunID), 16),
+		}
+		if member.Role == membership.Proxy && !member.Gone {
+			status.Revision = r.Distributor.AcknowledgedRevision(member)
 		}
+		statuses = append(statuses, status)
 	}
-	for _, m := range r.spillTable.Moves {
-		status.Moves = append(status.Moves, Move{m.From, m.To, m.Route, m.Fraction, m.PlannedCPU, m.Reason})
+	return statuses
+}
+
+func daemonState(member membership.Member) string {
+	switch {
+	case member.Gone:
+		return daemonGone
+	case !member.Ready:
+		return daemonNotReady
 	}
-	return status
+	return daemonReady
 }
 
 func (r *Registry) zoneStatuses(now ids.Time, proxies []membership.Member) []ZoneStatus {
-	zones := r.currentZones(now)
-	var out []ZoneStatus
-	for _, n := range sortedNames(zones) {
-		h := zones[n]
-		c := ZoneStatus{Name: n, Used: h.Used(), Target: h.Target, Acceptable: h.Acceptable, Maximum: h.Maximum, State: zoneState(h), Learned: r.learnedMaxima[n].Reason}
-		for _, m := range proxies {
-			if m.Zone == n {
-				c.Proxies++
-			}
-		}
-		for _, t := range r.Targets.All(now) {
-			if t.Zone == n && t.Usable() {
-				c.Targets++
-			}
+	proxyCount, targetCount := map[ids.Name]int{}, map[ids.Name]int{}
+	for _, proxy := range proxies {
+		proxyCount[proxy.Zone]++
+	}
+	for _, target := range r.Targets.All(now) {
+		if target.Usable() {
+			targetCount[target.Zone]++
 		}
-		out = append(out, c)
 	}
-	return out
+	zones := r.currentZones(now)
+	var statuses []ZoneStatus
+	for _, name := range sortedNames(zones) {
+		zone := zones[name]
+		statuses = append(statuses, ZoneStatus{
+			Name:       name,
+			Used:       zone.Used(),
+			Target:     zone.Target,
+			Acceptable: zone.Acceptable,
+			Maximum:    zone.Maximum,
+			Learned:    r.planner.learnedMaxima[name].Reason,
+			State:      zoneState(zone),
+			Proxies:    proxyCount[name],
+			Targets:    targetCount[name],
+		})
+	}
+	return statuses
+}
+
+func zoneState(zone spill.Zone) string {
+	switch {
+	case zone.Drained:
+		return zoneDrained
+	case zone.NoProxies:
+		return zoneNoProxies
+	case zone.Stale:
+		return zoneStale
+	case zone.Used() > zone.Maximum:
+		return zoneOverMaximum
+	case zone.Used() > zone.Target:
+		return zoneOverTarget
+	case zone.Used() < zone.Acceptable:
+		return zoneBelowAcceptable
+	}
+	return zoneWithinAcceptable
 }
--- /dev/null
+++ b/internal/controlplane/registry/target_sync.go
@@ -0,0 +1,53 @@
+package registry
+
+import (
+	"time"
+
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/targets"
+)
+
+// targetSyncInterval is the interval at which a registry without Options.Incremental
+// sends its whole target table to the others.
+const targetSyncInterval = time.Second
+
+// syncTargets sends the whole target table to the other registries when it is due.
+// Incremental registries send changes instead, and find lost ones by the digests of
+// their heartbeats.
+func (r *Registry) syncTargets(now ids.Time) {
+	if now < r.nextTargetSync {
+		return
+	}
+	r.nextTargetSync = now.Add(targetSyncInterval)
+	if !r.options.Incremental {
+		r.sendTargetsToPeers(r.Targets.All(now))
+	}
+}
+
+// sendTargetsToPeers sends targets, if there are any, to the other live registries.
+func (r *Registry) sendTargetsToPeers(list []targets.Target) {
+	if len(list) > 0 {
+		r.sendToPeers(targets.Update{Targets: list})
+	}
+}
+
+// handleTargetUpdate merges the targets that another registry sent. It sends those
+// back to all peers that were sent as gone but are in use by what this registry knows.
+func (r *Registry) handleTargetUpdate(now ids.Time, received []targets.Target) {
+	changed := r.Targets.Merge(now, received...)
+	r.handleChangedTargets(now, changed)
+	if !r.options.Incremental {
+		return
+	}
+	receivedAsGone := map[ids.InstanceID]bool{}
+	for _, target := range received {
+		receivedAsGone[target.Instance] = target.Gone
+	}
+	var corrections []targets.Target
+	for _, target := range changed {
+		if !target.Gone && receivedAsGone[target.Instance] {
+			corrections = append(corrections, target)
+		}
+	}
+	r.sendTargetsToPeers(corrections)
+}
