--- a/internal/controlplane/registry/configuration.go
+++ b/internal/controlplane/registry/configuration.go
@@ -102,11 +102,11 @@
 func (r *Registry) adoptConfiguration(value []byte) {
 	changed, err := r.configuration.adopt(value, r.options.Regions)
 	if err != nil {
-		r.Log(event.LevelError, "policy unreadable", "error", err.Error())
+		r.Log(event.LevelError, logConfigurationUnreadable, "error", err.Error())
 		return
 	}
 	if changed {
-		r.Log(event.LevelInfo, "policy", "revision", formatUint(r.configuration.document.Revision))
+		r.Log(event.LevelInfo, logConfigurationAdopted, "revision", formatUint(r.configuration.document.Revision))
 	}
 }
 
--- a/internal/controlplane/registry/configuration_calls.go
+++ b/internal/controlplane/registry/configuration_calls.go
@@ -97,7 +97,7 @@
 func (r *Registry) replyWithResult(id uint64) resultHandler {
 	return func(_ ids.Time, result configuration.Result) {
 		for _, conflict := range result.ReuseConflicts {
-			r.Log(event.LevelWarn, "number used twice", "item", conflict.Item, "path", conflict.Path)
+			r.Log(event.LevelWarn, logItemVersionReused, "item", conflict.Item, "path", conflict.Path)
 		}
 		r.reply(id, httpStatus(result), result)
 	}
--- a/internal/controlplane/registry/heartbeat.go
+++ b/internal/controlplane/registry/heartbeat.go
@@ -79,7 +79,7 @@
 	urgent := !r.options.Incremental
 	for _, target := range changed {
 		if !target.Usable() {
-			r.Log(event.LevelInfo, "target leaves", "target", string(target.Instance), "address", string(target.Address), "gone", formatBool(target.Gone))
+			r.Log(event.LevelInfo, logTargetWithdrawn, "target", string(target.Instance), "address", string(target.Address), "gone", formatBool(target.Gone))
 		}
 		urgent = urgent || !target.Usable() || target.SlowStartMillis > 0
 	}
@@ -101,7 +101,7 @@
 		r.sendTargetsToPeers(expired)
 	}
 	for _, target := range expired {
-		r.Log(event.LevelWarn, "target silent", "target", string(target.Instance), "service", string(target.Service), "address", string(target.Address))
+		r.Log(event.LevelWarn, logTargetHeartbeatTimeout, "target", string(target.Instance), "service", string(target.Service), "address", string(target.Address))
 	}
 	r.Targets.Forget(now, goneTargetRetention)
 }
--- a/internal/controlplane/registry/leader.go
+++ b/internal/controlplane/registry/leader.go
@@ -58,19 +58,19 @@
 func (r *Registry) observeEpoch(now ids.Time, epoch ids.Epoch) {
 	r.leadership.highestEpoch = max(r.leadership.highestEpoch, epoch)
 	if r.leadership.leads() && r.leadership.highestEpoch > r.leadership.ownEpoch {
-		r.stepDown(now, "duty lost")
+		r.stepDown(now, logLeadershipLost)
 	}
 }
 
 // resign gives the leadership up if this registry has it.
 func (r *Registry) resign(now ids.Time) {
 	if r.leadership.leads() {
-		r.stepDown(now, "duty given up")
+		r.stepDown(now, logLeadershipResigned)
 	}
 }
 
 func (r *Registry) stepDown(now ids.Time, reason event.LogEvent) {
-	r.Log(event.LevelInfo, reason, "duty", plannerElection, "epoch", formatUint(r.leadership.ownEpoch))
+	r.Log(event.LevelInfo, reason, "election", plannerElection, "epoch", formatUint(r.leadership.ownEpoch))
 	r.leadership.ownEpoch, r.leadership.steppedDownAt = 0, now
 }
 
@@ -115,7 +115,7 @@
 	}
 	bid, err := wire.Encode(election.Term{Holder: r.Self.ID, RunID: r.Self.RunID, Epoch: lead.highestEpoch})
 	if err != nil {
-		r.Log(event.LevelError, "duty lost", "duty", plannerElection, "error", err.Error())
+		r.Log(event.LevelError, logCampaignFailed, "election", plannerElection, "error", err.Error())
 		return
 	}
 	lead.campaigning = true
@@ -136,5 +136,5 @@
 	lead.ownEpoch = term.Epoch
 	r.planner.table.Epoch = term.Epoch
 	r.planner.nextPlan = now.Add(min(r.options.PlanEvery, firstPlanDelay))
-	r.Log(event.LevelInfo, "duty taken", "duty", plannerElection, "epoch", formatUint(term.Epoch))
+	r.Log(event.LevelInfo, logLeadershipAcquired, "election", plannerElection, "epoch", formatUint(term.Epoch))
 }
--- a/internal/controlplane/registry/planner.go
+++ b/internal/controlplane/registry/planner.go
@@ -77,7 +77,7 @@
 		Demands: r.Reports.RouteDemands(moves),
 	}
 	p.tableConfirmedAt = now
-	r.Log(event.LevelInfo, "planned", "epoch", formatUint(p.table.Epoch), "number", formatUint(p.table.Number), "moves", formatUint(uint64(len(moves))))
+	r.Log(event.LevelInfo, logSpillPlanMade, "epoch", formatUint(p.table.Epoch), "number", formatUint(p.table.Number), "moves", formatUint(uint64(len(moves))))
 }
 
 // learnMaxima learns the maximum load of every zone from its latencies. Zones whose levels
--- a/internal/controlplane/registry/registry.go
+++ b/internal/controlplane/registry/registry.go
@@ -119,7 +119,7 @@
 	gap := now.Sub(r.lastTick)
 	if r.lastTick != 0 && gap > suspensionGap {
 		r.resumedAt = now
-		r.Log(event.LevelWarn, "woke", "gap_ms", formatUint(uint64(gap.Milliseconds())))
+		r.Log(event.LevelWarn, logProcessResumed, "gap_ms", formatUint(uint64(gap.Milliseconds())))
 	}
 	r.lastTick = now
 	if r.startedAt == 0 {
--- a/internal/controlplane/registry/spill_table.go
+++ b/internal/controlplane/registry/spill_table.go
@@ -29,7 +29,7 @@
 	r.observeEpoch(now, table.Epoch)
 	if table.Newer(r.planner.table) {
 		r.planner.table = table
-		r.Log(event.LevelInfo, "moves", "epoch", formatUint(table.Epoch), "number", formatUint(table.Number), "count", formatUint(uint64(len(table.Moves))))
+		r.Log(event.LevelInfo, logSpillTableAdopted, "epoch", formatUint(table.Epoch), "number", formatUint(table.Number), "count", formatUint(uint64(len(table.Moves))))
 	}
 	if !r.planner.table.Newer(table) {
 		r.planner.tableConfirmedAt = now
