--- /dev/null
+++ b/internal/controlplane/registry/assignment_test.go
@@ -0,0 +1,37 @@
+package registry
+
+import (
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"dunlinwell/internal/base/ids"
+)
+
+// A registry whose agreement takes a little longer now and then keeps its targets and its
+// proxies; one that has had none for long loses them.
+func TestAssignment_StableUnderSlowAgreement(t *testing.T) {
+	is := is.New(t)
+	r := newIncrementalRegistry()
+	for range 5 {
+		r.tickWithPeers(100 * time.Millisecond)
+	}
+	is.Equal(len(r.assignment.registries), 3)
+	for range 40 {
+		r.tickWithPeers(1600 * time.Millisecond)
+		is.Equal(len(r.assignment.registries), 3)
+		r.tickWithPeers(900 * time.Millisecond)
+		is.Equal(len(r.assignment.registries), 3)
+	}
+	r.tickWithPeers(2600 * time.Millisecond)
+	is.Equal(len(r.assignment.registries), 1)
+	r.tickWithPeers(1600 * time.Millisecond) // not recent enough to be trusted again
+	is.Equal(len(r.assignment.registries), 1)
+	r.tickWithPeers(500 * time.Millisecond)
+	is.Equal(len(r.assignment.registries), 3)
+	// A target stays with its registrar among equally near ones.
+	for _, id := range []ids.DaemonID{"f", "g", "h"} {
+		is.Equal(r.registrarFor(r.now, targetWithRegistrar(1, 1, id)).ID, id)
+	}
+}
--- /dev/null
+++ b/internal/controlplane/registry/heartbeat_test.go
@@ -0,0 +1,73 @@
+package registry
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/targets"
+)
+
+func targetWithSequence(sequence ids.Sequence) targets.Target {
+	return targets.Target{
+		Instance: "i", Incarnation: 1, Sequence: sequence, Service: "s",
+		Address: "10.0.1.1:80", Zone: "c", Warmth: 1, IntervalMillis: 1000,
+	}
+}
+
+// Regression: during a partition proxies and targets reached both sides. Each side
+// expired the targets that sent heartbeats to the other, proxies believed both, and
+// soon every target was gone.
+func TestIsolatedRegistry_ExpiresNoTarget(t *testing.T) {
+	for _, incremental := range []bool{true, false} {
+		t.Run(fmt.Sprintf("incremental=%v", incremental), func(t *testing.T) {
+			is := is.New(t)
+			r := newTestRegistry(incremental)
+			r.run(3*time.Second, targetWithSequence)
+			r.partitioned = true
+			r.run(10*time.Second, nil)
+			target, known := r.Targets.Get(r.now, "i")
+			is.True(known)
+			is.True(!target.Gone)
+			// Once it reaches the majority again, time-outs start anew, and then count.
+			r.partitioned = false
+			r.run(2500*time.Millisecond, nil)
+			target, _ = r.Targets.Get(r.now, "i")
+			is.True(!target.Gone)
+			r.run(2*time.Second, nil)
+			target, _ = r.Targets.Get(r.now, "i")
+			is.True(target.Gone)
+		})
+	}
+}
+
+// The other registries don't hear of targets that send heartbeats to an isolated one: it
+// merges the heartbeat, and has the target turn to another registry.
+func TestIsolatedRegistry_RedirectsTargets(t *testing.T) {
+	is := is.New(t)
+	r := newTestRegistry(true)
+	r.run(time.Second, nil)
+	r.step(HeartbeatCall{ID: 1, Target: targetWithSequence(1)})
+	is.Equal(r.statuses[1], 200)
+	r.partitioned = true
+	r.run(2*time.Second, nil)
+	r.step(HeartbeatCall{ID: 2, Target: targetWithSequence(2)})
+	is.Equal(r.statuses[2], 503)
+	is.Equal(r.Targets.LatestSequence("i"), ids.Sequence(2))
+	// A departure is merged all the same, for the proxies here. It isn't confirmed: the
+	// target has to tell another registry.
+	leaving := targetWithSequence(3)
+	leaving.Leaving = true
+	r.step(HeartbeatCall{ID: 3, Target: leaving})
+	r.run(time.Second, nil)
+	is.Equal(r.statuses[3], 503)
+	target, known := r.Targets.Get(r.now, "i")
+	is.True(known && target.Leaving)
+	r.partitioned = false
+	r.run(2*time.Second, nil)
+	r.step(HeartbeatCall{ID: 4, Target: targetWithSequence(4)})
+	is.Equal(r.statuses[4], 200)
+}
--- /dev/null
+++ b/internal/controlplane/registry/helpers_test.go
@@ -0,0 +1,160 @@
+package registry
+
+import (
+	"math/rand/v2"
+	"time"
+
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/distribution"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/targets"
+	"dunlinwell/internal/state/consensus"
+)
+
+const (
+	testTickInterval = 50 * time.Millisecond
+
+	selfAddress  ids.Address = "10.0.0.1:1"
+	storeAddress ids.Address = "10.0.0.2:1"
+)
+
+// testRegistry is a registry with one store, which answers at once that the register is
+// empty, unless partitioned is set.
+type testRegistry struct {
+	*Registry
+	now         ids.Time
+	partitioned bool
+	// statuses are the statuses that calls were answered with, by call.
+	statuses map[uint64]int
+}
+
+func newTestRegistry(incremental bool) *testRegistry {
+	self := membership.Member{ID: "f", Role: membership.Registry, Address: selfAddress, RunID: 1, Zone: "c"}
+	return &testRegistry{
+		Registry: New(Options{
+			Options:     membership.Options{Self: self, Seeds: []ids.Address{storeAddress}},
+			Random:      rand.New(rand.NewPCG(1, 1)),
+			Incremental: incremental,
+		}),
+		now:      1,
+		statuses: map[uint64]int{},
+	}
+}
+
+// step hands the registry an event, and answers its requests to the store.
+func (r *testRegistry) step(ev event.Event) {
+	for _, command := range r.Step(r.now, ev) {
+		switch command := command.(type) {
+		case event.Send:
+			if request, ok := command.Msg.(consensus.Request); ok && !r.partitioned {
+				r.deliver(emptyReply(request))
+			}
+		case Response:
+			r.statuses[command.ID] = command.Status
+		}
+	}
+}
+
+// deliver hands the registry a message from its store.
+func (r *testRegistry) deliver(msg any) { r.step(event.Received{From: storeAddress, Msg: msg}) }
+
+// run lets time pass. If makeTarget is set, another registry sends an update of the
+// target that it gives at every tick.
+func (r *testRegistry) run(duration time.Duration, makeTarget func(ids.Sequence) targets.Target) {
+	for end := r.now.Add(duration); r.now < end; r.now = r.now.Add(testTickInterval) {
+		if makeTarget != nil {
+			r.deliver(targets.Update{Targets: []targets.Target{makeTarget(ids.Sequence(r.now))}})
+		}
+		if !r.partitioned {
+			// Each heartbeat refutes what may have been declared of the store meanwhile.
+			r.deliver(membership.Heartbeat{Self: storeMember(ids.Incarnation(r.now))})
+		}
+		r.step(event.Tick{})
+	}
+}
+
+// countDiscards hands the registry a message, and counts how often it is discarded.
+func (r *testRegistry) countDiscards(from ids.Address, msg any) int {
+	count := 0
+	for _, command := range r.Step(r.now, event.Received{From: from, Msg: msg}) {
+		if _, ok := command.(event.Discarded); ok {
+			count++
+		}
+	}
+	return count
+}
+
+// emptyReply is a store's answer that the register is empty.
+func emptyReply(request consensus.Request) consensus.Response {
+	return consensus.Response{ID: request.ID, Outcome: consensus.Succeeded, Attempt: request.Attempt}
+}
+
+func storeMember(incarnation ids.Incarnation) membership.Member {
+	return membership.Member{ID: "s", Role: membership.Store, Address: storeAddress, RunID: 1, Ready: true, Incarnation: incarnation}
+}
+
+// Members beside the registry of an incrementalRegistry. Their addresses are their ids.
+var (
+	peerIDs  = []ids.DaemonID{"g", "h"}
+	proxyIDs = []ids.DaemonID{"p", "q", "r", "s1"}
+)
+
+// incrementalRegistry is one incremental registry of three, with proxies that acknowledge
+// every push.
+type incrementalRegistry struct {
+	*testRegistry
+	// pushes and pushedTargets count the pushes to proxies, and the targets in them.
+	pushes, pushedTargets int
+}
+
+func newIncrementalRegistry() *incrementalRegistry {
+	r := &incrementalRegistry{testRegistry: newTestRegistry(true)}
+	for _, id := range peerIDs {
+		r.deliver(membership.Heartbeat{Self: newMember(id, membership.Registry)})
+	}
+	for _, id := range proxyIDs {
+		r.deliver(membership.Heartbeat{Self: newMember(id, membership.Proxy)})
+	}
+	return r
+}
+
+func newMember(id ids.DaemonID, role membership.Role) membership.Member {
+	return membership.Member{ID: id, Role: role, Address: ids.Address(id), RunID: 1, Incarnation: 1, Zone: "c"}
+}
+
+// tickWithPeers makes one tick, before which the peers and the store send heartbeats. The
+// agreement that the peers report has some age.
+func (r *incrementalRegistry) tickWithPeers(agreementAge time.Duration) {
+	for _, id := range peerIDs {
+		r.deliver(PeerHeartbeat{ID: id, RunID: 1, AgreementAgeMillis: uint32(agreementAge / time.Millisecond), TargetsDigest: r.Targets.Digest()})
+	}
+	r.deliver(membership.Heartbeat{Self: storeMember(1)})
+	r.now = r.now.Add(testTickInterval)
+	r.step(event.Tick{})
+	r.assignedProxies(r.now)
+}
+
+// deliver hands the registry a message from its store.
+func (r *incrementalRegistry) deliver(msg any) {
+	r.step(event.Received{From: storeAddress, Msg: msg})
+}
+
+// step hands the registry an event, answers for its store and its proxies, and counts.
+func (r *incrementalRegistry) step(ev event.Event) {
+	for _, command := range r.Step(r.now, ev) {
+		send, ok := command.(event.Send)
+		if !ok {
+			continue
+		}
+		switch m := send.Msg.(type) {
+		case consensus.Request:
+			r.deliver(emptyReply(m))
+		case distribution.Push:
+			r.pushes++
+			r.pushedTargets += len(m.Targets)
+			ack := distribution.Ack{Proxy: ids.DaemonID(send.To), RunID: 1, Number: m.Number, Revision: m.Revision, Now: r.now}
+			r.Step(r.now, event.Received{From: send.To, Msg: ack})
+		}
+	}
+}
--- /dev/null
+++ b/internal/controlplane/registry/peers_test.go
@@ -0,0 +1,45 @@
+package registry
+
+import (
+	"testing"
+
+	"github.com/matryer/is"
+
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/controlplane/targets"
+)
+
+// Target tables that differ exchange the parts that differ, not everything, and end up
+// equal though each has something newer.
+func TestTableDigest_SendsOnlyDifferingPartitions(t *testing.T) {
+	is := is.New(t)
+	a, b := newIncrementalRegistry(), newIncrementalRegistry()
+	for i := range 300 {
+		update := targets.Update{Targets: []targets.Target{targetWithRegistrar(i, 1, "g")}}
+		a.deliver(update)
+		b.deliver(update)
+	}
+	a.deliver(targets.Update{Targets: []targets.Target{targetWithRegistrar(3, 2, "h")}})
+	// Here the target has sent further heartbeats, with nothing new in them.
+	b.deliver(targets.Update{Targets: []targets.Target{targetWithRegistrar(3, 9, "g")}})
+	is.True(a.Targets.Digest() != b.Targets.Digest())
+	sent := 0
+	// compare has one registry answer the other's digest.
+	compare := func(from, to *incrementalRegistry) {
+		digest := TableDigest{Parts: to.Targets.PartDigests()}
+		for _, command := range from.Step(from.now, event.Received{From: "y", Msg: digest}) {
+			send, isSend := command.(event.Send)
+			if !isSend {
+				continue
+			}
+			if update, isUpdate := send.Msg.(targets.Update); isUpdate {
+				sent += len(update.Targets)
+				to.deliver(update)
+			}
+		}
+	}
+	compare(a, b)
+	compare(b, a)
+	is.Equal(a.Targets.Digest(), b.Targets.Digest())
+	is.True(sent < 30)
+}
--- /dev/null
+++ b/internal/controlplane/registry/zone_order_test.go
@@ -0,0 +1,71 @@
+package registry
+
+import (
+	"encoding/json"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/state/configuration"
+	"dunlinwell/internal/state/consensus"
+)
+
+// overtakenResult is the result of an order that a later change has overtaken.
+const overtakenResult = `{"stale":[{"kind":"cell","name":"a","version":3,"asked":2}]}`
+
+// orderZone hands the registry an order, answers it by overtakenResult, and gives the
+// order that was sent to the stores, if one was.
+func (r *testRegistry) orderZone(id uint64) (order configuration.ZoneOrder, sent bool) {
+	for _, command := range r.Step(r.now, ZoneOrderCall{ID: id, Zone: "a", Region: "south", Evacuate: true}) {
+		switch command := command.(type) {
+		case event.Send:
+			if request, ok := command.Msg.(consensus.Request); ok && request.Op == configuration.OpOrderZone {
+				sent = json.Unmarshal(request.Arg, &order) == nil
+				reply := emptyReply(request)
+				reply.Result = []byte(overtakenResult)
+				r.deliver(reply)
+			}
+		case Response:
+			r.statuses[command.ID] = command.Status
+		}
+	}
+	return order, sent
+}
+
+// An order names the version of the zone that was known as it arrived. One that was
+// overtaken is answered 503: that is no rejection.
+func TestZoneOrder_OvertakenByChangeIsIndeterminate(t *testing.T) {
+	is := is.New(t)
+	r := newTestRegistry(true)
+	r.run(time.Second, nil)
+	document, err := configuration.Decode(nil)
+	is.NoErr(err)
+	document, result := document.OrderZone(configuration.ZoneOrder{Zone: "a", Region: "south", Evacuate: false})
+	is.True(result.Accepted())
+	r.adoptConfiguration(document.Encode(true))
+	order, sent := r.orderZone(7)
+	is.True(sent)
+	is.Equal(order, configuration.ZoneOrder{Zone: "a", Region: "south", Evacuate: true, KnownVersion: 1})
+	is.Equal(r.statuses[7], 503)
+}
+
+// An order that may have waited while the process was suspended is too old: its caller
+// may have ordered something else since, which this registry may know of.
+func TestZoneOrder_IgnoredAroundProcessSuspension(t *testing.T) {
+	is := is.New(t)
+	r := newTestRegistry(true)
+	r.run(time.Second, nil)
+	r.now = r.now.Add(5 * time.Second)
+	_, sent := r.orderZone(7) // before the first tick
+	is.True(!sent)
+	is.Equal(r.statuses[7], 503)
+	r.run(2*testTickInterval, nil)
+	_, sent = r.orderZone(8) // right after it
+	is.True(!sent)
+	is.Equal(r.statuses[8], 503)
+	r.run(2*time.Second, nil)
+	_, sent = r.orderZone(9)
+	is.True(sent)
+}
