--- a/internal/controlplane/registry/assignment.go
+++ b/internal/controlplane/registry/assignment.go
@@ -23,16 +23,23 @@
 	key uint64
 }
 
-// assignedProxies gives the proxies that this registry pushes to, and updates the
-// assignment. Without Options.Incremental these are all live proxies.
+// assignedProxies gives the proxies that this registry pushes to. Without
+// Options.Incremental these are all live proxies.
 func (r *Registry) assignedProxies(now ids.Time) []membership.Member {
 	if !r.options.Incremental {
 		return r.Live(membership.Proxy)
 	}
+	r.updateAssignment(now)
+	return r.assignment.proxies
+}
+
+// updateAssignment computes the assignment anew if the membership or the trusted
+// registries have changed.
+func (r *Registry) updateAssignment(now ids.Time) {
 	registries := r.trustedRegistries(now)
 	key := assignmentKey(registries, r.Version())
 	if r.assignment.proxies != nil && r.assignment.key == key {
-		return r.assignment.proxies
+		return
 	}
 	r.assignment = assignment{registries: registries, proxies: []membership.Member{}, key: key}
 	for _, proxy := range r.Live(membership.Proxy) {
@@ -40,7 +47,6 @@
 			r.assignment.proxies = append(r.assignment.proxies, proxy)
 		}
 	}
-	return r.assignment.proxies
 }
 
 // trustedRegistries gives this registry and its trusted peers. A peer's own heartbeats
--- a/internal/controlplane/registry/departure.go
+++ b/internal/controlplane/registry/departure.go
@@ -62,7 +62,7 @@
 	if !r.options.Incremental {
 		return
 	}
-	r.assignedProxies(now) // updates the assignment
+	r.updateAssignment(now)
 	for _, member := range r.assignment.registries {
 		if member.ID != r.Self.ID {
 			started.awaitedPeers[member.ID] = true
--- a/internal/controlplane/registry/peers_test.go
+++ b/internal/controlplane/registry/peers_test.go
@@ -1,11 +1,13 @@
 package registry
 
 import (
+	"fmt"
 	"testing"
 
 	"github.com/matryer/is"
 
 	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/controlplane/targets"
 )
 
@@ -43,3 +45,33 @@
 	is.Equal(a.Targets.Digest(), b.Targets.Digest())
 	is.True(sent < 30)
 }
+
+// A peer whose target table goes on differing is sent digests at every third heartbeat, and
+// at the fifteenth the whole table; one that has restarted is sent the whole table at once.
+func TestPeerHeartbeat_ReconcilesAfterRepeatedMismatches(t *testing.T) {
+	is := is.New(t)
+	r := newIncrementalRegistry()
+	r.deliver(targets.Update{Targets: []targets.Target{targetWithRegistrar(1, 1, "g")}})
+	// sent lists what the peer is sent upon a heartbeat with another digest.
+	sent := func(run ids.RunID) string {
+		heartbeat := PeerHeartbeat{ID: "g", RunID: run, TargetsDigest: r.Targets.Digest() + 1}
+		kinds := ""
+		for _, command := range r.Step(r.now, event.Received{From: "g", Msg: heartbeat}) {
+			if send, ok := command.(event.Send); ok && send.To == "g" {
+				kinds += fmt.Sprintf("%T", send.Msg)
+			}
+		}
+		return kinds
+	}
+	for heartbeat := 1; heartbeat <= 15; heartbeat++ {
+		want := ""
+		switch {
+		case heartbeat == 1, heartbeat == 15:
+			want = "targets.Update"
+		case heartbeat%3 == 0:
+			want = "registry.TableDigest"
+		}
+		is.Equal(sent(1), want)
+	}
+	is.Equal(sent(2), "targets.Update")
+}
--- a/internal/controlplane/registry/registrar.go
+++ b/internal/controlplane/registry/registrar.go
@@ -23,7 +23,7 @@
 	if !r.options.Incremental {
 		return membership.Member{}
 	}
-	r.assignedProxies(now) // updates the assignment
+	r.updateAssignment(now)
 	var best membership.Member
 	for _, candidate := range r.assignment.registries {
 		if best.ID == "" || r.isBetterRegistrar(target, candidate, best) {
--- a/internal/controlplane/registry/registry.go
+++ b/internal/controlplane/registry/registry.go
@@ -24,11 +24,16 @@
 // Registry is the state machine of a registry daemon.
 type Registry struct {
 	event.Outbox
+	// List is the membership list.
 	*membership.List
-	Client      *consensus.Client
-	Targets     *targets.Table
+	// Client carries calls to the stores.
+	Client *consensus.Client
+	// Targets are all targets known.
+	Targets *targets.Table
+	// Distributor pushes configuration and targets to the proxies.
 	Distributor *distribution.Distributor
-	Reports     *spill.Reports
+	// Reports hold the usage that proxies report, for the planner.
+	Reports *spill.Reports
 
 	options       Options
 	lease         controlLease
