--- a/internal/dataplane/dispatch/steps.go
+++ b/internal/dataplane/dispatch/idempotency.go
@@ -9,6 +9,34 @@
 	"dunlinwell/internal/state/idempotency"
 )
 
+// request asks for an operation on the job's mark.
+func (d *Dispatcher) callIdempotency(now ids.Time, j *job, op consensus.Op, state jobState, timeout time.Duration) {
+	j.state = state
+	j.sequence++
+	d.Emit(IdempotencyCall{ID: j.ID, Sequence: j.sequence, Key: idempotency.RegisterKey(j.Route, j.IdempotencyKey), Op: op, Operation: d.idempotencyOperation(j), Timeout: min(timeout, max(j.Deadline.Sub(now), 50*time.Millisecond))})
+}
+
+func (d *Dispatcher) idempotencyOperation(j *job) idempotency.Operation {
+	owner := d.Self
+	owner.Request = j.ID
+	return idempotency.Operation{Owner: owner, Attempt: j.Attempt, Fingerprint: j.Fingerprint, Response: truncateForStorage(j.response)}
+}
+
+// maxStoredBody bounds the body that is kept with an outcome. Beyond it a repeat
+// learns that it ran, and the digest, but not the answer.
+const maxStoredBody = 64 << 10
+
+func truncateForStorage(response idempotency.Response) idempotency.Response {
+	if len(response.Body) > maxStoredBody {
+		return idempotency.Response{Status: response.Status, Digest: response.Digest, BodyOmitted: true}
+	}
+	return response
+}
+
+func (d *Dispatcher) readRecord(now ids.Time, j *job) {
+	d.callIdempotency(now, j, consensus.Read, readingRecord, 2*time.Second)
+}
+
 // onIdempotencyReply goes on with a job once its mark's register has spoken.
 func (d *Dispatcher) onIdempotencyReply(now ids.Time, reply IdempotencyReply) {
 	j := d.jobs[reply.ID]
@@ -136,112 +164,19 @@
 	}
 }
 
-// forward lets the request go. From here on "rejected" is out of the question
-// unless no byte left.
-func (d *Dispatcher) forward(now ids.Time, j *job) {
-	// The mark took its time: what was so when the place was found may not be.
-	if reason := d.blockedReason(now, j); reason != "" {
-		d.reject(now, j, reason)
-		return
-	}
-	e := d.endpoints[j.target]
-	if e == nil || !d.isAvailable(e) || e.inFlight > d.slotShare(now, e.Allocation) {
-		// While the mark was being claimed the target went, or came back cold.
-		d.releaseSlot(now, j)
-		d.admit(now, j)
-		return
-	}
-	// A client's repeat that reaches a target is a retry like our own.
-	if j.Attempt > 1 && !j.budgetCounted && !d.retryBudget.withdraw() {
-		d.reject(now, j, "the budget for repeated requests is used up")
-		return
-	}
-	// A first request earns as it leaves: counted any later, its share could
-	// be spent in a span that has only the retries.
-	if !j.budgetCounted {
-		j.budgetCounted = true
-		j.budgetEarned = j.Attempt <= 1
-		if j.budgetEarned {
-			d.retryBudget.deposit()
-		}
-	}
-	j.state = forwarding
-	j.timesSent++
-	j.sequence++
-	j.forwardedAt = now
-	d.Counters.countForward(e.Distance)
-	d.Emit(Forward{ID: j.ID, Sequence: j.sequence, Target: e.Target, Deadline: j.Deadline, SendBefore: min(j.Deadline, d.leaseExpiresAt), NewConnection: j.hasIdempotencyRecord(), RecentOnly: j.AtMostOnce})
-}
-
-// onAttemptFinished takes a forwarded request's end.
-func (d *Dispatcher) onAttemptFinished(now ids.Time, result AttemptFinished) {
-	j := d.jobs[result.ID]
-	if j == nil || j.sequence != result.Sequence || j.state != forwarding {
-		return
-	}
-	e := d.endpoints[j.target]
-	// A failure is sealed too: where nobody may try again it is the answer.
-	if result.Result == TargetFailed && !j.Repeatable {
-		result.Result = Complete
-	}
-	if result.Result == Complete {
-		d.meanResponseTime += (now.Sub(j.forwardedAt) - d.meanResponseTime) / 8
-	}
-	if e != nil {
-		e.recordResult(now, result)
-	}
-	j.triedTargets[j.target] = true
-	d.releaseSlot(now, j)
-	if result.Result == NotSent && j.budgetEarned {
-		d.retryBudget.cancelDeposit()
-		j.budgetEarned, j.budgetCounted = false, false
-	}
-	switch {
-	case result.Result == Complete && !j.hasIdempotencyRecord():
-		d.respond(now, j, Response{Class: Answered, Status: int(result.Response.Status), TargetResponse: result.Response})
-	case result.Result == Complete:
-		j.response = result.Response
-		d.callIdempotency(now, j, idempotency.OpComplete, storingOutcome, 500*time.Millisecond)
-	case result.Result == NotSent:
-		// Nothing left, so another target may have it, and no retry is spent.
-		j.timesSent--
-		if j.failedAttempts++; j.failedAttempts > 3 {
-			d.reject(now, j, "no target could be reached: "+result.Reason)
-			return
-		}
-		d.admit(now, j)
-	case result.Result == NotExecuted || result.Result == WrongTarget:
-		d.onNotExecuted(now, j, result)
-	case j.Repeatable:
-		d.retry(now, j, result)
-	case j.AtMostOnce:
-		d.respondUnknown(now, j, unknownStatus(now, j), "may have run: "+result.Reason)
-	default:
-		// Final: a repeat learns at once that nobody will ever know more.
-		j.response = idempotency.Response{Status: 504, BodyOmitted: true}
-		d.Emit(IdempotencyCall{Key: idempotency.RegisterKey(j.Route, j.IdempotencyKey), Op: idempotency.OpComplete, Operation: d.idempotencyOperation(j), Timeout: 10 * time.Second})
-		d.respondUnknown(now, j, unknownStatus(now, j), "may have run: "+result.Reason)
-	}
-	d.dispatchQueue(now)
-}
-
 func (d *Dispatcher) onOutcomeStored(now ids.Time, j *job) {
 	d.respond(now, j, Response{Class: Answered, Status: int(j.response.Status), TargetResponse: j.response})
 }
 
-// onTick ends what has run out of time and looks again at what waits.
-func (d *Dispatcher) onTick(now ids.Time) {
-	d.lastTickAt = now
-	for _, id := range d.sortedJobIDs() {
-		j := d.jobs[id]
-		switch {
-		case j == nil:
-		case j.state == waitingForOwner && now >= j.Deadline:
-			d.respondUnknown(now, j, 504, "another attempt is still running")
-		case j.state == waitingForOwner && now >= j.recheckAt:
-			d.readRecord(now, j)
-		}
+// replay answers with the outcome of the run that there was.
+func (d *Dispatcher) replay(now ids.Time, j *job, stored idempotency.Response) {
+	d.Counters.Replayed++
+	switch {
+	case stored.Status == 0 || stored.Status == 504 && stored.BodyOmitted:
+		d.respondUnknown(now, j, 504, "may have run; its answer was lost")
+	case stored.BodyOmitted:
+		d.respond(now, j, Response{Class: Answered, Status: 200, Reason: "it ran; the answer was too large to keep", TargetResponse: stored})
+	default:
+		d.respond(now, j, Response{Class: Answered, Status: int(stored.Status), TargetResponse: stored})
 	}
-	d.pruneQueue(now)
-	d.dispatchQueue(now)
 }
--- a/internal/dataplane/dispatch/job.go
+++ b/internal/dataplane/dispatch/job.go
@@ -4,121 +4,67 @@
 	"time"
 
 	"dunlinwell/internal/base/ids"
-	"dunlinwell/internal/controlplane/targets"
-	"dunlinwell/internal/state/consensus"
 	"dunlinwell/internal/state/idempotency"
 )
 
-// Job is a client's request as the dispatcher knows it.
-type Job struct {
-	ID             ids.RequestID
-	Route          ids.Name
-	Service        ids.Name
-	Tier           int
-	Repeatable     bool
-	IdempotencyKey ids.IdempotencyKey
-	Attempt        uint32
-	Fingerprint    []byte
-	Deadline       ids.Time
-	// Single: unrepeatable without a mark. This attempt reaches this proxy
-	// alone, which lets it begin at one target at most.
-	AtMostOnce bool
-	// LatencyGoal is the time within which an answer is worth most; 0 for none.
-	LatencyGoal time.Duration
-	// MaxAttempts is the most targets that the request may be sent to; 0 for the
-	// dispatcher's own limit.
-	MaxAttempts int
-	// Homes are the regions whose targets may have it; none for all.
-	Homes []ids.Name
-	// Terms are what the route said when the request was taken.
-	Terms RouteTerms
-}
-
-// ResponseClass of an answer; the three are never mixed.
-type ResponseClass uint8
+type jobState uint8
 
-// Rejected: surely not run and will not. Unknown: may have run. Answered: a
-// target's whole, sealed answer. Misused: the client's own mistake.
 const (
-	Rejected ResponseClass = iota + 1
-	Unknown
-	Answered
-	ClientError
+	readingRecord jobState = iota + 1
+	registeringAttempt
+	waitingForOwner
+	queued
+	claimingKey
+	forwarding
+	storingOutcome
+	blockingAttempts
 )
 
-// AttemptResult a forwarded request came back.
-type AttemptResult uint8
-
-// NotSent: no byte left. Maybe: some did, and no sealed answer came. NotRun:
-// the target has it and says that it did not run it and won't. Foreign: so
-// says another that has the address now. Failed: a sealed answer that is a
-// failure of the target's own, so another target may do better.
-const (
-	NotSent AttemptResult = iota + 1
-	MayHaveRun
-	Complete
-	NotExecuted
-	WrongTarget
-	TargetFailed
-)
+type job struct {
+	Job
+	state          jobState
+	sequence       uint32
+	failedAttempts int
+	// timesSent counts the targets that it was sent to.
+	timesSent    int
+	target       ids.InstanceID
+	triedTargets map[ids.InstanceID]bool
+	// claimed: a claim was asked for and may stand.
+	claimRequested bool
+	// counted: this request has been counted towards the retry budget.
+	budgetCounted bool
+	budgetEarned  bool
+	recheckAt     ids.Time
+	queuedAt      ids.Time
+	forwardedAt   ids.Time
+	rejectReason  string
+	// late: its goal was past reach as it came.
+	goalUnreachable bool
+	response        idempotency.Response
+}
 
-// Events.
-type (
-	// RequestArrived is a new request.
-	RequestArrived struct{ Job Job }
-	// IdempotencyReply is what came of a request about a mark.
-	IdempotencyReply struct {
-		ID       ids.RequestID
-		Sequence uint32
-		Outcome  consensus.Outcome
-		Payload  []byte
-	}
-	// AttemptFinished is a forwarded request that ended.
-	AttemptFinished struct {
-		ID       ids.RequestID
-		Sequence uint32
-		Result   AttemptResult
-		Response idempotency.Response
-		Reason   string
-		// Told: the target said how full it is, in Running, Waiting and Slots.
-		LoadReported            bool
-		Running, Waiting, Slots int64
-	}
-)
+// hasIdempotencyRecord tells whether a register keeps the job to one run.
+func (j *job) hasIdempotencyRecord() bool { return !j.Repeatable && !j.AtMostOnce }
 
-// Commands.
-type (
-	// IdempotencyCall asks for an operation on a mark; a Turn of zero wants no word back.
-	IdempotencyCall struct {
-		ID        ids.RequestID
-		Sequence  uint32
-		Key       ids.RegisterKey
-		Op        consensus.Op
-		Operation idempotency.Operation
-		Timeout   time.Duration
+func (d *Dispatcher) onRequestArrived(now ids.Time, request Job) {
+	j := &job{Job: request, triedTargets: map[ids.InstanceID]bool{}}
+	d.jobs[request.ID] = j
+	d.checkGoalReachable(now, j)
+	d.Counters.Arrived++
+	switch {
+	case j.Attempt > 0:
+	case j.Repeatable, j.AtMostOnce:
+		j.Attempt = 1
+	default:
+		// Without a number of its own, this attempt could not be told from
+		// the ones that it must be fenced against.
+		d.callIdempotency(now, j, idempotency.OpNumberAttempt, registeringAttempt, 2*time.Second)
+		return
 	}
-	// Forward carries a request to a target, once.
-	Forward struct {
-		ID       ids.RequestID
-		Sequence uint32
-		Target   targets.Target
-		Deadline ids.Time
-		// SendBefore is the last moment at which its first byte may leave.
-		SendBefore ids.Time
-		// Careful: of held connections only one that was in use a moment ago will
-		// do, since what is lost on a dead one can't be sent again.
-		RecentOnly bool
-		// NewConnection asks for a new connection, whose target has just shown who it is.
-		NewConnection bool
+	// A repeat may find that it has run: that comes before any reject.
+	if j.hasIdempotencyRecord() && j.Attempt > 1 {
+		d.readRecord(now, j)
+		return
 	}
-	// Response is the client's answer.
-	Response struct {
-		ID     ids.RequestID
-		Class  ResponseClass
-		Status int
-		Reason string
-		// RetryAfter is when to come back; 0 for no word on that.
-		RetryAfter     time.Duration
-		TargetResponse idempotency.Response
-	}
-)
+	d.admit(now, j)
+}
--- a/internal/dataplane/dispatch/late.go
+++ b/internal/dataplane/dispatch/latency_goal.go
@@ -1,6 +1,10 @@
 package dispatch
 
-import "dunlinwell/internal/base/ids"
+import (
+	"time"
+
+	"dunlinwell/internal/base/ids"
+)
 
 // longestTimeoutDecay is how fast the longest time that a route's clients give is
 // forgotten: slowly, as after an outage most that come have waited already.
@@ -27,3 +31,16 @@
 	}
 	return 0
 }
+
+// maxQueueWait is how long a request may expect to wait in the queue, where its
+// route names no goal.
+const maxQueueWait = time.Second
+
+// queueWaitLimit is how long a request may wait in the queue. A quarter of the goal
+// leaves its client time for another try that is still worth most.
+func (j *job) queueWaitLimit() time.Duration {
+	if j.LatencyGoal == 0 || j.goalUnreachable {
+		return maxQueueWait
+	}
+	return min(j.LatencyGoal/4, maxQueueWait)
+}
--- a/internal/dataplane/dispatch/endings.go
+++ b/internal/dataplane/dispatch/response.go
@@ -81,19 +81,6 @@
 	return min(max(wait, j.LatencyGoal/8), time.Second)
 }
 
-// replay answers with the outcome of the run that there was.
-func (d *Dispatcher) replay(now ids.Time, j *job, stored idempotency.Response) {
-	d.Counters.Replayed++
-	switch {
-	case stored.Status == 0 || stored.Status == 504 && stored.BodyOmitted:
-		d.respondUnknown(now, j, 504, "may have run; its answer was lost")
-	case stored.BodyOmitted:
-		d.respond(now, j, Response{Class: Answered, Status: 200, Reason: "it ran; the answer was too large to keep", TargetResponse: stored})
-	default:
-		d.respond(now, j, Response{Class: Answered, Status: int(stored.Status), TargetResponse: stored})
-	}
-}
-
 func unknownStatus(now ids.Time, j *job) int {
 	if now >= j.Deadline {
 		return 504
--- a/internal/dataplane/dispatch/again.go
+++ b/internal/dataplane/dispatch/retry.go
@@ -40,14 +40,3 @@
 	d.Counters.Retried++
 	d.admit(now, j)
 }
-
-// countForward counts a request that leaves, by how far it goes.
-func (c *Counters) countForward(distance float64) {
-	c.Forwarded++
-	switch {
-	case distance > 1:
-		c.CrossRegion++
-	case distance > 0:
-		c.CrossZone++
-	}
-}
