--- a/internal/dataplane/dispatch/admission.go
+++ b/internal/dataplane/dispatch/admission.go
@@ -7,41 +7,44 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// pauseThreshold is how long a gap in clock events counts as a freeze.
+// pauseThreshold is the gap between ticks from which the process counts as paused: what
+// it knows may then be out of date, and a claim may have been granted long ago.
 const pauseThreshold = time.Second
 
-// isPausedOrStale tells whether this process slept, or isn't in step: nothing leaves.
+// isPausedOrStale tells whether this process was paused, or its service state isn't
+// current. Nothing is forwarded then.
 func (d *Dispatcher) isPausedOrStale(now ids.Time) bool {
 	return !d.service.IsCurrent || (d.lastTickAt != 0 && now.Sub(d.lastTickAt) > pauseThreshold)
 }
 
-// blockedReason tells why nothing of a job may leave just now, if so. It is asked
-// again at each step of its way, as all of this may change while it waits.
+// blockedReason returns why a job must not be forwarded now, or "". It is asked again
+// before each step of a job, as all of it may change while the job waits.
 func (d *Dispatcher) blockedReason(now ids.Time, j *job) string {
 	switch {
 	case d.isPausedOrStale(now):
-		return "this proxy is not in step"
-	// By what nobody has confirmed of late the zone may long be emptied, the
-	// route gone, or the target another's.
+		return reasonNotCurrent
 	case now >= d.leaseExpiresAt:
-		return "no majority has confirmed of late what this proxy goes by"
+		// By a state that no majority has confirmed recently, the zone may have been
+		// drained, the route removed, or the address given to another target.
+		return reasonLeaseExpired
 	case d.service.OwnZoneDrained:
-		return "this cell is emptied; ask where to go"
+		return reasonZoneDrained
 	case d.service.Terms[j.Route] != j.Terms:
-		return "its route was changed meanwhile"
+		return reasonRouteChanged
 	}
 	return ""
 }
 
-// admit finds the job a place, or puts it into the short queue. What can't
-// make it is rejected now, not when its time is nearly over.
+// admit gives a job a slot, or puts it into the queue. A job that can't be served in time
+// is rejected at once and not when its deadline is near, so that its client can try
+// again elsewhere.
 func (d *Dispatcher) admit(now ids.Time, j *job) {
 	if reason := d.blockedReason(now, j); reason != "" {
 		d.reject(now, j, reason)
 		return
 	}
 	j.state = queued
-	// One that comes back from a target has waited before.
+	// A job that returns from a target keeps the time of its first wait.
 	if j.queuedAt == 0 {
 		j.queuedAt = now
 	}
@@ -57,22 +60,29 @@
 		d.removeFromQueue(j)
 		d.reject(now, j, reason)
 	case len(d.queue) > d.QueueLimit:
-		// The least urgent makes room.
-		last := d.queue[len(d.queue)-1]
-		d.removeFromQueue(last)
-		d.reject(now, last, "too much work")
+		leastUrgent := d.queue[len(d.queue)-1]
+		d.removeFromQueue(leastUrgent)
+		d.reject(now, leastUrgent, reasonQueueFull)
 	}
 }
 
-// queueRejectReason tells why a request at a place in the queue won't make it, if so.
+// estimateWait returns how long a job at a position of the queue, from 0, waits for one
+// of some slots.
+func (d *Dispatcher) estimateWait(position, slots int) time.Duration {
+	return time.Duration(position+1) * d.meanResponseTime / time.Duration(max(slots, 1))
+}
+
+// queueRejectReason returns why a job at a position of the queue won't be served in
+// time, or "".
 func (d *Dispatcher) queueRejectReason(now ids.Time, j *job, position, slots int) string {
-	wait := time.Duration(position+1) * d.meanResponseTime / time.Duration(max(slots, 1))
-	switch {
-	case slots == 0:
-		return "no target takes work now"
-	// However short the way looks: more urgent ones may keep overtaking it.
-	case wait > j.queueWaitLimit() || now.Sub(j.queuedAt) > j.queueWaitLimit() || now.Add(wait+d.meanResponseTime) > j.Deadline:
-		return "no place in the time left"
+	if slots == 0 {
+		return reasonNoTarget
+	}
+	wait, limit := d.estimateWait(position, slots), j.queueWaitLimit()
+	// The time waited so far counts as well as the estimate: more urgent jobs may keep
+	// overtaking one whose estimate always looks short.
+	if wait > limit || now.Sub(j.queuedAt) > limit || now.Add(wait+d.meanResponseTime) > j.Deadline {
+		return reasonNoSlotInTime
 	}
 	return ""
 }
--- a/internal/dataplane/dispatch/balancer.go
+++ b/internal/dataplane/dispatch/balancer.go
@@ -7,55 +7,85 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// allowsRegion tells whether a job may be served where a target stands.
-func (j *job) allowsRegion(e *endpoint) bool {
-	return len(j.Homes) == 0 || slices.Contains(j.Homes, e.Region)
-}
+// The largest distances (Allocation.Distance) that count as the proxy's own zone, and as
+// its own region.
+const (
+	sameZoneDistance   = 0
+	sameRegionDistance = 1
+)
 
-// far are the shares of its goal that a job waits for a place nearby before it
-// takes one in the same region, and one in another.
+// The parts of its latency goal that a job waits for a slot in its own zone before it
+// takes one in the region, and for one in the region before it takes one beyond.
 const (
 	sameZoneWaitShare   = 0.04
 	sameRegionWaitShare = 0.15
 )
 
-// maxDistance is how far a job may go by now. The way to another zone costs time and
-// bytes that a short wait for a place of its own doesn't; where there is no
-// nearer place at all there is nothing to wait for.
+// mayServe tells whether a target is available and in one of a job's regions.
+func (d *Dispatcher) mayServe(e *endpoint, j *job) bool {
+	return d.isAvailable(e) && (len(j.Homes) == 0 || slices.Contains(j.Homes, e.Region))
+}
+
+// maxDistance returns how far away a job's target may be by now. Another zone costs time
+// and traffic that a short wait for a slot nearby doesn't; if there is no target nearby
+// that could serve the job, there is nothing to wait for.
 func (d *Dispatcher) maxDistance(now ids.Time, j *job) float64 {
 	if j.LatencyGoal == 0 {
 		return math.Inf(1)
 	}
 	sameZone, sameRegion := false, false
 	for _, e := range d.sortedEndpoints {
-		if d.isAvailable(e) && j.allowsRegion(e) && now >= e.SlowStartUntil && now >= e.cooldownUntil && !e.isUnresponsive(now, d.meanResponseTime) && d.slotShare(now, e.Allocation) > 0 {
-			sameZone = sameZone || e.Distance == 0
-			sameRegion = sameRegion || e.Distance <= 1
+		if d.mayServe(e, j) && now >= e.SlowStartUntil && e.isReady(now, d.meanResponseTime) && d.slotShare(now, e.Allocation) > 0 {
+			sameZone = sameZone || e.Distance == sameZoneDistance
+			sameRegion = sameRegion || e.Distance <= sameRegionDistance
 		}
 	}
 	waited := float64(now.Sub(j.queuedAt)) / float64(j.LatencyGoal)
 	switch {
 	case sameZone && waited < sameZoneWaitShare:
-		return 0
+		return sameZoneDistance
 	case sameRegion && waited < sameRegionWaitShare:
-		return 1
+		return sameRegionDistance
 	}
 	return math.Inf(1)
 }
 
-// pickEndpoint chooses a target with a free place: the nearest zone that has one, and
-// there the less occupied of two drawn at random.
+// pickEndpoint chooses a target with a free slot, or returns nil: in the nearest zone that
+// has one, the least occupied target for a job with a latency goal, and else the less
+// occupied of two random ones.
 func (d *Dispatcher) pickEndpoint(now ids.Time, j *job) *endpoint {
+	candidates := d.nearestCandidates(now, j)
+	if len(candidates) == 0 {
+		return nil
+	}
+	if j.LatencyGoal > 0 {
+		return d.leastOccupied(now, candidates)
+	}
+	a, b := candidates[d.Random.IntN(len(candidates))], candidates[d.Random.IntN(len(candidates))]
+	if d.occupancy(now, b) < d.occupancy(now, a) {
+		return b
+	}
+	return a
+}
+
+// nearestCandidates returns the targets with a free slot for a job that are equally good:
+// all ready, or none of them, and all equally near. The result is valid until the next call.
+func (d *Dispatcher) nearestCandidates(now ids.Time, j *job) []*endpoint {
 	candidates, candidatesReady := d.candidates[:0], false
-	untriedLeft := len(j.triedTargets) == 0 || slices.ContainsFunc(d.sortedEndpoints, func(e *endpoint) bool { return d.isAvailable(e) && j.allowsRegion(e) && !j.triedTargets[e.Instance] })
+	// Once all targets were tried, the same one may be tried again.
+	skipTried := len(j.triedTargets) == 0 || slices.ContainsFunc(d.sortedEndpoints, func(e *endpoint) bool {
+		return d.mayServe(e, j) && !j.triedTargets[e.Instance]
+	})
 	maxDistance := d.maxDistance(now, j)
 	for _, e := range d.sortedEndpoints {
-		// Where all were tried, the same one may be tried again.
-		if (untriedLeft && j.triedTargets[e.Instance]) || !d.isAvailable(e) || e.Distance > maxDistance || e.inFlight >= d.slotShare(now, e.Allocation) || !j.allowsRegion(e) || !e.slowStartAllows(now) {
+		if (skipTried && j.triedTargets[e.Instance]) || !d.mayServe(e, j) || e.Distance > maxDistance {
+			continue
+		}
+		// Asking for slow start refills the bucket, so it is asked last.
+		if e.inFlight >= d.slotShare(now, e.Allocation) || !e.slowStartAllows(now) {
 			continue
 		}
-		// One that just had a problem rests while there is another.
-		ready := now >= e.cooldownUntil && !e.isUnresponsive(now, d.meanResponseTime)
+		ready := e.isReady(now, d.meanResponseTime)
 		switch {
 		case len(candidates) == 0 || (ready && !candidatesReady) || (ready == candidatesReady && e.Distance < candidates[0].Distance):
 			candidates, candidatesReady = append(candidates[:0], e), ready
@@ -64,20 +94,10 @@
 		}
 	}
 	d.candidates = candidates
-	if len(candidates) == 0 {
-		return nil
-	}
-	if j.LatencyGoal > 0 {
-		return d.leastOccupied(now, candidates)
-	}
-	a, b := candidates[d.Random.IntN(len(candidates))], candidates[d.Random.IntN(len(candidates))]
-	if d.occupancy(now, b) < d.occupancy(now, a) {
-		return b
-	}
-	return a
+	return candidates
 }
 
-// leastOccupied gives the least occupied of a zone's few targets; of equals, any.
+// leastOccupied returns the least occupied candidate; of several, a random one.
 func (d *Dispatcher) leastOccupied(now ids.Time, candidates []*endpoint) *endpoint {
 	var best *endpoint
 	lowest, ties := 0.0, 0
@@ -86,6 +106,7 @@
 		case best == nil || occupancy < lowest:
 			best, lowest, ties = e, occupancy, 1
 		case occupancy == lowest:
+			// Each of n equal ones is kept with probability 1/n.
 			if ties++; d.Random.IntN(ties) == 0 {
 				best = e
 			}
@@ -94,8 +115,8 @@
 	return best
 }
 
-// occupancy is the fuller of what this proxy has there and what the target
-// says of itself.
+// occupancy returns how full a target is, where 1 is full: the larger of this proxy's use
+// of its share, the target's heartbeat, and the load reported with its responses.
 func (d *Dispatcher) occupancy(now ids.Time, e *endpoint) float64 {
 	occupancy := float64(e.inFlight) / float64(max(d.slotShare(now, e.Allocation), 1))
 	if e.Capacity > 0 {
--- a/internal/dataplane/dispatch/endpoint.go
+++ b/internal/dataplane/dispatch/endpoint.go
@@ -6,25 +6,31 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// endpoint is a target as this dispatcher uses it.
+// endpoint is the load-balancing state of one target: requests in flight, cooldown after
+// a failure, slow start, reported load and outlier ejection.
 type endpoint struct {
 	Allocation
-	inFlight      int
+	// inFlight counts the slots in use by this proxy.
+	inFlight int
+	// cooldownUntil is until when other targets are preferred.
 	cooldownUntil ids.Time
-	removed       bool
-	// lastResponseAt is when a request last came back from it, or the first of those now
-	// there went: silence is counted from then.
+	// removed is set once the target is no longer part of the service state.
+	removed bool
+	// lastResponseAt is when a request last came back from the target, or, if none was in
+	// flight before, when the oldest one in flight left.
 	lastResponseAt ids.Time
-	// slowStartTokens and filled are the bucket that bounds it while it is cold.
+	// slowStartTokens is a token bucket of one request at most that bounds the rate
+	// until SlowStartUntil.
 	slowStartTokens  float64
 	tokensRefilledAt ids.Time
-	// full is how full the target last said it is, beyond its slots, and when.
+	// reportedLoad is the target's last report: requests running and waiting, divided
+	// by its slots.
 	reportedLoad   float64
 	loadReportedAt ids.Time
 	outlierDetector
 }
 
-// startRequest notes a request that goes there.
+// startRequest counts a request that takes a slot.
 func (e *endpoint) startRequest(now ids.Time) {
 	if e.inFlight == 0 {
 		e.lastResponseAt = now
@@ -36,16 +42,18 @@
 }
 
 const (
-	// failureCooldown is how long a target that had a problem is left alone while there
-	// is another; one that was merely full is soon good again.
-	failureCooldown     = time.Second
-	overloadCooldown    = 100 * time.Millisecond
+	// failureCooldown follows a failed connection or a lost response.
+	failureCooldown = time.Second
+	// overloadCooldown follows a request that the target didn't run. It is short, as a
+	// target that was merely full soon has a free slot again.
+	overloadCooldown = 100 * time.Millisecond
+	// wrongTargetCooldown follows an answer by another target at the address.
 	wrongTargetCooldown = 10 * time.Second
-	// loadReportLifetime is how long a target's word on its load is gone by.
+	// loadReportLifetime is how long a target's report on its load is used.
 	loadReportLifetime = time.Second
 )
 
-// recordResult notes how a request came back.
+// recordResult updates cooldown, outlier detection and reported load by the end of an attempt.
 func (e *endpoint) recordResult(now ids.Time, result AttemptFinished) {
 	switch result.Result {
 	case NotSent, MayHaveRun:
@@ -56,21 +64,36 @@
 		e.cooldownUntil = now.Add(wrongTargetCooldown)
 	}
 	if result.Result != NotExecuted && result.Result != WrongTarget {
-		failed := result.Result != Complete || result.Response.Status >= 500
+		failed := result.Result != Complete || result.Response.Status >= statusInternalServerError
 		e.cooldownUntil = max(e.cooldownUntil, e.outlierDetector.record(now, failed))
 	}
 	if result.LoadReported && result.Slots > 0 {
-		e.reportedLoad, e.loadReportedAt = float64(result.Running+result.Waiting)/float64(result.Slots), now
+		e.reportedLoad = float64(result.Running+result.Waiting) / float64(result.Slots)
+		e.loadReportedAt = now
 	}
 }
 
-// isUnresponsive tells whether a target has held requests for long without a word. It
-// may just be slow, so it is only left alone while there is another.
-func (e *endpoint) isUnresponsive(now ids.Time, mean time.Duration) bool {
-	return e.inFlight > 0 && now.Sub(e.lastResponseAt) > max(4*mean, 400*time.Millisecond)
+// isReady tells whether a target is neither in cooldown nor unresponsive. Others are used
+// only while no target is ready.
+func (e *endpoint) isReady(now ids.Time, meanResponseTime time.Duration) bool {
+	return now >= e.cooldownUntil && !e.isUnresponsive(now, meanResponseTime)
 }
 
-// slowStartAllows tells whether a target may get one more by its rate, if it is cold.
+const (
+	// unresponsiveFactor is how many mean response times without any response make a
+	// target with requests in flight unresponsive, but not before minUnresponsiveTime.
+	unresponsiveFactor  = 4
+	minUnresponsiveTime = 400 * time.Millisecond
+)
+
+// isUnresponsive tells whether a target has had requests in flight for long without any
+// response. It may just be slow.
+func (e *endpoint) isUnresponsive(now ids.Time, meanResponseTime time.Duration) bool {
+	return e.inFlight > 0 && now.Sub(e.lastResponseAt) > max(unresponsiveFactor*meanResponseTime, minUnresponsiveTime)
+}
+
+// slowStartAllows refills the token bucket of a target in slow start, and tells whether
+// the target may get one more request.
 func (e *endpoint) slowStartAllows(now ids.Time) bool {
 	if now >= e.SlowStartUntil {
 		return true
--- a/internal/dataplane/dispatch/forward.go
+++ b/internal/dataplane/dispatch/forward.go
@@ -1,64 +1,91 @@
 package dispatch
 
 import (
-	"time"
-
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/state/idempotency"
 )
 
-// forward lets the request go. From here on "rejected" is out of the question
-// unless no byte left.
+// forward sends a job that holds a slot to its target. From here on the job may be
+// Rejected only if no byte of it left, or the target states that it hasn't run it.
 func (d *Dispatcher) forward(now ids.Time, j *job) {
-	// The mark took its time: what was so when the place was found may not be.
+	// Claiming the key took time: what held when the slot was found may not hold now.
 	if reason := d.blockedReason(now, j); reason != "" {
 		d.reject(now, j, reason)
 		return
 	}
 	e := d.endpoints[j.target]
 	if e == nil || !d.isAvailable(e) || e.inFlight > d.slotShare(now, e.Allocation) {
-		// While the mark was being claimed the target went, or came back cold.
+		// Meanwhile the target has left, or restarted with fewer slots.
 		d.releaseSlot(now, j)
 		d.admit(now, j)
 		return
 	}
-	// A client's repeat that reaches a target is a retry like our own.
-	if j.Attempt > 1 && !j.budgetCounted && !d.retryBudget.withdraw() {
-		d.reject(now, j, "the budget for repeated requests is used up")
+	if !j.budgetCounted && !d.countInBudget(j) {
+		d.reject(now, j, reasonBudgetSpent)
 		return
 	}
-	// A first request earns as it leaves: counted any later, its share could
-	// be spent in a span that has only the retries.
-	if !j.budgetCounted {
-		j.budgetCounted = true
-		j.budgetEarned = j.Attempt <= 1
-		if j.budgetEarned {
-			d.retryBudget.deposit()
-		}
-	}
 	j.state = forwarding
 	j.timesSent++
 	j.sequence++
 	j.forwardedAt = now
 	d.Counters.countForward(e.Distance)
-	d.Emit(Forward{ID: j.ID, Sequence: j.sequence, Target: e.Target, Deadline: j.Deadline, SendBefore: min(j.Deadline, d.leaseExpiresAt), NewConnection: j.hasIdempotencyRecord(), RecentOnly: j.AtMostOnce})
+	d.Emit(Forward{
+		ID:            j.ID,
+		Sequence:      j.sequence,
+		Target:        e.Target,
+		Deadline:      j.Deadline,
+		SendBefore:    min(j.Deadline, d.leaseExpiresAt),
+		NewConnection: j.hasIdempotencyRecord(),
+		RecentOnly:    j.AtMostOnce,
+	})
 }
 
-// onAttemptFinished takes a forwarded request's end.
+// countInBudget counts a job that is about to leave for the first time. A client's own
+// retry withdraws from the retry budget like the dispatcher's, and returns false if there
+// is nothing left. A first request makes its deposit now: if that came any later, it could
+// be spent in a span of time that holds only the retries.
+func (d *Dispatcher) countInBudget(j *job) bool {
+	if j.Attempt > 1 && !d.retryBudget.withdraw() {
+		return false
+	}
+	j.budgetCounted = true
+	j.budgetEarned = j.Attempt <= 1
+	if j.budgetEarned {
+		d.retryBudget.deposit()
+	}
+	return true
+}
+
+// onAttemptFinished goes on with a job whose forwarded attempt has ended. Reports on any
+// but its latest attempt are ignored.
 func (d *Dispatcher) onAttemptFinished(now ids.Time, result AttemptFinished) {
 	j := d.jobs[result.ID]
 	if j == nil || j.sequence != result.Sequence || j.state != forwarding {
 		return
 	}
-	e := d.endpoints[j.target]
-	// A failure is sealed too: where nobody may try again it is the answer.
+	// A failure of the target's own is a complete response too: it is final if nobody
+	// may try again.
 	if result.Result == TargetFailed && !j.Repeatable {
 		result.Result = Complete
 	}
+	d.recordAttempt(now, j, result)
+	if result.Result == NotSent {
+		if !d.onNotSent(now, j, result) {
+			return
+		}
+	} else {
+		d.onAttemptSent(now, j, result)
+	}
+	d.dispatchQueue(now)
+}
+
+// recordAttempt updates the mean response time, the target's state and the retry budget by
+// a finished attempt, and releases its slot.
+func (d *Dispatcher) recordAttempt(now ids.Time, j *job, result AttemptFinished) {
 	if result.Result == Complete {
-		d.meanResponseTime += (now.Sub(j.forwardedAt) - d.meanResponseTime) / 8
+		d.meanResponseTime += (now.Sub(j.forwardedAt) - d.meanResponseTime) / responseTimeSmoothing
 	}
-	if e != nil {
+	if e := d.endpoints[j.target]; e != nil {
 		e.recordResult(now, result)
 	}
 	j.triedTargets[j.target] = true
@@ -67,31 +94,27 @@
 		d.retryBudget.cancelDeposit()
 		j.budgetEarned, j.budgetCounted = false, false
 	}
+}
+
+// onAttemptSent goes on with a job of which bytes have left.
+func (d *Dispatcher) onAttemptSent(now ids.Time, j *job, result AttemptFinished) {
 	switch {
 	case result.Result == Complete && !j.hasIdempotencyRecord():
-		d.respond(now, j, Response{Class: Answered, Status: int(result.Response.Status), TargetResponse: result.Response})
+		d.respondAnswered(now, j, result.Response)
 	case result.Result == Complete:
 		j.response = result.Response
-		d.callIdempotency(now, j, idempotency.OpComplete, storingOutcome, 500*time.Millisecond)
-	case result.Result == NotSent:
-		// Nothing left, so another target may have it, and no retry is spent.
-		j.timesSent--
-		if j.failedAttempts++; j.failedAttempts > 3 {
-			d.reject(now, j, "no target could be reached: "+result.Reason)
-			return
-		}
-		d.admit(now, j)
+		d.callIdempotency(now, j, idempotency.OpComplete, storingOutcome, responseHeldTimeout)
 	case result.Result == NotExecuted || result.Result == WrongTarget:
 		d.onNotExecuted(now, j, result)
 	case j.Repeatable:
 		d.retry(now, j, result)
-	case j.AtMostOnce:
-		d.respondUnknown(now, j, unknownStatus(now, j), "may have run: "+result.Reason)
 	default:
-		// Final: a repeat learns at once that nobody will ever know more.
-		j.response = idempotency.Response{Status: 504, BodyOmitted: true}
-		d.Emit(IdempotencyCall{Key: idempotency.RegisterKey(j.Route, j.IdempotencyKey), Op: idempotency.OpComplete, Operation: d.idempotencyOperation(j), Timeout: 10 * time.Second})
-		d.respondUnknown(now, j, unknownStatus(now, j), "may have run: "+result.Reason)
+		if j.hasIdempotencyRecord() {
+			// Stored as final, so that a later attempt learns at once that nobody will
+			// ever know more.
+			j.response = idempotency.Response{Status: statusGatewayTimeout, BodyOmitted: true}
+			d.callIdempotencyInBackground(j, idempotency.OpComplete)
+		}
+		d.respondUnknown(now, j, unknownStatus(now, j), reasonMayHaveRun+": "+result.Reason)
 	}
-	d.dispatchQueue(now)
 }
--- a/internal/dataplane/dispatch/idempotency.go
+++ b/internal/dataplane/dispatch/idempotency.go
@@ -9,23 +9,46 @@
 	"dunlinwell/internal/state/idempotency"
 )
 
-// request asks for an operation on the job's mark.
+// callIdempotency asks for an operation on a job's idempotency key, and has the job wait
+// in a state for the reply.
 func (d *Dispatcher) callIdempotency(now ids.Time, j *job, op consensus.Op, state jobState, timeout time.Duration) {
 	j.state = state
 	j.sequence++
-	d.Emit(IdempotencyCall{ID: j.ID, Sequence: j.sequence, Key: idempotency.RegisterKey(j.Route, j.IdempotencyKey), Op: op, Operation: d.idempotencyOperation(j), Timeout: min(timeout, max(j.Deadline.Sub(now), 50*time.Millisecond))})
+	call := d.newIdempotencyCall(j, op)
+	call.ID = j.ID
+	call.Sequence = j.sequence
+	call.Timeout = min(timeout, max(j.Deadline.Sub(now), minRegisterTimeout))
+	d.Emit(call)
 }
 
-func (d *Dispatcher) idempotencyOperation(j *job) idempotency.Operation {
+// callIdempotencyInBackground asks for an operation whose reply nobody waits for.
+func (d *Dispatcher) callIdempotencyInBackground(j *job, op consensus.Op) {
+	call := d.newIdempotencyCall(j, op)
+	call.Timeout = backgroundTimeout
+	d.Emit(call)
+}
+
+// newIdempotencyCall returns a call on a job's key, without what concerns the reply.
+func (d *Dispatcher) newIdempotencyCall(j *job, op consensus.Op) IdempotencyCall {
 	owner := d.Self
 	owner.Request = j.ID
-	return idempotency.Operation{Owner: owner, Attempt: j.Attempt, Fingerprint: j.Fingerprint, Response: truncateForStorage(j.response)}
+	return IdempotencyCall{
+		Key: idempotency.RegisterKey(j.Route, j.IdempotencyKey),
+		Op:  op,
+		Operation: idempotency.Operation{
+			Owner:       owner,
+			Attempt:     j.Attempt,
+			Fingerprint: j.Fingerprint,
+			Response:    truncateForStorage(j.response),
+		},
+	}
 }
 
-// maxStoredBody bounds the body that is kept with an outcome. Beyond it a repeat
-// learns that it ran, and the digest, but not the answer.
+// maxStoredBody bounds the body that is stored with an outcome, in bytes. If it was larger,
+// a later attempt learns that the request ran, and the body's digest, but not the body.
 const maxStoredBody = 64 << 10
 
+// truncateForStorage returns a response without its body if that is over maxStoredBody.
 func truncateForStorage(response idempotency.Response) idempotency.Response {
 	if len(response.Body) > maxStoredBody {
 		return idempotency.Response{Status: response.Status, Digest: response.Digest, BodyOmitted: true}
@@ -33,11 +56,13 @@
 	return response
 }
 
+// readRecord reads the record of a job's key.
 func (d *Dispatcher) readRecord(now ids.Time, j *job) {
-	d.callIdempotency(now, j, consensus.Read, readingRecord, 2*time.Second)
+	d.callIdempotency(now, j, consensus.Read, readingRecord, registerTimeout)
 }
 
-// onIdempotencyReply goes on with a job once its mark's register has spoken.
+// onIdempotencyReply goes on with a job by the reply to its latest call. Replies to
+// earlier calls are ignored.
 func (d *Dispatcher) onIdempotencyReply(now ids.Time, reply IdempotencyReply) {
 	j := d.jobs[reply.ID]
 	if j == nil || j.sequence != reply.Sequence {
@@ -46,26 +71,27 @@
 	switch j.state {
 	case readingRecord:
 		d.onRecordRead(now, j, reply)
-	case registeringAttempt:
-		d.onAttemptRegistered(now, j, reply)
+	case numberingAttempt:
+		d.onAttemptNumbered(now, j, reply)
 	case claimingKey:
 		d.onClaimReply(now, j, reply)
 	case blockingAttempts:
 		d.onBlockReply(now, j, reply)
 	case storingOutcome:
-		// A lost outcome doesn't hold the answer back: the claim still stands
-		// against a second run.
-		d.onOutcomeStored(now, j)
+		// If the outcome couldn't be stored, the claim still prevents a second run, so
+		// the response isn't held back.
+		d.respondAnswered(now, j, j.response)
 	}
 }
 
+// onRecordRead goes on with a job by the record of its key.
 func (d *Dispatcher) onRecordRead(now ids.Time, j *job, reply IdempotencyReply) {
 	record, ok := idempotency.DecodeRecord(reply.Payload)
 	switch {
 	case reply.Outcome != consensus.Succeeded || !ok:
-		d.respondUnknown(now, j, 504, "an earlier attempt may have run; its mark can't be read now")
+		d.respondUnknown(now, j, statusGatewayTimeout, reasonRecordNotRead)
 	case record.State != idempotency.Unclaimed && !bytes.Equal(record.Fingerprint, j.Fingerprint):
-		d.respondMismatch(now, j)
+		d.respondKeyReused(now, j)
 	case record.State == idempotency.Completed:
 		d.replay(now, j, record.Response)
 	case record.State == idempotency.Claimed:
@@ -75,108 +101,124 @@
 	}
 }
 
-// onAttemptRegistered goes on with an attempt that the register has numbered.
-func (d *Dispatcher) onAttemptRegistered(now ids.Time, j *job, reply IdempotencyReply) {
-	result, ok := idempotency.DecodeResult(reply.Payload)
-	switch {
-	case reply.Outcome != consensus.Succeeded || !ok:
-		d.respondUnknown(now, j, 504, "an earlier attempt may have run; its mark can't be read now")
-	case result.Verdict == idempotency.Released:
+// onAttemptNumbered goes on with a job whose attempt the register has numbered.
+func (d *Dispatcher) onAttemptNumbered(now ids.Time, j *job, reply IdempotencyReply) {
+	result, ok := decodeResult(reply)
+	if !ok {
+		d.respondUnknown(now, j, statusGatewayTimeout, reasonRecordNotRead)
+		return
+	}
+	switch result.Verdict {
+	case idempotency.Released:
 		j.Attempt = max(result.Record.NumberedAttempts, 1)
 		d.admit(now, j)
-	case result.Verdict == idempotency.FingerprintMismatch:
-		d.respondMismatch(now, j)
-	case result.Verdict == idempotency.AlreadyCompleted:
+	case idempotency.FingerprintMismatch:
+		d.respondKeyReused(now, j)
+	case idempotency.AlreadyCompleted:
 		d.replay(now, j, result.Record.Response)
-	case result.Verdict == idempotency.RecordLost:
-		d.respondUnknown(now, j, 504, "an earlier attempt may have run; marks were lost of late")
+	case idempotency.RecordLost:
+		d.respondUnknown(now, j, statusGatewayTimeout, reasonRecordsLost)
 	default:
 		d.waitForOwner(now, j, result.Record.Owner)
 	}
 }
 
-func (d *Dispatcher) respondMismatch(now ids.Time, j *job) {
-	d.respond(now, j, Response{Class: ClientError, Status: 422, Reason: "this mark was used for another method, path or body"})
-}
-
-// waitForOwner is for another's run. One whose proxy is gone will never tell.
-func (d *Dispatcher) waitForOwner(now ids.Time, j *job, owner idempotency.Owner) {
-	d.releaseSlot(now, j)
-	if owner.Daemon != d.Self.Daemon && d.service.RunEnded != nil && d.service.RunEnded(owner.Daemon, owner.RunID) {
-		d.respondUnknown(now, j, 504, "may have run; the proxy that had it is gone")
-		return
-	}
-	// A run of our own that isn't at hand any more ended before a restart.
-	if owner.Daemon == d.Self.Daemon && owner.RunID != d.Self.RunID {
-		d.respondUnknown(now, j, 504, "may have run; this proxy was restarted meanwhile")
-		return
-	}
-	j.state, j.recheckAt = waitingForOwner, now.Add(100*time.Millisecond)
-	j.sequence++
-}
-
+// onClaimReply forwards a job whose claim was granted, unless that took too long.
 func (d *Dispatcher) onClaimReply(now ids.Time, j *job, reply IdempotencyReply) {
-	result, ok := idempotency.DecodeResult(reply.Payload)
-	if reply.Outcome != consensus.Succeeded || !ok {
-		d.reject(now, j, "the mark couldn't be claimed in time")
+	result, ok := decodeResult(reply)
+	if !ok {
+		d.reject(now, j, reasonClaimTimeout)
 		return
 	}
 	switch result.Verdict {
 	case idempotency.Granted:
-		// A claim alone is not enough: time must be left, and no pause noticed.
-		switch {
-		case now >= j.Deadline:
-			d.reject(now, j, "no time left")
-		case d.isPausedOrStale(now):
-			d.reject(now, j, "this proxy was paused")
-		default:
-			d.forward(now, j)
-		}
+		d.onClaimGranted(now, j)
 	case idempotency.InProgress:
 		d.waitForOwner(now, j, result.Record.Owner)
 	case idempotency.AlreadyCompleted:
 		d.replay(now, j, result.Record.Response)
 	case idempotency.FingerprintMismatch:
-		d.respondMismatch(now, j)
+		d.respondKeyReused(now, j)
 	case idempotency.RecordLost:
 		j.claimRequested = false
-		d.respondUnknown(now, j, 504, "an earlier attempt may have run; marks were lost of late")
+		d.respondUnknown(now, j, statusGatewayTimeout, reasonRecordsLost)
 	default:
-		// Barred: a later attempt was told that this one will never run.
+		// AttemptBlocked: the client of a later attempt was told that this one never runs.
 		j.claimRequested = false
-		d.respond(now, j, Response{Class: Rejected, Status: 503, Reason: "given up in favour of a later attempt", RetryAfter: time.Second})
+		d.respondRejected(now, j, reasonSuperseded, defaultRetryAfter)
 	}
 }
 
-func (d *Dispatcher) onBlockReply(now ids.Time, j *job, reply IdempotencyReply) {
-	result, ok := idempotency.DecodeResult(reply.Payload)
+// onClaimGranted forwards a job that holds a slot and its claim, if there is time left and
+// the process wasn't paused meanwhile.
+func (d *Dispatcher) onClaimGranted(now ids.Time, j *job) {
 	switch {
-	case reply.Outcome != consensus.Succeeded || !ok:
-		d.respondUnknown(now, j, 504, j.rejectReason+"; whether an earlier attempt ran isn't known")
-	case result.Verdict == idempotency.Released:
-		d.respond(now, j, Response{Class: Rejected, Status: 503, Reason: j.rejectReason, RetryAfter: time.Second})
-	case result.Verdict == idempotency.AlreadyCompleted:
+	case now >= j.Deadline:
+		d.reject(now, j, reasonNoTimeLeft)
+	case d.isPausedOrStale(now):
+		d.reject(now, j, reasonPaused)
+	default:
+		d.forward(now, j)
+	}
+}
+
+// onBlockReply answers a job that is given up, once it is known whether an earlier attempt
+// of it ran or still may.
+func (d *Dispatcher) onBlockReply(now ids.Time, j *job, reply IdempotencyReply) {
+	result, ok := decodeResult(reply)
+	if !ok {
+		d.respondUnknown(now, j, statusGatewayTimeout, j.rejectReason+suffixBlockUnknown)
+		return
+	}
+	switch result.Verdict {
+	case idempotency.Released:
+		d.respondRejected(now, j, j.rejectReason, defaultRetryAfter)
+	case idempotency.AlreadyCompleted:
 		d.replay(now, j, result.Record.Response)
-	case result.Verdict == idempotency.FingerprintMismatch:
-		d.respondMismatch(now, j)
+	case idempotency.FingerprintMismatch:
+		d.respondKeyReused(now, j)
 	default:
-		d.respondUnknown(now, j, 504, "another attempt may still run")
+		d.respondUnknown(now, j, statusGatewayTimeout, reasonMayStillRun)
 	}
 }
 
-func (d *Dispatcher) onOutcomeStored(now ids.Time, j *job) {
-	d.respond(now, j, Response{Class: Answered, Status: int(j.response.Status), TargetResponse: j.response})
+// decodeResult returns the result of an operation that is known to be chosen, else false.
+func decodeResult(reply IdempotencyReply) (idempotency.Result, bool) {
+	result, ok := idempotency.DecodeResult(reply.Payload)
+	return result, ok && reply.Outcome == consensus.Succeeded
+}
+
+// respondKeyReused says that the key belongs to another operation of the client.
+func (d *Dispatcher) respondKeyReused(now ids.Time, j *job) {
+	d.respond(now, j, Response{Class: ClientError, Status: statusUnprocessableEntity, Reason: reasonKeyReused})
+}
+
+// waitForOwner has a job wait until the attempt that holds the claim completes. The claim
+// of a run that has ended will never be completed.
+func (d *Dispatcher) waitForOwner(now ids.Time, j *job, owner idempotency.Owner) {
+	d.releaseSlot(now, j)
+	if owner.Daemon != d.Self.Daemon && d.service.RunEnded != nil && d.service.RunEnded(owner.Daemon, owner.RunID) {
+		d.respondUnknown(now, j, statusGatewayTimeout, reasonOwnerGone)
+		return
+	}
+	if owner.Daemon == d.Self.Daemon && owner.RunID != d.Self.RunID {
+		d.respondUnknown(now, j, statusGatewayTimeout, reasonOwnerRestarted)
+		return
+	}
+	j.state, j.recheckAt = waitingForOwner, now.Add(ownerPollInterval)
+	// Replies to this job's earlier calls no longer matter.
+	j.sequence++
 }
 
-// replay answers with the outcome of the run that there was.
+// replay answers with the stored outcome of an earlier attempt.
 func (d *Dispatcher) replay(now ids.Time, j *job, stored idempotency.Response) {
 	d.Counters.Replayed++
 	switch {
-	case stored.Status == 0 || stored.Status == 504 && stored.BodyOmitted:
-		d.respondUnknown(now, j, 504, "may have run; its answer was lost")
+	case stored.Status == 0 || stored.Status == statusGatewayTimeout && stored.BodyOmitted:
+		d.respondUnknown(now, j, statusGatewayTimeout, reasonResponseLost)
 	case stored.BodyOmitted:
-		d.respond(now, j, Response{Class: Answered, Status: 200, Reason: "it ran; the answer was too large to keep", TargetResponse: stored})
+		d.respond(now, j, Response{Class: Answered, Status: statusOK, Reason: reasonBodyOmitted, TargetResponse: stored})
 	default:
-		d.respond(now, j, Response{Class: Answered, Status: int(stored.Status), TargetResponse: stored})
+		d.respondAnswered(now, j, stored)
 	}
 }
--- a/internal/dataplane/dispatch/job.go
+++ b/internal/dataplane/dispatch/job.go
@@ -7,61 +7,98 @@
 	"dunlinwell/internal/state/idempotency"
 )
 
+// jobState is what a request waits for.
 type jobState uint8
 
 const (
+	// readingRecord waits for the record of the idempotency key, as an earlier attempt
+	// may have completed.
 	readingRecord jobState = iota + 1
-	registeringAttempt
+	// numberingAttempt waits for the register to number an attempt that its client didn't.
+	numberingAttempt
+	// waitingForOwner waits for another attempt, whose claim stands, to complete.
 	waitingForOwner
+	// queued waits for a free slot at a target.
 	queued
+	// claimingKey holds a slot and waits for the claim of the idempotency key.
 	claimingKey
+	// forwarding waits for the target.
 	forwarding
+	// storingOutcome has the response and waits until it is stored under the key.
 	storingOutcome
+	// blockingAttempts is about to be rejected, and waits until earlier attempts are
+	// blocked from running after that.
 	blockingAttempts
 )
 
+// The time-outs of calls to the register of an idempotency key; but for
+// backgroundTimeout, calls end at the request's deadline at the latest.
+const (
+	// registerTimeout bounds calls without whose reply the request can't go on.
+	registerTimeout = 2 * time.Second
+	// responseHeldTimeout bounds calls that hold back a response which is known already.
+	responseHeldTimeout = 500 * time.Millisecond
+	// backgroundTimeout bounds calls whose reply nobody waits for.
+	backgroundTimeout = 10 * time.Second
+	// minRegisterTimeout is given to each call, also where less time is left to the request.
+	minRegisterTimeout = 50 * time.Millisecond
+	// ownerPollInterval is how often a request that waits for another attempt reads the record.
+	ownerPollInterval = 100 * time.Millisecond
+)
+
+// job is a request waiting or in flight.
 type job struct {
 	Job
-	state          jobState
-	sequence       uint32
+	state jobState
+	// sequence numbers the commands whose reply is awaited. Replies with another number
+	// are late ones, and ignored.
+	sequence uint32
+	// failedAttempts counts attempts that ended without a response of the target.
 	failedAttempts int
-	// timesSent counts the targets that it was sent to.
-	timesSent    int
+	// timesSent counts attempts of which bytes left this proxy.
+	timesSent int
+	// target is where the job holds a slot; empty for none.
 	target       ids.InstanceID
 	triedTargets map[ids.InstanceID]bool
-	// claimed: a claim was asked for and may stand.
+	// claimRequested is set once a claim was asked for, which may stand since.
 	claimRequested bool
-	// counted: this request has been counted towards the retry budget.
+	// budgetCounted is set once the request has been counted by the retry budget, and
+	// budgetEarned if that was as a deposit.
 	budgetCounted bool
 	budgetEarned  bool
-	recheckAt     ids.Time
-	queuedAt      ids.Time
-	forwardedAt   ids.Time
-	rejectReason  string
-	// late: its goal was past reach as it came.
+	// recheckAt is when a job waiting for another attempt reads the record again.
+	recheckAt ids.Time
+	// queuedAt is when the job entered the queue for the first time.
+	queuedAt    ids.Time
+	forwardedAt ids.Time
+	// rejectReason is kept while earlier attempts are being blocked.
+	rejectReason string
+	// goalUnreachable is set if the latency goal was out of reach at arrival.
 	goalUnreachable bool
-	response        idempotency.Response
+	// response is what is stored under the idempotency key.
+	response idempotency.Response
 }
 
-// hasIdempotencyRecord tells whether a register keeps the job to one run.
+// hasIdempotencyRecord tells whether a replicated register limits the request to one run.
 func (j *job) hasIdempotencyRecord() bool { return !j.Repeatable && !j.AtMostOnce }
 
+// onRequestArrived takes in a new request. One with an idempotency key that may be a
+// later attempt first learns whether an earlier one completed: a stored response comes
+// before any rejection.
 func (d *Dispatcher) onRequestArrived(now ids.Time, request Job) {
 	j := &job{Job: request, triedTargets: map[ids.InstanceID]bool{}}
 	d.jobs[request.ID] = j
 	d.checkGoalReachable(now, j)
 	d.Counters.Arrived++
-	switch {
-	case j.Attempt > 0:
-	case j.Repeatable, j.AtMostOnce:
+	if j.Attempt == 0 {
+		if j.hasIdempotencyRecord() {
+			// Without a number, this attempt couldn't be told from those that it
+			// must be fenced against.
+			d.callIdempotency(now, j, idempotency.OpNumberAttempt, numberingAttempt, registerTimeout)
+			return
+		}
 		j.Attempt = 1
-	default:
-		// Without a number of its own, this attempt could not be told from
-		// the ones that it must be fenced against.
-		d.callIdempotency(now, j, idempotency.OpNumberAttempt, registeringAttempt, 2*time.Second)
-		return
 	}
-	// A repeat may find that it has run: that comes before any reject.
 	if j.hasIdempotencyRecord() && j.Attempt > 1 {
 		d.readRecord(now, j)
 		return
--- a/internal/dataplane/dispatch/latency_goal.go
+++ b/internal/dataplane/dispatch/latency_goal.go
@@ -6,14 +6,15 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// longestTimeoutDecay is how fast the longest time that a route's clients give is
-// forgotten: slowly, as after an outage most that come have waited already.
+// longestTimeoutDecay is the divisor by which the longest time-out of a route's clients
+// is forgotten with each request: slowly, as after an outage most requests that arrive
+// have waited elsewhere already.
 const longestTimeoutDecay = 1024
 
-// checkGoalReachable tells a job that comes again after others were lost or rejected: it has
-// less time left than its route's clients give at first. Where that leaves
-// its goal out of reach, a wait costs it nothing, and those that can still meet
-// theirs go before it.
+// checkGoalReachable notes whether a job can still meet its latency goal. One that comes
+// again, after it was lost or rejected elsewhere, has less time left than its route's
+// clients give at first. If that leaves its goal out of reach, more waiting costs it
+// nothing, and jobs that can still meet theirs go before it.
 func (d *Dispatcher) checkGoalReachable(now ids.Time, j *job) {
 	if j.LatencyGoal == 0 {
 		return
@@ -25,6 +26,7 @@
 	j.goalUnreachable = longest-timeLeft+d.meanResponseTime > j.LatencyGoal
 }
 
+// latenessRank orders jobs whose goal is in reach before the others.
 func latenessRank(j *job) int {
 	if j.goalUnreachable {
 		return 1
@@ -32,15 +34,18 @@
 	return 0
 }
 
-// maxQueueWait is how long a request may expect to wait in the queue, where its
-// route names no goal.
-const maxQueueWait = time.Second
+const (
+	// maxQueueWait bounds a job's time in the queue, also if its goal allows more.
+	maxQueueWait = time.Second
+	// queueWaitGoalDivisor gives a job a quarter of its goal in the queue, which leaves
+	// its client time for another attempt within the goal.
+	queueWaitGoalDivisor = 4
+)
 
-// queueWaitLimit is how long a request may wait in the queue. A quarter of the goal
-// leaves its client time for another try that is still worth most.
+// queueWaitLimit returns how long a job may wait in the queue.
 func (j *job) queueWaitLimit() time.Duration {
 	if j.LatencyGoal == 0 || j.goalUnreachable {
 		return maxQueueWait
 	}
-	return min(j.LatencyGoal/4, maxQueueWait)
+	return min(j.LatencyGoal/queueWaitGoalDivisor, maxQueueWait)
 }
--- a/internal/dataplane/dispatch/messages.go
+++ b/internal/dataplane/dispatch/messages.go
@@ -9,33 +9,45 @@
 	"dunlinwell/internal/state/idempotency"
 )
 
-// Job is a client's request as the dispatcher knows it.
+// Job is a client's request as far as load balancing needs it: its identity, its
+// route's rules and its deadline, without headers and body.
 type Job struct {
-	ID             ids.RequestID
-	Route          ids.Name
-	Service        ids.Name
-	Tier           int
-	Repeatable     bool
+	ID      ids.RequestID
+	Route   ids.Name
+	Service ids.Name
+	// Tier is the route's priority, 0 to 9; higher tiers leave the queue first.
+	Tier int
+	// Repeatable requests may run several times, so they may be retried after any failure.
+	Repeatable bool
+	// IdempotencyKey names the client's operation. It is unset in requests that are
+	// Repeatable or AtMostOnce.
 	IdempotencyKey ids.IdempotencyKey
-	Attempt        uint32
-	Fingerprint    []byte
-	Deadline       ids.Time
-	// Single: unrepeatable without a mark. This attempt reaches this proxy
-	// alone, which lets it begin at one target at most.
+	// Attempt is the client's number for this attempt of the operation, from 1; 0 if
+	// the client doesn't number its attempts.
+	Attempt uint32
+	// Fingerprint is a digest of method, path and body. A key that is used again with
+	// another fingerprint is a client error.
+	Fingerprint []byte
+	Deadline    ids.Time
+	// AtMostOnce marks a request that isn't repeatable and has no idempotency key. It
+	// reaches this proxy alone, so the dispatcher can ensure by itself that at most one
+	// target begins it.
 	AtMostOnce bool
-	// LatencyGoal is the time within which an answer is worth most; 0 for none.
+	// LatencyGoal is the time within which a response is worth most to the client;
+	// 0 if the route has none.
 	LatencyGoal time.Duration
-	// MaxAttempts is the most targets that the request may be sent to; 0 for the
-	// dispatcher's own limit.
+	// MaxAttempts is the largest number of targets that the request may be sent to;
+	// 0 for defaultMaxAttempts.
 	MaxAttempts int
-	// Homes are the regions whose targets may have it; none for all.
+	// Homes are the regions whose targets may serve the request; empty for all.
 	Homes []ids.Name
-	// Terms are what the route said when the request was taken.
+	// Terms are the route's rules as of the request's arrival. The request isn't
+	// forwarded once others are in force.
 	Terms RouteTerms
 }
 
-// RouteTerms are what a route says of its requests. A request taken by others than
-// those in force by now doesn't leave.
+// RouteTerms are the rules of a route that a request relies on. They are compared when
+// the request is about to be forwarded: if they have changed since, it is rejected.
 type RouteTerms struct {
 	Host       string
 	Prefix     string
@@ -44,94 +56,115 @@
 	TimeLimit  time.Duration
 }
 
-// ResponseClass of an answer; the three are never mixed.
+// ResponseClass says what a client may conclude from a response. The classes are never mixed.
 type ResponseClass uint8
 
-// Rejected: surely not run and will not. Unknown: may have run. Answered: a
-// target's whole, sealed answer. Misused: the client's own mistake.
 const (
+	// Rejected means that no target has run the request and that none will.
 	Rejected ResponseClass = iota + 1
+	// Unknown means that the request may have run.
 	Unknown
+	// Answered means that the response is a target's own, complete one.
 	Answered
+	// ClientError means that the client made a mistake that it must mend itself.
 	ClientError
 )
 
-// AttemptResult a forwarded request came back.
+// AttemptResult says how one forwarded attempt ended.
 type AttemptResult uint8
 
-// NotSent: no byte left. Maybe: some did, and no sealed answer came. NotRun:
-// the target has it and says that it did not run it and won't. Foreign: so
-// says another that has the address now. Failed: a sealed answer that is a
-// failure of the target's own, so another target may do better.
 const (
+	// NotSent means that no byte of the request left this proxy.
 	NotSent AttemptResult = iota + 1
+	// MayHaveRun means that bytes left and no complete response came.
 	MayHaveRun
+	// Complete means that a complete response with a verified digest came.
 	Complete
+	// NotExecuted means that the target states that it hasn't run the request and won't.
 	NotExecuted
+	// WrongTarget means that another target has the address now, and states that it
+	// hasn't run the request.
 	WrongTarget
+	// TargetFailed is a complete response that reports a failure of the target itself,
+	// so that another target may succeed.
 	TargetFailed
 )
 
-// Events.
+// The events of a dispatcher, besides ServiceState and event.Tick.
 type (
-	// RequestArrived is a new request.
+	// RequestArrived brings a new request.
 	RequestArrived struct{ Job Job }
-	// IdempotencyReply is what came of a request about a mark.
+
+	// IdempotencyReply is the result of an IdempotencyCall.
 	IdempotencyReply struct {
-		ID       ids.RequestID
+		ID ids.RequestID
+		// Sequence is that of the call. A reply to any but the request's latest call
+		// is ignored.
 		Sequence uint32
 		Outcome  consensus.Outcome
-		Payload  []byte
+		// Payload is an encoded idempotency.Record after a read, and an encoded
+		// idempotency.Result after any other operation.
+		Payload []byte
 	}
-	// AttemptFinished is a forwarded request that ended.
+
+	// AttemptFinished reports the end of a forwarded attempt.
 	AttemptFinished struct {
-		ID       ids.RequestID
+		ID ids.RequestID
+		// Sequence is that of the Forward command. Any other is ignored.
 		Sequence uint32
 		Result   AttemptResult
 		Response idempotency.Response
-		Reason   string
-		// Told: the target said how full it is, in Running, Waiting and Slots.
+		// Reason explains a failure; clients and operators see it.
+		Reason string
+		// LoadReported is set if the target reported its load, in Running and Waiting
+		// requests and in Slots.
 		LoadReported            bool
 		Running, Waiting, Slots int64
 	}
+
+	// LeaseUpdated replaces the time until which requests may be forwarded by the
+	// service state at hand.
+	LeaseUpdated struct{ ExpiresAt ids.Time }
 )
 
-// Commands.
+// The commands of a dispatcher.
 type (
-	// IdempotencyCall asks for an operation on a mark; a Turn of zero wants no word back.
+	// IdempotencyCall asks for an operation on the register of an idempotency key.
 	IdempotencyCall struct {
-		ID        ids.RequestID
+		ID ids.RequestID
+		// Sequence is repeated in the reply; with 0 no reply is wanted.
 		Sequence  uint32
 		Key       ids.RegisterKey
 		Op        consensus.Op
 		Operation idempotency.Operation
 		Timeout   time.Duration
 	}
-	// Forward carries a request to a target, once.
+
+	// Forward sends a request to a target, once.
 	Forward struct {
 		ID       ids.RequestID
 		Sequence uint32
 		Target   targets.Target
 		Deadline ids.Time
-		// SendBefore is the last moment at which its first byte may leave.
+		// SendBefore is the last moment at which the request's first byte may leave.
 		SendBefore ids.Time
-		// Careful: of held connections only one that was in use a moment ago will
-		// do, since what is lost on a dead one can't be sent again.
+		// RecentOnly restricts the pooled connections to one that was in use a moment
+		// ago: what is lost on a dead connection can't be sent again.
 		RecentOnly bool
-		// NewConnection asks for a new connection, whose target has just shown who it is.
+		// NewConnection asks for a new connection, whose target has just identified itself.
 		NewConnection bool
 	}
-	// Response is the client's answer.
+
+	// Response is the one response to a client's request.
 	Response struct {
 		ID     ids.RequestID
 		Class  ResponseClass
 		Status int
+		// Reason explains a response that isn't a target's own.
 		Reason string
-		// RetryAfter is when to come back; 0 for no word on that.
-		RetryAfter     time.Duration
+		// RetryAfter is when the client should try again; 0 to leave that unsaid.
+		RetryAfter time.Duration
+		// TargetResponse is the target's response, of class Answered.
 		TargetResponse idempotency.Response
 	}
 )
-
-// LeaseUpdated tells until when requests may leave by what is known now.
-type LeaseUpdated struct{ ExpiresAt ids.Time }
--- a/internal/dataplane/dispatch/outlier_detector.go
+++ b/internal/dataplane/dispatch/outlier_detector.go
@@ -6,37 +6,42 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// outlierDetector judges a target by what requests showed, not by what its page says:
-// one that fails a part of them is left alone, for longer each time, while
-// there are others. It is left alone and no more, so that however many fail,
-// what a service still bears is used.
+// outlierDetector ejects a target that fails a part of its requests, for longer each
+// time, whatever the target reports of itself. An ejected target is avoided while there
+// are others and used where there is none, so that all capacity that a service still has
+// is used, however many of its targets fail.
 type outlierDetector struct {
+	// failureRate is a moving average of the last responses, from 0 to 1.
 	failureRate float64
-	samples     int
+	// samples counts the responses since the start or the last ejection.
+	samples int
 	ejections
 }
 
-// ejections count how often in a row the target was left alone.
+// ejections are the ejections in a row without a recovery between them.
 type ejections struct {
 	ejectionCount int
 	ejectedUntil  ids.Time
 }
 
 const (
-	// failureRateWeight is how much the newest answer counts for.
+	// failureRateWeight is the weight of the newest response in the failure rate.
 	failureRateWeight = 0.15
-	// ejectionThreshold is the share of failures from which a target is left alone, once
-	// there were a few answers.
+	// ejectionThreshold is the failure rate from which a target is ejected, once there
+	// were minEjectionSamples responses.
 	ejectionThreshold  = 0.25
 	minEjectionSamples = 4
-	// recoverySamples are enough to take a target for well again.
-	recoverySamples = 20
-	// baseEjectionTime is how long it is left alone at first; spellMost bounds the doubling.
+	// recoverySamples is how many responses with a failure rate under recoveryThreshold
+	// end the count of ejections.
+	recoverySamples   = 20
+	recoveryThreshold = ejectionThreshold / 4
+	// baseEjectionTime is the length of the first ejection. Each further one doubles it,
+	// up to maxEjectionDoublings times.
 	baseEjectionTime     = 2 * time.Second
 	maxEjectionDoublings = 3
 )
 
-// record notes an answer and gives until when the target is left alone.
+// record counts a response. If it ejects the target it returns until when, and else 0.
 func (o *outlierDetector) record(now ids.Time, failed bool) ids.Time {
 	sample := 0.0
 	if failed {
@@ -44,15 +49,18 @@
 	}
 	o.failureRate += failureRateWeight * (sample - o.failureRate)
 	o.samples++
-	if o.samples < minEjectionSamples || o.failureRate < ejectionThreshold || !failed || now < o.ejectedUntil {
-		if !failed && o.samples >= recoverySamples && o.failureRate < ejectionThreshold/4 {
+	if !failed {
+		if o.samples >= recoverySamples && o.failureRate < recoveryThreshold {
 			o.ejectionCount = 0
 		}
 		return 0
 	}
+	if o.samples < minEjectionSamples || o.failureRate < ejectionThreshold || now < o.ejectedUntil {
+		return 0
+	}
 	o.ejectedUntil = now.Add(baseEjectionTime << min(o.ejectionCount, maxEjectionDoublings))
 	o.ejectionCount++
-	// What it does next is judged anew.
+	// After the ejection the target is judged anew.
 	o.failureRate, o.samples = 0, 0
 	return o.ejectedUntil
 }
--- a/internal/dataplane/dispatch/queue.go
+++ b/internal/dataplane/dispatch/queue.go
@@ -3,20 +3,24 @@
 import (
 	"cmp"
 	"slices"
-	"time"
 
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/state/idempotency"
 )
 
-// compareUrgency orders the queue: the most urgent first, of those the ones that can
-// still meet their goal, then the least time left.
+// compareUrgency orders the queue: by tier, highest first; then jobs that can still meet
+// their goal; then by deadline.
 func compareUrgency(a, b *job) int {
-	return cmp.Or(-cmp.Compare(a.Tier, b.Tier), latenessRank(a)-latenessRank(b), cmp.Compare(a.Deadline, b.Deadline), cmp.Compare(a.ID, b.ID))
+	return cmp.Or(
+		-cmp.Compare(a.Tier, b.Tier),
+		latenessRank(a)-latenessRank(b),
+		cmp.Compare(a.Deadline, b.Deadline),
+		cmp.Compare(a.ID, b.ID),
+	)
 }
 
-// pruneQueue gives up at once what can't make it any more, say because targets
-// went; nobody is held until near the deadline.
+// pruneQueue rejects jobs that can't be served in time any more, for instance because
+// targets have left, instead of holding them until their deadline.
 func (d *Dispatcher) pruneQueue(now ids.Time) {
 	if len(d.queue) == 0 {
 		return
@@ -36,13 +40,14 @@
 	}
 }
 
+// removeFromQueue takes a job out of the queue, if it is there.
 func (d *Dispatcher) removeFromQueue(j *job) {
 	if position := slices.Index(d.queue, j); position >= 0 {
 		d.queue = slices.Delete(d.queue, position, position+1)
 	}
 }
 
-// dispatchQueue gives places to those that wait, the first in order first.
+// dispatchQueue gives free slots to queued jobs, the most urgent first.
 func (d *Dispatcher) dispatchQueue(now ids.Time) {
 	if d.isPausedOrStale(now) || now >= d.leaseExpiresAt {
 		return
@@ -56,11 +61,10 @@
 		}
 		e := d.pickEndpoint(now, j)
 		if e == nil {
-			// Others of this queue may still find a place that j avoids, or that
-			// isn't among its homes, or that it has not waited long enough for.
-			if len(j.triedTargets) == 0 && len(j.Homes) == 0 && j.LatencyGoal == 0 {
+			if !j.isRestricted() {
 				return
 			}
+			// A later job may still use a slot that this one may not.
 			i++
 			continue
 		}
@@ -71,20 +75,27 @@
 	}
 }
 
-// onSlotAcquired goes on with a job that holds a place.
+// isRestricted tells whether there may be free slots that others may use and this job may
+// not: at a target that it tried, outside its regions, or farther away than its time in
+// the queue allows yet.
+func (j *job) isRestricted() bool {
+	return len(j.triedTargets) > 0 || len(j.Homes) > 0 || j.LatencyGoal != 0
+}
+
+// onSlotAcquired goes on with a job that holds a slot: it is forwarded, under a claim of
+// its idempotency key if it has one.
 func (d *Dispatcher) onSlotAcquired(now ids.Time, j *job) {
-	switch {
-	case !j.hasIdempotencyRecord():
+	if !j.hasIdempotencyRecord() {
 		d.forward(now, j)
-	default:
-		// After a place that came to nothing the claim may stand, but is asked
-		// for again, as a barring may have come between.
-		j.claimRequested = true
-		d.callIdempotency(now, j, idempotency.OpClaim, claimingKey, 2*time.Second)
+		return
 	}
+	// An earlier slot of this job may have led to a claim that still stands. It is asked
+	// for again, as a later attempt may have blocked this one since.
+	j.claimRequested = true
+	d.callIdempotency(now, j, idempotency.OpClaim, claimingKey, registerTimeout)
 }
 
-// releaseSlot gives a job's place back.
+// releaseSlot returns a job's slot, if it holds one.
 func (d *Dispatcher) releaseSlot(now ids.Time, j *job) {
 	if e := d.endpoints[j.target]; e != nil && j.target != "" {
 		e.inFlight--
--- a/internal/dataplane/dispatch/response.go
+++ b/internal/dataplane/dispatch/response.go
@@ -8,7 +8,21 @@
 	"dunlinwell/internal/state/idempotency"
 )
 
-// respond ends a job with its one answer.
+// HTTP status codes of responses that aren't a target's own. They stand here as net/http
+// has no place in a state machine.
+const (
+	statusOK                  = 200
+	statusUnprocessableEntity = 422
+	statusInternalServerError = 500
+	statusBadGateway          = 502
+	statusServiceUnavailable  = 503
+	statusGatewayTimeout      = 504
+)
+
+// defaultRetryAfter is when clients should try again where nothing better is known.
+const defaultRetryAfter = time.Second
+
+// respond ends a job with its one response.
 func (d *Dispatcher) respond(now ids.Time, j *job, response Response) {
 	response.ID = j.ID
 	d.releaseSlot(now, j)
@@ -26,64 +40,83 @@
 	d.Emit(response)
 }
 
-// maxReasons bounds the reasons kept apart; some name addresses.
-const maxReasons = 16
-
-// countReason counts a reason, by its words before any colon.
-func (d *Dispatcher) countReason(reason string) {
-	reason, _, _ = strings.Cut(reason, ":")
-	if _, known := d.failureReasons[reason]; !known && len(d.failureReasons) >= maxReasons {
-		reason = "other"
-	}
-	if d.failureReasons == nil {
-		d.failureReasons = map[string]int{}
-	}
-	d.failureReasons[reason]++
+// respondAnswered passes a target's own response on.
+func (d *Dispatcher) respondAnswered(now ids.Time, j *job, response idempotency.Response) {
+	d.respond(now, j, Response{Class: Answered, Status: int(response.Status), TargetResponse: response})
 }
 
-// TakeFailureReasons gives why requests got no answer since it was last asked.
-func (d *Dispatcher) TakeFailureReasons() map[string]int {
-	reasons := d.failureReasons
-	d.failureReasons = nil
-	return reasons
+// respondRejected says that the request hasn't run and never will. The caller must be
+// sure of both; reject takes the steps that make it sure.
+func (d *Dispatcher) respondRejected(now ids.Time, j *job, reason string, retryAfter time.Duration) {
+	d.respond(now, j, Response{Class: Rejected, Status: statusServiceUnavailable, Reason: reason, RetryAfter: retryAfter})
 }
 
+// respondUnknown says that the request may have run.
 func (d *Dispatcher) respondUnknown(now ids.Time, j *job, status int, reason string) {
 	retryAfter := time.Duration(0)
 	if j.Repeatable {
-		retryAfter = time.Second
+		retryAfter = defaultRetryAfter
 	}
 	d.respond(now, j, Response{Class: Unknown, Status: status, Reason: reason, RetryAfter: retryAfter})
 }
 
-// reject gives a job up that surely has not run. A later attempt must first
-// bar the earlier ones, or one of them might still run after this answer.
+// reject gives up a job that has surely not run. A later attempt must first block the
+// earlier ones, or one of them might still run after the client was told that none did.
 func (d *Dispatcher) reject(now ids.Time, j *job, reason string) {
 	d.releaseSlot(now, j)
 	if j.hasIdempotencyRecord() && j.Attempt > 1 {
 		j.rejectReason = reason
-		d.callIdempotency(now, j, idempotency.OpBlock, blockingAttempts, 500*time.Millisecond)
+		d.callIdempotency(now, j, idempotency.OpBlock, blockingAttempts, responseHeldTimeout)
 		return
 	}
 	if j.claimRequested {
-		d.Emit(IdempotencyCall{Key: idempotency.RegisterKey(j.Route, j.IdempotencyKey), Op: idempotency.OpRelease, Operation: d.idempotencyOperation(j), Timeout: 10 * time.Second})
+		d.callIdempotencyInBackground(j, idempotency.OpRelease)
 	}
-	d.respond(now, j, Response{Class: Rejected, Status: 503, Reason: reason, RetryAfter: d.retryAfter(now, j)})
+	d.respondRejected(now, j, reason, d.retryAfter(now, j))
 }
 
-// retryAfter is when a rejected client should come back: when a place is likely,
-// by what waits now. Without a goal there is no telling how soon is soon.
+// retryAfter estimates when a rejected client will find a free slot, by what waits now:
+// at least an eighth of its goal and at most defaultRetryAfter. A client without a goal
+// gets defaultRetryAfter.
 func (d *Dispatcher) retryAfter(now ids.Time, j *job) time.Duration {
 	if j.LatencyGoal == 0 {
-		return time.Second
+		return defaultRetryAfter
 	}
-	wait := time.Duration(len(d.queue)+1) * d.meanResponseTime / time.Duration(max(d.totalSlots(now), 1))
-	return min(max(wait, j.LatencyGoal/8), time.Second)
+	wait := d.estimateWait(len(d.queue), d.totalSlots(now))
+	return min(max(wait, j.LatencyGoal/8), defaultRetryAfter)
 }
 
+// unknownStatus returns the status for a request that may have run: gateway time-out once
+// its deadline is past, else bad gateway.
 func unknownStatus(now ids.Time, j *job) int {
 	if now >= j.Deadline {
-		return 504
+		return statusGatewayTimeout
+	}
+	return statusBadGateway
+}
+
+// maxReasons bounds the reasons that are counted apart, as some name addresses.
+const maxReasons = 16
+
+// otherReasons is the reason that counts for all beyond maxReasons.
+const otherReasons = "other"
+
+// countReason counts a reason by its text up to the first colon.
+func (d *Dispatcher) countReason(reason string) {
+	reason, _, _ = strings.Cut(reason, ":")
+	if _, known := d.failureReasons[reason]; !known && len(d.failureReasons) >= maxReasons {
+		reason = otherReasons
+	}
+	if d.failureReasons == nil {
+		d.failureReasons = map[string]int{}
 	}
-	return 502
+	d.failureReasons[reason]++
+}
+
+// TakeFailureReasons returns why requests got no response of a target, with counts since
+// the last call; nil if there were none.
+func (d *Dispatcher) TakeFailureReasons() map[string]int {
+	reasons := d.failureReasons
+	d.failureReasons = nil
+	return reasons
 }
--- a/internal/dataplane/dispatch/retry.go
+++ b/internal/dataplane/dispatch/retry.go
@@ -2,41 +2,65 @@
 
 import "dunlinwell/internal/base/ids"
 
-// attemptsExhausted tells whether a job was sent to as many targets as it may be.
+const (
+	// defaultMaxAttempts is the MaxAttempts of jobs that name none.
+	defaultMaxAttempts = 3
+	// maxUnsentAttempts is how many attempts of a job may end before any byte is sent.
+	maxUnsentAttempts = 3
+)
+
+// attemptsExhausted tells whether a job was sent as often as it may be.
 func (d *Dispatcher) attemptsExhausted(j *job) bool {
 	if j.MaxAttempts > 0 {
 		return j.timesSent >= j.MaxAttempts
 	}
-	return j.failedAttempts > 2
+	return j.failedAttempts >= defaultMaxAttempts
 }
 
-// onNotExecuted sends on what a target says that it did not run: to another one,
-// as a retry, or back to its client.
-func (d *Dispatcher) onNotExecuted(now ids.Time, j *job, result AttemptFinished) {
-	if j.hasIdempotencyRecord() {
-		// Its mark's claim stands, and another place is asked for under it.
-		d.admit(now, j)
-		return
-	}
-	if j.failedAttempts++; d.attemptsExhausted(j) || now.Add(d.meanResponseTime) >= j.Deadline || !d.retryBudget.withdraw() {
-		d.reject(now, j, "targets turned it away: "+result.Reason)
-		return
+// takeRetry counts a failed attempt, and tells whether the job may be sent again: if its
+// attempts, its time left and the retry budget allow it. The retry is then paid for.
+func (d *Dispatcher) takeRetry(now ids.Time, j *job) bool {
+	j.failedAttempts++
+	if d.attemptsExhausted(j) || now.Add(d.meanResponseTime) >= j.Deadline || !d.retryBudget.withdraw() {
+		return false
 	}
 	d.Counters.Retried++
+	return true
+}
+
+// onNotSent goes on with a job of which no byte left: another target may have it, and no
+// retry is spent. It returns false once the job has been rejected for good.
+func (d *Dispatcher) onNotSent(now ids.Time, j *job, result AttemptFinished) bool {
+	j.timesSent--
+	j.failedAttempts++
+	if j.failedAttempts > maxUnsentAttempts {
+		d.reject(now, j, reasonUnreachable+": "+result.Reason)
+		return false
+	}
 	d.admit(now, j)
+	return true
 }
 
-// retry sends a repeatable request again, within the budget and the time.
-func (d *Dispatcher) retry(now ids.Time, j *job, result AttemptFinished) {
-	if j.failedAttempts++; d.attemptsExhausted(j) || now.Add(d.meanResponseTime) >= j.Deadline || !d.retryBudget.withdraw() {
-		// A failure of the target's own is still its answer.
-		if result.Result == TargetFailed {
-			d.respond(now, j, Response{Class: Answered, Status: int(result.Response.Status), TargetResponse: result.Response})
-			return
-		}
-		d.respondUnknown(now, j, unknownStatus(now, j), "given up: "+result.Reason)
+// onNotExecuted goes on with a job that a target hasn't run: to another target, as a
+// retry, or back to its client.
+func (d *Dispatcher) onNotExecuted(now ids.Time, j *job, result AttemptFinished) {
+	// A claim stands for any target, and the next slot is asked for under it.
+	if !j.hasIdempotencyRecord() && !d.takeRetry(now, j) {
+		d.reject(now, j, reasonNotExecuted+": "+result.Reason)
 		return
 	}
-	d.Counters.Retried++
 	d.admit(now, j)
 }
+
+// retry sends a repeatable request again if it may be, and else answers it.
+func (d *Dispatcher) retry(now ids.Time, j *job, result AttemptFinished) {
+	switch {
+	case d.takeRetry(now, j):
+		d.admit(now, j)
+	case result.Result == TargetFailed:
+		// The target's failure is still its response.
+		d.respondAnswered(now, j, result.Response)
+	default:
+		d.respondUnknown(now, j, unknownStatus(now, j), reasonRetriesEnded+": "+result.Reason)
+	}
+}
--- a/internal/dataplane/dispatch/retry_budget.go
+++ b/internal/dataplane/dispatch/retry_budget.go
@@ -1,26 +1,35 @@
 package dispatch
 
-// retryBudget bounds retries. A bucket rather than a sliding window: over any span
-// at all, retries are at most a fifth of the first requests plus the depth,
-// while a window counted back from each retry lets a later span pass that.
-// It starts empty, so a restarted proxy has no allowance to begin with.
+// retryBudget bounds retries with a token bucket: over any span of time, retries are at
+// most retryRatio of the first requests plus the capacity. (A sliding window counted back
+// from each retry would let a later span exceed that.) It starts empty, so that a
+// restarted proxy has no retries to begin with.
 type retryBudget struct {
+	// capacity is the most tokens that are kept, in retries.
 	capacity float64
-	tokens   float64
+	// tokens is negative while cancelled deposits are owed.
+	tokens float64
 }
 
-// retryRatio is a little under one in five: what leaves here within ten seconds
-// may reach targets within nine, if this process is held up just then.
-const retryRatio = 0.18
+const (
+	// retryRatio is the part of a retry that each first request deposits. It is a little
+	// under one in five, as what leaves here within ten seconds may reach targets within
+	// nine if this process is delayed just then.
+	retryRatio = 0.18
+	// tokenRounding makes up for rounding errors of deposits.
+	tokenRounding = 1e-9
+)
 
+// deposit adds the share of one first request.
 func (b *retryBudget) deposit() { b.tokens = min(b.capacity, b.tokens+retryRatio) }
 
-// cancelDeposit takes a share back for a request that didn't leave after all; what
-// was spent of it meanwhile becomes a debt.
+// cancelDeposit takes back the share of a request that wasn't sent after all. If it has been
+// spent meanwhile, the budget is in debt.
 func (b *retryBudget) cancelDeposit() { b.tokens -= retryRatio }
 
+// withdraw takes one retry, or returns false if there is none.
 func (b *retryBudget) withdraw() bool {
-	if b.tokens < 1-1e-9 {
+	if b.tokens < 1-tokenRounding {
 		return false
 	}
 	b.tokens--
--- a/internal/dataplane/dispatch/service_state.go
+++ b/internal/dataplane/dispatch/service_state.go
@@ -9,52 +9,65 @@
 	"dunlinwell/internal/controlplane/targets"
 )
 
-// ServiceState is what a dispatcher has to hand: an event of its own, sent whole whenever
-// targets, configuration or the number of proxies change.
+// ServiceState is all that a dispatcher knows of its service. It is an event, sent whole
+// whenever targets, configuration or the number of proxies change.
 type ServiceState struct {
-	Targets           []Allocation
-	DefaultCapacity   int
+	Targets []Allocation
+	// DefaultCapacity is the number of slots of a target that names no capacity itself.
+	DefaultCapacity int
+	// SlowStartDuration is how long a restarted target takes to ramp up to its
+	// capacity; 0 to leave the ramp to the target's own Warmth.
 	SlowStartDuration time.Duration
-	// RetryBudget is this proxy's share of the retry allowance.
+	// RetryBudget is the capacity of this proxy's retry budget, in retries.
 	RetryBudget float64
-	// InStep: the proxy goes by what is in force, as far as it can know.
+	// IsCurrent tells that the proxy has applied what is in force, as far as it can
+	// know. While it is unset nothing is forwarded.
 	IsCurrent bool
-	// Closed: the proxy's own zone has been emptied for some seconds.
+	// OwnZoneDrained is set once the proxy's own zone has been drained for some
+	// seconds. New requests are rejected then.
 	OwnZoneDrained bool
-	// LeaseExpiresAt is until when requests may leave by all this.
+	// LeaseExpiresAt is until when requests may be forwarded by this state.
 	LeaseExpiresAt ids.Time
-	// Terms are those in force, by route.
+	// Terms are the rules of each route in force.
 	Terms map[ids.Name]RouteTerms
-	// RunEnded tells whether a run of a proxy is over.
+	// RunEnded tells whether a run of a daemon is over, so that its claims will never
+	// be completed. It may be nil.
 	RunEnded func(ids.DaemonID, ids.RunID) bool `json:"-"`
 }
 
-// Allocation is a target as it is offered to this proxy.
+// Allocation is a target and the part of its slots that this proxy may use.
 type Allocation struct {
 	targets.Target
-	// AgeMeasuredAt is when Age was right.
+	// AgeMeasuredAt is when the target's AgeMillis was right.
 	AgeMeasuredAt ids.Time
-	// LiveProxy is this proxy's place among the Seats that share the target.
+	// SlotShareIndex is this proxy's index among the SlotShareCount proxies that divide
+	// the target's slots. A count of 0 counts as 1.
 	SlotShareIndex, SlotShareCount int
-	Distance                       float64
-	ZoneDrained                    bool
-	// Oversubscription is how many times the target's places are given out among the seats:
-	// its own small queue takes what comes at the same time. 0 is once.
+	// Distance is 0 to targets of the proxy's own zone, up to 1 within its region, and
+	// more to others.
+	Distance float64
+	// ZoneDrained tells that the target's zone is drained or evacuated: it gets no requests.
+	ZoneDrained bool
+	// Oversubscription is how many times the target's slots are divided among the
+	// proxies; 0 counts as 1. With 2, each may use what another leaves free, and the
+	// target's own short queue takes what they send at the same moment.
 	Oversubscription int
-	// Region is where the target stands.
+	// Region is the target's.
 	Region ids.Name
-	// SlowStartUntil and Rate bound a cold target: until then it gets Rate requests a
-	// second from this proxy, and none where that is 0.
+	// SlowStartUntil is until when the target gets no more than SlowStartRate requests
+	// a second from this proxy; with a rate of 0, none.
 	SlowStartUntil ids.Time
 	SlowStartRate  float64
 }
 
+// onServiceState replaces the service's state. A target that isn't part of it any more
+// is removed once its last request has ended.
 func (d *Dispatcher) onServiceState(now ids.Time, state ServiceState) {
 	d.service, d.leaseExpiresAt = state, state.LeaseExpiresAt
 	d.retryBudget.capacity = state.RetryBudget
-	seen := map[ids.InstanceID]bool{}
+	listed := map[ids.InstanceID]bool{}
 	for _, allocation := range state.Targets {
-		seen[allocation.Instance] = true
+		listed[allocation.Instance] = true
 		e := d.endpoints[allocation.Instance]
 		if e == nil {
 			e = &endpoint{}
@@ -63,14 +76,15 @@
 		e.Allocation, e.removed = allocation, false
 	}
 	for id, e := range d.endpoints {
-		if !seen[id] {
-			e.removed = true
-			if e.inFlight <= 0 {
-				delete(d.endpoints, id)
-			}
+		if listed[id] {
+			continue
+		}
+		e.removed = true
+		if e.inFlight <= 0 {
+			delete(d.endpoints, id)
 		}
 	}
-	// The order of instances, so that one seed is one run.
+	// Sorted, so that the same random source gives the same choices.
 	d.sortedEndpoints = d.sortedEndpoints[:0]
 	for _, id := range slices.Sorted(maps.Keys(d.endpoints)) {
 		d.sortedEndpoints = append(d.sortedEndpoints, d.endpoints[id])
--- a/internal/dataplane/dispatch/slots.go
+++ b/internal/dataplane/dispatch/slots.go
@@ -7,11 +7,12 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// minWarmth is the share of its capacity that a target gets as it comes back.
+// minWarmth is the part of its capacity that a target gets at the start of its ramp.
 const minWarmth = 0.2
 
-// slotShare is how many requests this proxy may have at a target at once. The
-// seats' shares add up to the whole exactly, so the fleet's sum can't pass it.
+// slotShare returns how many requests this proxy may have in flight at a target. The
+// shares of all proxies add up to the target's slots exactly, so that the fleet together
+// can't exceed them.
 func (d *Dispatcher) slotShare(now ids.Time, allocation Allocation) int {
 	capacity := float64(allocation.Capacity)
 	if capacity == 0 {
@@ -19,7 +20,7 @@
 	}
 	warmth := allocation.Warmth
 	if d.service.SlowStartDuration > 0 {
-		// Back from a restart it starts cold and ramps, whatever it says.
+		// A restarted target ramps up, whatever warmth it reports.
 		age := time.Duration(allocation.AgeMillis)*time.Millisecond + now.Sub(allocation.AgeMeasuredAt)
 		warmth = min(warmth, max(minWarmth, float64(age)/float64(d.service.SlowStartDuration)))
 	}
@@ -28,12 +29,12 @@
 	return slots*(allocation.SlotShareIndex+1)/shares - slots*allocation.SlotShareIndex/shares
 }
 
-// isAvailable tells whether new work may go to a target at all.
+// isAvailable tells whether a target may get new requests at all.
 func (d *Dispatcher) isAvailable(e *endpoint) bool {
 	return !e.removed && e.Usable() && !e.ZoneDrained
 }
 
-// totalSlots counts what the fit targets could bear from this proxy.
+// totalSlots returns this proxy's slots at all available targets, free or in use.
 func (d *Dispatcher) totalSlots(now ids.Time) int {
 	total := 0
 	for _, e := range d.sortedEndpoints {
