--- a/internal/controlplane/spill/export.go
+++ b/internal/controlplane/spill/export.go
@@ -1,7 +1,6 @@
 package spill
 
 import (
-	"cmp"
 	"slices"
 
 	"dunlinwell/internal/base/ids"
@@ -24,20 +23,6 @@
 	}
 }
 
-// zonesByDistance orders the other zones by distance from one.
-func (p *planner) zonesByDistance(from ids.Name) []ids.Name {
-	var out []ids.Name
-	for n := range p.zones {
-		if n != from {
-			out = append(out, n)
-		}
-	}
-	slices.SortFunc(out, func(a, b ids.Name) int {
-		return cmp.Or(cmp.Compare(p.Distance(from, a), p.Distance(from, b)), cmp.Compare(a, b))
-	})
-	return out
-}
-
 // exportExcess plans the moves out of every zone over its maximum.
 func (p *planner) exportExcess() {
 	excess, totalExcess, totalRoom := map[ids.Name]float64{}, 0.0, 0.0
@@ -81,16 +66,6 @@
 	}
 }
 
-func keys[V any](m map[ids.Name]V) func(func(ids.Name) bool) {
-	return func(yield func(ids.Name) bool) {
-		for k := range m {
-			if !yield(k) {
-				return
-			}
-		}
-	}
-}
-
 // exportableUsage is the CPU time that a zone can still hand on: its own fresh connections',
 // not what others gave it.
 func (p *planner) exportableUsage(zone *Zone) []RouteUsage {
@@ -117,20 +92,3 @@
 	}
 	return out
 }
-
-// addMove enters a move; all of a route's moves out of a zone make one at most.
-func (p *planner) addMove(m Move) {
-	m.Fraction = min(m.Fraction, 1-p.movedFraction(m.From, m.Route))
-	if m.Fraction <= 0 {
-		return
-	}
-	for i, have := range p.moves {
-		if have.From == m.From && have.To == m.To && have.Route == m.Route {
-			p.moves[i].Fraction += m.Fraction
-			p.moves[i].PlannedCPU += m.PlannedCPU
-			p.moves[i].Reason = m.Reason
-			return
-		}
-	}
-	p.moves = append(p.moves, m)
-}
