--- a/internal/controlplane/directory/directory_test.go
+++ b/internal/controlplane/directory/snapshot_test.go
@@ -12,32 +12,38 @@
 	"dunlinwell/internal/controlplane/spill"
 )
 
+// newSnapshot returns zones a, b and c in a line, with two proxies and room for 60 each;
+// each has a demand of 100.
 func newSnapshot() Snapshot {
 	position := map[ids.Name]float64{"a": 0, "b": 1, "c": 2}
 	s := Snapshot{
-		Drained: map[ids.Name]bool{}, Distance: func(x, y ids.Name) float64 { return math.Abs(position[x] - position[y]) },
-		Demand: func(ids.Name) float64 { return 100 }, Room: func(ids.Name) float64 { return 60 },
+		Drained:  map[ids.Name]bool{},
+		Distance: func(x, y ids.Name) float64 { return math.Abs(position[x] - position[y]) },
+		Demand:   func(ids.Name) float64 { return 100 },
+		Room:     func(ids.Name) float64 { return 60 },
 	}
-	for _, c := range []ids.Name{"a", "b", "c"} {
+	for _, zone := range []ids.Name{"a", "b", "c"} {
 		for range 2 {
-			s.Proxies = append(s.Proxies, membership.Member{Zone: c, HTTP: ids.Address(c) + ":1"})
+			s.Proxies = append(s.Proxies, membership.Member{Zone: zone, HTTP: ids.Address(zone) + ":1"})
 		}
 	}
 	return s
 }
 
-// sampleZones counts the zones that many asks are sent to.
+// sampleZones returns the fraction of lookups that is sent to each zone.
 func sampleZones(s Snapshot, zone, route ids.Name) map[ids.Name]float64 {
+	const lookups = 10000
 	random := rand.New(rand.NewPCG(1, 2))
-	out := map[ids.Name]float64{}
-	for range 10000 {
-		if w, ok := s.Resolve(zone, route, random); ok {
-			out[w.Zone] += 0.0001
+	fractions := map[ids.Name]float64{}
+	for range lookups {
+		if destination, ok := s.Resolve(zone, route, random); ok {
+			fractions[destination.Zone] += 1.0 / lookups
 		}
 	}
-	return out
+	return fractions
 }
 
+// approximately tells whether two fractions are equal but for the chance of sampling.
 func approximately(x, y float64) bool { return math.Abs(x-y) < 0.02 }
 
 func TestSnapshot_ResolvesByMoveFraction(t *testing.T) {
@@ -48,13 +54,13 @@
 	is.True(approximately(got["a"], 0.7) && approximately(got["b"], 0.2) && approximately(got["c"], 0.1))
 	is.True(approximately(sampleZones(s, "a", "other")["a"], 1)) // another route stays
 	is.True(approximately(sampleZones(s, "b", "r")["b"], 1))     // and so does another zone
-	// A destination that is emptied is left out at once, before the next plan.
+	// A destination that is drained is left out at once, before the next plan.
 	s.Drained["b"] = true
 	got = sampleZones(s, "a", "r")
 	is.True(approximately(got["a"], 0.9) && got["b"] == 0)
 }
 
-// A lost zone's asks fill its neighbours by their room, the nearest first.
+// A lost zone's lookups fill its neighbours by their room, the nearest first.
 func TestSnapshot_SharesFailoverByRoom(t *testing.T) {
 	is := is.New(t)
 	s := newSnapshot()
--- a/internal/controlplane/spill/curve_fit.go
+++ b/internal/controlplane/spill/curve_fit.go
@@ -8,100 +8,125 @@
 	"gonum.org/v1/gonum/mat"
 )
 
-// Sample is a zone's CPU time and its 95th percentile of front-line latency,
-// in milliseconds, over one report.
+// Sample is one observation of a zone: its CPU time, and the latency that a proxy had then.
 type Sample struct {
-	CPU           float64
+	// CPU is in milliseconds per second.
+	CPU float64
+	// LatencyMillis is the 95th percentile of the proxy's own time for a request.
 	LatencyMillis float64
 }
 
-// Fit is what was learned of a zone's maximum, and whether to go by it.
+// Fit is the maximum of a zone as learned from samples, or the configured one.
 type Fit struct {
+	// Maximum is in milliseconds of CPU time per second.
 	Maximum float64
+	// Learned is false if the samples carry no fit and Maximum is the configured one.
 	Learned bool
-	Reason  string
+	// Reason says why, for operators.
+	Reason string
+	// Samples counts the samples without outliers.
 	Samples int
 }
 
 const (
-	// latencyObjectiveMillis is the latency that users still find fast, in milliseconds.
+	// latencyObjectiveMillis is the latency that users still find fast.
 	latencyObjectiveMillis = 20.0
-	minSamples             = 20
-	minSpread              = 0.2
-	minRSquared            = 0.5
-	// maxLearnedRatio bounds how far beyond the set default a learned maximum may go.
-	maxLearnedRatio = 1.5
+	// minSamples is how many samples a fit needs.
+	minSamples = 20
+	// minSpread is the range of CPU times that samples must cover, as a part of the target.
+	minSpread = 0.2
+	// minRSquared is the part of the latencies' variance that a fit must explain.
+	minRSquared = 0.5
+	// minTargetRatio and maxConfiguredRatio bound a learned maximum: by the target from
+	// below, and by the configured maximum from above.
+	minTargetRatio     = 1.02
+	maxConfiguredRatio = 1.5
 )
 
-// LearnMaximum fits latency to CPU by quadratic least squares and gives the CPU at
-// the objective on the rising side. Where the samples don't carry a fit, the
-// default stands.
-func LearnMaximum(samples []Sample, target, fallback float64) Fit {
+// LearnMaximum fits latency as a quadratic function of CPU time by least squares, and
+// returns the CPU time at which it rises to the objective, within bounds. If the samples
+// carry no such fit it returns the configured maximum.
+func LearnMaximum(samples []Sample, target, configured float64) Fit {
 	cleaned := dropOutliers(samples)
-	fallbackFit := func(why string) Fit { return Fit{Maximum: fallback, Reason: why, Samples: len(cleaned)} }
-	if len(cleaned) < minSamples {
-		return fallbackFit("too few samples")
+	maximum, reason := fitMaximum(cleaned, target)
+	if reason != "" {
+		return Fit{Maximum: configured, Reason: reason, Samples: len(cleaned)}
 	}
-	low, high := cleaned[0].CPU, cleaned[0].CPU
-	for _, x := range cleaned {
-		low, high = min(low, x.CPU), max(high, x.CPU)
+	maximum = min(max(maximum, target*minTargetRatio), configured*maxConfiguredRatio)
+	return Fit{Maximum: maximum, Learned: true, Reason: "learned", Samples: len(cleaned)}
+}
+
+// fitMaximum returns the CPU time at which latency rises to the objective, or the reason
+// why the samples don't show it.
+func fitMaximum(samples []Sample, target float64) (maximum float64, reason string) {
+	if len(samples) < minSamples {
+		return 0, "too few samples"
+	}
+	low, high := samples[0].CPU, samples[0].CPU
+	for _, sample := range samples {
+		low, high = min(low, sample.CPU), max(high, sample.CPU)
 	}
 	if high-low < minSpread*target {
-		return fallbackFit("too little spread")
+		return 0, "too little spread"
 	}
-	a, b, c, rSquared := fitQuadratic(cleaned)
+	a, b, c, rSquared := fitQuadratic(samples)
 	if rSquared < minRSquared {
-		return fallbackFit("the curve doesn't fit")
+		return 0, "the curve doesn't fit"
 	}
 	maximum, ok := solveAtObjective(a, b, c)
 	if !ok {
-		return fallbackFit("the curve doesn't rise to the objective")
+		return 0, "the curve doesn't rise to the objective"
 	}
-	// Clamped: never at or under the target, never far beyond the default.
-	maximum = min(max(maximum, target*1.02), fallback*maxLearnedRatio)
-	return Fit{Maximum: maximum, Learned: true, Reason: "learned", Samples: len(cleaned)}
+	return maximum, ""
 }
 
-// solveAtObjective solves a+bx+cx² = objective where the curve rises.
+// minCurvature is the quadratic coefficient under which a curve counts as a line.
+const minCurvature = 1e-12
+
+// solveAtObjective solves a+bx+cx² = latencyObjectiveMillis for a positive x where the
+// curve rises, and returns false if there is none.
 func solveAtObjective(a, b, c float64) (float64, bool) {
 	a -= latencyObjectiveMillis
-	if math.Abs(c) < 1e-12 {
+	if math.Abs(c) < minCurvature {
 		return -a / b, b > 0 && -a/b > 0
 	}
 	discriminant := b*b - 4*a*c
 	if discriminant < 0 {
 		return 0, false
 	}
-	// The slope at this solution is +sqrt(root), whatever the sign of c.
+	// The slope at this solution is the root of the discriminant, whatever the sign of c.
 	x := (-b + math.Sqrt(discriminant)) / (2 * c)
 	return x, x > 0
 }
 
-// fitQuadratic gives a, b, c and the share of the variance that they explain.
+// fitQuadratic returns the coefficients of a+bx+cx² by least squares, and the part of the
+// variance that they explain.
 func fitQuadratic(samples []Sample) (a, b, c, rSquared float64) {
-	// CPU is scaled to about one, or its squares would swamp the fit.
+	// CPU is scaled to 1 at most, or its squares would swamp the fit.
 	scale := 0.0
-	for _, x := range samples {
-		scale = max(scale, x.CPU)
+	for _, sample := range samples {
+		scale = max(scale, sample.CPU)
 	}
-	design, y, mean := mat.NewDense(len(samples), 3, nil), mat.NewVecDense(len(samples), nil), 0.0
-	for i, x := range samples {
-		u := x.CPU / scale
-		design.SetRow(i, []float64{1, u, u * u})
-		y.SetVec(i, x.LatencyMillis)
-		mean += x.LatencyMillis / float64(len(samples))
+	design, latencies := mat.NewDense(len(samples), 3, nil), mat.NewVecDense(len(samples), nil)
+	mean := 0.0
+	for i, sample := range samples {
+		x := sample.CPU / scale
+		design.SetRow(i, []float64{1, x, x * x})
+		latencies.SetVec(i, sample.LatencyMillis)
+		mean += sample.LatencyMillis / float64(len(samples))
 	}
 	var qr mat.QR
 	qr.Factorize(design)
 	var coefficients mat.VecDense
-	if err := qr.SolveVecTo(&coefficients, false, y); err != nil {
+	if err := qr.SolveVecTo(&coefficients, false, latencies); err != nil {
+		// Without a solution nothing is explained.
 		return 0, 0, 0, 0
 	}
 	a, b, c = coefficients.AtVec(0), coefficients.AtVec(1)/scale, coefficients.AtVec(2)/scale/scale
 	var residual, total float64
-	for _, x := range samples {
-		residual += math.Pow(x.LatencyMillis-(a+b*x.CPU+c*x.CPU*x.CPU), 2)
-		total += math.Pow(x.LatencyMillis-mean, 2)
+	for _, sample := range samples {
+		residual += math.Pow(sample.LatencyMillis-(a+b*sample.CPU+c*sample.CPU*sample.CPU), 2)
+		total += math.Pow(sample.LatencyMillis-mean, 2)
 	}
 	if total == 0 {
 		return a, b, c, 0
@@ -109,31 +134,40 @@
 	return a, b, c, 1 - residual/total
 }
 
-// dropOutliers drops outliers: samples far, by median deviation, from the others of
-// about the same CPU.
+const (
+	// outlierRadius is how many neighbours by CPU time on each side a sample is compared with.
+	outlierRadius = 5
+	// outlierDeviations is how many median deviations from its neighbours' median latency
+	// make a sample an outlier, where a deviation counts as minDeviationMillis at least.
+	outlierDeviations  = 4
+	minDeviationMillis = 0.25
+)
+
+// dropOutliers returns the samples, by CPU time, whose latency is near to that of samples
+// with about the same CPU time.
 func dropOutliers(samples []Sample) []Sample {
-	s := slices.Clone(samples)
-	slices.SortFunc(s, func(a, b Sample) int {
+	sorted := slices.Clone(samples)
+	slices.SortFunc(sorted, func(a, b Sample) int {
 		return cmp.Or(cmp.Compare(a.CPU, b.CPU), cmp.Compare(a.LatencyMillis, b.LatencyMillis))
 	})
-	const radius = 5
-	var out []Sample
-	for i, x := range s {
-		neighbours := s[max(0, i-radius):min(len(s), i+radius+1)]
+	var kept []Sample
+	for i, sample := range sorted {
+		neighbours := sorted[max(0, i-outlierRadius):min(len(sorted), i+outlierRadius+1)]
 		center := median(neighbours, func(n Sample) float64 { return n.LatencyMillis })
 		deviation := median(neighbours, func(n Sample) float64 { return math.Abs(n.LatencyMillis - center) })
-		if math.Abs(x.LatencyMillis-center) <= 4*max(deviation, 0.25) {
-			out = append(out, x)
+		if math.Abs(sample.LatencyMillis-center) <= outlierDeviations*max(deviation, minDeviationMillis) {
+			kept = append(kept, sample)
 		}
 	}
-	return out
+	return kept
 }
 
-func median(s []Sample, of func(Sample) float64) float64 {
-	v := make([]float64, len(s))
-	for i, x := range s {
-		v[i] = of(x)
+// median returns the median of a value of some samples; of an even number, the upper one.
+func median(samples []Sample, value func(Sample) float64) float64 {
+	values := make([]float64, len(samples))
+	for i, sample := range samples {
+		values[i] = value(sample)
 	}
-	slices.Sort(v)
-	return v[len(v)/2]
+	slices.Sort(values)
+	return values[len(values)/2]
 }
--- a/internal/controlplane/spill/demand.go
+++ b/internal/controlplane/spill/demand.go
@@ -7,44 +7,45 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// RecordDemand notes what a living zone's own fresh connections use, so that it is
-// known how much to place elsewhere once the zone is gone.
+// RecordDemand notes the demand of a zone that reports: what its own fresh connections
+// use, at home and moved away. It tells how much to place elsewhere once the zone is lost.
 func (r *Reports) RecordDemand(zone Zone, moves []Move) {
-	if zone.NoProxies || zone.Stale || zone.Drained {
+	if !zone.isPlannable() {
 		return
 	}
 	demand := map[ids.Name]float64{}
 	for _, usage := range zone.Usage {
 		demand[usage.Route] = usage.CPU
-		for _, m := range moves {
-			if m.From == zone.Name && m.Route == usage.Route {
-				demand[usage.Route] += m.PlannedCPU
+		for _, move := range moves {
+			if move.From == zone.Name && move.Route == usage.Route {
+				demand[usage.Route] += move.PlannedCPU
 			}
 		}
 	}
 	r.demand[zone.Name] = demand
 }
 
-// Demand gives what a zone's fresh connections used when it last was well.
+// Demand returns the demand of a zone, as of when it last reported.
 func (r *Reports) Demand(zone ids.Name) float64 {
 	sum := 0.0
-	for _, n := range slices.Sorted(maps.Keys(r.demand[zone])) {
-		sum += r.demand[zone][n]
+	for _, route := range slices.Sorted(maps.Keys(r.demand[zone])) {
+		sum += r.demand[zone][route]
 	}
 	return sum
 }
 
-// RouteDemands gives what each route uses in the zones that some moves are from.
+// RouteDemands returns the demand of each route in all zones that some moves come from.
 func (r *Reports) RouteDemands(moves []Move) []RouteDemand {
 	var demands []RouteDemand
 	seen := map[ids.Name]bool{}
-	for _, m := range moves {
-		if seen[m.From] {
+	for _, move := range moves {
+		zone := move.From
+		if seen[zone] {
 			continue
 		}
-		seen[m.From] = true
-		for _, n := range slices.Sorted(maps.Keys(r.demand[m.From])) {
-			demands = append(demands, RouteDemand{m.From, n, r.demand[m.From][n]})
+		seen[zone] = true
+		for _, route := range slices.Sorted(maps.Keys(r.demand[zone])) {
+			demands = append(demands, RouteDemand{Zone: zone, Route: route, CPU: r.demand[zone][route]})
 		}
 	}
 	return demands
--- a/internal/controlplane/spill/planner.go
+++ b/internal/controlplane/spill/planner.go
@@ -2,50 +2,48 @@
 
 import (
 	"cmp"
+	"maps"
 	"slices"
 
 	"dunlinwell/internal/base/ids"
 )
 
-// PlannerInput is all that one plan goes by.
+// PlannerInput is all that a plan depends on, besides the last moves.
 type PlannerInput struct {
 	Zones    []Zone
 	Distance func(a, b ids.Name) float64
-	Ranks    map[ids.Name]Rank
-	// PendingIn is CPU time that earlier plans sent to a zone and that its
-	// reports can't show yet; it stays charged to its room. Leaving is the
-	// same for zones that plans took from.
+	// Ranks has the rank of each route in force. Routes without one are not moved.
+	Ranks map[ids.Name]Rank
+	// PendingIn is the CPU time, by zone, that earlier plans sent there and that reports
+	// can't show yet. PendingOut is the same for what earlier plans took away. Plan adds
+	// to both what it sends back.
 	PendingIn  map[ids.Name]float64
 	PendingOut map[ids.Name]float64
 }
 
-const (
-	// minFraction is the smallest fraction worth keeping.
-	minFraction = 0.005
-	// recallGain damps calling back: half of the free room each plan, so that a
-	// zone doesn't swing between its acceptable level and its maximum.
-	recallGain = 0.5
-	// maxStalePlans is how many stale plans a move outlives before it shrinks.
-	maxStalePlans = 2
-)
+// zoneRoute is a route's connections that begin in a zone.
+type zoneRoute struct{ zone, route ids.Name }
 
-// planner is one pass over all zones.
+// planner is the state of one plan.
 type planner struct {
 	PlannerInput
 	zones map[ids.Name]*Zone
 	moves []Move
-	room  map[ids.Name]float64
-	// returning is CPU time, by zone and route, that comes home because its moves
-	// ended just now; reports can't show it yet.
-	returning map[[2]ids.Name]float64
+	// room is the CPU time that each zone may still receive.
+	room map[ids.Name]float64
+	// returning is the CPU time of moves that this plan ended or shrank because an end
+	// was lost. It comes home now, which reports can't show yet.
+	returning map[zoneRoute]float64
 }
 
-// Plan gives the next moves from the last ones and what was reported.
+// minFraction is the smallest fraction of a move that is kept.
+const minFraction = 0.005
+
+// Plan returns the next moves, by the last ones and the state of all zones. First, moves
+// that lost an end expire; then recovered zones recall what they can take, and overloaded
+// destinations send back. Only then do zones over their maximum move connections away.
 func Plan(input PlannerInput, previous []Move) []Move {
-	p := &planner{PlannerInput: input, zones: map[ids.Name]*Zone{}, moves: slices.Clone(previous), room: map[ids.Name]float64{}, returning: map[[2]ids.Name]float64{}}
-	for i := range input.Zones {
-		p.zones[input.Zones[i].Name] = &input.Zones[i]
-	}
+	p := newPlanner(input, previous)
 	p.expireMoves()
 	for i := range input.Zones {
 		p.recallMoves(&input.Zones[i])
@@ -56,23 +54,43 @@
 	p.computeRoom()
 	p.prioritizeMoves()
 	p.exportExcess()
-	p.moves = slices.DeleteFunc(p.moves, func(m Move) bool { return m.Fraction < minFraction })
+	p.dropSmallMoves()
 	slices.SortFunc(p.moves, func(a, b Move) int {
 		return cmp.Or(cmp.Compare(a.From, b.From), cmp.Compare(a.Route, b.Route), cmp.Compare(a.To, b.To))
 	})
 	return p.moves
 }
 
-// expectedUse is a zone's CPU time as it will be once earlier plans show.
+// newPlanner returns a planner with the last moves and without any room yet.
+func newPlanner(input PlannerInput, previous []Move) *planner {
+	p := &planner{
+		PlannerInput: input,
+		zones:        map[ids.Name]*Zone{},
+		moves:        slices.Clone(previous),
+		room:         map[ids.Name]float64{},
+		returning:    map[zoneRoute]float64{},
+	}
+	for i := range input.Zones {
+		p.zones[input.Zones[i].Name] = &input.Zones[i]
+	}
+	return p
+}
+
+// dropSmallMoves ends moves under minFraction.
+func (p *planner) dropSmallMoves() {
+	p.moves = slices.DeleteFunc(p.moves, func(m Move) bool { return m.Fraction < minFraction })
+}
+
+// expectedUse returns the CPU time that a zone will use once earlier plans show.
 func (p *planner) expectedUse(zone *Zone) float64 {
 	sum := zone.Used() + p.PendingIn[zone.Name] - p.PendingOut[zone.Name]
-	for _, r := range slices.Sorted(keys(p.Ranks)) {
-		sum += p.returning[[2]ids.Name{zone.Name, r}]
+	for _, route := range slices.Sorted(maps.Keys(p.Ranks)) {
+		sum += p.returning[zoneRoute{zone.Name, route}]
 	}
 	return max(sum, 0)
 }
 
-// movedFraction is the share of a route's fresh connections that a zone hands on.
+// movedFraction returns the fraction of a route's fresh connections that a zone moves away.
 func (p *planner) movedFraction(from, route ids.Name) float64 {
 	sum := 0.0
 	for _, m := range p.moves {
@@ -83,68 +101,66 @@
 	return sum
 }
 
-// demand is a route's CPU time by fresh connections that begin at a zone: what
-// it keeps, scaled up by what it hands on. What it keeps includes connections held
-// since before the moves, so scaling alone would take a few of those for a
-// crowd: it never counts for more than what is kept and what was moved.
+// minHomeShare is the share of a route's connections at home below which the route counts
+// as moved away as a whole.
+const minHomeShare = 0.05
+
+// demand returns the CPU time of a route's fresh connections that begin in a zone: what is
+// kept there, scaled up by the fraction that is moved away. What is kept includes
+// connections from before the moves, and scaling alone would take a few of those for
+// many, so the demand is never more than what is kept and what was moved.
 func (p *planner) demand(zone *Zone, route ids.Name) float64 {
-	back := p.returning[[2]ids.Name{zone.Name, route}]
+	returning := p.returning[zoneRoute{zone.Name, route}]
 	kept := 0.0
-	for _, r := range zone.Usage {
-		if r.Route == route {
-			kept += r.CPU
+	for _, usage := range zone.Usage {
+		if usage.Route == route {
+			kept += usage.CPU
 		}
 	}
-	sum := kept + back
+	limit := kept + returning
 	for _, m := range p.moves {
 		if m.From == zone.Name && m.Route == route {
-			sum += m.PlannedCPU
+			limit += m.PlannedCPU
 		}
 	}
-	share := 1 - p.movedFraction(zone.Name, route)
-	if share < 0.05 {
-		return sum
+	homeShare := 1 - p.movedFraction(zone.Name, route)
+	if homeShare < minHomeShare {
+		return limit
 	}
-	return min((kept+back)/share, sum)
+	return min((kept+returning)/homeShare, limit)
 }
 
-// zonesByDistance orders the other zones by distance from one.
+// zonesByDistance returns all other zones, the nearest first.
 func (p *planner) zonesByDistance(from ids.Name) []ids.Name {
-	var out []ids.Name
-	for n := range p.zones {
-		if n != from {
-			out = append(out, n)
+	var zones []ids.Name
+	for zone := range p.zones {
+		if zone != from {
+			zones = append(zones, zone)
 		}
 	}
-	slices.SortFunc(out, func(a, b ids.Name) int {
-		return cmp.Or(cmp.Compare(p.Distance(from, a), p.Distance(from, b)), cmp.Compare(a, b))
-	})
-	return out
+	SortByDistance(zones, from, p.Distance)
+	return zones
 }
 
-// addMove enters a move; all of a route's moves out of a zone make one at most.
-func (p *planner) addMove(m Move) {
-	m.Fraction = min(m.Fraction, 1-p.movedFraction(m.From, m.Route))
-	if m.Fraction <= 0 {
+// addMove adds a move, or adds to one with the same ends. The fractions of a route that
+// leave a zone are held to 1 together.
+func (p *planner) addMove(move Move) {
+	move.Fraction = min(move.Fraction, 1-p.movedFraction(move.From, move.Route))
+	if move.Fraction <= 0 {
 		return
 	}
-	for i, have := range p.moves {
-		if have.From == m.From && have.To == m.To && have.Route == m.Route {
-			p.moves[i].Fraction += m.Fraction
-			p.moves[i].PlannedCPU += m.PlannedCPU
-			p.moves[i].Reason = m.Reason
+	for i, existing := range p.moves {
+		if existing.From == move.From && existing.To == move.To && existing.Route == move.Route {
+			p.moves[i].Fraction += move.Fraction
+			p.moves[i].PlannedCPU += move.PlannedCPU
+			p.moves[i].Reason = move.Reason
 			return
 		}
 	}
-	p.moves = append(p.moves, m)
+	p.moves = append(p.moves, move)
 }
 
-func keys[V any](m map[ids.Name]V) func(func(ids.Name) bool) {
-	return func(yield func(ids.Name) bool) {
-		for k := range m {
-			if !yield(k) {
-				return
-			}
-		}
-	}
+// compareRouteRanks orders moves by the ranks of their routes, the least urgent first.
+func (p *planner) compareRouteRanks(a, b Move) int {
+	return compareRanks(p.Ranks[a.Route], p.Ranks[b.Route])
 }
--- a/internal/controlplane/spill/recall.go
+++ b/internal/controlplane/spill/recall.go
@@ -6,21 +6,23 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// expireMoves drops moves that have lost an end, and shrinks, step by step, those
-// whose ends have been silent for several plans.
+// maxStalePlans is how many plans in a row a move outlives unchanged while an end of it is
+// stale. Each further one halves it.
+const maxStalePlans = 2
+
+// expireMoves ends moves that lost an end or their route, and shrinks, step by step, those
+// of which an end has been stale for several plans.
 func (p *planner) expireMoves() {
 	p.moves = slices.DeleteFunc(p.moves, func(m Move) bool {
-		from, to := p.zones[m.From], p.zones[m.To]
-		_, ranked := p.Ranks[m.Route]
-		ended := !ranked || from == nil || to == nil || to.Drained || to.NoProxies || from.Drained
-		if ended {
-			p.returning[[2]ids.Name{m.From, m.Route}] += m.PlannedCPU
+		expired := p.isExpired(m)
+		if expired {
+			p.returning[zoneRoute{m.From, m.Route}] += m.PlannedCPU
 		}
-		return ended
+		return expired
 	})
 	for i, m := range p.moves {
-		if n := max(p.zones[m.From].StalePlans, p.zones[m.To].StalePlans); n > maxStalePlans {
-			p.returning[[2]ids.Name{m.From, m.Route}] += m.PlannedCPU / 2
+		if max(p.zones[m.From].StalePlans, p.zones[m.To].StalePlans) > maxStalePlans {
+			p.returning[zoneRoute{m.From, m.Route}] += m.PlannedCPU / 2
 			p.moves[i].Fraction /= 2
 			p.moves[i].PlannedCPU /= 2
 			p.moves[i].Reason = "expiring: reports are stale"
@@ -28,78 +30,90 @@
 	}
 }
 
-// recallMoves lets a recovered zone call its own moves home, the most urgent
-// first, before anything else is weighed. It accepts from others only when
-// none of its own is left.
+// isExpired tells whether a move's route was removed, or an end of it was removed, drained
+// or, if it is the destination, left without proxies.
+func (p *planner) isExpired(m Move) bool {
+	from, to := p.zones[m.From], p.zones[m.To]
+	_, ranked := p.Ranks[m.Route]
+	return !ranked || from == nil || to == nil || to.Drained || to.NoProxies || from.Drained
+}
+
+// recallGain damps recalls: a zone recalls half of its free capacity with each plan, so
+// that it doesn't swing between its acceptable level and its maximum.
+const recallGain = 0.5
+
+// recallMoves lets a recovered zone shrink its own moves, the most urgent route first,
+// before it may receive anything.
 func (p *planner) recallMoves(zone *Zone) {
 	used := p.expectedUse(zone)
-	if zone.Stale || zone.Drained || zone.NoProxies || used >= zone.Acceptable {
+	if !zone.isPlannable() || used >= zone.Acceptable {
 		return
 	}
 	free := (zone.Target - used) * recallGain
-	var outgoing []int
-	for i, m := range p.moves {
-		if m.From == zone.Name {
-			outgoing = append(outgoing, i)
-		}
-	}
-	slices.SortStableFunc(outgoing, func(a, b int) int { return -compareRanks(p.Ranks[p.moves[a].Route], p.Ranks[p.moves[b].Route]) })
-	// Demand is taken before any fraction changes, or the sums would drift.
+	outgoing := p.indexesOf(func(m Move) bool { return m.From == zone.Name })
+	slices.SortStableFunc(outgoing, func(a, b int) int { return -p.compareRouteRanks(p.moves[a], p.moves[b]) })
+	// Taken before any fraction changes, as demand depends on them.
 	demands := map[ids.Name]float64{}
 	for _, i := range outgoing {
-		r := p.moves[i].Route
-		if _, ok := demands[r]; !ok {
-			demands[r] = p.demand(zone, r)
+		route := p.moves[i].Route
+		if _, ok := demands[route]; !ok {
+			demands[route] = p.demand(zone, route)
 		}
 	}
 	for _, i := range outgoing {
 		m := &p.moves[i]
-		d := demands[m.Route]
-		moved := m.Fraction * d
-		if d <= 0 || moved <= free {
+		demand := demands[m.Route]
+		moved := m.Fraction * demand
+		if demand <= 0 || moved <= free {
 			free -= moved
 			m.Fraction = 0
 			continue
 		}
-		m.Fraction -= max(free, 0) / d
-		m.PlannedCPU = m.Fraction * d
+		m.Fraction -= max(free, 0) / demand
+		m.PlannedCPU = m.Fraction * demand
 		m.Reason = "being called back"
 		free = 0
 	}
-	p.moves = slices.DeleteFunc(p.moves, func(m Move) bool { return m.Fraction < minFraction })
+	p.dropSmallMoves()
 }
 
-// returnExcess makes a destination that came over its maximum return what it was
-// given, lowest rank first, before it moves anything of its own.
+// returnExcess has a destination over its maximum send back what it received, the least
+// urgent route first, before it moves anything of its own.
 func (p *planner) returnExcess(zone *Zone) {
 	used := p.expectedUse(zone)
 	if zone.Stale || used <= zone.Maximum {
 		return
 	}
 	excess := ExcessCPU(used, used, zone.Target)
-	var incoming []int
-	for i, m := range p.moves {
-		if m.To == zone.Name {
-			incoming = append(incoming, i)
-		}
-	}
-	slices.SortStableFunc(incoming, func(a, b int) int { return compareRanks(p.Ranks[p.moves[a].Route], p.Ranks[p.moves[b].Route]) })
+	incoming := p.indexesOf(func(m Move) bool { return m.To == zone.Name })
+	slices.SortStableFunc(incoming, func(a, b int) int { return p.compareRouteRanks(p.moves[a], p.moves[b]) })
 	for _, i := range incoming {
 		m := &p.moves[i]
 		if excess <= 0 || m.Fraction <= 0 {
 			break
 		}
-		d := p.demand(p.zones[m.From], m.Route)
-		back := min(excess, m.Fraction*d)
-		if d > 0 {
-			m.Fraction -= back / d
-			m.PlannedCPU = m.Fraction * d
+		demand := p.demand(p.zones[m.From], m.Route)
+		returned := min(excess, m.Fraction*demand)
+		if demand > 0 {
+			m.Fraction -= returned / demand
+			m.PlannedCPU = m.Fraction * demand
 		} else {
 			m.Fraction = 0
 		}
 		m.Reason = "shrunk: the destination is over its maximum"
-		excess -= back
-		p.PendingOut[zone.Name] += back
-		p.PendingIn[m.From] += back
+		excess -= returned
+		p.PendingOut[zone.Name] += returned
+		p.PendingIn[m.From] += returned
+	}
+}
+
+// indexesOf returns the indexes of the moves that match.
+func (p *planner) indexesOf(matches func(Move) bool) []int {
+	var indexes []int
+	for i, m := range p.moves {
+		if matches(m) {
+			indexes = append(indexes, i)
+		}
 	}
+	return indexes
 }
--- a/internal/controlplane/spill/reports.go
+++ b/internal/controlplane/spill/reports.go
@@ -1,7 +1,6 @@
 package spill
 
 import (
-	"cmp"
 	"maps"
 	"slices"
 	"time"
@@ -9,75 +8,104 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// reportsMissedUntilStale is how many intervals without a report make a proxy's stale.
-const reportsMissedUntilStale = 3
-
-const maxSamples = 500
-
-// Reports keeps the newest report of every proxy, and samples of each zone.
+// Reports keeps what the planner needs of proxies' reports: the newest of each proxy with
+// those of the averaging window, samples of each zone's load and latency, and its demand.
 type Reports struct {
-	latest     map[ids.DaemonID]proxyReports
-	samples    map[ids.Name][]Sample
-	demand     map[ids.Name]map[ids.Name]float64
+	latest  map[ids.DaemonID]proxyReports
+	samples map[ids.Name][]Sample
+	// demand is the demand of each route by zone, as of when the zone last reported.
+	demand map[ids.Name]map[ids.Name]float64
+	// stalePlans counts, by zone, the plans in a row for which it was stale.
 	stalePlans map[ids.Name]int
-	// AveragingWindow is what the planner averages over.
+	// AveragingWindow is the time that CPU times are averaged over.
 	AveragingWindow time.Duration
 }
 
-// NewBooks makes empty books.
+// NewReports returns an empty Reports with the default averaging window.
 func NewReports() *Reports {
 	return &Reports{
-		latest: map[ids.DaemonID]proxyReports{}, samples: map[ids.Name][]Sample{},
-		demand: map[ids.Name]map[ids.Name]float64{}, stalePlans: map[ids.Name]int{}, AveragingWindow: defaultAveragingWindow,
+		latest:          map[ids.DaemonID]proxyReports{},
+		samples:         map[ids.Name][]Sample{},
+		demand:          map[ids.Name]map[ids.Name]float64{},
+		stalePlans:      map[ids.Name]int{},
+		AveragingWindow: defaultAveragingWindow,
 	}
 }
 
-// Add takes a report; late and doubled ones are left out.
+// Add takes in a report. Late and repeated ones of the same run are ignored.
 func (r *Reports) Add(now ids.Time, report Report) {
-	if e, ok := r.latest[report.Proxy]; ok && e.RunID == report.RunID && report.Number <= e.Number {
-		return
-	}
-	e := proxyReports{Report: report, receivedAt: now}
+	reports := proxyReports{Report: report, receivedAt: now}
 	if previous, ok := r.latest[report.Proxy]; ok && previous.RunID == report.RunID {
-		earlier := append([]proxyReports{{Report: previous.Report, receivedAt: previous.receivedAt}}, previous.earlier...)
-		for _, p := range earlier {
-			if now.Sub(p.receivedAt) < r.AveragingWindow {
-				e.earlier = append(e.earlier, p)
-			}
+		if report.Number <= previous.Number {
+			return
 		}
+		reports.earlier = r.withinWindow(now, previous)
 	}
-	r.latest[report.Proxy] = e
-	// A sample is the zone's whole CPU time with this proxy's latency.
-	if report.RequestCount >= 10 {
-		samples := append(r.samples[report.Zone], Sample{r.zoneCPU(report.Zone), float64(report.LatencyMicros) / 1000})
-		if len(samples) > maxSamples {
-			samples = samples[len(samples)-maxSamples:]
+	r.latest[report.Proxy] = reports
+	r.addSample(report)
+}
+
+// withinWindow returns a proxy's reports of the averaging window, newest first.
+func (r *Reports) withinWindow(now ids.Time, reports proxyReports) []proxyReports {
+	newest := proxyReports{Report: reports.Report, receivedAt: reports.receivedAt}
+	var recent []proxyReports
+	for _, report := range append([]proxyReports{newest}, reports.earlier...) {
+		if now.Sub(report.receivedAt) < r.AveragingWindow {
+			recent = append(recent, report)
 		}
-		r.samples[report.Zone] = samples
+	}
+	return recent
+}
+
+const (
+	// minSampleRequests is how many requests make a report's latency worth a sample.
+	minSampleRequests = 10
+	// maxSamples bounds the samples kept of each zone; the oldest are dropped.
+	maxSamples = 500
+	// microsPerMilli converts latencies.
+	microsPerMilli = 1000
+)
+
+// addSample adds a sample of the zone's whole CPU time and the reporting proxy's latency.
+func (r *Reports) addSample(report Report) {
+	if report.RequestCount < minSampleRequests {
+		return
+	}
+	sample := Sample{CPU: r.zoneCPU(report.Zone), LatencyMillis: float64(report.LatencyMicros) / microsPerMilli}
+	r.samples[report.Zone] = append(r.samples[report.Zone], sample)
+	if surplus := len(r.samples[report.Zone]) - maxSamples; surplus > 0 {
+		r.samples[report.Zone] = r.samples[report.Zone][surplus:]
 	}
 }
 
+// zoneCPU returns the CPU time of a zone by its proxies' newest reports.
 func (r *Reports) zoneCPU(zone ids.Name) float64 {
 	sum := 0.0
 	for _, id := range slices.Sorted(maps.Keys(r.latest)) {
-		if latest := r.latest[id]; latest.Zone == zone {
-			for _, usage := range latest.Usage {
-				sum += usage.CPU
-			}
+		latest := r.latest[id]
+		if latest.Zone != zone {
+			continue
+		}
+		for _, usage := range latest.Usage {
+			sum += usage.CPU
 		}
 	}
 	return sum
 }
 
-// LiveProxy is a live proxy as the books need it.
+// LiveProxy is a proxy that membership holds for alive.
 type LiveProxy struct {
 	ID    ids.DaemonID
 	RunID ids.RunID
 	Zone  ids.Name
 }
 
-// BuildZone draws up a zone from the reports of its live proxies. One whose live
-// proxies have missed reports is stale.
+// maxMissedReports is how many intervals may pass without a report before a proxy's usage
+// counts as unknown.
+const maxMissedReports = 3
+
+// BuildZone returns a zone with the usage that its live proxies reported. It is stale if
+// any of them has missed reports. The levels are left to the caller.
 func (r *Reports) BuildZone(now ids.Time, name ids.Name, proxies []LiveProxy, ranks map[ids.Name]Rank) Zone {
 	zone := Zone{Name: name, NoProxies: true}
 	cpuByRoute := map[ids.Name]float64{}
@@ -87,39 +115,40 @@
 		}
 		zone.NoProxies = false
 		reports, ok := r.latest[proxy.ID]
-		if !ok || now.Sub(reports.receivedAt) > reportsMissedUntilStale*time.Duration(reports.IntervalMillis)*time.Millisecond {
+		if !ok || now.Sub(reports.receivedAt) > maxMissedReports*time.Duration(reports.IntervalMillis)*time.Millisecond {
 			zone.Stale = true
 		}
-		if ok && reports.RunID == proxy.RunID {
-			for route, cpu := range reports.meanCPUByRoute() {
-				cpuByRoute[route] += cpu
-			}
+		if !ok || reports.RunID != proxy.RunID {
+			continue
+		}
+		for route, cpu := range reports.meanCPUByRoute() {
+			cpuByRoute[route] += cpu
 		}
 	}
-	for _, n := range slices.Sorted(maps.Keys(cpuByRoute)) {
-		rank, ok := ranks[n]
+	for _, route := range slices.Sorted(maps.Keys(cpuByRoute)) {
+		rank, ok := ranks[route]
 		if !ok {
-			rank = Rank{Route: n}
+			rank = Rank{Route: route}
 		}
-		zone.Usage = append(zone.Usage, RouteUsage{rank, cpuByRoute[n]})
+		zone.Usage = append(zone.Usage, RouteUsage{Rank: rank, CPU: cpuByRoute[route]})
 	}
-	slices.SortFunc(zone.Usage, func(x, y RouteUsage) int { return cmp.Compare(x.Route, y.Route) })
 	return zone
 }
 
-// Prune drops proxies that are no longer on the list.
+// Prune forgets the reports of runs that aren't alive any more.
 func (r *Reports) Prune(proxies []LiveProxy) {
-	for id, e := range r.latest {
-		if !slices.ContainsFunc(proxies, func(s LiveProxy) bool { return s.ID == id && s.RunID == e.RunID }) {
-			delete(r.latest, id)
-		}
-	}
+	maps.DeleteFunc(r.latest, func(id ids.DaemonID, reports proxyReports) bool {
+		return !slices.ContainsFunc(proxies, func(proxy LiveProxy) bool {
+			return proxy.ID == id && proxy.RunID == reports.RunID
+		})
+	})
 }
 
-// Samples gives what a zone's maximum is learned from.
+// Samples returns the samples that a zone's maximum is learned from.
 func (r *Reports) Samples(zone ids.Name) []Sample { return r.samples[zone] }
 
-// CountStalePlans counts plans in a row for which a zone was stale.
+// CountStalePlans counts another plan for a zone, and returns the number of plans in a row
+// for which it has been stale.
 func (r *Reports) CountStalePlans(zone Zone) int {
 	if zone.Stale {
 		r.stalePlans[zone.Name]++
--- a/internal/controlplane/spill/swap.go
+++ b/internal/controlplane/spill/swap.go
@@ -6,78 +6,90 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// minHomeShare is the share of a route at home below which it counts as away.
-const minHomeShare = 0.05
-
-// prioritizeMoves puts the order of each zone's moves right. Moves end one by one: their
-// destination is emptied, its reports stay away, or it sends them back. Then an
-// urgent route may be away while a lesser one is home. The lesser takes its
-// place, there and here, so that no zone's load changes by it; but for a nearer
-// zone that has come to have room meanwhile, which takes it first.
+// prioritizeMoves keeps each zone's urgent routes at home before others. Moves end one by
+// one: their destination is drained, becomes stale, or sends them back. That may leave
+// an urgent route away while a less urgent one is at home again. The two then change
+// places, which leaves each zone's load as it is, except that a nearer zone with room
+// receives the less urgent route first.
 func (p *planner) prioritizeMoves() {
 	for i := range p.Zones {
 		zone := &p.Zones[i]
-		if zone.Stale || zone.Drained || zone.NoProxies {
+		if !zone.isPlannable() {
 			continue
 		}
-		rows := p.rankedRoutes(zone)
-		// The most urgent first, each against the least urgent.
-		for hi := len(rows) - 1; hi > 0; hi-- {
-			for lo := 0; lo < hi; lo++ {
-				p.swapRoutes(zone, rows[hi].Route, rows[lo].Route)
+		routes := p.rankedRoutes(zone)
+		// The most urgent route comes first, and changes places with the least urgent.
+		for urgent := len(routes) - 1; urgent > 0; urgent-- {
+			for lesser := 0; lesser < urgent; lesser++ {
+				p.swapRoutes(zone, routes[urgent], routes[lesser])
 			}
 		}
 	}
 }
 
-// rankedRoutes ranks the routes that a zone's own connections ask for, the least first.
-func (p *planner) rankedRoutes(zone *Zone) []RouteUsage {
-	rows := slices.Clone(zone.Usage)
+// rankedRoutes returns the routes of a zone's own connections, at home or moved away, the
+// least urgent first.
+func (p *planner) rankedRoutes(zone *Zone) []ids.Name {
+	ranked := slices.Clone(zone.Usage)
 	for _, m := range p.moves {
-		if m.From == zone.Name && !slices.ContainsFunc(rows, func(r RouteUsage) bool { return r.Route == m.Route }) {
-			rows = append(rows, RouteUsage{Rank: p.Ranks[m.Route]})
+		if m.From == zone.Name && !slices.ContainsFunc(ranked, func(r RouteUsage) bool { return r.Route == m.Route }) {
+			ranked = append(ranked, RouteUsage{Rank: p.Ranks[m.Route]})
 		}
 	}
-	slices.SortFunc(rows, func(a, b RouteUsage) int { return compareRanks(a.Rank, b.Rank) })
-	return rows
+	sortByRank(ranked)
+	routes := make([]ids.Name, len(ranked))
+	for i, r := range ranked {
+		routes[i] = r.Route
+	}
+	return routes
 }
 
-// swapRoutes lets a lesser route go where an urgent one of the same zone went.
-func (p *planner) swapRoutes(zone *Zone, hi, lo ids.Name) {
-	high, low := p.demand(zone, hi), p.demand(zone, lo)
-	home := (1 - p.movedFraction(zone.Name, lo)) * low
-	if high <= 0 || home <= minHomeShare*low {
+// swapRoutes moves the part of a lesser route that is at home to where an urgent one of the
+// same zone was moved, and brings that one home.
+func (p *planner) swapRoutes(zone *Zone, urgent, lesser ids.Name) {
+	urgentDemand, lesserDemand := p.demand(zone, urgent), p.demand(zone, lesser)
+	lesserAtHome := (1 - p.movedFraction(zone.Name, lesser)) * lesserDemand
+	if urgentDemand <= 0 || lesserAtHome <= minHomeShare*lesserDemand {
 		return
 	}
-	for i := 0; i < len(p.moves) && home > 0; i++ {
+	// Moves are added on the way; those are the lesser route's, and are passed over.
+	for i := 0; i < len(p.moves) && lesserAtHome > 0; i++ {
 		m := p.moves[i]
-		if m.From != zone.Name || m.Route != hi || m.Fraction <= 0 {
+		if m.From != zone.Name || m.Route != urgent || m.Fraction <= 0 {
 			continue
 		}
-		part := min(home, m.Fraction*high)
-		home -= part
-		p.moves[i].Fraction -= part / high
-		p.moves[i].PlannedCPU = max(0, m.PlannedCPU-part)
-		p.replaceMove(m, lo, part, low)
+		swapped := min(lesserAtHome, m.Fraction*urgentDemand)
+		lesserAtHome -= swapped
+		p.moves[i].Fraction -= swapped / urgentDemand
+		p.moves[i].PlannedCPU = max(0, m.PlannedCPU-swapped)
+		p.replaceMove(m, lesser, swapped, lesserDemand)
 	}
 }
 
-// replaceMove enters a lesser route's moves in place of an urgent one's.
+// replaceMove moves an amount of a lesser route in place of an urgent one: to zones with
+// room that are nearer than the urgent route's destination, and the rest to that.
 func (p *planner) replaceMove(urgent Move, lesser ids.Name, amount, demand float64) {
-	enter := func(to ids.Name, part float64) {
-		p.addMove(Move{From: urgent.From, To: to, Route: lesser, Fraction: part / demand, PlannedCPU: part, Reason: "in place of " + string(urgent.Route)})
+	add := func(to ids.Name, part float64) {
+		p.addMove(Move{
+			From:       urgent.From,
+			To:         to,
+			Route:      lesser,
+			Fraction:   part / demand,
+			PlannedCPU: part,
+			Reason:     "in place of " + string(urgent.Route),
+		})
 	}
-	for _, n := range p.zonesByDistance(urgent.From) {
-		if p.Distance(urgent.From, n) >= p.Distance(urgent.From, urgent.To) {
+	for _, zone := range p.zonesByDistance(urgent.From) {
+		if p.Distance(urgent.From, zone) >= p.Distance(urgent.From, urgent.To) {
 			break
 		}
-		if part := min(amount, p.room[n]); part > 0 {
-			p.room[n] -= part
+		if part := min(amount, p.room[zone]); part > 0 {
+			p.room[zone] -= part
 			amount -= part
-			enter(n, part)
+			add(zone, part)
 		}
 	}
 	if amount > 0 {
-		enter(urgent.To, amount)
+		add(urgent.To, amount)
 	}
 }
--- a/internal/controlplane/spill/table.go
+++ b/internal/controlplane/spill/table.go
@@ -8,30 +8,44 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// Move is a share of a route's fresh connections that one zone hands to another.
+// Move is a fraction of a route's fresh connections that one zone hands to another.
 type Move struct {
 	From     ids.Name
 	To       ids.Name
 	Route    ids.Name
 	Fraction float64
-	// PlannedCPU is the CPU time that the move was planned to be, in ms a second.
+	// PlannedCPU is the CPU time that the move is expected to shift, in milliseconds
+	// per second.
 	PlannedCPU float64
-	Reason     string
+	// Reason says for operators what last changed the move.
+	Reason string
 }
 
-// Table is a plan under its epoch; a higher epoch or number replaces it.
+// Table is a plan as registries distribute it. It is replaced by one of a later epoch, and
+// within an epoch by one with a higher number.
 type Table struct {
 	Epoch  ids.Epoch
 	Number ids.StreamNumber
 	Moves  []Move
-	// Demands are what routes use in zones that hand something on, for asks that
-	// stand for several routes.
+	// Demands are those of the zones that moves come from. They weigh the routes of
+	// lookups that stand for several.
 	Demands []RouteDemand
 }
 
-var _ = wire.Register(90, Table{})
+// RouteDemand is the CPU time that a route's fresh connections use in a zone, in
+// milliseconds per second.
+type RouteDemand struct {
+	Zone, Route ids.Name
+	CPU         float64
+}
+
+// Both messages are part of the wire protocol: field order and kind are fixed.
+var (
+	_ = wire.Register(90, Table{})
+	_ = wire.Register(91, Report{})
+)
 
-// MessageEpoch puts the epoch into the frame's head.
+// MessageEpoch returns the epoch that stands in the message's header.
 func (t Table) MessageEpoch() uint64 { return uint64(t.Epoch) }
 
 // Newer tells whether t replaces u.
@@ -39,25 +53,23 @@
 	return cmp.Or(cmp.Compare(t.Epoch, u.Epoch), cmp.Compare(t.Number, u.Number)) > 0
 }
 
-// RouteDemand is what fresh connections of a route use in a zone, in ms a second.
-type RouteDemand struct {
-	Zone, Route ids.Name
-	CPU         float64
-}
+// minTotalDemand avoids a division by zero where no demand is known.
+const minTotalDemand = 1e-9
 
-// PickRoute picks one of some routes by what each uses in a zone, with a draw from 0
-// up to 1; none where nothing is known, as nothing is moved there.
+// PickRoute picks one of some routes in proportion to their demand in a zone, by a random
+// draw from 0 up to 1. It returns "" where no demand is known, as nothing is moved there.
 func (t Table) PickRoute(zone ids.Name, routes []ids.Name, draw float64) ids.Name {
-	sum, own := 0.0, []RouteDemand{}
-	for _, u := range t.Demands {
-		if u.Zone == zone && slices.Contains(routes, u.Route) {
-			own = append(own, u)
-			sum += u.CPU
+	total := 0.0
+	var demands []RouteDemand
+	for _, demand := range t.Demands {
+		if demand.Zone == zone && slices.Contains(routes, demand.Route) {
+			demands = append(demands, demand)
+			total += demand.CPU
 		}
 	}
-	for _, u := range own {
-		if draw -= u.CPU / max(sum, 1e-9); draw < 0 {
-			return u.Route
+	for _, demand := range demands {
+		if draw -= demand.CPU / max(total, minTotalDemand); draw < 0 {
+			return demand.Route
 		}
 	}
 	return ""
--- a/internal/controlplane/spill/transfer.go
+++ b/internal/controlplane/spill/transfer.go
@@ -7,8 +7,8 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// ExcessCPU is what a zone must move to come back to its target: what it uses
-// times 1 - target/utilisation. Both levels are in the same unit.
+// ExcessCPU returns the CPU time that a zone must move away to come down to its target:
+// what it uses times 1 - target/utilization. Both levels are in the same unit, whichever.
 func ExcessCPU(used, utilization, target float64) float64 {
 	if utilization <= target || utilization <= 0 {
 		return 0
@@ -16,40 +16,40 @@
 	return used * (1 - target/utilization)
 }
 
-// SelectOutgoing picks what leaves of an amount, lowest rank first; the last one
-// leaves in part.
+// SelectOutgoing returns the usage that leaves of a zone to make up an amount, the least
+// urgent routes first; of the last one only a part.
 func SelectOutgoing(usage []RouteUsage, amount float64) []RouteUsage {
 	usage = slices.Clone(usage)
-	slices.SortFunc(usage, func(a, b RouteUsage) int { return compareRanks(a.Rank, b.Rank) })
+	sortByRank(usage)
 	var outgoing []RouteUsage
-	for _, r := range usage {
+	for _, route := range usage {
 		if amount <= 0 {
 			break
 		}
-		r.CPU = min(r.CPU, amount)
-		amount -= r.CPU
-		if r.CPU > 0 {
-			outgoing = append(outgoing, r)
+		route.CPU = min(route.CPU, amount)
+		amount -= route.CPU
+		if route.CPU > 0 {
+			outgoing = append(outgoing, route)
 		}
 	}
 	return outgoing
 }
 
-// Outgoing is CPU time that leaves a zone.
+// Outgoing is usage that leaves a zone.
 type Outgoing struct {
 	RouteUsage
 	From ids.Name
 }
 
-// Haul is where CPU time goes.
+// Transfer is outgoing usage with its destination.
 type Transfer struct {
 	Outgoing
 	To ids.Name
 }
 
-// PlaceOutgoing gives the most urgent of all that leaves, from whatever zone, the
-// nearest room. The account of room is one, so that several hot zones can't
-// overfill a destination; it is used up in place.
+// PlaceOutgoing gives all outgoing usage destinations: the most urgent first, whatever its
+// zone, to the nearest room. Room is one account for all and is used up in place, so that
+// several zones can't overfill a destination together. What finds no room stays.
 func PlaceOutgoing(leaving []Outgoing, room map[ids.Name]float64, zonesByDistance func(from ids.Name) []ids.Name) []Transfer {
 	leaving = slices.Clone(leaving)
 	slices.SortStableFunc(leaving, func(a, b Outgoing) int {
--- a/internal/controlplane/spill/zone.go
+++ b/internal/controlplane/spill/zone.go
@@ -2,60 +2,74 @@
 
 import (
 	"cmp"
+	"slices"
 
 	"dunlinwell/internal/base/ids"
 )
 
-// Rank orders routes: the route's tier, then its service's; 9 is the most
-// urgent. Ties go by id.
+// Rank is a route's priority: by the route's tier, then its service's, both from 0 to 9
+// with 9 the most urgent, then by name.
 type Rank struct {
 	Tier    int
 	Service int
 	Route   ids.Name
 }
 
-// Less tells whether r leaves before s.
-func (r Rank) Less(s Rank) bool {
-	return cmp.Or(cmp.Compare(r.Tier, s.Tier), cmp.Compare(r.Service, s.Service), cmp.Compare(r.Route, s.Route)) < 0
-}
+// Less tells whether r is less urgent than s, and so leaves first.
+func (r Rank) Less(s Rank) bool { return compareRanks(r, s) < 0 }
 
+// compareRanks orders ranks, the least urgent first.
 func compareRanks(a, b Rank) int {
-	switch {
-	case a.Less(b):
-		return -1
-	case b.Less(a):
-		return 1
-	}
-	return 0
+	return cmp.Or(cmp.Compare(a.Tier, b.Tier), cmp.Compare(a.Service, b.Service), cmp.Compare(a.Route, b.Route))
 }
 
-// RouteUsage is CPU time that one route uses in a zone, in ms a second.
+// RouteUsage is the CPU time that a route uses in a zone.
 type RouteUsage struct {
 	Rank
+	// CPU is in milliseconds per second.
 	CPU float64
 }
 
-// Zone is a zone as the planner sees it.
+// sortByRank sorts usage in place, the least urgent route first.
+func sortByRank(usage []RouteUsage) {
+	slices.SortFunc(usage, func(a, b RouteUsage) int { return compareRanks(a.Rank, b.Rank) })
+}
+
+// Zone is the state of a zone that a plan starts from.
 type Zone struct {
-	Name       ids.Name
+	Name ids.Name
+	// Target, Acceptable and Maximum are levels of CPU time, in milliseconds per second:
+	// a zone over Maximum moves connections away until it is down to Target; one below
+	// Acceptable takes others' connections, up to that level, and recalls its own.
 	Target     float64
 	Acceptable float64
 	Maximum    float64
 	Usage      []RouteUsage
-	// Drained zones neither plan nor receive; Stale ones receive nothing more.
+	// Drained zones neither move connections nor receive any.
 	Drained bool
-	Stale   bool
-	// NoProxies zones have no proxy left at all.
+	// Stale zones have proxies whose reports are missing. They receive nothing more.
+	Stale bool
+	// NoProxies is set for zones without a live proxy.
 	NoProxies bool
-	// StalePlans counts the plans for which the zone has been stale.
+	// StalePlans counts the plans in a row for which the zone has been stale.
 	StalePlans int
 }
 
-// Used is all CPU time used in the zone.
+// isPlannable tells whether a zone's usage is known and may be planned for.
+func (z Zone) isPlannable() bool { return !z.Stale && !z.Drained && !z.NoProxies }
+
+// Used returns the CPU time of all routes.
 func (z Zone) Used() float64 {
 	sum := 0.0
-	for _, r := range z.Usage {
-		sum += r.CPU
+	for _, usage := range z.Usage {
+		sum += usage.CPU
 	}
 	return sum
 }
+
+// SortByDistance sorts zones in place by their distance from one, then by name.
+func SortByDistance(zones []ids.Name, from ids.Name, distance func(a, b ids.Name) float64) {
+	slices.SortFunc(zones, func(a, b ids.Name) int {
+		return cmp.Or(cmp.Compare(distance(from, a), distance(from, b)), cmp.Compare(a, b))
+	})
+}
