--- /dev/null
+++ b/internal/controlplane/spill/planner_test.go
@@ -0,0 +1,183 @@
+package spill
+
+import (
+	"math"
+	"testing"
+
+	"github.com/matryer/is"
+
+	"dunlinwell/internal/base/ids"
+)
+
+// newZone returns a zone with the levels of most tests.
+func newZone(name ids.Name, usage ...RouteUsage) Zone {
+	return Zone{Name: name, Target: 800, Acceptable: 600, Maximum: 900, Usage: usage}
+}
+
+// newSmallZone returns a zone with a tenth of the capacity.
+func newSmallZone(name ids.Name, usage ...RouteUsage) Zone {
+	return Zone{Name: name, Target: 100, Acceptable: 80, Maximum: 110, Usage: usage}
+}
+
+// newUsage returns what a route of some tier uses.
+func newUsage(route ids.Name, tier int, cpu float64) RouteUsage {
+	return RouteUsage{Rank: Rank{Tier: tier, Route: route}, CPU: cpu}
+}
+
+// publishedZones are those of the second published example: zone a is over its maximum,
+// and b, c and d have 300, 500 and 900 ms/s of room.
+func publishedZones() []Zone {
+	a := Zone{Name: "a", Target: 1100, Acceptable: 900, Maximum: 1200, Usage: []RouteUsage{
+		newUsage("free", 0, 500), newUsage("pro", 1, 400), newUsage("business", 2, 200), newUsage("enterprise", 3, 1000),
+	}}
+	destination := func(name ids.Name, room float64) Zone {
+		return Zone{Name: name, Target: 1200, Acceptable: 1000, Maximum: 1300, Usage: []RouteUsage{newUsage("free", 0, 1000-room)}}
+	}
+	return []Zone{a, destination("b", 300), destination("c", 500), destination("d", 900)}
+}
+
+// publishedRanks are those of the routes of the published example.
+func publishedRanks() map[ids.Name]Rank {
+	ranks := map[ids.Name]Rank{}
+	for _, usage := range publishedZones()[0].Usage {
+		ranks[usage.Route] = usage.Rank
+	}
+	return ranks
+}
+
+// newInput returns the input of a plan over zones that lie in a line from a to d, with the
+// routes of the published example.
+func newInput(zones []Zone) PlannerInput {
+	position := map[ids.Name]float64{"a": 0, "b": 1, "c": 2, "d": 3}
+	input := newInputOfRanks(zones)
+	input.Ranks = publishedRanks()
+	input.Distance = func(a, b ids.Name) float64 { return math.Abs(position[a] - position[b]) }
+	return input
+}
+
+// newInputOfRanks returns the input of a plan over zones of equal distance, with some routes.
+func newInputOfRanks(zones []Zone, ranks ...Rank) PlannerInput {
+	input := PlannerInput{
+		Zones: zones, Ranks: map[ids.Name]Rank{},
+		PendingIn: map[ids.Name]float64{}, PendingOut: map[ids.Name]float64{},
+		Distance: func(_, _ ids.Name) float64 { return 1 },
+	}
+	for _, rank := range ranks {
+		input.Ranks[rank.Route] = rank
+	}
+	return input
+}
+
+// The second published example: zone a moves 1,000 ms/s to b, c and d.
+func TestPlan_MatchesPublishedExample(t *testing.T) {
+	is := is.New(t)
+	got := map[string]float64{}
+	for _, m := range Plan(newInput(publishedZones()), nil) {
+		is.Equal(m.From, ids.Name("a"))
+		got[string(m.Route+">"+m.To)] = m.PlannedCPU
+	}
+	want := map[string]float64{"business>b": 100, "pro>b": 200, "pro>c": 200, "free>c": 300, "free>d": 200}
+	is.Equal(len(got), len(want))
+	for k, v := range want {
+		is.True(approximately(got[k], v)) // k's amount as published
+	}
+}
+
+// Two overloaded zones can't overfill one destination together.
+func TestPlan_HotZonesShareOneRoomAccount(t *testing.T) {
+	is := is.New(t)
+	hot := func(name ids.Name) Zone { return newZone(name, newUsage("free", 0, 700), newUsage("pro", 1, 700)) }
+	cold := newZone("c", newUsage("free", 0, 100))
+	sum := 0.0
+	for _, m := range Plan(newInput([]Zone{hot("a"), hot("b"), cold}), nil) {
+		is.Equal(m.To, ids.Name("c"))
+		is.Equal(m.Route, ids.Name("free")) // the lowest tier leaves first
+		sum += m.PlannedCPU
+	}
+	is.True(approximately(sum, 500))
+	// The same again before reports can show it: nothing more fits.
+	input := newInput([]Zone{hot("a"), hot("b"), cold})
+	input.PendingIn["c"] = 500
+	is.Equal(len(Plan(input, nil)), 0)
+}
+
+func TestPlan_RecoveringZoneRecallsFirst(t *testing.T) {
+	is := is.New(t)
+	recovering := newZone("a", newUsage("free", 0, 300))
+	hot := newZone("b", newUsage("free", 0, 1000))
+	far := newZone("d", newUsage("free", 0, 500))
+	previous := []Move{{From: "a", To: "d", Route: "free", Fraction: 0.6, PlannedCPU: 450}}
+	moves := Plan(newInput([]Zone{recovering, hot, far}), previous)
+	for _, m := range moves {
+		is.True(m.To != "a") // it still has moves out, so it receives nothing
+		if m.From == "a" {
+			is.True(m.Fraction < 0.6)
+		}
+	}
+	is.Equal(len(moves), 2) // its own, shrunk, and the hot zone's to the far one
+}
+
+func TestPlan_ShrinksStaleMovesStepwise(t *testing.T) {
+	is := is.New(t)
+	from, to := newZone("a", newUsage("free", 0, 700)), newZone("b")
+	from.Stale = true
+	moves := []Move{{From: "a", To: "b", Route: "free", Fraction: 0.4, PlannedCPU: 100}}
+	var fractions []float64
+	for plans := 1; plans < 12; plans++ {
+		from.StalePlans = plans
+		moves = Plan(newInput([]Zone{from, to}), moves)
+		if len(moves) > 0 {
+			fractions = append(fractions, moves[0].Fraction)
+		}
+	}
+	is.Equal(fractions[:4], []float64{0.4, 0.4, 0.2, 0.1})
+	is.Equal(len(moves), 0)
+}
+
+// A route that was just removed still shows in the average of what a zone used. It is not
+// moved; the excess is made up of routes in force.
+func TestPlan_IgnoresRemovedRoutes(t *testing.T) {
+	is := is.New(t)
+	kept := newUsage("stock", 3, 100)
+	zones := []Zone{newSmallZone("a", kept, newUsage("flip", 0, 50)), newSmallZone("b")}
+	moves := Plan(newInputOfRanks(zones, kept.Rank), nil)
+	is.Equal(len(moves), 1)
+	is.Equal(moves[0].Route, ids.Name("stock"))
+	is.True(moves[0].PlannedCPU > 49) // all of the excess
+}
+
+// A destination is drained: what was moved there comes home, which no report shows yet.
+// It is placed anew in the same plan, the lowest tier first, and not a plan later.
+func TestPlan_ReplacesEndedMovesAtOnce(t *testing.T) {
+	is := is.New(t)
+	low, high := newUsage("low", 1, 4), newUsage("high", 9, 90)
+	drained := newSmallZone("b")
+	drained.Drained = true
+	input := newInputOfRanks([]Zone{newSmallZone("a", low, high), drained, newSmallZone("c")}, low.Rank, high.Rank)
+	moves := Plan(input, []Move{{From: "a", To: "b", Route: "low", Fraction: 0.95, PlannedCPU: 76}})
+	is.Equal(len(moves), 1)
+	is.Equal(moves[0].To, ids.Name("c"))
+	is.Equal(moves[0].Route, ids.Name("low"))
+	is.True(moves[0].PlannedCPU > 69 && moves[0].PlannedCPU < 71) // 4 + 90 + 76 less the target
+}
+
+// The destination of a move was drained, and its route took the place of a more urgent one
+// in a far zone, though a nearer zone had room by then.
+func TestPlan_SwappedRouteTakesNearestRoom(t *testing.T) {
+	is := is.New(t)
+	zones := publishedZones()
+	zones[0].Maximum = 5000 // nothing new leaves
+	zones[2].Drained = true
+	previous := []Move{
+		{From: "a", To: "d", Route: "enterprise", Fraction: 0.5, PlannedCPU: 1000},
+		{From: "a", To: "c", Route: "free", Fraction: 0.5, PlannedCPU: 500},
+	}
+	amount := map[string]float64{}
+	for _, m := range Plan(newInput(zones), previous) {
+		amount[string(m.Route+">"+m.To)] += m.PlannedCPU
+	}
+	// b is nearer than d, and takes what it has room for.
+	is.True(approximately(amount["free>b"], 300))
+	is.True(amount["free>d"] > 0)
+	is.Equal(amount["free>c"], 0.0)
+}
