--- /dev/null
+++ b/internal/dataplane/dispatch/script_args_test.go
@@ -0,0 +1,64 @@
+package dispatch
+
+import (
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+)
+
+// scriptArgs are the "key" and "key=value" words of an event; a bare key has the value "yes".
+type scriptArgs map[string]string
+
+// parseArgs reads the arguments of an event, and fails the test on a key it doesn't have.
+func parseArgs(t *testing.T, words []string, known ...string) scriptArgs {
+	t.Helper()
+	args := scriptArgs{}
+	for _, word := range words {
+		key, value, ok := strings.Cut(word, "=")
+		if !ok {
+			value = "yes"
+		}
+		if !slices.Contains(known, key) {
+			t.Fatalf("unknown argument %q", word)
+		}
+		args[key] = value
+	}
+	return args
+}
+
+// has tells whether an argument was given.
+func (a scriptArgs) has(key string) bool { return a[key] != "" }
+
+// number returns an argument that is a number; 0 if it wasn't given.
+func (a scriptArgs) number(t *testing.T, key string) int {
+	t.Helper()
+	if !a.has(key) {
+		return 0
+	}
+	return parseNumber(t, a[key])
+}
+
+// duration returns an argument that is a duration, or its default if it wasn't given.
+func (a scriptArgs) duration(t *testing.T, key string, otherwise time.Duration) time.Duration {
+	t.Helper()
+	if !a.has(key) {
+		return otherwise
+	}
+	d, err := time.ParseDuration(a[key])
+	if err != nil {
+		t.Fatal(err)
+	}
+	return d
+}
+
+// parseNumber reads a number.
+func parseNumber(t *testing.T, s string) int {
+	t.Helper()
+	n, err := strconv.Atoi(s)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return n
+}
--- a/internal/dataplane/dispatch/script_test.go
+++ b/internal/dataplane/dispatch/script_test.go
@@ -1,222 +1,164 @@
 package dispatch
 
 import (
-	"fmt"
-	"strconv"
 	"strings"
 	"testing"
 	"time"
 
 	"dunlinwell/internal/base/event"
 	"dunlinwell/internal/base/ids"
-	"dunlinwell/internal/controlplane/targets"
 	"dunlinwell/internal/state/consensus"
 	"dunlinwell/internal/state/idempotency"
 	"dunlinwell/internal/transport/wire"
 )
 
-// scriptRunner turns words into events and commands into words. It remembers turns,
-// so that traces needn't name them.
-type scriptRunner struct{ sequences [100]uint32 }
+// maxScriptID bounds the ids of the requests of a script.
+const maxScriptID = 100
 
-func parseNumber(t *testing.T, s string) int {
-	t.Helper()
-	n, err := strconv.Atoi(s)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return n
-}
+// scriptRunner parses the events of a script and formats commands. It remembers the last
+// sequence of each request, so that scripts need not name them.
+type scriptRunner struct{ sequences [maxScriptID]uint32 }
 
-// parseArgs reads key=value words.
-func parseArgs(words []string) map[string]string {
-	out := map[string]string{}
-	for _, w := range words {
-		k, v, ok := strings.Cut(w, "=")
-		if !ok {
-			v = "yes"
-		}
-		out[k] = v
+// parseEvent reads an event: its name, a request's id where it concerns one, and arguments.
+func (r *scriptRunner) parseEvent(t *testing.T, now ids.Time, words []string) event.Event {
+	t.Helper()
+	name, words := words[0], words[1:]
+	switch name {
+	case "tick":
+		return event.Tick{}
+	case "service":
+		return parseServiceState(t, now, words)
+	case "lease":
+		args := parseArgs(t, words, "for")
+		return LeaseUpdated{ExpiresAt: now.Add(args.duration(t, "for", 0))}
 	}
-	return out
-}
-
-func (r *scriptRunner) parseEvent(t *testing.T, now ids.Time, w []string) []event.Event {
-	a := parseArgs(w[1:])
-	id := func() ids.RequestID { return ids.RequestID(parseNumber(t, w[1])) }
-	switch w[0] {
-	case "stock":
-		return []event.Event{parseServiceState(t, now, a)}
+	id, words := ids.RequestID(parseNumber(t, words[0])), words[1:]
+	switch name {
 	case "arrive":
-		j := Job{ID: id(), Route: "r", Service: "s", Tier: 5, Attempt: 1, Deadline: now.Add(5 * time.Second), Terms: RouteTerms{Service: ids.Name(a["terms"])}, Repeatable: a["mark"] == "", IdempotencyKey: ids.IdempotencyKey(a["mark"]), Fingerprint: []byte(a["print"])}
-		if a["try"] != "" {
-			j.Attempt = uint32(parseNumber(t, a["try"]))
-		}
-		if a["tier"] != "" {
-			j.Tier = parseNumber(t, a["tier"])
-		}
-		if a["due"] != "" {
-			span, _ := time.ParseDuration(a["due"])
-			j.Deadline = now.Add(span)
-		}
-		return []event.Event{RequestArrived{applyJobArgs(t, j, a)}}
-	case "told":
-		return []event.Event{r.parseReply(t, id(), a)}
-	case "back":
-		how := map[string]AttemptResult{"sealed": Complete, "maybe": MayHaveRun, "notsent": NotSent, "notrun": NotExecuted, "foreign": WrongTarget, "failed": TargetFailed}[w[2]]
-		b := AttemptFinished{ID: id(), Sequence: r.sequences[id()], Result: how, Response: idempotency.Response{Status: 200, Body: []byte("body")}, Reason: w[2]}
-		if how == TargetFailed {
-			b.Response = idempotency.Response{Status: 500, Body: []byte("failure")}
-		}
-		if a["running"] != "" {
-			b.LoadReported, b.Running, b.Waiting, b.Slots = true, int64(parseNumber(t, a["running"])), 0, int64(parseNumber(t, a["slots"]))
-		}
-		return []event.Event{b}
-	case "lease":
-		span, err := time.ParseDuration(a["for"])
-		if err != nil {
-			t.Fatal(err)
-		}
-		return []event.Event{LeaseUpdated{ExpiresAt: now.Add(span)}}
-	case "clock":
-		return []event.Event{event.Tick{}}
+		return RequestArrived{parseJob(t, now, id, words)}
+	case "reply":
+		return r.parseReply(t, id, words)
+	case "finished":
+		return r.parseFinished(t, id, words)
 	}
-	t.Fatalf("no event %q", w[0])
+	t.Fatalf("no event %q", name)
 	return nil
 }
 
-func (r *scriptRunner) parseReply(t *testing.T, id ids.RequestID, a map[string]string) IdempotencyReply {
-	e := IdempotencyReply{ID: id, Sequence: r.sequences[id], Outcome: consensus.Succeeded}
-	s := idempotency.Record{Fingerprint: []byte(a["print"])}
-	if a["owner"] != "" {
-		s.Owner = idempotency.Owner{Daemon: ids.DaemonID(a["owner"]), RunID: 1}
-	}
-	switch {
-	case a["over"] != "":
-		s.State, s.Response = idempotency.Completed, idempotency.Response{Status: 200, Body: []byte(a["over"])}
-	case a["running"] != "":
-		s.State = idempotency.Claimed
-	}
-	if a["entered"] != "" {
-		s.NumberedAttempts = uint32(parseNumber(t, a["entered"]))
-	}
-	verdicts := map[string]idempotency.Verdict{"yours": idempotency.Granted, "running": idempotency.InProgress, "over": idempotency.AlreadyCompleted, "barred": idempotency.AttemptBlocked, "unlike": idempotency.FingerprintMismatch, "free": idempotency.Released}
-	if a["slip"] != "" {
-		e.Payload, _ = wire.Encode(s)
-		return e
-	}
-	for k, v := range verdicts {
-		if a[k] != "" {
-			e.Payload, _ = wire.Encode(idempotency.Result{Verdict: v, Record: s})
-		}
-	}
-	if a["uncertain"] != "" {
-		e.Outcome = consensus.Indeterminate
-	}
-	return e
-}
-
-func parseServiceState(t *testing.T, now ids.Time, a map[string]string) ServiceState {
-	s := ServiceState{
-		DefaultCapacity: 2, IsCurrent: a["outofstep"] == "", OwnZoneDrained: a["closed"] != "", LeaseExpiresAt: now.Add(time.Hour), RetryBudget: 2,
-		Terms:    map[ids.Name]RouteTerms{"r": {Service: ids.Name(a["terms"])}},
-		RunEnded: func(d ids.DaemonID, _ ids.RunID) bool { return d == "gone" },
-	}
-	if span, err := time.ParseDuration(a["lease"]); err == nil {
-		s.LeaseExpiresAt = now.Add(span)
-	}
-	for _, n := range strings.Split(a["targets"], ",") {
-		if n == "" {
-			continue
+// parseJob reads a request. It is repeatable unless it has a key or is at-most-once.
+func parseJob(t *testing.T, now ids.Time, id ids.RequestID, words []string) Job {
+	t.Helper()
+	args := parseArgs(t, words, "key", "fingerprint", "attempt", "tier", "deadline", "terms", "at-most-once", "goal", "max-attempts", "homes")
+	j := Job{
+		ID: id, Route: "r", Service: "s", Tier: 5, Attempt: 1,
+		Deadline:       now.Add(args.duration(t, "deadline", 5*time.Second)),
+		Terms:          RouteTerms{Service: ids.Name(args["terms"])},
+		IdempotencyKey: ids.IdempotencyKey(args["key"]),
+		Fingerprint:    []byte(args["fingerprint"]),
+		AtMostOnce:     args.has("at-most-once"),
+		LatencyGoal:    args.duration(t, "goal", 0),
+		MaxAttempts:    args.number(t, "max-attempts"),
+	}
+	j.Repeatable = !args.has("key") && !j.AtMostOnce
+	if args.has("attempt") {
+		j.Attempt = uint32(args.number(t, "attempt"))
+	}
+	if args.has("tier") {
+		j.Tier = args.number(t, "tier")
+	}
+	if args.has("homes") {
+		for _, region := range strings.Split(args["homes"], ",") {
+			j.Homes = append(j.Homes, ids.Name(region))
 		}
-		n, more, _ := strings.Cut(n, ";")
-		o := Allocation{Target: targets.Target{Instance: ids.InstanceID(n), Warmth: 1, AgeMillis: 1e6, Capacity: 1}, AgeMeasuredAt: now, SlotShareCount: 1}
-		o.Leaving = n == a["leaving"]
-		o.Distance = float64(len(n))
-		s.Targets = append(s.Targets, applyTargetArgs(t, now, o, parseArgs(strings.Split(more, ";"))))
 	}
-	return s
+	return j
 }
 
-// applyJobArgs adds what a route may say besides.
-func applyJobArgs(t *testing.T, j Job, a map[string]string) Job {
-	j.AtMostOnce = a["single"] != ""
-	j.Repeatable = j.Repeatable && !j.AtMostOnce
-	if a["goal"] != "" {
-		j.LatencyGoal = parseSpan(t, a["goal"])
-	}
-	if a["attempts"] != "" {
-		j.MaxAttempts = parseNumber(t, a["attempts"])
-	}
-	if a["homes"] != "" {
-		for _, h := range strings.Split(a["homes"], ",") {
-			j.Homes = append(j.Homes, ids.Name(h))
-		}
-	}
-	return j
+// verdicts are the words for the result of an idempotency operation.
+var verdicts = map[string]idempotency.Verdict{
+	"granted":     idempotency.Granted,
+	"in-progress": idempotency.InProgress,
+	"completed":   idempotency.AlreadyCompleted,
+	"blocked":     idempotency.AttemptBlocked,
+	"mismatch":    idempotency.FingerprintMismatch,
+	"released":    idempotency.Released,
 }
 
-// applyTargetArgs adds where a target stands and what it bears: "t;at=1;region=n;cold=2s;rate=4".
-func applyTargetArgs(t *testing.T, now ids.Time, o Allocation, a map[string]string) Allocation {
-	o.Region = ids.Name(a["region"])
-	for k, into := range map[string]*int{"seat": &o.SlotShareIndex, "seats": &o.SlotShareCount, "over": &o.Oversubscription} {
-		if a[k] != "" {
-			*into = parseNumber(t, a[k])
-		}
-	}
-	if a["at"] != "" {
-		o.Distance = float64(parseNumber(t, a["at"]))
+// parseReply reads the reply to the latest call of a request: "indeterminate", "record"
+// with its state, or a verdict.
+func (r *scriptRunner) parseReply(t *testing.T, id ids.RequestID, words []string) IdempotencyReply {
+	t.Helper()
+	known := []string{"record", "claimed", "indeterminate", "owner", "numbered", "fingerprint"}
+	for verdict := range verdicts {
+		known = append(known, verdict)
 	}
-	if a["bears"] != "" {
-		o.Capacity = int64(parseNumber(t, a["bears"]))
+	args := parseArgs(t, words, known...)
+	reply := IdempotencyReply{ID: id, Sequence: r.sequences[id], Outcome: consensus.Succeeded}
+	if args.has("indeterminate") {
+		reply.Outcome = consensus.Indeterminate
+		return reply
 	}
-	if a["cold"] != "" {
-		o.SlowStartUntil = now.Add(parseSpan(t, a["cold"]))
+	record := idempotency.Record{Fingerprint: []byte(args["fingerprint"]), NumberedAttempts: uint32(args.number(t, "numbered"))}
+	if args.has("owner") {
+		record.Owner = idempotency.Owner{Daemon: ids.DaemonID(args["owner"]), RunID: 1}
 	}
-	if a["rate"] != "" {
-		o.SlowStartRate = float64(parseNumber(t, a["rate"]))
+	switch {
+	case args.has("completed"):
+		record.State = idempotency.Completed
+		record.Response = idempotency.Response{Status: 200, Body: []byte(args["completed"])}
+	case args.has("claimed"), args.has("in-progress"):
+		record.State = idempotency.Claimed
+	}
+	if args.has("record") {
+		reply.Payload = encode(t, record)
+		return reply
+	}
+	for name, verdict := range verdicts {
+		if args.has(name) {
+			reply.Payload = encode(t, idempotency.Result{Verdict: verdict, Record: record})
+		}
 	}
-	return o
+	return reply
 }
 
-func parseSpan(t *testing.T, s string) time.Duration {
+// encode returns a message as it goes over the wire.
+func encode(t *testing.T, message any) []byte {
 	t.Helper()
-	d, err := time.ParseDuration(s)
+	raw, err := wire.Encode(message)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return d
+	return raw
 }
 
-// formatRetryAfter writes whole seconds as a number, and shorter times as they are.
-func formatRetryAfter(d time.Duration) string {
-	if d%time.Second == 0 {
-		return strconv.Itoa(int(d / time.Second))
-	}
-	return d.String()
+// attemptResults are the words for the result of an attempt.
+var attemptResults = map[string]AttemptResult{
+	"complete":      Complete,
+	"may-have-run":  MayHaveRun,
+	"not-sent":      NotSent,
+	"not-executed":  NotExecuted,
+	"wrong-target":  WrongTarget,
+	"target-failed": TargetFailed,
 }
 
-func (r *scriptRunner) formatCommand(c event.Command) string {
-	switch c := c.(type) {
-	case IdempotencyCall:
-		ops := map[consensus.Op]string{consensus.Read: "look", idempotency.OpClaim: "claim", idempotency.OpBlock: "bar", idempotency.OpRelease: "release", idempotency.OpComplete: "outcome", idempotency.OpNumberAttempt: "enter"}
-		if c.Sequence == 0 {
-			return fmt.Sprintf("%s in passing %s", ops[c.Op], c.Key)
-		}
-		r.sequences[c.ID] = c.Sequence
-		return fmt.Sprintf("%s %d %s", ops[c.Op], c.ID, c.Key)
-	case Forward:
-		r.sequences[c.ID] = c.Sequence
-		fresh := ""
-		if c.NewConnection {
-			fresh = " fresh"
-		}
-		if c.RecentOnly {
-			fresh += " careful"
-		}
-		return fmt.Sprintf("ferry %d to %s%s", c.ID, c.Target.Instance, fresh)
-	case Response:
-		return fmt.Sprintf("reply %d %s %d %q retry=%s %s", c.ID, []string{"", "declined", "unknown", "answered", "misused"}[c.Class], c.Status, c.Reason, formatRetryAfter(c.RetryAfter), c.TargetResponse.Body)
-	}
-	return fmt.Sprintf("%T", c)
+// parseFinished reads the end of the latest attempt of a request: its result, which is
+// the reason as well, and the load that the target reported.
+func (r *scriptRunner) parseFinished(t *testing.T, id ids.RequestID, words []string) AttemptFinished {
+	t.Helper()
+	result, ok := attemptResults[words[0]]
+	if !ok {
+		t.Fatalf("no result %q", words[0])
+	}
+	args := parseArgs(t, words[1:], "running", "slots")
+	finished := AttemptFinished{
+		ID: id, Sequence: r.sequences[id], Result: result, Reason: words[0],
+		Response:     idempotency.Response{Status: 200, Body: []byte("body")},
+		LoadReported: args.has("running"),
+		Running:      int64(args.number(t, "running")),
+		Slots:        int64(args.number(t, "slots")),
+	}
+	if result == TargetFailed {
+		finished.Response = idempotency.Response{Status: 500, Body: []byte("failure")}
+	}
+	return finished
 }
--- a/internal/dataplane/dispatch/trace_test.go
+++ b/internal/dataplane/dispatch/trace_test.go
@@ -12,27 +12,30 @@
 	"dunlinwell/internal/state/idempotency"
 )
 
-// A recorded trace: "TIME > event" lines are played, and the "< command" lines
-// under each must be just what the dispatcher wants done, in that order.
+// TestTraces runs scripts: the events of "TIME > EVENT" lines go into a dispatcher, and the
+// "< COMMAND" lines under each must be exactly the commands that it returns, in that order.
 func TestTraces(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.trace")
 	if err != nil || len(files) == 0 {
 		t.Fatal("no traces", err)
 	}
-	for _, f := range files {
-		t.Run(strings.TrimSuffix(filepath.Base(f), ".trace"), func(t *testing.T) { runTrace(t, f) })
+	for _, file := range files {
+		t.Run(strings.TrimSuffix(filepath.Base(file), ".trace"), func(t *testing.T) { runTrace(t, file) })
 	}
 }
 
+// runTrace runs one script.
 func runTrace(t *testing.T, name string) {
+	t.Helper()
 	raw, err := os.ReadFile(name)
 	if err != nil {
 		t.Fatal(err)
 	}
 	d := New(Options{Random: rand.New(rand.NewPCG(1, 1)), Self: idempotency.Owner{Daemon: "c1", RunID: 1}})
-	p := &scriptRunner{}
+	runner := &scriptRunner{}
 	var got, want []string
 	check := func(line int) {
+		t.Helper()
 		if strings.Join(got, "\n") != strings.Join(want, "\n") {
 			t.Fatalf("before line %d:\ngot\n  %s\nwant\n  %s", line, strings.Join(got, "\n  "), strings.Join(want, "\n  "))
 		}
@@ -41,23 +44,22 @@
 	lines := strings.Split(string(raw), "\n")
 	for n, line := range lines {
 		line = strings.TrimSpace(line)
-		switch {
-		case line == "" || strings.HasPrefix(line, "#"):
-		case strings.HasPrefix(line, "< "):
-			want = append(want, line[2:])
-		default:
-			check(n)
-			at, words, _ := strings.Cut(line, " > ")
-			span, err := time.ParseDuration(at)
-			if err != nil {
-				t.Fatalf("line %d: %v", n+1, err)
-			}
-			now := ids.Time(span) + 1
-			for _, ev := range p.parseEvent(t, now, strings.Fields(words)) {
-				for _, c := range d.Step(now, ev) {
-					got = append(got, strings.TrimSpace(p.formatCommand(c)))
-				}
-			}
+		if line == "" || strings.HasPrefix(line, "#") {
+			continue
+		}
+		if command, ok := strings.CutPrefix(line, "< "); ok {
+			want = append(want, command)
+			continue
+		}
+		check(n)
+		at, words, _ := strings.Cut(line, " > ")
+		offset, err := time.ParseDuration(at)
+		if err != nil {
+			t.Fatalf("line %d: %v", n+1, err)
+		}
+		now := ids.Time(offset) + 1
+		for _, command := range d.Step(now, runner.parseEvent(t, now, strings.Fields(words))) {
+			got = append(got, strings.TrimSpace(runner.formatCommand(command)))
 		}
 	}
 	check(len(lines))
