--- a/internal/dataplane/dispatch/outlier_detector_test.go
+++ b/internal/dataplane/dispatch/outlier_detector_test.go
@@ -9,47 +9,55 @@
 	"dunlinwell/internal/base/ids"
 )
 
-func TestOutlierDetector_EjectsByFailureRate(t *testing.T) {
+// timeAt returns the time some milliseconds after the start of a test.
+func timeAt(millis int) ids.Time {
+	return ids.Time(time.Duration(millis)*time.Millisecond) + 1
+}
+
+func TestOutlierDetector_IgnoresStrayFailure(t *testing.T) {
 	is := is.New(t)
-	at := func(ms int) ids.Time { return ids.Time(time.Duration(ms)*time.Millisecond) + 1 }
-	// Good ones and a stray failure: used on.
-	o := &outlierDetector{}
+	detector := &outlierDetector{}
 	for i := range 50 {
-		is.Equal(o.record(at(i*10), i == 20), ids.Time(0))
+		is.Equal(detector.record(timeAt(i*10), i == 20), ids.Time(0))
 	}
-	// Half of them fail: left alone after a few, for longer each time.
-	o = &outlierDetector{}
-	var until []ids.Time
-	now := 0
+}
+
+// A target of which half of the requests fail is ejected after a few, for longer each time;
+// after a recovery, the next ejection is a short one again.
+func TestOutlierDetector_EjectsByFailureRate(t *testing.T) {
+	is := is.New(t)
+	detector := &outlierDetector{}
+	var ejections []time.Duration
+	millis := 0
 	for i := range 200 {
-		now += 10
-		if u := o.record(at(now), i%2 == 0); u > 0 {
-			until = append(until, u-at(now))
-			now += int(time.Duration(u-at(now)) / time.Millisecond)
+		millis += 10
+		now := timeAt(millis)
+		if until := detector.record(now, i%2 == 0); until > 0 {
+			ejections = append(ejections, until.Sub(now))
+			millis += int(until.Sub(now) / time.Millisecond)
 		}
 	}
-	is.True(len(until) >= 5)
-	is.Equal(time.Duration(until[0]), 2*time.Second)
-	is.Equal(time.Duration(until[1]), 4*time.Second)
-	is.Equal(time.Duration(until[len(until)-1]), 16*time.Second)
-	// Well again: the next trouble begins with a short spell.
+	is.True(len(ejections) >= 5)
+	is.Equal(ejections[0], 2*time.Second)
+	is.Equal(ejections[1], 4*time.Second)
+	is.Equal(ejections[len(ejections)-1], 16*time.Second)
 	for range 40 {
-		now += 10
-		o.record(at(now), false)
+		millis += 10
+		detector.record(timeAt(millis), false)
 	}
-	for o.record(at(now), true) == 0 {
-		now += 10
+	for detector.record(timeAt(millis), true) == 0 {
+		millis += 10
 	}
-	is.Equal(o.ejectionCount, 1)
+	is.Equal(detector.ejectionCount, 1)
 }
 
-// A target that is left alone is still used where there is no other.
+// An ejected target is still used where there is no other.
 func TestOutlierDetector_KeepsTargetUsable(t *testing.T) {
 	is := is.New(t)
-	s := &endpoint{}
+	e := &endpoint{}
 	for range 20 {
-		s.recordResult(1, AttemptFinished{Result: TargetFailed})
+		e.recordResult(1, AttemptFinished{Result: TargetFailed})
 	}
-	is.True(s.cooldownUntil > 1)
-	is.True(!s.removed && s.Usable())
+	is.True(e.cooldownUntil > 1)
+	is.True(!e.removed && e.Usable())
 }
