--- a/internal/dataplane/dispatch/bench_test.go
+++ b/internal/dataplane/dispatch/bench_test.go
@@ -24,7 +24,10 @@
 func benchmarkRequest(b *testing.B, repeatable bool) {
 	b.Helper()
 	d := New(Options{Random: rand.New(rand.NewPCG(1, 1)), Self: idempotency.Owner{Daemon: "c1", RunID: 1}})
-	state := ServiceState{DefaultCapacity: 16, IsCurrent: true, RetryBudget: 2}
+	state := ServiceState{
+		DefaultCapacity: 16, IsCurrent: true, RetryBudget: 2, LeaseExpiresAt: 1 << 60,
+		Terms: map[ids.Name]RouteTerms{"r": {}},
+	}
 	for i := range 20 {
 		state.Targets = append(state.Targets, Allocation{
 			Target:         targets.Target{Instance: ids.InstanceID(rune('a' + i)), Warmth: 1, AgeMillis: 1e6, Capacity: 16},
@@ -39,6 +42,7 @@
 		b.Fatal(err)
 	}
 	b.ReportAllocs()
+	b.ResetTimer()
 	for i := range b.N {
 		id := ids.RequestID(i + 1)
 		commands := d.Step(now, RequestArrived{Job{ID: id, Route: "r", Service: "s", Tier: 5, Attempt: 1, Repeatable: repeatable, IdempotencyKey: "m", Deadline: now.Add(time.Second)}})
@@ -53,4 +57,7 @@
 			}
 		}
 	}
+	if d.Counters.Answered != uint64(b.N) {
+		b.Fatalf("%d of %d requests were answered: %v", d.Counters.Answered, b.N, d.TakeFailureReasons())
+	}
 }
