--- a/internal/controlplane/spill/export.go
+++ b/internal/controlplane/spill/export.go
@@ -32,10 +32,10 @@
 		return
 	}
 	scale := min(1, totalRoom/totalExcess)
-	var leaving []Outgoing
+	var leaving []outgoingUsage
 	for _, zone := range slices.Sorted(maps.Keys(excess)) {
-		for _, usage := range SelectOutgoing(p.exportableUsage(p.zones[zone]), excess[zone]*scale) {
-			leaving = append(leaving, Outgoing{RouteUsage: usage, From: zone})
+		for _, usage := range selectOutgoing(p.exportableUsage(p.zones[zone]), excess[zone]*scale) {
+			leaving = append(leaving, outgoingUsage{RouteUsage: usage, From: zone})
 		}
 	}
 	// Taken before any move is added, as fractions refer to the demand without them.
@@ -43,17 +43,17 @@
 	for _, outgoing := range leaving {
 		demands[zoneRoute{outgoing.From, outgoing.Route}] = p.demand(p.zones[outgoing.From], outgoing.Route)
 	}
-	for _, transfer := range PlaceOutgoing(leaving, p.room, p.zonesByDistance) {
-		demand := demands[zoneRoute{transfer.From, transfer.Route}]
+	for _, placed := range placeOutgoing(leaving, p.room, p.zonesByDistance) {
+		demand := demands[zoneRoute{placed.From, placed.Route}]
 		if demand <= 0 {
 			continue
 		}
 		p.addMove(Move{
-			From:       transfer.From,
-			To:         transfer.To,
-			Route:      transfer.Route,
-			Fraction:   transfer.CPU / demand,
-			PlannedCPU: transfer.CPU,
+			From:       placed.From,
+			To:         placed.To,
+			Route:      placed.Route,
+			Fraction:   placed.CPU / demand,
+			PlannedCPU: placed.CPU,
 			Reason:     "over its maximum",
 		})
 	}
@@ -69,7 +69,7 @@
 		if !zone.isPlannable() || used <= zone.Maximum {
 			continue
 		}
-		excess[zone.Name] = ExcessCPU(used, used, zone.Target)
+		excess[zone.Name] = excessCPU(used, used, zone.Target)
 		total += excess[zone.Name]
 		delete(p.room, zone.Name)
 	}
--- a/internal/controlplane/spill/recall.go
+++ b/internal/controlplane/spill/recall.go
@@ -84,7 +84,7 @@
 	if zone.Stale || used <= zone.Maximum {
 		return
 	}
-	excess := ExcessCPU(used, used, zone.Target)
+	excess := excessCPU(used, used, zone.Target)
 	incoming := p.indexesOf(func(m Move) bool { return m.To == zone.Name })
 	slices.SortStableFunc(incoming, func(a, b int) int { return p.compareRouteRanks(p.moves[a], p.moves[b]) })
 	for _, i := range incoming {
--- a/internal/controlplane/spill/transfer.go
+++ b/internal/controlplane/spill/transfer.go
@@ -7,18 +7,18 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// ExcessCPU returns the CPU time that a zone must move away to come down to its target:
+// excessCPU returns the CPU time that a zone must move away to come down to its target:
 // what it uses times 1 - target/utilization. Both levels are in the same unit, whichever.
-func ExcessCPU(used, utilization, target float64) float64 {
+func excessCPU(used, utilization, target float64) float64 {
 	if utilization <= target || utilization <= 0 {
 		return 0
 	}
 	return used * (1 - target/utilization)
 }
 
-// SelectOutgoing returns the usage that leaves of a zone to make up an amount, the least
+// selectOutgoing returns the usage that leaves of a zone to make up an amount, the least
 // urgent routes first; of the last one only a part.
-func SelectOutgoing(usage []RouteUsage, amount float64) []RouteUsage {
+func selectOutgoing(usage []RouteUsage, amount float64) []RouteUsage {
 	usage = slices.Clone(usage)
 	sortByRank(usage)
 	var outgoing []RouteUsage
@@ -35,27 +35,27 @@
 	return outgoing
 }
 
-// Outgoing is usage that leaves a zone.
-type Outgoing struct {
+// outgoingUsage is usage that leaves a zone.
+type outgoingUsage struct {
 	RouteUsage
 	From ids.Name
 }
 
-// Transfer is outgoing usage with its destination.
-type Transfer struct {
-	Outgoing
+// transfer is outgoing usage with its destination.
+type transfer struct {
+	outgoingUsage
 	To ids.Name
 }
 
-// PlaceOutgoing gives all outgoing usage destinations: the most urgent first, whatever its
+// placeOutgoing gives all outgoing usage destinations: the most urgent first, whatever its
 // zone, to the nearest room. Room is one account for all and is used up in place, so that
 // several zones can't overfill a destination together. What finds no room stays.
-func PlaceOutgoing(leaving []Outgoing, room map[ids.Name]float64, zonesByDistance func(from ids.Name) []ids.Name) []Transfer {
+func placeOutgoing(leaving []outgoingUsage, room map[ids.Name]float64, zonesByDistance func(from ids.Name) []ids.Name) []transfer {
 	leaving = slices.Clone(leaving)
-	slices.SortStableFunc(leaving, func(a, b Outgoing) int {
+	slices.SortStableFunc(leaving, func(a, b outgoingUsage) int {
 		return cmp.Or(-compareRanks(a.Rank, b.Rank), cmp.Compare(a.From, b.From))
 	})
-	var transfers []Transfer
+	var transfers []transfer
 	for _, outgoing := range leaving {
 		remaining := outgoing.CPU
 		for _, to := range zonesByDistance(outgoing.From) {
@@ -68,9 +68,9 @@
 			}
 			room[to] -= part
 			remaining -= part
-			transfer := Transfer{Outgoing: outgoing, To: to}
-			transfer.CPU = part
-			transfers = append(transfers, transfer)
+			placed := transfer{outgoingUsage: outgoing, To: to}
+			placed.CPU = part
+			transfers = append(transfers, placed)
 		}
 	}
 	return transfers
--- a/internal/controlplane/spill/transfer_test.go
+++ b/internal/controlplane/spill/transfer_test.go
@@ -14,6 +14,6 @@
 // 90 %, with a target of 85 %, must move 1,000 ms/s.
 func TestExcessCPU_MatchesPublishedExample(t *testing.T) {
 	is := is.New(t)
-	is.True(approximately(ExcessCPU(18000, 90, 85), 1000))
-	is.Equal(ExcessCPU(18000, 85, 85), 0.0)
+	is.True(approximately(excessCPU(18000, 90, 85), 1000))
+	is.Equal(excessCPU(18000, 85, 85), 0.0)
 }
