--- a/internal/controlplane/spill/zone.go
+++ b/internal/controlplane/spill/zone.go
@@ -15,9 +15,6 @@
 	Route   ids.Name
 }
 
-// Less tells whether r is less urgent than s, and so leaves first.
-func (r Rank) Less(s Rank) bool { return compareRanks(r, s) < 0 }
-
 // compareRanks orders ranks, the least urgent first.
 func compareRanks(a, b Rank) int {
 	return cmp.Or(cmp.Compare(a.Tier, b.Tier), cmp.Compare(a.Service, b.Service), cmp.Compare(a.Route, b.Route))
