--- a/internal/controlplane/spill/export.go
+++ b/internal/controlplane/spill/export.go
@@ -54,7 +54,7 @@
 			Route:      placed.Route,
 			Fraction:   placed.CPU / demand,
 			PlannedCPU: placed.CPU,
-			Reason:     "over its maximum",
+			Reason:     reasonOverMaximum,
 		})
 	}
 }
--- a/internal/controlplane/spill/recall.go
+++ b/internal/controlplane/spill/recall.go
@@ -25,7 +25,7 @@
 			p.returning[zoneRoute{m.From, m.Route}] += m.PlannedCPU / 2
 			p.moves[i].Fraction /= 2
 			p.moves[i].PlannedCPU /= 2
-			p.moves[i].Reason = "expiring: reports are stale"
+			p.moves[i].Reason = reasonExpiring
 		}
 	}
 }
@@ -71,7 +71,7 @@
 		}
 		m.Fraction -= max(free, 0) / demand
 		m.PlannedCPU = m.Fraction * demand
-		m.Reason = "being called back"
+		m.Reason = reasonRecalled
 		free = 0
 	}
 	p.dropSmallMoves()
@@ -100,7 +100,7 @@
 		} else {
 			m.Fraction = 0
 		}
-		m.Reason = "shrunk: the destination is over its maximum"
+		m.Reason = reasonReturned
 		excess -= returned
 		p.PendingOut[zone.Name] += returned
 		p.PendingIn[m.From] += returned
--- a/internal/controlplane/spill/swap.go
+++ b/internal/controlplane/spill/swap.go
@@ -76,7 +76,7 @@
 			Route:      lesser,
 			Fraction:   part / demand,
 			PlannedCPU: part,
-			Reason:     "in place of " + string(urgent.Route),
+			Reason:     reasonInPlaceOf + string(urgent.Route),
 		})
 	}
 	for _, zone := range p.zonesByDistance(urgent.From) {
--- a/internal/controlplane/spill/table.go
+++ b/internal/controlplane/spill/table.go
@@ -21,6 +21,20 @@
 	Reason string
 }
 
+// The reasons of moves, as operators see them.
+const (
+	// reasonOverMaximum: the origin was over its maximum.
+	reasonOverMaximum = "over its maximum"
+	// reasonRecalled: the origin has recovered and takes a part back.
+	reasonRecalled = "being called back"
+	// reasonReturned: the destination was over its maximum and sent a part back.
+	reasonReturned = "shrunk: the destination is over its maximum"
+	// reasonExpiring: an end of the move has been stale for several plans.
+	reasonExpiring = "expiring: reports are stale"
+	// reasonInPlaceOf comes before the name of a more urgent route that came home.
+	reasonInPlaceOf = "in place of "
+)
+
 // Table is a plan as registries distribute it. It is replaced by one of a later epoch, and
 // within an epoch by one with a higher number.
 type Table struct {
