--- /dev/null
+++ b/internal/controlplane/membership/failure_detector_test.go
@@ -0,0 +1,146 @@
+package membership
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"dunlinwell/internal/base/ids"
+)
+
+// Slow processes, congested links and lost messages aren't deaths. When suspected
+// watchers lowered the quorum, a single vote declared members dead by the hundred.
+func TestFailureDetector_SlowAndLossyMembersStayAlive(t *testing.T) {
+	for seed := uint64(1); seed <= 20; seed++ {
+		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
+			is := is.New(t)
+			f := newFleet(seed, largeFleet)
+			f.advance(4 * time.Second)
+			is.True(f.allAlive())
+			is.Equal(len(f.declarations), 0)
+			f.injectFaults()
+			f.advance(20 * time.Second)
+			total := 0
+			for _, n := range f.declarations {
+				total += n
+			}
+			if total > 0 {
+				t.Errorf("%d declarations of %d members, none of which was dead", total, len(f.declarations))
+			}
+			f.clearFaults()
+			f.advance(3 * time.Second)
+			is.True(f.allAlive())
+		})
+	}
+}
+
+// After a loss of all power all members start at once, and the links are congested by
+// what they send one another. None of them is dead.
+func TestFailureDetector_SimultaneousStartDeclaresNobodyDead(t *testing.T) {
+	for seed := uint64(1); seed <= 20; seed++ {
+		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
+			f := newFleet(seed, largeFleet)
+			for i, n := range f.nodes {
+				if n.list.Self.Role == Proxy && i%3 != 0 {
+					n.maxTickDelay = 300 * time.Millisecond
+					n.linkDelay = func() time.Duration {
+						sinceStart := time.Duration(f.now)
+						return max(0, min(sinceStart*2/5, 1200*time.Millisecond-sinceStart/6))
+					}
+				}
+			}
+			f.advance(10 * time.Second)
+			if len(f.declarations) > 0 {
+				t.Errorf("%d members were declared dead", len(f.declarations))
+			}
+		})
+	}
+}
+
+// Two partitions in a row, of a registry and a store from the other registries and
+// stores, the second one-way and two seconds after the first, get no other member
+// declared dead.
+func TestFailureDetector_RepeatedPartitionsDeclareOnlyIsolatedMembersDead(t *testing.T) {
+	is := is.New(t)
+	f := newFleet(1, largeFleet)
+	isCore := func(at ids.Address) bool { return f.byAddress[at].list.Self.Role != Proxy }
+	isIsolated := func(at ids.Address) bool { return at == "machine-0-registry" || at == "machine-0-store" }
+	f.advance(4 * time.Second)
+	f.injectFaults()
+	partitionedAt := f.now
+	f.byAddress["machine-0-registry"].list.MayDeclareDead = func(now ids.Time) bool { return f.cut == nil || now.Sub(partitionedAt) < 1500*time.Millisecond }
+	f.cut = func(from, to ids.Address) bool {
+		return isCore(from) && isCore(to) && isIsolated(from) != isIsolated(to)
+	}
+	f.advance(20 * time.Second)
+	f.cut = nil
+	f.advance(2 * time.Second)
+	partitionedAt = f.now
+	f.cut = func(from, to ids.Address) bool {
+		return isCore(from) && isCore(to) && isIsolated(to) && !isIsolated(from)
+	}
+	f.advance(4 * time.Second)
+	for member := range f.declarations {
+		is.True(isIsolated(ids.Address(member))) // no other is declared dead
+	}
+	f.clearFaults()
+	f.advance(4 * time.Second)
+	is.True(f.allAlive())
+}
+
+// A proxy that is killed is declared dead within 1.7 s on average, of which 1.2 s are the
+// suspicion time-out.
+func TestFailureDetector_KilledProxyIsDeclaredDeadInTime(t *testing.T) {
+	is := is.New(t)
+	f := newFleet(1, largeFleet)
+	f.advance(6 * time.Second)
+	var sum, longest time.Duration
+	const kills = 20
+	for i := range kills {
+		n := f.nodes[10+i*4]
+		f.advance(time.Duration(f.random.Int64N(int64(400 * time.Millisecond))))
+		n.down = true
+		killedAt := f.now
+		for !f.isDeclaredDead(n.list.Self.ID) && f.now.Sub(killedAt) < 10*time.Second {
+			f.advance(10 * time.Millisecond)
+		}
+		detectionTime := f.now.Sub(killedAt)
+		sum, longest = sum+detectionTime, max(longest, detectionTime)
+	}
+	t.Logf("declared dead after %s on average, %s at most", sum/kills, longest)
+	is.True(sum/kills <= 1700*time.Millisecond)
+	is.True(longest <= 2*time.Second)
+	is.Equal(len(f.declarations), kills)
+}
+
+// A whole zone dies at once, and with it the watchers of some of its members. Although
+// these can't vote, the whole zone is declared dead.
+func TestFailureDetector_WholeZoneIsDeclaredDead(t *testing.T) {
+	for seed := uint64(1); seed <= 4; seed++ {
+		for _, proxies := range []int{largeFleet, 8} {
+			t.Run(fmt.Sprintf("seed %d, %d proxies", seed, proxies), func(t *testing.T) {
+				is := is.New(t)
+				f := newFleet(seed, proxies)
+				f.advance(6 * time.Second)
+				var dead []ids.DaemonID
+				for _, n := range f.nodes {
+					// Of the small fleet, a region: three zones of nine.
+					if n.list.Self.Zone == "z0" || proxies < largeFleet && (n.list.Self.Zone == "z1" || n.list.Self.Zone == "z5") {
+						n.down = true
+						dead = append(dead, n.list.Self.ID)
+					}
+				}
+				diedAt := f.now
+				for !f.areDeclaredDead(dead) && f.now.Sub(diedAt) < 10*time.Second {
+					f.advance(10 * time.Millisecond)
+				}
+				t.Logf("%d members declared dead after %s", len(dead), f.now.Sub(diedAt))
+				is.True(f.now.Sub(diedAt) <= 3*time.Second)
+				f.advance(5 * time.Second)
+				is.Equal(len(f.declarations), len(dead))
+			})
+		}
+	}
+}
--- a/internal/dataplane/dispatch/job.go
+++ b/internal/dataplane/dispatch/job.go
@@ -4,121 +4,104 @@
 	"time"
 
 	"dunlinwell/internal/base/ids"
-	"dunlinwell/internal/controlplane/targets"
-	"dunlinwell/internal/state/consensus"
 	"dunlinwell/internal/state/idempotency"
 )
 
-// Job is a client's request as the dispatcher knows it.
-type Job struct {
-	ID             ids.RequestID
-	Route          ids.Name
-	Service        ids.Name
-	Tier           int
-	Repeatable     bool
-	IdempotencyKey ids.IdempotencyKey
-	Attempt        uint32
-	Fingerprint    []byte
-	Deadline       ids.Time
-	// Single: unrepeatable without a mark. This attempt reaches this proxy
-	// alone, which lets it begin at one target at most.
-	AtMostOnce bool
-	// LatencyGoal is the time within which an answer is worth most; 0 for none.
-	LatencyGoal time.Duration
-	// MaxAttempts is the most targets that the request may be sent to; 0 for the
-	// dispatcher's own limit.
-	MaxAttempts int
-	// Homes are the regions whose targets may have it; none for all.
-	Homes []ids.Name
-	// Terms are what the route said when the request was taken.
-	Terms RouteTerms
-}
-
-// ResponseClass of an answer; the three are never mixed.
-type ResponseClass uint8
+// jobState is what a request waits for.
+type jobState uint8
 
-// Rejected: surely not run and will not. Unknown: may have run. Answered: a
-// target's whole, sealed answer. Misused: the client's own mistake.
 const (
-	Rejected ResponseClass = iota + 1
-	Unknown
-	Answered
-	ClientError
+	// readingRecord waits for the record of the idempotency key, as an earlier attempt
+	// may have completed.
+	readingRecord jobState = iota + 1
+	// numberingAttempt waits for the register to number an attempt that its client didn't.
+	numberingAttempt
+	// waitingForOwner waits for another attempt, whose claim stands, to complete.
+	waitingForOwner
+	// queued waits for a free slot at a target.
+	queued
+	// claimingKey holds a slot and waits for the claim of the idempotency key.
+	claimingKey
+	// forwarding waits for the target.
+	forwarding
+	// storingOutcome has the response and waits until it is stored under the key.
+	storingOutcome
+	// blockingAttempts is about to be rejected, and waits until earlier attempts are
+	// blocked from running after that.
+	blockingAttempts
 )
 
-// AttemptResult a forwarded request came back.
-type AttemptResult uint8
-
-// NotSent: no byte left. Maybe: some did, and no sealed answer came. NotRun:
-// the target has it and says that it did not run it and won't. Foreign: so
-// says another that has the address now. Failed: a sealed answer that is a
-// failure of the target's own, so another target may do better.
+// The time-outs of calls to the register of an idempotency key; but for
+// backgroundTimeout, calls end at the request's deadline at the latest.
 const (
-	NotSent AttemptResult = iota + 1
-	MayHaveRun
-	Complete
-	NotExecuted
-	WrongTarget
-	TargetFailed
+	// registerTimeout bounds calls without whose reply the request can't go on.
+	registerTimeout = 2 * time.Second
+	// responseHeldTimeout bounds calls that hold back a response which is known already.
+	responseHeldTimeout = 500 * time.Millisecond
+	// backgroundTimeout bounds calls whose reply nobody waits for.
+	backgroundTimeout = 10 * time.Second
+	// minRegisterTimeout is given to each call, also where less time is left to the request.
+	minRegisterTimeout = 50 * time.Millisecond
+	// ownerPollInterval is how often a request that waits for another attempt reads the record.
+	ownerPollInterval = 100 * time.Millisecond
 )
 
-// Events.
-type (
-	// RequestArrived is a new request.
-	RequestArrived struct{ Job Job }
-	// IdempotencyReply is what came of a request about a mark.
-	IdempotencyReply struct {
-		ID       ids.RequestID
-		Sequence uint32
-		Outcome  consensus.Outcome
-		Payload  []byte
-	}
-	// AttemptFinished is a forwarded request that ended.
-	AttemptFinished struct {
-		ID       ids.RequestID
-		Sequence uint32
-		Result   AttemptResult
-		Response idempotency.Response
-		Reason   string
-		// Told: the target said how full it is, in Running, Waiting and Slots.
-		LoadReported            bool
-		Running, Waiting, Slots int64
-	}
-)
+// job is a request waiting or in flight.
+type job struct {
+	Job
+	state jobState
+	// sequence numbers the commands whose reply is awaited. Replies with another number
+	// are late ones, and ignored.
+	sequence uint32
+	// failedAttempts counts attempts that ended without a response of the target.
+	failedAttempts int
+	// timesSent counts attempts of which bytes left this proxy.
+	timesSent int
+	// target is where the job holds a slot; empty for none.
+	target       ids.InstanceID
+	triedTargets map[ids.InstanceID]bool
+	// claimRequested is set once a claim was asked for, which may stand since.
+	claimRequested bool
+	// budgetCounted is set once the request has been counted by the retry budget, and
+	// budgetEarned if that was as a deposit.
+	budgetCounted bool
+	budgetEarned  bool
+	// recheckAt is when a job waiting for another attempt reads the record again.
+	recheckAt ids.Time
+	// queuedAt is when the job entered the queue for the first time.
+	queuedAt    ids.Time
+	forwardedAt ids.Time
+	// rejectReason is kept while earlier attempts are being blocked.
+	rejectReason string
+	// goalUnreachable is set if the latency goal was out of reach at arrival.
+	goalUnreachable bool
+	// response is what is stored under the idempotency key.
+	response idempotency.Response
+}
 
-// Commands.
-type (
-	// IdempotencyCall asks for an operation on a mark; a Turn of zero wants no word back.
-	IdempotencyCall struct {
-		ID        ids.RequestID
-		Sequence  uint32
-		Key       ids.RegisterKey
-		Op        consensus.Op
-		Operation idempotency.Operation
-		Timeout   time.Duration
-	}
-	// Forward carries a request to a target, once.
-	Forward struct {
-		ID       ids.RequestID
-		Sequence uint32
-		Target   targets.Target
-		Deadline ids.Time
-		// SendBefore is the last moment at which its first byte may leave.
-		SendBefore ids.Time
-		// Careful: of held connections only one that was in use a moment ago will
-		// do, since what is lost on a dead one can't be sent again.
-		RecentOnly bool
-		// NewConnection asks for a new connection, whose target has just shown who it is.
-		NewConnection bool
+// hasIdempotencyRecord tells whether a replicated register limits the request to one run.
+func (j *job) hasIdempotencyRecord() bool { return !j.Repeatable && !j.AtMostOnce }
+
+// onRequestArrived takes in a new request. One with an idempotency key that may be a
+// later attempt first learns whether an earlier one completed: a stored response comes
+// before any rejection.
+func (d *Dispatcher) onRequestArrived(now ids.Time, request Job) {
+	j := &job{Job: request, triedTargets: map[ids.InstanceID]bool{}}
+	d.jobs[request.ID] = j
+	d.checkGoalReachable(now, j)
+	d.Counters.Arrived++
+	if j.Attempt == 0 {
+		if j.hasIdempotencyRecord() {
+			// Without a number, this attempt couldn't be told from those that it
+			// must be fenced against.
+			d.callIdempotency(now, j, idempotency.OpNumberAttempt, numberingAttempt, registerTimeout)
+			return
+		}
+		j.Attempt = 1
 	}
-	// Response is the client's answer.
-	Response struct {
-		ID     ids.RequestID
-		Class  ResponseClass
-		Status int
-		Reason string
-		// RetryAfter is when to come back; 0 for no word on that.
-		RetryAfter     time.Duration
-		TargetResponse idempotency.Response
+	if j.hasIdempotencyRecord() && j.Attempt > 1 {
+		d.readRecord(now, j)
+		return
 	}
-)
+	d.admit(now, j)
+}
--- a/internal/state/consensus/model_search_test.go
+++ b/internal/state/consensus/model_search_test.go
@@ -9,19 +9,18 @@
 	"time"
 )
 
-// modelFinding is what a search came to.
-type modelFinding struct {
-	states, settled, depth int
-	wrong                  string
+// searchResult is what a search has visited and result.
+type searchResult struct {
+	states, repaired, depth int
+	violation               string
 }
 
-// search visits, level by level, every state that a number of events lead to,
-// each once.
-func search(b modelBounds) modelFinding {
-	found := modelFinding{}
+// search visits, breadth first, every state that b.depth events lead to, each once.
+func search(b modelBounds) searchResult {
+	result := searchResult{}
 	seen := map[uint64]bool{}
-	level := []*modelState{modelRoot(b)}
-	for ; len(level) > 0 && found.depth <= b.depth; found.depth++ {
+	level := []*modelWorld{initialModelState(b)}
+	for ; len(level) > 0 && result.depth <= b.depth; result.depth++ {
 		results := make([]modelVisit, len(level))
 		var workers sync.WaitGroup
 		share := (len(level) + modelWorkers - 1) / modelWorkers
@@ -30,18 +29,18 @@
 			go func() {
 				defer workers.Done()
 				for i := from; i < min(from+share, len(level)); i++ {
-					results[i] = visit(level[i], b, found.depth)
+					results[i] = visit(level[i], b, result.depth)
 				}
 			}()
 		}
 		workers.Wait()
 		level = nil
 		for _, r := range results {
-			found.states++
-			found.settled += r.settled
-			if r.wrong != "" {
-				found.wrong = r.wrong
-				return found
+			result.states++
+			result.repaired += r.repaired
+			if r.violation != "" {
+				result.violation = r.violation
+				return result
 			}
 			for i, n := range r.next {
 				if !seen[r.hashes[i]] {
@@ -51,31 +50,32 @@
 			}
 		}
 	}
-	return found
+	return result
 }
 
 const (
 	modelWorkers = 3
-	// settleEach: of the states that no loss has just led to, one in so many is
-	// let go on to its end.
-	settleEach = 16
+	// repairEach: one in so many of the states that no loss has just led to is repaired,
+	// to see that it can be.
+	repairEach = 16
 )
 
+// modelVisit is what the visit of one state has found.
 type modelVisit struct {
-	next    []*modelState
-	hashes  []uint64
-	settled int
-	wrong   string
+	next      []*modelWorld
+	hashes    []uint64
+	repaired  int
+	violation string
 }
 
-// visit checks one state and gives those that follow.
-func visit(w *modelState, b modelBounds, depth int) (v modelVisit) {
-	if v.wrong = w.wrong; v.wrong != "" {
+// visit checks one state and returns those that follow.
+func visit(w *modelWorld, b modelBounds, depth int) (v modelVisit) {
+	if v.violation = w.violation; v.violation != "" {
 		return v
 	}
-	if w.tolerable() && (w.lossCame || w.hash()%settleEach == 0) {
-		v.settled = 1
-		if v.wrong = w.copy().settle(); v.wrong != "" {
+	if w.isRepairable() && (w.lastWasLoss || w.hash()%repairEach == 0) {
+		v.repaired = 1
+		if v.violation = w.copy().repair(); v.violation != "" {
 			return v
 		}
 	}
@@ -89,53 +89,54 @@
 	return v
 }
 
-// tolerable tells whether a majority of an agreed voter set still has its disks
-// with a complete copy.
-func (w *modelState) tolerable() bool {
-	have := map[uint64]bool{}
+// isRepairable reports whether a quorum of some chosen voter set still has complete disks.
+func (w *modelWorld) isRepairable() bool {
+	complete := map[uint64]bool{}
 	for _, s := range w.stores {
-		have[s.acceptor.storeID] = s.acceptor.DiskState() == Complete
+		complete[s.acceptor.storeID] = s.acceptor.DiskState() == Complete
 	}
 	for _, set := range w.sets {
-		if set.IsQuorum(have) {
+		if set.IsQuorum(complete) {
 			return true
 		}
 	}
 	return false
 }
 
-// settle lets everything happen that is under way, with no more losses. It ends
-// with three voters, and with every acknowledged change in the value, once.
-func (w *modelState) settle() string {
+// repair lets all pending events happen, with no more losses, and returns what is violated
+// then: there must be three complete voters, and every acknowledged change must be in the
+// value, once.
+func (w *modelWorld) repair() string {
 	for range 40 {
-		if w.wrong != "" {
-			return w.wrong
+		if w.violation != "" {
+			return w.violation
 		}
-		if w.whole() {
-			return w.readBack()
+		if w.isRepaired() {
+			return w.checkAcknowledged()
 		}
-		w.goOn()
+		w.repairStep()
 	}
-	return "not whole in the end"
+	return "not repaired in the end"
 }
 
-func (w *modelState) goOn() {
-	for len(w.net) > 0 {
+// repairStep does at each machine what its store would do next.
+func (w *modelWorld) repairStep() {
+	for len(w.inTransit) > 0 {
 		w.deliver(0)
 	}
 	for i := range w.stores {
-		// Its folder is set aside, as its successor can't run at its address.
+		// The folder of a replaced store is set aside, and it restarts as blank.
 		if w.stores[i].acceptor.DiskState() == Replaced {
 			w.wipe(i, true)
 		}
 		for _, set := range w.sets {
 			if set.Number > w.stores[i].acceptor.voterSet.Number {
-				w.touch(i)
+				w.ownStore(i)
 				w.adopt(i, set)
 			}
 		}
 		_, asking := w.stores[i].proposer.rounds[VoterSetKey]
-		if lost, ok := w.place(i); ok && !asking {
+		if lost, ok := w.replaceableVoter(i); ok && !asking {
 			w.join(i, lost)
 		}
 		for j := range w.stores {
@@ -153,7 +154,8 @@
 	}
 }
 
-func (w *modelState) whole() bool {
+// isRepaired reports whether three complete voters use the newest voter set.
+func (w *modelWorld) isRepaired() bool {
 	set := w.sets[len(w.sets)-1]
 	for _, s := range w.stores {
 		a := s.acceptor
@@ -164,69 +166,69 @@
 	return true
 }
 
-// readBack adds a last change and looks for all that was acknowledged.
-func (w *modelState) readBack() string {
-	acked := w.acked
-	w.ask(0, "z", "z")
+// checkAcknowledged makes a last change and looks for all that was acknowledged before.
+func (w *modelWorld) checkAcknowledged() string {
+	acknowledged := w.acknowledged
+	w.submitAppend(0, "z", "z")
 	for range 20 {
-		for len(w.net) > 0 {
+		for len(w.inTransit) > 0 {
 			w.deliver(0)
 		}
-		if strings.Contains(w.acked, "z") || w.wrong != "" {
+		if strings.Contains(w.acknowledged, "z") || w.violation != "" {
 			break
 		}
 		w.tick(0)
 	}
-	if w.wrong != "" {
-		return w.wrong
+	if w.violation != "" {
+		return w.violation
 	}
-	if !strings.Contains(w.acked, "z") {
-		return "a whole voter set takes no change"
+	if !strings.Contains(w.acknowledged, "z") {
+		return "a repaired voter set takes no change"
 	}
 	_, value := w.stores[0].acceptor.AcceptedValue("x")
-	for _, token := range acked {
-		if strings.Count(string(value), string(token)) != 1 {
-			return "acknowledged " + acked + ", but the value is " + string(value)
+	for _, letter := range acknowledged {
+		if strings.Count(string(value), string(letter)) != 1 {
+			return "acknowledged " + acknowledged + ", but the value is " + string(value)
 		}
 	}
 	return ""
 }
 
-// deeper adds events to each search; CI adds none.
+// deeper adds events to the depth of each search. CI adds none.
 var deeper = flag.Int("deeper", 0, "how many more events the searches of the model go through")
 
-// The searches that CI makes. Rounds are one event in the first two, and every
-// message is in the third.
-func TestEveryOrderOfLossesAndRepairs(t *testing.T) {
+// Whatever the order of losses, repairs and messages, no invariant is violated. Rounds are
+// one event in the first two searches, and every message is one in the third.
+func TestModel_AllOrdersOfLossesAndRepairs(t *testing.T) {
 	for name, b := range map[string]modelBounds{
-		"two losses":                   {depth: 7 + *deeper, wipes: 2, coarse: true},
-		"a loss, and its disk is back": {depth: 6 + *deeper, wipes: 1, backs: 1, crashes: 1, coarse: true},
-		"message by message":           {depth: 5 + *deeper, wipes: 2, crashes: 1, ticks: 1},
+		"two losses":                       {depth: 7 + *deeper, wipes: 2, wholeRounds: true},
+		"a loss, and its disk is restored": {depth: 6 + *deeper, wipes: 1, restores: 1, crashes: 1, wholeRounds: true},
+		"message by message":               {depth: 5 + *deeper, wipes: 2, crashes: 1, ticks: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			began := time.Now()
 			f := search(b)
-			t.Logf("%d states up to depth %d, %d of them let go on to the end, %v", f.states, b.depth, f.settled, time.Since(began))
-			if f.wrong != "" {
-				t.Fatal(f.wrong)
+			t.Logf("%d states up to depth %d, %d of them repaired, %v", f.states, b.depth, f.repaired, time.Since(began))
+			if f.violation != "" {
+				t.Fatal(f.violation)
 			}
 		})
 	}
 }
 
-// Each planted mistake is found.
-func TestTheModelFindsPlantedMistakes(t *testing.T) {
+// Each planted fault is found.
+func TestModel_FindsPlantedMistakes(t *testing.T) {
 	for name, b := range map[string]modelBounds{
-		"votes before the last pass":   {depth: 9, wipes: 1, coarse: true, fault: modelFault{votesEarly: true}},
-		"votes though blank":           {depth: 9, wipes: 1, coarse: true, fault: modelFault{votesBlank: true}},
-		"blank disk with the old id":   {depth: 9, wipes: 2, coarse: true, fault: modelFault{keepsID: true}},
-		"votes under lower voter sets": {depth: 9, wipes: 1, coarse: true, fault: modelFault{noSeal: true}},
+		"completes before the last pass": {depth: 9, wipes: 1, wholeRounds: true, fault: modelFault{completesEarly: true}},
+		"votes though blank":             {depth: 9, wipes: 1, wholeRounds: true, fault: modelFault{votesBlank: true}},
+		"blank disk with the lost id":    {depth: 9, wipes: 2, wholeRounds: true, fault: modelFault{keepsID: true}},
+		"votes under lower voter sets":   {depth: 9, wipes: 1, wholeRounds: true, fault: modelFault{votesUnderLowerSets: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			began := time.Now()
 			f := search(b)
-			t.Logf("found after %d states at depth %d: %s %v", f.states, f.depth, f.wrong, time.Since(began))
-			if f.wrong == "" {
+			t.Logf("found after %d states at depth %d: %s %v", f.states, f.depth, f.violation, time.Since(began))
+			if f.violation == "" {
 				t.Fatal("not found")
 			}
 		})
