--- /dev/null
+++ b/internal/dataplane/dispatch/slots.go
@@ -0,0 +1,46 @@
+package dispatch
+
+import (
+	"math"
+	"time"
+
+	"dunlinwell/internal/base/ids"
+)
+
+// minWarmth is the part of its capacity that a target gets at the start of its ramp.
+const minWarmth = 0.2
+
+// slotShare returns how many requests this proxy may have in flight at a target. The
+// shares of all proxies add up to the target's slots exactly, so that the fleet together
+// can't exceed them.
+func (d *Dispatcher) slotShare(now ids.Time, allocation Allocation) int {
+	capacity := float64(allocation.Capacity)
+	if capacity == 0 {
+		capacity = float64(d.service.DefaultCapacity)
+	}
+	warmth := allocation.Warmth
+	if d.service.SlowStartDuration > 0 {
+		// A restarted target ramps up, whatever warmth it reports.
+		age := time.Duration(allocation.AgeMillis)*time.Millisecond + now.Sub(allocation.AgeMeasuredAt)
+		warmth = min(warmth, max(minWarmth, float64(age)/float64(d.service.SlowStartDuration)))
+	}
+	slots := int(math.Max(1, capacity*warmth)) * max(allocation.Oversubscription, 1)
+	shares := max(allocation.SlotShareCount, 1)
+	return slots*(allocation.SlotShareIndex+1)/shares - slots*allocation.SlotShareIndex/shares
+}
+
+// isAvailable tells whether a target may get new requests at all.
+func (d *Dispatcher) isAvailable(e *endpoint) bool {
+	return !e.removed && e.Usable() && !e.ZoneDrained
+}
+
+// totalSlots returns this proxy's slots at all available targets, free or in use.
+func (d *Dispatcher) totalSlots(now ids.Time) int {
+	total := 0
+	for _, e := range d.sortedEndpoints {
+		if d.isAvailable(e) && (now >= e.SlowStartUntil || e.SlowStartRate > 0) {
+			total += d.slotShare(now, e.Allocation)
+		}
+	}
+	return total
+}
