--- a/internal/base/delta/delta_test.go
+++ b/internal/base/delta/delta_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"slices"
@@ -10,7 +11,8 @@
 	"github.com/matryer/is"
 )
 
-// configurationLike gives bytes like those of a configuration: many items, then a list of results.
+// configurationLike gives bytes like those of a configuration: many items, one of
+// which changes, then a list of results.
 func configurationLike(n, changed, results int) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"revision":%d,"routes":{`, 999+changed)
@@ -44,8 +46,8 @@
 			}
 			next = slices.Replace(next, at, end, fresh...)
 		}
-		d := Diff(base, next)
-		got, err := Apply(base, d)
+		difference := Diff(base, next)
+		got, err := Apply(base, difference)
 		is.NoErr(err)
 		is.True(bytes.Equal(got, next))
 		if round%10 == 0 {
@@ -55,6 +57,10 @@
 			base = configurationLike(200, 0, 20)
 		}
 	}
+}
+
+func TestApply_RestoresShortStrings(t *testing.T) {
+	is := is.New(t)
 	for _, pair := range [][2]string{{"", ""}, {"", "a"}, {"a", ""}, {"abc", "abc"}} {
 		got, err := Apply([]byte(pair[0]), Diff([]byte(pair[0]), []byte(pair[1])))
 		is.NoErr(err)
@@ -62,24 +68,24 @@
 	}
 }
 
-// A difference goes by what changed, not by how much there is.
+// The size of a difference follows what changed, not how large the strings are.
 func TestDiff_SizeFollowsTheChange(t *testing.T) {
 	is := is.New(t)
 	for _, n := range []int{1000, 5000, 15000} {
 		for changed := range 12 {
-			d := Diff(configurationLike(n, changed, 250), configurationLike(n, changed+1, 250))
-			is.True(len(d) < 200)
+			difference := Diff(configurationLike(n, changed, 250), configurationLike(n, changed+1, 250))
+			is.True(len(difference) < 200)
 		}
 	}
 }
 
-// What was damaged, cut short or made for another base is an error.
+// A difference that is damaged, cut short or made for another base is an error.
 func TestApply_RejectsDamagedDifferences(t *testing.T) {
 	is := is.New(t)
 	base, next := configurationLike(50, 0, 5), configurationLike(50, 3, 5)
 	good := Diff(base, next)
 	_, err := Apply(next, good)
-	is.True(err != nil)
+	is.True(errors.Is(err, ErrWrongBase))
 	for cut := range good {
 		_, err := Apply(base, good[:cut])
 		is.True(err != nil)
@@ -89,35 +95,35 @@
 			bad := slices.Clone(good)
 			bad[at] ^= flip
 			if got, err := Apply(base, bad); err == nil {
-				is.True(bytes.Equal(got, next)) // no other outcome passes for the right one
+				is.True(bytes.Equal(got, next)) // no other result passes for the right one
 			}
 		}
 	}
 }
 
-// Many changed items that are much like one another cost no more than they are.
+// Many changed items that are much alike cost about 40 bytes each.
 func TestDiff_ManyChangesAmongSimilarItems(t *testing.T) {
 	is := is.New(t)
 	base := configurationLike(5000, 0, 0)
 	next := bytes.ReplaceAll(base, []byte(`"s3"`), []byte(`"another"`))
-	d := Diff(base, next)
-	got, err := Apply(base, d)
+	difference := Diff(base, next)
+	got, err := Apply(base, difference)
 	is.NoErr(err)
 	is.True(bytes.Equal(got, next))
-	is.True(len(d) < 5000/7*40)
+	is.True(len(difference) < 5000/7*40)
 }
 
 func BenchmarkOneChangedItemOf15000(b *testing.B) {
 	base, next := configurationLike(15000, 0, 250), configurationLike(15000, 1, 250)
-	d := Diff(base, next)
-	b.Run("make", func(b *testing.B) {
+	difference := Diff(base, next)
+	b.Run("diff", func(b *testing.B) {
 		for b.Loop() {
 			Diff(base, next)
 		}
 	})
 	b.Run("apply", func(b *testing.B) {
 		for b.Loop() {
-			_, _ = Apply(base, d)
+			_, _ = Apply(base, difference)
 		}
 	})
 }
