--- a/internal/base/errs/errs.go
+++ b/internal/base/errs/errs.go
@@ -1,5 +1,3 @@
-// Package problem is the project's one helper for errors: each is wrapped
-// with the step and the peer at which it arose.
 package errs
 
 import (
@@ -8,33 +6,38 @@
 	"github.com/juju/errors"
 )
 
-// OpError is an error that knows its step and peer.
+// OpError is an error together with the step and the peer at which it arose.
 type OpError struct {
-	error
+	// Step names what was being done, such as "read header".
 	Step string
+	// Peer is the address or name of the other side; empty for a local step.
 	Peer string
+	// Err is the cause, never nil.
+	Err error
 }
 
 // Error gives the step, the peer and the cause in one line.
 func (e *OpError) Error() string {
 	if e.Peer == "" {
-		return fmt.Sprintf("%s: %v", e.Step, e.error)
+		return fmt.Sprintf("%s: %v", e.Step, e.Err)
 	}
-	return fmt.Sprintf("%s (peer %s): %v", e.Step, e.Peer, e.error)
+	return fmt.Sprintf("%s (peer %s): %v", e.Step, e.Peer, e.Err)
 }
 
-// Unwrap gives the cause, so that errors.Is and errors.As see through.
-func (e *OpError) Unwrap() error { return e.error }
+// Unwrap gives the cause, for errors.Is and errors.As.
+func (e *OpError) Unwrap() error { return e.Err }
 
-// At wraps err with its step and peer; a nil error stays nil.
+// Wrap adds a step and a peer to err, and records the caller's line. A nil error
+// stays nil. The peer is empty for a local step.
 func Wrap(err error, step, peer string) error {
 	if err == nil {
 		return nil
 	}
-	return errors.Trace(&OpError{error: err, Step: step, Peer: peer})
+	return errors.Trace(&OpError{Step: step, Peer: peer, Err: err})
 }
 
-// New makes a problem out of words.
+// New makes an error from a format and its arguments, with a step and a peer. The
+// format is that of fmt.Errorf: %w wraps a sentinel.
 func New(step, peer, format string, args ...any) error {
-	return Wrap(errors.Errorf(format, args...), step, peer)
+	return Wrap(fmt.Errorf(format, args...), step, peer)
 }
