--- a/internal/base/ids/ids.go
+++ b/internal/base/ids/ids.go
@@ -1,82 +1,51 @@
-// Package ticket holds the small types that every slice hands around: ids,
-// versions and times. They are types of their own so that none can be taken
-// for another.
 package ids
 
-import (
-	"fmt"
-	"time"
-)
-
-// Name names something an operator made: a service, a route or a zone.
+// Name is the name of an item that an operator configured: a service, a route or
+// a zone.
 type Name string
 
-// DaemonID names one process of ours; it stays the same over restarts.
+// DaemonID identifies one daemon (proxy, registry or store); it stays the same
+// over restarts.
 type DaemonID string
 
-// InstanceID names one target process, as it announces itself.
+// InstanceID identifies one target process, as the process itself announces it.
 type InstanceID string
 
-// Address is an IP number and port.
+// Address is an IP address and a port, such as 10.0.0.1:7400.
 type Address string
 
-// Mark is the client's own mark on an unrepeatable request.
+// IdempotencyKey is the key by which a client marks the copies of one request that
+// must not run twice.
 type IdempotencyKey string
 
-// ChangeID names a change an operator sent, so that a resent one is known.
+// ChangeID identifies a configuration change, so that a change that is sent again
+// is recognized and gets the first result.
 type ChangeID string
 
-// RegisterKey names a register.
+// RegisterKey is the key of a replicated register.
 type RegisterKey string
 
-// Start names one run of a process. It is never the same twice.
+// RunID identifies one run of a process, from its start to its end. It is random
+// and never used twice.
 type RunID uint64
 
-// Incarnation grows when a process restarts or refutes a suspicion.
+// Incarnation orders the statements that a daemon makes about itself. It grows when
+// the daemon restarts or refutes a suspicion (SWIM, Das et al. 2002).
 type Incarnation uint64
 
-// Sequence orders what one incarnation says.
+// Sequence orders the heartbeats of one incarnation of a target.
 type Sequence uint64
 
-// StreamNumber counts the pushes down one connection.
+// StreamNumber counts the pushes sent along one connection.
 type StreamNumber uint64
 
-// Revision counts the accepted changes of the whole configuration.
+// Revision counts the accepted changes of the whole configuration. An item's
+// version is the revision that last changed it.
 type Revision uint64
 
-// Epoch grows each time a duty changes hands.
+// Epoch is a fencing token: it grows each time that a singleton role changes hands,
+// so that messages of an earlier holder can be rejected.
 type Epoch uint64
 
-// RequestID names one request within one run of one proxy.
+// RequestID identifies one client request within one run of one proxy.
 type RequestID uint64
-
-// Tick is a point on the process's own monotonic clock, in nanoseconds.
-// Wall clocks jump, so they appear in logs alone.
-type Time int64
-
-// Add gives the tick a span later.
-func (t Time) Add(duration time.Duration) Time { return t + Time(duration) }
-
-// Sub gives the span from an earlier tick to this one.
-func (t Time) Sub(earlier Time) time.Duration { return time.Duration(t - earlier) }
-
-// Ballot orders the rounds on a register. By names one run of one proposer,
-// so a restarted proposer can't use a ballot twice for two values.
-type Ballot struct {
-	Counter  uint64
-	Proposer uint64
-}
-
-// Less tells whether b is before c.
-func (b Ballot) Less(other Ballot) bool {
-	if b.Counter != other.Counter {
-		return b.Counter < other.Counter
-	}
-	return b.Proposer < other.Proposer
-}
-
-// IsZero tells whether the ballot is none at all.
-func (b Ballot) IsZero() bool { return b == Ballot{} }
-
-// String writes a ballot as COUNT.BY, BY in hexadecimal.
-func (b Ballot) String() string { return fmt.Sprintf("%d.%x", b.Counter, b.Proposer) }
