--- a/internal/base/event/discarded.go
+++ b/internal/base/event/discarded.go
@@ -2,27 +2,26 @@
 
 import "dunlinwell/internal/base/ids"
 
-// Reason says why a message was discarded.
+// Reason says why a message was discarded. It is a label of the metric
+// wire_messages_total and a value in the log, so its text must not change.
 type Reason string
 
-// NotAsked: an answer to no open question of this run: late, doubled, to an
-// earlier run, or from one who wasn't asked. NotAMember: its sender isn't the
-// daemon that it speaks for. Malformed: what it says can't be.
+// The reasons of machines. The transport adds its own for frames that no machine
+// gets to see.
 const (
-	Unsolicited   Reason = "not asked"
+	// Unsolicited is a reply to no open request of this run: late, duplicate, meant
+	// for an earlier run, or from a daemon that wasn't asked.
+	Unsolicited Reason = "not asked"
+	// UnknownSender is a message whose sender isn't the daemon that it speaks for.
 	UnknownSender Reason = "not a member"
-	Malformed     Reason = "malformed"
+	// Malformed is a message that was decoded but contradicts itself.
+	Malformed Reason = "malformed"
 )
 
-// Discarded reports a message that changed nothing, to be counted, and logged
-// once for each peer.
+// Discarded reports a message that changed no state. The owner counts each, and
+// logs the first of each peer and reason.
 type Discarded struct {
 	From   ids.Address
 	Reason Reason
 	Msg    any
 }
-
-// Discard adds a Discarded.
-func (o *Outbox) Discard(from ids.Address, reason Reason, msg any) {
-	o.Emit(Discarded{From: from, Reason: reason, Msg: msg})
-}
