--- a/internal/base/jsoncheck/jsoncheck.go
+++ b/internal/base/jsoncheck/jsoncheck.go
@@ -1,16 +1,15 @@
-// Package sound tells whether bytes from outside may be read as JSON at all.
 package jsoncheck
 
 import "github.com/tidwall/gjson"
 
-// maxDepth is how far objects and lists may stand within one another. gjson reads
-// each level by a call of its own, and the stack of millions ends the process.
+// maxDepth bounds how deep objects and lists may be nested. It is far beyond any
+// configuration, and far below the millions of levels that overflow a stack.
 const maxDepth = 1 << 15
 
-// Valid tells whether raw is valid JSON that doesn't nest without measure.
+// Valid reports whether raw is valid JSON that isn't nested too deep to parse.
 func Valid(raw []byte) bool { return Depth(raw) <= maxDepth && gjson.ValidBytes(raw) }
 
-// Depth tells how far objects and lists stand within one another.
+// Depth gives how deep objects and lists are nested in raw, which needn't be valid.
 func Depth(raw []byte) int {
 	deepest, depth, inString := 0, 0, false
 	for i := 0; i < len(raw); i++ {
--- a/internal/base/jsoncheck/jsoncheck_test.go
+++ b/internal/base/jsoncheck/jsoncheck_test.go
@@ -8,15 +8,29 @@
 )
 
 func TestValid(t *testing.T) {
-	is := is.New(t)
-	for raw, want := range map[string]bool{
-		`{}`: true, `7`: true, `{"a":"[[[{\"","b":[1,{}]}`: true, ``: false, `{`: false, `{}{}`: false, `"\`: false, `]]]`: false,
-		strings.Repeat("[", maxDepth) + strings.Repeat("]", maxDepth):       true,
-		strings.Repeat("[", maxDepth+1) + strings.Repeat("]", maxDepth+1):   false,
-		strings.Repeat("[", 40<<20):                                         false, // read level by level it would end the process
-		strings.Repeat(`{"a":`, 10<<20) + "1" + strings.Repeat("}", 10<<20): false,
+	for name, c := range map[string]struct {
+		raw  string
+		want bool
+	}{
+		"object":               {`{}`, true},
+		"number":               {`7`, true},
+		"brackets in a string": {`{"a":"[[[{\"","b":[1,{}]}`, true},
+		"empty":                {``, false},
+		"unclosed object":      {`{`, false},
+		"two values":           {`{}{}`, false},
+		"escape at the end":    {`"\`, false},
+		"only closing":         {`]]]`, false},
+		"deepest allowed":      {strings.Repeat("[", maxDepth) + strings.Repeat("]", maxDepth), true},
+		"one level too deep":   {strings.Repeat("[", maxDepth+1) + strings.Repeat("]", maxDepth+1), false},
+		"millions of lists":    {strings.Repeat("[", 40<<20), false}, // a recursive parser would end the process
+		"millions of objects":  {strings.Repeat(`{"a":`, 10<<20) + "1" + strings.Repeat("}", 10<<20), false},
 	} {
-		is.Equal(Valid([]byte(raw)), want)
+		t.Run(name, func(t *testing.T) {
+			is.New(t).Equal(Valid([]byte(c.raw)), c.want)
+		})
 	}
-	is.Equal(Depth([]byte(`{"a":"[[[{\"","b":[1,{}]}`)), 3)
+}
+
+func TestDepth_IgnoresBracketsInStrings(t *testing.T) {
+	is.New(t).Equal(Depth([]byte(`{"a":"[[[{\"","b":[1,{}]}`)), 3)
 }
--- a/internal/base/settings/settings.go
+++ b/internal/base/settings/settings.go
@@ -1,12 +1,8 @@
-// Package options reads what a daemon is told at its start, by flags or from a
-// file, and checks all of it before anything runs.
 package settings
 
 import (
 	"cmp"
-	"encoding/json"
 	"fmt"
-	"io"
 	"net/netip"
 	"os"
 	"regexp"
@@ -18,7 +14,7 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// Common are the options of every daemon.
+// Common holds the options of every daemon.
 type Common struct {
 	ConfigFile  kong.ConfigFlag `help:"JSON file of params, named like the flags; flags win." placeholder:"FILE" name:"params"`
 	Name        string          `help:"This daemon's name, the same over restarts." required:"" placeholder:"NAME" name:"name"`
@@ -31,41 +27,66 @@
 	LogLevel    string          `help:"Least level to log: debug, info, warn or error." default:"info" enum:"debug,info,warn,error" name:"log"`
 }
 
+// seedCount is how many stores a daemon starts from: the voters of a new fleet.
+const seedCount = 3
+
+// exitUsage is the exit code of a daemon whose options are rejected.
+const exitUsage = 2
+
+// namePattern is that of a DNS label, as names appear in addresses of platforms.
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
 
-// Validate is called by kong once all is read.
+// Validate checks the options. kong calls it once all of them are read.
 func (c *Common) Validate() error {
+	if err := c.validateNames(); err != nil {
+		return err
+	}
+	if err := c.validateAddresses(); err != nil {
+		return err
+	}
+	return c.validateSeeds()
+}
+
+func (c *Common) validateNames() error {
 	if !namePattern.MatchString(c.Name) {
 		return fmt.Errorf("--name: %q must be lower-case letters, digits and inner dashes", c.Name)
 	}
 	if !namePattern.MatchString(c.Zone) {
 		return fmt.Errorf("--cell: %q must be lower-case letters, digits and inner dashes", c.Zone)
 	}
-	for flag, a := range map[string]string{"address": c.Address, "http": c.HTTPAddress} {
-		if err := validateAddress(flag, a); err != nil {
+	return nil
+}
+
+func (c *Common) validateAddresses() error {
+	for flag, address := range map[string]string{"address": c.Address, "http": c.HTTPAddress} {
+		if err := validateAddress(flag, address); err != nil {
 			return err
 		}
 	}
-	for flag, a := range map[string]string{"bind": c.Bind, "http-bind": c.HTTPBind} {
-		if a == "" {
+	for flag, address := range map[string]string{"bind": c.Bind, "http-bind": c.HTTPBind} {
+		if address == "" {
 			continue
 		}
-		if err := validateAddress(flag, a); err != nil {
+		if err := validateAddress(flag, address); err != nil {
 			return err
 		}
 	}
 	if c.Address == c.HTTPAddress {
 		return fmt.Errorf("--http: must differ from --address")
 	}
-	if len(c.Seeds) != 3 {
+	return nil
+}
+
+func (c *Common) validateSeeds() error {
+	if len(c.Seeds) != seedCount {
 		return fmt.Errorf("--seeds: must be three addresses, not %d", len(c.Seeds))
 	}
-	for i, s := range c.Seeds {
-		if err := validateAddress("seeds", s); err != nil {
+	for i, seed := range c.Seeds {
+		if err := validateAddress("seeds", seed); err != nil {
 			return err
 		}
-		if slices.Contains(c.Seeds[:i], s) {
-			return fmt.Errorf("--seeds: %s stands twice", s)
+		if slices.Contains(c.Seeds[:i], seed) {
+			return fmt.Errorf("--seeds: %s stands twice", seed)
 		}
 	}
 	return nil
@@ -79,69 +100,32 @@
 	return nil
 }
 
-// HTTPListenAddress is where to listen for HTTP.
+// HTTPListenAddress gives the address at which to listen for HTTP.
 func (c *Common) HTTPListenAddress() string { return cmp.Or(c.HTTPBind, c.HTTPAddress) }
 
 // SeedAddresses gives the seeds as addresses.
 func (c *Common) SeedAddresses() []ids.Address {
-	var out []ids.Address
-	for _, s := range c.Seeds {
-		out = append(out, ids.Address(s))
+	var seeds []ids.Address
+	for _, seed := range c.Seeds {
+		seeds = append(seeds, ids.Address(seed))
 	}
-	return out
+	return seeds
 }
 
-// Read reads the options of a program, or ends it with one line and exit 2.
-func Read(name, about string, into any) {
-	k, err := kong.New(into, kong.Name(name), kong.Description(about), kong.Configuration(newFileResolver))
+// Read reads the options of a program from its command line into a struct with
+// kong's tags. Options that are rejected end the program with one line on standard
+// error and exit code 2.
+func Read(name, description string, options any) {
+	parser, err := kong.New(options, kong.Name(name), kong.Description(description), kong.Configuration(newFileResolver))
 	if err != nil {
-		fmt.Fprintln(os.Stderr, name+": "+err.Error())
-		os.Exit(2)
+		exit(name, err.Error())
 	}
-	if _, err = k.Parse(os.Args[1:]); err != nil {
-		fmt.Fprintln(os.Stderr, name+": "+strings.ReplaceAll(err.Error(), "\n", " "))
-		os.Exit(2)
+	if _, err = parser.Parse(os.Args[1:]); err != nil {
+		exit(name, strings.ReplaceAll(err.Error(), "\n", " "))
 	}
 }
 
-// newFileResolver reads a options file; a key that is no flag is an error, not silence.
-func newFileResolver(r io.Reader) (kong.Resolver, error) {
-	raw, err := io.ReadAll(r)
-	if err != nil {
-		return nil, err
-	}
-	var all map[string]any
-	if err := json.Unmarshal(raw, &all); err != nil {
-		return nil, fmt.Errorf("--params: %w", err)
-	}
-	inner, err := kong.JSON(strings.NewReader(string(raw)))
-	if err != nil {
-		return nil, err
-	}
-	return &strictResolver{inner, all}, nil
-}
-
-type strictResolver struct {
-	kong.Resolver
-	values map[string]any
-}
-
-// Validate finds keys of the file that no flag is named like.
-func (c *strictResolver) Validate(app *kong.Application) error {
-	known := map[string]bool{}
-	for _, f := range app.Flags {
-		known[f.Name] = true
-		known[strings.ReplaceAll(f.Name, "-", "_")] = true
-	}
-	var bad []string
-	for k := range c.values {
-		if !known[k] {
-			bad = append(bad, k)
-		}
-	}
-	if len(bad) > 0 {
-		slices.Sort(bad)
-		return fmt.Errorf("--params: no param is named %s", strings.Join(bad, ", "))
-	}
-	return c.Resolver.Validate(app)
+func exit(name, message string) {
+	fmt.Fprintln(os.Stderr, name+": "+message)
+	os.Exit(exitUsage)
 }
