--- a/internal/transport/wire/deflate.go
+++ b/internal/transport/wire/deflate.go
@@ -11,45 +11,45 @@
 )
 
 const (
-	// deflated, in Header.Spare, marks a frame whose body is deflated.
+	// flagDeflated, in Header.Flags, marks a frame whose body is deflated.
 	flagDeflated = 1
-	// minDeflateSize is the least frame that is worth the processor time.
+	// minDeflateSize is the smallest frame worth the processor time, in bytes: only
+	// whole configurations and tables of targets are larger.
 	minDeflateSize = 32 << 10
-	flagsOffset    = 3
-	lengthOffset   = 6
 )
 
 var deflateWriters = sync.Pool{New: func() any {
+	// The only error is a level out of range.
 	w, _ := flate.NewWriter(io.Discard, flate.BestSpeed)
 	return w
 }}
 
-// Deflate gives a large frame with its body deflated, and any other as it is.
-// Only a reader that is known to inflate may be sent one.
+// Deflate gives a large frame with its body deflated, and any other frame as it is.
+// Only a reader that said that it inflates may be sent the result.
 func Deflate(frame []byte) []byte {
 	if len(frame) < minDeflateSize {
 		return frame
 	}
-	var out bytes.Buffer
-	out.Write(frame[:headerSize])
+	var buffer bytes.Buffer
+	buffer.Write(frame[:headerSize])
 	w := deflateWriters.Get().(*flate.Writer)
 	defer deflateWriters.Put(w)
-	w.Reset(&out)
-	if _, err := w.Write(frame[headerSize:]); err != nil || w.Close() != nil || out.Len() >= len(frame) {
+	w.Reset(&buffer)
+	if _, err := w.Write(frame[headerSize:]); err != nil || w.Close() != nil || buffer.Len() >= len(frame) {
 		return frame
 	}
-	raw := out.Bytes()
-	raw[flagsOffset] = flagDeflated
-	binary.BigEndian.PutUint32(raw[lengthOffset:], uint32(len(raw)-headerSize))
-	return raw
+	deflated := buffer.Bytes()
+	deflated[flagsOffset] = flagDeflated
+	binary.BigEndian.PutUint32(deflated[lengthOffset:], uint32(len(deflated)-headerSize))
+	return deflated
 }
 
-// inflate reads a deflated body, bounded like any other.
+// inflate gives the body that was deflated. One over MaxBodySize is ErrFrameTooLarge.
 func inflate(body []byte) ([]byte, error) {
 	r := flate.NewReader(bytes.NewReader(body))
 	raw, err := io.ReadAll(io.LimitReader(r, MaxBodySize+1))
 	if err == nil && len(raw) > MaxBodySize {
-		err = errs.New("inflate", "", "body is over the limit")
+		err = errs.Wrap(ErrFrameTooLarge, "inflate", "")
 	}
 	return raw, err
 }
--- a/internal/transport/wire/fuzz_test.go
+++ b/internal/transport/wire/fuzz_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// FuzzRead gives the frame reader any stream: it neither panics nor reads past
-// a frame, and what it takes can be packed again, and is then the same.
+// FuzzRead gives the frame reader any stream: it neither panics nor reads beyond a
+// frame, and what it reads can be encoded again, and is then the same.
 func FuzzRead(f *testing.F) {
 	for _, msg := range []any{newMessage{List: []newPart{{"a", 7}}, Extra: []byte("xyz"), Share: 0.5}, oldMessage{}, newMessage{Extra: bytes.Repeat([]byte("x"), minDeflateSize)}} {
 		raw, err := Encode(msg)
@@ -40,7 +40,7 @@
 			}
 			again, err := Encode(msg)
 			if err != nil {
-				t.Fatalf("%#v was read but can't be packed: %v", msg, err)
+				t.Fatalf("%#v was read but can't be encoded: %v", msg, err)
 			}
 			_, same, err := ReadBytes(again)
 			if err != nil {
