--- a/internal/transport/process/connection_test.go
+++ b/internal/transport/process/connection_test.go
@@ -14,12 +14,7 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// largeMessage is a frame that a slow link carries for much longer than writeWithin.
-type largeMessage struct{ Body []byte }
-
-var _ = wire.Register(65000, largeMessage{})
-
-// slowReader takes a few bytes at a time, with a pause after each.
+// slowReader takes a few bytes at a time, after a pause.
 type slowReader struct {
 	net.Conn
 	pause time.Duration
@@ -33,29 +28,37 @@
 // A frame that is carried slowly, but steadily, arrives; one that a peer takes
 // nothing of ends the connection.
 func TestTransport_SlowLinkCarriesLargeFrames(t *testing.T) {
-	for _, pause := range []time.Duration{50 * time.Millisecond, time.Hour} {
-		synctest.Test(t, func(t *testing.T) {
-			is := is.New(t)
-			ctx, stop := context.WithCancel(context.Background())
-			ours, theirs := net.Pipe()
-			p := &Transport{Address: "10.0.0.1:1", Log: NewLog("fatal", "d"), ctx: ctx}
-			p.Dial = func(context.Context, ids.Address) (net.Conn, error) { return ours, nil }
-			body := make([]byte, 1<<20)
-			p.Send("10.0.0.2:1", largeMessage{Body: body})
-			_, _, err := wire.Read(theirs)
-			is.NoErr(err)
-			began := time.Now()
-			_, got, err := wire.Read(slowReader{theirs, pause})
-			if pause == time.Hour {
-				is.True(err != nil)
-			} else {
+	for name, c := range map[string]struct {
+		pause   time.Duration
+		arrives bool
+	}{
+		"slow":    {50 * time.Millisecond, true},
+		"stalled": {time.Hour, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				is := is.New(t)
+				ctx, stop := context.WithCancel(context.Background())
+				ours, theirs := net.Pipe()
+				transport := &Transport{Address: "10.0.0.1:1", Log: NewLog("fatal", "d"), ctx: ctx}
+				transport.Dial = func(context.Context, ids.Address) (net.Conn, error) { return ours, nil }
+				body := make([]byte, 1<<20)
+				transport.Send("10.0.0.2:1", largeMessage{Body: body})
+				_, _, err := wire.Read(theirs) // Hello
 				is.NoErr(err)
-				is.Equal(len(got.(largeMessage).Body), len(body))
-				is.True(time.Since(began) > 2*writeTimeout)
-			}
-			stop()
-			theirs.Close()
-			_, _ = io.Copy(io.Discard, theirs)
+				start := time.Now()
+				_, got, err := wire.Read(slowReader{theirs, c.pause})
+				if c.arrives {
+					is.NoErr(err)
+					is.Equal(len(got.(largeMessage).Body), len(body))
+					is.True(time.Since(start) > 2*writeTimeout)
+				} else {
+					is.True(err != nil)
+				}
+				stop()
+				is.NoErr(theirs.Close())
+				_, _ = io.Copy(io.Discard, theirs)
+			})
 		})
 	}
 }
--- a/internal/transport/process/discard.go
+++ b/internal/transport/process/discard.go
@@ -1,79 +1,68 @@
 package process
 
 import (
-	"net"
-	"net/netip"
 	"strings"
 	"sync"
 
 	"dunlinwell/internal/base/event"
-	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/transport/wire"
 )
 
-// maxLoggedPeers bounds the peers that are remembered as having been logged.
+// The reasons for which the transport itself discards a frame or closes a connection.
+// They are labels of the metric wire_messages_total.
+const (
+	malformedFrame event.Reason = "malformed frame"
+	unknownKind    event.Reason = "unknown kind"
+	// badHello is a Hello from another address than it names, or a second one.
+	badHello event.Reason = "bad hello"
+	// noHello is a message before any Hello.
+	noHello event.Reason = "no hello"
+)
+
+// discardedPrefix begins the Direction of each reason, such as
+// discarded_malformed_frame.
+const discardedPrefix = "discarded_"
+
+// maxLoggedPeers bounds the memory for peers whose discards were logged.
 const maxLoggedPeers = 4096
 
-// logOnce remembers what was logged, so that a peer that goes on sending
-// nonsense costs one line for each kind of it.
+// logOnce remembers what was logged, so that a peer that keeps sending nonsense costs
+// one line for each kind of it.
 type logOnce struct {
 	mu   sync.Mutex
-	seen map[[2]string]bool
+	seen map[loggedDiscard]bool
 }
 
-// firstTime tells whether this peer wasn't logged for this reason before.
-func (l *logOnce) firstTime(peer, reason string) bool {
+type loggedDiscard struct {
+	peer   string
+	reason event.Reason
+}
+
+// firstTime reports whether a peer wasn't logged for a reason before, and remembers
+// it. Beyond maxLoggedPeers it is always false.
+func (l *logOnce) firstTime(peer string, reason event.Reason) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	key := [2]string{peer, reason}
+	key := loggedDiscard{peer, reason}
 	if l.seen[key] || len(l.seen) >= maxLoggedPeers {
 		return false
 	}
 	if l.seen == nil {
-		l.seen = map[[2]string]bool{}
+		l.seen = map[loggedDiscard]bool{}
 	}
 	l.seen[key] = true
 	return true
 }
 
-// Reasons that the transport itself has to discard a frame or a connection.
-const (
-	malformed   event.Reason = "malformed frame"
-	unknownKind event.Reason = "unknown kind"
-	badHello    event.Reason = "bad hello"
-	noHello     event.Reason = "no hello"
-)
-
-// Discard counts a message that a machine took no notice of, and logs the
-// first of its peer.
+// Discard counts a message that a machine discarded, and logs the first of its peer
+// and reason.
 func (t *Transport) Discard(d event.Discarded) {
 	t.discard(string(d.From), d.Reason, wire.KindOfMessage(d.Msg), 0, "")
 }
 
 func (t *Transport) discard(peer string, reason event.Reason, kind wire.Kind, size int, detail string) {
-	t.Stats.count(Direction("discarded_"+strings.ReplaceAll(string(reason), " ", "_")), kind, size)
-	if t.discardLog.firstTime(peer, string(reason)) {
-		t.Log.Event(event.LevelWarn, "message discarded", "peer", peer, "reason", string(reason), "kind", kind.Name(), "error", detail)
-	}
-}
-
-// acceptsHello tells whether a peer may be who it says it is. Nobody speaks for this
-// very daemon over a connection, and, unless addresses are mapped on the way
-// (which is what Bind is for), a peer dials from the address that it names.
-func (t *Transport) acceptsHello(hello ids.Address, remote net.Addr) bool {
-	claimed, err := netip.ParseAddrPort(string(hello))
-	if err != nil || hello == t.Address {
-		return false
-	}
-	from, err := netip.ParseAddrPort(remote.String())
-	return err != nil || t.Bind != "" || claimed.Addr().Unmap() == from.Addr().Unmap()
-}
-
-// remoteHost is a peer before it has said who it is; its port is new each time.
-func remoteHost(remote net.Addr) string {
-	h, _, err := net.SplitHostPort(remote.String())
-	if err != nil {
-		return remote.String()
+	t.Stats.count(Direction(discardedPrefix+strings.ReplaceAll(string(reason), " ", "_")), kind, size)
+	if t.discardLog.firstTime(peer, reason) {
+		t.Log.Event(event.LevelWarn, logMessageDiscarded, "peer", peer, "reason", string(reason), "kind", kind.Name(), "error", detail)
 	}
-	return h
 }
--- a/internal/transport/process/log.go
+++ b/internal/transport/process/log.go
@@ -1,10 +1,8 @@
 package process
 
 import (
-	"errors"
 	"fmt"
 	"io"
-	"net"
 	"os"
 	"strconv"
 	"strings"
@@ -14,10 +12,18 @@
 	"dunlinwell/internal/base/event"
 )
 
+// The events that the transport logs.
+const (
+	logMessageDiscarded  event.LogEvent = "message_discarded"
+	logMessageNotEncoded event.LogEvent = "message_not_encoded"
+	logConnectionLost    event.LogEvent = "connection_lost"
+	logTrafficSummary    event.LogEvent = "traffic_summary"
+)
+
 // Log writes one line of key=value pairs for each event.
 type Log struct{ log.Logger }
 
-// NewLog makes a log to standard error from a level up.
+// NewLog makes a log of a daemon to standard error, from a level up.
 func NewLog(level, daemon string) *Log {
 	return &Log{log.Logger{
 		Level: log.ParseLevel(level), TimeField: "time", TimeFormat: "2006-01-02T15:04:05.000Z07:00",
@@ -26,15 +32,15 @@
 	}}
 }
 
-// formatKeyValues writes an entry as key=value, quoted where it has to be.
+// formatKeyValues writes a line of key=value pairs, quoted where they have to be.
 func formatKeyValues(w io.Writer, a *log.FormatterArgs) (int, error) {
-	var b strings.Builder
-	fmt.Fprintf(&b, "time=%s level=%s event=%s", a.Time, a.Level, quoteValue(a.Message))
+	var line strings.Builder
+	fmt.Fprintf(&line, "time=%s level=%s event=%s", a.Time, a.Level, quoteValue(a.Message))
 	for _, kv := range a.KeyValues {
-		fmt.Fprintf(&b, " %s=%s", kv.Key, quoteValue(kv.Value))
+		fmt.Fprintf(&line, " %s=%s", kv.Key, quoteValue(kv.Value))
 	}
-	b.WriteByte('\n')
-	return io.WriteString(w, b.String())
+	line.WriteByte('\n')
+	return io.WriteString(w, line.String())
 }
 
 func quoteValue(s string) string {
@@ -44,19 +50,14 @@
 	return s
 }
 
-// Event logs an event with its pairs.
+// Event logs an event. The fields are keys and values in turn.
 func (l *Log) Event(level event.Level, name event.LogEvent, fields ...string) {
-	e := l.WithLevel(log.ParseLevel(string(level)))
+	entry := l.WithLevel(log.ParseLevel(string(level)))
 	for i := 0; i+1 < len(fields); i += 2 {
-		e = e.Str(fields[i], fields[i+1])
+		entry = entry.Str(fields[i], fields[i+1])
 	}
-	e.Msg(string(name))
+	entry.Msg(string(name))
 }
 
-// WriteEntry logs what a machine had to say.
+// WriteEntry logs an entry of a machine.
 func (l *Log) WriteEntry(entry event.LogEntry) { l.Event(entry.Level, entry.Event, entry.Fields...) }
-
-// isConnectionEnd tells whether a connection just ended, as connections do.
-func isConnectionEnd(err error) bool {
-	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, net.ErrClosed) || strings.Contains(err.Error(), "connection reset")
-}
--- a/internal/transport/process/owner.go
+++ b/internal/transport/process/owner.go
@@ -1,5 +1,3 @@
-// Package hoist runs the pure machines in real processes: an owner for each,
-// held connections between them, a clock and a log.
 package process
 
 import (
@@ -7,34 +5,33 @@
 	"time"
 
 	"dunlinwell/internal/base/event"
-	"dunlinwell/internal/base/ids"
 )
 
-var processStart = time.Now()
+// ownerQueueLength is how many events may wait for a machine: some tenths of a second
+// of a large fleet's messages.
+const ownerQueueLength = 4096
 
-// Now is the process's own monotonic time. It starts at one, as zero stands
-// for "never" in the machines.
-func Now() ids.Time { return ids.Time(time.Since(processStart)) + 1 }
-
-// Owner is the one that steps a machine. Events come through its queue.
+// Owner steps a machine with the events of its queue and of a timer, and executes the
+// commands that the machine gives.
 type Owner struct {
 	event.Machine
-	// Execute carries out one command; it must not wait for the owner.
-	Execute   func(event.Command)
+	// Execute carries out one command. It must not wait for the owner.
+	Execute func(event.Command)
+	// TickEvery is the interval of event.Tick.
 	TickEvery time.Duration
 	queue     chan event.Event
 }
 
-// NewOwner makes an owner with a queue of some length.
+// NewOwner makes an owner of a machine.
 func NewOwner(machine event.Machine, tickEvery time.Duration, execute func(event.Command)) *Owner {
-	return &Owner{Machine: machine, Execute: execute, TickEvery: tickEvery, queue: make(chan event.Event, 4096)}
+	return &Owner{Machine: machine, Execute: execute, TickEvery: tickEvery, queue: make(chan event.Event, ownerQueueLength)}
 }
 
-// Put hands an event in and waits if the queue is full.
+// Put queues an event, and waits while the queue is full.
 func (o *Owner) Put(ev event.Event) { o.queue <- ev }
 
-// Offer hands an event in unless the queue is full; what comes off the wire
-// may be lost, and must not hold the connections up.
+// Offer queues an event unless the queue is full. It is for messages from peers, which
+// may be lost and must not hold up the connections.
 func (o *Owner) Offer(ev event.Event) {
 	select {
 	case o.queue <- ev:
@@ -55,8 +52,8 @@
 		case <-ticker.C:
 			ev = event.Tick{}
 		}
-		for _, c := range o.Step(Now(), ev) {
-			o.Execute(c)
+		for _, command := range o.Step(Now(), ev) {
+			o.Execute(command)
 		}
 	}
 }
--- a/internal/transport/process/traffic.go
+++ b/internal/transport/process/traffic.go
@@ -8,24 +8,31 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// Way is where a message went.
+// Direction says where a frame went. It is the label way of the metrics
+// wire_messages_total and wire_bytes_total; a discarded frame has one of its own for
+// each reason.
 type Direction string
 
-// Lost are those that a full line had no room for.
+// The directions of frames that weren't discarded.
 const (
 	Sent     Direction = "sent"
 	Received Direction = "received"
-	Dropped  Direction = "lost"
+	// Dropped is a frame that was never sent, as its peer's queue was full.
+	Dropped Direction = "lost"
 )
 
-// Flow is what went one way, of one kind.
+// unknownKindName is the kind of frames of which this version doesn't know the type.
+const unknownKindName = "unknown"
+
+// Traffic is the count of frames of one kind in one direction.
 type Traffic struct {
-	Direction       Direction
+	Direction Direction
+	// Kind is the name of the message type.
 	Kind            string
 	Messages, Bytes uint64
 }
 
-// Tally counts frames by way and kind; a nil one counts nothing.
+// TrafficStats counts frames by direction and kind. A nil one counts nothing.
 type TrafficStats struct {
 	mu     sync.Mutex
 	byKind map[trafficKey]*Traffic
@@ -42,28 +49,29 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	traffic := t.byKind[trafficKey{direction, kind}]
+	key := trafficKey{direction, kind}
+	traffic := t.byKind[key]
 	if traffic == nil {
 		if t.byKind == nil {
 			t.byKind = map[trafficKey]*Traffic{}
 		}
-		traffic = &Traffic{Direction: direction, Kind: cmp.Or(kind.Name(), "unknown")}
-		t.byKind[trafficKey{direction, kind}] = traffic
+		traffic = &Traffic{Direction: direction, Kind: cmp.Or(kind.Name(), unknownKindName)}
+		t.byKind[key] = traffic
 	}
 	traffic.Messages++
 	traffic.Bytes += uint64(size)
 }
 
-// Snapshot gives what was counted so far, in a steady order.
+// Snapshot gives the counts so far, ordered by direction and kind.
 func (t *TrafficStats) Snapshot() []Traffic {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var out []Traffic
-	for _, f := range t.byKind {
-		out = append(out, *f)
+	var counts []Traffic
+	for _, traffic := range t.byKind {
+		counts = append(counts, *traffic)
 	}
-	slices.SortFunc(out, func(a, b Traffic) int {
+	slices.SortFunc(counts, func(a, b Traffic) int {
 		return cmp.Or(cmp.Compare(a.Direction, b.Direction), cmp.Compare(a.Kind, b.Kind))
 	})
-	return out
+	return counts
 }
--- a/internal/transport/process/traffic_log.go
+++ b/internal/transport/process/traffic_log.go
@@ -12,42 +12,53 @@
 )
 
 const (
-	// trafficLogInterval is how often what was sent is logged, and wireMost of how many
-	// kinds.
+	// trafficLogInterval is short enough to see what a fault costs while it lasts.
 	trafficLogInterval = 20 * time.Second
-	trafficLogKinds    = 5
+	// trafficLogKinds is how many kinds of message a summary names.
+	trafficLogKinds = 5
 )
 
-// logTraffic logs, now and then, what most of the bytes sent were.
+// logTraffic logs, every trafficLogInterval, the bytes sent since the last summary and
+// the kinds that made up most of them.
 func (t *Transport) logTraffic(ctx context.Context) {
-	tick := time.NewTicker(trafficLogInterval)
-	defer tick.Stop()
-	last := map[string]uint64{}
+	ticker := time.NewTicker(trafficLogInterval)
+	defer ticker.Stop()
+	logged := map[string]uint64{}
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		type row struct {
-			kind  string
-			bytes uint64
-		}
-		var rows []row
-		all := uint64(0)
-		for _, f := range t.Stats.Snapshot() {
-			if f.Direction != Sent {
-				continue
-			}
-			rows = append(rows, row{f.Kind, f.Bytes - last[f.Kind]})
-			all += f.Bytes - last[f.Kind]
-			last[f.Kind] = f.Bytes
-		}
-		slices.SortFunc(rows, func(a, b row) int { return cmp.Or(-cmp.Compare(a.bytes, b.bytes), cmp.Compare(a.kind, b.kind)) })
-		var parts []string
-		for _, r := range rows[:min(trafficLogKinds, len(rows))] {
-			parts = append(parts, r.kind+":"+strconv.FormatUint(r.bytes, 10))
+		total, largest := sentSince(logged, t.Stats.Snapshot())
+		t.Log.Event(event.LevelInfo, logTrafficSummary, "bytes", strconv.FormatUint(total, 10), "most", strings.Join(largest, ","))
+	}
+}
+
+// kindBytes is how much of one kind was sent.
+type kindBytes struct {
+	kind  string
+	bytes uint64
+}
+
+// sentSince gives the bytes sent beyond those logged, in all and for the largest
+// kinds (as KIND:BYTES), and updates logged.
+func sentSince(logged map[string]uint64, counts []Traffic) (total uint64, largest []string) {
+	var sent []kindBytes
+	for _, traffic := range counts {
+		if traffic.Direction != Sent {
+			continue
 		}
-		t.Log.Event(event.LevelInfo, "wire", "bytes", strconv.FormatUint(all, 10), "most", strings.Join(parts, ","))
+		since := traffic.Bytes - logged[traffic.Kind]
+		sent = append(sent, kindBytes{traffic.Kind, since})
+		total += since
+		logged[traffic.Kind] = traffic.Bytes
+	}
+	slices.SortFunc(sent, func(a, b kindBytes) int {
+		return cmp.Or(-cmp.Compare(a.bytes, b.bytes), cmp.Compare(a.kind, b.kind))
+	})
+	for _, s := range sent[:min(trafficLogKinds, len(sent))] {
+		largest = append(largest, s.kind+":"+strconv.FormatUint(s.bytes, 10))
 	}
+	return total, largest
 }
--- a/internal/transport/process/traffic_test.go
+++ b/internal/transport/process/traffic_test.go
@@ -11,33 +11,23 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-type textMessage struct{ Text string }
-
-var _ = wire.Register(65001, textMessage{})
-
-// What one post counts as sent, the other counts as received, byte for byte.
+// What one transport counts as sent, the other counts as received, byte for byte.
 func TestTrafficStats_SenderAndReceiverAgree(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
-	got := make(chan any, 8)
-	a, b := &Transport{Address: "127.0.0.1:0", Stats: &TrafficStats{}, Log: NewLog("error", "a")}, &Transport{Address: "127.0.0.1:0", Stats: &TrafficStats{}, Log: NewLog("error", "b")}
-	for _, p := range []*Transport{a, b} {
-		l, err := p.Listen()
-		is.NoErr(err)
-		p.Address = ids.Address(l.Addr().String())
-		p.Deliver = func(_ ids.Address, msg any) { got <- msg }
-		go func() { _ = p.Serve(ctx, l) }()
-	}
-	raw, err := wire.Encode(textMessage{"hello"})
-	is.NoErr(err)
-	// A post sends nothing before it serves.
-	for heard := false; !heard; {
-		a.Send(b.Address, textMessage{"hello"})
+	delivered := make(chan any, 8)
+	sender := &Transport{Stats: &TrafficStats{}, Log: NewLog("error", "a")}
+	receiver := &Transport{Stats: &TrafficStats{}, Log: NewLog("error", "b"), Deliver: func(_ ids.Address, msg any) { delivered <- msg }}
+	serve(t, sender)
+	serve(t, receiver)
+	// A transport sends nothing before it serves.
+	for arrived := false; !arrived; {
+		sender.Send(receiver.Address, textMessage{"hello"})
 		select {
-		case m := <-got:
+		case m := <-delivered:
 			is.Equal(m, textMessage{"hello"})
-			heard = true
+			arrived = true
 		case <-time.After(20 * time.Millisecond):
 		case <-ctx.Done():
 			t.Fatal("nothing arrived")
@@ -45,23 +35,47 @@
 	}
 	var sent, received Traffic
 	for ctx.Err() == nil && (sent.Messages == 0 || sent != received) {
-		sent, received = findTraffic(a.Stats, Sent), findTraffic(b.Stats, Received)
+		sent, received = textTraffic(sender.Stats, Sent), textTraffic(receiver.Stats, Received)
 	}
+	is.True(sent.Messages > 0)
 	is.Equal(sent, received)
-	is.Equal(sent.Bytes, sent.Messages*uint64(len(raw)))
+	is.Equal(sent.Bytes, sent.Messages*uint64(len(encodeFrame(t, textMessage{"hello"}))))
 }
 
-func findTraffic(t *TrafficStats, w Direction) Traffic {
-	for _, f := range t.Snapshot() {
-		if f.Direction == w && f.Kind == "hoist.note" {
-			f.Direction = ""
-			return f
+// textTraffic gives what was counted of textMessage in a direction, without the
+// direction.
+func textTraffic(stats *TrafficStats, direction Direction) Traffic {
+	for _, traffic := range stats.Snapshot() {
+		if traffic.Direction == direction && traffic.Kind == wire.KindOfMessage(textMessage{}).Name() {
+			traffic.Direction = ""
+			return traffic
 		}
 	}
 	return Traffic{}
 }
 
-func TestTrafficStats_NilCountsNothing(t *testing.T) {
+func TestTrafficStats_NilCountsNothing(_ *testing.T) {
 	var none *TrafficStats
 	none.count(Sent, 1, 10)
 }
+
+// A summary names the bytes since the last one, and the largest kinds first.
+func TestSentSince(t *testing.T) {
+	is := is.New(t)
+	logged := map[string]uint64{"a": 10}
+	counts := []Traffic{
+		{Direction: Sent, Kind: "a", Bytes: 15},
+		{Direction: Sent, Kind: "b", Bytes: 7},
+		{Direction: Sent, Kind: "c", Bytes: 7},
+		{Direction: Sent, Kind: "d", Bytes: 1},
+		{Direction: Sent, Kind: "e", Bytes: 2},
+		{Direction: Sent, Kind: "f", Bytes: 3},
+		{Direction: Received, Kind: "b", Bytes: 100},
+	}
+	total, largest := sentSince(logged, counts)
+	is.Equal(total, uint64(25))
+	is.Equal(largest, []string{"b:7", "c:7", "a:5", "f:3", "e:2"})
+	total, largest = sentSince(logged, counts[:1])
+	is.Equal(total, uint64(0))
+	is.Equal(largest, []string{"a:0"})
+}
