--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -1,4 +1,4 @@
-// Command proxy is the proxy: it carries clients' requests to targets.
+// Command proxy runs a proxy, which carries clients' requests to targets.
 package main
 
 import (
@@ -8,7 +8,7 @@
 )
 
 func main() {
-	var p proxy.DaemonOptions
-	settings.Read("proxy", "Carries consumers' requests to the targets of dunlinwell's services.", &p)
-	daemon.Exit("proxy", proxy.NewDaemon(p).Run(daemon.SignalContext()))
+	var options proxy.DaemonOptions
+	settings.Read("proxy", "Carries consumers' requests to the targets of dunlinwell's services.", &options)
+	daemon.Exit("proxy", proxy.NewDaemon(options).Run(daemon.SignalContext()))
 }
--- a/cmd/registry/main.go
+++ b/cmd/registry/main.go
@@ -1,5 +1,5 @@
-// Command registry is the registry: targets, liveness, the directory, the spill
-// planner and every outside control call.
+// Command registry runs a registry: targets and their liveness, the directory, the spill
+// planner and the control API.
 package main
 
 import (
@@ -8,7 +8,7 @@
 )
 
 func main() {
-	var p daemon.RegistryOptions
-	settings.Read("registry", "Keeps dunlinwell's targets and directory, plans the spill and takes control calls.", &p)
-	daemon.Exit("registry", daemon.RunRegistry(daemon.SignalContext(), p))
+	var options daemon.RegistryOptions
+	settings.Read("registry", "Keeps dunlinwell's targets and directory, plans the spill and takes control calls.", &options)
+	daemon.Exit("registry", daemon.RunRegistry(daemon.SignalContext(), options))
 }
--- a/cmd/store/main.go
+++ b/cmd/store/main.go
@@ -1,4 +1,5 @@
-// Command store is the durable store of configuration, marks and duties.
+// Command store runs a store, which keeps the configuration, idempotency records and
+// leases on disk, agreed on by a majority of stores.
 package main
 
 import (
@@ -7,7 +8,7 @@
 )
 
 func main() {
-	var p daemon.StoreOptions
-	settings.Read("store", "Keeps dunlinwell's policy, marks and duties, agreed on by a majority.", &p)
-	daemon.Exit("store", daemon.RunStore(daemon.SignalContext(), p))
+	var options daemon.StoreOptions
+	settings.Read("store", "Keeps dunlinwell's policy, marks and duties, agreed on by a majority.", &options)
+	daemon.Exit("store", daemon.RunStore(daemon.SignalContext(), options))
 }
--- a/internal/app/daemon/changes_bench_test.go
+++ b/internal/app/daemon/changes_bench_test.go
@@ -26,7 +26,7 @@
 			for i := range size {
 				m.Items = append(m.Items, route(i, 1))
 			}
-			if status, _ := c.merge(m); status != 200 {
+			if status, _ := c.merge(b, m); status != 200 {
 				b.Fatalf("status %d", status)
 			}
 			for b.Loop() {
@@ -36,42 +36,44 @@
 	}
 }
 
+// changesInARow makes changes one after the other and reports what they cost.
 func changesInARow(b *testing.B, c *testCore, size int) {
 	b.Helper()
 	const changes = 300
 	var times []time.Duration
-	before, wire, disk := processorTime(), c.changeBytesSent(), c.metricSum("disk_bytes_total")
+	before, wire, disk := processorTime(b), c.changeBytesSent(), c.metricSum("disk_bytes_total")
 	for i := range changes {
-		status, took := c.merge(configuration.Merge{Items: []configuration.VersionedItem{route(i%size, 2+i)}})
+		status, responseTime := c.merge(b, configuration.Merge{Items: []configuration.VersionedItem{route(i%size, 2+i)}})
 		if status != 200 {
-			b.Fatalf("change %d: status %d after %s", i, status, took)
+			b.Fatalf("change %d: status %d after %s", i, status, responseTime)
 		}
-		times = append(times, took)
+		times = append(times, responseTime)
 	}
 	slices.Sort(times)
 	b.ReportMetric(float64(times[changes/2].Milliseconds()), "ms_median")
 	b.ReportMetric(float64(times[changes-1].Milliseconds()), "ms_worst")
 	b.ReportMetric((c.changeBytesSent()-wire)/changes, "wire_B/change")
 	b.ReportMetric((c.metricSum("disk_bytes_total")-disk)/changes, "synced_B/change")
-	b.ReportMetric(float64((processorTime()-before).Milliseconds())/changes, "cpu_ms/change")
+	b.ReportMetric(float64((processorTime(b)-before).Milliseconds())/changes, "cpu_ms/change")
 }
 
-// changeBytesSent is what changes sent between daemons. Readings, which come with time
-// and not with changes, are left out.
+// changeBytesSent gives the bytes of the messages between daemons that changes cause.
+// Reads, which come with time and not with changes, are left out. The kinds are
+// prefixes: those of differences count as well.
 func (c *testCore) changeBytesSent() float64 {
 	const sent = `way="sent"`
 	return c.metricSum("wire_bytes_total", `kind="consensus.Accept`, sent) + c.metricSum("wire_bytes_total", `kind="consensus.Chosen`, sent)
 }
 
-// metricSum sums a figure over all daemons, of those lines that have every part.
+// metricSum sums a metric over all daemons, of those lines that contain every part.
 func (c *testCore) metricSum(name string, parts ...string) float64 {
 	sum := 0.0
-	for _, pages := range c.allHTTP {
-		res, err := http.Get("http://" + pages + "/metrics")
+	for _, address := range c.allHTTP {
+		response, err := http.Get("http://" + address + "/metrics")
 		if err != nil {
 			continue
 		}
-		lines := bufio.NewScanner(res.Body)
+		lines := bufio.NewScanner(response.Body)
 		for lines.Scan() {
 			line := lines.Text()
 			matches := strings.HasPrefix(line, "dunlinwell_"+name)
@@ -82,13 +84,17 @@
 				sum += v
 			}
 		}
-		res.Body.Close()
+		_ = response.Body.Close()
 	}
 	return sum
 }
 
-func processorTime() time.Duration {
-	var u syscall.Rusage
-	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+// processorTime gives the processor time that this process has used.
+func processorTime(b *testing.B) time.Duration {
+	b.Helper()
+	var usage syscall.Rusage
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
+		b.Fatal(err)
+	}
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
--- a/internal/app/daemon/large_test.go
+++ b/internal/app/daemon/core_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"net"
 	"net/http"
@@ -31,10 +32,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer func() { _ = l.Close() }()
 	return l.Addr().String()
 }
 
+// startCore starts a core that ends with the test.
 func startCore(t testing.TB) *testCore {
 	t.Helper()
 	ctx, end := context.WithCancel(context.Background())
@@ -58,22 +60,28 @@
 	t.Cleanup(func() {
 		end()
 		for range 4 {
-			<-ended
+			if err := <-ended; err != nil && !errors.Is(err, context.Canceled) {
+				t.Error(err)
+			}
 		}
 	})
 	return c
 }
 
-// merge posts a call and gives its status, 0 for none, and how long it took.
-func (c *testCore) merge(m configuration.Merge) (int, time.Duration) {
-	raw, _ := json.Marshal(m)
-	began := time.Now()
-	res, err := http.Post("http://"+c.registryHTTP+"/v1/merge", "application/json", bytes.NewReader(raw))
+// merge posts a call, and gives the status (0 without an answer) and the response time.
+func (c *testCore) merge(t testing.TB, m configuration.Merge) (status int, responseTime time.Duration) {
+	t.Helper()
+	raw, err := json.Marshal(m)
+	if err != nil {
+		t.Fatal(err)
+	}
+	start := time.Now()
+	response, err := http.Post("http://"+c.registryHTTP+"/v1/merge", "application/json", bytes.NewReader(raw))
 	if err != nil {
-		return 0, time.Since(began)
+		return 0, time.Since(start)
 	}
-	defer res.Body.Close()
-	return res.StatusCode, time.Since(began)
+	defer func() { _ = response.Body.Close() }()
+	return response.StatusCode, time.Since(start)
 }
 
 // waitBootstrapped waits until a first change is accepted.
@@ -82,7 +90,7 @@
 	body := json.RawMessage(`{"tier":3}`)
 	first := configuration.VersionedItem{Kind: "service", Name: "wader", Version: 1, Body: body, Source: body}
 	for range 300 {
-		if status, _ := c.merge(configuration.Merge{Items: []configuration.VersionedItem{first}}); status == 200 {
+		if status, _ := c.merge(t, configuration.Merge{Items: []configuration.VersionedItem{first}}); status == 200 {
 			return
 		}
 		<-time.After(100 * time.Millisecond)
@@ -90,6 +98,7 @@
 	t.Fatal("no core within 30 s")
 }
 
+// route gives the i-th route in a version.
 func route(i, version int) configuration.VersionedItem {
 	body := fmt.Sprintf(`{"prefix":"/r%05d","service":"wader","repeatable":true,"host":"h%d.example"}`, i, i)
 	return configuration.VersionedItem{
@@ -107,7 +116,7 @@
 	for i := range 15000 {
 		m.Items = append(m.Items, route(i, 1))
 	}
-	status, took := c.merge(m)
-	t.Logf("15,000 routes: status %d after %s", status, took)
+	status, responseTime := c.merge(t, m)
+	t.Logf("15,000 routes: status %d after %s", status, responseTime)
 	is.Equal(status, 200)
 }
--- a/internal/app/daemon/departure.go
+++ b/internal/app/daemon/graceful_stop.go
@@ -9,15 +9,12 @@
 	"dunlinwell/internal/transport/process"
 )
 
-const (
-	// httpStopGrace is how long a store's pages may finish what they began.
-	httpStopGrace = 300 * time.Millisecond
-	// stopSlack is how much longer than a store's own grace its process waits.
-	stopSlack = 200 * time.Millisecond
-)
+// stopSlack is how much longer than its grace period a store's process waits for the
+// machine: the machine's own timer must come first.
+const stopSlack = 200 * time.Millisecond
 
-// gracefulStop keeps a store's process serving after the polite signal until its
-// machine says that it may stop.
+// gracefulStop keeps a store serving after SIGTERM until its machine may stop: it may
+// have to hand its vote over first.
 type gracefulStop struct {
 	// serving ends when the process is to end.
 	serving context.Context
@@ -29,7 +26,8 @@
 	return &gracefulStop{serving: serving, end: end}
 }
 
-// onSignal tells the machine of the signal, and bounds what is left of the run.
+// onSignal asks the machine to leave once the context ends, and bounds how long that
+// may take.
 func (g *gracefulStop) onSignal(ctx context.Context, grace time.Duration, owner *process.Owner) {
 	context.AfterFunc(ctx, func() {
 		time.AfterFunc(grace+stopSlack, g.end)
@@ -37,13 +35,14 @@
 	})
 }
 
-// interceptMayStop looks for the machine's word among what it wants done.
-func (g *gracefulStop) interceptMayStop(do func(event.Command)) func(event.Command) {
+// interceptMayStop gives a function that ends serving at the machine's command
+// store.MayStop, and executes every other command.
+func (g *gracefulStop) interceptMayStop(execute func(event.Command)) func(event.Command) {
 	return func(c event.Command) {
 		if _, ok := c.(store.MayStop); ok {
 			g.end()
 			return
 		}
-		do(c)
+		execute(c)
 	}
 }
--- /dev/null
+++ b/internal/app/daemon/log.go
@@ -0,0 +1,17 @@
+package daemon
+
+import "dunlinwell/internal/base/event"
+
+// The events of a daemon's start and end.
+const (
+	LogStarted  event.LogEvent = "daemon_started"
+	LogStopping event.LogEvent = "daemon_stopping"
+	LogStopped  event.LogEvent = "daemon_stopped"
+)
+
+const (
+	logSupervisor       event.LogEvent = "supervisor_event"
+	logDiskFailed       event.LogEvent = "disk_failed"
+	logDatabaseDamaged  event.LogEvent = "database_damaged"
+	logDatabaseReplaced event.LogEvent = "database_replaced"
+)
--- a/internal/app/daemon/metrics.go
+++ b/internal/app/daemon/metrics.go
@@ -11,57 +11,69 @@
 	"dunlinwell/internal/transport/process"
 )
 
-// Metric is one figure as it stands at the moment of asking.
+// metricPrefix begins the name of each metric of ours.
+const metricPrefix = "dunlinwell_"
+
+// Metric is one metric and its value at the moment of the scrape.
 type Metric struct {
+	// Name is without the prefix dunlinwell_.
 	Name   string
 	Labels []string
+	// Values are those of the labels, in the same order.
 	Values []string
 	Value  float64
-	// IsCounter marks a figure that only grows.
+	// IsCounter marks a metric that only grows; others are gauges.
 	IsCounter bool
 }
 
-// collector asks a daemon for its figures at each scrape.
+// collector gives a daemon's metrics to Prometheus, read at each scrape.
 type collector struct{ read func() []Metric }
 
-// Describe sends nothing: the figures differ from one moment to the next.
+// Describe sends nothing, which tells Prometheus that the set of metrics varies.
 func (c collector) Describe(chan<- *prometheus.Desc) {}
 
-// Collect reads the figures.
+// Collect reads the metrics. One whose labels don't fit its values is left out.
 func (c collector) Collect(out chan<- prometheus.Metric) {
-	for _, x := range c.read() {
+	for _, m := range c.read() {
 		kind := prometheus.GaugeValue
-		if x.IsCounter {
+		if m.IsCounter {
 			kind = prometheus.CounterValue
 		}
-		m, err := prometheus.NewConstMetric(prometheus.NewDesc("dunlinwell_"+x.Name, x.Name, x.Labels, nil), kind, x.Value, x.Values...)
+		description := prometheus.NewDesc(metricPrefix+m.Name, m.Name, m.Labels, nil)
+		metric, err := prometheus.NewConstMetric(description, kind, m.Value, m.Values...)
 		if err == nil {
-			out <- m
+			out <- metric
 		}
 	}
 }
 
-// lockWaitMetric is how long threads of this process have waited for locks.
+// lockWaitMetric gives how long goroutines of this process have waited for locks.
 func lockWaitMetric() Metric {
-	s := []metrics.Sample{{Name: "/sync/mutex/wait/total:seconds"}}
-	metrics.Read(s)
-	return Metric{Name: "lock_wait_seconds_total", Value: s[0].Value.Float64(), IsCounter: true}
+	samples := []metrics.Sample{{Name: "/sync/mutex/wait/total:seconds"}}
+	metrics.Read(samples)
+	return Metric{Name: "lock_wait_seconds_total", Value: samples[0].Value.Float64(), IsCounter: true}
 }
 
-// Wire gives what a post has carried, by way and kind.
-func TrafficMetrics(t *process.TrafficStats) []Metric {
+// TrafficMetrics gives the messages and bytes of a transport, by direction and kind.
+func TrafficMetrics(stats *process.TrafficStats) []Metric {
 	var out []Metric
-	for _, f := range t.Snapshot() {
-		labels, values := []string{"way", "kind"}, []string{string(f.Direction), f.Kind}
-		out = append(out, Metric{Name: "wire_messages_total", Labels: labels, Values: values, Value: float64(f.Messages), IsCounter: true},
-			Metric{Name: "wire_bytes_total", Labels: labels, Values: values, Value: float64(f.Bytes), IsCounter: true})
+	for _, traffic := range stats.Snapshot() {
+		labels, values := []string{"way", "kind"}, []string{string(traffic.Direction), traffic.Kind}
+		out = append(out,
+			Metric{Name: "wire_messages_total", Labels: labels, Values: values, Value: float64(traffic.Messages), IsCounter: true},
+			Metric{Name: "wire_bytes_total", Labels: labels, Values: values, Value: float64(traffic.Bytes), IsCounter: true})
 	}
 	return out
 }
 
-// HandleMetrics adds the plain page of figures.
-func HandleMetrics(m *http.ServeMux, read func() []Metric) {
+// HandleMetrics adds the page of metrics: those read at each scrape, and those of the
+// Go runtime and the process.
+func HandleMetrics(mux *http.ServeMux, read func() []Metric) {
 	r := prometheus.NewRegistry()
-	r.MustRegister(collector{func() []Metric { return append(read(), lockWaitMetric()) }}, collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	m.Handle("GET /metrics", promhttp.HandlerFor(r, promhttp.HandlerOpts{}))
+	r.MustRegister(
+		collector{func() []Metric { return append(read(), lockWaitMetric()) }},
+		collectors.NewGoCollector(),
+		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}),
+	)
+	mux.Handle("GET /metrics", promhttp.HandlerFor(r, promhttp.HandlerOpts{}))
 }
--- a/internal/app/daemon/registry.go
+++ b/internal/app/daemon/registry.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"math/rand/v2"
 	"net/http"
 	"sync/atomic"
 	"time"
@@ -18,88 +17,127 @@
 	"dunlinwell/internal/transport/process"
 )
 
-// ForemanOptions are what a registry is told at its start.
-type RegistryOptions struct {
-	settings.Common
-	PlanEvery          time.Duration `help:"How often the spill is planned." default:"30s" name:"plan-every"`
-	ResolutionLifetime time.Duration `help:"How long an answer of the directory may be trusted, 3s at most." default:"2s" name:"lifetime"`
-	Incremental        bool          `help:"Tell only of what changes, and each proxy by two registries alone; the same on all core daemons." name:"thrifty"`
-	// Options that a platform's own start sets.
-	Regions                        map[ids.Name]string `kong:"-"`
-	AlwaysResolve, DeriveSetPoints bool                `kong:"-"`
-	// ExtraHandlers gives what is served besides our own pages, by address.
-	ExtraHandlers func(w *api.Server) map[string]http.Handler `kong:"-"`
-}
-
-// registryStopGrace is how long a registry sends callers on after the polite signal.
-const registryStopGrace = time.Second
+const (
+	// registryTick is the interval of a registry's timer. Its shortest time-outs are
+	// some hundred milliseconds.
+	registryTick = 50 * time.Millisecond
+	// registryStopGrace is how long a registry answers after SIGTERM. Meanwhile it says
+	// that it leaves, and callers turn to another.
+	registryStopGrace = time.Second
+)
 
-// Validate checks what the common options don't cover.
-func (o *RegistryOptions) Validate() error {
-	if o.ResolutionLifetime <= 0 || o.ResolutionLifetime > 3*time.Second {
-		return &StartError{errorf("--lifetime: must be over 0 and at most 3s")}
+// RunRegistry runs a registry until the context ends.
+func RunRegistry(ctx context.Context, options RegistryOptions) error {
+	d := newRegistryDaemon(options)
+	peers, httpListener, err := openListeners(d.transport, options.HTTPListenAddress())
+	if err != nil {
+		return err
 	}
-	if o.PlanEvery < time.Second {
-		return &StartError{errorf("--plan-every: must be at least 1s")}
+	var stopping atomic.Bool
+	handler := d.handler(&stopping)
+	services := []suture.Service{d.owner, NewTask("transport", func(ctx context.Context) error { return d.transport.Serve(ctx, peers) })}
+	extra, err := d.extraServices()
+	if err != nil {
+		return err
 	}
-	return o.Common.Validate()
+	serving, end := d.servingContext(ctx)
+	defer end()
+	return serveUntilStopped(ctx, "registry", d.log, &stopping,
+		func() error { return api.Serve(serving, httpListener, handler, httpStopGrace) },
+		append(services, extra...)...)
 }
 
-// RunForeman runs a registry until the context ends.
-func RunRegistry(ctx context.Context, options RegistryOptions) error {
+// registryDaemon is a registry's machine with what executes its commands.
+type registryDaemon struct {
+	options   RegistryOptions
+	log       *process.Log
+	machine   *registry.Registry
+	owner     *process.Owner
+	transport *process.Transport
+	server    *api.Server
+}
+
+func newRegistryDaemon(options RegistryOptions) *registryDaemon {
 	log := process.NewLog(options.LogLevel, options.Name)
-	machine := registry.New(registry.Options{
-		Options:   membership.Options{Self: NewMember(options.Common, membership.Registry), Seeds: options.SeedAddresses(), Incremental: options.Incremental},
-		PlanEvery: options.PlanEvery, Lifetime: options.ResolutionLifetime, Regions: options.Regions, Incremental: options.Incremental, AlwaysAnswer: options.AlwaysResolve, DeriveLevels: options.DeriveSetPoints, Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-	})
-	transport := &process.Transport{Address: ids.Address(options.Address), Bind: ids.Address(options.Bind), Log: log, Stats: &process.TrafficStats{}}
-	server := &api.Server{Log: log.Event}
-	owner := process.NewOwner(machine, 50*time.Millisecond, func(c event.Command) {
-		switch c := c.(type) {
-		case event.Send:
-			transport.Send(c.To, c.Msg)
-		case event.LogEntry:
-			log.WriteEntry(c)
-		case event.Discarded:
-			transport.Discard(c)
-		case registry.Response:
-			server.HandleResponse(c)
-		}
-	})
+	d := &registryDaemon{
+		options: options, log: log,
+		machine: registry.New(registry.Options{
+			Options:   membership.Options{Self: NewMember(options.Common, membership.Registry), Seeds: options.SeedAddresses(), Incremental: options.Incremental},
+			PlanEvery: options.PlanEvery, Lifetime: options.ResolutionLifetime, Regions: options.Regions, Incremental: options.Incremental,
+			AlwaysAnswer: options.AlwaysResolve, DeriveLevels: options.DeriveSetPoints, Random: newRandom(),
+		}),
+		transport: newTransport(options.Common, log),
+		server:    &api.Server{Log: log.Event},
+	}
+	d.owner = process.NewOwner(d.machine, registryTick, d.execute)
+	d.server.Put = d.owner.Put
+	deliverTo(d.transport, d.owner)
+	return d
+}
+
+// newTransport makes the transport of a registry or store.
+func newTransport(options settings.Common, log *process.Log) *process.Transport {
+	return &process.Transport{Address: ids.Address(options.Address), Bind: ids.Address(options.Bind), Log: log, Stats: &process.TrafficStats{}}
+}
+
+// deliverTo hands the messages that a transport receives to an owner.
+func deliverTo(transport *process.Transport, owner *process.Owner) {
 	transport.Deliver = func(from ids.Address, msg any) { owner.Offer(event.Received{From: from, Msg: msg}) }
-	server.Put = owner.Put
-	peerListener, httpListener, err := openListeners(transport, options.HTTPListenAddress())
-	if err != nil {
-		return err
+}
+
+// execute carries out a command of the machine.
+func (d *registryDaemon) execute(command event.Command) {
+	switch c := command.(type) {
+	case event.Send:
+		d.transport.Send(c.To, c.Msg)
+	case event.LogEntry:
+		d.log.WriteEntry(c)
+	case event.Discarded:
+		d.transport.Discard(c)
+	case registry.Response:
+		d.server.HandleResponse(c)
 	}
-	var stopping atomic.Bool
+}
+
+// handler gives the registry's HTTP pages.
+func (d *registryDaemon) handler(stopping *atomic.Bool) http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("/v1/", server.Handler())
-	handleMemberHealth(mux, machine.SelfMember, &stopping)
+	mux.Handle("/v1/", d.server.Handler())
+	handleMemberHealth(mux, d.machine.SelfMember, stopping)
 	HandleMetrics(mux, func() []Metric {
-		out := TrafficMetrics(transport.Stats)
-		for _, f := range server.Status().Metrics() {
-			out = append(out, Metric{Name: f.Name, Labels: f.Labels, Values: f.Values, Value: f.Value})
+		out := TrafficMetrics(d.transport.Stats)
+		for _, m := range d.server.Status().Metrics() {
+			out = append(out, Metric{Name: m.Name, Labels: m.Labels, Values: m.Values, Value: m.Value})
 		}
 		return out
 	})
-	tasks := []suture.Service{owner, NewTask("post", func(c context.Context) error { return transport.Serve(c, peerListener) })}
-	if options.ExtraHandlers != nil {
-		for at, h := range options.ExtraHandlers(server) {
-			l, err := api.Listen(at)
-			if err != nil {
-				return err
-			}
-			tasks = append(tasks, NewTask("pages "+at, func(c context.Context) error { return api.Serve(c, l, h, 300*time.Millisecond) }))
+	return mux
+}
+
+// extraServices opens the addresses of options.ExtraHandlers, and gives a service for
+// each.
+func (d *registryDaemon) extraServices() ([]suture.Service, error) {
+	if d.options.ExtraHandlers == nil {
+		return nil, nil
+	}
+	var services []suture.Service
+	for address, handler := range d.options.ExtraHandlers(d.server) {
+		l, err := api.Listen(address)
+		if err != nil {
+			return nil, err
 		}
+		services = append(services, NewTask("http "+address, func(ctx context.Context) error { return api.Serve(ctx, l, handler, httpStopGrace) }))
 	}
-	// What is under way is finished, and callers are sent on meanwhile.
+	return services, nil
+}
+
+// servingContext gives the context of the HTTP pages, which ends registryStopGrace
+// after ctx does. At the end of ctx the machine is told that it stops.
+func (d *registryDaemon) servingContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	serving, end := context.WithCancel(context.Background())
-	defer end()
 	context.AfterFunc(ctx, func() {
 		time.AfterFunc(registryStopGrace, end)
-		owner.Put(registry.Stopping{})
+		d.owner.Put(registry.Stopping{})
 	})
-	return serveUntilStopped(ctx, "registry", log, &stopping, func() error { return api.Serve(serving, httpListener, mux, httpStopGrace) },
-		tasks...)
+	return serving, end
 }
