--- a/internal/app/api/fuzz_test.go
+++ b/internal/app/api/calls_fuzz_test.go
@@ -17,7 +17,7 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// testRegistry is a registry with one store that agrees at once, behind its pages.
+// testRegistry is a registry behind its API, with one store that agrees at once.
 type testRegistry struct {
 	*Server
 	mu       sync.Mutex
@@ -26,54 +26,58 @@
 	now      ids.Time
 }
 
+// newTestRegistry gives a registry that has found its store.
 func newTestRegistry() *testRegistry {
 	self := membership.Member{ID: "f", Role: membership.Registry, Address: "10.0.0.1:1", RunID: 1, Zone: "north"}
-	o := &testRegistry{Server: &Server{}, now: 1}
-	o.registry = registry.New(registry.Options{Options: membership.Options{Self: self}, Random: rand.New(rand.NewPCG(1, 1))})
-	o.Put = func(ev any) {
-		o.mu.Lock()
-		defer o.mu.Unlock()
-		o.step(ev)
+	t := &testRegistry{Server: &Server{}, now: 1}
+	t.registry = registry.New(registry.Options{Options: membership.Options{Self: self}, Random: rand.New(rand.NewPCG(1, 1))})
+	t.Put = func(ev any) {
+		t.mu.Lock()
+		defer t.mu.Unlock()
+		t.step(ev)
 	}
-	o.step(event.Received{From: "10.0.0.2:1", Msg: membership.Heartbeat{Self: membership.Member{ID: "s", Role: membership.Store, Address: "10.0.0.2:1", RunID: 1, Ready: true}}})
+	t.step(event.Received{From: "10.0.0.2:1", Msg: membership.Heartbeat{Self: membership.Member{ID: "s", Role: membership.Store, Address: "10.0.0.2:1", RunID: 1, Ready: true}}})
 	for range 3 {
-		o.now += 200e6
-		o.step(event.Tick{})
+		t.now += 200e6
+		t.step(event.Tick{})
 	}
-	return o
+	return t
 }
 
-func (o *testRegistry) step(ev event.Event) {
-	for _, c := range o.registry.Step(o.now, ev) {
+// step steps the machine, and the store that answers it.
+func (t *testRegistry) step(ev event.Event) {
+	for _, c := range t.registry.Step(t.now, ev) {
 		switch c := c.(type) {
 		case event.Send:
 			if r, ok := c.Msg.(consensus.Request); ok {
-				o.step(event.Received{From: c.To, Msg: o.agree(r)})
+				t.step(event.Received{From: c.To, Msg: t.agree(r)})
 			}
 		case registry.Response:
-			o.HandleResponse(c)
+			t.HandleResponse(c)
 		}
 	}
 }
 
-// agree is the store's part.
-func (o *testRegistry) agree(r consensus.Request) consensus.Response {
-	out := o.value
+// agree is what the store answers.
+func (t *testRegistry) agree(r consensus.Request) consensus.Response {
+	out := t.value
 	if change := configuration.Ops()[r.Op]; change != nil && r.Key == configuration.Key {
-		o.value, out = change(r.Key, o.value, r.Arg)
+		t.value, out = change(r.Key, t.value, r.Arg)
 	}
 	return consensus.Response{ID: r.ID, Attempt: r.Attempt, Outcome: consensus.Succeeded, Result: out}
 }
 
-func (o *testRegistry) revision() ids.Revision {
-	p, err := configuration.Decode(o.value)
+// revision gives the revision of the configuration that the store holds.
+func (t *testRegistry) revision() ids.Revision {
+	p, err := configuration.Decode(t.value)
 	if err != nil {
 		return 0
 	}
 	return p.Revision
 }
 
-func (o *testRegistry) call(method, path, match, body string) *httptest.ResponseRecorder {
+// call sends a call to the API; match is its header If-Match.
+func (t *testRegistry) call(method, path, match, body string) *httptest.ResponseRecorder {
 	r := &http.Request{
 		Method: method, URL: &url.URL{Path: "/v1/" + path}, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Host: "h",
 		Header: http.Header{"If-Match": {match}}, Body: http.NoBody, RemoteAddr: "10.0.0.9:1",
@@ -82,17 +86,18 @@
 		r.Body = http.MaxBytesReader(nil, readCloser{strings.NewReader(body)}, maxMergeBody)
 	}
 	rw := httptest.NewRecorder()
-	o.Handler().ServeHTTP(rw, r)
+	t.Handler().ServeHTTP(rw, r)
 	return rw
 }
 
+// readCloser is a body in memory.
 type readCloser struct{ *strings.Reader }
 
 // Close does nothing.
 func (readCloser) Close() error { return nil }
 
-// FuzzCalls gives the control pages any call: one that isn't answered with
-// success changes nothing, and each gets one of the documented answers.
+// FuzzCalls gives the API any call: one that isn't answered with 200 changes nothing,
+// and each gets one of the documented answers.
 func FuzzCalls(f *testing.F) {
 	for _, c := range [][4]string{
 		{"PUT", "services/wader", "", `{}`},
@@ -113,23 +118,23 @@
 		f.Add(c[0], c[1], c[2], c[3])
 	}
 	f.Fuzz(func(t *testing.T, method, path, match, body string) {
-		o := newTestRegistry()
-		o.call("PUT", "services/wader", "", `{}`)
-		before, value := o.revision(), string(o.value)
+		r := newTestRegistry()
+		r.call("PUT", "services/wader", "", `{}`)
+		before, value := r.revision(), string(r.value)
 		if before != 1 {
 			t.Fatalf("the first change gave revision %d", before)
 		}
-		rw := o.call(method, path, match, body)
+		rw := r.call(method, path, match, body)
 		switch rw.Code {
 		case 200, 301, 307, 308, 400, 404, 405, 409, 413, 503, 504:
 		default:
 			t.Fatalf("%s %q: status %d", method, path, rw.Code)
 		}
-		after := o.revision()
+		after := r.revision()
 		if rw.Code != 200 && after != before {
-			t.Fatalf("%s %q was answered %d, and changed the policy", method, path, rw.Code)
+			t.Fatalf("%s %q was answered %d, and changed the configuration", method, path, rw.Code)
 		}
-		if method == http.MethodGet && string(o.value) != value {
+		if method == http.MethodGet && string(r.value) != value {
 			t.Fatalf("reading %q changed something", path)
 		}
 	})
