--- a/internal/app/daemon/committer.go
+++ b/internal/app/daemon/committer.go
@@ -19,8 +19,8 @@
 	// maxBatchSize bounds how many Sync commands share one sync of the disk, and how many
 	// records one pass deletes, so that neither holds up the others for long.
 	maxBatchSize = 512
-	// commitQueueLength is how many Sync commands may wait. The machine reports a
-	// stalled disk long before it is full.
+	// commitQueueLength is how many Sync commands may wait for the disk. It is large, as
+	// the machine's owner stands still while the queue is full.
 	commitQueueLength = 1 << 16
 )
 
--- a/internal/app/daemon/options.go
+++ b/internal/app/daemon/options.go
@@ -14,7 +14,7 @@
 	// maxResolutionLifetime bounds how long clients may trust an answer of the
 	// directory: traffic must leave a failed zone within seconds.
 	maxResolutionLifetime = 3 * time.Second
-	// minPlanInterval keeps a plan from being replaced before proxies have applied it.
+	// minPlanInterval leaves a plan the time to reach the proxies before the next.
 	minPlanInterval = time.Second
 )
 
--- a/internal/app/daemon/registry.go
+++ b/internal/app/daemon/registry.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	// registryTick is the interval of a registry's timer. Its shortest time-outs are
-	// some hundred milliseconds.
+	// registryTick is the interval of a registry's timer, and so the resolution of its
+	// time-outs.
 	registryTick = 50 * time.Millisecond
 	// registryStopGrace is how long a registry answers after SIGTERM. Meanwhile it says
 	// that it leaves, and callers turn to another.
--- a/internal/app/daemon/store.go
+++ b/internal/app/daemon/store.go
@@ -17,8 +17,8 @@
 	"dunlinwell/internal/transport/process"
 )
 
-// storeTick is the interval of a store's timer. Its shortest time-outs are some
-// hundred milliseconds.
+// storeTick is the interval of a store's timer, and so the resolution of its
+// time-outs.
 const storeTick = 20 * time.Millisecond
 
 // RunStore runs a store until the context ends. When the store finds that another
--- a/internal/app/daemon/supervise.go
+++ b/internal/app/daemon/supervise.go
@@ -15,7 +15,7 @@
 
 const (
 	// httpStopGrace is how long HTTP calls under way may take to finish once a daemon
-	// stops. Most take milliseconds; platforms kill a process soon after.
+	// has stopped serving.
 	httpStopGrace = 300 * time.Millisecond
 	// servicesStopGrace is how long a daemon waits for its services to end before the
 	// process does.
--- a/internal/base/delta/delta_test.go
+++ b/internal/base/delta/delta_test.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// Many changed items that are much alike cost about 40 bytes each.
+// Many changed items that are much alike cost less than 40 bytes each.
 func TestDiff_ManyChangesAmongSimilarItems(t *testing.T) {
 	is := is.New(t)
 	base := configurationLike(5000, 0, 0)
--- a/internal/transport/process/connection.go
+++ b/internal/transport/process/connection.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// writeTimeout is how long a peer may take nothing of a chunk before its
-	// connection is given up. A live peer on a slow link takes a chunk in tenths of a
-	// second.
+	// writeTimeout is how long a peer may take for one chunk before its connection is
+	// given up. A link that carries writeChunkSize in that time (16 KiB/s) is slow, but
+	// alive.
 	writeTimeout = 2 * time.Second
 	// idleTimeout is how long a connection without messages stays open. Members send
-	// heartbeats far more often, so it ends only those to daemons that are gone.
+	// heartbeats more often, so it ends those to daemons that are gone.
 	idleTimeout = time.Minute
 	// writeChunkSize is how much of a frame must leave within writeTimeout, in bytes. A
 	// deadline for the whole frame would cut off each large one on a slow link, every
--- a/internal/transport/process/owner.go
+++ b/internal/transport/process/owner.go
@@ -7,8 +7,8 @@
 	"dunlinwell/internal/base/event"
 )
 
-// ownerQueueLength is how many events may wait for a machine: some tenths of a second
-// of a large fleet's messages.
+// ownerQueueLength is how many events may wait for a machine. Beyond it messages are
+// lost (Offer) and other events wait (Put).
 const ownerQueueLength = 4096
 
 // Owner steps a machine with the events of its queue and of a timer, and executes the
--- a/internal/transport/wire/deflate.go
+++ b/internal/transport/wire/deflate.go
@@ -13,8 +13,7 @@
 const (
 	// flagDeflated, in Header.Flags, marks a frame whose body is deflated.
 	flagDeflated = 1
-	// minDeflateSize is the smallest frame worth the processor time, in bytes: only
-	// whole configurations and tables of targets are larger.
+	// minDeflateSize is the smallest frame that is worth the processor time, in bytes.
 	minDeflateSize = 32 << 10
 )
 
--- a/internal/transport/wire/frame.go
+++ b/internal/transport/wire/frame.go
@@ -13,8 +13,8 @@
 // ErrUnregisteredType is returned by Encode for a message whose type has no kind.
 var ErrUnregisteredType = errors.New("no kind is registered for the type")
 
-// initialBodyBuffer is how much is allocated for a body before its bytes arrive. It
-// holds nearly every message whole; a larger body grows as it arrives.
+// initialBodyBuffer is how much is allocated for a body before its bytes arrive. A
+// larger body grows as it arrives.
 const initialBodyBuffer = 1 << 20
 
 // The steps that errors of this package name.
--- a/internal/transport/wire/header.go
+++ b/internal/transport/wire/header.go
@@ -19,8 +19,7 @@
 	// Version is the version of the format. It changes only with one that today's
 	// readers can't read; fields added to a message don't change it.
 	Version = 1
-	// MaxBodySize bounds a body, in bytes. The largest is a whole configuration: one
-	// of 15,000 routes is a few MB.
+	// MaxBodySize bounds a body, in bytes. The largest is a whole configuration.
 	MaxBodySize = 96 << 20
 
 	magic = 0x6477
