--- a/internal/app/manifest/manifest.go
+++ b/internal/app/manifest/manifest.go
@@ -1,5 +1,3 @@
-// Package manifest reads Kubernetes-style objects into the same checked change
-// that every other way of sending configuration makes.
 package manifest
 
 import (
@@ -16,105 +14,143 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// APIVersion is what the objects must say.
+// APIVersion is the apiVersion that objects must have.
 const APIVersion = "dunlinwell/v1"
 
+const (
+	// documentSeparator is the line between two documents of a YAML stream.
+	documentSeparator = "---"
+	// maxLineLength bounds a line, in bytes.
+	maxLineLength = 1 << 20
+)
+
+// itemKinds gives the kind of item for the kind of an object.
 var itemKinds = map[string]string{"Service": "service", "Route": "route", "Cell": "cell"}
 
-// Read makes one whole change of all documents, YAML or JSON. Unknown kinds
-// and fields are faults that name the document and the path.
+// change is a change in JSON, as configuration.ReadChange reads it.
+type change struct {
+	Items []json.RawMessage `json:"changes"`
+	ID    string            `json:"id"`
+}
+
+// itemChange is the change of one item: its body replaces the item's.
+type itemChange struct {
+	Kind    string          `json:"kind"`
+	Name    string          `json:"name"`
+	Put     json.RawMessage `json:"put"`
+	Version json.RawMessage `json:"version,omitempty"`
+}
+
+// reporter takes a violation: the path of a field, and what is wrong with it.
+type reporter func(path, reason string)
+
+// Read makes one change, with an id, of all documents. It gives the change or the
+// violations, never both.
 func Read(id string, raw []byte) ([]byte, []configuration.Violation) {
-	var violations []configuration.Violation
-	var parts []json.RawMessage
-	for i, doc := range splitDocuments(raw) {
-		item := fmt.Sprintf("document %d", i+1)
-		report := func(path, why string) {
-			violations = append(violations, configuration.Violation{Item: item, Path: path, Reason: why})
-		}
-		// Strict: a doubled key is an error here already.
-		js, err := yaml.YAMLToJSONStrict(doc)
-		if err != nil {
-			report("", err.Error())
-			continue
-		}
-		if string(js) == "null" {
-			continue
-		}
-		if part := itemChange(gjson.ParseBytes(js), report); part != nil {
-			parts = append(parts, part)
-		}
-	}
-	if len(parts) == 0 && len(violations) == 0 {
-		violations = append(violations, configuration.Violation{Item: "file", Reason: "holds no objects"})
+	items, violations := readItems(raw)
+	if len(items) == 0 && len(violations) == 0 {
+		violations = fileViolation("holds no objects")
 	}
 	if len(violations) > 0 {
 		return nil, violations
 	}
-	change, err := json.Marshal(map[string]any{"id": id, "changes": parts})
+	encoded, err := json.Marshal(change{Items: items, ID: id})
 	if err != nil {
-		return nil, []configuration.Violation{{Item: "file", Reason: err.Error()}}
+		return nil, fileViolation(err.Error())
 	}
-	// The very check that the registry makes, so that faults show before sending.
-	if _, violations := configuration.ReadChange(change); len(violations) > 0 {
+	// The registry makes the same check; here its violations show before anything is sent.
+	if _, violations := configuration.ReadChange(encoded); len(violations) > 0 {
 		return nil, violations
 	}
-	return change, nil
+	return encoded, nil
+}
+
+func fileViolation(reason string) []configuration.Violation {
+	return []configuration.Violation{{Item: "file", Reason: reason}}
 }
 
-// splitDocuments cuts a stream into documents at lines of three dashes.
+// readItems makes an item's change of each document.
+func readItems(raw []byte) (items []json.RawMessage, violations []configuration.Violation) {
+	for i, document := range splitDocuments(raw) {
+		report := func(path, reason string) {
+			violations = append(violations, configuration.Violation{Item: fmt.Sprintf("document %d", i+1), Path: path, Reason: reason})
+		}
+		// Strict: a repeated key is an error.
+		asJSON, err := yaml.YAMLToJSONStrict(document)
+		if err != nil {
+			report("", err.Error())
+			continue
+		}
+		if string(asJSON) == "null" {
+			continue // comments alone
+		}
+		if item := readObject(gjson.ParseBytes(asJSON), report); item != nil {
+			items = append(items, item)
+		}
+	}
+	return items, violations
+}
+
+// splitDocuments cuts a stream into its documents, without empty ones.
 func splitDocuments(raw []byte) [][]byte {
-	var docs [][]byte
-	var doc bytes.Buffer
+	var documents [][]byte
+	var document bytes.Buffer
 	lines := bufio.NewScanner(bytes.NewReader(raw))
-	lines.Buffer(nil, 1<<20)
+	lines.Buffer(nil, maxLineLength)
 	for lines.Scan() {
-		if line := lines.Text(); line == "---" || strings.HasPrefix(line, "--- ") {
-			docs = append(docs, bytes.Clone(doc.Bytes()))
-			doc.Reset()
+		if line := lines.Text(); line == documentSeparator || strings.HasPrefix(line, documentSeparator+" ") {
+			documents = append(documents, bytes.Clone(document.Bytes()))
+			document.Reset()
 			continue
 		}
-		doc.Write(lines.Bytes())
-		doc.WriteByte('\n')
+		document.Write(lines.Bytes())
+		document.WriteByte('\n')
 	}
-	docs = append(docs, doc.Bytes())
-	return slices.DeleteFunc(docs, func(d []byte) bool { return len(bytes.TrimSpace(d)) == 0 })
+	documents = append(documents, document.Bytes())
+	return slices.DeleteFunc(documents, func(d []byte) bool { return len(bytes.TrimSpace(d)) == 0 })
 }
 
-// itemChange turns one object into one part of the change.
-func itemChange(doc gjson.Result, report func(path, why string)) json.RawMessage {
-	if !doc.IsObject() {
+// readObject makes an item's change of one object, in JSON; nil if a violation leaves
+// nothing to make it of.
+func readObject(object gjson.Result, report reporter) json.RawMessage {
+	if !object.IsObject() {
 		report("", "must be an object")
 		return nil
 	}
-	configuration.CheckKeys(doc, "", report, "apiVersion", "kind", "metadata", "spec")
-	if v := doc.Get("apiVersion"); v.String() != APIVersion {
+	configuration.CheckKeys(object, "", report, "apiVersion", "kind", "metadata", "spec")
+	if version := object.Get("apiVersion"); version.String() != APIVersion {
 		report("apiVersion", "must be "+APIVersion)
 	}
-	kind, known := itemKinds[doc.Get("kind").String()]
+	kind, known := itemKinds[object.Get("kind").String()]
 	if !known {
-		report("kind", fmt.Sprintf("%q is not known; there are Service, Route and Cell", doc.Get("kind").String()))
+		report("kind", fmt.Sprintf("%q is not known; there are Service, Route and Cell", object.Get("kind").String()))
 	}
-	meta := doc.Get("metadata")
-	configuration.CheckKeys(meta, "metadata", report, "name", "resourceVersion")
-	if !meta.IsObject() || meta.Get("name").Type != gjson.String {
+	metadata := object.Get("metadata")
+	configuration.CheckKeys(metadata, "metadata", report, "name", "resourceVersion")
+	if !metadata.IsObject() || metadata.Get("name").Type != gjson.String {
 		report("metadata.name", "is missing")
 	}
-	spec := doc.Get("spec")
+	spec := object.Get("spec")
 	if !spec.IsObject() {
 		report("spec", "must be an object")
 	}
 	if !known || !spec.IsObject() {
 		return nil
 	}
-	part := map[string]any{"kind": kind, "name": meta.Get("name").Value(), "put": json.RawMessage(spec.Raw)}
-	if v := meta.Get("resourceVersion"); v.Exists() {
-		part["version"] = json.RawMessage(strings.Trim(v.Raw, `"`))
-		if !json.Valid(part["version"].(json.RawMessage)) {
+	item := itemChange{Kind: kind, Name: metadata.Get("name").String(), Put: json.RawMessage(spec.Raw)}
+	return encodeItem(item, metadata.Get("resourceVersion"), report)
+}
+
+// encodeItem adds an expected version, if there is one, and gives the item in JSON.
+func encodeItem(item itemChange, version gjson.Result, report reporter) json.RawMessage {
+	if version.Exists() {
+		item.Version = json.RawMessage(strings.Trim(version.Raw, `"`))
+		if !json.Valid(item.Version) {
 			report("metadata.resourceVersion", "must be an item's version")
 			return nil
 		}
 	}
-	raw, err := json.Marshal(part)
+	raw, err := json.Marshal(item)
 	if err != nil {
 		report("", err.Error())
 	}
--- a/internal/app/manifest/manifest_test.go
+++ b/internal/app/manifest/manifest_test.go
@@ -23,16 +23,17 @@
 
 func TestRead_MakesOneChange(t *testing.T) {
 	is := is.New(t)
-	raw, faults := Read("x", []byte(validManifest))
-	is.Equal(len(faults), 0)
-	c, faults := configuration.ReadChange(raw)
-	is.Equal(len(faults), 0)
+	raw, violations := Read("x", []byte(validManifest))
+	is.Equal(len(violations), 0)
+	c, violations := configuration.ReadChange(raw)
+	is.Equal(len(violations), 0)
 	is.Equal(len(c.Items), 2)
 	is.Equal(string(c.Items[0].Put), `{"tier":8}`)
 	is.Equal(uint64(*c.Items[1].Version), uint64(0))
-	p, _ := configuration.Decode(nil)
-	_, r := p.Apply(c)
-	is.True(r.Accepted())
+	document, err := configuration.Decode(nil)
+	is.NoErr(err)
+	_, result := document.Apply(c)
+	is.True(result.Accepted())
 }
 
 func TestRead_NamesEachViolation(t *testing.T) {
@@ -48,13 +49,15 @@
 		validManifest + "---\napiVersion: dunlinwell/v1\nkind: Cell\nmetadata: {name: c}\nspec: {target: -1}": "cell/c|target|must be from",
 		"apiVersion: dunlinwell/v1\nkind: Service\nspec: {}":                                                  "document 1|metadata.name|is missing",
 	} {
-		change, faults := Read("x", []byte(raw))
-		all := ""
-		for _, f := range faults {
-			all += f.Item + "|" + f.Path + "|" + f.Reason + "\n"
-		}
-		if change != nil || !strings.Contains(all, want) {
-			t.Errorf("%s gave %q, not %q", raw, all, want)
-		}
+		t.Run(want, func(t *testing.T) {
+			change, violations := Read("x", []byte(raw))
+			all := ""
+			for _, v := range violations {
+				all += v.Item + "|" + v.Path + "|" + v.Reason + "\n"
+			}
+			if change != nil || !strings.Contains(all, want) {
+				t.Errorf("%s gave %q, not %q", raw, all, want)
+			}
+		})
 	}
 }
