--- a/internal/tools/knownred/judge/main.go
+++ b/internal/tools/knownred/judge/main.go
@@ -1,5 +1,5 @@
-// Command judge runs a go test command, prints what it prints, and fails on
-// every red test but those listed as known, and on those listed that aren't red.
+// Command judge runs a go test command, prints what it prints, and fails unless the
+// failed tests are just those of a list: judge LIST COMMAND.
 package main
 
 import (
@@ -23,41 +23,59 @@
 	}
 }
 
-func run(list, command string) error {
-	raw, err := os.ReadFile(list)
-	// No list is an empty one.
-	if err != nil && !errors.Is(err, fs.ErrNotExist) {
+// run runs a command and judges it by the list in a file.
+func run(listPath, command string) error {
+	list, err := readList(listPath)
+	if err != nil {
 		return err
 	}
-	known, err := knownred.Read(string(raw))
+	judge := knownred.New(os.Stdout)
+	exit, err := follow(judge, command)
+	if err != nil {
+		return err
+	}
+	verdict := judge.Verdict(list, exit)
+	for _, line := range verdict.KnownFailures {
+		fmt.Println("known red: " + line)
+	}
+	for _, line := range verdict.Objections {
+		fmt.Println("against: " + line)
+	}
+	if len(verdict.Objections) > 0 {
+		return fmt.Errorf("%d against the run", len(verdict.Objections))
+	}
+	return nil
+}
+
+// readList reads a list; one that doesn't exist is empty.
+func readList(path string) ([]knownred.Entry, error) {
+	raw, err := os.ReadFile(path)
+	if err != nil && !errors.Is(err, fs.ErrNotExist) {
+		return nil, err
+	}
+	list, err := knownred.Read(string(raw))
 	if err != nil {
-		return fmt.Errorf("%s: %w", list, err)
+		return nil, fmt.Errorf("%s: %w", path, err)
 	}
+	return list, nil
+}
+
+// follow runs a command with the flag -json, hands its events to the judge, and gives
+// its exit code; -1 if it didn't exit by itself.
+func follow(judge *knownred.Judge, command string) (exit int, err error) {
 	cmd := exec.Command("bash", "-c", command+" -json")
 	cmd.Stderr = os.Stderr
-	out, err := cmd.StdoutPipe()
+	events, err := cmd.StdoutPipe()
 	if err != nil {
-		return err
+		return 0, err
 	}
 	if err := cmd.Start(); err != nil {
-		return err
+		return 0, err
 	}
-	j := knownred.New(os.Stdout)
-	if err := j.Follow(out); err != nil {
-		return err
+	if err := judge.Follow(events); err != nil {
+		return 0, err
 	}
-	// A red run ends with 1; the judge weighs the code, and any other failure
-	// to run leaves it at -1.
+	// A failed run is an error here; the exit code says all that the judge weighs.
 	_ = cmd.Wait()
-	v := j.Verdict(known, cmd.ProcessState.ExitCode())
-	for _, line := range v.KnownFailures {
-		fmt.Println("known red: " + line)
-	}
-	for _, line := range v.Objections {
-		fmt.Println("against: " + line)
-	}
-	if len(v.Objections) > 0 {
-		return fmt.Errorf("%d against the run", len(v.Objections))
-	}
-	return nil
+	return cmd.ProcessState.ExitCode(), nil
 }
--- a/internal/tools/knownred/knownred_test.go
+++ b/internal/tools/knownred/knownred_test.go
@@ -8,35 +8,41 @@
 	"github.com/matryer/is"
 )
 
-// encodeEvents gives the events of a run; a word is package action test output.
+// encodeEvents gives the events of a run as go test prints them.
 func encodeEvents(events ...testEvent) string {
 	var b strings.Builder
 	for _, e := range events {
-		raw, _ := json.Marshal(e)
+		raw, err := json.Marshal(e)
+		if err != nil {
+			panic(err) // a struct of strings can always be encoded
+		}
 		b.Write(append(raw, '\n'))
 	}
 	return b.String()
 }
 
-// testRun is a test from its start to its end.
+// testRun gives the events of a test from its start to its end.
 func testRun(pkg, test, result string) []testEvent {
 	return []testEvent{{"run", pkg, test, ""}, {"output", pkg, test, "=== RUN   " + test + "\n"}, {"output", pkg, test, "--- " + result + ": " + test + "\n"}, {result, pkg, test, ""}}
 }
 
-// passedPackage and red are how an orderly package ends.
+// passedPackage gives the events of a package that passed.
 func passedPackage(pkg string, tests ...[]testEvent) []testEvent {
 	return append(packageEvents(pkg, tests), testEvent{"output", pkg, "", "PASS\n"}, testEvent{"output", pkg, "", "ok  \t" + pkg + "\t0.1s\n"}, testEvent{"pass", pkg, "", ""})
 }
 
+// failedPackage gives the events of a package that came to its end and failed.
 func failedPackage(pkg string, tests ...[]testEvent) []testEvent {
 	return append(packageEvents(pkg, tests), testEvent{"output", pkg, "", "FAIL\n"}, testEvent{"output", pkg, "", "FAIL\t" + pkg + "\t0.1s\n"}, testEvent{"fail", pkg, "", ""})
 }
 
-// crashedPackage is a package whose binary died: no closing line of its own.
+// crashedPackage gives the events of a package whose binary died: it prints no last
+// line of its own.
 func crashedPackage(pkg string, tests ...[]testEvent) []testEvent {
 	return append(packageEvents(pkg, tests), testEvent{"output", pkg, "", "FAIL\t" + pkg + "\t0.1s\n"}, testEvent{"fail", pkg, "", ""})
 }
 
+// packageEvents gives the events of a package up to its end.
 func packageEvents(pkg string, tests [][]testEvent) []testEvent {
 	out := []testEvent{{"start", pkg, "", ""}}
 	for _, t := range tests {
--- a/internal/tools/knownred/list.go
+++ b/internal/tools/knownred/list.go
@@ -1,4 +1,3 @@
-// Package redlist judges a test run against the list of tests known to be red.
 package knownred
 
 import (
@@ -6,33 +5,47 @@
 	"strings"
 )
 
-// Entry is one test that is known to be red, and why.
+// fieldsPerLine are the test, the cause and the issue.
+const fieldsPerLine = 3
+
+// Entry is one test that is known to fail. Test is package.TestName, with /subtest.
 type Entry struct{ Test, Cause, Issue string }
 
-// Read reads the list: `package.TestName | cause | issue`, one a line; lines
-// that start with # are comments. A line that can't be read spoils the list, or
-// a record of the pen would go unseen.
+// String gives the entry as a line of the list.
+func (e Entry) String() string { return fmt.Sprintf("%s | %s | %s", e.Test, e.Cause, e.Issue) }
+
+// Read reads a list: `package.TestName | cause | issue`, one a line; empty lines and
+// lines that start with # are passed over. Any other line is an error, as an entry that
+// can't be read would go unseen.
 func Read(raw string) ([]Entry, error) {
-	var out []Entry
+	var entries []Entry
 	seen := map[string]bool{}
 	for n, line := range strings.Split(raw, "\n") {
 		line = strings.TrimSpace(line)
 		if line == "" || strings.HasPrefix(line, "#") {
 			continue
 		}
-		parts := strings.Split(line, "|")
-		if len(parts) != 3 {
-			return nil, fmt.Errorf("line %d: want `package.TestName | cause | issue`, not %q", n+1, line)
+		entry, err := parseEntry(line)
+		if err != nil {
+			return nil, fmt.Errorf("line %d: %w", n+1, err)
 		}
-		k := Entry{strings.TrimSpace(parts[0]), strings.TrimSpace(parts[1]), strings.TrimSpace(parts[2])}
-		switch {
-		case k.Test == "" || k.Cause == "" || k.Issue == "":
-			return nil, fmt.Errorf("line %d: the test, its cause or its issue is missing", n+1)
-		case seen[k.Test]:
-			return nil, fmt.Errorf("line %d: %s is listed twice", n+1, k.Test)
+		if seen[entry.Test] {
+			return nil, fmt.Errorf("line %d: %s is listed twice", n+1, entry.Test)
 		}
-		seen[k.Test] = true
-		out = append(out, k)
+		seen[entry.Test] = true
+		entries = append(entries, entry)
+	}
+	return entries, nil
+}
+
+func parseEntry(line string) (Entry, error) {
+	fields := strings.Split(line, "|")
+	if len(fields) != fieldsPerLine {
+		return Entry{}, fmt.Errorf("want `package.TestName | cause | issue`, not %q", line)
+	}
+	entry := Entry{strings.TrimSpace(fields[0]), strings.TrimSpace(fields[1]), strings.TrimSpace(fields[2])}
+	if entry.Test == "" || entry.Cause == "" || entry.Issue == "" {
+		return Entry{}, fmt.Errorf("the test, its cause or its issue is missing")
 	}
-	return out, nil
+	return entry, nil
 }
--- /dev/null
+++ b/internal/tools/knownred/verdict.go
@@ -0,0 +1,89 @@
+package knownred
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+)
+
+// exitTestsFailed is the exit code of go test when a package failed.
+const exitTestsFailed = 1
+
+// Verdict is the outcome of a run: the failures that the list lets pass, and all that
+// speaks against the run. A run passes without objections.
+type Verdict struct{ KnownFailures, Objections []string }
+
+func (v *Verdict) object(format string, args ...any) {
+	v.Objections = append(v.Objections, fmt.Sprintf(format, args...))
+}
+
+// Verdict judges the run by the list and by the exit code of go test. A name stands for
+// itself alone: a failed subtest and its parent are two entries, as the events don't say
+// whether the parent failed by itself as well.
+func (j *Judge) Verdict(list []Entry, exit int) Verdict {
+	var v Verdict
+	j.judgePackages(&v)
+	j.judgeTests(&v, list)
+	j.judgeExit(&v, exit)
+	return v
+}
+
+// judgePackages objects to packages whose results are incomplete.
+func (j *Judge) judgePackages(v *Verdict) {
+	for _, name := range slices.Sorted(maps.Keys(j.packages)) {
+		if reason := j.packages[name].incompleteReason(); reason != "" {
+			v.object("%s %s", name, reason)
+		}
+	}
+}
+
+// judgeTests objects to listed tests that didn't fail, and to failed tests that aren't
+// listed.
+func (j *Judge) judgeTests(v *Verdict, list []Entry) {
+	results := j.testResults()
+	listed := map[string]bool{}
+	for _, entry := range list {
+		listed[entry.Test] = true
+		switch result, ran := results[entry.Test]; {
+		case !ran:
+			v.object("%s is listed as red, but didn't run", entry.Test)
+		case result == actionFail:
+			v.KnownFailures = append(v.KnownFailures, entry.String())
+		case result != "":
+			v.object("%s is listed as red, but ended with %q", entry.Test, result)
+		}
+	}
+	for _, name := range slices.Sorted(maps.Keys(results)) {
+		if results[name] == actionFail && !listed[name] {
+			v.object("%s is red and not listed", name)
+		}
+	}
+}
+
+// testResults gives the result of each test, by package.TestName.
+func (j *Judge) testResults() map[string]string {
+	results := map[string]string{}
+	for name, p := range j.packages {
+		for test, result := range p.tests {
+			results[name+"."+test] = result
+		}
+	}
+	return results
+}
+
+// judgeExit objects to an exit code that the events don't explain, as that of a package
+// that can't be found.
+func (j *Judge) judgeExit(v *Verdict, exit int) {
+	failed := 0
+	for _, p := range j.packages {
+		if p.result == actionFail {
+			failed++
+		}
+	}
+	switch {
+	case len(j.packages) == 0:
+		v.object("no package was tested")
+	case exit != 0 && (exit != exitTestsFailed || failed == 0), exit == 0 && failed > 0:
+		v.object("go test ended with %d and %d failed packages", exit, failed)
+	}
+}
