--- a/internal/base/ids/ids.go
+++ b/internal/base/ids/ids.go
@@ -33,7 +33,7 @@
 // the daemon restarts or refutes a suspicion (SWIM, Das et al. 2002).
 type Incarnation uint64
 
-// Sequence orders the heartbeats of one incarnation of a target.
+// Sequence orders the heartbeats of one incarnation of a daemon or target.
 type Sequence uint64
 
 // StreamNumber counts the pushes sent along one connection.
