--- a/internal/tools/doccheck/doccheck_test.go
+++ b/internal/tools/doccheck/doccheck_test.go
@@ -1,5 +1,3 @@
-// Package doccheck holds tests alone: every package and every exported item of
-// this module has a doc comment, and each doc comment begins with the item's name.
 package doccheck
 
 import (
--- a/internal/tools/ratchet/ratchet.go
+++ b/internal/tools/ratchet/ratchet.go
@@ -1,5 +1,3 @@
-// Package ratchet compares what a check found with the list of folders that
-// aren't clean yet, so that a clean folder stays clean and the list only shrinks.
 package ratchet
 
 import (
