--- a/internal/app/manifest/manifest.go
+++ b/internal/app/manifest/manifest.go
@@ -41,9 +41,6 @@
 	Version json.RawMessage `json:"version,omitempty"`
 }
 
-// reporter takes a violation: the path of a field, and what is wrong with it.
-type reporter func(path, reason string)
-
 // Read makes one change, with an id, of all documents. It gives the change or the
 // violations, never both.
 func Read(id string, raw []byte) ([]byte, []configuration.Violation) {
@@ -111,8 +108,8 @@
 }
 
 // readObject makes an item's change of one object, in JSON; nil if a violation leaves
-// nothing to make it of.
-func readObject(object gjson.Result, report reporter) json.RawMessage {
+// nothing to make it of. It reports violations by the path of the field.
+func readObject(object gjson.Result, report func(path, reason string)) json.RawMessage {
 	if !object.IsObject() {
 		report("", "must be an object")
 		return nil
@@ -142,7 +139,7 @@
 }
 
 // encodeItem adds an expected version, if there is one, and gives the item in JSON.
-func encodeItem(item itemChange, version gjson.Result, report reporter) json.RawMessage {
+func encodeItem(item itemChange, version gjson.Result, report func(path, reason string)) json.RawMessage {
 	if version.Exists() {
 		item.Version = json.RawMessage(strings.Trim(version.Raw, `"`))
 		if !json.Valid(item.Version) {
