--- /dev/null
+++ b/internal/controlplane/spill/recall.go
@@ -0,0 +1,119 @@
+package spill
+
+import (
+	"slices"
+
+	"dunlinwell/internal/base/ids"
+)
+
+// maxStalePlans is how many plans in a row a move outlives unchanged while an end of it is
+// stale. Each further one halves it.
+const maxStalePlans = 2
+
+// expireMoves ends moves that lost an end or their route, and shrinks, step by step, those
+// of which an end has been stale for several plans.
+func (p *planner) expireMoves() {
+	p.moves = slices.DeleteFunc(p.moves, func(m Move) bool {
+		expired := p.isExpired(m)
+		if expired {
+			p.returning[zoneRoute{m.From, m.Route}] += m.PlannedCPU
+		}
+		return expired
+	})
+	for i, m := range p.moves {
+		if max(p.zones[m.From].StalePlans, p.zones[m.To].StalePlans) > maxStalePlans {
+			p.returning[zoneRoute{m.From, m.Route}] += m.PlannedCPU / 2
+			p.moves[i].Fraction /= 2
+			p.moves[i].PlannedCPU /= 2
+			p.moves[i].Reason = reasonExpiring
+		}
+	}
+}
+
+// isExpired tells whether a move's route was removed, or an end of it was removed, drained
+// or, if it is the destination, left without proxies.
+func (p *planner) isExpired(m Move) bool {
+	from, to := p.zones[m.From], p.zones[m.To]
+	_, ranked := p.Ranks[m.Route]
+	return !ranked || from == nil || to == nil || to.Drained || to.NoProxies || from.Drained
+}
+
+// recallGain damps recalls: a zone recalls half of its free capacity with each plan, so
+// that it doesn't swing between its acceptable level and its maximum.
+const recallGain = 0.5
+
+// recallMoves lets a recovered zone shrink its own moves, the most urgent route first,
+// before it may receive anything.
+func (p *planner) recallMoves(zone *Zone) {
+	used := p.expectedUse(zone)
+	if !zone.isPlannable() || used >= zone.Acceptable {
+		return
+	}
+	free := (zone.Target - used) * recallGain
+	outgoing := p.indexesOf(func(m Move) bool { return m.From == zone.Name })
+	slices.SortStableFunc(outgoing, func(a, b int) int { return -p.compareRouteRanks(p.moves[a], p.moves[b]) })
+	// Taken before any fraction changes, as demand depends on them.
+	demands := map[ids.Name]float64{}
+	for _, i := range outgoing {
+		route := p.moves[i].Route
+		if _, ok := demands[route]; !ok {
+			demands[route] = p.demand(zone, route)
+		}
+	}
+	for _, i := range outgoing {
+		m := &p.moves[i]
+		demand := demands[m.Route]
+		moved := m.Fraction * demand
+		if demand <= 0 || moved <= free {
+			free -= moved
+			m.Fraction = 0
+			continue
+		}
+		m.Fraction -= max(free, 0) / demand
+		m.PlannedCPU = m.Fraction * demand
+		m.Reason = reasonRecalled
+		free = 0
+	}
+	p.dropSmallMoves()
+}
+
+// returnExcess has a destination over its maximum send back what it received, the least
+// urgent route first, before it moves anything of its own.
+func (p *planner) returnExcess(zone *Zone) {
+	used := p.expectedUse(zone)
+	if zone.Stale || used <= zone.Maximum {
+		return
+	}
+	excess := excessCPU(used, used, zone.Target)
+	incoming := p.indexesOf(func(m Move) bool { return m.To == zone.Name })
+	slices.SortStableFunc(incoming, func(a, b int) int { return p.compareRouteRanks(p.moves[a], p.moves[b]) })
+	for _, i := range incoming {
+		m := &p.moves[i]
+		if excess <= 0 || m.Fraction <= 0 {
+			break
+		}
+		demand := p.demand(p.zones[m.From], m.Route)
+		returned := min(excess, m.Fraction*demand)
+		if demand > 0 {
+			m.Fraction -= returned / demand
+			m.PlannedCPU = m.Fraction * demand
+		} else {
+			m.Fraction = 0
+		}
+		m.Reason = reasonReturned
+		excess -= returned
+		p.PendingOut[zone.Name] += returned
+		p.PendingIn[m.From] += returned
+	}
+}
+
+// indexesOf returns the indexes of the moves that match.
+func (p *planner) indexesOf(matches func(Move) bool) []int {
+	var indexes []int
+	for i, m := range p.moves {
+		if matches(m) {
+			indexes = append(indexes, i)
+		}
+	}
+	return indexes
+}
--- /dev/null
+++ b/internal/dataplane/dispatch/balancer.go
@@ -0,0 +1,129 @@
+package dispatch
+
+import (
+	"math"
+	"slices"
+
+	"dunlinwell/internal/base/ids"
+)
+
+// The largest distances (Allocation.Distance) that count as the proxy's own zone, and as
+// its own region.
+const (
+	sameZoneDistance   = 0
+	sameRegionDistance = 1
+)
+
+// The parts of its latency goal that a job waits for a slot in its own zone before it
+// takes one in the region, and for one in the region before it takes one beyond.
+const (
+	sameZoneWaitShare   = 0.04
+	sameRegionWaitShare = 0.15
+)
+
+// mayServe tells whether a target is available and in one of a job's regions.
+func (d *Dispatcher) mayServe(e *endpoint, j *job) bool {
+	return d.isAvailable(e) && (len(j.Homes) == 0 || slices.Contains(j.Homes, e.Region))
+}
+
+// maxDistance returns how far away a job's target may be by now. Another zone costs time
+// and traffic that a short wait for a slot nearby doesn't; if there is no target nearby
+// that could serve the job, there is nothing to wait for.
+func (d *Dispatcher) maxDistance(now ids.Time, j *job) float64 {
+	if j.LatencyGoal == 0 {
+		return math.Inf(1)
+	}
+	sameZone, sameRegion := false, false
+	for _, e := range d.sortedEndpoints {
+		if d.mayServe(e, j) && now >= e.SlowStartUntil && e.isReady(now, d.meanResponseTime) && d.slotShare(now, e.Allocation) > 0 {
+			sameZone = sameZone || e.Distance == sameZoneDistance
+			sameRegion = sameRegion || e.Distance <= sameRegionDistance
+		}
+	}
+	waited := float64(now.Sub(j.queuedAt)) / float64(j.LatencyGoal)
+	switch {
+	case sameZone && waited < sameZoneWaitShare:
+		return sameZoneDistance
+	case sameRegion && waited < sameRegionWaitShare:
+		return sameRegionDistance
+	}
+	return math.Inf(1)
+}
+
+// pickEndpoint chooses a target with a free slot, or returns nil: in the nearest zone that
+// has one, the least occupied target for a job with a latency goal, and else the less
+// occupied of two random ones.
+func (d *Dispatcher) pickEndpoint(now ids.Time, j *job) *endpoint {
+	candidates := d.nearestCandidates(now, j)
+	if len(candidates) == 0 {
+		return nil
+	}
+	if j.LatencyGoal > 0 {
+		return d.leastOccupied(now, candidates)
+	}
+	a, b := candidates[d.Random.IntN(len(candidates))], candidates[d.Random.IntN(len(candidates))]
+	if d.occupancy(now, b) < d.occupancy(now, a) {
+		return b
+	}
+	return a
+}
+
+// nearestCandidates returns the targets with a free slot for a job that are equally good:
+// all ready, or none of them, and all equally near. The result is valid until the next call.
+func (d *Dispatcher) nearestCandidates(now ids.Time, j *job) []*endpoint {
+	candidates, candidatesReady := d.candidates[:0], false
+	// Once all targets were tried, the same one may be tried again.
+	skipTried := len(j.triedTargets) == 0 || slices.ContainsFunc(d.sortedEndpoints, func(e *endpoint) bool {
+		return d.mayServe(e, j) && !j.triedTargets[e.Instance]
+	})
+	maxDistance := d.maxDistance(now, j)
+	for _, e := range d.sortedEndpoints {
+		if (skipTried && j.triedTargets[e.Instance]) || !d.mayServe(e, j) || e.Distance > maxDistance {
+			continue
+		}
+		// Asking for slow start refills the bucket, so it is asked last.
+		if e.inFlight >= d.slotShare(now, e.Allocation) || !e.slowStartAllows(now) {
+			continue
+		}
+		ready := e.isReady(now, d.meanResponseTime)
+		switch {
+		case len(candidates) == 0 || (ready && !candidatesReady) || (ready == candidatesReady && e.Distance < candidates[0].Distance):
+			candidates, candidatesReady = append(candidates[:0], e), ready
+		case ready == candidatesReady && e.Distance == candidates[0].Distance:
+			candidates = append(candidates, e)
+		}
+	}
+	d.candidates = candidates
+	return candidates
+}
+
+// leastOccupied returns the least occupied candidate; of several, a random one.
+func (d *Dispatcher) leastOccupied(now ids.Time, candidates []*endpoint) *endpoint {
+	var best *endpoint
+	lowest, ties := 0.0, 0
+	for _, e := range candidates {
+		switch occupancy := d.occupancy(now, e); {
+		case best == nil || occupancy < lowest:
+			best, lowest, ties = e, occupancy, 1
+		case occupancy == lowest:
+			// Each of n equal ones is kept with probability 1/n.
+			if ties++; d.Random.IntN(ties) == 0 {
+				best = e
+			}
+		}
+	}
+	return best
+}
+
+// occupancy returns how full a target is, where 1 is full: the larger of this proxy's use
+// of its share, the target's heartbeat, and the load reported with its responses.
+func (d *Dispatcher) occupancy(now ids.Time, e *endpoint) float64 {
+	occupancy := float64(e.inFlight) / float64(max(d.slotShare(now, e.Allocation), 1))
+	if e.Capacity > 0 {
+		occupancy = max(occupancy, float64(e.Occupancy)/float64(e.Capacity))
+	}
+	if e.loadReportedAt != 0 && now.Sub(e.loadReportedAt) < loadReportLifetime {
+		occupancy = max(occupancy, e.reportedLoad)
+	}
+	return occupancy
+}
--- /dev/null
+++ b/internal/state/consensus/lossy_network_test.go
@@ -0,0 +1,154 @@
+package consensus
+
+import (
+	"bytes"
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+)
+
+// lossyNetwork is three stores whose messages are lost, duplicated and delayed, and which
+// are killed and restarted from their disks.
+type lossyNetwork struct {
+	random    *rand.Rand
+	now       ids.Time
+	stores    map[ids.Address]*testStore
+	inTransit []event.Send
+	senders   []ids.Address
+	responses []Response
+	runCount  uint64
+	// cutOff is a store that receives nothing for some steps.
+	cutOff      ids.Address
+	cutOffSteps int
+	// deltas counts the votes for a value that came as a delta, wholeValueRequests the
+	// times that a store asked for the whole value.
+	deltas, wholeValueRequests int
+}
+
+func newLossyNetwork(seed uint64) *lossyNetwork {
+	l := &lossyNetwork{random: rand.New(rand.NewPCG(seed, 7)), now: 1, stores: map[ids.Address]*testStore{}}
+	for i, at := range addresses {
+		l.start(at, uint64(i+1), memoryDisk{})
+		l.stores[at].MarkComplete()
+		l.stores[at].AdoptVoterSet(threeVoters)
+	}
+	return l
+}
+
+// start begins a run of a store on a disk.
+func (l *lossyNetwork) start(at ids.Address, store uint64, disk memoryDisk) {
+	l.runCount++
+	l.stores[at] = newTestStore(store, disk, store<<24|l.runCount, appendArgOnce, l.random)
+}
+
+// collect carries out what the stores asked for; their messages are in transit then.
+func (l *lossyNetwork) collect() {
+	for _, at := range addresses {
+		for _, c := range l.stores[at].syncAll() {
+			if r, ok := c.Msg.(Response); ok {
+				l.responses = append(l.responses, r)
+				continue
+			}
+			for n := l.random.IntN(20); n > 0; n -= 17 { // one in twenty lost, two duplicated
+				l.inTransit, l.senders = append(l.inTransit, c), append(l.senders, at)
+			}
+		}
+	}
+}
+
+func (l *lossyNetwork) step() {
+	l.collect()
+	if l.cutOffSteps--; l.cutOffSteps <= 0 {
+		l.cutOff = ""
+	}
+	switch n := l.random.IntN(400); {
+	case n == 0:
+		i := l.random.IntN(3)
+		l.start(addresses[i], uint64(i+1), l.stores[addresses[i]].disk)
+	case n < 3 && l.cutOff == "":
+		l.cutOff, l.cutOffSteps = addresses[l.random.IntN(3)], 300
+	case n < 60 || len(l.inTransit) == 0:
+		l.now = l.now.Add(20 * time.Millisecond)
+		for _, at := range addresses {
+			l.stores[at].Proposer.Tick(l.now)
+		}
+	default:
+		// Mostly in order, sometimes any of those in transit.
+		i := 0
+		if l.random.IntN(6) == 0 {
+			i = l.random.IntN(len(l.inTransit))
+		}
+		c, from := l.inTransit[i], l.senders[i]
+		l.inTransit, l.senders = append(l.inTransit[:i], l.inTransit[i+1:]...), append(l.senders[:i], l.senders[i+1:]...)
+		if c.To != l.cutOff {
+			l.deliver(from, c)
+		}
+	}
+}
+
+// deliver hands a message to its store, and counts what became of a delta.
+func (l *lossyNetwork) deliver(from ids.Address, c event.Send) {
+	to := l.stores[c.To]
+	if vote, ok := c.Msg.(Accepted); ok && vote.NeedsWholeValue {
+		l.wholeValueRequests++
+	}
+	v, ok := c.Msg.(AcceptDifference)
+	if !ok {
+		to.deliver(l.now, from, c.Msg)
+		return
+	}
+	held, _ := to.AcceptedValue(v.Key)
+	to.deliver(l.now, from, c.Msg)
+	if now, _ := to.AcceptedValue(v.Key); now != held && now == v.Ballot {
+		l.deltas++
+	}
+}
+
+// Whatever is lost, duplicated, delayed or killed: all results are prefixes of one history,
+// no acknowledged change is missing from it, and deltas carry most of it.
+func TestDeltas_OneHistoryUnderLossAndRestarts(t *testing.T) {
+	deltas, wholeValueRequests := 0, 0
+	for seed := range uint64(60) {
+		l := newLossyNetwork(seed)
+		base := randomText(rand.New(rand.NewPCG(seed, 1)), 6000)
+		for i := range 40 {
+			arg := []byte(fmt.Sprintf("<%d>", i))
+			if i == 0 {
+				arg = base
+			}
+			at := addresses[l.random.IntN(3)]
+			l.stores[at].Submit(l.now, "w", Request{ID: uint64(i), Key: "policy", Op: opAppend, Arg: arg, TimeoutMillis: 3000})
+			for range 60 {
+				l.step()
+			}
+		}
+		for range 2000 {
+			l.step()
+		}
+		checkOneHistory(t, seed, l.responses)
+		deltas, wholeValueRequests = deltas+l.deltas, wholeValueRequests+l.wholeValueRequests
+	}
+	t.Logf("votes for deltas: %d, requests for whole values: %d", deltas, wholeValueRequests)
+	if deltas < 1000 || wholeValueRequests < 50 {
+		t.Fatal("too few of either: the test shows little")
+	}
+}
+
+func checkOneHistory(t *testing.T, seed uint64, responses []Response) {
+	t.Helper()
+	var longest []byte
+	for _, r := range responses {
+		if r.Outcome == Succeeded && len(r.Result) > len(longest) {
+			longest = r.Result
+		}
+	}
+	for _, r := range responses {
+		if r.Outcome == Succeeded && !bytes.HasPrefix(longest, r.Result) {
+			t.Fatalf("seed %d: change %d has a result that the last one doesn't continue", seed, r.ID)
+		}
+	}
+}
--- /dev/null
+++ b/internal/state/consensus/store_test.go
@@ -0,0 +1,207 @@
+package consensus
+
+import (
+	"bytes"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"testing"
+
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/transport/wire"
+)
+
+// This file holds what the tests of the package share: a disk in memory, a store with its
+// acceptor and proposer, and the exchange of messages between three of them.
+
+// memoryDisk is a Storage that syncs at once and can be read again after a restart.
+type memoryDisk map[ids.RegisterKey][]byte
+
+func (d memoryDisk) Get(key ids.RegisterKey) ([]byte, bool) {
+	value, ok := d[key]
+	return value, ok
+}
+
+func (d memoryDisk) Scan(after ids.RegisterKey, n int) []event.Record {
+	var records []event.Record
+	for _, key := range slices.Sorted(maps.Keys(d)) {
+		if key > after && key < "item0" && len(records) < n {
+			records = append(records, event.Record{Key: key, Value: d[key]})
+		}
+	}
+	return records
+}
+
+func (d memoryDisk) write(records []event.Record) {
+	for _, record := range records {
+		if record.Delete {
+			delete(d, record.Key)
+		} else {
+			d[record.Key] = record.Value
+		}
+	}
+}
+
+// testStore is one store. A test carries out its commands and delivers its messages.
+type testStore struct {
+	event.Outbox
+	disk memoryDisk
+	*Acceptor
+	*Proposer
+	// bytesSynced counts the bytes of the values that syncAll wrote to the disk.
+	bytesSynced int
+}
+
+// addresses are those of the stores 1, 2 and 3.
+var addresses = []ids.Address{"a", "b", "c"}
+
+// threeVoters is the voter set of the stores 1, 2 and 3.
+var threeVoters = VoterSet{Number: 1, Voters: []Voter{{1, "a"}, {2, "b"}, {3, "c"}}}
+
+// opAppend is the change function of the tests.
+const opAppend Op = 99
+
+// appendArg appends the argument, once for each call.
+func appendArg(_ ids.RegisterKey, old, arg []byte) (next, result []byte) {
+	next = slices.Concat(old, arg)
+	return next, next
+}
+
+// appendArgOnce appends the argument unless it is there, as a change function must
+// recognise a change that it has made before.
+func appendArgOnce(key ids.RegisterKey, old, arg []byte) (next, result []byte) {
+	if bytes.Contains(old, arg) {
+		return old, old
+	}
+	return appendArg(key, old, arg)
+}
+
+// newTestAcceptor returns a store without a proposer.
+func newTestAcceptor(id uint64, disk memoryDisk) *testStore {
+	s := &testStore{disk: disk}
+	s.Acceptor = NewAcceptor(id, disk, &s.Outbox)
+	return s
+}
+
+// newTestStore returns one run of a store.
+func newTestStore(id uint64, disk memoryDisk, proposerID uint64, change ChangeFunc, random *rand.Rand) *testStore {
+	s := newTestAcceptor(id, disk)
+	s.Proposer = NewProposer(proposerID, s.Acceptor.VoterSet, map[Op]ChangeFunc{opAppend: change}, random, &s.Outbox)
+	return s
+}
+
+// newTestStores returns three voters that append.
+func newTestStores() map[ids.Address]*testStore {
+	stores := map[ids.Address]*testStore{}
+	for i, at := range addresses {
+		id := uint64(i + 1)
+		s := newTestStore(id, memoryDisk{}, id, appendArg, rand.New(rand.NewPCG(1, uint64(i))))
+		s.MarkComplete()
+		s.AdoptVoterSet(threeVoters)
+		stores[at] = s
+	}
+	return stores
+}
+
+// syncAll carries out what the store asked of its disk, and returns the messages that it
+// sends, in order.
+func (s *testStore) syncAll() []event.Send {
+	var sent []event.Send
+	commands := s.Drain()
+	for len(commands) > 0 {
+		command := commands[0]
+		commands = commands[1:]
+		switch c := command.(type) {
+		case event.Sync:
+			s.disk.write(c.Records)
+			for _, record := range c.Records {
+				s.bytesSynced += len(record.Value)
+			}
+			s.Acceptor.Synced(c.Batch)
+			commands = slices.Concat(c.After, commands)
+		case event.Send:
+			sent = append(sent, c)
+		}
+	}
+	return sent
+}
+
+// deliver hands a message to the store.
+func (s *testStore) deliver(now ids.Time, from ids.Address, msg any) {
+	switch m := msg.(type) {
+	case Prepare:
+		s.HandlePrepare(from, m)
+	case Accept:
+		s.HandleAccept(from, m)
+	case AcceptDifference:
+		s.HandleAcceptDifference(from, m)
+	case Promise:
+		s.HandlePromise(now, m)
+	case Accepted:
+		s.HandleAccepted(now, m)
+	}
+}
+
+// exchange carries out the commands of the stores until none is left. Messages are
+// handed to onSend.
+func exchange(stores map[ids.Address]*testStore, onSend func(from ids.Address, c event.Send)) {
+	for busy := true; busy; {
+		busy = false
+		for _, at := range addresses {
+			for _, c := range stores[at].syncAll() {
+				busy = true
+				onSend(at, c)
+			}
+		}
+	}
+}
+
+// deliverAll delivers messages until none is left, those to other stores only where the
+// link between the two is up. It returns the responses by their receivers.
+func deliverAll(now ids.Time, stores map[ids.Address]*testStore, isUp func(from, to ids.Address) bool) map[ids.Address][]Response {
+	responses := map[ids.Address][]Response{}
+	exchange(stores, func(from ids.Address, c event.Send) {
+		if response, ok := c.Msg.(Response); ok {
+			responses[c.To] = append(responses[c.To], response)
+			return
+		}
+		if to := stores[c.To]; to != nil && (c.To == from || isUp(from, c.To)) {
+			to.deliver(now, from, c.Msg)
+		}
+	})
+	return responses
+}
+
+func allLinks(ids.Address, ids.Address) bool { return true }
+
+func noLinks(ids.Address, ids.Address) bool { return false }
+
+// mustSucceed returns the result of a client's only response.
+func mustSucceed(t *testing.T, responses map[ids.Address][]Response, client ids.Address) string {
+	t.Helper()
+	got := responses[client]
+	if len(got) != 1 || got[0].Outcome != Succeeded {
+		t.Fatalf("%s got %+v", client, got)
+	}
+	return string(got[0].Result)
+}
+
+// mustEncode encodes a message.
+func mustEncode(t testing.TB, msg any) []byte {
+	t.Helper()
+	raw, err := wire.Encode(msg)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return raw
+}
+
+// randomText returns n letters, no part of which is like another.
+func randomText(random *rand.Rand, n int) []byte {
+	text := make([]byte, n)
+	for i := range text {
+		text[i] = byte('a' + random.IntN(26))
+	}
+	return text
+}
--- /dev/null
+++ b/internal/state/consensus/value_delta_test.go
@@ -0,0 +1,192 @@
+package consensus
+
+import (
+	"bytes"
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/transport/wire"
+)
+
+// meteredNetwork delivers messages between stores and counts them.
+type meteredNetwork struct {
+	bytes, wholeValues, deltas int
+	// earlierVersion is a store of a version that doesn't know AcceptDifference.
+	earlierVersion ids.Address
+}
+
+// deliverAll delivers messages until none is left; stores that are down receive none.
+func (n *meteredNetwork) deliverAll(stores map[ids.Address]*testStore, now ids.Time, down map[ids.Address]bool) []Response {
+	var responses []Response
+	exchange(stores, func(from ids.Address, c event.Send) {
+		if r, ok := c.Msg.(Response); ok {
+			responses = append(responses, r)
+			return
+		}
+		if to := stores[c.To]; to != nil && (c.To == from || !down[from] && !down[c.To]) {
+			n.count(c)
+			n.deliver(now, to, from, c)
+		}
+	})
+	return responses
+}
+
+// deliver hands a message over; an earlier version skips what it doesn't know.
+func (n *meteredNetwork) deliver(now ids.Time, to *testStore, from ids.Address, c event.Send) {
+	switch m := c.Msg.(type) {
+	case AcceptDifference:
+		if c.To != n.earlierVersion {
+			to.deliver(now, from, m)
+		}
+	case Accepted:
+		m.ReadsDeltas = m.ReadsDeltas && from != n.earlierVersion
+		to.deliver(now, from, m)
+	default:
+		to.deliver(now, from, m)
+	}
+}
+
+func (n *meteredNetwork) count(c event.Send) {
+	raw, _ := wire.Encode(c.Msg)
+	n.bytes += len(raw)
+	switch m := c.Msg.(type) {
+	case Accept:
+		n.wholeValues += min(len(m.Value)/minDeltaValueSize, 1)
+	case AcceptDifference:
+		n.deltas++
+	}
+}
+
+// run submits a change at a store and lets time pass until it is answered.
+func (n *meteredNetwork) run(t *testing.T, stores map[ids.Address]*testStore, at ids.Address, now *ids.Time, arg string, down map[ids.Address]bool) {
+	t.Helper()
+	stores[at].Submit(*now, "w", Request{ID: 1, Key: "policy", Op: opAppend, Arg: []byte(arg), TimeoutMillis: 60000})
+	for range 100 {
+		if responses := n.deliverAll(stores, *now, down); len(responses) > 0 {
+			if responses[0].Outcome != Succeeded {
+				t.Fatalf("%q: %s", arg, responses[0].Outcome)
+			}
+			return
+		}
+		*now = now.Add(20 * time.Millisecond)
+		tickAll(stores, *now)
+	}
+	t.Fatalf("%q was never answered", arg)
+}
+
+func tickAll(stores map[ids.Address]*testStore, now ids.Time) {
+	for _, s := range stores {
+		s.Proposer.Tick(now)
+	}
+}
+
+// mustAllHold checks that every store holds the value, in memory and on disk.
+func mustAllHold(t *testing.T, stores map[ids.Address]*testStore, want []byte) {
+	t.Helper()
+	wantBallot, _ := stores["a"].AcceptedValue("policy")
+	for at, s := range stores {
+		ballot, got := s.AcceptedValue("policy")
+		onDisk, err := loadRegister(s.disk, "policy")
+		if err != nil || ballot != wantBallot || !bytes.Equal(got, want) || !bytes.Equal(onDisk.Value, want) {
+			t.Fatalf("%s holds %v, %d bytes; want %v, %d bytes (%v)", at, ballot, len(got), wantBallot, len(want), err)
+		}
+	}
+}
+
+// A change is sent as a delta, and every store holds the very same bytes. A store that
+// missed changes, or whose proposer is new, is sent the whole value once.
+func TestProposer_SendsChangesAsDeltas(t *testing.T) {
+	is := is.New(t)
+	stores := newTestStores()
+	now, network, none := ids.Time(1), &meteredNetwork{}, map[ids.Address]bool{}
+	want := randomText(rand.New(rand.NewPCG(1, 1)), 200_000)
+	network.run(t, stores, "a", &now, string(want), none)
+	change := func(at ids.Address, i int, down map[ids.Address]bool) {
+		arg := fmt.Sprintf("change %d;", i)
+		network.run(t, stores, at, &now, arg, down)
+		want = append(want, arg...)
+	}
+	change("a", 0, none)
+	mustAllHold(t, stores, want)
+	*network = meteredNetwork{}
+	for i := range 50 {
+		change("a", i, none)
+	}
+	mustAllHold(t, stores, want)
+	is.Equal(network.wholeValues, 0)
+	is.Equal(network.deltas, 150)
+	is.True(network.bytes/50 < 1500) // to three stores and back
+	// c is away for 300 changes, and holds what the others do after one more.
+	for i := range 300 {
+		change("a", i, map[ids.Address]bool{"c": true})
+	}
+	*network = meteredNetwork{}
+	change("a", 301, none)
+	mustAllHold(t, stores, want)
+	is.Equal(network.wholeValues, 1)
+	// Another proposer reads, then goes on with deltas.
+	change("b", 302, none)
+	*network = meteredNetwork{}
+	change("b", 303, none)
+	mustAllHold(t, stores, want)
+	is.Equal(network.wholeValues, 0)
+}
+
+// A store of an earlier version skips AcceptDifference. It is sent whole values, also if
+// it was downgraded to that version.
+func TestProposer_SendsWholeValuesToEarlierVersions(t *testing.T) {
+	stores := newTestStores()
+	now, network := ids.Time(1), &meteredNetwork{}
+	want := randomText(rand.New(rand.NewPCG(1, 1)), 20_000)
+	network.run(t, stores, "a", &now, string(want), nil)
+	network.earlierVersion = "b"
+	for i := range 6 {
+		arg := fmt.Sprint("change ", i)
+		network.run(t, stores, "a", &now, arg, nil)
+		want = append(want, arg...)
+	}
+	mustAllHold(t, stores, want)
+}
+
+// A store that comes back is found out by the next read, and is caught up without any
+// change to the register.
+func TestProposer_CatchesUpReturningStore(t *testing.T) {
+	for name, promisedHigher := range map[string]bool{"with old values": false, "with a higher promise": true} {
+		t.Run(name, func(t *testing.T) { checkCatchUp(t, promisedHigher) })
+	}
+}
+
+func checkCatchUp(t *testing.T, promisedHigher bool) {
+	t.Helper()
+	is := is.New(t)
+	stores := newTestStores()
+	now, network, none := ids.Time(1), &meteredNetwork{}, map[ids.Address]bool{}
+	want := randomText(rand.New(rand.NewPCG(1, 1)), 20_000)
+	network.run(t, stores, "a", &now, string(want), none)
+	for range 300 {
+		network.run(t, stores, "a", &now, "x", map[ids.Address]bool{"c": true})
+		want = append(want, 'x')
+	}
+	if promisedHigher {
+		// c's own proposer prepared, as it came back, a ballot above all others.
+		stores["c"].HandlePrepare("c", Prepare{Key: "policy", Ballot: ids.Ballot{Counter: 1 << 50, Proposer: 3}, VoterSetNumber: 1, Round: 1})
+	}
+	returned := now
+	for now.Sub(returned) < 2*time.Second {
+		if now.Sub(returned)%(500*time.Millisecond) == 0 {
+			// A registry reads as often.
+			stores["b"].Submit(now, "w", Request{ID: 1, Key: "policy", Op: Read, TimeoutMillis: 60000})
+		}
+		network.deliverAll(stores, now, none)
+		now = now.Add(20 * time.Millisecond)
+		tickAll(stores, now)
+	}
+	mustAllHold(t, stores, want)
+	is.True(network.wholeValues >= 2)
+}
