--- a/internal/state/configuration/delta.go
+++ b/internal/state/configuration/delta.go
@@ -8,6 +8,9 @@
 	"dunlinwell/internal/base/ids"
 )
 
+// A delta here is a Document that holds the items changed since a revision (BaseRevision).
+// Package base/delta has another one: the binary difference between two values of a register.
+
 // ChangesSince returns, encoded, what changed after a revision, so that a change costs
 // its own items to send and not the whole configuration. History is left out.
 func (d *Document) ChangesSince(base ids.Revision) []byte {
--- a/internal/state/configuration/operations.go
+++ b/internal/state/configuration/operations.go
@@ -23,18 +23,18 @@
 func Ops() map[consensus.Op]consensus.ChangeFunc {
 	c := &cachedDocument{}
 	return map[consensus.Op]consensus.ChangeFunc{
-		OpChange:    c.changeFunc(OpChange, changeStep),
-		OpMerge:     c.changeFunc(OpMerge, decodedStep((*Document).Merge)),
-		OpOrderZone: c.changeFunc(OpOrderZone, decodedStep((*Document).OrderZone)),
+		OpChange:    c.changeFunc(OpChange, changeOperation),
+		OpMerge:     c.changeFunc(OpMerge, decodedOperation((*Document).Merge)),
+		OpOrderZone: c.changeFunc(OpOrderZone, decodedOperation((*Document).OrderZone)),
 	}
 }
 
-// step applies an encoded request to a document. It returns the same document if
+// operation applies an encoded request to a document. It returns the same document if
 // nothing changes, and ok false if the request can't be read.
-type step func(d *Document, arg []byte) (next *Document, res Result, ok bool)
+type operation func(d *Document, arg []byte) (next *Document, res Result, ok bool)
 
-// changeStep checks a change before it is applied, and reports all its violations.
-func changeStep(d *Document, arg []byte) (*Document, Result, bool) {
+// changeOperation checks a change before it is applied, and reports all its violations.
+func changeOperation(d *Document, arg []byte) (*Document, Result, bool) {
 	change, violations := ReadChange(arg)
 	if len(violations) > 0 {
 		return d, Result{ID: change.ID, Revision: d.Revision, Violations: violations}, true
@@ -43,8 +43,8 @@
 	return next, res, true
 }
 
-// decodedStep is the step that decodes a request as JSON and applies it.
-func decodedStep[T any](apply func(*Document, T) (*Document, Result)) step {
+// decodedOperation is the operation that decodes a request as JSON and applies it.
+func decodedOperation[T any](apply func(*Document, T) (*Document, Result)) operation {
 	return func(d *Document, arg []byte) (*Document, Result, bool) {
 		var request T
 		if json.Unmarshal(arg, &request) != nil {
@@ -62,25 +62,25 @@
 type cachedDocument struct {
 	encoded  []byte
 	document *Document
-	lastRun  stepRun
+	lastRun  operationRun
 }
 
-// stepRun is one run of a step with its input and output. A consensus round asks
+// operationRun is one run of an operation with its input and output. A consensus round asks
 // twice: first whether the value changes, then for the value to propose.
-type stepRun struct {
+type operationRun struct {
 	op                 consensus.Op
 	oldValue, arg      []byte
 	newValue, response []byte
 }
 
 // isOf reports whether this run had just this input.
-func (r stepRun) isOf(op consensus.Op, oldValue, arg []byte) bool {
+func (r operationRun) isOf(op consensus.Op, oldValue, arg []byte) bool {
 	return r.op == op && r.response != nil && bytes.Equal(r.oldValue, oldValue) && bytes.Equal(r.arg, arg)
 }
 
-// changeFunc makes a step a change function of the register. The function returns
+// changeFunc makes an operation a change function of the register. The function returns
 // the old value and no response if the value or the request can't be read.
-func (c *cachedDocument) changeFunc(op consensus.Op, run step) consensus.ChangeFunc {
+func (c *cachedDocument) changeFunc(op consensus.Op, run operation) consensus.ChangeFunc {
 	return func(_ ids.RegisterKey, oldValue, arg []byte) ([]byte, []byte) {
 		if c.lastRun.isOf(op, oldValue, arg) {
 			return c.lastRun.newValue, c.lastRun.response
@@ -100,7 +100,7 @@
 			newValue = next.Encode(true)
 			c.encoded, c.document = newValue, next
 		}
-		c.lastRun = stepRun{op, oldValue, arg, newValue, response}
+		c.lastRun = operationRun{op, oldValue, arg, newValue, response}
 		return newValue, response
 	}
 }
--- a/internal/state/consensus/acceptor.go
+++ b/internal/state/consensus/acceptor.go
@@ -22,12 +22,13 @@
 	lastBatch uint64
 	// registers caches every register but idempotency keys that was used in this run,
 	// including what is on its way to the disk.
-	registers map[ids.RegisterKey]*register
+	registers map[ids.RegisterKey]*storedRegister
 	// damaged is set where a register can't be read. The acceptor then takes no part,
 	// as it can't know what it promised.
 	damaged   bool
 	diskState diskStateRecord
-	changes   changeLog
+	// changedKeys is what a learner needs to copy changes alone.
+	changedKeys changedKeys
 }
 
 // NewAcceptor returns the acceptor of a store with the state that its disk holds.
@@ -35,7 +36,7 @@
 	a := &Acceptor{
 		out: out, storage: storage, storeID: store,
 		unsynced:  map[ids.RegisterKey]unsyncedRecord{},
-		registers: map[ids.RegisterKey]*register{},
+		registers: map[ids.RegisterKey]*storedRegister{},
 	}
 	if raw, ok := storage.Get(voterSetRecordKey); ok {
 		a.voterSet, _ = decodeMessage[VoterSet](raw)
@@ -175,13 +176,18 @@
 // a quorum.
 func (a *Acceptor) ForceValue(key ids.RegisterKey, value []byte) {
 	state := a.registerState(key)
+	// The proposer id is that of this store's run 0 (package store makes them). Runs are
+	// counted from 1, so no proposer uses it.
 	ballot := ids.Ballot{
 		Counter:  max(state.Promised.Counter, state.Accepted.Counter) + 1,
-		Proposer: a.storeID << 24,
+		Proposer: a.storeID << runNumberBits,
 	}
 	a.saveRegister(key, RegisterState{Promised: ballot, Accepted: ballot, Value: value})
 }
 
+// runNumberBits are the low bits of a proposer id that hold the number of the store's run.
+const runNumberBits = 24
+
 func maxBallot(a, b ids.Ballot) ids.Ballot {
 	if a.Less(b) {
 		return b
--- a/internal/state/consensus/acceptor_storage.go
+++ b/internal/state/consensus/acceptor_storage.go
@@ -12,7 +12,9 @@
 type Storage interface {
 	// Get returns the record of a key and whether there is one.
 	Get(key ids.RegisterKey) ([]byte, bool)
-	// Scan returns up to n records with keys above the given one, in order of keys.
+	// Scan returns up to n records with keys above the given one, in order of keys: changes
+	// to registers ("diff/...") and registers ("item/..."). Records behind these, which
+	// are the "meta/..." ones, are never among them.
 	Scan(key ids.RegisterKey, n int) []event.Record
 }
 
@@ -65,7 +67,7 @@
 	}
 	a.lastBatch++
 	a.unsynced[key] = unsyncedRecord{raw, a.lastBatch}
-	a.changes.add(key)
+	a.changedKeys.add(key)
 	a.out.Emit(event.Sync{Batch: a.lastBatch, Records: []event.Record{{Key: key, Value: raw}}, After: after})
 }
 
@@ -105,7 +107,7 @@
 
 // cachedRegister returns a register other than an idempotency key, and reads it from
 // disk the first time.
-func (a *Acceptor) cachedRegister(key ids.RegisterKey) *register {
+func (a *Acceptor) cachedRegister(key ids.RegisterKey) *storedRegister {
 	if r := a.registers[key]; r != nil {
 		return r
 	}
@@ -134,6 +136,6 @@
 		return
 	}
 	a.lastBatch++
-	a.changes.add(registerPrefix + key)
+	a.changedKeys.add(registerPrefix + key)
 	a.out.Emit(event.Sync{Batch: a.lastBatch, Records: records, After: after})
 }
--- a/internal/state/consensus/bootstrap.go
+++ b/internal/state/consensus/bootstrap.go
@@ -1,22 +1,6 @@
 package consensus
 
-import (
-	"dunlinwell/internal/base/ids"
-	"dunlinwell/internal/transport/wire"
-)
-
-// Hello is how stores with and without a voter set find one another.
-type Hello struct {
-	Store Voter
-	// Blank says that the store knows no voter set, else VoterSetNumber is that of its own.
-	Blank          bool
-	VoterSetNumber uint64
-	// IsReply is set on the answer, which must not be answered again.
-	IsReply bool
-	// HasCopied says that the store is no voter, but has copied once what a quorum of
-	// the voters holds.
-	HasCopied bool
-}
+import "dunlinwell/internal/transport/wire"
 
 // Bootstrap hands the first voter set, and the configuration that goes with it, to a
 // blank member of it.
@@ -46,15 +30,6 @@
 	PromisedRound uint64
 }
 
-// ConfigurationQuery asks a proxy for the configuration that it holds.
-type ConfigurationQuery struct{}
-
-// ConfigurationReply answers a ConfigurationQuery.
-type ConfigurationReply struct {
-	Revision      ids.Revision
-	Configuration []byte
-}
-
 // BootstrapRecord is what a store's disk keeps of bootstraps. Its presence says that the
 // store was first started with permission to bootstrap a cluster.
 type BootstrapRecord struct {
@@ -72,10 +47,8 @@
 	rejectedForLostDisks   = "too many disks of an earlier founding are lost"
 )
 
-var _ = wire.Register(29, Hello{}) && wire.Register(30, Bootstrap{}) &&
-	wire.Register(31, ConfigurationQuery{}) && wire.Register(32, ConfigurationReply{}) &&
-	wire.Register(36, BootstrapRequest{}) && wire.Register(37, BootstrapResponse{}) &&
-	wire.Register(49, BootstrapRecord{})
+var _ = wire.Register(30, Bootstrap{}) && wire.Register(36, BootstrapRequest{}) &&
+	wire.Register(37, BootstrapResponse{}) && wire.Register(49, BootstrapRecord{})
 
 // Promise returns the record with a proposal added, or the reason to reject it. After an
 // earlier promise, a proposal is promised only if both voter sets share a majority:
--- a/internal/state/consensus/catch_up.go
+++ b/internal/state/consensus/catch_up.go
@@ -6,6 +6,9 @@
 	"dunlinwell/internal/base/ids"
 )
 
+// Catching up is for voters that were away for a while. What a new store goes through
+// before it may vote is a copy (Copier).
+//
 // A store that was away votes again at once, but holds old values until they change.
 // Meanwhile one store less than intended holds the newest value. So a proposer that finds
 // such a store while reading sends it the Accept that it missed. A late copy of an Accept
--- a/internal/state/consensus/change_log.go
+++ b/internal/state/consensus/changed_keys.go
@@ -7,9 +7,10 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// changeLog lists the registers that this run changed, in order, so that a learner that
-// copied everything once can be sent only what changed since.
-type changeLog struct {
+// changedKeys lists the registers that this run changed, in order, so that a learner that
+// copied everything once can be sent only what changed since. It is kept in memory alone,
+// and has keys and no values: it is no log in the sense of Raft or of a database.
+type changedKeys struct {
 	// runID identifies this run of this store; without it (0) no list is kept.
 	runID uint64
 	// droppedCount is how many changes were dropped from the front of the list.
@@ -17,21 +18,21 @@
 	keys         []ids.RegisterKey
 }
 
-// maxLoggedChanges bounds the list's memory. A learner that is further behind copies
-// everything again.
-const maxLoggedChanges = 1 << 15
+// maxChangedKeys bounds the list's memory, at 32768 keys to a few megabytes. A learner that
+// is further behind copies everything again.
+const maxChangedKeys = 1 << 15
 
 // SetRunID names this run for the changes that learners ask for; no two runs of a store
 // may have the same.
-func (a *Acceptor) SetRunID(runID uint64) { a.changes.runID = runID }
+func (a *Acceptor) SetRunID(runID uint64) { a.changedKeys.runID = runID }
 
 // add notes a change to a record; records that are no registers are left out.
-func (c *changeLog) add(key ids.RegisterKey) {
+func (c *changedKeys) add(key ids.RegisterKey) {
 	if c.runID == 0 || !strings.HasPrefix(string(key), registerPrefix) {
 		return
 	}
-	if len(c.keys) == maxLoggedChanges {
-		half := maxLoggedChanges / 2
+	if len(c.keys) == maxChangedKeys {
+		half := maxChangedKeys / 2
 		c.keys = append([]ids.RegisterKey{}, c.keys[half:]...)
 		c.droppedCount += uint64(half)
 	}
@@ -39,10 +40,10 @@
 }
 
 // total returns how many changes were added in this run.
-func (c *changeLog) total() uint64 { return c.droppedCount + uint64(len(c.keys)) }
+func (c *changedKeys) total() uint64 { return c.droppedCount + uint64(len(c.keys)) }
 
 // covers reports whether the list has all changes since a total of the given run.
-func (c *changeLog) covers(runID, since uint64) bool {
+func (c *changedKeys) covers(runID, since uint64) bool {
 	return runID != 0 && runID == c.runID && since >= c.droppedCount && since <= c.total()
 }
 
@@ -50,10 +51,10 @@
 func (a *Acceptor) sendChangedRecords(from ids.Address, m PageRequest) {
 	page := PageResponse{
 		Store: a.storeID, VoterSetNumber: m.VoterSetNumber, PageNumber: m.PageNumber,
-		RunID: a.changes.runID, ChangeCount: m.SinceChange, Delta: true,
+		RunID: a.changedKeys.runID, ChangeCount: m.SinceChange, Delta: true,
 	}
 	included, size := map[ids.RegisterKey]bool{}, 0
-	for _, key := range a.changes.keys[m.SinceChange-a.changes.droppedCount:] {
+	for _, key := range a.changedKeys.keys[m.SinceChange-a.changedKeys.droppedCount:] {
 		full := len(page.Records) == maxPageRecords || size > maxPageBytes
 		if !included[key] && full {
 			a.AfterSync(event.Send{To: from, Msg: page})
--- a/internal/state/consensus/client.go
+++ b/internal/state/consensus/client.go
@@ -20,6 +20,7 @@
 	// must be set before the first call.
 	StoreOrder func(key ids.RegisterKey) []ids.Address
 	pending    map[uint64]*pendingCall
+	// lastCallID is the id of the last call.
 	lastCallID uint64
 	// silentUntil holds the stores that left an attempt unanswered, and until when the
 	// others are asked before them.
@@ -49,13 +50,17 @@
 	sentAt ids.Time
 }
 
+// callIDRunShift leaves each run of a process 2^24 call ids, sixteen million, before they
+// reach those of the next run.
+const callIDRunShift = 24
+
 // NewClient returns a client for one run of a process. Its call ids begin at the run's own
 // number, so that answers to an earlier run aren't taken for its own.
 func NewClient(run ids.RunID, out *event.Outbox) *Client {
 	return &Client{
 		out:              out,
 		pending:          map[uint64]*pendingCall{},
-		lastCallID:       uint64(run) << 24,
+		lastCallID:       uint64(run) << callIDRunShift,
 		silentUntil:      map[ids.Address]ids.Time{},
 		meanResponseTime: map[ids.Address]time.Duration{},
 	}
@@ -126,6 +131,9 @@
 		} else {
 			call.retryAt = min(call.retryAt, now.Add(attemptTimeout/4))
 		}
+	case Indeterminate:
+		// The attempt stays unresolved for good, so that the call can't end as Rejected any
+		// more. Tick makes the next attempt when it is due.
 	}
 }
 
--- a/internal/state/consensus/disk_state.go
+++ b/internal/state/consensus/disk_state.go
@@ -10,7 +10,8 @@
 type DiskState uint8
 
 const (
-	// Blank means that not all registers, or none, were copied to this disk.
+	// Blank means that not all registers, or none, were copied to this disk. (A Hello's
+	// Blank says less: that the store knows no voter set.)
 	Blank DiskState = iota
 	// Complete means that this disk holds all that was agreed before its first vote.
 	Complete
--- a/internal/state/consensus/doc.go
+++ b/internal/state/consensus/doc.go
@@ -12,7 +12,9 @@
 //   - Client sends requests to the stores on behalf of the other daemons.
 //   - VoterSet is the cluster membership. It is a register itself, changed by the
 //     change functions of VoterSetOps.
-//   - Copier copies the registers to a learner, a voter whose disk began blank.
+//   - Copier copies the registers to a learner, a store whose disk began blank. It
+//     copies before it belongs to the voter set and while it does (VoterSet.Learners), and
+//     votes only once its copy is complete.
 //   - BootstrapRecord decides which first voter sets a blank store may take part in.
 //
 // Invariants:
--- a/internal/state/consensus/messages.go
+++ b/internal/state/consensus/messages.go
@@ -101,6 +101,28 @@
 // VoterSetUpdate brings a voter set to a store that uses an older one.
 type VoterSetUpdate struct{ VoterSet VoterSet }
 
+// Hello is how stores with and without a voter set find one another.
+type Hello struct {
+	Store Voter
+	// Blank says that the store knows no voter set, else VoterSetNumber is that of its own.
+	Blank          bool
+	VoterSetNumber uint64
+	// IsReply is set on the answer, which must not be answered again.
+	IsReply bool
+	// HasCopied says that the store is no voter, but has copied once what a quorum of
+	// the voters holds.
+	HasCopied bool
+}
+
+// ConfigurationQuery asks a proxy for the configuration that it holds.
+type ConfigurationQuery struct{}
+
+// ConfigurationReply answers a ConfigurationQuery.
+type ConfigurationReply struct {
+	Revision      ids.Revision
+	Configuration []byte
+}
+
 // Request asks any store to read or change a register.
 type Request struct {
 	// ID identifies the call at the client that sent it.
@@ -131,7 +153,9 @@
 	Unchanged bool
 }
 
-// Op identifies a change function.
+// Op identifies a change function. The numbers go over the wire. 1 and up belong to package
+// configuration, 10 to package election, 20 and up to package idempotency, 200 and up to
+// the voter set's register.
 type Op uint8
 
 // Read leaves the register as it is and returns its value.
@@ -158,5 +182,7 @@
 var _ = wire.Register(20, Prepare{}) && wire.Register(21, Promise{}) &&
 	wire.Register(22, Accept{}) && wire.Register(23, Accepted{}) &&
 	wire.Register(24, VoterSetUpdate{}) && wire.Register(25, Request{}) &&
-	wire.Register(26, Response{}) && wire.Register(33, Chosen{}) &&
-	wire.Register(34, AcceptDifference{}) && wire.Register(35, ChosenDifference{})
+	wire.Register(26, Response{}) && wire.Register(29, Hello{}) &&
+	wire.Register(31, ConfigurationQuery{}) && wire.Register(32, ConfigurationReply{}) &&
+	wire.Register(33, Chosen{}) && wire.Register(34, AcceptDifference{}) &&
+	wire.Register(35, ChosenDifference{})
--- a/internal/state/consensus/model_store_test.go
+++ b/internal/state/consensus/model_store_test.go
@@ -57,8 +57,8 @@
 	c := &modelStore{disk: maps.Clone(s.disk), run: s.run, now: s.now, ticks: s.ticks, joined: s.joined, reported: s.reported}
 	a := *s.acceptor
 	a.out, a.storage, a.unsynced = &c.Outbox, c.disk, map[ids.RegisterKey]unsyncedRecord{}
-	a.changes.keys = slices.Clone(a.changes.keys)
-	a.registers = map[ids.RegisterKey]*register{}
+	a.changedKeys.keys = slices.Clone(a.changedKeys.keys)
+	a.registers = map[ids.RegisterKey]*storedRegister{}
 	for k, r := range s.acceptor.registers {
 		one := *r
 		a.registers[k] = &one
@@ -141,7 +141,7 @@
 		e.text(s.disk[key])
 	}
 	a, p := s.acceptor, s.proposer
-	e.numbers(a.storeID, a.voterSet.Number, uint64(a.diskState.State), a.changes.total(), s.run, uint64(s.ticks), p.highestCounter, p.lastRoundID)
+	e.numbers(a.storeID, a.voterSet.Number, uint64(a.diskState.State), a.changedKeys.total(), s.run, uint64(s.ticks), p.highestCounter, p.lastRoundID)
 	e.flags(s.joined, s.reported)
 	e.proposer(p)
 	for _, id := range slices.Sorted(maps.Keys(s.copier.sources)) {
--- a/internal/state/consensus/pages.go
+++ b/internal/state/consensus/pages.go
@@ -69,14 +69,14 @@
 	if a.damaged || !a.mayServePages() {
 		return
 	}
-	if a.changes.covers(m.RunID, m.SinceChange) {
+	if a.changedKeys.covers(m.RunID, m.SinceChange) {
 		a.sendChangedRecords(from, m)
 		return
 	}
 	stored := a.storage.Scan(registerPrefix+m.AfterKey, maxPageRecords)
 	page := PageResponse{
 		Store: a.storeID, VoterSetNumber: m.VoterSetNumber, PageNumber: m.PageNumber,
-		Last: len(stored) < maxPageRecords, RunID: a.changes.runID, ChangeCount: a.changes.total(),
+		Last: len(stored) < maxPageRecords, RunID: a.changedKeys.runID, ChangeCount: a.changedKeys.total(),
 	}
 	rows := a.pageRows(registerPrefix+m.AfterKey, stored, page.Last)
 	for _, key := range slices.Sorted(maps.Keys(rows)) {
--- a/internal/state/consensus/proposer.go
+++ b/internal/state/consensus/proposer.go
@@ -66,7 +66,9 @@
 // SetOps adds change functions, or replaces those of the same Op.
 func (p *Proposer) SetOps(ops map[Op]ChangeFunc) { maps.Copy(p.ops, ops) }
 
-// Submit takes a request and answers it later, within the request's time-out.
+// Submit takes a request and answers it later, within the request's time-out. One that
+// can't be carried out here, as the store knows no voter set or not the Op, is rejected
+// at once.
 func (p *Proposer) Submit(now ids.Time, from ids.Address, request Request) {
 	_, known := p.ops[request.Op]
 	if len(p.voterSet().Voters) == 0 || !known && request.Op != Read {
--- a/internal/state/consensus/round.go
+++ b/internal/state/consensus/round.go
@@ -7,6 +7,17 @@
 	"dunlinwell/internal/base/ids"
 )
 
+// A round goes one of four ways, the first that applies (beginRound):
+//
+//   - a reading, of reads alone: it collects accepted values and needs no ballot, but a
+//     quorum that already holds the same value;
+//   - a short round: a quorum promised the ballot along with this proposer's last value
+//     (Accept.NextBallot), so that the accept phase is enough;
+//   - a first value, of an idempotency key alone: the accept phase is enough if every
+//     voter accepts it;
+//   - a full round: prepare and accept. Whatever fails is tried again as one, unless the
+//     proposer still has a promised ballot.
+
 // phase is the phase of a round.
 type phase uint8
 
@@ -46,8 +57,8 @@
 	ballot ids.Ballot
 	// nextBallot is promised along with the vote for the value.
 	nextBallot ids.Ballot
-	// minCounter is a counter that the next ballot must exceed. Above 0, a full round is
-	// needed.
+	// minCounter is a counter that the next ballot must exceed. Above 0, neither a reading
+	// nor a first value will do.
 	minCounter uint64
 	// startedAt is when the round began, or, while replicating, when its value was chosen.
 	startedAt ids.Time
@@ -85,11 +96,11 @@
 	r.id, r.startedAt, r.resendCount = p.lastRoundID, now, 0
 	r.promises, r.votes = map[uint64]Promise{}, map[uint64]bool{}
 	r.firstValue = false
-	promised, known := p.promisedBallots[r.key]
+	promised, hasPromised := p.promisedBallots[r.key]
 	switch {
 	case r.onlyReads() && r.minCounter == 0 && !p.mustRewrite[r.key]:
 		r.phase = reading
-	case known:
+	case hasPromised:
 		// A quorum promised this ballot when it accepted our last value.
 		r.ballot = promised.ballot
 		delete(p.promisedBallots, r.key)
--- a/internal/state/consensus/register.go
+++ b/internal/state/consensus/stored_register.go
@@ -13,10 +13,11 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// Registers other than idempotency keys are few, and that of the configuration is large.
-// On disk each is a base, which is a whole RegisterState, and changes to it, numbered
-// from 0 on. The register's state is the base with all changes applied, and is cached in
-// memory. Both records end with a checksum; bases of earlier versions have none.
+// How a register stands on disk. Registers other than idempotency keys are few, and that of
+// the configuration is large. On disk each is a base, which is a whole RegisterState, and
+// changes to it, numbered from 0 on. The register's state is the base with all changes
+// applied, and is cached in memory. Both records end with a checksum; bases of earlier
+// versions have none.
 
 var (
 	// ErrChecksumMismatch means that a record on disk was altered.
@@ -52,8 +53,8 @@
 
 var _ = wire.Register(47, registerChange{})
 
-// register is the cached state of a register, including what is on its way to the disk.
-type register struct {
+// storedRegister is the cached state of a register, including what is on its way to the disk.
+type storedRegister struct {
 	RegisterState
 	// hasBase says that the disk has a base, on which changeCount changes of
 	// changeBytes bytes in all follow.
@@ -96,8 +97,8 @@
 }
 
 // loadRegister reads a register from disk. One that was never written is zero.
-func loadRegister(disk Storage, key ids.RegisterKey) (register, error) {
-	var r register
+func loadRegister(disk Storage, key ids.RegisterKey) (storedRegister, error) {
+	var r storedRegister
 	raw, ok := disk.Get(registerPrefix + key)
 	if !ok {
 		return r, nil
@@ -112,7 +113,7 @@
 }
 
 // loadChanges applies all changes to the base, none of which may be missing.
-func (r *register) loadChanges(disk Storage, key ids.RegisterKey) error {
+func (r *storedRegister) loadChanges(disk Storage, key ids.RegisterKey) error {
 	prefix := changePrefix + string(key) + "/"
 	after := ids.RegisterKey(prefix)
 	for {
@@ -136,7 +137,7 @@
 }
 
 // apply applies the next change on disk to the register.
-func (r *register) apply(raw []byte) error {
+func (r *storedRegister) apply(raw []byte) error {
 	change, err := decodeWithChecksum[registerChange](raw, false)
 	if err != nil {
 		return err
@@ -154,7 +155,7 @@
 
 // recordsFor moves the register to its next state and returns the records that do the
 // same on disk: one change, or a new base and the deletion of all changes before it.
-func (r *register) recordsFor(key ids.RegisterKey, next RegisterState) ([]event.Record, error) {
+func (r *storedRegister) recordsFor(key ids.RegisterKey, next RegisterState) ([]event.Record, error) {
 	if change, ok := r.changeTo(next); ok {
 		raw, err := encodeWithChecksum(change)
 		if r.changeBytes+len(raw) <= len(next.Value) || r.changeCount == 0 {
@@ -170,13 +171,13 @@
 	for number := range r.changeCount {
 		records = append(records, event.Record{Key: changeKey(key, number), Delete: true})
 	}
-	*r = register{RegisterState: next, hasBase: true}
+	*r = storedRegister{RegisterState: next, hasBase: true}
 	return records, err
 }
 
 // changeTo returns the change that leads to the next state, and whether it is worth
 // writing in place of a new base.
-func (r *register) changeTo(next RegisterState) (registerChange, bool) {
+func (r *storedRegister) changeTo(next RegisterState) (registerChange, bool) {
 	change := registerChange{Promised: next.Promised, Accepted: next.Accepted}
 	small := len(next.Value) < minDeltaValueSize || len(r.Value) < minDeltaValueSize
 	if !r.hasBase || small || r.changeCount >= maxChangesPerBase {
--- a/internal/state/consensus/value_cache.go
+++ b/internal/state/consensus/value_cache.go
@@ -10,7 +10,7 @@
 type valueCache struct {
 	// promisedBallots are the ballots that a quorum promised when it accepted this
 	// proposer's last value: the next change may begin with the accept phase.
-	promisedBallots map[ids.RegisterKey]cachedValue
+	promisedBallots map[ids.RegisterKey]promisedBallot
 	// promisedOrder lists the keys of promisedBallots, oldest first.
 	promisedOrder []ids.RegisterKey
 	// cachedValues are the latest values met of registers other than idempotency keys,
@@ -18,13 +18,19 @@
 	cachedValues map[ids.RegisterKey]cachedValue
 }
 
-// cachedValue is a value and the ballot under which it was accepted, or, in
-// promisedBallots, the ballot that was promised after it.
+// cachedValue is a value and the ballot under which it was accepted.
 type cachedValue struct {
 	ballot ids.Ballot
 	value  []byte
 }
 
+// promisedBallot is a ballot that a quorum promised, and the value that this quorum
+// accepted along with it: what the ballot's own value has to follow from.
+type promisedBallot struct {
+	ballot ids.Ballot
+	value  []byte
+}
+
 const (
 	// maxPromisedBallots bounds the memory for promisedBallots, the oldest of which are
 	// dropped. A change to a dropped register only needs a prepare phase again.
@@ -36,7 +42,7 @@
 
 func newValueCache() valueCache {
 	return valueCache{
-		promisedBallots: map[ids.RegisterKey]cachedValue{},
+		promisedBallots: map[ids.RegisterKey]promisedBallot{},
 		cachedValues:    map[ids.RegisterKey]cachedValue{},
 	}
 }
@@ -56,7 +62,7 @@
 	if _, known := c.promisedBallots[r.key]; !known {
 		c.promisedOrder = append(c.promisedOrder, r.key)
 	}
-	c.promisedBallots[r.key] = cachedValue{r.nextBallot, r.value}
+	c.promisedBallots[r.key] = promisedBallot{r.nextBallot, r.value}
 	for len(c.promisedOrder) > maxPromisedBallots {
 		delete(c.promisedBallots, c.promisedOrder[0])
 		c.promisedOrder = c.promisedOrder[1:]
--- a/internal/state/consensus/voter_set.go
+++ b/internal/state/consensus/voter_set.go
@@ -33,7 +33,8 @@
 	// LossCount is how many times a recovery gave up disks, and with them records of
 	// idempotency keys.
 	LossCount uint64
-	// Learners are the ids of voters that have not reported a complete copy yet. It only
+	// Learners are the ids of voters that have not reported a complete copy yet; a store
+	// that copies without being a voter isn't among them. The list only
 	// keeps a replacement from leaving too few that can vote. Safety doesn't rest on it,
 	// as each voter knows by its own disk whether it may vote.
 	Learners []uint64
--- a/internal/state/storage/records.go
+++ b/internal/state/storage/records.go
@@ -61,8 +61,8 @@
 	return raw, err == nil
 }
 
-// Scan returns the records of registers after a key, in order of their keys, up to a
-// limit.
+// Scan returns the records of registers and of changes to them ("diff/...", which sort
+// before) after a key, in order of their keys, up to a limit.
 func (d *Database) Scan(after ids.RegisterKey, limit int) []event.Record {
 	rows, err := d.scanStatement.Query(string(after), limit)
 	if err != nil {
