--- a/internal/controlplane/store/bootstrap.go
+++ b/internal/controlplane/store/bootstrap.go
@@ -29,7 +29,7 @@
 	proposedAt ids.Time
 	// promised are the ids of the stores that promised the proposal.
 	promised map[uint64]bool
-	// waitReason is why there was no proposal in the last round of management; empty
+	// waitReason is why there was no proposal in the last turn of management; empty
 	// if there was one.
 	waitReason string
 }
@@ -38,7 +38,7 @@
 	bootstrapRecordKey = ids.RegisterKey("meta/founding")
 	// bootstrapDelay is how long a proposal stays open even if all have promised, so
 	// that the membership list has the time to bring signs of an existing cluster:
-	// three rounds of management.
+	// three turns of management.
 	bootstrapDelay = 1500 * time.Millisecond
 )
 
@@ -52,7 +52,7 @@
 	return bootstrapState{allowed: allowed || ok, recorded: ok, record: record, promised: map[uint64]bool{}}
 }
 
-// tryBootstrap is a blank store's share of each round of management.
+// tryBootstrap is a blank store's share of each turn of management.
 func (s *Store) tryBootstrap(now ids.Time) {
 	if s.bootstrap.allowed && !s.bootstrap.recorded {
 		s.bootstrap.recorded = true
@@ -80,7 +80,7 @@
 		return reason
 	}
 	initial := consensus.VoterSet{Number: 1}
-	for _, address := range s.seeds {
+	for _, address := range s.bootstrapSeeds {
 		store, ok := s.blankStoreAt(now, address)
 		if !ok {
 			s.bootstrap.proposal = consensus.BootstrapRequest{}
@@ -102,7 +102,7 @@
 		return "bootstrap not permitted on this disk: waiting to join a voter set"
 	case s.bootstrap.record.ExistingCluster != "":
 		return s.bootstrap.record.ExistingCluster
-	case len(s.seeds) == 0 || s.Self.Address != slices.Min(s.seeds):
+	case len(s.bootstrapSeeds) == 0 || s.Self.Address != slices.Min(s.bootstrapSeeds):
 		return "the seed with the lowest address proposes"
 	}
 	return ""
--- a/internal/controlplane/store/bootstrap_promise.go
+++ b/internal/controlplane/store/bootstrap_promise.go
@@ -60,7 +60,7 @@
 		return rejectionNotPermitted
 	case s.bootstrap.record.ExistingCluster != "":
 		return s.bootstrap.record.ExistingCluster
-	case !slices.Equal(addresses, slices.Sorted(slices.Values(s.seeds))):
+	case !slices.Equal(addresses, slices.Sorted(slices.Values(s.bootstrapSeeds))):
 		return rejectionOtherSeeds
 	case !request.VoterSet.HasVoter(s.StoreID()):
 		return rejectionOtherDisk
--- a/internal/controlplane/store/hello.go
+++ b/internal/controlplane/store/hello.go
@@ -29,7 +29,7 @@
 // store of the membership list.
 func (s *Store) broadcastHello() {
 	voterSet := s.Acceptor.VoterSet()
-	addresses := slices.Clone(s.seeds)
+	addresses := slices.Clone(s.bootstrapSeeds)
 	for _, m := range s.Live(membership.Store) {
 		if !slices.Contains(addresses, m.Address) && m.ID != s.Self.ID {
 			addresses = append(addresses, m.Address)
--- a/internal/controlplane/store/learner.go
+++ b/internal/controlplane/store/learner.go
@@ -9,10 +9,10 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// learner is the state of a store without a vote that copies what the voters hold.
-// It begins as soon as it knows the voter set, whether or not there is room for
-// another voter, and may vote once its copy is complete under a voter set that it
-// belongs to.
+// learner is the state of a store that copies what the voters hold, since its disk isn't
+// complete. It begins as soon as it knows the voter set, whether or not there is room
+// for another voter, and may vote once its copy is complete under a voter set that it
+// belongs to. (VoterSet.Learners are only those that belong to it already.)
 type learner struct {
 	consensus.Copier
 	// pageRequests is the last request to each voter, by the voter's id.
@@ -55,11 +55,14 @@
 	case voterSet.Number == 0:
 		// There is no known voter to copy from yet; manageVoters sends hellos.
 	case s.DiskState() == consensus.Blank:
-		if s.learnerRequestDue(now) {
-			s.replaceLostVoter(now, voterSet)
+		if s.learner.startedAt == 0 {
+			s.learner.startedAt = now
+		}
+		if s.takeLearnerTurn(now) {
+			s.repairVoterSet(now, voterSet)
 		}
 		s.copyRegisters(now, voterSet)
-	case s.DiskState() == consensus.Complete && s.learnerRequestDue(now):
+	case s.DiskState() == consensus.Complete && s.takeLearnerTurn(now):
 		s.reportCopyComplete(voterSet)
 	}
 }
@@ -75,12 +78,9 @@
 	}
 }
 
-// learnerRequestDue reports whether this learner may ask for a change of the voter
-// set, and if so puts the next time off by learnerRequestInterval.
-func (s *Store) learnerRequestDue(now ids.Time) bool {
-	if s.learner.startedAt == 0 {
-		s.learner.startedAt = now
-	}
+// takeLearnerTurn reports whether this store may ask for a change of the voter set
+// now, and if so puts the next time off by learnerRequestInterval.
+func (s *Store) takeLearnerTurn(now ids.Time) bool {
 	if now < s.learner.nextRequestAt {
 		return false
 	}
--- a/internal/controlplane/store/validation.go
+++ b/internal/controlplane/store/message_check.go
@@ -94,7 +94,7 @@
 // isKnownStore reports whether a store is known at an address: as this one, a seed, a
 // voter, by its hello, or as a member.
 func (s *Store) isKnownStore(address ids.Address) bool {
-	if address == s.Self.Address || slices.Contains(s.seeds, address) {
+	if address == s.Self.Address || slices.Contains(s.bootstrapSeeds, address) {
 		return true
 	}
 	isVoter := func(v consensus.Voter) bool { return v.Address == address }
--- a/internal/controlplane/store/receive.go
+++ b/internal/controlplane/store/receive.go
@@ -38,7 +38,7 @@
 	case consensus.Hello:
 		s.handleHello(now, from, m)
 	case consensus.VoterSetUpdate:
-		s.adoptVoterSet(now, m.VoterSet)
+		s.adoptAndForwardVoterSet(now, m.VoterSet)
 	case consensus.BootstrapRequest:
 		s.handleBootstrapRequest(from, m)
 	case consensus.BootstrapResponse:
@@ -52,7 +52,9 @@
 	}
 }
 
-// needsDisk reports whether a message can't be answered without the disk.
+// needsDisk reports whether a message asks this store to vote or to serve a page, whose
+// answer waits for the disk. The promise of a BootstrapRequest does so as well, but may be
+// late: the proposer tells by its round whether it still counts.
 func needsDisk(msg any) bool {
 	switch msg.(type) {
 	case consensus.Prepare, consensus.Accept, consensus.AcceptDifference, consensus.PageRequest:
--- a/internal/controlplane/store/recovery.go
+++ b/internal/controlplane/store/recovery.go
@@ -34,7 +34,7 @@
 
 const (
 	// quorumLossTimeout is how long no read of this store may have reached a majority
-	// before a recovery is accepted. Reads are made in every round of management.
+	// before a recovery is accepted. Reads are made in every turn of management (manageVoters).
 	quorumLossTimeout = 3 * time.Second
 	// configurationCollectTime is how long a recovery waits for the proxies to send
 	// the configuration that they hold.
@@ -102,9 +102,9 @@
 	}
 }
 
-// recoveryDue reports whether a requested recovery is due, and if so ends the wait
-// for it.
-func (s *Store) recoveryDue(now ids.Time) bool {
+// takeDueRecovery reports whether a requested recovery is due, and if so ends the wait
+// for it: the caller must carry it out, or it is dropped.
+func (s *Store) takeDueRecovery(now ids.Time) bool {
 	if s.recovery.dueAt == 0 || now < s.recovery.dueAt {
 		return false
 	}
@@ -115,7 +115,7 @@
 // recoverIfDue makes the new voter set: a joint one of this store alone and of itself
 // with two others, so that those copy before they count.
 func (s *Store) recoverIfDue(now ids.Time) {
-	if !s.recoveryDue(now) || s.recoveryRejection(now) != "" {
+	if !s.takeDueRecovery(now) || s.recoveryRejection(now) != "" {
 		return
 	}
 	others := s.storesWithoutVote(now)
@@ -132,7 +132,7 @@
 	}
 	s.restoreConfiguration()
 	s.ForceValue(consensus.VoterSetKey, raw)
-	s.adoptVoterSet(now, next)
+	s.adoptAndForwardVoterSet(now, next)
 }
 
 // restoreConfiguration takes the configuration of a proxy over if it is newer than
--- a/internal/controlplane/store/replacement.go
+++ b/internal/controlplane/store/replacement.go
@@ -18,18 +18,25 @@
 // of all registers.
 const silentVoterTimeout = 3 * time.Second
 
-// replaceLostVoter asks for this store to replace a lost voter, if it has no vote. A
-// joint voter set, which only older versions make, is abandoned if the store that it
-// brings in was lost in turn.
-func (s *Store) replaceLostVoter(now ids.Time, voterSet consensus.VoterSet) {
+// repairVoterSet tracks which voters are silent, and asks for the change of the voter set
+// that is this store's to ask for. A lost voter isn't replaced by the other voters: the
+// store that is to take its place asks for that. A joint voter set, which only older
+// versions and recoveries make, is abandoned if the store that it brings in was lost in
+// turn.
+func (s *Store) repairVoterSet(now ids.Time, voterSet consensus.VoterSet) {
 	s.trackSilentVoters(now, voterSet)
 	if len(voterSet.Incoming) > 0 {
 		s.abandonLostIncoming(now, voterSet)
 		return
 	}
-	if voterSet.HasVoter(s.StoreID()) || s.DiskState() != consensus.Blank {
-		return
+	if !voterSet.HasVoter(s.StoreID()) && s.DiskState() == consensus.Blank {
+		s.requestVoterPlace(now, voterSet)
 	}
+}
+
+// requestVoterPlace asks for this store, which has no vote, to become a voter: in the place
+// of a lost one, or in one that is free.
+func (s *Store) requestVoterPlace(now ids.Time, voterSet consensus.VoterSet) {
 	if id, ok := s.replaceableVoter(now, voterSet); ok {
 		s.submitVoterSetRequest(consensus.OpReplace, consensus.ReplaceRequest{New: s.selfVoter(), LostID: id, Replicas: s.replicas})
 	}
--- a/internal/controlplane/store/total_loss_recovery.go
+++ b/internal/controlplane/store/total_loss_recovery.go
@@ -27,7 +27,7 @@
 // with the configuration that a proxy still holds. All idempotency records count as
 // lost.
 func (s *Store) recoverFromTotalLossIfDue(now ids.Time) {
-	if s.Acceptor.VoterSet().Number > 0 || !s.recoveryDue(now) {
+	if s.Acceptor.VoterSet().Number > 0 || !s.takeDueRecovery(now) {
 		return
 	}
 	others := s.otherBlankStores(now)
--- a/internal/controlplane/store/voter_set.go
+++ b/internal/controlplane/store/voter_set.go
@@ -15,15 +15,15 @@
 // voterManager is what a store keeps beside the registers to manage the voter set
 // and its own place in it.
 type voterManager struct {
-	// seeds are those of the settings; only they may form the first voter set.
-	seeds []ids.Address
+	// bootstrapSeeds are those of the settings; only they may form the first voter set.
+	bootstrapSeeds []ids.Address
 	// replicas is how many voters there are to be.
 	replicas int
 	// hellos holds the last hello of each store, by its address.
 	hellos map[ids.Address]receivedHello
 	// lastRequestID numbers this store's own requests on the voter set.
 	lastRequestID uint64
-	// nextManageAt is when the next round of management is due.
+	// nextManageAt is when the next turn of management (manageVoters) is due.
 	nextManageAt ids.Time
 	// lastQuorumReadAt is when this store last read the voter set from a majority;
 	// 0 if it never did in this run.
@@ -44,11 +44,11 @@
 const voterManagementInterval = 500 * time.Millisecond
 
 func newVoterManager(seeds []ids.Address) voterManager {
-	return voterManager{seeds: seeds, hellos: map[ids.Address]receivedHello{}, silentSince: map[uint64]ids.Time{}}
+	return voterManager{bootstrapSeeds: seeds, hellos: map[ids.Address]receivedHello{}, silentSince: map[uint64]ids.Time{}}
 }
 
-// manageVoters is one round of management: bootstrap or recovery while there is no
-// voter set, replacement of lost voters after.
+// manageVoters is one turn of management: bootstrap or recovery while there is no voter
+// set, recovery or repair of the voter set after.
 func (s *Store) manageVoters(now ids.Time) {
 	if now < s.nextManageAt {
 		return
@@ -67,10 +67,10 @@
 	s.recoverIfDue(now)
 	// Reading the voter set finishes a change whose proposer died half way.
 	s.submitVoterSetRequest(consensus.Read, nil)
-	s.replaceLostVoter(now, voterSet)
+	s.repairVoterSet(now, voterSet)
 }
 
-// managementInterval returns the time until the next round. In fleets with
+// managementInterval returns the time until the next turn. In fleets with
 // incremental membership, a voter of a complete voter set that isn't changing takes
 // twice as long: it reads only to notice a store that joins.
 func (s *Store) managementInterval(voterSet consensus.VoterSet) time.Duration {
@@ -83,7 +83,7 @@
 }
 
 // voterSetRequestTimeout is how long a request of this store on the voter set may
-// take. Every round of management makes a new one, so that a lost one is no loss.
+// take. Every turn of management makes a new one, so that a lost one is no loss.
 const voterSetRequestTimeout = 2 * time.Second
 
 // submitVoterSetRequest asks this very store to read or change the voter set's
@@ -109,7 +109,7 @@
 		return
 	}
 	s.lastQuorumReadAt = now
-	s.adoptVoterSet(now, voterSet)
+	s.adoptAndForwardVoterSet(now, voterSet)
 }
 
 // selfVoter returns this store as a voter.
@@ -117,9 +117,9 @@
 	return consensus.Voter{ID: s.StoreID(), Address: s.Self.Address}
 }
 
-// adoptVoterSet adopts a voter set if it is newer than this store's, restarts the
-// rounds under way and passes it on to the stores of both.
-func (s *Store) adoptVoterSet(now ids.Time, voterSet consensus.VoterSet) {
+// adoptAndForwardVoterSet adopts a voter set if it is newer than this store's, restarts the
+// rounds under way and passes it on to the voters of both.
+func (s *Store) adoptAndForwardVoterSet(now ids.Time, voterSet consensus.VoterSet) {
 	previous := s.Acceptor.VoterSet()
 	// A blank member of the initial voter set also needs the values that the voter
 	// set was formed with: only the Bootstrap message has them.
