--- a/internal/controlplane/distribution/ack.go
+++ b/internal/controlplane/distribution/ack.go
@@ -45,7 +45,7 @@
 }
 
 // IsCurrent reports whether a run of a proxy has acknowledged all targets as of the
-// last round.
+// last Distribute. The configuration doesn't count here; Lagging tells of that.
 func (d *Distributor) IsCurrent(proxy ids.DaemonID, runID ids.RunID) bool {
 	p := d.currentRun(proxy, runID)
 	return p != nil && len(p.unacknowledged) == 0 && !p.hasUnsent
@@ -91,7 +91,7 @@
 
 // currentRun returns what is known of one run of a proxy, or nil if nothing was sent
 // to that run or a later run has begun.
-func (d *Distributor) currentRun(proxy ids.DaemonID, runID ids.RunID) *progress {
+func (d *Distributor) currentRun(proxy ids.DaemonID, runID ids.RunID) *proxyState {
 	if p := d.proxies[proxy]; p != nil && p.runID == runID {
 		return p
 	}
--- a/internal/controlplane/distribution/distributor.go
+++ b/internal/controlplane/distribution/distributor.go
@@ -19,7 +19,7 @@
 	refreshInterval = 300 * time.Millisecond
 	// runIDShift makes the numbers of a run's pushes begin above those of all earlier
 	// runs, so that an acknowledgement of an earlier run's push isn't taken for one of
-	// this run.
+	// this run. It leaves each run 2^24 pushes to a proxy: a month of one every 150 ms.
 	runIDShift = 24
 )
 
@@ -27,7 +27,7 @@
 type Distributor struct {
 	out     *event.Outbox
 	runID   ids.RunID
-	proxies map[ids.DaemonID]*progress
+	proxies map[ids.DaemonID]*proxyState
 	// RefreshInterval is how often a proxy is sent a push even if nothing is new, which
 	// confirms that what it has is still in force.
 	RefreshInterval time.Duration
@@ -49,7 +49,7 @@
 	Revision ids.Revision
 	// Configuration returns what leads from an earlier revision to Revision.
 	Configuration func(from ids.Revision) []byte
-	// Targets returns all targets. It is called at most once a round.
+	// Targets returns all targets. It is called at most once in each Distribute.
 	Targets func() []targets.Target
 	// Version changes whenever Targets would return something else.
 	Version uint64
@@ -63,7 +63,7 @@
 	return &Distributor{
 		out:                 out,
 		runID:               runID,
-		proxies:             map[ids.DaemonID]*progress{},
+		proxies:             map[ids.DaemonID]*proxyState{},
 		RefreshInterval:     refreshInterval,
 		InitialRetryTimeout: initialRetryTimeout,
 	}
@@ -73,23 +73,23 @@
 func (d *Distributor) Distribute(now ids.Time, proxies []membership.Member, content Content) {
 	content.Targets = loadOnce(content.Targets)
 	for _, proxy := range proxies {
-		d.pushTo(now, proxy, d.progressOf(proxy), content)
+		d.pushTo(now, proxy, d.stateOf(proxy), content)
 	}
 }
 
-// progressOf returns what is known of a proxy's present run.
-func (d *Distributor) progressOf(proxy membership.Member) *progress {
+// stateOf returns what is known of a proxy's present run.
+func (d *Distributor) stateOf(proxy membership.Member) *proxyState {
 	p := d.proxies[proxy.ID]
 	if p == nil || p.runID != proxy.RunID {
-		p = d.newProgress(proxy.RunID)
+		p = d.newProxyState(proxy.RunID)
 		d.proxies[proxy.ID] = p
 	}
 	return p
 }
 
-// newProgress is the state of a proxy that has nothing yet.
-func (d *Distributor) newProgress(proxyRunID ids.RunID) *progress {
-	return &progress{
+// newProxyState is the state of a proxy that has nothing yet.
+func (d *Distributor) newProxyState(proxyRunID ids.RunID) *proxyState {
+	return &proxyState{
 		runID:          proxyRunID,
 		lastPush:       ids.StreamNumber(d.runID) << runIDShift,
 		retryTimeout:   d.InitialRetryTimeout,
--- a/internal/controlplane/distribution/progress.go
+++ b/internal/controlplane/distribution/proxy_state.go
@@ -8,7 +8,8 @@
 )
 
 const (
-	// maxUnacknowledged bounds the pushes remembered for each proxy. A proxy that is
+	// maxUnacknowledged bounds the pushes remembered for each proxy: ten seconds of them at
+	// one every 150 ms, twice what maxRetryTimeout allows. A proxy that is
 	// further behind is sent again what the forgotten ones held.
 	maxUnacknowledged = 64
 	// maxRetryTimeout bounds the back-off for a proxy that acknowledges nothing.
@@ -17,8 +18,8 @@
 	maxRetryTimeout = 4800 * time.Millisecond
 )
 
-// progress is what the distributor knows of one run of a proxy.
-type progress struct {
+// proxyState is what the distributor knows of one run of a proxy.
+type proxyState struct {
 	// runID is the run of the proxy.
 	runID ids.RunID
 	// lastPush is the number of the latest push to the proxy.
@@ -43,12 +44,13 @@
 	// resendNow says that something was lost, and that the next push shouldn't wait
 	// for the retry time-out.
 	resendNow bool
-	// unacknowledged holds the pushes that weren't acknowledged yet, by number.
+	// unacknowledged holds the pushes with targets that weren't acknowledged yet, by
+	// number. What became of a configuration shows by configuration and ackedRevision.
 	unacknowledged map[ids.StreamNumber]sentPush
 	// acknowledged holds the version of each target that the proxy has.
 	acknowledged map[ids.InstanceID]targetVersion
-	// contentVersion is Content.Version of the round that last looked for what the
-	// proxy lacks.
+	// contentVersion is the Content.Version for which it was last looked what the proxy
+	// lacks.
 	contentVersion uint64
 	// proxyTime is the proxy's own clock by its latest acknowledgement.
 	proxyTime ids.Time
@@ -81,7 +83,7 @@
 	push ids.StreamNumber
 }
 
-// sentPush is a push that isn't acknowledged yet.
+// sentPush is a push with targets that isn't acknowledged yet.
 type sentPush struct {
 	sentAt  ids.Time
 	targets []targetVersion
@@ -102,18 +104,18 @@
 
 // isInFlight reports whether a version of a target was sent and may still be
 // acknowledged, and until when that is waited for.
-func (p *progress) isInFlight(version targetVersion) (retryAt ids.Time, ok bool) {
+func (p *proxyState) isInFlight(version targetVersion) (retryAt ids.Time, ok bool) {
 	sent, ok := p.inFlight[version.id]
 	return sent.retryAt, ok && sent.targetVersion == version
 }
 
 // isIncomplete reports whether the proxy may lack something.
-func (p *progress) isIncomplete(newest ids.Revision) bool {
+func (p *proxyState) isIncomplete(newest ids.Revision) bool {
 	return len(p.unacknowledged) > 0 || p.ackedRevision < newest || p.hasUnsent
 }
 
 // recordSent notes that the next push is sent with some targets.
-func (p *progress) recordSent(now ids.Time, versions []targetVersion) {
+func (p *proxyState) recordSent(now ids.Time, versions []targetVersion) {
 	p.lastPush++
 	if len(p.unacknowledged) >= maxUnacknowledged {
 		clear(p.unacknowledged)
@@ -126,7 +128,7 @@
 }
 
 // acknowledge notes that the proxy has applied a push.
-func (p *progress) acknowledge(push sentPush) {
+func (p *proxyState) acknowledge(push sentPush) {
 	for _, version := range push.targets {
 		p.acknowledged[version.id] = version
 		if p.inFlight[version.id].targetVersion == version {
@@ -137,7 +139,7 @@
 
 // detectLost takes the pushes before an acknowledged one for lost: pushes arrive in
 // the order in which they were sent, and are acknowledged in that order.
-func (p *progress) detectLost(ack Ack) {
+func (p *proxyState) detectLost(ack Ack) {
 	for number, push := range p.unacknowledged {
 		if number > ack.Number {
 			continue
@@ -155,7 +157,7 @@
 
 // markLost has a target sent again that a lost push carried, unless the proxy has
 // that version from another push or a later version is in flight.
-func (p *progress) markLost(version targetVersion) {
+func (p *proxyState) markLost(version targetVersion) {
 	if p.acknowledged[version.id] == version {
 		return
 	}
--- a/internal/controlplane/distribution/push.go
+++ b/internal/controlplane/distribution/push.go
@@ -20,7 +20,7 @@
 
 // pushTo sends a proxy what it lacks, if anything is due: something changed, was lost
 // or wasn't acknowledged in time, or the last push is RefreshInterval ago.
-func (d *Distributor) pushTo(now ids.Time, proxy membership.Member, p *progress, content Content) {
+func (d *Distributor) pushTo(now ids.Time, proxy membership.Member, p *proxyState, content Content) {
 	changed := p.contentVersion != content.Version
 	incomplete := p.isIncomplete(content.Revision)
 	retryDue := incomplete && now.Sub(p.lastSentAt) >= p.retryTimeout
@@ -39,23 +39,30 @@
 	if d.SkipEmptyPushes && isEmpty && !refreshDue {
 		return
 	}
-	if incomplete && now.Sub(p.lastAckAt) >= p.retryTimeout {
-		p.retryTimeout = min(2*p.retryTimeout, maxRetryTimeout)
+	if incomplete {
+		p.backOff(now)
 	}
 	p.recordSent(now, versions)
 	d.out.Send(proxy.Address, push)
 }
 
+// backOff doubles the retry time-out of a proxy that has acknowledged nothing for as long.
+func (p *proxyState) backOff(now ids.Time) {
+	if now.Sub(p.lastAckAt) >= p.retryTimeout {
+		p.retryTimeout = min(2*p.retryTimeout, maxRetryTimeout)
+	}
+}
+
 // isRefreshDue reports whether a proxy is to be sent a push even if nothing is new.
 // The first acknowledgement is echoed at once: until then the proxy can't tell how old a
 // push is, and doesn't take it for a confirmation of what is in force.
-func (d *Distributor) isRefreshDue(now ids.Time, p *progress) bool {
+func (d *Distributor) isRefreshDue(now ids.Time, p *proxyState) bool {
 	firstEcho := p.echoedTime == 0 && p.proxyTime != 0
 	return firstEcho || now.Sub(p.lastSentAt) >= d.RefreshInterval
 }
 
 // newPush makes the next push to a proxy, still without configuration and targets.
-func (d *Distributor) newPush(p *progress, content Content) Push {
+func (d *Distributor) newPush(p *proxyState, content Content) Push {
 	return Push{
 		Number:        p.lastPush + 1,
 		RunID:         d.runID,
@@ -68,7 +75,7 @@
 
 // takeConfiguration returns the configuration for a push, or nil if the proxy has the
 // newest one or it is in flight, and notes it as in flight.
-func (p *progress) takeConfiguration(now ids.Time, number ids.StreamNumber, content Content) []byte {
+func (p *proxyState) takeConfiguration(now ids.Time, number ids.StreamNumber, content Content) []byte {
 	if p.ackedRevision >= content.Revision {
 		return nil
 	}
@@ -83,7 +90,7 @@
 
 // takeMissingTargets returns the targets that a proxy lacks and that aren't in flight
 // to it, with their versions, and notes them as in flight.
-func (d *Distributor) takeMissingTargets(now ids.Time, proxy membership.Member, p *progress, all []targets.Target) ([]targets.Target, []targetVersion) {
+func (d *Distributor) takeMissingTargets(now ids.Time, proxy membership.Member, p *proxyState, all []targets.Target) ([]targets.Target, []targetVersion) {
 	isBackup := d.IsBackup != nil && d.IsBackup(proxy)
 	p.hasUnsent = false
 	var missing []targets.Target
--- a/internal/controlplane/membership/declaration.go
+++ b/internal/controlplane/membership/declaration.go
@@ -33,7 +33,7 @@
 	lostWatchers int
 }
 
-// evaluateSuspicions declares dead the members that a quorum of watchers suspects and
+// evaluateSuspicions declares dead the members that enough watchers suspect and
 // that don't answer this registry either.
 func (l *List) evaluateSuspicions(now ids.Time) {
 	if len(l.suspicions) == 0 {
@@ -51,7 +51,7 @@
 // as a substitute for a watcher.
 func (l *List) evaluateSuspicion(now ids.Time, m Member) {
 	tally := l.countVotes(now, m)
-	if !l.isSuspected(now, m) && tally.lostWatchers < l.quorum() {
+	if !l.isSuspected(now, m) && tally.lostWatchers < l.requiredVotes() {
 		delete(l.suspicions, m.ID)
 		return
 	}
@@ -62,15 +62,16 @@
 		l.broadcastSuspect(now, m, l.SuspicionTimeout)
 		tally = l.countVotes(now, m)
 	}
-	if tally.votes >= l.quorum() {
+	if tally.votes >= l.requiredVotes() {
 		l.declareDead(now, m, tally)
 	}
 }
 
-// quorum is how many votes a declaration of death takes: a majority of the watchers
-// that a member has by the size of the deployment. It doesn't shrink when watchers are
-// suspected themselves.
-func (l *List) quorum() int {
+// requiredVotes is how many votes a declaration of death takes: half, rounded up, of the
+// watchers that a member has by the size of the deployment. Of three watchers, as usual,
+// that is a majority; of the two in a deployment of three daemons it is one. It doesn't
+// shrink when watchers are suspected themselves.
+func (l *List) requiredVotes() int {
 	return (min(l.Watchers, len(l.currentRing().members)-1) + 1) / 2
 }
 
@@ -106,7 +107,7 @@
 	l.put(m)
 	delete(l.suspicions, m.ID)
 	l.out.Log(event.LevelWarn, EventMemberDeclaredDead, "member", string(m.ID), "votes", strconv.Itoa(tally.votes),
-		"quorum", strconv.Itoa(l.quorum()), "lost_watchers", strconv.Itoa(tally.lostWatchers))
+		"quorum", strconv.Itoa(l.requiredVotes()), "lost_watchers", strconv.Itoa(tally.lostWatchers))
 	l.broadcastList()
 }
 
--- a/internal/controlplane/membership/failure_detector.go
+++ b/internal/controlplane/membership/failure_detector.go
@@ -28,8 +28,9 @@
 }
 
 // checkSilence probes a watched member when two thirds of its suspicion time-out are
-// over, and reports it as suspected when all of it is, again with each heartbeat
-// interval. A member that was suspected and is heard again is no longer suspected.
+// over, which leaves the last third for the answer, and reports it as suspected when
+// all of it is, again with each heartbeat interval. A member that was suspected and is
+// heard again is no longer suspected.
 func (l *List) checkSilence(now ids.Time, m Member, history *heartbeatHistory, watched []Member) {
 	silence, timeout := l.silenceOf(now, m, history), l.suspicionTimeout(history)
 	if history.suspectedAt != 0 && silence < timeout {
--- a/internal/controlplane/membership/heartbeat_history.go
+++ b/internal/controlplane/membership/heartbeat_history.go
@@ -8,7 +8,8 @@
 
 const (
 	// averageWeight is the weight of the past in the moving averages of a heartbeat
-	// history: a new gap counts for one eighth.
+	// history: a new gap counts for one eighth, so that one late heartbeat moves them
+	// little and a change of the link shows within a few seconds.
 	averageWeight = 8
 	// meanFactor and deviationFactor make the suspicion time-out of a member from the
 	// mean and the mean deviation of its gaps.
@@ -43,6 +44,8 @@
 func (l *List) newHeartbeatHistory(now ids.Time) *heartbeatHistory {
 	history := &heartbeatHistory{lastHeard: now, meanInterval: l.HeartbeatInterval}
 	if now.Sub(l.firstTick) < startupPeriod {
+		// With deviationFactor this makes the time-out more than twice SuspicionTimeout, and
+		// still less than the most that maxTimeoutFactor allows.
 		history.intervalDeviation = l.SuspicionTimeout / 3
 	}
 	return history
--- a/internal/controlplane/membership/member.go
+++ b/internal/controlplane/membership/member.go
@@ -40,8 +40,9 @@
 	// Gone says that the member was declared dead.
 	Gone  bool
 	Ready bool
-	// Revision is the newest configuration that the daemon has. Among the survivors of
-	// a loss of all stores, the bootstrap looks for the newest.
+	// Revision is the newest configuration that the daemon has, or had when its entry last
+	// changed (UpdateSelf). Above 0 it is a sign of an existing cluster, which keeps blank
+	// stores from a bootstrap.
 	Revision ids.Revision
 	// Store is the store id of a store; 0 for other roles.
 	Store uint64
--- a/internal/controlplane/membership/suspicion.go
+++ b/internal/controlplane/membership/suspicion.go
@@ -88,7 +88,8 @@
 }
 
 // isSuspectedBy reports whether a daemon has lately reported the present incarnation of
-// a member.
+// a member. Watchers repeat their reports with each heartbeat interval, so that one as old
+// as twice the suspicion time-out no longer holds.
 func (l *List) isSuspectedBy(now ids.Time, m Member, reporter ids.DaemonID) bool {
 	s := l.suspicions[m.ID]
 	if s == nil {
--- a/internal/controlplane/registry/calls.go
+++ b/internal/controlplane/registry/calls.go
@@ -95,7 +95,8 @@
 func (c DeregisterCall) callID() uint64        { return c.ID }
 func (c HeartbeatCall) callID() uint64         { return c.ID }
 
-// handleCall carries a call out, or rejects it while this registry stops.
+// handleCall carries out whatever its process asks this registry for: calls, which are
+// rejected while it stops, and Stopping itself.
 func (r *Registry) handleCall(now ids.Time, ev event.Event) {
 	if call, ok := ev.(rejectable); ok && r.stopping {
 		r.replyStopping(call.callID())
--- a/internal/controlplane/registry/configuration.go
+++ b/internal/controlplane/registry/configuration.go
@@ -36,7 +36,8 @@
 
 	// encoded is the document as pushed to proxies that have none; nil until needed.
 	encoded []byte
-	// deltas lead to the document from earlier revisions; computed when needed.
+	// deltas lead to the document from earlier revisions, item by item
+	// (Document.ChangesSince); computed when needed.
 	deltas map[ids.Revision][]byte
 
 	// readPending is true while a poll is under way.
@@ -118,8 +119,9 @@
 	}
 }
 
-// handleChosenDifference adopts a configuration that a store announces as the difference
-// from the one before. If it doesn't apply to the value held, the register is read.
+// handleChosenDifference adopts a configuration that a store announces as the binary
+// difference (package delta) from the value before. If it doesn't apply to the value
+// held, the register is read.
 func (r *Registry) handleChosenDifference(now ids.Time, chosen consensus.ChosenDifference) {
 	if chosen.Key != configuration.Key {
 		return
--- a/internal/controlplane/registry/departure.go
+++ b/internal/controlplane/registry/departure.go
@@ -20,7 +20,8 @@
 
 // departure is a target's draining notice whose answer is withheld until every live
 // proxy has applied it. The target may exit as soon as it is answered, and this
-// registry may crash right after answering.
+// registry may crash right after answering. How this registry itself ends is in
+// stopping.go; how a store departs, in package store.
 type departure struct {
 	callID   uint64
 	target   targets.Target
--- a/internal/controlplane/registry/doc.go
+++ b/internal/controlplane/registry/doc.go
@@ -15,7 +15,7 @@
 //     taken effect is answered 504.
 //   - The configuration in use never goes back to an earlier revision.
 //   - A spill table is adopted only under the highest leadership epoch seen
-//     (leader.go), so that of two planners the later one wins.
+//     (planner_election.go), so that of two planners the later one wins.
 //   - Messages that give orders or acknowledge something count only if they come
 //     from the address of the daemon that may send them (sender_check.go).
 //
--- a/internal/controlplane/registry/lease.go
+++ b/internal/controlplane/registry/lease.go
@@ -6,6 +6,15 @@
 	"dunlinwell/internal/base/ids"
 )
 
+// An agreement is a read of the configuration's register from a majority of the stores. How
+// old the last one is decides what a registry may do, and what others expect of it:
+//
+//	up to 1.2 s  peers begin to trust it (peers.go: they assign proxies and targets to it)
+//	up to 1.2 s  it isn't isolated: targets may be expired here
+//	up to 1.5 s  it may declare members dead
+//	up to 1.5 s  it holds the control lease (Options.ControlLease)
+//	up to 2.5 s  peers that trust it go on to do so
+//	up to 5 s    it reports itself ready; past that Status warns
 const (
 	// isolatedAfter is how old the last agreement may be before a registry counts as
 	// isolated. Reads begin every second, and one that a lost store delays is
--- a/internal/controlplane/registry/options.go
+++ b/internal/controlplane/registry/options.go
@@ -39,7 +39,8 @@
 
 	// Incremental makes registries exchange only changes of targets and members,
 	// and share the proxies out among them. Without it every registry sends
-	// everything to everybody.
+	// everything to everybody. It hides membership.Options.Incremental, which says the
+	// same of the membership list and has to be set with it.
 	Incremental bool
 
 	// AlwaysAnswer makes the directory name some known proxy even without the
--- a/internal/controlplane/registry/peers.go
+++ b/internal/controlplane/registry/peers.go
@@ -26,7 +26,7 @@
 	compareAfterMismatches = 3
 	// sendAllAfterMismatches is the number of successive heartbeats with another
 	// digest after which the whole table is sent, to a peer of a version that can't
-	// compare parts.
+	// compare parts: with any other, four comparisons have come before.
 	sendAllAfterMismatches = 15
 	// relayInterval is the interval at which changed members are relayed.
 	relayInterval = 150 * time.Millisecond
@@ -99,11 +99,19 @@
 	}
 }
 
-// handlePeerHeartbeat records a peer's heartbeat. Where the peer's target table goes
-// on differing from this one, an update was lost, and the tables are reconciled.
+// handlePeerHeartbeat records a peer's heartbeat, and reconciles the target tables.
 func (r *Registry) handlePeerHeartbeat(now ids.Time, heartbeat PeerHeartbeat) {
+	restarted := r.peers.byID[heartbeat.ID].RunID != heartbeat.RunID
+	digestMismatches := r.recordPeer(now, heartbeat, restarted)
+	if member, known := r.Get(heartbeat.ID); known {
+		r.reconcileTargets(now, member.Address, restarted, digestMismatches)
+	}
+}
+
+// recordPeer records a peer's heartbeat, and returns how many in a row have had another
+// digest of the targets than this registry.
+func (r *Registry) recordPeer(now ids.Time, heartbeat PeerHeartbeat, restarted bool) int {
 	p := r.peers.byID[heartbeat.ID]
-	restarted := p.RunID != heartbeat.RunID
 	p.PeerHeartbeat, p.receivedAt = heartbeat, now
 	agreementAge := time.Duration(heartbeat.AgreementAgeMillis) * time.Millisecond
 	p.trusted = remainsTrusted(p.trusted && !restarted, agreementAge)
@@ -113,14 +121,18 @@
 		p.digestMismatches++
 	}
 	r.peers.byID[heartbeat.ID] = p
+	return p.digestMismatches
+}
 
-	member, known := r.Get(heartbeat.ID)
+// reconcileTargets sends a peer what makes both target tables equal again. A peer that was
+// restarted knows nothing yet; with any other whose table goes on differing from this
+// one, an update was lost.
+func (r *Registry) reconcileTargets(now ids.Time, peer ids.Address, restarted bool, digestMismatches int) {
 	switch {
-	case !known:
-	case restarted || isMultiple(p.digestMismatches, sendAllAfterMismatches):
-		r.Send(member.Address, targets.Update{Targets: r.Targets.All(now)})
-	case isMultiple(p.digestMismatches, compareAfterMismatches):
-		r.Send(member.Address, TableDigest{Parts: r.Targets.PartDigests()})
+	case restarted || isMultiple(digestMismatches, sendAllAfterMismatches):
+		r.Send(peer, targets.Update{Targets: r.Targets.All(now)})
+	case isMultiple(digestMismatches, compareAfterMismatches):
+		r.Send(peer, TableDigest{Parts: r.Targets.PartDigests()})
 	}
 }
 
--- a/internal/controlplane/registry/planner.go
+++ b/internal/controlplane/registry/planner.go
@@ -21,7 +21,8 @@
 	minForecastChange = 1
 )
 
-// planner is the spill plan in use and, while this registry leads, what it plans from.
+// planner is the state of spill planning. Every registry has the table, from the planner if
+// it isn't the planner itself; the rest matters only while it leads.
 type planner struct {
 	// table is the spill table in use.
 	table spill.Table
--- a/internal/controlplane/registry/push.go
+++ b/internal/controlplane/registry/push.go
@@ -12,7 +12,8 @@
 	// pushInterval is the interval at which changes that aren't urgent are pushed.
 	pushInterval = 150 * time.Millisecond
 	// pushVersionShift keeps the targets' version above the configuration's revision in
-	// the version of a push.
+	// the version of a push. Both only grow, so their sum differs after each change of
+	// either, however large they become.
 	pushVersionShift = 20
 	// incrementalRefreshInterval is how often a proxy is pushed to if nothing is new,
 	// and incrementalRetryTimeout how long a first push waits for its acknowledgement.
@@ -78,8 +79,9 @@
 	return r.Targets.Version()
 }
 
-// configurationSince gives the encoded configuration for a proxy that has a revision:
-// as a difference where that is possible.
+// configurationSince gives the encoded configuration for a proxy that has a revision: where
+// that is possible only the items that changed (Document.ChangesSince), which is another
+// thing than the binary difference between two values that stores send.
 func (r *Registry) configurationSince(revision ids.Revision) []byte {
 	if revision == 0 || !r.options.Incremental {
 		return r.configuration.full()
--- a/internal/controlplane/registry/status.go
+++ b/internal/controlplane/registry/status.go
@@ -39,7 +39,9 @@
 	// configuration, in milliseconds.
 	AgreementAgeMillis int64        `json:"agreed_ms_ago"`
 	Revision           ids.Revision `json:"revision"`
-	// InForce tells that every live proxy has acknowledged Revision.
+	// InForce tells that every live proxy has acknowledged Revision to this registry. A
+	// proxy that other registries alone push to (Options.Incremental, assignment.go)
+	// acknowledges nothing here, and so is among LaggingProxies.
 	InForce        bool               `json:"in_force"`
 	LaggingProxies []ids.DaemonID     `json:"behind"`
 	Daemons        []DaemonStatus     `json:"daemons"`
--- a/internal/controlplane/targets/announcement.go
+++ b/internal/controlplane/targets/announcement.go
@@ -69,7 +69,7 @@
 	return ""
 }
 
-// ParseAnnouncement reads and checks the heartbeat of a target. The second result has
+// ParseAnnouncement reads and checks an announcement: a heartbeat of a target, as JSON. The second result has
 // the violations by JSON path, and is empty if the announcement is valid; only then
 // is the target of use.
 func ParseAnnouncement(raw []byte) (Target, map[string]string) {
