--- a/internal/controlplane/membership/list.go
+++ b/internal/controlplane/membership/list.go
@@ -10,15 +10,6 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// Log events of this package.
-const (
-	// EventMemberDeclaredDead says that this registry declared a member dead.
-	EventMemberDeclaredDead event.LogEvent = "member_declared_dead"
-	// EventDeathRefuted says that this daemon raised its incarnation, as others held it
-	// for dead or knew an earlier run of it.
-	EventDeathRefuted event.LogEvent = "death_refuted"
-)
-
 // List is the membership list and failure detector of one daemon, a state machine that
 // the daemon embeds: it hands in messages (Receive) and time (Tick).
 type List struct {
--- a/internal/controlplane/registry/registry.go
+++ b/internal/controlplane/registry/registry.go
@@ -134,7 +134,7 @@
 
 // receive handles a message from another daemon.
 func (r *Registry) receive(now ids.Time, from ids.Address, msg any) {
-	if reason := r.checkSender(from, msg); reason != "" {
+	if reason := r.discardReason(from, msg); reason != "" {
 		r.Discard(from, reason, msg)
 		return
 	}
--- a/internal/controlplane/registry/sender_check.go
+++ b/internal/controlplane/registry/sender_check.go
@@ -12,11 +12,11 @@
 	"dunlinwell/internal/state/election"
 )
 
-// checkSender gives the reason for which a message must be discarded; empty if it may be
+// discardReason gives the reason for which a message must be discarded; empty if it may be
 // taken. Messages that give orders, or speak for a daemon, are taken only from the
 // address at which the daemon that may send them is known. All of these are repeated
 // while they hold, so that one that comes before its sender is known costs a moment.
-func (r *Registry) checkSender(from ids.Address, msg any) event.Reason {
+func (r *Registry) discardReason(from ids.Address, msg any) event.Reason {
 	known := true
 	switch m := msg.(type) {
 	case consensus.Chosen, consensus.ChosenDifference:
--- a/internal/state/election/doc.go
+++ b/internal/state/election/doc.go
@@ -1,6 +1,6 @@
 // Package election gives a singleton role, such as that of the planner, to one daemon at a
 // time. Each role is a replicated register (package consensus) that holds its Term: the
-// leader and an epoch, which is the fencing token.
+// holder, which elsewhere is called the leader, and an epoch, which is the fencing token.
 //
 // Invariants:
 //
@@ -11,7 +11,9 @@
 //
 // The package never decides who should acquire a role, and there are no leases in it: a
 // role is taken over by a higher epoch alone. The daemons choose the first live candidate
-// in an order that they agree on; two that disagree are kept apart by the epoch.
+// in an order that they agree on; two that disagree are kept apart by the epoch. The one
+// role so far is the planner's, for which registries stand in order of their ids
+// (controlplane/registry, planner_election.go).
 //
 // The tests of the change function are in election_test.go; those of whole clusters are in
 // package simulator.
