--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -1,4 +1,5 @@
-// Command proxy is the proxy: it carries clients' requests to targets.
+// Command proxy runs the proxy daemon (package dataplane/proxy) until it gets SIGTERM or
+// SIGINT: it carries clients' requests to targets.
 package main
 
 import (
--- a/internal/dataplane/dispatch/admission.go
+++ b/internal/dataplane/dispatch/admission.go
@@ -7,21 +7,23 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// pauseThreshold is the gap between ticks from which the process counts as paused: what
-// it knows may then be out of date, and a claim may have been granted long ago.
-const pauseThreshold = time.Second
+// freezeThreshold is the gap between ticks from which the process counts as frozen (not
+// scheduled, or suspended; clients are told "paused"): what it knows may then be out of
+// date, and a claim may have been granted long ago. The proxy has the same threshold for
+// its control machine, whose lease ends by a freeze as well.
+const freezeThreshold = time.Second
 
-// isPausedOrStale tells whether this process was paused, or its service state isn't
-// current. Nothing is forwarded then.
-func (d *Dispatcher) isPausedOrStale(now ids.Time) bool {
-	return !d.service.IsCurrent || (d.lastTickAt != 0 && now.Sub(d.lastTickAt) > pauseThreshold)
+// isFrozenOrStale tells whether this process has been frozen since its last tick, or its
+// service state isn't current. Nothing is forwarded then.
+func (d *Dispatcher) isFrozenOrStale(now ids.Time) bool {
+	return !d.service.IsCurrent || (d.lastTickAt != 0 && now.Sub(d.lastTickAt) > freezeThreshold)
 }
 
 // blockedReason returns why a job must not be forwarded now, or "". It is asked again
 // before each step of a job, as all of it may change while the job waits.
 func (d *Dispatcher) blockedReason(now ids.Time, j *job) string {
 	switch {
-	case d.isPausedOrStale(now):
+	case d.isFrozenOrStale(now):
 		return reasonNotCurrent
 	case now >= d.leaseExpiresAt:
 		// By a state that no majority has confirmed recently, the zone may have been
@@ -43,6 +45,16 @@
 		d.reject(now, j, reason)
 		return
 	}
+	d.enqueue(now, j)
+	d.dispatchQueue(now)
+	// It may hold a slot by now, or have been answered.
+	if j.state == queued && d.jobs[j.ID] == j {
+		d.limitQueue(now, j)
+	}
+}
+
+// enqueue puts a job into the queue, at its place by urgency.
+func (d *Dispatcher) enqueue(now ids.Time, j *job) {
 	j.state = queued
 	// A job that returns from a target keeps the time of its first wait.
 	if j.queuedAt == 0 {
@@ -50,10 +62,11 @@
 	}
 	position, _ := slices.BinarySearchFunc(d.queue, j, compareUrgency)
 	d.queue = slices.Insert(d.queue, position, j)
-	d.dispatchQueue(now)
-	if j.state != queued || d.jobs[j.ID] != j {
-		return
-	}
+}
+
+// limitQueue rejects a job that has just been queued if it won't be served in time, or
+// the least urgent one if the queue has grown over its limit.
+func (d *Dispatcher) limitQueue(now ids.Time, j *job) {
 	reason := d.queueRejectReason(now, j, slices.Index(d.queue, j), d.totalSlots(now))
 	switch {
 	case reason != "":
--- a/internal/dataplane/dispatch/balancer.go
+++ b/internal/dataplane/dispatch/balancer.go
@@ -22,8 +22,8 @@
 )
 
 // mayServe tells whether a target is available and in one of a job's regions.
-func (d *Dispatcher) mayServe(e *endpoint, j *job) bool {
-	return d.isAvailable(e) && (len(j.Homes) == 0 || slices.Contains(j.Homes, e.Region))
+func mayServe(e *endpoint, j *job) bool {
+	return e.isAvailable() && (len(j.Homes) == 0 || slices.Contains(j.Homes, e.Region))
 }
 
 // maxDistance returns how far away a job's target may be by now. Another zone costs time
@@ -35,7 +35,7 @@
 	}
 	sameZone, sameRegion := false, false
 	for _, e := range d.sortedEndpoints {
-		if d.mayServe(e, j) && now >= e.SlowStartUntil && e.isReady(now, d.meanResponseTime) && d.slotShare(now, e.Allocation) > 0 {
+		if mayServe(e, j) && now >= e.SlowStartUntil && e.isReady(now, d.meanResponseTime) && d.slotShare(now, e.Allocation) > 0 {
 			sameZone = sameZone || e.Distance == sameZoneDistance
 			sameRegion = sameRegion || e.Distance <= sameRegionDistance
 		}
@@ -74,11 +74,11 @@
 	candidates, candidatesReady := d.candidates[:0], false
 	// Once all targets were tried, the same one may be tried again.
 	skipTried := len(j.triedTargets) == 0 || slices.ContainsFunc(d.sortedEndpoints, func(e *endpoint) bool {
-		return d.mayServe(e, j) && !j.triedTargets[e.Instance]
+		return mayServe(e, j) && !j.triedTargets[e.Instance]
 	})
 	maxDistance := d.maxDistance(now, j)
 	for _, e := range d.sortedEndpoints {
-		if (skipTried && j.triedTargets[e.Instance]) || !d.mayServe(e, j) || e.Distance > maxDistance {
+		if (skipTried && j.triedTargets[e.Instance]) || !mayServe(e, j) || e.Distance > maxDistance {
 			continue
 		}
 		// Asking for slow start refills the bucket, so it is asked last.
--- a/internal/dataplane/dispatch/endpoint.go
+++ b/internal/dataplane/dispatch/endpoint.go
@@ -12,9 +12,10 @@
 	Allocation
 	// inFlight counts the slots in use by this proxy.
 	inFlight int
-	// cooldownUntil is until when other targets are preferred.
+	// cooldownUntil is until when other targets are preferred, for a cooldown after a
+	// failure or for an ejection.
 	cooldownUntil ids.Time
-	// removed is set once the target is no longer part of the service state.
+	// removed is set while the target isn't part of the service state.
 	removed bool
 	// lastResponseAt is when a request last came back from the target, or, if none was in
 	// flight before, when the oldest one in flight left.
@@ -53,7 +54,9 @@
 	loadReportLifetime = time.Second
 )
 
-// recordResult updates cooldown, outlier detection and reported load by the end of an attempt.
+// recordResult updates cooldown, outlier detection and reported load by the end of an
+// attempt. NotExecuted and WrongTarget set the cooldown anew, also where that shortens one
+// or an ejection; they say nothing of the target's health, so they aren't counted there.
 func (e *endpoint) recordResult(now ids.Time, result AttemptFinished) {
 	switch result.Result {
 	case NotSent, MayHaveRun:
@@ -73,8 +76,13 @@
 	}
 }
 
-// isReady tells whether a target is neither in cooldown nor unresponsive. Others are used
-// only while no target is ready.
+// isAvailable tells whether a target may get new requests at all.
+func (e *endpoint) isAvailable() bool {
+	return !e.removed && e.Usable() && !e.ZoneDrained
+}
+
+// isReady tells whether an available target is neither in cooldown, or ejected, nor
+// unresponsive. Others are used only while no target is ready.
 func (e *endpoint) isReady(now ids.Time, meanResponseTime time.Duration) bool {
 	return now >= e.cooldownUntil && !e.isUnresponsive(now, meanResponseTime)
 }
--- a/internal/dataplane/dispatch/forward.go
+++ b/internal/dataplane/dispatch/forward.go
@@ -14,7 +14,7 @@
 		return
 	}
 	e := d.endpoints[j.target]
-	if e == nil || !d.isAvailable(e) || e.inFlight > d.slotShare(now, e.Allocation) {
+	if e == nil || !e.isAvailable() || e.inFlight > d.slotShare(now, e.Allocation) {
 		// Meanwhile the target has left, or restarted with fewer slots.
 		d.releaseSlot(now, j)
 		d.admit(now, j)
@@ -35,7 +35,7 @@
 		Target:        e.Target,
 		Deadline:      j.Deadline,
 		SendBefore:    min(j.Deadline, d.leaseExpiresAt),
-		NewConnection: j.hasIdempotencyRecord(),
+		NewConnection: j.requiresIdempotencyKey(),
 		RecentOnly:    j.AtMostOnce,
 	})
 }
@@ -70,11 +70,12 @@
 	}
 	d.recordAttempt(now, j, result)
 	if result.Result == NotSent {
-		if !d.onNotSent(now, j, result) {
+		if !d.onUnsentAttemptFinished(now, j, result) {
+			// The slot that it held is given out at the next event or tick.
 			return
 		}
 	} else {
-		d.onAttemptSent(now, j, result)
+		d.onSentAttemptFinished(now, j, result)
 	}
 	d.dispatchQueue(now)
 }
@@ -96,23 +97,23 @@
 	}
 }
 
-// onAttemptSent goes on with a job of which bytes have left.
-func (d *Dispatcher) onAttemptSent(now ids.Time, j *job, result AttemptFinished) {
+// onSentAttemptFinished goes on with a job of which bytes have left.
+func (d *Dispatcher) onSentAttemptFinished(now ids.Time, j *job, result AttemptFinished) {
 	switch {
-	case result.Result == Complete && !j.hasIdempotencyRecord():
+	case result.Result == Complete && !j.requiresIdempotencyKey():
 		d.respondAnswered(now, j, result.Response)
 	case result.Result == Complete:
 		j.response = result.Response
 		d.callIdempotency(now, j, idempotency.OpComplete, storingOutcome, responseHeldTimeout)
 	case result.Result == NotExecuted || result.Result == WrongTarget:
-		d.onNotExecuted(now, j, result)
+		d.onNotExecutedAttempt(now, j, result)
 	case j.Repeatable:
 		d.retry(now, j, result)
 	default:
-		if j.hasIdempotencyRecord() {
+		if j.requiresIdempotencyKey() {
 			// Stored as final, so that a later attempt learns at once that nobody will
 			// ever know more.
-			j.response = idempotency.Response{Status: statusGatewayTimeout, BodyOmitted: true}
+			j.response = lostResponse
 			d.callIdempotencyInBackground(j, idempotency.OpComplete)
 		}
 		d.respondUnknown(now, j, unknownStatus(now, j), reasonMayHaveRun+": "+result.Reason)
--- a/internal/dataplane/dispatch/idempotency.go
+++ b/internal/dataplane/dispatch/idempotency.go
@@ -150,13 +150,13 @@
 }
 
 // onClaimGranted forwards a job that holds a slot and its claim, if there is time left and
-// the process wasn't paused meanwhile.
+// the process wasn't frozen meanwhile.
 func (d *Dispatcher) onClaimGranted(now ids.Time, j *job) {
 	switch {
 	case now >= j.Deadline:
 		d.reject(now, j, reasonNoTimeLeft)
-	case d.isPausedOrStale(now):
-		d.reject(now, j, reasonPaused)
+	case d.isFrozenOrStale(now):
+		d.reject(now, j, reasonFrozen)
 	default:
 		d.forward(now, j)
 	}
@@ -210,11 +210,21 @@
 	j.sequence++
 }
 
+// lostResponse is stored in place of a response that will never be known. It isn't to be
+// told from a target's own response of this status whose body was too large to store.
+var lostResponse = idempotency.Response{Status: statusGatewayTimeout, BodyOmitted: true}
+
+// isLostResponse tells whether a stored response stands for an unknown one. One without a
+// status does too, as nothing was stored.
+func isLostResponse(stored idempotency.Response) bool {
+	return stored.Status == 0 || stored.Status == lostResponse.Status && stored.BodyOmitted
+}
+
 // replay answers with the stored outcome of an earlier attempt.
 func (d *Dispatcher) replay(now ids.Time, j *job, stored idempotency.Response) {
 	d.Counters.Replayed++
 	switch {
-	case stored.Status == 0 || stored.Status == statusGatewayTimeout && stored.BodyOmitted:
+	case isLostResponse(stored):
 		d.respondUnknown(now, j, statusGatewayTimeout, reasonResponseLost)
 	case stored.BodyOmitted:
 		d.respond(now, j, Response{Class: Answered, Status: statusOK, Reason: reasonBodyOmitted, TargetResponse: stored})
--- a/internal/dataplane/dispatch/job.go
+++ b/internal/dataplane/dispatch/job.go
@@ -53,9 +53,11 @@
 	// sequence numbers the commands whose reply is awaited. Replies with another number
 	// are late ones, and ignored.
 	sequence uint32
-	// failedAttempts counts attempts that ended without a response of the target.
+	// failedAttempts counts attempts that were not sent, and those after which a retry
+	// was considered (takeRetry), a TargetFailed response among them.
 	failedAttempts int
-	// timesSent counts attempts of which bytes left this proxy.
+	// timesSent counts attempts of which bytes left this proxy. It is raised with the
+	// Forward, and lowered again if that turns out as NotSent.
 	timesSent int
 	// target is where the job holds a slot; empty for none.
 	target       ids.InstanceID
@@ -63,7 +65,8 @@
 	// claimRequested is set once a claim was asked for, which may stand since.
 	claimRequested bool
 	// budgetCounted is set once the request has been counted by the retry budget, and
-	// budgetEarned if that was as a deposit.
+	// budgetEarned if that was as a deposit. Both are reset when no byte left, and the
+	// deposit is cancelled.
 	budgetCounted bool
 	budgetEarned  bool
 	// recheckAt is when a job waiting for another attempt reads the record again.
@@ -79,19 +82,21 @@
 	response idempotency.Response
 }
 
-// hasIdempotencyRecord tells whether a replicated register limits the request to one run.
-func (j *job) hasIdempotencyRecord() bool { return !j.Repeatable && !j.AtMostOnce }
+// requiresIdempotencyKey tells whether the request runs once by a claim of its idempotency
+// key, in a replicated register. The proxy has rejected it if it came without a key.
+func (j *job) requiresIdempotencyKey() bool { return !j.Repeatable && !j.AtMostOnce }
 
 // onRequestArrived takes in a new request. One with an idempotency key that may be a
 // later attempt first learns whether an earlier one completed: a stored response comes
-// before any rejection.
+// before any rejection. Of an attempt that the client numbered 1 nothing is read before
+// the claim.
 func (d *Dispatcher) onRequestArrived(now ids.Time, request Job) {
 	j := &job{Job: request, triedTargets: map[ids.InstanceID]bool{}}
 	d.jobs[request.ID] = j
 	d.checkGoalReachable(now, j)
 	d.Counters.Arrived++
 	if j.Attempt == 0 {
-		if j.hasIdempotencyRecord() {
+		if j.requiresIdempotencyKey() {
 			// Without a number, this attempt couldn't be told from those that it
 			// must be fenced against.
 			d.callIdempotency(now, j, idempotency.OpNumberAttempt, numberingAttempt, registerTimeout)
@@ -99,7 +104,7 @@
 		}
 		j.Attempt = 1
 	}
-	if j.hasIdempotencyRecord() && j.Attempt > 1 {
+	if j.requiresIdempotencyKey() && j.Attempt > 1 {
 		d.readRecord(now, j)
 		return
 	}
--- a/internal/dataplane/dispatch/messages.go
+++ b/internal/dataplane/dispatch/messages.go
@@ -15,7 +15,8 @@
 	ID      ids.RequestID
 	Route   ids.Name
 	Service ids.Name
-	// Tier is the route's priority, 0 to 9; higher tiers leave the queue first.
+	// Tier is ten times the route's tier plus its service's (0 to 9 each, so 0 to 99);
+	// higher ones leave the queue first.
 	Tier int
 	// Repeatable requests may run several times, so they may be retried after any failure.
 	Repeatable bool
@@ -25,8 +26,8 @@
 	// Attempt is the client's number for this attempt of the operation, from 1; 0 if
 	// the client doesn't number its attempts.
 	Attempt uint32
-	// Fingerprint is a digest of method, path and body. A key that is used again with
-	// another fingerprint is a client error.
+	// Fingerprint is a digest of method, URI (path and query) and body. A key that is
+	// used again with another fingerprint is a client error.
 	Fingerprint []byte
 	Deadline    ids.Time
 	// AtMostOnce marks a request that isn't repeatable and has no idempotency key. It
@@ -36,8 +37,9 @@
 	// LatencyGoal is the time within which a response is worth most to the client;
 	// 0 if the route has none.
 	LatencyGoal time.Duration
-	// MaxAttempts is the largest number of targets that the request may be sent to;
-	// 0 for defaultMaxAttempts.
+	// MaxAttempts is how often bytes of the request may leave for a target. Routes of a
+	// configuration always name one; with 0 defaultMaxAttempts holds, which counts
+	// otherwise (see attemptsExhausted).
 	MaxAttempts int
 	// Homes are the regions whose targets may serve the request; empty for all.
 	Homes []ids.Name
--- a/internal/dataplane/dispatch/outlier_detector.go
+++ b/internal/dataplane/dispatch/outlier_detector.go
@@ -13,7 +13,7 @@
 type outlierDetector struct {
 	// failureRate is a moving average of the last responses, from 0 to 1.
 	failureRate float64
-	// samples counts the responses since the start or the last ejection.
+	// samples counts the results recorded since the start or the last ejection.
 	samples int
 	ejections
 }
@@ -28,7 +28,8 @@
 	// failureRateWeight is the weight of the newest response in the failure rate.
 	failureRateWeight = 0.15
 	// ejectionThreshold is the failure rate from which a target is ejected, once there
-	// were minEjectionSamples responses.
+	// were minEjectionSamples responses. With failureRateWeight, two failures among
+	// three responses reach it from a rate of 0, and two among four don't.
 	ejectionThreshold  = 0.25
 	minEjectionSamples = 4
 	// recoverySamples is how many responses with a failure rate under recoveryThreshold
@@ -41,7 +42,8 @@
 	maxEjectionDoublings = 3
 )
 
-// record counts a response. If it ejects the target it returns until when, and else 0.
+// record counts the result of an attempt: a response, or a failure to get one. If it
+// ejects the target it returns until when, and else 0.
 func (o *outlierDetector) record(now ids.Time, failed bool) ids.Time {
 	sample := 0.0
 	if failed {
--- a/internal/dataplane/dispatch/queue.go
+++ b/internal/dataplane/dispatch/queue.go
@@ -9,7 +9,7 @@
 )
 
 // compareUrgency orders the queue: by tier, highest first; then jobs that can still meet
-// their goal; then by deadline.
+// their goal; then by deadline; then by arrival.
 func compareUrgency(a, b *job) int {
 	return cmp.Or(
 		-cmp.Compare(a.Tier, b.Tier),
@@ -49,7 +49,7 @@
 
 // dispatchQueue gives free slots to queued jobs, the most urgent first.
 func (d *Dispatcher) dispatchQueue(now ids.Time) {
-	if d.isPausedOrStale(now) || now >= d.leaseExpiresAt {
+	if d.isFrozenOrStale(now) || now >= d.leaseExpiresAt {
 		return
 	}
 	for i := 0; i < len(d.queue); {
@@ -85,7 +85,7 @@
 // onSlotAcquired goes on with a job that holds a slot: it is forwarded, under a claim of
 // its idempotency key if it has one.
 func (d *Dispatcher) onSlotAcquired(now ids.Time, j *job) {
-	if !j.hasIdempotencyRecord() {
+	if !j.requiresIdempotencyKey() {
 		d.forward(now, j)
 		return
 	}
--- a/internal/dataplane/dispatch/reasons.go
+++ b/internal/dataplane/dispatch/reasons.go
@@ -15,10 +15,10 @@
 	reasonNoTimeLeft = "no time left"
 	// reasonClaimTimeout: the claim of the idempotency key isn't known to be chosen.
 	reasonClaimTimeout = "the mark couldn't be claimed in time"
-	// reasonNotCurrent: the service state isn't current, or the process was paused.
+	// reasonNotCurrent: the service state isn't current, or the process was frozen.
 	reasonNotCurrent = "this proxy is not in step"
-	// reasonPaused: the same, when the claim was granted.
-	reasonPaused = "this proxy was paused"
+	// reasonFrozen: the same, when the claim was granted.
+	reasonFrozen = "this proxy was paused"
 	// reasonLeaseExpired: the lease on the service state has expired.
 	reasonLeaseExpired = "no majority has confirmed of late what this proxy goes by"
 	// reasonZoneDrained: the proxy's own zone is drained.
--- a/internal/dataplane/dispatch/response.go
+++ b/internal/dataplane/dispatch/response.go
@@ -64,7 +64,7 @@
 // earlier ones, or one of them might still run after the client was told that none did.
 func (d *Dispatcher) reject(now ids.Time, j *job, reason string) {
 	d.releaseSlot(now, j)
-	if j.hasIdempotencyRecord() && j.Attempt > 1 {
+	if j.requiresIdempotencyKey() && j.Attempt > 1 {
 		j.rejectReason = reason
 		d.callIdempotency(now, j, idempotency.OpBlock, blockingAttempts, responseHeldTimeout)
 		return
@@ -75,6 +75,10 @@
 	d.respondRejected(now, j, reason, d.retryAfter(now, j))
 }
 
+// minRetryAfterGoalDivisor is the divisor of a latency goal that gives the shortest time
+// after which its client is asked to come back.
+const minRetryAfterGoalDivisor = 8
+
 // retryAfter estimates when a rejected client will find a free slot, by what waits now:
 // at least an eighth of its goal and at most defaultRetryAfter. A client without a goal
 // gets defaultRetryAfter.
@@ -83,7 +87,7 @@
 		return defaultRetryAfter
 	}
 	wait := d.estimateWait(len(d.queue), d.totalSlots(now))
-	return min(max(wait, j.LatencyGoal/8), defaultRetryAfter)
+	return min(max(wait, j.LatencyGoal/minRetryAfterGoalDivisor), defaultRetryAfter)
 }
 
 // unknownStatus returns the status for a request that may have run: gateway time-out once
--- a/internal/dataplane/dispatch/retry.go
+++ b/internal/dataplane/dispatch/retry.go
@@ -3,13 +3,15 @@
 import "dunlinwell/internal/base/ids"
 
 const (
-	// defaultMaxAttempts is the MaxAttempts of jobs that name none.
+	// defaultMaxAttempts bounds the failed attempts of jobs that name no MaxAttempts.
 	defaultMaxAttempts = 3
-	// maxUnsentAttempts is how many attempts of a job may end before any byte is sent.
+	// maxUnsentAttempts is how many failed attempts a job may have for an attempt that
+	// was not sent to be made up for; with one more it is rejected as unreachable.
 	maxUnsentAttempts = 3
 )
 
-// attemptsExhausted tells whether a job was sent as often as it may be.
+// attemptsExhausted tells whether a job was tried as often as it may be. A MaxAttempts
+// counts attempts of which bytes left; the default counts failed ones, sent or not.
 func (d *Dispatcher) attemptsExhausted(j *job) bool {
 	if j.MaxAttempts > 0 {
 		return j.timesSent >= j.MaxAttempts
@@ -28,9 +30,9 @@
 	return true
 }
 
-// onNotSent goes on with a job of which no byte left: another target may have it, and no
-// retry is spent. It returns false once the job has been rejected for good.
-func (d *Dispatcher) onNotSent(now ids.Time, j *job, result AttemptFinished) bool {
+// onUnsentAttemptFinished goes on with a job of which no byte left: another target may have
+// it, and no retry is spent. It returns false if it rejected the job as unreachable.
+func (d *Dispatcher) onUnsentAttemptFinished(now ids.Time, j *job, result AttemptFinished) bool {
 	j.timesSent--
 	j.failedAttempts++
 	if j.failedAttempts > maxUnsentAttempts {
@@ -41,11 +43,12 @@
 	return true
 }
 
-// onNotExecuted goes on with a job that a target hasn't run: to another target, as a
-// retry, or back to its client.
-func (d *Dispatcher) onNotExecuted(now ids.Time, j *job, result AttemptFinished) {
+// onNotExecutedAttempt goes on with a job that a target hasn't run: to another target, as a
+// retry, or back to its client. A job under a claim spends no retry, and is bounded by its
+// deadline alone.
+func (d *Dispatcher) onNotExecutedAttempt(now ids.Time, j *job, result AttemptFinished) {
 	// A claim stands for any target, and the next slot is asked for under it.
-	if !j.hasIdempotencyRecord() && !d.takeRetry(now, j) {
+	if !j.requiresIdempotencyKey() && !d.takeRetry(now, j) {
 		d.reject(now, j, reasonNotExecuted+": "+result.Reason)
 		return
 	}
--- a/internal/dataplane/dispatch/retry_budget.go
+++ b/internal/dataplane/dispatch/retry_budget.go
@@ -12,9 +12,10 @@
 }
 
 const (
-	// retryRatio is the part of a retry that each first request deposits. It is a little
-	// under one in five, as what leaves here within ten seconds may reach targets within
-	// nine if this process is delayed just then.
+	// retryRatio is the part of a retry that each first request deposits. Targets are
+	// promised no more than one retry for five first requests in any ten seconds, beyond
+	// the budget's capacity. It is a little under that, as what leaves here within ten
+	// seconds may reach targets within nine if this process is delayed just then.
 	retryRatio = 0.18
 	// tokenRounding makes up for rounding errors of deposits.
 	tokenRounding = 1e-9
--- a/internal/dataplane/dispatch/service_state.go
+++ b/internal/dataplane/dispatch/service_state.go
@@ -16,15 +16,18 @@
 	// DefaultCapacity is the number of slots of a target that names no capacity itself.
 	DefaultCapacity int
 	// SlowStartDuration is how long a restarted target takes to ramp up to its
-	// capacity; 0 to leave the ramp to the target's own Warmth.
+	// capacity; 0 to leave the ramp to the target's own Warmth. Targets of a service
+	// with a slow-start rate come with an age beyond it, so that only the rate holds.
 	SlowStartDuration time.Duration
 	// RetryBudget is the capacity of this proxy's retry budget, in retries.
 	RetryBudget float64
-	// IsCurrent tells that the proxy has applied what is in force, as far as it can
-	// know. While it is unset nothing is forwarded.
+	// IsCurrent tells that the state was confirmed at least once since the process
+	// started or woke from a freeze. While it is unset nothing is forwarded. How long a
+	// confirmation holds is LeaseExpiresAt's to say.
 	IsCurrent bool
 	// OwnZoneDrained is set once the proxy's own zone has been drained for some
-	// seconds. New requests are rejected then.
+	// seconds (proxy.zoneDrainDelay). Nothing is forwarded then; jobs that wait are
+	// rejected as well.
 	OwnZoneDrained bool
 	// LeaseExpiresAt is until when requests may be forwarded by this state.
 	LeaseExpiresAt ids.Time
@@ -55,7 +58,8 @@
 	// Region is the target's.
 	Region ids.Name
 	// SlowStartUntil is until when the target gets no more than SlowStartRate requests
-	// a second from this proxy; with a rate of 0, none.
+	// a second from this proxy; with a rate of 0, none. It is 0 for services without a
+	// slow-start rate.
 	SlowStartUntil ids.Time
 	SlowStartRate  float64
 }
--- a/internal/dataplane/dispatch/slots.go
+++ b/internal/dataplane/dispatch/slots.go
@@ -7,7 +7,8 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// minWarmth is the part of its capacity that a target gets at the start of its ramp.
+// minWarmth is the part of its capacity that a target gets at the start of its ramp, by its
+// age; a lower warmth that the target reports itself still holds.
 const minWarmth = 0.2
 
 // slotShare returns how many requests this proxy may have in flight at a target. The
@@ -29,16 +30,11 @@
 	return slots*(allocation.SlotShareIndex+1)/shares - slots*allocation.SlotShareIndex/shares
 }
 
-// isAvailable tells whether a target may get new requests at all.
-func (d *Dispatcher) isAvailable(e *endpoint) bool {
-	return !e.removed && e.Usable() && !e.ZoneDrained
-}
-
 // totalSlots returns this proxy's slots at all available targets, free or in use.
 func (d *Dispatcher) totalSlots(now ids.Time) int {
 	total := 0
 	for _, e := range d.sortedEndpoints {
-		if d.isAvailable(e) && (now >= e.SlowStartUntil || e.SlowStartRate > 0) {
+		if e.isAvailable() && (now >= e.SlowStartUntil || e.SlowStartRate > 0) {
 			total += d.slotShare(now, e.Allocation)
 		}
 	}
--- a/internal/dataplane/proxy/client_handler.go
+++ b/internal/dataplane/proxy/client_handler.go
@@ -58,7 +58,7 @@
 // handleClientRequest takes one client's request from its first byte to its response.
 func (d *Daemon) handleClientRequest(w http.ResponseWriter, r *http.Request) {
 	begun := time.Now()
-	if d.zoneDrained.Load() || d.stopping.Load() {
+	if d.servingState.Load().ZoneDrained || d.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	route, view, found := d.FindRoute(r.Host, r.URL.Path)
--- a/internal/dataplane/proxy/client_listener.go
+++ b/internal/dataplane/proxy/client_listener.go
@@ -22,23 +22,25 @@
 	mu       sync.Mutex
 	limits   configuration.Limits
 	server   *clientServer
-	// openConns counts the connections of all servers; drained wakes the one who waits
-	// for none to be left.
-	openConns atomic.Int64
-	drained   chan struct{}
+	// openConns counts the connections of all servers; lastConnClosed wakes the one who
+	// waits for none to be left.
+	openConns      atomic.Int64
+	lastConnClosed chan struct{}
 }
 
 const (
 	// acceptRetryDelay is how long a process short of file descriptors or memory waits
 	// before it accepts the next connection.
 	acceptRetryDelay = 20 * time.Millisecond
-	// lameDuckPeriod is how long clients are still accepted after the signal to stop:
-	// responses of the directory that name this proxy are used for a moment longer.
+	// lameDuckPeriod is how long connections are still accepted after the signal to stop:
+	// responses of the directory that name this proxy are used for a moment longer, and
+	// their clients shall get an answer. The native front end rejects their requests at
+	// once; another may still serve them. A third of the default grace period is shorter.
 	lameDuckPeriod = 1200 * time.Millisecond
 )
 
 func newClientListener(listener net.Listener, handler http.Handler) *clientListener {
-	l := &clientListener{handler: handler, listener: listener, drained: make(chan struct{}, 1)}
+	l := &clientListener{handler: handler, listener: listener, lastConnClosed: make(chan struct{}, 1)}
 	l.setLimits(configuration.DefaultLimits)
 	return l
 }
@@ -65,22 +67,23 @@
 		return
 	}
 	select {
-	case l.drained <- struct{}{}:
+	case l.lastConnClosed <- struct{}{}:
 	default:
 	}
 }
 
 // enqueue hands a connection to the server of the limits in force, or closes it after the
-// last server has closed.
+// last server has closed. A queue that was found closed is asked for again, as new limits
+// may have put another in its place; if it is still the same one, none will follow.
 func (l *clientListener) enqueue(conn net.Conn) {
 	// It counts before the server has it, so that a shutdown doesn't miss it.
 	l.openConns.Add(1)
-	var closed *connQueue
+	var closedQueue *connQueue
 	for {
 		l.mu.Lock()
-		queue := l.server.listener
+		queue := l.server.queue
 		l.mu.Unlock()
-		if queue == closed {
+		if queue == closedQueue {
 			// The client sees it closed either way.
 			_ = conn.Close()
 			l.connClosed()
@@ -90,7 +93,7 @@
 		case queue.conns <- conn:
 			return
 		case <-queue.closed:
-			closed = queue
+			closedQueue = queue
 		}
 	}
 }
@@ -121,7 +124,7 @@
 	l.mu.Lock()
 	l.server.drain()
 	l.mu.Unlock()
-	l.awaitDrained(gracePeriod - lameDuck)
+	l.awaitConnsClosed(gracePeriod - lameDuck)
 	return ctx.Err()
 }
 
@@ -146,12 +149,12 @@
 	}
 }
 
-// awaitDrained waits until no connection is open, or the time is over.
-func (l *clientListener) awaitDrained(limit time.Duration) {
+// awaitConnsClosed waits until no connection is open, or the time is over.
+func (l *clientListener) awaitConnsClosed(limit time.Duration) {
 	timeout := time.After(limit)
 	for l.openConns.Load() > 0 {
 		select {
-		case <-l.drained:
+		case <-l.lastConnClosed:
 		case <-timeout:
 			return
 		}
--- a/internal/dataplane/proxy/client_request.go
+++ b/internal/dataplane/proxy/client_request.go
@@ -60,30 +60,15 @@
 // readClientRequest reads a request whole and checks its headers. The error is a
 // *requestError.
 func (d *Daemon) readClientRequest(w http.ResponseWriter, r *http.Request, route configuration.Route, view *configuration.View) (*ClientRequest, error) {
-	job := d.NewJob(route, view)
-	for _, name := range singleHeaders {
-		if len(r.Header.Values(name)) > 1 {
-			return nil, badRequest(name + " stands twice")
-		}
-	}
-	arrivedAt := process.Now()
-	timeLimit, err := requestTimeLimit(r, route)
+	job, err := d.readJob(r, route, view)
 	if err != nil {
 		return nil, err
 	}
-	if job.Attempt, err = requestAttempt(r); err != nil {
-		return nil, err
-	}
-	job.IdempotencyKey = ids.IdempotencyKey(r.Header.Get("Idempotency-Key"))
-	if requiresIdempotencyKey(route) && !idempotencyKeyPattern.MatchString(string(job.IdempotencyKey)) {
-		return nil, badRequest("this route takes no request without an Idempotency-Key of 1 to 256 printable characters")
-	}
 	body, memory, err := d.ReadBody(w, r, int64(route.MaxBodyBytes), time.Time{})
 	if err != nil {
 		return nil, bodyError(err, route)
 	}
 	job.Fingerprint = requestFingerprint(r, body)
-	job.Deadline = arrivedAt.Add(timeLimit)
 	// An address that can't be split has no IP to pass on.
 	clientIP, _, _ := net.SplitHostPort(r.RemoteAddr)
 	return &ClientRequest{
@@ -92,6 +77,31 @@
 	}, nil
 }
 
+// readJob returns the job of a request by its route and its headers, without the
+// fingerprint, which needs the body. Its time runs from now on.
+func (d *Daemon) readJob(r *http.Request, route configuration.Route, view *configuration.View) (dispatch.Job, error) {
+	job := d.NewJob(route, view)
+	for _, name := range singleHeaders {
+		if len(r.Header.Values(name)) > 1 {
+			return job, badRequest(name + " stands twice")
+		}
+	}
+	arrivedAt := process.Now()
+	timeLimit, err := requestTimeLimit(r, route)
+	if err != nil {
+		return job, err
+	}
+	job.Deadline = arrivedAt.Add(timeLimit)
+	if job.Attempt, err = requestAttempt(r); err != nil {
+		return job, err
+	}
+	job.IdempotencyKey = ids.IdempotencyKey(r.Header.Get("Idempotency-Key"))
+	if requiresIdempotencyKey(route) && !idempotencyKeyPattern.MatchString(string(job.IdempotencyKey)) {
+		return job, badRequest("this route takes no request without an Idempotency-Key of 1 to 256 printable characters")
+	}
+	return job, nil
+}
+
 // requiresIdempotencyKey tells whether requests of a route run twice would do harm, and
 // so have to name themselves.
 func requiresIdempotencyKey(route configuration.Route) bool {
--- a/internal/dataplane/proxy/client_server.go
+++ b/internal/dataplane/proxy/client_server.go
@@ -13,7 +13,7 @@
 // clientServer is one HTTP server for clients with fixed limits, and its connections.
 type clientServer struct {
 	server   *http.Server
-	listener *connQueue
+	queue    *connQueue
 	draining atomic.Bool
 	mu       sync.Mutex
 	conns    map[*clientConn]bool
@@ -22,7 +22,7 @@
 // newClientServer starts a server that gets its connections from a queue. connClosed is
 // called once for each that has ended.
 func newClientServer(listener net.Listener, handler http.Handler, limits configuration.Limits, connClosed func()) *clientServer {
-	s := &clientServer{listener: newConnQueue(listener), conns: map[*clientConn]bool{}}
+	s := &clientServer{queue: newConnQueue(listener), conns: map[*clientConn]bool{}}
 	s.server = &http.Server{
 		Handler:           s.wrapHandler(handler),
 		MaxHeaderBytes:    limits.MaxHeaderBytes,
@@ -36,14 +36,14 @@
 		},
 	}
 	// It ends with the queue, and with no other error.
-	go func() { _ = s.server.Serve(s.listener) }()
+	go func() { _ = s.server.Serve(s.queue) }()
 	return s
 }
 
 // drain takes no more connections and closes the idle ones now, the others after the
 // response that is under way.
 func (s *clientServer) drain() {
-	s.listener.close()
+	s.queue.close()
 	s.draining.Store(true)
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/dataplane/proxy/configuration.go
+++ b/internal/dataplane/proxy/configuration.go
@@ -40,7 +40,7 @@
 	previous := c.view
 	c.configuration, c.view = next, next.View()
 	c.view.SetRegions(c.Regions)
-	c.startSlowStart(now, previous)
+	c.restartZoneSlowStart(now, previous)
 	c.noteZoneDrain(now, hadLease)
 	c.Emit(UpdateRoutes{View: c.view})
 	c.Log(event.LevelInfo, logConfigurationAdopted, "revision", formatUint(uint64(next.Revision)))
--- a/internal/dataplane/proxy/connection_pool.go
+++ b/internal/dataplane/proxy/connection_pool.go
@@ -26,8 +26,9 @@
 	verifyIdentity bool
 	// dialTimeout bounds the opening of a connection.
 	dialTimeout time.Duration
-	// recentIdleLimit is how long a recently used connection may have been idle, as
-	// learned from connections that were found dead; 0 for recentIdleMax.
+	// recentIdleLimit is how long a recently used connection (dispatch.Forward.RecentOnly)
+	// may have been idle, as learned from connections that were found dead; as long as
+	// there were none it is 0, for maxRecentIdleLimit.
 	recentIdleLimit time.Duration
 }
 
@@ -38,11 +39,12 @@
 	defaultMaxIdle = 5 * time.Second
 	// defaultDialTimeout bounds the opening of a connection if the options don't say.
 	defaultDialTimeout = time.Second
-	// recentIdleMax is how long a recently used connection may have been idle: where a
-	// request lost on a dead connection can't be sent again, only those are used.
-	recentIdleMax = 1500 * time.Millisecond
-	// recentIdleMin is how short that time may become by learning.
-	recentIdleMin = 20 * time.Millisecond
+	// maxRecentIdleLimit is the recentIdleLimit at first, and the most it returns to.
+	// Where a request lost on a dead connection can't be sent again, only connections
+	// idle for less than that limit are used.
+	maxRecentIdleLimit = 1500 * time.Millisecond
+	// minRecentIdleLimit is how short that limit may become by learning.
+	minRecentIdleLimit = 20 * time.Millisecond
 	// keepAliveMargin is how much sooner than its target this side gives a connection
 	// up, so that no request crosses the target's closing of it.
 	keepAliveMargin = 1500 * time.Millisecond
@@ -72,7 +74,7 @@
 			return nil
 		}
 		idleFor := process.Now().Sub(c.idleSince)
-		tooOld := idleFor >= c.maxIdle || recentOnly && idleFor > p.maxRecentIdle()
+		tooOld := idleFor >= c.maxIdle || recentOnly && idleFor > p.currentRecentIdleLimit()
 		if !tooOld && c.isOpen() {
 			c.idleBeforeUse, c.responsive = idleFor, false
 			return c
@@ -93,31 +95,31 @@
 	return list[len(list)-1]
 }
 
-// maxRecentIdle is how long a recently used connection may have been idle now.
-func (p *connectionPool) maxRecentIdle() time.Duration {
+// currentRecentIdleLimit is the recentIdleLimit in force.
+func (p *connectionPool) currentRecentIdleLimit() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return cmp.Or(p.recentIdleLimit, recentIdleMax)
+	return cmp.Or(p.recentIdleLimit, maxRecentIdleLimit)
 }
 
-// recordStale learns from a connection that was dead when it was used. Targets may forget
-// connections sooner than they say, and a request lost that way can't be sent again, so
-// half its idle time is the new limit.
-func (p *connectionPool) recordStale(c *connection) {
+// lowerRecentIdleLimit learns from a pooled connection that was dead when it was used.
+// Targets may forget connections sooner than they say, and a request lost that way can't
+// be sent again, so half its idle time is the new limit.
+func (p *connectionPool) lowerRecentIdleLimit(c *connection) {
 	if c.idleBeforeUse == 0 {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.recentIdleLimit = max(min(c.idleBeforeUse/2, cmp.Or(p.recentIdleLimit, recentIdleMax)), recentIdleMin)
+	p.recentIdleLimit = max(min(c.idleBeforeUse/2, cmp.Or(p.recentIdleLimit, maxRecentIdleLimit)), minRecentIdleLimit)
 }
 
-// relaxRecentIdle raises the learned limit by a quarter. It is called at each usage report.
-func (p *connectionPool) relaxRecentIdle() {
+// raiseRecentIdleLimit raises the learned limit by a quarter. It is called at each usage report.
+func (p *connectionPool) raiseRecentIdleLimit() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.recentIdleLimit > 0 {
-		p.recentIdleLimit = min(p.recentIdleLimit*5/4, recentIdleMax)
+		p.recentIdleLimit = min(p.recentIdleLimit*5/4, maxRecentIdleLimit)
 	}
 }
 
--- a/internal/dataplane/proxy/connection_pool_test.go
+++ b/internal/dataplane/proxy/connection_pool_test.go
@@ -21,9 +21,9 @@
 		connections int64
 	}{
 		{0, true, 1},
-		{recentIdleMax - 200*time.Millisecond, true, 1},
-		{recentIdleMax + time.Millisecond, false, 1}, // a request that may be sent again may try it
-		{recentIdleMax + time.Millisecond, true, 2},
+		{maxRecentIdleLimit - 200*time.Millisecond, true, 1},
+		{maxRecentIdleLimit + time.Millisecond, false, 1}, // a request that may be sent again may try it
+		{maxRecentIdleLimit + time.Millisecond, true, 2},
 		{defaultMaxIdle + time.Millisecond, false, 3},
 	} {
 		if i > 0 {
--- a/internal/dataplane/proxy/daemon.go
+++ b/internal/dataplane/proxy/daemon.go
@@ -40,9 +40,8 @@
 	lastRequestID atomic.Uint64
 	// lastStep is when the control machine last stepped, as ids.Time; its age shows a
 	// freeze.
-	lastStep    atomic.Int64
-	zoneDrained atomic.Bool
-	stopping    atomic.Bool
+	lastStep atomic.Int64
+	stopping atomic.Bool
 	// mu guards the map; each dispatcher has a lock of its own.
 	mu          sync.RWMutex
 	dispatchers map[ids.Name]*serviceDispatcher
@@ -115,7 +114,6 @@
 			l.setLimits(c.View.Limits)
 		}
 	case ServingState:
-		d.zoneDrained.Store(c.ZoneDrained)
 		d.servingState.Store(&c)
 	}
 }
--- a/internal/dataplane/proxy/doc.go
+++ b/internal/dataplane/proxy/doc.go
@@ -9,6 +9,27 @@
 //   - [Daemon] is the process around it: listeners for clients, the connection pool to
 //     targets, the dispatchers behind their locks, and the HTTP pages for operators.
 //
+// The way of a request: clientListener accepts it (client_listener.go, client_server.go),
+// handleClientRequest (client_handler.go) finds its route, reads it (client_request.go,
+// memory_budget.go) and calls [Daemon.Dispatch] (dispatchers.go), which gives the
+// dispatcher a dispatch.RequestArrived and waits for its dispatch.Response. In between,
+// executeDispatch carries out the dispatcher's commands: a dispatch.Forward by forward
+// (forward.go: connection_pool.go, identity.go, target_protocol.go, target_response.go),
+// a dispatch.IdempotencyCall through Control (idempotency.go), which has the connection to
+// the stores; its reply comes back as a [DispatchEvent].
+//
+// A proxy without confirmations goes through these steps, by their age (a registry's push
+// confirms configuration and targets; lease.go says what counts):
+//
+//   - 1 s: it reads the configuration from the stores itself (storeQueryAge).
+//   - 1.2 s: it asks other proxies for theirs (gossipAfter, lease_gossip.go).
+//   - 1.5 s: it counts as cut off and is no longer ready, so the directory stops naming
+//     it (cutOffTimeout); at 1.9 s also if only the configuration is unconfirmed
+//     (maxConfirmationAge).
+//   - 2.5 s: its lease ends, and it rejects requests (DefaultLease).
+//
+// In a fleet by zone some of them come later. A proxy with an endless lease goes on.
+//
 // Invariants:
 //
 //   - No request is sent to a target after the lease has ended ([MaySend] is checked
--- a/internal/dataplane/proxy/events.go
+++ b/internal/dataplane/proxy/events.go
@@ -50,7 +50,8 @@
 		Ready bool
 		// LeaseValid: requests may be forwarded.
 		LeaseValid bool
-		// CutOff: no registry has been heard for cutOffTimeout.
+		// CutOff: for cutOffTimeout nobody has confirmed the targets, neither a
+		// registry nor another proxy that a registry reaches.
 		CutOff bool
 		// ZoneDrained: an operator drains this proxy's zone.
 		ZoneDrained bool
--- a/internal/dataplane/proxy/forward.go
+++ b/internal/dataplane/proxy/forward.go
@@ -35,8 +35,10 @@
 	return forwarded
 }
 
-// requestID is the id that a target echoes: unique over all proxies and their runs.
-func (d *Daemon) requestID(id ids.RequestID) string {
+// targetRequestID is the id of a request that the native protocol has a target echo: unique
+// over all proxies and their runs, where ids.RequestID counts the requests of one run. All
+// attempts at targets have the same.
+func (d *Daemon) targetRequestID(id ids.RequestID) string {
 	return fmt.Sprintf("%s-%x-%d", d.Options.Name, uint64(d.self.RunID), id)
 }
 
@@ -71,7 +73,7 @@
 		finished.Result = dispatch.MayHaveRun
 	}
 	if err != nil {
-		d.pool.recordStale(conn)
+		d.pool.lowerRecentIdleLimit(conn)
 		conn.discard()
 		finished.Reason = "sending: " + err.Error()
 		return
@@ -79,7 +81,7 @@
 	response, err := d.readResponse(conn, request, f)
 	if err != nil {
 		if !conn.responsive {
-			d.pool.recordStale(conn)
+			d.pool.lowerRecentIdleLimit(conn)
 		}
 		conn.discard()
 		finished.Reason = err.Error()
--- a/internal/dataplane/proxy/frontend.go
+++ b/internal/dataplane/proxy/frontend.go
@@ -50,7 +50,7 @@
 // Stopping tells whether the proxy was asked to stop.
 func (d *Daemon) Stopping() bool { return d.stopping.Load() }
 
-// tierStep makes a route's tier count before its service's.
+// tierStep makes a route's tier count before its service's; both are from 0 to 9.
 const tierStep = 10
 
 // NewJob returns the job of a new request to a route. If the route splits its traffic,
--- a/internal/dataplane/proxy/lease.go
+++ b/internal/dataplane/proxy/lease.go
@@ -23,17 +23,19 @@
 	// that proxy has to reject requests.
 	maxConfirmationAge = 1900 * time.Millisecond
 	// freezeThreshold is the longest gap between ticks (normally 50 ms) that is not
-	// taken for a freeze of the process.
+	// taken for a freeze of the process. Each dispatcher has the same, for its own ticks.
 	freezeThreshold = time.Second
-	// unconfirmedStartDelay is how long a proxy with an endless lease that has just
+	// endlessLeaseStartDelay is how long a proxy with an endless lease that has just
 	// started, and can't get a fresh confirmation, waits for one before it serves by
 	// what registries have pushed.
-	unconfirmedStartDelay = 3 * time.Second
+	endlessLeaseStartDelay = 3 * time.Second
 	// farFuture is the end of an endless lease.
 	farFuture ids.Time = 1 << 62
 )
 
-// leaseState is what the lease is computed from. All times are this process's own.
+// leaseState is what the proxy's lease is computed from: the right to forward requests by
+// the configuration and the targets known here. (A registry's control lease is another.)
+// All times are this process's own.
 type leaseState struct {
 	// targetsConfirmedAt is the time as of which a registry has confirmed the targets
 	// known here; 0 for never.
@@ -51,8 +53,8 @@
 	targetsReceived bool
 	// everConfirmed: the configuration was confirmed once by a recent majority read.
 	everConfirmed bool
-	// serving: a proxy with an endless lease has begun to serve.
-	serving bool
+	// endlessLeaseBegun: the endless lease, of a proxy that has one, has begun.
+	endlessLeaseBegun bool
 	// unconfirmedSince is when such a proxy first had what it needs to serve, except
 	// for a recent confirmation; 0 for not yet.
 	unconfirmedSince ids.Time
@@ -69,7 +71,7 @@
 	if c.Lease == EndlessLease {
 		// The time limits of the requirements hold for proxies in touch with the
 		// others; one that is cut off serves by what it last knew, if anything.
-		if !c.serving {
+		if !c.endlessLeaseBegun {
 			return 0
 		}
 		return farFuture
@@ -104,21 +106,22 @@
 	c.lastTick = now
 }
 
-// startServing lets a proxy with an endless lease begin to serve. What was pushed to it at
-// its start may come from a registry that has been cut off for long, so it waits for a
-// recent confirmation. If none can be had it starts all the same after
-// unconfirmedStartDelay, as it would go on had it not been restarted, and logs that.
-func (c *Control) startServing(now ids.Time) {
-	if c.serving || c.Lease != EndlessLease || c.view.Revision == 0 || !c.targetsReceived {
+// beginEndlessLease begins an endless lease, with which the proxy serves from then on.
+// What was pushed to it at its start may come from a registry that has been cut off for
+// long, so it waits for a recent confirmation. If none can be had it starts all the same
+// after unconfirmedStartDelay, as it would go on had it not been restarted, and logs
+// that.
+func (c *Control) beginEndlessLease(now ids.Time) {
+	if c.endlessLeaseBegun || c.Lease != EndlessLease || c.view.Revision == 0 || !c.targetsReceived {
 		return
 	}
 	switch {
 	case c.everConfirmed:
-		c.serving = true
+		c.endlessLeaseBegun = true
 	case c.unconfirmedSince == 0:
 		c.unconfirmedSince = now
-	case now.Sub(c.unconfirmedSince) >= unconfirmedStartDelay:
-		c.serving = true
+	case now.Sub(c.unconfirmedSince) >= endlessLeaseStartDelay:
+		c.endlessLeaseBegun = true
 		c.Log(event.LevelWarn, logServingUnconfirmed, "revision", formatUint(uint64(c.view.Revision)),
 			"confirmed_ms_ago", formatMillis(now.Sub(c.configurationConfirmedAt)))
 	}
--- a/internal/dataplane/proxy/lease_gossip.go
+++ b/internal/dataplane/proxy/lease_gossip.go
@@ -21,9 +21,10 @@
 	Now ids.Time
 }
 
-// LeaseGossip is the reply to a LeaseRequest. The asking proxy counts the ages from
-// EchoedTime, so the time on the wire, both ways, shortens its lease and never
-// lengthens it.
+// LeaseGossip is the reply to a LeaseRequest. It hands out no lease: the asking proxy
+// computes its own from what was confirmed to the other one, and when. The asking proxy
+// counts the ages from EchoedTime, so the time on the wire, both ways, shortens its lease
+// and never lengthens it.
 type LeaseGossip struct {
 	// ProxyRunID is the run of the asking proxy that EchoedTime belongs to.
 	ProxyRunID    ids.RunID
--- a/internal/dataplane/proxy/lease_test.go
+++ b/internal/dataplane/proxy/lease_test.go
@@ -54,7 +54,7 @@
 			entry, ok := c.(event.LogEntry)
 			logged = logged || ok && entry.Event == "serving_unconfirmed"
 		}
-		if waited := f.now.Sub(1); f.leaseValid(f.now) != (waited >= unconfirmedStartDelay) {
+		if waited := f.now.Sub(1); f.leaseValid(f.now) != (waited >= endlessLeaseStartDelay) {
 			t.Fatalf("serves after %s: %v", waited, f.leaseValid(f.now))
 		}
 	}
--- a/internal/dataplane/proxy/log_events.go
+++ b/internal/dataplane/proxy/log_events.go
@@ -9,7 +9,7 @@
 	// logProcessResumed (gap_ms): the process was frozen; it doesn't serve until a
 	// registry has confirmed its state again.
 	logProcessResumed event.LogEvent = "process_resumed"
-	// logServingStateChanged (ready, cut_off): readiness or contact with registries changed.
+	// logServingStateChanged (ready, cut_off): readiness or being cut off changed.
 	logServingStateChanged event.LogEvent = "serving_state_changed"
 	// logServingUnconfirmed (revision, confirmed_ms_ago): the proxy began to serve
 	// though no majority could confirm its configuration.
--- a/internal/dataplane/proxy/refresh.go
+++ b/internal/dataplane/proxy/refresh.go
@@ -31,9 +31,9 @@
 	confirmed bool
 	// closed: this proxy's zone is drained, and no request may be forwarded any more.
 	closed bool
-	// serving: a proxy with an endless lease has begun to serve.
-	serving     bool
-	slotHolders int
+	// endlessLeaseBegun is leaseState's.
+	endlessLeaseBegun bool
+	slotHolders       int
 }
 
 const (
@@ -45,13 +45,13 @@
 	// the time in which it has to be in force (DefaultLease).
 	maxRefreshInterval = 400 * time.Millisecond
 	// minRefreshInterval is the tick's own interval: a shorter wait would save nothing.
-	minRefreshInterval = 50 * time.Millisecond
+	minRefreshInterval = tickInterval
 )
 
 // refreshDispatchers sends each dispatcher the state of its service if anything in it
 // has changed, and otherwise only the end of the lease.
 func (c *Control) refreshDispatchers(now ids.Time) {
-	c.startServing(now)
+	c.beginEndlessLease(now)
 	holders := c.slotHolders(now)
 	next := c.currentStateVersion(now, len(holders))
 	if next == c.sentState {
@@ -71,7 +71,7 @@
 func (c *Control) currentStateVersion(now ids.Time, slotHolders int) stateVersion {
 	return stateVersion{
 		targets: c.targets.Version(), members: c.Version(), revision: c.view.Revision,
-		confirmed: c.confirmedAt() > c.resumedAt, closed: c.zoneClosed(now), serving: c.serving, slotHolders: slotHolders,
+		confirmed: c.confirmedAt() > c.resumedAt, closed: c.zoneClosed(now), endlessLeaseBegun: c.endlessLeaseBegun, slotHolders: slotHolders,
 	}
 }
 
@@ -79,7 +79,7 @@
 // this proxy serves at all never waits.
 func (c *Control) mayDelayRefresh(now ids.Time, next stateVersion) bool {
 	sent := c.sentState
-	if sent.confirmed != next.confirmed || sent.closed != next.closed || sent.serving != next.serving {
+	if sent.confirmed != next.confirmed || sent.closed != next.closed || sent.endlessLeaseBegun != next.endlessLeaseBegun {
 		return false
 	}
 	pairs := c.targets.Len() * next.slotHolders
--- a/internal/dataplane/proxy/run.go
+++ b/internal/dataplane/proxy/run.go
@@ -18,12 +18,19 @@
 	// trafficLogInterval is how often the proxy logs where requests were forwarded to.
 	trafficLogInterval = 20 * time.Second
 	// supervisorStopTimeout is how long the process waits for its background tasks at
-	// the end. All responses are written by then, so a task that hangs loses nothing.
+	// the end. The responses that the grace period left time for are written by then, so
+	// a task that hangs loses nothing.
 	supervisorStopTimeout = 200 * time.Millisecond
 )
 
 // Run runs the proxy until the context ends, and then shuts it down gracefully within
 // DaemonOptions.GracePeriod. It returns nil after that, and otherwise why it ended early.
+//
+// A shutdown goes in these steps: readiness ends, and every registry is told
+// (Control.announceStop), so that the directory names this proxy no more; the clients'
+// listener stays open for its lameDuckPeriod; idle connections of clients are closed, the
+// others after their response; once the last one is closed or the grace period is over,
+// the background tasks end, and the process with them.
 func (d *Daemon) Run(ctx context.Context) error {
 	wire, err := d.transport.Listen()
 	if err != nil {
@@ -112,7 +119,7 @@
 			d.logTraffic()
 		case <-report.C:
 			d.pool.closeExpired()
-			d.pool.relaxRecentIdle()
+			d.pool.raiseRecentIdleLimit()
 			d.owner.Put(d.meter.takeSample())
 			d.logFailures()
 		}
--- a/internal/dataplane/proxy/serving_state.go
+++ b/internal/dataplane/proxy/serving_state.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// cutOffTimeout is how long without a confirmation by a registry counts as being cut
+	// cutOffTimeout is how long without a confirmation of the targets counts as being cut
 	// off; registries push several times a second.
 	cutOffTimeout = 1500 * time.Millisecond
 	// cutOffTimeoutByZone is the same in a fleet by zone, where a proxy that has nothing
@@ -46,7 +46,7 @@
 }
 
 // ready tells whether the directory may name this proxy to clients: its lease is valid
-// and not about to end.
+// and not about to end. cutOff looks at the targets alone, with the shorter time.
 func (c *Control) ready(now ids.Time) bool {
 	if c.stopping || !c.leaseValid(now) {
 		return false
@@ -54,7 +54,8 @@
 	return c.Lease == EndlessLease || !c.cutOff(now) && now.Sub(c.confirmedAt()) < maxConfirmationAge
 }
 
-// cutOff tells whether no registry has confirmed the targets for a while.
+// cutOff tells whether the targets haven't been confirmed for a while, by a registry or, in
+// a LeaseGossip, by another proxy that a registry reaches.
 func (c *Control) cutOff(now ids.Time) bool {
 	timeout := cutOffTimeout
 	if c.ByZone {
--- a/internal/dataplane/proxy/slots.go
+++ b/internal/dataplane/proxy/slots.go
@@ -25,23 +25,27 @@
 type slotState struct {
 	// proxyLastSeen is when each proxy was last in the membership list and alive.
 	proxyLastSeen map[ids.DaemonID]ids.Time
-	// slowStartUntil is until when all targets of a zone are in slow start, whatever
+	// zoneSlowStartUntil is until when all targets of a zone are in slow start, whatever
 	// they say: the zone was out of use, and they may have gone cold.
-	slowStartUntil map[ids.Name]ids.Time
+	zoneSlowStartUntil map[ids.Name]ids.Time
 	// proximities is a cache by zone, cleared at each refresh.
 	proximities map[ids.Name]proximity
 }
 
-// proximityClass says which share of a target's slots this proxy has a part in.
+// proximityClass says how near a proxy is to a target. In a fleet by zone a target's slots
+// are given out once to each class, and divided among the proxies of the class: all classes
+// together have more than the target's slots. A far proxy uses its own only while it finds
+// none nearer, and what is too much then waits in the target's own queue.
 type proximityClass int
 
 const (
-	// ownClass has the target's slots.
+	// ownClass are the proxies of the target's zone, or the nearest ones if there are none.
 	ownClass proximityClass = iota
-	// regionClass, the other zones of the target's region, has as many slots again.
+	// regionClass are the proxies of the other zones of the target's region.
 	regionClass
-	// remoteClass, the other regions, has as many slots again.
+	// remoteClass are the proxies of the other regions.
 	remoteClass
+	// proximityClasses is the number of classes.
 	proximityClasses
 )
 
@@ -107,7 +111,7 @@
 		// queue takes what they send at the same time.
 		a.Oversubscription = min(a.SlotShareCount, 2)
 	}
-	c.limitSlowStart(now, p.class, &a)
+	c.applySlowStartRate(now, p.class, &a)
 	return a
 }
 
--- a/internal/dataplane/proxy/target_protocol.go
+++ b/internal/dataplane/proxy/target_protocol.go
@@ -55,7 +55,7 @@
 
 func (p nativeTargetProtocol) RequestHeader(request *ClientRequest, f dispatch.Forward, left time.Duration) http.Header {
 	header := StripHopByHopHeaders(request.Header)
-	header.Set("Request-Id", p.d.requestID(f.ID))
+	header.Set("Request-Id", p.d.targetRequestID(f.ID))
 	header.Set("Time-Left", strconv.FormatInt(max(left.Milliseconds(), 0), 10))
 	header.Set("Attempt", strconv.FormatUint(uint64(request.Job.Attempt), 10))
 	header.Add("X-Forwarded-For", request.ClientIP)
@@ -75,7 +75,7 @@
 		return CheckedResponse{}, errs.New(step, "", "answer's seal is missing or broken")
 	case len(header.Values("Request-Id")) > 1:
 		return CheckedResponse{}, errs.New(step, "", "answer names several requests")
-	case header.Get("Request-Id") != p.d.requestID(f.ID):
+	case header.Get("Request-Id") != p.d.targetRequestID(f.ID):
 		return CheckedResponse{}, errs.New(step, "", "answer is for request %q", header.Get("Request-Id"))
 	case !request.Job.Repeatable && header.Get("Idempotency-Key") != string(request.Job.IdempotencyKey):
 		return CheckedResponse{}, errs.New(step, "", "answer is for mark %q", header.Get("Idempotency-Key"))
--- a/internal/dataplane/proxy/usage.go
+++ b/internal/dataplane/proxy/usage_meter.go
@@ -9,31 +9,9 @@
 	"time"
 
 	"dunlinwell/internal/base/ids"
-	"dunlinwell/internal/controlplane/membership"
 	"dunlinwell/internal/controlplane/spill"
 )
 
-// maxReportRecipients is how many registries get a usage report in a fleet by zone: the
-// one that plans the spill-over, and the one that would take its place.
-const maxReportRecipients = 2
-
-// reportUsage sends a sample to the registries.
-func (c *Control) reportUsage(sample UsageSample) {
-	c.reportNumber++
-	report := spill.Report{
-		Proxy: c.Self.ID, RunID: c.Self.RunID, Zone: c.Self.Zone, Number: c.reportNumber,
-		IntervalMillis: uint32(sample.Interval / time.Millisecond), Usage: sample.Rows,
-		LatencyMicros: uint64(sample.LatencyP95 / time.Microsecond), RequestCount: sample.Requests,
-	}
-	registries := c.Live(membership.Registry)
-	if c.ByZone && len(registries) > maxReportRecipients {
-		registries = registries[:maxReportRecipients]
-	}
-	for _, registry := range registries {
-		c.Send(registry.Address, report)
-	}
-}
-
 const (
 	// maxLatencySamples bounds the latencies kept for the percentile of one interval;
 	// later requests of the interval aren't sampled.
