--- a/internal/controlplane/directory/snapshot.go
+++ b/internal/controlplane/directory/snapshot.go
@@ -22,8 +22,9 @@
 	// reported, in milliseconds per second.
 	Demand   func(zone ids.Name) float64
 	Distance func(a, b ids.Name) float64
-	// Room is the CPU time that a zone has left, in milliseconds per second. It may be
-	// negative.
+	// Room is the CPU time that a zone has left up to its target level, in milliseconds
+	// per second. It may be negative. (The planner's own room, package spill, ends at the
+	// acceptable level.)
 	Room func(zone ids.Name) float64
 }
 
--- a/internal/controlplane/registry/directory.go
+++ b/internal/controlplane/registry/directory.go
@@ -99,7 +99,8 @@
 	return r.planner.table.PickRoute(call.Zone, routes, r.options.Random.Float64())
 }
 
-// directorySnapshot gives what the directory answers from.
+// directorySnapshot gives what the directory answers from (package directory): the cached
+// snapshot, or a new one.
 func (r *Registry) directorySnapshot(now ids.Time) directory.Snapshot {
 	cache := &r.snapshotCache
 	key := snapshotKey{
@@ -115,9 +116,9 @@
 }
 
 func (r *Registry) buildSnapshot(now ids.Time) directory.Snapshot {
-	// Computed at the first use: few calls need the capacity left.
+	// Computed at the first use: few calls need the room left.
 	var zones map[ids.Name]spill.Zone
-	capacityLeft := func(name ids.Name) float64 {
+	room := func(name ids.Name) float64 {
 		if zones == nil {
 			zones = r.currentZones(now)
 		}
@@ -133,7 +134,7 @@
 		Drained:  map[ids.Name]bool{},
 		Distance: view.Distance,
 		Demand:   r.Reports.Demand,
-		Room:     capacityLeft,
+		Room:     room,
 	}
 	for name, zone := range view.Zones {
 		snapshot.Drained[name] = zone.Drained
--- a/internal/controlplane/registry/zone_order.go
+++ b/internal/controlplane/registry/evacuation_calls.go
@@ -20,7 +20,7 @@
 // effect only if the zone's version is still the one known here: zone orders carry no id
 // by which a late copy could be recognized.
 func (r *Registry) handleZoneOrder(now ids.Time, call ZoneOrderCall) {
-	if r.mayHaveBeenSuspended(now) {
+	if r.mayHaveBeenFrozen(now) {
 		r.replyOvertaken(call.ID)
 		return
 	}
@@ -51,9 +51,9 @@
 	r.replyRetry(id, http.StatusServiceUnavailable, overtakenOrder)
 }
 
-// mayHaveBeenSuspended tells whether what arrives now may have waited while this process
-// was suspended.
-func (r *Registry) mayHaveBeenSuspended(now ids.Time) bool {
+// mayHaveBeenFrozen tells whether what arrives now may have waited while this process
+// was frozen.
+func (r *Registry) mayHaveBeenFrozen(now ids.Time) bool {
 	ticksAreLate := r.lastTick != 0 && now.Sub(r.lastTick) > maxOrderAge
 	hasJustResumed := r.resumedAt != 0 && now.Sub(r.resumedAt) < maxOrderAge
 	return ticksAreLate || hasJustResumed
--- a/internal/controlplane/registry/zone_order_test.go
+++ b/internal/controlplane/registry/evacuation_calls_test.go
@@ -51,7 +51,7 @@
 	is.Equal(r.statuses[7], 503)
 }
 
-// An order that may have waited while the process was suspended is too old: its caller
+// An order that may have waited while the process was frozen is too old: its caller
 // may have ordered something else since, which this registry may know of.
 func TestZoneOrder_IgnoredAroundProcessSuspension(t *testing.T) {
 	is := is.New(t)
--- a/internal/controlplane/registry/leader.go
+++ b/internal/controlplane/registry/leader.go
@@ -21,7 +21,7 @@
 	campaignBackoff = 2 * time.Second
 	// campaignTimeout is how long a campaign waits for a majority of stores.
 	campaignTimeout = 2 * time.Second
-	// resumeGrace is how long a registry that was suspended listens to the others
+	// resumeGrace is how long a registry that was frozen listens to the others
 	// before it leads.
 	resumeGrace = 2 * time.Second
 	// startupGrace is how long a run waits before it passes over peers that report
--- a/internal/controlplane/registry/lease.go
+++ b/internal/controlplane/registry/lease.go
@@ -30,7 +30,7 @@
 // majority of the stores) began at most duration ago.
 //
 // An agreement counts from the moment at which the registry asked for it, by its own
-// monotonic clock, so that network delay and a suspension of this process shorten the
+// monotonic clock, so that network delay and a freeze of this process shorten the
 // lease and never lengthen it. See docs/control/cutoff.md.
 type controlLease struct {
 	duration time.Duration
--- a/internal/controlplane/registry/registry.go
+++ b/internal/controlplane/registry/registry.go
@@ -15,7 +15,7 @@
 
 const (
 	// suspensionGap is the time between two ticks from which on this process counts as
-	// having been suspended.
+	// having been frozen.
 	suspensionGap = time.Second
 	// reportOverlap lets the planner's averages cover two whole reports.
 	reportOverlap = 100 * time.Millisecond
@@ -119,7 +119,7 @@
 	r.tickLeadership(now)
 }
 
-// noteTick notes the time of a tick, and whether this process was suspended before it.
+// noteTick notes the time of a tick, and whether this process was frozen before it.
 func (r *Registry) noteTick(now ids.Time) {
 	gap := now.Sub(r.lastTick)
 	if r.lastTick != 0 && gap > suspensionGap {
--- a/internal/controlplane/spill/export.go
+++ b/internal/controlplane/spill/excess.go
@@ -20,9 +20,9 @@
 	}
 }
 
-// exportExcess moves connections out of every zone over its maximum. If there is too
+// moveExcessAway moves connections out of every zone over its maximum. If there is too
 // little room, the zones share it in proportion to their excess.
-func (p *planner) exportExcess() {
+func (p *planner) moveExcessAway() {
 	excess, totalExcess := p.excessByZone()
 	totalRoom := 0.0
 	for _, zone := range slices.Sorted(maps.Keys(p.room)) {
@@ -34,7 +34,7 @@
 	scale := min(1, totalRoom/totalExcess)
 	var leaving []outgoingUsage
 	for _, zone := range slices.Sorted(maps.Keys(excess)) {
-		for _, usage := range selectOutgoing(p.exportableUsage(p.zones[zone]), excess[zone]*scale) {
+		for _, usage := range selectOutgoing(p.movableUsage(p.zones[zone]), excess[zone]*scale) {
 			leaving = append(leaving, outgoingUsage{RouteUsage: usage, From: zone})
 		}
 	}
@@ -76,16 +76,16 @@
 	return excess, total
 }
 
-// exportableUsage returns the CPU time of each route that a zone can still move away: that
+// movableUsage returns the CPU time of each route that a zone can still move away: that
 // of its own fresh connections, without what it received from other zones.
-func (p *planner) exportableUsage(zone *Zone) []RouteUsage {
+func (p *planner) movableUsage(zone *Zone) []RouteUsage {
 	received := map[ids.Name]float64{}
 	for _, m := range p.moves {
 		if m.To == zone.Name && p.zones[m.From] != nil {
 			received[m.Route] += m.Fraction * p.demand(p.zones[m.From], m.Route)
 		}
 	}
-	var exportable []RouteUsage
+	var movable []RouteUsage
 	for _, usage := range zone.Usage {
 		// A route that was removed stays in the averages for a while. If it counted as
 		// moved, what should have been moved instead would stay.
@@ -98,7 +98,7 @@
 		if p.movedFraction(zone.Name, usage.Route) > 1-minHomeShare {
 			usage.CPU = 0
 		}
-		exportable = append(exportable, usage)
+		movable = append(movable, usage)
 	}
-	return exportable
+	return movable
 }
--- a/internal/controlplane/spill/planner.go
+++ b/internal/controlplane/spill/planner.go
@@ -53,7 +53,7 @@
 	}
 	p.computeRoom()
 	p.prioritizeMoves()
-	p.exportExcess()
+	p.moveExcessAway()
 	p.dropSmallMoves()
 	slices.SortFunc(p.moves, func(a, b Move) int {
 		return cmp.Or(cmp.Compare(a.From, b.From), cmp.Compare(a.Route, b.Route), cmp.Compare(a.To, b.To))
--- a/internal/state/consensus/client.go
+++ b/internal/state/consensus/client.go
@@ -49,13 +49,17 @@
 	sentAt ids.Time
 }
 
+// callIDBits is how many bits of a call id count the calls of a run. The rest is the run's
+// number, of 40 bits at most.
+const callIDBits = 24
+
 // NewClient returns a client for one run of a process. Its call ids begin at the run's own
 // number, so that answers to an earlier run aren't taken for its own.
 func NewClient(run ids.RunID, out *event.Outbox) *Client {
 	return &Client{
 		out:              out,
 		pending:          map[uint64]*pendingCall{},
-		lastCallID:       uint64(run) << 24,
+		lastCallID:       uint64(run) << callIDBits,
 		silentUntil:      map[ids.Address]ids.Time{},
 		meanResponseTime: map[ids.Address]time.Duration{},
 	}
@@ -126,6 +130,8 @@
 		} else {
 			call.retryAt = min(call.retryAt, now.Add(attemptTimeout/4))
 		}
+	case Indeterminate:
+		// The attempt stays unresolved: a later one may learn more, until the deadline.
 	}
 }
 
--- a/internal/state/consensus/store_order.go
+++ b/internal/state/consensus/client_attempts.go
@@ -17,9 +17,9 @@
 	// the others. Otherwise, while it is cut off, each call that begins with it loses
 	// an attemptTimeout.
 	silentPenalty = 10 * time.Second
-	// responseTimeWeight is the weight of the past in the moving average of response
-	// times: each new one counts for a quarter.
-	responseTimeWeight = 4
+	// responseTimeSmoothing is the divisor of the moving average of response times: the
+	// newest counts for a quarter.
+	responseTimeSmoothing = 4
 )
 
 // recordResponseTime adds a response time to a store's moving average.
@@ -28,7 +28,7 @@
 	if !known {
 		mean = responseTime
 	}
-	c.meanResponseTime[store] = mean + (responseTime-mean)/responseTimeWeight
+	c.meanResponseTime[store] = mean + (responseTime-mean)/responseTimeSmoothing
 }
 
 // responseTimeout returns how long a store may leave an attempt unanswered before it
--- a/internal/state/idempotency/operations.go
+++ b/internal/state/idempotency/operations.go
@@ -38,13 +38,16 @@
 	Granted Verdict = iota + 1
 	// InProgress: another owner holds the claim.
 	InProgress
-	// AlreadyCompleted: the request ran, and the record has its response.
+	// AlreadyCompleted: the request ran, and the record has its response. OpComplete has
+	// no other verdict, also if the claim wasn't the caller's and nothing was recorded.
 	AlreadyCompleted
 	// AttemptBlocked: this attempt may never run.
 	AttemptBlocked
 	// FingerprintMismatch: the key belongs to another request.
 	FingerprintMismatch
-	// Released: nothing ran, and no attempt below this one will.
+	// Released: no request holds the key now. After OpBlock it means that nothing ran and
+	// that no attempt below this one will; after OpNumberAttempt, that the attempt is
+	// numbered; after OpRelease it is the verdict whatever the record's state.
 	Released
 	// RecordLost: the record is unknown, but records were lost lately.
 	RecordLost
--- a/internal/state/idempotency/record.go
+++ b/internal/state/idempotency/record.go
@@ -57,7 +57,7 @@
 	State   State
 	Owner   Owner
 	Attempt uint32
-	// Fingerprint is a hash of method, path and body, so that a key can't be used for
+	// Fingerprint is a hash of method, URI and body, so that a key can't be used for
 	// another request.
 	Fingerprint []byte
 	// MinAttempt is the lowest attempt that may still claim the key.
--- a/internal/state/idempotency/transitions.go
+++ b/internal/state/idempotency/transitions.go
@@ -69,7 +69,8 @@
 	return r, Released
 }
 
-// complete records the response if the claim is the caller's.
+// complete records the response if the claim is the caller's. Otherwise it changes nothing,
+// and its caller, who already has a response for its client, needn't know.
 func complete(r Record, op Operation) (Record, Verdict) {
 	if r.isClaimedBy(op.Owner) {
 		r.State, r.Response = Completed, op.Response
