--- a/internal/controlplane/registry/messages.go
+++ b/internal/controlplane/registry/messages.go
@@ -46,6 +46,6 @@
 type TableDigest struct{ Parts []uint64 }
 
 var _ = wire.Register(75, TableDigest{}) &&
-	wire.Register(72, PeerHeartbeat{}) &&
+	wire.RegisterNamed(72, "registry.Pulse", PeerHeartbeat{}) &&
 	wire.Register(73, DepartureNotice{}) &&
 	wire.Register(74, DepartureAck{})
--- a/internal/controlplane/store/message_check.go
+++ b/internal/controlplane/store/message_check.go
@@ -21,9 +21,9 @@
 	case consensus.Prepare:
 		return s.validateProposal(from, m.Ballot)
 	case consensus.Accept:
-		return s.validateProposal(from, maxBallot(m.Ballot, m.NextBallot))
+		return s.validateProposal(from, m.Ballot.Max(m.NextBallot))
 	case consensus.AcceptDifference:
-		return s.validateProposal(from, maxBallot(m.Ballot, m.NextBallot))
+		return s.validateProposal(from, m.Ballot.Max(m.NextBallot))
 	case consensus.Promise:
 		return s.validateVote(from, m.Store, m.VoterSetNumber, m.Round)
 	case consensus.Accepted:
@@ -60,14 +60,6 @@
 	return ""
 }
 
-// maxBallot returns the higher of two ballots.
-func maxBallot(a, b ids.Ballot) ids.Ballot {
-	if a.Less(b) {
-		return b
-	}
-	return a
-}
-
 // validateVote checks an answer to this store's own proposal: it comes from the
 // voter's own address, and to a round that this run has begun.
 func (s *Store) validateVote(from ids.Address, voterID, voterSetNumber, round uint64) event.Reason {
--- a/internal/state/consensus/acceptor.go
+++ b/internal/state/consensus/acceptor.go
@@ -128,7 +128,7 @@
 		a.AfterSync(event.Send{To: from, Msg: vote})
 		return
 	}
-	state.Promised, state.Accepted, state.Value = maxBallot(m.Ballot, m.NextBallot), m.Ballot, m.Value
+	state.Promised, state.Accepted, state.Value = m.Ballot.Max(m.NextBallot), m.Ballot, m.Value
 	vote.Promised = state.Promised
 	a.saveRegister(m.Key, state, event.Send{To: from, Msg: vote})
 }
@@ -168,7 +168,7 @@
 		return
 	}
 	ballot := ids.Ballot{Counter: 1}
-	a.saveRegister(key, RegisterState{Promised: maxBallot(ballot, state.Promised), Accepted: ballot, Value: value})
+	a.saveRegister(key, RegisterState{Promised: ballot.Max(state.Promised), Accepted: ballot, Value: value})
 }
 
 // ForceValue accepts a value under a ballot above all that this acceptor has seen. It is
@@ -187,10 +187,3 @@
 
 // runNumberBits are the low bits of a proposer id that hold the number of the store's run.
 const runNumberBits = 24
-
-func maxBallot(a, b ids.Ballot) ids.Ballot {
-	if a.Less(b) {
-		return b
-	}
-	return a
-}
--- a/internal/state/consensus/bootstrap.go
+++ b/internal/state/consensus/bootstrap.go
@@ -47,8 +47,8 @@
 	rejectedForLostDisks   = "too many disks of an earlier founding are lost"
 )
 
-var _ = wire.Register(30, Bootstrap{}) && wire.Register(36, BootstrapRequest{}) &&
-	wire.Register(37, BootstrapResponse{}) && wire.Register(49, BootstrapRecord{})
+var _ = wire.Register(30, Bootstrap{}) && wire.RegisterNamed(36, "consensus.FoundingRequest", BootstrapRequest{}) &&
+	wire.RegisterNamed(37, "consensus.FoundingResponse", BootstrapResponse{}) && wire.RegisterNamed(49, "consensus.FoundingRecord", BootstrapRecord{})
 
 // Promise returns the record with a proposal added, or the reason to reject it. After an
 // earlier promise, a proposal is promised only if both voter sets share a majority:
--- a/internal/state/consensus/disk_state.go
+++ b/internal/state/consensus/disk_state.go
@@ -26,7 +26,7 @@
 // diskStateKey is the key of that record, which is stored data and must keep its form.
 const diskStateKey = "meta/standing"
 
-var _ = wire.Register(44, diskStateRecord{})
+var _ = wire.RegisterNamed(44, "consensus.standing", diskStateRecord{})
 
 // loadDiskState reads the state from disk. A disk of a version without this record is
 // complete if it is a voter, since voters of that version copied before they joined.
--- a/internal/state/consensus/messages.go
+++ b/internal/state/consensus/messages.go
@@ -183,6 +183,6 @@
 	wire.Register(22, Accept{}) && wire.Register(23, Accepted{}) &&
 	wire.Register(24, VoterSetUpdate{}) && wire.Register(25, Request{}) &&
 	wire.Register(26, Response{}) && wire.Register(29, Hello{}) &&
-	wire.Register(31, ConfigurationQuery{}) && wire.Register(32, ConfigurationReply{}) &&
+	wire.RegisterNamed(31, "consensus.PolicyQuery", ConfigurationQuery{}) && wire.RegisterNamed(32, "consensus.PolicyReply", ConfigurationReply{}) &&
 	wire.Register(33, Chosen{}) && wire.Register(34, AcceptDifference{}) &&
 	wire.Register(35, ChosenDifference{})
--- a/internal/state/consensus/pages.go
+++ b/internal/state/consensus/pages.go
@@ -127,6 +127,6 @@
 		return
 	}
 	state.Accepted, state.Value = record.Accepted, record.Value
-	state.Promised = maxBallot(state.Promised, record.Accepted)
+	state.Promised = state.Promised.Max(record.Accepted)
 	a.saveRegister(record.Key, state)
 }
--- a/internal/state/consensus/voter_set_ops.go
+++ b/internal/state/consensus/voter_set_ops.go
@@ -57,7 +57,7 @@
 type PromoteLearnerRequest struct{ ID uint64 }
 
 var _ = wire.Register(42, JoinRequest{}) && wire.Register(43, VoterSetNumber{}) &&
-	wire.Register(45, ReplaceRequest{}) && wire.Register(46, PromoteLearnerRequest{})
+	wire.Register(45, ReplaceRequest{}) && wire.RegisterNamed(46, "consensus.LearnedReport", PromoteLearnerRequest{})
 
 // VoterSetOps returns the change functions of the voter set's register. Each changes
 // nothing unless the set is as its argument says, so several stores may ask for the same.
--- a/internal/testsupport/compat/wire_test.go
+++ b/internal/testsupport/compat/wire_test.go
@@ -39,6 +39,15 @@
 	checkGolden(t, "wire.txt", got)
 }
 
+// Each kind keeps the name that metrics and the log have for it.
+func TestNamesOfKinds(t *testing.T) {
+	got := map[string]string{}
+	for kind := range wire.RegisteredKinds() {
+		got[kindName(kind)] = kind.Name()
+	}
+	checkGolden(t, "kind_names.txt", got)
+}
+
 // Each golden frame is read to the filled value and packs to the same again.
 func TestFramesAreReadBack(t *testing.T) {
 	golden := readGolden(t, "testdata/wire.txt")
