--- a/internal/testsupport/checker/checker.go
+++ b/internal/testsupport/checker/checker.go
@@ -1,5 +1,3 @@
-// Package witness judges what stand-in targets and clients saw. Nothing in
-// it comes from the daemons, so it can't share a mistake with them.
 package checker
 
 import (
@@ -10,12 +8,13 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// Execution is one execution at a stand-in target.
+// Execution is one execution of a request at a stand-in target.
 type Execution struct {
+	// At is when the execution began.
 	At time.Time
-	// Sent is when its bytes left the proxy, or the latest time that they may
-	// have: they may wait long in the socket of a target that is frozen. Zero
-	// where nobody knows: then the run's own time stands for it.
+	// Sent is when the request's bytes left the proxy, or the latest time at
+	// which they may have: they may wait long in the socket of a frozen target.
+	// Zero where that is not known; then At stands for it.
 	Sent           time.Time
 	Instance       ids.InstanceID
 	Service        ids.Name
@@ -23,38 +22,49 @@
 	Token          string
 	IdempotencyKey string
 	Attempt        int
-	// Untold: the client kept the number of its attempt to itself.
+	// AttemptHidden: the client didn't send the number of its attempt.
 	AttemptHidden bool
-	// After is how long the core had known, when the target got it, that the
-	// target was leaving or gone.
+	// After is how long the core had known, when the request arrived, that the
+	// target was leaving or gone; zero if it hadn't.
 	After time.Duration
-	// Route is that of the path it came by, and Left the time it was given.
+	// Route is the route of the request's path, and TimeLeft the time until its deadline.
 	Route    ids.Name
 	TimeLeft time.Duration
-	// Proxy carried it, and stands in By.
+	// Proxy forwarded the request; it runs in ProxyZone.
 	Proxy     string
 	ProxyZone ids.Name
 }
 
-// ClientResponse is one answer, or the lack of one, at a stand-in client.
+// leftProxyAt is when the request's bytes left the proxy, as far as is known.
+func (e Execution) leftProxyAt() time.Time {
+	if e.Sent.IsZero() {
+		return e.At
+	}
+	return e.Sent
+}
+
+// ClientResponse is the end of one attempt at a stand-in client: a response or the lack of one.
 type ClientResponse struct {
 	Sent, At       time.Time
 	Token          string
 	IdempotencyKey string
 	Attempt        int
-	Class          string
-	Status         int
-	Body           string
-	Proxy          string
-	Zone           ids.Name
-	Problem        string
-	// Loose: no answer is owed, as when its route comes and goes.
+	// Class is "answered", "declined", "unknown", "misused", "lost" or "unreached".
+	Class  string
+	Status int
+	Body   string
+	Proxy  string
+	Zone   ids.Name
+	// Problem says what shows that the response isn't the target's own; empty if nothing does.
+	Problem string
+	// NoAnswerOwed: no response is owed, as where the route comes and goes.
 	NoAnswerOwed bool
-	// Held: it came down a connection that its client held, asking nobody.
+	// Held: it came over a long-lived connection, without asking the directory.
 	Held bool
 }
 
-// Checker is what the stand-ins saw. Nothing in it comes from the daemons.
+// Checker gathers what the stand-ins observed and judges it. Its methods may be called from
+// several goroutines. The zero value is ready for use.
 type Checker struct {
 	mu                sync.Mutex
 	executions        []Execution
@@ -64,140 +74,54 @@
 	drains            []Drain
 	recoveredAt       time.Time
 	ledger            Ledger
-	moves             moves
+	spillMoves        spillObservations
 	closedConnections []ClosedConnection
-	// knownRevision counts targets that the core came to know as leaving or gone.
-	knownRevision int
-	// RetryAllowance is the configuration's small allowance of retries.
+	// departuresKnown counts targets that the core came to know as leaving or gone.
+	departuresKnown int
+	// RetryAllowance is the configured number of retries that each service may
+	// have within ten seconds beyond its share.
 	RetryAllowance float64
-	// Calm: no fault of the run excuses a held connection that gets no answer.
+	// NoFaults: the run injects no fault that could excuse a long-lived
+	// connection on which a request gets no response.
 	NoFaults bool
 }
 
-// RequestExecuted writes an execution down.
-func (t *Checker) RequestExecuted(r Execution) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.executions = append(t.executions, r)
-}
-
-// RequestAnswered writes an answer down.
-func (t *Checker) RequestAnswered(g ClientResponse) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.responses = append(t.responses, g)
+// RequestExecuted records an execution.
+func (c *Checker) RequestExecuted(execution Execution) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.executions = append(c.executions, execution)
 }
 
-// NetworkPartitioned notes that the core came to know a target as leaving or gone.
-func (t *Checker) NetworkPartitioned() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.knownRevision++
+// RequestAnswered records the end of an attempt.
+func (c *Checker) RequestAnswered(response ClientResponse) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.responses = append(c.responses, response)
 }
 
-// Overloaded notes a target that had more at once than it can bear.
-func (t *Checker) Overloaded(format string, args ...any) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.overloads = append(t.overloads, fmt.Sprintf(format, args...))
+// NetworkPartitioned records that the core came to know a target as leaving or gone.
+func (c *Checker) NetworkPartitioned() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.departuresKnown++
 }
 
-// Violation notes a broken promise that was seen as it happened.
-func (t *Checker) Violation(format string, args ...any) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.wrongly(format, args...)
+// Overloaded records a target that had more requests at once than it can bear.
+func (c *Checker) Overloaded(format string, args ...any) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.overloads = append(c.overloads, fmt.Sprintf(format, args...))
 }
 
-func (t *Checker) wrongly(format string, args ...any) {
-	t.violations = append(t.violations, fmt.Sprintf(format, args...))
+// Violation records a broken promise at the moment it is observed.
+func (c *Checker) Violation(format string, args ...any) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.addViolation(format, args...)
 }
 
-// RuleResult is one line of the verdict.
-type RuleResult struct {
-	Rule       string
-	Violations int
-	Sample     string
-	// Judged is how often there was anything to judge: a count of none in a
-	// run that brought nothing about proves nothing, and says so.
-	Judged int
-	// More holds further samples, a few dozen at most.
-	More []string
+// addViolation records a broken promise; c.mu must be held.
+func (c *Checker) addViolation(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
-
-// Results counts each "never", from what was seen.
-func (t *Checker) Results() []RuleResult {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	runs := map[string][]Execution{}
-	for _, r := range t.executions {
-		if r.IdempotencyKey != "" {
-			runs[r.IdempotencyKey] = append(runs[r.IdempotencyKey], r)
-		}
-	}
-	double := RuleResult{Rule: "unrepeatable request run twice"}
-	double.Judged = len(runs)
-	for m, list := range runs {
-		if len(list) > 1 {
-			double.add(fmt.Sprintf("%s ran %d times, at %s and %s", m, len(list), list[0].Instance, list[1].Instance))
-		}
-	}
-	busy := RuleResult{Rule: "\"busy\" for what ran"}
-	foreign := RuleResult{Rule: "answer not the target's own"}
-	changed := RuleResult{Rule: "repeat got another outcome"}
-	first := map[string]string{}
-	for _, g := range t.responses {
-		switch g.Class {
-		case "declined":
-			busy.Judged++
-			for _, r := range runs[g.IdempotencyKey] {
-				// A late attempt without a number can't be told from a fresh one:
-				// only what ran before the answer counts against it.
-				if r.Attempt <= g.Attempt && g.IdempotencyKey != "" && (!r.AttemptHidden || r.At.Before(g.At)) {
-					busy.add(fmt.Sprintf("%s attempt %d declined by %s, but ran as attempt %d", g.IdempotencyKey, g.Attempt, g.Proxy, r.Attempt))
-				}
-			}
-		case "answered":
-			foreign.Judged++
-			if g.Problem != "" {
-				foreign.add(g.Token + ": " + g.Problem)
-			}
-			if g.IdempotencyKey != "" {
-				if b, ok := first[g.IdempotencyKey]; ok {
-					changed.Judged++
-					if b != g.Body {
-						changed.add(g.IdempotencyKey)
-					}
-				}
-				first[g.IdempotencyKey] = g.Body
-			}
-		}
-	}
-	late := RuleResult{Rule: "request to a target known gone or leaving for 3 s", Judged: t.knownRevision}
-	for _, r := range t.executions {
-		if r.After > 3*time.Second {
-			late.add(fmt.Sprintf("%s got %s through %s when that was known for %s", r.Instance, r.Token, r.Proxy, r.After))
-		}
-	}
-	flood := RuleResult{Rule: "target flooded past 1.5 times", Judged: len(t.executions)}
-	for _, f := range t.overloads {
-		flood.add(f)
-	}
-	seen := RuleResult{Rule: "seen as it happened", Judged: t.ledger.reads + len(t.ledger.list)}
-	for _, w := range t.violations {
-		seen.add(w)
-	}
-	return []RuleResult{double, busy, foreign, changed, late, t.late(), t.inForce(), flood, t.retries(), t.live(), t.tiers(), t.nearest(), t.homeFirst(), t.restored(), seen}
-}
-
-func (c *RuleResult) add(sample string) {
-	c.Violations++
-	if c.Sample == "" {
-		c.Sample = sample
-	}
-	if len(c.More) < maxSamples {
-		c.More = append(c.More, sample)
-	}
-}
-
-const maxSamples = 40
--- /dev/null
+++ b/internal/testsupport/checker/configuration.go
@@ -0,0 +1,143 @@
+package checker
+
+import (
+	"bytes"
+	"encoding/json"
+	"strings"
+)
+
+// Item identifies one item of the configuration, such as route/orders.
+type Item struct{ Kind, Name string }
+
+// String returns the item as kind/name.
+func (i Item) String() string { return i.Kind + "/" + i.Name }
+
+// ExpectedItem is what a change asks of an item: to put it whole, set some of its fields, or
+// remove it.
+type ExpectedItem struct {
+	Put    json.RawMessage `json:"put"`
+	Set    json.RawMessage `json:"set"`
+	Remove bool            `json:"remove"`
+}
+
+// Body is an item as a read returned it.
+type Body struct {
+	Version uint64          `json:"version"`
+	Body    json.RawMessage `json:"body"`
+}
+
+// Configuration is a whole configuration as a read returned it.
+type Configuration struct {
+	Revision uint64
+	Items    map[Item]Body
+}
+
+// ConfigurationRead judges a configuration that reader returned: not older than floor, the
+// revision known when the read began; each change in it whole or not at all; and each item's body
+// as its change put it.
+func (c *Checker) ConfigurationRead(reader string, read Configuration, floor uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.ledger.reads++
+	if read.Revision < floor {
+		c.addViolation("%s gave revision %d after %d was known", reader, read.Revision, floor)
+	}
+	c.ledger.highestRevision = max(c.ledger.highestRevision, read.Revision)
+	for _, change := range c.ledger.changes {
+		if change.Revision == 0 || change.Revision > read.Revision {
+			continue
+		}
+		// An accepted change shows in each of its items, unless a later one does.
+		for item, expected := range change.Items {
+			found, ok := read.Items[item]
+			switch laterChange := c.ledger.changedLater(item, change.Revision, read.Revision); {
+			case ok && found.Version > change.Revision, !ok && laterChange:
+			case !ok && !expected.Remove, ok && expected.Remove, ok && found.Version < change.Revision:
+				c.addViolation("%s: %s of change %s (revision %d) reads back as version %d", reader, item, change.ID, change.Revision, found.Version)
+			case ok && !expected.matchesBody(found.Body):
+				c.addViolation("%s: %s of change %s reads back as %s", reader, item, change.ID, found.Body)
+			}
+		}
+	}
+	for item, found := range read.Items {
+		c.checkOrigin(reader, item, found)
+	}
+}
+
+// checkOrigin records a violation for an item that no accepted change can have made.
+func (c *Checker) checkOrigin(reader string, item Item, found Body) {
+	touched := false
+	for _, change := range c.ledger.changes {
+		expected, ok := change.Items[item]
+		if !ok {
+			continue
+		}
+		touched = true
+		if change.Revision == found.Version || change.Revision == 0 && !change.rejected && expected.matchesBody(found.Body) {
+			return
+		}
+	}
+	if touched {
+		c.addViolation("%s holds %s at version %d, which no accepted change gave it", reader, item, found.Version)
+	}
+}
+
+// matchesBody reports whether a body is as the change asks. JSON is compared without white space.
+func (e ExpectedItem) matchesBody(body json.RawMessage) bool {
+	switch {
+	case e.Remove:
+		return false
+	case e.Set == nil:
+		var a, b bytes.Buffer
+		return json.Compact(&a, e.Put) == nil && json.Compact(&b, body) == nil && a.String() == b.String()
+	}
+	var set, actual map[string]json.RawMessage
+	if json.Unmarshal(e.Set, &set) != nil || json.Unmarshal(body, &actual) != nil {
+		return false
+	}
+	for k, v := range set {
+		if strings.TrimSpace(string(actual[k])) != strings.TrimSpace(string(v)) {
+			return false
+		}
+	}
+	return true
+}
+
+// ReadConfiguration parses the JSON of GET /v1/policy.
+func ReadConfiguration(raw []byte) (Configuration, error) {
+	var in struct {
+		Revision uint64          `json:"revision"`
+		Services map[string]Body `json:"services"`
+		Routes   map[string]Body `json:"routes"`
+		Zones    map[string]Body `json:"cells"`
+	}
+	if err := json.Unmarshal(raw, &in); err != nil {
+		return Configuration{}, err
+	}
+	configuration := Configuration{Revision: in.Revision, Items: map[Item]Body{}}
+	for kind, items := range map[string]map[string]Body{"service": in.Services, "route": in.Routes, "cell": in.Zones} {
+		for name, body := range items {
+			configuration.Items[Item{kind, name}] = body
+		}
+	}
+	return configuration, nil
+}
+
+// parseChange parses the JSON of a change request.
+func parseChange(raw []byte) (Change, error) {
+	var in struct {
+		ID      string `json:"id"`
+		Changes []struct {
+			Kind string `json:"kind"`
+			Name string `json:"name"`
+			ExpectedItem
+		} `json:"changes"`
+	}
+	change := Change{Items: map[Item]ExpectedItem{}}
+	err := json.Unmarshal(raw, &in)
+	change.ID = in.ID
+	for _, part := range in.Changes {
+		change.Items[Item{part.Kind, part.Name}] = part.ExpectedItem
+	}
+	return change, err
+}
--- /dev/null
+++ b/internal/testsupport/checker/configuration_in_force.go
@@ -0,0 +1,84 @@
+package checker
+
+import (
+	"encoding/json"
+	"fmt"
+	"time"
+)
+
+// configurationInForceWithin is how soon an accepted change must be in force at every proxy that
+// still serves: the bound that the users set.
+const configurationInForceWithin = 3 * time.Second
+
+// routeRule is the part of a route's configuration that a target can see the effect of.
+type routeRule struct {
+	Prefix     string `json:"prefix"`
+	Service    string `json:"service"`
+	Repeatable bool   `json:"repeatable"`
+	// Limit is the route's time limit in milliseconds; zero for none.
+	Limit int64 `json:"limit_ms"`
+}
+
+// matchesExecution reports whether an execution fits the route as a change puts it.
+func (e ExpectedItem) matchesExecution(execution Execution) bool {
+	if e.Remove || e.Put == nil {
+		return false
+	}
+	var route routeRule
+	if json.Unmarshal(e.Put, &route) != nil {
+		return false
+	}
+	return route.Service == string(execution.Service) && (route.Repeatable || execution.IdempotencyKey != "") && (route.Limit == 0 || execution.TimeLeft <= time.Duration(route.Limit)*time.Millisecond)
+}
+
+// requestsByOldConfiguration finds executions that fit no configuration of their route since the
+// newest one accepted over configurationInForceWithin before: the route was moved to another
+// service, removed, or given another time limit. The targets observe it; whether the proxy was
+// ready or partitioned makes no difference. What counts is when the bytes left the proxy, as it
+// can't call them back from the socket of a frozen target.
+func (c *Checker) requestsByOldConfiguration() RuleResult {
+	result := RuleResult{Rule: "request by a policy that another was accepted over 3 s before"}
+	changesByRoute := c.changesByRoute()
+	for _, execution := range c.executions {
+		sent := execution.leftProxyAt()
+		changes := changesByRoute[string(execution.Route)]
+		base := newestInForce(changes, sent)
+		if base == nil {
+			continue
+		}
+		result.Judged++
+		allowed := false
+		for _, change := range changes {
+			newer := change == base || change.Revision > base.Revision || change.Revision == 0
+			allowed = allowed || newer && !change.SentAt.After(sent) && change.Items[Item{"route", string(execution.Route)}].matchesExecution(execution)
+		}
+		if !allowed {
+			result.add(fmt.Sprintf("%s of %s ran %s, sent by %s %s after %s was accepted", execution.Instance, execution.Service, execution.Token, execution.Proxy, sent.Sub(base.AnsweredAt).Round(time.Millisecond), base.ID))
+		}
+	}
+	return result
+}
+
+// changesByRoute gives the changes of each route that were not rejected.
+func (c *Checker) changesByRoute() map[string][]*Change {
+	byRoute := map[string][]*Change{}
+	for _, change := range c.ledger.changes {
+		for item := range change.Items {
+			if item.Kind == "route" && !change.rejected {
+				byRoute[item.Name] = append(byRoute[item.Name], change)
+			}
+		}
+	}
+	return byRoute
+}
+
+// newestInForce returns the newest change that must have been in force at a time; nil if none.
+func newestInForce(changes []*Change, at time.Time) *Change {
+	var newest *Change
+	for _, change := range changes {
+		if change.Revision != 0 && at.Sub(change.AnsweredAt) > configurationInForceWithin && (newest == nil || change.Revision > newest.Revision) {
+			newest = change
+		}
+	}
+	return newest
+}
--- a/internal/testsupport/checker/force_test.go
+++ b/internal/testsupport/checker/configuration_in_force_test.go
@@ -9,9 +9,10 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// A run goes by the configuration that its proxy held when the bytes left: what then
-// waits in a frozen target's socket is no fault of the proxy's.
-func TestInForceGoesByWhenTheBytesLeft(t *testing.T) {
+// TestRequestsByOldConfiguration_JudgesBySendTime: an execution is judged by the configuration in
+// force when its bytes left the proxy. That they then wait in the socket of a frozen target is no
+// fault of the proxy.
+func TestRequestsByOldConfiguration_JudgesBySendTime(t *testing.T) {
 	at := func(s float64) time.Time { return time.Unix(0, int64(s*1e9)) }
 	for name, c := range map[string]struct {
 		sent, ran float64
@@ -42,7 +43,7 @@
 				r.Sent = at(c.sent)
 			}
 			w.RequestExecuted(r)
-			got := w.inForce()
+			got := w.requestsByOldConfiguration()
 			is.Equal(got.Judged, c.judged)
 			is.Equal(got.Violations, c.want)
 		})
--- /dev/null
+++ b/internal/testsupport/checker/recovery.go
@@ -0,0 +1,59 @@
+package checker
+
+import (
+	"fmt"
+	"time"
+)
+
+// restoreWithin is how soon every request must be answered once the machines are back: the bound
+// that the users set.
+const restoreWithin = 15 * time.Second
+
+// changeAnsweredWithin is how soon a change must be answered after that.
+const changeAnsweredWithin = 5 * time.Second
+
+// MachinesRecovered records that the last machine is back.
+func (c *Checker) MachinesRecovered(at time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.recoveredAt = at
+}
+
+// unansweredAfterRecovery finds first attempts and changes that were not answered though the
+// machines had been back for over restoreWithin.
+func (c *Checker) unansweredAfterRecovery() RuleResult {
+	result := RuleResult{Rule: "not answered 15 s after the machines were back"}
+	for _, response := range c.responses {
+		if c.recoveredAt.IsZero() || response.Attempt != 1 || response.NoAnswerOwed || response.Sent.Sub(c.recoveredAt) <= restoreWithin {
+			continue
+		}
+		result.Judged++
+		if response.Class != "answered" {
+			result.add(fmt.Sprintf("%s was %s by %s %s after", response.Token, response.Class, response.Proxy, response.Sent.Sub(c.recoveredAt).Round(time.Millisecond)))
+		}
+	}
+	for _, change := range c.ledger.changes {
+		if c.recoveredAt.IsZero() || change.rejected || change.SentAt.Sub(c.recoveredAt) <= restoreWithin {
+			continue
+		}
+		result.Judged++
+		if change.Revision == 0 || change.AnsweredAt.Sub(change.SentAt) > changeAnsweredWithin {
+			result.add(fmt.Sprintf("change %s asked %s after, told %s later", change.ID, change.SentAt.Sub(c.recoveredAt).Round(time.Millisecond), change.AnsweredAt.Sub(change.SentAt)))
+		}
+	}
+	return result
+}
+
+// Recovery returns how long after the machines were back the last unanswered first attempt was
+// sent; zero if all were answered.
+func (c *Checker) Recovery() time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	last := time.Duration(0)
+	for _, response := range c.responses {
+		if !c.recoveredAt.IsZero() && response.Attempt == 1 && !response.NoAnswerOwed && response.Class != "answered" {
+			last = max(last, response.Sent.Sub(c.recoveredAt))
+		}
+	}
+	return last
+}
--- /dev/null
+++ b/internal/testsupport/checker/results.go
@@ -0,0 +1,145 @@
+package checker
+
+import (
+	"fmt"
+	"time"
+)
+
+// departedTargetGrace is how long after the core knows a target as leaving or gone a proxy may
+// still send to it: the reach of a push to every proxy that serves.
+const departedTargetGrace = 3 * time.Second
+
+// maxSamples bounds the samples kept for one rule.
+const maxSamples = 40
+
+// RuleResult is what one rule of the checker found.
+type RuleResult struct {
+	Rule       string
+	Violations int
+	// Sample is the first violation found.
+	Sample string
+	// Judged counts the observations that the rule applied to. Zero violations
+	// of zero observations prove nothing.
+	Judged int
+	// More holds the first violations, at most maxSamples.
+	More []string
+}
+
+func (r *RuleResult) add(sample string) {
+	r.Violations++
+	if r.Sample == "" {
+		r.Sample = sample
+	}
+	if len(r.More) < maxSamples {
+		r.More = append(r.More, sample)
+	}
+}
+
+// Results judges everything observed so far by each rule, in a fixed order.
+func (c *Checker) Results() []RuleResult {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	byKey := c.executionsByKey()
+	falselyRejected, foreign, changed := c.responseRules(byKey)
+	return []RuleResult{
+		executedTwice(byKey), falselyRejected, foreign, changed, c.sentToDeparted(),
+		c.newWorkInDrainedZones(), c.requestsByOldConfiguration(), c.overloadedTargets(), c.retriesOverBudget(),
+		c.longLivedConnectionsClosed(), c.tierOrderViolations(), c.distanceOrderViolations(),
+		c.foreignTrafficBeforeOwn(), c.unansweredAfterRecovery(), c.observedViolations(),
+	}
+}
+
+// executionsByKey groups the executions of unrepeatable requests by idempotency key.
+func (c *Checker) executionsByKey() map[string][]Execution {
+	byKey := map[string][]Execution{}
+	for _, execution := range c.executions {
+		if execution.IdempotencyKey != "" {
+			byKey[execution.IdempotencyKey] = append(byKey[execution.IdempotencyKey], execution)
+		}
+	}
+	return byKey
+}
+
+// executedTwice finds unrepeatable requests that were executed more than once.
+func executedTwice(byKey map[string][]Execution) RuleResult {
+	result := RuleResult{Rule: "unrepeatable request run twice", Judged: len(byKey)}
+	for key, list := range byKey {
+		if len(list) > 1 {
+			result.add(fmt.Sprintf("%s ran %d times, at %s and %s", key, len(list), list[0].Instance, list[1].Instance))
+		}
+	}
+	return result
+}
+
+// responseRules finds rejections of requests that were executed, responses that are not the
+// target's own, and repeats that got another response than the first time.
+func (c *Checker) responseRules(byKey map[string][]Execution) (falselyRejected, foreign, changed RuleResult) {
+	falselyRejected.Rule = "\"busy\" for what ran"
+	foreign.Rule = "answer not the target's own"
+	changed.Rule = "repeat got another outcome"
+	lastBodies := map[string]string{}
+	for _, response := range c.responses {
+		switch response.Class {
+		case "declined":
+			falselyRejected.Judged++
+			for _, execution := range byKey[response.IdempotencyKey] {
+				if contradictsRejection(execution, response) {
+					falselyRejected.add(fmt.Sprintf("%s attempt %d declined by %s, but ran as attempt %d", response.IdempotencyKey, response.Attempt, response.Proxy, execution.Attempt))
+				}
+			}
+		case "answered":
+			foreign.Judged++
+			if response.Problem != "" {
+				foreign.add(response.Token + ": " + response.Problem)
+			}
+			if response.IdempotencyKey == "" {
+				continue
+			}
+			if body, ok := lastBodies[response.IdempotencyKey]; ok {
+				changed.Judged++
+				if body != response.Body {
+					changed.add(response.IdempotencyKey)
+				}
+			}
+			lastBodies[response.IdempotencyKey] = response.Body
+		}
+	}
+	return falselyRejected, foreign, changed
+}
+
+// contradictsRejection reports whether an execution shows that a rejected attempt, or one before
+// it, ran. A later attempt without a number can't be told from a first one, so
+// of those only what ran before the rejection counts.
+func contradictsRejection(execution Execution, rejection ClientResponse) bool {
+	return execution.Attempt <= rejection.Attempt && rejection.IdempotencyKey != "" && (!execution.AttemptHidden || execution.At.Before(rejection.At))
+}
+
+// sentToDeparted finds requests that reached a target though the core had known for over
+// departedTargetGrace that it was leaving or gone.
+func (c *Checker) sentToDeparted() RuleResult {
+	result := RuleResult{Rule: "request to a target known gone or leaving for 3 s", Judged: c.departuresKnown}
+	for _, execution := range c.executions {
+		if execution.After > departedTargetGrace {
+			result.add(fmt.Sprintf("%s got %s through %s when that was known for %s", execution.Instance, execution.Token, execution.Proxy, execution.After))
+		}
+	}
+	return result
+}
+
+// overloadedTargets gives what targets themselves reported as more than they bear.
+func (c *Checker) overloadedTargets() RuleResult {
+	result := RuleResult{Rule: "target flooded past 1.5 times", Judged: len(c.executions)}
+	for _, overload := range c.overloads {
+		result.add(overload)
+	}
+	return result
+}
+
+// observedViolations gives the violations that were reported as they happened.
+func (c *Checker) observedViolations() RuleResult {
+	result := RuleResult{Rule: "seen as it happened", Judged: c.ledger.reads + len(c.ledger.changes)}
+	for _, violation := range c.violations {
+		result.add(violation)
+	}
+	return result
+}
--- a/internal/testsupport/checker/retries.go
+++ b/internal/testsupport/checker/retries.go
@@ -8,55 +8,58 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// retries finds spans of ten seconds in which a service saw more repeated
-// requests than one in five first ones and the allowance.
-func (t *Checker) retries() RuleResult {
-	c := RuleResult{Rule: "retries past one in five and the allowance in 10 s"}
-	type hit struct {
-		at    time.Time
-		again bool
-	}
-	by := map[ids.Name][]hit{}
-	seen := map[string]bool{}
-	for _, r := range t.executions {
-		by[r.Service] = append(by[r.Service], hit{r.At, seen[r.Token] || (r.Attempt > 1 && !r.AttemptHidden)})
-		seen[r.Token] = true
-	}
-	for s, list := range by {
-		sort.Slice(list, func(i, j int) bool { return list[i].at.Before(list[j].at) })
-		lo, firsts, again := 0, 0, 0
-		for _, h := range list {
-			for ; h.at.Sub(list[lo].at) > 10*time.Second; lo++ {
-				if list[lo].again {
-					again--
-				} else {
-					firsts--
-				}
-			}
-			c.Judged++
-			if h.again {
-				again++
+const (
+	// retryWindow is the span over which the retry budget is judged.
+	retryWindow = 10 * time.Second
+	// retryShare is how many retries a service may get for each first request
+	// in a window, beyond the allowance.
+	retryShare = 0.2
+)
+
+// arrival is one request at a target: a first one or a retry.
+type arrival struct {
+	at    time.Time
+	retry bool
+}
+
+// retriesOverBudget finds windows of retryWindow in which a service got more retries than
+// retryShare of its first requests and the allowance.
+func (c *Checker) retriesOverBudget() RuleResult {
+	result := RuleResult{Rule: "retries past one in five and the allowance in 10 s"}
+	for service, arrivals := range c.arrivalsByService() {
+		oldest, firsts, retries := 0, 0, 0
+		count := func(a arrival, n int) {
+			if a.retry {
+				retries += n
 			} else {
-				firsts++
+				firsts += n
+			}
+		}
+		for _, newest := range arrivals {
+			for ; newest.at.Sub(arrivals[oldest].at) > retryWindow; oldest++ {
+				count(arrivals[oldest], -1)
 			}
-			if float64(again) > 0.2*float64(firsts)+t.RetryAllowance {
-				c.add(fmt.Sprintf("%s: %d retries on %d first requests", s, again, firsts))
+			result.Judged++
+			count(newest, 1)
+			if float64(retries) > retryShare*float64(firsts)+c.RetryAllowance {
+				result.add(fmt.Sprintf("%s: %d retries on %d first requests", service, retries, firsts))
 			}
 		}
 	}
-	return c
+	return result
 }
 
-// CountByClass counts answers by class, and shares in time.
-func (t *Checker) CountByClass(since time.Time) map[string]int {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	out := map[string]int{}
-	for _, g := range t.responses {
-		if g.Sent.After(since) {
-			out[g.Class]++
-		}
+// arrivalsByService gives each service's requests in the order of their arrival.
+func (c *Checker) arrivalsByService() map[ids.Name][]arrival {
+	byService := map[ids.Name][]arrival{}
+	seen := map[string]bool{}
+	for _, execution := range c.executions {
+		retry := seen[execution.Token] || (execution.Attempt > 1 && !execution.AttemptHidden)
+		byService[execution.Service] = append(byService[execution.Service], arrival{execution.At, retry})
+		seen[execution.Token] = true
+	}
+	for _, arrivals := range byService {
+		sort.Slice(arrivals, func(i, j int) bool { return arrivals[i].at.Before(arrivals[j].at) })
 	}
-	out["runs"] = len(t.executions)
-	return out
+	return byService
 }
