--- a/internal/testsupport/checker/checker.go
+++ b/internal/testsupport/checker/checker.go
@@ -43,13 +43,29 @@
 	return e.Sent
 }
 
+// The classes of the end of an attempt at a client.
+const (
+	// ClassAnswered: the response is the target's.
+	ClassAnswered = "answered"
+	// ClassRejected: the response says that the request did not run.
+	ClassRejected = "declined"
+	// ClassUnknown: the response says that the request may have run.
+	ClassUnknown = "unknown"
+	// ClassClientError: the response says that the request is invalid.
+	ClassClientError = "misused"
+	// ClassLost: there was no response.
+	ClassLost = "lost"
+	// ClassUnreached: no proxy was reached.
+	ClassUnreached = "unreached"
+)
+
 // ClientResponse is the end of one attempt at a stand-in client: a response or the lack of one.
 type ClientResponse struct {
 	Sent, At       time.Time
 	Token          string
 	IdempotencyKey string
 	Attempt        int
-	// Class is "answered", "declined", "unknown", "misused", "lost" or "unreached".
+	// Class is one of the Class constants.
 	Class  string
 	Status int
 	Body   string
--- a/internal/testsupport/checker/long_lived_connections.go
+++ b/internal/testsupport/checker/long_lived_connections.go
@@ -51,7 +51,7 @@
 			continue
 		}
 		result.Judged++
-		if c.NoFaults && response.Class != "answered" && !c.drainedAt(response.Zone, response.Sent) {
+		if c.NoFaults && response.Class != ClassAnswered && !c.drainedAt(response.Zone, response.Sent) {
 			result.add(fmt.Sprintf("%s was %s by %s in %s", response.Token, response.Class, response.Proxy, response.Zone))
 		}
 	}
--- a/internal/testsupport/checker/recovery.go
+++ b/internal/testsupport/checker/recovery.go
@@ -28,7 +28,7 @@
 			continue
 		}
 		result.Judged++
-		if response.Class != "answered" {
+		if response.Class != ClassAnswered {
 			result.add(fmt.Sprintf("%s was %s by %s %s after", response.Token, response.Class, response.Proxy, response.Sent.Sub(c.recoveredAt).Round(time.Millisecond)))
 		}
 	}
@@ -51,7 +51,7 @@
 	defer c.mu.Unlock()
 	last := time.Duration(0)
 	for _, response := range c.responses {
-		if !c.recoveredAt.IsZero() && response.Attempt == 1 && !response.NoAnswerOwed && response.Class != "answered" {
+		if !c.recoveredAt.IsZero() && response.Attempt == 1 && !response.NoAnswerOwed && response.Class != ClassAnswered {
 			last = max(last, response.Sent.Sub(c.recoveredAt))
 		}
 	}
--- a/internal/testsupport/checker/results.go
+++ b/internal/testsupport/checker/results.go
@@ -80,14 +80,14 @@
 	lastBodies := map[string]string{}
 	for _, response := range c.responses {
 		switch response.Class {
-		case "declined":
+		case ClassRejected:
 			falselyRejected.Judged++
 			for _, execution := range byKey[response.IdempotencyKey] {
 				if contradictsRejection(execution, response) {
 					falselyRejected.add(fmt.Sprintf("%s attempt %d declined by %s, but ran as attempt %d", response.IdempotencyKey, response.Attempt, response.Proxy, execution.Attempt))
 				}
 			}
-		case "answered":
+		case ClassAnswered:
 			foreign.Judged++
 			if response.Problem != "" {
 				foreign.add(response.Token + ": " + response.Problem)
--- a/internal/testsupport/checker/statistics.go
+++ b/internal/testsupport/checker/statistics.go
@@ -14,7 +14,7 @@
 		}
 	}
 	for _, response := range c.responses {
-		if response.Class == "answered" && response.At.Sub(first[response.Token]) <= within {
+		if response.Class == ClassAnswered && response.At.Sub(first[response.Token]) <= within {
 			answered[response.Token] = true
 		}
 	}
@@ -43,7 +43,7 @@
 			continue
 		}
 		all++
-		if response.Class == "answered" {
+		if response.Class == ClassAnswered {
 			answered++
 		}
 	}
--- a/internal/testsupport/simulator/founding_test.go
+++ b/internal/testsupport/simulator/bootstrap_test.go
@@ -11,13 +11,13 @@
 	"dunlinwell/internal/controlplane/membership"
 )
 
-// oldSeedsReturn moves the whole core to other machines and then starts the
+// restartOldSeeds moves the whole core to other machines and then starts the
 // first three stores again, blank and with the setting of the first start.
-func oldSeedsReturn(w *World, alone bool) {
-	w.every(2*time.Second, 11*time.Second, 3, func(i int) { w.swap(w.procs[i]) })
-	w.later(36*time.Second, func() {
+func restartOldSeeds(w *World, alone bool) {
+	w.repeat(2*time.Second, 11*time.Second, 3, func(i int) { w.replaceLost(w.processes[i]) })
+	w.schedule(36*time.Second, func() {
 		old := map[string]bool{}
-		for _, p := range w.procs[:3] {
+		for _, p := range w.processes[:3] {
 			old[p.name] = true
 		}
 		if alone {
@@ -25,13 +25,13 @@
 			isCore := func(name string, _ ids.Name) bool {
 				return !old[name] && !strings.HasPrefix(name, membership.Proxy.String())
 			}
-			w.cutOff(time.Hour, &cut{a: isOld, b: isCore})
+			w.addPartition(time.Hour, &partition{sideA: isOld, sideB: isCore})
 		}
-		for _, p := range w.procs[:3] {
-			p.lost, p.bootstrap = false, true
+		for _, p := range w.processes[:3] {
+			p.removed, p.bootstrap = false, true
 			p.disk.wipe()
-			w.processByAddress[p.addr] = p
-			p.boot()
+			w.processByAddress[p.address] = p
+			p.start()
 		}
 	})
 }
@@ -42,7 +42,7 @@
 	is := is.New(t)
 	for _, alone := range []bool{false, true} {
 		for seed := uint64(1); seed <= 3; seed++ {
-			o := Run(Options{Seed: seed, Length: 55 * time.Second, KeepLog: true, Script: func(w *World) { oldSeedsReturn(w, alone) }})
+			o := Run(Options{Seed: seed, Length: 55 * time.Second, KeepLog: true, Script: func(w *World) { restartOldSeeds(w, alone) }})
 			report(t, o)
 			is.Equal(strings.Count(strings.Join(o.Log, "\n"), " bootstrap_completed ["), 1)
 		}
@@ -50,7 +50,7 @@
 }
 
 // The setting stays on in all settings files, and the disks of all three are lost.
-func TestStaleSettingAfterTotalLoss(t *testing.T) {
+func TestStaleBootstrapSetting_AfterTotalLoss(t *testing.T) {
 	is := is.New(t)
 	for seed := uint64(1); seed <= 3; seed++ {
 		o := Run(Options{Seed: seed, Length: 25 * time.Second, KeepLog: true, StaleBootstrap: true, Script: everyDiskLost})
--- a/internal/testsupport/simulator/catchup_test.go
+++ b/internal/testsupport/simulator/catch_up_test.go
@@ -8,11 +8,11 @@
 	"github.com/matryer/is"
 )
 
-// catchUpWithin is the users' catch_up_s of the small sites.
+// catchUpWithin is the bound catch_up_s that the users set for small sites.
 const catchUpWithin = 4 * time.Second
 
-// A store that missed 300 changes holds them all soon after its return, with no
-// change made meanwhile, and nobody was ever answered out of what it had before.
+// A store that missed 300 changes has them all within the bound after its return, without a change
+// made meanwhile, and no read was ever answered from its old state.
 func TestAStoreThatMissed300Changes(t *testing.T) {
 	for absence := range MachineOutages {
 		for store := range 2 {
@@ -22,12 +22,12 @@
 				for _, seed := range []uint64{1, 3} {
 					took := time.Duration(-2)
 					o := Run(Options{Seed: seed, Length: 50 * time.Second, FaultEvery: -1, Script: func(w *World) {
-						w.later(2*time.Second, func() {
-							w.missChanges(w.procs[store], absence, 300, catchUpWithin, func(d time.Duration) { took = d })
+						w.schedule(2*time.Second, func() {
+							w.missChanges(w.processes[store], absence, 300, catchUpWithin, func(d time.Duration) { took = d })
 						})
 					}})
 					report(t, o)
-					changes, reads := counts(o.History)
+					changes, reads := countOperations(o.History)
 					t.Logf("seed %d: %d changes, %d readings, caught up after %s", seed, changes, reads, took)
 					is.True(changes > 300 && reads > 100)
 					is.True(took >= 0)
--- /dev/null
+++ b/internal/testsupport/simulator/configuration_checks.go
@@ -0,0 +1,90 @@
+package simulator
+
+import (
+	"time"
+
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/registry"
+	"dunlinwell/internal/state/configuration"
+	"dunlinwell/internal/testsupport/checker"
+)
+
+const (
+	millisecond = time.Millisecond
+	// restoreWithin is how soon every request must be answered once the faults are over.
+	restoreWithin = 15 * time.Second
+	// readyWithin is how soon a proxy that is ready must have an accepted change.
+	readyWithin = 2 * time.Second
+	// servesWithin is how soon every proxy that still serves must have it.
+	servesWithin = 3 * time.Second
+)
+
+// checkInForce checks, once an accepted revision must be in force, that every proxy that serves has
+// it.
+func (w *World) checkInForce(revision ids.Revision) {
+	check := func(after time.Duration, counts func(*dispatchers) bool) {
+		w.schedule(after, func() {
+			for _, p := range w.processes {
+				if p.role == membership.Proxy && p.up && !p.frozen && counts(p.dispatchers) && p.dispatchers.heldRevision < revision {
+					w.Checker.Violation("%s goes by revision %d, %s after %d was accepted", p.name, p.dispatchers.heldRevision, after, revision)
+				}
+			}
+		})
+	}
+	check(readyWithin, func(d *dispatchers) bool { return d.servingState.Ready })
+	check(servesWithin, func(d *dispatchers) bool { return d.servingState.LeaseValid })
+}
+
+// readConfiguration makes a linearizable read: it may not give an older revision than any known
+// before.
+func (w *World) readConfiguration() {
+	floor, called := w.Checker.KnownRevision(), w.now
+	w.callAnyRegistry(operator, w.Plan.Zone(0), func(id uint64) any { return registry.ReadConfigurationCall{ID: id} }, func(response registry.Response) {
+		w.history.read(called, w.now, "a read", response)
+		w.checkRead("a read", response, floor)
+	}, nil)
+}
+
+// checkRead gives the checker what a read returned; false if that was no configuration.
+func (w *World) checkRead(reader string, response registry.Response, floor uint64) bool {
+	document, ok := response.Body.(*configuration.Document)
+	if !ok {
+		return false
+	}
+	seen, err := checker.ReadConfiguration(encodeConfiguration(document))
+	if err != nil {
+		w.Checker.Violation("%s gave no policy: %v", reader, err)
+		return true
+	}
+	w.Checker.ConfigurationRead(reader, seen, floor)
+	return true
+}
+
+// configurationAdopted checks that the configuration of a proxy never goes back.
+func (w *World) configurationAdopted(d *dispatchers, v *configuration.View) {
+	if v.Revision < d.heldRevision {
+		w.Checker.Violation("%s went back from revision %d to %d", d.process.name, d.heldRevision, v.Revision)
+	}
+	d.heldRevision = v.Revision
+}
+
+// finishLedger reads the configuration through every registry and checks it against all that was
+// accepted.
+func (w *World) finishLedger(when string) {
+	for _, p := range w.processes {
+		if p.role != membership.Registry || p.removed {
+			continue
+		}
+		read, floor, called := false, w.Checker.KnownRevision(), w.now
+		w.callRegistry(p, operator, w.Plan.Zone(0), func(id uint64) any { return registry.ReadConfigurationCall{ID: id} }, func(response registry.Response) {
+			w.history.read(called, w.now, when, response)
+			read = w.checkRead(when+", "+p.name, response, floor)
+		}, nil)
+		w.schedule(5*time.Second, func() {
+			if !read {
+				w.Checker.Violation("%s: the policy can't be read through %s", when, p.name)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/testsupport/simulator/core_losses.go
@@ -0,0 +1,119 @@
+package simulator
+
+import (
+	"time"
+
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/state/consensus"
+)
+
+// coreCatchUp is for how long a core machine still counts as lost after it is back, or after its
+// start if it is new. One may be lost at any time.
+const coreCatchUp = 4 * time.Second
+
+// lossCheckInterval is how often the state of the core is looked at.
+const lossCheckInterval = 50 * millisecond
+
+// coreLosses is what counts as lost of the core.
+type coreLosses struct {
+	// vacantMachines counts machines that have no successor yet.
+	vacantMachines int
+	// calmSince is since when no store has been impaired; recovered says that there was
+	// a calm of coreCatchUp after the last disk was lost.
+	calmSince ids.Time
+	recovered bool
+}
+
+// noteDiskLoss records that a disk is lost, or is about to be.
+func (w *World) noteDiskLoss() { w.losses.recovered, w.losses.calmSince = false, w.now }
+
+// trackCoreLosses regularly records which core machines count as lost.
+func (w *World) trackCoreLosses() {
+	for _, p := range w.remainingProcesses(membership.Store) {
+		if w.impaired(p) {
+			p.impairedAt, w.losses.calmSince = w.now, w.now
+		}
+	}
+	if w.losses.vacantMachines > 0 {
+		w.losses.calmSince = w.now
+	}
+	if w.now.Sub(w.losses.calmSince) >= coreCatchUp {
+		w.losses.recovered = true
+	}
+	w.schedule(lossCheckInterval, w.trackCoreLosses)
+}
+
+// impaired reports whether a store is down, frozen, slow or partitioned.
+func (w *World) impaired(p *process) bool {
+	if !p.up || p.frozen || p.disk.stalled || p.disk.slowdown > 0 || w.network.loss > 0 {
+		return true
+	}
+	for _, other := range w.remainingProcesses(membership.Store) {
+		if other != p && (w.partitioned(p, other) || w.partitioned(other, p)) {
+			return true
+		}
+	}
+	return false
+}
+
+// mayLose reports whether the system must survive the loss of a core machine or its disk: not while
+// a successor is due, nor before all voters are in place. Eager losses don't wait for that: it is
+// enough that the core had coreCatchUp without impairment since the last such loss, and no other
+// machine counts as lost.
+func (w *World) mayLose(p *process) bool {
+	switch {
+	case w.losses.vacantMachines > 0:
+		return false
+	case w.votersInPlace():
+		return true
+	case !w.EagerLosses || !w.losses.recovered:
+		return false
+	}
+	for _, other := range w.remainingProcesses(membership.Store) {
+		if other != p && w.now.Sub(other.impairedAt) < coreCatchUp {
+			return false
+		}
+	}
+	return true
+}
+
+// whenMayLose does something to a drawn core machine as soon as it may be lost, drawing again until
+// then.
+func (w *World) whenMayLose(draw func() *process, do func(*process)) {
+	if w.now >= w.faultsEnd() {
+		return
+	}
+	if p := draw(); w.mayLose(p) {
+		do(p)
+		return
+	}
+	w.schedule(lossCheckInterval, func() { w.whenMayLose(draw, do) })
+}
+
+// votersInPlace reports whether all voters of the newest voter set are stores that have not been
+// removed, with no learner and no reconfiguration under way.
+func (w *World) votersInPlace() bool {
+	var newest consensus.VoterSet
+	stores := map[uint64]bool{}
+	for _, p := range w.processes {
+		if p.role != membership.Store || p.removed {
+			continue
+		}
+		stores[p.disk.storeID] = true
+		if raw, ok := p.disk.Get(voterSetRecord); ok {
+			if r, ok := consensus.DecodeVoterSet(raw); ok && r.Number > newest.Number {
+				newest = r
+			}
+		}
+	}
+	if newest.Number == 0 || len(newest.Incoming)+len(newest.Learners) > 0 {
+		return false
+	}
+	for _, s := range newest.Voters {
+		if !stores[s.ID] {
+			return false
+		}
+	}
+	return true
+}
--- /dev/null
+++ b/internal/testsupport/simulator/core_machines.go
@@ -0,0 +1,171 @@
+package simulator
+
+import (
+	"fmt"
+	"time"
+
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+)
+
+// machineOf lists the processes of a core process's machine.
+func (w *World) machineOf(p *process) []*process {
+	var out []*process
+	for _, other := range w.coreProcesses() {
+		if other.zone == p.zone {
+			out = append(out, other)
+		}
+	}
+	return out
+}
+
+// storeOf finds the store of a core process's machine; nil if it is gone.
+func (w *World) storeOf(p *process) *process {
+	for _, other := range w.machineOf(p) {
+		if other.role == membership.Store {
+			return other
+		}
+	}
+	return nil
+}
+
+// replaceCore replaces a core machine by a blank one at a new address as soon as mayLose allows it:
+// after it is gone or, if planned, before.
+func (w *World) replaceCore(planned bool) {
+	w.whenMayLose(func() *process { return w.randomProcess(membership.Store) }, func(p *process) {
+		if planned {
+			w.replacePlanned(p)
+		} else {
+			w.replaceLost(p)
+		}
+	})
+}
+
+// replaceCoreMachine loses a core machine for good, as soon as mayLose allows it.
+func (w *World) replaceCoreMachine() { w.replaceCore(false) }
+
+// replaceLost loses a core machine with its disk, and adds a blank one soon after.
+func (w *World) replaceLost(p *process) {
+	w.trace("the machine of %s is lost for good", p.name)
+	machine := w.machineOf(p)
+	for _, member := range machine {
+		w.remove(member)
+	}
+	w.noteDiskLoss()
+	w.losses.vacantMachines++
+	w.schedule(w.randomDuration(100*millisecond, 2*time.Second), func() {
+		w.losses.vacantMachines--
+		w.addSuccessors(machine)
+	})
+}
+
+// replacePlanned adds a blank machine, and removes the old one soon after.
+func (w *World) replacePlanned(p *process) {
+	w.trace("the machine of %s is to be replaced", p.name)
+	machine := w.machineOf(p)
+	w.losses.vacantMachines++
+	w.addSuccessors(machine)
+	w.schedule(w.randomDuration(time.Second, 3*time.Second), func() {
+		w.losses.vacantMachines--
+		for _, member := range machine {
+			w.remove(member)
+		}
+		w.noteDiskLoss()
+	})
+}
+
+// remove kills a process for good.
+func (w *World) remove(p *process) {
+	p.kill()
+	p.removed = true
+	delete(w.processByAddress, p.address)
+}
+
+// addSuccessors adds a blank process for each one of a machine.
+func (w *World) addSuccessors(machine []*process) {
+	for _, p := range machine {
+		subnet := 2
+		if p.role == membership.Store {
+			subnet = 1
+		}
+		w.addCoreProcess(p.role, subnet, p.zone)
+	}
+}
+
+// addStore adds a blank store.
+func (w *World) addStore(zone ids.Name) { w.addCoreProcess(membership.Store, 1, zone) }
+
+// addCoreProcess adds a blank core process at a new address. As a new machine's operator would, it
+// is given seeds that are there.
+func (w *World) addCoreProcess(role membership.Role, subnet int, zone ids.Name) {
+	count := 0
+	for _, added := range w.processes {
+		if added.role == role {
+			count++
+		}
+	}
+	added := w.addProcess(role, fmt.Sprintf("%s-%d", role, count+1), zone, ids.Address(fmt.Sprintf("10.9.%d.%d:1", subnet, count+1)))
+	added.seeds = nil
+	for _, p := range w.processes {
+		if p != added && !p.removed && p.role != membership.Proxy && len(added.seeds) < maxSeeds {
+			added.seeds = append(added.seeds, p.address)
+		}
+	}
+	if w.Defect.DeadSeeds {
+		added.seeds = deadSeeds()
+	}
+	added.start()
+}
+
+// deadSeeds are addresses that nobody has.
+func deadSeeds() []ids.Address { return []ids.Address{"10.9.8.1:1"} }
+
+// loseRandomDisk loses one disk as soon as mayLose allows it.
+func (w *World) loseRandomDisk() {
+	w.whenMayLose(func() *process { return w.randomProcess(membership.Store) }, func(p *process) { w.loseDiskAndPower(p, w.faultDuration()) })
+}
+
+// loseDiskAndPower loses the disk and the power of a core machine. It comes back blank at the same
+// address.
+func (w *World) loseDiskAndPower(store *process, d time.Duration) {
+	w.trace("the disk of %s is lost", store.name)
+	for _, p := range w.machineOf(store) {
+		w.restartProcess(p, d)
+	}
+	w.loseDisk(store)
+}
+
+// loseDisk loses the disk of a store.
+func (w *World) loseDisk(store *process) {
+	w.noteDiskLoss()
+	if w.Defect.BlankKeepsIdentity {
+		clear(store.disk.records)
+		return
+	}
+	store.disk.wipe()
+}
+
+// maxSeeds is how many seeds a process is given.
+const maxSeeds = 3
+
+// changeSeeds changes the settings: processes that start from now on get other seeds, the given
+// processes first.
+func (w *World) changeSeeds(first []*process) {
+	var list []ids.Address
+	for _, p := range first {
+		list = append(list, p.address)
+	}
+	core := w.coreProcesses()
+	for _, i := range w.random.Perm(len(core)) {
+		if len(list) < maxSeeds {
+			list = append(list, core[i].address)
+		}
+	}
+	if w.Defect.DeadSeeds {
+		list = deadSeeds()
+	}
+	w.trace("new seeds: %v", list)
+	for _, p := range w.remainingProcesses(0) {
+		p.seeds = list
+	}
+}
--- a/internal/testsupport/simulator/defect.go
+++ b/internal/testsupport/simulator/defect.go
@@ -8,34 +8,34 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// Defect is a mistake planted on purpose, to see that its checker bites.
+// Defect is a planted defect, by which a test shows that its checker finds the mistake. The zero
+// value has none.
 type Defect struct {
-	// Ops replace change functions.
+	// Ops replace change functions of the registers.
 	Ops map[consensus.Op]consensus.ChangeFunc
 	// DiskForgets: a killed store loses half of what it had synced.
 	DiskForgets bool
-	// SyncLate: a store acts as if all was synced before the disk has it.
+	// SyncLate: a store goes on as if its records were synced before the disk has them.
 	SyncLate bool
-	// BlankKeepsIdentity: a store whose disk was lost still counts as the one
-	// that it was.
+	// BlankKeepsIdentity: a store whose disk was lost keeps its store id.
 	BlankKeepsIdentity bool
 	// DeadSeeds: new seeds name machines that don't exist.
 	DeadSeeds bool
 	// ResetIsUnsent: a request whose connection was reset counts as not sent.
 	ResetIsUnsent bool
-	// IdempotencyRetention is how long disks keep marks, if not for as long as they should.
+	// IdempotencyRetention, if set, is for how long disks keep idempotency records.
 	IdempotencyRetention time.Duration
-	// NoCheck: connections are used without the target showing who it is.
+	// SkipIdentityCheck: requests are sent without verifying the identity of the target.
 	SkipIdentityCheck bool
-	// CloseHeld: connections that clients hold are closed after each answer.
+	// CloseLongLived: long-lived connections are closed after each response.
 	CloseLongLived bool
-	// Response spoils a proxy's answers.
+	// Response, if set, alters what proxies respond to clients.
 	Response func(dispatch.Response) dispatch.Response
-	// ControlLease is how long registries speak for the core by one agreement, if
-	// not for as long as they should.
+	// ControlLease, if set, is the duration of the lease under which a registry speaks
+	// for the core.
 	ControlLease time.Duration
-	// Confirm spoils what registries answer operators.
+	// Confirm, if set, alters what registries respond to operators.
 	Confirm func(registry.Response) registry.Response
-	// Message spoils what is sent between daemons; false loses it.
+	// Message, if set, alters messages between daemons; false loses one.
 	Message func(from, to string, msg any) (any, bool)
 }
--- a/internal/testsupport/simulator/defect_test.go
+++ b/internal/testsupport/simulator/defect_test.go
@@ -18,7 +18,7 @@
 	"dunlinwell/internal/state/idempotency"
 )
 
-// Every checker catches the mistake it is there for.
+// Every rule of the checker finds the mistake it is there for, planted as a defect.
 func TestCheckersBite(t *testing.T) {
 	for name, c := range map[string]struct {
 		want   string
@@ -28,18 +28,18 @@
 		lease  time.Duration
 		hot    bool
 	}{
-		"double run":    {want: "run twice", defect: Defect{Ops: map[consensus.Op]consensus.ChangeFunc{idempotency.OpClaim: alwaysYours}}},
-		"half a change": {want: "reads back as", defect: Defect{Ops: map[consensus.Op]consensus.ChangeFunc{configuration.OpChange: half}}},
+		"double run":    {want: "run twice", defect: Defect{Ops: map[consensus.Op]consensus.ChangeFunc{idempotency.OpClaim: alwaysGranted}}},
+		"half a change": {want: "reads back as", defect: Defect{Ops: map[consensus.Op]consensus.ChangeFunc{configuration.OpChange: applyHalf}}},
 		"forgotten": {want: "was known|reads back as|given to", defect: Defect{DiskForgets: true}, script: func(w *World) {
 			// Every store loses power at once, again and again.
-			w.every(8*time.Second, 6*time.Second, 5, func(int) {
-				for _, p := range w.procs[:3] {
-					w.bounce(p, time.Second)
+			w.repeat(8*time.Second, 6*time.Second, 5, func(int) {
+				for _, p := range w.processes[:3] {
+					w.restartProcess(p, time.Second)
 				}
 			})
 		}},
-		"foreign target": {want: "got a request meant for", defect: Defect{SkipIdentityCheck: true, Message: pushes(func(p *distribution.Push) {
-			// The proxies never hear of anything but the first runs.
+		"foreign target": {want: "got a request meant for", defect: Defect{SkipIdentityCheck: true, Message: alterPushes(func(p *distribution.Push) {
+			// The proxies learn of no incarnation but the first.
 			p.Targets = slices.DeleteFunc(p.Targets, func(t targets.Target) bool { return t.Incarnation > 2001 })
 			for i := range p.Targets {
 				p.Targets[i].Leaving, p.Targets[i].Gone = false, false
@@ -57,49 +57,49 @@
 			}
 			return r
 		}}},
-		"not in force": {want: "that another was accepted over", defect: Defect{Message: pushes(func(p *distribution.Push) {
+		"not in force": {want: "that another was accepted over", defect: Defect{Message: alterPushes(func(p *distribution.Push) {
 			if p.Revision > 3 {
 				p.Configuration, p.Revision = nil, 3
 			}
 		})}},
-		"left target": {want: "known gone or leaving", script: drained, defect: Defect{SkipIdentityCheck: true, Message: pushes(func(p *distribution.Push) {
+		"left target": {want: "known gone or leaving", script: drained, defect: Defect{SkipIdentityCheck: true, Message: alterPushes(func(p *distribution.Push) {
 			for i := range p.Targets {
 				p.Targets[i].Leaving, p.Targets[i].Gone = false, false
 			}
 		})}},
-		"flood": {want: "flooded", rate: 400, defect: Defect{SkipIdentityCheck: true, Message: pushes(func(p *distribution.Push) {
+		"flood": {want: "flooded", rate: 400, defect: Defect{SkipIdentityCheck: true, Message: alterPushes(func(p *distribution.Push) {
 			for i := range p.Targets {
 				p.Targets[i].Warmth, p.Targets[i].AgeMillis, p.Targets[i].Capacity = 1, 1e6, 200
 			}
 		})}},
-		"retries": {want: "retries past", script: lostAfterCalm, defect: Defect{Message: pushes(swap(`"allowance":10`, `"allowance":900`))}},
-		// Leases without end: a proxy that is cut off serves on.
+		"retries": {want: "retries past", script: loseResponsesAfterCalm, defect: Defect{Message: alterPushes(replaceInPush(`"allowance":10`, `"allowance":900`))}},
 		"marks forgotten": {want: "run twice", defect: Defect{IdempotencyRetention: 300 * time.Millisecond}, script: func(w *World) {
 			// Proposers remember for a while what disks forgot: they restart.
 			responsesLost(w)
-			w.every(time.Second, 900*time.Millisecond, 36, func(i int) { w.bounce(w.procs[i%3], 150*time.Millisecond) })
+			w.repeat(time.Second, 900*time.Millisecond, 36, func(i int) { w.restartProcess(w.processes[i%3], 150*time.Millisecond) })
 		}},
+		// Leases without end: a proxy that is cut off serves on.
 		"emptied in a split": {want: "emptied over", lease: time.Hour, script: zoneDrainedDuringPartition},
-		// Nor does it mind a silence, or ask another proxy.
-		"unheard of":          {want: "known gone or leaving", lease: time.Hour, script: declaredDeadButRunning, defect: Defect{Message: deaf}},
-		"moved in a split":    {want: "that another was accepted over", lease: time.Hour, rate: 200, script: configurationMovedDuringPartition, defect: Defect{Message: deaf}},
+		// Nor does it expire silent targets, or learn from other proxies.
+		"unheard of":          {want: "known gone or leaving", lease: time.Hour, script: declaredDeadButRunning, defect: Defect{Message: dropLeaseGossip}},
+		"moved in a split":    {want: "that another was accepted over", lease: time.Hour, rate: 200, script: configurationMovedDuringPartition, defect: Defect{Message: dropLeaseGossip}},
 		"held circuit closed": {want: "held circuit", hot: true, defect: Defect{CloseLongLived: true}},
-		"urgent routes moved": {want: "urgent route moved", hot: true, defect: Defect{Message: tables(func(t *spill.Table) { t.Moves = reversed(t.Moves) })}},
-		"far cells first":     {want: "move to a far cell", hot: true, defect: Defect{Message: tables(func(t *spill.Table) { t.Moves = farther(t.Moves) })}},
-		"others' traffic first": {want: "before calling its own home", hot: true, defect: Defect{Message: tables(func(t *spill.Table) {
-			// From time to time, so that it is seen to begin.
+		"urgent routes moved": {want: "urgent route moved", hot: true, defect: Defect{Message: alterTables(func(t *spill.Table) { t.Moves = reverseTiers(t.Moves) })}},
+		"far cells first":     {want: "move to a far cell", hot: true, defect: Defect{Message: alterTables(func(t *spill.Table) { t.Moves = moveFarther(t.Moves) })}},
+		"others' traffic first": {want: "before calling its own home", hot: true, defect: Defect{Message: alterTables(func(t *spill.Table) {
+			// At intervals, so that the moves are seen to begin.
 			if t.Number%4 >= 2 {
-				t.Moves = crossed(t.Moves)
+				t.Moves = addCrossedMoves(t.Moves)
 			}
 		})}},
 		"order refused when it came again": {want: "refused with 409 when it came again", defect: Defect{Confirm: refuseCopies()}, script: answersLostAndResent},
 		"acted before the sync":            {want: "was known|reads back as|given to", defect: Defect{SyncLate: true}, script: powerLostAfterAcks},
-		// Nothing but the closing fault comes up.
+		// The closing fault is the only one.
 		"acted before the last sync":     {want: "was known|reads back as|given to", defect: Defect{SyncLate: true}, script: func(*World) {}},
 		"blank store keeps its identity": {want: "was known|reads back as|given to", defect: Defect{BlankKeepsIdentity: true}, script: wipedAndRestarted},
 		"new seeds lead nowhere":         {want: "can't be read", defect: Defect{DeadSeeds: true}, script: seedsTurnedThenReplaced},
 		"reset taken for not sent":       {want: "run twice", defect: Defect{ResetIsUnsent: true}, script: connectionsReset},
-		"emptied cell":                   {want: "emptied", script: emptiedAgainAndAgain, defect: Defect{Message: pushes(swap(`"emptied":true`, `"emptied":false`))}},
+		"emptied cell":                   {want: "emptied", script: drainAgainAndAgain, defect: Defect{Message: alterPushes(replaceInPush(`"emptied":true`, `"emptied":false`))}},
 		"lease without end":              {want: "cut off, answered", script: Scenes["core-machine-1-cut-off-both-ways"], defect: Defect{ControlLease: time.Hour}},
 		"deaf planner":                   {want: "have planned for", script: Scenes["core-machine-1-cut-off-both-ways"], defect: Defect{ControlLease: time.Hour}},
 		"not restored": {want: "15 s after", defect: Defect{Message: func(_, to string, msg any) (any, bool) {
--- a/internal/testsupport/simulator/leaving_test.go
+++ b/internal/testsupport/simulator/departure_test.go
@@ -12,15 +12,15 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// leave gives a store the polite signal and does something once it has ended.
-func (w *World) leave(p *process, then func()) {
+// stopStore asks a store to leave, as SIGTERM does, and calls then when it has ended.
+func (w *World) stopStore(p *process, then func()) {
 	w.trace("%s is told to stop", p.name)
-	p.take(store.Leave{Within: 5 * time.Second})
+	p.deliver(store.Leave{Within: 5 * time.Second})
 	began := w.now
 	var look func()
 	look = func() {
 		if p.up && w.now.Sub(began) < 6*time.Second {
-			w.later(20*time.Millisecond, look)
+			w.schedule(20*time.Millisecond, look)
 			return
 		}
 		p.kill()
@@ -30,16 +30,16 @@
 }
 
 // allVotersServe tells whether all members of the newest voter set, three, are up and
-// complete, whoever else stands by.
+// complete. Spares don't count.
 func (w *World) allVotersServe() bool {
 	var newest consensus.VoterSet
 	serving := map[uint64]bool{}
-	for _, p := range w.procs {
-		if p.role != membership.Store || p.lost {
+	for _, p := range w.processes {
+		if p.role != membership.Store || p.removed {
 			continue
 		}
-		serving[p.disk.store] = p.up && syncedComplete(p.disk)
-		raw, _ := p.disk.Get("meta/roster")
+		serving[p.disk.storeID] = p.up && hasCompleteCopy(p.disk)
+		raw, _ := p.disk.Get(voterSetRecord)
 		if set, ok := consensus.DecodeVoterSet(raw); ok && set.Number > newest.Number {
 			newest = set
 		}
@@ -54,8 +54,8 @@
 
 // retire ends a machine for good.
 func (w *World) retire(p *process) {
-	p.lost = true
-	delete(w.processByAddress, p.addr)
+	p.removed = true
+	delete(w.processByAddress, p.address)
 }
 
 // All three founders are replaced as planned, under load and operators' changes:
@@ -65,12 +65,12 @@
 	for seed := uint64(1); seed <= 4; seed++ {
 		settled := false
 		o := Run(Options{Seed: seed, Length: 45 * time.Second, KeepLog: true, Script: func(w *World) {
-			w.every(2*time.Second, 6*time.Second, 3, func(i int) {
-				p := w.procs[i]
+			w.repeat(2*time.Second, 6*time.Second, 3, func(i int) {
+				p := w.processes[i]
 				w.addStore(p.zone)
-				w.later(3*time.Second, func() { w.leave(p, func() { w.retire(p) }) })
+				w.schedule(3*time.Second, func() { w.stopStore(p, func() { w.retire(p) }) })
 			})
-			w.later(25*time.Second, func() { settled = w.allVotersServe() })
+			w.schedule(25*time.Second, func() { settled = w.allVotersServe() })
 		}})
 		report(t, o)
 		log := strings.Join(o.Log, "\n")
@@ -80,20 +80,20 @@
 	}
 }
 
-// The stores are restarted in turn while a blank one stands by. Each that comes back
-// finds its place taken, and stands by in its turn.
+// The stores are restarted in turn with a spare. Each finds its place taken when it returns, and is
+// the next spare.
 func TestRollWithOneStandingBy(t *testing.T) {
 	is := is.New(t)
 	for seed := uint64(1); seed <= 4; seed++ {
 		settled := false
 		o := Run(Options{Seed: seed, Length: 45 * time.Second, KeepLog: true, Script: func(w *World) {
 			w.addStore("cell-a1")
-			stores := append([]*process{}, w.procs[:3]...)
-			stores = append(stores, w.procs[len(w.procs)-1])
-			w.every(3*time.Second, 5*time.Second, 4, func(i int) {
-				w.leave(stores[i], func() { w.later(500*time.Millisecond, func() { stores[i].boot() }) })
+			stores := append([]*process{}, w.processes[:3]...)
+			stores = append(stores, w.processes[len(w.processes)-1])
+			w.repeat(3*time.Second, 5*time.Second, 4, func(i int) {
+				w.stopStore(stores[i], func() { w.schedule(500*time.Millisecond, func() { stores[i].start() }) })
 			})
-			w.later(26*time.Second, func() { settled = w.allVotersServe() })
+			w.schedule(26*time.Second, func() { settled = w.allVotersServe() })
 		}})
 		report(t, o)
 		is.True(settled)
@@ -108,16 +108,16 @@
 		settled := false
 		o := Run(Options{Seed: seed, Length: 45 * time.Second, KeepLog: true, Script: func(w *World) {
 			w.network.loss = 0.02
-			w.later(2*time.Second, func() { w.addStore("cell-b1"); w.addStore("cell-c1") })
-			w.later(6*time.Second, func() {
-				p := w.procs[1]
-				w.leave(p, func() { w.retire(p) })
-				w.later(w.between(0, 300*time.Millisecond), p.kill)
-				if q := w.procs[2]; seed%2 == 0 {
-					w.leave(q, func() { w.retire(q) })
+			w.schedule(2*time.Second, func() { w.addStore("cell-b1"); w.addStore("cell-c1") })
+			w.schedule(6*time.Second, func() {
+				p := w.processes[1]
+				w.stopStore(p, func() { w.retire(p) })
+				w.schedule(w.randomDuration(0, 300*time.Millisecond), p.kill)
+				if q := w.processes[2]; seed%2 == 0 {
+					w.stopStore(q, func() { w.retire(q) })
 				}
 			})
-			w.later(25*time.Second, func() { settled = w.allVotersServe() })
+			w.schedule(25*time.Second, func() { settled = w.allVotersServe() })
 		}})
 		report(t, o)
 		is.True(settled)
--- a/internal/testsupport/simulator/disk.go
+++ b/internal/testsupport/simulator/disk.go
@@ -9,143 +9,156 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// Fetch finds a record that was synced.
+// The keys of a store's records, as package consensus writes them.
+const (
+	voterSetRecord     = "meta/roster"
+	idempotencyRecords = "item/mark/"
+	// registersEnd is the first key after all of the prefix "item/".
+	registersEnd = "item0"
+)
+
+// Get returns a record that is synced.
 func (d *disk) Get(key ids.RegisterKey) ([]byte, bool) {
 	raw, ok := d.records[key]
 	return raw, ok
 }
 
-// After lists records of items behind a key.
-func (d *disk) Scan(key ids.RegisterKey, n int) []event.Record {
+// Scan lists up to limit synced register records after a key, in order.
+func (d *disk) Scan(key ids.RegisterKey, limit int) []event.Record {
 	keys := d.sortedKeys()
 	from, found := slices.BinarySearch(keys, key)
 	if found {
 		from++
 	}
 	var out []event.Record
-	for _, k := range keys[from:] {
-		if k >= "item0" || len(out) == n {
+	for _, next := range keys[from:] {
+		if next >= registersEnd || len(out) == limit {
 			break
 		}
-		out = append(out, event.Record{Key: k, Value: d.records[k]})
+		out = append(out, event.Record{Key: next, Value: d.records[next]})
 	}
 	return out
 }
 
-// sortedKeys gives all keys in order, sorted anew only after a key was added or
-// taken away, since a start reads the disk record by record.
+// sortedKeys gives all keys in order. They are sorted anew only after a key was added or removed,
+// since a store reads its disk record by record when it starts.
 func (d *disk) sortedKeys() []ids.RegisterKey {
-	if d.sorted == nil || len(d.sorted) != len(d.records) {
-		d.sorted = slices.Sorted(maps.Keys(d.records))
+	if d.sortedKeyCache == nil || len(d.sortedKeyCache) != len(d.records) {
+		d.sortedKeyCache = slices.Sorted(maps.Keys(d.records))
 	}
-	return d.sorted
+	return d.sortedKeyCache
 }
 
-// disk is a store's data folder.
+// disk is a store's data directory. Records are on it once they are synced.
 type disk struct {
-	w       *World
-	store   uint64
-	run     uint64
-	records map[ids.RegisterKey][]byte
-	// sorted are the keys of the records in order, nil where not known.
-	sorted  []ids.RegisterKey
-	queue   []event.Sync
-	busy    bool
-	stalled bool
-	// slow is how many times as long a sync takes; 0 for an ordinary one.
-	slow       int
+	world     *World
+	storeID   uint64
+	runNumber uint64
+	records   map[ids.RegisterKey][]byte
+	// sortedKeyCache holds the keys in order; nil if it has to be made anew.
+	sortedKeyCache []ids.RegisterKey
+	queue          []event.Sync
+	syncing        bool
+	stalled        bool
+	// slowdown is how many times as long as usual a sync takes; 0 for an ordinary disk.
+	slowdown   int
 	generation int
-	ages
+	recordAges
 }
 
-func newDisk(w *World) *disk { return &disk{w: w, records: map[ids.RegisterKey][]byte{}} }
+// newDisk makes a blank disk.
+func newDisk(w *World) *disk { return &disk{world: w, records: map[ids.RegisterKey][]byte{}} }
 
+// open begins a new run on the disk.
 func (d *disk) open(p *process) {
-	if d.store == 0 {
-		d.store = d.w.random.Uint64()>>24 | 1
+	if d.storeID == 0 {
+		d.storeID = d.world.random.Uint64()>>24 | 1
 	}
-	d.run++
+	d.runNumber++
 	d.generation++
-	d.queue, d.busy = nil, false
-	d.opened = d.w.now
-	d.prune(p)
+	d.queue, d.syncing = nil, false
+	d.openedAt = d.world.now
+	d.schedulePruning(p)
 }
 
-// crash loses what was not synced. A planted defect lets the disk lie.
+// crash loses what was not synced.
 func (d *disk) crash() {
 	d.generation++
-	d.queue, d.busy = nil, false
-	if d.w.Defect.DiskForgets {
-		for k := range d.records {
-			if d.w.random.IntN(2) == 0 && k != "meta/roster" {
-				delete(d.records, k)
+	d.queue, d.syncing = nil, false
+	if d.world.Defect.DiskForgets {
+		for key := range d.records {
+			if d.world.random.IntN(2) == 0 && key != voterSetRecord {
+				delete(d.records, key)
 			}
 		}
 	}
 }
 
-// wipe loses the disk: what comes next is another store.
+// wipe loses everything: whichever store starts on it next is another one.
 func (d *disk) wipe() {
-	*d = disk{w: d.w, records: map[ids.RegisterKey][]byte{}, generation: d.generation + 1}
+	*d = disk{world: d.world, records: map[ids.RegisterKey][]byte{}, generation: d.generation + 1}
 }
 
-// writeBack is how long a disk that lies holds back what it says it has synced.
-const writeBack = 50 * time.Millisecond
+// writeBackDelay is for how long a disk with the defect SyncLate holds back what it has reported as
+// synced.
+const writeBackDelay = 50 * time.Millisecond
 
+// sync queues a batch of records.
 func (d *disk) sync(p *process, s event.Sync) {
-	if d.w.Defect.SyncLate {
-		p.perform(s.After)
+	if d.world.Defect.SyncLate {
+		p.execute(s.After)
 		s.After = nil
 	}
 	d.queue = append(d.queue, s)
-	d.next(p)
+	d.startSync(p)
 }
 
-// next syncs all that waits in one go, as the real committer does.
-func (d *disk) next(p *process) {
-	if d.busy || len(d.queue) == 0 {
+// startSync syncs all queued batches at once, as the real committer does.
+func (d *disk) startSync(p *process) {
+	if d.syncing || len(d.queue) == 0 {
 		return
 	}
-	d.busy = true
-	took := d.w.between(200*time.Microsecond, 4*time.Millisecond) * time.Duration(max(d.slow, 1))
-	if d.w.DiskSync > 0 {
-		took = d.w.DiskSync * time.Duration(max(d.slow, 1))
+	d.syncing = true
+	duration := d.world.randomDuration(200*time.Microsecond, 4*time.Millisecond) * time.Duration(max(d.slowdown, 1))
+	if d.world.DiskSync > 0 {
+		duration = d.world.DiskSync * time.Duration(max(d.slowdown, 1))
 	}
-	if d.w.Defect.SyncLate {
-		took += writeBack
+	if d.world.Defect.SyncLate {
+		duration += writeBackDelay
 	}
-	gen, n := d.generation, len(d.queue)
-	d.w.later(took, func() { d.synced(p, gen, n) })
+	generation, count := d.generation, len(d.queue)
+	d.world.schedule(duration, func() { d.finishSync(p, generation, count) })
 }
 
-func (d *disk) synced(p *process, gen, n int) {
-	if d.generation != gen {
+// finishSync puts the first count batches of the queue on the disk and lets their store go on.
+func (d *disk) finishSync(p *process, generation, count int) {
+	if d.generation != generation {
 		return
 	}
 	if d.stalled || p.frozen {
-		d.w.later(50*time.Millisecond, func() { d.synced(p, gen, n) })
+		d.world.schedule(50*time.Millisecond, func() { d.finishSync(p, generation, count) })
 		return
 	}
-	done := d.queue[:n:n]
-	d.queue = d.queue[n:]
-	d.busy = false
+	done := d.queue[:count:count]
+	d.queue = d.queue[count:]
+	d.syncing = false
 	for _, s := range done {
-		for _, r := range s.Records {
-			if r.Delete {
-				delete(d.records, r.Key)
-				d.sorted = nil
+		for _, written := range s.Records {
+			if written.Delete {
+				delete(d.records, written.Key)
+				d.sortedKeyCache = nil
 				continue
 			}
-			if _, known := d.records[r.Key]; !known {
-				d.sorted = nil
+			if _, known := d.records[written.Key]; !known {
+				d.sortedKeyCache = nil
 			}
-			d.records[r.Key] = r.Value
-			d.age(r.Key)
+			d.records[written.Key] = written.Value
+			d.noteWritten(written.Key)
 		}
 	}
 	for _, s := range done {
-		p.perform(s.After)
+		p.execute(s.After)
 	}
-	p.take(event.Synced{Batch: done[n-1].Batch})
-	d.next(p)
+	p.deliver(event.Synced{Batch: done[count-1].Batch})
+	d.startSync(p)
 }
--- a/internal/testsupport/simulator/dispatchers.go
+++ b/internal/testsupport/simulator/dispatchers.go
@@ -1,6 +1,8 @@
 package simulator
 
 import (
+	"cmp"
+	"slices"
 	"time"
 
 	"dunlinwell/internal/base/event"
@@ -12,151 +14,171 @@
 	"dunlinwell/internal/state/idempotency"
 )
 
-// dispatchers is the data plane of a simulated proxy: real dispatchers, and targets
-// reached over the simulated net.
+// dispatchers is the data plane of a simulated proxy: real dispatchers, and targets reached over
+// the simulated network.
 type dispatchers struct {
-	p     *process
-	c     *proxy.Control
-	list  map[ids.Name]*dispatch.Dispatcher
-	order []ids.Name
-	jobs  map[ids.RequestID]*forwardedRequest
-	next  ids.RequestID
-	last  ids.Time
-	view  *configuration.View
-	ready proxy.ServingState
-	meter ids.Time
-	spent map[[2]ids.Name]float64
-	count uint64
-	held  ids.Revision
+	process        *process
+	control        *proxy.Control
+	byService      map[ids.Name]*dispatch.Dispatcher
+	services       []ids.Name
+	requestsByID   map[ids.RequestID]*forwardedRequest
+	lastRequestID  ids.RequestID
+	lastTick       ids.Time
+	view           *configuration.View
+	servingState   proxy.ServingState
+	lastMeasuredAt ids.Time
+	cpuMillis      map[[2]ids.Name]float64
+	requests       uint64
+	heldRevision   ids.Revision
 }
 
-// forwardedRequest is a request in hand at a proxy.
+// forwardedRequest is a request that a proxy works on.
 type forwardedRequest struct {
 	dispatch.Job
 	requestToken string
-	// attempt is the client's own count, which it may keep to itself.
+	// attempt is the client's own count, which Job.Attempt lacks if it isn't sent.
 	attempt    int
 	onResponse func(dispatch.Response)
 }
 
+// newDispatchers makes the data plane of a run of a proxy.
 func newDispatchers(p *process, c *proxy.Control) *dispatchers {
-	return &dispatchers{p: p, c: c, list: map[ids.Name]*dispatch.Dispatcher{}, jobs: map[ids.RequestID]*forwardedRequest{}, spent: map[[2]ids.Name]float64{}}
+	return &dispatchers{process: p, control: c, byService: map[ids.Name]*dispatch.Dispatcher{}, requestsByID: map[ids.RequestID]*forwardedRequest{}, cpuMillis: map[[2]ids.Name]float64{}}
 }
 
-func (d *dispatchers) at(s ids.Name) *dispatch.Dispatcher {
-	if d.list[s] == nil {
-		d.list[s] = dispatch.New(dispatch.Options{Random: d.p.random, Self: idempotency.Owner{Daemon: ids.DaemonID(d.p.name), RunID: d.p.runID}})
-		d.order = append(d.order, s)
+// dispatcher returns the dispatcher of a service, made when first needed.
+func (d *dispatchers) dispatcher(service ids.Name) *dispatch.Dispatcher {
+	if d.byService[service] == nil {
+		d.byService[service] = dispatch.New(dispatch.Options{Random: d.process.random, Self: idempotency.Owner{Daemon: ids.DaemonID(d.process.name), RunID: d.process.runID}})
+		d.services = append(d.services, service)
 	}
-	return d.list[s]
+	return d.byService[service]
 }
 
+// meterEvery is how often a proxy measures its usage.
 const meterEvery = 2 * time.Second
 
-func (d *dispatchers) beat() {
-	d.last = d.p.now()
-	for _, n := range d.order {
-		d.hand(n, event.Tick{})
+// tick gives every dispatcher a timer tick and measures the usage when it is time.
+func (d *dispatchers) tick() {
+	d.lastTick = d.process.now()
+	for _, service := range d.services {
+		d.step(service, event.Tick{})
 	}
-	if now := d.p.now(); now.Sub(d.meter) >= meterEvery {
-		span := now.Sub(d.meter)
-		d.meter = now
-		m := proxy.UsageSample{Interval: span, LatencyP95: 2 * time.Millisecond, Requests: d.count}
-		if p := d.p; p.w.Latency != nil {
-			used := 0.0
-			for _, r := range sortedPairs(d.spent) {
-				used += d.spent[r] / span.Seconds()
-			}
-			m.LatencyP95 = p.w.Latency(used)
-		}
-		for _, r := range sortedPairs(d.spent) {
-			m.Rows = append(m.Rows, spill.ServiceUsage{Route: r[0], Service: r[1], CPU: d.spent[r] / span.Seconds()})
+	if now := d.process.now(); now.Sub(d.lastMeasuredAt) >= meterEvery {
+		d.measure(now)
+	}
+}
+
+// measure passes the usage since the last measurement to the control machine.
+func (d *dispatchers) measure(now ids.Time) {
+	span := now.Sub(d.lastMeasuredAt)
+	d.lastMeasuredAt = now
+	sample := proxy.UsageSample{Interval: span, LatencyP95: 2 * time.Millisecond, Requests: d.requests}
+	if p := d.process; p.world.Latency != nil {
+		used := 0.0
+		for _, pair := range sortedPairs(d.cpuMillis) {
+			used += d.cpuMillis[pair] / span.Seconds()
 		}
-		d.spent, d.count = map[[2]ids.Name]float64{}, 0
-		d.p.take(m)
+		sample.LatencyP95 = p.world.Latency(used)
 	}
+	for _, pair := range sortedPairs(d.cpuMillis) {
+		sample.Rows = append(sample.Rows, spill.ServiceUsage{Route: pair[0], Service: pair[1], CPU: d.cpuMillis[pair] / span.Seconds()})
+	}
+	d.cpuMillis, d.requests = map[[2]ids.Name]float64{}, 0
+	d.process.deliver(sample)
 }
 
-func (d *dispatchers) hand(s ids.Name, ev event.Event) {
-	for _, c := range d.at(s).Step(d.p.now(), ev) {
-		d.do(s, c)
+// step passes an event to the dispatcher of a service and carries out its commands.
+func (d *dispatchers) step(service ids.Name, ev event.Event) {
+	for _, c := range d.dispatcher(service).Step(d.process.now(), ev) {
+		d.execute(service, c)
 	}
 }
 
-// perform carries out what the control machine wants.
-func (d *dispatchers) perform(c event.Command) {
+// executeControl carries out a command of the control machine.
+func (d *dispatchers) executeControl(c event.Command) {
 	switch c := c.(type) {
 	case proxy.DispatchEvent:
-		d.hand(c.Service, c.Event)
+		d.step(c.Service, c.Event)
 	case proxy.UpdateRoutes:
 		d.view = c.View
-		d.p.w.held(d, c.View)
+		d.process.world.configurationAdopted(d, c.View)
 	case proxy.ServingState:
-		d.ready = c
+		d.servingState = c
 	}
 }
 
-// do carries out what a dispatcher wants.
-func (d *dispatchers) do(s ids.Name, c event.Command) {
-	p := d.p
+// execute carries out a command of a dispatcher.
+func (d *dispatchers) execute(service ids.Name, c event.Command) {
+	p := d.process
 	switch c := c.(type) {
 	case dispatch.IdempotencyCall:
-		if c.Op == idempotency.OpClaim && p.w.atClaim != nil {
-			p.w.atClaim(p)
+		if c.Op == idempotency.OpClaim && p.world.onClaim != nil {
+			p.world.onClaim(p)
 		}
-		p.later(0, func() { p.take(proxy.IdempotencyRequest{Service: s, Call: c}) })
+		p.later(0, func() { p.deliver(proxy.IdempotencyRequest{Service: service, Call: c}) })
 	case dispatch.Forward:
-		// The scheduler may let a moment pass, or a freeze come between.
-		p.later(p.w.between(0, 2*time.Millisecond), func() { d.forward(s, c) })
+		// As with a real scheduler a moment passes, in which the process may freeze.
+		p.later(p.world.randomDuration(0, 2*time.Millisecond), func() { d.forward(service, c) })
 	case dispatch.Response:
-		e := d.jobs[c.ID]
-		delete(d.jobs, c.ID)
-		if e != nil && e.onResponse != nil {
-			if p.w.Defect.Response != nil {
-				c = p.w.Defect.Response(c)
+		request := d.requestsByID[c.ID]
+		delete(d.requestsByID, c.ID)
+		if request != nil && request.onResponse != nil {
+			if p.world.Defect.Response != nil {
+				c = p.world.Defect.Response(c)
 			}
-			e.onResponse(c)
+			request.onResponse(c)
 		}
 	}
 }
 
-// dropAll is what the clients of a killed proxy see.
-func (d *dispatchers) dropAll() { d.jobs = map[ids.RequestID]*forwardedRequest{} }
+// dropRequests forgets all requests when the proxy is killed: their clients get no response.
+func (d *dispatchers) dropRequests() { d.requestsByID = map[ids.RequestID]*forwardedRequest{} }
 
-// arrive takes a client's request, as the real front does.
-func (d *dispatchers) arrive(route ids.Name, token string, mark ids.IdempotencyKey, try int, says bool, left time.Duration, done func(dispatch.Response)) {
-	var r configuration.Route
+// receive handles a client's request as the real front end does.
+func (d *dispatchers) receive(route ids.Name, token string, key ids.IdempotencyKey, number int, sendsAttemptCount bool, timeLeft time.Duration, respond func(dispatch.Response)) {
+	var rule configuration.Route
 	ok := false
 	if d.view != nil {
-		r, ok = d.view.Routes[route]
+		rule, ok = d.view.Routes[route]
 	}
-	if !ok && !d.ready.LeaseValid {
-		done(unknownYet(try, says, mark))
+	if !ok && !d.servingState.LeaseValid {
+		respond(respondRouteUnknown(number, sendsAttemptCount, key))
 		return
 	}
 	if !ok {
-		done(dispatch.Response{Class: dispatch.ClientError, Status: 404})
+		respond(dispatch.Response{Class: dispatch.ClientError, Status: 404})
 		return
 	}
-	attempt := try
-	if !says {
+	attempt := number
+	if !sendsAttemptCount {
 		attempt = 0
 	}
-	d.next++
-	j := dispatch.Job{
-		ID: d.next, Route: route, Service: r.Service, Tier: r.Tier * 10, Repeatable: r.Repeatable, IdempotencyKey: mark, Terms: proxy.RouteTerms(r),
-		Attempt: uint32(attempt), Fingerprint: []byte(token), Deadline: d.p.now().Add(min(left, r.Timeout())),
+	d.lastRequestID++
+	job := dispatch.Job{
+		ID: d.lastRequestID, Route: route, Service: rule.Service, Tier: rule.Tier * 10, Repeatable: rule.Repeatable, IdempotencyKey: key, Terms: proxy.RouteTerms(rule),
+		Attempt: uint32(attempt), Fingerprint: []byte(token), Deadline: d.process.now().Add(min(timeLeft, rule.Timeout())),
 	}
-	d.jobs[j.ID] = &forwardedRequest{Job: j, requestToken: token, attempt: try, onResponse: done}
-	d.count++
-	d.hand(r.Service, dispatch.RequestArrived{Job: j})
+	d.requestsByID[job.ID] = &forwardedRequest{Job: job, requestToken: token, attempt: number, onResponse: respond}
+	d.requests++
+	d.step(rule.Service, dispatch.RequestArrived{Job: job})
 }
 
-// unknownYet answers for a proxy that doesn't know the route yet, which is
-// "busy" only where no earlier attempt can have run.
-func unknownYet(try int, says bool, mark ids.IdempotencyKey) dispatch.Response {
-	if (try > 1 || !says) && mark != "" {
+// respondRouteUnknown answers at a proxy that doesn't know the route yet. It rejects, which says
+// that nothing ran, only where no earlier attempt can have run.
+func respondRouteUnknown(attempt int, sendsAttemptCount bool, key ids.IdempotencyKey) dispatch.Response {
+	if (attempt > 1 || !sendsAttemptCount) && key != "" {
 		return dispatch.Response{Class: dispatch.Unknown, Status: 504}
 	}
 	return dispatch.Response{Class: dispatch.Rejected, Status: 503}
 }
+
+// sortedPairs lists the keys in order, so that one seed is one run.
+func sortedPairs(m map[[2]ids.Name]float64) [][2]ids.Name {
+	var out [][2]ids.Name
+	for k := range m {
+		out = append(out, k)
+	}
+	slices.SortFunc(out, func(a, b [2]ids.Name) int { return cmp.Or(cmp.Compare(a[0], b[0]), cmp.Compare(a[1], b[1])) })
+	return out
+}
--- a/internal/testsupport/simulator/faults_process.go
+++ b/internal/testsupport/simulator/faults_process.go
@@ -7,68 +7,70 @@
 	"dunlinwell/internal/controlplane/membership"
 )
 
-// processFaults are those of processes, machines and their disks.
+// processFaults are the faults of processes, machines and their disks.
 var processFaults = []faultKind{
-	{"process killed", 2, func(w *World) { w.bounce(w.some(0), w.short()) }},
+	{"process killed", 2, func(w *World) { w.restartProcess(w.randomProcess(0), w.faultDuration()) }},
 	{"herd of a role killed", 1, func(w *World) {
 		role := membership.Role(1 + w.random.IntN(3))
-		w.herd(w.living(role), w.short)
+		w.restartAll(w.remainingProcesses(role), w.faultDuration)
 	}},
-	{"core loses power", 1, func(w *World) { w.herd(w.core(), w.restart) }},
-	{"all lose power", 1, func(w *World) { w.herd(w.living(0), w.restart) }},
-	{"process frozen", 3, func(w *World) { w.some(0).freeze(w.between(500*millisecond, 6*time.Second)) }},
-	{"proxy frozen", 1, func(w *World) { w.some(membership.Proxy).freeze(w.between(time.Second, 5*time.Second)) }},
-	{"zone loses power", 1, func(w *World) { w.losePower(w.Plan.Zone(w.random.IntN(w.Plan.Zones)), w.short()) }},
+	{"core loses power", 1, func(w *World) { w.restartAll(w.coreProcesses(), w.restartDuration) }},
+	{"all lose power", 1, func(w *World) { w.restartAll(w.remainingProcesses(0), w.restartDuration) }},
+	{"process frozen", 3, func(w *World) { w.randomProcess(0).freeze(w.randomDuration(500*millisecond, 6*time.Second)) }},
+	{"proxy frozen", 1, func(w *World) { w.randomProcess(membership.Proxy).freeze(w.randomDuration(time.Second, 5*time.Second)) }},
+	{"zone loses power", 1, func(w *World) { w.losePower(w.Plan.Zone(w.random.IntN(w.Plan.Zones)), w.faultDuration()) }},
 	{"disk stalled", 1, func(w *World) {
-		d := w.some(membership.Store).disk
+		d := w.randomProcess(membership.Store).disk
 		d.stalled = true
-		w.later(w.short(), func() { d.stalled = false })
+		w.schedule(w.faultDuration(), func() { d.stalled = false })
 	}},
 	{"disk slow", 1, func(w *World) {
-		d := w.some(membership.Store).disk
-		d.slow = slowDisk
-		w.later(w.between(2*time.Second, 8*time.Second), func() { d.slow = 0 })
+		d := w.randomProcess(membership.Store).disk
+		d.slowdown = slowDiskFactor
+		w.schedule(w.randomDuration(2*time.Second, 8*time.Second), func() { d.slowdown = 0 })
 	}},
 }
 
-// slowDisk is how many times as long a slow disk takes.
-const slowDisk = 30
+// slowDiskFactor is how many times as long as usual a slow disk takes.
+const slowDiskFactor = 30
 
-// restart draws how long it takes until machines that lost power at once run.
-func (w *World) restart() time.Duration { return w.between(200*millisecond, 1500*millisecond) }
+// restartDuration draws how long machines that lost power together take until they run.
+func (w *World) restartDuration() time.Duration {
+	return w.randomDuration(200*millisecond, 1500*millisecond)
+}
 
-// bounce kills a process and starts it again after a while. What its disk had
-// not synced is gone, as with a loss of power.
-func (w *World) bounce(p *process, d time.Duration) {
+// restartProcess kills a process and starts it after a time. What its disk had not synced is lost,
+// as with a loss of power.
+func (w *World) restartProcess(p *process, d time.Duration) {
 	p.kill()
-	w.later(d, func() {
-		if !p.up && !p.lost {
-			// Wall clocks jump, also backwards, between two starts.
-			p.wall += w.between(-10*time.Minute, 10*time.Minute)
-			p.boot()
+	w.schedule(d, func() {
+		if !p.up && !p.removed {
+			// Between two starts wall clocks jump, also backwards.
+			p.clockOffset += w.randomDuration(-10*time.Minute, 10*time.Minute)
+			p.start()
 		}
 	})
 }
 
-// herd kills processes at one and the same moment.
-func (w *World) herd(list []*process, down func() time.Duration) {
+// restartAll kills processes at the same moment; each starts after a time of its own.
+func (w *World) restartAll(list []*process, down func() time.Duration) {
 	for _, p := range list {
-		w.bounce(p, down())
+		w.restartProcess(p, down())
 	}
 }
 
-// losePower takes the power from a whole zone, targets and all.
+// losePower takes the power from a whole zone, targets included.
 func (w *World) losePower(zone ids.Name, d time.Duration) {
 	w.trace("%s loses power", zone)
-	for _, p := range w.living(0) {
+	for _, p := range w.remainingProcesses(0) {
 		if p.zone == zone {
-			w.bounce(p, d+w.between(0, time.Second))
+			w.restartProcess(p, d+w.randomDuration(0, time.Second))
 		}
 	}
 	for _, t := range w.targets {
 		if t.zone == zone && t.up {
 			t.crash()
-			w.later(d+w.between(0, time.Second), func() { w.again(t) })
+			w.schedule(d+w.randomDuration(0, time.Second), func() { w.restartTarget(t) })
 		}
 	}
 }
--- a/internal/testsupport/simulator/faults_target.go
+++ b/internal/testsupport/simulator/faults_target.go
@@ -6,58 +6,61 @@
 	"dunlinwell/internal/controlplane/membership"
 )
 
-// targetFaults are those of targets.
+// targetFaults are the faults of targets.
 var targetFaults = []faultKind{
 	{"target crashed", 1, func(w *World) {
-		if t := w.someTarget(); t.up {
+		if t := w.randomTarget(); t.up {
 			t.crash()
-			w.later(w.between(time.Second, 8*time.Second), func() { w.again(t) })
+			w.schedule(w.randomDuration(time.Second, 8*time.Second), func() { w.restartTarget(t) })
 		}
 	}},
 	{"target drained", 1, func(w *World) {
-		// Drained and removed, then taken back.
-		if t := w.someTarget(); t.up {
+		// Drained and removed, later started again.
+		if t := w.randomTarget(); t.up {
 			t.leave()
-			w.later(5*time.Second, func() { t.crash() })
-			w.later(5*time.Second+w.between(time.Second, 8*time.Second), func() { w.again(t) })
+			w.schedule(5*time.Second, func() { t.crash() })
+			w.schedule(5*time.Second+w.randomDuration(time.Second, 8*time.Second), func() { w.restartTarget(t) })
 		}
 	}},
 	{"answers of a target lost", 1, func(w *World) {
-		if t := w.someTarget(); t.up {
+		if t := w.randomTarget(); t.up {
 			t.silentShare, t.corruptShare = 0.2, 0.1
-			w.later(w.between(time.Second, 8*time.Second), func() { t.silentShare, t.corruptShare = 0, 0 })
+			w.schedule(w.randomDuration(time.Second, 8*time.Second), func() { t.silentShare, t.corruptShare = 0, 0 })
 		}
 	}},
 	{"address handed on", 1, func(w *World) {
-		if t := w.someTarget(); t.up {
-			w.handOver(t, w.between(time.Second, 8*time.Second))
+		if t := w.randomTarget(); t.up {
+			w.reassignAddress(t, w.randomDuration(time.Second, 8*time.Second))
 		}
 	}},
 	{"target restarted", 1, func(w *World) {
-		if t := w.someTarget(); t.up {
+		if t := w.randomTarget(); t.up {
 			t.crash()
-			w.later(50*millisecond, func() { w.again(t) })
+			w.schedule(50*millisecond, func() { w.restartTarget(t) })
 		}
 	}},
-	{"target frozen", 1, func(w *World) { w.someTarget().freeze(w.between(time.Second, 8*time.Second)) }},
-	{"target unheard", 1, func(w *World) { w.unheard(w.someTarget(), nil, w.between(4*time.Second, 9*time.Second)) }},
+	{"target frozen", 1, func(w *World) { w.randomTarget().freeze(w.randomDuration(time.Second, 8*time.Second)) }},
+	{"target unheard", 1, func(w *World) {
+		w.partitionTarget(w.randomTarget(), nil, w.randomDuration(4*time.Second, 9*time.Second))
+	}},
 	{"target and a proxy unheard", 1, func(w *World) {
-		w.unheard(w.someTarget(), w.some(membership.Proxy), w.between(4*time.Second, 9*time.Second))
+		w.partitionTarget(w.randomTarget(), w.randomProcess(membership.Proxy), w.randomDuration(4*time.Second, 9*time.Second))
 	}},
 }
 
-func (w *World) someTarget() *target { return w.targets[w.random.IntN(len(w.targets))] }
+// randomTarget draws a target.
+func (w *World) randomTarget() *target { return w.targets[w.random.IntN(len(w.targets))] }
 
-// again starts a target that crashed, cold, unless its address is another's.
-func (w *World) again(t *target) {
-	if !t.up && w.targetByAddress[t.addr] == t {
-		t.begin(true)
+// restartTarget starts a target that crashed, cold, unless another one has its address.
+func (w *World) restartTarget(t *target) {
+	if !t.up && w.targetByAddress[t.address] == t {
+		t.start(true)
 	}
 }
 
-// handOver gives a crashed target's address to one of another service, and the
+// reassignAddress gives the address of a target that crashes to one of another service, and the
 // first one a new address.
-func (w *World) handOver(t *target, back time.Duration) {
+func (w *World) reassignAddress(t *target, back time.Duration) {
 	t.crash()
 	for _, other := range w.targets {
 		if other.service == t.service || !other.up {
@@ -65,11 +68,11 @@
 		}
 		w.trace("%s takes the address of %s", other.id, t.id)
 		other.crash()
-		other.addr, t.addr = t.addr, other.addr
-		other.begin(true)
-		w.targetByAddress[t.addr] = t
-		w.later(back, func() { w.again(t) })
+		other.address, t.address = t.address, other.address
+		other.start(true)
+		w.targetByAddress[t.address] = t
+		w.schedule(back, func() { w.restartTarget(t) })
 		return
 	}
-	w.later(back, func() { w.again(t) })
+	w.schedule(back, func() { w.restartTarget(t) })
 }
--- a/internal/testsupport/simulator/history.go
+++ b/internal/testsupport/simulator/history.go
@@ -8,71 +8,71 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// Operation is one call on the configuration's register as its caller saw it: a change,
-// or a reading. A change whose end its caller never learned may take effect at
-// any time, or never.
+// Operation is one call on the configuration's register as its caller saw it: a change or a read. A
+// change whose outcome its caller never learned may take effect at any time, or never.
 type Operation struct {
 	Change   bool
 	Name     string
 	Called   ids.Time
 	Returned ids.Time
 	Known    bool
-	// Revision is the one that an accepted change made, or that a reading gave.
+	// Revision is the one that an accepted change made, or that a read returned.
 	Revision ids.Revision
-	// Content is what a reading gave.
+	// Content is what a read returned.
 	Content string
 }
 
+// farFuture is when an operation without a known outcome counts as returned.
 const farFuture = ids.Time(math.MaxInt64)
 
-// history gathers the operations of a run. Those that surely had no effect, and
-// readings that were never answered, are left out.
+// history gathers the operations of a run, for a test of linearizability. Those that surely had no
+// effect, and reads that were never answered, are left out.
 type history struct {
-	list []*Operation
-	open map[string]*Operation
+	entries []*Operation
+	open    map[string]*Operation
 }
 
-// begin notes a change as it is first sent; later copies are the same operation.
+// begin records a change when it is first sent. Later copies belong to the same operation.
 func (h *history) begin(now ids.Time, id string) {
 	if h.open == nil {
 		h.open = map[string]*Operation{}
 	}
 	if h.open[id] == nil {
 		h.open[id] = &Operation{Change: true, Name: id, Called: now, Returned: farFuture}
-		h.list = append(h.list, h.open[id])
+		h.entries = append(h.entries, h.open[id])
 	}
 }
 
-// accepted notes that a change's caller was told the revision it made.
-func (h *history) accepted(now ids.Time, id string, r ids.Revision) {
-	if o := h.open[id]; o != nil && !o.Known {
-		o.Returned, o.Known, o.Revision = now, true, r
+// accepted records that the caller of a change learned the revision it made.
+func (h *history) accepted(now ids.Time, id string, revision ids.Revision) {
+	if operation := h.open[id]; operation != nil && !operation.Known {
+		operation.Returned, operation.Known, operation.Revision = now, true, revision
 	}
 }
 
-// rejected notes that a change surely had no effect.
+// rejected removes a change that surely had no effect.
 func (h *history) rejected(id string) {
-	o := h.open[id]
-	for i, x := range h.list {
-		if x == o && o != nil {
-			h.list = append(h.list[:i], h.list[i+1:]...)
+	operation := h.open[id]
+	for i, x := range h.entries {
+		if x == operation && operation != nil {
+			h.entries = append(h.entries[:i], h.entries[i+1:]...)
 			return
 		}
 	}
 }
 
-// read notes what a reading gave.
-func (h *history) read(called, now ids.Time, who string, rep registry.Response) {
-	if p, ok := rep.Body.(*configuration.Document); ok {
-		h.list = append(h.list, &Operation{Name: who, Called: called, Returned: now, Known: true, Revision: p.Revision, Content: string(page(p))})
+// read records what a read returned.
+func (h *history) read(called, now ids.Time, reader string, response registry.Response) {
+	if document, ok := response.Body.(*configuration.Document); ok {
+		h.entries = append(h.entries, &Operation{Name: reader, Called: called, Returned: now, Known: true, Revision: document.Revision, Content: string(encodeConfiguration(document))})
 	}
 }
 
-// operations gives the whole history.
+// operations returns the whole history.
 func (h *history) operations() []Operation {
 	var out []Operation
-	for _, o := range h.list {
-		out = append(out, *o)
+	for _, operation := range h.entries {
+		out = append(out, *operation)
 	}
 	return out
 }
--- a/internal/testsupport/simulator/hot_test.go
+++ b/internal/testsupport/simulator/hot_zones_test.go
@@ -6,9 +6,9 @@
 	"github.com/matryer/is"
 )
 
-// Several hot zones, drawn tiers and distances, lost planners, stale reports, a
-// storm, and emptying: moves keep their order, and no held connection is touched.
-func TestHotZones(t *testing.T) {
+// Several overloaded zones, with drawn tiers and distances, lost planners, missing reports, a storm
+// of changes and a drained zone: moves keep their order, and no long-lived connection is closed.
+func TestHotZones_KeepOrderOfMovesAndConnections(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
--- a/internal/testsupport/simulator/lease_test.go
+++ b/internal/testsupport/simulator/lease_test.go
@@ -11,12 +11,12 @@
 	"dunlinwell/internal/testsupport/blueprint"
 )
 
-// losses are what the lease costs pages in, each for eight seconds.
-var losses = map[string]func(w *World){
+// leaseLosses are what the lease costs pages in, each for eight seconds.
+var leaseLosses = map[string]func(w *World){
 	"the whole core": func(w *World) {
-		for _, p := range w.procs {
+		for _, p := range w.processes {
 			if p.role != membership.Proxy {
-				w.bounce(p, 8*time.Second)
+				w.restartProcess(p, 8*time.Second)
 			}
 		}
 	},
@@ -29,15 +29,14 @@
 	},
 	"a region cut off from the others": func(w *World) {
 		in := func(_ string, c ids.Name) bool { return c != "" && w.Plan.Region(c) == "region-b" }
-		w.cutOff(8*time.Second, &cut{a: in, b: func(n string, c ids.Name) bool { return !in(n, c) }})
+		w.addPartition(8*time.Second, &partition{sideA: in, sideB: func(n string, c ids.Name) bool { return !in(n, c) }})
 	},
 }
 
-// What it costs in pages that nothing is served by what can't be confirmed:
-// the share of first attempts answered through a loss, with the lease that the
-// rules ask for and with one that never ends.
+// The cost of serving nothing that can't be confirmed: the share of first attempts answered through a
+// loss, with the default lease and with one that never ends.
 func TestCostOfTheLease(t *testing.T) {
-	for name, lose := range losses {
+	for name, lose := range leaseLosses {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
@@ -46,7 +45,7 @@
 				var world *World
 				o := Run(Options{
 					Seed: 1, Plan: blueprint.Plans["cooperative"], Length: 46 * time.Second, FaultEvery: -1, Lease: lease, HoldConnectionsFor: time.Minute, BriefConnectionShare: 0.5,
-					Script: func(w *World) { world = w; w.later(26*time.Second, func() { lose(w) }) },
+					Script: func(w *World) { world = w; w.schedule(26*time.Second, func() { lose(w) }) },
 				})
 				if lease == 0 {
 					report(t, o)
--- a/internal/testsupport/simulator/linear_test.go
+++ b/internal/testsupport/simulator/linearizability_test.go
@@ -13,10 +13,10 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// register is the configuration's register as its callers may see it: each accepted
+// registerModel is the configuration's register as its callers may see it: each accepted
 // change makes the next revision, and a reading gives the newest. One state is
 // one revision, and one revision one content.
-var register = porcupine.Model{
+var registerModel = porcupine.Model{
 	Init: func() any { return ids.Revision(0) },
 	Step: func(state, in, _ any) (bool, any) {
 		at, o := state.(ids.Revision), in.(Operation)
@@ -26,12 +26,12 @@
 		case o.Known:
 			return o.Revision == at+1, at + 1
 		}
-		// Nobody knows: it may take effect here, or after everything else.
+		// Its outcome is unknown: it may take effect here, or after everything else.
 		return true, at + 1
 	},
 }
 
-// linearizable judges a run's history.
+// linearizable checks the history of a run.
 func linearizable(list []Operation) error {
 	contents := map[ids.Revision]string{}
 	var ops []porcupine.Operation
@@ -44,14 +44,14 @@
 		}
 		ops = append(ops, porcupine.Operation{ClientId: i, Input: o, Call: int64(o.Called), Return: int64(o.Returned)})
 	}
-	if r := porcupine.CheckOperationsTimeout(register, ops, 30*time.Second); r != porcupine.Ok {
+	if r := porcupine.CheckOperationsTimeout(registerModel, ops, 30*time.Second); r != porcupine.Ok {
 		return fmt.Errorf("the history of %d operations: %s", len(list), r)
 	}
 	return nil
 }
 
-// counts gives how many changes and readings a history has.
-func counts(list []Operation) (changes, reads int) {
+// countOperations gives how many changes and readings a history has.
+func countOperations(list []Operation) (changes, reads int) {
 	for _, o := range list {
 		if o.Change {
 			changes++
@@ -62,11 +62,11 @@
 	return changes, reads
 }
 
-// Histories of changes and readings under kills, freezes, cuts, stalls, restarts
-// and disks lost in turn: each has an order in which every caller saw a register.
+// Histories of changes and reads under kills, freezes, partitions, stalls, restarts and disks lost in
+// turn are linearizable.
 func TestHistoriesAreLinearizable(t *testing.T) {
 	wipes := func(w *World) {
-		w.later(3*time.Second, func() { w.wipeInTurn([]int{0, 1, 2, 1}, 4500*millisecond, func(time.Duration) {}) })
+		w.schedule(3*time.Second, func() { w.wipeInTurn([]int{0, 1, 2, 1}, 4500*millisecond, func(time.Duration) {}) })
 	}
 	for name, script := range map[string]func(*World){"trouble": nil, "wipes": wipes} {
 		for seed := uint64(1); seed <= 4; seed++ {
@@ -74,7 +74,7 @@
 				t.Parallel()
 				is := is.New(t)
 				o := Run(Options{Seed: seed, Length: 50 * time.Second, Script: script})
-				changes, reads := counts(o.History)
+				changes, reads := countOperations(o.History)
 				t.Logf("%d changes, %d readings", changes, reads)
 				is.True(changes > 30 && reads > 10)
 				is.NoErr(linearizable(o.History))
@@ -83,8 +83,8 @@
 	}
 }
 
-// lost acknowledges every tenth change and keeps nothing of it.
-func lost() map[consensus.Op]consensus.ChangeFunc {
+// loseEveryTenthChange acknowledges every tenth change and keeps nothing of it.
+func loseEveryTenthChange() map[consensus.Op]consensus.ChangeFunc {
 	n, inner := 0, configuration.Ops()[configuration.OpChange]
 	return map[consensus.Op]consensus.ChangeFunc{configuration.OpChange: func(key ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
 		next, out := inner(key, old, arg)
@@ -95,8 +95,8 @@
 	}}
 }
 
-// stale answers some readings with the configuration as it was early in the run.
-func stale() func(from, to string, msg any) (any, bool) {
+// staleReads answers some readings with the configuration as it was early in the run.
+func staleReads() func(from, to string, msg any) (any, bool) {
 	var early []byte
 	n := 0
 	return func(_, _ string, msg any) (any, bool) {
@@ -116,12 +116,12 @@
 
 // A planted lost write and a planted stale reading are found in the history.
 func TestPlantedMistakesAreFoundInHistories(t *testing.T) {
-	for name, defect := range map[string]Defect{"lost write": {Ops: lost()}, "stale reading": {Message: stale()}} {
+	for name, defect := range map[string]Defect{"lost write": {Ops: loseEveryTenthChange()}, "stale reading": {Message: staleReads()}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			o := Run(Options{Seed: 1, Length: 40 * time.Second, Defect: defect})
 			err := linearizable(o.History)
-			changes, reads := counts(o.History)
+			changes, reads := countOperations(o.History)
 			t.Logf("%d changes, %d readings: %v", changes, reads, err)
 			if err == nil {
 				t.Fatal("not found")
--- a/internal/testsupport/simulator/mixed_test.go
+++ b/internal/testsupport/simulator/mixed_versions_test.go
@@ -13,16 +13,16 @@
 // headSize is the length of a frame's head, which no version may change.
 const headSize = 26
 
-// tomorrow is a frame as a later version would write it: its message has more
+// laterVersion is a frame as a later version would write it: its message has more
 // fields at the end.
-func tomorrow(raw []byte) (wire.Kind, []byte) {
+func laterVersion(raw []byte) (wire.Kind, []byte) {
 	kind := wire.Kind(binary.BigEndian.Uint16(raw[4:]))
 	body := append([]byte{}, raw[headSize:]...)
 	binary.BigEndian.PutUint32(body, binary.BigEndian.Uint32(body)+12)
 	return kind, append(body, "unknown here"...)
 }
 
-// A fleet in the midst of an upgrade: every other daemon speaks a later
+// A fleet during an upgrade: every other daemon speaks a later
 // version, with fields and whole kinds that the others don't know. Everything
 // goes over the wire format, and nothing changes.
 func TestMixedFleet(t *testing.T) {
@@ -35,7 +35,7 @@
 			is.NoErr(err)
 			kind, body := wire.Kind(binary.BigEndian.Uint16(raw[4:])), raw[headSize:]
 			if strings.HasSuffix(from, "2") || strings.HasSuffix(from, "4") {
-				kind, body = tomorrow(raw)
+				kind, body = laterVersion(raw)
 				spoke++
 			}
 			got, err := wire.Decode(kind, body)
--- a/internal/testsupport/simulator/load_test.go
+++ b/internal/testsupport/simulator/overload_test.go
@@ -10,8 +10,8 @@
 	"dunlinwell/internal/testsupport/blueprint"
 )
 
-// tight is one service with two tiers on targets that bear little.
-func tight(capacity int) blueprint.Plan {
+// smallPlan is one service with two tiers on targets that bear little.
+func smallPlan(capacity int) blueprint.Plan {
 	p := blueprint.Plans["small"]
 	p.Pools = []blueprint.Pool{{Service: "catalog", Targets: 4, Capacity: capacity, Tier: 5}}
 	p.Routes = []blueprint.Route{
@@ -21,9 +21,9 @@
 	return p
 }
 
-// shares gives, of the first attempts of each route, the share answered, and
+// answeredShares gives, of the first attempts of each route, the share answered, and
 // the longest that a rejected one was held.
-func (w *World) shares() (map[string]float64, time.Duration) {
+func (w *World) answeredShares() (map[string]float64, time.Duration) {
 	good, all, held := map[string]float64{}, map[string]float64{}, time.Duration(0)
 	w.Checker.Each(func(token string, attempt int, class string, took time.Duration) {
 		route, _, _ := strings.Cut(token, ":")
@@ -46,17 +46,17 @@
 
 // Twice the load that the targets bear: the urgent is served, the idle is
 // rejected at once, and no target ever has more than it bears.
-func TestOverloadRejectsTheLowestFirst(t *testing.T) {
+func TestOverload_RejectsLowestTierFirst(t *testing.T) {
 	is := is.New(t)
 	// Four targets of 3 at 20 ms bear 600 a second at the very best.
 	var world *World
-	o := Run(Options{Seed: 1, Plan: tight(3), Rate: 1100, Length: 16 * time.Second, FaultEvery: -1, Script: func(w *World) { world = w }})
+	o := Run(Options{Seed: 1, Plan: smallPlan(3), Rate: 1100, Length: 16 * time.Second, FaultEvery: -1, Script: func(w *World) { world = w }})
 	for _, c := range o.Counts {
 		if c.Violations > 0 && !strings.Contains(c.Rule, "15 s after") { // "not restored" has no meaning here
 			t.Errorf("%s: %d, %s", c.Rule, c.Violations, c.Sample)
 		}
 	}
-	share, held := world.shares()
+	share, held := world.answeredShares()
 	t.Logf("answered at once: urgent %.3f, idle %.3f; a declined one was held %s at most", share["urgent"], share["idle"], held)
 	is.True(share["urgent"] > 0.97)
 	is.True(share["idle"] < 0.6 && share["idle"] > 0.05)
@@ -67,11 +67,11 @@
 // bears: none ever gets past 1.5 times what it bears, summed over proxies.
 func TestColdTargetsUnderLoad(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
-		o := Run(Options{Seed: seed, Plan: tight(8), Rate: 500, Length: 30 * time.Second, FaultEvery: -1, Script: func(w *World) {
-			w.every(time.Second, 700*time.Millisecond, 30, func(i int) {
+		o := Run(Options{Seed: seed, Plan: smallPlan(8), Rate: 500, Length: 30 * time.Second, FaultEvery: -1, Script: func(w *World) {
+			w.repeat(time.Second, 700*time.Millisecond, 30, func(i int) {
 				x := w.targets[i%len(w.targets)]
 				x.crash()
-				w.later(30*time.Millisecond, func() { w.again(x) })
+				w.schedule(30*time.Millisecond, func() { w.restartTarget(x) })
 			})
 		}})
 		for _, c := range o.Counts {
--- /dev/null
+++ b/internal/testsupport/simulator/process.go
@@ -0,0 +1,230 @@
+package simulator
+
+import (
+	"math/rand/v2"
+	"time"
+
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/controlplane/registry"
+	"dunlinwell/internal/controlplane/store"
+	"dunlinwell/internal/dataplane/proxy"
+)
+
+// process is one simulated daemon process. Its state machine is the real one; what the machine asks
+// for is done here, in virtual time.
+type process struct {
+	world   *World
+	name    string
+	role    membership.Role
+	zone    ids.Name
+	address ids.Address
+	up      bool
+	frozen  bool
+	// generation counts runs, so that what one run has scheduled doesn't reach the next.
+	generation int
+	startedAt  ids.Time
+	// clockOffset is how far the wall clock is off.
+	clockOffset time.Duration
+	machine     event.Machine
+	backlog     []func()
+	disk        *disk
+	random      *rand.Rand
+	runID       ids.RunID
+	dispatchers *dispatchers
+	calls       map[uint64]func(registry.Response)
+	nextID      uint64
+	// removed: the machine was replaced, and the process doesn't come back.
+	removed bool
+	// bootstrap: the settings say that the next start is the first one ever.
+	bootstrap bool
+	// impairedAt is when it was last seen impaired.
+	impairedAt ids.Time
+	// seeds are the addresses that the settings name for the next start.
+	seeds []ids.Address
+	// linkOut and linkIn are when the process's links will be free again.
+	linkOut, linkIn ids.Time
+	// cpuMillis is the CPU time that all runs have spent, in milliseconds.
+	cpuMillis float64
+}
+
+// The intervals of timer ticks, as the daemons have them.
+const (
+	dispatcherTick = 20 * time.Millisecond
+	controlTick    = 50 * time.Millisecond
+)
+
+// socketBacklog is how many events the sockets of a frozen process hold; the rest is lost.
+const socketBacklog = 500
+
+// now is the process's monotonic time, which goes on while it is frozen.
+func (p *process) now() ids.Time { return p.world.now - p.startedAt + 1 }
+
+// later does something within this run of the process: when it wakes if it is frozen, and never if
+// it was killed.
+func (p *process) later(d time.Duration, f func()) {
+	generation := p.generation
+	p.world.schedule(d, func() {
+		switch {
+		case p.generation != generation || !p.up:
+		case p.frozen:
+			p.backlog = append(p.backlog, f)
+		default:
+			f()
+		}
+	})
+}
+
+// deliver passes an event to the machine. A frozen process receives it when it wakes, as far as its
+// sockets can hold it.
+func (p *process) deliver(ev event.Event) {
+	if !p.up {
+		return
+	}
+	if p.frozen {
+		if len(p.backlog) < socketBacklog {
+			generation := p.generation
+			p.backlog = append(p.backlog, func() {
+				if p.generation == generation {
+					p.deliver(ev)
+				}
+			})
+		}
+		return
+	}
+	p.execute(p.machine.Step(p.now(), ev))
+}
+
+// execute carries out the commands of a step.
+func (p *process) execute(commands []event.Command) {
+	for _, command := range commands {
+		switch command := command.(type) {
+		case event.Send:
+			p.world.send(p, command.To, command.Msg)
+		case event.LogEntry:
+			p.world.trace("%s %s %v", p.name, command.Event, command.Fields)
+		case event.Sync:
+			p.disk.sync(p, command)
+		case store.Retire:
+			p.later(0, p.startBlank)
+		case registry.Response:
+			if respond := p.calls[command.ID]; respond != nil {
+				delete(p.calls, command.ID)
+				respond(command)
+			}
+		case store.MayStop:
+			p.kill()
+			return
+		case store.RecoverResponse:
+			p.world.trace("%s answers the order to recover: %q", p.name, command.Rejection)
+		default:
+			p.dispatchers.executeControl(command)
+		}
+	}
+}
+
+// start begins a new run of the process.
+func (p *process) start() {
+	p.generation++
+	p.up, p.frozen, p.backlog = true, false, nil
+	p.startedAt = p.world.now
+	header := TraceHeader{Random: [2]uint64{p.world.random.Uint64(), p.world.random.Uint64()}, PlanEvery: p.world.PlanEvery, Lease: p.world.Lease}
+	p.random = rand.New(rand.NewPCG(header.Random[0], header.Random[1]))
+	p.runID = ids.RunID(p.world.random.Uint64()>>24 | 1)
+	p.calls = map[uint64]func(registry.Response){}
+	wall := time.Hour + time.Duration(p.world.now) + p.clockOffset
+	self := membership.Member{
+		ID: ids.DaemonID(p.name), Role: p.role, Address: p.address, HTTP: p.address, Zone: p.zone,
+		RunID: p.runID, Incarnation: ids.Incarnation(max(wall.Milliseconds(), 1)),
+	}
+	header.Membership = membership.Options{Self: self, Seeds: p.seeds}
+	tickEvery := p.makeMachine(&header)
+	p.record(header)
+	p.world.trace("%s starts", p.name)
+	p.scheduleTicks(tickEvery)
+}
+
+// makeMachine makes the state machine of the process's role, completes the header of its trace and
+// returns the interval of its timer ticks.
+func (p *process) makeMachine(header *TraceHeader) time.Duration {
+	membershipOptions := header.Membership
+	switch p.role {
+	case membership.Store:
+		p.disk.open(p)
+		header.Store, header.Run, header.Bootstrap = p.disk.storeID, p.disk.runNumber, p.bootstrap
+		machine := store.New(store.Options{Options: membershipOptions, StoreID: p.disk.storeID, RunNumber: p.disk.runNumber, Storage: p.disk, Random: p.random, Bootstrap: p.bootstrap, Replicas: p.world.Replicas})
+		if p.world.Defect.Ops != nil {
+			machine.ReplaceOps(p.world.Defect.Ops)
+		}
+		p.machine = machine
+		return dispatcherTick
+	case membership.Registry:
+		p.machine = registry.New(registry.Options{
+			Options: membershipOptions, Random: p.random, PlanEvery: p.world.PlanEvery,
+			ControlLease: p.world.Defect.ControlLease,
+		})
+	default:
+		control := proxy.New(membershipOptions, proxy.ControlOptions{Lease: p.world.Lease})
+		p.machine = control
+		p.dispatchers = newDispatchers(p, control)
+	}
+	return controlTick
+}
+
+// scheduleTicks gives the machine a timer tick every so often while it runs.
+func (p *process) scheduleTicks(every time.Duration) {
+	p.later(every, func() {
+		if p.dispatchers != nil {
+			p.dispatchers.tick()
+		}
+		p.deliver(event.Tick{})
+		p.scheduleTicks(every)
+	})
+}
+
+// kill ends the run at once. What the disk had not synced is lost.
+func (p *process) kill() {
+	if !p.up {
+		return
+	}
+	p.world.trace("%s is killed", p.name)
+	p.up = false
+	p.generation++
+	if p.disk != nil {
+		p.disk.crash()
+	}
+	if p.dispatchers != nil {
+		p.dispatchers.dropRequests()
+	}
+}
+
+// freeze suspends the process for a time, as SIGSTOP or a paused virtual machine does.
+func (p *process) freeze(d time.Duration) {
+	if !p.up || p.frozen {
+		return
+	}
+	p.world.trace("%s freezes for %s", p.name, d)
+	p.frozen = true
+	generation := p.generation
+	p.world.schedule(d, func() {
+		if p.generation == generation && p.up {
+			p.unfreeze()
+		}
+	})
+}
+
+// unfreeze resumes the process and handles its backlog.
+func (p *process) unfreeze() {
+	p.world.trace("%s wakes", p.name)
+	p.frozen = false
+	backlog := p.backlog
+	p.backlog = nil
+	for i, f := range backlog {
+		if p.frozen {
+			p.backlog = append(p.backlog, backlog[i:]...)
+			return
+		}
+		f()
+	}
+}
--- a/internal/testsupport/simulator/repairtime_test.go
+++ b/internal/testsupport/simulator/repair_times_test.go
@@ -14,8 +14,8 @@
 	for p.Seed = 1; p.Seed <= 4; p.Seed++ {
 		p.Length, p.FaultEvery, p.Rate = 60*time.Second, -1, 5
 		p.Script = func(w *World) {
-			w.later(time.Second, func() { w.fillStores(registers, size) })
-			w.later(2*time.Second, func() {
+			w.schedule(time.Second, func() { w.fillStores(registers, size) })
+			w.schedule(2*time.Second, func() {
 				w.wipeInTurn([]int{0, 1, 2, 0}, 12*time.Second, func(d time.Duration) { took = append(took, d) })
 			})
 		}
--- a/internal/testsupport/simulator/resend_test.go
+++ b/internal/testsupport/simulator/repeated_changes_test.go
@@ -14,9 +14,9 @@
 	"dunlinwell/internal/testsupport/blueprint"
 )
 
-// Orders are accepted, their answers lost; hundreds of others follow, every store
-// is restarted, and one is replaced by a blank one. Then the same orders come
-// again, through each registry: each is acknowledged as it was the first time.
+// Changes are accepted; hundreds of others follow, every store is restarted, and one is replaced by a
+// blank one. Then the first changes are sent again through each registry: each is acknowledged with
+// the same revision.
 func TestOrdersSentAgainMuchLater(t *testing.T) {
 	is := is.New(t)
 	type order struct {
@@ -26,28 +26,28 @@
 	var orders []order
 	others, again := 0, 0
 	o := Run(Options{Seed: 5, Length: 60 * time.Second, Script: func(w *World) {
-		w.counted = true
-		w.every(6*time.Second, 200*time.Millisecond, 12, func(i int) {
+		w.allNumberAttempts = true
+		w.repeat(6*time.Second, 200*time.Millisecond, 12, func(i int) {
 			raw := fmt.Sprintf(`{"id":"early-%d","changes":[{"kind":"service","name":"early-%d","version":0,"put":{}}]}`, i, i)
-			w.change(raw, func(r configuration.Result) {
+			w.sendChange(raw, func(r configuration.Result) {
 				orders = append(orders, order{fmt.Sprintf("early-%d", i), raw, r.Revision})
 			})
 		})
-		w.every(10*time.Second, 40*time.Millisecond, 320, func(i int) {
+		w.repeat(10*time.Second, 40*time.Millisecond, 320, func(i int) {
 			raw := fmt.Sprintf(`{"id":"other-%d","changes":[{"kind":"service","name":"early-%d","put":{"allowance":%d}}]}`, i, i%12, i)
-			w.change(raw, func(configuration.Result) { others++ })
+			w.sendChange(raw, func(configuration.Result) { others++ })
 		})
 		for i := range 3 {
-			w.later(time.Duration(26+4*i)*time.Second, func() { w.bounce(w.procs[i], time.Second) })
+			w.schedule(time.Duration(26+4*i)*time.Second, func() { w.restartProcess(w.processes[i], time.Second) })
 		}
-		w.later(38*time.Second, w.swapCore)
-		w.later(55*time.Second, func() {
-			for _, p := range w.procs {
+		w.schedule(38*time.Second, w.replaceCoreMachine)
+		w.schedule(55*time.Second, func() {
+			for _, p := range w.processes {
 				if p.role != membership.Registry || !p.up {
 					continue
 				}
 				for _, sent := range orders {
-					w.callAt(p, "operator", w.Plan.Zone(0), func(x uint64) any { return registry.ChangeCall{ID: x, Raw: []byte(sent.raw)} }, func(rep registry.Response) {
+					w.callRegistry(p, operator, w.Plan.Zone(0), func(x uint64) any { return registry.ChangeCall{ID: x, Raw: []byte(sent.raw)} }, func(rep registry.Response) {
 						again++
 						if r, ok := rep.Body.(configuration.Result); rep.Status != 200 || !ok || r.Revision != sent.revision {
 							t.Errorf("%s, made in revision %d, got %d %+v", sent.id, sent.revision, rep.Status, rep.Body)
--- a/internal/testsupport/simulator/returned_test.go
+++ b/internal/testsupport/simulator/returned_store_test.go
@@ -21,9 +21,9 @@
 		// Whoever goes first has been silent for longest.
 		for _, away := range []time.Duration{1800 * millisecond, 2200 * millisecond} {
 			o := Run(Options{Seed: seed, Length: 40 * time.Second, Script: func(w *World) {
-				w.counted = true
-				w.later(2*time.Second, func() { w.swap(w.procs[2]) })
-				w.later(away, func() { w.bounce(w.procs[1], time.Duration(4+seed)*time.Second) })
+				w.allNumberAttempts = true
+				w.schedule(2*time.Second, func() { w.replaceLost(w.processes[2]) })
+				w.schedule(away, func() { w.restartProcess(w.processes[1], time.Duration(4+seed)*time.Second) })
 			}})
 			report(t, o)
 			is.True(o.Changes > 30)
@@ -32,23 +32,23 @@
 }
 
 // A disk is lost and replaced, and later its folder is put back: it takes no
-// part, is set aside, and the machine joins once more as blank.
+// part, is set aside, and the machine joins as a blank one.
 func TestAReplacedFolderIsPutBack(t *testing.T) {
 	is := is.New(t)
 	for seed := uint64(1); seed <= 3; seed++ {
 		took := time.Duration(-1)
 		o := Run(Options{Seed: seed, Length: 40 * time.Second, Script: func(w *World) {
-			w.counted = true
-			p := w.procs[0]
+			w.allNumberAttempts = true
+			p := w.processes[0]
 			var old map[ids.RegisterKey][]byte
 			var id, run uint64
-			w.later(2*time.Second, func() {
-				old, id, run = maps.Clone(p.disk.records), p.disk.store, p.disk.run
+			w.schedule(2*time.Second, func() {
+				old, id, run = maps.Clone(p.disk.records), p.disk.storeID, p.disk.runNumber
 				w.wipeStore(p, 200*millisecond)
 			})
-			w.later(8*time.Second, func() { p.putBack(old, id, run) })
-			w.later(8100*millisecond, func() { w.untilWhole(4*time.Second, func(d time.Duration) { took = d }) })
-			w.later(14*time.Second, func() { is.True(p.disk.store != id) })
+			w.schedule(8*time.Second, func() { p.restoreOldDisk(old, id, run) })
+			w.schedule(8100*millisecond, func() { w.awaitWholeVoterSet(4*time.Second, func(d time.Duration) { took = d }) })
+			w.schedule(14*time.Second, func() { is.True(p.disk.storeID != id) })
 		}})
 		report(t, o)
 		is.True(took >= 0)
@@ -62,17 +62,17 @@
 	for seed := uint64(1); seed <= 4; seed++ {
 		var took []time.Duration
 		o := Run(Options{Seed: seed, Length: 40 * time.Second, Replicas: 5, Script: func(w *World) {
-			w.counted = true
-			w.every(4*time.Second, 6*time.Second, 4, func(i int) {
+			w.allNumberAttempts = true
+			w.repeat(4*time.Second, 6*time.Second, 4, func(i int) {
 				var stores []*process
-				for _, p := range w.procs {
+				for _, p := range w.processes {
 					if p.role == membership.Store {
 						stores = append(stores, p)
 					}
 				}
 				w.wipeStore(stores[i%5], 200*millisecond)
 				w.wipeStore(stores[(i+2)%5], 200*millisecond)
-				w.later(200*millisecond, func() { w.untilWhole(4*time.Second, func(d time.Duration) { took = append(took, d) }) })
+				w.schedule(200*millisecond, func() { w.awaitWholeVoterSet(4*time.Second, func(d time.Duration) { took = append(took, d) }) })
 			})
 		}})
 		report(t, o)
--- a/internal/testsupport/simulator/scenes.go
+++ b/internal/testsupport/simulator/scenes.go
@@ -8,15 +8,15 @@
 	"dunlinwell/internal/testsupport/blueprint"
 )
 
-// Scenes are faults in combination, at set times. Each goes with the usual
-// load and the usual operators.
+// Scenes are combinations of faults at set times, by name. Each runs with the usual load and the
+// usual operators.
 var Scenes = map[string]func(w *World){
 	"freeze-between-claim-and-send":       freezeAtClaim,
 	"swap-in-a-change-storm":              coreReplacedDuringChangeStorm,
 	"core-restarts-while-a-cell-is-out":   coreRestartsZoneOut,
 	"clock-jumps-in-the-retry-window":     clockJumps,
 	"stalled-disks-under-the-planner":     stalledDisks,
-	"one-way-cuts":                        oneWayCuts,
+	"one-way-cuts":                        oneWayPartitions,
 	"rolling-restart":                     rollingRestart,
 	"herd-at-the-days-end":                massRestartAtEnd,
 	"every-disk-lost":                     everyDiskLost,
@@ -32,8 +32,8 @@
 	"policy-moves-while-the-core-splits":  configurationMovedDuringPartition,
 	"targets-freeze-and-wake":             targetsFreeze,
 	"whole-core-lost-and-changed":         coreLostAndChanged,
-	"core-machine-cut-off-twice":          coreMachineCutOff,
-	"core-machine-cut-off-and-restarted":  coreMachineCutOffAndRestarted,
+	"core-machine-cut-off-twice":          coreMachinePartitioned,
+	"core-machine-cut-off-and-restarted":  coreMachinePartitionedAndRestarted,
 	"disks-lost-in-a-row":                 disksLostInARow,
 	"replaced-as-planned-then-power-lost": replacedThenPowerLost,
 	"change-storm-then-restarts":          stormThenRestarts,
@@ -42,101 +42,104 @@
 	"power-lost-after-acknowledgements":   powerLostAfterAcks,
 }
 
-func (w *World) every(from, gap time.Duration, n int, f func(i int)) {
-	for i := range n {
-		w.later(from+time.Duration(i)*gap, func() { f(i) })
-	}
-}
-
+// freezeAtClaim freezes proxies between the claim of an idempotency key and the sending of its
+// request.
 func freezeAtClaim(w *World) {
 	n := 0
-	w.atClaim = func(p *process) {
-		if n++; n%15 == 0 && w.now < w.quiet() {
-			// Long enough for others to count it as gone, or only to be late.
-			p.later(time.Duration(n%4)*time.Millisecond, func() { p.freeze(w.between(500*time.Millisecond, 4*time.Second)) })
+	w.onClaim = func(p *process) {
+		if n++; n%15 == 0 && w.now < w.faultsEnd() {
+			// Long enough to be declared dead, or only to be late.
+			p.later(time.Duration(n%4)*time.Millisecond, func() { p.freeze(w.randomDuration(500*time.Millisecond, 4*time.Second)) })
 		}
 	}
 }
 
+// coreReplacedDuringChangeStorm replaces core machines during a storm of changes.
 func coreReplacedDuringChangeStorm(w *World) {
-	w.every(time.Second, 50*time.Millisecond, 300, func(i int) { w.put(600+i, i%blueprint.RoutePairs) })
-	w.every(4*time.Second, 12*time.Second, 3, func(int) { w.swapCore() })
+	w.repeat(time.Second, 50*time.Millisecond, 300, func(i int) { w.putPair(600+i, i%blueprint.RoutePairs) })
+	w.repeat(4*time.Second, 12*time.Second, 3, func(int) { w.replaceCoreMachine() })
 }
 
+// coreRestartsZoneOut restarts the core while a zone has no power.
 func coreRestartsZoneOut(w *World) {
-	w.later(5*time.Second, func() { w.losePower(w.Plan.Zone(0), 8*time.Second) })
-	w.later(6*time.Second, func() {
-		for _, p := range w.procs {
-			if p.role != membership.Proxy && p.up && !p.lost {
-				w.bounce(p, w.between(time.Second, 3*time.Second))
+	w.schedule(5*time.Second, func() { w.losePower(w.Plan.Zone(0), 8*time.Second) })
+	w.schedule(6*time.Second, func() {
+		for _, p := range w.processes {
+			if p.role != membership.Proxy && p.up && !p.removed {
+				w.restartProcess(p, w.randomDuration(time.Second, 3*time.Second))
 			}
 		}
 	})
 }
 
+// clockJumps lets the wall clocks of proxies jump within the window of retries.
 func clockJumps(w *World) {
-	w.every(2*time.Second, 3*time.Second, 10, func(i int) {
-		p := w.some(membership.Proxy)
-		p.wall = time.Duration(i%2*2-1) * 20 * time.Minute
-		w.bounce(p, 200*time.Millisecond)
+	w.repeat(2*time.Second, 3*time.Second, 10, func(i int) {
+		p := w.randomProcess(membership.Proxy)
+		p.clockOffset = time.Duration(i%2*2-1) * 20 * time.Minute
+		w.restartProcess(p, 200*time.Millisecond)
 	})
 }
 
+// stalledDisks stalls the disks of two stores in turn.
 func stalledDisks(w *World) {
-	w.every(4*time.Second, 12*time.Second, 3, func(i int) {
+	w.repeat(4*time.Second, 12*time.Second, 3, func(i int) {
 		for _, n := range []int{i % 3, (i + 1) % 3} {
-			d := w.procs[n].disk
+			d := w.processes[n].disk
 			d.stalled = true
-			w.later(6*time.Second, func() { d.stalled = false })
+			w.schedule(6*time.Second, func() { d.stalled = false })
 		}
 	})
 }
 
+// rollingRestart restarts all processes in turn.
 func rollingRestart(w *World) {
-	for i, p := range w.procs {
-		w.later(2*time.Second+time.Duration(i)*3*time.Second, func() { w.bounce(p, 500*time.Millisecond) })
+	for i, p := range w.processes {
+		w.schedule(2*time.Second+time.Duration(i)*3*time.Second, func() { w.restartProcess(p, 500*time.Millisecond) })
 	}
 }
 
+// massRestartAtEnd kills everything at the very end of the faults.
 func massRestartAtEnd(w *World) {
-	w.later(time.Duration(w.quiet()-w.now)-time.Millisecond, func() {
-		for _, p := range w.procs {
+	w.schedule(time.Duration(w.faultsEnd()-w.now)-time.Millisecond, func() {
+		for _, p := range w.processes {
 			p.kill()
 		}
 	})
 }
 
-// everyDiskLost wipes the whole core at once: on an operator's order it is founded
-// anew, and takes the configuration back from the proxies.
+// everyDiskLost loses the disks of the whole core at once. On an operator's order it is
+// bootstrapped anew, and takes the configuration back from the proxies.
 func everyDiskLost(w *World) {
-	w.counted = true
-	w.later(12*time.Second, func() {
+	w.allNumberAttempts = true
+	w.schedule(12*time.Second, func() {
 		w.operators.recordLost = true
 		w.trace("every core disk is lost")
-		for _, p := range w.procs[:3] {
+		for _, p := range w.processes[:3] {
 			p.kill()
 			p.disk.wipe()
-			w.later(w.between(500*time.Millisecond, 3*time.Second), func() { p.boot() })
+			w.schedule(w.randomDuration(500*time.Millisecond, 3*time.Second), func() { p.start() })
 		}
-		w.later(4*time.Second, func() { w.procs[0].take(store.RecoverRequest{ID: 1}) })
+		w.schedule(4*time.Second, func() { w.processes[0].deliver(store.RecoverRequest{ID: 1}) })
 	})
 }
 
-// firstCoreMachineReplaced replaces all three first core machines, one after the other,
-// and then restarts everything: nobody's seeds lead anywhere any more.
+// firstCoreMachineReplaced replaces all three first core machines, one after the other, and then
+// restarts everything: no seed leads anywhere any more.
 func firstCoreMachineReplaced(w *World) {
-	w.every(2*time.Second, 11*time.Second, 3, func(i int) { w.swap(w.procs[i]) })
-	w.later(36*time.Second, func() {
-		for _, p := range w.procs {
-			if !p.lost {
-				w.bounce(p, w.between(100*time.Millisecond, time.Second))
+	w.repeat(2*time.Second, 11*time.Second, 3, func(i int) { w.replaceLost(w.processes[i]) })
+	w.schedule(36*time.Second, func() {
+		for _, p := range w.processes {
+			if !p.removed {
+				w.restartProcess(p, w.randomDuration(100*time.Millisecond, time.Second))
 			}
 		}
 	})
 }
 
+// regionLost takes the power of the regions in turn.
 func regionLost(w *World) {
-	w.every(3*time.Second, 12*time.Second, 3, func(i int) {
+	w.repeat(3*time.Second, 12*time.Second, 3, func(i int) {
 		r := w.Plan.Region(w.Plan.Zone(i))
 		for n := range w.Plan.Zones {
 			if c := w.Plan.Zone(n); w.Plan.Region(c) == r {
@@ -146,8 +149,9 @@
 	})
 }
 
+// stallAndLose loses a core machine while the disk of another one is stalled.
 func stallAndLose(w *World) {
-	w.later(4*time.Second, func() { w.procs[1].disk.stalled = true })
-	w.later(6*time.Second, func() { w.swap(w.some(membership.Store)) })
-	w.later(12*time.Second, func() { w.procs[1].disk.stalled = false })
+	w.schedule(4*time.Second, func() { w.processes[1].disk.stalled = true })
+	w.schedule(6*time.Second, func() { w.replaceLost(w.randomProcess(membership.Store)) })
+	w.schedule(12*time.Second, func() { w.processes[1].disk.stalled = false })
 }
--- a/internal/testsupport/simulator/cutoff.go
+++ b/internal/testsupport/simulator/scenes_core_partition.go
@@ -13,90 +13,91 @@
 
 func init() {
 	for i := range 3 {
-		Scenes[fmt.Sprintf("core-machine-%d-cut-off-both-ways", i+1)] = func(w *World) { coreMachineCut(w, i, false, false) }
-		Scenes[fmt.Sprintf("core-machine-%d-deaf", i+1)] = func(w *World) { coreMachineCut(w, i, true, false) }
+		Scenes[fmt.Sprintf("core-machine-%d-cut-off-both-ways", i+1)] = func(w *World) { partitionCoreMachine(w, i, false, false) }
+		Scenes[fmt.Sprintf("core-machine-%d-deaf", i+1)] = func(w *World) { partitionCoreMachine(w, i, true, false) }
 	}
-	Scenes["core-machine-cut-off-and-restarted"] = func(w *World) { coreMachineCut(w, 0, false, true) }
+	Scenes["core-machine-cut-off-and-restarted"] = func(w *World) { partitionCoreMachine(w, 0, false, true) }
 }
 
 const (
-	cutFrom = 8 * time.Second
-	cutFor  = 25 * time.Second
-	// probeCutFrom is how long after a cut's begin its daemon must know of it: the
-	// control lease, the wait of a call that came under it, and a clock event.
-	probeCutFrom = 2500 * time.Millisecond
-	probeEvery   = 400 * time.Millisecond
-	// answerBy is how soon a daemon that is cut off answers.
-	answerBy = time.Second
-	// twoPlanners is for how long two registries may think that they plan: one
-	// that is cut off finds out as its lease ends.
-	twoPlanners = 2 * time.Second
+	// partitionFrom and partitionFor are when the partition begins and how long it lasts.
+	partitionFrom = 8 * time.Second
+	partitionFor  = 25 * time.Second
+	// probeDelay is how soon a registry must notice that it is cut off: the control
+	// lease, the time-out of a call made under it, and a timer tick.
+	probeDelay = 2500 * time.Millisecond
+	probeEvery = 400 * time.Millisecond
+	// probeTimeout is how soon a registry that is cut off must answer.
+	probeTimeout = time.Second
+	// maxTwoPlanners is for how long two registries may both plan: one that is cut off
+	// finds out when its lease ends.
+	maxTwoPlanners = 2 * time.Second
 )
 
-// coreMachineCut cuts one machine of the core off from the others; proxies,
-// targets and clients reach either side. One that is deaf is still heard.
-// restarts: its processes, and some proxies, are killed during the cut.
-func coreMachineCut(w *World, number int, deaf, restarts bool) {
+// partitionCoreMachine cuts one core machine off from the others; proxies, targets and clients
+// reach both sides. A deaf one can still be heard. With restarts, its processes and a proxy are
+// restarted meanwhile.
+func partitionCoreMachine(w *World, number int, deaf, restarts bool) {
 	var mine []*process
-	for _, p := range w.procs {
+	for _, p := range w.processes {
 		if p.role != membership.Proxy && p.name[len(p.name)-1:] == fmt.Sprint(number+1) {
 			mine = append(mine, p)
 		}
 	}
 	here := func(name string, _ ids.Name) bool {
-		p := w.named(name)
+		p := w.processByName(name)
 		return p != nil && p.role != membership.Proxy && (p == mine[0] || p == mine[1])
 	}
 	there := func(name string, zone ids.Name) bool {
-		p := w.named(name)
+		p := w.processByName(name)
 		return p != nil && p.role != membership.Proxy && !here(name, zone)
 	}
-	w.later(cutFrom, func() {
+	w.schedule(partitionFrom, func() {
 		w.trace("%s and %s are cut off", mine[0].name, mine[1].name)
-		w.cutOff(cutFor, &cut{a: there, b: here, cutStyle: cutStyle{oneWay: deaf}})
+		w.addPartition(partitionFor, &partition{sideA: there, sideB: here, partitionStyle: partitionStyle{oneWay: deaf}})
 	})
 	for _, p := range mine {
 		if p.role == membership.Registry {
-			w.every(cutFrom+probeCutFrom, probeEvery, int((cutFor-probeCutFrom-2*answerBy)/probeEvery), func(i int) { w.probeCutOff(p, i) })
+			w.repeat(partitionFrom+probeDelay, probeEvery, int((partitionFor-probeDelay-2*probeTimeout)/probeEvery), func(i int) { w.probePartitioned(p, i) })
 		}
 	}
 	if restarts {
-		w.later(cutFrom+6*time.Second, func() {
-			for _, p := range append(mine, w.some(membership.Proxy)) {
-				w.bounce(p, time.Second)
+		w.schedule(partitionFrom+6*time.Second, func() {
+			for _, p := range append(mine, w.randomProcess(membership.Proxy)) {
+				w.restartProcess(p, time.Second)
 			}
 		})
 	}
 	w.watchPlanners()
 }
 
-// probeCutOff makes one call at a registry that is cut off, and wants to be told
-// within a second that it isn't answered here.
-func (w *World) probeCutOff(p *process, i int) {
+// probePartitioned makes one call to a registry that is cut off, which must answer within
+// probeTimeout that it can't serve it.
+func (w *World) probePartitioned(p *process, i int) {
 	if !p.up || w.Checker == nil {
 		return
 	}
-	name, call := cutOffCall(w, i)
+	name, call := callNeedingCore(w, i)
 	answered := false
 	asked := w.now
-	w.callAt(p, "operator", p.zone, call, func(r registry.Response) {
+	w.callRegistry(p, operator, p.zone, call, func(r registry.Response) {
 		answered = true
 		if r.Status != 503 && r.Status != 504 {
 			w.Checker.Violation("%s, cut off, answered %s with %d: %v", p.name, name, r.Status, r.Body)
 		}
-		if took := w.now.Sub(asked); took > answerBy {
+		if took := w.now.Sub(asked); took > probeTimeout {
 			w.Checker.Violation("%s, cut off, took %s to answer %s", p.name, took, name)
 		}
 	}, nil)
-	w.later(answerBy+100*time.Millisecond, func() {
+	w.schedule(probeTimeout+100*time.Millisecond, func() {
 		if !answered && p.up && !p.frozen {
 			w.Checker.Violation("%s, cut off, left %s unanswered", p.name, name)
 		}
 	})
 }
 
-// cutOffCall draws up one of the calls that need the core.
-func cutOffCall(w *World, i int) (string, func(id uint64) any) {
+// callNeedingCore returns the name and the maker of the ith kind of call that needs the core.
+func callNeedingCore(w *World, i int) (string, func(id uint64) any) {
 	stranger := targets.Target{
 		Instance: "probe", Incarnation: 1, Sequence: ids.Sequence(i + 1), Service: "ledger", Address: "10.99.0.1:80",
 		Zone: w.Plan.Zone(0), Warmth: 1, IntervalMillis: 1000, Gone: true, Leaving: true,
@@ -117,15 +118,15 @@
 	return "where to go", func(id uint64) any { return registry.ResolveCall{ID: id, Zone: w.Plan.Zone(0), Route: "none"} }
 }
 
-// watchPlanners looks again and again at who plans. Two may do so for as long as
-// one needs to find out that it has lost the duty, and never under one epoch.
+// watchPlanners regularly checks who plans. Two registries may for as long as one takes to find out
+// that it has lost the role, and never under one epoch.
 func (w *World) watchPlanners() {
 	var since ids.Time
-	w.every(cutFrom, 100*time.Millisecond, int((cutFor+10*time.Second)/(100*time.Millisecond)), func(int) {
+	w.repeat(partitionFrom, 100*time.Millisecond, int((partitionFor+10*time.Second)/(100*time.Millisecond)), func(int) {
 		epochs := map[ids.Epoch]string{}
 		count := 0
-		for _, p := range w.procs {
-			epoch, ok := planning(p)
+		for _, p := range w.processes {
+			epoch, ok := plannerEpoch(p)
 			if !ok {
 				continue
 			}
@@ -140,15 +141,15 @@
 			since = 0
 		case since == 0:
 			since = w.now
-		case w.now.Sub(since) > twoPlanners:
+		case w.now.Sub(since) > maxTwoPlanners:
 			w.Checker.Violation("%d registries have planned for %s: %v", count, w.now.Sub(since), epochs)
 			since = w.now
 		}
 	})
 }
 
-// planning gives the epoch under which a process plans, if it does.
-func planning(p *process) (ids.Epoch, bool) {
+// plannerEpoch returns the epoch under which a process plans, if it does.
+func plannerEpoch(p *process) (ids.Epoch, bool) {
 	f, ok := p.machine.(*registry.Registry)
 	if !ok || !p.up {
 		return 0, false
--- a/internal/testsupport/simulator/scenes_target.go
+++ b/internal/testsupport/simulator/scenes_target.go
@@ -7,74 +7,77 @@
 	"dunlinwell/internal/controlplane/membership"
 )
 
-// Scenes of targets.
-
+// addressReusedDuringPartition reassigns addresses of targets while a proxy is cut off from the
+// core.
 func addressReusedDuringPartition(w *World) {
-	w.every(3*time.Second, 8*time.Second, 4, func(i int) {
-		p := w.some(membership.Proxy)
+	w.repeat(3*time.Second, 8*time.Second, 4, func(i int) {
+		p := w.randomProcess(membership.Proxy)
 		w.trace("%s is cut off from the core", p.name)
-		w.cutOff(6*time.Second, &cut{
-			a: func(n string, _ ids.Name) bool { return n == p.name },
-			b: func(n string, _ ids.Name) bool {
-				q := w.named(n)
+		w.addPartition(6*time.Second, &partition{
+			sideA: func(n string, _ ids.Name) bool { return n == p.name },
+			sideB: func(n string, _ ids.Name) bool {
+				q := w.processByName(n)
 				return q != nil && q.role != membership.Proxy
 			},
 		})
-		w.later(500*time.Millisecond, func() { w.handOver(w.targets[i%len(w.targets)], 3*time.Second) })
+		w.schedule(500*time.Millisecond, func() { w.reassignAddress(w.targets[i%len(w.targets)], 3*time.Second) })
 	})
 }
 
+// responsesLost makes every target lose a share of its responses.
 func responsesLost(w *World) {
 	for _, t := range w.targets {
 		t.silentShare, t.corruptShare = 0.2, 0.1
 	}
 }
 
+// drained drains, removes and restarts the targets in turn.
 func drained(w *World) {
 	for i, t := range w.targets {
-		w.later(2*time.Second+time.Duration(i)*4*time.Second, func() {
+		w.schedule(2*time.Second+time.Duration(i)*4*time.Second, func() {
 			t.leave()
-			w.later(5*time.Second, func() { t.crash() })
-			w.later(7*time.Second, func() { w.again(t) })
+			w.schedule(5*time.Second, func() { t.crash() })
+			w.schedule(7*time.Second, func() { w.restartTarget(t) })
 		})
 	}
 }
 
-// declaredDeadButRunning cuts targets off from the core, which counts them as gone,
-// while a proxy that is cut off as well still reaches them.
+// declaredDeadButRunning cuts targets off from the core, which declares them gone, while a proxy
+// that is cut off as well still reaches them.
 func declaredDeadButRunning(w *World) {
 	w.HoldConnectionsFor = 20 * time.Second
-	w.every(2*time.Second, 6*time.Second, 7, func(int) {
-		p := w.some(membership.Proxy)
+	w.repeat(2*time.Second, 6*time.Second, 7, func(int) {
+		p := w.randomProcess(membership.Proxy)
 		for _, t := range w.targets {
 			if t.zone == p.zone {
-				w.unheard(t, p, 11*time.Second)
+				w.partitionTarget(t, p, 11*time.Second)
 			}
 		}
 	})
 }
 
-// departureThroughDyingRegistry lets a target say that it leaves to a registry that dies right
-// after, which one proxy doesn't hear; nor does the core hear from it again.
+// departureThroughDyingRegistry lets a target announce its departure to a registry that dies right
+// after, without one of the proxies hearing of it; the core doesn't hear from the target again.
 func departureThroughDyingRegistry(w *World) {
-	w.every(2*time.Second, 6*time.Second, 7, func(i int) {
-		t, deaf := w.targets[i%len(w.targets)], w.some(membership.Proxy)
+	w.repeat(2*time.Second, 6*time.Second, 7, func(i int) {
+		t, deaf := w.targets[i%len(w.targets)], w.randomProcess(membership.Proxy)
 		t.leave()
 		via := t.lastRegistry
 		if via == nil {
 			return
 		}
-		w.cutOff(2*time.Second, &cut{a: func(n string, _ ids.Name) bool { return n == via.name }, b: func(n string, _ ids.Name) bool { return n == deaf.name }})
-		w.later(60*millisecond, func() {
-			w.bounce(via, 4*time.Second)
-			w.unheard(t, nil, 9*time.Second)
+		w.addPartition(2*time.Second, &partition{sideA: func(n string, _ ids.Name) bool { return n == via.name }, sideB: func(n string, _ ids.Name) bool { return n == deaf.name }})
+		w.schedule(60*millisecond, func() {
+			w.restartProcess(via, 4*time.Second)
+			w.partitionTarget(t, nil, 9*time.Second)
 		})
-		w.later(12*time.Second, func() { t.crash(); w.again(t) })
+		w.schedule(12*time.Second, func() { t.crash(); w.restartTarget(t) })
 	})
 }
 
+// targetsFreeze freezes the targets in turn.
 func targetsFreeze(w *World) {
-	w.every(2*time.Second, 1500*millisecond, 28, func(i int) {
-		w.targets[i%len(w.targets)].freeze(w.between(time.Second, 9*time.Second))
+	w.repeat(2*time.Second, 1500*millisecond, 28, func(i int) {
+		w.targets[i%len(w.targets)].freeze(w.randomDuration(time.Second, 9*time.Second))
 	})
 }
--- a/internal/testsupport/simulator/scenes_test.go
+++ b/internal/testsupport/simulator/scenes_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Faults in combination, each under a few seeds.
+// Every scene, under a few seeds, violates no rule.
 func TestScenes(t *testing.T) {
 	for name, scene := range Scenes {
 		t.Run(name, func(t *testing.T) {
--- /dev/null
+++ b/internal/testsupport/simulator/scheduler.go
@@ -0,0 +1,63 @@
+package simulator
+
+import (
+	"container/heap"
+	"time"
+
+	"dunlinwell/internal/base/ids"
+)
+
+// scheduledEvent is a function due at a virtual time. Events of one time run in the order in which
+// they were scheduled.
+type scheduledEvent struct {
+	at       ids.Time
+	sequence uint64
+	run      func()
+}
+
+// eventQueue is a heap of scheduled events, for package heap.
+type eventQueue []scheduledEvent
+
+func (q eventQueue) Len() int { return len(q) }
+
+func (q eventQueue) Less(i, j int) bool {
+	if q[i].at != q[j].at {
+		return q[i].at < q[j].at
+	}
+	return q[i].sequence < q[j].sequence
+}
+
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(scheduledEvent)) }
+
+func (q *eventQueue) Pop() any {
+	old := *q
+	x := old[len(old)-1]
+	*q = old[:len(old)-1]
+	return x
+}
+
+// schedule runs a function after a delay of virtual time.
+func (w *World) schedule(delay time.Duration, run func()) {
+	w.nextSequence++
+	heap.Push(&w.eventQueue, scheduledEvent{w.now.Add(max(delay, 0)), w.nextSequence, run})
+}
+
+// runUntil runs all events up to a virtual time and leaves the clock there.
+func (w *World) runUntil(end ids.Time) {
+	for len(w.eventQueue) > 0 && w.eventQueue[0].at <= end {
+		next := heap.Pop(&w.eventQueue).(scheduledEvent)
+		w.now = next.at
+		w.Events++
+		next.run()
+	}
+	w.now = end
+}
+
+// repeat runs f n times, first after from and then every gap, with the number of the call.
+func (w *World) repeat(from, gap time.Duration, n int, f func(i int)) {
+	for i := range n {
+		w.schedule(from+time.Duration(i)*gap, func() { f(i) })
+	}
+}
--- a/internal/testsupport/simulator/simulator_test.go
+++ b/internal/testsupport/simulator/simulator_test.go
@@ -6,6 +6,7 @@
 	"github.com/matryer/is"
 )
 
+// report fails the test for every rule that was violated.
 func report(t *testing.T, o Outcome) {
 	t.Helper()
 	for _, c := range o.Counts {
@@ -15,7 +16,7 @@
 	}
 }
 
-// Many seeds, every kind of fault, nothing that must never happen.
+// Many seeds with every kind of random fault violate no rule.
 func TestSeeds(t *testing.T) {
 	struck := map[string]int{}
 	for seed := uint64(1); seed <= 12; seed++ {
@@ -36,8 +37,8 @@
 	}
 }
 
-// One seed is one run, to the last line.
-func TestSameSeedSameRun(t *testing.T) {
+// Two runs of one seed are the same to the last line of their logs.
+func TestRun_IsDeterminedBySeed(t *testing.T) {
 	is := is.New(t)
 	a, b := Run(Options{Seed: 7}), Run(Options{Seed: 7})
 	is.Equal(a.Sum, b.Sum)
--- a/internal/testsupport/simulator/spill.go
+++ b/internal/testsupport/simulator/spill.go
@@ -12,15 +12,16 @@
 	"dunlinwell/internal/controlplane/spill"
 )
 
-// Point is how the spill stands at one time: what each zone uses, as its
-// proxies measured it, and the moves in force.
+// Point is the state of the spill-over at one time: the usage of each zone, as its proxies measured
+// it, and the moves in force.
 type Point struct {
 	At    time.Duration
 	Used  map[ids.Name]float64
 	Moves []spill.Move
 }
 
-// Out is the share of a zone's fresh connections that is handed on, all routes.
+// Out returns the sum over all routes of the shares of a zone's new connections that are sent
+// elsewhere.
 func (p Point) Out(zone ids.Name) float64 {
 	sum := 0.0
 	for _, m := range p.Moves {
@@ -31,63 +32,64 @@
 	return sum
 }
 
-// watch takes a point every so often, from the planner's own table and from
-// what the requests cost where they were really carried.
-func (w *World) watch(every time.Duration, points *[]Point) {
+// sampleSpill takes a point at every interval, from the planner's table and from what requests cost
+// where they were executed.
+func (w *World) sampleSpill(every time.Duration, points *[]Point) {
 	last := map[ids.Name]float64{}
-	var again func()
-	again = func() {
-		now := w.costs()
-		p := Point{At: time.Duration(w.now), Used: map[ids.Name]float64{}}
-		for _, c := range slices.Sorted(maps.Keys(now)) {
-			p.Used[c] = (now[c] - last[c]) / every.Seconds()
+	var sample func()
+	sample = func() {
+		now := w.cpuByZone()
+		point := Point{At: time.Duration(w.now), Used: map[ids.Name]float64{}}
+		for _, zone := range slices.Sorted(maps.Keys(now)) {
+			point.Used[zone] = (now[zone] - last[zone]) / every.Seconds()
 		}
 		last = now
-		if f := w.planner(); f != nil {
-			p.Moves = f.SpillTable().Moves
+		if planner := w.currentPlanner(); planner != nil {
+			point.Moves = planner.SpillTable().Moves
 		}
-		*points = append(*points, p)
-		w.later(every, again)
+		*points = append(*points, point)
+		w.schedule(every, sample)
 	}
-	w.later(every, again)
+	w.schedule(every, sample)
 }
 
-// costs sums what each zone's proxies have spent since the start.
-func (w *World) costs() map[ids.Name]float64 {
+// cpuByZone sums the CPU time, in milliseconds, that each zone's proxies have spent since the
+// start.
+func (w *World) cpuByZone() map[ids.Name]float64 {
 	out := map[ids.Name]float64{}
 	for i := range w.Plan.Zones {
 		out[w.Plan.Zone(i)] = 0
 	}
-	for _, p := range w.procs {
+	for _, p := range w.processes {
 		if p.role == membership.Proxy {
-			out[p.zone] += p.total
+			out[p.zone] += p.cpuMillis
 		}
 	}
 	return out
 }
 
-// planner gives the registry with the newest table.
-func (w *World) planner() *registry.Registry {
-	var list []*registry.Registry
-	for _, p := range w.procs {
-		if f, ok := p.machine.(*registry.Registry); ok && p.up {
-			list = append(list, f)
+// currentPlanner returns the registry with the newest table; nil if none is up.
+func (w *World) currentPlanner() *registry.Registry {
+	var candidates []*registry.Registry
+	for _, p := range w.processes {
+		if candidate, ok := p.machine.(*registry.Registry); ok && p.up {
+			candidates = append(candidates, candidate)
 		}
 	}
-	if len(list) == 0 {
+	if len(candidates) == 0 {
 		return nil
 	}
-	return slices.MaxFunc(list, func(a, b *registry.Registry) int {
+	return slices.MaxFunc(candidates, func(a, b *registry.Registry) int {
 		return cmp.Or(cmp.Compare(a.SpillTable().Epoch, b.SpillTable().Epoch), cmp.Compare(a.SpillTable().Number, b.SpillTable().Number))
 	})
 }
 
-// Spill plays a load without faults but for the script, and gives its points.
+// Spill runs a load with no faults but those of the script, and returns its points.
 func Spill(p Options, every time.Duration) ([]Point, Outcome) {
 	var points []Point
 	script := p.Script
 	p.Script = func(w *World) {
-		w.watch(every, &points)
+		w.sampleSpill(every, &points)
 		if script != nil {
 			script(w)
 		}
--- a/internal/testsupport/simulator/spill_test.go
+++ b/internal/testsupport/simulator/spill_test.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	a, b, c  = ids.Name("cell-a1"), ids.Name("cell-b1"), ids.Name("cell-c1")
-	hotFrom  = 60 * time.Second
-	hotUntil = 600 * time.Second
+	a, b, c   = ids.Name("cell-a1"), ids.Name("cell-b1"), ids.Name("cell-c1")
+	stepFrom  = 60 * time.Second
+	stepUntil = 600 * time.Second
 )
 
 // spillPlan is the small fleet with zones that can be filled: acceptable 400,
@@ -25,17 +25,18 @@
 	return p
 }
 
-// step sends four of five asks to one of the hot zones while it lasts.
+// step moves four of five clients to one of the hot zones while the step lasts.
 func step(hot ...ids.Name) func(*World, ids.Name) ids.Name {
 	return func(w *World, drawn ids.Name) ids.Name {
-		if now := time.Duration(w.now); now >= hotFrom && now < hotUntil && w.random.IntN(5) > 0 {
+		if now := time.Duration(w.now); now >= stepFrom && now < stepUntil && w.random.IntN(5) > 0 {
 			return hot[w.random.IntN(len(hot))]
 		}
 		return drawn
 	}
 }
 
-func spillRun(t *testing.T, p Options) []Point {
+// runSpill runs a load on the spill plan and logs its points.
+func runSpill(t *testing.T, p Options) []Point {
 	t.Helper()
 	p.PlanEvery, p.FaultEvery = 30*time.Second, -1
 	if p.Plan.Name == "" {
@@ -52,8 +53,8 @@
 	return points
 }
 
-// changes counts how often a zone's share was planned anew between two times.
-func changes(points []Point, zone ids.Name, from, to time.Duration) int {
+// countPlanChanges counts how often a zone's share was planned anew between two times.
+func countPlanChanges(points []Point, zone ids.Name, from, to time.Duration) int {
 	n := 0
 	for i, p := range points {
 		if i > 0 && p.At > from && p.At < to {
@@ -72,9 +73,9 @@
 		t.Run(hold.String(), func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			points := spillRun(t, Options{Seed: 1, Rate: 40, HoldConnectionsFor: hold, Hot: step(a)})
+			points := runSpill(t, Options{Seed: 1, Rate: 40, HoldConnectionsFor: hold, Hot: step(a)})
 			for _, p := range points {
-				if p.At > 300*time.Second && p.At < hotUntil {
+				if p.At > 300*time.Second && p.At < stepUntil {
 					is.True(p.Used[a] < 550*1.1 && p.Used[a] > 350) // settled around its target
 					is.True(p.Out(a) > 0)
 				}
@@ -83,19 +84,19 @@
 				}
 				is.True(p.Used[b] < 500 && p.Used[c] < 500) // no destination passes its target
 			}
-			is.True(changes(points, a, 240*time.Second, hotUntil) <= 1)
-			is.Equal(changes(points, b, 0, time.Hour)+changes(points, c, 0, time.Hour), 0)
+			is.True(countPlanChanges(points, a, 240*time.Second, stepUntil) <= 1)
+			is.Equal(countPlanChanges(points, b, 0, time.Hour)+countPlanChanges(points, c, 0, time.Hour), 0)
 		})
 	}
 }
 
 // Two hot zones and one that has room: it is filled up to its acceptable
 // level, by both together.
-func TestTwoHotZonesShareTheRoom(t *testing.T) {
+func TestSpill_TwoHotZonesShareOneDestination(t *testing.T) {
 	is := is.New(t)
-	for _, p := range spillRun(t, Options{Seed: 2, Rate: 66, Length: 600 * time.Second, Hot: step(a, b)}) {
-		is.True(p.At < 90*time.Second || p.At > hotUntil || p.Used[c] < 400*1.1)
-		if p.At > 300*time.Second && p.At < hotUntil {
+	for _, p := range runSpill(t, Options{Seed: 2, Rate: 66, Length: 600 * time.Second, Hot: step(a, b)}) {
+		is.True(p.At < 90*time.Second || p.At > stepUntil || p.Used[c] < 400*1.1)
+		if p.At > 300*time.Second && p.At < stepUntil {
 			is.True(p.Used[a] < 550*1.1 && p.Used[b] < 550*1.1)
 			is.True(p.Out(a)+p.Out(b) > 0)
 		}
@@ -107,18 +108,18 @@
 func TestPlannerLostMidMove(t *testing.T) {
 	is := is.New(t)
 	var epochs []ids.Epoch
-	points := spillRun(t, Options{Seed: 3, Rate: 40, Length: 600 * time.Second, Hot: step(a), Script: func(w *World) {
-		w.later(180*time.Second, func() {
-			epochs = append(epochs, w.planner().SpillTable().Epoch)
-			w.bounce(w.procs[3], 100*time.Second) // registry-1, first in the agreed order
+	points := runSpill(t, Options{Seed: 3, Rate: 40, Length: 600 * time.Second, Hot: step(a), Script: func(w *World) {
+		w.schedule(180*time.Second, func() {
+			epochs = append(epochs, w.currentPlanner().SpillTable().Epoch)
+			w.restartProcess(w.processes[3], 100*time.Second) // registry-1, first in the agreed order
 		})
-		w.later(250*time.Second, func() { epochs = append(epochs, w.planner().SpillTable().Epoch) })
-		w.later(400*time.Second, func() { epochs = append(epochs, w.planner().SpillTable().Epoch) })
+		w.schedule(250*time.Second, func() { epochs = append(epochs, w.currentPlanner().SpillTable().Epoch) })
+		w.schedule(400*time.Second, func() { epochs = append(epochs, w.currentPlanner().SpillTable().Epoch) })
 	}})
 	is.Equal(len(epochs), 3)
 	is.True(epochs[0] < epochs[1] && epochs[1] < epochs[2])
 	for _, p := range points {
-		if p.At > 150*time.Second && p.At < hotUntil {
+		if p.At > 150*time.Second && p.At < stepUntil {
 			is.True(p.Out(a) > 0.1) // the last table holds
 			is.True(p.Used[a] < 600)
 		}
@@ -126,18 +127,18 @@
 }
 
 // A destination is emptied in the midst of moves: it gets nothing from then on,
-// which the witness judges, and what moved there finds other room.
-func TestDestinationEmptiedMidMove(t *testing.T) {
+// which the checker judges, and what moved there goes elsewhere.
+func TestSpill_DrainedDestinationGetsNothing(t *testing.T) {
 	is := is.New(t)
-	for _, p := range spillRun(t, Options{Seed: 4, Rate: 40, Length: 600 * time.Second, Hot: step(a), Script: func(w *World) {
-		w.later(240*time.Second, func() { w.setEmptied(c, true, func() { w.operators.drainedZone = c }) })
+	for _, p := range runSpill(t, Options{Seed: 4, Rate: 40, Length: 600 * time.Second, Hot: step(a), Script: func(w *World) {
+		w.schedule(240*time.Second, func() { w.setDrained(c, true, func() { w.operators.drainedZone = c }) })
 	}}) {
 		for _, m := range p.Moves {
-			if p.At > 320*time.Second && p.At < hotUntil {
+			if p.At > 320*time.Second && p.At < stepUntil {
 				is.Equal(m.To, b)
 			}
 		}
-		if p.At > 300*time.Second && p.At < hotUntil {
+		if p.At > 300*time.Second && p.At < stepUntil {
 			is.Equal(p.Used[c], 0.0)
 		}
 	}
@@ -149,8 +150,8 @@
 	is := is.New(t)
 	silent := false
 	p := Options{Seed: 5, Rate: 40, Length: 600 * time.Second, Hot: step(a), Script: func(w *World) {
-		w.later(240*time.Second, func() { silent = true })
-		w.later(580*time.Second, func() { silent = false })
+		w.schedule(240*time.Second, func() { silent = true })
+		w.schedule(580*time.Second, func() { silent = false })
 	}}
 	p.Defect.Message = func(from, _ string, msg any) (any, bool) {
 		_, is := msg.(spill.Report)
@@ -166,7 +167,7 @@
 		return sum
 	}
 	last := 9.0
-	for _, p := range spillRun(t, p) {
+	for _, p := range runSpill(t, p) {
 		if p.At > 270*time.Second && p.At < 580*time.Second {
 			is.True(to(p) <= last+1e-9)
 			last = to(p)
@@ -177,7 +178,7 @@
 
 // The default maximum is set far too high. It is learned from what the proxies
 // measure that latency passes 20 ms at 560 ms/s, and the zone sheds there.
-func TestLearnedMaximumActs(t *testing.T) {
+func TestSpill_UsesLearnedMaximum(t *testing.T) {
 	is := is.New(t)
 	slow := func(used float64) time.Duration {
 		return time.Duration((2 + 18*(used/560)*(used/560)) * float64(time.Millisecond))
@@ -191,8 +192,8 @@
 			p.Latency = slow
 		}
 		n := 0.0
-		for _, x := range spillRun(t, p) {
-			if x.At > 330*time.Second && x.At < hotUntil {
+		for _, x := range runSpill(t, p) {
+			if x.At > 330*time.Second && x.At < stepUntil {
 				settled[learns] += x.Used[a]
 				n++
 			}
--- a/internal/testsupport/simulator/repair_test.go
+++ b/internal/testsupport/simulator/store_repair_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// Disks are lost one after the other, each a while after the machine before
-// came back. No change may be lost, and each repair ends before the next loss.
+// Disks are lost one after the other, each a gap after the previous machine came back. No change may
+// be lost, and each repair ends before the next loss.
 func TestDisksLostInTurn(t *testing.T) {
 	for _, gap := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 4500 * millisecond, 5 * time.Second, 6 * time.Second} {
 		t.Run(gap.String(), func(t *testing.T) {
@@ -17,8 +17,8 @@
 			for seed := uint64(1); seed <= 3; seed++ {
 				var took []time.Duration
 				o := Run(Options{Seed: seed, Length: 50 * time.Second, Script: func(w *World) {
-					w.counted = true
-					w.later(3*time.Second, func() {
+					w.allNumberAttempts = true
+					w.schedule(3*time.Second, func() {
 						w.wipeInTurn([]int{0, 1, 2, 1}, gap, func(d time.Duration) { took = append(took, d) })
 					})
 				}})
--- a/internal/testsupport/simulator/target.go
+++ b/internal/testsupport/simulator/target.go
@@ -1,223 +1,208 @@
 package simulator
 
 import (
-	"cmp"
 	"fmt"
-	"slices"
 	"time"
 
 	"dunlinwell/internal/base/ids"
-	"dunlinwell/internal/controlplane/membership"
 	"dunlinwell/internal/controlplane/registry"
 	"dunlinwell/internal/controlplane/targets"
 	"dunlinwell/internal/state/idempotency"
 	"dunlinwell/internal/testsupport/checker"
 )
 
-// target is a stand-in target in the simulated world.
+// target is a stand-in target.
 type target struct {
-	w           *World
-	id          ids.InstanceID
-	service     ids.Name
-	zone        ids.Name
-	addr        ids.Address
-	capacity    int
-	up          bool
-	generation  int
-	leaving     bool
-	left        ids.Time
-	born        ids.Time
-	incarnation ids.Incarnation
-	sequence    ids.Sequence
-	busy        int
-	// lastAcknowledged is when a registry last took its announcement. While frozen it does
-	// nothing, and what comes waits in its sockets.
+	world            *World
+	id               ids.InstanceID
+	service          ids.Name
+	zone             ids.Name
+	address          ids.Address
+	capacity         int
+	up               bool
+	generation       int
+	leaving          bool
+	departureKnownAt ids.Time
+	warmSince        ids.Time
+	incarnation      ids.Incarnation
+	sequence         ids.Sequence
+	inFlight         int
+	// lastAcknowledged is when a registry last received its heartbeat.
 	lastAcknowledged ids.Time
-	frozen           bool
-	wait             []func()
-	// lastRegistry is the registry that was told last.
+	// frozen: it does nothing, and what arrives waits in its sockets, the backlog.
+	frozen  bool
+	backlog []func()
+	// lastRegistry is the registry that the last heartbeat was sent to.
 	lastRegistry *process
-	// silentShare and spoil are shares of answers lost after the work, or broken.
+	// silentShare and corruptShare are the shares of responses that are lost after the
+	// work, or broken.
 	silentShare, corruptShare float64
 }
 
 const (
+	// announceEvery is the interval of heartbeats.
 	announceEvery = time.Second
-	targetWarm    = 3 * time.Second
-	workTime      = 20 * time.Millisecond
+	// slowStart is how long a cold target takes to bear its whole capacity.
+	slowStart = 3 * time.Second
+	// workTime is the mean time that an execution takes.
+	workTime = 20 * time.Millisecond
 )
 
-// begin starts a new incarnation at the target's address.
-func (t *target) begin(cold bool) {
+// start begins a new incarnation at the target's address: with a slow start if it is cold.
+func (t *target) start(cold bool) {
 	t.generation++
-	t.up, t.leaving, t.left, t.busy, t.sequence = true, false, 0, 0, 0
-	t.frozen, t.wait, t.lastAcknowledged = false, nil, 0
-	t.incarnation = ids.Incarnation(t.w.now/ids.Time(time.Millisecond)) + 1
-	t.born = t.w.now
+	t.up, t.leaving, t.departureKnownAt, t.inFlight, t.sequence = true, false, 0, 0, 0
+	t.frozen, t.backlog, t.lastAcknowledged = false, nil, 0
+	t.incarnation = ids.Incarnation(t.world.now/ids.Time(time.Millisecond)) + 1
+	t.warmSince = t.world.now
 	if !cold {
-		t.born = t.w.now.Add(-targetWarm)
+		t.warmSince = t.world.now.Add(-slowStart)
 	}
-	t.w.targetByAddress[t.addr] = t
-	t.w.trace("%s begins at %s", t.id, t.addr)
-	t.announcing(t.generation)
+	t.world.targetByAddress[t.address] = t
+	t.world.trace("%s begins at %s", t.id, t.address)
+	t.announceRepeatedly(t.generation)
 }
 
+// crash ends the incarnation without notice.
 func (t *target) crash() {
 	if t.up {
-		t.w.trace("%s crashes", t.id)
+		t.world.trace("%s crashes", t.id)
 	}
 	t.up = false
 	t.generation++
-	t.frozen, t.wait = false, nil
+	t.frozen, t.backlog = false, nil
 }
 
-func (t *target) announcing(gen int) {
-	if t.generation != gen {
+// announceRepeatedly sends a heartbeat every announceEvery for as long as the generation lasts.
+func (t *target) announceRepeatedly(generation int) {
+	if t.generation != generation {
 		return
 	}
 	if t.frozen {
-		t.awake(func() { t.announcing(gen) })
+		t.whenAwake(func() { t.announceRepeatedly(generation) })
 		return
 	}
 	t.announce()
-	t.w.later(announceEvery+t.w.between(0, 100*time.Millisecond), func() { t.announcing(gen) })
+	t.world.schedule(announceEvery+t.world.randomDuration(0, 100*time.Millisecond), func() { t.announceRepeatedly(generation) })
 }
 
+// warmth is how far the slow start has got, from 0.1 to 1.
 func (t *target) warmth() float64 {
-	return min(1, max(0.1, float64(t.w.now.Sub(t.born))/float64(targetWarm)))
+	return min(1, max(0.1, float64(t.world.now.Sub(t.warmSince))/float64(slowStart)))
 }
 
-// announce tells some registry that can be reached.
+// announce sends one heartbeat to a registry that is up.
 func (t *target) announce() {
 	t.sequence++
-	a := targets.Target{
-		Instance: t.id, Incarnation: t.incarnation, Sequence: t.sequence, Service: t.service, Address: t.addr, Zone: t.zone,
-		Leaving: t.leaving, Warmth: t.warmth(), Occupancy: int64(t.busy), Capacity: int64(t.capacity), IntervalMillis: uint32(announceEvery / time.Millisecond),
+	announcement := targets.Target{
+		Instance: t.id, Incarnation: t.incarnation, Sequence: t.sequence, Service: t.service, Address: t.address, Zone: t.zone,
+		Leaving: t.leaving, Warmth: t.warmth(), Occupancy: int64(t.inFlight), Capacity: int64(t.capacity), IntervalMillis: uint32(announceEvery / time.Millisecond),
 	}
-	gen := t.generation
-	t.lastRegistry = t.w.anyRegistry()
+	generation := t.generation
+	t.lastRegistry = t.world.anyRegistry()
 	if t.lastRegistry == nil {
 		return
 	}
-	t.w.callAt(t.lastRegistry, string(t.id), t.zone, func(id uint64) any { t.lastAcknowledged = t.w.now; return registry.HeartbeatCall{ID: id, Target: a} }, func(registry.Response) {
-		// From here on the system has learned that it leaves.
-		if t.generation == gen && a.Leaving && t.left == 0 {
-			t.left = t.w.now
-			t.w.Checker.NetworkPartitioned()
+	t.world.callRegistry(t.lastRegistry, string(t.id), t.zone, func(id uint64) any {
+		t.lastAcknowledged = t.world.now
+		return registry.HeartbeatCall{ID: id, Target: announcement}
+	}, func(registry.Response) {
+		// From here on the core knows that the target is leaving.
+		if t.generation == generation && announcement.Leaving && t.departureKnownAt == 0 {
+			t.departureKnownAt = t.world.now
+			t.world.Checker.NetworkPartitioned()
 		}
 	}, nil)
 }
 
+// leave announces that the target is draining.
 func (t *target) leave() {
 	if t.up && !t.leaving {
-		t.w.trace("%s leaves", t.id)
+		t.world.trace("%s leaves", t.id)
 		t.leaving = true
 		t.announce()
 	}
 }
 
-// run is one execution: it is written down, and answered after its work. Sent
-// is when its bytes left the proxy, and came when they reached the target.
-func (t *target) run(e *forwardedRequest, p *process, s ids.Name, sent, came ids.Time, left time.Duration, done func(idempotency.Response, bool)) {
-	t.busy++
-	r := checker.Execution{
-		At: t.w.clock(), Sent: clock(sent), Instance: t.id, Service: t.service, Zone: t.zone, Token: e.requestToken, IdempotencyKey: string(e.IdempotencyKey), Attempt: e.attempt, AttemptHidden: e.Job.Attempt == 0,
-		After: t.knownFor(came), Route: e.Route, TimeLeft: left, Proxy: p.name, ProxyZone: p.zone,
-	}
-	t.w.Checker.RequestExecuted(r)
-	t.w.trace("%s runs %s attempt %d for %s", t.id, e.requestToken, e.attempt, p.name)
-	if s != t.service {
-		t.w.Checker.Violation("%s of %s got a request meant for %s", t.id, t.service, s)
-	}
-	if bears := max(float64(t.capacity)*t.warmth(), 1); float64(t.busy) > 1.5*bears+1 {
-		t.w.Checker.Overloaded("%s had %d at once and bears %.1f, at %s", t.id, t.busy, bears, time.Duration(t.w.now))
-	}
-	gen := t.generation
-	body := fmt.Sprintf("%s/%s/%x", e.requestToken, t.id, t.w.random.Uint64())
-	t.w.later(t.w.between(workTime/2, workTime*3/2), func() {
-		if t.generation != gen {
+// execute executes a request: the checker records it, and it is answered when the work is done.
+// Sent is when its bytes left the proxy, arrived when they reached the target.
+func (t *target) execute(request *forwardedRequest, p *process, service ids.Name, sent, arrived ids.Time, timeLeft time.Duration, done func(idempotency.Response, bool)) {
+	t.inFlight++
+	execution := checker.Execution{
+		At: t.world.wallTime(), Sent: timeOf(sent), Instance: t.id, Service: t.service, Zone: t.zone, Token: request.requestToken, IdempotencyKey: string(request.IdempotencyKey), Attempt: request.attempt, AttemptHidden: request.Job.Attempt == 0,
+		After: t.departureKnownFor(arrived), Route: request.Route, TimeLeft: timeLeft, Proxy: p.name, ProxyZone: p.zone,
+	}
+	t.world.Checker.RequestExecuted(execution)
+	t.world.trace("%s runs %s attempt %d for %s", t.id, request.requestToken, request.attempt, p.name)
+	if service != t.service {
+		t.world.Checker.Violation("%s of %s got a request meant for %s", t.id, t.service, service)
+	}
+	if capacity := max(float64(t.capacity)*t.warmth(), 1); float64(t.inFlight) > 1.5*capacity+1 {
+		t.world.Checker.Overloaded("%s had %d at once and bears %.1f, at %s", t.id, t.inFlight, capacity, time.Duration(t.world.now))
+	}
+	generation := t.generation
+	body := fmt.Sprintf("%s/%s/%x", request.requestToken, t.id, t.world.random.Uint64())
+	t.world.schedule(t.world.randomDuration(workTime/2, workTime*3/2), func() {
+		if t.generation != generation {
 			done(idempotency.Response{}, false)
 			return
 		}
-		t.busy--
-		bad := t.w.random.Float64()
-		done(idempotency.Response{Status: 200, Body: []byte(body)}, bad >= t.silentShare+t.corruptShare)
+		t.inFlight--
+		draw := t.world.random.Float64()
+		done(idempotency.Response{Status: 200, Body: []byte(body)}, draw >= t.silentShare+t.corruptShare)
 	})
 }
 
-// anyRegistry draws one that is up; nil where none is.
-func (w *World) anyRegistry() *process {
-	var up []*process
-	for _, p := range w.procs {
-		if p.role == membership.Registry && p.up {
-			up = append(up, p)
-		}
-	}
-	if len(up) == 0 {
-		return nil
-	}
-	return up[w.random.IntN(len(up))]
-}
-
-// call is an outside call to some registry that is up and within reach; none
-// is called where nobody is. Lost, if given, hears of a call that got no word.
-func (w *World) call(name string, zone ids.Name, make1 func(id uint64) any, done func(registry.Response), lost func()) {
-	p := w.anyRegistry()
-	if p == nil {
-		if lost != nil {
-			w.later(time.Millisecond, lost)
-		}
+// freeze suspends the target for a time. Its connections stay open.
+func (t *target) freeze(d time.Duration) {
+	if !t.up || t.frozen {
 		return
 	}
-	w.callAt(p, name, zone, make1, done, lost)
-}
-
-// callAt is an outside call to one registry.
-func (w *World) callAt(p *process, name string, zone ids.Name, make1 func(id uint64) any, done func(registry.Response), lost func()) {
-	over := false
-	var call *exchange
-	once := func(f func()) {
-		if !over && f != nil {
-			over, call.over = true, true
-			f()
-		}
-	}
-	call = w.begin(&exchange{from: name, to: p.name, fromZone: zone, toZone: p.zone, broken: func() { once(lost) }})
-	w.later(w.waits(name), func() { once(lost) })
-	if w.refused(name, zone, p.name, p.zone) {
-		w.later(time.Millisecond, func() { once(lost) })
-		return
-	}
-	if !w.open(name, zone, p.name, p.zone) {
-		return
-	}
-	w.later(w.far(zone, p.zone), func() {
-		if !p.up {
-			w.later(time.Millisecond, func() { once(lost) })
+	t.world.trace("%s freezes for %s", t.id, d)
+	t.frozen = true
+	generation := t.generation
+	t.world.schedule(d, func() {
+		if t.generation != generation {
 			return
 		}
-		p.nextID++
-		id := p.nextID
-		p.calls[id] = func(r registry.Response) {
-			if name == operator {
-				r = w.confirm(r)
-				if w.answeredOperator(p, r) {
-					return
-				}
-			}
-			if w.open(p.name, p.zone, name, zone) {
-				w.later(w.far(p.zone, zone), func() { once(func() { done(r) }) })
-			}
+		t.world.trace("%s wakes", t.id)
+		t.frozen = false
+		backlog := t.backlog
+		t.backlog = nil
+		for _, f := range backlog {
+			f()
 		}
-		p.take(make1(id))
 	})
 }
 
-func sortedPairs(m map[[2]ids.Name]float64) [][2]ids.Name {
-	var out [][2]ids.Name
-	for k := range m {
-		out = append(out, k)
+// whenAwake does something now or when the target wakes; never if it crashed.
+func (t *target) whenAwake(f func()) {
+	generation := t.generation
+	switch {
+	case !t.up:
+	case t.frozen:
+		t.backlog = append(t.backlog, func() {
+			if t.generation == generation {
+				f()
+			}
+		})
+	default:
+		f()
+	}
+}
+
+// silenceTimeout is how long without a heartbeat counts as gone: three intervals.
+const silenceTimeout = 3 * (announceEvery + 100*time.Millisecond)
+
+// departureKnownFor is for how long the core has known that the target is leaving, or is gone by
+// its silence.
+func (t *target) departureKnownFor(now ids.Time) time.Duration {
+	known := time.Duration(0)
+	if t.departureKnownAt != 0 {
+		known = now.Sub(t.departureKnownAt)
+	}
+	if t.lastAcknowledged != 0 {
+		known = max(known, now.Sub(t.lastAcknowledged)-silenceTimeout)
 	}
-	slices.SortFunc(out, func(a, b [2]ids.Name) int { return cmp.Or(cmp.Compare(a[0], b[0]), cmp.Compare(a[1], b[1])) })
-	return out
+	return known
 }
--- a/internal/testsupport/simulator/asleep_test.go
+++ b/internal/testsupport/simulator/target_freeze_test.go
@@ -13,9 +13,9 @@
 	"dunlinwell/internal/testsupport/checker"
 )
 
-// What left a proxy before its route moved, and ran once a frozen target
-// woke, went by the configuration of its time; what left after that did not.
-func TestBytesWaitInAFrozenTarget(t *testing.T) {
+// A request that left its proxy before the route moved, and ran when a frozen target woke, is judged
+// by the configuration of when it left; one that left 4 s after the move is a violation.
+func TestFrozenTarget_ExecutionJudgedBySendTime(t *testing.T) {
 	for name, c := range map[string]struct {
 		sent time.Duration
 		bad  int
@@ -26,25 +26,25 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			w := NewWorld(Options{Seed: 1})
-			p := w.addProc(membership.Proxy, "proxy-1", w.Plan.Zone(0), "10.9.3.1:1")
+			p := w.addProcess(membership.Proxy, "proxy-1", w.Plan.Zone(0), "10.9.3.1:1")
 			p.up, p.random, p.dispatchers = true, w.random, newDispatchers(p, nil)
-			target := &target{w: w, id: "ledger-3", service: "ledger", zone: w.Plan.Zone(0), addr: "10.9.9.1:1", capacity: 8}
-			target.begin(false)
+			target := &target{world: w, id: "ledger-3", service: "ledger", zone: w.Plan.Zone(0), address: "10.9.9.1:1", capacity: 8}
+			target.start(false)
 			for n, service := range []string{"ledger", "catalog"} {
-				w.later(time.Duration(11*n)*time.Second, func() {
-					id := w.Checker.ChangeSent([]byte(`{"id":"to-`+service+`","changes":[{"kind":"route","name":"flip","put":{"service":"`+service+`","repeatable":true}}]}`), w.clock())
-					w.Checker.ChangeAccepted(id, uint64(n+1), w.clock())
+				w.schedule(time.Duration(11*n)*time.Second, func() {
+					id := w.Checker.ChangeSent([]byte(`{"id":"to-`+service+`","changes":[{"kind":"route","name":"flip","put":{"service":"`+service+`","repeatable":true}}]}`), w.wallTime())
+					w.Checker.ChangeAccepted(id, uint64(n+1), w.wallTime())
 				})
 			}
-			w.later(9*time.Second, func() { target.freeze(11 * time.Second) })
+			w.schedule(9*time.Second, func() { target.freeze(11 * time.Second) })
 			due := ids.Time(60 * time.Second)
 			e := &forwardedRequest{Job: dispatch.Job{ID: 1, Route: "flip", Service: "ledger", Repeatable: true, Deadline: due}, requestToken: "flip:t1", attempt: 1}
-			w.later(c.sent, func() {
-				p.dispatchers.sent("ledger", dispatch.Forward{ID: 1, Deadline: due}, e, target, time.Millisecond)
+			w.schedule(c.sent, func() {
+				p.dispatchers.sendToTarget("ledger", dispatch.Forward{ID: 1, Deadline: due}, e, target, time.Millisecond)
 			})
-			w.until(ids.Time(19 * time.Second))
+			w.runUntil(ids.Time(19 * time.Second))
 			is.Equal(w.Checker.CountByClass(time.Time{})["runs"], 0) // it waits in the socket
-			w.until(ids.Time(21 * time.Second))
+			w.runUntil(ids.Time(21 * time.Second))
 			is.Equal(w.Checker.CountByClass(time.Time{})["runs"], 1) // 9 s after the move
 			var got checker.RuleResult
 			for _, k := range w.Checker.Results() {
--- a/internal/testsupport/simulator/trace.go
+++ b/internal/testsupport/simulator/trace.go
@@ -19,10 +19,10 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// A recorded trace holds every event that one machine received in a seed and,
-// for each, what it wanted done. Replayed to a machine made the same way, it
-// shows the first step at which anything has changed. Nothing in it depends on
-// the name of a Go type or field, so it outlives their renaming.
+// A recorded trace holds every event that one machine received in a run and, for each, a hash of
+// the commands that it gave. Replayed to a machine with the same options it shows the first step
+// at which behavior has changed. Nothing in it depends on the name of a Go type or field, so that
+// it outlives their renaming.
 
 // eventTypes are the events that a trace can hold beside messages.
 var eventTypes = map[string]reflect.Type{
@@ -44,8 +44,8 @@
 	"proxy-stop":    reflect.TypeFor[proxy.Stopping](),
 }
 
-// commandTypes are the commands, and the events within them, that have a kind
-// of their own in a trace.
+// commandTypes are the commands, and the events within them, that have a kind of their own in a
+// trace.
 var commandTypes = map[string]reflect.Type{
 	"sync":           reflect.TypeFor[event.Sync](),
 	"send":           reflect.TypeFor[event.Send](),
@@ -74,8 +74,8 @@
 	}
 }
 
-// kindOf gives the kind of a message, event or command: a message's number on
-// the wire, or a word of the tables.
+// kindOf returns the kind of a message, event or command: the number of a message on the wire, or
+// the key of the tables.
 func kindOf(v any) string {
 	if k := wire.KindOfMessage(v); k != 0 {
 		return strconv.Itoa(int(k))
@@ -86,7 +86,7 @@
 	return "other"
 }
 
-// commandKind gives a command's kind, with that of the message or event in it.
+// commandKind returns the kind of a command, with that of the message or event in it.
 func commandKind(c event.Command) string {
 	switch c := c.(type) {
 	case event.Send:
@@ -97,8 +97,8 @@
 	return kindOf(c)
 }
 
-// writeEvent gives an event as one line. One that can't be encoded becomes a
-// line that no replay accepts.
+// writeEvent writes an event as one line. One that can't be encoded becomes a line that no replay
+// accepts.
 func writeEvent(now ids.Time, ev event.Event) string {
 	line, err := encodeEvent(ev)
 	if err != nil {
@@ -107,6 +107,7 @@
 	return fmt.Sprintf("%d %s", now, line)
 }
 
+// encodeEvent encodes an event as its kind and hexadecimal value.
 func encodeEvent(ev event.Event) (string, error) {
 	if m, ok := ev.(event.Received); ok {
 		raw, err := wire.Encode(m.Msg)
@@ -120,7 +121,7 @@
 	return strings.TrimSpace(fmt.Sprintf("%s %x", kind, raw)), err
 }
 
-// readEvent reads such a line.
+// readEvent parses a line of writeEvent.
 func readEvent(line string) (ids.Time, event.Event, error) {
 	at, rest, _ := strings.Cut(line, " ")
 	now, err := strconv.ParseInt(at, 10, 64)
@@ -149,8 +150,8 @@
 	return ids.Time(now), ev.Interface(), err
 }
 
-// writeCommands gives what a step wants done: a hash over all commands, and
-// the kind of each.
+// writeCommands writes the commands of a step as one line: a hash over all of them, and the kind of
+// each.
 func writeCommands(out []event.Command) string {
 	h := fnv.New64a()
 	var kinds []string
@@ -161,8 +162,8 @@
 	return fmt.Sprintf("< %016x %s", h.Sum64(), strings.Join(kinds, " "))
 }
 
-// appendCommand appends a command's kind and encoding. Of a log entry only its
-// presence counts: its words are for people, and may change.
+// appendCommand appends a command's kind and encoding. Of a log entry only its presence counts: its
+// text is for people, and may change.
 func appendCommand(out []byte, c event.Command) []byte {
 	out = appendBytes(out, []byte(commandKind(c)))
 	switch c := c.(type) {
@@ -182,8 +183,8 @@
 	return mustAppend(out, c)
 }
 
-// mustAppend appends a value whose type has an encoding: without one the hash
-// would miss what the command says.
+// mustAppend appends a value whose type must have an encoding, or the hash would miss a part of the
+// command.
 func mustAppend(out []byte, v any) []byte {
 	out, err := appendValue(out, reflect.ValueOf(v), 0)
 	if err != nil {
@@ -192,7 +193,8 @@
 	return out
 }
 
-// ReplayTrace replays a trace to a machine, and gives the first line that differs.
+// ReplayTrace replays a trace to a machine. It returns the number of lines replayed, or that of the
+// first one that differs and an error.
 func ReplayTrace(m event.Machine, trace io.Reader) (int, error) {
 	lines := bufio.NewScanner(trace)
 	lines.Buffer(nil, 16<<20)
--- a/internal/testsupport/simulator/tracedecoding.go
+++ b/internal/testsupport/simulator/trace_decoding.go
@@ -10,6 +10,7 @@
 	"reflect"
 )
 
+// errTraceShort: an encoded value ends early, or a length in it is greater than what follows.
 var errTraceShort = errors.New("encoded value is too short")
 
 // decodeValue sets a value from its encoding, which must hold nothing more.
@@ -77,7 +78,7 @@
 	return raw, err
 }
 
-// readCount reads the length of a list or map; -1 for a nil one.
+// readCount reads the length of a slice or map; -1 for a nil one.
 func readCount(r *bytes.Reader) (int, error) {
 	n, err := binary.ReadUvarint(r)
 	if err != nil || n > uint64(r.Len())+1 {
--- a/internal/testsupport/simulator/traceencoding.go
+++ b/internal/testsupport/simulator/trace_encoding.go
@@ -14,8 +14,8 @@
 const maxDepth = 64
 
 // appendValue appends a value by position: the exported fields of a struct in
-// their order, and no name of a type or field. Integers are varints; a list or
-// a map is preceded by its length plus one, and a nil one is zero.
+// their order, and no name of a type or field. Integers are varints; a slice or a
+// map is preceded by its length plus one, and a nil one is zero.
 func appendValue(out []byte, v reflect.Value, depth int) ([]byte, error) {
 	if depth > maxDepth {
 		return out, fmt.Errorf("value is nested more than %d levels deep", maxDepth)
@@ -88,7 +88,7 @@
 	return out, nil
 }
 
-// encoded tells whether a field belongs to the encoding: unexported fields,
+// encoded reports whether a field belongs to the encoding: unexported fields,
 // functions and channels do not.
 func encoded(f reflect.StructField) bool {
 	switch f.Type.Kind() {
