--- a/internal/testsupport/scaletest/fleet.go
+++ b/internal/testsupport/scaletest/fleet.go
@@ -26,84 +26,84 @@
 	ProxiesPerGroup int
 	// PhaseDuration is how long the steady phase lasts, Within how long any other may.
 	PhaseDuration, PhaseTimeout time.Duration
-	Interval                    time.Duration
-	Rows                        int
+	AnnounceInterval            time.Duration
+	UsageRows                   int
 	Changes                     int
-	Block                       int
-	// Show takes one line of progress at a time.
-	Show func(line string)
+	LoopbackBlock               int
+	// Progress takes one line of progress at a time.
+	Progress func(line string)
 }
 
 // daemonProcess is one process of the fleet.
 type daemonProcess struct {
 	role, name string
 	// daemons is how many it stands for.
-	daemons int
-	http    string
-	program string
-	args    []string
-	cmd     *exec.Cmd
-	ended   chan struct{}
+	daemons     int
+	httpAddress string
+	program     string
+	args        []string
+	cmd         *exec.Cmd
+	exited      chan struct{}
 }
 
 // fleet is the processes of one size.
 type fleet struct {
 	Options
 	Size
-	mu    sync.Mutex
-	procs []*daemonProcess
+	mu        sync.Mutex
+	processes []*daemonProcess
 }
 
-func coreAt(block, role, n, port int) string {
-	return fmt.Sprintf("127.%d.%d.%d:%d", block, role, n+1, port)
+func coreAddress(block, role, index, port int) string {
+	return fmt.Sprintf("127.%d.%d.%d:%d", block, role, index+1, port)
 }
 
-// layOut names every process of a size.
-func layOut(p Options, s Size) *fleet {
-	f := &fleet{Options: p, Size: s}
+// newFleet names every process of a size.
+func newFleet(o Options, s Size) *fleet {
+	f := &fleet{Options: o, Size: s}
 	var seeds []string
 	for n := range 3 {
-		seeds = append(seeds, coreAt(p.Block, 1, n, wirePort))
+		seeds = append(seeds, coreAddress(o.LoopbackBlock, 1, n, wirePort))
 	}
 	for i, role := range []string{"store", "registry"} {
 		for n := range s.Core {
-			x := &daemonProcess{role: role, name: fmt.Sprintf("%s-%d", role, n+1), daemons: 1, http: coreAt(p.Block, i+1, n, pagesPort), program: filepath.Join(p.Bin, role)}
-			x.args = []string{
-				"--name", x.name, "--address", coreAt(p.Block, i+1, n, wirePort), "--http", x.http,
+			process := &daemonProcess{role: role, name: fmt.Sprintf("%s-%d", role, n+1), daemons: 1, httpAddress: coreAddress(o.LoopbackBlock, i+1, n, httpPort), program: filepath.Join(o.Bin, role)}
+			process.args = []string{
+				"--name", process.name, "--address", coreAddress(o.LoopbackBlock, i+1, n, wirePort), "--http", process.httpAddress,
 				"--cell", string(s.Zone(n)), "--seeds", strings.Join(seeds, ","),
 			}
 			if role == "store" {
-				x.args = append(x.args, "--bootstrap", "--data", filepath.Join(p.Dir, x.name))
+				process.args = append(process.args, "--bootstrap", "--data", filepath.Join(o.Dir, process.name))
 			}
-			if p.Thrifty {
-				x.args = append(x.args, "--thrifty")
+			if o.Thrifty {
+				process.args = append(process.args, "--thrifty")
 			}
-			f.procs = append(f.procs, x)
+			f.processes = append(f.processes, process)
 		}
 	}
-	for first, n := 0, 0; first < s.Proxies; first, n = first+p.ProxiesPerGroup, n+1 {
-		x := &daemonProcess{
-			role: "proxy", name: fmt.Sprintf("crew-%d", n+1), daemons: min(p.ProxiesPerGroup, s.Proxies-first),
-			http: coreAt(p.Block, 3, n, pagesPort), program: p.ProxyGroupBinary,
+	for first, n := 0, 0; first < s.Proxies; first, n = first+o.ProxiesPerGroup, n+1 {
+		process := &daemonProcess{
+			role: "proxy", name: fmt.Sprintf("crew-%d", n+1), daemons: min(o.ProxiesPerGroup, s.Proxies-first),
+			httpAddress: coreAddress(o.LoopbackBlock, 3, n, httpPort), program: o.ProxyGroupBinary,
 		}
-		x.args = []string{
-			"crew", "--first", fmt.Sprint(first), "--count", fmt.Sprint(x.daemons), "--cells", fmt.Sprint(s.Zones),
-			"--rows", fmt.Sprint(min(p.Rows, s.Routes)), "--block", fmt.Sprint(p.Block), "--seeds", strings.Join(seeds, ","), "--http", x.http,
+		process.args = []string{
+			"crew", "--first", fmt.Sprint(first), "--count", fmt.Sprint(process.daemons), "--cells", fmt.Sprint(s.Zones),
+			"--rows", fmt.Sprint(min(o.UsageRows, s.Routes)), "--block", fmt.Sprint(o.LoopbackBlock), "--seeds", strings.Join(seeds, ","), "--http", process.httpAddress,
 		}
-		if p.Thrifty {
-			x.args = append(x.args, "--thrifty")
+		if o.Thrifty {
+			process.args = append(process.args, "--thrifty")
 		}
-		f.procs = append(f.procs, x)
+		f.processes = append(f.processes, process)
 	}
 	return f
 }
 
-// of gives the processes of a role that run.
-func (f *fleet) of(role string) []*daemonProcess {
+// running gives the processes of a role that run.
+func (f *fleet) running(role string) []*daemonProcess {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []*daemonProcess
-	for _, p := range f.procs {
+	for _, p := range f.processes {
 		if p.role == role && p.cmd != nil {
 			out = append(out, p)
 		}
@@ -136,15 +136,15 @@
 	}
 	ended := make(chan struct{})
 	f.mu.Lock()
-	p.cmd, p.ended = cmd, ended
+	p.cmd, p.exited = cmd, ended
 	f.mu.Unlock()
 	go func() { _ = cmd.Wait(); log.Close(); close(ended) }()
 	return nil
 }
 
-// startAll starts what isn't running of a role; all roles if none is named.
-func (f *fleet) startAll(role string) error {
-	for _, p := range f.procs {
+// startRole starts what isn't running of a role; all roles if none is named.
+func (f *fleet) startRole(role string) error {
+	for _, p := range f.processes {
 		if f.pid(p) == 0 && (role == "" || p.role == role) {
 			if err := f.start(p); err != nil {
 				return err
@@ -157,7 +157,7 @@
 // kill ends a process at once.
 func (f *fleet) kill(p *daemonProcess) {
 	f.mu.Lock()
-	cmd, ended := p.cmd, p.ended
+	cmd, ended := p.cmd, p.exited
 	p.cmd = nil
 	f.mu.Unlock()
 	if cmd != nil {
@@ -166,31 +166,31 @@
 	}
 }
 
-// killAll ends a role; the whole fleet if none is named.
-func (f *fleet) killAll(role string) {
-	for _, p := range f.procs {
+// killRole ends a role; the whole fleet if none is named.
+func (f *fleet) killRole(role string) {
+	for _, p := range f.processes {
 		if role == "" || p.role == role {
 			f.kill(p)
 		}
 	}
 }
 
-// until asks every so often whether something holds, for so long at most.
-func until(ctx context.Context, within, every time.Duration, holds func() bool) (time.Duration, bool) {
-	from := time.Now()
-	t := time.NewTicker(every)
-	defer t.Stop()
+// waitUntil asks every so often whether something holds, for so long at most.
+func waitUntil(ctx context.Context, timeout, interval time.Duration, condition func() bool) (time.Duration, bool) {
+	start := time.Now()
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
 	for {
-		if holds() {
-			return time.Since(from), true
+		if condition() {
+			return time.Since(start), true
 		}
-		if time.Since(from) > within {
-			return within, false
+		if time.Since(start) > timeout {
+			return timeout, false
 		}
 		select {
 		case <-ctx.Done():
-			return time.Since(from), false
-		case <-t.C:
+			return time.Since(start), false
+		case <-ticker.C:
 		}
 	}
 }
--- a/internal/testsupport/scaletest/plot.go
+++ b/internal/testsupport/scaletest/plot.go
@@ -18,7 +18,7 @@
 	p.X.Min, p.Y.Min = 0, 0
 	var in, out plotter.XYs
 	for _, x := range s.Points {
-		if x.Out {
+		if x.LeftOut {
 			out = append(out, plotter.XY{X: x.X, Y: x.Y})
 		} else {
 			in = append(in, plotter.XY{X: x.X, Y: x.Y})
@@ -41,11 +41,11 @@
 		p.Legend.Add(group.name, dots)
 	}
 	if s.Fit != nil {
-		f := plotter.NewFunction(s.Fit.At)
+		f := plotter.NewFunction(s.Fit.ValueAt)
 		f.Color = color.RGBA{R: 200, A: 255}
-		f.XMin, f.XMax = 0, s.At
+		f.XMin, f.XMax = 0, s.DesignPoint
 		p.Add(f)
-		p.X.Max, p.Y.Max = s.At, max(s.Extrapolated*1.05, p.Y.Max)
+		p.X.Max, p.Y.Max = s.DesignPoint, max(s.Extrapolated*1.05, p.Y.Max)
 		p.Legend.Add(fmt.Sprintf("fit, r2 %.3f", s.Fit.R2), f)
 	}
 	if s.Budget > 0 {
--- a/internal/testsupport/scaletest/policy.go
+++ b/internal/testsupport/scaletest/policy.go
@@ -5,13 +5,13 @@
 	"fmt"
 )
 
-// perChange is how many items go into one change: as many as one may name.
-const perChange = 1000
+// maxItemsPerChange is how many items go into one change: as many as one may name.
+const maxItemsPerChange = 1000
 
 type item map[string]any
 
-// Whole is the configuration of a size, as changes in the order to be made.
-func (s Size) Whole() [][]byte {
+// ConfigurationChanges is the configuration of a size, as changes in the order to be made.
+func (s Size) ConfigurationChanges() [][]byte {
 	var out [][]byte
 	var parts []item
 	flush := func() {
@@ -21,7 +21,7 @@
 		}
 	}
 	put := func(p item) {
-		if parts = append(parts, p); len(parts) == perChange {
+		if parts = append(parts, p); len(parts) == maxItemsPerChange {
 			flush()
 		}
 	}
@@ -56,8 +56,8 @@
 	}}
 }
 
-// Change is the nth change of one route, for the phase of changes.
-func (s Size) Change(run string, n int) []byte {
+// RouteChange is the nth change of one route, for the phase of changes.
+func (s Size) RouteChange(run string, n int) []byte {
 	raw, _ := json.Marshal(map[string]any{"id": fmt.Sprintf("hollow-%s-%d", run, n), "changes": []item{
 		{"kind": "route", "name": fmt.Sprintf("route-%d", n%s.Routes+1), "set": item{"limit_ms": 4000 + n}},
 	}})
--- a/internal/testsupport/scaletest/proxygroup.go
+++ b/internal/testsupport/scaletest/proxygroup.go
@@ -46,8 +46,8 @@
 
 // proxyStatus is what is known of a proxy from outside.
 type proxyStatus struct {
-	ready, inStep bool
-	revision      ids.Revision
+	ready, leaseValid bool
+	revision          ids.Revision
 	// configurationChangedAt and stood are when the configuration and the footing last changed.
 	configurationChangedAt, servingStateChangedAt time.Time
 }
@@ -60,14 +60,14 @@
 }
 
 const (
-	wirePort    = 7401
-	pagesPort   = 7400
-	tickEvery   = 50 * time.Millisecond
-	reportEvery = 2 * time.Second
+	wirePort       = 7401
+	httpPort       = 7400
+	tickInterval   = 50 * time.Millisecond
+	reportInterval = 2 * time.Second
 )
 
-// proxyAt is the address of the nth proxy.
-func proxyAt(block, n int) ids.Address {
+// proxyAddress is the address of the nth proxy.
+func proxyAddress(block, n int) ids.Address {
 	return ids.Address(fmt.Sprintf("127.%d.%d.%d:%d", block, 10+n/200, n%200+1, wirePort))
 }
 
@@ -81,7 +81,7 @@
 	}
 	log := process.NewLog("error", "hollow")
 	for n := p.First; n < p.First+p.Count; n++ {
-		at := proxyAt(p.Block, n)
+		at := proxyAddress(p.Block, n)
 		self := membership.Member{
 			ID: ids.DaemonID(fmt.Sprintf("proxy-%d", n+1)), Role: membership.Proxy, Address: at, HTTP: at,
 			Zone: size.Zone(n), RunID: ids.RunID(rand.Uint64()>>24 | 1), Incarnation: ids.Incarnation(time.Now().UnixMilli()),
@@ -95,39 +95,39 @@
 			Address: at, Log: log, Stats: &c.traffic,
 			Deliver: func(from ids.Address, msg any) { s.owner.Offer(event.Received{From: from, Msg: msg}) },
 		}
-		s.owner = process.NewOwner(s.control, tickEvery, s.do)
+		s.owner = process.NewOwner(s.control, tickInterval, s.execute)
 		c.proxies = append(c.proxies, s)
 	}
 	return c
 }
 
-// do carries out a command as a proxy does, up to where requests begin.
-func (s *hollowProxy) do(c event.Command) {
+// execute carries out a command as a proxy does, up to where requests begin.
+func (h *hollowProxy) execute(c event.Command) {
 	switch c := c.(type) {
 	case event.Send:
-		s.transport.Send(c.To, c.Msg)
+		h.transport.Send(c.To, c.Msg)
 	case proxy.DispatchEvent:
 		if stock, ok := c.Event.(dispatch.ServiceState); ok {
-			s.serviceStates[c.Service] = stock
+			h.serviceStates[c.Service] = stock
 		}
 	case proxy.UpdateRoutes:
-		s.mu.Lock()
-		s.revision, s.configurationChangedAt = c.View.Revision, time.Now()
-		s.mu.Unlock()
+		h.mu.Lock()
+		h.revision, h.configurationChangedAt = c.View.Revision, time.Now()
+		h.mu.Unlock()
 	case proxy.ServingState:
-		s.mu.Lock()
-		if s.ready != c.Ready || s.inStep != c.LeaseValid {
-			s.servingStateChangedAt = time.Now()
+		h.mu.Lock()
+		if h.ready != c.Ready || h.leaseValid != c.LeaseValid {
+			h.servingStateChangedAt = time.Now()
 		}
-		s.ready, s.inStep = c.Ready, c.LeaseValid
-		s.mu.Unlock()
+		h.ready, h.leaseValid = c.Ready, c.LeaseValid
+		h.mu.Unlock()
 	}
 }
 
 // Run runs them until the context ends.
-func (c *ProxyGroup) Run(ctx context.Context) error {
+func (g *ProxyGroup) Run(ctx context.Context) error {
 	sup := daemon.NewSupervisor("crew", process.NewLog("warn", "crew"))
-	for _, s := range c.proxies {
+	for _, s := range g.proxies {
 		l, err := s.transport.Listen()
 		if err != nil {
 			return err
@@ -135,16 +135,16 @@
 		sup.Add(s.owner)
 		sup.Add(daemon.NewTask("post", func(x context.Context) error { return s.transport.Serve(x, l) }))
 	}
-	sup.Add(daemon.NewTask("reports", c.report))
-	pages, err := api.Listen(c.HTTP)
+	sup.Add(daemon.NewTask("reports", g.reportUsage))
+	pages, err := api.Listen(g.HTTP)
 	if err != nil {
 		return err
 	}
 	mux := http.NewServeMux()
-	daemon.HandleMetrics(mux, func() []daemon.Metric { return daemon.TrafficMetrics(&c.traffic) })
+	daemon.HandleMetrics(mux, func() []daemon.Metric { return daemon.TrafficMetrics(&g.traffic) })
 	mux.HandleFunc("GET /state", func(rw http.ResponseWriter, _ *http.Request) {
 		rw.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(rw).Encode(c.state())
+		_ = json.NewEncoder(rw).Encode(g.states())
 	})
 	// What the proxies spend their time on names the mechanism behind a slope.
 	mux.HandleFunc("GET /debug/pprof/profile", pprof.Profile)
@@ -155,10 +155,10 @@
 	return api.Serve(ctx, pages, mux, 100*time.Millisecond)
 }
 
-// report hands each proxy, in turn over the interval, what its requests
+// reportUsage hands each proxy, in turn over the interval, what its requests
 // would have cost.
-func (c *ProxyGroup) report(ctx context.Context) error {
-	t := time.NewTicker(reportEvery / time.Duration(c.Count))
+func (g *ProxyGroup) reportUsage(ctx context.Context) error {
+	t := time.NewTicker(reportInterval / time.Duration(g.Count))
 	defer t.Stop()
 	for n := 0; ; n++ {
 		select {
@@ -166,29 +166,29 @@
 			return ctx.Err()
 		case <-t.C:
 		}
-		m := proxy.UsageSample{Interval: reportEvery, LatencyP95: 3 * time.Millisecond, Requests: 100}
-		for i := range c.Rows {
+		m := proxy.UsageSample{Interval: reportInterval, LatencyP95: 3 * time.Millisecond, Requests: 100}
+		for i := range g.Rows {
 			m.Rows = append(m.Rows, spill.ServiceUsage{Route: ids.Name(fmt.Sprintf("route-%d", i+1)), Service: "service-1", CPU: rand.Float64() * 10})
 		}
-		c.proxies[n%c.Count].owner.Offer(m)
+		g.proxies[n%g.Count].owner.Offer(m)
 	}
 }
 
 // ProxyState is how one proxy stands.
 type ProxyState struct {
-	Ready    bool  `json:"ready"`
-	InStep   bool  `json:"in_step"`
-	Revision int64 `json:"revision"`
+	Ready      bool  `json:"ready"`
+	LeaseValid bool  `json:"in_step"`
+	Revision   int64 `json:"revision"`
 	// ConfigurationChangedAt and Stood are wall times in ns, of this one machine.
 	ConfigurationChangedAt int64 `json:"adopted"`
 	ServingStateChangedAt  int64 `json:"stood"`
 }
 
-func (c *ProxyGroup) state() []ProxyState {
+func (g *ProxyGroup) states() []ProxyState {
 	var out []ProxyState
-	for _, s := range c.proxies {
+	for _, s := range g.proxies {
 		s.mu.Lock()
-		out = append(out, ProxyState{s.ready, s.inStep, int64(s.revision), s.configurationChangedAt.UnixNano(), s.servingStateChangedAt.UnixNano()})
+		out = append(out, ProxyState{s.ready, s.leaseValid, int64(s.revision), s.configurationChangedAt.UnixNano(), s.servingStateChangedAt.UnixNano()})
 		s.mu.Unlock()
 	}
 	return out
--- a/internal/testsupport/scaletest/reading.go
+++ b/internal/testsupport/scaletest/reading.go
@@ -12,48 +12,48 @@
 	"github.com/prometheus/procfs"
 )
 
-// flow is frames of one kind and way.
-type flow struct{ messages, bytes float64 }
+// traffic is frames of one kind and way.
+type traffic struct{ messages, bytes float64 }
 
-type flowKey struct{ way, kind string }
+type trafficKey struct{ direction, kind string }
 
 // measurement is what a role's processes have spent so far, by name.
 type measurement struct {
-	at    time.Time
-	procs map[string]*processUsage
+	at        time.Time
+	processes map[string]*processUsage
 }
 
 // processUsage is what one run of a process has spent.
 type processUsage struct {
-	pid, daemons, files int
-	// cpu is in seconds; resident and peak in bytes.
-	cpu, resident, peak, syncs float64
-	flows                      map[flowKey]flow
+	pid, daemons, descriptors int
+	// cpuSeconds is in seconds; resident and peak in bytes.
+	cpuSeconds, residentBytes, peakBytes, syncs float64
+	traffic                                     map[trafficKey]traffic
 }
 
-var client = http.Client{Timeout: 10 * time.Second}
+var httpClient = http.Client{Timeout: 10 * time.Second}
 
-// system adds what the kernel says of a process.
-func (r *processUsage) system(pid int) {
-	r.pid = pid
-	x, err := procfs.NewProc(r.pid)
+// readProc adds what the kernel says of a process.
+func (u *processUsage) readProc(pid int) {
+	u.pid = pid
+	proc, err := procfs.NewProc(u.pid)
 	if err != nil {
 		return
 	}
-	if s, err := x.Stat(); err == nil {
-		r.cpu, r.resident = s.CPUTime(), float64(s.ResidentMemory())
+	if s, err := proc.Stat(); err == nil {
+		u.cpuSeconds, u.residentBytes = s.CPUTime(), float64(s.ResidentMemory())
 	}
-	if s, err := x.NewStatus(); err == nil {
-		r.peak = float64(s.VmHWM)
+	if s, err := proc.NewStatus(); err == nil {
+		u.peakBytes = float64(s.VmHWM)
 	}
-	if n, err := x.FileDescriptorsLen(); err == nil {
-		r.files = n
+	if n, err := proc.FileDescriptorsLen(); err == nil {
+		u.descriptors = n
 	}
 }
 
-// page adds what the process says of itself.
-func (r *processUsage) page(p *daemonProcess) {
-	res, err := client.Get("http://" + p.http + "/metrics")
+// scrapeMetrics adds what the process says of itself.
+func (u *processUsage) scrapeMetrics(p *daemonProcess) {
+	res, err := httpClient.Get("http://" + p.httpAddress + "/metrics")
 	if err != nil {
 		return
 	}
@@ -63,19 +63,19 @@
 	if err != nil {
 		return
 	}
-	for name, add := range map[string]func(f *flow, v float64){
-		"dunlinwell_wire_messages_total": func(f *flow, v float64) { f.messages += v },
-		"dunlinwell_wire_bytes_total":    func(f *flow, v float64) { f.bytes += v },
+	for name, add := range map[string]func(f *traffic, v float64){
+		"dunlinwell_wire_messages_total": func(f *traffic, v float64) { f.messages += v },
+		"dunlinwell_wire_bytes_total":    func(f *traffic, v float64) { f.bytes += v },
 	} {
 		for _, m := range all[name].GetMetric() {
-			k := flowKey{label(m, "way"), label(m, "kind")}
-			f := r.flows[k]
+			k := trafficKey{label(m, "way"), label(m, "kind")}
+			f := u.traffic[k]
 			add(&f, m.GetCounter().GetValue())
-			r.flows[k] = f
+			u.traffic[k] = f
 		}
 	}
 	for _, m := range all["dunlinwell_disk_syncs_total"].GetMetric() {
-		r.syncs += m.GetCounter().GetValue()
+		u.syncs += m.GetCounter().GetValue()
 	}
 }
 
@@ -90,17 +90,17 @@
 
 var roles = []string{"proxy", "registry", "store"}
 
-// read takes a reading of every role. The pages cost CPU time of their own, so
+// measure takes a reading of every role. The pages cost CPU time of their own, so
 // a span begins after them and ends before them.
-func (f *fleet) read(begins bool) map[string]*measurement {
+func (f *fleet) measure(begins bool) map[string]*measurement {
 	out := map[string]*measurement{}
 	for _, role := range roles {
-		r := &measurement{procs: map[string]*processUsage{}}
-		list := f.of(role)
+		r := &measurement{processes: map[string]*processUsage{}}
+		list := f.running(role)
 		for _, p := range list {
-			r.procs[p.name] = &processUsage{daemons: p.daemons, flows: map[flowKey]flow{}}
+			r.processes[p.name] = &processUsage{daemons: p.daemons, traffic: map[trafficKey]traffic{}}
 		}
-		parts := []func(*daemonProcess){func(p *daemonProcess) { r.procs[p.name].page(p) }, func(p *daemonProcess) { r.procs[p.name].system(f.pid(p)) }}
+		parts := []func(*daemonProcess){func(p *daemonProcess) { r.processes[p.name].scrapeMetrics(p) }, func(p *daemonProcess) { r.processes[p.name].readProc(f.pid(p)) }}
 		if !begins {
 			slices.Reverse(parts)
 		}
@@ -118,11 +118,11 @@
 	return out
 }
 
-// stands asks the crews how their proxies stand.
-func (f *fleet) stands() []ProxyState {
+// proxyStates asks the crews how their proxies stand.
+func (f *fleet) proxyStates() []ProxyState {
 	var out []ProxyState
-	for _, p := range f.of("proxy") {
-		res, err := client.Get("http://" + p.http + "/state")
+	for _, p := range f.running("proxy") {
+		res, err := httpClient.Get("http://" + p.httpAddress + "/state")
 		if err != nil {
 			continue
 		}
--- a/internal/testsupport/scaletest/report.go
+++ b/internal/testsupport/scaletest/report.go
@@ -17,8 +17,8 @@
 	Slopes  []Slope `json:"slopes"`
 }
 
-// Write keeps the report in a folder: figures as JSON, slopes as SVG.
-func (r Report) Write(dir string) error {
+// Save keeps the report in a folder: figures as JSON, slopes as SVG.
+func (r Report) Save(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
@@ -31,7 +31,7 @@
 	}
 	for _, s := range r.Slopes {
 		if len(s.Points) > 1 {
-			if err := s.plot(filepath.Join(dir, s.file())); err != nil {
+			if err := s.plot(filepath.Join(dir, s.plotFile())); err != nil {
 				return err
 			}
 		}
@@ -39,14 +39,14 @@
 	return nil
 }
 
-// file names a slope's plot.
-func (s Slope) file() string {
+// plotFile names a slope's plot.
+func (s Slope) plotFile() string {
 	short, _, _ := strings.Cut(strings.ReplaceAll(s.Measure, ":", ""), ",")
 	return strings.ReplaceAll(fmt.Sprintf("%s-%s-%s.svg", s.Phase, s.Role, short), " ", "-")
 }
 
-// Show prints the runs and their slopes as tables.
-func (r Report) Show(to io.Writer) error {
+// WriteTables prints the runs and their slopes as tables.
+func (r Report) WriteTables(to io.Writer) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "size\tphase\ttook s\trole\tCPU %\tbusiest %\tMB\tsent B/s\trecv B/s\tmsg/s\tlost\tfiles\tlag p50/p99/max ms\tmostly")
 	for _, run := range r.Runs {
@@ -54,18 +54,18 @@
 			for _, s := range p.Usages {
 				mostly := ""
 				for _, k := range s.Kinds[:min(2, len(s.Kinds))] {
-					mostly += fmt.Sprintf("%s %.1f/s of %.0f B; ", k.Kind, k.Messages, k.Size)
+					mostly += fmt.Sprintf("%s %.1f/s of %.0f B; ", k.Kind, k.MessagesPerSecond, k.BytesPerMessage)
 				}
-				fmt.Fprintf(w, "%.0f %s\t%s\t%.1f\t%s\t%.2f\t%.0f\t%.1f\t%.0f\t%.0f\t%.1f\t%.0f\t%.0f\t%.0f/%.0f/%.0f\t%s\n", run.Size.Of(Axis(r.sizes())), Axis(r.sizes()), p.Name, p.Took, s.Role,
-					s.CPU, s.Busiest, s.Memory, s.Sent, s.Received, s.Messages, s.Lost, s.Files, p.Lag.P50, p.Lag.P99, p.Lag.Max, mostly)
+				fmt.Fprintf(w, "%.0f %s\t%s\t%.1f\t%s\t%.2f\t%.0f\t%.1f\t%.0f\t%.0f\t%.1f\t%.0f\t%.0f\t%.0f/%.0f/%.0f\t%s\n", run.Size.Along(Axis(r.sizes())), Axis(r.sizes()), p.Name, p.Seconds, s.Role,
+					s.CPUPercent, s.BusiestProcessCPUPercent, s.MemoryMB, s.SentBytesPerSecond, s.ReceivedBytesPerSecond, s.SentMessagesPerSecond, s.LostMessages, s.Descriptors, p.Lag.P50, p.Lag.P99, p.Lag.Max, mostly)
 			}
 		}
 		for _, p := range run.Phases {
-			if n := p.Distrust(); n > restlessSuspicionsPerSecond && (p.Name == "steady" || p.Name == "change") {
+			if n := p.SuspicionsPerSecond(); n > restlessSuspicionsPerSecond && (p.Name == "steady" || p.Name == "change") {
 				fmt.Fprintf(w, "not at rest: %s, %.2f inquiries and suspicions a second from each proxy\n", p.Name, n)
 			}
 		}
-		fmt.Fprintf(w, "machine: load %.1f on %d processors, %d threads a process\n", run.Load, run.Cores, run.Threads)
+		fmt.Fprintf(w, "machine: load %.1f on %d processors, %d threads a process\n", run.LoadAverage, run.Cores, run.Threads)
 		if run.Stopped != "" {
 			fmt.Fprintf(w, "stopped at %s: %s\n", run.Size, run.Stopped)
 		}
@@ -77,17 +77,17 @@
 			continue
 		}
 		x := "x"
-		if s.Fit.Shape == square {
+		if s.Fit.Shape == quadratic {
 			x = "x²"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%.4g + %.4g %s\t%.3f\t%d\t%d\t%.0f %s\t%.4g\t%s\n", s.Phase, s.Role, s.Measure, s.Fit.A, s.Fit.B, x, s.Fit.R2,
-			s.Fit.Points, len(s.Points)-s.Fit.Points, s.At, s.Axis, s.Extrapolated, s.beside())
+		fmt.Fprintf(w, "%s\t%s\t%s\t%.4g + %.4g %s\t%.3f\t%d\t%d\t%.0f %s\t%.4g\t%s\n", s.Phase, s.Role, s.Measure, s.Fit.Intercept, s.Fit.Slope, x, s.Fit.R2,
+			s.Fit.PointCount, len(s.Points)-s.Fit.PointCount, s.DesignPoint, s.Axis, s.Extrapolated, s.comparedWithBudget())
 	}
 	return w.Flush()
 }
 
-// beside sets what was worked out beside its budget.
-func (s Slope) beside() string {
+// comparedWithBudget sets what was worked out beside its budget.
+func (s Slope) comparedWithBudget() string {
 	switch {
 	case s.Budget == 0:
 		return ""
--- a/internal/testsupport/scaletest/run.go
+++ b/internal/testsupport/scaletest/run.go
@@ -13,13 +13,13 @@
 )
 
 // Check rejects sizes that this machine has no room for.
-func (p Options) Check() error {
-	l, err := Machine()
+func (o Options) Check() error {
+	l, err := MachineLimits()
 	if err != nil {
 		return err
 	}
-	for _, s := range p.Sizes {
-		if err := RequirementsOf(s, p.ProxiesPerGroup).Fits(s, l); err != nil {
+	for _, s := range o.Sizes {
+		if err := RequirementsOf(s, o.ProxiesPerGroup).CheckFits(s, l); err != nil {
 			return err
 		}
 	}
@@ -33,8 +33,8 @@
 	}
 	var out []Run
 	for i, s := range p.Sizes {
-		p.Show(fmt.Sprintf("run %d of %d: %s", i+1, len(p.Sizes), s))
-		r, err := one(ctx, p, s)
+		p.Progress(fmt.Sprintf("run %d of %d: %s", i+1, len(p.Sizes), s))
+		r, err := runSize(ctx, p, s)
 		if err != nil {
 			return out, err
 		}
@@ -49,14 +49,14 @@
 // sizeRun is one run under way.
 type sizeRun struct {
 	*fleet
-	run      *Run
+	result   *Run
 	ctx      context.Context
 	targets  *targets
 	revision int64
 }
 
-// one plays all phases of one size, as far as they go.
-func one(ctx context.Context, p Options, s Size) (Run, error) {
+// runSize plays all phases of one size, as far as they go.
+func runSize(ctx context.Context, p Options, s Size) (Run, error) {
 	r := Run{Size: s, Thrifty: p.Thrifty, Cores: runtime.NumCPU(), Threads: runtime.GOMAXPROCS(0), Changes: p.Changes}
 	// An earlier run's folders would found another fleet.
 	if err := os.RemoveAll(p.Dir); err != nil {
@@ -65,93 +65,93 @@
 	if err := os.MkdirAll(p.Dir, 0o755); err != nil {
 		return r, err
 	}
-	f := layOut(p, s)
-	defer f.killAll("")
-	if err := f.startAll(""); err != nil {
+	f := newFleet(p, s)
+	defer f.killRole("")
+	if err := f.startRole(""); err != nil {
 		return r, err
 	}
 	life, end := context.WithCancelCause(ctx)
 	defer end(nil)
-	go f.guard(life, end)
-	x := &sizeRun{fleet: f, run: &r, ctx: life, targets: newTargets(f)}
+	go f.enforceMemoryLimit(life, end)
+	x := &sizeRun{fleet: f, result: &r, ctx: life, targets: newTargets(f)}
 	for _, phase := range []struct {
 		name string
 		do   func(*Phase)
 	}{
-		{"start", x.starts},
-		{"policy", x.configurations},
-		{"targets", x.arrive},
-		{"steady", x.steady},
-		{"change", x.changes},
-		{"registry-lost", x.registryLost},
-		{"proxies-back", x.proxiesBack},
+		{"start", x.awaitStart},
+		{"policy", x.loadConfiguration},
+		{"targets", x.announceTargets},
+		{"steady", x.steadyState},
+		{"change", x.applyChanges},
+		{"registry-lost", x.restartRegistry},
+		{"proxies-back", x.restartProxies},
 	} {
 		ph := Phase{Name: phase.name}
-		before := f.read(true)
+		before := f.measure(true)
 		from := time.Now()
 		phase.do(&ph)
-		ph.Took = time.Since(from).Seconds()
-		after := f.read(false)
+		ph.Seconds = time.Since(from).Seconds()
+		after := f.measure(false)
 		for _, role := range roles {
-			ph.Usages = append(ph.Usages, between(role, before[role], after[role]))
+			ph.Usages = append(ph.Usages, usageBetween(role, before[role], after[role]))
 		}
 		r.Phases = append(r.Phases, ph)
-		p.Show(fmt.Sprintf("  %-14s %6.1f s  done %v  %s", ph.Name, ph.Took, ph.Done, ph.Note))
+		p.Progress(fmt.Sprintf("  %-14s %6.1f s  done %v  %s", ph.Name, ph.Seconds, ph.Completed, ph.Note))
 		if life.Err() != nil {
 			r.Stopped = fmt.Sprintf("%s: %v; %s", ph.Name, context.Cause(life), ph.Note)
 			break
 		}
-		if !ph.Done {
+		if !ph.Completed {
 			r.Stopped = ph.Name + ": " + ph.Note
 			break
 		}
 	}
-	r.Load = load()
+	r.LoadAverage = loadAverage()
 	return r, nil
 }
 
-// guard ends a run that grows beyond half of the machine's memory: what waits
+// enforceMemoryLimit ends a run that grows beyond half of the machine's memory: what waits
 // in inboxes while a fleet can't keep up is in no estimate.
-func (f *fleet) guard(ctx context.Context, end context.CancelCauseFunc) {
-	l, err := Machine()
+func (f *fleet) enforceMemoryLimit(ctx context.Context, end context.CancelCauseFunc) {
+	l, err := MachineLimits()
 	if err != nil {
 		return
 	}
-	_, over := until(ctx, 24*time.Hour, time.Second, func() bool {
+	_, over := waitUntil(ctx, 24*time.Hour, time.Second, func() bool {
 		held := 0.0
 		for _, role := range roles {
-			for _, p := range f.of(role) {
+			for _, p := range f.running(role) {
 				var s processUsage
-				s.system(f.pid(p))
-				held += s.resident
+				s.readProc(f.pid(p))
+				held += s.residentBytes
 			}
 		}
 		return held > float64(l.Memory/2)
 	})
 	if over {
 		end(fmt.Errorf("the fleet took over half of the machine's memory, %d MiB", l.Memory/2/mib))
-		f.killAll("proxy")
+		f.killRole("proxy")
 	}
 }
 
-// starts waits until all stores and registries answer and the fleet has
+// awaitStart waits until all stores and registries answer and the fleet has
 // found together: no proxy can be in step before there is a configuration.
-func (x *sizeRun) starts(ph *Phase) {
-	_, ph.Done = until(x.ctx, x.PhaseTimeout, 100*time.Millisecond, func() bool {
-		return len(x.stands()) == x.Size.Proxies && x.readyCore() == 3+x.Core
+func (r *sizeRun) awaitStart(phase *Phase) {
+	_, phase.Completed = waitUntil(r.ctx, r.PhaseTimeout, 100*time.Millisecond, func() bool {
+		return len(r.proxyStates()) == r.Size.Proxies && r.readyCore() == 3+r.Core
 	})
-	ph.Note = fmt.Sprintf("%d core daemons ready", x.readyCore())
+	phase.Note = fmt.Sprintf("%d core daemons ready", r.readyCore())
 }
 
 // readyCore counts registries and voting stores that are ready.
-func (x *sizeRun) readyCore() int {
+func (r *sizeRun) readyCore() int {
 	n := 0
 	for _, role := range []string{"store", "registry"} {
-		for i, p := range x.of(role) {
+		for i, p := range r.running(role) {
 			if role == "store" && i >= 3 {
 				break
 			}
-			if res, err := client.Get("http://" + p.http + "/readyz"); err == nil {
+			if res, err := httpClient.Get("http://" + p.httpAddress + "/readyz"); err == nil {
 				res.Body.Close()
 				if res.StatusCode == http.StatusOK {
 					n++
@@ -162,13 +162,13 @@
 	return n
 }
 
-// post makes a change through any registry; it gives the revision.
-func (x *sizeRun) post(raw []byte) (int64, error) {
+// postChange makes a change through any registry; it gives the revision.
+func (r *sizeRun) postChange(raw []byte) (int64, error) {
 	var last error
 	// An uncertain outcome is asked for again under the same id.
 	for range 3 {
-		for _, p := range x.of("registry") {
-			res, err := client.Post("http://"+p.http+"/v1/change", "application/json", bytes.NewReader(raw))
+		for _, p := range r.running("registry") {
+			res, err := httpClient.Post("http://"+p.httpAddress+"/v1/change", "application/json", bytes.NewReader(raw))
 			if err != nil {
 				last = err
 				continue
@@ -191,33 +191,33 @@
 	return 0, last
 }
 
-// inForce waits until every proxy goes by a revision, and gives how long
+// awaitRevision waits until every proxy goes by a revision, and gives how long
 // after the change was asked for each did.
-func (x *sizeRun) inForce(rev int64, from time.Time) ([]time.Duration, bool) {
+func (r *sizeRun) awaitRevision(revision int64, start time.Time) ([]time.Duration, bool) {
 	var stands []ProxyState
-	_, ok := until(x.ctx, x.PhaseTimeout, 50*time.Millisecond, func() bool {
-		stands = x.stands()
+	_, ok := waitUntil(r.ctx, r.PhaseTimeout, 50*time.Millisecond, func() bool {
+		stands = r.proxyStates()
 		n := 0
 		for _, s := range stands {
-			if s.Revision >= rev {
+			if s.Revision >= revision {
 				n++
 			}
 		}
-		return n == x.Size.Proxies
+		return n == r.Size.Proxies
 	})
 	var out []time.Duration
 	for _, s := range stands {
-		if s.Revision >= rev {
-			out = append(out, time.Duration(s.ConfigurationChangedAt-from.UnixNano()))
+		if s.Revision >= revision {
+			out = append(out, time.Duration(s.ConfigurationChangedAt-start.UnixNano()))
 		}
 	}
 	return out, ok
 }
 
-// count tells how many proxies are ready.
-func (x *sizeRun) count() int {
+// readyProxies tells how many proxies are ready.
+func (r *sizeRun) readyProxies() int {
 	n := 0
-	for _, s := range x.stands() {
+	for _, s := range r.proxyStates() {
 		if s.Ready {
 			n++
 		}
--- a/internal/testsupport/scaletest/scaletest_test.go
+++ b/internal/testsupport/scaletest/scaletest_test.go
@@ -14,7 +14,7 @@
 )
 
 // A small fleet plays every phase, each role is counted, and the report is there.
-func TestSmallFleet(t *testing.T) {
+func TestRunSizes_SmallFleetCompletesEveryPhase(t *testing.T) {
 	is := is.New(t)
 	bin := t.TempDir()
 	out, err := exec.Command("go", "build", "-o", bin+"/", "dunlinwell/cmd/registry", "dunlinwell/cmd/store", "dunlinwell/cmd/testbed").CombinedOutput()
@@ -23,7 +23,7 @@
 	}
 	p := Options{
 		Sizes: []Size{small}, Bin: bin, ProxyGroupBinary: filepath.Join(bin, "testbed"), Dir: filepath.Join(t.TempDir(), "fleet"), Thrifty: true, ProxiesPerGroup: 4,
-		PhaseDuration: 2 * time.Second, PhaseTimeout: 30 * time.Second, Interval: 500 * time.Millisecond, Rows: 3, Changes: 2, Block: 250 + os.Getpid()%4, Show: func(s string) { t.Log(s) },
+		PhaseDuration: 2 * time.Second, PhaseTimeout: 30 * time.Second, AnnounceInterval: 500 * time.Millisecond, UsageRows: 3, Changes: 2, LoopbackBlock: 250 + os.Getpid()%4, Progress: func(s string) { t.Log(s) },
 	}
 	runs, err := RunSizes(t.Context(), p)
 	is.NoErr(err)
@@ -31,45 +31,45 @@
 	is.Equal(runs[0].Stopped, "")
 	is.Equal(len(runs[0].Phases), 7)
 	for _, ph := range runs[0].Phases {
-		is.True(ph.Done)
+		is.True(ph.Completed)
 	}
-	steady, ok := runs[0].Phase("steady")
+	steady, ok := runs[0].CompletedPhase("steady")
 	is.True(ok)
 	for _, role := range roles {
-		s, ok := steady.Of(role)
+		s, ok := steady.UsageOf(role)
 		is.True(ok)
-		is.True(s.CPU > 0)
-		is.True(s.Memory > 0)
-		is.True(s.Sent > 0)
-		is.True(s.Received > 0)
+		is.True(s.CPUPercent > 0)
+		is.True(s.MemoryMB > 0)
+		is.True(s.SentBytesPerSecond > 0)
+		is.True(s.ReceivedBytesPerSecond > 0)
 		is.True(len(s.Kinds) > 0)
 	}
-	c, _ := steady.Of("proxy")
+	c, _ := steady.UsageOf("proxy")
 	is.Equal(c.Daemons, small.Proxies)
-	back, _ := runs[0].Phase("proxies-back")
+	back, _ := runs[0].CompletedPhase("proxies-back")
 	is.True(back.Lag.Max >= back.Lag.P50)
-	r := Report{Runs: runs, Slopes: SlopesOf(runs)}
+	r := Report{Runs: runs, Slopes: FitSlopes(runs)}
 	dir := t.TempDir()
-	is.NoErr(r.Write(dir))
+	is.NoErr(r.Save(dir))
 	raw, err := os.ReadFile(filepath.Join(dir, "hollow.json"))
 	is.NoErr(err)
 	var again Report
 	is.NoErr(json.Unmarshal(raw, &again))
 	is.Equal(again.Runs[0].Size, small)
 	var table strings.Builder
-	is.NoErr(r.Show(&table))
+	is.NoErr(r.WriteTables(&table))
 	is.True(strings.Contains(table.String(), "distribution.Ack"))
 }
 
 var small = Size{Proxies: 6, Targets: 8, Services: 2, Routes: 5, Tenants: 3, Zones: 3, Regions: 2, Core: 3}
 
 // What doesn't fit is rejected before anything starts, with the bytes.
-func TestPlayRejectsBeforeAnythingStarts(t *testing.T) {
+func TestRunSizes_RejectsOversizedBeforeAnythingStarts(t *testing.T) {
 	is := is.New(t)
 	dir := filepath.Join(t.TempDir(), "fleet")
 	s := small
 	s.Proxies, s.Targets, s.Tenants = 20000, 1000000, 10000000
-	_, err := RunSizes(context.Background(), Options{Sizes: []Size{small, s}, Dir: dir, ProxiesPerGroup: 400, Show: func(string) {}})
+	_, err := RunSizes(context.Background(), Options{Sizes: []Size{small, s}, Dir: dir, ProxiesPerGroup: 400, Progress: func(string) {}})
 	is.True(err != nil)
 	is.True(strings.Contains(err.Error(), "bytes"))
 	_, err = os.Stat(dir)
--- a/internal/testsupport/scaletest/size.go
+++ b/internal/testsupport/scaletest/size.go
@@ -54,8 +54,8 @@
 	return axes[0].name
 }
 
-// Of gives the size along an axis.
-func (s Size) Of(axis string) float64 {
+// Along gives the size along an axis.
+func (s Size) Along(axis string) float64 {
 	for _, a := range axes {
 		if a.name == axis {
 			return float64(*a.of(&s))
@@ -64,9 +64,9 @@
 	return 0
 }
 
-// Lists are sizes as flags give them: one number that holds for all runs, or
+// SizeFlags are sizes as flags give them: one number that holds for all runs, or
 // as many as there are runs.
-type Lists struct {
+type SizeFlags struct {
 	Proxies  []int `help:"Hollow proxies; several sizes, such as 50,100,200, give slopes." default:"50,100,200" name:"proxies"`
 	Targets  []int `help:"Targets that announce themselves." default:"200" name:"targets"`
 	Services []int `help:"Services." default:"20" name:"services"`
@@ -78,7 +78,7 @@
 }
 
 // Sizes gives one size a run, or says which list doesn't fit the others.
-func (l Lists) Sizes() ([]Size, error) {
+func (l SizeFlags) Sizes() ([]Size, error) {
 	lists := [][]int{l.Proxies, l.Targets, l.Services, l.Routes, l.Tenants, l.Zones, l.Regions, l.Core}
 	runs := 1
 	for _, list := range lists {
--- a/internal/testsupport/scaletest/targets.go
+++ b/internal/testsupport/scaletest/targets.go
@@ -14,35 +14,35 @@
 
 // targets announce themselves, a few senders for all of them.
 type targets struct {
-	f        *fleet
-	client   http.Client
-	sequence atomic.Uint64
-	answered atomic.Uint64
-	failed   atomic.Uint64
+	fleet        *fleet
+	httpClient   http.Client
+	sequence     atomic.Uint64
+	acknowledged atomic.Uint64
+	failed       atomic.Uint64
 }
 
-const senders = 16
+const senderCount = 16
 
 func newTargets(f *fleet) *targets {
-	return &targets{f: f, client: http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: senders}}}
+	return &targets{fleet: f, httpClient: http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: senderCount}}}
 }
 
 // run announces each target once an interval, spread over it, until the
 // context ends.
 func (t *targets) run(ctx context.Context) {
-	if t.f.Targets == 0 {
+	if t.fleet.Targets == 0 {
 		return
 	}
 	next := make(chan int)
 	var all sync.WaitGroup
-	for range senders {
+	for range senderCount {
 		all.Go(func() {
 			for n := range next {
 				t.announce(ctx, n)
 			}
 		})
 	}
-	gap := t.f.Interval / time.Duration(t.f.Targets)
+	gap := t.fleet.AnnounceInterval / time.Duration(t.fleet.Targets)
 	for n, due := 0, time.Now(); ctx.Err() == nil; n++ {
 		due = due.Add(gap)
 		// A sender that falls behind doesn't announce in bursts.
@@ -56,7 +56,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case next <- n % t.f.Targets:
+		case next <- n % t.fleet.Targets:
 		}
 	}
 	close(next)
@@ -67,23 +67,23 @@
 func (t *targets) announce(ctx context.Context, n int) {
 	raw, _ := json.Marshal(map[string]any{
 		"instance": fmt.Sprintf("target-%d", n+1), "incarnation": 1, "sequence": t.sequence.Add(1),
-		"service": t.f.Service(n), "cell": t.f.Zone(n), "address": fmt.Sprintf("127.%d.%d.%d:8000", t.f.Block, 200+n/250, n%250+1),
-		"warmth": 1, "occupancy": n % 7, "capacity": 16, "interval_ms": t.f.Interval.Milliseconds(),
+		"service": t.fleet.Service(n), "cell": t.fleet.Zone(n), "address": fmt.Sprintf("127.%d.%d.%d:8000", t.fleet.LoopbackBlock, 200+n/250, n%250+1),
+		"warmth": 1, "occupancy": n % 7, "capacity": 16, "interval_ms": t.fleet.AnnounceInterval.Milliseconds(),
 	})
-	registries := t.f.of("registry")
+	registries := t.fleet.running("registry")
 	for i := range registries {
-		r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+registries[(n+i)%len(registries)].http+"/v1/announce", bytes.NewReader(raw))
+		r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+registries[(n+i)%len(registries)].httpAddress+"/v1/announce", bytes.NewReader(raw))
 		if err != nil {
 			return
 		}
-		res, err := t.client.Do(r)
+		res, err := t.httpClient.Do(r)
 		if err != nil {
 			continue
 		}
 		_, _ = io.Copy(io.Discard, res.Body)
 		res.Body.Close()
 		if res.StatusCode == http.StatusOK {
-			t.answered.Add(1)
+			t.acknowledged.Add(1)
 			return
 		}
 	}
--- a/internal/testsupport/testbed/consumer.go
+++ b/internal/testsupport/testbed/consumer.go
@@ -28,18 +28,18 @@
 	// Delay is the time one way between two IP numbers.
 	Delay       func(from, to string) time.Duration
 	Testbed     *Testbed
-	next        atomic.Int64
+	lastID      atomic.Int64
 	mu          sync.Mutex
 	resolutions map[string]resolution
-	open        sync.WaitGroup
+	pending     sync.WaitGroup
 	// hot, if set, is the zone that most requests begin in.
-	hot atomic.Pointer[ids.Name]
+	hotZone atomic.Pointer[ids.Name]
 }
 
 type resolution struct {
-	zone    ids.Name
-	proxies []string
-	until   time.Time
+	zone      ids.Name
+	proxies   []string
+	expiresAt time.Time
 }
 
 const (
@@ -55,10 +55,10 @@
 func (c *Clients) Run(ctx context.Context) {
 	c.resolutions = map[string]resolution{}
 	for home := range c.Plan.Zones {
-		for _, w := range c.Plan.Routes {
-			for seat := range heldEach {
-				if w.Repeatable {
-					c.open.Go(func() { c.hold(ctx, home, w, seat) })
+		for _, route := range c.Plan.Routes {
+			for slot := range heldConnectionsPerRoute {
+				if route.Repeatable {
+					c.pending.Go(func() { c.holdConnections(ctx, home, route, slot) })
 				}
 			}
 		}
@@ -66,92 +66,92 @@
 	gap := time.Duration(float64(time.Second) / c.Plan.Rate)
 	tick := time.NewTicker(gap)
 	defer tick.Stop()
-	room := make(chan struct{}, maxActive)
+	slots := make(chan struct{}, maxActive)
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 		case <-tick.C:
 			select {
-			case room <- struct{}{}:
-				c.open.Go(func() { c.one(); <-room })
+			case slots <- struct{}{}:
+				c.pending.Go(func() { c.sendWithRetries(); <-slots })
 			default:
 			}
 		}
 	}
-	c.open.Wait()
+	c.pending.Wait()
 }
 
-func (c *Clients) draw() blueprint.Route {
+func (c *Clients) randomRoute() blueprint.Route {
 	x := rand.Float64()
-	for _, w := range c.Plan.Routes {
-		if x -= w.Share; x < 0 {
-			return w
+	for _, route := range c.Plan.Routes {
+		if x -= route.Share; x < 0 {
+			return route
 		}
 	}
 	return c.Plan.Routes[0]
 }
 
-// one is one request with its repeats.
-func (c *Clients) one() {
-	w, n := c.draw(), c.next.Add(1)
+// sendWithRetries is one request with its repeats.
+func (c *Clients) sendWithRetries() {
+	route, n := c.randomRoute(), c.lastID.Add(1)
 	// Some ask for the route that operators move about.
-	loose := rand.IntN(15) == 0
-	if loose {
-		w = blueprint.Route{Name: blueprint.FlippedRoute, Prefix: "/" + blueprint.FlippedRoute, Repeatable: true}
+	toFlippedRoute := rand.IntN(15) == 0
+	if toFlippedRoute {
+		route = blueprint.Route{Name: blueprint.FlippedRoute, Prefix: "/" + blueprint.FlippedRoute, Repeatable: true}
 	}
-	home := rand.IntN(c.Plan.Zones)
-	if h := c.hot.Load(); h != nil && rand.IntN(100) < hotShare {
+	zoneIndex := rand.IntN(c.Plan.Zones)
+	if h := c.hotZone.Load(); h != nil && rand.IntN(100) < hotShare {
 		for i := range c.Plan.Zones {
 			if c.Plan.Zone(i) == *h {
-				home = i
+				zoneIndex = i
 			}
 		}
 	}
-	token, mark := fmt.Sprintf("t%d", n), ""
-	if !w.Repeatable {
-		mark = fmt.Sprintf("%s-%d-%x", w.Name, n, rand.Uint32())
+	token, idempotencyKey := fmt.Sprintf("t%d", n), ""
+	if !route.Repeatable {
+		idempotencyKey = fmt.Sprintf("%s-%d-%x", route.Name, n, rand.Uint32())
 	}
-	due := time.Now().Add(3 * attemptTimeout)
-	for try := 1; try <= maxAttempts && time.Now().Before(due); try++ {
-		g := c.send(w, home, token, mark, try)
-		g.NoAnswerOwed = loose
-		c.Checker.RequestAnswered(g)
+	deadline := time.Now().Add(3 * attemptTimeout)
+	for attempt := 1; attempt <= maxAttempts && time.Now().Before(deadline); attempt++ {
+		response := c.sendOnce(route, zoneIndex, token, idempotencyKey, attempt)
+		response.NoAnswerOwed = toFlippedRoute
+		c.Checker.RequestAnswered(response)
 		// Now and then one that has its answer asks again all the same.
-		if g.Class == "misused" || g.Class == "answered" && (mark == "" || rand.IntN(8) > 0) {
+		if response.Class == "misused" || response.Class == "answered" && (idempotencyKey == "" || rand.IntN(8) > 0) {
 			return
 		}
 		// A final "may have run" is not asked again by a machine, as often as
 		// not; these ones do, to see that nothing runs twice.
-		time.Sleep(time.Duration(200*try)*time.Millisecond + time.Duration(rand.IntN(200))*time.Millisecond)
+		time.Sleep(time.Duration(200*attempt)*time.Millisecond + time.Duration(rand.IntN(200))*time.Millisecond)
 	}
 }
 
-// where asks the directory, and keeps to its answer for its lifetime.
-func (c *Clients) where(w blueprint.Route, home ids.Name, slot int) (resolution, bool) {
-	key := key(home, w, slot)
+// resolve asks the directory, and keeps to its answer for its lifetime.
+func (c *Clients) resolve(route blueprint.Route, zone ids.Name, slot int) (resolution, bool) {
+	key := resolutionKey(zone, route, slot)
 	c.mu.Lock()
 	have, ok := c.resolutions[key]
 	c.mu.Unlock()
-	if ok && time.Now().Before(have.until) {
+	if ok && time.Now().Before(have.expiresAt) {
 		return have, true
 	}
-	for _, f := range c.Registries() {
-		res, err := from(c.at(home), 500*time.Millisecond).Get(fmt.Sprintf("http://%s/v1/where?cell=%s&route=%s", f, home, w.Name))
+	for _, registry := range c.Registries() {
+		res, err := clientFrom(c.zoneAddress(zone), 500*time.Millisecond).Get(fmt.Sprintf("http://%s/v1/where?cell=%s&route=%s", registry, zone, route.Name))
 		if err != nil {
 			continue
 		}
-		var ans struct {
+		var answer struct {
 			Zone     ids.Name `json:"cell"`
 			Proxies  []string `json:"proxies"`
 			Lifetime int64    `json:"lifetime_ms"`
 		}
-		err = json.NewDecoder(res.Body).Decode(&ans)
+		err = json.NewDecoder(res.Body).Decode(&answer)
 		res.Body.Close()
-		if err != nil || res.StatusCode != 200 || len(ans.Proxies) == 0 {
+		if err != nil || res.StatusCode != 200 || len(answer.Proxies) == 0 {
 			continue
 		}
-		c.Checker.DirectoryAnswered(checker.DirectoryAnswer{At: time.Now(), ClientZone: home, ProxyZone: ans.Zone, Route: w.Name})
-		have = resolution{ans.Zone, ans.Proxies, time.Now().Add(time.Duration(ans.Lifetime) * time.Millisecond)}
+		c.Checker.DirectoryAnswered(checker.DirectoryAnswer{At: time.Now(), ClientZone: zone, ProxyZone: answer.Zone, Route: route.Name})
+		have = resolution{answer.Zone, answer.Proxies, time.Now().Add(time.Duration(answer.Lifetime) * time.Millisecond)}
 		c.mu.Lock()
 		c.resolutions[key] = have
 		c.mu.Unlock()
@@ -160,83 +160,83 @@
 	return have, false
 }
 
-// slots is how many clients of a zone and route ask for themselves.
-const slots = 8
+// clientsPerRoute is how many clients of a zone and route ask for themselves.
+const clientsPerRoute = 8
 
-func key(home ids.Name, w blueprint.Route, slot int) string {
+func resolutionKey(home ids.Name, w blueprint.Route, slot int) string {
 	return fmt.Sprintf("%s/%s/%d", home, w.Name, slot)
 }
 
-// at is where the clients of a zone call from.
-func (c *Clients) at(zone ids.Name) string {
+// zoneAddress is where the clients of a zone call from.
+func (c *Clients) zoneAddress(zone ids.Name) string {
 	for i := range c.Plan.Zones {
 		if c.Plan.Zone(i) == zone {
-			return clientAt(i)
+			return clientAddress(i)
 		}
 	}
-	return clientAt(0)
+	return clientAddress(0)
 }
 
-func (c *Clients) forget(w blueprint.Route, home ids.Name, slot int) {
+func (c *Clients) forgetResolution(route blueprint.Route, zone ids.Name, slot int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.resolutions, key(home, w, slot))
+	delete(c.resolutions, resolutionKey(zone, route, slot))
 }
 
-func (c *Clients) send(w blueprint.Route, home int, token, mark string, try int) checker.ClientResponse {
-	zone := c.Plan.Zone(home)
-	slot := rand.IntN(slots)
-	to, ok := c.where(w, zone, slot)
+func (c *Clients) sendOnce(route blueprint.Route, zoneIndex int, token, idempotencyKey string, attempt int) checker.ClientResponse {
+	zone := c.Plan.Zone(zoneIndex)
+	slot := rand.IntN(clientsPerRoute)
+	resolved, ok := c.resolve(route, zone, slot)
 	if !ok {
 		now := time.Now()
-		return checker.ClientResponse{Sent: now, At: now, Token: token, IdempotencyKey: mark, Attempt: try, Class: "unreached"}
+		return checker.ClientResponse{Sent: now, At: now, Token: token, IdempotencyKey: idempotencyKey, Attempt: attempt, Class: "unreached"}
 	}
-	at := to.proxies[rand.IntN(len(to.proxies))]
-	trip := c.Delay(clientAt(home), host(at))
-	time.Sleep(trip)
-	defer time.Sleep(trip)
-	g, _ := c.request(context.Background(), from(clientAt(home), attemptTimeout+time.Second), w, at, to.zone, token, mark, try)
-	if g.Class != "answered" {
-		c.forget(w, zone, slot)
+	at := resolved.proxies[rand.IntN(len(resolved.proxies))]
+	latency := c.Delay(clientAddress(zoneIndex), ipOf(at))
+	time.Sleep(latency)
+	defer time.Sleep(latency)
+	response, _ := c.sendAttempt(context.Background(), clientFrom(clientAddress(zoneIndex), attemptTimeout+time.Second), route, at, resolved.zone, token, idempotencyKey, attempt)
+	if response.Class != "answered" {
+		c.forgetResolution(route, zone, slot)
 	}
-	return g
+	return response
 }
 
-// request sends one attempt to a proxy; closes tells that its connection ends.
-func (c *Clients) request(ctx context.Context, client *http.Client, w blueprint.Route, at string, zone ids.Name, token, mark string, try int) (g checker.ClientResponse, closes bool) {
-	g = checker.ClientResponse{Sent: time.Now(), Token: token, IdempotencyKey: mark, Attempt: try, Class: "lost", Proxy: at, Zone: zone}
-	defer func() { g.At = time.Now() }()
-	uri := fmt.Sprintf("%s/item?token=%s&service=%s", w.Prefix, token, w.Service)
+// sendAttempt sends one attempt to a proxy; closes tells that its connection ends.
+func (c *Clients) sendAttempt(ctx context.Context, client *http.Client, route blueprint.Route, at string, zone ids.Name, token, idempotencyKey string, attempt int) (response checker.ClientResponse, closes bool) {
+	response = checker.ClientResponse{Sent: time.Now(), Token: token, IdempotencyKey: idempotencyKey, Attempt: attempt, Class: "lost", Proxy: at, Zone: zone}
+	defer func() { response.At = time.Now() }()
+	uri := fmt.Sprintf("%s/item?token=%s&service=%s", route.Prefix, token, route.Service)
 	method, body := http.MethodGet, ""
-	if !w.Repeatable {
+	if !route.Repeatable {
 		method, body = http.MethodPost, `{"for":"`+token+`"}`
 	}
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+at+uri, strings.NewReader(body))
 	if err != nil {
-		g.Problem = err.Error()
-		return g, false
+		response.Problem = err.Error()
+		return response, false
 	}
 	// This client must not send by itself what it may not repeat.
 	req.GetBody = nil
 	req.Header.Set("Time-Left", strconv.Itoa(int(attemptTimeout.Milliseconds())))
-	req.Header.Set("Attempt", strconv.Itoa(try))
-	if mark != "" {
-		req.Header["Idempotency-Key"] = []string{mark}
+	req.Header.Set("Attempt", strconv.Itoa(attempt))
+	if idempotencyKey != "" {
+		req.Header["Idempotency-Key"] = []string{idempotencyKey}
 	}
 	res, err := client.Do(req)
 	if err != nil {
-		g.Problem = err.Error()
-		return g, false
+		response.Problem = err.Error()
+		return response, false
 	}
 	defer res.Body.Close()
 	raw, err := io.ReadAll(res.Body)
 	if err != nil {
-		g.Problem = err.Error()
-		return g, false
+		response.Problem = err.Error()
+		return response, false
 	}
-	g.Status, g.Class, g.Body = res.StatusCode, res.Header.Get("Dunlinwell-Class"), string(raw)
-	if g.Class == "answered" {
-		g.Problem = judge(raw, uri, mark)
+	response.Status, response.Class, response.Body = res.StatusCode, res.Header.Get("Dunlinwell-Class"), string(raw)
+	if response.Class == "answered" {
+		response.Problem = checkAnswer(raw, uri, idempotencyKey)
 	}
-	return g, res.Close
+	return response, res.Close
 }
--- a/internal/testsupport/testbed/deeds.go
+++ b/internal/testsupport/testbed/deeds.go
@@ -12,32 +12,32 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// Perform carries a script out, and gives how long the fleet took to be whole
+// RunScript carries a script out, and gives how long the fleet took to be whole
 // again after the last thing that was broken came back.
-func (s *Testbed) Perform(ctx context.Context, script *Script) {
+func (tb *Testbed) RunScript(ctx context.Context, script *Script) {
 	var all sync.WaitGroup
 	from := time.Now()
-	for _, d := range script.Steps {
+	for _, step := range script.Steps {
 		all.Go(func() {
-			if !wait(ctx, time.Until(from.Add(time.Duration(d.At)))) {
+			if !sleepContext(ctx, time.Until(from.Add(time.Duration(step.At)))) {
 				return
 			}
-			fmt.Fprintf(s.Out, "%7.1fs %s %s for %s\n", time.Since(from).Seconds(), d.Action, d.Subject, d.For)
-			s.perform(ctx, d)
+			fmt.Fprintf(tb.Out, "%7.1fs %s %s for %s\n", time.Since(from).Seconds(), step.Action, step.Subject, step.For)
+			tb.runStep(ctx, step)
 		})
 	}
 	all.Wait()
-	s.Checker.MachinesRecovered(time.Now())
-	took, err := s.Await(ctx, 30*time.Second)
-	fmt.Fprintf(s.Out, "%7.1fs every daemon ready %s after the last machine was back\n", time.Since(from).Seconds(), took.Round(time.Millisecond))
+	tb.Checker.MachinesRecovered(time.Now())
+	took, err := tb.AwaitReady(ctx, 30*time.Second)
+	fmt.Fprintf(tb.Out, "%7.1fs every daemon ready %s after the last machine was back\n", time.Since(from).Seconds(), took.Round(time.Millisecond))
 	if err != nil {
-		s.Checker.Violation("not whole again: %v", err)
+		tb.Checker.Violation("not whole again: %v", err)
 	} else if took > 15*time.Second {
-		s.Checker.Violation("whole again only after %s", took)
+		tb.Checker.Violation("whole again only after %s", took)
 	}
 }
 
-func wait(ctx context.Context, d time.Duration) bool {
+func sleepContext(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -46,177 +46,177 @@
 	}
 }
 
-func (s *Testbed) perform(ctx context.Context, d Step) {
-	rest := func() { wait(ctx, time.Duration(d.For)) }
-	switch d.Action {
+func (tb *Testbed) runStep(ctx context.Context, step Step) {
+	hold := func() { sleepContext(ctx, time.Duration(step.For)) }
+	switch step.Action {
 	case "kill", "stop", "freeze":
-		s.doMachine(d, s.Machine(d.Subject), rest)
+		tb.faultProcesses(step, tb.MachineProcesses(step.Subject), hold)
 	case "cut", "cut-in", "cut-out", "split":
-		s.doCut(d, rest)
+		tb.partitionNetwork(step, hold)
 	case "swap-core":
-		s.swap(d.Subject)
+		tb.replaceCoreMachine(step.Subject)
 	case "herd":
-		s.lose(func(p *Process) bool { return p.Role == d.Subject }, func(*Target) bool { return false }, d, rest)
+		tb.powerOff(func(p *Process) bool { return p.Role == step.Subject }, func(*Target) bool { return false }, step, hold)
 	case "lose-cell", "lose-region":
-		zones := zonesOf(s.Plan, d.Subject)
-		s.lose(func(p *Process) bool { return slices.Contains(zones, p.Zone) }, func(t *Target) bool { return slices.Contains(zones, t.Zone) }, d, rest)
+		zones := zonesOf(tb.Plan, step.Subject)
+		tb.powerOff(func(p *Process) bool { return slices.Contains(zones, p.Zone) }, func(t *Target) bool { return slices.Contains(zones, t.Zone) }, step, hold)
 	case "empty":
-		s.emptyFor(ids.Name(d.Subject), rest)
+		tb.drainZone(ids.Name(step.Subject), hold)
 	case "storm":
-		s.operators.Storm(ctx, d.Count, time.Duration(d.For))
+		tb.operators.SendBurst(ctx, step.Count, time.Duration(step.For))
 	case "hot":
-		zone := ids.Name(d.Subject)
-		s.clients.hot.Store(&zone)
-		rest()
-		s.clients.hot.Store(nil)
+		zone := ids.Name(step.Subject)
+		tb.clients.hotZone.Store(&zone)
+		hold()
+		tb.clients.hotZone.Store(nil)
 	case "stall-disk":
-		for _, p := range s.Machine(d.Subject) {
-			s.stall(ctx, p, time.Duration(d.For))
+		for _, p := range tb.MachineProcesses(step.Subject) {
+			tb.stallDisk(ctx, p, time.Duration(step.For))
 		}
 	default:
-		s.doTarget(d, s.target(d.Subject), rest)
+		tb.faultTarget(step, tb.findTarget(step.Subject), hold)
 	}
 }
 
-// touch excuses the connections of processes that a fault is done to.
-func (s *Testbed) touch(list []*Process, d Step) {
+// markAllImpaired excuses the connections of processes that a fault is done to.
+func (tb *Testbed) markAllImpaired(list []*Process, step Step) {
 	for _, p := range list {
-		s.MarkImpaired(p, time.Now().Add(time.Duration(d.For)+impairedFor))
+		tb.MarkImpaired(p, time.Now().Add(time.Duration(step.For)+impairmentGrace))
 	}
 }
 
-// impairedFor is how long after a fault its connections may still be found dead.
-const impairedFor = 10 * time.Second
+// impairmentGrace is how long after a fault its connections may still be found dead.
+const impairmentGrace = 10 * time.Second
 
-func (s *Testbed) doMachine(d Step, list []*Process, rest func()) {
-	s.touch(list, d)
+func (tb *Testbed) faultProcesses(step Step, list []*Process, hold func()) {
+	tb.markAllImpaired(list, step)
 	var all sync.WaitGroup
 	for _, p := range list {
 		all.Go(func() {
-			switch d.Action {
+			switch step.Action {
 			case "freeze":
-				s.Signal(p, syscall.SIGSTOP)
+				tb.Signal(p, syscall.SIGSTOP)
 			case "kill":
-				s.Kill(p)
+				tb.Kill(p)
 			default:
-				if took := s.Stop(p); took > 2500*time.Millisecond {
-					s.Checker.Violation("%s took %s to stop", p.Name, took)
+				if took := tb.Stop(p); took > 2500*time.Millisecond {
+					tb.Checker.Violation("%s took %s to stop", p.Name, took)
 				}
 			}
 		})
 	}
 	all.Wait()
-	rest()
+	hold()
 	for _, p := range list {
-		if d.Action == "freeze" {
-			s.Signal(p, syscall.SIGCONT)
+		if step.Action == "freeze" {
+			tb.Signal(p, syscall.SIGCONT)
 		} else {
-			s.revive(p)
+			tb.restart(p)
 		}
 	}
 }
 
-// doCut takes machines off the net: all that they send or get, or one way. A
+// partitionNetwork takes machines off the net: all that they send or get, or one way. A
 // split keeps what is on one side together.
-func (s *Testbed) doCut(d Step, rest func()) {
+func (tb *Testbed) partitionNetwork(step Step, hold func()) {
 	in := map[string]bool{}
-	for _, name := range strings.Split(d.Subject, "+") {
-		for ip := range s.numbers(name) {
+	for _, name := range strings.Split(step.Subject, "+") {
+		for ip := range tb.ipsOf(name) {
 			in[ip] = true
 		}
 	}
-	c := &Cut{Blocks: func(from, to string) bool {
-		return d.Action != "cut-in" && in[from] && !in[to] || d.Action != "cut-out" && in[to] && !in[from]
+	c := &Partition{Blocks: func(from, to string) bool {
+		return step.Action != "cut-in" && in[from] && !in[to] || step.Action != "cut-out" && in[to] && !in[from]
 	}}
-	if d.Action == "split" {
-		s.touch(s.all(), d)
+	if step.Action == "split" {
+		tb.markAllImpaired(tb.snapshot(), step)
 	} else {
-		s.touch(s.Machine(d.Subject), d)
+		tb.markAllImpaired(tb.MachineProcesses(step.Subject), step)
 	}
 	// A target whose word doesn't get out counts as gone.
 	var unheard []*Target
-	for _, t := range s.Targets {
-		if d.Action != "cut-in" && in[host(t.Address)] && d.Action != "split" {
+	for _, t := range tb.Targets {
+		if step.Action != "cut-in" && in[ipOf(t.Address)] && step.Action != "split" {
 			unheard = append(unheard, t)
-			t.Silence(true)
+			t.SetUnreachable(true)
 		}
 	}
-	s.relay.Begin(c)
-	rest()
-	s.relay.End(c)
+	tb.relay.StartPartition(c)
+	hold()
+	tb.relay.EndPartition(c)
 	for _, t := range unheard {
-		t.Silence(false)
+		t.SetUnreachable(false)
 	}
 }
 
-// swap loses a core machine for good and puts up a blank one.
-func (s *Testbed) swap(name string) {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	if err := s.SwapMachine(name); err != nil {
-		s.Checker.Violation("swap %s: %v", name, err)
+// replaceCoreMachine loses a core machine for good and puts up a blank one.
+func (tb *Testbed) replaceCoreMachine(name string) {
+	tb.restartLock.Lock()
+	defer tb.restartLock.Unlock()
+	if err := tb.ReplaceMachine(name); err != nil {
+		tb.Checker.Violation("swap %s: %v", name, err)
 	}
 }
 
-// revive starts a process again unless it runs or was replaced.
-func (s *Testbed) revive(p *Process) {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	if p.Lost && !p.Gone {
-		if err := s.Run(p); err != nil {
-			s.Checker.Violation("start %s: %v", p.Name, err)
+// restart starts a process again unless it runs or was replaced.
+func (tb *Testbed) restart(p *Process) {
+	tb.restartLock.Lock()
+	defer tb.restartLock.Unlock()
+	if p.Stopped && !p.Replaced {
+		if err := tb.StartProcess(p); err != nil {
+			tb.Checker.Violation("start %s: %v", p.Name, err)
 		}
 	}
 }
 
-// lose takes the power from daemons and targets, and gives it back.
-func (s *Testbed) lose(procs func(*Process) bool, targets func(*Target) bool, d Step, rest func()) {
-	var lost []*Process
-	var dark []*Target
-	s.lock.Lock()
-	for _, p := range s.all() {
-		if procs(p) && !p.Gone && !p.Lost {
-			lost = append(lost, p)
+// powerOff takes the power from daemons and targets, and gives it back.
+func (tb *Testbed) powerOff(procs func(*Process) bool, targets func(*Target) bool, step Step, hold func()) {
+	var stopped []*Process
+	var stoppedTargets []*Target
+	tb.restartLock.Lock()
+	for _, p := range tb.snapshot() {
+		if procs(p) && !p.Replaced && !p.Stopped {
+			stopped = append(stopped, p)
 		}
 	}
-	s.lock.Unlock()
-	s.touch(lost, d)
-	for _, t := range s.Targets {
+	tb.restartLock.Unlock()
+	tb.markAllImpaired(stopped, step)
+	for _, t := range tb.Targets {
 		if targets(t) {
-			dark = append(dark, t)
+			stoppedTargets = append(stoppedTargets, t)
 			t.Crash()
 		}
 	}
 	var all sync.WaitGroup
-	for _, p := range lost {
-		all.Go(func() { s.Kill(p) })
+	for _, p := range stopped {
+		all.Go(func() { tb.Kill(p) })
 	}
 	all.Wait()
-	rest()
-	for _, p := range lost {
-		s.revive(p)
+	hold()
+	for _, p := range stopped {
+		tb.restart(p)
 	}
-	for _, t := range dark {
+	for _, t := range stoppedTargets {
 		if err := t.Start(true); err != nil {
-			s.Checker.Violation("start %s: %v", t.Instance, err)
+			tb.Checker.Violation("start %s: %v", t.Instance, err)
 		}
 	}
 }
 
-// emptyFor empties a zone for a while, through any daemon.
-func (s *Testbed) emptyFor(c ids.Name, rest func()) {
-	id, _ := s.operators.id("empty")
+// drainZone empties a zone for a while, through any daemon.
+func (tb *Testbed) drainZone(c ids.Name, hold func()) {
+	id, _ := tb.operators.newID("empty")
 	asked := time.Now()
-	if s.operators.send(s.operators.work.Drain(id, c, true), false) == 0 {
-		s.Checker.Violation("%s couldn't be emptied", c)
+	if tb.operators.send(tb.operators.generator.Drain(id, c, true), false) == 0 {
+		tb.Checker.Violation("%s couldn't be emptied", c)
 		return
 	}
-	s.Checker.ZoneDrained(c, asked, time.Now())
-	rest()
-	s.Checker.ZoneRestored(c, time.Now())
-	id, _ = s.operators.id("refill")
-	if s.operators.send(s.operators.work.Drain(id, c, false), false) == 0 {
-		s.Checker.Violation("%s couldn't be refilled", c)
+	tb.Checker.ZoneDrained(c, asked, time.Now())
+	hold()
+	tb.Checker.ZoneRestored(c, time.Now())
+	id, _ = tb.operators.newID("refill")
+	if tb.operators.send(tb.operators.generator.Drain(id, c, false), false) == 0 {
+		tb.Checker.Violation("%s couldn't be refilled", c)
 	}
-	s.Checker.ZoneRestored(c, time.Now())
+	tb.Checker.ZoneRestored(c, time.Now())
 }
--- a/internal/testsupport/testbed/fleet.go
+++ b/internal/testsupport/testbed/fleet.go
@@ -24,11 +24,11 @@
 	Data          string
 	cmd           *exec.Cmd
 	log           *os.File
-	ended         chan struct{}
-	// boundAddress and pages are where it listens behind the relay.
-	boundAddress, pages string
+	exited        chan struct{}
+	// listenAddress and pages are where it listens behind the relay.
+	listenAddress, listenHTTP string
 	// Lost: not running now. Gone: replaced by another, for good.
-	Lost, Gone bool
+	Stopped, Replaced bool
 }
 
 // Fleet is the daemons of a plan.
@@ -36,19 +36,19 @@
 	blueprint.Plan
 	Bin, Dir string
 	// Other, if set, holds the programs of every other daemon.
-	Other string
+	OtherBin string
 	// Fixed asks for the same ports each time, for a person to type.
 	Fixed bool
 	// PlanEvery is how often registries plan the spill.
-	PlanEvery time.Duration
-	mu        sync.Mutex
-	Procs     []*Process
-	seeds     []string
-	made      int
-	relay     *Relay
-	impaired  impairments
-	// lock keeps deeds from starting one process twice.
-	lock sync.Mutex
+	PlanEvery     time.Duration
+	mu            sync.Mutex
+	Processes     []*Process
+	seeds         []string
+	nextCoreIndex int
+	relay         *Relay
+	impaired      impairments
+	// restartLock keeps deeds from starting one process twice.
+	restartLock sync.Mutex
 }
 
 func (f *Fleet) port(n int) int {
@@ -58,30 +58,30 @@
 	return 0
 }
 
-// lay gives a process its addresses. Core machines stand in the first zone of
+// newProcess gives a process its addresses. Core machines stand in the first zone of
 // each region, so that losing a region loses one.
-func (f *Fleet) lay(role string, code, n int, zone int) (*Process, error) {
+func (f *Fleet) newProcess(role string, code, n int, zone int) (*Process, error) {
 	p := &Process{Role: role, Name: fmt.Sprintf("%s-%d", role, n+1), Zone: f.Plan.Zone(zone)}
 	var err error
-	if p.Address, err = loopback(zone, code, n, f.port(7401)); err != nil {
+	if p.Address, err = loopbackAddress(zone, code, n, f.port(7401)); err != nil {
 		return nil, err
 	}
-	if p.HTTP, err = loopback(zone, code, n, f.port(7400)); err != nil {
+	if p.HTTP, err = loopbackAddress(zone, code, n, f.port(7400)); err != nil {
 		return nil, err
 	}
 	if f.relay != nil {
-		if p.boundAddress, err = f.behind(p.Address, zone, code, n); err != nil {
+		if p.listenAddress, err = f.relayTo(p.Address, zone, code, n); err != nil {
 			return nil, err
 		}
-		p.pages, err = f.behind(p.HTTP, zone, code, n)
+		p.listenHTTP, err = f.relayTo(p.HTTP, zone, code, n)
 	}
 	p.Data = filepath.Join(f.Dir, p.Name)
 	return p, err
 }
 
-// behind gives an address of the same machine that another leads to.
-func (f *Fleet) behind(address string, zone, code, n int) (string, error) {
-	at, err := loopback(zone, code, n, 0)
+// relayTo gives an address of the same machine that another leads to.
+func (f *Fleet) relayTo(address string, zone, code, n int) (string, error) {
+	at, err := loopbackAddress(zone, code, n, 0)
 	if err != nil {
 		return "", err
 	}
@@ -91,47 +91,47 @@
 // Start lays out the fleet and starts it.
 func (f *Fleet) Start() error {
 	for n := range 3 {
-		p, err := f.lay("store", 1, n, n%f.Plan.Zones)
+		p, err := f.newProcess("store", 1, n, n%f.Plan.Zones)
 		if err != nil {
 			return err
 		}
 		f.seeds = append(f.seeds, p.Address)
-		f.Procs = append(f.Procs, p)
+		f.Processes = append(f.Processes, p)
 	}
 	for n := range 3 {
-		p, err := f.lay("registry", 2, n, n%f.Plan.Zones)
+		p, err := f.newProcess("registry", 2, n, n%f.Plan.Zones)
 		if err != nil {
 			return err
 		}
-		f.Procs = append(f.Procs, p)
+		f.Processes = append(f.Processes, p)
 	}
 	for n := range f.Proxies {
-		p, err := f.lay("proxy", 3, n, n%f.Plan.Zones)
+		p, err := f.newProcess("proxy", 3, n, n%f.Plan.Zones)
 		if err != nil {
 			return err
 		}
-		f.Procs = append(f.Procs, p)
+		f.Processes = append(f.Processes, p)
 	}
-	f.made = 3
-	for _, p := range f.Procs {
+	f.nextCoreIndex = 3
+	for _, p := range f.Processes {
 		// At new addresses an old folder's voter set leads nowhere.
 		if !f.Fixed {
 			if err := os.RemoveAll(p.Data); err != nil {
 				return err
 			}
 		}
-		if err := f.Run(p); err != nil {
+		if err := f.StartProcess(p); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Run starts a process that isn't running.
-func (f *Fleet) Run(p *Process) error {
+// StartProcess starts a process that isn't running.
+func (f *Fleet) StartProcess(p *Process) error {
 	args := []string{"--name", p.Name, "--address", p.Address, "--http", p.HTTP, "--cell", string(p.Zone), "--seeds", strings.Join(f.seeds, ",")}
-	if p.boundAddress != "" {
-		args = append(args, "--bind", p.boundAddress, "--http-bind", p.pages)
+	if p.listenAddress != "" {
+		args = append(args, "--bind", p.listenAddress, "--http-bind", p.listenHTTP)
 	}
 	switch p.Role {
 	case "store":
@@ -147,8 +147,8 @@
 		return err
 	}
 	bin := f.Bin
-	if f.Other != "" && strings.ContainsAny(p.Name[len(p.Name)-1:], "02468") {
-		bin = f.Other
+	if f.OtherBin != "" && strings.ContainsAny(p.Name[len(p.Name)-1:], "02468") {
+		bin = f.OtherBin
 	}
 	cmd := exec.Command(filepath.Join(bin, p.Role), args...)
 	cmd.Stdout, cmd.Stderr = log, log
@@ -159,8 +159,8 @@
 		return errs.Wrap(err, "start", p.Name)
 	}
 	f.mu.Lock()
-	p.cmd, p.log, p.ended, p.Lost = cmd, log, make(chan struct{}), false
-	ended := p.ended
+	p.cmd, p.log, p.exited, p.Stopped = cmd, log, make(chan struct{}), false
+	ended := p.exited
 	f.mu.Unlock()
 	go func() { _ = cmd.Wait(); log.Close(); close(ended) }()
 	return nil
@@ -178,27 +178,27 @@
 // Kill ends a process at once, and waits until it is gone.
 func (f *Fleet) Kill(p *Process) {
 	f.Signal(p, syscall.SIGKILL)
-	p.Lost = true
-	f.await(p, 5*time.Second)
+	p.Stopped = true
+	f.awaitExit(p, 5*time.Second)
 }
 
 // Stop ends a process as the platform does: politely, then hard.
 func (f *Fleet) Stop(p *Process) time.Duration {
 	from := time.Now()
 	f.Signal(p, syscall.SIGTERM)
-	if !f.await(p, 3*time.Second) {
+	if !f.awaitExit(p, 3*time.Second) {
 		f.Kill(p)
 	}
-	p.Lost = true
+	p.Stopped = true
 	return time.Since(from)
 }
 
-func (f *Fleet) await(p *Process, d time.Duration) bool {
-	if p.ended == nil {
+func (f *Fleet) awaitExit(p *Process, d time.Duration) bool {
+	if p.exited == nil {
 		return true
 	}
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return true
 	case <-time.After(d):
 		return false
@@ -208,16 +208,16 @@
 // StopAll ends the whole fleet.
 func (f *Fleet) StopAll() {
 	var all sync.WaitGroup
-	for _, p := range f.Procs {
+	for _, p := range f.Processes {
 		all.Go(func() { f.Signal(p, syscall.SIGCONT); f.Stop(p) })
 	}
 	all.Wait()
 }
 
-// Of gives the processes of a role.
-func (f *Fleet) Of(role string) []*Process {
+// ProcessesOf gives the processes of a role.
+func (f *Fleet) ProcessesOf(role string) []*Process {
 	var out []*Process
-	for _, p := range f.Procs {
+	for _, p := range f.Processes {
 		if p.Role == role {
 			out = append(out, p)
 		}
--- a/internal/testsupport/testbed/machines.go
+++ b/internal/testsupport/testbed/machines.go
@@ -11,11 +11,11 @@
 // A core machine is one thing: its store and its registry come and go
 // together, and whoever replaces it puts up both, blank, at new addresses.
 
-// Machine gives the processes that a name stands for.
-func (f *Fleet) Machine(name string) []*Process {
+// MachineProcesses gives the processes that a name stands for.
+func (f *Fleet) MachineProcesses(name string) []*Process {
 	var out []*Process
 	n, core := strings.CutPrefix(name, "core-")
-	for _, p := range f.all() {
+	for _, p := range f.snapshot() {
 		if p.Name == name || core && (p.Name == "store-"+n || p.Name == "registry-"+n) {
 			out = append(out, p)
 		}
@@ -23,17 +23,17 @@
 	return out
 }
 
-// all gives the processes as they stand.
-func (f *Fleet) all() []*Process {
+// snapshot gives the processes as they stand.
+func (f *Fleet) snapshot() []*Process {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]*Process{}, f.Procs...)
+	return append([]*Process{}, f.Processes...)
 }
 
-// replace puts up a blank process of the same role and zone at a new address.
-func (f *Fleet) replace(lost *Process) (*Process, error) {
+// replaceProcess puts up a blank process of the same role and zone at a new address.
+func (f *Fleet) replaceProcess(lost *Process) (*Process, error) {
 	f.Kill(lost)
-	lost.Gone = true
+	lost.Replaced = true
 	if err := os.RemoveAll(lost.Data); err != nil {
 		return nil, errs.Wrap(err, "lose data folder", lost.Name)
 	}
@@ -48,9 +48,9 @@
 		code = 2
 	}
 	f.mu.Lock()
-	n := f.made
+	n := f.nextCoreIndex
 	f.mu.Unlock()
-	p, err := f.lay(lost.Role, code, n, zone)
+	p, err := f.newProcess(lost.Role, code, n, zone)
 	if err != nil {
 		return nil, err
 	}
@@ -59,23 +59,23 @@
 		return nil, errs.Wrap(err, "make blank", p.Name)
 	}
 	f.mu.Lock()
-	f.Procs = append(f.Procs, p)
+	f.Processes = append(f.Processes, p)
 	f.mu.Unlock()
-	return p, f.Run(p)
+	return p, f.StartProcess(p)
 }
 
-// SwapCore replaces a lost store alone, its machine's registry goes on.
-func (f *Fleet) SwapCore(lost *Process) (*Process, error) {
-	p, err := f.replace(lost)
+// ReplaceStore replaces a lost store alone, its machine's registry goes on.
+func (f *Fleet) ReplaceStore(lost *Process) (*Process, error) {
+	p, err := f.replaceProcess(lost)
 	f.mu.Lock()
-	f.made++
+	f.nextCoreIndex++
 	f.mu.Unlock()
 	return p, err
 }
 
-// SwapMachine loses a core machine for good, and puts up a blank one.
-func (f *Fleet) SwapMachine(name string) error {
-	list := f.Machine(name)
+// ReplaceMachine loses a core machine for good, and puts up a blank one.
+func (f *Fleet) ReplaceMachine(name string) error {
+	list := f.MachineProcesses(name)
 	if len(list) != 2 {
 		return errs.New("swap machine", name, "it is not a core machine that runs")
 	}
@@ -83,12 +83,12 @@
 		f.Kill(p)
 	}
 	for _, p := range list {
-		if _, err := f.replace(p); err != nil {
+		if _, err := f.replaceProcess(p); err != nil {
 			return err
 		}
 	}
 	f.mu.Lock()
-	f.made++
+	f.nextCoreIndex++
 	f.mu.Unlock()
 	return nil
 }
@@ -108,8 +108,8 @@
 	}
 }
 
-// Excused tells whether a fault explains a connection to these pages that ended.
-func (f *Fleet) Excused(http string, at time.Time) bool {
+// IsImpaired tells whether a fault explains a connection to these pages that ended.
+func (f *Fleet) IsImpaired(http string, at time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return at.Before(f.impaired[http])
--- a/internal/testsupport/testbed/night.go
+++ b/internal/testsupport/testbed/night.go
@@ -8,19 +8,19 @@
 
 // RestartAndVerify kills every daemon at once, starts them from what the disks hold, and
 // reads everything back again.
-func (s *Testbed) RestartAndVerify(ctx context.Context) {
+func (tb *Testbed) RestartAndVerify(ctx context.Context) {
 	var all sync.WaitGroup
-	for _, p := range s.all() {
-		if !p.Gone {
-			all.Go(func() { s.Kill(p) })
+	for _, p := range tb.snapshot() {
+		if !p.Replaced {
+			all.Go(func() { tb.Kill(p) })
 		}
 	}
 	all.Wait()
-	for _, p := range s.all() {
-		s.revive(p)
+	for _, p := range tb.snapshot() {
+		tb.restart(p)
 	}
-	if _, err := s.Await(ctx, 30*time.Second); err != nil {
-		s.Checker.Violation("not whole after the night: %v", err)
+	if _, err := tb.AwaitReady(ctx, 30*time.Second); err != nil {
+		tb.Checker.Violation("not whole after the night: %v", err)
 	}
-	s.operators.VerifyLedger("after the night")
+	tb.operators.VerifyLedger("after the night")
 }
--- a/internal/testsupport/testbed/odd_cli_test.go
+++ b/internal/testsupport/testbed/odd_cli_test.go
@@ -9,9 +9,9 @@
 	"github.com/matryer/is"
 )
 
-// oddCommands are mistakes on the command line: the exit code that each has
+// badCommands are mistakes on the command line: the exit code that each has
 // through any daemon, and a word that its one line of explanation holds.
-var oddCommands = []struct {
+var badCommands = []struct {
 	words string
 	code  int
 	says  string
@@ -47,13 +47,13 @@
 	{"runbook check /nowhere/at/all", 2, "no such file"},
 }
 
-// oddLine plays the mistakes through every kind of daemon; nothing changes.
-func oddLine(t *testing.T, s *Testbed) {
+// checkBadCommands plays the mistakes through every kind of daemon; nothing changes.
+func checkBadCommands(t *testing.T, s *Testbed) {
 	is := is.New(t)
-	before := call(t, "GET", s.Of("registry")[0].HTTP, "/v1/policy", "").body
+	before := call(t, "GET", s.ProcessesOf("registry")[0].HTTP, "/v1/policy", "").body
 	for _, role := range []string{"proxy", "registry", "store"} {
-		for _, o := range oddCommands {
-			cli := exec.Command(filepath.Join(s.Bin, "dunlinwell"), append([]string{"--at", s.Of(role)[0].HTTP}, strings.Fields(o.words)...)...)
+		for _, o := range badCommands {
+			cli := exec.Command(filepath.Join(s.Bin, "dunlinwell"), append([]string{"--at", s.ProcessesOf(role)[0].HTTP}, strings.Fields(o.words)...)...)
 			said, _ := cli.CombinedOutput()
 			if n := cli.ProcessState.ExitCode(); n != o.code || !strings.Contains(string(said), o.says) {
 				t.Errorf("%q through the %s: exit %d, not %d with %q: %.200s", o.words, role, n, o.code, o.says, said)
@@ -66,5 +66,5 @@
 		_ = cli.Run()
 		is.Equal(cli.ProcessState.ExitCode(), code)
 	}
-	is.Equal(call(t, "GET", s.Of("registry")[0].HTTP, "/v1/policy", "").body, before)
+	is.Equal(call(t, "GET", s.ProcessesOf("registry")[0].HTTP, "/v1/policy", "").body, before)
 }
--- a/internal/testsupport/testbed/plan.go
+++ b/internal/testsupport/testbed/plan.go
@@ -9,17 +9,17 @@
 	"os"
 )
 
-// block is where a fleet's loopback numbers begin. Fleets of different
+// loopbackBlock is where a fleet's loopback numbers begin. Fleets of different
 // processes keep apart, as a port that is free now may be another's in a moment.
-var block = 20 + os.Getpid()%20*10
+var loopbackBlock = 20 + os.Getpid()%20*10
 
-// fixedBlock is that of a fleet for a person to type.
-const fixedBlock = 20
+// fixedLoopbackBlock is that of a fleet for a person to type.
+const fixedLoopbackBlock = 20
 
-// loopback gives an address of its own to each process. Port zero asks for
+// loopbackAddress gives an address of its own to each process. Port zero asks for
 // any free one.
-func loopback(zone, role, n, port int) (string, error) {
-	ip := fmt.Sprintf("127.%d.%d.%d", block+zone, role, n+1)
+func loopbackAddress(zone, role, n, port int) (string, error) {
+	ip := fmt.Sprintf("127.%d.%d.%d", loopbackBlock+zone, role, n+1)
 	if port != 0 {
 		return fmt.Sprintf("%s:%d", ip, port), nil
 	}
--- a/internal/testsupport/testbed/probes.go
+++ b/internal/testsupport/testbed/probes.go
@@ -8,43 +8,43 @@
 	"time"
 )
 
-// probes are the platform's: each proxy is asked every second whether it lives.
-type probes struct {
-	mu             sync.Mutex
-	sent, unheard  int
-	late, excluded int
+// livenessProbes are the platform's: each proxy is asked every second whether it lives.
+type livenessProbes struct {
+	mu               sync.Mutex
+	sent, unanswered int
+	slow, excluded   int
 }
 
-const probeWithin = time.Second
+const probeTimeout = time.Second
 
 // run probes every proxy that nothing is wrong with, until the context ends.
-func (b *probes) run(ctx context.Context, s *Testbed) {
-	client := &http.Client{Timeout: probeWithin}
+func (p *livenessProbes) run(ctx context.Context, tb *Testbed) {
+	client := &http.Client{Timeout: probeTimeout}
 	var all sync.WaitGroup
-	for wait(ctx, time.Second) {
-		for _, p := range s.Of("proxy") {
-			if p.Lost || s.Excused(p.HTTP, time.Now()) {
-				b.mu.Lock()
-				b.excluded++
-				b.mu.Unlock()
+	for sleepContext(ctx, time.Second) {
+		for _, process := range tb.ProcessesOf("proxy") {
+			if process.Stopped || tb.IsImpaired(process.HTTP, time.Now()) {
+				p.mu.Lock()
+				p.excluded++
+				p.mu.Unlock()
 				continue
 			}
 			all.Go(func() {
 				from := time.Now()
-				res, err := client.Get("http://" + p.HTTP + "/healthz")
-				b.mu.Lock()
-				defer b.mu.Unlock()
-				b.sent++
+				res, err := client.Get("http://" + process.HTTP + "/healthz")
+				p.mu.Lock()
+				defer p.mu.Unlock()
+				p.sent++
 				if err != nil {
 					// A fault may have begun meanwhile.
-					if !s.Excused(p.HTTP, time.Now()) {
-						b.unheard++
+					if !tb.IsImpaired(process.HTTP, time.Now()) {
+						p.unanswered++
 					}
 					return
 				}
 				res.Body.Close()
-				if time.Since(from) > probeWithin/4 {
-					b.late++
+				if time.Since(from) > probeTimeout/4 {
+					p.slow++
 				}
 			})
 		}
@@ -52,11 +52,11 @@
 	all.Wait()
 }
 
-// show tells what came of them. It is a report, not a promise: how soon an
+// print tells what came of them. It is a report, not a promise: how soon an
 // answer comes is this machine's matter as well.
-func (b *probes) show(s *Testbed) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	fmt.Fprintf(s.Out, "probes of sound proxies: %d sent, %d without an answer within %s, %d slower than %s; %d left out for a fault\n",
-		b.sent, b.unheard, probeWithin, b.late, probeWithin/4, b.excluded)
+func (p *livenessProbes) print(tb *Testbed) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	fmt.Fprintf(tb.Out, "probes of sound proxies: %d sent, %d without an answer within %s, %d slower than %s; %d left out for a fault\n",
+		p.sent, p.unanswered, probeTimeout, p.slow, probeTimeout/4, p.excluded)
 }
--- a/internal/testsupport/testbed/programs.go
+++ b/internal/testsupport/testbed/programs.go
@@ -23,8 +23,8 @@
 	return nil
 }
 
-// beside is the folder that this program itself stands in; empty if unknown.
-func beside() string {
+// ownFolder is the folder that this program itself stands in; empty if unknown.
+func ownFolder() string {
 	self, err := os.Executable()
 	if err != nil {
 		return ""
@@ -32,27 +32,27 @@
 	return filepath.Dir(self)
 }
 
-// chooseBin gives the folder of a fleet's programs: the one named, or else the
+// chooseBinaries gives the folder of a fleet's programs: the one named, or else the
 // one beside us, which needs neither source nor compiler. Only where a program
 // is missing there are all of them built: a fleet is of one version.
-func chooseBin(named, beside, built string, build func(bin string) error) (string, error) {
+func chooseBinaries(named, own, built string, build func(bin string) error) (string, error) {
 	switch {
 	case named != "":
 		return named, nil
-	case beside != "" && complete(beside):
-		return beside, nil
+	case own != "" && hasAllPrograms(own):
+		return own, nil
 	}
 	return built, build(built)
 }
 
-// Programs gives the folder of the daemons: the one named, or the one beside
+// ProgramsFolder gives the folder of the daemons: the one named, or the one beside
 // this program, or one that they are built into.
-func Programs(named, built string) (string, error) {
-	return chooseBin(named, beside(), built, Build)
+func ProgramsFolder(named, built string) (string, error) {
+	return chooseBinaries(named, ownFolder(), built, Build)
 }
 
-// complete tells whether a folder holds every program.
-func complete(bin string) bool {
+// hasAllPrograms tells whether a folder holds every program.
+func hasAllPrograms(bin string) bool {
 	for _, p := range programs {
 		f, err := os.Stat(filepath.Join(bin, p))
 		if err != nil || !f.Mode().IsRegular() || f.Mode()&0o111 == 0 {
--- a/internal/testsupport/testbed/programs_test.go
+++ b/internal/testsupport/testbed/programs_test.go
@@ -11,7 +11,7 @@
 
 // A fleet's programs are those named, or those beside testbed where all of
 // them stand there; they are built only where neither is so.
-func TestChooseBin(t *testing.T) {
+func TestChooseBinaries_PrefersNamedThenOwnFolder(t *testing.T) {
 	put := func(t *testing.T, bin, name string, mode os.FileMode) {
 		is.New(t).NoErr(os.WriteFile(filepath.Join(bin, name), nil, mode))
 	}
@@ -45,7 +45,7 @@
 			if want == "" {
 				want = bin
 			}
-			got, err := chooseBin(c.named, bin, "built", func(string) error { builds++; return nil })
+			got, err := chooseBinaries(c.named, bin, "built", func(string) error { builds++; return nil })
 			is.NoErr(err)
 			is.Equal(got, want)
 			is.Equal(builds == 1, want == "built") // built only as the last resort
@@ -55,9 +55,9 @@
 
 // Where nothing is known of our own folder they are built, and a build that
 // fails says so.
-func TestChooseBinBuildFails(t *testing.T) {
+func TestChooseBinaries_ReportsFailedBuild(t *testing.T) {
 	is := is.New(t)
 	broken := errors.New("no source")
-	_, err := chooseBin("", "", "built", func(string) error { return broken })
+	_, err := chooseBinaries("", "", "built", func(string) error { return broken })
 	is.True(errors.Is(err, broken))
 }
--- a/internal/testsupport/testbed/ready.go
+++ b/internal/testsupport/testbed/ready.go
@@ -24,13 +24,13 @@
 	return res.StatusCode == http.StatusOK
 }
 
-// Await waits until every running process is ready, or the time is over.
-func (f *Fleet) Await(ctx context.Context, d time.Duration) (time.Duration, error) {
+// AwaitReady waits until every running process is ready, or the time is over.
+func (f *Fleet) AwaitReady(ctx context.Context, d time.Duration) (time.Duration, error) {
 	from := time.Now()
 	for {
 		waits := ""
-		for _, p := range f.Procs {
-			if !p.Lost && !p.Ready(ctx) {
+		for _, p := range f.Processes {
+			if !p.Stopped && !p.Ready(ctx) {
 				waits = p.Name
 				break
 			}
@@ -45,9 +45,9 @@
 	}
 }
 
-// Get finds a process by name.
-func (f *Fleet) Get(name string) *Process {
-	for _, p := range f.Procs {
+// Find finds a process by name.
+func (f *Fleet) Find(name string) *Process {
+	for _, p := range f.Processes {
 		if p.Name == name {
 			return p
 		}
--- a/internal/testsupport/testbed/relay.go
+++ b/internal/testsupport/testbed/relay.go
@@ -16,23 +16,23 @@
 	// Delay tells how long a byte takes from one IP number to another.
 	Delay       func(from, to string) time.Duration
 	mu          sync.Mutex
-	cuts        map[*Cut]bool
+	partitions  map[*Partition]bool
 	connections map[*relayedConnection]bool
-	ports       []net.Listener
+	listeners   []net.Listener
 }
 
-// Cut keeps one side's bytes from reaching the other's address.
-type Cut struct{ Blocks func(from, to string) bool }
+// Partition keeps one side's bytes from reaching the other's address.
+type Partition struct{ Blocks func(from, to string) bool }
 
 type relayedConnection struct {
-	from, to string
-	a, b     net.Conn
+	from, to       string
+	client, server net.Conn
 }
 
-func (l *relayedConnection) close() {
-	l.a.Close()
-	if l.b != nil {
-		l.b.Close()
+func (c *relayedConnection) close() {
+	c.client.Close()
+	if c.server != nil {
+		c.server.Close()
 	}
 }
 
@@ -43,7 +43,7 @@
 		return errs.Wrap(err, "relay", address)
 	}
 	r.mu.Lock()
-	r.ports = append(r.ports, l)
+	r.listeners = append(r.listeners, l)
 	r.mu.Unlock()
 	go func() {
 		for {
@@ -51,13 +51,13 @@
 			if err != nil {
 				return
 			}
-			go r.take(c, to)
+			go r.relayConnection(c, to)
 		}
 	}()
 	return nil
 }
 
-func host(a string) string {
+func ipOf(a string) string {
 	p, err := netip.ParseAddrPort(a)
 	if err != nil {
 		return a
@@ -66,7 +66,7 @@
 }
 
 func (r *Relay) blocked(from, to string) bool {
-	for c := range r.cuts {
+	for c := range r.partitions {
 		if c.Blocks(from, to) {
 			return true
 		}
@@ -74,9 +74,9 @@
 	return false
 }
 
-// take carries one connection; a cut one hangs, as it would on a real net.
-func (r *Relay) take(c net.Conn, to string) {
-	l := &relayedConnection{from: host(c.RemoteAddr().String()), to: host(to), a: c}
+// relayConnection carries one connection; a cut one hangs, as it would on a real net.
+func (r *Relay) relayConnection(c net.Conn, to string) {
+	l := &relayedConnection{from: ipOf(c.RemoteAddr().String()), to: ipOf(to), client: c}
 	r.mu.Lock()
 	if r.connections == nil {
 		r.connections = map[*relayedConnection]bool{}
@@ -87,7 +87,7 @@
 	if blocked {
 		return // stays open and silent until the cut ends
 	}
-	defer r.drop(l)
+	defer r.remove(l)
 	// The other end sees whose connection it is.
 	d := net.Dialer{Timeout: time.Second, LocalAddr: &net.TCPAddr{IP: net.ParseIP(l.from)}}
 	b, err := d.Dial("tcp", to)
@@ -95,14 +95,14 @@
 		return
 	}
 	r.mu.Lock()
-	l.b = b
+	l.server = b
 	r.mu.Unlock()
 	delay := r.Delay(l.from, l.to)
-	go func() { defer l.close(); r.pipe(l, b, c, delay) }()
-	r.pipe(l, c, b, delay)
+	go func() { defer l.close(); r.copyDelayed(l, b, c, delay) }()
+	r.copyDelayed(l, c, b, delay)
 }
 
-func (r *Relay) drop(l *relayedConnection) {
+func (r *Relay) remove(l *relayedConnection) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.connections, l)
@@ -114,8 +114,8 @@
 	raw []byte
 }
 
-// pipe carries bytes one way, each no sooner than its delay.
-func (r *Relay) pipe(l *relayedConnection, from, to net.Conn, delay time.Duration) {
+// copyDelayed carries bytes one way, each no sooner than its delay.
+func (r *Relay) copyDelayed(l *relayedConnection, from, to net.Conn, delay time.Duration) {
 	queue := make(chan delayedBytes, 1024)
 	go func() {
 		defer close(queue)
@@ -145,21 +145,21 @@
 	}
 }
 
-// Begin starts a cut, and End ends it; connections that it touched don't survive.
-func (r *Relay) Begin(c *Cut) {
+// StartPartition starts a cut, and End ends it; connections that it touched don't survive.
+func (r *Relay) StartPartition(c *Partition) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.cuts == nil {
-		r.cuts = map[*Cut]bool{}
+	if r.partitions == nil {
+		r.partitions = map[*Partition]bool{}
 	}
-	r.cuts[c] = true
+	r.partitions[c] = true
 }
 
-// End ends a cut.
-func (r *Relay) End(c *Cut) {
+// EndPartition ends a cut.
+func (r *Relay) EndPartition(c *Partition) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.cuts, c)
+	delete(r.partitions, c)
 	for l := range r.connections {
 		if c.Blocks(l.from, l.to) {
 			delete(r.connections, l)
@@ -172,7 +172,7 @@
 func (r *Relay) Close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, p := range r.ports {
+	for _, p := range r.listeners {
 		p.Close()
 	}
 	for l := range r.connections {
--- a/internal/testsupport/testbed/run.go
+++ b/internal/testsupport/testbed/run.go
@@ -29,10 +29,10 @@
 	// clients are those of the play that is on.
 	clients   *Clients
 	operators *Operators
-	watcher   atomic.Pointer[watcher]
-	probes    probes
-	// fresh counts the targets that took another's place.
-	fresh int
+	watcher   atomic.Pointer[loadWatcher]
+	probes    livenessProbes
+	// replacedTargets counts the targets that took another's place.
+	replacedTargets int
 }
 
 // Options are the options of a testbed.
@@ -46,70 +46,70 @@
 	// Bin holds built daemons, to compare versions; empty takes those beside this
 	// program, or builds them.
 	Bin string
-	// Other holds those of every other daemon, for a mixed fleet.
-	Other string
+	// OtherBin holds those of every other daemon, for a mixed fleet.
+	OtherBin string
 	// Rate replaces the plan's requests a second.
 	Rate float64
-	// Target is each zone's comfortable level, instead of the plan's.
-	Target float64
+	// TargetLevel is each zone's comfortable level, instead of the plan's.
+	TargetLevel float64
 	// PlanEvery is how often the spill is planned; zero for 5 s.
 	PlanEvery time.Duration
 }
 
 // Start starts a fleet, sets its configuration and starts its targets.
-func Start(ctx context.Context, p Options) (*Testbed, error) {
-	plan, ok := blueprint.Plans[p.Plan]
+func Start(ctx context.Context, o Options) (*Testbed, error) {
+	plan, ok := blueprint.Plans[o.Plan]
 	if !ok {
-		return nil, errs.New("choose plan", "", "there is no plan %q", p.Plan)
+		return nil, errs.New("choose plan", "", "there is no plan %q", o.Plan)
 	}
-	if p.Fixed {
-		block = fixedBlock
+	if o.Fixed {
+		loopbackBlock = fixedLoopbackBlock
 	}
-	if p.Rate > 0 {
-		plan.Rate = p.Rate
+	if o.Rate > 0 {
+		plan.Rate = o.Rate
 	}
-	if p.Target > 0 {
-		plan.Target = p.Target
+	if o.TargetLevel > 0 {
+		plan.Target = o.TargetLevel
 	}
-	if err := os.MkdirAll(p.Dir, 0o755); err != nil {
+	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
 		return nil, err
 	}
-	s := &Testbed{Fleet: &Fleet{Plan: plan, Dir: p.Dir, Fixed: p.Fixed, PlanEvery: cmp.Or(p.PlanEvery, 5*time.Second)}, Checker: &checker.Checker{}, Out: p.Out}
-	if p.Relay {
-		s.relay = &Relay{Delay: s.delay}
+	tb := &Testbed{Fleet: &Fleet{Plan: plan, Dir: o.Dir, Fixed: o.Fixed, PlanEvery: cmp.Or(o.PlanEvery, 5*time.Second)}, Checker: &checker.Checker{}, Out: o.Out}
+	if o.Relay {
+		tb.relay = &Relay{Delay: tb.latency}
 	}
-	s.Other = p.Other
-	s.Checker.RetryAllowance = float64(plan.Allowed())
+	tb.OtherBin = o.OtherBin
+	tb.Checker.RetryAllowance = float64(plan.Allowed())
 	var err error
-	if s.Bin, err = chooseBin(p.Bin, beside(), filepath.Join(p.Dir, "bin"), Build); err != nil {
+	if tb.Bin, err = chooseBinaries(o.Bin, ownFolder(), filepath.Join(o.Dir, "bin"), Build); err != nil {
 		return nil, err
 	}
-	fmt.Fprintf(s.Out, "daemons of %s\n", s.Bin)
-	if err := s.Start(); err != nil {
-		s.StopAll()
+	fmt.Fprintf(tb.Out, "daemons of %s\n", tb.Bin)
+	if err := tb.Start(); err != nil {
+		tb.StopAll()
 		return nil, err
 	}
-	took, err := s.Await(ctx, 20*time.Second)
+	took, err := tb.AwaitReady(ctx, 20*time.Second)
 	if err == nil {
-		fmt.Fprintf(s.Out, "fleet of %d daemons ready after %s\n", len(s.Procs), took.Round(time.Millisecond))
-		err = s.configuration(ctx)
+		fmt.Fprintf(tb.Out, "fleet of %d daemons ready after %s\n", len(tb.Processes), took.Round(time.Millisecond))
+		err = tb.applyConfiguration(ctx)
 	}
 	if err == nil {
-		err = s.targets()
+		err = tb.startTargets()
 	}
 	if err != nil {
-		s.Close()
+		tb.Close()
 		return nil, err
 	}
-	return s, nil
+	return tb, nil
 }
 
-// configuration sends the plan's whole change until it is accepted.
-func (s *Testbed) configuration(ctx context.Context) error {
+// applyConfiguration sends the plan's whole change until it is accepted.
+func (tb *Testbed) applyConfiguration(ctx context.Context) error {
 	last := ""
-	id := s.Checker.ChangeSent(s.InitialChange(), time.Now())
+	id := tb.Checker.ChangeSent(tb.InitialChange(), time.Now())
 	for until := time.Now().Add(10 * time.Second); time.Now().Before(until) && ctx.Err() == nil; time.Sleep(200 * time.Millisecond) {
-		res, err := http.Post("http://"+s.Of("registry")[0].HTTP+"/v1/change", "application/json", bytes.NewReader(s.InitialChange()))
+		res, err := http.Post("http://"+tb.ProcessesOf("registry")[0].HTTP+"/v1/change", "application/json", bytes.NewReader(tb.InitialChange()))
 		if err != nil {
 			last = err.Error()
 			continue
@@ -121,18 +121,18 @@
 				Revision uint64 `json:"revision"`
 			}
 			err := json.Unmarshal(raw, &r)
-			s.Checker.ChangeAccepted(id, r.Revision, time.Now())
+			tb.Checker.ChangeAccepted(id, r.Revision, time.Now())
 			return errs.Wrap(err, "read answer to policy", "")
 		}
 	}
 	return errs.New("set policy", "", "%s", last)
 }
 
-// registries gives the registries's pages in an order of the day.
-func (s *Testbed) registries() []string {
+// registryAddresses gives the registries's pages in an order of the day.
+func (tb *Testbed) registryAddresses() []string {
 	var out []string
-	for _, p := range s.all() {
-		if p.Role == "registry" && !p.Gone {
+	for _, p := range tb.snapshot() {
+		if p.Role == "registry" && !p.Replaced {
 			out = append(out, p.HTTP)
 		}
 	}
@@ -140,28 +140,28 @@
 	return out
 }
 
-func (s *Testbed) targets() error {
+func (tb *Testbed) startTargets() error {
 	n := 0
-	for _, pool := range s.Pools {
+	for _, pool := range tb.Pools {
 		for i := range pool.Targets {
-			at, err := loopback(n%s.Zones, 4, n, 0)
+			at, err := loopbackAddress(n%tb.Zones, 4, n, 0)
 			if err != nil {
 				return err
 			}
 			t := &Target{
-				Instance: pool.Instance(i), Service: pool.Service, Zone: s.Plan.Zone(n), Address: at,
-				Capacity: pool.Capacity, Work: 20 * time.Millisecond, Checker: s.Checker, Registries: s.registries, Delay: s.trip,
-				RouteOf: s.routeOf, ZoneOf: s.zoneOf, Ran: s.ran,
+				Instance: pool.Instance(i), Service: pool.Service, Zone: tb.Plan.Zone(n), Address: at,
+				Capacity: pool.Capacity, Work: 20 * time.Millisecond, Checker: tb.Checker, Registries: tb.registryAddresses, Delay: tb.standInLatency,
+				RouteOf: tb.routeOf, ZoneOf: tb.zoneOf, OnExecution: tb.countExecution,
 			}
-			if s.relay != nil {
-				if t.boundAddress, err = s.behind(at, n%s.Zones, 4, n); err != nil {
+			if tb.relay != nil {
+				if t.listenAddress, err = tb.relayTo(at, n%tb.Zones, 4, n); err != nil {
 					return err
 				}
 			}
 			if err := t.Start(false); err != nil {
 				return err
 			}
-			s.Targets = append(s.Targets, t)
+			tb.Targets = append(tb.Targets, t)
 			n++
 		}
 	}
@@ -169,53 +169,53 @@
 }
 
 // Close ends everything that was started.
-func (s *Testbed) Close() {
-	for _, t := range s.Targets {
+func (tb *Testbed) Close() {
+	for _, t := range tb.Targets {
 		t.Crash()
 	}
-	s.StopAll()
-	if s.relay != nil {
-		s.relay.Close()
+	tb.StopAll()
+	if tb.relay != nil {
+		tb.relay.Close()
 	}
 }
 
-// Play runs load for a while, with something done in the midst of it.
-func (s *Testbed) Play(ctx context.Context, d time.Duration, deed func(context.Context)) {
-	load, stop := context.WithTimeout(ctx, d)
+// RunLoad runs load for a while, with something done in the midst of it.
+func (tb *Testbed) RunLoad(ctx context.Context, duration time.Duration, during func(context.Context)) {
+	load, stop := context.WithTimeout(ctx, duration)
 	defer stop()
-	c := &Clients{Plan: s.Plan, Checker: s.Checker, Registries: s.registries, Delay: s.trip, Testbed: s}
-	s.clients = c
-	s.operators = NewOperators(s)
+	c := &Clients{Plan: tb.Plan, Checker: tb.Checker, Registries: tb.registryAddresses, Delay: tb.standInLatency, Testbed: tb}
+	tb.clients = c
+	tb.operators = NewOperators(tb)
 	var all sync.WaitGroup
 	all.Go(func() { c.Run(load) })
-	all.Go(func() { s.operators.Run(load) })
-	all.Go(func() { s.probes.run(load, s) })
-	if deed != nil {
-		deed(load)
+	all.Go(func() { tb.operators.Run(load) })
+	all.Go(func() { tb.probes.run(load, tb) })
+	if during != nil {
+		during(load)
 	}
 	all.Wait()
-	s.operators.VerifyLedger("the day's end")
+	tb.operators.VerifyLedger("the day's end")
 }
 
 // Report prints what was counted, and gives the number of broken promises.
-func (s *Testbed) Report(since time.Time) int {
-	tally := s.Checker.CountByClass(since)
-	fmt.Fprintf(s.Out, "\nanswers: %d answered, %d declined, %d unknown, %d lost, %d unreached; %d runs at targets\n",
+func (tb *Testbed) Report(since time.Time) int {
+	tally := tb.Checker.CountByClass(since)
+	fmt.Fprintf(tb.Out, "\nanswers: %d answered, %d declined, %d unknown, %d lost, %d unreached; %d runs at targets\n",
 		tally["answered"], tally["declined"], tally["unknown"], tally["lost"], tally["unreached"], tally["runs"])
-	soon, n := s.Checker.ShareWithin(time.Second)
-	late, _ := s.Checker.ShareWithin(5 * time.Second)
-	fmt.Fprintf(s.Out, "of %d requests %.2f%% had their answer within 1 s of the first attempt, %.2f%% within 5 s\n", n, soon*100, late*100)
-	fmt.Fprintf(s.Out, "last first attempt without an answer: %s after the machines were back\n", s.Checker.Recovery().Round(time.Millisecond))
+	soon, n := tb.Checker.ShareWithin(time.Second)
+	late, _ := tb.Checker.ShareWithin(5 * time.Second)
+	fmt.Fprintf(tb.Out, "of %d requests %.2f%% had their answer within 1 s of the first attempt, %.2f%% within 5 s\n", n, soon*100, late*100)
+	fmt.Fprintf(tb.Out, "last first attempt without an answer: %s after the machines were back\n", tb.Checker.Recovery().Round(time.Millisecond))
 	broken := 0
-	for _, c := range s.Checker.Results() {
+	for _, c := range tb.Checker.Results() {
 		broken += c.Violations
 		if c.Judged == 0 && c.Violations == 0 {
-			fmt.Fprintf(s.Out, "  %-62s nothing to judge\n", c.Rule)
+			fmt.Fprintf(tb.Out, "  %-62s nothing to judge\n", c.Rule)
 			continue
 		}
-		fmt.Fprintf(s.Out, "  %-62s %d in %d  %s\n", c.Rule, c.Violations, c.Judged, c.Sample)
+		fmt.Fprintf(tb.Out, "  %-62s %d in %d  %s\n", c.Rule, c.Violations, c.Judged, c.Sample)
 	}
-	s.probes.show(s)
-	fmt.Fprintf(s.Out, "%d changes accepted, %d of unknown end\n", s.Checker.Changes(), s.Checker.OpenChanges())
+	tb.probes.print(tb)
+	fmt.Fprintf(tb.Out, "%d changes accepted, %d of unknown end\n", tb.Checker.Changes(), tb.Checker.OpenChanges())
 	return broken
 }
--- a/internal/testsupport/testbed/script.go
+++ b/internal/testsupport/testbed/script.go
@@ -21,36 +21,36 @@
 
 // Step is one fault.
 type Step struct {
-	At      Span   `json:"at"`
-	Action  string `json:"do"`
-	Subject string `json:"who"`
+	At      Duration `json:"at"`
+	Action  string   `json:"do"`
+	Subject string   `json:"who"`
 	// For is how long it lasts; what comes back comes back then.
-	For Span `json:"for"`
+	For Duration `json:"for"`
 	// Count is how many changes a storm has.
 	Count int `json:"count"`
 }
 
-// Span is a span of time written as 1m30s.
-type Span time.Duration
+// Duration is a span of time written as 1m30s.
+type Duration time.Duration
 
 // UnmarshalJSON reads a span.
-func (s *Span) UnmarshalJSON(raw []byte) error {
+func (s *Duration) UnmarshalJSON(raw []byte) error {
 	d, err := time.ParseDuration(strings.Trim(string(raw), `"`))
 	if err != nil || d < 0 {
 		return fmt.Errorf("%s is no span of time", raw)
 	}
-	*s = Span(d)
+	*s = Duration(d)
 	return nil
 }
 
 // MarshalJSON writes it the same way.
-func (s Span) MarshalJSON() ([]byte, error) { return []byte(`"` + s.String() + `"`), nil }
+func (s Duration) MarshalJSON() ([]byte, error) { return []byte(`"` + s.String() + `"`), nil }
 
 // String gives the span as time.Duration writes it.
-func (s Span) String() string { return time.Duration(s).String() }
+func (s Duration) String() string { return time.Duration(s).String() }
 
-// swapPause is how far apart two replacements must be.
-const swapPause = Span(20 * time.Second)
+// minReplacementGap is how far apart two replacements must be.
+const minReplacementGap = Duration(20 * time.Second)
 
 // what each deed is done to, and whether it lasts for a while.
 var actions = map[string]struct {
@@ -82,73 +82,73 @@
 	if len(s.Steps) == 0 {
 		return nil, errs.New("read script", file, "it has no steps")
 	}
-	swap := -1
-	gone := map[string]Span{}
-	for i, d := range s.Steps {
-		why := d.invalid(plan, length)
+	lastReplacement := -1
+	replacedAt := map[string]Duration{}
+	for i, step := range s.Steps {
+		problem := step.problem(plan, length)
 		// What was replaced isn't there any more.
-		for _, name := range strings.Split(d.Subject, "+") {
-			if at, ok := gone[name]; ok && d.At >= at && why == "" {
-				why = name + " was replaced before"
+		for _, name := range strings.Split(step.Subject, "+") {
+			if at, ok := replacedAt[name]; ok && step.At >= at && problem == "" {
+				problem = name + " was replaced before"
 			}
 		}
 		// The blank one needs its copy before another may be lost.
-		if d.Action == "swap-core" && why == "" {
-			if swap >= 0 && d.At-s.Steps[swap].At < swapPause {
-				why = s.Steps[swap].Subject + " is still being replaced"
+		if step.Action == "swap-core" && problem == "" {
+			if lastReplacement >= 0 && step.At-s.Steps[lastReplacement].At < minReplacementGap {
+				problem = s.Steps[lastReplacement].Subject + " is still being replaced"
 			}
-			swap = i
-			n := strings.TrimPrefix(d.Subject, "core-")
-			gone[d.Subject], gone["store-"+n], gone["registry-"+n] = d.At, d.At, d.At
+			lastReplacement = i
+			n := strings.TrimPrefix(step.Subject, "core-")
+			replacedAt[step.Subject], replacedAt["store-"+n], replacedAt["registry-"+n] = step.At, step.At, step.At
 		}
-		if why != "" {
-			return nil, errs.New("read script", file, "step %d: %s", i+1, why)
+		if problem != "" {
+			return nil, errs.New("read script", file, "step %d: %s", i+1, problem)
 		}
 	}
 	sort.SliceStable(s.Steps, func(i, j int) bool { return s.Steps[i].At < s.Steps[j].At })
 	return &s, nil
 }
 
-func (d Step) invalid(plan blueprint.Plan, length time.Duration) string {
-	k, ok := actions[d.Action]
+func (s Step) problem(plan blueprint.Plan, length time.Duration) string {
+	action, ok := actions[s.Action]
 	if !ok {
-		return fmt.Sprintf("there is no deed %q", d.Action)
+		return fmt.Sprintf("there is no deed %q", s.Action)
 	}
-	names := who(plan)
+	names := subjectsByKind(plan)
 	known := func(name string) bool {
-		return slices.ContainsFunc(k.to, func(kind string) bool { return slices.Contains(names[kind], name) })
+		return slices.ContainsFunc(action.to, func(kind string) bool { return slices.Contains(names[kind], name) })
 	}
-	list := []string{d.Subject}
-	if d.Action == "split" {
-		list = strings.Split(d.Subject, "+")
+	list := []string{s.Subject}
+	if s.Action == "split" {
+		list = strings.Split(s.Subject, "+")
 	}
 	for _, name := range list {
 		switch {
 		case name == "":
 			return "who is missing"
 		case !known(name):
-			return fmt.Sprintf("%s is done to a %s, and there is none named %q", d.Action, strings.Join(k.to, " or "), name)
+			return fmt.Sprintf("%s is done to a %s, and there is none named %q", s.Action, strings.Join(action.to, " or "), name)
 		}
 	}
 	switch {
-	case d.Action == "split" && whole(plan, list):
+	case s.Action == "split" && coversEveryZone(plan, list):
 		return "the other side of the split is empty"
-	case d.Action == "storm" && (d.Count < 1 || d.Count > 5000):
+	case s.Action == "storm" && (s.Count < 1 || s.Count > 5000):
 		return "count must be from 1 to 5000"
-	case d.Action != "storm" && d.Count != 0:
-		return d.Action + " has no count"
-	case k.lasts && d.For <= 0:
+	case s.Action != "storm" && s.Count != 0:
+		return s.Action + " has no count"
+	case action.lasts && s.For <= 0:
 		return "for is missing"
-	case !k.lasts && d.For != 0:
-		return d.Action + " doesn't last, so for has no meaning"
-	case time.Duration(d.At+d.For) > length:
-		return fmt.Sprintf("it ends at %s, after the testbed's %s", d.At+d.For, length)
+	case !action.lasts && s.For != 0:
+		return s.Action + " doesn't last, so for has no meaning"
+	case time.Duration(s.At+s.For) > length:
+		return fmt.Sprintf("it ends at %s, after the testbed's %s", s.At+s.For, length)
 	}
 	return ""
 }
 
-// whole tells whether one side of a split holds every zone.
-func whole(plan blueprint.Plan, side []string) bool {
+// coversEveryZone tells whether one side of a split holds every zone.
+func coversEveryZone(plan blueprint.Plan, side []string) bool {
 	for i := range plan.Zones {
 		c := plan.Zone(i)
 		if !slices.Contains(side, string(c)) && !slices.Contains(side, plan.Region(c)) {
@@ -158,8 +158,8 @@
 	return true
 }
 
-// who names everybody that something can be done to.
-func who(plan blueprint.Plan) map[string][]string {
+// subjectsByKind names everybody that something can be done to.
+func subjectsByKind(plan blueprint.Plan) map[string][]string {
 	out := map[string][]string{"role": {"proxy", "registry", "store"}, "operators": {"operators"}}
 	for i := range 3 {
 		out["core"] = append(out["core"], fmt.Sprintf("core-%d", i+1))
--- a/internal/testsupport/testbed/script_test.go
+++ b/internal/testsupport/testbed/script_test.go
@@ -12,7 +12,7 @@
 )
 
 // A script with anything wrong in it is rejected whole, with file and step.
-func TestBadScripts(t *testing.T) {
+func TestReadScript_RejectsInvalidWithFileAndStep(t *testing.T) {
 	plan := blueprint.Plans["small"]
 	for raw, want := range map[string]string{
 		"": "it has no steps",
@@ -44,11 +44,11 @@
 }
 
 // What is drawn or shipped passes the same check, for every plan.
-func TestOwnScriptsAreSound(t *testing.T) {
+func TestReadScript_AcceptsBuiltInAndRandomScripts(t *testing.T) {
 	is := is.New(t)
 	for _, plan := range blueprint.Plans {
 		for seed := uint64(1); seed < 50; seed++ {
-			for _, script := range []*Script{Drawn(plan, seed, 2*time.Minute), Grand(plan), WorstCase(plan), Swaps(plan), Hot(plan, 4*time.Minute)} {
+			for _, script := range []*Script{RandomScript(plan, seed, 2*time.Minute), GrandScript(plan), WorstCaseScript(plan), ReplacementScript(plan), HotZoneScript(plan, 4*time.Minute)} {
 				raw, err := json.Marshal(script)
 				is.NoErr(err)
 				_, err = ReadScript("own", raw, plan, 4*time.Minute)
--- a/internal/testsupport/testbed/stands.go
+++ b/internal/testsupport/testbed/stands.go
@@ -13,8 +13,8 @@
 	"dunlinwell/internal/base/ids"
 )
 
-func (s *Testbed) target(name string) *Target {
-	for _, t := range s.Targets {
+func (tb *Testbed) findTarget(name string) *Target {
+	for _, t := range tb.Targets {
 		if string(t.Instance) == name {
 			return t
 		}
@@ -22,41 +22,41 @@
 	return nil
 }
 
-func (s *Testbed) doTarget(d Step, t *Target, rest func()) {
+func (tb *Testbed) faultTarget(step Step, t *Target, hold func()) {
 	start := func(t *Target) {
 		if err := t.Start(true); err != nil {
-			s.Checker.Violation("start %s: %v", t.Instance, err)
+			tb.Checker.Violation("start %s: %v", t.Instance, err)
 		}
 	}
-	switch d.Action {
+	switch step.Action {
 	case "crash-target":
 		t.Crash()
-		rest()
+		hold()
 		start(t)
 	case "leave-target":
-		t.Leave()
+		t.Drain()
 		time.Sleep(4 * time.Second)
 		t.Crash()
-		rest()
+		hold()
 		start(t)
 	case "freeze-target":
-		t.Freeze(time.Duration(d.For))
+		t.Freeze(time.Duration(step.For))
 	case "replace-target":
-		s.replaceTarget(t)
+		tb.replaceTarget(t)
 	case "mute-target":
 		t.LostPercent.Store(20)
 		t.CorruptPercent.Store(10)
-		rest()
+		hold()
 		t.LostPercent.Store(0)
 		t.CorruptPercent.Store(0)
 	case "hand-over":
-		for _, o := range s.Targets {
+		for _, o := range tb.Targets {
 			if o.Service != t.Service {
 				t.Crash()
 				o.Crash()
-				t.Address, o.Address, t.boundAddress, o.boundAddress = o.Address, t.Address, o.boundAddress, t.boundAddress
+				t.Address, o.Address, t.listenAddress, o.listenAddress = o.Address, t.Address, o.listenAddress, t.listenAddress
 				start(o)
-				rest()
+				hold()
 				start(t)
 				return
 			}
@@ -66,67 +66,67 @@
 
 // replaceTarget drains a target, and another of its service takes over, by
 // another name, at another address, for good.
-func (s *Testbed) replaceTarget(t *Target) {
-	t.Leave()
+func (tb *Testbed) replaceTarget(t *Target) {
+	t.Drain()
 	time.Sleep(4 * time.Second)
 	t.Crash()
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	s.fresh++
-	n := 200 + s.fresh%50
+	tb.restartLock.Lock()
+	defer tb.restartLock.Unlock()
+	tb.replacedTargets++
+	n := 200 + tb.replacedTargets%50
 	zone := 0
-	for i := range s.Zones {
-		if s.Plan.Zone(i) == t.Zone {
+	for i := range tb.Zones {
+		if tb.Plan.Zone(i) == t.Zone {
 			zone = i
 		}
 	}
-	at, err := loopback(zone, 4, n, 0)
-	if err == nil && s.relay != nil {
-		t.boundAddress, err = s.behind(at, zone, 4, n)
+	at, err := loopbackAddress(zone, 4, n, 0)
+	if err == nil && tb.relay != nil {
+		t.listenAddress, err = tb.relayTo(at, zone, 4, n)
 	}
 	if err != nil {
-		s.Checker.Violation("replace %s: %v", t.Instance, err)
+		tb.Checker.Violation("replace %s: %v", t.Instance, err)
 		return
 	}
-	t.Instance, t.Address = ids.InstanceID(fmt.Sprintf("%s-new-%d", t.Service, s.fresh)), at
+	t.Instance, t.Address = ids.InstanceID(fmt.Sprintf("%s-new-%d", t.Service, tb.replacedTargets)), at
 	if err := t.Start(true); err != nil {
-		s.Checker.Violation("start %s: %v", t.Instance, err)
+		tb.Checker.Violation("start %s: %v", t.Instance, err)
 	}
 }
 
-// stall keeps a store's disk from writing, by a lock held on its database
+// stallDisk keeps a store's disk from writing, by a lock held on its database
 // from outside, as long as its own patience lasts or longer: then it must end
 // itself. Whichever, a stalled disk may not pass for health.
-func (s *Testbed) stall(ctx context.Context, p *Process, d time.Duration) {
+func (tb *Testbed) stallDisk(ctx context.Context, p *Process, duration time.Duration) {
 	db, err := sql.Open("sqlite3", "file:"+filepath.Join(p.Data, "stockroom.db")+"?_busy_timeout=2000")
 	if err != nil {
-		s.Checker.Violation("stall %s: %v", p.Name, err)
+		tb.Checker.Violation("stall %s: %v", p.Name, err)
 		return
 	}
 	defer db.Close()
-	line, err := db.Conn(ctx)
+	connection, err := db.Conn(ctx)
 	if err == nil {
-		defer line.Close()
-		_, err = line.ExecContext(ctx, "BEGIN IMMEDIATE")
+		defer connection.Close()
+		_, err = connection.ExecContext(ctx, "BEGIN IMMEDIATE")
 	}
 	if err != nil {
-		s.Checker.Violation("stall %s: %v", p.Name, err)
+		tb.Checker.Violation("stall %s: %v", p.Name, err)
 		return
 	}
 	from := time.Now()
-	wait(ctx, min(d, 2500*time.Millisecond))
+	sleepContext(ctx, min(duration, 2500*time.Millisecond))
 	res, err := http.Get("http://" + p.HTTP + "/readyz")
 	if err == nil {
 		res.Body.Close()
-		if res.StatusCode == http.StatusOK && d > 2*time.Second {
-			s.Checker.Violation("%s says it is ready, its disk stalled for %s", p.Name, time.Since(from).Round(time.Millisecond))
+		if res.StatusCode == http.StatusOK && duration > 2*time.Second {
+			tb.Checker.Violation("%s says it is ready, its disk stalled for %s", p.Name, time.Since(from).Round(time.Millisecond))
 		}
 	}
-	wait(ctx, d-time.Since(from))
-	_, _ = line.ExecContext(context.WithoutCancel(ctx), "ROLLBACK")
+	sleepContext(ctx, duration-time.Since(from))
+	_, _ = connection.ExecContext(context.WithoutCancel(ctx), "ROLLBACK")
 	// One whose patience ended has ended itself, and is started again.
-	if s.await(p, 500*time.Millisecond) {
-		p.Lost = true
-		s.revive(p)
+	if tb.awaitExit(p, 500*time.Millisecond) {
+		p.Stopped = true
+		tb.restart(p)
 	}
 }
--- a/internal/testsupport/testbed/stop_test.go
+++ b/internal/testsupport/testbed/stop_test.go
@@ -15,7 +15,7 @@
 // under load, with slow requests under way and idle connections kept open: it ends
 // by itself, and nothing that was said yes to is lost, nor anything that ran
 // told "busy".
-func TestPoliteSignalUnderLoad(t *testing.T) {
+func TestDaemons_StopOnSIGTERMUnderLoad(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	var out bytes.Buffer
@@ -30,7 +30,7 @@
 	}
 	// Connections that say one thing, and then nothing.
 	var idle []*http.Transport
-	for _, p := range s.all() {
+	for _, p := range s.snapshot() {
 		line := &http.Transport{}
 		res, err := (&http.Client{Transport: line}).Get("http://" + p.HTTP + "/healthz")
 		is.NoErr(err)
@@ -38,14 +38,14 @@
 		idle = append(idle, line)
 	}
 	var by sync.Map
-	s.Play(ctx, 30*time.Second, func(load context.Context) {
+	s.RunLoad(ctx, 30*time.Second, func(load context.Context) {
 		for _, name := range []string{"proxy-1", "registry-1", "store-1", "proxy-2", "registry-2", "store-2"} {
-			p := s.Get(name)
+			p := s.Find(name)
 			s.MarkImpaired(p, time.Now().Add(time.Minute))
 			s.Stop(p)
 			by.Store(name, p.cmd.ProcessState.ExitCode())
-			is.NoErr(s.Fleet.Run(p))
-			_, err := s.Await(ctx, time.Minute)
+			is.NoErr(s.Fleet.StartProcess(p))
+			_, err := s.AwaitReady(ctx, time.Minute)
 			is.NoErr(err)
 		}
 	})
--- a/internal/testsupport/testbed/target.go
+++ b/internal/testsupport/testbed/target.go
@@ -39,35 +39,35 @@
 	server      *http.Server
 	incarnation int64
 	sequence    int64
-	warmFrom    time.Time
-	left        time.Time
-	leaving     bool
-	busy        atomic.Int64
+	warmUpStart time.Time
+	drainedAt   time.Time
+	draining    bool
+	inFlight    atomic.Int64
 	// CorruptPercent and Mute are shares of answers that are spoiled, or lost after
 	// the work was done.
 	CorruptPercent, LostPercent atomic.Int64
 	stop                        context.CancelFunc
-	// boundAddress is where it listens behind the relay; Source is where it calls from.
-	boundAddress string
-	// gate is held while it is frozen; silent is since when the core can't
+	// listenAddress is where it listens behind the relay; Source is where it calls from.
+	listenAddress string
+	// freezeLock is held while it is frozen; silent is since when the core can't
 	// have heard from it.
-	gate   sync.RWMutex
-	silent atomic.Int64
+	freezeLock       sync.RWMutex
+	unreachableSince atomic.Int64
 	// Routes tells a path's route, and ZoneOf where a proxy stands.
 	RouteOf func(path string) ids.Name
 	ZoneOf  func(proxy string) ids.Name
-	// Ran hears of each run, by the zone of the proxy that it came by.
-	Ran func(by ids.Name)
+	// OnExecution hears of each run, by the zone of the proxy that it came by.
+	OnExecution func(by ids.Name)
 }
 
-// warmTime is how long a stand-in takes to bear all after a restart.
-const warmTime = 3 * time.Second
+// warmUpTime is how long a stand-in takes to bear all after a restart.
+const warmUpTime = 3 * time.Second
 
 // Start begins a new incarnation, cold unless it is the first.
 func (t *Target) Start(cold bool) error {
 	at := t.Address
-	if t.boundAddress != "" {
-		at = t.boundAddress
+	if t.listenAddress != "" {
+		at = t.listenAddress
 	}
 	l, err := net.Listen("tcp", at)
 	if err != nil {
@@ -75,19 +75,19 @@
 	}
 	t.mu.Lock()
 	t.incarnation = time.Now().UnixMicro()
-	t.sequence, t.leaving, t.left = 0, false, time.Time{}
-	t.warmFrom = time.Now()
+	t.sequence, t.draining, t.drainedAt = 0, false, time.Time{}
+	t.warmUpStart = time.Now()
 	if !cold {
-		t.warmFrom = t.warmFrom.Add(-warmTime)
+		t.warmUpStart = t.warmUpStart.Add(-warmUpTime)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	t.stop = stop
 	t.server = &http.Server{Handler: http.HandlerFunc(t.serve)}
 	s := t.server
 	t.mu.Unlock()
-	t.busy.Store(0)
+	t.inFlight.Store(0)
 	go func() { _ = s.Serve(l) }()
-	go t.announcing(ctx)
+	go t.announceLoop(ctx)
 	return nil
 }
 
@@ -101,30 +101,30 @@
 	}
 }
 
-// Leave says that it leaves; it still serves what comes.
-func (t *Target) Leave() {
+// Drain says that it leaves; it still serves what comes.
+func (t *Target) Drain() {
 	t.mu.Lock()
-	t.leaving = true
+	t.draining = true
 	t.mu.Unlock()
 	if t.announce() {
 		t.mu.Lock()
-		t.left = time.Now()
+		t.drainedAt = time.Now()
 		t.mu.Unlock()
 		t.Checker.NetworkPartitioned()
 	}
 }
 
 func (t *Target) warmth() float64 {
-	return min(1, max(0.1, float64(time.Since(t.warmFrom))/float64(warmTime)))
+	return min(1, max(0.1, float64(time.Since(t.warmUpStart))/float64(warmUpTime)))
 }
 
-func (t *Target) announcing(ctx context.Context) {
+func (t *Target) announceLoop(ctx context.Context) {
 	for {
-		t.gate.RLock()
+		t.freezeLock.RLock()
 		if ctx.Err() == nil {
 			t.announce()
 		}
-		t.gate.RUnlock()
+		t.freezeLock.RUnlock()
 		select {
 		case <-ctx.Done():
 			return
@@ -138,12 +138,12 @@
 	t.sequence++
 	body, _ := json.Marshal(map[string]any{
 		"instance": t.Instance, "incarnation": t.incarnation, "sequence": t.sequence,
-		"service": t.Service, "address": t.Address, "cell": t.Zone, "leaving": t.leaving, "warmth": t.warmth(),
-		"occupancy": t.busy.Load(), "capacity": t.Capacity, "interval_ms": 1000,
+		"service": t.Service, "address": t.Address, "cell": t.Zone, "leaving": t.draining, "warmth": t.warmth(),
+		"occupancy": t.inFlight.Load(), "capacity": t.Capacity, "interval_ms": 1000,
 	})
 	t.mu.Unlock()
-	for _, f := range t.Registries() {
-		res, err := from(host(t.Address), 700*time.Millisecond).Post("http://"+f+"/v1/announce", "application/json", bytes.NewReader(body))
+	for _, registry := range t.Registries() {
+		res, err := clientFrom(ipOf(t.Address), 700*time.Millisecond).Post("http://"+registry+"/v1/announce", "application/json", bytes.NewReader(body))
 		if err != nil {
 			continue
 		}
@@ -156,24 +156,24 @@
 }
 
 func (t *Target) serve(w http.ResponseWriter, r *http.Request) {
-	came := time.Now()
-	t.gate.RLock()
-	defer t.gate.RUnlock()
+	receivedAt := time.Now()
+	t.freezeLock.RLock()
+	defer t.freezeLock.RUnlock()
 	if r.URL.Path == "/.well-known/dunlinwell" {
 		t.mu.Lock()
-		raw, _ := json.Marshal(map[string]any{"instance": t.Instance, "service": t.Service, "leaving": t.leaving, "incarnation": t.incarnation})
+		raw, _ := json.Marshal(map[string]any{"instance": t.Instance, "service": t.Service, "leaving": t.draining, "incarnation": t.incarnation})
 		t.mu.Unlock()
 		w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
 		_, _ = w.Write(raw)
 		return
 	}
 	_, _ = io.Copy(io.Discard, r.Body)
-	trip := t.Delay(host(r.RemoteAddr), host(t.Address))
-	time.Sleep(trip)
-	defer time.Sleep(trip)
-	now := t.busy.Add(1)
-	defer t.busy.Add(-1)
-	t.note(r, now, came)
+	latency := t.Delay(ipOf(r.RemoteAddr), ipOf(t.Address))
+	time.Sleep(latency)
+	defer time.Sleep(latency)
+	concurrent := t.inFlight.Add(1)
+	defer t.inFlight.Add(-1)
+	t.recordExecution(r, concurrent, receivedAt)
 	time.Sleep(t.Work/2 + time.Duration(rand.Int64N(int64(t.Work))))
 	if rand.Int64N(100) < t.LostPercent.Load() {
 		panic(http.ErrAbortHandler)
@@ -195,33 +195,33 @@
 	_, _ = w.Write(body)
 }
 
-// note writes an execution down, and what is wrong with it.
-func (t *Target) note(r *http.Request, now int64, came time.Time) {
+// recordExecution writes an execution down, and what is wrong with it.
+func (t *Target) recordExecution(r *http.Request, concurrent int64, receivedAt time.Time) {
 	n, _ := strconv.Atoi(r.Header.Get("Attempt"))
-	ran := checker.Execution{At: time.Now(), Sent: came, Instance: t.Instance, Service: t.Service, Zone: t.Zone, Token: r.URL.Query().Get("token"), IdempotencyKey: r.Header.Get("Idempotency-Key"), Attempt: n}
+	execution := checker.Execution{At: time.Now(), Sent: receivedAt, Instance: t.Instance, Service: t.Service, Zone: t.Zone, Token: r.URL.Query().Get("token"), IdempotencyKey: r.Header.Get("Idempotency-Key"), Attempt: n}
 	if ms, err := strconv.Atoi(r.Header.Get("Time-Left")); err == nil {
-		ran.TimeLeft = time.Duration(ms) * time.Millisecond
+		execution.TimeLeft = time.Duration(ms) * time.Millisecond
 	}
 	// Its bytes had left by the time they came, before any freeze held them up.
-	ran.Proxy, ran.Route = carrier(r.Header.Get("Request-Id")), t.RouteOf(r.URL.Path)
-	ran.ProxyZone = t.ZoneOf(ran.Proxy)
-	t.Ran(ran.ProxyZone)
+	execution.Proxy, execution.Route = proxyOfRequestID(r.Header.Get("Request-Id")), t.RouteOf(r.URL.Path)
+	execution.ProxyZone = t.ZoneOf(execution.Proxy)
+	t.OnExecution(execution.ProxyZone)
 	t.mu.Lock()
-	if !t.left.IsZero() {
-		ran.After = came.Sub(t.left)
+	if !t.drainedAt.IsZero() {
+		execution.After = receivedAt.Sub(t.drainedAt)
 	}
 	// The core counts three intervals of silence as gone.
-	if s := t.silent.Load(); s != 0 {
-		ran.After = max(ran.After, came.Sub(time.Unix(0, s))-silenceTimeout)
+	if s := t.unreachableSince.Load(); s != 0 {
+		execution.After = max(execution.After, receivedAt.Sub(time.Unix(0, s))-registrarTimeout)
 	}
-	bears := max(float64(t.Capacity)*t.warmth(), 1)
+	bearable := max(float64(t.Capacity)*t.warmth(), 1)
 	t.mu.Unlock()
-	t.Checker.RequestExecuted(ran)
+	t.Checker.RequestExecuted(execution)
 	if want := r.URL.Query().Get("service"); want != "" && want != string(t.Service) {
 		t.Checker.Violation("%s of %s got a request meant for %s", t.Instance, t.Service, want)
 	}
 	// One more than the fraction: places are whole.
-	if float64(now) > 1.5*bears+1 {
-		t.Checker.Overloaded("%s had %d at once and bears %.1f", t.Instance, now, bears)
+	if float64(concurrent) > 1.5*bearable+1 {
+		t.Checker.Overloaded("%s had %d at once and bears %.1f", t.Instance, concurrent, bearable)
 	}
 }
--- a/internal/testsupport/testbed/testbed_test.go
+++ b/internal/testsupport/testbed/testbed_test.go
@@ -15,13 +15,13 @@
 	"github.com/matryer/is"
 )
 
-type page struct {
+type apiResponse struct {
 	status int
 	body   string
 	header http.Header
 }
 
-func call(t *testing.T, method, at, path, body string, head ...string) page {
+func call(t *testing.T, method, at, path, body string, head ...string) apiResponse {
 	t.Helper()
 	req, err := http.NewRequest(method, "http://"+at+path, strings.NewReader(body))
 	if err != nil {
@@ -39,7 +39,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return page{res.StatusCode, string(raw), res.Header}
+	return apiResponse{res.StatusCode, string(raw), res.Header}
 }
 
 // The whole path in real processes: founded, driven through any daemon, under
@@ -51,20 +51,20 @@
 	s, err := Start(ctx, Options{Plan: "small", Dir: t.TempDir(), Out: &out})
 	is.NoErr(err)
 	defer s.Close()
-	control(t, s)
-	mistakes(t, s)
-	oddInput(t, s)
-	oddLine(t, s)
-	s.Play(ctx, 6*time.Second, func(context.Context) {
+	checkControlAPI(t, s)
+	checkRejectedCalls(t, s)
+	checkBadRequests(t, s)
+	checkBadCommands(t, s)
+	s.RunLoad(ctx, 6*time.Second, func(context.Context) {
 		for _, name := range []string{"proxy-1", "registry-1", "store-2"} {
-			p := s.Get(name)
+			p := s.Find(name)
 			s.MarkImpaired(p, time.Now().Add(time.Minute))
 			s.Kill(p)
-			is.NoErr(s.Fleet.Run(p))
+			is.NoErr(s.Fleet.StartProcess(p))
 		}
-		_, err := s.SwapCore(s.Get("store-3"))
+		_, err := s.ReplaceStore(s.Find("store-3"))
 		is.NoErr(err)
-		_, err = s.Await(ctx, time.Minute)
+		_, err = s.AwaitReady(ctx, time.Minute)
 		is.NoErr(err) // whole again, the blank one included
 	})
 	broken := s.Report(time.Time{})
@@ -72,17 +72,17 @@
 	is.Equal(broken, 0) // broken promises
 	is.True(s.Checker.CountByClass(time.Time{})["answered"] > 0)
 	// What was accepted before all that reads back right through any daemon.
-	for _, p := range s.Procs {
-		if !p.Lost {
+	for _, p := range s.Processes {
+		if !p.Stopped {
 			is.True(strings.Contains(call(t, "GET", p.HTTP, "/v1/services/papers", "").body, `"body":{"tier":4}`))
 		}
 	}
 }
 
-// control drives the fleet through one daemon of each kind.
-func control(t *testing.T, s *Testbed) {
+// checkControlAPI drives the fleet through one daemon of each kind.
+func checkControlAPI(t *testing.T, s *Testbed) {
 	is := is.New(t)
-	proxy, registry, stock := s.Of("proxy")[0].HTTP, s.Of("registry")[1].HTTP, s.Of("store")[2].HTTP
+	proxy, registry, stock := s.ProcessesOf("proxy")[0].HTTP, s.ProcessesOf("registry")[1].HTTP, s.ProcessesOf("store")[2].HTTP
 	p := call(t, "PUT", proxy, "/v1/services/papers", `{"tier":4}`)
 	is.Equal(p.status, 200)
 	var got struct{ Version uint64 }
@@ -115,7 +115,7 @@
 	is.Equal(bad.ProcessState.ExitCode(), 2)
 	is.True(strings.Contains(string(line), "--address") && strings.Count(string(line), "\n") == 1)
 	// A data folder held by another process.
-	held := s.Of("store")[0]
+	held := s.ProcessesOf("store")[0]
 	second := exec.Command(filepath.Join(s.Bin, "store"), "--name", "x", "--address", "127.0.0.1:1", "--http", "127.0.0.1:2", "--cell", "c",
 		"--seeds", "127.0.0.1:1,127.0.0.1:3,127.0.0.1:4", "--data", held.Data)
 	line, _ = second.CombinedOutput()
@@ -123,10 +123,10 @@
 	is.True(strings.Contains(string(line), "another process holds it"))
 }
 
-// mistakes are bad calls: each is rejected, and nothing changes.
-func mistakes(t *testing.T, s *Testbed) {
+// checkRejectedCalls are bad calls: each is rejected, and nothing changes.
+func checkRejectedCalls(t *testing.T, s *Testbed) {
 	is := is.New(t)
-	at := s.Of("registry")[0].HTTP
+	at := s.ProcessesOf("registry")[0].HTTP
 	before := call(t, "GET", at, "/v1/policy", "").body
 	for path, body := range map[string]string{
 		"/v1/change":   `{"id":"b","changes":[{"kind":"service","name":"ok","put":{}},{"kind":"route","name":"r","put":{"prefix":"/r","service":"none","repeatable":true}}]}`,
@@ -141,7 +141,7 @@
 	is.Equal(call(t, "PUT", at, "/v1/services/x", `{}`, "If-Match", "new").status, 400)
 	is.Equal(call(t, "GET", at, "/v1/policy", "").body, before)
 	// A frame that is none closes its connection and harms nobody.
-	c := s.Of("store")[0].Address
+	c := s.ProcessesOf("store")[0].Address
 	p, err := http.Get("http://" + c + "/")
 	if err == nil {
 		p.Body.Close()
