--- a/internal/testsupport/scaletest/fit.go
+++ b/internal/testsupport/scaletest/fit.go
@@ -6,20 +6,22 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Point is one measurement of a slope.
+// Point is one measurement: the size along the axis, and the cost there.
 type Point struct {
 	X float64 `json:"x"`
 	Y float64 `json:"y"`
-	// Left out: the machine was full, so this measures it and not the fleet.
+	// LeftOut: the machine was saturated or the fleet not at rest, so that this
+	// doesn't measure what a fleet costs.
 	LeftOut bool `json:"left_out,omitempty"`
 }
 
-// Fit is a least-squares line through points: y = A + B x, or A + B x² where
-// that explains clearly more.
+// Fit is a least-squares curve: y = Intercept + Slope·x if Shape is linear,
+// y = Intercept + Slope·x² if it is quadratic.
 type Fit struct {
-	Shape      string  `json:"shape"`
-	Intercept  float64 `json:"a"`
-	Slope      float64 `json:"b"`
+	Shape     string  `json:"shape"`
+	Intercept float64 `json:"a"`
+	Slope     float64 `json:"b"`
+	// R2 is the coefficient of determination; 1 is a perfect fit.
 	R2         float64 `json:"r2"`
 	PointCount int     `json:"points"`
 }
@@ -27,28 +29,33 @@
 const (
 	linear    = "linear"
 	quadratic = "square"
-	// quadraticResidualShare is what part of the unexplained rest the square must take away.
-	quadraticResidualShare = 0.5
-	// minSizesForQuadratic points are wanted before a curve is believed.
+	// minSizesForFit: a line through one size says nothing.
+	minSizesForFit = 2
+	// minSizesForQuadratic: through three sizes noise looks like a curve.
 	minSizesForQuadratic = 4
+	// quadraticResidualShare is the largest share of the line's unexplained
+	// variance that a quadratic may leave to be chosen in place of the line.
+	quadraticResidualShare = 0.5
 )
 
-// FitPoints fits the points that aren't left out; false if there are too few.
+// FitPoints fits the points that aren't left out. It returns false if they
+// cover fewer than two sizes.
 func FitPoints(points []Point) (Fit, bool) {
 	var xs, ys, squares []float64
-	seen := map[float64]bool{}
+	sizes := map[float64]bool{}
 	for _, p := range points {
 		if !p.LeftOut {
 			xs, ys, squares = append(xs, p.X), append(ys, p.Y), append(squares, p.X*p.X)
-			seen[p.X] = true
+			sizes[p.X] = true
 		}
 	}
-	if len(seen) < 2 {
+	if len(sizes) < minSizesForFit {
 		return Fit{}, false
 	}
 	best := fitShape(linear, xs, ys)
-	if len(seen) >= minSizesForQuadratic {
-		if curve := fitShape(quadratic, squares, ys); curve.Slope > 0 && 1-curve.R2 < quadraticResidualShare*(1-best.R2) {
+	if len(sizes) >= minSizesForQuadratic {
+		curve := fitShape(quadratic, squares, ys)
+		if curve.Slope > 0 && 1-curve.R2 < quadraticResidualShare*(1-best.R2) {
 			best = curve
 		}
 	}
@@ -58,14 +65,15 @@
 func fitShape(shape string, xs, ys []float64) Fit {
 	a, b := stat.LinearRegression(xs, ys, nil, false)
 	r2 := stat.RSquared(xs, ys, nil, a, b)
-	// All points at one height are explained by a level line.
+	// R² divides by the variance of y, which is 0 for points of equal height: a
+	// level line explains these.
 	if math.IsNaN(r2) || math.IsInf(r2, 0) {
 		r2 = 1
 	}
 	return Fit{Shape: shape, Intercept: a, Slope: b, R2: r2, PointCount: len(xs)}
 }
 
-// ValueAt multiplies out.
+// ValueAt evaluates the curve.
 func (f Fit) ValueAt(x float64) float64 {
 	if f.Shape == quadratic {
 		return f.Intercept + f.Slope*x*x
--- /dev/null
+++ b/internal/testsupport/scaletest/hollow_proxy.go
@@ -0,0 +1,117 @@
+package scaletest
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"dunlinwell/internal/base/event"
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/controlplane/membership"
+	"dunlinwell/internal/dataplane/dispatch"
+	"dunlinwell/internal/dataplane/proxy"
+	"dunlinwell/internal/transport/process"
+)
+
+// tickInterval is that of a real proxy.
+const tickInterval = 50 * time.Millisecond
+
+// proxiesPerAddressRange is how many proxies share the third number of their
+// loopback addresses.
+const proxiesPerAddressRange = 200
+
+// hollowProxy is the control state machine of one proxy with its transport. It
+// has no HTTP server, no dispatchers and no connections to targets.
+type hollowProxy struct {
+	control   *proxy.Control
+	owner     *process.Owner
+	transport *process.Transport
+	// mu guards status, which is also read by the group's HTTP server.
+	mu     sync.Mutex
+	status proxyStatus
+	// serviceStates are kept because a real proxy's dispatchers keep them, so
+	// that memory is measured with them. Only the owner's goroutine touches them.
+	serviceStates map[ids.Name]dispatch.ServiceState
+}
+
+// proxyStatus is what the report needs of a proxy's state.
+type proxyStatus struct {
+	ready, leaseValid bool
+	revision          ids.Revision
+	// The times of the last change of the configuration and of the serving state.
+	configurationChangedAt, servingStateChangedAt time.Time
+}
+
+// proxyAddress is the address of the nth proxy.
+func proxyAddress(block, n int) ids.Address {
+	return ids.Address(fmt.Sprintf("127.%d.%d.%d:%d", block, firstProxyNumber+n/proxiesPerAddressRange, n%proxiesPerAddressRange+1, wirePort))
+}
+
+// newHollowProxy makes the nth proxy of a fleet, which knows only itself and its seeds.
+func newHollowProxy(o ProxyGroupOptions, n int, seeds []ids.Address, log *process.Log, stats *process.TrafficStats) *hollowProxy {
+	address := proxyAddress(o.Block, n)
+	self := membership.Member{
+		ID: ids.DaemonID(fmt.Sprintf("proxy-%d", n+1)), Role: membership.Proxy, Address: address, HTTP: address,
+		Zone: Size{Zones: o.Zones, Regions: 1}.Zone(n), RunID: ids.RunID(rand.Uint64()>>24 | 1), Incarnation: ids.Incarnation(time.Now().UnixMilli()),
+	}
+	var controlOptions proxy.ControlOptions
+	if o.Thrifty {
+		controlOptions = proxy.ControlOptions{Lease: proxy.EndlessLease, SlotLayout: proxy.SlotLayout{ByZone: true}}
+	}
+	h := &hollowProxy{
+		control:       proxy.New(membership.Options{Self: self, Seeds: seeds, Incremental: o.Thrifty}, controlOptions),
+		serviceStates: map[ids.Name]dispatch.ServiceState{},
+	}
+	h.transport = &process.Transport{
+		Address: address, Log: log, Stats: stats,
+		Deliver: func(from ids.Address, msg any) { h.owner.Offer(event.Received{From: from, Msg: msg}) },
+	}
+	h.owner = process.NewOwner(h.control, tickInterval, h.execute)
+	return h
+}
+
+// execute carries out a command of the control state machine as a real proxy
+// does, except for those that concern requests.
+func (h *hollowProxy) execute(c event.Command) {
+	switch c := c.(type) {
+	case event.Send:
+		h.transport.Send(c.To, c.Msg)
+	case proxy.DispatchEvent:
+		if state, ok := c.Event.(dispatch.ServiceState); ok {
+			h.serviceStates[c.Service] = state
+		}
+	case proxy.UpdateRoutes:
+		h.mu.Lock()
+		h.status.revision, h.status.configurationChangedAt = c.View.Revision, time.Now()
+		h.mu.Unlock()
+	case proxy.ServingState:
+		h.mu.Lock()
+		if h.status.ready != c.Ready || h.status.leaseValid != c.LeaseValid {
+			h.status.servingStateChangedAt = time.Now()
+		}
+		h.status.ready, h.status.leaseValid = c.Ready, c.LeaseValid
+		h.mu.Unlock()
+	}
+}
+
+// ProxyState is the state of one hollow proxy, as GET /state of its group shows it.
+type ProxyState struct {
+	Ready      bool  `json:"ready"`
+	LeaseValid bool  `json:"in_step"`
+	Revision   int64 `json:"revision"`
+	// ConfigurationChangedAt and ServingStateChangedAt are wall-clock times in
+	// nanoseconds since 1970, comparable as the whole fleet is on one machine.
+	ConfigurationChangedAt int64 `json:"adopted"`
+	ServingStateChangedAt  int64 `json:"stood"`
+}
+
+// state is safe to be called from any goroutine.
+func (h *hollowProxy) state() ProxyState {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return ProxyState{
+		Ready: h.status.ready, LeaseValid: h.status.leaseValid, Revision: int64(h.status.revision),
+		ConfigurationChangedAt: h.status.configurationChangedAt.UnixNano(), ServingStateChangedAt: h.status.servingStateChangedAt.UnixNano(),
+	}
+}
--- /dev/null
+++ b/internal/testsupport/scaletest/measurement.go
@@ -0,0 +1,140 @@
+package scaletest
+
+import (
+	"net/http"
+	"slices"
+	"time"
+
+	dto "github.com/prometheus/client_model/go"
+	"github.com/prometheus/common/expfmt"
+	"github.com/prometheus/common/model"
+	"github.com/prometheus/procfs"
+)
+
+// The roles of daemons, in the order of the report.
+const (
+	proxyRole    = "proxy"
+	registryRole = "registry"
+	storeRole    = "store"
+)
+
+var roles = []string{proxyRole, registryRole, storeRole}
+
+// The values of the label "way" of the traffic metrics.
+const (
+	directionSent     = "sent"
+	directionReceived = "received"
+	directionLost     = "lost"
+)
+
+// traffic is the frames of one kind and direction.
+type traffic struct{ messages, bytes float64 }
+
+type trafficKey struct{ direction, kind string }
+
+// measurement is what each process of a role has used so far, by the process's name.
+type measurement struct {
+	at        time.Time
+	processes map[string]*processUsage
+}
+
+// processUsage is what one run of a process has used since it began.
+type processUsage struct {
+	pid, daemons, descriptors                   int
+	cpuSeconds, residentBytes, peakBytes, syncs float64
+	traffic                                     map[trafficKey]traffic
+}
+
+// httpClientTimeout is long, as a process of many proxies on a full machine
+// answers late, and its figures are wanted all the same.
+const httpClientTimeout = 10 * time.Second
+
+var httpClient = http.Client{Timeout: httpClientTimeout}
+
+// readProc reads what the kernel counts for a process. What can't be read, as
+// of a process that just ended, stays zero.
+func (u *processUsage) readProc(pid int) {
+	u.pid = pid
+	proc, err := procfs.NewProc(u.pid)
+	if err != nil {
+		return
+	}
+	if s, err := proc.Stat(); err == nil {
+		u.cpuSeconds, u.residentBytes = s.CPUTime(), float64(s.ResidentMemory())
+	}
+	if s, err := proc.NewStatus(); err == nil {
+		u.peakBytes = float64(s.VmHWM)
+	}
+	if n, err := proc.FileDescriptorsLen(); err == nil {
+		u.descriptors = n
+	}
+}
+
+// scrapeMetrics reads a process's traffic and disk syncs from its metrics page;
+// they stay zero if it doesn't answer.
+func (u *processUsage) scrapeMetrics(p *daemonProcess) {
+	res, err := httpClient.Get("http://" + p.httpAddress + "/metrics")
+	if err != nil {
+		return
+	}
+	defer func() { _ = res.Body.Close() }()
+	parser := expfmt.NewTextParser(model.UTF8Validation)
+	families, err := parser.TextToMetricFamilies(res.Body)
+	if err != nil {
+		return
+	}
+	for name, add := range map[string]func(t *traffic, v float64){
+		"dunlinwell_wire_messages_total": func(t *traffic, v float64) { t.messages += v },
+		"dunlinwell_wire_bytes_total":    func(t *traffic, v float64) { t.bytes += v },
+	} {
+		for _, m := range families[name].GetMetric() {
+			k := trafficKey{label(m, "way"), label(m, "kind")}
+			t := u.traffic[k]
+			add(&t, m.GetCounter().GetValue())
+			u.traffic[k] = t
+		}
+	}
+	for _, m := range families["dunlinwell_disk_syncs_total"].GetMetric() {
+		u.syncs += m.GetCounter().GetValue()
+	}
+}
+
+func label(m *dto.Metric, name string) string {
+	for _, l := range m.GetLabel() {
+		if l.GetName() == name {
+			return l.GetValue()
+		}
+	}
+	return ""
+}
+
+// measure measures every role. Scraping costs the processes CPU time, so CPU
+// times are read after it where a phase begins, and before it where one ends.
+func (f *fleet) measure(begins bool) map[string]*measurement {
+	out := map[string]*measurement{}
+	for _, role := range roles {
+		m := &measurement{processes: map[string]*processUsage{}}
+		running := f.running(role)
+		for _, p := range running {
+			m.processes[p.name] = &processUsage{daemons: p.daemons, traffic: map[trafficKey]traffic{}}
+		}
+		steps := []func(*daemonProcess){
+			func(p *daemonProcess) { m.processes[p.name].scrapeMetrics(p) },
+			func(p *daemonProcess) { m.processes[p.name].readProc(f.pid(p)) },
+		}
+		if !begins {
+			slices.Reverse(steps)
+		}
+		for _, step := range steps {
+			for _, p := range running {
+				step(p)
+			}
+		}
+		out[role] = m
+	}
+	at := time.Now()
+	for _, m := range out {
+		m.at = at
+	}
+	return out
+}
--- a/internal/testsupport/scaletest/phases.go
+++ b/internal/testsupport/scaletest/phases.go
@@ -5,33 +5,83 @@
 	"time"
 )
 
-// settlingTime is how long a fleet that has come together is left alone.
-const settlingTime = 3 * time.Second
+// The phases of a run, in their order; the names stand in reports.
+const (
+	startPhase        = "start"
+	policyPhase       = "policy"
+	targetsPhase      = "targets"
+	steadyPhase       = "steady"
+	changePhase       = "change"
+	registryLostPhase = "registry-lost"
+	proxiesBackPhase  = "proxies-back"
+)
+
+const (
+	// settlingTime lets the membership list spread that all proxies are ready,
+	// which would count as a cost of the steady phase.
+	settlingTime = 3 * time.Second
+	// changeSettlingTime lets the membership list spread what the last change set
+	// off, so that it counts as a cost of the change phase.
+	changeSettlingTime = 2 * time.Second
+	// registryDowntime is long enough for the others to declare the registry dead.
+	registryDowntime = 5 * time.Second
+	pollInterval     = 100 * time.Millisecond
+	// changesPerProgressLine keeps the progress of a large configuration short.
+	changesPerProgressLine = 10
+)
+
+// phaseStep is a phase to be run: run sets the phase's Completed, Note and Lag.
+type phaseStep struct {
+	name string
+	run  func(*Phase)
+}
+
+func (r *sizeRun) steps() []phaseStep {
+	return []phaseStep{
+		{startPhase, r.awaitStart},
+		{policyPhase, r.loadConfiguration},
+		{targetsPhase, r.announceTargets},
+		{steadyPhase, r.steadyState},
+		{changePhase, r.applyChanges},
+		{registryLostPhase, r.restartRegistry},
+		{proxiesBackPhase, r.restartProxies},
+	}
+}
 
-// loadConfiguration puts the whole configuration in, change by change.
+// awaitStart waits until the core is ready and every proxy answers. No proxy is
+// ready yet: that takes a configuration.
+func (r *sizeRun) awaitStart(phase *Phase) {
+	_, phase.Completed = waitUntil(r.ctx, r.PhaseTimeout, pollInterval, func() bool {
+		return len(r.proxyStates()) == r.Size.Proxies && r.isCoreReady()
+	})
+	phase.Note = fmt.Sprintf("%d core daemons ready", r.readyCore())
+}
+
+// loadConfiguration sends the whole configuration, change by change, and waits
+// until every proxy has the last.
 func (r *sizeRun) loadConfiguration(phase *Phase) {
-	list := r.Size.ConfigurationChanges()
+	changes := r.Size.ConfigurationChanges()
 	slowest, start := time.Duration(0), time.Now()
-	for i, raw := range list {
+	for i, change := range changes {
 		if r.ctx.Err() != nil {
 			return
 		}
 		start = time.Now()
-		revision, err := r.postChange(raw)
+		revision, err := r.postChange(change)
 		elapsed := time.Since(start)
 		if err != nil {
-			phase.Note = fmt.Sprintf("change %d of %d (%d items and %d bytes in) declined after %.1f s: %v", i+1, len(list), r.result.Items, r.result.ConfigurationBytes, elapsed.Seconds(), err)
+			phase.Note = fmt.Sprintf("change %d of %d (%d items and %d bytes in) declined after %.1f s: %v", i+1, len(changes), r.result.Items, r.result.ConfigurationBytes, elapsed.Seconds(), err)
 			return
 		}
 		if elapsed > r.PhaseTimeout {
-			phase.Note = fmt.Sprintf("change %d of %d took %.1f s, %d items and %d bytes in", i+1, len(list), elapsed.Seconds(), r.result.Items, r.result.ConfigurationBytes)
+			phase.Note = fmt.Sprintf("change %d of %d took %.1f s, %d items and %d bytes in", i+1, len(changes), elapsed.Seconds(), r.result.Items, r.result.ConfigurationBytes)
 			return
 		}
 		r.revision, slowest = revision, max(slowest, elapsed)
-		r.result.ConfigurationBytes += len(raw)
+		r.result.ConfigurationBytes += len(change)
 		r.result.Items += min(maxItemsPerChange, r.Zones+r.Services+r.Routes+r.Tenants-r.result.Items)
-		if i%10 == 9 {
-			r.Progress(fmt.Sprintf("  policy: %d of %d changes, the last took %.2f s", i+1, len(list), elapsed.Seconds()))
+		if (i+1)%changesPerProgressLine == 0 {
+			r.Progress(fmt.Sprintf("  policy: %d of %d changes, the last took %.2f s", i+1, len(changes), elapsed.Seconds()))
 		}
 	}
 	lags, ok := r.awaitRevision(r.revision, start)
@@ -39,34 +89,31 @@
 	phase.Note = fmt.Sprintf("%d items, %d bytes, slowest change %.2f s, %d proxies have the last", r.result.Items, r.result.ConfigurationBytes, slowest.Seconds(), len(lags))
 }
 
-// announceTargets lets targets announce themselves, and waits until all proxies serve.
+// announceTargets starts the targets' heartbeats, which go on to the end of the
+// run, and waits until all proxies are ready.
 func (r *sizeRun) announceTargets(phase *Phase) {
 	go r.targets.run(r.ctx)
-	_, ok := waitUntil(r.ctx, r.PhaseTimeout, 100*time.Millisecond, func() bool {
-		return int(r.targets.acknowledged.Load()) >= r.Size.Targets && r.readyProxies() == r.Size.Proxies
+	_, phase.Completed = waitUntil(r.ctx, r.PhaseTimeout, pollInterval, func() bool {
+		return int(r.targets.acknowledged.Load()) >= r.Size.Targets && r.areProxiesReady()
 	})
-	// The roll goes on telling of what has just become ready.
-	_, _ = waitUntil(r.ctx, settlingTime, settlingTime, func() bool { return false })
-	phase.Completed = ok
+	sleepContext(r.ctx, settlingTime, settlingTime, func() {})
 	phase.Note = fmt.Sprintf("%d announcements answered, %d failed; %d proxies ready", r.targets.acknowledged.Load(), r.targets.failed.Load(), r.readyProxies())
 }
 
-// steadyState does nothing for a while.
+// steadyState measures a fleet in which nothing happens but heartbeats and reports.
 func (r *sizeRun) steadyState(phase *Phase) {
 	fewestReady := r.Size.Proxies
 	before := r.targets.acknowledged.Load()
-	_, _ = waitUntil(r.ctx, r.PhaseDuration, r.PhaseDuration/4, func() bool {
-		fewestReady = min(fewestReady, r.readyProxies())
-		return false
-	})
+	sleepContext(r.ctx, r.PhaseDuration, r.PhaseDuration/4, func() { fewestReady = min(fewestReady, r.readyProxies()) })
 	phase.Completed = r.ctx.Err() == nil
-	answered := r.targets.acknowledged.Load() - before
-	phase.Note = fmt.Sprintf("%d proxies ready at least, %d announcements answered (%.0f wanted)", fewestReady, answered, r.PhaseDuration.Seconds()/r.AnnounceInterval.Seconds()*float64(r.Size.Targets))
+	acknowledged := r.targets.acknowledged.Load() - before
+	wanted := r.PhaseDuration.Seconds() / r.AnnounceInterval.Seconds() * float64(r.Size.Targets)
+	phase.Note = fmt.Sprintf("%d proxies ready at least, %d announcements answered (%.0f wanted)", fewestReady, acknowledged, wanted)
 }
 
-// applyChanges are changes of one route each, every one awaited everywhere.
+// applyChanges makes changes of one route each, and awaits each at every proxy.
 func (r *sizeRun) applyChanges(phase *Phase) {
-	var all []time.Duration
+	var allLags []time.Duration
 	for n := range r.Changes {
 		start := time.Now()
 		revision, err := r.postChange(r.Size.RouteChange("change", n))
@@ -75,47 +122,42 @@
 			return
 		}
 		lags, ok := r.awaitRevision(revision, start)
-		all = append(all, lags...)
+		allLags = append(allLags, lags...)
 		if !ok {
 			phase.Note = fmt.Sprintf("change %d: in force at %d proxies within %s", n+1, len(lags), r.PhaseTimeout)
 			return
 		}
 	}
-	// What a change sets off in the roll goes on after it is in force.
-	_, _ = waitUntil(r.ctx, 2*time.Second, time.Second, func() bool { return false })
-	phase.Lag, phase.Completed = newLag(all), r.ctx.Err() == nil
+	sleepContext(r.ctx, changeSettlingTime, time.Second, func() {})
+	phase.Lag, phase.Completed = newLag(allLags), r.ctx.Err() == nil
 	phase.Note = fmt.Sprintf("%d changes", r.Changes)
 }
 
-// restartRegistry kills the registry that plans, and lets it come back.
+// restartRegistry kills the first registry, which plans the spill-over, and
+// starts it again.
 func (r *sizeRun) restartRegistry(phase *Phase) {
-	p := r.running("registry")[0]
+	p := r.running(registryRole)[0]
 	r.kill(p)
 	fewestReady := r.Size.Proxies
-	_, _ = waitUntil(r.ctx, 5*time.Second, 100*time.Millisecond, func() bool {
-		fewestReady = min(fewestReady, r.readyProxies())
-		return false
-	})
+	sleepContext(r.ctx, registryDowntime, pollInterval, func() { fewestReady = min(fewestReady, r.readyProxies()) })
 	if err := r.start(p); err != nil {
 		phase.Note = err.Error()
 		return
 	}
-	elapsed, ok := waitUntil(r.ctx, r.PhaseTimeout, 100*time.Millisecond, func() bool {
-		return r.readyCore() == 3+r.Core && r.readyProxies() == r.Size.Proxies
-	})
+	elapsed, ok := waitUntil(r.ctx, r.PhaseTimeout, pollInterval, func() bool { return r.isCoreReady() && r.areProxiesReady() })
 	phase.Completed = ok
 	phase.Note = fmt.Sprintf("%d proxies ready at least; whole %.1f s after the registry came back", fewestReady, elapsed.Seconds())
 }
 
-// restartProxies loses all proxies at once, and starts them at once.
+// restartProxies kills all proxies at once, and starts them at once.
 func (r *sizeRun) restartProxies(phase *Phase) {
-	r.killRole("proxy")
+	r.killRole(proxyRole)
 	start := time.Now()
-	if err := r.startRole("proxy"); err != nil {
+	if err := r.startRole(proxyRole); err != nil {
 		phase.Note = err.Error()
 		return
 	}
-	elapsed, ok := waitUntil(r.ctx, r.PhaseTimeout, 100*time.Millisecond, func() bool { return r.readyProxies() == r.Size.Proxies })
+	elapsed, ok := waitUntil(r.ctx, r.PhaseTimeout, pollInterval, r.areProxiesReady)
 	var lags []time.Duration
 	for _, s := range r.proxyStates() {
 		if s.Ready {
--- a/internal/testsupport/scaletest/need.go
+++ b/internal/testsupport/scaletest/requirements.go
@@ -1,55 +1,73 @@
 package scaletest
 
 import (
+	"errors"
 	"fmt"
 
 	"github.com/prometheus/procfs"
 	"golang.org/x/sys/unix"
 )
 
-// Requirements is what a fleet takes of the machine it runs on.
+// errNoMemoryTotal: the kernel's memory information lacks the total.
+var errNoMemoryTotal = errors.New("the total is missing")
+
+// Requirements is an estimate of what a fleet takes of its machine.
 type Requirements struct {
-	// Crews, Registries and Stores are bytes of memory, of all such processes.
+	// ProxyGroups, Registries and Stores are bytes of memory, each summed over
+	// all processes of that role.
 	ProxyGroups, Registries, Stores uint64
 	Processes                       int
-	// Descriptors is how many descriptors the process with the most of them opens.
+	// Descriptors is how many file descriptors the process with the most opens.
 	Descriptors uint64
 }
 
-// Bytes is all the memory.
+// Bytes is the memory of the whole fleet.
 func (r Requirements) Bytes() uint64 { return r.ProxyGroups + r.Registries + r.Stores }
 
-// Limits are what the machine gives.
+// Limits are what the machine offers.
 type Limits struct {
-	Memory      uint64
-	Processes   int
+	// Memory is the machine's memory in bytes; a fleet may take half of it.
+	Memory    uint64
+	Processes int
+	// Descriptors is how many file descriptors one process may open.
 	Descriptors uint64
 }
 
+// The parts of the estimate, found by measuring small fleets.
 const (
 	mib = 1 << 20
 	// maxProcesses keeps a fleet to a few hundred processes.
 	maxProcesses = 300
-	maxProxies   = 20000
-	// idleProcessBytes is what a process takes that has nothing to do yet.
+	// maxProxies is how many proxies have a loopback address of their own.
+	maxProxies = 20000
+	// maxCores is how many core machines have loopback addresses of their own.
+	maxCores = 200
+	// idleProcessBytes is the memory of a process that has nothing to do yet.
 	idleProcessBytes = 24 * mib
-	// connectionBytes is what each end of a connection takes.
+	// connectionBytes is the memory of each end of a connection.
 	connectionBytes = 64 << 10
-	// maxProxyConnections is how many ends a proxy was seen to hold at most, while
-	// all tell all of a change in the roll; at rest it is a third of that.
+	// maxProxyConnections is the most connections that a proxy was seen to hold,
+	// while a change in the membership list spreads; at rest it is a third of that.
 	maxProxyConnections = 160
-	// Held by each daemon for each member, target and byte of configuration: the roll
-	// and its copies, the target table or the stock made of it, the register and its view.
-	bytesPerMember        = 2 << 10
-	bytesPerTarget        = 2 << 10
+	// bytesPerMember and bytesPerTarget are what each daemon holds for each
+	// member (the membership list and its copies) and for each target (the target
+	// table or the service states made of it).
+	bytesPerMember = 2 << 10
+	bytesPerTarget = 2 << 10
+	// copiesOfConfiguration is how many bytes each daemon holds for each byte of
+	// the configuration: the register and the view made of it.
 	copiesOfConfiguration = 8
-	// A registry keeps for each proxy what it was told of each target.
+	// bytesPerPushedTarget is what a registry keeps for each pair of a proxy and
+	// a target that it has pushed to that proxy.
 	bytesPerPushedTarget = 160
-	// heapOverhead is how far a heap may outgrow what it holds.
+	// heapOverhead is how far a heap may outgrow what it holds before the next
+	// garbage collection (GOGC=100 doubles it).
 	heapOverhead = 2
+	// spareDescriptors cover listeners, logs, databases and the runtime's own.
+	spareDescriptors = 256
 )
 
-// RequirementsOf works out what a fleet takes, with some proxies in a process.
+// RequirementsOf estimates what a fleet takes, with so many proxies in a process.
 func RequirementsOf(s Size, proxiesPerGroup int) Requirements {
 	configuration := uint64(s.ConfigurationBytes())
 	members, targets, proxies, core := uint64(s.Proxies+2*s.Core), uint64(s.Targets), uint64(s.Proxies), uint64(s.Core)
@@ -59,14 +77,14 @@
 	r := Requirements{Processes: groups + 2*s.Core}
 	r.ProxyGroups = uint64(groups)*idleProcessBytes + proxies*(heapOverhead*daemonBytes+connections*connectionBytes)
 	r.Registries = core * (idleProcessBytes + heapOverhead*(daemonBytes+proxies*targets*bytesPerPushedTarget) + 2*members*connectionBytes)
-	// Each write of the register leaves its old and new form, and frames of both.
+	// Each write of the register holds its old and its new value, and a frame of each.
 	r.Stores = core * (idleProcessBytes + heapOverhead*(daemonBytes+4*configuration) + 2*members*connectionBytes)
-	r.Descriptors = max(uint64(min(proxiesPerGroup, s.Proxies))*(connections+1), 4*members) + 256
+	r.Descriptors = max(uint64(min(proxiesPerGroup, s.Proxies))*(connections+1), 4*members) + spareDescriptors
 	return r
 }
 
-// CheckFits rejects a fleet that the machine has no room for, with the bytes that
-// it would need.
+// CheckFits returns an error that states the needed bytes if the fleet takes
+// more than the limits allow.
 func (r Requirements) CheckFits(s Size, l Limits) error {
 	switch {
 	case r.Bytes() > l.Memory/2:
@@ -80,20 +98,7 @@
 	return nil
 }
 
-// loadAverage is the machine's load average over the last minute.
-func loadAverage() float64 {
-	fs, err := procfs.NewDefaultFS()
-	if err != nil {
-		return 0
-	}
-	l, err := fs.LoadAvg()
-	if err != nil {
-		return 0
-	}
-	return l.Load1
-}
-
-// MachineLimits gives the limits of this one.
+// MachineLimits reads the limits of this machine.
 func MachineLimits() (Limits, error) {
 	l := Limits{Processes: maxProcesses}
 	fs, err := procfs.NewDefaultFS()
@@ -101,8 +106,11 @@
 		return l, err
 	}
 	m, err := fs.Meminfo()
-	if err != nil || m.MemTotalBytes == nil {
-		return l, fmt.Errorf("read the machine's memory: %v", err)
+	if err == nil && m.MemTotalBytes == nil {
+		err = errNoMemoryTotal
+	}
+	if err != nil {
+		return l, fmt.Errorf("read the machine's memory: %w", err)
 	}
 	l.Memory = *m.MemTotalBytes
 	var r unix.Rlimit
@@ -112,3 +120,16 @@
 	l.Descriptors = r.Cur
 	return l, nil
 }
+
+// loadAverage is the machine's load over the last minute; 0 if unknown.
+func loadAverage() float64 {
+	fs, err := procfs.NewDefaultFS()
+	if err != nil {
+		return 0
+	}
+	l, err := fs.LoadAvg()
+	if err != nil {
+		return 0
+	}
+	return l.Load1
+}
--- a/internal/testsupport/scaletest/scaletest_test.go
+++ b/internal/testsupport/scaletest/scaletest_test.go
@@ -13,7 +13,11 @@
 	"github.com/matryer/is"
 )
 
-// A small fleet plays every phase, each role is counted, and the report is there.
+// small is a size for tests that takes a few seconds.
+var small = Size{Proxies: 6, Targets: 8, Services: 2, Routes: 5, Tenants: 3, Zones: 3, Regions: 2, Core: 3}
+
+// A small fleet of real processes completes every phase, each role is measured,
+// and the report can be read back.
 func TestRunSizes_SmallFleetCompletesEveryPhase(t *testing.T) {
 	is := is.New(t)
 	bin := t.TempDir()
@@ -61,9 +65,8 @@
 	is.True(strings.Contains(table.String(), "distribution.Ack"))
 }
 
-var small = Size{Proxies: 6, Targets: 8, Services: 2, Routes: 5, Tenants: 3, Zones: 3, Regions: 2, Core: 3}
-
-// What doesn't fit is rejected before anything starts, with the bytes.
+// A size that the machine can't hold is rejected before anything starts, with the
+// bytes that it needs.
 func TestRunSizes_RejectsOversizedBeforeAnythingStarts(t *testing.T) {
 	is := is.New(t)
 	dir := filepath.Join(t.TempDir(), "fleet")
--- a/internal/testsupport/scaletest/size.go
+++ b/internal/testsupport/scaletest/size.go
@@ -1,7 +1,3 @@
-// Package hollow runs fleets too large for a process a daemon: real control
-// machines of many proxies in a few processes, with real frames and sockets
-// but no requests, beside real registries and stores. It counts what control
-// costs each role, and fits slopes over several sizes.
 package scaletest
 
 import (
@@ -24,10 +20,12 @@
 	Core int `json:"core"`
 }
 
-// DesignSize is the size that the users ask to design for.
+// DesignSize is the largest size that the software is designed for (docs/CAPACITY.md);
+// fits are extrapolated to it.
 var DesignSize = Size{Proxies: 1600, Targets: 4300, Services: 260, Routes: 2000, Tenants: 150000, Zones: 36, Regions: 9, Core: 6}
 
-// axes are what a slope can be taken over, the first that varies wins.
+// axes are the parts of a size, by the names of their flags, in the order in
+// which Axis looks for the one that varies.
 var axes = []struct {
 	name string
 	of   func(*Size) *int
@@ -42,7 +40,7 @@
 	{"core", func(s *Size) *int { return &s.Core }},
 }
 
-// Axis names what varies over sizes; proxies if nothing does.
+// Axis is the name of the first part that varies over the sizes; proxies if none does.
 func Axis(list []Size) string {
 	for _, a := range axes {
 		for i := range list {
@@ -54,7 +52,7 @@
 	return axes[0].name
 }
 
-// Along gives the size along an axis.
+// Along is the part of the size that an axis names; 0 for an unknown name.
 func (s Size) Along(axis string) float64 {
 	for _, a := range axes {
 		if a.name == axis {
@@ -64,44 +62,8 @@
 	return 0
 }
 
-// SizeFlags are sizes as flags give them: one number that holds for all runs, or
-// as many as there are runs.
-type SizeFlags struct {
-	Proxies  []int `help:"Hollow proxies; several sizes, such as 50,100,200, give slopes." default:"50,100,200" name:"proxies"`
-	Targets  []int `help:"Targets that announce themselves." default:"200" name:"targets"`
-	Services []int `help:"Services." default:"20" name:"services"`
-	Routes   []int `help:"Routes." default:"100" name:"routes"`
-	Tenants  []int `help:"Tenants, each a route with a host of its own." default:"0" name:"tenants"`
-	Zones    []int `help:"Cells." default:"12" name:"cells"`
-	Regions  []int `help:"Regions." default:"3" name:"regions"`
-	Core     []int `help:"Core machines, each a registry and a store; three of the stores vote." default:"3" name:"core"`
-}
-
-// Sizes gives one size a run, or says which list doesn't fit the others.
-func (l SizeFlags) Sizes() ([]Size, error) {
-	lists := [][]int{l.Proxies, l.Targets, l.Services, l.Routes, l.Tenants, l.Zones, l.Regions, l.Core}
-	runs := 1
-	for _, list := range lists {
-		runs = max(runs, len(list))
-	}
-	out := make([]Size, runs)
-	for i, list := range lists {
-		if len(list) != 1 && len(list) != runs {
-			return nil, fmt.Errorf("--%s: has %d numbers, where others have %d", axes[i].name, len(list), runs)
-		}
-		for n := range out {
-			*axes[i].of(&out[n]) = list[min(n, len(list)-1)]
-		}
-	}
-	for _, s := range out {
-		if err := s.check(); err != nil {
-			return nil, err
-		}
-	}
-	return out, nil
-}
-
-// check finds sizes that mean nothing, whatever the machine.
+// check returns an error that begins with the flag of the first part that makes
+// no sense on any machine.
 func (s Size) check() error {
 	for _, a := range axes {
 		n, least := *a.of(&s), 1
@@ -109,7 +71,7 @@
 		case "targets", "tenants":
 			least = 0
 		case "core":
-			least = 3
+			least = voterCount
 		}
 		if n < least {
 			return fmt.Errorf("--%s: must be at least %d", a.name, least)
@@ -122,30 +84,30 @@
 		return fmt.Errorf("--services: there can't be more than the %d routes that lead to them", s.Routes)
 	case s.Proxies > maxProxies:
 		return fmt.Errorf("--proxies: at most %d have addresses of their own", maxProxies)
-	case s.Core > 200:
-		return fmt.Errorf("--core: at most 200 have addresses of their own")
+	case s.Core > maxCores:
+		return fmt.Errorf("--core: at most %d have addresses of their own", maxCores)
 	}
 	return nil
 }
 
-// Zone and the others name the parts of a hollow fleet.
+// Zone is the name of the zone of the nth daemon or target.
 func (s Size) Zone(n int) ids.Name { return ids.Name(fmt.Sprintf("cell-%d", n%s.Zones+1)) }
 
-// Region is that of the nth zone.
+// Region is the name of the nth zone's region.
 func (s Size) Region(n int) string { return fmt.Sprintf("region-%d", n%s.Zones%s.Regions+1) }
 
-// Service names the nth service.
+// Service is the name of the nth service.
 func (s Size) Service(n int) ids.Name {
 	return ids.Name(fmt.Sprintf("service-%d", n%s.Services+1))
 }
 
-// String is the size in a few words.
+// String lists all parts.
 func (s Size) String() string {
 	return fmt.Sprintf("%d proxies, %d targets, %d services, %d routes, %d tenants, %d cells, %d regions, %d core",
 		s.Proxies, s.Targets, s.Services, s.Routes, s.Tenants, s.Zones, s.Regions, s.Core)
 }
 
-// maximumSize gives the size with the most of each.
+// maximumSize is the size with the largest of each part.
 func maximumSize(list []Size) Size {
 	out := list[0]
 	for _, a := range axes {
--- a/internal/testsupport/scaletest/size_test.go
+++ b/internal/testsupport/scaletest/size_test.go
@@ -1,13 +1,10 @@
 package scaletest
 
 import (
-	"encoding/json"
 	"strings"
 	"testing"
 
 	"github.com/matryer/is"
-
-	"dunlinwell/internal/state/configuration"
 )
 
 func validFlags() SizeFlags {
@@ -52,59 +49,3 @@
 		})
 	}
 }
-
-// The configuration is one that the catalogue takes, and as long as was said.
-func TestConfigurationChanges_AreAccepted(t *testing.T) {
-	is := is.New(t)
-	s := Size{Proxies: 1, Services: 7, Routes: 40, Tenants: 3000, Zones: 4, Regions: 2, Core: 3}
-	p, err := configuration.Decode(nil)
-	is.NoErr(err)
-	apply := func(raw []byte) {
-		c, faults := configuration.ReadChange(raw)
-		is.Equal(len(faults), 0)
-		next, res := p.Apply(c)
-		is.True(res.Accepted())
-		p = next
-	}
-	for _, raw := range s.ConfigurationChanges() {
-		apply(raw)
-	}
-	is.Equal(len(p.Routes), 3040)
-	is.Equal(len(p.Services), 7)
-	is.Equal(len(p.Zones), 4)
-	size, said := len(p.Encode(false)), s.ConfigurationBytes()
-	is.True(said > size*8/10 && said < size*12/10)
-	rev := p.Revision
-	apply(s.RouteChange("a", 3))
-	is.Equal(p.Revision, rev+1)
-	var body struct {
-		Limit int `json:"limit_ms"`
-	}
-	is.NoErr(json.Unmarshal(p.Routes["route-4"].Body, &body))
-	is.Equal(body.Limit, 4003)
-}
-
-func TestRequirements_GrowWithSizeAndRejectOversized(t *testing.T) {
-	is := is.New(t)
-	a := RequirementsOf(small, 400)
-	is.Equal(a.Processes, 7)
-	is.Equal(a.Bytes(), a.ProxyGroups+a.Registries+a.Stores)
-	for _, axis := range axes[:2] {
-		b := small
-		*axis.of(&b) *= 10
-		is.True(RequirementsOf(b, 400).Bytes() > a.Bytes())
-	}
-	is.Equal(RequirementsOf(small, 2).Processes, 9)
-	is.True(RequirementsOf(small, 2).Descriptors <= a.Descriptors)
-	is.NoErr(a.CheckFits(small, Limits{Memory: 2 * a.Bytes(), Processes: 7, Descriptors: a.Descriptors}))
-	for what, l := range map[string]Limits{
-		"bytes":       {Memory: 2*a.Bytes() - 2, Processes: 7, Descriptors: a.Descriptors},
-		"processes":   {Memory: 2 * a.Bytes(), Processes: 6, Descriptors: a.Descriptors},
-		"descriptors": {Memory: 2 * a.Bytes(), Processes: 7, Descriptors: a.Descriptors - 1},
-	} {
-		err := a.CheckFits(small, l)
-		is.True(err != nil)
-		is.True(strings.Contains(err.Error(), what))
-		is.True(strings.Contains(err.Error(), "would need"))
-	}
-}
--- /dev/null
+++ b/internal/testsupport/scaletest/slopes_test.go
@@ -0,0 +1,71 @@
+package scaletest
+
+import (
+	"testing"
+
+	"github.com/matryer/is"
+)
+
+// A fleet whose proxies suspect live peers is not at rest: its steady phase is
+// left out of the fits.
+func TestFitSlopes_LeavesOutRunsWithSuspicions(t *testing.T) {
+	is := is.New(t)
+	run := func(proxies int, kinds ...KindTraffic) Run {
+		return Run{
+			Size: Size{Proxies: proxies}, Cores: 8, Threads: 2,
+			Phases: []Phase{{Name: "steady", Completed: true, Usages: []Usage{{Role: "proxy", Daemons: proxies, CPUPercent: float64(proxies), Kinds: kinds}}}},
+		}
+	}
+	ack := KindTraffic{Kind: "distribution.Ack", MessagesPerSecond: 9}
+	list := FitSlopes([]Run{run(1, ack), run(2, ack), run(3, ack, KindTraffic{Kind: "proxy.LeaseRequest", MessagesPerSecond: 0.06}), run(4, KindTraffic{Kind: "membership.Suspect", MessagesPerSecond: 1})})
+	is.Equal(list[0].Fit.PointCount, 2)
+	is.Equal([]bool{list[0].Points[0].LeftOut, list[0].Points[1].LeftOut, list[0].Points[2].LeftOut, list[0].Points[3].LeftOut}, []bool{false, false, true, true})
+}
+
+// The cost of one change is what the change phase cost beyond the steady state,
+// divided by the number of changes.
+func TestChangeCostSlopes_SubtractSteadyState(t *testing.T) {
+	is := is.New(t)
+	run := func(proxies int) Run {
+		x := float64(proxies)
+		return Run{Size: Size{Proxies: proxies}, Cores: 8, Threads: 2, Changes: 4, Phases: []Phase{
+			{Name: "steady", Completed: true, Usages: []Usage{{Role: "proxy", Seconds: 10, CPUPercent: 1, SentBytesPerSecond: 100, ReceivedBytesPerSecond: 100}}},
+			{Name: "change", Completed: true, Usages: []Usage{{Role: "proxy", Seconds: 2, CPUPercent: 1 + x, SentBytesPerSecond: 100 + x, ReceivedBytesPerSecond: 100 + x}}},
+		}}
+	}
+	for _, s := range changeCostSlopes([]Run{run(10), run(20)}, "proxies")[:2] {
+		is.Equal(s.Fit.PointCount, 2)
+		switch s.Measure {
+		case "one change: CPU ms":
+			is.True(almostEqual(s.Points[0].Y, 50))
+		case "one change: bytes sent and received":
+			is.True(almostEqual(s.Points[1].Y, 20))
+		}
+	}
+}
+
+// A run that saturated the machine, one process, or a connection's queue is left out.
+func TestFitSlopes_LeavesOutSaturatedRuns(t *testing.T) {
+	is := is.New(t)
+	run := func(proxies int, cpu, busiest, lost float64) Run {
+		return Run{
+			Size: Size{Proxies: proxies}, Cores: 8, Threads: 2,
+			Phases: []Phase{{Name: "steady", Completed: true, Usages: []Usage{{Role: "proxy", Daemons: proxies, CPUPercent: cpu, BusiestProcessCPUPercent: busiest, LostMessages: lost, SentBytesPerSecond: 10, ReceivedBytesPerSecond: 20}}}},
+		}
+	}
+	list := FitSlopes([]Run{run(10, 1, 10, 0), run(20, 2, 40, 0), run(100, 7, 100, 0), run(40, 3, 180, 0), run(80, 4, 100, 1)})
+	for _, s := range list {
+		if s.Measure == "CPU, % of a core" {
+			is.Equal(s.Fit.PointCount, 2)
+			is.True(almostEqual(s.Extrapolated, 160))
+			is.Equal(s.comparedWithBudget(), "1.7: 94.1 times over")
+		}
+		if s.Measure == "sent and received, bytes/s" {
+			is.Equal(s.comparedWithBudget(), "1.3e+04: within")
+		}
+	}
+	for _, s := range list {
+		is.Equal(s.Phase, "steady")
+	}
+	is.Equal(len(list), len(measures))
+}
