--- /dev/null
+++ b/cmd/testbed/run.go
@@ -0,0 +1,100 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"time"
+
+	"dunlinwell/internal/testsupport/blueprint"
+	"dunlinwell/internal/testsupport/testbed"
+)
+
+// RunCmd runs load and faults against a fleet of real processes, and counts
+// violations.
+type RunCmd struct {
+	Plan        string        `help:"small, cooperative or library." default:"small" enum:"small,cooperative,library" name:"plan"`
+	Dir         string        `help:"Folder for programs, data and logs." default:"testbed.out" name:"dir"`
+	Duration    time.Duration `help:"How long to run load." default:"120s" name:"for"`
+	Scenario    string        `help:"Which faults: grand (losses in turn), worst (everything at once), swaps (all core machines replaced), hot (one hot cell), quiet (none)." default:"grand" enum:"grand,worst,swaps,hot,quiet" name:"play"`
+	Script      string        `help:"File with faults at set times; see docs/testbed.md." xor:"faults" name:"script"`
+	Seed        uint64        `help:"Draw the faults from a seed." xor:"faults" name:"seed"`
+	Rate        float64       `help:"Requests a second, instead of the plan's." name:"rate"`
+	TargetLevel float64       `help:"Each cell's comfortable level in ms of CPU a second, instead of the plan's." name:"target"`
+	PlanEvery   time.Duration `help:"How often registries plan the spill." default:"5s" name:"plan-every"`
+	Bin         string        `help:"Folder of built daemons, to compare versions." name:"bin"`
+	OtherBin    string        `help:"Folder of built daemons for every other one, for a mixed fleet." name:"other"`
+}
+
+// The built-in scenarios, by their names on the command line.
+const (
+	grandScenario       = "grand"
+	worstScenario       = "worst"
+	replacementScenario = "swaps"
+	hotScenario         = "hot"
+	quietScenario       = "quiet"
+)
+
+// minDurations are how long each scenario's faults take, with the time that the
+// fleet has to recover from the last.
+var minDurations = map[string]time.Duration{
+	grandScenario: 115 * time.Second, worstScenario: 115 * time.Second, replacementScenario: 90 * time.Second, hotScenario: 220 * time.Second,
+}
+
+// script returns the faults that the flags ask for, checked against the plan.
+func (r *RunCmd) script(plan blueprint.Plan) (*testbed.Script, error) {
+	switch {
+	case r.Script != "":
+		raw, err := os.ReadFile(r.Script)
+		if err != nil {
+			return nil, err
+		}
+		return testbed.ReadScript(r.Script, raw, plan, r.Duration)
+	case r.Seed != 0:
+		return testbed.RandomScript(plan, r.Seed, r.Duration), nil
+	case r.Duration < minDurations[r.Scenario]:
+		return nil, fmt.Errorf("--for: %s takes %s", r.Scenario, minDurations[r.Scenario])
+	}
+	switch r.Scenario {
+	case grandScenario:
+		return testbed.GrandScript(plan), nil
+	case worstScenario:
+		return testbed.WorstCaseScript(plan), nil
+	case replacementScenario:
+		return testbed.ReplacementScript(plan), nil
+	case hotScenario:
+		return testbed.HotZoneScript(plan, r.Duration), nil
+	}
+	return &testbed.Script{}, nil
+}
+
+// Run runs the load, restarts the whole fleet, reads everything back and reports.
+func (r *RunCmd) Run(ctx context.Context) error {
+	script, err := r.script(blueprint.Plans[r.Plan])
+	if err != nil {
+		return err
+	}
+	tb, err := testbed.Start(ctx, testbed.Options{
+		Plan: r.Plan, Dir: r.Dir, Out: os.Stdout, Relay: true, Bin: r.Bin, OtherBin: r.OtherBin,
+		Rate: r.Rate, TargetLevel: r.TargetLevel, PlanEvery: r.PlanEvery,
+	})
+	if err != nil {
+		return err
+	}
+	defer tb.Close()
+	start := time.Now()
+	usageBefore := tb.MeasureUsage()
+	if r.Scenario == hotScenario && r.Script == "" && r.Seed == 0 {
+		tb.RunHotZone(ctx, r.Duration, script)
+	} else {
+		tb.RunLoad(ctx, r.Duration, func(context.Context) { tb.RunScript(ctx, script) })
+	}
+	if r.Scenario == quietScenario {
+		tb.PrintUsage(usageBefore)
+	}
+	tb.RestartAndVerify(ctx)
+	if n := tb.Report(start); n > 0 {
+		return fmt.Errorf("%d guarantees were violated", n)
+	}
+	return nil
+}
