--- a/internal/testsupport/testbed/odd_cli_test.go
+++ b/internal/testsupport/testbed/bad_commands_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// badCommands are mistakes on the command line: the exit code that each has
-// through any daemon, and a word that its one line of explanation holds.
+// badCommands are mistakes on the command line, with the exit code that each has
+// through any daemon, and a word that its output contains.
 var badCommands = []struct {
 	words string
 	code  int
@@ -47,24 +47,25 @@
 	{"runbook check /nowhere/at/all", 2, "no such file"},
 }
 
-// checkBadCommands plays the mistakes through every kind of daemon; nothing changes.
-func checkBadCommands(t *testing.T, s *Testbed) {
+// checkBadCommands runs the mistakes through every kind of daemon, and checks that the
+// configuration stays as it was.
+func checkBadCommands(t *testing.T, tb *Testbed) {
 	is := is.New(t)
-	before := call(t, "GET", s.ProcessesOf("registry")[0].HTTP, "/v1/policy", "").body
+	before := call(t, "GET", tb.ProcessesOf("registry")[0].HTTP, "/v1/policy", "").body
 	for _, role := range []string{"proxy", "registry", "store"} {
-		for _, o := range badCommands {
-			cli := exec.Command(filepath.Join(s.Bin, "dunlinwell"), append([]string{"--at", s.ProcessesOf(role)[0].HTTP}, strings.Fields(o.words)...)...)
-			said, _ := cli.CombinedOutput()
-			if n := cli.ProcessState.ExitCode(); n != o.code || !strings.Contains(string(said), o.says) {
-				t.Errorf("%q through the %s: exit %d, not %d with %q: %.200s", o.words, role, n, o.code, o.says, said)
+		for _, c := range badCommands {
+			cli := exec.Command(filepath.Join(tb.Bin, "dunlinwell"), append([]string{"--at", tb.ProcessesOf(role)[0].HTTP}, strings.Fields(c.words)...)...)
+			output, _ := cli.CombinedOutput()
+			if n := cli.ProcessState.ExitCode(); n != c.code || !strings.Contains(string(output), c.says) {
+				t.Errorf("%q through the %s: exit %d, not %d with %q: %.200s", c.words, role, n, c.code, c.says, output)
 			}
 		}
 	}
-	// Nobody there: a read is unreachable, a change uncertain.
+	// Nothing listens there: a read is unreachable, the outcome of a change unknown.
 	for words, code := range map[string]int{"service list": 5, "service remove odd": 6} {
-		cli := exec.Command(filepath.Join(s.Bin, "dunlinwell"), append([]string{"--at", "127.0.0.1:1"}, strings.Fields(words)...)...)
+		cli := exec.Command(filepath.Join(tb.Bin, "dunlinwell"), append([]string{"--at", "127.0.0.1:1"}, strings.Fields(words)...)...)
 		_ = cli.Run()
 		is.Equal(cli.ProcessState.ExitCode(), code)
 	}
-	is.Equal(call(t, "GET", s.ProcessesOf("registry")[0].HTTP, "/v1/policy", "").body, before)
+	is.Equal(call(t, "GET", tb.ProcessesOf("registry")[0].HTTP, "/v1/policy", "").body, before)
 }
--- a/internal/testsupport/testbed/odd_test.go
+++ b/internal/testsupport/testbed/bad_requests_test.go
@@ -13,7 +13,7 @@
 	"github.com/matryer/is"
 )
 
-// badRequest is one call as bytes, and the status that every kind of daemon gives it.
+// badRequest is a request as bytes, and the response that every kind of daemon gives.
 type badRequest struct {
 	name string
 	raw  string
@@ -23,11 +23,12 @@
 	bodyContains string
 }
 
-func rawRequest(method, path, body string, head ...string) string {
-	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: %d\r\n%s\r\n%s", method, path, len(body), strings.Join(append(head, ""), "\r\n"), body)
+// rawRequest is a well-formed HTTP request that closes its connection.
+func rawRequest(method, path, body string, headers ...string) string {
+	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: %d\r\n%s\r\n%s", method, path, len(body), strings.Join(append(headers, ""), "\r\n"), body)
 }
 
-// control is odd input on the pages that any daemon takes.
+// badControlRequests are invalid calls of the control API, which any daemon serves.
 func badControlRequests() []badRequest {
 	change := func(parts string) string {
 		return rawRequest("POST", "/v1/change", `{"id":"odd-1","changes":[`+parts+`]}`)
@@ -74,15 +75,15 @@
 	}
 }
 
-// badClientRequests are odd requests of clients, at a proxy.
+// badClientRequests are unusual requests of clients, which only a proxy serves.
 func badClientRequests() []badRequest {
 	order := func(head ...string) string { return rawRequest("POST", "/orders/item", `{}`, head...) }
 	return []badRequest{
-		{"an order without a mark", order(), 400, "Idempotency-Key"},
-		{"an empty mark", order("Idempotency-Key: "), 400, "Idempotency-Key"},
-		{"a mark with spaces", order("Idempotency-Key: a b"), 400, "Idempotency-Key"},
-		{"a mark too long", order("Idempotency-Key: " + strings.Repeat("m", 257)), 400, "Idempotency-Key"},
-		{"two marks", order("Idempotency-Key: odd-a", "Idempotency-Key: odd-b"), 400, "Idempotency-Key"},
+		{"an order without a key", order(), 400, "Idempotency-Key"},
+		{"an empty key", order("Idempotency-Key: "), 400, "Idempotency-Key"},
+		{"a key with spaces", order("Idempotency-Key: a b"), 400, "Idempotency-Key"},
+		{"a key too long", order("Idempotency-Key: " + strings.Repeat("m", 257)), 400, "Idempotency-Key"},
+		{"two keys", order("Idempotency-Key: odd-a", "Idempotency-Key: odd-b"), 400, "Idempotency-Key"},
 		{"attempt zero", order("Idempotency-Key: odd-1", "Attempt: 0"), 400, "Attempt"},
 		{"two attempts", order("Idempotency-Key: odd-1", "Attempt: 1", "Attempt: 2"), 400, "Attempt"},
 		{"attempt minus one", order("Idempotency-Key: odd-1", "Attempt: -1"), 400, "Attempt"},
@@ -105,48 +106,49 @@
 	}
 }
 
-// sendRaw sends bytes, ends its side, and reads the one answer.
-func sendRaw(t *testing.T, at string, o badRequest) (int, string) {
+// sendRaw sends bytes, closes the sending side, and reads one response.
+func sendRaw(t *testing.T, address string, r badRequest) (int, string) {
 	t.Helper()
-	c, err := net.Dial("tcp", at)
+	connection, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(20 * time.Second))
+	defer func() { _ = connection.Close() }()
+	_ = connection.SetDeadline(time.Now().Add(20 * time.Second))
 	go func() {
-		_, _ = io.WriteString(c, o.raw)
-		_ = c.(*net.TCPConn).CloseWrite()
+		_, _ = io.WriteString(connection, r.raw)
+		_ = connection.(*net.TCPConn).CloseWrite()
 	}()
-	method, _, _ := strings.Cut(o.raw, " ")
+	method, _, _ := strings.Cut(r.raw, " ")
 	req, _ := http.NewRequest(method, "http://x/", nil)
-	read := bufio.NewReader(c)
-	res, err := http.ReadResponse(read, req)
+	reader := bufio.NewReader(connection)
+	res, err := http.ReadResponse(reader, req)
 	for err == nil && res.StatusCode == http.StatusContinue {
-		res, err = http.ReadResponse(read, req)
+		res, err = http.ReadResponse(reader, req)
 	}
 	if err != nil {
 		return 0, err.Error()
 	}
-	defer res.Body.Close()
+	defer func() { _ = res.Body.Close() }()
 	raw, _ := io.ReadAll(res.Body)
 	return res.StatusCode, string(raw)
 }
 
-// checkBadRequests plays the tables against every kind of daemon; nothing changes.
-func checkBadRequests(t *testing.T, s *Testbed) {
+// checkBadRequests sends both tables to every kind of daemon that serves them, and
+// checks the responses, and that the configuration stays as it was.
+func checkBadRequests(t *testing.T, tb *Testbed) {
 	is := is.New(t)
-	before := call(t, "GET", s.ProcessesOf("registry")[0].HTTP, "/v1/policy", "").body
-	play := func(at, who string, list []badRequest) {
-		for _, o := range list {
-			if status, body := sendRaw(t, at, o); status != o.want || !strings.Contains(body, o.bodyContains) {
-				t.Errorf("%s at the %s: status %d, not %d with %q: %.200s", o.name, who, status, o.want, o.bodyContains, body)
+	before := call(t, "GET", tb.ProcessesOf("registry")[0].HTTP, "/v1/policy", "").body
+	check := func(at, role string, requests []badRequest) {
+		for _, r := range requests {
+			if status, body := sendRaw(t, at, r); status != r.want || !strings.Contains(body, r.bodyContains) {
+				t.Errorf("%s at the %s: status %d, not %d with %q: %.200s", r.name, role, status, r.want, r.bodyContains, body)
 			}
 		}
 	}
 	for _, role := range []string{"proxy", "registry", "store"} {
-		play(s.ProcessesOf(role)[0].HTTP, role, badControlRequests())
+		check(tb.ProcessesOf(role)[0].HTTP, role, badControlRequests())
 	}
-	play(s.ProcessesOf("proxy")[0].HTTP, "proxy", badClientRequests())
-	is.Equal(call(t, "GET", s.ProcessesOf("registry")[0].HTTP, "/v1/policy", "").body, before)
+	check(tb.ProcessesOf("proxy")[0].HTTP, "proxy", badClientRequests())
+	is.Equal(call(t, "GET", tb.ProcessesOf("registry")[0].HTTP, "/v1/policy", "").body, before)
 }
--- a/internal/testsupport/testbed/fleet.go
+++ b/internal/testsupport/testbed/fleet.go
@@ -1,12 +1,10 @@
 package testbed
 
 import (
+	"context"
 	"fmt"
 	"os"
-	"os/exec"
 	"path/filepath"
-	"slices"
-	"strings"
 	"sync"
 	"syscall"
 	"time"
@@ -16,105 +14,106 @@
 	"dunlinwell/internal/testsupport/blueprint"
 )
 
-// Process is one daemon of the fleet.
-type Process struct {
-	Role, Name    string
-	Zone          ids.Name
-	Address, HTTP string
-	Data          string
-	cmd           *exec.Cmd
-	log           *os.File
-	exited        chan struct{}
-	// listenAddress and pages are where it listens behind the relay.
-	listenAddress, listenHTTP string
-	// Lost: not running now. Gone: replaced by another, for good.
-	Stopped, Replaced bool
-}
+const (
+	// coreMachines is how many machines have a store and a registry.
+	coreMachines = 3
+	// The ports of a fleet with fixed addresses.
+	wirePort = 7401
+	httpPort = 7400
+	// readinessPollInterval bounds how exactly it is known when a fleet was ready.
+	readinessPollInterval = 50 * time.Millisecond
+)
 
 // Fleet is the daemons of a plan.
 type Fleet struct {
 	blueprint.Plan
+	// Bin is the folder of the programs, Dir that of data and logs.
 	Bin, Dir string
-	// Other, if set, holds the programs of every other daemon.
+	// OtherBin, if set, is the folder of the programs of every other daemon.
 	OtherBin string
-	// Fixed asks for the same ports each time, for a person to type.
+	// Fixed asks for the same addresses and ports each time, for a person to type;
+	// data folders are kept then.
 	Fixed bool
-	// PlanEvery is how often registries plan the spill.
-	PlanEvery     time.Duration
-	mu            sync.Mutex
-	Processes     []*Process
-	seeds         []string
+	// PlanEvery is how often registries plan the spill-over.
+	PlanEvery time.Duration
+	// Processes are in the order of their start: stores, registries, proxies, and
+	// after them replacements.
+	Processes []*Process
+
+	// mu guards Processes, nextCoreIndex, impairedUntil and the last run of each process.
+	mu    sync.Mutex
+	seeds []string
+	// nextCoreIndex is the number, from 0, of the next replacement core machine.
 	nextCoreIndex int
-	relay         *Relay
-	impaired      impairments
-	// restartLock keeps deeds from starting one process twice.
+	// relay is nil if connections are direct.
+	relay *Relay
+	// impairedUntil is by HTTP address; see MarkImpaired.
+	impairedUntil map[string]time.Time
+	// restartLock keeps concurrent steps of a script from starting one process twice.
 	restartLock sync.Mutex
 }
 
-func (f *Fleet) port(n int) int {
+// port is the given one in a fleet with fixed addresses, or else 0 for any.
+func (f *Fleet) port(fixed int) int {
 	if f.Fixed {
-		return n
+		return fixed
 	}
 	return 0
 }
 
-// newProcess gives a process its addresses. Core machines stand in the first zone of
-// each region, so that losing a region loses one.
-func (f *Fleet) newProcess(role string, code, n int, zone int) (*Process, error) {
+// newProcess gives the nth process of a role its name and addresses.
+func (f *Fleet) newProcess(role string, n, zone int) (*Process, error) {
 	p := &Process{Role: role, Name: fmt.Sprintf("%s-%d", role, n+1), Zone: f.Plan.Zone(zone)}
+	p.Data = filepath.Join(f.Dir, p.Name)
+	number := roleNumbers[role]
 	var err error
-	if p.Address, err = loopbackAddress(zone, code, n, f.port(7401)); err != nil {
+	if p.Address, err = loopbackAddress(zone, number, n, f.port(wirePort)); err != nil {
 		return nil, err
 	}
-	if p.HTTP, err = loopbackAddress(zone, code, n, f.port(7400)); err != nil {
+	if p.HTTP, err = loopbackAddress(zone, number, n, f.port(httpPort)); err != nil {
 		return nil, err
 	}
-	if f.relay != nil {
-		if p.listenAddress, err = f.relayTo(p.Address, zone, code, n); err != nil {
-			return nil, err
-		}
-		p.listenHTTP, err = f.relayTo(p.HTTP, zone, code, n)
+	if f.relay == nil {
+		return p, nil
 	}
-	p.Data = filepath.Join(f.Dir, p.Name)
+	if p.listenAddress, err = f.relayTo(p.Address, zone, number, n); err != nil {
+		return nil, err
+	}
+	p.listenHTTP, err = f.relayTo(p.HTTP, zone, number, n)
 	return p, err
 }
 
-// relayTo gives an address of the same machine that another leads to.
-func (f *Fleet) relayTo(address string, zone, code, n int) (string, error) {
-	at, err := loopbackAddress(zone, code, n, 0)
+// relayTo opens an address at the relay, and returns the address on the same IP
+// address to which it leads.
+func (f *Fleet) relayTo(address string, zone, number, n int) (string, error) {
+	listenAddress, err := loopbackAddress(zone, number, n, 0)
 	if err != nil {
 		return "", err
 	}
-	return at, f.relay.Forward(address, at)
+	return listenAddress, f.relay.Forward(address, listenAddress)
 }
 
-// Start lays out the fleet and starts it.
+// Start lays out the fleet and starts every process. Core machines are in the
+// first zone of each region, so that the loss of a region loses one.
 func (f *Fleet) Start() error {
-	for n := range 3 {
-		p, err := f.newProcess("store", 1, n, n%f.Plan.Zones)
-		if err != nil {
-			return err
-		}
-		f.seeds = append(f.seeds, p.Address)
-		f.Processes = append(f.Processes, p)
-	}
-	for n := range 3 {
-		p, err := f.newProcess("registry", 2, n, n%f.Plan.Zones)
-		if err != nil {
-			return err
-		}
-		f.Processes = append(f.Processes, p)
-	}
-	for n := range f.Proxies {
-		p, err := f.newProcess("proxy", 3, n, n%f.Plan.Zones)
-		if err != nil {
-			return err
+	for _, role := range []struct {
+		name  string
+		count int
+	}{{storeRole, coreMachines}, {registryRole, coreMachines}, {proxyRole, f.Proxies}} {
+		for n := range role.count {
+			p, err := f.newProcess(role.name, n, n%f.Plan.Zones)
+			if err != nil {
+				return err
+			}
+			if role.name == storeRole {
+				f.seeds = append(f.seeds, p.Address)
+			}
+			f.Processes = append(f.Processes, p)
 		}
-		f.Processes = append(f.Processes, p)
 	}
-	f.nextCoreIndex = 3
+	f.nextCoreIndex = coreMachines
 	for _, p := range f.Processes {
-		// At new addresses an old folder's voter set leads nowhere.
+		// The voter set in an earlier fleet's folder has other addresses.
 		if !f.Fixed {
 			if err := os.RemoveAll(p.Data); err != nil {
 				return err
@@ -127,94 +126,55 @@
 	return nil
 }
 
-// StartProcess starts a process that isn't running.
-func (f *Fleet) StartProcess(p *Process) error {
-	args := []string{"--name", p.Name, "--address", p.Address, "--http", p.HTTP, "--cell", string(p.Zone), "--seeds", strings.Join(f.seeds, ",")}
-	if p.listenAddress != "" {
-		args = append(args, "--bind", p.listenAddress, "--http-bind", p.listenHTTP)
-	}
-	switch p.Role {
-	case "store":
-		args = append(args, "--data", p.Data)
-		if slices.Contains(f.seeds, p.Address) {
-			args = append(args, "--bootstrap")
-		}
-	case "registry":
-		args = append(args, "--plan-every", f.PlanEvery.String())
-	}
-	log, err := os.OpenFile(filepath.Join(f.Dir, p.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
-	if err != nil {
-		return err
-	}
-	bin := f.Bin
-	if f.OtherBin != "" && strings.ContainsAny(p.Name[len(p.Name)-1:], "02468") {
-		bin = f.OtherBin
-	}
-	cmd := exec.Command(filepath.Join(bin, p.Role), args...)
-	cmd.Stdout, cmd.Stderr = log, log
-	// Should testbed itself be killed, its daemons end with it.
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	if err := cmd.Start(); err != nil {
-		log.Close()
-		return errs.Wrap(err, "start", p.Name)
-	}
-	f.mu.Lock()
-	p.cmd, p.log, p.exited, p.Stopped = cmd, log, make(chan struct{}), false
-	ended := p.exited
-	f.mu.Unlock()
-	go func() { _ = cmd.Wait(); log.Close(); close(ended) }()
-	return nil
-}
-
-// Signal sends a signal to a process of ours.
-func (f *Fleet) Signal(p *Process, s syscall.Signal) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if p.cmd != nil && p.cmd.Process != nil {
-		_ = p.cmd.Process.Signal(s)
+// StopAll stops all processes, frozen ones too.
+func (f *Fleet) StopAll() {
+	var stops sync.WaitGroup
+	for _, p := range f.Processes {
+		stops.Go(func() {
+			f.Signal(p, syscall.SIGCONT)
+			f.Stop(p)
+		})
 	}
+	stops.Wait()
 }
 
-// Kill ends a process at once, and waits until it is gone.
-func (f *Fleet) Kill(p *Process) {
-	f.Signal(p, syscall.SIGKILL)
-	p.Stopped = true
-	f.awaitExit(p, 5*time.Second)
-}
-
-// Stop ends a process as the platform does: politely, then hard.
-func (f *Fleet) Stop(p *Process) time.Duration {
-	from := time.Now()
-	f.Signal(p, syscall.SIGTERM)
-	if !f.awaitExit(p, 3*time.Second) {
-		f.Kill(p)
+// AwaitReady waits until every process that should run is ready. It returns how
+// long that took, and an error if it took longer than the time-out.
+func (f *Fleet) AwaitReady(ctx context.Context, timeout time.Duration) (time.Duration, error) {
+	start := time.Now()
+	for {
+		unready := f.firstUnready(ctx)
+		if unready == nil {
+			return time.Since(start), nil
+		}
+		if time.Since(start) > timeout || ctx.Err() != nil {
+			return time.Since(start), errs.New("await fleet", unready.Name, "not ready within %s", timeout)
+		}
+		time.Sleep(readinessPollInterval)
 	}
-	p.Stopped = true
-	return time.Since(from)
 }
 
-func (f *Fleet) awaitExit(p *Process, d time.Duration) bool {
-	if p.exited == nil {
-		return true
-	}
-	select {
-	case <-p.exited:
-		return true
-	case <-time.After(d):
-		return false
+// firstUnready is a process that should run and isn't ready; nil if there is none.
+func (f *Fleet) firstUnready(ctx context.Context) *Process {
+	for _, p := range f.Processes {
+		if !p.Stopped && !p.Ready(ctx) {
+			return p
+		}
 	}
+	return nil
 }
 
-// StopAll ends the whole fleet.
-func (f *Fleet) StopAll() {
-	var all sync.WaitGroup
+// Find returns the process of a name; nil if there is none.
+func (f *Fleet) Find(name string) *Process {
 	for _, p := range f.Processes {
-		all.Go(func() { f.Signal(p, syscall.SIGCONT); f.Stop(p) })
+		if p.Name == name {
+			return p
+		}
 	}
-	all.Wait()
+	return nil
 }
 
-// ProcessesOf gives the processes of a role.
+// ProcessesOf returns the processes of a role.
 func (f *Fleet) ProcessesOf(role string) []*Process {
 	var out []*Process
 	for _, p := range f.Processes {
@@ -224,3 +184,20 @@
 	}
 	return out
 }
+
+// snapshot returns a copy of the list of processes.
+func (f *Fleet) snapshot() []*Process {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return append([]*Process{}, f.Processes...)
+}
+
+// zoneIndex is the number of a zone in the plan; 0 if it isn't there.
+func (f *Fleet) zoneIndex(zone ids.Name) int {
+	for i := range f.Plan.Zones {
+		if f.Plan.Zone(i) == zone {
+			return i
+		}
+	}
+	return 0
+}
--- /dev/null
+++ b/internal/testsupport/testbed/load.go
@@ -0,0 +1,50 @@
+package testbed
+
+import (
+	"context"
+	"fmt"
+	"sync"
+	"time"
+)
+
+// RunLoad runs clients, operators and probes for a duration, and calls during
+// meanwhile if it isn't nil. In the end it reads every accepted change back.
+func (tb *Testbed) RunLoad(ctx context.Context, duration time.Duration, during func(context.Context)) {
+	load, stop := context.WithTimeout(ctx, duration)
+	defer stop()
+	tb.clients = &Clients{Plan: tb.Plan, Checker: tb.Checker, Registries: tb.registryAddresses, Delay: tb.standInLatency, Testbed: tb}
+	tb.operators = NewOperators(tb)
+	var pending sync.WaitGroup
+	pending.Go(func() { tb.clients.Run(load) })
+	pending.Go(func() { tb.operators.Run(load) })
+	pending.Go(func() { tb.probes.run(load, tb) })
+	if during != nil {
+		during(load)
+	}
+	pending.Wait()
+	tb.operators.VerifyLedger("after the load")
+}
+
+// Report prints what was counted since a time, and returns the number of violations.
+func (tb *Testbed) Report(since time.Time) int {
+	tally := tb.Checker.CountByClass(since)
+	fmt.Fprintf(tb.Out, "\nanswers: %d answered, %d declined, %d unknown, %d lost, %d unreached; %d runs at targets\n",
+		tally[classAnswered], tally["declined"], tally["unknown"], tally[classLost], tally[classUnreached], tally["runs"])
+	within1s, requests := tb.Checker.ShareWithin(time.Second)
+	within5s, _ := tb.Checker.ShareWithin(5 * time.Second)
+	fmt.Fprintf(tb.Out, "of %d requests %.2f%% had their answer within 1 s of the first attempt, %.2f%% within 5 s\n", requests, within1s*100, within5s*100)
+	fmt.Fprintf(tb.Out, "last first attempt without an answer: %s after the machines were back\n", tb.Checker.Recovery().Round(time.Millisecond))
+	violations := 0
+	for _, c := range tb.Checker.Results() {
+		violations += c.Violations
+		// A rule that was never checked shows nothing.
+		if c.Judged == 0 && c.Violations == 0 {
+			fmt.Fprintf(tb.Out, "  %-62s nothing to judge\n", c.Rule)
+			continue
+		}
+		fmt.Fprintf(tb.Out, "  %-62s %d in %d  %s\n", c.Rule, c.Violations, c.Judged, c.Sample)
+	}
+	tb.probes.print(tb)
+	fmt.Fprintf(tb.Out, "%d changes accepted, %d whose outcome is unknown\n", tb.Checker.Changes(), tb.Checker.OpenChanges())
+	return violations
+}
--- a/internal/testsupport/testbed/operators.go
+++ b/internal/testsupport/testbed/operators.go
@@ -2,60 +2,70 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
-	"io"
 	"math/rand/v2"
-	"net/http"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"dunlinwell/internal/base/errs"
 	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/testsupport/blueprint"
 	"dunlinwell/internal/testsupport/checker"
 )
 
-// Operators are stand-in operators and their automation, at work through any
-// daemon. All that they send and hear goes into the witness's books.
+const (
+	// verifyTimeout is how long a daemon may take to answer a read after faults.
+	verifyTimeout = 10 * time.Second
+	// verifyRetryPause is the pause between reads that fail.
+	verifyRetryPause = 200 * time.Millisecond
+	// burstConcurrency bounds the changes of a burst that are under way at once.
+	burstConcurrency = 32
+	// Operators act every minActPause to minActPause+maxActJitter.
+	minActPause  = 200 // ms
+	maxActJitter = 900 // ms
+)
+
+// Operators are stand-in operators and their automation. They change and read the
+// configuration through any daemon, and report each call and its result to the checker.
 type Operators struct {
 	*Testbed
-	generator    blueprint.ChangeGenerator
-	mu           sync.Mutex
-	lastID       atomic.Int64
+	generator blueprint.ChangeGenerator
+	// mu guards the generator's random numbers.
+	mu     sync.Mutex
+	lastID atomic.Int64
+	// racedVersion is the last known version of the route that operators race for.
 	racedVersion atomic.Uint64
 	pending      sync.WaitGroup
 }
 
-// NewOperators makes operators for a stage.
-func NewOperators(s *Testbed) *Operators {
-	return &Operators{Testbed: s, generator: blueprint.ChangeGenerator{Plan: s.Plan, Random: rand.New(rand.NewPCG(rand.Uint64(), 1))}}
+// NewOperators makes the operators of a testbed.
+func NewOperators(tb *Testbed) *Operators {
+	return &Operators{Testbed: tb, generator: blueprint.ChangeGenerator{Plan: tb.Plan, Random: rand.New(rand.NewPCG(rand.Uint64(), 1))}}
 }
 
-// Run works until the context ends, and waits for what is under way.
+// Run acts at random until the context ends, and returns when the last action has ended.
 func (o *Operators) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		o.pending.Go(func() { o.act() })
-		sleepContext(ctx, time.Duration(200+rand.IntN(900))*time.Millisecond)
+		o.pending.Go(o.act)
+		sleepContext(ctx, time.Duration(minActPause+rand.IntN(maxActJitter))*time.Millisecond)
 	}
 	o.pending.Wait()
 }
 
-// newID names a change as no other.
-func (o *Operators) newID(what string) (string, int) {
+// newID makes the id of a change, and its number.
+func (o *Operators) newID(prefix string) (string, int) {
 	n := int(o.lastID.Add(1))
-	return fmt.Sprintf("%s-%d", what, n), n
+	return fmt.Sprintf("%s-%d", prefix, n), n
 }
 
-// generate gives the words of a change; the random are shared.
-func (o *Operators) generate(f func(blueprint.ChangeGenerator) string) string {
+// generate calls the generator for a change that takes random numbers.
+func (o *Operators) generate(change func(blueprint.ChangeGenerator) string) string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return f(o.generator)
+	return change(o.generator)
 }
 
+// act does one thing that operators do; the shares are of 14.
 func (o *Operators) act() {
 	id, n := o.newID("op")
 	pair := rand.IntN(blueprint.RoutePairs)
@@ -67,7 +77,7 @@
 	case x < 6:
 		o.send(o.generator.TargetLevel(id, n), true)
 	case x < 8:
-		o.send(o.generate(func(w blueprint.ChangeGenerator) string { return w.Flip(id) }), true)
+		o.send(o.generate(func(g blueprint.ChangeGenerator) string { return g.Flip(id) }), true)
 	case x < 9:
 		o.raceChanges(id, n)
 	case x < 10:
@@ -75,171 +85,100 @@
 	case x < 11:
 		o.sendInvalid(o.generator.Stale(id, n))
 	default:
-		if at, ok := o.randomProcess(); ok {
-			floor := o.Checker.KnownRevision()
-			if p, err := o.readConfiguration(at); err == nil {
-				o.Checker.ConfigurationRead("a read at "+at.Name, p, floor)
-			}
-		}
+		o.readAnywhere()
+	}
+}
+
+// readAnywhere reads the configuration through any daemon. A read that fails
+// shows nothing.
+func (o *Operators) readAnywhere() {
+	p, ok := o.randomProcess()
+	if !ok {
+		return
+	}
+	// What was accepted before the read began must show in it.
+	knownBefore := o.Checker.KnownRevision()
+	if configuration, err := o.readConfiguration(p); err == nil {
+		o.Checker.ConfigurationRead("a read at "+p.Name, configuration, knownBefore)
 	}
 }
 
-// SendBurst sends so many changes within a span, several at a time.
-func (o *Operators) SendBurst(ctx context.Context, count int, d time.Duration) {
-	var all sync.WaitGroup
-	slots := make(chan struct{}, 32)
+// SendBurst sends so many changes, spread over a duration.
+func (o *Operators) SendBurst(ctx context.Context, count int, duration time.Duration) {
+	var changes sync.WaitGroup
+	slots := make(chan struct{}, burstConcurrency)
 	for range count {
 		slots <- struct{}{}
-		all.Go(func() {
+		changes.Go(func() {
 			id, n := o.newID("storm")
 			o.send(o.generator.Put(id, n, rand.IntN(blueprint.RoutePairs)), true)
 			<-slots
 		})
-		sleepContext(ctx, d/time.Duration(count))
+		sleepContext(ctx, duration/time.Duration(count))
 	}
-	all.Wait()
+	changes.Wait()
 }
 
-// raceChanges lets two operators change one route by the same version of it.
+// raceChanges lets two operators change one route on condition of the same
+// version: at most one may succeed.
 func (o *Operators) raceChanges(id string, n int) {
 	version := ids.Revision(o.racedVersion.Load())
-	won := atomic.Int64{}
+	var accepted atomic.Int64
 	var both sync.WaitGroup
-	for _, who := range []string{"a", "b"} {
+	for _, operator := range []string{"a", "b"} {
 		both.Go(func() {
-			if rev := o.send(o.generator.Race(id+who, n, version), true); rev > 0 {
-				won.Add(1)
-				o.racedVersion.Store(max(o.racedVersion.Load(), rev))
+			if revision := o.send(o.generator.Race(id+operator, n, version), true); revision > 0 {
+				accepted.Add(1)
+				o.racedVersion.Store(max(o.racedVersion.Load(), revision))
 			}
 		})
 	}
 	both.Wait()
-	if won.Load() > 1 {
+	if accepted.Load() > 1 {
 		o.Checker.Violation("both sides of %s were accepted", id)
 	}
 }
 
-// randomProcess draws a process that should be running.
+// randomProcess draws a process that should run; false if there is none.
 func (o *Operators) randomProcess() (*Process, bool) {
-	var up []*Process
+	var running []*Process
 	for _, p := range o.snapshot() {
 		if !p.Stopped && !p.Replaced {
-			up = append(up, p)
+			running = append(running, p)
 		}
 	}
-	if len(up) == 0 {
+	if len(running) == 0 {
 		return nil, false
 	}
-	return up[rand.IntN(len(up))], true
+	return running[rand.IntN(len(running))], true
 }
 
-// operatorAddress is where operators call from: no zone's clients stand there.
-func operatorAddress() string { return fmt.Sprintf("127.%d.8.1", loopbackBlock) }
-
-// resendTimeout bounds how long a change is sent again under its id.
-const resendTimeout = 40 * time.Second
-
-// send sends a change, through one daemon after another, until its end is
-// known; it gives the revision, or zero for a change that was rejected. One that
-// may give up does so where a daemon says that it was surely not accepted.
-func (o *Operators) send(raw string, mayGiveUp bool) uint64 {
-	id := o.Checker.ChangeSent([]byte(raw), time.Now())
-	surelyNotAccepted := true
-	for until := time.Now().Add(resendTimeout); time.Now().Before(until); time.Sleep(100 * time.Millisecond) {
-		p, ok := o.randomProcess()
-		if !ok {
-			continue
-		}
-		res, err := clientFrom(operatorAddress(), 4*time.Second).Post("http://"+p.HTTP+"/v1/change", "application/json", strings.NewReader(raw))
-		if err != nil {
-			surelyNotAccepted = false
+// VerifyLedger reads the configuration through every daemon, and has the checker
+// compare it with all accepted changes. A daemon that can't be read is a
+// violation. When says at what point of the run this is.
+func (o *Operators) VerifyLedger(when string) {
+	for _, p := range o.snapshot() {
+		if p.Replaced {
 			continue
 		}
-		body, err := io.ReadAll(res.Body)
-		res.Body.Close()
+		knownBefore := o.Checker.KnownRevision()
+		configuration, err := o.readWithRetries(p)
 		if err != nil {
-			surelyNotAccepted = false
+			o.Checker.Violation("%s: the configuration can't be read through %s: %v", when, p.Name, err)
 			continue
 		}
-		var r struct {
-			Revision uint64 `json:"revision"`
-		}
-		switch err := json.Unmarshal(body, &r); {
-		case res.StatusCode == http.StatusOK && err == nil:
-			o.Checker.ChangeAccepted(id, r.Revision, time.Now())
-			return r.Revision
-		case res.StatusCode == http.StatusBadRequest:
-			o.Checker.Violation("%s was declined by %s: %s", id, p.Name, body)
-			o.Checker.ChangeRejected(id)
-			return 0
-		case res.StatusCode == http.StatusNotFound || res.StatusCode == http.StatusConflict:
-			o.Checker.ChangeRejected(id)
-			return 0
-		case res.StatusCode == http.StatusServiceUnavailable:
-			// Surely not accepted: some operators leave it at that, and then it
-			// may never show.
-			if surelyNotAccepted && mayGiveUp && rand.IntN(3) == 0 {
-				o.Checker.ChangeRejected(id)
-				return 0
-			}
-		default:
-			surelyNotAccepted = false
-		}
+		o.Checker.ConfigurationRead(when+", "+p.Name, configuration, knownBefore)
 	}
-	return 0
 }
 
-// sendInvalid sends a change that no daemon may accept.
-func (o *Operators) sendInvalid(raw string) {
-	id := o.Checker.ChangeSent([]byte(raw), time.Now())
-	o.Checker.ChangeRejected(id)
-	if p, ok := o.randomProcess(); ok {
-		res, err := clientFrom(operatorAddress(), 4*time.Second).Post("http://"+p.HTTP+"/v1/change", "application/json", strings.NewReader(raw))
-		if err != nil {
-			return
-		}
-		res.Body.Close()
-		if res.StatusCode == http.StatusOK {
-			o.Checker.Violation("%s was accepted by %s", id, p.Name)
-		}
-	}
-}
-
-// readConfiguration reads the configuration through one daemon.
-func (o *Operators) readConfiguration(p *Process) (checker.Configuration, error) {
-	res, err := clientFrom(operatorAddress(), 4*time.Second).Get("http://" + p.HTTP + "/v1/policy")
-	if err != nil {
-		return checker.Configuration{}, err
-	}
-	defer res.Body.Close()
-	raw, err := io.ReadAll(res.Body)
-	if err == nil && res.StatusCode != http.StatusOK {
-		err = errs.New("read policy", p.Name, "status %d", res.StatusCode)
-	}
-	if err != nil {
-		return checker.Configuration{}, err
-	}
-	return checker.ReadConfiguration(raw)
-}
-
-// VerifyLedger reads everything back through every daemon at the day's end.
-func (o *Operators) VerifyLedger(when string) {
-	for _, p := range o.snapshot() {
-		if p.Replaced {
-			continue
-		}
-		floor := o.Checker.KnownRevision()
-		var seen checker.Configuration
-		var err error
-		for until := time.Now().Add(10 * time.Second); time.Now().Before(until); time.Sleep(200 * time.Millisecond) {
-			if seen, err = o.readConfiguration(p); err == nil {
-				break
-			}
-		}
-		if err != nil {
-			o.Checker.Violation("%s: the policy can't be read through %s: %v", when, p.Name, err)
-			continue
+// readWithRetries reads through one daemon until it answers, or verifyTimeout is over.
+func (o *Operators) readWithRetries(p *Process) (checker.Configuration, error) {
+	var configuration checker.Configuration
+	var err error
+	for deadline := time.Now().Add(verifyTimeout); time.Now().Before(deadline); time.Sleep(verifyRetryPause) {
+		if configuration, err = o.readConfiguration(p); err == nil {
+			break
 		}
-		o.Checker.ConfigurationRead(when+", "+p.Name, seen, floor)
 	}
+	return configuration, err
 }
--- a/internal/testsupport/testbed/programs.go
+++ b/internal/testsupport/testbed/programs.go
@@ -8,10 +8,10 @@
 	"dunlinwell/internal/base/errs"
 )
 
-// programs are what a fleet needs: its daemons, and the command line.
-var programs = []string{"proxy", "registry", "store", "dunlinwell"}
+// programs are the daemons and the command line, which a fleet needs.
+var programs = []string{proxyRole, registryRole, storeRole, "dunlinwell"}
 
-// Build compiles the programs into a folder, from the source folder alone.
+// Build compiles the programs into a folder. It must run within the module's folder.
 func Build(bin string) error {
 	args := []string{"build", "-o", bin + "/"}
 	for _, p := range programs {
@@ -23,18 +23,14 @@
 	return nil
 }
 
-// ownFolder is the folder that this program itself stands in; empty if unknown.
-func ownFolder() string {
-	self, err := os.Executable()
-	if err != nil {
-		return ""
-	}
-	return filepath.Dir(self)
+// ProgramsFolder returns the folder of the programs: the one named, or else that of
+// this program if it has all of them, or else the one that they are built into.
+func ProgramsFolder(named, built string) (string, error) {
+	return chooseBinaries(named, ownFolder(), built, Build)
 }
 
-// chooseBinaries gives the folder of a fleet's programs: the one named, or else the
-// one beside us, which needs neither source nor compiler. Only where a program
-// is missing there are all of them built: a fleet is of one version.
+// chooseBinaries is ProgramsFolder with its surroundings. If a program is missing in
+// the own folder, all of them are built, because a fleet is of one version.
 func chooseBinaries(named, own, built string, build func(bin string) error) (string, error) {
 	switch {
 	case named != "":
@@ -45,13 +41,16 @@
 	return built, build(built)
 }
 
-// ProgramsFolder gives the folder of the daemons: the one named, or the one beside
-// this program, or one that they are built into.
-func ProgramsFolder(named, built string) (string, error) {
-	return chooseBinaries(named, ownFolder(), built, Build)
+// ownFolder is the folder of this program; empty if it is unknown.
+func ownFolder() string {
+	self, err := os.Executable()
+	if err != nil {
+		return ""
+	}
+	return filepath.Dir(self)
 }
 
-// hasAllPrograms tells whether a folder holds every program.
+// hasAllPrograms tells whether a folder has every program as an executable file.
 func hasAllPrograms(bin string) bool {
 	for _, p := range programs {
 		f, err := os.Stat(filepath.Join(bin, p))
--- a/internal/testsupport/testbed/programs_test.go
+++ b/internal/testsupport/testbed/programs_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// A fleet's programs are those named, or those beside testbed where all of
-// them stand there; they are built only where neither is so.
+// The programs are those of the named folder, or of the own folder if that has all
+// of them; only otherwise they are built.
 func TestChooseBinaries_PrefersNamedThenOwnFolder(t *testing.T) {
 	put := func(t *testing.T, bin, name string, mode os.FileMode) {
 		is.New(t).NoErr(os.WriteFile(filepath.Join(bin, name), nil, mode))
@@ -53,8 +53,8 @@
 	}
 }
 
-// Where nothing is known of our own folder they are built, and a build that
-// fails says so.
+// If the own folder is unknown, the programs are built; the error of a failed build
+// is returned.
 func TestChooseBinaries_ReportsFailedBuild(t *testing.T) {
 	is := is.New(t)
 	broken := errors.New("no source")
--- a/internal/testsupport/testbed/relay.go
+++ b/internal/testsupport/testbed/relay.go
@@ -2,41 +2,59 @@
 
 import (
 	"net"
-	"net/netip"
 	"sync"
 	"time"
 
 	"dunlinwell/internal/base/errs"
 )
 
-// Relay stands between all machines: each address leads through it, those of
-// daemons, of their pages and of targets, so it can delay what passes between
-// regions, and cut.
+const (
+	// relayDialTimeout bounds a connection to the real address, which is on this machine.
+	relayDialTimeout = time.Second
+	// relayBufferBytes is the most that is read at once.
+	relayBufferBytes = 32 << 10
+	// relayQueueReads is how many reads may wait for their delay; beyond that the
+	// sender is held up, as by a full network buffer.
+	relayQueueReads = 1024
+)
+
+// Relay passes on all connections between the machines of a fleet. It delays
+// bytes between regions, and partitions the network. Every address of a daemon or
+// target leads to the relay, which dials the address where it really listens.
 type Relay struct {
-	// Delay tells how long a byte takes from one IP number to another.
-	Delay       func(from, to string) time.Duration
+	// Delay is how long a byte takes from one IP address to another.
+	Delay func(from, to string) time.Duration
+
+	// mu guards all below, and the server of each connection.
 	mu          sync.Mutex
 	partitions  map[*Partition]bool
 	connections map[*relayedConnection]bool
 	listeners   []net.Listener
 }
 
-// Partition keeps one side's bytes from reaching the other's address.
-type Partition struct{ Blocks func(from, to string) bool }
+// Partition is a fault of the network. While it lasts, bytes that it blocks are
+// dropped and new connections that it blocks hang.
+type Partition struct {
+	// Blocks tells whether bytes of a connection opened from one IP address to
+	// another are blocked; it applies to both directions of the connection.
+	Blocks func(from, to string) bool
+}
 
+// relayedConnection is a connection opened by a client from one IP address to
+// another. Its server is nil until the relay has dialled it.
 type relayedConnection struct {
 	from, to       string
 	client, server net.Conn
 }
 
 func (c *relayedConnection) close() {
-	c.client.Close()
+	_ = c.client.Close()
 	if c.server != nil {
-		c.server.Close()
+		_ = c.server.Close()
 	}
 }
 
-// Forward opens an address that leads to another.
+// Forward listens on an address, and passes its connections on to another.
 func (r *Relay) Forward(address, to string) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -47,135 +65,137 @@
 	r.mu.Unlock()
 	go func() {
 		for {
-			c, err := l.Accept()
+			client, err := l.Accept()
 			if err != nil {
-				return
+				return // closed by Close
 			}
-			go r.relayConnection(c, to)
+			go r.relayConnection(client, to)
 		}
 	}()
 	return nil
 }
 
-func ipOf(a string) string {
-	p, err := netip.ParseAddrPort(a)
-	if err != nil {
-		return a
+// StartPartition begins a partition. Open connections stay open, and go silent.
+func (r *Relay) StartPartition(p *Partition) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.partitions == nil {
+		r.partitions = map[*Partition]bool{}
 	}
-	return p.Addr().String()
+	r.partitions[p] = true
 }
 
-func (r *Relay) blocked(from, to string) bool {
-	for c := range r.partitions {
-		if c.Blocks(from, to) {
-			return true
+// EndPartition ends a partition, and closes the connections that it blocked: what
+// they lost would leave holes in their streams.
+func (r *Relay) EndPartition(p *Partition) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	delete(r.partitions, p)
+	for c := range r.connections {
+		if p.Blocks(c.from, c.to) {
+			delete(r.connections, c)
+			c.close()
 		}
 	}
-	return false
 }
 
-// relayConnection carries one connection; a cut one hangs, as it would on a real net.
-func (r *Relay) relayConnection(c net.Conn, to string) {
-	l := &relayedConnection{from: ipOf(c.RemoteAddr().String()), to: ipOf(to), client: c}
+// Close closes all listeners and connections.
+func (r *Relay) Close() {
 	r.mu.Lock()
-	if r.connections == nil {
-		r.connections = map[*relayedConnection]bool{}
+	defer r.mu.Unlock()
+	for _, l := range r.listeners {
+		_ = l.Close()
 	}
-	r.connections[l] = true
-	blocked := r.blocked(l.from, l.to)
-	r.mu.Unlock()
-	if blocked {
-		return // stays open and silent until the cut ends
+	for c := range r.connections {
+		c.close()
+	}
+}
+
+// isBlocked tells whether a partition blocks a connection. The caller holds mu.
+func (r *Relay) isBlocked(from, to string) bool {
+	for p := range r.partitions {
+		if p.Blocks(from, to) {
+			return true
+		}
 	}
-	defer r.remove(l)
-	// The other end sees whose connection it is.
-	d := net.Dialer{Timeout: time.Second, LocalAddr: &net.TCPAddr{IP: net.ParseIP(l.from)}}
-	b, err := d.Dial("tcp", to)
+	return false
+}
+
+// relayConnection serves one connection until either end closes it.
+func (r *Relay) relayConnection(client net.Conn, to string) {
+	c := &relayedConnection{from: ipOf(client.RemoteAddr().String()), to: ipOf(to), client: client}
+	if r.register(c) {
+		return // EndPartition closes it: on a real network it would hang as well
+	}
+	defer r.remove(c)
+	// The server must see the client's IP address, to which Blocks and Delay refer.
+	dialer := net.Dialer{Timeout: relayDialTimeout, LocalAddr: &net.TCPAddr{IP: net.ParseIP(c.from)}}
+	server, err := dialer.Dial("tcp", to)
 	if err != nil {
 		return
 	}
 	r.mu.Lock()
-	l.server = b
+	c.server = server
 	r.mu.Unlock()
-	delay := r.Delay(l.from, l.to)
-	go func() { defer l.close(); r.copyDelayed(l, b, c, delay) }()
-	r.copyDelayed(l, c, b, delay)
+	delay := r.Delay(c.from, c.to)
+	go func() {
+		defer c.close()
+		r.copyDelayed(c, server, client, delay)
+	}()
+	r.copyDelayed(c, client, server, delay)
+}
+
+// register adds a connection, and tells whether a partition blocks it.
+func (r *Relay) register(c *relayedConnection) (blocked bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.connections == nil {
+		r.connections = map[*relayedConnection]bool{}
+	}
+	r.connections[c] = true
+	return r.isBlocked(c.from, c.to)
 }
 
-func (r *Relay) remove(l *relayedConnection) {
+func (r *Relay) remove(c *relayedConnection) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.connections, l)
-	l.close()
+	delete(r.connections, c)
+	c.close()
 }
 
+// delayedBytes are passed on no sooner than due.
 type delayedBytes struct {
-	at  time.Time
-	raw []byte
+	due  time.Time
+	data []byte
 }
 
-// copyDelayed carries bytes one way, each no sooner than its delay.
-func (r *Relay) copyDelayed(l *relayedConnection, from, to net.Conn, delay time.Duration) {
-	queue := make(chan delayedBytes, 1024)
+// copyDelayed passes bytes on in one direction until either end closes.
+func (r *Relay) copyDelayed(c *relayedConnection, from, to net.Conn, delay time.Duration) {
+	queue := make(chan delayedBytes, relayQueueReads)
 	go func() {
 		defer close(queue)
 		for {
-			buf := make([]byte, 32<<10)
-			n, err := from.Read(buf)
+			buffer := make([]byte, relayBufferBytes)
+			n, err := from.Read(buffer)
 			if n > 0 {
-				queue <- delayedBytes{time.Now().Add(delay), buf[:n]}
+				queue <- delayedBytes{time.Now().Add(delay), buffer[:n]}
 			}
 			if err != nil {
 				return
 			}
 		}
 	}()
-	for p := range queue {
-		time.Sleep(time.Until(p.at))
+	for b := range queue {
+		time.Sleep(time.Until(b.due))
 		r.mu.Lock()
-		blocked := r.blocked(l.from, l.to)
+		blocked := r.isBlocked(c.from, c.to)
 		r.mu.Unlock()
-		// What a cut swallows is gone with its connection.
+		// What a partition drops isn't sent later: EndPartition closes the connection.
 		if blocked {
 			continue
 		}
-		if _, err := to.Write(p.raw); err != nil {
+		if _, err := to.Write(b.data); err != nil {
 			return
 		}
 	}
 }
-
-// StartPartition starts a cut, and End ends it; connections that it touched don't survive.
-func (r *Relay) StartPartition(c *Partition) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.partitions == nil {
-		r.partitions = map[*Partition]bool{}
-	}
-	r.partitions[c] = true
-}
-
-// EndPartition ends a cut.
-func (r *Relay) EndPartition(c *Partition) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	delete(r.partitions, c)
-	for l := range r.connections {
-		if c.Blocks(l.from, l.to) {
-			delete(r.connections, l)
-			l.close()
-		}
-	}
-}
-
-// Close ends the relay.
-func (r *Relay) Close() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, p := range r.listeners {
-		p.Close()
-	}
-	for l := range r.connections {
-		l.close()
-	}
-}
--- /dev/null
+++ b/internal/testsupport/testbed/resolution.go
@@ -0,0 +1,85 @@
+package testbed
+
+import (
+	"encoding/json"
+	"fmt"
+	"math/rand/v2"
+	"net/http"
+	"time"
+
+	"dunlinwell/internal/base/ids"
+	"dunlinwell/internal/testsupport/blueprint"
+	"dunlinwell/internal/testsupport/checker"
+)
+
+const (
+	// clientsPerRoute is how many clients of a zone and route resolve for themselves.
+	clientsPerRoute = 8
+	// resolveTimeout is short, as the next registry can answer as well.
+	resolveTimeout = 500 * time.Millisecond
+)
+
+// resolution is an answer of the directory, valid until expiresAt.
+type resolution struct {
+	zone      ids.Name
+	proxies   []string
+	expiresAt time.Time
+}
+
+func (r resolution) randomProxy() string { return r.proxies[rand.IntN(len(r.proxies))] }
+
+// directoryResponse is what a client reads of GET /v1/where.
+type directoryResponse struct {
+	Zone           ids.Name `json:"cell"`
+	Proxies        []string `json:"proxies"`
+	LifetimeMillis int64    `json:"lifetime_ms"`
+}
+
+// resolutionKey identifies the client whose resolution it is.
+func resolutionKey(zone ids.Name, route blueprint.Route, slot int) string {
+	return fmt.Sprintf("%s/%s/%d", zone, route.Name, slot)
+}
+
+// resolve returns the kept resolution if it is still valid, or else asks one
+// registry after another. It is false if none of them names a proxy.
+func (c *Clients) resolve(route blueprint.Route, zone ids.Name, slot int) (resolution, bool) {
+	key := resolutionKey(zone, route, slot)
+	c.mu.Lock()
+	kept, ok := c.resolutions[key]
+	c.mu.Unlock()
+	if ok && time.Now().Before(kept.expiresAt) {
+		return kept, true
+	}
+	for _, registry := range c.Registries() {
+		answer, ok := c.askDirectory(registry, route, zone)
+		if !ok {
+			continue
+		}
+		c.Checker.DirectoryAnswered(checker.DirectoryAnswer{At: time.Now(), ClientZone: zone, ProxyZone: answer.Zone, Route: route.Name})
+		resolved := resolution{answer.Zone, answer.Proxies, time.Now().Add(time.Duration(answer.LifetimeMillis) * time.Millisecond)}
+		c.mu.Lock()
+		c.resolutions[key] = resolved
+		c.mu.Unlock()
+		return resolved, true
+	}
+	return kept, false
+}
+
+// askDirectory asks one registry; false unless it names a proxy.
+func (c *Clients) askDirectory(registry string, route blueprint.Route, zone ids.Name) (directoryResponse, bool) {
+	ip := clientAddress(c.Testbed.zoneIndex(zone))
+	res, err := clientFrom(ip, resolveTimeout).Get(fmt.Sprintf("http://%s/v1/where?cell=%s&route=%s", registry, zone, route.Name))
+	if err != nil {
+		return directoryResponse{}, false
+	}
+	defer func() { _ = res.Body.Close() }()
+	var answer directoryResponse
+	err = json.NewDecoder(res.Body).Decode(&answer)
+	return answer, err == nil && res.StatusCode == http.StatusOK && len(answer.Proxies) > 0
+}
+
+func (c *Clients) forgetResolution(route blueprint.Route, zone ids.Name, slot int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.resolutions, resolutionKey(zone, route, slot))
+}
--- a/internal/testsupport/testbed/runbooks_test.go
+++ b/internal/testsupport/testbed/runbooks_test.go
@@ -14,7 +14,8 @@
 	"dunlinwell/internal/app/runbook"
 )
 
-// runbookRunner runs shipped runbooks against a fleet, with the operator's hands.
+// runbookRunner runs shipped runbooks against a fleet. onConfirm does what a
+// runbook asks the operator to do by hand.
 type runbookRunner struct {
 	t         *testing.T
 	testbed   *Testbed
@@ -22,6 +23,7 @@
 	onConfirm func(what string)
 }
 
+// run runs a runbook to its end, and returns the error of the step that failed.
 func (r *runbookRunner) run(name string, values map[string]string) error {
 	r.t.Helper()
 	raw, err := runbook.ReadBundled(name)
@@ -44,63 +46,63 @@
 	return err
 }
 
-// Every shipped runbook, followed to the letter against real processes.
+// Every shipped runbook succeeds, step by step, against real processes.
 func TestRunbooks_AgainstRealFleet(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	s, err := Start(ctx, Options{Plan: "small", Dir: t.TempDir(), Out: &bytes.Buffer{}})
+	tb, err := Start(ctx, Options{Plan: "small", Dir: t.TempDir(), Out: &bytes.Buffer{}})
 	is.NoErr(err)
-	defer s.Close()
-	b := &runbookRunner{t: t, testbed: s, address: s.ProcessesOf("registry")[1].HTTP}
-	is.NoErr(b.run("health", nil))
+	defer tb.Close()
+	runner := &runbookRunner{t: t, testbed: tb, address: tb.ProcessesOf("registry")[1].HTTP}
+	is.NoErr(runner.run("health", nil))
 	zone := map[string]string{"cell": "cell-b1", "route": "stock"}
-	is.NoErr(b.run("empty-cell", zone))
-	// Not again: the first step finds it emptied, and nothing else is done.
-	err = b.run("empty-cell", zone)
+	is.NoErr(runner.run("empty-cell", zone))
+	// A second time the first step finds the zone drained, and the runbook ends.
+	err = runner.run("empty-cell", zone)
 	is.True(err != nil && strings.Contains(err.Error(), "step 1"))
-	is.NoErr(b.run("refill-cell", zone))
-	b.onConfirm = func(what string) {
+	is.NoErr(runner.run("refill-cell", zone))
+	runner.onConfirm = func(what string) {
 		name := strings.Fields(strings.TrimPrefix(what, "Restart "))[0]
-		p := s.Find(name)
-		s.Stop(p)
-		is.NoErr(s.Fleet.StartProcess(p))
+		p := tb.Find(name)
+		tb.Stop(p)
+		is.NoErr(tb.Fleet.StartProcess(p))
 	}
-	is.NoErr(b.run("roll-daemons", nil))
-	// A core machine is lost; the book wants it replaced at a new address.
-	s.Kill(s.Find("store-3"))
-	b.onConfirm = func(string) {
-		_, err := s.ReplaceStore(s.Find("store-3"))
+	is.NoErr(runner.run("roll-daemons", nil))
+	// A core machine is lost; the runbook asks for a replacement at a new address.
+	tb.Kill(tb.Find("store-3"))
+	runner.onConfirm = func(string) {
+		_, err := tb.ReplaceStore(tb.Find("store-3"))
 		is.NoErr(err)
 	}
-	is.NoErr(b.run("replace-core", map[string]string{"lost": "store-3", "new": "store-4"}))
-	// Two disks are lost for good.
+	is.NoErr(runner.run("replace-core", map[string]string{"lost": "store-3", "new": "store-4"}))
+	// Two disks are lost for good, and with them the quorum.
 	for _, n := range []string{"store-2", "store-4"} {
-		p := s.Find(n)
-		s.Kill(p)
+		p := tb.Find(n)
+		tb.Kill(p)
 		p.Replaced = true
 		is.NoErr(os.RemoveAll(p.Data))
 	}
-	left := s.Find("store-1")
-	b.address = left.HTTP
-	b.onConfirm = func(string) {
+	survivor := tb.Find("store-1")
+	runner.address = survivor.HTTP
+	runner.onConfirm = func(string) {
 		for range 2 {
-			p, err := s.newProcess("store", 1, s.nextCoreIndex, s.nextCoreIndex%3)
+			p, err := tb.newProcess("store", tb.nextCoreIndex, tb.nextCoreIndex%3)
 			is.NoErr(err)
-			s.nextCoreIndex++
-			s.Processes = append(s.Processes, p)
-			is.NoErr(s.Fleet.StartProcess(p))
+			tb.nextCoreIndex++
+			tb.Processes = append(tb.Processes, p)
+			is.NoErr(tb.Fleet.StartProcess(p))
 		}
-		s.eventually(t, func() bool { return len(s.learnersListed(left)) >= 2 })
+		tb.eventually(t, func() bool { return len(tb.replacementsListed(survivor)) >= 2 })
 	}
-	is.NoErr(b.run("recover-core", map[string]string{"one": "store-5", "two": "store-6"}))
-	b.address = s.ProcessesOf("proxy")[0].HTTP
-	is.True(strings.Contains(call(t, "GET", b.address, "/v1/routes/orders", "").body, `"name":"orders"`))
-	_, err = s.AwaitReady(ctx, time.Minute)
+	is.NoErr(runner.run("recover-core", map[string]string{"one": "store-5", "two": "store-6"}))
+	runner.address = tb.ProcessesOf("proxy")[0].HTTP
+	is.True(strings.Contains(call(t, "GET", runner.address, "/v1/routes/orders", "").body, `"name":"orders"`))
+	_, err = tb.AwaitReady(ctx, time.Minute)
 	is.NoErr(err)
 }
 
-// learnersListed lists the stores that the status shows alive and not ready.
-func (tb *Testbed) learnersListed(p *Process) []string {
+// replacementsListed are those of the two replacement stores that the status shows.
+func (tb *Testbed) replacementsListed(p *Process) []string {
 	raw, err := cli.RunJSON(&cli.Context{Address: p.HTTP, Timeout: 8 * time.Second}, []string{"status"})
 	if err != nil {
 		return nil
@@ -114,12 +116,13 @@
 	return out
 }
 
-// eventually looks again and again, with a generous bound.
-func (tb *Testbed) eventually(t *testing.T, f func() bool) {
+// eventually polls a condition, and fails the test if it never holds. The bound is
+// generous, as the machine may be busy.
+func (tb *Testbed) eventually(t *testing.T, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(time.Minute); !f(); <-time.After(100 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal("it never came to be")
+	for deadline := time.Now().Add(time.Minute); !condition(); <-time.After(100 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal("the condition never held")
 		}
 	}
 }
--- a/internal/testsupport/testbed/script.go
+++ b/internal/testsupport/testbed/script.go
@@ -10,70 +10,57 @@
 	"sigs.k8s.io/yaml"
 
 	"dunlinwell/internal/base/errs"
-	"dunlinwell/internal/base/ids"
 	"dunlinwell/internal/testsupport/blueprint"
 )
 
-// Script is faults at set times.
+// minReplacementGap is the least time between two replacements of core machines:
+// the first needs its copy of the registers before another may be lost.
+const minReplacementGap = Duration(20 * time.Second)
+
+// maxBurst is the most changes that a step may send.
+const maxBurst = 5000
+
+// Script is faults at set times. Its JSON and YAML form is that of docs/testbed.md.
 type Script struct {
+	// Steps are sorted by At once the script was read.
 	Steps []Step `json:"steps"`
 }
 
 // Step is one fault.
 type Step struct {
-	At      Duration `json:"at"`
-	Action  string   `json:"do"`
-	Subject string   `json:"who"`
-	// For is how long it lasts; what comes back comes back then.
+	// At is from the beginning of the load.
+	At Duration `json:"at"`
+	// Action is one of the action constants.
+	Action string `json:"do"`
+	// Subject is what the action is done to. Those of a split are joined by "+".
+	Subject string `json:"who"`
+	// For is how long the fault lasts; 0 for actions that don't last.
 	For Duration `json:"for"`
-	// Count is how many changes a storm has.
+	// Count is how many changes a storm has; 0 for other actions.
 	Count int `json:"count"`
 }
 
-// Duration is a span of time written as 1m30s.
+// Duration is a duration that is written like 1m30s.
 type Duration time.Duration
 
-// UnmarshalJSON reads a span.
-func (s *Duration) UnmarshalJSON(raw []byte) error {
-	d, err := time.ParseDuration(strings.Trim(string(raw), `"`))
-	if err != nil || d < 0 {
+// UnmarshalJSON reads a duration that isn't negative.
+func (d *Duration) UnmarshalJSON(raw []byte) error {
+	parsed, err := time.ParseDuration(strings.Trim(string(raw), `"`))
+	if err != nil || parsed < 0 {
 		return fmt.Errorf("%s is no span of time", raw)
 	}
-	*s = Duration(d)
+	*d = Duration(parsed)
 	return nil
 }
 
-// MarshalJSON writes it the same way.
-func (s Duration) MarshalJSON() ([]byte, error) { return []byte(`"` + s.String() + `"`), nil }
+// MarshalJSON writes the duration as UnmarshalJSON reads it.
+func (d Duration) MarshalJSON() ([]byte, error) { return []byte(`"` + d.String() + `"`), nil }
 
-// String gives the span as time.Duration writes it.
-func (s Duration) String() string { return time.Duration(s).String() }
+// String formats the duration as time.Duration does.
+func (d Duration) String() string { return time.Duration(d).String() }
 
-// minReplacementGap is how far apart two replacements must be.
-const minReplacementGap = Duration(20 * time.Second)
-
-// what each deed is done to, and whether it lasts for a while.
-var actions = map[string]struct {
-	to    []string
-	lasts bool
-}{
-	"kill": {machines, true}, "stop": {machines, true}, "freeze": {machines, true},
-	"cut": {onNet, true}, "cut-in": {onNet, true}, "cut-out": {onNet, true},
-	"split":     {[]string{"daemon", "core", "target", "cell", "region"}, true},
-	"swap-core": {[]string{"core"}, false}, "herd": {[]string{"role"}, true},
-	"lose-cell": {[]string{"cell"}, true}, "lose-region": {[]string{"region"}, true}, "empty": {[]string{"cell"}, true},
-	"hot": {[]string{"cell"}, true}, "storm": {[]string{"operators"}, true}, "stall-disk": {[]string{"store"}, true},
-	"crash-target": {targets, true}, "leave-target": {targets, true}, "mute-target": {targets, true}, "hand-over": {targets, true},
-	"freeze-target": {targets, true}, "replace-target": {targets, false},
-}
-
-var (
-	machines = []string{"daemon", "core"}
-	onNet    = []string{"daemon", "core", "target"}
-	targets  = []string{"target"}
-)
-
-// ReadScript reads a script and checks all of it against the plan.
+// ReadScript reads a script in YAML, and checks every step against the plan and
+// the length of the load. Errors name the file and the step.
 func ReadScript(file string, raw []byte, plan blueprint.Plan, length time.Duration) (*Script, error) {
 	var s Script
 	if err := yaml.UnmarshalStrict(raw, &s); err != nil {
@@ -82,24 +69,11 @@
 	if len(s.Steps) == 0 {
 		return nil, errs.New("read script", file, "it has no steps")
 	}
-	lastReplacement := -1
-	replacedAt := map[string]Duration{}
+	replacements := replacementCheck{replacedAt: map[string]Duration{}}
 	for i, step := range s.Steps {
 		problem := step.problem(plan, length)
-		// What was replaced isn't there any more.
-		for _, name := range strings.Split(step.Subject, "+") {
-			if at, ok := replacedAt[name]; ok && step.At >= at && problem == "" {
-				problem = name + " was replaced before"
-			}
-		}
-		// The blank one needs its copy before another may be lost.
-		if step.Action == "swap-core" && problem == "" {
-			if lastReplacement >= 0 && step.At-s.Steps[lastReplacement].At < minReplacementGap {
-				problem = s.Steps[lastReplacement].Subject + " is still being replaced"
-			}
-			lastReplacement = i
-			n := strings.TrimPrefix(step.Subject, "core-")
-			replacedAt[step.Subject], replacedAt["store-"+n], replacedAt["registry-"+n] = step.At, step.At, step.At
+		if problem == "" {
+			problem = replacements.problem(step)
 		}
 		if problem != "" {
 			return nil, errs.New("read script", file, "step %d: %s", i+1, problem)
@@ -109,33 +83,49 @@
 	return &s, nil
 }
 
+// replacementCheck finds steps that come too soon after the replacement of a
+// core machine, or concern one that was replaced.
+type replacementCheck struct {
+	// last is the last replacement among the steps so far; nil if there was none.
+	last *Step
+	// replacedAt is by the names of a machine and its daemons.
+	replacedAt map[string]Duration
+}
+
+// problem says what is wrong with the next step; empty if nothing is.
+func (c *replacementCheck) problem(step Step) string {
+	for _, name := range strings.Split(step.Subject, "+") {
+		if at, ok := c.replacedAt[name]; ok && step.At >= at {
+			return name + " was replaced before"
+		}
+	}
+	if step.Action != actionReplaceCore {
+		return ""
+	}
+	if c.last != nil && step.At-c.last.At < minReplacementGap {
+		return c.last.Subject + " is still being replaced"
+	}
+	c.last = &step
+	number := strings.TrimPrefix(step.Subject, "core-")
+	for _, name := range []string{step.Subject, "store-" + number, "registry-" + number} {
+		c.replacedAt[name] = step.At
+	}
+	return ""
+}
+
+// problem says what is wrong with a step by itself; empty if nothing is.
 func (s Step) problem(plan blueprint.Plan, length time.Duration) string {
 	action, ok := actions[s.Action]
 	if !ok {
 		return fmt.Sprintf("there is no deed %q", s.Action)
 	}
-	names := subjectsByKind(plan)
-	known := func(name string) bool {
-		return slices.ContainsFunc(action.to, func(kind string) bool { return slices.Contains(names[kind], name) })
-	}
-	list := []string{s.Subject}
-	if s.Action == "split" {
-		list = strings.Split(s.Subject, "+")
-	}
-	for _, name := range list {
-		switch {
-		case name == "":
-			return "who is missing"
-		case !known(name):
-			return fmt.Sprintf("%s is done to a %s, and there is none named %q", s.Action, strings.Join(action.to, " or "), name)
-		}
+	if problem := s.subjectProblem(plan, action.subjects); problem != "" {
+		return problem
 	}
 	switch {
-	case s.Action == "split" && coversEveryZone(plan, list):
-		return "the other side of the split is empty"
-	case s.Action == "storm" && (s.Count < 1 || s.Count > 5000):
-		return "count must be from 1 to 5000"
-	case s.Action != "storm" && s.Count != 0:
+	case s.Action == actionBurst && (s.Count < 1 || s.Count > maxBurst):
+		return fmt.Sprintf("count must be from 1 to %d", maxBurst)
+	case s.Action != actionBurst && s.Count != 0:
 		return s.Action + " has no count"
 	case action.lasts && s.For <= 0:
 		return "for is missing"
@@ -147,50 +137,26 @@
 	return ""
 }
 
-// coversEveryZone tells whether one side of a split holds every zone.
-func coversEveryZone(plan blueprint.Plan, side []string) bool {
-	for i := range plan.Zones {
-		c := plan.Zone(i)
-		if !slices.Contains(side, string(c)) && !slices.Contains(side, plan.Region(c)) {
-			return false
-		}
-	}
-	return true
-}
-
-// subjectsByKind names everybody that something can be done to.
-func subjectsByKind(plan blueprint.Plan) map[string][]string {
-	out := map[string][]string{"role": {"proxy", "registry", "store"}, "operators": {"operators"}}
-	for i := range 3 {
-		out["core"] = append(out["core"], fmt.Sprintf("core-%d", i+1))
-		out["store"] = append(out["store"], fmt.Sprintf("store-%d", i+1))
-		out["daemon"] = append(out["daemon"], fmt.Sprintf("store-%d", i+1), fmt.Sprintf("registry-%d", i+1))
+// subjectProblem says what is wrong with a step's subject, of the given kinds.
+func (s Step) subjectProblem(plan blueprint.Plan, kinds []string) string {
+	known := subjectsByKind(plan)
+	isKnown := func(name string) bool {
+		return slices.ContainsFunc(kinds, func(kind string) bool { return slices.Contains(known[kind], name) })
 	}
-	for i := range plan.Proxies {
-		out["daemon"] = append(out["daemon"], fmt.Sprintf("proxy-%d", i+1))
+	names := []string{s.Subject}
+	if s.Action == actionSplit {
+		names = strings.Split(s.Subject, "+")
 	}
-	for i := range plan.Zones {
-		c := plan.Zone(i)
-		out["cell"] = append(out["cell"], string(c))
-		if r := plan.Region(c); !slices.Contains(out["region"], r) {
-			out["region"] = append(out["region"], r)
-		}
-	}
-	for _, p := range plan.Pools {
-		for i := range p.Targets {
-			out["target"] = append(out["target"], string(p.Instance(i)))
+	for _, name := range names {
+		switch {
+		case name == "":
+			return "who is missing"
+		case !isKnown(name):
+			return fmt.Sprintf("%s is done to a %s, and there is none named %q", s.Action, strings.Join(kinds, " or "), name)
 		}
 	}
-	return out
-}
-
-// zonesOf names the zones of a region, or the one zone of that name.
-func zonesOf(plan blueprint.Plan, region string) []ids.Name {
-	var out []ids.Name
-	for i := range plan.Zones {
-		if c := plan.Zone(i); plan.Region(c) == region || string(c) == region {
-			out = append(out, c)
-		}
+	if s.Action == actionSplit && coversEveryZone(plan, names) {
+		return "the other side of the split is empty"
 	}
-	return out
+	return ""
 }
--- a/internal/testsupport/testbed/script_test.go
+++ b/internal/testsupport/testbed/script_test.go
@@ -11,7 +11,7 @@
 	"dunlinwell/internal/testsupport/blueprint"
 )
 
-// A script with anything wrong in it is rejected whole, with file and step.
+// A script with any invalid step is rejected as a whole; the error names file and step.
 func TestReadScript_RejectsInvalidWithFileAndStep(t *testing.T) {
 	plan := blueprint.Plans["small"]
 	for raw, want := range map[string]string{
@@ -43,7 +43,7 @@
 	}
 }
 
-// What is drawn or shipped passes the same check, for every plan.
+// Built-in and random scripts pass the checks of ReadScript, for every plan.
 func TestReadScript_AcceptsBuiltInAndRandomScripts(t *testing.T) {
 	is := is.New(t)
 	for _, plan := range blueprint.Plans {
--- /dev/null
+++ b/internal/testsupport/testbed/shutdown_test.go
@@ -0,0 +1,67 @@
+package testbed
+
+import (
+	"bytes"
+	"context"
+	"net/http"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+)
+
+// Every daemon in turn gets SIGTERM, and SIGKILL if that takes too long, under load,
+// with slow requests under way and idle connections open. It must exit by itself;
+// no acknowledged change or request may be lost, and no request that was executed
+// may be answered with "busy".
+func TestDaemons_StopOnSIGTERMUnderLoad(t *testing.T) {
+	is := is.New(t)
+	ctx := context.Background()
+	var out bytes.Buffer
+	tb, err := Start(ctx, Options{Plan: "small", Dir: t.TempDir(), Out: &out})
+	is.NoErr(err)
+	defer tb.Close()
+	// Some targets take longer than a proxy may take to exit.
+	for i, target := range tb.Targets {
+		if i%3 == 0 {
+			target.Work = 1500 * time.Millisecond
+		}
+	}
+	// Connections that stay open and idle.
+	var idleTransports []*http.Transport
+	for _, p := range tb.snapshot() {
+		transport := &http.Transport{}
+		res, err := (&http.Client{Transport: transport}).Get("http://" + p.HTTP + "/healthz")
+		is.NoErr(err)
+		_ = res.Body.Close()
+		idleTransports = append(idleTransports, transport)
+	}
+	var exitCodes sync.Map
+	tb.RunLoad(ctx, 30*time.Second, func(load context.Context) {
+		for _, name := range []string{"proxy-1", "registry-1", "store-1", "proxy-2", "registry-2", "store-2"} {
+			p := tb.Find(name)
+			tb.MarkImpaired(p, time.Now().Add(time.Minute))
+			tb.Stop(p)
+			exitCodes.Store(name, p.cmd.ProcessState.ExitCode())
+			is.NoErr(tb.Fleet.StartProcess(p))
+			_, err := tb.AwaitReady(ctx, time.Minute)
+			is.NoErr(err)
+		}
+	})
+	for _, transport := range idleTransports {
+		transport.CloseIdleConnections()
+	}
+	n := 0
+	exitCodes.Range(func(name, code any) bool {
+		n++
+		if code != 0 {
+			t.Errorf("%s ended with %v, so it took SIGKILL", name, code)
+		}
+		return true
+	})
+	is.Equal(n, 6)
+	violations := tb.Report(time.Time{})
+	t.Log(out.String())
+	is.Equal(violations, 0)
+}
