--- a/internal/testsupport/testbed/clients.go
+++ b/internal/testsupport/testbed/clients.go
@@ -34,13 +34,13 @@
 	maxActive = 4000
 	// hotZonePercent is how many of a hundred requests come from a hot zone.
 	hotZonePercent = 60
-	// One of flippedRouteOneIn requests is for the route that operators move.
+	// flippedRouteOneIn: one of so many requests is for the route that operators move.
 	flippedRouteOneIn = 15
-	// One of repeatAnsweredOneIn unrepeatable requests is sent again although it was
+	// repeatAnsweredOneIn: one of so many unrepeatable requests is sent again although it was
 	// answered: it must get the same answer.
 	repeatAnsweredOneIn = 8
-	// The pause before an attempt is retryPause for each one before it, and up to
-	// maxRetryJitter more.
+	// retryPause, for each attempt before, and up to maxRetryJitter more are the pause
+	// before the next attempt.
 	retryPause     = 200 * time.Millisecond
 	maxRetryJitter = 200 // ms
 )
--- a/internal/testsupport/testbed/fleet.go
+++ b/internal/testsupport/testbed/fleet.go
@@ -17,7 +17,7 @@
 const (
 	// coreMachines is how many machines have a store and a registry.
 	coreMachines = 3
-	// The ports of a fleet with fixed addresses.
+	// wirePort and httpPort are the ports of a fleet with fixed addresses.
 	wirePort = 7401
 	httpPort = 7400
 	// readinessPollInterval bounds how exactly it is known when a fleet was ready.
--- a/internal/testsupport/testbed/load_watch.go
+++ b/internal/testsupport/testbed/load_watch.go
@@ -17,7 +17,8 @@
 	loadInterval = 5 * time.Second
 	// watchTimeout bounds each read of a metrics or status page.
 	watchTimeout = time.Second
-	// The levels of a zone's load, as shares of its target level.
+	// acceptableShare and maximumShare are the other levels of a zone's load, as shares
+	// of its target level.
 	acceptableShare = 0.8
 	maximumShare    = 1.1
 )
--- a/internal/testsupport/testbed/operator_calls.go
+++ b/internal/testsupport/testbed/operator_calls.go
@@ -20,7 +20,7 @@
 	resendTimeout = 40 * time.Second
 	// resendPause is the pause between two attempts of a change.
 	resendPause = 100 * time.Millisecond
-	// One of giveUpOneIn operators gives up a change that was surely not accepted.
+	// giveUpOneIn: one of so many operators gives up a change that was surely not accepted.
 	giveUpOneIn = 3
 )
 
--- a/internal/testsupport/testbed/operators.go
+++ b/internal/testsupport/testbed/operators.go
@@ -20,7 +20,7 @@
 	verifyRetryPause = 200 * time.Millisecond
 	// burstConcurrency bounds the changes of a burst that are under way at once.
 	burstConcurrency = 32
-	// Operators act every minActPause to minActPause+maxActJitter.
+	// minActPause and up to maxActJitter more are between two actions.
 	minActPause  = 200 // ms
 	maxActJitter = 900 // ms
 )
--- a/internal/testsupport/testbed/script.go
+++ b/internal/testsupport/testbed/script.go
@@ -30,7 +30,7 @@
 type Step struct {
 	// At is from the beginning of the load.
 	At Duration `json:"at"`
-	// Action is one of the action constants.
+	// Action is one of the names in actions.
 	Action string `json:"do"`
 	// Subject is what the action is done to. Those of a split are joined by "+".
 	Subject string `json:"who"`
--- a/internal/testsupport/testbed/script_actions.go
+++ b/internal/testsupport/testbed/script_actions.go
@@ -8,37 +8,61 @@
 	"dunlinwell/internal/testsupport/blueprint"
 )
 
-// The actions of steps, by their names in script files.
+// Actions on processes.
 const (
-	// Of processes: SIGKILL, the platform's stop, SIGSTOP; and all of a role at once.
-	actionKill     = "kill"
-	actionStop     = "stop"
-	actionFreeze   = "freeze"
+	// actionKill sends SIGKILL, actionStop stops as the platform does, actionFreeze
+	// sends SIGSTOP.
+	actionKill   = "kill"
+	actionStop   = "stop"
+	actionFreeze = "freeze"
+	// actionKillRole kills all daemons of a role at once.
 	actionKillRole = "herd"
-	// Of the network: all connections of a machine to others, those that others open
-	// to it, those that it opens; and a partition into two sides.
+)
+
+// Actions on the network.
+const (
+	// actionCut cuts all connections between a machine and others, actionCutIn those
+	// that others open, actionCutOut those that it opens.
 	actionCut    = "cut"
 	actionCutIn  = "cut-in"
 	actionCutOut = "cut-out"
-	actionSplit  = "split"
-	// Of core machines and disks.
+	// actionSplit partitions the network into two sides.
+	actionSplit = "split"
+)
+
+// Actions on core machines and disks.
+const (
+	// actionReplaceCore loses a core machine for good and starts a replacement.
 	actionReplaceCore = "swap-core"
-	actionStallDisk   = "stall-disk"
-	// Of whole zones and regions: loss, draining by operators, a hot zone.
+	// actionStallDisk keeps a store's disk from writing.
+	actionStallDisk = "stall-disk"
+)
+
+// Actions on whole zones and regions, and by operators.
+const (
+	// actionLoseZone and actionLoseRegion kill all daemons and targets there.
 	actionLoseZone   = "lose-cell"
 	actionLoseRegion = "lose-region"
-	actionDrainZone  = "empty"
-	actionHotZone    = "hot"
-	// Of operators: many changes at once.
+	// actionDrainZone has operators drain a zone and restore it.
+	actionDrainZone = "empty"
+	// actionHotZone has most requests come from one zone.
+	actionHotZone = "hot"
+	// actionBurst has operators make many changes at once.
 	actionBurst = "storm"
-	// Of targets: crash, drain and exit, lose and corrupt answers, exchange
-	// addresses with a target of another service, freeze, replace for good.
-	actionCrashTarget     = "crash-target"
-	actionDrainTarget     = "leave-target"
-	actionCorruptTarget   = "mute-target"
+)
+
+// Actions on targets.
+const (
+	actionCrashTarget = "crash-target"
+	// actionDrainTarget has a target drain and exit.
+	actionDrainTarget = "leave-target"
+	// actionCorruptTarget has a target lose and corrupt some answers.
+	actionCorruptTarget = "mute-target"
+	// actionExchangeTargets gives a target the address of one of another service.
 	actionExchangeTargets = "hand-over"
 	actionFreezeTarget    = "freeze-target"
-	actionReplaceTarget   = "replace-target"
+	// actionReplaceTarget replaces a target for good, by another at a new address.
+	actionReplaceTarget = "replace-target"
 )
 
 // The kinds of subjects.
--- a/internal/testsupport/testbed/target_faults.go
+++ b/internal/testsupport/testbed/target_faults.go
@@ -11,10 +11,12 @@
 	// drainTime is how long a draining target still serves before it exits: the
 	// proxies must stop sending within 3 s.
 	drainTime = 4 * time.Second
-	// The answers of a hundred that a faulty target loses and corrupts.
+	// faultyLostPercent and faultyCorruptPercent are how many answers of a hundred a
+	// faulty target loses and corrupts.
 	faultyLostPercent    = 20
 	faultyCorruptPercent = 10
-	// Replacements of targets have addresses from firstReplacementIndex.
+	// firstReplacementIndex is the first index of the addresses of replacements, of
+	// which there are maxReplacementsOfFleet.
 	firstReplacementIndex  = 200
 	maxReplacementsOfFleet = 50
 )
