--- a/internal/testsupport/testbed/runbooks_test.go
+++ b/internal/testsupport/testbed/runbooks_test.go
@@ -50,15 +50,13 @@
 func TestRunbooks_AgainstRealFleet(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	tb, err := Start(ctx, Options{Plan: "small", Dir: t.TempDir(), Out: &bytes.Buffer{}})
-	is.NoErr(err)
-	defer tb.Close()
+	tb := startSmallFleet(t)
 	runner := &runbookRunner{t: t, testbed: tb, address: tb.ProcessesOf("registry")[1].HTTP}
 	is.NoErr(runner.run("health", nil))
 	zone := map[string]string{"cell": "cell-b1", "route": "stock"}
 	is.NoErr(runner.run("empty-cell", zone))
 	// A second time the first step finds the zone drained, and the runbook ends.
-	err = runner.run("empty-cell", zone)
+	err := runner.run("empty-cell", zone)
 	is.True(err != nil && strings.Contains(err.Error(), "step 1"))
 	is.NoErr(runner.run("refill-cell", zone))
 	runner.onConfirm = func(what string) {
@@ -75,7 +73,18 @@
 		is.NoErr(err)
 	}
 	is.NoErr(runner.run("replace-core", map[string]string{"lost": "store-3", "new": "store-4"}))
-	// Two disks are lost for good, and with them the quorum.
+	recoverQuorum(t, tb, runner)
+	runner.address = tb.ProcessesOf("proxy")[0].HTTP
+	is.True(strings.Contains(call(t, "GET", runner.address, "/v1/routes/orders", "").body, `"name":"orders"`))
+	_, err = tb.AwaitReady(ctx, time.Minute)
+	is.NoErr(err)
+}
+
+// recoverQuorum loses the disks of two of three stores for good, and with them the
+// quorum, and runs the runbook that makes the last store the first of a new voter set.
+func recoverQuorum(t *testing.T, tb *Testbed, runner *runbookRunner) {
+	t.Helper()
+	is := is.New(t)
 	for _, n := range []string{"store-2", "store-4"} {
 		p := tb.Find(n)
 		tb.Kill(p)
@@ -95,10 +104,6 @@
 		tb.eventually(t, func() bool { return len(tb.replacementsListed(survivor)) >= 2 })
 	}
 	is.NoErr(runner.run("recover-core", map[string]string{"one": "store-5", "two": "store-6"}))
-	runner.address = tb.ProcessesOf("proxy")[0].HTTP
-	is.True(strings.Contains(call(t, "GET", runner.address, "/v1/routes/orders", "").body, `"name":"orders"`))
-	_, err = tb.AwaitReady(ctx, time.Minute)
-	is.NoErr(err)
 }
 
 // replacementsListed are those of the two replacement stores that the status shows.
--- a/internal/testsupport/testbed/shutdown_test.go
+++ b/internal/testsupport/testbed/shutdown_test.go
@@ -1,10 +1,8 @@
 package testbed
 
 import (
-	"bytes"
 	"context"
 	"net/http"
-	"sync"
 	"testing"
 	"time"
 
@@ -18,10 +16,7 @@
 func TestDaemons_StopOnSIGTERMUnderLoad(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	var out bytes.Buffer
-	tb, err := Start(ctx, Options{Plan: "small", Dir: t.TempDir(), Out: &out})
-	is.NoErr(err)
-	defer tb.Close()
+	tb := startSmallFleet(t)
 	// Some targets take longer than a proxy may take to exit.
 	for i, target := range tb.Targets {
 		if i%3 == 0 {
@@ -37,13 +32,13 @@
 		_ = res.Body.Close()
 		idleTransports = append(idleTransports, transport)
 	}
-	var exitCodes sync.Map
+	exitCodes := map[string]int{}
 	tb.RunLoad(ctx, 30*time.Second, func(load context.Context) {
 		for _, name := range []string{"proxy-1", "registry-1", "store-1", "proxy-2", "registry-2", "store-2"} {
 			p := tb.Find(name)
 			tb.MarkImpaired(p, time.Now().Add(time.Minute))
 			tb.Stop(p)
-			exitCodes.Store(name, p.cmd.ProcessState.ExitCode())
+			exitCodes[name] = p.cmd.ProcessState.ExitCode()
 			is.NoErr(tb.Fleet.StartProcess(p))
 			_, err := tb.AwaitReady(ctx, time.Minute)
 			is.NoErr(err)
@@ -52,16 +47,11 @@
 	for _, transport := range idleTransports {
 		transport.CloseIdleConnections()
 	}
-	n := 0
-	exitCodes.Range(func(name, code any) bool {
-		n++
+	is.Equal(len(exitCodes), 6)
+	for name, code := range exitCodes {
 		if code != 0 {
 			t.Errorf("%s ended with %v, so it took SIGKILL", name, code)
 		}
-		return true
-	})
-	is.Equal(n, 6)
-	violations := tb.Report(time.Time{})
-	t.Log(out.String())
-	is.Equal(violations, 0)
+	}
+	is.Equal(tb.Report(time.Time{}), 0) // violations
 }
--- a/internal/testsupport/testbed/testbed_test.go
+++ b/internal/testsupport/testbed/testbed_test.go
@@ -10,16 +10,29 @@
 	"github.com/matryer/is"
 )
 
+// startSmallFleet starts a fleet of the plan "small" that ends with the test, and
+// logs what it printed.
+func startSmallFleet(t *testing.T) *Testbed {
+	t.Helper()
+	var out bytes.Buffer
+	tb, err := Start(t.Context(), Options{Plan: "small", Dir: t.TempDir(), Out: &out})
+	if err != nil {
+		t.Fatal(err, out.String())
+	}
+	t.Cleanup(func() {
+		tb.Close()
+		t.Log(out.String())
+	})
+	return tb
+}
+
 // A fleet of real processes is bootstrapped, configured through any daemon, and
 // keeps all guarantees under load while one daemon of each role is killed and a
 // store is replaced.
 func TestFleetOfProcesses(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	var out bytes.Buffer
-	tb, err := Start(ctx, Options{Plan: "small", Dir: t.TempDir(), Out: &out})
-	is.NoErr(err)
-	defer tb.Close()
+	tb := startSmallFleet(t)
 	checkControlAPI(t, tb)
 	checkRejectedCalls(t, tb)
 	checkBadRequests(t, tb)
@@ -36,9 +49,7 @@
 		_, err = tb.AwaitReady(ctx, time.Minute)
 		is.NoErr(err) // all ready again, with the replacement
 	})
-	violations := tb.Report(time.Time{})
-	t.Log(out.String())
-	is.Equal(violations, 0)
+	is.Equal(tb.Report(time.Time{}), 0) // violations
 	is.True(tb.Checker.CountByClass(time.Time{})["answered"] > 0)
 	// What was accepted before the faults reads back through any daemon.
 	for _, p := range tb.Processes {
