--- a/internal/testsupport/scaletest/phases.go
+++ b/internal/testsupport/scaletest/phases.go
@@ -23,7 +23,8 @@
 	// changeSettlingTime lets the membership list spread what the last change set
 	// off, so that it counts as a cost of the change phase.
 	changeSettlingTime = 2 * time.Second
-	// registryDowntime is long enough for the others to declare the registry dead.
+	// registryDowntime is long enough for the others to declare the registry dead: a
+	// suspicion lasts about a second.
 	registryDowntime = 5 * time.Second
 	pollInterval     = 100 * time.Millisecond
 	// changesPerProgressLine keeps the progress of a large configuration short.
--- a/internal/testsupport/scaletest/proxy_group.go
+++ b/internal/testsupport/scaletest/proxy_group.go
@@ -29,7 +29,7 @@
 }
 
 const (
-	// reportInterval is how often each proxy gets a usage sample, as a real one does.
+	// reportInterval is how often each proxy gets a usage sample.
 	reportInterval = 2 * time.Second
 	// shutdownTimeout bounds how long responses under way may take at the end.
 	shutdownTimeout = 100 * time.Millisecond
--- a/internal/testsupport/scaletest/requirements.go
+++ b/internal/testsupport/scaletest/requirements.go
@@ -33,7 +33,7 @@
 	Descriptors uint64
 }
 
-// The parts of the estimate, found by measuring small fleets.
+// The parts of the estimate.
 const (
 	mib = 1 << 20
 	// maxProcesses keeps a fleet to a few hundred processes.
--- a/internal/testsupport/scaletest/targets.go
+++ b/internal/testsupport/scaletest/targets.go
@@ -16,7 +16,8 @@
 const (
 	// senderCount bounds how many heartbeats are under way at once.
 	senderCount = 16
-	// heartbeatTimeout is that of a real target's heartbeat.
+	// heartbeatTimeout is how long a registry may take to answer before the next one
+	// is tried.
 	heartbeatTimeout = 2 * time.Second
 	// maxHeartbeatDelay is how far the senders may fall behind before the backlog
 	// is given up: sent at once, it would be a load that no real fleet makes.
--- a/internal/testsupport/testbed/operator_calls.go
+++ b/internal/testsupport/testbed/operator_calls.go
@@ -16,7 +16,7 @@
 	// operatorTimeout bounds each call of an operator.
 	operatorTimeout = 4 * time.Second
 	// resendTimeout bounds how long a change is sent again under its id; beyond it
-	// its outcome stays unknown. It covers the longest fault with the recovery.
+	// its outcome stays unknown.
 	resendTimeout = 40 * time.Second
 	// resendPause is the pause between two attempts of a change.
 	resendPause = 100 * time.Millisecond
