--- a/internal/testsupport/scaletest/hollow_proxy.go
+++ b/internal/testsupport/scaletest/hollow_proxy.go
@@ -24,7 +24,6 @@
 // hollowProxy is the control state machine of one proxy with its transport. It
 // has no HTTP server, no dispatchers and no connections to targets.
 type hollowProxy struct {
-	control   *proxy.Control
 	owner     *process.Owner
 	transport *process.Transport
 	// mu guards status, which is also read by the group's HTTP server.
@@ -59,15 +58,13 @@
 	if o.Thrifty {
 		controlOptions = proxy.ControlOptions{Lease: proxy.EndlessLease, SlotLayout: proxy.SlotLayout{ByZone: true}}
 	}
-	h := &hollowProxy{
-		control:       proxy.New(membership.Options{Self: self, Seeds: seeds, Incremental: o.Thrifty}, controlOptions),
-		serviceStates: map[ids.Name]dispatch.ServiceState{},
-	}
+	control := proxy.New(membership.Options{Self: self, Seeds: seeds, Incremental: o.Thrifty}, controlOptions)
+	h := &hollowProxy{serviceStates: map[ids.Name]dispatch.ServiceState{}}
 	h.transport = &process.Transport{
 		Address: address, Log: log, Stats: stats,
 		Deliver: func(from ids.Address, msg any) { h.owner.Offer(event.Received{From: from, Msg: msg}) },
 	}
-	h.owner = process.NewOwner(h.control, tickInterval, h.execute)
+	h.owner = process.NewOwner(control, tickInterval, h.execute)
 	return h
 }
 
