--- a/internal/testsupport/scaletest/fit.go
+++ b/internal/testsupport/scaletest/fit.go
@@ -6,69 +6,77 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Point is one measurement of a slope.
+// Point is one measurement: the size along the axis, and the cost there.
 type Point struct {
 	X float64 `json:"x"`
 	Y float64 `json:"y"`
-	// Left out: the machine was full, so this measures it and not the fleet.
-	Out bool `json:"left_out,omitempty"`
+	// LeftOut: the machine was saturated or the fleet not at rest, so that this
+	// doesn't measure what a fleet costs.
+	LeftOut bool `json:"left_out,omitempty"`
 }
 
-// Fit is a least-squares line through points: y = A + B x, or A + B x² where
-// that explains clearly more.
+// Fit is a least-squares curve: y = Intercept + Slope·x if Shape is linear,
+// y = Intercept + Slope·x² if it is quadratic.
 type Fit struct {
-	Shape  string  `json:"shape"`
-	A      float64 `json:"a"`
-	B      float64 `json:"b"`
-	R2     float64 `json:"r2"`
-	Points int     `json:"points"`
+	Shape     string  `json:"shape"`
+	Intercept float64 `json:"a"`
+	Slope     float64 `json:"b"`
+	// R2 is the coefficient of determination; 1 is a perfect fit.
+	R2         float64 `json:"r2"`
+	PointCount int     `json:"points"`
 }
 
 const (
-	linear = "linear"
-	square = "square"
-	// squareTermShare is what part of the unexplained rest the square must take away.
-	squareTermShare = 0.5
-	// leastForSquare points are wanted before a curve is believed.
-	leastForSquare = 4
+	linear    = "linear"
+	quadratic = "square"
+	// minSizesForFit: a line through one size says nothing.
+	minSizesForFit = 2
+	// minSizesForQuadratic: through three sizes noise looks like a curve.
+	minSizesForQuadratic = 4
+	// quadraticResidualShare is the largest share of the line's unexplained
+	// variance that a quadratic may leave to be chosen in place of the line.
+	quadraticResidualShare = 0.5
 )
 
-// FitOf fits the points that aren't left out; false if there are too few.
-func FitOf(points []Point) (Fit, bool) {
+// FitPoints fits the points that aren't left out. It returns false if they
+// cover fewer than two sizes.
+func FitPoints(points []Point) (Fit, bool) {
 	var xs, ys, squares []float64
-	seen := map[float64]bool{}
+	sizes := map[float64]bool{}
 	for _, p := range points {
-		if !p.Out {
+		if !p.LeftOut {
 			xs, ys, squares = append(xs, p.X), append(ys, p.Y), append(squares, p.X*p.X)
-			seen[p.X] = true
+			sizes[p.X] = true
 		}
 	}
-	if len(seen) < 2 {
+	if len(sizes) < minSizesForFit {
 		return Fit{}, false
 	}
-	best := line(linear, xs, ys)
-	if len(seen) >= leastForSquare {
-		if s := line(square, squares, ys); s.B > 0 && 1-s.R2 < squareTermShare*(1-best.R2) {
-			best = s
+	best := fitShape(linear, xs, ys)
+	if len(sizes) >= minSizesForQuadratic {
+		curve := fitShape(quadratic, squares, ys)
+		if curve.Slope > 0 && 1-curve.R2 < quadraticResidualShare*(1-best.R2) {
+			best = curve
 		}
 	}
 	return best, true
 }
 
-func line(shape string, xs, ys []float64) Fit {
+func fitShape(shape string, xs, ys []float64) Fit {
 	a, b := stat.LinearRegression(xs, ys, nil, false)
 	r2 := stat.RSquared(xs, ys, nil, a, b)
-	// All points at one height are explained by a level line.
+	// R² divides by the variance of y, which is 0 for points of equal height: a
+	// level line explains these.
 	if math.IsNaN(r2) || math.IsInf(r2, 0) {
 		r2 = 1
 	}
-	return Fit{Shape: shape, A: a, B: b, R2: r2, Points: len(xs)}
+	return Fit{Shape: shape, Intercept: a, Slope: b, R2: r2, PointCount: len(xs)}
 }
 
-// At multiplies out.
-func (f Fit) At(x float64) float64 {
-	if f.Shape == square {
-		return f.A + f.B*x*x
+// ValueAt evaluates the curve.
+func (f Fit) ValueAt(x float64) float64 {
+	if f.Shape == quadratic {
+		return f.Intercept + f.Slope*x*x
 	}
-	return f.A + f.B*x
+	return f.Intercept + f.Slope*x
 }
--- a/internal/testsupport/scaletest/phases.go
+++ b/internal/testsupport/scaletest/phases.go
@@ -5,123 +5,166 @@
 	"time"
 )
 
-// settle is how long a fleet that has come together is left alone.
-const settle = 3 * time.Second
+// The phases of a run, in their order; the names stand in reports.
+const (
+	startPhase        = "start"
+	policyPhase       = "policy"
+	targetsPhase      = "targets"
+	steadyPhase       = "steady"
+	changePhase       = "change"
+	registryLostPhase = "registry-lost"
+	proxiesBackPhase  = "proxies-back"
+)
+
+const (
+	// settlingTime lets the membership list spread that all proxies are ready,
+	// which would count as a cost of the steady phase.
+	settlingTime = 3 * time.Second
+	// changeSettlingTime lets the membership list spread what the last change set
+	// off, so that it counts as a cost of the change phase.
+	changeSettlingTime = 2 * time.Second
+	// registryDowntime is long enough for the others to declare the registry dead: a
+	// suspicion lasts about a second.
+	registryDowntime = 5 * time.Second
+	pollInterval     = 100 * time.Millisecond
+	// changesPerProgressLine keeps the progress of a large configuration short.
+	changesPerProgressLine = 10
+)
+
+// phaseStep is a phase to be run: run sets the phase's Completed, Note and Lag.
+type phaseStep struct {
+	name string
+	run  func(*Phase)
+}
+
+func (r *sizeRun) steps() []phaseStep {
+	return []phaseStep{
+		{startPhase, r.awaitStart},
+		{policyPhase, r.loadConfiguration},
+		{targetsPhase, r.announceTargets},
+		{steadyPhase, r.steadyState},
+		{changePhase, r.applyChanges},
+		{registryLostPhase, r.restartRegistry},
+		{proxiesBackPhase, r.restartProxies},
+	}
+}
+
+// awaitStart waits until the core is ready and every proxy answers. No proxy is
+// ready yet: that takes a configuration.
+func (r *sizeRun) awaitStart(phase *Phase) {
+	_, phase.Completed = waitUntil(r.ctx, r.PhaseTimeout, pollInterval, func() bool {
+		return len(r.proxyStates()) == r.Size.Proxies && r.isCoreReady()
+	})
+	phase.Note = fmt.Sprintf("%d core daemons ready", r.readyCore())
+}
 
-// configurations puts the whole configuration in, change by change.
-func (x *sizeRun) configurations(ph *Phase) {
-	list := x.Size.Whole()
-	slowest, from := time.Duration(0), time.Now()
-	for i, raw := range list {
-		if x.ctx.Err() != nil {
+// loadConfiguration sends the whole configuration, change by change, and waits
+// until every proxy has the last.
+func (r *sizeRun) loadConfiguration(phase *Phase) {
+	changes := r.Size.ConfigurationChanges()
+	slowest, start := time.Duration(0), time.Now()
+	for i, change := range changes {
+		if r.ctx.Err() != nil {
 			return
 		}
-		from = time.Now()
-		rev, err := x.post(raw)
-		took := time.Since(from)
+		start = time.Now()
+		revision, err := r.postChange(change)
+		elapsed := time.Since(start)
 		if err != nil {
-			ph.Note = fmt.Sprintf("change %d of %d (%d items and %d bytes in) declined after %.1f s: %v", i+1, len(list), x.run.Items, x.run.Configuration, took.Seconds(), err)
+			phase.Note = fmt.Sprintf("change %d of %d (%d items and %d bytes in) declined after %.1f s: %v", i+1, len(changes), r.result.Items, r.result.ConfigurationBytes, elapsed.Seconds(), err)
 			return
 		}
-		if took > x.PhaseTimeout {
-			ph.Note = fmt.Sprintf("change %d of %d took %.1f s, %d items and %d bytes in", i+1, len(list), took.Seconds(), x.run.Items, x.run.Configuration)
+		if elapsed > r.PhaseTimeout {
+			phase.Note = fmt.Sprintf("change %d of %d took %.1f s, %d items and %d bytes in", i+1, len(changes), elapsed.Seconds(), r.result.Items, r.result.ConfigurationBytes)
 			return
 		}
-		x.revision, slowest = rev, max(slowest, took)
-		x.run.Configuration += len(raw)
-		x.run.Items += min(perChange, x.Zones+x.Services+x.Routes+x.Tenants-x.run.Items)
-		if i%10 == 9 {
-			x.Show(fmt.Sprintf("  policy: %d of %d changes, the last took %.2f s", i+1, len(list), took.Seconds()))
+		r.revision, slowest = revision, max(slowest, elapsed)
+		r.result.ConfigurationBytes += len(change)
+		r.result.Items += min(maxItemsPerChange, r.Zones+r.Services+r.Routes+r.Tenants-r.result.Items)
+		if (i+1)%changesPerProgressLine == 0 {
+			r.Progress(fmt.Sprintf("  policy: %d of %d changes, the last took %.2f s", i+1, len(changes), elapsed.Seconds()))
 		}
 	}
-	lags, ok := x.inForce(x.revision, from)
-	ph.Lag, ph.Done = lagOf(lags), ok
-	ph.Note = fmt.Sprintf("%d items, %d bytes, slowest change %.2f s, %d proxies have the last", x.run.Items, x.run.Configuration, slowest.Seconds(), len(lags))
+	lags, ok := r.awaitRevision(r.revision, start)
+	phase.Lag, phase.Completed = newLag(lags), ok
+	phase.Note = fmt.Sprintf("%d items, %d bytes, slowest change %.2f s, %d proxies have the last", r.result.Items, r.result.ConfigurationBytes, slowest.Seconds(), len(lags))
 }
 
-// arrive lets targets announce themselves, and waits until all proxies serve.
-func (x *sizeRun) arrive(ph *Phase) {
-	go x.targets.run(x.ctx)
-	_, ok := until(x.ctx, x.PhaseTimeout, 100*time.Millisecond, func() bool {
-		return int(x.targets.answered.Load()) >= x.Size.Targets && x.count() == x.Size.Proxies
+// announceTargets starts the targets' heartbeats, which go on to the end of the
+// run, and waits until all proxies are ready.
+func (r *sizeRun) announceTargets(phase *Phase) {
+	go r.targets.run(r.ctx)
+	_, phase.Completed = waitUntil(r.ctx, r.PhaseTimeout, pollInterval, func() bool {
+		return int(r.targets.acknowledged.Load()) >= r.Size.Targets && r.areProxiesReady()
 	})
-	// The roll goes on telling of what has just become ready.
-	_, _ = until(x.ctx, settle, settle, func() bool { return false })
-	ph.Done = ok
-	ph.Note = fmt.Sprintf("%d announcements answered, %d failed; %d proxies ready", x.targets.answered.Load(), x.targets.failed.Load(), x.count())
+	sleepContext(r.ctx, settlingTime, settlingTime, func() {})
+	phase.Note = fmt.Sprintf("%d announcements answered, %d failed; %d proxies ready", r.targets.acknowledged.Load(), r.targets.failed.Load(), r.readyProxies())
 }
 
-// steady does nothing for a while.
-func (x *sizeRun) steady(ph *Phase) {
-	least := x.Size.Proxies
-	before := x.targets.answered.Load()
-	_, _ = until(x.ctx, x.PhaseDuration, x.PhaseDuration/4, func() bool {
-		least = min(least, x.count())
-		return false
-	})
-	ph.Done = x.ctx.Err() == nil
-	told := x.targets.answered.Load() - before
-	ph.Note = fmt.Sprintf("%d proxies ready at least, %d announcements answered (%.0f wanted)", least, told, x.PhaseDuration.Seconds()/x.Interval.Seconds()*float64(x.Size.Targets))
+// steadyState measures a fleet in which nothing happens but heartbeats and reports.
+func (r *sizeRun) steadyState(phase *Phase) {
+	fewestReady := r.Size.Proxies
+	before := r.targets.acknowledged.Load()
+	sleepContext(r.ctx, r.PhaseDuration, r.PhaseDuration/4, func() { fewestReady = min(fewestReady, r.readyProxies()) })
+	phase.Completed = r.ctx.Err() == nil
+	acknowledged := r.targets.acknowledged.Load() - before
+	wanted := r.PhaseDuration.Seconds() / r.AnnounceInterval.Seconds() * float64(r.Size.Targets)
+	phase.Note = fmt.Sprintf("%d proxies ready at least, %d announcements answered (%.0f wanted)", fewestReady, acknowledged, wanted)
 }
 
-// changes are changes of one route each, every one awaited everywhere.
-func (x *sizeRun) changes(ph *Phase) {
-	var all []time.Duration
-	for n := range x.Changes {
-		from := time.Now()
-		rev, err := x.post(x.Size.Change("change", n))
+// applyChanges makes changes of one route each, and awaits each at every proxy.
+func (r *sizeRun) applyChanges(phase *Phase) {
+	var allLags []time.Duration
+	for n := range r.Changes {
+		start := time.Now()
+		revision, err := r.postChange(r.Size.RouteChange("change", n))
 		if err != nil {
-			ph.Note = fmt.Sprintf("change %d: %v", n+1, err)
+			phase.Note = fmt.Sprintf("change %d: %v", n+1, err)
 			return
 		}
-		lags, ok := x.inForce(rev, from)
-		all = append(all, lags...)
+		lags, ok := r.awaitRevision(revision, start)
+		allLags = append(allLags, lags...)
 		if !ok {
-			ph.Note = fmt.Sprintf("change %d: in force at %d proxies within %s", n+1, len(lags), x.PhaseTimeout)
+			phase.Note = fmt.Sprintf("change %d: in force at %d proxies within %s", n+1, len(lags), r.PhaseTimeout)
 			return
 		}
 	}
-	// What a change sets off in the roll goes on after it is in force.
-	_, _ = until(x.ctx, 2*time.Second, time.Second, func() bool { return false })
-	ph.Lag, ph.Done = lagOf(all), x.ctx.Err() == nil
-	ph.Note = fmt.Sprintf("%d changes", x.Changes)
+	sleepContext(r.ctx, changeSettlingTime, time.Second, func() {})
+	phase.Lag, phase.Completed = newLag(allLags), r.ctx.Err() == nil
+	phase.Note = fmt.Sprintf("%d changes", r.Changes)
 }
 
-// registryLost kills the registry that plans, and lets it come back.
-func (x *sizeRun) registryLost(ph *Phase) {
-	p := x.of("registry")[0]
-	x.kill(p)
-	least := x.Size.Proxies
-	_, _ = until(x.ctx, 5*time.Second, 100*time.Millisecond, func() bool {
-		least = min(least, x.count())
-		return false
-	})
-	if err := x.start(p); err != nil {
-		ph.Note = err.Error()
+// restartRegistry kills the first registry, which plans the spill-over, and
+// starts it again.
+func (r *sizeRun) restartRegistry(phase *Phase) {
+	p := r.running(registryRole)[0]
+	r.kill(p)
+	fewestReady := r.Size.Proxies
+	sleepContext(r.ctx, registryDowntime, pollInterval, func() { fewestReady = min(fewestReady, r.readyProxies()) })
+	if err := r.start(p); err != nil {
+		phase.Note = err.Error()
 		return
 	}
-	took, ok := until(x.ctx, x.PhaseTimeout, 100*time.Millisecond, func() bool {
-		return x.readyCore() == 3+x.Core && x.count() == x.Size.Proxies
-	})
-	ph.Done = ok
-	ph.Note = fmt.Sprintf("%d proxies ready at least; whole %.1f s after the registry came back", least, took.Seconds())
+	elapsed, ok := waitUntil(r.ctx, r.PhaseTimeout, pollInterval, func() bool { return r.isCoreReady() && r.areProxiesReady() })
+	phase.Completed = ok
+	phase.Note = fmt.Sprintf("%d proxies ready at least; whole %.1f s after the registry came back", fewestReady, elapsed.Seconds())
 }
 
-// proxiesBack loses all proxies at once, and starts them at once.
-func (x *sizeRun) proxiesBack(ph *Phase) {
-	x.killAll("proxy")
-	from := time.Now()
-	if err := x.startAll("proxy"); err != nil {
-		ph.Note = err.Error()
+// restartProxies kills all proxies at once, and starts them at once.
+func (r *sizeRun) restartProxies(phase *Phase) {
+	r.killRole(proxyRole)
+	start := time.Now()
+	if err := r.startRole(proxyRole); err != nil {
+		phase.Note = err.Error()
 		return
 	}
-	took, ok := until(x.ctx, x.PhaseTimeout, 100*time.Millisecond, func() bool { return x.count() == x.Size.Proxies })
+	elapsed, ok := waitUntil(r.ctx, r.PhaseTimeout, pollInterval, r.areProxiesReady)
 	var lags []time.Duration
-	for _, s := range x.stands() {
+	for _, s := range r.proxyStates() {
 		if s.Ready {
-			lags = append(lags, time.Duration(s.ServingStateChangedAt-from.UnixNano()))
+			lags = append(lags, time.Duration(s.ServingStateChangedAt-start.UnixNano()))
 		}
 	}
-	ph.Lag, ph.Done = lagOf(lags), ok
-	ph.Note = fmt.Sprintf("%d proxies ready, all after %.1f s", len(lags), took.Seconds())
+	phase.Lag, phase.Completed = newLag(lags), ok
+	phase.Note = fmt.Sprintf("%d proxies ready, all after %.1f s", len(lags), elapsed.Seconds())
 }
