--- a/cmd/testbed/simulate.go
+++ b/cmd/testbed/simulate.go
@@ -128,7 +128,7 @@
 		return
 	}
 	fmt.Println(o.Replay(s.Plan, r.scene, s.Hot, s.Length))
-	for _, c := range o.Counts {
+	for _, c := range o.Results {
 		if c.Violations > 0 {
 			fmt.Printf("  %s: %d, such as %s\n", c.Rule, c.Violations, c.Sample)
 		}
--- a/cmd/testbed/totals.go
+++ b/cmd/testbed/totals.go
@@ -36,7 +36,7 @@
 	for kind, n := range o.FaultCounts {
 		t.faults[kind] += n
 	}
-	for _, c := range o.Counts {
+	for _, c := range o.Results {
 		if _, ok := t.checks[c.Rule]; !ok {
 			t.rules = append(t.rules, c.Rule)
 		}
--- a/internal/app/api/calls_fuzz_test.go
+++ b/internal/app/api/calls_fuzz_test.go
@@ -36,7 +36,7 @@
 		defer t.mu.Unlock()
 		t.step(ev)
 	}
-	t.step(event.Received{From: "10.0.0.2:1", Msg: membership.Heartbeat{Self: membership.Member{ID: "s", Role: membership.Store, Address: "10.0.0.2:1", RunID: 1, Ready: true}}})
+	t.step(event.Received{From: "10.0.0.2:1", Message: membership.Heartbeat{Self: membership.Member{ID: "s", Role: membership.Store, Address: "10.0.0.2:1", RunID: 1, Ready: true}}})
 	for range 3 {
 		t.now += 200e6
 		t.step(event.Tick{})
@@ -49,8 +49,8 @@
 	for _, c := range t.registry.Step(t.now, ev) {
 		switch c := c.(type) {
 		case event.Send:
-			if r, ok := c.Msg.(consensus.Request); ok {
-				t.step(event.Received{From: c.To, Msg: t.agree(r)})
+			if r, ok := c.Message.(consensus.Request); ok {
+				t.step(event.Received{From: c.To, Message: t.agree(r)})
 			}
 		case registry.Response:
 			t.HandleResponse(c)
--- a/internal/app/daemon/graceful_stop.go
+++ b/internal/app/daemon/graceful_stop.go
@@ -31,7 +31,7 @@
 func (g *gracefulStop) onSignal(ctx context.Context, grace time.Duration, owner *process.Owner) {
 	context.AfterFunc(ctx, func() {
 		time.AfterFunc(grace+stopSlack, g.end)
-		owner.Put(store.Leave{Within: grace})
+		owner.Put(store.Leave{GracePeriod: grace})
 	})
 }
 
--- a/internal/app/daemon/member.go
+++ b/internal/app/daemon/member.go
@@ -33,7 +33,7 @@
 	var near, far []ids.Address
 	for _, m := range members {
 		switch {
-		case m.Role != membership.Registry || m.Gone:
+		case m.Role != membership.Registry || m.Dead:
 		case m.Zone == zone:
 			near = append(near, m.HTTP)
 		default:
--- a/internal/app/daemon/registry.go
+++ b/internal/app/daemon/registry.go
@@ -64,7 +64,7 @@
 		machine: registry.New(registry.Options{
 			Options:   membership.Options{Self: NewMember(options.Common, membership.Registry), Seeds: options.SeedAddresses(), Incremental: options.Incremental},
 			PlanEvery: options.PlanEvery, Lifetime: options.ResolutionLifetime, Regions: options.Regions, Incremental: options.Incremental,
-			AlwaysAnswer: options.AlwaysResolve, DeriveLevels: options.DeriveSetPoints, Random: newRandom(),
+			AlwaysResolve: options.AlwaysResolve, DeriveSetPoints: options.DeriveSetPoints, Random: newRandom(),
 		}),
 		transport: newTransport(options.Common, log),
 		server:    &api.Server{Log: log.Event},
@@ -82,14 +82,14 @@
 
 // deliverTo hands the messages that a transport receives to an owner.
 func deliverTo(transport *process.Transport, owner *process.Owner) {
-	transport.Deliver = func(from ids.Address, msg any) { owner.Offer(event.Received{From: from, Msg: msg}) }
+	transport.Deliver = func(from ids.Address, msg any) { owner.Offer(event.Received{From: from, Message: msg}) }
 }
 
 // execute carries out a command of the machine.
 func (d *registryDaemon) execute(command event.Command) {
 	switch c := command.(type) {
 	case event.Send:
-		d.transport.Send(c.To, c.Msg)
+		d.transport.Send(c.To, c.Message)
 	case event.LogEntry:
 		d.log.WriteEntry(c)
 	case event.Discarded:
--- a/internal/app/daemon/store.go
+++ b/internal/app/daemon/store.go
@@ -117,7 +117,7 @@
 func (d *storeDaemon) execute(command event.Command) {
 	switch c := command.(type) {
 	case event.Send:
-		d.transport.Send(c.To, c.Msg)
+		d.transport.Send(c.To, c.Message)
 	case event.LogEntry:
 		d.log.WriteEntry(c)
 	case event.Discarded:
--- a/internal/base/event/command.go
+++ b/internal/base/event/command.go
@@ -5,8 +5,8 @@
 // Send asks for a message to be sent to a peer. It may be lost; the sender repeats
 // what must arrive.
 type Send struct {
-	To  ids.Address
-	Msg any
+	To      ids.Address
+	Message any
 }
 
 // Record is a change of one key on disk.
--- a/internal/base/event/discarded.go
+++ b/internal/base/event/discarded.go
@@ -21,7 +21,7 @@
 // Discarded reports a message that changed no state. The owner counts each, and
 // logs the first of each peer and reason.
 type Discarded struct {
-	From   ids.Address
-	Reason Reason
-	Msg    any
+	From    ids.Address
+	Reason  Reason
+	Message any
 }
--- a/internal/base/event/machine.go
+++ b/internal/base/event/machine.go
@@ -22,8 +22,8 @@
 
 // Received is the event of a message that arrived from a peer.
 type Received struct {
-	From ids.Address
-	Msg  any
+	From    ids.Address
+	Message any
 }
 
 // Synced is the event of a completed Sync: this batch and all earlier ones are on
--- a/internal/base/event/outbox.go
+++ b/internal/base/event/outbox.go
@@ -9,7 +9,7 @@
 func (o *Outbox) Emit(c Command) { o.commands = append(o.commands, c) }
 
 // Send adds a Send.
-func (o *Outbox) Send(to ids.Address, msg any) { o.Emit(Send{To: to, Msg: msg}) }
+func (o *Outbox) Send(to ids.Address, msg any) { o.Emit(Send{To: to, Message: msg}) }
 
 // Log adds a LogEntry. The fields are keys and values in turn.
 func (o *Outbox) Log(level Level, name LogEvent, fields ...string) {
@@ -18,7 +18,7 @@
 
 // Discard adds a Discarded.
 func (o *Outbox) Discard(from ids.Address, reason Reason, msg any) {
-	o.Emit(Discarded{From: from, Reason: reason, Msg: msg})
+	o.Emit(Discarded{From: from, Reason: reason, Message: msg})
 }
 
 // Drain gives the collected commands and empties the outbox.
--- a/internal/base/event/outbox_test.go
+++ b/internal/base/event/outbox_test.go
@@ -14,9 +14,9 @@
 	o.Discard("10.0.0.2:1", Malformed, "message")
 	o.Emit(Sync{Batch: 1})
 	is.Equal(o.Drain(), []Command{
-		Send{To: "10.0.0.1:1", Msg: "message"},
+		Send{To: "10.0.0.1:1", Message: "message"},
 		LogEntry{Level: LevelWarn, Event: "lease_expired", Fields: []string{"key", "value"}},
-		Discarded{From: "10.0.0.2:1", Reason: Malformed, Msg: "message"},
+		Discarded{From: "10.0.0.2:1", Reason: Malformed, Message: "message"},
 		Sync{Batch: 1},
 	})
 	is.Equal(len(o.Drain()), 0)
--- a/internal/controlplane/directory/snapshot.go
+++ b/internal/controlplane/directory/snapshot.go
@@ -22,10 +22,10 @@
 	// reported, in milliseconds per second.
 	Demand   func(zone ids.Name) float64
 	Distance func(a, b ids.Name) float64
-	// Room is the CPU time that a zone has left up to its target level, in milliseconds
+	// CapacityLeft is the CPU time that a zone has left up to its target level, in milliseconds
 	// per second. It may be negative. (The planner's own room, package spill, ends at the
 	// acceptable level.)
-	Room func(zone ids.Name) float64
+	CapacityLeft func(zone ids.Name) float64
 }
 
 // Destination is the answer to a lookup.
@@ -100,7 +100,7 @@
 	weights := make([]float64, len(candidates))
 	totalWeight := 0.0
 	for i, zone := range candidates {
-		weights[i] = min(demand, max(s.Room(zone), 0))
+		weights[i] = min(demand, max(s.CapacityLeft(zone), 0))
 		demand -= weights[i]
 		totalWeight += weights[i]
 	}
--- a/internal/controlplane/directory/snapshot_test.go
+++ b/internal/controlplane/directory/snapshot_test.go
@@ -17,10 +17,10 @@
 func newSnapshot() Snapshot {
 	position := map[ids.Name]float64{"a": 0, "b": 1, "c": 2}
 	s := Snapshot{
-		Drained:  map[ids.Name]bool{},
-		Distance: func(x, y ids.Name) float64 { return math.Abs(position[x] - position[y]) },
-		Demand:   func(ids.Name) float64 { return 100 },
-		Room:     func(ids.Name) float64 { return 60 },
+		Drained:      map[ids.Name]bool{},
+		Distance:     func(x, y ids.Name) float64 { return math.Abs(position[x] - position[y]) },
+		Demand:       func(ids.Name) float64 { return 100 },
+		CapacityLeft: func(ids.Name) float64 { return 60 },
 	}
 	for _, zone := range []ids.Name{"a", "b", "c"} {
 		for range 2 {
@@ -67,7 +67,7 @@
 	s.Proxies = s.Proxies[2:]
 	got := sampleZones(s, "a", "r")
 	is.True(approximately(got["b"], 0.6) && approximately(got["c"], 0.4)) // 60 of 100, then the rest
-	s.Room = func(ids.Name) float64 { return 0 }
+	s.CapacityLeft = func(ids.Name) float64 { return 0 }
 	is.True(approximately(sampleZones(s, "a", "r")["b"], 1)) // nothing known: the nearest
 	s.Proxies = nil
 	is.Equal(len(sampleZones(s, "a", "r")), 0)
--- a/internal/controlplane/distribution/ack_test.go
+++ b/internal/controlplane/distribution/ack_test.go
@@ -16,7 +16,7 @@
 func TestDistributor_IgnoresAckOfEarlierRun(t *testing.T) {
 	is := is.New(t)
 	proxies := oneProxy()
-	leaving := targets.Target{Instance: "a", Sequence: 9, Leaving: true}
+	leaving := targets.Target{Instance: "a", Sequence: 9, Draining: true}
 	content := Content{Version: 1, Targets: func() []targets.Target { return []targets.Target{leaving} }}
 	push := func(runID ids.RunID) (*Distributor, Push) {
 		d := New(runID, &event.Outbox{})
--- a/internal/controlplane/distribution/helpers_test.go
+++ b/internal/controlplane/distribution/helpers_test.go
@@ -32,7 +32,7 @@
 	d.Distribute(now, proxies, content)
 	var pushes []Push
 	for _, command := range d.out.Drain() {
-		pushes = append(pushes, command.(event.Send).Msg.(Push))
+		pushes = append(pushes, command.(event.Send).Message.(Push))
 	}
 	return pushes
 }
--- a/internal/controlplane/distribution/inflight_test.go
+++ b/internal/controlplane/distribution/inflight_test.go
@@ -68,7 +68,7 @@
 	is.Equal(sent(0), 0)
 	is.Equal(sent(300), 0)
 	is.Equal(sent(800), 2) // the delay is over, and the proxy hasn't shown that it has them
-	announced[1].Leaving, announced[1].Sequence = true, 2
+	announced[1].Draining, announced[1].Sequence = true, 2
 	content.Version++
 	is.Equal(sent(900), 1) // a draining target isn't held back
 	announced[0].Sequence = 2
--- a/internal/controlplane/distribution/proxy_state.go
+++ b/internal/controlplane/distribution/proxy_state.go
@@ -91,7 +91,7 @@
 
 // versionOf returns the version of a target.
 func versionOf(t targets.Target) targetVersion {
-	return targetVersion{id: t.Instance, incarnation: t.Incarnation, sequence: t.Sequence, gone: t.Gone}
+	return targetVersion{id: t.Instance, incarnation: t.Incarnation, sequence: t.Sequence, gone: t.Dead}
 }
 
 // reaches reports whether v is a target's state t or a later one.
--- a/internal/controlplane/membership/anti_entropy.go
+++ b/internal/controlplane/membership/anti_entropy.go
@@ -130,7 +130,7 @@
 	}
 	all := l.All()
 	for _, m := range all {
-		if m.ID != l.Self.ID && !m.Gone {
+		if m.ID != l.Self.ID && !m.Dead {
 			l.out.Send(m.Address, Snapshot{Members: all, Final: true})
 		}
 	}
--- a/internal/controlplane/membership/declaration.go
+++ b/internal/controlplane/membership/declaration.go
@@ -103,7 +103,7 @@
 // declareDead declares a member dead and tells the others.
 func (l *List) declareDead(now ids.Time, m Member, tally voteTally) {
 	l.declarations[m.ID] = deathDeclaration{runID: m.RunID, declaredAt: now, falsePositives: l.falsePositivesOf(now, m) + 1}
-	m.Gone = true
+	m.Dead = true
 	l.put(m)
 	delete(l.suspicions, m.ID)
 	l.out.Log(event.LevelWarn, EventMemberDeclaredDead, "member", string(m.ID), "votes", strconv.Itoa(tally.votes),
--- a/internal/controlplane/membership/digest.go
+++ b/internal/controlplane/membership/digest.go
@@ -36,7 +36,7 @@
 // hashMember adds a member to a hash: its id, and what Member.supersedes compares.
 func hashMember(h hash.Hash64, m Member) {
 	gone := uint64(0)
-	if m.Gone {
+	if m.Dead {
 		gone = 1
 	}
 	h.Write([]byte(m.ID))
--- a/internal/controlplane/membership/failure_detector.go
+++ b/internal/controlplane/membership/failure_detector.go
@@ -81,14 +81,14 @@
 // broadcastSuspect reports to every registry, this one included, that a member has been
 // silent for a time.
 func (l *List) broadcastSuspect(now ids.Time, m Member, silence time.Duration) {
-	suspect := Suspect{Watcher: l.Self.ID, ID: m.ID, Incarnation: m.Incarnation, SilenceMillis: uint32(silence / time.Millisecond)}
+	suspect := Suspect{Watcher: l.Self.ID, Member: m.ID, Incarnation: m.Incarnation, SilenceMillis: uint32(silence / time.Millisecond)}
 	l.handleSuspect(now, suspect)
 	l.sendToRegistries(suspect)
 }
 
 // broadcastWithdraw tells every registry that a suspected member was heard again.
 func (l *List) broadcastWithdraw(m Member) {
-	withdraw := Withdraw{Watcher: l.Self.ID, ID: m.ID}
+	withdraw := Withdraw{Watcher: l.Self.ID, Member: m.ID}
 	l.handleWithdraw(withdraw)
 	l.sendToRegistries(withdraw)
 }
--- a/internal/controlplane/membership/fleet_test.go
+++ b/internal/controlplane/membership/fleet_test.go
@@ -128,7 +128,7 @@
 	}
 	if changed := n.list.DrainChanged(); len(changed) > 0 {
 		for _, m := range n.list.All() {
-			if !m.Gone && m.ID != n.list.Self.ID {
+			if !m.Dead && m.ID != n.list.Self.ID {
 				n.out.Send(m.Address, Delta{Members: changed, Final: true})
 			}
 		}
@@ -149,7 +149,7 @@
 				continue
 			}
 			wait := time.Millisecond + time.Duration(f.random.Int64N(int64(30*time.Millisecond))) + n.linkDelay() + to.linkDelay()
-			f.inTransit = append(f.inTransit, delivery{f.now.Add(wait), n.list.Self.Address, c.To, c.Msg})
+			f.inTransit = append(f.inTransit, delivery{f.now.Add(wait), n.list.Self.Address, c.To, c.Message})
 		}
 	}
 }
@@ -206,7 +206,7 @@
 		if n.list.Self.Role != Registry || n.down {
 			continue
 		}
-		if m, ok := n.list.Get(id); !ok || !m.Gone {
+		if m, ok := n.list.Get(id); !ok || !m.Dead {
 			return false
 		}
 	}
--- a/internal/controlplane/membership/list.go
+++ b/internal/controlplane/membership/list.go
@@ -131,7 +131,7 @@
 func (l *List) Live(role Role) []Member {
 	var live []Member
 	for _, m := range l.All() {
-		if !m.Gone && m.Role == role {
+		if !m.Dead && m.Role == role {
 			live = append(live, m)
 		}
 	}
@@ -148,5 +148,5 @@
 // declared dead, has a later run, or isn't known at all.
 func (l *List) RunEnded(id ids.DaemonID, run ids.RunID) bool {
 	m, ok := l.members[id]
-	return !ok || m.Gone || m.RunID != run
+	return !ok || m.Dead || m.RunID != run
 }
--- a/internal/controlplane/membership/list_test.go
+++ b/internal/controlplane/membership/list_test.go
@@ -70,7 +70,7 @@
 			send, ok := command.(event.Send)
 			if ok && !c.muted[at] && !c.muted[send.To] && c.lists[send.To] != nil {
 				delivered = true
-				c.lists[send.To].Receive(c.now, at, send.Msg)
+				c.lists[send.To].Receive(c.now, at, send.Message)
 			}
 		}
 	}
@@ -80,7 +80,7 @@
 // isGone reports whether an observer has a member as dead.
 func (c *cluster) isGone(observer, member ids.DaemonID) bool {
 	m, ok := c.lists[ids.Address(observer)].Get(member)
-	return ok && m.Gone
+	return ok && m.Dead
 }
 
 // Members that know only one seed find all others through it.
@@ -108,7 +108,7 @@
 	c.muted["m5"] = false
 	c.advance(3 * time.Second)
 	m, _ := c.lists["m0"].Get("m5")
-	is.True(!m.Gone && m.Incarnation > 1)
+	is.True(!m.Dead && m.Incarnation > 1)
 	is.True(!c.lists["m0"].RunEnded("m5", 6)) // the same run all along
 }
 
--- a/internal/controlplane/membership/member.go
+++ b/internal/controlplane/membership/member.go
@@ -37,8 +37,8 @@
 	Incarnation ids.Incarnation
 	// Sequence is raised by the member with each change of its entry.
 	Sequence ids.Sequence
-	// Gone says that the member was declared dead.
-	Gone  bool
+	// Dead says that the member was declared dead.
+	Dead  bool
 	Ready bool
 	// Revision is the newest configuration that the daemon has, or had when its entry last
 	// changed (UpdateSelf). Above 0 it is a sign of an existing cluster, which keeps blank
@@ -60,8 +60,8 @@
 	if m.Incarnation != other.Incarnation {
 		return m.Incarnation > other.Incarnation
 	}
-	if m.Gone != other.Gone {
-		return m.Gone
+	if m.Dead != other.Dead {
+		return m.Dead
 	}
 	return m.Sequence > other.Sequence
 }
--- a/internal/controlplane/membership/messages.go
+++ b/internal/controlplane/membership/messages.go
@@ -36,7 +36,7 @@
 // Suspect reports to the registries that a watcher hears nothing from a member.
 type Suspect struct {
 	Watcher     ids.DaemonID
-	ID          ids.DaemonID
+	Member      ids.DaemonID
 	Incarnation ids.Incarnation
 	// SilenceMillis is the silence after which the watcher suspected the member, in
 	// milliseconds. It is longer for members with irregular heartbeats, which are
@@ -47,7 +47,7 @@
 // Withdraw takes a Suspect back, as the watcher has heard from the member since.
 type Withdraw struct {
 	Watcher ids.DaemonID
-	ID      ids.DaemonID
+	Member  ids.DaemonID
 }
 
 // Probe asks a member for a ProbeReply. It is sent before a member is suspected, and
--- a/internal/controlplane/membership/receive.go
+++ b/internal/controlplane/membership/receive.go
@@ -68,8 +68,8 @@
 			continue
 		}
 		l.put(m)
-		isNewRun := !exists || known.RunID != m.RunID || known.Gone
-		if l.Incremental && m.Role == Registry && !m.Gone && isNewRun {
+		isNewRun := !exists || known.RunID != m.RunID || known.Dead
+		if l.Incremental && m.Role == Registry && !m.Dead && isNewRun {
 			l.sendSelf(m)
 		}
 	}
@@ -81,7 +81,7 @@
 	if claim.Incarnation < l.Self.Incarnation {
 		return
 	}
-	isWrong := claim.Gone || claim.RunID != l.Self.RunID
+	isWrong := claim.Dead || claim.RunID != l.Self.RunID
 	if claim.Incarnation == l.Self.Incarnation && !isWrong {
 		return
 	}
--- a/internal/controlplane/membership/ring.go
+++ b/internal/controlplane/membership/ring.go
@@ -71,7 +71,7 @@
 // currentRing returns the ring of the members that are live now.
 func (l *List) currentRing() *ring {
 	if l.ring == nil {
-		live := slices.DeleteFunc(slices.Collect(maps.Values(l.members)), func(m Member) bool { return m.Gone })
+		live := slices.DeleteFunc(slices.Collect(maps.Values(l.members)), func(m Member) bool { return m.Dead })
 		sortByRingPosition(live)
 		l.ring = newRing(live)
 	}
--- a/internal/controlplane/membership/suspicion.go
+++ b/internal/controlplane/membership/suspicion.go
@@ -68,11 +68,11 @@
 // handleSuspect takes in a report against the present incarnation of a live member.
 // One against this daemon itself is ignored: it refutes its death if it comes to that.
 func (l *List) handleSuspect(now ids.Time, report Suspect) {
-	m, ok := l.members[report.ID]
-	if !ok || m.Gone || m.Incarnation != report.Incarnation || report.ID == l.Self.ID {
+	m, ok := l.members[report.Member]
+	if !ok || m.Dead || m.Incarnation != report.Incarnation || report.Member == l.Self.ID {
 		return
 	}
-	l.suspicionOf(report.ID).reports[report.Watcher] = suspectReport{
+	l.suspicionOf(report.Member).reports[report.Watcher] = suspectReport{
 		incarnation: report.Incarnation,
 		receivedAt:  now,
 		silence:     time.Duration(report.SilenceMillis) * time.Millisecond,
@@ -82,7 +82,7 @@
 // handleWithdraw drops all reports against a member that one of its watchers has heard
 // again: the others' reports are older than that.
 func (l *List) handleWithdraw(w Withdraw) {
-	if s := l.suspicions[w.ID]; s != nil {
+	if s := l.suspicions[w.Member]; s != nil {
 		s.reset()
 	}
 }
--- a/internal/controlplane/membership/tick.go
+++ b/internal/controlplane/membership/tick.go
@@ -55,7 +55,7 @@
 	}
 	var dead []Member
 	for _, m := range l.All() {
-		if m.Gone && !live[m.Address] {
+		if m.Dead && !live[m.Address] {
 			dead = append(dead, m)
 		}
 	}
--- a/internal/controlplane/registry/call_cases_test.go
+++ b/internal/controlplane/registry/call_cases_test.go
@@ -51,7 +51,7 @@
 	{"read", func(id uint64) event.Event { return registry.ReadConfigurationCall{ID: id} }},
 	{"local read", func(id uint64) event.Event { return registry.ReadConfigurationCall{ID: id, Local: true} }},
 	{"heartbeat", heartbeat(func(*targets.Target) {})},
-	{"draining", heartbeat(func(t *targets.Target) { t.Leaving = true })},
+	{"draining", heartbeat(func(t *targets.Target) { t.Draining = true })},
 	{"deregister", deregister(knownTarget)},
 	{"deregister unknown", deregister("unknown")},
 	{"resolve unknown route", func(id uint64) event.Event { return registry.ResolveCall{ID: id, Zone: "c", Route: "none"} }},
--- a/internal/controlplane/registry/configuration.go
+++ b/internal/controlplane/registry/configuration.go
@@ -119,10 +119,10 @@
 	}
 }
 
-// handleChosenDifference adopts a configuration that a store announces as the binary
+// handleChosenDelta adopts a configuration that a store announces as the binary
 // difference (package delta) from the value before. If it doesn't apply to the value
 // held, the register is read.
-func (r *Registry) handleChosenDifference(now ids.Time, chosen consensus.ChosenDifference) {
+func (r *Registry) handleChosenDelta(now ids.Time, chosen consensus.ChosenDelta) {
 	if chosen.Key != configuration.Key {
 		return
 	}
--- a/internal/controlplane/registry/directory.go
+++ b/internal/controlplane/registry/directory.go
@@ -17,7 +17,7 @@
 	// of every zone for each call would cost more than the answer.
 	snapshotLifetime = 50 * time.Millisecond
 	// lifetimeWithoutLease bounds how long clients may use an answer that was given
-	// without the control lease (Options.AlwaysAnswer).
+	// without the control lease (Options.AlwaysResolve).
 	lifetimeWithoutLease = 500 * time.Millisecond
 	// maxProxyLag is how long a proxy may leave pushes unacknowledged before the
 	// directory leaves it out.
@@ -51,7 +51,7 @@
 
 // handleResolve answers which proxies a new connection should go to.
 func (r *Registry) handleResolve(now ids.Time, call ResolveCall) {
-	if !r.lease.isHeld(now) && !r.options.AlwaysAnswer {
+	if !r.lease.isHeld(now) && !r.options.AlwaysResolve {
 		r.replyUnavailable(call.ID)
 		return
 	}
@@ -60,7 +60,7 @@
 		return
 	}
 	destination, found := r.directorySnapshot(now).Resolve(call.Zone, r.chooseRoute(call), r.options.Random)
-	if !found && r.options.AlwaysAnswer {
+	if !found && r.options.AlwaysResolve {
 		destination, found = r.nearestKnownProxies(call.Zone)
 	}
 	if !found {
@@ -126,15 +126,15 @@
 		if zone.Stale {
 			return 0
 		}
-		return zone.Target - zone.Used()
+		return zone.Target - zone.UsedCPU()
 	}
 	view := r.configuration.view
 	snapshot := directory.Snapshot{
-		Proxies:  r.eligibleProxies(now),
-		Drained:  map[ids.Name]bool{},
-		Distance: view.Distance,
-		Demand:   r.Reports.Demand,
-		Room:     room,
+		Proxies:      r.eligibleProxies(now),
+		Drained:      map[ids.Name]bool{},
+		Distance:     view.Distance,
+		Demand:       r.Reports.Demand,
+		CapacityLeft: room,
 	}
 	for name, zone := range view.Zones {
 		snapshot.Drained[name] = zone.Drained
@@ -172,7 +172,7 @@
 		return directory.Destination{}, false
 	}
 	slices.SortStableFunc(proxies, func(a, b membership.Member) int {
-		return cmp.Or(compareBool(a.Gone, b.Gone), r.compareDistance(zone, a.Zone, b.Zone))
+		return cmp.Or(compareBool(a.Dead, b.Dead), r.compareDistance(zone, a.Zone, b.Zone))
 	})
 	destination := directory.Destination{Zone: proxies[0].Zone}
 	for _, proxy := range proxies {
--- a/internal/controlplane/registry/helpers_test.go
+++ b/internal/controlplane/registry/helpers_test.go
@@ -47,7 +47,7 @@
 	for _, command := range r.Step(r.now, ev) {
 		switch command := command.(type) {
 		case event.Send:
-			if request, ok := command.Msg.(consensus.Request); ok && !r.partitioned {
+			if request, ok := command.Message.(consensus.Request); ok && !r.partitioned {
 				r.deliver(emptyReply(request))
 			}
 		case Response:
@@ -57,7 +57,7 @@
 }
 
 // deliver hands the registry a message from its store.
-func (r *testRegistry) deliver(msg any) { r.step(event.Received{From: storeAddress, Msg: msg}) }
+func (r *testRegistry) deliver(msg any) { r.step(event.Received{From: storeAddress, Message: msg}) }
 
 // run lets time pass. If makeTarget is set, another registry sends an update of the
 // target that it gives at every tick.
@@ -77,7 +77,7 @@
 // countDiscards hands the registry a message, and counts how often it is discarded.
 func (r *testRegistry) countDiscards(from ids.Address, msg any) int {
 	count := 0
-	for _, command := range r.Step(r.now, event.Received{From: from, Msg: msg}) {
+	for _, command := range r.Step(r.now, event.Received{From: from, Message: msg}) {
 		if _, ok := command.(event.Discarded); ok {
 			count++
 		}
@@ -137,7 +137,7 @@
 
 // deliver hands the registry a message from its store.
 func (r *incrementalRegistry) deliver(msg any) {
-	r.step(event.Received{From: storeAddress, Msg: msg})
+	r.step(event.Received{From: storeAddress, Message: msg})
 }
 
 // step hands the registry an event, answers for its store and its proxies, and counts.
@@ -147,14 +147,14 @@
 		if !ok {
 			continue
 		}
-		switch m := send.Msg.(type) {
+		switch m := send.Message.(type) {
 		case consensus.Request:
 			r.deliver(emptyReply(m))
 		case distribution.Push:
 			r.pushes++
 			r.pushedTargets += len(m.Targets)
 			ack := distribution.Ack{Proxy: ids.DaemonID(send.To), RunID: 1, Number: m.Number, Revision: m.Revision, Now: r.now}
-			r.Step(r.now, event.Received{From: send.To, Msg: ack})
+			r.Step(r.now, event.Received{From: send.To, Message: ack})
 		}
 	}
 }
--- a/internal/controlplane/registry/lease_test.go
+++ b/internal/controlplane/registry/lease_test.go
@@ -44,13 +44,13 @@
 		"malformed change": 400, "merge": 200, "read": 200, "local read": 200, "heartbeat": 200, "draining": 200, "deregister": 200,
 		"deregister unknown": 200, "resolve unknown route": 404, "resolve": 200, "status": 200,
 	}},
-	{"cut off for long", 20 * time.Second, registrytest.Silent, withoutLease},
-	{"cut off until the lease has lapsed", 1700 * time.Millisecond, registrytest.Silent, withoutLease},
-	{"receives nothing for long", 20 * time.Second, registrytest.OneWay, withoutLease},
-	{"store without majority for long", 20 * time.Second, registrytest.Rejecting, withoutLease},
-	{"cut off just now", 0, registrytest.Silent, lostJustNow},
-	{"receives nothing since just now", 0, registrytest.OneWay, lostJustNow},
-	{"store without majority since just now", 0, registrytest.Rejecting, override(withoutLease, map[string]int{
+	{"cut off for long", 20 * time.Second, registrytest.Partitioned, withoutLease},
+	{"cut off until the lease has lapsed", 1700 * time.Millisecond, registrytest.Partitioned, withoutLease},
+	{"receives nothing for long", 20 * time.Second, registrytest.RepliesLost, withoutLease},
+	{"store without majority for long", 20 * time.Second, registrytest.NoMajority, withoutLease},
+	{"cut off just now", 0, registrytest.Partitioned, lostJustNow},
+	{"receives nothing since just now", 0, registrytest.RepliesLost, lostJustNow},
+	{"store without majority since just now", 0, registrytest.NoMajority, override(withoutLease, map[string]int{
 		"local read": 200, "heartbeat": 200,
 		"deregister unknown": 200, "resolve unknown route": 404, "resolve": 200,
 	})},
@@ -85,7 +85,7 @@
 // A registry that starts on the minority side of a partition knows no store at all, or one
 // that has no majority: it has nothing to hand out, and says so as soon.
 func TestCalls_AnswerWhenStartedPartitioned(t *testing.T) {
-	links := map[string]registrytest.Link{"silent": registrytest.Silent, "one-way": registrytest.OneWay, "rejecting": registrytest.Rejecting}
+	links := map[string]registrytest.Link{"silent": registrytest.Partitioned, "one-way": registrytest.RepliesLost, "rejecting": registrytest.NoMajority}
 	for _, incremental := range []bool{false, true} {
 		for linkName, link := range links {
 			for _, call := range calls {
@@ -128,7 +128,7 @@
 		for _, call := range calls {
 			harness := registrytest.New(registry.Options{Incremental: true})
 			setUp(t, harness)
-			harness.Link = registrytest.Silent
+			harness.Link = registrytest.Partitioned
 			harness.Run(after)
 			got, took := harness.Call(100, call.newCall(100))
 			if took >= maxAnswerTime {
--- a/internal/controlplane/registry/options.go
+++ b/internal/controlplane/registry/options.go
@@ -43,13 +43,13 @@
 	// same of the membership list and has to be set with it.
 	Incremental bool
 
-	// AlwaysAnswer makes the directory name some known proxy even without the
+	// AlwaysResolve makes the directory name some known proxy even without the
 	// control lease or an eligible proxy.
-	AlwaysAnswer bool
+	AlwaysResolve bool
 
-	// DeriveLevels computes the load levels of zones that have none configured
+	// DeriveSetPoints computes the load levels of zones that have none configured
 	// from the capacity that their targets report.
-	DeriveLevels bool
+	DeriveSetPoints bool
 }
 
 func (o *Options) setDefaults() {
--- a/internal/controlplane/registry/peers.go
+++ b/internal/controlplane/registry/peers.go
@@ -174,7 +174,7 @@
 	registries := r.assignment.registries
 	isFirst := len(registries) > 0 && registries[0].ID == r.Self.ID
 	for _, member := range r.All() {
-		if member.Gone || member.ID == r.Self.ID {
+		if member.Dead || member.ID == r.Self.ID {
 			continue
 		}
 		if member.Role == membership.Registry || member.Role == membership.Store && isFirst {
--- a/internal/controlplane/registry/peers_test.go
+++ b/internal/controlplane/registry/peers_test.go
@@ -29,12 +29,12 @@
 	// compare has one registry answer the other's digest.
 	compare := func(from, to *incrementalRegistry) {
 		digest := TableDigest{Parts: to.Targets.PartDigests()}
-		for _, command := range from.Step(from.now, event.Received{From: "y", Msg: digest}) {
+		for _, command := range from.Step(from.now, event.Received{From: "y", Message: digest}) {
 			send, isSend := command.(event.Send)
 			if !isSend {
 				continue
 			}
-			if update, isUpdate := send.Msg.(targets.Update); isUpdate {
+			if update, isUpdate := send.Message.(targets.Update); isUpdate {
 				sent += len(update.Targets)
 				to.deliver(update)
 			}
@@ -56,9 +56,9 @@
 	sent := func(run ids.RunID) string {
 		heartbeat := PeerHeartbeat{ID: "g", RunID: run, TargetsDigest: r.Targets.Digest() + 1}
 		kinds := ""
-		for _, command := range r.Step(r.now, event.Received{From: "g", Msg: heartbeat}) {
+		for _, command := range r.Step(r.now, event.Received{From: "g", Message: heartbeat}) {
 			if send, ok := command.(event.Send); ok && send.To == "g" {
-				kinds += fmt.Sprintf("%T", send.Msg)
+				kinds += fmt.Sprintf("%T", send.Message)
 			}
 		}
 		return kinds
--- a/internal/controlplane/registry/pending_calls_test.go
+++ b/internal/controlplane/registry/pending_calls_test.go
@@ -14,7 +14,7 @@
 func TestChange_RejectedHasNoEffect(t *testing.T) {
 	harness := registrytest.New(registry.Options{})
 	setUp(t, harness)
-	harness.Link = registrytest.OneWay
+	harness.Link = registrytest.RepliesLost
 	lost, _ := harness.Call(3, change(fmt.Sprintf(serviceChange, "lost"))(3))
 	harness.Run(2 * time.Second)
 	before := string(harness.Value())
@@ -54,7 +54,7 @@
 		t.Fatalf("%+v after %s", got, took)
 	}
 	// A registry whose lease lapsed long ago answers at once.
-	harness.Link = registrytest.Silent
+	harness.Link = registrytest.Partitioned
 	harness.Run(5 * time.Second)
 	got, took = harness.Call(4, change(fmt.Sprintf(serviceChange, "isolated"))(4))
 	if got.Status != 503 || took > 100*time.Millisecond {
--- a/internal/controlplane/registry/planner.go
+++ b/internal/controlplane/registry/planner.go
@@ -120,7 +120,7 @@
 		delete(r.planner.forecasts, zone.Name)
 		return
 	}
-	change, used := expected.change*remaining, zone.Used()
+	change, used := expected.change*remaining, zone.UsedCPU()
 	if change > 0 {
 		input.PendingIn[zone.Name] = min(change, max(0, expected.expectedUsage-used))
 	} else {
@@ -141,7 +141,7 @@
 	}
 	for name, change := range changes {
 		if change > minForecastChange || change < -minForecastChange {
-			p.forecasts[name] = forecast{change: change, expectedUsage: zones[name].Used() + change, plannedAt: now}
+			p.forecasts[name] = forecast{change: change, expectedUsage: zones[name].UsedCPU() + change, plannedAt: now}
 		}
 	}
 }
--- a/internal/controlplane/registry/planner_election_test.go
+++ b/internal/controlplane/registry/planner_election_test.go
@@ -36,7 +36,7 @@
 // declarePeerDead has another daemon say that the preceding peer is dead.
 func declarePeerDead(harness *registrytest.Harness) {
 	peer := newPeer(harness)
-	peer.Gone = true
+	peer.Dead = true
 	harness.Deliver(membership.Snapshot{Members: []membership.Member{peer}})
 	harness.Run(100 * time.Millisecond)
 }
@@ -58,7 +58,7 @@
 	if plannerEpoch(harness) != 1 {
 		t.Fatalf("the only registry plans under %d", plannerEpoch(harness))
 	}
-	harness.Link = registrytest.OneWay
+	harness.Link = registrytest.RepliesLost
 	harness.Run(1700 * time.Millisecond)
 	if plannerEpoch(harness) != 0 {
 		t.Fatal("it plans without the lease")
--- a/internal/controlplane/registry/registrar_test.go
+++ b/internal/controlplane/registry/registrar_test.go
@@ -48,7 +48,7 @@
 	is.True(r.pushes <= 4*assigned) // one refresh a second
 	// A departure is pushed, whoever the registrar is.
 	leaving := targetWithRegistrar(7, 80, "h")
-	leaving.Leaving = true
+	leaving.Draining = true
 	r.deliver(targets.Update{Targets: []targets.Target{leaving}})
 	r.tickWithPeers(100 * time.Millisecond)
 	r.tickWithPeers(100 * time.Millisecond)
--- a/internal/controlplane/registry/registry.go
+++ b/internal/controlplane/registry/registry.go
@@ -81,7 +81,7 @@
 	r.Client = consensus.NewClient(options.Self.RunID, &r.Outbox)
 	r.Client.StoreOrder = r.storeOrder
 	r.Distributor = r.newDistributor()
-	if options.DeriveLevels {
+	if options.DeriveSetPoints {
 		// Proxies report once in a plan interval.
 		r.Reports.AveragingWindow = 2*options.PlanEvery + reportOverlap
 	}
@@ -93,7 +93,7 @@
 	switch e := ev.(type) {
 	case event.Received:
 		r.RecordContact(now, e.From)
-		r.receive(now, e.From, e.Msg)
+		r.receive(now, e.From, e.Message)
 	case event.Tick:
 		r.tick(now)
 	default:
@@ -143,8 +143,8 @@
 		r.handleStoreResponse(now, from, m)
 	case consensus.Chosen:
 		r.handleChosen(now, m)
-	case consensus.ChosenDifference:
-		r.handleChosenDifference(now, m)
+	case consensus.ChosenDelta:
+		r.handleChosenDelta(now, m)
 	case distribution.Ack:
 		r.handleProxyAck(now, m)
 	case targets.Update:
--- a/internal/controlplane/registry/registrytest/harness.go
+++ b/internal/controlplane/registry/registrytest/harness.go
@@ -22,12 +22,12 @@
 const (
 	// Connected lets everything through; the majority answers at once.
 	Connected Link = iota
-	// Silent lets nothing through, in either direction.
-	Silent
-	// OneWay lets requests through, which are carried out, but no reply.
-	OneWay
-	// Rejecting has a store answer that it reaches no majority.
-	Rejecting
+	// Partitioned lets nothing through, in either direction.
+	Partitioned
+	// RepliesLost lets requests through, which are carried out, but no reply.
+	RepliesLost
+	// NoMajority has a store answer that it reaches no majority.
+	NoMajority
 )
 
 // Addresses of the registry, of the store that stands for the majority, and of
@@ -116,7 +116,7 @@
 	if h.OnSend != nil {
 		h.OnSend(s)
 	}
-	switch msg := s.Msg.(type) {
+	switch msg := s.Message.(type) {
 	case consensus.Request:
 		h.serve(msg)
 	case distribution.Push:
@@ -134,9 +134,9 @@
 // serve carries a request out as a majority of stores would.
 func (h *Harness) serve(request consensus.Request) {
 	switch h.Link {
-	case Silent:
+	case Partitioned:
 		return
-	case Rejecting:
+	case NoMajority:
 		h.Deliver(consensus.Response{ID: request.ID, Attempt: request.Attempt, Outcome: consensus.Rejected})
 		return
 	}
@@ -160,7 +160,7 @@
 
 // DeliverFrom hands the registry a message from an address.
 func (h *Harness) DeliverFrom(from ids.Address, msg any) {
-	h.Step(event.Received{From: from, Msg: msg})
+	h.Step(event.Received{From: from, Message: msg})
 }
 
 // Run lets time pass.
@@ -172,7 +172,7 @@
 
 func (h *Harness) tick() {
 	h.Now = h.Now.Add(tickInterval)
-	if h.Link == Connected || h.Link == Rejecting {
+	if h.Link == Connected || h.Link == NoMajority {
 		h.sendHeartbeat(membership.Member{ID: "store", Role: membership.Store, Address: Store})
 	}
 	if h.Link == Connected {
--- a/internal/controlplane/registry/sender_check.go
+++ b/internal/controlplane/registry/sender_check.go
@@ -19,7 +19,7 @@
 func (r *Registry) discardReason(from ids.Address, msg any) event.Reason {
 	known := true
 	switch m := msg.(type) {
-	case consensus.Chosen, consensus.ChosenDifference:
+	case consensus.Chosen, consensus.ChosenDelta:
 		known = r.isAddressOf(from, membership.Store)
 	case spill.Table, election.Term:
 		known = r.isAddressOf(from, membership.Registry)
--- a/internal/controlplane/registry/sender_check_test.go
+++ b/internal/controlplane/registry/sender_check_test.go
@@ -35,7 +35,7 @@
 		{ID: "g", Role: membership.Registry, Address: peerAddress, RunID: 1},
 		{ID: "s", Role: membership.Store, Address: storeAddress, RunID: 1, Ready: true},
 	} {
-		r.Step(r.now, event.Received{From: member.Address, Msg: membership.Heartbeat{Self: member}})
+		r.Step(r.now, event.Received{From: member.Address, Message: membership.Heartbeat{Self: member}})
 	}
 	r.Step(r.now, event.Tick{})
 	return r
@@ -76,7 +76,7 @@
 func TestDepartureAck_IgnoresEarlierIncarnation(t *testing.T) {
 	is := is.New(t)
 	r := newRegistryWithPeers()
-	leaving := targets.Target{Instance: "i", Incarnation: 2, Sequence: 1, Leaving: true}
+	leaving := targets.Target{Instance: "i", Incarnation: 2, Sequence: 1, Draining: true}
 	r.departures.waiting = []departure{{callID: 1, target: leaving, deadline: r.now.Add(time.Hour), awaitedPeers: map[ids.DaemonID]bool{"g": true}}}
 	r.countDiscards(peerAddress, DepartureAck{ID: "g", Instance: "i", Incarnation: 1, Sequence: 9})
 	is.True(r.departures.waiting[0].awaitedPeers["g"])
@@ -89,7 +89,7 @@
 	is := is.New(t)
 	r := newRegistryWithPeers()
 	sent := r.awaitStoreRequest()
-	request := sent.Msg.(consensus.Request)
+	request := sent.Message.(consensus.Request)
 	response := emptyReply(request)
 	otherAttempt, earlierCall := response, response
 	otherAttempt.Attempt++
@@ -107,7 +107,7 @@
 	for {
 		for _, command := range r.Step(r.now, event.Tick{}) {
 			if send, ok := command.(event.Send); ok {
-				if _, ok := send.Msg.(consensus.Request); ok {
+				if _, ok := send.Message.(consensus.Request); ok {
 					return send
 				}
 			}
@@ -120,20 +120,20 @@
 // takes orders.
 func FuzzMessages(f *testing.F) {
 	for _, msg := range []any{
-		consensus.ChosenDifference{Key: configuration.Key},
+		consensus.ChosenDelta{Key: configuration.Key},
 		consensus.Chosen{Key: configuration.Key, Value: []byte(`{"revision":9}`)},
 		consensus.Response{ID: 1 << 24, Outcome: consensus.Succeeded},
 		distribution.Ack{Proxy: "p", RunID: 1, Number: 3},
 		targets.Update{Targets: []targets.Target{{Instance: "i", Service: "s", Address: "10.0.0.9:80", Zone: "c", Incarnation: 1, Sequence: 1, Warmth: 1}}},
 		PeerHeartbeat{ID: "g", RunID: 1},
-		DepartureNotice{Asker: unknownAddress, Target: targets.Target{Instance: "i", Gone: true}},
+		DepartureNotice{Asker: unknownAddress, Target: targets.Target{Instance: "i", Dead: true}},
 		DepartureAck{ID: "g", Instance: "i"},
 		spill.Report{Proxy: "p", RunID: 1, Zone: "c", Number: 1, IntervalMillis: 2000, Usage: []spill.ServiceUsage{{}}},
 		spill.Table{Epoch: 2},
 		election.Term{Epoch: 2},
 		membership.Heartbeat{Self: membership.Member{ID: "x", Role: membership.Proxy, Address: unknownAddress}},
-		membership.Suspect{Watcher: "x", ID: "p"},
-		membership.Snapshot{Members: []membership.Member{{ID: "f", Gone: true}}},
+		membership.Suspect{Watcher: "x", Member: "p"},
+		membership.Snapshot{Members: []membership.Member{{ID: "f", Dead: true}}},
 		membership.Delta{Parts: []uint16{70}},
 		membership.Digest{Parts: make([]uint64, 64)},
 	} {
@@ -151,7 +151,7 @@
 		for _, incremental := range []bool{false, true} {
 			r := newRegistryWithPeers()
 			r.options.Incremental = incremental
-			r.Step(r.now, event.Received{From: unknownAddress, Msg: msg})
+			r.Step(r.now, event.Received{From: unknownAddress, Message: msg})
 			for range 8 {
 				r.now = r.now.Add(300 * time.Millisecond)
 				r.Step(r.now, event.Tick{})
--- a/internal/controlplane/registry/spill_table_test.go
+++ b/internal/controlplane/registry/spill_table_test.go
@@ -26,7 +26,7 @@
 	// The sender is told the current epoch, which it may not have heard of.
 	var sentEpoch ids.Epoch
 	harness.OnSend = func(s event.Send) {
-		if term, ok := s.Msg.(election.Term); ok && s.To == peerAddress {
+		if term, ok := s.Message.(election.Term); ok && s.To == peerAddress {
 			sentEpoch = term.Epoch
 		}
 	}
--- a/internal/controlplane/registry/status.go
+++ b/internal/controlplane/registry/status.go
@@ -172,7 +172,7 @@
 			Revision: member.Revision,
 			RunID:    strconv.FormatUint(uint64(member.RunID), 16),
 		}
-		if member.Role == membership.Proxy && !member.Gone {
+		if member.Role == membership.Proxy && !member.Dead {
 			status.Revision = r.Distributor.AcknowledgedRevision(member)
 		}
 		statuses = append(statuses, status)
@@ -182,7 +182,7 @@
 
 func daemonState(member membership.Member) string {
 	switch {
-	case member.Gone:
+	case member.Dead:
 		return daemonGone
 	case !member.Ready:
 		return daemonNotReady
@@ -206,7 +206,7 @@
 		zone := zones[name]
 		statuses = append(statuses, ZoneStatus{
 			Name:       name,
-			Used:       zone.Used(),
+			Used:       zone.UsedCPU(),
 			Target:     zone.Target,
 			Acceptable: zone.Acceptable,
 			Maximum:    zone.Maximum,
@@ -227,11 +227,11 @@
 		return zoneNoProxies
 	case zone.Stale:
 		return zoneStale
-	case zone.Used() > zone.Maximum:
+	case zone.UsedCPU() > zone.Maximum:
 		return zoneOverMaximum
-	case zone.Used() > zone.Target:
+	case zone.UsedCPU() > zone.Target:
 		return zoneOverTarget
-	case zone.Used() < zone.Acceptable:
+	case zone.UsedCPU() < zone.Acceptable:
 		return zoneBelowAcceptable
 	}
 	return zoneWithinAcceptable
--- a/internal/controlplane/registry/stopping_test.go
+++ b/internal/controlplane/registry/stopping_test.go
@@ -24,7 +24,7 @@
 	harness.Run(time.Second)
 	ready := true
 	harness.OnSend = func(s event.Send) {
-		if heartbeat, ok := s.Msg.(membership.Heartbeat); ok {
+		if heartbeat, ok := s.Message.(membership.Heartbeat); ok {
 			ready = heartbeat.Self.Ready
 		}
 	}
--- a/internal/controlplane/registry/target_heartbeat.go
+++ b/internal/controlplane/registry/target_heartbeat.go
@@ -64,9 +64,9 @@
 		r.reply(call.ID, http.StatusOK, map[string]any{bodyKnown: false})
 		return
 	}
-	if !target.Gone {
+	if !target.Dead {
 		target.Sequence = r.Targets.LatestSequence(call.Instance) + 1
-		target.Gone, target.Leaving = true, true
+		target.Dead, target.Draining = true, true
 	}
 	r.handleHeartbeat(now, HeartbeatCall{ID: call.ID, Target: target})
 }
@@ -79,7 +79,7 @@
 	urgent := !r.options.Incremental
 	for _, target := range changed {
 		if !target.Usable() {
-			r.Log(event.LevelInfo, logTargetWithdrawn, "target", string(target.Instance), "address", string(target.Address), "gone", formatBool(target.Gone))
+			r.Log(event.LevelInfo, logTargetWithdrawn, "target", string(target.Instance), "address", string(target.Address), "gone", formatBool(target.Dead))
 		}
 		urgent = urgent || !target.Usable() || target.SlowStartMillis > 0
 	}
--- a/internal/controlplane/registry/target_heartbeat_test.go
+++ b/internal/controlplane/registry/target_heartbeat_test.go
@@ -31,15 +31,15 @@
 			r.run(10*time.Second, nil)
 			target, known := r.Targets.Get(r.now, "i")
 			is.True(known)
-			is.True(!target.Gone)
+			is.True(!target.Dead)
 			// Once it reaches the majority again, time-outs start anew, and then count.
 			r.partitioned = false
 			r.run(2500*time.Millisecond, nil)
 			target, _ = r.Targets.Get(r.now, "i")
-			is.True(!target.Gone)
+			is.True(!target.Dead)
 			r.run(2*time.Second, nil)
 			target, _ = r.Targets.Get(r.now, "i")
-			is.True(target.Gone)
+			is.True(target.Dead)
 		})
 	}
 }
@@ -60,12 +60,12 @@
 	// A departure is merged all the same, for the proxies here. It isn't confirmed: the
 	// target has to tell another registry.
 	leaving := targetWithSequence(3)
-	leaving.Leaving = true
+	leaving.Draining = true
 	r.step(HeartbeatCall{ID: 3, Target: leaving})
 	r.run(time.Second, nil)
 	is.Equal(r.statuses[3], 503)
 	target, known := r.Targets.Get(r.now, "i")
-	is.True(known && target.Leaving)
+	is.True(known && target.Draining)
 	r.partitioned = false
 	r.run(2*time.Second, nil)
 	r.step(HeartbeatCall{ID: 4, Target: targetWithSequence(4)})
--- a/internal/controlplane/registry/target_sync.go
+++ b/internal/controlplane/registry/target_sync.go
@@ -41,11 +41,11 @@
 	}
 	receivedAsGone := map[ids.InstanceID]bool{}
 	for _, target := range received {
-		receivedAsGone[target.Instance] = target.Gone
+		receivedAsGone[target.Instance] = target.Dead
 	}
 	var corrections []targets.Target
 	for _, target := range changed {
-		if !target.Gone && receivedAsGone[target.Instance] {
+		if !target.Dead && receivedAsGone[target.Instance] {
 			corrections = append(corrections, target)
 		}
 	}
--- a/internal/controlplane/registry/zone_levels.go
+++ b/internal/controlplane/registry/zone_levels.go
@@ -46,7 +46,7 @@
 
 // hasDerivedLevels tells whether a zone's levels follow from the capacity of its targets.
 func (r *Registry) hasDerivedLevels(zone configuration.Zone) bool {
-	return zone.LoadDefaulted && r.options.DeriveLevels
+	return zone.LoadDefaulted && r.options.DeriveSetPoints
 }
 
 // setConfiguredLevels sets the configured levels, and the maximum to the learned one if
@@ -66,10 +66,10 @@
 }
 
 // zoneCapacities sums the capacities that targets report, by zone, in milliseconds of work
-// per second; nil without Options.DeriveLevels. Targets in slow start, and those of
+// per second; nil without Options.DeriveSetPoints. Targets in slow start, and those of
 // drained or evacuated zones, don't count.
 func (r *Registry) zoneCapacities(now ids.Time) map[ids.Name]float64 {
-	if !r.options.DeriveLevels {
+	if !r.options.DeriveSetPoints {
 		return nil
 	}
 	capacities := map[ids.Name]float64{}
--- a/internal/controlplane/spill/planner.go
+++ b/internal/controlplane/spill/planner.go
@@ -83,7 +83,7 @@
 
 // expectedUse returns the CPU time that a zone will use once earlier plans show.
 func (p *planner) expectedUse(zone *Zone) float64 {
-	sum := zone.Used() + p.PendingIn[zone.Name] - p.PendingOut[zone.Name]
+	sum := zone.UsedCPU() + p.PendingIn[zone.Name] - p.PendingOut[zone.Name]
 	for _, route := range slices.Sorted(maps.Keys(p.Ranks)) {
 		sum += p.returning[zoneRoute{zone.Name, route}]
 	}
--- a/internal/controlplane/spill/zone.go
+++ b/internal/controlplane/spill/zone.go
@@ -55,8 +55,8 @@
 // isPlannable tells whether a zone's usage is known and may be planned for.
 func (z Zone) isPlannable() bool { return !z.Stale && !z.Drained && !z.NoProxies }
 
-// Used returns the CPU time of all routes.
-func (z Zone) Used() float64 {
+// UsedCPU returns the CPU time of all routes.
+func (z Zone) UsedCPU() float64 {
 	sum := 0.0
 	for _, usage := range z.Usage {
 		sum += usage.CPU
--- a/internal/controlplane/store/bootstrap_promise.go
+++ b/internal/controlplane/store/bootstrap_promise.go
@@ -44,7 +44,7 @@
 		s.bootstrap.record, s.bootstrap.recorded = record, true
 		s.Persist(bootstrapRecordKey, record)
 	}
-	s.AfterSync(event.Send{To: from, Msg: response})
+	s.AfterSync(event.Send{To: from, Message: response})
 }
 
 // bootstrapRejection returns why this store takes no part in a proposal at all; empty
--- a/internal/controlplane/store/bootstrap_test.go
+++ b/internal/controlplane/store/bootstrap_test.go
@@ -82,7 +82,7 @@
 	c := newCluster()
 	c.startSeeds(true)
 	proxy := membership.Member{ID: "proxy-7", Role: membership.Proxy, Address: "10.0.0.77:1", RunID: 1, Incarnation: 1, Revision: 12}
-	c.step(seedAddresses[2], event.Received{From: proxy.Address, Msg: membership.Heartbeat{Self: proxy}})
+	c.step(seedAddresses[2], event.Received{From: proxy.Address, Message: membership.Heartbeat{Self: proxy}})
 	c.run(time.Minute)
 	is.Equal(c.bootstrapCount(), 0)
 	is.True(slices.ContainsFunc(c.logged, func(entry event.LogEntry) bool {
--- a/internal/controlplane/store/cluster_requests_test.go
+++ b/internal/controlplane/store/cluster_requests_test.go
@@ -20,8 +20,8 @@
 	c.run(5 * time.Second)
 	for i := range 300 {
 		c.step(seedAddresses[0], event.Received{
-			From: clientAddress,
-			Msg:  consensus.Request{ID: uint64(i + 1), Key: ids.RegisterKey(fmt.Sprint("k", i)), Op: opPut, Arg: []byte("v"), TimeoutMillis: 3000},
+			From:    clientAddress,
+			Message: consensus.Request{ID: uint64(i + 1), Key: ids.RegisterKey(fmt.Sprint("k", i)), Op: opPut, Arg: []byte("v"), TimeoutMillis: 3000},
 		})
 	}
 	c.run(time.Second)
@@ -36,7 +36,7 @@
 func (c *cluster) request(at ids.Address, key ids.RegisterKey, op consensus.Op, argument []byte) consensus.Response {
 	c.nextID++
 	request := consensus.Request{ID: 1<<40 + c.nextID, Key: key, Op: op, Arg: argument, TimeoutMillis: 3000}
-	c.step(at, event.Received{From: clientAddress, Msg: request})
+	c.step(at, event.Received{From: clientAddress, Message: request})
 	for range 200 {
 		c.run(tickInterval)
 		for _, response := range c.responses {
@@ -65,7 +65,7 @@
 }
 
 // leave tells a store to end within 5 s.
-func (c *cluster) leave(at ids.Address) { c.step(at, Leave{Within: 5 * time.Second}) }
+func (c *cluster) leave(at ids.Address) { c.step(at, Leave{GracePeriod: 5 * time.Second}) }
 
 // runUntilMayStop runs the cluster until a store may stop, and returns how long it
 // took since a time. It fails the test if that takes 6 s or more.
@@ -86,8 +86,8 @@
 	for to, s := range c.stores {
 		for _, m := range s.All() {
 			if m.Address == at && to != at {
-				m.Gone = true
-				c.step(to, event.Received{From: to, Msg: membership.Snapshot{Members: []membership.Member{m}, Final: true}})
+				m.Dead = true
+				c.step(to, event.Received{From: to, Message: membership.Snapshot{Members: []membership.Member{m}, Final: true}})
 			}
 		}
 	}
--- a/internal/controlplane/store/cluster_test.go
+++ b/internal/controlplane/store/cluster_test.go
@@ -112,7 +112,7 @@
 	for _, command := range commands {
 		switch x := command.(type) {
 		case event.Send:
-			c.queue = append(c.queue, message{at, x.To, x.Msg})
+			c.queue = append(c.queue, message{at, x.To, x.Message})
 		case event.Sync:
 			c.disks[at].write(x.Records)
 			c.perform(at, x.After)
@@ -157,7 +157,7 @@
 			c.fault()
 		}
 		if c.stores[m.to] != nil && (c.isCut == nil || !c.isCut(m.from, m.to)) {
-			c.step(m.to, event.Received{From: m.from, Msg: m.msg})
+			c.step(m.to, event.Received{From: m.from, Message: m.msg})
 		}
 	}
 }
--- a/internal/controlplane/store/departure.go
+++ b/internal/controlplane/store/departure.go
@@ -11,7 +11,7 @@
 
 // Leave is the event that this store's process is to end. The store hands its vote
 // over or waits for others, and emits MayStop after Within at the latest.
-type Leave struct{ Within time.Duration }
+type Leave struct{ GracePeriod time.Duration }
 
 // MayStop is the command to end the process: this store isn't needed any more, or
 // its time is up.
@@ -37,7 +37,7 @@
 // handleLeave begins the departure. A repetition changes nothing.
 func (s *Store) handleLeave(now ids.Time, request Leave) {
 	if s.departure.deadline == 0 {
-		s.departure.deadline = now.Add(request.Within)
+		s.departure.deadline = now.Add(request.GracePeriod)
 	}
 	s.tickDeparture(now)
 }
--- a/internal/controlplane/store/disk_monitor_test.go
+++ b/internal/controlplane/store/disk_monitor_test.go
@@ -41,7 +41,7 @@
 	s, _ := newVoter()
 	prepare := consensus.Prepare{Key: "policy", Ballot: ids.Ballot{Counter: 1 << 41, Proposer: 2 << 24}, VoterSetNumber: 4, Round: 7}
 	batch := uint64(0)
-	for _, c := range s.Step(testTime, event.Received{From: "10.0.0.2:1", Msg: prepare}) {
+	for _, c := range s.Step(testTime, event.Received{From: "10.0.0.2:1", Message: prepare}) {
 		if sync, ok := c.(event.Sync); ok {
 			batch = sync.Batch
 		}
@@ -52,10 +52,10 @@
 	is.Equal(loggedEvents(s.Step(later, event.Tick{})), []event.LogEvent{logDiskStalled})
 	is.Equal(len(loggedEvents(s.Step(later, event.Tick{}))), 0)
 	prepare.Round++
-	is.Equal(len(s.Step(later, event.Received{From: "10.0.0.2:1", Msg: prepare})), 0)
+	is.Equal(len(s.Step(later, event.Received{From: "10.0.0.2:1", Message: prepare})), 0)
 	request := consensus.Request{ID: 9, Key: "policy", TimeoutMillis: 1000}
-	is.Equal(s.Step(later, event.Received{From: clientAddress, Msg: request}), []event.Command{
-		event.Send{To: clientAddress, Msg: consensus.Response{ID: 9, Outcome: consensus.Rejected}},
+	is.Equal(s.Step(later, event.Received{From: clientAddress, Message: request}), []event.Command{
+		event.Send{To: clientAddress, Message: consensus.Response{ID: 9, Outcome: consensus.Rejected}},
 	})
 
 	s.Step(later, event.Synced{Batch: batch + 1000})
--- a/internal/controlplane/store/fuzz_test.go
+++ b/internal/controlplane/store/fuzz_test.go
@@ -32,7 +32,7 @@
 		membership.Snapshot{Members: []membership.Member{{ID: "y"}}},
 		membership.Digest{Parts: make([]uint64, 64)},
 		membership.Delta{Parts: []uint16{1}},
-		membership.Suspect{Watcher: "x", ID: "store-1"},
+		membership.Suspect{Watcher: "x", Member: "store-1"},
 	} {
 		raw, err := wire.Encode(msg)
 		if err != nil {
--- a/internal/controlplane/store/message_check.go
+++ b/internal/controlplane/store/message_check.go
@@ -22,7 +22,7 @@
 		return s.validateProposal(from, m.Ballot)
 	case consensus.Accept:
 		return s.validateProposal(from, m.Ballot.Max(m.NextBallot))
-	case consensus.AcceptDifference:
+	case consensus.AcceptDelta:
 		return s.validateProposal(from, m.Ballot.Max(m.NextBallot))
 	case consensus.Promise:
 		return s.validateVote(from, m.Store, m.VoterSetNumber, m.Round)
--- a/internal/controlplane/store/message_check_test.go
+++ b/internal/controlplane/store/message_check_test.go
@@ -31,7 +31,7 @@
 		"a response to its own request from another": {"10.0.0.2:1", consensus.Response{Outcome: consensus.Succeeded, Result: raw}},
 		"a prepare by a stranger":                    {unknownAddress, prepare},
 		"an accept by a stranger":                    {unknownAddress, consensus.Accept{Key: "policy", Ballot: prepare.Ballot, VoterSetNumber: 4, Value: []byte("x")}},
-		"a delta by a stranger":                      {unknownAddress, consensus.AcceptDifference{Key: "policy", Ballot: prepare.Ballot, VoterSetNumber: 4}},
+		"a delta by a stranger":                      {unknownAddress, consensus.AcceptDelta{Key: "policy", Ballot: prepare.Ballot, VoterSetNumber: 4}},
 		"a ballot that none can exceed":              {"10.0.0.2:1", maximalBallot},
 		"a promise in another's name":                {"10.0.0.3:1", consensus.Promise{Key: consensus.VoterSetKey, Store: 2, VoterSetNumber: 4}},
 		"a promise of one who isn't a voter":         {unknownAddress, consensus.Promise{Key: consensus.VoterSetKey, Store: 99, VoterSetNumber: 4}},
--- a/internal/controlplane/store/receive.go
+++ b/internal/controlplane/store/receive.go
@@ -21,8 +21,8 @@
 		s.HandlePrepare(from, m)
 	case consensus.Accept:
 		s.HandleAccept(from, m)
-	case consensus.AcceptDifference:
-		s.HandleAcceptDifference(from, m)
+	case consensus.AcceptDelta:
+		s.HandleAcceptDelta(from, m)
 	case consensus.Promise:
 		s.HandlePromise(now, m)
 	case consensus.Accepted:
@@ -57,7 +57,7 @@
 // late: the proposer tells by its round whether it still counts.
 func needsDisk(msg any) bool {
 	switch msg.(type) {
-	case consensus.Prepare, consensus.Accept, consensus.AcceptDifference, consensus.PageRequest:
+	case consensus.Prepare, consensus.Accept, consensus.AcceptDelta, consensus.PageRequest:
 		return true
 	}
 	return false
--- a/internal/controlplane/store/store.go
+++ b/internal/controlplane/store/store.go
@@ -102,7 +102,7 @@
 	switch e := ev.(type) {
 	case event.Received:
 		s.RecordContact(now, e.From)
-		s.receive(now, e.From, e.Msg)
+		s.receive(now, e.From, e.Message)
 	case event.Synced:
 		s.Acceptor.Synced(e.Batch)
 		s.disk.synced(e.Batch)
--- a/internal/controlplane/store/voter_test.go
+++ b/internal/controlplane/store/voter_test.go
@@ -56,7 +56,7 @@
 
 // deliver gives a store a message, and performs what follows.
 func deliver(s *Store, disk memoryStorage, from ids.Address, msg any) ([]event.Send, []event.Discarded) {
-	return performCommands(s, disk, s.Step(testTime, event.Received{From: from, Msg: msg}))
+	return performCommands(s, disk, s.Step(testTime, event.Received{From: from, Message: msg}))
 }
 
 // persistedRecords copies what is on a disk, but for the saved membership list.
--- a/internal/controlplane/targets/digest.go
+++ b/internal/controlplane/targets/digest.go
@@ -27,7 +27,7 @@
 func (t *Table) PartDigests() []uint64 {
 	digests := make([]uint64, digestParts)
 	for id, e := range t.entries {
-		if !e.Gone {
+		if !e.Dead {
 			digests[digestPart(id)] ^= e.digest(id)
 		}
 	}
@@ -58,7 +58,7 @@
 func (t *Table) ProxyDigest() uint64 {
 	digest := uint64(0)
 	for id, e := range t.entries {
-		if !e.Gone {
+		if !e.Dead {
 			digest ^= e.proxyDigest(id)
 		}
 	}
@@ -94,7 +94,7 @@
 	h := fnv.New64a()
 	h.Write([]byte(id))
 	h.Write([]byte{0, byte(e.Incarnation)})
-	if e.Leaving {
+	if e.Draining {
 		h.Write([]byte{1})
 	}
 	return h
--- a/internal/controlplane/targets/expiry.go
+++ b/internal/controlplane/targets/expiry.go
@@ -45,7 +45,7 @@
 	var expired []Target
 	for _, id := range t.sortedIDs() {
 		e := t.entries[id]
-		if e.Gone || now.Sub(e.lastHeard) <= e.maxSilence() {
+		if e.Dead || now.Sub(e.lastHeard) <= e.maxSilence() {
 			continue
 		}
 		t.markGone(e)
@@ -69,7 +69,7 @@
 // another heartbeat. Targets registered with this registry itself are left alone.
 func (t *Table) ConfirmRegistrars(now ids.Time, isRunning func(ids.DaemonID, ids.RunID) bool) {
 	for _, e := range t.entries {
-		if e.Gone || e.Registrar == "" || e.Registrar == t.Self {
+		if e.Dead || e.Registrar == "" || e.Registrar == t.Self {
 			e.registrarLost = false
 			continue
 		}
@@ -84,7 +84,7 @@
 // so that the table doesn't grow for ever.
 func (t *Table) Forget(now ids.Time, retention time.Duration) {
 	for id, e := range t.entries {
-		if e.Gone && now.Sub(e.lastHeard) > retention {
+		if e.Dead && now.Sub(e.lastHeard) > retention {
 			delete(t.entries, id)
 			t.version++
 			t.proxyVersion++
--- a/internal/controlplane/targets/incremental_test.go
+++ b/internal/controlplane/targets/incremental_test.go
@@ -32,7 +32,7 @@
 	// An update that is older than the latest heartbeat changes nothing, though it is
 	// newer than what was passed on.
 	late := newTarget("a", 1, 3)
-	late.Leaving = true
+	late.Draining = true
 	is.Equal(len(table.Merge(at(20*time.Second), late)), 0)
 	// Its expiry is passed on, and so is the first heartbeat after it.
 	is.Equal(len(table.Tick(at(20900*time.Millisecond))), 0)
@@ -59,14 +59,14 @@
 		return len(table.Merge(at(0), update))
 	}
 	is.Equal(mergeNext(func(*Target) {}), 0)
-	is.Equal(mergeNext(func(update *Target) { update.Leaving = true }), 1)
-	is.Equal(mergeNext(func(update *Target) { update.Leaving = true }), 0)
+	is.Equal(mergeNext(func(update *Target) { update.Draining = true }), 1)
+	is.Equal(mergeNext(func(update *Target) { update.Draining = true }), 0)
 	is.Equal(mergeNext(func(*Target) {}), 1) // no longer draining
 	is.Equal(mergeNext(func(update *Target) { update.Capacity = 4 }), 1)
 	is.Equal(mergeNext(func(update *Target) { update.Zone = "c" }), 1)
 	is.Equal(mergeNext(func(update *Target) { update.Address = "10.0.0.9:1" }), 1)
-	is.Equal(mergeNext(func(update *Target) { update.Gone = true }), 1)
-	is.Equal(mergeNext(func(update *Target) { update.Gone = true }), 0)
+	is.Equal(mergeNext(func(update *Target) { update.Dead = true }), 1)
+	is.Equal(mergeNext(func(update *Target) { update.Dead = true }), 0)
 	is.Equal(mergeNext(func(*Target) {}), 1)
 }
 
--- a/internal/controlplane/targets/merge.go
+++ b/internal/controlplane/targets/merge.go
@@ -46,7 +46,7 @@
 	}
 	// Another copy may have known the target for longer.
 	e.firstSeen = min(e.firstSeen, firstSeen)
-	if !update.Gone {
+	if !update.Dead {
 		e.lastHeard = asOf
 	}
 	update = t.withProxySequence(now, e, update)
@@ -54,7 +54,7 @@
 	e.slowStartUntil = now.Add(millis(update.SlowStartMillis))
 	t.version++
 	changed := []Target{update}
-	if isNew && !update.Gone {
+	if isNew && !update.Dead {
 		changed = append(changed, t.displaceAddress(update)...)
 	}
 	return changed
@@ -80,7 +80,7 @@
 	var displaced []Target
 	for _, id := range t.sortedIDs() {
 		e := t.entries[id]
-		if e.Address == owner.Address && id != owner.Instance && !e.Gone {
+		if e.Address == owner.Address && id != owner.Instance && !e.Dead {
 			t.markGone(e)
 			displaced = append(displaced, e.Target)
 		}
@@ -123,6 +123,6 @@
 // refutes reports whether an update declares gone a target that has sent this copy a
 // heartbeat after the one by which the other copy judged.
 func (e *entry) refutes(update Target) bool {
-	return update.Gone && !e.Gone && update.Incarnation == e.Incarnation &&
+	return update.Dead && !e.Dead && update.Incarnation == e.Incarnation &&
 		update.Sequence >= e.Target.Sequence && update.Sequence < e.latestSequence
 }
--- a/internal/controlplane/targets/merge_test.go
+++ b/internal/controlplane/targets/merge_test.go
@@ -15,7 +15,7 @@
 	is.Equal(len(table.Merge(at(0), newTarget("a", 1, 4))), 0) // out of order
 	is.Equal(len(table.Merge(at(0), newTarget("a", 1, 5))), 0) // repeated
 	gone := newTarget("a", 1, 5)
-	gone.Gone = true
+	gone.Dead = true
 	is.Equal(len(table.Merge(at(0), gone)), 1)
 	is.Equal(len(table.Merge(at(0), newTarget("a", 1, 5))), 0) // death holds
 	is.Equal(len(table.Merge(at(0), newTarget("a", 1, 6))), 1) // until the next heartbeat
@@ -34,5 +34,5 @@
 	other.Address = "10.0.0.1:a"
 	changed := table.Merge(at(1), other)
 	is.Equal(len(changed), 2)
-	is.True(changed[1].Instance == "a" && changed[1].Gone)
+	is.True(changed[1].Instance == "a" && changed[1].Dead)
 }
--- a/internal/controlplane/targets/registrar_test.go
+++ b/internal/controlplane/targets/registrar_test.go
@@ -40,11 +40,11 @@
 	table := newIncrementalTable()
 	table.Merge(at(0), registeredTarget("a", 4, "other"))
 	death := registeredTarget("a", 4, "other")
-	death.Gone = true
+	death.Dead = true
 	table.Merge(at(time.Second), registeredTarget("a", 6, "other")) // changes nothing, and is not passed on
 	refutation := table.Merge(at(time.Second), death)
 	is.Equal(len(refutation), 1)
-	is.True(!refutation[0].Gone)
+	is.True(!refutation[0].Dead)
 	is.Equal(refutation[0].Sequence, ids.Sequence(6))
 	// The refutation replaces the declaration in other copies.
 	other := newIncrementalTable()
@@ -56,7 +56,7 @@
 	// A copy without a later heartbeat accepts the declaration.
 	is.True(other.Digest() == table.Digest())
 	later := registeredTarget("a", 6, "other")
-	later.Gone = true
+	later.Dead = true
 	is.Equal(len(table.Merge(at(2*time.Second), later)), 1)
 	is.True(other.Digest() != table.Digest())
 }
--- a/internal/controlplane/targets/table.go
+++ b/internal/controlplane/targets/table.go
@@ -93,7 +93,7 @@
 
 // markGone declares a target gone.
 func (t *Table) markGone(e *entry) {
-	e.Gone = true
+	e.Dead = true
 	t.version++
 	t.proxyVersion++
 }
--- a/internal/controlplane/targets/target.go
+++ b/internal/controlplane/targets/target.go
@@ -17,11 +17,11 @@
 	Service  ids.Name     `json:"service"`
 	Address  ids.Address  `json:"address"`
 	Zone     ids.Name     `json:"cell"`
-	// Leaving says that the target is draining: it gets no new requests.
-	Leaving bool `json:"leaving"`
-	// Gone says that the target was declared gone, by its silence, by a newer owner of
+	// Draining says that the target is draining: it gets no new requests.
+	Draining bool `json:"leaving"`
+	// Dead says that the target was declared gone, by its silence, by a newer owner of
 	// its address or by itself.
-	Gone bool `json:"gone"`
+	Dead bool `json:"gone"`
 	// Warmth is the share of its normal load that the target can take, from 0 to 1;
 	// 1 if it doesn't say.
 	Warmth float64 `json:"warmth"`
@@ -58,11 +58,11 @@
 	if t.Sequence != other.Sequence {
 		return t.Sequence > other.Sequence
 	}
-	return t.Gone && !other.Gone
+	return t.Dead && !other.Dead
 }
 
 // Usable reports whether new requests may be sent to the target.
-func (t Target) Usable() bool { return !t.Gone && !t.Leaving }
+func (t Target) Usable() bool { return !t.Dead && !t.Draining }
 
 // Update carries targets from one registry to another.
 type Update struct{ Targets []Target }
--- a/internal/dataplane/dispatch/script_service_test.go
+++ b/internal/dataplane/dispatch/script_service_test.go
@@ -28,7 +28,7 @@
 	}
 	for _, target := range strings.Split(args["targets"], ",") {
 		allocation := parseAllocation(t, now, target)
-		allocation.Leaving = string(allocation.Instance) == args["leaving"]
+		allocation.Draining = string(allocation.Instance) == args["leaving"]
 		state.Targets = append(state.Targets, allocation)
 	}
 	return state
--- a/internal/dataplane/proxy/control.go
+++ b/internal/dataplane/proxy/control.go
@@ -89,7 +89,7 @@
 	switch e := ev.(type) {
 	case event.Received:
 		c.RecordContact(now, e.From)
-		c.handleMessage(now, e.From, e.Msg)
+		c.handleMessage(now, e.From, e.Message)
 	case event.Tick:
 		c.tick(now)
 	case IdempotencyRequest:
--- a/internal/dataplane/proxy/control_fixture_test.go
+++ b/internal/dataplane/proxy/control_fixture_test.go
@@ -29,7 +29,7 @@
 // push gives the proxy what a registry pushes whose last majority read is so old.
 func (f *controlFixture) push(encoded []byte, revision ids.Revision, readAge time.Duration, list ...targets.Target) {
 	f.pushes++
-	f.Step(f.now, event.Received{From: "r", Msg: distribution.Push{
+	f.Step(f.now, event.Received{From: "r", Message: distribution.Push{
 		Number: f.pushes, Revision: revision, Configuration: encoded, Targets: list,
 		ReadAgeMillis: uint32(readAge.Milliseconds()), EchoedTime: f.now, ProxyRunID: f.Self.RunID,
 	}})
--- a/internal/dataplane/proxy/control_messages_test.go
+++ b/internal/dataplane/proxy/control_messages_test.go
@@ -38,14 +38,14 @@
 		LeaseGossip{ProxyRunID: ownRunID, EchoedTime: now.Add(time.Hour)},
 	} {
 		c := newControl()
-		c.Step(now, event.Received{From: stranger, Msg: msg})
+		c.Step(now, event.Received{From: stranger, Message: msg})
 		is.True(c.confirmedAt() <= now)
 		is.Equal(c.targetsConfirmedAt, ids.Time(0))
 		is.Equal(c.configurationConfirmedAt, ids.Time(0))
 	}
 	// Nor does the echo of an earlier run's time count.
 	c := newControl()
-	c.Step(now, event.Received{From: stranger, Msg: distribution.Push{Number: 1, RunID: 1, EchoedTime: now, ProxyRunID: ownRunID - 1}})
+	c.Step(now, event.Received{From: stranger, Message: distribution.Push{Number: 1, RunID: 1, EchoedTime: now, ProxyRunID: ownRunID - 1}})
 	is.Equal(c.targetsConfirmedAt, ids.Time(0))
 }
 
@@ -62,10 +62,10 @@
 		consensus.Response{ID: uint64(ownRunID)<<24 + 1, Attempt: 1, Outcome: consensus.Succeeded},
 		consensus.ConfigurationQuery{},
 		membership.Heartbeat{Self: membership.Member{ID: "x", Role: membership.Registry, Address: stranger, RunID: 1}},
-		membership.Snapshot{Members: []membership.Member{{ID: "c1", Gone: true, Incarnation: 9}}},
+		membership.Snapshot{Members: []membership.Member{{ID: "c1", Dead: true, Incarnation: 9}}},
 		membership.Delta{Parts: []uint16{70}},
 		membership.Digest{Parts: make([]uint64, 64)},
-		membership.Suspect{Watcher: "x", ID: "c1"},
+		membership.Suspect{Watcher: "x", Member: "c1"},
 	} {
 		raw, err := wire.Encode(msg)
 		if err != nil {
@@ -79,7 +79,7 @@
 			return
 		}
 		c, now := newControl(), ids.Time(time.Second)
-		c.Step(now, event.Received{From: stranger, Msg: msg})
+		c.Step(now, event.Received{From: stranger, Message: msg})
 		for range 6 {
 			now = now.Add(300 * time.Millisecond)
 			c.Step(now, event.Tick{})
--- a/internal/dataplane/proxy/daemon.go
+++ b/internal/dataplane/proxy/daemon.go
@@ -63,7 +63,7 @@
 	d.owner = process.NewOwner(&stepRecorder{control, d}, tickInterval, d.execute)
 	d.transport = &process.Transport{
 		Address: ids.Address(options.Address), Bind: ids.Address(options.Bind), Log: d.log, Stats: &process.TrafficStats{},
-		Deliver: func(from ids.Address, msg any) { d.owner.Offer(event.Received{From: from, Msg: msg}) },
+		Deliver: func(from ids.Address, msg any) { d.owner.Offer(event.Received{From: from, Message: msg}) },
 	}
 	d.configureProtocols()
 	d.router.Store(newRouter(emptyConfiguration().View()))
@@ -101,7 +101,7 @@
 func (d *Daemon) execute(command event.Command) {
 	switch c := command.(type) {
 	case event.Send:
-		d.transport.Send(c.To, c.Msg)
+		d.transport.Send(c.To, c.Message)
 	case event.LogEntry:
 		d.log.WriteEntry(c)
 	case event.Discarded:
--- a/internal/dataplane/proxy/lease_gossip.go
+++ b/internal/dataplane/proxy/lease_gossip.go
@@ -32,9 +32,9 @@
 	Revision      ids.Revision
 	Configuration []byte
 	Targets       []targets.Target
-	// ConfigurationAge and TargetsAge are how long ago, in milliseconds, the replying
+	// ConfigurationAgeMillis and TargetsAge are how long ago, in milliseconds, the replying
 	// proxy's configuration and targets were confirmed.
-	ConfigurationAge, TargetsAge uint32
+	ConfigurationAgeMillis, TargetsAgeMillis uint32
 }
 
 var _ = wire.Register(82, LeaseRequest{}) && wire.Register(83, LeaseGossip{})
@@ -81,13 +81,13 @@
 // its concurrency slots and retry budget are about to be shared out among the others.
 func (c *Control) answerLeaseRequest(now ids.Time, from ids.Address, request LeaseRequest) {
 	m, known := c.Get(request.Proxy)
-	if !known || m.Gone || m.RunID != request.RunID || !c.leaseValid(now) {
+	if !known || m.Dead || m.RunID != request.RunID || !c.leaseValid(now) {
 		return
 	}
 	reply := LeaseGossip{
 		ProxyRunID: request.RunID, EchoedTime: request.Now, Revision: c.view.Revision, Targets: c.targets.All(now),
-		ConfigurationAge: uint32(now.Sub(c.configurationConfirmedAt) / time.Millisecond),
-		TargetsAge:       uint32(now.Sub(c.targetsConfirmedAt) / time.Millisecond),
+		ConfigurationAgeMillis: uint32(now.Sub(c.configurationConfirmedAt) / time.Millisecond),
+		TargetsAgeMillis:       uint32(now.Sub(c.targetsConfirmedAt) / time.Millisecond),
 	}
 	if request.Revision < c.view.Revision {
 		reply.Configuration = c.configuration.Encode(false)
@@ -105,10 +105,10 @@
 	if gossip.Revision > c.view.Revision && len(gossip.Configuration) > 0 {
 		c.adoptConfiguration(now, gossip.Configuration)
 	}
-	targetsAsOf := gossip.EchoedTime.Add(-roundedUpAge(gossip.TargetsAge))
+	targetsAsOf := gossip.EchoedTime.Add(-roundedUpAge(gossip.TargetsAgeMillis))
 	c.targets.MergeAsOf(now, targetsAsOf, gossip.Targets...)
 	c.targetsConfirmedAt = max(c.targetsConfirmedAt, targetsAsOf)
-	c.confirmConfiguration(now, gossip.Revision, gossip.EchoedTime.Add(-roundedUpAge(gossip.ConfigurationAge)))
+	c.confirmConfiguration(now, gossip.Revision, gossip.EchoedTime.Add(-roundedUpAge(gossip.ConfigurationAgeMillis)))
 	c.refreshDispatchers(now)
 }
 
--- a/internal/dataplane/proxy/lease_test.go
+++ b/internal/dataplane/proxy/lease_test.go
@@ -90,10 +90,10 @@
 	f.push(encodedConfiguration(t, 1), 1, 0)
 	target := targets.Target{Instance: "i", Incarnation: 1, Sequence: 5, Service: "a", Address: "10.0.0.1:80", Zone: "quay", Warmth: 1, IntervalMillis: 1000}
 	leaving := target
-	leaving.Sequence, leaving.Leaving = 6, true
+	leaving.Sequence, leaving.Draining = 6, true
 	f.push(nil, 1, 0, leaving)
 	f.push(nil, 1, 20*time.Second, target)
-	if got, _ := f.targets.Get(f.now, "i"); !got.Leaving {
+	if got, _ := f.targets.Get(f.now, "i"); !got.Draining {
 		t.Fatal("a late push undid that a target is leaving")
 	}
 }
--- a/internal/dataplane/proxy/refresh.go
+++ b/internal/dataplane/proxy/refresh.go
@@ -140,6 +140,6 @@
 	}
 	return func(id ids.DaemonID, run ids.RunID) bool {
 		m, ok := members[id]
-		return ok && (m.Gone || m.RunID != run)
+		return ok && (m.Dead || m.RunID != run)
 	}
 }
--- a/internal/dataplane/proxy/refresh_test.go
+++ b/internal/dataplane/proxy/refresh_test.go
@@ -31,7 +31,7 @@
 	for i := range stormProxies {
 		proxies = append(proxies, proxyMember(fmt.Sprint("proxy-", i), "quay"))
 	}
-	f.Step(f.now, event.Received{From: "r", Msg: membership.Snapshot{Members: proxies, Final: true}})
+	f.Step(f.now, event.Received{From: "r", Message: membership.Snapshot{Members: proxies, Final: true}})
 	var list []targets.Target
 	for i := range stormTargets {
 		list = append(list, stormTarget(i))
@@ -66,7 +66,7 @@
 				refreshed, c.allocations = true, len(state.Targets)
 			}
 		case event.Send:
-			if ack, ok := command.Msg.(distribution.Ack); ok {
+			if ack, ok := command.Message.(distribution.Ack); ok {
 				c.acknowledged = append(c.acknowledged, ack.Number)
 			}
 		}
@@ -88,8 +88,8 @@
 		c.now = c.now.Add(time.Millisecond)
 		c.pushes++
 		target := stormTarget(i)
-		target.Gone, target.Sequence = true, 2
-		c.step(event.Received{From: "r", Msg: distribution.Push{
+		target.Dead, target.Sequence = true, 2
+		c.step(event.Received{From: "r", Message: distribution.Push{
 			Number: c.pushes, Revision: 1, Targets: []targets.Target{target}, EchoedTime: c.now, ProxyRunID: c.Self.RunID,
 		}})
 	}
--- a/internal/dataplane/proxy/slots.go
+++ b/internal/dataplane/proxy/slots.go
@@ -67,7 +67,7 @@
 		if m.Role != membership.Proxy {
 			continue
 		}
-		if !m.Gone {
+		if !m.Dead {
 			c.proxyLastSeen[m.ID] = now
 		}
 		if at, ok := c.proxyLastSeen[m.ID]; ok && now.Sub(at) < lostProxyHoldTime {
--- a/internal/dataplane/proxy/slots_test.go
+++ b/internal/dataplane/proxy/slots_test.go
@@ -106,7 +106,7 @@
 	other.Incarnation = 5
 	join(other)
 	is.Equal(len(c.slotHolders(now)), 2)
-	other.Gone = true
+	other.Dead = true
 	join(other)
 	is.Equal(len(c.slotHolders(now.Add(lostProxyHoldTime-time.Millisecond))), 2)
 	is.Equal(len(c.slotHolders(now.Add(lostProxyHoldTime))), 1)
--- a/internal/state/configuration/cluster_network_test.go
+++ b/internal/state/configuration/cluster_network_test.go
@@ -29,7 +29,7 @@
 		if !ok {
 			continue
 		}
-		if _, ok := message.Msg.(consensus.Prepare); ok {
+		if _, ok := message.Message.(consensus.Prepare); ok {
 			c.prepares++
 		}
 		copies := 1
@@ -59,12 +59,12 @@
 func (c *cluster) receive(from ids.Address, message event.Send) {
 	for _, s := range c.stores {
 		if s.address == message.To && s.up {
-			s.handleMessage(c.now, from, message.Msg)
+			s.handleMessage(c.now, from, message.Message)
 			c.processCommands(s)
 		}
 	}
 	for _, n := range c.clients {
-		if response, ok := message.Msg.(consensus.Response); ok && n.address == message.To {
+		if response, ok := message.Message.(consensus.Response); ok && n.address == message.To {
 			n.HandleResponse(c.now, from, response)
 			c.send(n.address, n.Drain())
 		}
--- a/internal/state/configuration/cluster_test.go
+++ b/internal/state/configuration/cluster_test.go
@@ -152,8 +152,8 @@
 		s.HandlePrepare(from, m)
 	case consensus.Accept:
 		s.HandleAccept(from, m)
-	case consensus.AcceptDifference:
-		s.HandleAcceptDifference(from, m)
+	case consensus.AcceptDelta:
+		s.HandleAcceptDelta(from, m)
 	case consensus.Promise:
 		s.HandlePromise(now, m)
 	case consensus.Accepted:
--- a/internal/state/consensus/acceptor.go
+++ b/internal/state/consensus/acceptor.go
@@ -78,7 +78,7 @@
 // The sender of a request under a lower one is sent the voter set in force.
 func (a *Acceptor) abstains(from ids.Address, voterSetNumber uint64) bool {
 	if voterSetNumber < a.voterSet.Number {
-		a.AfterSync(event.Send{To: from, Msg: VoterSetUpdate{a.voterSet}})
+		a.AfterSync(event.Send{To: from, Message: VoterSetUpdate{a.voterSet}})
 		return true
 	}
 	// An acceptor doesn't vote under a voter set that it doesn't know yet, nor before
@@ -101,11 +101,11 @@
 		promise.Value, promise.MatchesKnown = nil, true
 	}
 	if m.ReadOnly || !state.Promised.Less(m.Ballot) {
-		a.AfterSync(event.Send{To: from, Msg: promise})
+		a.AfterSync(event.Send{To: from, Message: promise})
 		return
 	}
 	state.Promised, promise.Promised = m.Ballot, m.Ballot
-	a.saveRegister(m.Key, state, event.Send{To: from, Msg: promise})
+	a.saveRegister(m.Key, state, event.Send{To: from, Message: promise})
 }
 
 // HandleAccept accepts the value unless a higher ballot was promised.
@@ -125,17 +125,17 @@
 		OK: ok, Promised: state.Promised, ReadsDeltas: len(m.Value) >= minDeltaValueSize,
 	}
 	if !ok || duplicate {
-		a.AfterSync(event.Send{To: from, Msg: vote})
+		a.AfterSync(event.Send{To: from, Message: vote})
 		return
 	}
 	state.Promised, state.Accepted, state.Value = m.Ballot.Max(m.NextBallot), m.Ballot, m.Value
 	vote.Promised = state.Promised
-	a.saveRegister(m.Key, state, event.Send{To: from, Msg: vote})
+	a.saveRegister(m.Key, state, event.Send{To: from, Message: vote})
 }
 
-// HandleAcceptDifference does as HandleAccept for the value that the delta leads to. An
+// HandleAcceptDelta does as HandleAccept for the value that the delta leads to. An
 // acceptor without the delta's base changes nothing and asks for the whole value.
-func (a *Acceptor) HandleAcceptDifference(from ids.Address, m AcceptDifference) {
+func (a *Acceptor) HandleAcceptDelta(from ids.Address, m AcceptDelta) {
 	if a.abstains(from, m.VoterSetNumber) {
 		return
 	}
@@ -151,7 +151,7 @@
 		accept.Value, err = delta.Apply(state.Value, m.Delta)
 	}
 	if state.Accepted != m.BaseBallot || err != nil {
-		a.AfterSync(event.Send{To: from, Msg: Accepted{
+		a.AfterSync(event.Send{To: from, Message: Accepted{
 			Key: m.Key, Store: a.storeID, Round: m.Round, VoterSetNumber: m.VoterSetNumber,
 			Promised: state.Promised, ReadsDeltas: true, NeedsWholeValue: true,
 		}})
--- a/internal/state/consensus/acceptor_test.go
+++ b/internal/state/consensus/acceptor_test.go
@@ -23,12 +23,12 @@
 	restarted.HandleAccept("c", Accept{Key: "x", Ballot: ids.Ballot{Counter: 4, Proposer: 3}, VoterSetNumber: 1, Round: 2, Value: []byte("old")})
 	sync := restarted.Drain()[0].(event.Sync)
 	is.Equal(len(sync.Records), 0)
-	is.Equal(sync.After[0].(event.Send).Msg.(Accepted).OK, false)
+	is.Equal(sync.After[0].(event.Send).Message.(Accepted).OK, false)
 	// A request under a lower voter set is not voted on: its sender gets the higher one.
 	restarted.AdoptVoterSet(VoterSet{Number: 2, Voters: []Voter{{2, "b"}}})
 	restarted.Drain()
 	restarted.HandleAccept("c", Accept{Key: "x", Ballot: ids.Ballot{Counter: 9, Proposer: 3}, VoterSetNumber: 1})
-	_, updated := restarted.Drain()[0].(event.Sync).After[0].(event.Send).Msg.(VoterSetUpdate)
+	_, updated := restarted.Drain()[0].(event.Sync).After[0].(event.Send).Message.(VoterSetUpdate)
 	is.True(updated)
 }
 
@@ -40,7 +40,7 @@
 	b := stores["b"]
 	held, value := b.AcceptedValue("policy")
 	next := ids.Ballot{Counter: held.Counter + 100, Proposer: 1}
-	for name, m := range map[string]AcceptDifference{
+	for name, m := range map[string]AcceptDelta{
 		"an earlier base": {BaseBallot: ids.Ballot{Counter: held.Counter - 1, Proposer: held.Proposer}, Delta: nil},
 		"damaged delta":   {BaseBallot: held, Delta: []byte("damaged")},
 		"no delta":        {BaseBallot: held, Delta: nil},
@@ -48,12 +48,12 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			m.Key, m.Ballot, m.VoterSetNumber, m.Round = "policy", next, 1, 9
-			b.HandleAcceptDifference("a", m)
+			b.HandleAcceptDelta("a", m)
 			commands := b.Drain()
 			is.Equal(len(commands), 1)
 			answer := commands[0].(event.Sync)
 			is.Equal(len(answer.Records), 0)
-			vote := answer.After[0].(event.Send).Msg.(Accepted)
+			vote := answer.After[0].(event.Send).Message.(Accepted)
 			is.True(!vote.OK && vote.NeedsWholeValue)
 			ballot, got := b.AcceptedValue("policy")
 			is.Equal(ballot, held)
@@ -74,7 +74,7 @@
 			is.True(ok)
 			blank.disk.write(sync.Records)
 			for _, after := range sync.After {
-				sent = append(sent, after.(event.Send).Msg)
+				sent = append(sent, after.(event.Send).Message)
 			}
 		}
 		return sent
@@ -119,7 +119,7 @@
 	page := func(request PageRequest) PageResponse {
 		s.Drain()
 		s.HandlePageRequest("n", request)
-		return s.Drain()[0].(event.Sync).After[0].(event.Send).Msg.(PageResponse)
+		return s.Drain()[0].(event.Sync).After[0].(event.Send).Message.(PageResponse)
 	}
 	s.Seed("x", []byte("1"))
 	first := page(PageRequest{VoterSetNumber: 1})
--- a/internal/state/consensus/changed_keys.go
+++ b/internal/state/consensus/changed_keys.go
@@ -57,7 +57,7 @@
 	for _, key := range a.changedKeys.keys[m.SinceChange-a.changedKeys.droppedCount:] {
 		full := len(page.Records) == maxPageRecords || size > maxPageBytes
 		if !included[key] && full {
-			a.AfterSync(event.Send{To: from, Msg: page})
+			a.AfterSync(event.Send{To: from, Message: page})
 			return
 		}
 		page.ChangeCount++
@@ -69,5 +69,5 @@
 		}
 	}
 	page.Last = true
-	a.AfterSync(event.Send{To: from, Msg: page})
+	a.AfterSync(event.Send{To: from, Message: page})
 }
--- a/internal/state/consensus/client_attempts_test.go
+++ b/internal/state/consensus/client_attempts_test.go
@@ -20,7 +20,7 @@
 		for !done && now.Sub(began) < 3*time.Second {
 			for _, command := range out.Drain() {
 				send := command.(event.Send)
-				if request := send.Msg.(Request); send.To != "cut" {
+				if request := send.Message.(Request); send.To != "cut" {
 					client.HandleResponse(now, send.To, Response{ID: request.ID, Attempt: request.Attempt, Outcome: Succeeded})
 				}
 			}
--- a/internal/state/consensus/client_test.go
+++ b/internal/state/consensus/client_test.go
@@ -34,9 +34,9 @@
 			client, out := newTestClient("10.0.0.1:1")
 			outcome := Outcome(0)
 			client.Call(1, "policy", 1, nil, 700*time.Millisecond, func(_ ids.Time, o Outcome, _ []byte) { outcome = o })
-			first := out.Drain()[0].(event.Send).Msg.(Request)
+			first := out.Drain()[0].(event.Send).Message.(Request)
 			client.Tick(ids.Time(500 * time.Millisecond))
-			second := out.Drain()[0].(event.Send).Msg.(Request)
+			second := out.Drain()[0].(event.Send).Message.(Request)
 			is.Equal(first.ID, second.ID)
 			is.Equal(second.Attempt, uint32(2))
 			for _, attempt := range c.rejected {
--- a/internal/state/consensus/lossy_network_test.go
+++ b/internal/state/consensus/lossy_network_test.go
@@ -49,7 +49,7 @@
 func (l *lossyNetwork) collect() {
 	for _, at := range addresses {
 		for _, c := range l.stores[at].syncAll() {
-			if r, ok := c.Msg.(Response); ok {
+			if r, ok := c.Message.(Response); ok {
 				l.responses = append(l.responses, r)
 				continue
 			}
@@ -93,16 +93,16 @@
 // deliver hands a message to its store, and counts what became of a delta.
 func (l *lossyNetwork) deliver(from ids.Address, c event.Send) {
 	to := l.stores[c.To]
-	if vote, ok := c.Msg.(Accepted); ok && vote.NeedsWholeValue {
+	if vote, ok := c.Message.(Accepted); ok && vote.NeedsWholeValue {
 		l.wholeValueRequests++
 	}
-	v, ok := c.Msg.(AcceptDifference)
+	v, ok := c.Message.(AcceptDelta)
 	if !ok {
-		to.deliver(l.now, from, c.Msg)
+		to.deliver(l.now, from, c.Message)
 		return
 	}
 	held, _ := to.AcceptedValue(v.Key)
-	to.deliver(l.now, from, c.Msg)
+	to.deliver(l.now, from, c.Message)
 	if now, _ := to.AcceptedValue(v.Key); now != held && now == v.Ballot {
 		l.deltas++
 	}
--- a/internal/state/consensus/messages.go
+++ b/internal/state/consensus/messages.go
@@ -34,7 +34,7 @@
 	Value    []byte
 	// MatchesKnown says that Value is left out, as it is that of the KnownBallot.
 	MatchesKnown bool
-	// ReadsDeltas says that this store understands AcceptDifference.
+	// ReadsDeltas says that this store understands AcceptDelta.
 	ReadsDeltas bool
 }
 
@@ -54,7 +54,7 @@
 	FirstValue bool
 }
 
-// Accepted answers an Accept or an AcceptDifference.
+// Accepted answers an Accept or an AcceptDelta.
 type Accepted struct {
 	Key   ids.RegisterKey
 	Store uint64
@@ -65,17 +65,17 @@
 	OK bool
 	// Promised is the highest ballot that the acceptor has promised.
 	Promised ids.Ballot
-	// ReadsDeltas says that this store understands AcceptDifference.
+	// ReadsDeltas says that this store understands AcceptDelta.
 	ReadsDeltas bool
 	// NeedsWholeValue says that this store doesn't hold the base of the delta that it
 	// was sent, and asks for an Accept in its place.
 	NeedsWholeValue bool
 }
 
-// AcceptDifference is an Accept that carries its value as the delta from the value
+// AcceptDelta is an Accept that carries its value as the delta from the value
 // accepted under BaseBallot. An acceptor that holds that base does exactly as for the
 // equivalent Accept; any other changes nothing and answers with NeedsWholeValue.
-type AcceptDifference struct {
+type AcceptDelta struct {
 	Key            ids.RegisterKey
 	Ballot         ids.Ballot
 	NextBallot     ids.Ballot
@@ -91,9 +91,9 @@
 	Value []byte
 }
 
-// ChosenDifference is a Chosen that carries the value as the delta from the register's
+// ChosenDelta is a Chosen that carries the value as the delta from the register's
 // value before it.
-type ChosenDifference struct {
+type ChosenDelta struct {
 	Key   ids.RegisterKey
 	Delta []byte
 }
@@ -184,5 +184,5 @@
 	wire.Register(24, VoterSetUpdate{}) && wire.Register(25, Request{}) &&
 	wire.Register(26, Response{}) && wire.Register(29, Hello{}) &&
 	wire.RegisterNamed(31, "consensus.PolicyQuery", ConfigurationQuery{}) && wire.RegisterNamed(32, "consensus.PolicyReply", ConfigurationReply{}) &&
-	wire.Register(33, Chosen{}) && wire.Register(34, AcceptDifference{}) &&
-	wire.Register(35, ChosenDifference{})
+	wire.Register(33, Chosen{}) && wire.RegisterNamed(34, "consensus.AcceptDifference", AcceptDelta{}) &&
+	wire.RegisterNamed(35, "consensus.ChosenDifference", ChosenDelta{})
--- a/internal/state/consensus/model_events_test.go
+++ b/internal/state/consensus/model_events_test.go
@@ -211,7 +211,7 @@
 	to.copier.BeginPass(from.acceptor.storeID)
 	from.acceptor.HandlePageRequest(addresses[i], to.copier.NextRequest(from.acceptor.storeID, set.Number))
 	for _, c := range from.Drain() {
-		page := c.(event.Sync).After[0].(event.Send).Msg.(PageResponse)
+		page := c.(event.Sync).After[0].(event.Send).Message.(PageResponse)
 		if !to.copier.HandlePage(page) {
 			w.violation = "a page was not awaited"
 		}
--- a/internal/state/consensus/model_world_test.go
+++ b/internal/state/consensus/model_world_test.go
@@ -125,7 +125,7 @@
 // handleSend puts a request in transit, and takes a response to the store's own request.
 func (w *modelWorld) handleSend(i int, c event.Send) {
 	s := w.stores[i]
-	switch m := c.Msg.(type) {
+	switch m := c.Message.(type) {
 	case Prepare, Accept:
 		to := slices.Index(addresses, c.To)
 		request := modelRequest{from: i, to: to, store: s.acceptor.storeID, run: s.run, msg: m}
@@ -186,7 +186,7 @@
 		s.disk.write(sync.Records)
 		s.acceptor.Synced(sync.Batch)
 		for _, after := range sync.After {
-			w.answer(request, s, after.(event.Send).Msg)
+			w.answer(request, s, after.(event.Send).Message)
 		}
 	}
 }
--- a/internal/state/consensus/pages.go
+++ b/internal/state/consensus/pages.go
@@ -62,7 +62,7 @@
 func (a *Acceptor) HandlePageRequest(from ids.Address, m PageRequest) {
 	if m.VoterSetNumber != a.voterSet.Number {
 		if m.VoterSetNumber < a.voterSet.Number {
-			a.AfterSync(event.Send{To: from, Msg: VoterSetUpdate{a.voterSet}})
+			a.AfterSync(event.Send{To: from, Message: VoterSetUpdate{a.voterSet}})
 		}
 		return
 	}
@@ -84,7 +84,7 @@
 			page.Records = append(page.Records, PageRecord{key[len(registerPrefix):], state.Accepted, state.Value})
 		}
 	}
-	a.AfterSync(event.Send{To: from, Msg: page})
+	a.AfterSync(event.Send{To: from, Message: page})
 }
 
 // pageRows returns the stored records of a page behind a key, together with those in its
--- a/internal/state/consensus/restart_network_test.go
+++ b/internal/state/consensus/restart_network_test.go
@@ -56,10 +56,10 @@
 // collect carries out what a store asked for; its messages are in transit then.
 func (n *restartNetwork) collect(at ids.Address) {
 	for _, c := range n.stores[at].syncAll() {
-		if response, ok := c.Msg.(Response); ok {
+		if response, ok := c.Message.(Response); ok {
 			n.checkResponse(response)
 		} else {
-			n.inTransit = append(n.inTransit, delayedMessage{at, c.To, c.Msg})
+			n.inTransit = append(n.inTransit, delayedMessage{at, c.To, c.Message})
 		}
 	}
 }
--- a/internal/state/consensus/restart_test.go
+++ b/internal/state/consensus/restart_test.go
@@ -76,7 +76,7 @@
 	is.Equal(len(deliverAll(later, stores, untilProposed)), 0)
 	is.Equal(stores["a"].rounds["x"].phase, accepting)
 	for _, s := range late {
-		stores["a"].deliver(later, "b", s.Msg)
+		stores["a"].deliver(later, "b", s.Message)
 	}
 	stores["a"].Proposer.Tick(later.Add(replicationGrace))
 	responses := deliverAll(later, stores, noLinks)
@@ -97,7 +97,7 @@
 	var prepare Prepare
 	for _, c := range stores["a"].Drain() {
 		if s, ok := c.(event.Send); ok && s.To == "b" {
-			prepare = s.Msg.(Prepare)
+			prepare = s.Message.(Prepare)
 		}
 	}
 	stores["b"].HandlePrepare("a", prepare)
@@ -111,7 +111,7 @@
 	restartStore(stores, "a", 1|1<<30, appendArg)
 	stores["a"].Submit(1, "w3", read)
 	for _, s := range late {
-		stores["a"].deliver(1, s.To, s.Msg)
+		stores["a"].deliver(1, s.To, s.Message)
 	}
 	responses := deliverAll(1, stores, noLinks)
 	if len(responses) > 0 {
--- a/internal/state/consensus/retry_test.go
+++ b/internal/state/consensus/retry_test.go
@@ -21,7 +21,7 @@
 		if !ok || send.To != to {
 			continue
 		}
-		if m, ok := send.Msg.(Accept); ok && len(m.Value) >= largeSize {
+		if m, ok := send.Message.(Accept); ok && len(m.Value) >= largeSize {
 			n++
 		}
 	}
--- a/internal/state/consensus/store_test.go
+++ b/internal/state/consensus/store_test.go
@@ -134,8 +134,8 @@
 		s.HandlePrepare(from, m)
 	case Accept:
 		s.HandleAccept(from, m)
-	case AcceptDifference:
-		s.HandleAcceptDifference(from, m)
+	case AcceptDelta:
+		s.HandleAcceptDelta(from, m)
 	case Promise:
 		s.HandlePromise(now, m)
 	case Accepted:
@@ -162,12 +162,12 @@
 func deliverAll(now ids.Time, stores map[ids.Address]*testStore, isUp func(from, to ids.Address) bool) map[ids.Address][]Response {
 	responses := map[ids.Address][]Response{}
 	exchange(stores, func(from ids.Address, c event.Send) {
-		if response, ok := c.Msg.(Response); ok {
+		if response, ok := c.Message.(Response); ok {
 			responses[c.To] = append(responses[c.To], response)
 			return
 		}
 		if to := stores[c.To]; to != nil && (c.To == from || isUp(from, c.To)) {
-			to.deliver(now, from, c.Msg)
+			to.deliver(now, from, c.Message)
 		}
 	})
 	return responses
--- a/internal/state/consensus/value_delta.go
+++ b/internal/state/consensus/value_delta.go
@@ -36,7 +36,7 @@
 func (p *Proposer) sendAccept(now ids.Time, to Voter, r *round, voterSetNumber uint64) {
 	peer := p.peer(to.ID)
 	if r.delta != nil && peer.readsDeltas && !r.wholeSentTo[to.ID] {
-		p.out.Send(to.Address, AcceptDifference{
+		p.out.Send(to.Address, AcceptDelta{
 			Key: r.key, Ballot: r.ballot, NextBallot: r.nextBallot, VoterSetNumber: voterSetNumber,
 			Round: r.id, BaseBallot: r.baseBallot, Delta: r.delta,
 		})
@@ -66,7 +66,7 @@
 func (p *Proposer) notifySubscribers(r *round) {
 	for _, to := range p.Subscribers(r.key) {
 		if r.delta != nil {
-			p.out.Send(to, ChosenDifference{Key: r.key, Delta: r.delta})
+			p.out.Send(to, ChosenDelta{Key: r.key, Delta: r.delta})
 		} else {
 			p.out.Send(to, Chosen{Key: r.key, Value: r.value})
 		}
--- a/internal/state/consensus/value_delta_test.go
+++ b/internal/state/consensus/value_delta_test.go
@@ -17,7 +17,7 @@
 // meteredNetwork delivers messages between stores and counts them.
 type meteredNetwork struct {
 	bytes, wholeValues, deltas int
-	// earlierVersion is a store of a version that doesn't know AcceptDifference.
+	// earlierVersion is a store of a version that doesn't know AcceptDelta.
 	earlierVersion ids.Address
 }
 
@@ -25,7 +25,7 @@
 func (n *meteredNetwork) deliverAll(stores map[ids.Address]*testStore, now ids.Time, down map[ids.Address]bool) []Response {
 	var responses []Response
 	exchange(stores, func(from ids.Address, c event.Send) {
-		if r, ok := c.Msg.(Response); ok {
+		if r, ok := c.Message.(Response); ok {
 			responses = append(responses, r)
 			return
 		}
@@ -39,8 +39,8 @@
 
 // deliver hands a message over; an earlier version skips what it doesn't know.
 func (n *meteredNetwork) deliver(now ids.Time, to *testStore, from ids.Address, c event.Send) {
-	switch m := c.Msg.(type) {
-	case AcceptDifference:
+	switch m := c.Message.(type) {
+	case AcceptDelta:
 		if c.To != n.earlierVersion {
 			to.deliver(now, from, m)
 		}
@@ -53,12 +53,12 @@
 }
 
 func (n *meteredNetwork) count(c event.Send) {
-	raw, _ := wire.Encode(c.Msg)
+	raw, _ := wire.Encode(c.Message)
 	n.bytes += len(raw)
-	switch m := c.Msg.(type) {
+	switch m := c.Message.(type) {
 	case Accept:
 		n.wholeValues += min(len(m.Value)/minDeltaValueSize, 1)
-	case AcceptDifference:
+	case AcceptDelta:
 		n.deltas++
 	}
 }
@@ -138,7 +138,7 @@
 	is.Equal(network.wholeValues, 0)
 }
 
-// A store of an earlier version skips AcceptDifference. It is sent whole values, also if
+// A store of an earlier version skips AcceptDelta. It is sent whole values, also if
 // it was downgraded to that version.
 func TestProposer_SendsWholeValuesToEarlierVersions(t *testing.T) {
 	stores := newTestStores()
--- a/internal/testsupport/blueprint/initial_change.go
+++ b/internal/testsupport/blueprint/initial_change.go
@@ -62,7 +62,7 @@
 		put("cell", zone, zoneItem{Distances: p.distances(zone), Maximum: max(p.Maximum, 0), Region: p.Region(zone), Target: p.TargetLevel()})
 	}
 	for _, pool := range p.Pools {
-		put("service", pool.Service, serviceItem{Allowance: p.Allowed(), Capacity: pool.Capacity, Tier: pool.Tier, WarmMillis: warmMillis})
+		put("service", pool.Service, serviceItem{Allowance: p.RetryAllowance(), Capacity: pool.Capacity, Tier: pool.Tier, WarmMillis: warmMillis})
 	}
 	for _, route := range p.Routes {
 		put("route", route.Name, routeItem{LimitMillis: limitMillis, Prefix: route.Prefix, Repeatable: route.Repeatable, Service: route.Service, Tier: route.Tier})
--- a/internal/testsupport/blueprint/plan.go
+++ b/internal/testsupport/blueprint/plan.go
@@ -124,8 +124,8 @@
 	return 0
 }
 
-// Allowed returns how many retries each service may get within ten seconds beyond its share.
-func (p Plan) Allowed() int {
+// RetryAllowance returns how many retries each service may get within ten seconds beyond its share.
+func (p Plan) RetryAllowance() int {
 	if p.Allowance > 0 {
 		return p.Allowance
 	}
--- a/internal/testsupport/checker/checker.go
+++ b/internal/testsupport/checker/checker.go
@@ -24,9 +24,9 @@
 	Attempt        int
 	// AttemptHidden: the client didn't send the number of its attempt.
 	AttemptHidden bool
-	// After is how long the core had known, when the request arrived, that the
+	// DepartureKnownFor is how long the core had known, when the request arrived, that the
 	// target was leaving or gone; zero if it hadn't.
-	After time.Duration
+	DepartureKnownFor time.Duration
 	// Route is the route of the request's path, and TimeLeft the time until its deadline.
 	Route    ids.Name
 	TimeLeft time.Duration
@@ -116,8 +116,8 @@
 	c.responses = append(c.responses, response)
 }
 
-// NetworkPartitioned records that the core came to know a target as leaving or gone.
-func (c *Checker) NetworkPartitioned() {
+// TargetDepartureKnown records that the core came to know a target as leaving or gone.
+func (c *Checker) TargetDepartureKnown() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.departuresKnown++
--- a/internal/testsupport/checker/configuration.go
+++ b/internal/testsupport/checker/configuration.go
@@ -103,8 +103,8 @@
 	return true
 }
 
-// ReadConfiguration parses the JSON of GET /v1/policy.
-func ReadConfiguration(raw []byte) (Configuration, error) {
+// ParseConfiguration parses the JSON of GET /v1/policy.
+func ParseConfiguration(raw []byte) (Configuration, error) {
 	var in struct {
 		Revision uint64          `json:"revision"`
 		Services map[string]Body `json:"services"`
--- a/internal/testsupport/checker/drain.go
+++ b/internal/testsupport/checker/drain.go
@@ -16,8 +16,8 @@
 	// Asked is when the draining was first asked for: its answer may come long
 	// after it took effect.
 	Asked time.Time
-	// Open is when its end was known to be accepted.
-	Open time.Time
+	// RestoredAt is when its end was known to be accepted.
+	RestoredAt time.Time
 }
 
 // ZoneDrained records that a request to drain a zone, sent at asked, was accepted.
@@ -37,7 +37,7 @@
 			if drain.To.IsZero() {
 				drain.To = at
 			}
-			drain.Open = at
+			drain.RestoredAt = at
 			return
 		}
 	}
--- a/internal/testsupport/checker/long_lived_connections.go
+++ b/internal/testsupport/checker/long_lived_connections.go
@@ -29,7 +29,7 @@
 func (c *Checker) drainedAt(zone ids.Name, at time.Time) bool {
 	for _, drain := range c.drains {
 		// The end of draining may take as long as any change to be in force.
-		if drain.Zone == zone && !at.Before(drain.Asked) && (drain.To.IsZero() || at.Before(drain.Open.Add(configurationInForceWithin))) {
+		if drain.Zone == zone && !at.Before(drain.Asked) && (drain.To.IsZero() || at.Before(drain.RestoredAt.Add(configurationInForceWithin))) {
 			return true
 		}
 	}
--- a/internal/testsupport/checker/results.go
+++ b/internal/testsupport/checker/results.go
@@ -119,8 +119,8 @@
 func (c *Checker) sentToDeparted() RuleResult {
 	result := RuleResult{Rule: "request to a target known gone or leaving for 3 s", Judged: c.departuresKnown}
 	for _, execution := range c.executions {
-		if execution.After > departedTargetGrace {
-			result.add(fmt.Sprintf("%s got %s through %s when that was known for %s", execution.Instance, execution.Token, execution.Proxy, execution.After))
+		if execution.DepartureKnownFor > departedTargetGrace {
+			result.add(fmt.Sprintf("%s got %s through %s when that was known for %s", execution.Instance, execution.Token, execution.Proxy, execution.DepartureKnownFor))
 		}
 	}
 	return result
--- a/internal/testsupport/compat/core_test.go
+++ b/internal/testsupport/compat/core_test.go
@@ -72,7 +72,7 @@
 	for _, command := range commands {
 		switch x := command.(type) {
 		case event.Send:
-			c.queue = append(c.queue, letter{at, x.To, x.Msg})
+			c.queue = append(c.queue, letter{at, x.To, x.Message})
 		case event.Sync:
 			if err := c.disks[at].Write(x.Records); err != nil {
 				t.Fatal(err)
@@ -104,7 +104,7 @@
 		l := c.queue[0]
 		c.queue = c.queue[1:]
 		if s := c.stores[l.to]; s != nil {
-			c.perform(t, l.to, s.Step(c.now, event.Received{From: l.from, Msg: l.msg}))
+			c.perform(t, l.to, s.Step(c.now, event.Received{From: l.from, Message: l.msg}))
 		} else if r, ok := l.msg.(consensus.Response); ok && l.to == clientAddress {
 			c.answers[r.ID] = r
 		}
--- a/internal/testsupport/compat/folder_test.go
+++ b/internal/testsupport/compat/folder_test.go
@@ -102,7 +102,7 @@
 	is.NoErr(os.WriteFile(filepath.Join(folder, databaseName), raw, 0o600))
 	disk, err := storage.Open(folder)
 	is.NoErr(err)
-	defer disk.Close()
+	defer func() { is.NoErr(disk.Close()) }()
 	is.Equal(disk.SetAsidePath, "")
 	got := content(t, disk)
 	want := readGolden(t, filepath.Join(oldFolder, contentName))
--- a/internal/testsupport/compat/messages_test.go
+++ b/internal/testsupport/compat/messages_test.go
@@ -22,32 +22,32 @@
 		Address: "text-1", AcceptsDeflated: false,
 	},
 	membership.Heartbeat{
-		Self:   membership.Member{ID: "text-1", Role: 2, Address: "text-3", HTTP: "text-4", Zone: "text-5", RunID: 4294967302, Incarnation: 4294967303, Sequence: 4294967304, Gone: true, Ready: false, Revision: 4294967307, Store: 4294967308, ClientListen: "text-13"},
+		Self:   membership.Member{ID: "text-1", Role: 2, Address: "text-3", HTTP: "text-4", Zone: "text-5", RunID: 4294967302, Incarnation: 4294967303, Sequence: 4294967304, Dead: true, Ready: false, Revision: 4294967307, Store: 4294967308, ClientListen: "text-13"},
 		Digest: 4294967310,
 	},
 	membership.Snapshot{
-		Members: []membership.Member{{ID: "text-1", Role: 2, Address: "text-3", HTTP: "text-4", Zone: "text-5", RunID: 4294967302, Incarnation: 4294967303, Sequence: 4294967304, Gone: true, Ready: false, Revision: 4294967307, Store: 4294967308, ClientListen: "text-13"}, {ID: "text-14", Role: 15, Address: "text-16", HTTP: "text-17", Zone: "text-18", RunID: 4294967315, Incarnation: 4294967316, Sequence: 4294967317, Gone: false, Ready: true, Revision: 4294967320, Store: 4294967321, ClientListen: "text-26"}},
+		Members: []membership.Member{{ID: "text-1", Role: 2, Address: "text-3", HTTP: "text-4", Zone: "text-5", RunID: 4294967302, Incarnation: 4294967303, Sequence: 4294967304, Dead: true, Ready: false, Revision: 4294967307, Store: 4294967308, ClientListen: "text-13"}, {ID: "text-14", Role: 15, Address: "text-16", HTTP: "text-17", Zone: "text-18", RunID: 4294967315, Incarnation: 4294967316, Sequence: 4294967317, Dead: false, Ready: true, Revision: 4294967320, Store: 4294967321, ClientListen: "text-26"}},
 		Final:   true,
 	},
 	membership.Suspect{
-		Watcher: "text-1", ID: "text-2", Incarnation: 4294967299, SilenceMillis: 65540,
+		Watcher: "text-1", Member: "text-2", Incarnation: 4294967299, SilenceMillis: 65540,
 	},
 	membership.Digest{
 		Parts: []uint64{4294967297, 4294967298},
 	},
 	membership.Delta{
 		Parts:   []uint16{257, 258},
-		Members: []membership.Member{{ID: "text-3", Role: 4, Address: "text-5", HTTP: "text-6", Zone: "text-7", RunID: 4294967304, Incarnation: 4294967305, Sequence: 4294967306, Gone: true, Ready: false, Revision: 4294967309, Store: 4294967310, ClientListen: "text-15"}, {ID: "text-16", Role: 17, Address: "text-18", HTTP: "text-19", Zone: "text-20", RunID: 4294967317, Incarnation: 4294967318, Sequence: 4294967319, Gone: false, Ready: true, Revision: 4294967322, Store: 4294967323, ClientListen: "text-28"}},
+		Members: []membership.Member{{ID: "text-3", Role: 4, Address: "text-5", HTTP: "text-6", Zone: "text-7", RunID: 4294967304, Incarnation: 4294967305, Sequence: 4294967306, Dead: true, Ready: false, Revision: 4294967309, Store: 4294967310, ClientListen: "text-15"}, {ID: "text-16", Role: 17, Address: "text-18", HTTP: "text-19", Zone: "text-20", RunID: 4294967317, Incarnation: 4294967318, Sequence: 4294967319, Dead: false, Ready: true, Revision: 4294967322, Store: 4294967323, ClientListen: "text-28"}},
 		Final:   true,
 	},
 	membership.Probe{
 		ID: "text-1",
 	},
 	membership.ProbeReply{
-		Self: membership.Member{ID: "text-1", Role: 2, Address: "text-3", HTTP: "text-4", Zone: "text-5", RunID: 4294967302, Incarnation: 4294967303, Sequence: 4294967304, Gone: true, Ready: false, Revision: 4294967307, Store: 4294967308, ClientListen: "text-13"},
+		Self: membership.Member{ID: "text-1", Role: 2, Address: "text-3", HTTP: "text-4", Zone: "text-5", RunID: 4294967302, Incarnation: 4294967303, Sequence: 4294967304, Dead: true, Ready: false, Revision: 4294967307, Store: 4294967308, ClientListen: "text-13"},
 	},
 	membership.Withdraw{
-		Watcher: "text-1", ID: "text-2",
+		Watcher: "text-1", Member: "text-2",
 	},
 	consensus.Prepare{
 		Key: "text-1", Ballot: ids.Ballot{Counter: 4294967298, Proposer: 4294967299}, VoterSetNumber: 4294967300, Round: 4294967301, ReadOnly: false,
@@ -97,11 +97,11 @@
 	consensus.Chosen{
 		Key: "text-1", Value: []uint8{2, 3},
 	},
-	consensus.AcceptDifference{
+	consensus.AcceptDelta{
 		Key: "text-1", Ballot: ids.Ballot{Counter: 4294967298, Proposer: 4294967299}, NextBallot: ids.Ballot{Counter: 4294967300, Proposer: 4294967301},
 		VoterSetNumber: 4294967302, Round: 4294967303, BaseBallot: ids.Ballot{Counter: 4294967304, Proposer: 4294967305}, Delta: []uint8{10, 11},
 	},
-	consensus.ChosenDifference{
+	consensus.ChosenDelta{
 		Key: "text-1", Delta: []uint8{2, 3},
 	},
 	consensus.BootstrapRequest{
@@ -160,14 +160,14 @@
 		Record:  idempotency.Record{State: 2, Owner: idempotency.Owner{Daemon: "text-3", RunID: 4294967300, Request: 4294967301}, Attempt: 65542, Fingerprint: []uint8{7, 8}, MinAttempt: 65545, ReleasedOwners: []idempotency.Owner{{Daemon: "text-10", RunID: 4294967307, Request: 4294967308}, {Daemon: "text-13", RunID: 4294967310, Request: 4294967311}}, Response: idempotency.Response{Status: 272, Header: []idempotency.Header{{Name: "text-17", Value: "text-18"}, {Name: "text-19", Value: "text-20"}}, Body: []uint8{21, 22}, Digest: "text-23", BodyOmitted: false}, NumberedAttempts: 65561},
 	},
 	targets.Update{
-		Targets: []targets.Target{{Instance: "text-1", Incarnation: 4294967298, Sequence: 4294967299, Service: "text-4", Address: "text-5", Zone: "text-6", Leaving: true, Gone: false, Warmth: 9.5, Occupancy: 4294967306, Capacity: 4294967307, IntervalMillis: 65548, AgeMillis: 4294967309, SlowStartMillis: 4294967310, Registrar: "text-15", RegistrarRunID: 4294967312, ProxySequence: 4294967313}, {Instance: "text-18", Incarnation: 4294967315, Sequence: 4294967316, Service: "text-21", Address: "text-22", Zone: "text-23", Leaving: false, Gone: true, Warmth: 26.5, Occupancy: 4294967323, Capacity: 4294967324, IntervalMillis: 65565, AgeMillis: 4294967326, SlowStartMillis: 4294967327, Registrar: "text-32", RegistrarRunID: 4294967329, ProxySequence: 4294967330}},
+		Targets: []targets.Target{{Instance: "text-1", Incarnation: 4294967298, Sequence: 4294967299, Service: "text-4", Address: "text-5", Zone: "text-6", Draining: true, Dead: false, Warmth: 9.5, Occupancy: 4294967306, Capacity: 4294967307, IntervalMillis: 65548, AgeMillis: 4294967309, SlowStartMillis: 4294967310, Registrar: "text-15", RegistrarRunID: 4294967312, ProxySequence: 4294967313}, {Instance: "text-18", Incarnation: 4294967315, Sequence: 4294967316, Service: "text-21", Address: "text-22", Zone: "text-23", Draining: false, Dead: true, Warmth: 26.5, Occupancy: 4294967323, Capacity: 4294967324, IntervalMillis: 65565, AgeMillis: 4294967326, SlowStartMillis: 4294967327, Registrar: "text-32", RegistrarRunID: 4294967329, ProxySequence: 4294967330}},
 	},
 	registry.PeerHeartbeat{
 		ID: "text-1", RunID: 4294967298, AgreementAgeMillis: 65539, TargetsDigest: 4294967300, Number: 4294967301,
 	},
 	registry.DepartureNotice{
 		Asker:  "text-1",
-		Target: targets.Target{Instance: "text-2", Incarnation: 4294967299, Sequence: 4294967300, Service: "text-5", Address: "text-6", Zone: "text-7", Leaving: false, Gone: true, Warmth: 10.5, Occupancy: 4294967307, Capacity: 4294967308, IntervalMillis: 65549, AgeMillis: 4294967310, SlowStartMillis: 4294967311, Registrar: "text-16", RegistrarRunID: 4294967313, ProxySequence: 4294967314},
+		Target: targets.Target{Instance: "text-2", Incarnation: 4294967299, Sequence: 4294967300, Service: "text-5", Address: "text-6", Zone: "text-7", Draining: false, Dead: true, Warmth: 10.5, Occupancy: 4294967307, Capacity: 4294967308, IntervalMillis: 65549, AgeMillis: 4294967310, SlowStartMillis: 4294967311, Registrar: "text-16", RegistrarRunID: 4294967313, ProxySequence: 4294967314},
 	},
 	registry.DepartureAck{
 		ID: "text-1", Instance: "text-2", Sequence: 4294967299, Incarnation: 4294967300,
@@ -177,7 +177,7 @@
 	},
 	distribution.Push{
 		Number: 4294967297, Epoch: 4294967298, RunID: 4294967299, Revision: 4294967300, Configuration: []uint8{5, 6},
-		Targets:       []targets.Target{{Instance: "text-7", Incarnation: 4294967304, Sequence: 4294967305, Service: "text-10", Address: "text-11", Zone: "text-12", Leaving: true, Gone: false, Warmth: 15.5, Occupancy: 4294967312, Capacity: 4294967313, IntervalMillis: 65554, AgeMillis: 4294967315, SlowStartMillis: 4294967316, Registrar: "text-21", RegistrarRunID: 4294967318, ProxySequence: 4294967319}, {Instance: "text-24", Incarnation: 4294967321, Sequence: 4294967322, Service: "text-27", Address: "text-28", Zone: "text-29", Leaving: false, Gone: true, Warmth: 32.5, Occupancy: 4294967329, Capacity: 4294967330, IntervalMillis: 65571, AgeMillis: 4294967332, SlowStartMillis: 4294967333, Registrar: "text-38", RegistrarRunID: 4294967335, ProxySequence: 4294967336}},
+		Targets:       []targets.Target{{Instance: "text-7", Incarnation: 4294967304, Sequence: 4294967305, Service: "text-10", Address: "text-11", Zone: "text-12", Draining: true, Dead: false, Warmth: 15.5, Occupancy: 4294967312, Capacity: 4294967313, IntervalMillis: 65554, AgeMillis: 4294967315, SlowStartMillis: 4294967316, Registrar: "text-21", RegistrarRunID: 4294967318, ProxySequence: 4294967319}, {Instance: "text-24", Incarnation: 4294967321, Sequence: 4294967322, Service: "text-27", Address: "text-28", Zone: "text-29", Draining: false, Dead: true, Warmth: 32.5, Occupancy: 4294967329, Capacity: 4294967330, IntervalMillis: 65571, AgeMillis: 4294967332, SlowStartMillis: 4294967333, Registrar: "text-38", RegistrarRunID: 4294967335, ProxySequence: 4294967336}},
 		ReadAgeMillis: 65577, EchoedTime: 4294967338, ProxyRunID: 4294967339,
 	},
 	distribution.Ack{
@@ -188,8 +188,8 @@
 	},
 	proxy.LeaseGossip{
 		ProxyRunID: 4294967297, EchoedTime: 4294967298, Revision: 4294967299, Configuration: []uint8{4, 5},
-		Targets:          []targets.Target{{Instance: "text-6", Incarnation: 4294967303, Sequence: 4294967304, Service: "text-9", Address: "text-10", Zone: "text-11", Leaving: false, Gone: true, Warmth: 14.5, Occupancy: 4294967311, Capacity: 4294967312, IntervalMillis: 65553, AgeMillis: 4294967314, SlowStartMillis: 4294967315, Registrar: "text-20", RegistrarRunID: 4294967317, ProxySequence: 4294967318}, {Instance: "text-23", Incarnation: 4294967320, Sequence: 4294967321, Service: "text-26", Address: "text-27", Zone: "text-28", Leaving: true, Gone: false, Warmth: 31.5, Occupancy: 4294967328, Capacity: 4294967329, IntervalMillis: 65570, AgeMillis: 4294967331, SlowStartMillis: 4294967332, Registrar: "text-37", RegistrarRunID: 4294967334, ProxySequence: 4294967335}},
-		ConfigurationAge: 65576, TargetsAge: 65577,
+		Targets:                []targets.Target{{Instance: "text-6", Incarnation: 4294967303, Sequence: 4294967304, Service: "text-9", Address: "text-10", Zone: "text-11", Draining: false, Dead: true, Warmth: 14.5, Occupancy: 4294967311, Capacity: 4294967312, IntervalMillis: 65553, AgeMillis: 4294967314, SlowStartMillis: 4294967315, Registrar: "text-20", RegistrarRunID: 4294967317, ProxySequence: 4294967318}, {Instance: "text-23", Incarnation: 4294967320, Sequence: 4294967321, Service: "text-26", Address: "text-27", Zone: "text-28", Draining: true, Dead: false, Warmth: 31.5, Occupancy: 4294967328, Capacity: 4294967329, IntervalMillis: 65570, AgeMillis: 4294967331, SlowStartMillis: 4294967332, Registrar: "text-37", RegistrarRunID: 4294967334, ProxySequence: 4294967335}},
+		ConfigurationAgeMillis: 65576, TargetsAgeMillis: 65577,
 	},
 	spill.Table{
 		Epoch: 4294967297, Number: 4294967298,
--- a/internal/testsupport/scaletest/hollow_proxy.go
+++ b/internal/testsupport/scaletest/hollow_proxy.go
@@ -62,7 +62,7 @@
 	h := &hollowProxy{serviceStates: map[ids.Name]dispatch.ServiceState{}}
 	h.transport = &process.Transport{
 		Address: address, Log: log, Stats: stats,
-		Deliver: func(from ids.Address, msg any) { h.owner.Offer(event.Received{From: from, Msg: msg}) },
+		Deliver: func(from ids.Address, msg any) { h.owner.Offer(event.Received{From: from, Message: msg}) },
 	}
 	h.owner = process.NewOwner(control, tickInterval, h.execute)
 	return h
@@ -73,7 +73,7 @@
 func (h *hollowProxy) execute(c event.Command) {
 	switch c := c.(type) {
 	case event.Send:
-		h.transport.Send(c.To, c.Msg)
+		h.transport.Send(c.To, c.Message)
 	case proxy.DispatchEvent:
 		if state, ok := c.Event.(dispatch.ServiceState); ok {
 			h.serviceStates[c.Service] = state
--- a/internal/testsupport/simulator/configuration_checks.go
+++ b/internal/testsupport/simulator/configuration_checks.go
@@ -52,7 +52,7 @@
 	if !ok {
 		return false
 	}
-	seen, err := checker.ReadConfiguration(encodeConfiguration(document))
+	seen, err := checker.ParseConfiguration(encodeConfiguration(document))
 	if err != nil {
 		w.Checker.Violation("%s gave no policy: %v", reader, err)
 		return true
--- a/internal/testsupport/simulator/defect_test.go
+++ b/internal/testsupport/simulator/defect_test.go
@@ -42,7 +42,7 @@
 			// The proxies learn of no incarnation but the first.
 			p.Targets = slices.DeleteFunc(p.Targets, func(t targets.Target) bool { return t.Incarnation > 2001 })
 			for i := range p.Targets {
-				p.Targets[i].Leaving, p.Targets[i].Gone = false, false
+				p.Targets[i].Draining, p.Targets[i].Dead = false, false
 			}
 		})}},
 		"false busy": {want: "for what ran", defect: Defect{Response: func(r dispatch.Response) dispatch.Response {
@@ -64,7 +64,7 @@
 		})}},
 		"left target": {want: "known gone or leaving", script: drained, defect: Defect{SkipIdentityCheck: true, Message: alterPushes(func(p *distribution.Push) {
 			for i := range p.Targets {
-				p.Targets[i].Leaving, p.Targets[i].Gone = false, false
+				p.Targets[i].Draining, p.Targets[i].Dead = false, false
 			}
 		})}},
 		"flood": {want: "flooded", rate: 400, defect: Defect{SkipIdentityCheck: true, Message: alterPushes(func(p *distribution.Push) {
@@ -118,7 +118,7 @@
 					p.Length = 420 * time.Second // long enough for moves to begin, and more to come
 					p.Defect = c.defect
 				}
-				for _, k := range Run(p).Counts {
+				for _, k := range Run(p).Results {
 					found = found || k.Violations > 0 && bite.MatchString(k.Rule+"\n"+strings.Join(k.More, "\n"))
 				}
 			}
--- a/internal/testsupport/simulator/departure_test.go
+++ b/internal/testsupport/simulator/departure_test.go
@@ -15,7 +15,7 @@
 // stopStore asks a store to leave, as SIGTERM does, and calls then when it has ended.
 func (w *World) stopStore(p *process, then func()) {
 	w.trace("%s is told to stop", p.name)
-	p.deliver(store.Leave{Within: 5 * time.Second})
+	p.deliver(store.Leave{GracePeriod: 5 * time.Second})
 	began := w.now
 	var look func()
 	look = func() {
--- a/internal/testsupport/simulator/hot_zones_test.go
+++ b/internal/testsupport/simulator/hot_zones_test.go
@@ -15,7 +15,7 @@
 			is := is.New(t)
 			o := Run(Hot(seed))
 			report(t, o)
-			for _, c := range o.Counts {
+			for _, c := range o.Results {
 				t.Logf("%s: %d in %d", c.Rule, c.Violations, c.Judged)
 			}
 			is.True(o.Responses["answered"] > 30000)
--- a/internal/testsupport/simulator/network.go
+++ b/internal/testsupport/simulator/network.go
@@ -72,7 +72,7 @@
 		resets := w.connections.resets[pair]
 		w.schedule(delay, func() {
 			if receiver := w.processByAddress[to]; receiver != nil && receiver.up && w.connections.resets[pair] == resets {
-				receiver.deliver(event.Received{From: from.address, Msg: msg})
+				receiver.deliver(event.Received{From: from.address, Message: msg})
 			}
 		})
 	}
--- a/internal/testsupport/simulator/overload_test.go
+++ b/internal/testsupport/simulator/overload_test.go
@@ -50,7 +50,7 @@
 // answered 15 s after the faults: under overload some requests must be rejected.
 func reportOverload(t *testing.T, o Outcome) {
 	t.Helper()
-	o.Counts = slices.DeleteFunc(slices.Clone(o.Counts), func(c checker.RuleResult) bool { return strings.Contains(c.Rule, "15 s after") })
+	o.Results = slices.DeleteFunc(slices.Clone(o.Results), func(c checker.RuleResult) bool { return strings.Contains(c.Rule, "15 s after") })
 	report(t, o)
 }
 
--- a/internal/testsupport/simulator/partitions.go
+++ b/internal/testsupport/simulator/partitions.go
@@ -105,7 +105,7 @@
 // reach it. A proxy, if given, is cut off from the core as well.
 func (w *World) partitionTarget(t *target, proxy *process, d time.Duration) {
 	w.trace("%s is cut off from the core", t.id)
-	w.Checker.NetworkPartitioned()
+	w.Checker.TargetDepartureKnown()
 	isolated := func(name string, _ ids.Name) bool { return name == string(t.id) || proxy != nil && name == proxy.name }
 	w.addPartition(d, &partition{sideA: isolated, sideB: w.coreSide})
 }
--- a/internal/testsupport/simulator/process.go
+++ b/internal/testsupport/simulator/process.go
@@ -101,7 +101,7 @@
 	for _, command := range commands {
 		switch command := command.(type) {
 		case event.Send:
-			p.world.send(p, command.To, command.Msg)
+			p.world.send(p, command.To, command.Message)
 		case event.LogEntry:
 			p.world.trace("%s %s %v", p.name, command.Event, command.Fields)
 		case event.Sync:
--- a/internal/testsupport/simulator/run.go
+++ b/internal/testsupport/simulator/run.go
@@ -12,13 +12,13 @@
 // Outcome is the result of a run.
 type Outcome struct {
 	Seed uint64
-	// Counts are the results of the checker's rules, Violations their sum.
-	Counts     []checker.RuleResult
+	// Results are the results of the checker's rules, Violations their sum.
+	Results    []checker.RuleResult
 	Violations int
-	// Sum is a hash over all lines of the log, kept or not. Two runs with the same
+	// TraceHash is a hash over all lines of the log, kept or not. Two runs with the same
 	// Sum and Events were the same.
-	Sum    uint64
-	Events uint64
+	TraceHash uint64
+	Events    uint64
 	// Responses counts attempts of clients by class, and executions as "runs".
 	Responses map[string]int
 	// Changes counts the accepted configuration changes.
@@ -48,7 +48,7 @@
 func Run(p Options) Outcome {
 	w := NewWorld(p)
 	w.clients.connections = map[string]longLivedConnection{}
-	w.Checker.RetryAllowance = float64(w.Plan.Allowed())
+	w.Checker.RetryAllowance = float64(w.Plan.RetryAllowance())
 	w.build()
 	w.schedule(time.Second, func() { w.sendInitialChange() })
 	w.runUntil(ids.Time(6 * time.Second))
@@ -82,10 +82,10 @@
 // outcome gathers the result.
 func (w *World) outcome() Outcome {
 	out := Outcome{
-		Seed: w.Seed, Counts: w.Checker.Results(), Sum: w.traceHash, Events: w.Events, Responses: w.Checker.CountByClass(time.Unix(0, 0)),
+		Seed: w.Seed, Results: w.Checker.Results(), TraceHash: w.traceHash, Events: w.Events, Responses: w.Checker.CountByClass(time.Unix(0, 0)),
 		Changes: w.Checker.Changes(), Pruned: w.pruned, FaultCounts: w.faultCounts, Log: w.Log, History: w.history.operations(),
 	}
-	for _, c := range out.Counts {
+	for _, c := range out.Results {
 		out.Violations += c.Violations
 	}
 	return out
--- a/internal/testsupport/simulator/scenes_core_partition.go
+++ b/internal/testsupport/simulator/scenes_core_partition.go
@@ -94,7 +94,7 @@
 func callNeedingCore(w *World, i int) (string, func(id uint64) any) {
 	stranger := targets.Target{
 		Instance: "probe", Incarnation: 1, Sequence: ids.Sequence(i + 1), Service: "ledger", Address: "10.99.0.1:80",
-		Zone: w.Plan.Zone(0), Warmth: 1, IntervalMillis: 1000, Gone: true, Leaving: true,
+		Zone: w.Plan.Zone(0), Warmth: 1, IntervalMillis: 1000, Dead: true, Draining: true,
 	}
 	raw := []byte(fmt.Sprintf(`{"id":"probe-%d","changes":[{"kind":"service","name":"none","version":%d,"remove":true}]}`, i, i+1))
 	switch i % 6 {
--- a/internal/testsupport/simulator/simulator_test.go
+++ b/internal/testsupport/simulator/simulator_test.go
@@ -9,7 +9,7 @@
 // report fails the test for every rule that was violated.
 func report(t *testing.T, o Outcome) {
 	t.Helper()
-	for _, c := range o.Counts {
+	for _, c := range o.Results {
 		if c.Violations > 0 {
 			t.Errorf("seed %d: %s: %d, such as %s", o.Seed, c.Rule, c.Violations, c.Sample)
 		}
@@ -41,7 +41,7 @@
 func TestRun_IsDeterminedBySeed(t *testing.T) {
 	is := is.New(t)
 	a, b := Run(Options{Seed: 7}), Run(Options{Seed: 7})
-	is.Equal(a.Sum, b.Sum)
+	is.Equal(a.TraceHash, b.TraceHash)
 	is.Equal(a.Events, b.Events)
-	is.True(a.Sum != Run(Options{Seed: 8}).Sum)
+	is.True(a.TraceHash != Run(Options{Seed: 8}).TraceHash)
 }
--- a/internal/testsupport/simulator/target.go
+++ b/internal/testsupport/simulator/target.go
@@ -96,7 +96,7 @@
 	t.sequence++
 	announcement := targets.Target{
 		Instance: t.id, Incarnation: t.incarnation, Sequence: t.sequence, Service: t.service, Address: t.address, Zone: t.zone,
-		Leaving: t.leaving, Warmth: t.warmth(), Occupancy: int64(t.inFlight), Capacity: int64(t.capacity), IntervalMillis: uint32(announceEvery / time.Millisecond),
+		Draining: t.leaving, Warmth: t.warmth(), Occupancy: int64(t.inFlight), Capacity: int64(t.capacity), IntervalMillis: uint32(announceEvery / time.Millisecond),
 	}
 	generation := t.generation
 	t.lastRegistry = t.world.anyRegistry()
@@ -108,9 +108,9 @@
 		return registry.HeartbeatCall{ID: id, Target: announcement}
 	}, func(registry.Response) {
 		// From here on the core knows that the target is leaving.
-		if t.generation == generation && announcement.Leaving && t.departureKnownAt == 0 {
+		if t.generation == generation && announcement.Draining && t.departureKnownAt == 0 {
 			t.departureKnownAt = t.world.now
-			t.world.Checker.NetworkPartitioned()
+			t.world.Checker.TargetDepartureKnown()
 		}
 	}, nil)
 }
@@ -130,7 +130,7 @@
 	t.inFlight++
 	execution := checker.Execution{
 		At: t.world.wallTime(), Sent: timeOf(sent), Instance: t.id, Service: t.service, Zone: t.zone, Token: request.requestToken, IdempotencyKey: string(request.IdempotencyKey), Attempt: request.attempt, AttemptHidden: request.Job.Attempt == 0,
-		After: t.departureKnownFor(arrived), Route: request.Route, TimeLeft: timeLeft, Proxy: p.name, ProxyZone: p.zone,
+		DepartureKnownFor: t.departureKnownFor(arrived), Route: request.Route, TimeLeft: timeLeft, Proxy: p.name, ProxyZone: p.zone,
 	}
 	t.world.Checker.RequestExecuted(execution)
 	t.world.trace("%s runs %s attempt %d for %s", t.id, request.requestToken, request.attempt, p.name)
--- a/internal/testsupport/simulator/trace.go
+++ b/internal/testsupport/simulator/trace.go
@@ -90,7 +90,7 @@
 func commandKind(c event.Command) string {
 	switch c := c.(type) {
 	case event.Send:
-		return "send:" + kindOf(c.Msg)
+		return "send:" + kindOf(c.Message)
 	case proxy.DispatchEvent:
 		return "dispatch:" + kindOf(c.Event)
 	}
@@ -110,7 +110,7 @@
 // encodeEvent encodes an event as its kind and hexadecimal value.
 func encodeEvent(ev event.Event) (string, error) {
 	if m, ok := ev.(event.Received); ok {
-		raw, err := wire.Encode(m.Msg)
+		raw, err := wire.Encode(m.Message)
 		return fmt.Sprintf("message %s %x", m.From, raw), err
 	}
 	kind := kindOf(ev)
@@ -139,7 +139,7 @@
 	}
 	if kind == "message" {
 		_, msg, err := wire.ReadBytes(raw)
-		return ids.Time(now), event.Received{From: ids.Address(from), Msg: msg}, err
+		return ids.Time(now), event.Received{From: ids.Address(from), Message: msg}, err
 	}
 	t, ok := eventTypes[kind]
 	if !ok {
@@ -170,7 +170,7 @@
 	case event.LogEntry:
 		return out
 	case event.Send:
-		if raw, err := wire.Encode(c.Msg); err == nil {
+		if raw, err := wire.Encode(c.Message); err == nil {
 			return appendBytes(appendBytes(out, []byte(c.To)), raw)
 		}
 	case event.Sync:
--- a/internal/testsupport/simulator/trace_test.go
+++ b/internal/testsupport/simulator/trace_test.go
@@ -88,13 +88,13 @@
 	synced := func(turn uint64, key ids.RegisterKey, value []byte, then ...event.Command) event.Command {
 		return event.Sync{Batch: turn, Records: []event.Record{{Key: key, Value: value}}, After: then}
 	}
-	base := synced(1, "a", []byte{}, event.Send{To: "x", Msg: spill.Report{Number: 1}})
-	is.True(same(base, synced(1, "a", []byte{}, event.Send{To: "x", Msg: spill.Report{Number: 1}})))
-	is.True(!same(base, synced(2, "a", []byte{}, event.Send{To: "x", Msg: spill.Report{Number: 1}})))
-	is.True(!same(base, synced(1, "b", []byte{}, event.Send{To: "x", Msg: spill.Report{Number: 1}})))
-	is.True(!same(base, synced(1, "a", nil, event.Send{To: "x", Msg: spill.Report{Number: 1}})))
-	is.True(!same(base, synced(1, "a", []byte{}, event.Send{To: "y", Msg: spill.Report{Number: 1}})))
-	is.True(!same(base, synced(1, "a", []byte{}, event.Send{To: "x", Msg: spill.Report{Number: 2}})))
+	base := synced(1, "a", []byte{}, event.Send{To: "x", Message: spill.Report{Number: 1}})
+	is.True(same(base, synced(1, "a", []byte{}, event.Send{To: "x", Message: spill.Report{Number: 1}})))
+	is.True(!same(base, synced(2, "a", []byte{}, event.Send{To: "x", Message: spill.Report{Number: 1}})))
+	is.True(!same(base, synced(1, "b", []byte{}, event.Send{To: "x", Message: spill.Report{Number: 1}})))
+	is.True(!same(base, synced(1, "a", nil, event.Send{To: "x", Message: spill.Report{Number: 1}})))
+	is.True(!same(base, synced(1, "a", []byte{}, event.Send{To: "y", Message: spill.Report{Number: 1}})))
+	is.True(!same(base, synced(1, "a", []byte{}, event.Send{To: "x", Message: spill.Report{Number: 2}})))
 	is.True(!same(base, synced(1, "a", []byte{})))
 
 	stock := func(capacity int, limit time.Duration) event.Command {
@@ -120,10 +120,10 @@
 		registry.ChangeCall{Raw: []byte{}},
 		registry.ChangeCall{ID: 3},
 		registry.MergeCall{ID: 4},
-		store.Leave{Within: -time.Second},
+		store.Leave{GracePeriod: -time.Second},
 		proxy.UsageSample{Rows: []spill.ServiceUsage{}, Requests: 9},
 		proxy.UsageSample{LatencyP95: 5},
-		event.Received{From: "x", Msg: spill.Report{Number: 7}},
+		event.Received{From: "x", Message: spill.Report{Number: 7}},
 	} {
 		now, got, err := readEvent(writeEvent(12, ev))
 		is.NoErr(err)
--- a/internal/testsupport/testbed/operator_calls.go
+++ b/internal/testsupport/testbed/operator_calls.go
@@ -111,5 +111,5 @@
 	if err != nil {
 		return checker.Configuration{}, err
 	}
-	return checker.ReadConfiguration(raw)
+	return checker.ParseConfiguration(raw)
 }
--- a/internal/testsupport/testbed/target.go
+++ b/internal/testsupport/testbed/target.go
@@ -117,7 +117,7 @@
 		t.mu.Lock()
 		t.drainedAt = time.Now()
 		t.mu.Unlock()
-		t.Checker.NetworkPartitioned()
+		t.Checker.TargetDepartureKnown()
 	}
 }
 
@@ -129,7 +129,7 @@
 		return
 	}
 	t.unreachableSince.Store(time.Now().UnixNano())
-	t.Checker.NetworkPartitioned()
+	t.Checker.TargetDepartureKnown()
 }
 
 // Freeze stops it for a duration, as SIGSTOP would; its connections stay open.
--- a/internal/testsupport/testbed/target_server.go
+++ b/internal/testsupport/testbed/target_server.go
@@ -92,10 +92,10 @@
 	t.OnExecution(execution.ProxyZone)
 	t.mu.Lock()
 	if !t.drainedAt.IsZero() {
-		execution.After = receivedAt.Sub(t.drainedAt)
+		execution.DepartureKnownFor = receivedAt.Sub(t.drainedAt)
 	}
 	if since := t.unreachableSince.Load(); since != 0 {
-		execution.After = max(execution.After, receivedAt.Sub(time.Unix(0, since))-registrarTimeout)
+		execution.DepartureKnownFor = max(execution.DepartureKnownFor, receivedAt.Sub(time.Unix(0, since))-registrarTimeout)
 	}
 	bearable := max(float64(t.Capacity)*t.warmth(), 1)
 	t.mu.Unlock()
--- a/internal/testsupport/testbed/testbed.go
+++ b/internal/testsupport/testbed/testbed.go
@@ -105,7 +105,7 @@
 	}
 	tb := &Testbed{
 		Fleet:   &Fleet{Plan: plan, Dir: o.Dir, Fixed: o.Fixed, PlanEvery: cmp.Or(o.PlanEvery, defaultPlanInterval), OtherBin: o.OtherBin},
-		Checker: &checker.Checker{RetryAllowance: float64(plan.Allowed())}, Out: o.Out,
+		Checker: &checker.Checker{RetryAllowance: float64(plan.RetryAllowance())}, Out: o.Out,
 	}
 	if o.Relay {
 		tb.relay = &Relay{Delay: tb.latency}
--- a/internal/transport/process/discard.go
+++ b/internal/transport/process/discard.go
@@ -57,7 +57,7 @@
 // Discard counts a message that a machine discarded, and logs the first of its peer
 // and reason.
 func (t *Transport) Discard(d event.Discarded) {
-	t.discard(string(d.From), d.Reason, wire.KindOfMessage(d.Msg), 0, "")
+	t.discard(string(d.From), d.Reason, wire.KindOfMessage(d.Message), 0, "")
 }
 
 func (t *Transport) discard(peer string, reason event.Reason, kind wire.Kind, size int, detail string) {
--- a/internal/transport/process/discard_test.go
+++ b/internal/transport/process/discard_test.go
@@ -64,7 +64,7 @@
 	is := is.New(t)
 	transport, out, _ := startReceiver(t)
 	for _, from := range []ids.Address{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.1:1"} {
-		transport.Discard(event.Discarded{From: from, Reason: event.Unsolicited, Msg: textMessage{}})
+		transport.Discard(event.Discarded{From: from, Reason: event.Unsolicited, Message: textMessage{}})
 	}
 	is.Equal(discardedMessages(transport), uint64(3))
 	is.Equal(out.count("message_discarded"), 2)
