--- a/internal/app/daemon/registry.go
+++ b/internal/app/daemon/registry.go
@@ -87,15 +87,11 @@
 
 // execute carries out a command of the machine.
 func (d *registryDaemon) execute(command event.Command) {
-	switch c := command.(type) {
-	case event.Send:
-		d.transport.Send(c.To, c.Message)
-	case event.LogEntry:
-		d.log.WriteEntry(c)
-	case event.Discarded:
-		d.transport.Discard(c)
-	case registry.Response:
-		d.server.HandleResponse(c)
+	if d.transport.Execute(command) {
+		return
+	}
+	if response, ok := command.(registry.Response); ok {
+		d.server.HandleResponse(response)
 	}
 }
 
--- a/internal/app/daemon/store.go
+++ b/internal/app/daemon/store.go
@@ -115,13 +115,10 @@
 
 // execute carries out a command of the machine.
 func (d *storeDaemon) execute(command event.Command) {
+	if d.transport.Execute(command) {
+		return
+	}
 	switch c := command.(type) {
-	case event.Send:
-		d.transport.Send(c.To, c.Message)
-	case event.LogEntry:
-		d.log.WriteEntry(c)
-	case event.Discarded:
-		d.transport.Discard(c)
 	case event.Sync:
 		d.committer.queue <- c
 	case store.Retire:
--- a/internal/dataplane/proxy/daemon.go
+++ b/internal/dataplane/proxy/daemon.go
@@ -99,13 +99,10 @@
 
 // execute carries out a command of the control machine.
 func (d *Daemon) execute(command event.Command) {
+	if d.transport.Execute(command) {
+		return
+	}
 	switch c := command.(type) {
-	case event.Send:
-		d.transport.Send(c.To, c.Message)
-	case event.LogEntry:
-		d.log.WriteEntry(c)
-	case event.Discarded:
-		d.transport.Discard(c)
 	case DispatchEvent:
 		d.stepDispatcher(c.Service, c.Event)
 	case UpdateRoutes:
--- a/internal/transport/process/transport.go
+++ b/internal/transport/process/transport.go
@@ -141,3 +141,20 @@
 	delete(t.queues, to)
 	return true
 }
+
+// Execute carries out the commands that every machine of a daemon gives: a message to
+// send, a log entry, a message that was discarded. It reports whether the command was one
+// of these; the others are the daemon's own business.
+func (t *Transport) Execute(command event.Command) bool {
+	switch c := command.(type) {
+	case event.Send:
+		t.Send(c.To, c.Message)
+	case event.LogEntry:
+		t.Log.WriteEntry(c)
+	case event.Discarded:
+		t.Discard(c)
+	default:
+		return false
+	}
+	return true
+}
