--- a/internal/controlplane/store/memory_storage_test.go
+++ b/internal/controlplane/store/memory_storage_test.go
@@ -28,9 +28,13 @@
 	return records
 }
 
-// write writes the records of a sync.
+// write carries out the records of a sync, removals too, as the real disk does.
 func (m memoryStorage) write(records []event.Record) {
 	for _, r := range records {
+		if r.Delete {
+			delete(m, r.Key)
+			continue
+		}
 		m[r.Key] = r.Value
 	}
 }
