--- a/internal/dataplane/dispatch/messages.go
+++ b/internal/dataplane/dispatch/messages.go
@@ -9,47 +9,47 @@
 	"dunlinwell/internal/state/idempotency"
 )
 
-// Job is a client's request as far as load balancing needs it: its identity, its
-// route's rules and its deadline, without headers and body.
+// Job describes a client's request for load balancing: its identity, its route's rules and
+// its deadline, without headers and body.
 type Job struct {
 	ID      ids.RequestID
 	Route   ids.Name
 	Service ids.Name
-	// Tier is ten times the route's tier plus its service's (0 to 9 each, so 0 to 99);
-	// higher ones leave the queue first.
+	// Tier is the priority in the queue, highest first: ten times the route's tier plus
+	// the service's tier, each from 0 to 9.
 	Tier int
-	// Repeatable requests may run several times, so they may be retried after any failure.
+	// Repeatable marks a request that may run several times, and so may be retried after
+	// any failure.
 	Repeatable bool
-	// IdempotencyKey names the client's operation. It is unset in requests that are
+	// IdempotencyKey identifies the client's operation. It is empty for requests that are
 	// Repeatable or AtMostOnce.
 	IdempotencyKey ids.IdempotencyKey
-	// Attempt is the client's number for this attempt of the operation, from 1; 0 if
-	// the client doesn't number its attempts.
+	// Attempt is the client's number for this attempt of the operation, starting at 1; 0
+	// if the client doesn't number its attempts.
 	Attempt uint32
-	// Fingerprint is a digest of method, URI (path and query) and body. A key that is
-	// used again with another fingerprint is a client error.
+	// Fingerprint is a digest of method, URI (path and query) and body. Reusing a key with
+	// a different fingerprint is a client error.
 	Fingerprint []byte
 	Deadline    ids.Time
-	// AtMostOnce marks a request that isn't repeatable and has no idempotency key. It
-	// reaches this proxy alone, so the dispatcher can ensure by itself that at most one
-	// target begins it.
+	// AtMostOnce marks a request that isn't repeatable and has no idempotency key. Only
+	// this proxy receives it, so the dispatcher alone ensures that at most one target
+	// starts it.
 	AtMostOnce bool
-	// LatencyGoal is the time within which a response is worth most to the client;
-	// 0 if the route has none.
+	// LatencyGoal is the response time that the route aims for; 0 if it has none.
 	LatencyGoal time.Duration
-	// MaxAttempts is how often bytes of the request may leave for a target. Routes of a
-	// configuration always name one; with 0 defaultMaxAttempts holds, which counts
-	// otherwise (see attemptsExhausted).
+	// MaxAttempts is the maximum number of attempts that send bytes to a target. Configured
+	// routes always set it; with 0, defaultMaxAttempts applies, which counts failed attempts
+	// instead (see attemptsExhausted).
 	MaxAttempts int
-	// Homes are the regions whose targets may serve the request; empty for all.
+	// Homes lists the regions whose targets may serve the request; empty for all.
 	Homes []ids.Name
-	// Terms are the route's rules as of the request's arrival. The request isn't
-	// forwarded once others are in force.
+	// Terms are the route's rules at the time of arrival. The request isn't forwarded once
+	// they have changed.
 	Terms RouteTerms
 }
 
-// RouteTerms are the rules of a route that a request relies on. They are compared when
-// the request is about to be forwarded: if they have changed since, it is rejected.
+// RouteTerms are the rules of a route under which a request is accepted. A request whose
+// route's terms have changed by the time it is forwarded is rejected.
 type RouteTerms struct {
 	Host       string
 	Prefix     string
@@ -58,7 +58,7 @@
 	TimeLimit  time.Duration
 }
 
-// ResponseClass says what a client may conclude from a response. The classes are never mixed.
+// ResponseClass says what a client may conclude from a response about its request.
 type ResponseClass uint8
 
 const (
@@ -66,83 +66,82 @@
 	Rejected ResponseClass = iota + 1
 	// Unknown means that the request may have run.
 	Unknown
-	// Answered means that the response is a target's own, complete one.
+	// Answered means that the response is a complete response from a target.
 	Answered
-	// ClientError means that the client made a mistake that it must mend itself.
+	// ClientError means that the request is invalid and the client must correct it.
 	ClientError
 )
 
-// AttemptResult says how one forwarded attempt ended.
+// AttemptResult is the result of one forwarded attempt.
 type AttemptResult uint8
 
 const (
 	// NotSent means that no byte of the request left this proxy.
 	NotSent AttemptResult = iota + 1
-	// MayHaveRun means that bytes left and no complete response came.
+	// MayHaveRun means that bytes were sent and no complete response was received.
 	MayHaveRun
-	// Complete means that a complete response with a verified digest came.
+	// Complete means that a complete response with a verified digest was received.
 	Complete
-	// NotExecuted means that the target states that it hasn't run the request and won't.
+	// NotExecuted means that the target stated that it hasn't run the request and won't.
 	NotExecuted
-	// WrongTarget means that another target has the address now, and states that it
+	// WrongTarget means that another target now has the address, and stated that it
 	// hasn't run the request.
 	WrongTarget
-	// TargetFailed is a complete response that reports a failure of the target itself,
-	// so that another target may succeed.
+	// TargetFailed means that a complete response reported a failure of the target itself,
+	// so another target may succeed.
 	TargetFailed
 )
 
-// The events of a dispatcher, besides ServiceState and event.Tick.
+// The events of a dispatcher, in addition to ServiceState and event.Tick.
 type (
-	// RequestArrived brings a new request.
+	// RequestArrived delivers a new request.
 	RequestArrived struct{ Job Job }
 
 	// IdempotencyReply is the result of an IdempotencyCall.
 	IdempotencyReply struct {
 		ID ids.RequestID
-		// Sequence is that of the call. A reply to any but the request's latest call
-		// is ignored.
+		// Sequence is copied from the call. Only the reply to a request's latest call is
+		// processed.
 		Sequence uint32
 		Outcome  consensus.Outcome
-		// Payload is an encoded idempotency.Record after a read, and an encoded
-		// idempotency.Result after any other operation.
+		// Payload is an encoded idempotency.Record for a read, and an encoded
+		// idempotency.Result for any other operation.
 		Payload []byte
 	}
 
 	// AttemptFinished reports the end of a forwarded attempt.
 	AttemptFinished struct {
 		ID ids.RequestID
-		// Sequence is that of the Forward command. Any other is ignored.
+		// Sequence is copied from the Forward command. Only the report on a request's
+		// latest attempt is processed.
 		Sequence uint32
 		Result   AttemptResult
 		Response idempotency.Response
-		// Reason explains a failure; clients and operators see it.
+		// Reason explains a failure to clients and operators.
 		Reason string
-		// LoadReported is set if the target reported its load, in Running and Waiting
-		// requests and in Slots.
+		// LoadReported is set if the target reported its load: the number of Running and
+		// Waiting requests, and its Slots.
 		LoadReported            bool
 		Running, Waiting, Slots int64
 	}
 
-	// ClientDisconnected reports that a request's client has gone, so that nobody waits
-	// for the response any more. A request that has its response is not affected.
+	// ClientDisconnected reports that a request's client has disconnected. It has no effect
+	// on a request that already has its response.
 	ClientDisconnected struct{ ID ids.RequestID }
 
-	// TermsUpdated replaces the rules of the service's routes, without the rest of the
-	// ServiceState at hand.
+	// TermsUpdated replaces the route terms of the current ServiceState, and nothing else.
 	TermsUpdated struct{ Terms map[ids.Name]RouteTerms }
 
-	// LeaseUpdated replaces the time until which requests may be forwarded by the
-	// service state at hand.
+	// LeaseUpdated replaces the expiry time of the lease on the current ServiceState.
 	LeaseUpdated struct{ ExpiresAt ids.Time }
 )
 
 // The commands of a dispatcher.
 type (
-	// IdempotencyCall asks for an operation on the register of an idempotency key.
+	// IdempotencyCall requests an operation on the register of an idempotency key.
 	IdempotencyCall struct {
 		ID ids.RequestID
-		// Sequence is repeated in the reply; with 0 no reply is wanted.
+		// Sequence is copied into the reply; 0 if no reply is needed.
 		Sequence  uint32
 		Key       ids.RegisterKey
 		Op        consensus.Op
@@ -150,41 +149,41 @@
 		Timeout   time.Duration
 	}
 
-	// Forward sends a request to a target, once.
+	// Forward sends a request to a target once.
 	Forward struct {
 		ID       ids.RequestID
 		Sequence uint32
 		Target   targets.Target
 		Deadline ids.Time
-		// SendBefore is the last moment at which the request's first byte may leave.
+		// SendBefore is the deadline for sending the request's first byte.
 		SendBefore ids.Time
-		// RecentOnly restricts the pooled connections to one that was in use a moment
-		// ago: what is lost on a dead connection can't be sent again.
+		// RecentOnly restricts the choice of pooled connections to recently used ones: a
+		// request lost on a dead connection can't be sent again.
 		RecentOnly bool
-		// NewConnection asks for a new connection, whose target has just identified itself.
+		// NewConnection requires a new connection, on which the target identifies itself.
 		NewConnection bool
 	}
 
-	// CancelForward ends a request's attempt at a target, as its client has gone. Its
-	// AttemptFinished still follows, with whatever result it has by then.
+	// CancelForward cancels a request's attempt at a target, as its client has disconnected.
+	// An AttemptFinished still follows, with the result of the attempt so far.
 	CancelForward struct {
 		ID       ids.RequestID
 		Sequence uint32
-		// EvenIfSent ends an attempt of which bytes have left as well, by closing its
-		// connection. Without it only an attempt that wasn't sent yet ends, as NotSent.
+		// EvenIfSent also cancels an attempt of which bytes were sent, by closing its
+		// connection. Otherwise only an unsent attempt is canceled, with result NotSent.
 		EvenIfSent bool
 	}
 
-	// Response is the one response to a client's request.
+	// Response is the only response to a client's request.
 	Response struct {
 		ID     ids.RequestID
 		Class  ResponseClass
 		Status int
-		// Reason explains a response that isn't a target's own.
+		// Reason explains a response that the dispatcher generated.
 		Reason string
-		// RetryAfter is when the client should try again; 0 to leave that unsaid.
+		// RetryAfter is how long the client should wait before it retries; 0 for no advice.
 		RetryAfter time.Duration
-		// TargetResponse is the target's response, of class Answered.
+		// TargetResponse is the target's response if Class is Answered.
 		TargetResponse idempotency.Response
 	}
 )
