--- a/internal/dataplane/dispatch/dispatcher.go
+++ b/internal/dataplane/dispatch/dispatcher.go
@@ -11,68 +11,68 @@
 	"dunlinwell/internal/state/idempotency"
 )
 
-// Options are the settings of a dispatcher that stay for its life.
+// Options are the fixed settings of a dispatcher.
 type Options struct {
-	// Self is the proxy's run, which owns the claims of idempotency keys. Its Request is
-	// filled in for each claim.
+	// Self identifies the run of this proxy as the owner of its claims of idempotency keys.
+	// Its Request field is set for each claim.
 	Self idempotency.Owner
-	// Random draws among equally good targets.
+	// Random breaks ties between targets.
 	Random *rand.Rand
-	// QueueLimit is the most requests that may wait in the queue; 0 for defaultQueueLimit.
+	// QueueLimit is the maximum number of queued requests; 0 for defaultQueueLimit.
 	QueueLimit int
 }
 
 const (
-	// defaultQueueLimit is the QueueLimit of Options that name none.
+	// defaultQueueLimit is used if Options.QueueLimit is 0.
 	defaultQueueLimit = 128
 	// initialResponseTime is the mean response time assumed before the first response.
 	initialResponseTime = 20 * time.Millisecond
-	// responseTimeSmoothing is the divisor of the moving average of response times: the
-	// newest counts for an eighth.
+	// responseTimeSmoothing is the inverse weight of the newest sample in the exponential
+	// moving average of response times.
 	responseTimeSmoothing = 8
 )
 
 // Dispatcher is the load balancer of one service at one proxy, as a state machine. It is
-// not safe for concurrent use: its owner holds a short lock around Step, and carries
-// the commands out after releasing it.
+// not safe for concurrent use: the caller holds a lock around Step, and executes the
+// commands after releasing it.
 type Dispatcher struct {
 	event.Outbox
 	Options
 	service        ServiceState
 	leaseExpiresAt ids.Time
-	// jobs are all requests without a response yet; queue are those of them in the
-	// state queued, most urgent first.
+	// jobs contains all requests without a response; queue contains those in state queued,
+	// most urgent first.
 	jobs  map[ids.RequestID]*job
 	queue []*job
-	// endpoints includes targets that were removed and still have requests in flight.
+	// endpoints also contains removed targets that still have requests in flight.
 	endpoints map[ids.InstanceID]*endpoint
-	// sortedEndpoints are endpoints by instance; candidates is scratch space of each
-	// choice of a target.
+	// sortedEndpoints contains the endpoints sorted by instance; candidates is a buffer
+	// reused by nearestCandidates.
 	sortedEndpoints []*endpoint
 	candidates      []*endpoint
 	retryBudget     retryBudget
-	// longestTimeout is, by route, the longest time that clients give their requests.
+	// longestTimeout is the longest recent client timeout of each route (checkGoalReachable).
 	longestTimeout map[ids.Name]time.Duration
 	// meanResponseTime is a moving average over all targets.
 	meanResponseTime time.Duration
 	lastTickAt       ids.Time
 	Counters         Counters
-	// failureReasons counts why requests got no response of a target.
+	// failureReasons counts rejected and unknown responses by reason.
 	failureReasons map[string]int
 }
 
-// Counters count what a dispatcher did since its start, for metrics and reports.
+// Counters are a dispatcher's totals since its start, for metrics and reports.
 type Counters struct {
 	// Replayed counts requests that got the stored response of an earlier attempt.
 	Arrived, Rejected, Unknown, Answered, Forwarded, Retried, Replayed uint64
-	// ClientDisconnects counts requests whose client went away before their response.
+	// ClientDisconnects counts requests whose client disconnected before the response.
 	ClientDisconnects uint64
-	// CrossZone and CrossRegion count those of Forwarded that went to another zone of
-	// the proxy's region, and to another region.
+	// CrossZone and CrossRegion count the forwarded requests that went to another zone of
+	// the proxy's region and to another region.
 	CrossZone, CrossRegion uint64
 }
 
-// New returns a dispatcher that knows no targets yet and rejects what arrives.
+// New returns a dispatcher without targets. It rejects requests until it gets a ServiceState.
 func New(options Options) *Dispatcher {
 	if options.QueueLimit == 0 {
 		options.QueueLimit = defaultQueueLimit
@@ -86,7 +86,7 @@
 	}
 }
 
-// Step applies an event and returns the commands that follow from it, in order.
+// Step applies an event and returns the resulting commands in order.
 func (d *Dispatcher) Step(now ids.Time, ev event.Event) []event.Command {
 	switch e := ev.(type) {
 	case RequestArrived:
@@ -110,13 +110,14 @@
 	return d.Drain()
 }
 
-// QueueLength returns the number of requests that wait for a slot.
+// QueueLength returns the number of requests waiting for a slot.
 func (d *Dispatcher) QueueLength() int { return len(d.queue) }
 
-// JobCount returns the number of requests without a response yet.
+// JobCount returns the number of requests without a response.
 func (d *Dispatcher) JobCount() int { return len(d.jobs) }
 
-// onTick ends waits that ran out of time, reads awaited records again, and reviews the queue.
+// onTick ends expired waits for other attempts, polls the records of pending ones, prunes the
+// queue and assigns free slots.
 func (d *Dispatcher) onTick(now ids.Time) {
 	d.lastTickAt = now
 	for _, id := range d.sortedJobIDs() {
@@ -133,7 +134,7 @@
 	d.dispatchQueue(now)
 }
 
-// sortedJobIDs returns the ids of all jobs in order, so that equal runs take equal decisions.
+// sortedJobIDs returns the IDs of all jobs in order, which keeps decisions deterministic.
 func (d *Dispatcher) sortedJobIDs() []ids.RequestID { return slices.Sorted(maps.Keys(d.jobs)) }
 
 // countForward counts a forwarded request by the distance to its target.
--- a/internal/dataplane/dispatch/job.go
+++ b/internal/dataplane/dispatch/job.go
@@ -14,35 +14,34 @@
 	// readingRecord waits for the record of the idempotency key, as an earlier attempt
 	// may have completed.
 	readingRecord jobState = iota + 1
-	// numberingAttempt waits for the register to number an attempt that its client didn't.
+	// numberingAttempt waits for the register to assign the number of an attempt.
 	numberingAttempt
-	// waitingForOwner waits for another attempt, whose claim stands, to complete.
+	// waitingForOwner waits for the attempt that holds the claim to complete.
 	waitingForOwner
 	// queued waits for a free slot at a target.
 	queued
 	// claimingKey holds a slot and waits for the claim of the idempotency key.
 	claimingKey
-	// forwarding waits for the target.
+	// forwarding waits for the target's response.
 	forwarding
-	// storingOutcome has the response and waits until it is stored under the key.
+	// storingOutcome has a response and waits until it is stored under the key.
 	storingOutcome
-	// blockingAttempts is about to be rejected, and waits until earlier attempts are
-	// blocked from running after that.
+	// blockingAttempts waits until earlier attempts are blocked, before the job is rejected.
 	blockingAttempts
 )
 
-// The time-outs of calls to the register of an idempotency key; but for
-// backgroundTimeout, calls end at the request's deadline at the latest.
+// Timeouts of calls to the register of an idempotency key. All but backgroundTimeout are
+// shortened to the request's deadline, but not below minRegisterTimeout.
 const (
-	// registerTimeout bounds calls without whose reply the request can't go on.
+	// registerTimeout is the timeout of calls whose reply the request needs to proceed.
 	registerTimeout = 2 * time.Second
-	// responseHeldTimeout bounds calls that hold back a response which is known already.
+	// responseHeldTimeout is the timeout of calls that delay a response already known.
 	responseHeldTimeout = 500 * time.Millisecond
-	// backgroundTimeout bounds calls whose reply nobody waits for.
+	// backgroundTimeout is the timeout of calls whose reply isn't needed.
 	backgroundTimeout = 10 * time.Second
-	// minRegisterTimeout is given to each call, also where less time is left to the request.
+	// minRegisterTimeout is the shortest timeout of a call, even close to the deadline.
 	minRegisterTimeout = 50 * time.Millisecond
-	// ownerPollInterval is how often a request that waits for another attempt reads the record.
+	// ownerPollInterval is how often a request waiting for another attempt reads the record.
 	ownerPollInterval = 100 * time.Millisecond
 )
 
@@ -50,50 +49,49 @@
 type job struct {
 	Job
 	state jobState
-	// sequence numbers the commands whose reply is awaited. Replies with another number
-	// are late ones, and ignored.
+	// sequence is the number of the latest command that expects a reply. Replies with
+	// another number are stale and ignored.
 	sequence uint32
-	// failedAttempts counts attempts that were not sent, and those after which a retry
-	// was considered (takeRetry), a TargetFailed response among them.
+	// failedAttempts counts unsent attempts and those after which a retry was considered
+	// (takeRetry), including TargetFailed responses.
 	failedAttempts int
-	// timesSent counts attempts of which bytes left this proxy. It is raised with the
-	// Forward, and lowered again if that turns out as NotSent.
+	// timesSent counts attempts of which bytes were sent. It is incremented with each
+	// Forward, and decremented if the result is NotSent.
 	timesSent int
-	// target is where the job holds a slot; empty for none.
+	// target is the target at which the job holds a slot; empty for none.
 	target       ids.InstanceID
 	triedTargets map[ids.InstanceID]bool
-	// claimRequested is set once a claim was asked for, which may stand since.
+	// claimRequested is set once a claim was requested, so the job may hold it.
 	claimRequested bool
-	// budgetCounted is set once the request has been counted by the retry budget, and
-	// budgetEarned if that was as a deposit. Both are reset when no byte left, and the
-	// deposit is cancelled.
+	// budgetCounted is set once the request was counted in the retry budget, and
+	// budgetEarned if it was counted as a deposit. Both are reset if the request made a
+	// deposit but wasn't sent.
 	budgetCounted bool
 	budgetEarned  bool
-	// recheckAt is when a job waiting for another attempt reads the record again.
+	// recheckAt is when a job in state waitingForOwner reads the record again.
 	recheckAt ids.Time
-	// queuedAt is when the job entered the queue for the first time.
+	// queuedAt is when the job was first queued.
 	queuedAt    ids.Time
 	forwardedAt ids.Time
-	// rejectReason is kept while earlier attempts are being blocked.
+	// rejectReason is the reason to report once earlier attempts are blocked.
 	rejectReason string
 	// goalUnreachable is set if the latency goal was out of reach at arrival.
 	goalUnreachable bool
-	// clientDisconnected is set once the client has gone, and cancelRequested if its
-	// attempt was canceled for that.
+	// clientDisconnected is set once the client has disconnected, and cancelRequested if
+	// the running attempt was canceled for that reason.
 	clientDisconnected bool
 	cancelRequested    bool
-	// response is what is stored under the idempotency key.
+	// response is the response to store under the idempotency key.
 	response idempotency.Response
 }
 
-// requiresIdempotencyKey tells whether the request runs once by a claim of its idempotency
-// key, in a replicated register. The proxy has rejected it if it came without a key.
+// requiresIdempotencyKey reports whether the request may run only under a claim of its
+// idempotency key in a replicated register. The proxy rejects such requests without a key.
 func (j *job) requiresIdempotencyKey() bool { return !j.Repeatable && !j.AtMostOnce }
 
-// onRequestArrived takes in a new request. One with an idempotency key that may be a
-// later attempt first learns whether an earlier one completed: a stored response comes
-// before any rejection. Of an attempt that the client numbered 1 nothing is read before
-// the claim.
+// onRequestArrived starts handling a new request. If a request with an idempotency key may
+// be a later attempt, the record is read first: a stored response takes precedence over any
+// rejection. An attempt that the client numbered 1 reads nothing before its claim.
 func (d *Dispatcher) onRequestArrived(now ids.Time, request Job) {
 	j := &job{Job: request, triedTargets: map[ids.InstanceID]bool{}}
 	d.jobs[request.ID] = j
@@ -101,8 +99,8 @@
 	d.Counters.Arrived++
 	if j.Attempt == 0 {
 		if j.requiresIdempotencyKey() {
-			// Without a number, this attempt couldn't be told from those that it
-			// must be fenced against.
+			// Without a number, this attempt couldn't be distinguished from the earlier
+			// ones that it must block.
 			d.callIdempotency(now, j, idempotency.OpNumberAttempt, numberingAttempt, registerTimeout)
 			return
 		}
--- a/internal/dataplane/dispatch/service_state.go
+++ b/internal/dataplane/dispatch/service_state.go
@@ -9,63 +9,63 @@
 	"dunlinwell/internal/controlplane/targets"
 )
 
-// ServiceState is all that a dispatcher knows of its service. It is an event, sent whole
-// whenever targets, configuration or the number of proxies change.
+// ServiceState is the event that replaces all of a dispatcher's information about its
+// service. It is sent whenever the targets, the configuration or the number of proxies change.
 type ServiceState struct {
 	Targets []Allocation
-	// DefaultCapacity is the number of slots of a target that names no capacity itself.
+	// DefaultCapacity is the number of slots of a target with no capacity of its own.
 	DefaultCapacity int
-	// SlowStartDuration is how long a restarted target takes to ramp up to its
-	// capacity; 0 to leave the ramp to the target's own Warmth. Targets of a service
-	// with a slow-start rate come with an age beyond it, so that only the rate holds.
+	// SlowStartDuration is how long a restarted target takes to ramp up to its capacity; 0
+	// to use only the Warmth that the target reports. Targets of a service with a
+	// slow-start rate are passed with an age beyond it, so that only the rate applies.
 	SlowStartDuration time.Duration
 	// RetryBudget is the capacity of this proxy's retry budget, in retries.
 	RetryBudget float64
-	// IsCurrent tells that the state was confirmed at least once since the process
-	// started or woke from a freeze. While it is unset nothing is forwarded. How long a
-	// confirmation holds is LeaseExpiresAt's to say.
+	// IsCurrent is set if the state was confirmed at least once since the process started
+	// or resumed after a freeze. Nothing is forwarded while it is unset. LeaseExpiresAt
+	// limits how long a confirmation is valid.
 	IsCurrent bool
-	// OwnZoneDrained is set once the proxy's own zone has been drained for some
-	// seconds (proxy.zoneDrainDelay). Nothing is forwarded then; jobs that wait are
-	// rejected as well.
+	// OwnZoneDrained is set once the proxy's own zone has been drained for some seconds
+	// (proxy.zoneDrainDelay). Nothing is forwarded then, and waiting jobs are rejected.
 	OwnZoneDrained bool
-	// LeaseExpiresAt is until when requests may be forwarded by this state.
+	// LeaseExpiresAt is the time until which requests may be forwarded based on this state.
 	LeaseExpiresAt ids.Time
-	// Terms are the rules of each route in force.
+	// Terms are the current terms of each route.
 	Terms map[ids.Name]RouteTerms
-	// RunEnded tells whether a run of a daemon is over, so that its claims will never
+	// RunEnded reports whether a run of a daemon has ended, so that its claims will never
 	// be completed. It may be nil.
 	RunEnded func(ids.DaemonID, ids.RunID) bool `json:"-"`
 }
 
-// Allocation is a target and the part of its slots that this proxy may use.
+// Allocation is a target and the share of its slots that this proxy may use.
 type Allocation struct {
 	targets.Target
-	// AgeMeasuredAt is when the target's AgeMillis was right.
+	// AgeMeasuredAt is the time at which the target had the age AgeMillis.
 	AgeMeasuredAt ids.Time
 	// SlotShareIndex is this proxy's index among the SlotShareCount proxies that divide
-	// the target's slots. A count of 0 counts as 1.
+	// the target's slots. A count of 0 is treated as 1.
 	SlotShareIndex, SlotShareCount int
-	// Distance is 0 to targets of the proxy's own zone, up to 1 within its region, and
-	// more to others.
+	// Distance is 0 for targets in the proxy's own zone, up to 1 for those in its region,
+	// and more for others.
 	Distance float64
-	// ZoneDrained tells that the target's zone is drained or evacuated: it gets no requests.
+	// ZoneDrained is set if the target's zone is drained or evacuated. The target gets no
+	// requests then.
 	ZoneDrained bool
-	// Oversubscription is how many times the target's slots are divided among the
-	// proxies; 0 counts as 1. With 2, each may use what another leaves free, and the
-	// target's own short queue takes what they send at the same moment.
+	// Oversubscription is how many times the target's slots are divided among the proxies;
+	// 0 is treated as 1. With 2, proxies can use slots that others leave free, and the
+	// target's own short queue absorbs simultaneous requests.
 	Oversubscription int
-	// Region is the target's.
+	// Region is the target's region.
 	Region ids.Name
-	// SlowStartUntil is until when the target gets no more than SlowStartRate requests
-	// a second from this proxy; with a rate of 0, none. It is 0 for services without a
-	// slow-start rate.
+	// SlowStartUntil is the end of the target's slow start, during which this proxy sends it
+	// at most SlowStartRate requests per second; with a rate of 0, none. It is 0 for
+	// services without a slow-start rate.
 	SlowStartUntil ids.Time
 	SlowStartRate  float64
 }
 
-// onServiceState replaces the service's state. A target that isn't part of it any more
-// is removed once its last request has ended.
+// onServiceState replaces the service state. A target that is no longer part of it is deleted
+// once its last request has ended.
 func (d *Dispatcher) onServiceState(now ids.Time, state ServiceState) {
 	d.service, d.leaseExpiresAt = state, state.LeaseExpiresAt
 	d.retryBudget.capacity = state.RetryBudget
@@ -88,7 +88,7 @@
 			delete(d.endpoints, id)
 		}
 	}
-	// Sorted, so that the same random source gives the same choices.
+	// Sorted to keep choices deterministic for a given random source.
 	d.sortedEndpoints = d.sortedEndpoints[:0]
 	for _, id := range slices.Sorted(maps.Keys(d.endpoints)) {
 		d.sortedEndpoints = append(d.sortedEndpoints, d.endpoints[id])
