--- a/internal/dataplane/dispatch/balancer.go
+++ b/internal/dataplane/dispatch/balancer.go
@@ -7,28 +7,27 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// The largest distances (Allocation.Distance) that count as the proxy's own zone, and as
-// its own region.
+// The maximum distances (Allocation.Distance) within the proxy's own zone and its own region.
 const (
 	sameZoneDistance   = 0
 	sameRegionDistance = 1
 )
 
-// The parts of its latency goal that a job waits for a slot in its own zone before it
-// takes one in the region, and for one in the region before it takes one beyond.
+// The fractions of its latency goal for which a job waits for a slot in the proxy's own zone
+// and in its own region, before it may spill over to targets farther away.
 const (
 	sameZoneWaitShare   = 0.04
 	sameRegionWaitShare = 0.15
 )
 
-// mayServe tells whether a target is available and in one of a job's regions.
+// mayServe reports whether a target is available and in one of a job's regions.
 func mayServe(e *endpoint, j *job) bool {
 	return e.isAvailable() && (len(j.Homes) == 0 || slices.Contains(j.Homes, e.Region))
 }
 
-// maxDistance returns how far away a job's target may be by now. Another zone costs time
-// and traffic that a short wait for a slot nearby doesn't; if there is no target nearby
-// that could serve the job, there is nothing to wait for.
+// maxDistance returns the maximum distance of a job's target, which grows with the time that
+// the job has waited: a short wait for a nearby slot costs less than cross-zone latency and
+// traffic. There is no wait for a zone or region without a ready target.
 func (d *Dispatcher) maxDistance(now ids.Time, j *job) float64 {
 	if j.LatencyGoal == 0 {
 		return math.Inf(1)
@@ -50,9 +49,9 @@
 	return math.Inf(1)
 }
 
-// pickEndpoint chooses a target with a free slot, or returns nil: in the nearest zone that
-// has one, the least occupied target for a job with a latency goal, and else the less
-// occupied of two random ones.
+// pickEndpoint chooses among the nearest targets with a free slot, or returns nil if there are
+// none: the least occupied target for a job with a latency goal, otherwise the less occupied
+// of two random ones.
 func (d *Dispatcher) pickEndpoint(now ids.Time, j *job) *endpoint {
 	candidates := d.nearestCandidates(now, j)
 	if len(candidates) == 0 {
@@ -68,11 +67,11 @@
 	return a
 }
 
-// nearestCandidates returns the targets with a free slot for a job that are equally good:
-// all ready, or none of them, and all equally near. The result is valid until the next call.
+// nearestCandidates returns the nearest targets with a free slot for a job, only ready ones if
+// there are any. All have the same distance. The result is valid until the next call.
 func (d *Dispatcher) nearestCandidates(now ids.Time, j *job) []*endpoint {
 	candidates, candidatesReady := d.candidates[:0], false
-	// Once all targets were tried, the same one may be tried again.
+	// Once all targets have been tried, they may be tried again.
 	skipTried := len(j.triedTargets) == 0 || slices.ContainsFunc(d.sortedEndpoints, func(e *endpoint) bool {
 		return mayServe(e, j) && !j.triedTargets[e.Instance]
 	})
@@ -81,7 +80,7 @@
 		if (skipTried && j.triedTargets[e.Instance]) || !mayServe(e, j) || e.Distance > maxDistance {
 			continue
 		}
-		// Asking for slow start refills the bucket, so it is asked last.
+		// slowStartAllows is called last, as it refills the token bucket.
 		if e.inFlight >= d.slotShare(now, e.Allocation) || !e.slowStartAllows(now) {
 			continue
 		}
@@ -97,7 +96,7 @@
 	return candidates
 }
 
-// leastOccupied returns the least occupied candidate; of several, a random one.
+// leastOccupied returns the least occupied candidate, with ties broken randomly.
 func (d *Dispatcher) leastOccupied(now ids.Time, candidates []*endpoint) *endpoint {
 	var best *endpoint
 	lowest, ties := 0.0, 0
@@ -106,7 +105,7 @@
 		case best == nil || occupancy < lowest:
 			best, lowest, ties = e, occupancy, 1
 		case occupancy == lowest:
-			// Each of n equal ones is kept with probability 1/n.
+			// Reservoir sampling: each of n ties is chosen with probability 1/n.
 			if ties++; d.Random.IntN(ties) == 0 {
 				best = e
 			}
@@ -115,8 +114,9 @@
 	return best
 }
 
-// occupancy returns how full a target is, where 1 is full: the larger of this proxy's use
-// of its share, the target's heartbeat, and the load reported with its responses.
+// occupancy returns how full a target is, where 1 is full: the maximum of this proxy's use of
+// its slot share, the occupancy in the target's heartbeat, and the load reported with its
+// responses.
 func (d *Dispatcher) occupancy(now ids.Time, e *endpoint) float64 {
 	occupancy := float64(e.inFlight) / float64(max(d.slotShare(now, e.Allocation), 1))
 	if e.Capacity > 0 {
--- a/internal/dataplane/dispatch/endpoint.go
+++ b/internal/dataplane/dispatch/endpoint.go
@@ -6,35 +6,35 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// endpoint is the load-balancing state of one target: requests in flight, cooldown after
-// a failure, slow start, reported load and outlier ejection.
+// endpoint is the load-balancing state of one target: requests in flight, cooldown, slow
+// start, reported load and outlier ejection.
 type endpoint struct {
 	Allocation
-	// inFlight counts the slots in use by this proxy.
+	// inFlight is the number of slots in use by this proxy.
 	inFlight int
-	// cooldownUntil is until when other targets are preferred, for a cooldown after a
-	// failure or for an ejection.
+	// cooldownUntil is the end of a cooldown or an ejection; other targets are preferred
+	// until then.
 	cooldownUntil ids.Time
-	// removed is set while the target isn't part of the service state.
+	// removed is set while the target is missing from the service state.
 	removed bool
-	// lastResponseAt is when a request last came back from the target, or, if none was in
-	// flight before, when the oldest one in flight left.
+	// lastResponseAt is when an attempt last ended without being canceled. A request that
+	// starts with no others in flight sets it to the start time minus silentFor.
 	lastResponseAt ids.Time
-	// silentFor is for how long the target hadn't responded when its last request was
-	// canceled; 0 once it has responded.
+	// silentFor is how long the target hadn't responded when the last request was canceled;
+	// 0 after a response.
 	silentFor time.Duration
-	// slowStartTokens is a token bucket of one request at most that bounds the rate
-	// until SlowStartUntil.
+	// slowStartTokens is the level of a token bucket with a capacity of one request, which
+	// limits the request rate until SlowStartUntil.
 	slowStartTokens  float64
 	tokensRefilledAt ids.Time
-	// reportedLoad is the target's last report: requests running and waiting, divided
-	// by its slots.
+	// reportedLoad is the load that the target last reported: running and waiting requests
+	// divided by slots.
 	reportedLoad   float64
 	loadReportedAt ids.Time
 	outlierDetector
 }
 
-// startRequest counts a request that takes a slot.
+// startRequest takes a slot for a request.
 func (e *endpoint) startRequest(now ids.Time) {
 	if e.inFlight == 0 {
 		e.lastResponseAt = now.Add(-e.silentFor)
@@ -45,34 +45,34 @@
 	}
 }
 
-// endRequest counts a request off that came back from the target.
+// endRequest releases the slot of a request that wasn't canceled.
 func (e *endpoint) endRequest(now ids.Time) {
 	e.inFlight--
 	e.lastResponseAt, e.silentFor = now, 0
 }
 
-// cancelRequest counts a request off that was canceled. The target hasn't responded by that:
-// a silent target whose clients all leave soon must not look like one that answers.
+// cancelRequest releases the slot of a canceled request. A cancellation isn't a response:
+// an unresponsive target must be detected even if all its clients disconnect early.
 func (e *endpoint) cancelRequest(now ids.Time) {
 	e.inFlight--
 	e.silentFor = now.Sub(e.lastResponseAt)
 }
 
 const (
-	// failureCooldown follows a failed connection or a lost response.
+	// failureCooldown applies after a failed connection or a lost response.
 	failureCooldown = time.Second
-	// overloadCooldown follows a request that the target didn't run. It is short, as a
-	// target that was merely full soon has a free slot again.
+	// overloadCooldown applies after a target didn't run a request. It is short, as a full
+	// target soon has a free slot again.
 	overloadCooldown = 100 * time.Millisecond
-	// wrongTargetCooldown follows an answer by another target at the address.
+	// wrongTargetCooldown applies after another target responded at the address.
 	wrongTargetCooldown = 10 * time.Second
-	// loadReportLifetime is how long a target's report on its load is used.
+	// loadReportLifetime is how long a load report is used.
 	loadReportLifetime = time.Second
 )
 
-// recordResult updates cooldown, outlier detection and reported load by the end of an
-// attempt. NotExecuted and WrongTarget set the cooldown anew, also where that shortens one
-// or an ejection; they say nothing of the target's health, so they aren't counted there.
+// recordResult updates cooldown, outlier detection and reported load after an attempt.
+// NotExecuted and WrongTarget replace the current cooldown or ejection, even by a shorter
+// one. They aren't counted by the outlier detector, as they don't indicate poor health.
 func (e *endpoint) recordResult(now ids.Time, result AttemptFinished) {
 	switch result.Result {
 	case NotSent, MayHaveRun:
@@ -92,32 +92,32 @@
 	}
 }
 
-// isAvailable tells whether a target may get new requests at all.
+// isAvailable reports whether a target may get new requests.
 func (e *endpoint) isAvailable() bool {
 	return !e.removed && e.Usable() && !e.ZoneDrained
 }
 
-// isReady tells whether an available target is neither in cooldown, or ejected, nor
-// unresponsive. Others are used only while no target is ready.
+// isReady reports whether a target is neither in cooldown, nor ejected, nor unresponsive.
+// Available targets that aren't ready are used only if no target is.
 func (e *endpoint) isReady(now ids.Time, meanResponseTime time.Duration) bool {
 	return now >= e.cooldownUntil && !e.isUnresponsive(now, meanResponseTime)
 }
 
 const (
-	// unresponsiveFactor is how many mean response times without any response make a
-	// target with requests in flight unresponsive, but not before minUnresponsiveTime.
+	// A target with requests in flight is unresponsive after unresponsiveFactor mean
+	// response times without a response, but not before minUnresponsiveTime.
 	unresponsiveFactor  = 4
 	minUnresponsiveTime = 400 * time.Millisecond
 )
 
-// isUnresponsive tells whether a target has had requests in flight for long without any
-// response. It may just be slow.
+// isUnresponsive reports whether a target with requests in flight hasn't responded for long.
+// It may only be slow.
 func (e *endpoint) isUnresponsive(now ids.Time, meanResponseTime time.Duration) bool {
 	return e.inFlight > 0 && now.Sub(e.lastResponseAt) > max(unresponsiveFactor*meanResponseTime, minUnresponsiveTime)
 }
 
-// slowStartAllows refills the token bucket of a target in slow start, and tells whether
-// the target may get one more request.
+// slowStartAllows refills the token bucket of a target in slow start and reports whether the
+// target may get another request.
 func (e *endpoint) slowStartAllows(now ids.Time) bool {
 	if now >= e.SlowStartUntil {
 		return true
--- a/internal/dataplane/dispatch/latency_goal.go
+++ b/internal/dataplane/dispatch/latency_goal.go
@@ -6,15 +6,15 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// longestTimeoutDecay is the divisor by which the longest time-out of a route's clients
-// is forgotten with each request: slowly, as after an outage most requests that arrive
-// have waited elsewhere already.
+// longestTimeoutDecay is the inverse of the rate at which the longest timeout of a route's
+// clients decays with each request. The decay is slow because after an outage most arriving
+// requests have already spent time elsewhere.
 const longestTimeoutDecay = 1024
 
-// checkGoalReachable notes whether a job can still meet its latency goal. One that comes
-// again, after it was lost or rejected elsewhere, has less time left than its route's
-// clients give at first. If that leaves its goal out of reach, more waiting costs it
-// nothing, and jobs that can still meet theirs go before it.
+// checkGoalReachable sets whether a job can still meet its latency goal. A request that was
+// lost or rejected elsewhere arrives with less time left than the longest timeout of its
+// route's clients; the difference counts as time already spent. Jobs that can no longer meet
+// their goal are queued behind those that can.
 func (d *Dispatcher) checkGoalReachable(now ids.Time, j *job) {
 	if j.LatencyGoal == 0 {
 		return
@@ -26,7 +26,7 @@
 	j.goalUnreachable = longest-timeLeft+d.meanResponseTime > j.LatencyGoal
 }
 
-// latenessRank orders jobs whose goal is in reach before the others.
+// latenessRank returns the rank in the queue: jobs that can meet their latency goal come first.
 func latenessRank(j *job) int {
 	if j.goalUnreachable {
 		return 1
@@ -35,10 +35,10 @@
 }
 
 const (
-	// maxQueueWait bounds a job's time in the queue, also if its goal allows more.
+	// maxQueueWait limits a job's time in the queue even if its latency goal allows more.
 	maxQueueWait = time.Second
-	// queueWaitGoalDivisor gives a job a quarter of its goal in the queue, which leaves
-	// its client time for another attempt within the goal.
+	// queueWaitGoalDivisor divides a latency goal to get the queue wait limit, which leaves
+	// the client time for another attempt within the goal.
 	queueWaitGoalDivisor = 4
 )
 
--- a/internal/dataplane/dispatch/outlier_detector.go
+++ b/internal/dataplane/dispatch/outlier_detector.go
@@ -6,44 +6,42 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// outlierDetector ejects a target that fails a part of its requests, for longer each
-// time, whatever the target reports of itself. An ejected target is avoided while there
-// are others and used where there is none, so that all capacity that a service still has
-// is used, however many of its targets fail.
+// outlierDetector ejects a target with a high failure rate, for longer each time, regardless of
+// the health that the target reports. An ejected target is still used if no other is ready, so
+// ejections never reduce the capacity of a service.
 type outlierDetector struct {
-	// failureRate is a moving average of the last responses, from 0 to 1.
+	// failureRate is an exponential moving average of the results, from 0 to 1.
 	failureRate float64
-	// samples counts the results recorded since the start or the last ejection.
+	// samples is the number of results since the start or the last ejection.
 	samples int
 	ejections
 }
 
-// ejections are the ejections in a row without a recovery between them.
+// ejections counts the consecutive ejections without a recovery.
 type ejections struct {
 	ejectionCount int
 	ejectedUntil  ids.Time
 }
 
 const (
-	// failureRateWeight is the weight of the newest response in the failure rate.
+	// failureRateWeight is the weight of the newest result in the failure rate.
 	failureRateWeight = 0.15
-	// ejectionThreshold is the failure rate from which a target is ejected, once there
-	// were minEjectionSamples responses. With failureRateWeight, two failures among
-	// three responses reach it from a rate of 0, and two among four don't.
+	// ejectionThreshold is the failure rate at which a target is ejected, after at least
+	// minEjectionSamples results.
 	ejectionThreshold  = 0.25
 	minEjectionSamples = 4
-	// recoverySamples is how many responses with a failure rate under recoveryThreshold
-	// end the count of ejections.
+	// A target has recovered, which resets its ejection count, after recoverySamples results
+	// with a failure rate below recoveryThreshold.
 	recoverySamples   = 20
 	recoveryThreshold = ejectionThreshold / 4
-	// baseEjectionTime is the length of the first ejection. Each further one doubles it,
-	// up to maxEjectionDoublings times.
+	// baseEjectionTime is the duration of the first ejection. It doubles with each further
+	// one, up to maxEjectionDoublings times.
 	baseEjectionTime     = 2 * time.Second
 	maxEjectionDoublings = 3
 )
 
-// record counts the result of an attempt: a response, or a failure to get one. If it
-// ejects the target it returns until when, and else 0.
+// record adds the result of an attempt. It returns the end of the ejection if it ejects the
+// target, otherwise 0.
 func (o *outlierDetector) record(now ids.Time, failed bool) ids.Time {
 	sample := 0.0
 	if failed {
@@ -62,7 +60,7 @@
 	}
 	o.ejectedUntil = now.Add(baseEjectionTime << min(o.ejectionCount, maxEjectionDoublings))
 	o.ejectionCount++
-	// After the ejection the target is judged anew.
+	// Results from before the ejection no longer count.
 	o.failureRate, o.samples = 0, 0
 	return o.ejectedUntil
 }
--- a/internal/dataplane/dispatch/queue.go
+++ b/internal/dataplane/dispatch/queue.go
@@ -8,8 +8,8 @@
 	"dunlinwell/internal/state/idempotency"
 )
 
-// compareUrgency orders the queue: by tier, highest first; then jobs that can still meet
-// their goal; then by deadline; then by arrival.
+// compareUrgency orders the queue by tier, highest first, then jobs that can meet their
+// latency goal before others, then by deadline and arrival.
 func compareUrgency(a, b *job) int {
 	return cmp.Or(
 		-cmp.Compare(a.Tier, b.Tier),
@@ -19,8 +19,8 @@
 	)
 }
 
-// pruneQueue rejects jobs that can't be served in time any more, for instance because
-// targets have left, instead of holding them until their deadline.
+// pruneQueue rejects jobs that can no longer be served in time, for example after targets
+// were removed, instead of keeping them until their deadline.
 func (d *Dispatcher) pruneQueue(now ids.Time) {
 	if len(d.queue) == 0 {
 		return
@@ -40,14 +40,14 @@
 	}
 }
 
-// removeFromQueue takes a job out of the queue, if it is there.
+// removeFromQueue removes a job from the queue, if present.
 func (d *Dispatcher) removeFromQueue(j *job) {
 	if position := slices.Index(d.queue, j); position >= 0 {
 		d.queue = slices.Delete(d.queue, position, position+1)
 	}
 }
 
-// dispatchQueue gives free slots to queued jobs, the most urgent first.
+// dispatchQueue assigns free slots to queued jobs, the most urgent first.
 func (d *Dispatcher) dispatchQueue(now ids.Time) {
 	if d.isFrozenOrStale(now) || now >= d.leaseExpiresAt {
 		return
@@ -64,7 +64,7 @@
 			if !j.isRestricted() {
 				return
 			}
-			// A later job may still use a slot that this one may not.
+			// A later job may be able to use a slot that this one can't.
 			i++
 			continue
 		}
@@ -75,37 +75,36 @@
 	}
 }
 
-// isRestricted tells whether there may be free slots that others may use and this job may
-// not: at a target that it tried, outside its regions, or farther away than its time in
-// the queue allows yet.
+// isRestricted reports whether there may be free slots that only other jobs can use: at
+// targets that this job has tried, outside its regions, or beyond its current maximum distance.
 func (j *job) isRestricted() bool {
 	return len(j.triedTargets) > 0 || len(j.Homes) > 0 || j.LatencyGoal != 0
 }
 
-// onSlotAcquired goes on with a job that holds a slot: it is forwarded, under a claim of
-// its idempotency key if it has one.
+// onSlotAcquired forwards a job that holds a slot, or first claims its idempotency key if it
+// requires one.
 func (d *Dispatcher) onSlotAcquired(now ids.Time, j *job) {
 	if !j.requiresIdempotencyKey() {
 		d.forward(now, j)
 		return
 	}
-	// An earlier slot of this job may have led to a claim that still stands. It is asked
-	// for again, as a later attempt may have blocked this one since.
+	// The claim is requested even if this job already holds it from an earlier slot, as a
+	// later attempt may have blocked this one since.
 	j.claimRequested = true
 	d.callIdempotency(now, j, idempotency.OpClaim, claimingKey, registerTimeout)
 }
 
-// releaseSlot returns a job's slot, if it holds one.
+// releaseSlot releases a job's slot, if it holds one.
 func (d *Dispatcher) releaseSlot(now ids.Time, j *job) {
 	d.endSlot(j, func(e *endpoint) { e.endRequest(now) })
 }
 
-// releaseCanceledSlot returns the slot of a job whose attempt was canceled.
+// releaseCanceledSlot releases the slot of a job whose attempt was canceled.
 func (d *Dispatcher) releaseCanceledSlot(now ids.Time, j *job) {
 	d.endSlot(j, func(e *endpoint) { e.cancelRequest(now) })
 }
 
-// endSlot has a job's endpoint, if it has one, count its request off.
+// endSlot releases a job's slot, if it holds one, by calling release on its endpoint.
 func (d *Dispatcher) endSlot(j *job, countOff func(*endpoint)) {
 	if e := d.endpoints[j.target]; e != nil && j.target != "" {
 		countOff(e)
--- a/internal/dataplane/dispatch/slots.go
+++ b/internal/dataplane/dispatch/slots.go
@@ -7,13 +7,12 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// minWarmth is the part of its capacity that a target gets at the start of its ramp, by its
-// age; a lower warmth that the target reports itself still holds.
+// minWarmth is the lower bound of the warmth derived from a target's age, as a fraction of its
+// capacity. A target may report a lower warmth.
 const minWarmth = 0.2
 
-// slotShare returns how many requests this proxy may have in flight at a target. The
-// shares of all proxies add up to the target's slots exactly, so that the fleet together
-// can't exceed them.
+// slotShare returns how many requests this proxy may have in flight at a target. The shares
+// of all proxies add up to exactly the target's slots, times its oversubscription.
 func (d *Dispatcher) slotShare(now ids.Time, allocation Allocation) int {
 	capacity := float64(allocation.Capacity)
 	if capacity == 0 {
@@ -21,7 +20,7 @@
 	}
 	warmth := allocation.Warmth
 	if d.service.SlowStartDuration > 0 {
-		// A restarted target ramps up, whatever warmth it reports.
+		// A restarted target ramps up even if it reports full warmth.
 		age := time.Duration(allocation.AgeMillis)*time.Millisecond + now.Sub(allocation.AgeMeasuredAt)
 		warmth = min(warmth, max(minWarmth, float64(age)/float64(d.service.SlowStartDuration)))
 	}
@@ -30,7 +29,7 @@
 	return slots*(allocation.SlotShareIndex+1)/shares - slots*allocation.SlotShareIndex/shares
 }
 
-// totalSlots returns this proxy's slots at all available targets, free or in use.
+// totalSlots returns the number of this proxy's slots at all available targets, free or in use.
 func (d *Dispatcher) totalSlots(now ids.Time) int {
 	total := 0
 	for _, e := range d.sortedEndpoints {
