--- a/internal/dataplane/dispatch/client_disconnect.go
+++ b/internal/dataplane/dispatch/client_disconnect.go
@@ -2,12 +2,12 @@
 
 import "dunlinwell/internal/base/ids"
 
-// onClientDisconnected gives up a request whose client has gone: from here on nothing of it
-// is sent any more (blockedReason), and a target's work on it is ended if it may be
-// repeated. Work that may not be repeated goes on: ending it would leave open whether it
-// ran, and the client, or the next one, may ask for its outcome.
+// onClientDisconnected abandons a request whose client has disconnected. The request isn't
+// forwarded any more (blockedReason), and a running attempt is canceled if the request is
+// repeatable or hasn't been sent. A sent request that isn't repeatable continues: canceling it
+// would leave its outcome unknown, and a later attempt may ask for it.
 //
-// A reply of the idempotency register that is awaited is still awaited, so that a claim is
+// Pending replies to claims, blocks and stored outcomes are still processed, so that a claim is
 // either used or released.
 func (d *Dispatcher) onClientDisconnected(now ids.Time, id ids.RequestID) {
 	j := d.jobs[id]
@@ -21,7 +21,7 @@
 		d.removeFromQueue(j)
 		d.reject(now, j, reasonClientDisconnected)
 	case readingRecord, numberingAttempt, waitingForOwner:
-		// Earlier attempts may have run; this one holds neither a slot nor a claim.
+		// Earlier attempts may have run. This one holds neither a slot nor a claim.
 		d.respondUnknown(now, j, statusGatewayTimeout, reasonClientDisconnected)
 	case forwarding:
 		j.cancelRequested = true
@@ -29,8 +29,8 @@
 	}
 }
 
-// isCanceled tells whether a job's attempt ended because it was canceled. That says nothing
-// of its target. Any other result came before the cancellation, or in spite of it.
+// isCanceled reports whether a job's attempt ended because it was canceled, in which case the
+// result says nothing about the target's health. Other results aren't due to the cancellation.
 func (j *job) isCanceled(result AttemptResult) bool {
 	return j.cancelRequested && (result == NotSent || result == MayHaveRun && j.Repeatable)
 }
--- a/internal/dataplane/dispatch/forward.go
+++ b/internal/dataplane/dispatch/forward.go
@@ -5,17 +5,17 @@
 	"dunlinwell/internal/state/idempotency"
 )
 
-// forward sends a job that holds a slot to its target. From here on the job may be
-// Rejected only if no byte of it left, or the target states that it hasn't run it.
+// forward sends a job that holds a slot to its target. After that the job may be Rejected only
+// if none of its bytes were sent, or if the target states that it hasn't run the request.
 func (d *Dispatcher) forward(now ids.Time, j *job) {
-	// Claiming the key took time: what held when the slot was found may not hold now.
+	// Claiming the key takes time, so the conditions may have changed since the slot was assigned.
 	if reason := d.blockedReason(now, j); reason != "" {
 		d.reject(now, j, reason)
 		return
 	}
 	e := d.endpoints[j.target]
 	if e == nil || !e.isAvailable() || e.inFlight > d.slotShare(now, e.Allocation) {
-		// Meanwhile the target has left, or restarted with fewer slots.
+		// The target has been removed, or restarted with fewer slots.
 		d.releaseSlot(now, j)
 		d.admit(now, j)
 		return
@@ -40,10 +40,10 @@
 	})
 }
 
-// countInBudget counts a job that is about to leave for the first time. A client's own
-// retry withdraws from the retry budget like the dispatcher's, and returns false if there
-// is nothing left. A first request makes its deposit now: if that came any later, it could
-// be spent in a span of time that holds only the retries.
+// countInBudget counts a job in the retry budget before it is first forwarded. A retry by the
+// client makes a withdrawal, like one by the dispatcher; countInBudget returns false if the
+// budget is too low. A first request makes its deposit now, because a later deposit could be
+// spent in a period that contains only the retries.
 func (d *Dispatcher) countInBudget(j *job) bool {
 	if j.Attempt > 1 && !d.retryBudget.withdraw() {
 		return false
@@ -56,22 +56,22 @@
 	return true
 }
 
-// onAttemptFinished goes on with a job whose forwarded attempt has ended. Reports on any
-// but its latest attempt are ignored.
+// onAttemptFinished handles the end of a forwarded attempt. Reports on any but a job's latest
+// attempt are ignored.
 func (d *Dispatcher) onAttemptFinished(now ids.Time, result AttemptFinished) {
 	j := d.jobs[result.ID]
 	if j == nil || j.sequence != result.Sequence || j.state != forwarding {
 		return
 	}
-	// A failure of the target's own is a complete response too: it is final if nobody
-	// may try again.
+	// TargetFailed comes with a complete response, which is final if the request can't be
+	// retried.
 	if result.Result == TargetFailed && !j.Repeatable {
 		result.Result = Complete
 	}
 	d.recordAttempt(now, j, result)
 	if result.Result == NotSent {
 		if !d.onUnsentAttemptFinished(now, j, result) {
-			// The slot that it held is given out at the next event or tick.
+			// The released slot is assigned at the next event or tick.
 			return
 		}
 	} else {
@@ -80,8 +80,8 @@
 	d.dispatchQueue(now)
 }
 
-// recordAttempt updates the mean response time, the target's state and the retry budget by
-// a finished attempt, and releases its slot.
+// recordAttempt updates the mean response time, the target's state and the retry budget after
+// an attempt, and releases its slot.
 func (d *Dispatcher) recordAttempt(now ids.Time, j *job, result AttemptFinished) {
 	if result.Result == Complete {
 		d.meanResponseTime += (now.Sub(j.forwardedAt) - d.meanResponseTime) / responseTimeSmoothing
@@ -101,7 +101,7 @@
 	}
 }
 
-// onSentAttemptFinished goes on with a job of which bytes have left.
+// onSentAttemptFinished handles the end of an attempt of which bytes were sent.
 func (d *Dispatcher) onSentAttemptFinished(now ids.Time, j *job, result AttemptFinished) {
 	switch {
 	case result.Result == Complete && !j.requiresIdempotencyKey():
@@ -115,8 +115,8 @@
 		d.retry(now, j, result)
 	default:
 		if j.requiresIdempotencyKey() {
-			// Stored as final, so that a later attempt learns at once that nobody will
-			// ever know more.
+			// Stored as the final outcome, so that later attempts don't wait for a
+			// response that will never be known.
 			j.response = lostResponse
 			d.callIdempotencyInBackground(j, idempotency.OpComplete)
 		}
--- a/internal/dataplane/dispatch/idempotency.go
+++ b/internal/dataplane/dispatch/idempotency.go
@@ -9,8 +9,8 @@
 	"dunlinwell/internal/state/idempotency"
 )
 
-// callIdempotency asks for an operation on a job's idempotency key, and has the job wait
-// in a state for the reply.
+// callIdempotency requests an operation on a job's idempotency key, and puts the job into the
+// state that waits for the reply.
 func (d *Dispatcher) callIdempotency(now ids.Time, j *job, op consensus.Op, state jobState, timeout time.Duration) {
 	j.state = state
 	j.sequence++
@@ -21,14 +21,14 @@
 	d.Emit(call)
 }
 
-// callIdempotencyInBackground asks for an operation whose reply nobody waits for.
+// callIdempotencyInBackground requests an operation without waiting for the reply.
 func (d *Dispatcher) callIdempotencyInBackground(j *job, op consensus.Op) {
 	call := d.newIdempotencyCall(j, op)
 	call.Timeout = backgroundTimeout
 	d.Emit(call)
 }
 
-// newIdempotencyCall returns a call on a job's key, without what concerns the reply.
+// newIdempotencyCall returns a call on a job's key, without the fields that concern the reply.
 func (d *Dispatcher) newIdempotencyCall(j *job, op consensus.Op) IdempotencyCall {
 	owner := d.Self
 	owner.Request = j.ID
@@ -44,11 +44,11 @@
 	}
 }
 
-// maxStoredBody bounds the body that is stored with an outcome, in bytes. If it was larger,
-// a later attempt learns that the request ran, and the body's digest, but not the body.
+// maxStoredBody is the maximum size of a stored response body, in bytes. For a larger one,
+// later attempts get only the status and the body's digest.
 const maxStoredBody = 64 << 10
 
-// truncateForStorage returns a response without its body if that is over maxStoredBody.
+// truncateForStorage returns a response, without its body if that exceeds maxStoredBody.
 func truncateForStorage(response idempotency.Response) idempotency.Response {
 	if len(response.Body) > maxStoredBody {
 		return idempotency.Response{Status: response.Status, Digest: response.Digest, BodyOmitted: true}
@@ -61,8 +61,8 @@
 	d.callIdempotency(now, j, consensus.Read, readingRecord, registerTimeout)
 }
 
-// onIdempotencyReply goes on with a job by the reply to its latest call. Replies to
-// earlier calls are ignored.
+// onIdempotencyReply handles the reply to a job's latest call. Replies to earlier calls are
+// ignored.
 func (d *Dispatcher) onIdempotencyReply(now ids.Time, reply IdempotencyReply) {
 	j := d.jobs[reply.ID]
 	if j == nil || j.sequence != reply.Sequence {
@@ -78,13 +78,13 @@
 	case blockingAttempts:
 		d.onBlockReply(now, j, reply)
 	case storingOutcome:
-		// If the outcome couldn't be stored, the claim still prevents a second run, so
-		// the response isn't held back.
+		// Respond even if the outcome couldn't be stored: the claim still prevents a
+		// second run.
 		d.respondAnswered(now, j, j.response)
 	}
 }
 
-// onRecordRead goes on with a job by the record of its key.
+// onRecordRead continues a job according to the record of its key.
 func (d *Dispatcher) onRecordRead(now ids.Time, j *job, reply IdempotencyReply) {
 	record, ok := idempotency.DecodeRecord(reply.Payload)
 	switch {
@@ -101,7 +101,7 @@
 	}
 }
 
-// onAttemptNumbered goes on with a job whose attempt the register has numbered.
+// onAttemptNumbered handles the reply to a request for an attempt number.
 func (d *Dispatcher) onAttemptNumbered(now ids.Time, j *job, reply IdempotencyReply) {
 	result, ok := decodeResult(reply)
 	if !ok {
@@ -123,7 +123,7 @@
 	}
 }
 
-// onClaimReply forwards a job whose claim was granted, unless that took too long.
+// onClaimReply handles the reply to a claim.
 func (d *Dispatcher) onClaimReply(now ids.Time, j *job, reply IdempotencyReply) {
 	result, ok := decodeResult(reply)
 	if !ok {
@@ -143,14 +143,14 @@
 		j.claimRequested = false
 		d.respondUnknown(now, j, statusGatewayTimeout, reasonRecordsLost)
 	default:
-		// AttemptBlocked: the client of a later attempt was told that this one never runs.
+		// AttemptBlocked: a later attempt was rejected with the promise that this one won't run.
 		j.claimRequested = false
 		d.respondRejected(now, j, reasonSuperseded, defaultRetryAfter)
 	}
 }
 
-// onClaimGranted forwards a job that holds a slot and its claim, if there is time left and
-// the process wasn't frozen meanwhile.
+// onClaimGranted forwards a job that holds a slot and its claim, unless its deadline has passed
+// or the process was frozen in the meantime.
 func (d *Dispatcher) onClaimGranted(now ids.Time, j *job) {
 	switch {
 	case now >= j.Deadline:
@@ -162,8 +162,8 @@
 	}
 }
 
-// onBlockReply answers a job that is given up, once it is known whether an earlier attempt
-// of it ran or still may.
+// onBlockReply responds to a job that is to be rejected, depending on whether its earlier
+// attempts were blocked.
 func (d *Dispatcher) onBlockReply(now ids.Time, j *job, reply IdempotencyReply) {
 	result, ok := decodeResult(reply)
 	if !ok {
@@ -182,19 +182,19 @@
 	}
 }
 
-// decodeResult returns the result of an operation that is known to be chosen, else false.
+// decodeResult returns the result of an operation, or false if its outcome is unknown.
 func decodeResult(reply IdempotencyReply) (idempotency.Result, bool) {
 	result, ok := idempotency.DecodeResult(reply.Payload)
 	return result, ok && reply.Outcome == consensus.Succeeded
 }
 
-// respondKeyReused says that the key belongs to another operation of the client.
+// respondKeyReused responds that the key was used for a different operation.
 func (d *Dispatcher) respondKeyReused(now ids.Time, j *job) {
 	d.respond(now, j, Response{Class: ClientError, Status: statusUnprocessableEntity, Reason: reasonKeyReused})
 }
 
-// waitForOwner has a job wait until the attempt that holds the claim completes. The claim
-// of a run that has ended will never be completed.
+// waitForOwner makes a job wait until the attempt that holds the claim completes. If the run
+// that owns the claim has ended, the claim will never be completed and the response is Unknown.
 func (d *Dispatcher) waitForOwner(now ids.Time, j *job, owner idempotency.Owner) {
 	d.releaseSlot(now, j)
 	if owner.Daemon != d.Self.Daemon && d.service.RunEnded != nil && d.service.RunEnded(owner.Daemon, owner.RunID) {
@@ -206,21 +206,21 @@
 		return
 	}
 	j.state, j.recheckAt = waitingForOwner, now.Add(ownerPollInterval)
-	// Replies to this job's earlier calls no longer matter.
+	// Invalidates replies to the job's earlier calls.
 	j.sequence++
 }
 
-// lostResponse is stored in place of a response that will never be known. It isn't to be
-// told from a target's own response of this status whose body was too large to store.
+// lostResponse is stored in place of a response that will never be known. It can't be
+// distinguished from a target's response with this status whose body was too large to store.
 var lostResponse = idempotency.Response{Status: statusGatewayTimeout, BodyOmitted: true}
 
-// isLostResponse tells whether a stored response stands for an unknown one. One without a
-// status does too, as nothing was stored.
+// isLostResponse reports whether a stored response represents an unknown one. A response
+// without a status does too, as none was stored.
 func isLostResponse(stored idempotency.Response) bool {
 	return stored.Status == 0 || stored.Status == lostResponse.Status && stored.BodyOmitted
 }
 
-// replay answers with the stored outcome of an earlier attempt.
+// replay responds with the stored outcome of an earlier attempt.
 func (d *Dispatcher) replay(now ids.Time, j *job, stored idempotency.Response) {
 	d.Counters.Replayed++
 	switch {
--- a/internal/dataplane/dispatch/response.go
+++ b/internal/dataplane/dispatch/response.go
@@ -8,8 +8,8 @@
 	"dunlinwell/internal/state/idempotency"
 )
 
-// HTTP status codes of responses that aren't a target's own. They stand here as net/http
-// has no place in a state machine.
+// HTTP status codes of the responses that the dispatcher generates. They are declared here to
+// keep net/http out of the state machine.
 const (
 	statusOK                  = 200
 	statusUnprocessableEntity = 422
@@ -19,10 +19,10 @@
 	statusGatewayTimeout      = 504
 )
 
-// defaultRetryAfter is when clients should try again where nothing better is known.
+// defaultRetryAfter is the Retry-After time if there is no better estimate.
 const defaultRetryAfter = time.Second
 
-// respond ends a job with its one response.
+// respond ends a job with its response.
 func (d *Dispatcher) respond(now ids.Time, j *job, response Response) {
 	response.ID = j.ID
 	d.releaseSlot(now, j)
@@ -40,18 +40,18 @@
 	d.Emit(response)
 }
 
-// respondAnswered passes a target's own response on.
+// respondAnswered passes on a target's response.
 func (d *Dispatcher) respondAnswered(now ids.Time, j *job, response idempotency.Response) {
 	d.respond(now, j, Response{Class: Answered, Status: int(response.Status), TargetResponse: response})
 }
 
-// respondRejected says that the request hasn't run and never will. The caller must be
-// sure of both; reject takes the steps that make it sure.
+// respondRejected responds that the request hasn't run and never will. The caller must have
+// ensured both; reject does so.
 func (d *Dispatcher) respondRejected(now ids.Time, j *job, reason string, retryAfter time.Duration) {
 	d.respond(now, j, Response{Class: Rejected, Status: statusServiceUnavailable, Reason: reason, RetryAfter: retryAfter})
 }
 
-// respondUnknown says that the request may have run.
+// respondUnknown responds that the request may have run.
 func (d *Dispatcher) respondUnknown(now ids.Time, j *job, status int, reason string) {
 	retryAfter := time.Duration(0)
 	if j.Repeatable {
@@ -60,8 +60,8 @@
 	d.respond(now, j, Response{Class: Unknown, Status: status, Reason: reason, RetryAfter: retryAfter})
 }
 
-// reject gives up a job that has surely not run. A later attempt must first block the
-// earlier ones, or one of them might still run after the client was told that none did.
+// reject ends a job that is known not to have run. A later attempt must first block the
+// earlier ones, as otherwise one of them might run after the client got the rejection.
 func (d *Dispatcher) reject(now ids.Time, j *job, reason string) {
 	d.releaseSlot(now, j)
 	if j.requiresIdempotencyKey() && j.Attempt > 1 {
@@ -75,13 +75,12 @@
 	d.respondRejected(now, j, reason, d.retryAfter(now, j))
 }
 
-// minRetryAfterGoalDivisor is the divisor of a latency goal that gives the shortest time
-// after which its client is asked to come back.
+// minRetryAfterGoalDivisor divides a latency goal to get the minimum Retry-After time.
 const minRetryAfterGoalDivisor = 8
 
-// retryAfter estimates when a rejected client will find a free slot, by what waits now:
-// at least an eighth of its goal and at most defaultRetryAfter. A client without a goal
-// gets defaultRetryAfter.
+// retryAfter estimates from the queue when a rejected client will find a free slot. The result
+// is at least the latency goal divided by minRetryAfterGoalDivisor and at most
+// defaultRetryAfter, which is also the result for jobs without a goal.
 func (d *Dispatcher) retryAfter(now ids.Time, j *job) time.Duration {
 	if j.LatencyGoal == 0 {
 		return defaultRetryAfter
@@ -90,8 +89,8 @@
 	return min(max(wait, j.LatencyGoal/minRetryAfterGoalDivisor), defaultRetryAfter)
 }
 
-// unknownStatus returns the status for a request that may have run: gateway time-out once
-// its deadline is past, else bad gateway.
+// unknownStatus returns the status for a request that may have run: Gateway Timeout after its
+// deadline, otherwise Bad Gateway.
 func unknownStatus(now ids.Time, j *job) int {
 	if now >= j.Deadline {
 		return statusGatewayTimeout
@@ -99,13 +98,13 @@
 	return statusBadGateway
 }
 
-// maxReasons bounds the reasons that are counted apart, as some name addresses.
+// maxReasons limits the number of reasons that are counted separately, as some contain addresses.
 const maxReasons = 16
 
-// otherReasons is the reason that counts for all beyond maxReasons.
+// otherReasons is the reason under which all beyond maxReasons are counted.
 const otherReasons = "other"
 
-// countReason counts a reason by its text up to the first colon.
+// countReason counts a reason under its text up to the first colon.
 func (d *Dispatcher) countReason(reason string) {
 	reason, _, _ = strings.Cut(reason, ":")
 	if _, known := d.failureReasons[reason]; !known && len(d.failureReasons) >= maxReasons {
@@ -117,8 +116,8 @@
 	d.failureReasons[reason]++
 }
 
-// TakeFailureReasons returns why requests got no response of a target, with counts since
-// the last call; nil if there were none.
+// TakeFailureReasons returns the number of rejected and unknown responses by reason since the
+// last call; nil if there were none.
 func (d *Dispatcher) TakeFailureReasons() map[string]int {
 	reasons := d.failureReasons
 	d.failureReasons = nil
--- a/internal/dataplane/dispatch/retry.go
+++ b/internal/dataplane/dispatch/retry.go
@@ -3,15 +3,15 @@
 import "dunlinwell/internal/base/ids"
 
 const (
-	// defaultMaxAttempts bounds the failed attempts of jobs that name no MaxAttempts.
+	// defaultMaxAttempts is the maximum number of failed attempts of a job without MaxAttempts.
 	defaultMaxAttempts = 3
-	// maxUnsentAttempts is how many failed attempts a job may have for an attempt that
-	// was not sent to be made up for; with one more it is rejected as unreachable.
+	// maxUnsentAttempts is the maximum number of failed attempts after which a job is still
+	// admitted again following an unsent one. Beyond it, the job is rejected as unreachable.
 	maxUnsentAttempts = 3
 )
 
-// attemptsExhausted tells whether a job was tried as often as it may be. A MaxAttempts
-// counts attempts of which bytes left; the default counts failed ones, sent or not.
+// attemptsExhausted reports whether a job has used up its attempts. MaxAttempts limits the
+// attempts of which bytes were sent, defaultMaxAttempts the failed ones, sent or not.
 func (d *Dispatcher) attemptsExhausted(j *job) bool {
 	if j.MaxAttempts > 0 {
 		return j.timesSent >= j.MaxAttempts
@@ -19,8 +19,8 @@
 	return j.failedAttempts >= defaultMaxAttempts
 }
 
-// takeRetry counts a failed attempt, and tells whether the job may be sent again: if its
-// attempts, its time left and the retry budget allow it. The retry is then paid for.
+// takeRetry counts a failed attempt and reports whether the job may be retried, given its
+// attempts, its deadline and the retry budget. If so, it withdraws the retry from the budget.
 func (d *Dispatcher) takeRetry(now ids.Time, j *job) bool {
 	j.failedAttempts++
 	if j.clientDisconnected || d.attemptsExhausted(j) || now.Add(d.meanResponseTime) >= j.Deadline || !d.retryBudget.withdraw() {
@@ -30,8 +30,9 @@
 	return true
 }
 
-// onUnsentAttemptFinished goes on with a job of which no byte left: another target may have
-// it, and no retry is spent. It returns false if it rejected the job as unreachable.
+// onUnsentAttemptFinished handles the end of an attempt of which no bytes were sent. The job is
+// admitted again without using the retry budget, or rejected as unreachable, in which case
+// onUnsentAttemptFinished returns false.
 func (d *Dispatcher) onUnsentAttemptFinished(now ids.Time, j *job, result AttemptFinished) bool {
 	j.timesSent--
 	j.failedAttempts++
@@ -43,11 +44,10 @@
 	return true
 }
 
-// onNotExecutedAttempt goes on with a job that a target hasn't run: to another target, as a
-// retry, or back to its client. A job under a claim spends no retry, and is bounded by its
-// deadline alone.
+// onNotExecutedAttempt retries a job that a target hasn't run, or rejects it. A job with an
+// idempotency key doesn't use the retry budget and is limited only by its deadline.
 func (d *Dispatcher) onNotExecutedAttempt(now ids.Time, j *job, result AttemptFinished) {
-	// A claim stands for any target, and the next slot is asked for under it.
+	// A claim is valid for any target, so the job keeps it for its next slot.
 	if !j.requiresIdempotencyKey() && !d.takeRetry(now, j) {
 		d.reject(now, j, reasonNotExecuted+": "+result.Reason)
 		return
@@ -55,13 +55,13 @@
 	d.admit(now, j)
 }
 
-// retry sends a repeatable request again if it may be, and else answers it.
+// retry retries a repeatable request if allowed, and otherwise responds.
 func (d *Dispatcher) retry(now ids.Time, j *job, result AttemptFinished) {
 	switch {
 	case d.takeRetry(now, j):
 		d.admit(now, j)
 	case result.Result == TargetFailed:
-		// The target's failure is still its response.
+		// A response that reports a failure is still passed on.
 		d.respondAnswered(now, j, result.Response)
 	case j.clientDisconnected:
 		d.respondUnknown(now, j, unknownStatus(now, j), reasonClientDisconnected)
--- a/internal/dataplane/dispatch/retry_budget.go
+++ b/internal/dataplane/dispatch/retry_budget.go
@@ -1,34 +1,34 @@
 package dispatch
 
-// retryBudget bounds retries with a token bucket: over any span of time, retries are at
-// most retryRatio of the first requests plus the capacity. (A sliding window counted back
-// from each retry would let a later span exceed that.) It starts empty, so that a
-// restarted proxy has no retries to begin with.
+// retryBudget limits retries with a token bucket: over any period, the number of retries is at
+// most retryRatio times the number of first requests plus the capacity. A sliding window that
+// ends at each retry wouldn't ensure this for every period. The bucket starts empty, so a
+// restarted proxy has no retries at first.
 type retryBudget struct {
-	// capacity is the most tokens that are kept, in retries.
+	// capacity is the maximum number of tokens; each token allows one retry.
 	capacity float64
-	// tokens is negative while cancelled deposits are owed.
+	// tokens is negative if a deposit was canceled after it had been spent.
 	tokens float64
 }
 
 const (
-	// retryRatio is the part of a retry that each first request deposits. Targets are
-	// promised no more than one retry for five first requests in any ten seconds, beyond
-	// the budget's capacity. It is a little under that, as what leaves here within ten
-	// seconds may reach targets within nine if this process is delayed just then.
+	// retryRatio is the fraction of a token that each first request deposits. Targets must
+	// see at most one retry per five first requests in any ten seconds, plus the capacity.
+	// The ratio is lower than 0.2 because process delays may compress the requests sent
+	// in ten seconds into nine seconds at the targets.
 	retryRatio = 0.18
-	// tokenRounding makes up for rounding errors of deposits.
+	// tokenRounding is the tolerance for floating-point errors of deposits.
 	tokenRounding = 1e-9
 )
 
-// deposit adds the share of one first request.
+// deposit adds the tokens for a first request.
 func (b *retryBudget) deposit() { b.tokens = min(b.capacity, b.tokens+retryRatio) }
 
-// cancelDeposit takes back the share of a request that wasn't sent after all. If it has been
-// spent meanwhile, the budget is in debt.
+// cancelDeposit removes the tokens of a request that wasn't sent. The balance becomes negative
+// if they have already been spent.
 func (b *retryBudget) cancelDeposit() { b.tokens -= retryRatio }
 
-// withdraw takes one retry, or returns false if there is none.
+// withdraw takes the token for a retry, or returns false if there is none.
 func (b *retryBudget) withdraw() bool {
 	if b.tokens < 1-tokenRounding {
 		return false
