--- a/internal/dataplane/dispatch/bench_test.go
+++ b/internal/dataplane/dispatch/bench_test.go
@@ -13,14 +13,14 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// BenchmarkRequest takes requests through a dispatcher with twenty targets.
+// BenchmarkRequest measures a request's path through a dispatcher with twenty targets.
 func BenchmarkRequest(b *testing.B) {
 	for name, repeatable := range map[string]bool{"repeatable": true, "idempotency-key": false} {
 		b.Run(name, func(b *testing.B) { benchmarkRequest(b, repeatable) })
 	}
 }
 
-// benchmarkRequest takes requests of one kind from arrival to response.
+// benchmarkRequest runs requests of one kind from arrival to response.
 func benchmarkRequest(b *testing.B, repeatable bool) {
 	b.Helper()
 	d := New(Options{Random: rand.New(rand.NewPCG(1, 1)), Self: idempotency.Owner{Daemon: "c1", RunID: 1}})
@@ -58,6 +58,6 @@
 		}
 	}
 	if d.Counters.Answered != uint64(b.N) {
-		b.Fatalf("%d of %d requests were answered: %v", d.Counters.Answered, b.N, d.TakeFailureReasons())
+		b.Fatalf("answered %d of %d requests; failure reasons: %v", d.Counters.Answered, b.N, d.TakeFailureReasons())
 	}
 }
--- a/internal/dataplane/dispatch/latency_goal_test.go
+++ b/internal/dataplane/dispatch/latency_goal_test.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// latencyGoal is the goal of the requests of these tests.
+	// latencyGoal is the latency goal of all requests in these tests.
 	latencyGoal = 600 * time.Millisecond
-	// clientTimeout is the time that a client gives a request at first.
+	// clientTimeout is the timeout of a client's first attempt.
 	clientTimeout = 4 * time.Second
 )
 
-// newSaturatedDispatcher returns a dispatcher whose one slot is taken by request 1.
+// newSaturatedDispatcher returns a dispatcher whose only slot is in use by request 1.
 func newSaturatedDispatcher() (*Dispatcher, ids.Time) {
 	now := ids.Time(time.Second)
 	d := New(Options{Random: rand.New(rand.NewPCG(1, 1)), Self: idempotency.Owner{Daemon: "c", RunID: 1}})
@@ -34,13 +34,13 @@
 	return d, now
 }
 
-// newRequest returns a repeatable request with some time left.
+// newRequest returns a repeatable request whose deadline is timeLeft from now.
 func newRequest(now ids.Time, id ids.RequestID, timeLeft time.Duration) RequestArrived {
 	return RequestArrived{Job{ID: id, Route: "r", Service: "s", Repeatable: true, Attempt: 1, LatencyGoal: latencyGoal, Deadline: now.Add(timeLeft)}}
 }
 
-// findForwardAndReject returns the last request forwarded and the last rejected by some
-// commands; 0 for none.
+// findForwardAndReject returns the IDs of the last request that commands forward and the last
+// that they reject; 0 for none.
 func findForwardAndReject(commands []event.Command) (forwarded, rejected ids.RequestID) {
 	for _, command := range commands {
 		switch c := command.(type) {
@@ -55,12 +55,12 @@
 	return forwarded, rejected
 }
 
-// After an outage, serving those first who had waited longest would serve hardly anyone
-// within the goal, and turn the others away.
+// Requests that can no longer meet their goal must not delay those that can, for example
+// after an outage.
 func TestDispatcher_ServesReachableGoalsFirst(t *testing.T) {
 	is := is.New(t)
 	d, now := newSaturatedDispatcher()
-	// 2 was lost elsewhere for 2 s; 3 arrives for the first time.
+	// Request 2 has already spent 2 s elsewhere; request 3 is a first attempt.
 	d.Step(now, newRequest(now, 2, clientTimeout-2*time.Second))
 	d.Step(now, newRequest(now, 3, clientTimeout))
 	is.Equal(d.QueueLength(), 2)
@@ -71,8 +71,8 @@
 	is.Equal(forwarded, ids.RequestID(2))
 }
 
-// A request whose goal is out of reach loses nothing by waiting, while one that can meet it
-// is rejected in time for another attempt.
+// A request that can meet its goal is rejected early enough for another attempt; one that
+// can't waits up to maxQueueWait.
 func TestDispatcher_WaitLimitDependsOnReachableGoal(t *testing.T) {
 	is := is.New(t)
 	d, now := newSaturatedDispatcher()
@@ -88,8 +88,8 @@
 	is.Equal(rejectedAfter[2], maxQueueWait+10*time.Millisecond)
 }
 
-// The time that a route's clients give at first is learned from them: where all give less
-// than before, they don't count as late for ever.
+// After all clients of a route have shortened their timeout, new requests must not count as
+// late forever.
 func TestDispatcher_LearnsShorterClientTimeouts(t *testing.T) {
 	is := is.New(t)
 	d, now := newSaturatedDispatcher()
--- a/internal/dataplane/dispatch/outlier_detector_test.go
+++ b/internal/dataplane/dispatch/outlier_detector_test.go
@@ -9,12 +9,12 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// timeAt returns the time some milliseconds after the start of a test.
+// timeAt returns the time a number of milliseconds after the start of a test.
 func timeAt(millis int) ids.Time {
 	return ids.Time(time.Duration(millis)*time.Millisecond) + 1
 }
 
-func TestOutlierDetector_IgnoresStrayFailure(t *testing.T) {
+func TestOutlierDetector_IgnoresSingleFailure(t *testing.T) {
 	is := is.New(t)
 	detector := &outlierDetector{}
 	for i := range 50 {
@@ -22,8 +22,8 @@
 	}
 }
 
-// A target of which half of the requests fail is ejected after a few, for longer each time;
-// after a recovery, the next ejection is a short one again.
+// A target with a failure rate of one half is ejected for longer each time. A recovery resets
+// the ejection time.
 func TestOutlierDetector_EjectsByFailureRate(t *testing.T) {
 	is := is.New(t)
 	detector := &outlierDetector{}
@@ -51,7 +51,7 @@
 	is.Equal(detector.ejectionCount, 1)
 }
 
-// An ejected target is still used where there is no other.
+// An ejected target must remain available, in case no other target is ready.
 func TestOutlierDetector_KeepsTargetUsable(t *testing.T) {
 	is := is.New(t)
 	e := &endpoint{}
--- a/internal/dataplane/dispatch/script_args_test.go
+++ b/internal/dataplane/dispatch/script_args_test.go
@@ -8,10 +8,11 @@
 	"time"
 )
 
-// scriptArgs are the "key" and "key=value" words of an event; a bare key has the value "yes".
+// scriptArgs are the "key" and "key=value" arguments of an event; a bare key has the value
+// "yes".
 type scriptArgs map[string]string
 
-// parseArgs reads the arguments of an event, and fails the test on a key it doesn't have.
+// parseArgs parses the arguments of an event and fails the test on an unknown key.
 func parseArgs(t *testing.T, words []string, known ...string) scriptArgs {
 	t.Helper()
 	args := scriptArgs{}
@@ -28,10 +29,10 @@
 	return args
 }
 
-// has tells whether an argument was given.
+// has reports whether an argument is set.
 func (a scriptArgs) has(key string) bool { return a[key] != "" }
 
-// number returns an argument that is a number; 0 if it wasn't given.
+// number returns a numeric argument; 0 if it isn't set.
 func (a scriptArgs) number(t *testing.T, key string) int {
 	t.Helper()
 	if !a.has(key) {
@@ -40,7 +41,7 @@
 	return parseNumber(t, a[key])
 }
 
-// duration returns an argument that is a duration, or its default if it wasn't given.
+// duration returns a duration argument, or a default value if it isn't set.
 func (a scriptArgs) duration(t *testing.T, key string, otherwise time.Duration) time.Duration {
 	t.Helper()
 	if !a.has(key) {
@@ -53,7 +54,7 @@
 	return d
 }
 
-// parseNumber reads a number.
+// parseNumber parses a decimal integer.
 func parseNumber(t *testing.T, s string) int {
 	t.Helper()
 	n, err := strconv.Atoi(s)
--- a/internal/dataplane/dispatch/script_commands_test.go
+++ b/internal/dataplane/dispatch/script_commands_test.go
@@ -10,7 +10,7 @@
 	"dunlinwell/internal/state/idempotency"
 )
 
-// operations are the words for the operations on an idempotency key.
+// operations maps each operation on an idempotency key to its name in scripts.
 var operations = map[consensus.Op]string{
 	consensus.Read:              "read",
 	idempotency.OpClaim:         "claim",
@@ -20,7 +20,7 @@
 	idempotency.OpNumberAttempt: "number",
 }
 
-// responseClasses are the words for the classes of responses.
+// responseClasses maps each response class to its name in scripts.
 var responseClasses = map[ResponseClass]string{
 	Rejected:    "rejected",
 	Unknown:     "unknown",
@@ -28,7 +28,7 @@
 	ClientError: "client-error",
 }
 
-// formatCommand writes a command as it stands in a script.
+// formatCommand formats a command as in a script.
 func (r *scriptRunner) formatCommand(command event.Command) string {
 	switch c := command.(type) {
 	case IdempotencyCall:
@@ -58,7 +58,7 @@
 	return fmt.Sprintf("%T", command)
 }
 
-// formatRetryAfter writes whole seconds as a number, and other durations with their unit.
+// formatRetryAfter formats whole seconds as a number, and other durations with their unit.
 func formatRetryAfter(d time.Duration) string {
 	if d%time.Second == 0 {
 		return strconv.Itoa(int(d / time.Second))
--- a/internal/dataplane/dispatch/script_service_test.go
+++ b/internal/dataplane/dispatch/script_service_test.go
@@ -9,8 +9,8 @@
 	"dunlinwell/internal/controlplane/targets"
 )
 
-// parseServiceState reads the state of a service; each target may have arguments of its
-// own, after semicolons.
+// parseServiceState parses a "service" event. Targets are separated by commas, and the
+// arguments of each by semicolons.
 func parseServiceState(t *testing.T, now ids.Time, words []string) ServiceState {
 	t.Helper()
 	args := parseArgs(t, words, "targets", "stale", "drained", "lease", "terms", "leaving")
@@ -34,8 +34,8 @@
 	return state
 }
 
-// parseAllocation reads a target: "t;distance=1;region=n;slow-start=2s;rate=4". Without a
-// distance it is the length of the name.
+// parseAllocation parses a target such as "t;distance=1;region=n;slow-start=2s;rate=4". The
+// default distance is the length of the target's name.
 func parseAllocation(t *testing.T, now ids.Time, target string) Allocation {
 	t.Helper()
 	words := strings.Split(target, ";")
--- a/internal/dataplane/dispatch/script_test.go
+++ b/internal/dataplane/dispatch/script_test.go
@@ -12,14 +12,14 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// maxScriptID bounds the ids of the requests of a script.
+// maxScriptID is the exclusive upper bound of request IDs in a script.
 const maxScriptID = 100
 
-// scriptRunner parses the events of a script and formats commands. It remembers the last
-// sequence of each request, so that scripts need not name them.
+// scriptRunner parses the events of a script and formats commands. It tracks the latest sequence
+// number of each request, which scripts omit.
 type scriptRunner struct{ sequences [maxScriptID]uint32 }
 
-// parseEvent reads an event: its name, a request's id where it concerns one, and arguments.
+// parseEvent parses an event: its name, the request ID if it has one, and its arguments.
 func (r *scriptRunner) parseEvent(t *testing.T, now ids.Time, words []string) event.Event {
 	t.Helper()
 	name, words := words[0], words[1:]
@@ -43,11 +43,11 @@
 	case "client-left":
 		return ClientDisconnected{ID: id}
 	}
-	t.Fatalf("no event %q", name)
+	t.Fatalf("unknown event %q", name)
 	return nil
 }
 
-// parseJob reads a request. It is repeatable unless it has a key or is at-most-once.
+// parseJob parses a request, which is repeatable unless it has a key or is at-most-once.
 func parseJob(t *testing.T, now ids.Time, id ids.RequestID, words []string) Job {
 	t.Helper()
 	args := parseArgs(t, words, "key", "fingerprint", "attempt", "tier", "deadline", "terms", "at-most-once", "goal", "max-attempts", "homes")
@@ -76,7 +76,7 @@
 	return j
 }
 
-// verdicts are the words for the result of an idempotency operation.
+// verdicts maps the names in scripts to the verdicts of idempotency operations.
 var verdicts = map[string]idempotency.Verdict{
 	"granted":     idempotency.Granted,
 	"in-progress": idempotency.InProgress,
@@ -86,8 +86,8 @@
 	"released":    idempotency.Released,
 }
 
-// parseReply reads the reply to the latest call of a request: "indeterminate", "record"
-// with its state, or a verdict.
+// parseReply parses the reply to a request's latest call: "indeterminate", "record" and its
+// state, or a verdict.
 func (r *scriptRunner) parseReply(t *testing.T, id ids.RequestID, words []string) IdempotencyReply {
 	t.Helper()
 	known := []string{"record", "claimed", "indeterminate", "owner", "numbered", "fingerprint"}
@@ -123,7 +123,7 @@
 	return reply
 }
 
-// encode returns a message as it goes over the wire.
+// encode returns the wire encoding of a message.
 func encode(t *testing.T, message any) []byte {
 	t.Helper()
 	raw, err := wire.Encode(message)
@@ -133,7 +133,7 @@
 	return raw
 }
 
-// attemptResults are the words for the result of an attempt.
+// attemptResults maps the names in scripts to attempt results.
 var attemptResults = map[string]AttemptResult{
 	"complete":      Complete,
 	"may-have-run":  MayHaveRun,
@@ -143,13 +143,13 @@
 	"target-failed": TargetFailed,
 }
 
-// parseFinished reads the end of the latest attempt of a request: its result, which is
-// the reason as well, and the load that the target reported.
+// parseFinished parses the end of a request's latest attempt: its result, which also becomes
+// the reason, and the load that the target reported.
 func (r *scriptRunner) parseFinished(t *testing.T, id ids.RequestID, words []string) AttemptFinished {
 	t.Helper()
 	result, ok := attemptResults[words[0]]
 	if !ok {
-		t.Fatalf("no result %q", words[0])
+		t.Fatalf("unknown attempt result %q", words[0])
 	}
 	args := parseArgs(t, words[1:], "running", "slots")
 	finished := AttemptFinished{
--- a/internal/dataplane/dispatch/trace_test.go
+++ b/internal/dataplane/dispatch/trace_test.go
@@ -12,12 +12,12 @@
 	"dunlinwell/internal/state/idempotency"
 )
 
-// TestTraces runs scripts: the events of "TIME > EVENT" lines go into a dispatcher, and the
-// "< COMMAND" lines under each must be exactly the commands that it returns, in that order.
+// TestTraces runs the scripts in testdata. Each "TIME > EVENT" line is passed to a dispatcher,
+// which must return exactly the commands in the "< COMMAND" lines below it, in that order.
 func TestTraces(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.trace")
 	if err != nil || len(files) == 0 {
-		t.Fatal("no traces", err)
+		t.Fatal("no trace files in testdata; error:", err)
 	}
 	for _, file := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".trace"), func(t *testing.T) { runTrace(t, file) })
