--- a/internal/dataplane/dispatch/endpoint.go
+++ b/internal/dataplane/dispatch/endpoint.go
@@ -18,11 +18,11 @@
 	// removed is set while the target is missing from the service state.
 	removed bool
 	// lastResponseAt is when an attempt last ended without being canceled. A request that
-	// starts with no others in flight sets it to the start time minus silentFor.
+	// starts with no others in flight sets it to the start time minus unresponsiveFor.
 	lastResponseAt ids.Time
-	// silentFor is how long the target hadn't responded when the last request was canceled;
+	// unresponsiveFor is how long the target hadn't responded when the last request was canceled;
 	// 0 after a response.
-	silentFor time.Duration
+	unresponsiveFor time.Duration
 	// slowStartTokens is the level of a token bucket with a capacity of one request, which
 	// limits the request rate until SlowStartUntil.
 	slowStartTokens  float64
@@ -37,7 +37,7 @@
 // startRequest takes a slot for a request.
 func (e *endpoint) startRequest(now ids.Time) {
 	if e.inFlight == 0 {
-		e.lastResponseAt = now.Add(-e.silentFor)
+		e.lastResponseAt = now.Add(-e.unresponsiveFor)
 	}
 	e.inFlight++
 	if now < e.SlowStartUntil {
@@ -48,14 +48,14 @@
 // endRequest releases the slot of a request that wasn't canceled.
 func (e *endpoint) endRequest(now ids.Time) {
 	e.inFlight--
-	e.lastResponseAt, e.silentFor = now, 0
+	e.lastResponseAt, e.unresponsiveFor = now, 0
 }
 
 // cancelRequest releases the slot of a canceled request. A cancellation isn't a response:
 // an unresponsive target must be detected even if all its clients disconnect early.
 func (e *endpoint) cancelRequest(now ids.Time) {
 	e.inFlight--
-	e.silentFor = now.Sub(e.lastResponseAt)
+	e.unresponsiveFor = now.Sub(e.lastResponseAt)
 }
 
 const (
--- a/internal/dataplane/dispatch/forward.go
+++ b/internal/dataplane/dispatch/forward.go
@@ -21,11 +21,11 @@
 		return
 	}
 	if !j.budgetCounted && !d.countInBudget(j) {
-		d.reject(now, j, reasonBudgetSpent)
+		d.reject(now, j, reasonRetryBudgetExhausted)
 		return
 	}
 	j.state = forwarding
-	j.timesSent++
+	j.sentAttempts++
 	j.sequence++
 	j.forwardedAt = now
 	d.Counters.countForward(e.Distance)
@@ -49,8 +49,8 @@
 		return false
 	}
 	j.budgetCounted = true
-	j.budgetEarned = j.Attempt <= 1
-	if j.budgetEarned {
+	j.budgetDeposited = j.Attempt <= 1
+	if j.budgetDeposited {
 		d.retryBudget.deposit()
 	}
 	return true
@@ -95,9 +95,9 @@
 		}
 		d.releaseSlot(now, j)
 	}
-	if result.Result == NotSent && j.budgetEarned {
+	if result.Result == NotSent && j.budgetDeposited {
 		d.retryBudget.cancelDeposit()
-		j.budgetEarned, j.budgetCounted = false, false
+		j.budgetDeposited, j.budgetCounted = false, false
 	}
 }
 
--- a/internal/dataplane/dispatch/idempotency.go
+++ b/internal/dataplane/dispatch/idempotency.go
@@ -89,7 +89,7 @@
 	record, ok := idempotency.DecodeRecord(reply.Payload)
 	switch {
 	case reply.Outcome != consensus.Succeeded || !ok:
-		d.respondUnknown(now, j, statusGatewayTimeout, reasonRecordNotRead)
+		d.respondUnknown(now, j, statusGatewayTimeout, reasonRecordUnreadable)
 	case record.State != idempotency.Unclaimed && !bytes.Equal(record.Fingerprint, j.Fingerprint):
 		d.respondKeyReused(now, j)
 	case record.State == idempotency.Completed:
@@ -105,7 +105,7 @@
 func (d *Dispatcher) onAttemptNumbered(now ids.Time, j *job, reply IdempotencyReply) {
 	result, ok := decodeResult(reply)
 	if !ok {
-		d.respondUnknown(now, j, statusGatewayTimeout, reasonRecordNotRead)
+		d.respondUnknown(now, j, statusGatewayTimeout, reasonRecordUnreadable)
 		return
 	}
 	switch result.Verdict {
@@ -154,7 +154,7 @@
 func (d *Dispatcher) onClaimGranted(now ids.Time, j *job) {
 	switch {
 	case now >= j.Deadline:
-		d.reject(now, j, reasonNoTimeLeft)
+		d.reject(now, j, reasonDeadlineExceeded)
 	case d.isFrozenOrStale(now):
 		d.reject(now, j, reasonFrozen)
 	default:
@@ -198,7 +198,7 @@
 func (d *Dispatcher) waitForOwner(now ids.Time, j *job, owner idempotency.Owner) {
 	d.releaseSlot(now, j)
 	if owner.Daemon != d.Self.Daemon && d.service.RunEnded != nil && d.service.RunEnded(owner.Daemon, owner.RunID) {
-		d.respondUnknown(now, j, statusGatewayTimeout, reasonOwnerGone)
+		d.respondUnknown(now, j, statusGatewayTimeout, reasonOwnerEnded)
 		return
 	}
 	if owner.Daemon == d.Self.Daemon && owner.RunID != d.Self.RunID {
--- a/internal/dataplane/dispatch/job.go
+++ b/internal/dataplane/dispatch/job.go
@@ -55,19 +55,19 @@
 	// failedAttempts counts unsent attempts and those after which a retry was considered
 	// (takeRetry), including TargetFailed responses.
 	failedAttempts int
-	// timesSent counts attempts of which bytes were sent. It is incremented with each
+	// sentAttempts counts attempts of which bytes were sent. It is incremented with each
 	// Forward, and decremented if the result is NotSent.
-	timesSent int
+	sentAttempts int
 	// target is the target at which the job holds a slot; empty for none.
 	target       ids.InstanceID
 	triedTargets map[ids.InstanceID]bool
 	// claimRequested is set once a claim was requested, so the job may hold it.
 	claimRequested bool
 	// budgetCounted is set once the request was counted in the retry budget, and
-	// budgetEarned if it was counted as a deposit. Both are reset if the request made a
+	// budgetDeposited if it was counted as a deposit. Both are reset if the request made a
 	// deposit but wasn't sent.
-	budgetCounted bool
-	budgetEarned  bool
+	budgetCounted   bool
+	budgetDeposited bool
 	// recheckAt is when a job in state waitingForOwner reads the record again.
 	recheckAt ids.Time
 	// queuedAt is when the job was first queued.
--- a/internal/dataplane/dispatch/latency_goal.go
+++ b/internal/dataplane/dispatch/latency_goal.go
@@ -26,8 +26,8 @@
 	j.goalUnreachable = longest-timeLeft+d.meanResponseTime > j.LatencyGoal
 }
 
-// latenessRank returns the rank in the queue: jobs that can meet their latency goal come first.
-func latenessRank(j *job) int {
+// goalRank returns the rank in the queue: jobs that can meet their latency goal come first.
+func goalRank(j *job) int {
 	if j.goalUnreachable {
 		return 1
 	}
--- a/internal/dataplane/dispatch/queue.go
+++ b/internal/dataplane/dispatch/queue.go
@@ -13,7 +13,7 @@
 func compareUrgency(a, b *job) int {
 	return cmp.Or(
 		-cmp.Compare(a.Tier, b.Tier),
-		latenessRank(a)-latenessRank(b),
+		goalRank(a)-goalRank(b),
 		cmp.Compare(a.Deadline, b.Deadline),
 		cmp.Compare(a.ID, b.ID),
 	)
@@ -96,18 +96,18 @@
 
 // releaseSlot releases a job's slot, if it holds one.
 func (d *Dispatcher) releaseSlot(now ids.Time, j *job) {
-	d.endSlot(j, func(e *endpoint) { e.endRequest(now) })
+	d.releaseSlotWith(j, func(e *endpoint) { e.endRequest(now) })
 }
 
 // releaseCanceledSlot releases the slot of a job whose attempt was canceled.
 func (d *Dispatcher) releaseCanceledSlot(now ids.Time, j *job) {
-	d.endSlot(j, func(e *endpoint) { e.cancelRequest(now) })
+	d.releaseSlotWith(j, func(e *endpoint) { e.cancelRequest(now) })
 }
 
-// endSlot releases a job's slot, if it holds one, by calling release on its endpoint.
-func (d *Dispatcher) endSlot(j *job, countOff func(*endpoint)) {
+// releaseSlotWith releases a job's slot, if it holds one, by calling release on its endpoint.
+func (d *Dispatcher) releaseSlotWith(j *job, release func(*endpoint)) {
 	if e := d.endpoints[j.target]; e != nil && j.target != "" {
-		countOff(e)
+		release(e)
 		if e.removed && e.inFlight <= 0 {
 			delete(d.endpoints, j.target)
 		}
--- a/internal/dataplane/dispatch/reasons.go
+++ b/internal/dataplane/dispatch/reasons.go
@@ -11,8 +11,8 @@
 	reasonNoSlotInTime = "no place in the time left"
 	// reasonQueueFull: the queue is over its limit and the request is the least urgent one.
 	reasonQueueFull = "too much work"
-	// reasonNoTimeLeft: the deadline passed while the idempotency key was being claimed.
-	reasonNoTimeLeft = "no time left"
+	// reasonDeadlineExceeded: the deadline passed while the idempotency key was being claimed.
+	reasonDeadlineExceeded = "no time left"
 	// reasonClaimTimeout: the outcome of the claim of the idempotency key is unknown.
 	reasonClaimTimeout = "the mark couldn't be claimed in time"
 	// reasonNotCurrent: the service state isn't current, or the process has been frozen.
@@ -25,8 +25,8 @@
 	reasonZoneDrained = "this cell is emptied; ask where to go"
 	// reasonRouteChanged: the terms of the route changed while the request waited.
 	reasonRouteChanged = "its route was changed meanwhile"
-	// reasonBudgetSpent: the retry budget is too low for a retry by the client.
-	reasonBudgetSpent = "the budget for repeated requests is used up"
+	// reasonRetryBudgetExhausted: the retry budget is too low for a retry by the client.
+	reasonRetryBudgetExhausted = "the budget for repeated requests is used up"
 	// reasonUnreachable: several attempts ended without a byte sent to a target.
 	reasonUnreachable = "no target could be reached"
 	// reasonNotExecuted: a target stated that it hasn't run the request, and no further
@@ -44,19 +44,19 @@
 	// reasonMayHaveRun: bytes were sent, no complete response was received, and the request
 	// isn't repeatable.
 	reasonMayHaveRun = "may have run"
-	// reasonRetriesEnded: like reasonMayHaveRun, for a repeatable request whose retries
+	// reasonRetriesExhausted: like reasonMayHaveRun, for a repeatable request whose retries
 	// failed or that may not be retried again.
-	reasonRetriesEnded = "given up"
+	reasonRetriesExhausted = "given up"
 	// reasonStillRunning: another attempt didn't complete before the deadline.
 	reasonStillRunning = "another attempt is still running"
 	// reasonMayStillRun: another attempt holds the claim and can't be blocked.
 	reasonMayStillRun = "another attempt may still run"
-	// reasonRecordNotRead: the record of the idempotency key couldn't be read.
-	reasonRecordNotRead = "an earlier attempt may have run; its mark can't be read now"
+	// reasonRecordUnreadable: the record of the idempotency key couldn't be read.
+	reasonRecordUnreadable = "an earlier attempt may have run; its mark can't be read now"
 	// reasonRecordsLost: the key has no record, and the stores lost records recently.
 	reasonRecordsLost = "an earlier attempt may have run; marks were lost of late"
-	// reasonOwnerGone: the claim is held by an ended run of another proxy.
-	reasonOwnerGone = "may have run; the proxy that had it is gone"
+	// reasonOwnerEnded: the claim is held by an ended run of another proxy.
+	reasonOwnerEnded = "may have run; the proxy that had it is gone"
 	// reasonOwnerRestarted: the claim is held by an earlier run of this proxy.
 	reasonOwnerRestarted = "may have run; this proxy was restarted meanwhile"
 	// reasonResponseLost: the response of an earlier attempt is unknown.
--- a/internal/dataplane/dispatch/retry.go
+++ b/internal/dataplane/dispatch/retry.go
@@ -14,7 +14,7 @@
 // attempts of which bytes were sent, defaultMaxAttempts the failed ones, sent or not.
 func (d *Dispatcher) attemptsExhausted(j *job) bool {
 	if j.MaxAttempts > 0 {
-		return j.timesSent >= j.MaxAttempts
+		return j.sentAttempts >= j.MaxAttempts
 	}
 	return j.failedAttempts >= defaultMaxAttempts
 }
@@ -34,7 +34,7 @@
 // admitted again without using the retry budget, or rejected as unreachable, in which case
 // onUnsentAttemptFinished returns false.
 func (d *Dispatcher) onUnsentAttemptFinished(now ids.Time, j *job, result AttemptFinished) bool {
-	j.timesSent--
+	j.sentAttempts--
 	j.failedAttempts++
 	if j.failedAttempts > maxUnsentAttempts {
 		d.reject(now, j, reasonUnreachable+": "+result.Reason)
@@ -66,6 +66,6 @@
 	case j.clientDisconnected:
 		d.respondUnknown(now, j, unknownStatus(now, j), reasonClientDisconnected)
 	default:
-		d.respondUnknown(now, j, unknownStatus(now, j), reasonRetriesEnded+": "+result.Reason)
+		d.respondUnknown(now, j, unknownStatus(now, j), reasonRetriesExhausted+": "+result.Reason)
 	}
 }
--- a/internal/dataplane/dispatch/script_args_test.go
+++ b/internal/dataplane/dispatch/script_args_test.go
@@ -42,10 +42,10 @@
 }
 
 // duration returns a duration argument, or a default value if it isn't set.
-func (a scriptArgs) duration(t *testing.T, key string, otherwise time.Duration) time.Duration {
+func (a scriptArgs) duration(t *testing.T, key string, defaultValue time.Duration) time.Duration {
 	t.Helper()
 	if !a.has(key) {
-		return otherwise
+		return defaultValue
 	}
 	d, err := time.ParseDuration(a[key])
 	if err != nil {
