--- a/internal/dataplane/dispatch/balancer.go
+++ b/internal/dataplane/dispatch/balancer.go
@@ -22,7 +22,7 @@
 
 // mayServe reports whether a target is available and in one of a job's regions.
 func mayServe(e *endpoint, j *job) bool {
-	return e.isAvailable() && (len(j.Homes) == 0 || slices.Contains(j.Homes, e.Region))
+	return e.isAvailable() && (len(j.HomeRegions) == 0 || slices.Contains(j.HomeRegions, e.Region))
 }
 
 // maxDistance returns the maximum distance of a job's target, which grows with the time that
--- a/internal/dataplane/dispatch/messages.go
+++ b/internal/dataplane/dispatch/messages.go
@@ -41,8 +41,8 @@
 	// routes always set it; with 0, defaultMaxAttempts applies, which counts failed attempts
 	// instead (see attemptsExhausted).
 	MaxAttempts int
-	// Homes lists the regions whose targets may serve the request; empty for all.
-	Homes []ids.Name
+	// HomeRegions lists the regions whose targets may serve the request; empty for all.
+	HomeRegions []ids.Name
 	// Terms are the route's rules at the time of arrival. The request isn't forwarded once
 	// they have changed.
 	Terms RouteTerms
--- a/internal/dataplane/dispatch/queue.go
+++ b/internal/dataplane/dispatch/queue.go
@@ -78,7 +78,7 @@
 // isRestricted reports whether there may be free slots that only other jobs can use: at
 // targets that this job has tried, outside its regions, or beyond its current maximum distance.
 func (j *job) isRestricted() bool {
-	return len(j.triedTargets) > 0 || len(j.Homes) > 0 || j.LatencyGoal != 0
+	return len(j.triedTargets) > 0 || len(j.HomeRegions) > 0 || j.LatencyGoal != 0
 }
 
 // onSlotAcquired forwards a job that holds a slot, or first claims its idempotency key if it
--- a/internal/dataplane/dispatch/script_test.go
+++ b/internal/dataplane/dispatch/script_test.go
@@ -70,7 +70,7 @@
 	}
 	if args.has("homes") {
 		for _, region := range strings.Split(args["homes"], ",") {
-			j.Homes = append(j.Homes, ids.Name(region))
+			j.HomeRegions = append(j.HomeRegions, ids.Name(region))
 		}
 	}
 	return j
--- a/internal/dataplane/proxy/frontend.go
+++ b/internal/dataplane/proxy/frontend.go
@@ -86,7 +86,7 @@
 		AtMostOnce:  route.WithoutIdempotencyKey,
 		LatencyGoal: route.LatencyGoal(),
 		MaxAttempts: route.MaxAttempts,
-		Homes:       route.HomeRegions,
+		HomeRegions: route.HomeRegions,
 		Terms:       RouteTerms(route),
 	}
 }
