--- a/internal/dataplane/dispatch/job.go
+++ b/internal/dataplane/dispatch/job.go
@@ -31,7 +31,7 @@
 )
 
 // Timeouts of calls to the register of an idempotency key. All but backgroundTimeout are
-// shortened to the request's deadline, but not below minRegisterTimeout.
+// limited by the request's deadline, but not below minRegisterTimeout.
 const (
 	// registerTimeout is the timeout of calls whose reply the request needs to proceed.
 	registerTimeout = 2 * time.Second
--- a/internal/dataplane/dispatch/outlier_detector.go
+++ b/internal/dataplane/dispatch/outlier_detector.go
@@ -17,7 +17,7 @@
 	ejections
 }
 
-// ejections counts the consecutive ejections without a recovery.
+// ejections is the state of consecutive ejections, without a recovery between them.
 type ejections struct {
 	ejectionCount int
 	ejectedUntil  ids.Time
