--- a/internal/dataplane/proxy/attempt_contexts.go
+++ b/internal/dataplane/proxy/attempt_contexts.go
@@ -2,18 +2,18 @@
 
 import "context"
 
-// attemptContexts are the contexts of a request's attempts at targets. One pair serves all
-// attempts of a request, since none follows one that was canceled.
+// attemptContexts holds the contexts of a request's attempts at targets. All attempts of a
+// request share one pair, since no attempt follows a canceled one.
 type attemptContexts struct {
-	// running ends an attempt at any time: its connection is closed.
+	// running cancels an attempt at any time by closing its connection.
 	running context.Context
-	// unsent ends an attempt before its first byte. It ends with running.
+	// unsent cancels an attempt only before its first byte is sent. It is a child of running.
 	unsent               context.Context
 	cancel, cancelUnsent context.CancelFunc
 }
 
-// newAttemptContexts returns contexts that don't depend on the client's: the dispatcher
-// decides what its departure means.
+// newAttemptContexts returns contexts that are independent of the client's context: the
+// dispatcher decides whether a client disconnect cancels an attempt.
 func newAttemptContexts() attemptContexts {
 	var c attemptContexts
 	c.running, c.cancel = context.WithCancel(context.Background())
--- a/internal/dataplane/proxy/client_conn.go
+++ b/internal/dataplane/proxy/client_conn.go
@@ -7,23 +7,25 @@
 	"time"
 )
 
-// pastDeadline is a deadline that ends a pending read at once.
+// pastDeadline is a deadline that makes a pending read fail immediately.
 var pastDeadline = time.Unix(1, 0)
 
-// clientConn is a client's connection that can be closed while it is idle without losing
-// a request: either its pending read ends with nothing read, or the request that was read
-// is answered. Closing the connection itself, as net/http does with idle ones, would lose
-// a request that was read just before.
+// clientConn is a client connection that can be closed while idle without losing a request:
+// either the pending read ends with no data, or the request that was read gets its response.
+// Closing the connection directly, as net/http does with idle connections, would lose a
+// request that was read just before.
 type clientConn struct {
 	net.Conn
 	mu sync.Mutex
-	// idle: the server waits for the next request. reading: something of that has been read.
+	// idle is set while the server waits for the next request, reading once part of that
+	// request was read.
 	idle, reading bool
-	// closing: to be closed as soon as it is idle. readExpired: its read is being ended.
+	// closing is set if the connection is to be closed when it becomes idle, readExpired
+	// while its pending read is being ended.
 	closing, readExpired bool
-	// readDeadline is the one that the server has set.
+	// readDeadline is the deadline set by the server.
 	readDeadline time.Time
-	// lastReadEnd is how the last read ended.
+	// lastReadEnd is the outcome of the last read.
 	lastReadEnd readEnd
 }
 
@@ -34,9 +36,9 @@
 	c.lastReadEnd = readEndOf(err)
 	switch {
 	case n > 0 && c.readExpired:
-		// The request came before the read was ended: it is read whole and answered.
+		// The request arrived before the read expired, so it is read and answered.
 		c.readExpired = false
-		// On a closed connection the next read fails anyway.
+		// On a closed connection the next read fails as well.
 		_ = c.Conn.SetReadDeadline(c.readDeadline)
 		c.reading = true
 	case n > 0:
@@ -47,14 +49,14 @@
 	return n, err
 }
 
-// readEnd returns how the last read ended.
+// readEnd returns the outcome of the last read.
 func (c *clientConn) readEnd() readEnd {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lastReadEnd
 }
 
-// SetReadDeadline sets the server's deadline, unless the read is being ended.
+// SetReadDeadline sets the read deadline, unless the pending read is being ended.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,7 +67,7 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// setIdle notes that a request has ended, or begun.
+// setIdle records that a request has ended (true) or begun (false).
 func (c *clientConn) setIdle(idle bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,7 +78,8 @@
 	}
 }
 
-// closeWhenIdle closes the connection now if it is idle, or else once it is.
+// closeWhenIdle closes the connection immediately if it is idle, otherwise when it becomes
+// idle.
 func (c *clientConn) closeWhenIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -84,12 +87,12 @@
 	c.expireRead()
 }
 
-// expireRead ends the pending read of a connection that is to be closed. The server then
-// closes it. The caller holds the lock.
+// expireRead ends the pending read of an idle connection that is to be closed. The server
+// then closes the connection. c.mu must be held.
 func (c *clientConn) expireRead() {
 	if c.closing && c.idle && !c.reading {
 		c.readExpired = true
-		// On a closed connection there is no read to end.
+		// A closed connection has no pending read.
 		_ = c.Conn.SetReadDeadline(pastDeadline)
 	}
 }
--- a/internal/dataplane/proxy/client_departure.go
+++ b/internal/dataplane/proxy/client_departure.go
@@ -11,23 +11,24 @@
 	"dunlinwell/internal/app/api"
 )
 
-// readEnd is how reading a client's connection ended.
+// readEnd is the outcome of a read from a client connection.
 type readEnd uint8
 
 const (
-	// notEnded: the last read brought something, or there was none yet.
+	// notEnded means that the last read returned data, or that nothing was read yet.
 	notEnded readEnd = iota
-	// closedByPeer: the client has closed the connection, or only its sending side. The two
-	// look the same until something is sent.
+	// closedByPeer means that the client closed the connection or only its sending side. The
+	// two can't be told apart until data is sent.
 	closedByPeer
-	// resetByPeer: the client, or its machine, has dropped the connection.
+	// resetByPeer means that the client or its host reset the connection, or that it timed
+	// out at the TCP level.
 	resetByPeer
-	// endedHere: reading timed out, or this side has closed the connection. That says
-	// nothing of the client.
+	// endedHere means that the read deadline passed or this side closed the connection, which
+	// says nothing about the client.
 	endedHere
 )
 
-// readEndOf returns what the error of a read says.
+// readEndOf classifies the error of a read.
 func readEndOf(err error) readEnd {
 	switch {
 	case err == nil:
@@ -40,24 +41,25 @@
 	return resetByPeer
 }
 
-// HalfCloseRule says what it means if a client closes its sending side before it has its
-// response.
+// HalfCloseRule specifies how to treat a client that closes its sending side before it has
+// received its response.
 type HalfCloseRule uint8
 
 const (
-	// HalfCloseWaits means that the client may still read, and gets its response. Only a reset means
-	// that it has gone.
+	// HalfCloseWaits treats the client as connected, so that it gets its response. Only a reset
+	// counts as a disconnect.
 	HalfCloseWaits HalfCloseRule = iota
-	// HalfCloseLeaves means that the client has gone.
+	// HalfCloseLeaves treats a half-close as a disconnect.
 	HalfCloseLeaves
 )
 
-// ClientContext returns a context that ends when a request's client has gone, for Dispatch.
-// It is released by the function, after which it has ended. net/http ends a request's own
-// context for other reasons as well, such as a read that timed out.
+// ClientContext returns a context for Dispatch that is canceled when the request's client
+// disconnects. The returned function cancels it and releases its resources. The request's own
+// context doesn't serve, since net/http also cancels it for other reasons, such as a read
+// timeout.
 //
-// The connection is watched only once the request's body was read, and no longer once the
-// client has begun to send its next request.
+// A disconnect is detected only after the request's body was read, and not after the client
+// has begun to send its next request.
 func ClientContext(r *http.Request, rule HalfCloseRule) (context.Context, context.CancelFunc) {
 	client, cancel := context.WithCancel(context.WithoutCancel(r.Context()))
 	stop := context.AfterFunc(r.Context(), func() {
@@ -68,7 +70,8 @@
 	return client, func() { stop(); cancel() }
 }
 
-// clientHasGone tells whether a request's context has ended because of its client.
+// clientHasGone reports whether a request's context was canceled because its client
+// disconnected.
 func clientHasGone(r *http.Request, rule HalfCloseRule) bool {
 	conn, ok := api.ConnOf(r).(*clientConn)
 	if !ok {
@@ -83,8 +86,8 @@
 	return false
 }
 
-// clientConnListener wraps the connections of a listener, so that ClientContext can tell how
-// reading them ended.
+// clientConnListener wraps accepted connections in a clientConn, so that ClientContext can
+// find out how reading them ended.
 type clientConnListener struct{ net.Listener }
 
 func (l clientConnListener) Accept() (net.Conn, error) {
--- a/internal/dataplane/proxy/client_listener.go
+++ b/internal/dataplane/proxy/client_listener.go
@@ -13,29 +13,29 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// clientListener accepts clients' connections, within the limits that the configuration
-// sets, until a graceful shutdown. net/http fixes its limits when a server starts, so new
-// limits start a new server; the connections of the old one end there.
+// clientListener accepts client connections under the configured limits, until a graceful
+// shutdown. An http.Server's limits can't change after it has started, so new limits start a
+// new server, and the old one is drained.
 type clientListener struct {
 	handler  http.Handler
 	listener net.Listener
 	mu       sync.Mutex
 	limits   configuration.Limits
 	server   *clientServer
-	// openConns counts the connections of all servers; lastConnClosed wakes the one who
-	// waits for none to be left.
+	// openConns counts the open connections of all servers. lastConnClosed is signaled when
+	// the count reaches zero.
 	openConns      atomic.Int64
 	lastConnClosed chan struct{}
 }
 
 const (
-	// acceptRetryDelay is how long a process short of file descriptors or memory waits
-	// before it accepts the next connection.
+	// acceptRetryDelay is the delay before accepting again after a transient error, such as
+	// a lack of file descriptors or memory.
 	acceptRetryDelay = 20 * time.Millisecond
-	// lameDuckPeriod is how long connections are still accepted after the signal to stop:
-	// responses of the directory that name this proxy are used for a moment longer, and
-	// their clients shall get an answer. The native front end rejects their requests at
-	// once; another may still serve them. A third of the default grace period is shorter.
+	// lameDuckPeriod is how long connections are still accepted after the signal to stop,
+	// for clients that resolved this proxy's address just before. The native frontend
+	// rejects their requests immediately; other frontends may still serve them. It is
+	// limited to a third of the grace period, which is shorter by default.
 	lameDuckPeriod = 1200 * time.Millisecond
 )
 
@@ -45,8 +45,8 @@
 	return l
 }
 
-// setLimits starts a server with new limits and drains the old one. Limits that are the
-// same change nothing.
+// setLimits starts a server with new limits and drains the old one. It does nothing if the
+// limits are unchanged.
 func (l *clientListener) setLimits(limits configuration.Limits) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -61,7 +61,7 @@
 	}
 }
 
-// connClosed counts a connection off and wakes the one who waits for the last.
+// connClosed decrements openConns and signals lastConnClosed at zero.
 func (l *clientListener) connClosed() {
 	if l.openConns.Add(-1) > 0 {
 		return
@@ -72,11 +72,11 @@
 	}
 }
 
-// enqueue hands a connection to the server of the limits in force, or closes it after the
-// last server has closed. A queue that was found closed is asked for again, as new limits
-// may have put another in its place; if it is still the same one, none will follow.
+// enqueue passes a connection to the current server, or closes it if that server is shutting
+// down. If a queue turns out to be closed, the current queue is looked up again, since new
+// limits may have replaced it; if it is unchanged, the listener is stopping.
 func (l *clientListener) enqueue(conn net.Conn) {
-	// It counts before the server has it, so that a shutdown doesn't miss it.
+	// Count the connection before the server gets it, so that a shutdown waits for it.
 	l.openConns.Add(1)
 	var closedQueue *connQueue
 	for {
@@ -84,7 +84,7 @@
 		queue := l.server.queue
 		l.mu.Unlock()
 		if queue == closedQueue {
-			// The client sees it closed either way.
+			// An error is irrelevant: the client sees a closed connection either way.
 			_ = conn.Close()
 			l.connClosed()
 			return
@@ -98,7 +98,7 @@
 	}
 }
 
-// isTransientAcceptError tells whether an error of accepting passes by itself.
+// isTransientAcceptError reports whether accepting may succeed again after this error.
 func isTransientAcceptError(err error) bool {
 	for _, transient := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED} {
 		if errors.Is(err, transient) {
@@ -108,13 +108,14 @@
 	return false
 }
 
-// serve accepts clients until the context ends, and then shuts down gracefully: clients
-// are accepted for lameDuckPeriod (a third of the grace period at most), and requests in
-// flight may go on until the grace period is over. It returns the context's error then.
+// serve accepts clients until the context is canceled, and then shuts down gracefully:
+// clients are still accepted for lameDuckPeriod (at most a third of the grace period), and
+// requests in flight may finish until the grace period ends. It then returns the context's
+// error.
 func (l *clientListener) serve(ctx context.Context, gracePeriod time.Duration) error {
 	lameDuck := min(lameDuckPeriod, gracePeriod/3)
 	stop := context.AfterFunc(ctx, func() {
-		// Accept then fails, which ends the loop.
+		// This makes Accept fail, which ends acceptUntilClosed.
 		time.AfterFunc(lameDuck, func() { _ = l.listener.Close() })
 	})
 	defer stop()
@@ -128,8 +129,8 @@
 	return ctx.Err()
 }
 
-// acceptUntilClosed accepts connections until the listener is closed after the end of the
-// context, which is no error.
+// acceptUntilClosed accepts connections until accepting fails. It returns nil if the context
+// was canceled by then.
 func (l *clientListener) acceptUntilClosed(ctx context.Context) error {
 	for {
 		conn, err := l.listener.Accept()
@@ -149,7 +150,7 @@
 	}
 }
 
-// awaitConnsClosed waits until no connection is open, or the time is over.
+// awaitConnsClosed waits until no connection is open or the limit has passed.
 func (l *clientListener) awaitConnsClosed(limit time.Duration) {
 	timeout := time.After(limit)
 	for l.openConns.Load() > 0 {
--- a/internal/dataplane/proxy/client_request.go
+++ b/internal/dataplane/proxy/client_request.go
@@ -15,28 +15,28 @@
 	"dunlinwell/internal/transport/process"
 )
 
-// ClientRequest is a client's request, read whole.
+// ClientRequest is a client's request, including its complete body.
 type ClientRequest struct {
 	Job    dispatch.Job
 	Method string
-	// URI is the path and query as they came, byte for byte.
+	// URI is the path and query exactly as received.
 	URI string
-	// Host is the host that the client asked for; if empty, the target's address is
-	// sent in its place.
+	// Host is the value of the Host header sent to the target; the target's address if
+	// empty.
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Memory is reserved for the body, and later for the response. The handler releases
-	// it when the response is written.
+	// Memory is the reservation for the body, and later for the response. The handler
+	// releases it after writing the response.
 	Memory   *MemoryReservation
 	ClientIP string
-	// AttemptID is the id that the target has to echo, in protocols where the client
-	// chooses it.
+	// AttemptID is the ID that the target must echo, in protocols where the client chooses
+	// it.
 	AttemptID string
 }
 
-// requestError is why a client's request is not accepted: the status of the response, and
-// the problem that it states.
+// requestError is the reason for rejecting a client's request: the status and the problem
+// text of the response.
 type requestError struct {
 	status  int
 	problem string
@@ -46,18 +46,18 @@
 
 func badRequest(problem string) error { return &requestError{http.StatusBadRequest, problem} }
 
-// singleHeaders may stand once at most: of two values, another reader of the request
-// could take the other one.
+// singleHeaders lists the headers that may occur only once: given two values, another
+// recipient could interpret the request by a different one.
 var singleHeaders = []string{"Idempotency-Key", "Attempt", "Time-Left"}
 
-// idempotencyKeyPattern is what an idempotency key may look like.
+// idempotencyKeyPattern matches valid idempotency keys.
 var idempotencyKeyPattern = regexp.MustCompile(`^[\x21-\x7e]{1,256}$`)
 
-// maxTimeLeftMillis bounds the Time-Left header, in milliseconds (11 days), so that
-// adding it to the time can't overflow.
+// maxTimeLeftMillis is the upper bound of the Time-Left header, in milliseconds (11 days), so
+// that computing the deadline can't overflow.
 const maxTimeLeftMillis = 1e9
 
-// readClientRequest reads a request whole and checks its headers. The error is a
+// readClientRequest validates a request's headers and reads its body. Its error is a
 // *requestError.
 func (d *Daemon) readClientRequest(w http.ResponseWriter, r *http.Request, route configuration.Route, view *configuration.View) (*ClientRequest, error) {
 	job, err := d.readJob(r, route, view)
@@ -69,7 +69,7 @@
 		return nil, bodyError(err, route)
 	}
 	job.Fingerprint = requestFingerprint(r, body)
-	// An address that can't be split has no IP to pass on.
+	// The client IP stays empty if the address can't be parsed.
 	clientIP, _, _ := net.SplitHostPort(r.RemoteAddr)
 	return &ClientRequest{
 		Job: job, Method: r.Method, URI: r.URL.RequestURI(), Header: r.Header,
@@ -77,8 +77,8 @@
 	}, nil
 }
 
-// readJob returns the job of a request by its route and its headers, without the
-// fingerprint, which needs the body. Its time runs from now on.
+// readJob builds the job of a request from its route and headers, without the fingerprint,
+// which needs the body. The time limit starts with the call.
 func (d *Daemon) readJob(r *http.Request, route configuration.Route, view *configuration.View) (dispatch.Job, error) {
 	job := d.NewJob(route, view)
 	for _, name := range singleHeaders {
@@ -102,14 +102,14 @@
 	return job, nil
 }
 
-// requiresIdempotencyKey tells whether requests of a route run twice would do harm, and
-// so have to name themselves.
+// requiresIdempotencyKey reports whether requests of a route must carry an idempotency key,
+// since they must not be executed twice.
 func requiresIdempotencyKey(route configuration.Route) bool {
 	return !route.Repeatable && !route.WithoutIdempotencyKey
 }
 
-// requestTimeLimit is the route's time limit, or what the client says is left of its own
-// (Time-Left, in milliseconds) if that is shorter.
+// requestTimeLimit returns the route's timeout, or the client's remaining time (the Time-Left
+// header, in milliseconds) if that is shorter.
 func requestTimeLimit(r *http.Request, route configuration.Route) (time.Duration, error) {
 	limit := route.Timeout()
 	value := r.Header.Get("Time-Left")
@@ -123,8 +123,8 @@
 	return min(limit, time.Duration(millis)*time.Millisecond), nil
 }
 
-// requestAttempt reads which attempt of its request the client says this is, counted
-// from 1; 0 if it doesn't say.
+// requestAttempt returns the client's attempt number from the Attempt header, counted from 1,
+// or 0 if the header is missing.
 func requestAttempt(r *http.Request) (uint32, error) {
 	value := r.Header.Get("Attempt")
 	if value == "" {
@@ -137,7 +137,7 @@
 	return uint32(attempt), nil
 }
 
-// bodyError says why a body wasn't taken.
+// bodyError converts an error of reading the body to a requestError.
 func bodyError(err error, route configuration.Route) error {
 	var tooLarge *http.MaxBytesError
 	switch {
@@ -149,9 +149,9 @@
 	return badRequest("the body ended early")
 }
 
-// requestFingerprint is a digest of method, URI and body, by which two uses of one
-// idempotency key are compared. It is stored, so its form must not change: each part
-// follows its length in decimal and a space.
+// requestFingerprint returns a digest of method, URI and body, which detects the reuse of an
+// idempotency key for a different request. Fingerprints are stored, so the encoding must not
+// change: each part is preceded by its length in decimal and a space.
 func requestFingerprint(r *http.Request, body []byte) []byte {
 	h := sha256.New()
 	for _, part := range [][]byte{[]byte(r.Method), []byte(r.URL.RequestURI()), body} {
--- a/internal/dataplane/proxy/client_server.go
+++ b/internal/dataplane/proxy/client_server.go
@@ -11,7 +11,7 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// clientServer is one HTTP server for clients with fixed limits, and its connections.
+// clientServer is an HTTP server for clients with fixed limits, and its open connections.
 type clientServer struct {
 	server   *http.Server
 	queue    *connQueue
@@ -20,8 +20,8 @@
 	conns    map[*clientConn]bool
 }
 
-// newClientServer starts a server that gets its connections from a queue. connClosed is
-// called once for each that has ended.
+// newClientServer starts a server that accepts connections from its queue. connClosed is
+// called once for each connection that has ended.
 func newClientServer(listener net.Listener, handler http.Handler, limits configuration.Limits, connClosed func()) *clientServer {
 	s := &clientServer{queue: newConnQueue(listener), conns: map[*clientConn]bool{}}
 	s.server = &http.Server{
@@ -37,13 +37,13 @@
 			}
 		},
 	}
-	// It ends with the queue, and with no other error.
+	// Serve returns only after the queue was closed.
 	go func() { _ = s.server.Serve(s.queue) }()
 	return s
 }
 
-// drain takes no more connections and closes the idle ones now, the others after the
-// response that is under way.
+// drain stops accepting connections and closes the idle ones immediately, the others after
+// their current response.
 func (s *clientServer) drain() {
 	s.queue.close()
 	s.draining.Store(true)
@@ -54,7 +54,7 @@
 	}
 }
 
-// trackConn keeps the set of the server's connections and the state of each.
+// trackConn maintains the set of the server's connections and their idle state.
 func (s *clientServer) trackConn(conn net.Conn, state http.ConnState) {
 	c, ok := conn.(*clientConn)
 	if !ok {
@@ -77,15 +77,15 @@
 	}
 }
 
-// wrapHandler makes responses of a draining server close their connection.
+// wrapHandler wraps a handler so that responses of a draining server close their connection.
 func (s *clientServer) wrapHandler(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		h.ServeHTTP(&drainingWriter{ResponseWriter: w, server: s}, r)
 	})
 }
 
-// drainingWriter sets Connection: close on a response as it begins, if the server is
-// draining by then.
+// drainingWriter sets Connection: close on a response if the server is draining when the
+// header is written.
 type drainingWriter struct {
 	http.ResponseWriter
 	server        *clientServer
@@ -107,11 +107,11 @@
 	return w.ResponseWriter.Write(p)
 }
 
-// Unwrap lets an http.ResponseController reach the server's own writer.
+// Unwrap returns the underlying writer, for http.ResponseController.
 func (w *drainingWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// connQueue is the listener of one server: it hands over connections that the
-// clientListener has accepted.
+// connQueue is a net.Listener that returns the connections accepted by the clientListener,
+// for one server.
 type connQueue struct {
 	net.Listener
 	conns     chan net.Conn
@@ -132,7 +132,7 @@
 	}
 }
 
-// Close ends the queue, but not the listener behind it.
+// Close closes the queue, but not the underlying listener.
 func (q *connQueue) Close() error {
 	q.close()
 	return nil
