--- a/internal/dataplane/proxy/configuration.go
+++ b/internal/dataplane/proxy/configuration.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	// storeQueryAge is how old the last confirmation of the configuration may be before
-	// the proxy reads it from the stores itself: all registries may be gone while a
-	// majority of stores still answers. Registries confirm it several times a second.
+	// storeQueryAge is the age of the last confirmation of the configuration after which the
+	// proxy reads it from the stores itself: all registries may have failed while a majority
+	// of stores is still available. Registries confirm it several times a second.
 	storeQueryAge = time.Second
-	// storeQueryAgeByZone is the same in a fleet by zone, where two registries push once
-	// a second to a proxy that has nothing new: asking before both have missed their
-	// turn would cost the stores a round for each proxy and second.
+	// storeQueryAgeByZone replaces storeQueryAge in a fleet organized by zone, where two
+	// registries push to an up-to-date proxy only once a second. A shorter age would cause a
+	// store query per proxy and second in normal operation.
 	storeQueryAgeByZone = 4 * storeQueryAge
-	// storeQueryTimeout bounds one read of the configuration from the stores.
+	// storeQueryTimeout is the timeout of one read of the configuration from the stores.
 	storeQueryTimeout = time.Second
 )
 
-// emptyConfiguration is the configuration before any is known. Decode accepts nil as
-// the empty document.
+// emptyConfiguration returns the configuration used before any is known. Decode accepts nil
+// as the empty document.
 func emptyConfiguration() *configuration.Document {
 	empty, _ := configuration.Decode(nil)
 	return empty
 }
 
-// adoptConfiguration replaces the configuration by a newer one; an older or unreadable
-// one is ignored.
+// adoptConfiguration replaces the configuration if the encoded one is newer. It ignores an
+// older or invalid one.
 func (c *Control) adoptConfiguration(now ids.Time, encoded []byte) {
 	next, err := c.configuration.Advance(encoded)
 	if err != nil || next == c.configuration {
@@ -47,19 +47,19 @@
 	c.Log(event.LevelInfo, logConfigurationAdopted, "revision", formatUint(uint64(next.Revision)))
 }
 
-// confirmConfiguration records that the given revision was the newest one in a majority
-// read that began at asOf. It confirms the configuration held here unless that is older.
+// confirmConfiguration records that a majority read that began at asOf returned the given
+// revision as the newest. It has no effect if the configuration in use is older.
 func (c *Control) confirmConfiguration(now ids.Time, revision ids.Revision, asOf ids.Time) {
 	if c.view.Revision < revision {
 		return
 	}
 	c.configurationConfirmedAt = max(c.configurationConfirmedAt, asOf)
-	// A recent majority read may have begun before this process did.
+	// A recent majority read may have begun before this process started.
 	c.everConfirmed = c.everConfirmed || now.Sub(asOf) <= maxConfirmationAge
 }
 
-// queryStores reads the configuration from the stores when no registry has confirmed it
-// for a while.
+// queryStores reads the configuration from the stores if its last confirmation is older than
+// storeQueryAge.
 func (c *Control) queryStores(now ids.Time) {
 	maxAge := storeQueryAge
 	if c.ByZone {
--- a/internal/dataplane/proxy/connection.go
+++ b/internal/dataplane/proxy/connection.go
@@ -16,22 +16,22 @@
 // connection is a connection to a target. It carries one request at a time.
 type connection struct {
 	net.Conn
-	// target is the run of the target that the connection leads to.
+	// target is the run of the target that the connection was opened to.
 	target targetRun
 	reader *bufio.Reader
-	// headerLimit bounds what reader may still read, in bytes.
+	// headerLimit limits the number of bytes that reader may still read.
 	headerLimit *io.LimitedReader
-	// idleSince is when the last response on it was complete.
+	// idleSince is the time at which the last response was complete.
 	idleSince ids.Time
-	// maxIdle is how long it may be idle and still be used.
+	// maxIdle is the longest idle time after which the connection may still be used.
 	maxIdle time.Duration
-	// idleBeforeUse is how long it had been idle before the current request; 0 for a
-	// new connection.
+	// idleBeforeUse is the idle time before the current request; 0 for a new connection.
 	idleBeforeUse time.Duration
-	// responsive: something was read since the current request began, or reading timed
-	// out. If not, the connection was dead before it was used.
+	// responsive is set if data was read since the current request began, or a read timed
+	// out. Otherwise a failed connection was dead before it was used.
 	responsive bool
-	// stopWatching ends what closeOnEnd began; nil if there is nothing to end.
+	// stopWatching stops closing the connection at the end of a context, as begun by
+	// closeOnEnd; nil if no context is watched.
 	stopWatching func() bool
 }
 
@@ -43,8 +43,8 @@
 	return c
 }
 
-// targetRun is one run of a target, at its address. The next run of the same instance may
-// be at another address while the earlier one still answers.
+// targetRun identifies one run of a target by its address and incarnation. The next run of
+// the same instance may be at another address while the earlier one still responds.
 type targetRun struct {
 	address     ids.Address
 	incarnation ids.Incarnation
@@ -52,7 +52,7 @@
 
 func targetRunOf(t targets.Target) targetRun { return targetRun{t.Address, t.Incarnation} }
 
-// Read notes whether the peer still answers.
+// Read reads from the connection and records whether the peer is responsive.
 func (c *connection) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	var netError net.Error
@@ -62,25 +62,26 @@
 	return n, err
 }
 
-// discard closes a connection that is not used any more. An error of closing it says
-// nothing about a request.
+// discard closes a connection that is no longer used. It ignores the error of closing, which
+// has no bearing on a request.
 func (c *connection) discard() { _ = c.Close() }
 
-// closeOnEnd has the connection closed when a context ends, until it is released.
+// closeOnEnd closes the connection when the context is canceled, unless release is called
+// first.
 func (c *connection) closeOnEnd(ctx context.Context) {
 	c.stopWatching = context.AfterFunc(ctx, c.discard)
 }
 
-// release ends what closeOnEnd began, and tells whether the connection wasn't closed by it.
-// Only after that may another request use it.
+// release undoes closeOnEnd, and reports whether the connection wasn't closed by it. Another
+// request may use the connection only after release.
 func (c *connection) release() bool {
 	stop := c.stopWatching
 	c.stopWatching = nil
 	return stop == nil || stop()
 }
 
-// isOpen looks, without reading anything, whether the peer has neither closed the
-// connection nor sent anything unasked.
+// isOpen reports whether the peer has neither closed the connection nor sent unsolicited
+// data, without consuming any data.
 func (c *connection) isOpen() bool {
 	conn, ok := c.Conn.(syscall.Conn)
 	if !ok || c.reader.Buffered() > 0 {
--- a/internal/dataplane/proxy/connection_pool.go
+++ b/internal/dataplane/proxy/connection_pool.go
@@ -15,46 +15,47 @@
 )
 
 // connectionPool keeps idle connections to targets and opens new ones. It is safe for
-// concurrent use. net/http's Transport would not do: it sends a request again by itself
-// when a connection turns out to be dead, and then an unrepeatable request runs twice.
+// concurrent use. It is used instead of http.Transport because the latter may resend a
+// request on its own when a connection turns out to be dead, and a request that isn't
+// repeatable must not be executed twice.
 type connectionPool struct {
 	mu   sync.Mutex
 	idle map[ids.InstanceID][]*connection
-	// localIP is what connections are opened from; nil for the system's choice.
+	// localIP is the source address of connections; nil lets the system choose.
 	localIP net.IP
-	// verifyIdentity: a new connection first asks its target for its identity document.
+	// verifyIdentity makes each new connection fetch the target's identity document first.
 	verifyIdentity bool
-	// dialTimeout bounds the opening of a connection.
+	// dialTimeout is the timeout for opening a connection.
 	dialTimeout time.Duration
-	// recentIdleLimit is how long a recently used connection (dispatch.Forward.RecentOnly)
-	// may have been idle, as learned from connections that were found dead; as long as
-	// there were none it is 0, for maxRecentIdleLimit.
+	// recentIdleLimit is the longest idle time of a connection that counts as recently used
+	// (dispatch.Forward.RecentOnly). It is adapted when pooled connections turn out to be
+	// dead; 0 until then, which stands for maxRecentIdleLimit.
 	recentIdleLimit time.Duration
 }
 
 const (
-	// maxIdlePerTarget bounds the idle connections kept for one target.
+	// maxIdlePerTarget is the maximum number of idle connections kept per target.
 	maxIdlePerTarget = 32
-	// defaultMaxIdle is how long a connection may be idle if its target doesn't say.
+	// defaultMaxIdle is the maximum idle time of a connection whose target states none.
 	defaultMaxIdle = 5 * time.Second
-	// defaultDialTimeout bounds the opening of a connection if the options don't say.
+	// defaultDialTimeout is the default of DaemonOptions.DialTimeout.
 	defaultDialTimeout = time.Second
-	// maxRecentIdleLimit is the recentIdleLimit at first, and the most it returns to.
-	// Where a request lost on a dead connection can't be sent again, only connections
-	// idle for less than that limit are used.
+	// maxRecentIdleLimit is the initial and maximum recentIdleLimit. A request that can't be
+	// retried if it is lost on a dead connection uses only connections idle for at most that
+	// limit.
 	maxRecentIdleLimit = 1500 * time.Millisecond
-	// minRecentIdleLimit is how short that limit may become by learning.
+	// minRecentIdleLimit is the minimum of the adapted recentIdleLimit.
 	minRecentIdleLimit = 20 * time.Millisecond
-	// keepAliveMargin is how much sooner than its target this side gives a connection
-	// up, so that no request crosses the target's closing of it.
+	// keepAliveMargin is subtracted from the target's keep-alive timeout, so that no request
+	// is sent while the target closes the connection.
 	keepAliveMargin = 1500 * time.Millisecond
-	// tcpUserTimeout is how long sent data may stay unacknowledged by the target's
-	// machine before the connection counts as dead.
+	// tcpUserTimeout is how long sent data may stay unacknowledged by the target's host
+	// before the connection is considered dead.
 	tcpUserTimeout = 1200 * time.Millisecond
 )
 
-// take returns an idle connection to this run of a target, or nil. With recentOnly the
-// connection was in use until shortly before.
+// take returns an idle connection to this run of a target, or nil. With recentOnly it returns
+// only connections idle for at most recentIdleLimit.
 func (p *connectionPool) take(t targets.Target, recentOnly bool) *connection {
 	for {
 		c := p.takeAny(t.Instance, recentOnly)
@@ -65,8 +66,8 @@
 	}
 }
 
-// takeAny returns an idle connection to any run of a target that is usable, or nil.
-// Those that it finds unusable it closes.
+// takeAny returns a usable idle connection to any run of a target, or nil. It closes the
+// unusable connections that it finds.
 func (p *connectionPool) takeAny(id ids.InstanceID, recentOnly bool) *connection {
 	for {
 		c := p.pop(id)
@@ -83,7 +84,7 @@
 	}
 }
 
-// pop removes the connection that was in use last, or returns nil.
+// pop removes and returns the most recently used connection, or returns nil if there is none.
 func (p *connectionPool) pop(id ids.InstanceID) *connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,16 +96,16 @@
 	return list[len(list)-1]
 }
 
-// currentRecentIdleLimit is the recentIdleLimit in force.
+// currentRecentIdleLimit returns the effective recentIdleLimit.
 func (p *connectionPool) currentRecentIdleLimit() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return cmp.Or(p.recentIdleLimit, maxRecentIdleLimit)
 }
 
-// lowerRecentIdleLimit learns from a pooled connection that was dead when it was used.
-// Targets may forget connections sooner than they say, and a request lost that way can't
-// be sent again, so half its idle time is the new limit.
+// lowerRecentIdleLimit lowers the limit to half the idle time of a pooled connection that
+// was dead when it was used. Targets may drop connections earlier than they announce, and a
+// request lost that way may not be retryable.
 func (p *connectionPool) lowerRecentIdleLimit(c *connection) {
 	if c.idleBeforeUse == 0 {
 		return
@@ -114,7 +115,7 @@
 	p.recentIdleLimit = max(min(c.idleBeforeUse/2, cmp.Or(p.recentIdleLimit, maxRecentIdleLimit)), minRecentIdleLimit)
 }
 
-// raiseRecentIdleLimit raises the learned limit by a quarter. It is called at each usage report.
+// raiseRecentIdleLimit raises a lowered limit by a quarter. It is called at each usage report.
 func (p *connectionPool) raiseRecentIdleLimit() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -123,14 +124,14 @@
 	}
 }
 
-// put keeps a connection for later requests, unless there are enough. keepAlive is how
-// long the target says that it may be idle; 0 if it doesn't say.
+// put returns a connection to the pool, or closes it if the target already has
+// maxIdlePerTarget idle ones. keepAlive is the idle timeout stated by the target; 0 if none.
 func (p *connectionPool) put(id ids.InstanceID, c *connection, keepAlive time.Duration) {
 	c.idleSince, c.maxIdle = process.Now(), defaultMaxIdle
 	if keepAlive > 0 {
 		c.maxIdle = max(keepAlive-keepAliveMargin, 0)
 	}
-	// A closed connection refuses this; isOpen finds that out before it is used.
+	// This fails only on a closed connection, which isOpen detects before the next use.
 	_ = c.SetDeadline(time.Time{})
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -144,7 +145,7 @@
 	p.idle[id] = append(p.idle[id], c)
 }
 
-// closeExpired closes connections that have been idle for too long.
+// closeExpired closes connections whose idle time has reached their maximum.
 func (p *connectionPool) closeExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -165,9 +166,9 @@
 	}
 }
 
-// dial opens a connection to a target. With verifyIdentity the target proves who it is on
-// the very connection that requests will use, so a later owner of the address never gets
-// one.
+// dial opens a connection to a target. With verifyIdentity the target's identity is checked
+// on the same connection that requests will use, so that no request is sent to another
+// process that has taken over the address.
 func (p *connectionPool) dial(ctx context.Context, t targets.Target, deadline time.Time) (*connection, error) {
 	dialer := net.Dialer{Timeout: p.dialTimeout, Deadline: deadline, Control: setUserTimeout}
 	if p.localIP != nil {
@@ -193,8 +194,8 @@
 	return c, nil
 }
 
-// setUserTimeout sets TCP_USER_TIMEOUT on a new socket. Without it, which no supported
-// system refuses, only the deadline of each request would end a dead connection.
+// setUserTimeout sets TCP_USER_TIMEOUT on a new socket. Its error is ignored: without the
+// option, a dead connection is detected only by the deadline of a request.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
 		_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, process.TCPUserTimeout, int(tcpUserTimeout/time.Millisecond))
--- a/internal/dataplane/proxy/control.go
+++ b/internal/dataplane/proxy/control.go
@@ -13,8 +13,9 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// Control is the proxy's control machine: configuration, targets, lease and membership,
-// and the state that dispatchers get of them. It is pure and not safe for concurrent use.
+// Control is the proxy's control state machine: it maintains configuration, targets, lease
+// and membership, and derives the state of the dispatchers from them. It performs no I/O and
+// is not safe for concurrent use.
 type Control struct {
 	event.Outbox
 	ControlOptions
@@ -22,17 +23,18 @@
 	// Client calls the replicated registers.
 	Client  *consensus.Client
 	targets *targets.Table
-	// configuration is the newest one known here; view is its parsed form.
+	// configuration is the newest known configuration; view is its parsed form.
 	configuration *configuration.Document
 	view          *configuration.View
 	leaseState
 	gossipState
 	drainState
-	// stopping: asked to stop, so the directory must not name this proxy any more.
+	// stopping is set during a graceful shutdown, when the directory must no longer return
+	// this proxy.
 	stopping bool
-	// queryingStores: a read of the configuration register is under way.
+	// queryingStores is set while a read of the configuration register is in flight.
 	queryingStores bool
-	// reportNumber counts usage reports, so that registries can ignore late ones.
+	// reportNumber numbers the usage reports, so that registries can ignore late ones.
 	reportNumber ids.StreamNumber
 	refreshState
 	servingState ServingState
@@ -41,15 +43,15 @@
 	slotState
 }
 
-// ControlOptions are the options of a control machine; zero values take the defaults.
+// ControlOptions are the options of a Control; zero values select the defaults.
 type ControlOptions struct {
-	// Lease is how long requests are served by a configuration and targets that can't
-	// be confirmed; DefaultLease if zero, without end if EndlessLease.
+	// Lease is how long requests are served without a confirmation of configuration and
+	// targets; DefaultLease if zero, unlimited if EndlessLease.
 	Lease time.Duration
 	SlotLayout
 }
 
-// New returns a control machine that knows only itself and its seeds.
+// New returns a Control that knows only itself and its seeds.
 func New(members membership.Options, options ControlOptions) *Control {
 	members.Self.Role = membership.Proxy
 	if options.Lease == 0 {
@@ -67,8 +69,8 @@
 	return c
 }
 
-// orderStores lists the stores to call: nearby ready ones first, then other ready
-// ones, then the rest.
+// orderStores returns the addresses of the stores in the order to call them: nearby ready
+// stores, other ready stores, then those that aren't ready.
 func (c *Control) orderStores(ids.RegisterKey) []ids.Address {
 	var near, far, notReady []ids.Address
 	for _, m := range c.Live(membership.Store) {
@@ -84,7 +86,7 @@
 	return append(append(near, far...), notReady...)
 }
 
-// Step handles one event and returns the commands that follow from it.
+// Step handles an event and returns the resulting commands.
 func (c *Control) Step(now ids.Time, ev event.Event) []event.Command {
 	switch e := ev.(type) {
 	case event.Received:
@@ -121,17 +123,16 @@
 	}
 }
 
-// goneTargetRetention is how long a target that is gone is remembered, so that a late
-// update of it doesn't bring it back.
+// goneTargetRetention is how long the record of a departed target is kept, so that a late
+// update doesn't add the target again.
 const goneTargetRetention = time.Hour
 
-// tick does what depends on time alone. The order of the steps is part of the
-// recorded traces.
+// tick runs the periodic work. Recorded traces depend on the order of the steps.
 func (c *Control) tick(now ids.Time) {
 	c.detectFreeze(now)
 	c.List.Tick(now)
 	c.Client.Tick(now)
-	// A registry that died may have been the only one to notice a target's silence.
+	// A failed registry may have been the only one to detect a target's missing heartbeats.
 	if !c.ByZone {
 		c.targets.ExpireSilent(now)
 	}
@@ -145,5 +146,5 @@
 
 func formatUint(n uint64) string { return strconv.FormatUint(n, 10) }
 
-// formatMillis gives a duration in whole milliseconds, for log fields.
+// formatMillis formats a duration in whole milliseconds, for log fields.
 func formatMillis(d time.Duration) string { return formatUint(uint64(d / time.Millisecond)) }
--- a/internal/dataplane/proxy/daemon.go
+++ b/internal/dataplane/proxy/daemon.go
@@ -15,11 +15,11 @@
 	"dunlinwell/internal/transport/process"
 )
 
-// tickInterval is the time between ticks of the control machine and of the dispatchers.
+// tickInterval is the interval between ticks of Control and of the dispatchers.
 const tickInterval = 50 * time.Millisecond
 
-// Daemon is the process of a proxy. Its exported methods are safe for concurrent use once
-// Run was called; they are what a Frontend is written with.
+// Daemon is the process of a proxy. Its exported methods, which a Frontend is built on, are
+// safe for concurrent use once Run was called.
 type Daemon struct {
 	Options   DaemonOptions
 	self      membership.Member
@@ -29,29 +29,29 @@
 	pool      connectionPool
 	memory    memoryBudget
 	frontend  Frontend
-	// targetProtocol is the frontend's.
+	// targetProtocol is the target protocol of the frontend.
 	targetProtocol TargetProtocol
-	// clientListener is set before Run starts anything else; nil if clients have no address
-	// of their own.
+	// clientListener is set before Run starts anything else; nil if there is no separate
+	// listen address for clients.
 	clientListener *clientListener
 	meter          *usageMeter
 	router         atomic.Pointer[router]
 	servingState   atomic.Pointer[ServingState]
-	// lastRequestID counts requests in this run.
+	// lastRequestID is the last request ID assigned in this run.
 	lastRequestID atomic.Uint64
-	// lastStep is when the control machine last stepped, as ids.Time; its age shows a
-	// freeze.
+	// lastStep is the time of Control's last step, as ids.Time; a large age indicates that
+	// the process was paused.
 	lastStep atomic.Int64
-	// configurationConfirmedAt is the control machine's, as ids.Time.
+	// configurationConfirmedAt is a copy of Control's field, as ids.Time.
 	configurationConfirmedAt atomic.Int64
 	delayProbe               delayProbe
 	stopping                 atomic.Bool
-	// mu guards the map; each dispatcher has a lock of its own.
+	// mu guards the map; each dispatcher has its own lock.
 	mu          sync.RWMutex
 	dispatchers map[ids.Name]*serviceDispatcher
 }
 
-// NewDaemon returns a proxy that is ready to Run.
+// NewDaemon returns a proxy that is started by Run.
 func NewDaemon(options DaemonOptions) *Daemon {
 	d := &Daemon{
 		Options: options, log: process.NewLog(options.LogLevel, options.Name),
@@ -75,8 +75,8 @@
 	return d
 }
 
-// configureProtocols sets the frontend, and the connection pool as its target protocol
-// needs it.
+// configureProtocols sets the frontend, and configures the connection pool for its target
+// protocol.
 func (d *Daemon) configureProtocols() {
 	if d.frontend = d.Options.Frontend; d.frontend == nil {
 		d.frontend = nativeFrontend{d}
@@ -89,16 +89,16 @@
 	}
 }
 
-// stepRecorder records when the control machine last stepped, and how current its
-// configuration was then.
+// stepRecorder wraps Control to record the time of its last step and the last confirmation of
+// its configuration.
 type stepRecorder struct {
 	*Control
 	daemon *Daemon
 }
 
 func (r *stepRecorder) Step(now ids.Time, ev event.Event) []event.Command {
-	// The commands of the step before have been carried out, so that the router has what was
-	// confirmed in it.
+	// The commands of the previous step have been executed, so the router already has the
+	// configuration that was confirmed in it.
 	r.daemon.configurationConfirmedAt.Store(int64(r.Control.configurationConfirmedAt))
 	if _, ok := ev.(probeReturned); ok {
 		r.daemon.delayProbe.returned(now)
@@ -109,7 +109,7 @@
 	return commands
 }
 
-// execute carries out a command of the control machine.
+// execute executes a command of Control.
 func (d *Daemon) execute(command event.Command) {
 	if d.transport.Execute(command) {
 		return
--- a/internal/dataplane/proxy/dispatchers.go
+++ b/internal/dataplane/proxy/dispatchers.go
@@ -13,34 +13,35 @@
 	"dunlinwell/internal/transport/process"
 )
 
-// serviceDispatcher is the dispatcher of one service and the requests that it has.
+// serviceDispatcher is the dispatcher of one service and its pending requests.
 type serviceDispatcher struct {
-	// mu is held while the dispatcher steps, and never while a command is carried out.
+	// mu is held while the dispatcher steps, but not while its commands are executed.
 	mu         sync.Mutex
 	dispatcher *dispatch.Dispatcher
 	requests   map[ids.RequestID]*pendingRequest
-	// tickPending: an early tick is scheduled, for requests that wait in the queue.
+	// tickPending is set while an early tick is scheduled for queued requests.
 	tickPending bool
 }
 
-// pendingRequest is a request between its arrival at the dispatcher and its response.
+// pendingRequest is a request that a dispatcher has received and not yet responded to.
 type pendingRequest struct {
 	*ClientRequest
 	response chan dispatch.Response
 	attempts attemptContexts
-	// forwardTime is the time that all attempts at targets took. It is read only after
-	// the response was received.
+	// forwardTime is the total duration of the attempts at targets. It is read only after the
+	// response was received.
 	forwardTime time.Duration
 }
 
-// queuedTickDelay is how soon a dispatcher with queued requests gets a tick: some of them
-// may be sent farther away by then, or have waited too long. It is shorter than
-// tickInterval because that would add to the latency of every queued request.
+// queuedTickDelay is the delay of the early tick of a dispatcher with queued requests, which
+// then sends them to more distant targets or rejects them. It is shorter than tickInterval,
+// which would add to the latency of every queued request.
 const queuedTickDelay = 15 * time.Millisecond
 
-// Dispatch gives a request to its service's dispatcher and returns the response, and the
-// time that forwarding took. The context ends when the client has gone; the dispatcher is
-// told so, and decides what becomes of the request. There is a response all the same.
+// Dispatch passes a request to its service's dispatcher and returns the response and the time
+// spent forwarding. If the context is canceled, Dispatch notifies the dispatcher of the
+// client's disconnect; the dispatcher decides what happens to the request, and Dispatch still
+// waits for its response.
 func (d *Daemon) Dispatch(client context.Context, request *ClientRequest) (dispatch.Response, time.Duration) {
 	pending := &pendingRequest{ClientRequest: request, response: make(chan dispatch.Response, 1), attempts: newAttemptContexts()}
 	defer pending.attempts.cancel()
@@ -49,7 +50,7 @@
 	s.requests[request.Job.ID] = pending
 	s.mu.Unlock()
 	d.stepDispatcher(request.Job.Service, dispatch.RequestArrived{Job: request.Job})
-	// Only now, as the dispatcher ignores events of requests that it doesn't have.
+	// This follows RequestArrived because the dispatcher ignores events of unknown requests.
 	stop := context.AfterFunc(client, func() {
 		d.stepDispatcher(request.Job.Service, dispatch.ClientDisconnected{ID: request.Job.ID})
 	})
@@ -57,7 +58,7 @@
 	return <-pending.response, pending.forwardTime
 }
 
-// dispatcherOf returns the dispatcher of a service, a new one if need be.
+// dispatcherOf returns the dispatcher of a service, and creates it if there is none.
 func (d *Daemon) dispatcherOf(service ids.Name) *serviceDispatcher {
 	d.mu.RLock()
 	s := d.dispatchers[service]
@@ -85,7 +86,7 @@
 	}
 }
 
-// serviceNames lists the services that have a dispatcher.
+// serviceNames returns the services that have a dispatcher.
 func (d *Daemon) serviceNames() []ids.Name {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -96,7 +97,8 @@
 	return names
 }
 
-// stepDispatcher gives an event to a dispatcher and carries out its commands, unlocked.
+// stepDispatcher passes an event to a dispatcher and executes the resulting commands without
+// holding its lock.
 func (d *Daemon) stepDispatcher(service ids.Name, ev event.Event) {
 	s := d.dispatcherOf(service)
 	commands, requests, needsTick := s.step(ev)
@@ -113,8 +115,8 @@
 	}
 }
 
-// step returns the dispatcher's commands, the request that each is about, and whether an
-// early tick has to be scheduled.
+// step passes an event to the dispatcher. It returns the resulting commands, the request of
+// each, and whether the caller must schedule an early tick.
 func (s *serviceDispatcher) step(ev event.Event) ([]event.Command, []*pendingRequest, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,11 +138,11 @@
 	return commands, requests, needsTick
 }
 
-// executeDispatch carries out a command of a dispatcher.
+// executeDispatch executes a command of a dispatcher.
 func (d *Daemon) executeDispatch(service ids.Name, command event.Command, request *pendingRequest) {
 	switch c := command.(type) {
 	case dispatch.IdempotencyCall:
-		// The owner itself steps dispatchers, so it must not wait on its own queue.
+		// The owner's goroutine also steps dispatchers, so it must not block on its own queue.
 		go d.owner.Put(IdempotencyRequest{service, c})
 	case dispatch.Forward:
 		go func() {
@@ -160,15 +162,15 @@
 	}
 }
 
-// counters returns the dispatcher's counters, how many requests it has, and how many of
-// these wait in its queue.
+// counters returns the dispatcher's counters, the number of its requests, and how many of
+// these are queued.
 func (s *serviceDispatcher) counters() (counters dispatch.Counters, jobs, queued int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.dispatcher.Counters, s.dispatcher.JobCount(), s.dispatcher.QueueLength()
 }
 
-// takeFailureReasons returns why requests got no response since the last call.
+// takeFailureReasons returns the number of failed requests by reason since the last call.
 func (s *serviceDispatcher) takeFailureReasons() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/dataplane/proxy/events.go
+++ b/internal/dataplane/proxy/events.go
@@ -11,49 +11,48 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// Events that the rest of the process gives to the control machine.
+// Events that the rest of the process sends to Control.
 type (
-	// IdempotencyRequest is a call that a service's dispatcher makes to the idempotency
-	// register of one of its requests.
+	// IdempotencyRequest is a dispatcher's call to the idempotency register of a request.
 	IdempotencyRequest struct {
 		Service ids.Name
 		Call    dispatch.IdempotencyCall
 	}
-	// UsageSample is what the requests of one interval cost.
+	// UsageSample is the resource usage of the requests of one interval.
 	UsageSample struct {
 		Interval time.Duration
-		// Rows is the usage by route and service.
+		// Rows holds the usage by route and service.
 		Rows []spill.ServiceUsage
-		// LatencyP95 is the 95th percentile of the latency that the proxy itself
-		// added: queueing and handling, without the target's time.
+		// LatencyP95 is the 95th percentile of the latency added by the proxy itself:
+		// queueing and handling, without the target's time.
 		LatencyP95 time.Duration
 		Requests   uint64
 	}
-	// Stopping is the signal to stop gracefully.
+	// Stopping starts a graceful shutdown.
 	Stopping struct{}
 )
 
-// Commands that the control machine gives to the rest of the process.
+// Commands that Control returns for the rest of the process to execute.
 type (
-	// DispatchEvent gives an event to a service's dispatcher.
+	// DispatchEvent passes an event to a service's dispatcher.
 	DispatchEvent struct {
 		Service ids.Name
 		Event   event.Event
 	}
-	// UpdateRoutes replaces the router's configuration, and the limits of the client
-	// listener with it.
+	// UpdateRoutes replaces the configuration of the router and the limits of the client
+	// listener.
 	UpdateRoutes struct{ View *configuration.View }
-	// ServingState says whether the proxy takes requests, for the HTTP pages and for
-	// handlers.
+	// ServingState states whether the proxy accepts requests, for the HTTP pages and the
+	// request handlers.
 	ServingState struct {
-		// Ready: the directory may name this proxy to clients.
+		// Ready is set if the directory may return this proxy to clients.
 		Ready bool
-		// LeaseValid: requests may be forwarded.
+		// LeaseValid is set if requests may be forwarded.
 		LeaseValid bool
-		// CutOff: for cutOffTimeout nobody has confirmed the targets, neither a
-		// registry nor another proxy that a registry reaches.
+		// CutOff is set if the targets weren't confirmed for cutOffTimeout, neither by a
+		// registry nor by another proxy that a registry reaches.
 		CutOff bool
-		// ZoneDrained: an operator drains this proxy's zone.
+		// ZoneDrained is set while this proxy's zone is drained by an operator.
 		ZoneDrained bool
 		Members     []membership.Member
 	}
--- a/internal/dataplane/proxy/forward.go
+++ b/internal/dataplane/proxy/forward.go
@@ -14,14 +14,15 @@
 	"dunlinwell/internal/transport/process"
 )
 
-// hopByHopHeaders belong to one connection (RFC 9110, 7.6.1) or are written anew.
+// hopByHopHeaders lists the headers that aren't forwarded: those that apply to a single
+// connection (RFC 9110, 7.6.1) and those that the proxy writes itself.
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Host", "Expect",
 }
 
-// StripHopByHopHeaders returns a copy of the headers without those of one connection,
-// among them the ones that Connection names.
+// StripHopByHopHeaders returns a copy of the headers without the hop-by-hop ones, including
+// those listed in the Connection header.
 func StripHopByHopHeaders(h http.Header) http.Header {
 	forwarded := h.Clone()
 	for _, line := range h.Values("Connection") {
@@ -35,15 +36,15 @@
 	return forwarded
 }
 
-// targetRequestID is the id of a request that the native protocol has a target echo: unique
-// over all proxies and their runs, where ids.RequestID counts the requests of one run. All
-// attempts at targets have the same.
+// targetRequestID returns the request ID that a target must echo in the native protocol. It is
+// unique over all proxies and their runs, unlike ids.RequestID, and the same for all attempts
+// of a request.
 func (d *Daemon) targetRequestID(id ids.RequestID) string {
 	return fmt.Sprintf("%s-%x-%d", d.Options.Name, uint64(d.self.RunID), id)
 }
 
-// forward sends a request to its target, once, and checks the response. The result is
-// NotSent only if no byte of the request can have reached the target.
+// forward sends a request to its target once and checks the response. The result is NotSent
+// only if no byte of the request can have reached the target.
 func (d *Daemon) forward(attempts attemptContexts, request *ClientRequest, f dispatch.Forward) dispatch.AttemptFinished {
 	finished := dispatch.AttemptFinished{ID: f.ID, Sequence: f.Sequence, Result: dispatch.NotSent}
 	deadline := time.Now().Add(f.Deadline.Sub(process.Now()))
@@ -52,7 +53,7 @@
 		finished.Reason = err.Error()
 		return finished
 	}
-	// Opening the connection took time: the last checks before the first byte.
+	// Opening the connection may have taken time, so check again just before the first byte.
 	if attempts.unsent.Err() != nil {
 		conn.discard()
 		finished.Reason = "the client has gone"
@@ -63,15 +64,15 @@
 		finished.Reason = "no time left, or this proxy was paused"
 		return finished
 	}
-	// It fails only on a closed connection, as the write that follows does.
+	// This fails only on a closed connection, where the following write fails as well.
 	_ = conn.SetDeadline(deadline)
 	conn.closeOnEnd(attempts.running)
 	d.exchange(conn, request, f, &finished)
 	return finished
 }
 
-// exchange sends a request and reads the response, whose meaning it puts into finished.
-// Afterwards the connection is in the pool or closed.
+// exchange sends a request, reads the response and stores the outcome in finished. It returns
+// the connection to the pool or closes it.
 func (d *Daemon) exchange(conn *connection, request *ClientRequest, f dispatch.Forward, finished *dispatch.AttemptFinished) {
 	header := d.targetProtocol.RequestHeader(request, f, f.Deadline.Sub(process.Now()))
 	written, err := conn.send(request, f, header)
@@ -99,8 +100,8 @@
 	finished.Waiting, finished.Slots = response.Waiting, response.Slots
 }
 
-// discardFailed closes a connection on which a request failed. Where nothing was heard on
-// it, and it wasn't this side that closed it, it was dead before it was used.
+// discardFailed closes a connection on which a request failed. If nothing was received on it
+// and this side hadn't closed it, it was dead before use, which lowers the idle limit.
 func (d *Daemon) discardFailed(conn *connection) {
 	if conn.release() && !conn.responsive {
 		d.pool.lowerRecentIdleLimit(conn)
@@ -108,8 +109,8 @@
 	conn.discard()
 }
 
-// connect takes an idle connection from the pool, or opens one if there is none or the
-// dispatcher wants a new one.
+// connect returns an idle connection from the pool, or opens a new one if there is none or
+// the dispatcher requires it.
 func (d *Daemon) connect(ctx context.Context, f dispatch.Forward, deadline time.Time) (*connection, error) {
 	if !f.NewConnection {
 		if conn := d.pool.take(f.Target, f.RecentOnly); conn != nil {
@@ -119,12 +120,12 @@
 	return d.pool.dial(ctx, f.Target, deadline)
 }
 
-// maxCopiedBody is the largest body, in bytes, that is sent in one write with its header;
-// larger ones aren't copied, and follow in a second write.
+// maxCopiedBody is the largest body, in bytes, that is copied and sent in one write with its
+// header; larger ones are sent in a second write.
 const maxCopiedBody = 16 << 10
 
-// send writes a request, and returns how many bytes of its header (and of a small body)
-// were written.
+// send writes a request. It returns the number of bytes written of the header, and of the
+// body if that is at most maxCopiedBody.
 func (c *connection) send(request *ClientRequest, f dispatch.Forward, header http.Header) (int, error) {
 	written, err := c.Write(encodeRequest(request, f, header))
 	if err == nil && len(request.Body) > maxCopiedBody {
@@ -133,11 +134,11 @@
 	return written, err
 }
 
-// typicalHeader is the space, in bytes, that is set aside for a request's header.
+// typicalHeader is the buffer space, in bytes, preallocated for a request's header.
 const typicalHeader = 1 << 10
 
 // encodeRequest encodes a request's header, and its body unless that is larger than
-// maxCopiedBody. Method, path and body are the client's own, byte for byte.
+// maxCopiedBody. Method, URI and body are forwarded unchanged.
 func encodeRequest(request *ClientRequest, f dispatch.Forward, header http.Header) []byte {
 	var b bytes.Buffer
 	b.Grow(typicalHeader + min(len(request.Body), maxCopiedBody))
@@ -161,8 +162,8 @@
 	return b.Bytes()
 }
 
-// statesEmptyBody tells whether a request of this method says that its body is empty
-// (RFC 9110, 8.6).
+// statesEmptyBody reports whether a request of this method sends Content-Length: 0 if its
+// body is empty (RFC 9110, 8.6).
 func statesEmptyBody(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
--- a/internal/dataplane/proxy/frontend.go
+++ b/internal/dataplane/proxy/frontend.go
@@ -11,19 +11,20 @@
 	"dunlinwell/internal/transport/process"
 )
 
-// Frontend is the protocol that a proxy speaks with clients, and the one that it speaks
-// with targets. The native one is used if DaemonOptions names no other.
+// Frontend implements the protocols that a proxy speaks with clients and with targets. The
+// native frontend is used if DaemonOptions sets none.
 type Frontend interface {
-	// ClientHandler answers clients' requests, by means of FindRoute, NewJob, ReadBody
-	// and Dispatch.
+	// ClientHandler returns the handler of client requests, which uses FindRoute, NewJob,
+	// ReadBody and Dispatch.
 	ClientHandler(d *Daemon) http.Handler
-	// TargetProtocol is how requests are sent to targets and their responses checked.
+	// TargetProtocol returns the protocol for sending requests to targets and checking
+	// their responses.
 	TargetProtocol() TargetProtocol
-	// ExtraListeners are further handlers to be served, by listen address.
+	// ExtraListeners returns additional handlers to serve, by listen address.
 	ExtraListeners(d *Daemon) map[string]http.Handler
 }
 
-// nativeFrontend is this project's own protocol.
+// nativeFrontend implements dunlinwell's own protocol.
 type nativeFrontend struct{ d *Daemon }
 
 func (f nativeFrontend) ClientHandler(d *Daemon) http.Handler {
@@ -33,48 +34,47 @@
 func (f nativeFrontend) TargetProtocol() TargetProtocol               { return nativeTargetProtocol(f) }
 func (nativeFrontend) ExtraListeners(*Daemon) map[string]http.Handler { return nil }
 
-// FindRoute returns the route of a host and path, and the configuration that it is part
-// of. The last result is false if there is none.
+// FindRoute returns the route of a host and path and the configuration that contains it. The
+// last result is false if no route matches.
 func (d *Daemon) FindRoute(host, path string) (configuration.Route, *configuration.View, bool) {
 	current := d.router.Load()
 	route, found := current.find(host, path)
 	return route, current.view, found
 }
 
-// LeaseValid tells whether requests may be forwarded: configuration and targets were
-// confirmed recently enough.
+// LeaseValid reports whether requests may be forwarded, that is, whether configuration and
+// targets were confirmed recently enough.
 func (d *Daemon) LeaseValid() bool { return d.servingState.Load().LeaseValid }
 
-// ConfigurationAge returns for how long the configuration here may have been out of date: the
-// time since the majority read began by which it was last known to be the newest. Whatever
-// was accepted before that is in it.
+// ConfigurationAge returns how long the configuration in use may have been out of date: the
+// time since the start of the last majority read that confirmed it as the newest. It contains
+// all changes accepted before that read.
 func (d *Daemon) ConfigurationAge() time.Duration {
 	return process.Now().Sub(ids.Time(d.configurationConfirmedAt.Load()))
 }
 
-// MayHaveUnreadConfiguration tells whether a configuration that has to be in force by now may
-// lie unread here: the one in use, of the given age, wasn't confirmed within the bound, and
-// messages wait. If none wait there is no newer one: the proxy is cut off, and what its clients
-// get here they may get nowhere else.
+// MayHaveUnreadConfiguration reports whether a newer configuration that must already be in
+// effect may be waiting unread in this process: the one in use, of the given age, wasn't
+// confirmed within the bound, and received messages are delayed. Without such a delay the
+// proxy is partitioned from the registries, and keeps serving: its clients may reach no other.
 func (d *Daemon) MayHaveUnreadConfiguration(age, bound time.Duration) bool {
 	return age > bound && d.MessageDelay() > maxMessageDelay
 }
 
-// MessageDelay returns how long what has arrived here waits at present until it is read and
-// carried out.
+// MessageDelay returns the current delay between the arrival of a message and its processing.
 func (d *Daemon) MessageDelay() time.Duration { return d.delayProbe.delay(process.Now()) }
 
-// Ready tells whether the proxy takes new requests.
+// Ready reports whether the proxy accepts new requests.
 func (d *Daemon) Ready() bool { return d.servingState.Load().Ready && !d.stopping.Load() }
 
-// Stopping tells whether the proxy was asked to stop.
+// Stopping reports whether the proxy is shutting down.
 func (d *Daemon) Stopping() bool { return d.stopping.Load() }
 
-// tierStep makes a route's tier count before its service's; both are from 0 to 9.
+// tierStep gives a route's tier precedence over its service's tier; both range from 0 to 9.
 const tierStep = 10
 
-// NewJob returns the job of a new request to a route. If the route splits its traffic,
-// the request's service is drawn here, once.
+// NewJob returns the job of a new request to a route. If the route splits its traffic, the
+// service is selected here, once per request.
 func (d *Daemon) NewJob(route configuration.Route, view *configuration.View) dispatch.Job {
 	route.Service = route.SelectService(rand.Float64())
 	return dispatch.Job{
@@ -92,12 +92,12 @@
 }
 
 // RecordUsage adds a finished request to the usage report: the time that the proxy spent
-// handling it, the latency that it added (without the target's time), and the time that
-// forwarding took.
+// handling it, the latency that the proxy added (without the target's time), and the time
+// spent forwarding.
 func (d *Daemon) RecordUsage(request *ClientRequest, handling, latency, forwardTime time.Duration) {
 	d.meter.recordRequest(request.Job.Route, request.Job.Service, handling, latency)
 	if d.Options.ByZone {
-		// There targets state no CPU time of their own, so their time stands for it.
+		// In a fleet by zone targets report no CPU time, so the forwarding time is used.
 		d.meter.recordTargetTime(request.Job.Route, request.Job.Service, forwardTime)
 	}
 }
