--- a/internal/dataplane/proxy/added_routes_test.go
+++ b/internal/dataplane/proxy/added_routes_test.go
@@ -17,7 +17,7 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// dispatchingFixture is a control machine with the router and the dispatchers that it feeds.
+// dispatchingFixture is a Control with the configuration and the dispatchers that it updates.
 type dispatchingFixture struct {
 	*controlFixture
 	view        *configuration.View
@@ -29,7 +29,7 @@
 	return &dispatchingFixture{controlFixture: control, dispatchers: map[ids.Name]*dispatch.Dispatcher{}}
 }
 
-// step steps the control machine and carries out what concerns routes and dispatchers.
+// step steps Control and executes its commands to the router and the dispatchers.
 func (f *dispatchingFixture) step(ev event.Event) {
 	for _, command := range f.Step(f.now, ev) {
 		switch c := command.(type) {
@@ -48,7 +48,7 @@
 	return f.dispatchers[service]
 }
 
-// receive has a registry push a configuration and targets.
+// receive delivers a registry's push of a configuration and targets.
 func (f *dispatchingFixture) receive(encoded []byte, revision ids.Revision, list ...targets.Target) {
 	f.pushes++
 	f.step(event.Received{From: "r", Message: distribution.Push{
@@ -56,7 +56,8 @@
 	}})
 }
 
-// send sends a request on a route of the router's and returns what becomes of it.
+// send sends a request to a route and returns the reason of its response, or else the type of
+// the dispatcher's first command.
 func (f *dispatchingFixture) send(route ids.Name) string {
 	rule, ok := f.view.Routes[route]
 	if !ok {
@@ -75,8 +76,8 @@
 	return fmt.Sprintf("%T", commands[0])
 }
 
-// configurationWithRoutes is encodedConfiguration's with more routes in it, each under its
-// path and to the service of its name's first letter.
+// configurationWithRoutes returns the configuration of encodedConfiguration with additional
+// routes. Each has its name as the path prefix and the first letter of its name as the service.
 func configurationWithRoutes(t *testing.T, services int, routes ...string) ([]byte, ids.Revision) {
 	t.Helper()
 	document, err := configuration.Decode(encodedConfiguration(t, services))
@@ -98,14 +99,13 @@
 	return document.Encode(false), document.Revision
 }
 
-// In a large fleet, where targets change all the time, a route that is added is served as soon
-// as the router knows it. Its requests were once rejected until the next refresh, up to 0.4 s
-// later; in a storm of changes that was most of the time.
+// Guards against requests to an added route being rejected until the next refresh, which is
+// delayed in a large fleet whose targets change continuously.
 func TestRefresh_AddedRouteIsServedAtOnce(t *testing.T) {
 	is := is.New(t)
 	f := newDispatchingFixture(newStormFixture(t))
 	f.now = f.now.Add(maxRefreshInterval)
-	// This refresh is due, and gives the dispatcher its targets.
+	// This refresh is due, and sends the targets to the dispatcher.
 	f.receive(nil, 1, changedTarget(0))
 	for i := range 8 {
 		f.now = f.now.Add(10 * time.Millisecond)
@@ -115,23 +115,23 @@
 		}
 		f.receive(configurationWithRoutes(t, 1, routes...))
 		is.Equal(f.send(ids.Name(routes[i])), "dispatch.Forward")
-		is.Equal(f.send(ids.Name(routes[0])), "dispatch.Forward") // the earlier ones as well
+		is.Equal(f.send(ids.Name(routes[0])), "dispatch.Forward") // existing routes too
 	}
 }
 
-// changedTarget is a target of the storm, newer than the fixture knows it.
+// changedTarget returns a newer state of a target of newStormFixture.
 func changedTarget(i int) targets.Target {
 	target := stormTarget(i)
 	target.Sequence, target.Occupancy = 2, 1
 	return target
 }
 
-// A service that is added with its route needs targets and slots, so its refresh doesn't wait.
+// A service that is added with its route needs targets and slots, so its refresh isn't delayed.
 func TestRefresh_AddedServiceIsServedAtOnce(t *testing.T) {
 	is := is.New(t)
 	f := newDispatchingFixture(newStormFixture(t))
 	var others []targets.Target
-	for i := range stormProxies { // so many that this proxy has slots at some
+	for i := range stormProxies { // enough for this proxy to have slots at some of them
 		other := stormTarget(1000 + i)
 		other.Service = "b"
 		others = append(others, other)
--- a/internal/dataplane/proxy/client_conn_test.go
+++ b/internal/dataplane/proxy/client_conn_test.go
@@ -16,7 +16,7 @@
 
 const getRequest = "GET /x HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// scriptedConn is a client's connection whose reads are the steps of a script.
+// scriptedConn is a client connection whose reads are served by a sequence of functions.
 type scriptedConn struct {
 	net.Conn
 	script    chan func(p []byte) (int, error)
@@ -44,7 +44,7 @@
 	}
 	script := c.script
 	if len(p) == 1 {
-		// The server only looks whether the client hangs up meanwhile.
+		// This is net/http's background read, which only detects a disconnect.
 		script = nil
 	}
 	select {
@@ -82,7 +82,7 @@
 func (c *scriptedConn) LocalAddr() net.Addr              { return &net.TCPAddr{} }
 func (c *scriptedConn) RemoteAddr() net.Addr             { return &net.TCPAddr{} }
 
-// singleConnListener is a listener that gives one connection.
+// singleConnListener is a listener that returns the connections of a channel.
 type singleConnListener struct {
 	net.Listener
 	conns chan net.Conn
@@ -97,8 +97,8 @@
 
 func (l *singleConnListener) Close() error { return nil }
 
-// A request that is read just as its idle connection is being closed, for new limits or for
-// a shutdown, gets its response. It once ran without.
+// Guards against losing the response of a request that is read while its idle connection is
+// being closed, because of new limits or a shutdown.
 func TestClientListener_AnswersRequestReadWhileConnectionCloses(t *testing.T) {
 	is := is.New(t)
 	l := &singleConnListener{conns: make(chan net.Conn, 1)}
@@ -107,7 +107,7 @@
 	send := func(s string) func([]byte) (int, error) {
 		return func(p []byte) (int, error) { return copy(p, s), nil }
 	}
-	// The second request is read in the very moment in which limits change.
+	// The limits change while the second request is being read.
 	c := newScriptedConn(send(getRequest), func(p []byte) (int, error) {
 		<-ready
 		n := copy(p, getRequest)
@@ -128,7 +128,7 @@
 	select {
 	case <-c.closed:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the connection isn't closed")
+		t.Fatal("connection not closed within 10 s")
 	}
 	close(l.conns)
 	is.True(errors.Is(<-done, net.ErrClosed))
@@ -138,7 +138,7 @@
 	is.Equal(strings.Count(c.written.String(), "Connection: close"), 1)
 }
 
-// An idle connection is closed at once, and a busy one after its response.
+// closeWhenIdle closes an idle connection immediately and a busy one after its response.
 func TestClientConn_ClosesWhenIdle(t *testing.T) {
 	is := is.New(t)
 	inner := newScriptedConn()
@@ -148,7 +148,7 @@
 	is.Equal(len(inner.readExpired), 0) // busy
 	c.setIdle(true)
 	is.Equal(len(inner.readExpired), 1)
-	_ = c.SetReadDeadline(time.Now().Add(time.Hour)) // the server's deadline doesn't undo it
+	_ = c.SetReadDeadline(time.Now().Add(time.Hour)) // must not override the expired deadline
 	n, err := c.Read(make([]byte, 8))
 	is.Equal(n, 0)
 	is.Equal(err.Error(), "EOF")
--- a/internal/dataplane/proxy/client_departure_test.go
+++ b/internal/dataplane/proxy/client_departure_test.go
@@ -19,8 +19,8 @@
 	"dunlinwell/internal/transport/process"
 )
 
-// TestClientContext ends the reading of a client's connection in different ways while its
-// request waits. net/http ends the request's own context each time.
+// TestClientContext closes, half-closes or resets a client's connection while its request is
+// pending. net/http cancels the request's own context in each case.
 func TestClientContext(t *testing.T) {
 	closeConn := func(c *net.TCPConn) { _ = c.Close() }
 	halfClose := func(c *net.TCPConn) { _ = c.CloseWrite() }
@@ -31,17 +31,17 @@
 		end  func(*net.TCPConn)
 		gone bool
 	}{
-		{"close, where it means leaving", HalfCloseLeaves, closeConn, true},
-		{"half-close, where it means leaving", HalfCloseLeaves, halfClose, true},
-		{"reset, where a half-close means leaving", HalfCloseLeaves, reset, true},
-		{"half-close, where it doesn't", HalfCloseWaits, halfClose, false},
-		{"reset, where a half-close doesn't", HalfCloseWaits, reset, true},
+		{"close, half-close disconnects", HalfCloseLeaves, closeConn, true},
+		{"half-close, half-close disconnects", HalfCloseLeaves, halfClose, true},
+		{"reset, half-close disconnects", HalfCloseLeaves, reset, true},
+		{"half-close, half-close allowed", HalfCloseWaits, halfClose, false},
+		{"reset, half-close allowed", HalfCloseWaits, reset, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			arrived, left, verdict := make(chan struct{}), make(chan struct{}), make(chan bool, 1)
 			server := &http.Server{ConnContext: api.WithConn, ReadHeaderTimeout: time.Minute, Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-				// net/http watches the connection only after the body.
+				// net/http watches the connection only after the body was read.
 				_, _ = io.Copy(io.Discard, r.Body)
 				client, release := ClientContext(r, c.rule)
 				defer release()
@@ -85,8 +85,8 @@
 	}
 }
 
-// holdingTarget accepts requests and answers none. It tells of each that has arrived, and
-// when its connection has ended.
+// holdingTarget accepts requests without responding. It signals each received request and
+// each connection that ended.
 type holdingTarget struct {
 	net.Listener
 	arrived, ended chan struct{}
@@ -122,9 +122,8 @@
 	return finished
 }
 
-// TestForward_CanceledAttemptClosesConnection cancels attempts on a new connection and on a
-// pooled one. The target sees each end, and nothing is learned from that on how long
-// connections may be idle.
+// TestForward_CanceledAttemptClosesConnection cancels attempts on a new and on a pooled
+// connection. The connection is closed, and the pool's recentIdleLimit is not lowered.
 func TestForward_CanceledAttemptClosesConnection(t *testing.T) {
 	for _, pooled := range []bool{false, true} {
 		t.Run(fmt.Sprint("pooled ", pooled), func(t *testing.T) {
@@ -139,10 +138,10 @@
 			attempts := newAttemptContexts()
 			finished := d.startAttempt(target, attempts)
 			<-target.arrived
-			attempts.cancelUnsent() // bytes have left: this changes nothing
+			attempts.cancelUnsent() // no effect, since bytes were sent
 			select {
 			case <-finished:
-				t.Fatal("an attempt of which bytes had left was ended")
+				t.Fatal("cancelUnsent ended an attempt whose request had been sent")
 			default:
 			}
 			attempts.cancel()
@@ -154,7 +153,8 @@
 	}
 }
 
-// TestForward_CanceledBeforeSendingSendsNothing cancels an attempt before its first byte.
+// TestForward_CanceledBeforeSendingSendsNothing cancels an attempt before its first byte is
+// sent.
 func TestForward_CanceledBeforeSendingSendsNothing(t *testing.T) {
 	for _, pooled := range []bool{false, true} {
 		t.Run(fmt.Sprint("pooled ", pooled), func(t *testing.T) {
--- a/internal/dataplane/proxy/client_handler_test.go
+++ b/internal/dataplane/proxy/client_handler_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-// Requests with mistakes, and any request to a proxy that has no valid lease yet.
+// Covers invalid requests, and requests to a proxy that has no valid lease yet.
 func TestHandleClientRequest_RejectsInvalidRequests(t *testing.T) {
 	is := is.New(t)
 	d := newTestDaemon()
@@ -21,7 +21,7 @@
 		d.handler(true).ServeHTTP(w, r)
 		return w
 	}
-	// Without a valid lease nobody can say yet that there is no such route.
+	// Without a valid lease the proxy can't know that the route doesn't exist.
 	w := call("GET", "/stock/1", "", nil)
 	is.Equal(w.Code, http.StatusServiceUnavailable)
 	is.Equal(w.Header().Get("Retry-After"), "1")
--- a/internal/dataplane/proxy/client_listener_test.go
+++ b/internal/dataplane/proxy/client_listener_test.go
@@ -20,8 +20,8 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// startClientListener serves clients until the test ends or the returned function is
-// called; the channel then gives what serve returned.
+// startClientListener serves clients until the test ends or the returned function is called.
+// The channel then receives the error returned by serve.
 func startClientListener(t *testing.T, listener net.Listener, h http.HandlerFunc) (*clientListener, context.CancelFunc, chan error) {
 	t.Helper()
 	clients := newClientListener(listener, h)
@@ -32,7 +32,7 @@
 	return clients, cancel, done
 }
 
-// testClient is a client's connection; every read has a deadline.
+// testClient is a client connection with a deadline for all reads and writes.
 type testClient struct {
 	net.Conn
 	reader *bufio.Reader
@@ -57,7 +57,7 @@
 	return c.readResponse(t)
 }
 
-// sendSlow sends a request that slowHandler blocks, and doesn't await the response.
+// sendSlow sends a request that slowHandler blocks, without waiting for the response.
 func (c *testClient) sendSlow(t *testing.T) {
 	t.Helper()
 	if _, err := io.WriteString(c, "GET /x HTTP/1.1\r\nHost: h\r\nSlow: 1\r\n\r\n"); err != nil {
@@ -82,8 +82,8 @@
 
 func noContent(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) }
 
-// slowHandler blocks the one request of sendSlow until release is closed; inside is closed
-// when that request has arrived.
+// slowHandler returns a handler that blocks the request of sendSlow until release is closed.
+// inside is closed when that request has arrived.
 func slowHandler() (handler http.HandlerFunc, inside, release chan struct{}) {
 	inside, release = make(chan struct{}), make(chan struct{})
 	return func(w http.ResponseWriter, r *http.Request) {
@@ -97,7 +97,7 @@
 
 var strictLimits = configuration.Limits{MaxHeaderBytes: 1024, MaxBodyBytes: 1, HeaderTimeoutMillis: 100, IdleTimeoutMillis: 100}
 
-// Limits that arrive before the first client is served hold from the first client on.
+// Limits received before the first client is served apply from the first client on.
 func TestDaemon_LimitsBeforeFirstClient(t *testing.T) {
 	is := is.New(t)
 	d := NewDaemon(DaemonOptions{Common: settings.Common{Name: "c1", Address: "127.0.0.1:1", HTTPAddress: "127.0.0.1:2", LogLevel: "error"}, ClientListen: "127.0.0.1:0"})
@@ -107,7 +107,7 @@
 	is.Equal(d.clientListener.limits, strictLimits)
 }
 
-// New limits don't end requests in flight, and connections of the old server are closed
+// New limits don't interrupt requests in flight, and connections of the old server are closed
 // when they are idle.
 func TestClientListener_LimitsChangeWithOpenConnections(t *testing.T) {
 	is := is.New(t)
@@ -119,21 +119,21 @@
 	busy.sendSlow(t)
 	<-inside
 	clients.setLimits(strictLimits)
-	clients.setLimits(strictLimits) // the same again changes nothing
+	clients.setLimits(strictLimits) // unchanged limits have no effect
 	is.True(idle.closed())
 	close(release)
 	res := busy.readResponse(t)
 	is.Equal(res.StatusCode, 204)
-	is.True(res.Close) // its client is told not to use it again
+	is.True(res.Close) // Connection: close was sent
 	is.True(busy.closed())
-	// The new limits hold for new connections: a large header, and idling.
+	// The new limits apply to new connections: idle timeout and header size.
 	late := dial(t, l.Addr())
 	is.Equal(late.roundTrip(t, "").StatusCode, 204)
 	is.True(late.closed())
 	large := dial(t, l.Addr())
 	is.Equal(large.roundTrip(t, "Large: "+strings.Repeat("x", 8000)+"\r\n").StatusCode, 431)
 	is.True(large.closed())
-	// One that doesn't end its header is closed.
+	// A connection with an incomplete header is closed after the header timeout.
 	slow := dial(t, l.Addr())
 	_, err := io.WriteString(slow, "GET /x HTTP/1.1\r\n")
 	is.NoErr(err)
@@ -141,7 +141,7 @@
 	is.True(slow.closed())
 }
 
-// While limits change over and over, no request is lost.
+// No request is lost while the limits change repeatedly.
 func TestClientListener_LimitsChangeLosesNoRequest(t *testing.T) {
 	is := is.New(t)
 	l := listen(t)
@@ -163,7 +163,7 @@
 	<-changed
 }
 
-// exhaustedListener fails to accept for lack of file descriptors at first.
+// exhaustedListener fails the first calls of Accept with EMFILE.
 type exhaustedListener struct {
 	net.Listener
 	failures atomic.Int64
@@ -176,7 +176,7 @@
 	return l.Listener.Accept()
 }
 
-// A process out of file descriptors accepts the next connection once it has some again.
+// A process that ran out of file descriptors accepts connections again once some are free.
 func TestClientListener_SurvivesDescriptorExhaustion(t *testing.T) {
 	is := is.New(t)
 	l := &exhaustedListener{Listener: listen(t)}
@@ -187,8 +187,8 @@
 	is.Equal(<-done, context.Canceled)
 }
 
-// After the signal to stop, clients are still accepted for a moment; requests in flight end,
-// and only then does the listener.
+// After the signal to stop, clients are still accepted for the lame-duck period, and serve
+// returns only after the requests in flight have finished.
 func TestClientListener_GracefulShutdown(t *testing.T) {
 	is := is.New(t)
 	l := listen(t)
@@ -199,10 +199,10 @@
 	<-inside
 	cancel()
 	is.Equal(dial(t, l.Addr()).roundTrip(t, "").StatusCode, 204)
-	clients.setLimits(strictLimits) // even now, with a request of the earlier server in flight
+	clients.setLimits(strictLimits) // leaves a request in flight on the previous server
 	select {
 	case err := <-done:
-		t.Fatalf("ended with a request in flight: %v", err)
+		t.Fatalf("serve returned with a request in flight: %v", err)
 	default:
 	}
 	close(release)
--- a/internal/dataplane/proxy/connection_pool_test.go
+++ b/internal/dataplane/proxy/connection_pool_test.go
@@ -14,7 +14,7 @@
 	is := is.New(t)
 	target, d := newFakeTarget(t), newPlainDaemon(0)
 	target.respond = echoResponse
-	// The cases build on each other: each uses the connection that the one before left.
+	// The cases depend on each other: each starts with the pooled connection of the previous one.
 	for i, c := range []struct {
 		idle        time.Duration
 		recentOnly  bool
@@ -22,7 +22,7 @@
 	}{
 		{0, true, 1},
 		{maxRecentIdleLimit - 200*time.Millisecond, true, 1},
-		{maxRecentIdleLimit + time.Millisecond, false, 1}, // a request that may be sent again may try it
+		{maxRecentIdleLimit + time.Millisecond, false, 1}, // retryable requests may use it
 		{maxRecentIdleLimit + time.Millisecond, true, 2},
 		{defaultMaxIdle + time.Millisecond, false, 3},
 	} {
@@ -42,7 +42,7 @@
 	is.Equal(len(d.pool.idle), 0)
 }
 
-// How long a target says that a connection may be idle is observed, with a margin.
+// The pool observes the keep-alive timeout stated by a target, less keepAliveMargin.
 func TestConnectionPool_ObservesTargetKeepAlive(t *testing.T) {
 	for idle, connections := range map[time.Duration]int64{9 * time.Second: 1, time.Second: 2} {
 		t.Run(idle.String(), func(t *testing.T) {
--- a/internal/dataplane/proxy/control_fixture_test.go
+++ b/internal/dataplane/proxy/control_fixture_test.go
@@ -14,19 +14,19 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// controlFixture is a control machine with its time, and the pushes that it gets.
+// controlFixture is a Control with a simulated clock and the number of its last push.
 type controlFixture struct {
 	*Control
 	now    ids.Time
 	pushes ids.StreamNumber
 }
 
-// newControlFixture is a proxy that has just started.
+// newControlFixture returns the Control of a proxy that has just started.
 func newControlFixture(lease time.Duration) *controlFixture {
 	return &controlFixture{Control: New(membership.Options{Self: proxyMember("p", "quay")}, ControlOptions{Lease: lease}), now: 1}
 }
 
-// push gives the proxy what a registry pushes whose last majority read is so old.
+// push delivers the push of a registry whose last majority read has the given age.
 func (f *controlFixture) push(encoded []byte, revision ids.Revision, readAge time.Duration, list ...targets.Target) {
 	f.pushes++
 	f.Step(f.now, event.Received{From: "r", Message: distribution.Push{
@@ -35,8 +35,8 @@
 	}})
 }
 
-// run lets time pass, with a tick every tickInterval; everySecond, unless nil, is called
-// at the beginning of each second.
+// run advances the clock, with a tick every tickInterval. It calls everySecond, unless nil, at
+// the beginning of each second.
 func (f *controlFixture) run(span time.Duration, everySecond func()) {
 	for end := f.now.Add(span); f.now < end; {
 		if everySecond != nil {
@@ -49,8 +49,8 @@
 	}
 }
 
-// encodedConfiguration is a configuration with as many services, named from "a", as its
-// revision says.
+// encodedConfiguration returns a configuration of the given revision, which also is its number
+// of services. These are named "a", "b" and so on.
 func encodedConfiguration(t testing.TB, revision int) []byte {
 	t.Helper()
 	document, err := configuration.Decode(nil)
@@ -64,12 +64,12 @@
 	return document.Encode(false)
 }
 
-// proxyMember is a proxy of the given zone.
+// proxyMember returns a proxy in the given zone.
 func proxyMember(id, zone string) membership.Member {
 	return membership.Member{ID: ids.DaemonID(id), Role: membership.Proxy, Zone: ids.Name(zone), RunID: 1}
 }
 
-// proxiesIn is a proxy for each of the given zones, named from "c0".
+// proxiesIn returns a proxy for each of the space-separated zones, named "c0", "c1" and so on.
 func proxiesIn(zones string) []membership.Member {
 	var proxies []membership.Member
 	for i, zone := range strings.Fields(zones) {
--- a/internal/dataplane/proxy/control_messages_test.go
+++ b/internal/dataplane/proxy/control_messages_test.go
@@ -20,7 +20,7 @@
 	ownRunID = ids.RunID(7)
 )
 
-// newControl is a proxy that has ticked once and heard nothing.
+// newControl returns a Control that has ticked once and received no messages.
 func newControl() *Control {
 	self := membership.Member{ID: "c1", Role: membership.Proxy, Address: "10.0.0.1:1", RunID: ownRunID, Zone: "a"}
 	c := New(membership.Options{Self: self, Seeds: []ids.Address{"10.0.0.2:1"}}, ControlOptions{})
@@ -28,8 +28,8 @@
 	return c
 }
 
-// An echo of a time in the future can't be this proxy's own, whatever run it names. It would
-// lengthen the lease beyond what any majority read allows.
+// Guards against extending the lease by an echoed time that this run of the proxy can't have
+// sent.
 func TestLease_IgnoresEchoFromFutureOrEarlierRun(t *testing.T) {
 	is := is.New(t)
 	now := ids.Time(10 * time.Second)
@@ -43,14 +43,14 @@
 		is.Equal(c.targetsConfirmedAt, ids.Time(0))
 		is.Equal(c.configurationConfirmedAt, ids.Time(0))
 	}
-	// Nor does the echo of an earlier run's time count.
+	// A time echoed to an earlier run is ignored too.
 	c := newControl()
 	c.Step(now, event.Received{From: stranger, Message: distribution.Push{Number: 1, RunID: 1, EchoedTime: now, ProxyRunID: ownRunID - 1}})
 	is.Equal(c.targetsConfirmedAt, ids.Time(0))
 }
 
-// FuzzMessages gives a proxy any message: it doesn't panic, and no message confirms
-// anything for a time in the future.
+// FuzzMessages checks that no message makes a proxy panic or confirms configuration or targets
+// as of a time in the future.
 func FuzzMessages(f *testing.F) {
 	for _, msg := range []any{
 		distribution.Push{
@@ -84,7 +84,7 @@
 			now = now.Add(300 * time.Millisecond)
 			c.Step(now, event.Tick{})
 			if c.configurationConfirmedAt > now || c.targetsConfirmedAt > now {
-				t.Fatalf("%#v confirms a time in the future", msg)
+				t.Fatalf("%#v confirmed configuration or targets as of a future time", msg)
 			}
 		}
 	})
--- a/internal/dataplane/proxy/fake_target_test.go
+++ b/internal/dataplane/proxy/fake_target_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// listen opens a listener that the test's end closes.
+// listen opens a listener that is closed at the end of the test.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -23,7 +23,7 @@
 	return l
 }
 
-// acceptAll serves every connection in a goroutine of its own, until the listener closes.
+// acceptAll serves each connection in its own goroutine, until the listener is closed.
 func acceptAll(l net.Listener, serve func(net.Conn)) {
 	for {
 		conn, err := l.Accept()
@@ -34,17 +34,17 @@
 	}
 }
 
-// fakeTarget is a target that writes its responses byte by byte, so that it can misbehave.
+// fakeTarget is a target that writes raw response bytes, so that it can send invalid ones.
 type fakeTarget struct {
 	net.Listener
-	// requests and connections count what has arrived.
+	// requests and connections count received requests and accepted connections.
 	requests    atomic.Int64
 	connections atomic.Int64
 	// identity is its identity document.
 	identity string
-	// respond gives the bytes of a response; "" closes the connection.
+	// respond returns the raw bytes of a response; "" closes the connection.
 	respond func(r *http.Request) string
-	// header is that of the last request.
+	// header is the header of the last request.
 	header atomic.Pointer[http.Header]
 }
 
@@ -80,22 +80,22 @@
 	}
 }
 
-// validResponse is a complete response of the native protocol.
+// validResponse returns a complete response of the native protocol.
 func validResponse(r *http.Request) string { return responseWithDigest(r, "hello", "hello") }
 
-// responseWithDigest is a response of the native protocol with the digest of another text.
+// responseWithDigest returns a response of the native protocol whose digest is that of digestOf.
 func responseWithDigest(r *http.Request, body, digestOf string) string {
 	digest := sha256.Sum256([]byte(digestOf))
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\nContent-Digest: sha-256=:%s:\r\nRequest-Id: %s\r\nIdempotency-Key: %s\r\nKeep-Alive: timeout=9\r\n\r\n%s",
 		len(body), base64.StdEncoding.EncodeToString(digest[:]), r.Header.Get("Request-Id"), r.Header.Get("Idempotency-Key"), body)
 }
 
-// plainResponse is a response of plainProtocol.
+// plainResponse returns a response of plainProtocol.
 func plainResponse(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\nId: %s\r\n\r\n%s", len(body), id, body)
 }
 
-// echoResponse is the response of plainProtocol that names its request in the body too.
+// echoResponse returns a response of plainProtocol whose body contains the request's ID.
 func echoResponse(r *http.Request) string {
 	id := r.Header.Get("Id")
 	return plainResponse(id, "of "+id)
--- a/internal/dataplane/proxy/faulty_target_test.go
+++ b/internal/dataplane/proxy/faulty_target_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// connectionEnd is how a target ends a connection.
+// connectionEnd is the way in which a target closes a connection.
 type connectionEnd string
 
 const (
@@ -33,8 +33,8 @@
 	}
 }
 
-// faultyTarget is a target of plainProtocol whose connections end where a test says. It
-// counts how often each request has reached it.
+// faultyTarget is a target of plainProtocol that closes its connections at a given byte of a
+// request or response. It counts how often it received each request.
 type faultyTarget struct {
 	net.Listener
 	end connectionEnd
@@ -42,8 +42,8 @@
 	mu       sync.Mutex
 	requests map[string]int
 	open     []net.Conn
-	// requestCut is after how many bytes of a request the connection ends, and
-	// responseCut after how many of its response; below 0 for never.
+	// requestCut and responseCut are the numbers of request and response bytes after which
+	// the connection is closed; negative for never.
 	requestCut, responseCut int
 	respond                 func(id string) string
 }
@@ -94,7 +94,7 @@
 	return f.responseCut, f.respond
 }
 
-// endAll ends every connection, as a target does that restarts or closes idle ones.
+// endAll closes all connections, like a target that restarts or closes idle connections.
 func (f *faultyTarget) endAll() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -116,7 +116,7 @@
 	f.respond = respond
 }
 
-// runs is how often a request has reached the target.
+// runs returns how often the target received a request.
 func (f *faultyTarget) runs(id string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/dataplane/proxy/forward_faults_test.go
+++ b/internal/dataplane/proxy/forward_faults_test.go
@@ -13,8 +13,8 @@
 	"dunlinwell/internal/transport/process"
 )
 
-// Wherever a response ends early, and however, the request has been sent once, the result
-// doesn't deny that, and the next request gets its own response.
+// A request whose response is truncated is sent once and reported as MayHaveRun, and the next
+// request gets its own response.
 func TestForward_ResponseCutAtEveryByte(t *testing.T) {
 	whole := plainResponse("cut-000", "of cut-000")
 	for _, end := range connectionEnds {
@@ -29,12 +29,12 @@
 					want = dispatch.Complete
 				}
 				if finished.Result != want || target.runs(id) != 1 {
-					t.Fatalf("at byte %d: %v (%s), it ran %d times", cut, finished.Result, finished.Reason, target.runs(id))
+					t.Fatalf("response cut at byte %d: %v (%s), received %d times", cut, finished.Result, finished.Reason, target.runs(id))
 				}
 				target.setCuts(-1, -1)
 				next := fmt.Sprintf("nxt-%03d", cut)
 				if finished := d.forwardPlain(target, next); finished.Result != dispatch.Complete || string(finished.Response.Body) != "of "+next {
-					t.Fatalf("at byte %d, the next: %v (%s) %q", cut, finished.Result, finished.Reason, finished.Response.Body)
+					t.Fatalf("request after a response cut at byte %d: %v (%s) %q", cut, finished.Result, finished.Reason, finished.Response.Body)
 				}
 				d.closeIdleConnections()
 			}
@@ -42,8 +42,8 @@
 	}
 }
 
-// Wherever a request's connection ends, a byte of it may have been read: the result is
-// that it may have run, and never NotSent unless no byte was read.
+// A request whose connection is closed while it is being sent is reported as MayHaveRun;
+// NotSent is allowed only if the target read no byte of it.
 func TestForward_RequestCutAtEveryByte(t *testing.T) {
 	for _, end := range connectionEnds {
 		t.Run(string(end), func(t *testing.T) {
@@ -51,15 +51,15 @@
 			for cut := range 60 {
 				target.setCuts(cut, -1)
 				if finished := d.forwardPlain(target, "a"); finished.Result != dispatch.MayHaveRun && (cut != 0 || finished.Result != dispatch.NotSent) {
-					t.Fatalf("at byte %d: %v (%s)", cut, finished.Result, finished.Reason)
+					t.Fatalf("request cut at byte %d: %v (%s)", cut, finished.Result, finished.Reason)
 				}
 			}
 		})
 	}
 }
 
-// A connection that its target closed while it was idle carries nothing more; one that
-// ends as it is used has carried its request, which isn't sent again.
+// A connection that was closed while idle isn't used; a request whose connection is closed
+// while in use isn't resent.
 func TestForward_ConnectionEndsIdleOrInUse(t *testing.T) {
 	for _, end := range connectionEnds {
 		t.Run(string(end), func(t *testing.T) {
@@ -69,35 +69,34 @@
 			}
 			target.endAll()
 			if finished := d.forwardPlain(target, "second"); finished.Result != dispatch.Complete || target.runs("second") != 1 {
-				t.Fatalf("while idle: %v %s, it ran %d times", finished.Result, finished.Reason, target.runs("second"))
+				t.Fatalf("closed while idle: %v %s, received %d times", finished.Result, finished.Reason, target.runs("second"))
 			}
 			target.setCuts(-1, 0)
 			if finished := d.forwardPlain(target, "third"); finished.Result != dispatch.MayHaveRun || target.runs("third") != 1 {
-				t.Fatalf("as it is used: %v %s, it ran %d times", finished.Result, finished.Reason, target.runs("third"))
+				t.Fatalf("closed while in use: %v %s, received %d times", finished.Result, finished.Reason, target.runs("third"))
 			}
 		})
 	}
 }
 
-// The next run of a target may be at another address while its earlier one still answers
-// on an idle connection: nothing more is sent there.
+// The next run of a target may have another address while the earlier run still responds on
+// an idle connection, which must not be used any more.
 func TestForward_IgnoresConnectionToEarlierRun(t *testing.T) {
 	earlier, later, d := newFaultyTarget(t, closeConnection), newFaultyTarget(t, closeConnection), newPlainDaemon(0)
 	if finished := d.forwardPlain(earlier, "first"); finished.Result != dispatch.Complete {
 		t.Fatal(finished.Reason)
 	}
 	if finished := d.forwardPlain(later, "second"); finished.Result != dispatch.Complete || earlier.runs("second") != 0 || later.runs("second") != 1 {
-		t.Fatalf("%v %s, it ran %d times at the earlier run, %d times at the later", finished.Result, finished.Reason, earlier.runs("second"), later.runs("second"))
+		t.Fatalf("%v %s, received %d times by the earlier run, %d times by the later", finished.Result, finished.Reason, earlier.runs("second"), later.runs("second"))
 	}
 }
 
-// Responses that are swapped, doubled, sent ahead of their request, or late are never
-// given to another request.
+// Swapped, duplicated, premature or late responses are never returned for another request.
 func TestForward_ResponsesOutOfOrder(t *testing.T) {
 	previous := "none"
 	var mu sync.Mutex
 	for name, respond := range map[string]func(id string) string{
-		"doubled": func(id string) string { return plainResponse(id, "of "+id) + plainResponse(id, "of "+id) },
+		"duplicated": func(id string) string { return plainResponse(id, "of "+id) + plainResponse(id, "of "+id) },
 		"late": func(id string) string {
 			mu.Lock()
 			defer mu.Unlock()
@@ -105,8 +104,8 @@
 			previous = id
 			return plainResponse(old, "of "+old)
 		},
-		"swapped": func(id string) string { return plainResponse("next", "of next") + plainResponse(id, "of "+id) },
-		"ahead":   func(id string) string { return plainResponse(id, "of "+id) + plainResponse("next", "of next") },
+		"swapped":   func(id string) string { return plainResponse("next", "of next") + plainResponse(id, "of "+id) },
+		"premature": func(id string) string { return plainResponse(id, "of "+id) + plainResponse("next", "of next") },
 		"two ids": func(id string) string {
 			return "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nId: other\r\nId: " + id + "\r\n\r\nof "
 		},
@@ -122,18 +121,18 @@
 			for _, id := range []string{"one", "next", "two", "three"} {
 				finished := d.forwardRequest(target, &ClientRequest{AttemptID: id}, false, 100*time.Millisecond)
 				if finished.Result == dispatch.Complete && string(finished.Response.Body) != "of "+id {
-					t.Errorf("%q was given %q", id, finished.Response.Body)
+					t.Errorf("request %q got response %q", id, finished.Response.Body)
 				}
 				if target.runs(id) != 1 {
-					t.Errorf("%q ran %d times", id, target.runs(id))
+					t.Errorf("request %q received %d times", id, target.runs(id))
 				}
 			}
 		})
 	}
 }
 
-// A proxy that resumes past a request's deadline, past its lease, or before its control
-// machine has stepped again, sends nothing, on a new connection or on an idle one.
+// A process that resumes from a pause sends no request after the request's deadline, after the
+// end of the lease, or before Control has stepped again.
 func TestForward_SendsNothingAfterFreeze(t *testing.T) {
 	now := process.Now().Add(time.Hour)
 	for name, c := range map[string]struct{ deadline, sendBefore, lastStep ids.Time }{
@@ -158,7 +157,7 @@
 					},
 				)
 				if finished.Result != dispatch.NotSent || target.runs("late") != 0 {
-					t.Errorf("%v (%s), it ran %d times", finished.Result, finished.Reason, target.runs("late"))
+					t.Errorf("%v (%s), received %d times", finished.Result, finished.Reason, target.runs("late"))
 				}
 			})
 		}
--- a/internal/dataplane/proxy/forward_test.go
+++ b/internal/dataplane/proxy/forward_test.go
@@ -20,18 +20,18 @@
 	is.Equal(string(finished.Response.Body), "hello")
 	sent := *target.header.Load()
 	is.Equal(sent.Get("X-Kept"), "2")
-	is.Equal(sent.Get("X-Own"), "") // belongs to the client's connection alone
+	is.Equal(sent.Get("X-Own"), "") // hop-by-hop
 	for _, header := range finished.Response.Header {
 		is.True(header.Name != "Keep-Alive")
 	}
-	// A repeatable request may use the connection again, an unrepeatable one may not.
+	// A pooled connection is used unless the dispatcher requires a new one.
 	is.Equal(d.forwardNative(target, false, true).Result, dispatch.Complete)
 	is.Equal(target.connections.Load(), int64(1))
 	is.Equal(d.forwardNative(target, true, false).Result, dispatch.Complete)
 	is.Equal(target.connections.Load(), int64(2))
 }
 
-// Every way in which a response is not the target's own, whole and with its digest.
+// An invalid response is discarded, and its request isn't resent.
 func TestForward_DiscardsInvalidResponse(t *testing.T) {
 	replaced := func(old, replacement string) func(*http.Request) string {
 		return func(r *http.Request) string { return strings.Replace(validResponse(r), old, replacement, 1) }
@@ -54,13 +54,13 @@
 			if finished.Result != dispatch.MayHaveRun {
 				t.Errorf("%v %s", finished.Result, finished.Reason)
 			}
-			is.New(t).Equal(target.requests.Load(), int64(1)) // sent once, whatever came back
+			is.New(t).Equal(target.requests.Load(), int64(1)) // never resent
 		})
 	}
 }
 
-// A connection whose target is another one carries nothing: the address has a new owner,
-// or the target was restarted, or it is leaving.
+// No request is sent if the identity document shows another instance or service, another run,
+// or a target that is leaving, or if it is invalid.
 func TestForward_SendsNothingToUnverifiedTarget(t *testing.T) {
 	for _, identity := range []string{
 		`{"instance":"u","service":"s"}`, `{"instance":"t","service":"other"}`, `{"instance":"t","service":"s","leaving":true}`,
@@ -76,7 +76,7 @@
 	}
 }
 
-// A connection that its target closes after a response is not used again.
+// A connection is not reused after a response with Connection: close.
 func TestForward_ObservesConnectionClose(t *testing.T) {
 	is := is.New(t)
 	target, d := newFakeTarget(t), newTestDaemon()
@@ -88,7 +88,7 @@
 	is.Equal(target.connections.Load(), int64(2))
 }
 
-// Bytes after a response belong to no request: the connection carries nothing more.
+// A connection with trailing bytes after a response is not reused.
 func TestForward_DropsConnectionWithTrailingBytes(t *testing.T) {
 	is := is.New(t)
 	target, d := newFakeTarget(t), newPlainDaemon(0)
@@ -100,8 +100,8 @@
 	is.Equal(target.connections.Load(), int64(2))
 }
 
-// A late response to an earlier request is skipped, a few times, and never taken for the
-// response to this one.
+// Responses to other requests are skipped, up to maxStaleResponses, and never returned for
+// this request.
 func TestForward_SkipsResponsesToOtherRequests(t *testing.T) {
 	is := is.New(t)
 	target, d := newFakeTarget(t), newPlainDaemon(0)
@@ -118,7 +118,7 @@
 	is.Equal(d.forwardPlain(target, "a").Result, dispatch.MayHaveRun)
 }
 
-// A target that sends a header without end costs no more than a header may.
+// A response header over maxResponseHeader is rejected.
 func TestForward_BoundsResponseHeader(t *testing.T) {
 	is := is.New(t)
 	target, d := newFakeTarget(t), newPlainDaemon(0)
@@ -127,7 +127,7 @@
 		return "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nId: a\r\n" + tooLarge + "\r\n"
 	}
 	is.Equal(d.forwardPlain(target, "a").Result, dispatch.MayHaveRun)
-	// One within the bound is read, however much the connection has carried before.
+	// The limit applies to each response, not to the whole connection.
 	target, d = newFakeTarget(t), newPlainDaemon(0)
 	target.respond = func(r *http.Request) string {
 		return "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nX-Large: " + strings.Repeat("y", maxResponseHeader/2) + "\r\nId: " + r.Header.Get("Id") + "\r\n\r\n"
@@ -138,7 +138,7 @@
 	is.Equal(target.connections.Load(), int64(1))
 }
 
-// After a freeze, or with no time left, nothing may be sent.
+// Nothing may be sent after the deadline or after a pause of the process.
 func TestMaySend_DeadlineAndFreeze(t *testing.T) {
 	is := is.New(t)
 	is.True(MaySend(100, 200, 50))
--- a/internal/dataplane/proxy/helpers_test.go
+++ b/internal/dataplane/proxy/helpers_test.go
@@ -16,7 +16,7 @@
 	"dunlinwell/internal/transport/process"
 )
 
-// testDaemon is a daemon that forwards requests without having been run.
+// testDaemon is a daemon whose forwarding works without Run.
 type testDaemon struct{ *Daemon }
 
 // newTestDaemon returns a daemon that speaks the native protocol.
@@ -34,7 +34,7 @@
 	return d
 }
 
-// setRoute gives the daemon a configuration of one route, and a valid lease.
+// setRoute sets a configuration with a single route, and a valid lease.
 func (d *testDaemon) setRoute(route string) {
 	d.servingState.Store(&ServingState{LeaseValid: true})
 	d.router.Store(newRouter(&configuration.View{Routes: map[ids.Name]configuration.Route{
@@ -42,8 +42,7 @@
 	}}))
 }
 
-// forwardNative forwards a request by the native protocol, as if the control machine had
-// just stepped.
+// forwardNative forwards a request by the native protocol, as if Control had just stepped.
 func (d *testDaemon) forwardNative(target net.Listener, newConnection, repeatable bool) dispatch.AttemptFinished {
 	d.lastStep.Store(int64(process.Now()))
 	request := &ClientRequest{
@@ -58,18 +57,18 @@
 	})
 }
 
-// forwardPlain forwards a request of the given id by plainProtocol.
+// forwardPlain forwards a request with the given ID by plainProtocol.
 func (d *testDaemon) forwardPlain(target net.Listener, id string) dispatch.AttemptFinished {
 	return d.forwardRequest(target, &ClientRequest{AttemptID: id}, false, 5*time.Second)
 }
 
-// forwardRecentOnly is forwardPlain with only recently used connections.
+// forwardRecentOnly is forwardPlain restricted to recently used connections.
 func (d *testDaemon) forwardRecentOnly(target net.Listener, id string) dispatch.AttemptFinished {
 	return d.forwardRequest(target, &ClientRequest{AttemptID: id}, true, 5*time.Second)
 }
 
-// forwardRequest forwards a request by plainProtocol within a time limit, as if the
-// control machine had just stepped.
+// forwardRequest forwards a request by plainProtocol within a time limit, as if Control had
+// just stepped.
 func (d *testDaemon) forwardRequest(target net.Listener, request *ClientRequest, recentOnly bool, limit time.Duration) dispatch.AttemptFinished {
 	d.lastStep.Store(int64(process.Now()))
 	request.Method, request.URI, request.Header = "POST", "/x", http.Header{"Id": {request.AttemptID}}
@@ -80,25 +79,25 @@
 	})
 }
 
-// ageIdleConnection makes the one idle connection look as if it had been idle for a while.
+// ageIdleConnection sets the idle time of the only idle connection.
 func (d *testDaemon) ageIdleConnection(t *testing.T, idle time.Duration) {
 	t.Helper()
 	list := d.pool.idle["t"]
 	if len(list) != 1 {
-		t.Fatalf("%d connections are held, not one", len(list))
+		t.Fatalf("%d idle connections, want 1", len(list))
 	}
 	list[0].idleSince = process.Now().Add(-idle)
 }
 
-// closeIdleConnections makes the next request open a new connection.
+// closeIdleConnections closes all idle connections, so that the next request opens a new one.
 func (d *testDaemon) closeIdleConnections() {
 	for c := d.pool.takeAny("t", false); c != nil; c = d.pool.takeAny("t", false) {
 		c.discard()
 	}
 }
 
-// plainProtocol is a target protocol without identity documents: a response names the id
-// of its request.
+// plainProtocol is a target protocol without identity documents, in which a response carries
+// the ID of its request.
 type plainProtocol struct{ idleTimeout time.Duration }
 
 func (plainProtocol) VerifiesIdentity() bool { return false }
