--- a/internal/dataplane/proxy/client_conn.go
+++ b/internal/dataplane/proxy/client_conn.go
@@ -25,15 +25,15 @@
 	closing, readExpired bool
 	// readDeadline is the deadline set by the server.
 	readDeadline time.Time
-	// lastReadEnd is the outcome of the last read.
-	lastReadEnd readEnd
+	// lastReadOutcome is the outcome of the last read.
+	lastReadOutcome readOutcome
 }
 
 func (c *clientConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lastReadEnd = readEndOf(err)
+	c.lastReadOutcome = readOutcomeOf(err)
 	switch {
 	case n > 0 && c.readExpired:
 		// The request arrived before the read expired, so it is read and answered.
@@ -49,11 +49,11 @@
 	return n, err
 }
 
-// readEnd returns the outcome of the last read.
-func (c *clientConn) readEnd() readEnd {
+// readOutcome returns the outcome of the last read.
+func (c *clientConn) readOutcome() readOutcome {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.lastReadEnd
+	return c.lastReadOutcome
 }
 
 // SetReadDeadline sets the read deadline, unless the pending read is being ended.
--- a/internal/dataplane/proxy/client_departure.go
+++ b/internal/dataplane/proxy/client_departure.go
@@ -11,32 +11,32 @@
 	"dunlinwell/internal/app/api"
 )
 
-// readEnd is the outcome of a read from a client connection.
-type readEnd uint8
+// readOutcome is the outcome of a read from a client connection.
+type readOutcome uint8
 
 const (
-	// notEnded means that the last read returned data, or that nothing was read yet.
-	notEnded readEnd = iota
+	// stillOpen means that the last read returned data, or that nothing was read yet.
+	stillOpen readOutcome = iota
 	// closedByPeer means that the client closed the connection or only its sending side. The
 	// two can't be told apart until data is sent.
 	closedByPeer
 	// resetByPeer means that the client or its host reset the connection, or that it timed
 	// out at the TCP level.
 	resetByPeer
-	// endedHere means that the read deadline passed or this side closed the connection, which
+	// endedLocally means that the read deadline passed or this side closed the connection, which
 	// says nothing about the client.
-	endedHere
+	endedLocally
 )
 
-// readEndOf classifies the error of a read.
-func readEndOf(err error) readEnd {
+// readOutcomeOf classifies the error of a read.
+func readOutcomeOf(err error) readOutcome {
 	switch {
 	case err == nil:
-		return notEnded
+		return stillOpen
 	case errors.Is(err, io.EOF):
 		return closedByPeer
 	case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(err, net.ErrClosed):
-		return endedHere
+		return endedLocally
 	}
 	return resetByPeer
 }
@@ -63,21 +63,21 @@
 func ClientContext(r *http.Request, rule HalfCloseRule) (context.Context, context.CancelFunc) {
 	client, cancel := context.WithCancel(context.WithoutCancel(r.Context()))
 	stop := context.AfterFunc(r.Context(), func() {
-		if clientHasGone(r, rule) {
+		if clientDisconnected(r, rule) {
 			cancel()
 		}
 	})
 	return client, func() { stop(); cancel() }
 }
 
-// clientHasGone reports whether a request's context was canceled because its client
+// clientDisconnected reports whether a request's context was canceled because its client
 // disconnected.
-func clientHasGone(r *http.Request, rule HalfCloseRule) bool {
+func clientDisconnected(r *http.Request, rule HalfCloseRule) bool {
 	conn, ok := api.ConnOf(r).(*clientConn)
 	if !ok {
 		return true
 	}
-	switch conn.readEnd() {
+	switch conn.readOutcome() {
 	case resetByPeer:
 		return true
 	case closedByPeer:
--- a/internal/dataplane/proxy/client_departure_test.go
+++ b/internal/dataplane/proxy/client_departure_test.go
@@ -26,10 +26,10 @@
 	halfClose := func(c *net.TCPConn) { _ = c.CloseWrite() }
 	reset := func(c *net.TCPConn) { _ = c.SetLinger(0); _ = c.Close() }
 	for _, c := range []struct {
-		name string
-		rule HalfCloseRule
-		end  func(*net.TCPConn)
-		gone bool
+		name         string
+		rule         HalfCloseRule
+		end          func(*net.TCPConn)
+		disconnected bool
 	}{
 		{"close, half-close disconnects", HalfCloseLeaves, closeConn, true},
 		{"half-close, half-close disconnects", HalfCloseLeaves, halfClose, true},
@@ -39,19 +39,19 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			arrived, left, verdict := make(chan struct{}), make(chan struct{}), make(chan bool, 1)
+			arrived, ended, result := make(chan struct{}), make(chan struct{}), make(chan bool, 1)
 			server := &http.Server{ConnContext: api.WithConn, ReadHeaderTimeout: time.Minute, Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 				// net/http watches the connection only after the body was read.
 				_, _ = io.Copy(io.Discard, r.Body)
 				client, release := ClientContext(r, c.rule)
 				defer release()
 				close(arrived)
-				<-left
+				<-ended
 				<-r.Context().Done()
-				if c.gone {
+				if c.disconnected {
 					<-client.Done()
 				}
-				verdict <- clientHasGone(r, c.rule) && client.Err() != nil
+				result <- clientDisconnected(r, c.rule) && client.Err() != nil
 			})}
 			listener := listen(t)
 			go func() { _ = server.Serve(clientConnListener{listener}) }()
@@ -63,8 +63,8 @@
 			is.NoErr(err)
 			<-arrived
 			c.end(conn.(*net.TCPConn))
-			close(left)
-			is.Equal(<-verdict, c.gone)
+			close(ended)
+			is.Equal(<-result, c.disconnected)
 		})
 	}
 }
@@ -72,29 +72,29 @@
 func TestReadEndOf(t *testing.T) {
 	for _, c := range []struct {
 		err  error
-		want readEnd
+		want readOutcome
 	}{
-		{nil, notEnded},
+		{nil, stillOpen},
 		{io.EOF, closedByPeer},
-		{&net.OpError{Op: "read", Err: os.ErrDeadlineExceeded}, endedHere},
-		{&net.OpError{Op: "read", Err: net.ErrClosed}, endedHere},
+		{&net.OpError{Op: "read", Err: os.ErrDeadlineExceeded}, endedLocally},
+		{&net.OpError{Op: "read", Err: net.ErrClosed}, endedLocally},
 		{&net.OpError{Op: "read", Err: os.NewSyscallError("read", syscall.ECONNRESET)}, resetByPeer},
 		{&net.OpError{Op: "read", Err: os.NewSyscallError("read", syscall.ETIMEDOUT)}, resetByPeer},
 	} {
-		t.Run(fmt.Sprint(c.err), func(t *testing.T) { is.New(t).Equal(readEndOf(c.err), c.want) })
+		t.Run(fmt.Sprint(c.err), func(t *testing.T) { is.New(t).Equal(readOutcomeOf(c.err), c.want) })
 	}
 }
 
-// holdingTarget accepts requests without responding. It signals each received request and
+// unresponsiveTarget accepts requests without responding. It signals each received request and
 // each connection that ended.
-type holdingTarget struct {
+type unresponsiveTarget struct {
 	net.Listener
 	arrived, ended chan struct{}
 }
 
-func newHoldingTarget(t *testing.T) *holdingTarget {
+func newUnresponsiveTarget(t *testing.T) *unresponsiveTarget {
 	t.Helper()
-	target := &holdingTarget{Listener: listen(t), arrived: make(chan struct{}, 8), ended: make(chan struct{}, 8)}
+	target := &unresponsiveTarget{Listener: listen(t), arrived: make(chan struct{}, 8), ended: make(chan struct{}, 8)}
 	go acceptAll(target.Listener, func(conn net.Conn) {
 		defer func() { _ = conn.Close() }()
 		buffer := make([]byte, 4096)
@@ -128,7 +128,7 @@
 	for _, pooled := range []bool{false, true} {
 		t.Run(fmt.Sprint("pooled ", pooled), func(t *testing.T) {
 			is := is.New(t)
-			d, target := newPlainDaemon(0), newHoldingTarget(t)
+			d, target := newPlainDaemon(0), newUnresponsiveTarget(t)
 			if pooled {
 				conn, err := net.Dial("tcp", target.Addr().String())
 				is.NoErr(err)
--- a/internal/dataplane/proxy/client_handler.go
+++ b/internal/dataplane/proxy/client_handler.go
@@ -27,10 +27,10 @@
 	dispatch.ClientError: classClientError,
 }
 
-// earlyRetryAfter is the Retry-After value, in seconds, of a request rejected before it
+// earlyRetryAfterSeconds is the Retry-After value, in seconds, of a request rejected before it
 // reached a dispatcher: about the time that a proxy needs to start, or the directory to
 // return another proxy.
-const earlyRetryAfter = 1
+const earlyRetryAfterSeconds = 1
 
 // problemDocument is the body of every response that the proxy generates itself.
 type problemDocument struct {
@@ -58,7 +58,7 @@
 
 // handleClientRequest reads a client's request, dispatches it and writes the response.
 func (d *Daemon) handleClientRequest(w http.ResponseWriter, r *http.Request) {
-	begun := time.Now()
+	start := time.Now()
 	if d.servingState.Load().ZoneDrained || d.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
@@ -80,13 +80,13 @@
 		d.rejectEarly(w, r, "this proxy is stopping")
 		return
 	}
-	readTime := time.Since(begun)
+	readTime := time.Since(start)
 	client, release := ClientContext(r, HalfCloseWaits)
 	defer release()
 	response, forwardTime := d.Dispatch(client, request)
-	dispatched := time.Now()
+	dispatchEnd := time.Now()
 	writeResponse(w, r, response)
-	d.meter.recordRequest(route.Name, route.Service, readTime+time.Since(dispatched), time.Since(begun)-forwardTime)
+	d.meter.recordRequest(route.Name, route.Service, readTime+time.Since(dispatchEnd), time.Since(start)-forwardTime)
 }
 
 // handleMissingRoute answers a request that matches no route. A proxy without a valid lease
@@ -101,15 +101,15 @@
 
 // writeRequestError answers a request that could not be read or is invalid.
 func (d *Daemon) writeRequestError(w http.ResponseWriter, r *http.Request, err error) {
-	var refused *requestError
-	if !errors.As(err, &refused) {
-		refused = &requestError{http.StatusBadRequest, err.Error()}
+	var reqErr *requestError
+	if !errors.As(err, &reqErr) {
+		reqErr = &requestError{http.StatusBadRequest, err.Error()}
 	}
-	if refused.status == http.StatusServiceUnavailable {
-		d.rejectEarly(w, r, refused.problem)
+	if reqErr.status == http.StatusServiceUnavailable {
+		d.rejectEarly(w, r, reqErr.problem)
 		return
 	}
-	writeClientError(w, refused.status, refused.problem)
+	writeClientError(w, reqErr.status, reqErr.problem)
 }
 
 // rejectEarly rejects a request before it reaches a dispatcher. Only a dispatcher can find
@@ -120,7 +120,7 @@
 		writeProblem(w, http.StatusGatewayTimeout, classUnknown, problem+"; whether an earlier attempt ran isn't known", 0)
 		return
 	}
-	writeProblem(w, http.StatusServiceUnavailable, classRejected, problem, earlyRetryAfter)
+	writeProblem(w, http.StatusServiceUnavailable, classRejected, problem, earlyRetryAfterSeconds)
 }
 
 // writeResponse writes the dispatcher's response to the client.
--- a/internal/dataplane/proxy/client_listener_test.go
+++ b/internal/dataplane/proxy/client_listener_test.go
@@ -83,16 +83,16 @@
 func noContent(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) }
 
 // slowHandler returns a handler that blocks the request of sendSlow until release is closed.
-// inside is closed when that request has arrived.
-func slowHandler() (handler http.HandlerFunc, inside, release chan struct{}) {
-	inside, release = make(chan struct{}), make(chan struct{})
+// arrived is closed when that request has arrived.
+func slowHandler() (handler http.HandlerFunc, arrived, release chan struct{}) {
+	arrived, release = make(chan struct{}), make(chan struct{})
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Slow") != "" {
-			close(inside)
+			close(arrived)
 			<-release
 		}
 		noContent(w, r)
-	}, inside, release
+	}, arrived, release
 }
 
 var strictLimits = configuration.Limits{MaxHeaderBytes: 1024, MaxBodyBytes: 1, HeaderTimeoutMillis: 100, IdleTimeoutMillis: 100}
@@ -112,12 +112,12 @@
 func TestClientListener_LimitsChangeWithOpenConnections(t *testing.T) {
 	is := is.New(t)
 	l := listen(t)
-	handler, inside, release := slowHandler()
+	handler, arrived, release := slowHandler()
 	clients, _, _ := startClientListener(t, l, handler)
 	idle, busy := dial(t, l.Addr()), dial(t, l.Addr())
 	is.Equal(idle.roundTrip(t, "").StatusCode, 204)
 	busy.sendSlow(t)
-	<-inside
+	<-arrived
 	clients.setLimits(strictLimits)
 	clients.setLimits(strictLimits) // unchanged limits have no effect
 	is.True(idle.closed())
@@ -192,11 +192,11 @@
 func TestClientListener_GracefulShutdown(t *testing.T) {
 	is := is.New(t)
 	l := listen(t)
-	handler, inside, release := slowHandler()
+	handler, arrived, release := slowHandler()
 	clients, cancel, done := startClientListener(t, l, handler)
 	busy := dial(t, l.Addr())
 	busy.sendSlow(t)
-	<-inside
+	<-arrived
 	cancel()
 	is.Equal(dial(t, l.Addr()).roundTrip(t, "").StatusCode, 204)
 	clients.setLimits(strictLimits) // leaves a request in flight on the previous server
--- a/internal/dataplane/proxy/client_request.go
+++ b/internal/dataplane/proxy/client_request.go
@@ -46,9 +46,9 @@
 
 func badRequest(problem string) error { return &requestError{http.StatusBadRequest, problem} }
 
-// singleHeaders lists the headers that may occur only once: given two values, another
+// singletonHeaders lists the headers that may occur only once: given two values, another
 // recipient could interpret the request by a different one.
-var singleHeaders = []string{"Idempotency-Key", "Attempt", "Time-Left"}
+var singletonHeaders = []string{"Idempotency-Key", "Attempt", "Time-Left"}
 
 // idempotencyKeyPattern matches valid idempotency keys.
 var idempotencyKeyPattern = regexp.MustCompile(`^[\x21-\x7e]{1,256}$`)
@@ -81,7 +81,7 @@
 // which needs the body. The time limit starts with the call.
 func (d *Daemon) readJob(r *http.Request, route configuration.Route, view *configuration.View) (dispatch.Job, error) {
 	job := d.NewJob(route, view)
-	for _, name := range singleHeaders {
+	for _, name := range singletonHeaders {
 		if len(r.Header.Values(name)) > 1 {
 			return job, badRequest(name + " stands twice")
 		}
--- a/internal/dataplane/proxy/connection.go
+++ b/internal/dataplane/proxy/connection.go
@@ -31,7 +31,7 @@
 	// out. Otherwise a failed connection was dead before it was used.
 	responsive bool
 	// stopWatching stops closing the connection at the end of a context, as begun by
-	// closeOnEnd; nil if no context is watched.
+	// closeOnDone; nil if no context is watched.
 	stopWatching func() bool
 }
 
@@ -66,13 +66,13 @@
 // has no bearing on a request.
 func (c *connection) discard() { _ = c.Close() }
 
-// closeOnEnd closes the connection when the context is canceled, unless release is called
+// closeOnDone closes the connection when the context is canceled, unless release is called
 // first.
-func (c *connection) closeOnEnd(ctx context.Context) {
+func (c *connection) closeOnDone(ctx context.Context) {
 	c.stopWatching = context.AfterFunc(ctx, c.discard)
 }
 
-// release undoes closeOnEnd, and reports whether the connection wasn't closed by it. Another
+// release undoes closeOnDone, and reports whether the connection wasn't closed by it. Another
 // request may use the connection only after release.
 func (c *connection) release() bool {
 	stop := c.stopWatching
--- a/internal/dataplane/proxy/connection_pool.go
+++ b/internal/dataplane/proxy/connection_pool.go
@@ -75,7 +75,7 @@
 			return nil
 		}
 		idleFor := process.Now().Sub(c.idleSince)
-		tooOld := idleFor >= c.maxIdle || recentOnly && idleFor > p.currentRecentIdleLimit()
+		tooOld := idleFor >= c.maxIdle || recentOnly && idleFor > p.effectiveRecentIdleLimit()
 		if !tooOld && c.isOpen() {
 			c.idleBeforeUse, c.responsive = idleFor, false
 			return c
@@ -96,8 +96,8 @@
 	return list[len(list)-1]
 }
 
-// currentRecentIdleLimit returns the effective recentIdleLimit.
-func (p *connectionPool) currentRecentIdleLimit() time.Duration {
+// effectiveRecentIdleLimit returns recentIdleLimit, or its initial value if it is 0.
+func (p *connectionPool) effectiveRecentIdleLimit() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return cmp.Or(p.recentIdleLimit, maxRecentIdleLimit)
@@ -182,7 +182,7 @@
 	if !p.verifyIdentity {
 		return c, nil
 	}
-	c.closeOnEnd(ctx)
+	c.closeOnDone(ctx)
 	err = c.verifyIdentity(t, deadline)
 	if !c.release() {
 		err = errs.Wrap(ctx.Err(), "verify identity", string(t.Address))
--- a/internal/dataplane/proxy/control.go
+++ b/internal/dataplane/proxy/control.go
@@ -123,9 +123,9 @@
 	}
 }
 
-// goneTargetRetention is how long the record of a departed target is kept, so that a late
+// departedTargetRetention is how long the record of a departed target is kept, so that a late
 // update doesn't add the target again.
-const goneTargetRetention = time.Hour
+const departedTargetRetention = time.Hour
 
 // tick runs the periodic work. Recorded traces depend on the order of the steps.
 func (c *Control) tick(now ids.Time) {
@@ -136,7 +136,7 @@
 	if !c.ByZone {
 		c.targets.ExpireSilent(now)
 	}
-	c.targets.Forget(now, goneTargetRetention)
+	c.targets.Forget(now, departedTargetRetention)
 	c.queryStores(now)
 	c.requestLease(now)
 	c.UpdateSelf(c.ready(now), c.view.Revision)
--- a/internal/dataplane/proxy/control_messages_test.go
+++ b/internal/dataplane/proxy/control_messages_test.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	stranger = ids.Address("10.9.9.9:1")
-	ownRunID = ids.RunID(7)
+	unknownPeer = ids.Address("10.9.9.9:1")
+	ownRunID    = ids.RunID(7)
 )
 
 // newControl returns a Control that has ticked once and received no messages.
@@ -38,14 +38,14 @@
 		LeaseGossip{ProxyRunID: ownRunID, EchoedTime: now.Add(time.Hour)},
 	} {
 		c := newControl()
-		c.Step(now, event.Received{From: stranger, Message: msg})
+		c.Step(now, event.Received{From: unknownPeer, Message: msg})
 		is.True(c.confirmedAt() <= now)
 		is.Equal(c.targetsConfirmedAt, ids.Time(0))
 		is.Equal(c.configurationConfirmedAt, ids.Time(0))
 	}
 	// A time echoed to an earlier run is ignored too.
 	c := newControl()
-	c.Step(now, event.Received{From: stranger, Message: distribution.Push{Number: 1, RunID: 1, EchoedTime: now, ProxyRunID: ownRunID - 1}})
+	c.Step(now, event.Received{From: unknownPeer, Message: distribution.Push{Number: 1, RunID: 1, EchoedTime: now, ProxyRunID: ownRunID - 1}})
 	is.Equal(c.targetsConfirmedAt, ids.Time(0))
 }
 
@@ -61,7 +61,7 @@
 		LeaseGossip{ProxyRunID: ownRunID, EchoedTime: 1, Revision: 1, Configuration: []byte(`{"revision":1}`)},
 		consensus.Response{ID: uint64(ownRunID)<<24 + 1, Attempt: 1, Outcome: consensus.Succeeded},
 		consensus.ConfigurationQuery{},
-		membership.Heartbeat{Self: membership.Member{ID: "x", Role: membership.Registry, Address: stranger, RunID: 1}},
+		membership.Heartbeat{Self: membership.Member{ID: "x", Role: membership.Registry, Address: unknownPeer, RunID: 1}},
 		membership.Snapshot{Members: []membership.Member{{ID: "c1", Dead: true, Incarnation: 9}}},
 		membership.Delta{Parts: []uint16{70}},
 		membership.Digest{Parts: make([]uint64, 64)},
@@ -79,7 +79,7 @@
 			return
 		}
 		c, now := newControl(), ids.Time(time.Second)
-		c.Step(now, event.Received{From: stranger, Message: msg})
+		c.Step(now, event.Received{From: unknownPeer, Message: msg})
 		for range 6 {
 			now = now.Add(300 * time.Millisecond)
 			c.Step(now, event.Tick{})
--- a/internal/dataplane/proxy/dispatchers.go
+++ b/internal/dataplane/proxy/dispatchers.go
@@ -146,9 +146,9 @@
 		go d.owner.Put(IdempotencyRequest{service, c})
 	case dispatch.Forward:
 		go func() {
-			begun := time.Now()
+			start := time.Now()
 			finished := d.forward(request.attempts, request.ClientRequest, c)
-			request.forwardTime += time.Since(begun)
+			request.forwardTime += time.Since(start)
 			d.stepDispatcher(service, finished)
 		}()
 	case dispatch.CancelForward:
--- a/internal/dataplane/proxy/faulty_target_test.go
+++ b/internal/dataplane/proxy/faulty_target_test.go
@@ -9,20 +9,20 @@
 	"testing"
 )
 
-// connectionEnd is the way in which a target closes a connection.
-type connectionEnd string
+// mode is the way in which a target closes a connection.
+type closeMode string
 
 const (
-	resetConnection     connectionEnd = "reset"
-	closeConnection     connectionEnd = "close"
-	halfCloseConnection connectionEnd = "half-close"
+	resetConnection     closeMode = "reset"
+	closeConnection     closeMode = "close"
+	halfCloseConnection closeMode = "half-close"
 )
 
-var connectionEnds = []connectionEnd{resetConnection, closeConnection, halfCloseConnection}
+var closeModes = []closeMode{resetConnection, closeConnection, halfCloseConnection}
 
-func (e connectionEnd) apply(conn net.Conn) {
+func (m closeMode) apply(conn net.Conn) {
 	tcp := conn.(*net.TCPConn)
-	switch e {
+	switch m {
 	case resetConnection:
 		_ = tcp.SetLinger(0)
 		_ = tcp.Close()
@@ -37,7 +37,7 @@
 // request or response. It counts how often it received each request.
 type faultyTarget struct {
 	net.Listener
-	end connectionEnd
+	mode closeMode
 
 	mu       sync.Mutex
 	requests map[string]int
@@ -48,10 +48,10 @@
 	respond                 func(id string) string
 }
 
-func newFaultyTarget(t *testing.T, end connectionEnd) *faultyTarget {
+func newFaultyTarget(t *testing.T, mode closeMode) *faultyTarget {
 	t.Helper()
 	f := &faultyTarget{
-		Listener: listen(t), end: end, requests: map[string]int{}, requestCut: -1, responseCut: -1,
+		Listener: listen(t), mode: mode, requests: map[string]int{}, requestCut: -1, responseCut: -1,
 		respond: func(id string) string { return plainResponse(id, "of "+id) },
 	}
 	go acceptAll(f.Listener, f.serve)
@@ -65,7 +65,7 @@
 	f.mu.Unlock()
 	if requestCut >= 0 {
 		_, _ = io.ReadFull(conn, make([]byte, requestCut))
-		f.end.apply(conn)
+		f.mode.apply(conn)
 		return
 	}
 	reader := bufio.NewReader(conn)
@@ -80,7 +80,7 @@
 		response := respond(id)
 		if responseCut >= 0 && responseCut < len(response) {
 			_, _ = io.WriteString(conn, response[:responseCut])
-			f.end.apply(conn)
+			f.mode.apply(conn)
 			return
 		}
 		_, _ = io.WriteString(conn, response)
@@ -94,12 +94,12 @@
 	return f.responseCut, f.respond
 }
 
-// endAll closes all connections, like a target that restarts or closes idle connections.
-func (f *faultyTarget) endAll() {
+// closeAll closes all connections, like a target that restarts or closes idle connections.
+func (f *faultyTarget) closeAll() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, conn := range f.open {
-		f.end.apply(conn)
+		f.mode.apply(conn)
 	}
 	f.open = nil
 }
@@ -116,8 +116,8 @@
 	f.respond = respond
 }
 
-// runs returns how often the target received a request.
-func (f *faultyTarget) runs(id string) int {
+// requestCount returns how often the target received a request.
+func (f *faultyTarget) requestCount(id string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.requests[id]
--- a/internal/dataplane/proxy/forward.go
+++ b/internal/dataplane/proxy/forward.go
@@ -66,14 +66,14 @@
 	}
 	// This fails only on a closed connection, where the following write fails as well.
 	_ = conn.SetDeadline(deadline)
-	conn.closeOnEnd(attempts.running)
-	d.exchange(conn, request, f, &finished)
+	conn.closeOnDone(attempts.running)
+	d.roundTrip(conn, request, f, &finished)
 	return finished
 }
 
-// exchange sends a request, reads the response and stores the outcome in finished. It returns
+// roundTrip sends a request, reads the response and stores the outcome in finished. It returns
 // the connection to the pool or closes it.
-func (d *Daemon) exchange(conn *connection, request *ClientRequest, f dispatch.Forward, finished *dispatch.AttemptFinished) {
+func (d *Daemon) roundTrip(conn *connection, request *ClientRequest, f dispatch.Forward, finished *dispatch.AttemptFinished) {
 	header := d.targetProtocol.RequestHeader(request, f, f.Deadline.Sub(process.Now()))
 	written, err := conn.send(request, f, header)
 	if written > 0 {
@@ -134,14 +134,14 @@
 	return written, err
 }
 
-// typicalHeader is the buffer space, in bytes, preallocated for a request's header.
-const typicalHeader = 1 << 10
+// typicalHeaderSize is the buffer space, in bytes, preallocated for a request's header.
+const typicalHeaderSize = 1 << 10
 
 // encodeRequest encodes a request's header, and its body unless that is larger than
 // maxCopiedBody. Method, URI and body are forwarded unchanged.
 func encodeRequest(request *ClientRequest, f dispatch.Forward, header http.Header) []byte {
 	var b bytes.Buffer
-	b.Grow(typicalHeader + min(len(request.Body), maxCopiedBody))
+	b.Grow(typicalHeaderSize + min(len(request.Body), maxCopiedBody))
 	host := request.Host
 	if host == "" {
 		host = string(f.Target.Address)
@@ -152,7 +152,7 @@
 			b.WriteString(name + ": " + value + "\r\n")
 		}
 	}
-	if len(request.Body) > 0 || statesEmptyBody(request.Method) {
+	if len(request.Body) > 0 || methodExpectsBody(request.Method) {
 		b.WriteString("Content-Length: " + strconv.Itoa(len(request.Body)) + "\r\n")
 	}
 	b.WriteString("\r\n")
@@ -162,8 +162,8 @@
 	return b.Bytes()
 }
 
-// statesEmptyBody reports whether a request of this method sends Content-Length: 0 if its
-// body is empty (RFC 9110, 8.6).
-func statesEmptyBody(method string) bool {
+// methodExpectsBody reports whether a request of this method must send Content-Length even if
+// its body is empty (RFC 9110, 8.6).
+func methodExpectsBody(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
--- a/internal/dataplane/proxy/forward_faults_test.go
+++ b/internal/dataplane/proxy/forward_faults_test.go
@@ -16,20 +16,20 @@
 // A request whose response is truncated is sent once and reported as MayHaveRun, and the next
 // request gets its own response.
 func TestForward_ResponseCutAtEveryByte(t *testing.T) {
-	whole := plainResponse("cut-000", "of cut-000")
-	for _, end := range connectionEnds {
-		t.Run(string(end), func(t *testing.T) {
-			target, d := newFaultyTarget(t, end), newPlainDaemon(0)
-			for cut := range len(whole) + 1 {
+	response := plainResponse("cut-000", "of cut-000")
+	for _, mode := range closeModes {
+		t.Run(string(mode), func(t *testing.T) {
+			target, d := newFaultyTarget(t, mode), newPlainDaemon(0)
+			for cut := range len(response) + 1 {
 				target.setCuts(-1, cut)
 				id := fmt.Sprintf("cut-%03d", cut)
 				finished := d.forwardPlain(target, id)
 				want := dispatch.MayHaveRun
-				if cut == len(whole) {
+				if cut == len(response) {
 					want = dispatch.Complete
 				}
-				if finished.Result != want || target.runs(id) != 1 {
-					t.Fatalf("response cut at byte %d: %v (%s), received %d times", cut, finished.Result, finished.Reason, target.runs(id))
+				if finished.Result != want || target.requestCount(id) != 1 {
+					t.Fatalf("response cut at byte %d: %v (%s), received %d times", cut, finished.Result, finished.Reason, target.requestCount(id))
 				}
 				target.setCuts(-1, -1)
 				next := fmt.Sprintf("nxt-%03d", cut)
@@ -45,9 +45,9 @@
 // A request whose connection is closed while it is being sent is reported as MayHaveRun;
 // NotSent is allowed only if the target read no byte of it.
 func TestForward_RequestCutAtEveryByte(t *testing.T) {
-	for _, end := range connectionEnds {
-		t.Run(string(end), func(t *testing.T) {
-			target, d := newFaultyTarget(t, end), newPlainDaemon(0)
+	for _, mode := range closeModes {
+		t.Run(string(mode), func(t *testing.T) {
+			target, d := newFaultyTarget(t, mode), newPlainDaemon(0)
 			for cut := range 60 {
 				target.setCuts(cut, -1)
 				if finished := d.forwardPlain(target, "a"); finished.Result != dispatch.MayHaveRun && (cut != 0 || finished.Result != dispatch.NotSent) {
@@ -61,19 +61,19 @@
 // A connection that was closed while idle isn't used; a request whose connection is closed
 // while in use isn't resent.
 func TestForward_ConnectionEndsIdleOrInUse(t *testing.T) {
-	for _, end := range connectionEnds {
-		t.Run(string(end), func(t *testing.T) {
-			target, d := newFaultyTarget(t, end), newPlainDaemon(0)
+	for _, mode := range closeModes {
+		t.Run(string(mode), func(t *testing.T) {
+			target, d := newFaultyTarget(t, mode), newPlainDaemon(0)
 			if finished := d.forwardPlain(target, "first"); finished.Result != dispatch.Complete {
 				t.Fatal(finished.Reason)
 			}
-			target.endAll()
-			if finished := d.forwardPlain(target, "second"); finished.Result != dispatch.Complete || target.runs("second") != 1 {
-				t.Fatalf("closed while idle: %v %s, received %d times", finished.Result, finished.Reason, target.runs("second"))
+			target.closeAll()
+			if finished := d.forwardPlain(target, "second"); finished.Result != dispatch.Complete || target.requestCount("second") != 1 {
+				t.Fatalf("closed while idle: %v %s, received %d times", finished.Result, finished.Reason, target.requestCount("second"))
 			}
 			target.setCuts(-1, 0)
-			if finished := d.forwardPlain(target, "third"); finished.Result != dispatch.MayHaveRun || target.runs("third") != 1 {
-				t.Fatalf("closed while in use: %v %s, received %d times", finished.Result, finished.Reason, target.runs("third"))
+			if finished := d.forwardPlain(target, "third"); finished.Result != dispatch.MayHaveRun || target.requestCount("third") != 1 {
+				t.Fatalf("closed while in use: %v %s, received %d times", finished.Result, finished.Reason, target.requestCount("third"))
 			}
 		})
 	}
@@ -86,8 +86,8 @@
 	if finished := d.forwardPlain(earlier, "first"); finished.Result != dispatch.Complete {
 		t.Fatal(finished.Reason)
 	}
-	if finished := d.forwardPlain(later, "second"); finished.Result != dispatch.Complete || earlier.runs("second") != 0 || later.runs("second") != 1 {
-		t.Fatalf("%v %s, received %d times by the earlier run, %d times by the later", finished.Result, finished.Reason, earlier.runs("second"), later.runs("second"))
+	if finished := d.forwardPlain(later, "second"); finished.Result != dispatch.Complete || earlier.requestCount("second") != 0 || later.requestCount("second") != 1 {
+		t.Fatalf("%v %s, received %d times by the earlier run, %d times by the later", finished.Result, finished.Reason, earlier.requestCount("second"), later.requestCount("second"))
 	}
 }
 
@@ -123,8 +123,8 @@
 				if finished.Result == dispatch.Complete && string(finished.Response.Body) != "of "+id {
 					t.Errorf("request %q got response %q", id, finished.Response.Body)
 				}
-				if target.runs(id) != 1 {
-					t.Errorf("request %q received %d times", id, target.runs(id))
+				if target.requestCount(id) != 1 {
+					t.Errorf("request %q received %d times", id, target.requestCount(id))
 				}
 			}
 		})
@@ -156,8 +156,8 @@
 						Target: targets.Target{Instance: "t", Service: "s", Address: ids.Address(target.Addr().String())},
 					},
 				)
-				if finished.Result != dispatch.NotSent || target.runs("late") != 0 {
-					t.Errorf("%v (%s), received %d times", finished.Result, finished.Reason, target.runs("late"))
+				if finished.Result != dispatch.NotSent || target.requestCount("late") != 0 {
+					t.Errorf("%v (%s), received %d times", finished.Result, finished.Reason, target.requestCount("late"))
 				}
 			})
 		}
--- a/internal/dataplane/proxy/frontend.go
+++ b/internal/dataplane/proxy/frontend.go
@@ -70,8 +70,8 @@
 // Stopping reports whether the proxy is shutting down.
 func (d *Daemon) Stopping() bool { return d.stopping.Load() }
 
-// tierStep gives a route's tier precedence over its service's tier; both range from 0 to 9.
-const tierStep = 10
+// routeTierFactor gives a route's tier precedence over its service's tier; both range from 0 to 9.
+const routeTierFactor = 10
 
 // NewJob returns the job of a new request to a route. If the route splits its traffic, the
 // service is selected here, once per request.
@@ -81,7 +81,7 @@
 		ID:          ids.RequestID(d.lastRequestID.Add(1)),
 		Route:       route.Name,
 		Service:     route.Service,
-		Tier:        route.Tier*tierStep + view.Services[route.Service].Tier,
+		Tier:        route.Tier*routeTierFactor + view.Services[route.Service].Tier,
 		Repeatable:  route.Repeatable,
 		AtMostOnce:  route.WithoutIdempotencyKey,
 		LatencyGoal: route.LatencyGoal(),
