--- a/internal/dataplane/proxy/client_departure.go
+++ b/internal/dataplane/proxy/client_departure.go
@@ -41,14 +41,14 @@
 	return resetByPeer
 }
 
-// HalfCloseRule specifies how to treat a client that closes its sending side before it has
+// HalfClosePolicy specifies how to treat a client that closes its sending side before it has
 // received its response.
-type HalfCloseRule uint8
+type HalfClosePolicy uint8
 
 const (
 	// HalfCloseWaits treats the client as connected, so that it gets its response. Only a reset
 	// counts as a disconnect.
-	HalfCloseWaits HalfCloseRule = iota
+	HalfCloseWaits HalfClosePolicy = iota
 	// HalfCloseLeaves treats a half-close as a disconnect.
 	HalfCloseLeaves
 )
@@ -60,7 +60,7 @@
 //
 // A disconnect is detected only after the request's body was read, and not after the client
 // has begun to send its next request.
-func ClientContext(r *http.Request, rule HalfCloseRule) (context.Context, context.CancelFunc) {
+func ClientContext(r *http.Request, rule HalfClosePolicy) (context.Context, context.CancelFunc) {
 	client, cancel := context.WithCancel(context.WithoutCancel(r.Context()))
 	stop := context.AfterFunc(r.Context(), func() {
 		if clientDisconnected(r, rule) {
@@ -72,7 +72,7 @@
 
 // clientDisconnected reports whether a request's context was canceled because its client
 // disconnected.
-func clientDisconnected(r *http.Request, rule HalfCloseRule) bool {
+func clientDisconnected(r *http.Request, rule HalfClosePolicy) bool {
 	conn, ok := api.ConnOf(r).(*clientConn)
 	if !ok {
 		return true
--- a/internal/dataplane/proxy/client_departure_test.go
+++ b/internal/dataplane/proxy/client_departure_test.go
@@ -27,7 +27,7 @@
 	reset := func(c *net.TCPConn) { _ = c.SetLinger(0); _ = c.Close() }
 	for _, c := range []struct {
 		name         string
-		rule         HalfCloseRule
+		rule         HalfClosePolicy
 		end          func(*net.TCPConn)
 		disconnected bool
 	}{
