--- a/internal/dataplane/proxy/client_departure.go
+++ b/internal/dataplane/proxy/client_departure.go
@@ -46,9 +46,9 @@
 type HalfClosePolicy uint8
 
 const (
-	// HalfCloseWaits treats the client as connected, so that it gets its response. Only a reset
+	// HalfCloseAllowed treats the client as connected, so that it gets its response. Only a reset
 	// counts as a disconnect.
-	HalfCloseWaits HalfClosePolicy = iota
+	HalfCloseAllowed HalfClosePolicy = iota
 	// HalfCloseLeaves treats a half-close as a disconnect.
 	HalfCloseLeaves
 )
--- a/internal/dataplane/proxy/client_departure_test.go
+++ b/internal/dataplane/proxy/client_departure_test.go
@@ -34,8 +34,8 @@
 		{"close, half-close disconnects", HalfCloseLeaves, closeConn, true},
 		{"half-close, half-close disconnects", HalfCloseLeaves, halfClose, true},
 		{"reset, half-close disconnects", HalfCloseLeaves, reset, true},
-		{"half-close, half-close allowed", HalfCloseWaits, halfClose, false},
-		{"reset, half-close allowed", HalfCloseWaits, reset, true},
+		{"half-close, half-close allowed", HalfCloseAllowed, halfClose, false},
+		{"reset, half-close allowed", HalfCloseAllowed, reset, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
--- a/internal/dataplane/proxy/client_handler.go
+++ b/internal/dataplane/proxy/client_handler.go
@@ -81,7 +81,7 @@
 		return
 	}
 	readTime := time.Since(start)
-	client, release := ClientContext(r, HalfCloseWaits)
+	client, release := ClientContext(r, HalfCloseAllowed)
 	defer release()
 	response, forwardTime := d.Dispatch(client, request)
 	dispatchEnd := time.Now()
