--- a/internal/dataplane/proxy/client_departure.go
+++ b/internal/dataplane/proxy/client_departure.go
@@ -49,8 +49,8 @@
 	// HalfCloseAllowed treats the client as connected, so that it gets its response. Only a reset
 	// counts as a disconnect.
 	HalfCloseAllowed HalfClosePolicy = iota
-	// HalfCloseLeaves treats a half-close as a disconnect.
-	HalfCloseLeaves
+	// HalfCloseDisconnects treats a half-close as a disconnect.
+	HalfCloseDisconnects
 )
 
 // ClientContext returns a context for Dispatch that is canceled when the request's client
@@ -81,7 +81,7 @@
 	case resetByPeer:
 		return true
 	case closedByPeer:
-		return rule == HalfCloseLeaves
+		return rule == HalfCloseDisconnects
 	}
 	return false
 }
--- a/internal/dataplane/proxy/client_departure_test.go
+++ b/internal/dataplane/proxy/client_departure_test.go
@@ -31,9 +31,9 @@
 		end          func(*net.TCPConn)
 		disconnected bool
 	}{
-		{"close, half-close disconnects", HalfCloseLeaves, closeConn, true},
-		{"half-close, half-close disconnects", HalfCloseLeaves, halfClose, true},
-		{"reset, half-close disconnects", HalfCloseLeaves, reset, true},
+		{"close, half-close disconnects", HalfCloseDisconnects, closeConn, true},
+		{"half-close, half-close disconnects", HalfCloseDisconnects, halfClose, true},
+		{"reset, half-close disconnects", HalfCloseDisconnects, reset, true},
 		{"half-close, half-close allowed", HalfCloseAllowed, halfClose, false},
 		{"reset, half-close allowed", HalfCloseAllowed, reset, true},
 	} {
