--- a/internal/dataplane/proxy/client_departure.go
+++ b/internal/dataplane/proxy/client_departure.go
@@ -60,10 +60,10 @@
 //
 // A disconnect is detected only after the request's body was read, and not after the client
 // has begun to send its next request.
-func ClientContext(r *http.Request, rule HalfClosePolicy) (context.Context, context.CancelFunc) {
+func ClientContext(r *http.Request, policy HalfClosePolicy) (context.Context, context.CancelFunc) {
 	client, cancel := context.WithCancel(context.WithoutCancel(r.Context()))
 	stop := context.AfterFunc(r.Context(), func() {
-		if clientDisconnected(r, rule) {
+		if clientDisconnected(r, policy) {
 			cancel()
 		}
 	})
@@ -72,7 +72,7 @@
 
 // clientDisconnected reports whether a request's context was canceled because its client
 // disconnected.
-func clientDisconnected(r *http.Request, rule HalfClosePolicy) bool {
+func clientDisconnected(r *http.Request, policy HalfClosePolicy) bool {
 	conn, ok := api.ConnOf(r).(*clientConn)
 	if !ok {
 		return true
@@ -81,7 +81,7 @@
 	case resetByPeer:
 		return true
 	case closedByPeer:
-		return rule == HalfCloseDisconnects
+		return policy == HalfCloseDisconnects
 	}
 	return false
 }
--- a/internal/dataplane/proxy/client_departure_test.go
+++ b/internal/dataplane/proxy/client_departure_test.go
@@ -27,7 +27,7 @@
 	reset := func(c *net.TCPConn) { _ = c.SetLinger(0); _ = c.Close() }
 	for _, c := range []struct {
 		name         string
-		rule         HalfClosePolicy
+		policy       HalfClosePolicy
 		end          func(*net.TCPConn)
 		disconnected bool
 	}{
@@ -43,7 +43,7 @@
 			server := &http.Server{ConnContext: api.WithConn, ReadHeaderTimeout: time.Minute, Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 				// net/http watches the connection only after the body was read.
 				_, _ = io.Copy(io.Discard, r.Body)
-				client, release := ClientContext(r, c.rule)
+				client, release := ClientContext(r, c.policy)
 				defer release()
 				close(arrived)
 				<-ended
@@ -51,7 +51,7 @@
 				if c.disconnected {
 					<-client.Done()
 				}
-				result <- clientDisconnected(r, c.rule) && client.Err() != nil
+				result <- clientDisconnected(r, c.policy) && client.Err() != nil
 			})}
 			listener := listen(t)
 			go func() { _ = server.Serve(clientConnListener{listener}) }()
