--- a/internal/dataplane/proxy/doc.go
+++ b/internal/dataplane/proxy/doc.go
@@ -18,7 +18,7 @@
 // target_response.go); a dispatch.IdempotencyCall goes through Control (idempotency.go), which
 // calls the stores, and the reply returns as a [DispatchEvent].
 //
-// When a client disconnects, its ClientContext is canceled (client_departure.go). The
+// When a client disconnects, its ClientContext is canceled (client_disconnect.go). The
 // dispatcher receives a dispatch.ClientDisconnected, and may respond with a
 // dispatch.CancelForward, which aborts the attempt by closing the connection to the target
 // (attempt_contexts.go). net/http watches a client connection only after the request's body
