--- a/internal/dataplane/proxy/connection.go
+++ b/internal/dataplane/proxy/connection.go
@@ -23,7 +23,7 @@
 	headerLimit *io.LimitedReader
 	// idleSince is the time at which the last response was complete.
 	idleSince ids.Time
-	// maxIdle is the longest idle time after which the connection may still be used.
+	// maxIdle is the idle time from which on the connection is no longer used.
 	maxIdle time.Duration
 	// idleBeforeUse is the idle time before the current request; 0 for a new connection.
 	idleBeforeUse time.Duration
