--- a/internal/dataplane/proxy/client_departure_test.go
+++ b/internal/dataplane/proxy/client_disconnect_test.go
@@ -19,39 +19,39 @@
 	"dunlinwell/internal/transport/process"
 )
 
-// TestClientContext ends the reading of a client's connection in different ways while its
-// request waits. net/http ends the request's own context each time.
+// TestClientContext closes, half-closes or resets a client's connection while its request is
+// pending. net/http cancels the request's own context in each case.
 func TestClientContext(t *testing.T) {
 	closeConn := func(c *net.TCPConn) { _ = c.Close() }
 	halfClose := func(c *net.TCPConn) { _ = c.CloseWrite() }
 	reset := func(c *net.TCPConn) { _ = c.SetLinger(0); _ = c.Close() }
 	for _, c := range []struct {
-		name string
-		rule HalfCloseRule
-		end  func(*net.TCPConn)
-		gone bool
+		name         string
+		policy       HalfClosePolicy
+		end          func(*net.TCPConn)
+		disconnected bool
 	}{
-		{"close, where it means leaving", HalfCloseLeaves, closeConn, true},
-		{"half-close, where it means leaving", HalfCloseLeaves, halfClose, true},
-		{"reset, where a half-close means leaving", HalfCloseLeaves, reset, true},
-		{"half-close, where it doesn't", HalfCloseWaits, halfClose, false},
-		{"reset, where a half-close doesn't", HalfCloseWaits, reset, true},
+		{"close, half-close disconnects", HalfCloseDisconnects, closeConn, true},
+		{"half-close, half-close disconnects", HalfCloseDisconnects, halfClose, true},
+		{"reset, half-close disconnects", HalfCloseDisconnects, reset, true},
+		{"half-close, half-close allowed", HalfCloseAllowed, halfClose, false},
+		{"reset, half-close allowed", HalfCloseAllowed, reset, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			arrived, left, verdict := make(chan struct{}), make(chan struct{}), make(chan bool, 1)
+			arrived, ended, result := make(chan struct{}), make(chan struct{}), make(chan bool, 1)
 			server := &http.Server{ConnContext: api.WithConn, ReadHeaderTimeout: time.Minute, Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-				// net/http watches the connection only after the body.
+				// net/http watches the connection only after the body was read.
 				_, _ = io.Copy(io.Discard, r.Body)
-				client, release := ClientContext(r, c.rule)
+				client, release := ClientContext(r, c.policy)
 				defer release()
 				close(arrived)
-				<-left
+				<-ended
 				<-r.Context().Done()
-				if c.gone {
+				if c.disconnected {
 					<-client.Done()
 				}
-				verdict <- clientHasGone(r, c.rule) && client.Err() != nil
+				result <- clientDisconnected(r, c.policy) && client.Err() != nil
 			})}
 			listener := listen(t)
 			go func() { _ = server.Serve(clientConnListener{listener}) }()
@@ -63,8 +63,8 @@
 			is.NoErr(err)
 			<-arrived
 			c.end(conn.(*net.TCPConn))
-			close(left)
-			is.Equal(<-verdict, c.gone)
+			close(ended)
+			is.Equal(<-result, c.disconnected)
 		})
 	}
 }
@@ -72,29 +72,29 @@
 func TestReadEndOf(t *testing.T) {
 	for _, c := range []struct {
 		err  error
-		want readEnd
+		want readOutcome
 	}{
-		{nil, notEnded},
+		{nil, stillOpen},
 		{io.EOF, closedByPeer},
-		{&net.OpError{Op: "read", Err: os.ErrDeadlineExceeded}, endedHere},
-		{&net.OpError{Op: "read", Err: net.ErrClosed}, endedHere},
+		{&net.OpError{Op: "read", Err: os.ErrDeadlineExceeded}, endedLocally},
+		{&net.OpError{Op: "read", Err: net.ErrClosed}, endedLocally},
 		{&net.OpError{Op: "read", Err: os.NewSyscallError("read", syscall.ECONNRESET)}, resetByPeer},
 		{&net.OpError{Op: "read", Err: os.NewSyscallError("read", syscall.ETIMEDOUT)}, resetByPeer},
 	} {
-		t.Run(fmt.Sprint(c.err), func(t *testing.T) { is.New(t).Equal(readEndOf(c.err), c.want) })
+		t.Run(fmt.Sprint(c.err), func(t *testing.T) { is.New(t).Equal(readOutcomeOf(c.err), c.want) })
 	}
 }
 
-// holdingTarget accepts requests and answers none. It tells of each that has arrived, and
-// when its connection has ended.
-type holdingTarget struct {
+// unresponsiveTarget accepts requests without responding. It signals each received request and
+// each connection that ended.
+type unresponsiveTarget struct {
 	net.Listener
 	arrived, ended chan struct{}
 }
 
-func newHoldingTarget(t *testing.T) *holdingTarget {
+func newUnresponsiveTarget(t *testing.T) *unresponsiveTarget {
 	t.Helper()
-	target := &holdingTarget{Listener: listen(t), arrived: make(chan struct{}, 8), ended: make(chan struct{}, 8)}
+	target := &unresponsiveTarget{Listener: listen(t), arrived: make(chan struct{}, 8), ended: make(chan struct{}, 8)}
 	go acceptAll(target.Listener, func(conn net.Conn) {
 		defer func() { _ = conn.Close() }()
 		buffer := make([]byte, 4096)
@@ -122,14 +122,13 @@
 	return finished
 }
 
-// TestForward_CanceledAttemptClosesConnection cancels attempts on a new connection and on a
-// pooled one. The target sees each end, and nothing is learned from that on how long
-// connections may be idle.
+// TestForward_CanceledAttemptClosesConnection cancels attempts on a new and on a pooled
+// connection. The connection is closed, and the pool's recentIdleLimit is not lowered.
 func TestForward_CanceledAttemptClosesConnection(t *testing.T) {
 	for _, pooled := range []bool{false, true} {
 		t.Run(fmt.Sprint("pooled ", pooled), func(t *testing.T) {
 			is := is.New(t)
-			d, target := newPlainDaemon(0), newHoldingTarget(t)
+			d, target := newPlainDaemon(0), newUnresponsiveTarget(t)
 			if pooled {
 				conn, err := net.Dial("tcp", target.Addr().String())
 				is.NoErr(err)
@@ -139,10 +138,10 @@
 			attempts := newAttemptContexts()
 			finished := d.startAttempt(target, attempts)
 			<-target.arrived
-			attempts.cancelUnsent() // bytes have left: this changes nothing
+			attempts.cancelUnsent() // no effect, since bytes were sent
 			select {
 			case <-finished:
-				t.Fatal("an attempt of which bytes had left was ended")
+				t.Fatal("cancelUnsent ended an attempt whose request had been sent")
 			default:
 			}
 			attempts.cancel()
@@ -154,7 +153,8 @@
 	}
 }
 
-// TestForward_CanceledBeforeSendingSendsNothing cancels an attempt before its first byte.
+// TestForward_CanceledBeforeSendingSendsNothing cancels an attempt before its first byte is
+// sent.
 func TestForward_CanceledBeforeSendingSendsNothing(t *testing.T) {
 	for _, pooled := range []bool{false, true} {
 		t.Run(fmt.Sprint("pooled ", pooled), func(t *testing.T) {
