--- a/internal/state/consensus/acceptor.go
+++ b/internal/state/consensus/acceptor.go
@@ -6,32 +6,32 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// Acceptor is the acceptor of one store. It answers a request only after the state that
-// the answer reports is on disk.
+// Acceptor is the Paxos acceptor of one store. It responds to a request only after the
+// state that the response reports is on disk.
 type Acceptor struct {
 	out     *event.Outbox
 	storage Storage
-	// storeID is made together with the store's disk, so that a blank disk can't vote
-	// as the one that it replaces.
+	// storeID is generated when the store's disk is created, so that a blank disk can't
+	// vote under the id of the disk that it replaces.
 	storeID  uint64
 	voterSet VoterSet
-	// unsynced holds the records of idempotency keys and of the acceptor itself that
-	// are on their way to the disk.
+	// unsynced holds the records of idempotency keys and the acceptor's metadata
+	// whose writes aren't on disk yet.
 	unsynced map[ids.RegisterKey]unsyncedRecord
-	// lastBatch is the number of the last event.Sync that was emitted.
+	// lastBatch is the batch number of the last emitted event.Sync.
 	lastBatch uint64
-	// registers caches every register but idempotency keys that was used in this run,
-	// including what is on its way to the disk.
+	// registers caches every register used in this run, except idempotency keys. It
+	// includes writes that aren't on disk yet.
 	registers map[ids.RegisterKey]*storedRegister
-	// damaged is set where a register can't be read. The acceptor then takes no part,
-	// as it can't know what it promised.
+	// damaged is set if a register can't be read. The acceptor then abstains, since it
+	// doesn't know what it promised.
 	damaged   bool
 	diskState diskStateRecord
-	// changedKeys is what a learner needs to copy changes alone.
+	// changedKeys lets a learner copy only the registers that changed.
 	changedKeys changedKeys
 }
 
-// NewAcceptor returns the acceptor of a store with the state that its disk holds.
+// NewAcceptor returns the acceptor of a store, with its state loaded from disk.
 func NewAcceptor(store uint64, storage Storage, out *event.Outbox) *Acceptor {
 	a := &Acceptor{
 		out: out, storage: storage, storeID: store,
@@ -55,15 +55,15 @@
 // StoreID returns the id of the acceptor's store.
 func (a *Acceptor) StoreID() uint64 { return a.storeID }
 
-// AcceptedValue returns what this acceptor alone holds, chosen or not, and the ballot
-// that it was accepted under. Only reads that ask for the local copy may use it.
+// AcceptedValue returns the value that this acceptor accepted last and its ballot. The
+// value may not be chosen, so only reads that ask for the local copy may use it.
 func (a *Acceptor) AcceptedValue(key ids.RegisterKey) (ids.Ballot, []byte) {
 	state := a.registerState(key)
 	return state.Accepted, state.Value
 }
 
-// AdoptVoterSet takes up a voter set if its number is higher than that of the one in
-// force, and reports whether it was. Requests under lower ones are rejected from then on.
+// AdoptVoterSet adopts a voter set if its number is higher than the current one's, and
+// reports whether it did. Requests under lower numbers are rejected from then on.
 func (a *Acceptor) AdoptVoterSet(set VoterSet) bool {
 	if set.Number <= a.voterSet.Number {
 		return false
@@ -74,19 +74,19 @@
 	return true
 }
 
-// abstains reports whether this acceptor takes no part in a request under a voter set.
-// The sender of a request under a lower one is sent the voter set in force.
+// abstains reports whether this acceptor must not vote on a request under the given voter
+// set. If that is outdated, it sends the current voter set to the requester.
 func (a *Acceptor) abstains(from ids.Address, voterSetNumber uint64) bool {
 	if voterSetNumber < a.voterSet.Number {
 		a.AfterSync(event.Send{To: from, Message: VoterSetUpdate{a.voterSet}})
 		return true
 	}
-	// An acceptor doesn't vote under a voter set that it doesn't know yet, nor before
-	// its disk holds what was agreed earlier, nor if it can't read what it promised.
+	// An acceptor doesn't vote under a voter set that it doesn't know yet, before its
+	// disk holds all earlier chosen values, or if it can't read its promises.
 	return a.damaged || voterSetNumber > a.voterSet.Number || !a.MayVote()
 }
 
-// HandlePrepare promises the ballot, or answers with the higher one that was promised.
+// HandlePrepare promises the ballot, or responds with the higher ballot already promised.
 func (a *Acceptor) HandlePrepare(from ids.Address, m Prepare) {
 	if a.abstains(from, m.VoterSetNumber) {
 		return
@@ -114,7 +114,7 @@
 		return
 	}
 	state := a.registerState(m.Key)
-	// A duplicate may arrive after the promise to NextBallot, and is a vote still.
+	// A duplicate may arrive after NextBallot was promised and still counts as a vote.
 	duplicate := state.Accepted == m.Ballot
 	ok := !m.Ballot.Less(state.Promised) || duplicate
 	if m.FirstValue {
@@ -133,8 +133,8 @@
 	a.saveRegister(m.Key, state, event.Send{To: from, Message: vote})
 }
 
-// HandleAcceptDelta does as HandleAccept for the value that the delta leads to. An
-// acceptor without the delta's base changes nothing and asks for the whole value.
+// HandleAcceptDelta handles an Accept whose value is encoded as a delta. If the acceptor
+// doesn't hold the delta's base, it changes nothing and requests the full value.
 func (a *Acceptor) HandleAcceptDelta(from ids.Address, m AcceptDelta) {
 	if a.abstains(from, m.VoterSetNumber) {
 		return
@@ -142,7 +142,7 @@
 	state := a.registerState(m.Key)
 	accept := Accept{Key: m.Key, Ballot: m.Ballot, NextBallot: m.NextBallot, VoterSetNumber: m.VoterSetNumber, Round: m.Round}
 	if state.Accepted == m.Ballot || m.Ballot.Less(state.Promised) {
-		// A duplicate or a rejection: HandleAccept doesn't look at the value.
+		// HandleAccept ignores the value of a duplicate or a rejected ballot.
 		a.HandleAccept(from, accept)
 		return
 	}
@@ -160,8 +160,8 @@
 	a.HandleAccept(from, accept)
 }
 
-// Seed gives a register that has accepted nothing the value that a new cluster begins
-// with. Every member of the first voter set does so for itself.
+// Seed sets a register that has accepted nothing to the initial value of a new cluster.
+// Every member of the initial voter set calls it locally.
 func (a *Acceptor) Seed(key ids.RegisterKey, value []byte) {
 	state := a.registerState(key)
 	if !state.Accepted.IsZero() {
@@ -171,13 +171,13 @@
 	a.saveRegister(key, RegisterState{Promised: ballot.Max(state.Promised), Accepted: ballot, Value: value})
 }
 
-// ForceValue accepts a value under a ballot above all that this acceptor has seen. It is
-// safe only in the recovery of a cluster whose quorum is lost, where this store alone is
-// a quorum.
+// ForceValue accepts a value under a ballot above any that this acceptor has promised or
+// accepted. It is safe only when recovering a cluster that lost its quorum, where this
+// store alone forms the new quorum.
 func (a *Acceptor) ForceValue(key ids.RegisterKey, value []byte) {
 	state := a.registerState(key)
-	// The proposer id is that of this store's run 0 (package store makes them). Runs are
-	// counted from 1, so no proposer uses it.
+	// The proposer id is that of run 0 of this store. Package store numbers runs from 1,
+	// so no proposer uses it.
 	ballot := ids.Ballot{
 		Counter:  max(state.Promised.Counter, state.Accepted.Counter) + 1,
 		Proposer: a.storeID << runNumberBits,
@@ -185,5 +185,5 @@
 	a.saveRegister(key, RegisterState{Promised: ballot, Accepted: ballot, Value: value})
 }
 
-// runNumberBits are the low bits of a proposer id that hold the number of the store's run.
+// runNumberBits is the number of low bits of a proposer id that hold the store's run number.
 const runNumberBits = 24
--- a/internal/state/consensus/disk_state.go
+++ b/internal/state/consensus/disk_state.go
@@ -5,31 +5,31 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// DiskState is what a store's disk says of the store's right to vote. Every disk begins
-// Blank and gives no vote, whatever the voter set says, until it is Complete.
+// DiskState is the persistent state that determines whether a store may vote (MayVote). Every
+// disk starts as Blank; even a store in the voter set withholds its vote until it is Complete.
 type DiskState uint8
 
 const (
-	// Blank means that not all registers, or none, were copied to this disk. (A Hello's
-	// Blank says less: that the store knows no voter set.)
+	// Blank means that the registers haven't been fully copied to this disk. Hello.Blank
+	// differs: it means that the store knows no voter set.
 	Blank DiskState = iota
-	// Complete means that this disk holds all that was agreed before its first vote.
+	// Complete means that this disk holds all values chosen before its first vote.
 	Complete
-	// Replaced means that another store took this one's place. The disk never votes
-	// again, and only serves pages while the other's copy may be incomplete.
+	// Replaced means that another store replaced this one. The disk never votes again, and
+	// only serves pages while the other store's copy may be incomplete.
 	Replaced
 )
 
-// diskStateRecord is the record of a DiskState on disk.
+// diskStateRecord is the on-disk record of a DiskState.
 type diskStateRecord struct{ State uint8 }
 
-// diskStateKey is the key of that record, which is stored data and must keep its form.
+// diskStateKey is the key of the diskStateRecord. Changing it makes existing data unreadable.
 const diskStateKey = "meta/standing"
 
 var _ = wire.RegisterNamed(44, "consensus.standing", diskStateRecord{})
 
-// loadDiskState reads the state from disk. A disk of a version without this record is
-// complete if it is a voter, since voters of that version copied before they joined.
+// loadDiskState reads the state from disk. A disk written by a version without this record is
+// complete if its store is a voter, since that version copied all registers before joining.
 func (a *Acceptor) loadDiskState() {
 	if raw, ok := a.storage.Get(diskStateKey); ok {
 		a.diskState, _ = decodeMessage[diskStateRecord](raw)
@@ -40,7 +40,7 @@
 	}
 }
 
-// ReadDiskState reads the state from a store's disk; false where it has no such record.
+// ReadDiskState reads the state from a store's disk, and reports whether it has a valid one.
 func ReadDiskState(disk Storage) (DiskState, bool) {
 	raw, ok := disk.Get(diskStateKey)
 	if !ok {
@@ -50,17 +50,17 @@
 	return DiskState(record.State), ok
 }
 
-// isVoterIn reports whether this store is a voter of a voter set, or was one before the
-// set became joint.
+// isVoterIn reports whether this store is in set.Voters. Incoming voters of a joint set don't
+// count.
 func (a *Acceptor) isVoterIn(set VoterSet) bool {
 	return VoterSet{Voters: set.Voters}.HasVoter(a.storeID)
 }
 
-// updateDiskState adapts the state to a voter set that is about to be adopted.
+// updateDiskState updates the state for a voter set that is about to be adopted.
 func (a *Acceptor) updateDiskState(next VoterSet) {
 	switch {
 	case a.voterSet.Number == 0 && a.DiskState() == Blank:
-		// Written before the voter set, since a disk with a voter set but no state
+		// Write the state before the voter set, since a disk that has only a voter set
 		// counts as complete (loadDiskState).
 		a.setDiskState(Blank)
 	case a.DiskState() == Complete && !next.HasVoter(a.storeID):
@@ -77,16 +77,16 @@
 // DiskState returns the state of this store's disk.
 func (a *Acceptor) DiskState() DiskState { return DiskState(a.diskState.State) }
 
-// MarkComplete lets a store with a blank disk vote. The copied records were handed to
-// the disk before, and every vote waits for the disk in turn.
+// MarkComplete allows a store with a blank disk to vote. The copied records were emitted for
+// writing earlier, and every vote waits until all earlier writes are on disk.
 func (a *Acceptor) MarkComplete() {
 	if a.DiskState() == Blank {
 		a.setDiskState(Complete)
 	}
 }
 
-// MayVote reports whether this store may vote and serve pages. A new voter of a joint
-// voter set votes at once, since a majority of the old voters must agree as well.
+// MayVote reports whether this store may vote and serve pages. An incoming voter of a joint
+// voter set may vote at once, since a quorum also needs a majority of the old voters.
 func (a *Acceptor) MayVote() bool {
 	switch a.DiskState() {
 	case Complete:
--- a/internal/state/consensus/doc.go
+++ b/internal/state/consensus/doc.go
@@ -1,44 +1,43 @@
-// Package consensus implements replicated compare-and-set registers in the manner of
-// CASPaxos (D. Rystsov, "CASPaxos: Replicated State Machines without logs"). Each
-// register is a Paxos instance of its own, with neither a log nor a leader: a proposer
-// prepares a ballot at a quorum of acceptors, applies a change function to the accepted
-// value of the highest ballot, and has the result accepted by a quorum.
+// Package consensus implements replicated compare-and-set registers with CASPaxos
+// (D. Rystsov, "CASPaxos: Replicated State Machines without logs"). Each register is an
+// independent Paxos instance without a log or a leader: a proposer prepares a ballot at a
+// quorum of acceptors, applies a change function to the value accepted under the highest
+// ballot, and asks the acceptors to accept the result.
 //
-// The parts are pure state machines that are driven by events and answer with commands
-// (package event); nothing here touches a clock, a socket or a disk:
+// The components are deterministic state machines that receive events and emit commands
+// (package event). They never access a clock, a socket or a disk directly:
 //
-//   - Acceptor promises, accepts and keeps the registers on disk.
-//   - Proposer runs the rounds of the requests that clients submit to its store.
+//   - Acceptor promises ballots, accepts values and persists the registers.
+//   - Proposer runs Paxos rounds for the requests that clients submit to its store.
 //   - Client sends requests to the stores on behalf of the other daemons.
-//   - VoterSet is the cluster membership. It is a register itself, changed by the
-//     change functions of VoterSetOps.
-//   - Copier copies the registers to a learner, a store whose disk began blank. It
-//     copies before it belongs to the voter set and while it does (VoterSet.Learners), and
-//     votes only once its copy is complete.
-//   - BootstrapRecord decides which first voter sets a blank store may take part in.
+//   - VoterSet is the cluster membership. It is stored in a register itself, which the
+//     change functions of VoterSetOps modify.
+//   - Copier tracks how a learner, a store that started with a blank disk, copies the
+//     registers. Copying starts before the store joins the voter set and continues while it
+//     is listed in VoterSet.Learners; it votes only once its copy is complete.
+//   - BootstrapRecord decides which initial voter sets a blank store may take part in.
 //
 // Invariants:
 //
-//   - A ballot stands for one value of one register for ever. NewProposer therefore
+//   - A ballot identifies at most one value of one register. NewProposer therefore
 //     requires a proposer id that no other run has used (Lamport, Paxos Made Simple:
 //     proposers choose their numbers from disjoint sets).
-//   - An acceptor sends a promise or a vote only after the state behind it is on
-//     disk, and never votes below a ballot that it promised (the acceptor's rule of
-//     Paxos and CASPaxos).
+//   - An acceptor sends a promise or a vote only after the corresponding state is on
+//     disk, and never accepts a ballot below one that it promised.
 //   - Two quorums of one voter set intersect. While a voter set is joint, a quorum
 //     needs a majority of both sides (Raft's joint consensus, thesis section 4.3).
 //   - A store votes under the highest voter set that it knows, and only once its disk
-//     holds all that was agreed before it became a voter (DiskState).
-//   - A request ends as Succeeded, Rejected or Indeterminate, and the three are never
-//     mixed: Rejected means that it surely has no effect.
+//     holds everything that was chosen before it became a voter (DiskState).
+//   - A request ends as Succeeded, Rejected or Indeterminate. Rejected guarantees that it
+//     has no effect; an uncertain outcome is always Indeterminate.
 //
-// The package never decides who should be a voter or when to replace one; that is the
-// job of package store. It never interprets the values of registers other than the
-// voter set, except that idempotency keys ("mark/...") take a shorter path: their first
-// value needs no prepare phase, and they have no cache and no deltas.
+// The package never decides which stores become voters or when to replace one; package
+// store does. It doesn't interpret register values other than the voter set, but handles
+// idempotency keys ("mark/...") differently: their first value needs no prepare phase, and
+// they are neither cached nor sent or stored as deltas.
 //
-// The safety of replacement and bootstrap is checked by exhaustive search over the real
-// code: model_search_test.go (losses, repairs, restarts) and bootstrap_model_test.go
-// (first voter sets). lossy_network_test.go and restart_network_test.go run random
-// schedules with loss, duplication, delay and restarts.
+// model_search_test.go (losses, repairs, restarts) and bootstrap_model_test.go (initial
+// voter sets) check the safety of replacement and bootstrap by exhaustive search over the
+// production code. lossy_network_test.go and restart_network_test.go run random schedules
+// with message loss, duplication, delay and restarts.
 package consensus
