--- a/internal/state/consensus/bootstrap.go
+++ b/internal/state/consensus/bootstrap.go
@@ -2,8 +2,8 @@
 
 import "dunlinwell/internal/transport/wire"
 
-// Bootstrap hands the first voter set, and the configuration that goes with it, to a
-// blank member of it.
+// Bootstrap sends the initial voter set and the initial configuration to a blank member
+// of that set.
 type Bootstrap struct {
 	VoterSet      VoterSet
 	Configuration []byte
@@ -11,37 +11,38 @@
 	Round uint64
 }
 
-// BootstrapRequest asks a blank store to take part in a proposed first voter set.
+// BootstrapRequest asks a blank store to join a proposed initial voter set.
 type BootstrapRequest struct {
-	// Round orders the proposals as a ballot does.
+	// Round orders the proposals, as a ballot does.
 	Round    uint64
 	VoterSet VoterSet
 }
 
-// BootstrapResponse answers a BootstrapRequest once the promise is on disk.
+// BootstrapResponse is the response to a BootstrapRequest. A promise is sent once it is on
+// disk.
 type BootstrapResponse struct {
 	Round    uint64
 	VoterSet VoterSet
 	Store    uint64
-	// Rejection says why the store takes no part. Empty is a promise to take part in no
+	// Rejection is the reason for a rejection. If empty, the store promises to join no
 	// bootstrap of a lower round.
 	Rejection string
 	// PromisedRound is the highest round that the store has promised.
 	PromisedRound uint64
 }
 
-// BootstrapRecord is what a store's disk keeps of bootstraps. Its presence says that the
-// store was first started with permission to bootstrap a cluster.
+// BootstrapRecord is a store's persistent bootstrap state. It exists only if the store was
+// first started with permission to bootstrap a cluster.
 type BootstrapRecord struct {
-	// Round is the highest round that was promised.
+	// Round is the highest promised round.
 	Round uint64
-	// PromisedVoterSets are all voter sets that were promised, the newest last.
+	// PromisedVoterSets lists all promised voter sets, the newest last.
 	PromisedVoterSets []VoterSet
-	// ExistingCluster says what showed that a cluster exists already, empty for nothing.
+	// ExistingCluster describes the evidence that a cluster already exists, empty for none.
 	ExistingCluster string
 }
 
-// Reasons of a Rejection. Operators see them at the proposing store.
+// Values of BootstrapResponse.Rejection, which the proposing store shows to operators.
 const (
 	rejectedForHigherRound = "a later founding was promised"
 	rejectedForLostDisks   = "too many disks of an earlier founding are lost"
@@ -50,9 +51,9 @@
 var _ = wire.Register(30, Bootstrap{}) && wire.RegisterNamed(36, "consensus.FoundingRequest", BootstrapRequest{}) &&
 	wire.RegisterNamed(37, "consensus.FoundingResponse", BootstrapResponse{}) && wire.RegisterNamed(49, "consensus.FoundingRecord", BootstrapRecord{})
 
-// Promise returns the record with a proposal added, or the reason to reject it. After an
-// earlier promise, a proposal is promised only if both voter sets share a majority:
-// otherwise the earlier one may have been at work on disks that are lost by now.
+// Promise returns the record with the proposal added, or the reason for its rejection. The
+// proposal must include a majority of every voter set promised earlier. Otherwise an earlier
+// set may have been active on disks that have since been lost.
 func (r BootstrapRecord) Promise(request BootstrapRequest) (next BootstrapRecord, rejection string) {
 	if r.IsLastPromised(request) {
 		return r, ""
@@ -71,16 +72,16 @@
 	return r, ""
 }
 
-// IsLastPromised reports whether a request is the one that was promised last.
+// IsLastPromised reports whether a request is the one promised last.
 func (r BootstrapRecord) IsLastPromised(request BootstrapRequest) bool {
 	n := len(r.PromisedVoterSets)
 	return n > 0 && request.Round == r.Round && r.PromisedVoterSets[n-1].SameVoters(request.VoterSet)
 }
 
-// MayAdopt reports whether a first voter set may be adopted from one of its members.
-// After the promise of a higher round it may only if that member belongs to the higher
-// round's voter set too: that member is active already, so the higher round, which needs
-// the promise of all, can't be completed.
+// MayAdopt reports whether an initial voter set may be adopted from one of its members.
+// If a higher round was promised since, that member must also belong to the higher round's
+// voter set: it is already active, so the higher round, which needs a promise from every
+// member, can't complete.
 func (r BootstrapRecord) MayAdopt(bootstrap Bootstrap, from Voter) bool {
 	if bootstrap.Round >= r.Round || bootstrap.VoterSet.LossCount > 0 {
 		return true
@@ -88,7 +89,7 @@
 	return r.PromisedVoterSets[len(r.PromisedVoterSets)-1].HasVoter(from.ID)
 }
 
-// IncludesStore reports whether a store belongs to any voter set that was promised.
+// IncludesStore reports whether a store belongs to any promised voter set.
 func (r BootstrapRecord) IncludesStore(store uint64) bool {
 	for _, promised := range r.PromisedVoterSets {
 		if promised.HasVoter(store) {
--- a/internal/state/consensus/catch_up.go
+++ b/internal/state/consensus/catch_up.go
@@ -6,31 +6,31 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// Catching up is for voters that were away for a while. What a new store goes through
-// before it may vote is a copy (Copier).
+// Catch-up brings voters up to date that were unreachable for a while. New stores copy all
+// registers instead (Copier).
 //
-// A store that was away votes again at once, but holds old values until they change.
-// Meanwhile one store less than intended holds the newest value. So a proposer that finds
-// such a store while reading sends it the Accept that it missed. A late copy of an Accept
-// does no harm at any time. If the store has promised a higher ballot since, it would
-// reject the Accept, and the next reading agrees on the value anew.
+// A store that returns votes again at once, but holds outdated values until they change, so
+// the latest value has one replica fewer than intended. A proposer that detects such a store
+// while reading sends it the Accept that it missed; a delayed duplicate of an Accept is always
+// safe. If the store has promised a higher ballot since, it would reject the Accept, so the
+// next read runs a full round that rewrites the value.
 
 const (
-	// catchUpMinAge is how long ago a value must have been chosen. Before that, the
-	// store's own Accept may still be on its way.
+	// catchUpMinAge is the minimum age of a chosen value. Before that, the store's own
+	// Accept may still be in flight.
 	catchUpMinAge = 300 * time.Millisecond
-	// catchUpInterval is the least time between two attempts for one register and store.
+	// catchUpInterval is the minimum time between two attempts for one register and store.
 	catchUpInterval = time.Second
 )
 
-// chosenValue is a value that a quorum is known to hold since chosenAt.
+// chosenValue is a value that a quorum is known to have held since chosenAt.
 type chosenValue struct {
 	cachedValue
 	chosenAt ids.Time
 }
 
-// recordChosen notes a chosen value for catchUp. Idempotency keys and first values are
-// left out: the former are too many, and the latter are not final for a quorum alone.
+// recordChosen records a chosen value for catchUp. It skips idempotency keys, which are too
+// numerous, and first values, which a quorum alone doesn't choose.
 func (p *Proposer) recordChosen(now ids.Time, key ids.RegisterKey, ballot ids.Ballot, value []byte) {
 	if isIdempotencyKey(key) || ballot.Counter <= maxFirstValueCounter || !p.chosen[key].ballot.Less(ballot) {
 		return
@@ -38,7 +38,7 @@
 	p.chosen[key] = chosenValue{cachedValue{ballot, value}, now}
 }
 
-// catchUp sends a store the chosen value that it lacks according to its promise.
+// catchUp sends a store the chosen value that its promise shows to be missing.
 func (p *Proposer) catchUp(now ids.Time, m Promise) {
 	missing, known := p.chosen[m.Key]
 	if !known || !m.Accepted.Less(missing.ballot) || now.Sub(missing.chosenAt) < catchUpMinAge {
@@ -67,7 +67,7 @@
 		return
 	}
 	sentAt[m.Store] = now
-	// A round id of its own, so that the vote counts for no other round.
+	// The new round id keeps the vote from counting for another round.
 	p.lastRoundID++
 	p.out.Send(voter.Address, Accept{
 		Key: m.Key, Ballot: missing.ballot, VoterSetNumber: set.Number, Round: p.lastRoundID, Value: missing.value,
--- a/internal/state/consensus/changed_keys.go
+++ b/internal/state/consensus/changed_keys.go
@@ -7,26 +7,26 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// changedKeys lists the registers that this run changed, in order, so that a learner that
-// copied everything once can be sent only what changed since. It is kept in memory alone,
-// and has keys and no values: it is no log in the sense of Raft or of a database.
+// changedKeys lists the registers that this run changed, in order, so that a learner with
+// a full copy can fetch only what changed since. It is kept in memory only and holds keys
+// without values, so it can't be replayed like a Raft log.
 type changedKeys struct {
-	// runID identifies this run of this store; without it (0) no list is kept.
+	// runID identifies this run of this store. If it is 0, no list is kept.
 	runID uint64
-	// droppedCount is how many changes were dropped from the front of the list.
+	// droppedCount is the number of changes dropped from the front of the list.
 	droppedCount uint64
 	keys         []ids.RegisterKey
 }
 
-// maxChangedKeys bounds the list's memory, at 32768 keys to a few megabytes. A learner that
-// is further behind copies everything again.
+// maxChangedKeys bounds the list's memory to a few megabytes. A learner that is further
+// behind copies everything again.
 const maxChangedKeys = 1 << 15
 
-// SetRunID names this run for the changes that learners ask for; no two runs of a store
-// may have the same.
+// SetRunID sets the id of this run and starts the list of changed registers for learners.
+// Run ids of a store must be unique.
 func (a *Acceptor) SetRunID(runID uint64) { a.changedKeys.runID = runID }
 
-// add notes a change to a record; records that are no registers are left out.
+// add records a change to a register. Keys of other records are ignored.
 func (c *changedKeys) add(key ids.RegisterKey) {
 	if c.runID == 0 || !strings.HasPrefix(string(key), registerPrefix) {
 		return
@@ -39,15 +39,17 @@
 	c.keys = append(c.keys, key[len(registerPrefix):])
 }
 
-// total returns how many changes were added in this run.
+// total returns the number of changes in this run, including dropped ones.
 func (c *changedKeys) total() uint64 { return c.droppedCount + uint64(len(c.keys)) }
 
-// covers reports whether the list has all changes since a total of the given run.
+// covers reports whether the list still holds every change of the given run from position
+// since on.
 func (c *changedKeys) covers(runID, since uint64) bool {
 	return runID != 0 && runID == c.runID && since >= c.droppedCount && since <= c.total()
 }
 
-// sendChangedRecords answers with the registers that changed since, each once.
+// sendChangedRecords responds with the registers that changed after m.SinceChange, each
+// once.
 func (a *Acceptor) sendChangedRecords(from ids.Address, m PageRequest) {
 	page := PageResponse{
 		Store: a.storeID, VoterSetNumber: m.VoterSetNumber, PageNumber: m.PageNumber,
--- a/internal/state/consensus/pages.go
+++ b/internal/state/consensus/pages.go
@@ -10,16 +10,15 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// PageRequest asks a voter for a page of its registers, for a learner's copy.
+// PageRequest asks a voter for a page of its registers, which a learner copies.
 type PageRequest struct {
 	VoterSetNumber uint64
-	// AfterKey is the last key of the page before, empty for the first page.
+	// AfterKey is the last key of the previous page, empty for the first page.
 	AfterKey ids.RegisterKey
-	// PageNumber identifies the request and is repeated by the answer.
+	// PageNumber identifies the request and is echoed in the response.
 	PageNumber uint64
-	// RunID and SinceChange ask only for what changed since an earlier copy: the run
-	// that answered then, and its ChangeCount when that copy began. A zero RunID asks
-	// for everything.
+	// RunID and SinceChange request only what changed since an earlier copy: the RunID of
+	// that copy and its ChangeCount. A zero RunID requests all registers.
 	RunID       uint64
 	SinceChange uint64
 }
@@ -31,34 +30,34 @@
 	Value    []byte
 }
 
-// PageResponse answers a PageRequest.
+// PageResponse is the response to a PageRequest.
 type PageResponse struct {
 	Store          uint64
 	VoterSetNumber uint64
 	PageNumber     uint64
 	Records        []PageRecord
-	// Last says that no further page follows.
+	// Last is set if no further page follows.
 	Last bool
-	// RunID identifies the run of the store that answers, and ChangeCount how many
-	// changes of that run the records include: for a copy of everything those before
-	// its first page, for a copy of changes those up to the end of this page.
+	// RunID identifies the run of the responding store. ChangeCount is how many changes
+	// of that run are included: for a full copy those before its first page, for a copy
+	// of changes those up to the end of this page.
 	RunID       uint64
 	ChangeCount uint64
-	// Delta says that the records are only those that changed since SinceChange.
+	// Delta is set if the page contains only registers changed after SinceChange.
 	Delta bool
 }
 
 var _ = wire.Register(27, PageRequest{}) && wire.Register(28, PageResponse{})
 
 const (
-	// maxPageRecords and maxPageBytes bound the size of a message. The second holds for
-	// pages of changes alone, and is exceeded by one record at most.
+	// maxPageRecords and maxPageBytes bound the size of a message. maxPageBytes applies
+	// only to pages of changes, and may be exceeded by one record.
 	maxPageRecords = 200
 	maxPageBytes   = 1 << 18
 )
 
-// HandlePageRequest sends a page to a learner under the same voter set. A learner under
-// a lower one is sent the voter set in force, one under a higher one is ignored.
+// HandlePageRequest sends a page to a learner that uses the same voter set. If the learner's
+// voter set is lower, it sends the current one instead; if it is higher, it does nothing.
 func (a *Acceptor) HandlePageRequest(from ids.Address, m PageRequest) {
 	if m.VoterSetNumber != a.voterSet.Number {
 		if m.VoterSetNumber < a.voterSet.Number {
@@ -87,8 +86,8 @@
 	a.AfterSync(event.Send{To: from, Message: page})
 }
 
-// pageRows returns the stored records of a page behind a key, together with those in its
-// range that are on their way to the disk. The last page's range has no end.
+// pageRows returns the stored records of the page after a key, merged with unsynced records
+// in its range. The range of the last page has no upper bound.
 func (a *Acceptor) pageRows(after ids.RegisterKey, stored []event.Record, last bool) map[ids.RegisterKey][]byte {
 	inRange := func(key ids.RegisterKey) bool {
 		return key > after && (last || key <= stored[len(stored)-1].Key)
@@ -110,8 +109,8 @@
 	return rows
 }
 
-// pageRegisterState returns the state behind a page's row. Only the rows of idempotency
-// keys are whole; other registers may have changes that follow their base.
+// pageRegisterState returns the register state for a record of a page. The record is the
+// complete state only for idempotency keys; other registers may have changes to their base.
 func (a *Acceptor) pageRegisterState(rowKey ids.RegisterKey, raw []byte) (RegisterState, bool) {
 	if key := rowKey[len(registerPrefix):]; !isIdempotencyKey(key) {
 		return a.registerState(key), true
@@ -119,8 +118,8 @@
 	return decodeMessage[RegisterState](raw)
 }
 
-// MergeRecord takes over a copied register if it was accepted under a higher ballot than
-// what this acceptor holds.
+// MergeRecord stores a copied register if it was accepted under a higher ballot than the
+// value that this acceptor holds.
 func (a *Acceptor) MergeRecord(record PageRecord) {
 	state := a.registerState(record.Key)
 	if !state.Accepted.Less(record.Accepted) {
