--- a/internal/state/consensus/client.go
+++ b/internal/state/consensus/client.go
@@ -12,50 +12,48 @@
 // CallID identifies a call of a Client.
 type CallID uint64
 
-// Client sends requests to the stores on behalf of a daemon: to one store after the
-// other until one answers. That is safe as change functions recognise repeated changes.
+// Client sends a daemon's requests to the stores, trying one store after another until one
+// responds. Retries are safe because change functions detect changes already applied.
 type Client struct {
 	out *event.Outbox
-	// StoreOrder returns the stores that may be asked for a register, best first. It
+	// StoreOrder returns the stores that can serve a register, most preferred first. It
 	// must be set before the first call.
 	StoreOrder func(key ids.RegisterKey) []ids.Address
 	pending    map[uint64]*pendingCall
-	// lastCallID is the id of the last call.
 	lastCallID uint64
-	// silentUntil holds the stores that left an attempt unanswered, and until when the
-	// others are asked before them.
+	// silentUntil holds the stores that didn't respond to an attempt, and when their
+	// lower priority ends.
 	silentUntil map[ids.Address]ids.Time
-	// meanResponseTime is a moving average for each store.
+	// meanResponseTime holds a moving average for each store.
 	meanResponseTime map[ids.Address]time.Duration
 }
 
-// pendingCall is a call that waits for its outcome.
+// pendingCall is a call without an outcome yet.
 type pendingCall struct {
 	Request
 	deadline     ids.Time
 	retryAt      ids.Time
 	attemptCount int
-	// unresolved holds the attempts that were not rejected. Attempts, not stores: a
-	// store may reject a second attempt and still be busy with the first.
+	// unresolved holds the attempts that weren't rejected. It is keyed by attempt because
+	// a store may reject a second attempt while still processing the first.
 	unresolved map[uint32]bool
 	attempts   map[uint32]attempt
 	onComplete func(now ids.Time, outcome Outcome, result []byte)
-	// held is the value that the caller holds, which the store needn't send again.
+	// held is the value that the caller already holds, which a store needn't send again.
 	held []byte
 }
 
-// attempt is where and when an attempt of a call was sent.
+// attempt records where and when an attempt of a call was sent.
 type attempt struct {
 	store  ids.Address
 	sentAt ids.Time
 }
 
-// callIDRunShift leaves each run of a process 2^24 call ids, sixteen million, before they
-// reach those of the next run.
+// callIDRunShift reserves 2^24 call ids for each run of a process.
 const callIDRunShift = 24
 
-// NewClient returns a client for one run of a process. Its call ids begin at the run's own
-// number, so that answers to an earlier run aren't taken for its own.
+// NewClient returns a client for one run of a process. Its call ids start at a value derived
+// from the run id, so that responses to an earlier run don't match its calls.
 func NewClient(run ids.RunID, out *event.Outbox) *Client {
 	return &Client{
 		out:              out,
@@ -66,14 +64,13 @@
 	}
 }
 
-// Call reads or changes a register. onComplete is called once, at the time-out at the
-// latest.
+// Call reads or changes a register. onComplete is called once, by the timeout at the latest.
 func (c *Client) Call(now ids.Time, key ids.RegisterKey, op Op, arg []byte, timeout time.Duration, onComplete func(ids.Time, Outcome, []byte)) CallID {
 	return c.call(now, Request{Key: key, Op: op, Arg: arg}, nil, timeout, onComplete)
 }
 
-// ReadIfChanged reads a register of which the caller holds a value with the given Checksum.
-// If the value is the same still, it isn't sent, and onComplete is given the held one.
+// ReadIfChanged reads a register for a caller that holds a value with the given Checksum. If
+// the value is unchanged, the store doesn't send it and onComplete receives the held one.
 func (c *Client) ReadIfChanged(now ids.Time, key ids.RegisterKey, held []byte, checksum uint64, timeout time.Duration, onComplete func(ids.Time, Outcome, []byte)) CallID {
 	return c.call(now, Request{Key: key, Op: Read, HaveChecksum: checksum}, held, timeout, onComplete)
 }
@@ -90,7 +87,7 @@
 	return CallID(call.ID)
 }
 
-// send makes the next attempt of a call.
+// send sends the next attempt of a call.
 func (c *Client) send(now ids.Time, call *pendingCall) {
 	call.retryAt = now.Add(attemptTimeout + TransferTime(len(call.Arg)))
 	stores := c.attemptOrder(now, call.Key)
@@ -106,8 +103,8 @@
 	c.out.Send(store, call.Request)
 }
 
-// HandleResponse takes the answer to an attempt from the store that it was sent to. Any
-// other is late, a duplicate, or not meant for this run, and is discarded.
+// HandleResponse handles the response to an attempt. It discards responses that are late,
+// duplicate, for another run, or from another store than the attempt was sent to.
 func (c *Client) HandleResponse(now ids.Time, from ids.Address, m Response) {
 	call := c.pending[m.ID]
 	if call == nil || call.attempts[m.Attempt].store != from {
@@ -124,7 +121,7 @@
 		}
 		call.onComplete(now, Succeeded, m.Result)
 	case Rejected:
-		// Another store may do better: one attempt at each, then a short pause.
+		// Another store may succeed: try each store once, then pause before retrying.
 		delete(call.unresolved, m.Attempt)
 		if call.attemptCount < len(c.StoreOrder(call.Key)) {
 			c.send(now, call)
@@ -132,13 +129,13 @@
 			call.retryAt = min(call.retryAt, now.Add(attemptTimeout/4))
 		}
 	case Indeterminate:
-		// The attempt stays unresolved for good, so that the call can't end as Rejected any
-		// more. Tick makes the next attempt when it is due.
+		// The attempt stays unresolved, so the call can no longer end as Rejected. Tick
+		// sends the next attempt when it is due.
 	}
 }
 
-// Tick makes further attempts, and ends calls at their deadline. It is to be called several
-// times in each attemptTimeout.
+// Tick sends further attempts and ends calls at their deadline. It must be called several
+// times per attemptTimeout.
 func (c *Client) Tick(now ids.Time) {
 	for _, id := range slices.Sorted(maps.Keys(c.pending)) {
 		call := c.pending[id]
@@ -156,11 +153,11 @@
 	}
 }
 
-// IsPending reports whether a call still waits for its outcome.
+// IsPending reports whether a call has no outcome yet.
 func (c *Client) IsPending(id CallID) bool { return c.pending[uint64(id)] != nil }
 
-// Abandon ends a call before its deadline. It ends as Rejected only if every attempt was
-// rejected; a store with any other may still carry it out, so it is Indeterminate then.
+// Abandon ends a call, possibly before its deadline. The outcome is Rejected only if every
+// attempt was rejected. Otherwise a store may still execute it, so it is Indeterminate.
 func (c *Client) Abandon(now ids.Time, id CallID) {
 	call := c.pending[uint64(id)]
 	if call == nil {
--- a/internal/state/consensus/client_attempts.go
+++ b/internal/state/consensus/client_attempts.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// attemptTimeout is how long an attempt is waited for before the next one is made.
+	// attemptTimeout is the delay before the next attempt if a store doesn't respond.
 	attemptTimeout = 400 * time.Millisecond
-	// maxResponseTimeout bounds responseTimeout for stores that have been slow.
+	// maxResponseTimeout bounds responseTimeout for slow stores.
 	maxResponseTimeout = 1200 * time.Millisecond
-	// silentPenalty is how long a store that left an attempt unanswered is asked after
-	// the others. Otherwise, while it is cut off, each call that begins with it loses
+	// silentPenalty is how long a store that didn't respond to an attempt is tried after
+	// the others. Otherwise each call that starts with an unreachable store would lose
 	// an attemptTimeout.
 	silentPenalty = 10 * time.Second
-	// responseTimeSmoothing is the divisor of the moving average of response times: the
-	// newest counts for a quarter.
+	// responseTimeSmoothing is the divisor of the exponential moving average of response
+	// times.
 	responseTimeSmoothing = 4
 )
 
@@ -31,13 +31,13 @@
 	c.meanResponseTime[store] = mean + (responseTime-mean)/responseTimeSmoothing
 }
 
-// responseTimeout returns how long a store may leave an attempt unanswered before it
-// counts as silent: twice its mean response time, as it may be far away.
+// responseTimeout returns how long a store may take to respond before it is considered
+// unresponsive: twice its mean response time, to allow for distant stores.
 func (c *Client) responseTimeout(store ids.Address) time.Duration {
 	return min(max(attemptTimeout, 2*c.meanResponseTime[store]), maxResponseTimeout)
 }
 
-// attemptOrder returns the stores to ask, with those that were silent last.
+// attemptOrder returns the stores to try, with unresponsive ones last.
 func (c *Client) attemptOrder(now ids.Time, key ids.RegisterKey) []ids.Address {
 	var answering, silent []ids.Address
 	for _, store := range c.StoreOrder(key) {
@@ -50,8 +50,8 @@
 	return append(answering, silent...)
 }
 
-// markSilentStores marks the stores that left attempts of a call unanswered for longer
-// than their responseTimeout.
+// markSilentStores marks the stores that didn't respond to an attempt of a call within their
+// responseTimeout.
 func (c *Client) markSilentStores(now ids.Time, call *pendingCall) {
 	for number, sent := range call.attempts {
 		if call.unresolved[number] && now.Sub(sent.sentAt) >= c.responseTimeout(sent.store) {
@@ -60,8 +60,8 @@
 	}
 }
 
-// HadSilentStore reports whether some store was silent of late: until twice the
-// silentPenalty after it was marked, unless it has answered since.
+// HadSilentStore reports whether a store was marked as unresponsive within the last two
+// silentPenalty periods and hasn't responded since.
 func (c *Client) HadSilentStore(now ids.Time) bool {
 	for _, until := range c.silentUntil {
 		if now < until.Add(silentPenalty) {
@@ -71,7 +71,7 @@
 	return false
 }
 
-// leastTriedStore returns the first of the stores that this call was sent to least often.
+// leastTriedStore returns the first store among those with the fewest attempts of this call.
 func (c *pendingCall) leastTriedStore(stores []ids.Address) ids.Address {
 	attempts := map[ids.Address]int{}
 	for _, sent := range c.attempts {
--- a/internal/state/consensus/messages.go
+++ b/internal/state/consensus/messages.go
@@ -5,76 +5,77 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// Prepare asks an acceptor to promise a ballot for a register. With ReadOnly it asks
-// for the accepted value alone and promises nothing.
+// Prepare asks an acceptor to promise a ballot for a register. If ReadOnly is set, it only
+// asks for the accepted value and requires no promise.
 type Prepare struct {
 	Key    ids.RegisterKey
 	Ballot ids.Ballot
-	// VoterSetNumber is the voter set that the proposer runs the round under.
+	// VoterSetNumber is the number of the voter set used for the round.
 	VoterSetNumber uint64
-	// Round identifies the proposer's round and is repeated by the answer.
+	// Round identifies the proposer's round and is echoed in the response.
 	Round    uint64
 	ReadOnly bool
 	// KnownBallot is the ballot of the value in the proposer's cache, zero for none.
-	// An acceptor that holds the value of that ballot leaves it out of its promise.
+	// An acceptor that holds the same value omits it from its promise.
 	KnownBallot ids.Ballot
 }
 
-// Promise answers a Prepare. A Promised ballot other than the prepared one rejects it.
+// Promise is the response to a Prepare. Unless the Prepare was read-only, a Promised ballot
+// that differs from the prepared one means that it was rejected.
 type Promise struct {
 	Key   ids.RegisterKey
 	Store uint64
 	Round uint64
-	// VoterSetNumber repeats the Prepare's.
+	// VoterSetNumber echoes that of the Prepare.
 	VoterSetNumber uint64
 	// Promised is the highest ballot that the acceptor has promised.
 	Promised ids.Ballot
-	// Accepted is the ballot under which Value was accepted, zero if nothing was.
+	// Accepted is the ballot under which Value was accepted, zero for none.
 	Accepted ids.Ballot
 	Value    []byte
-	// MatchesKnown says that Value is left out, as it is that of the KnownBallot.
+	// MatchesKnown is set if Value is omitted because it was accepted under KnownBallot.
 	MatchesKnown bool
-	// ReadsDeltas says that this store understands AcceptDelta.
+	// ReadsDeltas is set if this store supports AcceptDelta.
 	ReadsDeltas bool
 }
 
-// Accept asks an acceptor to accept a value, and to promise NextBallot along with it,
-// so that the proposer's next change needs no prepare phase (the one-round-trip
-// optimization of CASPaxos).
+// Accept asks an acceptor to accept a value and to promise NextBallot, so that the
+// proposer's next change needs no prepare phase (the one-round-trip optimization of
+// CASPaxos).
 type Accept struct {
 	Key        ids.RegisterKey
 	Ballot     ids.Ballot
 	NextBallot ids.Ballot
-	// VoterSetNumber is the voter set that the proposer runs the round under.
+	// VoterSetNumber is the number of the voter set used for the round.
 	VoterSetNumber uint64
 	Round          uint64
 	Value          []byte
-	// FirstValue restricts the Accept to a register that has promised and accepted
-	// nothing. Without a prepare phase, only all voters together choose such a value.
+	// FirstValue restricts the Accept to a register without a promised or accepted ballot.
+	// Since it skips the prepare phase, the value is chosen only if all voters accept it.
 	FirstValue bool
 }
 
-// Accepted answers an Accept or an AcceptDelta.
+// Accepted is the response to an Accept or an AcceptDelta.
 type Accepted struct {
 	Key   ids.RegisterKey
 	Store uint64
 	Round uint64
-	// VoterSetNumber repeats the Accept's.
+	// VoterSetNumber echoes that of the Accept.
 	VoterSetNumber uint64
-	// OK says that the value was accepted; without it this is a rejection.
+	// OK reports whether the value was accepted.
 	OK bool
 	// Promised is the highest ballot that the acceptor has promised.
 	Promised ids.Ballot
-	// ReadsDeltas says that this store understands AcceptDelta.
+	// ReadsDeltas is set if this store supports AcceptDelta.
 	ReadsDeltas bool
-	// NeedsWholeValue says that this store doesn't hold the base of the delta that it
-	// was sent, and asks for an Accept in its place.
+	// NeedsWholeValue is set if this store doesn't hold the delta's base and requests an
+	// Accept instead.
 	NeedsWholeValue bool
 }
 
-// AcceptDelta is an Accept that carries its value as the delta from the value
-// accepted under BaseBallot. An acceptor that holds that base does exactly as for the
-// equivalent Accept; any other changes nothing and answers with NeedsWholeValue.
+// AcceptDelta is an Accept whose value is encoded as a delta from the value accepted under
+// BaseBallot. An acceptor that holds this base handles it like the equivalent Accept; any
+// other changes nothing and responds with NeedsWholeValue.
 type AcceptDelta struct {
 	Key            ids.RegisterKey
 	Ballot         ids.Ballot
@@ -85,39 +86,40 @@
 	Delta          []byte
 }
 
-// Chosen informs a subscriber of a register's new value. It may be lost.
+// Chosen notifies a subscriber of a register's new value. Delivery isn't guaranteed.
 type Chosen struct {
 	Key   ids.RegisterKey
 	Value []byte
 }
 
-// ChosenDelta is a Chosen that carries the value as the delta from the register's
-// value before it.
+// ChosenDelta is a Chosen whose value is encoded as a delta from the register's previous
+// value.
 type ChosenDelta struct {
 	Key   ids.RegisterKey
 	Delta []byte
 }
 
-// VoterSetUpdate brings a voter set to a store that uses an older one.
+// VoterSetUpdate sends the current voter set to a store that uses an older one.
 type VoterSetUpdate struct{ VoterSet VoterSet }
 
-// Hello is how stores with and without a voter set find one another.
+// Hello lets stores discover one another, with or without a voter set.
 type Hello struct {
 	Store Voter
-	// Blank says that the store knows no voter set, else VoterSetNumber is that of its own.
+	// Blank is set if the store knows no voter set. Otherwise VoterSetNumber is the number
+	// of its voter set.
 	Blank          bool
 	VoterSetNumber uint64
-	// IsReply is set on the answer, which must not be answered again.
+	// IsReply is set on a reply, to which no further reply is sent.
 	IsReply bool
-	// HasCopied says that the store is no voter, but has copied once what a quorum of
-	// the voters holds.
+	// HasCopied is set if the store isn't a voter, but has copied the registers of a
+	// quorum of the voters at least once.
 	HasCopied bool
 }
 
 // ConfigurationQuery asks a proxy for the configuration that it holds.
 type ConfigurationQuery struct{}
 
-// ConfigurationReply answers a ConfigurationQuery.
+// ConfigurationReply is the response to a ConfigurationQuery.
 type ConfigurationReply struct {
 	Revision      ids.Revision
 	Configuration []byte
@@ -131,50 +133,50 @@
 	Op  Op
 	// Arg is the argument of the change function.
 	Arg []byte
-	// TimeoutMillis is how long the client will wait for the answer, in milliseconds.
+	// TimeoutMillis is how long the client waits for the response, in milliseconds.
 	TimeoutMillis uint32
-	// Attempt counts the times that the request was sent, from 1 on. A Response answers
-	// its attempt alone.
+	// Attempt is the number of this attempt to send the request, starting at 1. Each
+	// Response refers to a single attempt.
 	Attempt uint32
-	// HaveChecksum is the Checksum of the value that the client holds, 0 for none. A
-	// read that finds the same value leaves it out of the Response.
+	// HaveChecksum is the Checksum of the value that the client holds, 0 for none. If a
+	// read returns the same value, the Response omits it.
 	HaveChecksum uint64
 }
 
-// Response answers a Request.
+// Response is the response to a Request.
 type Response struct {
-	// ID and Attempt repeat the Request's.
+	// ID and Attempt echo those of the Request.
 	ID      uint64
 	Outcome Outcome
-	// Result is what the change function returned, or the value that was read.
+	// Result is the result of the change function, or the value read.
 	Result  []byte
 	Attempt uint32
-	// Unchanged says that Result is left out, as the client holds that value.
+	// Unchanged is set if Result is omitted because the client already holds the value.
 	Unchanged bool
 }
 
-// Op identifies a change function. The numbers go over the wire. 1 and up belong to package
-// configuration, 10 to package election, 20 and up to package idempotency, 200 and up to
-// the voter set's register.
+// Op identifies a change function on the wire. Numbers from 1 belong to package
+// configuration, 10 to package election, from 20 to package idempotency, and from 200 to the
+// voter set's register.
 type Op uint8
 
-// Read leaves the register as it is and returns its value.
+// Read returns the register's value without changing it.
 const Read Op = 0
 
-// Outcome is how a Request ended.
+// Outcome is the outcome of a Request.
 type Outcome uint8
 
 const (
-	// Succeeded means that the change is chosen, or that the value was read.
+	// Succeeded means that the change was chosen, or that the value was read.
 	Succeeded Outcome = iota + 1
-	// Rejected means that the request surely has no effect, now or later.
+	// Rejected means that the request has no effect, now or later.
 	Rejected
 	// Indeterminate means that the request may have taken effect, or still may.
 	Indeterminate
 )
 
-// String returns the outcome's name for people to read. The words are older than the
-// names of the constants.
+// String returns a readable name of the outcome. The texts differ from the constants' names
+// for compatibility with existing output.
 func (o Outcome) String() string {
 	return [...]string{"none", "done", "declined", "uncertain"}[min(o, 3)]
 }
