--- a/internal/state/consensus/proposer.go
+++ b/internal/state/consensus/proposer.go
@@ -10,47 +10,49 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// ChangeFunc is a change function: it takes a register's value and an argument, and
-// returns the next value and the result for the client. It must recognise a change that
-// it has made before and leave the value alone then, since rounds are repeated.
+// ChangeFunc is a change function: it takes a register's value and an argument, and returns
+// the next value and the result for the client. Since rounds are retried, it must be
+// idempotent: if a change was applied already, it returns the value unmodified.
 type ChangeFunc func(key ids.RegisterKey, old, arg []byte) (next, result []byte)
 
-// Proposer runs the rounds for the requests that are submitted to its store. Any number
-// of proposers may be active; ballots, not the choice of proposer, keep registers safe.
+// Proposer runs the rounds for the requests that are submitted to its store. Any number of
+// proposers may be active at once, since safety depends only on ballots.
 type Proposer struct {
 	out    *event.Outbox
 	random *rand.Rand
-	// proposerID is part of every ballot; no other run of any store uses the same.
+	// proposerID is part of every ballot and unique among all runs of all stores.
 	proposerID uint64
 	voterSet   func() VoterSet
 	ops        map[Op]ChangeFunc
-	// IsReachable reports whether a store seems to be alive. Rounds wait a moment for
-	// the votes of all reachable stores. Always true by default.
+	// IsReachable reports whether a store appears to be alive. Rounds wait briefly for the
+	// votes of all reachable stores. It always returns true by default.
 	IsReachable func(store uint64) bool
-	// Subscribers returns who is sent each new value of a register. None by default.
+	// Subscribers returns the addresses that receive each new value of a register. It
+	// returns none by default.
 	Subscribers func(key ids.RegisterKey) []ids.Address
 	rounds      map[ids.RegisterKey]*round
 	valueCache
 	replicaTracker
-	// lastRoundID is the id of the last round. No other run begins at the same number.
+	// lastRoundID is the id of the last round. Each run starts at a different id.
 	lastRoundID uint64
-	// highestCounter is the highest ballot counter that this run used or met.
+	// highestCounter is the highest ballot counter that this run used or observed.
 	highestCounter uint64
-	// lastFirstValueCounter is the last ballot counter used for a first value; all of
-	// them are below those of full rounds (maxFirstValueCounter).
+	// lastFirstValueCounter is the last ballot counter used for a first value. These
+	// counters are below those of full rounds (maxFirstValueCounter).
 	lastFirstValueCounter uint64
 }
 
 const (
-	// resendTimeout is how long a round waits for answers before it repeats a small
-	// message. It is longer than a round trip, so that repetitions are rare.
+	// resendTimeout is how long a round waits for responses before it resends a small
+	// message. It exceeds a round trip, so that resends are rare.
 	resendTimeout = 100 * time.Millisecond
-	// replicationGrace is how long a chosen value waits for the votes beyond the quorum,
-	// so that usually every reachable store holds it before the client is answered.
+	// replicationGrace is how long a round with a chosen value waits for votes beyond the
+	// quorum, so that usually every reachable store holds it before the client gets a
+	// response.
 	replicationGrace = 200 * time.Millisecond
 )
 
-// NewProposer returns a proposer. No other run may ever have used its proposer id.
+// NewProposer returns a proposer. The proposer id must be unique among all runs of all stores.
 func NewProposer(proposerID uint64, voterSet func() VoterSet, ops map[Op]ChangeFunc, random *rand.Rand, out *event.Outbox) *Proposer {
 	return &Proposer{
 		out: out, random: random, proposerID: proposerID, voterSet: voterSet, ops: ops,
@@ -63,12 +65,11 @@
 	}
 }
 
-// SetOps adds change functions, or replaces those of the same Op.
+// SetOps adds change functions, replacing existing ones of the same Op.
 func (p *Proposer) SetOps(ops map[Op]ChangeFunc) { maps.Copy(p.ops, ops) }
 
-// Submit takes a request and answers it later, within the request's time-out. One that
-// can't be carried out here, as the store knows no voter set or not the Op, is rejected
-// at once.
+// Submit queues a request, which gets a response within its timeout. If the store knows no
+// voter set or doesn't support the Op, it rejects the request immediately.
 func (p *Proposer) Submit(now ids.Time, from ids.Address, request Request) {
 	_, known := p.ops[request.Op]
 	if len(p.voterSet().Voters) == 0 || !known && request.Op != Read {
@@ -87,13 +88,13 @@
 	}
 }
 
-// respond answers a request that did not succeed.
+// respond sends the response to a request that didn't succeed.
 func (p *Proposer) respond(to ids.Address, request Request, outcome Outcome) {
 	p.out.Send(to, Response{ID: request.ID, Attempt: request.Attempt, Outcome: outcome})
 }
 
-// Tick repeats messages, ends requests that are past their deadline, and begins rounds
-// whose backoff is over. It is to be called many times in each resendTimeout.
+// Tick resends messages, expires requests, and begins rounds whose backoff is over. It must
+// be called many times per resendTimeout.
 func (p *Proposer) Tick(now ids.Time) {
 	for _, key := range slices.Sorted(maps.Keys(p.rounds)) {
 		r := p.rounds[key]
@@ -116,11 +117,11 @@
 	case r.phase != idle && len(r.batch) == 0 && len(r.queued) == 0:
 		delete(p.rounds, r.key)
 	case r.firstValue && r.phase == accepting && elapsed >= resendTimeout/2:
-		// Not every store answers, as a first value needs. A full round decides, and
-		// the change function recognises its value where some stores accepted it.
+		// A first value needs a vote from every store. Fall back to a full round; the
+		// change function detects its value if some stores have accepted it.
 		p.retryAfterBackoff(now, r, r.ballot)
 	case r.phase == reading && elapsed >= resendTimeout:
-		// The copies differ or are silent: a full round decides which value holds.
+		// The replicas disagree or don't respond: a full round decides the value.
 		r.minCounter++
 		p.beginRound(now, r)
 	case r.phase != idle && now >= r.resendAt:
@@ -129,7 +130,7 @@
 	}
 }
 
-// expireRequests answers the requests that are past their deadline and returns the others.
+// expireRequests responds to the requests that are past their deadline and returns the others.
 func (p *Proposer) expireRequests(now ids.Time, requests []*pendingRequest) []*pendingRequest {
 	return slices.DeleteFunc(requests, func(request *pendingRequest) bool {
 		if now < request.deadline {
@@ -144,7 +145,7 @@
 	})
 }
 
-// RestartRounds begins every round anew, as a new voter set requires.
+// RestartRounds restarts all running rounds. It must be called when the voter set changes.
 func (p *Proposer) RestartRounds(now ids.Time) {
 	p.forgetPromisedBallots()
 	for _, key := range slices.Sorted(maps.Keys(p.rounds)) {
@@ -156,21 +157,21 @@
 	}
 }
 
-// HasBegunRound reports whether this run has begun a round of that id. Answers to any
-// other are not meant for it.
+// HasBegunRound reports whether this run has begun the round with the given id. Responses for
+// any other round belong to another run.
 func (p *Proposer) HasBegunRound(round uint64) bool {
-	// Ids wrap around at 2^64, and so do both differences.
+	// Round ids may wrap around, so compare offsets from the initial id.
 	initial := initialRoundID(p.proposerID)
 	return round-initial-1 < p.lastRoundID-initial
 }
 
-// initialRoundID returns the id before a run's first round. An answer is matched to its
-// round by this id alone, and may be delivered after the proposer has restarted; so
-// each run counts from a start of its own, far from those of the others.
+// initialRoundID returns the id before a run's first round. Responses are matched to rounds by
+// id alone and may arrive after the proposer has restarted, so the runs must use different
+// ids.
 //
-// The mixing is the finalizer of splitmix64, a bijection: no two proposer ids begin at
-// the same number, and two runs only share one if one of them counts through the gap
-// that is left when 2^64 is divided among all runs.
+// It applies the finalizer of splitmix64. As that is a bijection, different proposer ids have
+// different initial ids, and these are spread over all 64-bit numbers, so the ranges of two
+// runs are unlikely to overlap.
 func initialRoundID(proposerID uint64) uint64 {
 	x := proposerID
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/internal/state/consensus/replica_tracker.go
+++ b/internal/state/consensus/replica_tracker.go
@@ -6,35 +6,35 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// replicaTracker is what a proposer knows of the stores that it sends to, and of the
+// replicaTracker is a proposer's knowledge about the stores that it sends to, and about
 // chosen values that some of them may lack.
 type replicaTracker struct {
 	peers map[uint64]*peerState
-	// chosen holds the newest value of each register that a quorum is known to hold, and
-	// catchUpSentAt when a store that lacked it was last sent it.
+	// chosen holds the latest value of each register that a quorum is known to hold.
+	// catchUpSentAt holds the time of the last catch-up attempt by register and store.
 	chosen        map[ids.RegisterKey]chosenValue
 	catchUpSentAt map[ids.RegisterKey]map[uint64]ids.Time
-	// mustRewrite holds registers whose value is to be agreed on once more, unchanged,
-	// under a higher ballot.
+	// mustRewrite holds registers whose value must be proposed again, unchanged, under a
+	// higher ballot.
 	mustRewrite map[ids.RegisterKey]bool
 }
 
-// peerState is what is known of one store.
+// peerState is a proposer's knowledge about one store.
 type peerState struct {
-	// readsDeltas says that the store announced it. A store of an earlier version skips
-	// messages that it doesn't know, and would never answer.
+	// readsDeltas is set if the store has reported that it supports AcceptDelta. A store
+	// of an earlier version ignores unknown messages and would never respond.
 	readsDeltas bool
-	// missedRounds counts the rounds in a row that ended without the store's vote.
+	// missedRounds counts consecutive rounds that ended without the store's vote.
 	missedRounds     int
 	lastWholeValueAt ids.Time
 }
 
 const (
-	// maxMissedRounds is when a store no longer counts as one that reads deltas, as it
-	// may have been downgraded.
+	// maxMissedRounds is the number of missed rounds after which a store is sent no more
+	// deltas, as it may have been downgraded.
 	maxMissedRounds = 3
-	// wholeValueInterval is the least time between large values to a store that doesn't
-	// answer: what it can't receive now would queue up.
+	// wholeValueInterval is the minimum time between large values sent to a store that
+	// doesn't respond, to limit the send queue.
 	wholeValueInterval = time.Second
 )
 
@@ -54,14 +54,14 @@
 	return t.peers[store]
 }
 
-// recordResponse notes that a store answered.
+// recordResponse records a response from a store.
 func (t *replicaTracker) recordResponse(store uint64, readsDeltas bool) {
 	peer := t.peer(store)
 	peer.missedRounds = 0
 	peer.readsDeltas = peer.readsDeltas || readsDeltas
 }
 
-// recordMissedVotes notes the voters whose vote a round ended without.
+// recordMissedVotes records the voters that hadn't voted when a round ended.
 func (t *replicaTracker) recordMissedVotes(voters []Voter, votes map[uint64]bool) {
 	for _, v := range voters {
 		if votes[v.ID] {
@@ -75,7 +75,7 @@
 	}
 }
 
-// allowWholeValue reports whether to send a large value now, and if so notes that it is.
+// allowWholeValue reports whether a large value may be sent now, and if so records the time.
 func (p *peerState) allowWholeValue(now ids.Time) bool {
 	if p.missedRounds > 0 && p.lastWholeValueAt != 0 && now.Sub(p.lastWholeValueAt) < wholeValueInterval {
 		return false
--- a/internal/state/consensus/retry.go
+++ b/internal/state/consensus/retry.go
@@ -6,45 +6,48 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// Backoff after a round that was lost.
+// Backoff after a failed round.
 const (
-	// minBackoff is the least time that a proposer leaves a register alone.
+	// minBackoff is the minimum backoff.
 	minBackoff = 5 * time.Millisecond
-	// initialBackoff bounds the first backoff where stores are close to one another.
+	// initialBackoff is the span of the first random backoff, without the part that
+	// depends on the round trip.
 	initialBackoff = 20 * time.Millisecond
-	// maxBackoff bounds every backoff.
+	// maxBackoff bounds the span of the random backoff.
 	maxBackoff = time.Second
-	// maxBackoffDoublings bounds the exponent of the backoff.
+	// maxBackoffDoublings bounds how often the span is doubled.
 	maxBackoffDoublings = 5
 )
 
-// Retransmission of large messages. Repeated after a fixed time, a message that takes
-// longer than that to arrive would queue up behind itself.
+// Retransmission of large messages. With a fixed timeout, a message with a longer transfer
+// time would be resent before it arrives, and the copies would fill the send queue.
 const (
-	// minTransferRate is the slowest transfer, in bytes a second, that is waited for.
+	// minTransferRate is the slowest transfer rate that timeouts allow for, in bytes per
+	// second.
 	minTransferRate = 1 << 20
-	// largeValueSize is the size in bytes from which the time of transfer counts, and
-	// from which a round's time-outs grow with each repetition.
+	// largeValueSize is the size in bytes from which timeouts include the transfer time,
+	// and from which a round's timeout doubles with each resend.
 	largeValueSize = 64 << 10
-	// assumedTransferRate is the rate, in bytes a second, that a proposer expects at
-	// first. Its time-outs grow where that was too much.
+	// assumedTransferRate is the transfer rate assumed for a round's first timeout, in
+	// bytes per second.
 	assumedTransferRate = 8 * minTransferRate
-	// maxResendDoublings bounds that growth.
+	// maxResendDoublings bounds how often a round's timeout is doubled.
 	maxResendDoublings = 4
 )
 
-// retryAfterBackoff gives up a round for a higher ballot and begins anew after a backoff.
+// retryAfterBackoff aborts a round and schedules another, with a ballot above seen, after a
+// backoff.
 func (p *Proposer) retryAfterBackoff(now ids.Time, r *round, seen ids.Ballot) {
 	r.minCounter = max(r.minCounter, seen.Counter)
 	r.phase, r.retryAt = idle, now.Add(p.backoffDelay(now, r, seen))
 	delete(p.promisedBallots, r.key)
 }
 
-// backoffDelay returns how long to leave a register alone after a lost round. The winner
-// needs two round trips to finish its own round; a loser that returns sooner pre-empts it
-// in turn, and neither ever ends. So the delay is random within a span that covers some
-// of the observed round trips, and the span doubles with each further loss. After a round
-// that no other proposer's ballot ended, the delay is short.
+// backoffDelay returns how long to wait before retrying a round. If another proposer's higher
+// ballot preempted the round, that proposer needs two round trips to finish its own; retrying
+// sooner would preempt it, and neither would make progress. The delay is therefore random
+// within a span that includes the observed round trip and doubles with each consecutive loss.
+// If no other ballot was seen, the delay is short.
 func (p *Proposer) backoffDelay(now ids.Time, r *round, seen ids.Ballot) time.Duration {
 	if seen == r.ballot {
 		return minBackoff + time.Duration(p.random.Int64N(int64(initialBackoff)))
@@ -55,9 +58,8 @@
 	return minBackoff + time.Duration(p.random.Int64N(int64(span)))
 }
 
-// retryTimeout returns how long a round waits for answers before it repeats its messages.
-// The promises that answer a Prepare carry the register's value, whose size is known only
-// if it is cached.
+// retryTimeout returns how long a round waits for responses before it resends its messages.
+// Promises carry the register's value, whose size is only known if it is cached.
 func (p *Proposer) retryTimeout(r *round) time.Duration {
 	size := len(r.value)
 	if r.phase == preparing {
@@ -70,8 +72,8 @@
 	return (resendTimeout + transfer) << min(r.resendCount, maxResendDoublings)
 }
 
-// TransferTime returns how long a message of so many bytes may take to arrive at the
-// slowest rate that is waited for; nothing for a small one.
+// TransferTime returns how long the transfer of a message of the given size takes at
+// minTransferRate, 0 for a small message.
 func TransferTime(bytes int) time.Duration {
 	if bytes < largeValueSize {
 		return 0
--- a/internal/state/consensus/round.go
+++ b/internal/state/consensus/round.go
@@ -7,22 +7,22 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// A round goes one of four ways, the first that applies (beginRound):
+// There are four kinds of rounds, and beginRound selects the first that applies:
 //
-//   - a reading, of reads alone: it collects accepted values and needs no ballot, but a
-//     quorum that already holds the same value;
-//   - a short round: a quorum promised the ballot along with this proposer's last value
-//     (Accept.NextBallot), so that the accept phase is enough;
-//   - a first value, of an idempotency key alone: the accept phase is enough if every
-//     voter accepts it;
-//   - a full round: prepare and accept. Whatever fails is tried again as one, unless the
+//   - A read round, if there are only reads, collects accepted values without a ballot. It
+//     succeeds if a quorum already holds the same value.
+//   - A short round consists of the accept phase alone, because a quorum promised its ballot
+//     when it accepted this proposer's last value (Accept.NextBallot).
+//   - A first-value round, for idempotency keys only, consists of the accept phase alone and
+//     succeeds if every voter accepts the value.
+//   - A full round prepares and accepts. Failed rounds are retried as full rounds, unless the
 //     proposer still has a promised ballot.
 
 // phase is the phase of a round.
 type phase uint8
 
 const (
-	// idle: the round is over, and the next one waits for its backoff.
+	// idle: the round has ended, and the next one waits for its backoff.
 	idle phase = iota
 	// reading: accepted values are collected without a ballot.
 	reading
@@ -30,23 +30,23 @@
 	preparing
 	// accepting: votes for the value are collected; it isn't chosen yet.
 	accepting
-	// replicating: the value is chosen, and votes beyond the quorum are awaited.
+	// replicating: the value is chosen; votes beyond the quorum are collected.
 	replicating
 )
 
-// pendingRequest is a request whose answer is due.
+// pendingRequest is a request without a response yet.
 type pendingRequest struct {
 	Request
 	from     ids.Address
 	deadline ids.Time
-	// proposed says that a value with this request's change was sent to acceptors, so
-	// the change may take effect whatever becomes of the round.
+	// proposed is set once a value with this request's change was sent to acceptors. The
+	// change may then take effect even if the round fails.
 	proposed bool
 	result   []byte
 }
 
-// round is the work on one register: the requests of the current round, those that wait
-// for the next one, and the state of the protocol.
+// round holds the requests of a register's current round, those queued for the next one, and
+// the protocol state.
 type round struct {
 	key    ids.RegisterKey
 	queued []*pendingRequest
@@ -57,33 +57,32 @@
 	ballot ids.Ballot
 	// nextBallot is promised along with the vote for the value.
 	nextBallot ids.Ballot
-	// minCounter is a counter that the next ballot must exceed. Above 0, neither a reading
-	// nor a first value will do.
+	// minCounter is the counter that the next ballot must exceed. If it is above 0, read
+	// rounds and first-value rounds are excluded.
 	minCounter uint64
 	// startedAt is when the round began, or, while replicating, when its value was chosen.
 	startedAt ids.Time
 	resendAt  ids.Time
 	// retryAt is when an idle round may begin anew.
 	retryAt ids.Time
-	// consecutiveLosses counts rounds in a row that another proposer's ballot ended.
+	// consecutiveLosses counts consecutive rounds preempted by another proposer's ballot.
 	consecutiveLosses int
-	// promises and votes are the answers by store id.
+	// promises and votes hold the responses by store id.
 	promises map[uint64]Promise
 	votes    map[uint64]bool
 	value    []byte
-	// firstValue says that this round proposes the register's first value without a
-	// prepare phase, firstValueTried that one of its rounds did.
+	// firstValue is set in a first-value round, and firstValueTried once one was begun.
 	firstValue, firstValueTried bool
-	// resendCount is how often the phase's messages were repeated.
+	// resendCount is how often the phase's messages were resent.
 	resendCount int
 	valueDelta
 }
 
-// maxFirstValueCounter is below every ballot counter of a full round, so that a first
-// value, which has no promises behind it, never outranks what was agreed on later.
+// maxFirstValueCounter is below every ballot counter of a full round, so that a first value,
+// which was proposed without promises, never supersedes a value chosen later.
 const maxFirstValueCounter = 1 << 40
 
-// beginRound runs all waiting requests in one round, each with its own result.
+// beginRound begins a round with all queued requests.
 func (p *Proposer) beginRound(now ids.Time, r *round) {
 	r.batch = append(r.batch, r.queued...)
 	r.queued = nil
@@ -101,7 +100,7 @@
 	case r.onlyReads() && r.minCounter == 0 && !p.mustRewrite[r.key]:
 		r.phase = reading
 	case hasPromised:
-		// A quorum promised this ballot when it accepted our last value.
+		// A quorum promised this ballot when it accepted the last value.
 		r.ballot = promised.ballot
 		delete(p.promisedBallots, r.key)
 		p.propose(now, r, promised.value)
@@ -123,9 +122,9 @@
 	return !slices.ContainsFunc(r.batch, func(request *pendingRequest) bool { return request.Op != Read })
 }
 
-// mayProposeFirstValue reports, once for a register, whether to propose its first value
-// with no prepare phase. That pays for idempotency keys, which are nearly always new,
-// while every voter of a set that isn't joint is reachable, as all must accept it.
+// mayProposeFirstValue reports whether to begin a first-value round, and returns true at most
+// once for r. It requires an idempotency key, as these registers are usually new, and a voter
+// set that isn't joint and whose voters are all reachable, since all must accept.
 func (p *Proposer) mayProposeFirstValue(r *round) bool {
 	set := p.voterSet()
 	if !isIdempotencyKey(r.key) || r.firstValueTried || r.minCounter > 0 || len(set.Incoming) > 0 {
@@ -140,15 +139,15 @@
 	return true
 }
 
-// nextBallot returns a ballot above the round's minimum that this run has never used for
-// any register: a ballot that is used twice could stand for two values.
+// nextBallot returns a ballot above r.minCounter that this run hasn't used for any register.
+// A ballot used twice could identify two values.
 func (p *Proposer) nextBallot(r *round) ids.Ballot {
 	p.highestCounter = max(p.highestCounter, r.minCounter, maxFirstValueCounter) + 1
 	r.minCounter = p.highestCounter
 	return ids.Ballot{Counter: p.highestCounter, Proposer: p.proposerID}
 }
 
-// propose applies the batch to the register's value and asks for the result to be accepted.
+// propose applies the batch to the register's value and starts the accept phase.
 func (p *Proposer) propose(now ids.Time, r *round, value []byte) {
 	old := value
 	delete(p.mustRewrite, r.key)
@@ -167,7 +166,7 @@
 	p.sendPhaseRequests(now, r)
 }
 
-// sendPhaseRequests sends the phase's request to the voters that have not answered it.
+// sendPhaseRequests sends the phase's request to the voters that haven't responded to it.
 func (p *Proposer) sendPhaseRequests(now ids.Time, r *round) {
 	r.resendAt = now.Add(p.retryTimeout(r))
 	set := p.voterSet()
@@ -188,7 +187,7 @@
 	}
 }
 
-// finishRound answers the batch and begins the next round with what was queued meanwhile.
+// finishRound responds to the batch and begins the next round with the queued requests.
 func (p *Proposer) finishRound(now ids.Time, r *round) {
 	for _, request := range r.batch {
 		response := Response{ID: request.ID, Attempt: request.Attempt, Outcome: Succeeded, Result: request.result}
--- a/internal/state/consensus/round_answers.go
+++ b/internal/state/consensus/round_answers.go
@@ -2,8 +2,8 @@
 
 import "dunlinwell/internal/base/ids"
 
-// HandlePromise takes an acceptor's answer to a Prepare. The caller must have checked
-// that it came from the store that it names.
+// HandlePromise handles an acceptor's response to a Prepare. The caller must have verified
+// that it came from m.Store.
 func (p *Proposer) HandlePromise(now ids.Time, m Promise) {
 	p.recordResponse(m.Store, m.ReadsDeltas)
 	p.catchUp(now, m)
@@ -18,7 +18,7 @@
 	if m.MatchesKnown {
 		cached := p.cachedValues[m.Key]
 		if cached.ballot != m.Accepted {
-			// The cache has moved on since the Prepare was sent.
+			// The cached value has changed since the Prepare was sent.
 			r.minCounter = max(r.minCounter, m.Promised.Counter)
 			p.beginRound(now, r)
 			return
@@ -38,7 +38,7 @@
 	if !p.voterSet().IsQuorum(promised) {
 		return
 	}
-	// A value that is chosen and stays as it is needs no accept phase.
+	// A chosen value that the batch doesn't change needs no accept phase.
 	if chosen && !p.mustRewrite[m.Key] && p.finishIfNoOp(now, r, highest.Value) {
 		return
 	}
@@ -62,15 +62,15 @@
 		holders[v.ID] = answered && m.Accepted == highest.Accepted
 		heldByAll = heldByAll && holders[v.ID]
 	}
-	// A first value that only a quorum holds may still lose to another store's.
+	// A first value held only by a quorum isn't chosen: another first value may still win.
 	if !highest.Accepted.IsZero() && highest.Accepted.Counter <= maxFirstValueCounter {
 		return highest, heldByAll
 	}
 	return highest, p.voterSet().IsQuorum(holders)
 }
 
-// handleReadPromises ends a reading round whose value is chosen. Once all voters have
-// answered without one, a full round decides.
+// handleReadPromises finishes a read round whose value is chosen. If all voters have responded
+// and no value is chosen, it begins a full round.
 func (p *Proposer) handleReadPromises(now ids.Time, r *round, highest Promise, chosen bool) {
 	if chosen {
 		p.recordChosen(now, r.key, highest.Accepted, highest.Value)
@@ -86,8 +86,8 @@
 	}
 }
 
-// HandleAccepted takes an acceptor's answer to an Accept. The caller must have checked
-// that it came from the store that it names.
+// HandleAccepted handles an acceptor's response to an Accept. The caller must have verified
+// that it came from m.Store.
 func (p *Proposer) HandleAccepted(now ids.Time, m Accepted) {
 	p.recordResponse(m.Store, m.ReadsDeltas)
 	r := p.rounds[m.Key]
@@ -111,13 +111,13 @@
 	if r.phase == accepting {
 		p.valueChosen(now, r)
 	}
-	// Idempotency keys don't wait for the rest: a new voter copies from a majority.
+	// Idempotency keys don't wait for all replicas: a new voter copies from a majority.
 	if isIdempotencyKey(r.key) || p.votedByAllReachable(r) {
 		p.finishRound(now, r)
 	}
 }
 
-// valueChosen moves a round on whose value a quorum has accepted.
+// valueChosen moves a round whose value was chosen to the replicating phase.
 func (p *Proposer) valueChosen(now ids.Time, r *round) {
 	r.phase, r.startedAt = replicating, now
 	p.cachePromisedBallot(r)
@@ -136,7 +136,7 @@
 	return true
 }
 
-// votedByAllReachable reports whether every voter that seems alive has accepted the value.
+// votedByAllReachable reports whether every reachable voter has accepted the round's value.
 func (p *Proposer) votedByAllReachable(r *round) bool {
 	for _, v := range p.voterSet().AllVoters() {
 		if !r.votes[v.ID] && p.IsReachable(v.ID) {
--- a/internal/state/consensus/value_cache.go
+++ b/internal/state/consensus/value_cache.go
@@ -6,15 +6,15 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// valueCache is what a proposer remembers of registers between rounds.
+// valueCache holds a proposer's knowledge about registers between rounds.
 type valueCache struct {
-	// promisedBallots are the ballots that a quorum promised when it accepted this
-	// proposer's last value: the next change may begin with the accept phase.
+	// promisedBallots holds the ballots that a quorum promised when it accepted this
+	// proposer's last value. They allow the next change to skip the prepare phase.
 	promisedBallots map[ids.RegisterKey]promisedBallot
 	// promisedOrder lists the keys of promisedBallots, oldest first.
 	promisedOrder []ids.RegisterKey
-	// cachedValues are the latest values met of registers other than idempotency keys,
-	// which are large and read far more often than changed.
+	// cachedValues holds the latest known values of registers other than idempotency keys.
+	// These values may be large and are read far more often than changed.
 	cachedValues map[ids.RegisterKey]cachedValue
 }
 
@@ -24,19 +24,19 @@
 	value  []byte
 }
 
-// promisedBallot is a ballot that a quorum promised, and the value that this quorum
-// accepted along with it: what the ballot's own value has to follow from.
+// promisedBallot is a ballot that a quorum promised, and the value that the quorum accepted
+// at the same time. The ballot's own value must be derived from it.
 type promisedBallot struct {
 	ballot ids.Ballot
 	value  []byte
 }
 
 const (
-	// maxPromisedBallots bounds the memory for promisedBallots, the oldest of which are
-	// dropped. A change to a dropped register only needs a prepare phase again.
+	// maxPromisedBallots bounds the size of promisedBallots. The oldest are dropped first;
+	// the next change to their registers needs a prepare phase.
 	maxPromisedBallots = 4096
-	// maxPromisedValueSize is the size in bytes up to which the value of an idempotency
-	// key is cached. Larger ones are the outcomes of requests, which don't change again.
+	// maxPromisedValueSize is the maximum size in bytes of an idempotency key's value in
+	// promisedBallots. Larger values hold responses to requests and don't change again.
 	maxPromisedValueSize = 2048
 )
 
@@ -47,14 +47,14 @@
 	}
 }
 
-// cacheValue caches the value of a ballot. A ballot stands for one value for ever.
+// cacheValue caches the value that was accepted under a ballot.
 func (c *valueCache) cacheValue(key ids.RegisterKey, ballot ids.Ballot, value []byte) {
 	if !isIdempotencyKey(key) && !ballot.IsZero() {
 		c.cachedValues[key] = cachedValue{ballot, value}
 	}
 }
 
-// cachePromisedBallot keeps the ballot that was promised along with a round's value.
+// cachePromisedBallot stores the ballot that was promised along with a round's value.
 func (c *valueCache) cachePromisedBallot(r *round) {
 	if isIdempotencyKey(r.key) && len(r.value) > maxPromisedValueSize {
 		return
@@ -69,17 +69,17 @@
 	}
 }
 
-// forgetPromisedBallots drops all promised ballots, as those of an earlier voter set say
-// nothing about a quorum of the next one.
+// forgetPromisedBallots drops all promised ballots. Promises by a quorum of one voter set
+// aren't valid for the next one.
 func (c *valueCache) forgetPromisedBallots() {
 	clear(c.promisedBallots)
 	c.promisedOrder = nil
 }
 
-// Checksum returns the checksum by which a client says which value it holds
-// (Request.HaveChecksum). It is never 0, which stands for no value.
+// Checksum returns the checksum that identifies the value held by a client
+// (Request.HaveChecksum). It is never 0, which means no value.
 func Checksum(value []byte) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write(value) // a hash never fails
+	_, _ = h.Write(value) // hash.Hash never returns an error
 	return h.Sum64() | 1
 }
--- a/internal/state/consensus/value_delta.go
+++ b/internal/state/consensus/value_delta.go
@@ -7,17 +7,18 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// valueDelta is the delta by which a round's value follows from one that acceptors hold.
-// It is zero where the value is sent whole.
+// valueDelta encodes a round's value as a delta from the value accepted under baseBallot. It
+// is zero if the round sends the full value.
 type valueDelta struct {
 	baseBallot ids.Ballot
 	delta      []byte
-	// wholeSentTo holds the ids of stores that asked for the value in place of the delta.
+	// wholeSentTo holds the ids of stores that requested the full value.
 	wholeSentTo map[uint64]bool
 }
 
-// computeDelta returns the delta from the value that a round began with, if the ballot
-// of that value is known and the delta is at most half as long as the new value.
+// computeDelta returns the delta from the round's old value to its new one. It is zero if a
+// value is small, the old value's ballot isn't known, or the delta is longer than half of the
+// new value.
 func (p *Proposer) computeDelta(r *round, old []byte) valueDelta {
 	base := p.cachedValues[r.key]
 	small := len(old) < minDeltaValueSize || len(r.value) < minDeltaValueSize
@@ -31,8 +32,8 @@
 	return valueDelta{base.ballot, difference, map[uint64]bool{}}
 }
 
-// sendAccept asks a store to accept the round's value: by its delta if the store can
-// read it, else whole.
+// sendAccept asks a store to accept the round's value. It sends a delta if there is one and
+// the store supports it, and the full value otherwise.
 func (p *Proposer) sendAccept(now ids.Time, to Voter, r *round, voterSetNumber uint64) {
 	peer := p.peer(to.ID)
 	if r.delta != nil && peer.readsDeltas && !r.wholeSentTo[to.ID] {
@@ -50,7 +51,8 @@
 	}
 }
 
-// sendWholeValue sends the value, once, to a store that doesn't hold the delta's base.
+// sendWholeValue sends the full value to a store that doesn't hold the delta's base, at most
+// once per round.
 func (p *Proposer) sendWholeValue(now ids.Time, r *round, store uint64) {
 	if r.wholeSentTo == nil || r.wholeSentTo[store] {
 		return
@@ -62,7 +64,7 @@
 	}
 }
 
-// notifySubscribers informs the register's subscribers of a value that was chosen.
+// notifySubscribers sends a chosen value to the register's subscribers.
 func (p *Proposer) notifySubscribers(r *round) {
 	for _, to := range p.Subscribers(r.key) {
 		if r.delta != nil {
