--- a/internal/state/consensus/voter_set.go
+++ b/internal/state/consensus/voter_set.go
@@ -10,36 +10,36 @@
 // VoterSetKey is the register that holds the voter set itself.
 const VoterSetKey ids.RegisterKey = "roster"
 
-// VoterSetNumberAfterTotalLoss is the number of a first voter set that an operator
-// ordered after every disk was lost. It is above any number that the lost cluster can
-// have reached by replacements, so that its stores don't take the new set for an older one.
+// VoterSetNumberAfterTotalLoss is the number of the initial voter set that an operator creates
+// after all disks were lost. It exceeds any number that the lost cluster can have reached by
+// replacements, so that remaining stores don't consider the new set outdated.
 const VoterSetNumberAfterTotalLoss = 1 << 32
 
-// Voter is a store that votes. Its id is made together with its disk, so a blank disk
-// can't vote as the one that was lost.
+// Voter is a member of a voter set. Its id is generated when its disk is created, so a blank
+// disk can't vote under the id of a lost disk.
 type Voter struct {
 	ID      uint64
 	Address ids.Address
 }
 
-// VoterSet is the membership of the cluster: the stores whose quorums decide.
+// VoterSet is the set of stores whose votes form quorums.
 type VoterSet struct {
 	// Number orders the voter sets; 0 means that none is known.
 	Number uint64
 	Voters []Voter
 	// Incoming makes the set joint: while it isn't empty, a quorum needs a majority of
-	// Voters and one of Incoming.
+	// Voters and a majority of Incoming.
 	Incoming []Voter
-	// LossCount is how many times a recovery gave up disks, and with them records of
-	// idempotency keys.
+	// LossCount is the number of recoveries that gave up disks, which may have lost records
+	// of idempotency keys.
 	LossCount uint64
-	// Learners are the ids of voters that have not reported a complete copy yet; a store
-	// that copies without being a voter isn't among them. The list only
-	// keeps a replacement from leaving too few that can vote. Safety doesn't rest on it,
-	// as each voter knows by its own disk whether it may vote.
+	// Learners lists the ids of voters that haven't reported a complete copy yet. Stores
+	// that copy without being voters aren't included. The list prevents a replacement that
+	// would leave too few stores able to vote. Safety doesn't depend on it, as the disk
+	// state of each voter determines whether it may vote.
 	Learners []uint64
-	// Previous are the voters before the last replacement, while the copy of its new
-	// voter may be incomplete. A majority of them holds all that the copy lacks.
+	// Previous lists the voters before the last replacement while the new voter's copy may
+	// be incomplete. A majority of them holds everything that the copy lacks.
 	Previous []Voter
 }
 
@@ -48,8 +48,8 @@
 // DecodeVoterSet decodes the value of the voter set's register.
 func DecodeVoterSet(raw []byte) (VoterSet, bool) { return decodeMessage[VoterSet](raw) }
 
-// IsQuorum reports whether the stores with a true entry decide under the voter set. In
-// a joint set that takes a majority of either side.
+// IsQuorum reports whether the stores with a true entry form a quorum of the voter set. A
+// joint set requires a majority of both sides.
 func (s VoterSet) IsQuorum(stores map[uint64]bool) bool {
 	majority := func(voters []Voter) bool {
 		n := 0
@@ -63,7 +63,7 @@
 	return len(s.Voters) > 0 && majority(s.Voters) && (len(s.Incoming) == 0 || majority(s.Incoming))
 }
 
-// AllVoters returns each voter of either side once.
+// AllVoters returns the voters of both sides without duplicates.
 func (s VoterSet) AllVoters() []Voter {
 	seen := map[uint64]bool{}
 	var out []Voter
@@ -105,14 +105,14 @@
 	return true
 }
 
-// IsInitial reports whether this is the first voter set of a cluster. Its members adopt
-// it from a member together with the values that go with it.
+// IsInitial reports whether this is the initial voter set of a cluster. Its members adopt it
+// together with the initial register values.
 func (s VoterSet) IsInitial() bool {
 	return s.Number == 1 || s.Number == VoterSetNumberAfterTotalLoss
 }
 
-// IsValid reports whether a store can have sent the voter set in earnest. One without
-// voters, or with two of one id, could agree on nothing.
+// IsValid reports whether the voter set is well-formed: it has a number and voters, and each
+// side's voters have addresses and distinct ids.
 func (s VoterSet) IsValid() bool {
 	return s.Number > 0 && len(s.Voters) > 0 && hasDistinctVoters(s.Voters) && hasDistinctVoters(s.Incoming)
 }
@@ -128,8 +128,8 @@
 	return true
 }
 
-// MatchesSender reports whether an answer for voter id came from that voter's address.
-// An answer under another voter set passes, as it is dropped for that reason later.
+// MatchesSender reports whether a response from voter id came from that voter's address. It
+// doesn't check responses under another voter set, which are dropped later.
 func (s VoterSet) MatchesSender(from ids.Address, id, number uint64) bool {
 	v, ok := s.Voter(id)
 	return number != s.Number || ok && v.Address == from
@@ -140,7 +140,7 @@
 	return VoterSet{Voters: s.Voters, Incoming: s.Previous}.AllVoters()
 }
 
-// IsCopySource reports whether a learner may copy from a store at an address.
+// IsCopySource reports whether a learner may copy from the store with this id and address.
 func (s VoterSet) IsCopySource(from ids.Address, id uint64) bool {
 	return slices.Contains(s.CopySources(), Voter{ID: id, Address: from})
 }
--- a/internal/state/consensus/voter_set_ops.go
+++ b/internal/state/consensus/voter_set_ops.go
@@ -8,10 +8,10 @@
 )
 
 // The change functions of the voter set's register replace one voter at a time. Current
-// versions use OpReplace and OpPromoteLearner: the set changes at once, but the new voter
-// is a learner and withholds its vote until its disk is complete (DiskState), so a
-// replacement can't be left half done. Earlier versions made the set joint by OpJoin, and
-// ended that by OpFinalize or OpAbandon; these stay for clusters that are upgraded.
+// versions use OpReplace and OpPromoteLearner: the set changes in one step, but the new voter
+// is a learner that withholds its vote until its disk is complete (DiskState). Earlier versions
+// made the set joint with OpJoin and completed the replacement with OpFinalize or undid it with
+// OpAbandon. These are kept for clusters that are being upgraded.
 
 // Op numbers from 200 on are reserved for the voter set's register.
 const (
@@ -24,7 +24,7 @@
 )
 
 const (
-	// OpReplace puts a learner in a voter's place (ReplaceRequest).
+	// OpReplace replaces a voter by a learner (ReplaceRequest).
 	OpReplace Op = 210 + iota
 	// OpPromoteLearner makes a learner a full voter (PromoteLearnerRequest).
 	OpPromoteLearner
@@ -33,34 +33,34 @@
 // JoinRequest is the argument of OpJoin.
 type JoinRequest struct {
 	New Voter
-	// LostID is the voter to replace. With 0 the new voter is added while there are
-	// fewer than Replicas.
+	// LostID is the voter to replace. If it is 0, the new voter is added, provided that
+	// there are fewer than Replicas voters.
 	LostID   uint64
 	Replicas int
 }
 
-// VoterSetNumber is the argument of OpFinalize and OpAbandon: the voter set that they
-// are meant for.
+// VoterSetNumber is the argument of OpFinalize and OpAbandon. It identifies the joint voter set
+// that they apply to.
 type VoterSetNumber struct{ Number uint64 }
 
 // ReplaceRequest is the argument of OpReplace.
 type ReplaceRequest struct {
 	New Voter
-	// LostID is the voter to replace. With 0 the new voter is added while there are
-	// fewer than Replicas.
+	// LostID is the voter to replace. If it is 0, the new voter is added, provided that
+	// there are fewer than Replicas voters.
 	LostID   uint64
 	Replicas int
 }
 
-// PromoteLearnerRequest is the argument of OpPromoteLearner: the voter whose copy is
+// PromoteLearnerRequest is the argument of OpPromoteLearner. ID is the voter whose copy is
 // complete.
 type PromoteLearnerRequest struct{ ID uint64 }
 
 var _ = wire.Register(42, JoinRequest{}) && wire.Register(43, VoterSetNumber{}) &&
 	wire.Register(45, ReplaceRequest{}) && wire.RegisterNamed(46, "consensus.LearnedReport", PromoteLearnerRequest{})
 
-// VoterSetOps returns the change functions of the voter set's register. Each changes
-// nothing unless the set is as its argument says, so several stores may ask for the same.
+// VoterSetOps returns the change functions of the voter set's register. They change nothing if
+// the set doesn't match their argument, so several stores may request the same change.
 func VoterSetOps() map[Op]ChangeFunc {
 	return map[Op]ChangeFunc{
 		OpJoin:           joinVoter,
@@ -71,8 +71,8 @@
 	}
 }
 
-// encodeVoterSet returns a changed set as both results of a change function, or the old
-// value if it can't be encoded.
+// encodeVoterSet returns the encoded set as both the next value and the result of a change
+// function, or the old value if encoding fails.
 func encodeVoterSet(old []byte, set VoterSet) (next, result []byte) {
 	raw, err := wire.Encode(set)
 	if err != nil {
@@ -81,8 +81,9 @@
 	return raw, raw
 }
 
-// placeVoter returns the voters with a new one in the place of a lost one, or, if none is
-// lost, behind them while there are fewer than replicas. It reports whether it could.
+// placeVoter returns the voters with the lost one replaced by the new one. If lostID is 0, it
+// appends the new voter, provided that there are fewer than replicas. It reports whether it
+// placed the voter.
 func placeVoter(voters []Voter, voter Voter, lostID uint64, replicas int) ([]Voter, bool) {
 	placed := slices.Clone(voters)
 	switch i := slices.IndexFunc(placed, func(v Voter) bool { return v.ID == lostID }); {
@@ -99,7 +100,7 @@
 func joinVoter(_ ids.RegisterKey, old, arg []byte) (next, result []byte) {
 	set, ok := decodeMessage[VoterSet](old)
 	request, okArg := decodeMessage[JoinRequest](arg)
-	// One replacement at a time; another waits until this one is finalized.
+	// Only one replacement may be in progress.
 	if !ok || !okArg || len(set.Incoming) > 0 || set.HasVoter(request.New.ID) {
 		return old, old
 	}
@@ -112,14 +113,15 @@
 	return encodeVoterSet(old, set)
 }
 
-// jointVoterSet returns the joint set that a VoterSetNumber is meant for.
+// jointVoterSet decodes a voter set and reports whether it is joint and matches the
+// VoterSetNumber in arg.
 func jointVoterSet(old, arg []byte) (VoterSet, bool) {
 	set, ok := decodeMessage[VoterSet](old)
 	request, okArg := decodeMessage[VoterSetNumber](arg)
 	return set, ok && okArg && request.Number == set.Number && len(set.Incoming) > 0
 }
 
-// finalizeVoterSet ends a joint set once the new voter holds a copy of everything.
+// finalizeVoterSet ends a joint set after the new voter has copied all registers.
 func finalizeVoterSet(_ ids.RegisterKey, old, arg []byte) (next, result []byte) {
 	set, ok := jointVoterSet(old, arg)
 	if !ok {
@@ -130,8 +132,8 @@
 	return encodeVoterSet(old, set)
 }
 
-// abandonJoin returns to the old voters when the new one itself was lost. All that was
-// agreed meanwhile had a majority of the old voters as well.
+// abandonJoin reverts a joint set to the old voters if the new one was lost. Every value
+// chosen in between also has a majority of the old voters.
 func abandonJoin(_ ids.RegisterKey, old, arg []byte) (next, result []byte) {
 	set, ok := jointVoterSet(old, arg)
 	if !ok {
@@ -142,7 +144,8 @@
 	return encodeVoterSet(old, set)
 }
 
-// replaceVoter puts a learner in, unless too few voters with a complete copy would be left.
+// replaceVoter adds a learner in place of a voter, unless that would leave too few voters with a
+// complete copy.
 func replaceVoter(_ ids.RegisterKey, old, arg []byte) (next, result []byte) {
 	set, ok := decodeMessage[VoterSet](old)
 	request, okArg := decodeMessage[ReplaceRequest](arg)
@@ -171,7 +174,7 @@
 		return old, old
 	}
 	set.Learners = slices.DeleteFunc(slices.Clone(set.Learners), func(id uint64) bool { return id == request.ID })
-	// Voters from before the replacement can't know of what is agreed from here on.
+	// Voters that were replaced don't receive values chosen from now on.
 	set.Previous = nil
 	set.Number++
 	return encodeVoterSet(old, set)
