--- a/internal/state/consensus/check_disk.go
+++ b/internal/state/consensus/check_disk.go
@@ -9,22 +9,22 @@
 )
 
 var (
-	// ErrDamaged means that a record of the acceptor itself can't be read.
-	ErrDamaged = errors.New("it is damaged or of another format")
-	// ErrMissingBase means that changes to a register are on disk, but not what they change.
-	ErrMissingBase = errors.New("its base is missing")
+	// ErrDamaged means that a metadata record of the acceptor can't be decoded.
+	ErrDamaged = errors.New("record is damaged or has an unknown format")
+	// ErrMissingBase means that the disk holds changes to a register, but not their base.
+	ErrMissingBase = errors.New("base record is missing")
 )
 
 const (
 	idempotencyPrefix = registerPrefix + "mark/"
-	// afterIdempotencyPrefix sorts behind all records of idempotency keys, as '0'
-	// follows '/'.
+	// afterIdempotencyPrefix sorts after all records of idempotency keys, as '0' follows
+	// '/' in ASCII.
 	afterIdempotencyPrefix = registerPrefix + "mark0"
 )
 
-// CheckDisk reads all that a store has on disk, except the records of idempotency keys,
-// of which there are many. Any error means that the store must not use the disk:
-// one that skipped what it can't read would forget what it promised.
+// CheckDisk verifies that all records on a store's disk are readable, except the many records
+// of idempotency keys. A store must not use a disk with an error: if it skipped an unreadable
+// record, it would break the promises in it.
 func CheckDisk(disk Storage) error {
 	if raw, ok := disk.Get(voterSetRecordKey); ok {
 		if _, ok := decodeMessage[VoterSet](raw); !ok {
@@ -57,7 +57,7 @@
 	return checkChangesHaveBases(disk, bases)
 }
 
-// checkChangesHaveBases finds changes whose base is gone.
+// checkChangesHaveBases returns an error if a change on disk has no base.
 func checkChangesHaveBases(disk Storage, bases map[ids.RegisterKey]bool) error {
 	after := ids.RegisterKey(changePrefix)
 	for {
@@ -70,7 +70,7 @@
 		if !bases[key] {
 			return errs.Wrap(ErrMissingBase, "read change", string(records[0].Key))
 		}
-		// '0' follows '/', so this sorts behind all changes to this register.
+		// '0' follows '/' in ASCII, so this sorts after all changes to this register.
 		after = ids.RegisterKey(changePrefix + string(key) + "0")
 	}
 }
--- a/internal/state/consensus/stored_register.go
+++ b/internal/state/consensus/stored_register.go
@@ -13,38 +13,38 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// How a register stands on disk. Registers other than idempotency keys are few, and that of
-// the configuration is large. On disk each is a base, which is a whole RegisterState, and
-// changes to it, numbered from 0 on. The register's state is the base with all changes
-// applied, and is cached in memory. Both records end with a checksum; bases of earlier
-// versions have none.
+// On-disk format of registers other than idempotency keys. They are few, and the one of the
+// configuration is large, so each is stored as a base, which is a full RegisterState, and
+// changes to it, numbered from 0. The register's state, the base with all changes applied, is
+// cached in memory. Bases and changes end with a checksum, which bases written by earlier
+// versions lack.
 
 var (
-	// ErrChecksumMismatch means that a record on disk was altered.
-	ErrChecksumMismatch = errors.New("it fails its checksum")
-	// ErrTruncated means that a record on disk has more or fewer bytes than it says.
-	ErrTruncated = errors.New("it is cut short")
-	// ErrUnknownFormat means that a record on disk is whole, but not of the expected type.
-	ErrUnknownFormat = errors.New("it is of another format")
-	// ErrMissingChange means that a change on disk follows one that is not there.
-	ErrMissingChange = errors.New("one before it is missing")
+	// ErrChecksumMismatch means that a record on disk doesn't match its checksum.
+	ErrChecksumMismatch = errors.New("checksum mismatch")
+	// ErrTruncated means that a record on disk is longer or shorter than its header says.
+	ErrTruncated = errors.New("record length mismatch")
+	// ErrUnknownFormat means that an intact record on disk isn't of the expected type.
+	ErrUnknownFormat = errors.New("unknown record format")
+	// ErrMissingChange means that an earlier change is missing on disk.
+	ErrMissingChange = errors.New("earlier change is missing")
 )
 
 const (
 	changePrefix = "diff/"
-	// minDeltaValueSize is the least size in bytes of a value that is worth a delta.
+	// minDeltaValueSize is the minimum size in bytes of a value that is encoded as a delta.
 	minDeltaValueSize = 4 << 10
-	// maxChangesPerBase bounds what a restart has to apply. At that many changes, or
-	// where they are as long as the value itself, they are folded into a new base; so
-	// folding costs each change no more than the change itself did.
+	// maxChangesPerBase bounds the changes that are applied on a restart. At that many
+	// changes, or when they would take more bytes than the value itself, they are
+	// compacted into a new base.
 	maxChangesPerBase = 4096
 	checksumSize      = 4
 	// changesPerScan is how many changes are read from disk at once.
 	changesPerScan = 256
 )
 
-// registerChange is one change on disk. Its Delta leads from the value before it to the
-// accepted one; an empty Delta means that only the ballots change.
+// registerChange is a change on disk. Delta transforms the previous value into the accepted
+// one; if it is empty, only the ballots change.
 type registerChange struct {
 	Promised ids.Ballot
 	Accepted ids.Ballot
@@ -53,11 +53,11 @@
 
 var _ = wire.Register(47, registerChange{})
 
-// storedRegister is the cached state of a register, including what is on its way to the disk.
+// storedRegister is the cached state of a register, including writes that aren't on disk yet.
 type storedRegister struct {
 	RegisterState
-	// hasBase says that the disk has a base, on which changeCount changes of
-	// changeBytes bytes in all follow.
+	// hasBase is set if the disk has a base. It is followed by changeCount changes of
+	// changeBytes bytes in total.
 	hasBase     bool
 	changeCount int
 	changeBytes int
@@ -96,7 +96,7 @@
 	return msg, nil
 }
 
-// loadRegister reads a register from disk. One that was never written is zero.
+// loadRegister reads a register from disk. It returns a zero register if there is none.
 func loadRegister(disk Storage, key ids.RegisterKey) (storedRegister, error) {
 	var r storedRegister
 	raw, ok := disk.Get(registerPrefix + key)
@@ -112,7 +112,7 @@
 	return r, errs.Wrap(err, "read register", string(key))
 }
 
-// loadChanges applies all changes to the base, none of which may be missing.
+// loadChanges applies all changes on disk to the base. A gap in their numbers is an error.
 func (r *storedRegister) loadChanges(disk Storage, key ids.RegisterKey) error {
 	prefix := changePrefix + string(key) + "/"
 	after := ids.RegisterKey(prefix)
@@ -153,8 +153,8 @@
 	return nil
 }
 
-// recordsFor moves the register to its next state and returns the records that do the
-// same on disk: one change, or a new base and the deletion of all changes before it.
+// recordsFor sets the register to its next state and returns the records that persist it:
+// either one change, or a new base and the deletion of all changes to the old one.
 func (r *storedRegister) recordsFor(key ids.RegisterKey, next RegisterState) ([]event.Record, error) {
 	if change, ok := r.changeTo(next); ok {
 		raw, err := encodeWithChecksum(change)
@@ -175,8 +175,8 @@
 	return records, err
 }
 
-// changeTo returns the change that leads to the next state, and whether it is worth
-// writing in place of a new base.
+// changeTo returns the change to the next state, and whether to consider writing it instead of
+// a new base.
 func (r *storedRegister) changeTo(next RegisterState) (registerChange, bool) {
 	change := registerChange{Promised: next.Promised, Accepted: next.Accepted}
 	small := len(next.Value) < minDeltaValueSize || len(r.Value) < minDeltaValueSize
