--- a/internal/state/consensus/acceptor_storage.go
+++ b/internal/state/consensus/acceptor_storage.go
@@ -127,7 +127,7 @@
 		a.persist(registerPrefix+key, next, after...)
 		return
 	}
-	records, err := a.cachedRegister(key).recordsFor(key, next)
+	records, err := a.cachedRegister(key).advanceTo(key, next)
 	if err != nil {
 		// The cached register may now be ahead of the disk.
 		a.damaged = true
--- a/internal/state/consensus/client.go
+++ b/internal/state/consensus/client.go
@@ -21,9 +21,9 @@
 	StoreOrder func(key ids.RegisterKey) []ids.Address
 	pending    map[uint64]*pendingCall
 	lastCallID uint64
-	// silentUntil holds the stores that didn't respond to an attempt, and when their
+	// unresponsiveUntil holds the stores that didn't respond to an attempt, and when their
 	// lower priority ends.
-	silentUntil map[ids.Address]ids.Time
+	unresponsiveUntil map[ids.Address]ids.Time
 	// meanResponseTime holds a moving average for each store.
 	meanResponseTime map[ids.Address]time.Duration
 }
@@ -39,8 +39,8 @@
 	unresolved map[uint32]bool
 	attempts   map[uint32]attempt
 	onComplete func(now ids.Time, outcome Outcome, result []byte)
-	// held is the value that the caller already holds, which a store needn't send again.
-	held []byte
+	// knownValue is the value that the caller already holds and a store needn't send again.
+	knownValue []byte
 }
 
 // attempt records where and when an attempt of a call was sent.
@@ -56,11 +56,11 @@
 // from the run id, so that responses to an earlier run don't match its calls.
 func NewClient(run ids.RunID, out *event.Outbox) *Client {
 	return &Client{
-		out:              out,
-		pending:          map[uint64]*pendingCall{},
-		lastCallID:       uint64(run) << callIDRunShift,
-		silentUntil:      map[ids.Address]ids.Time{},
-		meanResponseTime: map[ids.Address]time.Duration{},
+		out:               out,
+		pending:           map[uint64]*pendingCall{},
+		lastCallID:        uint64(run) << callIDRunShift,
+		unresponsiveUntil: map[ids.Address]ids.Time{},
+		meanResponseTime:  map[ids.Address]time.Duration{},
 	}
 }
 
@@ -70,16 +70,16 @@
 }
 
 // ReadIfChanged reads a register for a caller that holds a value with the given Checksum. If
-// the value is unchanged, the store doesn't send it and onComplete receives the held one.
-func (c *Client) ReadIfChanged(now ids.Time, key ids.RegisterKey, held []byte, checksum uint64, timeout time.Duration, onComplete func(ids.Time, Outcome, []byte)) CallID {
-	return c.call(now, Request{Key: key, Op: Read, HaveChecksum: checksum}, held, timeout, onComplete)
+// the value is unchanged, the store doesn't send it and onComplete receives knownValue.
+func (c *Client) ReadIfChanged(now ids.Time, key ids.RegisterKey, knownValue []byte, checksum uint64, timeout time.Duration, onComplete func(ids.Time, Outcome, []byte)) CallID {
+	return c.call(now, Request{Key: key, Op: Read, HaveChecksum: checksum}, knownValue, timeout, onComplete)
 }
 
-func (c *Client) call(now ids.Time, request Request, held []byte, timeout time.Duration, onComplete func(ids.Time, Outcome, []byte)) CallID {
+func (c *Client) call(now ids.Time, request Request, knownValue []byte, timeout time.Duration, onComplete func(ids.Time, Outcome, []byte)) CallID {
 	c.lastCallID++
 	request.ID = c.lastCallID
 	call := &pendingCall{
-		Request: request, held: held, deadline: now.Add(timeout), onComplete: onComplete,
+		Request: request, knownValue: knownValue, deadline: now.Add(timeout), onComplete: onComplete,
 		unresolved: map[uint32]bool{}, attempts: map[uint32]attempt{},
 	}
 	c.pending[call.ID] = call
@@ -111,13 +111,13 @@
 		c.out.Discard(from, event.Unsolicited, m)
 		return
 	}
-	delete(c.silentUntil, from)
+	delete(c.unresponsiveUntil, from)
 	c.recordResponseTime(from, now.Sub(call.attempts[m.Attempt].sentAt))
 	switch m.Outcome {
 	case Succeeded:
 		delete(c.pending, m.ID)
 		if m.Unchanged {
-			m.Result = call.held
+			m.Result = call.knownValue
 		}
 		call.onComplete(now, Succeeded, m.Result)
 	case Rejected:
@@ -147,7 +147,7 @@
 		case now >= call.deadline:
 			c.Abandon(now, CallID(id))
 		case now >= call.retryAt:
-			c.markSilentStores(now, call)
+			c.markUnresponsiveStores(now, call)
 			c.send(now, call)
 		}
 	}
--- a/internal/state/consensus/client_attempts.go
+++ b/internal/state/consensus/client_attempts.go
@@ -13,10 +13,10 @@
 	attemptTimeout = 400 * time.Millisecond
 	// maxResponseTimeout bounds responseTimeout for slow stores.
 	maxResponseTimeout = 1200 * time.Millisecond
-	// silentPenalty is how long a store that didn't respond to an attempt is tried after
-	// the others. Otherwise each call that starts with an unreachable store would lose
-	// an attemptTimeout.
-	silentPenalty = 10 * time.Second
+	// unresponsivePenalty is how long a store that didn't respond to an attempt is tried
+	// after the others. Otherwise each call that starts with an unreachable store would
+	// lose an attemptTimeout.
+	unresponsivePenalty = 10 * time.Second
 	// responseTimeSmoothing is the divisor of the exponential moving average of response
 	// times.
 	responseTimeSmoothing = 4
@@ -39,32 +39,32 @@
 
 // attemptOrder returns the stores to try, with unresponsive ones last.
 func (c *Client) attemptOrder(now ids.Time, key ids.RegisterKey) []ids.Address {
-	var answering, silent []ids.Address
+	var responsive, unresponsive []ids.Address
 	for _, store := range c.StoreOrder(key) {
-		if until, ok := c.silentUntil[store]; ok && now < until {
-			silent = append(silent, store)
+		if until, ok := c.unresponsiveUntil[store]; ok && now < until {
+			unresponsive = append(unresponsive, store)
 		} else {
-			answering = append(answering, store)
+			responsive = append(responsive, store)
 		}
 	}
-	return append(answering, silent...)
+	return append(responsive, unresponsive...)
 }
 
-// markSilentStores marks the stores that didn't respond to an attempt of a call within their
-// responseTimeout.
-func (c *Client) markSilentStores(now ids.Time, call *pendingCall) {
+// markUnresponsiveStores marks the stores that didn't respond to an attempt of a call within
+// their responseTimeout.
+func (c *Client) markUnresponsiveStores(now ids.Time, call *pendingCall) {
 	for number, sent := range call.attempts {
 		if call.unresolved[number] && now.Sub(sent.sentAt) >= c.responseTimeout(sent.store) {
-			c.silentUntil[sent.store] = now.Add(silentPenalty)
+			c.unresponsiveUntil[sent.store] = now.Add(unresponsivePenalty)
 		}
 	}
 }
 
 // HadSilentStore reports whether a store was marked as unresponsive within the last two
-// silentPenalty periods and hasn't responded since.
+// unresponsivePenalty periods and hasn't responded since.
 func (c *Client) HadSilentStore(now ids.Time) bool {
-	for _, until := range c.silentUntil {
-		if now < until.Add(silentPenalty) {
+	for _, until := range c.unresponsiveUntil {
+		if now < until.Add(unresponsivePenalty) {
 			return true
 		}
 	}
--- a/internal/state/consensus/pages.go
+++ b/internal/state/consensus/pages.go
@@ -77,42 +77,43 @@
 		Store: a.storeID, VoterSetNumber: m.VoterSetNumber, PageNumber: m.PageNumber,
 		Last: len(stored) < maxPageRecords, RunID: a.changedKeys.runID, ChangeCount: a.changedKeys.total(),
 	}
-	rows := a.pageRows(registerPrefix+m.AfterKey, stored, page.Last)
-	for _, key := range slices.Sorted(maps.Keys(rows)) {
-		if state, ok := a.pageRegisterState(key, rows[key]); ok {
+	rawRecords := a.rawPageRecords(registerPrefix+m.AfterKey, stored, page.Last)
+	for _, key := range slices.Sorted(maps.Keys(rawRecords)) {
+		if state, ok := a.pageRegisterState(key, rawRecords[key]); ok {
 			page.Records = append(page.Records, PageRecord{key[len(registerPrefix):], state.Accepted, state.Value})
 		}
 	}
 	a.AfterSync(event.Send{To: from, Message: page})
 }
 
-// pageRows returns the stored records of the page after a key, merged with unsynced records
-// in its range. The range of the last page has no upper bound.
-func (a *Acceptor) pageRows(after ids.RegisterKey, stored []event.Record, last bool) map[ids.RegisterKey][]byte {
+// rawPageRecords returns the stored records of the page after a key, merged with unsynced
+// records in its range. The range of the last page has no upper bound. A nil value means that
+// the register is cached.
+func (a *Acceptor) rawPageRecords(after ids.RegisterKey, stored []event.Record, last bool) map[ids.RegisterKey][]byte {
 	inRange := func(key ids.RegisterKey) bool {
 		return key > after && (last || key <= stored[len(stored)-1].Key)
 	}
-	rows := map[ids.RegisterKey][]byte{}
+	rawRecords := map[ids.RegisterKey][]byte{}
 	for _, record := range stored {
-		rows[record.Key] = record.Value
+		rawRecords[record.Key] = record.Value
 	}
 	for key, record := range a.unsynced {
 		if strings.HasPrefix(string(key), registerPrefix) && inRange(key) {
-			rows[key] = record.raw
+			rawRecords[key] = record.raw
 		}
 	}
 	for key, r := range a.registers {
 		if r.hasBase && inRange(registerPrefix+key) {
-			rows[registerPrefix+key] = nil
+			rawRecords[registerPrefix+key] = nil
 		}
 	}
-	return rows
+	return rawRecords
 }
 
 // pageRegisterState returns the register state for a record of a page. The record is the
 // complete state only for idempotency keys; other registers may have changes to their base.
-func (a *Acceptor) pageRegisterState(rowKey ids.RegisterKey, raw []byte) (RegisterState, bool) {
-	if key := rowKey[len(registerPrefix):]; !isIdempotencyKey(key) {
+func (a *Acceptor) pageRegisterState(recordKey ids.RegisterKey, raw []byte) (RegisterState, bool) {
+	if key := recordKey[len(registerPrefix):]; !isIdempotencyKey(key) {
 		return a.registerState(key), true
 	}
 	return decodeMessage[RegisterState](raw)
--- a/internal/state/consensus/replica_tracker.go
+++ b/internal/state/consensus/replica_tracker.go
@@ -21,21 +21,21 @@
 
 // peerState is a proposer's knowledge about one store.
 type peerState struct {
-	// readsDeltas is set if the store has reported that it supports AcceptDelta. A store
+	// supportsDeltas is set if the store has reported that it supports AcceptDelta. A store
 	// of an earlier version ignores unknown messages and would never respond.
-	readsDeltas bool
+	supportsDeltas bool
 	// missedRounds counts consecutive rounds that ended without the store's vote.
-	missedRounds     int
-	lastWholeValueAt ids.Time
+	missedRounds    int
+	lastFullValueAt ids.Time
 }
 
 const (
 	// maxMissedRounds is the number of missed rounds after which a store is sent no more
 	// deltas, as it may have been downgraded.
 	maxMissedRounds = 3
-	// wholeValueInterval is the minimum time between large values sent to a store that
+	// fullValueInterval is the minimum time between large values sent to a store that
 	// doesn't respond, to limit the send queue.
-	wholeValueInterval = time.Second
+	fullValueInterval = time.Second
 )
 
 func newReplicaTracker() replicaTracker {
@@ -55,10 +55,10 @@
 }
 
 // recordResponse records a response from a store.
-func (t *replicaTracker) recordResponse(store uint64, readsDeltas bool) {
+func (t *replicaTracker) recordResponse(store uint64, supportsDeltas bool) {
 	peer := t.peer(store)
 	peer.missedRounds = 0
-	peer.readsDeltas = peer.readsDeltas || readsDeltas
+	peer.supportsDeltas = peer.supportsDeltas || supportsDeltas
 }
 
 // recordMissedVotes records the voters that hadn't voted when a round ended.
@@ -70,16 +70,16 @@
 		peer := t.peer(v.ID)
 		peer.missedRounds++
 		if peer.missedRounds >= maxMissedRounds {
-			peer.readsDeltas = false
+			peer.supportsDeltas = false
 		}
 	}
 }
 
-// allowWholeValue reports whether a large value may be sent now, and if so records the time.
-func (p *peerState) allowWholeValue(now ids.Time) bool {
-	if p.missedRounds > 0 && p.lastWholeValueAt != 0 && now.Sub(p.lastWholeValueAt) < wholeValueInterval {
+// allowFullValue reports whether a large value may be sent now, and if so records the time.
+func (p *peerState) allowFullValue(now ids.Time) bool {
+	if p.missedRounds > 0 && p.lastFullValueAt != 0 && now.Sub(p.lastFullValueAt) < fullValueInterval {
 		return false
 	}
-	p.lastWholeValueAt = now
+	p.lastFullValueAt = now
 	return true
 }
--- a/internal/state/consensus/retry.go
+++ b/internal/state/consensus/retry.go
@@ -58,9 +58,9 @@
 	return minBackoff + time.Duration(p.random.Int64N(int64(span)))
 }
 
-// retryTimeout returns how long a round waits for responses before it resends its messages.
+// resendDelay returns how long a round waits for responses before it resends its messages.
 // Promises carry the register's value, whose size is only known if it is cached.
-func (p *Proposer) retryTimeout(r *round) time.Duration {
+func (p *Proposer) resendDelay(r *round) time.Duration {
 	size := len(r.value)
 	if r.phase == preparing {
 		size = len(p.cachedValues[r.key].value)
--- a/internal/state/consensus/round.go
+++ b/internal/state/consensus/round.go
@@ -168,7 +168,7 @@
 
 // sendPhaseRequests sends the phase's request to the voters that haven't responded to it.
 func (p *Proposer) sendPhaseRequests(now ids.Time, r *round) {
-	r.resendAt = now.Add(p.retryTimeout(r))
+	r.resendAt = now.Add(p.resendDelay(r))
 	set := p.voterSet()
 	for _, v := range set.AllVoters() {
 		switch r.phase {
--- a/internal/state/consensus/round_answers.go
+++ b/internal/state/consensus/round_answers.go
@@ -95,7 +95,7 @@
 		return
 	}
 	if m.NeedsWholeValue {
-		p.sendWholeValue(now, r, m.Store)
+		p.sendFullValue(now, r, m.Store)
 		return
 	}
 	if !m.OK {
@@ -109,7 +109,7 @@
 		return
 	}
 	if r.phase == accepting {
-		p.valueChosen(now, r)
+		p.handleChosen(now, r)
 	}
 	// Idempotency keys don't wait for all replicas: a new voter copies from a majority.
 	if isIdempotencyKey(r.key) || p.votedByAllReachable(r) {
@@ -117,8 +117,8 @@
 	}
 }
 
-// valueChosen moves a round whose value was chosen to the replicating phase.
-func (p *Proposer) valueChosen(now ids.Time, r *round) {
+// handleChosen moves a round whose value was chosen to the replicating phase.
+func (p *Proposer) handleChosen(now ids.Time, r *round) {
 	r.phase, r.startedAt = replicating, now
 	p.cachePromisedBallot(r)
 	p.cacheValue(r.key, r.ballot, r.value)
--- a/internal/state/consensus/stored_register.go
+++ b/internal/state/consensus/stored_register.go
@@ -76,22 +76,22 @@
 // decodeWithChecksum decodes a record. A missing checksum is an error unless optional,
 // as it is for bases of earlier versions.
 func decodeWithChecksum[T any](raw []byte, checksumOptional bool) (T, error) {
-	var none T
+	var zero T
 	size, err := wire.FrameSize(raw)
 	if err != nil {
-		return none, err
+		return zero, err
 	}
 	switch {
 	case len(raw) == size+checksumSize:
 		if binary.BigEndian.Uint32(raw[size:]) != delta.Checksum(raw[:size]) {
-			return none, errs.Wrap(ErrChecksumMismatch, "read record", "")
+			return zero, errs.Wrap(ErrChecksumMismatch, "read record", "")
 		}
 	case len(raw) != size || !checksumOptional:
-		return none, errs.Wrap(ErrTruncated, "read record", "")
+		return zero, errs.Wrap(ErrTruncated, "read record", "")
 	}
 	msg, ok := decodeMessage[T](raw)
 	if !ok {
-		return none, errs.Wrap(ErrUnknownFormat, "read record", "")
+		return zero, errs.Wrap(ErrUnknownFormat, "read record", "")
 	}
 	return msg, nil
 }
@@ -153,9 +153,9 @@
 	return nil
 }
 
-// recordsFor sets the register to its next state and returns the records that persist it:
+// advanceTo sets the register to its next state and returns the records that persist it:
 // either one change, or a new base and the deletion of all changes to the old one.
-func (r *storedRegister) recordsFor(key ids.RegisterKey, next RegisterState) ([]event.Record, error) {
+func (r *storedRegister) advanceTo(key ids.RegisterKey, next RegisterState) ([]event.Record, error) {
 	if change, ok := r.changeTo(next); ok {
 		raw, err := encodeWithChecksum(change)
 		if r.changeBytes+len(raw) <= len(next.Value) || r.changeCount == 0 {
--- a/internal/state/consensus/value_delta.go
+++ b/internal/state/consensus/value_delta.go
@@ -12,8 +12,8 @@
 type valueDelta struct {
 	baseBallot ids.Ballot
 	delta      []byte
-	// wholeSentTo holds the ids of stores that requested the full value.
-	wholeSentTo map[uint64]bool
+	// fullValueSentTo holds the ids of stores that requested the full value.
+	fullValueSentTo map[uint64]bool
 }
 
 // computeDelta returns the delta from the round's old value to its new one. It is zero if a
@@ -25,25 +25,25 @@
 	if r.firstValue || small || !bytes.Equal(base.value, old) {
 		return valueDelta{}
 	}
-	difference := delta.Diff(old, r.value)
-	if len(difference) > len(r.value)/2 {
+	encoded := delta.Diff(old, r.value)
+	if len(encoded) > len(r.value)/2 {
 		return valueDelta{}
 	}
-	return valueDelta{base.ballot, difference, map[uint64]bool{}}
+	return valueDelta{base.ballot, encoded, map[uint64]bool{}}
 }
 
 // sendAccept asks a store to accept the round's value. It sends a delta if there is one and
 // the store supports it, and the full value otherwise.
 func (p *Proposer) sendAccept(now ids.Time, to Voter, r *round, voterSetNumber uint64) {
 	peer := p.peer(to.ID)
-	if r.delta != nil && peer.readsDeltas && !r.wholeSentTo[to.ID] {
+	if r.delta != nil && peer.supportsDeltas && !r.fullValueSentTo[to.ID] {
 		p.out.Send(to.Address, AcceptDelta{
 			Key: r.key, Ballot: r.ballot, NextBallot: r.nextBallot, VoterSetNumber: voterSetNumber,
 			Round: r.id, BaseBallot: r.baseBallot, Delta: r.delta,
 		})
 		return
 	}
-	if len(r.value) < largeValueSize || peer.allowWholeValue(now) {
+	if len(r.value) < largeValueSize || peer.allowFullValue(now) {
 		p.out.Send(to.Address, Accept{
 			Key: r.key, Ballot: r.ballot, NextBallot: r.nextBallot, VoterSetNumber: voterSetNumber,
 			Round: r.id, Value: r.value, FirstValue: r.firstValue,
@@ -51,13 +51,13 @@
 	}
 }
 
-// sendWholeValue sends the full value to a store that doesn't hold the delta's base, at most
+// sendFullValue sends the full value to a store that doesn't hold the delta's base, at most
 // once per round.
-func (p *Proposer) sendWholeValue(now ids.Time, r *round, store uint64) {
-	if r.wholeSentTo == nil || r.wholeSentTo[store] {
+func (p *Proposer) sendFullValue(now ids.Time, r *round, store uint64) {
+	if r.fullValueSentTo == nil || r.fullValueSentTo[store] {
 		return
 	}
-	r.wholeSentTo[store] = true
+	r.fullValueSentTo[store] = true
 	set := p.voterSet()
 	if v, ok := set.Voter(store); ok {
 		p.sendAccept(now, v, r, set.Number)
