--- a/internal/state/consensus/client.go
+++ b/internal/state/consensus/client.go
@@ -72,7 +72,7 @@
 // ReadIfChanged reads a register for a caller that holds a value with the given Checksum. If
 // the value is unchanged, the store doesn't send it and onComplete receives knownValue.
 func (c *Client) ReadIfChanged(now ids.Time, key ids.RegisterKey, knownValue []byte, checksum uint64, timeout time.Duration, onComplete func(ids.Time, Outcome, []byte)) CallID {
-	return c.call(now, Request{Key: key, Op: Read, HaveChecksum: checksum}, knownValue, timeout, onComplete)
+	return c.call(now, Request{Key: key, Op: Read, KnownChecksum: checksum}, knownValue, timeout, onComplete)
 }
 
 func (c *Client) call(now ids.Time, request Request, knownValue []byte, timeout time.Duration, onComplete func(ids.Time, Outcome, []byte)) CallID {
--- a/internal/state/consensus/messages.go
+++ b/internal/state/consensus/messages.go
@@ -138,9 +138,9 @@
 	// Attempt is the number of this attempt to send the request, starting at 1. Each
 	// Response refers to a single attempt.
 	Attempt uint32
-	// HaveChecksum is the Checksum of the value that the client holds, 0 for none. If a
+	// KnownChecksum is the Checksum of the value that the client holds, 0 for none. If a
 	// read returns the same value, the Response omits it.
-	HaveChecksum uint64
+	KnownChecksum uint64
 }
 
 // Response is the response to a Request.
--- a/internal/state/consensus/round.go
+++ b/internal/state/consensus/round.go
@@ -191,7 +191,7 @@
 func (p *Proposer) finishRound(now ids.Time, r *round) {
 	for _, request := range r.batch {
 		response := Response{ID: request.ID, Attempt: request.Attempt, Outcome: Succeeded, Result: request.result}
-		if request.Op == Read && request.HaveChecksum != 0 && request.HaveChecksum == Checksum(request.result) {
+		if request.Op == Read && request.KnownChecksum != 0 && request.KnownChecksum == Checksum(request.result) {
 			response.Result, response.Unchanged = nil, true
 		}
 		p.out.Send(request.from, response)
--- a/internal/state/consensus/value_cache.go
+++ b/internal/state/consensus/value_cache.go
@@ -77,7 +77,7 @@
 }
 
 // Checksum returns the checksum that identifies the value held by a client
-// (Request.HaveChecksum). It is never 0, which means no value.
+// (Request.KnownChecksum). It is never 0, which means no value.
 func Checksum(value []byte) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write(value) // hash.Hash never returns an error
--- a/internal/testsupport/compat/messages_test.go
+++ b/internal/testsupport/compat/messages_test.go
@@ -70,7 +70,7 @@
 		VoterSet: consensus.VoterSet{Number: 4294967297, Voters: []consensus.Voter{{ID: 4294967298, Address: "text-3"}, {ID: 4294967300, Address: "text-5"}}, Incoming: []consensus.Voter{{ID: 4294967302, Address: "text-7"}, {ID: 4294967304, Address: "text-9"}}, LossCount: 4294967306, Learners: []uint64{4294967307, 4294967308}, Previous: []consensus.Voter{{ID: 4294967309, Address: "text-14"}, {ID: 4294967311, Address: "text-16"}}},
 	},
 	consensus.Request{
-		ID: 4294967297, Key: "text-2", Op: 3, Arg: []uint8{4, 5}, TimeoutMillis: 65542, Attempt: 65543, HaveChecksum: 4294967304,
+		ID: 4294967297, Key: "text-2", Op: 3, Arg: []uint8{4, 5}, TimeoutMillis: 65542, Attempt: 65543, KnownChecksum: 4294967304,
 	},
 	consensus.Response{
 		ID: 4294967297, Outcome: 2, Result: []uint8{3, 4}, Attempt: 65541, Unchanged: false,
