--- a/internal/state/consensus/acceptor.go
+++ b/internal/state/consensus/acceptor.go
@@ -95,7 +95,7 @@
 	promise := Promise{
 		Key: m.Key, Store: a.storeID, Round: m.Round, VoterSetNumber: m.VoterSetNumber,
 		Promised: state.Promised, Accepted: state.Accepted, Value: state.Value,
-		ReadsDeltas: len(state.Value) >= minDeltaValueSize,
+		SupportsDeltas: len(state.Value) >= minDeltaValueSize,
 	}
 	if !m.KnownBallot.IsZero() && m.KnownBallot == state.Accepted {
 		promise.Value, promise.MatchesKnown = nil, true
--- a/internal/state/consensus/messages.go
+++ b/internal/state/consensus/messages.go
@@ -35,8 +35,8 @@
 	Value    []byte
 	// MatchesKnown is set if Value is omitted because it was accepted under KnownBallot.
 	MatchesKnown bool
-	// ReadsDeltas is set if this store supports AcceptDelta.
-	ReadsDeltas bool
+	// SupportsDeltas is set if this store supports AcceptDelta.
+	SupportsDeltas bool
 }
 
 // Accept asks an acceptor to accept a value and to promise NextBallot, so that the
@@ -66,7 +66,7 @@
 	OK bool
 	// Promised is the highest ballot that the acceptor has promised.
 	Promised ids.Ballot
-	// ReadsDeltas is set if this store supports AcceptDelta.
+	// SupportsDeltas is set if this store supports AcceptDelta.
 	ReadsDeltas bool
 	// NeedsWholeValue is set if this store doesn't hold the delta's base and requests an
 	// Accept instead.
--- a/internal/state/consensus/round_answers.go
+++ b/internal/state/consensus/round_answers.go
@@ -5,7 +5,7 @@
 // HandlePromise handles an acceptor's response to a Prepare. The caller must have verified
 // that it came from m.Store.
 func (p *Proposer) HandlePromise(now ids.Time, m Promise) {
-	p.recordResponse(m.Store, m.ReadsDeltas)
+	p.recordResponse(m.Store, m.SupportsDeltas)
 	p.catchUp(now, m)
 	r := p.rounds[m.Key]
 	if r == nil || r.id != m.Round || (r.phase != reading && r.phase != preparing) || m.VoterSetNumber != p.voterSet().Number {
--- a/internal/testsupport/compat/messages_test.go
+++ b/internal/testsupport/compat/messages_test.go
@@ -56,7 +56,7 @@
 	consensus.Promise{
 		Key: "text-1", Store: 4294967298, Round: 4294967299, VoterSetNumber: 4294967300,
 		Promised: ids.Ballot{Counter: 4294967301, Proposer: 4294967302}, Accepted: ids.Ballot{Counter: 4294967303, Proposer: 4294967304},
-		Value: []uint8{9, 10}, MatchesKnown: true, ReadsDeltas: false,
+		Value: []uint8{9, 10}, MatchesKnown: true, SupportsDeltas: false,
 	},
 	consensus.Accept{
 		Key: "text-1", Ballot: ids.Ballot{Counter: 4294967298, Proposer: 4294967299}, NextBallot: ids.Ballot{Counter: 4294967300, Proposer: 4294967301},
