--- a/internal/state/consensus/acceptor.go
+++ b/internal/state/consensus/acceptor.go
@@ -122,7 +122,7 @@
 	}
 	vote := Accepted{
 		Key: m.Key, Store: a.storeID, Round: m.Round, VoterSetNumber: m.VoterSetNumber,
-		OK: ok, Promised: state.Promised, ReadsDeltas: len(m.Value) >= minDeltaValueSize,
+		OK: ok, Promised: state.Promised, SupportsDeltas: len(m.Value) >= minDeltaValueSize,
 	}
 	if !ok || duplicate {
 		a.AfterSync(event.Send{To: from, Message: vote})
@@ -153,7 +153,7 @@
 	if state.Accepted != m.BaseBallot || err != nil {
 		a.AfterSync(event.Send{To: from, Message: Accepted{
 			Key: m.Key, Store: a.storeID, Round: m.Round, VoterSetNumber: m.VoterSetNumber,
-			Promised: state.Promised, ReadsDeltas: true, NeedsWholeValue: true,
+			Promised: state.Promised, SupportsDeltas: true, NeedsWholeValue: true,
 		}})
 		return
 	}
--- a/internal/state/consensus/messages.go
+++ b/internal/state/consensus/messages.go
@@ -67,7 +67,7 @@
 	// Promised is the highest ballot that the acceptor has promised.
 	Promised ids.Ballot
 	// SupportsDeltas is set if this store supports AcceptDelta.
-	ReadsDeltas bool
+	SupportsDeltas bool
 	// NeedsWholeValue is set if this store doesn't hold the delta's base and requests an
 	// Accept instead.
 	NeedsWholeValue bool
--- a/internal/state/consensus/round_answers.go
+++ b/internal/state/consensus/round_answers.go
@@ -89,7 +89,7 @@
 // HandleAccepted handles an acceptor's response to an Accept. The caller must have verified
 // that it came from m.Store.
 func (p *Proposer) HandleAccepted(now ids.Time, m Accepted) {
-	p.recordResponse(m.Store, m.ReadsDeltas)
+	p.recordResponse(m.Store, m.SupportsDeltas)
 	r := p.rounds[m.Key]
 	if r == nil || r.id != m.Round || (r.phase != accepting && r.phase != replicating) || m.VoterSetNumber != p.voterSet().Number {
 		return
--- a/internal/state/consensus/value_delta_test.go
+++ b/internal/state/consensus/value_delta_test.go
@@ -45,7 +45,7 @@
 			to.deliver(now, from, m)
 		}
 	case Accepted:
-		m.ReadsDeltas = m.ReadsDeltas && from != n.earlierVersion
+		m.SupportsDeltas = m.SupportsDeltas && from != n.earlierVersion
 		to.deliver(now, from, m)
 	default:
 		to.deliver(now, from, m)
