--- a/internal/state/consensus/acceptor.go
+++ b/internal/state/consensus/acceptor.go
@@ -153,7 +153,7 @@
 	if state.Accepted != m.BaseBallot || err != nil {
 		a.AfterSync(event.Send{To: from, Message: Accepted{
 			Key: m.Key, Store: a.storeID, Round: m.Round, VoterSetNumber: m.VoterSetNumber,
-			Promised: state.Promised, SupportsDeltas: true, NeedsWholeValue: true,
+			Promised: state.Promised, SupportsDeltas: true, NeedsFullValue: true,
 		}})
 		return
 	}
--- a/internal/state/consensus/acceptor_test.go
+++ b/internal/state/consensus/acceptor_test.go
@@ -55,7 +55,7 @@
 			answer := commands[0].(event.Sync)
 			is.Equal(len(answer.Records), 0)
 			vote := answer.After[0].(event.Send).Message.(Accepted)
-			is.True(!vote.OK && vote.NeedsWholeValue)
+			is.True(!vote.OK && vote.NeedsFullValue)
 			ballot, got := b.AcceptedValue("policy")
 			is.Equal(ballot, held)
 			is.True(bytes.Equal(got, value))
--- a/internal/state/consensus/lossy_network_test.go
+++ b/internal/state/consensus/lossy_network_test.go
@@ -94,7 +94,7 @@
 // deliver hands a message to its store, and counts what became of a delta.
 func (l *lossyNetwork) deliver(from ids.Address, c event.Send) {
 	to := l.stores[c.To]
-	if vote, ok := c.Message.(Accepted); ok && vote.NeedsWholeValue {
+	if vote, ok := c.Message.(Accepted); ok && vote.NeedsFullValue {
 		l.wholeValueRequests++
 	}
 	v, ok := c.Message.(AcceptDelta)
--- a/internal/state/consensus/messages.go
+++ b/internal/state/consensus/messages.go
@@ -68,14 +68,14 @@
 	Promised ids.Ballot
 	// SupportsDeltas is set if this store supports AcceptDelta.
 	SupportsDeltas bool
-	// NeedsWholeValue is set if this store doesn't hold the delta's base and requests an
+	// NeedsFullValue is set if this store doesn't hold the delta's base and requests an
 	// Accept instead.
-	NeedsWholeValue bool
+	NeedsFullValue bool
 }
 
 // AcceptDelta is an Accept whose value is encoded as a delta from the value accepted under
 // BaseBallot. An acceptor that holds this base handles it like the equivalent Accept; any
-// other changes nothing and responds with NeedsWholeValue.
+// other changes nothing and responds with NeedsFullValue.
 type AcceptDelta struct {
 	Key            ids.RegisterKey
 	Ballot         ids.Ballot
--- a/internal/state/consensus/round_answers.go
+++ b/internal/state/consensus/round_answers.go
@@ -94,7 +94,7 @@
 	if r == nil || r.id != m.Round || (r.phase != accepting && r.phase != replicating) || m.VoterSetNumber != p.voterSet().Number {
 		return
 	}
-	if m.NeedsWholeValue {
+	if m.NeedsFullValue {
 		p.sendFullValue(now, r, m.Store)
 		return
 	}
--- a/internal/testsupport/compat/messages_test.go
+++ b/internal/testsupport/compat/messages_test.go
@@ -64,7 +64,7 @@
 	},
 	consensus.Accepted{
 		Key: "text-1", Store: 4294967298, Round: 4294967299, VoterSetNumber: 4294967300, OK: true,
-		Promised: ids.Ballot{Counter: 4294967302, Proposer: 4294967303}, SupportsDeltas: false, NeedsWholeValue: true,
+		Promised: ids.Ballot{Counter: 4294967302, Proposer: 4294967303}, SupportsDeltas: false, NeedsFullValue: true,
 	},
 	consensus.VoterSetUpdate{
 		VoterSet: consensus.VoterSet{Number: 4294967297, Voters: []consensus.Voter{{ID: 4294967298, Address: "text-3"}, {ID: 4294967300, Address: "text-5"}}, Incoming: []consensus.Voter{{ID: 4294967302, Address: "text-7"}, {ID: 4294967304, Address: "text-9"}}, LossCount: 4294967306, Learners: []uint64{4294967307, 4294967308}, Previous: []consensus.Voter{{ID: 4294967309, Address: "text-14"}, {ID: 4294967311, Address: "text-16"}}},
