--- a/internal/controlplane/registry/configuration.go
+++ b/internal/controlplane/registry/configuration.go
@@ -157,7 +157,7 @@
 	state := &r.configuration
 	state.readPending = true
 	state.nextRead = now.Add(pollInterval)
-	if r.options.Incremental && !r.Client.HadSilentStore(now) {
+	if r.options.Incremental && !r.Client.HadUnresponsiveStore(now) {
 		state.nextRead = now.Add(incrementalPollInterval)
 	}
 	r.Client.ReadIfChanged(now, configuration.Key, state.registerValue, state.registerChecksum, pollTimeout, func(_ ids.Time, outcome consensus.Outcome, value []byte) {
--- a/internal/state/consensus/client_attempts.go
+++ b/internal/state/consensus/client_attempts.go
@@ -60,9 +60,9 @@
 	}
 }
 
-// HadSilentStore reports whether a store was marked as unresponsive within the last two
+// HadUnresponsiveStore reports whether a store was marked as unresponsive within the last two
 // unresponsivePenalty periods and hasn't responded since.
-func (c *Client) HadSilentStore(now ids.Time) bool {
+func (c *Client) HadUnresponsiveStore(now ids.Time) bool {
 	for _, until := range c.unresponsiveUntil {
 		if now < until.Add(unresponsivePenalty) {
 			return true
--- a/internal/state/consensus/client_attempts_test.go
+++ b/internal/state/consensus/client_attempts_test.go
@@ -44,7 +44,7 @@
 	if slow > 3 {
 		t.Fatalf("%d of 60 calls waited for the silent store", slow)
 	}
-	if !client.HadSilentStore(now) {
+	if !client.HadUnresponsiveStore(now) {
 		t.Fatal("the silent store is not reported")
 	}
 }
