--- a/internal/controlplane/registry/pending_calls.go
+++ b/internal/controlplane/registry/pending_calls.go
@@ -95,7 +95,7 @@
 			continue
 		}
 		if now >= call.deadline && !r.lease.renewedSince(call.arrived) {
-			r.Client.Abandon(now, call.id)
+			r.Client.Cancel(now, call.id)
 			continue
 		}
 		remaining = append(remaining, call)
--- a/internal/state/consensus/client.go
+++ b/internal/state/consensus/client.go
@@ -145,7 +145,7 @@
 		}
 		switch {
 		case now >= call.deadline:
-			c.Abandon(now, CallID(id))
+			c.Cancel(now, CallID(id))
 		case now >= call.retryAt:
 			c.markUnresponsiveStores(now, call)
 			c.send(now, call)
@@ -156,9 +156,9 @@
 // IsPending reports whether a call has no outcome yet.
 func (c *Client) IsPending(id CallID) bool { return c.pending[uint64(id)] != nil }
 
-// Abandon ends a call, possibly before its deadline. The outcome is Rejected only if every
+// Cancel ends a call, possibly before its deadline. The outcome is Rejected only if every
 // attempt was rejected. Otherwise a store may still execute it, so it is Indeterminate.
-func (c *Client) Abandon(now ids.Time, id CallID) {
+func (c *Client) Cancel(now ids.Time, id CallID) {
 	call := c.pending[uint64(id)]
 	if call == nil {
 		return
