--- a/internal/state/consensus/check_disk_test.go
+++ b/internal/state/consensus/check_disk_test.go
@@ -93,7 +93,7 @@
 		want   error
 	}{
 		"altered":        {func(d memorydisk.Disk) { d[base] = flipByte(d[base], len(d[base])-1) }, ErrChecksumMismatch},
-		"cut short":      {func(d memorydisk.Disk) { d[firstChange] = d[firstChange][:len(d[firstChange])-1] }, ErrTruncated},
+		"cut short":      {func(d memorydisk.Disk) { d[firstChange] = d[firstChange][:len(d[firstChange])-1] }, ErrLengthMismatch},
 		"another type":   {func(d memorydisk.Disk) { d[base] = d[firstChange] }, ErrUnknownFormat},
 		"missing change": {func(d memorydisk.Disk) { delete(d, firstChange) }, ErrMissingChange},
 		"missing base":   {func(d memorydisk.Disk) { delete(d, base) }, ErrMissingBase},
--- a/internal/state/consensus/stored_register.go
+++ b/internal/state/consensus/stored_register.go
@@ -22,8 +22,8 @@
 var (
 	// ErrChecksumMismatch means that a record on disk doesn't match its checksum.
 	ErrChecksumMismatch = errors.New("checksum mismatch")
-	// ErrTruncated means that a record on disk is longer or shorter than its header says.
-	ErrTruncated = errors.New("record length mismatch")
+	// ErrLengthMismatch means that a record on disk is longer or shorter than its header says.
+	ErrLengthMismatch = errors.New("record length mismatch")
 	// ErrUnknownFormat means that an intact record on disk isn't of the expected type.
 	ErrUnknownFormat = errors.New("unknown record format")
 	// ErrMissingChange means that an earlier change is missing on disk.
@@ -87,7 +87,7 @@
 			return zero, errs.Wrap(ErrChecksumMismatch, "read record", "")
 		}
 	case len(raw) != size || !checksumOptional:
-		return zero, errs.Wrap(ErrTruncated, "read record", "")
+		return zero, errs.Wrap(ErrLengthMismatch, "read record", "")
 	}
 	msg, ok := decodeMessage[T](raw)
 	if !ok {
