--- a/internal/state/consensus/catch_up.go
+++ b/internal/state/consensus/catch_up.go
@@ -6,8 +6,8 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// Catch-up brings voters up to date that were unreachable for a while. New stores copy all
-// registers instead (Copier).
+// Catch-up updates voters that were unreachable for a while. New stores copy all registers
+// instead (Copier).
 //
 // A store that returns votes again at once, but holds outdated values until they change, so
 // the latest value has one replica fewer than intended. A proposer that detects such a store
--- a/internal/state/consensus/client.go
+++ b/internal/state/consensus/client.go
@@ -103,8 +103,8 @@
 	c.out.Send(store, call.Request)
 }
 
-// HandleResponse handles the response to an attempt. It discards responses that are late,
-// duplicate, for another run, or from another store than the attempt was sent to.
+// HandleResponse handles the response to an attempt. It discards late and duplicate responses,
+// and those that are for another run or not from the store that the attempt was sent to.
 func (c *Client) HandleResponse(now ids.Time, from ids.Address, m Response) {
 	call := c.pending[m.ID]
 	if call == nil || call.attempts[m.Attempt].store != from {
--- a/internal/state/consensus/round.go
+++ b/internal/state/consensus/round.go
@@ -63,7 +63,7 @@
 	// startedAt is when the round began, or, while replicating, when its value was chosen.
 	startedAt ids.Time
 	resendAt  ids.Time
-	// retryAt is when an idle round may begin anew.
+	// retryAt is when an idle round may begin again.
 	retryAt ids.Time
 	// consecutiveLosses counts consecutive rounds preempted by another proposer's ballot.
 	consecutiveLosses int
--- a/internal/state/consensus/voter_set_ops.go
+++ b/internal/state/consensus/voter_set_ops.go
@@ -144,8 +144,8 @@
 	return encodeVoterSet(old, set)
 }
 
-// replaceVoter adds a learner in place of a voter, unless that would leave too few voters with a
-// complete copy.
+// replaceVoter replaces a voter by a learner, or adds a learner, unless that would leave too few
+// voters with a complete copy.
 func replaceVoter(_ ids.RegisterKey, old, arg []byte) (next, result []byte) {
 	set, ok := decodeMessage[VoterSet](old)
 	request, okArg := decodeMessage[ReplaceRequest](arg)
