--- a/internal/controlplane/store/hello.go
+++ b/internal/controlplane/store/hello.go
@@ -10,23 +10,23 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// helloLifetime is how long a hello counts as a sign that its store is there: four times
-// the interval at which they are sent (voterManagementInterval), as some may be lost.
+// helloLifetime is how long a hello counts as evidence that its store is running. It is
+// four times the sending interval (voterManagementInterval), since hellos may be lost.
 const helloLifetime = 2 * time.Second
 
-// receivedHello is a store's last hello, and when it came.
+// receivedHello is a store's last hello, and when it was received.
 type receivedHello struct {
 	consensus.Hello
 	receivedAt ids.Time
 }
 
-// isRecent reports whether the hello came within its lifetime.
+// isRecent reports whether the hello was received within helloLifetime.
 func (h receivedHello) isRecent(now ids.Time) bool {
 	return now.Sub(h.receivedAt) < helloLifetime
 }
 
-// broadcastHello introduces this store, which has no vote, to the seeds and to every
-// store of the membership list.
+// broadcastHello announces this store, which has no vote, to the seeds and to every store
+// in the membership list.
 func (s *Store) broadcastHello() {
 	voterSet := s.Acceptor.VoterSet()
 	addresses := slices.Clone(s.bootstrapSeeds)
@@ -41,8 +41,8 @@
 	}
 }
 
-// handleHello notes the sender, brings it up to date with the voter set, and answers
-// with a hello of its own unless the hello is an answer itself.
+// handleHello records the hello, sends the voter set to a sender that lacks it, and replies
+// with a hello unless the received one is itself a reply.
 func (s *Store) handleHello(now ids.Time, from ids.Address, m consensus.Hello) {
 	if s.DiskState() == consensus.Replaced {
 		return
@@ -55,7 +55,7 @@
 	case m.VoterSetNumber < voterSet.Number && !m.Blank:
 		s.Send(from, consensus.VoterSetUpdate{VoterSet: voterSet})
 	case m.Blank && voterSet.Number > 0 && !m.IsReply:
-		// A blank store needs the voter set to copy from it and to ask to join it.
+		// A blank store needs the voter set to copy from its voters and to ask to join.
 		s.Send(from, consensus.VoterSetUpdate{VoterSet: voterSet})
 	}
 	if !m.IsReply {
@@ -63,8 +63,8 @@
 	}
 }
 
-// recentStores returns the stores without a vote in the voter set whose hello is
-// recent and meets a condition, in order of their ids.
+// recentStores returns the stores outside the voter set whose hello is recent and meets
+// the condition, sorted by id.
 func (s *Store) recentStores(now ids.Time, condition func(consensus.Hello) bool) []consensus.Voter {
 	voterSet := s.Acceptor.VoterSet()
 	var stores []consensus.Voter
--- a/internal/controlplane/store/log_events.go
+++ b/internal/controlplane/store/log_events.go
@@ -4,13 +4,14 @@
 
 // The log events of a store.
 const (
-	// logDiskStalled and logDiskRecovered: syncs take longer than diskStallTimeout,
-	// and no longer do.
+	// logDiskStalled and logDiskRecovered: a sync has taken longer than diskStallTimeout,
+	// and the stall has ended.
 	logDiskStalled   event.LogEvent = "disk_stalled"
 	logDiskRecovered event.LogEvent = "disk_recovered"
 	// logVoterSetAdopted: this store has adopted a newer voter set.
 	logVoterSetAdopted event.LogEvent = "voter_set_adopted"
-	// logBootstrapWaiting: this blank store proposes no first voter set, and why.
+	// logBootstrapWaiting: this blank store does not propose a first voter set; the
+	// reason is given.
 	logBootstrapWaiting event.LogEvent = "bootstrap_waiting"
 	// logBootstrapRejected: a seed has rejected this store's proposal.
 	logBootstrapRejected event.LogEvent = "bootstrap_rejected"
@@ -18,15 +19,15 @@
 	logBootstrapCompleted event.LogEvent = "bootstrap_completed"
 	// logCopyCompleted: this store has copied all registers and may vote.
 	logCopyCompleted event.LogEvent = "copy_completed"
-	// logDepartureWaiting: this store is to end, and is still needed.
+	// logDepartureWaiting: this store was told to stop, and is still needed.
 	logDepartureWaiting event.LogEvent = "departure_waiting"
-	// logDepartureEnded: this store's process may end.
+	// logDepartureEnded: this store's process may exit.
 	logDepartureEnded event.LogEvent = "departure_ended"
-	// logRecoveryRejected and logRecoveryStarted answer an operator's request.
+	// logRecoveryRejected and logRecoveryStarted: an operator's request to recover was
+	// rejected or accepted.
 	logRecoveryRejected event.LogEvent = "recovery_rejected"
 	logRecoveryStarted  event.LogEvent = "recovery_started"
-	// logConfigurationRestored: a recovery has taken over a proxy's newer
-	// configuration.
+	// logConfigurationRestored: a recovery has adopted a proxy's newer configuration.
 	logConfigurationRestored event.LogEvent = "configuration_restored"
 	// logTotalLossRecovered: a recovery has formed a new first voter set.
 	logTotalLossRecovered event.LogEvent = "total_loss_recovered"
--- a/internal/controlplane/store/member_cache.go
+++ b/internal/controlplane/store/member_cache.go
@@ -9,24 +9,23 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// memberCache is the state of the membership list's copy on the disk. The seeds are
-// set once, while machines with stores are replaced one by one. Without the copy a
-// fleet whose first three such machines are gone could not find itself after a
-// restart of everything.
+// memberCache tracks the copy of the membership list on disk. The configured seeds go
+// stale as machines with stores are replaced one by one. Without the copy, the stores
+// could not find each other after a full restart once all seeds have been replaced.
 type memberCache struct {
-	// savedVersion is the version of the list that was saved last.
+	// savedVersion is the version of the last saved list.
 	savedVersion uint64
 	nextSaveAt   ids.Time
 }
 
 const (
 	memberCacheKey = ids.RegisterKey("meta/roll")
-	// memberCacheInterval is the least time between two saves. It bounds the writes
-	// while the list changes fast; a copy that is a little old serves as well.
+	// memberCacheInterval is the minimum time between two saves. It bounds the write rate
+	// while the list changes quickly.
 	memberCacheInterval = 2 * time.Second
 )
 
-// cachedAddresses returns the addresses of all members of the saved list but this one.
+// cachedAddresses returns the addresses of all members of the saved list except self.
 func cachedAddresses(storage consensus.Storage, self ids.Address) []ids.Address {
 	raw, _ := storage.Get(memberCacheKey)
 	_, msg, err := wire.ReadBytes(raw)
@@ -43,7 +42,7 @@
 	return addresses
 }
 
-// cacheMembersIfDue saves the list if it has changed since the last time.
+// cacheMembersIfDue saves the list if it has changed since the last save.
 func (s *Store) cacheMembersIfDue(now ids.Time) {
 	if now < s.memberCache.nextSaveAt || s.memberCache.savedVersion == s.Version() {
 		return
--- a/internal/controlplane/store/message_check.go
+++ b/internal/controlplane/store/message_check.go
@@ -9,13 +9,12 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// maxBallotCounter is far above the counter of every honest ballot. A ballot at the
-// end of the numbers would keep a register from ever being changed again.
+// maxBallotCounter is the highest accepted ballot counter, far above that of any valid
+// ballot. A ballot near the maximum uint64 would block all later changes of a register.
 const maxBallotCounter = 1 << 62
 
-// discardReason returns why a message must change nothing; empty if it may be
-// handled. It looks at the sender and at what the message claims to answer, before
-// any of it is used.
+// discardReason returns why a message must be discarded, or "" if it may be handled. It
+// checks the sender, and for an answer the request that it refers to.
 func (s *Store) discardReason(from ids.Address, msg any) event.Reason {
 	switch m := msg.(type) {
 	case consensus.Prepare:
@@ -29,7 +28,7 @@
 	case consensus.Accepted:
 		return s.validateVote(from, m.Store, m.VoterSetNumber, m.Round)
 	case consensus.Response:
-		// A store submits its own requests to itself alone.
+		// A store submits its own requests only to itself.
 		if from != s.Self.Address {
 			return event.Unsolicited
 		}
@@ -49,7 +48,7 @@
 	return ""
 }
 
-// validateProposal checks a proposer's question: only stores propose.
+// validateProposal checks a proposer's message: only stores propose.
 func (s *Store) validateProposal(from ids.Address, ballot ids.Ballot) event.Reason {
 	switch {
 	case ballot.Counter > maxBallotCounter:
@@ -60,8 +59,8 @@
 	return ""
 }
 
-// validateVote checks an answer to this store's own proposal: it comes from the
-// voter's own address, and to a round that this run has begun.
+// validateVote checks an answer to this store's own proposal: it must come from the
+// voter's own address, and belong to a round that this run has begun.
 func (s *Store) validateVote(from ids.Address, voterID, voterSetNumber, round uint64) event.Reason {
 	switch {
 	case !s.Acceptor.VoterSet().MatchesSender(from, voterID, voterSetNumber):
@@ -72,7 +71,7 @@
 	return ""
 }
 
-// validateVoterSet checks a voter set that would replace this store's own.
+// validateVoterSet checks a received voter set before it may be adopted.
 func (s *Store) validateVoterSet(from ids.Address, voterSet consensus.VoterSet) event.Reason {
 	switch {
 	case !voterSet.IsValid():
@@ -83,8 +82,8 @@
 	return ""
 }
 
-// isKnownStore reports whether a store is known at an address: as this one, a seed, a
-// voter, by its hello, or as a member.
+// isKnownStore reports whether an address belongs to a known store: this one, a seed, a
+// voter, a store that has sent a hello, or a member.
 func (s *Store) isKnownStore(address ids.Address) bool {
 	if address == s.Self.Address || slices.Contains(s.bootstrapSeeds, address) {
 		return true
--- a/internal/controlplane/store/receive.go
+++ b/internal/controlplane/store/receive.go
@@ -5,11 +5,11 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// receive hands a message to whatever handles its type, or discards it.
+// receive dispatches a message to the handler of its type, or discards it.
 func (s *Store) receive(now ids.Time, from ids.Address, msg any) {
 	if s.disk.stalled && needsDisk(msg) {
-		// Others proceed without this copy. An answer released after the stall would
-		// be out of date.
+		// A quorum can proceed without this replica, and an answer released after the
+		// stall would be stale.
 		return
 	}
 	if reason := s.discardReason(from, msg); reason != "" {
@@ -52,9 +52,9 @@
 	}
 }
 
-// needsDisk reports whether a message asks this store to vote or to serve a page, whose
-// answer waits for the disk. The promise of a BootstrapRequest does so as well, but may be
-// late: the proposer tells by its round whether it still counts.
+// needsDisk reports whether a message asks this store to vote or to serve a page, so that
+// its answer waits for the disk. A BootstrapRequest is excluded: its promise also waits, but
+// may arrive late, since the proposer checks its round.
 func needsDisk(msg any) bool {
 	switch msg.(type) {
 	case consensus.Prepare, consensus.Accept, consensus.AcceptDelta, consensus.PageRequest:
@@ -63,9 +63,9 @@
 	return false
 }
 
-// handleClientRequest proposes what a client asks for. A proposer whose own disk is
-// stalled would only delay the client, and one that was replaced knows no current
-// values; both reject, so that the client tries another store.
+// handleClientRequest submits a client's request to the proposer. A store with a stalled
+// disk would delay the client, and a replaced store has no current values; both reject
+// the request, so that the client tries another store.
 func (s *Store) handleClientRequest(now ids.Time, from ids.Address, m consensus.Request) {
 	if s.disk.stalled || s.DiskState() == consensus.Replaced {
 		s.Send(from, consensus.Response{ID: m.ID, Attempt: m.Attempt, Outcome: consensus.Rejected})
--- a/internal/controlplane/store/store.go
+++ b/internal/controlplane/store/store.go
@@ -13,23 +13,23 @@
 	"dunlinwell/internal/state/idempotency"
 )
 
-// Options are the options of a store.
+// Options configure a store.
 type Options struct {
 	membership.Options
-	// StoreID is the id made with the data folder: a blank disk has a new one.
+	// StoreID is the id created with the data folder. A blank disk has a new one.
 	StoreID uint64
-	// RunNumber counts how often the data folder was opened. Together with StoreID
-	// it makes the ballots of this run unlike those of any other.
+	// RunNumber counts how often the data folder was opened. Together with StoreID it
+	// makes the ballots of this run unique.
 	RunNumber uint64
-	// Random spreads retries; it must not be shared with another machine.
+	// Random is the source of retry jitter. It must not be shared with another machine.
 	Random *rand.Rand
 	// Storage is the disk as of the start; writes are returned by Step as event.Sync.
 	Storage consensus.Storage
-	// Replicas is how many voters there are to be, 3 or more. More than a voter set
-	// has voters, it lets a standby join without another voter being lost.
+	// Replicas is the target number of voters, at least 3. A standby may join without
+	// replacing a voter while the voter set has fewer.
 	Replicas int
 	// Bootstrap permits this store, while it is blank, to take part in forming the
-	// first voter set. The permission is kept on the disk.
+	// first voter set. The permission is persisted.
 	Bootstrap bool
 }
 
@@ -47,7 +47,7 @@
 	lostRecords lostRecordGuard
 }
 
-// New makes a store that continues from what its storage holds.
+// New returns a store that continues from the contents of its storage.
 func New(options Options) *Store {
 	s := &Store{}
 	options.Self.Role, options.Self.Store = membership.Store, options.StoreID
@@ -65,13 +65,13 @@
 	return s
 }
 
-// proposerID names this run of this store in its ballots: 40 bits of the store's
-// id above 24 bits of the run's number.
+// proposerID returns the id of this run of this store in its ballots: the low 40 bits of
+// the store's id above the low 24 bits of the run's number.
 func proposerID(options Options) uint64 {
 	return options.StoreID<<24 | options.RunNumber&0xffffff
 }
 
-// Ops returns the change functions of all registers that stores keep.
+// Ops returns the change functions of all replicated registers.
 func Ops() map[consensus.Op]consensus.ChangeFunc {
 	ops := consensus.VoterSetOps()
 	for op, change := range configuration.Ops() {
@@ -86,17 +86,17 @@
 	return ops
 }
 
-// ReplaceOps replaces the change functions, so that tests can plant a defect.
+// ReplaceOps replaces the change functions, so that tests can inject faults.
 func (s *Store) ReplaceOps(ops map[consensus.Op]consensus.ChangeFunc) { s.SetOps(ops) }
 
-// LocalValue returns this copy's own value of a register. It may be out of date:
-// no majority was asked.
+// LocalValue returns the value of a register in this store's own copy. It may be stale,
+// since no quorum is read.
 func (s *Store) LocalValue(key ids.RegisterKey) []byte {
 	_, value := s.AcceptedValue(key)
 	return value
 }
 
-// Step handles one event and returns the commands that follow from it.
+// Step handles one event and returns the commands to execute for it.
 func (s *Store) Step(now ids.Time, ev event.Event) []event.Command {
 	s.now = now
 	switch e := ev.(type) {
@@ -118,8 +118,8 @@
 	return commands
 }
 
-// tick does what is due by the clock. The order of the calls is that of the
-// messages they send.
+// tick runs the periodic work. The order of the calls determines the order of the
+// messages that they send.
 func (s *Store) tick(now ids.Time) {
 	s.updateDiskStalled(now)
 	s.UpdateSelf(!s.disk.stalled && s.MayVote(), 0)
@@ -132,7 +132,7 @@
 	s.cacheMembersIfDue(now)
 }
 
-// isLive reports whether a store is live and ready, by the membership list.
+// isLive reports whether the membership list has a store as live and ready.
 func (s *Store) isLive(storeID uint64) bool {
 	for _, m := range s.Live(membership.Store) {
 		if m.Store == storeID {
@@ -142,8 +142,8 @@
 	return false
 }
 
-// subscribers returns who is told of a register's new value at once: the live
-// registries, of the configuration.
+// subscribers returns the addresses to notify when a register changes: the live
+// registries for the configuration, none for any other register.
 func (s *Store) subscribers(key ids.RegisterKey) []ids.Address {
 	if key != configuration.Key {
 		return nil
--- a/internal/controlplane/store/voter_set.go
+++ b/internal/controlplane/store/voter_set.go
@@ -12,23 +12,23 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// voterManager is what a store keeps beside the registers to manage the voter set
-// and its own place in it.
+// voterManager is the state with which a store manages the voter set and its own place
+// in it.
 type voterManager struct {
-	// bootstrapSeeds are those of the settings; only they may form the first voter set.
+	// bootstrapSeeds are the configured seeds; only they may form the first voter set.
 	bootstrapSeeds []ids.Address
-	// replicas is how many voters there are to be.
+	// replicas is the target number of voters.
 	replicas int
-	// hellos holds the last hello of each store, by its address.
+	// hellos holds the last hello of each store, by address.
 	hellos map[ids.Address]receivedHello
-	// lastRequestID numbers this store's own requests on the voter set.
+	// lastRequestID is the id of the last request that this store made on the voter set.
 	lastRequestID uint64
-	// nextManageAt is when the next turn of management (manageVoters) is due.
+	// nextManageAt is when manageVoters is due next.
 	nextManageAt ids.Time
-	// lastQuorumReadAt is when this store last read the voter set from a majority;
-	// 0 if it never did in this run.
+	// lastQuorumReadAt is when this store last read or changed the voter set through a
+	// majority; 0 if it has not in this run.
 	lastQuorumReadAt ids.Time
-	// silentSince is since when each voter that isn't live has been silent, by id.
+	// silentSince is when each silent voter was first found not to be live, by id.
 	silentSince map[uint64]ids.Time
 	// retireOrdered is set once Retire was emitted.
 	retireOrdered bool
@@ -39,16 +39,16 @@
 	recovery  recoveryState
 }
 
-// voterManagementInterval is how often a store looks after the voter set: several
-// times within helloLifetime and silentVoterTimeout.
+// voterManagementInterval is the time between two calls of manageVoters. It is a fraction
+// of helloLifetime and of silentVoterTimeout.
 const voterManagementInterval = 500 * time.Millisecond
 
 func newVoterManager(seeds []ids.Address) voterManager {
 	return voterManager{bootstrapSeeds: seeds, hellos: map[ids.Address]receivedHello{}, silentSince: map[uint64]ids.Time{}}
 }
 
-// manageVoters is one turn of management: bootstrap or recovery while there is no voter
-// set, recovery or repair of the voter set after.
+// manageVoters periodically manages the voter set: bootstrap or recovery while there is
+// none, recovery or repair once there is one.
 func (s *Store) manageVoters(now ids.Time) {
 	if now < s.nextManageAt {
 		return
@@ -65,14 +65,14 @@
 		s.broadcastHello()
 	}
 	s.recoverIfDue(now)
-	// Reading the voter set finishes a change whose proposer died half way.
+	// Reading the voter set completes a change whose proposer failed half-way.
 	s.submitVoterSetRequest(consensus.Read, nil)
 	s.repairVoterSet(now, voterSet)
 }
 
-// managementInterval returns the time until the next turn. In fleets with
-// incremental membership, a voter of a complete voter set that isn't changing takes
-// twice as long: it reads only to notice a store that joins.
+// managementInterval returns the time until the next call of manageVoters. It is doubled
+// for a voter of a complete voter set that isn't changing, in clusters with incremental
+// membership: such a voter reads the voter set only to notice a store that joins.
 func (s *Store) managementInterval(voterSet consensus.VoterSet) time.Duration {
 	isChanging := voterSet.Number == 0 || len(voterSet.Incoming) > 0
 	isComplete := voterSet.HasVoter(s.StoreID()) && len(voterSet.Voters) >= s.replicas
@@ -82,17 +82,17 @@
 	return voterManagementInterval
 }
 
-// voterSetRequestTimeout is how long a request of this store on the voter set may
-// take. Every turn of management makes a new one, so that a lost one is no loss.
+// voterSetRequestTimeout bounds a request of this store on the voter set. One that fails
+// needs no retry, since manageVoters makes a new one each time.
 const voterSetRequestTimeout = 2 * time.Second
 
-// submitVoterSetRequest asks this very store to read or change the voter set's
-// register; handleOwnResponse receives the answer. A nil argument is none.
+// submitVoterSetRequest submits a read or change of the voter set's register to this
+// store's own proposer; handleOwnResponse receives the response. The argument may be nil.
 func (s *Store) submitVoterSetRequest(op consensus.Op, argument any) {
 	var raw []byte
 	if argument != nil {
-		// Only messages registered with the wire format come here; if one couldn't be
-		// encoded, the empty argument would leave the voter set as it is.
+		// All arguments are registered with the wire format. If encoding failed, the empty
+		// argument would leave the voter set unchanged.
 		raw, _ = wire.Encode(argument)
 	}
 	s.lastRequestID++
@@ -102,7 +102,7 @@
 	})
 }
 
-// handleOwnResponse adopts the voter set that a majority has agreed on.
+// handleOwnResponse adopts the voter set in the response to this store's own request.
 func (s *Store) handleOwnResponse(now ids.Time, m consensus.Response) {
 	voterSet, ok := consensus.DecodeVoterSet(m.Result)
 	if !ok || m.Outcome != consensus.Succeeded {
@@ -118,11 +118,11 @@
 }
 
 // adoptAndForwardVoterSet adopts a voter set if it is newer than this store's, restarts the
-// rounds under way and passes it on to the voters of both.
+// rounds in progress, and forwards it to the voters of the old and the new set.
 func (s *Store) adoptAndForwardVoterSet(now ids.Time, voterSet consensus.VoterSet) {
 	previous := s.Acceptor.VoterSet()
-	// A blank member of the initial voter set also needs the values that the voter
-	// set was formed with: only the Bootstrap message has them.
+	// A blank member of the initial voter set also needs the values that the voter set was
+	// formed with, which only the Bootstrap message contains.
 	if previous.Number == 0 && voterSet.IsInitial() && voterSet.HasVoter(s.StoreID()) {
 		return
 	}
@@ -141,8 +141,8 @@
 	}
 }
 
-// liveVoters returns the ids of the voters that are live by the membership list,
-// with this store's own if it is one.
+// liveVoters returns the ids of the voters that the membership list has as live, and this
+// store's own id if it is a voter.
 func (s *Store) liveVoters(voterSet consensus.VoterSet) map[uint64]bool {
 	live := map[uint64]bool{}
 	for _, m := range s.Live(membership.Store) {
@@ -156,11 +156,11 @@
 	return live
 }
 
-// isCurrentVoter reports whether a store is among the voters of a voter set other
-// than those that a joint one brings in.
+// isCurrentVoter reports whether a store is in VoterSet.Voters, not counting the incoming
+// voters of a joint voter set.
 func isCurrentVoter(voterSet consensus.VoterSet, storeID uint64) bool {
 	return slices.ContainsFunc(voterSet.Voters, func(v consensus.Voter) bool { return v.ID == storeID })
 }
 
-// formatUint writes a number for a field of the log.
+// formatUint formats a number for a log field.
 func formatUint(n uint64) string { return strconv.FormatUint(n, 10) }
