--- a/internal/controlplane/store/learner.go
+++ b/internal/controlplane/store/learner.go
@@ -9,46 +9,46 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// learner is the state of a store that copies what the voters hold, since its disk isn't
-// complete. It begins as soon as it knows the voter set, whether or not there is room
-// for another voter, and may vote once its copy is complete under a voter set that it
-// belongs to. (VoterSet.Learners are only those that belong to it already.)
+// learner is the state of a store that copies the voters' registers because its own disk
+// isn't complete. Copying begins once the voter set is known, even if it needs no further
+// voter. The store may vote once its copy is complete under a voter set that it belongs
+// to. (VoterSet.Learners lists only the learners that already belong to the voter set.)
 type learner struct {
 	consensus.Copier
-	// pageRequests is the last request to each voter, by the voter's id.
+	// pageRequests holds the last request to each voter, by the voter's id.
 	pageRequests map[uint64]*pageRequest
-	// nextRequestAt is when this learner next asks for a change of the voter set.
+	// nextRequestAt is when this learner may next request a change of the voter set.
 	nextRequestAt ids.Time
-	// startedAt is when this run began to learn, for the log.
+	// startedAt is when this run began to copy, for the log.
 	startedAt ids.Time
 }
 
-// pageRequest is the last request for a page of records that went to one voter.
+// pageRequest is the last request for a page of records that was sent to one voter.
 type pageRequest struct {
 	sentAt ids.Time
-	// timeout is how long after sentAt the request is sent again.
+	// timeout is the time after sentAt at which the request is sent again.
 	timeout time.Duration
-	// voterSetNumber is that of the voter set in force when it was sent.
+	// voterSetNumber is the number of the voter set when the request was sent.
 	voterSetNumber uint64
 	// passEndedAt is when the last pass over this voter's records ended.
 	passEndedAt ids.Time
 }
 
 const (
-	// learnerRequestInterval is how often a learner asks for a change of the voter
-	// set. A change that was made already is left alone, so that asking is cheap.
+	// learnerRequestInterval is the minimum time between two requests of a learner for a
+	// change of the voter set. A repeated request has no effect.
 	learnerRequestInterval = 100 * time.Millisecond
-	// initialPageTimeout is the time-out of a page's first request; each repetition
-	// doubles it, as a page may take long on a slow link.
+	// initialPageTimeout is the timeout of the first request for a page. Each retry doubles
+	// it, since a page may take long on a slow link.
 	initialPageTimeout = 400 * time.Millisecond
-	// maxPageTimeout bounds the doubling.
+	// maxPageTimeout is the upper bound of the doubled timeout.
 	maxPageTimeout = 8 * time.Second
-	// copyRefreshInterval is the time between two passes over one voter while a voter
-	// is silent: the copy should be recent when it is needed.
+	// copyRefreshInterval is the time between two passes over a voter's records while any
+	// voter is silent, so that the copy is recent when this store replaces that voter.
 	copyRefreshInterval = 2 * time.Second
 )
 
-// tickLearner is the learner's share of each tick.
+// tickLearner runs the learner's periodic work.
 func (s *Store) tickLearner(now ids.Time) {
 	voterSet := s.Acceptor.VoterSet()
 	switch {
@@ -67,8 +67,8 @@
 	}
 }
 
-// reportCopyComplete asks for this store to be counted as a voter with a complete
-// copy, where the voter set doesn't do so yet.
+// reportCopyComplete requests that the voter set count this store as a voter with a
+// complete copy, unless it already does.
 func (s *Store) reportCopyComplete(voterSet consensus.VoterSet) {
 	switch {
 	case slices.Contains(voterSet.Learners, s.StoreID()):
@@ -78,8 +78,8 @@
 	}
 }
 
-// takeLearnerTurn reports whether this store may ask for a change of the voter set
-// now, and if so puts the next time off by learnerRequestInterval.
+// takeLearnerTurn reports whether this store may request a change of the voter set now,
+// and if so defers the next request by learnerRequestInterval.
 func (s *Store) takeLearnerTurn(now ids.Time) bool {
 	if now < s.learner.nextRequestAt {
 		return false
@@ -88,8 +88,8 @@
 	return true
 }
 
-// copyRegisters requests the next page of each voter, or requests one again that is
-// overdue.
+// copyRegisters starts the passes over the voters' records that are needed, and repeats
+// page requests that timed out or were sent under another voter set.
 func (s *Store) copyRegisters(now ids.Time, voterSet consensus.VoterSet) {
 	for _, v := range voterSet.CopySources() {
 		if v.ID == s.StoreID() {
@@ -112,7 +112,7 @@
 	}
 }
 
-// pageRequest returns the last request to a voter; a zero one if there was none.
+// pageRequest returns the last request to a voter, creating an empty one if there is none.
 func (l *learner) pageRequest(voterID uint64) *pageRequest {
 	if l.pageRequests == nil {
 		l.pageRequests = map[uint64]*pageRequest{}
@@ -123,9 +123,9 @@
 	return l.pageRequests[voterID]
 }
 
-// needsCopyPass reports whether another pass over a voter's records is needed. A
-// store that belongs to the voter set needs one that began under it; one that
-// doesn't needs any, and a recent one while a voter is silent.
+// needsCopyPass reports whether another pass over a voter's records is needed. A store in
+// the voter set needs a pass that began under that voter set. A store outside it needs one
+// pass, and refreshes it while a voter is silent.
 func (s *Store) needsCopyPass(now ids.Time, voterID uint64, voterSet consensus.VoterSet) bool {
 	copiedUnder := s.learner.LastPassVoterSet(voterID)
 	if copiedUnder == 0 {
@@ -144,8 +144,8 @@
 	s.Send(v.Address, s.learner.NextRequest(v.ID, voterSetNumber))
 }
 
-// handlePage merges a page of records and requests the next. One that was sent under
-// another voter set is ignored, and so requested again by copyRegisters.
+// handlePage merges a page of records and requests the next one. A page sent under another
+// voter set is ignored; copyRegisters requests it again.
 func (s *Store) handlePage(now ids.Time, m consensus.PageResponse) {
 	voterSet := s.Acceptor.VoterSet()
 	if s.DiskState() != consensus.Blank || m.VoterSetNumber != voterSet.Number || !s.learner.HandlePage(m) {
@@ -168,8 +168,8 @@
 	}
 }
 
-// completeCopyIfDue gives this store its vote once its copy is complete under a voter
-// set that it belongs to.
+// completeCopyIfDue marks the disk complete, which lets this store vote, once its copy is
+// complete under a voter set that it belongs to.
 func (s *Store) completeCopyIfDue(now ids.Time, voterSet consensus.VoterSet) {
 	if !voterSet.HasVoter(s.StoreID()) || !s.learner.IsCompleteFor(voterSet) {
 		return
--- a/internal/controlplane/store/lost_records.go
+++ b/internal/controlplane/store/lost_records.go
@@ -9,19 +9,19 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// recordLossWindow is how long after a loss of disks a retry without an idempotency
-// record is answered "may have run": the record may be among the lost ones.
+// recordLossWindow is how long after a loss of disks a retry without an idempotency record
+// is answered with idempotency.RecordLost, since its record may have been lost.
 const recordLossWindow = 10 * time.Minute
 
-// lostRecordGuard remembers the last loss of disks that the voter set tells of.
+// lostRecordGuard tracks the last loss of disks that the voter set records.
 type lostRecordGuard struct {
-	// lossCount is VoterSet.LossCount as last seen, seenAt when it changed. A restart
-	// of this store begins the window anew.
+	// lossCount is VoterSet.LossCount as last seen, and seenAt when it changed. A restart
+	// of this store restarts the window.
 	lossCount uint64
 	seenAt    ids.Time
 }
 
-// mayHaveLostRecords reports whether records may be missing because of a loss.
+// mayHaveLostRecords reports whether records may be missing because of a recent loss.
 func (g *lostRecordGuard) mayHaveLostRecords(now ids.Time, lossCount uint64) bool {
 	if lossCount != g.lossCount {
 		g.lossCount, g.seenAt = lossCount, now
@@ -29,8 +29,8 @@
 	return lossCount > 0 && now.Sub(g.seenAt) < recordLossWindow
 }
 
-// guardLostRecords wraps the operations that let a request run: for a while after a
-// loss of disks, a retry that finds no record may still have run before.
+// guardLostRecords wraps the operations that allow a request to run. During
+// recordLossWindow they reject a retry without a record, which may already have run.
 func (s *Store) guardLostRecords(ops map[consensus.Op]consensus.ChangeFunc) map[consensus.Op]consensus.ChangeFunc {
 	for _, op := range []consensus.Op{idempotency.OpClaim, idempotency.OpBlock, idempotency.OpNumberAttempt} {
 		change := ops[op]
--- a/internal/controlplane/store/recovery.go
+++ b/internal/controlplane/store/recovery.go
@@ -12,13 +12,13 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// RecoverRequest is an operator's request to continue from this store alone, after a
-// majority of the disks was lost for good, with two blank stores; or, at a blank
-// store, after all of them were lost.
+// RecoverRequest is an operator's request to recover after permanent loss of disks. After
+// the loss of a majority, a surviving store recovers with two blank stores; after the loss
+// of all disks, a blank store does.
 type RecoverRequest struct{ ID uint64 }
 
-// RecoverResponse is the command that answers it. An empty Rejection means that the
-// recovery has begun; a rejection's text is shown to the operator.
+// RecoverResponse is the command that answers a RecoverRequest. An empty Rejection means
+// that the recovery has begun; otherwise its text is shown to the operator.
 type RecoverResponse struct {
 	ID        uint64
 	Rejection string
@@ -26,28 +26,28 @@
 
 // recoveryState is the state of a recovery that an operator requested.
 type recoveryState struct {
-	// dueAt is when the new voter set is made; 0 if no recovery is under way.
+	// dueAt is when the new voter set is to be formed; 0 if no recovery is in progress.
 	dueAt ids.Time
-	// configuration is the newest that a proxy has answered with.
+	// configuration is the newest configuration received from a proxy.
 	configuration consensus.ConfigurationReply
 }
 
 const (
-	// quorumLossTimeout is how long no read of this store may have reached a majority
-	// before a recovery is accepted. Reads are made in every turn of management (manageVoters).
+	// quorumLossTimeout is how long this store must not have reached a majority before a
+	// recovery is accepted. manageVoters reads the voter set on each call.
 	quorumLossTimeout = 3 * time.Second
-	// configurationCollectTime is how long a recovery waits for the proxies to send
-	// the configuration that they hold.
+	// configurationCollectTime is how long a recovery waits for the proxies to send their
+	// configuration.
 	configurationCollectTime = 1500 * time.Millisecond
-	// recoveryNumberStep is how far a recovery raises the number of the voter set,
-	// above any that the lost voters may have reached unseen by this store.
+	// recoveryNumberStep is added to the number of the voter set by a recovery, to exceed
+	// any number that the lost voters may have agreed on without this store.
 	recoveryNumberStep = 1000
-	// recoveryStores is how many other stores a recovery needs.
+	// recoveryStores is the number of other stores that a recovery needs.
 	recoveryStores = 2
 )
 
-// The reasons for which a recovery is rejected. The operator sees them, and documents
-// name them.
+// The reasons for rejecting a recovery. They are shown to the operator and quoted in the
+// documentation, so their texts must not change.
 const (
 	rejectionNoVote           = "this store has no seat in the roster: it holds nothing to go on from"
 	rejectionQuorumReached    = "a majority of the roster is still there"
@@ -55,8 +55,8 @@
 	rejectionTooFewOtherBlank = "two other blank stores must be running first"
 )
 
-// handleRecoverRequest answers the operator, and if the recovery is accepted asks the
-// proxies for the configuration that they hold.
+// handleRecoverRequest answers the operator and, if the recovery is accepted, asks the
+// proxies for their configuration.
 func (s *Store) handleRecoverRequest(now ids.Time, request RecoverRequest) {
 	reason := s.recoveryRejection(now)
 	s.Emit(RecoverResponse{ID: request.ID, Rejection: reason})
@@ -71,8 +71,7 @@
 	}
 }
 
-// recoveryRejection returns why there can be no recovery from this store; empty if
-// there can be one.
+// recoveryRejection returns why this store can't recover, or "" if it can.
 func (s *Store) recoveryRejection(now ids.Time) string {
 	voterSet := s.Acceptor.VoterSet()
 	switch {
@@ -80,8 +79,8 @@
 		return s.totalLossRejection(now)
 	case !voterSet.HasVoter(s.StoreID()):
 		return rejectionNoVote
-	// The membership list can't tell: it takes a majority to declare a member dead.
-	// What counts is whether this store's own reads still reach one.
+	// The membership list is no evidence of a lost majority, since declaring a member dead
+	// takes a majority itself. This store's own reads are used instead.
 	case s.lastQuorumReadAt != 0 && now.Sub(s.lastQuorumReadAt) < quorumLossTimeout && len(voterSet.Voters) > 1:
 		return rejectionQuorumReached
 	case len(s.storesWithoutVote(now)) < recoveryStores:
@@ -90,20 +89,20 @@
 	return ""
 }
 
-// storesWithoutVote returns the stores without a vote that have sent a hello of late.
+// storesWithoutVote returns the stores outside the voter set that recently sent a hello.
 func (s *Store) storesWithoutVote(now ids.Time) []consensus.Voter {
 	return s.recentStores(now, func(consensus.Hello) bool { return true })
 }
 
-// handleConfigurationReply keeps the newest configuration that a proxy holds.
+// handleConfigurationReply keeps the newest configuration received from a proxy.
 func (s *Store) handleConfigurationReply(m consensus.ConfigurationReply) {
 	if m.Revision > s.recovery.configuration.Revision {
 		s.recovery.configuration = m
 	}
 }
 
-// takeDueRecovery reports whether a requested recovery is due, and if so ends the wait
-// for it: the caller must carry it out, or it is dropped.
+// takeDueRecovery reports whether a requested recovery is due, and if so clears the
+// request. The caller must carry the recovery out, or it is dropped.
 func (s *Store) takeDueRecovery(now ids.Time) bool {
 	if s.recovery.dueAt == 0 || now < s.recovery.dueAt {
 		return false
@@ -112,8 +111,8 @@
 	return true
 }
 
-// recoverIfDue makes the new voter set: a joint one of this store alone and of itself
-// with two others, so that those copy before they count.
+// recoverIfDue forms the new voter set when a recovery is due: a joint one from this store
+// alone to this store with two others, so that the others copy before they vote.
 func (s *Store) recoverIfDue(now ids.Time) {
 	if !s.takeDueRecovery(now) || s.recoveryRejection(now) != "" {
 		return
@@ -135,9 +134,9 @@
 	s.adoptAndForwardVoterSet(now, next)
 }
 
-// restoreConfiguration takes the configuration of a proxy over if it is newer than
-// this store's: the lost disks may have agreed to changes that this one never saw,
-// and that proxies apply already.
+// restoreConfiguration adopts the configuration of a proxy if it is newer than this
+// store's. The lost disks may have agreed to changes that this store never received and
+// that proxies already apply.
 func (s *Store) restoreConfiguration() {
 	var own, surviving struct {
 		Revision ids.Revision `json:"revision"`
--- a/internal/controlplane/store/replacement.go
+++ b/internal/controlplane/store/replacement.go
@@ -9,20 +9,19 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// Retire is the command to set this store's data folder aside and to start again as a
-// blank store: another store has replaced this disk.
+// Retire is the command to set the data folder aside and to restart as a blank store,
+// after another store has replaced this one.
 type Retire struct{}
 
-// silentVoterTimeout is how long a voter must have been silent before a store
-// without a vote asks to replace it. A restart takes less, and should not cost a copy
-// of all registers.
+// silentVoterTimeout is how long a voter must have been silent before a store without a
+// vote requests to replace it. It is longer than a restart, which must not cause all
+// registers to be copied.
 const silentVoterTimeout = 3 * time.Second
 
-// repairVoterSet tracks which voters are silent, and asks for the change of the voter set
-// that is this store's to ask for. A lost voter isn't replaced by the other voters: the
-// store that is to take its place asks for that. A joint voter set, which only older
-// versions and recoveries make, is abandoned if the store that it brings in was lost in
-// turn.
+// repairVoterSet tracks which voters are silent, and requests the changes of the voter set
+// that this store is responsible for. The replacement of a lost voter is requested by the
+// store that replaces it, not by the other voters. A joint voter set, which only older
+// versions and recoveries create, is abandoned if an incoming voter is lost.
 func (s *Store) repairVoterSet(now ids.Time, voterSet consensus.VoterSet) {
 	s.trackSilentVoters(now, voterSet)
 	if len(voterSet.Incoming) > 0 {
@@ -34,25 +33,26 @@
 	}
 }
 
-// requestVoterPlace asks for this store, which has no vote, to become a voter: in the place
-// of a lost one, or in one that is free.
+// requestVoterPlace requests that this store, which has no vote, become a voter by replacing
+// a lost voter or by being added to a voter set that has too few.
 func (s *Store) requestVoterPlace(now ids.Time, voterSet consensus.VoterSet) {
 	if id, ok := s.replaceableVoter(now, voterSet); ok {
 		s.submitVoterSetRequest(consensus.OpReplace, consensus.ReplaceRequest{New: s.selfVoter(), LostID: id, Replicas: s.replicas})
 	}
 }
 
-// replaceableVoter finds the voter that this store may replace. The id 0 stands for
-// none: the voter set has fewer voters than it should have.
+// replaceableVoter returns the id of the voter that this store may replace, or 0 if the
+// voter set has too few voters and this store may be added. It returns false if neither is
+// the case.
 func (s *Store) replaceableVoter(now ids.Time, voterSet consensus.VoterSet) (uint64, bool) {
 	for _, v := range voterSet.Voters {
-		// A voter is reached at its address alone. This store, with another disk at that
-		// address, is the proof that the voter's disk is gone; no silence is needed.
+		// This store runs at the voter's address with another disk, so the voter's disk must
+		// be lost. There is no need to wait for silentVoterTimeout.
 		if v.Address == s.Self.Address {
 			return v.ID, true
 		}
 	}
-	// The one that has been silent for longest is the least likely to come back.
+	// The voter that has been silent longest is the least likely to return.
 	longestSilent := uint64(0)
 	for _, v := range voterSet.Voters {
 		if s.isLost(now, v.ID) && (longestSilent == 0 || s.silentSince[v.ID] < s.silentSince[longestSilent]) {
@@ -65,8 +65,7 @@
 	return 0, len(voterSet.Voters) < s.replicas
 }
 
-// trackSilentVoters notes since when each voter has not been live by the membership
-// list.
+// trackSilentVoters records since when the membership list has not had each voter as live.
 func (s *Store) trackSilentVoters(now ids.Time, voterSet consensus.VoterSet) {
 	live := map[uint64]bool{}
 	for _, m := range s.Live(membership.Store) {
@@ -81,14 +80,14 @@
 	}
 }
 
-// isLost reports whether a voter has been silent for long enough to be replaced.
+// isLost reports whether a voter has been silent for silentVoterTimeout and may be replaced.
 func (s *Store) isLost(now ids.Time, voterID uint64) bool {
 	since, ok := s.silentSince[voterID]
 	return ok && now.Sub(since) >= silentVoterTimeout
 }
 
-// abandonLostIncoming asks for a joint voter set to go back to its current voters if
-// a store that it brings in is lost.
+// abandonLostIncoming requests that a joint voter set return to its current voters if an
+// incoming voter is lost.
 func (s *Store) abandonLostIncoming(now ids.Time, voterSet consensus.VoterSet) {
 	for _, v := range voterSet.Incoming {
 		if s.isLost(now, v.ID) && !isCurrentVoter(voterSet, v.ID) {
@@ -97,8 +96,8 @@
 	}
 }
 
-// retireIfDue emits Retire once this disk was replaced and nobody may need to copy
-// from it any more. A store that is leaving doesn't begin anew.
+// retireIfDue emits Retire once this store was replaced and its successor no longer needs
+// to copy from it. A store that is leaving does not retire, since it must not restart.
 func (s *Store) retireIfDue() {
 	if s.DiskState() != consensus.Replaced || s.retireOrdered || s.departure.deadline != 0 {
 		return
@@ -111,8 +110,8 @@
 }
 
 // mayBeCopiedFrom reports whether the successor of this replaced store may still copy
-// from it. A successor at this store's own address isn't running: this process has
-// that address now.
+// from it. A successor at this store's own address can't be running, since this process
+// uses that address.
 func (s *Store) mayBeCopiedFrom(voterSet consensus.VoterSet) bool {
 	self := s.StoreID()
 	isSelf := func(v consensus.Voter) bool { return v.ID == self }
--- a/internal/controlplane/store/total_loss_recovery.go
+++ b/internal/controlplane/store/total_loss_recovery.go
@@ -9,8 +9,8 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// totalLossRejection returns why a blank store can't recover after every disk was
-// lost; empty if it can.
+// totalLossRejection returns why a blank store can't recover after the loss of all disks,
+// or "" if it can.
 func (s *Store) totalLossRejection(now ids.Time) string {
 	if len(s.otherBlankStores(now)) < recoveryStores {
 		return rejectionTooFewOtherBlank
@@ -18,14 +18,14 @@
 	return ""
 }
 
-// otherBlankStores returns the other stores that know of no voter set.
+// otherBlankStores returns the other stores that know no voter set and recently sent a hello.
 func (s *Store) otherBlankStores(now ids.Time) []consensus.Voter {
 	return s.recentStores(now, func(hello consensus.Hello) bool { return hello.Blank && hello.Store.ID != s.StoreID() })
 }
 
-// recoverFromTotalLossIfDue forms an initial voter set after an operator's request,
-// with the configuration that a proxy still holds. All idempotency records count as
-// lost.
+// recoverFromTotalLossIfDue forms an initial voter set, with the newest configuration
+// received from a proxy, when a requested recovery is due. All idempotency records count
+// as lost.
 func (s *Store) recoverFromTotalLossIfDue(now ids.Time) {
 	if s.Acceptor.VoterSet().Number > 0 || !s.takeDueRecovery(now) {
 		return
