--- a/internal/controlplane/store/bootstrap.go
+++ b/internal/controlplane/store/bootstrap.go
@@ -11,39 +11,38 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// bootstrapState is a blank store's part in forming the first voter set. Three
-// things are needed: permission to bootstrap on every seed (the setting, or the
-// record of it on the disk), no sign of an existing cluster at any of them, and a
-// synced promise of every seed to one and the same proposal. A model test in
-// package consensus explores the protocol.
+// bootstrapState is the state of a blank store that may form the first voter set. A
+// bootstrap needs permission on every seed (the option, or its record on disk), no
+// evidence of an existing cluster at any of them, and a synced promise of every seed to
+// the same proposal. A model test in package consensus explores the protocol.
 type bootstrapState struct {
-	// allowed is whether this disk was first started with permission to bootstrap.
+	// allowed is whether this store is permitted to bootstrap, by its option or its disk.
 	allowed bool
-	// recorded is whether the record is on the disk or on its way there.
+	// recorded is whether the record is on disk or being written.
 	recorded bool
 	record   consensus.BootstrapRecord
-	// proposal is what this store proposes as the first of the seeds; its Round is 0
-	// while there is none.
+	// proposal is the current proposal of this store, which only the seed with the lowest
+	// address makes; its Round is 0 if there is none.
 	proposal consensus.BootstrapRequest
 	// proposedAt is when the proposal was made.
 	proposedAt ids.Time
-	// promised are the ids of the stores that promised the proposal.
+	// promised holds the ids of the stores that promised the proposal.
 	promised map[uint64]bool
-	// waitReason is why there was no proposal in the last turn of management; empty
-	// if there was one.
+	// waitReason is why the last call of prepareProposal made no proposal; empty if it
+	// made or kept one.
 	waitReason string
 }
 
 const (
 	bootstrapRecordKey = ids.RegisterKey("meta/founding")
-	// bootstrapDelay is how long a proposal stays open even if all have promised, so
-	// that the membership list has the time to bring signs of an existing cluster:
-	// three turns of management.
+	// bootstrapDelay is the minimum time between a proposal and the bootstrap. It leaves
+	// the membership list time to deliver evidence of an existing cluster, and spans three
+	// calls of manageVoters.
 	bootstrapDelay = 1500 * time.Millisecond
 )
 
-// loadBootstrapState reads the record that an earlier run left on the disk. A disk
-// that has one was first started with permission to bootstrap.
+// loadBootstrapState reads the record of an earlier run from disk. The record is written
+// only with permission to bootstrap, so its presence grants that permission.
 func loadBootstrapState(disk consensus.Storage, allowed bool) bootstrapState {
 	raw, _ := disk.Get(bootstrapRecordKey)
 	_, msg, err := wire.ReadBytes(raw)
@@ -52,7 +51,7 @@
 	return bootstrapState{allowed: allowed || ok, recorded: ok, record: record, promised: map[uint64]bool{}}
 }
 
-// tryBootstrap is a blank store's share of each turn of management.
+// tryBootstrap advances the bootstrap of a blank store; manageVoters calls it.
 func (s *Store) tryBootstrap(now ids.Time) {
 	if s.bootstrap.allowed && !s.bootstrap.recorded {
 		s.bootstrap.recorded = true
@@ -65,7 +64,7 @@
 	}
 }
 
-// logWaitReason logs why there is no proposal, once for each new reason.
+// logWaitReason logs why there is no proposal, whenever the reason changes.
 func (s *Store) logWaitReason(reason string) {
 	if reason != "" && reason != s.bootstrap.waitReason {
 		s.Log(event.LevelInfo, logBootstrapWaiting, "reason", reason)
@@ -73,8 +72,8 @@
 	s.bootstrap.waitReason = reason
 }
 
-// prepareProposal makes or keeps a proposal of all seeds, or returns why there can
-// be none.
+// prepareProposal makes or keeps a proposal of all seeds as voters, or returns why there
+// can be none.
 func (s *Store) prepareProposal(now ids.Time) string {
 	if reason := s.reasonNotToPropose(); reason != "" {
 		return reason
@@ -84,7 +83,7 @@
 		store, ok := s.blankStoreAt(now, address)
 		if !ok {
 			s.bootstrap.proposal = consensus.BootstrapRequest{}
-			return "no recent hello of a blank store at " + string(address)
+			return "no recent hello from a blank store at " + string(address)
 		}
 		initial.Voters = append(initial.Voters, store)
 	}
@@ -94,23 +93,22 @@
 	return ""
 }
 
-// reasonNotToPropose returns why this store must not propose, whatever the others do;
-// empty if it may. Of the seeds only one proposes, so that proposals don't compete.
+// reasonNotToPropose returns why this store must not propose regardless of the other
+// seeds, or "" if it may. Only one of the seeds proposes, so that proposals don't compete.
 func (s *Store) reasonNotToPropose() string {
 	switch {
 	case !s.bootstrap.allowed:
-		return "bootstrap not permitted on this disk: waiting to join a voter set"
+		return "bootstrap not permitted on this store: waiting to join a voter set"
 	case s.bootstrap.record.ExistingCluster != "":
 		return s.bootstrap.record.ExistingCluster
 	case len(s.bootstrapSeeds) == 0 || s.Self.Address != slices.Min(s.bootstrapSeeds):
-		return "the seed with the lowest address proposes"
+		return "only the seed with the lowest address proposes"
 	}
 	return ""
 }
 
-// blankStoreAt returns the blank store that has sent a hello from an address of late;
-// false if there is none. A hello as old as helloLifetime counts, other than in
-// isRecent.
+// blankStoreAt returns the blank store that recently sent a hello from an address, and
+// false if there is none. Unlike isRecent, it accepts a hello exactly helloLifetime old.
 func (s *Store) blankStoreAt(now ids.Time, address ids.Address) (consensus.Voter, bool) {
 	hello, ok := s.hellos[address]
 	if !ok || now.Sub(hello.receivedAt) > helloLifetime || !hello.Blank {
@@ -119,15 +117,15 @@
 	return hello.Store, true
 }
 
-// beginProposal begins a proposal; promises to an earlier one don't count for it.
+// beginProposal starts a new proposal, without the promises to an earlier one.
 func (s *Store) beginProposal(now ids.Time, round uint64, initial consensus.VoterSet) {
 	s.bootstrap.proposal = consensus.BootstrapRequest{Round: round, VoterSet: initial}
 	s.bootstrap.proposedAt = now
 	s.bootstrap.promised = map[uint64]bool{}
 }
 
-// advanceProposal asks the seeds that haven't promised yet. Once all have, and
-// bootstrapDelay has passed, the voter set is formed.
+// advanceProposal sends the proposal to the seeds that haven't promised it yet. Once all
+// have promised and bootstrapDelay has passed, it forms the voter set.
 func (s *Store) advanceProposal(now ids.Time) {
 	proposal := s.bootstrap.proposal
 	for _, v := range proposal.VoterSet.Voters {
@@ -149,8 +147,8 @@
 	}
 }
 
-// handleBootstrapResponse counts a seed's promise, or begins a proposal of a higher
-// round if the seed has promised another.
+// handleBootstrapResponse records a seed's promise, or starts a proposal with a higher
+// round if the seed has promised the same or a higher round.
 func (s *Store) handleBootstrapResponse(now ids.Time, m consensus.BootstrapResponse) {
 	proposal := s.bootstrap.proposal
 	isCurrent := proposal.Round == m.Round && proposal.VoterSet.SameVoters(m.VoterSet)
@@ -167,8 +165,8 @@
 	}
 }
 
-// applyBootstrap adopts the initial voter set and the values that it was formed with,
-// at the store that formed it or at another member of it.
+// applyBootstrap adopts the initial voter set and the values that it was formed with. It
+// runs at the store that formed the voter set and at its other members.
 func (s *Store) applyBootstrap(m consensus.Bootstrap) {
 	raw, err := wire.Encode(m.VoterSet)
 	if err != nil {
@@ -178,23 +176,23 @@
 		s.bootstrap.record.Round = m.Round
 		s.Persist(bootstrapRecordKey, s.bootstrap.record)
 	}
-	// The values are written before the voter set is: whoever votes has them.
+	// The values are written before the voter set, so that every store that votes has them.
 	s.Seed(consensus.VoterSetKey, raw)
 	if len(m.Configuration) > 0 {
 		s.Seed(configuration.Key, m.Configuration)
 	}
-	// Before the initial voter set nothing was agreed that this disk could lack.
+	// Nothing was agreed before the initial voter set, so this disk lacks nothing.
 	if m.VoterSet.IsInitial() {
 		s.MarkComplete()
 	}
 	s.AdoptVoterSet(m.VoterSet)
 }
 
-// bootstrapMessage returns what a member of the voter set that is still blank needs
-// to become a voter.
+// bootstrapMessage returns the message with which a still blank member of the voter set
+// becomes a voter.
 func (s *Store) bootstrapMessage(voterSet consensus.VoterSet) consensus.Bootstrap {
 	message := consensus.Bootstrap{VoterSet: voterSet, Round: s.bootstrap.record.Round}
-	// The ballot is the one that Seed writes: the value was never changed since.
+	// Seed writes this ballot, so the value has not changed since the bootstrap.
 	if ballot, value := s.AcceptedValue(configuration.Key); ballot == (ids.Ballot{Counter: 1}) {
 		message.Configuration = value
 	}
--- a/internal/controlplane/store/bootstrap_promise.go
+++ b/internal/controlplane/store/bootstrap_promise.go
@@ -10,23 +10,23 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// The reasons for which a seed takes no part in a proposal. They go over the wire: their
-// texts stay as they were first released.
+// The reasons for which a seed rejects a proposal. They are sent over the wire, so their
+// texts must not change.
 const (
 	rejectionNotPermitted = "no first start"
 	rejectionOtherSeeds   = "other seeds"
 	rejectionOtherDisk    = "another disk"
 )
 
-// The signs of an existing cluster. They are stored and go over the wire, after the name
-// of the member that gave them.
+// The evidence of an existing cluster. It is stored and sent over the wire, after the id of
+// the member that it was seen at, so the texts must not change.
 const (
 	signAcceptedConfiguration = "holds an accepted policy"
 	signEarlierVote           = "has a vote in an earlier core"
 )
 
-// handleBootstrapRequest answers a proposal of the first voter set. A promise leaves
-// only after it is on the disk.
+// handleBootstrapRequest answers a proposal of the first voter set. A promise is sent only
+// after it is synced to disk.
 func (s *Store) handleBootstrapRequest(from ids.Address, request consensus.BootstrapRequest) {
 	if voterSet := s.Acceptor.VoterSet(); voterSet.Number > 0 {
 		s.Send(from, consensus.VoterSetUpdate{VoterSet: voterSet})
@@ -47,8 +47,8 @@
 	s.AfterSync(event.Send{To: from, Message: response})
 }
 
-// bootstrapRejection returns why this store takes no part in a proposal at all; empty
-// if it may.
+// bootstrapRejection returns why this store rejects a proposal regardless of its earlier
+// promises, or "" if it doesn't.
 func (s *Store) bootstrapRejection(request consensus.BootstrapRequest) string {
 	var addresses []ids.Address
 	for _, v := range request.VoterSet.Voters {
@@ -68,10 +68,9 @@
 	return ""
 }
 
-// recordExistingCluster looks for signs of an existing cluster and keeps one on the
-// disk: a member that holds an accepted configuration, or a store with a vote in
-// a voter set that this store has not promised. A disk with such a record never
-// bootstraps.
+// recordExistingCluster looks for evidence of an existing cluster and persists it: a member
+// with an accepted configuration, or a store with a vote in a voter set that this store
+// has not promised. A store with such a record never bootstraps.
 func (s *Store) recordExistingCluster() {
 	if s.bootstrap.record.ExistingCluster != "" {
 		return
@@ -92,8 +91,8 @@
 	}
 }
 
-// handleBootstrap makes a blank store a voter of the initial voter set it belongs to,
-// if the message comes from another voter of it and no later promise forbids it.
+// handleBootstrap makes a blank store a voter of the initial voter set that it belongs to,
+// if the message comes from a voter of that set and no later promise forbids it.
 func (s *Store) handleBootstrap(from ids.Address, m consensus.Bootstrap) {
 	if s.Acceptor.VoterSet().Number > 0 || !m.VoterSet.HasVoter(s.StoreID()) {
 		return
--- a/internal/controlplane/store/departure.go
+++ b/internal/controlplane/store/departure.go
@@ -9,32 +9,33 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// Leave is the event that this store's process is to end. The store hands its vote
-// over or waits for others, and emits MayStop after Within at the latest.
+// Leave is the event that this store's process is to shut down. The store hands its vote
+// over or waits for the other voters, and emits MayStop after GracePeriod at the latest.
 type Leave struct{ GracePeriod time.Duration }
 
-// MayStop is the command to end the process: this store isn't needed any more, or
-// its time is up.
+// MayStop is the command to end the process: this store is no longer needed, or its grace
+// period has expired.
 type MayStop struct{}
 
-// departure is the state of a store that is to end; its deadline is 0 until then.
+// departure is the state of a store that is shutting down. The deadline is 0 until a Leave
+// event.
 type departure struct {
 	deadline ids.Time
-	// nextHandOverAt is when the vote is next offered, or the voter set read.
+	// nextHandOverAt is when handOverVote is due next.
 	nextHandOverAt ids.Time
-	// successorID is the store that the vote was last offered to.
+	// successorID is the standby that this store last proposed as its successor.
 	successorID uint64
-	// stayReason is why this store was still needed at the last tick.
+	// stayReason is why this store was still needed at the last tick; empty if it wasn't.
 	stayReason string
 	// ended is set once MayStop was emitted.
 	ended bool
 }
 
-// handOverInterval is how often a leaving store tries to hand its vote over. A
-// process has a few seconds to end, so that many attempts fit in.
+// handOverInterval is the time between two attempts of a leaving store to hand its vote
+// over. Many attempts must fit into the grace period.
 const handOverInterval = 100 * time.Millisecond
 
-// handleLeave begins the departure. A repetition changes nothing.
+// handleLeave begins the departure. A repeated event does not extend the deadline.
 func (s *Store) handleLeave(now ids.Time, request Leave) {
 	if s.departure.deadline == 0 {
 		s.departure.deadline = now.Add(request.GracePeriod)
@@ -42,8 +43,8 @@
 	s.tickDeparture(now)
 }
 
-// tickDeparture emits MayStop once this store isn't needed any more or its time is
-// up, and until then tries to hand the vote over.
+// tickDeparture emits MayStop once this store is no longer needed or its grace period has
+// expired, and until then tries to hand the vote over.
 func (s *Store) tickDeparture(now ids.Time) {
 	d := &s.departure
 	if d.deadline == 0 || d.ended {
@@ -66,7 +67,7 @@
 	}
 }
 
-// stayReason returns why the process shouldn't end yet; empty if it may.
+// stayReason returns why this store is still needed, or "" if its process may end.
 func (s *Store) stayReason(now ids.Time) string {
 	voterSet := s.Acceptor.VoterSet()
 	if !voterSet.HasVoter(s.StoreID()) {
@@ -79,13 +80,13 @@
 		return "handing the vote over"
 	}
 	if !s.othersHaveQuorum(voterSet) {
-		return "the other voters are no quorum"
+		return "the other voters do not form a quorum"
 	}
 	return ""
 }
 
-// handOverVote asks for a ready standby to replace this store. Where there is none,
-// it reads the voter set to learn how the last replacement proceeds.
+// handOverVote requests that a ready standby replace this store. If there is none, or this
+// store was replaced already, it reads the voter set to follow the replacement.
 func (s *Store) handOverVote(now ids.Time) {
 	voterSet := s.Acceptor.VoterSet()
 	successor, ok := s.readyStandby(now, voterSet)
@@ -97,8 +98,8 @@
 	s.submitVoterSetRequest(consensus.OpReplace, consensus.ReplaceRequest{New: successor, LostID: s.StoreID(), Replicas: s.replicas})
 }
 
-// readyStandby finds a store that has copied the registers and waits to become a
-// voter. As many standbys as there are silent voters are left to replace those first.
+// readyStandby returns a store that has copied the registers and can become a voter, and
+// false if there is none to spare. One standby is reserved for each silent voter.
 func (s *Store) readyStandby(now ids.Time, voterSet consensus.VoterSet) (consensus.Voter, bool) {
 	ready := s.recentStores(now, func(hello consensus.Hello) bool { return hello.HasCopied })
 	silent := len(voterSet.Voters) - len(s.liveVoters(voterSet))
@@ -108,8 +109,8 @@
 	return ready[0], true
 }
 
-// othersHaveQuorum reports whether the live voters with a complete copy, without
-// this store, are a quorum.
+// othersHaveQuorum reports whether the other live voters with a complete copy form a
+// quorum.
 func (s *Store) othersHaveQuorum(voterSet consensus.VoterSet) bool {
 	live := s.liveVoters(voterSet)
 	delete(live, s.StoreID())
--- a/internal/controlplane/store/disk_monitor.go
+++ b/internal/controlplane/store/disk_monitor.go
@@ -7,26 +7,26 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// diskStallTimeout is how long a sync may take before the disk counts as stalled.
-// A store with a stalled disk says that it isn't ready, so that proposers don't
-// wait for its vote.
+// diskStallTimeout is how long a sync may take before the disk counts as stalled. A store
+// with a stalled disk reports itself as not ready, so that proposers don't wait for its
+// vote.
 const diskStallTimeout = time.Second
 
-// diskMonitor watches how long the disk takes to sync.
+// diskMonitor detects syncs that take too long.
 type diskMonitor struct {
-	// pending are the batches not synced yet, the oldest first.
+	// pending holds the batches not synced yet, oldest first.
 	pending []pendingBatch
-	// stalled is whether the oldest of them was overdue at the last tick.
+	// stalled is whether the oldest pending batch was overdue at the last tick.
 	stalled bool
 }
 
-// pendingBatch is a batch that was given to the disk and is not yet synced.
+// pendingBatch is a batch that was passed to the disk and is not synced yet.
 type pendingBatch struct {
 	number      uint64
 	requestedAt ids.Time
 }
 
-// requested notes the batches among the commands of a step.
+// requested adds the batches in the commands of a step to the pending ones.
 func (d *diskMonitor) requested(now ids.Time, commands []event.Command) {
 	for _, c := range commands {
 		if sync, ok := c.(event.Sync); ok {
@@ -35,19 +35,20 @@
 	}
 }
 
-// synced drops all batches up to one that the disk has synced.
+// synced removes all pending batches up to the given one.
 func (d *diskMonitor) synced(batch uint64) {
 	for len(d.pending) > 0 && d.pending[0].number <= batch {
 		d.pending = d.pending[1:]
 	}
 }
 
-// isOverdue reports whether the disk owes a sync for too long.
+// isOverdue reports whether the oldest pending batch has waited longer than
+// diskStallTimeout.
 func (d *diskMonitor) isOverdue(now ids.Time) bool {
 	return len(d.pending) > 0 && now.Sub(d.pending[0].requestedAt) > diskStallTimeout
 }
 
-// updateDiskStalled brings the stall up to date, and logs where one begins or ends.
+// updateDiskStalled updates the stalled state, and logs when a stall begins or ends.
 func (s *Store) updateDiskStalled(now ids.Time) {
 	stalled := s.disk.isOverdue(now)
 	switch {
