--- a/internal/controlplane/store/bootstrap_promise.go
+++ b/internal/controlplane/store/bootstrap_promise.go
@@ -21,8 +21,8 @@
 // The evidence of an existing cluster. It is stored and sent over the wire, after the id of
 // the member that it was seen at, so the texts must not change.
 const (
-	signAcceptedConfiguration = "holds an accepted policy"
-	signEarlierVote           = "has a vote in an earlier core"
+	evidenceAcceptedConfiguration = "holds an accepted policy"
+	evidenceEarlierVote           = "has a vote in an earlier core"
 )
 
 // handleBootstrapRequest answers a proposal of the first voter set. A promise is sent only
@@ -75,18 +75,18 @@
 	if s.bootstrap.record.ExistingCluster != "" {
 		return
 	}
-	sign := ""
+	evidence := ""
 	for _, m := range s.All() {
 		switch {
 		case m.ID == s.Self.ID:
 		case m.Revision > 0:
-			sign = fmt.Sprintf("%s %s", m.ID, signAcceptedConfiguration)
+			evidence = fmt.Sprintf("%s %s", m.ID, evidenceAcceptedConfiguration)
 		case m.Role == membership.Store && m.Ready && !s.bootstrap.record.IncludesStore(m.Store):
-			sign = fmt.Sprintf("%s %s", m.ID, signEarlierVote)
+			evidence = fmt.Sprintf("%s %s", m.ID, evidenceEarlierVote)
 		}
 	}
-	if sign != "" {
-		s.bootstrap.record.ExistingCluster = sign
+	if evidence != "" {
+		s.bootstrap.record.ExistingCluster = evidence
 		s.Persist(bootstrapRecordKey, s.bootstrap.record)
 	}
 }
--- a/internal/controlplane/store/bootstrap_test.go
+++ b/internal/controlplane/store/bootstrap_test.go
@@ -105,7 +105,7 @@
 	c.startSeeds(true)
 	c.run(5 * time.Second)
 	third := seedAddresses[2]
-	c.isCut = func(from, to ids.Address) bool { return from != to && (from == third || to == third) }
+	c.isDropped = func(from, to ids.Address) bool { return from != to && (from == third || to == third) }
 	for _, address := range seedAddresses[:2] {
 		c.wipe(address)
 		c.start(address, seedAddresses, true)
--- a/internal/controlplane/store/cluster_test.go
+++ b/internal/controlplane/store/cluster_test.go
@@ -45,9 +45,9 @@
 	queue  []message
 	// nextID numbers disks and requests.
 	nextID uint64
-	// isCut, if set, tells which messages are lost.
-	isCut  func(from, to ids.Address) bool
-	logged []event.LogEntry
+	// isDropped, if set, reports which messages are lost.
+	isDropped func(from, to ids.Address) bool
+	logged    []event.LogEntry
 	// mayStopAt is when each store emitted MayStop.
 	mayStopAt map[ids.Address]ids.Time
 	// retired are the stores that emitted Retire.
@@ -157,7 +157,7 @@
 		if c.messagesBeforeFault--; c.messagesBeforeFault == 0 {
 			c.fault()
 		}
-		if c.stores[m.to] != nil && (c.isCut == nil || !c.isCut(m.from, m.to)) {
+		if c.stores[m.to] != nil && (c.isDropped == nil || !c.isDropped(m.from, m.to)) {
 			c.step(m.to, event.Received{From: m.from, Message: m.msg})
 		}
 	}
--- a/internal/controlplane/store/departure.go
+++ b/internal/controlplane/store/departure.go
@@ -25,8 +25,8 @@
 	nextHandOverAt ids.Time
 	// successorID is the standby that this store last proposed as its successor.
 	successorID uint64
-	// stayReason is why this store was still needed at the last tick; empty if it wasn't.
-	stayReason string
+	// waitReason is why this store was still needed at the last tick; empty if it wasn't.
+	waitReason string
 	// ended is set once MayStop was emitted.
 	ended bool
 }
@@ -50,11 +50,11 @@
 	if d.deadline == 0 || d.ended {
 		return
 	}
-	reason := s.stayReason(now)
-	if reason != d.stayReason && reason != "" {
+	reason := s.departureWaitReason(now)
+	if reason != d.waitReason && reason != "" {
 		s.Log(event.LevelInfo, logDepartureWaiting, "reason", reason)
 	}
-	d.stayReason = reason
+	d.waitReason = reason
 	if reason == "" || now >= d.deadline {
 		d.ended = true
 		s.Log(event.LevelInfo, logDepartureEnded, "needed_for", reason)
@@ -67,8 +67,8 @@
 	}
 }
 
-// stayReason returns why this store is still needed, or "" if its process may end.
-func (s *Store) stayReason(now ids.Time) string {
+// departureWaitReason returns why this store is still needed, or "" if its process may end.
+func (s *Store) departureWaitReason(now ids.Time) string {
 	voterSet := s.Acceptor.VoterSet()
 	if !voterSet.HasVoter(s.StoreID()) {
 		if slices.Contains(voterSet.Learners, s.departure.successorID) {
--- a/internal/controlplane/store/disk_monitor.go
+++ b/internal/controlplane/store/disk_monitor.go
@@ -26,8 +26,8 @@
 	requestedAt ids.Time
 }
 
-// requested adds the batches in the commands of a step to the pending ones.
-func (d *diskMonitor) requested(now ids.Time, commands []event.Command) {
+// addPending adds the batches in the commands of a step to the pending ones.
+func (d *diskMonitor) addPending(now ids.Time, commands []event.Command) {
 	for _, c := range commands {
 		if sync, ok := c.(event.Sync); ok {
 			d.pending = append(d.pending, pendingBatch{number: sync.Batch, requestedAt: now})
@@ -35,8 +35,8 @@
 	}
 }
 
-// synced removes all pending batches up to the given one.
-func (d *diskMonitor) synced(batch uint64) {
+// removeSynced removes all pending batches up to the given one.
+func (d *diskMonitor) removeSynced(batch uint64) {
 	for len(d.pending) > 0 && d.pending[0].number <= batch {
 		d.pending = d.pending[1:]
 	}
--- a/internal/controlplane/store/disk_monitor_test.go
+++ b/internal/controlplane/store/disk_monitor_test.go
@@ -25,12 +25,12 @@
 func TestDiskMonitor_StallBeginsAfterTimeout(t *testing.T) {
 	is := is.New(t)
 	var d diskMonitor
-	d.requested(testTime, []event.Command{event.Sync{Batch: 1}, event.Send{}, event.Sync{Batch: 2}})
+	d.addPending(testTime, []event.Command{event.Sync{Batch: 1}, event.Send{}, event.Sync{Batch: 2}})
 	is.True(!d.isOverdue(testTime.Add(diskStallTimeout)))
 	is.True(d.isOverdue(testTime.Add(diskStallTimeout + 1)))
-	d.synced(1)
+	d.removeSynced(1)
 	is.True(d.isOverdue(testTime.Add(diskStallTimeout + 1))) // the second is missing still
-	d.synced(2)
+	d.removeSynced(2)
 	is.True(!d.isOverdue(testTime.Add(time.Hour)))
 }
 
--- a/internal/controlplane/store/learner.go
+++ b/internal/controlplane/store/learner.go
@@ -58,11 +58,11 @@
 		if s.learner.startedAt == 0 {
 			s.learner.startedAt = now
 		}
-		if s.takeLearnerTurn(now) {
+		if s.allowLearnerRequest(now) {
 			s.repairVoterSet(now, voterSet)
 		}
 		s.copyRegisters(now, voterSet)
-	case s.DiskState() == consensus.Complete && s.takeLearnerTurn(now):
+	case s.DiskState() == consensus.Complete && s.allowLearnerRequest(now):
 		s.reportCopyComplete(voterSet)
 	}
 }
@@ -78,9 +78,9 @@
 	}
 }
 
-// takeLearnerTurn reports whether this store may request a change of the voter set now,
+// allowLearnerRequest reports whether this store may request a change of the voter set now,
 // and if so defers the next request by learnerRequestInterval.
-func (s *Store) takeLearnerTurn(now ids.Time) bool {
+func (s *Store) allowLearnerRequest(now ids.Time) bool {
 	if now < s.learner.nextRequestAt {
 		return false
 	}
--- a/internal/controlplane/store/replacement.go
+++ b/internal/controlplane/store/replacement.go
@@ -29,13 +29,13 @@
 		return
 	}
 	if !voterSet.HasVoter(s.StoreID()) && s.DiskState() == consensus.Blank {
-		s.requestVoterPlace(now, voterSet)
+		s.requestJoin(now, voterSet)
 	}
 }
 
-// requestVoterPlace requests that this store, which has no vote, become a voter by replacing
+// requestJoin requests that this store, which has no vote, become a voter by replacing
 // a lost voter or by being added to a voter set that has too few.
-func (s *Store) requestVoterPlace(now ids.Time, voterSet consensus.VoterSet) {
+func (s *Store) requestJoin(now ids.Time, voterSet consensus.VoterSet) {
 	if id, ok := s.replaceableVoter(now, voterSet); ok {
 		s.submitVoterSetRequest(consensus.OpReplace, consensus.ReplaceRequest{New: s.selfVoter(), LostID: id, Replicas: s.replicas})
 	}
--- a/internal/controlplane/store/store.go
+++ b/internal/controlplane/store/store.go
@@ -105,7 +105,7 @@
 		s.receive(now, e.From, e.Message)
 	case event.Synced:
 		s.Acceptor.Synced(e.Batch)
-		s.disk.synced(e.Batch)
+		s.disk.removeSynced(e.Batch)
 	case RecoverRequest:
 		s.handleRecoverRequest(now, e)
 	case Leave:
@@ -114,7 +114,7 @@
 		s.tick(now)
 	}
 	commands := s.Drain()
-	s.disk.requested(now, commands)
+	s.disk.addPending(now, commands)
 	return commands
 }
 
