--- a/internal/controlplane/store/bootstrap_test.go
+++ b/internal/controlplane/store/bootstrap_test.go
@@ -18,7 +18,7 @@
 	c.startSeeds(false)
 	c.run(time.Minute)
 	is.Equal(c.bootstrapCount(), 0)
-	// Permission on two of the three isn't enough either.
+	// Permission on two of the three seeds isn't enough either.
 	for _, address := range seedAddresses[:2] {
 		c.wipe(address)
 	}
@@ -40,8 +40,8 @@
 	}
 }
 
-// newClusterOfTwoSeeds starts two of the three seeds with permission to bootstrap, and
-// runs them for a second.
+// newClusterOfTwoSeeds returns a cluster in which two of the three seeds have run for a
+// second with permission to bootstrap.
 func newClusterOfTwoSeeds() *cluster {
 	c := newCluster()
 	for _, address := range seedAddresses[:2] {
@@ -51,8 +51,8 @@
 	return c
 }
 
-// A seed that is restarted before the bootstrap, with settings that don't give the
-// permission any more, has it on its disk.
+// A seed that is restarted without the option before the bootstrap still has the permission
+// on disk.
 func TestBootstrap_PermissionIsKeptOnDisk(t *testing.T) {
 	is := is.New(t)
 	c := newClusterOfTwoSeeds()
@@ -64,7 +64,7 @@
 	is.Equal(c.bootstrapCount(), 1)
 }
 
-// A seed whose disk was wiped has lost the permission with it.
+// Wiping a seed's disk removes the permission.
 func TestBootstrap_PermissionIsLostWithDisk(t *testing.T) {
 	is := is.New(t)
 	c := newClusterOfTwoSeeds()
@@ -75,8 +75,8 @@
 	is.Equal(c.bootstrapCount(), 0)
 }
 
-// The three seeds come back blank beside a cluster whose stores run elsewhere and are
-// out of their reach, but one of them hears of a proxy with an accepted configuration.
+// Three blank seeds must not bootstrap a second cluster if the stores of the existing one are
+// unreachable, but one seed receives a heartbeat of a proxy with an accepted configuration.
 func TestBootstrap_RefusedOnceAcceptedConfigurationIsSeen(t *testing.T) {
 	is := is.New(t)
 	c := newCluster()
@@ -88,7 +88,7 @@
 	is.True(slices.ContainsFunc(c.logged, func(entry event.LogEntry) bool {
 		return entry.Event == logBootstrapRejected || entry.Event == logBootstrapWaiting
 	}))
-	// The sign is kept on the disk: the proxy needn't be there at the next start.
+	// The evidence is persisted, so the proxy isn't needed after a restart.
 	for _, address := range seedAddresses {
 		c.stop(address)
 		c.start(address, seedAddresses, true)
@@ -97,8 +97,8 @@
 	is.Equal(c.bootstrapCount(), 0)
 }
 
-// Two seeds whose settings still give the permission are wiped beside the running
-// cluster, and reach only each other.
+// Two seeds that are wiped and restarted with permission, and are partitioned from the third,
+// must not bootstrap a second cluster.
 func TestBootstrap_RefusedForWipedSeedsOfRunningCluster(t *testing.T) {
 	is := is.New(t)
 	c := newCluster()
--- a/internal/controlplane/store/cluster_test.go
+++ b/internal/controlplane/store/cluster_test.go
@@ -14,46 +14,46 @@
 )
 
 const (
-	// clientAddress is where responses to the tests' own requests go.
+	// clientAddress is the sender of the tests' own requests.
 	clientAddress = ids.Address("10.0.0.99:1")
-	// opPut is a change function of the tests: the register gets the argument's value.
+	// opPut is an operation of the tests that sets a register to the argument.
 	opPut consensus.Op = 250
-	// tickInterval is that of the daemons.
+	// tickInterval is the tick interval of the daemons.
 	tickInterval = 20 * time.Millisecond
 )
 
 var seedAddresses = []ids.Address{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}
 
-// testDisk is the disk of one store, with its id and how often it was opened.
+// testDisk is the disk of one store, with the store's id and the number of its runs.
 type testDisk struct {
 	memorydisk.Disk
 	storeID, runNumber uint64
 }
 
-// message is one on its way.
+// message is a message in flight.
 type message struct {
 	from, to ids.Address
 	msg      any
 }
 
-// cluster is a few stores on an in-memory network, which delivers every message in
-// order unless it is cut.
+// cluster is a few stores on an in-memory network, which delivers all messages in order
+// unless isDropped loses them.
 type cluster struct {
 	now    ids.Time
 	stores map[ids.Address]*Store
 	disks  map[ids.Address]*testDisk
 	queue  []message
-	// nextID numbers disks and requests.
+	// nextID is the last id given to a disk or request.
 	nextID uint64
 	// isDropped, if set, reports which messages are lost.
 	isDropped func(from, to ids.Address) bool
 	logged    []event.LogEntry
 	// mayStopAt is when each store emitted MayStop.
 	mayStopAt map[ids.Address]ids.Time
-	// retired are the stores that emitted Retire.
+	// retired holds the stores that emitted Retire.
 	retired map[ids.Address]bool
-	// messagesBeforeFault, if above 0, is how many messages are delivered before fault
-	// is called.
+	// messagesBeforeFault, if above 0, counts down the messages; fault is called before
+	// the one that brings it to 0 is delivered.
 	messagesBeforeFault int
 	fault               func()
 	responses           []consensus.Response
@@ -67,16 +67,16 @@
 	}
 }
 
-// start starts a store on the disk of its address, which is blank at first.
-func (c *cluster) start(at ids.Address, seeds []ids.Address, bootstrap bool) {
-	disk := c.disks[at]
+// start starts a store with the disk of its address, creating a blank disk if there is none.
+func (c *cluster) start(address ids.Address, seeds []ids.Address, bootstrap bool) {
+	disk := c.disks[address]
 	if disk == nil {
 		c.nextID++
 		disk = &testDisk{storeID: c.nextID, Disk: memorydisk.Disk{}}
-		c.disks[at] = disk
+		c.disks[address] = disk
 	}
 	disk.runNumber++
-	self := membership.Member{ID: ids.DaemonID(at), Role: membership.Store, Address: at, Zone: "zone", RunID: ids.RunID(disk.runNumber), Incarnation: ids.Incarnation(c.now)}
+	self := membership.Member{ID: ids.DaemonID(address), Role: membership.Store, Address: address, Zone: "zone", RunID: ids.RunID(disk.runNumber), Incarnation: ids.Incarnation(c.now)}
 	s := New(Options{
 		Options: membership.Options{Self: self, Seeds: seeds}, Replicas: 3, StoreID: disk.storeID, RunNumber: disk.runNumber, Storage: disk,
 		Random: rand.New(rand.NewPCG(disk.storeID, disk.runNumber)), Bootstrap: bootstrap,
@@ -84,7 +84,7 @@
 	ops := Ops()
 	ops[opPut] = func(_ ids.RegisterKey, _, argument []byte) ([]byte, []byte) { return argument, argument }
 	s.ReplaceOps(ops)
-	c.stores[at] = s
+	c.stores[address] = s
 }
 
 // startSeeds starts all seeds.
@@ -94,56 +94,56 @@
 	}
 }
 
-// stop ends a store's process and leaves its disk.
-func (c *cluster) stop(at ids.Address) { delete(c.stores, at) }
+// stop ends a store's process and keeps its disk.
+func (c *cluster) stop(address ids.Address) { delete(c.stores, address) }
 
-// wipe ends a store's process and loses its disk.
-func (c *cluster) wipe(at ids.Address) {
-	c.stop(at)
-	delete(c.disks, at)
+// wipe ends a store's process and deletes its disk.
+func (c *cluster) wipe(address ids.Address) {
+	c.stop(address)
+	delete(c.disks, address)
 }
 
-// step lets a store handle an event.
-func (c *cluster) step(at ids.Address, ev event.Event) {
-	c.perform(at, c.stores[at].Step(c.now, ev))
+// step passes an event to a store and executes the resulting commands.
+func (c *cluster) step(address ids.Address, ev event.Event) {
+	c.perform(address, c.stores[address].Step(c.now, ev))
 }
 
-// perform carries out a store's commands. A sync is done at once.
-func (c *cluster) perform(at ids.Address, commands []event.Command) {
+// perform executes a store's commands. A sync completes immediately.
+func (c *cluster) perform(address ids.Address, commands []event.Command) {
 	for _, command := range commands {
 		switch x := command.(type) {
 		case event.Send:
-			c.queue = append(c.queue, message{at, x.To, x.Message})
+			c.queue = append(c.queue, message{address, x.To, x.Message})
 		case event.Sync:
-			c.disks[at].Write(x.Records)
-			c.perform(at, x.After)
-			if c.stores[at] == nil {
+			c.disks[address].Write(x.Records)
+			c.perform(address, x.After)
+			if c.stores[address] == nil {
 				return
 			}
-			c.step(at, event.Synced{Batch: x.Batch})
+			c.step(address, event.Synced{Batch: x.Batch})
 		case MayStop:
-			c.mayStopAt[at] = c.now
+			c.mayStopAt[address] = c.now
 		case Retire:
-			c.retired[at] = true
+			c.retired[address] = true
 		case event.LogEntry:
 			c.logged = append(c.logged, x)
 		}
 	}
 }
 
-// run lets time pass.
+// run advances the time by d, ticking every store and delivering all messages.
 func (c *cluster) run(d time.Duration) {
 	for end := c.now.Add(d); c.now < end; c.now = c.now.Add(tickInterval) {
-		for _, at := range slices.Sorted(maps.Keys(c.stores)) {
-			if c.stores[at] != nil {
-				c.step(at, event.Tick{})
+		for _, address := range slices.Sorted(maps.Keys(c.stores)) {
+			if c.stores[address] != nil {
+				c.step(address, event.Tick{})
 			}
 		}
 		c.deliverAll()
 	}
 }
 
-// deliverAll delivers the messages on their way, and those that follow from them.
+// deliverAll delivers the queued messages, and those sent in response.
 func (c *cluster) deliverAll() {
 	for len(c.queue) > 0 {
 		m := c.queue[0]
@@ -163,7 +163,7 @@
 	}
 }
 
-// bootstrapCount counts how often a first voter set was formed.
+// bootstrapCount returns how often a first voter set was formed.
 func (c *cluster) bootstrapCount() int {
 	n := 0
 	for _, entry := range c.logged {
@@ -175,12 +175,12 @@
 }
 
 // voterSet returns the voter set in force at a store.
-func (c *cluster) voterSet(at ids.Address) consensus.VoterSet {
-	return c.stores[at].Acceptor.VoterSet()
+func (c *cluster) voterSet(address ids.Address) consensus.VoterSet {
+	return c.stores[address].Acceptor.VoterSet()
 }
 
-// canVote reports whether a store runs, has a vote and may use it.
-func (c *cluster) canVote(at ids.Address) bool {
-	s := c.stores[at]
+// canVote reports whether a store is running, may vote and has a complete disk.
+func (c *cluster) canVote(address ids.Address) bool {
+	s := c.stores[address]
 	return s != nil && s.MayVote() && s.DiskState() == consensus.Complete
 }
--- a/internal/controlplane/store/data_folder_test.go
+++ b/internal/controlplane/store/data_folder_test.go
@@ -14,9 +14,9 @@
 	"dunlinwell/internal/state/storage"
 )
 
-// openFirstFormatFolder opens a copy of a data folder that commit c308b67 wrote, in
-// format 1: a voter set of three stores, and the configuration's revision 5, in which
-// the services svc1 and svc3 were made and svc2 was removed.
+// openFirstFormatFolder opens a copy of a data folder in format 1, written by commit c308b67.
+// It holds a voter set of three stores, and revision 5 of a configuration in which the
+// services svc1 and svc3 were created and svc2 was removed.
 func openFirstFormatFolder(t *testing.T) *storage.Database {
 	t.Helper()
 	is := is.New(t)
@@ -34,8 +34,8 @@
 	return database
 }
 
-// A store continues from a data folder of the first format: its id, the voter set and
-// the configuration are all there.
+// A store that starts on a data folder of the first format must keep its id, the voter set
+// and the configuration.
 func TestNew_ReadsDataFolderOfFirstFormat(t *testing.T) {
 	is := is.New(t)
 	database := openFirstFormatFolder(t)
--- a/internal/controlplane/store/disk_monitor_test.go
+++ b/internal/controlplane/store/disk_monitor_test.go
@@ -11,7 +11,7 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// loggedEvents returns the events of the log entries among a step's commands.
+// loggedEvents returns the events of the log entries in a step's commands.
 func loggedEvents(commands []event.Command) []event.LogEvent {
 	var events []event.LogEvent
 	for _, c := range commands {
@@ -29,14 +29,14 @@
 	is.True(!d.isOverdue(testTime.Add(diskStallTimeout)))
 	is.True(d.isOverdue(testTime.Add(diskStallTimeout + 1)))
 	d.removeSynced(1)
-	is.True(d.isOverdue(testTime.Add(diskStallTimeout + 1))) // the second is missing still
+	is.True(d.isOverdue(testTime.Add(diskStallTimeout + 1))) // the second batch is still pending
 	d.removeSynced(2)
 	is.True(!d.isOverdue(testTime.Add(time.Hour)))
 }
 
-// A voter whose disk stalls says so once, gives no vote and rejects requests, until the
-// disk has synced everything.
-func TestStep_StalledDiskTakesNoPart(t *testing.T) {
+// A voter with a stalled disk logs the stall once, ignores proposals and rejects requests. It
+// logs the recovery once all batches are synced.
+func TestStep_StalledDiskRejectsRequests(t *testing.T) {
 	is := is.New(t)
 	s, _ := newVoter()
 	prepare := consensus.Prepare{Key: "policy", Ballot: ids.Ballot{Counter: 1 << 41, Proposer: 2 << 24}, VoterSetNumber: 4, Round: 7}
--- a/internal/controlplane/store/fuzz_test.go
+++ b/internal/controlplane/store/fuzz_test.go
@@ -12,8 +12,8 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// FuzzMessages gives a voter any message from an unknown address: it doesn't panic, and
-// its voter set stays.
+// FuzzMessages checks that no message from an unknown address makes a voter panic or changes
+// its voter set.
 func FuzzMessages(f *testing.F) {
 	for _, msg := range []any{
 		consensus.Prepare{Key: "policy", VoterSetNumber: 4, Ballot: ids.Ballot{Counter: 9, Proposer: 9}},
@@ -51,7 +51,7 @@
 			performCommands(s, disk, s.Step(testTime.Add(time.Duration(i)*300*time.Millisecond), event.Tick{}))
 		}
 		if !reflect.DeepEqual(s.Acceptor.VoterSet(), threeVoters) {
-			t.Fatalf("%#v led to the voter set %v", msg, s.Acceptor.VoterSet())
+			t.Fatalf("%#v changed the voter set to %v", msg, s.Acceptor.VoterSet())
 		}
 	})
 }
--- a/internal/controlplane/store/message_check_test.go
+++ b/internal/controlplane/store/message_check_test.go
@@ -11,9 +11,9 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// A message that no honest store sends, or whose sender isn't the one that it claims
-// to be, changes nothing, isn't answered, and is reported as discarded.
-func TestReceive_ForgedMessagesChangeNothing(t *testing.T) {
+// A message that is invalid or does not come from its claimed sender must be discarded without
+// an answer or a change of state.
+func TestReceive_DiscardsInvalidMessages(t *testing.T) {
 	future := consensus.VoterSet{Number: 1 << 40, Voters: []consensus.Voter{{ID: 9, Address: unknownAddress}}}
 	raw, err := wire.Encode(future)
 	is.New(t).NoErr(err)
@@ -24,35 +24,35 @@
 		from ids.Address
 		msg  any
 	}{
-		"a voter set from the future":                {unknownAddress, consensus.VoterSetUpdate{VoterSet: future}},
-		"a voter set without voters":                 {"10.0.0.2:1", consensus.VoterSetUpdate{VoterSet: consensus.VoterSet{Number: 9}}},
-		"a voter set with one voter twice":           {"10.0.0.2:1", consensus.VoterSetUpdate{VoterSet: consensus.VoterSet{Number: 9, Voters: append(threeVoters.Voters, threeVoters.Voters[0])}}},
-		"a bootstrap by a stranger":                  {unknownAddress, consensus.Bootstrap{VoterSet: future}},
-		"a response to its own request from another": {"10.0.0.2:1", consensus.Response{Outcome: consensus.Succeeded, Result: raw}},
-		"a prepare by a stranger":                    {unknownAddress, prepare},
-		"an accept by a stranger":                    {unknownAddress, consensus.Accept{Key: "policy", Ballot: prepare.Ballot, VoterSetNumber: 4, Value: []byte("x")}},
-		"a delta by a stranger":                      {unknownAddress, consensus.AcceptDelta{Key: "policy", Ballot: prepare.Ballot, VoterSetNumber: 4}},
-		"a ballot that none can exceed":              {"10.0.0.2:1", maximalBallot},
-		"a promise in another's name":                {"10.0.0.3:1", consensus.Promise{Key: consensus.VoterSetKey, Store: 2, VoterSetNumber: 4}},
-		"a promise of one who isn't a voter":         {unknownAddress, consensus.Promise{Key: consensus.VoterSetKey, Store: 99, VoterSetNumber: 4}},
-		"a vote for an earlier run of it":            {"10.0.0.2:1", consensus.Accepted{Key: consensus.VoterSetKey, Store: 2, VoterSetNumber: 4, Round: 1, OK: true}},
-		"a page in another's name":                   {unknownAddress, consensus.PageResponse{Store: 2, VoterSetNumber: 4, Last: true}},
-		"a hello for another address":                {unknownAddress, consensus.Hello{Store: consensus.Voter{ID: 9, Address: "10.0.0.2:1"}, Blank: true}},
-		"a hello without a store":                    {unknownAddress, consensus.Hello{Store: consensus.Voter{Address: unknownAddress}}},
+		"voter set from an unknown sender":              {unknownAddress, consensus.VoterSetUpdate{VoterSet: future}},
+		"voter set without voters":                      {"10.0.0.2:1", consensus.VoterSetUpdate{VoterSet: consensus.VoterSet{Number: 9}}},
+		"voter set with a duplicate voter":              {"10.0.0.2:1", consensus.VoterSetUpdate{VoterSet: consensus.VoterSet{Number: 9, Voters: append(threeVoters.Voters, threeVoters.Voters[0])}}},
+		"bootstrap from an unknown sender":              {unknownAddress, consensus.Bootstrap{VoterSet: future}},
+		"response to an own request from another store": {"10.0.0.2:1", consensus.Response{Outcome: consensus.Succeeded, Result: raw}},
+		"prepare from an unknown sender":                {unknownAddress, prepare},
+		"accept from an unknown sender":                 {unknownAddress, consensus.Accept{Key: "policy", Ballot: prepare.Ballot, VoterSetNumber: 4, Value: []byte("x")}},
+		"delta from an unknown sender":                  {unknownAddress, consensus.AcceptDelta{Key: "policy", Ballot: prepare.Ballot, VoterSetNumber: 4}},
+		"maximal ballot":                                {"10.0.0.2:1", maximalBallot},
+		"promise with the id of another voter":          {"10.0.0.3:1", consensus.Promise{Key: consensus.VoterSetKey, Store: 2, VoterSetNumber: 4}},
+		"promise from a store that isn't a voter":       {unknownAddress, consensus.Promise{Key: consensus.VoterSetKey, Store: 99, VoterSetNumber: 4}},
+		"vote for a round of an earlier run":            {"10.0.0.2:1", consensus.Accepted{Key: consensus.VoterSetKey, Store: 2, VoterSetNumber: 4, Round: 1, OK: true}},
+		"page with the id of another voter":             {unknownAddress, consensus.PageResponse{Store: 2, VoterSetNumber: 4, Last: true}},
+		"hello with another store's address":            {unknownAddress, consensus.Hello{Store: consensus.Voter{ID: 9, Address: "10.0.0.2:1"}, Blank: true}},
+		"hello without a store id":                      {unknownAddress, consensus.Hello{Store: consensus.Voter{Address: unknownAddress}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, disk := newVoter()
 			before := persistedRecords(disk)
 			sent, discarded := deliver(s, disk, c.from, c.msg)
 			if len(sent) > 0 || len(discarded) != 1 || !reflect.DeepEqual(persistedRecords(disk), before) || !reflect.DeepEqual(s.Acceptor.VoterSet(), threeVoters) {
-				t.Errorf("sent %v, discarded %v, voter set %v", sent, discarded, s.Acceptor.VoterSet())
+				t.Errorf("want one discarded message and no other effect; sent %v, discarded %v, voter set %v", sent, discarded, s.Acceptor.VoterSet())
 			}
 		})
 	}
 }
 
-// The same kinds of messages are accepted from those who may send them.
-func TestReceive_HonestMessagesAreAccepted(t *testing.T) {
+// Valid messages of the same kinds must not be discarded.
+func TestReceive_AcceptsValidMessages(t *testing.T) {
 	is := is.New(t)
 	s, disk := newVoter()
 	sent, discarded := deliver(s, disk, "10.0.0.2:1", consensus.Prepare{Key: "policy", Ballot: ids.Ballot{Counter: 1 << 41, Proposer: 2 << 24}, VoterSetNumber: 4, Round: 7})
--- a/internal/controlplane/store/recovery_test.go
+++ b/internal/controlplane/store/recovery_test.go
@@ -10,27 +10,27 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// requestRecovery makes an operator's request at a store, and returns why it was
-// rejected; empty if it wasn't.
-func (c *cluster) requestRecovery(at ids.Address) string {
+// requestRecovery sends an operator's request to a store, and returns why it was rejected, or
+// "" if it was accepted.
+func (c *cluster) requestRecovery(address ids.Address) string {
 	rejection := "no response"
-	commands := c.stores[at].Step(c.now, RecoverRequest{ID: 1})
+	commands := c.stores[address].Step(c.now, RecoverRequest{ID: 1})
 	for _, command := range commands {
 		if r, ok := command.(RecoverResponse); ok {
 			rejection = r.Rejection
 		}
 	}
-	c.perform(at, commands)
+	c.perform(address, commands)
 	return rejection
 }
 
-// Two of three disks are lost for good. The third store continues with two blank ones
-// once an operator asks for it, and not before both are there.
+// After the permanent loss of two of three disks, the third store must recover with two blank
+// stores, but only on an operator's request and once both are running.
 func TestRecovery_FromOneDiskOnOperatorRequest(t *testing.T) {
 	is := is.New(t)
 	c := newRunningCluster(t)
 	survivor := seedAddresses[0]
-	c.put(t, survivor, "last", "word")
+	c.put(t, survivor, "key", "value")
 	number := c.voterSet(survivor).Number
 	is.Equal(c.requestRecovery(survivor), "a majority of the roster is still there")
 	for _, address := range seedAddresses[1:] {
@@ -51,11 +51,11 @@
 		is.Equal(c.voterSet(address).LossCount, uint64(1))
 	}
 	c.wipe(survivor)
-	c.requireValue(t, standbyA, "last", "word")
+	c.requireValue(t, standbyA, "key", "value")
 }
 
-// Every disk is lost. The blank stores form no voter set by themselves; an operator's
-// request at one of the three forms one whose number is above any of the lost one.
+// After the loss of all disks, blank stores must form a voter set only on an operator's request,
+// with a number above that of any earlier voter set.
 func TestRecovery_AfterTotalLossOnOperatorRequest(t *testing.T) {
 	is := is.New(t)
 	c := newCluster()
--- a/internal/controlplane/store/replacement_test.go
+++ b/internal/controlplane/store/replacement_test.go
@@ -9,30 +9,30 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// A voter that was away for long is replaced by a standby. When it comes back with its
-// disk it has no vote, rejects requests, and is to start again as a blank store.
+// A voter that is down for longer than silentVoterTimeout is replaced by a standby. When it
+// restarts with its disk, it must not vote, must reject requests, and must retire.
 func TestReplacement_ReplacedVoterRetires(t *testing.T) {
 	is := is.New(t)
 	c := newRunningCluster(t, standbyA)
-	away := seedAddresses[1]
-	c.stop(away)
-	c.declareDead(away)
+	stopped := seedAddresses[1]
+	c.stop(stopped)
+	c.declareDead(stopped)
 	c.run(silentVoterTimeout / 2)
 	is.True(!c.canVote(standbyA)) // a restart takes less than silentVoterTimeout
 	c.run(silentVoterTimeout)
 	is.True(c.canVote(standbyA))
-	c.start(away, seedAddresses, false)
+	c.start(stopped, seedAddresses, false)
 	c.run(2 * time.Second)
-	is.Equal(c.stores[away].DiskState(), consensus.Replaced)
-	is.True(!c.canVote(away))
-	is.True(c.retired[away])
-	is.Equal(c.request(away, "k1", consensus.Read, nil).Outcome, consensus.Rejected)
+	is.Equal(c.stores[stopped].DiskState(), consensus.Replaced)
+	is.True(!c.canVote(stopped))
+	is.True(c.retired[stopped])
+	is.Equal(c.request(stopped, "k1", consensus.Read, nil).Outcome, consensus.Rejected)
 	is.Equal(len(c.retired), 1)
 }
 
-// A blank store at the address of a voter replaces it without waiting: the voter's disk
-// must be gone.
-func TestReplacement_WipedVoterReplacesItself(t *testing.T) {
+// A blank store at the address of a voter must replace it without waiting for
+// silentVoterTimeout, since the voter's disk is lost.
+func TestReplacement_BlankStoreReplacesVoterAtSameAddress(t *testing.T) {
 	is := is.New(t)
 	c := newRunningCluster(t)
 	wiped := seedAddresses[1]
--- a/internal/controlplane/store/voter_test.go
+++ b/internal/controlplane/store/voter_test.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// unknownAddress is one where no store is known.
+	// unknownAddress is an address that belongs to no known store.
 	unknownAddress = ids.Address("10.9.9.9:1")
-	// testTime is the time of all steps of a voter that is tested alone.
+	// testTime is the time of the steps in tests of a single voter.
 	testTime = ids.Time(time.Second)
 )
 
-// threeVoters is a voter set that was changed three times.
+// threeVoters is a voter set after three changes.
 var threeVoters = consensus.VoterSet{Number: 4, Voters: []consensus.Voter{
 	{ID: 1, Address: "10.0.0.1:1"}, {ID: 2, Address: "10.0.0.2:1"}, {ID: 3, Address: "10.0.0.3:1"},
 }}
@@ -36,8 +36,8 @@
 	return s, disk
 }
 
-// performCommands carries out a store's commands, and those that follow from them. It
-// returns which messages were sent, and which of the received ones discarded.
+// performCommands executes a store's commands, and those that result from them. It returns
+// the messages that were sent, and the received ones that were discarded.
 func performCommands(s *Store, disk memorydisk.Disk, commands []event.Command) (sent []event.Send, discarded []event.Discarded) {
 	for len(commands) > 0 {
 		c := commands[0]
@@ -55,12 +55,12 @@
 	return sent, discarded
 }
 
-// deliver gives a store a message, and performs what follows.
+// deliver passes a message to a store and executes the resulting commands.
 func deliver(s *Store, disk memorydisk.Disk, from ids.Address, msg any) ([]event.Send, []event.Discarded) {
 	return performCommands(s, disk, s.Step(testTime, event.Received{From: from, Message: msg}))
 }
 
-// persistedRecords copies what is on a disk, but for the saved membership list.
+// persistedRecords copies the records of a disk, except the saved membership list.
 func persistedRecords(disk memorydisk.Disk) map[ids.RegisterKey]string {
 	records := map[ids.RegisterKey]string{}
 	for k, v := range disk {
--- a/internal/state/election/election_test.go
+++ b/internal/state/election/election_test.go
@@ -9,8 +9,8 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// mustAcquire applies an acquisition to a register's value and returns the next value,
-// which must be the result for the candidate as well.
+// mustAcquire applies an acquisition to a register's value and returns the next value. It
+// fails the test if the result for the candidate differs from it.
 func mustAcquire(t *testing.T, old []byte, candidate Term) []byte {
 	t.Helper()
 	arg, err := wire.Encode(candidate)
@@ -29,8 +29,8 @@
 	return term.Epoch
 }
 
-// Each acquisition raises the epoch, and a copy of it does not. A register that was lost
-// continues above what its candidate remembers, or everybody would reject it.
+// Each acquisition raises the epoch, and a duplicate does not. A register that was lost starts
+// above the epoch that the candidate has seen; otherwise receivers would reject the new term.
 func TestAcquire_EpochsOnlyRise(t *testing.T) {
 	is := is.New(t)
 	first := mustAcquire(t, nil, Term{Holder: "f1", RunID: 1})
@@ -42,16 +42,15 @@
 	is.Equal(epochOf(mustAcquire(t, nil, Term{Holder: "f2", RunID: 9, Epoch: 7})), ids.Epoch(8))
 }
 
-// A run that gave the role up acquires it again under a new epoch. It used to get the same
-// one, so that its plans from before were taken for those from after; and a run that had
-// met a higher epoch went on under its old one, which all others rejected.
+// A run that acquires the role again must get a new epoch, above any that it has seen.
+// Otherwise messages of its earlier term would be accepted, or all its messages rejected.
 func TestAcquire_SameRunGetsNewEpoch(t *testing.T) {
 	is := is.New(t)
 	first := mustAcquire(t, nil, Term{Holder: "f1", RunID: 1})
-	again := mustAcquire(t, first, Term{Holder: "f1", RunID: 1, Epoch: 1})
-	is.Equal(epochOf(again), ids.Epoch(2))
-	duplicate := mustAcquire(t, again, Term{Holder: "f1", RunID: 1, Epoch: 1})
+	reacquired := mustAcquire(t, first, Term{Holder: "f1", RunID: 1, Epoch: 1})
+	is.Equal(epochOf(reacquired), ids.Epoch(2))
+	duplicate := mustAcquire(t, reacquired, Term{Holder: "f1", RunID: 1, Epoch: 1})
 	is.Equal(epochOf(duplicate), ids.Epoch(2))
-	metHigher := mustAcquire(t, again, Term{Holder: "f1", RunID: 1, Epoch: 5})
-	is.Equal(epochOf(metHigher), ids.Epoch(6))
+	sawHigher := mustAcquire(t, reacquired, Term{Holder: "f1", RunID: 1, Epoch: 5})
+	is.Equal(epochOf(sawHigher), ids.Epoch(6))
 }
