--- a/internal/controlplane/store/bootstrap.go
+++ b/internal/controlplane/store/bootstrap.go
@@ -41,8 +41,8 @@
 	bootstrapDelay = 1500 * time.Millisecond
 )
 
-// loadBootstrapState reads the record of an earlier run from disk. The record is written
-// only with permission to bootstrap, so its presence grants that permission.
+// loadBootstrapState reads the record of an earlier run from disk. A record grants
+// permission to bootstrap, unless it names an existing cluster.
 func loadBootstrapState(disk consensus.Storage, allowed bool) bootstrapState {
 	raw, _ := disk.Get(bootstrapRecordKey)
 	_, msg, err := wire.ReadBytes(raw)
--- a/internal/controlplane/store/cluster_requests_test.go
+++ b/internal/controlplane/store/cluster_requests_test.go
@@ -76,7 +76,7 @@
 		c.run(tickInterval)
 	}
 	if c.mayStopAt[address] == 0 {
-		t.Fatalf("%s may still not stop after %s", address, c.now.Sub(since))
+		t.Fatalf("%s did not emit MayStop within %s", address, c.now.Sub(since))
 	}
 	return c.mayStopAt[address].Sub(since)
 }
--- a/internal/controlplane/store/learner.go
+++ b/internal/controlplane/store/learner.go
@@ -35,8 +35,8 @@
 }
 
 const (
-	// learnerRequestInterval is the minimum time between two requests of a learner for a
-	// change of the voter set. A repeated request has no effect.
+	// learnerRequestInterval is the time between two requests of a learner for a change of
+	// the voter set. A repeated request has no effect.
 	learnerRequestInterval = 100 * time.Millisecond
 	// initialPageTimeout is the timeout of the first request for a page. Each retry doubles
 	// it, since a page may take long on a slow link.
--- a/internal/controlplane/store/lost_records.go
+++ b/internal/controlplane/store/lost_records.go
@@ -30,7 +30,8 @@
 }
 
 // guardLostRecords wraps the operations that allow a request to run. During
-// recordLossWindow they reject a retry without a record, which may already have run.
+// recordLossWindow they answer a retry without a record with idempotency.RecordLost, since
+// it may already have run.
 func (s *Store) guardLostRecords(ops map[consensus.Op]consensus.ChangeFunc) map[consensus.Op]consensus.ChangeFunc {
 	for _, op := range []consensus.Op{idempotency.OpClaim, idempotency.OpBlock, idempotency.OpNumberAttempt} {
 		change := ops[op]
--- a/internal/controlplane/store/recovery.go
+++ b/internal/controlplane/store/recovery.go
@@ -14,7 +14,7 @@
 
 // RecoverRequest is an operator's request to recover after permanent loss of disks. After
 // the loss of a majority, a surviving store recovers with two blank stores; after the loss
-// of all disks, a blank store does.
+// of all disks, a blank store recovers with two others.
 type RecoverRequest struct{ ID uint64 }
 
 // RecoverResponse is the command that answers a RecoverRequest. An empty Rejection means
--- a/internal/controlplane/store/replacement.go
+++ b/internal/controlplane/store/replacement.go
@@ -65,7 +65,8 @@
 	return 0, len(voterSet.Voters) < s.replicas
 }
 
-// trackSilentVoters records since when the membership list has not had each voter as live.
+// trackSilentVoters records when each silent voter was first found not to be live in the
+// membership list.
 func (s *Store) trackSilentVoters(now ids.Time, voterSet consensus.VoterSet) {
 	live := map[uint64]bool{}
 	for _, m := range s.Live(membership.Store) {
