--- a/internal/controlplane/registry/assignment.go
+++ b/internal/controlplane/registry/assignment.go
@@ -9,22 +9,25 @@
 	"dunlinwell/internal/controlplane/membership"
 )
 
-// registriesPerProxy is how many registries push to each proxy, so that one may fail.
+// registriesPerProxy is the number of registries that push to each proxy; more than one, so
+// that one may fail.
 const registriesPerProxy = 2
 
-// assignment is how the proxies are shared out among the registries. Each registry
-// computes it by itself from the members and peers that it knows.
+// assignment describes how the proxies are divided among the registries. Each registry
+// computes it independently from the members and peers that it knows.
 type assignment struct {
-	// registries share the proxies: this one and its trusted peers, in order of id.
+	// registries are those that share the proxies: this one and its trusted peers,
+	// sorted by ID.
 	registries []membership.Member
-	// proxies are assigned to this registry; nil before the first computation.
+	// proxies are those assigned to this registry; nil before the first computation.
 	proxies []membership.Member
-	// key identifies the membership and the registries that both were computed from.
+	// key identifies the membership version and the registries that the assignment was
+	// computed from.
 	key uint64
 }
 
-// assignedProxies gives the proxies that this registry pushes to. Without
-// Options.Incremental these are all live proxies.
+// assignedProxies returns the proxies that this registry pushes to: all live proxies
+// unless Options.Incremental is set.
 func (r *Registry) assignedProxies(now ids.Time) []membership.Member {
 	if !r.options.Incremental {
 		return r.Live(membership.Proxy)
@@ -33,8 +36,8 @@
 	return r.assignment.proxies
 }
 
-// updateAssignment computes the assignment anew if the membership or the trusted
-// registries have changed.
+// updateAssignment recomputes the assignment if the membership or the trusted registries
+// have changed.
 func (r *Registry) updateAssignment(now ids.Time) {
 	registries := r.trustedRegistries(now)
 	key := assignmentKey(registries, r.Version())
@@ -49,8 +52,8 @@
 	}
 }
 
-// trustedRegistries gives this registry and its trusted peers. A peer's own heartbeats
-// outweigh a declaration of its death, which it may be about to refute.
+// trustedRegistries returns this registry and its trusted peers. A peer that still sends
+// heartbeats is included even if it was declared dead, as it may be about to refute that.
 func (r *Registry) trustedRegistries(now ids.Time) []membership.Member {
 	var registries []membership.Member
 	for _, member := range r.All() {
@@ -72,8 +75,8 @@
 	return hash.Sum64() ^ membershipVersion
 }
 
-// isAssigned tells whether this registry is among those of the given registries that
-// push to a proxy: the nearest one, and the others by rendezvous hashing.
+// isAssigned reports whether this registry is among those of the given registries that
+// push to a proxy: the nearest one, and others chosen by rendezvous hashing.
 func (r *Registry) isAssigned(proxy membership.Member, registries []membership.Member) bool {
 	if len(registries) <= registriesPerProxy {
 		return true
@@ -90,16 +93,16 @@
 	return slices.ContainsFunc(ranked[:registriesPerProxy-1], func(member membership.Member) bool { return member.ID == r.Self.ID })
 }
 
-// nearestRegistry gives the registry whose zone is nearest to a proxy's; among equally
-// near ones rendezvous hashing decides.
+// nearestRegistry returns the registry whose zone is nearest to a proxy's. Ties are broken
+// by rendezvous hashing.
 func (r *Registry) nearestRegistry(proxy membership.Member, registries []membership.Member) membership.Member {
 	return slices.MinFunc(registries, func(a, b membership.Member) int {
 		return cmp.Or(r.compareDistance(proxy.Zone, a.Zone, b.Zone), compareHash(proxy.ID, a.ID, b.ID))
 	})
 }
 
-// isBackupFor tells whether another registry pushes to a proxy first; what isn't urgent
-// is held back from it here, as it will likely have it by then.
+// isBackupFor reports whether another registry is the primary one for a proxy. Pushes that
+// aren't urgent are then delayed here, as the proxy will likely have the content by then.
 func (r *Registry) isBackupFor(proxy membership.Member) bool {
 	registries := r.assignment.registries
 	return len(registries) > 0 && r.nearestRegistry(proxy, registries).ID != r.Self.ID
@@ -111,8 +114,8 @@
 	return cmp.Compare(view.Distance(from, a), view.Distance(from, b))
 }
 
-// compareHash orders two registries by rendezvous hashing for a key, so that each key
-// keeps its registry when others come and go.
+// compareHash orders two registries by their rendezvous hash for a key, so that a key
+// keeps its registry when others join or leave.
 func compareHash(key, a, b ids.DaemonID) int {
 	return cmp.Compare(rendezvousHash(key, a), rendezvousHash(key, b))
 }
--- a/internal/controlplane/registry/options.go
+++ b/internal/controlplane/registry/options.go
@@ -14,40 +14,40 @@
 	defaultLifetime     = 2 * time.Second
 )
 
-// Options configure a registry; zero values take the defaults.
+// Options configures a registry; zero values select the defaults.
 type Options struct {
 	membership.Options
 
-	// Random draws destinations and routes. It has no default.
+	// Random is the source for choosing destinations and routes. It is required.
 	Random *rand.Rand
 
 	// PlanEvery is the interval between two spill plans; 30 s by default.
 	PlanEvery time.Duration
 
-	// Lifetime is how long clients may use an answer of the directory; 2 s by default.
+	// Lifetime is how long clients may use a directory answer; 2 s by default.
 	Lifetime time.Duration
 
-	// ControlLease is how old the last agreement with a majority of stores may be
-	// for this registry to confirm, reject or hand out anything;
-	// distribution.ControlLease by default. Reads begin every second, and one that
-	// a lost store delays is answered by the next store within another 400 ms, so a
-	// shorter lease would lapse in normal operation.
+	// ControlLease is the duration of the control lease: this registry confirms
+	// changes, rejects them and serves data only if its last quorum read is at most
+	// this old. The default is distribution.ControlLease. Reads start every second,
+	// and a failed store delays one by up to 400 ms, so a shorter lease would expire
+	// in normal operation.
 	ControlLease time.Duration
 
-	// Regions maps the zones that this daemon was configured with to their regions.
+	// Regions maps zones to regions, as set in this daemon's own configuration.
 	Regions map[ids.Name]string
 
-	// Incremental makes registries exchange only changes of targets and members,
-	// and share the proxies out among them. Without it every registry sends
-	// everything to everybody. It hides membership.Options.Incremental, which says the
-	// same of the membership list and has to be set with it.
+	// Incremental makes registries exchange only changes of targets and members, and
+	// divide the proxies among themselves. Without it every registry sends its full
+	// state to all peers and proxies. It shadows membership.Options.Incremental, which
+	// does the same for the membership list and must be set as well.
 	Incremental bool
 
-	// AlwaysResolve makes the directory name some known proxy even without the
-	// control lease or an eligible proxy.
+	// AlwaysResolve makes the directory return a known proxy even if the control
+	// lease has expired or no proxy is eligible.
 	AlwaysResolve bool
 
-	// DeriveSetPoints computes the load levels of zones that have none configured
+	// DeriveSetPoints computes the load levels of zones without configured levels
 	// from the capacity that their targets report.
 	DeriveSetPoints bool
 }
--- a/internal/controlplane/registry/planner.go
+++ b/internal/controlplane/registry/planner.go
@@ -10,35 +10,35 @@
 )
 
 const (
-	// tableBroadcastInterval is the interval at which the planner repeats its table to
+	// tableBroadcastInterval is the interval at which the planner resends its table to
 	// the other registries.
 	tableBroadcastInterval = time.Second
-	// forecastPlans is the number of plans for which a move counts that reports don't
-	// show yet.
+	// forecastPlans is the number of plan intervals over which the forecast effect of a
+	// move decays to zero.
 	forecastPlans = 6
-	// minForecastChange is the smallest change of a zone's load that is forecast, in
-	// milliseconds of CPU time per second.
+	// minForecastChange is the change of a zone's load, in milliseconds of CPU time per
+	// second, up to which no forecast is recorded.
 	minForecastChange = 1
 )
 
-// planner is the state of spill planning. Every registry has the table, from the planner if
-// it isn't the planner itself; the rest matters only while it leads.
+// planner is the state of spill planning. Every registry holds the table, which it makes
+// itself or receives from the planner; the rest is used only while it leads.
 type planner struct {
 	// table is the spill table in use.
 	table spill.Table
-	// tableConfirmedAt is when the table was made here, or last received.
+	// tableConfirmedAt is when the table was made here or last received.
 	tableConfirmedAt ids.Time
 	nextPlan         ids.Time
 	nextBroadcast    ids.Time
-	// forecasts are the effects of earlier plans, by zone.
+	// forecasts holds the expected effects of earlier plans, by zone.
 	forecasts map[ids.Name]forecast
-	// learnedMaxima are the maximum loads learned from latencies, by zone.
+	// learnedMaxima holds the maximum loads learned from latencies, by zone.
 	learnedMaxima map[ids.Name]spill.Fit
 }
 
-// forecast is the load that a zone should come to by a plan.
+// forecast is the load that a zone is expected to reach under a plan.
 type forecast struct {
-	// change is the load that the plan moved into the zone; negative if out of it.
+	// change is the load that the plan moves into the zone; negative if out of it.
 	// Loads are in milliseconds of CPU time per second.
 	change float64
 	// expectedUsage is the zone's load once the move has taken full effect.
@@ -81,8 +81,8 @@
 	r.Log(event.LevelInfo, logSpillPlanMade, "epoch", formatUint(p.table.Epoch), "number", formatUint(p.table.Number), "moves", formatUint(uint64(len(moves))))
 }
 
-// learnMaxima learns the maximum load of every zone from its latencies. Zones whose levels
-// are derived from capacities are left out.
+// learnMaxima learns the maximum load of every zone from its latencies, except for zones
+// whose levels are derived from capacities.
 func (r *Registry) learnMaxima() {
 	for name, zone := range r.configuration.view.Zones {
 		if !r.hasDerivedLevels(zone) {
@@ -91,7 +91,7 @@
 	}
 }
 
-// plannerInput gathers what a plan is made from, zones in order of name.
+// plannerInput collects the input of a plan, with zones sorted by name.
 func (r *Registry) plannerInput(now ids.Time, zones map[ids.Name]spill.Zone) spill.PlannerInput {
 	input := spill.PlannerInput{
 		Distance:   r.configuration.view.Distance,
@@ -109,9 +109,9 @@
 	return input
 }
 
-// addPendingMoves adds to a zone's load what earlier plans moved and reports don't show
-// yet: connections that are open stay, so a move takes effect only as they end. Moves
-// count in full at first, and then less with time.
+// addPendingMoves adds the load that earlier plans moved to or from a zone and that reports
+// don't show yet: a move affects only new connections, so it takes effect as open ones
+// end. The forecast decays linearly over forecastPlans plan intervals.
 func (r *Registry) addPendingMoves(now ids.Time, zone spill.Zone, input spill.PlannerInput) {
 	expected, known := r.planner.forecasts[zone.Name]
 	horizon := forecastPlans * r.options.PlanEvery
@@ -128,7 +128,7 @@
 	}
 }
 
-// recordForecasts notes the load that each zone should come to as moves change.
+// recordForecasts records the load that each zone is expected to reach as moves change.
 func (p *planner) recordForecasts(now ids.Time, zones map[ids.Name]spill.Zone, previous, next []spill.Move) {
 	changes := map[ids.Name]float64{}
 	for _, move := range previous {
@@ -146,7 +146,7 @@
 	}
 }
 
-// liveProxies gives the live proxies in the form that spill.Reports needs.
+// liveProxies returns the live proxies in the form that spill.Reports takes.
 func (r *Registry) liveProxies() []spill.LiveProxy {
 	var proxies []spill.LiveProxy
 	for _, member := range r.Live(membership.Proxy) {
@@ -155,7 +155,7 @@
 	return proxies
 }
 
-// routeRanks gives the order in which routes are moved out of an overloaded zone.
+// routeRanks returns the order in which routes are moved out of an overloaded zone.
 func (r *Registry) routeRanks() map[ids.Name]spill.Rank {
 	view := r.configuration.view
 	ranks := map[ids.Name]spill.Rank{}
--- a/internal/controlplane/registry/planner_election.go
+++ b/internal/controlplane/registry/planner_election.go
@@ -15,46 +15,46 @@
 const plannerElection = "planner"
 
 const (
-	// campaignBackoff is how long a registry that has lost or given up the leadership
-	// waits before it campaigns again, so that failure detection that wavers doesn't
-	// move the leadership with every declaration.
+	// campaignBackoff is how long a registry that has lost or resigned the leadership
+	// waits before it campaigns again, so that flapping failure detection doesn't
+	// move the leadership each time.
 	campaignBackoff = 2 * time.Second
 	// campaignTimeout is how long a campaign waits for a majority of stores.
 	campaignTimeout = 2 * time.Second
-	// resumeGrace is how long a registry that was frozen listens to the others
-	// before it leads.
+	// resumeGrace is how long a registry that was suspended waits for messages from
+	// its peers before it may lead.
 	resumeGrace = 2 * time.Second
-	// startupGrace is how long a run waits before it passes over peers that report
-	// themselves not ready: if all start together, none of them is ready at first.
+	// startupGrace is how long after its start a registry still defers to peers that
+	// aren't ready: if all start at the same time, none of them is ready at first.
 	startupGrace = 5 * time.Second
 	// firstPlanDelay bounds the time from the election to the first plan, so that a new
 	// planner doesn't wait for a whole plan interval.
 	firstPlanDelay = 5 * time.Second
 )
 
-// leadership is this registry's part in the election of the planner. Who should lead is
-// the first live registry by the membership list; what makes that safe is the epoch,
-// which a replicated register raises at each election. What belongs to a lower epoch
-// is rejected.
+// leadership is this registry's state in the planner election. The preferred leader is the
+// first live, ready registry of the membership list. Safety rests on the epoch alone, a
+// fencing token that a replicated register increments at each election: messages of a
+// lower epoch are rejected.
 type leadership struct {
-	// highestEpoch is the highest epoch that this registry knows of.
+	// highestEpoch is the highest epoch seen.
 	highestEpoch ids.Epoch
 	// ownEpoch is the epoch under which this registry leads; zero if it doesn't.
 	ownEpoch    ids.Epoch
 	campaigning bool
-	// steppedDownAt is when this run last ceased to lead; zero if it never led.
+	// steppedDownAt is when this registry last stopped leading; zero if it never led.
 	steppedDownAt ids.Time
 }
 
-// leads tells whether this registry is the planner.
+// leads reports whether this registry is the planner.
 func (l *leadership) leads() bool { return l.ownEpoch != 0 }
 
-// PlannerEpoch gives the epoch under which this registry plans, and whether it does.
+// PlannerEpoch returns the epoch under which this registry leads, and whether it leads.
 func (r *Registry) PlannerEpoch() (ids.Epoch, bool) {
 	return r.leadership.ownEpoch, r.leadership.leads()
 }
 
-// observeEpoch notes an epoch. A registry that led under a lower one no longer leads.
+// observeEpoch records an epoch, and steps down if this registry leads under a lower one.
 func (r *Registry) observeEpoch(now ids.Time, epoch ids.Epoch) {
 	r.leadership.highestEpoch = max(r.leadership.highestEpoch, epoch)
 	if r.leadership.leads() && r.leadership.highestEpoch > r.leadership.ownEpoch {
@@ -62,7 +62,7 @@
 	}
 }
 
-// resign gives the leadership up if this registry has it.
+// resign steps down if this registry leads.
 func (r *Registry) resign(now ids.Time) {
 	if r.leadership.leads() {
 		r.stepDown(now, logLeadershipResigned)
@@ -74,7 +74,7 @@
 	r.leadership.ownEpoch, r.leadership.steppedDownAt = 0, now
 }
 
-// tickLeadership campaigns or resigns as the membership list asks for, and plans while
+// tickLeadership campaigns or resigns depending on the membership list, and plans while
 // this registry leads.
 func (r *Registry) tickLeadership(now ids.Time) {
 	switch {
@@ -87,9 +87,9 @@
 	}
 }
 
-// shouldLead tells whether this registry holds the control lease and is the first of the
-// live registries that report themselves ready. A peer that is heard but hears nothing
-// reports that it isn't ready, and resigns by itself.
+// shouldLead reports whether this registry holds the control lease and is the first of the
+// live registries that are ready. A peer that can send but not receive reports itself not
+// ready, and resigns on its own.
 func (r *Registry) shouldLead(now ids.Time) bool {
 	if r.stopping || !r.lease.isHeld(now) || now.Sub(r.resumedAt) <= resumeGrace {
 		return false
@@ -105,8 +105,8 @@
 	return false
 }
 
-// campaign asks the stores for the leadership, unless a campaign is under way, this run
-// has only just stepped down, or there is no configuration to plan by.
+// campaign requests the leadership from the stores, unless a campaign is in progress, this
+// registry has just stepped down, or there is no configuration yet.
 func (r *Registry) campaign(now ids.Time) {
 	lead := &r.leadership
 	backingOff := lead.steppedDownAt != 0 && now.Sub(lead.steppedDownAt) < campaignBackoff
@@ -122,8 +122,8 @@
 	r.Client.Call(now, election.RegisterKey(plannerElection), election.OpAcquire, bid, campaignTimeout, r.endCampaign)
 }
 
-// endCampaign takes the leadership if the stores have granted it, and no higher epoch has
-// been seen meanwhile: that would be another registry's.
+// endCampaign takes the leadership if the stores granted it and no higher epoch, which
+// would belong to another registry, was seen in the meantime.
 func (r *Registry) endCampaign(now ids.Time, outcome consensus.Outcome, encoded []byte) {
 	lead := &r.leadership
 	lead.campaigning = false
--- a/internal/controlplane/registry/push.go
+++ b/internal/controlplane/registry/push.go
@@ -9,19 +9,20 @@
 )
 
 const (
-	// pushInterval is the interval at which changes that aren't urgent are pushed.
+	// pushInterval is the interval between regular pushes of changes that aren't urgent.
 	pushInterval = 150 * time.Millisecond
-	// pushVersionShift keeps the targets' version above the configuration's revision in
-	// the version of a push. Both only grow, so their sum differs after each change of
-	// either, however large they become.
+	// pushVersionShift shifts the targets' version when it is added to the
+	// configuration's revision to form the version of a push. Both only increase, so the
+	// sum increases with each change of either.
 	pushVersionShift = 20
-	// incrementalRefreshInterval is how often a proxy is pushed to if nothing is new,
-	// and incrementalRetryTimeout how long a first push waits for its acknowledgement.
+	// incrementalRefreshInterval is the interval between pushes to a proxy while nothing
+	// changes, and incrementalRetryTimeout the time to wait for the acknowledgement of a
+	// first push before it is retried.
 	incrementalRefreshInterval = time.Second
 	incrementalRetryTimeout    = 400 * time.Millisecond
 )
 
-// newDistributor makes the distributor of a registry.
+// newDistributor returns the distributor of this registry.
 func (r *Registry) newDistributor() *distribution.Distributor {
 	distributor := distribution.New(r.options.Self.RunID, &r.Outbox)
 	if r.options.Incremental {
@@ -33,14 +34,14 @@
 	return distributor
 }
 
-// tickPush pushes what isn't urgent when it is due.
+// tickPush performs the regular push when it is due.
 func (r *Registry) tickPush(now ids.Time) {
 	if !r.options.Incremental || now.Sub(r.lastPush) >= pushInterval {
 		r.pushToProxies(now)
 	}
 }
 
-// pushToProxies pushes to the assigned proxies what they haven't acknowledged yet.
+// pushToProxies pushes everything not yet acknowledged to the assigned proxies.
 func (r *Registry) pushToProxies(now ids.Time) {
 	r.lastPush = now
 	revision := r.configuration.view.Revision
@@ -53,8 +54,9 @@
 	})
 }
 
-// handleProxyAck takes a proxy's acknowledgement. Where an incremental push is still
-// open, but the proxy's digest shows that it has all targets, they count as acknowledged.
+// handleProxyAck handles a proxy's acknowledgement. If an incremental push is still
+// unacknowledged, but the proxy's digest shows that it has all targets, the targets are
+// taken as acknowledged.
 func (r *Registry) handleProxyAck(now ids.Time, ack distribution.Ack) {
 	r.Distributor.HandleAck(now, ack)
 	if r.options.Incremental && !r.Distributor.IsCurrent(ack.Proxy, ack.RunID) && ack.TargetsDigest == r.Targets.ProxyDigest() {
@@ -63,7 +65,7 @@
 	r.completeDepartures(now)
 }
 
-// targetsForProxies gives the targets in the form that proxies are sent.
+// targetsForProxies returns the targets in the form sent to proxies.
 func (r *Registry) targetsForProxies(now ids.Time) []targets.Target {
 	if r.options.Incremental {
 		return r.Targets.ForProxies(now)
@@ -71,7 +73,7 @@
 	return r.Targets.All(now)
 }
 
-// targetsVersion gives a number that grows with each change of targetsForProxies.
+// targetsVersion returns a number that increases with each change of targetsForProxies.
 func (r *Registry) targetsVersion() uint64 {
 	if r.options.Incremental {
 		return r.Targets.ProxyVersion()
@@ -79,9 +81,9 @@
 	return r.Targets.Version()
 }
 
-// configurationSince gives the encoded configuration for a proxy that has a revision: where
-// that is possible only the items that changed (Document.ChangesSince), which is another
-// thing than the binary difference between two values that stores send.
+// configurationSince returns the encoded configuration for a proxy that has a revision,
+// reduced to the changed items where possible (Document.ChangesSince). This delta is not
+// the binary delta between register values that stores send.
 func (r *Registry) configurationSince(revision ids.Revision) []byte {
 	if revision == 0 || !r.options.Incremental {
 		return r.configuration.full()
--- a/internal/controlplane/registry/registrar.go
+++ b/internal/controlplane/registry/registrar.go
@@ -6,8 +6,9 @@
 	"dunlinwell/internal/controlplane/targets"
 )
 
-// assignRegistrar sets a target's registrar to the registry that its next heartbeats will
-// go to, so that the registrar, whose change all peers must hear of, seldom changes.
+// assignRegistrar sets a target's registrar, the registry that receives its next
+// heartbeats. The current registrar is preferred, because each change of it has to be
+// sent to all peers.
 func (r *Registry) assignRegistrar(now ids.Time, target *targets.Target) {
 	if previous, known := r.Targets.Get(now, target.Instance); known {
 		target.Registrar = previous.Registrar
@@ -16,9 +17,9 @@
 	target.Registrar, target.RegistrarRunID = registrar.ID, registrar.RunID
 }
 
-// registrarFor gives the registry that a target should send heartbeats to: the one whose
-// zone is nearest, so that heartbeats don't cross regions without need. It gives no
-// member without Options.Incremental.
+// registrarFor returns the registry that a target should send heartbeats to: the one in
+// the nearest zone, to avoid cross-region heartbeats. It returns the zero Member unless
+// Options.Incremental is set.
 func (r *Registry) registrarFor(now ids.Time, target targets.Target) membership.Member {
 	if !r.options.Incremental {
 		return membership.Member{}
@@ -33,8 +34,8 @@
 	return best
 }
 
-// isBetterRegistrar compares two registries as the registrar of a target: the nearer one
-// wins, then the current registrar, then rendezvous hashing decides.
+// isBetterRegistrar reports whether candidate is preferred over best as a target's
+// registrar: first by distance, then the current registrar, then by rendezvous hashing.
 func (r *Registry) isBetterRegistrar(target targets.Target, candidate, best membership.Member) bool {
 	if order := r.compareDistance(target.Zone, candidate.Zone, best.Zone); order != 0 {
 		return order < 0
--- a/internal/controlplane/registry/registry.go
+++ b/internal/controlplane/registry/registry.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	// suspensionGap is the time between two ticks from which on this process counts as
-	// having been frozen.
+	// suspensionGap is the time between two ticks above which this process is
+	// considered to have been suspended.
 	suspensionGap = time.Second
-	// reportOverlap lets the planner's averages cover two whole reports.
+	// reportOverlap extends the averaging window so that it covers two whole reports.
 	reportOverlap = 100 * time.Millisecond
 )
 
@@ -26,13 +26,13 @@
 	event.Outbox
 	// List is the membership list.
 	*membership.List
-	// Client carries calls to the stores.
+	// Client sends calls to the stores.
 	Client *consensus.Client
-	// Targets are all targets known.
+	// Targets holds all known targets.
 	Targets *targets.Table
 	// Distributor pushes configuration and targets to the proxies.
 	Distributor *distribution.Distributor
-	// Reports hold the usage that proxies report, for the planner.
+	// Reports holds the usage reported by proxies, as input to the planner.
 	Reports *spill.Reports
 
 	options       Options
@@ -45,24 +45,25 @@
 	planner       planner
 	snapshotCache snapshotCache
 
-	// deferredCalls wait for the lease to be renewed, pendingCalls for an agreement.
+	// deferredCalls wait for the lease to be renewed, pendingCalls for the stores.
 	deferredCalls []deferredCall
 	pendingCalls  []pendingCall
 
-	// stopping is set once the process was told to end.
+	// stopping is set once graceful shutdown has begun.
 	stopping       bool
 	lastPush       ids.Time
 	nextTargetSync ids.Time
 
-	// startedAt is the time of the first tick of this run, and lastTick of the last one.
+	// startedAt is the time of the first tick of this run, lastTick that of the most
+	// recent one.
 	startedAt ids.Time
 	lastTick  ids.Time
 	// resumedAt is the time of the first tick after the last suspension of this process;
-	// zero if there was none.
+	// zero if it was never suspended.
 	resumedAt ids.Time
 }
 
-// New makes a registry that knows itself and its seeds alone.
+// New returns a registry that knows only itself and its seeds.
 func New(options Options) *Registry {
 	options.setDefaults()
 	options.Self.Role = membership.Registry
@@ -82,13 +83,13 @@
 	r.Client.StoreOrder = r.storeOrder
 	r.Distributor = r.newDistributor()
 	if options.DeriveSetPoints {
-		// Proxies report once in a plan interval.
+		// Proxies report once per plan interval.
 		r.Reports.AveragingWindow = 2*options.PlanEvery + reportOverlap
 	}
 	return r
 }
 
-// Step handles an event, and gives the commands that the daemon has to carry out.
+// Step handles an event and returns the commands that the daemon has to execute.
 func (r *Registry) Step(now ids.Time, ev event.Event) []event.Command {
 	switch e := ev.(type) {
 	case event.Received:
@@ -102,7 +103,7 @@
 	return r.Drain()
 }
 
-// tick does what time asks for.
+// tick runs the periodic work.
 func (r *Registry) tick(now ids.Time) {
 	r.noteTick(now)
 	r.UpdateSelf(r.isReady(now), r.configuration.view.Revision)
@@ -119,7 +120,7 @@
 	r.tickLeadership(now)
 }
 
-// noteTick notes the time of a tick, and whether this process was frozen before it.
+// noteTick records the time of a tick and detects that this process was suspended before it.
 func (r *Registry) noteTick(now ids.Time) {
 	gap := now.Sub(r.lastTick)
 	if r.lastTick != 0 && gap > suspensionGap {
@@ -168,8 +169,8 @@
 	}
 }
 
-// handleStoreResponse passes a store's answer to the call that waits for it, and pushes
-// the configuration if the answer has brought a newer one.
+// handleStoreResponse passes a store's response to the call that waits for it, and pushes
+// the configuration if the response brought a newer one.
 func (r *Registry) handleStoreResponse(now ids.Time, from ids.Address, response consensus.Response) {
 	before := r.configuration.view.Revision
 	r.Client.HandleResponse(now, from, response)
--- a/internal/controlplane/registry/spill_table.go
+++ b/internal/controlplane/registry/spill_table.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// tableExpiresWithoutAgreement is the age of the last agreement from which on a
+	// tableExpiresWithoutAgreement is the age of the last quorum read above which a
 	// table that is no longer confirmed may expire.
 	tableExpiresWithoutAgreement = 5 * time.Second
 	// tableExpiryPlans is the number of plan intervals after which an unconfirmed table
@@ -18,9 +18,9 @@
 	tableExpiryPlans = 3
 )
 
-// handleSpillTable adopts the planner's table, unless it was made under an epoch that has
-// ended. Its sender is then told the current epoch: it may not have heard of the election
-// that ended its own, and would go on planning for nobody.
+// handleSpillTable adopts the planner's table unless its epoch is stale. In that case the
+// sender is sent the current epoch: it may have missed the election that replaced it, and
+// would otherwise continue to send plans that are rejected.
 func (r *Registry) handleSpillTable(now ids.Time, from ids.Address, table spill.Table) {
 	if table.Epoch < r.leadership.highestEpoch {
 		r.Send(from, election.Term{Epoch: r.leadership.highestEpoch})
@@ -36,14 +36,14 @@
 	}
 }
 
-// isSpillTableExpired tells whether the table is too old to be used: this registry has
-// lost the majority, and has not received the table for some plan intervals. With a
-// majority the last table holds even if there is no planner.
+// isSpillTableExpired reports whether the table is too old to be used: this registry has
+// lost the majority and has not received the table for tableExpiryPlans plan intervals.
+// While a majority is reachable the last table stays valid, even without a planner.
 func (r *Registry) isSpillTableExpired(now ids.Time) bool {
 	lostMajority := now.Sub(r.lease.agreedAt) > tableExpiresWithoutAgreement
 	unconfirmed := now.Sub(r.planner.tableConfirmedAt) > tableExpiryPlans*r.options.PlanEvery
 	return lostMajority && unconfirmed
 }
 
-// SpillTable gives the spill table in use, for tests and status pages.
+// SpillTable returns the spill table in use, for tests and status pages.
 func (r *Registry) SpillTable() spill.Table { return r.planner.table }
--- a/internal/controlplane/registry/zone_levels.go
+++ b/internal/controlplane/registry/zone_levels.go
@@ -6,8 +6,8 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// The levels of a zone without configured ones, as shares of the capacity that its targets
-// report. Target lies between acceptable and maximum, as in the configured defaults.
+// Load levels of a zone without configured ones, as fractions of the capacity that its
+// targets report.
 const (
 	acceptableShare = 0.6
 	targetShare     = 0.75
@@ -15,18 +15,18 @@
 )
 
 const (
-	// minMaximumToTarget is the least ratio of a learned maximum to the target level, so
-	// that the maximum stays above the target.
+	// minMaximumToTarget is the minimum ratio of a learned maximum to the target level;
+	// it keeps the maximum above the target.
 	minMaximumToTarget = 1.02
-	// minDerivedCapacity stands for the capacity of a zone that has no usable target, so
-	// that its levels aren't zero.
+	// minDerivedCapacity is the minimum capacity of a zone; it keeps the levels of a zone
+	// without usable targets above zero.
 	minDerivedCapacity = 1
-	// millisPerSecond converts a target's capacity, in requests at a time, to
+	// millisPerSecond converts a target's capacity, in concurrent requests, to
 	// milliseconds of work per second.
 	millisPerSecond = 1000
 )
 
-// currentZones gives the load and the levels of every configured zone.
+// currentZones returns the load and the levels of every configured zone.
 func (r *Registry) currentZones(now ids.Time) map[ids.Name]spill.Zone {
 	proxies, ranks := r.liveProxies(), r.routeRanks()
 	capacities := r.zoneCapacities(now)
@@ -44,13 +44,13 @@
 	return zones
 }
 
-// hasDerivedLevels tells whether a zone's levels follow from the capacity of its targets.
+// hasDerivedLevels reports whether a zone's levels are derived from the capacity of its targets.
 func (r *Registry) hasDerivedLevels(zone configuration.Zone) bool {
 	return zone.LoadDefaulted && r.options.DeriveSetPoints
 }
 
-// setConfiguredLevels sets the configured levels, and the maximum to the learned one if
-// there is one.
+// setConfiguredLevels sets the configured levels. A learned maximum overrides the
+// configured one.
 func (r *Registry) setConfiguredLevels(zone *spill.Zone, configured configuration.Zone) {
 	zone.Acceptable, zone.Target, zone.Maximum = configured.AcceptableLoad, configured.TargetLoad, configured.MaximumLoad
 	if fit, known := r.planner.learnedMaxima[zone.Name]; known && fit.Learned {
@@ -65,9 +65,9 @@
 	zone.Acceptable, zone.Target, zone.Maximum = acceptableShare*capacity, targetShare*capacity, maximumShare*capacity
 }
 
-// zoneCapacities sums the capacities that targets report, by zone, in milliseconds of work
-// per second; nil without Options.DeriveSetPoints. Targets in slow start, and those of
-// drained or evacuated zones, don't count.
+// zoneCapacities returns the total reported capacity of the targets of each zone, in
+// milliseconds of work per second; nil unless Options.DeriveSetPoints is set. Targets in
+// slow start and those of drained or evacuated zones are excluded.
 func (r *Registry) zoneCapacities(now ids.Time) map[ids.Name]float64 {
 	if !r.options.DeriveSetPoints {
 		return nil
