--- a/internal/controlplane/registry/departure.go
+++ b/internal/controlplane/registry/departure.go
@@ -10,40 +10,39 @@
 
 const (
 	// departureTimeout is how long a departure waits for all proxies once a majority
-	// is known to be reachable. Targets are promised an answer within a second
-	// (docs/platform.md); it says whether all proxies have applied the departure.
+	// is known to be reachable. Targets are guaranteed an answer within a second
+	// (docs/platform.md), which states whether all proxies have applied the departure.
 	departureTimeout = 500 * time.Millisecond
-	// maxOwedAcks bounds the acknowledgements that are owed, as the registries that
-	// asked for them may have stopped meanwhile.
+	// maxOwedAcks limits the number of stored notices, as the registries that sent them
+	// may have stopped in the meantime.
 	maxOwedAcks = 4096
 )
 
-// departure is a target's draining notice whose answer is withheld until every live
-// proxy has applied it. The target may exit as soon as it is answered, and this
-// registry may crash right after answering. How this registry itself ends is in
-// stopping.go; how a store departs, in package store.
+// departure is a target's draining notice whose answer is delayed until every live proxy
+// has applied it: the target may exit as soon as it is answered, and this registry may
+// crash right after answering.
 type departure struct {
 	callID   uint64
 	target   targets.Target
 	arrived  ids.Time
 	deadline ids.Time
-	// awaitedPeers are the registries whose DepartureAck is outstanding.
+	// awaitedPeers holds the registries whose DepartureAck is outstanding.
 	awaitedPeers map[ids.DaemonID]bool
 }
 
-// departureTracker holds the departures under way.
+// departureTracker holds the departures in progress.
 type departureTracker struct {
-	// waiting are the departures that this registry has to answer, oldest first.
+	// waiting holds the departures that this registry has to answer, oldest first.
 	waiting []departure
-	// owedAcks are notices of other registries that aren't acknowledged yet.
+	// owedAcks holds notices of other registries that aren't acknowledged yet.
 	owedAcks []DepartureNotice
 }
 
-// startDeparture asks the other registries to acknowledge that a target leaves, and
-// has the call answered once proxies have applied it.
+// startDeparture asks the other registries to acknowledge a target's departure, and
+// answers the call once the proxies have applied it.
 func (r *Registry) startDeparture(now ids.Time, callID uint64, target targets.Target) {
 	if r.options.Incremental {
-		// Proxies acknowledge the sequence at which the target last changed to them.
+		// Proxies acknowledge the sequence of the last change that was pushed to them.
 		target.Sequence = r.Targets.ProxySequence(target.Instance)
 	}
 	started := departure{
@@ -58,7 +57,7 @@
 	r.completeDepartures(now)
 }
 
-// sendDepartureNotices asks the registries that share the proxies for their acknowledgement.
+// sendDepartureNotices asks the other registries that push to proxies for a DepartureAck.
 func (r *Registry) sendDepartureNotices(now ids.Time, started departure) {
 	if !r.options.Incremental {
 		return
@@ -72,8 +71,8 @@
 	}
 }
 
-// completeDepartures answers the departures that all proxies have applied, or that
-// are overdue, and sends the acknowledgements that are owed.
+// completeDepartures answers the departures that all proxies have applied or that are
+// overdue, and sends the acknowledgements due to other registries.
 func (r *Registry) completeDepartures(now ids.Time) {
 	waiting := r.departures.waiting[:0]
 	for _, pending := range r.departures.waiting {
@@ -93,8 +92,8 @@
 	case now >= pending.deadline && r.lease.renewedSince(pending.arrived):
 		r.reply(pending.callID, http.StatusOK, map[string]any{bodyKnown: true, bodyEverywhere: false})
 	case now.Sub(pending.arrived) >= majorityTimeout:
-		// The proxies that can be reached have applied it, but on the other side of a
-		// partition some may not have.
+		// Without a majority, proxies on the other side of a partition may not have
+		// applied the departure.
 		r.replyUnavailable(pending.callID)
 	default:
 		return false
@@ -103,8 +102,8 @@
 }
 
 // sendOwedAcks acknowledges the notices of other registries whose departures the
-// assigned proxies have applied. The rest is kept, or dropped if maxOwedAcks or more
-// were owed; the askers then answer their targets by time-out.
+// assigned proxies have applied. The rest are kept, or dropped if there were maxOwedAcks
+// or more; the requesting registries then answer their targets after a timeout.
 func (r *Registry) sendOwedAcks(now ids.Time) {
 	owed := r.departures.owedAcks[:0]
 	for _, notice := range r.departures.owedAcks {
@@ -118,19 +117,19 @@
 	r.departures.owedAcks = owed
 }
 
-// appliedByAssignedProxies tells whether every proxy that this registry pushes to has
+// appliedByAssignedProxies reports whether every proxy that this registry pushes to has
 // acknowledged a target's departure.
 func (r *Registry) appliedByAssignedProxies(now ids.Time, target targets.Target) bool {
 	return r.Distributor.AllAcknowledged(r.assignedProxies(now), target)
 }
 
-// handleDepartureNotice notes that another registry waits for an acknowledgement.
+// handleDepartureNotice records that another registry waits for an acknowledgement.
 func (r *Registry) handleDepartureNotice(now ids.Time, notice DepartureNotice) {
 	r.departures.owedAcks = append(r.departures.owedAcks, notice)
 	r.completeDepartures(now)
 }
 
-// handleDepartureAck notes that all proxies assigned to another registry have applied
+// handleDepartureAck records that all proxies assigned to another registry have applied
 // a departure.
 func (r *Registry) handleDepartureAck(now ids.Time, ack DepartureAck) {
 	for _, pending := range r.departures.waiting {
--- a/internal/controlplane/registry/directory.go
+++ b/internal/controlplane/registry/directory.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// snapshotLifetime is how long a directory snapshot is reused. Computing the load
-	// of every zone for each call would cost more than the answer.
+	// snapshotLifetime is how long a directory snapshot is reused, as computing the load
+	// of every zone for each call would be expensive.
 	snapshotLifetime = 50 * time.Millisecond
-	// lifetimeWithoutLease bounds how long clients may use an answer that was given
+	// lifetimeWithoutLease limits how long clients may use an answer that was returned
 	// without the control lease (Options.AlwaysResolve).
 	lifetimeWithoutLease = 500 * time.Millisecond
 	// maxProxyLag is how long a proxy may leave pushes unacknowledged before the
-	// directory leaves it out.
+	// directory excludes it.
 	maxProxyLag = 2 * time.Second
 )
 
@@ -29,7 +29,7 @@
 	Zone           ids.Name      `json:"cell"`
 	Proxies        []ids.Address `json:"proxies"`
 	LifetimeMillis int64         `json:"lifetime_ms"`
-	// Moved tells that the spill plan led the connection away from its own zone.
+	// Moved reports whether the spill plan sent the connection to another zone.
 	Moved bool `json:"moved"`
 }
 
@@ -40,8 +40,7 @@
 	builtAt  ids.Time
 }
 
-// snapshotKey identifies what a snapshot was computed from. A change of it makes the
-// snapshot obsolete at once.
+// snapshotKey identifies the inputs of a snapshot. A change of any of them invalidates it.
 type snapshotKey struct {
 	revision          ids.Revision
 	membershipVersion uint64
@@ -75,7 +74,7 @@
 	})
 }
 
-// resolutionLifetime gives how long clients may use an answer of the directory.
+// resolutionLifetime returns how long clients may use a directory answer.
 func (r *Registry) resolutionLifetime(now ids.Time) time.Duration {
 	if r.lease.isHeld(now) {
 		return r.options.Lifetime
@@ -83,8 +82,8 @@
 	return min(r.options.Lifetime, lifetimeWithoutLease)
 }
 
-// chooseRoute gives the route that a call is resolved for. A call for a host stands for
-// all of its routes: one of them is drawn by what each uses in the client's zone.
+// chooseRoute returns the route that a call is resolved for. For a host, one of its routes
+// is chosen at random, weighted by the usage of each in the client's zone.
 func (r *Registry) chooseRoute(call ResolveCall) ids.Name {
 	if call.Host == "" {
 		return call.Route
@@ -99,8 +98,8 @@
 	return r.planner.table.PickRoute(call.Zone, routes, r.options.Random.Float64())
 }
 
-// directorySnapshot gives what the directory answers from (package directory): the cached
-// snapshot, or a new one.
+// directorySnapshot returns the snapshot that directory lookups use, from the cache if it
+// is still valid.
 func (r *Registry) directorySnapshot(now ids.Time) directory.Snapshot {
 	cache := &r.snapshotCache
 	key := snapshotKey{
@@ -116,7 +115,7 @@
 }
 
 func (r *Registry) buildSnapshot(now ids.Time) directory.Snapshot {
-	// Computed at the first use: few calls need the room left.
+	// Computed on first use, as few calls need the capacity left.
 	var zones map[ids.Name]spill.Zone
 	room := func(name ids.Name) float64 {
 		if zones == nil {
@@ -145,9 +144,9 @@
 	return snapshot
 }
 
-// eligibleProxies gives the proxies that the directory may name: those that report
-// themselves ready and acknowledge what this registry pushes. Incremental registries
-// share the proxies out, and rely on the report alone.
+// eligibleProxies returns the proxies that directory answers may contain: those that are
+// ready and acknowledge this registry's pushes. Incremental registries each push to only
+// some of the proxies, and so check readiness alone.
 func (r *Registry) eligibleProxies(now ids.Time) []membership.Member {
 	var eligible []membership.Member
 	for _, proxy := range r.Live(membership.Proxy) {
@@ -158,9 +157,9 @@
 	return eligible
 }
 
-// nearestKnownProxies gives the proxies of the nearest zone by the membership list alone,
-// preferring members that aren't declared dead. If no proxy seems eligible it may be
-// this registry that is cut off, and not its client.
+// nearestKnownProxies returns the proxies of the nearest zone from the membership list
+// alone, preferring members not declared dead. It is the fallback if no proxy is eligible,
+// because this registry may be cut off while its client isn't.
 func (r *Registry) nearestKnownProxies(zone ids.Name) (directory.Destination, bool) {
 	var proxies []membership.Member
 	for _, member := range r.All() {
--- a/internal/controlplane/registry/evacuation_calls.go
+++ b/internal/controlplane/registry/evacuation_calls.go
@@ -9,16 +9,16 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// maxOrderAge is how long a zone order may have waited for this process to run: its
-// caller has sent it again by then, and may have ordered something else since.
+// maxOrderAge is how long a zone order may have waited while this process was suspended.
+// By then its caller has retried it, and may have sent a different order since.
 const maxOrderAge = time.Second
 
-// overtakenOrder is the answer to a zone order that a later change may have overtaken.
+// overtakenOrder is the answer to a zone order that a later change may have superseded.
 const overtakenOrder = "the cell was changed meanwhile; send the order again if it is still wanted"
 
-// handleZoneOrder submits an order to evacuate a zone or to end its evacuation. It takes
-// effect only if the zone's version is still the one known here: zone orders carry no id
-// by which a late copy could be recognized.
+// handleZoneOrder submits an order to evacuate a zone or to end its evacuation. The order
+// takes effect only if the zone's version is still the one known here: zone orders have no
+// idempotency key by which a delayed duplicate could be detected.
 func (r *Registry) handleZoneOrder(now ids.Time, call ZoneOrderCall) {
 	if r.mayHaveBeenFrozen(now) {
 		r.replyOvertaken(call.ID)
@@ -45,14 +45,14 @@
 	})
 }
 
-// replyOvertaken answers an order that had no effect. It is no rejection, as an earlier
-// copy of the order may have taken effect.
+// replyOvertaken answers an order that had no effect. The order isn't reported as rejected,
+// because an earlier copy of it may have taken effect.
 func (r *Registry) replyOvertaken(id uint64) {
 	r.replyRetry(id, http.StatusServiceUnavailable, overtakenOrder)
 }
 
-// mayHaveBeenFrozen tells whether what arrives now may have waited while this process
-// was frozen.
+// mayHaveBeenFrozen reports whether a call that arrives now may have been delayed by a
+// suspension of this process.
 func (r *Registry) mayHaveBeenFrozen(now ids.Time) bool {
 	ticksAreLate := r.lastTick != 0 && now.Sub(r.lastTick) > maxOrderAge
 	hasJustResumed := r.resumedAt != 0 && now.Sub(r.resumedAt) < maxOrderAge
--- a/internal/controlplane/registry/log_events.go
+++ b/internal/controlplane/registry/log_events.go
@@ -4,20 +4,20 @@
 
 // The log events of a registry.
 const (
-	// logProcessResumed: this process did not run for gap_ms.
+	// logProcessResumed: this process was suspended for gap_ms.
 	logProcessResumed event.LogEvent = "process_resumed"
 
 	// logConfigurationAdopted: this registry uses a newer configuration.
 	logConfigurationAdopted event.LogEvent = "configuration_adopted"
-	// logConfigurationUnreadable: the stores gave a configuration that this version
+	// logConfigurationUnreadable: the stores returned a configuration that this version
 	// can't decode.
 	logConfigurationUnreadable event.LogEvent = "configuration_unreadable"
-	// logItemVersionReused: a merge gave an item other content under a version in use.
+	// logItemVersionReused: a merge had different content for an existing item version.
 	logItemVersionReused event.LogEvent = "item_version_reused"
 
 	// logTargetHeartbeatTimeout: a target's heartbeats have stopped.
 	logTargetHeartbeatTimeout event.LogEvent = "target_heartbeat_timeout"
-	// logTargetWithdrawn: a target takes no new requests: it is draining or, if gone is
+	// logTargetWithdrawn: a target accepts no new requests: it is draining or, if gone is
 	// set, has ended.
 	logTargetWithdrawn event.LogEvent = "target_withdrawn"
 
@@ -25,8 +25,8 @@
 	logLeadershipAcquired event.LogEvent = "leadership_acquired"
 	// logLeadershipLost: another registry was elected under a higher epoch.
 	logLeadershipLost event.LogEvent = "leadership_lost"
-	// logLeadershipResigned: this registry stops, has lost the control lease, or an
-	// earlier one in the membership list is ready.
+	// logLeadershipResigned: this registry is stopping, has lost the control lease, or a
+	// registry that precedes it in the membership list is ready.
 	logLeadershipResigned event.LogEvent = "leadership_resigned"
 	// logCampaignFailed: the bid for the leadership could not be encoded.
 	logCampaignFailed event.LogEvent = "campaign_failed"
--- a/internal/controlplane/registry/metrics.go
+++ b/internal/controlplane/registry/metrics.go
@@ -1,15 +1,15 @@
 package registry
 
-// Metric is one number of a Status, as the metrics page shows it.
+// Metric is one number of a Status, as the /metrics endpoint exposes it.
 type Metric struct {
 	Name string
-	// Labels are the names of the labels, and Values their values.
+	// Labels holds the names of the labels, and Values their values.
 	Labels []string
 	Values []string
 	Value  float64
 }
 
-// Metrics gives the numbers of a status.
+// Metrics returns the metrics of a status.
 func (s Status) Metrics() []Metric {
 	metrics := []Metric{
 		{Name: "policy_revision", Value: float64(s.Revision)},
@@ -76,7 +76,7 @@
 	}
 }
 
-// boolValue gives the value of a metric that is either set or not.
+// boolValue returns the metric value of a boolean: 1 or 0.
 func boolValue(set bool) float64 {
 	if set {
 		return 1
--- a/internal/controlplane/registry/peers.go
+++ b/internal/controlplane/registry/peers.go
@@ -11,32 +11,31 @@
 const (
 	// peerHeartbeatInterval is the interval between two heartbeats to each peer.
 	peerHeartbeatInterval = 400 * time.Millisecond
-	// peerTimeout is how long after its last heartbeat a peer counts as running: four
-	// heartbeat intervals.
+	// peerTimeout is how long after its last heartbeat a peer is considered running.
 	peerTimeout = 4 * peerHeartbeatInterval
-	// trustWithinAge is how old a peer's agreement may be for the peer to become
-	// trusted, and distrustAfterAge the age at which a trusted one ceases to be. The
-	// gap between them keeps the assignment of proxies and targets stable while
-	// agreements take a little longer now and then.
+	// trustWithinAge is the age of a peer's last quorum read below which the peer
+	// becomes trusted, and distrustAfterAge the age at which a trusted peer loses trust.
+	// The hysteresis keeps the assignment of proxies and targets stable while some
+	// quorum reads are slow.
 	trustWithinAge   = 1200 * time.Millisecond
 	distrustAfterAge = 2500 * time.Millisecond
-	// compareAfterMismatches is the number of successive heartbeats with another
-	// digest after which the target tables are compared part by part. Until then
-	// the update that explains the difference may still be on its way.
+	// compareAfterMismatches is the number of successive heartbeats with a different
+	// digest after which the target tables are compared part by part. Before that, the
+	// update that explains the difference may still be in flight.
 	compareAfterMismatches = 3
-	// sendAllAfterMismatches is the number of successive heartbeats with another
-	// digest after which the whole table is sent, to a peer of a version that can't
-	// compare parts: with any other, four comparisons have come before.
+	// sendAllAfterMismatches is the number of successive heartbeats with a different
+	// digest after which the whole table is sent, for peers of versions that can't
+	// compare parts.
 	sendAllAfterMismatches = 15
-	// relayInterval is the interval at which changed members are relayed.
+	// relayInterval is the minimum interval between two relays of changed members.
 	relayInterval = 150 * time.Millisecond
 )
 
-// maxAgreementAgeMillis caps the age in a PeerHeartbeat so that it fits its field.
+// maxAgreementAgeMillis limits the age in a PeerHeartbeat so that it fits its field.
 const maxAgreementAgeMillis = 1 << 30
 
-// peerSet holds what the other registries say in their own heartbeats. During a
-// partition the membership list may still show as alive a peer that is no longer heard.
+// peerSet holds the other registries' latest heartbeats. During a partition, the
+// membership list may still show a peer as alive that no longer sends any.
 type peerSet struct {
 	byID            map[ids.DaemonID]peer
 	nextHeartbeat   ids.Time
@@ -44,11 +43,11 @@
 	lastRelay       ids.Time
 }
 
-// peer is another registry as its own heartbeats show it.
+// peer is the state of another registry, based on its own heartbeats.
 type peer struct {
 	PeerHeartbeat
 	receivedAt ids.Time
-	// digestMismatches counts successive heartbeats whose target digest wasn't ours.
+	// digestMismatches counts successive heartbeats whose target digest differed from ours.
 	digestMismatches int
 	// trusted peers push to proxies and act as registrars of targets.
 	trusted bool
@@ -56,18 +55,18 @@
 
 func newPeerSet() peerSet { return peerSet{byID: map[ids.DaemonID]peer{}} }
 
-// isRunning tells whether a run of a peer has sent a heartbeat within peerTimeout.
+// isRunning reports whether a run of a peer has sent a heartbeat within peerTimeout.
 func (s *peerSet) isRunning(now ids.Time, id ids.DaemonID, run ids.RunID) bool {
 	p, known := s.byID[id]
 	return known && p.RunID == run && now.Sub(p.receivedAt) < peerTimeout
 }
 
-// isTrusted tells whether a run of a peer is running and reaches a majority.
+// isTrusted reports whether a run of a peer is running and trusted.
 func (s *peerSet) isTrusted(now ids.Time, id ids.DaemonID, run ids.RunID) bool {
 	return s.isRunning(now, id, run) && s.byID[id].trusted
 }
 
-// tickPeers sends the heartbeats to peers that are due, and relays membership changes.
+// tickPeers sends heartbeats to peers when they are due, and relays membership changes.
 func (r *Registry) tickPeers(now ids.Time) {
 	if !r.options.Incremental {
 		return
@@ -108,8 +107,8 @@
 	}
 }
 
-// recordPeer records a peer's heartbeat, and returns how many in a row have had another
-// digest of the targets than this registry.
+// recordPeer records a peer's heartbeat, and returns the number of successive heartbeats
+// whose target digest differed from this registry's.
 func (r *Registry) recordPeer(now ids.Time, heartbeat PeerHeartbeat, restarted bool) int {
 	p := r.peers.byID[heartbeat.ID]
 	p.PeerHeartbeat, p.receivedAt = heartbeat, now
@@ -124,9 +123,8 @@
 	return p.digestMismatches
 }
 
-// reconcileTargets sends a peer what makes both target tables equal again. A peer that was
-// restarted knows nothing yet; with any other whose table goes on differing from this
-// one, an update was lost.
+// reconcileTargets performs anti-entropy with a peer. A restarted peer is sent the whole
+// target table; if any other peer's table keeps differing from this one, an update was lost.
 func (r *Registry) reconcileTargets(now ids.Time, peer ids.Address, restarted bool, digestMismatches int) {
 	switch {
 	case restarted || isMultiple(digestMismatches, sendAllAfterMismatches):
@@ -136,11 +134,11 @@
 	}
 }
 
-// isMultiple tells whether a positive count is a multiple of step.
+// isMultiple reports whether count is a positive multiple of step.
 func isMultiple(count, step int) bool { return count > 0 && count%step == 0 }
 
-// remainsTrusted tells whether a peer whose agreement has some age is trusted, given
-// whether it was trusted before.
+// remainsTrusted reports whether a peer is trusted, given whether it was trusted before and
+// the age of its last quorum read.
 func remainsTrusted(before bool, agreementAge time.Duration) bool {
 	if before {
 		return agreementAge < distrustAfterAge
@@ -148,16 +146,15 @@
 	return agreementAge < trustWithinAge
 }
 
-// handleTableDigest answers a peer's digests with the targets of the parts that differ.
+// handleTableDigest replies to a peer's digests with the targets of the parts that differ.
 func (r *Registry) handleTableDigest(now ids.Time, from ids.Address, digest TableDigest) {
 	if differing := r.Targets.InDifferingParts(now, digest.Parts); len(differing) > 0 {
 		r.Send(from, targets.Update{Targets: differing})
 	}
 }
 
-// relayMembership sends the members that have changed to the assigned proxies and
-// to the other registries; the first registry of the assignment also sends them to
-// the stores.
+// relayMembership sends changed members to the assigned proxies and to the other
+// registries; the first registry of the assignment also sends them to the stores.
 func (r *Registry) relayMembership(now ids.Time) {
 	if now < r.peers.lastRelay.Add(relayInterval) {
 		return
--- a/internal/controlplane/registry/sender_check.go
+++ b/internal/controlplane/registry/sender_check.go
@@ -12,10 +12,10 @@
 	"dunlinwell/internal/state/election"
 )
 
-// discardReason gives the reason for which a message must be discarded; empty if it may be
-// taken. Messages that give orders, or speak for a daemon, are taken only from the
-// address at which the daemon that may send them is known. All of these are repeated
-// while they hold, so that one that comes before its sender is known costs a moment.
+// discardReason returns the reason to discard a message, or "" to accept it. Commands, and
+// messages that act on behalf of a daemon, are accepted only from the known address of a
+// daemon that may send them. All of these are resent, so one that arrives before its
+// sender is known is only delayed.
 func (r *Registry) discardReason(from ids.Address, msg any) event.Reason {
 	known := true
 	switch m := msg.(type) {
@@ -36,13 +36,13 @@
 	return ""
 }
 
-// isSentBy tells whether a daemon is known at the address that a message came from.
+// isSentBy reports whether from is the known address of the daemon with the given ID.
 func (r *Registry) isSentBy(from ids.Address, id ids.DaemonID) bool {
 	member, known := r.Get(id)
 	return known && member.Address == from
 }
 
-// isAddressOf tells whether any daemon of a role is known at an address.
+// isAddressOf reports whether from is the known address of any daemon of a role.
 func (r *Registry) isAddressOf(from ids.Address, role membership.Role) bool {
 	return slices.ContainsFunc(r.All(), func(member membership.Member) bool {
 		return member.Role == role && member.Address == from
--- a/internal/controlplane/registry/status.go
+++ b/internal/controlplane/registry/status.go
@@ -10,7 +10,7 @@
 	"dunlinwell/internal/controlplane/targets"
 )
 
-// majorityWarningAge is the age of the last agreement from which on Status warns that no
+// majorityWarningAge is the age of the last quorum read above which Status warns that no
 // majority of stores can be reached.
 const majorityWarningAge = 5 * time.Second
 
@@ -21,7 +21,7 @@
 	daemonGone     = "gone"
 )
 
-// Values of ZoneStatus.State, by falling precedence.
+// Values of ZoneStatus.State, in order of precedence.
 const (
 	zoneDrained          = "emptied"
 	zoneNoProxies        = "no proxy"
@@ -32,16 +32,16 @@
 	zoneWithinAcceptable = "comfortable"
 )
 
-// Status is what an operator needs to know of the cluster, as one registry sees it.
+// Status is the state of the cluster as one registry sees it.
 type Status struct {
 	Registry ids.DaemonID `json:"registry"`
 	// AgreementAgeMillis is the time since a majority of stores last confirmed the
 	// configuration, in milliseconds.
 	AgreementAgeMillis int64        `json:"agreed_ms_ago"`
 	Revision           ids.Revision `json:"revision"`
-	// InForce tells that every live proxy has acknowledged Revision to this registry. A
-	// proxy that other registries alone push to (Options.Incremental, assignment.go)
-	// acknowledges nothing here, and so is among LaggingProxies.
+	// InForce reports whether every live proxy has acknowledged Revision to this registry.
+	// A proxy that only other registries push to (Options.Incremental, assignment.go)
+	// sends this one no acknowledgements, and so is listed in LaggingProxies.
 	InForce        bool               `json:"in_force"`
 	LaggingProxies []ids.DaemonID     `json:"behind"`
 	Daemons        []DaemonStatus     `json:"daemons"`
@@ -49,7 +49,7 @@
 	Moves          []Move             `json:"moves"`
 	Leaderships    []LeadershipStatus `json:"duties"`
 	Targets        []targets.Target   `json:"targets"`
-	// Warnings are the conditions that an operator should look at, one line each.
+	// Warnings lists conditions that need an operator's attention, one line each.
 	Warnings []string `json:"problems"`
 }
 
@@ -61,8 +61,8 @@
 	Address ids.Address  `json:"address"`
 	HTTP    ids.Address  `json:"http"`
 	State   string       `json:"state"`
-	// Revision is the configuration that the daemon uses; of a proxy, the one that it
-	// has acknowledged.
+	// Revision is the configuration revision that the daemon uses; for a live proxy, the
+	// one that it has acknowledged.
 	Revision ids.Revision `json:"revision"`
 	// RunID identifies one run of the daemon, in hexadecimal.
 	RunID string `json:"start"`
@@ -75,7 +75,7 @@
 	Target     float64  `json:"target"`
 	Acceptable float64  `json:"acceptable"`
 	Maximum    float64  `json:"maximum"`
-	// Learned says whether Maximum was learned, or why it wasn't.
+	// Learned states whether Maximum was learned, or why it wasn't.
 	Learned string `json:"learned"`
 	State   string `json:"state"`
 	// Proxies and Targets count the live proxies and the usable targets.
@@ -83,13 +83,13 @@
 	Targets int `json:"targets"`
 }
 
-// Move is a share of a route's new connections that one zone hands to another.
+// Move shifts a fraction of a route's new connections from one zone to another.
 type Move struct {
 	From     ids.Name `json:"from"`
 	To       ids.Name `json:"to"`
 	Route    ids.Name `json:"route"`
 	Fraction float64  `json:"fraction"`
-	// Amount is the load that the move was planned to shift, in milliseconds of CPU
+	// Amount is the load that the move is planned to shift, in milliseconds of CPU
 	// time per second.
 	Amount float64 `json:"amount"`
 	Reason string  `json:"why"`
@@ -99,13 +99,13 @@
 type LeadershipStatus struct {
 	Name  string    `json:"name"`
 	Epoch ids.Epoch `json:"epoch"`
-	// Held tells that this registry leads.
+	// Held reports whether this registry leads.
 	Held bool `json:"mine"`
 	// PlanNumber is the number of the spill table in use.
 	PlanNumber uint64 `json:"plan"`
 }
 
-// Status gives the state of the cluster as this registry sees it.
+// Status returns the state of the cluster as this registry sees it.
 func (r *Registry) Status(now ids.Time) Status {
 	proxies := r.Live(membership.Proxy)
 	revision := r.configuration.view.Revision
@@ -135,8 +135,8 @@
 	return status
 }
 
-// warnings lists what an operator should look at; hadAgreement tells whether a majority
-// of stores was ever reached.
+// warnings returns the conditions that need an operator's attention; hadAgreement reports
+// whether a majority of stores was ever reached.
 func (s *Status) warnings(hadAgreement bool) []string {
 	var warnings []string
 	if !hadAgreement || s.AgreementAgeMillis > majorityWarningAge.Milliseconds() {
--- a/internal/controlplane/registry/stopping.go
+++ b/internal/controlplane/registry/stopping.go
@@ -6,25 +6,25 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// Stopping tells this registry that its process is about to end: calls under way are
-// finished, new ones are rejected, and the planner's leadership passes on.
+// Stopping is the event that starts a graceful shutdown: calls in progress are finished,
+// new ones are rejected, and the registry resigns as planner.
 type Stopping struct{}
 
-// handleStopping gives up what other registries can take over. Heartbeats of targets that
-// await an answer are known to the other registries, and are still answered here.
+// handleStopping resigns the leadership and stops accepting calls. Departures in progress
+// have already been sent to the peers, and are still answered here.
 func (r *Registry) handleStopping(now ids.Time) {
 	if r.stopping {
 		return
 	}
 	r.stopping = true
 	r.resign(now)
-	// The membership list spreads it at once: the next planner needn't wait until this
-	// registry is declared dead.
+	// Gossiped at once, so that the next planner needn't wait until this registry is
+	// declared dead.
 	r.UpdateSelf(false, r.configuration.view.Revision)
 }
 
-// replyStopping rejects a call that arrived after Stopping: it has no effect, and
-// another registry can carry it out.
+// replyStopping rejects a call that arrived after Stopping. The call has no effect, and
+// may be retried at another registry.
 func (r *Registry) replyStopping(id uint64) {
 	r.replyRetry(id, http.StatusServiceUnavailable, "this daemon is stopping")
 }
--- a/internal/controlplane/registry/target_sync.go
+++ b/internal/controlplane/registry/target_sync.go
@@ -8,11 +8,11 @@
 )
 
 // targetSyncInterval is the interval at which a registry without Options.Incremental
-// sends its whole target table to the others.
+// sends its whole target table to its peers.
 const targetSyncInterval = time.Second
 
 // syncTargets sends the whole target table to the other registries when it is due.
-// Incremental registries send changes instead, and find lost ones by the digests of
+// Incremental registries send changes instead, and detect lost ones by the digests in
 // their heartbeats.
 func (r *Registry) syncTargets(now ids.Time) {
 	if now < r.nextTargetSync {
@@ -24,15 +24,15 @@
 	}
 }
 
-// sendTargetsToPeers sends targets, if there are any, to the other live registries.
+// sendTargetsToPeers sends targets, if any, to the other live registries.
 func (r *Registry) sendTargetsToPeers(list []targets.Target) {
 	if len(list) > 0 {
 		r.sendToPeers(targets.Update{Targets: list})
 	}
 }
 
-// handleTargetUpdate merges the targets that another registry sent. It sends those
-// back to all peers that were sent as gone but are in use by what this registry knows.
+// handleTargetUpdate merges the targets that another registry sent. Targets that were
+// received as gone, but are in use after the merge, are sent to all peers as corrections.
 func (r *Registry) handleTargetUpdate(now ids.Time, received []targets.Target) {
 	changed := r.Targets.Merge(now, received...)
 	r.handleChangedTargets(now, changed)
