--- a/internal/controlplane/registry/calls.go
+++ b/internal/controlplane/registry/calls.go
@@ -9,29 +9,29 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// Calls come from the HTTP interfaces as events. Each has an ID that its Response repeats.
+// Calls arrive from the HTTP APIs as events. The Response to a call has the same ID.
 type (
-	// ChangeCall asks for a change of the configuration, given as JSON.
+	// ChangeCall requests a change of the configuration, encoded as JSON.
 	ChangeCall struct {
 		ID  uint64
 		Raw []byte
 	}
 
-	// ReadConfigurationCall asks for the configuration: as a majority of stores has
-	// it, or, if Local is set, as this registry has it.
+	// ReadConfigurationCall requests the configuration, read from a majority of stores
+	// or, if Local is set, from this registry's own copy.
 	ReadConfigurationCall struct {
 		ID    uint64
 		Local bool
 	}
 
-	// MergeCall asks for items to be merged whose versions the caller has given.
+	// MergeCall requests a merge of items with versions set by the caller.
 	MergeCall struct {
 		ID   uint64
 		Body configuration.Merge
 	}
 
-	// ZoneOrderCall asks for a zone to be evacuated, or for its evacuation to end.
-	// Unlike a change it has no id of its own.
+	// ZoneOrderCall requests that a zone be evacuated, or that its evacuation end.
+	// Unlike a change it has no idempotency key.
 	ZoneOrderCall struct {
 		ID       uint64
 		Zone     ids.Name
@@ -39,8 +39,8 @@
 		Evacuate bool
 	}
 
-	// ResolveCall asks which proxies a new connection from a zone should go to: for a
-	// route or, if Host is set, for all routes of that host.
+	// ResolveCall requests the proxies for a new connection from a zone: for a route or,
+	// if Host is set, for all routes of that host.
 	ResolveCall struct {
 		ID    uint64
 		Zone  ids.Name
@@ -48,7 +48,7 @@
 		Host  string
 	}
 
-	// DeregisterCall says that a target has ended.
+	// DeregisterCall reports that a target has ended.
 	DeregisterCall struct {
 		ID       uint64
 		Instance ids.InstanceID
@@ -61,7 +61,7 @@
 		Target targets.Target
 	}
 
-	// StatusCall asks for the Status of this registry.
+	// StatusCall requests the Status of this registry.
 	StatusCall struct{ ID uint64 }
 )
 
@@ -72,19 +72,19 @@
 	Status int
 	// Body is encoded as JSON.
 	Body any
-	// RetryAfter is the number of seconds after which to repeat the call; 0 for never.
+	// RetryAfter is the number of seconds after which to retry the call; 0 for no retry.
 	RetryAfter int
 }
 
-// ErrorResponse is the body of a Response that holds nothing but an error message.
+// ErrorResponse is the body of a Response that contains only an error message.
 type ErrorResponse struct {
 	Message string `json:"problem"`
 }
 
-// retryAfterSeconds is the RetryAfter of calls that another registry may carry out at once.
+// retryAfterSeconds is the RetryAfter of calls that can be retried at another registry.
 const retryAfterSeconds = 1
 
-// rejectable is a call that is rejected while this registry stops: all but StatusCall.
+// rejectable is a call that is rejected during graceful shutdown: all but StatusCall.
 type rejectable interface{ callID() uint64 }
 
 func (c ChangeCall) callID() uint64            { return c.ID }
@@ -95,8 +95,8 @@
 func (c DeregisterCall) callID() uint64        { return c.ID }
 func (c HeartbeatCall) callID() uint64         { return c.ID }
 
-// handleCall carries out whatever its process asks this registry for: calls, which are
-// rejected while it stops, and Stopping itself.
+// handleCall handles calls, which are rejected during graceful shutdown, and the Stopping
+// event.
 func (r *Registry) handleCall(now ids.Time, ev event.Event) {
 	if call, ok := ev.(rejectable); ok && r.stopping {
 		r.replyStopping(call.callID())
@@ -129,18 +129,18 @@
 	r.Emit(Response{ID: id, Status: status, Body: body})
 }
 
-// replyError answers a call with an error that repeating the call won't mend.
+// replyError answers a call with an error that isn't worth retrying.
 func (r *Registry) replyError(id uint64, status int, message string) {
 	r.reply(id, status, ErrorResponse{message})
 }
 
-// replyRetry answers a call with an error, and asks the caller to repeat the call.
+// replyRetry answers a call with an error, and asks the caller to retry the call.
 func (r *Registry) replyRetry(id uint64, status int, message string) {
 	r.Emit(Response{ID: id, Status: status, Body: ErrorResponse{message}, RetryAfter: retryAfterSeconds})
 }
 
-// replyUnavailable answers a call that surely had no effect, as no majority of stores
-// can be reached.
+// replyUnavailable rejects a call that is guaranteed to have no effect, as no majority of
+// stores can be reached.
 func (r *Registry) replyUnavailable(id uint64) {
 	r.replyRetry(id, http.StatusServiceUnavailable, "no majority of stores can be reached")
 }
--- a/internal/controlplane/registry/configuration.go
+++ b/internal/controlplane/registry/configuration.go
@@ -14,50 +14,50 @@
 
 const (
 	// pollInterval is the interval between two reads of the configuration, and
-	// incrementalPollInterval the one of incremental registries: changes are pushed
-	// to these by the stores, and their reads only renew the lease.
+	// incrementalPollInterval that of incremental registries: these get changes pushed
+	// by the stores, and read only to renew the lease.
 	pollInterval            = 500 * time.Millisecond
 	incrementalPollInterval = 2 * pollInterval
-	// pollTimeout is how long a read may take. One that takes longer than the control
-	// lease couldn't renew it any more.
+	// pollTimeout limits the duration of a read. A read that takes longer than the
+	// control lease can no longer renew it.
 	pollTimeout = 2 * time.Second
 )
 
 // configurationState is the configuration in use, as last read from its register.
 type configurationState struct {
 	document *configuration.Document
-	// view is the document as the other parts of the registry use it.
+	// view is the document in the form used by the rest of the registry.
 	view *configuration.View
 
-	// registerValue is the register's value as last read, with its checksum; stores
-	// answer a read that names both by "unchanged".
+	// registerValue is the register's value as last read, and registerChecksum its
+	// checksum; they let stores answer a read with "unchanged".
 	registerValue    []byte
 	registerChecksum uint64
 
-	// encoded is the document as pushed to proxies that have none; nil until needed.
+	// encoded is the document as pushed to proxies that have none; encoded on first use.
 	encoded []byte
-	// deltas lead to the document from earlier revisions, item by item
-	// (Document.ChangesSince); computed when needed.
+	// deltas holds the item-wise changes from earlier revisions to the document
+	// (Document.ChangesSince), computed on first use.
 	deltas map[ids.Revision][]byte
 
-	// readPending is true while a poll is under way.
+	// readPending is true while a poll is in progress.
 	readPending bool
 	nextRead    ids.Time
 }
 
-// newConfigurationState gives the empty configuration, revision 0.
+// newConfigurationState returns the empty configuration, revision 0.
 func newConfigurationState(regions map[ids.Name]string) configurationState {
 	document, err := configuration.Decode(nil)
 	if err != nil {
-		panic("registry: an empty register value is no configuration: " + err.Error())
+		panic("registry: cannot decode the empty configuration: " + err.Error())
 	}
 	view := document.View()
 	view.SetRegions(regions)
 	return configurationState{document: document, view: view}
 }
 
-// adopt replaces the configuration by a value that was read from the register, unless
-// that is older. It tells whether the revision has changed.
+// adopt replaces the configuration with a value read from the register, unless that is
+// older. It reports whether the revision has changed.
 func (c *configurationState) adopt(value []byte, regions map[ids.Name]string) (bool, error) {
 	if len(value) > 0 && bytes.Equal(value, c.registerValue) {
 		return false, nil
@@ -80,7 +80,7 @@
 	return true, nil
 }
 
-// full gives the encoded configuration without its history; nil before the first change.
+// full returns the encoded configuration without its history; nil before the first change.
 func (c *configurationState) full() []byte {
 	if c.encoded == nil && c.document.Revision > 0 {
 		c.encoded = c.document.Encode(false)
@@ -88,7 +88,7 @@
 	return c.encoded
 }
 
-// deltaFrom gives what leads from an earlier revision to the configuration.
+// deltaFrom returns the encoded changes from an earlier revision to the configuration.
 func (c *configurationState) deltaFrom(revision ids.Revision) []byte {
 	if c.deltas == nil {
 		c.deltas = map[ids.Revision][]byte{}
@@ -99,7 +99,7 @@
 	return c.deltas[revision]
 }
 
-// adoptConfiguration adopts and logs a value that was read from the register.
+// adoptConfiguration adopts a value read from the register, and logs the result.
 func (r *Registry) adoptConfiguration(value []byte) {
 	changed, err := r.configuration.adopt(value, r.options.Regions)
 	if err != nil {
@@ -119,9 +119,9 @@
 	}
 }
 
-// handleChosenDelta adopts a configuration that a store announces as the binary
-// difference (package delta) from the value before. If it doesn't apply to the value
-// held, the register is read.
+// handleChosenDelta adopts a configuration that a store announces as a binary delta
+// (package delta) to the previous value. If the delta doesn't apply to the local value,
+// the register is read.
 func (r *Registry) handleChosenDelta(now ids.Time, chosen consensus.ChosenDelta) {
 	if chosen.Key != configuration.Key {
 		return
@@ -135,8 +135,7 @@
 	r.pushToProxies(now)
 }
 
-// tickConfiguration polls the configuration when it is due, or when a call waits for a
-// sign of the majority.
+// tickConfiguration polls the configuration when a poll or a probe for a majority is due.
 func (r *Registry) tickConfiguration(now ids.Time) {
 	due := now >= r.configuration.nextRead || r.isProbeDue(now)
 	if due && !r.configuration.readPending && r.knowsStore() {
@@ -144,7 +143,7 @@
 	}
 }
 
-// refreshConfiguration reads the configuration without waiting for the next poll.
+// refreshConfiguration polls the configuration now, unless a poll is in progress.
 func (r *Registry) refreshConfiguration(now ids.Time) {
 	if !r.configuration.readPending {
 		r.pollConfiguration(now)
@@ -169,9 +168,9 @@
 	})
 }
 
-// storeOrder gives the addresses of the stores in the order in which to ask them: those
-// that are ready first. All registries use the same order, so that proposers seldom
-// compete; ballots keep that safe if they do.
+// storeOrder returns the addresses of the stores in the order in which to try them: ready
+// ones first. All registries use the same order, which makes dueling proposers unlikely;
+// ballots keep the register consistent if they occur.
 func (r *Registry) storeOrder(ids.RegisterKey) []ids.Address {
 	var ready, others []ids.Address
 	for _, store := range r.Live(membership.Store) {
@@ -184,7 +183,7 @@
 	return append(ready, others...)
 }
 
-// knowsStore tells whether there is a store to read the configuration from. An
-// incremental registry that has just started knows none; a read that reaches nobody
-// would delay the next one by its time-out.
+// knowsStore reports whether there is a store to read the configuration from. An
+// incremental registry that has just started knows none; a read sent to no store would
+// block the next one until it times out.
 func (r *Registry) knowsStore() bool { return !r.options.Incremental || len(r.storeOrder("")) > 0 }
--- a/internal/controlplane/registry/configuration_calls.go
+++ b/internal/controlplane/registry/configuration_calls.go
@@ -13,11 +13,11 @@
 // indeterminateChange is the answer to a change that may have been accepted.
 const indeterminateChange = "uncertain: the change may have been accepted; send it again under the same id"
 
-// resultHandler answers a call by the result that a majority of stores agreed on.
+// resultHandler answers a call with the result that a majority of stores agreed on.
 type resultHandler func(now ids.Time, result configuration.Result)
 
-// handleReadConfiguration answers with this registry's own copy, or with one that a
-// majority confirms after the call arrived.
+// handleReadConfiguration answers with this registry's own copy, or with one read from a
+// majority of stores after the call arrived.
 func (r *Registry) handleReadConfiguration(now ids.Time, call ReadConfigurationCall) {
 	switch {
 	case !call.Local:
@@ -29,8 +29,8 @@
 	}
 }
 
-// startLinearizableRead reads the configuration from a majority of the stores, so that
-// every registry gives the newest one, or none.
+// startLinearizableRead reads the configuration from a majority of the stores, so that the
+// answer is never stale.
 func (r *Registry) startLinearizableRead(now ids.Time, id uint64) {
 	onComplete := func(_ ids.Time, outcome consensus.Outcome, value []byte) {
 		document, err := configuration.Decode(value)
@@ -48,7 +48,7 @@
 	r.trackPendingCall(now, 0, read)
 }
 
-// handleChange submits a change, unless its text alone shows that it is invalid.
+// handleChange submits a change, unless parsing it already finds violations.
 func (r *Registry) handleChange(now ids.Time, call ChangeCall) {
 	if change, violations := configuration.ReadChange(call.Raw); len(violations) > 0 {
 		r.reply(call.ID, http.StatusBadRequest, configuration.Result{ID: change.ID, Violations: violations})
@@ -57,7 +57,7 @@
 	r.submitChange(now, call.ID, configuration.OpChange, call.Raw, r.replyWithResult(call.ID))
 }
 
-// handleMerge submits a merge of versioned items, unless it is invalid by itself.
+// handleMerge submits a merge of versioned items that passes Merge.Check.
 func (r *Registry) handleMerge(now ids.Time, call MergeCall) {
 	if violations := call.Body.Check(); len(violations) > 0 {
 		r.reply(call.ID, http.StatusBadRequest, configuration.Result{Violations: violations})
@@ -71,8 +71,8 @@
 	r.submitChange(now, call.ID, configuration.OpMerge, encoded, r.replyWithResult(call.ID))
 }
 
-// submitChange has the stores carry out a change of the configuration, under the control
-// lease. The call is answered here if there is no result, and else by handleResult.
+// submitChange submits a change of the configuration to the stores under the control lease.
+// handleResult answers the call; if there is no result, submitChange does.
 func (r *Registry) submitChange(now ids.Time, id uint64, op consensus.Op, argument []byte, handleResult resultHandler) {
 	r.withLease(now, id, func(now ids.Time) { r.startChange(now, id, op, argument, handleResult) })
 }
@@ -93,7 +93,7 @@
 	r.trackPendingCall(now, len(argument), call)
 }
 
-// replyWithResult gives the handler that answers a call with its result.
+// replyWithResult returns the handler that answers a call with its result.
 func (r *Registry) replyWithResult(id uint64) resultHandler {
 	return func(_ ids.Time, result configuration.Result) {
 		for _, conflict := range result.ReuseConflicts {
@@ -103,8 +103,8 @@
 	}
 }
 
-// httpStatus gives the status that a result is answered with. A result that was
-// forgotten is no rejection, whatever else it holds.
+// httpStatus returns the HTTP status for a result. An unknown result takes precedence, as
+// it must not be reported as a rejection.
 func httpStatus(result configuration.Result) int {
 	switch {
 	case result.UnknownReason != "":
--- a/internal/controlplane/registry/messages.go
+++ b/internal/controlplane/registry/messages.go
@@ -1,6 +1,6 @@
 package registry
 
-// The messages between registries. The numbers of their kinds belong to the wire format.
+// Messages between registries. Their kind numbers are part of the wire format.
 
 import (
 	"dunlinwell/internal/base/ids"
@@ -8,8 +8,8 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// PeerHeartbeat is sent by every registry to the others at a fixed interval. It
-// shows that the sender runs, how recently it reached a majority of stores, and
+// PeerHeartbeat is sent by every registry to its peers at a fixed interval. It
+// shows that the sender is running, how recently it reached a majority of stores, and
 // whether its target table equals the receiver's.
 type PeerHeartbeat struct {
 	ID                 ids.DaemonID
@@ -20,7 +20,7 @@
 }
 
 // DepartureNotice asks another registry for a DepartureAck once all proxies
-// assigned to it have applied that a target leaves.
+// assigned to it have applied a target's departure.
 type DepartureNotice struct {
 	Asker  ids.Address
 	Target targets.Target
@@ -34,15 +34,15 @@
 	Incarnation ids.Incarnation
 }
 
-// covers tells whether an acknowledgement is for this update of a target or for a
-// later one. Registries of earlier versions leave the incarnation out.
+// covers reports whether an acknowledgement is for this update of a target or a later
+// one. Registries of earlier versions leave the incarnation zero.
 func (a DepartureAck) covers(target targets.Target) bool {
 	sameIncarnation := a.Incarnation == target.Incarnation || a.Incarnation == 0
 	return a.Instance == target.Instance && sameIncarnation && a.Sequence >= target.Sequence
 }
 
 // TableDigest holds one digest for each part of a registry's target table. The
-// receiver answers with its targets of the parts whose digests differ.
+// receiver replies with its targets in the parts whose digests differ.
 type TableDigest struct{ Parts []uint64 }
 
 var _ = wire.Register(75, TableDigest{}) &&
--- a/internal/controlplane/registry/pending_calls.go
+++ b/internal/controlplane/registry/pending_calls.go
@@ -8,45 +8,45 @@
 )
 
 const (
-	// callTimeout bounds how long a call waits for a majority that can be reached.
+	// callTimeout limits how long a call waits for a majority that can be reached.
 	callTimeout = 3 * time.Second
 	// majorityTimeout is how long a call waits for a majority that hasn't been reached
-	// since the call arrived. Callers turn to another registry after a second, or
-	// later if the call has a large body.
+	// since the call arrived. It is shorter than the second after which callers try
+	// another registry.
 	majorityTimeout = 800 * time.Millisecond
-	// probeAfter is how long a call is under way before the stores are probed for a
-	// majority. The probe is a read, which waits for no disk, and has 550 ms left for
-	// its answer.
+	// probeAfter is how long a call is pending before the stores are probed for a
+	// majority. The probe is a read, which needs no disk sync, and can complete before
+	// majorityTimeout.
 	probeAfter = 250 * time.Millisecond
-	// maxDeferLeases is the age of the last agreement, in lease durations, up to which
-	// a call waits for the lease to be renewed. Waiting longer would delay every call
-	// of a partition by majorityTimeout.
+	// maxDeferLeases is the age of the last quorum read, in lease durations, up to which
+	// a call waits for the lease to be renewed. Beyond it calls fail at once, as otherwise
+	// each call during a partition would be delayed by majorityTimeout.
 	maxDeferLeases = 2
 )
 
-// CallTimeout gives how long a call whose body has so many bytes waits for a majority:
-// a large body takes its time to one store and from there to the others.
+// CallTimeout returns how long a call whose body has the given size waits for a majority.
+// It includes the time to transfer the body to one store and from there to the others.
 func CallTimeout(bytes int) time.Duration { return callTimeout + 2*consensus.TransferTime(bytes) }
 
-// deferredCall is a call that arrived shortly after the lease had lapsed.
+// deferredCall is a call that arrived shortly after the lease expired.
 type deferredCall struct {
 	id       uint64
 	deadline ids.Time
 	start    func(now ids.Time)
 }
 
-// pendingCall is a call whose request to the stores is under way.
+// pendingCall is a call whose request to the stores is in progress.
 type pendingCall struct {
 	id       consensus.CallID
 	arrived  ids.Time
 	deadline ids.Time
 }
 
-// withLease starts a call that needs an agreement of its own. Without the lease nothing
-// of the call leaves this registry, so that a 503 surely means that it has no effect:
-// it is answered at once if the lease lapsed long ago; if it has only just lapsed, as
-// may happen on a busy machine, the call first waits for its renewal. A registry that
-// has had no agreement yet can't tell, and starts the call.
+// withLease starts a call that needs the agreement of a majority. Without the lease the call
+// isn't sent to the stores, so that status 503 guarantees that it has no effect. If the lease
+// expired only recently, as happens on a busy machine, the call first waits for its renewal;
+// otherwise it fails at once. A registry that hasn't completed a quorum read since its
+// start can't know whether a majority is reachable, and starts the call.
 func (r *Registry) withLease(now ids.Time, id uint64, start func(now ids.Time)) {
 	switch {
 	case r.lease.agreedAt == 0 || r.lease.isHeld(now):
@@ -58,8 +58,8 @@
 	}
 }
 
-// runDeferredCalls starts the deferred calls if the lease was renewed, and else answers
-// those that are overdue.
+// runDeferredCalls starts the deferred calls if the lease was renewed, and otherwise
+// rejects those that are overdue.
 func (r *Registry) runDeferredCalls(now ids.Time) {
 	deferred := r.deferredCalls
 	r.deferredCalls = nil
@@ -75,8 +75,8 @@
 	}
 }
 
-// trackPendingCall has a call, whose body has so many bytes, abandoned early if no
-// majority can be reached.
+// trackPendingCall registers a call, whose body has the given size, to be abandoned early
+// if no majority can be reached.
 func (r *Registry) trackPendingCall(now ids.Time, bytes int, id consensus.CallID) {
 	r.pendingCalls = append(r.pendingCalls, pendingCall{
 		id:       id,
@@ -85,9 +85,9 @@
 	})
 }
 
-// abandonOverdueCalls abandons the calls whose deadline has passed with no sign that a
-// majority can be reached. A slow majority keeps its calls: it answers the probe that
-// began after them, since reads wait for no disk.
+// abandonOverdueCalls abandons the calls whose deadline has passed without a sign that a
+// majority can be reached. Calls to a slow majority continue: it still answers the probe
+// that started after them, as reads need no disk sync.
 func (r *Registry) abandonOverdueCalls(now ids.Time) {
 	remaining := r.pendingCalls[:0]
 	for _, call := range r.pendingCalls {
@@ -103,7 +103,7 @@
 	r.pendingCalls = remaining
 }
 
-// isProbeDue tells whether a call or departure has waited long enough for the stores to
+// isProbeDue reports whether a call or departure has waited long enough for the stores to
 // be probed for a majority.
 func (r *Registry) isProbeDue(now ids.Time) bool {
 	for _, call := range r.pendingCalls {
@@ -119,7 +119,8 @@
 	return false
 }
 
-// needsProbe tells whether what arrived at a moment waits for a sign of the majority.
+// needsProbe reports whether a call or departure has waited for probeAfter without a quorum
+// read that started after it arrived.
 func (r *Registry) needsProbe(now, arrived ids.Time) bool {
 	return now.Sub(arrived) >= probeAfter && !r.lease.renewedSince(arrived)
 }
--- a/internal/controlplane/registry/registrytest/harness.go
+++ b/internal/controlplane/registry/registrytest/harness.go
@@ -20,18 +20,17 @@
 
 // The states of a Link.
 const (
-	// Connected lets everything through; the majority answers at once.
+	// Connected delivers all messages; the majority answers at once.
 	Connected Link = iota
-	// Partitioned lets nothing through, in either direction.
+	// Partitioned drops messages in both directions.
 	Partitioned
-	// RepliesLost lets requests through, which are carried out, but no reply.
+	// RepliesLost delivers requests, which take effect, but drops all replies.
 	RepliesLost
-	// NoMajority has a store answer that it reaches no majority.
+	// NoMajority makes the store reject requests because it can't reach a majority.
 	NoMajority
 )
 
-// Addresses of the registry, of the store that stands for the majority, and of
-// the proxy.
+// Addresses of the registry, of the store that represents the majority, and of the proxy.
 const (
 	Self  ids.Address = "10.0.0.1:1"
 	Store ids.Address = "10.0.0.2:1"
@@ -45,19 +44,19 @@
 	runID ids.RunID = 1
 
 	tickInterval = 50 * time.Millisecond
-	// connectTime is long enough for a registry to have reached its majority.
+	// connectTime is long enough for a registry to reach the majority.
 	connectTime = 3 * time.Second
-	// callTimeout is when a call counts as never answered.
+	// callTimeout is how long Call waits for a response.
 	callTimeout = 10 * time.Second
 )
 
-// Harness is a registry, the majority that it asks, and a proxy on the majority's
-// side of whatever cuts the registry off.
+// Harness is a registry, a simulated majority of stores, and a proxy. Link disconnects the
+// registry from both.
 type Harness struct {
 	*registry.Registry
 	Link Link
 	Now  ids.Time
-	// ChangeDelay is how long changes take that have to be synced to a disk.
+	// ChangeDelay is the simulated disk sync time of changes.
 	ChangeDelay time.Duration
 	// OnSend, if set, is called with every message that the registry sends.
 	OnSend func(event.Send)
@@ -65,7 +64,7 @@
 	values   map[ids.RegisterKey][]byte
 	ops      map[consensus.Op]consensus.ChangeFunc
 	answered map[uint64]registry.Response
-	// delayed are the responses that ChangeDelay holds back, earliest first.
+	// delayed holds the responses delayed by ChangeDelay, earliest first.
 	delayed []delayedResponse
 }
 
@@ -74,14 +73,14 @@
 	consensus.Response
 }
 
-// New makes a registry that has been connected to its majority for a while.
+// New returns a harness whose registry has been connected to the majority for connectTime.
 func New(options registry.Options) *Harness {
 	harness := NewStarting(options)
 	harness.Run(connectTime)
 	return harness
 }
 
-// NewStarting makes a registry that has just started.
+// NewStarting returns a harness whose registry has just started.
 func NewStarting(options registry.Options) *Harness {
 	options.Self = membership.Member{ID: "registry", Address: Self, RunID: runID, Zone: zone}
 	options.Seeds = []ids.Address{Store}
@@ -97,10 +96,10 @@
 	return harness
 }
 
-// Value gives the configuration's register as the majority has it.
+// Value returns the value of the configuration register at the majority.
 func (h *Harness) Value() []byte { return h.values[configuration.Key] }
 
-// Step hands an event to the registry and carries out its commands.
+// Step passes an event to the registry and executes its commands.
 func (h *Harness) Step(ev event.Event) {
 	for _, command := range h.Registry.Step(h.Now, ev) {
 		switch command := command.(type) {
@@ -124,14 +123,14 @@
 	}
 }
 
-// acknowledge has the proxy apply and acknowledge a push.
+// acknowledge sends the proxy's acknowledgement of a push.
 func (h *Harness) acknowledge(push distribution.Push) {
 	if h.Link == Connected {
 		h.DeliverFrom(Proxy, distribution.Ack{Proxy: proxyID, RunID: runID, Number: push.Number, Revision: push.Revision, Now: h.Now})
 	}
 }
 
-// serve carries a request out as a majority of stores would.
+// serve executes a request as a majority of stores would.
 func (h *Harness) serve(request consensus.Request) {
 	switch h.Link {
 	case Partitioned:
@@ -155,15 +154,15 @@
 	}
 }
 
-// Deliver hands the registry a message from the store.
+// Deliver passes a message from the store to the registry.
 func (h *Harness) Deliver(msg any) { h.DeliverFrom(Store, msg) }
 
-// DeliverFrom hands the registry a message from an address.
+// DeliverFrom passes a message from an address to the registry.
 func (h *Harness) DeliverFrom(from ids.Address, msg any) {
 	h.Step(event.Received{From: from, Message: msg})
 }
 
-// Run lets time pass.
+// Run advances time by duration.
 func (h *Harness) Run(duration time.Duration) {
 	for end := h.Now.Add(duration); h.Now < end; {
 		h.tick()
@@ -186,15 +185,15 @@
 	h.Step(event.Tick{})
 }
 
-// sendHeartbeat hands the registry a member's heartbeat. Each refutes what may have been
-// declared of the member meanwhile.
+// sendHeartbeat passes a member's heartbeat to the registry. Its incarnation is higher than
+// that of any earlier one, so it refutes suspicions and declarations of death.
 func (h *Harness) sendHeartbeat(member membership.Member) {
 	member.RunID, member.Ready, member.Incarnation = runID, true, ids.Incarnation(h.Now)
 	h.Deliver(membership.Heartbeat{Self: member})
 }
 
-// Call hands a call in, and gives its response and how long that took. A call that is
-// never answered gives a response without a status after callTimeout.
+// Call makes a call, and returns its response and how long that took. If there is no
+// response within callTimeout, the returned one has no status.
 func (h *Harness) Call(id uint64, call event.Event) (registry.Response, time.Duration) {
 	began := h.Now
 	h.Step(call)
--- a/internal/controlplane/registry/target_heartbeat.go
+++ b/internal/controlplane/registry/target_heartbeat.go
@@ -9,29 +9,27 @@
 	"dunlinwell/internal/controlplane/targets"
 )
 
-// goneTargetRetention is how long a target that is gone stays in the table, so that late
-// heartbeats of its last incarnation are still recognized.
+// goneTargetRetention is how long a tombstone of a gone target is kept, so that delayed
+// heartbeats of its last incarnation don't bring it back.
 const goneTargetRetention = time.Hour
 
-// unknownTargetGrace is for how long after its start a registry can't tell a target that there
-// never was from one that it hasn't heard of yet: its peers' tables come with the digests of
-// their heartbeats (a second each, and one may be lost), the targets' own heartbeats later.
+// unknownTargetGrace is how long after its start a registry may not know all targets yet, as
+// its peers send their tables only after a heartbeat exchange, which may be lost and retried.
 const unknownTargetGrace = 3 * time.Second
 
-// Keys of the JSON bodies that targets are answered with. The bodies are maps rather
-// than structs: the recorded traces of testsupport/simulator and the adapter in
-// platform tell the two apart.
+// Keys of the JSON bodies of answers to targets. The bodies are maps because the recorded
+// traces of testsupport/simulator and the adapter in platform distinguish them from structs.
 const (
-	// bodyKnown says whether the registry has taken the update.
+	// bodyKnown reports whether the registry has applied the update.
 	bodyKnown = "known"
-	// bodyRegistrar has the address of the registry to send the next heartbeats to.
+	// bodyRegistrar is the address of the registry to send the next heartbeats to.
 	bodyRegistrar = "keeper"
-	// bodyEverywhere says whether every live proxy has applied a departure.
+	// bodyEverywhere reports whether every live proxy has applied a departure.
 	bodyEverywhere = "everywhere"
 )
 
-// handleHeartbeat takes a target's heartbeat, and answers with the registry that its
-// next ones should go to. One that says that the target leaves is answered once the
+// handleHeartbeat merges a target's heartbeat, and answers with the registry that should
+// receive the next ones. A heartbeat that announces a departure is answered once the
 // proxies have applied it.
 func (r *Registry) handleHeartbeat(now ids.Time, call HeartbeatCall) {
 	target := call.Target
@@ -46,8 +44,8 @@
 		return
 	}
 	if !r.lease.isHeld(now) || r.options.Incremental && r.lease.isIsolated(now) {
-		// The heartbeat is merged, but the other registries don't hear of it and would
-		// soon expire the target: it has to turn to one of them.
+		// The heartbeat is merged, but may not reach the other registries, which would
+		// expire the target: it has to send heartbeats to one of them.
 		r.replyUnavailable(call.ID)
 		return
 	}
@@ -58,11 +56,11 @@
 	r.reply(call.ID, http.StatusOK, body)
 }
 
-// handleDeregister takes a target's final departure, given by its instance id alone.
+// handleDeregister handles a target's final departure, which carries only the instance ID.
 func (r *Registry) handleDeregister(now ids.Time, call DeregisterCall) {
 	target, known := r.Targets.Get(now, call.Instance)
 	if !known && (!r.lease.isHeld(now) || now.Sub(r.startedAt) < unknownTargetGrace) {
-		// The target has to tell a registry that knows it.
+		// The target has to deregister at a registry that knows it.
 		r.replyUnavailable(call.ID)
 		return
 	}
@@ -70,7 +68,7 @@
 		r.reply(call.ID, http.StatusOK, map[string]any{bodyKnown: false})
 		return
 	}
-	// Other copies may have later heartbeats than this one, and some may still be on their way.
+	// The final sequence supersedes later heartbeats that peers have or that are in flight.
 	target.Sequence = targets.FinalSequence
 	target.Dead, target.Draining = true, true
 	r.handleHeartbeat(now, HeartbeatCall{ID: call.ID, Target: target})
@@ -78,8 +76,7 @@
 
 // handleChangedTargets logs the targets that can no longer be used, and pushes urgent
 // changes to the proxies at once. A target that is new or at full capacity again waits
-// for the next regular push: pushed one by one, four hundred targets that start together
-// would cost four hundred pushes to every proxy.
+// for the next regular push, so that many targets that start together are pushed in batches.
 func (r *Registry) handleChangedTargets(now ids.Time, changed []targets.Target) {
 	urgent := !r.options.Incremental
 	for _, target := range changed {
@@ -93,10 +90,9 @@
 	}
 }
 
-// expireTargets marks the targets as gone whose heartbeats are overdue, and drops
-// those that have been gone for long. An isolated registry expires none, as the
-// targets that it doesn't hear may heartbeat to others; once it is no longer
-// isolated, time-outs start anew.
+// expireTargets marks targets with overdue heartbeats as gone, and removes those that have
+// been gone for goneTargetRetention. An isolated registry expires none, as targets may be
+// sending heartbeats to its peers; timeouts restart once it is no longer isolated.
 func (r *Registry) expireTargets(now ids.Time) {
 	if r.lease.isIsolated(now) {
 		r.Targets.ExtendDeadlines(now)
