--- a/internal/controlplane/registry/assignment_test.go
+++ b/internal/controlplane/registry/assignment_test.go
@@ -9,8 +9,8 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// A registry whose agreement takes a little longer now and then keeps its targets and its
-// proxies; one that has had none for long loses them.
+// A registry with occasional slow quorum reads keeps its targets and proxies; one whose last
+// quorum read is older than distrustAfterAge loses them.
 func TestAssignment_StableUnderSlowAgreement(t *testing.T) {
 	is := is.New(t)
 	r := newIncrementalRegistry()
@@ -30,7 +30,7 @@
 	is.Equal(len(r.assignment.registries), 1)
 	r.tickWithPeers(500 * time.Millisecond)
 	is.Equal(len(r.assignment.registries), 3)
-	// A target stays with its registrar among equally near ones.
+	// A target keeps its registrar if no other registry is nearer.
 	for _, id := range []ids.DaemonID{"f", "g", "h"} {
 		is.Equal(r.registrarFor(r.now, targetWithRegistrar(1, 1, id)).ID, id)
 	}
--- a/internal/controlplane/registry/call_cases_test.go
+++ b/internal/controlplane/registry/call_cases_test.go
@@ -13,13 +13,13 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// callCase makes one kind of call.
+// callCase constructs one kind of call.
 type callCase struct {
 	name    string
 	newCall func(id uint64) event.Event
 }
 
-// serviceChange is a change that adds a service; its id is to be filled in.
+// serviceChange is the format of a change that adds a service; its argument is the change ID.
 const serviceChange = `{"id":%q,"changes":[{"kind":"service","name":"s","put":{}}]}`
 
 // knownTarget is the target that setUp registers.
@@ -63,11 +63,11 @@
 func setUp(t *testing.T, harness *registrytest.Harness) {
 	t.Helper()
 	if got, _ := harness.Call(1, change(fmt.Sprintf(serviceChange, "first"))(1)); got.Status != 200 {
-		t.Fatalf("the first change: %+v", got)
+		t.Fatalf("initial change answered with %+v", got)
 	}
 	known := heartbeat(func(target *targets.Target) { target.Instance, target.Sequence = knownTarget, 1 })
 	if got, _ := harness.Call(2, known(2)); got.Status != 200 {
-		t.Fatalf("the first heartbeat: %+v", got)
+		t.Fatalf("initial heartbeat answered with %+v", got)
 	}
 	harness.Run(time.Second)
 }
--- a/internal/controlplane/registry/configuration_calls_test.go
+++ b/internal/controlplane/registry/configuration_calls_test.go
@@ -8,7 +8,7 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// A result that was forgotten is no rejection, whatever else it holds.
+// An unknown result is never reported as a rejection, whatever else it contains.
 func TestHTTPStatus_FollowsResult(t *testing.T) {
 	violations := []configuration.Violation{{Item: "route/mud"}}
 	conflicts := []configuration.VersionConflict{{}}
--- a/internal/controlplane/registry/configuration_test.go
+++ b/internal/controlplane/registry/configuration_test.go
@@ -12,8 +12,8 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// A registry reads the configuration once or twice a second. An unchanged value must cost
-// next to nothing, however large it is.
+// A registry reads the configuration once or twice a second, so adopting an unchanged value
+// must be cheap regardless of its size.
 func TestAdoptConfiguration_UnchangedValueAllocatesLittle(t *testing.T) {
 	is := is.New(t)
 	var merge configuration.Merge
@@ -29,7 +29,7 @@
 	is.Equal(r.configuration.view.Revision, ids.Revision(1))
 	unchanged := first.Encode(true)
 	is.True(testing.AllocsPerRun(10, func() { r.adoptConfiguration(unchanged) }) < 5)
-	// A newer revision is adopted, and an older one isn't.
+	// A newer revision is adopted, an older one isn't.
 	second, _ := first.Merge(configuration.Merge{Items: []configuration.VersionedItem{{Kind: "service", Name: "s1", Version: 2, Removed: true}}})
 	r.adoptConfiguration(second.Encode(true))
 	r.adoptConfiguration(first.Encode(true))
@@ -37,8 +37,8 @@
 	is.Equal(len(r.configuration.view.Services), 999)
 }
 
-// Regression: a registry that started before it knew any store sent its first read to
-// nobody, and read again only after its time-out; a fleet's recovery waited for that.
+// Regression: a registry that started before it knew any store sent its first read to no
+// store, and read again only after that read timed out.
 func TestPollConfiguration_StartsOnceStoreIsKnown(t *testing.T) {
 	is := is.New(t)
 	r := newTestRegistry(true)
--- a/internal/controlplane/registry/evacuation_calls_test.go
+++ b/internal/controlplane/registry/evacuation_calls_test.go
@@ -12,11 +12,11 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// overtakenResult is the result of an order that a later change has overtaken.
+// overtakenResult is the result of an order that a later change has superseded.
 const overtakenResult = `{"stale":[{"kind":"cell","name":"a","version":3,"asked":2}]}`
 
-// orderZone hands the registry an order, answers it by overtakenResult, and gives the
-// order that was sent to the stores, if one was.
+// orderZone passes a zone order to the registry and returns the order that it sent to the
+// stores, if any. The stores answer with overtakenResult.
 func (r *testRegistry) orderZone(id uint64) (order configuration.ZoneOrder, sent bool) {
 	for _, command := range r.Step(r.now, ZoneOrderCall{ID: id, Zone: "a", Region: "south", Evacuate: true}) {
 		switch command := command.(type) {
@@ -34,8 +34,8 @@
 	return order, sent
 }
 
-// An order names the version of the zone that was known as it arrived. One that was
-// overtaken is answered 503: that is no rejection.
+// An order carries the zone version known when it arrived. A superseded order is answered
+// with 503, which doesn't mean that it was rejected.
 func TestZoneOrder_OvertakenByChangeIsIndeterminate(t *testing.T) {
 	is := is.New(t)
 	r := newTestRegistry(true)
@@ -51,8 +51,8 @@
 	is.Equal(r.statuses[7], 503)
 }
 
-// An order that may have waited while the process was frozen is too old: its caller
-// may have ordered something else since, which this registry may know of.
+// An order that may have waited during a suspension of the process is too old: its caller
+// may have sent a different order since.
 func TestZoneOrder_IgnoredAroundProcessSuspension(t *testing.T) {
 	is := is.New(t)
 	r := newTestRegistry(true)
--- a/internal/controlplane/registry/helpers_test.go
+++ b/internal/controlplane/registry/helpers_test.go
@@ -19,13 +19,13 @@
 	storeAddress ids.Address = "10.0.0.2:1"
 )
 
-// testRegistry is a registry with one store, which answers at once that the register is
-// empty, unless partitioned is set.
+// testRegistry is a registry with one store. Unless partitioned is set, the store answers
+// every request at once with an empty register.
 type testRegistry struct {
 	*Registry
 	now         ids.Time
 	partitioned bool
-	// statuses are the statuses that calls were answered with, by call.
+	// statuses holds the HTTP statuses of the responses, by call ID.
 	statuses map[uint64]int
 }
 
@@ -42,7 +42,7 @@
 	}
 }
 
-// step hands the registry an event, and answers its requests to the store.
+// step passes an event to the registry, and answers its requests to the store.
 func (r *testRegistry) step(ev event.Event) {
 	for _, command := range r.Step(r.now, ev) {
 		switch command := command.(type) {
@@ -56,25 +56,25 @@
 	}
 }
 
-// deliver hands the registry a message from its store.
+// deliver passes a message from the store to the registry.
 func (r *testRegistry) deliver(msg any) { r.step(event.Received{From: storeAddress, Message: msg}) }
 
-// run lets time pass. If makeTarget is set, another registry sends an update of the
-// target that it gives at every tick.
+// run advances time by duration. If makeTarget is set, the registry receives an update of
+// the target that it returns before every tick.
 func (r *testRegistry) run(duration time.Duration, makeTarget func(ids.Sequence) targets.Target) {
 	for end := r.now.Add(duration); r.now < end; r.now = r.now.Add(testTickInterval) {
 		if makeTarget != nil {
 			r.deliver(targets.Update{Targets: []targets.Target{makeTarget(ids.Sequence(r.now))}})
 		}
 		if !r.partitioned {
-			// Each heartbeat refutes what may have been declared of the store meanwhile.
+			// The increasing incarnation refutes suspicions and declarations of death.
 			r.deliver(membership.Heartbeat{Self: storeMember(ids.Incarnation(r.now))})
 		}
 		r.step(event.Tick{})
 	}
 }
 
-// countDiscards hands the registry a message, and counts how often it is discarded.
+// countDiscards passes a message to the registry, and returns how often it was discarded.
 func (r *testRegistry) countDiscards(from ids.Address, msg any) int {
 	count := 0
 	for _, command := range r.Step(r.now, event.Received{From: from, Message: msg}) {
@@ -85,7 +85,7 @@
 	return count
 }
 
-// emptyReply is a store's answer that the register is empty.
+// emptyReply returns a store's response that the register is empty.
 func emptyReply(request consensus.Request) consensus.Response {
 	return consensus.Response{ID: request.ID, Outcome: consensus.Succeeded, Attempt: request.Attempt}
 }
@@ -94,17 +94,17 @@
 	return membership.Member{ID: "s", Role: membership.Store, Address: storeAddress, RunID: 1, Ready: true, Incarnation: incarnation}
 }
 
-// Members beside the registry of an incrementalRegistry. Their addresses are their ids.
+// Peers and proxies of an incrementalRegistry. Their addresses equal their IDs.
 var (
 	peerIDs  = []ids.DaemonID{"g", "h"}
 	proxyIDs = []ids.DaemonID{"p", "q", "r", "s1"}
 )
 
-// incrementalRegistry is one incremental registry of three, with proxies that acknowledge
-// every push.
+// incrementalRegistry is an incremental registry with two peers, and with proxies that
+// acknowledge every push.
 type incrementalRegistry struct {
 	*testRegistry
-	// pushes and pushedTargets count the pushes to proxies, and the targets in them.
+	// pushes and pushedTargets count the pushes to proxies and the targets in them.
 	pushes, pushedTargets int
 }
 
@@ -123,8 +123,8 @@
 	return membership.Member{ID: id, Role: role, Address: ids.Address(id), RunID: 1, Incarnation: 1, Zone: "c"}
 }
 
-// tickWithPeers makes one tick, before which the peers and the store send heartbeats. The
-// agreement that the peers report has some age.
+// tickWithPeers runs one tick, before which the peers and the store send heartbeats. The
+// peers report the given age of their last quorum read.
 func (r *incrementalRegistry) tickWithPeers(agreementAge time.Duration) {
 	for _, id := range peerIDs {
 		r.deliver(PeerHeartbeat{ID: id, RunID: 1, AgreementAgeMillis: uint32(agreementAge / time.Millisecond), TargetsDigest: r.Targets.Digest()})
@@ -135,12 +135,12 @@
 	r.assignedProxies(r.now)
 }
 
-// deliver hands the registry a message from its store.
+// deliver passes a message from the store to the registry.
 func (r *incrementalRegistry) deliver(msg any) {
 	r.step(event.Received{From: storeAddress, Message: msg})
 }
 
-// step hands the registry an event, answers for its store and its proxies, and counts.
+// step passes an event to the registry, answers for its store and proxies, and counts pushes.
 func (r *incrementalRegistry) step(ev event.Event) {
 	for _, command := range r.Step(r.now, ev) {
 		send, ok := command.(event.Send)
--- a/internal/controlplane/registry/lease_test.go
+++ b/internal/controlplane/registry/lease_test.go
@@ -10,29 +10,29 @@
 	"dunlinwell/internal/controlplane/registry/registrytest"
 )
 
-// maxAnswerTime is within which every call must be answered while no majority is reached.
+// maxAnswerTime limits the time to answer any call while no majority is reachable.
 const maxAnswerTime = time.Second
 
-// linkCase is what each call is answered in one state of the link.
+// linkCase holds the expected status of each call in one state of the link.
 type linkCase struct {
 	state string
 	// elapsed is the time between the change of the link and the call.
 	elapsed time.Duration
 	link    registrytest.Link
-	// want holds the statuses, by name of the call.
+	// want holds the statuses by name of the call.
 	want map[string]int
 }
 
-// withoutLease is what calls are answered without the lease: nothing is confirmed,
-// rejected or handed out.
+// withoutLease holds the statuses of calls without the lease: nothing is confirmed or
+// rejected, and no data is served.
 var withoutLease = map[string]int{
 	"change": 503, "change of a stale version": 503, "change of a missing item": 503, "evacuation": 503, "malformed change": 400,
 	"merge": 503, "read": 503, "local read": 503, "heartbeat": 503, "draining": 503, "deregister": 503, "deregister unknown": 503,
 	"resolve unknown route": 503, "resolve": 503, "status": 200,
 }
 
-// lostJustNow is what calls are answered right after the link to the majority was lost:
-// the lease is still held, and the stores may have carried a change out.
+// lostJustNow holds the statuses of calls right after the link to the majority was lost:
+// the lease is still held, and the stores may have executed a change.
 var lostJustNow = override(withoutLease, map[string]int{
 	"change": 504, "change of a stale version": 504, "change of a missing item": 504,
 	"evacuation": 504, "merge": 504, "local read": 200, "heartbeat": 200, "deregister unknown": 200, "resolve unknown route": 404, "resolve": 200,
@@ -44,28 +44,27 @@
 		"malformed change": 400, "merge": 200, "read": 200, "local read": 200, "heartbeat": 200, "draining": 200, "deregister": 200,
 		"deregister unknown": 200, "resolve unknown route": 404, "resolve": 200, "status": 200,
 	}},
-	{"cut off for long", 20 * time.Second, registrytest.Partitioned, withoutLease},
-	{"cut off until the lease has lapsed", 1700 * time.Millisecond, registrytest.Partitioned, withoutLease},
-	{"receives nothing for long", 20 * time.Second, registrytest.RepliesLost, withoutLease},
-	{"store without majority for long", 20 * time.Second, registrytest.NoMajority, withoutLease},
-	{"cut off just now", 0, registrytest.Partitioned, lostJustNow},
-	{"receives nothing since just now", 0, registrytest.RepliesLost, lostJustNow},
-	{"store without majority since just now", 0, registrytest.NoMajority, override(withoutLease, map[string]int{
+	{"partitioned for 20s", 20 * time.Second, registrytest.Partitioned, withoutLease},
+	{"partitioned until lease expiry", 1700 * time.Millisecond, registrytest.Partitioned, withoutLease},
+	{"replies lost for 20s", 20 * time.Second, registrytest.RepliesLost, withoutLease},
+	{"no majority for 20s", 20 * time.Second, registrytest.NoMajority, withoutLease},
+	{"just partitioned", 0, registrytest.Partitioned, lostJustNow},
+	{"replies just lost", 0, registrytest.RepliesLost, lostJustNow},
+	{"majority just lost", 0, registrytest.NoMajority, override(withoutLease, map[string]int{
 		"local read": 200, "heartbeat": 200,
 		"deregister unknown": 200, "resolve unknown route": 404, "resolve": 200,
 	})},
 }
 
-// override gives a copy of base with some entries replaced.
+// override returns a copy of base with the entries of by added or replaced.
 func override(base, by map[string]int) map[string]int {
 	merged := maps.Clone(base)
 	maps.Copy(merged, by)
 	return merged
 }
 
-// Regression: a registry that was cut off answered changes with 503 after 3 s, told a target
-// that its end was known everywhere, denied routes by its old configuration, and showed
-// that configuration.
+// Regression: a registry that was cut off answered changes with 503 after 3 s, confirmed a
+// target's departure, and served and rejected lookups from its stale configuration.
 func TestCalls_AnswerByLinkState(t *testing.T) {
 	for _, incremental := range []bool{false, true} {
 		for _, linkCase := range linkCases {
@@ -82,8 +81,8 @@
 	}
 }
 
-// A registry that starts on the minority side of a partition knows no store at all, or one
-// that has no majority: it has nothing to hand out, and says so as soon.
+// A registry that starts on the minority side of a partition knows no store, or one without
+// a majority. It serves nothing, and answers within the same time.
 func TestCalls_AnswerWhenStartedPartitioned(t *testing.T) {
 	links := map[string]registrytest.Link{"silent": registrytest.Partitioned, "one-way": registrytest.RepliesLost, "rejecting": registrytest.NoMajority}
 	for _, incremental := range []bool{false, true} {
@@ -100,25 +99,25 @@
 	}
 }
 
-// checkAnswer makes a call, and checks its status, how long the answer took, and that
-// errors of the server ask the caller to repeat the call.
+// checkAnswer makes a call, and checks its status, the time until the answer, and that
+// server errors set Retry-After.
 func checkAnswer(t *testing.T, harness *registrytest.Harness, call callCase, want int) {
 	t.Helper()
 	const id = 100
 	got, took := harness.Call(id, call.newCall(id))
 	if got.Status != want {
-		t.Errorf("answered %d %v, want %d", got.Status, got.Body, want)
+		t.Errorf("answered with %d %v, want %d", got.Status, got.Body, want)
 	}
 	if took >= maxAnswerTime {
-		t.Errorf("answered after %s", took)
+		t.Errorf("answer took too long: %s", took)
 	}
 	if got.Status >= 500 && got.RetryAfter == 0 {
-		t.Error("no Retry-After")
+		t.Error("server error without Retry-After")
 	}
 }
 
-// At whichever moment of a partition's first seconds a call arrives, it is answered within
-// a second, and nothing that needs an agreement of its own is confirmed or rejected.
+// Every call that arrives in the first seconds of a partition is answered within
+// maxAnswerTime, and no call that needs a majority is confirmed or rejected.
 func TestCalls_BoundedThroughoutPartitionStart(t *testing.T) {
 	needsAgreement := map[string]bool{
 		"change": true, "change of a stale version": true, "change of a missing item": true, "evacuation": true, "merge": true,
@@ -132,10 +131,10 @@
 			harness.Run(after)
 			got, took := harness.Call(100, call.newCall(100))
 			if took >= maxAnswerTime {
-				t.Errorf("%s, %s after the partition: answered after %s", call.name, after, took)
+				t.Errorf("%s, %s after the partition: answer took too long: %s", call.name, after, took)
 			}
 			if needsAgreement[call.name] && got.Status != 503 && got.Status != 504 {
-				t.Errorf("%s, %s after the partition: %d", call.name, after, got.Status)
+				t.Errorf("%s, %s after the partition: answered with %d, want 503 or 504", call.name, after, got.Status)
 			}
 		}
 	}
--- a/internal/controlplane/registry/peers_test.go
+++ b/internal/controlplane/registry/peers_test.go
@@ -11,8 +11,8 @@
 	"dunlinwell/internal/controlplane/targets"
 )
 
-// Target tables that differ exchange the parts that differ, not everything, and end up
-// equal though each has something newer.
+// Registries with different target tables exchange only the parts that differ, and converge
+// even if each has newer entries than the other.
 func TestTableDigest_SendsOnlyDifferingPartitions(t *testing.T) {
 	is := is.New(t)
 	a, b := newIncrementalRegistry(), newIncrementalRegistry()
@@ -22,11 +22,11 @@
 		b.deliver(update)
 	}
 	a.deliver(targets.Update{Targets: []targets.Target{targetWithRegistrar(3, 2, "h")}})
-	// Here the target has sent further heartbeats, with nothing new in them.
+	// At b, the target has sent further heartbeats without changes.
 	b.deliver(targets.Update{Targets: []targets.Target{targetWithRegistrar(3, 9, "g")}})
 	is.True(a.Targets.Digest() != b.Targets.Digest())
 	sent := 0
-	// compare has one registry answer the other's digest.
+	// compare passes to's digest to from, and from's updates to to.
 	compare := func(from, to *incrementalRegistry) {
 		digest := TableDigest{Parts: to.Targets.PartDigests()}
 		for _, command := range from.Step(from.now, event.Received{From: "y", Message: digest}) {
@@ -46,13 +46,14 @@
 	is.True(sent < 30)
 }
 
-// A peer whose target table goes on differing is sent digests at every third heartbeat, and
-// at the fifteenth the whole table; one that has restarted is sent the whole table at once.
+// A peer whose target table keeps differing is sent digests at every third heartbeat, and
+// the whole table at the fifteenth. A restarted peer is sent the whole table at once.
 func TestPeerHeartbeat_ReconcilesAfterRepeatedMismatches(t *testing.T) {
 	is := is.New(t)
 	r := newIncrementalRegistry()
 	r.deliver(targets.Update{Targets: []targets.Target{targetWithRegistrar(1, 1, "g")}})
-	// sent lists what the peer is sent upon a heartbeat with another digest.
+	// sent returns the types of the messages sent to the peer after a heartbeat with a
+	// different digest.
 	sent := func(run ids.RunID) string {
 		heartbeat := PeerHeartbeat{ID: "g", RunID: run, TargetsDigest: r.Targets.Digest() + 1}
 		kinds := ""
--- a/internal/controlplane/registry/pending_calls_test.go
+++ b/internal/controlplane/registry/pending_calls_test.go
@@ -9,8 +9,8 @@
 	"dunlinwell/internal/controlplane/registry/registrytest"
 )
 
-// A change that was answered 503 never takes effect; one that may have taken effect is
-// answered 504, and when it is sent again it gets its first result.
+// A change that is answered with 503 never takes effect. One that may have taken effect is
+// answered with 504, and a retry returns its original result.
 func TestChange_RejectedHasNoEffect(t *testing.T) {
 	harness := registrytest.New(registry.Options{})
 	setUp(t, harness)
@@ -21,43 +21,42 @@
 	rejected, _ := harness.Call(4, change(`{"id":"late","changes":[{"kind":"service","name":"late","put":{}}]}`)(4))
 	harness.Run(5 * time.Second)
 	if lost.Status != 504 || rejected.Status != 503 || string(harness.Value()) != before {
-		t.Fatalf("%d and %d; the configuration is now %s", lost.Status, rejected.Status, harness.Value())
+		t.Fatalf("statuses %d and %d, want 504 and 503; configuration is now %s, want it unchanged", lost.Status, rejected.Status, harness.Value())
 	}
 	harness.Link = registrytest.Connected
 	harness.Run(2 * time.Second)
 	again, _ := harness.Call(5, change(fmt.Sprintf(serviceChange, "lost"))(5))
 	if again.Status != 200 || string(harness.Value()) != before {
-		t.Fatalf("the repeated change: %+v", again)
+		t.Fatalf("retried change answered with %+v; want status 200 and an unchanged configuration", again)
 	}
 }
 
-// A majority that is slow, but there, keeps its calls: what a slow disk delays isn't
-// answered as lost.
+// A change isn't abandoned while a majority is reachable but slow, such as one with slow disks.
 func TestChange_WaitsForSlowMajority(t *testing.T) {
 	harness := registrytest.New(registry.Options{})
 	setUp(t, harness)
 	harness.ChangeDelay = 1500 * time.Millisecond
 	got, took := harness.Call(3, change(fmt.Sprintf(serviceChange, "slow"))(3))
 	if got.Status != 200 || took < time.Second {
-		t.Fatalf("%+v after %s", got, took)
+		t.Fatalf("answered with %+v after %s", got, took)
 	}
 }
 
-// Regression: a registry whose machine was busy for longer than the lease rejected the call
-// that arrived meanwhile, though its majority was there all the time.
+// Regression: a registry that was delayed by a busy machine for longer than the lease
+// rejected calls, although a majority was reachable.
 func TestChange_WaitsForLeaseRenewal(t *testing.T) {
 	harness := registrytest.New(registry.Options{})
 	setUp(t, harness)
 	harness.Now = harness.Now.Add(2 * time.Second)
 	got, took := harness.Call(3, change(fmt.Sprintf(serviceChange, "busy"))(3))
 	if got.Status != 200 || took >= time.Second {
-		t.Fatalf("%+v after %s", got, took)
+		t.Fatalf("answered with %+v after %s", got, took)
 	}
-	// A registry whose lease lapsed long ago answers at once.
+	// A registry whose lease expired long ago answers at once.
 	harness.Link = registrytest.Partitioned
 	harness.Run(5 * time.Second)
 	got, took = harness.Call(4, change(fmt.Sprintf(serviceChange, "isolated"))(4))
 	if got.Status != 503 || took > 100*time.Millisecond {
-		t.Fatalf("%+v after %s", got, took)
+		t.Fatalf("answered with %+v after %s", got, took)
 	}
 }
--- a/internal/controlplane/registry/planner_election_test.go
+++ b/internal/controlplane/registry/planner_election_test.go
@@ -12,10 +12,10 @@
 )
 
 // peerAddress is the address of a registry that precedes the harness's own in the
-// membership list, and so is preferred as the planner.
+// membership list ("the preceding peer"), and so is preferred as the planner.
 const peerAddress ids.Address = "10.0.0.9:1"
 
-// plannerEpoch gives the epoch that a registry plans under, 0 if it doesn't.
+// plannerEpoch returns the epoch under which a registry leads, 0 if it doesn't.
 func plannerEpoch(harness *registrytest.Harness) ids.Epoch {
 	leadership := harness.Status(harness.Now).Leaderships[0]
 	if !leadership.Held {
@@ -24,7 +24,7 @@
 	return leadership.Epoch
 }
 
-// heartbeatPeer lets time pass, and sends the preceding peer's heartbeats meanwhile.
+// heartbeatPeer advances time while the preceding peer sends heartbeats.
 func heartbeatPeer(harness *registrytest.Harness, ready bool, duration time.Duration) {
 	for end := harness.Now.Add(duration); harness.Now < end; harness.Run(100 * time.Millisecond) {
 		peer := newPeer(harness)
@@ -33,7 +33,7 @@
 	}
 }
 
-// declarePeerDead has another daemon say that the preceding peer is dead.
+// declarePeerDead makes another daemon declare the preceding peer dead.
 func declarePeerDead(harness *registrytest.Harness) {
 	peer := newPeer(harness)
 	peer.Dead = true
@@ -41,7 +41,7 @@
 	harness.Run(100 * time.Millisecond)
 }
 
-// newPeer gives the preceding peer in a new incarnation.
+// newPeer returns the preceding peer in a new incarnation.
 func newPeer(harness *registrytest.Harness) membership.Member {
 	return membership.Member{
 		ID: "another", Role: membership.Registry, Address: peerAddress, RunID: 1,
@@ -49,49 +49,49 @@
 	}
 }
 
-// Regression: a registry that received nothing went on planning, by reports that no longer
-// came; the others accepted its plans as long as they received them.
+// Regression: a registry that could send but not receive kept planning from stale reports,
+// and its peers accepted the plans.
 func TestPlanner_StepsDownWithoutLease(t *testing.T) {
 	harness := registrytest.New(registry.Options{})
 	setUp(t, harness)
 	harness.Run(time.Second)
 	if plannerEpoch(harness) != 1 {
-		t.Fatalf("the only registry plans under %d", plannerEpoch(harness))
+		t.Fatalf("the only registry leads under epoch %d, want 1", plannerEpoch(harness))
 	}
 	harness.Link = registrytest.RepliesLost
 	harness.Run(1700 * time.Millisecond)
 	if plannerEpoch(harness) != 0 {
-		t.Fatal("it plans without the lease")
+		t.Fatal("leads without the lease")
 	}
 	harness.Run(20 * time.Second)
 	harness.Link = registrytest.Connected
 	harness.Run(4 * time.Second)
-	// What it sent under its first epoch may still be on its way.
+	// Messages of its first epoch may still be in flight, so it needs a new one.
 	if plannerEpoch(harness) != 2 {
-		t.Fatalf("back, it plans under %d", plannerEpoch(harness))
+		t.Fatalf("leads under epoch %d after reconnecting, want 2", plannerEpoch(harness))
 	}
 }
 
-// A peer that reports itself not ready is passed over.
+// A registry leads in place of a preceding peer that isn't ready.
 func TestPlanner_ReplacedWhenNotReady(t *testing.T) {
 	harness := registrytest.New(registry.Options{})
 	setUp(t, harness)
 	heartbeatPeer(harness, true, 3*time.Second)
 	if plannerEpoch(harness) != 0 {
-		t.Fatal("two plan")
+		t.Fatal("leads although the preceding peer is ready")
 	}
 	heartbeatPeer(harness, false, 3*time.Second)
 	if plannerEpoch(harness) == 0 {
-		t.Fatal("nobody plans while the preceding peer is not ready")
+		t.Fatal("doesn't lead although the preceding peer is not ready")
 	}
 	heartbeatPeer(harness, true, time.Second)
 	if plannerEpoch(harness) != 0 {
-		t.Fatal("it goes on planning although the preceding peer is ready")
+		t.Fatal("still leads although the preceding peer is ready again")
 	}
 }
 
-// Regression: flapping failure detection had one registry elected four times in 6 s,
-// each time under one and the same epoch.
+// Regression: flapping failure detection caused one registry to be elected four times in
+// 6 s, each time under the same epoch.
 func TestPlanner_StableUnderFlappingFailureDetection(t *testing.T) {
 	harness := registrytest.New(registry.Options{})
 	setUp(t, harness)
@@ -118,13 +118,12 @@
 		}
 	}
 	if elections > 3 {
-		t.Errorf("elected %d times in 6 s", elections)
+		t.Errorf("elected %d times in 6 s, want at most 3", elections)
 	}
 }
 
-// Regression: when all registries started together, each saw the others not ready and was
-// elected: three elections within 50 ms, after which the plans of the last planner were
-// rejected by the others, as it hadn't heard of the higher epochs.
+// Regression: when all registries started at the same time, each saw the others not ready and
+// was elected, and the peers rejected plans of a planner that had missed the higher epochs.
 func TestPlanner_ElectedOnceAtSimultaneousStart(t *testing.T) {
 	harness := registrytest.NewStarting(registry.Options{})
 	runWithUnreadyPeer := func(duration time.Duration) { heartbeatPeer(harness, false, duration) }
@@ -132,19 +131,19 @@
 	setUp(t, harness)
 	runWithUnreadyPeer(time.Second)
 	if plannerEpoch(harness) != 0 {
-		t.Fatal("it passes over a peer that has only just started")
+		t.Fatal("leads in place of a peer that has only just started")
 	}
 	runWithUnreadyPeer(4 * time.Second)
 	if plannerEpoch(harness) == 0 {
-		t.Fatal("it doesn't pass over a peer that stays not ready")
+		t.Fatal("doesn't lead although the preceding peer stays not ready")
 	}
-	// A higher epoch ends its leadership, until it is elected under a still higher one.
+	// It steps down for a higher epoch, until it is elected under an even higher one.
 	harness.DeliverFrom(peerAddress, election.Term{Epoch: 9})
 	if plannerEpoch(harness) != 0 {
-		t.Fatal("it goes on planning under an epoch that has ended")
+		t.Fatal("still leads under a stale epoch")
 	}
 	runWithUnreadyPeer(3 * time.Second)
 	if plannerEpoch(harness) != 10 {
-		t.Fatalf("it plans under %d", plannerEpoch(harness))
+		t.Fatalf("leads under epoch %d, want 10", plannerEpoch(harness))
 	}
 }
--- a/internal/controlplane/registry/registrar_test.go
+++ b/internal/controlplane/registry/registrar_test.go
@@ -11,7 +11,7 @@
 	"dunlinwell/internal/controlplane/targets"
 )
 
-// targetWithRegistrar gives the target of a number as its registrar sends it.
+// targetWithRegistrar returns the numbered target as sent by its registrar.
 func targetWithRegistrar(number int, sequence ids.Sequence, registrar ids.DaemonID) targets.Target {
 	return targets.Target{
 		Instance: ids.InstanceID(fmt.Sprint("i", number)), Incarnation: 1, Sequence: sequence, Service: "s",
@@ -19,9 +19,8 @@
 	}
 }
 
-// Regression: during a partition registrars changed hundreds of times a second, and each
-// change was pushed to every proxy, until their connections were full. Proxies needn't
-// know a target's registrar.
+// Regression: during a partition, registrars changed hundreds of times a second, and each
+// change was pushed to every proxy although proxies don't use the registrar.
 func TestRegistrarChange_IsNotPushedToProxies(t *testing.T) {
 	is := is.New(t)
 	const targetCount = 50
@@ -43,10 +42,10 @@
 		r.tickWithPeers(100 * time.Millisecond)
 	}
 	target, _ := r.Targets.Get(r.now, "i7")
-	is.Equal(target.Sequence, ids.Sequence(61)) // the registry itself has merged them
+	is.Equal(target.Sequence, ids.Sequence(61)) // merged by the registry itself
 	is.Equal(r.pushedTargets, 0)
-	is.True(r.pushes <= 4*assigned) // one refresh a second
-	// A departure is pushed, whoever the registrar is.
+	is.True(r.pushes <= 4*assigned) // one refresh per second
+	// A departure is pushed regardless of the registrar.
 	leaving := targetWithRegistrar(7, 80, "h")
 	leaving.Draining = true
 	r.deliver(targets.Update{Targets: []targets.Target{leaving}})
--- a/internal/controlplane/registry/sender_check_test.go
+++ b/internal/controlplane/registry/sender_check_test.go
@@ -25,7 +25,7 @@
 	unknownAddress ids.Address = "10.9.9.9:1"
 )
 
-// newRegistryWithPeers is a registry that knows a proxy, another registry and a store,
+// newRegistryWithPeers returns a registry that knows a proxy, another registry and a store,
 // none of which answers.
 func newRegistryWithPeers() *testRegistry {
 	r := newTestRegistry(false)
@@ -41,8 +41,8 @@
 	return r
 }
 
-// Orders and acknowledgements are taken only from the daemon that may give them, at the
-// address where it is known.
+// Commands and acknowledgements are accepted only from the known address of a daemon that
+// may send them.
 func TestCheckSender_DiscardsForgedMessages(t *testing.T) {
 	document, err := configuration.Decode(nil)
 	is.New(t).NoErr(err)
@@ -71,8 +71,8 @@
 	}
 }
 
-// An acknowledgement for an earlier incarnation of a target says nothing of this one,
-// however high the earlier one's sequence was.
+// An acknowledgement for an earlier incarnation of a target doesn't cover the current one,
+// even if its sequence is higher.
 func TestDepartureAck_IgnoresEarlierIncarnation(t *testing.T) {
 	is := is.New(t)
 	r := newRegistryWithPeers()
@@ -84,7 +84,7 @@
 	is.True(!r.departures.waiting[0].awaitedPeers["g"])
 }
 
-// A store's response counts once, for the attempt that was sent to that store.
+// A store's response is accepted once, and only for the attempt that was sent to that store.
 func TestStoreResponses_DiscardedWhenUnsolicited(t *testing.T) {
 	is := is.New(t)
 	r := newRegistryWithPeers()
@@ -101,7 +101,7 @@
 	is.Equal(r.countDiscards(sent.To, response), 1) // duplicate
 }
 
-// awaitStoreRequest lets time pass until the registry sends a request to a store.
+// awaitStoreRequest advances time until the registry sends a request to a store.
 func (r *testRegistry) awaitStoreRequest() event.Send {
 	r.now = r.now.Add(time.Second)
 	for {
@@ -116,8 +116,8 @@
 	}
 }
 
-// FuzzMessages gives a registry any message from an unknown address: it neither panics nor
-// takes orders.
+// FuzzMessages passes arbitrary messages from an unknown address to a registry, which must
+// neither panic nor accept any of them as a command.
 func FuzzMessages(f *testing.F) {
 	for _, msg := range []any{
 		consensus.ChosenDelta{Key: configuration.Key},
@@ -157,7 +157,7 @@
 				r.Step(r.now, event.Tick{})
 			}
 			if r.leadership.highestEpoch != 0 || r.configuration.view.Revision != 0 || len(r.planner.table.Moves) > 0 {
-				t.Fatalf("%#v was taken as an order", msg)
+				t.Fatalf("%#v was accepted from an unknown address", msg)
 			}
 		}
 	})
--- a/internal/controlplane/registry/spill_table_test.go
+++ b/internal/controlplane/registry/spill_table_test.go
@@ -12,7 +12,7 @@
 	"dunlinwell/internal/state/election"
 )
 
-// A table of an epoch that has ended is rejected by every registry that knows a higher one.
+// A registry rejects tables of an epoch below the highest one that it has seen.
 func TestSpillTable_StaleEpochIsRejected(t *testing.T) {
 	harness := registrytest.New(registry.Options{PlanEvery: time.Hour})
 	setUp(t, harness)
@@ -21,9 +21,9 @@
 	harness.DeliverFrom(peerAddress, spill.Table{Epoch: 7, Number: 1, Moves: move("new")})
 	harness.DeliverFrom(peerAddress, spill.Table{Epoch: 6, Number: 99, Moves: move("old")})
 	if got := harness.SpillTable(); got.Epoch != 7 || got.Moves[0].To != "new" {
-		t.Fatalf("%+v", got)
+		t.Fatalf("spill table in use is %+v, want that of epoch 7", got)
 	}
-	// The sender is told the current epoch, which it may not have heard of.
+	// The sender is sent the current epoch, which it may not have seen.
 	var sentEpoch ids.Epoch
 	harness.OnSend = func(s event.Send) {
 		if term, ok := s.Message.(election.Term); ok && s.To == peerAddress {
@@ -32,11 +32,11 @@
 	}
 	harness.DeliverFrom(peerAddress, spill.Table{Epoch: 6, Number: 100})
 	if sentEpoch != 7 {
-		t.Fatalf("the sender was told epoch %d", sentEpoch)
+		t.Fatalf("the sender was sent epoch %d, want 7", sentEpoch)
 	}
-	// Its own epoch is above the highest it has seen, though the register holds a lower one.
+	// It is elected under an epoch above the highest seen, although the register's is lower.
 	harness.Run(4 * time.Second)
 	if plannerEpoch(harness) <= 7 {
-		t.Fatalf("plans under %d", plannerEpoch(harness))
+		t.Fatalf("leads under epoch %d, want a higher one than 7", plannerEpoch(harness))
 	}
 }
--- a/internal/controlplane/registry/stopping_test.go
+++ b/internal/controlplane/registry/stopping_test.go
@@ -11,14 +11,14 @@
 	"dunlinwell/internal/controlplane/registry/registrytest"
 )
 
-// A registry that is told to stop steps down at once, reports itself not ready, and rejects
-// calls; it isn't elected any more.
+// A registry that is shutting down resigns at once, reports itself not ready, rejects calls
+// and isn't elected again.
 func TestStopping_StepsDownAndRejectsCalls(t *testing.T) {
 	harness := registrytest.New(registry.Options{})
 	setUp(t, harness)
 	harness.Run(time.Second)
 	if plannerEpoch(harness) == 0 {
-		t.Fatal("the only registry doesn't plan")
+		t.Fatal("the only registry doesn't lead")
 	}
 	heartbeatPeer(harness, true, 200*time.Millisecond)
 	harness.Run(time.Second)
@@ -30,7 +30,7 @@
 	}
 	harness.Step(registry.Stopping{})
 	if plannerEpoch(harness) != 0 {
-		t.Fatal("it goes on planning")
+		t.Fatal("still leads after Stopping")
 	}
 	for id, call := range map[uint64]event.Event{
 		901: registry.ReadConfigurationCall{ID: 901},
@@ -43,12 +43,12 @@
 	} {
 		t.Run(fmt.Sprintf("%T", call), func(t *testing.T) {
 			if response, took := harness.Call(id, call); response.Status != 503 || response.RetryAfter == 0 || took > 0 {
-				t.Fatalf("%+v after %s", response, took)
+				t.Fatalf("answered with %+v after %s, want 503 with Retry-After at once", response, took)
 			}
 		})
 	}
 	harness.Run(5 * time.Second)
 	if plannerEpoch(harness) != 0 || ready {
-		t.Fatalf("plans under %d, reports itself ready: %v", plannerEpoch(harness), ready)
+		t.Fatalf("leads under epoch %d, ready: %v; want it not to lead and not to be ready", plannerEpoch(harness), ready)
 	}
 }
--- a/internal/controlplane/registry/target_heartbeat_test.go
+++ b/internal/controlplane/registry/target_heartbeat_test.go
@@ -18,9 +18,8 @@
 	}
 }
 
-// Regression: during a partition proxies and targets reached both sides. Each side
-// expired the targets that sent heartbeats to the other, proxies believed both, and
-// soon every target was gone.
+// Regression: during a partition, each side expired the targets that sent heartbeats to the
+// other. Proxies reached both sides and removed all targets.
 func TestIsolatedRegistry_ExpiresNoTarget(t *testing.T) {
 	for _, incremental := range []bool{true, false} {
 		t.Run(fmt.Sprintf("incremental=%v", incremental), func(t *testing.T) {
@@ -32,7 +31,7 @@
 			target, known := r.Targets.Get(r.now, "i")
 			is.True(known)
 			is.True(!target.Dead)
-			// Once it reaches the majority again, time-outs start anew, and then count.
+			// Timeouts restart once it reaches the majority again.
 			r.partitioned = false
 			r.run(2500*time.Millisecond, nil)
 			target, _ = r.Targets.Get(r.now, "i")
@@ -44,8 +43,8 @@
 	}
 }
 
-// The other registries don't hear of targets that send heartbeats to an isolated one: it
-// merges the heartbeat, and has the target turn to another registry.
+// An isolated registry merges a target's heartbeat but rejects the call, so that the target
+// tries another registry: the peers may not receive the update.
 func TestIsolatedRegistry_RedirectsTargets(t *testing.T) {
 	is := is.New(t)
 	r := newTestRegistry(true)
@@ -57,8 +56,8 @@
 	r.step(HeartbeatCall{ID: 2, Target: targetWithSequence(2)})
 	is.Equal(r.statuses[2], 503)
 	is.Equal(r.Targets.LatestSequence("i"), ids.Sequence(2))
-	// A departure is merged all the same, for the proxies here. It isn't confirmed: the
-	// target has to tell another registry.
+	// A departure is merged too, for the proxies that can be reached. It isn't confirmed,
+	// so that the target tries another registry.
 	leaving := targetWithSequence(3)
 	leaving.Draining = true
 	r.step(HeartbeatCall{ID: 3, Target: leaving})
@@ -72,10 +71,8 @@
 	is.Equal(r.statuses[4], 200)
 }
 
-// TestDeregister_IsFinal has a target end by a call to a registry that knows only its first
-// heartbeat, while another copy, its registrar's, has later ones: neither that copy nor a
-// heartbeat that was delayed on its way brings the target back. Once its death was taken for a
-// mistaken verdict on its silence, and it was in use again until it fell silent.
+// Regression: a target that deregistered at a registry with an old heartbeat came back through
+// its registrar, which had later ones, or through a delayed heartbeat.
 func TestDeregister_IsFinal(t *testing.T) {
 	is := is.New(t)
 	r := newTestRegistry(true)
@@ -98,10 +95,10 @@
 	for name, table := range map[string]*targets.Table{"registry": r.Targets, "registrar": registrar} {
 		target, known := table.Get(r.now, "i")
 		if !known || !target.Dead {
-			t.Errorf("the %s has the target in use again", name)
+			t.Errorf("the target is in use again at the %s", name)
 		}
 	}
-	// Another start of the target is another life.
+	// A new incarnation of the target is accepted.
 	restarted := targetWithSequence(1)
 	restarted.Incarnation = 2
 	r.step(HeartbeatCall{ID: 4, Target: restarted})
@@ -109,8 +106,8 @@
 	is.True(!target.Dead)
 }
 
-// TestDeregister_UnknownTarget: a registry that has just started doesn't acknowledge the end of a
-// target that it hasn't heard of, as it couldn't pass it on. Later it does, as there is none.
+// A registry that has just started doesn't confirm the deregistration of an unknown target,
+// which a peer may know. After unknownTargetGrace it does.
 func TestDeregister_UnknownTarget(t *testing.T) {
 	is := is.New(t)
 	r := newTestRegistry(true)
