--- a/internal/controlplane/registry/assignment_test.go
+++ b/internal/controlplane/registry/assignment_test.go
@@ -11,7 +11,7 @@
 
 // A registry with occasional slow quorum reads keeps its targets and proxies; one whose last
 // quorum read is older than distrustAfterAge loses them.
-func TestAssignment_StableUnderSlowAgreement(t *testing.T) {
+func TestAssignment_StableUnderSlowQuorumReads(t *testing.T) {
 	is := is.New(t)
 	r := newIncrementalRegistry()
 	for range 5 {
--- a/internal/controlplane/registry/configuration_test.go
+++ b/internal/controlplane/registry/configuration_test.go
@@ -44,8 +44,8 @@
 	r := newTestRegistry(true)
 	r.partitioned = true
 	r.run(3*testTickInterval, nil)
-	is.Equal(r.lease.agreedAt, ids.Time(0))
+	is.Equal(r.lease.renewedAt, ids.Time(0))
 	r.partitioned = false
 	r.run(2*testTickInterval, nil)
-	is.True(r.lease.agreedAt != 0)
+	is.True(r.lease.renewedAt != 0)
 }
--- a/internal/controlplane/registry/departure.go
+++ b/internal/controlplane/registry/departure.go
@@ -13,9 +13,9 @@
 	// is known to be reachable. Targets are guaranteed an answer within a second
 	// (docs/platform.md), which states whether all proxies have applied the departure.
 	departureTimeout = 500 * time.Millisecond
-	// maxOwedAcks limits the number of stored notices, as the registries that sent them
+	// maxUnackedNotices limits the number of stored notices, as the registries that sent them
 	// may have stopped in the meantime.
-	maxOwedAcks = 4096
+	maxUnackedNotices = 4096
 )
 
 // departure is a target's draining notice whose answer is delayed until every live proxy
@@ -34,8 +34,8 @@
 type departureTracker struct {
 	// waiting holds the departures that this registry has to answer, oldest first.
 	waiting []departure
-	// owedAcks holds notices of other registries that aren't acknowledged yet.
-	owedAcks []DepartureNotice
+	// unackedNotices holds notices of other registries that aren't acknowledged yet.
+	unackedNotices []DepartureNotice
 }
 
 // startDeparture asks the other registries to acknowledge a target's departure, and
@@ -81,7 +81,7 @@
 		}
 	}
 	r.departures.waiting = waiting
-	r.sendOwedAcks(now)
+	r.sendDepartureAcks(now)
 }
 
 // completeDeparture answers a departure if it can be answered now.
@@ -101,20 +101,21 @@
 	return true
 }
 
-// sendOwedAcks acknowledges the notices of other registries whose departures the
-// assigned proxies have applied. The rest are kept, or dropped if there were maxOwedAcks
-// or more; the requesting registries then answer their targets after a timeout.
-func (r *Registry) sendOwedAcks(now ids.Time) {
-	owed := r.departures.owedAcks[:0]
-	for _, notice := range r.departures.owedAcks {
+// sendDepartureAcks acknowledges the notices of other registries whose departures the
+// assigned proxies have applied. The rest are kept, or dropped if there were
+// maxUnackedNotices or more; the requesting registries then answer their targets after a
+// timeout.
+func (r *Registry) sendDepartureAcks(now ids.Time) {
+	remaining := r.departures.unackedNotices[:0]
+	for _, notice := range r.departures.unackedNotices {
 		if r.appliedByAssignedProxies(now, notice.Target) {
 			target := notice.Target
 			r.Send(notice.Asker, DepartureAck{ID: r.Self.ID, Instance: target.Instance, Sequence: target.Sequence, Incarnation: target.Incarnation})
-		} else if len(r.departures.owedAcks) < maxOwedAcks {
-			owed = append(owed, notice)
+		} else if len(r.departures.unackedNotices) < maxUnackedNotices {
+			remaining = append(remaining, notice)
 		}
 	}
-	r.departures.owedAcks = owed
+	r.departures.unackedNotices = remaining
 }
 
 // appliedByAssignedProxies reports whether every proxy that this registry pushes to has
@@ -125,7 +126,7 @@
 
 // handleDepartureNotice records that another registry waits for an acknowledgement.
 func (r *Registry) handleDepartureNotice(now ids.Time, notice DepartureNotice) {
-	r.departures.owedAcks = append(r.departures.owedAcks, notice)
+	r.departures.unackedNotices = append(r.departures.unackedNotices, notice)
 	r.completeDepartures(now)
 }
 
--- a/internal/controlplane/registry/directory.go
+++ b/internal/controlplane/registry/directory.go
@@ -117,7 +117,7 @@
 func (r *Registry) buildSnapshot(now ids.Time) directory.Snapshot {
 	// Computed on first use, as few calls need the capacity left.
 	var zones map[ids.Name]spill.Zone
-	room := func(name ids.Name) float64 {
+	capacityLeft := func(name ids.Name) float64 {
 		if zones == nil {
 			zones = r.currentZones(now)
 		}
@@ -133,7 +133,7 @@
 		Drained:      map[ids.Name]bool{},
 		Distance:     view.Distance,
 		Demand:       r.Reports.Demand,
-		CapacityLeft: room,
+		CapacityLeft: capacityLeft,
 	}
 	for name, zone := range view.Zones {
 		snapshot.Drained[name] = zone.Drained
--- a/internal/controlplane/registry/evacuation_calls.go
+++ b/internal/controlplane/registry/evacuation_calls.go
@@ -13,15 +13,15 @@
 // By then its caller has retried it, and may have sent a different order since.
 const maxOrderAge = time.Second
 
-// overtakenOrder is the answer to a zone order that a later change may have superseded.
-const overtakenOrder = "the cell was changed meanwhile; send the order again if it is still wanted"
+// supersededOrder is the answer to a zone order that a later change may have superseded.
+const supersededOrder = "the cell was changed meanwhile; send the order again if it is still wanted"
 
 // handleZoneOrder submits an order to evacuate a zone or to end its evacuation. The order
 // takes effect only if the zone's version is still the one known here: zone orders have no
 // idempotency key by which a delayed duplicate could be detected.
 func (r *Registry) handleZoneOrder(now ids.Time, call ZoneOrderCall) {
-	if r.mayHaveBeenFrozen(now) {
-		r.replyOvertaken(call.ID)
+	if r.mayHaveBeenSuspended(now) {
+		r.replySuperseded(call.ID)
 		return
 	}
 	order := configuration.ZoneOrder{
@@ -40,20 +40,20 @@
 			r.replyWithResult(call.ID)(now, result)
 			return
 		}
-		r.replyOvertaken(call.ID)
+		r.replySuperseded(call.ID)
 		r.refreshConfiguration(now)
 	})
 }
 
-// replyOvertaken answers an order that had no effect. The order isn't reported as rejected,
+// replySuperseded answers an order that had no effect. The order isn't reported as rejected,
 // because an earlier copy of it may have taken effect.
-func (r *Registry) replyOvertaken(id uint64) {
-	r.replyRetry(id, http.StatusServiceUnavailable, overtakenOrder)
+func (r *Registry) replySuperseded(id uint64) {
+	r.replyRetry(id, http.StatusServiceUnavailable, supersededOrder)
 }
 
-// mayHaveBeenFrozen reports whether a call that arrives now may have been delayed by a
+// mayHaveBeenSuspended reports whether a call that arrives now may have been delayed by a
 // suspension of this process.
-func (r *Registry) mayHaveBeenFrozen(now ids.Time) bool {
+func (r *Registry) mayHaveBeenSuspended(now ids.Time) bool {
 	ticksAreLate := r.lastTick != 0 && now.Sub(r.lastTick) > maxOrderAge
 	hasJustResumed := r.resumedAt != 0 && now.Sub(r.resumedAt) < maxOrderAge
 	return ticksAreLate || hasJustResumed
--- a/internal/controlplane/registry/evacuation_calls_test.go
+++ b/internal/controlplane/registry/evacuation_calls_test.go
@@ -12,11 +12,11 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// overtakenResult is the result of an order that a later change has superseded.
-const overtakenResult = `{"stale":[{"kind":"cell","name":"a","version":3,"asked":2}]}`
+// supersededResult is the result of an order that a later change has superseded.
+const supersededResult = `{"stale":[{"kind":"cell","name":"a","version":3,"asked":2}]}`
 
 // orderZone passes a zone order to the registry and returns the order that it sent to the
-// stores, if any. The stores answer with overtakenResult.
+// stores, if any. The stores answer with supersededResult.
 func (r *testRegistry) orderZone(id uint64) (order configuration.ZoneOrder, sent bool) {
 	for _, command := range r.Step(r.now, ZoneOrderCall{ID: id, Zone: "a", Region: "south", Evacuate: true}) {
 		switch command := command.(type) {
@@ -24,7 +24,7 @@
 			if request, ok := command.Message.(consensus.Request); ok && request.Op == configuration.OpOrderZone {
 				sent = json.Unmarshal(request.Arg, &order) == nil
 				reply := emptyReply(request)
-				reply.Result = []byte(overtakenResult)
+				reply.Result = []byte(supersededResult)
 				r.deliver(reply)
 			}
 		case Response:
@@ -36,7 +36,7 @@
 
 // An order carries the zone version known when it arrived. A superseded order is answered
 // with 503, which doesn't mean that it was rejected.
-func TestZoneOrder_OvertakenByChangeIsIndeterminate(t *testing.T) {
+func TestZoneOrder_SupersededIsNotRejected(t *testing.T) {
 	is := is.New(t)
 	r := newTestRegistry(true)
 	r.run(time.Second, nil)
--- a/internal/controlplane/registry/lease.go
+++ b/internal/controlplane/registry/lease.go
@@ -28,9 +28,9 @@
 	// may declare members dead. It is shorter than the suspicion timeout (at least
 	// 1.8 s), so that a registry cut off from the majority never declares members dead.
 	declareDeadWithinAge = 1500 * time.Millisecond
-	// ageWithoutAgreement is the age returned before the first quorum read; it exceeds
+	// noQuorumReadAge is the age returned before the first quorum read; it exceeds
 	// every limit that ages are compared with.
-	ageWithoutAgreement = time.Hour
+	noQuorumReadAge = time.Hour
 )
 
 // controlLease allows a registry to confirm changes, reject them and serve data. It is
@@ -41,19 +41,19 @@
 // See docs/control/cutoff.md.
 type controlLease struct {
 	duration time.Duration
-	// agreedAt is when the last quorum read started; zero if there was none.
-	agreedAt ids.Time
+	// renewedAt is when the last quorum read started; zero if there was none.
+	renewedAt ids.Time
 }
 
 // renew records a quorum read that started at began.
-func (l *controlLease) renew(began ids.Time) { l.agreedAt = max(l.agreedAt, began) }
+func (l *controlLease) renew(began ids.Time) { l.renewedAt = max(l.renewedAt, began) }
 
 // age returns the time since the last quorum read started.
 func (l *controlLease) age(now ids.Time) time.Duration {
-	if l.agreedAt == 0 {
-		return ageWithoutAgreement
+	if l.renewedAt == 0 {
+		return noQuorumReadAge
 	}
-	return now.Sub(l.agreedAt)
+	return now.Sub(l.renewedAt)
 }
 
 // isHeld reports whether the lease is valid.
@@ -64,11 +64,11 @@
 func (l *controlLease) isIsolated(now ids.Time) bool { return l.age(now) > isolatedAfter }
 
 // renewedSince reports whether a quorum read that started after moment has completed.
-func (l *controlLease) renewedSince(moment ids.Time) bool { return l.agreedAt > moment }
+func (l *controlLease) renewedSince(moment ids.Time) bool { return l.renewedAt > moment }
 
 // isReady reports whether this registry announces itself as ready.
 func (r *Registry) isReady(now ids.Time) bool {
-	return !r.stopping && r.lease.agreedAt != 0 && now.Sub(r.lease.agreedAt) < readyWithinAge
+	return !r.stopping && r.lease.renewedAt != 0 && now.Sub(r.lease.renewedAt) < readyWithinAge
 }
 
 // mayDeclareDead reports whether this registry may declare members dead.
--- a/internal/controlplane/registry/lease_test.go
+++ b/internal/controlplane/registry/lease_test.go
@@ -31,9 +31,9 @@
 	"resolve unknown route": 503, "resolve": 503, "status": 200,
 }
 
-// lostJustNow holds the statuses of calls right after the link to the majority was lost:
+// afterLinkLoss holds the statuses of calls right after the link to the majority was lost:
 // the lease is still held, and the stores may have executed a change.
-var lostJustNow = override(withoutLease, map[string]int{
+var afterLinkLoss = override(withoutLease, map[string]int{
 	"change": 504, "change of a stale version": 504, "change of a missing item": 504,
 	"evacuation": 504, "merge": 504, "local read": 200, "heartbeat": 200, "deregister unknown": 200, "resolve unknown route": 404, "resolve": 200,
 })
@@ -48,8 +48,8 @@
 	{"partitioned until lease expiry", 1700 * time.Millisecond, registrytest.Partitioned, withoutLease},
 	{"replies lost for 20s", 20 * time.Second, registrytest.RepliesLost, withoutLease},
 	{"no majority for 20s", 20 * time.Second, registrytest.NoMajority, withoutLease},
-	{"just partitioned", 0, registrytest.Partitioned, lostJustNow},
-	{"replies just lost", 0, registrytest.RepliesLost, lostJustNow},
+	{"just partitioned", 0, registrytest.Partitioned, afterLinkLoss},
+	{"replies just lost", 0, registrytest.RepliesLost, afterLinkLoss},
 	{"majority just lost", 0, registrytest.NoMajority, override(withoutLease, map[string]int{
 		"local read": 200, "heartbeat": 200,
 		"deregister unknown": 200, "resolve unknown route": 404, "resolve": 200,
@@ -119,7 +119,7 @@
 // Every call that arrives in the first seconds of a partition is answered within
 // maxAnswerTime, and no call that needs a majority is confirmed or rejected.
 func TestCalls_BoundedThroughoutPartitionStart(t *testing.T) {
-	needsAgreement := map[string]bool{
+	needsMajority := map[string]bool{
 		"change": true, "change of a stale version": true, "change of a missing item": true, "evacuation": true, "merge": true,
 		"read": true, "draining": true, "deregister": true,
 	}
@@ -133,7 +133,7 @@
 			if took >= maxAnswerTime {
 				t.Errorf("%s, %s after the partition: answer took too long: %s", call.name, after, took)
 			}
-			if needsAgreement[call.name] && got.Status != 503 && got.Status != 504 {
+			if needsMajority[call.name] && got.Status != 503 && got.Status != 504 {
 				t.Errorf("%s, %s after the partition: answered with %d, want 503 or 504", call.name, after, got.Status)
 			}
 		}
--- a/internal/controlplane/registry/options.go
+++ b/internal/controlplane/registry/options.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	defaultPlanInterval = 30 * time.Second
-	defaultLifetime     = 2 * time.Second
+	defaultPlanInterval       = 30 * time.Second
+	defaultResolutionLifetime = 2 * time.Second
 )
 
 // Options configures a registry; zero values select the defaults.
@@ -60,6 +60,6 @@
 		o.ControlLease = distribution.ControlLease
 	}
 	if o.Lifetime == 0 {
-		o.Lifetime = defaultLifetime
+		o.Lifetime = defaultResolutionLifetime
 	}
 }
--- a/internal/controlplane/registry/peers.go
+++ b/internal/controlplane/registry/peers.go
@@ -31,8 +31,8 @@
 	relayInterval = 150 * time.Millisecond
 )
 
-// maxAgreementAgeMillis limits the age in a PeerHeartbeat so that it fits its field.
-const maxAgreementAgeMillis = 1 << 30
+// maxQuorumReadAgeMillis limits the age in a PeerHeartbeat so that it fits its field.
+const maxQuorumReadAgeMillis = 1 << 30
 
 // peerSet holds the other registries' latest heartbeats. During a partition, the
 // membership list may still show a peer as alive that no longer sends any.
@@ -83,7 +83,7 @@
 	r.sendToPeers(PeerHeartbeat{
 		ID:                 r.Self.ID,
 		RunID:              r.Self.RunID,
-		AgreementAgeMillis: uint32(min(r.lease.age(now)/time.Millisecond, maxAgreementAgeMillis)),
+		AgreementAgeMillis: uint32(min(r.lease.age(now)/time.Millisecond, maxQuorumReadAgeMillis)),
 		TargetsDigest:      r.Targets.Digest(),
 		Number:             r.peers.heartbeatNumber,
 	})
@@ -112,8 +112,8 @@
 func (r *Registry) recordPeer(now ids.Time, heartbeat PeerHeartbeat, restarted bool) int {
 	p := r.peers.byID[heartbeat.ID]
 	p.PeerHeartbeat, p.receivedAt = heartbeat, now
-	agreementAge := time.Duration(heartbeat.AgreementAgeMillis) * time.Millisecond
-	p.trusted = remainsTrusted(p.trusted && !restarted, agreementAge)
+	quorumReadAge := time.Duration(heartbeat.AgreementAgeMillis) * time.Millisecond
+	p.trusted = shouldTrust(p.trusted && !restarted, quorumReadAge)
 	if heartbeat.TargetsDigest == r.Targets.Digest() {
 		p.digestMismatches = 0
 	} else {
@@ -137,13 +137,13 @@
 // isMultiple reports whether count is a positive multiple of step.
 func isMultiple(count, step int) bool { return count > 0 && count%step == 0 }
 
-// remainsTrusted reports whether a peer is trusted, given whether it was trusted before and
+// shouldTrust reports whether a peer is trusted, given whether it was trusted before and
 // the age of its last quorum read.
-func remainsTrusted(before bool, agreementAge time.Duration) bool {
-	if before {
-		return agreementAge < distrustAfterAge
+func shouldTrust(wasTrusted bool, quorumReadAge time.Duration) bool {
+	if wasTrusted {
+		return quorumReadAge < distrustAfterAge
 	}
-	return agreementAge < trustWithinAge
+	return quorumReadAge < trustWithinAge
 }
 
 // handleTableDigest replies to a peer's digests with the targets of the parts that differ.
--- a/internal/controlplane/registry/peers_test.go
+++ b/internal/controlplane/registry/peers_test.go
@@ -13,7 +13,7 @@
 
 // Registries with different target tables exchange only the parts that differ, and converge
 // even if each has newer entries than the other.
-func TestTableDigest_SendsOnlyDifferingPartitions(t *testing.T) {
+func TestTableDigest_SendsOnlyDifferingParts(t *testing.T) {
 	is := is.New(t)
 	a, b := newIncrementalRegistry(), newIncrementalRegistry()
 	for i := range 300 {
--- a/internal/controlplane/registry/pending_calls.go
+++ b/internal/controlplane/registry/pending_calls.go
@@ -49,7 +49,7 @@
 // start can't know whether a majority is reachable, and starts the call.
 func (r *Registry) withLease(now ids.Time, id uint64, start func(now ids.Time)) {
 	switch {
-	case r.lease.agreedAt == 0 || r.lease.isHeld(now):
+	case r.lease.renewedAt == 0 || r.lease.isHeld(now):
 		start(now)
 	case r.lease.age(now) <= maxDeferLeases*r.options.ControlLease:
 		r.deferredCalls = append(r.deferredCalls, deferredCall{id: id, deadline: now.Add(majorityTimeout), start: start})
--- a/internal/controlplane/registry/registry.go
+++ b/internal/controlplane/registry/registry.go
@@ -105,7 +105,7 @@
 
 // tick runs the periodic work.
 func (r *Registry) tick(now ids.Time) {
-	r.noteTick(now)
+	r.recordTick(now)
 	r.UpdateSelf(r.isReady(now), r.configuration.view.Revision)
 	r.List.Tick(now)
 	r.abandonOverdueCalls(now)
@@ -120,8 +120,8 @@
 	r.tickLeadership(now)
 }
 
-// noteTick records the time of a tick and detects that this process was suspended before it.
-func (r *Registry) noteTick(now ids.Time) {
+// recordTick records the time of a tick and detects that this process was suspended before it.
+func (r *Registry) recordTick(now ids.Time) {
 	gap := now.Sub(r.lastTick)
 	if r.lastTick != 0 && gap > suspensionGap {
 		r.resumedAt = now
--- a/internal/controlplane/registry/spill_table.go
+++ b/internal/controlplane/registry/spill_table.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// tableExpiresWithoutAgreement is the age of the last quorum read above which a
+	// tableExpiryQuorumReadAge is the age of the last quorum read above which a
 	// table that is no longer confirmed may expire.
-	tableExpiresWithoutAgreement = 5 * time.Second
+	tableExpiryQuorumReadAge = 5 * time.Second
 	// tableExpiryPlans is the number of plan intervals after which an unconfirmed table
 	// expires.
 	tableExpiryPlans = 3
@@ -40,7 +40,7 @@
 // lost the majority and has not received the table for tableExpiryPlans plan intervals.
 // While a majority is reachable the last table stays valid, even without a planner.
 func (r *Registry) isSpillTableExpired(now ids.Time) bool {
-	lostMajority := now.Sub(r.lease.agreedAt) > tableExpiresWithoutAgreement
+	lostMajority := now.Sub(r.lease.renewedAt) > tableExpiryQuorumReadAge
 	unconfirmed := now.Sub(r.planner.tableConfirmedAt) > tableExpiryPlans*r.options.PlanEvery
 	return lostMajority && unconfirmed
 }
--- a/internal/controlplane/registry/status.go
+++ b/internal/controlplane/registry/status.go
@@ -111,7 +111,7 @@
 	revision := r.configuration.view.Revision
 	status := Status{
 		Registry:           r.Self.ID,
-		AgreementAgeMillis: now.Sub(r.lease.agreedAt).Milliseconds(),
+		AgreementAgeMillis: now.Sub(r.lease.renewedAt).Milliseconds(),
 		Revision:           revision,
 		LaggingProxies:     r.Distributor.Lagging(proxies, revision),
 		Daemons:            r.daemonStatuses(),
@@ -131,15 +131,15 @@
 			Fraction: move.Fraction, Amount: move.PlannedCPU, Reason: move.Reason,
 		})
 	}
-	status.Warnings = status.warnings(r.lease.agreedAt != 0)
+	status.Warnings = status.warnings(r.lease.renewedAt != 0)
 	return status
 }
 
-// warnings returns the conditions that need an operator's attention; hadAgreement reports
+// warnings returns the conditions that need an operator's attention; hadQuorumRead reports
 // whether a majority of stores was ever reached.
-func (s *Status) warnings(hadAgreement bool) []string {
+func (s *Status) warnings(hadQuorumRead bool) []string {
 	var warnings []string
-	if !hadAgreement || s.AgreementAgeMillis > majorityWarningAge.Milliseconds() {
+	if !hadQuorumRead || s.AgreementAgeMillis > majorityWarningAge.Milliseconds() {
 		warnings = append(warnings, "no majority of stores for "+formatUint(uint64(s.AgreementAgeMillis/1000))+" s")
 	}
 	for _, id := range s.LaggingProxies {
