--- a/internal/controlplane/registry/helpers_test.go
+++ b/internal/controlplane/registry/helpers_test.go
@@ -127,7 +127,7 @@
 // peers report the given age of their last quorum read.
 func (r *incrementalRegistry) tickWithPeers(quorumReadAge time.Duration) {
 	for _, id := range peerIDs {
-		r.deliver(PeerHeartbeat{ID: id, RunID: 1, AgreementAgeMillis: uint32(quorumReadAge / time.Millisecond), TargetsDigest: r.Targets.Digest()})
+		r.deliver(PeerHeartbeat{ID: id, RunID: 1, QuorumReadAgeMillis: uint32(quorumReadAge / time.Millisecond), TargetsDigest: r.Targets.Digest()})
 	}
 	r.deliver(membership.Heartbeat{Self: storeMember(1)})
 	r.now = r.now.Add(testTickInterval)
--- a/internal/controlplane/registry/messages.go
+++ b/internal/controlplane/registry/messages.go
@@ -12,11 +12,11 @@
 // shows that the sender is running, how recently it reached a majority of stores, and
 // whether its target table equals the receiver's.
 type PeerHeartbeat struct {
-	ID                 ids.DaemonID
-	RunID              ids.RunID
-	AgreementAgeMillis uint32
-	TargetsDigest      uint64
-	Number             ids.StreamNumber
+	ID                  ids.DaemonID
+	RunID               ids.RunID
+	QuorumReadAgeMillis uint32
+	TargetsDigest       uint64
+	Number              ids.StreamNumber
 }
 
 // DepartureNotice asks another registry for a DepartureAck once all proxies
--- a/internal/controlplane/registry/peers.go
+++ b/internal/controlplane/registry/peers.go
@@ -81,11 +81,11 @@
 	r.peers.nextHeartbeat = now.Add(peerHeartbeatInterval)
 	r.peers.heartbeatNumber++
 	r.sendToPeers(PeerHeartbeat{
-		ID:                 r.Self.ID,
-		RunID:              r.Self.RunID,
-		AgreementAgeMillis: uint32(min(r.lease.age(now)/time.Millisecond, maxQuorumReadAgeMillis)),
-		TargetsDigest:      r.Targets.Digest(),
-		Number:             r.peers.heartbeatNumber,
+		ID:                  r.Self.ID,
+		RunID:               r.Self.RunID,
+		QuorumReadAgeMillis: uint32(min(r.lease.age(now)/time.Millisecond, maxQuorumReadAgeMillis)),
+		TargetsDigest:       r.Targets.Digest(),
+		Number:              r.peers.heartbeatNumber,
 	})
 }
 
@@ -112,7 +112,7 @@
 func (r *Registry) recordPeer(now ids.Time, heartbeat PeerHeartbeat, restarted bool) int {
 	p := r.peers.byID[heartbeat.ID]
 	p.PeerHeartbeat, p.receivedAt = heartbeat, now
-	quorumReadAge := time.Duration(heartbeat.AgreementAgeMillis) * time.Millisecond
+	quorumReadAge := time.Duration(heartbeat.QuorumReadAgeMillis) * time.Millisecond
 	p.trusted = shouldTrust(p.trusted && !restarted, quorumReadAge)
 	if heartbeat.TargetsDigest == r.Targets.Digest() {
 		p.digestMismatches = 0
--- a/internal/controlplane/registry/status.go
+++ b/internal/controlplane/registry/status.go
@@ -35,7 +35,7 @@
 // Status is the state of the cluster as one registry sees it.
 type Status struct {
 	Registry ids.DaemonID `json:"registry"`
-	// AgreementAgeMillis is the time since a majority of stores last confirmed the
+	// QuorumReadAgeMillis is the time since a majority of stores last confirmed the
 	// configuration, in milliseconds.
 	AgreementAgeMillis int64        `json:"agreed_ms_ago"`
 	Revision           ids.Revision `json:"revision"`
--- a/internal/testsupport/compat/messages_test.go
+++ b/internal/testsupport/compat/messages_test.go
@@ -163,7 +163,7 @@
 		Targets: []targets.Target{{Instance: "text-1", Incarnation: 4294967298, Sequence: 4294967299, Service: "text-4", Address: "text-5", Zone: "text-6", Draining: true, Dead: false, Warmth: 9.5, Occupancy: 4294967306, Capacity: 4294967307, IntervalMillis: 65548, AgeMillis: 4294967309, SlowStartMillis: 4294967310, Registrar: "text-15", RegistrarRunID: 4294967312, ProxySequence: 4294967313}, {Instance: "text-18", Incarnation: 4294967315, Sequence: 4294967316, Service: "text-21", Address: "text-22", Zone: "text-23", Draining: false, Dead: true, Warmth: 26.5, Occupancy: 4294967323, Capacity: 4294967324, IntervalMillis: 65565, AgeMillis: 4294967326, SlowStartMillis: 4294967327, Registrar: "text-32", RegistrarRunID: 4294967329, ProxySequence: 4294967330}},
 	},
 	registry.PeerHeartbeat{
-		ID: "text-1", RunID: 4294967298, AgreementAgeMillis: 65539, TargetsDigest: 4294967300, Number: 4294967301,
+		ID: "text-1", RunID: 4294967298, QuorumReadAgeMillis: 65539, TargetsDigest: 4294967300, Number: 4294967301,
 	},
 	registry.DepartureNotice{
 		Asker:  "text-1",
