--- a/internal/controlplane/registry/metrics.go
+++ b/internal/controlplane/registry/metrics.go
@@ -14,7 +14,7 @@
 	metrics := []Metric{
 		{Name: "policy_revision", Value: float64(s.Revision)},
 		{Name: "policy_in_force", Value: boolValue(s.InForce)},
-		{Name: "agreed_ms_ago", Value: float64(s.AgreementAgeMillis)},
+		{Name: "agreed_ms_ago", Value: float64(s.QuorumReadAgeMillis)},
 		{Name: "problems", Value: float64(len(s.Warnings))},
 	}
 	for _, daemon := range s.Daemons {
--- a/internal/controlplane/registry/status.go
+++ b/internal/controlplane/registry/status.go
@@ -37,8 +37,8 @@
 	Registry ids.DaemonID `json:"registry"`
 	// QuorumReadAgeMillis is the time since a majority of stores last confirmed the
 	// configuration, in milliseconds.
-	AgreementAgeMillis int64        `json:"agreed_ms_ago"`
-	Revision           ids.Revision `json:"revision"`
+	QuorumReadAgeMillis int64        `json:"agreed_ms_ago"`
+	Revision            ids.Revision `json:"revision"`
 	// InForce reports whether every live proxy has acknowledged Revision to this registry.
 	// A proxy that only other registries push to (Options.Incremental, assignment.go)
 	// sends this one no acknowledgements, and so is listed in LaggingProxies.
@@ -110,12 +110,12 @@
 	proxies := r.Live(membership.Proxy)
 	revision := r.configuration.view.Revision
 	status := Status{
-		Registry:           r.Self.ID,
-		AgreementAgeMillis: now.Sub(r.lease.renewedAt).Milliseconds(),
-		Revision:           revision,
-		LaggingProxies:     r.Distributor.Lagging(proxies, revision),
-		Daemons:            r.daemonStatuses(),
-		Zones:              r.zoneStatuses(now, proxies),
+		Registry:            r.Self.ID,
+		QuorumReadAgeMillis: now.Sub(r.lease.renewedAt).Milliseconds(),
+		Revision:            revision,
+		LaggingProxies:      r.Distributor.Lagging(proxies, revision),
+		Daemons:             r.daemonStatuses(),
+		Zones:               r.zoneStatuses(now, proxies),
 		Leaderships: []LeadershipStatus{{
 			Name:       plannerElection,
 			Epoch:      r.leadership.highestEpoch,
@@ -139,8 +139,8 @@
 // whether a majority of stores was ever reached.
 func (s *Status) warnings(hadQuorumRead bool) []string {
 	var warnings []string
-	if !hadQuorumRead || s.AgreementAgeMillis > majorityWarningAge.Milliseconds() {
-		warnings = append(warnings, "no majority of stores for "+formatUint(uint64(s.AgreementAgeMillis/1000))+" s")
+	if !hadQuorumRead || s.QuorumReadAgeMillis > majorityWarningAge.Milliseconds() {
+		warnings = append(warnings, "no majority of stores for "+formatUint(uint64(s.QuorumReadAgeMillis/1000))+" s")
 	}
 	for _, id := range s.LaggingProxies {
 		warnings = append(warnings, "proxy "+string(id)+" lags behind revision "+formatUint(s.Revision))
