--- a/internal/controlplane/registry/departure.go
+++ b/internal/controlplane/registry/departure.go
@@ -66,7 +66,7 @@
 	for _, member := range r.assignment.registries {
 		if member.ID != r.Self.ID {
 			started.awaitedPeers[member.ID] = true
-			r.Send(member.Address, DepartureNotice{Asker: r.Self.Address, Target: started.target})
+			r.Send(member.Address, DepartureNotice{Requester: r.Self.Address, Target: started.target})
 		}
 	}
 }
@@ -110,7 +110,7 @@
 	for _, notice := range r.departures.unackedNotices {
 		if r.appliedByAssignedProxies(now, notice.Target) {
 			target := notice.Target
-			r.Send(notice.Asker, DepartureAck{ID: r.Self.ID, Instance: target.Instance, Sequence: target.Sequence, Incarnation: target.Incarnation})
+			r.Send(notice.Requester, DepartureAck{ID: r.Self.ID, Instance: target.Instance, Sequence: target.Sequence, Incarnation: target.Incarnation})
 		} else if len(r.departures.unackedNotices) < maxUnackedNotices {
 			remaining = append(remaining, notice)
 		}
--- a/internal/controlplane/registry/messages.go
+++ b/internal/controlplane/registry/messages.go
@@ -22,8 +22,8 @@
 // DepartureNotice asks another registry for a DepartureAck once all proxies
 // assigned to it have applied a target's departure.
 type DepartureNotice struct {
-	Asker  ids.Address
-	Target targets.Target
+	Requester ids.Address
+	Target    targets.Target
 }
 
 // DepartureAck answers a DepartureNotice.
--- a/internal/controlplane/registry/sender_check_test.go
+++ b/internal/controlplane/registry/sender_check_test.go
@@ -126,7 +126,7 @@
 		distribution.Ack{Proxy: "p", RunID: 1, Number: 3},
 		targets.Update{Targets: []targets.Target{{Instance: "i", Service: "s", Address: "10.0.0.9:80", Zone: "c", Incarnation: 1, Sequence: 1, Warmth: 1}}},
 		PeerHeartbeat{ID: "g", RunID: 1},
-		DepartureNotice{Asker: unknownAddress, Target: targets.Target{Instance: "i", Dead: true}},
+		DepartureNotice{Requester: unknownAddress, Target: targets.Target{Instance: "i", Dead: true}},
 		DepartureAck{ID: "g", Instance: "i"},
 		spill.Report{Proxy: "p", RunID: 1, Zone: "c", Number: 1, IntervalMillis: 2000, Usage: []spill.ServiceUsage{{}}},
 		spill.Table{Epoch: 2},
--- a/internal/testsupport/compat/messages_test.go
+++ b/internal/testsupport/compat/messages_test.go
@@ -166,8 +166,8 @@
 		ID: "text-1", RunID: 4294967298, QuorumReadAgeMillis: 65539, TargetsDigest: 4294967300, Number: 4294967301,
 	},
 	registry.DepartureNotice{
-		Asker:  "text-1",
-		Target: targets.Target{Instance: "text-2", Incarnation: 4294967299, Sequence: 4294967300, Service: "text-5", Address: "text-6", Zone: "text-7", Draining: false, Dead: true, Warmth: 10.5, Occupancy: 4294967307, Capacity: 4294967308, IntervalMillis: 65549, AgeMillis: 4294967310, SlowStartMillis: 4294967311, Registrar: "text-16", RegistrarRunID: 4294967313, ProxySequence: 4294967314},
+		Requester: "text-1",
+		Target:    targets.Target{Instance: "text-2", Incarnation: 4294967299, Sequence: 4294967300, Service: "text-5", Address: "text-6", Zone: "text-7", Draining: false, Dead: true, Warmth: 10.5, Occupancy: 4294967307, Capacity: 4294967308, IntervalMillis: 65549, AgeMillis: 4294967310, SlowStartMillis: 4294967311, Registrar: "text-16", RegistrarRunID: 4294967313, ProxySequence: 4294967314},
 	},
 	registry.DepartureAck{
 		ID: "text-1", Instance: "text-2", Sequence: 4294967299, Incarnation: 4294967300,
