--- a/internal/controlplane/registry/directory.go
+++ b/internal/controlplane/registry/directory.go
@@ -77,9 +77,9 @@
 // resolutionLifetime returns how long clients may use a directory answer.
 func (r *Registry) resolutionLifetime(now ids.Time) time.Duration {
 	if r.lease.isHeld(now) {
-		return r.options.Lifetime
+		return r.options.ResolutionLifetime
 	}
-	return min(r.options.Lifetime, lifetimeWithoutLease)
+	return min(r.options.ResolutionLifetime, lifetimeWithoutLease)
 }
 
 // chooseRoute returns the route that a call is resolved for. For a host, one of its routes
--- a/internal/controlplane/registry/options.go
+++ b/internal/controlplane/registry/options.go
@@ -24,8 +24,8 @@
 	// PlanEvery is the interval between two spill plans; 30 s by default.
 	PlanEvery time.Duration
 
-	// Lifetime is how long clients may use a directory answer; 2 s by default.
-	Lifetime time.Duration
+	// ResolutionLifetime is how long clients may use a directory answer; 2 s by default.
+	ResolutionLifetime time.Duration
 
 	// ControlLease is the duration of the control lease: this registry confirms
 	// changes, rejects them and serves data only if its last quorum read is at most
@@ -59,7 +59,7 @@
 	if o.ControlLease == 0 {
 		o.ControlLease = distribution.ControlLease
 	}
-	if o.Lifetime == 0 {
-		o.Lifetime = defaultResolutionLifetime
+	if o.ResolutionLifetime == 0 {
+		o.ResolutionLifetime = defaultResolutionLifetime
 	}
 }
