--- a/internal/app/daemon/registry.go
+++ b/internal/app/daemon/registry.go
@@ -62,8 +62,8 @@
 	d := &registryDaemon{
 		options: options, log: log,
 		machine: registry.New(registry.Options{
-			Options:   membership.Options{Self: NewMember(options.Common, membership.Registry), Seeds: options.SeedAddresses(), Incremental: options.Incremental},
-			PlanEvery: options.PlanEvery, ResolutionLifetime: options.ResolutionLifetime, Regions: options.Regions, Incremental: options.Incremental,
+			Options:      membership.Options{Self: NewMember(options.Common, membership.Registry), Seeds: options.SeedAddresses(), Incremental: options.Incremental},
+			PlanInterval: options.PlanEvery, ResolutionLifetime: options.ResolutionLifetime, Regions: options.Regions, Incremental: options.Incremental,
 			AlwaysResolve: options.AlwaysResolve, DeriveSetPoints: options.DeriveSetPoints, Random: newRandom(),
 		}),
 		transport: newTransport(options.Common, log),
--- a/internal/controlplane/registry/options.go
+++ b/internal/controlplane/registry/options.go
@@ -21,8 +21,8 @@
 	// Random is the source for choosing destinations and routes. It is required.
 	Random *rand.Rand
 
-	// PlanEvery is the interval between two spill plans; 30 s by default.
-	PlanEvery time.Duration
+	// PlanInterval is the interval between two spill plans; 30 s by default.
+	PlanInterval time.Duration
 
 	// ResolutionLifetime is how long clients may use a directory answer; 2 s by default.
 	ResolutionLifetime time.Duration
@@ -53,8 +53,8 @@
 }
 
 func (o *Options) setDefaults() {
-	if o.PlanEvery == 0 {
-		o.PlanEvery = defaultPlanInterval
+	if o.PlanInterval == 0 {
+		o.PlanInterval = defaultPlanInterval
 	}
 	if o.ControlLease == 0 {
 		o.ControlLease = distribution.ControlLease
--- a/internal/controlplane/registry/planner.go
+++ b/internal/controlplane/registry/planner.go
@@ -57,7 +57,7 @@
 		r.sendToPeers(r.planner.table)
 	}
 	if now >= r.planner.nextPlan {
-		r.planner.nextPlan = now.Add(r.options.PlanEvery)
+		r.planner.nextPlan = now.Add(r.options.PlanInterval)
 		r.plan(now)
 		r.sendToPeers(r.planner.table)
 	}
@@ -114,7 +114,7 @@
 // end. The forecast decays linearly over forecastPlans plan intervals.
 func (r *Registry) addPendingMoves(now ids.Time, zone spill.Zone, input spill.PlannerInput) {
 	expected, known := r.planner.forecasts[zone.Name]
-	horizon := forecastPlans * r.options.PlanEvery
+	horizon := forecastPlans * r.options.PlanInterval
 	remaining := 1 - float64(now.Sub(expected.plannedAt))/float64(horizon)
 	if !known || remaining <= 0 {
 		delete(r.planner.forecasts, zone.Name)
--- a/internal/controlplane/registry/planner_election.go
+++ b/internal/controlplane/registry/planner_election.go
@@ -135,6 +135,6 @@
 	r.observeEpoch(now, term.Epoch)
 	lead.ownEpoch = term.Epoch
 	r.planner.table.Epoch = term.Epoch
-	r.planner.nextPlan = now.Add(min(r.options.PlanEvery, firstPlanDelay))
+	r.planner.nextPlan = now.Add(min(r.options.PlanInterval, firstPlanDelay))
 	r.Log(event.LevelInfo, logLeadershipAcquired, "election", plannerElection, "epoch", formatUint(term.Epoch))
 }
--- a/internal/controlplane/registry/registry.go
+++ b/internal/controlplane/registry/registry.go
@@ -84,7 +84,7 @@
 	r.Distributor = r.newDistributor()
 	if options.DeriveSetPoints {
 		// Proxies report once per plan interval.
-		r.Reports.AveragingWindow = 2*options.PlanEvery + reportOverlap
+		r.Reports.AveragingWindow = 2*options.PlanInterval + reportOverlap
 	}
 	return r
 }
--- a/internal/controlplane/registry/spill_table.go
+++ b/internal/controlplane/registry/spill_table.go
@@ -41,7 +41,7 @@
 // While a majority is reachable the last table stays valid, even without a planner.
 func (r *Registry) isSpillTableExpired(now ids.Time) bool {
 	lostMajority := now.Sub(r.lease.renewedAt) > tableExpiryQuorumReadAge
-	unconfirmed := now.Sub(r.planner.tableConfirmedAt) > tableExpiryPlans*r.options.PlanEvery
+	unconfirmed := now.Sub(r.planner.tableConfirmedAt) > tableExpiryPlans*r.options.PlanInterval
 	return lostMajority && unconfirmed
 }
 
--- a/internal/controlplane/registry/spill_table_test.go
+++ b/internal/controlplane/registry/spill_table_test.go
@@ -14,7 +14,7 @@
 
 // A registry rejects tables of an epoch below the highest one that it has seen.
 func TestSpillTable_StaleEpochIsRejected(t *testing.T) {
-	harness := registrytest.New(registry.Options{PlanEvery: time.Hour})
+	harness := registrytest.New(registry.Options{PlanInterval: time.Hour})
 	setUp(t, harness)
 	move := func(to ids.Name) []spill.Move { return []spill.Move{{From: "c", To: to, Fraction: 1}} }
 	declarePeerDead(harness)
--- a/internal/testsupport/simulator/process.go
+++ b/internal/testsupport/simulator/process.go
@@ -161,7 +161,7 @@
 		return dispatcherTick
 	case membership.Registry:
 		p.machine = registry.New(registry.Options{
-			Options: membershipOptions, Random: p.random, PlanEvery: p.world.PlanEvery,
+			Options: membershipOptions, Random: p.random, PlanInterval: p.world.PlanEvery,
 			ControlLease: p.world.Defect.ControlLease,
 		})
 	default:
--- a/internal/testsupport/simulator/trace_recorder.go
+++ b/internal/testsupport/simulator/trace_recorder.go
@@ -35,7 +35,7 @@
 	case membership.Store:
 		return store.New(store.Options{Options: t.Membership, StoreID: t.Store, RunNumber: t.Run, Storage: storage, Random: random, Bootstrap: t.Bootstrap})
 	case membership.Registry:
-		return registry.New(registry.Options{Options: t.Membership, Random: random, PlanEvery: t.PlanEvery})
+		return registry.New(registry.Options{Options: t.Membership, Random: random, PlanInterval: t.PlanEvery})
 	}
 	return proxy.New(t.Membership, proxy.ControlOptions{Lease: t.Lease})
 }
