--- a/internal/controlplane/registry/options.go
+++ b/internal/controlplane/registry/options.go
@@ -47,9 +47,9 @@
 	// lease has expired or no proxy is eligible.
 	AlwaysResolve bool
 
-	// DeriveSetPoints computes the load levels of zones without configured levels
+	// DeriveZoneLevels computes the load levels of zones without configured levels
 	// from the capacity that their targets report.
-	DeriveSetPoints bool
+	DeriveZoneLevels bool
 }
 
 func (o *Options) setDefaults() {
--- a/internal/controlplane/registry/registry.go
+++ b/internal/controlplane/registry/registry.go
@@ -82,7 +82,7 @@
 	r.Client = consensus.NewClient(options.Self.RunID, &r.Outbox)
 	r.Client.StoreOrder = r.storeOrder
 	r.Distributor = r.newDistributor()
-	if options.DeriveSetPoints {
+	if options.DeriveZoneLevels {
 		// Proxies report once per plan interval.
 		r.Reports.AveragingWindow = 2*options.PlanInterval + reportOverlap
 	}
--- a/internal/controlplane/registry/zone_levels.go
+++ b/internal/controlplane/registry/zone_levels.go
@@ -46,7 +46,7 @@
 
 // hasDerivedLevels reports whether a zone's levels are derived from the capacity of its targets.
 func (r *Registry) hasDerivedLevels(zone configuration.Zone) bool {
-	return zone.LoadDefaulted && r.options.DeriveSetPoints
+	return zone.LoadDefaulted && r.options.DeriveZoneLevels
 }
 
 // setConfiguredLevels sets the configured levels. A learned maximum overrides the
@@ -66,10 +66,10 @@
 }
 
 // zoneCapacities returns the total reported capacity of the targets of each zone, in
-// milliseconds of work per second; nil unless Options.DeriveSetPoints is set. Targets in
+// milliseconds of work per second; nil unless Options.DeriveZoneLevels is set. Targets in
 // slow start and those of drained or evacuated zones are excluded.
 func (r *Registry) zoneCapacities(now ids.Time) map[ids.Name]float64 {
-	if !r.options.DeriveSetPoints {
+	if !r.options.DeriveZoneLevels {
 		return nil
 	}
 	capacities := map[ids.Name]float64{}
