--- a/internal/controlplane/registry/registrytest/harness.go
+++ b/internal/controlplane/registry/registrytest/harness.go
@@ -40,7 +40,7 @@
 const (
 	proxyID ids.DaemonID = "proxy"
 	zone    ids.Name     = "c"
-	// runID is the run of every daemon.
+	// runID is the run ID of every daemon.
 	runID ids.RunID = 1
 
 	tickInterval = 50 * time.Millisecond
