--- a/internal/controlplane/registry/departure.go
+++ b/internal/controlplane/registry/departure.go
@@ -42,7 +42,7 @@
 // answers the call once the proxies have applied it.
 func (r *Registry) startDeparture(now ids.Time, callID uint64, target targets.Target) {
 	if r.options.Incremental {
-		// Proxies acknowledge the sequence of the last change that was pushed to them.
+		// Proxies acknowledge the sequence of the last change that is relevant to them.
 		target.Sequence = r.Targets.ProxySequence(target.Instance)
 	}
 	started := departure{
