--- a/internal/state/consensus/acceptor_test.go
+++ b/internal/state/consensus/acceptor_test.go
@@ -36,15 +36,15 @@
 // A delta to anything but the accepted value changes nothing.
 func TestAcceptor_DeltaToAnotherBaseChangesNothing(t *testing.T) {
 	stores := newTestStores()
-	now, network := ids.Time(1), &meteredNetwork{}
+	now, network := ids.Time(1), &countingNetwork{}
 	network.run(t, stores, "a", &now, string(randomText(rand.New(rand.NewPCG(1, 1)), 20_000)), nil)
 	b := stores["b"]
-	held, value := b.AcceptedValue("policy")
-	next := ids.Ballot{Counter: held.Counter + 100, Proposer: 1}
+	acceptedBallot, value := b.AcceptedValue("policy")
+	next := ids.Ballot{Counter: acceptedBallot.Counter + 100, Proposer: 1}
 	for name, m := range map[string]AcceptDelta{
-		"an earlier base": {BaseBallot: ids.Ballot{Counter: held.Counter - 1, Proposer: held.Proposer}, Delta: nil},
-		"damaged delta":   {BaseBallot: held, Delta: []byte("damaged")},
-		"no delta":        {BaseBallot: held, Delta: nil},
+		"an earlier base": {BaseBallot: ids.Ballot{Counter: acceptedBallot.Counter - 1, Proposer: acceptedBallot.Proposer}, Delta: nil},
+		"damaged delta":   {BaseBallot: acceptedBallot, Delta: []byte("damaged")},
+		"no delta":        {BaseBallot: acceptedBallot, Delta: nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -52,12 +52,12 @@
 			b.HandleAcceptDelta("a", m)
 			commands := b.Drain()
 			is.Equal(len(commands), 1)
-			answer := commands[0].(event.Sync)
-			is.Equal(len(answer.Records), 0)
-			vote := answer.After[0].(event.Send).Message.(Accepted)
+			sync := commands[0].(event.Sync)
+			is.Equal(len(sync.Records), 0)
+			vote := sync.After[0].(event.Send).Message.(Accepted)
 			is.True(!vote.OK && vote.NeedsFullValue)
 			ballot, got := b.AcceptedValue("policy")
-			is.Equal(ballot, held)
+			is.Equal(ballot, acceptedBallot)
 			is.True(bytes.Equal(got, value))
 		})
 	}
@@ -69,7 +69,7 @@
 	is := is.New(t)
 	set := VoterSet{Number: 2, Voters: []Voter{{1, "a"}, {2, "b"}, {9, "c"}}}
 	blank := newTestAcceptor(9, memorydisk.Disk{})
-	answers := func() (sent []any) {
+	responses := func() (sent []any) {
 		for _, c := range blank.Drain() {
 			sync, ok := c.(event.Sync)
 			is.True(ok)
@@ -81,16 +81,16 @@
 		return sent
 	}
 	blank.AdoptVoterSet(set)
-	answers()
+	responses()
 	blank.Acceptor = NewAcceptor(9, blank.disk, &blank.Outbox)
 	ballot := ids.Ballot{Counter: maxFirstValueCounter + 1, Proposer: 1}
 	blank.HandlePrepare("a", Prepare{Key: "x", Ballot: ballot, VoterSetNumber: 2})
 	blank.HandleAccept("a", Accept{Key: "x", Ballot: ballot, VoterSetNumber: 2, Value: []byte("v")})
 	blank.HandlePageRequest("a", PageRequest{VoterSetNumber: 2})
-	is.Equal(len(answers()), 0)
+	is.Equal(len(responses()), 0)
 	blank.MarkComplete()
 	blank.HandleAccept("a", Accept{Key: "x", Ballot: ballot, VoterSetNumber: 2, Value: []byte("v")})
-	is.Equal(len(answers()), 1)
+	is.Equal(len(responses()), 1)
 }
 
 // A disk whose store was replaced never votes again, whatever voter set it learns of.
@@ -113,21 +113,21 @@
 // once; where the run or the list is gone, everything.
 func TestAcceptor_LaterCopiesHoldChangesOnly(t *testing.T) {
 	is := is.New(t)
-	s := newTestAcceptor(1, memorydisk.Disk{})
-	s.SetRunID(7)
-	s.MarkComplete()
-	s.AdoptVoterSet(VoterSet{Number: 1, Voters: []Voter{{1, "a"}}})
+	acceptor := newTestAcceptor(1, memorydisk.Disk{})
+	acceptor.SetRunID(7)
+	acceptor.MarkComplete()
+	acceptor.AdoptVoterSet(VoterSet{Number: 1, Voters: []Voter{{1, "a"}}})
 	page := func(request PageRequest) PageResponse {
-		s.Drain()
-		s.HandlePageRequest("n", request)
-		return s.Drain()[0].(event.Sync).After[0].(event.Send).Message.(PageResponse)
+		acceptor.Drain()
+		acceptor.HandlePageRequest("n", request)
+		return acceptor.Drain()[0].(event.Sync).After[0].(event.Send).Message.(PageResponse)
 	}
-	s.Seed("x", []byte("1"))
+	acceptor.Seed("x", []byte("1"))
 	first := page(PageRequest{VoterSetNumber: 1})
 	is.True(first.Last && !first.Delta)
 	is.Equal(first.ChangeCount, uint64(1))
-	s.ForceValue("y", []byte("2"))
-	s.ForceValue("y", []byte("3"))
+	acceptor.ForceValue("y", []byte("2"))
+	acceptor.ForceValue("y", []byte("3"))
 	second := page(PageRequest{VoterSetNumber: 1, RunID: first.RunID, SinceChange: first.ChangeCount})
 	is.True(second.Last && second.Delta)
 	is.Equal(second.ChangeCount, uint64(3))
--- a/internal/state/consensus/bootstrap_model_test.go
+++ b/internal/state/consensus/bootstrap_model_test.go
@@ -17,8 +17,8 @@
 	for range depth {
 		var next []bootstrapState
 		for _, s := range level {
-			for _, c := range s.steps(rules) {
-				if key := c.key(); !seen[key] {
+			for _, c := range s.successors(rules) {
+				if key := c.hash(); !seen[key] {
 					seen[key] = true
 					next = append(next, c)
 				}
@@ -33,8 +33,8 @@
 	return len(seen), served, ""
 }
 
-// key identifies a state; the messages count in any order.
-func (s bootstrapState) key() uint64 {
+// hash identifies a state; the messages count in any order.
+func (s bootstrapState) hash() uint64 {
 	h := fnv.New64a()
 	write := func(values ...uint64) {
 		for _, v := range values {
@@ -54,22 +54,22 @@
 	write(uint64(s.wipes))
 	sum := uint64(0)
 	for _, p := range s.requests {
-		sum += mix(1, p.round, p.set[0], p.set[1], p.set[2])
+		sum += hashParts(1, p.round, p.set[0], p.set[1], p.set[2])
 	}
 	for _, p := range s.promises {
-		sum += mix(2, p.round, p.set[0], p.set[1], p.set[2], p.store)
+		sum += hashParts(2, p.round, p.set[0], p.set[1], p.set[2], p.store)
 	}
 	for _, p := range s.bootstraps {
-		sum += mix(3, p.round, p.set[0], p.set[1], p.set[2], p.from.ID)
+		sum += hashParts(3, p.round, p.set[0], p.set[1], p.set[2], p.from.ID)
 	}
 	for _, v := range s.serving {
-		sum += mix(4, v[0], v[1], v[2])
+		sum += hashParts(4, v[0], v[1], v[2])
 	}
 	return h.Sum64() + sum
 }
 
-// mix identifies an item of a set by its parts.
-func mix(parts ...uint64) uint64 {
+// hashParts identifies an item of a set by its parts.
+func hashParts(parts ...uint64) uint64 {
 	h := fnv.New64a()
 	for _, p := range parts {
 		_, _ = h.Write([]byte{byte(p)})
@@ -89,13 +89,13 @@
 
 // The model finds the faults that the rules are there to prevent.
 func TestBootstrapModel_FindsPlantedMistakes(t *testing.T) {
-	forgetful, heedless := correctBootstrapRules, correctBootstrapRules
-	forgetful.promise = func(r BootstrapRecord, request BootstrapRequest) (BootstrapRecord, string) {
+	forgetsPromises, ignoresPromises := correctBootstrapRules, correctBootstrapRules
+	forgetsPromises.promise = func(r BootstrapRecord, request BootstrapRequest) (BootstrapRecord, string) {
 		r.PromisedVoterSets = nil // what was promised before is forgotten
 		return r.Promise(request)
 	}
-	heedless.mayAdopt = func(BootstrapRecord, Bootstrap, Voter) bool { return true }
-	for name, rules := range map[string]bootstrapRules{"promises forgotten": forgetful, "promises ignored": heedless} {
+	ignoresPromises.mayAdopt = func(BootstrapRecord, Bootstrap, Voter) bool { return true }
+	for name, rules := range map[string]bootstrapRules{"promises forgotten": forgetsPromises, "promises ignored": ignoresPromises} {
 		visited, _, violation := exploreBootstrap(100, rules)
 		t.Logf("%s: %s after %d states", name, violation, visited)
 		if violation == "" {
--- a/internal/state/consensus/bootstrap_state_test.go
+++ b/internal/state/consensus/bootstrap_state_test.go
@@ -67,7 +67,7 @@
 	return s
 }
 
-func addMessage[T comparable](list []T, x T) []T {
+func appendIfMissing[T comparable](list []T, x T) []T {
 	if slices.Contains(list, x) {
 		return list
 	}
@@ -89,8 +89,8 @@
 
 var correctBootstrapRules = bootstrapRules{promise: BootstrapRecord.Promise, mayAdopt: BootstrapRecord.MayAdopt}
 
-// idsAt returns the disks that an address has had, as a Hello of an old one may be late.
-func (s bootstrapState) idsAt(i int) []uint64 {
+// diskIDsAt returns the disks that an address has had, as a Hello of an old one may be late.
+func (s bootstrapState) diskIDsAt(i int) []uint64 {
 	var out []uint64
 	for id := uint64(i+1) * 10; id <= s.nodes[i].id; id++ {
 		out = append(out, id)
@@ -102,7 +102,7 @@
 func (s *bootstrapState) activate(i int, p bootstrapProposal) {
 	s.nodes[i].active = p
 	s.nodes[i].record.Round = p.round
-	s.bootstraps = addMessage(s.bootstraps, bootstrapMessage{p, Voter{ID: s.nodes[i].id, Address: ids.Address(fmt.Sprint(i))}})
+	s.bootstraps = appendIfMissing(s.bootstraps, bootstrapMessage{p, Voter{ID: s.nodes[i].id, Address: ids.Address(fmt.Sprint(i))}})
 	active := 0
 	for _, node := range s.nodes {
 		if node.active.set == p.set {
@@ -110,16 +110,16 @@
 		}
 	}
 	if active >= 2 {
-		s.serving = addMessage(s.serving, p.set)
+		s.serving = appendIfMissing(s.serving, p.set)
 	}
 }
 
-// steps returns every state that may come next.
-func (s bootstrapState) steps(rules bootstrapRules) []bootstrapState {
+// successors returns every state that may come next.
+func (s bootstrapState) successors(rules bootstrapRules) []bootstrapState {
 	var out []bootstrapState
-	out = append(out, s.proposerSteps()...)
+	out = append(out, s.proposerSuccessors()...)
 	for i := range s.nodes {
-		out = append(out, s.seedSteps(i, rules)...)
+		out = append(out, s.nodeSuccessors(i, rules)...)
 		if s.wipes < maxBootstrapWipes {
 			c := s.clone()
 			c.wipes++
@@ -130,21 +130,21 @@
 	return out
 }
 
-// proposerSteps are the steps of the first node: to propose, and to activate a voter set
+// proposerSuccessors are the steps of the first node: to propose, and to activate a voter set
 // that all have promised.
-func (s bootstrapState) proposerSteps() []bootstrapState {
+func (s bootstrapState) proposerSuccessors() []bootstrapState {
 	var out []bootstrapState
 	proposer := s.nodes[0]
 	if proposer.active.round != 0 {
 		return nil
 	}
 	for round := proposer.record.Round + 1; round <= maxBootstrapRounds && len(s.requests) < maxBootstrapRequests; round++ {
-		for _, b := range s.idsAt(1) {
-			for _, c := range s.idsAt(2) {
+		for _, b := range s.diskIDsAt(1) {
+			for _, c := range s.diskIDsAt(2) {
 				next := s.clone()
 				p := bootstrapProposal{round, bootstrapVoters{proposer.id, b, c}}
 				next.nodes[0].proposal = p
-				next.requests = addMessage(next.requests, p)
+				next.requests = appendIfMissing(next.requests, p)
 				out = append(out, next)
 			}
 		}
@@ -166,8 +166,8 @@
 	return out
 }
 
-// seedSteps are the steps of any node: to promise, and to adopt a voter set.
-func (s bootstrapState) seedSteps(i int, rules bootstrapRules) []bootstrapState {
+// nodeSuccessors are the steps of any node: to promise, and to adopt a voter set.
+func (s bootstrapState) nodeSuccessors(i int, rules bootstrapRules) []bootstrapState {
 	var out []bootstrapState
 	n := s.nodes[i]
 	if n.active.round != 0 {
@@ -180,7 +180,7 @@
 		if record, rejection := rules.promise(n.record, BootstrapRequest{p.round, p.set.voterSet()}); rejection == "" {
 			c := s.clone()
 			c.nodes[i].record = record
-			c.promises = addMessage(c.promises, bootstrapPromise{p, n.id})
+			c.promises = appendIfMissing(c.promises, bootstrapPromise{p, n.id})
 			out = append(out, c)
 		}
 	}
--- a/internal/state/consensus/check_disk_test.go
+++ b/internal/state/consensus/check_disk_test.go
@@ -21,8 +21,8 @@
 func TestCheckDisk_FindsDamage(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(3, 4))
-	whole := memorydisk.Disk{}
-	s := newTestAcceptor(1, whole)
+	intact := memorydisk.Disk{}
+	s := newTestAcceptor(1, intact)
 	s.MarkComplete()
 	s.AdoptVoterSet(VoterSet{Number: 1, Voters: []Voter{{1, "a"}}})
 	value := randomText(random, 5000)
@@ -32,12 +32,12 @@
 		s.saveRegister("policy", RegisterState{Promised: ballot, Accepted: ballot, Value: value})
 	}
 	s.syncAll()
-	is.NoErr(CheckDisk(whole))
-	is.Equal(len(whole), 7)
-	sound := newTestAcceptor(1, maps.Clone(whole))
-	sound.HandlePrepare("a", Prepare{Key: "policy", Ballot: ids.Ballot{Counter: 1 << 50}, VoterSetNumber: 1})
-	is.Equal(len(sound.Drain()), 1) // it votes
-	for key, raw := range whole {
+	is.NoErr(CheckDisk(intact))
+	is.Equal(len(intact), 7)
+	healthy := newTestAcceptor(1, maps.Clone(intact))
+	healthy.HandlePrepare("a", Prepare{Key: "policy", Ballot: ids.Ballot{Counter: 1 << 50}, VoterSetNumber: 1})
+	is.Equal(len(healthy.Drain()), 1) // it votes
+	for key, raw := range intact {
 		if strings.HasPrefix(string(key), "meta/") {
 			continue
 		}
@@ -54,15 +54,15 @@
 				continue
 			}
 			t.Run(string(key)+" "+name, func(t *testing.T) {
-				disk := maps.Clone(whole)
+				disk := maps.Clone(intact)
 				damage(disk)
-				checkDamageIsFound(t, disk)
+				checkDamageIsDetected(t, disk)
 			})
 		}
 	}
 }
 
-func checkDamageIsFound(t *testing.T, disk memorydisk.Disk) {
+func checkDamageIsDetected(t *testing.T, disk memorydisk.Disk) {
 	t.Helper()
 	is := is.New(t)
 	if err := CheckDisk(disk); err == nil {
@@ -77,8 +77,8 @@
 
 // A caller can tell the causes of damage apart.
 func TestCheckDisk_WrapsTheCause(t *testing.T) {
-	whole := memorydisk.Disk{}
-	s := newTestAcceptor(1, whole)
+	intact := memorydisk.Disk{}
+	s := newTestAcceptor(1, intact)
 	s.AdoptVoterSet(VoterSet{Number: 1, Voters: []Voter{{1, "a"}}})
 	value := randomText(rand.New(rand.NewPCG(3, 4)), 5000)
 	for i := range 3 {
@@ -101,7 +101,7 @@
 		"disk state":     {func(d memorydisk.Disk) { d[diskStateKey] = []byte("no record") }, ErrDamaged},
 	} {
 		t.Run(name, func(t *testing.T) {
-			disk := maps.Clone(whole)
+			disk := maps.Clone(intact)
 			c.damage(disk)
 			if err := CheckDisk(disk); !errors.Is(err, c.want) {
 				t.Fatalf("got %v, want %v", err, c.want)
--- a/internal/state/consensus/client_attempts_test.go
+++ b/internal/state/consensus/client_attempts_test.go
@@ -54,11 +54,11 @@
 	client, out := newTestClient("cut", "a")
 	client.Call(1, "k", Read, nil, 3*time.Second, func(ids.Time, Outcome, []byte) {})
 	client.Tick(ids.Time(1).Add(attemptTimeout))
-	var asked []ids.Address
+	var sentTo []ids.Address
 	for _, command := range out.Drain() {
-		asked = append(asked, command.(event.Send).To)
+		sentTo = append(sentTo, command.(event.Send).To)
 	}
-	if len(asked) != 2 || asked[0] != "cut" || asked[1] != "a" {
-		t.Fatalf("asked %v", asked)
+	if len(sentTo) != 2 || sentTo[0] != "cut" || sentTo[1] != "a" {
+		t.Fatalf("asked %v", sentTo)
 	}
 }
--- a/internal/state/consensus/lossy_network_test.go
+++ b/internal/state/consensus/lossy_network_test.go
@@ -22,12 +22,12 @@
 	senders   []ids.Address
 	responses []Response
 	runCount  uint64
-	// cutOff is a store that receives nothing for some steps.
-	cutOff      ids.Address
-	cutOffSteps int
-	// deltas counts the votes for a value that came as a delta, wholeValueRequests the
+	// isolated is a store that receives nothing for some steps.
+	isolated      ids.Address
+	isolatedSteps int
+	// deltas counts the votes for a value that came as a delta, fullValueRequests the
 	// times that a store asked for the whole value.
-	deltas, wholeValueRequests int
+	deltas, fullValueRequests int
 }
 
 func newLossyNetwork(seed uint64) *lossyNetwork {
@@ -63,15 +63,15 @@
 
 func (l *lossyNetwork) step() {
 	l.collect()
-	if l.cutOffSteps--; l.cutOffSteps <= 0 {
-		l.cutOff = ""
+	if l.isolatedSteps--; l.isolatedSteps <= 0 {
+		l.isolated = ""
 	}
 	switch n := l.random.IntN(400); {
 	case n == 0:
 		i := l.random.IntN(3)
 		l.start(addresses[i], uint64(i+1), l.stores[addresses[i]].disk)
-	case n < 3 && l.cutOff == "":
-		l.cutOff, l.cutOffSteps = addresses[l.random.IntN(3)], 300
+	case n < 3 && l.isolated == "":
+		l.isolated, l.isolatedSteps = addresses[l.random.IntN(3)], 300
 	case n < 60 || len(l.inTransit) == 0:
 		l.now = l.now.Add(20 * time.Millisecond)
 		for _, at := range addresses {
@@ -85,7 +85,7 @@
 		}
 		c, from := l.inTransit[i], l.senders[i]
 		l.inTransit, l.senders = append(l.inTransit[:i], l.inTransit[i+1:]...), append(l.senders[:i], l.senders[i+1:]...)
-		if c.To != l.cutOff {
+		if c.To != l.isolated {
 			l.deliver(from, c)
 		}
 	}
@@ -95,16 +95,16 @@
 func (l *lossyNetwork) deliver(from ids.Address, c event.Send) {
 	to := l.stores[c.To]
 	if vote, ok := c.Message.(Accepted); ok && vote.NeedsFullValue {
-		l.wholeValueRequests++
+		l.fullValueRequests++
 	}
-	v, ok := c.Message.(AcceptDelta)
+	m, ok := c.Message.(AcceptDelta)
 	if !ok {
 		to.deliver(l.now, from, c.Message)
 		return
 	}
-	held, _ := to.AcceptedValue(v.Key)
+	before, _ := to.AcceptedValue(m.Key)
 	to.deliver(l.now, from, c.Message)
-	if now, _ := to.AcceptedValue(v.Key); now != held && now == v.Ballot {
+	if after, _ := to.AcceptedValue(m.Key); after != before && after == m.Ballot {
 		l.deltas++
 	}
 }
@@ -112,7 +112,7 @@
 // Whatever is lost, duplicated, delayed or killed: all results are prefixes of one history,
 // no acknowledged change is missing from it, and deltas carry most of it.
 func TestDeltas_OneHistoryUnderLossAndRestarts(t *testing.T) {
-	deltas, wholeValueRequests := 0, 0
+	deltas, fullValueRequests := 0, 0
 	for seed := range uint64(60) {
 		l := newLossyNetwork(seed)
 		base := randomText(rand.New(rand.NewPCG(seed, 1)), 6000)
@@ -131,10 +131,10 @@
 			l.step()
 		}
 		checkOneHistory(t, seed, l.responses)
-		deltas, wholeValueRequests = deltas+l.deltas, wholeValueRequests+l.wholeValueRequests
+		deltas, fullValueRequests = deltas+l.deltas, fullValueRequests+l.fullValueRequests
 	}
-	t.Logf("votes for deltas: %d, requests for whole values: %d", deltas, wholeValueRequests)
-	if deltas < 1000 || wholeValueRequests < 50 {
+	t.Logf("votes for deltas: %d, requests for whole values: %d", deltas, fullValueRequests)
+	if deltas < 1000 || fullValueRequests < 50 {
 		t.Fatal("too few of either: the test shows little")
 	}
 }
--- a/internal/state/consensus/model_events_test.go
+++ b/internal/state/consensus/model_events_test.go
@@ -13,163 +13,163 @@
 // modelBounds bound a search: the number of events in all (depth), and of some kinds.
 type modelBounds struct {
 	depth, wipes, crashes, restores, ticks int
-	// wholeRounds: the rounds of learners and of the second writer are one event each,
+	// atomicRounds: the rounds of learners and of the second writer are one event each,
 	// and reach some machines only. Else each of their messages is an event.
-	wholeRounds bool
-	fault       modelFault
+	atomicRounds bool
+	fault        modelFault
 }
 
 // initialModelState is three stores that agree on a value, two of which are about to append
 // to it: one with a promised ballot, one that must prepare.
-func initialModelState(b modelBounds) *modelWorld {
-	w := &modelWorld{lastID: 3, fault: b.fault}
-	w.sets = []VoterSet{threeVoters}
+func initialModelState(b modelBounds) *modelState {
+	st := &modelState{lastID: 3, fault: b.fault}
+	st.sets = []VoterSet{threeVoters}
 	raw, _ := wire.Encode(threeVoters)
 	for i := range addresses {
 		s := newModelStore(uint64(i+1), memorydisk.Disk{}, 1)
-		w.stores[i] = s
+		st.stores[i] = s
 		s.acceptor.Seed(VoterSetKey, raw)
 		s.acceptor.MarkComplete()
 		s.acceptor.AdoptVoterSet(threeVoters)
-		w.run(i)
+		st.run(i)
 	}
-	w.submitAppend(0, "", "0")
-	for len(w.inTransit) > 0 {
-		w.deliver(0)
+	st.submitAppend(0, "", "0")
+	for len(st.inTransit) > 0 {
+		st.deliver(0)
 	}
-	w.acknowledged, w.votes = "", nil
-	w.submitAppend(0, "p", "p")
-	if !b.wholeRounds {
-		w.submitAppend(1, "q", "q")
+	st.acknowledged, st.votes = "", nil
+	st.submitAppend(0, "p", "p")
+	if !b.atomicRounds {
+		st.submitAppend(1, "q", "q")
 	}
-	for i := range w.inTransit {
-		w.inTransit[i].beforeSearch = true
+	for i := range st.inTransit {
+		st.inTransit[i].beforeSearch = true
 	}
-	return w
+	return st
 }
 
 // submitAppend has machine i append a letter for a client.
-func (w *modelWorld) submitAppend(i int, client ids.Address, letter string) {
-	s := w.ownStore(i)
+func (st *modelState) submitAppend(i int, client ids.Address, letter string) {
+	s := st.mutableStore(i)
 	s.proposer.IsReachable = func(uint64) bool { return false }
 	s.proposer.Submit(s.now, client, Request{ID: 1, Key: "x", Op: opAppend, Arg: []byte(letter), TimeoutMillis: 1 << 31})
-	w.run(i)
+	st.run(i)
 }
 
 // submit has machine i change the voter set.
-func (w *modelWorld) submit(i int, op Op, arg any) {
+func (st *modelState) submit(i int, op Op, arg any) {
 	raw, _ := wire.Encode(arg)
-	s := w.ownStore(i)
+	s := st.mutableStore(i)
 	s.proposer.Submit(s.now, addresses[i], Request{ID: 2, Key: VoterSetKey, Op: op, Arg: raw, TimeoutMillis: 1 << 31})
-	w.run(i)
+	st.run(i)
 }
 
-// next returns every state that one event leads to.
-func (w *modelWorld) next(b modelBounds) (out []*modelWorld) {
-	do := func(f func(w *modelWorld)) {
-		n := w.copy()
+// successors returns every state that one event leads to.
+func (st *modelState) successors(b modelBounds) (out []*modelState) {
+	addSuccessor := func(f func(st *modelState)) {
+		n := st.copy()
 		n.lastWasLoss = false
 		f(n)
 		out = append(out, n)
 	}
-	for i := range w.inTransit {
-		do(func(n *modelWorld) { n.deliver(i) })
+	for i := range st.inTransit {
+		addSuccessor(func(n *modelState) { n.deliver(i) })
 	}
-	for i := range w.stores {
-		if w.wipes < b.wipes {
-			do(func(n *modelWorld) { n.wipe(i, b.wholeRounds) })
+	for i := range st.stores {
+		if st.wipes < b.wipes {
+			addSuccessor(func(n *modelState) { n.wipe(i, b.atomicRounds) })
 		}
-		if w.crashes < b.crashes {
-			do(func(n *modelWorld) { n.crash(i) })
+		if st.crashes < b.crashes {
+			addSuccessor(func(n *modelState) { n.crash(i) })
 		}
-		s := w.stores[i]
-		for _, set := range w.sets {
+		s := st.stores[i]
+		for _, set := range st.sets {
 			if set.Number > s.acceptor.voterSet.Number {
-				do(func(n *modelWorld) { n.ownStore(i); n.adopt(i, set) })
+				addSuccessor(func(n *modelState) { n.mutableStore(i); n.adopt(i, set) })
 			}
 		}
 		if len(s.proposer.rounds) > 0 && s.ticks < b.ticks {
-			do(func(n *modelWorld) { n.tick(i) })
+			addSuccessor(func(n *modelState) { n.tick(i) })
 		}
-		for _, reached := range b.quorums() {
-			w.roundEvents(b, i, reached, do)
+		for _, quorum := range b.quorums() {
+			st.roundEvents(b, i, quorum, addSuccessor)
 		}
-		for j := range w.stores {
-			if w.mayCopy(i, j) {
-				do(func(n *modelWorld) { n.copyFrom(i, j) })
+		for j := range st.stores {
+			if st.mayCopy(i, j) {
+				addSuccessor(func(n *modelState) { n.copyFrom(i, j) })
 			}
 		}
 	}
-	if w.lostDisk != nil && w.restores < b.restores {
-		do(func(n *modelWorld) { n.restoreLostDisk() })
+	if st.lostDisk != nil && st.restores < b.restores {
+		addSuccessor(func(n *modelState) { n.restoreLostDisk() })
 	}
 	return out
 }
 
 // wipe loses a disk. With learnsVoterSet, the blank store learns of a voter set at once.
-func (w *modelWorld) wipe(i int, learnsVoterSet bool) {
-	s := w.stores[i]
-	if w.lostDisk == nil {
-		w.lostDisk, w.lostID, w.lostMachine, w.lostRun = s.disk, s.acceptor.storeID, i, s.run
-	}
-	w.wipes++
-	w.lastWasLoss = true
-	w.lastID++
-	id := w.lastID
-	if w.fault.keepsID {
+func (st *modelState) wipe(i int, learnsVoterSet bool) {
+	s := st.stores[i]
+	if st.lostDisk == nil {
+		st.lostDisk, st.lostID, st.lostMachine, st.lostRun = s.disk, s.acceptor.storeID, i, s.run
+	}
+	st.wipes++
+	st.lastWasLoss = true
+	st.lastID++
+	id := st.lastID
+	if st.fault.reusesLostID {
 		id = s.acceptor.storeID
 	}
-	w.stores[i] = newModelStore(id, memorydisk.Disk{}, 1)
-	w.stores[i].proposer.IsReachable = func(uint64) bool { return false }
+	st.stores[i] = newModelStore(id, memorydisk.Disk{}, 1)
+	st.stores[i].proposer.IsReachable = func(uint64) bool { return false }
 	if !learnsVoterSet {
 		return
 	}
 	newest := VoterSet{}
-	for _, s := range w.stores {
+	for _, s := range st.stores {
 		if set := s.acceptor.VoterSet(); set.Number > newest.Number {
 			newest = set
 		}
 	}
-	w.adopt(i, newest)
+	st.adopt(i, newest)
 }
 
 // crash restarts a store on its disk.
-func (w *modelWorld) crash(i int) {
-	w.crashes++
-	w.lastWasLoss = true
-	s := w.ownStore(i)
-	w.restart(i, s.acceptor.storeID, s.disk, s.run+1)
+func (st *modelState) crash(i int) {
+	st.crashes++
+	st.lastWasLoss = true
+	s := st.mutableStore(i)
+	st.restart(i, s.acceptor.storeID, s.disk, s.run+1)
 }
 
 // restoreLostDisk puts the disk that was lost first back into its machine.
-func (w *modelWorld) restoreLostDisk() {
-	w.restores++
-	w.restart(w.lostMachine, w.lostID, maps.Clone(w.lostDisk), w.lostRun+1)
-	w.lostDisk = nil
+func (st *modelState) restoreLostDisk() {
+	st.restores++
+	st.restart(st.lostMachine, st.lostID, maps.Clone(st.lostDisk), st.lostRun+1)
+	st.lostDisk = nil
 }
 
 // restart begins a run of a store on a disk.
-func (w *modelWorld) restart(i int, id uint64, d memorydisk.Disk, run uint64) {
+func (st *modelState) restart(i int, id uint64, d memorydisk.Disk, run uint64) {
 	s := newModelStore(id, d, run)
 	s.proposer.IsReachable = func(uint64) bool { return false }
-	if w.fault.replacedVotes {
+	if st.fault.replacedVotes {
 		s.acceptor.diskState = diskStateRecord{uint8(Complete)}
 	}
-	w.stores[i] = s
+	st.stores[i] = s
 }
 
 // tick lets enough time pass at a store for all its timers.
-func (w *modelWorld) tick(i int) {
-	s := w.ownStore(i)
+func (st *modelState) tick(i int) {
+	s := st.mutableStore(i)
 	s.ticks++
 	s.now = s.now.Add(time.Second)
 	s.proposer.Tick(s.now)
-	w.run(i)
+	st.run(i)
 }
 
 // replaceableVoter is the voter whose place a blank store may ask for.
-func (w *modelWorld) replaceableVoter(i int) (uint64, bool) {
-	a := w.stores[i].acceptor
+func (st *modelState) replaceableVoter(i int) (uint64, bool) {
+	a := st.stores[i].acceptor
 	if a.DiskState() != Blank || a.voterSet.Number == 0 || a.voterSet.HasVoter(a.storeID) {
 		return 0, false
 	}
@@ -181,56 +181,56 @@
 	return 0, false
 }
 
-// join asks for the place of a lost voter.
-func (w *modelWorld) join(i int, lost uint64) {
-	w.ownStore(i).joined = true
-	a := w.stores[i].acceptor
-	w.submit(i, OpReplace, ReplaceRequest{New: Voter{a.storeID, addresses[i]}, LostID: lost, Replicas: 3})
+// requestReplacement asks for the place of a lost voter.
+func (st *modelState) requestReplacement(i int, lost uint64) {
+	st.mutableStore(i).replacementRequested = true
+	a := st.stores[i].acceptor
+	st.submit(i, OpReplace, ReplaceRequest{New: Voter{a.storeID, addresses[i]}, LostID: lost, Replicas: 3})
 }
 
 // mayComplete reports whether a learner's copy counts as complete.
-func (w *modelWorld) mayComplete(s *modelStore, set VoterSet) bool {
-	if w.fault.completesEarly {
+func (st *modelState) mayComplete(s *modelStore, set VoterSet) bool {
+	if st.fault.completesEarly {
 		// A copy from before the replacement is taken for complete.
 		set.Number--
 	}
-	return w.fault.votesBlank || s.copier.IsCompleteFor(set)
+	return st.fault.votesWhileBlank || s.copier.IsCompleteFor(set)
 }
 
 // mayCopy reports whether store i would ask j for a page and be sent one.
-func (w *modelWorld) mayCopy(i, j int) bool {
-	to, from := w.stores[i], w.stores[j].acceptor
+func (st *modelState) mayCopy(i, j int) bool {
+	to, from := st.stores[i], st.stores[j].acceptor
 	set := to.acceptor.voterSet
 	return i != j && to.acceptor.DiskState() == Blank && set.Number > 0 && from.voterSet.Number == set.Number &&
 		from.MayVote() && to.copier.LastPassVoterSet(from.storeID) < set.Number
 }
 
 // copyFrom is one pass of a learner's copy; these disks fit into one page.
-func (w *modelWorld) copyFrom(i, j int) {
-	to, from := w.ownStore(i), w.ownStore(j)
+func (st *modelState) copyFrom(i, j int) {
+	to, from := st.mutableStore(i), st.mutableStore(j)
 	set := to.acceptor.voterSet
 	to.copier.BeginPass(from.acceptor.storeID)
 	from.acceptor.HandlePageRequest(addresses[i], to.copier.NextRequest(from.acceptor.storeID, set.Number))
 	for _, c := range from.Drain() {
 		page := c.(event.Sync).After[0].(event.Send).Message.(PageResponse)
 		if !to.copier.HandlePage(page) {
-			w.violation = "a page was not awaited"
+			st.violation = "a page was not awaited"
 		}
 		for _, record := range page.Records {
 			to.acceptor.MergeRecord(record)
 		}
 	}
-	w.run(i)
-	w.completeIfDue(i)
+	st.run(i)
+	st.completeIfDue(i)
 }
 
 // completeIfDue lets a learner vote once its copy is complete, as its store does after
 // each page; with some planted faults sooner.
-func (w *modelWorld) completeIfDue(i int) {
-	to := w.stores[i]
+func (st *modelState) completeIfDue(i int) {
+	to := st.stores[i]
 	set := to.acceptor.voterSet
-	if set.HasVoter(to.acceptor.storeID) && w.mayComplete(to, set) {
+	if set.HasVoter(to.acceptor.storeID) && st.mayComplete(to, set) {
 		to.acceptor.MarkComplete()
-		w.run(i)
+		st.run(i)
 	}
 }
--- a/internal/state/consensus/model_search_test.go
+++ b/internal/state/consensus/model_search_test.go
@@ -19,16 +19,16 @@
 func search(b modelBounds) searchResult {
 	result := searchResult{}
 	seen := map[uint64]bool{}
-	level := []*modelWorld{initialModelState(b)}
+	level := []*modelState{initialModelState(b)}
 	for ; len(level) > 0 && result.depth <= b.depth; result.depth++ {
-		results := make([]modelVisit, len(level))
+		results := make([]visitResult, len(level))
 		var workers sync.WaitGroup
-		share := (len(level) + modelWorkers - 1) / modelWorkers
-		for from := 0; from < len(level); from += share {
+		chunk := (len(level) + modelWorkers - 1) / modelWorkers
+		for from := 0; from < len(level); from += chunk {
 			workers.Add(1)
 			go func() {
 				defer workers.Done()
-				for i := from; i < min(from+share, len(level)); i++ {
+				for i := from; i < min(from+chunk, len(level)); i++ {
 					results[i] = visit(level[i], b, result.depth)
 				}
 			}()
@@ -42,7 +42,7 @@
 				result.violation = r.violation
 				return result
 			}
-			for i, n := range r.next {
+			for i, n := range r.successors {
 				if !seen[r.hashes[i]] {
 					seen[r.hashes[i]] = true
 					level = append(level, n)
@@ -55,47 +55,47 @@
 
 const (
 	modelWorkers = 3
-	// repairEach: one in so many of the states that no loss has just led to is repaired,
+	// repairSampleInterval: one in so many of the states that no loss has just led to is repaired,
 	// to see that it can be.
-	repairEach = 16
+	repairSampleInterval = 16
 )
 
-// modelVisit is what the visit of one state has found.
-type modelVisit struct {
-	next      []*modelWorld
-	hashes    []uint64
-	repaired  int
-	violation string
+// visitResult is what the visit of one state has found.
+type visitResult struct {
+	successors []*modelState
+	hashes     []uint64
+	repaired   int
+	violation  string
 }
 
 // visit checks one state and returns those that follow.
-func visit(w *modelWorld, b modelBounds, depth int) (v modelVisit) {
-	if v.violation = w.violation; v.violation != "" {
+func visit(st *modelState, b modelBounds, depth int) (v visitResult) {
+	if v.violation = st.violation; v.violation != "" {
 		return v
 	}
-	if w.isRepairable() && (w.lastWasLoss || w.hash()%repairEach == 0) {
+	if st.isRepairable() && (st.lastWasLoss || st.hash()%repairSampleInterval == 0) {
 		v.repaired = 1
-		if v.violation = w.copy().repair(); v.violation != "" {
+		if v.violation = st.copy().repair(); v.violation != "" {
 			return v
 		}
 	}
 	if depth == b.depth {
 		return v
 	}
-	v.next = w.next(b)
-	for _, n := range v.next {
+	v.successors = st.successors(b)
+	for _, n := range v.successors {
 		v.hashes = append(v.hashes, n.hash())
 	}
 	return v
 }
 
 // isRepairable reports whether a quorum of some chosen voter set still has complete disks.
-func (w *modelWorld) isRepairable() bool {
+func (st *modelState) isRepairable() bool {
 	complete := map[uint64]bool{}
-	for _, s := range w.stores {
+	for _, s := range st.stores {
 		complete[s.acceptor.storeID] = s.acceptor.DiskState() == Complete
 	}
-	for _, set := range w.sets {
+	for _, set := range st.sets {
 		if set.IsQuorum(complete) {
 			return true
 		}
@@ -106,58 +106,58 @@
 // repair lets all pending events happen, with no more losses, and returns what is violated
 // then: there must be three complete voters, and every acknowledged change must be in the
 // value, once.
-func (w *modelWorld) repair() string {
+func (st *modelState) repair() string {
 	for range 40 {
-		if w.violation != "" {
-			return w.violation
+		if st.violation != "" {
+			return st.violation
 		}
-		if w.isRepaired() {
-			return w.checkAcknowledged()
+		if st.isRepaired() {
+			return st.checkAcknowledged()
 		}
-		w.repairStep()
+		st.repairStep()
 	}
 	return "not repaired in the end"
 }
 
 // repairStep does at each machine what its store would do next.
-func (w *modelWorld) repairStep() {
-	for len(w.inTransit) > 0 {
-		w.deliver(0)
+func (st *modelState) repairStep() {
+	for len(st.inTransit) > 0 {
+		st.deliver(0)
 	}
-	for i := range w.stores {
+	for i := range st.stores {
 		// The folder of a replaced store is set aside, and it restarts as blank.
-		if w.stores[i].acceptor.DiskState() == Replaced {
-			w.wipe(i, true)
+		if st.stores[i].acceptor.DiskState() == Replaced {
+			st.wipe(i, true)
 		}
-		for _, set := range w.sets {
-			if set.Number > w.stores[i].acceptor.voterSet.Number {
-				w.ownStore(i)
-				w.adopt(i, set)
+		for _, set := range st.sets {
+			if set.Number > st.stores[i].acceptor.voterSet.Number {
+				st.mutableStore(i)
+				st.adopt(i, set)
 			}
 		}
-		_, asking := w.stores[i].proposer.rounds[VoterSetKey]
-		if lost, ok := w.replaceableVoter(i); ok && !asking {
-			w.join(i, lost)
+		_, requestPending := st.stores[i].proposer.rounds[VoterSetKey]
+		if lost, ok := st.replaceableVoter(i); ok && !requestPending {
+			st.requestReplacement(i, lost)
 		}
-		for j := range w.stores {
-			if w.mayCopy(i, j) {
-				w.copyFrom(i, j)
+		for j := range st.stores {
+			if st.mayCopy(i, j) {
+				st.copyFrom(i, j)
 			}
 		}
-		_, asking = w.stores[i].proposer.rounds[VoterSetKey]
-		if a := w.stores[i].acceptor; !asking && a.DiskState() == Complete && slices.Contains(a.voterSet.Learners, a.storeID) {
-			w.submit(i, OpPromoteLearner, PromoteLearnerRequest{ID: a.storeID})
+		_, requestPending = st.stores[i].proposer.rounds[VoterSetKey]
+		if a := st.stores[i].acceptor; !requestPending && a.DiskState() == Complete && slices.Contains(a.voterSet.Learners, a.storeID) {
+			st.submit(i, OpPromoteLearner, PromoteLearnerRequest{ID: a.storeID})
 		}
-		if len(w.stores[i].proposer.rounds) > 0 {
-			w.tick(i)
+		if len(st.stores[i].proposer.rounds) > 0 {
+			st.tick(i)
 		}
 	}
 }
 
 // isRepaired reports whether three complete voters use the newest voter set.
-func (w *modelWorld) isRepaired() bool {
-	set := w.sets[len(w.sets)-1]
-	for _, s := range w.stores {
+func (st *modelState) isRepaired() bool {
+	set := st.sets[len(st.sets)-1]
+	for _, s := range st.stores {
 		a := s.acceptor
 		if a.voterSet.Number != set.Number || len(set.Learners) > 0 || a.DiskState() != Complete || !a.MayVote() {
 			return false
@@ -167,25 +167,25 @@
 }
 
 // checkAcknowledged makes a last change and looks for all that was acknowledged before.
-func (w *modelWorld) checkAcknowledged() string {
-	acknowledged := w.acknowledged
-	w.submitAppend(0, "z", "z")
+func (st *modelState) checkAcknowledged() string {
+	acknowledged := st.acknowledged
+	st.submitAppend(0, "z", "z")
 	for range 20 {
-		for len(w.inTransit) > 0 {
-			w.deliver(0)
+		for len(st.inTransit) > 0 {
+			st.deliver(0)
 		}
-		if strings.Contains(w.acknowledged, "z") || w.violation != "" {
+		if strings.Contains(st.acknowledged, "z") || st.violation != "" {
 			break
 		}
-		w.tick(0)
+		st.tick(0)
 	}
-	if w.violation != "" {
-		return w.violation
+	if st.violation != "" {
+		return st.violation
 	}
-	if !strings.Contains(w.acknowledged, "z") {
+	if !strings.Contains(st.acknowledged, "z") {
 		return "a repaired voter set takes no change"
 	}
-	_, value := w.stores[0].acceptor.AcceptedValue("x")
+	_, value := st.stores[0].acceptor.AcceptedValue("x")
 	for _, letter := range acknowledged {
 		if strings.Count(string(value), string(letter)) != 1 {
 			return "acknowledged " + acknowledged + ", but the value is " + string(value)
@@ -194,23 +194,23 @@
 	return ""
 }
 
-// deeper adds events to the depth of each search. CI adds none.
-var deeper = flag.Int("deeper", 0, "how many more events the searches of the model go through")
+// extraDepth adds events to the depth of each search. CI adds none.
+var extraDepth = flag.Int("deeper", 0, "how many more events the searches of the model go through")
 
 // Whatever the order of losses, repairs and messages, no invariant is violated. Rounds are
 // one event in the first two searches, and every message is one in the third.
 func TestModel_AllOrdersOfLossesAndRepairs(t *testing.T) {
 	for name, b := range map[string]modelBounds{
-		"two losses":                       {depth: 7 + *deeper, wipes: 2, wholeRounds: true},
-		"a loss, and its disk is restored": {depth: 6 + *deeper, wipes: 1, restores: 1, crashes: 1, wholeRounds: true},
-		"message by message":               {depth: 5 + *deeper, wipes: 2, crashes: 1, ticks: 1},
+		"two losses":                       {depth: 7 + *extraDepth, wipes: 2, atomicRounds: true},
+		"a loss, and its disk is restored": {depth: 6 + *extraDepth, wipes: 1, restores: 1, crashes: 1, atomicRounds: true},
+		"message by message":               {depth: 5 + *extraDepth, wipes: 2, crashes: 1, ticks: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			began := time.Now()
-			f := search(b)
-			t.Logf("%d states up to depth %d, %d of them repaired, %v", f.states, b.depth, f.repaired, time.Since(began))
-			if f.violation != "" {
-				t.Fatal(f.violation)
+			result := search(b)
+			t.Logf("%d states up to depth %d, %d of them repaired, %v", result.states, b.depth, result.repaired, time.Since(began))
+			if result.violation != "" {
+				t.Fatal(result.violation)
 			}
 		})
 	}
@@ -219,16 +219,16 @@
 // Each planted fault is found.
 func TestModel_FindsPlantedMistakes(t *testing.T) {
 	for name, b := range map[string]modelBounds{
-		"completes before the last pass": {depth: 9, wipes: 1, wholeRounds: true, fault: modelFault{completesEarly: true}},
-		"votes though blank":             {depth: 9, wipes: 1, wholeRounds: true, fault: modelFault{votesBlank: true}},
-		"blank disk with the lost id":    {depth: 9, wipes: 2, wholeRounds: true, fault: modelFault{keepsID: true}},
-		"votes under lower voter sets":   {depth: 9, wipes: 1, wholeRounds: true, fault: modelFault{votesUnderLowerSets: true}},
+		"completes before the last pass": {depth: 9, wipes: 1, atomicRounds: true, fault: modelFault{completesEarly: true}},
+		"votes though blank":             {depth: 9, wipes: 1, atomicRounds: true, fault: modelFault{votesWhileBlank: true}},
+		"blank disk with the lost id":    {depth: 9, wipes: 2, atomicRounds: true, fault: modelFault{reusesLostID: true}},
+		"votes under lower voter sets":   {depth: 9, wipes: 1, atomicRounds: true, fault: modelFault{votesUnderLowerSets: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			began := time.Now()
-			f := search(b)
-			t.Logf("found after %d states at depth %d: %s %v", f.states, f.depth, f.violation, time.Since(began))
-			if f.violation == "" {
+			result := search(b)
+			t.Logf("found after %d states at depth %d: %s %v", result.states, result.depth, result.violation, time.Since(began))
+			if result.violation == "" {
 				t.Fatal("not found")
 			}
 		})
--- a/internal/state/consensus/model_store_test.go
+++ b/internal/state/consensus/model_store_test.go
@@ -27,16 +27,16 @@
 // modelStore is one store, with the progress of its machine in the search.
 type modelStore struct {
 	event.Outbox
-	disk      memorydisk.Disk
-	acceptor  *Acceptor
-	proposer  *Proposer
-	copier    Copier
-	run       uint64
-	now       ids.Time
-	ticks     int
-	joined    bool
-	reported  bool
-	hashCache uint64
+	disk                 memorydisk.Disk
+	acceptor             *Acceptor
+	proposer             *Proposer
+	copier               Copier
+	run                  uint64
+	now                  ids.Time
+	ticks                int
+	replacementRequested bool
+	promotionRequested   bool
+	hashCache            uint64
 }
 
 func newModelStore(id uint64, d memorydisk.Disk, run uint64) *modelStore {
@@ -55,14 +55,14 @@
 
 // clone copies a store. Values are shared, as they are never changed in place.
 func (s *modelStore) clone() *modelStore {
-	c := &modelStore{disk: maps.Clone(s.disk), run: s.run, now: s.now, ticks: s.ticks, joined: s.joined, reported: s.reported}
+	c := &modelStore{disk: maps.Clone(s.disk), run: s.run, now: s.now, ticks: s.ticks, replacementRequested: s.replacementRequested, promotionRequested: s.promotionRequested}
 	a := *s.acceptor
 	a.out, a.storage, a.unsynced = &c.Outbox, c.disk, map[ids.RegisterKey]unsyncedRecord{}
 	a.changedKeys.keys = slices.Clone(a.changedKeys.keys)
 	a.registers = map[ids.RegisterKey]*storedRegister{}
 	for k, r := range s.acceptor.registers {
-		one := *r
-		a.registers[k] = &one
+		copied := *r
+		a.registers[k] = &copied
 	}
 	c.acceptor = &a
 	p := *s.proposer
@@ -73,7 +73,7 @@
 	for k, r := range s.proposer.rounds {
 		p.rounds[k] = cloneRound(r)
 	}
-	p.replicaTracker = clonePeers(s.proposer.replicaTracker)
+	p.replicaTracker = cloneReplicaTracker(s.proposer.replicaTracker)
 	c.proposer = &p
 	for id, from := range s.copier.sources {
 		to := *from
@@ -82,11 +82,11 @@
 	return c
 }
 
-func clonePeers(from replicaTracker) replicaTracker {
+func cloneReplicaTracker(from replicaTracker) replicaTracker {
 	to := newReplicaTracker()
 	for id, x := range from.peers {
-		one := *x
-		to.peers[id] = &one
+		copied := *x
+		to.peers[id] = &copied
 	}
 	to.chosen, to.mustRewrite = maps.Clone(from.chosen), maps.Clone(from.mustRewrite)
 	for k, sent := range from.catchUpSentAt {
@@ -99,9 +99,9 @@
 	c := *r
 	c.promises, c.votes = maps.Clone(r.promises), maps.Clone(r.votes)
 	list := func(in []*pendingRequest) (out []*pendingRequest) {
-		for _, a := range in {
-			b := *a
-			out = append(out, &b)
+		for _, request := range in {
+			copied := *request
+			out = append(out, &copied)
 		}
 		return out
 	}
@@ -123,7 +123,7 @@
 	e.out = append(e.out, t...)
 }
 
-func (e *stateEncoder) flags(list ...bool) {
+func (e *stateEncoder) bools(list ...bool) {
 	for _, flag := range list {
 		e.numbers(map[bool]uint64{true: 1}[flag])
 	}
@@ -143,12 +143,12 @@
 	}
 	a, p := s.acceptor, s.proposer
 	e.numbers(a.storeID, a.voterSet.Number, uint64(a.diskState.State), a.changedKeys.total(), s.run, uint64(s.ticks), p.highestCounter, p.lastRoundID)
-	e.flags(s.joined, s.reported)
+	e.bools(s.replacementRequested, s.promotionRequested)
 	e.proposer(p)
 	for _, id := range slices.Sorted(maps.Keys(s.copier.sources)) {
 		source := s.copier.sources[id]
 		e.numbers(id, source.passVoterSet, source.runID, source.changeCount, source.lastPassVoterSet)
-		e.flags(source.passRunning, source.fullPassDone)
+		e.bools(source.passRunning, source.fullPassDone)
 	}
 	h := fnv.New64a()
 	_, _ = h.Write(e.out) // a hash never fails
@@ -169,7 +169,7 @@
 	for _, key := range slices.Sorted(maps.Keys(p.chosen)) {
 		e.text([]byte(key))
 		e.ballot(p.chosen[key].ballot)
-		e.flags(p.mustRewrite[key])
+		e.bools(p.mustRewrite[key])
 		e.numbers(uint64(len(p.catchUpSentAt[key])))
 	}
 	for _, key := range slices.Sorted(maps.Keys(p.rounds)) {
--- a/internal/state/consensus/model_world_test.go
+++ b/internal/state/consensus/model_world_test.go
@@ -32,9 +32,9 @@
 	chosen         bool
 }
 
-// modelWorld is one state of the model: three machines, the requests between them, and
+// modelState is one state of the model: three machines, the requests between them, and
 // what was chosen so far. States share the stores that didn't change.
-type modelWorld struct {
+type modelState struct {
 	stores    [3]*modelStore
 	inTransit []modelRequest
 	votes     []modelVote
@@ -65,38 +65,38 @@
 	// completesEarly: a learner's copy counts as complete after a pass that began under
 	// the voter set before.
 	completesEarly bool
-	// votesBlank: a voter votes whether or not its copy is complete.
-	votesBlank bool
-	// keepsID: a wiped store keeps the id of its lost disk.
-	keepsID bool
+	// votesWhileBlank: a voter votes whether or not its copy is complete.
+	votesWhileBlank bool
+	// reusesLostID: a wiped store keeps the id of its lost disk.
+	reusesLostID bool
 	// votesUnderLowerSets: acceptors go on voting under lower voter sets.
 	votesUnderLowerSets bool
 	// replacedVotes: a disk that was replaced counts as complete after a restart.
 	replacedVotes bool
 }
 
-// ownStore replaces machine i's store by a copy that this state may change.
-func (w *modelWorld) ownStore(i int) *modelStore {
-	c := w.stores[i].clone()
-	w.stores[i] = c
+// mutableStore replaces machine i's store by a copy that this state may change.
+func (st *modelState) mutableStore(i int) *modelStore {
+	c := st.stores[i].clone()
+	st.stores[i] = c
 	return c
 }
 
 // copy returns a state that shares the stores.
-func (w modelWorld) copy() *modelWorld {
-	w.inTransit, w.votes, w.sets = slices.Clone(w.inTransit), slices.Clone(w.votes), slices.Clone(w.sets)
-	return &w
+func (st modelState) copy() *modelState {
+	st.inTransit, st.votes, st.sets = slices.Clone(st.inTransit), slices.Clone(st.votes), slices.Clone(st.sets)
+	return &st
 }
 
 // hash identifies a state; requests and votes count in any order.
-func (w *modelWorld) hash() uint64 {
+func (st *modelState) hash() uint64 {
 	h := fnv.New64a()
-	fmt.Fprint(h, w.stores[0].hash(), " ", w.stores[1].hash(), " ", w.stores[2].hash(), w.wipes, w.crashes, w.restores, w.acknowledged, w.lastID, w.secondWriteSent)
+	fmt.Fprint(h, st.stores[0].hash(), " ", st.stores[1].hash(), " ", st.stores[2].hash(), st.wipes, st.crashes, st.restores, st.acknowledged, st.lastID, st.secondWriteSent)
 	sum := h.Sum64()
-	for _, request := range w.inTransit {
+	for _, request := range st.inTransit {
 		sum += request.hash
 	}
-	for _, v := range w.votes {
+	for _, v := range st.votes {
 		vote := fnv.New64a()
 		fmt.Fprint(vote, v.key, v.ballot, v.voterSetNumber, v.stores)
 		sum += vote.Sum64() * 31
@@ -105,8 +105,8 @@
 }
 
 // run carries out the commands of machine i's store until none is left.
-func (w *modelWorld) run(i int) {
-	s := w.stores[i]
+func (st *modelState) run(i int) {
+	s := st.stores[i]
 	commands := s.Drain()
 	for len(commands) > 0 {
 		command := commands[0]
@@ -117,15 +117,15 @@
 			s.acceptor.Synced(c.Batch)
 			commands = slices.Concat(c.After, commands)
 		case event.Send:
-			w.handleSend(i, c)
+			st.handleSend(i, c)
 			commands = append(commands, s.Drain()...)
 		}
 	}
 }
 
 // handleSend puts a request in transit, and takes a response to the store's own request.
-func (w *modelWorld) handleSend(i int, c event.Send) {
-	s := w.stores[i]
+func (st *modelState) handleSend(i int, c event.Send) {
+	s := st.stores[i]
 	switch m := c.Message.(type) {
 	case Prepare, Accept:
 		to := slices.Index(addresses, c.To)
@@ -133,47 +133,47 @@
 		h := fnv.New64a()
 		fmt.Fprint(h, request.from, request.to, request.store, request.run, request.msg)
 		request.hash = h.Sum64()
-		if !slices.ContainsFunc(w.inTransit, func(r modelRequest) bool { return r.hash == request.hash }) {
-			w.inTransit = append(w.inTransit, request)
+		if !slices.ContainsFunc(st.inTransit, func(r modelRequest) bool { return r.hash == request.hash }) {
+			st.inTransit = append(st.inTransit, request)
 		}
 	case Response:
 		if m.Outcome != Succeeded {
 			return
 		}
 		if set, ok := DecodeVoterSet(m.Result); ok {
-			w.adopt(i, set)
+			st.adopt(i, set)
 			return
 		}
 		if c.To != "reader" {
-			w.acknowledged += string(c.To)
+			st.acknowledged += string(c.To)
 		}
 	}
 }
 
 // adopt does as a store does with a voter set that it learns of.
-func (w *modelWorld) adopt(i int, set VoterSet) {
-	s := w.stores[i]
-	if set.Number == uint64(len(w.sets))+1 {
-		w.sets = append(w.sets, set)
+func (st *modelState) adopt(i int, set VoterSet) {
+	s := st.stores[i]
+	if set.Number == uint64(len(st.sets))+1 {
+		st.sets = append(st.sets, set)
 	}
 	if s.acceptor.AdoptVoterSet(set) {
 		s.proposer.RestartRounds(s.now)
-		w.run(i)
+		st.run(i)
 		if s.acceptor.DiskState() == Blank {
-			w.completeIfDue(i)
+			st.completeIfDue(i)
 		}
 	}
 }
 
 // deliver hands over the n-th request in transit, and its answer to the sender.
-func (w *modelWorld) deliver(n int) {
-	request := w.inTransit[n]
-	w.inTransit = slices.Delete(w.inTransit, n, n+1)
-	s := w.ownStore(request.to)
-	if w.fault.votesUnderLowerSets {
+func (st *modelState) deliver(n int) {
+	request := st.inTransit[n]
+	st.inTransit = slices.Delete(st.inTransit, n, n+1)
+	s := st.mutableStore(request.to)
+	if st.fault.votesUnderLowerSets {
 		defer func(set VoterSet) { s.acceptor.voterSet = set }(s.acceptor.voterSet)
 		if number := voterSetNumberOf(request.msg); number < s.acceptor.voterSet.Number && number > 0 {
-			s.acceptor.voterSet = w.sets[number-1]
+			s.acceptor.voterSet = st.sets[number-1]
 		}
 	}
 	switch m := request.msg.(type) {
@@ -187,7 +187,7 @@
 		s.disk.Write(sync.Records)
 		s.acceptor.Synced(sync.Batch)
 		for _, after := range sync.After {
-			w.answer(request, s, after.(event.Send).Message)
+			st.deliverResponse(request, s, after.(event.Send).Message)
 		}
 	}
 }
@@ -202,17 +202,17 @@
 	return 0
 }
 
-// answer hands an answer to the proposer that sent the request, unless its run has ended.
-func (w *modelWorld) answer(request modelRequest, by *modelStore, msg any) {
+// deliverResponse hands an answer to the proposer that sent the request, unless its run has ended.
+func (st *modelState) deliverResponse(request modelRequest, responder *modelStore, msg any) {
 	if m, ok := msg.(Accepted); ok && m.OK {
-		w.recordVote(by, request.msg.(Accept))
+		st.recordVote(responder, request.msg.(Accept))
 	}
-	sender := w.stores[request.from]
+	sender := st.stores[request.from]
 	if sender.acceptor.storeID != request.store || sender.run != request.run {
 		return
 	}
-	if by != sender {
-		sender = w.ownStore(request.from)
+	if responder != sender {
+		sender = st.mutableStore(request.from)
 	}
 	switch m := msg.(type) {
 	case Promise:
@@ -222,5 +222,5 @@
 	default:
 		return // a VoterSetUpdate; adoptions are events of their own
 	}
-	w.run(request.from)
+	st.run(request.from)
 }
--- a/internal/state/consensus/restart_network_test.go
+++ b/internal/state/consensus/restart_network_test.go
@@ -20,31 +20,31 @@
 // restartNetwork is three stores that restart. It checks the results of their clients.
 type restartNetwork struct {
 	*rand.Rand
-	stores        map[ids.Address]*testStore
-	inTransit     []delayedMessage
-	cutLinks      map[[2]ids.Address]bool // links whose messages wait
-	now           ids.Time
-	runCount      uint64
-	callCount     uint64
-	openCalls     map[uint64]appendCall
-	agreedTags    []string
-	longestResult string
-	violations    []string
+	stores           map[ids.Address]*testStore
+	inTransit        []delayedMessage
+	blockedLinks     map[[2]ids.Address]bool // links whose messages wait
+	now              ids.Time
+	runCount         uint64
+	callCount        uint64
+	pendingCalls     map[uint64]pendingAppend
+	acknowledgedTags []string
+	longestResult    string
+	violations       []string
 	// sharedRoundIDs plants a fault: each run counts its rounds from 1.
 	sharedRoundIDs bool
 }
 
-// appendCall is a call that appends a tag. Its result must contain the first agreedBefore
+// pendingAppend is a call that appends a tag. Its result must contain the first acknowledgedBefore
 // tags, which were agreed on before it began.
-type appendCall struct {
-	tag          string
-	agreedBefore int
+type pendingAppend struct {
+	tag                string
+	acknowledgedBefore int
 }
 
 func newRestartNetwork(seed uint64, sharedRoundIDs bool) *restartNetwork {
 	n := &restartNetwork{
-		Rand: rand.New(rand.NewPCG(seed, 7)), stores: newTestStores(), openCalls: map[uint64]appendCall{},
-		cutLinks: map[[2]ids.Address]bool{}, now: 1, sharedRoundIDs: sharedRoundIDs,
+		Rand: rand.New(rand.NewPCG(seed, 7)), stores: newTestStores(), pendingCalls: map[uint64]pendingAppend{},
+		blockedLinks: map[[2]ids.Address]bool{}, now: 1, sharedRoundIDs: sharedRoundIDs,
 	}
 	for _, at := range addresses {
 		n.stores[at].SetOps(map[Op]ChangeFunc{opAppend: appendArgOnce})
@@ -66,11 +66,11 @@
 
 // checkResponse checks a result against all results before it.
 func (n *restartNetwork) checkResponse(m Response) {
-	call, open := n.openCalls[m.ID]
-	if m.Outcome != Succeeded || !open {
+	call, isPending := n.pendingCalls[m.ID]
+	if m.Outcome != Succeeded || !isPending {
 		return
 	}
-	delete(n.openCalls, m.ID)
+	delete(n.pendingCalls, m.ID)
 	result := string(m.Result)
 	shorter, longer := result, n.longestResult
 	if len(shorter) > len(longer) {
@@ -79,47 +79,47 @@
 	if !strings.HasPrefix(longer, shorter) {
 		n.violations = append(n.violations, fmt.Sprintf("%q and %q were both agreed on", shorter, longer))
 	}
-	for _, tag := range append(n.agreedTags[:call.agreedBefore:call.agreedBefore], call.tag) {
+	for _, tag := range append(n.acknowledgedTags[:call.acknowledgedBefore:call.acknowledgedBefore], call.tag) {
 		if !strings.Contains(result, tag) {
 			n.violations = append(n.violations, fmt.Sprintf("%q is lost in %q", tag, result))
 		}
 	}
 	n.longestResult = longer
 	if call.tag != "" {
-		n.agreedTags = append(n.agreedTags, call.tag)
+		n.acknowledgedTags = append(n.acknowledgedTags, call.tag)
 	}
 }
 
 func (n *restartNetwork) call(at ids.Address) {
 	n.callCount++
 	r := Request{ID: n.callCount, Key: "x", Op: Read, TimeoutMillis: 3000}
-	c := appendCall{agreedBefore: len(n.agreedTags)}
+	c := pendingAppend{acknowledgedBefore: len(n.acknowledgedTags)}
 	if n.IntN(3) > 0 {
 		c.tag = fmt.Sprintf("%d;", n.callCount+1000)
 		r.Op, r.Arg = opAppend, []byte(c.tag)
 	}
-	n.openCalls[r.ID] = c
+	n.pendingCalls[r.ID] = c
 	n.stores[at].Submit(n.now, "caller", r)
 }
 
 func (n *restartNetwork) deliver() {
-	var open []int
-	for i, l := range n.inTransit {
-		if !n.cutLinks[[2]ids.Address{l.from, l.to}] {
-			open = append(open, i)
+	var deliverable []int
+	for i, m := range n.inTransit {
+		if !n.blockedLinks[[2]ids.Address{m.from, m.to}] {
+			deliverable = append(deliverable, i)
 		}
 	}
-	if len(open) == 0 {
+	if len(deliverable) == 0 {
 		return
 	}
-	i := open[n.IntN(len(open))]
-	l := n.inTransit[i]
+	i := deliverable[n.IntN(len(deliverable))]
+	m := n.inTransit[i]
 	if n.IntN(6) > 0 {
 		n.inTransit = append(n.inTransit[:i], n.inTransit[i+1:]...)
 	}
 	if n.IntN(12) > 0 {
-		n.stores[l.to].deliver(n.now, l.from, l.msg)
-		n.collect(l.to)
+		n.stores[m.to].deliver(n.now, m.from, m.msg)
+		n.collect(m.to)
 	}
 }
 
@@ -143,7 +143,7 @@
 			n.call(at)
 		case k < 82:
 			to := addresses[n.IntN(len(addresses))]
-			n.cutLinks[[2]ids.Address{at, to}] = to != at && n.IntN(3) == 0
+			n.blockedLinks[[2]ids.Address{at, to}] = to != at && n.IntN(3) == 0
 		case k < 98:
 			n.now = n.now.Add(time.Duration(n.IntN(60)) * time.Millisecond)
 			n.stores[at].Proposer.Tick(n.now)
@@ -161,16 +161,16 @@
 // whatever the order, the number and the delay of the answers, over restarts.
 func TestProposer_OneHistoryOverRestarts(t *testing.T) {
 	const seeds = 80
-	agreed := 0
+	acknowledged := 0
 	for seed := range uint64(seeds) {
 		n := newRestartNetwork(seed, false)
 		if violations := n.run(stepsPerSeed); len(violations) > 0 {
 			t.Fatalf("seed %d: %v", seed, violations)
 		}
-		agreed += len(n.agreedTags)
+		acknowledged += len(n.acknowledgedTags)
 	}
-	if agreed < 10*seeds {
-		t.Fatalf("only %d changes were agreed on", agreed)
+	if acknowledged < 10*seeds {
+		t.Fatalf("only %d changes were agreed on", acknowledged)
 	}
 }
 
--- a/internal/state/consensus/restart_test.go
+++ b/internal/state/consensus/restart_test.go
@@ -17,15 +17,15 @@
 	stores[at] = newTestStore(old.StoreID(), old.disk, proposerID, change, rand.New(rand.NewPCG(1, proposerID)))
 }
 
-// withholdAnswers syncs a store and returns its answers to another without delivering
+// withholdResponses syncs a store and returns its answers to another without delivering
 // them; those to any other are lost. Messages that don't wait for the disk stay.
-func withholdAnswers(s *testStore, to ids.Address) []event.Send {
+func withholdResponses(s *testStore, to ids.Address) []event.Send {
 	var withheld []event.Send
-	var rest []event.Command
+	var unsynced []event.Command
 	for _, c := range s.Drain() {
 		sync, ok := c.(event.Sync)
 		if !ok {
-			rest = append(rest, c)
+			unsynced = append(unsynced, c)
 			continue
 		}
 		s.disk.Write(sync.Records)
@@ -36,7 +36,7 @@
 			}
 		}
 	}
-	for _, c := range rest {
+	for _, c := range unsynced {
 		s.Emit(c)
 	}
 	return withheld
@@ -66,7 +66,7 @@
 	is.Equal(firstRun.phase, accepting)
 	b := stores["b"]
 	b.HandleAccept("a", Accept{Key: "x", Ballot: firstRun.ballot, NextBallot: firstRun.nextBallot, VoterSetNumber: 1, Round: firstRun.id, Value: firstRun.value})
-	late := withholdAnswers(b, "a")
+	late := withholdResponses(b, "a")
 	is.Equal(len(late), 1)
 	restartStore(stores, "a", 1|1<<30, appendArg)
 	submit("2")
@@ -81,8 +81,8 @@
 	stores["a"].Proposer.Tick(later.Add(replicationGrace))
 	responses := deliverAll(later, stores, noLinks)
 	if len(responses) > 0 {
-		_, held := b.AcceptedValue("x")
-		t.Fatalf("the client was sent %q, while b holds %q and c nothing", responses["w"][0].Result, held)
+		_, value := b.AcceptedValue("x")
+		t.Fatalf("the client was sent %q, while b holds %q and c nothing", responses["w"][0].Result, value)
 	}
 }
 
@@ -102,7 +102,7 @@
 	}
 	stores["b"].HandlePrepare("a", prepare)
 	stores["c"].HandlePrepare("a", prepare)
-	late := append(withholdAnswers(stores["b"], "a"), withholdAnswers(stores["c"], "a")...)
+	late := append(withholdResponses(stores["b"], "a"), withholdResponses(stores["c"], "a")...)
 	is.Equal(len(late), 2)
 	stores["b"].IsReachable = func(store uint64) bool { return store != 1 }
 	stores["b"].Submit(1, "w2", Request{ID: 1, Key: "x", Op: opAppend, Arg: []byte("new"), TimeoutMillis: 60000})
--- a/internal/state/consensus/value_delta_test.go
+++ b/internal/state/consensus/value_delta_test.go
@@ -14,15 +14,15 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// meteredNetwork delivers messages between stores and counts them.
-type meteredNetwork struct {
-	bytes, wholeValues, deltas int
+// countingNetwork delivers messages between stores and counts them.
+type countingNetwork struct {
+	bytes, fullValues, deltas int
 	// earlierVersion is a store of a version that doesn't know AcceptDelta.
 	earlierVersion ids.Address
 }
 
 // deliverAll delivers messages until none is left; stores that are down receive none.
-func (n *meteredNetwork) deliverAll(stores map[ids.Address]*testStore, now ids.Time, down map[ids.Address]bool) []Response {
+func (n *countingNetwork) deliverAll(stores map[ids.Address]*testStore, now ids.Time, down map[ids.Address]bool) []Response {
 	var responses []Response
 	exchange(stores, func(from ids.Address, c event.Send) {
 		if r, ok := c.Message.(Response); ok {
@@ -38,7 +38,7 @@
 }
 
 // deliver hands a message over; an earlier version skips what it doesn't know.
-func (n *meteredNetwork) deliver(now ids.Time, to *testStore, from ids.Address, c event.Send) {
+func (n *countingNetwork) deliver(now ids.Time, to *testStore, from ids.Address, c event.Send) {
 	switch m := c.Message.(type) {
 	case AcceptDelta:
 		if c.To != n.earlierVersion {
@@ -52,19 +52,19 @@
 	}
 }
 
-func (n *meteredNetwork) count(c event.Send) {
+func (n *countingNetwork) count(c event.Send) {
 	raw, _ := wire.Encode(c.Message)
 	n.bytes += len(raw)
 	switch m := c.Message.(type) {
 	case Accept:
-		n.wholeValues += min(len(m.Value)/minDeltaValueSize, 1)
+		n.fullValues += min(len(m.Value)/minDeltaValueSize, 1)
 	case AcceptDelta:
 		n.deltas++
 	}
 }
 
 // run submits a change at a store and lets time pass until it is answered.
-func (n *meteredNetwork) run(t *testing.T, stores map[ids.Address]*testStore, at ids.Address, now *ids.Time, arg string, down map[ids.Address]bool) {
+func (n *countingNetwork) run(t *testing.T, stores map[ids.Address]*testStore, at ids.Address, now *ids.Time, arg string, down map[ids.Address]bool) {
 	t.Helper()
 	stores[at].Submit(*now, "w", Request{ID: 1, Key: "policy", Op: opAppend, Arg: []byte(arg), TimeoutMillis: 60000})
 	for range 100 {
@@ -104,45 +104,45 @@
 func TestProposer_SendsChangesAsDeltas(t *testing.T) {
 	is := is.New(t)
 	stores := newTestStores()
-	now, network, none := ids.Time(1), &meteredNetwork{}, map[ids.Address]bool{}
+	now, network, noneDown := ids.Time(1), &countingNetwork{}, map[ids.Address]bool{}
 	want := randomText(rand.New(rand.NewPCG(1, 1)), 200_000)
-	network.run(t, stores, "a", &now, string(want), none)
+	network.run(t, stores, "a", &now, string(want), noneDown)
 	change := func(at ids.Address, i int, down map[ids.Address]bool) {
 		arg := fmt.Sprintf("change %d;", i)
 		network.run(t, stores, at, &now, arg, down)
 		want = append(want, arg...)
 	}
-	change("a", 0, none)
+	change("a", 0, noneDown)
 	mustAllHold(t, stores, want)
-	*network = meteredNetwork{}
+	*network = countingNetwork{}
 	for i := range 50 {
-		change("a", i, none)
+		change("a", i, noneDown)
 	}
 	mustAllHold(t, stores, want)
-	is.Equal(network.wholeValues, 0)
+	is.Equal(network.fullValues, 0)
 	is.Equal(network.deltas, 150)
 	is.True(network.bytes/50 < 1500) // to three stores and back
 	// c is away for 300 changes, and holds what the others do after one more.
 	for i := range 300 {
 		change("a", i, map[ids.Address]bool{"c": true})
 	}
-	*network = meteredNetwork{}
-	change("a", 301, none)
+	*network = countingNetwork{}
+	change("a", 301, noneDown)
 	mustAllHold(t, stores, want)
-	is.Equal(network.wholeValues, 1)
+	is.Equal(network.fullValues, 1)
 	// Another proposer reads, then goes on with deltas.
-	change("b", 302, none)
-	*network = meteredNetwork{}
-	change("b", 303, none)
+	change("b", 302, noneDown)
+	*network = countingNetwork{}
+	change("b", 303, noneDown)
 	mustAllHold(t, stores, want)
-	is.Equal(network.wholeValues, 0)
+	is.Equal(network.fullValues, 0)
 }
 
 // A store of an earlier version skips AcceptDelta. It is sent whole values, also if
 // it was downgraded to that version.
 func TestProposer_SendsWholeValuesToEarlierVersions(t *testing.T) {
 	stores := newTestStores()
-	now, network := ids.Time(1), &meteredNetwork{}
+	now, network := ids.Time(1), &countingNetwork{}
 	want := randomText(rand.New(rand.NewPCG(1, 1)), 20_000)
 	network.run(t, stores, "a", &now, string(want), nil)
 	network.earlierVersion = "b"
@@ -166,9 +166,9 @@
 	t.Helper()
 	is := is.New(t)
 	stores := newTestStores()
-	now, network, none := ids.Time(1), &meteredNetwork{}, map[ids.Address]bool{}
+	now, network, noneDown := ids.Time(1), &countingNetwork{}, map[ids.Address]bool{}
 	want := randomText(rand.New(rand.NewPCG(1, 1)), 20_000)
-	network.run(t, stores, "a", &now, string(want), none)
+	network.run(t, stores, "a", &now, string(want), noneDown)
 	for range 300 {
 		network.run(t, stores, "a", &now, "x", map[ids.Address]bool{"c": true})
 		want = append(want, 'x')
@@ -183,10 +183,10 @@
 			// A registry reads as often.
 			stores["b"].Submit(now, "w", Request{ID: 1, Key: "policy", Op: Read, TimeoutMillis: 60000})
 		}
-		network.deliverAll(stores, now, none)
+		network.deliverAll(stores, now, noneDown)
 		now = now.Add(20 * time.Millisecond)
 		tickAll(stores, now)
 	}
 	mustAllHold(t, stores, want)
-	is.True(network.wholeValues >= 2)
+	is.True(network.fullValues >= 2)
 }
