--- a/internal/state/consensus/acceptor_test.go
+++ b/internal/state/consensus/acceptor_test.go
@@ -12,7 +12,7 @@
 	"dunlinwell/internal/testsupport/memorydisk"
 )
 
-// A ballot below a promise is rejected, and the promise is on disk.
+// After a restart, an acceptor rejects ballots below one that it promised before.
 func TestAcceptor_PromiseSurvivesRestart(t *testing.T) {
 	is := is.New(t)
 	stores := newTestStores()
@@ -25,7 +25,7 @@
 	sync := restarted.Drain()[0].(event.Sync)
 	is.Equal(len(sync.Records), 0)
 	is.Equal(sync.After[0].(event.Send).Message.(Accepted).OK, false)
-	// A request under a lower voter set is not voted on: its sender gets the higher one.
+	// A request under a lower voter set gets no vote; the response is the higher voter set.
 	restarted.AdoptVoterSet(VoterSet{Number: 2, Voters: []Voter{{2, "b"}}})
 	restarted.Drain()
 	restarted.HandleAccept("c", Accept{Key: "x", Ballot: ids.Ballot{Counter: 9, Proposer: 3}, VoterSetNumber: 1})
@@ -33,8 +33,8 @@
 	is.True(updated)
 }
 
-// A delta to anything but the accepted value changes nothing.
-func TestAcceptor_DeltaToAnotherBaseChangesNothing(t *testing.T) {
+// An acceptor that can't apply a delta keeps its state and requests the full value.
+func TestAcceptor_RejectsInapplicableDelta(t *testing.T) {
 	stores := newTestStores()
 	now, network := ids.Time(1), &countingNetwork{}
 	network.run(t, stores, "a", &now, string(randomText(rand.New(rand.NewPCG(1, 1)), 20_000)), nil)
@@ -42,9 +42,9 @@
 	acceptedBallot, value := b.AcceptedValue("policy")
 	next := ids.Ballot{Counter: acceptedBallot.Counter + 100, Proposer: 1}
 	for name, m := range map[string]AcceptDelta{
-		"an earlier base": {BaseBallot: ids.Ballot{Counter: acceptedBallot.Counter - 1, Proposer: acceptedBallot.Proposer}, Delta: nil},
-		"damaged delta":   {BaseBallot: acceptedBallot, Delta: []byte("damaged")},
-		"no delta":        {BaseBallot: acceptedBallot, Delta: nil},
+		"earlier base":  {BaseBallot: ids.Ballot{Counter: acceptedBallot.Counter - 1, Proposer: acceptedBallot.Proposer}, Delta: nil},
+		"damaged delta": {BaseBallot: acceptedBallot, Delta: []byte("damaged")},
+		"no delta":      {BaseBallot: acceptedBallot, Delta: nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -63,8 +63,8 @@
 	}
 }
 
-// A blank store is asked for a vote like any other voter, and withholds it until its copy
-// is complete; after a restart too.
+// A voter with a blank disk responds to no request until its copy is complete, even after a
+// restart.
 func TestAcceptor_BlankVoterWithholdsItsVote(t *testing.T) {
 	is := is.New(t)
 	set := VoterSet{Number: 2, Voters: []Voter{{1, "a"}, {2, "b"}, {9, "c"}}}
@@ -93,7 +93,7 @@
 	is.Equal(len(responses()), 1)
 }
 
-// A disk whose store was replaced never votes again, whatever voter set it learns of.
+// The disk of a replaced store never votes again, even if a later voter set includes its id.
 func TestAcceptor_ReplacedDiskNeverVotes(t *testing.T) {
 	is := is.New(t)
 	stores := newTestStores()
@@ -109,9 +109,9 @@
 	is.Equal(restarted.DiskState(), Replaced)
 }
 
-// A learner that copied everything once is sent only what changed since, each register
-// once; where the run or the list is gone, everything.
-func TestAcceptor_LaterCopiesHoldChangesOnly(t *testing.T) {
+// After a full pass, an acceptor sends a learner only the registers that changed since, each
+// once. It sends all registers if the learner's change count is from another run.
+func TestAcceptor_LaterPassSendsOnlyChanges(t *testing.T) {
 	is := is.New(t)
 	acceptor := newTestAcceptor(1, memorydisk.Disk{})
 	acceptor.SetRunID(7)
@@ -133,5 +133,5 @@
 	is.Equal(second.ChangeCount, uint64(3))
 	is.Equal(len(second.Records), 1)
 	is.Equal(string(second.Records[0].Value), "3")
-	is.True(!page(PageRequest{VoterSetNumber: 1, RunID: 6, SinceChange: 1}).Delta) // another run's count
+	is.True(!page(PageRequest{VoterSetNumber: 1, RunID: 6, SinceChange: 1}).Delta) // change count of another run
 }
--- a/internal/state/consensus/check_disk_test.go
+++ b/internal/state/consensus/check_disk_test.go
@@ -16,8 +16,8 @@
 	"dunlinwell/internal/testsupport/memorydisk"
 )
 
-// Whatever is damaged, cut short or missing is found at the start, and a store that can't
-// read what it promised takes no part.
+// CheckDisk reports every damaged, truncated or missing record, and an acceptor on such a disk
+// never responds: it could break a promise that it can't read.
 func TestCheckDisk_FindsDamage(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(3, 4))
@@ -36,20 +36,20 @@
 	is.Equal(len(intact), 7)
 	healthy := newTestAcceptor(1, maps.Clone(intact))
 	healthy.HandlePrepare("a", Prepare{Key: "policy", Ballot: ids.Ballot{Counter: 1 << 50}, VoterSetNumber: 1})
-	is.Equal(len(healthy.Drain()), 1) // it votes
+	is.Equal(len(healthy.Drain()), 1) // it responds
 	for key, raw := range intact {
 		if strings.HasPrefix(string(key), "meta/") {
 			continue
 		}
 		for name, damage := range map[string]func(memorydisk.Disk){
-			"missing":      func(d memorydisk.Disk) { delete(d, key) },
-			"cut short":    func(d memorydisk.Disk) { d[key] = raw[:len(raw)-1] },
-			"cut in half":  func(d memorydisk.Disk) { d[key] = raw[:len(raw)/2] },
-			"empty":        func(d memorydisk.Disk) { d[key] = nil },
-			"flipped":      func(d memorydisk.Disk) { d[key] = flipByte(raw, len(raw)/2) },
-			"newer format": func(d memorydisk.Disk) { d[key] = flipByte(raw, 4) },
+			"missing":        func(d memorydisk.Disk) { delete(d, key) },
+			"one byte short": func(d memorydisk.Disk) { d[key] = raw[:len(raw)-1] },
+			"truncated":      func(d memorydisk.Disk) { d[key] = raw[:len(raw)/2] },
+			"empty":          func(d memorydisk.Disk) { d[key] = nil },
+			"corrupted byte": func(d memorydisk.Disk) { d[key] = flipByte(raw, len(raw)/2) },
+			"newer format":   func(d memorydisk.Disk) { d[key] = flipByte(raw, 4) },
 		} {
-			// Without its last change the disk looks as it did before that change.
+			// Without the last change, the disk is valid: it equals its state before that change.
 			if last := changeKey("policy", 3); name == "missing" && key == last {
 				continue
 			}
@@ -66,7 +66,7 @@
 	t.Helper()
 	is := is.New(t)
 	if err := CheckDisk(disk); err == nil {
-		t.Error("not found")
+		t.Error("CheckDisk returned no error")
 	}
 	damaged := newTestAcceptor(1, disk)
 	log, ok := damaged.Drain()[0].(event.LogEntry)
@@ -75,8 +75,8 @@
 	is.Equal(len(damaged.Drain()), 0)
 }
 
-// A caller can tell the causes of damage apart.
-func TestCheckDisk_WrapsTheCause(t *testing.T) {
+// CheckDisk wraps the error that identifies the kind of damage.
+func TestCheckDisk_WrapsCause(t *testing.T) {
 	intact := memorydisk.Disk{}
 	s := newTestAcceptor(1, intact)
 	s.AdoptVoterSet(VoterSet{Number: 1, Voters: []Voter{{1, "a"}}})
@@ -92,9 +92,9 @@
 		damage func(memorydisk.Disk)
 		want   error
 	}{
-		"altered":        {func(d memorydisk.Disk) { d[base] = flipByte(d[base], len(d[base])-1) }, ErrChecksumMismatch},
-		"cut short":      {func(d memorydisk.Disk) { d[firstChange] = d[firstChange][:len(d[firstChange])-1] }, ErrLengthMismatch},
-		"another type":   {func(d memorydisk.Disk) { d[base] = d[firstChange] }, ErrUnknownFormat},
+		"corrupted byte": {func(d memorydisk.Disk) { d[base] = flipByte(d[base], len(d[base])-1) }, ErrChecksumMismatch},
+		"one byte short": {func(d memorydisk.Disk) { d[firstChange] = d[firstChange][:len(d[firstChange])-1] }, ErrLengthMismatch},
+		"wrong type":     {func(d memorydisk.Disk) { d[base] = d[firstChange] }, ErrUnknownFormat},
 		"missing change": {func(d memorydisk.Disk) { delete(d, firstChange) }, ErrMissingChange},
 		"missing base":   {func(d memorydisk.Disk) { delete(d, base) }, ErrMissingBase},
 		"voter set":      {func(d memorydisk.Disk) { d[voterSetRecordKey] = []byte("no record") }, ErrDamaged},
--- a/internal/state/consensus/stored_register_test.go
+++ b/internal/state/consensus/stored_register_test.go
@@ -13,7 +13,7 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// Whatever the changes, a restart finds the very same state.
+// After every change, the register loaded from disk equals the one in memory.
 func TestRegister_SurvivesRestart(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(3, 4))
@@ -24,7 +24,7 @@
 		next := RegisterState{Promised: ballot, Accepted: ballot, Value: value}
 		switch {
 		case i%50 == 49:
-			next.Accepted = s.registerState("x").Accepted // a promise alone
+			next.Accepted = s.registerState("x").Accepted // only a promise
 		case i%400 == 399:
 			value = randomText(random, 100+random.IntN(20000))
 		default:
@@ -45,12 +45,12 @@
 		is.True(bytes.Equal(got.Value, next.Value))
 		is.Equal(got.Accepted, next.Accepted)
 		is.Equal(got.Promised, next.Promised)
-		is.True(got.changeBytes <= max(len(got.Value), 1<<14)) // folded in time
+		is.True(got.changeBytes <= max(len(got.Value), 1<<14)) // changes are compacted
 	}
 }
 
-// The bytes that a change writes follow the size of the change, not that of the value.
-func TestRegister_DiskBytesFollowTheChange(t *testing.T) {
+// The number of bytes written for a change depends on the size of the change, not of the value.
+func TestRegister_DiskBytesDependOnChangeSize(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(3, 4))
 	for _, size := range []int{300_000, 1_500_000, 4_500_000} {
@@ -63,15 +63,15 @@
 			s.saveRegister("x", RegisterState{Promised: ballot, Accepted: ballot, Value: value})
 			s.syncAll()
 			if i == 0 {
-				s.bytesSynced = 0 // the base
+				s.bytesSynced = 0 // exclude the base
 			}
 		}
-		t.Logf("value of %d bytes: %d bytes synced a change", size, s.bytesSynced/300)
+		t.Logf("value of %d bytes: %d bytes synced per change", size, s.bytesSynced/300)
 		is.True(s.bytesSynced/300 < 600)
 	}
 }
 
-// Earlier versions wrote one whole record without a checksum.
+// Earlier versions wrote each register as a single record without a checksum.
 func TestRegister_ReadsRecordOfEarlierVersion(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(3, 4))
@@ -90,5 +90,5 @@
 	s.syncAll()
 	is.True(s.bytesSynced < 200)
 	is.Equal(newTestAcceptor(1, disk).registerState("policy"), next)
-	is.Equal(disk["item/policy"], raw) // the base stays
+	is.Equal(disk["item/policy"], raw) // the base is not rewritten
 }
