--- a/internal/state/consensus/bootstrap_model_test.go
+++ b/internal/state/consensus/bootstrap_model_test.go
@@ -5,9 +5,10 @@
 	"testing"
 )
 
-// exploreBootstrap visits, breadth first, every state within the bounds and up to a number
-// of steps. It returns whether some voter set came to serve, and the first violation.
-func exploreBootstrap(depth int, rules bootstrapRules) (visited int, served bool, violation string) {
+// exploreBootstrap visits, breadth first, every state within the bounds and up to a number of
+// steps. It reports whether any voter set became active at a majority, and returns the first
+// violation.
+func exploreBootstrap(depth int, rules bootstrapRules) (visited int, anyActive bool, violation string) {
 	start := bootstrapState{}
 	for i := range start.nodes {
 		start.nodes[i].id = uint64(i+1) * 10
@@ -18,22 +19,22 @@
 		var next []bootstrapState
 		for _, s := range level {
 			for _, c := range s.successors(rules) {
-				if key := c.hash(); !seen[key] {
-					seen[key] = true
+				if hash := c.hash(); !seen[hash] {
+					seen[hash] = true
 					next = append(next, c)
 				}
-				served = served || len(c.serving) > 0
+				anyActive = anyActive || len(c.activeSets) > 0
 				if violation := c.violation(); violation != "" {
-					return len(seen), served, violation
+					return len(seen), anyActive, violation
 				}
 			}
 		}
 		level = next
 	}
-	return len(seen), served, ""
+	return len(seen), anyActive, ""
 }
 
-// hash identifies a state; the messages count in any order.
+// hash returns a hash of the state that doesn't depend on the order of its lists.
 func (s bootstrapState) hash() uint64 {
 	h := fnv.New64a()
 	write := func(values ...uint64) {
@@ -62,13 +63,13 @@
 	for _, p := range s.bootstraps {
 		sum += hashParts(3, p.round, p.set[0], p.set[1], p.set[2], p.from.ID)
 	}
-	for _, v := range s.serving {
+	for _, v := range s.activeSets {
 		sum += hashParts(4, v[0], v[1], v[2])
 	}
 	return h.Sum64() + sum
 }
 
-// hashParts identifies an item of a set by its parts.
+// hashParts returns the hash of one list element, which hash adds to those of the others.
 func hashParts(parts ...uint64) uint64 {
 	h := fnv.New64a()
 	for _, p := range parts {
@@ -77,21 +78,22 @@
 	return h.Sum64() * 0x9e3779b97f4a7c15
 }
 
-// Whatever the order of messages, wipes and proposals: no two voter sets that both served
-// have a disk in common, and no two active members disagree.
+// For every order of messages, wipes and proposals, no two voter sets that were active at a
+// majority share a disk, and no active node is a member of the voter set of a node that is
+// active in another set.
 func TestBootstrapModel(t *testing.T) {
-	visited, served, violation := exploreBootstrap(100, correctBootstrapRules)
-	t.Logf("%d states, all that can be reached", visited)
-	if violation != "" || !served {
-		t.Fatalf("served %v, violation: %s", served, violation)
+	visited, anyActive, violation := exploreBootstrap(100, correctBootstrapRules)
+	t.Logf("%d reachable states", visited)
+	if violation != "" || !anyActive {
+		t.Fatalf("voter set active at a majority: %v, violation: %s", anyActive, violation)
 	}
 }
 
-// The model finds the faults that the rules are there to prevent.
-func TestBootstrapModel_FindsPlantedMistakes(t *testing.T) {
+// The search detects injected faults in the rules.
+func TestBootstrapModel_DetectsInjectedFaults(t *testing.T) {
 	forgetsPromises, ignoresPromises := correctBootstrapRules, correctBootstrapRules
 	forgetsPromises.promise = func(r BootstrapRecord, request BootstrapRequest) (BootstrapRecord, string) {
-		r.PromisedVoterSets = nil // what was promised before is forgotten
+		r.PromisedVoterSets = nil
 		return r.Promise(request)
 	}
 	ignoresPromises.mayAdopt = func(BootstrapRecord, Bootstrap, Voter) bool { return true }
@@ -99,7 +101,7 @@
 		visited, _, violation := exploreBootstrap(100, rules)
 		t.Logf("%s: %s after %d states", name, violation, visited)
 		if violation == "" {
-			t.Errorf("%s: not found", name)
+			t.Errorf("%s: injected fault not detected", name)
 		}
 	}
 }
--- a/internal/state/consensus/bootstrap_state_test.go
+++ b/internal/state/consensus/bootstrap_state_test.go
@@ -7,12 +7,12 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// The model of a bootstrap: three seeds, of which the first proposes. Messages are never
-// used up, so every order, loss, delay and duplication of them is among the paths. A disk
-// may be wiped and the proposer restarted between any two steps. The decisions are those of
-// the real BootstrapRecord.
+// The bootstrap model consists of three seeds, the first of which is the proposer. Delivered
+// messages stay available, so the search covers all reordering, loss, delay and duplication.
+// Between any two steps, a disk may be wiped or the proposer restarted. The decisions are those
+// of BootstrapRecord.
 
-// bootstrapVoters are the disk ids of a proposed voter set, by address.
+// bootstrapVoters holds the disk ids of a proposed voter set, indexed by seed.
 type bootstrapVoters [3]uint64
 
 func (v bootstrapVoters) voterSet() VoterSet {
@@ -23,18 +23,20 @@
 	return set
 }
 
-// bootstrapProposal is a request to take part in a voter set.
+// bootstrapProposal is a request to join a proposed voter set.
 type bootstrapProposal struct {
 	round uint64
 	set   bootstrapVoters
 }
 
-// bootstrapNode is one seed: its disk's id, its record, the voter set that it is active in,
-// and, for the proposer, what it proposed last.
+// bootstrapNode is the state of one seed.
 type bootstrapNode struct {
-	id       uint64
-	record   BootstrapRecord
-	active   bootstrapProposal
+	// id is the id of the seed's disk.
+	id     uint64
+	record BootstrapRecord
+	// active is the proposal whose voter set the seed is active in, zero for none.
+	active bootstrapProposal
+	// proposal is the last proposal, for the proposer only.
 	proposal bootstrapProposal
 }
 
@@ -44,7 +46,7 @@
 	store uint64
 }
 
-// bootstrapMessage hands a voter set on to another of its members.
+// bootstrapMessage sends a voter set from an active member to the others.
 type bootstrapMessage struct {
 	bootstrapProposal
 	from Voter
@@ -57,13 +59,13 @@
 	requests   []bootstrapProposal
 	promises   []bootstrapPromise
 	bootstraps []bootstrapMessage
-	// serving are the voter sets of which a majority was active at one time.
-	serving []bootstrapVoters
+	// activeSets lists the voter sets that were active at a majority of their members at once.
+	activeSets []bootstrapVoters
 }
 
 func (s bootstrapState) clone() bootstrapState {
 	s.requests, s.promises, s.bootstraps = slices.Clone(s.requests), slices.Clone(s.promises), slices.Clone(s.bootstraps)
-	s.serving = slices.Clone(s.serving)
+	s.activeSets = slices.Clone(s.activeSets)
 	return s
 }
 
@@ -81,7 +83,7 @@
 	maxBootstrapRequests = 3
 )
 
-// bootstrapRules are the decisions under test, in which a fault may be planted.
+// bootstrapRules holds the decisions under test, so that a test can inject faults.
 type bootstrapRules struct {
 	promise  func(r BootstrapRecord, request BootstrapRequest) (BootstrapRecord, string)
 	mayAdopt func(r BootstrapRecord, bootstrap Bootstrap, from Voter) bool
@@ -89,7 +91,8 @@
 
 var correctBootstrapRules = bootstrapRules{promise: BootstrapRecord.Promise, mayAdopt: BootstrapRecord.MayAdopt}
 
-// diskIDsAt returns the disks that an address has had, as a Hello of an old one may be late.
+// diskIDsAt returns the ids of all disks that seed i has had. A delayed Hello may still carry
+// the id of a wiped disk.
 func (s bootstrapState) diskIDsAt(i int) []uint64 {
 	var out []uint64
 	for id := uint64(i+1) * 10; id <= s.nodes[i].id; id++ {
@@ -98,7 +101,7 @@
 	return out
 }
 
-// activate makes a node an active member, which hands its voter set on from then on.
+// activate makes a node an active member of a proposed voter set, which it sends to the others.
 func (s *bootstrapState) activate(i int, p bootstrapProposal) {
 	s.nodes[i].active = p
 	s.nodes[i].record.Round = p.round
@@ -110,11 +113,11 @@
 		}
 	}
 	if active >= 2 {
-		s.serving = appendIfMissing(s.serving, p.set)
+		s.activeSets = appendIfMissing(s.activeSets, p.set)
 	}
 }
 
-// successors returns every state that may come next.
+// successors returns all states that one step leads to.
 func (s bootstrapState) successors(rules bootstrapRules) []bootstrapState {
 	var out []bootstrapState
 	out = append(out, s.proposerSuccessors()...)
@@ -130,8 +133,8 @@
 	return out
 }
 
-// proposerSuccessors are the steps of the first node: to propose, and to activate a voter set
-// that all have promised.
+// proposerSuccessors returns the states after a step of the proposer: a proposal, or the
+// activation of a voter set that all its members promised.
 func (s bootstrapState) proposerSuccessors() []bootstrapState {
 	var out []bootstrapState
 	proposer := s.nodes[0]
@@ -166,7 +169,7 @@
 	return out
 }
 
-// nodeSuccessors are the steps of any node: to promise, and to adopt a voter set.
+// nodeSuccessors returns the states after node i promises a proposal or adopts a voter set.
 func (s bootstrapState) nodeSuccessors(i int, rules bootstrapRules) []bootstrapState {
 	var out []bootstrapState
 	n := s.nodes[i]
@@ -194,22 +197,23 @@
 	return out
 }
 
-// violation says which invariant a state violates, empty for none.
+// violation describes the invariant that the state violates, empty for none.
 func (s bootstrapState) violation() string {
-	for i, v := range s.serving {
-		for _, w := range s.serving[:i] {
+	for i, v := range s.activeSets {
+		for _, w := range s.activeSets[:i] {
 			for _, id := range v {
 				if slices.Contains(w[:], id) {
-					return fmt.Sprintf("%v and %v have both served, and share disk %d", v, w, id)
+					return fmt.Sprintf("voter sets %v and %v were both active at a majority and share disk %d", v, w, id)
 				}
 			}
 		}
 	}
-	// A voter set whose only active member was wiped is gone; two active ones are a split.
+	// No active node may be a member of the voter set of a node that is active in another set.
+	// A wiped node is no longer active.
 	for _, n := range s.nodes {
 		for _, m := range s.nodes {
 			if n.active.round != 0 && m.active.round != 0 && n.active.set != m.active.set && slices.Contains(m.active.set[:], n.id) {
-				return fmt.Sprintf("disk %d is in %v, while disk %d is in %v", n.id, n.active.set, m.id, m.active.set)
+				return fmt.Sprintf("disk %d is active in %v, but disk %d is active in %v", n.id, n.active.set, m.id, m.active.set)
 			}
 		}
 	}
