--- a/internal/state/consensus/client_attempts_test.go
+++ b/internal/state/consensus/client_attempts_test.go
@@ -8,11 +8,10 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// A store that was cut off, but not yet declared dead, was the first to be asked by each
-// call, which lost 400 ms by it: the registries' last reads grew too old to act on, though
-// a quorum was there.
-func TestClient_AsksSilentStoreLast(t *testing.T) {
-	client, out := newTestClient("cut", "a", "b")
+// Calls try an unresponsive store last. Otherwise, each call would lose an attemptTimeout to a
+// store that is unreachable but not yet declared dead.
+func TestClient_TriesUnresponsiveStoreLast(t *testing.T) {
+	client, out := newTestClient("unreachable", "a", "b")
 	now := ids.Time(1)
 	call := func() (responseTime time.Duration) {
 		began, done := now, false
@@ -20,7 +19,7 @@
 		for !done && now.Sub(began) < 3*time.Second {
 			for _, command := range out.Drain() {
 				send := command.(event.Send)
-				if request := send.Message.(Request); send.To != "cut" {
+				if request := send.Message.(Request); send.To != "unreachable" {
 					client.HandleResponse(now, send.To, Response{ID: request.ID, Attempt: request.Attempt, Outcome: Succeeded})
 				}
 			}
@@ -35,30 +34,30 @@
 		t.Fatalf("the first call took %s", first)
 	}
 	slow := 0
-	for range 60 { // half a second apart: half a minute
+	for range 60 { // one call every 500 ms, for 30 s
 		now = now.Add(500 * time.Millisecond)
 		if call() > 50*time.Millisecond {
 			slow++
 		}
 	}
 	if slow > 3 {
-		t.Fatalf("%d of 60 calls waited for the silent store", slow)
+		t.Fatalf("%d of 60 calls waited for the unresponsive store", slow)
 	}
 	if !client.HadUnresponsiveStore(now) {
-		t.Fatal("the silent store is not reported")
+		t.Fatal("HadUnresponsiveStore doesn't report the unresponsive store")
 	}
 }
 
-// With only two stores known, the second attempt goes to the other one.
+// The second attempt of a call goes to another store.
 func TestClient_NextAttemptGoesToAnotherStore(t *testing.T) {
-	client, out := newTestClient("cut", "a")
+	client, out := newTestClient("unreachable", "a")
 	client.Call(1, "k", Read, nil, 3*time.Second, func(ids.Time, Outcome, []byte) {})
 	client.Tick(ids.Time(1).Add(attemptTimeout))
 	var sentTo []ids.Address
 	for _, command := range out.Drain() {
 		sentTo = append(sentTo, command.(event.Send).To)
 	}
-	if len(sentTo) != 2 || sentTo[0] != "cut" || sentTo[1] != "a" {
-		t.Fatalf("asked %v", sentTo)
+	if len(sentTo) != 2 || sentTo[0] != "unreachable" || sentTo[1] != "a" {
+		t.Fatalf("attempts were sent to %v", sentTo)
 	}
 }
--- a/internal/state/consensus/client_test.go
+++ b/internal/state/consensus/client_test.go
@@ -10,7 +10,7 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// newTestClient returns a client that asks the stores in the given order.
+// newTestClient returns a client that tries the stores in the given order.
 func newTestClient(stores ...ids.Address) (*Client, *event.Outbox) {
 	out := &event.Outbox{}
 	c := NewClient(1, out)
@@ -18,10 +18,9 @@
 	return c, out
 }
 
-// A store takes a request, its disk stalls, and it rejects the second attempt of that
-// request. It may still be busy with the first: the outcome is indeterminate, and the
-// caller must not take the request for rejected.
-func TestClient_RejectionSettlesOnlyItsOwnAttempt(t *testing.T) {
+// A call ends as Rejected only if all its attempts were rejected. A store with a stalled disk
+// may reject the second attempt and still execute the first.
+func TestClient_RejectionResolvesOnlyItsAttempt(t *testing.T) {
 	for name, c := range map[string]struct {
 		rejected []uint32
 		want     Outcome
@@ -48,8 +47,8 @@
 	}
 }
 
-// A large request is given the time to arrive before another store is asked, which would
-// only begin to contend with the first.
+// The client waits for the transfer of a large request before it tries another store, whose
+// proposer would contend with the first.
 func TestClient_LargeRequestIsNotSentToEveryStore(t *testing.T) {
 	for name, c := range map[string]struct{ size, maxSent int }{
 		"small": {10, 10},
--- a/internal/state/consensus/proposer_test.go
+++ b/internal/state/consensus/proposer_test.go
@@ -9,9 +9,9 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// Recorded from seed 2 of the simulator: a proposer that is cut off sends its next value
-// without a Prepare, to its own acceptor alone, while the others go on. Its value must not
-// win once the partition ends.
+// During a partition, a proposer sends its next value without a Prepare, and only its own
+// acceptor accepts it. After the partition, the value must not replace the values that the
+// others chose meanwhile.
 func TestProposer_ValueOfPartitionedProposerDoesNotWin(t *testing.T) {
 	is := is.New(t)
 	stores := newTestStores()
@@ -20,12 +20,12 @@
 	}
 	submit("a", "w1", 1, "1")
 	is.Equal(mustSucceed(t, deliverAll(1, stores, allLinks), "w1"), "1")
-	// Other work has taken a's ballots far beyond what the others use.
+	// Rounds of another register raise a's ballot counter far above those of b and c.
 	for range 10 {
 		stores["a"].Submit(1, "w0", Request{ID: 1, Key: "y", Op: opAppend, TimeoutMillis: 60000})
 		deliverAll(1, stores, allLinks)
 	}
-	// In the partition, a's next value reaches a alone.
+	// During the partition, a's next value reaches only a.
 	withoutA := func(from, to ids.Address) bool { return from != "a" && to != "a" }
 	submit("a", "w2", 2, "2")
 	is.Equal(len(deliverAll(2, stores, withoutA)), 0)
@@ -41,8 +41,8 @@
 			}
 		}
 	}
-	// The partition ends, for a and b at first: a's change comes after the others', or
-	// not at all.
+	// The partition ends between a and b first. If a's change takes effect, it must be applied
+	// after the others.
 	withoutC := func(from, to ids.Address) bool { return from != "c" && to != "c" }
 	for step := range 20 {
 		now := ids.Time(20 * time.Second).Add(time.Duration(step) * 150 * time.Millisecond)
@@ -52,5 +52,5 @@
 			return
 		}
 	}
-	t.Fatal("the change of a was never answered")
+	t.Fatal("no response to a's change after the partition")
 }
--- a/internal/state/consensus/retry_test.go
+++ b/internal/state/consensus/retry_test.go
@@ -28,8 +28,8 @@
 	return n
 }
 
-// A large value takes its time to arrive. Repeated every 100 ms meanwhile, it queued up
-// behind itself: 20 copies of 4 MB to each store within two seconds.
+// A large value isn't resent while its transfer may still be running. Otherwise the copies
+// would fill the send queue.
 func TestProposer_LargeValueIsNotResentBeforeItCanArrive(t *testing.T) {
 	is := is.New(t)
 	stores := newTestStores()
@@ -43,14 +43,14 @@
 		for _, c := range commands {
 			a.Emit(c)
 		}
-		// Promises arrive at once; what carries the value is still in transit.
+		// Promises are delivered immediately; messages with the value stay in transit.
 		deliverAll(now, stores, func(ids.Address, ids.Address) bool { return !a.accepting("x") })
 	}
 	is.True(copies >= 1)
 	is.True(copies <= 2)
 }
 
-// accepting reports whether the store's proposer collects votes for a register.
+// accepting reports whether the store's proposer is collecting votes for a register.
 func (s *testStore) accepting(key ids.RegisterKey) bool {
 	r := s.rounds[key]
 	return r != nil && r.phase == accepting
--- a/internal/state/consensus/store_test.go
+++ b/internal/state/consensus/store_test.go
@@ -12,10 +12,10 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// This file holds what the tests of the package share: a disk in memory, a store with its
-// acceptor and proposer, and the exchange of messages between three of them.
+// This file holds shared helpers: a store with an acceptor, a proposer and an in-memory disk,
+// and the exchange of messages between three such stores.
 
-// testStore is one store. A test carries out its commands and delivers its messages.
+// testStore is one store. The tests execute its commands and deliver its messages.
 type testStore struct {
 	event.Outbox
 	disk memorydisk.Disk
@@ -25,23 +25,23 @@
 	bytesSynced int
 }
 
-// addresses are those of the stores 1, 2 and 3.
+// addresses holds the addresses of stores 1, 2 and 3.
 var addresses = []ids.Address{"a", "b", "c"}
 
-// threeVoters is the voter set of the stores 1, 2 and 3.
+// threeVoters is the voter set of stores 1, 2 and 3.
 var threeVoters = VoterSet{Number: 1, Voters: []Voter{{1, "a"}, {2, "b"}, {3, "c"}}}
 
-// opAppend is the change function of the tests.
+// opAppend is the operation that the tests use to change a register.
 const opAppend Op = 99
 
-// appendArg appends the argument, once for each call.
+// appendArg appends the argument, even if it was appended before.
 func appendArg(_ ids.RegisterKey, old, arg []byte) (next, result []byte) {
 	next = slices.Concat(old, arg)
 	return next, next
 }
 
-// appendArgOnce appends the argument unless it is there, as a change function must
-// recognise a change that it has made before.
+// appendArgOnce appends the argument unless the value contains it. It is idempotent, as change
+// functions must be.
 func appendArgOnce(key ids.RegisterKey, old, arg []byte) (next, result []byte) {
 	if bytes.Contains(old, arg) {
 		return old, old
@@ -63,7 +63,7 @@
 	return s
 }
 
-// newTestStores returns three voters that append.
+// newTestStores returns the stores of threeVoters, with appendArg as their change function.
 func newTestStores() map[ids.Address]*testStore {
 	stores := map[ids.Address]*testStore{}
 	for i, at := range addresses {
@@ -76,8 +76,7 @@
 	return stores
 }
 
-// syncAll carries out what the store asked of its disk, and returns the messages that it
-// sends, in order.
+// syncAll executes the store's disk writes and returns the messages that it sends, in order.
 func (s *testStore) syncAll() []event.Send {
 	var sent []event.Send
 	commands := s.Drain()
@@ -99,7 +98,7 @@
 	return sent
 }
 
-// deliver hands a message to the store.
+// deliver passes a message to the handler for its type.
 func (s *testStore) deliver(now ids.Time, from ids.Address, msg any) {
 	switch m := msg.(type) {
 	case Prepare:
@@ -115,8 +114,8 @@
 	}
 }
 
-// exchange carries out the commands of the stores until none is left. Messages are
-// handed to onSend.
+// exchange executes the commands of the stores until none is left, and passes their messages to
+// onSend.
 func exchange(stores map[ids.Address]*testStore, onSend func(from ids.Address, c event.Send)) {
 	for busy := true; busy; {
 		busy = false
@@ -129,8 +128,8 @@
 	}
 }
 
-// deliverAll delivers messages until none is left, those to other stores only where the
-// link between the two is up. It returns the responses by their receivers.
+// deliverAll delivers messages until none is left. It drops those between different stores
+// whose link is down. It returns the responses to clients by client.
 func deliverAll(now ids.Time, stores map[ids.Address]*testStore, isUp func(from, to ids.Address) bool) map[ids.Address][]Response {
 	responses := map[ids.Address][]Response{}
 	exchange(stores, func(from ids.Address, c event.Send) {
@@ -154,12 +153,11 @@
 	t.Helper()
 	got := responses[client]
 	if len(got) != 1 || got[0].Outcome != Succeeded {
-		t.Fatalf("%s got %+v", client, got)
+		t.Fatalf("%s received %+v, want one successful response", client, got)
 	}
 	return string(got[0].Result)
 }
 
-// mustEncode encodes a message.
 func mustEncode(t testing.TB, msg any) []byte {
 	t.Helper()
 	raw, err := wire.Encode(msg)
@@ -169,7 +167,7 @@
 	return raw
 }
 
-// randomText returns n letters, no part of which is like another.
+// randomText returns n random lowercase letters.
 func randomText(random *rand.Rand, n int) []byte {
 	text := make([]byte, n)
 	for i := range text {
--- a/internal/state/consensus/value_delta_test.go
+++ b/internal/state/consensus/value_delta_test.go
@@ -14,14 +14,15 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// countingNetwork delivers messages between stores and counts them.
+// countingNetwork delivers messages between stores, and counts them and their bytes.
 type countingNetwork struct {
 	bytes, fullValues, deltas int
-	// earlierVersion is a store of a version that doesn't know AcceptDelta.
+	// earlierVersion is a store that runs a version without AcceptDelta, empty for none.
 	earlierVersion ids.Address
 }
 
-// deliverAll delivers messages until none is left; stores that are down receive none.
+// deliverAll delivers messages until none is left, except those from or to a store that is
+// down, and returns the responses to clients.
 func (n *countingNetwork) deliverAll(stores map[ids.Address]*testStore, now ids.Time, down map[ids.Address]bool) []Response {
 	var responses []Response
 	exchange(stores, func(from ids.Address, c event.Send) {
@@ -37,7 +38,7 @@
 	return responses
 }
 
-// deliver hands a message over; an earlier version skips what it doesn't know.
+// deliver delivers a message. A store of an earlier version ignores AcceptDelta.
 func (n *countingNetwork) deliver(now ids.Time, to *testStore, from ids.Address, c event.Send) {
 	switch m := c.Message.(type) {
 	case AcceptDelta:
@@ -63,7 +64,7 @@
 	}
 }
 
-// run submits a change at a store and lets time pass until it is answered.
+// run submits a change to a store and advances the time until the store responds.
 func (n *countingNetwork) run(t *testing.T, stores map[ids.Address]*testStore, at ids.Address, now *ids.Time, arg string, down map[ids.Address]bool) {
 	t.Helper()
 	stores[at].Submit(*now, "w", Request{ID: 1, Key: "policy", Op: opAppend, Arg: []byte(arg), TimeoutMillis: 60000})
@@ -77,7 +78,7 @@
 		*now = now.Add(20 * time.Millisecond)
 		tickAll(stores, *now)
 	}
-	t.Fatalf("%q was never answered", arg)
+	t.Fatalf("%q: no response", arg)
 }
 
 func tickAll(stores map[ids.Address]*testStore, now ids.Time) {
@@ -86,7 +87,8 @@
 	}
 }
 
-// mustAllHold checks that every store holds the value, in memory and on disk.
+// mustAllHold checks that every store holds the value under the same ballot, in memory and on
+// disk.
 func mustAllHold(t *testing.T, stores map[ids.Address]*testStore, want []byte) {
 	t.Helper()
 	wantBallot, _ := stores["a"].AcceptedValue("policy")
@@ -99,8 +101,8 @@
 	}
 }
 
-// A change is sent as a delta, and every store holds the very same bytes. A store that
-// missed changes, or whose proposer is new, is sent the whole value once.
+// Changes are sent as deltas, from which all stores derive the same value. A store that missed
+// changes receives the full value once.
 func TestProposer_SendsChangesAsDeltas(t *testing.T) {
 	is := is.New(t)
 	stores := newTestStores()
@@ -121,8 +123,8 @@
 	mustAllHold(t, stores, want)
 	is.Equal(network.fullValues, 0)
 	is.Equal(network.deltas, 150)
-	is.True(network.bytes/50 < 1500) // to three stores and back
-	// c is away for 300 changes, and holds what the others do after one more.
+	is.True(network.bytes/50 < 1500) // requests to three stores and their responses
+	// c misses 300 changes while it is down, and catches up with the next one.
 	for i := range 300 {
 		change("a", i, map[ids.Address]bool{"c": true})
 	}
@@ -130,7 +132,7 @@
 	change("a", 301, noneDown)
 	mustAllHold(t, stores, want)
 	is.Equal(network.fullValues, 1)
-	// Another proposer reads, then goes on with deltas.
+	// Another proposer sends deltas after its first change.
 	change("b", 302, noneDown)
 	*network = countingNetwork{}
 	change("b", 303, noneDown)
@@ -138,9 +140,9 @@
 	is.Equal(network.fullValues, 0)
 }
 
-// A store of an earlier version skips AcceptDelta. It is sent whole values, also if
-// it was downgraded to that version.
-func TestProposer_SendsWholeValuesToEarlierVersions(t *testing.T) {
+// A store of an earlier version ignores AcceptDelta, so it must receive full values, even if it
+// supported deltas before a downgrade.
+func TestProposer_SendsFullValuesToEarlierVersions(t *testing.T) {
 	stores := newTestStores()
 	now, network := ids.Time(1), &countingNetwork{}
 	want := randomText(rand.New(rand.NewPCG(1, 1)), 20_000)
@@ -154,10 +156,10 @@
 	mustAllHold(t, stores, want)
 }
 
-// A store that comes back is found out by the next read, and is caught up without any
-// change to the register.
+// The next read detects a store that missed changes while it was down, and the proposer catches
+// it up without a change to the register.
 func TestProposer_CatchesUpReturningStore(t *testing.T) {
-	for name, promisedHigher := range map[string]bool{"with old values": false, "with a higher promise": true} {
+	for name, promisedHigher := range map[string]bool{"outdated value": false, "higher promise": true} {
 		t.Run(name, func(t *testing.T) { checkCatchUp(t, promisedHigher) })
 	}
 }
@@ -174,13 +176,13 @@
 		want = append(want, 'x')
 	}
 	if promisedHigher {
-		// c's own proposer prepared, as it came back, a ballot above all others.
+		// c's own proposer prepared a ballot above all others when c came back.
 		stores["c"].HandlePrepare("c", Prepare{Key: "policy", Ballot: ids.Ballot{Counter: 1 << 50, Proposer: 3}, VoterSetNumber: 1, Round: 1})
 	}
 	returned := now
 	for now.Sub(returned) < 2*time.Second {
 		if now.Sub(returned)%(500*time.Millisecond) == 0 {
-			// A registry reads as often.
+			// Registries read at this interval.
 			stores["b"].Submit(now, "w", Request{ID: 1, Key: "policy", Op: Read, TimeoutMillis: 60000})
 		}
 		network.deliverAll(stores, now, noneDown)
--- a/internal/state/consensus/voter_set_test.go
+++ b/internal/state/consensus/voter_set_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-// While a voter set is joint, a majority of one side alone decides nothing.
+// A quorum of a joint voter set needs a majority of both sides.
 func TestVoterSet_JointQuorumNeedsBothMajorities(t *testing.T) {
 	is := is.New(t)
 	joint := VoterSet{Number: 2, Voters: []Voter{{ID: 1}, {ID: 2}, {ID: 3}}, Incoming: []Voter{{ID: 1}, {ID: 4}, {ID: 5}}}
@@ -18,14 +18,14 @@
 	got, _ := DecodeVoterSet(next)
 	is.Equal(got.Number, uint64(2))
 	is.Equal(got.Incoming[2].ID, uint64(9))
-	// A second replacement waits and changes nothing.
+	// A second replacement has no effect while the voter set is joint.
 	same, _ := joinVoter("", next, mustEncode(t, JoinRequest{New: Voter{ID: 8}, LostID: 2}))
 	is.Equal(same, next)
 }
 
-// A new voter takes a lost one's place at once, but never so that too few voters are left
-// whose copy is complete.
-func TestReplaceVoter_LeavesAQuorumOfCompleteCopies(t *testing.T) {
+// A new voter replaces a lost one immediately, unless too few voters with a complete copy would
+// remain for a quorum.
+func TestReplaceVoter_KeepsQuorumOfCompleteCopies(t *testing.T) {
 	is := is.New(t)
 	set := mustEncode(t, VoterSet{Number: 1, Voters: []Voter{{ID: 1}, {ID: 2}, {ID: 3}}})
 	replace := func(old []byte, id, lost uint64) []byte {
@@ -37,8 +37,8 @@
 	is.Equal(got.Number, uint64(2))
 	is.Equal(got.Voters, []Voter{{ID: 1}, {ID: 2}, {ID: 9}})
 	is.Equal(got.Learners, []uint64{9})
-	is.Equal(replace(next, 9, 1), next)  // it is a voter already
-	is.Equal(replace(next, 8, 2), next)  // one of three would be left that can vote
+	is.Equal(replace(next, 9, 1), next)  // already a voter
+	is.Equal(replace(next, 8, 2), next)  // only one of three voters could vote
 	is.Equal(replace(next, 8, 77), next) // no such voter
 	again, _ := DecodeVoterSet(replace(next, 8, 9))
 	is.Equal(again.Learners, []uint64{8}) // the learner itself was lost
