--- a/internal/state/consensus/lossy_network_test.go
+++ b/internal/state/consensus/lossy_network_test.go
@@ -12,8 +12,8 @@
 	"dunlinwell/internal/testsupport/memorydisk"
 )
 
-// lossyNetwork is three stores whose messages are lost, duplicated and delayed, and which
-// are killed and restarted from their disks.
+// lossyNetwork connects three stores. It loses, duplicates and delays their messages, and
+// restarts the stores from their disks.
 type lossyNetwork struct {
 	random    *rand.Rand
 	now       ids.Time
@@ -22,11 +22,11 @@
 	senders   []ids.Address
 	responses []Response
 	runCount  uint64
-	// isolated is a store that receives nothing for some steps.
+	// isolated is a store that receives no messages for isolatedSteps steps, empty for none.
 	isolated      ids.Address
 	isolatedSteps int
-	// deltas counts the votes for a value that came as a delta, fullValueRequests the
-	// times that a store asked for the whole value.
+	// deltas counts the votes for values sent as deltas, fullValueRequests the responses that
+	// requested the full value.
 	deltas, fullValueRequests int
 }
 
@@ -40,13 +40,13 @@
 	return l
 }
 
-// start begins a run of a store on a disk.
+// start starts a new run of a store on a disk.
 func (l *lossyNetwork) start(at ids.Address, store uint64, disk memorydisk.Disk) {
 	l.runCount++
 	l.stores[at] = newTestStore(store, disk, store<<24|l.runCount, appendArgOnce, l.random)
 }
 
-// collect carries out what the stores asked for; their messages are in transit then.
+// collect executes the commands of the stores and puts their messages in transit.
 func (l *lossyNetwork) collect() {
 	for _, at := range addresses {
 		for _, c := range l.stores[at].syncAll() {
@@ -54,7 +54,7 @@
 				l.responses = append(l.responses, r)
 				continue
 			}
-			for n := l.random.IntN(20); n > 0; n -= 17 { // one in twenty lost, two duplicated
+			for n := l.random.IntN(20); n > 0; n -= 17 { // 5% lost, 10% duplicated
 				l.inTransit, l.senders = append(l.inTransit, c), append(l.senders, at)
 			}
 		}
@@ -78,7 +78,7 @@
 			l.stores[at].Proposer.Tick(l.now)
 		}
 	default:
-		// Mostly in order, sometimes any of those in transit.
+		// Mostly in order, sometimes a random message.
 		i := 0
 		if l.random.IntN(6) == 0 {
 			i = l.random.IntN(len(l.inTransit))
@@ -91,7 +91,7 @@
 	}
 }
 
-// deliver hands a message to its store, and counts what became of a delta.
+// deliver delivers a message and updates the counters.
 func (l *lossyNetwork) deliver(from ids.Address, c event.Send) {
 	to := l.stores[c.To]
 	if vote, ok := c.Message.(Accepted); ok && vote.NeedsFullValue {
@@ -109,8 +109,8 @@
 	}
 }
 
-// Whatever is lost, duplicated, delayed or killed: all results are prefixes of one history,
-// no acknowledged change is missing from it, and deltas carry most of it.
+// Under message loss, duplication, delay and restarts, the results of all acknowledged changes
+// are prefixes of one history, and stores accept both deltas and full values.
 func TestDeltas_OneHistoryUnderLossAndRestarts(t *testing.T) {
 	deltas, fullValueRequests := 0, 0
 	for seed := range uint64(60) {
@@ -133,9 +133,9 @@
 		checkOneHistory(t, seed, l.responses)
 		deltas, fullValueRequests = deltas+l.deltas, fullValueRequests+l.fullValueRequests
 	}
-	t.Logf("votes for deltas: %d, requests for whole values: %d", deltas, fullValueRequests)
+	t.Logf("votes for deltas: %d, requests for full values: %d", deltas, fullValueRequests)
 	if deltas < 1000 || fullValueRequests < 50 {
-		t.Fatal("too few of either: the test shows little")
+		t.Fatal("too few deltas or requests for full values to cover both paths")
 	}
 }
 
@@ -149,7 +149,7 @@
 	}
 	for _, r := range responses {
 		if r.Outcome == Succeeded && !bytes.HasPrefix(longest, r.Result) {
-			t.Fatalf("seed %d: change %d has a result that the last one doesn't continue", seed, r.ID)
+			t.Fatalf("seed %d: the result of change %d is not a prefix of the longest result", seed, r.ID)
 		}
 	}
 }
--- a/internal/state/consensus/restart_network_test.go
+++ b/internal/state/consensus/restart_network_test.go
@@ -10,40 +10,42 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// delayedMessage is a message in transit. Messages are delayed, duplicated, reordered and
-// lost, and reach whichever run of their receiver there is by then.
+// delayedMessage is a message in transit. It may be delayed, duplicated, reordered or lost, and
+// is delivered to the run of its receiver that is current at that time.
 type delayedMessage struct {
 	from, to ids.Address
 	msg      any
 }
 
-// restartNetwork is three stores that restart. It checks the results of their clients.
+// restartNetwork connects three stores, restarts them, and checks the results of their clients.
 type restartNetwork struct {
 	*rand.Rand
 	stores           map[ids.Address]*testStore
 	inTransit        []delayedMessage
-	blockedLinks     map[[2]ids.Address]bool // links whose messages wait
+	blockedLinks     map[[2]ids.Address]bool // links whose messages are held back
 	now              ids.Time
 	runCount         uint64
 	callCount        uint64
-	pendingCalls     map[uint64]pendingAppend
+	pendingCalls     map[uint64]clientCall
 	acknowledgedTags []string
 	longestResult    string
 	violations       []string
-	// sharedRoundIDs plants a fault: each run counts its rounds from 1.
+	// sharedRoundIDs injects a fault: the round ids of every run start at 1.
 	sharedRoundIDs bool
 }
 
-// pendingAppend is a call that appends a tag. Its result must contain the first acknowledgedBefore
-// tags, which were agreed on before it began.
-type pendingAppend struct {
-	tag                string
+// clientCall is a call without a response.
+type clientCall struct {
+	// tag is the text to append, empty for a read.
+	tag string
+	// acknowledgedBefore is the number of tags acknowledged before the call. Its result must
+	// contain them.
 	acknowledgedBefore int
 }
 
 func newRestartNetwork(seed uint64, sharedRoundIDs bool) *restartNetwork {
 	n := &restartNetwork{
-		Rand: rand.New(rand.NewPCG(seed, 7)), stores: newTestStores(), pendingCalls: map[uint64]pendingAppend{},
+		Rand: rand.New(rand.NewPCG(seed, 7)), stores: newTestStores(), pendingCalls: map[uint64]clientCall{},
 		blockedLinks: map[[2]ids.Address]bool{}, now: 1, sharedRoundIDs: sharedRoundIDs,
 	}
 	for _, at := range addresses {
@@ -53,7 +55,8 @@
 	return n
 }
 
-// collect carries out what a store asked for; its messages are in transit then.
+// collect executes the commands of a store, checks its responses to clients, and puts its
+// other messages in transit.
 func (n *restartNetwork) collect(at ids.Address) {
 	for _, c := range n.stores[at].syncAll() {
 		if response, ok := c.Message.(Response); ok {
@@ -64,7 +67,7 @@
 	}
 }
 
-// checkResponse checks a result against all results before it.
+// checkResponse checks a result against all earlier results.
 func (n *restartNetwork) checkResponse(m Response) {
 	call, isPending := n.pendingCalls[m.ID]
 	if m.Outcome != Succeeded || !isPending {
@@ -77,11 +80,11 @@
 		shorter, longer = longer, shorter
 	}
 	if !strings.HasPrefix(longer, shorter) {
-		n.violations = append(n.violations, fmt.Sprintf("%q and %q were both agreed on", shorter, longer))
+		n.violations = append(n.violations, fmt.Sprintf("results %q and %q conflict", shorter, longer))
 	}
 	for _, tag := range append(n.acknowledgedTags[:call.acknowledgedBefore:call.acknowledgedBefore], call.tag) {
 		if !strings.Contains(result, tag) {
-			n.violations = append(n.violations, fmt.Sprintf("%q is lost in %q", tag, result))
+			n.violations = append(n.violations, fmt.Sprintf("acknowledged tag %q is missing from %q", tag, result))
 		}
 	}
 	n.longestResult = longer
@@ -93,7 +96,7 @@
 func (n *restartNetwork) call(at ids.Address) {
 	n.callCount++
 	r := Request{ID: n.callCount, Key: "x", Op: Read, TimeoutMillis: 3000}
-	c := pendingAppend{acknowledgedBefore: len(n.acknowledgedTags)}
+	c := clientCall{acknowledgedBefore: len(n.acknowledgedTags)}
 	if n.IntN(3) > 0 {
 		c.tag = fmt.Sprintf("%d;", n.callCount+1000)
 		r.Op, r.Arg = opAppend, []byte(c.tag)
@@ -132,7 +135,7 @@
 	}
 }
 
-// run takes random steps and returns what was violated.
+// run executes random steps and returns the violations.
 func (n *restartNetwork) run(steps int) []string {
 	for range steps {
 		at := addresses[n.IntN(len(addresses))]
@@ -157,8 +160,8 @@
 
 const stepsPerSeed = 4000
 
-// Clients of one register never see two histories, nor lose a change that was acknowledged,
-// whatever the order, the number and the delay of the answers, over restarts.
+// Across restarts and under message loss, reordering, duplication and delay, the results of a
+// register form one history that contains every acknowledged change.
 func TestProposer_OneHistoryOverRestarts(t *testing.T) {
 	const seeds = 80
 	acknowledged := 0
@@ -170,11 +173,11 @@
 		acknowledged += len(n.acknowledgedTags)
 	}
 	if acknowledged < 10*seeds {
-		t.Fatalf("only %d changes were agreed on", acknowledged)
+		t.Fatalf("only %d changes were acknowledged", acknowledged)
 	}
 }
 
-// The checks above detect runs that share round ids.
+// The checks detect a fault in which the runs of a store share round ids.
 func TestProposer_SharedRoundIDsAreDetected(t *testing.T) {
 	for seed := range uint64(1000) {
 		if violations := newRestartNetwork(seed, true).run(stepsPerSeed); len(violations) > 0 {
@@ -182,5 +185,5 @@
 			return
 		}
 	}
-	t.Fatal("the planted fault was not found")
+	t.Fatal("injected fault not detected")
 }
--- a/internal/state/consensus/restart_test.go
+++ b/internal/state/consensus/restart_test.go
@@ -11,21 +11,22 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// restartStore begins a store's next run on the same disk.
+// restartStore starts the next run of a store on the same disk.
 func restartStore(stores map[ids.Address]*testStore, at ids.Address, proposerID uint64, change ChangeFunc) {
 	old := stores[at]
 	stores[at] = newTestStore(old.StoreID(), old.disk, proposerID, change, rand.New(rand.NewPCG(1, proposerID)))
 }
 
-// withholdResponses syncs a store and returns its answers to another without delivering
-// them; those to any other are lost. Messages that don't wait for the disk stay.
+// withholdResponses syncs a store's disk and returns its responses to one address instead of
+// sending them. Responses to other addresses are lost; commands that don't wait for the disk
+// stay in the store's outbox.
 func withholdResponses(s *testStore, to ids.Address) []event.Send {
 	var withheld []event.Send
-	var unsynced []event.Command
+	var others []event.Command
 	for _, c := range s.Drain() {
 		sync, ok := c.(event.Sync)
 		if !ok {
-			unsynced = append(unsynced, c)
+			others = append(others, c)
 			continue
 		}
 		s.disk.Write(sync.Records)
@@ -36,26 +37,27 @@
 			}
 		}
 	}
-	for _, c := range unsynced {
+	for _, c := range others {
 		s.Emit(c)
 	}
 	return withheld
 }
 
-// A vote for a value of an earlier run waits in its sender's queue while the proposer
-// restarts. It must not count as a vote for the new run's value.
+// A vote for a value of an earlier run that arrives after the proposer's restart must not count
+// for the value of the new run.
 func TestProposer_IgnoresVoteForEarlierRun(t *testing.T) {
 	is := is.New(t)
 	stores := newTestStores()
 	deliverAll(1, stores, allLinks)
-	// Another register takes the first round, as a round that is rejected for its low
-	// ballot does in the second run.
+	// Use this run's first round id for another register. The second run uses its first one for
+	// a round that is rejected for its low ballot. If each run counted its round ids from 1, the
+	// rounds that send the two values would share an id.
 	stores["a"].Submit(1, "w0", Request{ID: 1, Key: "y", Op: opAppend, TimeoutMillis: 60000})
 	deliverAll(1, stores, allLinks)
 	submit := func(arg string) {
 		stores["a"].Submit(1, "w", Request{ID: 1, Key: "x", Op: opAppend, Arg: []byte(arg), TimeoutMillis: 60000})
 	}
-	// Until a proposes, a and b are connected; c is not at stores.
+	// Connects a and b until a proposes a value; c is disconnected.
 	untilProposed := func(from, to ids.Address) bool {
 		r := stores["a"].rounds["x"]
 		return from != "c" && to != "c" && (from != "a" || r == nil || r.phase == preparing)
@@ -81,13 +83,13 @@
 	stores["a"].Proposer.Tick(later.Add(replicationGrace))
 	responses := deliverAll(later, stores, noLinks)
 	if len(responses) > 0 {
-		_, value := b.AcceptedValue("x")
-		t.Fatalf("the client was sent %q, while b holds %q and c nothing", responses["w"][0].Result, value)
+		_, accepted := b.AcceptedValue("x")
+		t.Fatalf("the client received %q, but b accepted %q and c nothing", responses["w"][0].Result, accepted)
 	}
 }
 
-// A promise to an earlier run's read carries a value that may have been replaced since. A
-// read of the new run must not use it.
+// A read must not use a promise to a read of an earlier run: its value may have been replaced
+// since.
 func TestProposer_IgnoresPromiseToEarlierRun(t *testing.T) {
 	is := is.New(t)
 	stores := newTestStores()
@@ -115,11 +117,11 @@
 	}
 	responses := deliverAll(1, stores, noLinks)
 	if len(responses) > 0 {
-		t.Fatalf("a read after the change was sent %+v", responses)
+		t.Fatalf("the read received %+v from promises to an earlier run", responses)
 	}
 }
 
-// No two runs, of one store or of several, share a round id.
+// Round ids are unique across stores and their runs.
 func TestProposer_RunsShareNoRoundID(t *testing.T) {
 	is := is.New(t)
 	seen := map[uint64]bool{}
