--- a/internal/state/consensus/model_events_test.go
+++ b/internal/state/consensus/model_events_test.go
@@ -10,17 +10,18 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// modelBounds bound a search: the number of events in all (depth), and of some kinds.
+// modelBounds limits a search: depth is the maximum number of events of all kinds.
 type modelBounds struct {
 	depth, wipes, crashes, restores, ticks int
-	// atomicRounds: the rounds of learners and of the second writer are one event each,
-	// and reach some machines only. Else each of their messages is an event.
+	// atomicRounds makes each round of a learner or of the second writer a single event that
+	// reaches a quorum only. Otherwise, each of their messages is an event.
 	atomicRounds bool
 	fault        modelFault
 }
 
-// initialModelState is three stores that agree on a value, two of which are about to append
-// to it: one with a promised ballot, one that must prepare.
+// initialModelState returns a state in which three stores hold the same value and store 1, which
+// has a promised ballot, has begun an append. Without atomicRounds, store 2 has also begun one,
+// which needs a prepare phase.
 func initialModelState(b modelBounds) *modelState {
 	st := &modelState{lastID: 3, fault: b.fault}
 	st.sets = []VoterSet{threeVoters}
@@ -48,7 +49,7 @@
 	return st
 }
 
-// submitAppend has machine i append a letter for a client.
+// submitAppend submits the append of a letter to machine i for a client.
 func (st *modelState) submitAppend(i int, client ids.Address, letter string) {
 	s := st.mutableStore(i)
 	s.proposer.IsReachable = func(uint64) bool { return false }
@@ -56,7 +57,7 @@
 	st.run(i)
 }
 
-// submit has machine i change the voter set.
+// submit submits a change of the voter set to machine i.
 func (st *modelState) submit(i int, op Op, arg any) {
 	raw, _ := wire.Encode(arg)
 	s := st.mutableStore(i)
@@ -64,7 +65,7 @@
 	st.run(i)
 }
 
-// successors returns every state that one event leads to.
+// successors returns all states that one event leads to.
 func (st *modelState) successors(b modelBounds) (out []*modelState) {
 	addSuccessor := func(f func(st *modelState)) {
 		n := st.copy()
@@ -106,7 +107,8 @@
 	return out
 }
 
-// wipe loses a disk. With learnsVoterSet, the blank store learns of a voter set at once.
+// wipe replaces the disk of machine i with a blank one. With learnsVoterSet, the store adopts the
+// newest voter set immediately.
 func (st *modelState) wipe(i int, learnsVoterSet bool) {
 	s := st.stores[i]
 	if st.lostDisk == nil {
@@ -148,7 +150,7 @@
 	st.lostDisk = nil
 }
 
-// restart begins a run of a store on a disk.
+// restart starts a run of a store on a disk.
 func (st *modelState) restart(i int, id uint64, d memorydisk.Disk, run uint64) {
 	s := newModelStore(id, d, run)
 	s.proposer.IsReachable = func(uint64) bool { return false }
@@ -158,7 +160,7 @@
 	st.stores[i] = s
 }
 
-// tick lets enough time pass at a store for all its timers.
+// tick advances the time of machine i enough for all timers of its store to expire.
 func (st *modelState) tick(i int) {
 	s := st.mutableStore(i)
 	s.ticks++
@@ -167,7 +169,7 @@
 	st.run(i)
 }
 
-// replaceableVoter is the voter whose place a blank store may ask for.
+// replaceableVoter returns the voter that the blank store of machine i may replace.
 func (st *modelState) replaceableVoter(i int) (uint64, bool) {
 	a := st.stores[i].acceptor
 	if a.DiskState() != Blank || a.voterSet.Number == 0 || a.voterSet.HasVoter(a.storeID) {
@@ -181,23 +183,23 @@
 	return 0, false
 }
 
-// requestReplacement asks for the place of a lost voter.
+// requestReplacement requests the replacement of a lost voter by the store of machine i.
 func (st *modelState) requestReplacement(i int, lost uint64) {
 	st.mutableStore(i).replacementRequested = true
 	a := st.stores[i].acceptor
 	st.submit(i, OpReplace, ReplaceRequest{New: Voter{a.storeID, addresses[i]}, LostID: lost, Replicas: 3})
 }
 
-// mayComplete reports whether a learner's copy counts as complete.
+// mayComplete reports whether a learner may consider its copy complete.
 func (st *modelState) mayComplete(s *modelStore, set VoterSet) bool {
 	if st.fault.completesEarly {
-		// A copy from before the replacement is taken for complete.
+		// Accepts a pass under the voter set before the replacement.
 		set.Number--
 	}
 	return st.fault.votesWhileBlank || s.copier.IsCompleteFor(set)
 }
 
-// mayCopy reports whether store i would ask j for a page and be sent one.
+// mayCopy reports whether store i would request a page from store j and receive it.
 func (st *modelState) mayCopy(i, j int) bool {
 	to, from := st.stores[i], st.stores[j].acceptor
 	set := to.acceptor.voterSet
@@ -205,7 +207,7 @@
 		from.MayVote() && to.copier.LastPassVoterSet(from.storeID) < set.Number
 }
 
-// copyFrom is one pass of a learner's copy; these disks fit into one page.
+// copyFrom runs one pass of store i's copy from store j. The disks of the model fit in one page.
 func (st *modelState) copyFrom(i, j int) {
 	to, from := st.mutableStore(i), st.mutableStore(j)
 	set := to.acceptor.voterSet
@@ -214,7 +216,7 @@
 	for _, c := range from.Drain() {
 		page := c.(event.Sync).After[0].(event.Send).Message.(PageResponse)
 		if !to.copier.HandlePage(page) {
-			st.violation = "a page was not awaited"
+			st.violation = "the copier rejected a page that it requested"
 		}
 		for _, record := range page.Records {
 			to.acceptor.MergeRecord(record)
@@ -224,8 +226,8 @@
 	st.completeIfDue(i)
 }
 
-// completeIfDue lets a learner vote once its copy is complete, as its store does after
-// each page; with some planted faults sooner.
+// completeIfDue marks the disk of a voter as complete once its copy is, as package store does
+// after each page. Some injected faults make it do so too early.
 func (st *modelState) completeIfDue(i int) {
 	to := st.stores[i]
 	set := to.acceptor.voterSet
--- a/internal/state/consensus/model_rounds_test.go
+++ b/internal/state/consensus/model_rounds_test.go
@@ -6,8 +6,8 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// quorums returns the groups of machines that a whole round may reach. Where each message
-// is an event of its own, it is one group that stands for none.
+// quorums returns the quorums that an atomic round may reach. Without atomicRounds, it returns a
+// single nil quorum.
 func (b modelBounds) quorums() [][]int {
 	if !b.atomicRounds {
 		return [][]int{nil}
@@ -15,7 +15,8 @@
 	return [][]int{{0, 1}, {0, 2}, {1, 2}}
 }
 
-// roundEvents adds the events that begin a round at machine i.
+// roundEvents adds the states in which machine i has begun a round and, if quorum isn't nil,
+// finished it with that quorum.
 func (st *modelState) roundEvents(b modelBounds, i int, quorum []int, addSuccessor func(func(*modelState))) {
 	s := st.stores[i]
 	a := s.acceptor
@@ -34,14 +35,14 @@
 	}
 }
 
-// requestPromotion asks for the promotion of machine i's learner.
+// requestPromotion requests the promotion of the learner on machine i.
 func (st *modelState) requestPromotion(i int) {
 	st.mutableStore(i).promotionRequested = true
 	st.submit(i, OpPromoteLearner, PromoteLearnerRequest{ID: st.stores[i].acceptor.storeID})
 }
 
-// runRound delivers the requests of machine i's round to some machines until it ends; its
-// requests to the others are lost.
+// runRound delivers the requests of machine i's round to a quorum until the round ends, and drops
+// those to other machines. It does nothing if quorum is nil.
 func (st *modelState) runRound(i int, quorum []int, key ids.RegisterKey) {
 	if quorum == nil {
 		return
--- a/internal/state/consensus/model_search_test.go
+++ b/internal/state/consensus/model_search_test.go
@@ -9,13 +9,14 @@
 	"time"
 )
 
-// searchResult is what a search has visited and result.
+// searchResult holds the statistics of a search and the first violation, empty for none.
 type searchResult struct {
 	states, repaired, depth int
 	violation               string
 }
 
-// search visits, breadth first, every state that b.depth events lead to, each once.
+// search visits, breadth first, every state reachable by up to b.depth events, and stops at the
+// first violation.
 func search(b modelBounds) searchResult {
 	result := searchResult{}
 	seen := map[uint64]bool{}
@@ -55,12 +56,12 @@
 
 const (
 	modelWorkers = 3
-	// repairSampleInterval: one in so many of the states that no loss has just led to is repaired,
-	// to see that it can be.
+	// repairSampleInterval: the repair is checked for one in this many states, chosen by hash,
+	// and for every state that directly follows a loss.
 	repairSampleInterval = 16
 )
 
-// visitResult is what the visit of one state has found.
+// visitResult is the result of visiting one state.
 type visitResult struct {
 	successors []*modelState
 	hashes     []uint64
@@ -68,7 +69,7 @@
 	violation  string
 }
 
-// visit checks one state and returns those that follow.
+// visit checks one state and, below the depth limit, computes its successors.
 func visit(st *modelState, b modelBounds, depth int) (v visitResult) {
 	if v.violation = st.violation; v.violation != "" {
 		return v
@@ -89,7 +90,7 @@
 	return v
 }
 
-// isRepairable reports whether a quorum of some chosen voter set still has complete disks.
+// isRepairable reports whether some chosen voter set still has a quorum of complete disks.
 func (st *modelState) isRepairable() bool {
 	complete := map[uint64]bool{}
 	for _, s := range st.stores {
@@ -103,9 +104,9 @@
 	return false
 }
 
-// repair lets all pending events happen, with no more losses, and returns what is violated
-// then: there must be three complete voters, and every acknowledged change must be in the
-// value, once.
+// repair executes all pending events without further losses and returns the violation, empty for
+// none. In the end, there must be three complete voters, and the value must contain every
+// acknowledged change exactly once.
 func (st *modelState) repair() string {
 	for range 40 {
 		if st.violation != "" {
@@ -116,16 +117,16 @@
 		}
 		st.repairStep()
 	}
-	return "not repaired in the end"
+	return "the voter set was not repaired"
 }
 
-// repairStep does at each machine what its store would do next.
+// repairStep executes the next actions of the store on each machine.
 func (st *modelState) repairStep() {
 	for len(st.inTransit) > 0 {
 		st.deliver(0)
 	}
 	for i := range st.stores {
-		// The folder of a replaced store is set aside, and it restarts as blank.
+		// A replaced store restarts with a blank disk.
 		if st.stores[i].acceptor.DiskState() == Replaced {
 			st.wipe(i, true)
 		}
@@ -154,7 +155,7 @@
 	}
 }
 
-// isRepaired reports whether three complete voters use the newest voter set.
+// isRepaired reports whether all three stores are complete voters of the newest voter set.
 func (st *modelState) isRepaired() bool {
 	set := st.sets[len(st.sets)-1]
 	for _, s := range st.stores {
@@ -166,7 +167,8 @@
 	return true
 }
 
-// checkAcknowledged makes a last change and looks for all that was acknowledged before.
+// checkAcknowledged makes a final change and checks that the value contains every change
+// acknowledged before it exactly once.
 func (st *modelState) checkAcknowledged() string {
 	acknowledged := st.acknowledged
 	st.submitAppend(0, "z", "z")
@@ -183,7 +185,7 @@
 		return st.violation
 	}
 	if !strings.Contains(st.acknowledged, "z") {
-		return "a repaired voter set takes no change"
+		return "a repaired voter set accepts no change"
 	}
 	_, value := st.stores[0].acceptor.AcceptedValue("x")
 	for _, letter := range acknowledged {
@@ -194,16 +196,15 @@
 	return ""
 }
 
-// extraDepth adds events to the depth of each search. CI adds none.
-var extraDepth = flag.Int("deeper", 0, "how many more events the searches of the model go through")
+// extraDepth is added to the depth of the searches without injected faults.
+var extraDepth = flag.Int("deeper", 0, "number of events added to the depth of the model searches")
 
-// Whatever the order of losses, repairs and messages, no invariant is violated. Rounds are
-// one event in the first two searches, and every message is one in the third.
-func TestModel_AllOrdersOfLossesAndRepairs(t *testing.T) {
+// No order of losses, repairs and messages violates an invariant.
+func TestModel_LossesAndRepairsViolateNoInvariant(t *testing.T) {
 	for name, b := range map[string]modelBounds{
-		"two losses":                       {depth: 7 + *extraDepth, wipes: 2, atomicRounds: true},
-		"a loss, and its disk is restored": {depth: 6 + *extraDepth, wipes: 1, restores: 1, crashes: 1, atomicRounds: true},
-		"message by message":               {depth: 5 + *extraDepth, wipes: 2, crashes: 1, ticks: 1},
+		"two losses":                            {depth: 7 + *extraDepth, wipes: 2, atomicRounds: true},
+		"one loss, with the lost disk restored": {depth: 6 + *extraDepth, wipes: 1, restores: 1, crashes: 1, atomicRounds: true},
+		"every message is an event":             {depth: 5 + *extraDepth, wipes: 2, crashes: 1, ticks: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			began := time.Now()
@@ -216,20 +217,20 @@
 	}
 }
 
-// Each planted fault is found.
-func TestModel_FindsPlantedMistakes(t *testing.T) {
+// The search detects each injected fault.
+func TestModel_DetectsInjectedFaults(t *testing.T) {
 	for name, b := range map[string]modelBounds{
-		"completes before the last pass": {depth: 9, wipes: 1, atomicRounds: true, fault: modelFault{completesEarly: true}},
-		"votes though blank":             {depth: 9, wipes: 1, atomicRounds: true, fault: modelFault{votesWhileBlank: true}},
-		"blank disk with the lost id":    {depth: 9, wipes: 2, atomicRounds: true, fault: modelFault{reusesLostID: true}},
-		"votes under lower voter sets":   {depth: 9, wipes: 1, atomicRounds: true, fault: modelFault{votesUnderLowerSets: true}},
+		"copy complete before the last pass": {depth: 9, wipes: 1, atomicRounds: true, fault: modelFault{completesEarly: true}},
+		"votes while blank":                  {depth: 9, wipes: 1, atomicRounds: true, fault: modelFault{votesWhileBlank: true}},
+		"blank disk reuses the lost id":      {depth: 9, wipes: 2, atomicRounds: true, fault: modelFault{reusesLostID: true}},
+		"votes under lower voter sets":       {depth: 9, wipes: 1, atomicRounds: true, fault: modelFault{votesUnderLowerSets: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			began := time.Now()
 			result := search(b)
-			t.Logf("found after %d states at depth %d: %s %v", result.states, result.depth, result.violation, time.Since(began))
+			t.Logf("detected after %d states at depth %d: %s, %v", result.states, result.depth, result.violation, time.Since(began))
 			if result.violation == "" {
-				t.Fatal("not found")
+				t.Fatal("injected fault not detected")
 			}
 		})
 	}
--- a/internal/state/consensus/model_store_test.go
+++ b/internal/state/consensus/model_store_test.go
@@ -12,19 +12,19 @@
 	"dunlinwell/internal/testsupport/memorydisk"
 )
 
-// The model consists of the real acceptors, proposers, copiers and change functions of the
-// voter set on three machines. The search chooses the order of all events.
+// The model runs the production acceptors, proposers, copiers and change functions of the voter
+// set on three machines. The search chooses the order of all events.
 //
-// An answer is handled as soon as it is given: a proposer reacts only by messages, which
-// may be delayed at will. Disks sync at once: an acceptor sends nothing before a sync, so a
-// loss before it is the same as a request that never arrived.
+// Responses are handled immediately: a proposer reacts to them only with messages, which may be
+// delayed arbitrarily. Disks sync immediately: an acceptor sends nothing before the sync, so a
+// loss before it is equivalent to a request that never arrived.
 
-// constantRandom is a random source without hidden state.
+// constantRandom is a random source without state, so that it needn't be part of a state's hash.
 type constantRandom struct{}
 
 func (constantRandom) Uint64() uint64 { return 0x9e3779b97f4a7c15 }
 
-// modelStore is one store, with the progress of its machine in the search.
+// modelStore is a store and the part of the search state that belongs to its machine.
 type modelStore struct {
 	event.Outbox
 	disk                 memorydisk.Disk
@@ -53,7 +53,7 @@
 	return ops
 }
 
-// clone copies a store. Values are shared, as they are never changed in place.
+// clone returns a copy of the store. The copies share values, which are never modified in place.
 func (s *modelStore) clone() *modelStore {
 	c := &modelStore{disk: maps.Clone(s.disk), run: s.run, now: s.now, ticks: s.ticks, replacementRequested: s.replacementRequested, promotionRequested: s.promotionRequested}
 	a := *s.acceptor
@@ -109,7 +109,7 @@
 	return &c
 }
 
-// stateEncoder encodes what may matter to a store's later behaviour.
+// stateEncoder encodes the state that a store's later behaviour may depend on.
 type stateEncoder struct{ out []byte }
 
 func (e *stateEncoder) numbers(list ...uint64) {
@@ -131,7 +131,7 @@
 
 func (e *stateEncoder) ballot(b ids.Ballot) { e.numbers(b.Counter, b.Proposer) }
 
-// hash identifies the state of a store.
+// hash returns a hash of the state of the store and caches it.
 func (s *modelStore) hash() uint64 {
 	if s.hashCache != 0 {
 		return s.hashCache
@@ -156,7 +156,7 @@
 	return s.hashCache
 }
 
-// proposer encodes a proposer's caches and rounds.
+// proposer encodes the caches and rounds of a proposer.
 func (e *stateEncoder) proposer(p *Proposer) {
 	for _, key := range slices.Sorted(maps.Keys(p.promisedBallots)) {
 		e.text([]byte(key))
--- a/internal/state/consensus/model_votes_test.go
+++ b/internal/state/consensus/model_votes_test.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// recordVote records a vote, and checks the value if it is chosen by it.
+// recordVote records a vote, and checks the value if the vote completes a quorum.
 func (st *modelState) recordVote(voter *modelStore, m Accept) {
 	set := voter.acceptor.voterSet
 	index := slices.IndexFunc(st.votes, func(v modelVote) bool {
@@ -18,7 +18,7 @@
 	}
 	v := &st.votes[index]
 	if v.value != string(m.Value) {
-		st.violation = fmt.Sprintf("two values of one ballot %v", m.Ballot)
+		st.violation = fmt.Sprintf("two values have the same ballot %v", m.Ballot)
 	}
 	if !slices.Contains(v.stores, voter.acceptor.storeID) {
 		v.stores = append(slices.Clone(v.stores), voter.acceptor.storeID)
@@ -34,8 +34,8 @@
 	}
 }
 
-// checkChosen checks that of two chosen values the one of the higher ballot was made from
-// the other.
+// checkChosen checks a chosen value against every other one of its register: the value with the
+// higher ballot must be derived from the value with the lower ballot.
 func (st *modelState) checkChosen(c modelVote) {
 	for _, v := range st.votes {
 		low, high := v, c
@@ -47,14 +47,14 @@
 		}
 		if c.key != VoterSetKey {
 			if !strings.HasPrefix(high.value, low.value) {
-				st.violation = fmt.Sprintf("%q was chosen over %q", high.value, low.value)
+				st.violation = fmt.Sprintf("%q was chosen after %q, but not derived from it", high.value, low.value)
 			}
 			continue
 		}
 		a, _ := DecodeVoterSet([]byte(low.value))
 		b, _ := DecodeVoterSet([]byte(high.value))
 		if a.Number > b.Number || a.Number == b.Number && low.value != high.value {
-			st.violation = fmt.Sprintf("voter set %+v was chosen over %+v", b, a)
+			st.violation = fmt.Sprintf("voter set %+v was chosen after %+v, but doesn't succeed it", b, a)
 		}
 	}
 	if set, ok := DecodeVoterSet([]byte(c.value)); ok && c.key == VoterSetKey && set.Number == uint64(len(st.sets))+1 {
--- a/internal/state/consensus/model_world_test.go
+++ b/internal/state/consensus/model_world_test.go
@@ -10,18 +10,18 @@
 	"dunlinwell/internal/testsupport/memorydisk"
 )
 
-// modelRequest is a request in transit between machines; it may arrive late, or never.
+// modelRequest is a request in transit between machines. It may be delayed or lost.
 type modelRequest struct {
 	from, to int
-	// store and run are those that sent it: an answer to an earlier run is lost.
+	// store and run identify the sender. Responses to an earlier run are lost.
 	store, run uint64
 	msg        any
 	hash       uint64
-	// beforeSearch: it was sent before the search began, and stays in transit.
+	// beforeSearch marks a request of the initial state, which runRound doesn't deliver or drop.
 	beforeSearch bool
 }
 
-// modelVote is the value of a ballot, and who accepted it under which voter set.
+// modelVote holds the value of a ballot and the stores that accepted it under one voter set.
 type modelVote struct {
 	key            ids.RegisterKey
 	ballot         ids.Ballot
@@ -32,19 +32,19 @@
 	chosen         bool
 }
 
-// modelState is one state of the model: three machines, the requests between them, and
-// what was chosen so far. States share the stores that didn't change.
+// modelState is one state of the model: three machines, the requests between them, and the values
+// chosen so far. A state shares unmodified stores with its predecessor.
 type modelState struct {
 	stores    [3]*modelStore
 	inTransit []modelRequest
 	votes     []modelVote
-	// sets are the voter sets chosen so far, in order of their numbers.
+	// sets lists the chosen voter sets, ordered by number.
 	sets []VoterSet
-	// acknowledged are the letters whose append was acknowledged.
+	// acknowledged lists the letters whose append was acknowledged.
 	acknowledged string
-	// lastID is the id that was last given to a disk.
+	// lastID is the last disk id that was assigned.
 	lastID uint64
-	// lostDisk is the disk that was lost first, nil for none or once it is restored.
+	// lostDisk is the first disk that was lost, nil for none or after it was restored.
 	lostDisk    memorydisk.Disk
 	lostID      uint64
 	lostMachine int
@@ -52,43 +52,44 @@
 	wipes       int
 	crashes     int
 	restores    int
-	// violation says which invariant is violated, empty for none.
+	// violation describes the violated invariant, empty for none.
 	violation string
 	fault     modelFault
-	// lastWasLoss says that the last event lost something.
+	// lastWasLoss is set if the last event was a wipe or a crash.
 	lastWasLoss     bool
 	secondWriteSent bool
 }
 
-// modelFault is a fault that is planted on purpose.
+// modelFault selects a fault to inject.
 type modelFault struct {
-	// completesEarly: a learner's copy counts as complete after a pass that began under
-	// the voter set before.
+	// completesEarly lets a learner consider its copy complete after a pass under the previous
+	// voter set.
 	completesEarly bool
-	// votesWhileBlank: a voter votes whether or not its copy is complete.
+	// votesWhileBlank lets a voter vote before its copy is complete.
 	votesWhileBlank bool
-	// reusesLostID: a wiped store keeps the id of its lost disk.
+	// reusesLostID gives a blank disk the id of the lost one.
 	reusesLostID bool
-	// votesUnderLowerSets: acceptors go on voting under lower voter sets.
+	// votesUnderLowerSets lets acceptors vote under lower voter sets than their own.
 	votesUnderLowerSets bool
-	// replacedVotes: a disk that was replaced counts as complete after a restart.
+	// replacedVotes marks any disk as complete after a restart, even one that was replaced.
 	replacedVotes bool
 }
 
-// mutableStore replaces machine i's store by a copy that this state may change.
+// mutableStore replaces machine i's store with a clone that isn't shared with other states, and
+// returns the clone.
 func (st *modelState) mutableStore(i int) *modelStore {
 	c := st.stores[i].clone()
 	st.stores[i] = c
 	return c
 }
 
-// copy returns a state that shares the stores.
+// copy returns a copy of the state that shares the stores.
 func (st modelState) copy() *modelState {
 	st.inTransit, st.votes, st.sets = slices.Clone(st.inTransit), slices.Clone(st.votes), slices.Clone(st.sets)
 	return &st
 }
 
-// hash identifies a state; requests and votes count in any order.
+// hash returns a hash of the state that doesn't depend on the order of requests and votes.
 func (st *modelState) hash() uint64 {
 	h := fnv.New64a()
 	fmt.Fprint(h, st.stores[0].hash(), " ", st.stores[1].hash(), " ", st.stores[2].hash(), st.wipes, st.crashes, st.restores, st.acknowledged, st.lastID, st.secondWriteSent)
@@ -104,7 +105,7 @@
 	return sum
 }
 
-// run carries out the commands of machine i's store until none is left.
+// run executes the commands of machine i's store until none is left.
 func (st *modelState) run(i int) {
 	s := st.stores[i]
 	commands := s.Drain()
@@ -123,7 +124,7 @@
 	}
 }
 
-// handleSend puts a request in transit, and takes a response to the store's own request.
+// handleSend puts a request to an acceptor in transit, and handles a response to a client.
 func (st *modelState) handleSend(i int, c event.Send) {
 	s := st.stores[i]
 	switch m := c.Message.(type) {
@@ -150,7 +151,7 @@
 	}
 }
 
-// adopt does as a store does with a voter set that it learns of.
+// adopt passes a voter set to machine i, which handles it as package store does.
 func (st *modelState) adopt(i int, set VoterSet) {
 	s := st.stores[i]
 	if set.Number == uint64(len(st.sets))+1 {
@@ -165,7 +166,7 @@
 	}
 }
 
-// deliver hands over the n-th request in transit, and its answer to the sender.
+// deliver delivers the n-th request in transit, and the response to its sender.
 func (st *modelState) deliver(n int) {
 	request := st.inTransit[n]
 	st.inTransit = slices.Delete(st.inTransit, n, n+1)
@@ -202,7 +203,8 @@
 	return 0
 }
 
-// deliverResponse hands an answer to the proposer that sent the request, unless its run has ended.
+// deliverResponse delivers a response to the proposer that sent the request, unless its run has
+// ended.
 func (st *modelState) deliverResponse(request modelRequest, responder *modelStore, msg any) {
 	if m, ok := msg.(Accepted); ok && m.OK {
 		st.recordVote(responder, request.msg.(Accept))
@@ -220,7 +222,7 @@
 	case Accepted:
 		sender.proposer.HandleAccepted(sender.now, m)
 	default:
-		return // a VoterSetUpdate; adoptions are events of their own
+		return // a VoterSetUpdate; the adoption of a voter set is a separate event
 	}
 	st.run(request.from)
 }
