--- a/internal/state/consensus/acceptor_test.go
+++ b/internal/state/consensus/acceptor_test.go
@@ -12,7 +12,7 @@
 	"dunlinwell/internal/testsupport/memorydisk"
 )
 
-// A ballot below a promise is rejected, and the promise is on disk.
+// After a restart, an acceptor rejects ballots below one that it promised before.
 func TestAcceptor_PromiseSurvivesRestart(t *testing.T) {
 	is := is.New(t)
 	stores := newTestStores()
@@ -25,7 +25,7 @@
 	sync := restarted.Drain()[0].(event.Sync)
 	is.Equal(len(sync.Records), 0)
 	is.Equal(sync.After[0].(event.Send).Message.(Accepted).OK, false)
-	// A request under a lower voter set is not voted on: its sender gets the higher one.
+	// A request under a lower voter set gets no vote; the response is the higher voter set.
 	restarted.AdoptVoterSet(VoterSet{Number: 2, Voters: []Voter{{2, "b"}}})
 	restarted.Drain()
 	restarted.HandleAccept("c", Accept{Key: "x", Ballot: ids.Ballot{Counter: 9, Proposer: 3}, VoterSetNumber: 1})
@@ -33,18 +33,18 @@
 	is.True(updated)
 }
 
-// A delta to anything but the accepted value changes nothing.
-func TestAcceptor_DeltaToAnotherBaseChangesNothing(t *testing.T) {
+// An acceptor that can't apply a delta keeps its state and requests the full value.
+func TestAcceptor_RejectsInapplicableDelta(t *testing.T) {
 	stores := newTestStores()
-	now, network := ids.Time(1), &meteredNetwork{}
+	now, network := ids.Time(1), &countingNetwork{}
 	network.run(t, stores, "a", &now, string(randomText(rand.New(rand.NewPCG(1, 1)), 20_000)), nil)
 	b := stores["b"]
-	held, value := b.AcceptedValue("policy")
-	next := ids.Ballot{Counter: held.Counter + 100, Proposer: 1}
+	acceptedBallot, value := b.AcceptedValue("policy")
+	next := ids.Ballot{Counter: acceptedBallot.Counter + 100, Proposer: 1}
 	for name, m := range map[string]AcceptDelta{
-		"an earlier base": {BaseBallot: ids.Ballot{Counter: held.Counter - 1, Proposer: held.Proposer}, Delta: nil},
-		"damaged delta":   {BaseBallot: held, Delta: []byte("damaged")},
-		"no delta":        {BaseBallot: held, Delta: nil},
+		"earlier base":  {BaseBallot: ids.Ballot{Counter: acceptedBallot.Counter - 1, Proposer: acceptedBallot.Proposer}, Delta: nil},
+		"damaged delta": {BaseBallot: acceptedBallot, Delta: []byte("damaged")},
+		"no delta":      {BaseBallot: acceptedBallot, Delta: nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -52,24 +52,24 @@
 			b.HandleAcceptDelta("a", m)
 			commands := b.Drain()
 			is.Equal(len(commands), 1)
-			answer := commands[0].(event.Sync)
-			is.Equal(len(answer.Records), 0)
-			vote := answer.After[0].(event.Send).Message.(Accepted)
+			sync := commands[0].(event.Sync)
+			is.Equal(len(sync.Records), 0)
+			vote := sync.After[0].(event.Send).Message.(Accepted)
 			is.True(!vote.OK && vote.NeedsFullValue)
 			ballot, got := b.AcceptedValue("policy")
-			is.Equal(ballot, held)
+			is.Equal(ballot, acceptedBallot)
 			is.True(bytes.Equal(got, value))
 		})
 	}
 }
 
-// A blank store is asked for a vote like any other voter, and withholds it until its copy
-// is complete; after a restart too.
+// A voter with a blank disk responds to no request until its copy is complete, even after a
+// restart.
 func TestAcceptor_BlankVoterWithholdsItsVote(t *testing.T) {
 	is := is.New(t)
 	set := VoterSet{Number: 2, Voters: []Voter{{1, "a"}, {2, "b"}, {9, "c"}}}
 	blank := newTestAcceptor(9, memorydisk.Disk{})
-	answers := func() (sent []any) {
+	responses := func() (sent []any) {
 		for _, c := range blank.Drain() {
 			sync, ok := c.(event.Sync)
 			is.True(ok)
@@ -81,19 +81,19 @@
 		return sent
 	}
 	blank.AdoptVoterSet(set)
-	answers()
+	responses()
 	blank.Acceptor = NewAcceptor(9, blank.disk, &blank.Outbox)
 	ballot := ids.Ballot{Counter: maxFirstValueCounter + 1, Proposer: 1}
 	blank.HandlePrepare("a", Prepare{Key: "x", Ballot: ballot, VoterSetNumber: 2})
 	blank.HandleAccept("a", Accept{Key: "x", Ballot: ballot, VoterSetNumber: 2, Value: []byte("v")})
 	blank.HandlePageRequest("a", PageRequest{VoterSetNumber: 2})
-	is.Equal(len(answers()), 0)
+	is.Equal(len(responses()), 0)
 	blank.MarkComplete()
 	blank.HandleAccept("a", Accept{Key: "x", Ballot: ballot, VoterSetNumber: 2, Value: []byte("v")})
-	is.Equal(len(answers()), 1)
+	is.Equal(len(responses()), 1)
 }
 
-// A disk whose store was replaced never votes again, whatever voter set it learns of.
+// The disk of a replaced store never votes again, even if a later voter set includes its id.
 func TestAcceptor_ReplacedDiskNeverVotes(t *testing.T) {
 	is := is.New(t)
 	stores := newTestStores()
@@ -109,29 +109,29 @@
 	is.Equal(restarted.DiskState(), Replaced)
 }
 
-// A learner that copied everything once is sent only what changed since, each register
-// once; where the run or the list is gone, everything.
-func TestAcceptor_LaterCopiesHoldChangesOnly(t *testing.T) {
+// After a full pass, an acceptor sends a learner only the registers that changed since, each
+// once. It sends all registers if the learner's change count is from another run.
+func TestAcceptor_LaterPassSendsOnlyChanges(t *testing.T) {
 	is := is.New(t)
-	s := newTestAcceptor(1, memorydisk.Disk{})
-	s.SetRunID(7)
-	s.MarkComplete()
-	s.AdoptVoterSet(VoterSet{Number: 1, Voters: []Voter{{1, "a"}}})
+	acceptor := newTestAcceptor(1, memorydisk.Disk{})
+	acceptor.SetRunID(7)
+	acceptor.MarkComplete()
+	acceptor.AdoptVoterSet(VoterSet{Number: 1, Voters: []Voter{{1, "a"}}})
 	page := func(request PageRequest) PageResponse {
-		s.Drain()
-		s.HandlePageRequest("n", request)
-		return s.Drain()[0].(event.Sync).After[0].(event.Send).Message.(PageResponse)
+		acceptor.Drain()
+		acceptor.HandlePageRequest("n", request)
+		return acceptor.Drain()[0].(event.Sync).After[0].(event.Send).Message.(PageResponse)
 	}
-	s.Seed("x", []byte("1"))
+	acceptor.Seed("x", []byte("1"))
 	first := page(PageRequest{VoterSetNumber: 1})
 	is.True(first.Last && !first.Delta)
 	is.Equal(first.ChangeCount, uint64(1))
-	s.ForceValue("y", []byte("2"))
-	s.ForceValue("y", []byte("3"))
+	acceptor.ForceValue("y", []byte("2"))
+	acceptor.ForceValue("y", []byte("3"))
 	second := page(PageRequest{VoterSetNumber: 1, RunID: first.RunID, SinceChange: first.ChangeCount})
 	is.True(second.Last && second.Delta)
 	is.Equal(second.ChangeCount, uint64(3))
 	is.Equal(len(second.Records), 1)
 	is.Equal(string(second.Records[0].Value), "3")
-	is.True(!page(PageRequest{VoterSetNumber: 1, RunID: 6, SinceChange: 1}).Delta) // another run's count
+	is.True(!page(PageRequest{VoterSetNumber: 1, RunID: 6, SinceChange: 1}).Delta) // change count of another run
 }
--- a/internal/state/consensus/bootstrap_model_test.go
+++ b/internal/state/consensus/bootstrap_model_test.go
@@ -5,9 +5,10 @@
 	"testing"
 )
 
-// exploreBootstrap visits, breadth first, every state within the bounds and up to a number
-// of steps. It returns whether some voter set came to serve, and the first violation.
-func exploreBootstrap(depth int, rules bootstrapRules) (visited int, served bool, violation string) {
+// exploreBootstrap visits, breadth first, every state within the bounds and up to a number of
+// steps. It reports whether any voter set became active at a majority, and returns the first
+// violation.
+func exploreBootstrap(depth int, rules bootstrapRules) (visited int, anyActive bool, violation string) {
 	start := bootstrapState{}
 	for i := range start.nodes {
 		start.nodes[i].id = uint64(i+1) * 10
@@ -17,24 +18,24 @@
 	for range depth {
 		var next []bootstrapState
 		for _, s := range level {
-			for _, c := range s.steps(rules) {
-				if key := c.key(); !seen[key] {
-					seen[key] = true
+			for _, c := range s.successors(rules) {
+				if hash := c.hash(); !seen[hash] {
+					seen[hash] = true
 					next = append(next, c)
 				}
-				served = served || len(c.serving) > 0
+				anyActive = anyActive || len(c.activeSets) > 0
 				if violation := c.violation(); violation != "" {
-					return len(seen), served, violation
+					return len(seen), anyActive, violation
 				}
 			}
 		}
 		level = next
 	}
-	return len(seen), served, ""
+	return len(seen), anyActive, ""
 }
 
-// key identifies a state; the messages count in any order.
-func (s bootstrapState) key() uint64 {
+// hash returns a hash of the state that doesn't depend on the order of its lists.
+func (s bootstrapState) hash() uint64 {
 	h := fnv.New64a()
 	write := func(values ...uint64) {
 		for _, v := range values {
@@ -54,22 +55,22 @@
 	write(uint64(s.wipes))
 	sum := uint64(0)
 	for _, p := range s.requests {
-		sum += mix(1, p.round, p.set[0], p.set[1], p.set[2])
+		sum += hashParts(1, p.round, p.set[0], p.set[1], p.set[2])
 	}
 	for _, p := range s.promises {
-		sum += mix(2, p.round, p.set[0], p.set[1], p.set[2], p.store)
+		sum += hashParts(2, p.round, p.set[0], p.set[1], p.set[2], p.store)
 	}
 	for _, p := range s.bootstraps {
-		sum += mix(3, p.round, p.set[0], p.set[1], p.set[2], p.from.ID)
+		sum += hashParts(3, p.round, p.set[0], p.set[1], p.set[2], p.from.ID)
 	}
-	for _, v := range s.serving {
-		sum += mix(4, v[0], v[1], v[2])
+	for _, v := range s.activeSets {
+		sum += hashParts(4, v[0], v[1], v[2])
 	}
 	return h.Sum64() + sum
 }
 
-// mix identifies an item of a set by its parts.
-func mix(parts ...uint64) uint64 {
+// hashParts returns the hash of one list element, which hash adds to those of the others.
+func hashParts(parts ...uint64) uint64 {
 	h := fnv.New64a()
 	for _, p := range parts {
 		_, _ = h.Write([]byte{byte(p)})
@@ -77,29 +78,30 @@
 	return h.Sum64() * 0x9e3779b97f4a7c15
 }
 
-// Whatever the order of messages, wipes and proposals: no two voter sets that both served
-// have a disk in common, and no two active members disagree.
+// For every order of messages, wipes and proposals, no two voter sets that were active at a
+// majority share a disk, and no active node is a member of the voter set of a node that is
+// active in another set.
 func TestBootstrapModel(t *testing.T) {
-	visited, served, violation := exploreBootstrap(100, correctBootstrapRules)
-	t.Logf("%d states, all that can be reached", visited)
-	if violation != "" || !served {
-		t.Fatalf("served %v, violation: %s", served, violation)
+	visited, anyActive, violation := exploreBootstrap(100, correctBootstrapRules)
+	t.Logf("%d reachable states", visited)
+	if violation != "" || !anyActive {
+		t.Fatalf("voter set active at a majority: %v, violation: %s", anyActive, violation)
 	}
 }
 
-// The model finds the faults that the rules are there to prevent.
-func TestBootstrapModel_FindsPlantedMistakes(t *testing.T) {
-	forgetful, heedless := correctBootstrapRules, correctBootstrapRules
-	forgetful.promise = func(r BootstrapRecord, request BootstrapRequest) (BootstrapRecord, string) {
-		r.PromisedVoterSets = nil // what was promised before is forgotten
+// The search detects injected faults in the rules.
+func TestBootstrapModel_DetectsInjectedFaults(t *testing.T) {
+	forgetsPromises, ignoresPromises := correctBootstrapRules, correctBootstrapRules
+	forgetsPromises.promise = func(r BootstrapRecord, request BootstrapRequest) (BootstrapRecord, string) {
+		r.PromisedVoterSets = nil
 		return r.Promise(request)
 	}
-	heedless.mayAdopt = func(BootstrapRecord, Bootstrap, Voter) bool { return true }
-	for name, rules := range map[string]bootstrapRules{"promises forgotten": forgetful, "promises ignored": heedless} {
+	ignoresPromises.mayAdopt = func(BootstrapRecord, Bootstrap, Voter) bool { return true }
+	for name, rules := range map[string]bootstrapRules{"promises forgotten": forgetsPromises, "promises ignored": ignoresPromises} {
 		visited, _, violation := exploreBootstrap(100, rules)
 		t.Logf("%s: %s after %d states", name, violation, visited)
 		if violation == "" {
-			t.Errorf("%s: not found", name)
+			t.Errorf("%s: injected fault not detected", name)
 		}
 	}
 }
--- a/internal/state/consensus/lossy_network_test.go
+++ b/internal/state/consensus/lossy_network_test.go
@@ -12,8 +12,8 @@
 	"dunlinwell/internal/testsupport/memorydisk"
 )
 
-// lossyNetwork is three stores whose messages are lost, duplicated and delayed, and which
-// are killed and restarted from their disks.
+// lossyNetwork connects three stores. It loses, duplicates and delays their messages, and
+// restarts the stores from their disks.
 type lossyNetwork struct {
 	random    *rand.Rand
 	now       ids.Time
@@ -22,12 +22,12 @@
 	senders   []ids.Address
 	responses []Response
 	runCount  uint64
-	// cutOff is a store that receives nothing for some steps.
-	cutOff      ids.Address
-	cutOffSteps int
-	// deltas counts the votes for a value that came as a delta, wholeValueRequests the
-	// times that a store asked for the whole value.
-	deltas, wholeValueRequests int
+	// isolated is a store that receives no messages for isolatedSteps steps, empty for none.
+	isolated      ids.Address
+	isolatedSteps int
+	// deltas counts the votes for values sent as deltas, fullValueRequests the responses that
+	// requested the full value.
+	deltas, fullValueRequests int
 }
 
 func newLossyNetwork(seed uint64) *lossyNetwork {
@@ -40,13 +40,13 @@
 	return l
 }
 
-// start begins a run of a store on a disk.
+// start starts a new run of a store on a disk.
 func (l *lossyNetwork) start(at ids.Address, store uint64, disk memorydisk.Disk) {
 	l.runCount++
 	l.stores[at] = newTestStore(store, disk, store<<24|l.runCount, appendArgOnce, l.random)
 }
 
-// collect carries out what the stores asked for; their messages are in transit then.
+// collect executes the commands of the stores and puts their messages in transit.
 func (l *lossyNetwork) collect() {
 	for _, at := range addresses {
 		for _, c := range l.stores[at].syncAll() {
@@ -54,7 +54,7 @@
 				l.responses = append(l.responses, r)
 				continue
 			}
-			for n := l.random.IntN(20); n > 0; n -= 17 { // one in twenty lost, two duplicated
+			for n := l.random.IntN(20); n > 0; n -= 17 { // 5% lost, 10% duplicated
 				l.inTransit, l.senders = append(l.inTransit, c), append(l.senders, at)
 			}
 		}
@@ -63,56 +63,56 @@
 
 func (l *lossyNetwork) step() {
 	l.collect()
-	if l.cutOffSteps--; l.cutOffSteps <= 0 {
-		l.cutOff = ""
+	if l.isolatedSteps--; l.isolatedSteps <= 0 {
+		l.isolated = ""
 	}
 	switch n := l.random.IntN(400); {
 	case n == 0:
 		i := l.random.IntN(3)
 		l.start(addresses[i], uint64(i+1), l.stores[addresses[i]].disk)
-	case n < 3 && l.cutOff == "":
-		l.cutOff, l.cutOffSteps = addresses[l.random.IntN(3)], 300
+	case n < 3 && l.isolated == "":
+		l.isolated, l.isolatedSteps = addresses[l.random.IntN(3)], 300
 	case n < 60 || len(l.inTransit) == 0:
 		l.now = l.now.Add(20 * time.Millisecond)
 		for _, at := range addresses {
 			l.stores[at].Proposer.Tick(l.now)
 		}
 	default:
-		// Mostly in order, sometimes any of those in transit.
+		// Mostly in order, sometimes a random message.
 		i := 0
 		if l.random.IntN(6) == 0 {
 			i = l.random.IntN(len(l.inTransit))
 		}
 		c, from := l.inTransit[i], l.senders[i]
 		l.inTransit, l.senders = append(l.inTransit[:i], l.inTransit[i+1:]...), append(l.senders[:i], l.senders[i+1:]...)
-		if c.To != l.cutOff {
+		if c.To != l.isolated {
 			l.deliver(from, c)
 		}
 	}
 }
 
-// deliver hands a message to its store, and counts what became of a delta.
+// deliver delivers a message and updates the counters.
 func (l *lossyNetwork) deliver(from ids.Address, c event.Send) {
 	to := l.stores[c.To]
 	if vote, ok := c.Message.(Accepted); ok && vote.NeedsFullValue {
-		l.wholeValueRequests++
+		l.fullValueRequests++
 	}
-	v, ok := c.Message.(AcceptDelta)
+	m, ok := c.Message.(AcceptDelta)
 	if !ok {
 		to.deliver(l.now, from, c.Message)
 		return
 	}
-	held, _ := to.AcceptedValue(v.Key)
+	before, _ := to.AcceptedValue(m.Key)
 	to.deliver(l.now, from, c.Message)
-	if now, _ := to.AcceptedValue(v.Key); now != held && now == v.Ballot {
+	if after, _ := to.AcceptedValue(m.Key); after != before && after == m.Ballot {
 		l.deltas++
 	}
 }
 
-// Whatever is lost, duplicated, delayed or killed: all results are prefixes of one history,
-// no acknowledged change is missing from it, and deltas carry most of it.
+// Under message loss, duplication, delay and restarts, the results of all acknowledged changes
+// are prefixes of one history, and stores accept both deltas and full values.
 func TestDeltas_OneHistoryUnderLossAndRestarts(t *testing.T) {
-	deltas, wholeValueRequests := 0, 0
+	deltas, fullValueRequests := 0, 0
 	for seed := range uint64(60) {
 		l := newLossyNetwork(seed)
 		base := randomText(rand.New(rand.NewPCG(seed, 1)), 6000)
@@ -131,11 +131,11 @@
 			l.step()
 		}
 		checkOneHistory(t, seed, l.responses)
-		deltas, wholeValueRequests = deltas+l.deltas, wholeValueRequests+l.wholeValueRequests
+		deltas, fullValueRequests = deltas+l.deltas, fullValueRequests+l.fullValueRequests
 	}
-	t.Logf("votes for deltas: %d, requests for whole values: %d", deltas, wholeValueRequests)
-	if deltas < 1000 || wholeValueRequests < 50 {
-		t.Fatal("too few of either: the test shows little")
+	t.Logf("votes for deltas: %d, requests for full values: %d", deltas, fullValueRequests)
+	if deltas < 1000 || fullValueRequests < 50 {
+		t.Fatal("too few deltas or requests for full values to cover both paths")
 	}
 }
 
@@ -149,7 +149,7 @@
 	}
 	for _, r := range responses {
 		if r.Outcome == Succeeded && !bytes.HasPrefix(longest, r.Result) {
-			t.Fatalf("seed %d: change %d has a result that the last one doesn't continue", seed, r.ID)
+			t.Fatalf("seed %d: the result of change %d is not a prefix of the longest result", seed, r.ID)
 		}
 	}
 }
--- a/internal/state/consensus/value_delta_test.go
+++ b/internal/state/consensus/value_delta_test.go
@@ -14,15 +14,16 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// meteredNetwork delivers messages between stores and counts them.
-type meteredNetwork struct {
-	bytes, wholeValues, deltas int
-	// earlierVersion is a store of a version that doesn't know AcceptDelta.
+// countingNetwork delivers messages between stores, and counts them and their bytes.
+type countingNetwork struct {
+	bytes, fullValues, deltas int
+	// earlierVersion is a store that runs a version without AcceptDelta, empty for none.
 	earlierVersion ids.Address
 }
 
-// deliverAll delivers messages until none is left; stores that are down receive none.
-func (n *meteredNetwork) deliverAll(stores map[ids.Address]*testStore, now ids.Time, down map[ids.Address]bool) []Response {
+// deliverAll delivers messages until none is left, except those from or to a store that is
+// down, and returns the responses to clients.
+func (n *countingNetwork) deliverAll(stores map[ids.Address]*testStore, now ids.Time, down map[ids.Address]bool) []Response {
 	var responses []Response
 	exchange(stores, func(from ids.Address, c event.Send) {
 		if r, ok := c.Message.(Response); ok {
@@ -37,8 +38,8 @@
 	return responses
 }
 
-// deliver hands a message over; an earlier version skips what it doesn't know.
-func (n *meteredNetwork) deliver(now ids.Time, to *testStore, from ids.Address, c event.Send) {
+// deliver delivers a message. A store of an earlier version ignores AcceptDelta.
+func (n *countingNetwork) deliver(now ids.Time, to *testStore, from ids.Address, c event.Send) {
 	switch m := c.Message.(type) {
 	case AcceptDelta:
 		if c.To != n.earlierVersion {
@@ -52,19 +53,19 @@
 	}
 }
 
-func (n *meteredNetwork) count(c event.Send) {
+func (n *countingNetwork) count(c event.Send) {
 	raw, _ := wire.Encode(c.Message)
 	n.bytes += len(raw)
 	switch m := c.Message.(type) {
 	case Accept:
-		n.wholeValues += min(len(m.Value)/minDeltaValueSize, 1)
+		n.fullValues += min(len(m.Value)/minDeltaValueSize, 1)
 	case AcceptDelta:
 		n.deltas++
 	}
 }
 
-// run submits a change at a store and lets time pass until it is answered.
-func (n *meteredNetwork) run(t *testing.T, stores map[ids.Address]*testStore, at ids.Address, now *ids.Time, arg string, down map[ids.Address]bool) {
+// run submits a change to a store and advances the time until the store responds.
+func (n *countingNetwork) run(t *testing.T, stores map[ids.Address]*testStore, at ids.Address, now *ids.Time, arg string, down map[ids.Address]bool) {
 	t.Helper()
 	stores[at].Submit(*now, "w", Request{ID: 1, Key: "policy", Op: opAppend, Arg: []byte(arg), TimeoutMillis: 60000})
 	for range 100 {
@@ -77,7 +78,7 @@
 		*now = now.Add(20 * time.Millisecond)
 		tickAll(stores, *now)
 	}
-	t.Fatalf("%q was never answered", arg)
+	t.Fatalf("%q: no response", arg)
 }
 
 func tickAll(stores map[ids.Address]*testStore, now ids.Time) {
@@ -86,7 +87,8 @@
 	}
 }
 
-// mustAllHold checks that every store holds the value, in memory and on disk.
+// mustAllHold checks that every store holds the value under the same ballot, in memory and on
+// disk.
 func mustAllHold(t *testing.T, stores map[ids.Address]*testStore, want []byte) {
 	t.Helper()
 	wantBallot, _ := stores["a"].AcceptedValue("policy")
@@ -99,50 +101,50 @@
 	}
 }
 
-// A change is sent as a delta, and every store holds the very same bytes. A store that
-// missed changes, or whose proposer is new, is sent the whole value once.
+// Changes are sent as deltas, from which all stores derive the same value. A store that missed
+// changes receives the full value once.
 func TestProposer_SendsChangesAsDeltas(t *testing.T) {
 	is := is.New(t)
 	stores := newTestStores()
-	now, network, none := ids.Time(1), &meteredNetwork{}, map[ids.Address]bool{}
+	now, network, noneDown := ids.Time(1), &countingNetwork{}, map[ids.Address]bool{}
 	want := randomText(rand.New(rand.NewPCG(1, 1)), 200_000)
-	network.run(t, stores, "a", &now, string(want), none)
+	network.run(t, stores, "a", &now, string(want), noneDown)
 	change := func(at ids.Address, i int, down map[ids.Address]bool) {
 		arg := fmt.Sprintf("change %d;", i)
 		network.run(t, stores, at, &now, arg, down)
 		want = append(want, arg...)
 	}
-	change("a", 0, none)
+	change("a", 0, noneDown)
 	mustAllHold(t, stores, want)
-	*network = meteredNetwork{}
+	*network = countingNetwork{}
 	for i := range 50 {
-		change("a", i, none)
+		change("a", i, noneDown)
 	}
 	mustAllHold(t, stores, want)
-	is.Equal(network.wholeValues, 0)
+	is.Equal(network.fullValues, 0)
 	is.Equal(network.deltas, 150)
-	is.True(network.bytes/50 < 1500) // to three stores and back
-	// c is away for 300 changes, and holds what the others do after one more.
+	is.True(network.bytes/50 < 1500) // requests to three stores and their responses
+	// c misses 300 changes while it is down, and catches up with the next one.
 	for i := range 300 {
 		change("a", i, map[ids.Address]bool{"c": true})
 	}
-	*network = meteredNetwork{}
-	change("a", 301, none)
+	*network = countingNetwork{}
+	change("a", 301, noneDown)
 	mustAllHold(t, stores, want)
-	is.Equal(network.wholeValues, 1)
-	// Another proposer reads, then goes on with deltas.
-	change("b", 302, none)
-	*network = meteredNetwork{}
-	change("b", 303, none)
+	is.Equal(network.fullValues, 1)
+	// Another proposer sends deltas after its first change.
+	change("b", 302, noneDown)
+	*network = countingNetwork{}
+	change("b", 303, noneDown)
 	mustAllHold(t, stores, want)
-	is.Equal(network.wholeValues, 0)
+	is.Equal(network.fullValues, 0)
 }
 
-// A store of an earlier version skips AcceptDelta. It is sent whole values, also if
-// it was downgraded to that version.
-func TestProposer_SendsWholeValuesToEarlierVersions(t *testing.T) {
+// A store of an earlier version ignores AcceptDelta, so it must receive full values, even if it
+// supported deltas before a downgrade.
+func TestProposer_SendsFullValuesToEarlierVersions(t *testing.T) {
 	stores := newTestStores()
-	now, network := ids.Time(1), &meteredNetwork{}
+	now, network := ids.Time(1), &countingNetwork{}
 	want := randomText(rand.New(rand.NewPCG(1, 1)), 20_000)
 	network.run(t, stores, "a", &now, string(want), nil)
 	network.earlierVersion = "b"
@@ -154,10 +156,10 @@
 	mustAllHold(t, stores, want)
 }
 
-// A store that comes back is found out by the next read, and is caught up without any
-// change to the register.
+// The next read detects a store that missed changes while it was down, and the proposer catches
+// it up without a change to the register.
 func TestProposer_CatchesUpReturningStore(t *testing.T) {
-	for name, promisedHigher := range map[string]bool{"with old values": false, "with a higher promise": true} {
+	for name, promisedHigher := range map[string]bool{"outdated value": false, "higher promise": true} {
 		t.Run(name, func(t *testing.T) { checkCatchUp(t, promisedHigher) })
 	}
 }
@@ -166,27 +168,27 @@
 	t.Helper()
 	is := is.New(t)
 	stores := newTestStores()
-	now, network, none := ids.Time(1), &meteredNetwork{}, map[ids.Address]bool{}
+	now, network, noneDown := ids.Time(1), &countingNetwork{}, map[ids.Address]bool{}
 	want := randomText(rand.New(rand.NewPCG(1, 1)), 20_000)
-	network.run(t, stores, "a", &now, string(want), none)
+	network.run(t, stores, "a", &now, string(want), noneDown)
 	for range 300 {
 		network.run(t, stores, "a", &now, "x", map[ids.Address]bool{"c": true})
 		want = append(want, 'x')
 	}
 	if promisedHigher {
-		// c's own proposer prepared, as it came back, a ballot above all others.
+		// c's own proposer prepared a ballot above all others when c came back.
 		stores["c"].HandlePrepare("c", Prepare{Key: "policy", Ballot: ids.Ballot{Counter: 1 << 50, Proposer: 3}, VoterSetNumber: 1, Round: 1})
 	}
 	returned := now
 	for now.Sub(returned) < 2*time.Second {
 		if now.Sub(returned)%(500*time.Millisecond) == 0 {
-			// A registry reads as often.
+			// Registries read at this interval.
 			stores["b"].Submit(now, "w", Request{ID: 1, Key: "policy", Op: Read, TimeoutMillis: 60000})
 		}
-		network.deliverAll(stores, now, none)
+		network.deliverAll(stores, now, noneDown)
 		now = now.Add(20 * time.Millisecond)
 		tickAll(stores, now)
 	}
 	mustAllHold(t, stores, want)
-	is.True(network.wholeValues >= 2)
+	is.True(network.fullValues >= 2)
 }
