--- a/internal/state/configuration/change.go
+++ b/internal/state/configuration/change.go
@@ -8,35 +8,35 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// ItemChange changes one item. Exactly one of Put, Set and Remove is given.
+// ItemChange changes one item. Exactly one of Put, Set and Remove is set.
 type ItemChange struct {
 	Kind string   `json:"kind"`
 	Name ids.Name `json:"name"`
-	// Version, if given, is the version that the item must have; 0 requires that there
-	// is no such item.
+	// Version, if set, is the version that the item must have; 0 requires that the item
+	// doesn't exist.
 	Version *ids.Revision `json:"version,omitempty"`
-	// Put replaces the whole body, Set only the fields that it names.
+	// Put replaces the whole body, Set only the fields that it contains.
 	Put    json.RawMessage `json:"put,omitempty"`
 	Set    json.RawMessage `json:"set,omitempty"`
 	Remove bool            `json:"remove,omitempty"`
 }
 
-// Change is an operator's change of one or more items. It takes effect whole or not
-// at all.
+// Change is an operator's atomic change of one or more items.
 type Change struct {
-	// ID is the caller's own id of this change, the same in each copy of it.
+	// ID is assigned by the caller and is the same in each retry of the change.
 	ID    ids.ChangeID `json:"id"`
 	Items []ItemChange `json:"changes"`
 }
 
-// Apply returns the document after a change, or the same items if the change is
-// rejected. A change that was applied before isn't applied again: its first result is
-// returned. If that can't be determined any more, Result.UnknownReason is set.
+// Apply returns the document after a change. If the change is rejected, the returned
+// document has the same items. A change that was applied before isn't applied again: its
+// first result is returned, or Result.UnknownReason is set if that result can't be
+// determined any more.
 func (d *Document) Apply(c Change) (*Document, Result) {
-	if res, ended := d.earlierResult(c); ended {
+	if res, recorded := d.recordedResult(c); recorded {
 		return d, res
 	}
-	isNew := d.isSurelyNew(c)
+	isNew := d.isProvablyNew(c)
 	unknown := Result{ID: c.ID, Revision: d.Revision, UnknownReason: reasonUnknown}
 	if _, hasBase := baseRevisionOf(c.ID); hasBase && !isNew {
 		return d, unknown
@@ -45,7 +45,7 @@
 	res := Result{ID: c.ID, Revision: d.Revision}
 	var changed []ItemVersion
 	for _, item := range c.Items {
-		changed = append(changed, next.applyItem(item, changeHash(c.ID), &res))
+		changed = append(changed, next.applyItem(item, hashChangeID(c.ID), &res))
 	}
 	if res.Accepted() {
 		res.Violations = next.checkReferences(c)
@@ -57,7 +57,7 @@
 		return next, res
 	}
 	if !isNew {
-		// It may have been accepted once: a rejection would contradict that.
+		// The change may have been accepted before: a rejection would contradict that.
 		return d, unknown
 	}
 	rejected := *d
@@ -66,13 +66,13 @@
 	return &rejected, res
 }
 
-// applyItem changes one item in place and adds to the result what stands against it.
+// applyItem changes one item in place and adds the reasons to reject it to the result.
 func (d *Document) applyItem(change ItemChange, hash string, res *Result) ItemVersion {
 	items := d.Items(change.Kind)
-	present, exists := items[change.Name]
-	result := ItemVersion{Kind: change.Kind, Name: change.Name, Version: present.Version}
+	current, exists := items[change.Name]
+	result := ItemVersion{Kind: change.Kind, Name: change.Name, Version: current.Version}
 	switch {
-	case change.Version != nil && *change.Version != present.Version:
+	case change.Version != nil && *change.Version != current.Version:
 		res.VersionConflicts = append(res.VersionConflicts, VersionConflict{result, *change.Version})
 		return result
 	case !exists && change.Put == nil:
@@ -87,42 +87,43 @@
 	return result
 }
 
-// removeItem removes an existing item in place. The tombstone keeps copies of the item
-// that arrive later from restoring it.
+// removeItem removes an existing item in place. The tombstone keeps delayed duplicates of
+// earlier requests from restoring the item.
 func (d *Document) removeItem(change ItemChange, hash string) {
 	items := d.Items(change.Kind)
-	present := items[change.Name]
+	current := items[change.Name]
 	everMerged := d.everMerged(change.Kind, change.Name)
 	if everMerged {
 		d.recordVersion(change.Kind, change.Name)
 	}
 	delete(items, change.Name)
 	d.addTombstone(itemKey(change.Kind, change.Name), Tombstone{
-		Version:         present.Version + 1,
+		Version:         current.Version + 1,
 		ChangeHash:      hash,
-		PreviousVersion: present.Version,
+		PreviousVersion: current.Version,
 		EverMerged:      everMerged,
 	})
 }
 
-// putItem writes an item's new body in place, adds the violations of a Set to the
-// result, and returns the item's new version. A Put was checked by ReadChange.
+// putItem writes an item's new body in place and returns the item's new version. It adds
+// violations of the body that results from a Set to the result; ReadChange has already
+// checked the body of a Put.
 func (d *Document) putItem(change ItemChange, hash string, res *Result) ids.Revision {
 	items := d.Items(change.Kind)
-	present := items[change.Name]
+	current := items[change.Name]
 	key := itemKey(change.Kind, change.Name)
 	body := change.Put
 	if change.Set != nil {
-		body = overlayFields(present.Body, change.Set)
+		body = overlayFields(current.Body, change.Set)
 		violations := violationList{item: key}
 		checkBody(change.Kind, string(body), violations.report)
 		res.Violations = append(res.Violations, violations.list...)
 	}
 	everMerged := d.everMerged(change.Kind, change.Name)
 	version := d.Revision
-	previous, known := d.version(change.Kind, change.Name)
-	if known {
-		// Versions that came by a Merge may be ahead of revisions; none decreases.
+	previous, hasPrevious := d.version(change.Kind, change.Name)
+	if hasPrevious {
+		// Versions assigned by a Merge may be ahead of revisions; versions never decrease.
 		version = max(version, previous+1)
 	}
 	if everMerged {
@@ -133,7 +134,7 @@
 		Version:         version,
 		Body:            pretty.Ugly(body),
 		ChangedAt:       d.Revision,
-		Merged:          present.isMerged(),
+		Merged:          current.isMerged(),
 		ChangeHash:      hash,
 		PreviousVersion: previous,
 		EverMerged:      everMerged,
@@ -141,14 +142,14 @@
 	return version
 }
 
-// everMerged reports whether some version of a name came by a Merge.
+// everMerged reports whether any version of the named item was written by a Merge.
 func (d *Document) everMerged(kind string, name ids.Name) bool {
 	item := d.Items(kind)[name]
 	return item.isMerged() || item.EverMerged || d.Tombstones[itemKey(kind, name)].EverMerged
 }
 
-// overlayFields returns a body with the fields of another object set in it. Both were
-// checked to be objects before; whatever can't be read is left out.
+// overlayFields returns body with its fields overridden by those of another object. The
+// caller has checked that both are objects; input that can't be decoded is left out.
 func overlayFields(body, fields json.RawMessage) json.RawMessage {
 	merged := map[string]json.RawMessage{}
 	_ = json.Unmarshal(body, &merged)
--- a/internal/state/configuration/content_hash.go
+++ b/internal/state/configuration/content_hash.go
@@ -13,14 +13,14 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// contentHashSize is how many bytes of a content's hash are kept.
+// contentHashSize is the length in bytes of a truncated content hash.
 const contentHashSize = 6
 
-// contentHash identifies a content. It is equal for two spellings of one JSON value,
-// whatever the order of keys, the white space, the escapes or the format of numbers.
+// contentHash identifies the content of a change or item. It doesn't depend on the order
+// of keys, white space, escapes or number formats in the JSON.
 type contentHash [contentHashSize]byte
 
-// removedContentHash stands for the removal of an item.
+// removedContentHash is the content hash of a removed item.
 var removedContentHash = hashParts("removed")
 
 func hashParts(parts ...string) contentHash {
@@ -28,16 +28,16 @@
 	return contentHash(sum[:contentHashSize])
 }
 
-// hashItem hashes an item by its source, or by its body if there is none: another
-// release may derive another body from the same source.
+// hashItem hashes an item by its source, or by its body if it has no source: another
+// release may derive a different body from the same source.
 func hashItem(body, source json.RawMessage) contentHash {
 	if len(source) > 0 {
-		return hashParts("source", canonical(source))
+		return hashParts("source", canonicalJSON(source))
 	}
-	return hashParts("body", canonical(body))
+	return hashParts("body", canonicalJSON(body))
 }
 
-// hashChange hashes what a change asks for, without its id.
+// hashChange hashes the items of a change, without its ID.
 func hashChange(c Change) contentHash {
 	var parts []string
 	for _, item := range c.Items {
@@ -46,12 +46,12 @@
 			version = strconv.FormatUint(uint64(*item.Version), 10)
 		}
 		parts = append(parts, item.Kind, string(item.Name), version, strconv.FormatBool(item.Remove),
-			canonical(item.Put), canonical(item.Set))
+			canonicalJSON(item.Put), canonicalJSON(item.Set))
 	}
 	return hashParts(parts...)
 }
 
-// contentHash hashes what the item asks for.
+// contentHash returns the hash of the item's content.
 func (v VersionedItem) contentHash() contentHash {
 	if v.Removed {
 		return removedContentHash
@@ -59,7 +59,8 @@
 	return hashItem(v.Body, v.Source)
 }
 
-// contentHashOf hashes what a name stands for at present: an item or its removal.
+// contentHashOf returns the content hash of the named item, or removedContentHash if there
+// is none.
 func (d *Document) contentHashOf(kind string, name ids.Name) contentHash {
 	item, ok := d.Items(kind)[name]
 	if !ok {
@@ -68,21 +69,21 @@
 	return hashItem(item.Body, item.Source)
 }
 
-// canonical returns a JSON value in its one canonical spelling.
-func canonical(raw json.RawMessage) string {
+// canonicalJSON returns the canonical encoding of a JSON value.
+func canonicalJSON(raw json.RawMessage) string {
 	var out strings.Builder
-	writeCanonical(&out, gjson.ParseBytes(raw))
+	writeCanonicalJSON(&out, gjson.ParseBytes(raw))
 	return out.String()
 }
 
-func writeCanonical(out *strings.Builder, v gjson.Result) {
+func writeCanonicalJSON(out *strings.Builder, v gjson.Result) {
 	switch {
 	case v.IsObject():
 		writeCanonicalObject(out, v)
 	case v.IsArray():
 		out.WriteByte('[')
 		v.ForEach(func(_, element gjson.Result) bool {
-			writeCanonical(out, element)
+			writeCanonicalJSON(out, element)
 			out.WriteByte(',')
 			return true
 		})
@@ -96,8 +97,8 @@
 	}
 }
 
-// writeCanonicalObject writes the members by key. Members with the same key keep their
-// order.
+// writeCanonicalObject writes the members sorted by key. Members with the same key keep
+// their order.
 func writeCanonicalObject(out *strings.Builder, v gjson.Result) {
 	type member struct {
 		key   string
@@ -113,14 +114,14 @@
 	for _, m := range members {
 		out.WriteString(strconv.Quote(m.key))
 		out.WriteByte(':')
-		writeCanonical(out, m.value)
+		writeCanonicalJSON(out, m.value)
 		out.WriteByte(',')
 	}
 	out.WriteByte('}')
 }
 
-// canonicalNumber gives 4, 4.0 and 4e0 one spelling. Whole numbers keep all their
-// digits, also those that a float64 can't hold.
+// canonicalNumber returns the same text for 4, 4.0 and 4e0. Integers keep all their
+// digits, even those that exceed the precision of a float64.
 func canonicalNumber(raw string) string {
 	if !strings.ContainsAny(raw, ".eE") {
 		return raw
--- a/internal/state/configuration/deduplication.go
+++ b/internal/state/configuration/deduplication.go
@@ -8,24 +8,24 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// Reasons of results, as clients see them.
+// Reasons in results, as shown to clients.
 const (
-	reasonIDUsed       = "was used for another change: a change needs an id of its own"
-	reasonRejected     = "names a change that was declined"
-	reasonUnknown      = "this may be a copy of a change so old that its end isn't known any more; read the item, and send what is still wanted under a new id"
-	reasonOtherContent = "this version holds already, with other content"
+	reasonIDReused      = "was used for another change: a change needs an id of its own"
+	reasonRejected      = "names a change that was declined"
+	reasonUnknown       = "this may be a copy of a change so old that its end isn't known any more; read the item, and send what is still wanted under a new id"
+	reasonVersionReused = "this version holds already, with other content"
 )
 
-// baseRevisionPattern matches an id whose author names the revision that was read.
+// baseRevisionPattern matches a change ID made by ChangeIDAt.
 var baseRevisionPattern = regexp.MustCompile(`^at-([0-9]{1,18})-`)
 
-// ChangeIDAt returns a change id that names the revision its author had read. Such a
-// change can always be told from one that was made before that revision.
+// ChangeIDAt returns a change ID that contains the revision that its author had read. It
+// shows that the change was made no earlier than that revision.
 func ChangeIDAt(base ids.Revision, random string) string {
 	return "at-" + strconv.FormatUint(uint64(base), 10) + "-" + random
 }
 
-// baseRevisionOf returns the revision that an id names, and whether it names one.
+// baseRevisionOf returns the revision in a change ID, and whether it contains one.
 func baseRevisionOf(id ids.ChangeID) (ids.Revision, bool) {
 	match := baseRevisionPattern.FindStringSubmatch(string(id))
 	if match == nil {
@@ -35,37 +35,37 @@
 	return ids.Revision(base), err == nil
 }
 
-// changeHash is the hash of a change's id that Item.ChangeHash holds.
-func changeHash(id ids.ChangeID) string {
-	key := historyKeyOf(string(id))
+// hashChangeID returns the hash of a change ID, as stored in Item.ChangeHash.
+func hashChangeID(id ids.ChangeID) string {
+	key := hashHistoryKey(string(id))
 	return base64.RawStdEncoding.EncodeToString(key[:])
 }
 
-// earlierResult returns the result of a change whose outcome is remembered. Another
-// change under the same id is rejected.
-func (d *Document) earlierResult(c Change) (Result, bool) {
-	entry, remembered := d.history().Changes.find(historyKeyOf(string(c.ID)))
-	if remembered && entry.contentHash != hashChange(c) {
-		return Result{ID: c.ID, Revision: d.Revision, ReuseConflicts: []Violation{{"change", "id", reasonIDUsed}}}, true
+// recordedResult returns the result of a change whose outcome is recorded. A different
+// change with the same ID is rejected.
+func (d *Document) recordedResult(c Change) (Result, bool) {
+	entry, recorded := d.history().Changes.find(hashHistoryKey(string(c.ID)))
+	if recorded && entry.contentHash != hashChange(c) {
+		return Result{ID: c.ID, Revision: d.Revision, ReuseConflicts: []Violation{{"change", "id", reasonIDReused}}}, true
 	}
-	if res, ok := d.keptResult(c.ID); ok {
+	if res, ok := d.retainedResult(c.ID); ok {
 		return res, true
 	}
-	if remembered {
+	if recorded {
 		res := Result{ID: c.ID, Revision: entry.revision}
 		if entry.rejected {
 			res.ReuseConflicts = []Violation{{"change", "id", reasonRejected}}
 		}
 		return res, true
 	}
-	if revision, ok := d.revisionOfItemMadeBy(c); ok {
+	if revision, ok := d.revisionOfItemChangedBy(c); ok {
 		return Result{ID: c.ID, Revision: revision}, true
 	}
 	return Result{}, false
 }
 
-// keptResult returns a result that is kept whole.
-func (d *Document) keptResult(id ids.ChangeID) (Result, bool) {
+// retainedResult returns the full result of a change if it is still retained.
+func (d *Document) retainedResult(id ids.ChangeID) (Result, bool) {
 	for _, results := range [][]Result{d.RecentResults, d.RejectedResults} {
 		for _, res := range results {
 			if res.ID == id {
@@ -76,11 +76,11 @@
 	return Result{}, false
 }
 
-// revisionOfItemMadeBy reports whether the present version or the removal of one of a
-// change's items was made by this change, and at which revision. Changes take effect
-// whole, so one item proves it for all.
-func (d *Document) revisionOfItemMadeBy(c Change) (ids.Revision, bool) {
-	hash := changeHash(c.ID)
+// revisionOfItemChangedBy returns the revision at which a change was applied, and whether
+// the current version or tombstone of one of its items was written by it. Changes are
+// atomic, so one item proves that all of them were changed.
+func (d *Document) revisionOfItemChangedBy(c Change) (ids.Revision, bool) {
+	hash := hashChangeID(c.ID)
 	for _, change := range c.Items {
 		if item, ok := d.Items(change.Kind)[change.Name]; ok && item.ChangeHash == hash {
 			return item.ChangedAt, true
@@ -92,49 +92,49 @@
 	return 0, false
 }
 
-// isSurelyNew reports whether a change that isn't remembered can't have been accepted
-// before: if it had been, its outcome would still be known, or its items would
-// differ. False means only that it can't be excluded.
-func (d *Document) isSurelyNew(c Change) bool {
-	forgotten := d.history().ForgottenRevision
-	if forgotten == 0 {
+// isProvablyNew reports whether a change without a recorded outcome can't have been
+// accepted before: if it had been, its outcome would still be recorded, or its items would
+// differ. False means only that an earlier acceptance can't be excluded.
+func (d *Document) isProvablyNew(c Change) bool {
+	evictedRevision := d.history().ForgottenRevision
+	if evictedRevision == 0 {
 		return true
 	}
-	if base, ok := baseRevisionOf(c.ID); ok && base >= forgotten {
+	if base, ok := baseRevisionOf(c.ID); ok && base >= evictedRevision {
 		return true
 	}
 	for _, change := range c.Items {
-		if d.provesNew(change, forgotten) {
+		if d.itemProvesNew(change, evictedRevision) {
 			return true
 		}
 	}
 	return false
 }
 
-// provesNew reports whether one item shows that its change was never accepted.
-// Outcomes after the forgotten revision are all remembered.
-func (d *Document) provesNew(change ItemChange, forgotten ids.Revision) bool {
+// itemProvesNew reports whether the state of one item proves that its change was never
+// accepted. All outcomes after evictedRevision are still recorded.
+func (d *Document) itemProvesNew(change ItemChange, evictedRevision ids.Revision) bool {
 	item, exists := d.Items(change.Kind)[change.Name]
 	tombstone, removed := d.Tombstones[itemKey(change.Kind, change.Name)]
 	switch {
 	case !exists && !removed:
-		// Accepted, it would have left an item or a tombstone.
+		// An accepted change would have left an item or a tombstone.
 		return true
 	case change.Version == nil:
 		return false
 	case *change.Version == 0 && change.Put == nil && !item.EverMerged && !tombstone.EverMerged:
-		// No item that exists to be altered has version 0.
+		// Only a merged item can exist with version 0, so this change can't have matched one.
 		return true
 	case exists && item.Version == *change.Version:
-		// Accepted, it would have replaced this version, and versions don't come back.
+		// An accepted change would have replaced this version, and versions are never reused.
 		return true
 	case exists && item.ChangeHash != "" && item.PreviousVersion == *change.Version:
-		// The one change that replaced this version is another one.
+		// This version was replaced by a different change.
 		return true
 	case removed && tombstone.ChangeHash != "" && tombstone.PreviousVersion == *change.Version:
 		return true
 	}
-	// A version that no Merge assigned is the revision that made it, so whatever
-	// replaced it came later than all that is forgotten.
-	return !item.isMerged() && !item.EverMerged && !tombstone.EverMerged && *change.Version >= forgotten
+	// A version that no Merge assigned equals the revision that wrote it, so the change
+	// that replaced it came after the evicted outcomes and would still be recorded.
+	return !item.isMerged() && !item.EverMerged && !tombstone.EverMerged && *change.Version >= evictedRevision
 }
--- a/internal/state/configuration/history.go
+++ b/internal/state/configuration/history.go
@@ -10,44 +10,44 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// History remembers, in few bytes each, the outcomes of changes and the contents of
-// replaced versions. It is part of the register's value, so whatever makes a request
-// harmless to send again is agreed on together with what the request did.
+// History records in compact form the outcomes of changes and the contents of replaced
+// versions, so that duplicates of requests can be detected. It is part of the register's
+// value and is therefore updated atomically with the items.
 type History struct {
-	// Changes has an entry for each change id with an outcome: the change's content,
-	// and the revision that it made or at which it was rejected.
+	// Changes has an entry for each change ID with an outcome: the hash of the change's
+	// content, and the revision that it created or at which it was rejected.
 	Changes historyEntries `json:"changes,omitempty"`
-	// ForgottenRevision is the highest revision of an entry that was dropped from
-	// Changes. Whatever was accepted later is known.
+	// ForgottenRevision is the highest revision of the entries evicted from Changes. All
+	// changes accepted after it are still recorded.
 	ForgottenRevision ids.Revision `json:"forgotten,omitempty"`
 	// Versions has an entry for each version of a merged item that was replaced.
 	Versions historyEntries `json:"versions,omitempty"`
 }
 
 const (
-	// maxChangeEntries is a day of changes at the size that the system is designed for.
+	// maxChangeEntries covers one day of changes at the rate that the system is designed for.
 	maxChangeEntries = 4300
-	// maxVersionEntries bounds how many replaced versions have a known content.
+	// maxVersionEntries bounds the entries of History.Versions.
 	maxVersionEntries = 256
-	// evictionBatch is how many entries are dropped together, so that most changes
-	// only append to the list: that keeps the register's delta small.
+	// evictionBatch is the number of entries evicted at once. Between evictions changes
+	// only append to the list, which keeps the deltas of the register small.
 	evictionBatch = 64
 )
 
-// Sizes in bytes within an encoded entry: key, content hash, revision.
+// Sizes in bytes of an encoded entry and its parts: key, content hash, revision.
 const (
 	historyKeySize      = 8
 	historyRevisionSize = 4
 	historyEntrySize    = historyKeySize + contentHashSize + historyRevisionSize
 )
 
-// rejectedBit in an encoded revision says that a change was rejected at it.
+// rejectedBit is set in an encoded revision if the change was rejected at that revision.
 const rejectedBit = 1 << 31
 
-// historyKey is a hash of what an entry is about: a change id or an item's version.
+// historyKey is the hash of a change ID, or of an item's key and version.
 type historyKey [historyKeySize]byte
 
-// historyEntry is what is remembered of one change or of one version of an item.
+// historyEntry records the outcome of one change or the content of one version of an item.
 type historyEntry struct {
 	key         historyKey
 	contentHash contentHash
@@ -55,18 +55,18 @@
 	rejected    bool
 }
 
-// historyEntries is a list of encoded entries, oldest first. It is never modified in
-// place, since documents share it.
+// historyEntries is a list of encoded entries, oldest first. Documents share it, so it is
+// never modified in place.
 type historyEntries []byte
 
-func historyKeyOf(subject string) historyKey {
+func hashHistoryKey(subject string) historyKey {
 	sum := sha256.Sum256([]byte(subject))
 	return historyKey(sum[:historyKeySize])
 }
 
-// versionKey is the key of one version of an item.
+// versionKey returns the key of one version of an item.
 func versionKey(kind string, name ids.Name, version ids.Revision) historyKey {
-	return historyKeyOf(itemKey(kind, name) + "@" + strconv.FormatUint(uint64(version), 10))
+	return hashHistoryKey(itemKey(kind, name) + "@" + strconv.FormatUint(uint64(version), 10))
 }
 
 func (e historyEntries) count() int { return len(e) / historyEntrySize }
@@ -83,7 +83,7 @@
 	}
 }
 
-// find returns the newest entry of a key.
+// find returns the newest entry with a key.
 func (e historyEntries) find(key historyKey) (historyEntry, bool) {
 	for i := e.count() - 1; i >= 0; i-- {
 		if bytes.Equal(e[i*historyEntrySize:i*historyEntrySize+historyKeySize], key[:]) {
@@ -94,7 +94,7 @@
 }
 
 // add returns a copy of the list with one more entry, and the highest revision of the
-// entries that were dropped to stay within the limit.
+// entries that were evicted to stay within the limit.
 func (e historyEntries) add(entry historyEntry, limit int) (historyEntries, ids.Revision) {
 	var droppedRevision ids.Revision
 	if e.count() >= limit {
@@ -113,29 +113,29 @@
 	return binary.BigEndian.AppendUint32(next, revision), droppedRevision
 }
 
-// history returns what the document remembers. For a document without a History it is
-// derived from the kept results: if they are as many as fit, some were dropped.
+// history returns the document's history. For a document without one it is derived from
+// the retained results: if a list of them is full, some may have been evicted.
 func (d *Document) history() History {
 	if d.History != nil {
 		return *d.History
 	}
 	var h History
-	for _, kept := range []struct {
+	for _, retained := range []struct {
 		results []Result
 		limit   int
 	}{{d.RecentResults, maxRecentResults}, {d.RejectedResults, maxRejectedResults}} {
-		if len(kept.results) >= kept.limit {
-			h.ForgottenRevision = max(h.ForgottenRevision, kept.results[0].Revision)
+		if len(retained.results) >= retained.limit {
+			h.ForgottenRevision = max(h.ForgottenRevision, retained.results[0].Revision)
 		}
 	}
 	return h
 }
 
-// recordChange remembers the outcome of a change, in place.
+// recordChange records the outcome of a change in the document's history, in place.
 func (d *Document) recordChange(c Change, res Result) {
 	h := d.history()
 	entry := historyEntry{
-		key:         historyKeyOf(string(c.ID)),
+		key:         hashHistoryKey(string(c.ID)),
 		contentHash: hashChange(c),
 		revision:    res.Revision,
 		rejected:    !res.Accepted(),
@@ -146,8 +146,8 @@
 	d.History = &h
 }
 
-// recordVersion remembers, in place, the content of a version that is about to be
-// replaced.
+// recordVersion records the content of an item's current version in the document's
+// history, in place, before that version is replaced.
 func (d *Document) recordVersion(kind string, name ids.Name) {
 	version, ok := d.version(kind, name)
 	if !ok {
--- a/internal/state/configuration/merge.go
+++ b/internal/state/configuration/merge.go
@@ -8,27 +8,27 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// VersionedItem is an item whose version the caller assigns. For each name the
-// highest version holds, whether it sets or removes the item; a lower or equal one
-// changes nothing.
+// VersionedItem sets or removes an item under a version that the caller assigns. The
+// highest version of an item wins; a lower or equal one has no effect.
 type VersionedItem struct {
 	Kind    string       `json:"kind"`
 	Name    ids.Name     `json:"name"`
 	Version ids.Revision `json:"version"`
-	// Body is the item in our format, Source in the caller's own if that differs.
+	// Body is the item in the format of this package, Source in the caller's own format if
+	// that differs.
 	Body    json.RawMessage `json:"body,omitempty"`
 	Source  json.RawMessage `json:"source,omitempty"`
 	Removed bool            `json:"removed,omitempty"`
 }
 
-// Merge sets and removes items by version. It takes effect whole or not at all. Sent
-// again, late or out of order it has the same effect, so it needs no id.
+// Merge sets and removes items by version, atomically. Merges are idempotent and
+// commutative, so they need no ID.
 type Merge struct {
 	Items []VersionedItem `json:"items"`
 }
 
-// Merge returns the document with the items merged in, or the same document if the
-// merge is rejected or has nothing newer.
+// Merge returns the document with the items merged in, or d itself if the merge is rejected
+// or contains no newer version.
 func (d *Document) Merge(m Merge) (*Document, Result) {
 	res := Result{Revision: d.Revision, Violations: m.Check()}
 	if len(res.Violations) > 0 {
@@ -56,8 +56,8 @@
 	return next, res
 }
 
-// mergeItem applies one item in place and reports whether its version was the highest
-// for its name.
+// mergeItem applies one item in place unless its version is superseded, and reports whether
+// it was applied.
 func (d *Document) mergeItem(item VersionedItem) bool {
 	if version, ok := d.version(item.Kind, item.Name); ok && item.Version <= version {
 		return false
@@ -81,25 +81,25 @@
 	return true
 }
 
-// reuseConflicts reports whether an item's version already stands for another
-// content: two callers must not both be told that one version is theirs.
+// reuseConflicts returns a violation if the item's version is already used for different
+// content. Two callers must not both have different content acknowledged for one version.
 func (d *Document) reuseConflicts(item VersionedItem) []Violation {
-	version, known := d.version(item.Kind, item.Name)
-	if !known || item.Version > version {
+	version, exists := d.version(item.Kind, item.Name)
+	if !exists || item.Version > version {
 		return nil
 	}
-	present := d.contentHashOf(item.Kind, item.Name)
+	recorded := d.contentHashOf(item.Kind, item.Name)
 	if item.Version < version {
 		entry, ok := d.history().Versions.find(versionKey(item.Kind, item.Name, item.Version))
 		if !ok {
-			// It never held, or so long ago that it is forgotten. Since it is
-			// overtaken, it has no effect in either case.
+			// The version was never used or its entry was evicted. It is superseded
+			// and has no effect in either case.
 			return nil
 		}
-		present = entry.contentHash
+		recorded = entry.contentHash
 	}
-	if present == item.contentHash() {
+	if recorded == item.contentHash() {
 		return nil
 	}
-	return []Violation{{itemKey(item.Kind, item.Name), "version", reasonOtherContent}}
+	return []Violation{{itemKey(item.Kind, item.Name), "version", reasonVersionReused}}
 }
--- a/internal/state/configuration/merge_test.go
+++ b/internal/state/configuration/merge_test.go
@@ -18,7 +18,7 @@
 	is.Equal(res.Revision, ids.Revision(1))
 	is.Equal(d.Routes["mud"].Version, ids.Revision(7))
 	is.Equal(res.Items, []ItemVersion{{"service", "wader", 7}, {"route", "mud", 7}})
-	// Equal and lower versions are accepted, get the present version, and change nothing.
+	// Equal and lower versions are accepted, return the current version and change nothing.
 	for _, version := range []ids.Revision{7, 6, 0} {
 		next, res := d.Merge(mergeOf(versionedRoute("mud", "wader", version)))
 		is.True(next == d)
@@ -26,20 +26,20 @@
 		is.Equal(res.Revision, d.Revision)
 		is.Equal(res.Items, []ItemVersion{{"route", "mud", 7}})
 	}
-	// Versions may skip numbers, and one item may be newer beside one that is older.
+	// Versions may skip numbers, and a merge may contain both newer and older versions.
 	next, res := d.Merge(mergeOf(versionedRoute("mud", "wader", 40), versionedService("wader", 3)))
 	is.True(res.Accepted())
 	is.Equal(next.Routes["mud"].Version, ids.Revision(40))
 	is.Equal(next.Services["wader"].Version, ids.Revision(7))
 	is.Equal(d.Routes["mud"].Version, ids.Revision(7)) // the old document is unmodified
-	// Version 0 counts where there is no item yet.
+	// Version 0 is accepted if there is no item yet.
 	next, res = next.Merge(mergeOf(versionedService("plover", 0)))
 	is.True(res.Accepted())
 	_, ok := next.Services["plover"]
 	is.True(ok)
 }
 
-// The order in which merges arrive, and how often, makes no difference.
+// The result doesn't depend on the order of merges or on duplicates.
 func TestMerge_IsCommutativeAndIdempotent(t *testing.T) {
 	is := is.New(t)
 	base, _ := emptyDocument(t).Merge(mergeOf(versionedService("wader", 1), versionedService("plover", 1)))
@@ -50,11 +50,11 @@
 		mergeOf(versionedRoute("mud", "wader", 8)),
 		mergeOf(versionedRemoval("route", "sand", 4)),
 	}
-	var applyRemaining func(d *Document, remaining []int)
-	orders := 0
-	applyRemaining = func(d *Document, remaining []int) {
+	var applyPermutations func(d *Document, remaining []int)
+	permutations := 0
+	applyPermutations = func(d *Document, remaining []int) {
 		if len(remaining) == 0 {
-			orders++
+			permutations++
 			_, exists := d.Routes["mud"]
 			is.True(!exists)
 			is.Equal(d.Tombstones["route/mud"].Version, ids.Revision(9))
@@ -67,11 +67,11 @@
 			again, res := next.Merge(merges[n])
 			is.True(res.Accepted())
 			is.True(again == next)
-			applyRemaining(next, slices.Concat(remaining[:i], remaining[i+1:]))
+			applyPermutations(next, slices.Concat(remaining[:i], remaining[i+1:]))
 		}
 	}
-	applyRemaining(base, []int{0, 1, 2, 3, 4})
-	is.Equal(orders, 120)
+	applyPermutations(base, []int{0, 1, 2, 3, 4})
+	is.Equal(permutations, 120)
 }
 
 func TestMerge_OlderVersionDoesNotRestoreRemovedItem(t *testing.T) {
@@ -81,7 +81,7 @@
 	is.True(res.Accepted())
 	is.Equal(res.Items, []ItemVersion{{"route", "mud", 6}})
 	is.Equal(len(d.Routes), 0)
-	// An older copy doesn't restore it, also after the document was encoded and decoded.
+	// An older version doesn't restore it, even after the document was encoded and decoded.
 	d, err := Decode(d.Encode(false))
 	is.NoErr(err)
 	for _, version := range []ids.Revision{4, 5} {
@@ -89,9 +89,9 @@
 		is.True(res.Accepted())
 		is.True(next == d)
 	}
-	// The version of the removal can't stand for an item as well.
+	// The version of the removal can't be reused for an item.
 	next, res := d.Merge(mergeOf(versionedRoute("mud", "wader", 6)))
-	is.Equal(res.ReuseConflicts, []Violation{{"route/mud", "version", reasonOtherContent}})
+	is.Equal(res.ReuseConflicts, []Violation{{"route/mud", "version", reasonVersionReused}})
 	is.True(next == d)
 	next, res = d.Merge(mergeOf(versionedRemoval("route", "mud", 6)))
 	is.True(res.Accepted())
@@ -99,20 +99,20 @@
 	d, _ = d.Merge(mergeOf(versionedRoute("mud", "wader", 7)))
 	is.Equal(d.Routes["mud"].Version, ids.Revision(7))
 	is.Equal(len(d.Tombstones), 0)
-	// An item that never existed can be removed beforehand.
+	// A removal may arrive before the older version that creates the item.
 	d, res = d.Merge(mergeOf(versionedRemoval("route", "early", 3)))
 	is.True(res.Accepted())
 	d, _ = d.Merge(mergeOf(versionedRoute("early", "wader", 2)))
 	_, exists := d.Routes["early"]
 	is.True(!exists)
-	// An overtaken removal removes nothing.
+	// A superseded removal removes nothing.
 	d, _ = d.Merge(mergeOf(versionedRemoval("route", "mud", 7)))
 	_, exists = d.Routes["mud"]
 	is.True(exists)
 }
 
-// An item that was merged and then changed and removed by a Change isn't restored by a
-// copy of the Merge.
+// A duplicate of a Merge doesn't restore an item that was changed and removed by Changes
+// after it.
 func TestMerge_StaleCopyDoesNotRestoreItemChangedThenRemoved(t *testing.T) {
 	is := is.New(t)
 	d, _ := emptyDocument(t).Merge(mergeOf(versionedService("wader", 100), versionedRoute("mud", "wader", 100)))
@@ -131,31 +131,31 @@
 		return VersionedItem{Kind: kind, Name: "odd", Version: 50, Body: json.RawMessage(body)}
 	}
 	for name, invalid := range map[string]VersionedItem{
-		"unknown kind":      withBody("shop", `{}`),
-		"no name":           {Kind: "service", Version: 50, Body: json.RawMessage(`{}`)},
-		"long name":         {Kind: "service", Name: ids.Name(make([]byte, 257)), Version: 50, Body: json.RawMessage(`{}`)},
-		"broken":            withBody("service", `{"tier":`),
-		"no body":           {Kind: "service", Name: "odd", Version: 50},
-		"no object":         withBody("service", `7`),
-		"unknown path":      withBody("service", `{"colour":1}`),
-		"out of bounds":     withBody("service", `{"tier":10}`),
-		"no service":        withBody("route", `{"prefix":"/x/","repeatable":true}`),
-		"empty service":     withBody("route", `{"prefix":"/x/","repeatable":true,"service":""}`),
-		"unknown service":   versionedRoute("odd", "nobody", 50),
-		"no weight":         withBody("route", `{"prefix":"/x/","repeatable":true,"split":[{"service":"wader","weight":0}]}`),
-		"unknown in split":  withBody("route", `{"prefix":"/x/","repeatable":true,"split":[{"service":"wader","weight":1},{"service":"nobody","weight":0}]}`),
-		"prefix no path":    withBody("route", `{"prefix":"x/","repeatable":true,"service":"wader"}`),
-		"service in use":    versionedRemoval("service", "wader", 50),
-		"overtaken unknown": versionedRoute("mud", "nobody", 2),
+		"unknown kind":     withBody("shop", `{}`),
+		"no name":          {Kind: "service", Version: 50, Body: json.RawMessage(`{}`)},
+		"long name":        {Kind: "service", Name: ids.Name(make([]byte, 257)), Version: 50, Body: json.RawMessage(`{}`)},
+		"malformed JSON":   withBody("service", `{"tier":`),
+		"no body":          {Kind: "service", Name: "odd", Version: 50},
+		"not an object":    withBody("service", `7`),
+		"unknown path":     withBody("service", `{"colour":1}`),
+		"out of bounds":    withBody("service", `{"tier":10}`),
+		"no service":       withBody("route", `{"prefix":"/x/","repeatable":true}`),
+		"empty service":    withBody("route", `{"prefix":"/x/","repeatable":true,"service":""}`),
+		"unknown service":  versionedRoute("odd", "nobody", 50),
+		"no weight":        withBody("route", `{"prefix":"/x/","repeatable":true,"split":[{"service":"wader","weight":0}]}`),
+		"unknown in split": withBody("route", `{"prefix":"/x/","repeatable":true,"split":[{"service":"wader","weight":1},{"service":"nobody","weight":0}]}`),
+		"prefix without /": withBody("route", `{"prefix":"x/","repeatable":true,"service":"wader"}`),
+		"service in use":   versionedRemoval("service", "wader", 50),
+		"superseded":       versionedRoute("mud", "nobody", 2),
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			next, res := d.Merge(mergeOf(versionedService("plover", 50), versionedRoute("sand", "plover", 50), invalid))
 			if res.Accepted() || len(res.Violations) == 0 {
-				t.Error("accepted")
+				t.Error("invalid merge was accepted or has no violations")
 			}
 			if next != d || string(next.Encode(true)) != string(d.Encode(true)) {
-				t.Error("something changed")
+				t.Error("rejected merge changed the document")
 			}
 			is.Equal(len(res.Items), 0)
 		})
@@ -186,21 +186,21 @@
 	is.Equal(string(d.Services["wader"].Source), `{"z":1.50,"a":"\u00e4ä","list":[1,2],"big":12345678901234567890}`)
 }
 
-// Two operators merge two contents under one version: one is accepted, the other is
-// rejected with the reason, and copies of each get the same result.
+// If two contents are merged under one version, the second is rejected, and duplicates of
+// each have the same result as the first.
 func TestMerge_RejectsOtherContentUnderUsedVersion(t *testing.T) {
 	is := is.New(t)
 	base, _ := emptyDocument(t).Merge(mergeOf(versionedService("wader", 1), versionedService("plover", 1)))
 	accepted, other := versionedRoute("mud", "wader", 5), versionedRoute("mud", "plover", 5)
 	d, res := base.Merge(mergeOf(accepted))
 	is.True(res.Accepted())
-	reused := []Violation{{"route/mud", "version", reasonOtherContent}}
+	reused := []Violation{{"route/mud", "version", reasonVersionReused}}
 	next, res := d.Merge(mergeOf(other, versionedRoute("sand", "plover", 5)))
 	is.Equal(res.ReuseConflicts, reused)
 	is.True(next == d) // the whole merge is rejected
 	_, res = d.Merge(mergeOf(versionedRemoval("route", "mud", 5)))
 	is.Equal(res.ReuseConflicts, reused)
-	// The same holds after both are overtaken, and after the item is removed.
+	// The same holds after the version is superseded, and after the item is removed.
 	for _, newer := range []VersionedItem{versionedRoute("mud", "plover", 9), versionedRemoval("route", "mud", 11)} {
 		d, _ = d.Merge(mergeOf(newer))
 		d = reencoded(t, d)
@@ -211,13 +211,13 @@
 		is.Equal(res.ReuseConflicts, reused)
 		is.True(next == d)
 	}
-	// Both in one merge.
+	// Both contents in one merge.
 	_, res = base.Merge(mergeOf(accepted, other))
 	is.Equal(res.ReuseConflicts, reused)
 }
 
-// BenchmarkMerge_OneRouteOfThousands merges one route into a document of three
-// thousand, as a proposer without a cache does.
+// BenchmarkMerge_OneRouteOfThousands merges one route into a document of 3000 routes, with an
+// empty cache.
 func BenchmarkMerge_OneRouteOfThousands(b *testing.B) {
 	items := []VersionedItem{versionedService("wader", 1)}
 	for i := range 3000 {
