--- a/internal/state/configuration/delta.go
+++ b/internal/state/configuration/delta.go
@@ -8,11 +8,12 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// A delta here is a Document that holds the items changed since a revision (BaseRevision).
-// Package base/delta has another one: the binary difference between two values of a register.
+// A delta in this package is a Document with only the items changed since a revision
+// (BaseRevision). It is unrelated to package base/delta, which computes binary differences
+// between register values.
 
-// ChangesSince returns, encoded, what changed after a revision, so that a change costs
-// its own items to send and not the whole configuration. History is left out.
+// ChangesSince returns an encoded delta of the items that were changed or removed after a
+// revision. It contains no history.
 func (d *Document) ChangesSince(base ids.Revision) []byte {
 	delta := &Document{
 		Revision:     d.Revision,
@@ -39,9 +40,9 @@
 	return raw
 }
 
-// Advance returns the document that an encoded document or delta leads to. It returns
-// the same document if that is no newer, or is a delta from a later revision than
-// this one. The error is that of Decode.
+// Advance applies an encoded document or delta and returns the resulting document. It
+// returns d itself if the input is no newer, or is a delta whose base is later than d. The
+// error is that of Decode.
 func (d *Document) Advance(raw []byte) (*Document, error) {
 	received, err := Decode(raw)
 	switch {
--- a/internal/state/configuration/document.go
+++ b/internal/state/configuration/document.go
@@ -12,7 +12,7 @@
 // Key is the replicated register that holds the configuration.
 const Key ids.RegisterKey = "policy"
 
-// Kinds of items, as they stand in requests and in stored keys.
+// Kinds of items, as written in requests and stored keys.
 const (
 	kindService = "service"
 	kindRoute   = "route"
@@ -23,30 +23,30 @@
 var itemKinds = []string{kindService, kindRoute, kindZone, kindLimits}
 
 // Item is one service, route, zone or set of limits as its author sent it, with its
-// version. The version of an item that came by a Change is the revision that made
-// it, so an item that is removed and made again never reuses a version.
+// version. A Change sets the version to the document's revision, so an item that is
+// removed and recreated never reuses a version.
 type Item struct {
 	Version ids.Revision    `json:"version"`
 	Body    json.RawMessage `json:"body"`
-	// Source is the item in its caller's own format, kept to be read back; empty if the
-	// caller uses the format of Body.
+	// Source is the item in its caller's own format, stored so that callers can read it
+	// back; empty if the caller uses the format of Body.
 	Source json.RawMessage `json:"source,omitempty"`
-	// Merged reports that the present version came by a Merge. Such an item may
-	// share its prefix with others.
+	// Merged reports whether a Merge wrote the current version. A merged route may have
+	// the same prefix as another one.
 	Merged bool `json:"merged,omitempty"`
 	// ChangedAt is the revision of the document that last changed the item.
 	ChangedAt ids.Revision `json:"at,omitempty"`
-	// ChangeHash identifies the Change that made this version (see changeHash), and
-	// PreviousVersion is the version it replaced. Both are empty after a Merge.
+	// ChangeHash identifies the Change that wrote this version (see hashChangeID), and
+	// PreviousVersion is the version that it replaced. Both are empty after a Merge.
 	ChangeHash      string       `json:"by,omitempty"`
 	PreviousVersion ids.Revision `json:"prev,omitempty"`
-	// EverMerged reports that some version of this name came by a Merge, so versions
-	// may be ahead of revisions.
+	// EverMerged reports whether a Merge wrote any version of the item, so that its
+	// versions may be ahead of revisions.
 	EverMerged bool `json:"given,omitempty"`
 }
 
-// isMerged reports whether the present version came by a Merge. Documents written
-// before Merged existed show it by a Source.
+// isMerged reports whether a Merge wrote the current version. In documents written before
+// Merged existed, such an item has a Source.
 func (i Item) isMerged() bool { return i.Merged || i.Source != nil }
 
 // Tombstone records the removal of an item.
@@ -54,15 +54,15 @@
 	Version ids.Revision `json:"version"`
 	// ChangedAt is the revision of the document that removed the item.
 	ChangedAt ids.Revision `json:"at"`
-	// ChangeHash, PreviousVersion and EverMerged are as in Item, for the change that
-	// removed the item.
+	// ChangeHash, PreviousVersion and EverMerged have the same meaning as in Item, for the
+	// change that removed the item.
 	ChangeHash      string       `json:"by,omitempty"`
 	PreviousVersion ids.Revision `json:"prev,omitempty"`
 	EverMerged      bool         `json:"given,omitempty"`
 }
 
-// Document is the whole configuration: all items by kind and name, and what is
-// remembered to recognise requests that are sent again.
+// Document is the whole configuration: all items by kind and name, and the outcomes of
+// earlier requests that are needed to detect duplicates.
 type Document struct {
 	// Revision counts the operations that changed the document.
 	Revision ids.Revision      `json:"revision"`
@@ -70,23 +70,23 @@
 	Routes   map[ids.Name]Item `json:"routes"`
 	Zones    map[ids.Name]Item `json:"cells"`
 	Limits   map[ids.Name]Item `json:"limits,omitempty"`
-	// Tombstones holds removed items by itemKey: a copy of an older version that
-	// arrives later must not restore the item.
+	// Tombstones holds removed items by itemKey, so that a delayed request with an older
+	// version doesn't restore the item.
 	Tombstones map[string]Tombstone `json:"removed,omitempty"`
-	// BaseRevision, if not 0, makes this a delta: it holds only what changed after
-	// that revision.
+	// BaseRevision, if not 0, marks a delta that holds only the items changed after that
+	// revision.
 	BaseRevision  ids.Revision `json:"base,omitempty"`
 	RecentResults []Result     `json:"recent,omitempty"`
-	// RejectedResults are kept because a change that was reported as rejected must
-	// not be accepted when a copy of it arrives after the missing item was made.
+	// RejectedResults are retained because a duplicate of a rejected change must not be
+	// accepted, even if the item that was missing has been created since.
 	RejectedResults []Result `json:"declined,omitempty"`
-	// History is what is remembered beyond these results; nil in documents that were
-	// written before it existed.
+	// History holds the outcomes that are no longer in these results; nil in documents
+	// that were written before it existed.
 	History *History `json:"history,omitempty"`
 }
 
-// Decode reads a document. Empty input is the empty document; the only errors are
-// those of encoding/json.
+// Decode decodes a document. Empty input is the empty document. All errors are from
+// encoding/json.
 func Decode(raw []byte) (*Document, error) {
 	d := &Document{}
 	if len(raw) > 0 {
@@ -102,8 +102,8 @@
 	return d, nil
 }
 
-// Encode writes a document. With history it is the register's value; without, it is
-// what daemons need that never apply changes themselves.
+// Encode encodes the document. With history the result is a value of the register;
+// without history it is sufficient for daemons that don't apply changes.
 func (d *Document) Encode(withHistory bool) []byte {
 	encoded := *d
 	if !withHistory {
@@ -112,7 +112,7 @@
 	return encoded.marshal()
 }
 
-// Describe summarises an encoded document for a log line: its revision, or "none".
+// Describe returns the revision of an encoded document for a log line, or "none".
 func Describe(raw []byte) string {
 	d, err := Decode(raw)
 	if err != nil || len(raw) == 0 {
@@ -136,14 +136,14 @@
 	return nil
 }
 
-// itemKey names an item among all kinds, such as "route/orders".
+// itemKey returns the key of an item among all kinds, such as "route/orders".
 func itemKey(kind string, name ids.Name) string { return kind + "/" + string(name) }
 
-// sortedNames returns the names of items in order.
+// sortedNames returns the names of items in ascending order.
 func sortedNames(items map[ids.Name]Item) []ids.Name { return slices.Sorted(maps.Keys(items)) }
 
-// nextRevision returns a copy of the document with maps of its own, numbered as the
-// next revision.
+// nextRevision returns a copy of the document with cloned maps and the next revision
+// number.
 func (d *Document) nextRevision() *Document {
 	return &Document{
 		Revision:        d.Revision + 1,
@@ -158,8 +158,7 @@
 	}
 }
 
-// version returns the version of an item or of its removal, and whether there is
-// either.
+// version returns the version of an item or of its tombstone, and whether either exists.
 func (d *Document) version(kind string, name ids.Name) (ids.Revision, bool) {
 	if item, ok := d.Items(kind)[name]; ok {
 		return item.Version, true
@@ -168,7 +167,7 @@
 	return tombstone.Version, ok
 }
 
-// addTombstone records in place that an item is removed at the present revision.
+// addTombstone records in place that an item was removed at the current revision.
 func (d *Document) addTombstone(key string, t Tombstone) {
 	if d.Tombstones == nil {
 		d.Tombstones = map[string]Tombstone{}
--- a/internal/state/configuration/encode.go
+++ b/internal/state/configuration/encode.go
@@ -9,20 +9,19 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// marshal writes the bytes that json.Marshal would, without parsing the body of each
-// item again. Bodies are most of a document, and nearly always in the form that
-// json.Marshal gives them already.
+// marshal returns the same bytes as json.Marshal, without parsing the body of each item
+// again. Bodies are the bulk of a document and are nearly always compact already.
 func (d *Document) marshal() []byte {
 	withoutItems := *d
 	withoutItems.Services, withoutItems.Routes, withoutItems.Zones, withoutItems.Limits = nil, nil, nil, nil
 	tail, err := json.Marshal(&withoutItems)
 	if err != nil {
-		// Not reached: without its items a document has no type that can't be written.
+		// Not reached: the remaining fields are all of types that can be marshaled.
 		return nil
 	}
 	out := append([]byte(`{"revision":`), strconv.FormatUint(uint64(d.Revision), 10)...)
-	tail, asExpected := bytes.CutPrefix(tail, append(slices.Clone(out), `,"services":null,"routes":null,"cells":null`...))
-	if !asExpected {
+	tail, hasPrefix := bytes.CutPrefix(tail, append(slices.Clone(out), `,"services":null,"routes":null,"cells":null`...))
+	if !hasPrefix {
 		raw, _ := json.Marshal(d)
 		return raw
 	}
@@ -51,8 +50,8 @@
 	return append(out, '}')
 }
 
-// appendJSON appends the item as json.Marshal would write it, field by field in their
-// order. A test compares the two for every combination of the fields of Item.
+// appendJSON appends the same bytes as json.Marshal, with the fields of Item in their
+// order. A test compares the two for every combination of fields.
 func (i Item) appendJSON(out []byte) []byte {
 	out = append(out, `{"version":`...)
 	out = strconv.AppendUint(out, uint64(i.Version), 10)
@@ -71,7 +70,7 @@
 	return append(out, '}')
 }
 
-// appendTrue appends a member that is omitted when false.
+// appendTrue appends a member with the value true, or nothing if value is false.
 func appendTrue(out []byte, key string, value bool) []byte {
 	if value {
 		out = append(out, `,"`+key+`":true`...)
@@ -79,7 +78,7 @@
 	return out
 }
 
-// appendNumber appends a member that is omitted when 0.
+// appendNumber appends a numeric member, or nothing if value is 0.
 func appendNumber(out []byte, key string, value ids.Revision) []byte {
 	if value != 0 {
 		out = strconv.AppendUint(append(out, `,"`+key+`":`...), uint64(value), 10)
@@ -87,8 +86,8 @@
 	return out
 }
 
-// appendRaw appends JSON as json.Marshal would write it: compact, with the characters
-// escaped that are special in HTML or JavaScript.
+// appendRaw appends JSON as json.Marshal writes it: compact, with characters escaped that
+// are special in HTML or JavaScript.
 func appendRaw(out []byte, raw json.RawMessage) []byte {
 	// U+2028 and U+2029, which json.Marshal escapes, begin with the byte e2 in UTF-8.
 	if len(raw) > 0 && !bytes.ContainsAny(raw, " \t\r\n<>&") && bytes.IndexByte(raw, 0xe2) < 0 {
--- a/internal/state/configuration/route.go
+++ b/internal/state/configuration/route.go
@@ -6,39 +6,39 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// Route maps requests by host and path prefix to a service, and says how urgent they
-// are and whether they may be repeated.
+// Route maps requests by host and path prefix to a service, and sets their priority and
+// retry policy.
 type Route struct {
 	Name ids.Name `json:"-"`
-	// Host, if set, is the only host that the route is for.
+	// Host restricts the route to one host; empty for all hosts.
 	Host    string   `json:"host"`
 	Prefix  string   `json:"prefix"`
 	Service ids.Name `json:"service"`
-	// Split, if set, distributes the requests among services by weight, in place of
-	// Service.
+	// Split, if set, distributes requests among services by weight and overrides Service.
 	Split []WeightedService `json:"split"`
 	// Tier is the priority class, from 0 to 9; 5 by default.
 	Tier int `json:"tier"`
-	// Repeatable requests may be sent to a second target after an attempt that may
-	// have run. Others run at most once.
+	// Repeatable reports whether requests are idempotent: they may be retried on another
+	// target even if an earlier attempt may have been executed. Other requests are
+	// executed at most once.
 	Repeatable bool `json:"repeatable"`
-	// WithoutIdempotencyKey: requests that aren't repeatable carry no idempotency key.
-	// Each attempt reaches one proxy, which alone ensures that it runs at most once.
+	// WithoutIdempotencyKey reports whether requests that aren't repeatable carry no
+	// idempotency key. The proxy that receives an attempt then ensures on its own that
+	// the attempt is executed at most once.
 	WithoutIdempotencyKey bool `json:"single"`
-	// TimeoutMillis is the time limit of a request in milliseconds; 5000 by default.
+	// TimeoutMillis is the timeout of a request in milliseconds; 5000 by default.
 	TimeoutMillis int `json:"limit_ms"`
-	// MaxBodyBytes bounds a request's body; 1 MiB by default.
+	// MaxBodyBytes is the maximum size of a request's body; 1 MiB by default.
 	MaxBodyBytes int `json:"max_body"`
-	// LatencyGoalMillis is the time in milliseconds within which an answer is worth
-	// most; 0 for none.
+	// LatencyGoalMillis is the desired response time in milliseconds; 0 for none.
 	LatencyGoalMillis int `json:"goal_ms"`
-	// MaxAttempts is the most targets that one request may be sent to; 3 by default.
+	// MaxAttempts is the maximum number of targets that a request is sent to; 3 by default.
 	MaxAttempts int `json:"attempts"`
-	// HomeRegions are the regions in which requests may be served; empty for all.
+	// HomeRegions are the regions in which requests may be served; empty for all regions.
 	HomeRegions []ids.Name `json:"homes"`
 }
 
-// Route settings that hold where the configuration names none.
+// Default settings of a route.
 const (
 	defaultTier          = 5
 	defaultTimeoutMillis = 5000
@@ -46,21 +46,22 @@
 	defaultMaxAttempts   = 3
 )
 
-// WeightedService is one service of a route that splits its requests.
+// WeightedService is one of the services among which a route splits its requests.
 type WeightedService struct {
 	Service ids.Name `json:"service"`
 	Weight  float64  `json:"weight"`
 }
 
-// Timeout is the route's time limit for a request.
+// Timeout returns the timeout of a request.
 func (r Route) Timeout() time.Duration { return time.Duration(r.TimeoutMillis) * time.Millisecond }
 
-// LatencyGoal is the time within which an answer is worth most; 0 for none.
+// LatencyGoal returns the desired response time; 0 for none.
 func (r Route) LatencyGoal() time.Duration {
 	return time.Duration(r.LatencyGoalMillis) * time.Millisecond
 }
 
-// Services returns each service that the route's requests may go to, once.
+// Services returns the services that the route's requests may be sent to, without
+// duplicates.
 func (r Route) Services() []ids.Name {
 	if len(r.Split) == 0 {
 		return []ids.Name{r.Service}
@@ -76,8 +77,8 @@
 	return services
 }
 
-// SelectService returns the service for one request by weight. The random number is
-// at least 0 and below 1.
+// SelectService selects the service for one request by weight, given a random number in
+// [0, 1).
 func (r Route) SelectService(random float64) ids.Name {
 	sum := 0.0
 	for _, weighted := range r.Split {
@@ -96,6 +97,7 @@
 			return selected
 		}
 	}
-	// Sums of fractions round: the last service of any weight takes the remainder.
+	// Because of rounding the fractions may add up to less than 1: the last service with a
+	// weight takes the remainder.
 	return selected
 }
--- a/internal/state/configuration/view.go
+++ b/internal/state/configuration/view.go
@@ -7,7 +7,7 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// View is the configuration as daemons use it: typed, with defaults filled in. It is
+// View is the decoded configuration that daemons use, with defaults filled in. It is
 // read-only.
 type View struct {
 	Revision ids.Revision
@@ -20,96 +20,95 @@
 // Service is a pool of targets that register themselves.
 type Service struct {
 	Name ids.Name `json:"-"`
-	// Tier is the priority class, from 0 to 9; 5 by default.
+	// Tier is the priority class of requests, from 0 to 9; 5 by default.
 	Tier int `json:"tier"`
-	// DefaultCapacity is how many concurrent requests a target takes that doesn't say
-	// so itself; 16 by default.
+	// DefaultCapacity is the maximum number of concurrent requests of a target that
+	// doesn't announce its own; 16 by default.
 	DefaultCapacity int `json:"capacity"`
-	// SlowStartMillis is how long a restarted target takes to reach its full load, in
-	// milliseconds; 10000 by default.
+	// SlowStartMillis is the duration of a restarted target's slow start in milliseconds;
+	// 10000 by default.
 	SlowStartMillis int `json:"warm_ms"`
-	// RetryBudget is how many retries all proxies together may make beyond a fifth of
-	// the first attempts; 10 by default.
+	// RetryBudget is the number of retries that all proxies together may make in addition
+	// to a fifth of the first attempts; 10 by default.
 	RetryBudget int `json:"allowance"`
-	// SlowStartRate is how many requests a second a target in slow start takes from
-	// all proxies together; 0 if only its concurrency bounds it.
+	// SlowStartRate is the maximum number of requests per second that all proxies together
+	// send to a target in slow start; 0 if only its concurrency is limited.
 	SlowStartRate float64 `json:"warm_rate"`
-	// Connections is how many connections a target takes from all clients together; 0
-	// for no bound.
+	// Connections is the maximum number of connections to a target from all of its clients
+	// together; 0 for no limit.
 	Connections int `json:"circuits"`
 }
 
-// Service settings that hold where the configuration names none.
+// Default settings of a service.
 const (
 	defaultCapacity        = 16
 	defaultSlowStartMillis = 10000
 	defaultRetryBudget     = 10
 )
 
-// Zone is a failure domain. Its load levels are in milliseconds of CPU time a second
-// (thousandths of a CPU).
+// Zone is a failure domain. Its load levels are in milliseconds of CPU time per second.
 type Zone struct {
 	Name   ids.Name `json:"-"`
 	Region string   `json:"region"`
-	// TargetLoad is the load to aim for; 8500 by default. A zone above MaximumLoad, by
-	// default 1.1 of it, spills requests over to zones below their AcceptableLoad, by
-	// default 0.8 of it.
+	// TargetLoad is the intended load; 8500 by default. A zone above its MaximumLoad (by
+	// default 1.1 times TargetLoad) spills requests over to zones below their
+	// AcceptableLoad (by default 0.8 times TargetLoad).
 	TargetLoad float64 `json:"target"`
-	// LoadDefaulted: no operator named a target load.
+	// LoadDefaulted reports whether TargetLoad is the default.
 	LoadDefaulted  bool    `json:"-"`
 	AcceptableLoad float64 `json:"acceptable"`
 	MaximumLoad    float64 `json:"maximum"`
-	// Drained: the zone takes no new requests. Clients are directed to other zones, and
-	// nothing more is sent to its targets.
+	// Drained reports whether the zone accepts no new requests: clients are directed to
+	// other zones, and no more requests are sent to its targets.
 	Drained bool `json:"emptied"`
-	// Evacuated: nothing more is sent to the zone's targets, while its proxies go on
-	// serving from the targets of other zones.
+	// Evacuated reports whether no more requests are sent to the zone's targets. Its
+	// proxies still accept requests and forward them to targets in other zones.
 	Evacuated bool `json:"shut"`
 	// Distances to other zones, by name; see View.Distance.
 	Distances map[ids.Name]json.Number `json:"distances"`
 }
 
-// Load levels that hold where the configuration names none: a target load in
-// milliseconds of CPU time a second, and the other levels as parts of the target.
+// Default load levels of a zone: the target in milliseconds of CPU time per second, and the
+// other levels as fractions of the target.
 const (
-	defaultTargetLoad  = 8500
-	acceptableLoadPart = 0.8
-	maximumLoadPart    = 1.1
+	defaultTargetLoad      = 8500
+	acceptableLoadFraction = 0.8
+	maximumLoadFraction    = 1.1
 )
 
-// setDefaultLoads fills in the load levels that are 0.
+// setDefaultLoads sets the load levels that are 0 to their defaults.
 func (z *Zone) setDefaultLoads() {
 	if z.TargetLoad == 0 {
 		z.TargetLoad, z.LoadDefaulted = defaultTargetLoad, true
 	}
 	if z.MaximumLoad == 0 {
-		z.MaximumLoad = z.TargetLoad * maximumLoadPart
+		z.MaximumLoad = z.TargetLoad * maximumLoadFraction
 	}
 	if z.AcceptableLoad == 0 {
-		z.AcceptableLoad = z.TargetLoad * acceptableLoadPart
+		z.AcceptableLoad = z.TargetLoad * acceptableLoadFraction
 	}
 }
 
-// Limits bound what a client of a proxy may send and how long it may take.
+// Limits are size limits and timeouts for the clients of a proxy.
 type Limits struct {
-	// MaxHeaderBytes bounds the header of a request, MaxBodyBytes its body.
+	// MaxHeaderBytes is the maximum size of a request's header, MaxBodyBytes that of its body.
 	MaxHeaderBytes int `json:"max_header"`
 	MaxBodyBytes   int `json:"max_body"`
-	// HeaderTimeoutMillis is how long a client may take to send a header, in
-	// milliseconds. IdleTimeoutMillis is how long its connection may be idle.
+	// HeaderTimeoutMillis is the time allowed to send a request's header, and
+	// IdleTimeoutMillis the time that a connection may be idle, in milliseconds.
 	HeaderTimeoutMillis int `json:"header_ms"`
 	IdleTimeoutMillis   int `json:"idle_ms"`
 }
 
-// DefaultLimits hold where the configuration names none.
+// DefaultLimits are the limits used if the configuration sets none.
 var DefaultLimits = Limits{MaxHeaderBytes: 64 << 10, MaxBodyBytes: 1 << 30, HeaderTimeoutMillis: 5000, IdleTimeoutMillis: 60000}
 
-// View returns the document's items as types.
+// View decodes the document's items.
 func (d *Document) View() *View { return d.ViewReusing(&Document{}, &View{}) }
 
-// ViewReusing is View, but takes over the services and routes from the view of an
-// earlier document whose bodies are the same. Bodies were checked before they were
-// accepted, so they are taken to be readable.
+// ViewReusing is like View, but reuses the services and routes of an earlier document's view
+// if their bodies are the same. Decoding errors are ignored, since bodies were validated
+// when they were accepted.
 func (d *Document) ViewReusing(earlier *Document, earlierView *View) *View {
 	v := &View{
 		Revision: d.Revision,
@@ -173,8 +172,8 @@
 	return zone
 }
 
-// SetRegions adds the zones that a daemon knows from its start and that the
-// configuration doesn't have, and the regions of those that have none.
+// SetRegions adds zones that are missing from the configuration and sets the region of
+// zones that have none. The regions by zone come from the daemon's own settings.
 func (v *View) SetRegions(regions map[ids.Name]string) {
 	for name, region := range regions {
 		zone, ok := v.Zones[name]
@@ -189,14 +188,14 @@
 	}
 }
 
-// Distances that hold where the configuration names none.
+// Default distances between zones.
 const (
 	distanceWithinRegion   = 1
 	distanceBetweenRegions = 1000
 )
 
-// Distance returns how far two zones are apart: 0 for the same zone, the configured
-// distance of either to the other, or a default by region.
+// Distance returns the distance between two zones: 0 for the same zone, the distance that
+// is configured in either zone, or a default that depends on their regions.
 func (v *View) Distance(a, b ids.Name) float64 {
 	if a == b {
 		return 0
