--- a/internal/state/configuration/field_rules.go
+++ b/internal/state/configuration/field_rules.go
@@ -8,26 +8,26 @@
 	"github.com/tidwall/gjson"
 )
 
-// fieldType is the type of value that a field of a body holds.
+// fieldType is the JSON type of a field in an item's body.
 type fieldType int
 
 const (
 	integerField fieldType = iota
 	numberField
 	booleanField
-	textField
+	stringField
 	listField
 	objectField
 )
 
-// fieldRule is what a field of a body must hold.
+// fieldRule describes the allowed values of one field in an item's body.
 type fieldRule struct {
 	path      string
 	fieldType fieldType
 	required  bool
-	// minimum and maximum bound numbers, both included.
+	// minimum and maximum are inclusive bounds of a number.
 	minimum, maximum float64
-	// pattern is what a text must match, and expected describes it in violations.
+	// pattern must match a string; expected describes it in violations.
 	pattern  *regexp.Regexp
 	expected string
 }
@@ -42,8 +42,8 @@
 
 func booleanRule(path string) fieldRule { return fieldRule{path: path, fieldType: booleanField} }
 
-func textRule(path string, pattern *regexp.Regexp, expected string) fieldRule {
-	return fieldRule{path: path, fieldType: textField, pattern: pattern, expected: expected}
+func stringRule(path string, pattern *regexp.Regexp, expected string) fieldRule {
+	return fieldRule{path: path, fieldType: stringField, pattern: pattern, expected: expected}
 }
 
 func listRule(path string) fieldRule { return fieldRule{path: path, fieldType: listField} }
@@ -64,8 +64,8 @@
 
 const nameDescription = "lower-case letters, digits and inner dashes, 63 at most"
 
-// fieldRules lists every field that an operator may write, by kind of item. What the
-// fields mean stands at Service, Route, Zone and Limits.
+// fieldRules lists the fields that operators may set, by kind of item. The fields are
+// documented at Service, Route, Zone and Limits.
 var fieldRules = map[string][]fieldRule{
 	kindService: {
 		integerRule("tier", 0, 9),
@@ -76,9 +76,9 @@
 		integerRule("circuits", 0, 1e6),
 	},
 	kindRoute: {
-		required(textRule("prefix", prefixPattern, "a path that starts with /")),
-		textRule("service", namePattern, nameDescription),
-		textRule("host", hostPattern, "a host's name or IP number"),
+		required(stringRule("prefix", prefixPattern, "a path that starts with /")),
+		stringRule("service", namePattern, nameDescription),
+		stringRule("host", hostPattern, "a host's name or IP number"),
 		listRule("split"),
 		booleanRule("single"),
 		integerRule("goal_ms", 0, 660000),
@@ -90,7 +90,7 @@
 		integerRule("max_body", 0, 4<<20),
 	},
 	kindZone: {
-		textRule("region", namePattern, nameDescription),
+		stringRule("region", namePattern, nameDescription),
 		numberRule("target", 1, 1e9),
 		numberRule("acceptable", 1, 1e9),
 		numberRule("maximum", 1, 1e9),
@@ -106,7 +106,7 @@
 	},
 }
 
-// check reports what is wrong with a field's value.
+// check reports the violations of a field's value.
 func (f fieldRule) check(v gjson.Result, report ReportFunc) {
 	switch f.fieldType {
 	case integerField, numberField:
@@ -115,8 +115,8 @@
 		if v.Type != gjson.True && v.Type != gjson.False {
 			report(f.path, "must be true or false")
 		}
-	case textField:
-		f.checkText(v, report)
+	case stringField:
+		f.checkString(v, report)
 	case listField:
 		if !v.IsArray() {
 			report(f.path, "must be a list")
@@ -137,13 +137,13 @@
 		report(f.path, fmt.Sprintf("must be from %g to %g", f.minimum, f.maximum))
 	case isInteger && v.Num != float64(int64(v.Num)):
 		report(f.path, "must be a whole number")
-	// Such as 1e2, which encoding/json doesn't read into an integer.
+	// encoding/json doesn't decode numbers such as 1e2 into an integer.
 	case isInteger && strings.ContainsAny(v.Raw, ".eE"):
 		report(f.path, "must be written as a whole number")
 	}
 }
 
-func (f fieldRule) checkText(v gjson.Result, report ReportFunc) {
+func (f fieldRule) checkString(v gjson.Result, report ReportFunc) {
 	switch {
 	case v.Type != gjson.String:
 		report(f.path, "must be a string")
@@ -154,8 +154,8 @@
 	}
 }
 
-// isReservedPath reports whether a path belongs to the daemons' own pages, which
-// every proxy serves.
+// isReservedPath reports whether a path is one of the daemons' own endpoints, which every
+// proxy serves.
 func isReservedPath(path string) bool {
 	for _, reserved := range []string{"/v1", "/healthz", "/readyz", "/metrics", "/.well-known"} {
 		if path == reserved || strings.HasPrefix(path, reserved+"/") {
--- a/internal/state/configuration/operations.go
+++ b/internal/state/configuration/operations.go
@@ -8,7 +8,7 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// The operations of the configuration's register. The numbers go over the wire.
+// Operations of the configuration's register. The numbers are part of the wire format.
 const (
 	// OpChange applies a Change.
 	OpChange consensus.Op = 1
@@ -18,10 +18,10 @@
 	OpOrderZone consensus.Op = 3
 )
 
-// Ops returns the change functions of the configuration's register. They share a
-// cache, so each proposer needs its own.
+// Ops returns the change functions of the configuration's register. They share an
+// unsynchronized cache, so each proposer needs its own set.
 func Ops() map[consensus.Op]consensus.ChangeFunc {
-	c := &cachedDocument{}
+	c := &documentCache{}
 	return map[consensus.Op]consensus.ChangeFunc{
 		OpChange:    c.changeFunc(OpChange, changeOperation),
 		OpMerge:     c.changeFunc(OpMerge, decodedOperation((*Document).Merge)),
@@ -29,11 +29,11 @@
 	}
 }
 
-// operation applies an encoded request to a document. It returns the same document if
-// nothing changes, and ok false if the request can't be read.
+// operation applies an encoded request to a document. It returns d itself if nothing
+// changes, and ok is false if the request can't be decoded.
 type operation func(d *Document, arg []byte) (next *Document, res Result, ok bool)
 
-// changeOperation checks a change before it is applied, and reports all its violations.
+// changeOperation validates a change and applies it if it has no violations.
 func changeOperation(d *Document, arg []byte) (*Document, Result, bool) {
 	change, violations := ReadChange(arg)
 	if len(violations) > 0 {
@@ -43,7 +43,7 @@
 	return next, res, true
 }
 
-// decodedOperation is the operation that decodes a request as JSON and applies it.
+// decodedOperation returns an operation that decodes a request from JSON and applies it.
 func decodedOperation[T any](apply func(*Document, T) (*Document, Result)) operation {
 	return func(d *Document, arg []byte) (*Document, Result, bool) {
 		var request T
@@ -55,34 +55,33 @@
 	}
 }
 
-// cachedDocument holds the last value that was decoded or produced, as bytes and as a
-// document, and the last operation on it. Results don't depend on the cache, since
-// the bytes are compared whole; without it, decoding fifteen thousand items for each
-// change would be most of the change's cost.
-type cachedDocument struct {
+// documentCache caches the last value that was decoded or produced, as bytes and as a
+// document, and the last operation. Entries are matched by comparing all bytes, so results
+// don't depend on the cache. It avoids decoding the whole configuration for each change.
+type documentCache struct {
 	encoded  []byte
 	document *Document
 	lastRun  operationRun
 }
 
-// operationRun is one run of an operation with its input and output. A consensus round asks
-// twice: first whether the value changes, then for the value to propose.
+// operationRun is one run of an operation with its input and output. A consensus round runs
+// each operation twice: to learn whether the value changes, and for the value to propose.
 type operationRun struct {
 	op                 consensus.Op
 	oldValue, arg      []byte
 	newValue, response []byte
 }
 
-// isOf reports whether this run had just this input.
-func (r operationRun) isOf(op consensus.Op, oldValue, arg []byte) bool {
+// matches reports whether the run had the given input.
+func (r operationRun) matches(op consensus.Op, oldValue, arg []byte) bool {
 	return r.op == op && r.response != nil && bytes.Equal(r.oldValue, oldValue) && bytes.Equal(r.arg, arg)
 }
 
-// changeFunc makes an operation a change function of the register. The function returns
-// the old value and no response if the value or the request can't be read.
-func (c *cachedDocument) changeFunc(op consensus.Op, run operation) consensus.ChangeFunc {
+// changeFunc converts an operation to a change function of the register. The function
+// returns the old value and no response if the value or the request can't be decoded.
+func (c *documentCache) changeFunc(op consensus.Op, run operation) consensus.ChangeFunc {
 	return func(_ ids.RegisterKey, oldValue, arg []byte) ([]byte, []byte) {
-		if c.lastRun.isOf(op, oldValue, arg) {
+		if c.lastRun.matches(op, oldValue, arg) {
 			return c.lastRun.newValue, c.lastRun.response
 		}
 		d, err := c.decode(oldValue)
@@ -93,7 +92,7 @@
 		if !ok {
 			return oldValue, nil
 		}
-		// A Result has no field that encoding/json can't write.
+		// All fields of Result are of types that can be marshaled.
 		response, _ := json.Marshal(res)
 		newValue := oldValue
 		if next != d {
@@ -105,8 +104,9 @@
 	}
 }
 
-// decode returns the document of a value, from the cache if the bytes are the same.
-func (c *cachedDocument) decode(value []byte) (*Document, error) {
+// decode decodes a value of the register, or returns the cached document if the bytes are
+// the same.
+func (c *documentCache) decode(value []byte) (*Document, error) {
 	if c.document != nil && bytes.Equal(value, c.encoded) {
 		return c.document, nil
 	}
--- a/internal/state/configuration/read_change.go
+++ b/internal/state/configuration/read_change.go
@@ -11,14 +11,14 @@
 	"dunlinwell/internal/base/jsoncheck"
 )
 
-// maxChangeItems bounds the items of one change.
+// maxChangeItems is the maximum number of items in one change.
 const maxChangeItems = 1000
 
-// maxChangeDepth bounds how deep objects and lists nest in a request. Ours need three
-// levels; each level is parsed anew, so thousands of them would take seconds.
+// maxChangeDepth is the maximum nesting depth of objects and lists in a request. Valid
+// requests need three levels. Each level is parsed again, so the cost grows with the depth.
 const maxChangeDepth = 16
 
-// ReadChange decodes and checks a change. All violations are listed; if there are any,
+// ReadChange decodes and validates a change. It returns all violations; if there are any,
 // the change is incomplete.
 func ReadChange(raw []byte) (Change, []Violation) {
 	var change Change
@@ -56,8 +56,8 @@
 	return change, violations.list
 }
 
-// checkItemChange checks one item of a change. Once the item's kind and name are
-// known, violations are reported under them. Items that are changed already are seen.
+// checkItemChange validates one item of a change. Once the item's kind and name are known,
+// violations are reported under them. seen holds the keys of the items checked so far.
 func checkItemChange(item gjson.Result, violations *violationList, seen map[string]bool) {
 	if !item.IsObject() {
 		violations.report("", "must be an object")
@@ -84,8 +84,8 @@
 	checkAction(kind.Str, item, violations.report)
 }
 
-// checkAction checks that an item of a change has one of put, set and remove, and
-// what that one holds.
+// checkAction checks that an item of a change has exactly one of put, set and remove, and
+// validates its value.
 func checkAction(kind string, item gjson.Result, report ReportFunc) {
 	put, set, remove := item.Get("put"), item.Get("set"), item.Get("remove")
 	if remove.Exists() && remove.Type != gjson.True {
@@ -109,13 +109,13 @@
 	}
 }
 
-// isWholeNumber reports whether a value is a number of decimal digits alone, as
-// encoding/json reads it into an unsigned integer.
+// isWholeNumber reports whether encoding/json can decode a value into an unsigned integer:
+// a number that consists of decimal digits only.
 func isWholeNumber(v gjson.Result) bool {
 	return v.Type == gjson.Number && v.Num >= 0 && v.Raw == strconv.FormatUint(v.Uint(), 10)
 }
 
-// CheckKeys reports each key of an object that is not among the known ones.
+// CheckKeys reports each key of an object that isn't one of the known keys.
 func CheckKeys(doc gjson.Result, path string, report ReportFunc, known ...string) {
 	doc.ForEach(func(key, _ gjson.Result) bool {
 		if !slices.Contains(known, key.String()) {
@@ -125,14 +125,15 @@
 	})
 }
 
-// checkDuplicateKeys reports keys that an object has twice, at any depth: two readers
-// could take different ones of them. It also reports what nests too deep to check.
+// checkDuplicateKeys reports duplicate keys of objects at any depth, since JSON decoders
+// differ in which of them they use. It also reports values that are nested deeper than
+// maxChangeDepth.
 func checkDuplicateKeys(path string, v gjson.Result, report ReportFunc) {
-	checkDuplicateKeysWithin(path, v, maxChangeDepth, report)
+	checkDuplicateKeysToDepth(path, v, maxChangeDepth, report)
 }
 
-func checkDuplicateKeysWithin(path string, v gjson.Result, levelsLeft int, report ReportFunc) {
-	if levelsLeft == 0 {
+func checkDuplicateKeysToDepth(path string, v gjson.Result, remainingDepth int, report ReportFunc) {
+	if remainingDepth == 0 {
 		report(path, "is nested too deeply")
 		return
 	}
@@ -148,13 +149,13 @@
 			seen[key.String()] = true
 		}
 		if element.IsObject() || element.IsArray() {
-			checkDuplicateKeysWithin(elementPath, element, levelsLeft-1, report)
+			checkDuplicateKeysToDepth(elementPath, element, remainingDepth-1, report)
 		}
 		return true
 	})
 }
 
-// joinPath appends a key to a path; an empty path is the item itself.
+// joinPath appends a key to a path. An empty path denotes the item itself.
 func joinPath(path, key string) string {
 	if path == "" {
 		return key
--- a/internal/state/configuration/read_merge.go
+++ b/internal/state/configuration/read_merge.go
@@ -9,17 +9,17 @@
 	"dunlinwell/internal/base/jsoncheck"
 )
 
-// maxMergeItems bounds the items of one Merge.
+// maxMergeItems is the maximum number of items in one Merge.
 const maxMergeItems = 200000
 
-// maxNameBytes bounds the name of an item of a Merge.
+// maxNameBytes is the maximum length of an item's name in a Merge.
 const maxNameBytes = 256
 
-// maxSourceDepth bounds how deep a source nests. encoding/json reads no more than ten
-// thousand levels, and a source that can't be read again couldn't be kept.
+// maxSourceDepth is the maximum nesting depth of a source. encoding/json decodes at most
+// 10000 levels, so a deeper source would make the stored document undecodable.
 const maxSourceDepth = 256
 
-// ReadMerge decodes and checks a merge. All violations are listed; if there are any,
+// ReadMerge decodes and validates a merge. It returns all violations; if there are any,
 // the merge is incomplete.
 func ReadMerge(raw []byte) (Merge, []Violation) {
 	var merge Merge
@@ -50,8 +50,8 @@
 	return merge, merge.Check()
 }
 
-// checkVersionedItem checks the fields around an item's body. Merge.Check checks the
-// body.
+// checkVersionedItem validates the fields of an item except for its body, which Merge.Check
+// validates.
 func checkVersionedItem(item gjson.Result, report ReportFunc) {
 	if !item.IsObject() {
 		report("", "must be an object")
@@ -76,8 +76,8 @@
 	}
 }
 
-// checkDuplicateItemKeys reports keys that stand twice in an item or in its body. A
-// source is in its caller's own format, in which they may be allowed.
+// checkDuplicateItemKeys reports duplicate keys in an item and its body. They aren't
+// checked in a source, since the caller's own format may allow them.
 func checkDuplicateItemKeys(item gjson.Result, report ReportFunc) {
 	seen := map[string]bool{}
 	item.ForEach(func(key, value gjson.Result) bool {
@@ -92,7 +92,7 @@
 	})
 }
 
-// Check lists the violations that the merge itself shows, without the document.
+// Check returns the violations that can be found without the current document.
 func (m Merge) Check() []Violation {
 	violations := violationList{item: "items"}
 	if len(m.Items) > maxMergeItems {
@@ -106,7 +106,7 @@
 	return violations.list
 }
 
-// check checks one item. Once its kind and name are known, violations are reported
+// check validates one item. Once its kind and name are known, violations are reported
 // under them.
 func (v VersionedItem) check(violations *violationList) {
 	if _, ok := fieldRules[v.Kind]; !ok {
@@ -129,7 +129,7 @@
 	checkVersionedBody(v.Kind, string(v.Body), violations.report)
 }
 
-// checkSource checks that a source, if there is one, can be kept.
+// checkSource checks that a source, if there is one, can be stored.
 func checkSource(source json.RawMessage, report ReportFunc) {
 	switch {
 	case len(source) == 0:
--- a/internal/state/configuration/references.go
+++ b/internal/state/configuration/references.go
@@ -11,10 +11,9 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// checkReferences checks what no single item shows: that the services of routes
-// exist, and that no two routes have one host and prefix. Routes that the change
-// leaves alone had their services before it, so they are checked only if it removes
-// a service.
+// checkReferences checks rules that span items: the services of routes must exist, and no
+// two routes may have the same host and prefix. The services of routes that the change
+// doesn't contain existed before it, so they are checked only if it removes a service.
 func (d *Document) checkReferences(c Change) []Violation {
 	removesService, changedRoutes := false, map[ids.Name]bool{}
 	for _, item := range c.Items {
@@ -24,30 +23,30 @@
 		}
 	}
 	var violations []Violation
-	routeAt := map[string]ids.Name{}
+	routesByLocation := map[string]ids.Name{}
 	for _, name := range sortedNames(d.Routes) {
 		route := d.Routes[name]
 		if removesService || changedRoutes[name] {
 			violations = append(violations, d.unknownServices(name, route.Body)...)
 		}
-		// Merged routes are their caller's responsibility; of two with one prefix the
-		// first by name applies.
+		// Callers of Merge are responsible for the uniqueness of their routes. Of two
+		// with the same host and prefix, the first by name applies.
 		if route.isMerged() {
 			continue
 		}
 		doc := gjson.ParseBytes(route.Body)
-		place := doc.Get("host").Str + strings.TrimRight(doc.Get("prefix").Str, "/")
-		if other, used := routeAt[place]; used {
+		location := doc.Get("host").Str + strings.TrimRight(doc.Get("prefix").Str, "/")
+		if other, exists := routesByLocation[location]; exists {
 			violations = append(violations, Violation{itemKey(kindRoute, name), "prefix", fmt.Sprintf("is that of route %q too", other)})
 		}
-		routeAt[place] = name
+		routesByLocation[location] = name
 	}
 	return violations
 }
 
-// checkMergedReferences checks that the services of a Merge's routes exist, also of
-// those that are overtaken: naming a service that isn't there is wrong whatever came
-// later. Other routes are checked only if the Merge removed a service.
+// checkMergedReferences checks that the services of all routes in a Merge exist, including
+// routes whose version is superseded. Other routes are checked only if the Merge removed a
+// service.
 func (d *Document) checkMergedReferences(m Merge, removedService bool) []Violation {
 	var violations []Violation
 	for _, item := range m.Items {
@@ -68,7 +67,7 @@
 	return violations
 }
 
-// unknownServices reports the services that a route names and that don't exist.
+// unknownServices returns a violation for each service of a route that doesn't exist.
 func (d *Document) unknownServices(name ids.Name, body []byte) []Violation {
 	key := itemKey(kindRoute, name)
 	var route Route
--- a/internal/state/configuration/validate_body.go
+++ b/internal/state/configuration/validate_body.go
@@ -6,7 +6,7 @@
 	"github.com/tidwall/gjson"
 )
 
-// checkBody checks the body of one item field by field.
+// checkBody validates the body of one item.
 func checkBody(kind string, body string, report ReportFunc) {
 	doc := gjson.Parse(body)
 	if !doc.IsObject() {
@@ -38,7 +38,7 @@
 	}
 }
 
-// checkZone checks a zone's distances, and its load levels against one another.
+// checkZone validates a zone's distances and the order of its load levels.
 func checkZone(doc gjson.Result, report ReportFunc) {
 	doc.Get("distances").ForEach(func(key, distance gjson.Result) bool {
 		path := "distances." + key.String()
@@ -62,8 +62,7 @@
 	}
 }
 
-// checkRoute checks a route's destination, one service or several by weight, and its
-// home regions.
+// checkRoute validates a route's service or weighted services, and its home regions.
 func checkRoute(doc gjson.Result, report ReportFunc) {
 	split, service := doc.Get("split"), doc.Get("service")
 	if !service.Exists() && !split.Exists() {
@@ -78,7 +77,7 @@
 	}
 }
 
-// checkWeights checks the weighted services of a route, if it has any.
+// checkWeights validates the weighted services of a route, if it has any.
 func checkWeights(split gjson.Result, report ReportFunc) {
 	sum := 0.0
 	for i, weighted := range split.Array() {
@@ -98,20 +97,19 @@
 	}
 }
 
-// checkVersionedBody checks the body of an item of a Merge. Its caller has rules of its
-// own for the names of services and regions and for prefixes, so these need only be
-// of the right type; everything else is checked as in a Change.
+// checkVersionedBody validates the body of an item in a Merge. The names of services and
+// regions and the prefixes follow the caller's own rules, so these are checked less
+// strictly than in a Change.
 func checkVersionedBody(kind, body string, report ReportFunc) {
 	checkBody(kind, body, func(path, reason string) {
-		if !isLeftToCaller(kind, path, gjson.Parse(body)) {
+		if !isExemptInMerge(kind, path, gjson.Parse(body)) {
 			report(path, reason)
 		}
 	})
 }
 
-// isLeftToCaller reports whether a violation at a path doesn't count for an item of a
-// Merge.
-func isLeftToCaller(kind, path string, doc gjson.Result) bool {
+// isExemptInMerge reports whether a violation at a path is ignored for an item in a Merge.
+func isExemptInMerge(kind, path string, doc gjson.Result) bool {
 	value := doc.Get(path)
 	switch {
 	case kind == kindRoute && path == "prefix":
--- a/internal/state/configuration/zone_order.go
+++ b/internal/state/configuration/zone_order.go
@@ -9,73 +9,72 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// ZoneOrder evacuates a zone, so that its targets get no more requests, or ends the
-// evacuation. It has no id, so a copy can't be told from a later order of the same
-// content. Therefore it takes effect only on the version that the registry knew when
-// the order came in: a copy that is overtaken by a later order changes nothing.
+// ZoneOrder starts or ends the evacuation of a zone. It has no ID by which a duplicate could
+// be detected. Therefore it takes effect only if the zone still has the version that the
+// registry knew when it received the request, so that a delayed duplicate doesn't revert a
+// later request.
 type ZoneOrder struct {
 	Zone     ids.Name `json:"cell"`
 	Region   ids.Name `json:"region"`
 	Evacuate bool     `json:"shut"`
-	// KnownVersion is the ZoneVersion of the registry that received the order.
+	// KnownVersion is the result of ZoneVersion in the registry that received the request.
 	KnownVersion ids.Revision `json:"known"`
 }
 
-// zoneEvacuation is the field of a zone's body that an order sets.
-type zoneEvacuation struct {
+// evacuationField is the field of a zone's body that a ZoneOrder sets.
+type evacuationField struct {
 	Evacuated bool `json:"shut"`
 }
 
-// evacuatedZone is the body of a zone that an order makes.
-type evacuatedZone struct {
+// newZoneBody is the body of a zone that is created by a ZoneOrder.
+type newZoneBody struct {
 	Region ids.Name `json:"region"`
-	zoneEvacuation
+	evacuationField
 }
 
-// ZoneVersion returns the version that an order for a zone has to name: that of the
-// zone or of its removal, 0 if there is neither.
+// ZoneVersion returns the version of a zone or of its tombstone, or 0 if neither exists.
 func (d *Document) ZoneVersion(zone ids.Name) ids.Revision {
 	version, _ := d.version(kindZone, zone)
 	return version
 }
 
-// OrderZone returns the document after an order. It returns the same document if the
-// zone is already as ordered, or if the order is overtaken (Result.VersionConflicts).
-func (d *Document) OrderZone(order ZoneOrder) (*Document, Result) {
-	present, exists := d.Zones[order.Zone]
-	item := ItemVersion{Kind: kindZone, Name: order.Zone, Version: present.Version}
+// OrderZone returns the document after a request. It returns d itself if the zone is already
+// in the requested state, or if the zone's version has changed (Result.VersionConflicts).
+func (d *Document) OrderZone(request ZoneOrder) (*Document, Result) {
+	current, exists := d.Zones[request.Zone]
+	item := ItemVersion{Kind: kindZone, Name: request.Zone, Version: current.Version}
 	res := Result{Revision: d.Revision, Items: []ItemVersion{item}}
-	if exists && gjson.GetBytes(present.Body, "shut").Bool() == order.Evacuate {
+	if exists && gjson.GetBytes(current.Body, "shut").Bool() == request.Evacuate {
 		return d, res
 	}
-	if version := d.ZoneVersion(order.Zone); version != order.KnownVersion {
+	if version := d.ZoneVersion(request.Zone); version != request.KnownVersion {
 		item.Version = version
-		return d, Result{Revision: d.Revision, VersionConflicts: []VersionConflict{{item, order.KnownVersion}}}
+		return d, Result{Revision: d.Revision, VersionConflicts: []VersionConflict{{item, request.KnownVersion}}}
 	}
-	key := itemKey(kindZone, order.Zone)
-	body, err := order.zoneBody(present, exists)
+	key := itemKey(kindZone, request.Zone)
+	body, err := request.zoneBody(current, exists)
 	if err != nil {
 		return d, Result{Revision: d.Revision, Violations: []Violation{{key, "", err.Error()}}}
 	}
 	next := d.nextRevision()
-	res.Revision, res.Items[0].Version = next.Revision, max(next.Revision, order.KnownVersion+1)
+	res.Revision, res.Items[0].Version = next.Revision, max(next.Revision, request.KnownVersion+1)
 	delete(next.Tombstones, key)
-	next.Zones[order.Zone] = Item{
+	next.Zones[request.Zone] = Item{
 		Version:    res.Items[0].Version,
 		Body:       pretty.Ugly(body),
 		ChangedAt:  next.Revision,
-		Merged:     present.isMerged(),
-		EverMerged: present.EverMerged || d.Tombstones[key].EverMerged,
+		Merged:     current.isMerged(),
+		EverMerged: current.EverMerged || d.Tombstones[key].EverMerged,
 	}
 	return next, res
 }
 
-// zoneBody returns the zone's body after the order. Other fields stay as they are.
-func (o ZoneOrder) zoneBody(present Item, exists bool) ([]byte, error) {
-	evacuation := zoneEvacuation{Evacuated: o.Evacuate}
+// zoneBody returns the zone's body after the request. Other fields are unchanged.
+func (r ZoneOrder) zoneBody(current Item, exists bool) ([]byte, error) {
+	evacuation := evacuationField{Evacuated: r.Evacuate}
 	if exists {
 		changed, err := json.Marshal(evacuation)
-		return overlayFields(present.Body, changed), err
+		return overlayFields(current.Body, changed), err
 	}
-	return json.Marshal(evacuatedZone{o.Region, evacuation})
+	return json.Marshal(newZoneBody{r.Region, evacuation})
 }
