--- a/internal/state/configuration/change_test.go
+++ b/internal/state/configuration/change_test.go
@@ -15,16 +15,16 @@
 	d, res := applyChange(t, emptyDocument(t), "1", putLedgerService+","+putOrdersRoute)
 	is.True(res.Accepted())
 	is.Equal(d.Revision, res.Revision)
-	is.Equal(string(d.Services["ledger"].Body), `{"tier":8}`) // as it was sent
-	// Sent again, it gets its first result and makes no second revision.
+	is.Equal(string(d.Services["ledger"].Body), `{"tier":8}`) // without defaults filled in
+	// A duplicate returns the first result and creates no revision.
 	same, again := applyChange(t, d, "1", putLedgerService+","+putOrdersRoute)
 	is.Equal(again, res)
 	is.Equal(same, d)
-	// One wrong version rejects the whole change, and the result names the present one.
+	// One version conflict rejects the whole change, and the result has the current version.
 	next, res := applyChange(t, d, "2", `{"kind":"service","name":"new","put":{}},{"kind":"route","name":"orders","version":9,"put":{"prefix":"/o","service":"ledger","repeatable":true}}`)
 	is.Equal(string(next.Encode(false)), string(d.Encode(false)))
 	is.Equal(res.VersionConflicts[0].Version, d.Routes["orders"].Version)
-	// A route may not outlive its service.
+	// A service can't be removed while a route references it.
 	_, res = applyChange(t, d, "3", `{"kind":"service","name":"ledger","remove":true}`)
 	is.Equal(res.Violations, []Violation{{"route/orders", "service", `there is no service "ledger"`}})
 	next, res = applyChange(t, d, "4", `{"kind":"service","name":"ledger","remove":true},{"kind":"route","name":"orders","remove":true}`)
@@ -32,7 +32,7 @@
 	is.Equal(len(next.Services)+len(next.Routes), 0)
 	_, res = applyChange(t, next, "5", `{"kind":"cell","name":"nowhere","remove":true}`)
 	is.Equal(len(res.MissingItems), 1)
-	// An item that is made again never has an old version.
+	// A recreated item never reuses a version.
 	remade, res := applyChange(t, next, "6", putLedgerService)
 	is.True(res.Accepted())
 	is.True(remade.Services["ledger"].Version > d.Services["ledger"].Version)
@@ -40,8 +40,7 @@
 	is.Equal(len(res.VersionConflicts), 1)
 }
 
-// A copy of a rejected change arrives when the change would be valid. Since its caller
-// was told of the rejection, it is rejected again.
+// A duplicate of a rejected change is rejected too, even if the change has become valid.
 func TestApply_RejectedChangeStaysRejected(t *testing.T) {
 	is := is.New(t)
 	d := emptyDocument(t)
@@ -53,7 +52,7 @@
 	d, res = applyChange(t, d, "1", remove)
 	is.Equal(len(res.MissingItems), 1)
 	is.Equal(len(d.Services), 1)
-	// Kept results are bounded, and not sent to daemons that never apply changes.
+	// The number of retained results is bounded, and they aren't sent to other daemons.
 	for i := range 3 * maxRejectedResults {
 		d, _ = applyChange(t, d, fmt.Sprintf("d%d", i), `{"kind":"route","name":"none","remove":true}`)
 	}
@@ -82,8 +81,8 @@
 	is.Equal(len(res.Violations), 1)
 }
 
-// Merged routes are their caller's responsibility, also those without a source: two of
-// them with the same host and prefix don't keep changes from being accepted.
+// Two merged routes with the same host and prefix are no violation of later changes, even
+// if they have no source.
 func TestApply_AllowsMergedRoutesWithSamePrefix(t *testing.T) {
 	is := is.New(t)
 	a, b := versionedRoute("mud", "wader", 1), versionedRoute("mud", "wader", 1)
@@ -94,7 +93,8 @@
 	is.True(res.Accepted())
 }
 
-// A Change of a merged item continues from the version that the Merge assigned.
+// A Change of a merged item continues from the version that the Merge assigned, so that a
+// delayed Merge doesn't overwrite it.
 func TestApply_VersionOfMergedItemNeverDecreases(t *testing.T) {
 	is := is.New(t)
 	d, _ := emptyDocument(t).Merge(mergeOf(versionedService("wader", 100), versionedRoute("mud", "wader", 100)))
--- a/internal/state/configuration/cluster_network_test.go
+++ b/internal/state/configuration/cluster_network_test.go
@@ -11,16 +11,16 @@
 
 // network is the simulated network between the members of a cluster.
 type network struct {
-	// oneWay is the least delay of a message, and jitter the most that is added to it.
+	// oneWay is the minimum delay of a message, and jitter the maximum random addition.
 	oneWay, jitter          time.Duration
 	lossRate, duplicateRate float64
-	// partitioned holds pairs of sender and receiver that are cut off.
+	// partitioned holds pairs of sender and receiver whose messages are lost.
 	partitioned map[[2]ids.Address]bool
-	// prepares counts the prepare messages that were sent.
+	// prepares counts the prepare messages sent.
 	prepares int
 }
 
-// send delivers the messages among a member's commands, some of them twice.
+// send delivers the messages among a member's commands and duplicates some of them.
 func (c *cluster) send(from ids.Address, commands []event.Command) {
 	for _, command := range commands {
 		message, ok := command.(event.Send)
@@ -40,8 +40,8 @@
 	}
 }
 
-// deliver schedules the arrival of a message, unless it is lost. Messages of a member to
-// itself arrive at once.
+// deliver schedules the arrival of a message unless it is lost. Messages from a member to
+// itself aren't delayed.
 func (c *cluster) deliver(from ids.Address, message event.Send) {
 	delay := time.Duration(0)
 	if from != message.To {
@@ -53,7 +53,7 @@
 	c.schedule(delay, func() { c.receive(from, message) })
 }
 
-// receive gives a message to the member it is for.
+// receive passes a message to its receiver.
 func (c *cluster) receive(from ids.Address, message event.Send) {
 	for _, s := range c.stores {
 		if s.address == message.To && s.up {
@@ -69,15 +69,15 @@
 	}
 }
 
-// scheduledEvent is something that happens at a point of virtual time.
+// scheduledEvent is a function scheduled at a point in virtual time.
 type scheduledEvent struct {
 	at       ids.Time
 	sequence uint64
 	run      func()
 }
 
-// eventQueue is a heap of events by time, and in the order of scheduling among those of
-// one time.
+// eventQueue is a heap of events ordered by time. Events with the same time are in the order
+// in which they were scheduled.
 type eventQueue []scheduledEvent
 
 func (q eventQueue) Len() int { return len(q) }
@@ -104,7 +104,7 @@
 	heap.Push(&c.queue, scheduledEvent{c.now.Add(delay), c.scheduled, run})
 }
 
-// run lets virtual time pass.
+// run advances virtual time and runs the events that are due.
 func (c *cluster) run(d time.Duration) {
 	for end := c.now.Add(d); len(c.queue) > 0 && c.queue[0].at <= end; {
 		next := heap.Pop(&c.queue).(scheduledEvent)
--- a/internal/state/configuration/cluster_test.go
+++ b/internal/state/configuration/cluster_test.go
@@ -12,8 +12,8 @@
 	"dunlinwell/internal/testsupport/memorydisk"
 )
 
-// cluster is three stores that hold the configuration, and the clients of two
-// registries, in virtual time on a simulated network. It is deterministic for a seed.
+// cluster simulates three stores that hold the configuration, and the clients of two
+// registries, in virtual time. It is deterministic for a seed.
 type cluster struct {
 	network
 	now       ids.Time
@@ -30,7 +30,7 @@
 	address ids.Address
 	id      uint64
 	disk    memorydisk.Disk
-	// run counts the runs of the process.
+	// run is the number of times that the process was started.
 	run uint64
 	up  bool
 	*consensus.Acceptor
@@ -60,7 +60,7 @@
 	for i := range 2 {
 		n := &clientNode{address: ids.Address(fmt.Sprint("registry", i))}
 		n.Client = consensus.NewClient(ids.RunID(i+1), &n.Outbox)
-		// Each asks another store first, so that two propose at the same time.
+		// Each client prefers another store, so that two proposers compete.
 		n.StoreOrder = func(ids.RegisterKey) []ids.Address {
 			return []ids.Address{c.stores[i].address, c.stores[(i+1)%3].address, c.stores[(i+2)%3].address}
 		}
@@ -70,7 +70,7 @@
 	return c
 }
 
-// startStores starts three empty stores that form one voter set.
+// startStores starts three empty stores as one voter set.
 func (c *cluster) startStores() {
 	voters := consensus.VoterSet{Number: 1}
 	for i := range 3 {
@@ -86,7 +86,7 @@
 	}
 }
 
-// start begins a run of a store's process with what its disk holds.
+// start starts a store's process from the contents of its disk.
 func (c *cluster) start(s *storeNode) {
 	s.run++
 	s.up = true
@@ -96,7 +96,7 @@
 	s.Proposer = consensus.NewProposer(s.id<<24|s.run, s.Acceptor.VoterSet, configuration.Ops(), random, &s.Outbox)
 }
 
-// crash ends a store's process and starts it again later.
+// crash stops a store's process and restarts it after the downtime.
 func (c *cluster) crash(s *storeNode, downtime time.Duration) {
 	if s.up {
 		s.up = false
@@ -104,7 +104,7 @@
 	}
 }
 
-// tick gives every member the time, again and again.
+// tick passes the time to every member that is up, and schedules the next tick.
 func (c *cluster) tick() {
 	for _, s := range c.stores {
 		if s.up {
@@ -122,8 +122,8 @@
 // processCommands executes the commands that a store has issued since the last call.
 func (c *cluster) processCommands(s *storeNode) { c.execute(s, s.Drain()) }
 
-// execute executes commands of a store. Syncs take time and are lost in a crash,
-// together with the commands that wait for them.
+// execute executes commands of a store. A sync completes after diskDelay and is lost in a
+// crash, together with the commands that depend on it.
 func (c *cluster) execute(s *storeNode, commands []event.Command) {
 	run := s.run
 	for _, command := range commands {
@@ -162,7 +162,7 @@
 	}
 }
 
-// call sends an operation through one registry and reports its outcome later.
+// call sends an operation through one registry. done is called with its outcome.
 func (c *cluster) call(registry int, op consensus.Op, arg []byte, done func(consensus.Outcome, []byte)) {
 	n := c.clients[registry]
 	n.Call(c.now, configuration.Key, op, arg, callTimeout, func(_ ids.Time, outcome consensus.Outcome, response []byte) {
--- a/internal/state/configuration/concurrency_test.go
+++ b/internal/state/configuration/concurrency_test.go
@@ -12,20 +12,19 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// outcomeChecker holds the results that operators got, and fails the test when two of
-// them contradict each other. An identity is what stands for one content: an item's
-// version or a change id.
+// outcomeChecker records the results that operators received and fails the test if two of
+// them contradict each other. An identity is a version of an item or a change ID.
 type outcomeChecker struct {
 	t *testing.T
-	// accepted is the content that was accepted under an identity.
+	// accepted holds the accepted content by identity.
 	accepted map[string]string
-	// rejected holds each identity and content that were rejected.
+	// rejected holds the rejected pairs of identity and content.
 	rejected map[[2]string]bool
 
 	acceptedCount, rejectedCount, unknownCount int
 }
 
-// record checks the outcome of one call for a content under an identity.
+// record checks the outcome of one call with a content under an identity.
 func (o *outcomeChecker) record(identity, content string, outcome consensus.Outcome, response []byte) {
 	var res configuration.Result
 	switch {
@@ -33,7 +32,7 @@
 		o.unknownCount++
 		return
 	case json.Unmarshal(response, &res) != nil || res.UnknownReason != "":
-		o.t.Fatalf("%s: no result: %s", identity, response)
+		o.t.Fatalf("%s: no definite result in response %s", identity, response)
 	}
 	key := [2]string{identity, content}
 	if !res.Accepted() {
@@ -42,17 +41,17 @@
 	} else {
 		o.acceptedCount++
 		if other, ok := o.accepted[identity]; ok && other != content {
-			o.t.Fatalf("%s was accepted for %s and for %s", identity, other, content)
+			o.t.Fatalf("%s was accepted with content %s and with %s", identity, other, content)
 		}
 		o.accepted[identity] = content
 	}
 	if o.rejected[key] && o.accepted[identity] == content {
-		o.t.Fatalf("%s for %s was both accepted and rejected", identity, content)
+		o.t.Fatalf("%s with content %s was both accepted and rejected", identity, content)
 	}
 }
 
-// injectFault crashes a store, cuts it off in one or both directions, or ends all
-// partitions, again and again.
+// injectFault crashes a store, partitions it in one or both directions, or ends all
+// partitions, and schedules the next fault.
 func (c *cluster) injectFault() {
 	switch s := c.stores[c.random.IntN(3)]; c.random.IntN(4) {
 	case 0, 1:
@@ -70,11 +69,10 @@
 	c.schedule(time.Duration(c.random.IntN(700))*time.Millisecond, c.injectFault)
 }
 
-// Two operators through two registries use the same versions and change ids for two
-// contents, and send everything again, at once and much later, while proposers crash
-// between their accept and their response, messages are lost and duplicated, and stores
-// are cut off in one direction and in both. No identity is accepted for two contents, no
-// copy of what was accepted is rejected, and nothing that was rejected is accepted.
+// Two operators use the same versions and change IDs for different contents and resend their
+// requests, while stores crash or are partitioned and messages are lost or duplicated. No
+// identity may be accepted with two contents, and no request may be both accepted and
+// rejected.
 func TestConcurrentOperators_NeverGetContradictoryResults(t *testing.T) {
 	accepted, rejected, unknown := 0, 0, 0
 	for seed := range uint64(5) {
@@ -85,11 +83,11 @@
 	}
 	t.Logf("%d accepted, %d rejected, %d unknown", accepted, rejected, unknown)
 	if accepted < 200 || rejected < 100 || unknown < 20 {
-		t.Fatal("too little was tried")
+		t.Fatal("too few accepted, rejected or unknown outcomes to be a meaningful test")
 	}
 }
 
-// runConcurrentOperators runs two operators for one seed.
+// runConcurrentOperators runs the simulation for one seed and returns its checker.
 func runConcurrentOperators(t *testing.T, seed uint64) *outcomeChecker {
 	t.Helper()
 	c := newCluster(seed, 5*time.Millisecond, 30*time.Millisecond)
@@ -115,7 +113,7 @@
 	return checker
 }
 
-// mergeRequest returns a function that sends an item with a version that both operators
+// mergeRequest returns a function that merges an item under a version that both operators
 // use.
 func (c *cluster) mergeRequest(checker *outcomeChecker, number, operator int) func(registry int) {
 	version := ids.Revision(number + 1)
@@ -126,7 +124,7 @@
 	identity := fmt.Sprintf("service/shared version %d", version)
 	return func(registry int) {
 		c.call(registry, configuration.OpMerge, arg, func(outcome consensus.Outcome, response []byte) {
-			// An overtaken version is acknowledged as having no effect.
+			// A superseded version is acknowledged although it has no effect.
 			var res configuration.Result
 			if json.Unmarshal(response, &res) == nil && res.Accepted() && len(res.Items) == 1 && res.Items[0].Version > version {
 				return
@@ -136,8 +134,8 @@
 	}
 }
 
-// changeRequest returns a function that sends a change which makes a new item. The
-// operators use one id for it every third time.
+// changeRequest returns a function that sends a change which creates an item. Every third
+// time, both operators use the same ID.
 func (c *cluster) changeRequest(checker *outcomeChecker, number, operator int) func(registry int) {
 	id := fmt.Sprintf("order-%d-%d", number, operator)
 	if number%3 == 0 {
@@ -148,7 +146,7 @@
 	return func(registry int) {
 		c.call(registry, configuration.OpChange, arg, func(outcome consensus.Outcome, response []byte) {
 			checker.record("change "+id, content, outcome, response)
-			// Whatever the ids, only one of the two operators made the item.
+			// Only one operator can create the item, whether or not the IDs differ.
 			var res configuration.Result
 			if outcome == consensus.Succeeded && json.Unmarshal(response, &res) == nil && res.Accepted() {
 				checker.record(fmt.Sprintf("service/own%d", number), content, outcome, response)
@@ -157,7 +155,7 @@
 	}
 }
 
-// Two registries propose through two stores at the same time, without a pause.
+// Changes through two competing proposers finish in time and seldom with an unknown outcome.
 func TestConcurrentProposers_ChangesFinishInTime(t *testing.T) {
 	for _, oneWay := range []time.Duration{time.Millisecond, 10 * time.Millisecond, 40 * time.Millisecond, 90 * time.Millisecond} {
 		t.Run(oneWay.String(), func(t *testing.T) {
@@ -179,9 +177,9 @@
 			c.run(30 * time.Second)
 			slices.Sort(durations)
 			median, longest := durations[len(durations)/2], durations[len(durations)-1]
-			t.Logf("one way %v: median %v, 99 in 100 %v, longest %v, unknown %d, prepares %d", oneWay, median, durations[len(durations)*99/100], longest, unknown, c.prepares)
+			t.Logf("one way %v: median %v, p99 %v, max %v, unknown %d, prepares %d", oneWay, median, durations[len(durations)*99/100], longest, unknown, c.prepares)
 			if median > 2*time.Second || unknown > len(durations)/100 {
-				t.Errorf("changes took %v at the median, %d with an unknown outcome", median, unknown)
+				t.Errorf("median duration %v, %d changes with an unknown outcome", median, unknown)
 			}
 		})
 	}
--- a/internal/state/configuration/content_hash_test.go
+++ b/internal/state/configuration/content_hash_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// A JSON value in another spelling is the same content; another value isn't.
-func TestMerge_ComparesContentNotSpelling(t *testing.T) {
+// Two encodings of the same JSON value are the same content; different values aren't.
+func TestMerge_ComparesCanonicalJSON(t *testing.T) {
 	is := is.New(t)
 	withSource := func(source string) VersionedItem {
 		item := versionedService("wader", 3)
--- a/internal/state/configuration/deduplication_test.go
+++ b/internal/state/configuration/deduplication_test.go
@@ -10,8 +10,8 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// The response to an accepted change is lost, and its copy arrives after hundreds of
-// other changes and a restart.
+// A change that is resent after hundreds of other changes and a restart is acknowledged, not
+// applied again.
 func TestApply_AcknowledgesResentAcceptedChange(t *testing.T) {
 	is := is.New(t)
 	conditional := `{"kind":"service","name":"ledger","version":1,"put":{"tier":3}}`
@@ -32,8 +32,9 @@
 	is.Equal(res.Revision, first.Revision)
 }
 
-// The change that made an item's present version, or removed the item, is always known.
-func TestApply_ItemIdentifiesItsChangeAfterHistoryIsTrimmed(t *testing.T) {
+// The change that wrote an item's current version or tombstone is detected as a duplicate
+// even if its history entry was evicted.
+func TestApply_DetectsDuplicateFromItemAfterHistoryEviction(t *testing.T) {
 	is := is.New(t)
 	d, made := applyChange(t, emptyDocument(t), "order", `{"kind":"service","name":"ledger","version":0,"put":{}}`)
 	d, _ = applyChange(t, d, "x", `{"kind":"service","name":"gone","put":{}}`)
@@ -48,9 +49,9 @@
 	is.True(next == d)
 }
 
-// A copy of a change whose outcome is forgotten has an unknown outcome. If the change
-// can't have been accepted, it is rejected as usual.
-func TestApply_ForgottenChangeHasUnknownOutcome(t *testing.T) {
+// A duplicate of a change whose history entry was evicted has an unknown outcome, but a change
+// that can't have been accepted before is applied or rejected as usual.
+func TestApply_EvictedChangeHasUnknownOutcome(t *testing.T) {
 	is := is.New(t)
 	d, _ := applyChange(t, emptyDocument(t), "1", putLedgerService)
 	d, _ = applyChange(t, d, "2", `{"kind":"service","name":"ledger","version":1,"put":{"tier":3}}`)
@@ -59,23 +60,23 @@
 	next, res := applyChange(t, d, "2", `{"kind":"service","name":"ledger","version":1,"put":{"tier":3}}`)
 	is.True(res.UnknownReason != "" && !res.Accepted())
 	is.True(next == d)
-	// Neither is one without a version applied again, if its id tells its age.
+	// A change without a version has an unknown outcome if its ID has an older revision.
 	next, res = applyChange(t, d, ChangeIDAt(2, "abc"), `{"kind":"service","name":"ledger","put":{"tier":5}}`)
 	is.True(res.UnknownReason != "")
 	is.True(next == d)
 	_, res = applyChange(t, d, ChangeIDAt(d.Revision, "abc"), `{"kind":"service","name":"ledger","put":{"tier":5}}`)
 	is.True(res.Accepted())
-	// Another change replaced version 2 long ago, so this one wasn't accepted.
+	// A different change replaced version 2, so this one can't have been accepted.
 	_, res = applyChange(t, d, "slow", `{"kind":"service","name":"ledger","version":2,"put":{"tier":6}}`)
 	is.Equal(len(res.VersionConflicts), 1)
-	// There never was an item of that name.
+	// No item of that name ever existed.
 	_, res = applyChange(t, d, "slip", `{"kind":"service","name":"legder","remove":true}`)
 	is.Equal(len(res.MissingItems), 1)
 	is.True(d.history().Changes.count() <= maxChangeEntries)
 }
 
-// Two operators use one id for two changes: the second is rejected. The same change in
-// another spelling is a copy.
+// A change ID can't be reused for a different change. The same change with a different JSON
+// encoding is a duplicate.
 func TestApply_RejectsReusedChangeID(t *testing.T) {
 	is := is.New(t)
 	d, res := applyChange(t, emptyDocument(t), "release-7", `{"kind":"service","name":"ledger","put":{"tier":8,"circuits":2}}`)
@@ -88,9 +89,8 @@
 	is.True(next == d)
 }
 
-// A rejected change stays rejected after hundreds of others, whose results push its own
-// out of RejectedResults.
-func TestApply_RejectedChangeStaysRejectedBeyondKeptResults(t *testing.T) {
+// A rejected change stays rejected after its result was evicted from RejectedResults.
+func TestApply_RejectedChangeStaysRejectedAfterResultEviction(t *testing.T) {
 	is := is.New(t)
 	remove := `{"kind":"service","name":"ledger","remove":true}`
 	d, res := applyChange(t, emptyDocument(t), "early", remove)
@@ -101,12 +101,12 @@
 	d, _ = applyChange(t, d, "make", putLedgerService)
 	next, res := applyChange(t, reencoded(t, d), "early", remove)
 	is.True(!res.Accepted())
-	is.Equal(len(res.Violations), 0) // it is a reuse conflict: the change itself is valid
+	is.Equal(len(res.Violations), 0) // rejected by a reuse conflict, since the change itself is valid
 	is.Equal(len(next.Services), 1)
 }
 
-// A document that was written before History existed: the results in it are known, and
-// nothing beyond them is taken to be certain.
+// In a document written before History existed, only the retained results are known; other
+// changes have an unknown outcome.
 func TestApply_ReadsDocumentWithoutHistory(t *testing.T) {
 	is := is.New(t)
 	d, _ := applyChange(t, emptyDocument(t), "first", putLedgerService)
@@ -125,41 +125,41 @@
 	is.Equal(res, last)
 }
 
-// sentChange is a change that an operator may send again, and its first result.
+// sentChange is a change that may be resent, with its first result.
 type sentChange struct {
 	id, items   string
 	firstResult Result
 }
 
-// randomChange returns a change of one of five services, often for a version that is
-// out of date, with an id that tells its age if it has no version.
+// randomChange returns a change of one of five services, often with a stale version. A change
+// without a version has an ID with a base revision.
 func randomChange(random *rand.Rand, d *Document, number int) sentChange {
 	change := sentChange{id: fmt.Sprintf("c%d", number)}
 	name := ids.Name(fmt.Sprintf("s%d", random.IntN(5)))
-	known := d.Services[name].Version
+	expected := d.Services[name].Version
 	if random.IntN(4) == 0 {
-		known -= min(known, ids.Revision(random.IntN(6)))
+		expected -= min(expected, ids.Revision(random.IntN(6)))
 	}
 	action := fmt.Sprintf(`"put":{"circuits":%d}`, random.IntN(50))
 	if random.IntN(5) == 0 {
 		action = `"remove":true`
 	}
-	version := fmt.Sprintf(`"version":%d,`, known)
-	if known == 0 || random.IntN(3) == 0 {
+	version := fmt.Sprintf(`"version":%d,`, expected)
+	if expected == 0 || random.IntN(3) == 0 {
 		version, change.id = "", ChangeIDAt(d.Revision-min(d.Revision, 3), change.id)
 	}
 	change.items = fmt.Sprintf(`{"kind":"service","name":%q,%s%s}`, name, version, action)
 	return change
 }
 
-// resend applies a change again, checks its result against the first one, and reports
-// whether its outcome was unknown.
+// resend applies a change again, compares its result with the first one, and reports whether
+// the outcome was unknown.
 func (c sentChange) resend(t *testing.T, d *Document) bool {
 	t.Helper()
 	next, res := applyChange(t, d, c.id, c.items)
 	unknown := res.UnknownReason != ""
 	if !unknown && c.firstResult.Accepted() != res.Accepted() {
-		t.Fatalf("%s %s: first %+v, then %+v", c.id, c.items, c.firstResult, res)
+		t.Fatalf("%s %s: first result %+v, result when resent %+v", c.id, c.items, c.firstResult, res)
 	}
 	if next.Revision != d.Revision {
 		t.Fatalf("%s was applied twice", c.id)
@@ -167,8 +167,8 @@
 	return unknown
 }
 
-// Operators send changes, and copies of any age of them: one that was accepted is never
-// rejected nor applied a second time, and one that was rejected is never accepted.
+// However late a change is resent: if it was accepted, it is neither rejected nor applied
+// again, and if it was rejected, it is never accepted.
 func TestApply_ResentChangesOfAnyAgeKeepTheirOutcome(t *testing.T) {
 	for seed := range uint64(3) {
 		random := rand.New(rand.NewPCG(seed, 18))
@@ -185,7 +185,7 @@
 			change := randomChange(random, d, i)
 			d, change.firstResult = applyChange(t, d, change.id, change.items)
 			if change.firstResult.UnknownReason != "" {
-				t.Fatalf("%s is new: %+v", change.id, change.firstResult)
+				t.Fatalf("new change %s has an unknown outcome: %+v", change.id, change.firstResult)
 			}
 			sent = append(sent, change)
 			if i%1000 == 0 {
@@ -193,7 +193,7 @@
 			}
 		}
 		if unknown == 0 || d.history().ForgottenRevision == 0 {
-			t.Fatal("no copy was older than what is remembered")
+			t.Fatal("no resent change was older than the history")
 		}
 	}
 }
--- a/internal/state/configuration/delta_test.go
+++ b/internal/state/configuration/delta_test.go
@@ -10,7 +10,7 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// randomHistory returns the documents that forty random operations lead through.
+// randomHistory returns the successive documents after random operations.
 func randomHistory(t *testing.T, random *rand.Rand) []*Document {
 	t.Helper()
 	documents := []*Document{emptyDocument(t)}
@@ -34,9 +34,9 @@
 	return documents
 }
 
-// A delta leads from its base and any later revision to the same document, however
-// often it arrives, and never back to an older one.
-func TestAdvance_DeltaFromAnyRevisionGivesSameDocument(t *testing.T) {
+// A delta produces the same document from its base and from any later revision. Applying it
+// again, or applying an older document, changes nothing.
+func TestAdvance_DeltaFromAnyRevisionProducesSameDocument(t *testing.T) {
 	is := is.New(t)
 	for seed := range uint64(30) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -49,7 +49,7 @@
 			advanced, err := received.Advance(last.ChangesSince(base.Revision))
 			is.NoErr(err)
 			if from.Revision < base.Revision {
-				is.True(advanced == received) // the delta needs a later revision
+				is.True(advanced == received) // the delta's base is later than this document
 				continue
 			}
 			if from.Revision < last.Revision {
--- a/internal/state/configuration/encode_test.go
+++ b/internal/state/configuration/encode_test.go
@@ -11,7 +11,7 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// Encode writes what json.Marshal writes, though it doesn't parse the bodies.
+// Encode writes the same bytes as json.Marshal, although it doesn't parse the bodies.
 func TestEncode_MatchesJSONMarshal(t *testing.T) {
 	is := is.New(t)
 	bodies := []string{`{"a":1}`, `{ "a" : [ 1 , 2 ] }`, `"<&>"`, "\"\u2028 \u2029\"", `"\u003c"`, "\"\xff\xe2\x80\"", `null`, "{\n\t}"}
@@ -38,8 +38,8 @@
 	is.Equal(string(d.Encode(true)), string(plain))
 }
 
-// No field of an Item is left out, also none that is added later: every combination of
-// set and unset fields is written.
+// Guards against a new field of Item that appendJSON omits, by comparing every combination
+// of set and unset fields with json.Marshal.
 func TestItemAppendJSON_WritesEveryField(t *testing.T) {
 	is := is.New(t)
 	itemType := reflect.TypeFor[Item]()
@@ -60,7 +60,7 @@
 			case reflect.Uint64:
 				field.SetUint(1 << 63)
 			default:
-				t.Fatalf("%s is of a kind that this test doesn't set", itemType.Field(i).Name)
+				t.Fatalf("field %s has a kind that this test doesn't support", itemType.Field(i).Name)
 			}
 		}
 		plain, err := json.Marshal(item)
--- a/internal/state/configuration/helpers_test.go
+++ b/internal/state/configuration/helpers_test.go
@@ -8,7 +8,7 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// Items of changes that many tests begin with.
+// Items of changes that create a service and a route.
 const (
 	putLedgerService = `{"kind":"service","name":"ledger","put":{"tier":8}}`
 	putOrdersRoute   = `{"kind":"route","name":"orders","put":{"prefix":"/orders","service":"ledger","repeatable":false}}`
@@ -23,8 +23,8 @@
 	return d
 }
 
-// applyChange reads and applies a change of the given items, a list in JSON without
-// its brackets.
+// applyChange reads and applies a change with the given ID. items is a JSON list without its
+// brackets.
 func applyChange(t *testing.T, d *Document, id, items string) (*Document, Result) {
 	t.Helper()
 	change, violations := ReadChange([]byte(fmt.Sprintf(`{"id":%q,"changes":[%s]}`, id, items)))
@@ -34,7 +34,7 @@
 	return d.Apply(change)
 }
 
-// applyOtherChanges applies many accepted changes, all of the service "busy".
+// applyOtherChanges applies count changes of the service "busy", all of which are accepted.
 func applyOtherChanges(t *testing.T, d *Document, count int) *Document {
 	t.Helper()
 	for i := range count {
@@ -47,8 +47,7 @@
 	return d
 }
 
-// reencoded returns the document as a store reads it that restarts, or that copies it
-// from another.
+// reencoded encodes and decodes a document, as happens when a store restarts.
 func reencoded(t *testing.T, d *Document) *Document {
 	t.Helper()
 	decoded, err := Decode(d.Encode(true))
@@ -81,7 +80,7 @@
 	return VersionedItem{Kind: kind, Name: ids.Name(name), Version: version, Removed: true}
 }
 
-// runOpMerge runs OpMerge as a proposer does that has no document in its cache.
+// runOpMerge runs OpMerge with an empty cache.
 func runOpMerge(key ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
 	return Ops()[OpMerge](key, old, arg)
 }
--- a/internal/state/configuration/operations_test.go
+++ b/internal/state/configuration/operations_test.go
@@ -10,8 +10,8 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// The change function returns the same bytes if nothing changes, and doesn't respond to a
-// request that it can't read.
+// The change function returns the same bytes if nothing changes, and no response if the
+// request can't be decoded.
 func TestOpMerge_LeavesValueUnchangedUnlessNewer(t *testing.T) {
 	is := is.New(t)
 	arg, _ := json.Marshal(mergeOf(versionedService("wader", 5)))
@@ -34,8 +34,8 @@
 	is.Equal(len(res.Violations), 1)
 }
 
-// A proposer with a cached document returns what one without a cache does.
-func TestOps_CachedDocumentGivesSameResult(t *testing.T) {
+// A change function with a cached document returns the same result as one without.
+func TestOps_CacheDoesNotChangeResults(t *testing.T) {
 	is := is.New(t)
 	ops := Ops()
 	var value []byte
--- a/internal/state/configuration/read_change_test.go
+++ b/internal/state/configuration/read_change_test.go
@@ -9,8 +9,7 @@
 	"github.com/matryer/is"
 )
 
-// Each violation names the item and the path, and all violations of a change are
-// listed.
+// All violations of a change are returned, each with its item and path.
 func TestReadChange_ListsViolations(t *testing.T) {
 	is := is.New(t)
 	change := func(items string) string { return `{"id":"x","changes":[` + items + `]}` }
@@ -45,7 +44,7 @@
 				all += v.Item + " " + v.Path + " " + v.Reason + "\n"
 			}
 			if !strings.Contains(all, want) {
-				t.Errorf("%s gave %q, not %q", raw, all, want)
+				t.Errorf("%s: got violations %q, want %q", raw, all, want)
 			}
 		})
 	}
@@ -56,8 +55,7 @@
 	is.Equal(string(raw), `{"item":"service/a","path":"tier","problem":"must be from 0 to 9"}`)
 }
 
-// A registry reads changes in the goroutine that owns its state, so a body that nests
-// thousands of levels deep must not keep everything else waiting.
+// A registry decodes changes in its event loop, so a deeply nested body must not block it.
 func TestReadChange_RejectsDeepNestingQuickly(t *testing.T) {
 	is := is.New(t)
 	deep := strings.Repeat(`{"a":`, 100000) + "1" + strings.Repeat("}", 100000)
--- a/internal/state/configuration/read_merge_test.go
+++ b/internal/state/configuration/read_merge_test.go
@@ -42,7 +42,7 @@
 		t.Run(raw, func(t *testing.T) {
 			_, violations := ReadMerge([]byte(raw))
 			if len(violations) == 0 || violations[0] != want {
-				t.Errorf("%s gave %v, not %v", raw, violations, want)
+				t.Errorf("%s: got violations %v, want %v first", raw, violations, want)
 			}
 		})
 	}
@@ -55,8 +55,8 @@
 	is.Equal(violations[0].Item, "items")
 }
 
-// A source that nests too deep to be stored is reported as a violation, and quickly;
-// it must not end as an unknown outcome.
+// A source that is nested too deeply to be stored is a violation and is detected quickly. It
+// must not lead to an unknown outcome.
 func TestMergeCheck_RejectsDeeplyNestedSource(t *testing.T) {
 	is := is.New(t)
 	nested := func(depth int) VersionedItem {
--- a/internal/state/configuration/route_test.go
+++ b/internal/state/configuration/route_test.go
@@ -19,13 +19,13 @@
 		selected[route.SelectService(float64(i)/n)]++
 	}
 	is.Equal(selected, map[ids.Name]int{"wader": 900, "plover": 100})
-	// The ends: a random number may be just below 1, and sums of fractions round.
+	// Both ends of the range, and fractions whose sum is rounded below 1.
 	is.Equal(route.SelectService(0), ids.Name("wader"))
 	is.Equal(route.SelectService(math.Nextafter(1, 0)), ids.Name("plover"))
 	is.Equal(route.SelectService(1), ids.Name("plover")) // never a service without weight
 	thirds := Route{Split: []WeightedService{{"a", 0.1}, {"b", 0.1}, {"c", 0.1}, {"zero", 0}}}
 	is.Equal(thirds.SelectService(math.Nextafter(1, 0)), ids.Name("c"))
-	// Without a split there is only the service.
+	// A route without a split has only its service.
 	unsplit := Route{Service: "wader"}
 	is.Equal(unsplit.Services(), []ids.Name{"wader"})
 	is.Equal(unsplit.SelectService(0.5), ids.Name("wader"))
--- a/internal/state/configuration/validate_body_test.go
+++ b/internal/state/configuration/validate_body_test.go
@@ -7,12 +7,13 @@
 	"github.com/matryer/is"
 )
 
-// Names and prefixes in a Merge follow the caller's rules; numbers and types follow ours.
+// Names and prefixes in a Merge are checked only loosely; numbers and types are checked as in
+// a Change.
 func TestMergeCheck_ItemBodies(t *testing.T) {
 	is := is.New(t)
 	for body, want := range map[string]string{
 		`{"prefix":"/","service":"S_1","repeatable":true}`:                                                         "",
-		`{"prefix":"/v1/own/","service":"s","repeatable":true}`:                                                    "", // a reserved path is allowed: the caller's routes have hosts of their own
+		`{"prefix":"/v1/own/","service":"s","repeatable":true}`:                                                    "", // reserved paths are allowed
 		`{"prefix":"/a b/%41/","service":"s","repeatable":true}`:                                                   "",
 		`{"prefix":"","service":"s","repeatable":true}`:                                                            "prefix",
 		`{"prefix":7,"service":"s","repeatable":true}`:                                                             "prefix",
@@ -38,7 +39,7 @@
 		t.Run(body, func(t *testing.T) {
 			violations := mergeOf(VersionedItem{Kind: "route", Name: "r", Version: 1, Body: json.RawMessage(body)}).Check()
 			if want == "" && len(violations) > 0 || want != "" && (len(violations) == 0 || violations[0].Path != want) {
-				t.Errorf("%s gave %v, not %q", body, violations, want)
+				t.Errorf("%s: got violations %v, want path %q", body, violations, want)
 			}
 		})
 	}
@@ -48,7 +49,7 @@
 	is.Equal(mergeOf(zone).Check(), []Violation{{"cell/c", "shut", "must be true or false"}})
 }
 
-// A route's timeout may be ten minutes, and no longer.
+// A route's timeout is at most ten minutes.
 func TestMergeCheck_LongestRouteTimeout(t *testing.T) {
 	is := is.New(t)
 	violationsOf := func(timeoutMillis string) int {
--- a/internal/state/configuration/view_test.go
+++ b/internal/state/configuration/view_test.go
@@ -11,7 +11,7 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// A view that reuses parts of an earlier one equals one that is made from scratch.
+// A view that reuses parts of an earlier view equals a newly decoded one.
 func TestViewReusing_EqualsFreshView(t *testing.T) {
 	is := is.New(t)
 	d := emptyDocument(t)
@@ -48,7 +48,7 @@
 	d, res := d.Merge(mergeOf(limits(`{"max_header":2048,"max_body":10,"header_ms":300,"idle_ms":400}`, 3)))
 	is.True(res.Accepted())
 	is.Equal(d.View().Limits, Limits{2048, 10, 300, 400})
-	// Limits that aren't given stay at their defaults.
+	// Limits that aren't set keep their defaults.
 	d, res = d.Merge(mergeOf(limits(`{"max_body":20}`, 4)))
 	is.True(res.Accepted())
 	want := DefaultLimits
--- a/internal/state/configuration/zone_order_test.go
+++ b/internal/state/configuration/zone_order_test.go
@@ -9,83 +9,80 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// ordersInFlight are copies of orders that haven't arrived yet. Each names what its
-// registry knew when the order came in, which may be out of date.
-type ordersInFlight struct {
-	random *rand.Rand
-	orders []ZoneOrder
+// inFlightRequests holds requests and duplicates of them that haven't been delivered yet.
+// Their known versions may be stale.
+type inFlightRequests struct {
+	random   *rand.Rand
+	requests []ZoneOrder
 }
 
-// send adds one to three copies of an order. Some of their registries haven't learned
-// the present version yet.
-func (o *ordersInFlight) send(evacuate bool, present ids.Revision) {
-	for range 1 + o.random.IntN(3) {
-		behind := ids.Revision(0)
-		if o.random.IntN(3) == 0 {
-			behind = min(present, ids.Revision(o.random.IntN(2)))
+// send adds one to three copies of a request, some of them with a stale version.
+func (r *inFlightRequests) send(evacuate bool, current ids.Revision) {
+	for range 1 + r.random.IntN(3) {
+		lag := ids.Revision(0)
+		if r.random.IntN(3) == 0 {
+			lag = min(current, ids.Revision(r.random.IntN(2)))
 		}
-		o.orders = append(o.orders, ZoneOrder{"a", "south", evacuate, present - behind})
+		r.requests = append(r.requests, ZoneOrder{"a", "south", evacuate, current - lag})
 	}
 }
 
-// takeOne removes and returns any of the orders.
-func (o *ordersInFlight) takeOne() ZoneOrder {
-	i := o.random.IntN(len(o.orders))
-	order := o.orders[i]
-	o.orders = append(o.orders[:i], o.orders[i+1:]...)
-	return order
+// removeRandom removes and returns a random request.
+func (r *inFlightRequests) removeRandom() ZoneOrder {
+	i := r.random.IntN(len(r.requests))
+	request := r.requests[i]
+	r.requests = append(r.requests[:i], r.requests[i+1:]...)
+	return request
 }
 
-// deliverUntilAcknowledged applies orders until one is acknowledged that leaves the zone
-// as asked, and sends another copy if none is left.
-func (o *ordersInFlight) deliverUntilAcknowledged(d *Document, evacuate bool) *Document {
+// deliverUntilAcknowledged applies requests until one for the wanted state is accepted and
+// the zone is in that state. It adds a request if none is left.
+func (r *inFlightRequests) deliverUntilAcknowledged(d *Document, evacuate bool) *Document {
 	for {
-		order := o.takeOne()
-		next, res := d.OrderZone(order)
+		request := r.removeRandom()
+		next, res := d.OrderZone(request)
 		d = next
-		if res.Accepted() && order.Evacuate == evacuate && zoneAIsEvacuated(d) == evacuate {
+		if res.Accepted() && request.Evacuate == evacuate && isZoneAEvacuated(d) == evacuate {
 			return d
 		}
-		if len(o.orders) == 0 {
-			o.orders = append(o.orders, ZoneOrder{"a", "south", evacuate, d.ZoneVersion("a")})
+		if len(r.requests) == 0 {
+			r.requests = append(r.requests, ZoneOrder{"a", "south", evacuate, d.ZoneVersion("a")})
 		}
 	}
 }
 
-// Orders to evacuate a zone and to end the evacuation have no ids, and each is sent
-// several times. A copy that arrives late, after a later order was acknowledged, must not
-// undo that one.
-func TestOrderZone_LateCopyNeverUndoesAcknowledgedOrder(t *testing.T) {
-	lateCopies := 0
+// A delayed duplicate of a request must not revert a later request that was acknowledged.
+func TestSetZoneEvacuation_DelayedDuplicateDoesNotRevertLaterRequest(t *testing.T) {
+	staleRequests := 0
 	for seed := range uint64(200) {
-		inFlight := ordersInFlight{random: rand.New(rand.NewPCG(seed, 4))}
+		inFlight := inFlightRequests{random: rand.New(rand.NewPCG(seed, 4))}
 		d := emptyDocument(t)
 		evacuate := false
 		for range 20 {
 			evacuate = !evacuate
 			inFlight.send(evacuate, d.ZoneVersion("a"))
 			d = inFlight.deliverUntilAcknowledged(d, evacuate)
-			for len(inFlight.orders) > 0 && inFlight.random.IntN(3) > 0 {
-				next, res := d.OrderZone(inFlight.takeOne())
+			for len(inFlight.requests) > 0 && inFlight.random.IntN(3) > 0 {
+				next, res := d.OrderZone(inFlight.removeRandom())
 				if len(res.VersionConflicts) > 0 {
-					lateCopies++
+					staleRequests++
 				}
-				if d = next; zoneAIsEvacuated(d) != evacuate {
-					t.Fatalf("seed %d: a late copy undid an acknowledged order", seed)
+				if d = next; isZoneAEvacuated(d) != evacuate {
+					t.Fatalf("seed %d: a delayed duplicate reverted an acknowledged request", seed)
 				}
 			}
 		}
 	}
-	if lateCopies < 100 {
-		t.Fatalf("only %d copies were late", lateCopies)
+	if staleRequests < 100 {
+		t.Fatalf("only %d requests were stale, want at least 100", staleRequests)
 	}
 }
 
-func zoneAIsEvacuated(d *Document) bool { return d.View().Zones["a"].Evacuated }
+func isZoneAEvacuated(d *Document) bool { return d.View().Zones["a"].Evacuated }
 
-// Other fields of the zone stay, an order that changes nothing writes nothing, and an
-// order is stale after the zone was changed or removed.
-func TestOrderZone_KeepsOtherFieldsAndRejectsStaleOrders(t *testing.T) {
+// A request keeps the zone's other fields, changes nothing if the zone is already in the
+// requested state, and is rejected as stale after the zone was changed or removed.
+func TestSetZoneEvacuation_KeepsOtherFieldsAndRejectsStaleRequests(t *testing.T) {
 	is := is.New(t)
 	d, _ := applyChange(t, emptyDocument(t), "1", `{"kind":"cell","name":"a","put":{"target":100,"region":"south","emptied":true}}`)
 	next, res := d.OrderZone(ZoneOrder{"a", "south", true, d.ZoneVersion("a")})
@@ -99,7 +96,7 @@
 	same, res = next.OrderZone(ZoneOrder{"a", "south", false, 1})
 	is.Equal(res.VersionConflicts, []VersionConflict{{ItemVersion{"cell", "a", 2}, 1}})
 	is.True(same == next)
-	// A removed zone has the version of its removal.
+	// A removed zone has the version of its tombstone.
 	next, res = applyChange(t, next, "2", `{"kind":"cell","name":"a","remove":true}`)
 	is.True(res.Accepted())
 	_, res = next.OrderZone(ZoneOrder{"a", "south", true, 0})
