--- a/internal/controlplane/registry/evacuation_calls.go
+++ b/internal/controlplane/registry/evacuation_calls.go
@@ -25,10 +25,10 @@
 		return
 	}
 	order := configuration.ZoneOrder{
-		Zone:         call.Zone,
-		Region:       call.Region,
-		Evacuate:     call.Evacuate,
-		KnownVersion: r.configuration.document.ZoneVersion(call.Zone),
+		Zone:            call.Zone,
+		Region:          call.Region,
+		Evacuate:        call.Evacuate,
+		ExpectedVersion: r.configuration.document.ZoneVersion(call.Zone),
 	}
 	encoded, err := json.Marshal(order)
 	if err != nil {
--- a/internal/controlplane/registry/evacuation_calls_test.go
+++ b/internal/controlplane/registry/evacuation_calls_test.go
@@ -47,7 +47,7 @@
 	r.adoptConfiguration(document.Encode(true))
 	order, sent := r.orderZone(7)
 	is.True(sent)
-	is.Equal(order, configuration.ZoneOrder{Zone: "a", Region: "south", Evacuate: true, KnownVersion: 1})
+	is.Equal(order, configuration.ZoneOrder{Zone: "a", Region: "south", Evacuate: true, ExpectedVersion: 1})
 	is.Equal(r.statuses[7], 503)
 }
 
--- a/internal/state/configuration/zone_order.go
+++ b/internal/state/configuration/zone_order.go
@@ -17,8 +17,8 @@
 	Zone     ids.Name `json:"cell"`
 	Region   ids.Name `json:"region"`
 	Evacuate bool     `json:"shut"`
-	// KnownVersion is the result of ZoneVersion in the registry that received the request.
-	KnownVersion ids.Revision `json:"known"`
+	// ExpectedVersion is the result of ZoneVersion in the registry that received the request.
+	ExpectedVersion ids.Revision `json:"known"`
 }
 
 // evacuationField is the field of a zone's body that a ZoneOrder sets.
@@ -47,9 +47,9 @@
 	if exists && gjson.GetBytes(current.Body, "shut").Bool() == request.Evacuate {
 		return d, res
 	}
-	if version := d.ZoneVersion(request.Zone); version != request.KnownVersion {
+	if version := d.ZoneVersion(request.Zone); version != request.ExpectedVersion {
 		item.Version = version
-		return d, Result{Revision: d.Revision, VersionConflicts: []VersionConflict{{item, request.KnownVersion}}}
+		return d, Result{Revision: d.Revision, VersionConflicts: []VersionConflict{{item, request.ExpectedVersion}}}
 	}
 	key := itemKey(kindZone, request.Zone)
 	body, err := request.zoneBody(current, exists)
@@ -57,7 +57,7 @@
 		return d, Result{Revision: d.Revision, Violations: []Violation{{key, "", err.Error()}}}
 	}
 	next := d.nextRevision()
-	res.Revision, res.Items[0].Version = next.Revision, max(next.Revision, request.KnownVersion+1)
+	res.Revision, res.Items[0].Version = next.Revision, max(next.Revision, request.ExpectedVersion+1)
 	delete(next.Tombstones, key)
 	next.Zones[request.Zone] = Item{
 		Version:    res.Items[0].Version,
