--- a/internal/controlplane/registry/evacuation_calls.go
+++ b/internal/controlplane/registry/evacuation_calls.go
@@ -24,7 +24,7 @@
 		r.replyOvertaken(call.ID)
 		return
 	}
-	order := configuration.ZoneOrder{
+	order := configuration.ZoneEvacuationRequest{
 		Zone:            call.Zone,
 		Region:          call.Region,
 		Evacuate:        call.Evacuate,
--- a/internal/controlplane/registry/evacuation_calls_test.go
+++ b/internal/controlplane/registry/evacuation_calls_test.go
@@ -17,7 +17,7 @@
 
 // orderZone hands the registry an order, answers it by overtakenResult, and gives the
 // order that was sent to the stores, if one was.
-func (r *testRegistry) orderZone(id uint64) (order configuration.ZoneOrder, sent bool) {
+func (r *testRegistry) orderZone(id uint64) (order configuration.ZoneEvacuationRequest, sent bool) {
 	for _, command := range r.Step(r.now, ZoneOrderCall{ID: id, Zone: "a", Region: "south", Evacuate: true}) {
 		switch command := command.(type) {
 		case event.Send:
@@ -42,12 +42,12 @@
 	r.run(time.Second, nil)
 	document, err := configuration.Decode(nil)
 	is.NoErr(err)
-	document, result := document.OrderZone(configuration.ZoneOrder{Zone: "a", Region: "south", Evacuate: false})
+	document, result := document.OrderZone(configuration.ZoneEvacuationRequest{Zone: "a", Region: "south", Evacuate: false})
 	is.True(result.Accepted())
 	r.adoptConfiguration(document.Encode(true))
 	order, sent := r.orderZone(7)
 	is.True(sent)
-	is.Equal(order, configuration.ZoneOrder{Zone: "a", Region: "south", Evacuate: true, ExpectedVersion: 1})
+	is.Equal(order, configuration.ZoneEvacuationRequest{Zone: "a", Region: "south", Evacuate: true, ExpectedVersion: 1})
 	is.Equal(r.statuses[7], 503)
 }
 
--- a/internal/state/configuration/operations.go
+++ b/internal/state/configuration/operations.go
@@ -14,7 +14,7 @@
 	OpChange consensus.Op = 1
 	// OpMerge applies a Merge.
 	OpMerge consensus.Op = 2
-	// OpOrderZone applies a ZoneOrder.
+	// OpOrderZone applies a ZoneEvacuationRequest.
 	OpOrderZone consensus.Op = 3
 )
 
--- a/internal/state/configuration/zone_order.go
+++ b/internal/state/configuration/zone_order.go
@@ -9,11 +9,11 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// ZoneOrder starts or ends the evacuation of a zone. It has no ID by which a duplicate could
+// ZoneEvacuationRequest starts or ends the evacuation of a zone. It has no ID by which a duplicate could
 // be detected. Therefore it takes effect only if the zone still has the version that the
 // registry knew when it received the request, so that a delayed duplicate doesn't revert a
 // later request.
-type ZoneOrder struct {
+type ZoneEvacuationRequest struct {
 	Zone     ids.Name `json:"cell"`
 	Region   ids.Name `json:"region"`
 	Evacuate bool     `json:"shut"`
@@ -21,12 +21,12 @@
 	ExpectedVersion ids.Revision `json:"known"`
 }
 
-// evacuationField is the field of a zone's body that a ZoneOrder sets.
+// evacuationField is the field of a zone's body that a ZoneEvacuationRequest sets.
 type evacuationField struct {
 	Evacuated bool `json:"shut"`
 }
 
-// newZoneBody is the body of a zone that is created by a ZoneOrder.
+// newZoneBody is the body of a zone that is created by a ZoneEvacuationRequest.
 type newZoneBody struct {
 	Region ids.Name `json:"region"`
 	evacuationField
@@ -40,7 +40,7 @@
 
 // OrderZone returns the document after a request. It returns d itself if the zone is already
 // in the requested state, or if the zone's version has changed (Result.VersionConflicts).
-func (d *Document) OrderZone(request ZoneOrder) (*Document, Result) {
+func (d *Document) OrderZone(request ZoneEvacuationRequest) (*Document, Result) {
 	current, exists := d.Zones[request.Zone]
 	item := ItemVersion{Kind: kindZone, Name: request.Zone, Version: current.Version}
 	res := Result{Revision: d.Revision, Items: []ItemVersion{item}}
@@ -70,7 +70,7 @@
 }
 
 // zoneBody returns the zone's body after the request. Other fields are unchanged.
-func (r ZoneOrder) zoneBody(current Item, exists bool) ([]byte, error) {
+func (r ZoneEvacuationRequest) zoneBody(current Item, exists bool) ([]byte, error) {
 	evacuation := evacuationField{Evacuated: r.Evacuate}
 	if exists {
 		changed, err := json.Marshal(evacuation)
--- a/internal/state/configuration/zone_order_test.go
+++ b/internal/state/configuration/zone_order_test.go
@@ -13,7 +13,7 @@
 // Their known versions may be stale.
 type inFlightRequests struct {
 	random   *rand.Rand
-	requests []ZoneOrder
+	requests []ZoneEvacuationRequest
 }
 
 // send adds one to three copies of a request, some of them with a stale version.
@@ -23,12 +23,12 @@
 		if r.random.IntN(3) == 0 {
 			lag = min(current, ids.Revision(r.random.IntN(2)))
 		}
-		r.requests = append(r.requests, ZoneOrder{"a", "south", evacuate, current - lag})
+		r.requests = append(r.requests, ZoneEvacuationRequest{"a", "south", evacuate, current - lag})
 	}
 }
 
 // removeRandom removes and returns a random request.
-func (r *inFlightRequests) removeRandom() ZoneOrder {
+func (r *inFlightRequests) removeRandom() ZoneEvacuationRequest {
 	i := r.random.IntN(len(r.requests))
 	request := r.requests[i]
 	r.requests = append(r.requests[:i], r.requests[i+1:]...)
@@ -46,7 +46,7 @@
 			return d
 		}
 		if len(r.requests) == 0 {
-			r.requests = append(r.requests, ZoneOrder{"a", "south", evacuate, d.ZoneVersion("a")})
+			r.requests = append(r.requests, ZoneEvacuationRequest{"a", "south", evacuate, d.ZoneVersion("a")})
 		}
 	}
 }
@@ -85,23 +85,23 @@
 func TestSetZoneEvacuation_KeepsOtherFieldsAndRejectsStaleRequests(t *testing.T) {
 	is := is.New(t)
 	d, _ := applyChange(t, emptyDocument(t), "1", `{"kind":"cell","name":"a","put":{"target":100,"region":"south","emptied":true}}`)
-	next, res := d.OrderZone(ZoneOrder{"a", "south", true, d.ZoneVersion("a")})
+	next, res := d.OrderZone(ZoneEvacuationRequest{"a", "south", true, d.ZoneVersion("a")})
 	is.True(res.Accepted())
 	is.Equal(res.Items, []ItemVersion{{"cell", "a", 2}})
 	v := next.View().Zones["a"]
 	is.True(v.Evacuated && v.Drained && v.TargetLoad == 100)
-	same, res := next.OrderZone(ZoneOrder{"a", "south", true, 0})
+	same, res := next.OrderZone(ZoneEvacuationRequest{"a", "south", true, 0})
 	is.True(res.Accepted())
 	is.True(same == next)
-	same, res = next.OrderZone(ZoneOrder{"a", "south", false, 1})
+	same, res = next.OrderZone(ZoneEvacuationRequest{"a", "south", false, 1})
 	is.Equal(res.VersionConflicts, []VersionConflict{{ItemVersion{"cell", "a", 2}, 1}})
 	is.True(same == next)
 	// A removed zone has the version of its tombstone.
 	next, res = applyChange(t, next, "2", `{"kind":"cell","name":"a","remove":true}`)
 	is.True(res.Accepted())
-	_, res = next.OrderZone(ZoneOrder{"a", "south", true, 0})
+	_, res = next.OrderZone(ZoneEvacuationRequest{"a", "south", true, 0})
 	is.Equal(len(res.VersionConflicts), 1)
-	next, res = next.OrderZone(ZoneOrder{"a", "south", true, next.ZoneVersion("a")})
+	next, res = next.OrderZone(ZoneEvacuationRequest{"a", "south", true, next.ZoneVersion("a")})
 	is.True(res.Accepted())
 	is.True(next.View().Zones["a"].Region == "south" && next.Zones["a"].Version == 4)
 }
--- a/internal/testsupport/compat/answers_test.go
+++ b/internal/testsupport/compat/answers_test.go
@@ -46,7 +46,7 @@
 		case registry.DeregisterCall:
 			answer(c.ID, map[string]any{"known": true, "gone": c.Instance})
 		case registry.ZoneOrderCall:
-			answer(c.ID, configuration.ZoneOrder{Zone: c.Zone, Region: c.Region, Evacuate: c.Evacuate})
+			answer(c.ID, configuration.ZoneEvacuationRequest{Zone: c.Zone, Region: c.Region, Evacuate: c.Evacuate})
 		case registry.ChangeCall:
 			answer(c.ID, string(c.Raw))
 		case registry.MergeCall:
--- a/internal/testsupport/compat/json_test.go
+++ b/internal/testsupport/compat/json_test.go
@@ -30,7 +30,7 @@
 	"change":                   reflect.TypeFor[configuration.Change](),
 	"result of a change":       reflect.TypeFor[configuration.Result](),
 	"merge":                    reflect.TypeFor[configuration.Merge](),
-	"order for a cell":         reflect.TypeFor[configuration.ZoneOrder](),
+	"order for a cell":         reflect.TypeFor[configuration.ZoneEvacuationRequest](),
 	"body of a service":        reflect.TypeFor[configuration.Service](),
 	"body of a route":          reflect.TypeFor[configuration.Route](),
 	"body of a cell":           reflect.TypeFor[configuration.Zone](),
