--- a/internal/controlplane/registry/evacuation_calls_test.go
+++ b/internal/controlplane/registry/evacuation_calls_test.go
@@ -42,7 +42,7 @@
 	r.run(time.Second, nil)
 	document, err := configuration.Decode(nil)
 	is.NoErr(err)
-	document, result := document.OrderZone(configuration.ZoneEvacuationRequest{Zone: "a", Region: "south", Evacuate: false})
+	document, result := document.SetZoneEvacuation(configuration.ZoneEvacuationRequest{Zone: "a", Region: "south", Evacuate: false})
 	is.True(result.Accepted())
 	r.adoptConfiguration(document.Encode(true))
 	order, sent := r.orderZone(7)
--- a/internal/state/configuration/doc.go
+++ b/internal/state/configuration/doc.go
@@ -8,7 +8,7 @@
 //
 //   - Change creates, updates or removes items under a change ID (Document.Apply);
 //   - Merge sets or removes items whose versions the caller assigns (Document.Merge);
-//   - ZoneEvacuationRequest evacuates a zone or ends its evacuation (Document.OrderZone).
+//   - ZoneEvacuationRequest evacuates a zone or ends its evacuation (Document.SetZoneEvacuation).
 //
 // Daemons read a Document through a View, in which defaults are filled in. They receive
 // either a whole Document or a delta (ChangesSince, Advance).
--- a/internal/state/configuration/operations.go
+++ b/internal/state/configuration/operations.go
@@ -25,7 +25,7 @@
 	return map[consensus.Op]consensus.ChangeFunc{
 		OpChange:    c.changeFunc(OpChange, changeOperation),
 		OpMerge:     c.changeFunc(OpMerge, decodedOperation((*Document).Merge)),
-		OpOrderZone: c.changeFunc(OpOrderZone, decodedOperation((*Document).OrderZone)),
+		OpOrderZone: c.changeFunc(OpOrderZone, decodedOperation((*Document).SetZoneEvacuation)),
 	}
 }
 
--- a/internal/state/configuration/zone_order.go
+++ b/internal/state/configuration/zone_order.go
@@ -38,9 +38,9 @@
 	return version
 }
 
-// OrderZone returns the document after a request. It returns d itself if the zone is already
+// SetZoneEvacuation returns the document after a request. It returns d itself if the zone is already
 // in the requested state, or if the zone's version has changed (Result.VersionConflicts).
-func (d *Document) OrderZone(request ZoneEvacuationRequest) (*Document, Result) {
+func (d *Document) SetZoneEvacuation(request ZoneEvacuationRequest) (*Document, Result) {
 	current, exists := d.Zones[request.Zone]
 	item := ItemVersion{Kind: kindZone, Name: request.Zone, Version: current.Version}
 	res := Result{Revision: d.Revision, Items: []ItemVersion{item}}
--- a/internal/state/configuration/zone_order_test.go
+++ b/internal/state/configuration/zone_order_test.go
@@ -40,7 +40,7 @@
 func (r *inFlightRequests) deliverUntilAcknowledged(d *Document, evacuate bool) *Document {
 	for {
 		request := r.removeRandom()
-		next, res := d.OrderZone(request)
+		next, res := d.SetZoneEvacuation(request)
 		d = next
 		if res.Accepted() && request.Evacuate == evacuate && isZoneAEvacuated(d) == evacuate {
 			return d
@@ -63,7 +63,7 @@
 			inFlight.send(evacuate, d.ZoneVersion("a"))
 			d = inFlight.deliverUntilAcknowledged(d, evacuate)
 			for len(inFlight.requests) > 0 && inFlight.random.IntN(3) > 0 {
-				next, res := d.OrderZone(inFlight.removeRandom())
+				next, res := d.SetZoneEvacuation(inFlight.removeRandom())
 				if len(res.VersionConflicts) > 0 {
 					staleRequests++
 				}
@@ -85,23 +85,23 @@
 func TestSetZoneEvacuation_KeepsOtherFieldsAndRejectsStaleRequests(t *testing.T) {
 	is := is.New(t)
 	d, _ := applyChange(t, emptyDocument(t), "1", `{"kind":"cell","name":"a","put":{"target":100,"region":"south","emptied":true}}`)
-	next, res := d.OrderZone(ZoneEvacuationRequest{"a", "south", true, d.ZoneVersion("a")})
+	next, res := d.SetZoneEvacuation(ZoneEvacuationRequest{"a", "south", true, d.ZoneVersion("a")})
 	is.True(res.Accepted())
 	is.Equal(res.Items, []ItemVersion{{"cell", "a", 2}})
 	v := next.View().Zones["a"]
 	is.True(v.Evacuated && v.Drained && v.TargetLoad == 100)
-	same, res := next.OrderZone(ZoneEvacuationRequest{"a", "south", true, 0})
+	same, res := next.SetZoneEvacuation(ZoneEvacuationRequest{"a", "south", true, 0})
 	is.True(res.Accepted())
 	is.True(same == next)
-	same, res = next.OrderZone(ZoneEvacuationRequest{"a", "south", false, 1})
+	same, res = next.SetZoneEvacuation(ZoneEvacuationRequest{"a", "south", false, 1})
 	is.Equal(res.VersionConflicts, []VersionConflict{{ItemVersion{"cell", "a", 2}, 1}})
 	is.True(same == next)
 	// A removed zone has the version of its tombstone.
 	next, res = applyChange(t, next, "2", `{"kind":"cell","name":"a","remove":true}`)
 	is.True(res.Accepted())
-	_, res = next.OrderZone(ZoneEvacuationRequest{"a", "south", true, 0})
+	_, res = next.SetZoneEvacuation(ZoneEvacuationRequest{"a", "south", true, 0})
 	is.Equal(len(res.VersionConflicts), 1)
-	next, res = next.OrderZone(ZoneEvacuationRequest{"a", "south", true, next.ZoneVersion("a")})
+	next, res = next.SetZoneEvacuation(ZoneEvacuationRequest{"a", "south", true, next.ZoneVersion("a")})
 	is.True(res.Accepted())
 	is.True(next.View().Zones["a"].Region == "south" && next.Zones["a"].Version == 4)
 }
