--- a/internal/controlplane/registry/evacuation_calls.go
+++ b/internal/controlplane/registry/evacuation_calls.go
@@ -35,7 +35,7 @@
 		r.replyError(call.ID, http.StatusBadRequest, err.Error())
 		return
 	}
-	r.submitChange(now, call.ID, configuration.OpOrderZone, encoded, func(now ids.Time, result configuration.Result) {
+	r.submitChange(now, call.ID, configuration.OpSetZoneEvacuation, encoded, func(now ids.Time, result configuration.Result) {
 		if len(result.VersionConflicts) == 0 {
 			r.replyWithResult(call.ID)(now, result)
 			return
--- a/internal/controlplane/registry/evacuation_calls_test.go
+++ b/internal/controlplane/registry/evacuation_calls_test.go
@@ -21,7 +21,7 @@
 	for _, command := range r.Step(r.now, ZoneOrderCall{ID: id, Zone: "a", Region: "south", Evacuate: true}) {
 		switch command := command.(type) {
 		case event.Send:
-			if request, ok := command.Message.(consensus.Request); ok && request.Op == configuration.OpOrderZone {
+			if request, ok := command.Message.(consensus.Request); ok && request.Op == configuration.OpSetZoneEvacuation {
 				sent = json.Unmarshal(request.Arg, &order) == nil
 				reply := emptyReply(request)
 				reply.Result = []byte(overtakenResult)
--- a/internal/state/configuration/operations.go
+++ b/internal/state/configuration/operations.go
@@ -14,8 +14,8 @@
 	OpChange consensus.Op = 1
 	// OpMerge applies a Merge.
 	OpMerge consensus.Op = 2
-	// OpOrderZone applies a ZoneEvacuationRequest.
-	OpOrderZone consensus.Op = 3
+	// OpSetZoneEvacuation applies a ZoneEvacuationRequest.
+	OpSetZoneEvacuation consensus.Op = 3
 )
 
 // Ops returns the change functions of the configuration's register. They share an
@@ -23,9 +23,9 @@
 func Ops() map[consensus.Op]consensus.ChangeFunc {
 	c := &documentCache{}
 	return map[consensus.Op]consensus.ChangeFunc{
-		OpChange:    c.changeFunc(OpChange, changeOperation),
-		OpMerge:     c.changeFunc(OpMerge, decodedOperation((*Document).Merge)),
-		OpOrderZone: c.changeFunc(OpOrderZone, decodedOperation((*Document).SetZoneEvacuation)),
+		OpChange:            c.changeFunc(OpChange, changeOperation),
+		OpMerge:             c.changeFunc(OpMerge, decodedOperation((*Document).Merge)),
+		OpSetZoneEvacuation: c.changeFunc(OpSetZoneEvacuation, decodedOperation((*Document).SetZoneEvacuation)),
 	}
 }
 
--- a/internal/testsupport/compat/sample_test.go
+++ b/internal/testsupport/compat/sample_test.go
@@ -43,7 +43,7 @@
 		change(`{"id":"removal","changes":[{"kind":"service","name":"many-7","remove":true}]}`),
 		merge(`{"items":[{"kind":"service","name":"given","version":70,"body":{"tier":3},"source":{"name":"given","note":"<&>"}},{"kind":"service","name":"gone","version":9,"removed":true}]}`),
 		merge(`{"items":[{"kind":"service","name":"given","version":71,"body":{"tier":4},"source":{"name":"given"}}]}`),
-		{configuration.Key, configuration.OpOrderZone, []byte(`{"cell":"north","region":"isle","shut":true,"known":1}`)},
+		{configuration.Key, configuration.OpSetZoneEvacuation, []byte(`{"cell":"north","region":"isle","shut":true,"known":1}`)},
 		change(`{"id":"limits","changes":[{"kind":"limits","name":"limits","put":{"max_body":100000}}]}`),
 	}
 }
