--- a/internal/state/configuration/change.go
+++ b/internal/state/configuration/change.go
@@ -135,7 +135,7 @@
 		Body:            pretty.Ugly(body),
 		ChangedAt:       d.Revision,
 		Merged:          current.isMerged(),
-		ChangeHash:      hash,
+		ChangeIDHash:    hash,
 		PreviousVersion: previous,
 		EverMerged:      everMerged,
 	}
--- a/internal/state/configuration/deduplication.go
+++ b/internal/state/configuration/deduplication.go
@@ -35,7 +35,7 @@
 	return ids.Revision(base), err == nil
 }
 
-// hashChangeID returns the hash of a change ID, as stored in Item.ChangeHash.
+// hashChangeID returns the hash of a change ID, as stored in Item.ChangeIDHash.
 func hashChangeID(id ids.ChangeID) string {
 	key := hashHistoryKey(string(id))
 	return base64.RawStdEncoding.EncodeToString(key[:])
@@ -82,7 +82,7 @@
 func (d *Document) revisionOfItemChangedBy(c Change) (ids.Revision, bool) {
 	hash := hashChangeID(c.ID)
 	for _, change := range c.Items {
-		if item, ok := d.Items(change.Kind)[change.Name]; ok && item.ChangeHash == hash {
+		if item, ok := d.Items(change.Kind)[change.Name]; ok && item.ChangeIDHash == hash {
 			return item.ChangedAt, true
 		}
 		if t, ok := d.Tombstones[itemKey(change.Kind, change.Name)]; ok && t.ChangeHash == hash {
@@ -128,7 +128,7 @@
 	case exists && item.Version == *change.Version:
 		// An accepted change would have replaced this version, and versions are never reused.
 		return true
-	case exists && item.ChangeHash != "" && item.PreviousVersion == *change.Version:
+	case exists && item.ChangeIDHash != "" && item.PreviousVersion == *change.Version:
 		// This version was replaced by a different change.
 		return true
 	case removed && tombstone.ChangeHash != "" && tombstone.PreviousVersion == *change.Version:
--- a/internal/state/configuration/deduplication_test.go
+++ b/internal/state/configuration/deduplication_test.go
@@ -114,7 +114,7 @@
 	d = applyOtherChanges(t, d, maxRecentResults)
 	d.History = nil
 	for name, item := range d.Services {
-		item.ChangeHash, item.PreviousVersion, item.EverMerged = "", 0, false
+		item.ChangeIDHash, item.PreviousVersion, item.EverMerged = "", 0, false
 		d.Services[name] = item
 	}
 	d = reencoded(t, d)
--- a/internal/state/configuration/document.go
+++ b/internal/state/configuration/document.go
@@ -36,9 +36,9 @@
 	Merged bool `json:"merged,omitempty"`
 	// ChangedAt is the revision of the document that last changed the item.
 	ChangedAt ids.Revision `json:"at,omitempty"`
-	// ChangeHash identifies the Change that wrote this version (see hashChangeID), and
+	// ChangeIDHash identifies the Change that wrote this version (see hashChangeID), and
 	// PreviousVersion is the version that it replaced. Both are empty after a Merge.
-	ChangeHash      string       `json:"by,omitempty"`
+	ChangeIDHash    string       `json:"by,omitempty"`
 	PreviousVersion ids.Revision `json:"prev,omitempty"`
 	// EverMerged reports whether a Merge wrote any version of the item, so that its
 	// versions may be ahead of revisions.
@@ -54,7 +54,7 @@
 	Version ids.Revision `json:"version"`
 	// ChangedAt is the revision of the document that removed the item.
 	ChangedAt ids.Revision `json:"at"`
-	// ChangeHash, PreviousVersion and EverMerged have the same meaning as in Item, for the
+	// ChangeIDHash, PreviousVersion and EverMerged have the same meaning as in Item, for the
 	// change that removed the item.
 	ChangeHash      string       `json:"by,omitempty"`
 	PreviousVersion ids.Revision `json:"prev,omitempty"`
--- a/internal/state/configuration/encode.go
+++ b/internal/state/configuration/encode.go
@@ -61,8 +61,8 @@
 	}
 	out = appendTrue(out, "merged", i.Merged)
 	out = appendNumber(out, "at", i.ChangedAt)
-	if i.ChangeHash != "" {
-		hash, _ := json.Marshal(i.ChangeHash)
+	if i.ChangeIDHash != "" {
+		hash, _ := json.Marshal(i.ChangeIDHash)
 		out = append(append(out, `,"by":`...), hash...)
 	}
 	out = appendNumber(out, "prev", i.PreviousVersion)
--- a/internal/state/configuration/encode_test.go
+++ b/internal/state/configuration/encode_test.go
@@ -24,9 +24,9 @@
 		for i, body := range bodies {
 			name := ids.Name(fmt.Sprintf("é<%d>%d", i, round))
 			d.Routes[name] = Item{Version: 3, Body: json.RawMessage(body), ChangedAt: ids.Revision(i)}
-			d.Services[name] = Item{Version: 1 << 60, ChangeHash: "b<", PreviousVersion: 3, EverMerged: true, Body: json.RawMessage(`{}`), Source: json.RawMessage(body), Merged: i%2 == 0}
+			d.Services[name] = Item{Version: 1 << 60, ChangeIDHash: "b<", PreviousVersion: 3, EverMerged: true, Body: json.RawMessage(`{}`), Source: json.RawMessage(body), Merged: i%2 == 0}
 			if round > 1 {
-				d.Limits[name] = Item{Body: json.RawMessage(body), ChangeHash: "id<", PreviousVersion: 2, EverMerged: true}
+				d.Limits[name] = Item{Body: json.RawMessage(body), ChangeIDHash: "id<", PreviousVersion: 2, EverMerged: true}
 			}
 		}
 		d.addTombstone("route/x", Tombstone{Version: 7, ChangeHash: "x", PreviousVersion: 6, EverMerged: true})
