--- a/internal/state/configuration/change.go
+++ b/internal/state/configuration/change.go
@@ -99,7 +99,7 @@
 	delete(items, change.Name)
 	d.addTombstone(itemKey(change.Kind, change.Name), Tombstone{
 		Version:         current.Version + 1,
-		ChangeHash:      hash,
+		ChangeIDHash:    hash,
 		PreviousVersion: current.Version,
 		EverMerged:      everMerged,
 	})
--- a/internal/state/configuration/deduplication.go
+++ b/internal/state/configuration/deduplication.go
@@ -85,7 +85,7 @@
 		if item, ok := d.Items(change.Kind)[change.Name]; ok && item.ChangeIDHash == hash {
 			return item.ChangedAt, true
 		}
-		if t, ok := d.Tombstones[itemKey(change.Kind, change.Name)]; ok && t.ChangeHash == hash {
+		if t, ok := d.Tombstones[itemKey(change.Kind, change.Name)]; ok && t.ChangeIDHash == hash {
 			return t.ChangedAt, true
 		}
 	}
@@ -131,7 +131,7 @@
 	case exists && item.ChangeIDHash != "" && item.PreviousVersion == *change.Version:
 		// This version was replaced by a different change.
 		return true
-	case removed && tombstone.ChangeHash != "" && tombstone.PreviousVersion == *change.Version:
+	case removed && tombstone.ChangeIDHash != "" && tombstone.PreviousVersion == *change.Version:
 		return true
 	}
 	// A version that no Merge assigned equals the revision that wrote it, so the change
--- a/internal/state/configuration/document.go
+++ b/internal/state/configuration/document.go
@@ -56,7 +56,7 @@
 	ChangedAt ids.Revision `json:"at"`
 	// ChangeIDHash, PreviousVersion and EverMerged have the same meaning as in Item, for the
 	// change that removed the item.
-	ChangeHash      string       `json:"by,omitempty"`
+	ChangeIDHash    string       `json:"by,omitempty"`
 	PreviousVersion ids.Revision `json:"prev,omitempty"`
 	EverMerged      bool         `json:"given,omitempty"`
 }
--- a/internal/state/configuration/encode_test.go
+++ b/internal/state/configuration/encode_test.go
@@ -29,7 +29,7 @@
 				d.Limits[name] = Item{Body: json.RawMessage(body), ChangeIDHash: "id<", PreviousVersion: 2, EverMerged: true}
 			}
 		}
-		d.addTombstone("route/x", Tombstone{Version: 7, ChangeHash: "x", PreviousVersion: 6, EverMerged: true})
+		d.addTombstone("route/x", Tombstone{Version: 7, ChangeIDHash: "x", PreviousVersion: 6, EverMerged: true})
 		d.RecentResults = appendBounded(d.RecentResults, Result{ID: "a", Revision: 2}, 5)
 		d.History = &History{ForgottenRevision: ids.Revision(round)}
 	}
