--- a/internal/state/configuration/deduplication.go
+++ b/internal/state/configuration/deduplication.go
@@ -96,7 +96,7 @@
 // accepted before: if it had been, its outcome would still be recorded, or its items would
 // differ. False means only that an earlier acceptance can't be excluded.
 func (d *Document) isProvablyNew(c Change) bool {
-	evictedRevision := d.history().ForgottenRevision
+	evictedRevision := d.history().EvictedRevision
 	if evictedRevision == 0 {
 		return true
 	}
--- a/internal/state/configuration/deduplication_test.go
+++ b/internal/state/configuration/deduplication_test.go
@@ -40,7 +40,7 @@
 	d, _ = applyChange(t, d, "x", `{"kind":"service","name":"gone","put":{}}`)
 	d, _ = applyChange(t, d, "removal", `{"kind":"service","name":"gone","remove":true}`)
 	d = reencoded(t, applyOtherChanges(t, d, maxChangeEntries+evictionBatch))
-	is.True(d.history().ForgottenRevision > 3)
+	is.True(d.history().EvictedRevision > 3)
 	_, res := applyChange(t, d, "order", `{"kind":"service","name":"ledger","version":0,"put":{}}`)
 	is.True(res.Accepted())
 	is.Equal(res.Revision, made.Revision)
@@ -192,7 +192,7 @@
 				d = reencoded(t, d)
 			}
 		}
-		if unknown == 0 || d.history().ForgottenRevision == 0 {
+		if unknown == 0 || d.history().EvictedRevision == 0 {
 			t.Fatal("no resent change was older than the history")
 		}
 	}
--- a/internal/state/configuration/encode_test.go
+++ b/internal/state/configuration/encode_test.go
@@ -31,7 +31,7 @@
 		}
 		d.addTombstone("route/x", Tombstone{Version: 7, ChangeIDHash: "x", PreviousVersion: 6, EverMerged: true})
 		d.RecentResults = appendBounded(d.RecentResults, Result{ID: "a", Revision: 2}, 5)
-		d.History = &History{ForgottenRevision: ids.Revision(round)}
+		d.History = &History{EvictedRevision: ids.Revision(round)}
 	}
 	d.BaseRevision, d.Zones = 4, nil
 	plain, _ := json.Marshal(d)
--- a/internal/state/configuration/history.go
+++ b/internal/state/configuration/history.go
@@ -17,9 +17,9 @@
 	// Changes has an entry for each change ID with an outcome: the hash of the change's
 	// content, and the revision that it created or at which it was rejected.
 	Changes historyEntries `json:"changes,omitempty"`
-	// ForgottenRevision is the highest revision of the entries evicted from Changes. All
+	// EvictedRevision is the highest revision of the entries evicted from Changes. All
 	// changes accepted after it are still recorded.
-	ForgottenRevision ids.Revision `json:"forgotten,omitempty"`
+	EvictedRevision ids.Revision `json:"forgotten,omitempty"`
 	// Versions has an entry for each version of a merged item that was replaced.
 	Versions historyEntries `json:"versions,omitempty"`
 }
@@ -125,7 +125,7 @@
 		limit   int
 	}{{d.RecentResults, maxRecentResults}, {d.RejectedResults, maxRejectedResults}} {
 		if len(retained.results) >= retained.limit {
-			h.ForgottenRevision = max(h.ForgottenRevision, retained.results[0].Revision)
+			h.EvictedRevision = max(h.EvictedRevision, retained.results[0].Revision)
 		}
 	}
 	return h
@@ -142,7 +142,7 @@
 	}
 	var dropped ids.Revision
 	h.Changes, dropped = h.Changes.add(entry, maxChangeEntries)
-	h.ForgottenRevision = max(h.ForgottenRevision, dropped)
+	h.EvictedRevision = max(h.EvictedRevision, dropped)
 	d.History = &h
 }
 
