--- a/internal/state/configuration/view.go
+++ b/internal/state/configuration/view.go
@@ -34,9 +34,9 @@
 	// SlowStartRate is the maximum number of requests per second that all proxies together
 	// send to a target in slow start; 0 if only its concurrency is limited.
 	SlowStartRate float64 `json:"warm_rate"`
-	// Connections is the maximum number of connections to a target from all of its clients
+	// MaxConnections is the maximum number of connections to a target from all of its clients
 	// together; 0 for no limit.
-	Connections int `json:"circuits"`
+	MaxConnections int `json:"circuits"`
 }
 
 // Default settings of a service.
