--- a/internal/state/configuration/zone_order.go
+++ b/internal/state/configuration/zone_order.go
@@ -9,10 +9,10 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// ZoneEvacuationRequest starts or ends the evacuation of a zone. It has no ID by which a duplicate could
-// be detected. Therefore it takes effect only if the zone still has the version that the
-// registry knew when it received the request, so that a delayed duplicate doesn't revert a
-// later request.
+// ZoneEvacuationRequest starts or ends the evacuation of a zone. It has no ID by which a
+// duplicate could be detected. Therefore it takes effect only if the zone still has the
+// version that the registry knew when it received the request, so that a delayed duplicate
+// doesn't revert a later request.
 type ZoneEvacuationRequest struct {
 	Zone     ids.Name `json:"cell"`
 	Region   ids.Name `json:"region"`
@@ -38,8 +38,9 @@
 	return version
 }
 
-// SetZoneEvacuation returns the document after a request. It returns d itself if the zone is already
-// in the requested state, or if the zone's version has changed (Result.VersionConflicts).
+// SetZoneEvacuation returns the document after a request. It returns d itself if the zone is
+// already in the requested state, or if the zone's version has changed
+// (Result.VersionConflicts).
 func (d *Document) SetZoneEvacuation(request ZoneEvacuationRequest) (*Document, Result) {
 	current, exists := d.Zones[request.Zone]
 	item := ItemVersion{Kind: kindZone, Name: request.Zone, Version: current.Version}
--- a/internal/state/configuration/zone_order_test.go
+++ b/internal/state/configuration/zone_order_test.go
@@ -10,7 +10,7 @@
 )
 
 // inFlightRequests holds requests and duplicates of them that haven't been delivered yet.
-// Their known versions may be stale.
+// Their expected versions may be stale.
 type inFlightRequests struct {
 	random   *rand.Rand
 	requests []ZoneEvacuationRequest
