--- a/internal/controlplane/registry/evacuation_calls.go
+++ b/internal/controlplane/registry/evacuation_calls.go
@@ -24,18 +24,18 @@
 		r.replySuperseded(call.ID)
 		return
 	}
-	order := configuration.ZoneOrder{
-		Zone:         call.Zone,
-		Region:       call.Region,
-		Evacuate:     call.Evacuate,
-		KnownVersion: r.configuration.document.ZoneVersion(call.Zone),
+	order := configuration.ZoneEvacuationRequest{
+		Zone:            call.Zone,
+		Region:          call.Region,
+		Evacuate:        call.Evacuate,
+		ExpectedVersion: r.configuration.document.ZoneVersion(call.Zone),
 	}
 	encoded, err := json.Marshal(order)
 	if err != nil {
 		r.replyError(call.ID, http.StatusBadRequest, err.Error())
 		return
 	}
-	r.submitChange(now, call.ID, configuration.OpOrderZone, encoded, func(now ids.Time, result configuration.Result) {
+	r.submitChange(now, call.ID, configuration.OpSetZoneEvacuation, encoded, func(now ids.Time, result configuration.Result) {
 		if len(result.VersionConflicts) == 0 {
 			r.replyWithResult(call.ID)(now, result)
 			return
--- a/internal/controlplane/registry/evacuation_calls_test.go
+++ b/internal/controlplane/registry/evacuation_calls_test.go
@@ -17,11 +17,11 @@
 
 // orderZone passes a zone order to the registry and returns the order that it sent to the
 // stores, if any. The stores answer with supersededResult.
-func (r *testRegistry) orderZone(id uint64) (order configuration.ZoneOrder, sent bool) {
+func (r *testRegistry) orderZone(id uint64) (order configuration.ZoneEvacuationRequest, sent bool) {
 	for _, command := range r.Step(r.now, ZoneOrderCall{ID: id, Zone: "a", Region: "south", Evacuate: true}) {
 		switch command := command.(type) {
 		case event.Send:
-			if request, ok := command.Message.(consensus.Request); ok && request.Op == configuration.OpOrderZone {
+			if request, ok := command.Message.(consensus.Request); ok && request.Op == configuration.OpSetZoneEvacuation {
 				sent = json.Unmarshal(request.Arg, &order) == nil
 				reply := emptyReply(request)
 				reply.Result = []byte(supersededResult)
@@ -42,12 +42,12 @@
 	r.run(time.Second, nil)
 	document, err := configuration.Decode(nil)
 	is.NoErr(err)
-	document, result := document.OrderZone(configuration.ZoneOrder{Zone: "a", Region: "south", Evacuate: false})
+	document, result := document.SetZoneEvacuation(configuration.ZoneEvacuationRequest{Zone: "a", Region: "south", Evacuate: false})
 	is.True(result.Accepted())
 	r.adoptConfiguration(document.Encode(true))
 	order, sent := r.orderZone(7)
 	is.True(sent)
-	is.Equal(order, configuration.ZoneOrder{Zone: "a", Region: "south", Evacuate: true, KnownVersion: 1})
+	is.Equal(order, configuration.ZoneEvacuationRequest{Zone: "a", Region: "south", Evacuate: true, ExpectedVersion: 1})
 	is.Equal(r.statuses[7], 503)
 }
 
