--- a/internal/testsupport/compat/answers_test.go
+++ b/internal/testsupport/compat/answers_test.go
@@ -141,7 +141,7 @@
 // interface answers as it did.
 func TestPlatform(t *testing.T) {
 	is := is.New(t)
-	s, err := platform.Parse([]byte(platformSettings))
+	s, err := platform.ParseSettings([]byte(platformSettings))
 	is.NoErr(err)
 	p, err := s.Proxy()
 	is.NoErr(err)
