--- a/internal/controlplane/directory/snapshot.go
+++ b/internal/controlplane/directory/snapshot.go
@@ -46,53 +46,53 @@
 // Resolve draws the destination of a fresh connection from a zone to a route. It returns
 // false if no zone takes requests.
 func (s Snapshot) Resolve(zone, route ids.Name, random *rand.Rand) (Destination, bool) {
-	open := s.openZones()
-	if _, ok := open[zone]; ok {
-		to, moved := s.drawMove(open, zone, route, random)
+	available := s.availableZones()
+	if _, ok := available[zone]; ok {
+		to, moved := s.pickMove(available, zone, route, random)
 		if !moved {
 			to = zone
 		}
-		return newDestination(open, to, moved, random), true
+		return newDestination(available, to, moved, random), true
 	}
-	to, ok := s.pickFailover(open, zone, random)
+	to, ok := s.pickFailover(available, zone, random)
 	if !ok {
 		return Destination{}, false
 	}
-	return newDestination(open, to, false, random), true
+	return newDestination(available, to, false, random), true
 }
 
-// drawMove draws whether the spill plan moves a connection, and where to. A move to a zone
+// pickMove draws whether the spill plan moves a connection, and where to. A move to a zone
 // that takes no requests is void at once, without waiting for the next plan.
-func (s Snapshot) drawMove(open proxiesByZone, zone, route ids.Name, random *rand.Rand) (to ids.Name, moved bool) {
+func (s Snapshot) pickMove(available proxiesByZone, zone, route ids.Name, random *rand.Rand) (to ids.Name, moved bool) {
 	draw := random.Float64()
 	for _, move := range s.Moves {
 		if move.From != zone || move.Route != route {
 			continue
 		}
 		if draw -= move.Fraction; draw < 0 {
-			_, isOpen := open[move.To]
-			return move.To, isOpen
+			_, isAvailable := available[move.To]
+			return move.To, isAvailable
 		}
 	}
 	return "", false
 }
 
-// openZones returns the proxies of all zones that take requests.
-func (s Snapshot) openZones() proxiesByZone {
-	open := proxiesByZone{}
+// availableZones returns the proxies of all zones that take requests.
+func (s Snapshot) availableZones() proxiesByZone {
+	available := proxiesByZone{}
 	for _, proxy := range s.Proxies {
 		if !s.Drained[proxy.Zone] {
-			open[proxy.Zone] = append(open[proxy.Zone], proxy)
+			available[proxy.Zone] = append(available[proxy.Zone], proxy)
 		}
 	}
-	return open
+	return available
 }
 
 // pickFailover draws another zone for a client whose own takes no requests. The zone's
 // demand fills the others up to their room, the nearest first, and each is drawn in
 // proportion to what it gets of it. It returns false if there is no zone.
-func (s Snapshot) pickFailover(open proxiesByZone, from ids.Name, random *rand.Rand) (ids.Name, bool) {
-	candidates := s.failoverCandidates(open, from)
+func (s Snapshot) pickFailover(available proxiesByZone, from ids.Name, random *rand.Rand) (ids.Name, bool) {
+	candidates := s.failoverCandidates(available, from)
 	if len(candidates) == 0 {
 		return "", false
 	}
@@ -119,8 +119,8 @@
 
 // failoverCandidates returns the open zones, the nearest first. Those that move connections
 // of their own away have no room for others', and are left out while there are any else.
-func (s Snapshot) failoverCandidates(open proxiesByZone, from ids.Name) []ids.Name {
-	zones := slices.Collect(maps.Keys(open))
+func (s Snapshot) failoverCandidates(available proxiesByZone, from ids.Name) []ids.Name {
+	zones := slices.Collect(maps.Keys(available))
 	spill.SortByDistance(zones, from, s.Distance)
 	if receiving := slices.DeleteFunc(slices.Clone(zones), s.hasOutgoingMoves); len(receiving) > 0 {
 		return receiving
@@ -134,9 +134,9 @@
 }
 
 // newDestination returns a zone with some of its proxies, drawn at random.
-func newDestination(open proxiesByZone, zone ids.Name, moved bool, random *rand.Rand) Destination {
+func newDestination(available proxiesByZone, zone ids.Name, moved bool, random *rand.Rand) Destination {
 	destination := Destination{Zone: zone, Moved: moved}
-	proxies := slices.Clone(open[zone])
+	proxies := slices.Clone(available[zone])
 	random.Shuffle(len(proxies), func(i, j int) { proxies[i], proxies[j] = proxies[j], proxies[i] })
 	for _, proxy := range proxies[:min(maxProxies, len(proxies))] {
 		destination.Proxies = append(destination.Proxies, proxy.ClientAddress())
--- a/internal/controlplane/directory/snapshot_test.go
+++ b/internal/controlplane/directory/snapshot_test.go
@@ -43,21 +43,21 @@
 	return fractions
 }
 
-// approximately tells whether two fractions are equal but for the chance of sampling.
-func approximately(x, y float64) bool { return math.Abs(x-y) < 0.02 }
+// approxEqual tells whether two fractions are equal but for the chance of sampling.
+func approxEqual(x, y float64) bool { return math.Abs(x-y) < 0.02 }
 
 func TestSnapshot_ResolvesByMoveFraction(t *testing.T) {
 	is := is.New(t)
 	s := newSnapshot()
 	s.Moves = []spill.Move{{From: "a", To: "b", Route: "r", Fraction: 0.2}, {From: "a", To: "c", Route: "r", Fraction: 0.1}}
 	got := sampleZones(s, "a", "r")
-	is.True(approximately(got["a"], 0.7) && approximately(got["b"], 0.2) && approximately(got["c"], 0.1))
-	is.True(approximately(sampleZones(s, "a", "other")["a"], 1)) // another route stays
-	is.True(approximately(sampleZones(s, "b", "r")["b"], 1))     // and so does another zone
+	is.True(approxEqual(got["a"], 0.7) && approxEqual(got["b"], 0.2) && approxEqual(got["c"], 0.1))
+	is.True(approxEqual(sampleZones(s, "a", "other")["a"], 1)) // another route stays
+	is.True(approxEqual(sampleZones(s, "b", "r")["b"], 1))     // and so does another zone
 	// A destination that is drained is left out at once, before the next plan.
 	s.Drained["b"] = true
 	got = sampleZones(s, "a", "r")
-	is.True(approximately(got["a"], 0.9) && got["b"] == 0)
+	is.True(approxEqual(got["a"], 0.9) && got["b"] == 0)
 }
 
 // A lost zone's lookups fill its neighbours by their room, the nearest first.
@@ -66,9 +66,9 @@
 	s := newSnapshot()
 	s.Proxies = s.Proxies[2:]
 	got := sampleZones(s, "a", "r")
-	is.True(approximately(got["b"], 0.6) && approximately(got["c"], 0.4)) // 60 of 100, then the rest
+	is.True(approxEqual(got["b"], 0.6) && approxEqual(got["c"], 0.4)) // 60 of 100, then the rest
 	s.CapacityLeft = func(ids.Name) float64 { return 0 }
-	is.True(approximately(sampleZones(s, "a", "r")["b"], 1)) // nothing known: the nearest
+	is.True(approxEqual(sampleZones(s, "a", "r")["b"], 1)) // nothing known: the nearest
 	s.Proxies = nil
 	is.Equal(len(sampleZones(s, "a", "r")), 0)
 }
--- a/internal/controlplane/spill/excess.go
+++ b/internal/controlplane/spill/excess.go
@@ -7,15 +7,15 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// computeRoom opens the account of room: what each zone may receive up to its acceptable
+// computeFreeCapacity opens the account of room: what each zone may receive up to its acceptable
 // level. Zones that moved connections of their own away have none.
-func (p *planner) computeRoom() {
+func (p *planner) computeFreeCapacity() {
 	for name, zone := range p.zones {
 		if !zone.isPlannable() || slices.ContainsFunc(p.moves, func(m Move) bool { return m.From == name }) {
 			continue
 		}
-		if free := zone.Acceptable - p.expectedUse(zone); free > 0 {
-			p.room[name] = free
+		if free := zone.Acceptable - p.expectedCPU(zone); free > 0 {
+			p.freeCapacity[name] = free
 		}
 	}
 }
@@ -24,26 +24,26 @@
 // little room, the zones share it in proportion to their excess.
 func (p *planner) moveExcessAway() {
 	excess, totalExcess := p.excessByZone()
-	totalRoom := 0.0
-	for _, zone := range slices.Sorted(maps.Keys(p.room)) {
-		totalRoom += p.room[zone]
+	totalFreeCapacity := 0.0
+	for _, zone := range slices.Sorted(maps.Keys(p.freeCapacity)) {
+		totalFreeCapacity += p.freeCapacity[zone]
 	}
-	if totalExcess == 0 || totalRoom == 0 {
+	if totalExcess == 0 || totalFreeCapacity == 0 {
 		return
 	}
-	scale := min(1, totalRoom/totalExcess)
-	var leaving []outgoingUsage
+	scale := min(1, totalFreeCapacity/totalExcess)
+	var selected []outgoingUsage
 	for _, zone := range slices.Sorted(maps.Keys(excess)) {
 		for _, usage := range selectOutgoing(p.movableUsage(p.zones[zone]), excess[zone]*scale) {
-			leaving = append(leaving, outgoingUsage{RouteUsage: usage, From: zone})
+			selected = append(selected, outgoingUsage{RouteUsage: usage, From: zone})
 		}
 	}
 	// Taken before any move is added, as fractions refer to the demand without them.
 	demands := map[zoneRoute]float64{}
-	for _, outgoing := range leaving {
+	for _, outgoing := range selected {
 		demands[zoneRoute{outgoing.From, outgoing.Route}] = p.demand(p.zones[outgoing.From], outgoing.Route)
 	}
-	for _, placed := range placeOutgoing(leaving, p.room, p.zonesByDistance) {
+	for _, placed := range placeOutgoing(selected, p.freeCapacity, p.zonesByDistance) {
 		demand := demands[zoneRoute{placed.From, placed.Route}]
 		if demand <= 0 {
 			continue
@@ -65,13 +65,13 @@
 	excess = map[ids.Name]float64{}
 	for i := range p.Zones {
 		zone := &p.Zones[i]
-		used := p.expectedUse(zone)
+		used := p.expectedCPU(zone)
 		if !zone.isPlannable() || used <= zone.Maximum {
 			continue
 		}
 		excess[zone.Name] = excessCPU(used, used, zone.Target)
 		total += excess[zone.Name]
-		delete(p.room, zone.Name)
+		delete(p.freeCapacity, zone.Name)
 	}
 	return excess, total
 }
@@ -95,7 +95,7 @@
 		usage.CPU = max(usage.CPU+p.returning[zoneRoute{zone.Name, usage.Route}]-received[usage.Route], 0)
 		// Of a route that is moved away as a whole no fresh connections are left; what it
 		// uses here are connections that stay until they end by themselves.
-		if p.movedFraction(zone.Name, usage.Route) > 1-minHomeShare {
+		if p.movedFraction(zone.Name, usage.Route) > 1-minLocalShare {
 			usage.CPU = 0
 		}
 		movable = append(movable, usage)
--- a/internal/controlplane/spill/planner.go
+++ b/internal/controlplane/spill/planner.go
@@ -29,8 +29,8 @@
 	PlannerInput
 	zones map[ids.Name]*Zone
 	moves []Move
-	// room is the CPU time that each zone may still receive.
-	room map[ids.Name]float64
+	// freeCapacity is the CPU time that each zone may still receive.
+	freeCapacity map[ids.Name]float64
 	// returning is the CPU time of moves that this plan ended or shrank because an end
 	// was lost. It comes home now, which reports can't show yet.
 	returning map[zoneRoute]float64
@@ -51,7 +51,7 @@
 	for i := range input.Zones {
 		p.returnExcess(&input.Zones[i])
 	}
-	p.computeRoom()
+	p.computeFreeCapacity()
 	p.prioritizeMoves()
 	p.moveExcessAway()
 	p.dropSmallMoves()
@@ -67,7 +67,7 @@
 		PlannerInput: input,
 		zones:        map[ids.Name]*Zone{},
 		moves:        slices.Clone(previous),
-		room:         map[ids.Name]float64{},
+		freeCapacity: map[ids.Name]float64{},
 		returning:    map[zoneRoute]float64{},
 	}
 	for i := range input.Zones {
@@ -81,8 +81,8 @@
 	p.moves = slices.DeleteFunc(p.moves, func(m Move) bool { return m.Fraction < minFraction })
 }
 
-// expectedUse returns the CPU time that a zone will use once earlier plans show.
-func (p *planner) expectedUse(zone *Zone) float64 {
+// expectedCPU returns the CPU time that a zone will use once earlier plans show.
+func (p *planner) expectedCPU(zone *Zone) float64 {
 	sum := zone.UsedCPU() + p.PendingIn[zone.Name] - p.PendingOut[zone.Name]
 	for _, route := range slices.Sorted(maps.Keys(p.Ranks)) {
 		sum += p.returning[zoneRoute{zone.Name, route}]
@@ -101,9 +101,9 @@
 	return sum
 }
 
-// minHomeShare is the share of a route's connections at home below which the route counts
+// minLocalShare is the share of a route's connections at home below which the route counts
 // as moved away as a whole.
-const minHomeShare = 0.05
+const minLocalShare = 0.05
 
 // demand returns the CPU time of a route's fresh connections that begin in a zone: what is
 // kept there, scaled up by the fraction that is moved away. What is kept includes
@@ -111,23 +111,23 @@
 // many, so the demand is never more than what is kept and what was moved.
 func (p *planner) demand(zone *Zone, route ids.Name) float64 {
 	returning := p.returning[zoneRoute{zone.Name, route}]
-	kept := 0.0
+	localCPU := 0.0
 	for _, usage := range zone.Usage {
 		if usage.Route == route {
-			kept += usage.CPU
+			localCPU += usage.CPU
 		}
 	}
-	limit := kept + returning
+	limit := localCPU + returning
 	for _, m := range p.moves {
 		if m.From == zone.Name && m.Route == route {
 			limit += m.PlannedCPU
 		}
 	}
-	homeShare := 1 - p.movedFraction(zone.Name, route)
-	if homeShare < minHomeShare {
+	localShare := 1 - p.movedFraction(zone.Name, route)
+	if localShare < minLocalShare {
 		return limit
 	}
-	return min((kept+returning)/homeShare, limit)
+	return min((localCPU+returning)/localShare, limit)
 }
 
 // zonesByDistance returns all other zones, the nearest first.
--- a/internal/controlplane/spill/planner_test.go
+++ b/internal/controlplane/spill/planner_test.go
@@ -30,8 +30,8 @@
 	a := Zone{Name: "a", Target: 1100, Acceptable: 900, Maximum: 1200, Usage: []RouteUsage{
 		newUsage("free", 0, 500), newUsage("pro", 1, 400), newUsage("business", 2, 200), newUsage("enterprise", 3, 1000),
 	}}
-	destination := func(name ids.Name, room float64) Zone {
-		return Zone{Name: name, Target: 1200, Acceptable: 1000, Maximum: 1300, Usage: []RouteUsage{newUsage("free", 0, 1000-room)}}
+	destination := func(name ids.Name, freeCapacity float64) Zone {
+		return Zone{Name: name, Target: 1200, Acceptable: 1000, Maximum: 1300, Usage: []RouteUsage{newUsage("free", 0, 1000-freeCapacity)}}
 	}
 	return []Zone{a, destination("b", 300), destination("c", 500), destination("d", 900)}
 }
@@ -79,24 +79,24 @@
 	want := map[string]float64{"business>b": 100, "pro>b": 200, "pro>c": 200, "free>c": 300, "free>d": 200}
 	is.Equal(len(got), len(want))
 	for k, v := range want {
-		is.True(approximately(got[k], v)) // k's amount as published
+		is.True(approxEqual(got[k], v)) // k's amount as published
 	}
 }
 
 // Two overloaded zones can't overfill one destination together.
 func TestPlan_HotZonesShareOneRoomAccount(t *testing.T) {
 	is := is.New(t)
-	hot := func(name ids.Name) Zone { return newZone(name, newUsage("free", 0, 700), newUsage("pro", 1, 700)) }
-	cold := newZone("c", newUsage("free", 0, 100))
+	overloaded := func(name ids.Name) Zone { return newZone(name, newUsage("free", 0, 700), newUsage("pro", 1, 700)) }
+	idle := newZone("c", newUsage("free", 0, 100))
 	sum := 0.0
-	for _, m := range Plan(newInput([]Zone{hot("a"), hot("b"), cold}), nil) {
+	for _, m := range Plan(newInput([]Zone{overloaded("a"), overloaded("b"), idle}), nil) {
 		is.Equal(m.To, ids.Name("c"))
 		is.Equal(m.Route, ids.Name("free")) // the lowest tier leaves first
 		sum += m.PlannedCPU
 	}
-	is.True(approximately(sum, 500))
+	is.True(approxEqual(sum, 500))
 	// The same again before reports can show it: nothing more fits.
-	input := newInput([]Zone{hot("a"), hot("b"), cold})
+	input := newInput([]Zone{overloaded("a"), overloaded("b"), idle})
 	input.PendingIn["c"] = 500
 	is.Equal(len(Plan(input, nil)), 0)
 }
@@ -104,10 +104,10 @@
 func TestPlan_RecoveringZoneRecallsFirst(t *testing.T) {
 	is := is.New(t)
 	recovering := newZone("a", newUsage("free", 0, 300))
-	hot := newZone("b", newUsage("free", 0, 1000))
+	overloaded := newZone("b", newUsage("free", 0, 1000))
 	far := newZone("d", newUsage("free", 0, 500))
 	previous := []Move{{From: "a", To: "d", Route: "free", Fraction: 0.6, PlannedCPU: 450}}
-	moves := Plan(newInput([]Zone{recovering, hot, far}), previous)
+	moves := Plan(newInput([]Zone{recovering, overloaded, far}), previous)
 	for _, m := range moves {
 		is.True(m.To != "a") // it still has moves out, so it receives nothing
 		if m.From == "a" {
@@ -177,7 +177,7 @@
 		amount[string(m.Route+">"+m.To)] += m.PlannedCPU
 	}
 	// b is nearer than d, and takes what it has room for.
-	is.True(approximately(amount["free>b"], 300))
+	is.True(approxEqual(amount["free>b"], 300))
 	is.True(amount["free>d"] > 0)
 	is.Equal(amount["free>c"], 0.0)
 }
--- a/internal/controlplane/spill/recall.go
+++ b/internal/controlplane/spill/recall.go
@@ -45,7 +45,7 @@
 // recallMoves lets a recovered zone shrink its own moves, the most urgent route first,
 // before it may receive anything.
 func (p *planner) recallMoves(zone *Zone) {
-	used := p.expectedUse(zone)
+	used := p.expectedCPU(zone)
 	if !zone.isPlannable() || used >= zone.Acceptable {
 		return
 	}
@@ -80,7 +80,7 @@
 // returnExcess has a destination over its maximum send back what it received, the least
 // urgent route first, before it moves anything of its own.
 func (p *planner) returnExcess(zone *Zone) {
-	used := p.expectedUse(zone)
+	used := p.expectedCPU(zone)
 	if zone.Stale || used <= zone.Maximum {
 		return
 	}
--- a/internal/controlplane/spill/swap.go
+++ b/internal/controlplane/spill/swap.go
@@ -20,8 +20,8 @@
 		routes := p.rankedRoutes(zone)
 		// The most urgent route comes first, and changes places with the least urgent.
 		for urgent := len(routes) - 1; urgent > 0; urgent-- {
-			for lesser := 0; lesser < urgent; lesser++ {
-				p.swapRoutes(zone, routes[urgent], routes[lesser])
+			for lessUrgent := 0; lessUrgent < urgent; lessUrgent++ {
+				p.swapRoutes(zone, routes[urgent], routes[lessUrgent])
 			}
 		}
 	}
@@ -46,34 +46,34 @@
 
 // swapRoutes moves the part of a lesser route that is at home to where an urgent one of the
 // same zone was moved, and brings that one home.
-func (p *planner) swapRoutes(zone *Zone, urgent, lesser ids.Name) {
-	urgentDemand, lesserDemand := p.demand(zone, urgent), p.demand(zone, lesser)
-	lesserAtHome := (1 - p.movedFraction(zone.Name, lesser)) * lesserDemand
-	if urgentDemand <= 0 || lesserAtHome <= minHomeShare*lesserDemand {
+func (p *planner) swapRoutes(zone *Zone, urgent, lessUrgent ids.Name) {
+	urgentDemand, lessUrgentDemand := p.demand(zone, urgent), p.demand(zone, lessUrgent)
+	lessUrgentLocal := (1 - p.movedFraction(zone.Name, lessUrgent)) * lessUrgentDemand
+	if urgentDemand <= 0 || lessUrgentLocal <= minLocalShare*lessUrgentDemand {
 		return
 	}
 	// Moves are added on the way; those are the lesser route's, and are passed over.
-	for i := 0; i < len(p.moves) && lesserAtHome > 0; i++ {
+	for i := 0; i < len(p.moves) && lessUrgentLocal > 0; i++ {
 		m := p.moves[i]
 		if m.From != zone.Name || m.Route != urgent || m.Fraction <= 0 {
 			continue
 		}
-		swapped := min(lesserAtHome, m.Fraction*urgentDemand)
-		lesserAtHome -= swapped
+		swapped := min(lessUrgentLocal, m.Fraction*urgentDemand)
+		lessUrgentLocal -= swapped
 		p.moves[i].Fraction -= swapped / urgentDemand
 		p.moves[i].PlannedCPU = max(0, m.PlannedCPU-swapped)
-		p.replaceMove(m, lesser, swapped, lesserDemand)
+		p.replaceMove(m, lessUrgent, swapped, lessUrgentDemand)
 	}
 }
 
 // replaceMove moves an amount of a lesser route in place of an urgent one: to zones with
 // room that are nearer than the urgent route's destination, and the rest to that.
-func (p *planner) replaceMove(urgent Move, lesser ids.Name, amount, demand float64) {
+func (p *planner) replaceMove(urgent Move, lessUrgent ids.Name, amount, demand float64) {
 	add := func(to ids.Name, part float64) {
 		p.addMove(Move{
 			From:       urgent.From,
 			To:         to,
-			Route:      lesser,
+			Route:      lessUrgent,
 			Fraction:   part / demand,
 			PlannedCPU: part,
 			Reason:     reasonInPlaceOf + string(urgent.Route),
@@ -83,8 +83,8 @@
 		if p.Distance(urgent.From, zone) >= p.Distance(urgent.From, urgent.To) {
 			break
 		}
-		if part := min(amount, p.room[zone]); part > 0 {
-			p.room[zone] -= part
+		if part := min(amount, p.freeCapacity[zone]); part > 0 {
+			p.freeCapacity[zone] -= part
 			amount -= part
 			add(zone, part)
 		}
--- a/internal/controlplane/spill/transfer.go
+++ b/internal/controlplane/spill/transfer.go
@@ -50,23 +50,23 @@
 // placeOutgoing gives all outgoing usage destinations: the most urgent first, whatever its
 // zone, to the nearest room. Room is one account for all and is used up in place, so that
 // several zones can't overfill a destination together. What finds no room stays.
-func placeOutgoing(leaving []outgoingUsage, room map[ids.Name]float64, zonesByDistance func(from ids.Name) []ids.Name) []transfer {
-	leaving = slices.Clone(leaving)
-	slices.SortStableFunc(leaving, func(a, b outgoingUsage) int {
+func placeOutgoing(usage []outgoingUsage, freeCapacity map[ids.Name]float64, zonesByDistance func(from ids.Name) []ids.Name) []transfer {
+	usage = slices.Clone(usage)
+	slices.SortStableFunc(usage, func(a, b outgoingUsage) int {
 		return cmp.Or(-compareRanks(a.Rank, b.Rank), cmp.Compare(a.From, b.From))
 	})
 	var transfers []transfer
-	for _, outgoing := range leaving {
+	for _, outgoing := range usage {
 		remaining := outgoing.CPU
 		for _, to := range zonesByDistance(outgoing.From) {
 			if remaining <= 0 {
 				break
 			}
-			part := min(remaining, room[to])
+			part := min(remaining, freeCapacity[to])
 			if to == outgoing.From || part <= 0 {
 				continue
 			}
-			room[to] -= part
+			freeCapacity[to] -= part
 			remaining -= part
 			placed := transfer{outgoingUsage: outgoing, To: to}
 			placed.CPU = part
--- a/internal/state/idempotency/transitions.go
+++ b/internal/state/idempotency/transitions.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// verdictOfHeldKey returns the verdict for a record that is claimed or completed, and
+// verdictForHeldKey returns the verdict for a record that is claimed or completed, and
 // false for an unclaimed one.
-func verdictOfHeldKey(r Record, op Operation) (Verdict, bool) {
+func verdictForHeldKey(r Record, op Operation) (Verdict, bool) {
 	switch {
 	case r.State == Unclaimed:
 		return 0, false
@@ -21,7 +21,7 @@
 }
 
 func claim(r Record, op Operation) (Record, Verdict) {
-	if verdict, held := verdictOfHeldKey(r, op); held {
+	if verdict, held := verdictForHeldKey(r, op); held {
 		return r, verdict
 	}
 	// A released claim must not be claimed again by a message that arrives late.
@@ -40,7 +40,7 @@
 	if r.isClaimedBy(op.Owner) {
 		r.dropClaim()
 	}
-	if verdict, held := verdictOfHeldKey(r, op); held {
+	if verdict, held := verdictForHeldKey(r, op); held {
 		return r, verdict
 	}
 	r.MinAttempt = max(r.MinAttempt, op.Attempt)
@@ -62,7 +62,7 @@
 // numberAttempt numbers an attempt whose client gave it no number, in the order of
 // agreement. Run again it skips a number, which does no harm.
 func numberAttempt(r Record, op Operation) (Record, Verdict) {
-	if verdict, held := verdictOfHeldKey(r, op); held {
+	if verdict, held := verdictForHeldKey(r, op); held {
 		return r, verdict
 	}
 	r.NumberedAttempts = max(r.NumberedAttempts, r.MinAttempt) + 1
--- a/internal/state/storage/database.go
+++ b/internal/state/storage/database.go
@@ -63,7 +63,7 @@
 }
 
 func openWithClock(dir string, clock func() time.Duration, check func(*Database) error) (*Database, error) {
-	lock, err := lockFolder(dir)
+	lock, err := lockDirectory(dir)
 	if err != nil {
 		return nil, err
 	}
@@ -75,9 +75,9 @@
 	return database, syncDirectory(dir)
 }
 
-// lockFolder makes the folder if need be, and locks it for this process. The lock ends
+// lockDirectory makes the folder if need be, and locks it for this process. The lock ends
 // with the process, however that ends.
-func lockFolder(dir string) (*os.File, error) {
+func lockDirectory(dir string) (*os.File, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, errs.Wrap(err, "make data folder", dir)
 	}
@@ -135,11 +135,11 @@
 // syncDirectory syncs the folder's own entries, so that a database that was just made
 // or renamed is found after a loss of power.
 func syncDirectory(dir string) error {
-	folder, err := os.Open(dir)
+	directory, err := os.Open(dir)
 	if err != nil {
 		return errs.Wrap(err, "open data folder", dir)
 	}
-	err = folder.Sync()
-	_ = folder.Close() // opened for reading only
+	err = directory.Sync()
+	_ = directory.Close() // opened for reading only
 	return errs.Wrap(err, "sync data folder", dir)
 }
--- a/internal/state/storage/database_test.go
+++ b/internal/state/storage/database_test.go
@@ -15,8 +15,8 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// closeAtEnd closes a database at the end of a test or benchmark.
-func closeAtEnd(t testing.TB, database *Database) {
+// closeOnCleanup closes a database at the end of a test or benchmark.
+func closeOnCleanup(t testing.TB, database *Database) {
 	t.Helper()
 	t.Cleanup(func() {
 		if err := database.Close(); err != nil {
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeAtEnd(t, database)
+	closeOnCleanup(t, database)
 	return database
 }
 
@@ -147,7 +147,7 @@
 	is.NoErr(database.Close())
 	database, err = OpenChecked(dir, check)
 	is.NoErr(err)
-	closeAtEnd(t, database)
+	closeOnCleanup(t, database)
 	is.True(database.StoreID != store)
 	is.Equal(database.DamageCause.Error(), "it is damaged")
 	_, ok := database.Get("item/policy")
--- a/internal/state/storage/records.go
+++ b/internal/state/storage/records.go
@@ -56,7 +56,7 @@
 	var raw []byte
 	err := d.getStatement.QueryRow(string(key)).Scan(&raw)
 	if err != nil && !errors.Is(err, sql.ErrNoRows) {
-		d.readFailed(err)
+		d.handleReadError(err)
 	}
 	return raw, err == nil
 }
@@ -66,26 +66,26 @@
 func (d *Database) Scan(after ids.RegisterKey, limit int) []event.Record {
 	rows, err := d.scanStatement.Query(string(after), limit)
 	if err != nil {
-		d.readFailed(err)
+		d.handleReadError(err)
 	}
 	defer func() { _ = rows.Close() }() // rows.Err tells of what went wrong
 	var records []event.Record
 	for rows.Next() {
 		var r event.Record
 		if err := rows.Scan(&r.Key, &r.Value); err != nil {
-			d.readFailed(err)
+			d.handleReadError(err)
 		}
 		records = append(records, r)
 	}
 	if err := rows.Err(); err != nil {
-		d.readFailed(err)
+		d.handleReadError(err)
 	}
 	return records
 }
 
-// readFailed ends the process: a disk that can't be read must not pass for an empty
+// handleReadError ends the process: a disk that can't be read must not pass for an empty
 // one, or this store would forget what it voted for.
-func (d *Database) readFailed(err error) {
+func (d *Database) handleReadError(err error) {
 	err = errs.Wrap(err, "read", "disk")
 	if d.OnReadError != nil {
 		d.OnReadError(err)
