--- a/internal/controlplane/spill/curve_fit.go
+++ b/internal/controlplane/spill/curve_fit.go
@@ -8,7 +8,7 @@
 	"gonum.org/v1/gonum/mat"
 )
 
-// Sample is one observation of a zone: its CPU time, and the latency that a proxy had then.
+// Sample is one observation of a zone: its CPU time, and a proxy's latency at that load.
 type Sample struct {
 	// CPU is in milliseconds per second.
 	CPU float64
@@ -16,36 +16,37 @@
 	LatencyMillis float64
 }
 
-// Fit is the maximum of a zone as learned from samples, or the configured one.
+// Fit is the maximum load of a zone, either learned from samples or configured.
 type Fit struct {
 	// Maximum is in milliseconds of CPU time per second.
 	Maximum float64
-	// Learned is false if the samples carry no fit and Maximum is the configured one.
+	// Learned is false if the samples allow no fit and Maximum is the configured one.
 	Learned bool
-	// Reason says why, for operators.
+	// Reason explains to operators why Maximum was or wasn't learned.
 	Reason string
-	// Samples counts the samples without outliers.
+	// Samples is the number of samples left after outliers are removed.
 	Samples int
 }
 
 const (
-	// latencyObjectiveMillis is the latency that users still find fast.
+	// latencyObjectiveMillis is the highest acceptable latency. The load at which a zone
+	// reaches it is the zone's maximum.
 	latencyObjectiveMillis = 20.0
-	// minSamples is how many samples a fit needs.
+	// minSamples is the minimum number of samples for a fit.
 	minSamples = 20
-	// minSpread is the range of CPU times that samples must cover, as a part of the target.
+	// minSpread is the minimum range of the samples' CPU times, as a fraction of the target.
 	minSpread = 0.2
-	// minRSquared is the part of the latencies' variance that a fit must explain.
+	// minRSquared is the minimum coefficient of determination of a fit.
 	minRSquared = 0.5
-	// minTargetRatio and maxConfiguredRatio bound a learned maximum: by the target from
-	// below, and by the configured maximum from above.
+	// minTargetRatio and maxConfiguredRatio bound a learned maximum: it is at least this
+	// multiple of the target, and at most this multiple of the configured maximum.
 	minTargetRatio     = 1.02
 	maxConfiguredRatio = 1.5
 )
 
-// LearnMaximum fits latency as a quadratic function of CPU time by least squares, and
-// returns the CPU time at which it rises to the objective, within bounds. If the samples
-// carry no such fit it returns the configured maximum.
+// LearnMaximum fits latency as a quadratic function of CPU time by least squares, and returns
+// the CPU time at which latency rises to the objective, clamped to its bounds. If the samples
+// allow no such fit, it returns the configured maximum.
 func LearnMaximum(samples []Sample, target, configured float64) Fit {
 	cleaned := dropOutliers(samples)
 	maximum, reason := fitMaximum(cleaned, target)
@@ -56,8 +57,8 @@
 	return Fit{Maximum: maximum, Learned: true, Reason: "learned", Samples: len(cleaned)}
 }
 
-// fitMaximum returns the CPU time at which latency rises to the objective, or the reason
-// why the samples don't show it.
+// fitMaximum returns the CPU time at which latency rises to the objective, or the reason why
+// it can't be determined from the samples.
 func fitMaximum(samples []Sample, target float64) (maximum float64, reason string) {
 	if len(samples) < minSamples {
 		return 0, "too few samples"
@@ -80,11 +81,12 @@
 	return maximum, ""
 }
 
-// minCurvature is the quadratic coefficient under which a curve counts as a line.
+// minCurvature is the magnitude of the quadratic coefficient below which the curve is treated
+// as a line.
 const minCurvature = 1e-12
 
-// solveAtObjective solves a+bx+cx² = latencyObjectiveMillis for a positive x where the
-// curve rises, and returns false if there is none.
+// solveAtObjective solves a+bx+cx² = latencyObjectiveMillis for the positive x at which the
+// curve rises. It returns false if there is none.
 func solveAtObjective(a, b, c float64) (float64, bool) {
 	a -= latencyObjectiveMillis
 	if math.Abs(c) < minCurvature {
@@ -94,15 +96,16 @@
 	if discriminant < 0 {
 		return 0, false
 	}
-	// The slope at this solution is the root of the discriminant, whatever the sign of c.
+	// At this root the slope is the square root of the discriminant, so the curve rises for
+	// either sign of c.
 	x := (-b + math.Sqrt(discriminant)) / (2 * c)
 	return x, x > 0
 }
 
-// fitQuadratic returns the coefficients of a+bx+cx² by least squares, and the part of the
-// variance that they explain.
+// fitQuadratic returns the least-squares coefficients of a+bx+cx² and the coefficient of
+// determination.
 func fitQuadratic(samples []Sample) (a, b, c, rSquared float64) {
-	// CPU is scaled to 1 at most, or its squares would swamp the fit.
+	// CPU is scaled to at most 1 to keep the design matrix well conditioned.
 	scale := 0.0
 	for _, sample := range samples {
 		scale = max(scale, sample.CPU)
@@ -119,7 +122,7 @@
 	qr.Factorize(design)
 	var coefficients mat.VecDense
 	if err := qr.SolveVecTo(&coefficients, false, latencies); err != nil {
-		// Without a solution nothing is explained.
+		// The design matrix is singular or ill-conditioned, so there is no usable fit.
 		return 0, 0, 0, 0
 	}
 	a, b, c = coefficients.AtVec(0), coefficients.AtVec(1)/scale, coefficients.AtVec(2)/scale/scale
@@ -135,16 +138,18 @@
 }
 
 const (
-	// outlierRadius is how many neighbours by CPU time on each side a sample is compared with.
+	// outlierRadius is the number of neighbours by CPU time on each side that a sample is
+	// compared with.
 	outlierRadius = 5
-	// outlierDeviations is how many median deviations from its neighbours' median latency
-	// make a sample an outlier, where a deviation counts as minDeviationMillis at least.
+	// outlierDeviations is the distance from the neighbours' median latency, in median
+	// absolute deviations, beyond which a sample is an outlier. A deviation is taken as at
+	// least minDeviationMillis.
 	outlierDeviations  = 4
 	minDeviationMillis = 0.25
 )
 
-// dropOutliers returns the samples, by CPU time, whose latency is near to that of samples
-// with about the same CPU time.
+// dropOutliers returns the samples without outliers, sorted by CPU time. An outlier's latency
+// is far from that of samples with a similar CPU time.
 func dropOutliers(samples []Sample) []Sample {
 	sorted := slices.Clone(samples)
 	slices.SortFunc(sorted, func(a, b Sample) int {
@@ -162,7 +167,8 @@
 	return kept
 }
 
-// median returns the median of a value of some samples; of an even number, the upper one.
+// median returns the median of value over the samples. For an even number of samples it is
+// the upper of the two middle values.
 func median(samples []Sample, value func(Sample) float64) float64 {
 	values := make([]float64, len(samples))
 	for i, sample := range samples {
--- a/internal/controlplane/spill/demand.go
+++ b/internal/controlplane/spill/demand.go
@@ -7,8 +7,9 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// RecordDemand notes the demand of a zone that reports: what its own fresh connections
-// use, at home and moved away. It tells how much to place elsewhere once the zone is lost.
+// RecordDemand records the demand of a zone with current reports: the CPU time of its own new
+// connections, both local and moved away. If the zone is lost, this is the load that other
+// zones have to take over.
 func (r *Reports) RecordDemand(zone Zone, moves []Move) {
 	if !zone.isPlannable() {
 		return
@@ -25,7 +26,7 @@
 	r.demand[zone.Name] = demand
 }
 
-// Demand returns the demand of a zone, as of when it last reported.
+// Demand returns the last recorded demand of a zone.
 func (r *Reports) Demand(zone ids.Name) float64 {
 	sum := 0.0
 	for _, route := range slices.Sorted(maps.Keys(r.demand[zone])) {
@@ -34,7 +35,7 @@
 	return sum
 }
 
-// RouteDemands returns the demand of each route in all zones that some moves come from.
+// RouteDemands returns the demand of each route in every zone that is the origin of a move.
 func (r *Reports) RouteDemands(moves []Move) []RouteDemand {
 	var demands []RouteDemand
 	seen := map[ids.Name]bool{}
--- a/internal/controlplane/spill/doc.go
+++ b/internal/controlplane/spill/doc.go
@@ -1,34 +1,34 @@
-// Package spill plans spill-over between zones: what fraction of the fresh connections of
-// each route an overloaded zone hands to other zones, after Cloudflare's Traffic Manager
-// (whose published examples are tests here).
+// Package spill plans spill-over between zones: the fraction of each route's new connections
+// that an overloaded zone moves to other zones. The algorithm follows Cloudflare's Traffic
+// Manager, whose published examples are among the tests.
 //
-// Proxies send a Report of their CPU time by route every few seconds. Reports keeps them,
-// builds a Zone from those of its proxies, and holds samples of load and latency from which
-// LearnMaximum fits the load that a zone can take. From all zones and the last moves, Plan
-// makes the next moves, which registries distribute as a Table and answer lookups by
-// (package directory).
+// Every few seconds, each proxy sends a Report of its CPU time by route. Reports stores them,
+// builds each Zone from the reports of its proxies, and keeps the samples of load and latency
+// from which LearnMaximum estimates a zone's maximum load. Plan computes the next moves from
+// all zones and the previous moves. Registries distribute the moves as a Table and apply them
+// when they answer lookups (package directory).
 //
-// All CPU times are in milliseconds per second: 1000 is one core in full use.
+// All CPU times are in milliseconds per second: 1000 is one fully used core.
 //
 // # Invariants
 //
-//   - One plan covers all zones and keeps one account of free capacity, so that several
-//     overloaded zones can't overfill one destination together.
-//   - Routes of the lowest rank leave first and come home last; the most urgent get the
-//     nearest room.
-//   - A zone takes others' connections only while none of its own are away, it reports,
-//     and it is below its acceptable level.
-//   - The fractions of a route that leave a zone are 1 together at most.
-//   - Equal inputs give equal moves: sums of floating-point numbers run in sorted order.
+//   - One plan covers all zones and tracks their free capacity in one place, so that several
+//     overloaded zones can't overload the same destination together.
+//   - The least urgent routes are moved first and recalled last. Among the moved routes, the
+//     most urgent get the nearest free capacity.
+//   - A zone receives connections of other zones only while none of its own are moved away,
+//     its reports are current, and it is below its acceptable level.
+//   - The fractions of a route that leave a zone add up to at most 1.
+//   - Plans are deterministic: floating-point sums are computed in sorted order.
 //
 // # What it never does
 //
-// It moves no connection that exists, decides nothing for single requests, sends nothing
-// and reads no clock. Election of the planner, distribution, and the accounting of moves
-// that reports can't show yet are package registry's.
+// It doesn't move established connections, decide about single requests, send messages or
+// read the clock. Package registry elects the planner, distributes the table, and accounts
+// for moves that reports don't show yet.
 //
 // # Tests
 //
-// The tests beside the code check the published examples and single steps of a plan; the
+// The tests in this package check the published examples and single steps of a plan; the
 // simulator's spill scenarios check whole fleets.
 package spill
--- a/internal/controlplane/spill/excess.go
+++ b/internal/controlplane/spill/excess.go
@@ -7,8 +7,8 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// computeFreeCapacity opens the account of room: what each zone may receive up to its acceptable
-// level. Zones that moved connections of their own away have none.
+// computeFreeCapacity computes the CPU time that each zone may receive up to its acceptable
+// level. Zones that move connections of their own away may receive none.
 func (p *planner) computeFreeCapacity() {
 	for name, zone := range p.zones {
 		if !zone.isPlannable() || slices.ContainsFunc(p.moves, func(m Move) bool { return m.From == name }) {
@@ -20,8 +20,8 @@
 	}
 }
 
-// moveExcessAway moves connections out of every zone over its maximum. If there is too
-// little room, the zones share it in proportion to their excess.
+// moveExcessAway moves connections out of every zone that is over its maximum. If there is not
+// enough free capacity, the zones share it in proportion to their excess.
 func (p *planner) moveExcessAway() {
 	excess, totalExcess := p.excessByZone()
 	totalFreeCapacity := 0.0
@@ -38,7 +38,8 @@
 			selected = append(selected, outgoingUsage{RouteUsage: usage, From: zone})
 		}
 	}
-	// Taken before any move is added, as fractions refer to the demand without them.
+	// Demands are computed before any move is added, since fractions are relative to the
+	// demand without the new moves.
 	demands := map[zoneRoute]float64{}
 	for _, outgoing := range selected {
 		demands[zoneRoute{outgoing.From, outgoing.Route}] = p.demand(p.zones[outgoing.From], outgoing.Route)
@@ -59,8 +60,8 @@
 	}
 }
 
-// excessByZone returns the excess of each zone over its maximum, and their total. These
-// zones lose their room.
+// excessByZone returns the CPU time that each zone over its maximum must move away to reach
+// its target, and the total. It removes the free capacity of these zones.
 func (p *planner) excessByZone() (excess map[ids.Name]float64, total float64) {
 	excess = map[ids.Name]float64{}
 	for i := range p.Zones {
@@ -76,8 +77,8 @@
 	return excess, total
 }
 
-// movableUsage returns the CPU time of each route that a zone can still move away: that
-// of its own fresh connections, without what it received from other zones.
+// movableUsage returns the CPU time of each route that a zone can still move away: the usage
+// of its own new connections, without that received from other zones.
 func (p *planner) movableUsage(zone *Zone) []RouteUsage {
 	received := map[ids.Name]float64{}
 	for _, m := range p.moves {
@@ -87,14 +88,14 @@
 	}
 	var movable []RouteUsage
 	for _, usage := range zone.Usage {
-		// A route that was removed stays in the averages for a while. If it counted as
-		// moved, what should have been moved instead would stay.
+		// A removed route stays in the averages for a while. Selecting its usage would
+		// leave too little of the excess to routes that can be moved.
 		if _, ranked := p.Ranks[usage.Route]; !ranked {
 			continue
 		}
 		usage.CPU = max(usage.CPU+p.returning[zoneRoute{zone.Name, usage.Route}]-received[usage.Route], 0)
-		// Of a route that is moved away as a whole no fresh connections are left; what it
-		// uses here are connections that stay until they end by themselves.
+		// A route that is fully moved away has no new connections here; the remaining
+		// usage is of established connections, which can't be moved.
 		if p.movedFraction(zone.Name, usage.Route) > 1-minLocalShare {
 			usage.CPU = 0
 		}
--- a/internal/controlplane/spill/planner.go
+++ b/internal/controlplane/spill/planner.go
@@ -8,20 +8,20 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// PlannerInput is all that a plan depends on, besides the last moves.
+// PlannerInput is the input of a plan, apart from the previous moves.
 type PlannerInput struct {
 	Zones    []Zone
 	Distance func(a, b ids.Name) float64
-	// Ranks has the rank of each route in force. Routes without one are not moved.
+	// Ranks has the rank of each configured route. Routes without a rank are not moved.
 	Ranks map[ids.Name]Rank
-	// PendingIn is the CPU time, by zone, that earlier plans sent there and that reports
-	// can't show yet. PendingOut is the same for what earlier plans took away. Plan adds
-	// to both what it sends back.
+	// PendingIn is the CPU time that earlier plans moved into each zone and that reports
+	// don't show yet; PendingOut is that moved out. Plan adds the CPU time that it returns
+	// from overloaded destinations to both.
 	PendingIn  map[ids.Name]float64
 	PendingOut map[ids.Name]float64
 }
 
-// zoneRoute is a route's connections that begin in a zone.
+// zoneRoute identifies the connections of a route that originate in a zone.
 type zoneRoute struct{ zone, route ids.Name }
 
 // planner is the state of one plan.
@@ -29,19 +29,21 @@
 	PlannerInput
 	zones map[ids.Name]*Zone
 	moves []Move
-	// freeCapacity is the CPU time that each zone may still receive.
+	// freeCapacity is the CPU time that each zone can still receive.
 	freeCapacity map[ids.Name]float64
-	// returning is the CPU time of moves that this plan ended or shrank because an end
-	// was lost. It comes home now, which reports can't show yet.
+	// returning is the CPU time of moves that this plan removed or shrank because their
+	// route or one of their zones is gone or stale. It returns to the origin zone, which
+	// reports don't show yet.
 	returning map[zoneRoute]float64
 }
 
-// minFraction is the smallest fraction of a move that is kept.
+// minFraction is the fraction below which a move is removed.
 const minFraction = 0.005
 
-// Plan returns the next moves, by the last ones and the state of all zones. First, moves
-// that lost an end expire; then recovered zones recall what they can take, and overloaded
-// destinations send back. Only then do zones over their maximum move connections away.
+// Plan computes the next moves from the previous moves and the state of all zones. First it
+// expires moves whose route or zones are no longer available. Then recovered zones recall
+// their connections, and overloaded destinations return connections to the origin. Only then
+// do zones over their maximum move connections away.
 func Plan(input PlannerInput, previous []Move) []Move {
 	p := newPlanner(input, previous)
 	p.expireMoves()
@@ -61,7 +63,7 @@
 	return p.moves
 }
 
-// newPlanner returns a planner with the last moves and without any room yet.
+// newPlanner returns a planner with the previous moves and no free capacity.
 func newPlanner(input PlannerInput, previous []Move) *planner {
 	p := &planner{
 		PlannerInput: input,
@@ -76,12 +78,12 @@
 	return p
 }
 
-// dropSmallMoves ends moves under minFraction.
+// dropSmallMoves removes moves below minFraction.
 func (p *planner) dropSmallMoves() {
 	p.moves = slices.DeleteFunc(p.moves, func(m Move) bool { return m.Fraction < minFraction })
 }
 
-// expectedCPU returns the CPU time that a zone will use once earlier plans show.
+// expectedCPU returns the CPU time that a zone will use once all moves have taken effect.
 func (p *planner) expectedCPU(zone *Zone) float64 {
 	sum := zone.UsedCPU() + p.PendingIn[zone.Name] - p.PendingOut[zone.Name]
 	for _, route := range slices.Sorted(maps.Keys(p.Ranks)) {
@@ -90,7 +92,7 @@
 	return max(sum, 0)
 }
 
-// movedFraction returns the fraction of a route's fresh connections that a zone moves away.
+// movedFraction returns the fraction of a route's new connections that a zone moves away.
 func (p *planner) movedFraction(from, route ids.Name) float64 {
 	sum := 0.0
 	for _, m := range p.moves {
@@ -101,14 +103,14 @@
 	return sum
 }
 
-// minLocalShare is the share of a route's connections at home below which the route counts
-// as moved away as a whole.
+// minLocalShare is the share of a route's connections that stay in the zone below which the
+// route counts as fully moved away.
 const minLocalShare = 0.05
 
-// demand returns the CPU time of a route's fresh connections that begin in a zone: what is
-// kept there, scaled up by the fraction that is moved away. What is kept includes
-// connections from before the moves, and scaling alone would take a few of those for
-// many, so the demand is never more than what is kept and what was moved.
+// demand estimates the CPU time of a route's new connections that originate in a zone: the
+// usage in the zone, scaled up for the fraction that is moved away. That usage includes
+// connections established before the moves, which scaling would overestimate, so the demand is
+// limited to the sum of the usage and the planned CPU time of the moves.
 func (p *planner) demand(zone *Zone, route ids.Name) float64 {
 	returning := p.returning[zoneRoute{zone.Name, route}]
 	localCPU := 0.0
@@ -130,7 +132,7 @@
 	return min((localCPU+returning)/localShare, limit)
 }
 
-// zonesByDistance returns all other zones, the nearest first.
+// zonesByDistance returns all other zones, nearest first.
 func (p *planner) zonesByDistance(from ids.Name) []ids.Name {
 	var zones []ids.Name
 	for zone := range p.zones {
@@ -142,8 +144,8 @@
 	return zones
 }
 
-// addMove adds a move, or adds to one with the same ends. The fractions of a route that
-// leave a zone are held to 1 together.
+// addMove adds a move, or merges it into an existing move of the same route and zones. It
+// limits the total fraction of the route that leaves the zone to 1.
 func (p *planner) addMove(move Move) {
 	move.Fraction = min(move.Fraction, 1-p.movedFraction(move.From, move.Route))
 	if move.Fraction <= 0 {
@@ -160,7 +162,7 @@
 	p.moves = append(p.moves, move)
 }
 
-// compareRouteRanks orders moves by the ranks of their routes, the least urgent first.
+// compareRouteRanks orders moves by the rank of their route, the least urgent first.
 func (p *planner) compareRouteRanks(a, b Move) int {
 	return compareRanks(p.Ranks[a.Route], p.Ranks[b.Route])
 }
--- a/internal/controlplane/spill/recall.go
+++ b/internal/controlplane/spill/recall.go
@@ -6,12 +6,12 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// maxStalePlans is how many plans in a row a move outlives unchanged while an end of it is
-// stale. Each further one halves it.
+// maxStalePlans is the number of consecutive plans for which a move is kept unchanged while
+// its origin or destination is stale. Each further plan halves it.
 const maxStalePlans = 2
 
-// expireMoves ends moves that lost an end or their route, and shrinks, step by step, those
-// of which an end has been stale for several plans.
+// expireMoves removes expired moves, and halves moves whose origin or destination has been
+// stale for more than maxStalePlans plans.
 func (p *planner) expireMoves() {
 	p.moves = slices.DeleteFunc(p.moves, func(m Move) bool {
 		expired := p.isExpired(m)
@@ -30,20 +30,20 @@
 	}
 }
 
-// isExpired tells whether a move's route was removed, or an end of it was removed, drained
-// or, if it is the destination, left without proxies.
+// isExpired reports whether the route or a zone of a move was removed, a zone of it is
+// drained, or its destination has no proxies.
 func (p *planner) isExpired(m Move) bool {
 	from, to := p.zones[m.From], p.zones[m.To]
 	_, ranked := p.Ranks[m.Route]
 	return !ranked || from == nil || to == nil || to.Drained || to.NoProxies || from.Drained
 }
 
-// recallGain damps recalls: a zone recalls half of its free capacity with each plan, so
-// that it doesn't swing between its acceptable level and its maximum.
+// recallGain is the fraction of a zone's capacity left below its target that one plan recalls.
+// It damps oscillation between the acceptable level and the maximum.
 const recallGain = 0.5
 
-// recallMoves lets a recovered zone shrink its own moves, the most urgent route first,
-// before it may receive anything.
+// recallMoves shrinks the moves out of a zone that is below its acceptable level, the most
+// urgent route first.
 func (p *planner) recallMoves(zone *Zone) {
 	used := p.expectedCPU(zone)
 	if !zone.isPlannable() || used >= zone.Acceptable {
@@ -52,7 +52,7 @@
 	free := (zone.Target - used) * recallGain
 	outgoing := p.indexesOf(func(m Move) bool { return m.From == zone.Name })
 	slices.SortStableFunc(outgoing, func(a, b int) int { return -p.compareRouteRanks(p.moves[a], p.moves[b]) })
-	// Taken before any fraction changes, as demand depends on them.
+	// Demands are computed before any fraction changes, since they depend on the fractions.
 	demands := map[ids.Name]float64{}
 	for _, i := range outgoing {
 		route := p.moves[i].Route
@@ -77,8 +77,8 @@
 	p.dropSmallMoves()
 }
 
-// returnExcess has a destination over its maximum send back what it received, the least
-// urgent route first, before it moves anything of its own.
+// returnExcess shrinks the moves into a zone that is over its maximum, the least urgent route
+// first. It runs before the zone's own connections are moved away.
 func (p *planner) returnExcess(zone *Zone) {
 	used := p.expectedCPU(zone)
 	if zone.Stale || used <= zone.Maximum {
@@ -107,7 +107,7 @@
 	}
 }
 
-// indexesOf returns the indexes of the moves that match.
+// indexesOf returns the indexes of the matching moves.
 func (p *planner) indexesOf(matches func(Move) bool) []int {
 	var indexes []int
 	for i, m := range p.moves {
--- a/internal/controlplane/spill/report.go
+++ b/internal/controlplane/spill/report.go
@@ -11,14 +11,15 @@
 	Proxy ids.DaemonID
 	RunID ids.RunID
 	Zone  ids.Name
-	// Number counts the reports of a run; late and repeated ones are ignored.
+	// Number is the sequence number of the report within its run. Reports that arrive out
+	// of order and duplicates are ignored.
 	Number         ids.StreamNumber
 	IntervalMillis uint32
 	Usage          []ServiceUsage
-	// LatencyMicros is the 95th percentile of the proxy's own time for a request,
-	// in microseconds: waiting in queues and handling, without the target's time.
+	// LatencyMicros is the 95th percentile of the proxy's own latency for a request, in
+	// microseconds: queueing and processing, without the target's time.
 	LatencyMicros uint64
-	// RequestCount is the number of requests of the interval.
+	// RequestCount is the number of requests in the interval.
 	RequestCount uint64
 }
 
@@ -30,23 +31,24 @@
 	CPU float64
 }
 
-// MessageNumber returns the report's number, which stands in the message's header.
+// MessageNumber returns the report's number for the message's header.
 func (r Report) MessageNumber() uint64 { return uint64(r.Number) }
 
-// defaultAveragingWindow is the time that CPU times are averaged over. A single report
-// covers so few requests that two quiet seconds would pass for a recovery.
+// defaultAveragingWindow is the time over which CPU times are averaged. A single report covers
+// too few requests to tell a short pause in traffic from a recovery.
 const defaultAveragingWindow = 20 * time.Second
 
-// proxyReports is a proxy's newest report, with the earlier ones of the averaging window.
+// proxyReports is the latest report of a proxy with the earlier ones in the averaging window.
 type proxyReports struct {
 	Report
 	receivedAt ids.Time
-	// earlier are the same run's, the newest first; they have no earlier ones themselves.
+	// earlier has the earlier reports of the same run, newest first. Its elements have no
+	// earlier reports of their own.
 	earlier []proxyReports
 }
 
-// meanCPUByRoute returns the mean CPU time of each route over the reports at hand, each
-// weighted by its interval.
+// meanCPUByRoute returns the mean CPU time of each route over all reports, weighted by their
+// intervals.
 func (p proxyReports) meanCPUByRoute() map[ids.Name]float64 {
 	all := append([]proxyReports{p}, p.earlier...)
 	totalMillis := 0.0
--- a/internal/controlplane/spill/reports.go
+++ b/internal/controlplane/spill/reports.go
@@ -8,16 +8,16 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// Reports keeps what the planner needs of proxies' reports: the newest of each proxy with
-// those of the averaging window, samples of each zone's load and latency, and its demand.
+// Reports stores the reports of proxies for the planner: those of each proxy in the averaging
+// window, and the samples of load and latency and the demand of each zone.
 type Reports struct {
 	latest  map[ids.DaemonID]proxyReports
 	samples map[ids.Name][]Sample
-	// demand is the demand of each route by zone, as of when the zone last reported.
+	// demand is the last recorded demand by zone and route.
 	demand map[ids.Name]map[ids.Name]float64
-	// stalePlans counts, by zone, the plans in a row for which it was stale.
+	// stalePlans is the number of consecutive plans for which each zone has been stale.
 	stalePlans map[ids.Name]int
-	// AveragingWindow is the time that CPU times are averaged over.
+	// AveragingWindow is the time over which CPU times are averaged.
 	AveragingWindow time.Duration
 }
 
@@ -32,7 +32,8 @@
 	}
 }
 
-// Add takes in a report. Late and repeated ones of the same run are ignored.
+// Add adds a report. It ignores duplicates and reports of the same run that arrive out of
+// order.
 func (r *Reports) Add(now ids.Time, report Report) {
 	reports := proxyReports{Report: report, receivedAt: now}
 	if previous, ok := r.latest[report.Proxy]; ok && previous.RunID == report.RunID {
@@ -45,7 +46,7 @@
 	r.addSample(report)
 }
 
-// withinWindow returns a proxy's reports of the averaging window, newest first.
+// withinWindow returns the reports of a proxy in the averaging window, newest first.
 func (r *Reports) withinWindow(now ids.Time, reports proxyReports) []proxyReports {
 	newest := proxyReports{Report: reports.Report, receivedAt: reports.receivedAt}
 	var recent []proxyReports
@@ -58,15 +59,15 @@
 }
 
 const (
-	// minSampleRequests is how many requests make a report's latency worth a sample.
+	// minSampleRequests is the minimum number of requests in a report for its latency to be
+	// sampled.
 	minSampleRequests = 10
-	// maxSamples bounds the samples kept of each zone; the oldest are dropped.
-	maxSamples = 500
-	// microsPerMilli converts latencies.
+	// maxSamples is the maximum number of samples kept for each zone; the oldest are dropped.
+	maxSamples     = 500
 	microsPerMilli = 1000
 )
 
-// addSample adds a sample of the zone's whole CPU time and the reporting proxy's latency.
+// addSample adds a sample of the zone's total CPU time and the reporting proxy's latency.
 func (r *Reports) addSample(report Report) {
 	if report.RequestCount < minSampleRequests {
 		return
@@ -78,7 +79,7 @@
 	}
 }
 
-// zoneCPU returns the CPU time of a zone by its proxies' newest reports.
+// zoneCPU returns the CPU time of a zone according to the latest reports of its proxies.
 func (r *Reports) zoneCPU(zone ids.Name) float64 {
 	sum := 0.0
 	for _, id := range slices.Sorted(maps.Keys(r.latest)) {
@@ -93,19 +94,19 @@
 	return sum
 }
 
-// LiveProxy is a proxy that membership holds for alive.
+// LiveProxy is a proxy that is alive according to the membership.
 type LiveProxy struct {
 	ID    ids.DaemonID
 	RunID ids.RunID
 	Zone  ids.Name
 }
 
-// maxMissedReports is how many intervals may pass without a report before a proxy's usage
+// maxMissedReports is the number of intervals without a report after which a proxy's usage
 // counts as unknown.
 const maxMissedReports = 3
 
-// BuildZone returns a zone with the usage that its live proxies reported. It is stale if
-// any of them has missed reports. The levels are left to the caller.
+// BuildZone returns a zone with the usage that its live proxies reported. The zone is stale if
+// the reports of any of them are missing. The caller sets the levels.
 func (r *Reports) BuildZone(now ids.Time, name ids.Name, proxies []LiveProxy, ranks map[ids.Name]Rank) Zone {
 	zone := Zone{Name: name, NoProxies: true}
 	cpuByRoute := map[ids.Name]float64{}
@@ -135,7 +136,7 @@
 	return zone
 }
 
-// Prune forgets the reports of runs that aren't alive any more.
+// Prune removes the reports of proxy runs that are no longer alive.
 func (r *Reports) Prune(proxies []LiveProxy) {
 	maps.DeleteFunc(r.latest, func(id ids.DaemonID, reports proxyReports) bool {
 		return !slices.ContainsFunc(proxies, func(proxy LiveProxy) bool {
@@ -144,11 +145,11 @@
 	})
 }
 
-// Samples returns the samples that a zone's maximum is learned from.
+// Samples returns the samples from which the maximum of a zone is learned.
 func (r *Reports) Samples(zone ids.Name) []Sample { return r.samples[zone] }
 
-// CountStalePlans counts another plan for a zone, and returns the number of plans in a row
-// for which it has been stale.
+// CountStalePlans updates the count of consecutive plans for which a zone has been stale, and
+// returns it. Call it once per plan and zone.
 func (r *Reports) CountStalePlans(zone Zone) int {
 	if zone.Stale {
 		r.stalePlans[zone.Name]++
--- a/internal/controlplane/spill/swap.go
+++ b/internal/controlplane/spill/swap.go
@@ -6,11 +6,11 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// prioritizeMoves keeps each zone's urgent routes at home before others. Moves end one by
-// one: their destination is drained, becomes stale, or sends them back. That may leave
-// an urgent route away while a less urgent one is at home again. The two then change
-// places, which leaves each zone's load as it is, except that a nearer zone with room
-// receives the less urgent route first.
+// prioritizeMoves keeps the more urgent routes of each zone local. Moves end independently of
+// each other, when their destination is drained, becomes stale or returns them, so an urgent
+// route may be moved away while a less urgent one is local again. The two are then swapped,
+// which leaves the load of each zone unchanged, unless a nearer zone has free capacity for the
+// less urgent route.
 func (p *planner) prioritizeMoves() {
 	for i := range p.Zones {
 		zone := &p.Zones[i]
@@ -18,7 +18,7 @@
 			continue
 		}
 		routes := p.rankedRoutes(zone)
-		// The most urgent route comes first, and changes places with the least urgent.
+		// The most urgent route is swapped first, with the least urgent one.
 		for urgent := len(routes) - 1; urgent > 0; urgent-- {
 			for lessUrgent := 0; lessUrgent < urgent; lessUrgent++ {
 				p.swapRoutes(zone, routes[urgent], routes[lessUrgent])
@@ -27,8 +27,7 @@
 	}
 }
 
-// rankedRoutes returns the routes of a zone's own connections, at home or moved away, the
-// least urgent first.
+// rankedRoutes returns the routes that a zone uses or moves away, the least urgent first.
 func (p *planner) rankedRoutes(zone *Zone) []ids.Name {
 	ranked := slices.Clone(zone.Usage)
 	for _, m := range p.moves {
@@ -44,15 +43,15 @@
 	return routes
 }
 
-// swapRoutes moves the part of a lesser route that is at home to where an urgent one of the
-// same zone was moved, and brings that one home.
+// swapRoutes moves the local part of a less urgent route to the destinations of an urgent
+// route of the same zone, and makes the same amount of the urgent route local.
 func (p *planner) swapRoutes(zone *Zone, urgent, lessUrgent ids.Name) {
 	urgentDemand, lessUrgentDemand := p.demand(zone, urgent), p.demand(zone, lessUrgent)
 	lessUrgentLocal := (1 - p.movedFraction(zone.Name, lessUrgent)) * lessUrgentDemand
 	if urgentDemand <= 0 || lessUrgentLocal <= minLocalShare*lessUrgentDemand {
 		return
 	}
-	// Moves are added on the way; those are the lesser route's, and are passed over.
+	// The loop appends moves of the less urgent route to p.moves; it skips those.
 	for i := 0; i < len(p.moves) && lessUrgentLocal > 0; i++ {
 		m := p.moves[i]
 		if m.From != zone.Name || m.Route != urgent || m.Fraction <= 0 {
@@ -66,8 +65,8 @@
 	}
 }
 
-// replaceMove moves an amount of a lesser route in place of an urgent one: to zones with
-// room that are nearer than the urgent route's destination, and the rest to that.
+// replaceMove moves an amount of a less urgent route in place of an urgent one: first to
+// nearer zones with free capacity, and the rest to the destination of the urgent route.
 func (p *planner) replaceMove(urgent Move, lessUrgent ids.Name, amount, demand float64) {
 	add := func(to ids.Name, part float64) {
 		p.addMove(Move{
--- a/internal/controlplane/spill/transfer.go
+++ b/internal/controlplane/spill/transfer.go
@@ -7,8 +7,8 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// excessCPU returns the CPU time that a zone must move away to come down to its target:
-// what it uses times 1 - target/utilization. Both levels are in the same unit, whichever.
+// excessCPU returns the CPU time that a zone must move away to reach its target: the used time
+// multiplied by 1 - target/utilization. Target and utilization may be in any common unit.
 func excessCPU(used, utilization, target float64) float64 {
 	if utilization <= target || utilization <= 0 {
 		return 0
@@ -16,8 +16,8 @@
 	return used * (1 - target/utilization)
 }
 
-// selectOutgoing returns the usage that leaves of a zone to make up an amount, the least
-// urgent routes first; of the last one only a part.
+// selectOutgoing selects usage of a zone up to a total amount of CPU time, the least urgent
+// routes first. The last route may be selected in part.
 func selectOutgoing(usage []RouteUsage, amount float64) []RouteUsage {
 	usage = slices.Clone(usage)
 	sortByRank(usage)
@@ -35,7 +35,7 @@
 	return outgoing
 }
 
-// outgoingUsage is usage that leaves a zone.
+// outgoingUsage is usage to be moved out of a zone.
 type outgoingUsage struct {
 	RouteUsage
 	From ids.Name
@@ -47,9 +47,10 @@
 	To ids.Name
 }
 
-// placeOutgoing gives all outgoing usage destinations: the most urgent first, whatever its
-// zone, to the nearest room. Room is one account for all and is used up in place, so that
-// several zones can't overfill a destination together. What finds no room stays.
+// placeOutgoing assigns destinations to outgoing usage, the most urgent route of any zone
+// first, each to the nearest free capacity. All zones draw on the same freeCapacity map, which
+// is reduced in place, so that they can't overload a destination together. Usage for which no
+// free capacity is left isn't moved.
 func placeOutgoing(usage []outgoingUsage, freeCapacity map[ids.Name]float64, zonesByDistance func(from ids.Name) []ids.Name) []transfer {
 	usage = slices.Clone(usage)
 	slices.SortStableFunc(usage, func(a, b outgoingUsage) int {
--- a/internal/controlplane/spill/zone.go
+++ b/internal/controlplane/spill/zone.go
@@ -7,8 +7,8 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// Rank is a route's priority: by the route's tier, then its service's, both from 0 to 9
-// with 9 the most urgent, then by name.
+// Rank is a route's priority. Ranks compare by the tier of the route, then by that of its
+// service, both from 0 to 9 with 9 the most urgent, and then by name.
 type Rank struct {
 	Tier    int
 	Service int
@@ -32,30 +32,31 @@
 	slices.SortFunc(usage, func(a, b RouteUsage) int { return compareRanks(a.Rank, b.Rank) })
 }
 
-// Zone is the state of a zone that a plan starts from.
+// Zone is the state of a zone at the start of a plan.
 type Zone struct {
 	Name ids.Name
-	// Target, Acceptable and Maximum are levels of CPU time, in milliseconds per second:
-	// a zone over Maximum moves connections away until it is down to Target; one below
-	// Acceptable takes others' connections, up to that level, and recalls its own.
+	// Target, Acceptable and Maximum are levels of CPU time, in milliseconds per second.
+	// A zone above Maximum moves connections away until it is down to Target. A zone below
+	// Acceptable recalls its own connections, or receives those of others up to that level.
 	Target     float64
 	Acceptable float64
 	Maximum    float64
 	Usage      []RouteUsage
 	// Drained zones neither move connections nor receive any.
 	Drained bool
-	// Stale zones have proxies whose reports are missing. They receive nothing more.
+	// Stale zones have proxies whose reports are missing. They receive no further
+	// connections.
 	Stale bool
 	// NoProxies is set for zones without a live proxy.
 	NoProxies bool
-	// StalePlans counts the plans in a row for which the zone has been stale.
+	// StalePlans is the number of consecutive plans for which the zone has been stale.
 	StalePlans int
 }
 
-// isPlannable tells whether a zone's usage is known and may be planned for.
+// isPlannable reports whether the zone's usage is known and plans may change its load.
 func (z Zone) isPlannable() bool { return !z.Stale && !z.Drained && !z.NoProxies }
 
-// UsedCPU returns the CPU time of all routes.
+// UsedCPU returns the total CPU time of all routes.
 func (z Zone) UsedCPU() float64 {
 	sum := 0.0
 	for _, usage := range z.Usage {
