--- a/internal/controlplane/directory/snapshot.go
+++ b/internal/controlplane/directory/snapshot.go
@@ -10,41 +10,42 @@
 	"dunlinwell/internal/controlplane/spill"
 )
 
-// Snapshot is all that an answer depends on. It isn't changed by lookups.
+// Snapshot is the input of a lookup. Lookups don't modify it.
 type Snapshot struct {
 	// Proxies are live, ready and known to have the current configuration.
 	Proxies []membership.Member
-	// Drained zones get no clients.
+	// Drained zones receive no clients.
 	Drained map[ids.Name]bool
-	// Moves are the spill plan in force.
+	// Moves is the current spill plan.
 	Moves []spill.Move
-	// Demand is the CPU time that a zone's fresh connections used when it last
-	// reported, in milliseconds per second.
+	// Demand returns the last reported CPU time of a zone's own new connections, in
+	// milliseconds per second.
 	Demand   func(zone ids.Name) float64
 	Distance func(a, b ids.Name) float64
-	// CapacityLeft is the CPU time that a zone has left up to its target level, in milliseconds
-	// per second. It may be negative. (The planner's own room, package spill, ends at the
-	// acceptable level.)
+	// CapacityLeft returns the CPU time that a zone has left up to its target level, in
+	// milliseconds per second. It may be negative. (The free capacity in package spill ends
+	// at the acceptable level.)
 	CapacityLeft func(zone ids.Name) float64
 }
 
 // Destination is the answer to a lookup.
 type Destination struct {
 	Zone ids.Name
-	// Proxies are addresses in the zone, in random order.
+	// Proxies has the addresses of up to maxProxies proxies of the zone, in random order.
 	Proxies []ids.Address
-	// Moved tells that the spill plan sends the client out of its own zone.
+	// Moved reports whether the spill plan moves the client out of its own zone.
 	Moved bool
 }
 
-// maxProxies is the most addresses in one answer.
+// maxProxies is the maximum number of addresses in an answer.
 const maxProxies = 3
 
-// proxiesByZone are the proxies of each zone that takes requests.
+// proxiesByZone has the proxies of each available zone. A zone is available if it isn't drained
+// and has a proxy.
 type proxiesByZone map[ids.Name][]membership.Member
 
-// Resolve draws the destination of a fresh connection from a zone to a route. It returns
-// false if no zone takes requests.
+// Resolve picks the destination of a new connection from a zone to a route. It returns false
+// if no zone is available.
 func (s Snapshot) Resolve(zone, route ids.Name, random *rand.Rand) (Destination, bool) {
 	available := s.availableZones()
 	if _, ok := available[zone]; ok {
@@ -61,8 +62,8 @@
 	return newDestination(available, to, false, random), true
 }
 
-// pickMove draws whether the spill plan moves a connection, and where to. A move to a zone
-// that takes no requests is void at once, without waiting for the next plan.
+// pickMove picks at random, by the fractions of the spill plan, whether a connection is moved
+// and to which zone. Moves to unavailable zones are ignored.
 func (s Snapshot) pickMove(available proxiesByZone, zone, route ids.Name, random *rand.Rand) (to ids.Name, moved bool) {
 	draw := random.Float64()
 	for _, move := range s.Moves {
@@ -77,7 +78,7 @@
 	return "", false
 }
 
-// availableZones returns the proxies of all zones that take requests.
+// availableZones returns the proxies of all available zones.
 func (s Snapshot) availableZones() proxiesByZone {
 	available := proxiesByZone{}
 	for _, proxy := range s.Proxies {
@@ -88,9 +89,10 @@
 	return available
 }
 
-// pickFailover draws another zone for a client whose own takes no requests. The zone's
-// demand fills the others up to their room, the nearest first, and each is drawn in
-// proportion to what it gets of it. It returns false if there is no zone.
+// pickFailover picks a zone for a client whose own zone is unavailable. It assigns the demand
+// of the client's zone to the other zones up to their remaining capacity, nearest first, and
+// picks a zone with a probability proportional to the demand assigned to it. It returns false
+// if no zone is available.
 func (s Snapshot) pickFailover(available proxiesByZone, from ids.Name, random *rand.Rand) (ids.Name, bool) {
 	candidates := s.failoverCandidates(available, from)
 	if len(candidates) == 0 {
@@ -105,7 +107,7 @@
 		totalWeight += weights[i]
 	}
 	if totalWeight <= 0 {
-		// Neither demand nor room is known.
+		// No demand is known, or no zone has capacity left.
 		return candidates[0], true
 	}
 	draw := random.Float64() * totalWeight
@@ -117,8 +119,8 @@
 	return candidates[0], true
 }
 
-// failoverCandidates returns the open zones, the nearest first. Those that move connections
-// of their own away have no room for others', and are left out while there are any else.
+// failoverCandidates returns the available zones, nearest first. Zones that move their own
+// connections away are excluded unless all do.
 func (s Snapshot) failoverCandidates(available proxiesByZone, from ids.Name) []ids.Name {
 	zones := slices.Collect(maps.Keys(available))
 	spill.SortByDistance(zones, from, s.Distance)
@@ -128,12 +130,12 @@
 	return zones
 }
 
-// hasOutgoingMoves tells whether connections of a zone are moved away.
+// hasOutgoingMoves reports whether the spill plan moves connections out of the zone.
 func (s Snapshot) hasOutgoingMoves(zone ids.Name) bool {
 	return slices.ContainsFunc(s.Moves, func(m spill.Move) bool { return m.From == zone })
 }
 
-// newDestination returns a zone with some of its proxies, drawn at random.
+// newDestination returns a zone with up to maxProxies of its proxies, picked at random.
 func newDestination(available proxiesByZone, zone ids.Name, moved bool, random *rand.Rand) Destination {
 	destination := Destination{Zone: zone, Moved: moved}
 	proxies := slices.Clone(available[zone])
