--- a/internal/state/idempotency/operations.go
+++ b/internal/state/idempotency/operations.go
@@ -6,22 +6,22 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// The operations on an idempotency key's register. The numbers go over the wire.
+// The operations on an idempotency key's register. The values are part of the wire protocol.
 const (
 	// OpClaim claims the key for an owner before its request is sent to a target.
 	OpClaim consensus.Op = 20 + iota
-	// OpBlock keeps all attempts before a later one from running, so that this one may
-	// tell its client that nothing ran.
+	// OpBlock prevents the calling attempt and all earlier ones from running, so that the
+	// caller can tell its client that the request didn't run.
 	OpBlock
-	// OpRelease gives up a claim whose request was surely not sent.
+	// OpRelease releases a claim whose request was definitely not sent.
 	OpRelease
 	// OpComplete records the response.
 	OpComplete
-	// OpNumberAttempt numbers an attempt whose client didn't.
+	// OpNumberAttempt assigns a number to an attempt that its client didn't number.
 	OpNumberAttempt
 )
 
-// Operation is the argument of each operation.
+// Operation is the argument of every operation.
 type Operation struct {
 	Owner       Owner
 	Attempt     uint32
@@ -29,47 +29,48 @@
 	Response    Response
 }
 
-// Verdict is what an operation means for the owner that asked.
+// Verdict is the outcome of an operation for the calling owner.
 type Verdict uint8
 
 // The verdicts.
 const (
-	// Granted: the claim is this owner's.
+	// Granted: the caller holds the claim.
 	Granted Verdict = iota + 1
 	// InProgress: another owner holds the claim.
 	InProgress
-	// AlreadyCompleted: the request ran, and the record has its response. OpComplete has
-	// no other verdict, also if the claim wasn't the caller's and nothing was recorded.
+	// AlreadyCompleted: the request ran, and the record has its response. OpComplete always
+	// returns this verdict, even if the caller didn't hold the claim and nothing was
+	// recorded.
 	AlreadyCompleted
-	// AttemptBlocked: this attempt may never run.
+	// AttemptBlocked: this attempt must never run.
 	AttemptBlocked
-	// FingerprintMismatch: the key belongs to another request.
+	// FingerprintMismatch: the key is in use for a different request.
 	FingerprintMismatch
-	// Released: no request holds the key now. After OpBlock it means that nothing ran and
-	// that no attempt below this one will; after OpNumberAttempt, that the attempt is
-	// numbered; after OpRelease it is the verdict whatever the record's state.
+	// Released: no request holds the key. After OpBlock it means that the request didn't run
+	// and that neither the caller nor an earlier attempt will run it; after OpNumberAttempt,
+	// that the attempt was numbered. OpRelease always returns this verdict.
 	Released
-	// RecordLost: the record is unknown, but records were lost lately.
+	// RecordLost: there is no record, but it may be among records that were lost recently.
 	RecordLost
 )
 
-// Result is the response to an operation.
+// Result is the encoded response to an operation.
 type Result struct {
 	Verdict Verdict
 	Record  Record
 }
 
-// DecodeResult reads the response to an operation, and reports whether it can be read.
+// DecodeResult decodes the response to an operation, and reports whether it is valid.
 func DecodeResult(raw []byte) (Result, bool) { return decode[Result](raw) }
 
-// MayBeRetry reports whether an encoded Operation may belong to a later attempt than
-// a client's first.
+// MayBeRetry reports whether an encoded Operation may belong to an attempt after the first.
+// Attempts that the client didn't number may be retries.
 func MayBeRetry(arg []byte) bool {
 	operation, ok := decode[Operation](arg)
 	return ok && operation.Attempt != 1
 }
 
-// Ops returns the change functions of the registers.
+// Ops returns the change function of each operation.
 func Ops() map[consensus.Op]consensus.ChangeFunc {
 	return map[consensus.Op]consensus.ChangeFunc{
 		OpClaim:         changeFunc(claim),
@@ -83,9 +84,9 @@
 // transition is one operation on a decoded record.
 type transition func(Record, Operation) (Record, Verdict)
 
-// changeFunc makes a transition a change function of the register. The function returns
-// the old value and no response if the argument can't be read. A value that can't be
-// read counts as unclaimed.
+// changeFunc adapts a transition to a consensus.ChangeFunc. The function returns the old value
+// and no response if the argument can't be decoded. A value that can't be decoded counts as
+// unclaimed.
 func changeFunc(run transition) consensus.ChangeFunc {
 	return func(_ ids.RegisterKey, oldValue, arg []byte) ([]byte, []byte) {
 		record, _ := decode[Record](oldValue)
@@ -96,7 +97,7 @@
 		next, verdict := run(record, operation)
 		reported := next
 		if verdict == AlreadyCompleted && next.Owner == operation.Owner {
-			// The owner has the response itself, so it isn't sent back.
+			// The owner already has the response.
 			reported.Response = Response{}
 		}
 		response, responseErr := wire.Encode(Result{Verdict: verdict, Record: reported})
--- a/internal/state/idempotency/transitions.go
+++ b/internal/state/idempotency/transitions.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// verdictForHeldKey returns the verdict for a record that is claimed or completed, and
-// false for an unclaimed one.
+// verdictForHeldKey returns the verdict for a claimed or completed record. It returns false if
+// the record is unclaimed.
 func verdictForHeldKey(r Record, op Operation) (Verdict, bool) {
 	switch {
 	case r.State == Unclaimed:
@@ -24,7 +24,7 @@
 	if verdict, held := verdictForHeldKey(r, op); held {
 		return r, verdict
 	}
-	// A released claim must not be claimed again by a message that arrives late.
+	// A delayed message must not reacquire a released claim.
 	if op.Attempt < r.MinAttempt || slices.Contains(r.ReleasedOwners, op.Owner) {
 		return r, AttemptBlocked
 	}
@@ -32,11 +32,11 @@
 	return r, Granted
 }
 
-// block is called by a later attempt before its client is told that the request surely
-// didn't run. From then on no earlier attempt may run, though it may still wait in
-// another proxy.
+// block prevents the calling attempt and all earlier ones from running, including attempts that
+// are still queued in another proxy. If the verdict is Released, the caller may tell its client
+// that the request definitely didn't run.
 func block(r Record, op Operation) (Record, Verdict) {
-	// The request of the caller's own claim was never sent.
+	// A caller that holds the claim hasn't sent the request.
 	if r.isClaimedBy(op.Owner) {
 		r.dropClaim()
 	}
@@ -48,7 +48,7 @@
 	return r, Released
 }
 
-// release gives up a claim whose request was surely not sent.
+// release releases a claim whose request was definitely not sent.
 func release(r Record, op Operation) (Record, Verdict) {
 	if r.isClaimedBy(op.Owner) {
 		r.dropClaim()
@@ -59,8 +59,8 @@
 	return r, Released
 }
 
-// numberAttempt numbers an attempt whose client gave it no number, in the order of
-// agreement. Run again it skips a number, which does no harm.
+// numberAttempt assigns the next number to an attempt that its client didn't number. Numbers
+// follow the order of consensus. Running it again skips a number, which is harmless.
 func numberAttempt(r Record, op Operation) (Record, Verdict) {
 	if verdict, held := verdictForHeldKey(r, op); held {
 		return r, verdict
@@ -69,8 +69,8 @@
 	return r, Released
 }
 
-// complete records the response if the claim is the caller's. Otherwise it changes nothing,
-// and its caller, who already has a response for its client, needn't know.
+// complete records the response if the caller holds the claim. Otherwise it changes nothing and
+// returns the same verdict, since the caller has a response for its client either way.
 func complete(r Record, op Operation) (Record, Verdict) {
 	if r.isClaimedBy(op.Owner) {
 		r.State, r.Response = Completed, op.Response
