--- a/internal/state/storage/bench_test.go
+++ b/internal/state/storage/bench_test.go
@@ -8,7 +8,7 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// BenchmarkWrite syncs one record, or a batch of them.
+// BenchmarkWrite measures synced writes of one record and of a batch.
 func BenchmarkWrite(b *testing.B) {
 	for _, n := range []int{1, 16} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/state/storage/database.go
+++ b/internal/state/storage/database.go
@@ -16,19 +16,19 @@
 	lockFile     = "lock"
 )
 
-// Database is one open data folder. Get and Scan may be called from any goroutine,
-// Write and Prune only from the one that commits.
+// Database is the open database of a data directory. Get and Scan are safe for concurrent use;
+// Write and Prune must be called from a single goroutine.
 type Database struct {
-	// StoreID is the id made with the database; a blank one gets a new id.
+	// StoreID is the random ID created with the database.
 	StoreID uint64
-	// RunNumber counts how often the database was opened, this time included.
+	// RunNumber is the number of times the database was opened, including this one.
 	RunNumber uint64
-	// SetAsidePath is where Open has put a damaged database; empty if there was none.
+	// SetAsidePath is the path to which Open renamed a damaged database, or empty.
 	SetAsidePath string
-	// DamageCause is why that was done.
+	// DamageCause is the error that showed the damage, or nil.
 	DamageCause error
-	// OnReadError is called with the error when the disk can't be read, and must end
-	// the process. Without it, or if it returns, the caller panics.
+	// OnReadError is called when a read fails, and must end the process. If it is nil or
+	// returns, the read panics.
 	OnReadError func(error)
 
 	lock          *os.File
@@ -40,24 +40,22 @@
 	writeConnection *sql.Conn
 	putStatement    *sql.Stmt
 	deleteStatement *sql.Stmt
-	// earlierUptimeMillis is the time in use of all runs before this one, as last saved.
+	// earlierUptimeMillis is the last saved total uptime of all previous runs.
 	earlierUptimeMillis int64
 	// openedAt is the reading of clock when the database was opened.
 	openedAt time.Duration
-	// clock is a monotonic clock with any origin: wall clocks jump.
+	// clock is a monotonic clock with an arbitrary origin.
 	clock func() time.Duration
 }
 
 var processStart = time.Now()
 
-// Open opens a data folder for this process alone, and makes it if need be. A database
-// that is shown to be damaged is set aside, and a blank one opened in its place. Any other
-// failure is returned, ErrLocked and *NewerFormatError among them, and leaves the database as
-// it is: a disk that is full, or busy, or short of memory has lost nothing.
+// Open locks a data directory and opens its database, and creates both if they don't exist. A
+// damaged database is set aside and replaced by an empty one. Any other failure, such as
+// ErrLocked, *NewerFormatError or a full disk, is returned and leaves the database unchanged.
 func Open(dir string) (*Database, error) { return OpenChecked(dir, nil) }
 
-// OpenChecked opens a data folder whose records must pass a check as well. A database
-// that fails it is set aside like a damaged one.
+// OpenChecked is like Open, but also sets the database aside if check returns an error.
 func OpenChecked(dir string, check func(*Database) error) (*Database, error) {
 	return openWithClock(dir, func() time.Duration { return time.Since(processStart) }, check)
 }
@@ -75,15 +73,15 @@
 	return database, syncDirectory(dir)
 }
 
-// lockDirectory makes the folder if need be, and locks it for this process. The lock ends
-// with the process, however that ends.
+// lockDirectory creates the directory if it doesn't exist, and locks it. The operating system
+// releases the lock when the process ends.
 func lockDirectory(dir string) (*os.File, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return nil, errs.Wrap(err, "make data folder", dir)
+		return nil, errs.Wrap(err, "create data directory", dir)
 	}
 	lock, err := os.OpenFile(filepath.Join(dir, lockFile), os.O_CREATE|os.O_RDWR, 0o644)
 	if err != nil {
-		return nil, errs.Wrap(err, "open lock", dir)
+		return nil, errs.Wrap(err, "open lock file", dir)
 	}
 	err = syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 	if errors.Is(err, syscall.EWOULDBLOCK) {
@@ -91,17 +89,17 @@
 	}
 	if err != nil {
 		_ = lock.Close() // nothing was written to it
-		return nil, errs.Wrap(err, "lock data folder", dir)
+		return nil, errs.Wrap(err, "lock data directory", dir)
 	}
 	return lock, nil
 }
 
-// unlock frees the folder for another process. The lock file is empty: closing it can
-// lose nothing.
+// unlock releases the lock on the directory. The lock file is empty, so an error on closing it
+// loses no data.
 func (d *Database) unlock() { _ = d.lock.Close() }
 
-// openOrReplace opens the folder's database. One that is damaged is kept under another
-// name, and a blank one opened in its place.
+// openOrReplace opens the database of a directory. If it is damaged, openOrReplace sets it aside
+// and opens an empty one.
 func (d *Database) openOrReplace(dir string, check func(*Database) error) error {
 	path := filepath.Join(dir, databaseFile)
 	damage, err := d.openFileAndCheck(path, check)
@@ -115,15 +113,15 @@
 	return d.openFile(path)
 }
 
-// Close closes the database and unlocks the folder.
+// Close closes the database and unlocks the directory.
 func (d *Database) Close() error {
 	err := d.closeDatabase()
 	d.unlock()
-	return errs.Wrap(err, "close", "disk")
+	return errs.Wrap(err, "close database", "")
 }
 
-// closeDatabase closes the database and leaves the folder locked. Statements and the
-// connection hold nothing that isn't synced; what matters is reported by the last.
+// closeDatabase closes the database without unlocking the directory. Statements and the
+// connection hold no unsynced data, so only the error of closing the database is returned.
 func (d *Database) closeDatabase() error {
 	for _, statement := range []*sql.Stmt{d.putStatement, d.deleteStatement, d.getStatement, d.scanStatement} {
 		_ = statement.Close()
@@ -132,14 +130,14 @@
 	return d.db.Close()
 }
 
-// syncDirectory syncs the folder's own entries, so that a database that was just made
-// or renamed is found after a loss of power.
+// syncDirectory syncs the directory's entries, so that a database that was just created or
+// renamed is found after a power failure.
 func syncDirectory(dir string) error {
 	directory, err := os.Open(dir)
 	if err != nil {
-		return errs.Wrap(err, "open data folder", dir)
+		return errs.Wrap(err, "open data directory", dir)
 	}
 	err = directory.Sync()
 	_ = directory.Close() // opened for reading only
-	return errs.Wrap(err, "sync data folder", dir)
+	return errs.Wrap(err, "sync data directory", dir)
 }
--- a/internal/state/storage/database_test.go
+++ b/internal/state/storage/database_test.go
@@ -15,7 +15,7 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// closeOnCleanup closes a database at the end of a test or benchmark.
+// closeOnCleanup closes the database at the end of a test or benchmark.
 func closeOnCleanup(t testing.TB, database *Database) {
 	t.Helper()
 	t.Cleanup(func() {
@@ -25,7 +25,7 @@
 	})
 }
 
-// openForTest opens a data folder until the end of the test.
+// openForTest opens a data directory and closes it at the end of the test.
 func openForTest(t testing.TB, dir string) *Database {
 	t.Helper()
 	database, err := Open(dir)
@@ -42,9 +42,9 @@
 	database, err := Open(dir)
 	is.NoErr(err)
 	is.NoErr(database.Write([]event.Record{{Key: "item/a", Value: []byte("1")}, {Key: "item/b", Value: []byte("2")}, {Key: "meta/x", Value: []byte("3")}}))
-	// Another process may not hold the same folder.
+	// A second Open of the same directory fails.
 	_, err = Open(dir)
-	is.True(err != nil && strings.Contains(err.Error(), "another process holds it"))
+	is.True(err != nil && strings.Contains(err.Error(), "locked by another process"))
 	is.True(errors.Is(err, ErrLocked))
 	store := database.StoreID
 	is.NoErr(database.Close())
@@ -54,15 +54,15 @@
 	raw, ok := database.Get("item/a")
 	is.True(ok && string(raw) == "1")
 	records := database.Scan("item/", 10)
-	is.Equal(len(records), 2) // registers alone, in order
+	is.Equal(len(records), 2) // only registers, sorted by key
 	is.Equal(string(records[1].Value), "2")
 	is.Equal(len(database.Scan("item/a", 10)), 1)
-	// A blank folder gets another store id.
+	// A new database gets another store ID.
 	other := openForTest(t, t.TempDir())
 	is.True(other.StoreID != store)
 }
 
-func TestOpen_NewerFormatIsNotTouched(t *testing.T) {
+func TestOpen_LeavesNewerFormatUnchanged(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
 	path := filepath.Join(dir, "stockroom.db")
@@ -81,8 +81,8 @@
 	is.Equal(before, after)
 }
 
-// A damaged database is set aside, and a blank one with another store id is opened.
-func TestOpen_DamagedDatabaseIsSetAside(t *testing.T) {
+// A damaged database is set aside and replaced by an empty one with another store ID.
+func TestOpen_SetsDamagedDatabaseAside(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
 	database, err := Open(dir)
@@ -103,8 +103,8 @@
 	is.Equal(kept, raw)
 }
 
-// Damage that leaves the file's header and schema intact is found by SQLite's own check.
-func TestOpen_DamagedPageIsAnIntegrityError(t *testing.T) {
+// SQLite's integrity check finds damage that leaves the file's header and schema intact.
+func TestOpen_DamagedPageCausesIntegrityError(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
 	database, err := Open(dir)
@@ -129,8 +129,7 @@
 	is.True(!ok)
 }
 
-// A database whose records fail the check is set aside as a damaged one is.
-func TestOpenChecked_FailedCheckSetsDatabaseAside(t *testing.T) {
+func TestOpenChecked_SetsDatabaseAsideIfCheckFails(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
 	check := func(d *Database) error {
@@ -156,8 +155,8 @@
 	is.NoErr(err)
 }
 
-// A disk that can't be read is reported, and never passes for an empty one.
-func TestDatabase_ReadErrorIsReportedAndPanics(t *testing.T) {
+// An unreadable disk must not be mistaken for an empty one.
+func TestDatabase_ReportsReadErrorAndPanics(t *testing.T) {
 	for name, read := range map[string]func(*Database){
 		"get":  func(d *Database) { d.Get("item/a") },
 		"scan": func(d *Database) { d.Scan("item/", 10) },
@@ -171,7 +170,7 @@
 			database.OnReadError = func(err error) { reported = err }
 			defer func() {
 				is.True(recover() != nil)
-				is.True(reported != nil && strings.HasPrefix(reported.Error(), "read (peer disk): "))
+				is.True(reported != nil && strings.HasPrefix(reported.Error(), "read records: "))
 			}()
 			read(database)
 		})
--- a/internal/state/storage/errors.go
+++ b/internal/state/storage/errors.go
@@ -9,40 +9,40 @@
 	"github.com/mattn/go-sqlite3"
 )
 
-// ErrLocked is returned by Open when another process holds the data folder.
-var ErrLocked = errors.New("another process holds it")
+// ErrLocked is returned by Open if another process has locked the data directory.
+var ErrLocked = errors.New("locked by another process")
 
-// NewerFormatError is returned by Open for a database that a later version has
-// written. The database was not touched.
+// NewerFormatError is returned by Open for a database in a newer format than this version
+// supports. The database is not modified.
 type NewerFormatError struct {
 	// Found is the format of the database.
 	Found int
 }
 
-// Error names both formats.
+// Error returns a message with both formats.
 func (e *NewerFormatError) Error() string {
-	return fmt.Sprintf("open database: its format %d is newer than %d; it was not touched", e.Found, Format)
+	return fmt.Sprintf("open database: format %d is newer than the supported format %d; the database was not modified", e.Found, Format)
 }
 
-// IntegrityError is the Database.DamageCause of a database that SQLite's own check has
-// found damaged.
+// IntegrityError is the Database.DamageCause if SQLite's integrity check found the database
+// damaged.
 type IntegrityError struct {
-	// Report is the first fault that the check has found.
+	// Report is the first fault that the check found.
 	Report string
 }
 
-// Error gives the report.
+// Error returns the report.
 func (e *IntegrityError) Error() string { return e.Report }
 
-// ErrUnreadablePage is returned by Open for a database of which SQLite's check couldn't read
-// a page, for another reason than that the page is damaged.
-var ErrUnreadablePage = errors.New("a page can't be read now")
+// ErrUnreadablePage is returned by Open if SQLite's integrity check failed to read a page for a
+// reason other than damage, such as an I/O error.
+var ErrUnreadablePage = errors.New("database page can't be read")
 
-// pageErrorCode is how a report of SQLite's check names the code of a failed read.
+// pageErrorCode matches the result code of a failed read in a report of SQLite's integrity check.
 var pageErrorCode = regexp.MustCompile(`error code=(\d+)`)
 
-// isUnreadablePage tells whether a report is about a failed read that says nothing of what
-// is on the disk.
+// isUnreadablePage reports whether an integrity report is about a failed read that is no evidence
+// of damage.
 func isUnreadablePage(report string) bool {
 	match := pageErrorCode.FindStringSubmatch(report)
 	if match == nil {
@@ -52,17 +52,18 @@
 	return err == nil && !isDamageCode(sqlite3.ErrNo(code&primaryCodeMask))
 }
 
-// primaryCodeMask takes the primary code out of SQLite's extended one.
+// primaryCodeMask extracts the primary result code from an extended one of SQLite.
 const primaryCodeMask = 0xff
 
-// isDamageCode tells whether a primary code of SQLite says that the file's content is wrong.
-// All others are about the disk, the process or other processes, and may pass.
+// isDamageCode reports whether a primary result code of SQLite means that the file's content is
+// damaged. All other codes are about the disk, this process or other processes, and may be
+// transient.
 func isDamageCode(code sqlite3.ErrNo) bool {
 	return code == sqlite3.ErrCorrupt || code == sqlite3.ErrNotADB
 }
 
-// isDamage tells whether an error of opening a database shows that its content is damaged.
-// Only that is evidence of a loss; setting a database aside for any other error would be one.
+// isDamage reports whether an error from opening a database shows that its content is damaged.
+// Setting a database aside for any other error would lose intact records.
 func isDamage(err error) bool {
 	var integrity *IntegrityError
 	var failure sqlite3.Error
--- a/internal/state/storage/metadata.go
+++ b/internal/state/storage/metadata.go
@@ -8,15 +8,15 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// The records of the database itself; each is a number of 8 bytes, big endian.
+// The keys of the database's metadata. Each value is an 8-byte big-endian number.
 const (
 	storeIDKey   = ids.RegisterKey("meta/store")
 	runNumberKey = ids.RegisterKey("meta/run")
 	uptimeKey    = ids.RegisterKey("meta/ran") // in milliseconds
 )
 
-// recordOpening reads the database's own numbers, makes the id of a new one, and
-// counts this run.
+// recordOpening loads the metadata, creates the store ID of a new database, and increments the
+// run number.
 func (d *Database) recordOpening() error {
 	d.StoreID = d.readNumber(storeIDKey)
 	d.RunNumber = d.readNumber(runNumberKey) + 1
@@ -31,7 +31,7 @@
 	return d.Write([]event.Record{numberRecord(storeIDKey, d.StoreID), numberRecord(runNumberKey, d.RunNumber)})
 }
 
-// newStoreID makes a random id of 40 bits; ballots have 24 more for the run's number.
+// newStoreID returns a random 40-bit ID. A ballot has 24 more bits for the run number.
 func newStoreID() (uint64, error) {
 	var raw [8]byte
 	if _, err := rand.Read(raw[3:]); err != nil {
@@ -40,7 +40,7 @@
 	return binary.BigEndian.Uint64(raw[:]), nil
 }
 
-// readNumber reads a number; 0 if there is none.
+// readNumber returns a number from the metadata, or 0 if it is missing.
 func (d *Database) readNumber(key ids.RegisterKey) uint64 {
 	raw, ok := d.Get(key)
 	if !ok || len(raw) != 8 {
--- a/internal/state/storage/open_failure_test.go
+++ b/internal/state/storage/open_failure_test.go
@@ -14,10 +14,9 @@
 	"dunlinwell/internal/base/event"
 )
 
-// TestOpen_FailureThatPassesKeepsDatabase has the disk refuse a new file while a sound database
-// is opened, as a full disk does. Nothing shows that its records are damaged, so they are still
-// there when the disk is well again.
-func TestOpen_FailureThatPassesKeepsDatabase(t *testing.T) {
+// An intact database is kept if SQLite temporarily can't create a file next to it, as on a full
+// disk.
+func TestOpen_KeepsDatabaseAfterTransientFailure(t *testing.T) {
 	for _, suffix := range []string{"-wal", "-journal"} {
 		t.Run(suffix, func(t *testing.T) {
 			is := is.New(t)
@@ -28,11 +27,11 @@
 			is.NoErr(database.Write([]event.Record{{Key: "item/a", Value: []byte("1")}}))
 			is.NoErr(database.Close())
 
-			// SQLite can't make its own file of this name.
+			// The directory prevents SQLite from creating a file of this name.
 			obstacle := filepath.Join(dir, databaseFile+suffix)
 			is.NoErr(os.Mkdir(obstacle, 0o755))
 			if database, err := Open(dir); err == nil {
-				t.Errorf("a database was opened: store %d, not %d; the old one was set aside as %q for %v", database.StoreID, store, database.SetAsidePath, database.DamageCause)
+				t.Errorf("Open replaced the database: got store ID %d, want %d; set aside as %q because of %v", database.StoreID, store, database.SetAsidePath, database.DamageCause)
 				is.NoErr(database.Close())
 			}
 			is.NoErr(os.RemoveAll(obstacle))
@@ -55,7 +54,7 @@
 		{"not a database", sqlite3.Error{Code: sqlite3.ErrNotADB}, true},
 		{"failed check", &IntegrityError{Report: "Tree 2 page 3: btreeInitPage() returns error code 11"}, true},
 		{"full", sqlite3.Error{Code: sqlite3.ErrFull}, false},
-		{"input or output", sqlite3.Error{Code: sqlite3.ErrIoErr}, false},
+		{"I/O error", sqlite3.Error{Code: sqlite3.ErrIoErr}, false},
 		{"can't open", sqlite3.Error{Code: sqlite3.ErrCantOpen}, false},
 		{"busy", sqlite3.Error{Code: sqlite3.ErrBusy}, false},
 		{"out of memory", sqlite3.Error{Code: sqlite3.ErrNomem}, false},
@@ -80,8 +79,9 @@
 	}
 }
 
-// TestOpen_FailedLockIsNotAHeldFolder has the folder be a file: nobody holds it.
-func TestOpen_FailedLockIsNotAHeldFolder(t *testing.T) {
+// Open returns ErrLocked only if another process holds the lock, not if the lock file can't be
+// opened because its path is a directory.
+func TestOpen_LockFileErrorIsNotErrLocked(t *testing.T) {
 	is := is.New(t)
 	dir := filepath.Join(t.TempDir(), "data")
 	is.NoErr(os.MkdirAll(filepath.Join(dir, lockFile), 0o755))
--- a/internal/state/storage/open_file.go
+++ b/internal/state/storage/open_file.go
@@ -12,33 +12,31 @@
 	"dunlinwell/internal/base/errs"
 )
 
-// Format is the disk format written here; a newer one is left untouched. Since 2 a
-// register's record may have changes recorded after it, which a reader of format 1
-// would not see.
+// Format is the version of the disk format that this package writes. Since version 2, deltas may
+// be recorded after a register's record, which a reader of version 1 would miss.
 const Format = 2
 
 const (
-	// connectionOptions: a write-ahead log lets readers go on while a write is synced,
-	// and FULL syncs it at each commit. An immediate transaction takes the write lock at
-	// its start, so that it can't fail for want of it half way; the lock is waited for
-	// up to 5 s.
+	// connectionOptions enables a write-ahead log, so that reads don't block on a write, and
+	// syncs it at each commit. Immediate transactions take the write lock at the start, so
+	// that they can't fail half way for lack of it; they wait up to 5 s for the lock.
 	connectionOptions = "?_journal_mode=WAL&_synchronous=FULL&_busy_timeout=5000&_txlock=immediate"
-	// maxConnections are the one that writes, and three for readers.
+	// maxConnections allows one connection for writes and three for reads.
 	maxConnections = 4
-	// createTable has the version of the format as its parameter. The column born is the
-	// uptime in milliseconds at which the record was written.
+	// createTable takes the format version as its parameter. The column born is the uptime in
+	// milliseconds at which the record was written.
 	createTable = `CREATE TABLE IF NOT EXISTS records (key TEXT PRIMARY KEY, value BLOB NOT NULL, born INTEGER NOT NULL) WITHOUT ROWID; PRAGMA user_version=%d`
 )
 
-// The fields of a SQLite file's header that are read here (www.sqlite.org/fileformat.html).
+// The fields that readFormat uses of a SQLite file's header (www.sqlite.org/fileformat.html).
 const (
 	headerMagic         = "SQLite format 3"
 	headerVersionOffset = 60 // user_version, 4 bytes, big endian
 	headerVersionEnd    = headerVersionOffset + 4
 )
 
-// openFileAndCheck opens the database and has its records checked. It returns what shows that
-// the database is damaged, or else why it can't be opened.
+// openFileAndCheck opens the database and checks its records. It returns the error that shows
+// that the database is damaged as damage, and any other error as err.
 func (d *Database) openFileAndCheck(path string, check func(*Database) error) (damage, err error) {
 	if err := d.openFile(path); err != nil {
 		if isDamage(err) {
@@ -51,16 +49,16 @@
 	}
 	damage = check(d)
 	if damage != nil {
-		_ = d.closeDatabase() // it is set aside for what the check has found
+		_ = d.closeDatabase() // the damage is the error to report
 	}
 	return damage, nil
 }
 
-// openFile opens the database, and makes it if it isn't there.
+// openFile opens the database, and creates it if it doesn't exist.
 func (d *Database) openFile(path string) error {
 	format, err := readFormat(path)
 	if err != nil {
-		return errs.Wrap(err, "read database's header", path)
+		return errs.Wrap(err, "read database header", path)
 	}
 	if format > Format {
 		return &NewerFormatError{Found: format}
@@ -82,8 +80,8 @@
 	return nil
 }
 
-// readFormat reads the format from the file's own header, so that a newer database
-// isn't so much as opened for writing; 0 if there is no such file or header.
+// readFormat reads the format from the file header without SQLite, so that a database in a newer
+// format is never opened for writing. It returns 0 if there is no file or no valid header.
 func readFormat(path string) (int, error) {
 	file, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -104,8 +102,8 @@
 	return int(binary.BigEndian.Uint32(header[headerVersionOffset:])), nil
 }
 
-// prepare checks the file, makes the table if need be, prepares the statements and
-// counts this run.
+// prepare checks the file, creates the table if it doesn't exist, prepares the statements and
+// updates the metadata.
 func (d *Database) prepare() error {
 	if err := d.checkIntegrity(); err != nil {
 		return err
@@ -119,7 +117,7 @@
 	return d.recordOpening()
 }
 
-// checkIntegrity has SQLite check the whole file, up to the first fault.
+// checkIntegrity runs SQLite's integrity check on the whole file, up to the first fault.
 func (d *Database) checkIntegrity() error {
 	var report string
 	if err := d.db.QueryRow("PRAGMA quick_check(1)").Scan(&report); err != nil {
--- a/internal/state/storage/prune.go
+++ b/internal/state/storage/prune.go
@@ -8,19 +8,19 @@
 	"dunlinwell/internal/base/event"
 )
 
-// pruneQuery deletes idempotency records, whose keys begin with "item/mark/", that
-// were written before an uptime, up to a limit.
+// pruneQuery deletes idempotency records (keys with prefix "item/mark/") written before the given
+// uptime, up to a limit.
 const pruneQuery = "DELETE FROM records WHERE key IN (SELECT key FROM records WHERE key > 'item/mark/' AND key < 'item/mark0' AND born < ? LIMIT ?)"
 
-// uptimeMillis is how long this database has been in use over all its runs, in
-// milliseconds. Idempotency records age by it and not by the wall clock, which may
-// jump and so delete them too early.
+// uptimeMillis returns the time that the database has been open over all runs, in milliseconds.
+// The age of idempotency records is measured in it, since a jump of the wall clock could delete
+// them too early.
 func (d *Database) uptimeMillis() int64 {
 	return d.earlierUptimeMillis + (d.clock() - d.openedAt).Milliseconds()
 }
 
-// Prune saves the uptime, and deletes up to limit idempotency records that were
-// written longer ago than the retention, in uptime. It returns how many.
+// Prune saves the uptime, and deletes up to limit idempotency records that are older than the
+// retention, measured in uptime. It returns the number of deleted records.
 func (d *Database) Prune(retention time.Duration, limit int) (int64, error) {
 	nowMillis := d.uptimeMillis()
 	if err := d.Write([]event.Record{numberRecord(uptimeKey, uint64(nowMillis))}); err != nil {
@@ -28,7 +28,7 @@
 	}
 	result, err := d.writeConnection.ExecContext(context.Background(), pruneQuery, nowMillis-retention.Milliseconds(), limit)
 	if err != nil {
-		return 0, errs.Wrap(err, "prune", "disk")
+		return 0, errs.Wrap(err, "prune records", "")
 	}
 	return result.RowsAffected()
 }
--- a/internal/state/storage/prune_test.go
+++ b/internal/state/storage/prune_test.go
@@ -11,7 +11,7 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// Idempotency records age by uptime, and are deleted in batches of the given limit.
+// The age of idempotency records is measured in uptime. A call deletes up to the given limit.
 func TestPrune_DeletesExpiredRecordsInBatches(t *testing.T) {
 	is := is.New(t)
 	database := openForTest(t, t.TempDir())
@@ -27,12 +27,12 @@
 	is.NoErr(err)
 	is.Equal(n, int64(1))
 	_, ok := database.Get("item/policy")
-	is.True(ok) // configuration never ages
+	is.True(ok) // configuration doesn't expire
 }
 
-// In thirty hours of uptime with restarts, records younger than the retention of a
-// day are always there, and older ones are deleted.
-func TestPrune_KeepsYoungRecordsOverRestarts(t *testing.T) {
+// Restarts, after which the monotonic clock has another origin, must not make records expire
+// before their retention in uptime.
+func TestPrune_KeepsUnexpiredRecordsAcrossRestarts(t *testing.T) {
 	is := is.New(t)
 	const retention, step = 24 * time.Hour, 10 * time.Minute
 	dir, now := t.TempDir(), time.Duration(0)
@@ -43,13 +43,13 @@
 	pruned := 0
 	for i := range 180 {
 		is.NoErr(database.Write([]event.Record{{Key: key(i), Value: []byte("claimed")}}))
-		is.NoErr(database.Write([]event.Record{{Key: key(i), Value: []byte("over")}}))
+		is.NoErr(database.Write([]event.Record{{Key: key(i), Value: []byte("completed")}}))
 		now += step
 		n, err := database.Prune(retention, 512)
 		is.NoErr(err)
 		pruned += int(n)
 		if i%17 == 0 {
-			// Another run, whose clock has another origin.
+			// Restart with a clock of another origin.
 			is.NoErr(database.Close())
 			now = time.Duration(i%3) * 1000 * time.Hour
 			database, err = openWithClock(dir, clock, nil)
@@ -57,7 +57,7 @@
 		}
 		for k := range i + 1 {
 			if _, ok := database.Get(key(k)); !ok && time.Duration(i+1-k)*step < retention {
-				t.Fatalf("record %d is gone after %database", k, time.Duration(i+1-k)*step)
+				t.Fatalf("record %d is gone after %v, before its retention", k, time.Duration(i+1-k)*step)
 			}
 		}
 	}
--- a/internal/state/storage/records.go
+++ b/internal/state/storage/records.go
@@ -12,29 +12,29 @@
 
 const (
 	getQuery = "SELECT value FROM records WHERE key = ?"
-	// scanQuery ends before "item0", the first key behind the registers' "item/...".
+	// scanQuery ends before "item0", the first key after all keys with prefix "item/".
 	scanQuery   = "SELECT key, value FROM records WHERE key > ? AND key < 'item0' ORDER BY key LIMIT ?"
 	putQuery    = "INSERT INTO records (key, value, born) VALUES (?, ?, ?) ON CONFLICT (key) DO UPDATE SET value = excluded.value, born = excluded.born"
 	deleteQuery = "DELETE FROM records WHERE key = ?"
 )
 
-// Write writes records in one transaction and returns once they are synced. After an
-// error it isn't known what the disk has: the process should end.
+// Write writes or deletes records in one transaction, and returns once it is synced. After an
+// error the state of the disk is unknown, and the process should end.
 func (d *Database) Write(records []event.Record) error {
 	ctx := context.Background()
 	if _, err := d.writeConnection.ExecContext(ctx, "BEGIN IMMEDIATE"); err != nil {
-		return errs.Wrap(err, "begin", "disk")
+		return errs.Wrap(err, "begin transaction", "")
 	}
 	if err := d.writeAll(records); err != nil {
-		// The write's own error is the one to report.
+		// The error of the write is the one to report.
 		_, _ = d.writeConnection.ExecContext(ctx, "ROLLBACK")
-		return errs.Wrap(err, "write", "disk")
+		return errs.Wrap(err, "write records", "")
 	}
 	_, err := d.writeConnection.ExecContext(ctx, "COMMIT")
-	return errs.Wrap(err, "sync", "disk")
+	return errs.Wrap(err, "commit transaction", "")
 }
 
-// writeAll puts or deletes each record, within a transaction.
+// writeAll writes or deletes each record within the current transaction.
 func (d *Database) writeAll(records []event.Record) error {
 	writtenAtMillis := d.uptimeMillis()
 	for _, r := range records {
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// Get returns the value of a record; false if there is none.
+// Get returns the value of a record, and false if there is none.
 func (d *Database) Get(key ids.RegisterKey) ([]byte, bool) {
 	var raw []byte
 	err := d.getStatement.QueryRow(string(key)).Scan(&raw)
@@ -61,14 +61,14 @@
 	return raw, err == nil
 }
 
-// Scan returns the records of registers and of changes to them ("diff/...", which sort
-// before) after a key, in order of their keys, up to a limit.
+// Scan returns up to limit records of registers and their deltas ("diff/...", which sort first)
+// whose keys follow the given key, sorted by key.
 func (d *Database) Scan(after ids.RegisterKey, limit int) []event.Record {
 	rows, err := d.scanStatement.Query(string(after), limit)
 	if err != nil {
 		d.handleReadError(err)
 	}
-	defer func() { _ = rows.Close() }() // rows.Err tells of what went wrong
+	defer func() { _ = rows.Close() }() // rows.Err reports any error
 	var records []event.Record
 	for rows.Next() {
 		var r event.Record
@@ -83,10 +83,10 @@
 	return records
 }
 
-// handleReadError ends the process: a disk that can't be read must not pass for an empty
-// one, or this store would forget what it voted for.
+// handleReadError ends the process. An unreadable disk must not be mistaken for an empty one, or
+// the store would forget its votes.
 func (d *Database) handleReadError(err error) {
-	err = errs.Wrap(err, "read", "disk")
+	err = errs.Wrap(err, "read records", "")
 	if d.OnReadError != nil {
 		d.OnReadError(err)
 	}
--- a/internal/state/storage/set_aside.go
+++ b/internal/state/storage/set_aside.go
@@ -9,9 +9,9 @@
 	"dunlinwell/internal/base/errs"
 )
 
-// SetAside renames a folder's database, so that the next Open begins with a blank one
-// and the old one can be examined. The reason becomes part of the new name, which is
-// returned. The database must not be open.
+// SetAside renames the database of a data directory, so that the next Open creates an empty one
+// and the old one can be examined. It returns the new path, which contains the reason. The
+// database must not be open.
 func SetAside(dir, reason string) (string, error) {
 	path := filepath.Join(dir, databaseFile)
 	setAsidePath := fmt.Sprintf("%s.%s-%d", path, reason, time.Now().UnixNano())
--- a/internal/testsupport/testbed/control_api_test.go
+++ b/internal/testsupport/testbed/control_api_test.go
@@ -82,7 +82,7 @@
 		"--seeds", "127.0.0.1:1,127.0.0.1:3,127.0.0.1:4", "--data", running.Data)
 	line, _ = second.CombinedOutput()
 	is.Equal(second.ProcessState.ExitCode(), 2)
-	is.True(strings.Contains(string(line), "another process holds it"))
+	is.True(strings.Contains(string(line), "locked by another process"))
 }
 
 // checkRejectedCalls checks that invalid calls are rejected, and that the
