--- a/internal/controlplane/spill/curve_fit_test.go
+++ b/internal/controlplane/spill/curve_fit_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// newSamples returns samples of a zone whose latency reaches the objective at 1000 ms/s,
-// with noise and some outliers.
+// newSamples returns samples with noise and some outliers of a zone whose latency reaches the
+// objective at 1000 ms/s.
 func newSamples() []Sample {
 	random := rand.New(rand.NewPCG(1, 2))
 	var samples []Sample
@@ -23,7 +23,7 @@
 	return samples
 }
 
-func TestLearnMaximum_FindsObjectiveOnCurve(t *testing.T) {
+func TestLearnMaximum_FindsLoadAtLatencyObjective(t *testing.T) {
 	is := is.New(t)
 	fit := LearnMaximum(newSamples(), 850, 900)
 	is.True(fit.Learned)
@@ -35,8 +35,7 @@
 	is.Equal(LearnMaximum(newSamples(), 1200, 1300).Maximum, 1200.0*1.02)
 }
 
-// Where the samples carry no fit the configured maximum stands.
-func TestLearnMaximum_FallsBackToConfigured(t *testing.T) {
+func TestLearnMaximum_FallsBackToConfiguredMaximum(t *testing.T) {
 	falling := newSamples()
 	for i := range falling {
 		falling[i].LatencyMillis = 15 - 10*falling[i].CPU/1000
--- a/internal/controlplane/spill/planner_bench_test.go
+++ b/internal/controlplane/spill/planner_bench_test.go
@@ -8,7 +8,7 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// newLargeInput returns zones that each serve every route, a third of them over their target.
+// newLargeInput returns zones that all serve every route. A third of them are over their maximum.
 func newLargeInput(zones, routes int) PlannerInput {
 	random := rand.New(rand.NewPCG(1, 2))
 	input := newInputOfRanks(nil)
@@ -36,7 +36,7 @@
 	return input
 }
 
-// BenchmarkPlan makes two plans, the second by the moves of the first, over more and more
+// BenchmarkPlan makes two plans, the second from the moves of the first, for different numbers of
 // zones and routes.
 func BenchmarkPlan(b *testing.B) {
 	for _, size := range []struct{ zones, routes int }{{9, 50}, {18, 50}, {36, 50}, {9, 100}, {9, 200}, {9, 400}} {
--- a/internal/controlplane/spill/planner_test.go
+++ b/internal/controlplane/spill/planner_test.go
@@ -9,23 +9,23 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// newZone returns a zone with the levels of most tests.
+// newZone returns a zone with the levels used in most tests.
 func newZone(name ids.Name, usage ...RouteUsage) Zone {
 	return Zone{Name: name, Target: 800, Acceptable: 600, Maximum: 900, Usage: usage}
 }
 
-// newSmallZone returns a zone with a tenth of the capacity.
+// newSmallZone returns a zone with about an eighth of the levels of newZone.
 func newSmallZone(name ids.Name, usage ...RouteUsage) Zone {
 	return Zone{Name: name, Target: 100, Acceptable: 80, Maximum: 110, Usage: usage}
 }
 
-// newUsage returns what a route of some tier uses.
+// newUsage returns the usage of a route of a tier.
 func newUsage(route ids.Name, tier int, cpu float64) RouteUsage {
 	return RouteUsage{Rank: Rank{Tier: tier, Route: route}, CPU: cpu}
 }
 
-// publishedZones are those of the second published example: zone a is over its maximum,
-// and b, c and d have 300, 500 and 900 ms/s of room.
+// publishedZones returns the zones of the second example of Cloudflare's description: zone a is
+// over its maximum, and b, c and d have 300, 500 and 900 ms/s of free capacity.
 func publishedZones() []Zone {
 	a := Zone{Name: "a", Target: 1100, Acceptable: 900, Maximum: 1200, Usage: []RouteUsage{
 		newUsage("free", 0, 500), newUsage("pro", 1, 400), newUsage("business", 2, 200), newUsage("enterprise", 3, 1000),
@@ -36,7 +36,7 @@
 	return []Zone{a, destination("b", 300), destination("c", 500), destination("d", 900)}
 }
 
-// publishedRanks are those of the routes of the published example.
+// publishedRanks returns the ranks of the routes of the published example.
 func publishedRanks() map[ids.Name]Rank {
 	ranks := map[ids.Name]Rank{}
 	for _, usage := range publishedZones()[0].Usage {
@@ -45,8 +45,8 @@
 	return ranks
 }
 
-// newInput returns the input of a plan over zones that lie in a line from a to d, with the
-// routes of the published example.
+// newInput returns the input of a plan for zones in a line from a to d, with the routes of the
+// published example.
 func newInput(zones []Zone) PlannerInput {
 	position := map[ids.Name]float64{"a": 0, "b": 1, "c": 2, "d": 3}
 	input := newInputOfRanks(zones)
@@ -55,7 +55,7 @@
 	return input
 }
 
-// newInputOfRanks returns the input of a plan over zones of equal distance, with some routes.
+// newInputOfRanks returns the input of a plan for zones of equal distance, with the given ranks.
 func newInputOfRanks(zones []Zone, ranks ...Rank) PlannerInput {
 	input := PlannerInput{
 		Zones: zones, Ranks: map[ids.Name]Rank{},
@@ -68,7 +68,7 @@
 	return input
 }
 
-// The second published example: zone a moves 1,000 ms/s to b, c and d.
+// The second example of Cloudflare's description: zone a moves 1,000 ms/s to b, c and d.
 func TestPlan_MatchesPublishedExample(t *testing.T) {
 	is := is.New(t)
 	got := map[string]float64{}
@@ -79,12 +79,12 @@
 	want := map[string]float64{"business>b": 100, "pro>b": 200, "pro>c": 200, "free>c": 300, "free>d": 200}
 	is.Equal(len(got), len(want))
 	for k, v := range want {
-		is.True(approxEqual(got[k], v)) // k's amount as published
+		is.True(approxEqual(got[k], v)) // CPU time of move k as published
 	}
 }
 
-// Two overloaded zones can't overfill one destination together.
-func TestPlan_HotZonesShareOneRoomAccount(t *testing.T) {
+// Two overloaded zones must not overload the same destination together.
+func TestPlan_OverloadedZonesShareFreeCapacity(t *testing.T) {
 	is := is.New(t)
 	overloaded := func(name ids.Name) Zone { return newZone(name, newUsage("free", 0, 700), newUsage("pro", 1, 700)) }
 	idle := newZone("c", newUsage("free", 0, 100))
@@ -95,13 +95,13 @@
 		sum += m.PlannedCPU
 	}
 	is.True(approxEqual(sum, 500))
-	// The same again before reports can show it: nothing more fits.
+	// Reports don't show the moves yet, but no free capacity is left.
 	input := newInput([]Zone{overloaded("a"), overloaded("b"), idle})
 	input.PendingIn["c"] = 500
 	is.Equal(len(Plan(input, nil)), 0)
 }
 
-func TestPlan_RecoveringZoneRecallsFirst(t *testing.T) {
+func TestPlan_RecoveringZoneRecallsBeforeReceiving(t *testing.T) {
 	is := is.New(t)
 	recovering := newZone("a", newUsage("free", 0, 300))
 	overloaded := newZone("b", newUsage("free", 0, 1000))
@@ -109,15 +109,15 @@
 	previous := []Move{{From: "a", To: "d", Route: "free", Fraction: 0.6, PlannedCPU: 450}}
 	moves := Plan(newInput([]Zone{recovering, overloaded, far}), previous)
 	for _, m := range moves {
-		is.True(m.To != "a") // it still has moves out, so it receives nothing
+		is.True(m.To != "a") // it still moves connections away, so it receives none
 		if m.From == "a" {
 			is.True(m.Fraction < 0.6)
 		}
 	}
-	is.Equal(len(moves), 2) // its own, shrunk, and the hot zone's to the far one
+	is.Equal(len(moves), 2) // the shrunk move from a, and one from b to d
 }
 
-func TestPlan_ShrinksStaleMovesStepwise(t *testing.T) {
+func TestPlan_HalvesMovesOfStaleZones(t *testing.T) {
 	is := is.New(t)
 	from, to := newZone("a", newUsage("free", 0, 700)), newZone("b")
 	from.Stale = true
@@ -134,8 +134,8 @@
 	is.Equal(len(moves), 0)
 }
 
-// A route that was just removed still shows in the average of what a zone used. It is not
-// moved; the excess is made up of routes in force.
+// A removed route still shows in a zone's average usage. It must not be selected in place of a
+// configured route.
 func TestPlan_IgnoresRemovedRoutes(t *testing.T) {
 	is := is.New(t)
 	kept := newUsage("stock", 3, 100)
@@ -146,9 +146,9 @@
 	is.True(moves[0].PlannedCPU > 49) // all of the excess
 }
 
-// A destination is drained: what was moved there comes home, which no report shows yet.
-// It is placed anew in the same plan, the lowest tier first, and not a plan later.
-func TestPlan_ReplacesEndedMovesAtOnce(t *testing.T) {
+// When a destination is drained, the load of its moves returns to the origin, which reports don't
+// show yet. The same plan must move it to another zone.
+func TestPlan_ReassignsExpiredMovesInSamePlan(t *testing.T) {
 	is := is.New(t)
 	low, high := newUsage("low", 1, 4), newUsage("high", 9, 90)
 	drained := newSmallZone("b")
@@ -158,15 +158,15 @@
 	is.Equal(len(moves), 1)
 	is.Equal(moves[0].To, ids.Name("c"))
 	is.Equal(moves[0].Route, ids.Name("low"))
-	is.True(moves[0].PlannedCPU > 69 && moves[0].PlannedCPU < 71) // 4 + 90 + 76 less the target
+	is.True(moves[0].PlannedCPU > 69 && moves[0].PlannedCPU < 71) // 4 + 90 + 76 minus the target of 100
 }
 
-// The destination of a move was drained, and its route took the place of a more urgent one
-// in a far zone, though a nearer zone had room by then.
-func TestPlan_SwappedRouteTakesNearestRoom(t *testing.T) {
+// A route that is swapped with a more urgent one must move to a nearer zone with free capacity
+// before it moves to the destination of the urgent route.
+func TestPlan_SwappedRouteUsesNearestFreeCapacity(t *testing.T) {
 	is := is.New(t)
 	zones := publishedZones()
-	zones[0].Maximum = 5000 // nothing new leaves
+	zones[0].Maximum = 5000 // zone a isn't overloaded
 	zones[2].Drained = true
 	previous := []Move{
 		{From: "a", To: "d", Route: "enterprise", Fraction: 0.5, PlannedCPU: 1000},
@@ -176,7 +176,7 @@
 	for _, m := range Plan(newInput(zones), previous) {
 		amount[string(m.Route+">"+m.To)] += m.PlannedCPU
 	}
-	// b is nearer than d, and takes what it has room for.
+	// b is nearer than d, so its free capacity is used first.
 	is.True(approxEqual(amount["free>b"], 300))
 	is.True(amount["free>d"] > 0)
 	is.Equal(amount["free>c"], 0.0)
--- a/internal/controlplane/spill/transfer_test.go
+++ b/internal/controlplane/spill/transfer_test.go
@@ -7,11 +7,11 @@
 	"github.com/matryer/is"
 )
 
-// approxEqual tells whether two numbers are equal but for rounding.
+// approxEqual reports whether two numbers are equal up to rounding errors.
 func approxEqual(a, b float64) bool { return math.Abs(a-b) < 1e-6*max(1, math.Abs(b)) }
 
-// The first worked example of the published description: a zone that uses 18,000 ms/s at
-// 90 %, with a target of 85 %, must move 1,000 ms/s.
+// The first example of Cloudflare's description of Traffic Manager: a zone that uses 18,000 ms/s
+// at a utilization of 90 %, with a target of 85 %, must move 1,000 ms/s.
 func TestExcessCPU_MatchesPublishedExample(t *testing.T) {
 	is := is.New(t)
 	is.True(approxEqual(excessCPU(18000, 90, 85), 1000))
--- a/internal/state/idempotency/transitions_test.go
+++ b/internal/state/idempotency/transitions_test.go
@@ -10,13 +10,13 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// testRegister is a register that operations are applied to.
+// testRegister applies operations to the value of a register.
 type testRegister struct {
 	t     *testing.T
 	value []byte
 }
 
-// apply runs an operation of a request, all requests being of one run of one proxy.
+// apply applies an operation of a request. All requests are of the same run of one proxy.
 func (r *testRegister) apply(op consensus.Op, request ids.RequestID, attempt uint32, fingerprint string) Result {
 	r.t.Helper()
 	arg, err := wire.Encode(Operation{Owner: Owner{"c", 1, request}, Attempt: attempt, Fingerprint: []byte(fingerprint), Response: Response{Status: 200, Body: []byte("done")}})
@@ -26,17 +26,17 @@
 	newValue, response := Ops()[op]("k", r.value, arg)
 	res, ok := DecodeResult(response)
 	if !ok {
-		r.t.Fatal("no result")
+		r.t.Fatal("operation returned no valid result")
 	}
 	r.value = newValue
 	return res
 }
 
-func TestClaim_OnlyOneOwnerAtATime(t *testing.T) {
+func TestClaim_HasSingleOwner(t *testing.T) {
 	is := is.New(t)
 	r := &testRegister{t: t}
 	is.Equal(r.apply(OpClaim, 1, 1, "p").Verdict, Granted)
-	is.Equal(r.apply(OpClaim, 1, 1, "p").Verdict, Granted) // a round that is run again
+	is.Equal(r.apply(OpClaim, 1, 1, "p").Verdict, Granted) // the operation is applied twice
 	is.Equal(r.apply(OpClaim, 2, 2, "p").Verdict, InProgress)
 	is.Equal(r.apply(OpClaim, 2, 2, "q").Verdict, FingerprintMismatch)
 	is.Equal(r.apply(OpBlock, 2, 2, "p").Verdict, InProgress) // the first attempt may have run
@@ -48,7 +48,7 @@
 	res := r.apply(OpClaim, 2, 2, "p")
 	is.Equal(res.Verdict, AlreadyCompleted)
 	is.Equal(string(res.Record.Response.Body), "done")
-	is.Equal(r.apply(OpRelease, 1, 1, "p").Record.State, Completed) // a completed record stays
+	is.Equal(r.apply(OpRelease, 1, 1, "p").Record.State, Completed) // a completed record doesn't change
 }
 
 func TestClaim_ReleasedOrBlockedAttemptNeverRuns(t *testing.T) {
@@ -56,18 +56,18 @@
 	r := &testRegister{t: t}
 	r.apply(OpClaim, 1, 1, "p")
 	r.apply(OpRelease, 1, 1, "p")
-	is.Equal(r.apply(OpClaim, 1, 1, "p").Verdict, AttemptBlocked) // a late message
+	is.Equal(r.apply(OpClaim, 1, 1, "p").Verdict, AttemptBlocked) // a delayed message
 	// The third attempt is told that nothing ran, so no attempt up to it may run.
 	is.Equal(r.apply(OpBlock, 3, 3, "p").Verdict, Released)
 	is.Equal(r.apply(OpClaim, 2, 2, "p").Verdict, AttemptBlocked)
 	is.Equal(r.apply(OpClaim, 3, 3, "p").Verdict, AttemptBlocked)
 	is.Equal(r.apply(OpClaim, 4, 4, "p").Verdict, Granted)
-	// An attempt's own claim, whose request was never sent, doesn't keep it from blocking.
+	// The caller's own claim doesn't prevent it from blocking.
 	is.Equal(r.apply(OpBlock, 4, 4, "p").Verdict, Released)
 	is.Equal(r.apply(OpClaim, 5, 5, "q").Verdict, Granted) // the fingerprint is dropped with the claim
 }
 
-func TestNumberAttempt_CountsAttemptsWithoutNumber(t *testing.T) {
+func TestNumberAttempt_AssignsIncreasingNumbers(t *testing.T) {
 	is := is.New(t)
 	r := &testRegister{t: t}
 	is.Equal(r.apply(OpNumberAttempt, 1, 0, "p").Record.NumberedAttempts, uint32(1))
