--- a/internal/controlplane/spill/curve_fit.go
+++ b/internal/controlplane/spill/curve_fit.go
@@ -24,8 +24,8 @@
 	Learned bool
 	// Reason explains to operators why Maximum was or wasn't learned.
 	Reason string
-	// Samples is the number of samples left after outliers are removed.
-	Samples int
+	// SampleCount is the number of samples left after outliers are removed.
+	SampleCount int
 }
 
 const (
@@ -51,10 +51,10 @@
 	cleaned := dropOutliers(samples)
 	maximum, reason := fitMaximum(cleaned, target)
 	if reason != "" {
-		return Fit{Maximum: configured, Reason: reason, Samples: len(cleaned)}
+		return Fit{Maximum: configured, Reason: reason, SampleCount: len(cleaned)}
 	}
 	maximum = min(max(maximum, target*minTargetRatio), configured*maxConfiguredRatio)
-	return Fit{Maximum: maximum, Learned: true, Reason: "learned", Samples: len(cleaned)}
+	return Fit{Maximum: maximum, Learned: true, Reason: "learned", SampleCount: len(cleaned)}
 }
 
 // fitMaximum returns the CPU time at which latency rises to the objective, or the reason why
