--- a/internal/dataplane/dispatch/idempotency.go
+++ b/internal/dataplane/dispatch/idempotency.go
@@ -110,7 +110,7 @@
 	}
 	switch result.Verdict {
 	case idempotency.Released:
-		j.Attempt = max(result.Record.NumberedAttempts, 1)
+		j.Attempt = max(result.Record.LastAssignedAttempt, 1)
 		d.admit(now, j)
 	case idempotency.FingerprintMismatch:
 		d.respondKeyReused(now, j)
--- a/internal/dataplane/dispatch/script_test.go
+++ b/internal/dataplane/dispatch/script_test.go
@@ -100,7 +100,7 @@
 		reply.Outcome = consensus.Indeterminate
 		return reply
 	}
-	record := idempotency.Record{Fingerprint: []byte(args["fingerprint"]), NumberedAttempts: uint32(args.number(t, "numbered"))}
+	record := idempotency.Record{Fingerprint: []byte(args["fingerprint"]), LastAssignedAttempt: uint32(args.number(t, "numbered"))}
 	if args.has("owner") {
 		record.Owner = idempotency.Owner{Daemon: ids.DaemonID(args["owner"]), RunID: 1}
 	}
--- a/internal/state/idempotency/record.go
+++ b/internal/state/idempotency/record.go
@@ -66,8 +66,8 @@
 	// maxReleasedOwners. They can't claim it again.
 	ReleasedOwners []Owner
 	Response       Response
-	// NumberedAttempts is the highest number that OpNumberAttempt has assigned.
-	NumberedAttempts uint32
+	// LastAssignedAttempt is the highest number that OpNumberAttempt has assigned.
+	LastAssignedAttempt uint32
 }
 
 // maxReleasedOwners bounds Record.ReleasedOwners, to keep records small; the oldest is dropped.
--- a/internal/state/idempotency/transitions.go
+++ b/internal/state/idempotency/transitions.go
@@ -65,7 +65,7 @@
 	if verdict, held := verdictForHeldKey(r, op); held {
 		return r, verdict
 	}
-	r.NumberedAttempts = max(r.NumberedAttempts, r.MinAttempt) + 1
+	r.LastAssignedAttempt = max(r.LastAssignedAttempt, r.MinAttempt) + 1
 	return r, Released
 }
 
--- a/internal/state/idempotency/transitions_test.go
+++ b/internal/state/idempotency/transitions_test.go
@@ -70,11 +70,11 @@
 func TestNumberAttempt_AssignsIncreasingNumbers(t *testing.T) {
 	is := is.New(t)
 	r := &testRegister{t: t}
-	is.Equal(r.apply(OpNumberAttempt, 1, 0, "p").Record.NumberedAttempts, uint32(1))
-	is.Equal(r.apply(OpNumberAttempt, 2, 0, "p").Record.NumberedAttempts, uint32(2))
+	is.Equal(r.apply(OpNumberAttempt, 1, 0, "p").Record.LastAssignedAttempt, uint32(1))
+	is.Equal(r.apply(OpNumberAttempt, 2, 0, "p").Record.LastAssignedAttempt, uint32(2))
 	is.Equal(r.apply(OpBlock, 2, 2, "p").Verdict, Released)
 	is.Equal(r.apply(OpClaim, 1, 1, "p").Verdict, AttemptBlocked)
-	is.Equal(r.apply(OpNumberAttempt, 3, 0, "p").Record.NumberedAttempts, uint32(3))
+	is.Equal(r.apply(OpNumberAttempt, 3, 0, "p").Record.LastAssignedAttempt, uint32(3))
 	is.Equal(r.apply(OpClaim, 3, 3, "p").Verdict, Granted)
 	is.Equal(r.apply(OpNumberAttempt, 4, 0, "p").Verdict, InProgress)
 }
--- a/internal/testsupport/compat/messages_test.go
+++ b/internal/testsupport/compat/messages_test.go
@@ -147,9 +147,9 @@
 	idempotency.Record{
 		State: 1, Owner: idempotency.Owner{Daemon: "text-2", RunID: 4294967299, Request: 4294967300}, Attempt: 65541,
 		Fingerprint: []uint8{6, 7}, MinAttempt: 65544,
-		ReleasedOwners:   []idempotency.Owner{{Daemon: "text-9", RunID: 4294967306, Request: 4294967307}, {Daemon: "text-12", RunID: 4294967309, Request: 4294967310}},
-		Response:         idempotency.Response{Status: 271, Header: []idempotency.Header{{Name: "text-16", Value: "text-17"}, {Name: "text-18", Value: "text-19"}}, Body: []uint8{20, 21}, Digest: "text-22", BodyOmitted: true},
-		NumberedAttempts: 65560,
+		ReleasedOwners:      []idempotency.Owner{{Daemon: "text-9", RunID: 4294967306, Request: 4294967307}, {Daemon: "text-12", RunID: 4294967309, Request: 4294967310}},
+		Response:            idempotency.Response{Status: 271, Header: []idempotency.Header{{Name: "text-16", Value: "text-17"}, {Name: "text-18", Value: "text-19"}}, Body: []uint8{20, 21}, Digest: "text-22", BodyOmitted: true},
+		LastAssignedAttempt: 65560,
 	},
 	idempotency.Operation{
 		Owner: idempotency.Owner{Daemon: "text-1", RunID: 4294967298, Request: 4294967299}, Attempt: 65540, Fingerprint: []uint8{5, 6},
@@ -157,7 +157,7 @@
 	},
 	idempotency.Result{
 		Verdict: 1,
-		Record:  idempotency.Record{State: 2, Owner: idempotency.Owner{Daemon: "text-3", RunID: 4294967300, Request: 4294967301}, Attempt: 65542, Fingerprint: []uint8{7, 8}, MinAttempt: 65545, ReleasedOwners: []idempotency.Owner{{Daemon: "text-10", RunID: 4294967307, Request: 4294967308}, {Daemon: "text-13", RunID: 4294967310, Request: 4294967311}}, Response: idempotency.Response{Status: 272, Header: []idempotency.Header{{Name: "text-17", Value: "text-18"}, {Name: "text-19", Value: "text-20"}}, Body: []uint8{21, 22}, Digest: "text-23", BodyOmitted: false}, NumberedAttempts: 65561},
+		Record:  idempotency.Record{State: 2, Owner: idempotency.Owner{Daemon: "text-3", RunID: 4294967300, Request: 4294967301}, Attempt: 65542, Fingerprint: []uint8{7, 8}, MinAttempt: 65545, ReleasedOwners: []idempotency.Owner{{Daemon: "text-10", RunID: 4294967307, Request: 4294967308}, {Daemon: "text-13", RunID: 4294967310, Request: 4294967311}}, Response: idempotency.Response{Status: 272, Header: []idempotency.Header{{Name: "text-17", Value: "text-18"}, {Name: "text-19", Value: "text-20"}}, Body: []uint8{21, 22}, Digest: "text-23", BodyOmitted: false}, LastAssignedAttempt: 65561},
 	},
 	targets.Update{
 		Targets: []targets.Target{{Instance: "text-1", Incarnation: 4294967298, Sequence: 4294967299, Service: "text-4", Address: "text-5", Zone: "text-6", Draining: true, Dead: false, Warmth: 9.5, Occupancy: 4294967306, Capacity: 4294967307, IntervalMillis: 65548, AgeMillis: 4294967309, SlowStartMillis: 4294967310, Registrar: "text-15", RegistrarRunID: 4294967312, ProxySequence: 4294967313}, {Instance: "text-18", Incarnation: 4294967315, Sequence: 4294967316, Service: "text-21", Address: "text-22", Zone: "text-23", Draining: false, Dead: true, Warmth: 26.5, Occupancy: 4294967323, Capacity: 4294967324, IntervalMillis: 65565, AgeMillis: 4294967326, SlowStartMillis: 4294967327, Registrar: "text-32", RegistrarRunID: 4294967329, ProxySequence: 4294967330}},
