--- a/internal/state/storage/errors.go
+++ b/internal/state/storage/errors.go
@@ -21,7 +21,7 @@
 
 // Error returns a message with both formats.
 func (e *NewerFormatError) Error() string {
-	return fmt.Sprintf("open database: format %d is newer than the supported format %d; the database was not modified", e.Found, Format)
+	return fmt.Sprintf("open database: format %d is newer than the supported format %d; the database was not modified", e.Found, FormatVersion)
 }
 
 // IntegrityError is the Database.DamageCause if SQLite's integrity check found the database
--- a/internal/state/storage/open_file.go
+++ b/internal/state/storage/open_file.go
@@ -12,9 +12,9 @@
 	"dunlinwell/internal/base/errs"
 )
 
-// Format is the version of the disk format that this package writes. Since version 2, deltas may
+// FormatVersion is the version of the disk format that this package writes. Since version 2, deltas may
 // be recorded after a register's record, which a reader of version 1 would miss.
-const Format = 2
+const FormatVersion = 2
 
 const (
 	// connectionOptions enables a write-ahead log, so that reads don't block on a write, and
@@ -60,7 +60,7 @@
 	if err != nil {
 		return errs.Wrap(err, "read database header", path)
 	}
-	if format > Format {
+	if format > FormatVersion {
 		return &NewerFormatError{Found: format}
 	}
 	db, err := sql.Open("sqlite3", "file:"+path+connectionOptions)
@@ -108,7 +108,7 @@
 	if err := d.checkIntegrity(); err != nil {
 		return err
 	}
-	if _, err := d.db.Exec(fmt.Sprintf(createTable, Format)); err != nil {
+	if _, err := d.db.Exec(fmt.Sprintf(createTable, FormatVersion)); err != nil {
 		return err
 	}
 	if err := d.prepareStatements(); err != nil {
