--- a/internal/controlplane/spill/excess.go
+++ b/internal/controlplane/spill/excess.go
@@ -88,8 +88,8 @@
 	}
 	var movable []RouteUsage
 	for _, usage := range zone.Usage {
-		// A removed route stays in the averages for a while. Selecting its usage would
-		// leave too little of the excess to routes that can be moved.
+		// A removed route stays in the averages for a while. Selecting it would use up
+		// excess that must come from routes that can be moved.
 		if _, ranked := p.Ranks[usage.Route]; !ranked {
 			continue
 		}
--- a/internal/controlplane/spill/planner.go
+++ b/internal/controlplane/spill/planner.go
@@ -14,9 +14,9 @@
 	Distance func(a, b ids.Name) float64
 	// Ranks has the rank of each configured route. Routes without a rank are not moved.
 	Ranks map[ids.Name]Rank
-	// PendingIn is the CPU time that earlier plans moved into each zone and that reports
-	// don't show yet; PendingOut is that moved out. Plan adds the CPU time that it returns
-	// from overloaded destinations to both.
+	// PendingIn and PendingOut are the CPU time that earlier plans moved into and out of each
+	// zone and that reports don't show yet. Plan adds the CPU time that it returns from
+	// overloaded destinations to both.
 	PendingIn  map[ids.Name]float64
 	PendingOut map[ids.Name]float64
 }
@@ -83,7 +83,8 @@
 	p.moves = slices.DeleteFunc(p.moves, func(m Move) bool { return m.Fraction < minFraction })
 }
 
-// expectedCPU returns the CPU time that a zone will use once all moves have taken effect.
+// expectedCPU returns the CPU time that a zone will use once the moves of earlier plans, and the
+// expired moves, have taken effect.
 func (p *planner) expectedCPU(zone *Zone) float64 {
 	sum := zone.UsedCPU() + p.PendingIn[zone.Name] - p.PendingOut[zone.Name]
 	for _, route := range slices.Sorted(maps.Keys(p.Ranks)) {
--- a/internal/controlplane/spill/table.go
+++ b/internal/controlplane/spill/table.go
@@ -46,7 +46,7 @@
 	Demands []RouteDemand
 }
 
-// RouteDemand is the CPU time that a route's fresh connections use in a zone, in
+// RouteDemand is the CPU time that a route's new connections use in a zone, in
 // milliseconds per second.
 type RouteDemand struct {
 	Zone, Route ids.Name
