--- a/internal/state/storage/open_file.go
+++ b/internal/state/storage/open_file.go
@@ -12,8 +12,8 @@
 	"dunlinwell/internal/base/errs"
 )
 
-// FormatVersion is the version of the disk format that this package writes. Since version 2, deltas may
-// be recorded after a register's record, which a reader of version 1 would miss.
+// FormatVersion is the version of the disk format that this package writes. Since version 2,
+// deltas may be recorded after a register's record, which a reader of version 1 would miss.
 const FormatVersion = 2
 
 const (
