--- a/internal/controlplane/membership/anti_entropy.go
+++ b/internal/controlplane/membership/anti_entropy.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// digestInterval is how often at most one peer is sent the part digests. A change
-	// reaches both by relay; what the digests find was lost, and can wait.
+	// digestInterval is the minimum time between two Digest messages to the same peer. Changes
+	// are normally propagated by relaying, so digests only repair lost messages.
 	digestInterval = time.Second
-	// divergenceDelay is how long the lists must differ before the part digests are
-	// sent to a peer that they were sent to before. It is longer than a relayed change
-	// takes to arrive, so that changes on their way cause no comparison.
+	// divergenceDelay is how long the lists must differ before another Digest is sent to a peer.
+	// It is longer than a relayed change takes to arrive, so that changes in transit don't
+	// trigger a comparison.
 	divergenceDelay = 1200 * time.Millisecond
-	// maxRelayedMembers bounds the members of one relayed message. The rest follows
-	// with the next one.
+	// maxRelayedMembers bounds the members of one relayed message. The rest are sent in the
+	// next one.
 	maxRelayedMembers = 64
 )
 
-// reconcile answers a peer whose list differs: with the whole list or, in an
-// incremental one, with the digests of its parts.
+// reconcile sends a peer whose list differs the whole list or, if the list is incremental, the
+// digests of its parts.
 func (l *List) reconcile(now ids.Time, peer Member) {
 	if !l.Incremental {
 		l.out.Send(peer.Address, Snapshot{Members: l.All()})
@@ -41,8 +41,7 @@
 	l.out.Send(peer.Address, Digest{Parts: l.partDigests[:]})
 }
 
-// handleDigest answers part digests with this list's members of the parts that
-// differ.
+// handleDigest replies with this list's members of the parts whose digests differ.
 func (l *List) handleDigest(from ids.Address, theirs Digest) {
 	if len(theirs.Parts) != digestParts {
 		return
@@ -59,7 +58,7 @@
 	}
 }
 
-// membersInParts returns this list's members of some parts.
+// membersInParts returns the members that belong to the given parts of the list.
 func (l *List) membersInParts(parts []uint16) []Member {
 	var wanted [digestParts]bool
 	for _, part := range parts {
@@ -76,8 +75,8 @@
 	return members
 }
 
-// handleDelta merges the members of some parts and answers with those that the sender
-// lacks or has in an older state.
+// handleDelta merges the received members and replies with those that the sender lacks or has
+// in an older state.
 func (l *List) handleDelta(from ids.Address, delta Delta) {
 	theirs := map[ids.DaemonID]Member{}
 	for _, m := range delta.Members {
@@ -89,7 +88,7 @@
 	}
 	reply := Delta{Final: true}
 	for _, m := range l.membersInParts(delta.Parts) {
-		if their, ok := theirs[m.ID]; !ok || m.supersedes(their) {
+		if other, ok := theirs[m.ID]; !ok || m.supersedes(other) {
 			reply.Members = append(reply.Members, m)
 		}
 	}
@@ -98,16 +97,15 @@
 	}
 }
 
-// sendSelf sends this daemon's own entry to a registry, which relays it.
+// sendSelf sends this daemon's own entry to a registry, which relays it to the other members.
 func (l *List) sendSelf(registry Member) {
 	if registry.ID != l.Self.ID {
 		l.out.Send(registry.Address, Delta{Members: []Member{l.Self}, Final: true})
 	}
 }
 
-// DrainChanged returns members that changed since they were last returned, at most 64,
-// for a registry to relay. It returns nil if nothing changed or the list isn't
-// incremental.
+// DrainChanged returns up to 64 members that changed since they were last returned, for a
+// registry to relay. It returns nil if nothing changed or the list isn't incremental.
 func (l *List) DrainChanged() []Member {
 	included := map[ids.DaemonID]bool{}
 	var changed []Member
@@ -122,8 +120,8 @@
 	return changed
 }
 
-// broadcastList sends the whole list to all live members. An incremental list is
-// relayed by DrainChanged instead.
+// broadcastList sends the whole list to all live members. If the list is incremental, it does
+// nothing: the owner relays the result of DrainChanged instead.
 func (l *List) broadcastList() {
 	if l.Incremental {
 		return
--- a/internal/controlplane/membership/declaration.go
+++ b/internal/controlplane/membership/declaration.go
@@ -9,32 +9,31 @@
 )
 
 const (
-	// maxFalsePositives bounds how often the time for a member's answer is doubled that
-	// was declared dead by mistake.
+	// maxFalsePositives bounds how often the probe response timeout is doubled for a member
+	// that was declared dead by mistake.
 	maxFalsePositives = 2
-	// falsePositiveRetention is how long such a mistake is remembered.
+	// falsePositiveRetention is how long a mistaken declaration of death is remembered.
 	falsePositiveRetention = 30 * time.Second
 )
 
-// deathDeclaration is a declaration of death that this registry made.
+// deathDeclaration records that this registry declared a member dead.
 type deathDeclaration struct {
 	runID      ids.RunID
 	declaredAt ids.Time
-	// falsePositives is how often the same run was declared dead, this time included.
+	// falsePositives is the number of times this run was declared dead, including this one.
 	falsePositives int
 }
 
-// voteTally is what counts for a member's death.
+// voteTally is the result of counting the votes to declare a member dead.
 type voteTally struct {
-	// votes is the number of votes.
 	votes int
-	// lostWatchers is the number of the member's watchers that are suspected and
-	// unresponsive themselves, so that they may be unable to vote.
+	// lostWatchers is the number of the member's watchers that are themselves suspected and
+	// unresponsive, and may therefore be unable to vote.
 	lostWatchers int
 }
 
-// evaluateSuspicions declares dead the members that enough watchers suspect and
-// that don't answer this registry either.
+// evaluateSuspicions declares dead the members that enough watchers suspect and that don't
+// answer this registry's probes.
 func (l *List) evaluateSuspicions(now ids.Time) {
 	if len(l.suspicions) == 0 {
 		return
@@ -46,9 +45,9 @@
 	}
 }
 
-// evaluateSuspicion decides about one member. A member is also considered if it isn't
-// reported but most of its watchers may be dead. This registry reports it as well then,
-// as a substitute for a watcher.
+// evaluateSuspicion decides whether to declare one member dead. A member without reports is also
+// evaluated if most of its watchers may be dead. If any watcher is lost, this registry reports the
+// member itself, as a substitute for the watcher.
 func (l *List) evaluateSuspicion(now ids.Time, m Member) {
 	tally := l.countVotes(now, m)
 	if !l.isSuspected(now, m) && tally.lostWatchers < l.requiredVotes() {
@@ -67,17 +66,17 @@
 	}
 }
 
-// requiredVotes is how many votes a declaration of death takes: half, rounded up, of the
-// watchers that a member has by the size of the deployment. Of three watchers, as usual,
-// that is a majority; of the two in a deployment of three daemons it is one. It doesn't
-// shrink when watchers are suspected themselves.
+// requiredVotes returns the number of votes needed to declare a member dead: half, rounded up,
+// of the watchers that each member has in a deployment of this size. With the default of three
+// watchers that is a majority; with two, in a deployment of three daemons, it is one. It doesn't
+// shrink when watchers are themselves suspected.
 func (l *List) requiredVotes() int {
 	return (min(l.Watchers, len(l.currentRing().members)-1) + 1) / 2
 }
 
-// countVotes counts the votes for a member's death. A watcher votes by reporting the
-// member. Each watcher that may be unable to vote can be replaced by a registry that
-// has probed the member in vain itself.
+// countVotes counts the votes to declare a member dead. A watcher votes by reporting the member.
+// Each watcher that may be unable to vote can be replaced by a registry whose own probes the
+// member didn't answer.
 func (l *List) countVotes(now ids.Time, m Member) voteTally {
 	var tally voteTally
 	isWatcher := map[ids.DaemonID]bool{}
@@ -100,7 +99,7 @@
 	return tally
 }
 
-// declareDead declares a member dead and tells the others.
+// declareDead marks a member as dead and broadcasts the change.
 func (l *List) declareDead(now ids.Time, m Member, tally voteTally) {
 	l.declarations[m.ID] = deathDeclaration{runID: m.RunID, declaredAt: now, falsePositives: l.falsePositivesOf(now, m) + 1}
 	m.Dead = true
@@ -111,8 +110,8 @@
 	l.broadcastList()
 }
 
-// falsePositivesOf is how often this registry has lately declared a run of a member dead
-// that is alive.
+// falsePositivesOf returns the number of recent declarations by which this registry declared the
+// member's current run dead although it was alive.
 func (l *List) falsePositivesOf(now ids.Time, m Member) int {
 	declaration, ok := l.declarations[m.ID]
 	if !ok || declaration.runID != m.RunID || now.Sub(declaration.declaredAt) > falsePositiveRetention {
--- a/internal/controlplane/membership/digest.go
+++ b/internal/controlplane/membership/digest.go
@@ -8,23 +8,23 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// digestParts is the number of parts that a list's digest is split into. Of 1,600
-// members, one that differs costs the transfer of a part of 25. All daemons must use
-// the same number.
+// digestParts is the number of parts that a list's digest is split into. One differing member
+// causes the transfer of one part: 25 members in a list of 1,600. All daemons must use the same
+// number.
 const digestParts = 64
 
-// digestPart is the part of the list that a member belongs to.
+// digestPart returns the part of the list that a member belongs to.
 func digestPart(id ids.DaemonID) int { return int(ringPosition(id) % digestParts) }
 
-// memberDigest is the checksum of one member. A part's digest is the exclusive or of
-// those of its members, so that a change of one member needs no other.
+// memberDigest returns the checksum of one member. The digest of a part is the XOR of its members'
+// digests, so that it can be updated for one member without reading the others.
 func memberDigest(m Member) uint64 {
 	h := fnv.New64a()
 	hashMember(h, m)
 	return h.Sum64()
 }
 
-// listDigest is the checksum of a list that isn't incremental.
+// listDigest returns the checksum of a list that isn't incremental.
 func listDigest(members []Member) uint64 {
 	h := fnv.New64a()
 	for _, m := range members {
@@ -33,21 +33,21 @@
 	return h.Sum64()
 }
 
-// hashMember adds a member to a hash: its id, and what Member.supersedes compares.
+// hashMember adds a member's id and the fields that Member.supersedes compares to a hash.
 func hashMember(h hash.Hash64, m Member) {
-	gone := uint64(0)
+	dead := uint64(0)
 	if m.Dead {
-		gone = 1
+		dead = 1
 	}
 	h.Write([]byte(m.ID))
 	var raw [24]byte
 	binary.BigEndian.PutUint64(raw[:], uint64(m.Incarnation))
 	binary.BigEndian.PutUint64(raw[8:], uint64(m.Sequence))
-	binary.BigEndian.PutUint64(raw[16:], gone)
+	binary.BigEndian.PutUint64(raw[16:], dead)
 	h.Write(raw[:])
 }
 
-// currentDigest is the checksum of the whole list, which heartbeats carry.
+// currentDigest returns the checksum of the whole list, which heartbeats carry.
 func (l *List) currentDigest() uint64 {
 	if l.digestStale {
 		if l.Incremental {
@@ -60,7 +60,8 @@
 	return l.digest
 }
 
-// combinePartDigests is the checksum of an incremental list, made from its parts.
+// combinePartDigests returns the checksum of an incremental list, computed from the digests of
+// its parts.
 func (l *List) combinePartDigests() uint64 {
 	h := fnv.New64a()
 	var raw [8]byte
--- a/internal/controlplane/membership/failure_detector.go
+++ b/internal/controlplane/membership/failure_detector.go
@@ -6,12 +6,12 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// probeInterval is the time between two probes of a silent member. Several fit into
-// each time-out, as a probe or its reply may be lost.
+// probeInterval is the time between two probes of a silent member. Several probes fit into each
+// timeout, because a probe or its reply may be lost.
 const probeInterval = 200 * time.Millisecond
 
-// checkWatched probes and suspects the members that this daemon watches and doesn't
-// hear.
+// checkWatched probes and reports the members that this daemon watches and that have been silent
+// for too long.
 func (l *List) checkWatched(now ids.Time) {
 	watched := l.currentRing().watched(l.Self.ID, l.Watchers)
 	for _, m := range watched {
@@ -23,14 +23,14 @@
 		l.checkSilence(now, m, history, watched)
 	}
 	if len(l.heartbeats) > len(watched) {
-		l.forgetUnwatched(watched)
+		l.pruneUnwatched(watched)
 	}
 }
 
-// checkSilence probes a watched member when two thirds of its suspicion time-out are
-// over, which leaves the last third for the answer, and reports it as suspected when
-// all of it is, again with each heartbeat interval. A member that was suspected and is
-// heard again is no longer suspected.
+// checkSilence probes a watched member once two thirds of its suspicion timeout have passed,
+// which leaves the last third for the reply. Once the whole timeout has passed it reports the
+// member as suspected, and repeats the report every heartbeat interval. If a suspected member is
+// heard from again, it withdraws the report.
 func (l *List) checkSilence(now ids.Time, m Member, history *heartbeatHistory, watched []Member) {
 	silence, timeout := l.silenceOf(now, m, history), l.suspicionTimeout(history)
 	if history.suspectedAt != 0 && silence < timeout {
@@ -42,16 +42,16 @@
 		l.out.Send(m.Address, Probe{ID: m.ID})
 	}
 	reportDue := now.Sub(history.suspectedAt) >= l.HeartbeatInterval
-	if silence >= timeout && reportDue && l.hearsAnyoneElse(now, m, watched) {
+	if silence >= timeout && reportDue && l.heardFromOthers(now, m, watched) {
 		history.suspectedAt = now
 		l.broadcastSuspect(now, m, timeout)
 	}
 }
 
-// hearsAnyoneElse reports whether this daemon has lately heard from anyone but one
-// member. If not, it is probably cut off itself, and its suspicions mean nothing. In a
-// deployment of two there is nobody else to hear.
-func (l *List) hearsAnyoneElse(now ids.Time, except Member, watched []Member) bool {
+// heardFromOthers reports whether this daemon has recently heard from any member other than
+// except. If not, this daemon is probably isolated, and its suspicions are unreliable. In a
+// deployment of two it returns true, because there is no other member.
+func (l *List) heardFromOthers(now ids.Time, except Member, watched []Member) bool {
 	if len(l.currentRing().members) <= 2 {
 		return true
 	}
@@ -69,8 +69,8 @@
 	return false
 }
 
-// forgetUnwatched drops the histories of members that this daemon no longer watches.
-func (l *List) forgetUnwatched(watched []Member) {
+// pruneUnwatched drops the histories of members that this daemon no longer watches.
+func (l *List) pruneUnwatched(watched []Member) {
 	kept := make(map[ids.DaemonID]*heartbeatHistory, len(watched))
 	for _, m := range watched {
 		kept[m.ID] = l.heartbeats[m.ID]
@@ -78,15 +78,15 @@
 	l.heartbeats = kept
 }
 
-// broadcastSuspect reports to every registry, this one included, that a member has been
-// silent for a time.
+// broadcastSuspect reports to every registry, and to this list, that a member has been silent for
+// the given time.
 func (l *List) broadcastSuspect(now ids.Time, m Member, silence time.Duration) {
 	suspect := Suspect{Watcher: l.Self.ID, Member: m.ID, Incarnation: m.Incarnation, SilenceMillis: uint32(silence / time.Millisecond)}
 	l.handleSuspect(now, suspect)
 	l.sendToRegistries(suspect)
 }
 
-// broadcastWithdraw tells every registry that a suspected member was heard again.
+// broadcastWithdraw tells every registry that a suspected member was heard from again.
 func (l *List) broadcastWithdraw(m Member) {
 	withdraw := Withdraw{Watcher: l.Self.ID, Member: m.ID}
 	l.handleWithdraw(withdraw)
@@ -102,8 +102,8 @@
 	}
 }
 
-// handleProbe answers a probe of this daemon. One for a daemon that had this address
-// before isn't answered.
+// handleProbe answers a probe of this daemon. Probes of a previous daemon at this address are
+// ignored.
 func (l *List) handleProbe(from ids.Address, p Probe) {
 	if p.ID == l.Self.ID {
 		l.out.Send(from, ProbeReply{Self: l.Self})
--- a/internal/controlplane/membership/heartbeat_history.go
+++ b/internal/controlplane/membership/heartbeat_history.go
@@ -7,52 +7,51 @@
 )
 
 const (
-	// averageWeight is the weight of the past in the moving averages of a heartbeat
-	// history: a new gap counts for one eighth, so that one late heartbeat moves them
-	// little and a change of the link shows within a few seconds.
+	// averageWeight is the divisor of the moving averages of a heartbeat history: a new interval
+	// counts for one eighth.
 	averageWeight = 8
-	// meanFactor and deviationFactor make the suspicion time-out of a member from the
-	// mean and the mean deviation of its gaps.
+	// meanFactor and deviationFactor are the weights of the mean and the mean deviation of a
+	// member's heartbeat intervals in its suspicion timeout.
 	meanFactor      = 2
 	deviationFactor = 6
-	// maxTimeoutFactor bounds the suspicion time-out of a member with irregular
-	// heartbeats, in multiples of Options.SuspicionTimeout.
+	// maxTimeoutFactor bounds the suspicion timeout of a member with irregular heartbeats, as a
+	// multiple of Options.SuspicionTimeout.
 	maxTimeoutFactor = 3
-	// startupPeriod is for how long after its own start a daemon expects irregular
-	// heartbeats. The whole deployment may have started with it, and the links are
-	// full of what the members tell one another.
+	// startupPeriod is how long after its own start a daemon expects irregular heartbeats. The
+	// whole deployment may have started at the same time, and membership traffic then congests
+	// the links.
 	startupPeriod = 6 * time.Second
-	// contactRetention is how long the last contact with an address is remembered,
-	// which is far beyond all time-outs.
+	// contactRetention is how long the last contact with an address is remembered. It is much
+	// longer than all timeouts.
 	contactRetention = time.Minute
 )
 
-// heartbeatHistory is what a watcher knows of one member's heartbeats.
+// heartbeatHistory is a watcher's record of one member's heartbeats.
 type heartbeatHistory struct {
-	// lastHeard is when the last heartbeat arrived, or when the watch began.
+	// lastHeard is when the last heartbeat arrived, or when the daemon began to watch the member.
 	lastHeard ids.Time
-	// meanInterval and intervalDeviation are moving averages of the gaps between
-	// heartbeats and of their deviations from the mean.
+	// meanInterval and intervalDeviation are moving averages of the intervals between heartbeats
+	// and of their absolute deviation from the mean.
 	meanInterval, intervalDeviation time.Duration
 	// lastProbe is when the member was last probed; 0 if never.
 	lastProbe ids.Time
-	// suspectedAt is when the member was last reported as suspected; 0 if it isn't.
+	// suspectedAt is when the member was last reported as suspected; 0 if it isn't suspected.
 	suspectedAt ids.Time
 }
 
-// newHeartbeatHistory is the history of a member that is watched from now on.
+// newHeartbeatHistory returns the history of a member that is watched from now on.
 func (l *List) newHeartbeatHistory(now ids.Time) *heartbeatHistory {
 	history := &heartbeatHistory{lastHeard: now, meanInterval: l.HeartbeatInterval}
 	if now.Sub(l.firstTick) < startupPeriod {
-		// With deviationFactor this makes the time-out more than twice SuspicionTimeout, and
-		// still less than the most that maxTimeoutFactor allows.
+		// Makes the timeout more than twice SuspicionTimeout, which is still below the bound set
+		// by maxTimeoutFactor.
 		history.intervalDeviation = l.SuspicionTimeout / 3
 	}
 	return history
 }
 
-// record notes a heartbeat. A gap above maxGap means that the member was away, and
-// doesn't count in the averages.
+// record records a heartbeat. An interval longer than maxGap means that the member was
+// unavailable, and is left out of the averages.
 func (h *heartbeatHistory) record(now ids.Time, maxGap time.Duration) {
 	gap := now.Sub(h.lastHeard)
 	h.lastHeard = now
@@ -64,8 +63,7 @@
 	h.intervalDeviation += (deviation.Abs() - h.intervalDeviation) / averageWeight
 }
 
-// recordHeartbeat notes a heartbeat or probe reply of a member, which also ends all
-// suspicion of it.
+// recordHeartbeat records a heartbeat or probe reply of a member and clears all suspicion of it.
 func (l *List) recordHeartbeat(now ids.Time, id ids.DaemonID) {
 	if history := l.heartbeats[id]; history != nil {
 		history.record(now, maxTimeoutFactor*l.SuspicionTimeout)
@@ -75,28 +73,28 @@
 	}
 }
 
-// suspicionTimeout is how long a member may be silent before it is suspected: longer
-// the more irregular its heartbeats are, and never less than Options.SuspicionTimeout.
+// suspicionTimeout returns how long a member may be silent before it is suspected. The timeout
+// grows with the irregularity of its heartbeats and is at least Options.SuspicionTimeout.
 func (l *List) suspicionTimeout(history *heartbeatHistory) time.Duration {
 	expected := meanFactor*history.meanInterval + deviationFactor*history.intervalDeviation
 	return min(max(expected, l.SuspicionTimeout), maxTimeoutFactor*l.SuspicionTimeout)
 }
 
-// RecordContact notes that a message of any kind came from an address. It proves that
-// whoever has the address is alive, and outweighs what others report.
+// RecordContact records that a message of any kind arrived from an address. It proves that the
+// daemon at the address is alive, and takes precedence over reports by others.
 func (l *List) RecordContact(now ids.Time, from ids.Address) {
 	if from != l.Self.Address {
 		l.lastContact[from] = now
 	}
 }
 
-// silenceOf is for how long no message of any kind has come from a watched member.
+// silenceOf returns the time since a message of any kind last arrived from a watched member.
 func (l *List) silenceOf(now ids.Time, m Member, history *heartbeatHistory) time.Duration {
 	return now.Sub(max(history.lastHeard, l.lastContact[m.Address]))
 }
 
-// forgetOldContacts drops the contacts that are too old to matter.
-func (l *List) forgetOldContacts(now ids.Time) {
+// pruneContacts drops the contacts that are older than contactRetention.
+func (l *List) pruneContacts(now ids.Time) {
 	for address, lastContact := range l.lastContact {
 		if now.Sub(lastContact) > contactRetention {
 			delete(l.lastContact, address)
@@ -104,9 +102,9 @@
 	}
 }
 
-// compensatePause takes a gap between two ticks into account: what this daemon didn't
-// hear while it was paused says nothing about the others. After a long pause all
-// silence counts anew, after a short one it is counted without the pause.
+// compensatePause corrects for a gap between two ticks, in which this process was paused and
+// couldn't receive messages. After a long pause all timeouts are restarted; after a short one they
+// are extended by the pause.
 func (l *List) compensatePause(now ids.Time) {
 	isFirst := l.lastTick == 0
 	if isFirst {
@@ -124,7 +122,7 @@
 	}
 }
 
-// restartTimeouts counts all silence from now on and drops all suspicion.
+// restartTimeouts restarts all suspicion timeouts and drops all suspicions.
 func (l *List) restartTimeouts(now ids.Time) {
 	for _, history := range l.heartbeats {
 		history.lastHeard, history.lastProbe = now, 0
@@ -132,7 +130,7 @@
 	clear(l.suspicions)
 }
 
-// extendTimeouts leaves a pause out of all silence.
+// extendTimeouts extends all suspicion and probe timeouts by a pause.
 func (l *List) extendTimeouts(now ids.Time, pause time.Duration) {
 	for _, history := range l.heartbeats {
 		history.lastHeard = min(history.lastHeard.Add(pause), now)
--- a/internal/controlplane/membership/list.go
+++ b/internal/controlplane/membership/list.go
@@ -10,60 +10,61 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// List is the membership list and failure detector of one daemon, a state machine that
-// the daemon embeds: it hands in messages (Receive) and time (Tick).
+// List is the membership list and failure detector of one daemon. It is a state machine, driven
+// by messages (Receive) and time (Tick).
 type List struct {
 	Options
 	out *event.Outbox
-	// MayDeclareDead, if set, reports whether this registry may declare members dead.
-	// One that is cut off from the majority of stores may not.
+	// MayDeclareDead, if set, reports whether this registry may declare members dead. A registry
+	// that can't reach a majority of stores may not.
 	MayDeclareDead func(now ids.Time) bool
 
 	members map[ids.DaemonID]Member
 	// version counts the changes of members.
 	version uint64
-	// sorted are the members in order of id; nil when it must be made anew.
+	// sorted caches the members sorted by id; nil if it must be rebuilt.
 	sorted []Member
-	// ring has the live members in order of the ring; nil when it must be made anew.
+	// ring caches the ring of live members; nil if it must be rebuilt.
 	ring *ring
-	// published is the list as other goroutines see it, and publishedVersion the
-	// version that it was made of.
+	// published is the copy of the list that other goroutines read, and publishedVersion the
+	// version of the list that it was copied from.
 	published        atomic.Pointer[publishedList]
 	publishedVersion uint64
 
-	// heartbeats are the histories of the members that this daemon watches.
+	// heartbeats holds the heartbeat histories of the members that this daemon watches.
 	heartbeats map[ids.DaemonID]*heartbeatHistory
-	// lastContact is when any message last arrived from an address.
+	// lastContact is when a message of any kind last arrived from each address.
 	lastContact map[ids.Address]ids.Time
-	// suspicions are what is held against members. Only registries are sent reports.
+	// suspicions holds the suspicions of members. Reports by other daemons are only sent to
+	// registries.
 	suspicions map[ids.DaemonID]*suspicion
-	// declarations are the deaths that this registry declared itself.
+	// declarations holds the latest declaration of death of each member by this registry.
 	declarations map[ids.DaemonID]deathDeclaration
 
 	// firstTick and lastTick are when Tick was first and last called; 0 before.
 	firstTick, lastTick ids.Time
-	// nextHeartbeat is when the watchers are next sent a heartbeat.
+	// nextHeartbeat is when the next heartbeat to the watchers is due.
 	nextHeartbeat ids.Time
-	// nextRejoin is when unknown seeds and dead members are next sent a heartbeat.
+	// nextRejoin is when the next heartbeat to unknown seeds and dead members is due.
 	nextRejoin ids.Time
-	// seedRotation counts the heartbeats to single seeds, so that each has its turn.
+	// seedRotation counts the heartbeats to single seeds, which are chosen round-robin.
 	seedRotation int
 
-	// partDigests are the checksums of the parts of the list, and digest the one of
-	// the whole list unless digestStale.
+	// partDigests holds the checksums of the parts of the list. digest is the checksum of the
+	// whole list, and must be recomputed if digestStale is set.
 	partDigests [digestParts]uint64
 	digest      uint64
 	digestStale bool
-	// digestSentAt is when a peer was last sent the part digests.
+	// digestSentAt is when the last Digest was sent to each peer.
 	digestSentAt map[ids.DaemonID]ids.Time
-	// divergedSince is since when a peer's list has differed from this one.
+	// divergedSince is when each peer's list was first seen to differ from this one.
 	divergedSince map[ids.DaemonID]ids.Time
-	// pendingRelay are the members that changed and weren't relayed yet.
+	// pendingRelay holds the members that changed and haven't been relayed yet.
 	pendingRelay []ids.DaemonID
 }
 
-// New makes a list that knows no member but its own daemon. Messages and log entries
-// go to out.
+// New returns a list that contains only the daemon's own entry. Messages and log entries go to
+// out.
 func New(options Options, out *event.Outbox) *List {
 	options.setDefaults()
 	options.Self.Sequence = 1
@@ -83,10 +84,9 @@
 	return l
 }
 
-// UpdateSelf changes the readiness and the configuration revision of the daemon's own
-// entry. In an incremental list a new revision alone isn't announced: registries know
-// it from acknowledgements, and the announcements would grow with the square of the
-// number of members.
+// UpdateSelf updates the readiness and the configuration revision of the daemon's own entry. In
+// an incremental list a new revision alone isn't announced: registries learn it from
+// acknowledgements, and the announcements would be quadratic in the number of members.
 func (l *List) UpdateSelf(ready bool, revision ids.Revision) {
 	if l.Self.Ready == ready && (l.Self.Revision == revision || l.Incremental) {
 		l.Self.Revision = revision
@@ -116,10 +116,10 @@
 	l.version++
 }
 
-// Version returns a number that grows with each change of the list.
+// Version returns a number that increases with each change of the list.
 func (l *List) Version() uint64 { return l.version }
 
-// All returns all known members, dead ones included, in order of id.
+// All returns all known members, including dead ones, sorted by id.
 func (l *List) All() []Member {
 	if l.sorted == nil {
 		l.sorted = slices.SortedFunc(maps.Values(l.members), func(a, b Member) int { return cmp.Compare(a.ID, b.ID) })
@@ -127,7 +127,7 @@
 	return slices.Clip(l.sorted)
 }
 
-// Live returns the live members of a role in order of id.
+// Live returns the live members of a role, sorted by id.
 func (l *List) Live(role Role) []Member {
 	var live []Member
 	for _, m := range l.All() {
@@ -144,8 +144,8 @@
 	return m, ok
 }
 
-// RunEnded reports whether a run of a daemon is over as far as is known: the daemon was
-// declared dead, has a later run, or isn't known at all.
+// RunEnded reports whether a run of a daemon is known to have ended: the daemon was declared dead,
+// has a different run, or isn't in the list.
 func (l *List) RunEnded(id ids.DaemonID, run ids.RunID) bool {
 	m, ok := l.members[id]
 	return !ok || m.Dead || m.RunID != run
--- a/internal/controlplane/membership/log_events.go
+++ b/internal/controlplane/membership/log_events.go
@@ -4,9 +4,9 @@
 
 // Log events of this package.
 const (
-	// EventMemberDeclaredDead says that this registry declared a member dead.
+	// EventMemberDeclaredDead is logged when this registry declares a member dead.
 	EventMemberDeclaredDead event.LogEvent = "member_declared_dead"
-	// EventDeathRefuted says that this daemon raised its incarnation, as others held it
-	// for dead or knew an earlier run of it.
+	// EventDeathRefuted is logged when this daemon raises its incarnation because another member
+	// has it as dead or knows another run of it.
 	EventDeathRefuted event.LogEvent = "death_refuted"
 )
--- a/internal/controlplane/membership/options.go
+++ b/internal/controlplane/membership/options.go
@@ -6,40 +6,39 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// Defaults of Options. Four heartbeats fit into a suspicion time-out, or three of a
-// large deployment, so that a member isn't suspected for one or two lost ones.
+// Defaults of Options. A suspicion timeout spans at least three heartbeat intervals, so that a
+// member isn't suspected because of one or two lost heartbeats.
 const (
 	defaultWatchers          = 3
 	defaultHeartbeatInterval = 250 * time.Millisecond
 	defaultSuspicionTimeout  = time.Second
-	// incrementalHeartbeatInterval and incrementalSuspicionTimeout are the defaults of
-	// an incremental list, which is made for large deployments.
+	// incrementalHeartbeatInterval and incrementalSuspicionTimeout are the defaults for an
+	// incremental list, which is meant for large deployments.
 	incrementalHeartbeatInterval = 400 * time.Millisecond
 	incrementalSuspicionTimeout  = 1200 * time.Millisecond
 )
 
-// Options are the options of a List. Zero values take the defaults.
+// Options are the options of a List. Zero values are replaced by the defaults.
 type Options struct {
 	// Self is the daemon's own entry.
 	Self Member
-	// Seeds are the addresses that a daemon joins through.
+	// Seeds are the addresses of the members through which the daemon joins.
 	Seeds []ids.Address
-	// Watchers is how many members watch each member; 3 by default. All daemons must
+	// Watchers is the number of members that watch each member; 3 by default. All daemons must
 	// use the same number.
 	Watchers int
 	// HeartbeatInterval is the time between two heartbeats; 250 ms by default, or
 	// 400 ms if Incremental is set and SuspicionTimeout is zero.
 	HeartbeatInterval time.Duration
-	// SuspicionTimeout is the least silence for which a member is suspected; 1 s by
-	// default, or 1.2 s if Incremental is set and HeartbeatInterval is zero.
+	// SuspicionTimeout is the minimum silence after which a member is suspected; 1 s by default,
+	// or 1.2 s if Incremental is set and HeartbeatInterval is zero.
 	SuspicionTimeout time.Duration
-	// Incremental keeps the size of messages independent of the number of members:
-	// lists that differ are compared part by part, and registries relay changes.
-	// Otherwise whole lists are sent.
+	// Incremental limits the size of messages in large deployments: lists that differ are
+	// compared part by part, and registries relay changes. Otherwise whole lists are sent.
 	Incremental bool
 }
 
-// setDefaults replaces zero values by the defaults.
+// setDefaults replaces zero values with the defaults.
 func (o *Options) setDefaults() {
 	if o.Watchers == 0 {
 		o.Watchers = defaultWatchers
--- a/internal/controlplane/membership/receive.go
+++ b/internal/controlplane/membership/receive.go
@@ -7,8 +7,7 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// Receive handles a message. It returns false if the message isn't one of this
-// package.
+// Receive handles a message. It returns false if the message isn't defined by this package.
 func (l *List) Receive(now ids.Time, from ids.Address, msg any) bool {
 	l.RecordContact(now, from)
 	switch m := msg.(type) {
@@ -35,8 +34,7 @@
 	return true
 }
 
-// handleHeartbeat records a sign of life, and reconciles with a sender whose list
-// differs.
+// handleHeartbeat records a heartbeat, and reconciles with the sender if its list differs.
 func (l *List) handleHeartbeat(now ids.Time, h Heartbeat) {
 	l.merge([]Member{h.Self})
 	l.recordHeartbeat(now, h.Self.ID)
@@ -47,7 +45,7 @@
 	}
 }
 
-// handleSnapshot merges a whole list, and answers with this one if they differ.
+// handleSnapshot merges a whole list, and replies with this list if the two still differ.
 func (l *List) handleSnapshot(from ids.Address, s Snapshot) {
 	l.merge(s.Members)
 	if !s.Final && listDigest(s.Members) != l.currentDigest() {
@@ -55,8 +53,8 @@
 	}
 }
 
-// merge takes in the members that supersede the known ones. A registry that is new, or
-// runs anew, is sent this daemon's own entry, as it may not have it.
+// merge adds the members that supersede the known entries. In an incremental list it sends this
+// daemon's own entry to each registry that is new or was restarted, which may not have it.
 func (l *List) merge(members []Member) {
 	for _, m := range members {
 		if m.ID == l.Self.ID {
@@ -75,8 +73,8 @@
 	}
 }
 
-// refute raises this daemon's incarnation if its entry elsewhere says that it is dead,
-// or is that of another run.
+// refute raises this daemon's incarnation if another member's entry for it says that it is dead or
+// belongs to another run.
 func (l *List) refute(claim Member) {
 	if claim.Incarnation < l.Self.Incarnation {
 		return
--- a/internal/controlplane/membership/ring.go
+++ b/internal/controlplane/membership/ring.go
@@ -9,18 +9,18 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// ring has the live members in order of a hash of their ids. Each member is watched by
-// the ones that follow it.
+// ring holds the live members in the order of a hash of their ids. Each member is watched by the
+// members that follow it.
 type ring struct {
 	members []Member
-	// doubled is the ring twice in a row, so that the neighbours of any member are one
-	// slice of it.
+	// doubled is members concatenated with itself, so that the neighbours of any member are a
+	// contiguous slice.
 	doubled []Member
 	// index is the position of each member in members.
 	index map[ids.DaemonID]int
 }
 
-// newRing makes a ring of live members, which are in order already.
+// newRing returns a ring of live members, which must be sorted by ring position.
 func newRing(members []Member) *ring {
 	r := &ring{members: members, doubled: slices.Concat(members, members), index: make(map[ids.DaemonID]int, len(members))}
 	for i, m := range members {
@@ -29,7 +29,8 @@
 	return r
 }
 
-// watchers returns the k members that follow a member; they watch it.
+// watchers returns the members that watch a member: the k that follow it, or all others if there
+// are fewer.
 func (r *ring) watchers(id ids.DaemonID, k int) []Member {
 	i, ok := r.index[id]
 	if !ok {
@@ -38,7 +39,8 @@
 	return r.doubled[i+1 : i+1+min(k, len(r.members)-1)]
 }
 
-// watched returns the k members that precede a member; it watches them.
+// watched returns the members that a member watches: the k that precede it, or all others if
+// there are fewer.
 func (r *ring) watched(id ids.DaemonID, k int) []Member {
 	i, ok := r.index[id]
 	if !ok {
@@ -49,15 +51,15 @@
 	return r.doubled[end-k : end]
 }
 
-// ringPosition is a member's position on the ring.
+// ringPosition returns a member's position on the ring.
 func ringPosition(id ids.DaemonID) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(id))
 	return h.Sum64()
 }
 
-// sortByRingPosition orders members by their position on the ring, and members at the
-// same position by id.
+// sortByRingPosition sorts members by their position on the ring, and by id if the positions are
+// equal.
 func sortByRingPosition(members []Member) {
 	positions := make(map[ids.DaemonID]uint64, len(members))
 	for _, m := range members {
@@ -68,7 +70,7 @@
 	})
 }
 
-// currentRing returns the ring of the members that are live now.
+// currentRing returns the ring of the live members.
 func (l *List) currentRing() *ring {
 	if l.ring == nil {
 		live := slices.DeleteFunc(slices.Collect(maps.Values(l.members)), func(m Member) bool { return m.Dead })
@@ -78,5 +80,5 @@
 	return l.ring
 }
 
-// liveMembers returns the live members in order of the ring.
+// liveMembers returns the live members in ring order.
 func (l *List) liveMembers() []Member { return slices.Clip(l.currentRing().members) }
--- a/internal/controlplane/membership/suspicion.go
+++ b/internal/controlplane/membership/suspicion.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	// probeTimeout is how long a registry gives a member to answer its probes before it
-	// may declare the member dead: three probes.
+	// probeTimeout is the minimum time that a member has to answer a registry's probes before the
+	// registry may declare it dead. It allows for three probes.
 	probeTimeout = 600 * time.Millisecond
-	// probeSequenceTimeout is how long ago the last probe may be for the next one to
-	// continue the same sequence. After a longer gap the wait starts anew.
+	// probeSequenceTimeout is the maximum time between two probes of the same sequence. After a
+	// longer gap the member's time to answer starts again.
 	probeSequenceTimeout = 2 * time.Second
 )
 
-// suspicion is what a registry holds against one member.
+// suspicion is a registry's state about one suspected member.
 type suspicion struct {
-	// reports are the latest reports by the daemons that sent them.
+	// reports holds the latest report of each reporting daemon.
 	reports map[ids.DaemonID]suspectReport
-	// probingSince is when this registry began to probe the member without an answer
-	// since; 0 if it doesn't.
+	// probingSince is when this registry sent the first probe of the current unanswered sequence;
+	// 0 if there is none.
 	probingSince ids.Time
 	// lastProbe is when this registry last probed the member; 0 if never.
 	lastProbe ids.Time
-	// falsePositives is how often this registry declared this run of the member dead
-	// although it was alive. Each doubles the time that the member is given.
+	// falsePositives is the number of times this registry declared the member's current run dead
+	// although it was alive. Each doubles the time that the member has to answer probes.
 	falsePositives int
 }
 
@@ -33,11 +33,11 @@
 type suspectReport struct {
 	incarnation ids.Incarnation
 	receivedAt  ids.Time
-	// silence is after how long a silence the member was suspected.
+	// silence is the silence after which the watcher suspected the member.
 	silence time.Duration
 }
 
-// suspicionOf returns what is held against a member, and makes an empty one if need be.
+// suspicionOf returns the suspicion of a member, and creates an empty one if there is none.
 func (l *List) suspicionOf(id ids.DaemonID) *suspicion {
 	s := l.suspicions[id]
 	if s == nil {
@@ -47,15 +47,15 @@
 	return s
 }
 
-// reset drops all reports against a member that has shown itself. The time of the last
-// probe stays, so that the member isn't probed again at once.
+// reset drops all reports of a member that was heard from. It keeps the time of the last probe, so
+// that the member isn't probed again immediately.
 func (s *suspicion) reset() {
 	clear(s.reports)
 	s.probingSince = 0
 }
 
-// responseTimeout is how long the member is given to answer this registry's probes:
-// longer than probeTimeout in proportion to the silence that its watchers allowed it.
+// responseTimeout returns how long the member has to answer this registry's probes: probeTimeout,
+// scaled up in proportion to its watchers' suspicion timeout and doubled for each false positive.
 func (s *suspicion) responseTimeout(suspicionTimeout time.Duration) time.Duration {
 	longest := suspicionTimeout
 	for _, report := range s.reports {
@@ -65,8 +65,8 @@
 	return probeTimeout * longest / suspicionTimeout << s.falsePositives
 }
 
-// handleSuspect takes in a report against the present incarnation of a live member.
-// One against this daemon itself is ignored: it refutes its death if it comes to that.
+// handleSuspect records a report of the current incarnation of a live member. A report of this
+// daemon itself is ignored: if it is declared dead, it refutes that.
 func (l *List) handleSuspect(now ids.Time, report Suspect) {
 	m, ok := l.members[report.Member]
 	if !ok || m.Dead || m.Incarnation != report.Incarnation || report.Member == l.Self.ID {
@@ -79,17 +79,17 @@
 	}
 }
 
-// handleWithdraw drops all reports against a member that one of its watchers has heard
-// again: the others' reports are older than that.
+// handleWithdraw drops all reports of a member that one of its watchers has heard from again. The
+// reports of the other watchers are older than that.
 func (l *List) handleWithdraw(w Withdraw) {
 	if s := l.suspicions[w.Member]; s != nil {
 		s.reset()
 	}
 }
 
-// isSuspectedBy reports whether a daemon has lately reported the present incarnation of
-// a member. Watchers repeat their reports with each heartbeat interval, so that one as old
-// as twice the suspicion time-out no longer holds.
+// isSuspectedBy reports whether a daemon has recently reported the current incarnation of a
+// member. Watchers repeat their reports every heartbeat interval, so a report expires after twice
+// the suspicion timeout.
 func (l *List) isSuspectedBy(now ids.Time, m Member, reporter ids.DaemonID) bool {
 	s := l.suspicions[m.ID]
 	if s == nil {
@@ -99,8 +99,8 @@
 	return ok && report.incarnation == m.Incarnation && now.Sub(report.receivedAt) < 2*l.SuspicionTimeout
 }
 
-// isSuspected reports whether any daemon has lately reported the present incarnation of
-// a member.
+// isSuspected reports whether any daemon has recently reported the current incarnation of a
+// member.
 func (l *List) isSuspected(now ids.Time, m Member) bool {
 	s := l.suspicions[m.ID]
 	if s == nil {
@@ -114,8 +114,8 @@
 	return false
 }
 
-// probeSuspected probes a suspected member, and reports whether it has left this
-// registry's probes unanswered for long enough.
+// probeSuspected probes a suspected member, and reports whether it is unresponsive (see
+// isUnresponsive).
 func (l *List) probeSuspected(now ids.Time, m Member) bool {
 	s := l.suspicionOf(m.ID)
 	s.falsePositives = l.falsePositivesOf(now, m)
@@ -133,8 +133,8 @@
 	return l.isUnresponsive(now, m)
 }
 
-// isUnresponsive reports whether a member has left this registry's probes unanswered
-// for long enough, and sent it nothing else either.
+// isUnresponsive reports whether a member hasn't answered this registry's probes within the
+// response timeout, nor sent it any other message.
 func (l *List) isUnresponsive(now ids.Time, m Member) bool {
 	s := l.suspicions[m.ID]
 	if s == nil || s.probingSince == 0 || l.lastContact[m.Address] > s.probingSince {
--- a/internal/controlplane/membership/tick.go
+++ b/internal/controlplane/membership/tick.go
@@ -6,13 +6,12 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// rejoinInterval is how many heartbeat intervals pass between two attempts to reach
-// unknown seeds and dead members. They are rarely there, so it is less often than
-// heartbeats.
+// rejoinInterval is the number of heartbeat intervals between two attempts to reach unknown seeds
+// and dead members.
 const rejoinInterval = 4
 
-// Tick does what has become due: checks on watched members, declarations of death, and
-// heartbeats. The owner calls it several times per heartbeat interval.
+// Tick runs the periodic work that is due: it checks watched members, declares members dead and
+// sends heartbeats. The owner calls it several times per heartbeat interval.
 func (l *List) Tick(now ids.Time) {
 	defer l.publish()
 	if l.Self.Role != Registry {
@@ -33,19 +32,18 @@
 	}
 	if now >= l.nextRejoin {
 		l.nextRejoin = now.Add(rejoinInterval * l.HeartbeatInterval)
-		l.forgetOldContacts(now)
-		l.contactUnreachable()
+		l.pruneContacts(now)
+		l.attemptRejoin()
 	}
 }
 
-// sendHeartbeat sends a heartbeat to an address.
 func (l *List) sendHeartbeat(to ids.Address) {
 	l.out.Send(to, Heartbeat{Self: l.Self, Digest: l.currentDigest()})
 }
 
-// contactUnreachable sends a heartbeat to seeds that aren't live members and to one of
-// the dead members, so that daemons join and the sides of a partition rejoin.
-func (l *List) contactUnreachable() {
+// attemptRejoin sends a heartbeat to seeds that aren't live members and to one of the dead members,
+// so that new daemons join and the sides of a healed partition find each other.
+func (l *List) attemptRejoin() {
 	live := map[ids.Address]bool{l.Self.Address: true}
 	for _, m := range l.liveMembers() {
 		live[m.Address] = true
@@ -60,20 +58,20 @@
 		}
 	}
 	if len(dead) > 0 {
-		l.sendHeartbeat(dead[l.deadMemberTurn(len(dead))].Address)
+		l.sendHeartbeat(dead[l.pickDeadMember(len(dead))].Address)
 	}
 }
 
-// deadMemberTurn chooses one of n dead members. The choice changes with time and
-// differs between daemons, which have no common counter.
-func (l *List) deadMemberTurn(n int) int {
+// pickDeadMember returns the index of one of n dead members. The choice varies over time and
+// between daemons, so that together they try all dead members.
+func (l *List) pickDeadMember(n int) int {
 	seconds := ids.Sequence(l.nextRejoin / ids.Time(time.Second))
 	return int(l.Self.Sequence+ids.Sequence(l.version)+seconds) % n
 }
 
-// unknownSeeds returns the seeds that aren't among the addresses of live members. In an
-// incremental list that knows other members it is one of them in turn, so that a
-// whole deployment that starts at once doesn't overload its seeds.
+// unknownSeeds returns the seeds that aren't addresses of live members. An incremental list that
+// knows other members returns one seed per call, round-robin, so that a deployment that starts all
+// at once doesn't overload its seeds.
 func (l *List) unknownSeeds(live map[ids.Address]bool) []ids.Address {
 	var unknown []ids.Address
 	for _, seed := range l.Seeds {
