--- a/internal/controlplane/membership/failure_detector_test.go
+++ b/internal/controlplane/membership/failure_detector_test.go
@@ -10,8 +10,8 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// Slow processes, congested links and lost messages aren't deaths. When suspected
-// watchers lowered the quorum, a single vote declared members dead by the hundred.
+// Guards against false positives with slow processes, congested links and lost messages: suspected
+// watchers must not lower the number of votes required.
 func TestFailureDetector_SlowAndLossyMembersStayAlive(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -27,7 +27,7 @@
 				total += n
 			}
 			if total > 0 {
-				t.Errorf("%d declarations of %d members, none of which was dead", total, len(f.declarations))
+				t.Errorf("got %d declarations of death for %d members, want none: all members are alive", total, len(f.declarations))
 			}
 			f.clearFaults()
 			f.advance(3 * time.Second)
@@ -36,9 +36,9 @@
 	}
 }
 
-// After a loss of all power all members start at once, and the links are congested by
-// what they send one another. None of them is dead.
-func TestFailureDetector_SimultaneousStartDeclaresNobodyDead(t *testing.T) {
+// Guards against false positives when all members start at once and their traffic congests the
+// links.
+func TestFailureDetector_SimultaneousStartDeclaresNoMemberDead(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			f := newFleet(seed, largeFleet)
@@ -53,15 +53,14 @@
 			}
 			f.advance(10 * time.Second)
 			if len(f.declarations) > 0 {
-				t.Errorf("%d members were declared dead", len(f.declarations))
+				t.Errorf("%d live members were declared dead", len(f.declarations))
 			}
 		})
 	}
 }
 
-// Two partitions in a row, of a registry and a store from the other registries and
-// stores, the second one-way and two seconds after the first, get no other member
-// declared dead.
+// Two successive partitions isolate a registry and a store from the other registries and stores;
+// the second is one-way. Only the isolated members may be declared dead.
 func TestFailureDetector_RepeatedPartitionsDeclareOnlyIsolatedMembersDead(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(1, largeFleet)
@@ -83,15 +82,15 @@
 	}
 	f.advance(4 * time.Second)
 	for member := range f.declarations {
-		is.True(isIsolated(ids.Address(member))) // no other is declared dead
+		is.True(isIsolated(ids.Address(member))) // no other member is declared dead
 	}
 	f.clearFaults()
 	f.advance(4 * time.Second)
 	is.True(f.allAlive())
 }
 
-// A proxy that is killed is declared dead within 1.7 s on average, of which 1.2 s are the
-// suspicion time-out.
+// Bounds the average and the maximum time to detect a killed proxy. The suspicion timeout accounts
+// for 1.2 s of it.
 func TestFailureDetector_KilledProxyIsDeclaredDeadInTime(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(1, largeFleet)
@@ -115,8 +114,8 @@
 	is.Equal(len(f.declarations), kills)
 }
 
-// A whole zone dies at once, and with it the watchers of some of its members. Although
-// these can't vote, the whole zone is declared dead.
+// When a whole zone fails at once, some of its members lose their watchers. They must be declared
+// dead although those watchers can't vote.
 func TestFailureDetector_WholeZoneIsDeclaredDead(t *testing.T) {
 	for seed := uint64(1); seed <= 4; seed++ {
 		for _, proxies := range []int{largeFleet, 8} {
@@ -126,7 +125,7 @@
 				f.advance(6 * time.Second)
 				var dead []ids.DaemonID
 				for _, n := range f.nodes {
-					// Of the small fleet, a region: three zones of nine.
+					// In the small fleet a whole region fails: three zones of nine.
 					if n.list.Self.Zone == "z0" || proxies < largeFleet && (n.list.Self.Zone == "z1" || n.list.Self.Zone == "z5") {
 						n.down = true
 						dead = append(dead, n.list.Self.ID)
--- a/internal/controlplane/membership/fleet_test.go
+++ b/internal/controlplane/membership/fleet_test.go
@@ -12,24 +12,24 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// fleet is about a hundred members in nine zones, each with a clock and a link of its
-// own, in virtual time. All is determined by the seed.
+// fleet simulates members in nine zones in virtual time, each with its own tick schedule and link
+// delay. A run is fully determined by the seed.
 type fleet struct {
 	now    ids.Time
 	random *rand.Rand
-	// inTransit are the messages on their way.
+	// inTransit holds the messages that were sent and haven't arrived yet.
 	inTransit []delivery
 	nodes     []*node
 	byAddress map[ids.Address]*node
-	// cut, if set, reports which messages can't pass.
+	// cut, if set, reports whether messages between two addresses are dropped.
 	cut func(from, to ids.Address) bool
-	// loss is the share of messages that never arrive.
+	// loss is the fraction of messages that are dropped.
 	loss float64
-	// declarations counts the declarations of death, by member.
+	// declarations counts the declarations of death by member.
 	declarations map[string]int
 }
 
-// delivery is a message on its way.
+// delivery is a message in transit.
 type delivery struct {
 	at       ids.Time
 	from, to ids.Address
@@ -41,26 +41,26 @@
 	list *List
 	out  *event.Outbox
 	down bool
-	// nextTick is when the node ticks next.
+	// nextTick is when the node's next tick is due.
 	nextTick ids.Time
-	// maxTickDelay, if not 0, starves the process: it ticks up to that late, and reads
-	// what arrived meanwhile only then.
+	// maxTickDelay, if not 0, simulates a starved process: the node waits a random time up to this
+	// before the next tick, and doesn't read messages before then.
 	maxTickDelay time.Duration
-	// linkDelay is how long messages wait for the node's link, on top of the time
-	// that the distance takes.
+	// linkDelay returns the queueing delay of the node's link, which is added to the network
+	// latency.
 	linkDelay func() time.Duration
-	// received are the messages that weren't read yet.
+	// received holds the messages that haven't been read yet.
 	received []delivery
 }
 
 const (
 	fleetTick  = 50 * time.Millisecond
 	fleetZones = 9
-	// largeFleet is the number of proxies of a large fleet.
+	// largeFleet is the number of proxies in a large fleet.
 	largeFleet = 90
 )
 
-// newFleet makes five registries, five stores and some proxies.
+// newFleet returns a fleet of five registries, five stores and the given number of proxies.
 func newFleet(seed uint64, proxies int) *fleet {
 	f := &fleet{now: 1, random: rand.New(rand.NewPCG(seed, 7)), byAddress: map[ids.Address]*node{}, declarations: map[string]int{}}
 	for _, kind := range []struct {
@@ -84,7 +84,7 @@
 	f.byAddress[at] = n
 }
 
-// advance lets time pass in steps of 10 ms.
+// advance advances the time in steps of 10 ms.
 func (f *fleet) advance(d time.Duration) {
 	for end := f.now.Add(d); f.now < end; f.now = f.now.Add(10 * time.Millisecond) {
 		slices.SortStableFunc(f.inTransit, func(a, b delivery) int { return cmp.Compare(a.at, b.at) })
@@ -101,7 +101,7 @@
 	}
 }
 
-// stepNode lets a node read what arrived, tick if it is time, and send.
+// stepNode makes a node read its received messages, tick if that is due, and send.
 func (f *fleet) stepNode(n *node) {
 	if n.down || n.maxTickDelay > 0 && f.now < n.nextTick {
 		return
@@ -121,7 +121,7 @@
 	f.sendAll(n)
 }
 
-// relay sends what changed to all live members, as registries do.
+// relay sends a registry's changed members to all live members.
 func (f *fleet) relay(n *node) {
 	if n.list.Self.Role != Registry {
 		return
@@ -135,7 +135,7 @@
 	}
 }
 
-// sendAll puts a node's messages on their way and counts its declarations of death.
+// sendAll sends a node's outgoing messages and counts its declarations of death.
 func (f *fleet) sendAll(n *node) {
 	for _, c := range n.out.Drain() {
 		switch c := c.(type) {
@@ -154,8 +154,8 @@
 	}
 }
 
-// sawtoothDelay is the delay of a thin link whose queue fills up and drains again. It
-// grows gradually at first, as no queue is full from one moment to the next.
+// sawtoothDelay returns the delay of a slow link whose queue repeatedly fills up and drains. The
+// delay grows gradually at first, because a queue doesn't fill up instantly.
 func (f *fleet) sawtoothDelay(depth, period time.Duration, phase float64) func() time.Duration {
 	start := f.now
 	return func() time.Duration {
@@ -164,7 +164,7 @@
 	}
 }
 
-// allAlive reports whether all running registries have all nodes as live members.
+// allAlive reports whether all running registries list all nodes as live members.
 func (f *fleet) allAlive() bool {
 	for _, n := range f.nodes {
 		if n.list.Self.Role == Registry && !n.down && len(n.list.liveMembers()) != len(f.nodes) {
@@ -174,8 +174,8 @@
 	return true
 }
 
-// injectFaults starves a third of the proxies, congests the links of half of them and
-// loses messages; nobody dies.
+// injectFaults starves a third of the proxies, congests the links of half of them and drops
+// messages. It stops no node.
 func (f *fleet) injectFaults() {
 	f.loss = 0.03
 	for i, n := range f.nodes {
@@ -191,7 +191,7 @@
 	}
 }
 
-// clearFaults ends all starvation, congestion, loss and partitions.
+// clearFaults ends all starvation, congestion, message loss and partitions.
 func (f *fleet) clearFaults() {
 	f.loss, f.cut = 0, nil
 	for _, n := range f.nodes {
@@ -200,7 +200,7 @@
 	}
 }
 
-// isDeclaredDead reports whether all running registries have a member as dead.
+// isDeclaredDead reports whether all running registries list a member as dead.
 func (f *fleet) isDeclaredDead(id ids.DaemonID) bool {
 	for _, n := range f.nodes {
 		if n.list.Self.Role != Registry || n.down {
@@ -213,8 +213,7 @@
 	return true
 }
 
-// areDeclaredDead reports whether all running registries have all of these members as
-// dead.
+// areDeclaredDead reports whether all running registries list all of these members as dead.
 func (f *fleet) areDeclaredDead(members []ids.DaemonID) bool {
 	for _, id := range members {
 		if !f.isDeclaredDead(id) {
--- a/internal/controlplane/membership/list_test.go
+++ b/internal/controlplane/membership/list_test.go
@@ -11,17 +11,17 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// cluster is a few lists whose messages are delivered by hand, in steps of a heartbeat
-// interval. The members are m0 and so on.
+// cluster is a set of lists whose messages are delivered in steps of one heartbeat interval. The
+// members are named m0, m1 and so on.
 type cluster struct {
 	now      ids.Time
 	lists    map[ids.Address]*List
 	outboxes map[ids.Address]*event.Outbox
-	// muted members do nothing and are sent nothing.
+	// muted members don't tick, and their messages in both directions are dropped.
 	muted map[ids.Address]bool
 }
 
-// newCluster makes two registries and n-2 proxies.
+// newCluster returns a cluster of two registries and n-2 proxies.
 func newCluster(n int) *cluster {
 	c := &cluster{
 		now:      1,
@@ -44,10 +44,10 @@
 	return c
 }
 
-// address is the address, and the id, of the i-th member.
+// address returns the address of the i-th member, which is also its id.
 func address(i int) ids.Address { return ids.Address(fmt.Sprintf("m%d", i)) }
 
-// advance lets time pass and delivers all messages.
+// advance advances the time and delivers all messages.
 func (c *cluster) advance(d time.Duration) {
 	for end := c.now.Add(d); c.now < end; c.now = c.now.Add(250 * time.Millisecond) {
 		for i := range len(c.lists) {
@@ -77,13 +77,13 @@
 	return delivered
 }
 
-// isGone reports whether an observer has a member as dead.
-func (c *cluster) isGone(observer, member ids.DaemonID) bool {
+// isDeclaredDead reports whether an observer's list has a member as dead.
+func (c *cluster) isDeclaredDead(observer, member ids.DaemonID) bool {
 	m, ok := c.lists[ids.Address(observer)].Get(member)
 	return ok && m.Dead
 }
 
-// Members that know only one seed find all others through it.
+// Members that only know one seed must find all others through it.
 func TestList_MembersJoinThroughOneSeed(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(9)
@@ -94,8 +94,8 @@
 	}
 }
 
-// A member that falls silent is declared dead, all others learn of it, and the member
-// refutes it when it is heard again.
+// A silent member must be declared dead in the lists of all others, and refute its death when it
+// is reachable again.
 func TestList_SilentMemberIsDeclaredDeadAndRefutes(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(9)
@@ -103,16 +103,16 @@
 	c.muted["m5"] = true
 	c.advance(2500 * time.Millisecond)
 	for i := range 9 {
-		is.True(i == 5 || c.isGone(ids.DaemonID(address(i)), "m5"))
+		is.True(i == 5 || c.isDeclaredDead(ids.DaemonID(address(i)), "m5"))
 	}
 	c.muted["m5"] = false
 	c.advance(3 * time.Second)
 	m, _ := c.lists["m0"].Get("m5")
 	is.True(!m.Dead && m.Incarnation > 1)
-	is.True(!c.lists["m0"].RunEnded("m5", 6)) // the same run all along
+	is.True(!c.lists["m0"].RunEnded("m5", 6)) // still the same run
 }
 
-// Three neighbours on the ring die at once, who watch each other. All are declared dead.
+// Neighbours on the ring, which watch each other, must be declared dead when they fail at once.
 func TestList_WatchersThatDieTogetherAreDeclaredDead(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(9)
@@ -122,7 +122,7 @@
 		if m.Role == Registry {
 			continue
 		}
-		// The three from the first proxy on, except for registries.
+		// Mutes the first proxy and the next two members, except for registries.
 		for k := range 3 {
 			if neighbour := live[(i+k)%len(live)]; neighbour.Role != Registry {
 				c.muted[neighbour.Address] = true
@@ -132,14 +132,14 @@
 	}
 	c.advance(4 * time.Second)
 	for at := range c.muted {
-		is.True(c.isGone("m0", ids.DaemonID(at)))
+		is.True(c.isDeclaredDead("m0", ids.DaemonID(at)))
 	}
 	is.Equal(len(c.lists["m0"].liveMembers()), 9-len(c.muted))
 }
 
-// A member that was paused suspects nobody for its own silence, and a registry that may
-// not declare members dead doesn't.
-func TestList_OwnPauseCausesNoSuspicion(t *testing.T) {
+// A paused member must not suspect others because of its own pause, and a registry for which
+// MayDeclareDead returns false must not declare members dead.
+func TestList_ProcessPauseCausesNoSuspicion(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(5)
 	c.advance(3 * time.Second)
@@ -148,7 +148,7 @@
 	}
 	c.muted["m3"] = true
 	c.advance(5 * time.Second)
-	is.True(!c.isGone("m0", "m3"))
+	is.True(!c.isDeclaredDead("m0", "m3"))
 	c.muted["m3"] = false
 	c.advance(time.Second)
 	for _, list := range c.lists {
