--- a/internal/controlplane/targets/announcement.go
+++ b/internal/controlplane/targets/announcement.go
@@ -12,7 +12,7 @@
 	"dunlinwell/internal/base/jsoncheck"
 )
 
-// Values of fields that an announcement leaves out.
+// Default values of optional fields of an announcement.
 const (
 	defaultWarmth         = 1
 	defaultIntervalMillis = 2000
@@ -20,13 +20,14 @@
 
 // Limits of the numbers in an announcement.
 const (
-	// maxCounter keeps incarnations and sequence numbers far from an overflow.
+	// maxCounter prevents overflows of incarnations and sequence numbers.
 	maxCounter   = 1 << 62
 	maxOccupancy = 1e9
 	maxCapacity  = 1e6
-	// minIntervalMillis keeps the heartbeats of one target from loading the registries.
+	// minIntervalMillis limits the load on the registries from the heartbeats of one target.
 	minIntervalMillis = 100
-	// maxIntervalMillis bounds how long a dead target stays in use: three intervals.
+	// maxIntervalMillis bounds how long a dead target remains in use (MaxMissedHeartbeats
+	// intervals).
 	maxIntervalMillis = 60000
 )
 
@@ -44,23 +45,24 @@
 	"warmth": true, "occupancy": true, "capacity": true, "interval_ms": true, "leaving": true,
 }
 
-// numberRule says what the number at a path must be like. Limits are inclusive.
+// numberRule specifies the valid values of the number at a path. Limits are inclusive.
 type numberRule struct {
-	path            string
-	low, high       float64
-	required, whole bool
+	path              string
+	low, high         float64
+	required, integer bool
 }
 
 var numberRules = []numberRule{
-	{path: "incarnation", low: 1, high: maxCounter, required: true, whole: true},
-	{path: "sequence", low: 1, high: maxCounter, required: true, whole: true},
+	{path: "incarnation", low: 1, high: maxCounter, required: true, integer: true},
+	{path: "sequence", low: 1, high: maxCounter, required: true, integer: true},
 	{path: "warmth", low: 0, high: 1},
-	{path: "occupancy", low: 0, high: maxOccupancy, whole: true},
-	{path: "capacity", low: 0, high: maxCapacity, whole: true},
-	{path: "interval_ms", low: minIntervalMillis, high: maxIntervalMillis, whole: true},
+	{path: "occupancy", low: 0, high: maxOccupancy, integer: true},
+	{path: "capacity", low: 0, high: maxCapacity, integer: true},
+	{path: "interval_ms", low: minIntervalMillis, high: maxIntervalMillis, integer: true},
 }
 
-// CheckAddress returns what is wrong with an IP address and port, or "" if nothing is.
+// CheckAddress returns a description of what is wrong with an address, or "" if it is a valid IP
+// address and port.
 func CheckAddress(s string) string {
 	a, err := netip.ParseAddrPort(s)
 	if err != nil || a.Port() == 0 || a.Addr().IsUnspecified() {
@@ -69,9 +71,8 @@
 	return ""
 }
 
-// ParseAnnouncement reads and checks an announcement: a heartbeat of a target, as JSON. The second result has
-// the violations by JSON path, and is empty if the announcement is valid; only then
-// is the target of use.
+// ParseAnnouncement parses and validates an announcement, the heartbeat of a target in JSON. The
+// second result holds the violations by JSON path; the target is only valid if it is empty.
 func ParseAnnouncement(raw []byte) (Target, map[string]string) {
 	var t Target
 	c := announcementChecker{doc: gjson.ParseBytes(raw), violations: map[string]string{}}
@@ -94,7 +95,7 @@
 // announcementChecker collects the violations of one announcement.
 type announcementChecker struct {
 	doc gjson.Result
-	// violations holds what is wrong, by JSON path.
+	// violations holds descriptions of the violations by JSON path.
 	violations map[string]string
 }
 
@@ -121,19 +122,19 @@
 	}
 }
 
-// checkNumber requires a number as its rule describes it.
+// checkNumber requires a number that satisfies a rule.
 func (c *announcementChecker) checkNumber(rule numberRule) {
 	v := c.doc.Get(rule.path)
 	switch {
 	case !v.Exists() && !rule.required:
 	case v.Type != gjson.Number || v.Num < rule.low || v.Num > rule.high:
 		c.violations[rule.path] = fmt.Sprintf("must be a number from %g to %g", rule.low, rule.high)
-	case rule.whole && v.Raw != strconv.FormatUint(v.Uint(), 10):
+	case rule.integer && v.Raw != strconv.FormatUint(v.Uint(), 10):
 		c.violations[rule.path] = "must be a whole number"
 	}
 }
 
-// checkKeys rejects keys that aren't known or occur more than once.
+// checkKeys rejects unknown and duplicate keys.
 func (c *announcementChecker) checkKeys() {
 	seen := map[string]bool{}
 	c.doc.ForEach(func(k, _ gjson.Result) bool {
--- a/internal/controlplane/targets/digest.go
+++ b/internal/controlplane/targets/digest.go
@@ -8,13 +8,12 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// digestParts is the number of parts that a table's digest is split into, so that two
-// copies that differ exchange only the targets of the parts that differ. All
-// registries must use the same number.
+// digestParts is the number of parts that a table's digest is split into, so that copies only
+// exchange the targets of the parts that differ. All registries must use the same number.
 const digestParts = 64
 
-// Digest is a checksum over the live targets and their registrars. Two copies with
-// the same digest hold the same targets.
+// Digest returns a checksum of the live targets and their registrars. Two copies with the same
+// digest hold the same targets.
 func (t *Table) Digest() uint64 {
 	digest := uint64(0)
 	for _, part := range t.PartDigests() {
@@ -34,10 +33,9 @@
 	return digests
 }
 
-// InDifferingParts returns the targets in the parts in which another copy has other
-// digests, each with the sequence number of its latest heartbeat: what this copy
-// knows is as new as that. It returns nil if the other copy has another number of
-// parts.
+// InDifferingParts returns the targets of the parts whose digests differ from those of another
+// copy, each with the sequence number of its latest heartbeat. It returns nil if the other copy
+// has a different number of parts.
 func (t *Table) InDifferingParts(now ids.Time, theirs []uint64) []Target {
 	if len(theirs) != digestParts {
 		return nil
@@ -53,8 +51,8 @@
 	return differing
 }
 
-// ProxyDigest is a checksum over what proxies see of the live targets. Two copies
-// with the same digest make the same decisions, slow starts included.
+// ProxyDigest returns a checksum of the state of the live targets that is visible to proxies. Two
+// copies with the same digest lead to the same routing decisions, including slow starts.
 func (t *Table) ProxyDigest() uint64 {
 	digest := uint64(0)
 	for id, e := range t.entries {
@@ -65,21 +63,21 @@
 	return digest
 }
 
-// digestPart is the part of the table that a target belongs to.
+// digestPart returns the part of the table that a target belongs to.
 func digestPart(id ids.InstanceID) int {
 	h := fnv.New64a()
 	h.Write([]byte(id))
 	return int(h.Sum64() % digestParts)
 }
 
-// digest is the target's share of Digest.
+// digest returns the target's contribution to Digest.
 func (e *entry) digest(id ids.InstanceID) uint64 {
 	h := e.identityHash(id)
 	h.Write([]byte(e.Registrar))
 	return h.Sum64()
 }
 
-// proxyDigest is the target's share of ProxyDigest.
+// proxyDigest returns the target's contribution to ProxyDigest.
 func (e *entry) proxyDigest(id ids.InstanceID) uint64 {
 	h := e.identityHash(id)
 	var sequence [8]byte
@@ -88,8 +86,8 @@
 	return h.Sum64()
 }
 
-// identityHash begins the hash of one target with what all digests have in common:
-// the instance, the lowest byte of its incarnation, and whether it is draining.
+// identityHash returns a hash of the fields that are part of all digests: the instance, the lowest
+// byte of its incarnation, and whether it is draining.
 func (e *entry) identityHash(id ids.InstanceID) hash.Hash64 {
 	h := fnv.New64a()
 	h.Write([]byte(id))
--- a/internal/controlplane/targets/doc.go
+++ b/internal/controlplane/targets/doc.go
@@ -1,24 +1,19 @@
-// Package targets keeps the table of targets (the service instances that proxies
-// send requests to). Each registry and each proxy holds a copy.
+// Package targets maintains the table of targets (the service instances that proxies send requests
+// to). Each registry and each proxy has a copy.
 //
-// The table is soft state: targets announce themselves by heartbeats, entries
-// expire when the heartbeats stop, and nothing is stored on disk. Copies merge
-// entry by entry and find out by digests whether and where they differ
-// (anti-entropy).
+// The table is soft state: targets announce themselves by heartbeats, entries expire when the
+// heartbeats stop, and nothing is stored on disk. Copies are merged entry by entry, and compared
+// by digests to find out whether and where they differ (anti-entropy).
 //
 // Invariants:
-//   - An entry is only replaced by one of a higher incarnation, or of a higher
-//     sequence number within the same incarnation, or by the declaration that the
-//     target is gone (Target.Newer). Merging is therefore independent of the order
-//     in which updates arrive.
-//   - A target that was declared gone stays gone until it sends a later heartbeat.
-//   - Of the targets that share an address, at most the newest incarnation to arrive
-//     is usable.
+//   - An entry is only replaced by one with a higher incarnation, by one with a higher sequence
+//     number in the same incarnation, or by a declaration that the target is dead (Target.Newer).
+//     Merging is therefore independent of the order in which updates arrive.
+//   - A target that was declared dead remains dead until it sends a later heartbeat.
+//   - Of the targets that share an address, at most the newest incarnation to arrive is usable.
 //
-// The package does no input or output, reads no clock and starts no goroutine: time
-// is handed in by the owner, which also sends what Merge and Tick return. A Table
-// isn't safe for concurrent use.
+// The package does no I/O, reads no clock and starts no goroutines: the owner passes in the current
+// time and sends what Merge and Tick return. A Table isn't safe for concurrent use.
 //
-// Unit tests are beside the code; the behaviour of whole fleets is tested in
-// internal/testsupport/simulator.
+// Unit tests are in this directory; whole fleets are tested in internal/testsupport/simulator.
 package targets
--- a/internal/controlplane/targets/expiry.go
+++ b/internal/controlplane/targets/expiry.go
@@ -7,21 +7,20 @@
 )
 
 const (
-	// MaxMissedHeartbeats is how many heartbeat intervals a target may be silent
-	// before it is declared gone: one heartbeat may be lost and the next one late.
+	// MaxMissedHeartbeats is the number of heartbeat intervals that a target may be silent before
+	// it is declared dead: one heartbeat may be lost and the next one late.
 	MaxMissedHeartbeats = 3
-	// maxMissedWithoutRegistrar takes the place of MaxMissedHeartbeats while the
-	// target's registrar isn't running. The target may be sending its heartbeats to a
-	// registrar that is only cut off from this copy, and the proxies that use it see
-	// for themselves whether it answers.
+	// maxMissedWithoutRegistrar replaces MaxMissedHeartbeats while the target's registrar isn't
+	// running. The registrar may only be partitioned from this copy and still receive the target's
+	// heartbeats, and proxies detect by themselves whether the target responds.
 	maxMissedWithoutRegistrar = 10
-	// maxTickGap is how far apart two calls of Tick may be. After a longer gap this
-	// process was paused, and what it didn't hear meanwhile proves nothing.
+	// maxTickGap is the maximum time between two calls of Tick. A longer gap means that this
+	// process was paused and couldn't receive heartbeats.
 	maxTickGap = time.Second
 )
 
-// Tick declares gone the targets that have been silent for too long and returns
-// them. A pause of this process isn't counted as silence of the targets.
+// Tick declares dead the targets that have been silent for too long and returns them. A pause of
+// this process doesn't count as silence of the targets.
 func (t *Table) Tick(now ids.Time) []Target {
 	if t.lastTick != 0 && now.Sub(t.lastTick) > maxTickGap {
 		t.ExtendDeadlines(now)
@@ -30,17 +29,16 @@
 	return t.ExpireSilent(now)
 }
 
-// ExtendDeadlines counts the silence of every target from now on. It is called when
-// nothing could be heard until now.
+// ExtendDeadlines restarts the expiry timeout of every target. It is called when no heartbeats
+// could be received until now.
 func (t *Table) ExtendDeadlines(now ids.Time) {
 	for _, e := range t.entries {
 		e.lastHeard = now
 	}
 }
 
-// ExpireSilent is Tick without regard to pauses of this process. It is the safer way
-// for a proxy, which learns of all live targets anew from the first push after the
-// pause.
+// ExpireSilent is like Tick but ignores pauses of this process. This is safer for a proxy, which
+// learns all live targets again from the first push after the pause.
 func (t *Table) ExpireSilent(now ids.Time) []Target {
 	var expired []Target
 	for _, id := range t.sortedIDs() {
@@ -48,13 +46,13 @@
 		if e.Dead || now.Sub(e.lastHeard) <= e.maxSilence() {
 			continue
 		}
-		t.markGone(e)
+		t.markDead(e)
 		expired = append(expired, e.Target)
 	}
 	return expired
 }
 
-// maxSilence is how long the target may be silent before it is declared gone.
+// maxSilence returns how long the target may be silent before it is declared dead.
 func (e *entry) maxSilence() time.Duration {
 	missed := MaxMissedHeartbeats
 	if e.registrarLost {
@@ -63,10 +61,10 @@
 	return time.Duration(missed) * millis(uint64(e.IntervalMillis))
 }
 
-// ConfirmRegistrars counts a target as alive while its registrar is in the run that
-// the target registered with, as that registrar would have reported its death. The
-// targets of a registrar that is gone or was restarted are silent until they send
-// another heartbeat. Targets registered with this registry itself are left alone.
+// ConfirmRegistrars renews the targets whose registrar is still in the run that they registered
+// with, because that registrar would have reported their death. The targets of a registrar that is
+// dead or was restarted aren't renewed until they send another heartbeat. Targets that registered
+// with this registry aren't affected.
 func (t *Table) ConfirmRegistrars(now ids.Time, isRunning func(ids.DaemonID, ids.RunID) bool) {
 	for _, e := range t.entries {
 		if e.Dead || e.Registrar == "" || e.Registrar == t.Self {
@@ -80,8 +78,8 @@
 	}
 }
 
-// Forget drops the targets that have been gone for longer than the retention time,
-// so that the table doesn't grow for ever.
+// Forget removes the targets that have been dead for longer than the retention time, so that the
+// table doesn't grow without bound.
 func (t *Table) Forget(now ids.Time, retention time.Duration) {
 	for id, e := range t.entries {
 		if e.Dead && now.Sub(e.lastHeard) > retention {
--- a/internal/controlplane/targets/merge.go
+++ b/internal/controlplane/targets/merge.go
@@ -6,20 +6,19 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// slowStartTolerance is by how much the ends of the slow start may differ that two
-// heartbeats imply without counting as a change. It covers the delay of a heartbeat
-// on its way, as the time left is relative to when it was sent.
+// slowStartTolerance is the largest difference between the ends of slow start computed from two
+// heartbeats that doesn't count as a change. It allows for network delay, because a heartbeat
+// carries the remaining time relative to when it was sent.
 const slowStartTolerance = 300 * time.Millisecond
 
-// Merge takes in updates from a target or from another copy and returns the targets
-// that changed. Among them are previous owners of an address that now belongs to
-// another target.
+// Merge merges updates from a target or from another copy and returns the targets that changed.
+// These include the previous owners of an address that another target has taken over.
 func (t *Table) Merge(now ids.Time, updates ...Target) []Target {
 	return t.MergeAsOf(now, now, updates...)
 }
 
-// MergeAsOf is Merge for updates that may have been delayed: they prove that a target
-// was alive at asOf, not that it is alive now.
+// MergeAsOf is like Merge for updates that may have been delayed: they prove that a target was alive
+// at asOf, not that it is alive now.
 func (t *Table) MergeAsOf(now, asOf ids.Time, updates ...Target) []Target {
 	var changed []Target
 	for _, update := range updates {
@@ -28,7 +27,7 @@
 	return changed
 }
 
-// mergeOne takes in one update and returns the targets that changed by it.
+// mergeOne merges one update and returns the targets that it changed.
 func (t *Table) mergeOne(now, asOf ids.Time, update Target) []Target {
 	e, known := t.entries[update.Instance]
 	if known && !update.Newer(e.latest()) {
@@ -44,7 +43,7 @@
 		e = &entry{firstSeen: firstSeen}
 		t.entries[update.Instance] = e
 	}
-	// Another copy may have known the target for longer.
+	// Another copy may have known the target for longer than this one.
 	e.firstSeen = min(e.firstSeen, firstSeen)
 	if !update.Dead {
 		e.lastHeard = asOf
@@ -60,10 +59,9 @@
 	return changed
 }
 
-// refuteDeath answers another copy's declaration that a target is gone from which
-// this copy has had a later heartbeat: it returns the target at the sequence number
-// of that heartbeat, which replaces the declaration everywhere. Any other update that
-// is no newer than the entry changes nothing.
+// refuteDeath refutes another copy's declaration that a target is dead if this copy has received a
+// later heartbeat. It returns the target with the sequence number of that heartbeat, which replaces
+// the declaration in all copies. Any other update that isn't newer than the entry is ignored.
 func (t *Table) refuteDeath(e *entry, update Target) []Target {
 	if !t.Incremental || !e.refutes(update) {
 		return nil
@@ -74,31 +72,30 @@
 	return []Target{e.Target}
 }
 
-// displaceAddress declares gone whoever had the address of a target before it: two
-// live processes can't listen at one address.
+// displaceAddress declares dead the previous targets at the address of a new one: two live processes
+// can't listen on the same address.
 func (t *Table) displaceAddress(owner Target) []Target {
 	var displaced []Target
 	for _, id := range t.sortedIDs() {
 		e := t.entries[id]
 		if e.Address == owner.Address && id != owner.Instance && !e.Dead {
-			t.markGone(e)
+			t.markDead(e)
 			displaced = append(displaced, e.Target)
 		}
 	}
 	return displaced
 }
 
-// latest returns the target at the sequence number of its latest heartbeat, which
-// Target has only if that heartbeat was passed on.
+// latest returns the target with the sequence number of its latest heartbeat. The sequence number
+// in Target is lower if that heartbeat wasn't forwarded.
 func (e *entry) latest() Target {
 	target := e.Target
 	target.Sequence = max(target.Sequence, e.latestSequence)
 	return target
 }
 
-// isRenewal reports whether a later heartbeat changes nothing that is worth passing
-// on: it may differ in sequence numbers, age, occupancy and the time left of a slow
-// start that was known already.
+// isRenewal reports whether a later heartbeat contains no change that must be forwarded. It may
+// differ in sequence numbers, age, occupancy and the remaining time of a known slow start.
 func (e *entry) isRenewal(now ids.Time, update Target) bool {
 	if e.extendsSlowStart(now, update) {
 		return false
@@ -110,8 +107,7 @@
 	return known == update
 }
 
-// extendsSlowStart reports whether an update asks for reduced load for longer than
-// was known.
+// extendsSlowStart reports whether the slow start in an update ends later than the known one.
 func (e *entry) extendsSlowStart(now ids.Time, update Target) bool {
 	if update.SlowStartMillis == 0 {
 		return false
@@ -120,8 +116,8 @@
 	return until.Sub(e.slowStartUntil) > slowStartTolerance
 }
 
-// refutes reports whether an update declares gone a target that has sent this copy a
-// heartbeat after the one by which the other copy judged.
+// refutes reports whether an update declares the target dead although this copy has received a later
+// heartbeat than the one that the declaration is based on.
 func (e *entry) refutes(update Target) bool {
 	return update.Dead && !e.Dead && update.Incarnation == e.Incarnation &&
 		update.Sequence >= e.Target.Sequence && update.Sequence < e.latestSequence
--- a/internal/controlplane/targets/proxy_view.go
+++ b/internal/controlplane/targets/proxy_view.go
@@ -2,9 +2,9 @@
 
 import "dunlinwell/internal/base/ids"
 
-// ForProxies returns every target as it is pushed to proxies: without its registrar,
-// and with the sequence number at which it last changed in a way that proxies see. A
-// target that moves to another registrar therefore causes no push.
+// ForProxies returns all targets in the form that is pushed to proxies: without the registrar, and
+// with ProxySequence as the sequence number. A target that changes its registrar therefore causes
+// no push.
 func (t *Table) ForProxies(now ids.Time) []Target {
 	list := t.All(now)
 	for i := range list {
@@ -14,11 +14,11 @@
 	return list
 }
 
-// ProxyVersion returns a number that grows with each change that proxies see.
+// ProxyVersion returns a number that increases with each change that is visible to proxies.
 func (t *Table) ProxyVersion() uint64 { return t.proxyVersion }
 
-// ProxySequence returns the sequence number at which a target last changed in a way
-// that proxies see, or 0 if the target isn't known.
+// ProxySequence returns the sequence number at which a target last changed in a way that is visible
+// to proxies, or 0 if the target isn't known.
 func (t *Table) ProxySequence(id ids.InstanceID) ids.Sequence {
 	if e, ok := t.entries[id]; ok {
 		return e.ProxySequence
@@ -26,9 +26,9 @@
 	return 0
 }
 
-// withProxySequence returns an update with the ProxySequence under which this copy
-// keeps it, and counts the update in ProxyVersion if proxies see a change. In a copy
-// that isn't incremental each update is one.
+// withProxySequence returns an update with its ProxySequence set for this copy, and increments
+// ProxyVersion if the update is a change that is visible to proxies. In a table that isn't
+// incremental every update is such a change.
 func (t *Table) withProxySequence(now ids.Time, e *entry, update Target) Target {
 	known := e.Incarnation == update.Incarnation && e.Instance != ""
 	if t.Incremental && known && sameToProxies(e.Target, update) && !e.extendsSlowStart(now, update) {
@@ -44,9 +44,9 @@
 	return update
 }
 
-// sameToProxies reports whether two states of a target look the same to proxies. The
-// registrar, sequence numbers and occupancy only matter to registries; age and slow
-// start are compared by extendsSlowStart.
+// sameToProxies reports whether two states of a target are the same for proxies. The registrar,
+// sequence numbers and occupancy only matter to registries; slow start is compared by
+// extendsSlowStart.
 func sameToProxies(a, b Target) bool {
 	for _, target := range []*Target{&a, &b} {
 		target.Sequence, target.ProxySequence = 0, 0
