--- a/internal/controlplane/targets/announcement_test.go
+++ b/internal/controlplane/targets/announcement_test.go
@@ -6,16 +6,16 @@
 	"github.com/matryer/is"
 )
 
-// announcementHead begins an announcement; the test cases end it.
-const announcementHead = `{"instance":"a","service":"s","cell":"c","address":"10.0.0.1:80","incarnation":1,"sequence":2`
+// announcementPrefix is the beginning of an announcement; the test cases append the rest.
+const announcementPrefix = `{"instance":"a","service":"s","cell":"c","address":"10.0.0.1:80","incarnation":1,"sequence":2`
 
 func TestParseAnnouncement_Valid(t *testing.T) {
 	is := is.New(t)
-	_, violations := ParseAnnouncement([]byte(announcementHead + `,"warmth":0.5,"leaving":true}`))
+	_, violations := ParseAnnouncement([]byte(announcementPrefix + `,"warmth":0.5,"leaving":true}`))
 	is.Equal(len(violations), 0)
 }
 
-func TestParseAnnouncement_NamesThePathOfAViolation(t *testing.T) {
+func TestParseAnnouncement_ReportsPathOfViolation(t *testing.T) {
 	cases := map[string]string{
 		`,"warmth":2}`:      "warmth",
 		`,"warmth":"1"}`:    "warmth",
@@ -26,11 +26,11 @@
 		`,"capacity":1.5}`:  "capacity",
 		`,`:                 "(body)",
 	}
-	for rest, path := range cases {
-		t.Run(path+rest, func(t *testing.T) {
-			_, violations := ParseAnnouncement([]byte(announcementHead + rest))
+	for suffix, path := range cases {
+		t.Run(path+suffix, func(t *testing.T) {
+			_, violations := ParseAnnouncement([]byte(announcementPrefix + suffix))
 			if violations[path] == "" {
-				t.Errorf("%s gave %v", rest, violations)
+				t.Errorf("announcement ending in %s: no violation at the expected path, got %v", suffix, violations)
 			}
 		})
 	}
--- a/internal/controlplane/targets/expiry_test.go
+++ b/internal/controlplane/targets/expiry_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// A gap between two ticks is this process's own silence and expires no target. Targets
-// that are silent from then on expire, and are forgotten after the retention time.
-func TestTable_OwnPauseExpiresNoTarget(t *testing.T) {
+// A gap between two ticks means that this process was paused, and must not expire targets. Targets
+// that are silent afterwards expire, and are removed after the retention time.
+func TestTable_ProcessPauseExpiresNoTarget(t *testing.T) {
 	is := is.New(t)
 	table := New()
 	table.Merge(at(0), newTarget("a", 1, 1))
--- a/internal/controlplane/targets/incremental_test.go
+++ b/internal/controlplane/targets/incremental_test.go
@@ -9,7 +9,7 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// A heartbeat that changes nothing is passed on to nobody, and keeps its target alive.
+// A heartbeat that changes nothing must not be forwarded, but keeps its target alive.
 func TestTable_UnchangedHeartbeatIsNotForwarded(t *testing.T) {
 	is := is.New(t)
 	table := newIncrementalTable()
@@ -20,7 +20,7 @@
 		if now%time.Second == 0 {
 			seq++
 			heartbeat := newTarget("a", 1, seq)
-			heartbeat.Occupancy, heartbeat.AgeMillis = int64(seq), 7 // these alone are no change
+			heartbeat.Occupancy, heartbeat.AgeMillis = int64(seq), 7 // not a change by themselves
 			is.Equal(len(table.Merge(at(now), heartbeat)), 0)
 		}
 		is.Equal(len(table.Tick(at(now))), 0)
@@ -28,13 +28,13 @@
 	is.Equal(table.Version(), version)
 	is.Equal(table.LatestSequence("a"), seq)
 	got, _ := table.Get(at(20*time.Second), "a")
-	is.Equal(got.Sequence, ids.Sequence(1)) // as it was last passed on
-	// An update that is older than the latest heartbeat changes nothing, though it is
-	// newer than what was passed on.
+	is.Equal(got.Sequence, ids.Sequence(1)) // as last forwarded
+	// An update that is older than the latest heartbeat is ignored, although it is newer than the
+	// entry that was last forwarded.
 	late := newTarget("a", 1, 3)
 	late.Draining = true
 	is.Equal(len(table.Merge(at(20*time.Second), late)), 0)
-	// Its expiry is passed on, and so is the first heartbeat after it.
+	// The expiry is forwarded, and so is the first heartbeat after it.
 	is.Equal(len(table.Tick(at(20900*time.Millisecond))), 0)
 	is.Equal(len(table.Tick(at(21800*time.Millisecond))), 0)
 	is.Equal(len(table.Tick(at(22700*time.Millisecond))), 0)
@@ -46,7 +46,7 @@
 	is.True(table.Version() > version)
 }
 
-// A heartbeat that changes a field is passed on, once.
+// A heartbeat that changes a field must be forwarded once.
 func TestTable_ChangedFieldsAreForwarded(t *testing.T) {
 	is := is.New(t)
 	table := newIncrementalTable()
@@ -70,7 +70,7 @@
 	is.Equal(mergeNext(func(*Target) {}), 1)
 }
 
-// The remaining time of the same slow start is no change; a longer slow start is one.
+// A heartbeat in the same slow start isn't a change; an extended slow start is.
 func TestTable_ExtendedSlowStartIsForwarded(t *testing.T) {
 	is := is.New(t)
 	table := newIncrementalTable()
@@ -79,16 +79,16 @@
 	is.Equal(len(table.Merge(at(2*time.Second), withSlowStart(newTarget("a", 1, 3), 1200*time.Millisecond))), 0) // within the tolerance
 	all := table.All(at(2 * time.Second))
 	is.Equal(all[0].SlowStartMillis, uint64(1000))
-	is.Equal(len(table.Merge(at(3*time.Second), newTarget("a", 1, 4))), 0) // over when it was expected
+	is.Equal(len(table.Merge(at(3*time.Second), newTarget("a", 1, 4))), 0) // ended as announced
 	is.Equal(table.All(at(4 * time.Second))[0].SlowStartMillis, uint64(0))
 	extended := table.Merge(at(5*time.Second), withSlowStart(newTarget("a", 1, 5), 3*time.Second))
 	is.Equal(len(extended), 1)
 	is.Equal(table.All(at(6 * time.Second))[0].SlowStartMillis, uint64(2000))
-	is.Equal(len(table.Merge(at(6*time.Second), withSlowStart(newTarget("a", 1, 6), 3*time.Second))), 1) // extended once more
+	is.Equal(len(table.Merge(at(6*time.Second), withSlowStart(newTarget("a", 1, 6), 3*time.Second))), 1) // extended again
 }
 
-// A delayed update keeps its target alive only from when it was sent.
-func TestTable_DelayedUpdateConfirmsOnlyItsOwnTime(t *testing.T) {
+// A delayed update must renew its target as of when it was sent, not as of its arrival.
+func TestTable_DelayedUpdateRenewsAsOfSendTime(t *testing.T) {
 	is := is.New(t)
 	table := newIncrementalTable()
 	table.Merge(at(0), newTarget("a", 1, 1))
@@ -97,8 +97,8 @@
 	is.Equal(len(table.ExpireSilent(at(4100*time.Millisecond))), 1)
 }
 
-// A table that isn't incremental passes each heartbeat on.
-func TestTable_FullModeForwardsEveryHeartbeat(t *testing.T) {
+// A table that isn't incremental must forward every heartbeat.
+func TestTable_NonIncrementalForwardsEveryHeartbeat(t *testing.T) {
 	is := is.New(t)
 	table := New()
 	table.Merge(at(0), newTarget("a", 1, 1))
--- a/internal/controlplane/targets/merge_test.go
+++ b/internal/controlplane/targets/merge_test.go
@@ -7,25 +7,25 @@
 	"github.com/matryer/is"
 )
 
-// Of two updates of a target the later one is kept, in whatever order they arrive.
+// Merging must keep the later of two updates of a target, in whatever order they arrive.
 func TestTable_MergeKeepsLatestUpdate(t *testing.T) {
 	is := is.New(t)
 	table := New()
 	is.Equal(len(table.Merge(at(0), newTarget("a", 1, 5))), 1)
 	is.Equal(len(table.Merge(at(0), newTarget("a", 1, 4))), 0) // out of order
 	is.Equal(len(table.Merge(at(0), newTarget("a", 1, 5))), 0) // repeated
-	gone := newTarget("a", 1, 5)
-	gone.Dead = true
-	is.Equal(len(table.Merge(at(0), gone)), 1)
-	is.Equal(len(table.Merge(at(0), newTarget("a", 1, 5))), 0) // death holds
+	dead := newTarget("a", 1, 5)
+	dead.Dead = true
+	is.Equal(len(table.Merge(at(0), dead)), 1)
+	is.Equal(len(table.Merge(at(0), newTarget("a", 1, 5))), 0) // remains dead
 	is.Equal(len(table.Merge(at(0), newTarget("a", 1, 6))), 1) // until the next heartbeat
 	is.Equal(len(table.Merge(at(0), newTarget("a", 0, 99))), 0)
 	table.Merge(at(4*time.Second), newTarget("a", 2, 1))
 	got, _ := table.Get(at(5*time.Second), "a")
-	is.Equal(got.AgeMillis, uint64(1000)) // a new incarnation is young
+	is.Equal(got.AgeMillis, uint64(1000)) // the age restarts with a new incarnation
 }
 
-// A target that takes over an address displaces the previous one.
+// A target that takes over an address must displace the previous one.
 func TestTable_NewOwnerOfAddressDisplacesPrevious(t *testing.T) {
 	is := is.New(t)
 	table := New()
