--- a/internal/controlplane/distribution/ack.go
+++ b/internal/controlplane/distribution/ack.go
@@ -8,7 +8,7 @@
 	"dunlinwell/internal/controlplane/targets"
 )
 
-// HandleAck takes in a proxy's acknowledgement. One of another run of the proxy is
+// HandleAck handles a proxy's acknowledgement. Acknowledgements from another run of the proxy are
 // ignored.
 func (d *Distributor) HandleAck(now ids.Time, ack Ack) {
 	p := d.currentRun(ack.Proxy, ack.RunID)
@@ -19,8 +19,8 @@
 	p.lastAcked, p.ackedRevision = max(p.lastAcked, ack.Number), max(p.ackedRevision, ack.Revision)
 	p.retryTimeout = d.InitialRetryTimeout
 	if push, ok := p.unacknowledged[ack.Number]; ok {
-		// Twice the time that the link took, as what is on a full or long link isn't
-		// lost.
+		// Twice the round-trip time, so that pushes on a congested or high-latency link aren't
+		// taken for lost.
 		roundTrip := now.Sub(push.sentAt)
 		p.retryTimeout = min(max(d.InitialRetryTimeout, 2*roundTrip), maxRetryTimeout)
 		p.acknowledge(push)
@@ -29,8 +29,8 @@
 	p.detectLost(ack)
 }
 
-// ConfirmTargets notes that a run of a proxy has all of these targets, as the digest in
-// its acknowledgement showed, whoever it has them from.
+// ConfirmTargets records that a run of a proxy has all of these targets, possibly from another
+// registry, as shown by the digest in its acknowledgement.
 func (d *Distributor) ConfirmTargets(proxy ids.DaemonID, runID ids.RunID, confirmed []targets.Target) {
 	p := d.currentRun(proxy, runID)
 	if p == nil {
@@ -44,14 +44,14 @@
 	p.hasUnsent = false
 }
 
-// IsCurrent reports whether a run of a proxy has acknowledged all targets as of the
-// last Distribute. The configuration doesn't count here; Lagging tells of that.
+// IsCurrent reports whether a run of a proxy has acknowledged all targets as of the last Distribute.
+// It doesn't consider the configuration; see Lagging.
 func (d *Distributor) IsCurrent(proxy ids.DaemonID, runID ids.RunID) bool {
 	p := d.currentRun(proxy, runID)
 	return p != nil && len(p.unacknowledged) == 0 && !p.hasUnsent
 }
 
-// Lagging returns those of the proxies that haven't acknowledged a revision.
+// Lagging returns the proxies that haven't acknowledged a revision or a later one.
 func (d *Distributor) Lagging(proxies []membership.Member, revision ids.Revision) []ids.DaemonID {
 	var lagging []ids.DaemonID
 	for _, proxy := range proxies {
@@ -62,26 +62,26 @@
 	return lagging
 }
 
-// AllAcknowledged reports whether every one of the proxies has acknowledged a target in
-// this state or a later one.
+// AllAcknowledged reports whether all of the proxies have acknowledged a target in this state or a
+// later one.
 func (d *Distributor) AllAcknowledged(proxies []membership.Member, target targets.Target) bool {
 	for _, proxy := range proxies {
 		p := d.currentRun(proxy.ID, proxy.RunID)
-		if p == nil || !p.acknowledged[target.Instance].reaches(target) {
+		if p == nil || !p.acknowledged[target.Instance].isAtLeast(target) {
 			return false
 		}
 	}
 	return true
 }
 
-// AcknowledgedWithin reports whether a proxy has acknowledged any push within a time
-// until now.
+// AcknowledgedWithin reports whether a proxy has acknowledged a push within the given time before
+// now.
 func (d *Distributor) AcknowledgedWithin(now ids.Time, proxy membership.Member, within time.Duration) bool {
 	p := d.currentRun(proxy.ID, proxy.RunID)
 	return p != nil && p.lastAcked > 0 && now.Sub(p.lastAckAt) <= within
 }
 
-// AcknowledgedRevision returns the newest revision that a proxy has acknowledged, or 0.
+// AcknowledgedRevision returns the newest revision that a proxy has acknowledged, or 0 if none.
 func (d *Distributor) AcknowledgedRevision(proxy membership.Member) ids.Revision {
 	if p := d.currentRun(proxy.ID, proxy.RunID); p != nil {
 		return p.ackedRevision
@@ -89,8 +89,8 @@
 	return 0
 }
 
-// currentRun returns what is known of one run of a proxy, or nil if nothing was sent
-// to that run or a later run has begun.
+// currentRun returns the state of a run of a proxy, or nil if nothing was sent to that run or a later
+// run has begun.
 func (d *Distributor) currentRun(proxy ids.DaemonID, runID ids.RunID) *proxyState {
 	if p := d.proxies[proxy]; p != nil && p.runID == runID {
 		return p
--- a/internal/controlplane/distribution/distributor.go
+++ b/internal/controlplane/distribution/distributor.go
@@ -10,55 +10,53 @@
 )
 
 const (
-	// initialRetryTimeout is the default of Distributor.InitialRetryTimeout: a few
-	// steps of registry and proxy and a round trip between them.
+	// initialRetryTimeout is the default of Distributor.InitialRetryTimeout.
 	initialRetryTimeout = 150 * time.Millisecond
-	// refreshInterval is the default of Distributor.RefreshInterval. Several intervals
-	// fit into ControlLease, so that pushes may be lost before a proxy takes its
-	// configuration for unconfirmed.
+	// refreshInterval is the default of Distributor.RefreshInterval. ControlLease spans several
+	// intervals, so that a few lost pushes don't make a proxy's configuration unconfirmed.
 	refreshInterval = 300 * time.Millisecond
-	// runIDShift makes the numbers of a run's pushes begin above those of all earlier
-	// runs, so that an acknowledgement of an earlier run's push isn't taken for one of
-	// this run. It leaves each run 2^24 pushes to a proxy: a month of one every 150 ms.
+	// runIDShift is the position of the run id in push numbers. The numbers of a run are higher
+	// than those of all earlier runs, so that acknowledgements of pushes of earlier runs aren't
+	// mistaken for those of this run. Each run can send 2^24 pushes to a proxy.
 	runIDShift = 24
 )
 
-// Distributor pushes content to the proxies and tracks what each of them has.
+// Distributor pushes content to the proxies and tracks what each of them has acknowledged.
 type Distributor struct {
 	out     *event.Outbox
 	runID   ids.RunID
 	proxies map[ids.DaemonID]*proxyState
-	// RefreshInterval is how often a proxy is sent a push even if nothing is new, which
-	// confirms that what it has is still in force.
+	// RefreshInterval is the maximum time between pushes to a proxy. A push without changes
+	// confirms that the proxy's configuration is still in force.
 	RefreshInterval time.Duration
-	// InitialRetryTimeout is how long the first transmission to a proxy may stay
-	// unacknowledged before it is repeated.
+	// InitialRetryTimeout is how long the first push to a proxy may remain unacknowledged before
+	// it is retransmitted.
 	InitialRetryTimeout time.Duration
-	// SkipEmptyPushes suppresses pushes without configuration or targets except those
-	// of RefreshInterval.
+	// SkipEmptyPushes suppresses pushes without configuration or targets, except for refreshes
+	// (RefreshInterval).
 	SkipEmptyPushes bool
-	// IsBackup, if set, reports whether another registry pushes to a proxy first. New
-	// usable targets are then held back for a while, as the proxy probably has them
-	// from the other registry by then.
+	// IsBackup, if set, reports whether this registry is a backup for a proxy that another
+	// registry pushes to first. New usable targets are then delayed, because the proxy usually
+	// gets them from the other registry in the meantime.
 	IsBackup func(proxy membership.Member) bool
 }
 
-// Content is what there is to push.
+// Content is the current content to push.
 type Content struct {
-	// Revision is the newest configuration.
+	// Revision is the revision of the newest configuration.
 	Revision ids.Revision
-	// Configuration returns what leads from an earlier revision to Revision.
+	// Configuration returns the encoded update from an earlier revision to Revision.
 	Configuration func(from ids.Revision) []byte
-	// Targets returns all targets. It is called at most once in each Distribute.
+	// Targets returns all targets. It is called at most once per Distribute.
 	Targets func() []targets.Target
-	// Version changes whenever Targets would return something else.
+	// Version changes whenever the result of Targets does.
 	Version uint64
-	// ReadAge is how long ago the last read of the configuration from a majority of
-	// stores began.
+	// ReadAge is the time since the last read of the configuration from a majority of stores
+	// began.
 	ReadAge time.Duration
 }
 
-// New makes a distributor for one run of a registry. Pushes go to out.
+// New returns a distributor for one run of a registry. Pushes go to out.
 func New(runID ids.RunID, out *event.Outbox) *Distributor {
 	return &Distributor{
 		out:                 out,
@@ -69,7 +67,7 @@
 	}
 }
 
-// Distribute sends each of the live proxies the push that is due to it, if any.
+// Distribute sends each of the live proxies a push if one is due.
 func (d *Distributor) Distribute(now ids.Time, proxies []membership.Member, content Content) {
 	content.Targets = loadOnce(content.Targets)
 	for _, proxy := range proxies {
@@ -77,7 +75,7 @@
 	}
 }
 
-// stateOf returns what is known of a proxy's present run.
+// stateOf returns the state of a proxy's current run, and creates it if there is none.
 func (d *Distributor) stateOf(proxy membership.Member) *proxyState {
 	p := d.proxies[proxy.ID]
 	if p == nil || p.runID != proxy.RunID {
@@ -87,7 +85,7 @@
 	return p
 }
 
-// newProxyState is the state of a proxy that has nothing yet.
+// newProxyState returns the state of a proxy to which nothing was sent yet.
 func (d *Distributor) newProxyState(proxyRunID ids.RunID) *proxyState {
 	return &proxyState{
 		runID:          proxyRunID,
@@ -99,7 +97,7 @@
 	}
 }
 
-// loadOnce calls load when its result is first asked for, and keeps the result.
+// loadOnce returns a function that calls load on first use and caches the result.
 func loadOnce(load func() []targets.Target) func() []targets.Target {
 	var loaded []targets.Target
 	return func() []targets.Target {
--- a/internal/controlplane/distribution/doc.go
+++ b/internal/controlplane/distribution/doc.go
@@ -1,23 +1,21 @@
-// Package distribution pushes the configuration and the targets from a registry to
-// the proxies.
+// Package distribution pushes the configuration and the targets from a registry to the proxies.
 //
-// Pushes to one proxy are numbered, and the proxy acknowledges each by its number. The
-// Distributor tracks for each proxy what was acknowledged and what is in flight, sends
-// only what is neither, and sends again what was lost or wasn't acknowledged in time.
-// The retry time-out adapts to the link.
+// Pushes to a proxy are numbered, and the proxy acknowledges each by its number. The Distributor
+// tracks for each proxy what was acknowledged and what is in flight, only sends the rest, and
+// retransmits what was lost or wasn't acknowledged in time. The retry timeout adapts to the link.
 //
 // Invariants:
-//   - A target counts as acknowledged by a proxy only if the proxy acknowledged a push
-//     of this run of the registry, to this run of the proxy, that held it; or if the
-//     proxy showed by its digest that it has the same targets (ConfirmTargets).
-//   - Pushes are idempotent and merge item by item, so that one that is lost, repeated or
-//     overtaken costs time and nothing else.
-//   - A proxy's new run starts from nothing: it is sent everything.
+//   - A target only counts as acknowledged by a proxy if the proxy acknowledged a push that
+//     contained it, from this run of the registry to this run of the proxy, or if the proxy's
+//     digest showed that it has the same targets (ConfirmTargets).
+//   - Pushes are idempotent and merged item by item, so that a push that is lost, duplicated or
+//     reordered only causes a delay.
+//   - A new run of a proxy is sent everything.
 //
-// The package does no input or output and reads no clock: commands go to the owner's
-// event.Outbox, and time is handed in. It decides neither what is in force nor what a
-// proxy does with a push. A Distributor isn't safe for concurrent use.
+// The package does no I/O and reads no clock: commands go to the owner's event.Outbox, and the
+// current time is passed in. It decides neither which configuration is in force nor how a proxy
+// handles a push. A Distributor isn't safe for concurrent use.
 //
-// Unit tests are beside the code; delivery under faults is tested in
+// Unit tests are in this directory; delivery under faults is tested in
 // internal/testsupport/simulator.
 package distribution
--- a/internal/controlplane/distribution/proxy_state.go
+++ b/internal/controlplane/distribution/proxy_state.go
@@ -8,76 +8,73 @@
 )
 
 const (
-	// maxUnacknowledged bounds the pushes remembered for each proxy: ten seconds of them at
-	// one every 150 ms, twice what maxRetryTimeout allows. A proxy that is
-	// further behind is sent again what the forgotten ones held.
+	// maxUnacknowledged bounds the number of unacknowledged pushes tracked per proxy. When it is
+	// reached, the tracked pushes are dropped and their content is sent again.
 	maxUnacknowledged = 64
-	// maxRetryTimeout bounds the back-off for a proxy that acknowledges nothing.
-	// Refreshing pushes go on meanwhile, and the first acknowledgement of one shows
-	// what was lost, so a long time-out delays little.
+	// maxRetryTimeout bounds the backoff for a proxy that doesn't acknowledge pushes. Refreshes
+	// continue during the backoff, and the first acknowledgement of one reveals what was lost.
 	maxRetryTimeout = 4800 * time.Millisecond
 )
 
-// proxyState is what the distributor knows of one run of a proxy.
+// proxyState is the distributor's state of one run of a proxy.
 type proxyState struct {
 	// runID is the run of the proxy.
 	runID ids.RunID
 	// lastPush is the number of the latest push to the proxy.
 	lastPush ids.StreamNumber
-	// lastAcked is the highest number that the proxy acknowledged; 0 if none.
+	// lastAcked is the highest push number that the proxy acknowledged; 0 if none.
 	lastAcked ids.StreamNumber
 	// ackedRevision is the newest configuration that the proxy acknowledged.
 	ackedRevision ids.Revision
 	lastAckAt     ids.Time
 	lastSentAt    ids.Time
-	// inFlight holds the targets that were sent and may still be acknowledged. They
-	// aren't sent again with each push: that would congest a thin or long link.
+	// inFlight holds the targets that were sent and may still be acknowledged. They aren't sent
+	// again in each push, which would congest a slow link.
 	inFlight map[ids.InstanceID]inFlightTarget
 	// configuration is the configuration in flight; zero if none is.
 	configuration inFlightConfiguration
-	// retryTimeout is how long what was sent may stay unacknowledged before it is sent
-	// again. It doubles while nothing is acknowledged.
+	// retryTimeout is how long a push may remain unacknowledged before its content is sent again.
+	// It doubles while nothing is acknowledged.
 	retryTimeout time.Duration
-	// hasUnsent says that the proxy lacks something that this push won't or didn't
-	// carry, so that the next ones have to be checked for it.
+	// hasUnsent reports whether the proxy may lack targets that the latest push didn't carry, so
+	// that the next push must be checked for missing targets.
 	hasUnsent bool
-	// resendNow says that something was lost, and that the next push shouldn't wait
-	// for the retry time-out.
+	// resendNow reports whether something was lost, so that the next push isn't delayed until the
+	// retry timeout.
 	resendNow bool
-	// unacknowledged holds the pushes with targets that weren't acknowledged yet, by
-	// number. What became of a configuration shows by configuration and ackedRevision.
+	// unacknowledged holds the unacknowledged pushes with targets by number. Acknowledgements of
+	// configurations are tracked by configuration and ackedRevision.
 	unacknowledged map[ids.StreamNumber]sentPush
-	// acknowledged holds the version of each target that the proxy has.
+	// acknowledged holds the version of each target that the proxy has acknowledged.
 	acknowledged map[ids.InstanceID]targetVersion
-	// contentVersion is the Content.Version for which it was last looked what the proxy
-	// lacks.
+	// contentVersion is the Content.Version that was last compared with the proxy's targets.
 	contentVersion uint64
-	// proxyTime is the proxy's own clock by its latest acknowledgement.
+	// proxyTime is the time in the proxy's latest acknowledgement, by the proxy's own clock.
 	proxyTime ids.Time
-	// echoedTime is the proxyTime that the latest push echoed; 0 before the first.
+	// echoedTime is the proxyTime that the latest push echoed; 0 before the first push.
 	echoedTime ids.Time
 }
 
-// targetVersion identifies one state of a target. Two states with the same version
-// are the same to proxies.
+// targetVersion identifies one state of a target. Two states with the same version are the same for
+// proxies.
 type targetVersion struct {
 	id          ids.InstanceID
 	incarnation ids.Incarnation
 	sequence    ids.Sequence
-	gone        bool
+	dead        bool
 }
 
 // inFlightTarget is a version of a target that was sent and isn't acknowledged yet.
 type inFlightTarget struct {
 	targetVersion
-	// retryAt is when it is sent again.
+	// retryAt is when the target is sent again.
 	retryAt ids.Time
 }
 
 // inFlightConfiguration is a configuration that was sent and isn't acknowledged yet.
 type inFlightConfiguration struct {
 	revision ids.Revision
-	// retryAt is when it is sent again.
+	// retryAt is when the configuration is sent again.
 	retryAt ids.Time
 	// push is the number of the push that carried it.
 	push ids.StreamNumber
@@ -91,19 +88,19 @@
 
 // versionOf returns the version of a target.
 func versionOf(t targets.Target) targetVersion {
-	return targetVersion{id: t.Instance, incarnation: t.Incarnation, sequence: t.Sequence, gone: t.Dead}
+	return targetVersion{id: t.Instance, incarnation: t.Incarnation, sequence: t.Sequence, dead: t.Dead}
 }
 
-// reaches reports whether v is a target's state t or a later one.
-func (v targetVersion) reaches(t targets.Target) bool {
+// isAtLeast reports whether v identifies the state t of a target or a later state.
+func (v targetVersion) isAtLeast(t targets.Target) bool {
 	if v.incarnation != t.Incarnation {
 		return v.incarnation > t.Incarnation
 	}
 	return v.sequence >= t.Sequence
 }
 
-// isInFlight reports whether a version of a target was sent and may still be
-// acknowledged, and until when that is waited for.
+// isInFlight reports whether a version of a target was sent and may still be acknowledged, and
+// returns when it is due for retransmission.
 func (p *proxyState) isInFlight(version targetVersion) (retryAt ids.Time, ok bool) {
 	sent, ok := p.inFlight[version.id]
 	return sent.retryAt, ok && sent.targetVersion == version
@@ -114,7 +111,7 @@
 	return len(p.unacknowledged) > 0 || p.ackedRevision < newest || p.hasUnsent
 }
 
-// recordSent notes that the next push is sent with some targets.
+// recordSent records that the next push is sent with the given target versions.
 func (p *proxyState) recordSent(now ids.Time, versions []targetVersion) {
 	p.lastPush++
 	if len(p.unacknowledged) >= maxUnacknowledged {
@@ -127,7 +124,7 @@
 	p.lastSentAt, p.echoedTime = now, p.proxyTime
 }
 
-// acknowledge notes that the proxy has applied a push.
+// acknowledge records that the proxy has applied a push.
 func (p *proxyState) acknowledge(push sentPush) {
 	for _, version := range push.targets {
 		p.acknowledged[version.id] = version
@@ -137,8 +134,8 @@
 	}
 }
 
-// detectLost takes the pushes before an acknowledged one for lost: pushes arrive in
-// the order in which they were sent, and are acknowledged in that order.
+// detectLost treats unacknowledged pushes before an acknowledged one as lost, because pushes are
+// delivered and acknowledged in order.
 func (p *proxyState) detectLost(ack Ack) {
 	for number, push := range p.unacknowledged {
 		if number > ack.Number {
@@ -155,8 +152,8 @@
 	}
 }
 
-// markLost has a target sent again that a lost push carried, unless the proxy has
-// that version from another push or a later version is in flight.
+// markLost schedules a target of a lost push to be sent again, unless the proxy has acknowledged that
+// version in another push or another version is in flight.
 func (p *proxyState) markLost(version targetVersion) {
 	if p.acknowledged[version.id] == version {
 		return
--- a/internal/controlplane/distribution/push.go
+++ b/internal/controlplane/distribution/push.go
@@ -9,17 +9,16 @@
 )
 
 const (
-	// retryTimeoutPerTarget extends the retry time-out for each target in a push: a
-	// thin link takes its time for a whole list.
+	// retryTimeoutPerTarget extends the retry timeout for each target in a push, because a large
+	// push takes longer on a slow link.
 	retryTimeoutPerTarget = 5 * time.Millisecond
-	// backupDelay is how long a registry holds back usable targets from a proxy that
-	// another registry pushes to first. It is longer than that push and its
-	// acknowledgement usually take.
+	// backupDelay is how long a registry delays usable targets to a proxy that another registry
+	// pushes to first. It is longer than that push and its acknowledgement usually take.
 	backupDelay = 700 * time.Millisecond
 )
 
-// pushTo sends a proxy what it lacks, if anything is due: something changed, was lost
-// or wasn't acknowledged in time, or the last push is RefreshInterval ago.
+// pushTo sends a proxy what it lacks if a push is due: the content changed, a push was lost or
+// wasn't acknowledged in time, or RefreshInterval has passed since the last push.
 func (d *Distributor) pushTo(now ids.Time, proxy membership.Member, p *proxyState, content Content) {
 	changed := p.contentVersion != content.Version
 	incomplete := p.isIncomplete(content.Revision)
@@ -46,22 +45,23 @@
 	d.out.Send(proxy.Address, push)
 }
 
-// backOff doubles the retry time-out of a proxy that has acknowledged nothing for as long.
+// backOff doubles the retry timeout, up to maxRetryTimeout, if the proxy has acknowledged nothing
+// within it.
 func (p *proxyState) backOff(now ids.Time) {
 	if now.Sub(p.lastAckAt) >= p.retryTimeout {
 		p.retryTimeout = min(2*p.retryTimeout, maxRetryTimeout)
 	}
 }
 
-// isRefreshDue reports whether a proxy is to be sent a push even if nothing is new.
-// The first acknowledgement is echoed at once: until then the proxy can't tell how old a
-// push is, and doesn't take it for a confirmation of what is in force.
+// isRefreshDue reports whether a push to a proxy is due even if nothing changed. The first
+// acknowledgement is echoed immediately, because until then the proxy can't determine the age of a
+// push, and doesn't accept it as confirmation that its configuration is in force.
 func (d *Distributor) isRefreshDue(now ids.Time, p *proxyState) bool {
 	firstEcho := p.echoedTime == 0 && p.proxyTime != 0
 	return firstEcho || now.Sub(p.lastSentAt) >= d.RefreshInterval
 }
 
-// newPush makes the next push to a proxy, still without configuration and targets.
+// newPush returns the next push to a proxy, without configuration and targets.
 func (d *Distributor) newPush(p *proxyState, content Content) Push {
 	return Push{
 		Number:        p.lastPush + 1,
@@ -73,8 +73,8 @@
 	}
 }
 
-// takeConfiguration returns the configuration for a push, or nil if the proxy has the
-// newest one or it is in flight, and notes it as in flight.
+// takeConfiguration returns the configuration for a push and records it as in flight. It returns nil
+// if the proxy has the newest configuration or that is in flight already.
 func (p *proxyState) takeConfiguration(now ids.Time, number ids.StreamNumber, content Content) []byte {
 	if p.ackedRevision >= content.Revision {
 		return nil
@@ -88,8 +88,8 @@
 	return raw
 }
 
-// takeMissingTargets returns the targets that a proxy lacks and that aren't in flight
-// to it, with their versions, and notes them as in flight.
+// takeMissingTargets returns the targets that a proxy lacks and that aren't in flight, with their
+// versions, and records them as in flight.
 func (d *Distributor) takeMissingTargets(now ids.Time, proxy membership.Member, p *proxyState, all []targets.Target) ([]targets.Target, []targetVersion) {
 	isBackup := d.IsBackup != nil && d.IsBackup(proxy)
 	p.hasUnsent = false
@@ -102,7 +102,7 @@
 		}
 		retryAt, isInFlight := p.isInFlight(version)
 		if !isInFlight && isBackup && target.Usable() {
-			// Held back as if it had been sent, so that it goes when backupDelay is over.
+			// Recorded as in flight without being sent, so that it is sent after backupDelay.
 			p.inFlight[target.Instance] = inFlightTarget{targetVersion: version, retryAt: now.Add(backupDelay)}
 			p.hasUnsent = true
 			continue
--- a/internal/controlplane/distribution/push_age.go
+++ b/internal/controlplane/distribution/push_age.go
@@ -6,20 +6,19 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// ControlLease is how old a registry's last read from a majority of stores may be for
-// the registry to act for the control plane: to confirm or reject changes, and to hand
-// out its configuration as the one in force. docs/control.md lists what rests on it.
+// ControlLease is the maximum age of a registry's last read from a majority of stores for which the
+// registry may confirm or reject changes and distribute its configuration as the one in force.
+// docs/control.md lists what depends on it.
 const ControlLease = 1500 * time.Millisecond
 
-// ConfirmedAsOf returns the time, by the proxy's own clock, as of which the push's
-// revision is known to be in force: the start of the majority read. The time that the
-// echo travelled is counted against it, so it is never too late.
+// ConfirmedAsOf returns the time, by the proxy's own clock, as of which the push's revision is known
+// to be in force. It is never later than the start of the majority read, because the network delay
+// of the echoed acknowledgement is included in the age.
 func (p Push) ConfirmedAsOf() ids.Time { return p.EchoedTime.Add(-p.readAge()) }
 
-// TargetsAsOf returns the time, by the proxy's own clock, as of which the sender
-// vouches for its targets. A registry without the control lease may be cut off from
-// the registries that the targets send heartbeats to, so it vouches for them only as of
-// its last majority read.
+// TargetsAsOf returns the time, by the proxy's own clock, as of which the push proves its targets
+// alive. A registry without the control lease may be partitioned from the registries that the
+// targets send heartbeats to, so its targets only count as alive as of its last majority read.
 func (p Push) TargetsAsOf() ids.Time {
 	if p.readAge() > ControlLease {
 		return p.ConfirmedAsOf()
@@ -27,5 +26,5 @@
 	return p.EchoedTime
 }
 
-// readAge is the age of the majority read, rounded up.
+// readAge returns the age of the majority read, rounded up.
 func (p Push) readAge() time.Duration { return time.Duration(p.ReadAgeMillis+1) * time.Millisecond }
