--- a/internal/controlplane/distribution/ack_test.go
+++ b/internal/controlplane/distribution/ack_test.go
@@ -10,14 +10,13 @@
 	"dunlinwell/internal/controlplane/targets"
 )
 
-// A proxy's acknowledgement may wait in its queue while the registry restarts. It must
-// not count for the new run's push: a draining target would be told that every proxy
-// has stopped using it, and exit, while one still sends to it.
+// An acknowledgement of a push of an earlier run of the registry must not count for this run's push.
+// Otherwise a draining target could exit while a proxy still sends requests to it.
 func TestDistributor_IgnoresAckOfEarlierRun(t *testing.T) {
 	is := is.New(t)
 	proxies := oneProxy()
-	leaving := targets.Target{Instance: "a", Sequence: 9, Draining: true}
-	content := Content{Version: 1, Targets: func() []targets.Target { return []targets.Target{leaving} }}
+	draining := targets.Target{Instance: "a", Sequence: 9, Draining: true}
+	content := Content{Version: 1, Targets: func() []targets.Target { return []targets.Target{draining} }}
 	push := func(runID ids.RunID) (*Distributor, Push) {
 		d := New(runID, &event.Outbox{})
 		return d, distribute(d, at(0), proxies, content)[0]
@@ -25,12 +24,12 @@
 	ack := func(p Push) Ack { return Ack{Proxy: "c1", RunID: 1, Number: p.Number, Now: 1} }
 
 	first, firstPush := push(7)
-	leaving.Sequence = 10
+	draining.Sequence = 10
 	second, secondPush := push(8)
 	second.HandleAck(at(10), ack(firstPush))
-	is.True(!second.AllAcknowledged(proxies, leaving))
+	is.True(!second.AllAcknowledged(proxies, draining))
 	second.HandleAck(at(20), ack(secondPush))
-	is.True(second.AllAcknowledged(proxies, leaving))
+	is.True(second.AllAcknowledged(proxies, draining))
 	first.HandleAck(at(30), ack(secondPush))
-	is.True(!first.AllAcknowledged(proxies, leaving))
+	is.True(!first.AllAcknowledged(proxies, draining))
 }
--- a/internal/controlplane/distribution/helpers_test.go
+++ b/internal/controlplane/distribution/helpers_test.go
@@ -9,25 +9,25 @@
 	"dunlinwell/internal/controlplane/targets"
 )
 
-// at is a number of milliseconds after the start of the test.
+// at returns the time a number of milliseconds after the start of the test.
 func at(ms int) ids.Time { return ids.Time(time.Duration(ms)*time.Millisecond) + 1 }
 
-// oneProxy is the first run of a single proxy.
+// oneProxy returns a single proxy in its first run.
 func oneProxy() []membership.Member {
 	return []membership.Member{{ID: "c1", Address: "c1", RunID: 1}}
 }
 
-// fixedConfiguration is a Content.Configuration that is the same from any revision.
+// fixedConfiguration returns a Content.Configuration that returns the same for all revisions.
 func fixedConfiguration(raw string) func(ids.Revision) []byte {
 	return func(ids.Revision) []byte { return []byte(raw) }
 }
 
-// listOf is a Content.Targets that returns the list as it is when asked for.
+// listOf returns a Content.Targets that returns the list as of the call.
 func listOf(list *[]targets.Target) func() []targets.Target {
 	return func() []targets.Target { return *list }
 }
 
-// distribute makes one round and returns the pushes that it sent.
+// distribute calls Distribute and returns the pushes that it sent.
 func distribute(d *Distributor, now ids.Time, proxies []membership.Member, content Content) []Push {
 	d.Distribute(now, proxies, content)
 	var pushes []Push
--- a/internal/controlplane/distribution/inflight_test.go
+++ b/internal/controlplane/distribution/inflight_test.go
@@ -12,8 +12,7 @@
 	"dunlinwell/internal/controlplane/targets"
 )
 
-// What is in flight isn't sent again with every push. On a thin link, where an
-// acknowledgement takes half a second, that congested the link.
+// Targets in flight must not be sent again in every push, which would congest a slow link.
 func TestDistributor_DoesNotResendInFlightTargets(t *testing.T) {
 	is := is.New(t)
 	d := New(7, &event.Outbox{})
@@ -21,38 +20,38 @@
 	proxies := oneProxy()
 	announced := []targets.Target{{Instance: "a", Sequence: 1}}
 	content := Content{Revision: 1, Configuration: fixedConfiguration("p"), Version: 1, Targets: listOf(&announced)}
-	sent := func(ms int) (names []ids.InstanceID, configurationBytes int) {
+	sent := func(ms int) (instances []ids.InstanceID, configurationBytes int) {
 		for _, push := range distribute(d, at(ms), proxies, content) {
 			configurationBytes += len(push.Configuration)
 			for _, target := range push.Targets {
-				names = append(names, target.Instance)
+				instances = append(instances, target.Instance)
 			}
 		}
-		return names, configurationBytes
+		return instances, configurationBytes
 	}
-	names, configurationBytes := sent(0)
-	is.Equal(names, []ids.InstanceID{"a"})
+	instances, configurationBytes := sent(0)
+	is.Equal(instances, []ids.InstanceID{"a"})
 	is.Equal(configurationBytes, 1)
-	// One more target in each round: each is sent once.
-	for i, name := range []ids.InstanceID{"b", "c", "d"} {
-		announced = append(announced, targets.Target{Instance: name, Sequence: 1})
+	// Each round adds a target, which is sent once.
+	for i, instance := range []ids.InstanceID{"b", "c", "d"} {
+		announced = append(announced, targets.Target{Instance: instance, Sequence: 1})
 		content.Version++
-		names, configurationBytes = sent(50 * (i + 1))
-		is.Equal(names, []ids.InstanceID{name})
+		instances, configurationBytes = sent(50 * (i + 1))
+		is.Equal(instances, []ids.InstanceID{instance})
 		is.Equal(configurationBytes, 0)
 	}
-	// Nothing is acknowledged: everything is sent again, with increasing delays.
-	names, configurationBytes = sent(1000)
-	is.Equal(len(names), 4)
+	// Nothing is acknowledged, so everything is sent again with exponential backoff.
+	instances, configurationBytes = sent(1000)
+	is.Equal(len(instances), 4)
 	is.Equal(configurationBytes, 1)
-	names, _ = sent(1100)
-	is.Equal(len(names), 0)
-	names, _ = sent(3000)
-	is.Equal(len(names), 4)
+	instances, _ = sent(1100)
+	is.Equal(len(instances), 0)
+	instances, _ = sent(3000)
+	is.Equal(len(instances), 4)
 }
 
-// A registry that is the backup for a proxy holds usable targets back, and doesn't send
-// them if the proxy shows that it has them from the other registry.
+// A backup registry must delay usable targets, and not send them if the proxy has received them from
+// the other registry.
 func TestDistributor_BackupDelaysPushes(t *testing.T) {
 	is := is.New(t)
 	d := New(7, &event.Outbox{})
@@ -67,10 +66,10 @@
 	}
 	is.Equal(sent(0), 0)
 	is.Equal(sent(300), 0)
-	is.Equal(sent(800), 2) // the delay is over, and the proxy hasn't shown that it has them
+	is.Equal(sent(800), 2) // the delay has passed, and the proxy hasn't confirmed the targets
 	announced[1].Draining, announced[1].Sequence = true, 2
 	content.Version++
-	is.Equal(sent(900), 1) // a draining target isn't held back
+	is.Equal(sent(900), 1) // a draining target isn't delayed
 	announced[0].Sequence = 2
 	content.Version++
 	is.Equal(sent(950), 0)
--- a/internal/controlplane/distribution/link_test.go
+++ b/internal/controlplane/distribution/link_test.go
@@ -13,21 +13,22 @@
 	"dunlinwell/internal/controlplane/targets"
 )
 
-// link carries pushes to one proxy, in order, and its acknowledgements back.
+// link simulates a link that delivers pushes to one proxy in order. Acknowledgements arrive without
+// delay.
 type link struct {
 	*Distributor
 	proxy membership.Member
 	delay time.Duration
-	// isLost reports whether a push that is sent now is lost.
+	// isLost reports whether a push that is sent now is dropped.
 	isLost    func() bool
 	inTransit []arrival
-	// sentTargets and sentConfigurationBytes count what was sent, lost or not.
+	// sentTargets and sentConfigurationBytes count what was sent, including lost pushes.
 	sentTargets, sentConfigurationBytes int
-	// knownSince is since when the proxy has had each target.
-	knownSince map[ids.InstanceID]ids.Time
+	// receivedAt is when the proxy first received each target.
+	receivedAt map[ids.InstanceID]ids.Time
 }
 
-// arrival is a push on its way.
+// arrival is a push in transit.
 type arrival struct {
 	at   ids.Time
 	push Push
@@ -39,14 +40,14 @@
 		proxy:       membership.Member{ID: "c1", Address: "c1", RunID: 1},
 		delay:       delay,
 		isLost:      func() bool { return false },
-		knownSince:  map[ids.InstanceID]ids.Time{},
+		receivedAt:  map[ids.InstanceID]ids.Time{},
 	}
 	l.InitialRetryTimeout, l.RefreshInterval = 400*time.Millisecond, time.Second
 	l.SkipEmptyPushes = true
 	return l
 }
 
-// step makes one round, and delivers what is due.
+// step distributes the content, and delivers and acknowledges the pushes that are due.
 func (l *link) step(now ids.Time, content Content) {
 	for _, push := range distribute(l.Distributor, now, []membership.Member{l.proxy}, content) {
 		l.sentTargets += len(push.Targets)
@@ -59,15 +60,15 @@
 		push := l.inTransit[0].push
 		l.inTransit = l.inTransit[1:]
 		for _, target := range push.Targets {
-			if _, ok := l.knownSince[target.Instance]; !ok {
-				l.knownSince[target.Instance] = now
+			if _, ok := l.receivedAt[target.Instance]; !ok {
+				l.receivedAt[target.Instance] = now
 			}
 		}
 		l.HandleAck(now, Ack{Proxy: "c1", RunID: 1, Number: push.Number, Revision: push.Revision, Now: now})
 	}
 }
 
-// newTargets are n targets, t0 and so on.
+// newTargets returns n targets named t0, t1 and so on.
 func newTargets(n int) []targets.Target {
 	var list []targets.Target
 	for i := range n {
@@ -76,27 +77,26 @@
 	return list
 }
 
-// On a full link an acknowledgement takes longer than the initial retry time-out. When
-// everything in flight was sent again every 600 ms until then, that kept the link
-// full: a metastable failure.
+// On a congested link acknowledgements take longer than the initial retry timeout. Retransmissions
+// must not keep the link congested (a metastable failure).
 func TestDistributor_DoesNotFloodSlowLink(t *testing.T) {
 	is := is.New(t)
 	l := newLink(1500 * time.Millisecond)
 	const initial = 400
 	for ms := 0; ms < 20000; ms += 50 {
-		// One more target in each second.
+		// One target is added each second.
 		n := initial + ms/1000
 		list := newTargets(n)
 		l.step(at(ms), Content{Revision: 1, Configuration: fixedConfiguration("p"), Version: uint64(n), Targets: listOf(&list)})
 	}
-	t.Logf("%d targets were sent %d times in all, the configuration %d times", initial+19, l.sentTargets, l.sentConfigurationBytes)
-	is.True(len(l.knownSince) >= initial+17)
+	t.Logf("%d targets were sent %d times in total, the configuration %d times", initial+19, l.sentTargets, l.sentConfigurationBytes)
+	is.True(len(l.receivedAt) >= initial+17)
 	is.True(l.sentTargets < 3*initial/2)
 	is.True(l.sentConfigurationBytes <= 3)
 }
 
-// What was lost with a broken connection is sent again as soon as anything sent later is
-// acknowledged, however long the connection was down.
+// Targets that were lost while the link was down must be sent again as soon as a later push is
+// acknowledged, however long the outage was.
 func TestDistributor_ResendsLostTargetsAfterReconnect(t *testing.T) {
 	is := is.New(t)
 	l := newLink(20 * time.Millisecond)
@@ -114,7 +114,7 @@
 		}
 		l.step(at(ms), Content{Version: uint64(len(list)), Targets: listOf(&list)})
 	}
-	delay := l.knownSince["t3"].Sub(at(9000))
-	t.Logf("known %s after the link was up again", delay)
+	delay := l.receivedAt["t3"].Sub(at(9000))
+	t.Logf("received %s after the link recovered", delay)
 	is.True(delay <= 1200*time.Millisecond)
 }
