--- a/internal/app/daemon/member.go
+++ b/internal/app/daemon/member.go
@@ -15,7 +15,7 @@
 func NewMember(options settings.Common, role membership.Role) membership.Member {
 	return membership.Member{
 		ID: ids.DaemonID(options.Name), Role: role, Address: ids.Address(options.Address),
-		HTTP: ids.Address(options.HTTPAddress), Zone: ids.Name(options.Zone), RunID: newRunID(),
+		HTTPAddress: ids.Address(options.HTTPAddress), Zone: ids.Name(options.Zone), RunID: newRunID(),
 		Incarnation: ids.Incarnation(time.Now().UnixMilli()),
 	}
 }
@@ -35,9 +35,9 @@
 		switch {
 		case m.Role != membership.Registry || m.Dead:
 		case m.Zone == zone:
-			near = append(near, m.HTTP)
+			near = append(near, m.HTTPAddress)
 		default:
-			far = append(far, m.HTTP)
+			far = append(far, m.HTTPAddress)
 		}
 	}
 	return append(near, far...)
--- a/internal/controlplane/directory/snapshot_test.go
+++ b/internal/controlplane/directory/snapshot_test.go
@@ -24,7 +24,7 @@
 	}
 	for _, zone := range []ids.Name{"a", "b", "c"} {
 		for range 2 {
-			s.Proxies = append(s.Proxies, membership.Member{Zone: zone, HTTP: ids.Address(zone) + ":1"})
+			s.Proxies = append(s.Proxies, membership.Member{Zone: zone, HTTPAddress: ids.Address(zone) + ":1"})
 		}
 	}
 	return s
--- a/internal/controlplane/membership/member.go
+++ b/internal/controlplane/membership/member.go
@@ -28,9 +28,9 @@
 	Role Role
 	// Address is where the daemon accepts connections from other daemons.
 	Address ids.Address
-	// HTTP is the address at which the daemon serves HTTP.
-	HTTP ids.Address
-	Zone ids.Name
+	// HTTPAddress is the address at which the daemon serves HTTP.
+	HTTPAddress ids.Address
+	Zone        ids.Name
 	// RunID identifies the run of the daemon's process.
 	RunID ids.RunID
 	// Incarnation is raised by the member to refute its death or the entry of another run.
@@ -51,7 +51,7 @@
 }
 
 // ClientAddress returns the address at which a proxy accepts client connections.
-func (m Member) ClientAddress() ids.Address { return cmp.Or(m.ClientListen, m.HTTP) }
+func (m Member) ClientAddress() ids.Address { return cmp.Or(m.ClientListen, m.HTTPAddress) }
 
 // supersedes reports whether m replaces other, an entry of the same member. Within an incarnation
 // a dead entry wins, so that only the member itself can refute its death, by a higher incarnation.
--- a/internal/controlplane/registry/status.go
+++ b/internal/controlplane/registry/status.go
@@ -167,7 +167,7 @@
 			Role:     member.Role.String(),
 			Zone:     member.Zone,
 			Address:  member.Address,
-			HTTP:     member.HTTP,
+			HTTP:     member.HTTPAddress,
 			State:    daemonState(member),
 			Revision: member.Revision,
 			RunID:    strconv.FormatUint(uint64(member.RunID), 16),
--- a/internal/testsupport/scaletest/hollow_proxy.go
+++ b/internal/testsupport/scaletest/hollow_proxy.go
@@ -51,7 +51,7 @@
 func newHollowProxy(o ProxyGroupOptions, n int, seeds []ids.Address, log *process.Log, stats *process.TrafficStats) *hollowProxy {
 	address := proxyAddress(o.Block, n)
 	self := membership.Member{
-		ID: ids.DaemonID(fmt.Sprintf("proxy-%d", n+1)), Role: membership.Proxy, Address: address, HTTP: address,
+		ID: ids.DaemonID(fmt.Sprintf("proxy-%d", n+1)), Role: membership.Proxy, Address: address, HTTPAddress: address,
 		Zone: Size{Zones: o.Zones, Regions: 1}.Zone(n), RunID: ids.RunID(rand.Uint64()>>24 | 1), Incarnation: ids.Incarnation(time.Now().UnixMilli()),
 	}
 	var controlOptions proxy.ControlOptions
--- a/internal/testsupport/simulator/process.go
+++ b/internal/testsupport/simulator/process.go
@@ -135,7 +135,7 @@
 	p.calls = map[uint64]func(registry.Response){}
 	wall := time.Hour + time.Duration(p.world.now) + p.clockOffset
 	self := membership.Member{
-		ID: ids.DaemonID(p.name), Role: p.role, Address: p.address, HTTP: p.address, Zone: p.zone,
+		ID: ids.DaemonID(p.name), Role: p.role, Address: p.address, HTTPAddress: p.address, Zone: p.zone,
 		RunID: p.runID, Incarnation: ids.Incarnation(max(wall.Milliseconds(), 1)),
 	}
 	header.Membership = membership.Options{Self: self, Seeds: p.seeds}
