--- a/internal/controlplane/membership/member.go
+++ b/internal/controlplane/membership/member.go
@@ -44,8 +44,8 @@
 	// (see UpdateSelf). A value above 0 shows that a cluster exists, which prevents empty stores
 	// from bootstrapping a new one.
 	Revision ids.Revision
-	// Store is the store id of a store; 0 for other roles.
-	Store uint64
+	// StoreID is the store id of a store; 0 for other roles.
+	StoreID uint64
 	// ClientListen is where a proxy accepts client connections; empty if that is HTTP.
 	ClientListen ids.Address
 }
--- a/internal/controlplane/store/bootstrap_promise.go
+++ b/internal/controlplane/store/bootstrap_promise.go
@@ -82,7 +82,7 @@
 		case m.ID == s.Self.ID:
 		case m.Revision > 0:
 			sign = fmt.Sprintf("%s %s", m.ID, signAcceptedConfiguration)
-		case m.Role == membership.Store && m.Ready && !s.bootstrap.record.IncludesStore(m.Store):
+		case m.Role == membership.Store && m.Ready && !s.bootstrap.record.IncludesStore(m.StoreID):
 			sign = fmt.Sprintf("%s %s", m.ID, signEarlierVote)
 		}
 	}
--- a/internal/controlplane/store/replacement.go
+++ b/internal/controlplane/store/replacement.go
@@ -70,7 +70,7 @@
 func (s *Store) trackSilentVoters(now ids.Time, voterSet consensus.VoterSet) {
 	live := map[uint64]bool{}
 	for _, m := range s.Live(membership.Store) {
-		live[m.Store] = true
+		live[m.StoreID] = true
 	}
 	for _, v := range voterSet.AllVoters() {
 		if live[v.ID] {
--- a/internal/controlplane/store/store.go
+++ b/internal/controlplane/store/store.go
@@ -50,7 +50,7 @@
 // New makes a store that continues from what its storage holds.
 func New(options Options) *Store {
 	s := &Store{}
-	options.Self.Role, options.Self.Store = membership.Store, options.StoreID
+	options.Self.Role, options.Self.StoreID = membership.Store, options.StoreID
 	bootstrapSeeds := options.Seeds
 	options.Seeds = append(slices.Clone(options.Seeds), cachedAddresses(options.Storage, options.Self.Address)...)
 	s.List = membership.New(options.Options, &s.Outbox)
@@ -135,7 +135,7 @@
 // isLive reports whether a store is live and ready, by the membership list.
 func (s *Store) isLive(storeID uint64) bool {
 	for _, m := range s.Live(membership.Store) {
-		if m.Store == storeID {
+		if m.StoreID == storeID {
 			return m.Ready
 		}
 	}
--- a/internal/controlplane/store/voter_set.go
+++ b/internal/controlplane/store/voter_set.go
@@ -146,8 +146,8 @@
 func (s *Store) liveVoters(voterSet consensus.VoterSet) map[uint64]bool {
 	live := map[uint64]bool{}
 	for _, m := range s.Live(membership.Store) {
-		if isCurrentVoter(voterSet, m.Store) {
-			live[m.Store] = true
+		if isCurrentVoter(voterSet, m.StoreID) {
+			live[m.StoreID] = true
 		}
 	}
 	if voterSet.HasVoter(s.StoreID()) {
--- a/internal/testsupport/compat/messages_test.go
+++ b/internal/testsupport/compat/messages_test.go
@@ -22,11 +22,11 @@
 		Address: "text-1", AcceptsDeflated: false,
 	},
 	membership.Heartbeat{
-		Self:   membership.Member{ID: "text-1", Role: 2, Address: "text-3", HTTPAddress: "text-4", Zone: "text-5", RunID: 4294967302, Incarnation: 4294967303, Sequence: 4294967304, Dead: true, Ready: false, Revision: 4294967307, Store: 4294967308, ClientListen: "text-13"},
+		Self:   membership.Member{ID: "text-1", Role: 2, Address: "text-3", HTTPAddress: "text-4", Zone: "text-5", RunID: 4294967302, Incarnation: 4294967303, Sequence: 4294967304, Dead: true, Ready: false, Revision: 4294967307, StoreID: 4294967308, ClientListen: "text-13"},
 		Digest: 4294967310,
 	},
 	membership.Snapshot{
-		Members: []membership.Member{{ID: "text-1", Role: 2, Address: "text-3", HTTPAddress: "text-4", Zone: "text-5", RunID: 4294967302, Incarnation: 4294967303, Sequence: 4294967304, Dead: true, Ready: false, Revision: 4294967307, Store: 4294967308, ClientListen: "text-13"}, {ID: "text-14", Role: 15, Address: "text-16", HTTPAddress: "text-17", Zone: "text-18", RunID: 4294967315, Incarnation: 4294967316, Sequence: 4294967317, Dead: false, Ready: true, Revision: 4294967320, Store: 4294967321, ClientListen: "text-26"}},
+		Members: []membership.Member{{ID: "text-1", Role: 2, Address: "text-3", HTTPAddress: "text-4", Zone: "text-5", RunID: 4294967302, Incarnation: 4294967303, Sequence: 4294967304, Dead: true, Ready: false, Revision: 4294967307, StoreID: 4294967308, ClientListen: "text-13"}, {ID: "text-14", Role: 15, Address: "text-16", HTTPAddress: "text-17", Zone: "text-18", RunID: 4294967315, Incarnation: 4294967316, Sequence: 4294967317, Dead: false, Ready: true, Revision: 4294967320, StoreID: 4294967321, ClientListen: "text-26"}},
 		Final:   true,
 	},
 	membership.Suspect{
@@ -37,14 +37,14 @@
 	},
 	membership.Delta{
 		Parts:   []uint16{257, 258},
-		Members: []membership.Member{{ID: "text-3", Role: 4, Address: "text-5", HTTPAddress: "text-6", Zone: "text-7", RunID: 4294967304, Incarnation: 4294967305, Sequence: 4294967306, Dead: true, Ready: false, Revision: 4294967309, Store: 4294967310, ClientListen: "text-15"}, {ID: "text-16", Role: 17, Address: "text-18", HTTPAddress: "text-19", Zone: "text-20", RunID: 4294967317, Incarnation: 4294967318, Sequence: 4294967319, Dead: false, Ready: true, Revision: 4294967322, Store: 4294967323, ClientListen: "text-28"}},
+		Members: []membership.Member{{ID: "text-3", Role: 4, Address: "text-5", HTTPAddress: "text-6", Zone: "text-7", RunID: 4294967304, Incarnation: 4294967305, Sequence: 4294967306, Dead: true, Ready: false, Revision: 4294967309, StoreID: 4294967310, ClientListen: "text-15"}, {ID: "text-16", Role: 17, Address: "text-18", HTTPAddress: "text-19", Zone: "text-20", RunID: 4294967317, Incarnation: 4294967318, Sequence: 4294967319, Dead: false, Ready: true, Revision: 4294967322, StoreID: 4294967323, ClientListen: "text-28"}},
 		Final:   true,
 	},
 	membership.Probe{
 		ID: "text-1",
 	},
 	membership.ProbeReply{
-		Self: membership.Member{ID: "text-1", Role: 2, Address: "text-3", HTTPAddress: "text-4", Zone: "text-5", RunID: 4294967302, Incarnation: 4294967303, Sequence: 4294967304, Dead: true, Ready: false, Revision: 4294967307, Store: 4294967308, ClientListen: "text-13"},
+		Self: membership.Member{ID: "text-1", Role: 2, Address: "text-3", HTTPAddress: "text-4", Zone: "text-5", RunID: 4294967302, Incarnation: 4294967303, Sequence: 4294967304, Dead: true, Ready: false, Revision: 4294967307, StoreID: 4294967308, ClientListen: "text-13"},
 	},
 	membership.Withdraw{
 		Watcher: "text-1", Member: "text-2",
