--- a/internal/controlplane/registry/peers.go
+++ b/internal/controlplane/registry/peers.go
@@ -72,7 +72,7 @@
 	if !r.options.Incremental {
 		return
 	}
-	r.Targets.ConfirmRegistrars(now, func(id ids.DaemonID, run ids.RunID) bool {
+	r.Targets.RenewRegistered(now, func(id ids.DaemonID, run ids.RunID) bool {
 		return id != r.Self.ID && r.peers.isRunning(now, id, run)
 	})
 	r.relayMembership(now)
--- a/internal/controlplane/targets/expiry.go
+++ b/internal/controlplane/targets/expiry.go
@@ -61,11 +61,11 @@
 	return time.Duration(missed) * millis(uint64(e.IntervalMillis))
 }
 
-// ConfirmRegistrars renews the targets whose registrar is still in the run that they registered
+// RenewRegistered renews the targets whose registrar is still in the run that they registered
 // with, because that registrar would have reported their death. The targets of a registrar that is
 // dead or was restarted aren't renewed until they send another heartbeat. Targets that registered
 // with this registry aren't affected.
-func (t *Table) ConfirmRegistrars(now ids.Time, isRunning func(ids.DaemonID, ids.RunID) bool) {
+func (t *Table) RenewRegistered(now ids.Time, isRunning func(ids.DaemonID, ids.RunID) bool) {
 	for _, e := range t.entries {
 		if e.Dead || e.Registrar == "" || e.Registrar == t.Self {
 			e.registrarLost = false
--- a/internal/controlplane/targets/registrar_test.go
+++ b/internal/controlplane/targets/registrar_test.go
@@ -19,7 +19,7 @@
 	isRunning := true
 	expired := func(from, to time.Duration) (dead []ids.InstanceID) {
 		for now := from; now <= to; now += 500 * time.Millisecond {
-			table.ConfirmRegistrars(at(now), func(d ids.DaemonID, run ids.RunID) bool { return isRunning && d == "other" && run == 1 })
+			table.RenewRegistered(at(now), func(d ids.DaemonID, run ids.RunID) bool { return isRunning && d == "other" && run == 1 })
 			for _, target := range table.Tick(at(now)) {
 				dead = append(dead, target.Instance)
 			}
