--- a/internal/controlplane/registry/target_heartbeat.go
+++ b/internal/controlplane/registry/target_heartbeat.go
@@ -108,5 +108,5 @@
 	for _, target := range expired {
 		r.Log(event.LevelWarn, logTargetHeartbeatTimeout, "target", string(target.Instance), "service", string(target.Service), "address", string(target.Address))
 	}
-	r.Targets.Forget(now, goneTargetRetention)
+	r.Targets.PurgeDead(now, goneTargetRetention)
 }
--- a/internal/controlplane/targets/expiry.go
+++ b/internal/controlplane/targets/expiry.go
@@ -78,9 +78,9 @@
 	}
 }
 
-// Forget removes the targets that have been dead for longer than the retention time, so that the
+// PurgeDead removes the targets that have been dead for longer than the retention time, so that the
 // table doesn't grow without bound.
-func (t *Table) Forget(now ids.Time, retention time.Duration) {
+func (t *Table) PurgeDead(now ids.Time, retention time.Duration) {
 	for id, e := range t.entries {
 		if e.Dead && now.Sub(e.lastHeard) > retention {
 			delete(t.entries, id)
--- a/internal/controlplane/targets/expiry_test.go
+++ b/internal/controlplane/targets/expiry_test.go
@@ -22,6 +22,6 @@
 		is.Equal(len(table.Tick(at(now))), 0)
 	}
 	is.Equal(len(table.Tick(at(11500*time.Millisecond))), 1)
-	table.Forget(at(2*time.Hour), time.Hour)
+	table.PurgeDead(at(2*time.Hour), time.Hour)
 	is.Equal(len(table.All(at(2*time.Hour))), 0)
 }
--- a/internal/dataplane/proxy/control.go
+++ b/internal/dataplane/proxy/control.go
@@ -135,7 +135,7 @@
 	if !c.ByZone {
 		c.targets.ExpireSilent(now)
 	}
-	c.targets.Forget(now, goneTargetRetention)
+	c.targets.PurgeDead(now, goneTargetRetention)
 	c.queryStores(now)
 	c.requestLease(now)
 	c.UpdateSelf(c.ready(now), c.view.Revision)
