--- a/internal/controlplane/membership/member.go
+++ b/internal/controlplane/membership/member.go
@@ -28,7 +28,7 @@
 	Role Role
 	// Address is where the daemon accepts connections from other daemons.
 	Address ids.Address
-	// HTTPAddress is the address at which the daemon serves HTTP.
+	// HTTPAddress is where the daemon serves HTTP.
 	HTTPAddress ids.Address
 	Zone        ids.Name
 	// RunID identifies the run of the daemon's process.
@@ -44,9 +44,9 @@
 	// (see UpdateSelf). A value above 0 shows that a cluster exists, which prevents empty stores
 	// from bootstrapping a new one.
 	Revision ids.Revision
-	// StoreID is the store id of a store; 0 for other roles.
+	// StoreID is the id of a store; 0 for other roles.
 	StoreID uint64
-	// ClientListen is where a proxy accepts client connections; empty if that is HTTP.
+	// ClientListen is where a proxy accepts client connections; empty if that is HTTPAddress.
 	ClientListen ids.Address
 }
 
--- a/internal/controlplane/targets/table.go
+++ b/internal/controlplane/targets/table.go
@@ -11,7 +11,7 @@
 // Table is one copy of the table of all targets.
 type Table struct {
 	entries map[ids.InstanceID]*entry
-	// version counts all changes by Merge, Tick and Forget.
+	// version counts all changes by Merge, Tick and PurgeDead.
 	version uint64
 	// proxyVersion counts the changes that are visible to proxies.
 	proxyVersion uint64
