--- a/internal/controlplane/store/bootstrap_promise.go
+++ b/internal/controlplane/store/bootstrap_promise.go
@@ -81,7 +81,7 @@
 		case m.ID == s.Self.ID:
 		case m.Revision > 0:
 			evidence = fmt.Sprintf("%s %s", m.ID, evidenceAcceptedConfiguration)
-		case m.Role == membership.Store && m.Ready && !s.bootstrap.record.IncludesStore(m.Store):
+		case m.Role == membership.Store && m.Ready && !s.bootstrap.record.IncludesStore(m.StoreID):
 			evidence = fmt.Sprintf("%s %s", m.ID, evidenceEarlierVote)
 		}
 	}
--- a/internal/controlplane/targets/expiry_test.go
+++ b/internal/controlplane/targets/expiry_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// A gap between two ticks is this process's own silence and expires no target. Targets
-// that are silent from then on expire, and are forgotten after the retention time.
-func TestTable_OwnPauseExpiresNoTarget(t *testing.T) {
+// A gap between two ticks means that this process was paused, and must not expire targets. Targets
+// that are silent afterwards expire, and are removed after the retention time.
+func TestTable_ProcessPauseExpiresNoTarget(t *testing.T) {
 	is := is.New(t)
 	table := New()
 	table.Merge(at(0), newTarget("a", 1, 1))
@@ -22,6 +22,6 @@
 		is.Equal(len(table.Tick(at(now))), 0)
 	}
 	is.Equal(len(table.Tick(at(11500*time.Millisecond))), 1)
-	table.Forget(at(2*time.Hour), time.Hour)
+	table.PurgeDead(at(2*time.Hour), time.Hour)
 	is.Equal(len(table.All(at(2*time.Hour))), 0)
 }
--- a/internal/dataplane/proxy/control.go
+++ b/internal/dataplane/proxy/control.go
@@ -136,7 +136,7 @@
 	if !c.ByZone {
 		c.targets.ExpireSilent(now)
 	}
-	c.targets.Forget(now, departedTargetRetention)
+	c.targets.PurgeDead(now, departedTargetRetention)
 	c.queryStores(now)
 	c.requestLease(now)
 	c.UpdateSelf(c.ready(now), c.view.Revision)
