--- a/internal/dataplane/proxy/added_routes_test.go
+++ b/internal/dataplane/proxy/added_routes_test.go
@@ -103,7 +103,7 @@
 // delayed in a large fleet whose targets change continuously.
 func TestRefresh_AddedRouteIsServedAtOnce(t *testing.T) {
 	is := is.New(t)
-	f := newDispatchingFixture(newStormFixture(t))
+	f := newDispatchingFixture(newLargeClusterFixture(t))
 	f.now = f.now.Add(maxRefreshInterval)
 	// This refresh is due, and sends the targets to the dispatcher.
 	f.receive(nil, 1, changedTarget(0))
@@ -119,9 +119,9 @@
 	}
 }
 
-// changedTarget returns a newer state of a target of newStormFixture.
+// changedTarget returns a newer state of a target of newLargeClusterFixture.
 func changedTarget(i int) targets.Target {
-	target := stormTarget(i)
+	target := largeClusterTarget(i)
 	target.Sequence, target.Occupancy = 2, 1
 	return target
 }
@@ -129,10 +129,10 @@
 // A service that is added with its route needs targets and slots, so its refresh isn't delayed.
 func TestRefresh_AddedServiceIsServedAtOnce(t *testing.T) {
 	is := is.New(t)
-	f := newDispatchingFixture(newStormFixture(t))
+	f := newDispatchingFixture(newLargeClusterFixture(t))
 	var others []targets.Target
-	for i := range stormProxies { // enough for this proxy to have slots at some of them
-		other := stormTarget(1000 + i)
+	for i := range largeClusterProxies { // enough for this proxy to have slots at some of them
+		other := largeClusterTarget(1000 + i)
 		other.Service = "b"
 		others = append(others, other)
 	}
--- a/internal/dataplane/proxy/configuration.go
+++ b/internal/dataplane/proxy/configuration.go
@@ -41,8 +41,8 @@
 	c.configuration, c.view = next, next.View()
 	c.view.SetRegions(c.Regions)
 	c.restartZoneSlowStart(now, previous)
-	c.noteZoneDrain(now, hadLease)
-	c.sendChangedTerms()
+	c.updateDrainState(now, hadLease)
+	c.sendChangedRouteRules()
 	c.Emit(UpdateRoutes{View: c.view})
 	c.Log(event.LevelInfo, logConfigurationAdopted, "revision", formatUint(uint64(next.Revision)))
 }
--- a/internal/dataplane/proxy/control.go
+++ b/internal/dataplane/proxy/control.go
@@ -129,7 +129,7 @@
 
 // tick runs the periodic work. Recorded traces depend on the order of the steps.
 func (c *Control) tick(now ids.Time) {
-	c.detectFreeze(now)
+	c.detectPause(now)
 	c.List.Tick(now)
 	c.Client.Tick(now)
 	// A failed registry may have been the only one to detect a target's missing heartbeats.
--- a/internal/dataplane/proxy/doc.go
+++ b/internal/dataplane/proxy/doc.go
@@ -44,7 +44,7 @@
 //     before the first byte). Other daemons rely on this when they assume that a change, a
 //     drained zone or a departed target has taken effect on every proxy.
 //   - A configuration is never replaced by an older one.
-//   - The router never contains a route whose terms its dispatcher lacks (sendChangedTerms).
+//   - The router never contains a route whose terms its dispatcher lacks (sendChangedRouteRules).
 //   - A push is acknowledged only after the dispatchers have received its contents.
 //   - A request that may have reached its target is never resent by this package, and no
 //     response is passed on before it was read completely and checked.
--- a/internal/dataplane/proxy/forward_faults_test.go
+++ b/internal/dataplane/proxy/forward_faults_test.go
@@ -138,7 +138,7 @@
 	for name, c := range map[string]struct{ deadline, sendBefore, lastStep ids.Time }{
 		"past its deadline": {process.Now(), now, now},
 		"past its lease":    {now, process.Now(), now},
-		"not yet stepped":   {now, now, process.Now().Add(-2 * freezeThreshold)},
+		"not yet stepped":   {now, now, process.Now().Add(-2 * pauseThreshold)},
 	} {
 		for _, reused := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, reused %t", name, reused), func(t *testing.T) {
--- a/internal/dataplane/proxy/lease.go
+++ b/internal/dataplane/proxy/lease.go
@@ -22,15 +22,15 @@
 	// new. It lies below DefaultLease, so that the directory stops naming a proxy before
 	// that proxy has to reject requests.
 	maxConfirmationAge = 1900 * time.Millisecond
-	// freezeThreshold is the longest gap between ticks (normally 50 ms) that is not
+	// pauseThreshold is the longest gap between ticks (normally 50 ms) that is not
 	// taken for a freeze of the process. Each dispatcher has the same, for its own ticks.
-	freezeThreshold = time.Second
-	// endlessLeaseStartDelay is how long a proxy with an endless lease that has just
+	pauseThreshold = time.Second
+	// unlimitedLeaseStartDelay is how long a proxy with an endless lease that has just
 	// started, and can't get a fresh confirmation, waits for one before it serves by
 	// what registries have pushed.
-	endlessLeaseStartDelay = 3 * time.Second
-	// farFuture is the end of an endless lease.
-	farFuture ids.Time = 1 << 62
+	unlimitedLeaseStartDelay = 3 * time.Second
+	// unlimitedLeaseEnd is the end of an endless lease.
+	unlimitedLeaseEnd ids.Time = 1 << 62
 )
 
 // leaseState is what the proxy's lease is computed from: the right to forward requests by
@@ -53,8 +53,8 @@
 	targetsReceived bool
 	// everConfirmed: the configuration was confirmed once by a recent majority read.
 	everConfirmed bool
-	// endlessLeaseBegun: the endless lease, of a proxy that has one, has begun.
-	endlessLeaseBegun bool
+	// unlimitedLeaseStarted: the endless lease, of a proxy that has one, has begun.
+	unlimitedLeaseStarted bool
 	// unconfirmedSince is when such a proxy first had what it needs to serve, except
 	// for a recent confirmation; 0 for not yet.
 	unconfirmedSince ids.Time
@@ -71,10 +71,10 @@
 	if c.Lease == EndlessLease {
 		// The time limits of the requirements hold for proxies in touch with the
 		// others; one that is cut off serves by what it last knew, if anything.
-		if !c.endlessLeaseBegun {
+		if !c.unlimitedLeaseStarted {
 			return 0
 		}
-		return farFuture
+		return unlimitedLeaseEnd
 	}
 	if c.confirmedAt() <= c.resumedAt {
 		return 0
@@ -96,32 +96,32 @@
 	}
 }
 
-// detectFreeze compares the time with that of the last tick. After a freeze nothing that
+// detectPause compares the time with that of the last tick. After a freeze nothing that
 // this proxy knows can be trusted until it is confirmed again.
-func (c *Control) detectFreeze(now ids.Time) {
-	if gap := now.Sub(c.lastTick); c.lastTick != 0 && gap > freezeThreshold {
+func (c *Control) detectPause(now ids.Time) {
+	if gap := now.Sub(c.lastTick); c.lastTick != 0 && gap > pauseThreshold {
 		c.resumedAt = now
 		c.Log(event.LevelWarn, logProcessResumed, "gap_ms", formatMillis(gap))
 	}
 	c.lastTick = now
 }
 
-// beginEndlessLease begins an endless lease, with which the proxy serves from then on.
+// startUnlimitedLease begins an endless lease, with which the proxy serves from then on.
 // What was pushed to it at its start may come from a registry that has been cut off for
 // long, so it waits for a recent confirmation. If none can be had it starts all the same
 // after unconfirmedStartDelay, as it would go on had it not been restarted, and logs
 // that.
-func (c *Control) beginEndlessLease(now ids.Time) {
-	if c.endlessLeaseBegun || c.Lease != EndlessLease || c.view.Revision == 0 || !c.targetsReceived {
+func (c *Control) startUnlimitedLease(now ids.Time) {
+	if c.unlimitedLeaseStarted || c.Lease != EndlessLease || c.view.Revision == 0 || !c.targetsReceived {
 		return
 	}
 	switch {
 	case c.everConfirmed:
-		c.endlessLeaseBegun = true
+		c.unlimitedLeaseStarted = true
 	case c.unconfirmedSince == 0:
 		c.unconfirmedSince = now
-	case now.Sub(c.unconfirmedSince) >= endlessLeaseStartDelay:
-		c.endlessLeaseBegun = true
+	case now.Sub(c.unconfirmedSince) >= unlimitedLeaseStartDelay:
+		c.unlimitedLeaseStarted = true
 		c.Log(event.LevelWarn, logServingUnconfirmed, "revision", formatUint(uint64(c.view.Revision)),
 			"confirmed_ms_ago", formatMillis(now.Sub(c.configurationConfirmedAt)))
 	}
@@ -130,5 +130,5 @@
 // MaySend is checked just before the first byte of a request is sent: sendBefore has not
 // passed, and the process was not frozen since the control machine last stepped.
 func MaySend(now, sendBefore, lastStep ids.Time) bool {
-	return now < sendBefore && now.Sub(lastStep) <= freezeThreshold
+	return now < sendBefore && now.Sub(lastStep) <= pauseThreshold
 }
--- a/internal/dataplane/proxy/lease_test.go
+++ b/internal/dataplane/proxy/lease_test.go
@@ -11,7 +11,7 @@
 
 // A proxy that starts while it reaches only a registry cut off for 20 s doesn't serve by
 // what that registry knows. It once did.
-func TestEndlessLease_StartsWithFreshConfirmation(t *testing.T) {
+func TestUnlimitedLease_StartsWithFreshConfirmation(t *testing.T) {
 	older, newer := encodedConfiguration(t, 1), encodedConfiguration(t, 2)
 	f := newControlFixture(EndlessLease)
 	f.push(older, 1, 20*time.Second)
@@ -33,7 +33,7 @@
 
 // A majority read that began before the proxy's own start confirms as well: a proxy that
 // restarts together with all others would otherwise serve 1 s later than it could.
-func TestEndlessLease_AcceptsConfirmationFromBeforeStart(t *testing.T) {
+func TestUnlimitedLease_AcceptsConfirmationFromBeforeStart(t *testing.T) {
 	f := newControlFixture(EndlessLease)
 	f.run(50*time.Millisecond, nil)
 	f.now = ids.Time(300 * time.Millisecond)
@@ -44,7 +44,7 @@
 }
 
 // Where no recent confirmation can be had, a proxy serves after all, and logs it.
-func TestEndlessLease_ServesUnconfirmedAfterDelay(t *testing.T) {
+func TestUnlimitedLease_ServesUnconfirmedAfterDelay(t *testing.T) {
 	f := newControlFixture(EndlessLease)
 	logged := false
 	f.push(encodedConfiguration(t, 1), 1, 20*time.Second)
@@ -54,7 +54,7 @@
 			entry, ok := c.(event.LogEntry)
 			logged = logged || ok && entry.Event == "serving_unconfirmed"
 		}
-		if waited := f.now.Sub(1); f.leaseValid(f.now) != (waited >= endlessLeaseStartDelay) {
+		if waited := f.now.Sub(1); f.leaseValid(f.now) != (waited >= unlimitedLeaseStartDelay) {
 			t.Fatalf("serves after %s: %v", waited, f.leaseValid(f.now))
 		}
 	}
--- a/internal/dataplane/proxy/memory_budget_test.go
+++ b/internal/dataplane/proxy/memory_budget_test.go
@@ -44,25 +44,25 @@
 	is := is.New(t)
 	d := newTestDaemon()
 	d.memory.limit = 100 << 10
-	take := func(n int, length int64) (*MemoryReservation, error) {
+	readBody := func(n int, length int64) (*MemoryReservation, error) {
 		body, reservation, err := d.ReadBody(httptest.NewRecorder(), newBodyRequest(strings.NewReader(strings.Repeat("x", n)), length), 1<<20, time.Time{})
 		if err == nil {
 			is.Equal(len(body), n)
 		}
 		return reservation, err
 	}
-	first, err := take(60<<10, 60<<10)
+	first, err := readBody(60<<10, 60<<10)
 	is.NoErr(err)
-	_, err = take(60<<10, 60<<10)
+	_, err = readBody(60<<10, 60<<10)
 	is.True(errors.Is(err, ErrMemoryBudgetExceeded))
-	second, err := take(30<<10, 30<<10)
+	second, err := readBody(30<<10, 30<<10)
 	is.NoErr(err)
-	_, err = take(30<<10, -1) // in chunks
+	_, err = readBody(30<<10, -1) // in chunks
 	is.True(errors.Is(err, ErrMemoryBudgetExceeded))
 	is.Equal(d.memory.reserved.Load(), int64(90<<10)) // what was rejected reserves nothing
 	first.Release()
 	first.Release()
-	third, err := take(30<<10, -1)
+	third, err := readBody(30<<10, -1)
 	is.NoErr(err)
 	is.True(d.memory.reserved.Load() <= d.memory.limit)
 	second.Release()
--- a/internal/dataplane/proxy/message_delay.go
+++ b/internal/dataplane/proxy/message_delay.go
@@ -15,9 +15,9 @@
 // system calls, so it is no shorter than the figure has to be.
 const delayProbeInterval = 250 * time.Millisecond
 
-// loggedMessageDelay is from which delay on it is logged: a push a second, as there is in
+// messageDelayLogThreshold is from which delay on it is logged: a push a second, as there is in
 // calm times, is late by it.
-const loggedMessageDelay = 300 * time.Millisecond
+const messageDelayLogThreshold = 300 * time.Millisecond
 
 // maxMessageDelay is the longest delay at which everything that has arrived counts as read. A
 // message of a registry may wait a few times as long as a probe, as it is read in parts; with
--- a/internal/dataplane/proxy/push.go
+++ b/internal/dataplane/proxy/push.go
@@ -17,7 +17,7 @@
 	if push.Revision > c.view.Revision && len(push.Configuration) > 0 {
 		c.adoptConfiguration(now, push.Configuration)
 	}
-	if c.isDatable(now, push) {
+	if c.hasKnownAge(now, push) {
 		c.targets.MergeAsOf(now, push.EchoedTime, push.Targets...)
 		c.targetsConfirmedAt, c.targetsReceived = max(c.targetsConfirmedAt, push.TargetsAsOf()), true
 		c.confirmConfiguration(now, push.Revision, push.ConfirmedAsOf())
@@ -28,10 +28,10 @@
 	c.refreshDispatchers(now)
 }
 
-// isDatable tells whether a push says how old it can be at most. It may have waited in a
+// hasKnownAge tells whether a push says how old it can be at most. It may have waited in a
 // socket while this process was frozen, so only the time that it echoes proves anything:
 // it must be of this run, and not lie in the future.
-func (c *Control) isDatable(now ids.Time, push distribution.Push) bool {
+func (c *Control) hasKnownAge(now ids.Time, push distribution.Push) bool {
 	return push.EchoedTime != 0 && push.ProxyRunID == c.Self.RunID && push.EchoedTime <= now
 }
 
--- a/internal/dataplane/proxy/refresh.go
+++ b/internal/dataplane/proxy/refresh.go
@@ -19,8 +19,8 @@
 	sentState   stateVersion
 	// sentServices are the services whose dispatchers were refreshed last.
 	sentServices []ids.Name
-	// sentTerms are the terms of each service's routes that its dispatcher has.
-	sentTerms map[ids.Name]map[ids.Name]dispatch.RouteTerms
+	// sentRouteRules are the terms of each service's routes that its dispatcher has.
+	sentRouteRules map[ids.Name]map[ids.Name]dispatch.RouteTerms
 	// unacknowledged are pushes whose contents the dispatchers don't have yet.
 	unacknowledged []receivedPush
 }
@@ -31,18 +31,18 @@
 	revision         ids.Revision
 	// confirmed: something was confirmed since the last freeze.
 	confirmed bool
-	// closed: this proxy's zone is drained, and no request may be forwarded any more.
-	closed bool
-	// endlessLeaseBegun is leaseState's.
-	endlessLeaseBegun bool
-	slotHolders       int
+	// zoneClosed: this proxy's zone is drained, and no request may be forwarded any more.
+	zoneClosed bool
+	// unlimitedLeaseStarted is leaseState's.
+	unlimitedLeaseStarted bool
+	slotHolders           int
 }
 
 const (
-	// pairCost is the time between refreshes that each pair of a target and a proxy
+	// refreshCostPerPair is the time between refreshes that each pair of a target and a proxy
 	// adds, so that refreshes take a tenth of a processor core at most (measured:
 	// 0.88 µs of a whole core for each pair).
-	pairCost = 10 * time.Microsecond
+	refreshCostPerPair = 10 * time.Microsecond
 	// maxRefreshInterval bounds how long a change may wait for a refresh: well below
 	// the time in which it has to be in force (DefaultLease).
 	maxRefreshInterval = 400 * time.Millisecond
@@ -53,7 +53,7 @@
 // refreshDispatchers sends each dispatcher the state of its service if anything in it
 // has changed, and otherwise only the end of the lease.
 func (c *Control) refreshDispatchers(now ids.Time) {
-	c.beginEndlessLease(now)
+	c.startUnlimitedLease(now)
 	holders := c.slotHolders(now)
 	next := c.currentStateVersion(now, len(holders))
 	if next == c.sentState {
@@ -73,7 +73,7 @@
 func (c *Control) currentStateVersion(now ids.Time, slotHolders int) stateVersion {
 	return stateVersion{
 		targets: c.targets.Version(), members: c.Version(), revision: c.view.Revision,
-		confirmed: c.confirmedAt() > c.resumedAt, closed: c.zoneClosed(now), endlessLeaseBegun: c.endlessLeaseBegun, slotHolders: slotHolders,
+		confirmed: c.confirmedAt() > c.resumedAt, zoneClosed: c.zoneClosed(now), unlimitedLeaseStarted: c.unlimitedLeaseStarted, slotHolders: slotHolders,
 	}
 }
 
@@ -81,11 +81,11 @@
 // this proxy serves at all never waits, nor does the first state of a service's dispatcher.
 func (c *Control) mayDelayRefresh(now ids.Time, next stateVersion) bool {
 	sent := c.sentState
-	if c.hasNewService() || sent.confirmed != next.confirmed || sent.closed != next.closed || sent.endlessLeaseBegun != next.endlessLeaseBegun {
+	if c.hasNewService() || sent.confirmed != next.confirmed || sent.zoneClosed != next.zoneClosed || sent.unlimitedLeaseStarted != next.unlimitedLeaseStarted {
 		return false
 	}
 	pairs := c.targets.Len() * next.slotHolders
-	interval := min(time.Duration(pairs)*pairCost, maxRefreshInterval)
+	interval := min(time.Duration(pairs)*refreshCostPerPair, maxRefreshInterval)
 	return c.lastRefresh != 0 && interval >= minRefreshInterval && now.Sub(c.lastRefresh) < interval
 }
 
@@ -101,7 +101,7 @@
 
 // sendServiceStates sends every dispatcher the state of its service, in order of name.
 func (c *Control) sendServiceStates(now ids.Time, holders []membership.Member) {
-	runEnded := c.endedRuns()
+	runEnded := c.runEndedFunc()
 	allocations := c.allocations(now, holders)
 	for _, name := range c.sentServices {
 		// The dispatcher of a service that was removed must stop serving it.
@@ -119,46 +119,46 @@
 			RetryBudget:       c.retryBudget(service, holders),
 			IsCurrent:         c.sentState.confirmed || c.Lease == EndlessLease,
 			LeaseExpiresAt:    c.leaseEnd(),
-			Terms:             c.sentTerms[name],
-			OwnZoneDrained:    c.sentState.closed,
+			Terms:             c.sentRouteRules[name],
+			OwnZoneDrained:    c.sentState.zoneClosed,
 			RunEnded:          runEnded,
 		}})
 	}
 }
 
-// routeTerms gives the terms of each service's routes, by service and route.
-func (c *Control) routeTerms() map[ids.Name]map[ids.Name]dispatch.RouteTerms {
-	terms := map[ids.Name]map[ids.Name]dispatch.RouteTerms{}
+// routeRulesByService gives the terms of each service's routes, by service and route.
+func (c *Control) routeRulesByService() map[ids.Name]map[ids.Name]dispatch.RouteTerms {
+	rules := map[ids.Name]map[ids.Name]dispatch.RouteTerms{}
 	for name, route := range c.view.Routes {
 		// A route that splits its traffic has terms with each of its services.
 		for _, service := range route.Services() {
-			if terms[service] == nil {
-				terms[service] = map[ids.Name]dispatch.RouteTerms{}
+			if rules[service] == nil {
+				rules[service] = map[ids.Name]dispatch.RouteTerms{}
 			}
 			route.Service = service
-			terms[service][name] = RouteTerms(route)
+			rules[service][name] = RouteTerms(route)
 		}
 	}
-	return terms
+	return rules
 }
 
-// sendChangedTerms sends dispatchers the terms of their routes where these have changed. It goes
+// sendChangedRouteRules sends dispatchers the terms of their routes where these have changed. It goes
 // before each change of the router's configuration: a request is rejected if its terms, which
 // the router gives it, aren't those that its dispatcher knows, and the next refresh may be
 // maxRefreshInterval away.
-func (c *Control) sendChangedTerms() {
-	terms := c.routeTerms()
+func (c *Control) sendChangedRouteRules() {
+	rules := c.routeRulesByService()
 	for _, service := range slices.Sorted(maps.Keys(c.view.Services)) {
-		if !maps.Equal(terms[service], c.sentTerms[service]) {
-			c.Emit(DispatchEvent{service, dispatch.TermsUpdated{Terms: terms[service]}})
+		if !maps.Equal(rules[service], c.sentRouteRules[service]) {
+			c.Emit(DispatchEvent{service, dispatch.TermsUpdated{Terms: rules[service]}})
 		}
 	}
-	c.sentTerms = terms
+	c.sentRouteRules = rules
 }
 
-// endedRuns returns a function that tells whether a process run is over, by the
+// runEndedFunc returns a function that tells whether a process run is over, by the
 // membership list as of now.
-func (c *Control) endedRuns() func(ids.DaemonID, ids.RunID) bool {
+func (c *Control) runEndedFunc() func(ids.DaemonID, ids.RunID) bool {
 	members := map[ids.DaemonID]membership.Member{}
 	for _, m := range c.All() {
 		members[m.ID] = m
--- a/internal/dataplane/proxy/refresh_bench_test.go
+++ b/internal/dataplane/proxy/refresh_bench_test.go
@@ -10,11 +10,11 @@
 // BenchmarkRefresh_OneTargetChanged refreshes the dispatchers of a proxy in a large fleet after
 // the change of one target.
 func BenchmarkRefresh_OneTargetChanged(b *testing.B) {
-	f := newStormFixture(b)
+	f := newLargeClusterFixture(b)
 	holders := f.slotHolders(f.now)
 	sequence := ids.Sequence(2)
 	for b.Loop() {
-		target := stormTarget(0)
+		target := largeClusterTarget(0)
 		target.Sequence, target.Occupancy = sequence, int64(sequence)
 		sequence++
 		f.targets.Merge(f.now, target)
@@ -24,7 +24,7 @@
 
 // BenchmarkRefresh_ProxyJoined refreshes them after a proxy has joined.
 func BenchmarkRefresh_ProxyJoined(b *testing.B) {
-	f := newStormFixture(b)
+	f := newLargeClusterFixture(b)
 	holders := f.slotHolders(f.now)
 	joined := append(slices.Clone(holders), proxyMember("joined", "quay"))
 	for b.Loop() {
--- a/internal/dataplane/proxy/refresh_test.go
+++ b/internal/dataplane/proxy/refresh_test.go
@@ -16,32 +16,32 @@
 )
 
 const (
-	stormTargets = 420
-	stormProxies = 90
+	largeClusterTargets = 420
+	largeClusterProxies = 90
 )
 
-// newStormFixture is a proxy of a large fleet that knows all targets.
-func newStormFixture(t testing.TB) *controlFixture {
+// newLargeClusterFixture is a proxy of a large fleet that knows all targets.
+func newLargeClusterFixture(t testing.TB) *controlFixture {
 	t.Helper()
 	f := &controlFixture{now: 1, Control: New(
 		membership.Options{Self: proxyMember("p", "quay"), Incremental: true},
 		ControlOptions{Lease: EndlessLease, SlotLayout: SlotLayout{ByZone: true}},
 	)}
 	var proxies []membership.Member
-	for i := range stormProxies {
+	for i := range largeClusterProxies {
 		proxies = append(proxies, proxyMember(fmt.Sprint("proxy-", i), "quay"))
 	}
 	f.Step(f.now, event.Received{From: "r", Message: membership.Snapshot{Members: proxies, Final: true}})
 	var list []targets.Target
-	for i := range stormTargets {
-		list = append(list, stormTarget(i))
+	for i := range largeClusterTargets {
+		list = append(list, largeClusterTarget(i))
 	}
 	f.push(encodedConfiguration(t, 1), 1, 0, list...)
 	f.run(2*time.Second, func() { f.push(nil, 1, 0) })
 	return f
 }
 
-func stormTarget(i int) targets.Target {
+func largeClusterTarget(i int) targets.Target {
 	return targets.Target{
 		Instance: ids.InstanceID(fmt.Sprint("t", i)), Incarnation: 1, Sequence: 1, Service: "a",
 		Address: ids.Address(fmt.Sprintf("10.0.%d.%d:80", i/200, i%200+1)), Zone: "quay", Capacity: 6, Warmth: 1,
@@ -79,42 +79,42 @@
 // A seventh of all targets falls silent at once, and registries push that one target at a
 // time. Each push once caused a refresh: 64 of them, 31 ms of a whole core each, and the
 // next message was read seconds later.
-func TestRefresh_PushStormIsBatched(t *testing.T) {
+func TestRefresh_PushBurstIsBatched(t *testing.T) {
 	is := is.New(t)
-	c := &refreshCounter{controlFixture: newStormFixture(t)}
-	const gone = 64
+	c := &refreshCounter{controlFixture: newLargeClusterFixture(t)}
+	const deadTargets = 64
 	before, first := c.now, c.pushes+1
-	for i := range gone {
+	for i := range deadTargets {
 		c.now = c.now.Add(time.Millisecond)
 		c.pushes++
-		target := stormTarget(i)
+		target := largeClusterTarget(i)
 		target.Dead, target.Sequence = true, 2
 		c.step(event.Received{From: "r", Message: distribution.Push{
 			Number: c.pushes, Revision: 1, Targets: []targets.Target{target}, EchoedTime: c.now, ProxyRunID: c.Self.RunID,
 		}})
 	}
-	for len(c.acknowledged) < gone && c.now.Sub(before) < 5*time.Second {
+	for len(c.acknowledged) < deadTargets && c.now.Sub(before) < 5*time.Second {
 		c.now = c.now.Add(50 * time.Millisecond)
 		c.step(event.Tick{})
 	}
-	t.Logf("%d pushes caused %d refreshes, and were acknowledged after %s", gone, c.refreshes, c.now.Sub(before))
+	t.Logf("%d pushes caused %d refreshes, and were acknowledged after %s", deadTargets, c.refreshes, c.now.Sub(before))
 	is.True(c.refreshes <= 3)
 	is.True(c.now.Sub(before) <= maxRefreshInterval+150*time.Millisecond)
-	is.Equal(len(c.acknowledged), gone)
+	is.Equal(len(c.acknowledged), deadTargets)
 	for i, number := range c.acknowledged {
 		is.Equal(number, first+ids.StreamNumber(i))
 	}
-	is.True(c.allocations <= stormTargets-gone)
+	is.True(c.allocations <= largeClusterTargets-deadTargets)
 }
 
 // In a small fleet a refresh costs next to nothing, and no push waits.
-func TestRefresh_SmallFleetIsImmediate(t *testing.T) {
+func TestRefresh_SmallClusterIsImmediate(t *testing.T) {
 	is := is.New(t)
 	f := newControlFixture(DefaultLease)
 	f.push(encodedConfiguration(t, 1), 1, 0)
 	for i := range 10 {
 		f.now = f.now.Add(time.Millisecond)
-		f.push(nil, 1, 0, stormTarget(i))
+		f.push(nil, 1, 0, largeClusterTarget(i))
 		is.Equal(len(f.unacknowledged), 0)
 	}
 }
--- a/internal/dataplane/proxy/run.go
+++ b/internal/dataplane/proxy/run.go
@@ -156,7 +156,7 @@
 
 // logMessageDelay logs how long messages wait here, if that is long.
 func (d *Daemon) logMessageDelay() {
-	if delay := d.MessageDelay(); delay >= loggedMessageDelay {
+	if delay := d.MessageDelay(); delay >= messageDelayLogThreshold {
 		d.log.Event(event.LevelWarn, logMessagesDelayed, "delay_ms", formatMillis(delay), "configuration_age_ms", formatMillis(d.ConfigurationAge()))
 	}
 }
--- a/internal/dataplane/proxy/serving_state.go
+++ b/internal/dataplane/proxy/serving_state.go
@@ -25,24 +25,24 @@
 type drainState struct {
 	// drainedSince is when this proxy learned of it; 0 for not drained.
 	drainedSince ids.Time
-	// drainedLate: this proxy had no valid lease at that moment, so it may have learned
+	// drainedWithoutLease: this proxy had no valid lease at that moment, so it may have learned
 	// of it late and closes without zoneDrainDelay.
-	drainedLate bool
+	drainedWithoutLease bool
 }
 
-// noteZoneDrain updates the drain state after a change of configuration.
-func (c *Control) noteZoneDrain(now ids.Time, hadLease bool) {
+// updateDrainState updates the drain state after a change of configuration.
+func (c *Control) updateDrainState(now ids.Time, hadLease bool) {
 	switch {
 	case !c.view.Zones[c.Self.Zone].Drained:
 		c.drainState = drainState{}
 	case c.drainedSince == 0:
-		c.drainState = drainState{drainedSince: now, drainedLate: !hadLease}
+		c.drainState = drainState{drainedSince: now, drainedWithoutLease: !hadLease}
 	}
 }
 
 // zoneClosed tells whether requests may no longer be forwarded because the zone is drained.
 func (c *Control) zoneClosed(now ids.Time) bool {
-	return c.drainedSince != 0 && (c.drainedLate || now.Sub(c.drainedSince) >= zoneDrainDelay)
+	return c.drainedSince != 0 && (c.drainedWithoutLease || now.Sub(c.drainedSince) >= zoneDrainDelay)
 }
 
 // ready tells whether the directory may name this proxy to clients: its lease is valid
--- a/internal/dataplane/proxy/slots.go
+++ b/internal/dataplane/proxy/slots.go
@@ -39,14 +39,14 @@
 type proximityClass int
 
 const (
-	// ownClass are the proxies of the target's zone, or the nearest ones if there are none.
-	ownClass proximityClass = iota
+	// nearestClass are the proxies of the target's zone, or the nearest ones if there are none.
+	nearestClass proximityClass = iota
 	// regionClass are the proxies of the other zones of the target's region.
 	regionClass
 	// remoteClass are the proxies of the other regions.
 	remoteClass
-	// proximityClasses is the number of classes.
-	proximityClasses
+	// proximityClassCount is the number of classes.
+	proximityClassCount
 )
 
 // proximity is this proxy's class at the targets of a zone, and the proxies of the class.
@@ -106,7 +106,7 @@
 	p := c.proximityTo(t.Zone, holders)
 	a.SlotShareCount, a.SlotShareIndex = max(len(p.peers), 1), c.rendezvousRank(string(t.Instance), p.peers)
 	a.Oversubscription = 1
-	if p.class == ownClass {
+	if p.class == nearestClass {
 		// Two proxies or more may each use what the other leaves; the target's own
 		// queue takes what they send at the same time.
 		a.Oversubscription = min(a.SlotShareCount, 2)
@@ -130,9 +130,9 @@
 }
 
 // computeProximity groups the proxies by class. The nearest class that has any proxy
-// takes the part of ownClass.
+// takes the part of nearestClass.
 func (c *Control) computeProximity(zone ids.Name, holders []membership.Member) proximity {
-	var byClass [proximityClasses][]membership.Member
+	var byClass [proximityClassCount][]membership.Member
 	classOfZone := map[ids.Name]proximityClass{}
 	for _, m := range holders {
 		class, ok := classOfZone[m.Zone]
@@ -148,14 +148,14 @@
 			return proximity{own, byClass[own]}
 		}
 	}
-	return proximity{ownClass, byClass[own]}
+	return proximity{nearestClass, byClass[own]}
 }
 
 // classBetween gives the class of a proxy's zone towards a target's zone.
 func (c *Control) classBetween(proxyZone, targetZone ids.Name) proximityClass {
 	switch distance := c.view.Distance(proxyZone, targetZone); {
 	case distance == 0:
-		return ownClass
+		return nearestClass
 	case distance <= 1:
 		return regionClass
 	}
--- a/internal/dataplane/proxy/slow_start.go
+++ b/internal/dataplane/proxy/slow_start.go
@@ -14,7 +14,7 @@
 
 // applySlowStartRate bounds the rate of requests to a target that is in slow start, for
 // services that configure a rate, and switches off slow start by age, which is for services
-// without one. The rate is shared out among the proxies of ownClass; other proxies send the
+// without one. The rate is shared out among the proxies of nearestClass; other proxies send the
 // target nothing meanwhile. Only fleets by zone have it.
 func (c *Control) applySlowStartRate(now ids.Time, class proximityClass, a *dispatch.Allocation) {
 	service := c.view.Services[a.Service]
@@ -22,7 +22,7 @@
 		return
 	}
 	a.SlowStartUntil = max(now.Add(time.Duration(a.SlowStartMillis)*time.Millisecond), c.zoneSlowStartUntil[a.Zone])
-	if class == ownClass {
+	if class == nearestClass {
 		a.SlowStartRate = service.SlowStartRate / float64(a.SlotShareCount)
 	}
 	// The target itself says how long its slow start lasts, so its age says nothing.
--- a/internal/dataplane/proxy/usage_meter.go
+++ b/internal/dataplane/proxy/usage_meter.go
@@ -78,8 +78,8 @@
 }
 
 // recordTargetTime adds the time that a target took for one request.
-func (m *usageMeter) recordTargetTime(route, service ids.Name, span time.Duration) {
-	m.addTargetMillis(route, service, float64(span)/float64(time.Millisecond))
+func (m *usageMeter) recordTargetTime(route, service ids.Name, duration time.Duration) {
+	m.addTargetMillis(route, service, float64(duration)/float64(time.Millisecond))
 }
 
 func (m *usageMeter) addTargetMillis(route, service ids.Name, millis float64) {
