--- a/internal/dataplane/proxy/idempotency.go
+++ b/internal/dataplane/proxy/idempotency.go
@@ -7,8 +7,8 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// callIdempotencyRegister makes a dispatcher's call to the stores and hands it the reply.
-// A call of sequence 0 wants none.
+// callIdempotencyRegister executes a dispatcher's call to the stores and passes the reply to the
+// dispatcher, unless the call has sequence 0.
 func (c *Control) callIdempotencyRegister(now ids.Time, request IdempotencyRequest) {
 	call := request.Call
 	var operation []byte
--- a/internal/dataplane/proxy/identity.go
+++ b/internal/dataplane/proxy/identity.go
@@ -11,30 +11,30 @@
 	"dunlinwell/internal/controlplane/targets"
 )
 
-// IdentityPath is where a target serves its identity document.
+// IdentityPath is the path of a target's identity document.
 const IdentityPath = "/.well-known/dunlinwell"
 
 const (
-	// identityTimeout bounds the reading of an identity document: it is small and needs
-	// no work of the target, and the request that waits for it has a deadline.
+	// identityTimeout is the timeout of fetching an identity document. The document is small
+	// and cheap to serve, and a client request with a deadline waits for it.
 	identityTimeout = time.Second
-	// maxIdentityDocument bounds its size, in bytes.
+	// maxIdentityDocument is the maximum size of an identity document, in bytes.
 	maxIdentityDocument = 64 << 10
 )
 
-// IdentityDocument is what a target says of itself.
+// IdentityDocument is a target's description of itself.
 type IdentityDocument struct {
 	Instance ids.InstanceID `json:"instance"`
 	Service  ids.Name       `json:"service"`
-	// Leaving: the target is draining and takes no new requests.
+	// Leaving is set while the target drains and accepts no new requests.
 	Leaving bool `json:"leaving"`
-	// Incarnation may be left out. A target that states it is never taken for its own
-	// run before a restart.
+	// Incarnation is optional. If set, it distinguishes the target's run from those before a
+	// restart.
 	Incarnation ids.Incarnation `json:"incarnation"`
 }
 
-// check returns an error unless the document is that of the target, in the same run, and
-// the target takes requests.
+// check returns an error unless the document describes the given run of the target and the
+// target accepts requests. Clients see the text of the error in HTTP responses.
 func (i IdentityDocument) check(t targets.Target) error {
 	const step = "check target"
 	address := string(t.Address)
@@ -49,9 +49,10 @@
 	return nil
 }
 
-// verifyIdentity asks the target on a new connection who it is.
+// verifyIdentity fetches the identity document on a new connection and checks it against the
+// target.
 func (c *connection) verifyIdentity(t targets.Target, deadline time.Time) error {
-	// It fails only on a closed connection, as the write that follows does.
+	// This fails only on a closed connection, where the following write fails as well.
 	_ = c.SetDeadline(earlier(deadline, time.Now().Add(identityTimeout)))
 	identity, err := c.fetchIdentity(t.Address)
 	if err != nil {
@@ -60,7 +61,7 @@
 	return identity.check(t)
 }
 
-// fetchIdentity reads the identity document. The connection stays open after it.
+// fetchIdentity requests the identity document and keeps the connection open.
 func (c *connection) fetchIdentity(address ids.Address) (IdentityDocument, error) {
 	const step = "ask target"
 	peer := string(address)
--- a/internal/dataplane/proxy/lease.go
+++ b/internal/dataplane/proxy/lease.go
@@ -11,66 +11,65 @@
 )
 
 const (
-	// DefaultLease is how long a proxy serves by what it can't confirm: the
-	// requirements give a change 2 to 3 s to be in force everywhere, whatever is cut.
+	// DefaultLease is how long a proxy serves without a confirmation of its state. A change
+	// must be in effect on every proxy within 2 to 3 s, even during a partition.
 	DefaultLease = 2500 * time.Millisecond
-	// EndlessLease is the lease of a proxy that goes on serving by what it last knew,
-	// however long it is cut off.
+	// EndlessLease is a lease that doesn't expire: a partitioned proxy keeps serving with the
+	// last known state.
 	EndlessLease = -1
-	// maxConfirmationAge is the oldest confirmation by which a proxy still calls itself
-	// ready: a registry on the minority side of a partition speaks, but confirms nothing
-	// new. It lies below DefaultLease, so that the directory stops naming a proxy before
-	// that proxy has to reject requests.
+	// maxConfirmationAge is the age of the last confirmation at which a proxy stops being
+	// ready. A registry on the minority side of a partition still sends pushes, but can't
+	// confirm anything new. It is less than DefaultLease, so that the directory stops
+	// returning a proxy before that proxy has to reject requests.
 	maxConfirmationAge = 1900 * time.Millisecond
-	// pauseThreshold is the longest gap between ticks (normally 50 ms) that is not
-	// taken for a freeze of the process. Each dispatcher has the same, for its own ticks.
+	// pauseThreshold is the gap between ticks above which the process counts as paused. Each
+	// dispatcher applies the same threshold to its own ticks.
 	pauseThreshold = time.Second
-	// unlimitedLeaseStartDelay is how long a proxy with an endless lease that has just
-	// started, and can't get a fresh confirmation, waits for one before it serves by
-	// what registries have pushed.
+	// unlimitedLeaseStartDelay is how long a newly started proxy with an unlimited lease
+	// waits for a recent confirmation before it serves with an unconfirmed state.
 	unlimitedLeaseStartDelay = 3 * time.Second
-	// unlimitedLeaseEnd is the end of an endless lease.
+	// unlimitedLeaseEnd is the end time of an unlimited lease.
 	unlimitedLeaseEnd ids.Time = 1 << 62
 )
 
-// leaseState is what the proxy's lease is computed from: the right to forward requests by
-// the configuration and the targets known here. (A registry's control lease is another.)
-// All times are this process's own.
+// leaseState holds the inputs of the proxy's lease, which permits it to forward requests with
+// the known configuration and targets. It is unrelated to a registry's control lease. All
+// times are local to this process.
 type leaseState struct {
-	// targetsConfirmedAt is the time as of which a registry has confirmed the targets
-	// known here; 0 for never.
+	// targetsConfirmedAt is the latest time as of which the known targets were confirmed by a
+	// registry; 0 for never.
 	targetsConfirmedAt ids.Time
-	// configurationConfirmedAt is when the latest majority read began that found the
-	// configuration held here in force; 0 for never.
+	// configurationConfirmedAt is the start of the latest majority read that returned the
+	// known configuration as the newest; 0 for never.
 	configurationConfirmedAt ids.Time
-	// sentConfirmedAt is the value of confirmedAt that the dispatchers last received.
+	// sentConfirmedAt is the value of confirmedAt last sent to the dispatchers.
 	sentConfirmedAt ids.Time
-	// resumedAt is when the process last woke from a freeze; nothing that was confirmed
-	// before counts.
+	// resumedAt is the end of the last process pause. Earlier confirmations are invalid.
 	resumedAt ids.Time
 	lastTick  ids.Time
-	// targetsReceived: a registry has pushed targets to this run of the process.
+	// targetsReceived is set once a registry has pushed targets to this run of the process.
 	targetsReceived bool
-	// everConfirmed: the configuration was confirmed once by a recent majority read.
+	// everConfirmed is set once a recent majority read has confirmed the configuration.
 	everConfirmed bool
-	// unlimitedLeaseStarted: the endless lease, of a proxy that has one, has begun.
+	// unlimitedLeaseStarted is set once an unlimited lease has started.
 	unlimitedLeaseStarted bool
-	// unconfirmedSince is when such a proxy first had what it needs to serve, except
-	// for a recent confirmation; 0 for not yet.
+	// unconfirmedSince is the time since which only a recent confirmation is missing to start
+	// an unlimited lease; 0 before that.
 	unconfirmedSince ids.Time
 }
 
-// confirmedAt is the time as of which both configuration and targets are confirmed.
+// confirmedAt returns the time as of which both configuration and targets are confirmed.
 func (c *Control) confirmedAt() ids.Time {
 	return min(c.configurationConfirmedAt, c.targetsConfirmedAt)
 }
 
-// leaseEnd is when the lease ends. No request is sent after that: an accepted change, a
-// drained zone, a target that departed does not wait any longer for this proxy.
+// leaseEnd returns the end of the lease, or 0 without a lease. No request is sent after it:
+// other daemons assume from then on that a change, a drained zone or a departed target has
+// taken effect on this proxy.
 func (c *Control) leaseEnd() ids.Time {
 	if c.Lease == EndlessLease {
-		// The time limits of the requirements hold for proxies in touch with the
-		// others; one that is cut off serves by what it last knew, if anything.
+		// With an unlimited lease, changes take effect in time only on proxies that aren't
+		// partitioned.
 		if !c.unlimitedLeaseStarted {
 			return 0
 		}
@@ -82,10 +81,10 @@
 	return c.confirmedAt().Add(c.Lease)
 }
 
-// leaseValid tells whether requests may be forwarded now.
+// leaseValid reports whether requests may be forwarded now.
 func (c *Control) leaseValid(now ids.Time) bool { return now < c.leaseEnd() }
 
-// renewLease sends the dispatchers the end of the lease if it has moved.
+// renewLease sends the end of the lease to the dispatchers if there is a new confirmation.
 func (c *Control) renewLease() {
 	if c.confirmedAt() == c.sentConfirmedAt {
 		return
@@ -96,8 +95,8 @@
 	}
 }
 
-// detectPause compares the time with that of the last tick. After a freeze nothing that
-// this proxy knows can be trusted until it is confirmed again.
+// detectPause checks the time since the last tick. After a pause of the process, its state is
+// invalid until it is confirmed again.
 func (c *Control) detectPause(now ids.Time) {
 	if gap := now.Sub(c.lastTick); c.lastTick != 0 && gap > pauseThreshold {
 		c.resumedAt = now
@@ -106,11 +105,10 @@
 	c.lastTick = now
 }
 
-// startUnlimitedLease begins an endless lease, with which the proxy serves from then on.
-// What was pushed to it at its start may come from a registry that has been cut off for
-// long, so it waits for a recent confirmation. If none can be had it starts all the same
-// after unconfirmedStartDelay, as it would go on had it not been restarted, and logs
-// that.
+// startUnlimitedLease starts an unlimited lease, if configured, once the proxy has a
+// configuration, targets and a recent confirmation: the state may come from a registry that
+// has been partitioned for a long time. Without a confirmation the lease starts after
+// unlimitedLeaseStartDelay, since a proxy that wasn't restarted would keep serving too.
 func (c *Control) startUnlimitedLease(now ids.Time) {
 	if c.unlimitedLeaseStarted || c.Lease != EndlessLease || c.view.Revision == 0 || !c.targetsReceived {
 		return
@@ -127,8 +125,8 @@
 	}
 }
 
-// MaySend is checked just before the first byte of a request is sent: sendBefore has not
-// passed, and the process was not frozen since the control machine last stepped.
+// MaySend reports whether a request may still be sent: sendBefore has not passed, and the
+// process was not paused since Control's last step. It is checked just before the first byte.
 func MaySend(now, sendBefore, lastStep ids.Time) bool {
 	return now < sendBefore && now.Sub(lastStep) <= pauseThreshold
 }
--- a/internal/dataplane/proxy/lease_gossip.go
+++ b/internal/dataplane/proxy/lease_gossip.go
@@ -10,55 +10,54 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// LeaseRequest asks another proxy for configuration and targets and how recently they
-// were confirmed, when this proxy's registries are out of reach or can't confirm either.
+// LeaseRequest requests configuration and targets from another proxy, and the ages of their
+// confirmations. It is sent when no registry is reachable or can confirm them.
 type LeaseRequest struct {
 	Proxy ids.DaemonID
 	RunID ids.RunID
-	// Revision is what the asking proxy has; a newer configuration is sent along.
+	// Revision is the requesting proxy's; the reply contains a newer configuration.
 	Revision ids.Revision
-	// Now is the asking proxy's own time, echoed in the reply.
+	// Now is the requesting proxy's time, echoed in the reply.
 	Now ids.Time
 }
 
-// LeaseGossip is the reply to a LeaseRequest. It hands out no lease: the asking proxy
-// computes its own from what was confirmed to the other one, and when. The asking proxy
-// counts the ages from EchoedTime, so the time on the wire, both ways, shortens its lease
-// and never lengthens it.
+// LeaseGossip is the reply to a LeaseRequest. It doesn't grant a lease: the requesting proxy
+// computes its own from the ages of the replying proxy's confirmations. It subtracts the ages
+// from EchoedTime, so the round-trip time shortens its lease and never extends it.
 type LeaseGossip struct {
-	// ProxyRunID is the run of the asking proxy that EchoedTime belongs to.
+	// ProxyRunID is the run of the requesting proxy that EchoedTime belongs to.
 	ProxyRunID    ids.RunID
 	EchoedTime    ids.Time
 	Revision      ids.Revision
 	Configuration []byte
 	Targets       []targets.Target
-	// ConfigurationAgeMillis and TargetsAge are how long ago, in milliseconds, the replying
-	// proxy's configuration and targets were confirmed.
+	// ConfigurationAgeMillis and TargetsAgeMillis are the ages of the confirmations of the
+	// replying proxy's configuration and targets, in milliseconds.
 	ConfigurationAgeMillis, TargetsAgeMillis uint32
 }
 
 var _ = wire.Register(82, LeaseRequest{}) && wire.Register(83, LeaseGossip{})
 
-// gossipState says when and whom this proxy last asked.
+// gossipState tracks the lease requests to other proxies.
 type gossipState struct {
 	lastRequest ids.Time
-	// peerCursor counts requests, so that peers are asked in turn.
+	// peerCursor counts the requests, to select the peers round-robin.
 	peerCursor int
 }
 
 const (
-	// gossipAfter is how old the last confirmation must be before peers are asked.
-	// Pushes come several times a second, so nothing is asked in normal operation.
+	// gossipAfter is the age of the last confirmation after which peers are queried.
+	// Registries push several times a second, so this doesn't happen in normal operation.
 	gossipAfter = 1200 * time.Millisecond
-	// gossipInterval is the time between requests: six of them fit in between
-	// gossipAfter and the end of DefaultLease.
+	// gossipInterval is the minimum time between requests. Several fit between gossipAfter
+	// and the end of DefaultLease.
 	gossipInterval = 200 * time.Millisecond
-	// gossipFanout is how many peers are asked at a time.
+	// gossipFanout is the number of peers queried at a time.
 	gossipFanout = 2
 )
 
-// requestLease asks some other proxies if neither registries nor stores have confirmed
-// anything for gossipAfter.
+// requestLease sends a LeaseRequest to gossipFanout peers if configuration or targets haven't
+// been confirmed for gossipAfter.
 func (c *Control) requestLease(now ids.Time) {
 	if c.Lease == EndlessLease || now.Sub(c.confirmedAt()) < gossipAfter || now.Sub(c.lastRequest) < gossipInterval {
 		return
@@ -77,8 +76,8 @@
 	}
 }
 
-// answerLeaseRequest replies to another proxy. One that is declared dead gets no reply:
-// its concurrency slots and retry budget are about to be shared out among the others.
+// answerLeaseRequest replies to another proxy. It ignores one that was declared dead, whose
+// concurrency slots and retry budget are about to be redistributed.
 func (c *Control) answerLeaseRequest(now ids.Time, from ids.Address, request LeaseRequest) {
 	m, known := c.Get(request.Proxy)
 	if !known || m.Dead || m.RunID != request.RunID || !c.leaseValid(now) {
@@ -95,9 +94,9 @@
 	c.Send(from, reply)
 }
 
-// handleLeaseGossip takes over what another proxy knows.
+// handleLeaseGossip merges the state of another proxy.
 func (c *Control) handleLeaseGossip(now ids.Time, from ids.Address, gossip LeaseGossip) {
-	// A reply to an earlier run of this process may be of any age.
+	// The age of a reply to an earlier run of this process is unknown.
 	if gossip.ProxyRunID != c.Self.RunID || gossip.EchoedTime > now {
 		c.Discard(from, event.Unsolicited, LeaseGossip{})
 		return
@@ -112,6 +111,6 @@
 	c.refreshDispatchers(now)
 }
 
-// roundedUpAge converts an age in whole milliseconds from the wire. The sender rounded
-// down, so one millisecond is added: an age must never seem shorter than it is.
+// roundedUpAge converts an age received in whole milliseconds. It adds one millisecond because
+// the sender rounded down, and an age must not be underestimated.
 func roundedUpAge(millis uint32) time.Duration { return time.Duration(millis+1) * time.Millisecond }
--- a/internal/dataplane/proxy/lease_test.go
+++ b/internal/dataplane/proxy/lease_test.go
@@ -9,41 +9,40 @@
 	"dunlinwell/internal/controlplane/targets"
 )
 
-// A proxy that starts while it reaches only a registry cut off for 20 s doesn't serve by
-// what that registry knows. It once did.
+// Guards against a starting proxy serving the outdated state of a partitioned registry.
 func TestUnlimitedLease_StartsWithFreshConfirmation(t *testing.T) {
 	older, newer := encodedConfiguration(t, 1), encodedConfiguration(t, 2)
 	f := newControlFixture(EndlessLease)
 	f.push(older, 1, 20*time.Second)
 	f.run(2*time.Second, func() { f.push(nil, 1, 20*time.Second) })
 	if f.leaseValid(f.now) || f.ready(f.now) {
-		t.Fatal("it serves by what may be 20 s old")
+		t.Fatal("the proxy serves a state that may be 20 s old")
 	}
-	// The other side is reached: it serves at once, by the newer.
+	// A registry on the majority side confirms a newer configuration.
 	f.push(newer, 2, 300*time.Millisecond)
 	if !f.leaseValid(f.now) || f.view.Revision != 2 {
-		t.Fatalf("it doesn't serve by revision %d", f.view.Revision)
+		t.Fatalf("lease invalid, or revision %d instead of 2", f.view.Revision)
 	}
-	// From then on it never stops, and never goes back.
+	// The proxy keeps serving, and ignores the older configuration.
 	f.run(20*time.Second, func() { f.push(older, 1, 20*time.Second) })
 	if !f.leaseValid(f.now) || f.view.Revision != 2 {
-		t.Fatalf("it went back to %d", f.view.Revision)
+		t.Fatalf("lease invalid, or revision %d instead of 2", f.view.Revision)
 	}
 }
 
-// A majority read that began before the proxy's own start confirms as well: a proxy that
-// restarts together with all others would otherwise serve 1 s later than it could.
+// A recent majority read that began before the proxy's start is a valid confirmation. Otherwise
+// a restart of the whole cluster would take longer than necessary.
 func TestUnlimitedLease_AcceptsConfirmationFromBeforeStart(t *testing.T) {
 	f := newControlFixture(EndlessLease)
 	f.run(50*time.Millisecond, nil)
 	f.now = ids.Time(300 * time.Millisecond)
 	f.push(encodedConfiguration(t, 1), 1, 1200*time.Millisecond)
 	if !f.leaseValid(f.now) {
-		t.Fatal("it waits for a majority read that began after its start")
+		t.Fatal("the proxy waits for a majority read that began after its start")
 	}
 }
 
-// Where no recent confirmation can be had, a proxy serves after all, and logs it.
+// Without a recent confirmation, a proxy serves after unlimitedLeaseStartDelay and logs it.
 func TestUnlimitedLease_ServesUnconfirmedAfterDelay(t *testing.T) {
 	f := newControlFixture(EndlessLease)
 	logged := false
@@ -55,36 +54,36 @@
 			logged = logged || ok && entry.Event == "serving_unconfirmed"
 		}
 		if waited := f.now.Sub(1); f.leaseValid(f.now) != (waited >= unlimitedLeaseStartDelay) {
-			t.Fatalf("serves after %s: %v", waited, f.leaseValid(f.now))
+			t.Fatalf("lease valid after %s: %v", waited, f.leaseValid(f.now))
 		}
 	}
 	if !logged {
-		t.Fatal("it didn't log it")
+		t.Fatal("serving_unconfirmed wasn't logged")
 	}
 }
 
-// A proxy that reads from the stores itself knows that its configuration is in force; of
-// the targets it knows no more than its registry, which is cut off from them.
+// A majority read by the proxy itself confirms the configuration but not the targets, which its
+// partitioned registry can't confirm either.
 func TestLease_NeedsConfirmedTargets(t *testing.T) {
 	f := newControlFixture(0)
 	f.push(encodedConfiguration(t, 1), 1, 0)
 	for range 10 {
 		f.run(time.Second, func() {
 			f.push(nil, 1, 1600*time.Millisecond+f.now.Sub(1))
-			f.confirmConfiguration(f.now, 1, f.now) // as read from the stores
+			f.confirmConfiguration(f.now, 1, f.now) // as after a read from the stores
 		})
 	}
 	if f.leaseValid(f.now) {
-		t.Fatal("it serves by targets that nobody confirms")
+		t.Fatal("the lease is valid without confirmed targets")
 	}
 	f.push(nil, 1, 0)
 	if !f.leaseValid(f.now) {
-		t.Fatal("it doesn't serve though a registry with the lease confirms them")
+		t.Fatal("the lease isn't valid though a registry has confirmed the targets")
 	}
 }
 
-// What an earlier run of a registry, or the other side of a partition, says of a target
-// doesn't undo what is newer, in whichever order it arrives.
+// A target's state isn't replaced by an older one, as from an earlier run of a registry or the
+// other side of a partition, regardless of the order of arrival.
 func TestPush_LateUpdateIsIgnored(t *testing.T) {
 	f := newControlFixture(EndlessLease)
 	f.push(encodedConfiguration(t, 1), 1, 0)
@@ -94,6 +93,6 @@
 	f.push(nil, 1, 0, leaving)
 	f.push(nil, 1, 20*time.Second, target)
 	if got, _ := f.targets.Get(f.now, "i"); !got.Draining {
-		t.Fatal("a late push undid that a target is leaving")
+		t.Fatal("a late push reset the target's draining state")
 	}
 }
--- a/internal/dataplane/proxy/log_events.go
+++ b/internal/dataplane/proxy/log_events.go
@@ -4,26 +4,27 @@
 
 // Log events of this package, with their fields.
 const (
-	// logConfigurationAdopted (revision): a newer configuration is in use.
+	// logConfigurationAdopted (revision): the proxy switched to a newer configuration.
 	logConfigurationAdopted event.LogEvent = "configuration_adopted"
-	// logProcessResumed (gap_ms): the process was frozen; it doesn't serve until a
-	// registry has confirmed its state again.
+	// logProcessResumed (gap_ms): the process was paused. With a limited lease it doesn't
+	// serve until its state is confirmed again.
 	logProcessResumed event.LogEvent = "process_resumed"
-	// logServingStateChanged (ready, cut_off): readiness or being cut off changed.
+	// logServingStateChanged (ready, cut_off): ServingState.Ready or CutOff changed.
 	logServingStateChanged event.LogEvent = "serving_state_changed"
-	// logServingUnconfirmed (revision, confirmed_ms_ago): the proxy began to serve
-	// though no majority could confirm its configuration.
+	// logServingUnconfirmed (revision, confirmed_ms_ago): the proxy started serving without
+	// a recent confirmation of its configuration.
 	logServingUnconfirmed event.LogEvent = "serving_unconfirmed"
-	// logMessagesDelayed (delay_ms, configuration_age_ms): messages wait here for long.
+	// logMessagesDelayed (delay_ms, configuration_age_ms): the delay between the arrival of
+	// a message and its processing reached messageDelayLogThreshold.
 	logMessagesDelayed event.LogEvent = "messages_delayed"
 	// logRequestsForwarded (service, same_zone, same_region, cross_region, retried,
-	// client_left): totals since the start of where requests were forwarded to, and of
-	// clients that went away before their response.
+	// client_left): totals since the start of forwarded requests by distance, of retries,
+	// and of clients that disconnected before their response.
 	logRequestsForwarded event.LogEvent = "requests_forwarded"
-	// logRequestsFailed (service, reason, count): requests that got no response from a
-	// target since the last such entry, by reason.
+	// logRequestsFailed (service, reason, count): the number of requests without a target's
+	// response since the last entry, by reason.
 	logRequestsFailed event.LogEvent = "requests_failed"
-	// logStopping: the stop signal arrived; requests in flight go on.
+	// logStopping: the graceful shutdown started; requests in flight continue.
 	logStopping event.LogEvent = "stopping"
 	// logStopped: listeners are closed and the process is about to exit.
 	logStopped event.LogEvent = "stopped"
--- a/internal/dataplane/proxy/push.go
+++ b/internal/dataplane/proxy/push.go
@@ -5,14 +5,14 @@
 	"dunlinwell/internal/controlplane/distribution"
 )
 
-// receivedPush is a push that is still to be acknowledged.
+// receivedPush is a received push that isn't acknowledged yet.
 type receivedPush struct {
 	from   ids.Address
 	number ids.StreamNumber
 }
 
-// handlePush takes over what a registry pushes. It is acknowledged once the dispatchers
-// have it, which refreshDispatchers may delay.
+// handlePush merges a registry's push. The push is acknowledged after the dispatchers have
+// received its contents, which refreshDispatchers may delay.
 func (c *Control) handlePush(now ids.Time, from ids.Address, push distribution.Push) {
 	if push.Revision > c.view.Revision && len(push.Configuration) > 0 {
 		c.adoptConfiguration(now, push.Configuration)
@@ -28,14 +28,14 @@
 	c.refreshDispatchers(now)
 }
 
-// hasKnownAge tells whether a push says how old it can be at most. It may have waited in a
-// socket while this process was frozen, so only the time that it echoes proves anything:
-// it must be of this run, and not lie in the future.
+// hasKnownAge reports whether a push has a known maximum age. It may have waited in a socket
+// while this process was paused, so its age is derived only from the time that it echoes, which
+// must belong to this run and must not be in the future.
 func (c *Control) hasKnownAge(now ids.Time, push distribution.Push) bool {
 	return push.EchoedTime != 0 && push.ProxyRunID == c.Self.RunID && push.EchoedTime <= now
 }
 
-// acknowledge answers the pushes whose contents the dispatchers have received, in order.
+// acknowledge acknowledges all unacknowledged pushes, in order of arrival.
 func (c *Control) acknowledge(now ids.Time) {
 	for _, push := range c.unacknowledged {
 		c.Send(push.from, distribution.Ack{
