--- a/internal/dataplane/proxy/memory_budget.go
+++ b/internal/dataplane/proxy/memory_budget.go
@@ -8,30 +8,30 @@
 	"time"
 )
 
-// ErrMemoryBudgetExceeded is returned when the bodies held for all requests leave no room
-// for another one. The client may try again.
+// ErrMemoryBudgetExceeded is returned if a body doesn't fit into the memory budget. The client
+// may retry; it receives the text of the error.
 var ErrMemoryBudgetExceeded = errors.New("too many bytes are held; come back")
 
-// defaultMemoryLimit is the memory budget, in bytes, if the options name none.
+// defaultMemoryLimit is the default of DaemonOptions.MemoryLimit, in bytes.
 const defaultMemoryLimit = 256 << 20
 
-// memoryBudget counts the bytes of request and response bodies held for all requests.
-// Bodies are read whole, so without a bound every slow peer would cost its body's size.
+// memoryBudget limits the memory for the request and response bodies of all requests. Bodies
+// are buffered completely, so slow peers could otherwise exhaust the memory.
 type memoryBudget struct {
-	// limit is in bytes; requests are rejected beyond it, responses are not.
+	// limit is in bytes. It applies to request bodies; response bodies may exceed it.
 	limit    int64
 	reserved atomic.Int64
 }
 
-// MemoryReservation is what one request has reserved. It is not safe for concurrent use;
-// a nil one counts nothing.
+// MemoryReservation is the part of the memory budget reserved for one request. It is not safe
+// for concurrent use. The methods of a nil reservation do nothing.
 type MemoryReservation struct {
 	budget *memoryBudget
 	bytes  int64
 }
 
-// tryReserve reserves more bytes, and returns false without any effect if the budget
-// would be exceeded.
+// tryReserve reserves more bytes. It returns false, and reserves nothing, if the budget would be
+// exceeded.
 func (m *MemoryReservation) tryReserve(bytes int64) bool {
 	if m.budget.reserved.Add(bytes) > m.budget.limit {
 		m.budget.reserved.Add(-bytes)
@@ -41,8 +41,8 @@
 	return true
 }
 
-// reserve reserves more bytes even beyond the budget: a response's request has run
-// already, so rejecting it would gain nothing. Negative bytes give some back.
+// reserve reserves more bytes even if the budget is exceeded, for responses, whose requests have
+// already run. A negative number releases bytes.
 func (m *MemoryReservation) reserve(bytes int64) {
 	if m != nil {
 		m.budget.reserved.Add(bytes)
@@ -50,7 +50,7 @@
 	}
 }
 
-// Release gives everything back. It may be called again.
+// Release releases all reserved bytes. It may be called more than once.
 func (m *MemoryReservation) Release() {
 	if m != nil {
 		m.budget.reserved.Add(-m.bytes)
@@ -58,14 +58,13 @@
 	}
 }
 
-// initialBodyBuffer is the first buffer, in bytes, for a body of unknown length; it is
-// doubled as needed.
+// initialBodyBuffer is the initial buffer size, in bytes, for a body of unknown length.
 const initialBodyBuffer = 4 << 10
 
-// ReadBody reads a request's body whole, within limit bytes, and returns the memory that
-// is reserved for it. The deadline, unless zero, bounds how long the client may take to
-// send it. Errors are *http.MaxBytesError, ErrMemoryBudgetExceeded, os.ErrDeadlineExceeded,
-// or those of reading; nothing stays reserved then.
+// ReadBody reads a request's body of at most limit bytes and returns it with the memory reserved
+// for it. The client must have sent the body by the deadline, unless that is zero. On failure
+// nothing is reserved, and the error is *http.MaxBytesError, ErrMemoryBudgetExceeded,
+// os.ErrDeadlineExceeded, or another read error.
 func (d *Daemon) ReadBody(w http.ResponseWriter, r *http.Request, limit int64, deadline time.Time) ([]byte, *MemoryReservation, error) {
 	reservation := &MemoryReservation{budget: &d.memory}
 	if r.ContentLength > limit {
@@ -74,7 +73,7 @@
 	if r.ContentLength == 0 || r.Body == nil || r.Body == http.NoBody {
 		return nil, reservation, nil
 	}
-	// Writers that support no deadlines, as in tests, read without one.
+	// Response writers without deadlines, such as those of tests, return an error.
 	controller := http.NewResponseController(w)
 	if !deadline.IsZero() {
 		_ = controller.SetReadDeadline(deadline)
@@ -88,7 +87,7 @@
 	return body, reservation, nil
 }
 
-// readBody reads a body of a known length, or one of unknown length (-1) to its end.
+// readBody reads a body of the given length, or until EOF if the length is -1.
 func (m *MemoryReservation) readBody(body io.Reader, length int64) ([]byte, error) {
 	if length > 0 {
 		return m.readFixedBody(body, length)
@@ -128,8 +127,8 @@
 	}
 }
 
-// growBody copies a body to a buffer of twice the capacity. While it copies, both
-// buffers count.
+// growBody copies a body to a buffer of twice the capacity. Both buffers are reserved during the
+// copy.
 func (m *MemoryReservation) growBody(content []byte) ([]byte, error) {
 	capacity := int64(cap(content))
 	if !m.tryReserve(2 * capacity) {
@@ -140,7 +139,7 @@
 	return content, nil
 }
 
-// countingReader reserves memory for what is read through it.
+// countingReader reserves memory for the bytes read through it.
 type countingReader struct {
 	io.Reader
 	reservation *MemoryReservation
--- a/internal/dataplane/proxy/memory_budget_test.go
+++ b/internal/dataplane/proxy/memory_budget_test.go
@@ -15,7 +15,7 @@
 	"dunlinwell/internal/dataplane/dispatch"
 )
 
-// blockingBody is a body of which a part has arrived; the end is awaited.
+// blockingBody is a body that blocks between its prefix and its end.
 type blockingBody struct {
 	prefix     io.Reader
 	prefixRead chan struct{}
@@ -38,8 +38,8 @@
 	return r
 }
 
-// All bodies together are bounded, whole or not yet, with a length or in chunks. One that
-// doesn't fit is rejected at once, and a release makes room.
+// All bodies, of known and unknown length, share one budget. One that doesn't fit is rejected
+// immediately.
 func TestReadBody_SharesMemoryBudget(t *testing.T) {
 	is := is.New(t)
 	d := newTestDaemon()
@@ -57,9 +57,9 @@
 	is.True(errors.Is(err, ErrMemoryBudgetExceeded))
 	second, err := readBody(30<<10, 30<<10)
 	is.NoErr(err)
-	_, err = readBody(30<<10, -1) // in chunks
+	_, err = readBody(30<<10, -1) // unknown length
 	is.True(errors.Is(err, ErrMemoryBudgetExceeded))
-	is.Equal(d.memory.reserved.Load(), int64(90<<10)) // what was rejected reserves nothing
+	is.Equal(d.memory.reserved.Load(), int64(90<<10)) // nothing is reserved for rejected bodies
 	first.Release()
 	first.Release()
 	third, err := readBody(30<<10, -1)
@@ -68,7 +68,7 @@
 	second.Release()
 	third.Release()
 	is.Equal(d.memory.reserved.Load(), int64(0))
-	// One that is over the limit, or ends early, reserves nothing.
+	// Nothing is reserved for a body that exceeds the limit or ends early.
 	_, _, err = d.ReadBody(httptest.NewRecorder(), newBodyRequest(strings.NewReader("12345"), 5), 4, time.Time{})
 	var tooLarge *http.MaxBytesError
 	is.True(errors.As(err, &tooLarge))
@@ -79,7 +79,7 @@
 	is.Equal(d.memory.reserved.Load(), int64(0))
 }
 
-// A body that arrives slowly counts while it arrives.
+// A partially received body is counted.
 func TestReadBody_CountsPartialBody(t *testing.T) {
 	is := is.New(t)
 	d := newTestDaemon()
@@ -94,7 +94,7 @@
 		}()
 		select {
 		case <-slow.prefixRead:
-		case err := <-done: // with its length known it is whole already
+		case err := <-done: // a body of known length is complete after the prefix
 			is.NoErr(err)
 		}
 		if length < 0 {
@@ -107,7 +107,7 @@
 	is.Equal(d.memory.reserved.Load(), int64(0))
 }
 
-// Responses count as well, though none is rejected: its request has run.
+// Response bodies are counted but never rejected, as their requests have already run.
 func TestForward_CountsResponseBytes(t *testing.T) {
 	is := is.New(t)
 	target, d := newFakeTarget(t), newPlainDaemon(0)
@@ -119,13 +119,13 @@
 	_, _, err := d.ReadBody(httptest.NewRecorder(), newBodyRequest(strings.NewReader("x"), 1), 10, time.Time{})
 	is.True(errors.Is(err, ErrMemoryBudgetExceeded))
 	_, empty, err := d.ReadBody(httptest.NewRecorder(), newBodyRequest(http.NoBody, 0), 10, time.Time{})
-	is.NoErr(err) // without a body nothing is reserved
+	is.NoErr(err) // an empty body needs no memory
 	empty.Release()
 	reservation.Release()
 	is.Equal(d.memory.reserved.Load(), int64(0))
 }
 
-// A client whose body doesn't fit is rejected at once and told when to come back.
+// A request whose body doesn't fit into the memory budget is rejected with a Retry-After.
 func TestHandleClientRequest_RejectsWhenMemoryIsExhausted(t *testing.T) {
 	is := is.New(t)
 	d := newTestDaemon()
@@ -138,7 +138,7 @@
 	is.Equal(w.Code, http.StatusServiceUnavailable)
 	is.Equal(w.Header().Get("Retry-After"), "1")
 	is.Equal(w.Header().Get("Dunlinwell-Class"), "declined")
-	// An earlier attempt may have run, so a later one isn't told that it surely hasn't.
+	// An earlier attempt may have run, so the response to a later one isn't "declined".
 	w, r = httptest.NewRecorder(), httptest.NewRequest("POST", "/orders", strings.NewReader("12345"))
 	r.Header.Set("Idempotency-Key", "m")
 	r.Header.Set("Attempt", "2")
--- a/internal/dataplane/proxy/message_delay_test.go
+++ b/internal/dataplane/proxy/message_delay_test.go
@@ -10,8 +10,7 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// TestDelayProbe_MeasuresWait: what a probe took is the delay until the next one is back, and
-// the age of the one under way counts as soon as it is longer.
+// The delay is that of the last probe, or the age of the probe in flight once that is larger.
 func TestDelayProbe_MeasuresWait(t *testing.T) {
 	is := is.New(t)
 	var p delayProbe
@@ -26,12 +25,11 @@
 	is.Equal(p.delay(at(4*time.Second)), 3*time.Second)
 	p.returned(at(5 * time.Second))
 	is.Equal(p.delay(at(6*time.Second)), 4*time.Second)
-	p.returned(at(9 * time.Second)) // there was none under way
+	p.returned(at(9 * time.Second)) // no probe was in flight
 	is.Equal(p.delay(at(9*time.Second)), 4*time.Second)
 }
 
-// TestDaemon_MayHaveUnreadConfiguration: by an old configuration a proxy goes on as long as it
-// reads what arrives, but not while it is behind.
+// A proxy keeps serving with an old configuration unless its message processing is delayed.
 func TestDaemon_MayHaveUnreadConfiguration(t *testing.T) {
 	const bound = 2 * time.Second
 	for _, c := range []struct {
@@ -39,10 +37,10 @@
 		age, delay time.Duration
 		want       bool
 	}{
-		{"in touch", time.Second, time.Millisecond, false},
-		{"in touch, and behind", time.Second, time.Second, false},
-		{"cut off", time.Minute, time.Millisecond, false},
-		{"behind", bound + time.Millisecond, maxMessageDelay + time.Millisecond, true},
+		{"confirmed", time.Second, time.Millisecond, false},
+		{"confirmed, with delayed messages", time.Second, time.Second, false},
+		{"partitioned", time.Minute, time.Millisecond, false},
+		{"unconfirmed, with delayed messages", bound + time.Millisecond, maxMessageDelay + time.Millisecond, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d := newTestDaemon()
@@ -52,7 +50,7 @@
 	}
 }
 
-// TestDelayProbe_Runs sends probes through its pipe until its context ends, one at a time.
+// Probes are sent one at a time until the context is canceled.
 func TestDelayProbe_Runs(t *testing.T) {
 	is := is.New(t)
 	var p delayProbe
--- a/internal/dataplane/proxy/options.go
+++ b/internal/dataplane/proxy/options.go
@@ -7,42 +7,42 @@
 	"dunlinwell/internal/base/settings"
 )
 
-// DaemonOptions are the options of a proxy process. Each flag's default stands in its tag.
+// DaemonOptions are the options of a proxy process.
 type DaemonOptions struct {
 	settings.Common
-	// MaxResponseBytes bounds the body of a target's response; a larger one counts as
-	// no response, and the request as one that may have run.
-	MaxResponseBytes int `help:"Largest answer of a target that is taken, in bytes." default:"4194304" name:"max-response"`
-	// ReportInterval is the time between usage reports to the registries.
-	ReportInterval time.Duration `help:"How often CPU time is reported." default:"2s" name:"report-every"`
-	// MaxQueueLength bounds the requests that wait for a slot, for each service.
-	MaxQueueLength int `help:"Longest inbox of a service." default:"128" name:"inbox"`
-	// Lease is how long requests are served by what can't be confirmed; see
+	// MaxResponseBytes limits the body of a target's response. A larger one is discarded,
+	// and the request counts as one that may have run.
+	MaxResponseBytes int `help:"Maximum size of a target's response body, in bytes." default:"4194304" name:"max-response"`
+	// ReportInterval is the interval of the usage reports to the registries.
+	ReportInterval time.Duration `help:"Interval of the usage reports to the registries." default:"2s" name:"report-every"`
+	// MaxQueueLength limits the queued requests of each service.
+	MaxQueueLength int `help:"Maximum number of queued requests of a service." default:"128" name:"inbox"`
+	// Lease is how long requests are served without a confirmation of the state; see
 	// ControlOptions.Lease.
-	Lease time.Duration `help:"How long requests are served by a policy and targets that can't be confirmed, 2s to 3s." default:"2500ms" name:"lease"`
-	// ClientListen is the address for clients' requests. If empty, they are served at the
-	// address of the HTTP pages.
-	ClientListen string `help:"Where consumers come in, if not at --http." placeholder:"IP:PORT" name:"consumers"`
-	// MemoryLimit bounds the bytes of bodies held for all requests; beyond it requests
-	// are rejected.
-	MemoryLimit int `help:"Most bytes of bodies and answers that are kept at once; what doesn't fit is declined." default:"268435456" name:"max-held"`
-	// GracePeriod is how long a shutdown waits for requests in flight.
-	GracePeriod time.Duration `help:"How long held requests may go on after the polite signal." default:"1700ms" name:"grace"`
-	// DialTimeout bounds the opening of a connection to a target.
-	DialTimeout time.Duration `help:"How long a circuit to a target may take to open." default:"1s" name:"dial-within"`
-	// Frontend is the protocol with clients and targets; nil for the native one.
+	Lease time.Duration `help:"How long requests are served without a confirmation of configuration and targets, 2s to 3s." default:"2500ms" name:"lease"`
+	// ClientListen is the listen address for client requests. If empty, they are served at
+	// the address of the HTTP pages.
+	ClientListen string `help:"Listen address for client requests, if not that of --http." placeholder:"IP:PORT" name:"consumers"`
+	// MemoryLimit limits the memory for request and response bodies, in bytes. Requests
+	// that exceed it are rejected.
+	MemoryLimit int `help:"Memory limit for request and response bodies, in bytes; requests that exceed it are rejected." default:"268435456" name:"max-held"`
+	// GracePeriod is how long a graceful shutdown waits for requests in flight.
+	GracePeriod time.Duration `help:"How long a graceful shutdown waits for requests in flight." default:"1700ms" name:"grace"`
+	// DialTimeout is the timeout of opening a connection to a target.
+	DialTimeout time.Duration `help:"Timeout of opening a connection to a target." default:"1s" name:"dial-within"`
+	// Frontend implements the protocols with clients and targets; nil for the native ones.
 	Frontend Frontend `kong:"-"`
 	SlotLayout
 }
 
 const (
-	// minLease: a shorter lease would end between two confirmations by the registries.
+	// minLease is the minimum lease. A shorter one could expire between two confirmations.
 	minLease = 2 * time.Second
-	// maxLease: with a longer one a change would be in force too late.
+	// maxLease is the maximum lease. With a longer one, changes could take effect too late.
 	maxLease = 3 * time.Second
 )
 
-// Validate checks the options, those of settings.Common included.
+// Validate checks the options, including those of settings.Common.
 func (o *DaemonOptions) Validate() error {
 	if o.Lease != EndlessLease && (o.Lease < minLease || o.Lease > maxLease) {
 		return errs.New("read params", "", "--lease: must be from 2s to 3s")
--- a/internal/dataplane/proxy/pages.go
+++ b/internal/dataplane/proxy/pages.go
@@ -16,8 +16,9 @@
 	Stopping    bool `json:"stopping"`
 }
 
-// handler serves the proxy's pages for operators: health, metrics, and the control API,
-// which it forwards to a registry. With clients, all other paths are clients' requests.
+// handler returns the handler of the HTTP pages for operators: health, metrics, and the control
+// API, which is forwarded to a registry. If clients is set, requests for all other paths are
+// client requests.
 func (d *Daemon) handler(clients bool) http.Handler {
 	mux := http.NewServeMux()
 	daemon.HandleHealth(mux, d.readiness)
@@ -31,7 +32,7 @@
 	return mux
 }
 
-// readiness tells whether the proxy is ready, and the details for the page.
+// readiness reports whether the proxy is ready, with the body of /readyz.
 func (d *Daemon) readiness() (bool, any) {
 	state, stopping := d.servingState.Load(), d.stopping.Load()
 	return state.Ready && !stopping, readinessDocument{
@@ -39,7 +40,7 @@
 	}
 }
 
-// metrics returns the proxy's metrics as of now.
+// metrics returns the current metrics of the proxy.
 func (d *Daemon) metrics() []daemon.Metric {
 	state := d.servingState.Load()
 	list := []daemon.Metric{
@@ -56,7 +57,7 @@
 	return list
 }
 
-// metrics returns the metrics of one service.
+// metrics returns the current metrics of the service.
 func (s *serviceDispatcher) metrics(service ids.Name) []daemon.Metric {
 	counters, jobs, queued := s.counters()
 	list := []daemon.Metric{
@@ -83,7 +84,7 @@
 	return list
 }
 
-// gaugeOf is 1 for true.
+// gaugeOf returns 1 for true and 0 for false.
 func gaugeOf(b bool) float64 {
 	if b {
 		return 1
