--- a/internal/dataplane/proxy/refresh.go
+++ b/internal/dataplane/proxy/refresh.go
@@ -10,48 +10,49 @@
 	"dunlinwell/internal/dataplane/dispatch"
 )
 
-// refreshState says what the dispatchers last received. Computing it anew weighs all
-// targets against all proxies, so its rate is bounded: done for each push of a storm
-// (many targets found silent at once) in a large fleet, it kept a small machine from
-// reading its next messages for seconds, a change of configuration among them.
+// refreshState holds the state last sent to the dispatchers. Computing it takes time proportional
+// to the number of targets times the number of proxies, so its rate is limited. A refresh for
+// each push of a burst could delay the processing of messages, such as a configuration change,
+// by seconds.
 type refreshState struct {
 	lastRefresh ids.Time
 	sentState   stateVersion
-	// sentServices are the services whose dispatchers were refreshed last.
+	// sentServices are the services whose dispatchers were refreshed last, sorted by name.
 	sentServices []ids.Name
-	// sentRouteRules are the terms of each service's routes that its dispatcher has.
+	// sentRouteRules are the route rules last sent to the dispatchers, by service and route.
 	sentRouteRules map[ids.Name]map[ids.Name]dispatch.RouteTerms
-	// unacknowledged are pushes whose contents the dispatchers don't have yet.
+	// unacknowledged are the pushes whose contents weren't sent to the dispatchers yet.
 	unacknowledged []receivedPush
 }
 
-// stateVersion changes whenever anything changes in the state that dispatchers get.
+// stateVersion identifies a version of the state that is sent to the dispatchers.
 type stateVersion struct {
 	targets, members uint64
 	revision         ids.Revision
-	// confirmed: something was confirmed since the last freeze.
+	// confirmed is set if configuration and targets were confirmed since the last process
+	// pause.
 	confirmed bool
-	// zoneClosed: this proxy's zone is drained, and no request may be forwarded any more.
+	// zoneClosed is the result of Control.zoneClosed.
 	zoneClosed bool
-	// unlimitedLeaseStarted is leaseState's.
+	// unlimitedLeaseStarted is a copy of leaseState's field.
 	unlimitedLeaseStarted bool
 	slotHolders           int
 }
 
 const (
-	// refreshCostPerPair is the time between refreshes that each pair of a target and a proxy
-	// adds, so that refreshes take a tenth of a processor core at most (measured:
-	// 0.88 µs of a whole core for each pair).
+	// refreshCostPerPair is the part of the refresh interval per pair of a target and a proxy.
+	// It is about ten times the CPU time per pair, so that refreshes take at most about a
+	// tenth of a core.
 	refreshCostPerPair = 10 * time.Microsecond
-	// maxRefreshInterval bounds how long a change may wait for a refresh: well below
-	// the time in which it has to be in force (DefaultLease).
+	// maxRefreshInterval is the maximum delay of a refresh. It is well below the time in which
+	// a change must take effect (DefaultLease).
 	maxRefreshInterval = 400 * time.Millisecond
-	// minRefreshInterval is the tick's own interval: a shorter wait would save nothing.
+	// minRefreshInterval is the interval below which refreshes aren't delayed.
 	minRefreshInterval = tickInterval
 )
 
-// refreshDispatchers sends each dispatcher the state of its service if anything in it
-// has changed, and otherwise only the end of the lease.
+// refreshDispatchers sends every dispatcher the state of its service if the state has changed,
+// and otherwise only the end of the lease.
 func (c *Control) refreshDispatchers(now ids.Time) {
 	c.startUnlimitedLease(now)
 	holders := c.slotHolders(now)
@@ -77,8 +78,8 @@
 	}
 }
 
-// mayDelayRefresh tells whether a refresh may wait for a later tick. What says whether
-// this proxy serves at all never waits, nor does the first state of a service's dispatcher.
+// mayDelayRefresh reports whether a refresh may wait for a later tick. Changes that determine
+// whether this proxy serves, and the first state of a dispatcher, are never delayed.
 func (c *Control) mayDelayRefresh(now ids.Time, next stateVersion) bool {
 	sent := c.sentState
 	if c.hasNewService() || sent.confirmed != next.confirmed || sent.zoneClosed != next.zoneClosed || sent.unlimitedLeaseStarted != next.unlimitedLeaseStarted {
@@ -89,7 +90,7 @@
 	return c.lastRefresh != 0 && interval >= minRefreshInterval && now.Sub(c.lastRefresh) < interval
 }
 
-// hasNewService tells whether there is a service whose dispatcher has no state yet.
+// hasNewService reports whether there is a service whose dispatcher has no state yet.
 func (c *Control) hasNewService() bool {
 	for name := range c.view.Services {
 		if _, sent := slices.BinarySearch(c.sentServices, name); !sent {
@@ -99,12 +100,12 @@
 	return false
 }
 
-// sendServiceStates sends every dispatcher the state of its service, in order of name.
+// sendServiceStates sends every dispatcher the state of its service, sorted by name.
 func (c *Control) sendServiceStates(now ids.Time, holders []membership.Member) {
 	runEnded := c.runEndedFunc()
 	allocations := c.allocations(now, holders)
 	for _, name := range c.sentServices {
-		// The dispatcher of a service that was removed must stop serving it.
+		// The dispatcher of a removed service must stop serving it.
 		if _, ok := c.view.Services[name]; !ok {
 			c.Emit(DispatchEvent{name, dispatch.ServiceState{}})
 		}
@@ -126,11 +127,11 @@
 	}
 }
 
-// routeRulesByService gives the terms of each service's routes, by service and route.
+// routeRulesByService returns the rules of all routes, by service and route.
 func (c *Control) routeRulesByService() map[ids.Name]map[ids.Name]dispatch.RouteTerms {
 	rules := map[ids.Name]map[ids.Name]dispatch.RouteTerms{}
 	for name, route := range c.view.Routes {
-		// A route that splits its traffic has terms with each of its services.
+		// A route that splits its traffic has rules for each of its services.
 		for _, service := range route.Services() {
 			if rules[service] == nil {
 				rules[service] = map[ids.Name]dispatch.RouteTerms{}
@@ -142,10 +143,9 @@
 	return rules
 }
 
-// sendChangedRouteRules sends dispatchers the terms of their routes where these have changed. It goes
-// before each change of the router's configuration: a request is rejected if its terms, which
-// the router gives it, aren't those that its dispatcher knows, and the next refresh may be
-// maxRefreshInterval away.
+// sendChangedRouteRules sends changed route rules to their dispatchers. It must be called before
+// the router's configuration is replaced: a dispatcher rejects requests whose rules, as found by
+// the router, differ from its own, and the next refresh may be delayed by maxRefreshInterval.
 func (c *Control) sendChangedRouteRules() {
 	rules := c.routeRulesByService()
 	for _, service := range slices.Sorted(maps.Keys(c.view.Services)) {
@@ -156,8 +156,8 @@
 	c.sentRouteRules = rules
 }
 
-// runEndedFunc returns a function that tells whether a process run is over, by the
-// membership list as of now.
+// runEndedFunc returns a function that reports whether a run of a daemon has ended, according to
+// a snapshot of the membership list.
 func (c *Control) runEndedFunc() func(ids.DaemonID, ids.RunID) bool {
 	members := map[ids.DaemonID]membership.Member{}
 	for _, m := range c.All() {
--- a/internal/dataplane/proxy/refresh_bench_test.go
+++ b/internal/dataplane/proxy/refresh_bench_test.go
@@ -7,8 +7,8 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// BenchmarkRefresh_OneTargetChanged refreshes the dispatchers of a proxy in a large fleet after
-// the change of one target.
+// BenchmarkRefresh_OneTargetChanged measures a refresh in a large cluster after the change of one
+// target.
 func BenchmarkRefresh_OneTargetChanged(b *testing.B) {
 	f := newLargeClusterFixture(b)
 	holders := f.slotHolders(f.now)
@@ -22,7 +22,8 @@
 	}
 }
 
-// BenchmarkRefresh_ProxyJoined refreshes them after a proxy has joined.
+// BenchmarkRefresh_ProxyJoined measures two refreshes in a large cluster, with an additional proxy
+// and without it.
 func BenchmarkRefresh_ProxyJoined(b *testing.B) {
 	f := newLargeClusterFixture(b)
 	holders := f.slotHolders(f.now)
--- a/internal/dataplane/proxy/refresh_test.go
+++ b/internal/dataplane/proxy/refresh_test.go
@@ -20,7 +20,7 @@
 	largeClusterProxies = 90
 )
 
-// newLargeClusterFixture is a proxy of a large fleet that knows all targets.
+// newLargeClusterFixture returns the Control of a proxy in a large cluster that knows all targets.
 func newLargeClusterFixture(t testing.TB) *controlFixture {
 	t.Helper()
 	f := &controlFixture{now: 1, Control: New(
@@ -48,12 +48,12 @@
 	}
 }
 
-// refreshCounter steps a control machine and notes what its commands show.
+// refreshCounter steps a Control and records its refreshes and acknowledgments.
 type refreshCounter struct {
 	*controlFixture
 	refreshes    int
 	acknowledged []ids.StreamNumber
-	// allocations is how many targets the last refresh gave to a dispatcher.
+	// allocations is the number of targets that the last refresh sent to a dispatcher.
 	allocations int
 }
 
@@ -76,9 +76,8 @@
 	}
 }
 
-// A seventh of all targets falls silent at once, and registries push that one target at a
-// time. Each push once caused a refresh: 64 of them, 31 ms of a whole core each, and the
-// next message was read seconds later.
+// Guards against a refresh for each push of a burst, such as when many targets fail at once, which
+// delays the processing of later messages by seconds.
 func TestRefresh_PushBurstIsBatched(t *testing.T) {
 	is := is.New(t)
 	c := &refreshCounter{controlFixture: newLargeClusterFixture(t)}
@@ -107,7 +106,7 @@
 	is.True(c.allocations <= largeClusterTargets-deadTargets)
 }
 
-// In a small fleet a refresh costs next to nothing, and no push waits.
+// In a small cluster refreshes are cheap and aren't delayed.
 func TestRefresh_SmallClusterIsImmediate(t *testing.T) {
 	is := is.New(t)
 	f := newControlFixture(DefaultLease)
--- a/internal/dataplane/proxy/router.go
+++ b/internal/dataplane/proxy/router.go
@@ -12,18 +12,17 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// router finds a request's route by the longest prefix of whole path segments. It is
-// immutable: a new configuration gets a new router.
+// router finds the route of a request by the longest path prefix of whole segments. It is
+// immutable; a new configuration has a new router.
 type router struct {
-	// byHost holds a tree of path prefixes for each host in lower case; "" is for routes
-	// of any host.
+	// byHost holds a radix tree of path prefixes per lowercase host; "" matches any host.
 	byHost map[string]*iradix.Tree[configuration.Route]
 	view   *configuration.View
 }
 
 func newRouter(view *configuration.View) *router {
 	byHost := map[string]*iradix.Tree[configuration.Route]{}
-	// In order of name: of two routes with the same host and prefix the first one holds.
+	// Of the routes with the same host and prefix, the first one by name takes effect.
 	for _, name := range slices.Sorted(maps.Keys(view.Routes)) {
 		route := view.Routes[name]
 		host := strings.ToLower(route.Host)
@@ -40,8 +39,8 @@
 	return &router{byHost, view}
 }
 
-// find returns the route of a host and path. The host's own routes go before those of
-// any host. Bytes of the path are compared as they came: nothing is decoded or cleaned.
+// find returns the route of a host and path. Routes of the host take precedence over those of any
+// host. The path is neither decoded nor cleaned.
 func (r *router) find(host, path string) (configuration.Route, bool) {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -62,7 +61,7 @@
 	var longest configuration.Route
 	found := false
 	tree.Root().WalkPath([]byte(path), func(prefix []byte, route configuration.Route) bool {
-		// Whole segments only: /stock is no prefix of /stocking.
+		// Only whole segments match: /stock is not a prefix of /stocking.
 		if len(prefix) == len(path) || path[len(prefix)] == '/' {
 			longest, found = route, true
 		}
@@ -71,8 +70,8 @@
 	return longest, found
 }
 
-// RouteTerms returns the rules of a route that a request is accepted under. If they
-// change while the request waits, it isn't sent.
+// RouteTerms returns the rules of a route. A request isn't forwarded if they have changed since
+// its arrival.
 func RouteTerms(route configuration.Route) dispatch.RouteTerms {
 	return dispatch.RouteTerms{
 		Host: route.Host, Prefix: route.Prefix, Service: route.Service,
--- a/internal/dataplane/proxy/router_test.go
+++ b/internal/dataplane/proxy/router_test.go
@@ -27,12 +27,12 @@
 		{"TERN.example", "/mud/1", "own"},
 		{"tern.example:8080", "/mud/1", "own"},
 		{"tern.example", "/mud/flat/1", "deep"},
-		{"tern.example", "/mud/flat/low/1", "deep"}, // a host's own route goes before any host's, however short
+		{"tern.example", "/mud/flat/low/1", "deep"}, // the host's routes take precedence regardless of length
 		{"tern.example", "/mud/flatter/1", "own"},
 		{"tern.example", "/muddy/1", "all"},
 		{"tern.example", "/MUD/1", "all"},
 		{"tern.example", "//mud/1", "all"},
-		{"tern.example", "/%6dud/1", "all"}, // bytes are compared, nothing is cleaned
+		{"tern.example", "/%6dud/1", "all"}, // the path isn't decoded or cleaned
 		{"tern.example", "/mud/../x", "own"},
 		{"tern.example", "/twice/1", "a-first"},
 		{"gull.example", "/mud/1", "root"},
@@ -43,7 +43,7 @@
 		got, ok := r.find(c.host, c.path)
 		is.True(ok)
 		if got.Name != c.want {
-			t.Errorf("%s%s went to %s, not %s", c.host, c.path, got.Name, c.want)
+			t.Errorf("%s%s: got route %s, want %s", c.host, c.path, got.Name, c.want)
 		}
 	}
 	delete(routes, "all")
--- a/internal/dataplane/proxy/run.go
+++ b/internal/dataplane/proxy/run.go
@@ -15,22 +15,26 @@
 )
 
 const (
-	// trafficLogInterval is how often the proxy logs where requests were forwarded to.
+	// trafficLogInterval is the interval of the requests_forwarded log entries.
 	trafficLogInterval = 20 * time.Second
-	// supervisorStopTimeout is how long the process waits for its background tasks at
-	// the end. The responses that the grace period left time for are written by then, so
-	// a task that hangs loses nothing.
+	// supervisorStopTimeout is how long a shutdown waits for the background tasks to end.
+	// By then the grace period is over or all responses are written, so a task that hangs
+	// does no harm.
 	supervisorStopTimeout = 200 * time.Millisecond
 )
 
-// Run runs the proxy until the context ends, and then shuts it down gracefully within
-// DaemonOptions.GracePeriod. It returns nil after that, and otherwise why it ended early.
+// Run runs the proxy until the context is canceled, and then shuts it down gracefully within
+// DaemonOptions.GracePeriod. It returns nil after a shutdown, and otherwise the error that
+// stopped the proxy.
 //
-// A shutdown goes in these steps: readiness ends, and every registry is told
-// (Control.announceStop), so that the directory names this proxy no more; the clients'
-// listener stays open for its lameDuckPeriod; idle connections of clients are closed, the
-// others after their response; once the last one is closed or the grace period is over,
-// the background tasks end, and the process with them.
+// A graceful shutdown takes these steps:
+//
+//   - The proxy is no longer ready, and notifies every registry (Control.announceStop), so that
+//     the directory stops returning it.
+//   - The client listener stays open for lameDuckPeriod.
+//   - Idle client connections are closed, the others after their response.
+//   - Once all client connections are closed, or the grace period is over, the background tasks
+//     end.
 func (d *Daemon) Run(ctx context.Context) error {
 	wire, err := d.transport.Listen()
 	if err != nil {
@@ -40,7 +44,7 @@
 	if err != nil {
 		return err
 	}
-	// Before the control machine runs, which may have limits for the listener at once.
+	// The listener must exist before Control runs, which may set its limits immediately.
 	if err := d.listenForClients(); err != nil {
 		return err
 	}
@@ -57,7 +61,7 @@
 	stopped := make(chan struct{})
 	go func() {
 		defer close(stopped)
-		// The supervisor restarts what fails, so it ends only when it is told to.
+		// The supervisor restarts failed tasks, so it ends only when its context is canceled.
 		_ = supervisor.Serve(background)
 	}()
 	go func() {
@@ -79,8 +83,8 @@
 	return err
 }
 
-// serveListeners serves the HTTP pages and the clients until ctx has ended and either the
-// requests in flight or the grace period are over.
+// serveListeners serves the HTTP pages and the clients. After ctx is canceled, it returns once the
+// requests in flight are finished or the grace period is over.
 func (d *Daemon) serveListeners(ctx context.Context, pages net.Listener) error {
 	gracePeriod := d.Options.GracePeriod
 	if d.Options.ClientListen == "" {
@@ -92,7 +96,7 @@
 		if err != nil {
 			return err
 		}
-		// The pages are of no use after the shutdown, however their server ends.
+		// An error while serving the pages doesn't affect client requests.
 		servers.Go(func() { _ = api.Serve(ctx, listener, handler, gracePeriod) })
 	}
 	servers.Go(func() { _ = api.Serve(ctx, pages, d.handler(false), gracePeriod) })
@@ -101,7 +105,7 @@
 	return err
 }
 
-// listenForClients opens the clients' listener, if they have an address of their own.
+// listenForClients opens the client listener if clients have a separate listen address.
 func (d *Daemon) listenForClients() error {
 	if d.Options.ClientListen == "" {
 		return nil
@@ -114,7 +118,7 @@
 	return nil
 }
 
-// runTimers does what has to be done at intervals, until ctx ends.
+// runTimers runs the periodic work until ctx is canceled.
 func (d *Daemon) runTimers(ctx context.Context) error {
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
@@ -142,7 +146,7 @@
 	}
 }
 
-// logTraffic logs, for each service, where its requests were forwarded to since the start.
+// logTraffic logs the counters of forwarded requests of each service.
 func (d *Daemon) logTraffic() {
 	for _, service := range d.serviceNames() {
 		counters, _, _ := d.dispatcherOf(service).counters()
@@ -154,15 +158,15 @@
 	}
 }
 
-// logMessageDelay logs how long messages wait here, if that is long.
+// logMessageDelay logs the message delay if it is at least messageDelayLogThreshold.
 func (d *Daemon) logMessageDelay() {
 	if delay := d.MessageDelay(); delay >= messageDelayLogThreshold {
 		d.log.Event(event.LevelWarn, logMessagesDelayed, "delay_ms", formatMillis(delay), "configuration_age_ms", formatMillis(d.ConfigurationAge()))
 	}
 }
 
-// logFailures logs, for each service and reason, how many requests got no response from a
-// target since the last call.
+// logFailures logs the number of requests without a target's response since the last call, by
+// service and reason.
 func (d *Daemon) logFailures() {
 	for _, service := range d.serviceNames() {
 		counts := d.dispatcherOf(service).takeFailureReasons()
--- a/internal/dataplane/proxy/serving_state.go
+++ b/internal/dataplane/proxy/serving_state.go
@@ -10,27 +10,29 @@
 )
 
 const (
-	// cutOffTimeout is how long without a confirmation of the targets counts as being cut
-	// off; registries push several times a second.
+	// cutOffTimeout is the age of the last confirmation of the targets after which the proxy
+	// counts as cut off. Registries push several times a second.
 	cutOffTimeout = 1500 * time.Millisecond
-	// cutOffTimeoutByZone is the same in a fleet by zone, where a proxy that has nothing
-	// new gets one push a second.
+	// cutOffTimeoutByZone replaces cutOffTimeout with SlotLayout.ByZone, where registries
+	// push to an up-to-date proxy only once a second.
 	cutOffTimeoutByZone = 2 * cutOffTimeout
-	// zoneDrainDelay is how long a drained zone's proxy goes on forwarding to other
-	// zones, for clients that the directory sent here before.
+	// zoneDrainDelay is how long a proxy in a drained zone keeps forwarding to other zones,
+	// for clients that the directory sent to it before the drain.
 	zoneDrainDelay = 2 * time.Second
 )
 
-// drainState says whether this proxy's own zone is being drained.
+// drainState is the drain state of this proxy's zone.
 type drainState struct {
-	// drainedSince is when this proxy learned of it; 0 for not drained.
+	// drainedSince is the time at which this proxy learned of the drain; 0 if the zone isn't
+	// drained.
 	drainedSince ids.Time
-	// drainedWithoutLease: this proxy had no valid lease at that moment, so it may have learned
-	// of it late and closes without zoneDrainDelay.
+	// drainedWithoutLease is set if this proxy had no valid lease at that time. It may have
+	// learned of the drain late, so zoneDrainDelay doesn't apply.
 	drainedWithoutLease bool
 }
 
-// updateDrainState updates the drain state after a change of configuration.
+// updateDrainState updates the drain state after a configuration change. hadLease states whether
+// the lease was valid before it.
 func (c *Control) updateDrainState(now ids.Time, hadLease bool) {
 	switch {
 	case !c.view.Zones[c.Self.Zone].Drained:
@@ -40,13 +42,13 @@
 	}
 }
 
-// zoneClosed tells whether requests may no longer be forwarded because the zone is drained.
+// zoneClosed reports whether requests may no longer be forwarded because the zone is drained.
 func (c *Control) zoneClosed(now ids.Time) bool {
 	return c.drainedSince != 0 && (c.drainedWithoutLease || now.Sub(c.drainedSince) >= zoneDrainDelay)
 }
 
-// ready tells whether the directory may name this proxy to clients: its lease is valid
-// and not about to end. cutOff looks at the targets alone, with the shorter time.
+// ready reports whether the directory may return this proxy to clients: its lease is valid and not
+// about to expire.
 func (c *Control) ready(now ids.Time) bool {
 	if c.stopping || !c.leaseValid(now) {
 		return false
@@ -54,8 +56,8 @@
 	return c.Lease == EndlessLease || !c.cutOff(now) && now.Sub(c.confirmedAt()) < maxConfirmationAge
 }
 
-// cutOff tells whether the targets haven't been confirmed for a while, by a registry or, in
-// a LeaseGossip, by another proxy that a registry reaches.
+// cutOff reports whether the targets haven't been confirmed recently, neither by a registry nor by
+// the LeaseGossip of a proxy that a registry reaches.
 func (c *Control) cutOff(now ids.Time) bool {
 	timeout := cutOffTimeout
 	if c.ByZone {
@@ -64,8 +66,8 @@
 	return c.targetsConfirmedAt != 0 && now.Sub(c.targetsConfirmedAt) > timeout
 }
 
-// announceStop tells every registry at once that this proxy is no longer ready, so that
-// the directory names it to nobody while requests in flight are finished.
+// announceStop notifies every registry that this proxy is no longer ready, so that the directory
+// stops returning it while requests in flight are finished.
 func (c *Control) announceStop() {
 	c.stopping = true
 	c.UpdateSelf(false, c.view.Revision)
@@ -74,7 +76,8 @@
 	}
 }
 
-// publishServingState emits the serving state if it or the membership list has changed.
+// publishServingState emits the serving state if it or the membership list has changed, and logs
+// changes of readiness.
 func (c *Control) publishServingState(now ids.Time) {
 	next := ServingState{Ready: c.ready(now), LeaseValid: c.leaseValid(now), CutOff: c.cutOff(now), ZoneDrained: c.drainedSince != 0}
 	sent := c.servingState
