--- a/internal/dataplane/proxy/slots.go
+++ b/internal/dataplane/proxy/slots.go
@@ -12,55 +12,56 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// SlotLayout says how the concurrency slots of targets are shared out among proxies.
+// SlotLayout determines how the concurrency slots of targets are divided among the proxies.
 type SlotLayout struct {
-	// ByZone gives a target's slots to the proxies of its own zone first; otherwise
-	// all proxies of the fleet have equal shares.
-	ByZone bool `help:"Give a target's places to the proxies of its own cell first." name:"by-cell"`
-	// Regions are the zones that the process's settings name, and the region of each.
+	// ByZone assigns a target's slots to the proxies of its own zone first. Otherwise all
+	// proxies have equal shares.
+	ByZone bool `help:"Assign a target's concurrency slots to the proxies of its own zone first." name:"by-cell"`
+	// Regions is the region of each zone in the settings of the process.
 	Regions map[ids.Name]string `kong:"-"`
 }
 
-// slotState is what shares are computed from.
+// slotState holds the inputs of the slot shares.
 type slotState struct {
-	// proxyLastSeen is when each proxy was last in the membership list and alive.
+	// proxyLastSeen is the time at which each proxy was last alive in the membership list.
 	proxyLastSeen map[ids.DaemonID]ids.Time
-	// zoneSlowStartUntil is until when all targets of a zone are in slow start, whatever
-	// they say: the zone was out of use, and they may have gone cold.
+	// zoneSlowStartUntil is the end of the slow start of all targets of a zone that was put
+	// back into use. The later of this and the target's own slow start applies.
 	zoneSlowStartUntil map[ids.Name]ids.Time
-	// proximities is a cache by zone, cleared at each refresh.
+	// proximities is a cache by zone, cleared on each refresh.
 	proximities map[ids.Name]proximity
 }
 
-// proximityClass says how near a proxy is to a target. In a fleet by zone a target's slots
-// are given out once to each class, and divided among the proxies of the class: all classes
-// together have more than the target's slots. A far proxy uses its own only while it finds
-// none nearer, and what is too much then waits in the target's own queue.
+// proximityClass groups proxies by their distance to a target. With SlotLayout.ByZone, a target's
+// slots are divided among the proxies of each class separately, so all classes together have more
+// than the target's slots. A distant proxy uses its slots only if it has none at nearer targets;
+// requests that exceed the target's slots wait in its own queue.
 type proximityClass int
 
 const (
-	// nearestClass are the proxies of the target's zone, or the nearest ones if there are none.
+	// nearestClass contains the proxies of the target's zone, or of the nearest class that has
+	// any proxies.
 	nearestClass proximityClass = iota
-	// regionClass are the proxies of the other zones of the target's region.
+	// regionClass contains the proxies of the other zones of the target's region.
 	regionClass
-	// remoteClass are the proxies of the other regions.
+	// remoteClass contains the proxies of the other regions.
 	remoteClass
 	// proximityClassCount is the number of classes.
 	proximityClassCount
 )
 
-// proximity is this proxy's class at the targets of a zone, and the proxies of the class.
+// proximity is this proxy's class for the targets of a zone, and the proxies of that class.
 type proximity struct {
 	class proximityClass
 	peers []membership.Member
 }
 
-// lostProxyHoldTime is how long a lost proxy keeps its share: it may only be cut off from
-// this proxy and still use it, until its lease ends or it has itself counted the proxies
-// anew. It is longer than DefaultLease.
+// lostProxyHoldTime is how long a failed proxy keeps its share. It may only be partitioned from
+// this proxy and keep using the share until its lease expires or it has updated its own
+// membership list. It must be longer than DefaultLease.
 const lostProxyHoldTime = 3 * time.Second
 
-// slotHolders gives the proxies among whom slots and retries are shared out.
+// slotHolders returns the proxies among which slots and retry budgets are divided.
 func (c *Control) slotHolders(now ids.Time) []membership.Member {
 	var holders []membership.Member
 	for _, m := range c.All() {
@@ -77,13 +78,13 @@
 	return holders
 }
 
-// allocations gives this proxy's allocation at every target, by service.
+// allocations returns this proxy's allocations of slots at targets, by service.
 func (c *Control) allocations(now ids.Time, holders []membership.Member) map[ids.Name][]dispatch.Allocation {
 	byService := map[ids.Name][]dispatch.Allocation{}
 	clear(c.proximities)
 	for _, t := range c.targets.All(now) {
 		a := c.allocate(now, t, holders)
-		// In a large fleet most targets are left to other proxies.
+		// In a large cluster this proxy has no slots at most targets.
 		if !c.ByZone || hasSlots(a, c.view.Services[t.Service].DefaultCapacity) {
 			byService[t.Service] = append(byService[t.Service], a)
 		}
@@ -91,8 +92,8 @@
 	return byService
 }
 
-// allocate computes this proxy's share of a target's slots. Proxies are ordered anew for
-// each target, so that the slots left over by division fall to different ones.
+// allocate computes this proxy's share of a target's slots. The order of the proxies differs
+// between targets, so that the remainders of the division are spread over all proxies.
 func (c *Control) allocate(now ids.Time, t targets.Target, holders []membership.Member) dispatch.Allocation {
 	zone := c.view.Zones[t.Zone]
 	a := dispatch.Allocation{
@@ -107,16 +108,15 @@
 	a.SlotShareCount, a.SlotShareIndex = max(len(p.peers), 1), c.rendezvousRank(string(t.Instance), p.peers)
 	a.Oversubscription = 1
 	if p.class == nearestClass {
-		// Two proxies or more may each use what the other leaves; the target's own
-		// queue takes what they send at the same time.
+		// Each of several proxies may use slots that the others leave free. The target's own
+		// queue absorbs simultaneous requests.
 		a.Oversubscription = min(a.SlotShareCount, 2)
 	}
 	c.applySlowStartRate(now, p.class, &a)
 	return a
 }
 
-// proximityTo gives this proxy's proximity to a zone. It is the same for all targets of
-// the zone, so it is computed once for each zone and refresh.
+// proximityTo returns this proxy's proximity to a zone, computed once per zone and refresh.
 func (c *Control) proximityTo(zone ids.Name, holders []membership.Member) proximity {
 	if p, ok := c.proximities[zone]; ok {
 		return p
@@ -129,8 +129,8 @@
 	return p
 }
 
-// computeProximity groups the proxies by class. The nearest class that has any proxy
-// takes the part of nearestClass.
+// computeProximity groups the proxies by class and returns this proxy's. The nearest class that
+// has any proxies counts as nearestClass.
 func (c *Control) computeProximity(zone ids.Name, holders []membership.Member) proximity {
 	var byClass [proximityClassCount][]membership.Member
 	classOfZone := map[ids.Name]proximityClass{}
@@ -151,7 +151,7 @@
 	return proximity{nearestClass, byClass[own]}
 }
 
-// classBetween gives the class of a proxy's zone towards a target's zone.
+// classBetween returns the class of the proxies of a zone for the targets of another.
 func (c *Control) classBetween(proxyZone, targetZone ids.Name) proximityClass {
 	switch distance := c.view.Distance(proxyZone, targetZone); {
 	case distance == 0:
@@ -162,14 +162,14 @@
 	return remoteClass
 }
 
-// retryBudget is this proxy's part of a service's retry budget. Parts are whole numbers
-// that add up to it, since half a retry is of no use to any proxy.
+// retryBudget returns this proxy's share of a service's retry budget. The shares are whole numbers
+// that add up to the budget.
 func (c *Control) retryBudget(service configuration.Service, holders []membership.Member) float64 {
 	shares, index := max(len(holders), 1), c.rendezvousRank("retries/"+string(service.Name), holders)
 	return float64(service.RetryBudget*(index+1)/shares - service.RetryBudget*index/shares)
 }
 
-// hasSlots tells whether an allocation has any slot once its target is warm.
+// hasSlots reports whether an allocation has any slots after the target's slow start.
 func hasSlots(a dispatch.Allocation, defaultCapacity int) bool {
 	capacity := defaultCapacity
 	if a.Capacity > 0 {
@@ -180,8 +180,8 @@
 	return slots*(a.SlotShareIndex+1)/shares > slots*a.SlotShareIndex/shares
 }
 
-// rendezvousRank is this proxy's index among the given proxies, ordered by their
-// rendezvous hash (highest random weight) for a key.
+// rendezvousRank returns this proxy's index among the given proxies, ordered by their rendezvous
+// hash for a key.
 func (c *Control) rendezvousRank(key string, proxies []membership.Member) int {
 	own, rank := rendezvousHash(key, c.Self.ID), 0
 	for _, m := range proxies {
@@ -192,7 +192,8 @@
 	return rank
 }
 
-// rendezvousHash must be the same in every proxy, of whatever version.
+// rendezvousHash returns the hash of a key and a proxy. All versions of the proxy must compute the
+// same hash.
 func rendezvousHash(key string, proxy ids.DaemonID) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(key))
--- a/internal/dataplane/proxy/slots_test.go
+++ b/internal/dataplane/proxy/slots_test.go
@@ -17,15 +17,15 @@
 
 var regions = map[ids.Name]string{"quay": "west", "pier": "west", "mole": "west", "dune": "east", "reed": "east"}
 
-// newZoneControl is a proxy that shares slots by zone, with the one service "wader".
+// newZoneControl returns a Control with SlotLayout.ByZone and the single service "wader".
 func newZoneControl(self membership.Member, service configuration.Service) *Control {
 	c := New(membership.Options{Self: self}, ControlOptions{Lease: EndlessLease, SlotLayout: SlotLayout{ByZone: true, Regions: regions}})
 	c.view.Services = map[ids.Name]configuration.Service{"wader": service}
 	return c
 }
 
-// countForwarded counts how many of 200 requests a dispatcher with this one allocation
-// forwards at once.
+// countForwarded returns how many of 200 requests a dispatcher with a single allocation forwards
+// immediately.
 func countForwarded(allocation dispatch.Allocation, now ids.Time) int {
 	d := dispatch.New(dispatch.Options{Random: rand.New(rand.NewPCG(1, 2)), QueueLimit: 1000})
 	d.Step(now, dispatch.ServiceState{Targets: []dispatch.Allocation{allocation}, IsCurrent: true, LeaseExpiresAt: now.Add(time.Hour), Terms: map[ids.Name]dispatch.RouteTerms{"r": {}}})
@@ -40,9 +40,8 @@
 	return forwarded
 }
 
-// What all proxies together may send to a target is bounded however many there are: its
-// slots once for each of the three classes that has proxies, and twice in the first class
-// if two or more may use what the others leave.
+// The number of requests that all proxies together send to a target is limited: its slots for each
+// class that has proxies, and twice the slots for the nearest class if it has several.
 func TestSlots_ZoneSharesAddUp(t *testing.T) {
 	const capacity = 7
 	now := ids.Time(time.Second)
@@ -52,8 +51,8 @@
 		"quay quay quay":                2 * capacity,
 		"quay pier":                     2 * capacity,
 		"quay quay pier mole dune reed": 4 * capacity,
-		"pier":                          capacity,     // no proxy in its zone: the region's proxy has its slots
-		"pier mole":                     2 * capacity, // as have two proxies of the region
+		"pier":                          capacity,     // no proxy in the target's zone: the region is nearest
+		"pier mole":                     2 * capacity, // two proxies in the nearest class
 		"pier dune":                     2 * capacity,
 		"dune":                          capacity,
 		"dune reed reed":                2 * capacity,
@@ -74,7 +73,7 @@
 	}
 }
 
-// The slots left over by division fall to different proxies for different targets.
+// The remainders of the division of slots are spread over the proxies.
 func TestSlots_RemainderIsSpread(t *testing.T) {
 	is := is.New(t)
 	proxies := proxiesIn("quay quay quay")
@@ -93,7 +92,7 @@
 	}
 }
 
-// A lost proxy keeps its share for a while, as it may still use it.
+// A failed proxy keeps its share for lostProxyHoldTime, as it may still use it.
 func TestSlotHolders_LostProxyKeepsShare(t *testing.T) {
 	is := is.New(t)
 	self, other := proxyMember("a", "quay"), proxyMember("b", "quay")
@@ -110,7 +109,7 @@
 	join(other)
 	is.Equal(len(c.slotHolders(now.Add(lostProxyHoldTime-time.Millisecond))), 2)
 	is.Equal(len(c.slotHolders(now.Add(lostProxyHoldTime))), 1)
-	// Other daemons than proxies have no share.
+	// Daemons other than proxies have no share.
 	join(membership.Member{ID: "f", Role: membership.Registry, Zone: "quay", RunID: 1, Incarnation: 1})
 	is.Equal(len(c.slotHolders(now.Add(lostProxyHoldTime))), 1)
 }
--- a/internal/dataplane/proxy/slow_start.go
+++ b/internal/dataplane/proxy/slow_start.go
@@ -8,14 +8,14 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// agePastSlowStart is an age, in milliseconds, at which no target is in slow start by its
-// age: 35 years, and a time.Duration still holds it.
+// agePastSlowStart is an age, in milliseconds, longer than any slow start. It doesn't overflow a
+// time.Duration.
 const agePastSlowStart = 1 << 40
 
-// applySlowStartRate bounds the rate of requests to a target that is in slow start, for
-// services that configure a rate, and switches off slow start by age, which is for services
-// without one. The rate is shared out among the proxies of nearestClass; other proxies send the
-// target nothing meanwhile. Only fleets by zone have it.
+// applySlowStartRate limits the request rate to a target in slow start if its service configures a
+// slow-start rate, and disables the slow start by age, which is for services without a rate. The
+// rate is divided among the proxies of nearestClass; other proxies send no requests to the target
+// during slow start. It is used only with SlotLayout.ByZone.
 func (c *Control) applySlowStartRate(now ids.Time, class proximityClass, a *dispatch.Allocation) {
 	service := c.view.Services[a.Service]
 	if service.SlowStartRate <= 0 {
@@ -25,13 +25,12 @@
 	if class == nearestClass {
 		a.SlowStartRate = service.SlowStartRate / float64(a.SlotShareCount)
 	}
-	// The target itself says how long its slow start lasts, so its age says nothing.
+	// The target reports the remaining time of its slow start, so its age isn't used.
 	a.AgeMillis = agePastSlowStart
 }
 
-// restartZoneSlowStart begins slow start for all targets of zones that a change of
-// configuration takes back into use: they may have gone cold meanwhile, and their own
-// report of that may still be on its way.
+// restartZoneSlowStart starts slow start for all targets of zones that a configuration change puts
+// back into use. The targets may have become cold, and their own reports may not have arrived yet.
 func (c *Control) restartZoneSlowStart(now ids.Time, previous *configuration.View) {
 	for name, zone := range c.view.Zones {
 		was := previous.Zones[name]
@@ -45,7 +44,7 @@
 	}
 }
 
-// longestSlowStart is the longest slow start of all services that configure a rate.
+// longestSlowStart returns the longest slow start of the services that configure a rate.
 func (c *Control) longestSlowStart() time.Duration {
 	longest := 0
 	for _, service := range c.view.Services {
--- a/internal/dataplane/proxy/slow_start_test.go
+++ b/internal/dataplane/proxy/slow_start_test.go
@@ -13,7 +13,7 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// What all proxies together may send to a target in slow start is its rate, once.
+// The rates of all proxies to a target in slow start add up to the service's rate.
 func TestSlowStart_RatesAddUp(t *testing.T) {
 	is := is.New(t)
 	now := ids.Time(time.Second)
@@ -29,8 +29,8 @@
 	}
 }
 
-// Targets of a zone that is taken back into use may have gone cold meanwhile: all are in
-// slow start for the longest that any service configures.
+// All targets of a zone that is put back into use are in slow start, for the longest duration of
+// the services that configure a rate.
 func TestSlowStart_AfterZoneReopens(t *testing.T) {
 	is := is.New(t)
 	c := New(membership.Options{Self: proxyMember("a", "quay")}, ControlOptions{Lease: EndlessLease, SlotLayout: SlotLayout{ByZone: true, Regions: regions}})
@@ -38,7 +38,7 @@
 	is.NoErr(err)
 	second := ids.Time(time.Second)
 	changes := 0
-	// The nth change takes effect at the nth second.
+	// apply applies the nth change at the nth second.
 	apply := func(changed string) {
 		t.Helper()
 		changes++
@@ -58,14 +58,14 @@
 	apply(`{"kind":"cell","name":"quay","put":{"region":"west","shut":false}}`)
 	allocation := c.allocate(3*second, target, proxies)
 	is.True(!allocation.ZoneDrained)
-	is.Equal(allocation.SlowStartUntil, 6*second) // not the minute of a service that has no rate
+	is.Equal(allocation.SlowStartUntil, 6*second) // a service without a rate isn't considered
 	is.Equal(allocation.SlowStartRate, 8.0)
-	// What the target itself reports counts if it is longer.
+	// The target's own slow start takes effect if it is longer.
 	target.SlowStartMillis = 9000
 	is.Equal(c.allocate(4*second, target, proxies).SlowStartUntil, 13*second)
 	target.SlowStartMillis = 0
 	is.True(c.allocate(7*second, target, proxies).SlowStartUntil <= 7*second)
-	// Another zone's targets are as they were, and another change starts nothing anew.
+	// Other zones aren't affected, and other changes don't restart the slow start.
 	apply(`{"kind":"service","name":"wader","set":{"tier":3}}`)
 	is.Equal(c.allocate(4*second, target, proxies).SlowStartUntil, 6*second)
 	is.True(c.allocate(4*second, targets.Target{Instance: "u", Service: "wader", Zone: "dune"}, proxies).SlowStartUntil <= 4*second)
--- a/internal/dataplane/proxy/target_protocol.go
+++ b/internal/dataplane/proxy/target_protocol.go
@@ -13,42 +13,42 @@
 	"dunlinwell/internal/state/idempotency"
 )
 
-// TargetProtocol is how requests are sent to targets and their responses checked.
+// TargetProtocol defines how requests are sent to targets and how their responses are checked.
 type TargetProtocol interface {
-	// VerifiesIdentity tells whether a new connection first asks its target for its
-	// identity document.
+	// VerifiesIdentity reports whether the target's identity document is fetched first on a
+	// new connection.
 	VerifiesIdentity() bool
-	// RequestHeader returns the headers that are sent to the target. left is what is
-	// left of the request's time.
+	// RequestHeader returns the headers to send to the target. left is the time until the
+	// request's deadline.
 	RequestHeader(request *ClientRequest, f dispatch.Forward, left time.Duration) http.Header
-	// CheckResponse says what a response, read whole, means. After an error no byte of
-	// it may be passed on, and the request may have run.
+	// CheckResponse checks a response that was read completely. After an error, no part of
+	// the response may be passed on, and the request may have run.
 	CheckResponse(response *http.Response, body []byte, request *ClientRequest, f dispatch.Forward) (CheckedResponse, error)
 }
 
-// CheckedResponse is what a target's response means.
+// CheckedResponse is the result of checking a target's response.
 type CheckedResponse struct {
 	Result dispatch.AttemptResult
-	// Response is what the client gets, if Result is Complete or TargetFailed.
+	// Response is the response to the client if Result is Complete or TargetFailed.
 	Response idempotency.Response
-	// Reason says why Result isn't Complete.
+	// Reason is the reason why Result isn't Complete. Clients may see it.
 	Reason string
-	// ForOtherRequest: the response belongs to an earlier request, and this one's may
-	// follow. Nothing else but KeepAlive counts then.
+	// ForOtherRequest is set if the response belongs to an earlier request, and that of this
+	// request may follow. The other fields are then ignored.
 	ForOtherRequest bool
-	// KeepAlive: the connection may be used again.
+	// KeepAlive is set if the connection may be reused.
 	KeepAlive bool
-	// IdleTimeout is how long the connection may be idle; 0 if the target doesn't say.
+	// IdleTimeout is the target's idle timeout of the connection; 0 if unknown.
 	IdleTimeout time.Duration
-	// LoadReported: the target says how many requests are running and waiting there,
-	// and how many can run at once.
+	// LoadReported is set if the target reported its load: the number of its running and
+	// waiting requests, and of its concurrency slots.
 	LoadReported            bool
 	Running, Waiting, Slots int64
 }
 
-// nativeTargetProtocol is this project's own protocol with targets. A target proves that
-// a response is complete and its own by the digest of the body (RFC 9530) and by echoing
-// the ids of the request.
+// nativeTargetProtocol implements dunlinwell's own protocol with targets. A response must contain
+// the digest of its body (RFC 9530) and echo the request's ID and idempotency key, which proves
+// that it is complete and belongs to the request.
 type nativeTargetProtocol struct{ d *Daemon }
 
 func (nativeTargetProtocol) VerifiesIdentity() bool { return true }
@@ -62,13 +62,14 @@
 	return header
 }
 
-// CheckResponse checks the digest of the body, the request's id, and its idempotency key.
+// CheckResponse checks the digest of the body, the request ID and the idempotency key. Clients see
+// the text of the error in HTTP responses.
 func (p nativeTargetProtocol) CheckResponse(response *http.Response, body []byte, request *ClientRequest, f dispatch.Forward) (CheckedResponse, error) {
 	const step = "check response"
 	header := response.Header
 	sum := sha256.Sum256(body)
 	digest := "sha-256=:" + base64.StdEncoding.EncodeToString(sum[:]) + ":"
-	// The response to HEAD has no body that a digest could be of.
+	// The response to HEAD has no body.
 	needsDigest := request.Method != http.MethodHead
 	switch {
 	case needsDigest && !hasDigest(header.Get("Content-Digest"), digest):
@@ -85,7 +86,7 @@
 	return CheckedResponse{Result: dispatch.Complete, Response: stored, KeepAlive: true}, nil
 }
 
-// hasDigest tells whether a Content-Digest header holds the given entry among others.
+// hasDigest reports whether a Content-Digest header contains the given entry.
 func hasDigest(header, digest string) bool {
 	for _, entry := range strings.Split(header, ",") {
 		if strings.TrimSpace(entry) == digest {
--- a/internal/dataplane/proxy/target_response.go
+++ b/internal/dataplane/proxy/target_response.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// maxStaleResponses is how many responses to earlier requests are skipped on a
-	// connection before it is given up.
+	// maxStaleResponses is the maximum number of responses to earlier requests that are
+	// skipped on a connection.
 	maxStaleResponses = 2
-	// maxResponseHeader bounds a response's header, in bytes.
+	// maxResponseHeader is the maximum size of a response's header, in bytes.
 	maxResponseHeader = 1 << 20
 )
 
-// readResponse reads a response whole and lets the target protocol check it. Nothing of
-// it may be passed on before that.
+// readResponse reads a complete response and checks it with the target protocol. Clients see the
+// text of the error in HTTP responses.
 func (d *Daemon) readResponse(conn *connection, request *ClientRequest, f dispatch.Forward) (CheckedResponse, error) {
 	peer := string(f.Target.Address)
 	for range maxStaleResponses + 1 {
@@ -28,7 +28,7 @@
 		if err != nil {
 			return CheckedResponse{}, errs.Wrap(err, "read response", peer)
 		}
-		// The body has a limit of its own.
+		// readResponseBody limits the body.
 		conn.headerLimit.N = math.MaxInt64
 		body, err := d.readResponseBody(response, peer, request.Memory)
 		if err != nil {
@@ -39,18 +39,18 @@
 			return checked, errs.Wrap(err, "check response", peer)
 		}
 		if checked.ForOtherRequest {
-			// A late response to an earlier request; this one's may follow.
+			// The response to this request may follow.
 			continue
 		}
 		d.meter.recordServerTiming(request.Job.Route, request.Job.Service, response.Header.Values("Server-Timing"))
-		// Bytes after the response belong to no request.
+		// Data after the response doesn't belong to any request.
 		checked.KeepAlive = checked.KeepAlive && !response.Close && conn.reader.Buffered() == 0
 		return checked, nil
 	}
 	return CheckedResponse{}, errs.New("check response", peer, "answers to other requests stand in this one's place")
 }
 
-// readResponseBody reads a response's body, whole and within DaemonOptions.MaxResponseBytes.
+// readResponseBody reads a complete response body of at most DaemonOptions.MaxResponseBytes.
 func (d *Daemon) readResponseBody(response *http.Response, peer string, memory *MemoryReservation) ([]byte, error) {
 	defer func() { _ = response.Body.Close() }()
 	limit := d.Options.MaxResponseBytes
@@ -67,8 +67,8 @@
 	return body, nil
 }
 
-// NewResponse converts a target's response to the form in which it is stored in an
-// idempotency record and passed on.
+// NewResponse converts a target's response to the form that is passed on to the client and stored
+// in idempotency records.
 func NewResponse(response *http.Response, body []byte) idempotency.Response {
 	converted := idempotency.Response{Status: uint16(response.StatusCode), Body: body}
 	for name, values := range StripHopByHopHeaders(response.Header) {
--- a/internal/dataplane/proxy/usage_meter.go
+++ b/internal/dataplane/proxy/usage_meter.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	// maxLatencySamples bounds the latencies kept for the percentile of one interval;
-	// later requests of the interval aren't sampled.
+	// maxLatencySamples is the maximum number of latency samples per interval. Later requests
+	// of the interval aren't sampled.
 	maxLatencySamples = 4096
-	// maxReportedMillis bounds the CPU time that a target may state for one request, in
-	// milliseconds (under three hours); more is taken for a mistake.
+	// maxReportedMillis is the bound on the CPU time that a target reports for a request, in
+	// milliseconds. Larger values are ignored as invalid.
 	maxReportedMillis = 1e7
 )
 
-// usageKey names the route and the service that a request used.
+// usageKey is the route and the service of a request.
 type usageKey struct{ route, service ids.Name }
 
-// usageMeter adds up what requests cost: this process's CPU time, divided by the time
-// that each route's requests took to handle, and the time that targets state themselves.
-// It is safe for concurrent use.
+// usageMeter measures the resource usage of requests by route and service: the CPU time of this
+// process, divided in proportion to the handling times, plus the time of the targets. It is safe
+// for concurrent use.
 type usageMeter struct {
 	mu        sync.Mutex
 	usage     map[usageKey]*routeUsage
@@ -37,7 +37,7 @@
 	intervalStart time.Time
 }
 
-// routeUsage is the usage of one interval.
+// routeUsage is the usage of a route and service in one interval.
 type routeUsage struct {
 	handlingTime time.Duration
 	targetMillis float64
@@ -47,7 +47,7 @@
 	return &usageMeter{usage: map[usageKey]*routeUsage{}, lastCPUTime: processCPUTime(), intervalStart: time.Now()}
 }
 
-// processCPUTime is the CPU time of this process so far, in user and kernel mode.
+// processCPUTime returns the user and system CPU time of this process, or 0 if it is unknown.
 func processCPUTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
@@ -65,8 +65,8 @@
 	return m.usage[key]
 }
 
-// recordRequest adds one request: the time that the proxy spent handling it, and the
-// latency that it added (queueing and handling, without the target's time).
+// recordRequest records a request: the time that the proxy spent handling it, and the latency that
+// the proxy added (queueing and handling, without the target's time).
 func (m *usageMeter) recordRequest(route, service ids.Name, handling, latency time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -77,7 +77,7 @@
 	}
 }
 
-// recordTargetTime adds the time that a target took for one request.
+// recordTargetTime records the time that a target took for a request.
 func (m *usageMeter) recordTargetTime(route, service ids.Name, duration time.Duration) {
 	m.addTargetMillis(route, service, float64(duration)/float64(time.Millisecond))
 }
@@ -88,8 +88,8 @@
 	m.usageOf(route, service).targetMillis += millis
 }
 
-// recordServerTiming adds the CPU time that a target states in its Server-Timing headers,
-// as cpu;dur=<milliseconds>.
+// recordServerTiming records the CPU time that a target reports in its Server-Timing headers, as
+// cpu;dur=<milliseconds>.
 func (m *usageMeter) recordServerTiming(route, service ids.Name, headers []string) {
 	for _, header := range headers {
 		for _, entry := range strings.Split(header, ",") {
@@ -108,7 +108,7 @@
 	}
 }
 
-// takeSample ends the interval and returns what it cost.
+// takeSample returns the usage of the current interval and starts the next one.
 func (m *usageMeter) takeSample() UsageSample {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -120,8 +120,8 @@
 	return sample
 }
 
-// usageRows divides the process's CPU time among routes and services by their handling
-// time, and adds their targets' time. The caller holds the lock.
+// usageRows returns the usage by route and service: the process's CPU time in proportion to the
+// handling time, plus the targets' time. The caller holds the lock.
 func (m *usageMeter) usageRows(interval, cpuTime time.Duration) []spill.ServiceUsage {
 	total := time.Duration(0)
 	for _, u := range m.usage {
@@ -139,7 +139,8 @@
 	return rows
 }
 
-// percentile95 sorts the durations and returns their 95th percentile; 0 if there are none.
+// percentile95 sorts the durations in place and returns their 95th percentile, or 0 if there are
+// none.
 func percentile95(durations []time.Duration) time.Duration {
 	if len(durations) == 0 {
 		return 0
--- a/internal/dataplane/proxy/usage_report.go
+++ b/internal/dataplane/proxy/usage_report.go
@@ -7,11 +7,11 @@
 	"dunlinwell/internal/controlplane/spill"
 )
 
-// maxReportRecipients is how many registries get a usage report in a fleet by zone: the
-// one that plans the spill-over, and the one that would take its place.
+// maxReportRecipients is the number of registries that receive the usage reports with
+// SlotLayout.ByZone: the one that plans the spill-over, and its successor.
 const maxReportRecipients = 2
 
-// reportUsage sends a sample to the registries.
+// reportUsage sends a usage sample to the registries.
 func (c *Control) reportUsage(sample UsageSample) {
 	c.reportNumber++
 	report := spill.Report{
