--- a/internal/dataplane/proxy/control.go
+++ b/internal/dataplane/proxy/control.go
@@ -46,7 +46,7 @@
 // ControlOptions are the options of a Control; zero values select the defaults.
 type ControlOptions struct {
 	// Lease is how long requests are served without a confirmation of configuration and
-	// targets; DefaultLease if zero, unlimited if EndlessLease.
+	// targets; DefaultLease if zero, unlimited if UnlimitedLease.
 	Lease time.Duration
 	SlotLayout
 }
--- a/internal/dataplane/proxy/lease.go
+++ b/internal/dataplane/proxy/lease.go
@@ -14,9 +14,9 @@
 	// DefaultLease is how long a proxy serves without a confirmation of its state. A change
 	// must be in effect on every proxy within 2 to 3 s, even during a partition.
 	DefaultLease = 2500 * time.Millisecond
-	// EndlessLease is a lease that doesn't expire: a partitioned proxy keeps serving with the
+	// UnlimitedLease is a lease that doesn't expire: a partitioned proxy keeps serving with the
 	// last known state.
-	EndlessLease = -1
+	UnlimitedLease = -1
 	// maxConfirmationAge is the age of the last confirmation at which a proxy stops being
 	// ready. A registry on the minority side of a partition still sends pushes, but can't
 	// confirm anything new. It is less than DefaultLease, so that the directory stops
@@ -67,7 +67,7 @@
 // other daemons assume from then on that a change, a drained zone or a departed target has
 // taken effect on this proxy.
 func (c *Control) leaseEnd() ids.Time {
-	if c.Lease == EndlessLease {
+	if c.Lease == UnlimitedLease {
 		// With an unlimited lease, changes take effect in time only on proxies that aren't
 		// partitioned.
 		if !c.unlimitedLeaseStarted {
@@ -110,7 +110,7 @@
 // has been partitioned for a long time. Without a confirmation the lease starts after
 // unlimitedLeaseStartDelay, since a proxy that wasn't restarted would keep serving too.
 func (c *Control) startUnlimitedLease(now ids.Time) {
-	if c.unlimitedLeaseStarted || c.Lease != EndlessLease || c.view.Revision == 0 || !c.targetsReceived {
+	if c.unlimitedLeaseStarted || c.Lease != UnlimitedLease || c.view.Revision == 0 || !c.targetsReceived {
 		return
 	}
 	switch {
--- a/internal/dataplane/proxy/lease_gossip.go
+++ b/internal/dataplane/proxy/lease_gossip.go
@@ -59,7 +59,7 @@
 // requestLease sends a LeaseRequest to gossipFanout peers if configuration or targets haven't
 // been confirmed for gossipAfter.
 func (c *Control) requestLease(now ids.Time) {
-	if c.Lease == EndlessLease || now.Sub(c.confirmedAt()) < gossipAfter || now.Sub(c.lastRequest) < gossipInterval {
+	if c.Lease == UnlimitedLease || now.Sub(c.confirmedAt()) < gossipAfter || now.Sub(c.lastRequest) < gossipInterval {
 		return
 	}
 	c.lastRequest = now
--- a/internal/dataplane/proxy/lease_test.go
+++ b/internal/dataplane/proxy/lease_test.go
@@ -12,7 +12,7 @@
 // Guards against a starting proxy serving the outdated state of a partitioned registry.
 func TestUnlimitedLease_StartsWithFreshConfirmation(t *testing.T) {
 	older, newer := encodedConfiguration(t, 1), encodedConfiguration(t, 2)
-	f := newControlFixture(EndlessLease)
+	f := newControlFixture(UnlimitedLease)
 	f.push(older, 1, 20*time.Second)
 	f.run(2*time.Second, func() { f.push(nil, 1, 20*time.Second) })
 	if f.leaseValid(f.now) || f.ready(f.now) {
@@ -33,7 +33,7 @@
 // A recent majority read that began before the proxy's start is a valid confirmation. Otherwise
 // a restart of the whole cluster would take longer than necessary.
 func TestUnlimitedLease_AcceptsConfirmationFromBeforeStart(t *testing.T) {
-	f := newControlFixture(EndlessLease)
+	f := newControlFixture(UnlimitedLease)
 	f.run(50*time.Millisecond, nil)
 	f.now = ids.Time(300 * time.Millisecond)
 	f.push(encodedConfiguration(t, 1), 1, 1200*time.Millisecond)
@@ -44,7 +44,7 @@
 
 // Without a recent confirmation, a proxy serves after unlimitedLeaseStartDelay and logs it.
 func TestUnlimitedLease_ServesUnconfirmedAfterDelay(t *testing.T) {
-	f := newControlFixture(EndlessLease)
+	f := newControlFixture(UnlimitedLease)
 	logged := false
 	f.push(encodedConfiguration(t, 1), 1, 20*time.Second)
 	for range 100 {
@@ -85,7 +85,7 @@
 // A target's state isn't replaced by an older one, as from an earlier run of a registry or the
 // other side of a partition, regardless of the order of arrival.
 func TestPush_LateUpdateIsIgnored(t *testing.T) {
-	f := newControlFixture(EndlessLease)
+	f := newControlFixture(UnlimitedLease)
 	f.push(encodedConfiguration(t, 1), 1, 0)
 	target := targets.Target{Instance: "i", Incarnation: 1, Sequence: 5, Service: "a", Address: "10.0.0.1:80", Zone: "quay", Warmth: 1, IntervalMillis: 1000}
 	leaving := target
--- a/internal/dataplane/proxy/options.go
+++ b/internal/dataplane/proxy/options.go
@@ -44,7 +44,7 @@
 
 // Validate checks the options, including those of settings.Common.
 func (o *DaemonOptions) Validate() error {
-	if o.Lease != EndlessLease && (o.Lease < minLease || o.Lease > maxLease) {
+	if o.Lease != UnlimitedLease && (o.Lease < minLease || o.Lease > maxLease) {
 		return errs.New("read params", "", "--lease: must be from 2s to 3s")
 	}
 	return o.Common.Validate()
--- a/internal/dataplane/proxy/refresh.go
+++ b/internal/dataplane/proxy/refresh.go
@@ -118,7 +118,7 @@
 			DefaultCapacity:   service.DefaultCapacity,
 			SlowStartDuration: time.Duration(service.SlowStartMillis) * time.Millisecond,
 			RetryBudget:       c.retryBudget(service, holders),
-			IsCurrent:         c.sentState.confirmed || c.Lease == EndlessLease,
+			IsCurrent:         c.sentState.confirmed || c.Lease == UnlimitedLease,
 			LeaseExpiresAt:    c.leaseEnd(),
 			Terms:             c.sentRouteRules[name],
 			OwnZoneDrained:    c.sentState.zoneClosed,
--- a/internal/dataplane/proxy/refresh_test.go
+++ b/internal/dataplane/proxy/refresh_test.go
@@ -25,7 +25,7 @@
 	t.Helper()
 	f := &controlFixture{now: 1, Control: New(
 		membership.Options{Self: proxyMember("p", "quay"), Incremental: true},
-		ControlOptions{Lease: EndlessLease, SlotLayout: SlotLayout{ByZone: true}},
+		ControlOptions{Lease: UnlimitedLease, SlotLayout: SlotLayout{ByZone: true}},
 	)}
 	var proxies []membership.Member
 	for i := range largeClusterProxies {
--- a/internal/dataplane/proxy/serving_state.go
+++ b/internal/dataplane/proxy/serving_state.go
@@ -53,7 +53,7 @@
 	if c.stopping || !c.leaseValid(now) {
 		return false
 	}
-	return c.Lease == EndlessLease || !c.cutOff(now) && now.Sub(c.confirmedAt()) < maxConfirmationAge
+	return c.Lease == UnlimitedLease || !c.cutOff(now) && now.Sub(c.confirmedAt()) < maxConfirmationAge
 }
 
 // cutOff reports whether the targets haven't been confirmed recently, neither by a registry nor by
--- a/internal/dataplane/proxy/slots_test.go
+++ b/internal/dataplane/proxy/slots_test.go
@@ -19,7 +19,7 @@
 
 // newZoneControl returns a Control with SlotLayout.ByZone and the single service "wader".
 func newZoneControl(self membership.Member, service configuration.Service) *Control {
-	c := New(membership.Options{Self: self}, ControlOptions{Lease: EndlessLease, SlotLayout: SlotLayout{ByZone: true, Regions: regions}})
+	c := New(membership.Options{Self: self}, ControlOptions{Lease: UnlimitedLease, SlotLayout: SlotLayout{ByZone: true, Regions: regions}})
 	c.view.Services = map[ids.Name]configuration.Service{"wader": service}
 	return c
 }
--- a/internal/dataplane/proxy/slow_start_test.go
+++ b/internal/dataplane/proxy/slow_start_test.go
@@ -33,7 +33,7 @@
 // the services that configure a rate.
 func TestSlowStart_AfterZoneReopens(t *testing.T) {
 	is := is.New(t)
-	c := New(membership.Options{Self: proxyMember("a", "quay")}, ControlOptions{Lease: EndlessLease, SlotLayout: SlotLayout{ByZone: true, Regions: regions}})
+	c := New(membership.Options{Self: proxyMember("a", "quay")}, ControlOptions{Lease: UnlimitedLease, SlotLayout: SlotLayout{ByZone: true, Regions: regions}})
 	document, err := configuration.Decode(nil)
 	is.NoErr(err)
 	second := ids.Time(time.Second)
--- a/internal/testsupport/scaletest/hollow_proxy.go
+++ b/internal/testsupport/scaletest/hollow_proxy.go
@@ -56,7 +56,7 @@
 	}
 	var controlOptions proxy.ControlOptions
 	if o.Thrifty {
-		controlOptions = proxy.ControlOptions{Lease: proxy.EndlessLease, SlotLayout: proxy.SlotLayout{ByZone: true}}
+		controlOptions = proxy.ControlOptions{Lease: proxy.UnlimitedLease, SlotLayout: proxy.SlotLayout{ByZone: true}}
 	}
 	control := proxy.New(membership.Options{Self: self, Seeds: seeds, Incremental: o.Thrifty}, controlOptions)
 	h := &hollowProxy{serviceStates: map[ids.Name]dispatch.ServiceState{}}
