--- a/internal/dataplane/dispatch/messages.go
+++ b/internal/dataplane/dispatch/messages.go
@@ -45,12 +45,12 @@
 	Homes []ids.Name
 	// Terms are the route's rules as of the request's arrival. The request isn't
 	// forwarded once others are in force.
-	Terms RouteTerms
+	Terms RouteRules
 }
 
-// RouteTerms are the rules of a route that a request relies on. They are compared when
+// RouteRules are the rules of a route that a request relies on. They are compared when
 // the request is about to be forwarded: if they have changed since, it is rejected.
-type RouteTerms struct {
+type RouteRules struct {
 	Host       string
 	Prefix     string
 	Service    ids.Name
@@ -130,7 +130,7 @@
 
 	// TermsUpdated replaces the rules of the service's routes, without the rest of the
 	// ServiceState at hand.
-	TermsUpdated struct{ Terms map[ids.Name]RouteTerms }
+	TermsUpdated struct{ Terms map[ids.Name]RouteRules }
 
 	// LeaseUpdated replaces the time until which requests may be forwarded by the
 	// service state at hand.
--- a/internal/dataplane/dispatch/service_state.go
+++ b/internal/dataplane/dispatch/service_state.go
@@ -32,7 +32,7 @@
 	// LeaseExpiresAt is until when requests may be forwarded by this state.
 	LeaseExpiresAt ids.Time
 	// Terms are the rules of each route in force.
-	Terms map[ids.Name]RouteTerms
+	Terms map[ids.Name]RouteRules
 	// RunEnded tells whether a run of a daemon is over, so that its claims will never
 	// be completed. It may be nil.
 	RunEnded func(ids.DaemonID, ids.RunID) bool `json:"-"`
--- a/internal/dataplane/proxy/refresh.go
+++ b/internal/dataplane/proxy/refresh.go
@@ -20,7 +20,7 @@
 	// sentServices are the services whose dispatchers were refreshed last, sorted by name.
 	sentServices []ids.Name
 	// sentRouteRules are the route rules last sent to the dispatchers, by service and route.
-	sentRouteRules map[ids.Name]map[ids.Name]dispatch.RouteTerms
+	sentRouteRules map[ids.Name]map[ids.Name]dispatch.RouteRules
 	// unacknowledged are the pushes whose contents weren't sent to the dispatchers yet.
 	unacknowledged []receivedPush
 }
@@ -128,13 +128,13 @@
 }
 
 // routeRulesByService returns the rules of all routes, by service and route.
-func (c *Control) routeRulesByService() map[ids.Name]map[ids.Name]dispatch.RouteTerms {
-	rules := map[ids.Name]map[ids.Name]dispatch.RouteTerms{}
+func (c *Control) routeRulesByService() map[ids.Name]map[ids.Name]dispatch.RouteRules {
+	rules := map[ids.Name]map[ids.Name]dispatch.RouteRules{}
 	for name, route := range c.view.Routes {
 		// A route that splits its traffic has rules for each of its services.
 		for _, service := range route.Services() {
 			if rules[service] == nil {
-				rules[service] = map[ids.Name]dispatch.RouteTerms{}
+				rules[service] = map[ids.Name]dispatch.RouteRules{}
 			}
 			route.Service = service
 			rules[service][name] = RouteTerms(route)
--- a/internal/dataplane/proxy/router.go
+++ b/internal/dataplane/proxy/router.go
@@ -70,10 +70,10 @@
 	return longest, found
 }
 
-// RouteTerms returns the rules of a route. A request isn't forwarded if they have changed since
+// RouteRules returns the rules of a route. A request isn't forwarded if they have changed since
 // its arrival.
-func RouteTerms(route configuration.Route) dispatch.RouteTerms {
-	return dispatch.RouteTerms{
+func RouteTerms(route configuration.Route) dispatch.RouteRules {
+	return dispatch.RouteRules{
 		Host: route.Host, Prefix: route.Prefix, Service: route.Service,
 		Repeatable: route.Repeatable, TimeLimit: route.Timeout(),
 	}
