--- a/internal/dataplane/proxy/refresh.go
+++ b/internal/dataplane/proxy/refresh.go
@@ -137,7 +137,7 @@
 				rules[service] = map[ids.Name]dispatch.RouteRules{}
 			}
 			route.Service = service
-			rules[service][name] = RouteTerms(route)
+			rules[service][name] = RouteRules(route)
 		}
 	}
 	return rules
--- a/internal/dataplane/proxy/router.go
+++ b/internal/dataplane/proxy/router.go
@@ -72,7 +72,7 @@
 
 // RouteRules returns the rules of a route. A request isn't forwarded if they have changed since
 // its arrival.
-func RouteTerms(route configuration.Route) dispatch.RouteRules {
+func RouteRules(route configuration.Route) dispatch.RouteRules {
 	return dispatch.RouteRules{
 		Host: route.Host, Prefix: route.Prefix, Service: route.Service,
 		Repeatable: route.Repeatable, TimeLimit: route.Timeout(),
