--- a/internal/dataplane/dispatch/dispatcher.go
+++ b/internal/dataplane/dispatch/dispatcher.go
@@ -99,7 +99,7 @@
 		d.onClientDisconnected(now, e.ID)
 	case ServiceState:
 		d.onServiceState(now, e)
-	case TermsUpdated:
+	case RouteRulesUpdated:
 		d.service.Terms = e.Terms
 		d.dispatchQueue(now)
 	case LeaseUpdated:
--- a/internal/dataplane/dispatch/messages.go
+++ b/internal/dataplane/dispatch/messages.go
@@ -128,9 +128,9 @@
 	// for the response any more. A request that has its response is not affected.
 	ClientDisconnected struct{ ID ids.RequestID }
 
-	// TermsUpdated replaces the rules of the service's routes, without the rest of the
+	// RouteRulesUpdated replaces the rules of the service's routes, without the rest of the
 	// ServiceState at hand.
-	TermsUpdated struct{ Terms map[ids.Name]RouteRules }
+	RouteRulesUpdated struct{ Terms map[ids.Name]RouteRules }
 
 	// LeaseUpdated replaces the time until which requests may be forwarded by the
 	// service state at hand.
--- a/internal/testsupport/simulator/trace.go
+++ b/internal/testsupport/simulator/trace.go
@@ -61,7 +61,7 @@
 	"targets":        reflect.TypeFor[dispatch.ServiceState](),
 	"store-response": reflect.TypeFor[dispatch.IdempotencyReply](),
 	"lease":          reflect.TypeFor[dispatch.LeaseUpdated](),
-	"terms":          reflect.TypeFor[dispatch.TermsUpdated](),
+	"terms":          reflect.TypeFor[dispatch.RouteRulesUpdated](),
 }
 
 // traceKinds gives the kind of each type in the tables.
