--- a/internal/dataplane/dispatch/messages.go
+++ b/internal/dataplane/dispatch/messages.go
@@ -130,7 +130,7 @@
 
 	// RouteRulesUpdated replaces the rules of the service's routes, without the rest of the
 	// ServiceState at hand.
-	RouteRulesUpdated struct{ Terms map[ids.Name]RouteRules }
+	RouteRulesUpdated struct{ RouteRules map[ids.Name]RouteRules }
 
 	// LeaseUpdated replaces the time until which requests may be forwarded by the
 	// service state at hand.
--- a/internal/dataplane/proxy/refresh.go
+++ b/internal/dataplane/proxy/refresh.go
@@ -150,7 +150,7 @@
 	rules := c.routeRulesByService()
 	for _, service := range slices.Sorted(maps.Keys(c.view.Services)) {
 		if !maps.Equal(rules[service], c.sentRouteRules[service]) {
-			c.Emit(DispatchEvent{service, dispatch.RouteRulesUpdated{Terms: rules[service]}})
+			c.Emit(DispatchEvent{service, dispatch.RouteRulesUpdated{RouteRules: rules[service]}})
 		}
 	}
 	c.sentRouteRules = rules
