--- a/internal/dataplane/dispatch/bench_test.go
+++ b/internal/dataplane/dispatch/bench_test.go
@@ -26,7 +26,7 @@
 	d := New(Options{Random: rand.New(rand.NewPCG(1, 1)), Self: idempotency.Owner{Daemon: "c1", RunID: 1}})
 	state := ServiceState{
 		DefaultCapacity: 16, IsCurrent: true, RetryBudget: 2, LeaseExpiresAt: 1 << 60,
-		Terms: map[ids.Name]RouteRules{"r": {}},
+		RouteRules: map[ids.Name]RouteRules{"r": {}},
 	}
 	for i := range 20 {
 		state.Targets = append(state.Targets, Allocation{
--- a/internal/dataplane/dispatch/dispatcher.go
+++ b/internal/dataplane/dispatch/dispatcher.go
@@ -100,7 +100,7 @@
 	case ServiceState:
 		d.onServiceState(now, e)
 	case RouteRulesUpdated:
-		d.service.Terms = e.RouteRules
+		d.service.RouteRules = e.RouteRules
 		d.dispatchQueue(now)
 	case LeaseUpdated:
 		d.leaseExpiresAt = e.ExpiresAt
--- a/internal/dataplane/dispatch/latency_goal_test.go
+++ b/internal/dataplane/dispatch/latency_goal_test.go
@@ -26,8 +26,8 @@
 	d := New(Options{Random: rand.New(rand.NewPCG(1, 1)), Self: idempotency.Owner{Daemon: "c", RunID: 1}})
 	d.Step(now, ServiceState{
 		DefaultCapacity: 1, RetryBudget: 5, IsCurrent: true, LeaseExpiresAt: 1 << 60,
-		Terms:   map[ids.Name]RouteRules{"r": {}},
-		Targets: []Allocation{{Target: targets.Target{Instance: "t", Warmth: 1, Capacity: 1}, SlotShareCount: 1}},
+		RouteRules: map[ids.Name]RouteRules{"r": {}},
+		Targets:    []Allocation{{Target: targets.Target{Instance: "t", Warmth: 1, Capacity: 1}, SlotShareCount: 1}},
 	})
 	d.Step(now, event.Tick{})
 	d.Step(now, newRequest(now, 1, clientTimeout))
--- a/internal/dataplane/dispatch/script_service_test.go
+++ b/internal/dataplane/dispatch/script_service_test.go
@@ -20,7 +20,7 @@
 		OwnZoneDrained:  args.has("drained"),
 		LeaseExpiresAt:  now.Add(args.duration(t, "lease", time.Hour)),
 		RetryBudget:     2,
-		Terms:           map[ids.Name]RouteRules{"r": {Service: ids.Name(args["terms"])}},
+		RouteRules:      map[ids.Name]RouteRules{"r": {Service: ids.Name(args["terms"])}},
 		RunEnded:        func(d ids.DaemonID, _ ids.RunID) bool { return d == "gone" },
 	}
 	if !args.has("targets") {
--- a/internal/dataplane/dispatch/service_state.go
+++ b/internal/dataplane/dispatch/service_state.go
@@ -31,8 +31,8 @@
 	OwnZoneDrained bool
 	// LeaseExpiresAt is until when requests may be forwarded by this state.
 	LeaseExpiresAt ids.Time
-	// Terms are the rules of each route in force.
-	Terms map[ids.Name]RouteRules
+	// RouteRules are the rules of each route in force.
+	RouteRules map[ids.Name]RouteRules
 	// RunEnded tells whether a run of a daemon is over, so that its claims will never
 	// be completed. It may be nil.
 	RunEnded func(ids.DaemonID, ids.RunID) bool `json:"-"`
--- a/internal/dataplane/proxy/refresh.go
+++ b/internal/dataplane/proxy/refresh.go
@@ -120,7 +120,7 @@
 			RetryBudget:       c.retryBudget(service, holders),
 			IsCurrent:         c.sentState.confirmed || c.Lease == UnlimitedLease,
 			LeaseExpiresAt:    c.leaseEnd(),
-			Terms:             c.sentRouteRules[name],
+			RouteRules:        c.sentRouteRules[name],
 			OwnZoneDrained:    c.sentState.zoneClosed,
 			RunEnded:          runEnded,
 		}})
--- a/internal/dataplane/proxy/slots_test.go
+++ b/internal/dataplane/proxy/slots_test.go
@@ -28,7 +28,7 @@
 // immediately.
 func countForwarded(allocation dispatch.Allocation, now ids.Time) int {
 	d := dispatch.New(dispatch.Options{Random: rand.New(rand.NewPCG(1, 2)), QueueLimit: 1000})
-	d.Step(now, dispatch.ServiceState{Targets: []dispatch.Allocation{allocation}, IsCurrent: true, LeaseExpiresAt: now.Add(time.Hour), Terms: map[ids.Name]dispatch.RouteRules{"r": {}}})
+	d.Step(now, dispatch.ServiceState{Targets: []dispatch.Allocation{allocation}, IsCurrent: true, LeaseExpiresAt: now.Add(time.Hour), RouteRules: map[ids.Name]dispatch.RouteRules{"r": {}}})
 	forwarded := 0
 	for i := range 200 {
 		for _, c := range d.Step(now, dispatch.RequestArrived{Job: dispatch.Job{ID: ids.RequestID(i + 1), Route: "r", Repeatable: true, Deadline: now.Add(time.Hour)}}) {
--- a/internal/testsupport/simulator/trace_test.go
+++ b/internal/testsupport/simulator/trace_test.go
@@ -98,7 +98,7 @@
 	is.True(!same(base, synced(1, "a", []byte{})))
 
 	stock := func(capacity int, limit time.Duration) event.Command {
-		return proxy.DispatchEvent{Service: "s", Event: dispatch.ServiceState{DefaultCapacity: capacity, Terms: map[ids.Name]dispatch.RouteRules{"a": {TimeLimit: limit}, "b": {}}}}
+		return proxy.DispatchEvent{Service: "s", Event: dispatch.ServiceState{DefaultCapacity: capacity, RouteRules: map[ids.Name]dispatch.RouteRules{"a": {TimeLimit: limit}, "b": {}}}}
 	}
 	is.True(same(stock(1, 2), stock(1, 2)))
 	is.True(!same(stock(1, 2), stock(2, 2)))
