--- a/internal/dataplane/dispatch/admission.go
+++ b/internal/dataplane/dispatch/admission.go
@@ -33,7 +33,7 @@
 		return reasonLeaseExpired
 	case d.service.OwnZoneDrained:
 		return reasonZoneDrained
-	case d.service.RouteRules[j.Route] != j.Terms:
+	case d.service.RouteRules[j.Route] != j.RouteRules:
 		return reasonRouteChanged
 	}
 	return ""
--- a/internal/dataplane/dispatch/messages.go
+++ b/internal/dataplane/dispatch/messages.go
@@ -43,9 +43,9 @@
 	MaxAttempts int
 	// Homes are the regions whose targets may serve the request; empty for all.
 	Homes []ids.Name
-	// Terms are the route's rules as of the request's arrival. The request isn't
+	// RouteRules are the route's rules as of the request's arrival. The request isn't
 	// forwarded once others are in force.
-	Terms RouteRules
+	RouteRules RouteRules
 }
 
 // RouteRules are the rules of a route that a request relies on. They are compared when
--- a/internal/dataplane/dispatch/script_test.go
+++ b/internal/dataplane/dispatch/script_test.go
@@ -54,7 +54,7 @@
 	j := Job{
 		ID: id, Route: "r", Service: "s", Tier: 5, Attempt: 1,
 		Deadline:       now.Add(args.duration(t, "deadline", 5*time.Second)),
-		Terms:          RouteRules{Service: ids.Name(args["terms"])},
+		RouteRules:     RouteRules{Service: ids.Name(args["terms"])},
 		IdempotencyKey: ids.IdempotencyKey(args["key"]),
 		Fingerprint:    []byte(args["fingerprint"]),
 		AtMostOnce:     args.has("at-most-once"),
--- a/internal/dataplane/proxy/added_routes_test.go
+++ b/internal/dataplane/proxy/added_routes_test.go
@@ -66,7 +66,7 @@
 	f.lastRequest++
 	commands := f.dispatcher(rule.Service).Step(f.now, dispatch.RequestArrived{Job: dispatch.Job{
 		ID: f.lastRequest, Route: rule.Name, Service: rule.Service, Repeatable: true, Attempt: 1,
-		Deadline: f.now.Add(time.Second), Terms: RouteRules(rule),
+		Deadline: f.now.Add(time.Second), RouteRules: RouteRules(rule),
 	}})
 	for _, command := range commands {
 		if r, ok := command.(dispatch.Response); ok {
--- a/internal/dataplane/proxy/frontend.go
+++ b/internal/dataplane/proxy/frontend.go
@@ -87,7 +87,7 @@
 		LatencyGoal: route.LatencyGoal(),
 		MaxAttempts: route.MaxAttempts,
 		Homes:       route.HomeRegions,
-		Terms:       RouteRules(route),
+		RouteRules:  RouteRules(route),
 	}
 }
 
--- a/internal/testsupport/simulator/dispatchers.go
+++ b/internal/testsupport/simulator/dispatchers.go
@@ -160,7 +160,7 @@
 	}
 	d.lastRequestID++
 	job := dispatch.Job{
-		ID: d.lastRequestID, Route: route, Service: rule.Service, Tier: rule.Tier * 10, Repeatable: rule.Repeatable, IdempotencyKey: key, Terms: proxy.RouteRules(rule),
+		ID: d.lastRequestID, Route: route, Service: rule.Service, Tier: rule.Tier * 10, Repeatable: rule.Repeatable, IdempotencyKey: key, RouteRules: proxy.RouteRules(rule),
 		Attempt: uint32(attempt), Fingerprint: []byte(token), Deadline: d.process.now().Add(min(timeLeft, rule.Timeout())),
 	}
 	d.requestsByID[job.ID] = &forwardedRequest{Job: job, requestToken: token, attempt: number, onResponse: respond}
