--- a/internal/dataplane/proxy/added_routes_test.go
+++ b/internal/dataplane/proxy/added_routes_test.go
@@ -100,7 +100,7 @@
 }
 
 // Guards against requests to an added route being rejected until the next refresh, which is
-// delayed in a large fleet whose targets change continuously.
+// delayed in a large cluster whose targets change continuously.
 func TestRefresh_AddedRouteIsServedAtOnce(t *testing.T) {
 	is := is.New(t)
 	f := newDispatchingFixture(newLargeClusterFixture(t))
--- a/internal/dataplane/proxy/configuration.go
+++ b/internal/dataplane/proxy/configuration.go
@@ -14,8 +14,8 @@
 	// proxy reads it from the stores itself: all registries may have failed while a majority
 	// of stores is still available. Registries confirm it several times a second.
 	storeQueryAge = time.Second
-	// storeQueryAgeByZone replaces storeQueryAge in a fleet organized by zone, where two
-	// registries push to an up-to-date proxy only once a second. A shorter age would cause a
+	// storeQueryAgeByZone replaces storeQueryAge with SlotLayout.ByZone, where two registries
+	// push to an up-to-date proxy only once a second. A shorter age would cause a
 	// store query per proxy and second in normal operation.
 	storeQueryAgeByZone = 4 * storeQueryAge
 	// storeQueryTimeout is the timeout of one read of the configuration from the stores.
--- a/internal/dataplane/proxy/doc.go
+++ b/internal/dataplane/proxy/doc.go
@@ -34,8 +34,8 @@
 //     (maxConfirmationAge).
 //   - 2.5 s: its lease expires, and it rejects requests (DefaultLease).
 //
-// In a fleet by zone some of these ages are longer. A proxy with an endless lease continues to
-// serve, except while its message processing is delayed (message_delay.go): a newer
+// With SlotLayout.ByZone some of these ages are longer. A proxy with an unlimited lease continues
+// to serve, except while its message processing is delayed (message_delay.go): a newer
 // configuration may be waiting unread in its sockets.
 //
 // Invariants:
@@ -44,7 +44,7 @@
 //     before the first byte). Other daemons rely on this when they assume that a change, a
 //     drained zone or a departed target has taken effect on every proxy.
 //   - A configuration is never replaced by an older one.
-//   - The router never contains a route whose terms its dispatcher lacks (sendChangedRouteRules).
+//   - The router never contains a route whose rules its dispatcher lacks (sendChangedRouteRules).
 //   - A push is acknowledged only after the dispatchers have received its contents.
 //   - A request that may have reached its target is never resent by this package, and no
 //     response is passed on before it was read completely and checked.
--- a/internal/dataplane/proxy/frontend.go
+++ b/internal/dataplane/proxy/frontend.go
@@ -97,7 +97,7 @@
 func (d *Daemon) RecordUsage(request *ClientRequest, handling, latency, forwardTime time.Duration) {
 	d.meter.recordRequest(request.Job.Route, request.Job.Service, handling, latency)
 	if d.Options.ByZone {
-		// In a fleet by zone targets report no CPU time, so the forwarding time is used.
+		// With ByZone, targets report no CPU time, so the forwarding time is used.
 		d.meter.recordTargetTime(request.Job.Route, request.Job.Service, forwardTime)
 	}
 }
