--- a/internal/dataplane/proxy/forward_faults_test.go
+++ b/internal/dataplane/proxy/forward_faults_test.go
@@ -133,7 +133,7 @@
 
 // A process that resumes from a pause sends no request after the request's deadline, after the
 // end of the lease, or before Control has stepped again.
-func TestForward_SendsNothingAfterFreeze(t *testing.T) {
+func TestForward_SendsNothingAfterPause(t *testing.T) {
 	now := process.Now().Add(time.Hour)
 	for name, c := range map[string]struct{ deadline, sendBefore, lastStep ids.Time }{
 		"past its deadline": {process.Now(), now, now},
--- a/internal/dataplane/proxy/forward_test.go
+++ b/internal/dataplane/proxy/forward_test.go
@@ -139,7 +139,7 @@
 }
 
 // Nothing may be sent after the deadline or after a pause of the process.
-func TestMaySend_DeadlineAndFreeze(t *testing.T) {
+func TestMaySend_DeadlineAndPause(t *testing.T) {
 	is := is.New(t)
 	is.True(MaySend(100, 200, 50))
 	is.True(!MaySend(200, 200, 50))
