--- a/internal/dataplane/proxy/refresh_test.go
+++ b/internal/dataplane/proxy/refresh_test.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// Guards against a refresh for each push of a burst, such as when many targets fail at once, which
-// delays the processing of later messages by seconds.
+// Guards against a refresh for every push of a burst, as when many targets fail at once. The
+// refreshes would delay later messages by seconds.
 func TestRefresh_PushBurstIsBatched(t *testing.T) {
 	is := is.New(t)
 	c := &refreshCounter{controlFixture: newLargeClusterFixture(t)}
