--- a/internal/dataplane/dispatch/dispatcher.go
+++ b/internal/dataplane/dispatch/dispatcher.go
@@ -99,8 +99,8 @@
 		d.onClientDisconnected(now, e.ID)
 	case ServiceState:
 		d.onServiceState(now, e)
-	case TermsUpdated:
-		d.service.Terms = e.Terms
+	case RouteRulesUpdated:
+		d.service.RouteRules = e.RouteRules
 		d.dispatchQueue(now)
 	case LeaseUpdated:
 		d.leaseExpiresAt = e.ExpiresAt
--- a/internal/dataplane/dispatch/messages.go
+++ b/internal/dataplane/dispatch/messages.go
@@ -43,14 +43,14 @@
 	MaxAttempts int
 	// HomeRegions lists the regions whose targets may serve the request; empty for all.
 	HomeRegions []ids.Name
-	// Terms are the route's rules at the time of arrival. The request isn't forwarded once
+	// RouteRules are the route's rules at the time of arrival. The request isn't forwarded once
 	// they have changed.
-	Terms RouteTerms
+	RouteRules RouteRules
 }
 
-// RouteTerms are the rules of a route under which a request is accepted. A request whose
+// RouteRules are the rules of a route under which a request is accepted. A request whose
 // route's terms have changed by the time it is forwarded is rejected.
-type RouteTerms struct {
+type RouteRules struct {
 	Host       string
 	Prefix     string
 	Service    ids.Name
@@ -129,8 +129,8 @@
 	// on a request that already has its response.
 	ClientDisconnected struct{ ID ids.RequestID }
 
-	// TermsUpdated replaces the route terms of the current ServiceState, and nothing else.
-	TermsUpdated struct{ Terms map[ids.Name]RouteTerms }
+	// RouteRulesUpdated replaces the route terms of the current ServiceState, and nothing else.
+	RouteRulesUpdated struct{ RouteRules map[ids.Name]RouteRules }
 
 	// LeaseUpdated replaces the expiry time of the lease on the current ServiceState.
 	LeaseUpdated struct{ ExpiresAt ids.Time }
--- a/internal/dataplane/dispatch/service_state.go
+++ b/internal/dataplane/dispatch/service_state.go
@@ -30,8 +30,8 @@
 	OwnZoneDrained bool
 	// LeaseExpiresAt is the time until which requests may be forwarded based on this state.
 	LeaseExpiresAt ids.Time
-	// Terms are the current terms of each route.
-	Terms map[ids.Name]RouteTerms
+	// RouteRules are the current terms of each route.
+	RouteRules map[ids.Name]RouteRules
 	// RunEnded reports whether a run of a daemon has ended, so that its claims will never
 	// be completed. It may be nil.
 	RunEnded func(ids.DaemonID, ids.RunID) bool `json:"-"`
--- a/internal/dataplane/proxy/forward_faults_test.go
+++ b/internal/dataplane/proxy/forward_faults_test.go
@@ -133,12 +133,12 @@
 
 // A process that resumes from a pause sends no request after the request's deadline, after the
 // end of the lease, or before Control has stepped again.
-func TestForward_SendsNothingAfterFreeze(t *testing.T) {
+func TestForward_SendsNothingAfterPause(t *testing.T) {
 	now := process.Now().Add(time.Hour)
 	for name, c := range map[string]struct{ deadline, sendBefore, lastStep ids.Time }{
 		"past its deadline": {process.Now(), now, now},
 		"past its lease":    {now, process.Now(), now},
-		"not yet stepped":   {now, now, process.Now().Add(-2 * freezeThreshold)},
+		"not yet stepped":   {now, now, process.Now().Add(-2 * pauseThreshold)},
 	} {
 		for _, reused := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, reused %t", name, reused), func(t *testing.T) {
