--- a/internal/base/delta/apply.go
+++ b/internal/base/delta/apply.go
@@ -7,30 +7,30 @@
 	"dunlinwell/internal/base/errs"
 )
 
-// ErrWrongBase is returned by Apply when the difference was made from another base,
-// or names none that can be read.
-var ErrWrongBase = errors.New("it is for another base")
+// ErrWrongBase is returned by Apply when the delta was computed from a different base, or
+// its header is malformed.
+var ErrWrongBase = errors.New("delta does not match the base")
 
-// ErrCorrupt is returned by Apply when the edits of a difference are damaged.
-var ErrCorrupt = errors.New("it is damaged")
+// ErrCorrupt is returned by Apply when the edits of a delta are malformed.
+var ErrCorrupt = errors.New("corrupt delta")
 
-// ErrChecksumMismatch is returned by Apply when the result isn't the string that
-// the difference was made for.
-var ErrChecksumMismatch = errors.New("the outcome fails its checksum")
+// ErrChecksumMismatch is returned by Apply when the checksum of the result differs from
+// the one in the delta.
+var ErrChecksumMismatch = errors.New("checksum mismatch in the result")
 
-// maxLength bounds a result, as the wire bounds a value that is sent whole
-// (wire.MaxBodySize), so that a damaged length costs no memory.
+// maxLength limits the result, so that a corrupt length can't cause a large allocation.
+// It equals wire.MaxBodySize, the limit for a value that is sent in full.
 const maxLength = 96 << 20
 
 const (
-	stepApply      = "apply difference"
+	stepApply      = "apply delta"
 	checksumLength = 4
 )
 
-// Apply gives the string that a difference leads to from its base. The error is
-// ErrWrongBase, ErrCorrupt or ErrChecksumMismatch.
-func Apply(base, difference []byte) ([]byte, error) {
-	r := editReader{remaining: difference}
+// Apply returns the result of applying delta to base. The error is ErrWrongBase,
+// ErrCorrupt or ErrChecksumMismatch.
+func Apply(base, delta []byte) ([]byte, error) {
+	r := editReader{remaining: delta}
 	baseLength, baseChecksum := r.uvarint(), r.checksum()
 	length, checksum := r.uvarint(), r.checksum()
 	if r.malformed || baseLength != uint64(len(base)) || baseChecksum != Checksum(base) {
@@ -46,10 +46,10 @@
 	return next, nil
 }
 
-// editReader reads a difference from its front.
+// editReader parses a delta.
 type editReader struct {
 	remaining []byte
-	// malformed is set once something couldn't be read.
+	// malformed is set after a failed read.
 	malformed bool
 }
 
@@ -73,25 +73,25 @@
 	return v
 }
 
-// applyEdits builds the result, which must have the given length. It reports false
-// for edits that reach beyond the base, the difference or that length.
+// applyEdits builds the result, which must have the given length. It returns false if an
+// edit exceeds the bounds of the base, the delta or that length.
 func (r *editReader) applyEdits(base []byte, length uint64) ([]byte, bool) {
 	if length > maxLength {
 		return nil, false
 	}
 	next := make([]byte, 0, min(length, uint64(len(base)+len(r.remaining))))
 	for len(r.remaining) > 0 {
-		insert := r.uvarint()
-		if r.malformed || insert > uint64(len(r.remaining)) {
+		insertLength := r.uvarint()
+		if r.malformed || insertLength > uint64(len(r.remaining)) {
 			return nil, false
 		}
-		next = append(next, r.remaining[:insert]...)
-		r.remaining = r.remaining[insert:]
-		from, run := r.uvarint(), r.uvarint()
-		if r.malformed || from > uint64(len(base)) || run > uint64(len(base))-from || uint64(len(next))+run > length {
+		next = append(next, r.remaining[:insertLength]...)
+		r.remaining = r.remaining[insertLength:]
+		copyOffset, copyLength := r.uvarint(), r.uvarint()
+		if r.malformed || copyOffset > uint64(len(base)) || copyLength > uint64(len(base))-copyOffset || uint64(len(next))+copyLength > length {
 			return nil, false
 		}
-		next = append(next, base[from:from+run]...)
+		next = append(next, base[copyOffset:copyOffset+copyLength]...)
 	}
 	return next, uint64(len(next)) == length
 }
--- a/internal/base/delta/delta_test.go
+++ b/internal/base/delta/delta_test.go
@@ -11,9 +11,9 @@
 	"github.com/matryer/is"
 )
 
-// configurationLike gives bytes like those of a configuration: many items, one of
-// which changes, then a list of results.
-func configurationLike(n, changed, results int) []byte {
+// sampleConfiguration returns JSON like that of a configuration: n items, one of which has
+// its version increased by changed, followed by a list of results.
+func sampleConfiguration(n, changed, results int) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"revision":%d,"routes":{`, 999+changed)
 	for i := range n {
@@ -31,35 +31,35 @@
 	return b.Bytes()
 }
 
-func TestApply_RestoresNextFromDiff(t *testing.T) {
+func TestApply_ReconstructsNextFromDelta(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 2))
-	base := configurationLike(200, 0, 20)
+	base := sampleConfiguration(200, 0, 20)
 	for round := range 2000 {
 		next := slices.Clone(base)
 		for range random.IntN(5) {
-			at := random.IntN(len(next) + 1)
-			end := min(len(next), at+random.IntN(200))
-			fresh := make([]byte, random.IntN(200))
-			for i := range fresh {
-				fresh[i] = "abc{},"[random.IntN(6)]
+			offset := random.IntN(len(next) + 1)
+			end := min(len(next), offset+random.IntN(200))
+			inserted := make([]byte, random.IntN(200))
+			for i := range inserted {
+				inserted[i] = "abc{},"[random.IntN(6)]
 			}
-			next = slices.Replace(next, at, end, fresh...)
+			next = slices.Replace(next, offset, end, inserted...)
 		}
-		difference := Diff(base, next)
-		got, err := Apply(base, difference)
+		delta := Diff(base, next)
+		got, err := Apply(base, delta)
 		is.NoErr(err)
 		is.True(bytes.Equal(got, next))
 		if round%10 == 0 {
 			base = next
 		}
 		if len(base) == 0 {
-			base = configurationLike(200, 0, 20)
+			base = sampleConfiguration(200, 0, 20)
 		}
 	}
 }
 
-func TestApply_RestoresShortStrings(t *testing.T) {
+func TestApply_ReconstructsShortStrings(t *testing.T) {
 	is := is.New(t)
 	for _, pair := range [][2]string{{"", ""}, {"", "a"}, {"a", ""}, {"abc", "abc"}} {
 		got, err := Apply([]byte(pair[0]), Diff([]byte(pair[0]), []byte(pair[1])))
@@ -68,54 +68,54 @@
 	}
 }
 
-// The size of a difference follows what changed, not how large the strings are.
-func TestDiff_SizeFollowsTheChange(t *testing.T) {
+// The size of a delta must not depend on the size of the strings.
+func TestDiff_SizeDependsOnChangeNotInput(t *testing.T) {
 	is := is.New(t)
 	for _, n := range []int{1000, 5000, 15000} {
 		for changed := range 12 {
-			difference := Diff(configurationLike(n, changed, 250), configurationLike(n, changed+1, 250))
-			is.True(len(difference) < 200)
+			delta := Diff(sampleConfiguration(n, changed, 250), sampleConfiguration(n, changed+1, 250))
+			is.True(len(delta) < 200)
 		}
 	}
 }
 
-// A difference that is damaged, cut short or made for another base is an error.
-func TestApply_RejectsDamagedDifferences(t *testing.T) {
+// Apply must reject a delta that is corrupt, truncated or from a different base.
+func TestApply_RejectsInvalidDeltas(t *testing.T) {
 	is := is.New(t)
-	base, next := configurationLike(50, 0, 5), configurationLike(50, 3, 5)
-	good := Diff(base, next)
-	_, err := Apply(next, good)
+	base, next := sampleConfiguration(50, 0, 5), sampleConfiguration(50, 3, 5)
+	valid := Diff(base, next)
+	_, err := Apply(next, valid)
 	is.True(errors.Is(err, ErrWrongBase))
-	for cut := range good {
-		_, err := Apply(base, good[:cut])
+	for cut := range valid {
+		_, err := Apply(base, valid[:cut])
 		is.True(err != nil)
 	}
-	for at := range good {
-		for _, flip := range []byte{1, 0x80, 0xff} {
-			bad := slices.Clone(good)
-			bad[at] ^= flip
-			if got, err := Apply(base, bad); err == nil {
-				is.True(bytes.Equal(got, next)) // no other result passes for the right one
+	for offset := range valid {
+		for _, mask := range []byte{1, 0x80, 0xff} {
+			corrupt := slices.Clone(valid)
+			corrupt[offset] ^= mask
+			if got, err := Apply(base, corrupt); err == nil {
+				is.True(bytes.Equal(got, next)) // no wrong result is accepted
 			}
 		}
 	}
 }
 
-// Many changed items that are much alike cost less than 40 bytes each.
+// Changes of many similar items must take less than 40 bytes each.
 func TestDiff_ManyChangesAmongSimilarItems(t *testing.T) {
 	is := is.New(t)
-	base := configurationLike(5000, 0, 0)
+	base := sampleConfiguration(5000, 0, 0)
 	next := bytes.ReplaceAll(base, []byte(`"s3"`), []byte(`"another"`))
-	difference := Diff(base, next)
-	got, err := Apply(base, difference)
+	delta := Diff(base, next)
+	got, err := Apply(base, delta)
 	is.NoErr(err)
 	is.True(bytes.Equal(got, next))
-	is.True(len(difference) < 5000/7*40)
+	is.True(len(delta) < 5000/7*40)
 }
 
 func BenchmarkOneChangedItemOf15000(b *testing.B) {
-	base, next := configurationLike(15000, 0, 250), configurationLike(15000, 1, 250)
-	difference := Diff(base, next)
+	base, next := sampleConfiguration(15000, 0, 250), sampleConfiguration(15000, 1, 250)
+	delta := Diff(base, next)
 	b.Run("diff", func(b *testing.B) {
 		for b.Loop() {
 			Diff(base, next)
@@ -123,7 +123,7 @@
 	})
 	b.Run("apply", func(b *testing.B) {
 		for b.Loop() {
-			_, _ = Apply(base, difference)
+			_, _ = Apply(base, delta)
 		}
 	})
 }
--- a/internal/base/delta/diff.go
+++ b/internal/base/delta/diff.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	// anchorLength is how many equal bytes make a place where both strings continue
-	// alike. Shorter ones, such as the punctuation of JSON, recur by chance.
+	// anchorLength is the minimum length of a match after a change, in bytes. Shorter
+	// sequences, such as JSON punctuation, often match by chance.
 	anchorLength = 24
-	// initialWindow is how far ahead a common place is searched for at first: more
-	// than one changed item, and little enough to search for each of many.
+	// initialWindow is the size of the first window that is searched for a match, in
+	// bytes. It exceeds the size of a typical configuration item.
 	initialWindow = 4 << 10
-	// windowGrowth multiplies the window each time that nothing was found in it.
+	// windowGrowth is the factor by which the window grows after a search without a match.
 	windowGrowth = 4
-	// compareStep is how many bytes are compared in one call.
+	// compareStep is the number of bytes compared by one call of bytes.Equal.
 	compareStep = 4 << 10
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Checksum gives the checksum (CRC-32C) by which a difference identifies its base
-// and its result.
+// Checksum returns the CRC-32C checksum of raw. A delta identifies its base and its
+// result by it.
 func Checksum(raw []byte) uint32 { return crc32.Checksum(raw, castagnoli) }
 
-// Diff gives the difference that leads from base to next.
+// Diff returns a delta that transforms base into next.
 func Diff(base, next []byte) []byte {
 	w := editWriter{output: header(base, next)}
 	baseOffset, nextOffset := 0, 0
@@ -36,7 +36,7 @@
 		if nextOffset == len(next) {
 			break
 		}
-		skip, insert := nextCommonPlace(base[baseOffset:], next[nextOffset:])
+		skip, insert := nextMatch(base[baseOffset:], next[nextOffset:])
 		w.insert(next[nextOffset : nextOffset+insert])
 		baseOffset, nextOffset = baseOffset+skip, nextOffset+insert
 	}
@@ -44,7 +44,7 @@
 	return w.output
 }
 
-// header identifies the base and the result, by length and checksum.
+// header returns the header of a delta: the lengths and checksums of base and next.
 func header(base, next []byte) []byte {
 	out := binary.AppendUvarint(nil, uint64(len(base)))
 	out = binary.BigEndian.AppendUint32(out, Checksum(base))
@@ -52,11 +52,11 @@
 	return binary.BigEndian.AppendUint32(out, Checksum(next))
 }
 
-// commonPrefix gives the number of bytes with which both strings begin alike.
+// commonPrefix returns the length of the longest common prefix of a and b.
 func commonPrefix(a, b []byte) int {
 	n := min(len(a), len(b))
 	offset := 0
-	// bytes.Equal compares long runs by vector instructions.
+	// bytes.Equal uses vector instructions.
 	for offset+compareStep <= n && bytes.Equal(a[offset:offset+compareStep], b[offset:offset+compareStep]) {
 		offset += compareStep
 	}
@@ -66,13 +66,12 @@
 	return offset
 }
 
-// nextCommonPlace finds where both strings continue alike: after skip bytes of the
-// base and insert new bytes of next. It searches ever larger windows; without a
-// common place it gives the whole of both.
-func nextCommonPlace(base, next []byte) (skip, insert int) {
+// nextMatch finds the next match: base[skip:] and next[insert:] begin with the same bytes.
+// It searches in growing windows. Without a match it returns the lengths of base and next.
+func nextMatch(base, next []byte) (skip, insert int) {
 	for window := initialWindow; ; window *= windowGrowth {
 		a, b := base[:min(window, len(base))], next[:min(window, len(next))]
-		if skip, insert, found := nearestCommonAnchor(a, b); found {
+		if skip, insert, found := nearestAnchorMatch(a, b); found {
 			return skip, insert
 		}
 		if len(a) == len(base) && len(b) == len(next) {
@@ -81,10 +80,10 @@
 	}
 }
 
-// nearestCommonAnchor finds the place of b that equals an anchor of a with the
-// fewest skipped and inserted bytes together: much of a configuration is alike, and
-// a far match would copy another item's bytes.
-func nearestCommonAnchor(a, b []byte) (skip, insert int, found bool) {
+// nearestAnchorMatch finds the match between an anchor of a and b for which the sum of
+// skipped and inserted bytes is smallest. Items of a configuration are similar, so a more
+// distant match would often belong to a different item.
+func nearestAnchorMatch(a, b []byte) (skip, insert int, found bool) {
 	positions := anchorPositions(a)
 	bestDistance := len(a) + len(b)
 	for offset := 0; offset+anchorLength <= len(b) && offset < bestDistance; offset++ {
@@ -98,8 +97,8 @@
 	return skip, insert, found
 }
 
-// anchorPositions gives the first position of each anchor, by its hash. Anchors
-// stand side by side; of equal ones the first is the nearest.
+// anchorPositions splits raw into adjacent anchors and maps the hash of each to its first
+// position, which is the nearest.
 func anchorPositions(raw []byte) map[uint32]int {
 	positions := make(map[uint32]int, len(raw)/anchorLength)
 	for offset := 0; offset+anchorLength <= len(raw); offset += anchorLength {
@@ -111,7 +110,7 @@
 	return positions
 }
 
-// commonSuffix gives the number of bytes with which both strings end alike.
+// commonSuffix returns the length of the longest common suffix of a and b.
 func commonSuffix(a, b []byte) int {
 	n := 0
 	for n < min(len(a), len(b)) && a[len(a)-n-1] == b[len(b)-n-1] {
@@ -120,8 +119,8 @@
 	return n
 }
 
-// hashAnchor mixes the bytes of an anchor. Equal hashes are only a hint: the bytes
-// are compared in full. The factors are those of splitmix64 and MurmurHash3.
+// hashAnchor returns a hash of the first anchorLength bytes of raw. Hashes may collide, so
+// callers compare the bytes as well. The multipliers are from splitmix64 and MurmurHash3.
 func hashAnchor(raw []byte) uint32 {
 	x := binary.LittleEndian.Uint64(raw) * 0x9e3779b97f4a7c15
 	x = (x ^ binary.LittleEndian.Uint64(raw[8:])) * 0xff51afd7ed558ccd
