--- a/internal/base/errs/errs.go
+++ b/internal/base/errs/errs.go
@@ -6,17 +6,19 @@
 	"github.com/juju/errors"
 )
 
-// OpError is an error together with the step and the peer at which it arose.
+// OpError is an error with the step that failed and the step's subject.
 type OpError struct {
-	// Step names what was being done, such as "read header".
+	// Step is the operation that failed, such as "read header".
 	Step string
-	// Peer is the address or name of the other side; empty for a local step.
+	// Peer is what the step was applied to: the address or name of a peer, a file or a
+	// key. It is empty if there is none.
 	Peer string
 	// Err is the cause, never nil.
 	Err error
 }
 
-// Error gives the step, the peer and the cause in one line.
+// Error returns the step, the subject and the cause. The text labels every subject as a peer
+// and must not change, as it appears in the proxy's HTTP responses.
 func (e *OpError) Error() string {
 	if e.Peer == "" {
 		return fmt.Sprintf("%s: %v", e.Step, e.Err)
@@ -24,20 +26,20 @@
 	return fmt.Sprintf("%s (peer %s): %v", e.Step, e.Peer, e.Err)
 }
 
-// Unwrap gives the cause, for errors.Is and errors.As.
+// Unwrap returns the cause.
 func (e *OpError) Unwrap() error { return e.Err }
 
-// Wrap adds a step and a peer to err, and records the caller's line. A nil error
-// stays nil. The peer is empty for a local step.
-func Wrap(err error, step, peer string) error {
+// Wrap adds a step and its subject to err, and records the caller's source line. The
+// subject may be empty. Wrap returns nil if err is nil.
+func Wrap(err error, step, subject string) error {
 	if err == nil {
 		return nil
 	}
-	return errors.Trace(&OpError{Step: step, Peer: peer, Err: err})
+	return errors.Trace(&OpError{Step: step, Peer: subject, Err: err})
 }
 
-// New makes an error from a format and its arguments, with a step and a peer. The
-// format is that of fmt.Errorf: %w wraps a sentinel.
-func New(step, peer, format string, args ...any) error {
-	return Wrap(fmt.Errorf(format, args...), step, peer)
+// New returns an error with a step, its subject and a message formatted as by fmt.Errorf;
+// %w wraps a sentinel.
+func New(step, subject, format string, args ...any) error {
+	return Wrap(fmt.Errorf(format, args...), step, subject)
 }
