--- a/internal/base/event/command.go
+++ b/internal/base/event/command.go
@@ -2,26 +2,26 @@
 
 import "dunlinwell/internal/base/ids"
 
-// Send asks for a message to be sent to a peer. It may be lost; the sender repeats
-// what must arrive.
+// Send is the command to send a message to a peer. Delivery isn't guaranteed; the state
+// machine resends where needed.
 type Send struct {
 	To      ids.Address
 	Message any
 }
 
-// Record is a change of one key on disk.
+// Record is a write to, or the deletion of, one key on disk.
 type Record struct {
 	Key   ids.RegisterKey
 	Value []byte
-	// Delete asks for the key to be removed; Value is then ignored.
+	// Delete removes the key; Value is then ignored.
 	Delete bool
 }
 
-// Sync asks for records to be synced to disk, and only then for the commands in
-// After to be executed. Batches complete in the order in which they were asked for,
-// so one without records still waits for those before it.
+// Sync is the command to write and sync records to disk, and then to execute the commands
+// in After. Batches complete in the order in which they were emitted, so a batch without
+// records still waits for earlier ones.
 type Sync struct {
-	// Batch is the number that Synced gives back; it grows with each Sync.
+	// Batch is the number that Synced returns; it increases with each Sync.
 	Batch   uint64
 	Records []Record
 	After   []Command
--- a/internal/base/event/discarded.go
+++ b/internal/base/event/discarded.go
@@ -2,24 +2,24 @@
 
 import "dunlinwell/internal/base/ids"
 
-// Reason says why a message was discarded. It is a label of the metric
-// wire_messages_total and a value in the log, so its text must not change.
+// Reason is the reason for discarding a message. It is a label value of the metric
+// wire_messages_total and appears in the log, so its text must not change.
 type Reason string
 
-// The reasons of machines. The transport adds its own for frames that no machine
-// gets to see.
+// Reasons of the state machines. The transport has additional ones for frames that it
+// doesn't deliver to a state machine.
 const (
-	// Unsolicited is a reply to no open request of this run: late, duplicate, meant
-	// for an earlier run, or from a daemon that wasn't asked.
+	// Unsolicited is a reply without a pending request of this run: late, duplicate,
+	// meant for an earlier run, or from a daemon to which no request was sent.
 	Unsolicited Reason = "not asked"
-	// UnknownSender is a message whose sender isn't the daemon that it speaks for.
+	// UnknownSender is a message whose sender isn't the daemon named in it.
 	UnknownSender Reason = "not a member"
-	// Malformed is a message that was decoded but contradicts itself.
+	// Malformed is a message that was decoded but whose fields are inconsistent.
 	Malformed Reason = "malformed"
 )
 
-// Discarded reports a message that changed no state. The owner counts each, and
-// logs the first of each peer and reason.
+// Discarded is the command to count a message that was ignored. Only the first one for
+// each peer and reason is logged.
 type Discarded struct {
 	From    ids.Address
 	Reason  Reason
--- a/internal/base/event/doc.go
+++ b/internal/base/event/doc.go
@@ -1,12 +1,12 @@
-// Package event is the interface between the pure state machines and the processes
-// that drive them. An owner (transport/process, or the simulator) hands events to a
-// Machine; the machine answers each with commands, and the owner executes them.
+// Package event defines the interface between the deterministic state machines and the
+// event loops that run them. An event loop (transport/process, or the simulator) passes
+// events to a state machine, which returns commands for the event loop to execute.
 //
-// Invariants: a machine does no I/O, starts no goroutine and reads no clock or
-// random source of its own, so the same events give the same commands. That is why
-// the simulator runs the very code that the daemons run. Events and commands are
-// plain values: this package never interprets those of other packages.
+// Invariants: a state machine does no I/O, starts no goroutines and reads neither a clock
+// nor a global source of randomness, so the same events always produce the same commands.
+// The simulator therefore runs the same code as the daemons. Events and commands are plain
+// values; this package never interprets those of other packages.
 //
-// The tests stand with the machines (controlplane, state, dataplane) and in
-// testsupport/simulator.
+// The state machines are tested in their own packages (controlplane, state, dataplane) and
+// in testsupport/simulator.
 package event
--- a/internal/base/event/log.go
+++ b/internal/base/event/log.go
@@ -3,8 +3,8 @@
 // Level is the severity of a log entry.
 type Level string
 
-// The levels of a log entry. An error needs an operator; a warning reports a failure
-// that the program deals with; the rest is for reading afterwards.
+// Levels of log entries. Errors need action by an operator; warnings report failures that
+// the program handles itself.
 const (
 	LevelDebug Level = "debug"
 	LevelInfo  Level = "info"
@@ -12,15 +12,14 @@
 	LevelError Level = "error"
 )
 
-// LogEvent names what a log entry is about, in snake case, such as lease_expired.
-// Each package lists its own as constants; docs/operators.md says what to do
-// about each.
+// LogEvent identifies the kind of a log entry, in snake case, such as lease_expired. Each
+// package declares its own as constants; docs/operators.md describes them.
 type LogEvent string
 
-// LogEntry asks for a line in the log.
+// LogEntry is the command to write a log entry.
 type LogEntry struct {
 	Level Level
 	Event LogEvent
-	// Fields holds keys and values in turn.
+	// Fields holds alternating keys and values.
 	Fields []string
 }
--- a/internal/base/event/outbox_test.go
+++ b/internal/base/event/outbox_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-func TestOutbox_DrainGivesCommandsInOrderOnce(t *testing.T) {
+func TestOutbox_DrainReturnsCommandsInOrderOnce(t *testing.T) {
 	is := is.New(t)
 	var o Outbox
 	o.Send("10.0.0.1:1", "message")
--- a/internal/base/ids/ballot.go
+++ b/internal/base/ids/ballot.go
@@ -2,17 +2,17 @@
 
 import "fmt"
 
-// Ballot is the ballot number of a round on a register (CASPaxos, Rystsov 2018).
-// Ballots are ordered by Counter, then by Proposer.
+// Ballot is the ballot number of a CASPaxos round on a register (Rystsov 2018). Ballots
+// are ordered by Counter, then by Proposer.
 type Ballot struct {
-	// Counter grows with each round that a proposer begins.
+	// Counter increases with each round that a proposer starts.
 	Counter uint64
 	// Proposer identifies one run of one proposer, so that a restarted proposer can't
-	// use a ballot for two values.
+	// reuse a ballot for a different value.
 	Proposer uint64
 }
 
-// Less reports whether b comes before other.
+// Less reports whether b is less than other.
 func (b Ballot) Less(other Ballot) bool {
 	if b.Counter != other.Counter {
 		return b.Counter < other.Counter
@@ -20,7 +20,7 @@
 	return b.Proposer < other.Proposer
 }
 
-// Max gives the larger of two ballots.
+// Max returns the larger of two ballots.
 func (b Ballot) Max(other Ballot) Ballot {
 	if b.Less(other) {
 		return other
@@ -28,8 +28,8 @@
 	return b
 }
 
-// IsZero reports whether the ballot is the zero value, which no round uses.
+// IsZero reports whether b is the zero value, which no round uses.
 func (b Ballot) IsZero() bool { return b == Ballot{} }
 
-// String gives the ballot as COUNTER.PROPOSER, the proposer in hexadecimal.
+// String returns the ballot as COUNTER.PROPOSER, the proposer in hexadecimal.
 func (b Ballot) String() string { return fmt.Sprintf("%d.%x", b.Counter, b.Proposer) }
--- a/internal/base/ids/doc.go
+++ b/internal/base/ids/doc.go
@@ -1,9 +1,9 @@
-// Package ids holds the small types that every other package uses: names,
-// identifiers, versions, times and ballots. Each is a type of its own, so that the
-// compiler keeps one from being passed for another.
+// Package ids defines the basic types that other packages share: names, identifiers,
+// versions, times and ballots. They are distinct types, so that the compiler rejects one
+// used in place of another.
 //
-// The package has no state and depends on nothing of this module. The types go over
-// the wire and to disk at their underlying type's width (transport/wire), so that
-// width must not change. Wall-clock time has no type here: it jumps, and appears in
-// logs alone.
+// The package has no state and imports no other package of this module. The types are
+// encoded with the width of their underlying type (transport/wire), which must therefore
+// not change. There is no type for wall-clock time, which may jump and is used only in
+// logs.
 package ids
--- a/internal/base/ids/time.go
+++ b/internal/base/ids/time.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Time is a point on the process's own monotonic clock, in nanoseconds. Zero stands
-// for "never" in the state machines.
+// Time is a reading of the process's monotonic clock, in nanoseconds. Zero means "never" in
+// the state machines.
 type Time int64
 
-// Add gives the time that is a duration later.
+// Add returns t plus a duration.
 func (t Time) Add(duration time.Duration) Time { return t + Time(duration) }
 
-// Sub gives the duration from an earlier time to this one.
+// Sub returns the duration from an earlier time to t.
 func (t Time) Sub(earlier Time) time.Duration { return time.Duration(t - earlier) }
--- a/internal/base/jsoncheck/jsoncheck.go
+++ b/internal/base/jsoncheck/jsoncheck.go
@@ -2,14 +2,14 @@
 
 import "github.com/tidwall/gjson"
 
-// maxDepth bounds how deep objects and lists may be nested. It is far beyond any
-// configuration, and far below the millions of levels that overflow a stack.
+// maxDepth is the maximum nesting depth of objects and arrays. No configuration comes close
+// to it, and a stack overflow takes millions of levels.
 const maxDepth = 1 << 15
 
-// Valid reports whether raw is valid JSON that isn't nested too deep to parse.
+// Valid reports whether raw is valid JSON that isn't nested too deeply.
 func Valid(raw []byte) bool { return Depth(raw) <= maxDepth && gjson.ValidBytes(raw) }
 
-// Depth gives how deep objects and lists are nested in raw, which needn't be valid.
+// Depth returns the nesting depth of objects and arrays in raw, which may be invalid JSON.
 func Depth(raw []byte) int {
 	deepest, depth, inString := 0, 0, false
 	for i := 0; i < len(raw); i++ {
