--- a/internal/base/settings/file.go
+++ b/internal/base/settings/file.go
@@ -10,8 +10,8 @@
 	"github.com/alecthomas/kong"
 )
 
-// newFileResolver reads a file of options, in JSON. A key that names no flag is an
-// error, as a misspelt option would otherwise be ignored in silence.
+// newFileResolver returns a resolver for a JSON file of options. It rejects unknown keys,
+// so that a misspelt option isn't silently ignored.
 func newFileResolver(r io.Reader) (kong.Resolver, error) {
 	raw, err := io.ReadAll(r)
 	if err != nil {
@@ -21,20 +21,20 @@
 	if err := json.Unmarshal(raw, &values); err != nil {
 		return nil, fmt.Errorf("--params: %w", err)
 	}
-	inner, err := kong.JSON(strings.NewReader(string(raw)))
+	jsonResolver, err := kong.JSON(strings.NewReader(string(raw)))
 	if err != nil {
 		return nil, err
 	}
-	return &strictResolver{inner, values}, nil
+	return &strictResolver{jsonResolver, values}, nil
 }
 
-// strictResolver resolves flags from a file, and rejects keys that name no flag.
+// strictResolver resolves flags from a file and rejects unknown keys.
 type strictResolver struct {
 	kong.Resolver
 	values map[string]any
 }
 
-// Validate gives an error that lists the keys that name no flag.
+// Validate returns an error that lists all keys of the file that aren't flags.
 func (r *strictResolver) Validate(app *kong.Application) error {
 	known := map[string]bool{}
 	for _, flag := range app.Flags {
@@ -49,7 +49,7 @@
 	}
 	if len(unknown) > 0 {
 		slices.Sort(unknown)
-		return fmt.Errorf("--params: no param is named %s", strings.Join(unknown, ", "))
+		return fmt.Errorf("--params: unknown options: %s", strings.Join(unknown, ", "))
 	}
 	return r.Resolver.Validate(app)
 }
--- a/internal/base/settings/settings.go
+++ b/internal/base/settings/settings.go
@@ -14,29 +14,29 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// Common holds the options of every daemon.
+// Common holds the options that all daemons share.
 type Common struct {
-	ConfigFile  kong.ConfigFlag `help:"JSON file of params, named like the flags; flags win." placeholder:"FILE" name:"params"`
-	Name        string          `help:"This daemon's name, the same over restarts." required:"" placeholder:"NAME" name:"name"`
-	Address     string          `help:"IP number and port for our own processes, as peers are told it." required:"" placeholder:"IP:PORT" name:"address"`
-	Bind        string          `help:"Where to listen for our own processes, if not at the address." placeholder:"IP:PORT" name:"bind"`
-	HTTPAddress string          `help:"IP number and port for HTTP." name:"http" required:"" placeholder:"IP:PORT"`
-	Zone        string          `help:"The cell this daemon stands in." required:"" placeholder:"CELL" name:"cell"`
-	Seeds       []string        `help:"Addresses of the three stores to begin from." required:"" placeholder:"IP:PORT,..." name:"seeds"`
-	HTTPBind    string          `help:"Where to listen for HTTP, if not at that address." placeholder:"IP:PORT" name:"http-bind"`
-	LogLevel    string          `help:"Least level to log: debug, info, warn or error." default:"info" enum:"debug,info,warn,error" name:"log"`
+	ConfigFile  kong.ConfigFlag `help:"JSON file of options, keyed by flag name. Flags take precedence." placeholder:"FILE" name:"params"`
+	Name        string          `help:"Name of this daemon, stable across restarts." required:"" placeholder:"NAME" name:"name"`
+	Address     string          `help:"IP address and port advertised to other daemons." required:"" placeholder:"IP:PORT" name:"address"`
+	Bind        string          `help:"IP address and port to listen on for other daemons, if different from --address." placeholder:"IP:PORT" name:"bind"`
+	HTTPAddress string          `help:"IP address and port for HTTP." name:"http" required:"" placeholder:"IP:PORT"`
+	Zone        string          `help:"Cell (zone) of this daemon." required:"" placeholder:"CELL" name:"cell"`
+	Seeds       []string        `help:"Addresses of the three seed stores." required:"" placeholder:"IP:PORT,..." name:"seeds"`
+	HTTPBind    string          `help:"IP address and port to listen on for HTTP, if different from --http." placeholder:"IP:PORT" name:"http-bind"`
+	LogLevel    string          `help:"Minimum log level: debug, info, warn or error." default:"info" enum:"debug,info,warn,error" name:"log"`
 }
 
-// seedCount is how many stores a daemon starts from: the voters of a new fleet.
+// seedCount is the number of seed stores, which are the initial voter set of a new fleet.
 const seedCount = 3
 
-// exitUsage is the exit code of a daemon whose options are rejected.
+// exitUsage is the exit code for invalid options.
 const exitUsage = 2
 
-// namePattern is that of a DNS label, as names appear in addresses of platforms.
+// namePattern matches a DNS label, as names become part of addresses on some platforms.
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
 
-// Validate checks the options. kong calls it once all of them are read.
+// Validate checks the options. kong calls it after parsing.
 func (c *Common) Validate() error {
 	if err := c.validateNames(); err != nil {
 		return err
@@ -49,10 +49,10 @@
 
 func (c *Common) validateNames() error {
 	if !namePattern.MatchString(c.Name) {
-		return fmt.Errorf("--name: %q must be lower-case letters, digits and inner dashes", c.Name)
+		return fmt.Errorf("--name: %q must be 1 to 63 lower-case letters, digits and inner hyphens", c.Name)
 	}
 	if !namePattern.MatchString(c.Zone) {
-		return fmt.Errorf("--cell: %q must be lower-case letters, digits and inner dashes", c.Zone)
+		return fmt.Errorf("--cell: %q must be 1 to 63 lower-case letters, digits and inner hyphens", c.Zone)
 	}
 	return nil
 }
@@ -79,14 +79,14 @@
 
 func (c *Common) validateSeeds() error {
 	if len(c.Seeds) != seedCount {
-		return fmt.Errorf("--seeds: must be three addresses, not %d", len(c.Seeds))
+		return fmt.Errorf("--seeds: must be three addresses, got %d", len(c.Seeds))
 	}
 	for i, seed := range c.Seeds {
 		if err := validateAddress("seeds", seed); err != nil {
 			return err
 		}
 		if slices.Contains(c.Seeds[:i], seed) {
-			return fmt.Errorf("--seeds: %s stands twice", seed)
+			return fmt.Errorf("--seeds: %s is listed twice", seed)
 		}
 	}
 	return nil
@@ -95,15 +95,15 @@
 func validateAddress(flag, address string) error {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil || parsed.Port() == 0 || parsed.Addr().IsUnspecified() {
-		return fmt.Errorf("--%s: %q must be an IP number and a port", flag, address)
+		return fmt.Errorf("--%s: %q must be an IP address and a port", flag, address)
 	}
 	return nil
 }
 
-// HTTPListenAddress gives the address at which to listen for HTTP.
+// HTTPListenAddress returns the address to listen on for HTTP.
 func (c *Common) HTTPListenAddress() string { return cmp.Or(c.HTTPBind, c.HTTPAddress) }
 
-// SeedAddresses gives the seeds as addresses.
+// SeedAddresses returns the addresses of the seed stores.
 func (c *Common) SeedAddresses() []ids.Address {
 	var seeds []ids.Address
 	for _, seed := range c.Seeds {
@@ -112,9 +112,8 @@
 	return seeds
 }
 
-// Read reads the options of a program from its command line into a struct with
-// kong's tags. Options that are rejected end the program with one line on standard
-// error and exit code 2.
+// Read parses the command line into options, a pointer to a struct with kong tags. If an
+// option is invalid, it prints one line to standard error and exits with code 2.
 func Read(name, description string, options any) {
 	parser, err := kong.New(options, kong.Name(name), kong.Description(description), kong.Configuration(newFileResolver))
 	if err != nil {
--- a/internal/base/settings/settings_test.go
+++ b/internal/base/settings/settings_test.go
@@ -29,7 +29,7 @@
 		t.Run(flag, func(t *testing.T) {
 			err := parseFlags(t, append(slices.Clone(validArgs), "--"+flag, value)...)
 			if err == nil || !strings.Contains(err.Error(), "--"+flag) {
-				t.Errorf("--%s %q gave %v", flag, value, err)
+				t.Errorf("--%s %q: got error %v, want one that names the flag", flag, value, err)
 			}
 		})
 	}
