--- a/internal/transport/wire/decode.go
+++ b/internal/transport/wire/decode.go
@@ -11,17 +11,17 @@
 	"dunlinwell/internal/base/errs"
 )
 
-// ErrBodyTooShort is returned when a body ends before the value that it began.
+// ErrBodyTooShort is returned when a body ends within a value.
 var ErrBodyTooShort = errors.New("body too short")
 
-// The widths of the format's numbers, in bytes.
+// Widths of encoded numbers, in bytes.
 const (
 	widthBool  = 1
 	widthCount = 4
 	widthInt   = 8
 )
 
-// readUint reads a big-endian number of a width in bytes, 8 at most.
+// readUint reads a big-endian number of width bytes, at most 8.
 func readUint(r *bytes.Reader, width int) (uint64, error) {
 	var raw [8]byte
 	if _, err := io.ReadFull(r, raw[len(raw)-width:]); err != nil {
@@ -30,8 +30,8 @@
 	return binary.BigEndian.Uint64(raw[:]), nil
 }
 
-// readLength reads a count. One that is larger than the bytes left can't be true, and
-// must not cost memory.
+// readLength reads a count. It rejects a count that exceeds the number of remaining bytes,
+// so that a corrupt count can't cause a large allocation.
 func readLength(r *bytes.Reader) (int, error) {
 	n, err := readUint(r, widthCount)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return int(n), nil
 }
 
-// readCounted reads a count and as many bytes.
+// readCounted reads a count, and then as many bytes.
 func readCounted(r *bytes.Reader) ([]byte, error) {
 	n, err := readLength(r)
 	if err != nil {
@@ -56,7 +56,7 @@
 	return raw, nil
 }
 
-// decodeValue is the reverse of encodeValue.
+// decodeValue decodes a value written by encodeValue.
 func decodeValue(r *bytes.Reader, v reflect.Value) error {
 	var x uint64
 	var err error
@@ -106,8 +106,8 @@
 	if err != nil {
 		return err
 	}
-	// The list grows as its entries are read: a false count runs out of bytes, not of
-	// memory.
+	// The list isn't allocated in advance: its entries may take more memory than their
+	// encoding, so a corrupt count could cause a large allocation.
 	for range n {
 		entry := reflect.New(v.Type().Elem()).Elem()
 		if err := decodeValue(r, entry); err != nil {
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// decodeBytes reads a list of bytes; an empty one stays nil.
+// decodeBytes decodes a byte slice. An empty one is left nil.
 func decodeBytes(r *bytes.Reader, v reflect.Value) error {
 	raw, err := readCounted(r)
 	if err != nil {
@@ -137,7 +137,7 @@
 	}
 	fields := bytes.NewReader(raw)
 	for i := range v.NumField() {
-		// An older writer's struct ends early: the fields that it lacks stay zero.
+		// A struct encoded by an older version lacks the newer fields; they stay zero.
 		if fields.Len() == 0 {
 			return nil
 		}
--- a/internal/transport/wire/deflate.go
+++ b/internal/transport/wire/deflate.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// flagDeflated, in Header.Flags, marks a frame whose body is deflated.
+	// flagDeflated is the value of Header.Flags for a frame with a deflated body.
 	flagDeflated = 1
-	// minDeflateSize is the smallest frame that is worth the processor time, in bytes.
+	// minDeflateSize is the minimum size of frames to deflate, in bytes.
 	minDeflateSize = 32 << 10
 )
 
 var deflateWriters = sync.Pool{New: func() any {
-	// The only error is a level out of range.
+	// NewWriter fails only for an invalid level.
 	w, _ := flate.NewWriter(io.Discard, flate.BestSpeed)
 	return w
 }}
 
-// Deflate gives a large frame with its body deflated, and any other frame as it is.
-// Only a reader that said that it inflates may be sent the result.
+// Deflate returns a frame with its body deflated, or the frame itself if it is small or
+// deflating doesn't make it smaller. The result may only be sent to peers that support it.
 func Deflate(frame []byte) []byte {
 	if len(frame) < minDeflateSize {
 		return frame
@@ -43,7 +43,8 @@
 	return deflated
 }
 
-// inflate gives the body that was deflated. One over MaxBodySize is ErrFrameTooLarge.
+// inflate returns the inflated body. If that exceeds MaxBodySize, the error is
+// ErrFrameTooLarge.
 func inflate(body []byte) ([]byte, error) {
 	r := flate.NewReader(bytes.NewReader(body))
 	raw, err := io.ReadAll(io.LimitReader(r, MaxBodySize+1))
--- a/internal/transport/wire/doc.go
+++ b/internal/transport/wire/doc.go
@@ -1,19 +1,19 @@
-// Package wire is the format of the messages between daemons, and of the records
-// that they write to disk. A frame is a fixed header (magic, version, flags, kind,
-// length, epoch, number; big-endian) and a body: the fields of a struct in their
-// order, without names.
+// Package wire implements the binary format of messages between daemons and of records on
+// disk. A frame consists of a fixed header (magic, version, flags, kind, length, epoch,
+// number; big-endian) and a body, which holds the fields of a struct in order, without
+// names.
 //
-// Each package registers its own message types under the numbers of the registry of
-// kinds (Register). A number and the order of a type's fields never change.
+// Each package registers its own message types with Register, under a number (Kind) that is
+// unique in the module. The number and the order of a type's fields must never change.
 //
 // Invariants:
-//   - versions mix during a rolling restart: fields are only ever added at the end of
-//     a struct; a reader skips those it doesn't know, and leaves those that an older
-//     writer lacks at zero. A message of an unknown kind is no error.
-//   - every length is checked before it is used, so that no input costs more memory
-//     than its bytes, and none panics (FuzzRead, FuzzDecode).
+//   - Different versions interoperate during a rolling restart. Fields are only added at the
+//     end of a struct. A reader skips fields that it doesn't know, and fields missing from
+//     an older writer are zero. A message of an unknown kind isn't an error.
+//   - Every length is checked before use, so that malformed input causes neither large
+//     allocations nor panics (FuzzRead, FuzzDecode).
 //
-// The package opens no connections (transport/process does) and interprets no
-// message. testsupport/compat compares the bytes of every kind with those of earlier
+// The package opens no connections, which transport/process does, and interprets no
+// messages. testsupport/compat compares the encoding of every kind with that of earlier
 // releases.
 package wire
--- a/internal/transport/wire/encode.go
+++ b/internal/transport/wire/encode.go
@@ -10,13 +10,13 @@
 	"dunlinwell/internal/base/errs"
 )
 
-// ErrUnsupportedType is returned for a message with a field of a type that the format
-// doesn't have, such as a map or a pointer.
+// ErrUnsupportedType is returned for a message with a field of a type that can't be encoded,
+// such as a map or a pointer.
 var ErrUnsupportedType = errors.New("unsupported type")
 
-// encodeValue writes a value: numbers big-endian at their own width; strings, bytes
-// and lists after a 32-bit count; structs after their 32-bit length in bytes, so that
-// a reader can skip the fields it doesn't know.
+// encodeValue encodes a value. Numbers are big-endian with the width of their type. Strings,
+// byte slices and lists are prefixed with a 32-bit count. Structs are prefixed with their
+// 32-bit length in bytes, so that a reader can skip fields that it doesn't know.
 func encodeValue(b *bytes.Buffer, v reflect.Value) error {
 	switch v.Kind() {
 	case reflect.Bool:
--- a/internal/transport/wire/frame.go
+++ b/internal/transport/wire/frame.go
@@ -10,14 +10,14 @@
 	"dunlinwell/internal/base/errs"
 )
 
-// ErrUnregisteredType is returned by Encode for a message whose type has no kind.
-var ErrUnregisteredType = errors.New("no kind is registered for the type")
+// ErrUnregisteredType is returned by Encode for a message whose type isn't registered.
+var ErrUnregisteredType = errors.New("unregistered message type")
 
-// initialBodyBuffer is how much is allocated for a body before its bytes arrive. A
-// larger body grows as it arrives.
+// initialBodyBuffer is the maximum size of the buffer that is allocated for a body before
+// its bytes arrive. The buffer of a larger body grows as the bytes arrive.
 const initialBodyBuffer = 1 << 20
 
-// The steps that errors of this package name.
+// Steps in errors of this package.
 const (
 	stepEncode     = "encode message"
 	stepReadHeader = "read header"
@@ -28,11 +28,11 @@
 // singleton role.
 type Epoched interface{ MessageEpoch() uint64 }
 
-// Numbered is implemented by messages that are counted along a connection.
+// Numbered is implemented by messages that carry a sequence number (ids.StreamNumber).
 type Numbered interface{ MessageNumber() uint64 }
 
-// Encode makes a frame of a message. The error is ErrUnregisteredType,
-// ErrFrameTooLarge or ErrUnsupportedType.
+// Encode returns the frame of a message. The error is ErrUnregisteredType, ErrFrameTooLarge
+// or ErrUnsupportedType.
 func Encode(message any) ([]byte, error) {
 	kind, known := kindsByType[reflect.TypeOf(message)]
 	if !known {
@@ -60,10 +60,9 @@
 	return frame, nil
 }
 
-// Read reads one frame. A message of an unknown kind is nil without an error, as a
-// newer peer may send what this version doesn't know. The errors are those of the
-// reader, ErrMalformedFrame, ErrFrameTooLarge and ErrBodyTooShort; the header is
-// as far as it was read.
+// Read reads one frame. The message is nil, without an error, if its kind is unknown, as it
+// may come from a peer of a newer version. The error is ErrMalformedFrame, ErrFrameTooLarge,
+// ErrBodyTooShort or one of the reader. With an error, the header may be incomplete.
 func Read(r io.Reader) (Header, any, error) {
 	var raw [headerSize]byte
 	var h Header
@@ -90,7 +89,7 @@
 	return h, message, err
 }
 
-// readBody reads a body into memory that grows only as its bytes arrive.
+// readBody reads a body into a buffer that grows as the bytes arrive.
 func readBody(r io.Reader, length int) ([]byte, error) {
 	body := make([]byte, min(length, initialBodyBuffer))
 	_, err := io.ReadFull(r, body)
@@ -102,11 +101,10 @@
 	return body, err
 }
 
-// ReadBytes reads a frame that is in memory, such as a record from disk.
+// ReadBytes reads a frame from memory, such as a record from disk.
 func ReadBytes(raw []byte) (Header, any, error) { return Read(bytes.NewReader(raw)) }
 
-// Decode reads the body of a message of a kind; the message is nil if the kind is
-// unknown.
+// Decode decodes the body of a message. The message is nil if the kind is unknown.
 func Decode(kind Kind, body []byte) (any, error) {
 	t, known := typesByKind[kind]
 	if !known {
--- a/internal/transport/wire/wire_test.go
+++ b/internal/transport/wire/wire_test.go
@@ -27,8 +27,8 @@
 
 var _ = Register(900, oldMessage{}) && Register(901, newMessage{})
 
-// Rolling restarts mix versions: a field that a newer peer adds at the end is skipped,
-// and one that an older peer lacks is zero.
+// During a rolling restart, fields added by a newer version must be skipped, and fields
+// missing from an older version must be zero.
 func TestDecode_AcceptsOlderAndNewerVersions(t *testing.T) {
 	is := is.New(t)
 	raw, err := Encode(newMessage{List: []newPart{{"a", 7}, {"b", 8}}, Extra: []byte("x"), Share: 0.5})
@@ -43,8 +43,8 @@
 	is.Equal(msg, newMessage{List: []newPart{{"c", 0}}})
 }
 
-// A message of an unknown kind is no error; the next frame is read as usual.
-func TestRead_PassesOverUnknownKinds(t *testing.T) {
+// A message of an unknown kind must not cause an error or affect the next frame.
+func TestRead_SkipsUnknownKinds(t *testing.T) {
 	is := is.New(t)
 	raw, err := Encode(oldMessage{List: []oldPart{{"c"}}})
 	is.NoErr(err)
@@ -60,7 +60,7 @@
 	is.Equal(msg, oldMessage{})
 }
 
-// A malformed frame is an error, never a panic nor a large allocation.
+// A malformed frame must cause an error.
 func TestRead_RejectsMalformedFrames(t *testing.T) {
 	good, err := Encode(newMessage{List: []newPart{{"a", 7}}, Extra: []byte("xyz")})
 	is.New(t).NoErr(err)
@@ -68,10 +68,10 @@
 		damage func(frame []byte)
 		want   error
 	}{
-		"too long":        {func(frame []byte) { binary.BigEndian.PutUint32(frame[6:], MaxBodySize+1) }, ErrFrameTooLarge},
-		"other magic":     {func(frame []byte) { frame[0] = 0 }, ErrMalformedFrame},
-		"version 0":       {func(frame []byte) { frame[2] = 0 }, ErrMalformedFrame},
-		"false list size": {func(frame []byte) { binary.BigEndian.PutUint32(frame[headerSize+4:], 0xffffffff) }, ErrBodyTooShort},
+		"length too large":     {func(frame []byte) { binary.BigEndian.PutUint32(frame[6:], MaxBodySize+1) }, ErrFrameTooLarge},
+		"wrong magic":          {func(frame []byte) { frame[0] = 0 }, ErrMalformedFrame},
+		"version 0":            {func(frame []byte) { frame[2] = 0 }, ErrMalformedFrame},
+		"list count too large": {func(frame []byte) { binary.BigEndian.PutUint32(frame[headerSize+4:], 0xffffffff) }, ErrBodyTooShort},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -81,7 +81,7 @@
 			is.True(errors.Is(err, c.want))
 		})
 	}
-	t.Run("cut at any byte", func(t *testing.T) {
+	t.Run("truncated at any byte", func(t *testing.T) {
 		is := is.New(t)
 		for cut := range good {
 			_, _, err := Read(bytes.NewReader(good[:cut]))
@@ -101,7 +101,7 @@
 	is.True(errors.Is(err, ErrMalformedFrame))
 }
 
-func TestEncode_RejectsWhatTheFormatLacks(t *testing.T) {
+func TestEncode_RejectsUnregisteredAndUnsupportedTypes(t *testing.T) {
 	is := is.New(t)
 	_, err := Encode(struct{}{})
 	is.True(errors.Is(err, ErrUnregisteredType))
@@ -109,8 +109,8 @@
 	is.True(errors.Is(err, ErrUnsupportedType))
 }
 
-// A configuration of many thousand items is one frame; a claim of as much costs no
-// memory until the bytes arrive.
+// A large frame must be accepted, but memory for it must be allocated only as the bytes
+// arrive, so that a corrupt length can't exhaust memory.
 func TestRead_AllocatesAsBytesArrive(t *testing.T) {
 	is := is.New(t)
 	large, err := Encode(newMessage{Extra: bytes.Repeat([]byte("x"), 40<<20)})
@@ -125,7 +125,7 @@
 	}).AllocedBytesPerOp() < 2*initialBodyBuffer, true)
 }
 
-// FuzzDecode gives the decoder of every kind any body: it never panics.
+// FuzzDecode checks that decoding an arbitrary body as any kind doesn't panic.
 func FuzzDecode(f *testing.F) {
 	good, err := Encode(newMessage{List: []newPart{{"a", 7}}, Extra: []byte("xyz")})
 	if err != nil {
@@ -134,29 +134,29 @@
 	f.Add(good[headerSize:])
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		for kind := range typesByKind {
-			_, _ = Decode(kind, raw) // it must only not panic
+			_, _ = Decode(kind, raw) // errors are expected; only a panic is a failure
 		}
 	})
 }
 
-// A deflated frame is read as the plain one is, and a small one stays plain.
-func TestDeflate_ReadsBackAsPlain(t *testing.T) {
+// A deflated frame must decode like the original. A small frame must not be deflated.
+func TestDeflate_RoundTripsThroughRead(t *testing.T) {
 	is := is.New(t)
 	for _, n := range []int{10, 1 << 20} {
 		plain, err := Encode(newMessage{List: make([]newPart, n/16)})
 		is.NoErr(err)
-		small := Deflate(plain)
-		is.Equal(len(small) < len(plain), n > minDeflateSize)
+		deflated := Deflate(plain)
+		is.Equal(len(deflated) < len(plain), n > minDeflateSize)
 		h, want, err := ReadBytes(plain)
 		is.NoErr(err)
-		_, got, err := ReadBytes(small)
+		_, got, err := ReadBytes(deflated)
 		is.NoErr(err)
 		is.Equal(got, want)
-		is.Equal(h.Kind, KindOfFrame(small))
+		is.Equal(h.Kind, KindOfFrame(deflated))
 		if n > minDeflateSize {
-			// A body that is cut short is an error, not a shorter message.
-			binary.BigEndian.PutUint32(small[lengthOffset:], uint32(len(small)/2-headerSize))
-			_, _, err = ReadBytes(small[:len(small)/2])
+			// A truncated body must cause an error, not a shorter message.
+			binary.BigEndian.PutUint32(deflated[lengthOffset:], uint32(len(deflated)/2-headerSize))
+			_, _, err = ReadBytes(deflated[:len(deflated)/2])
 			is.True(err != nil)
 		}
 	}
