--- a/internal/transport/process/clock.go
+++ b/internal/transport/process/clock.go
@@ -8,6 +8,6 @@
 
 var processStart = time.Now()
 
-// Now gives the process's monotonic time. It starts at one, as zero stands for
-// "never" in the machines.
+// Now returns the process's monotonic time. It starts at 1, as zero means "never" in the
+// state machines.
 func Now() ids.Time { return ids.Time(time.Since(processStart)) + 1 }
--- a/internal/transport/process/connection.go
+++ b/internal/transport/process/connection.go
@@ -12,23 +12,22 @@
 )
 
 const (
-	// writeTimeout is how long a peer may take for one chunk before its connection is
-	// given up. A link that carries writeChunkSize in that time (16 KiB/s) is slow, but
-	// alive.
+	// writeTimeout is the timeout for writing one chunk, after which the connection is
+	// closed. It allows for links as slow as 16 KiB/s.
 	writeTimeout = 2 * time.Second
 	// idleTimeout is how long a connection without messages stays open. Members send
-	// heartbeats more often, so it ends those to daemons that are gone.
+	// heartbeats more often, so only connections to daemons that have left become idle.
 	idleTimeout = time.Minute
-	// writeChunkSize is how much of a frame must leave within writeTimeout, in bytes. A
-	// deadline for the whole frame would cut off each large one on a slow link, every
-	// time that it is sent again.
+	// writeChunkSize is the number of bytes written under one deadline. A deadline for
+	// the whole frame would make every attempt to send a large frame over a slow link
+	// fail.
 	writeChunkSize = 32 << 10
-	// bufferSize is that of a connection's buffer in either direction, in bytes.
+	// bufferSize is the size of the read and write buffers of connections, in bytes.
 	bufferSize = 64 << 10
 )
 
-// maintainConnection sends a peer's queue, over a connection that it opens anew as
-// often as it breaks, until the queue was idle for idleTimeout or the context ends.
+// maintainConnection sends the frames of a peer's queue and reconnects as needed. It returns
+// when the queue has been idle for idleTimeout or the context is done.
 func (t *Transport) maintainConnection(ctx context.Context, to ids.Address, queue chan []byte) {
 	dial := t.Dial
 	if dial == nil {
@@ -37,7 +36,7 @@
 	backoff := newDialBackoff()
 	var first []byte
 	for {
-		// Without a message nothing is dialled, as the peer may be gone for good.
+		// Dial only if there is a message, as the peer may have left permanently.
 		if first == nil {
 			select {
 			case <-ctx.Done():
@@ -61,17 +60,17 @@
 	}
 }
 
-// dropOldest leaves half a queue at most: what waits for a peer that can't be reached
-// is out of date by the time that it can.
+// dropOldest drops the oldest frames until the queue is at most half full. Frames for an
+// unreachable peer are outdated by the time that it can be reached.
 func (t *Transport) dropOldest(queue chan []byte) {
 	for len(queue) > queueLength/2 {
 		t.countDropped(<-queue)
 	}
 }
 
-// writeQueue sends a first frame and then the queue. It reports true if the queue is
-// to be sent no further (idle, or the context ended), and false if the connection
-// was lost.
+// writeQueue sends the first frame and then those of the queue. It returns true if sending
+// is finished (the queue was idle, or the context is done), and false if the connection was
+// lost.
 func (t *Transport) writeQueue(ctx context.Context, c net.Conn, to ids.Address, first []byte, queue chan []byte) bool {
 	defer func() { _ = c.Close() }()
 	closedByPeer := watchClose(c)
@@ -80,7 +79,7 @@
 	if err != nil {
 		return true
 	}
-	// It only fills the buffer; an error comes back with the first frame.
+	// This only fills the buffer. A failed write is reported with the first frame.
 	_, _ = w.Write(hello)
 	idle := time.NewTimer(idleTimeout)
 	defer idle.Stop()
@@ -108,8 +107,8 @@
 	}
 }
 
-// watchClose gives a channel that closes once the peer has closed the connection. The
-// peer never writes on it, so any end of a read means that.
+// watchClose returns a channel that is closed when the peer closes the connection. The peer
+// never writes to it, so a read returns only then.
 func watchClose(c net.Conn) <-chan struct{} {
 	closed := make(chan struct{})
 	go func() {
@@ -119,8 +118,8 @@
 	return closed
 }
 
-// writeAndCount writes a frame, flushes if nothing else waits in the queue, and counts
-// the frame as sent, also if that failed.
+// writeAndCount writes a frame, flushes if the queue is empty, and counts the frame as sent
+// even if writing failed.
 func (t *Transport) writeAndCount(c net.Conn, w *bufio.Writer, frame []byte, queue <-chan []byte) error {
 	err := writeFrame(c, w, frame)
 	if err == nil && len(queue) == 0 {
@@ -130,8 +129,8 @@
 	return err
 }
 
-// writeFrame writes a frame in chunks, each with a deadline of its own: a peer that
-// takes nothing is lost, one that is only slow is not.
+// writeFrame writes a frame in chunks, each with its own deadline, so that it fails for
+// stalled connections but not for slow ones.
 func writeFrame(c net.Conn, w *bufio.Writer, frame []byte) error {
 	for len(frame) > 0 {
 		n := min(len(frame), writeChunkSize)
--- a/internal/transport/process/connection_test.go
+++ b/internal/transport/process/connection_test.go
@@ -14,7 +14,7 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// slowReader takes a few bytes at a time, after a pause.
+// slowReader reads at most 8 KiB at a time, each after a pause.
 type slowReader struct {
 	net.Conn
 	pause time.Duration
@@ -25,9 +25,8 @@
 	return s.Conn.Read(b[:min(len(b), 8<<10)])
 }
 
-// A frame that is carried slowly, but steadily, arrives; one that a peer takes
-// nothing of ends the connection.
-func TestTransport_SlowLinkCarriesLargeFrames(t *testing.T) {
+// A large frame must arrive over a slow connection. A stalled connection must be closed.
+func TestTransport_LargeFramesOverSlowAndStalledLinks(t *testing.T) {
 	for name, c := range map[string]struct {
 		pause   time.Duration
 		arrives bool
@@ -39,15 +38,15 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				ctx, stop := context.WithCancel(context.Background())
-				ours, theirs := net.Pipe()
+				local, remote := net.Pipe()
 				transport := &Transport{Address: "10.0.0.1:1", Log: NewLog("fatal", "d"), ctx: ctx}
-				transport.Dial = func(context.Context, ids.Address) (net.Conn, error) { return ours, nil }
+				transport.Dial = func(context.Context, ids.Address) (net.Conn, error) { return local, nil }
 				body := make([]byte, 1<<20)
 				transport.Send("10.0.0.2:1", largeMessage{Body: body})
-				_, _, err := wire.Read(theirs) // Hello
+				_, _, err := wire.Read(remote) // Hello
 				is.NoErr(err)
 				start := time.Now()
-				_, got, err := wire.Read(slowReader{theirs, c.pause})
+				_, got, err := wire.Read(slowReader{remote, c.pause})
 				if c.arrives {
 					is.NoErr(err)
 					is.Equal(len(got.(largeMessage).Body), len(body))
@@ -56,8 +55,8 @@
 					is.True(err != nil)
 				}
 				stop()
-				is.NoErr(theirs.Close())
-				_, _ = io.Copy(io.Discard, theirs)
+				is.NoErr(remote.Close())
+				_, _ = io.Copy(io.Discard, remote)
 			})
 		})
 	}
--- a/internal/transport/process/dial.go
+++ b/internal/transport/process/dial.go
@@ -13,37 +13,36 @@
 )
 
 const (
-	// minRedialDelay and maxRedialDelay bound the pause between two dials. A peer that
-	// refuses may be about to start, as all do after a loss of the whole fleet, and
-	// the first agreement then waits for a chain of several such dials.
+	// minRedialDelay and maxRedialDelay limit the backoff between two dials. The maximum
+	// is short because, after a power loss of the whole fleet, the first quorum needs
+	// several successive connections to peers that are still starting.
 	minRedialDelay = 50 * time.Millisecond
 	maxRedialDelay = 200 * time.Millisecond
-	// initialDialTimeout bounds the first dials. A machine without power doesn't
-	// answer, and the kernel repeats its SYN only after a second; one that gets its
-	// power back meanwhile is found sooner by a new dial.
+	// initialDialTimeout is the timeout of the first dial. It is shorter than the kernel's
+	// SYN retransmission timeout of 1 s, so that a peer that starts in the meantime is
+	// reached sooner by a new dial.
 	initialDialTimeout = 300 * time.Millisecond
-	// dialTimeout bounds later dials; it bears a slow link.
+	// dialTimeout is the maximum timeout of later dials. It allows for slow links.
 	dialTimeout = time.Second
-	// dialBackoffFactor multiplies delay and time-out after each dial that failed.
+	// dialBackoffFactor multiplies the delay and the timeout after each failed dial.
 	dialBackoffFactor = 2
 )
 
-// TCPUserTimeout is the socket option TCP_USER_TIMEOUT of Linux, which package syscall
-// lacks.
+// TCPUserTimeout is the Linux socket option TCP_USER_TIMEOUT, which package syscall doesn't
+// define.
 const TCPUserTimeout = 18
 
 // dialFunc opens a connection to a peer.
 type dialFunc func(ctx context.Context, to ids.Address) (net.Conn, error)
 
-// dialBackoff is the state of dialling one peer: the time-out of the next dial, and
-// the delay before it.
+// dialBackoff holds the timeout of the next dial of a peer, and the delay before it.
 type dialBackoff struct{ timeout, delay time.Duration }
 
 func newDialBackoff() dialBackoff {
 	return dialBackoff{timeout: initialDialTimeout, delay: minRedialDelay}
 }
 
-// dial dials once. Success resets the backoff, failure increases it.
+// dial dials once. It resets the backoff on success and increases it on failure.
 func (b *dialBackoff) dial(ctx context.Context, to ids.Address, open dialFunc) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, b.timeout)
 	defer cancel()
@@ -57,8 +56,8 @@
 	return nil, err
 }
 
-// dial opens a TCP connection to a peer from this daemon's own IP address, which the
-// peer compares with the one in Hello.
+// dial opens a TCP connection to a peer from this daemon's own IP address, which the peer
+// compares with the one in Hello.
 func (t *Transport) dial(ctx context.Context, to ids.Address) (net.Conn, error) {
 	d := net.Dialer{Timeout: dialTimeout, Control: setUserTimeout}
 	if local, err := netip.ParseAddrPort(string(cmp.Or(t.Bind, t.Address))); err == nil {
@@ -68,11 +67,11 @@
 	return c, errs.Wrap(err, "dial", string(to))
 }
 
-// setUserTimeout lets the kernel give up a connection whose data isn't acknowledged
-// within writeTimeout. By default it goes on for a quarter of an hour.
+// setUserTimeout makes the kernel close a connection if sent data isn't acknowledged within
+// writeTimeout, instead of after about 15 minutes.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
-		// Without the option the connection still ends, only later.
+		// An error is ignored: without the option, the connection only closes later.
 		_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, TCPUserTimeout, int(writeTimeout/time.Millisecond))
 	})
 }
--- a/internal/transport/process/dial_test.go
+++ b/internal/transport/process/dial_test.go
@@ -12,8 +12,8 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// unpoweredPeer is a machine without power: a dial gets no answer, also one that
-// began before the power came back.
+// unpoweredPeer is a peer on a machine without power until downUntil. A dial that starts
+// before then gets no response.
 type unpoweredPeer struct {
 	downUntil   time.Time
 	connectedAt time.Time
@@ -29,21 +29,21 @@
 			return nil, context.DeadlineExceeded
 		}
 	}
-	ours, theirs := net.Pipe()
-	p.connectedAt, p.conn = time.Now(), theirs
-	return ours, nil
+	local, remote := net.Pipe()
+	p.connectedAt, p.conn = time.Now(), remote
+	return local, nil
 }
 
-// All machines lost power and came back within tenths of a second of each other; one
-// dial that hung for a second then held up the first agreement for as long.
+// A dial that hangs while a peer's machine has no power must not delay the connection after
+// the power returns.
 func TestTransport_ReconnectsSoonAfterPowerReturns(t *testing.T) {
-	for _, down := range []time.Duration{50 * time.Millisecond, 200 * time.Millisecond, 290 * time.Millisecond} {
-		t.Run(down.String(), func(t *testing.T) {
+	for _, downtime := range []time.Duration{50 * time.Millisecond, 200 * time.Millisecond, 290 * time.Millisecond} {
+		t.Run(downtime.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				ctx, stop := context.WithCancel(context.Background())
 				defer stop()
-				peer := &unpoweredPeer{downUntil: time.Now().Add(down)}
+				peer := &unpoweredPeer{downUntil: time.Now().Add(downtime)}
 				transport := &Transport{Address: "10.0.0.1:1", Dial: peer.dial, Log: NewLog("error", "d"), ctx: ctx}
 				transport.Send("10.0.0.2:1", anyMessage())
 				<-time.After(2 * time.Second)
--- a/internal/transport/process/discard.go
+++ b/internal/transport/process/discard.go
@@ -8,26 +8,26 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// The reasons for which the transport itself discards a frame or closes a connection.
-// They are labels of the metric wire_messages_total.
+// Reasons for which the transport itself discards a frame or closes a connection. They are
+// label values of the metric wire_messages_total.
 const (
 	malformedFrame event.Reason = "malformed frame"
 	unknownKind    event.Reason = "unknown kind"
-	// badHello is a Hello from another address than it names, or a second one.
+	// badHello is a Hello whose address doesn't match the connection, or a second one.
 	badHello event.Reason = "bad hello"
-	// noHello is a message before any Hello.
+	// noHello is a message received before Hello.
 	noHello event.Reason = "no hello"
 )
 
-// discardedPrefix begins the Direction of each reason, such as
+// discardedPrefix is the prefix of the Direction for each reason, such as
 // discarded_malformed_frame.
 const discardedPrefix = "discarded_"
 
-// maxLoggedPeers bounds the memory for peers whose discards were logged.
+// maxLoggedPeers limits the number of entries in logOnce.
 const maxLoggedPeers = 4096
 
-// logOnce remembers what was logged, so that a peer that keeps sending nonsense costs
-// one line for each kind of it.
+// logOnce records which discards were logged, so that a peer that keeps sending invalid
+// messages doesn't flood the log.
 type logOnce struct {
 	mu   sync.Mutex
 	seen map[loggedDiscard]bool
@@ -38,8 +38,8 @@
 	reason event.Reason
 }
 
-// firstTime reports whether a peer wasn't logged for a reason before, and remembers
-// it. Beyond maxLoggedPeers it is always false.
+// firstTime reports whether it is called for the first time with this peer and reason. It
+// returns false once maxLoggedPeers entries are recorded.
 func (l *logOnce) firstTime(peer string, reason event.Reason) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -54,8 +54,8 @@
 	return true
 }
 
-// Discard counts a message that a machine discarded, and logs the first of its peer
-// and reason.
+// Discard counts a message that a state machine discarded. It logs only the first one for
+// each peer and reason.
 func (t *Transport) Discard(d event.Discarded) {
 	t.discard(string(d.From), d.Reason, wire.KindOfMessage(d.Message), 0, "")
 }
--- a/internal/transport/process/discard_test.go
+++ b/internal/transport/process/discard_test.go
@@ -19,7 +19,7 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// Bad input from a peer is delivered to no machine, counted each time, and logged
+// Invalid input from a peer must not be delivered. It must be counted each time and logged
 // once.
 func TestTransport_CountsEachDiscardAndLogsPeerOnce(t *testing.T) {
 	hello, good := encodeFrame(t, Hello{Address: "127.0.0.1:4"}), encodeFrame(t, textMessage{"word"})
@@ -32,15 +32,15 @@
 		parts     [][]byte
 		delivered int
 	}{
-		"no hello":                        {[][]byte{good}, 0},
-		"hello in this daemon's own name": {nil, 0},
-		"hello for another machine":       {[][]byte{encodeFrame(t, Hello{Address: "127.9.9.9:4"}), good}, 0},
-		"hello without an address":        {[][]byte{encodeFrame(t, Hello{}), good}, 0},
-		"a second hello":                  {[][]byte{hello, good, encodeFrame(t, Hello{Address: "127.0.0.1:5"}), good}, 1},
-		"oversized frame":                 {[][]byte{hello, tooLong, good}, 0},
-		"body that ends early":            {[][]byte{hello, truncated, good}, 0},
-		"no frame at all":                 {[][]byte{hello, []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"), good}, 0},
-		"unknown kind":                    {[][]byte{hello, unknown, good}, 1},
+		"no hello":                          {[][]byte{good}, 0},
+		"hello with the receiver's address": {nil, 0},
+		"hello with another IP address":     {[][]byte{encodeFrame(t, Hello{Address: "127.9.9.9:4"}), good}, 0},
+		"hello without an address":          {[][]byte{encodeFrame(t, Hello{}), good}, 0},
+		"second hello":                      {[][]byte{hello, good, encodeFrame(t, Hello{Address: "127.0.0.1:5"}), good}, 1},
+		"oversized frame":                   {[][]byte{hello, tooLong, good}, 0},
+		"truncated body":                    {[][]byte{hello, truncated, good}, 0},
+		"not a frame":                       {[][]byte{hello, []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"), good}, 0},
+		"unknown kind":                      {[][]byte{hello, unknown, good}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -59,7 +59,7 @@
 	}
 }
 
-// What a machine discards is counted each time, and logged once a peer.
+// Messages discarded by state machines must be counted each time and logged once per peer.
 func TestTransport_CountsDiscardsOfMachines(t *testing.T) {
 	is := is.New(t)
 	transport, out, _ := startReceiver(t)
@@ -70,8 +70,8 @@
 	is.Equal(out.count("message_discarded"), 2)
 }
 
-// However a connection ends, and wherever, only whole frames are delivered, in their
-// order and once.
+// If a connection is cut at any byte, only complete frames must be delivered, once and in
+// order.
 func TestTransport_DeliversOnlyWholeFramesWhenCutAtAnyByte(t *testing.T) {
 	is := is.New(t)
 	transport, out, delivered := startReceiver(t)
@@ -90,7 +90,7 @@
 		}
 		is.Equal(len(delivered), 0)
 	}
-	is.Equal(out.count("message_discarded"), 0) // a peer that dies isn't malformed
+	is.Equal(out.count("message_discarded"), 0) // a closed connection isn't a malformed frame
 }
 
 func TestIsConnectionEnd(t *testing.T) {
@@ -99,12 +99,12 @@
 		err  error
 		want bool
 	}{
-		"peer closed":        {io.EOF, true},
-		"cut within a frame": {io.ErrUnexpectedEOF, true},
-		"closed here":        {net.ErrClosed, true},
-		"reset":              {reset, true},
-		"malformed frame":    {wire.ErrMalformedFrame, false},
-		"text of a reset":    {errors.New("connection reset"), false},
+		"peer closed":              {io.EOF, true},
+		"cut within a frame":       {io.ErrUnexpectedEOF, true},
+		"closed here":              {net.ErrClosed, true},
+		"reset":                    {reset, true},
+		"malformed frame":          {wire.ErrMalformedFrame, false},
+		"error with the same text": {errors.New("connection reset"), false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
--- a/internal/transport/process/doc.go
+++ b/internal/transport/process/doc.go
@@ -1,16 +1,16 @@
-// Package process runs the pure state machines in real processes. It has an Owner
-// that steps a machine, a Transport that sends and receives the machines' messages
-// over TCP, the process's clock, and the log.
+// Package process runs the deterministic state machines in daemons. It provides the Owner
+// that runs a state machine, the Transport that sends and receives its messages over TCP,
+// the process's monotonic clock and the log.
 //
 // Invariants:
-//   - one goroutine, the owner's, steps a machine; everything else reaches it through
-//     the owner's queue.
-//   - a message may be lost, with its connection or in a full queue, but is delivered
-//     whole, at most once, and in order along one connection. The machines repeat
-//     what must arrive.
-//   - input that is malformed, or from a peer that isn't who it says it is, is counted
-//     and discarded; it never reaches a machine or ends the process.
+//   - A state machine is called by a single goroutine. All other goroutines send it events
+//     through a queue.
+//   - A message may be lost with its connection or because a queue is full. It is delivered
+//     completely, at most once, and in order within a connection. The state machines resend
+//     messages where needed.
+//   - Input that is malformed, or from a peer at another address than it claims, is counted
+//     and discarded. It never reaches a state machine and never terminates the process.
 //
-// The package knows no message but Hello and interprets none. Its tests use real
-// connections, or synctest's clock where time is what is tested.
+// Hello is the only message that the package defines or interprets. The tests use real
+// connections, or the fake clock of synctest where they depend on time.
 package process
--- a/internal/transport/process/helpers_test.go
+++ b/internal/transport/process/helpers_test.go
@@ -17,15 +17,15 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// textMessage is the message that most tests send.
+// textMessage is the message sent by most tests.
 type textMessage struct{ Text string }
 
-// largeMessage takes a slow link much longer than writeTimeout.
+// largeMessage is for messages that take longer than writeTimeout over a slow connection.
 type largeMessage struct{ Body []byte }
 
 var _ = wire.Register(65001, textMessage{}) && wire.Register(65000, largeMessage{})
 
-// encodeFrame gives the frame of a message.
+// encodeFrame returns the encoded frame of a message.
 func encodeFrame(t *testing.T, msg any) []byte {
 	t.Helper()
 	frame, err := wire.Encode(msg)
@@ -33,7 +33,7 @@
 	return frame
 }
 
-// logBuffer is a log's output in memory.
+// logBuffer collects log output in memory.
 type logBuffer struct {
 	mu  sync.Mutex
 	out bytes.Buffer
@@ -45,14 +45,14 @@
 	return l.out.Write(p)
 }
 
-// count gives how often a text stands in the log.
+// count returns the number of occurrences of a text in the log.
 func (l *logBuffer) count(text string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Count(l.out.String(), text)
 }
 
-// serve lets a transport listen at a free port and serve until the test ends.
+// serve runs a transport on a free port until the test ends.
 func serve(t *testing.T, transport *Transport) {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
@@ -64,8 +64,8 @@
 	go func() { _ = transport.Serve(ctx, l) }()
 }
 
-// startReceiver gives a transport that serves, its log, and the messages that it
-// delivered.
+// startReceiver runs a transport and returns it with its log and the messages that it
+// delivers.
 func startReceiver(t *testing.T) (*Transport, *logBuffer, chan any) {
 	t.Helper()
 	delivered, out := make(chan any, 64), &logBuffer{}
@@ -77,8 +77,8 @@
 	return transport, out, delivered
 }
 
-// sendRaw sends bytes on a connection of their own, closes its own side, and waits
-// until the receiver has read them and closed the other.
+// sendRaw sends bytes over a new connection, half-closes it, and waits until the receiver
+// closes it.
 func sendRaw(t *testing.T, to *Transport, parts ...[]byte) {
 	t.Helper()
 	is := is.New(t)
@@ -88,15 +88,15 @@
 	is.NoErr(c.SetDeadline(time.Now().Add(10 * time.Second)))
 	for _, part := range parts {
 		if _, err := c.Write(part); err != nil {
-			return // the receiver has closed already
+			return // the receiver has already closed the connection
 		}
 	}
-	// Both may fail if the receiver has closed already.
+	// Both fail if the receiver has already closed the connection.
 	_ = c.(*net.TCPConn).CloseWrite()
 	_, _ = io.Copy(io.Discard, c)
 }
 
-// discardedMessages gives how many messages a transport counted as discarded.
+// discardedMessages returns the number of messages that a transport counted as discarded.
 func discardedMessages(transport *Transport) (n uint64) {
 	for _, traffic := range transport.Stats.Snapshot() {
 		if strings.HasPrefix(string(traffic.Direction), "discarded") {
--- a/internal/transport/process/log.go
+++ b/internal/transport/process/log.go
@@ -12,7 +12,7 @@
 	"dunlinwell/internal/base/event"
 )
 
-// The events that the transport logs.
+// Log events of the transport.
 const (
 	logMessageDiscarded  event.LogEvent = "message_discarded"
 	logMessageNotEncoded event.LogEvent = "message_not_encoded"
@@ -20,10 +20,10 @@
 	logTrafficSummary    event.LogEvent = "traffic_summary"
 )
 
-// Log writes one line of key=value pairs for each event.
+// Log writes log entries as lines of key=value pairs.
 type Log struct{ log.Logger }
 
-// NewLog makes a log of a daemon to standard error, from a level up.
+// NewLog returns a log that writes a daemon's entries of at least a level to standard error.
 func NewLog(level, daemon string) *Log {
 	return &Log{log.Logger{
 		Level: log.ParseLevel(level), TimeField: "time", TimeFormat: "2006-01-02T15:04:05.000Z07:00",
@@ -32,7 +32,7 @@
 	}}
 }
 
-// formatKeyValues writes a line of key=value pairs, quoted where they have to be.
+// formatKeyValues writes a line of key=value pairs, with values quoted as needed.
 func formatKeyValues(w io.Writer, a *log.FormatterArgs) (int, error) {
 	var line strings.Builder
 	fmt.Fprintf(&line, "time=%s level=%s event=%s", a.Time, a.Level, quoteValue(a.Message))
@@ -50,7 +50,7 @@
 	return s
 }
 
-// Event logs an event. The fields are keys and values in turn.
+// Event logs an event. The fields are alternating keys and values.
 func (l *Log) Event(level event.Level, name event.LogEvent, fields ...string) {
 	entry := l.WithLevel(log.ParseLevel(string(level)))
 	for i := 0; i+1 < len(fields); i += 2 {
@@ -59,5 +59,5 @@
 	entry.Msg(string(name))
 }
 
-// WriteEntry logs an entry of a machine.
+// WriteEntry logs an entry emitted by a state machine.
 func (l *Log) WriteEntry(entry event.LogEntry) { l.Event(entry.Level, entry.Event, entry.Fields...) }
--- a/internal/transport/process/owner.go
+++ b/internal/transport/process/owner.go
@@ -7,31 +7,31 @@
 	"dunlinwell/internal/base/event"
 )
 
-// ownerQueueLength is how many events may wait for a machine. Beyond it messages are
-// lost (Offer) and other events wait (Put).
-const ownerQueueLength = 4096
+// eventQueueLength is the capacity of the event queue. If it is full, Offer drops the event
+// and Put blocks.
+const eventQueueLength = 4096
 
-// Owner steps a machine with the events of its queue and of a timer, and executes the
-// commands that the machine gives.
+// Owner is the event loop of a state machine. It passes queued events and periodic ticks to
+// the state machine and executes the commands that it returns.
 type Owner struct {
 	event.Machine
-	// Execute carries out one command. It must not wait for the owner.
+	// Execute executes one command. It must not block on the event loop, as Put may.
 	Execute func(event.Command)
-	// TickEvery is the interval of event.Tick.
+	// TickEvery is the interval between two event.Tick.
 	TickEvery time.Duration
 	queue     chan event.Event
 }
 
-// NewOwner makes an owner of a machine.
-func NewOwner(machine event.Machine, tickEvery time.Duration, execute func(event.Command)) *Owner {
-	return &Owner{Machine: machine, Execute: execute, TickEvery: tickEvery, queue: make(chan event.Event, ownerQueueLength)}
+// NewOwner returns the event loop of a state machine. Serve runs it.
+func NewOwner(machine event.Machine, tickInterval time.Duration, execute func(event.Command)) *Owner {
+	return &Owner{Machine: machine, Execute: execute, TickEvery: tickInterval, queue: make(chan event.Event, eventQueueLength)}
 }
 
-// Put queues an event, and waits while the queue is full.
+// Put queues an event. It blocks while the queue is full.
 func (o *Owner) Put(ev event.Event) { o.queue <- ev }
 
-// Offer queues an event unless the queue is full. It is for messages from peers, which
-// may be lost and must not hold up the connections.
+// Offer queues an event, or drops it if the queue is full. It is meant for messages from
+// peers, which may be lost and must not block the connections.
 func (o *Owner) Offer(ev event.Event) {
 	select {
 	case o.queue <- ev:
@@ -39,7 +39,7 @@
 	}
 }
 
-// Serve steps the machine until the context ends.
+// Serve runs the event loop until the context is done.
 func (o *Owner) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(o.TickEvery)
 	defer ticker.Stop()
--- a/internal/transport/process/receive.go
+++ b/internal/transport/process/receive.go
@@ -13,8 +13,8 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// receive reads one peer's connection to its end. A malformed frame or a false Hello
-// closes it.
+// receive reads messages from a peer's connection until it is closed. It closes the
+// connection after a malformed frame or an invalid Hello.
 func (t *Transport) receive(ctx context.Context, c net.Conn) {
 	defer func() { _ = c.Close() }()
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
@@ -40,7 +40,7 @@
 			t.discard(remote, badHello, header.Kind, header.Size(), string(hello.Address))
 			return
 		case msg == nil:
-			// A newer version may send kinds that this one doesn't know.
+			// Peers of a newer version may send kinds that this version doesn't know.
 			t.discard(remote, unknownKind, header.Kind, header.Size(), "")
 		case from == "":
 			t.discard(remote, noHello, header.Kind, header.Size(), "")
@@ -50,9 +50,9 @@
 	}
 }
 
-// acceptsHello reports whether a peer may be who it says it is. Nobody speaks for this
-// very daemon over a connection, and a peer dials from the IP address that it names
-// unless addresses are mapped on the way (Bind).
+// acceptsHello reports whether the address in a peer's Hello is plausible: it isn't that of
+// this daemon, and has the IP address of the connection, unless addresses are translated
+// between daemons (Bind).
 func (t *Transport) acceptsHello(hello ids.Address, remote net.Addr) bool {
 	claimed, err := netip.ParseAddrPort(string(hello))
 	if err != nil || hello == t.Address {
@@ -62,8 +62,8 @@
 	return err != nil || t.Bind != "" || claimed.Addr().Unmap() == from.Addr().Unmap()
 }
 
-// remoteHost names a peer that hasn't said who it is. Its port is left out, as it is
-// another for each connection.
+// remoteHost returns the host of a connection's remote address, without the port, which
+// differs for each connection.
 func remoteHost(remote net.Addr) string {
 	host, _, err := net.SplitHostPort(remote.String())
 	if err != nil {
@@ -72,8 +72,8 @@
 	return host
 }
 
-// isConnectionEnd reports whether an error means that a connection ended, as it does
-// whenever a peer stops, and not that the peer sent something wrong.
+// isConnectionEnd reports whether an error means that the connection was closed or reset,
+// and not that the peer sent invalid data.
 func isConnectionEnd(err error) bool {
 	for _, end := range []error{io.EOF, io.ErrUnexpectedEOF, net.ErrClosed, syscall.ECONNRESET} {
 		if errors.Is(err, end) {
--- a/internal/transport/process/traffic.go
+++ b/internal/transport/process/traffic.go
@@ -8,31 +8,32 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// Direction says where a frame went. It is the label way of the metrics
-// wire_messages_total and wire_bytes_total; a discarded frame has one of its own for
-// each reason.
+// Direction is what happened to a frame. It is the label "way" of the metrics
+// wire_messages_total and wire_bytes_total. Discarded frames have a separate value for each
+// reason.
 type Direction string
 
-// The directions of frames that weren't discarded.
+// Directions of frames that weren't discarded.
 const (
 	Sent     Direction = "sent"
 	Received Direction = "received"
-	// Dropped is a frame that was never sent, as its peer's queue was full.
+	// Dropped is a frame that was not sent because the peer's queue was full or the peer
+	// was unreachable.
 	Dropped Direction = "lost"
 )
 
-// unknownKindName is the kind of frames of which this version doesn't know the type.
+// unknownKindName is Traffic.Kind of frames whose kind isn't registered.
 const unknownKindName = "unknown"
 
-// Traffic is the count of frames of one kind in one direction.
+// Traffic holds the number and total size of frames of one kind in one direction.
 type Traffic struct {
 	Direction Direction
-	// Kind is the name of the message type.
+	// Kind is the name of the kind, as returned by wire.Kind.Name.
 	Kind            string
 	Messages, Bytes uint64
 }
 
-// TrafficStats counts frames by direction and kind. A nil one counts nothing.
+// TrafficStats counts frames by direction and kind. A nil *TrafficStats counts nothing.
 type TrafficStats struct {
 	mu     sync.Mutex
 	byKind map[trafficKey]*Traffic
@@ -62,7 +63,7 @@
 	traffic.Bytes += uint64(size)
 }
 
-// Snapshot gives the counts so far, ordered by direction and kind.
+// Snapshot returns the current counts, ordered by direction and kind.
 func (t *TrafficStats) Snapshot() []Traffic {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/transport/process/traffic_log.go
+++ b/internal/transport/process/traffic_log.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// trafficLogInterval is short enough to see what a fault costs while it lasts.
+	// trafficLogInterval is the interval between two traffic summaries.
 	trafficLogInterval = 20 * time.Second
-	// trafficLogKinds is how many kinds of message a summary names.
+	// trafficLogKinds is the number of message kinds listed in a summary.
 	trafficLogKinds = 5
 )
 
-// logTraffic logs, every trafficLogInterval, the bytes sent since the last summary and
-// the kinds that made up most of them.
+// logTraffic periodically logs the bytes sent since the last summary, and the kinds with the
+// most bytes.
 func (t *Transport) logTraffic(ctx context.Context) {
 	ticker := time.NewTicker(trafficLogInterval)
 	defer ticker.Stop()
@@ -31,27 +31,27 @@
 		case <-ticker.C:
 		}
 		total, largest := sentSince(logged, t.Stats.Snapshot())
-		t.Log.Event(event.LevelInfo, logTrafficSummary, "bytes", strconv.FormatUint(total, 10), "most", strings.Join(largest, ","))
+		t.Log.Event(event.LevelInfo, logTrafficSummary, "bytes", strconv.FormatUint(total, 10), "largest_kinds", strings.Join(largest, ","))
 	}
 }
 
-// kindBytes is how much of one kind was sent.
+// kindBytes is the number of bytes sent in messages of one kind.
 type kindBytes struct {
 	kind  string
 	bytes uint64
 }
 
-// sentSince gives the bytes sent beyond those logged, in all and for the largest
-// kinds (as KIND:BYTES), and updates logged.
+// sentSince returns the bytes sent in addition to those in logged, in total and for the
+// kinds with the most bytes (as KIND:BYTES). It updates logged.
 func sentSince(logged map[string]uint64, counts []Traffic) (total uint64, largest []string) {
 	var sent []kindBytes
 	for _, traffic := range counts {
 		if traffic.Direction != Sent {
 			continue
 		}
-		since := traffic.Bytes - logged[traffic.Kind]
-		sent = append(sent, kindBytes{traffic.Kind, since})
-		total += since
+		newBytes := traffic.Bytes - logged[traffic.Kind]
+		sent = append(sent, kindBytes{traffic.Kind, newBytes})
+		total += newBytes
 		logged[traffic.Kind] = traffic.Bytes
 	}
 	slices.SortFunc(sent, func(a, b kindBytes) int {
--- a/internal/transport/process/traffic_test.go
+++ b/internal/transport/process/traffic_test.go
@@ -11,7 +11,7 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// What one transport counts as sent, the other counts as received, byte for byte.
+// The sender's count of sent messages and bytes must equal the receiver's count.
 func TestTrafficStats_SenderAndReceiverAgree(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
@@ -21,7 +21,7 @@
 	receiver := &Transport{Stats: &TrafficStats{}, Log: NewLog("error", "b"), Deliver: func(_ ids.Address, msg any) { delivered <- msg }}
 	serve(t, sender)
 	serve(t, receiver)
-	// A transport sends nothing before it serves.
+	// Messages are dropped until the sender's Serve has started.
 	for arrived := false; !arrived; {
 		sender.Send(receiver.Address, textMessage{"hello"})
 		select {
@@ -30,7 +30,7 @@
 			arrived = true
 		case <-time.After(20 * time.Millisecond):
 		case <-ctx.Done():
-			t.Fatal("nothing arrived")
+			t.Fatal("no message arrived")
 		}
 	}
 	var sent, received Traffic
@@ -42,8 +42,7 @@
 	is.Equal(sent.Bytes, sent.Messages*uint64(len(encodeFrame(t, textMessage{"hello"}))))
 }
 
-// textTraffic gives what was counted of textMessage in a direction, without the
-// direction.
+// textTraffic returns the counts of textMessage in a direction, with Direction cleared.
 func textTraffic(stats *TrafficStats, direction Direction) Traffic {
 	for _, traffic := range stats.Snapshot() {
 		if traffic.Direction == direction && traffic.Kind == wire.KindOfMessage(textMessage{}).Name() {
@@ -59,7 +58,7 @@
 	none.count(Sent, 1, 10)
 }
 
-// A summary names the bytes since the last one, and the largest kinds first.
+// Only bytes sent since the last call must be returned, the largest kinds first.
 func TestSentSince(t *testing.T) {
 	is := is.New(t)
 	logged := map[string]uint64{"a": 10}
--- a/internal/transport/process/transport.go
+++ b/internal/transport/process/transport.go
@@ -14,55 +14,55 @@
 
 // Hello is the first message on every connection.
 type Hello struct {
-	// Address is where the sender listens for its peers.
+	// Address is the address on which the sender listens for peers.
 	Address ids.Address
-	// AcceptsDeflated says that the sender reads frames whose body is deflated.
+	// AcceptsDeflated is set if the sender can read frames with a deflated body.
 	AcceptsDeflated bool
 }
 
 var _ = wire.Register(1, Hello{})
 
-// Transport sends messages to peers, over a connection to each that it opens and
-// reopens as needed, and receives those of peers on connections that they open. A
-// connection carries messages one way only.
+// Transport exchanges messages with peers. It sends messages over connections that it opens
+// as needed, one for each peer, and receives messages over connections that the peers open.
 type Transport struct {
-	// Address is where peers reach this daemon.
+	// Address is the address at which peers reach this daemon.
 	Address ids.Address
-	// Bind is where to listen, if not at Address. It says that addresses are mapped
-	// between daemons, so that a peer's may differ from the one it names.
+	// Bind is the address to listen on, if different from Address. If it is set, addresses
+	// may be translated between daemons, so the address in a peer's Hello isn't compared
+	// with that of the connection.
 	Bind ids.Address
-	// Deliver takes each message that arrives. It must not wait.
+	// Deliver is called for each received message. It must not block.
 	Deliver func(from ids.Address, msg any)
 	Log     *Log
-	// Dial opens a connection to a peer; TCP if nil.
+	// Dial opens a connection to a peer. If it is nil, TCP is used.
 	Dial func(ctx context.Context, to ids.Address) (net.Conn, error)
-	// Stats counts the traffic; nothing is counted if nil.
+	// Stats counts the traffic. It may be nil.
 	Stats *TrafficStats
 
 	mu sync.Mutex
-	// queues holds the encoded frames that wait for each peer, while a goroutine
-	// sends to it.
+	// queues holds the queue of encoded frames for each peer. A queue exists as long as
+	// the goroutine that sends its frames.
 	queues map[ids.Address]chan []byte
 	// acceptsDeflated maps each peer to Hello.AcceptsDeflated.
 	acceptsDeflated sync.Map
-	// ctx is that of Serve; nothing is sent before it is set.
+	// ctx is the context of Serve. Until it is set, messages are dropped.
 	ctx        context.Context
 	discardLog logOnce
 }
 
-// queueLength is how many frames may wait for one peer. A peer that is further behind
-// loses messages, which are repeated later.
+// queueLength is the maximum number of queued frames for one peer. Further ones are dropped;
+// the state machines resend messages where needed.
 const queueLength = 512
 
-// Listen opens the port for peers. It stands apart from Serve, so that a port that is
-// taken is known before anything runs.
+// Listen opens the port for peers. It is separate from Serve so that startup fails early if
+// the port is in use.
 func (t *Transport) Listen() (net.Listener, error) {
 	address := string(cmp.Or(t.Bind, t.Address))
 	l, err := net.Listen("tcp", address)
 	return l, errs.Wrap(err, "listen", address)
 }
 
-// Serve accepts connections until the context ends.
+// Serve accepts connections until the context is done.
 func (t *Transport) Serve(ctx context.Context, l net.Listener) error {
 	t.mu.Lock()
 	t.ctx = ctx
@@ -84,8 +84,8 @@
 	}
 }
 
-// Send queues a message for a peer. It never waits: with a full queue the message is
-// lost. A message to this daemon itself is delivered at once.
+// Send queues a message for a peer. It never blocks; if the queue is full, the message is
+// dropped. A message to this daemon itself is delivered immediately.
 func (t *Transport) Send(to ids.Address, msg any) {
 	if to == t.Address {
 		t.Deliver(to, msg)
@@ -102,8 +102,8 @@
 	t.enqueue(to, frame)
 }
 
-// enqueue queues a frame for a peer, and starts the goroutine that sends to the peer
-// if none runs.
+// enqueue queues a frame for a peer and starts the peer's sending goroutine if it isn't
+// running.
 func (t *Transport) enqueue(to ids.Address, frame []byte) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -130,8 +130,8 @@
 	t.Stats.count(Dropped, wire.KindOfFrame(frame), len(frame))
 }
 
-// removeIdleQueue forgets a peer's queue unless a frame waits in it. It reports
-// whether it did; the goroutine that sends must then end.
+// removeIdleQueue removes a peer's queue if it is empty, and reports whether it did. If so,
+// the sending goroutine must return.
 func (t *Transport) removeIdleQueue(to ids.Address, queue chan []byte) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -142,9 +142,9 @@
 	return true
 }
 
-// Execute carries out the commands that every machine of a daemon gives: a message to
-// send, a log entry, a message that was discarded. It reports whether the command was one
-// of these; the others are the daemon's own business.
+// Execute executes the commands that all state machines have in common: event.Send,
+// event.LogEntry and event.Discarded. It returns false for any other command, which the
+// daemon must execute itself.
 func (t *Transport) Execute(command event.Command) bool {
 	switch c := command.(type) {
 	case event.Send:
--- a/internal/transport/process/transport_test.go
+++ b/internal/transport/process/transport_test.go
@@ -14,7 +14,7 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// refusingPeer is a peer that refuses connections for a while, and counts the dials.
+// refusingPeer is a peer that refuses connections until refusesUntil. It counts the dials.
 type refusingPeer struct {
 	refusesUntil time.Time
 	dials        int
@@ -27,31 +27,31 @@
 	if time.Now().Before(p.refusesUntil) {
 		return nil, errors.New("refused")
 	}
-	ours, theirs := net.Pipe()
-	p.connectedAt, p.conn = time.Now(), theirs
-	return ours, nil
+	local, remote := net.Pipe()
+	p.connectedAt, p.conn = time.Now(), remote
+	return local, nil
 }
 
-// anyMessage gives a message whose content doesn't matter.
+// anyMessage returns a message for tests in which the content doesn't matter.
 func anyMessage() Hello { return Hello{Address: "10.0.0.9:1"} }
 
-// After a loss of the whole fleet each daemon refuses the others until it has
-// started, and a proxy is ready only once several have found one another.
+// A transport must connect within maxRedialDelay after a peer has started. Otherwise, daemons
+// that start at the same time would become ready late.
 func TestTransport_ConnectsSoonAfterPeerStarts(t *testing.T) {
-	for _, down := range []time.Duration{0, 300 * time.Millisecond, 1700 * time.Millisecond, 30 * time.Second} {
-		t.Run(down.String(), func(t *testing.T) {
+	for _, downtime := range []time.Duration{0, 300 * time.Millisecond, 1700 * time.Millisecond, 30 * time.Second} {
+		t.Run(downtime.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				ctx, stop := context.WithCancel(context.Background())
 				defer stop()
-				peer := &refusingPeer{refusesUntil: time.Now().Add(down)}
+				peer := &refusingPeer{refusesUntil: time.Now().Add(downtime)}
 				transport := &Transport{Address: "10.0.0.1:1", Dial: peer.dial, Log: NewLog("error", "d"), ctx: ctx}
 				transport.Send("10.0.0.2:1", anyMessage())
-				<-time.After(down + maxRedialDelay)
+				<-time.After(downtime + maxRedialDelay)
 				synctest.Wait()
 				is.True(peer.conn != nil)
 				is.True(peer.connectedAt.Sub(peer.refusesUntil) <= maxRedialDelay)
-				// The message that was queued first arrives, after Hello.
+				// The message that was queued while the peer was down arrives after Hello.
 				for _, want := range []any{Hello{Address: "10.0.0.1:1", AcceptsDeflated: true}, anyMessage()} {
 					_, got, err := wire.Read(peer.conn)
 					is.NoErr(err)
@@ -64,7 +64,7 @@
 	}
 }
 
-// A peer that is gone for good is dialled only while there is a message for it.
+// A peer that has left must not be dialled again unless there is a message for it.
 func TestTransport_DialsOnlyWithQueuedMessages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
