--- a/internal/base/errs/errs.go
+++ b/internal/base/errs/errs.go
@@ -10,9 +10,9 @@
 type OpError struct {
 	// Step is the operation that failed, such as "read header".
 	Step string
-	// Peer is what the step was applied to: the address or name of a peer, a file or a
+	// Subject is what the step was applied to: the address or name of a peer, a file or a
 	// key. It is empty if there is none.
-	Peer string
+	Subject string
 	// Err is the cause, never nil.
 	Err error
 }
@@ -20,10 +20,10 @@
 // Error returns the step, the subject and the cause. The text labels every subject as a peer
 // and must not change, as it appears in the proxy's HTTP responses.
 func (e *OpError) Error() string {
-	if e.Peer == "" {
+	if e.Subject == "" {
 		return fmt.Sprintf("%s: %v", e.Step, e.Err)
 	}
-	return fmt.Sprintf("%s (peer %s): %v", e.Step, e.Peer, e.Err)
+	return fmt.Sprintf("%s (peer %s): %v", e.Step, e.Subject, e.Err)
 }
 
 // Unwrap returns the cause.
@@ -35,7 +35,7 @@
 	if err == nil {
 		return nil
 	}
-	return errors.Trace(&OpError{Step: step, Peer: subject, Err: err})
+	return errors.Trace(&OpError{Step: step, Subject: subject, Err: err})
 }
 
 // New returns an error with a step, its subject and a message formatted as by fmt.Errorf;
--- a/internal/base/errs/errs_test.go
+++ b/internal/base/errs/errs_test.go
@@ -41,5 +41,5 @@
 	is.Equal(opErr.Step, "commit") // the outermost layer is found first
 	is.True(errors.As(opErr.Err, &opErr))
 	is.Equal(opErr.Step, "sync")
-	is.Equal(opErr.Peer, "10.0.0.1:1")
+	is.Equal(opErr.Subject, "10.0.0.1:1")
 }
