--- a/internal/base/event/machine.go
+++ b/internal/base/event/machine.go
@@ -10,8 +10,8 @@
 // type of the state machine's package.
 type Command = any
 
-// Machine is a deterministic state machine.
-type Machine interface {
+// StateMachine is a deterministic state machine.
+type StateMachine interface {
 	// Step applies an event and returns the commands to execute, in order. The time must
 	// not decrease between calls.
 	Step(now ids.Time, ev Event) []Command
--- a/internal/testsupport/simulator/process.go
+++ b/internal/testsupport/simulator/process.go
@@ -27,7 +27,7 @@
 	startedAt  ids.Time
 	// clockOffset is how far the wall clock is off.
 	clockOffset time.Duration
-	machine     event.Machine
+	machine     event.StateMachine
 	backlog     []func()
 	disk        *disk
 	random      *rand.Rand
--- a/internal/testsupport/simulator/trace.go
+++ b/internal/testsupport/simulator/trace.go
@@ -196,7 +196,7 @@
 
 // ReplayTrace replays a trace to a machine. It returns the number of lines replayed, or that of the
 // first one that differs and an error.
-func ReplayTrace(m event.Machine, trace io.Reader) (int, error) {
+func ReplayTrace(m event.StateMachine, trace io.Reader) (int, error) {
 	lines := bufio.NewScanner(trace)
 	lines.Buffer(nil, 16<<20)
 	want, got, n, last := "", "", 0, ""
--- a/internal/testsupport/simulator/trace_recorder.go
+++ b/internal/testsupport/simulator/trace_recorder.go
@@ -29,7 +29,7 @@
 }
 
 // machine makes a machine with these options.
-func (t TraceHeader) machine(storage *disk) event.Machine {
+func (t TraceHeader) machine(storage *disk) event.StateMachine {
 	random := rand.New(rand.NewPCG(t.Random[0], t.Random[1]))
 	switch t.Membership.Self.Role {
 	case membership.Store:
@@ -50,12 +50,12 @@
 	if err == nil {
 		_, err = fmt.Fprintf(into, "# %x\n", raw)
 	}
-	p.machine = &traceRecorder{Machine: p.machine, process: p, into: into, until: p.world.TraceFor, err: err}
+	p.machine = &traceRecorder{StateMachine: p.machine, process: p, into: into, until: p.world.TraceFor, err: err}
 }
 
 // traceRecorder writes the events that a machine receives and its commands, until a time.
 type traceRecorder struct {
-	event.Machine
+	event.StateMachine
 	process *process
 	into    io.Writer
 	until   time.Duration
@@ -65,7 +65,7 @@
 // Step passes an event to the machine and records it with its commands.
 func (r *traceRecorder) Step(now ids.Time, ev event.Event) []event.Command {
 	line := writeEvent(now, ev)
-	out := r.Machine.Step(now, ev)
+	out := r.StateMachine.Step(now, ev)
 	if r.err != nil || time.Duration(r.process.world.now) > r.until {
 		return out
 	}
@@ -88,13 +88,13 @@
 		return 0, fmt.Errorf("trace header %.80q: %w", header, err)
 	}
 	storage := newDisk(nil)
-	return ReplayTrace(&replayDisk{Machine: parsed.machine(storage), disk: storage, unsynced: map[uint64][]event.Record{}}, trace)
+	return ReplayTrace(&replayDisk{StateMachine: parsed.machine(storage), disk: storage, unsynced: map[uint64][]event.Record{}}, trace)
 }
 
 // replayDisk keeps the records that a machine syncs, and puts them on its disk when the trace says
 // that they are synced.
 type replayDisk struct {
-	event.Machine
+	event.StateMachine
 	disk     *disk
 	unsynced map[uint64][]event.Record
 	// nextBatch is the lowest batch that is not synced.
@@ -111,7 +111,7 @@
 			delete(r.unsynced, r.nextBatch)
 		}
 	}
-	out := r.Machine.Step(now, ev)
+	out := r.StateMachine.Step(now, ev)
 	for _, c := range out {
 		if sync, ok := c.(event.Sync); ok {
 			r.unsynced[sync.Batch] = append(r.unsynced[sync.Batch], sync.Records...)
--- a/internal/transport/process/owner.go
+++ b/internal/transport/process/owner.go
@@ -14,7 +14,7 @@
 // Owner is the event loop of a state machine. It passes queued events and periodic ticks to
 // the state machine and executes the commands that it returns.
 type Owner struct {
-	event.Machine
+	event.StateMachine
 	// Execute executes one command. It must not block on the event loop, as Put may.
 	Execute func(event.Command)
 	// TickEvery is the interval between two event.Tick.
@@ -23,8 +23,8 @@
 }
 
 // NewOwner returns the event loop of a state machine. Serve runs it.
-func NewOwner(machine event.Machine, tickInterval time.Duration, execute func(event.Command)) *Owner {
-	return &Owner{Machine: machine, Execute: execute, TickEvery: tickInterval, queue: make(chan event.Event, eventQueueLength)}
+func NewOwner(machine event.StateMachine, tickInterval time.Duration, execute func(event.Command)) *Owner {
+	return &Owner{StateMachine: machine, Execute: execute, TickEvery: tickInterval, queue: make(chan event.Event, eventQueueLength)}
 }
 
 // Put queues an event. It blocks while the queue is full.
