--- a/internal/app/daemon/graceful_stop.go
+++ b/internal/app/daemon/graceful_stop.go
@@ -28,7 +28,7 @@
 
 // onSignal asks the machine to leave once the context ends, and bounds how long that
 // may take.
-func (g *gracefulStop) onSignal(ctx context.Context, grace time.Duration, owner *process.Owner) {
+func (g *gracefulStop) onSignal(ctx context.Context, grace time.Duration, owner *process.EventLoop) {
 	context.AfterFunc(ctx, func() {
 		time.AfterFunc(grace+stopSlack, g.end)
 		owner.Put(store.Leave{GracePeriod: grace})
--- a/internal/app/daemon/registry.go
+++ b/internal/app/daemon/registry.go
@@ -52,7 +52,7 @@
 	options   RegistryOptions
 	log       *process.Log
 	machine   *registry.Registry
-	owner     *process.Owner
+	owner     *process.EventLoop
 	transport *process.Transport
 	server    *api.Server
 }
@@ -81,7 +81,7 @@
 }
 
 // deliverTo hands the messages that a transport receives to an owner.
-func deliverTo(transport *process.Transport, owner *process.Owner) {
+func deliverTo(transport *process.Transport, owner *process.EventLoop) {
 	transport.Deliver = func(from ids.Address, msg any) { owner.Offer(event.Received{From: from, Message: msg}) }
 }
 
--- a/internal/app/daemon/store.go
+++ b/internal/app/daemon/store.go
@@ -82,7 +82,7 @@
 	options   StoreOptions
 	log       *process.Log
 	machine   *store.Store
-	owner     *process.Owner
+	owner     *process.EventLoop
 	transport *process.Transport
 	committer *committer
 	stop      *gracefulStop
--- a/internal/dataplane/proxy/daemon.go
+++ b/internal/dataplane/proxy/daemon.go
@@ -24,7 +24,7 @@
 	Options   DaemonOptions
 	self      membership.Member
 	log       *process.Log
-	owner     *process.Owner
+	owner     *process.EventLoop
 	transport *process.Transport
 	pool      connectionPool
 	memory    memoryBudget
--- a/internal/testsupport/scaletest/hollow_proxy.go
+++ b/internal/testsupport/scaletest/hollow_proxy.go
@@ -24,7 +24,7 @@
 // hollowProxy is the control state machine of one proxy with its transport. It
 // has no HTTP server, no dispatchers and no connections to targets.
 type hollowProxy struct {
-	owner     *process.Owner
+	owner     *process.EventLoop
 	transport *process.Transport
 	// mu guards status, which is also read by the group's HTTP server.
 	mu     sync.Mutex
--- a/internal/transport/process/owner.go
+++ b/internal/transport/process/owner.go
@@ -11,9 +11,9 @@
 // and Put blocks.
 const eventQueueLength = 4096
 
-// Owner is the event loop of a state machine. It passes queued events and periodic ticks to
+// EventLoop is the event loop of a state machine. It passes queued events and periodic ticks to
 // the state machine and executes the commands that it returns.
-type Owner struct {
+type EventLoop struct {
 	event.StateMachine
 	// Execute executes one command. It must not block on the event loop, as Put may.
 	Execute func(event.Command)
@@ -23,16 +23,16 @@
 }
 
 // NewOwner returns the event loop of a state machine. Serve runs it.
-func NewOwner(machine event.StateMachine, tickInterval time.Duration, execute func(event.Command)) *Owner {
-	return &Owner{StateMachine: machine, Execute: execute, TickEvery: tickInterval, queue: make(chan event.Event, eventQueueLength)}
+func NewOwner(machine event.StateMachine, tickInterval time.Duration, execute func(event.Command)) *EventLoop {
+	return &EventLoop{StateMachine: machine, Execute: execute, TickEvery: tickInterval, queue: make(chan event.Event, eventQueueLength)}
 }
 
 // Put queues an event. It blocks while the queue is full.
-func (o *Owner) Put(ev event.Event) { o.queue <- ev }
+func (o *EventLoop) Put(ev event.Event) { o.queue <- ev }
 
 // Offer queues an event, or drops it if the queue is full. It is meant for messages from
 // peers, which may be lost and must not block the connections.
-func (o *Owner) Offer(ev event.Event) {
+func (o *EventLoop) Offer(ev event.Event) {
 	select {
 	case o.queue <- ev:
 	default:
@@ -40,7 +40,7 @@
 }
 
 // Serve runs the event loop until the context is done.
-func (o *Owner) Serve(ctx context.Context) error {
+func (o *EventLoop) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(o.TickEvery)
 	defer ticker.Stop()
 	for {
