--- a/internal/app/daemon/registry.go
+++ b/internal/app/daemon/registry.go
@@ -69,7 +69,7 @@
 		transport: newTransport(options.Common, log),
 		server:    &api.Server{Log: log.Event},
 	}
-	d.owner = process.NewOwner(d.machine, registryTick, d.execute)
+	d.owner = process.NewEventLoop(d.machine, registryTick, d.execute)
 	d.server.Put = d.owner.Put
 	deliverTo(d.transport, d.owner)
 	return d
--- a/internal/app/daemon/store.go
+++ b/internal/app/daemon/store.go
@@ -105,7 +105,7 @@
 		committer:        &committer{database: database, log: log, queue: make(chan event.Sync, commitQueueLength)},
 		recoverResponses: make(chan store.RecoverResponse, 1),
 	}
-	d.owner = process.NewOwner(d.machine, storeTick, d.stop.interceptMayStop(d.execute))
+	d.owner = process.NewEventLoop(d.machine, storeTick, d.stop.interceptMayStop(d.execute))
 	d.committer.execute = d.execute
 	d.committer.onSynced = func(s event.Synced) { d.owner.Put(s) }
 	database.OnReadError = d.committer.fatal
--- a/internal/dataplane/proxy/daemon.go
+++ b/internal/dataplane/proxy/daemon.go
@@ -64,7 +64,7 @@
 		membership.Options{Self: d.self, Seeds: options.SeedAddresses(), Incremental: options.ByZone},
 		ControlOptions{Lease: options.Lease, SlotLayout: options.SlotLayout},
 	)
-	d.owner = process.NewOwner(&stepRecorder{control, d}, tickInterval, d.execute)
+	d.owner = process.NewEventLoop(&stepRecorder{control, d}, tickInterval, d.execute)
 	d.transport = &process.Transport{
 		Address: ids.Address(options.Address), Bind: ids.Address(options.Bind), Log: d.log, Stats: &process.TrafficStats{},
 		Deliver: func(from ids.Address, msg any) { d.owner.Offer(event.Received{From: from, Message: msg}) },
--- a/internal/testsupport/scaletest/hollow_proxy.go
+++ b/internal/testsupport/scaletest/hollow_proxy.go
@@ -64,7 +64,7 @@
 		Address: address, Log: log, Stats: stats,
 		Deliver: func(from ids.Address, msg any) { h.owner.Offer(event.Received{From: from, Message: msg}) },
 	}
-	h.owner = process.NewOwner(control, tickInterval, h.execute)
+	h.owner = process.NewEventLoop(control, tickInterval, h.execute)
 	return h
 }
 
--- a/internal/transport/process/owner.go
+++ b/internal/transport/process/owner.go
@@ -22,8 +22,8 @@
 	queue     chan event.Event
 }
 
-// NewOwner returns the event loop of a state machine. Serve runs it.
-func NewOwner(machine event.StateMachine, tickInterval time.Duration, execute func(event.Command)) *EventLoop {
+// NewEventLoop returns the event loop of a state machine. Serve runs it.
+func NewEventLoop(machine event.StateMachine, tickInterval time.Duration, execute func(event.Command)) *EventLoop {
 	return &EventLoop{StateMachine: machine, Execute: execute, TickEvery: tickInterval, queue: make(chan event.Event, eventQueueLength)}
 }
 
