--- a/internal/transport/process/owner.go
+++ b/internal/transport/process/owner.go
@@ -17,14 +17,14 @@
 	event.StateMachine
 	// Execute executes one command. It must not block on the event loop, as Put may.
 	Execute func(event.Command)
-	// TickEvery is the interval between two event.Tick.
-	TickEvery time.Duration
-	queue     chan event.Event
+	// TickInterval is the interval between two event.Tick.
+	TickInterval time.Duration
+	queue        chan event.Event
 }
 
 // NewEventLoop returns the event loop of a state machine. Serve runs it.
 func NewEventLoop(machine event.StateMachine, tickInterval time.Duration, execute func(event.Command)) *EventLoop {
-	return &EventLoop{StateMachine: machine, Execute: execute, TickEvery: tickInterval, queue: make(chan event.Event, eventQueueLength)}
+	return &EventLoop{StateMachine: machine, Execute: execute, TickInterval: tickInterval, queue: make(chan event.Event, eventQueueLength)}
 }
 
 // Put queues an event. It blocks while the queue is full.
@@ -41,7 +41,7 @@
 
 // Serve runs the event loop until the context is done.
 func (o *EventLoop) Serve(ctx context.Context) error {
-	ticker := time.NewTicker(o.TickEvery)
+	ticker := time.NewTicker(o.TickInterval)
 	defer ticker.Stop()
 	for {
 		var ev event.Event
