--- a/internal/base/event/doc.go
+++ b/internal/base/event/doc.go
@@ -1,5 +1,5 @@
 // Package event defines the interface between the deterministic state machines and the
-// event loops that run them. An event loop (transport/process, or the simulator) passes
+// event loops that run them. An event loop (process.EventLoop, or the simulator) passes
 // events to a state machine, which returns commands for the event loop to execute.
 //
 // Invariants: a state machine does no I/O, starts no goroutines and reads neither a clock
--- a/internal/transport/process/doc.go
+++ b/internal/transport/process/doc.go
@@ -1,6 +1,6 @@
-// Package process runs the deterministic state machines in daemons. It provides the Owner
-// that runs a state machine, the Transport that sends and receives its messages over TCP,
-// the process's monotonic clock and the log.
+// Package process runs the deterministic state machines in daemons. It provides the
+// EventLoop that runs a state machine, the Transport that sends and receives its messages
+// over TCP, the process's monotonic clock and the log.
 //
 // Invariants:
 //   - A state machine is called by a single goroutine. All other goroutines send it events
