--- a/internal/transport/process/connection.go
+++ b/internal/transport/process/connection.go
@@ -107,8 +107,8 @@
 	}
 }
 
-// watchClose returns a channel that is closed when the peer closes the connection. The peer
-// never writes to it, so a read returns only then.
+// watchClose returns a channel that is closed when the connection is closed. The peer never
+// writes to the connection, so a read returns only then.
 func watchClose(c net.Conn) <-chan struct{} {
 	closed := make(chan struct{})
 	go func() {
--- a/internal/transport/process/discard.go
+++ b/internal/transport/process/discard.go
@@ -23,7 +23,7 @@
 // discarded_malformed_frame.
 const discardedPrefix = "discarded_"
 
-// maxLoggedPeers limits the number of entries in logOnce.
+// maxLoggedPeers limits the number of pairs of peer and reason in logOnce.
 const maxLoggedPeers = 4096
 
 // logOnce records which discards were logged, so that a peer that keeps sending invalid
--- a/internal/transport/process/discard_test.go
+++ b/internal/transport/process/discard_test.go
@@ -60,7 +60,7 @@
 }
 
 // Messages discarded by state machines must be counted each time and logged once per peer.
-func TestTransport_CountsDiscardsOfMachines(t *testing.T) {
+func TestTransport_CountsDiscardsOfStateMachines(t *testing.T) {
 	is := is.New(t)
 	transport, out, _ := startReceiver(t)
 	for _, from := range []ids.Address{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.1:1"} {
--- a/internal/transport/process/log.go
+++ b/internal/transport/process/log.go
@@ -23,7 +23,8 @@
 // Log writes log entries as lines of key=value pairs.
 type Log struct{ log.Logger }
 
-// NewLog returns a log that writes a daemon's entries of at least a level to standard error.
+// NewLog returns a daemon's log, which writes to standard error. Entries below the level are
+// omitted.
 func NewLog(level, daemon string) *Log {
 	return &Log{log.Logger{
 		Level: log.ParseLevel(level), TimeField: "time", TimeFormat: "2006-01-02T15:04:05.000Z07:00",
--- a/internal/transport/process/transport.go
+++ b/internal/transport/process/transport.go
@@ -142,9 +142,8 @@
 	return true
 }
 
-// Execute executes the commands that all state machines have in common: event.Send,
-// event.LogEntry and event.Discarded. It returns false for any other command, which the
-// daemon must execute itself.
+// Execute executes event.Send, event.LogEntry and event.Discarded. It returns false for any
+// other command, which the daemon must execute itself.
 func (t *Transport) Execute(command event.Command) bool {
 	switch c := command.(type) {
 	case event.Send:
