--- a/internal/app/daemon/store.go
+++ b/internal/app/daemon/store.go
@@ -82,7 +82,7 @@
 	options   StoreOptions
 	log       *process.Log
 	machine   *store.Store
-	owner     *process.Owner
+	owner     *process.EventLoop
 	transport *process.Transport
 	committer *committer
 	stop      *gracefulStop
@@ -105,7 +105,7 @@
 		committer:        &committer{database: database, log: log, queue: make(chan event.Sync, commitQueueLength)},
 		recoverResponses: make(chan store.RecoverResponse, 1),
 	}
-	d.owner = process.NewOwner(d.machine, storeTick, d.stop.interceptMayStop(d.execute))
+	d.owner = process.NewEventLoop(d.machine, storeTick, d.stop.interceptMayStop(d.execute))
 	d.committer.execute = d.execute
 	d.committer.onSynced = func(s event.Synced) { d.owner.Put(s) }
 	database.OnReadError = d.committer.fatal
