--- a/internal/app/api/calls_fuzz_test.go
+++ b/internal/app/api/calls_fuzz_test.go
@@ -17,7 +17,7 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// testRegistry is a registry behind its API, with one store that agrees at once.
+// testRegistry is a registry with its API server and one store that accepts every request.
 type testRegistry struct {
 	*Server
 	mu       sync.Mutex
@@ -26,7 +26,7 @@
 	now      ids.Time
 }
 
-// newTestRegistry gives a registry that has found its store.
+// newTestRegistry returns a registry that has discovered its store.
 func newTestRegistry() *testRegistry {
 	self := membership.Member{ID: "f", Role: membership.Registry, Address: "10.0.0.1:1", RunID: 1, Zone: "north"}
 	t := &testRegistry{Server: &Server{}, now: 1}
@@ -44,13 +44,13 @@
 	return t
 }
 
-// step steps the machine, and the store that answers it.
+// step passes an event to the state machine, and delivers the store's responses to it.
 func (t *testRegistry) step(ev event.Event) {
 	for _, c := range t.registry.Step(t.now, ev) {
 		switch c := c.(type) {
 		case event.Send:
 			if r, ok := c.Message.(consensus.Request); ok {
-				t.step(event.Received{From: c.To, Message: t.agree(r)})
+				t.step(event.Received{From: c.To, Message: t.respond(r)})
 			}
 		case registry.Response:
 			t.HandleResponse(c)
@@ -58,8 +58,8 @@
 	}
 }
 
-// agree is what the store answers.
-func (t *testRegistry) agree(r consensus.Request) consensus.Response {
+// respond returns the store's response to a request.
+func (t *testRegistry) respond(r consensus.Request) consensus.Response {
 	out := t.value
 	if change := configuration.Ops()[r.Op]; change != nil && r.Key == configuration.Key {
 		t.value, out = change(r.Key, t.value, r.Arg)
@@ -67,7 +67,7 @@
 	return consensus.Response{ID: r.ID, Attempt: r.Attempt, Outcome: consensus.Succeeded, Result: out}
 }
 
-// revision gives the revision of the configuration that the store holds.
+// revision returns the revision of the configuration in the store.
 func (t *testRegistry) revision() ids.Revision {
 	p, err := configuration.Decode(t.value)
 	if err != nil {
@@ -76,7 +76,7 @@
 	return p.Revision
 }
 
-// call sends a call to the API; match is its header If-Match.
+// call makes an API call with match as its If-Match header.
 func (t *testRegistry) call(method, path, match, body string) *httptest.ResponseRecorder {
 	r := &http.Request{
 		Method: method, URL: &url.URL{Path: "/v1/" + path}, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Host: "h",
@@ -90,14 +90,14 @@
 	return rw
 }
 
-// readCloser is a body in memory.
+// readCloser is a request body in memory.
 type readCloser struct{ *strings.Reader }
 
 // Close does nothing.
 func (readCloser) Close() error { return nil }
 
-// FuzzCalls gives the API any call: one that isn't answered with 200 changes nothing,
-// and each gets one of the documented answers.
+// FuzzCalls checks that each call gets a documented status, and that calls with another
+// status than 200 and reads don't change the configuration.
 func FuzzCalls(f *testing.F) {
 	for _, c := range [][4]string{
 		{"PUT", "services/wader", "", `{}`},
@@ -122,7 +122,7 @@
 		r.call("PUT", "services/wader", "", `{}`)
 		before, value := r.revision(), string(r.value)
 		if before != 1 {
-			t.Fatalf("the first change gave revision %d", before)
+			t.Fatalf("got revision %d after the first change, want 1", before)
 		}
 		rw := r.call(method, path, match, body)
 		switch rw.Code {
@@ -132,10 +132,10 @@
 		}
 		after := r.revision()
 		if rw.Code != 200 && after != before {
-			t.Fatalf("%s %q was answered %d, and changed the configuration", method, path, rw.Code)
+			t.Fatalf("%s %q changed the configuration with status %d", method, path, rw.Code)
 		}
 		if method == http.MethodGet && string(r.value) != value {
-			t.Fatalf("reading %q changed something", path)
+			t.Fatalf("GET %q changed the configuration", path)
 		}
 	})
 }
--- a/internal/app/api/change_id.go
+++ b/internal/app/api/change_id.go
@@ -9,12 +9,12 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// headerChangeID is the header with the id of a change.
+// headerChangeID is the header with the ID of a change.
 const headerChangeID = "Change-Id"
 
-// RevisionPath answers with the revision that a registry knows, which may be old. An id
-// of a change is made from it (NewChangeIDAt), so that copies of the change can be told
-// from new ones at any later time.
+// RevisionPath returns the revision of the registry's local configuration, which may be
+// stale. Change IDs include it (NewChangeIDAt), so that copies of a change can be
+// distinguished from new changes at any later time.
 const RevisionPath = "/v1/revision"
 
 // Revision is the answer of RevisionPath.
@@ -22,24 +22,25 @@
 	Revision ids.Revision `json:"revision"`
 }
 
-// NewChangeID makes an id for a change whose sender couldn't learn the revision.
+// NewChangeID returns a random ID for a change whose sender couldn't read the revision.
 func NewChangeID() string { return "auto-" + rand.Text() }
 
-// NewChangeIDAt makes an id for a change whose sender has read a revision.
+// NewChangeIDAt returns a random ID for a change whose sender has read the revision base.
 func NewChangeIDAt(base ids.Revision) string {
 	return configuration.ChangeIDAt(base, rand.Text())
 }
 
-// newChangeID makes an id for a change that was sent without one.
+// newChangeID returns an ID for a change that was sent without one.
 func (s *Server) newChangeID() string {
-	if revision, ok := s.knownRevision(); ok {
+	if revision, ok := s.localRevision(); ok {
 		return NewChangeIDAt(revision)
 	}
 	return NewChangeID()
 }
 
-// knownRevision gives the revision that the registry knows, if it answers.
-func (s *Server) knownRevision() (ids.Revision, bool) {
+// localRevision returns the revision of the registry's local configuration, and false if
+// the registry doesn't respond.
+func (s *Server) localRevision() (ids.Revision, bool) {
 	response := s.Do(func(id uint64) any { return registry.ReadConfigurationCall{ID: id, Local: true} })
 	document, ok := response.Body.(*configuration.Document)
 	if !ok {
@@ -49,7 +50,7 @@
 }
 
 func (s *Server) getRevision(rw http.ResponseWriter, _ *http.Request) {
-	revision, ok := s.knownRevision()
+	revision, ok := s.localRevision()
 	if !ok {
 		WriteError(rw, http.StatusServiceUnavailable, "the registry doesn't answer")
 		return
--- a/internal/app/api/changes.go
+++ b/internal/app/api/changes.go
@@ -13,13 +13,13 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// ErrInvalidVersion is the error of a header If-Match that names no item's version.
+// ErrInvalidVersion is returned for an If-Match header that isn't the version of an item.
 var ErrInvalidVersion = errors.New("If-Match must be an item's version")
 
-// mergePath takes items with versions that their caller gives.
+// mergePath accepts items whose versions are set by the caller.
 const mergePath = "/v1/merge"
 
-// versionBits bounds a version, in bits: far beyond any, and within a signed integer.
+// versionBits is the maximum size of a version, in bits. It fits a signed integer.
 const versionBits = 62
 
 // The actions of an ItemChange in JSON.
@@ -29,8 +29,8 @@
 	actionSet    = "set"
 )
 
-// zoneStates gives what each action under /v1/cells/NAME sets on a zone: drained, or
-// only its targets evacuated.
+// zoneStates maps the actions under /v1/cells/NAME to the fields that they set on a zone.
+// emptied drains the zone; shut evacuates only its targets.
 var zoneStates = map[string]string{
 	"empty":  `{"emptied":true}`,
 	"refill": `{"emptied":false}`,
@@ -44,7 +44,7 @@
 	}
 }
 
-// submitChange hands a change to the registry and answers with the result.
+// submitChange passes a change to the registry and writes the result as the answer.
 func (s *Server) submitChange(rw http.ResponseWriter, raw []byte) {
 	WriteResponse(rw, s.Do(func(id uint64) any { return registry.ChangeCall{ID: id, Raw: raw} }))
 }
@@ -75,7 +75,8 @@
 	if !ok {
 		return
 	}
-	// A body that isn't valid by itself could close the JSON that it is put into.
+	// buildChange embeds the body in other JSON; an invalid body could alter the structure of
+	// that JSON.
 	if !json.Valid(body) {
 		writeViolations(rw, configuration.Violation{Item: kind + "/" + r.PathValue("name"), Reason: "is not valid JSON"})
 		return
@@ -92,13 +93,13 @@
 func (s *Server) setZoneState(rw http.ResponseWriter, r *http.Request) {
 	state, ok := zoneStates[r.PathValue("action")]
 	if !ok {
-		writeNoPage(rw, r)
+		writeNotFound(rw, r)
 		return
 	}
 	s.submitItemChange(rw, r, kindZone, actionSet, []byte(state))
 }
 
-// submitItemChange submits a change of the one item that the path names.
+// submitItemChange submits a change of the item that the path names.
 func (s *Server) submitItemChange(rw http.ResponseWriter, r *http.Request, kind, action string, body []byte) {
 	raw, err := s.buildChange(r, kind, action, body)
 	if err != nil {
@@ -108,9 +109,9 @@
 	s.submitChange(rw, raw)
 }
 
-// buildChange writes a change of one item as JSON, with the id and the expected version
-// that the headers give. It is put together as text, as encoding would rewrite the
-// body, which is kept as it was sent. The error may be ErrInvalidVersion.
+// buildChange returns the JSON of a change of one item, with the change ID and the expected
+// version from the headers. The JSON is assembled as text, because encoding would reformat
+// the body, which is stored as sent. The error may be ErrInvalidVersion.
 func (s *Server) buildChange(r *http.Request, kind, action string, body []byte) ([]byte, error) {
 	name, err := json.Marshal(r.PathValue("name"))
 	if err != nil {
@@ -134,8 +135,8 @@
 	return fmt.Appendf(nil, `{"id":%s,"changes":[{"kind":%q,"name":%s%s,%q:%s}]}`, id, kind, name, version, action, body), nil
 }
 
-// expectedVersion gives the version that the header If-Match names, as it was sent;
-// empty without one.
+// expectedVersion returns the version in the If-Match header without its quotes, or the
+// empty string if there is none.
 func expectedVersion(r *http.Request) (string, error) {
 	version := strings.Trim(r.Header.Get("If-Match"), `"`)
 	if version == "" {
--- a/internal/app/api/forward.go
+++ b/internal/app/api/forward.go
@@ -13,56 +13,57 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// ErrResponseTooLarge is the error of a registry's response over maxResponseBody.
+// ErrResponseTooLarge is returned for a registry's response over maxResponseBody.
 var ErrResponseTooLarge = errors.New("response over the limit")
 
 const (
-	// dialTimeout is how long a registry may take to accept a connection: many round
-	// trips within a region, and short enough to try two more within forwardWindow.
+	// dialTimeout is the timeout of a connection attempt to a registry. It leaves time for
+	// further attempts within forwardWindow.
 	dialTimeout = 250 * time.Millisecond
-	// forwardWindow is how long after its arrival a call is still handed to another
-	// registry, so that a daemon that reaches none says so within a second.
+	// forwardWindow is how long after the arrival of a call attempts on further registries
+	// may start, so that a daemon that reaches no registry answers within a second.
 	forwardWindow = 600 * time.Millisecond
-	// forwardTimeout bounds one try. It lets the registry's own time-out come first.
+	// forwardTimeout is the timeout of one attempt. It is longer than the registry's own
+	// timeout, so that the registry's answer comes first.
 	forwardTimeout = baseResponseTimeout + time.Second
-	// maxResponseBody bounds a registry's response, in bytes. The largest is the whole
-	// configuration.
+	// maxResponseBody is the maximum size of a registry's response, in bytes. The largest
+	// response is the whole configuration.
 	maxResponseBody = 96 << 20
 )
 
 var (
-	// forwardedHeaders are the headers of a call that are handed on.
+	// forwardedHeaders are the request headers that are forwarded to the registry.
 	forwardedHeaders = []string{headerChangeID, "If-Match", "Content-Type"}
-	// returnedHeaders are the headers of a response that are handed back.
+	// returnedHeaders are the response headers that are returned to the client.
 	returnedHeaders = []string{"Content-Type", "Retry-After", "Etag", "Location"}
 )
 
-// Forwarder hands API calls on to a registry.
+// Forwarder forwards API calls to a registry.
 type Forwarder struct {
-	// Registries lists the live registries' HTTP addresses, in the order to try them.
+	// Registries returns the HTTP addresses of the live registries, in order of preference.
 	Registries func() []ids.Address
 	Client     *http.Client
 }
 
-// registryResponse is a registry's response, read whole.
+// registryResponse is a complete response of a registry.
 type registryResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// NewForwarder makes a forwarder. Each try opens a connection of its own: one that was
-// kept from before a network cut would lose the call, and leave open whether it
-// arrived. Redirects aren't followed and proxies of the environment not used, so a call
-// leaves once for each registry that is tried.
+// NewForwarder returns a forwarder. Each attempt opens its own connection: on a kept-alive
+// connection that was broken by a network partition, a call would be lost and its outcome
+// unknown. Redirects aren't followed and proxies from the environment aren't used, so that
+// each attempt sends the call exactly once.
 func NewForwarder(registries func() []ids.Address) *Forwarder {
 	transport := &http.Transport{DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext, DisableKeepAlives: true}
 	noRedirects := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 	return &Forwarder{Registries: registries, Client: &http.Client{Transport: transport, CheckRedirect: noRedirects, Timeout: forwardTimeout}}
 }
 
-// ServeHTTP tries one registry after the other until one answers that has a majority.
-// The copies of a change have one id, so that they are applied once.
+// ServeHTTP tries the registries one after the other until one that can reach a majority of
+// stores answers. All copies of a change have the same ID, so that it is applied once.
 func (f *Forwarder) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	body, ok := ReadBody(rw, r)
 	if !ok {
@@ -76,16 +77,16 @@
 	case response != nil && !(mayHaveRun && response.status == http.StatusServiceUnavailable):
 		writeRegistryResponse(rw, response)
 	case mayHaveRun:
-		// A 503 would say that the change had no effect.
+		// Not a 503, which means that the change had no effect.
 		WriteError(rw, http.StatusGatewayTimeout, "uncertain: no registry answered; send it again under the same id")
 	default:
 		WriteError(rw, http.StatusServiceUnavailable, "no registry can be reached")
 	}
 }
 
-// tryRegistries hands a call to registries until one answers other than 503. It gives
-// the last response, nil if there was none, and whether a registry that didn't answer
-// may have applied the call.
+// tryRegistries sends a call to one registry after the other until one answers with a
+// status other than 503. It returns the last response, or nil if there was none, and
+// whether a registry that didn't answer may have applied the call.
 func (f *Forwarder) tryRegistries(r *http.Request, body []byte) (last *registryResponse, mayHaveRun bool) {
 	arrived := time.Now()
 	for _, address := range f.Registries() {
@@ -105,10 +106,9 @@
 	return last, mayHaveRun
 }
 
-// send hands a call to one registry and reads its response whole: one that is cut short
-// is an error, and must not be handed back as if it were whole. The call goes on if the
-// client closes its side, as a half-closed connection may still be read; forwardTimeout
-// ends it.
+// send sends a call to one registry and reads the whole response; a truncated response is
+// an error. The call isn't canceled when the client closes its side, because the client of
+// a half-closed connection may still read the answer; forwardTimeout limits the call.
 func (f *Forwarder) send(r *http.Request, address ids.Address, body []byte) (*registryResponse, error) {
 	ctx := context.WithoutCancel(r.Context())
 	request, err := http.NewRequestWithContext(ctx, r.Method, "http://"+string(address)+r.URL.RequestURI(), bytes.NewReader(body))
@@ -120,7 +120,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// It is read already, or failed to be.
+	// The body has been read, or reading it failed.
 	defer func() { _ = response.Body.Close() }()
 	raw, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBody+1))
 	if err != nil {
@@ -132,7 +132,7 @@
 	return &registryResponse{response.StatusCode, response.Header, raw}, nil
 }
 
-// copyHeaders copies those of some headers that are set.
+// copyHeaders copies the named headers that are set.
 func copyHeaders(to, from http.Header, names []string) {
 	for _, name := range names {
 		if value := from.Get(name); value != "" {
@@ -141,7 +141,7 @@
 	}
 }
 
-// failedToConnect reports whether a call failed before any of it could arrive.
+// failedToConnect reports whether a call failed before any of it was sent.
 func failedToConnect(err error) bool {
 	var failed *net.OpError
 	return errors.As(err, &failed) && failed.Op == "dial"
@@ -150,6 +150,6 @@
 func writeRegistryResponse(rw http.ResponseWriter, response *registryResponse) {
 	copyHeaders(rw.Header(), response.header, returnedHeaders)
 	rw.WriteHeader(response.status)
-	// It fails only if the client is gone.
+	// Write fails only if the client has disconnected.
 	_, _ = rw.Write(response.body)
 }
--- a/internal/app/api/forward_cut_test.go
+++ b/internal/app/api/forward_cut_test.go
@@ -15,8 +15,8 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// cutRegistry is a registry that ends each answer after some bytes, and records the
-// ids of the changes that reached it.
+// cutRegistry is a registry that truncates each answer after cutAt bytes and records the IDs
+// of the changes that it received.
 type cutRegistry struct {
 	net.Listener
 	mu        sync.Mutex
@@ -33,7 +33,7 @@
 	return c
 }
 
-// serve answers on one connection until a cut ends it.
+// serve answers the requests on one connection until an answer is truncated.
 func (c *cutRegistry) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	in := bufio.NewReader(conn)
@@ -58,8 +58,8 @@
 	}
 }
 
-// cutAfter ends the next answers after some bytes, by a reset or an orderly close, and
-// forgets the changes so far.
+// cutAfter truncates the next answers after the given number of bytes, by a reset or an
+// orderly close, and clears the recorded changes.
 func (c *cutRegistry) cutAfter(bytes int, reset bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -79,8 +79,8 @@
 	chunkedResponse  = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n7\r\n{\"a\":1}\r\n0\r\n\r\n"
 )
 
-// Wherever a registry's answer is cut, a change has left once, and the caller is told
-// no more than that it may have been applied.
+// If a registry's answer is truncated, the forwarder must not resend the change, and must
+// answer that the outcome is unknown.
 func TestForwarder_ResponseCutAtEachByte(t *testing.T) {
 	for name, answer := range map[string]string{"with a length": acceptedResponse, "chunked": chunkedResponse} {
 		for _, method := range []string{"PUT", "POST", "DELETE", "GET"} {
@@ -99,7 +99,7 @@
 						registry.cutAfter(cutAt, reset)
 						rw := forward(f, method)
 						if received := registry.receivedChangeIDs(); rw.Code != want || len(received) != 1 {
-							t.Fatalf("cut at byte %d, reset %t: status %d, not %d; it left %d times", cutAt, reset, rw.Code, want, len(received))
+							t.Fatalf("truncated at byte %d, reset %t: got status %d, want %d; the registry received %d calls, want 1", cutAt, reset, rw.Code, want, len(received))
 						}
 					}
 				}
@@ -108,8 +108,7 @@
 	}
 }
 
-// A change that goes on to a second registry keeps its id, so that the two copies are
-// one change.
+// A change that is retried on a second registry must keep its ID, so that it is applied once.
 func TestForwarder_KeepsChangeID(t *testing.T) {
 	is := is.New(t)
 	first, second := newCutRegistry(t, acceptedResponse), newCutRegistry(t, acceptedResponse)
@@ -124,18 +123,19 @@
 	}
 }
 
-// A redirect is handed back, and not followed: the call would leave a second time.
-func TestForwarder_FollowsNoRedirect(t *testing.T) {
+// A redirect must be returned to the client, not followed: the change would be sent twice.
+func TestForwarder_ReturnsRedirect(t *testing.T) {
 	is := is.New(t)
-	elsewhere := newCutRegistry(t, acceptedResponse)
+	redirectTarget := newCutRegistry(t, acceptedResponse)
 	for _, status := range []int{301, 302, 307, 308} {
-		registry := newCutRegistry(t, fmt.Sprintf("HTTP/1.1 %d Elsewhere\r\nLocation: http://%s/\r\nContent-Length: 0\r\n\r\n", status, elsewhere.Addr()))
+		registry := newCutRegistry(t, fmt.Sprintf("HTTP/1.1 %d Elsewhere\r\nLocation: http://%s/\r\nContent-Length: 0\r\n\r\n", status, redirectTarget.Addr()))
 		is.Equal(forward(forwarderTo(registry.address()), "PUT").Code, status)
 	}
-	is.Equal(len(elsewhere.receivedChangeIDs()), 0)
+	is.Equal(len(redirectTarget.receivedChangeIDs()), 0)
 }
 
-// A registry that nobody listens at can't have applied anything.
+// If no connection could be opened, no registry can have applied the call: the answer must be
+// 503, not 504.
 func TestForwarder_UnsentCallIsUnavailable(t *testing.T) {
 	is := is.New(t)
 	registry := newCutRegistry(t, acceptedResponse)
--- a/internal/app/api/forward_test.go
+++ b/internal/app/api/forward_test.go
@@ -7,9 +7,8 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// A daemon handed the 503 of a registry without a majority to its caller, though the
-// next registry had one. And where a connection broke after a change had left, a later
-// 503 must not promise that the change had no effect.
+// The forwarder must try the next registry after a 503. If a connection broke after a change
+// was sent, it must not answer 503, which means that the change had no effect.
 func TestForwarder_TriesNextRegistry(t *testing.T) {
 	minority, majority := newRegistryAnswering(t, 503), newRegistryAnswering(t, 200)
 	breaking, closed := newBreakingRegistry(t), closedAddress(t)
@@ -32,7 +31,7 @@
 			start := time.Now()
 			rw := forward(forwarderTo(c.registries...), c.method)
 			if rw.Code != c.want || rw.Code >= 500 && rw.Header().Get("Retry-After") == "" {
-				t.Errorf("%d %v", rw.Code, rw.Header())
+				t.Errorf("got status %d with headers %v", rw.Code, rw.Header())
 			}
 			if responseTime := time.Since(start); responseTime > time.Second {
 				t.Errorf("answered after %s", responseTime)
--- a/internal/app/api/helpers_test.go
+++ b/internal/app/api/helpers_test.go
@@ -12,7 +12,7 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// listen opens a free port until the test ends.
+// listen listens on an unused port until the test ends.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -32,8 +32,7 @@
 	}
 }
 
-// newRegistryAnswering gives the address of a registry whose every answer has one
-// status.
+// newRegistryAnswering returns the address of a registry that answers every call with status.
 func newRegistryAnswering(t *testing.T, status int) ids.Address {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) { WriteError(rw, status, "so") }))
@@ -41,7 +40,7 @@
 	return ids.Address(strings.TrimPrefix(s.URL, "http://"))
 }
 
-// newBreakingRegistry gives an address that accepts connections and closes them.
+// newBreakingRegistry returns the address of a registry that closes every connection.
 func newBreakingRegistry(t *testing.T) ids.Address {
 	t.Helper()
 	l := listen(t)
@@ -49,7 +48,7 @@
 	return ids.Address(l.Addr().String())
 }
 
-// closedAddress gives an address that refuses connections.
+// closedAddress returns an address that refuses connections.
 func closedAddress(t *testing.T) ids.Address {
 	t.Helper()
 	l := listen(t)
@@ -57,12 +56,12 @@
 	return ids.Address(l.Addr().String())
 }
 
-// forwarderTo gives a forwarder to registries.
+// forwarderTo returns a forwarder to registries.
 func forwarderTo(registries ...ids.Address) *Forwarder {
 	return NewForwarder(func() []ids.Address { return registries })
 }
 
-// forward sends a call through a forwarder.
+// forward makes a call through a forwarder.
 func forward(f *Forwarder, method string) *httptest.ResponseRecorder {
 	rw := httptest.NewRecorder()
 	f.ServeHTTP(rw, httptest.NewRequest(method, "/v1/services/wader", strings.NewReader("{}")))
--- a/internal/app/api/http.go
+++ b/internal/app/api/http.go
@@ -15,26 +15,26 @@
 )
 
 const (
-	// maxCallBody bounds the body of a call, in bytes.
+	// maxCallBody is the maximum size of a call's body, in bytes.
 	maxCallBody = 1 << 20
-	// maxMergeBody bounds the body of a merge, which may be a whole configuration.
+	// maxMergeBody is the maximum size of a merge's body, which may be a whole configuration.
 	maxMergeBody = 64 << 20
 )
 
-// The limits of an HTTP server. They keep a slow or idle client from holding memory.
+// The limits of an HTTP server. They prevent slow or idle clients from holding memory.
 const (
 	readHeaderTimeout = 5 * time.Second
-	// readTimeout leaves room for a maxMergeBody at some 20 Mbit/s.
+	// readTimeout allows for a body of maxMergeBody at about 20 Mbit/s.
 	readTimeout    = 30 * time.Second
 	idleTimeout    = 60 * time.Second
 	maxHeaderBytes = 64 << 10
 )
 
-// retryAfter is how long the answers 503 and 504 ask a client to wait, in seconds.
+// retryAfter is the Retry-After value of 503 and 504 answers, in seconds.
 const retryAfter = 1
 
-// ReadBody reads a call's body. For a body that is too large or ends early it writes
-// the answer itself, and reports false.
+// ReadBody reads the body of a call. If the body is too large or truncated, ReadBody
+// writes the error answer and returns false.
 func ReadBody(rw http.ResponseWriter, r *http.Request) ([]byte, bool) {
 	limit := int64(maxCallBody)
 	if r.URL.Path == mergePath {
@@ -53,12 +53,13 @@
 	return raw, true
 }
 
-// WriteError answers with a message.
+// WriteError writes an answer with an error message.
 func WriteError(rw http.ResponseWriter, status int, message string) {
 	WriteResponse(rw, errorResponse(status, message))
 }
 
-// errorResponse gives the response with a message. 503 and 504 ask to retry.
+// errorResponse returns a response with an error message. 503 and 504 ask the client to
+// retry.
 func errorResponse(status int, message string) registry.Response {
 	response := registry.Response{Status: status, Body: registry.ErrorResponse{Message: message}}
 	if status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout {
@@ -67,39 +68,40 @@
 	return response
 }
 
-// WriteResponse answers with a response of the registry.
+// WriteResponse writes a response of the registry as the answer.
 func WriteResponse(rw http.ResponseWriter, response registry.Response) {
 	rw.Header().Set("Content-Type", "application/json")
 	if response.RetryAfter > 0 {
 		rw.Header().Set("Retry-After", strconv.Itoa(response.RetryAfter))
 	}
 	rw.WriteHeader(response.Status)
-	// It fails only if the client is gone; there is nobody left to tell.
+	// Encoding fails only if the client has disconnected.
 	_ = json.NewEncoder(rw).Encode(response.Body)
 }
 
-// connKey is the key of a request's connection in its context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
-// WithConn adds a connection to the context of its requests: a ConnContext of http.Server.
+// WithConn stores a connection in the context of its requests. It is a ConnContext hook of
+// http.Server.
 func WithConn(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// ConnOf gives the connection that a request came on; nil if its server has no WithConn.
+// ConnOf returns the connection of a request, or nil if its server doesn't use WithConn.
 func ConnOf(r *http.Request) net.Conn {
 	conn, _ := r.Context().Value(connKey{}).(net.Conn)
 	return conn
 }
 
-// Listen opens an address for HTTP.
+// Listen listens on a TCP address for HTTP.
 func Listen(address string) (net.Listener, error) {
 	l, err := net.Listen("tcp", address)
 	return l, errs.Wrap(err, "listen", address)
 }
 
-// Serve serves a handler until the context ends. Calls under way may then take for the
-// grace period to finish.
+// Serve serves a handler until the context is done. Calls in flight then have the grace
+// period to finish.
 func Serve(ctx context.Context, l net.Listener, handler http.Handler, grace time.Duration) error {
 	server := &http.Server{
 		Handler: handler, ConnContext: WithConn, ReadHeaderTimeout: readHeaderTimeout,
@@ -111,7 +113,7 @@
 		shutdown, cancel := context.WithTimeout(context.Background(), grace)
 		defer cancel()
 		if server.Shutdown(shutdown) != nil {
-			// Closing is the last resort; its error changes nothing.
+			// The server stops in any case, so the error of Close is ignored.
 			_ = server.Close()
 		}
 	})
--- a/internal/app/api/items.go
+++ b/internal/app/api/items.go
@@ -13,17 +13,17 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// The kinds of items, as changes name them.
+// The kinds of items, as they appear in changes.
 const (
 	kindService = "service"
 	kindRoute   = "route"
 	kindZone    = "cell"
 )
 
-// kindsByPath gives the kind that a path names.
+// kindsByPath maps the kind in a path to the kind of item.
 var kindsByPath = map[string]string{"services": kindService, "routes": kindRoute, "cells": kindZone}
 
-// Item is the answer for one item of the configuration.
+// Item is one item of the configuration, as it appears in answers.
 type Item struct {
 	Kind    string          `json:"kind"`
 	Name    ids.Name        `json:"name"`
@@ -31,29 +31,29 @@
 	Body    json.RawMessage `json:"body"`
 }
 
-// itemList is the answer for all items of a kind, ordered by name.
+// itemList is the answer to a listing of all items of a kind, ordered by name.
 type itemList struct {
 	Items    []Item       `json:"items"`
 	Revision ids.Revision `json:"revision"`
 }
 
-// pathKind gives the kind that a path names; for another it answers 404 and reports
-// false.
+// pathKind returns the kind of item that a path names. If the kind is unknown, pathKind
+// writes a 404 answer and returns false.
 func pathKind(rw http.ResponseWriter, r *http.Request) (string, bool) {
 	kind, ok := kindsByPath[r.PathValue("kind")]
 	if !ok {
-		writeNoPage(rw, r)
+		writeNotFound(rw, r)
 	}
 	return kind, ok
 }
 
-func writeNoPage(rw http.ResponseWriter, r *http.Request) {
+func writeNotFound(rw http.ResponseWriter, r *http.Request) {
 	WriteError(rw, http.StatusNotFound, "there is no page "+r.URL.Path)
 }
 
-// readConfiguration reads the configuration. With ?local=true it is the registry's own
-// copy, which may be old; otherwise it is confirmed by a majority. Without one it
-// writes the answer itself, and reports false.
+// readConfiguration reads the configuration, confirmed by a majority of stores unless the
+// query has local=true: then it is the registry's own copy, which may be stale. If the
+// read fails, readConfiguration writes the error answer and returns false.
 func (s *Server) readConfiguration(rw http.ResponseWriter, r *http.Request) (*configuration.Document, bool) {
 	local := r.URL.Query().Get("local") == "true"
 	response := s.Do(func(id uint64) any { return registry.ReadConfigurationCall{ID: id, Local: local} })
@@ -64,7 +64,8 @@
 	return document, ok
 }
 
-// readItems gives the kind that a path names, and the configuration.
+// readItems returns the kind of item that a path names and the configuration. On failure,
+// it writes the error answer and returns false.
 func (s *Server) readItems(rw http.ResponseWriter, r *http.Request) (kind string, document *configuration.Document, ok bool) {
 	if kind, ok = pathKind(rw, r); !ok {
 		return kind, nil, false
@@ -73,8 +74,8 @@
 	return kind, document, ok
 }
 
-// getConfiguration answers with the whole configuration, without the results of changes
-// that are kept with it.
+// getConfiguration answers with the whole configuration, without the results and history of
+// changes that are stored with it.
 func (s *Server) getConfiguration(rw http.ResponseWriter, r *http.Request) {
 	if document, ok := s.readConfiguration(rw, r); ok {
 		body := *document
--- a/internal/app/api/merge_test.go
+++ b/internal/app/api/merge_test.go
@@ -15,7 +15,7 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// newMergingServer gives a server whose registry merges at once, and the registry's
+// newMergingServer returns a server whose registry merges without stores, and the registry's
 // configuration.
 func newMergingServer(t *testing.T) (*Server, **configuration.Document) {
 	t.Helper()
@@ -35,7 +35,7 @@
 	return s, &document
 }
 
-// post sends a call to a handler.
+// post makes a POST call to a handler.
 func post(handler http.Handler, path, body string) *httptest.ResponseRecorder {
 	rw := httptest.NewRecorder()
 	handler.ServeHTTP(rw, httptest.NewRequest("POST", path, strings.NewReader(body)))
@@ -44,8 +44,7 @@
 
 const oneService = `{"items":[{"kind":"service","name":"wader","version":7,"body":{}}]}`
 
-// A merge is answered alike by the registry and through the forwarder of another
-// daemon.
+// A merge must get the same answers from the registry and through another daemon's forwarder.
 func TestServer_Merge(t *testing.T) {
 	server, document := newMergingServer(t)
 	direct := httptest.NewServer(server.Handler())
@@ -62,7 +61,7 @@
 			var result configuration.Result
 			is.NoErr(json.Unmarshal(rw.Body.Bytes(), &result))
 			is.Equal(result.Items, []configuration.ItemVersion{{Kind: "service", Name: "wader", Version: 7}})
-			is.Equal((*document).Revision, ids.Revision(1)) // the forwarded one found it merged
+			is.Equal((*document).Revision, ids.Revision(1)) // merging the same item again changes nothing
 			rw = post(c.handler, "/v1/merge", `{"items":[{"kind":"service","name":"plover","version":7,"body":{}},{"kind":"route","name":"mud","version":7,"body":{"prefix":"/mud/","service":"none","repeatable":true}}]}`)
 			is.Equal(rw.Code, 400)
 			is.True(strings.Contains(rw.Body.String(), "route/mud"))
@@ -72,7 +71,7 @@
 		})
 		t.Run(c.name+", large", func(t *testing.T) {
 			is := is.New(t)
-			// A merge may be larger than other calls, up to a limit of its own.
+			// A merge may be larger than other calls, up to maxMergeBody.
 			is.Equal(post(c.handler, "/v1/merge", strings.Repeat(" ", 2*maxCallBody)+oneService).Code, 200)
 			is.Equal(post(c.handler, "/v1/merge", strings.Repeat(" ", maxMergeBody+1)).Code, 413)
 			is.Equal(len((*document).Services), 1)
@@ -81,7 +80,7 @@
 	}
 }
 
-// An expected version is an item's version, quoted or not.
+// The If-Match header holds a version, with or without quotes.
 func TestServer_ExpectedVersion(t *testing.T) {
 	for header, want := range map[string]string{"": "", `"3"`: "3", "3": "3", "-1": "error", "x": "error", "4611686018427387904": "error"} {
 		t.Run(header, func(t *testing.T) {
@@ -91,7 +90,7 @@
 			version, err := expectedVersion(r)
 			if want == "error" {
 				is.True(errors.Is(err, ErrInvalidVersion))
-				is.Equal(err.Error(), "read header: If-Match must be an item's version") // callers see it
+				is.Equal(err.Error(), "read header: If-Match must be an item's version") // part of the HTTP answer
 				return
 			}
 			is.NoErr(err)
--- a/internal/app/api/server.go
+++ b/internal/app/api/server.go
@@ -10,28 +10,29 @@
 	"dunlinwell/internal/controlplane/registry"
 )
 
-// logAnnouncementRejected is logged for a malformed announcement of a target.
+// logAnnouncementRejected is logged when a target sends an invalid announcement.
 const logAnnouncementRejected event.LogEvent = "announcement_rejected"
 
-// baseResponseTimeout is how long a call waits for the machine: longer than a
-// registry waits for the stores (3 s), so that its answer comes first.
+// baseResponseTimeout is how long a call waits for the registry's state machine. It is
+// longer than the registry's own timeout for the stores (3 s), so that the registry's
+// answer comes first.
 const baseResponseTimeout = 5 * time.Second
 
 // Server answers the API calls of one registry.
 type Server struct {
-	// Put hands an event to the registry's owner.
+	// Put enqueues an event for the registry's state machine.
 	Put func(ev any)
-	// Log writes to the daemon's log; nothing is logged if nil.
+	// Log writes to the daemon's log. If nil, nothing is logged.
 	Log func(level event.Level, name event.LogEvent, fields ...string)
 
-	// nextID is the id of the last call that was handed to the machine.
+	// nextID is the ID of the last call that was passed to the state machine.
 	nextID atomic.Uint64
 	mu     sync.Mutex
-	// pending holds the calls that wait for the machine's response, by id.
+	// pending holds the calls that wait for a response, by ID.
 	pending map[uint64]chan registry.Response
 }
 
-// Handler gives the handler of all paths under /v1.
+// Handler returns the handler of all paths under /v1.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/policy", s.getConfiguration)
@@ -49,9 +50,9 @@
 	return mux
 }
 
-// Do hands a call to the registry's machine and waits for its response. The function
-// gives the call for an id. Without a response in time the end of the call isn't
-// known, and the response has status 504.
+// Do passes a call to the registry's state machine and waits for the response. newCall
+// returns the call with the given ID. If there is no response in time, the outcome of the
+// call is unknown and the returned response has status 504.
 func (s *Server) Do(newCall func(id uint64) any) registry.Response {
 	id := s.nextID.Add(1)
 	reply := make(chan registry.Response, 1)
@@ -72,15 +73,15 @@
 	}
 }
 
-// HandleResponse takes a response of the machine. One that nobody waits for is
-// dropped.
+// HandleResponse delivers a response of the state machine to its call. A response whose
+// call has timed out is dropped.
 func (s *Server) HandleResponse(response registry.Response) {
 	if reply := s.takePending(response.ID); reply != nil {
 		reply <- response
 	}
 }
 
-// takePending removes a call that waits; nil if it doesn't.
+// takePending removes a pending call and returns its channel, or nil if there is none.
 func (s *Server) takePending(id uint64) chan registry.Response {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,8 +90,8 @@
 	return reply
 }
 
-// responseTimeout gives how long to wait for the response to a call. A merge gets twice
-// the time that its size adds to the registry's own time-out.
+// responseTimeout returns how long to wait for the response to a call. For a merge, it adds
+// twice the time by which the size of the merge extends the registry's own timeout.
 func responseTimeout(call any) time.Duration {
 	m, ok := call.(registry.MergeCall)
 	if !ok {
@@ -103,7 +104,7 @@
 	return baseResponseTimeout + 2*(registry.CallTimeout(size)-registry.CallTimeout(0))
 }
 
-// Status asks the registry for its status, which is empty if it doesn't answer.
+// Status returns the registry's status, which is empty if the registry doesn't respond.
 func (s *Server) Status() registry.Status {
 	status, _ := s.Do(newStatusCall).Body.(registry.Status)
 	return status
--- a/internal/app/api/targets.go
+++ b/internal/app/api/targets.go
@@ -10,14 +10,14 @@
 	"dunlinwell/internal/controlplane/targets"
 )
 
-// announcementRejected is the answer to a malformed announcement. Violations maps the
-// paths of fields to what is wrong with them.
+// announcementRejected is the answer to an invalid announcement. Violations maps the path
+// of each invalid field to the reason.
 type announcementRejected struct {
 	Violations map[string]string `json:"errors"`
 	Message    string            `json:"problem"`
 }
 
-// announce takes a target's heartbeat.
+// announce handles a target's heartbeat.
 func (s *Server) announce(rw http.ResponseWriter, r *http.Request) {
 	raw, ok := ReadBody(rw, r)
 	if !ok {
@@ -35,8 +35,7 @@
 	WriteResponse(rw, s.Do(func(id uint64) any { return registry.HeartbeatCall{ID: id, Target: target} }))
 }
 
-// resolve asks the directory to which proxies a client of a zone should connect for a
-// route.
+// resolve answers which proxies a client in a zone should connect to for a route.
 func (s *Server) resolve(rw http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	zone, route := ids.Name(query.Get("cell")), ids.Name(query.Get("route"))
