--- a/internal/app/cli/call.go
+++ b/internal/app/cli/call.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// maxResponse bounds a response, in bytes.
+	// maxResponse is the maximum size of a response, in bytes.
 	maxResponse = 64 << 20
-	// revisionTimeout bounds the read of the revision for a change's id. The change is
-	// sent without it if need be.
+	// revisionTimeout is the timeout for reading the revision that a change ID includes. If
+	// the read fails, the change is sent with an ID without a revision.
 	revisionTimeout = time.Second
 )
 
@@ -26,11 +26,11 @@
 	headerIfMatch  = "If-Match"
 )
 
-// Context is what every command works with: the daemon to call, and how to print.
+// Context holds what every command needs: the daemon to call and how to print answers.
 type Context struct {
 	// Address is the HTTP address of any daemon.
 	Address string
-	// JSON prints answers as they come, in place of lines for people.
+	// JSON prints answers as received instead of human-readable lines.
 	JSON    bool
 	Out     io.Writer
 	Timeout time.Duration
@@ -38,15 +38,15 @@
 
 // callHeaders are the optional headers of a change; empty ones aren't sent.
 type callHeaders struct {
-	// ChangeID identifies the change; without one, Call makes one.
+	// ChangeID identifies the change. If empty, Call generates one.
 	ChangeID string
-	// ExpectedVersion is the version that the item must have.
+	// ExpectedVersion is the version that the item must currently have.
 	ExpectedVersion string
 }
 
-// Call makes one API call and gives the body of the answer. An error is an ExitError; the
-// body of an answer with an error status comes with it. A change has its id before it is
-// sent, so that it can be sent again if its end isn't known.
+// Call makes one API call and returns the body of the answer. Errors are of type ExitError;
+// for an error status, the body is returned as well. A change has an ID before it is sent,
+// so that it can be retried if its outcome is unknown.
 func (c *Context) Call(method, path string, body []byte, headers callHeaders) ([]byte, error) {
 	request, err := http.NewRequest(method, "http://"+c.Address+path, bytes.NewReader(body))
 	if err != nil {
@@ -68,17 +68,17 @@
 		if method == http.MethodGet {
 			return nil, &ExitError{ExitUnreachable, "unreachable: " + err.Error()}
 		}
-		return nil, &ExitError{ExitIndeterminate, fmt.Sprintf("uncertain: %v; to ask again use --change-id %s", err, changeID)}
+		return nil, &ExitError{ExitIndeterminate, fmt.Sprintf("outcome unknown: %v; to retry safely, use --change-id %s", err, changeID)}
 	}
 	return readResponse(response)
 }
 
-// readResponse gives the body of a response, and an error for a status of failure.
+// readResponse returns the body of a response, and an error for an error status.
 func readResponse(response *http.Response) ([]byte, error) {
 	defer func() { _ = response.Body.Close() }()
 	raw, err := io.ReadAll(io.LimitReader(response.Body, maxResponse))
 	if err != nil {
-		return nil, &ExitError{ExitIndeterminate, "answer cut short: " + err.Error()}
+		return nil, &ExitError{ExitIndeterminate, "answer truncated: " + err.Error()}
 	}
 	if code := exitCode(response.StatusCode); code != 0 {
 		return raw, &ExitError{code, fmt.Sprintf("status %d: %s", response.StatusCode, bytes.TrimSpace(raw))}
@@ -86,8 +86,8 @@
 	return raw, nil
 }
 
-// newChangeID makes an id for a change. It names the revision that the daemon knows, if
-// that can be read at once. A merge needs no id: sent again, it changes nothing.
+// newChangeID returns an ID for a change, which includes the daemon's current revision if it
+// can be read within revisionTimeout. A merge is idempotent and needs no revision in its ID.
 func (c *Context) newChangeID(path string) string {
 	if path == mergePath {
 		return api.NewChangeID()
@@ -105,8 +105,8 @@
 	return api.NewChangeIDAt(known.Revision)
 }
 
-// Print prints an answer as it came with --json, and otherwise by a function that prints
-// lines for people.
+// Print prints an answer as received with --json, and otherwise calls printLines, which
+// prints human-readable lines.
 func (c *Context) Print(raw []byte, printLines func() error) error {
 	if c.JSON {
 		_, err := c.Out.Write(append(bytes.TrimSpace(raw), '\n'))
@@ -122,16 +122,16 @@
 	}
 }
 
-// decodeResponse reads a body as JSON.
+// decodeResponse decodes the JSON body of an answer.
 func decodeResponse[T any](raw []byte) (T, error) {
 	var t T
 	if err := json.Unmarshal(raw, &t); err != nil {
-		return t, &ExitError{ExitUnreachable, "answer not understood: " + err.Error()}
+		return t, &ExitError{ExitUnreachable, "invalid answer: " + err.Error()}
 	}
 	return t, nil
 }
 
-// readFile reads a file, or standard input for "-".
+// readFile reads a file, or standard input if the name is "-".
 func readFile(name string) ([]byte, error) {
 	if name == "-" {
 		return io.ReadAll(os.Stdin)
--- a/internal/app/cli/change_id_test.go
+++ b/internal/app/cli/change_id_test.go
@@ -14,8 +14,8 @@
 	"dunlinwell/internal/app/api"
 )
 
-// The id of a change names the revision that its sender knew; where that can't be
-// read, the change is sent all the same.
+// A change ID includes the daemon's current revision. If the revision can't be read, the
+// change is sent without it.
 func TestContext_ChangeIDNamesRevision(t *testing.T) {
 	is := is.New(t)
 	revisionStatus, changeID := 200, ""
--- a/internal/app/cli/changes.go
+++ b/internal/app/cli/changes.go
@@ -10,7 +10,7 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// The API's paths of whole changes.
+// The API paths of changes of several items.
 const (
 	changePath = "/v1/change"
 	mergePath  = "/v1/merge"
@@ -37,9 +37,9 @@
 	})
 }
 
-// ChangeCmd sends a whole change.
+// ChangeCmd applies a change of several items.
 type ChangeCmd struct {
-	File string `arg:"" help:"File with the change; - for standard input." name:"file"`
+	File string `arg:"" help:"JSON file with the change; - for standard input." name:"file"`
 }
 
 // Run runs the command.
@@ -51,12 +51,13 @@
 	return c.submitChange(http.MethodPost, changePath, raw, callHeaders{})
 }
 
-// MergeCmd sends items with versions that their sender gives.
+// MergeCmd merges items whose versions are set by the sender.
 type MergeCmd struct {
-	File string `arg:"" help:"File with the merging; - for standard input." name:"file"`
+	File string `arg:"" help:"JSON file with the items; - for standard input." name:"file"`
 }
 
-// Run runs the command. A merge whose end isn't known may be sent again as it is.
+// Run runs the command. A merge is idempotent: if its outcome is unknown, it can be retried
+// unchanged.
 func (m *MergeCmd) Run(c *Context) error {
 	body, err := readFile(m.File)
 	if err != nil {
@@ -65,7 +66,7 @@
 	raw, err := c.Call(http.MethodPost, mergePath, body, callHeaders{})
 	var exit *ExitError
 	if errors.As(err, &exit) && exit.Code == ExitIndeterminate {
-		return &ExitError{ExitIndeterminate, "uncertain: the merging may have been accepted; send it again as it is"}
+		return &ExitError{ExitIndeterminate, "outcome unknown: the merge may have been accepted; retry it unchanged"}
 	}
 	if err != nil {
 		c.printFailure(raw)
@@ -75,19 +76,19 @@
 		result, err := decodeResponse[configuration.Result](raw)
 		fmt.Fprintf(c.Out, "merged: revision %d\n", result.Revision)
 		for _, item := range result.Items {
-			fmt.Fprintf(c.Out, "  %s %s version %d holds\n", item.Kind, item.Name, item.Version)
+			fmt.Fprintf(c.Out, "  %s %s current version %d\n", item.Kind, item.Name, item.Version)
 		}
 		return err
 	})
 }
 
-// ApplyCmd sends Kubernetes-style objects as one whole change.
+// ApplyCmd applies Kubernetes-style objects as one change.
 type ApplyCmd struct {
-	File     string `short:"f" required:"" help:"File with one or more objects, YAML or JSON; - for standard input." name:"file"`
-	ChangeID string `help:"Id of the change." name:"change-id"`
+	File     string `short:"f" required:"" help:"YAML or JSON file with one or more objects; - for standard input." name:"file"`
+	ChangeID string `help:"Idempotency key of the change." name:"change-id"`
 }
 
-// Run runs the command. Objects with violations are rejected without being sent.
+// Run runs the command. If an object is invalid, nothing is sent.
 func (a *ApplyCmd) Run(c *Context) error {
 	raw, err := readFile(a.File)
 	if err != nil {
@@ -103,7 +104,7 @@
 		for _, v := range violations {
 			lines = append(lines, strings.Join([]string{v.Item, v.Path, v.Reason}, ": "))
 		}
-		return &ExitError{ExitRejected, "declined, nothing sent: " + strings.Join(lines, "; ")}
+		return &ExitError{ExitRejected, "rejected, nothing sent: " + strings.Join(lines, "; ")}
 	}
 	return c.submitChange(http.MethodPost, changePath, change, callHeaders{})
 }
--- a/internal/app/cli/items.go
+++ b/internal/app/cli/items.go
@@ -10,17 +10,17 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// ItemKind is the kind of item that a command works on: service, route or cell. run
-// binds it from the command's first word.
+// ItemKind is the kind of item that a command operates on: service, route or cell. run
+// binds it to the first word of the command.
 type ItemKind string
 
-// listPath is the API's path of all items of the kind.
+// listPath returns the API path of all items of the kind.
 func (k ItemKind) listPath() string { return "/v1/" + string(k) + "s" }
 
-// itemPath is the API's path of one item of the kind.
+// itemPath returns the API path of one item of the kind.
 func (k ItemKind) itemPath(name string) string { return k.listPath() + "/" + url.PathEscape(name) }
 
-// withLocal adds the parameter for a registry's own copy, which may be old.
+// withLocal adds the query parameter for reading the registry's local copy.
 func withLocal(path string, local bool) string {
 	if local {
 		return path + "?local=true"
@@ -30,16 +30,16 @@
 
 // ItemCommands are the commands on one kind of item.
 type ItemCommands struct {
-	List   ListCmd   `cmd:"" help:"List all, with their versions." name:"list"`
-	Get    GetCmd    `cmd:"" help:"Show one." name:"get"`
-	Put    PutCmd    `cmd:"" help:"Make one, or replace it whole." name:"put"`
-	Remove RemoveCmd `cmd:"" help:"Remove one." name:"remove"`
+	List   ListCmd   `cmd:"" help:"List all items with their versions." name:"list"`
+	Get    GetCmd    `cmd:"" help:"Show an item." name:"get"`
+	Put    PutCmd    `cmd:"" help:"Create or replace an item." name:"put"`
+	Remove RemoveCmd `cmd:"" help:"Remove an item." name:"remove"`
 }
 
 // ChangeFlags are the flags of a change of one item.
 type ChangeFlags struct {
-	Version  *uint64 `help:"Only if this is the item's version; 0 if it must not exist." name:"version"`
-	ChangeID string  `help:"Id of the change; the same id gives the first result again." name:"change-id"`
+	Version  *uint64 `help:"Expected version of the item; 0 if it must not exist." name:"version"`
+	ChangeID string  `help:"Idempotency key of the change; a retry with the same key returns the first result." name:"change-id"`
 }
 
 func (f ChangeFlags) headers() callHeaders {
@@ -52,7 +52,7 @@
 
 // ListCmd lists the items of a kind.
 type ListCmd struct {
-	Local bool `help:"The registry's own copy, which may be old." name:"local"`
+	Local bool `help:"Read the registry's local copy, which may be stale." name:"local"`
 }
 
 // itemList is the answer to ListCmd.
@@ -98,7 +98,7 @@
 type PutCmd struct {
 	Name string `arg:"" name:"name"`
 	File string `short:"f" help:"File with the JSON body; - for standard input." xor:"body" required:"" name:"file"`
-	Body string `help:"The JSON body itself." xor:"body" required:"" name:"body"`
+	Body string `help:"JSON body." xor:"body" required:"" name:"body"`
 	ChangeFlags
 }
 
--- a/internal/app/cli/main.go
+++ b/internal/app/cli/main.go
@@ -16,29 +16,29 @@
 // CLI holds the flags and commands of the command line.
 type CLI struct {
 	Address string        `help:"HTTP address of any daemon." default:"127.0.0.1:7400" env:"DUNLINWELL_AT" placeholder:"IP:PORT" name:"at"`
-	JSON    bool          `help:"Print answers as they come, in JSON." name:"json"`
-	Timeout time.Duration `help:"How long to wait for an answer." default:"8s" name:"timeout"`
+	JSON    bool          `help:"Print answers as JSON, as received." name:"json"`
+	Timeout time.Duration `help:"Timeout of a call." default:"8s" name:"timeout"`
 
-	Service struct{ ItemCommands } `cmd:"" help:"Services: pools of targets that announce themselves." name:"service"`
-	Route   struct{ ItemCommands } `cmd:"" help:"Routes: how a request finds a service." name:"route"`
+	Service struct{ ItemCommands } `cmd:"" help:"Manage services (pools of targets)." name:"service"`
+	Route   struct{ ItemCommands } `cmd:"" help:"Manage routes, which map requests to services." name:"route"`
 	Zone    struct {
 		ItemCommands
-		Drain         DrainZoneCmd     `cmd:"" help:"Take a cell out of new work." name:"empty"`
-		Restore       RestoreZoneCmd   `cmd:"" help:"Bring an emptied cell back." name:"refill"`
-		Evacuate      EvacuateZoneCmd  `cmd:"" help:"Send nothing more to a cell's targets; its proxies go on with those of others." name:"shut"`
-		EndEvacuation EndEvacuationCmd `cmd:"" help:"Let work go to a shut cell's targets again." name:"open"`
-	} `cmd:"" help:"Cells: set points, distances, emptying." name:"cell"`
-	Change        ChangeCmd        `cmd:"" help:"Send a whole change; all of it or nothing takes effect." name:"change"`
-	Merge         MergeCmd         `cmd:"" help:"Merge items whose versions you give; for each name the highest holds." name:"merge"`
-	Configuration ConfigurationCmd `cmd:"" help:"Show the whole policy." name:"policy"`
-	Resolve       ResolveCmd       `cmd:"" help:"Ask the directory where to go." name:"where"`
-	Status        StatusCmd        `cmd:"" help:"Show cells, moves, daemons, duties and problems." name:"status"`
-	Apply         ApplyCmd         `cmd:"" help:"Send Kubernetes-style objects as one whole change." name:"apply"`
-	Runbook       RunbookCmd       `cmd:"" help:"Executable runbooks: each step a command with a check of its result." name:"runbook"`
-	Core          CoreCmd          `cmd:"" help:"For the store that is left after a great loss." name:"core"`
+		Drain         DrainZoneCmd     `cmd:"" help:"Drain a zone: direct new requests to other zones." name:"empty"`
+		Restore       RestoreZoneCmd   `cmd:"" help:"Return a drained zone to service." name:"refill"`
+		Evacuate      EvacuateZoneCmd  `cmd:"" help:"Evacuate a zone's targets; its proxies continue with the targets of other zones." name:"shut"`
+		EndEvacuation EndEvacuationCmd `cmd:"" help:"Allow requests to the targets of an evacuated zone again." name:"open"`
+	} `cmd:"" help:"Manage zones (cells): load levels, distances, draining." name:"cell"`
+	Change        ChangeCmd        `cmd:"" help:"Apply a change of several items atomically." name:"change"`
+	Merge         MergeCmd         `cmd:"" help:"Merge items with explicit versions; the highest version of each item wins." name:"merge"`
+	Configuration ConfigurationCmd `cmd:"" help:"Print the whole configuration." name:"policy"`
+	Resolve       ResolveCmd       `cmd:"" help:"Resolve a route to the proxies that a client should connect to." name:"where"`
+	Status        StatusCmd        `cmd:"" help:"Show zones, spill-over, daemons, leaderships and problems." name:"status"`
+	Apply         ApplyCmd         `cmd:"" help:"Apply Kubernetes-style objects as one change." name:"apply"`
+	Runbook       RunbookCmd       `cmd:"" help:"Run executable runbooks, whose steps check their results." name:"runbook"`
+	Core          CoreCmd          `cmd:"" help:"Recover the stores after the loss of a majority." name:"core"`
 }
 
-// Main runs a command line, prints an error to standard error, and gives the exit code.
+// Main runs a command line, prints an error to standard error and returns the exit code.
 func Main(args []string) int {
 	err := run(args, func(cli CLI) *Context {
 		return &Context{Address: cli.Address, JSON: cli.JSON, Out: os.Stdout, Timeout: cli.Timeout}
@@ -54,11 +54,11 @@
 	return ExitFailure
 }
 
-// run parses a command line and runs the command, with the context that newContext
-// makes from the flags.
+// run parses a command line and runs the command with the context that newContext returns
+// for the flags.
 func run(args []string, newContext func(CLI) *Context, options ...kong.Option) error {
 	var cli CLI
-	options = append(options, kong.Name(programName), kong.Description("Drives dunlinwell through any of its daemons."), kong.Bind(ItemKind("")))
+	options = append(options, kong.Name(programName), kong.Description("Controls a dunlinwell fleet through any of its daemons."), kong.Bind(ItemKind("")))
 	parser, err := kong.New(&cli, options...)
 	if err != nil {
 		return &ExitError{ExitUsage, err.Error()}
@@ -67,7 +67,7 @@
 	if err != nil {
 		return &ExitError{ExitUsage, err.Error()}
 	}
-	// The first word of an item's command is the item's kind.
+	// The first word of a command on an item is the kind of the item.
 	kind, _, _ := strings.Cut(parsed.Command(), " ")
 	return parsed.Run(newContext(cli), ItemKind(kind))
 }
--- a/internal/app/cli/queries.go
+++ b/internal/app/cli/queries.go
@@ -9,10 +9,10 @@
 	"dunlinwell/internal/controlplane/registry"
 )
 
-// ResolveCmd asks the directory which proxies a client of a zone should connect to.
+// ResolveCmd shows which proxies a client in a zone should connect to.
 type ResolveCmd struct {
-	Zone  string `required:"" help:"The asker's own cell." name:"cell"`
-	Route string `required:"" help:"The route to take." name:"route"`
+	Zone  string `required:"" help:"Zone of the client." name:"cell"`
+	Route string `required:"" help:"Name of the route." name:"route"`
 }
 
 // Run runs the command.
@@ -25,15 +25,15 @@
 	return c.Print(raw, func() error {
 		resolution, err := decodeResponse[registry.Resolution](raw)
 		for _, address := range resolution.Proxies {
-			fmt.Fprintf(c.Out, "%s (cell %s, for %d ms)\n", address, resolution.Zone, resolution.LifetimeMillis)
+			fmt.Fprintf(c.Out, "%s (zone %s, valid for %d ms)\n", address, resolution.Zone, resolution.LifetimeMillis)
 		}
 		return err
 	})
 }
 
-// ConfigurationCmd shows the whole configuration.
+// ConfigurationCmd prints the whole configuration.
 type ConfigurationCmd struct {
-	Local bool `help:"The registry's own copy, which may be old." name:"local"`
+	Local bool `help:"Read the registry's local copy, which may be stale." name:"local"`
 }
 
 // Run runs the command.
--- a/internal/app/cli/recover.go
+++ b/internal/app/cli/recover.go
@@ -6,14 +6,14 @@
 	"net/http"
 )
 
-// CoreCmd holds the commands for a store that lost its majority for good.
+// CoreCmd holds the commands for the recovery from a permanent loss of the majority.
 type CoreCmd struct {
-	Recover RecoverCmd `cmd:"" help:"Go on from the one store that is left, with two blank ones. Only after two disks are lost for good." name:"refound"`
+	Recover RecoverCmd `cmd:"" help:"Recover from the last remaining store, with two blank stores. Use only after the permanent loss of two disks." name:"refound"`
 }
 
-// RecoverCmd asks the store at --at to go on alone.
+// RecoverCmd asks the store at --at to form a new voter set from its own data.
 type RecoverCmd struct {
-	AcceptLoss bool `help:"Yes, what only the lost disks held is lost." required:"" name:"accept-loss"`
+	AcceptLoss bool `help:"Confirm the loss of data that only the lost disks held." required:"" name:"accept-loss"`
 }
 
 // Run runs the command.
--- a/internal/app/cli/run_test.go
+++ b/internal/app/cli/run_test.go
@@ -18,7 +18,7 @@
 	"dunlinwell/internal/controlplane/registry"
 )
 
-// testDaemon answers every call alike, and records the calls.
+// testDaemon gives the same answer to every call and records the calls.
 type testDaemon struct {
 	*httptest.Server
 	status int
@@ -43,7 +43,7 @@
 	return d
 }
 
-// run runs a command line, and gives what it printed, or its error, and the exit code.
+// run runs a command line and returns its output, or its error, and the exit code.
 func (d *testDaemon) run(words ...string) (output string, code int) {
 	var out bytes.Buffer
 	err := run(words, func(cli CLI) *Context {
@@ -63,12 +63,12 @@
 	is.NoErr(os.WriteFile(file, []byte(`{"items":[]}`), 0o600))
 	output, code := daemon.run("merge", file)
 	is.Equal(code, 0)
-	is.Equal(output, "merged: revision 4\n  service wader version 7 holds\n")
+	is.Equal(output, "merged: revision 4\n  service wader current version 7\n")
 	_, code = daemon.run("cell", "shut", "quay", "--version", "3")
 	is.Equal(code, 0)
 	_, code = daemon.run("cell", "open", "quay")
 	is.Equal(code, 0)
-	revision := "GET /v1/revision  " // for the ids of changes
+	revision := "GET /v1/revision  " // for the change IDs
 	is.Equal(daemon.calls, []string{`POST /v1/merge  {"items":[]}`, revision, "POST /v1/cells/quay/shut 3 ", revision, "POST /v1/cells/quay/open  "})
 	output, _ = daemon.run("merge", file+".none")
 	is.True(strings.Contains(output, "no such file"))
@@ -87,8 +87,8 @@
 	}
 }
 
-// Every command of a zone or an item makes its one call.
-func TestRun_CommandsMakeTheirCalls(t *testing.T) {
+// Each command makes its expected API call.
+func TestRun_CommandsMakeAPICalls(t *testing.T) {
 	for command, want := range map[string]string{
 		"cell empty quay":               "POST /v1/cells/quay/empty  ",
 		"cell refill quay":              "POST /v1/cells/quay/refill  ",
@@ -116,9 +116,9 @@
 	var out bytes.Buffer
 	printStatus(&out, registry.Status{Registry: "r1", Revision: 7, InForce: true, Warnings: []string{"one", "two"}})
 	is.New(t).Equal(out.String(), "revision 7, in force on every live proxy (seen by registry r1)\n\n"+
-		"CELL  USED  ACCEPT  TARGET  MAX  MAX IS  COUNTERS  TARGETS  STATE\n\n"+
-		"MOVE  ROUTE  SHARE  MS/S  WHY\n\n"+
-		"DAEMON  ROLE  CELL  ADDRESS  HTTP  REVISION  STATE\n\n"+
-		"DUTY  EPOCH  PLAN  HERE\n\n"+
+		"ZONE  USED  ACCEPT  TARGET  MAX  MAX SOURCE  PROXIES  TARGETS  STATE\n\n"+
+		"MOVE  ROUTE  FRACTION  MS/S  REASON\n\n"+
+		"DAEMON  ROLE  ZONE  ADDRESS  HTTP  REVISION  STATE\n\n"+
+		"LEADERSHIP  EPOCH  PLAN  HELD\n\n"+
 		"PROBLEMS\n  one\n  two\n")
 }
--- a/internal/app/cli/runbook.go
+++ b/internal/app/cli/runbook.go
@@ -15,15 +15,15 @@
 	"dunlinwell/internal/app/runbook"
 )
 
-// observationInterval is the pause between two looks at a result that isn't there yet.
+// observationInterval is the polling interval of a step's checks.
 const observationInterval = 250 * time.Millisecond
 
 // RunbookCmd holds the commands on runbooks.
 type RunbookCmd struct {
-	List  RunbookListCmd  `cmd:"" help:"List the runbooks that come with dunlinwell." name:"list"`
-	Show  RunbookShowCmd  `cmd:"" help:"Print a runbook." name:"show"`
-	Run   RunbookRunCmd   `cmd:"" help:"Run a runbook, and stop at the first problem." name:"run"`
-	Check RunbookCheckCmd `cmd:"" help:"Read a runbook of your own and check it." name:"check"`
+	List  RunbookListCmd  `cmd:"" help:"List the bundled runbooks." name:"list"`
+	Show  RunbookShowCmd  `cmd:"" help:"Print a bundled runbook." name:"show"`
+	Run   RunbookRunCmd   `cmd:"" help:"Run a runbook; stop at the first failed step." name:"run"`
+	Check RunbookCheckCmd `cmd:"" help:"Validate a runbook file." name:"check"`
 }
 
 // RunbookListCmd lists the bundled runbooks.
@@ -40,7 +40,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(c.Out, "%-14s %s  needs: %s\n", name, book.Description, strings.Join(book.Parameters, ", "))
+		fmt.Fprintf(c.Out, "%-14s %s  parameters: %s\n", name, book.Description, strings.Join(book.Parameters, ", "))
 	}
 	return nil
 }
@@ -60,7 +60,7 @@
 	return err
 }
 
-// RunbookCheckCmd checks a runbook from a file.
+// RunbookCheckCmd validates a runbook from a file.
 type RunbookCheckCmd struct {
 	File string `arg:"" name:"file"`
 }
@@ -74,17 +74,17 @@
 	if _, err := runbook.Read(k.File, raw); err != nil {
 		return &ExitError{ExitUsage, err.Error()}
 	}
-	fmt.Fprintln(c.Out, "fine")
+	fmt.Fprintln(c.Out, "valid")
 	return nil
 }
 
 // RunbookRunCmd runs a runbook.
 type RunbookRunCmd struct {
-	Name   string            `arg:"" help:"Name of a shipped runbook, or a file with --file." name:"name"`
-	IsFile bool              `help:"Name is a file." name:"file"`
-	Values map[string]string `help:"Values that the runbook needs, as name=value." name:"set"`
-	DryRun bool              `help:"Say what would be done, and do nothing." name:"dry-run"`
-	Yes    bool              `help:"Go on after each step by hand without asking." name:"yes"`
+	Name   string            `arg:"" help:"Name of a bundled runbook, or path of a file with --file." name:"name"`
+	IsFile bool              `help:"Treat the name as the path of a file." name:"file"`
+	Values map[string]string `help:"Values of the runbook's parameters, as name=value." name:"set"`
+	DryRun bool              `help:"Print the steps without executing them." name:"dry-run"`
+	Yes    bool              `help:"Continue after manual steps without confirmation." name:"yes"`
 }
 
 // Run runs the command.
@@ -114,28 +114,28 @@
 	return runbook.Read(r.Name, raw)
 }
 
-// confirm gives the function that has the operator do a step by hand. It reports whether
-// they did; with --yes it doesn't ask.
+// confirm returns a function that asks the operator to carry out a manual step and reports
+// whether they confirmed it. With --yes, it prints the instruction without asking.
 func (r *RunbookRunCmd) confirm(out io.Writer, in *bufio.Reader) func(instruction string) bool {
 	return func(instruction string) bool {
-		fmt.Fprintf(out, "   by hand: %s\n", instruction)
+		fmt.Fprintf(out, "   manual step: %s\n", instruction)
 		if r.Yes {
 			return true
 		}
 		fmt.Fprint(out, "   done? [y/N] ")
-		// An input that ends is an empty answer, which means no.
+		// At the end of the input, the answer is empty, which means no.
 		answer, _ := in.ReadString('\n')
 		return strings.HasPrefix(strings.ToLower(strings.TrimSpace(answer)), "y")
 	}
 }
 
-// RunJSON runs one command line within this process and gives its answer in JSON.
+// RunJSON runs one command line within this process and returns its answer in JSON.
 func RunJSON(c *Context, words []string) ([]byte, error) {
 	var out bytes.Buffer
 	newContext := func(CLI) *Context {
 		return &Context{Address: c.Address, JSON: true, Out: &out, Timeout: c.Timeout}
 	}
-	// kong must not end the process for --help or an error.
+	// Without this option, kong would exit the process for --help or an error.
 	err := run(words, newContext, kong.Exit(func(int) {}))
 	var exit *ExitError
 	if errors.As(err, &exit) {
--- a/internal/app/cli/zones.go
+++ b/internal/app/cli/zones.go
@@ -11,30 +11,30 @@
 	ChangeFlags
 }
 
-// submitAction asks for an action of the API on the zone.
+// submitAction requests an action of the API on the zone.
 func (z *ZoneCmd) submitAction(c *Context, action string) error {
 	return c.submitChange(http.MethodPost, "/v1/cells/"+url.PathEscape(z.Name)+"/"+action, nil, z.headers())
 }
 
-// DrainZoneCmd takes a zone out of new work.
+// DrainZoneCmd drains a zone.
 type DrainZoneCmd struct{ ZoneCmd }
 
 // Run runs the command.
 func (d *DrainZoneCmd) Run(c *Context) error { return d.submitAction(c, "empty") }
 
-// RestoreZoneCmd brings a drained zone back.
+// RestoreZoneCmd returns a drained zone to service.
 type RestoreZoneCmd struct{ ZoneCmd }
 
 // Run runs the command.
 func (r *RestoreZoneCmd) Run(c *Context) error { return r.submitAction(c, "refill") }
 
-// EvacuateZoneCmd sends no more work to a zone's targets, while its proxies go on.
+// EvacuateZoneCmd stops requests to a zone's targets, while its proxies keep serving.
 type EvacuateZoneCmd struct{ ZoneCmd }
 
 // Run runs the command.
 func (e *EvacuateZoneCmd) Run(c *Context) error { return e.submitAction(c, "shut") }
 
-// EndEvacuationCmd lets work go to a zone's targets again.
+// EndEvacuationCmd allows requests to the targets of an evacuated zone again.
 type EndEvacuationCmd struct{ ZoneCmd }
 
 // Run runs the command.
