--- a/internal/app/manifest/doc.go
+++ b/internal/app/manifest/doc.go
@@ -1,7 +1,6 @@
-// Package manifest reads Kubernetes-style objects, in YAML or JSON, and makes a change
-// of the configuration of them: the same checked change that every other way of sending
-// configuration makes.
+// Package manifest converts Kubernetes-style objects, in YAML or JSON, to a change of the
+// configuration. The change is validated like any other change.
 //
-// A file is taken whole or not at all. Violations name the document, or the item, and
-// the path of the field. The package sends nothing and keeps nothing.
+// A file is accepted or rejected as a whole. Violations name the document or the item, and
+// the path of the field. The package does no I/O and keeps no state; its tests are here.
 package manifest
--- a/internal/app/manifest/manifest.go
+++ b/internal/app/manifest/manifest.go
@@ -20,11 +20,11 @@
 const (
 	// documentSeparator is the line between two documents of a YAML stream.
 	documentSeparator = "---"
-	// maxLineLength bounds a line, in bytes.
+	// maxLineLength is the maximum length of a line, in bytes.
 	maxLineLength = 1 << 20
 )
 
-// itemKinds gives the kind of item for the kind of an object.
+// itemKinds maps the kind of an object to the kind of item.
 var itemKinds = map[string]string{"Service": "service", "Route": "route", "Cell": "cell"}
 
 // change is a change in JSON, as configuration.ReadChange reads it.
@@ -33,7 +33,7 @@
 	ID    string            `json:"id"`
 }
 
-// itemChange is the change of one item: its body replaces the item's.
+// itemChange is the change of one item, which replaces the item's body.
 type itemChange struct {
 	Kind    string          `json:"kind"`
 	Name    string          `json:"name"`
@@ -41,7 +41,7 @@
 	Version json.RawMessage `json:"version,omitempty"`
 }
 
-// Read makes one change, with an id, of all documents. It gives the change or the
+// Read converts all documents to one change with the given ID. It returns the change or the
 // violations, never both.
 func Read(id string, raw []byte) ([]byte, []configuration.Violation) {
 	items, violations := readItems(raw)
@@ -55,7 +55,7 @@
 	if err != nil {
 		return nil, fileViolation(err.Error())
 	}
-	// The registry makes the same check; here its violations show before anything is sent.
+	// The registry makes the same check; here it finds violations before anything is sent.
 	if _, violations := configuration.ReadChange(encoded); len(violations) > 0 {
 		return nil, violations
 	}
@@ -66,20 +66,20 @@
 	return []configuration.Violation{{Item: "file", Reason: reason}}
 }
 
-// readItems makes an item's change of each document.
+// readItems converts each document to the change of an item.
 func readItems(raw []byte) (items []json.RawMessage, violations []configuration.Violation) {
 	for i, document := range splitDocuments(raw) {
 		report := func(path, reason string) {
 			violations = append(violations, configuration.Violation{Item: fmt.Sprintf("document %d", i+1), Path: path, Reason: reason})
 		}
-		// Strict: a repeated key is an error.
+		// The strict parser rejects duplicate keys.
 		asJSON, err := yaml.YAMLToJSONStrict(document)
 		if err != nil {
 			report("", err.Error())
 			continue
 		}
 		if string(asJSON) == "null" {
-			continue // comments alone
+			continue // the document has only comments
 		}
 		if item := readObject(gjson.ParseBytes(asJSON), report); item != nil {
 			items = append(items, item)
@@ -88,7 +88,7 @@
 	return items, violations
 }
 
-// splitDocuments cuts a stream into its documents, without empty ones.
+// splitDocuments splits a stream into its non-empty documents.
 func splitDocuments(raw []byte) [][]byte {
 	var documents [][]byte
 	var document bytes.Buffer
@@ -107,8 +107,8 @@
 	return slices.DeleteFunc(documents, func(d []byte) bool { return len(bytes.TrimSpace(d)) == 0 })
 }
 
-// readObject makes an item's change of one object, in JSON; nil if a violation leaves
-// nothing to make it of. It reports violations by the path of the field.
+// readObject converts one object to the change of an item, in JSON. It reports violations
+// with the path of the field, and returns nil if the kind or the spec is invalid.
 func readObject(object gjson.Result, report func(path, reason string)) json.RawMessage {
 	if !object.IsObject() {
 		report("", "must be an object")
@@ -120,7 +120,7 @@
 	}
 	kind, known := itemKinds[object.Get("kind").String()]
 	if !known {
-		report("kind", fmt.Sprintf("%q is not known; there are Service, Route and Cell", object.Get("kind").String()))
+		report("kind", fmt.Sprintf("%q is not known; the kinds are Service, Route and Cell", object.Get("kind").String()))
 	}
 	metadata := object.Get("metadata")
 	configuration.CheckKeys(metadata, "metadata", report, "name", "resourceVersion")
@@ -138,7 +138,7 @@
 	return encodeItem(item, metadata.Get("resourceVersion"), report)
 }
 
-// encodeItem adds an expected version, if there is one, and gives the item in JSON.
+// encodeItem adds the expected version, if there is one, and returns the item in JSON.
 func encodeItem(item itemChange, version gjson.Result, report func(path, reason string)) json.RawMessage {
 	if version.Exists() {
 		item.Version = json.RawMessage(strings.Trim(version.Raw, `"`))
--- a/internal/app/manifest/manifest_test.go
+++ b/internal/app/manifest/manifest_test.go
@@ -15,7 +15,7 @@
 spec:
   tier: 8
 ---
-# a comment alone
+# only a comment
 ---
 {"apiVersion": "dunlinwell/v1", "kind": "Route", "metadata": {"name": "orders", "resourceVersion": "0"},
  "spec": {"prefix": "/orders", "service": "ledger", "repeatable": false}}
--- a/internal/app/runbook/book.go
+++ b/internal/app/runbook/book.go
@@ -6,45 +6,44 @@
 type Book struct {
 	Name        string `json:"name"`
 	Description string `json:"about"`
-	// Parameters are the names of the values that a run must be given.
+	// Parameters are the names of the values that a run requires.
 	Parameters []string `json:"needs"`
 	Steps      []Step   `json:"steps"`
 }
 
-// Step is one step: an instruction for the operator or a command, and checks of the
-// result. Its texts may have placeholders such as {cell}, for a parameter or for the
-// item of ForEach.
+// Step is one step: a manual instruction or a command, with checks of the result. Its texts
+// may contain placeholders such as {cell} for parameters, and {item} with ForEach.
 type Step struct {
 	Name string `json:"name"`
-	// Instruction is for the operator to do by hand, and to confirm.
+	// Instruction is a manual step, which the operator carries out and confirms.
 	Instruction string `json:"say"`
 	// Command is a command line without the program's name. It runs once.
 	Command []string `json:"run"`
-	// ForEach is a path in the answer to the command status. The step is repeated for each
-	// value found there, which {item} stands for.
+	// ForEach is a path in the answer to the status command. The step is repeated for each
+	// value at the path, which replaces {item}.
 	ForEach string `json:"each"`
-	// Observe is a command line that is repeated until the checks hold. Without it they
-	// are made once, on the answer to Command.
+	// Observe is a command line that is repeated until the checks pass. Without it, they are
+	// evaluated once, on the answer to Command.
 	Observe []string `json:"look"`
-	// Checks must all hold.
+	// Checks must all pass.
 	Checks []Check `json:"until"`
-	// Timeout bounds the wait for the checks, as time.ParseDuration reads it; 10 s if
-	// empty.
+	// Timeout is the timeout of the checks, in the format of time.ParseDuration. If empty,
+	// it is 10 s.
 	Timeout string `json:"within"`
 	timeout time.Duration
 }
 
-// Check compares what a path finds in an answer in JSON. It has one of the comparisons.
+// Check compares the value at a path of a JSON answer. Exactly one comparison is set.
 type Check struct {
 	// Path is in gjson's syntax.
 	Path string `json:"path"`
 	// Equals and NotEquals compare the value as text.
 	Equals    *string `json:"is"`
 	NotEquals *string `json:"not"`
-	// Empty asks for no value, null or an empty list.
+	// Empty requires that the value is missing, null or an empty list.
 	Empty bool `json:"none"`
-	// Changed asks for another text than before the step.
+	// Changed requires that the value's text differs from the one before the step.
 	Changed bool `json:"changed"`
-	// LessThan asks for a smaller number.
+	// LessThan requires a number less than this one.
 	LessThan *float64 `json:"under"`
 }
--- a/internal/app/runbook/bundled.go
+++ b/internal/app/runbook/bundled.go
@@ -15,10 +15,10 @@
 //go:embed books/*.yaml
 var bundledFiles embed.FS
 
-// BundledNames lists the runbooks that come with the program.
+// BundledNames returns the names of the bundled runbooks.
 func BundledNames() []string {
 	var names []string
-	// The folder is part of the binary: it can't fail to be read.
+	// Reading an embedded folder can't fail.
 	files, _ := bundledFiles.ReadDir(bundledFolder)
 	for _, file := range files {
 		names = append(names, strings.TrimSuffix(file.Name(), fileSuffix))
@@ -26,11 +26,11 @@
 	return names
 }
 
-// ReadBundled gives the text of a bundled runbook.
+// ReadBundled returns the text of a bundled runbook.
 func ReadBundled(name string) ([]byte, error) {
 	raw, err := bundledFiles.ReadFile(bundledFolder + "/" + name + fileSuffix)
 	if err != nil {
-		return nil, errs.New("find runbook", "", "there is no runbook %q; there are %s", name, strings.Join(BundledNames(), ", "))
+		return nil, errs.New("find runbook", "", "no runbook named %q; the bundled runbooks are %s", name, strings.Join(BundledNames(), ", "))
 	}
 	return raw, nil
 }
--- a/internal/app/runbook/read.go
+++ b/internal/app/runbook/read.go
@@ -13,10 +13,10 @@
 	"dunlinwell/internal/base/errs"
 )
 
-// AllowedCommands are the commands that steps may run.
+// AllowedCommands are the commands that a step can run.
 var AllowedCommands = []string{"service", "route", "cell", "change", "policy", "where", "status", "core"}
 
-// defaultTimeout is that of steps that name none.
+// defaultTimeout is the timeout of steps that don't set one.
 const defaultTimeout = 10 * time.Second
 
 // itemPlaceholder is the name of the placeholder for an item of Step.ForEach.
@@ -24,8 +24,8 @@
 
 var placeholderPattern = regexp.MustCompile(`\{[a-z_]+\}`)
 
-// Read reads a runbook in YAML and checks all of it: unknown fields, commands and
-// placeholders are errors that name the file and the step.
+// Read decodes a runbook from YAML and validates it. Unknown fields, commands and
+// placeholders are errors; an error names the file and, if possible, the step.
 func Read(file string, raw []byte) (*Book, error) {
 	const step = "read runbook"
 	var b Book
@@ -33,7 +33,7 @@
 		return nil, errs.Wrap(err, step, file)
 	}
 	if b.Name == "" || len(b.Steps) == 0 {
-		return nil, errs.New(step, file, "it has no name or no steps")
+		return nil, errs.New(step, file, "runbook has no name or no steps")
 	}
 	for i := range b.Steps {
 		if err := b.validateStep(&b.Steps[i]); err != nil {
@@ -43,19 +43,19 @@
 	return &b, nil
 }
 
-// validateStep checks a step and sets its time-out.
+// validateStep validates a step and sets its timeout.
 func (b *Book) validateStep(s *Step) error {
 	switch {
 	case s.Name == "":
-		return errors.New("it has no name")
+		return errors.New("missing name")
 	case len(s.Command) == 0 && s.Instruction == "" && len(s.Observe) == 0:
-		return errors.New("it neither says, runs nor looks at anything")
+		return errors.New("needs at least one of say, run and look")
 	case len(s.Checks) == 0 && s.Instruction == "":
-		return errors.New("it has no check of its result")
+		return errors.New("missing checks (until)")
 	}
 	for _, words := range [][]string{s.Command, s.Observe} {
 		if len(words) > 0 && !slices.Contains(AllowedCommands, words[0]) {
-			return fmt.Errorf("there is no command %q", words[0])
+			return fmt.Errorf("unknown command %q", words[0])
 		}
 	}
 	if err := s.parseTimeout(); err != nil {
@@ -76,13 +76,13 @@
 	}
 	timeout, err := time.ParseDuration(s.Timeout)
 	if err != nil || timeout <= 0 {
-		return fmt.Errorf("within: %q is no span of time", s.Timeout)
+		return fmt.Errorf("within: %q is not a positive duration", s.Timeout)
 	}
 	s.timeout = timeout
 	return nil
 }
 
-// validatePlaceholders checks that a run has a value for each placeholder of a step.
+// validatePlaceholders checks that each placeholder of a step is a parameter or {item}.
 func (b *Book) validatePlaceholders(s *Step) error {
 	known := slices.Clone(b.Parameters)
 	if s.ForEach != "" {
@@ -90,13 +90,13 @@
 	}
 	for _, placeholder := range placeholderPattern.FindAllString(s.templates(), -1) {
 		if !slices.Contains(known, placeholder[1:len(placeholder)-1]) {
-			return fmt.Errorf("%s is not among what the runbook needs", placeholder)
+			return fmt.Errorf("placeholder %s is not a parameter of the runbook (needs)", placeholder)
 		}
 	}
 	return nil
 }
 
-// templates gives all texts of the step that may have placeholders.
+// templates returns all texts of the step that may contain placeholders.
 func (s *Step) templates() string {
 	texts := slices.Concat([]string{s.Name, s.Instruction}, s.Command, s.Observe)
 	for _, c := range s.Checks {
@@ -110,7 +110,7 @@
 	return strings.Join(texts, " ")
 }
 
-// validate checks that a check has a path and one comparison.
+// validate checks that c has a path and exactly one comparison.
 func (c Check) validate() error {
 	comparisons := 0
 	for _, given := range []bool{c.Equals != nil, c.NotEquals != nil, c.Empty, c.Changed, c.LessThan != nil} {
@@ -119,7 +119,7 @@
 		}
 	}
 	if c.Path == "" || comparisons != 1 {
-		return errors.New("a check needs a path and one of is, not, none, changed, under")
+		return errors.New("a check needs a path and exactly one of is, not, none, changed and under")
 	}
 	return nil
 }
--- a/internal/app/runbook/read_test.go
+++ b/internal/app/runbook/read_test.go
@@ -29,23 +29,23 @@
 				return nil, nil
 			}}))
 			is.True(strings.Contains(out.String(), "done"))
-			is.True(len(b.Parameters) == 0 || b.Run(Options{Out: &out}) != nil) // a missing value stops it
+			is.True(len(b.Parameters) == 0 || b.Run(Options{Out: &out}) != nil) // a missing value is an error
 		})
 	}
 }
 
-// Broken runbooks are rejected whole, with the file, the step and the reason.
-func TestRead_RejectsBrokenBooks(t *testing.T) {
+// Invalid runbooks are rejected with an error that names the file, the step and the reason.
+func TestRead_RejectsInvalidRunbooks(t *testing.T) {
 	const head = "name: x\nneeds: [cell]\nsteps:\n"
 	for name, c := range map[string]struct{ text, want string }{
 		"no steps":            {"name: x", "no steps"},
-		"unknown command":     {head + "  - {name: a, run: [reboot], until: [{path: p, is: q}]}", "step 1 (a): there is no command \"reboot\""},
-		"no check":            {head + "  - {name: a, run: [status]}", "step 1 (a): it has no check"},
-		"nothing to do":       {head + "  - {name: a}", "step 1 (a): it neither says"},
+		"unknown command":     {head + "  - {name: a, run: [reboot], until: [{path: p, is: q}]}", "step 1 (a): unknown command \"reboot\""},
+		"no check":            {head + "  - {name: a, run: [status]}", "step 1 (a): missing checks"},
+		"nothing to do":       {head + "  - {name: a}", "step 1 (a): needs at least one of say"},
 		"no comparison":       {head + "  - {name: a, run: [status], until: [{path: p}]}", "step 1 (a): a check needs"},
 		"two comparisons":     {head + "  - {name: a, run: [status], until: [{path: p, is: q, none: true}]}", "step 1 (a): a check needs"},
-		"unknown placeholder": {head + "  - {name: a, run: [cell, get, '{zell}'], until: [{path: p, is: q}]}", "step 1 (a): {zell} is not among"},
-		"bad time-out":        {head + "  - {name: a, run: [status], within: soon, until: [{path: p, is: q}]}", "step 1 (a): within"},
+		"unknown placeholder": {head + "  - {name: a, run: [cell, get, '{zell}'], until: [{path: p, is: q}]}", "step 1 (a): placeholder {zell} is not a parameter"},
+		"invalid timeout":     {head + "  - {name: a, run: [status], within: soon, until: [{path: p, is: q}]}", "step 1 (a): within"},
 		"unknown field":       {head + "  - {name: a, walk: 1}", "unknown field"},
 		"second step":         {head + "  - {name: a, say: hello}\n  - {name: b, run: [x]}", "step 2 (b)"},
 	} {
--- a/internal/app/runbook/runner.go
+++ b/internal/app/runbook/runner.go
@@ -12,18 +12,19 @@
 	"dunlinwell/internal/base/errs"
 )
 
-// Options are the options of a run, and the functions by which it acts.
+// Options are the options of a run, and the functions that carry out its steps.
 type Options struct {
-	// Values are those of the runbook's parameters.
+	// Values holds the values of the runbook's parameters, by name.
 	Values map[string]string
-	// DryRun prints what would be done, and does nothing.
+	// DryRun prints the steps without executing them.
 	DryRun bool
 	Out    io.Writer
-	// Execute runs a command line and gives its answer in JSON.
+	// Execute runs a command line and returns its answer in JSON.
 	Execute func(words []string) ([]byte, error)
-	// Confirm has the operator follow an instruction; false stops the run.
+	// Confirm asks the operator to carry out an instruction. If it returns false, the run
+	// stops.
 	Confirm func(instruction string) bool
-	// Pause waits a little between two observations.
+	// Pause waits between two observations.
 	Pause func()
 	Now   func() time.Time
 }
@@ -55,19 +56,19 @@
 	step := "run " + b.Name
 	for _, parameter := range b.Parameters {
 		if values[parameter] == "" {
-			return errs.New(step, "", "it needs --set %s=...", parameter)
+			return errs.New(step, "", "missing parameter: --set %s=...", parameter)
 		}
 	}
 	for name := range values {
 		if !slices.Contains(b.Parameters, name) {
-			return errs.New(step, "", "it has no use for %q", name)
+			return errs.New(step, "", "unknown parameter %q", name)
 		}
 	}
 	return nil
 }
 
-// items gives the values for which a step is repeated; one empty value for a step
-// without ForEach, and in a dry run.
+// items returns the values for which a step is repeated. For a step without ForEach, and in
+// a dry run, it returns one empty value.
 func (o Options) items(s *Step) ([]string, error) {
 	if s.ForEach == "" || o.DryRun {
 		return []string{""}, nil
@@ -83,7 +84,7 @@
 	return items, nil
 }
 
-// expand replaces the placeholders of a text by their values.
+// expand replaces the placeholders in a text with their values.
 func (o Options) expand(text, item string) string {
 	for name, value := range o.Values {
 		text = strings.ReplaceAll(text, "{"+name+"}", value)
@@ -94,7 +95,7 @@
 	return text
 }
 
-// expandAll replaces the placeholders of each word.
+// expandAll expands each word.
 func (o Options) expandAll(words []string, item string) []string {
 	expanded := make([]string, len(words))
 	for i, word := range words {
@@ -115,7 +116,7 @@
 		return err
 	}
 	if s.Instruction != "" && !o.Confirm(o.expand(s.Instruction, item)) {
-		return errs.New("hands", "", "stopped by the operator")
+		return errs.New("manual step", "", "not confirmed by the operator")
 	}
 	var answer []byte
 	if len(s.Command) > 0 {
@@ -126,7 +127,7 @@
 	return o.awaitChecks(s, item, string(answer), before)
 }
 
-// observation gives the command line whose answer the checks are made on.
+// observation returns the command line whose answer the checks evaluate.
 func (s *Step) observation() []string {
 	if len(s.Observe) > 0 {
 		return s.Observe
@@ -134,7 +135,8 @@
 	return s.Command
 }
 
-// observeBefore gives the answer from before the step, if a check compares with it.
+// observeBefore returns the answer from before the step if a check compares with it, and
+// otherwise the empty string.
 func (o Options) observeBefore(s *Step, item string) (string, error) {
 	before := ""
 	for _, c := range s.Checks {
@@ -150,9 +152,9 @@
 	return before, nil
 }
 
-// awaitChecks observes until every check holds, or the step's time-out is over. A step
-// that only has a command is checked once, on the command's answer: the command isn't
-// repeated, as it may change something.
+// awaitChecks repeats the observation until every check passes or the step times out. If
+// the step has only a command, the checks are evaluated once, on the command's answer: the
+// command isn't repeated, because it may not be idempotent.
 func (o Options) awaitChecks(s *Step, item, answer, before string) error {
 	if len(s.Checks) == 0 {
 		return nil
@@ -169,7 +171,7 @@
 			failure = o.evaluateAll(s.Checks, item, answer, before)
 		}
 		if failure == nil {
-			fmt.Fprintf(o.Out, "   holds\n")
+			fmt.Fprintf(o.Out, "   checks passed\n")
 			return nil
 		}
 		if !repeats || !o.Now().Before(deadline) {
@@ -178,7 +180,7 @@
 	}
 }
 
-// evaluateAll gives the first check that doesn't hold, as an error.
+// evaluateAll returns an error for the first check that fails.
 func (o Options) evaluateAll(checks []Check, item, answer, before string) error {
 	for _, c := range checks {
 		if err := o.evaluate(c, item, answer, before); err != nil {
@@ -188,7 +190,7 @@
 	return nil
 }
 
-// evaluate gives an error if a check doesn't hold on an answer.
+// evaluate returns an error if a check of an answer fails.
 func (o Options) evaluate(c Check, item, answer, before string) error {
 	path := o.expand(c.Path, item)
 	value := gjson.Get(answer, path)
@@ -203,20 +205,20 @@
 	case c.Empty && value.Exists() && value.Type != gjson.Null && len(value.Array()) > 0:
 		return failure("empty")
 	case c.Changed && (!value.Exists() || value.String() == gjson.Get(before, path).String()):
-		return failure("another than before")
+		return failure("different from before the step")
 	case c.LessThan != nil && (value.Type != gjson.Number || value.Num >= *c.LessThan):
-		return failure(fmt.Sprintf("under %g", *c.LessThan))
+		return failure(fmt.Sprintf("less than %g", *c.LessThan))
 	}
 	return nil
 }
 
-// describe prints what a step would do.
+// describe prints a step in a dry run.
 func (o Options) describe(s *Step, item string) {
 	if s.ForEach != "" {
 		fmt.Fprintf(o.Out, "   for each of %s\n", o.expand(s.ForEach, item))
 	}
 	if s.Instruction != "" {
-		fmt.Fprintf(o.Out, "   by hand: %s\n", o.expand(s.Instruction, item))
+		fmt.Fprintf(o.Out, "   manual step: %s\n", o.expand(s.Instruction, item))
 	}
 	if len(s.Command) > 0 {
 		fmt.Fprintf(o.Out, "   dunlinwell %s\n", strings.Join(o.expandAll(s.Command, item), " "))
--- a/internal/app/runbook/runner_test.go
+++ b/internal/app/runbook/runner_test.go
@@ -10,7 +10,8 @@
 	"github.com/matryer/is"
 )
 
-// demoBook has a step of each form.
+// demoBook has a step with a command, one with an observation and one with ForEach and an
+// instruction.
 const demoBook = `name: demo
 needs: [cell]
 steps:
@@ -28,7 +29,7 @@
     until: [{path: 'daemons.#(id=="{item}").start', changed: true}]
 `
 
-// runDemo runs the demo against answers that may change with each command.
+// runDemo runs demoBook. answer returns the answer to the n-th command.
 func runDemo(t *testing.T, answer func(n int, words []string) string) (string, error) {
 	t.Helper()
 	b, err := Read("demo", []byte(demoBook))
@@ -37,7 +38,7 @@
 	n, now := 0, time.Unix(0, 0)
 	err = b.Run(Options{
 		Values: map[string]string{"cell": "north"}, Out: &out, Now: func() time.Time { return now }, Pause: func() { now = now.Add(time.Second) },
-		Confirm: func(instruction string) bool { fmt.Fprintln(&out, "hands:", instruction); return true },
+		Confirm: func(instruction string) bool { fmt.Fprintln(&out, "confirmed:", instruction); return true },
 		Execute: func(words []string) ([]byte, error) {
 			n++
 			return []byte(answer(n, words)), nil
@@ -46,12 +47,13 @@
 	return out.String(), err
 }
 
-// statusAnswer gives a status that is in force from the fourth command on.
+// statusAnswer returns a status in which the configuration is in force from the fourth
+// command on.
 func statusAnswer(n, start int) string {
 	return fmt.Sprintf(`{"in_force":%t,"lag":%d,"problems":[],"daemons":[{"id":"a","start":"%d"}]}`, n > 3, 5-n, start)
 }
 
-func TestRun_StepsWaitForTheirChecks(t *testing.T) {
+func TestRun_StepsWaitForChecks(t *testing.T) {
 	is := is.New(t)
 	emptied := 0
 	out, err := runDemo(t, func(n int, words []string) string {
@@ -62,8 +64,8 @@
 		return statusAnswer(n, n)
 	})
 	is.NoErr(err)
-	is.Equal(emptied, 1) // a change is sent once; only observations are repeated
-	is.True(strings.Contains(out, "hands: restart a"))
+	is.Equal(emptied, 1) // a command is executed once; only observations are repeated
+	is.True(strings.Contains(out, "confirmed: restart a"))
 }
 
 func TestRun_StopsAtTheFirstFailure(t *testing.T) {
@@ -76,5 +78,5 @@
 	})
 	is.True(err != nil && strings.Contains(err.Error(), `demo step 2 (wait)`))
 	is.True(strings.Contains(err.Error(), `in_force is "false", but should be true`))
-	is.True(!strings.Contains(out, "hands"))
+	is.True(!strings.Contains(out, "confirmed"))
 }
