--- a/internal/app/daemon/changes_bench_test.go
+++ b/internal/app/daemon/changes_bench_test.go
@@ -14,10 +14,10 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// BenchmarkChangesInARow makes 300 changes in a row of configurations of three sizes,
-// over real connections and disks. It gives times, and processor time for each
-// change of three stores and a registry together. Run it with -benchtime 1x.
-func BenchmarkChangesInARow(b *testing.B) {
+// BenchmarkSequentialChanges makes 300 sequential changes to configurations of three sizes, with
+// real connections and disks. It reports response times, and bytes and CPU time per change
+// of three stores and a registry together. Run it with -benchtime 1x.
+func BenchmarkSequentialChanges(b *testing.B) {
 	for _, size := range []int{1000, 5000, 15000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			c := startCore(b)
@@ -30,14 +30,14 @@
 				b.Fatalf("status %d", status)
 			}
 			for b.Loop() {
-				changesInARow(b, c, size)
+				makeSequentialChanges(b, c, size)
 			}
 		})
 	}
 }
 
-// changesInARow makes changes one after the other and reports what they cost.
-func changesInARow(b *testing.B, c *testCore, size int) {
+// makeSequentialChanges makes sequential changes and reports their cost.
+func makeSequentialChanges(b *testing.B, c *testCore, size int) {
 	b.Helper()
 	const changes = 300
 	var times []time.Duration
@@ -57,15 +57,15 @@
 	b.ReportMetric(float64((processorTime(b)-before).Milliseconds())/changes, "cpu_ms/change")
 }
 
-// changeBytesSent gives the bytes of the messages between daemons that changes cause.
-// Reads, which come with time and not with changes, are left out. The kinds are
-// prefixes: those of differences count as well.
+// changeBytesSent returns the number of bytes sent in messages that changes cause. It
+// excludes reads, which are periodic. The kinds are prefixes, so that messages with deltas
+// are included.
 func (c *testCore) changeBytesSent() float64 {
 	const sent = `way="sent"`
 	return c.metricSum("wire_bytes_total", `kind="consensus.Accept`, sent) + c.metricSum("wire_bytes_total", `kind="consensus.Chosen`, sent)
 }
 
-// metricSum sums a metric over all daemons, of those lines that contain every part.
+// metricSum returns the sum of a metric over all daemons and all lines that contain every part.
 func (c *testCore) metricSum(name string, parts ...string) float64 {
 	sum := 0.0
 	for _, address := range c.allHTTP {
@@ -89,7 +89,7 @@
 	return sum
 }
 
-// processorTime gives the processor time that this process has used.
+// processorTime returns the CPU time that this process has used.
 func processorTime(b *testing.B) time.Duration {
 	b.Helper()
 	var usage syscall.Rusage
--- a/internal/app/daemon/committer.go
+++ b/internal/app/daemon/committer.go
@@ -13,31 +13,30 @@
 )
 
 const (
-	// pruneInterval is how often expired idempotency records are deleted: often enough
-	// that one pass is short, seldom enough to cost no syncs of note.
+	// pruneInterval is the interval at which expired idempotency records are deleted.
 	pruneInterval = 10 * time.Second
-	// maxBatchSize bounds how many Sync commands share one sync of the disk, and how many
-	// records one pass deletes, so that neither holds up the others for long.
+	// maxBatchSize is the maximum number of Sync commands in one group commit, and of
+	// records that one pruning pass deletes. It limits how long later writes wait.
 	maxBatchSize = 512
-	// commitQueueLength is how many Sync commands may wait for the disk. It is large, as
-	// the machine's owner stands still while the queue is full.
+	// commitQueueLength is the maximum number of queued Sync commands. While the queue is
+	// full, the state machine is blocked.
 	commitQueueLength = 1 << 16
 )
 
-// committer executes a store's Sync commands: it writes the records of all that wait
-// in one sync of the disk (group commit), and only then executes their After commands.
+// committer executes a store's Sync commands with group commit: it writes the records of
+// all queued commands with one sync of the disk, and then executes their After commands.
 type committer struct {
 	database *storage.Database
 	queue    chan event.Sync
 	execute  func(event.Command)
 	onSynced func(event.Synced)
 	log      *process.Log
-	// syncs, records and bytes count the writes, for the metrics.
+	// syncs, records and bytes count the writes for the metrics.
 	syncs, records, bytes atomic.Uint64
 }
 
-// Serve runs until the context ends. A failed sync ends the whole process: whether the
-// kernel kept the pages isn't known, and a second sync could succeed without them.
+// Serve runs until the context is done. A failed sync ends the process: the kernel may have
+// dropped the dirty pages, and a retried sync could succeed without writing them.
 func (c *committer) Serve(ctx context.Context) error {
 	prune := time.NewTicker(pruneInterval)
 	defer prune.Stop()
@@ -55,7 +54,7 @@
 	}
 }
 
-// collectBatch adds what waits in the queue to a first command.
+// collectBatch returns the first command and the queued ones, up to maxBatchSize.
 func (c *committer) collectBatch(first event.Sync) []event.Sync {
 	batch := []event.Sync{first}
 	for len(batch) < maxBatchSize {
@@ -69,7 +68,7 @@
 	return batch
 }
 
-// commit writes a batch, executes its After commands and reports it as synced.
+// commit writes a batch, executes its After commands and reports the batch as synced.
 func (c *committer) commit(ctx context.Context, batch []event.Sync) {
 	var records []event.Record
 	for _, s := range batch {
@@ -86,8 +85,8 @@
 	c.onSynced(event.Synced{Batch: batch[len(batch)-1].Batch})
 }
 
-// write writes records and syncs the disk. It reports false if the process is ending
-// and has closed its database; nothing may be executed then.
+// write writes records and syncs the disk. It returns false if the process is shutting down
+// and has closed its database; then the After commands must not be executed.
 func (c *committer) write(ctx context.Context, records []event.Record) bool {
 	if err := c.database.Write(records); err != nil {
 		if ctx.Err() != nil {
@@ -103,13 +102,13 @@
 	return true
 }
 
-// fatal ends the process for an error of the disk.
+// fatal logs a disk error and ends the process.
 func (c *committer) fatal(err error) {
 	c.log.Event(event.LevelError, logDiskFailed, "error", err.Error())
 	os.Exit(exitFailure)
 }
 
-// metrics gives what the disk has done.
+// metrics returns the metrics of the disk.
 func (c *committer) metrics() []Metric {
 	return []Metric{
 		{Name: "disk_syncs_total", Value: float64(c.syncs.Load()), IsCounter: true},
--- a/internal/app/daemon/core_test.go
+++ b/internal/app/daemon/core_test.go
@@ -18,14 +18,14 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// testCore is three stores and a registry in this process, over real connections and disks.
+// testCore runs three stores and a registry in this process, with real connections and disks.
 type testCore struct {
-	// registryHTTP is the registry's address for calls, all are those of every daemon.
+	// registryHTTP is the registry's HTTP address, allHTTP the addresses of all daemons.
 	registryHTTP string
 	allHTTP      []string
 }
 
-// freeAddress gives an address that nobody listens at.
+// freeAddress returns an address with an unused port.
 func freeAddress(t testing.TB) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -36,7 +36,7 @@
 	return l.Addr().String()
 }
 
-// startCore starts a core that ends with the test.
+// startCore starts a core, which is stopped at the end of the test.
 func startCore(t testing.TB) *testCore {
 	t.Helper()
 	ctx, end := context.WithCancel(context.Background())
@@ -68,7 +68,7 @@
 	return c
 }
 
-// merge posts a call, and gives the status (0 without an answer) and the response time.
+// merge sends a merge and returns the status, or 0 without an answer, and the response time.
 func (c *testCore) merge(t testing.TB, m configuration.Merge) (status int, responseTime time.Duration) {
 	t.Helper()
 	raw, err := json.Marshal(m)
@@ -95,10 +95,10 @@
 		}
 		<-time.After(100 * time.Millisecond)
 	}
-	t.Fatal("no core within 30 s")
+	t.Fatal("the stores didn't bootstrap within 30 s")
 }
 
-// route gives the i-th route in a version.
+// route returns the i-th route with a version.
 func route(i, version int) configuration.VersionedItem {
 	body := fmt.Sprintf(`{"prefix":"/r%05d","service":"wader","repeatable":true,"host":"h%d.example"}`, i, i)
 	return configuration.VersionedItem{
@@ -107,7 +107,7 @@
 	}
 }
 
-// One call of 15,000 routes is acknowledged.
+// A merge of 15,000 routes in one call must be accepted within the call's timeout.
 func TestCore_Accepts15000RoutesInOneCall(t *testing.T) {
 	is := is.New(t)
 	c := startCore(t)
--- a/internal/app/daemon/exit.go
+++ b/internal/app/daemon/exit.go
@@ -16,22 +16,22 @@
 	exitStartError = 2
 )
 
-// StartError is an option that this machine can't satisfy, such as a data folder that
-// another process holds. The process exits with 2, as for a flag that can't be read.
+// StartError is the error of an option that can't be satisfied, such as a data folder that
+// another process has locked. The process exits with 2, as for an invalid flag.
 type StartError struct{ error }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *StartError) Unwrap() error { return e.error }
 
-// SignalContext gives a context that ends with SIGTERM or SIGINT.
+// SignalContext returns a context that is canceled by SIGTERM or SIGINT.
 func SignalContext() context.Context {
-	// The process ends with the context, so nothing has to release the signals.
+	// The process ends with the context, so the stop function isn't needed.
 	ctx, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	return ctx
 }
 
-// Exit ends the process with the exit code for the result of its run, and prints an
-// error to standard error.
+// Exit ends the process with the exit code for err, and prints err to standard error. A nil
+// or canceled err counts as success.
 func Exit(name string, err error) {
 	if err == nil || errors.Is(err, context.Canceled) {
 		os.Exit(exitOK)
--- a/internal/app/daemon/graceful_stop.go
+++ b/internal/app/daemon/graceful_stop.go
@@ -9,14 +9,14 @@
 	"dunlinwell/internal/transport/process"
 )
 
-// stopSlack is how much longer than its grace period a store's process waits for the
-// machine: the machine's own timer must come first.
+// stopSlack is the time beyond the grace period for which the process waits for the store's
+// state machine, so that the state machine's own timer expires first.
 const stopSlack = 200 * time.Millisecond
 
-// gracefulStop keeps a store serving after SIGTERM until its machine may stop: it may
-// have to hand its vote over first.
+// gracefulStop keeps a store serving after SIGTERM until its state machine allows it to
+// stop: the store may have to be replaced in the voter set first.
 type gracefulStop struct {
-	// serving ends when the process is to end.
+	// serving is done when the process can stop.
 	serving context.Context
 	end     context.CancelFunc
 }
@@ -26,8 +26,8 @@
 	return &gracefulStop{serving: serving, end: end}
 }
 
-// onSignal asks the machine to leave once the context ends, and bounds how long that
-// may take.
+// onSignal makes the store leave when the context is done, and ends serving after the grace
+// period at the latest.
 func (g *gracefulStop) onSignal(ctx context.Context, grace time.Duration, owner *process.Owner) {
 	context.AfterFunc(ctx, func() {
 		time.AfterFunc(grace+stopSlack, g.end)
@@ -35,8 +35,8 @@
 	})
 }
 
-// interceptMayStop gives a function that ends serving at the machine's command
-// store.MayStop, and executes every other command.
+// interceptMayStop returns a function that ends serving on the command store.MayStop and
+// executes every other command.
 func (g *gracefulStop) interceptMayStop(execute func(event.Command)) func(event.Command) {
 	return func(c event.Command) {
 		if _, ok := c.(store.MayStop); ok {
--- a/internal/app/daemon/health.go
+++ b/internal/app/daemon/health.go
@@ -9,8 +9,8 @@
 	"dunlinwell/internal/controlplane/registry"
 )
 
-// alive is the body of /healthz.
-type alive struct {
+// liveness is the body of /healthz.
+type liveness struct {
 	Alive bool `json:"alive"`
 }
 
@@ -20,11 +20,11 @@
 	Stopping bool `json:"stopping"`
 }
 
-// HandleHealth adds /healthz, which is always 200, and /readyz, which is 200 or 503.
-// The function gives whether the daemon is ready, and the body of /readyz.
+// HandleHealth adds /healthz, which always answers 200, and /readyz, which answers 200 or
+// 503. ready reports whether the daemon is ready, and returns the body of /readyz.
 func HandleHealth(mux *http.ServeMux, ready func() (bool, any)) {
 	mux.HandleFunc("GET /healthz", func(rw http.ResponseWriter, _ *http.Request) {
-		api.WriteResponse(rw, registry.Response{Status: http.StatusOK, Body: alive{true}})
+		api.WriteResponse(rw, registry.Response{Status: http.StatusOK, Body: liveness{true}})
 	})
 	mux.HandleFunc("GET /readyz", func(rw http.ResponseWriter, _ *http.Request) {
 		ok, body := ready()
@@ -36,8 +36,8 @@
 	})
 }
 
-// handleMemberHealth adds the health pages of a daemon that is ready when its own entry
-// in the membership list says so.
+// handleMemberHealth adds the health endpoints of a daemon whose readiness is that of its
+// own entry in the membership list.
 func handleMemberHealth(mux *http.ServeMux, self func() (membership.Member, bool), stopping *atomic.Bool) {
 	HandleHealth(mux, func() (bool, any) {
 		member, _ := self()
--- a/internal/app/daemon/log.go
+++ b/internal/app/daemon/log.go
@@ -2,7 +2,7 @@
 
 import "dunlinwell/internal/base/event"
 
-// The events of a daemon's start and end.
+// The log events of a daemon's startup and shutdown.
 const (
 	LogStarted  event.LogEvent = "daemon_started"
 	LogStopping event.LogEvent = "daemon_stopping"
--- a/internal/app/daemon/member.go
+++ b/internal/app/daemon/member.go
@@ -9,9 +9,9 @@
 	"dunlinwell/internal/controlplane/membership"
 )
 
-// NewMember describes this process for the membership list. Its incarnation starts
-// at the wall clock in milliseconds; where that clock went back, refuting the older
-// entry raises it.
+// NewMember returns the membership entry of this process. Its incarnation starts at the wall
+// clock in milliseconds. If the clock was set back since the last run, the process raises
+// its incarnation when it refutes the older entry.
 func NewMember(options settings.Common, role membership.Role) membership.Member {
 	return membership.Member{
 		ID: ids.DaemonID(options.Name), Role: role, Address: ids.Address(options.Address),
@@ -20,15 +20,14 @@
 	}
 }
 
-// newRunID gives a random run id, never zero. It has 40 bits, which readers of JSON
-// that hold numbers as floating point keep exact.
+// newRunID returns a random nonzero run ID. It has 40 bits, so that JSON decoders that use
+// floating-point numbers represent it exactly.
 func newRunID() ids.RunID { return ids.RunID(rand.Uint64()>>24 | 1) }
 
-// newRandom gives a source that is seeded at random.
+// newRandom returns a randomly seeded source.
 func newRandom() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
-// RegistryAddresses lists the HTTP addresses of the live registries, those of a zone
-// first.
+// RegistryAddresses returns the HTTP addresses of the live registries, those in zone first.
 func RegistryAddresses(members []membership.Member, zone ids.Name) []ids.Address {
 	var near, far []ids.Address
 	for _, m := range members {
--- a/internal/app/daemon/metrics.go
+++ b/internal/app/daemon/metrics.go
@@ -11,28 +11,28 @@
 	"dunlinwell/internal/transport/process"
 )
 
-// metricPrefix begins the name of each metric of ours.
+// metricPrefix is the prefix of all dunlinwell metrics.
 const metricPrefix = "dunlinwell_"
 
-// Metric is one metric and its value at the moment of the scrape.
+// Metric is a metric and its value at the time of a scrape.
 type Metric struct {
-	// Name is without the prefix dunlinwell_.
+	// Name is the name without the prefix dunlinwell_.
 	Name   string
 	Labels []string
-	// Values are those of the labels, in the same order.
+	// Values holds the values of Labels, in the same order.
 	Values []string
 	Value  float64
-	// IsCounter marks a metric that only grows; others are gauges.
+	// IsCounter marks a counter; other metrics are gauges.
 	IsCounter bool
 }
 
-// collector gives a daemon's metrics to Prometheus, read at each scrape.
+// collector is a Prometheus collector that reads a daemon's metrics at each scrape.
 type collector struct{ read func() []Metric }
 
-// Describe sends nothing, which tells Prometheus that the set of metrics varies.
+// Describe sends nothing, which marks the collector as unchecked: its set of metrics varies.
 func (c collector) Describe(chan<- *prometheus.Desc) {}
 
-// Collect reads the metrics. One whose labels don't fit its values is left out.
+// Collect reads the metrics. It omits metrics whose labels and values don't match.
 func (c collector) Collect(out chan<- prometheus.Metric) {
 	for _, m := range c.read() {
 		kind := prometheus.GaugeValue
@@ -47,14 +47,14 @@
 	}
 }
 
-// lockWaitMetric gives how long goroutines of this process have waited for locks.
+// lockWaitMetric returns the total time that goroutines of this process waited for locks.
 func lockWaitMetric() Metric {
 	samples := []metrics.Sample{{Name: "/sync/mutex/wait/total:seconds"}}
 	metrics.Read(samples)
 	return Metric{Name: "lock_wait_seconds_total", Value: samples[0].Value.Float64(), IsCounter: true}
 }
 
-// TrafficMetrics gives the messages and bytes of a transport, by direction and kind.
+// TrafficMetrics returns the message and byte counts of a transport, by direction and kind.
 func TrafficMetrics(stats *process.TrafficStats) []Metric {
 	var out []Metric
 	for _, traffic := range stats.Snapshot() {
@@ -66,8 +66,8 @@
 	return out
 }
 
-// HandleMetrics adds the page of metrics: those read at each scrape, and those of the
-// Go runtime and the process.
+// HandleMetrics adds /metrics with the metrics that read returns and those of the Go runtime
+// and the process.
 func HandleMetrics(mux *http.ServeMux, read func() []Metric) {
 	r := prometheus.NewRegistry()
 	r.MustRegister(
--- a/internal/app/daemon/options.go
+++ b/internal/app/daemon/options.go
@@ -11,38 +11,39 @@
 )
 
 const (
-	// maxResolutionLifetime bounds how long clients may trust an answer of the
-	// directory: traffic must leave a failed zone within seconds.
+	// maxResolutionLifetime is the maximum lifetime of the directory's answers: traffic must
+	// leave a failed zone within seconds.
 	maxResolutionLifetime = 3 * time.Second
-	// minPlanInterval leaves a plan the time to reach the proxies before the next.
+	// minPlanInterval is the minimum interval between two spill-over plans, so that a plan
+	// reaches the proxies before the next one.
 	minPlanInterval = time.Second
 )
 
 // RegistryOptions holds the options of a registry.
 type RegistryOptions struct {
 	settings.Common
-	PlanEvery          time.Duration `help:"How often the spill is planned." default:"30s" name:"plan-every"`
-	ResolutionLifetime time.Duration `help:"How long an answer of the directory may be trusted, 3s at most." default:"2s" name:"lifetime"`
-	Incremental        bool          `help:"Tell only of what changes, and each proxy by two registries alone; the same on all core daemons." name:"thrifty"`
+	PlanEvery          time.Duration `help:"Interval between spill-over plans." default:"30s" name:"plan-every"`
+	ResolutionLifetime time.Duration `help:"Lifetime of the directory's answers; at most 3s." default:"2s" name:"lifetime"`
+	Incremental        bool          `help:"Send deltas only, from two registries to each proxy; must be the same on all registries and stores." name:"thrifty"`
 
-	// The fields below have no flags; a platform's own start sets them.
+	// The fields below have no flags; platform integrations set them.
 
-	// Regions maps zones to their regions, beside those that are configured.
+	// Regions maps zones to regions, in addition to the configured zones.
 	Regions map[ids.Name]string `kong:"-"`
-	// AlwaysResolve lets the directory answer whenever it knows any proxy, also
-	// without a confirmed view of the fleet.
+	// AlwaysResolve makes the directory answer whenever it knows a proxy, even without a
+	// confirmed view of the fleet.
 	AlwaysResolve bool `kong:"-"`
-	// DeriveSetPoints derives the levels of unconfigured zones from what their targets
-	// announce.
+	// DeriveSetPoints derives the load levels of zones without configured levels from the
+	// announcements of their targets.
 	DeriveSetPoints bool `kong:"-"`
-	// ExtraHandlers gives handlers to serve beside the API, by listen address.
+	// ExtraHandlers returns additional HTTP handlers, by listen address.
 	ExtraHandlers func(server *api.Server) map[string]http.Handler `kong:"-"`
 }
 
-// Validate checks the options; kong calls it.
+// Validate checks the options. kong calls it after parsing.
 func (o *RegistryOptions) Validate() error {
 	if o.ResolutionLifetime <= 0 || o.ResolutionLifetime > maxResolutionLifetime {
-		return &StartError{fmt.Errorf("--lifetime: must be over 0 and at most 3s")}
+		return &StartError{fmt.Errorf("--lifetime: must be positive and at most 3s")}
 	}
 	if o.PlanEvery < minPlanInterval {
 		return &StartError{fmt.Errorf("--plan-every: must be at least 1s")}
@@ -53,11 +54,11 @@
 // StoreOptions holds the options of a store.
 type StoreOptions struct {
 	settings.Common
-	DataDir  string `help:"The data folder, held by this process alone." required:"" placeholder:"DIR" name:"data"`
-	Replicas int    `help:"How many stores keep each item: one more than twice the disks that may be lost at once." default:"3" name:"copies"`
-	// Bootstrap must be asked for: stores that lost their disks would otherwise found an
-	// empty fleet in place of the one that they belong to.
-	Bootstrap   bool          `help:"The fleet starts for the first time, on empty disks: the seeds, all blank and all with this flag, may found it." name:"bootstrap"`
-	GracePeriod time.Duration `help:"How long this store may go on after the polite signal, to hand its vote over or while too few others are up." default:"5s" name:"grace"`
-	Incremental bool          `help:"Compare rolls by parts and tell only of what differs, as registries do." name:"thrifty"`
+	DataDir  string `help:"Data folder; locked by this process." required:"" placeholder:"DIR" name:"data"`
+	Replicas int    `help:"Number of voters: 2n+1 to tolerate the loss of n disks." default:"3" name:"copies"`
+	// Bootstrap must be explicit: stores that lost their disks would otherwise bootstrap a
+	// new, empty fleet.
+	Bootstrap   bool          `help:"Bootstrap a new fleet. All seeds must have empty data folders and this flag." name:"bootstrap"`
+	GracePeriod time.Duration `help:"Grace period after SIGTERM, in which the store is replaced as a voter or waits for a majority of other stores." default:"5s" name:"grace"`
+	Incremental bool          `help:"Synchronize membership lists by deltas; must be the same on all registries and stores." name:"thrifty"`
 }
--- a/internal/app/daemon/recovery.go
+++ b/internal/app/daemon/recovery.go
@@ -11,17 +11,16 @@
 	"dunlinwell/internal/controlplane/store"
 )
 
-// recoveryTimeout is how long a caller waits for the machine, which answers within
-// its next steps.
+// recoveryTimeout is how long a call waits for the response of the store's state machine.
 const recoveryTimeout = 2 * time.Second
 
-// recoveryStarted is the body of the answer to a recovery that was begun.
+// recoveryStarted is the answer to a recovery request that was accepted.
 type recoveryStarted struct {
 	Refounding bool `json:"refounding"`
 }
 
-// handleRecovery answers the one control call that a store answers by itself, since no
-// majority is left to ask: to go on alone after the other disks were lost.
+// handleRecovery starts the recovery of a fleet that has permanently lost its majority. It is
+// the only control call that a store handles itself, because no registry could commit it.
 func (d *storeDaemon) handleRecovery(rw http.ResponseWriter, r *http.Request) {
 	raw, ok := api.ReadBody(rw, r)
 	if !ok {
--- a/internal/app/daemon/registry.go
+++ b/internal/app/daemon/registry.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	// registryTick is the interval of a registry's timer, and so the resolution of its
-	// time-outs.
+	// registryTick is the interval of a registry's timer, which is the resolution of its
+	// timeouts.
 	registryTick = 50 * time.Millisecond
-	// registryStopGrace is how long a registry answers after SIGTERM. Meanwhile it says
-	// that it leaves, and callers turn to another.
+	// registryStopGrace is how long a registry keeps answering after SIGTERM. Meanwhile, it
+	// announces that it is leaving, and callers switch to another registry.
 	registryStopGrace = time.Second
 )
 
-// RunRegistry runs a registry until the context ends.
+// RunRegistry runs a registry until the context is done.
 func RunRegistry(ctx context.Context, options RegistryOptions) error {
 	d := newRegistryDaemon(options)
 	peers, httpListener, err := openListeners(d.transport, options.HTTPListenAddress())
@@ -47,7 +47,7 @@
 		append(services, extra...)...)
 }
 
-// registryDaemon is a registry's machine with what executes its commands.
+// registryDaemon holds a registry's state machine and the components that execute its commands.
 type registryDaemon struct {
 	options   RegistryOptions
 	log       *process.Log
@@ -75,17 +75,17 @@
 	return d
 }
 
-// newTransport makes the transport of a registry or store.
+// newTransport returns the transport of a registry or store.
 func newTransport(options settings.Common, log *process.Log) *process.Transport {
 	return &process.Transport{Address: ids.Address(options.Address), Bind: ids.Address(options.Bind), Log: log, Stats: &process.TrafficStats{}}
 }
 
-// deliverTo hands the messages that a transport receives to an owner.
+// deliverTo passes the messages that a transport receives to an owner.
 func deliverTo(transport *process.Transport, owner *process.Owner) {
 	transport.Deliver = func(from ids.Address, msg any) { owner.Offer(event.Received{From: from, Message: msg}) }
 }
 
-// execute carries out a command of the machine.
+// execute executes a command of the state machine.
 func (d *registryDaemon) execute(command event.Command) {
 	if d.transport.Execute(command) {
 		return
@@ -95,7 +95,7 @@
 	}
 }
 
-// handler gives the registry's HTTP pages.
+// handler returns the handler of the registry's HTTP endpoints.
 func (d *registryDaemon) handler(stopping *atomic.Bool) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/v1/", d.server.Handler())
@@ -110,7 +110,7 @@
 	return mux
 }
 
-// extraServices opens the addresses of options.ExtraHandlers, and gives a service for
+// extraServices listens on the addresses of options.ExtraHandlers and returns a service for
 // each.
 func (d *registryDaemon) extraServices() ([]suture.Service, error) {
 	if d.options.ExtraHandlers == nil {
@@ -127,8 +127,8 @@
 	return services, nil
 }
 
-// servingContext gives the context of the HTTP pages, which ends registryStopGrace
-// after ctx does. At the end of ctx the machine is told that it stops.
+// servingContext returns the context of the HTTP server, which is canceled
+// registryStopGrace after ctx. When ctx is done, the state machine is notified.
 func (d *registryDaemon) servingContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	serving, end := context.WithCancel(context.Background())
 	context.AfterFunc(ctx, func() {
--- a/internal/app/daemon/store.go
+++ b/internal/app/daemon/store.go
@@ -17,29 +17,28 @@
 	"dunlinwell/internal/transport/process"
 )
 
-// storeTick is the interval of a store's timer, and so the resolution of its
-// time-outs.
+// storeTick is the interval of a store's timer, which is the resolution of its timeouts.
 const storeTick = 20 * time.Millisecond
 
-// RunStore runs a store until the context ends. When the store finds that another
-// disk has taken the place of its own in the fleet, its folder is set aside and it
-// joins again as blank.
+// RunStore runs a store until the context is done. If the store detects that its disk was
+// replaced by another one in the fleet, its data folder is set aside and the store rejoins
+// with an empty one.
 func RunStore(ctx context.Context, options StoreOptions) error {
 	for {
 		replaced, err := runStore(ctx, options)
 		if err != nil || !replaced || ctx.Err() != nil {
 			return err
 		}
-		kept, err := storage.SetAside(options.DataDir, "replaced")
+		setAsidePath, err := storage.SetAside(options.DataDir, "replaced")
 		if err != nil {
 			return err
 		}
-		process.NewLog(options.LogLevel, options.Name).Event(event.LevelError, logDatabaseReplaced, "kept", kept)
+		process.NewLog(options.LogLevel, options.Name).Event(event.LevelError, logDatabaseReplaced, "set_aside", setAsidePath)
 	}
 }
 
-// runStore runs a store on its folder until the context ends, or until the store's
-// disk was replaced.
+// runStore runs a store on its data folder until the context is done or the store's disk
+// was replaced.
 func runStore(ctx context.Context, options StoreOptions) (replaced bool, err error) {
 	ctx, retire := context.WithCancel(ctx)
 	defer retire()
@@ -48,7 +47,7 @@
 	if err != nil {
 		return false, err
 	}
-	// All that was reported as synced is on disk already.
+	// Everything that was reported as synced is already on disk.
 	defer func() { _ = database.Close() }()
 	d := newStoreDaemon(options, log, database, retire)
 	d.stop.onSignal(ctx, options.GracePeriod, d.owner)
@@ -64,20 +63,20 @@
 	return d.replaced.Load(), err
 }
 
-// openDatabase opens the data folder. A damaged database is set aside and a blank one
-// opened.
+// openDatabase opens the data folder. If the database is damaged, it is set aside and an
+// empty one is opened.
 func openDatabase(dir string, log *process.Log) (*storage.Database, error) {
 	database, err := storage.OpenChecked(dir, func(d *storage.Database) error { return consensus.CheckDisk(d) })
 	if err != nil {
 		return nil, &StartError{errs.Wrap(err, "--data", "")}
 	}
 	if database.SetAsidePath != "" {
-		log.Event(event.LevelError, logDatabaseDamaged, "kept", database.SetAsidePath, "error", database.DamageCause.Error())
+		log.Event(event.LevelError, logDatabaseDamaged, "set_aside", database.SetAsidePath, "error", database.DamageCause.Error())
 	}
 	return database, nil
 }
 
-// storeDaemon is a store's machine with what executes its commands.
+// storeDaemon holds a store's state machine and the components that execute its commands.
 type storeDaemon struct {
 	options   StoreOptions
 	log       *process.Log
@@ -88,9 +87,9 @@
 	stop      *gracefulStop
 	// retire ends this run of the store.
 	retire func()
-	// replaced is set once the machine found that its disk was replaced.
+	// replaced is set when the state machine detects that its disk was replaced.
 	replaced atomic.Bool
-	// recoverResponses holds the machine's answer to store.RecoverRequest.
+	// recoverResponses holds the response to store.RecoverRequest.
 	recoverResponses chan store.RecoverResponse
 }
 
@@ -113,7 +112,7 @@
 	return d
 }
 
-// execute carries out a command of the machine.
+// execute executes a command of the state machine.
 func (d *storeDaemon) execute(command event.Command) {
 	if d.transport.Execute(command) {
 		return
@@ -127,13 +126,13 @@
 	case store.RecoverResponse:
 		select {
 		case d.recoverResponses <- c:
-		default: // nobody waits any more
+		default: // the call has timed out
 		}
 	}
 }
 
-// handler gives the store's HTTP pages: calls are forwarded to a registry, but for the
-// recovery of a fleet without a majority.
+// handler returns the handler of the store's HTTP endpoints. It forwards API calls to a
+// registry, except for the recovery of a fleet without a majority.
 func (d *storeDaemon) handler(stopping *atomic.Bool) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/v1/", api.NewForwarder(func() []ids.Address {
--- a/internal/app/daemon/supervise.go
+++ b/internal/app/daemon/supervise.go
@@ -14,19 +14,18 @@
 )
 
 const (
-	// httpStopGrace is how long HTTP calls under way may take to finish once a daemon
-	// has stopped serving.
+	// httpStopGrace is the grace period for HTTP calls in flight once a daemon has stopped
+	// serving.
 	httpStopGrace = 300 * time.Millisecond
-	// servicesStopGrace is how long a daemon waits for its services to end before the
-	// process does.
+	// servicesStopGrace is how long a daemon waits for its services to stop before the
+	// process ends.
 	servicesStopGrace = 200 * time.Millisecond
 )
 
-// NewSupervisor makes a supervisor that restarts failed services and logs their
-// failures.
+// NewSupervisor returns a supervisor that restarts failed services and logs their failures.
 func NewSupervisor(name string, log *process.Log) *suture.Supervisor {
 	return suture.New(name, suture.Spec{EventHook: func(e suture.Event) {
-		log.Event(event.LevelWarn, logSupervisor, "what", e.String())
+		log.Event(event.LevelWarn, logSupervisor, "event", e.String())
 	}})
 }
 
@@ -35,14 +34,14 @@
 	run  func(context.Context) error
 }
 
-// NewTask makes a service of a function. The name stands in the log.
+// NewTask returns a service that runs a function. The log refers to the service by name.
 func NewTask(name string, run func(context.Context) error) suture.Service { return &task{name, run} }
 
 func (t *task) String() string { return t.name }
 
 func (t *task) Serve(ctx context.Context) error { return t.run(ctx) }
 
-// openListeners opens the port for peers and the one for HTTP.
+// openListeners opens the ports for peers and for HTTP.
 func openListeners(transport *process.Transport, httpAddress string) (peers, http net.Listener, err error) {
 	if peers, err = transport.Listen(); err != nil {
 		return nil, nil, err
@@ -51,8 +50,8 @@
 	return peers, http, err
 }
 
-// serveUntilStopped runs a daemon's services while serveHTTP runs, and ends them
-// afterwards. It sets stopping as soon as the context ends, and gives no error then.
+// serveUntilStopped runs a daemon's services while serveHTTP runs, and stops them
+// afterwards. When the context is done, it sets stopping and returns no error.
 func serveUntilStopped(ctx context.Context, role string, log *process.Log, stopping *atomic.Bool, serveHTTP func() error, services ...suture.Service) error {
 	supervisor := NewSupervisor(role, log)
 	for _, service := range services {
@@ -70,7 +69,7 @@
 	err := serveHTTP()
 	end()
 	select {
-	case <-ended: //nolint:errcheck // its error only says that the context ended
+	case <-ended: //nolint:errcheck // the error is that of the canceled context
 	case <-time.After(servicesStopGrace):
 	}
 	log.Event(event.LevelInfo, LogStopped)
