--- a/cmd/dunlinwell/main.go
+++ b/cmd/dunlinwell/main.go
@@ -1,4 +1,4 @@
-// Command dunlinwell is the operators' command line.
+// Command dunlinwell is the command line for operators.
 package main
 
 import (
--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -1,5 +1,5 @@
-// Command proxy runs the proxy daemon (package dataplane/proxy) until it gets SIGTERM or
-// SIGINT: it carries clients' requests to targets.
+// Command proxy runs the proxy daemon (package dataplane/proxy), which forwards clients'
+// requests to targets, until SIGTERM or SIGINT.
 package main
 
 import (
@@ -10,6 +10,6 @@
 
 func main() {
 	var options proxy.DaemonOptions
-	settings.Read("proxy", "Carries consumers' requests to the targets of dunlinwell's services.", &options)
+	settings.Read("proxy", "Forwards clients' requests to the targets of dunlinwell's services.", &options)
 	daemon.Exit("proxy", proxy.NewDaemon(options).Run(daemon.SignalContext()))
 }
--- a/cmd/registry/main.go
+++ b/cmd/registry/main.go
@@ -1,5 +1,5 @@
-// Command registry runs a registry: targets and their liveness, the directory, the spill
-// planner and the control API.
+// Command registry runs a registry: the target table with health tracking, the directory,
+// the spill-over planner and the control API.
 package main
 
 import (
@@ -9,6 +9,6 @@
 
 func main() {
 	var options daemon.RegistryOptions
-	settings.Read("registry", "Keeps dunlinwell's targets and directory, plans the spill and takes control calls.", &options)
+	settings.Read("registry", "Tracks dunlinwell's targets, serves the directory and the control API, and plans spill-over.", &options)
 	daemon.Exit("registry", daemon.RunRegistry(daemon.SignalContext(), options))
 }
--- a/cmd/store/main.go
+++ b/cmd/store/main.go
@@ -1,5 +1,5 @@
-// Command store runs a store, which keeps the configuration, idempotency records and
-// leases on disk, agreed on by a majority of stores.
+// Command store runs a store, which persists the configuration, idempotency records and
+// leases, replicated to a majority of stores.
 package main
 
 import (
@@ -9,6 +9,6 @@
 
 func main() {
 	var options daemon.StoreOptions
-	settings.Read("store", "Keeps dunlinwell's policy, marks and duties, agreed on by a majority.", &options)
+	settings.Read("store", "Stores dunlinwell's configuration, idempotency records and leases, replicated by consensus.", &options)
 	daemon.Exit("store", daemon.RunStore(daemon.SignalContext(), options))
 }
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -12,13 +12,13 @@
 
 func main() {
 	var cli struct {
-		Up     UpCmd         `cmd:"" help:"Start a fleet to try things on; Ctrl-C ends it." name:"up"`
-		Run    RunCmd        `cmd:"" help:"Run load with faults, and count violations." name:"run"`
-		Drill  SimulateCmd   `cmd:"" help:"Run seeds of faults in the simulator, in virtual time." name:"drill"`
-		Hollow ScaleTestCmd  `cmd:"" help:"Run large fleets of hollow proxies, and fit what control costs." name:"hollow"`
-		Crew   ProxyGroupCmd `cmd:"" hidden:"" help:"A process of hollow proxies." name:"crew"`
+		Up     UpCmd         `cmd:"" help:"Start a fleet for manual tests; stop it with Ctrl-C." name:"up"`
+		Run    RunCmd        `cmd:"" help:"Run load and faults against a fleet of real processes; count violations." name:"run"`
+		Drill  SimulateCmd   `cmd:"" help:"Run faults in the simulator, in virtual time; count violations." name:"drill"`
+		Hollow ScaleTestCmd  `cmd:"" help:"Measure the control plane's cost on large fleets of simulated proxies." name:"hollow"`
+		Crew   ProxyGroupCmd `cmd:"" hidden:"" help:"Run a group of simulated proxies." name:"crew"`
 	}
-	k := kong.Parse(&cli, kong.Name("testbed"), kong.Description("Runs a whole fleet of dunlinwell on one machine."))
+	k := kong.Parse(&cli, kong.Name("testbed"), kong.Description("Runs complete dunlinwell fleets on one machine."))
 	k.BindTo(daemon.SignalContext(), (*context.Context)(nil))
 	if err := k.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "testbed: "+err.Error())
--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -13,20 +13,20 @@
 // RunCmd runs load and faults against a fleet of real processes, and counts
 // violations.
 type RunCmd struct {
-	Plan        string        `help:"small, cooperative or library." default:"small" enum:"small,cooperative,library" name:"plan"`
+	Plan        string        `help:"Deployment: small, cooperative or library." default:"small" enum:"small,cooperative,library" name:"plan"`
 	Dir         string        `help:"Folder for programs, data and logs." default:"testbed.out" name:"dir"`
-	Duration    time.Duration `help:"How long to run load." default:"120s" name:"for"`
-	Scenario    string        `help:"Which faults: grand (losses in turn), worst (everything at once), swaps (all core machines replaced), hot (one hot cell), quiet (none)." default:"grand" enum:"grand,worst,swaps,hot,quiet" name:"play"`
-	Script      string        `help:"File with faults at set times; see docs/testbed.md." xor:"faults" name:"script"`
-	Seed        uint64        `help:"Draw the faults from a seed." xor:"faults" name:"seed"`
-	Rate        float64       `help:"Requests a second, instead of the plan's." name:"rate"`
-	TargetLevel float64       `help:"Each cell's comfortable level in ms of CPU a second, instead of the plan's." name:"target"`
-	PlanEvery   time.Duration `help:"How often registries plan the spill." default:"5s" name:"plan-every"`
-	Bin         string        `help:"Folder of built daemons, to compare versions." name:"bin"`
-	OtherBin    string        `help:"Folder of built daemons for every other one, for a mixed fleet." name:"other"`
+	Duration    time.Duration `help:"Duration of the load." default:"120s" name:"for"`
+	Scenario    string        `help:"Fault scenario: grand (consecutive losses), worst (combined faults), swaps (replacement of all core machines), hot (one overloaded zone) or quiet (no faults)." default:"grand" enum:"grand,worst,swaps,hot,quiet" name:"play"`
+	Script      string        `help:"File with scheduled faults; see docs/testbed.md." xor:"faults" name:"script"`
+	Seed        uint64        `help:"Seed of random faults." xor:"faults" name:"seed"`
+	Rate        float64       `help:"Requests per second; overrides the plan's." name:"rate"`
+	TargetLevel float64       `help:"Target load of each zone, in ms of CPU time per second; overrides the plan's." name:"target"`
+	PlanEvery   time.Duration `help:"Interval between spill-over plans." default:"5s" name:"plan-every"`
+	Bin         string        `help:"Folder of prebuilt daemons, to compare versions." name:"bin"`
+	OtherBin    string        `help:"Folder of prebuilt daemons for every second daemon, to test mixed versions." name:"other"`
 }
 
-// The built-in scenarios, by their names on the command line.
+// The names of the built-in scenarios on the command line.
 const (
 	grandScenario       = "grand"
 	worstScenario       = "worst"
@@ -35,13 +35,13 @@
 	quietScenario       = "quiet"
 )
 
-// minDurations are how long each scenario's faults take, with the time that the
-// fleet has to recover from the last.
+// minDurations holds the minimum duration of each scenario: its faults and the recovery from
+// the last one.
 var minDurations = map[string]time.Duration{
 	grandScenario: 115 * time.Second, worstScenario: 115 * time.Second, replacementScenario: 90 * time.Second, hotScenario: 220 * time.Second,
 }
 
-// script returns the faults that the flags ask for, checked against the plan.
+// script returns the faults that the flags select, validated against the plan.
 func (r *RunCmd) script(plan blueprint.Plan) (*testbed.Script, error) {
 	switch {
 	case r.Script != "":
@@ -53,7 +53,7 @@
 	case r.Seed != 0:
 		return testbed.RandomScript(plan, r.Seed, r.Duration), nil
 	case r.Duration < minDurations[r.Scenario]:
-		return nil, fmt.Errorf("--for: %s takes %s", r.Scenario, minDurations[r.Scenario])
+		return nil, fmt.Errorf("--for: scenario %s takes at least %s", r.Scenario, minDurations[r.Scenario])
 	}
 	switch r.Scenario {
 	case grandScenario:
@@ -68,7 +68,7 @@
 	return &testbed.Script{}, nil
 }
 
-// Run runs the load, restarts the whole fleet, reads everything back and reports.
+// Run runs the load, restarts the whole fleet, verifies all data and prints a report.
 func (r *RunCmd) Run(ctx context.Context) error {
 	script, err := r.script(blueprint.Plans[r.Plan])
 	if err != nil {
--- a/cmd/testbed/scale.go
+++ b/cmd/testbed/scale.go
@@ -13,29 +13,30 @@
 	"dunlinwell/internal/testsupport/testbed"
 )
 
-// ScaleTestCmd runs hollow fleets of several sizes, and fits what control costs.
+// ScaleTestCmd runs fleets of simulated proxies in several sizes, and fits the control plane's
+// cost to the size.
 type ScaleTestCmd struct {
 	scaletest.SizeFlags
-	SteadyPhase       time.Duration `help:"How long the steady phase lasts." default:"10s" name:"for"`
-	PhaseTimeout      time.Duration `help:"How long any other phase may take." default:"40s" name:"within"`
-	Interval          time.Duration `help:"How often each target announces itself." default:"2s" name:"interval"`
-	UsageRows         int           `help:"Routes in each proxy's report of CPU time." default:"50" name:"rows"`
-	Changes           int           `help:"Changes of policy, each awaited everywhere." default:"3" name:"changes"`
-	ProxiesPerProcess int           `help:"Hollow proxies in one process." default:"100" name:"crew"`
-	Thrifty           bool          `help:"Registries push target tables incrementally; proxies share slots by cell and have an endless lease." name:"thrifty"`
+	SteadyPhase       time.Duration `help:"Duration of the steady phase." default:"10s" name:"for"`
+	PhaseTimeout      time.Duration `help:"Timeout of every other phase." default:"40s" name:"within"`
+	Interval          time.Duration `help:"Interval between announcements of each target." default:"2s" name:"interval"`
+	UsageRows         int           `help:"Number of routes in each proxy's usage report." default:"50" name:"rows"`
+	Changes           int           `help:"Number of configuration changes, each awaited on all proxies." default:"3" name:"changes"`
+	ProxiesPerProcess int           `help:"Number of simulated proxies per process." default:"100" name:"crew"`
+	Thrifty           bool          `help:"Registries push deltas of the target table; proxies share slots by zone and have an endless lease." name:"thrifty"`
 	Dir               string        `help:"Folder for data and logs." default:"testbed.out/hollow" name:"dir"`
-	Out               string        `help:"Folder for the figures and plots." default:"testbed.out" name:"out"`
-	Bin               string        `help:"Folder of built daemons." name:"bin"`
+	Out               string        `help:"Folder for results and plots." default:"testbed.out" name:"out"`
+	Bin               string        `help:"Folder of prebuilt daemons." name:"bin"`
 }
 
-// Fleets of several commands on one machine mostly get different loopback
-// addresses: 127.220 to 127.249, by process id. Package testbed uses lower ones.
+// The loopback addresses are 127.220 to 127.249, selected by process ID, so that several
+// commands on one machine rarely use the same ones. Package testbed uses lower addresses.
 const (
 	firstLoopbackBlock = 220
 	loopbackBlocks     = 30
 )
 
-// validate checks the flags that don't belong to a size.
+// validate checks all flags except those of SizeFlags.
 func (s *ScaleTestCmd) validate() error {
 	switch {
 	case s.SteadyPhase < time.Second:
@@ -50,8 +51,8 @@
 	return nil
 }
 
-// options are the scale test's options. Programs are built only once the sizes
-// are known to fit.
+// options returns the options of the scale test. It builds the programs only after
+// validating the sizes.
 func (s *ScaleTestCmd) options() (scaletest.Options, error) {
 	if err := s.validate(); err != nil {
 		return scaletest.Options{}, err
@@ -74,8 +75,8 @@
 	return o, err
 }
 
-// Run runs all sizes, and writes and prints the report. What was measured before
-// an error is reported too.
+// Run runs all sizes, and writes and prints the report. After an error, the report has the
+// sizes that were measured.
 func (s *ScaleTestCmd) Run(ctx context.Context) error {
 	o, err := s.options()
 	if err != nil {
@@ -92,19 +93,19 @@
 	if err := report.WriteTables(os.Stdout); err != nil {
 		return err
 	}
-	fmt.Printf("figures and plots are in %s\n", s.Out)
+	fmt.Printf("results and plots are in %s\n", s.Out)
 	return runErr
 }
 
-// printProgress prints to standard error, as standard output has the tables.
+// printProgress prints to standard error, because the tables go to standard output.
 func printProgress(line string) {
 	fmt.Fprintf(os.Stderr, "%s %s\n", time.Now().Format("15:04:05"), line)
 }
 
-// ProxyGroupCmd is a process of hollow proxies; ScaleTestCmd starts it.
+// ProxyGroupCmd runs a group of simulated proxies. ScaleTestCmd starts it as a process.
 type ProxyGroupCmd struct{ scaletest.ProxyGroupOptions }
 
-// Run runs the proxies until a signal.
+// Run runs the proxies until the process receives a signal.
 func (p *ProxyGroupCmd) Run(ctx context.Context) error {
 	return scaletest.NewProxyGroup(p.ProxyGroupOptions).Run(ctx)
 }
--- a/cmd/testbed/simulate.go
+++ b/cmd/testbed/simulate.go
@@ -13,44 +13,44 @@
 	"dunlinwell/internal/testsupport/simulator"
 )
 
-// SimulateCmd runs seeds in the simulator, several at a time.
+// SimulateCmd runs the simulator with several seeds in parallel.
 type SimulateCmd struct {
-	Plan   string        `help:"small, cooperative or library." default:"small" enum:"small,cooperative,library" name:"plan"`
-	Scene  string        `help:"Faults at set times instead of random ones: the name of a scene, or all." xor:"what" name:"scene"`
-	Hot    bool          `help:"Several hot cells under lost planners, stale reports, storms and emptying, to judge the order of moves." xor:"what" name:"hot"`
+	Plan   string        `help:"Deployment: small, cooperative or library." default:"small" enum:"small,cooperative,library" name:"plan"`
+	Scene  string        `help:"Run a scene of scheduled faults by name, or all scenes, instead of random faults." xor:"what" name:"scene"`
+	Hot    bool          `help:"Overload several zones, with planner failures, stale reports, bursts of changes and drained zones, to check the order of spill-over moves." xor:"what" name:"hot"`
 	From   uint64        `help:"First seed." default:"1" name:"from"`
-	Seeds  uint64        `help:"How many seeds." default:"100" name:"seeds"`
-	Length time.Duration `help:"Virtual time with faults, for each seed." default:"60s" name:"length"`
-	Eager  bool          `help:"Let the next core machine be lost after 4 s of calm, even if the last one's place isn't taken yet." name:"eager"`
-	Trace  bool          `help:"Print what happened, line by line." name:"trace"`
-	Jobs   int           `help:"Seeds at a time; 0 for one a processor." name:"jobs"`
+	Seeds  uint64        `help:"Number of seeds." default:"100" name:"seeds"`
+	Length time.Duration `help:"Virtual duration of the faults of each seed." default:"60s" name:"length"`
+	Eager  bool          `help:"Allow the loss of another core machine once the core has been stable for 4 s, even if the last one isn't replaced yet." name:"eager"`
+	Trace  bool          `help:"Print the log of each run." name:"trace"`
+	Jobs   int           `help:"Number of parallel runs; 0 for the number of CPUs." name:"jobs"`
 }
 
 const (
-	// allScenes asks for every scene.
+	// allScenes selects all scenes.
 	allScenes = "all"
-	// minLength gives a fault the time to show.
+	// minLength is the minimum length of a run, in which a fault can take effect.
 	minLength = 20 * time.Second
 )
 
-// simulatorRun is one run: a scene, or random faults if scene is empty, and a seed.
+// simulatorRun is one run: a seed, and a scene or, if scene is empty, random faults.
 type simulatorRun struct {
 	scene string
 	seed  uint64
 }
 
-// runs lists the runs that the flags ask for.
+// runs returns the runs that the flags select.
 func (s *SimulateCmd) runs() ([]simulatorRun, error) {
 	scenes := []string{s.Scene}
 	switch {
 	case s.Seeds == 0:
 		return nil, errors.New("--seeds: must be at least 1")
 	case s.Length < minLength:
-		return nil, errors.New("--length: must be at least 20s, or no fault has the time to show")
+		return nil, errors.New("--length: must be at least 20s, so that faults can take effect")
 	case s.Scene == allScenes:
 		scenes = slices.Sorted(maps.Keys(simulator.Scenes))
 	case s.Scene != "" && simulator.Scenes[s.Scene] == nil:
-		return nil, fmt.Errorf("--scene: there is none named %q; there are %v", s.Scene, slices.Sorted(maps.Keys(simulator.Scenes)))
+		return nil, fmt.Errorf("--scene: no scene named %q; the scenes are %v", s.Scene, slices.Sorted(maps.Keys(simulator.Scenes)))
 	}
 	var runs []simulatorRun
 	for _, scene := range scenes {
@@ -61,7 +61,7 @@
 	return runs, nil
 }
 
-// options are the simulator's options for one run.
+// options returns the simulator's options for one run.
 func (s *SimulateCmd) options(r simulatorRun) simulator.Options {
 	o := simulator.Options{Seed: r.seed, Plan: blueprint.Plans[s.Plan], Length: s.Length, Script: simulator.Scenes[r.scene]}
 	if s.Hot {
@@ -71,15 +71,15 @@
 	return o
 }
 
-// Run runs all seeds, and prints a command that repeats it for each that violated
-// a guarantee.
+// Run runs all seeds. For each run that violated a guarantee, it prints a command that
+// repeats the run.
 func (s *SimulateCmd) Run() error {
 	runs, err := s.runs()
 	if err != nil {
 		return err
 	}
 	total := s.runAll(runs)
-	fmt.Printf("%d runs, %d events, %v; %d bad\n", len(runs), total.events, total.responses, total.failedRuns)
+	fmt.Printf("%d runs, %d events, %v; %d failed\n", len(runs), total.events, total.responses, total.failedRuns)
 	total.printRules()
 	if len(total.faults) > 0 {
 		fmt.Printf("random faults: %v\n", total.faults)
@@ -90,13 +90,13 @@
 	return nil
 }
 
-// runAll runs the seeds, Jobs at a time, and adds up their outcomes.
+// runAll runs the seeds, up to Jobs in parallel, and returns the sum of their outcomes.
 func (s *SimulateCmd) runAll(runs []simulatorRun) *totals {
 	jobs := s.Jobs
 	if jobs <= 0 {
 		jobs = runtime.NumCPU()
 	}
-	var mu sync.Mutex // guards total, and keeps the lines of a run together
+	var mu sync.Mutex // guards total and the output, so that the lines of a run aren't interleaved
 	total := newTotals()
 	next := make(chan simulatorRun)
 	var workers sync.WaitGroup
@@ -119,7 +119,7 @@
 	return total
 }
 
-// printOutcome prints a run's log, if it was kept, and its violations.
+// printOutcome prints a run's log, if the run kept it, and its violations.
 func (s *SimulateCmd) printOutcome(r simulatorRun, o simulator.Outcome) {
 	for _, line := range o.Log {
 		fmt.Println(line)
@@ -130,7 +130,7 @@
 	fmt.Println(o.Replay(s.Plan, r.scene, s.Hot, s.Length))
 	for _, c := range o.Results {
 		if c.Violations > 0 {
-			fmt.Printf("  %s: %d, such as %s\n", c.Rule, c.Violations, c.Sample)
+			fmt.Printf("  %s: %d violations, for example %s\n", c.Rule, c.Violations, c.Sample)
 		}
 	}
 }
--- a/cmd/testbed/totals.go
+++ b/cmd/testbed/totals.go
@@ -6,16 +6,16 @@
 	"dunlinwell/internal/testsupport/simulator"
 )
 
-// totals are the sums over several simulator runs.
+// totals holds the sums over several simulator runs.
 type totals struct {
 	events uint64
-	// failedRuns is how many runs violated a guarantee.
+	// failedRuns is the number of runs that violated a guarantee.
 	failedRuns int
-	// responses are counted by class, with the accepted changes as "changes".
+	// responses counts responses by class, and accepted changes as "changes".
 	responses map[string]int
 	// checks and violations are counted by rule, faults by kind.
 	checks, violations, faults map[string]int
-	// rules are in the order in which the checker names them.
+	// rules lists the rules in the checker's order.
 	rules []string
 }
 
@@ -45,14 +45,14 @@
 	}
 }
 
-// printRules prints how often each rule was violated and checked. A rule that
-// was never checked says so: it shows nothing.
+// printRules prints how often each rule was violated and checked. A rule without checks is
+// reported as not checked rather than as passed.
 func (t *totals) printRules() {
 	for _, rule := range t.rules {
 		if t.checks[rule] == 0 && t.violations[rule] == 0 {
-			fmt.Printf("  %-62s nothing to judge\n", rule)
+			fmt.Printf("  %-62s not checked\n", rule)
 			continue
 		}
-		fmt.Printf("  %-62s %d in %d\n", rule, t.violations[rule], t.checks[rule])
+		fmt.Printf("  %-62s %d violations in %d checks\n", rule, t.violations[rule], t.checks[rule])
 	}
 }
--- a/cmd/testbed/up.go
+++ b/cmd/testbed/up.go
@@ -9,9 +9,9 @@
 	"dunlinwell/internal/testsupport/testbed"
 )
 
-// UpCmd starts a fleet to try things on, always at the same addresses.
+// UpCmd starts a fleet for manual tests, always at the same addresses.
 type UpCmd struct {
-	Plan string `help:"small, cooperative or library." default:"small" enum:"small,cooperative,library" name:"plan"`
+	Plan string `help:"Deployment: small, cooperative or library." default:"small" enum:"small,cooperative,library" name:"plan"`
 	Dir  string `help:"Folder for programs, data and logs." default:"testbed.out" name:"dir"`
 }
 
--- a/internal/base/settings/settings.go
+++ b/internal/base/settings/settings.go
@@ -16,15 +16,15 @@
 
 // Common holds the options of every daemon.
 type Common struct {
-	ConfigFile  kong.ConfigFlag `help:"JSON file of params, named like the flags; flags win." placeholder:"FILE" name:"params"`
-	Name        string          `help:"This daemon's name, the same over restarts." required:"" placeholder:"NAME" name:"name"`
-	Address     string          `help:"IP number and port for our own processes, as peers are told it." required:"" placeholder:"IP:PORT" name:"address"`
-	Bind        string          `help:"Where to listen for our own processes, if not at the address." placeholder:"IP:PORT" name:"bind"`
-	HTTPAddress string          `help:"IP number and port for HTTP." name:"http" required:"" placeholder:"IP:PORT"`
-	Zone        string          `help:"The cell this daemon stands in." required:"" placeholder:"CELL" name:"cell"`
-	Seeds       []string        `help:"Addresses of the three stores to begin from." required:"" placeholder:"IP:PORT,..." name:"seeds"`
-	HTTPBind    string          `help:"Where to listen for HTTP, if not at that address." placeholder:"IP:PORT" name:"http-bind"`
-	LogLevel    string          `help:"Least level to log: debug, info, warn or error." default:"info" enum:"debug,info,warn,error" name:"log"`
+	ConfigFile  kong.ConfigFlag `help:"JSON file with options, named like the flags; flags on the command line take precedence." placeholder:"FILE" name:"params"`
+	Name        string          `help:"Name of this daemon; must stay the same across restarts." required:"" placeholder:"NAME" name:"name"`
+	Address     string          `help:"Address that this daemon advertises to its peers." required:"" placeholder:"IP:PORT" name:"address"`
+	Bind        string          `help:"Listen address for peers. Defaults to --address." placeholder:"IP:PORT" name:"bind"`
+	HTTPAddress string          `help:"Address that this daemon advertises for HTTP." name:"http" required:"" placeholder:"IP:PORT"`
+	Zone        string          `help:"Zone of this daemon." required:"" placeholder:"CELL" name:"cell"`
+	Seeds       []string        `help:"Addresses of three stores, through which this daemon joins the fleet." required:"" placeholder:"IP:PORT,..." name:"seeds"`
+	HTTPBind    string          `help:"Listen address for HTTP. Defaults to --http." placeholder:"IP:PORT" name:"http-bind"`
+	LogLevel    string          `help:"Minimum log level: debug, info, warn or error." default:"info" enum:"debug,info,warn,error" name:"log"`
 }
 
 // seedCount is how many stores a daemon starts from: the voters of a new fleet.
--- a/internal/dataplane/proxy/options.go
+++ b/internal/dataplane/proxy/options.go
@@ -12,24 +12,24 @@
 	settings.Common
 	// MaxResponseBytes bounds the body of a target's response; a larger one counts as
 	// no response, and the request as one that may have run.
-	MaxResponseBytes int `help:"Largest answer of a target that is taken, in bytes." default:"4194304" name:"max-response"`
+	MaxResponseBytes int `help:"Maximum size of a target's response body, in bytes." default:"4194304" name:"max-response"`
 	// ReportInterval is the time between usage reports to the registries.
-	ReportInterval time.Duration `help:"How often CPU time is reported." default:"2s" name:"report-every"`
+	ReportInterval time.Duration `help:"Interval between usage reports to the registries." default:"2s" name:"report-every"`
 	// MaxQueueLength bounds the requests that wait for a slot, for each service.
-	MaxQueueLength int `help:"Longest inbox of a service." default:"128" name:"inbox"`
+	MaxQueueLength int `help:"Maximum number of queued requests of a service." default:"128" name:"inbox"`
 	// Lease is how long requests are served by what can't be confirmed; see
 	// ControlOptions.Lease.
-	Lease time.Duration `help:"How long requests are served by a policy and targets that can't be confirmed, 2s to 3s." default:"2500ms" name:"lease"`
+	Lease time.Duration `help:"Lease duration: time for which requests are served with an unconfirmed configuration and targets; 2s to 3s." default:"2500ms" name:"lease"`
 	// ClientListen is the address for clients' requests. If empty, they are served at the
 	// address of the HTTP pages.
-	ClientListen string `help:"Where consumers come in, if not at --http." placeholder:"IP:PORT" name:"consumers"`
+	ClientListen string `help:"Listen address for clients' requests. Defaults to the HTTP listen address." placeholder:"IP:PORT" name:"consumers"`
 	// MemoryLimit bounds the bytes of bodies held for all requests; beyond it requests
 	// are rejected.
-	MemoryLimit int `help:"Most bytes of bodies and answers that are kept at once; what doesn't fit is declined." default:"268435456" name:"max-held"`
+	MemoryLimit int `help:"Memory limit for request and response bodies, in bytes; requests beyond it are rejected." default:"268435456" name:"max-held"`
 	// GracePeriod is how long a shutdown waits for requests in flight.
-	GracePeriod time.Duration `help:"How long held requests may go on after the polite signal." default:"1700ms" name:"grace"`
+	GracePeriod time.Duration `help:"Grace period for requests in flight after SIGTERM." default:"1700ms" name:"grace"`
 	// DialTimeout bounds the opening of a connection to a target.
-	DialTimeout time.Duration `help:"How long a circuit to a target may take to open." default:"1s" name:"dial-within"`
+	DialTimeout time.Duration `help:"Timeout for opening a connection to a target." default:"1s" name:"dial-within"`
 	// Frontend is the protocol with clients and targets; nil for the native one.
 	Frontend Frontend `kong:"-"`
 	SlotLayout
--- a/internal/dataplane/proxy/slots.go
+++ b/internal/dataplane/proxy/slots.go
@@ -16,7 +16,7 @@
 type SlotLayout struct {
 	// ByZone gives a target's slots to the proxies of its own zone first; otherwise
 	// all proxies of the fleet have equal shares.
-	ByZone bool `help:"Give a target's places to the proxies of its own cell first." name:"by-cell"`
+	ByZone bool `help:"Allocate a target's concurrency slots to the proxies in its own zone first." name:"by-cell"`
 	// Regions are the zones that the process's settings name, and the region of each.
 	Regions map[ids.Name]string `kong:"-"`
 }
