--- a/internal/app/daemon/core_test.go
+++ b/internal/app/daemon/core_test.go
@@ -55,7 +55,7 @@
 		o := StoreOptions{Common: common(fmt.Sprint("store-", i+1), at), DataDir: t.TempDir(), Replicas: 3, Bootstrap: true}
 		go func() { ended <- RunStore(ctx, o) }()
 	}
-	o := RegistryOptions{Common: common("registry-1", freeAddress(t)), PlanEvery: 30 * time.Second, ResolutionLifetime: 2 * time.Second}
+	o := RegistryOptions{Common: common("registry-1", freeAddress(t)), PlanInterval: 30 * time.Second, ResolutionLifetime: 2 * time.Second}
 	go func() { ended <- RunRegistry(ctx, o) }()
 	t.Cleanup(func() {
 		end()
--- a/internal/app/daemon/options.go
+++ b/internal/app/daemon/options.go
@@ -22,7 +22,7 @@
 // RegistryOptions holds the options of a registry.
 type RegistryOptions struct {
 	settings.Common
-	PlanEvery          time.Duration `help:"Interval between spill-over plans." default:"30s" name:"plan-every"`
+	PlanInterval       time.Duration `help:"Interval between spill-over plans." default:"30s" name:"plan-every"`
 	ResolutionLifetime time.Duration `help:"Lifetime of the directory's answers; at most 3s." default:"2s" name:"lifetime"`
 	Incremental        bool          `help:"Send deltas only, from two registries to each proxy; must be the same on all registries and stores." name:"thrifty"`
 
@@ -45,7 +45,7 @@
 	if o.ResolutionLifetime <= 0 || o.ResolutionLifetime > maxResolutionLifetime {
 		return &StartError{fmt.Errorf("--lifetime: must be positive and at most 3s")}
 	}
-	if o.PlanEvery < minPlanInterval {
+	if o.PlanInterval < minPlanInterval {
 		return &StartError{fmt.Errorf("--plan-every: must be at least 1s")}
 	}
 	return o.Common.Validate()
--- a/internal/app/daemon/registry.go
+++ b/internal/app/daemon/registry.go
@@ -63,7 +63,7 @@
 		options: options, log: log,
 		machine: registry.New(registry.Options{
 			Options:      membership.Options{Self: NewMember(options.Common, membership.Registry), Seeds: options.SeedAddresses(), Incremental: options.Incremental},
-			PlanInterval: options.PlanEvery, ResolutionLifetime: options.ResolutionLifetime, Regions: options.Regions, Incremental: options.Incremental,
+			PlanInterval: options.PlanInterval, ResolutionLifetime: options.ResolutionLifetime, Regions: options.Regions, Incremental: options.Incremental,
 			AlwaysResolve: options.AlwaysResolve, DeriveZoneLevels: options.DeriveSetPoints, Random: newRandom(),
 		}),
 		transport: newTransport(options.Common, log),
