--- a/internal/app/daemon/options.go
+++ b/internal/app/daemon/options.go
@@ -33,9 +33,9 @@
 	// AlwaysResolve makes the directory answer whenever it knows a proxy, even without a
 	// confirmed view of the fleet.
 	AlwaysResolve bool `kong:"-"`
-	// DeriveSetPoints derives the load levels of zones without configured levels from the
+	// DeriveZoneLevels derives the load levels of zones without configured levels from the
 	// announcements of their targets.
-	DeriveSetPoints bool `kong:"-"`
+	DeriveZoneLevels bool `kong:"-"`
 	// ExtraHandlers returns additional HTTP handlers, by listen address.
 	ExtraHandlers func(server *api.Server) map[string]http.Handler `kong:"-"`
 }
--- a/internal/app/daemon/registry.go
+++ b/internal/app/daemon/registry.go
@@ -64,7 +64,7 @@
 		machine: registry.New(registry.Options{
 			Options:      membership.Options{Self: NewMember(options.Common, membership.Registry), Seeds: options.SeedAddresses(), Incremental: options.Incremental},
 			PlanInterval: options.PlanInterval, ResolutionLifetime: options.ResolutionLifetime, Regions: options.Regions, Incremental: options.Incremental,
-			AlwaysResolve: options.AlwaysResolve, DeriveZoneLevels: options.DeriveSetPoints, Random: newRandom(),
+			AlwaysResolve: options.AlwaysResolve, DeriveZoneLevels: options.DeriveZoneLevels, Random: newRandom(),
 		}),
 		transport: newTransport(options.Common, log),
 		server:    &api.Server{Log: log.Event},
--- a/internal/testsupport/compat/answers_test.go
+++ b/internal/testsupport/compat/answers_test.go
@@ -151,7 +151,7 @@
 	is.NoErr(err)
 	got := map[string]string{
 		"settings proxy": strings.Join(values(&p), " "), "settings registry": strings.Join(values(&r), " "),
-		"settings registry, not by flags": fmt.Sprint(r.Regions, r.AlwaysResolve, r.DeriveSetPoints), "settings store": strings.Join(values(&d), " "),
+		"settings registry, not by flags": fmt.Sprint(r.Regions, r.AlwaysResolve, r.DeriveZoneLevels), "settings store": strings.Join(values(&d), " "),
 	}
 	pages := r.ExtraHandlers(answering(t))
 	for _, c := range platformCalls {
