--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -13,17 +13,17 @@
 // RunCmd runs load and faults against a fleet of real processes, and counts
 // violations.
 type RunCmd struct {
-	Plan        string        `help:"Deployment: small, cooperative or library." default:"small" enum:"small,cooperative,library" name:"plan"`
-	Dir         string        `help:"Folder for programs, data and logs." default:"testbed.out" name:"dir"`
-	Duration    time.Duration `help:"Duration of the load." default:"120s" name:"for"`
-	Scenario    string        `help:"Fault scenario: grand (consecutive losses), worst (combined faults), swaps (replacement of all core machines), hot (one overloaded zone) or quiet (no faults)." default:"grand" enum:"grand,worst,swaps,hot,quiet" name:"play"`
-	Script      string        `help:"File with scheduled faults; see docs/testbed.md." xor:"faults" name:"script"`
-	Seed        uint64        `help:"Seed of random faults." xor:"faults" name:"seed"`
-	Rate        float64       `help:"Requests per second; overrides the plan's." name:"rate"`
-	TargetLevel float64       `help:"Target load of each zone, in ms of CPU time per second; overrides the plan's." name:"target"`
-	PlanEvery   time.Duration `help:"Interval between spill-over plans." default:"5s" name:"plan-every"`
-	Bin         string        `help:"Folder of prebuilt daemons, to compare versions." name:"bin"`
-	OtherBin    string        `help:"Folder of prebuilt daemons for every second daemon, to test mixed versions." name:"other"`
+	Plan         string        `help:"Deployment: small, cooperative or library." default:"small" enum:"small,cooperative,library" name:"plan"`
+	Dir          string        `help:"Folder for programs, data and logs." default:"testbed.out" name:"dir"`
+	Duration     time.Duration `help:"Duration of the load." default:"120s" name:"for"`
+	Scenario     string        `help:"Fault scenario: grand (consecutive losses), worst (combined faults), swaps (replacement of all core machines), hot (one overloaded zone) or quiet (no faults)." default:"grand" enum:"grand,worst,swaps,hot,quiet" name:"play"`
+	Script       string        `help:"File with scheduled faults; see docs/testbed.md." xor:"faults" name:"script"`
+	Seed         uint64        `help:"Seed of random faults." xor:"faults" name:"seed"`
+	Rate         float64       `help:"Requests per second; overrides the plan's." name:"rate"`
+	TargetLevel  float64       `help:"Target load of each zone, in ms of CPU time per second; overrides the plan's." name:"target"`
+	PlanInterval time.Duration `help:"Interval between spill-over plans." default:"5s" name:"plan-every"`
+	Bin          string        `help:"Folder of prebuilt daemons, to compare versions." name:"bin"`
+	OtherBin     string        `help:"Folder of prebuilt daemons for every second daemon, to test mixed versions." name:"other"`
 }
 
 // The names of the built-in scenarios on the command line.
@@ -76,7 +76,7 @@
 	}
 	tb, err := testbed.Start(ctx, testbed.Options{
 		Plan: r.Plan, Dir: r.Dir, Out: os.Stdout, Relay: true, Bin: r.Bin, OtherBin: r.OtherBin,
-		Rate: r.Rate, TargetLevel: r.TargetLevel, PlanEvery: r.PlanEvery,
+		Rate: r.Rate, TargetLevel: r.TargetLevel, PlanEvery: r.PlanInterval,
 	})
 	if err != nil {
 		return err
