--- a/cmd/testbed/up.go
+++ b/cmd/testbed/up.go
@@ -23,7 +23,7 @@
 	}
 	defer tb.Close()
 	for _, p := range tb.Processes {
-		fmt.Printf("  %-12s cell %-8s http %s\n", p.Name, p.Zone, p.HTTP)
+		fmt.Printf("  %-12s zone %-8s http %s\n", p.Name, p.Zone, p.HTTP)
 	}
 	bin, err := filepath.Abs(tb.Bin)
 	if err != nil {
--- a/internal/app/manifest/manifest_test.go
+++ b/internal/app/manifest/manifest_test.go
@@ -56,7 +56,7 @@
 				all += v.Item + "|" + v.Path + "|" + v.Reason + "\n"
 			}
 			if change != nil || !strings.Contains(all, want) {
-				t.Errorf("%s gave %q, not %q", raw, all, want)
+				t.Errorf("%s: got %q, want %q", raw, all, want)
 			}
 		})
 	}
--- a/internal/app/runbook/read_test.go
+++ b/internal/app/runbook/read_test.go
@@ -52,7 +52,7 @@
 		t.Run(name, func(t *testing.T) {
 			_, err := Read("f.yaml", []byte(c.text))
 			if err == nil || !strings.Contains(err.Error(), c.want) || !strings.Contains(err.Error(), "f.yaml") {
-				t.Errorf("%s gave %v, not %q", c.text, err, c.want)
+				t.Errorf("%s: got %v, want %q", c.text, err, c.want)
 			}
 		})
 	}
