--- a/internal/base/settings/settings.go
+++ b/internal/base/settings/settings.go
@@ -16,14 +16,14 @@
 
 // Common holds the options that all daemons share.
 type Common struct {
-	ConfigFile  kong.ConfigFlag `help:"JSON file of options, keyed by flag name. Flags take precedence." placeholder:"FILE" name:"params"`
-	Name        string          `help:"Name of this daemon, stable across restarts." required:"" placeholder:"NAME" name:"name"`
-	Address     string          `help:"IP address and port advertised to other daemons." required:"" placeholder:"IP:PORT" name:"address"`
-	Bind        string          `help:"IP address and port to listen on for other daemons, if different from --address." placeholder:"IP:PORT" name:"bind"`
-	HTTPAddress string          `help:"IP address and port for HTTP." name:"http" required:"" placeholder:"IP:PORT"`
-	Zone        string          `help:"Cell (zone) of this daemon." required:"" placeholder:"CELL" name:"cell"`
-	Seeds       []string        `help:"Addresses of the three seed stores." required:"" placeholder:"IP:PORT,..." name:"seeds"`
-	HTTPBind    string          `help:"IP address and port to listen on for HTTP, if different from --http." placeholder:"IP:PORT" name:"http-bind"`
+	ConfigFile  kong.ConfigFlag `help:"JSON file with options, named like the flags; flags on the command line take precedence." placeholder:"FILE" name:"params"`
+	Name        string          `help:"Name of this daemon; must stay the same across restarts." required:"" placeholder:"NAME" name:"name"`
+	Address     string          `help:"Address that this daemon advertises to its peers." required:"" placeholder:"IP:PORT" name:"address"`
+	Bind        string          `help:"Listen address for peers. Defaults to --address." placeholder:"IP:PORT" name:"bind"`
+	HTTPAddress string          `help:"Address that this daemon advertises for HTTP." name:"http" required:"" placeholder:"IP:PORT"`
+	Zone        string          `help:"Zone of this daemon." required:"" placeholder:"CELL" name:"cell"`
+	Seeds       []string        `help:"Addresses of three stores, through which this daemon joins the fleet." required:"" placeholder:"IP:PORT,..." name:"seeds"`
+	HTTPBind    string          `help:"Listen address for HTTP. Defaults to --http." placeholder:"IP:PORT" name:"http-bind"`
 	LogLevel    string          `help:"Minimum log level: debug, info, warn or error." default:"info" enum:"debug,info,warn,error" name:"log"`
 }
 
