--- a/internal/testsupport/blueprint/changes.go
+++ b/internal/testsupport/blueprint/changes.go
@@ -7,28 +7,28 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// ChangeGenerator writes the configuration changes that stand-in operators send, as the JSON of
-// change requests.
+// ChangeGenerator generates the configuration changes that stand-in operators send, as JSON bodies
+// of change requests.
 type ChangeGenerator struct {
 	Plan Plan
-	// Random is the source of all that is drawn.
+	// Random is the source of all random choices.
 	Random *rand.Rand
 }
 
 const (
-	// RoutePairs is how many pairs of a service and its route are put and removed.
+	// RoutePairs is the number of service and route pairs that operators put and remove.
 	RoutePairs = 4
-	// FlippedRoute is the route that operators move between services.
+	// FlippedRoute is the route that operators reassign between services and remove.
 	FlippedRoute = "flip"
-	// RacedRoute is the route that two operators change at once.
+	// RacedRoute is the route that two operators change concurrently.
 	RacedRoute = "raced"
 )
 
-// changeBody is the JSON of a change request.
+// changeBody returns the JSON body of a change request.
 func changeBody(id, parts string) string { return fmt.Sprintf(`{"id":%q,"changes":[%s]}`, id, parts) }
 
-// Put puts both items of a pair in one change. The number n shows in both, so that a read tells
-// one change from another.
+// Put sets both items of a pair in one change. Both contain n, so that a read shows which change
+// wrote them.
 func (g ChangeGenerator) Put(id string, n, pair int) string {
 	return changeBody(id, fmt.Sprintf(`{"kind":"service","name":"shelf-%[1]d","put":{"allowance":%[2]d}},{"kind":"route","name":"shelf-%[1]d","put":{"prefix":"/shelf-%[1]d","service":"shelf-%[1]d","repeatable":true,"limit_ms":%[3]d}}`, pair, n%1000, 1000+n))
 }
@@ -38,13 +38,13 @@
 	return changeBody(id, fmt.Sprintf(`{"kind":"route","name":"shelf-%[1]d","remove":true},{"kind":"service","name":"shelf-%[1]d","remove":true}`, pair))
 }
 
-// TargetLevel sets the maximum of the nth zone, close to its default.
+// TargetLevel sets the maximum load of the nth zone to a value close to its default.
 func (g ChangeGenerator) TargetLevel(id string, n int) string {
 	return changeBody(id, fmt.Sprintf(`{"kind":"cell","name":%q,"set":{"maximum":%d}}`, g.Plan.Zone(n), int(g.Plan.TargetLevel()*1.1)+1+n%50))
 }
 
-// Flip moves FlippedRoute to another service, gives it another time limit, or removes it. Targets
-// can see by which of these a request was forwarded.
+// Flip assigns FlippedRoute to a random service with a random time limit, or removes it. The
+// service and time limit of a forwarded request show which version of the route was applied.
 func (g ChangeGenerator) Flip(id string) string {
 	pool := g.Plan.Pools[g.Random.IntN(len(g.Plan.Pools))]
 	if g.Random.IntN(4) == 0 {
@@ -53,22 +53,23 @@
 	return changeBody(id, fmt.Sprintf(`{"kind":"route","name":"flip","put":{"prefix":"/flip","service":%q,"repeatable":true,"limit_ms":%d}}`, pool.Service, []int{1500, 5000}[g.Random.IntN(2)]))
 }
 
-// Race changes RacedRoute if it is at a version, as two operators do at once: only one may succeed.
+// Race changes RacedRoute if it is at the given version. Of two concurrent such changes, at most
+// one may succeed.
 func (g ChangeGenerator) Race(id string, n int, version ids.Revision) string {
 	return changeBody(id, fmt.Sprintf(`{"kind":"route","name":"raced","version":%d,"put":{"prefix":"/raced","service":%q,"repeatable":true,"limit_ms":%d}}`, version, g.Plan.Pools[0].Service, 1000+n))
 }
 
-// Invalid has a valid part and an invalid one; neither may take effect.
+// Invalid returns a change with a valid part and an invalid one; neither may take effect.
 func (g ChangeGenerator) Invalid(id string, n int) string {
 	return changeBody(id, fmt.Sprintf(`{"kind":"service","name":"broken-%[1]d","put":{}},{"kind":"route","name":"broken-%[1]d","put":{"prefix":"/broken-%[1]d","service":"nowhere","repeatable":true}}`, n))
 }
 
-// Stale names a version that the item never had; it must be rejected.
+// Stale returns a change whose expected version doesn't match the item's; it must be rejected.
 func (g ChangeGenerator) Stale(id string, n int) string {
 	return changeBody(id, fmt.Sprintf(`{"kind":"service","name":"broken-%d","version":1,"put":{}}`, n))
 }
 
-// Drain drains a zone or, with on false, ends that.
+// Drain drains a zone or, if on is false, restores it.
 func (g ChangeGenerator) Drain(id string, zone ids.Name, on bool) string {
 	return changeBody(id, fmt.Sprintf(`{"kind":"cell","name":%q,"set":{"emptied":%t}}`, zone, on))
 }
--- a/internal/testsupport/blueprint/initial_change.go
+++ b/internal/testsupport/blueprint/initial_change.go
@@ -6,9 +6,8 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// The configuration is written with structs of its own and not with the types of package
-// configuration, so that a mistake there can't hide itself. Their fields are in the order of
-// their JSON keys.
+// The structs below duplicate the types of package configuration on purpose: an encoding error
+// there would otherwise go unnoticed. Fields are in the order of their JSON keys.
 
 type changeRequest struct {
 	Changes []itemChange `json:"changes"`
@@ -32,7 +31,7 @@
 	Allowance int `json:"allowance"`
 	Capacity  int `json:"capacity"`
 	Tier      int `json:"tier"`
-	// WarmMillis is how long a new target's slow start takes.
+	// WarmMillis is the length of a new target's slow start.
 	WarmMillis int `json:"warm_ms"`
 }
 
@@ -45,13 +44,14 @@
 }
 
 const (
-	// warmMillis is the slow start of each service's targets: that of the stand-in targets.
+	// warmMillis is the slow start of every service's targets; it equals that of the stand-in
+	// targets.
 	warmMillis = 3000
-	// limitMillis is the time limit of each route, above the 4 s that a stand-in client waits.
+	// limitMillis is the time limit of each route. It exceeds the 4 s deadline of stand-in clients.
 	limitMillis = 5000
 )
 
-// InitialChange returns the plan's whole configuration as the JSON of one change request.
+// InitialChange returns the plan's complete configuration as the JSON of one change request.
 func (p Plan) InitialChange() []byte {
 	change := changeRequest{ID: "testbed-" + p.Name}
 	put := func(kind string, name ids.Name, item any) {
@@ -74,7 +74,7 @@
 	return raw
 }
 
-// distances gives the distance of a zone to each of the others.
+// distances returns the distance of a zone to each of the others.
 func (p Plan) distances(zone ids.Name) map[ids.Name]int {
 	out := map[ids.Name]int{}
 	for n := range p.Zones {
--- a/internal/testsupport/blueprint/plan.go
+++ b/internal/testsupport/blueprint/plan.go
@@ -6,17 +6,16 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// The defaults of a plan.
+// Defaults of a plan.
 const (
-	// defaultTargetLevel is the usage that a zone is planned for, in
-	// milliseconds of CPU a second.
+	// defaultTargetLevel is the target load of a zone, in milliseconds of CPU per second.
 	defaultTargetLevel = 8500
-	// defaultAllowance is how many retries a service may get within ten seconds
-	// beyond its share of first requests.
+	// defaultAllowance is the number of retries per ten seconds that a service may get
+	// beyond the retry budget's share of first attempts.
 	defaultAllowance = 10
 )
 
-// Plan is the size and kind of a deployment.
+// Plan describes the size and shape of a deployment.
 type Plan struct {
 	Name    string
 	Regions int
@@ -24,19 +23,19 @@
 	Proxies int
 	// LatencyMillis is the round-trip time between regions in milliseconds.
 	LatencyMillis int
-	// Rate is the load in requests a second.
+	// Rate is the load in requests per second.
 	Rate float64
-	// Target is the usage that every zone is planned for, in milliseconds of
-	// CPU a second; zero for the default.
+	// Target is the target load of every zone, in milliseconds of CPU per second;
+	// zero for the default.
 	Target float64
-	// Maximum is the usage that every zone can bear; zero for 1.1 of its target.
+	// Maximum is the maximum load of every zone; zero for 1.1 times its target.
 	Maximum float64
-	// Allowance is how many retries each service may get beyond its share; zero
-	// for the default.
+	// Allowance is the number of retries per ten seconds that each service may get
+	// beyond the retry budget's share; zero for the default.
 	Allowance int
 	Pools     []Pool
 	Routes    []Route
-	// Latency, if set, gives the configured distance between two zones.
+	// Latency, if set, returns the configured distance between two zones.
 	Latency func(a, b ids.Name) int
 }
 
@@ -44,25 +43,25 @@
 type Pool struct {
 	Service ids.Name
 	Targets int
-	// Capacity is how many requests at a time each target bears.
+	// Capacity is the number of concurrent requests that each target can serve.
 	Capacity int
-	// Tier is the urgency of the service. It ranks routes of the same tier.
+	// Tier is the priority of the service. It ranks routes of the same tier.
 	Tier int
 }
 
-// Route is a route and its share of the load.
+// Route is a route with its share of the load.
 type Route struct {
 	Name    ids.Name
 	Prefix  string
 	Service ids.Name
-	// Tier is the route's urgency from 0 to 9.
+	// Tier is the route's priority from 0 to 9.
 	Tier       int
 	Repeatable bool
 	// Share is the share of all requests that use the route.
 	Share float64
 }
 
-// Plans holds the deployments that tests can run, by name.
+// Plans holds the available plans by name.
 var Plans = map[string]Plan{
 	"small": {
 		Name: "small", Regions: 3, Zones: 3, Proxies: 3, Rate: 40,
@@ -90,7 +89,7 @@
 	},
 }
 
-// Zone returns the name of the nth zone. The zones take turns among the regions.
+// Zone returns the name of the nth zone. Zones are assigned to the regions round-robin.
 func (p Plan) Zone(n int) ids.Name {
 	n %= p.Zones
 	return ids.Name(fmt.Sprintf("cell-%c%d", 'a'+n%p.Regions, n/p.Regions+1))
@@ -114,7 +113,7 @@
 	return float64(max(p.LatencyMillis, 2) + (p.zoneNumber(a)+p.zoneNumber(b))%2)
 }
 
-// zoneNumber is the inverse of Zone; zero for an unknown zone.
+// zoneNumber is the inverse of Zone. It returns zero for an unknown zone.
 func (p Plan) zoneNumber(zone ids.Name) int {
 	for i := range p.Zones {
 		if p.Zone(i) == zone {
@@ -124,7 +123,8 @@
 	return 0
 }
 
-// RetryAllowance returns how many retries each service may get within ten seconds beyond its share.
+// RetryAllowance returns the number of retries per ten seconds that each service may get beyond
+// the retry budget's share.
 func (p Plan) RetryAllowance() int {
 	if p.Allowance > 0 {
 		return p.Allowance
@@ -137,7 +137,7 @@
 	return ids.InstanceID(fmt.Sprintf("%s-%d", p.Service, i+1))
 }
 
-// TargetLevel returns the usage that each zone is planned for, in milliseconds of CPU a second.
+// TargetLevel returns the target load of each zone, in milliseconds of CPU per second.
 func (p Plan) TargetLevel() float64 {
 	if p.Target > 0 {
 		return p.Target
