--- a/internal/testsupport/testbed/bad_commands_test.go
+++ b/internal/testsupport/testbed/bad_commands_test.go
@@ -9,12 +9,12 @@
 	"github.com/matryer/is"
 )
 
-// badCommands are mistakes on the command line, with the exit code that each has
-// through any daemon, and a word that its output contains.
+// badCommands lists invalid command lines, with the exit code that each yields through any
+// daemon, and a string that its output must contain.
 var badCommands = []struct {
-	words string
-	code  int
-	says  string
+	args           string
+	exitCode       int
+	outputContains string
 }{
 	{"", 2, "expected"},
 	{"shop list", 2, "shop"},
@@ -47,25 +47,26 @@
 	{"runbook check /nowhere/at/all", 2, "no such file"},
 }
 
-// checkBadCommands runs the mistakes through every kind of daemon, and checks that the
-// configuration stays as it was.
+// checkBadCommands runs badCommands through one daemon of each role, and checks that the
+// configuration doesn't change.
 func checkBadCommands(t *testing.T, tb *Testbed) {
 	is := is.New(t)
 	before := call(t, "GET", tb.ProcessesOf("registry")[0].HTTP, "/v1/policy", "").body
 	for _, role := range []string{"proxy", "registry", "store"} {
 		for _, c := range badCommands {
-			cli := exec.Command(filepath.Join(tb.Bin, "dunlinwell"), append([]string{"--at", tb.ProcessesOf(role)[0].HTTP}, strings.Fields(c.words)...)...)
+			cli := exec.Command(filepath.Join(tb.Bin, "dunlinwell"), append([]string{"--at", tb.ProcessesOf(role)[0].HTTP}, strings.Fields(c.args)...)...)
 			output, _ := cli.CombinedOutput()
-			if n := cli.ProcessState.ExitCode(); n != c.code || !strings.Contains(string(output), c.says) {
-				t.Errorf("%q through the %s: exit %d, not %d with %q: %.200s", c.words, role, n, c.code, c.says, output)
+			if n := cli.ProcessState.ExitCode(); n != c.exitCode || !strings.Contains(string(output), c.outputContains) {
+				t.Errorf("%q through the %s: got exit code %d, want %d with %q: %.200s", c.args, role, n, c.exitCode, c.outputContains, output)
 			}
 		}
 	}
-	// Nothing listens there: a read is unreachable, the outcome of a change unknown.
-	for words, code := range map[string]int{"service list": 5, "service remove odd": 6} {
-		cli := exec.Command(filepath.Join(tb.Bin, "dunlinwell"), append([]string{"--at", "127.0.0.1:1"}, strings.Fields(words)...)...)
+	// Nothing listens at the address: a read fails as unreachable, and the outcome of a
+	// change is unknown.
+	for args, exitCode := range map[string]int{"service list": 5, "service remove odd": 6} {
+		cli := exec.Command(filepath.Join(tb.Bin, "dunlinwell"), append([]string{"--at", "127.0.0.1:1"}, strings.Fields(args)...)...)
 		_ = cli.Run()
-		is.Equal(cli.ProcessState.ExitCode(), code)
+		is.Equal(cli.ProcessState.ExitCode(), exitCode)
 	}
 	is.Equal(call(t, "GET", tb.ProcessesOf("registry")[0].HTTP, "/v1/policy", "").body, before)
 }
--- a/internal/testsupport/testbed/runbooks_test.go
+++ b/internal/testsupport/testbed/runbooks_test.go
@@ -14,8 +14,8 @@
 	"dunlinwell/internal/app/runbook"
 )
 
-// runbookRunner runs shipped runbooks against a fleet. onConfirm does what a
-// runbook asks the operator to do by hand.
+// runbookRunner runs bundled runbooks against a fleet. onConfirm performs the manual steps
+// that a runbook asks the operator to confirm.
 type runbookRunner struct {
 	t         *testing.T
 	testbed   *Testbed
@@ -23,7 +23,7 @@
 	onConfirm func(what string)
 }
 
-// run runs a runbook to its end, and returns the error of the step that failed.
+// run runs a runbook, and returns the error of the step that failed.
 func (r *runbookRunner) run(name string, values map[string]string) error {
 	r.t.Helper()
 	raw, err := runbook.ReadBundled(name)
@@ -46,7 +46,7 @@
 	return err
 }
 
-// Every shipped runbook succeeds, step by step, against real processes.
+// Every bundled runbook succeeds against real processes.
 func TestRunbooks_AgainstRealFleet(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
@@ -55,7 +55,7 @@
 	is.NoErr(runner.run("health", nil))
 	zone := map[string]string{"cell": "cell-b1", "route": "stock"}
 	is.NoErr(runner.run("empty-cell", zone))
-	// A second time the first step finds the zone drained, and the runbook ends.
+	// On the second run, the first step fails because the zone is already drained.
 	err := runner.run("empty-cell", zone)
 	is.True(err != nil && strings.Contains(err.Error(), "step 1"))
 	is.NoErr(runner.run("refill-cell", zone))
@@ -66,7 +66,7 @@
 		is.NoErr(tb.Fleet.StartProcess(p))
 	}
 	is.NoErr(runner.run("roll-daemons", nil))
-	// A core machine is lost; the runbook asks for a replacement at a new address.
+	// After the loss of a store, the runbook asks for a replacement at a new address.
 	tb.Kill(tb.Find("store-3"))
 	runner.onConfirm = func(string) {
 		_, err := tb.ReplaceStore(tb.Find("store-3"))
@@ -80,8 +80,8 @@
 	is.NoErr(err)
 }
 
-// recoverQuorum loses the disks of two of three stores for good, and with them the
-// quorum, and runs the runbook that makes the last store the first of a new voter set.
+// recoverQuorum deletes the data of two of three stores, which loses the quorum, and runs
+// the runbook that starts a new voter set from the surviving store.
 func recoverQuorum(t *testing.T, tb *Testbed, runner *runbookRunner) {
 	t.Helper()
 	is := is.New(t)
@@ -106,7 +106,7 @@
 	is.NoErr(runner.run("recover-core", map[string]string{"one": "store-5", "two": "store-6"}))
 }
 
-// replacementsListed are those of the two replacement stores that the status shows.
+// replacementsListed returns which of the two replacement stores the status lists.
 func (tb *Testbed) replacementsListed(p *Process) []string {
 	raw, err := cli.RunJSON(&cli.Context{Address: p.HTTP, Timeout: 8 * time.Second}, []string{"status"})
 	if err != nil {
@@ -121,13 +121,12 @@
 	return out
 }
 
-// eventually polls a condition, and fails the test if it never holds. The bound is
-// generous, as the machine may be busy.
+// eventually polls a condition, and fails the test if it doesn't hold within a minute.
 func (tb *Testbed) eventually(t *testing.T, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(time.Minute); !condition(); <-time.After(100 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("the condition never held")
+			t.Fatal("timed out waiting for the condition")
 		}
 	}
 }
--- a/internal/testsupport/testbed/shutdown_test.go
+++ b/internal/testsupport/testbed/shutdown_test.go
@@ -9,15 +9,14 @@
 	"github.com/matryer/is"
 )
 
-// Every daemon in turn gets SIGTERM, and SIGKILL if that takes too long, under load,
-// with slow requests under way and idle connections open. It must exit by itself;
-// no acknowledged change or request may be lost, and no request that was executed
-// may be answered with "busy".
+// A daemon exits on SIGTERM without SIGKILL, under load, with slow requests in flight and
+// idle connections open. No acknowledged change or request is lost, and no executed request
+// is answered as declined.
 func TestDaemons_StopOnSIGTERMUnderLoad(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	tb := startSmallFleet(t)
-	// Some targets take longer than a proxy may take to exit.
+	// Some targets take a large part of the time in which a proxy must exit.
 	for i, target := range tb.Targets {
 		if i%3 == 0 {
 			target.Work = 1500 * time.Millisecond
@@ -50,7 +49,7 @@
 	is.Equal(len(exitCodes), 6)
 	for name, code := range exitCodes {
 		if code != 0 {
-			t.Errorf("%s ended with %v, so it took SIGKILL", name, code)
+			t.Errorf("%s: exit code %v, want 0; it may have been killed by SIGKILL", name, code)
 		}
 	}
 	is.Equal(tb.Report(time.Time{}), 0) // violations
--- a/internal/testsupport/testbed/testbed_test.go
+++ b/internal/testsupport/testbed/testbed_test.go
@@ -10,8 +10,8 @@
 	"github.com/matryer/is"
 )
 
-// startSmallFleet starts a fleet of the plan "small" that ends with the test, and
-// logs what it printed.
+// startSmallFleet starts a fleet with the plan "small". At the end of the test it stops the
+// fleet and logs its output.
 func startSmallFleet(t *testing.T) *Testbed {
 	t.Helper()
 	var out bytes.Buffer
@@ -26,9 +26,8 @@
 	return tb
 }
 
-// A fleet of real processes is bootstrapped, configured through any daemon, and
-// keeps all guarantees under load while one daemon of each role is killed and a
-// store is replaced.
+// A fleet of real processes bootstraps, can be configured through any daemon, and keeps all
+// guarantees under load while one daemon of each role is killed and a store is replaced.
 func TestFleetOfProcesses(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
@@ -47,11 +46,11 @@
 		_, err := tb.ReplaceStore(tb.Find("store-3"))
 		is.NoErr(err)
 		_, err = tb.AwaitReady(ctx, time.Minute)
-		is.NoErr(err) // all ready again, with the replacement
+		is.NoErr(err) // all daemons are ready, including the replacement
 	})
 	is.Equal(tb.Report(time.Time{}), 0) // violations
 	is.True(tb.Checker.CountByClass(time.Time{})["answered"] > 0)
-	// What was accepted before the faults reads back through any daemon.
+	// A change accepted before the faults can be read back through every daemon.
 	for _, p := range tb.Processes {
 		if !p.Stopped {
 			is.True(strings.Contains(call(t, "GET", p.HTTP, "/v1/services/papers", "").body, `"body":{"tier":4}`))
