--- a/internal/testsupport/testbed/attempt.go
+++ b/internal/testsupport/testbed/attempt.go
@@ -15,13 +15,13 @@
 	"dunlinwell/internal/testsupport/checker"
 )
 
-// uri is the request's path and query. The target finds its token and the
-// service that it is meant for there.
+// uri returns the request's path and query. The query tells the target the request's
+// token and the service that it is intended for.
 func (r request) uri() string {
 	return fmt.Sprintf("%s/item?token=%s&service=%s", r.route.Prefix, r.token, r.route.Service)
 }
 
-// httpRequest is one attempt of the request, as it is sent to a proxy.
+// httpRequest returns the HTTP request for one attempt at a proxy.
 func (r request) httpRequest(ctx context.Context, proxy string, attempt int) (*http.Request, error) {
 	method, body := http.MethodGet, ""
 	if !r.route.Repeatable {
@@ -31,7 +31,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// Without GetBody net/http doesn't resend by itself: each attempt is counted here.
+	// Without GetBody, net/http can't retry a request on its own, which would be an
+	// attempt that isn't counted.
 	req.GetBody = nil
 	req.Header.Set("Time-Left", strconv.Itoa(int(attemptTimeout.Milliseconds())))
 	req.Header.Set("Attempt", strconv.Itoa(attempt))
@@ -41,7 +42,7 @@
 	return req, nil
 }
 
-// sendAttempt sends one attempt to a proxy. closes tells that the proxy ends the
+// sendAttempt sends one attempt to a proxy. It also reports whether the proxy closes the
 // connection after this response.
 func (c *Clients) sendAttempt(ctx context.Context, client *http.Client, r request, proxy string, zone ids.Name, attempt int) (response checker.ClientResponse, closes bool) {
 	response = checker.ClientResponse{
@@ -72,26 +73,26 @@
 	return response, res.Close
 }
 
-// targetAnswer is the body of a stand-in target's answer.
+// targetAnswer is the body of a stand-in target's response.
 type targetAnswer struct {
 	URI            string `json:"uri"`
 	IdempotencyKey string `json:"mark"`
 }
 
-// checkAnswer says what is wrong with an answer that isn't to this very request;
-// empty if it is.
+// checkAnswer checks that a response body answers the given request. It returns a
+// description of the mismatch, or an empty string.
 func checkAnswer(body []byte, uri, idempotencyKey string) string {
 	var answer targetAnswer
 	if err := json.Unmarshal(body, &answer); err != nil {
-		return "not the target's bytes: " + err.Error()
+		return "body is not a target's response: " + err.Error()
 	}
 	want, err := url.Parse(uri)
 	if err != nil {
-		return "the client's own URI: " + err.Error()
+		return "invalid request URI: " + err.Error()
 	}
 	got, err := url.Parse(answer.URI)
 	if err != nil || got.RequestURI() != want.RequestURI() || answer.IdempotencyKey != idempotencyKey {
-		return fmt.Sprintf("answer to %s with idempotency key %q", answer.URI, answer.IdempotencyKey)
+		return fmt.Sprintf("response to %s with idempotency key %q", answer.URI, answer.IdempotencyKey)
 	}
 	return ""
 }
--- a/internal/testsupport/testbed/builtin_scripts.go
+++ b/internal/testsupport/testbed/builtin_scripts.go
@@ -6,14 +6,14 @@
 	"dunlinwell/internal/testsupport/blueprint"
 )
 
-// hotZoneRecovery is how long before the end of the load a hot zone cools, so that
-// the moves back are seen.
+// hotZoneRecovery is the time between the end of a hot zone and the end of the load,
+// during which traffic moves back.
 const hotZoneRecovery = 160 * time.Second
 
 func seconds(n int) Duration { return Duration(time.Duration(n) * time.Second) }
 
-// GrandScript loses a core machine, a zone and a region in turn, each restored
-// before the next, kills all proxies at once, and drains a zone.
+// GrandScript returns a script that takes down a core machine, a zone and a region one
+// after another, kills all proxies at once, and drains a zone.
 func GrandScript(plan blueprint.Plan) *Script {
 	return &Script{Steps: []Step{
 		{seconds(5), actionKill, "registry-2", seconds(6), 0},
@@ -25,10 +25,10 @@
 	}}
 }
 
-// WorstCaseScript combines everything: a hot zone, bursts of changes, a region
-// lost and a core machine frozen as it returns, drained zones, a stalled disk, a
-// partition, targets frozen, unreachable and replaced, a core machine replaced,
-// and at the end all daemons killed.
+// WorstCaseScript returns a script with overlapping faults of most kinds: a hot zone,
+// bursts of changes, the loss of a region and a core machine frozen as it returns,
+// drained zones, a stalled disk, partitions, targets frozen, unreachable and replaced,
+// a replaced core machine, and finally all daemons killed.
 func WorstCaseScript(plan blueprint.Plan) *Script {
 	pool := plan.Pools[0]
 	return &Script{Steps: []Step{
@@ -46,14 +46,14 @@
 		{seconds(47), actionDrainZone, string(plan.Zone(1)), seconds(10), 0},
 		{seconds(58), actionReplaceCore, "core-2", 0, 0},
 		{seconds(60), actionBurst, "operators", seconds(4), 300},
-		{seconds(74), actionExchangeTargets, string(pool.Instance(3)), seconds(4), 0},
+		{seconds(74), actionSwapAddresses, string(pool.Instance(3)), seconds(4), 0},
 		{seconds(80), actionKillRole, proxyRole, seconds(2), 0},
 		{seconds(80), actionKillRole, registryRole, seconds(3), 0},
 		{seconds(80), actionKillRole, storeRole, seconds(2), 0},
 	}}
 }
 
-// ReplacementScript replaces all three core machines in turn.
+// ReplacementScript returns a script that replaces all three core machines, one after another.
 func ReplacementScript(blueprint.Plan) *Script {
 	return &Script{Steps: []Step{
 		{seconds(4), actionReplaceCore, "core-1", 0, 0},
@@ -63,7 +63,7 @@
 	}}
 }
 
-// HotZoneScript makes one zone hot, for several rounds of planning.
+// HotZoneScript returns a script with one hot zone for most of the given length.
 func HotZoneScript(plan blueprint.Plan, length time.Duration) *Script {
 	return &Script{Steps: []Step{{seconds(20), actionHotZone, string(plan.Zone(0)), Duration(length - hotZoneRecovery), 0}}}
 }
--- a/internal/testsupport/testbed/clients.go
+++ b/internal/testsupport/testbed/clients.go
@@ -13,72 +13,73 @@
 	"dunlinwell/internal/testsupport/checker"
 )
 
-// The classes of responses that clients act on. Daemons send the first two;
-// the client decides on the others itself.
+// Classes of responses that clients act on. Daemons send the first two; the client
+// assigns the others.
 const (
 	classAnswered = "answered"
 	classMisused  = "misused"
-	// classLost: the connection broke before the whole response came.
+	// classLost means that the connection broke before the response was complete.
 	classLost = "lost"
-	// classUnreached: the directory named no proxy.
+	// classUnreached means that the directory returned no proxy.
 	classUnreached = "unreached"
 )
 
 const (
-	// attemptTimeout is the time that each attempt says it has left; requestTimeout,
-	// three times that, bounds a request with all its attempts.
+	// attemptTimeout is the deadline of each attempt; requestTimeout bounds a request
+	// with all its attempts.
 	attemptTimeout = 4 * time.Second
 	requestTimeout = 3 * attemptTimeout
 	maxAttempts    = 4
-	// maxActive bounds the requests under way while a fleet doesn't answer.
+	// maxActive bounds the concurrent requests while the fleet doesn't respond.
 	maxActive = 4000
-	// hotZonePercent is how many of a hundred requests come from a hot zone.
+	// hotZonePercent is the percentage of requests that come from a hot zone.
 	hotZonePercent = 60
-	// flippedRouteOneIn: one of so many requests is for the route that operators move.
-	flippedRouteOneIn = 15
-	// repeatAnsweredOneIn: one of so many unrepeatable requests is sent again although it was
-	// answered: it must get the same answer.
+	// reassignedRouteOneIn is the inverse of the share of requests for the route that
+	// operators reassign.
+	reassignedRouteOneIn = 15
+	// repeatAnsweredOneIn is the inverse of the share of answered non-idempotent requests
+	// that are sent again; the repetition must get the same response.
 	repeatAnsweredOneIn = 8
-	// retryPause, for each attempt before, and up to maxRetryJitter more are the pause
-	// before the next attempt.
+	// retryPause is multiplied by the number of attempts so far; up to maxRetryJitter is
+	// added.
 	retryPause     = 200 * time.Millisecond
 	maxRetryJitter = 200 // ms
 )
 
-// Clients are stand-in clients. They resolve a route at the directory, keep the
-// answer for its lifetime, send deadline and idempotency key, and retry. Some
-// hold a connection open for as long as it lasts.
+// Clients is a group of stand-in clients. They resolve routes at the directory, cache
+// resolutions for their lifetime, send a deadline and an idempotency key, and retry.
+// Some hold a connection open until the proxy closes it.
 type Clients struct {
 	Plan    blueprint.Plan
 	Checker *checker.Checker
-	// Registries returns the HTTP addresses of the registries, in the order to ask.
+	// Registries returns the HTTP addresses of the registries in the order to try.
 	Registries func() []string
-	// Delay is the time one way between two IP addresses, which clients wait.
+	// Delay returns the one-way latency between two IP addresses, which clients add.
 	Delay   func(from, to string) time.Duration
 	Testbed *Testbed
 
 	lastID atomic.Int64
-	// mu guards resolutions, which are by resolutionKey.
+	// mu guards resolutions, which is keyed by resolutionKey.
 	mu          sync.Mutex
 	resolutions map[string]resolution
 	pending     sync.WaitGroup
-	// hotZone, if set, is the zone that most requests come from.
+	// hotZone, if set, is the zone from which most requests come.
 	hotZone atomic.Pointer[ids.Name]
 }
 
-// request is one request of a client, with all its attempts.
+// request is a client's logical request, which may take several attempts.
 type request struct {
 	route blueprint.Route
 	// zoneIndex is the client's zone.
 	zoneIndex int
 	// token identifies the request in the target's executions.
 	token string
-	// idempotencyKey is empty for a repeatable request.
+	// idempotencyKey is empty for an idempotent request.
 	idempotencyKey string
 }
 
-// Run sends requests at the plan's rate until the context ends, and returns when
-// the last has ended.
+// Run sends requests at the plan's rate until the context is done, and returns when
+// the last of them has finished.
 func (c *Clients) Run(ctx context.Context) {
 	c.resolutions = map[string]resolution{}
 	c.startHeldConnections(ctx)
@@ -102,11 +103,11 @@
 	c.pending.Wait()
 }
 
-// newRequest draws a request by the plan's shares.
+// newRequest returns a random request according to the plan's shares.
 func (c *Clients) newRequest() request {
 	r := request{route: c.randomRoute()}
 	n := c.lastID.Add(1)
-	if rand.IntN(flippedRouteOneIn) == 0 {
+	if rand.IntN(reassignedRouteOneIn) == 0 {
 		r.route = blueprint.Route{Name: blueprint.FlippedRoute, Prefix: "/" + blueprint.FlippedRoute, Repeatable: true}
 	}
 	r.zoneIndex = rand.IntN(c.Plan.Zones)
@@ -130,14 +131,14 @@
 	return c.Plan.Routes[0]
 }
 
-// sendWithRetries sends a request until it is answered, or too late. A response
-// "may have run" is retried as well, unlike a careful program would, to see that
-// nothing runs twice.
+// sendWithRetries sends a request until it is answered, or its deadline or the maximum
+// of attempts is reached. It also retries non-idempotent requests that may have been
+// executed, which must not be executed twice.
 func (c *Clients) sendWithRetries(r request) {
 	deadline := time.Now().Add(requestTimeout)
 	for attempt := 1; attempt <= maxAttempts && time.Now().Before(deadline); attempt++ {
 		response := c.sendOnce(r, attempt)
-		// The route that operators move is missing at times.
+		// Operators remove this route from time to time.
 		response.NoAnswerOwed = r.route.Name == blueprint.FlippedRoute
 		c.Checker.RequestAnswered(response)
 		if response.Class == classMisused {
@@ -150,8 +151,8 @@
 	}
 }
 
-// sendOnce resolves the route, sends one attempt to one of its proxies, and
-// forgets the resolution if that wasn't answered.
+// sendOnce resolves the route and sends one attempt to one of its proxies. It drops the
+// cached resolution if the attempt wasn't answered.
 func (c *Clients) sendOnce(r request, attempt int) checker.ClientResponse {
 	zone := c.Plan.Zone(r.zoneIndex)
 	slot := rand.IntN(clientsPerRoute)
@@ -165,11 +166,11 @@
 	latency := c.Delay(ip, ipOf(proxy))
 	time.Sleep(latency)
 	defer time.Sleep(latency)
-	// The client waits a little longer than the deadline that it sends.
+	// Wait slightly longer than the deadline sent, so that the proxy's response still arrives.
 	client := clientFrom(ip, attemptTimeout+time.Second)
 	response, _ := c.sendAttempt(context.Background(), client, r, proxy, resolved.zone, attempt)
 	if response.Class != classAnswered {
-		c.forgetResolution(r.route, zone, slot)
+		c.dropResolution(r.route, zone, slot)
 	}
 	return response
 }
--- a/internal/testsupport/testbed/disk_faults.go
+++ b/internal/testsupport/testbed/disk_faults.go
@@ -7,32 +7,31 @@
 	"path/filepath"
 	"time"
 
-	_ "github.com/mattn/go-sqlite3" // driver, to lock a store's database from outside
+	_ "github.com/mattn/go-sqlite3" // driver, used to lock a store's database
 )
 
 const (
-	// storeDatabase is the file of a store's database in its data folder.
+	// storeDatabase is the name of a store's database file in its data directory.
 	storeDatabase = "stockroom.db"
-	// stallDetectionTime is how long after the beginning of a stall a store must say
-	// that it isn't ready.
+	// stallDetectionTime is the time within which a store must detect a stalled disk and
+	// report that it isn't ready.
 	stallDetectionTime = 2500 * time.Millisecond
-	// minDetectableStall: a shorter one may be over before the store finds it.
+	// minDetectableStall is the shortest stall that a store must detect.
 	minDetectableStall = 2 * time.Second
-	// selfExitTimeout is how long a store that exits because of its disk may take.
+	// selfExitTimeout bounds the wait for a store that exits because of its disk.
 	selfExitTimeout = 500 * time.Millisecond
 )
 
-// stallDisk keeps a store's disk from writing for a duration, by a lock on its
-// database. The store must say that it isn't ready meanwhile, or exit; then it is
-// started again.
+// stallDisk blocks a store's writes for a duration by locking its database. The store
+// must report that it isn't ready, or exit, in which case it is restarted.
 func (tb *Testbed) stallDisk(ctx context.Context, p *Process, duration time.Duration) {
 	lock, err := lockDatabase(ctx, filepath.Join(p.Data, storeDatabase))
 	if err != nil {
 		tb.Checker.Violation("stall %s: %v", p.Name, err)
 		return
 	}
-	// Closed only after the store's restart: the last connection that closes
-	// would write the database's log back.
+	// Close only after the store's restart: when the last connection closes, SQLite
+	// checkpoints the write-ahead log.
 	defer lock.close()
 	start := time.Now()
 	sleepContext(ctx, min(duration, stallDetectionTime))
@@ -40,7 +39,7 @@
 	if err == nil {
 		_ = res.Body.Close()
 		if res.StatusCode == http.StatusOK && duration > minDetectableStall {
-			tb.Checker.Violation("%s says it is ready, its disk stalled for %s", p.Name, time.Since(start).Round(time.Millisecond))
+			tb.Checker.Violation("%s reports that it is ready although its disk has been stalled for %s", p.Name, time.Since(start).Round(time.Millisecond))
 		}
 	}
 	sleepContext(ctx, duration-time.Since(start))
@@ -57,7 +56,7 @@
 	connection *sql.Conn
 }
 
-// lockDatabase takes the write lock; the caller must call close.
+// lockDatabase acquires the write lock; the caller must call close.
 func lockDatabase(ctx context.Context, file string) (*databaseLock, error) {
 	db, err := sql.Open("sqlite3", "file:"+file+"?_busy_timeout=2000")
 	if err != nil {
@@ -74,7 +73,7 @@
 	return lock, nil
 }
 
-// release gives the lock back, even if the context has ended.
+// release releases the lock, even if the context is done.
 func (l *databaseLock) release(ctx context.Context) {
 	_, _ = l.connection.ExecContext(context.WithoutCancel(ctx), "ROLLBACK")
 }
--- a/internal/testsupport/testbed/fleet.go
+++ b/internal/testsupport/testbed/fleet.go
@@ -15,86 +15,86 @@
 )
 
 const (
-	// coreMachines is how many machines have a store and a registry.
+	// coreMachines is the number of machines with a store and a registry.
 	coreMachines = 3
 	// wirePort and httpPort are the ports of a fleet with fixed addresses.
 	wirePort = 7401
 	httpPort = 7400
-	// readinessPollInterval bounds how exactly it is known when a fleet was ready.
+	// readinessPollInterval is the resolution of the times that AwaitReady returns.
 	readinessPollInterval = 50 * time.Millisecond
 )
 
-// Fleet is the daemons of a plan.
+// Fleet is the set of daemons of a plan.
 type Fleet struct {
 	blueprint.Plan
-	// Bin is the folder of the programs, Dir that of data and logs.
+	// Bin is the directory of the programs, Dir that of data and logs.
 	Bin, Dir string
-	// OtherBin, if set, is the folder of the programs of every other daemon.
+	// OtherBin, if set, is the directory of the programs of every second daemon.
 	OtherBin string
-	// Fixed asks for the same addresses and ports each time, for a person to type;
-	// data folders are kept then.
+	// Fixed uses the same addresses and ports in every run, for interactive use, and
+	// keeps data directories.
 	Fixed bool
-	// PlanEvery is how often registries plan the spill-over.
+	// PlanEvery is the interval at which registries plan the spill-over.
 	PlanEvery time.Duration
-	// Processes are in the order of their start: stores, registries, proxies, and
-	// after them replacements.
+	// Processes is in start order: stores, registries, proxies, then replacements.
 	Processes []*Process
 
-	// mu guards Processes, nextCoreIndex, impairedUntil and the last run of each process.
+	// mu guards Processes, nextCoreIndex, impairedUntil, and the current run of each process.
 	mu    sync.Mutex
 	seeds []string
-	// nextCoreIndex is the number, from 0, of the next replacement core machine.
+	// nextCoreIndex is the zero-based index of the next replacement core machine.
 	nextCoreIndex int
 	// relay is nil if connections are direct.
 	relay *Relay
-	// impairedUntil is by HTTP address; see MarkImpaired.
+	// impairedUntil is keyed by HTTP address; see MarkImpaired.
 	impairedUntil map[string]time.Time
-	// restartLock keeps concurrent steps of a script from starting one process twice.
+	// restartLock prevents concurrent steps of a script from starting a process twice.
 	restartLock sync.Mutex
 }
 
-// port is the given one in a fleet with fixed addresses, or else 0 for any.
-func (f *Fleet) port(fixed int) int {
+// listenPort returns the given port in a fleet with fixed addresses, or else 0 for any free port.
+func (f *Fleet) listenPort(fixed int) int {
 	if f.Fixed {
 		return fixed
 	}
 	return 0
 }
 
-// newProcess gives the nth process of a role its name and addresses.
+// newProcess creates the nth process of a role with its name and addresses, and doesn't
+// start it.
 func (f *Fleet) newProcess(role string, n, zone int) (*Process, error) {
 	p := &Process{Role: role, Name: fmt.Sprintf("%s-%d", role, n+1), Zone: f.Plan.Zone(zone)}
 	p.Data = filepath.Join(f.Dir, p.Name)
-	number := roleNumbers[role]
+	thirdOctet := roleOctets[role]
 	var err error
-	if p.Address, err = loopbackAddress(zone, number, n, f.port(wirePort)); err != nil {
+	if p.Address, err = loopbackAddress(zone, thirdOctet, n, f.listenPort(wirePort)); err != nil {
 		return nil, err
 	}
-	if p.HTTP, err = loopbackAddress(zone, number, n, f.port(httpPort)); err != nil {
+	if p.HTTP, err = loopbackAddress(zone, thirdOctet, n, f.listenPort(httpPort)); err != nil {
 		return nil, err
 	}
 	if f.relay == nil {
 		return p, nil
 	}
-	if p.listenAddress, err = f.relayTo(p.Address, zone, number, n); err != nil {
+	if p.listenAddress, err = f.relayTo(p.Address, zone, thirdOctet, n); err != nil {
 		return nil, err
 	}
-	p.listenHTTP, err = f.relayTo(p.HTTP, zone, number, n)
+	p.listenHTTP, err = f.relayTo(p.HTTP, zone, thirdOctet, n)
 	return p, err
 }
 
-// relayTo opens an address at the relay, and returns the address on the same IP
-// address to which it leads.
-func (f *Fleet) relayTo(address string, zone, number, n int) (string, error) {
-	listenAddress, err := loopbackAddress(zone, number, n, 0)
+// relayTo makes the relay listen on an address. It returns the address, with the same
+// IP address and another port, to which the relay forwards.
+func (f *Fleet) relayTo(address string, zone, thirdOctet, n int) (string, error) {
+	listenAddress, err := loopbackAddress(zone, thirdOctet, n, 0)
 	if err != nil {
 		return "", err
 	}
 	return listenAddress, f.relay.Forward(address, listenAddress)
 }
 
-// Start lays out the fleet and starts every process. Core machines are in the
-// first zone of each region, so that the loss of a region loses one.
+// Start creates and starts every process. Core machines are in the first zone of
+// each region, so that the loss of a region takes down only one of them.
 func (f *Fleet) Start() error {
 	for _, role := range []struct {
 		name  string
@@ -113,7 +113,7 @@
 	}
 	f.nextCoreIndex = coreMachines
 	for _, p := range f.Processes {
-		// The voter set in an earlier fleet's folder has other addresses.
+		// The voter set stored by an earlier run has other addresses.
 		if !f.Fixed {
 			if err := os.RemoveAll(p.Data); err != nil {
 				return err
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// StopAll stops all processes, frozen ones too.
+// StopAll stops all processes, including frozen ones.
 func (f *Fleet) StopAll() {
 	var stops sync.WaitGroup
 	for _, p := range f.Processes {
@@ -138,8 +138,8 @@
 	stops.Wait()
 }
 
-// AwaitReady waits until every process that should run is ready. It returns how
-// long that took, and an error if it took longer than the time-out.
+// AwaitReady waits until every process that isn't stopped is ready. It returns the time
+// waited, and an error if the timeout expired.
 func (f *Fleet) AwaitReady(ctx context.Context, timeout time.Duration) (time.Duration, error) {
 	start := time.Now()
 	for {
@@ -154,7 +154,8 @@
 	}
 }
 
-// firstUnready is a process that should run and isn't ready; nil if there is none.
+// firstUnready returns the first process that is neither stopped nor ready; nil if there
+// is none.
 func (f *Fleet) firstUnready(ctx context.Context) *Process {
 	for _, p := range f.Processes {
 		if !p.Stopped && !p.Ready(ctx) {
@@ -164,7 +165,7 @@
 	return nil
 }
 
-// Find returns the process of a name; nil if there is none.
+// Find returns the process with the given name; nil if there is none.
 func (f *Fleet) Find(name string) *Process {
 	for _, p := range f.Processes {
 		if p.Name == name {
@@ -192,7 +193,7 @@
 	return append([]*Process{}, f.Processes...)
 }
 
-// zoneIndex is the number of a zone in the plan; 0 if it isn't there.
+// zoneIndex returns the index of a zone in the plan; 0 for an unknown zone.
 func (f *Fleet) zoneIndex(zone ids.Name) int {
 	for i := range f.Plan.Zones {
 		if f.Plan.Zone(i) == zone {
--- a/internal/testsupport/testbed/held_connections.go
+++ b/internal/testsupport/testbed/held_connections.go
@@ -15,19 +15,20 @@
 )
 
 const (
-	// heldConnectionsPerRoute is how many clients of each zone and repeatable route
-	// hold a connection open.
+	// heldConnectionsPerRoute is the number of clients for each zone and idempotent
+	// route that hold a connection open.
 	heldConnectionsPerRoute = 2
-	// heldRequestInterval is about how often each of them sends a request: half of
-	// it to one and a half.
+	// heldRequestInterval is the average interval between requests on a held connection;
+	// actual intervals range from half to one and a half times that.
 	heldRequestInterval = 400 * time.Millisecond
-	// unresolvedPause is the wait after the directory named no proxy, reconnectPause
-	// that before the next connection.
+	// unresolvedPause is the pause after the directory returned no proxy, reconnectPause
+	// the pause before the next connection.
 	unresolvedPause = 500 * time.Millisecond
 	reconnectPause  = 200 * time.Millisecond
 )
 
-// startHeldConnections starts the clients that hold connections, until the context ends.
+// startHeldConnections starts the clients that hold connections open, which run until
+// the context is done.
 func (c *Clients) startHeldConnections(ctx context.Context) {
 	for zoneIndex := range c.Plan.Zones {
 		for _, route := range c.Plan.Routes {
@@ -40,11 +41,12 @@
 	}
 }
 
-// holdConnections holds one connection after the other.
+// holdConnections runs one client, which opens a new connection whenever the last has
+// been closed.
 func (c *Clients) holdConnections(ctx context.Context, zoneIndex int, route blueprint.Route, slot int) {
 	zone := c.Plan.Zone(zoneIndex)
 	for n := 0; ctx.Err() == nil; n++ {
-		// Its resolutions are apart from those of other clients.
+		// The slot differs from those of other clients, which share no cached resolution.
 		resolved, ok := c.resolve(route, zone, clientsPerRoute+slot)
 		if !ok {
 			sleepContext(ctx, unresolvedPause)
@@ -56,8 +58,8 @@
 	}
 }
 
-// sendUntilClosed sends requests over one connection until that has ended, and
-// reports its end to the checker unless the client itself ended it.
+// sendUntilClosed sends requests over one connection until it is closed, and reports
+// that to the checker unless the client itself closed it.
 func (c *Clients) sendUntilClosed(ctx context.Context, r request, resolved resolution, name string) {
 	transport := &http.Transport{DialContext: dialerFrom(clientAddress(r.zoneIndex)).DialContext, MaxConnsPerHost: 1, DisableCompression: true}
 	defer transport.CloseIdleConnections()
@@ -70,15 +72,15 @@
 		})
 		r.token = fmt.Sprintf("%s-%d", name, n)
 		response, closes := c.sendAttempt(traced, client, r, proxy, resolved.zone, 1)
-		// The first request opens the connection: whatever its response, none was held.
+		// The first request opens the connection, so it wasn't sent on a held one.
 		response.Held = n > 0
 		if n > 0 && !reused && response.Class != classUnreached {
-			c.connectionClosed(proxy, resolved.zone, "the next request found it closed")
+			c.connectionClosed(proxy, resolved.zone, "closed between two requests")
 			return
 		}
 		c.Checker.RequestAnswered(response)
-		// The client's own time-out closes the connection, as after a request to a
-		// frozen target.
+		// On its own timeout the client closes the connection, such as after a request to
+		// a frozen target.
 		if strings.Contains(response.Problem, "Client.Timeout") {
 			return
 		}
@@ -87,7 +89,7 @@
 			return
 		}
 		if closes {
-			c.connectionClosed(proxy, resolved.zone, "closed after an answer")
+			c.connectionClosed(proxy, resolved.zone, "closed after a response")
 			return
 		}
 		sleepContext(ctx, heldRequestInterval/2+time.Duration(rand.Int64N(int64(heldRequestInterval))))
--- a/internal/testsupport/testbed/http_clients.go
+++ b/internal/testsupport/testbed/http_clients.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	// dialTimeout bounds a connection within this machine; a partition makes it hang.
+	// dialTimeout bounds dialing, which hangs during a partition.
 	dialTimeout = time.Second
-	// idleConnectionTimeout closes a stand-in's unused connections.
+	// idleConnectionTimeout is the time after which idle connections of stand-ins are closed.
 	idleConnectionTimeout = 5 * time.Second
 	maxIdleConnections    = 64
 )
 
-// httpClients are shared by the stand-ins of one IP address. Their connections
-// come from that address, so that partitions and delays apply to them.
+// httpClients holds the HTTP clients that stand-ins share, by IP address and timeout.
+// Connections originate from that address, so that partitions and latency apply to them.
 var httpClients = struct {
 	sync.Mutex
 	byKey map[string]*http.Client
 }{byKey: map[string]*http.Client{}}
 
-// clientFrom returns the client of an IP address with a time-out for whole requests.
+// clientFrom returns the HTTP client of an IP address with the given request timeout.
 func clientFrom(ip string, timeout time.Duration) *http.Client {
 	httpClients.Lock()
 	defer httpClients.Unlock()
@@ -37,7 +37,7 @@
 	return httpClients.byKey[key]
 }
 
-// dialerFrom dials from an IP address.
+// dialerFrom returns a dialer whose connections originate from an IP address.
 func dialerFrom(ip string) *net.Dialer {
 	return &net.Dialer{Timeout: dialTimeout, LocalAddr: &net.TCPAddr{IP: net.ParseIP(ip)}}
 }
--- a/internal/testsupport/testbed/liveness_probes.go
+++ b/internal/testsupport/testbed/liveness_probes.go
@@ -9,24 +9,25 @@
 )
 
 const (
-	// probeInterval and probeTimeout are those of the platform's liveness probes.
+	// probeInterval and probeTimeout equal those of the platform's liveness probes.
 	probeInterval = time.Second
 	probeTimeout  = time.Second
-	// slowProbe is counted as slow, though the platform would accept it.
-	slowProbe = probeTimeout / 4
+	// slowProbeThreshold is the response time beyond which a probe counts as slow.
+	slowProbeThreshold = probeTimeout / 4
 )
 
-// livenessProbes ask every proxy whether it is alive, as the platform does, and
-// count the results.
+// livenessProbes sends liveness probes to every proxy, as the platform does, and counts
+// the results.
 type livenessProbes struct {
 	// mu guards the counts.
 	mu               sync.Mutex
 	sent, unanswered int
-	// slow took longer than slowProbe; excluded weren't sent because of a fault.
-	slow, excluded int
+	// slow counts responses later than slowProbeThreshold, skipped the probes that weren't
+	// sent because of a fault.
+	slow, skipped int
 }
 
-// run probes every proxy that no fault impairs, until the context ends.
+// run probes every proxy that isn't impaired by a fault, until the context is done.
 func (p *livenessProbes) run(ctx context.Context, tb *Testbed) {
 	client := &http.Client{Timeout: probeTimeout}
 	var pending sync.WaitGroup
@@ -34,7 +35,7 @@
 		for _, process := range tb.ProcessesOf(proxyRole) {
 			if process.Stopped || tb.IsImpaired(process.HTTP, time.Now()) {
 				p.mu.Lock()
-				p.excluded++
+				p.skipped++
 				p.mu.Unlock()
 				continue
 			}
@@ -51,23 +52,23 @@
 	defer p.mu.Unlock()
 	p.sent++
 	if err != nil {
-		// A fault may have begun since it was sent.
+		// A fault may have begun since the probe was sent.
 		if !tb.IsImpaired(process.HTTP, time.Now()) {
 			p.unanswered++
 		}
 		return
 	}
 	_ = res.Body.Close()
-	if time.Since(start) > slowProbe {
+	if time.Since(start) > slowProbeThreshold {
 		p.slow++
 	}
 }
 
-// print prints the counts. They are no violations: how soon an answer comes
-// depends on the machine as well.
+// print prints the counts. Slow and unanswered probes aren't violations, as response
+// times also depend on the machine's load.
 func (p *livenessProbes) print(tb *Testbed) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	fmt.Fprintf(tb.Out, "liveness probes of proxies without a fault: %d sent, %d unanswered within %s, %d slower than %s; %d left out for a fault\n",
-		p.sent, p.unanswered, probeTimeout, p.slow, slowProbe, p.excluded)
+	fmt.Fprintf(tb.Out, "liveness probes of proxies without a fault: %d sent, %d unanswered within %s, %d slower than %s; %d skipped because of a fault\n",
+		p.sent, p.unanswered, probeTimeout, p.slow, slowProbeThreshold, p.skipped)
 }
--- a/internal/testsupport/testbed/load.go
+++ b/internal/testsupport/testbed/load.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// RunLoad runs clients, operators and probes for a duration, and calls during
-// meanwhile if it isn't nil. In the end it reads every accepted change back.
+// RunLoad runs clients, operators and probes for a duration. Meanwhile it calls during,
+// unless that is nil. Finally it verifies that every accepted change can be read back.
 func (tb *Testbed) RunLoad(ctx context.Context, duration time.Duration, during func(context.Context)) {
 	load, stop := context.WithTimeout(ctx, duration)
 	defer stop()
@@ -25,19 +25,19 @@
 	tb.operators.VerifyLedger("after the load")
 }
 
-// Report prints what was counted since a time, and returns the number of violations.
+// Report prints the results since the given time, and returns the number of violations.
 func (tb *Testbed) Report(since time.Time) int {
-	tally := tb.Checker.CountByClass(since)
-	fmt.Fprintf(tb.Out, "\nanswers: %d answered, %d declined, %d unknown, %d lost, %d unreached; %d runs at targets\n",
-		tally[classAnswered], tally["declined"], tally["unknown"], tally[classLost], tally[classUnreached], tally["runs"])
+	counts := tb.Checker.CountByClass(since)
+	fmt.Fprintf(tb.Out, "\nresponses: %d answered, %d declined, %d unknown, %d lost, %d unreached; %d executions at targets\n",
+		counts[classAnswered], counts["declined"], counts["unknown"], counts[classLost], counts[classUnreached], counts["runs"])
 	within1s, requests := tb.Checker.ShareWithin(time.Second)
 	within5s, _ := tb.Checker.ShareWithin(5 * time.Second)
-	fmt.Fprintf(tb.Out, "of %d requests %.2f%% had their answer within 1 s of the first attempt, %.2f%% within 5 s\n", requests, within1s*100, within5s*100)
-	fmt.Fprintf(tb.Out, "last first attempt without an answer: %s after the machines were back\n", tb.Checker.Recovery().Round(time.Millisecond))
+	fmt.Fprintf(tb.Out, "of %d requests, %.2f%% were answered within 1 s of the first attempt, %.2f%% within 5 s\n", requests, within1s*100, within5s*100)
+	fmt.Fprintf(tb.Out, "last failed first attempt: %s after the machines had recovered\n", tb.Checker.Recovery().Round(time.Millisecond))
 	violations := 0
 	for _, c := range tb.Checker.Results() {
 		violations += c.Violations
-		// A rule that was never checked shows nothing.
+		// A rule that was never checked proves nothing.
 		if c.Judged == 0 && c.Violations == 0 {
 			fmt.Fprintf(tb.Out, "  %-62s nothing to judge\n", c.Rule)
 			continue
@@ -45,6 +45,6 @@
 		fmt.Fprintf(tb.Out, "  %-62s %d in %d  %s\n", c.Rule, c.Violations, c.Judged, c.Sample)
 	}
 	tb.probes.print(tb)
-	fmt.Fprintf(tb.Out, "%d changes accepted, %d whose outcome is unknown\n", tb.Checker.Changes(), tb.Checker.OpenChanges())
+	fmt.Fprintf(tb.Out, "%d changes accepted, %d with unknown outcome\n", tb.Checker.Changes(), tb.Checker.OpenChanges())
 	return violations
 }
--- a/internal/testsupport/testbed/load_watch.go
+++ b/internal/testsupport/testbed/load_watch.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	// loadInterval is how often the load of each zone is measured.
+	// loadInterval is the interval at which the load of each zone is measured.
 	loadInterval = 5 * time.Second
 	// watchTimeout bounds each read of a metrics or status page.
 	watchTimeout = time.Second
-	// acceptableShare and maximumShare are the other levels of a zone's load, as shares
-	// of its target level.
+	// acceptableShare and maximumShare are the acceptable and maximum load of a zone,
+	// as fractions of its target level.
 	acceptableShare = 0.8
 	maximumShare    = 1.1
 )
 
-// loadWatcher measures the load that each zone carries: the CPU time of its
-// proxies, and what targets stated for the executions that came by them.
+// loadWatcher measures the load of each zone: the CPU time of its proxies, plus the CPU
+// time that targets reported for the requests forwarded by them.
 type loadWatcher struct {
 	*Testbed
-	// mu guards executions, which are by the zone of the proxy.
+	// mu guards executions, which counts executions by the zone of the proxy.
 	mu         sync.Mutex
 	executions map[ids.Name]float64
-	// lastMillis is the last measurement of cpuMillis.
+	// lastMillis is the previous result of cpuMillis.
 	lastMillis map[ids.Name]float64
 }
 
@@ -41,19 +41,19 @@
 	w.executions[proxyZone]++
 }
 
-// countExecution hands an execution to the watcher, if the load is watched.
+// countExecution passes an execution to the watcher, if there is one.
 func (tb *Testbed) countExecution(proxyZone ids.Name) {
 	if w := tb.watcher.Load(); w != nil {
 		w.countExecution(proxyZone)
 	}
 }
 
-// cpuMillis is the CPU time that each zone has used so far, in ms.
+// cpuMillis returns the CPU time that each zone has used so far, in ms.
 func (w *loadWatcher) cpuMillis() map[ids.Name]float64 {
 	millis := map[ids.Name]float64{}
 	w.mu.Lock()
 	for zone, n := range w.executions {
-		millis[zone] = n * statedCPUMillis
+		millis[zone] = n * reportedCPUMillis
 	}
 	w.mu.Unlock()
 	client := &http.Client{Timeout: watchTimeout}
@@ -65,8 +65,8 @@
 	return millis
 }
 
-// WatchLoad measures each zone's load until the context ends, and gives it to the
-// checker. After each printInterval it prints it with the spill-over in force.
+// WatchLoad measures each zone's load and passes it to the checker, until the context is
+// done. At every printInterval it prints the load and the current spill-over.
 func (tb *Testbed) WatchLoad(ctx context.Context, printInterval time.Duration) {
 	w := &loadWatcher{Testbed: tb, executions: map[ids.Name]float64{}}
 	tb.watcher.Store(w)
@@ -89,17 +89,17 @@
 	}
 }
 
-// shortZone is a zone's name without what all of them begin with.
+// shortZone returns a zone's name without the common prefix.
 func shortZone(zone string) string { return strings.TrimPrefix(zone, "cell-") }
 
-// RunHotZone runs load with one hot zone and no other fault, so that nothing
-// explains the end of a held connection, and prints each zone's load over time.
+// RunHotZone runs a load with one hot zone and prints each zone's load over time. As
+// there is no other fault, every closed held connection is a violation.
 func (tb *Testbed) RunHotZone(ctx context.Context, duration time.Duration, script *Script) {
-	tb.checkSpillOrder()
+	tb.enableSpillOrderCheck()
 	tb.Checker.NoFaults = true
 	target := tb.Plan.TargetLevel()
 	tb.RunLoad(ctx, duration, func(load context.Context) {
-		fmt.Fprintf(tb.Out, "each cell: acceptable %.0f, target %.0f, maximum %.0f ms of CPU a second\n", acceptableShare*target, target, maximumShare*target)
+		fmt.Fprintf(tb.Out, "each cell: acceptable %.0f, target %.0f, maximum %.0f ms of CPU per second\n", acceptableShare*target, target, maximumShare*target)
 		var watch sync.WaitGroup
 		watch.Go(func() { tb.WatchLoad(load, tb.PlanEvery) })
 		tb.RunScript(ctx, script)
@@ -107,8 +107,9 @@
 	})
 }
 
-// checkSpillOrder has the checker judge the order of moves by the plan's configuration.
-func (tb *Testbed) checkSpillOrder() {
+// enableSpillOrderCheck makes the checker verify the order of spill-over moves against
+// the plan's configuration.
+func (tb *Testbed) enableSpillOrderCheck() {
 	order := checker.SpillOrder{Every: tb.PlanEvery, Tier: tb.routeRanks(), Distance: tb.Plan.Distance, Acceptable: map[ids.Name]float64{}}
 	for i := range tb.Zones {
 		order.Acceptable[tb.Plan.Zone(i)] = acceptableShare * tb.Plan.TargetLevel()
--- a/internal/testsupport/testbed/loopback.go
+++ b/internal/testsupport/testbed/loopback.go
@@ -7,31 +7,31 @@
 	"os"
 )
 
-// loopbackBlock is the second number of the loopback addresses of the first
-// zone; each zone has the next. Fleets of different processes keep apart by it,
-// because a port that is free now may be taken by another fleet in a moment.
-var loopbackBlock = 20 + os.Getpid()%20*10
+// firstZoneOctet is the second octet of the first zone's loopback addresses; the octet
+// increases by one for each further zone. It depends on the process id, because fleets
+// of concurrent test processes would otherwise compete for the same ports.
+var firstZoneOctet = 20 + os.Getpid()%20*10
 
-// fixedLoopbackBlock is that of a fleet whose addresses a person types.
-const fixedLoopbackBlock = 20
+// fixedFirstZoneOctet is the firstZoneOctet of a fleet with fixed addresses.
+const fixedFirstZoneOctet = 20
 
-// The third number of a loopback address says what has it.
+// The third octet of a loopback address identifies the kind of its owner.
 const (
-	storeNumber    = 1
-	registryNumber = 2
-	proxyNumber    = 3
-	targetNumber   = 4
-	operatorNumber = 8
-	clientNumber   = 9
+	storeOctet    = 1
+	registryOctet = 2
+	proxyOctet    = 3
+	targetOctet   = 4
+	operatorOctet = 8
+	clientOctet   = 9
 )
 
-// roleNumbers are the third numbers of the daemons' addresses.
-var roleNumbers = map[string]int{storeRole: storeNumber, registryRole: registryNumber, proxyRole: proxyNumber}
+// roleOctets holds the third octet of the daemons' addresses by role.
+var roleOctets = map[string]int{storeRole: storeOctet, registryRole: registryOctet, proxyRole: proxyOctet}
 
-// loopbackAddress is the address of the nth of its kind in a zone. Port 0 chooses
-// one that is free now.
-func loopbackAddress(zone, number, n, port int) (string, error) {
-	ip := fmt.Sprintf("127.%d.%d.%d", loopbackBlock+zone, number, n+1)
+// loopbackAddress returns the address of the nth daemon, target or client of its kind
+// in a zone. If port is 0, it chooses a port that is currently free.
+func loopbackAddress(zone, thirdOctet, n, port int) (string, error) {
+	ip := fmt.Sprintf("127.%d.%d.%d", firstZoneOctet+zone, thirdOctet, n+1)
 	if port != 0 {
 		return fmt.Sprintf("%s:%d", ip, port), nil
 	}
@@ -42,16 +42,16 @@
 	return l.Addr().String(), l.Close()
 }
 
-// clientAddress is the IP address from which a zone's clients call.
+// clientAddress returns the IP address of a zone's clients.
 func clientAddress(zone int) string {
-	return fmt.Sprintf("127.%d.%d.1", loopbackBlock+zone, clientNumber)
+	return fmt.Sprintf("127.%d.%d.1", firstZoneOctet+zone, clientOctet)
 }
 
-// operatorAddress is the IP address from which operators call. No zone's clients
-// share it, so that a partition of a zone doesn't touch them.
-func operatorAddress() string { return fmt.Sprintf("127.%d.%d.1", loopbackBlock, operatorNumber) }
+// operatorAddress returns the IP address of operators. It differs from those of clients,
+// so that the partition of a zone doesn't affect operators.
+func operatorAddress() string { return fmt.Sprintf("127.%d.%d.1", firstZoneOctet, operatorOctet) }
 
-// ipOf is the IP address of an address with a port; anything else stays as it is.
+// ipOf returns the IP address of an address with a port, and any other string unchanged.
 func ipOf(address string) string {
 	p, err := netip.ParseAddrPort(address)
 	if err != nil {
--- a/internal/testsupport/testbed/network_faults.go
+++ b/internal/testsupport/testbed/network_faults.go
@@ -2,17 +2,17 @@
 
 import "strings"
 
-// partitionNetwork cuts subjects off from all others, in both directions or one.
-// A split keeps the subjects connected among themselves, as do the others.
-func (tb *Testbed) partitionNetwork(step Step, hold func()) {
-	inside := map[string]bool{}
+// partitionNetwork disconnects the step's subjects from all other machines, in one or both
+// directions. Subjects stay connected to each other, and so do the other machines.
+func (tb *Testbed) partitionNetwork(step Step, waitFault func()) {
+	isolated := map[string]bool{}
 	for _, name := range strings.Split(step.Subject, "+") {
 		for ip := range tb.ipsOf(name) {
-			inside[ip] = true
+			isolated[ip] = true
 		}
 	}
 	partition := &Partition{Blocks: func(from, to string) bool {
-		outgoing, incoming := inside[from] && !inside[to], inside[to] && !inside[from]
+		outgoing, incoming := isolated[from] && !isolated[to], isolated[to] && !isolated[from]
 		return outgoing && step.Action != actionCutIn || incoming && step.Action != actionCutOut
 	}}
 	if step.Action == actionSplit {
@@ -20,20 +20,20 @@
 	} else {
 		tb.markAllImpaired(tb.MachineProcesses(step.Subject), step)
 	}
-	unreachable := tb.targetsCutOff(step, inside)
+	unreachable := tb.targetsCutOff(step, isolated)
 	for _, t := range unreachable {
 		t.SetUnreachable(true)
 	}
 	tb.relay.StartPartition(partition)
-	hold()
+	waitFault()
 	tb.relay.EndPartition(partition)
 	for _, t := range unreachable {
 		t.SetUnreachable(false)
 	}
 }
 
-// targetsCutOff are the targets whose heartbeats reach no registry. On either
-// side of a split there may be one.
+// targetsCutOff returns the targets whose heartbeats reach no registry. A split has none,
+// as there may be a registry on either side.
 func (tb *Testbed) targetsCutOff(step Step, inside map[string]bool) []*Target {
 	if step.Action == actionCutIn || step.Action == actionSplit {
 		return nil
--- a/internal/testsupport/testbed/operator_calls.go
+++ b/internal/testsupport/testbed/operator_calls.go
@@ -15,13 +15,14 @@
 const (
 	// operatorTimeout bounds each call of an operator.
 	operatorTimeout = 4 * time.Second
-	// resendTimeout bounds how long a change is sent again under its id; beyond it
-	// its outcome stays unknown.
+	// resendTimeout bounds the retries of a change with the same id; after that its
+	// outcome remains unknown.
 	resendTimeout = 40 * time.Second
 	// resendPause is the pause between two attempts of a change.
 	resendPause = 100 * time.Millisecond
-	// giveUpOneIn: one of so many operators gives up a change that was surely not accepted.
-	giveUpOneIn = 3
+	// abandonOneIn is the inverse of the probability that an operator abandons a change
+	// that was definitely not applied.
+	abandonOneIn = 3
 )
 
 // changeResponse is the body of a successful response to a change.
@@ -29,8 +30,8 @@
 	Revision uint64 `json:"revision"`
 }
 
-// postChange sends a change to one daemon. The body is read whole; an error
-// leaves open whether the change was accepted.
+// postChange sends a change to one daemon and reads the whole response. After an error
+// it is unknown whether the change was accepted.
 func postChange(p *Process, change string) (status int, body []byte, err error) {
 	res, err := clientFrom(operatorAddress(), operatorTimeout).Post("http://"+p.HTTP+"/v1/change", "application/json", strings.NewReader(change))
 	if err != nil {
@@ -41,13 +42,13 @@
 	return res.StatusCode, body, err
 }
 
-// send sends a change to one daemon after another until its outcome is known, and
-// reports it to the checker. It returns the revision; 0 if the change was rejected
-// or its outcome stayed unknown. With mayGiveUp it may give up a change of
-// which daemons said that it wasn't accepted.
-func (o *Operators) send(change string, mayGiveUp bool) uint64 {
+// send sends a change to random daemons until its outcome is known, and reports the
+// outcome to the checker. It returns the revision, or 0 if the change was rejected or
+// its outcome remains unknown. With mayAbandon, it may stop retrying a change that all
+// daemons so far reported as not accepted.
+func (o *Operators) send(change string, mayAbandon bool) uint64 {
 	id := o.Checker.ChangeSent([]byte(change), time.Now())
-	surelyNotAccepted := true
+	definitelyNotApplied := true
 	for deadline := time.Now().Add(resendTimeout); time.Now().Before(deadline); time.Sleep(resendPause) {
 		p, ok := o.randomProcess()
 		if !ok {
@@ -55,7 +56,7 @@
 		}
 		status, body, err := postChange(p, change)
 		if err != nil {
-			surelyNotAccepted = false
+			definitelyNotApplied = false
 			continue
 		}
 		var accepted changeResponse
@@ -65,26 +66,26 @@
 			o.Checker.ChangeAccepted(id, accepted.Revision, time.Now())
 			return accepted.Revision
 		case status == http.StatusBadRequest:
-			o.Checker.Violation("%s was declined by %s: %s", id, p.Name, body)
+			o.Checker.Violation("change %s was rejected by %s: %s", id, p.Name, body)
 			o.Checker.ChangeRejected(id)
 			return 0
 		case status == http.StatusNotFound || status == http.StatusConflict:
 			o.Checker.ChangeRejected(id)
 			return 0
 		case status == http.StatusServiceUnavailable:
-			// If no attempt had another outcome, the change must never show.
-			if surelyNotAccepted && mayGiveUp && rand.IntN(giveUpOneIn) == 0 {
+			// If every attempt was refused like this one, the change must never take effect.
+			if definitelyNotApplied && mayAbandon && rand.IntN(abandonOneIn) == 0 {
 				o.Checker.ChangeRejected(id)
 				return 0
 			}
 		default:
-			surelyNotAccepted = false
+			definitelyNotApplied = false
 		}
 	}
 	return 0
 }
 
-// sendInvalid sends a change that no daemon may accept.
+// sendInvalid sends a change that every daemon must reject.
 func (o *Operators) sendInvalid(change string) {
 	id := o.Checker.ChangeSent([]byte(change), time.Now())
 	o.Checker.ChangeRejected(id)
@@ -93,7 +94,7 @@
 		return
 	}
 	if status, _, _ := postChange(p, change); status == http.StatusOK {
-		o.Checker.Violation("%s was accepted by %s", id, p.Name)
+		o.Checker.Violation("invalid change %s was accepted by %s", id, p.Name)
 	}
 }
 
@@ -106,7 +107,7 @@
 	defer func() { _ = res.Body.Close() }()
 	raw, err := io.ReadAll(res.Body)
 	if err == nil && res.StatusCode != http.StatusOK {
-		err = errs.New("read policy", p.Name, "status %d", res.StatusCode)
+		err = errs.New("read configuration", p.Name, "HTTP status %d", res.StatusCode)
 	}
 	if err != nil {
 		return checker.Configuration{}, err
--- a/internal/testsupport/testbed/operators.go
+++ b/internal/testsupport/testbed/operators.go
@@ -14,59 +14,59 @@
 )
 
 const (
-	// verifyTimeout is how long a daemon may take to answer a read after faults.
+	// verifyTimeout bounds the retries of a read from one daemon.
 	verifyTimeout = 10 * time.Second
-	// verifyRetryPause is the pause between reads that fail.
+	// verifyRetryPause is the pause after a failed read.
 	verifyRetryPause = 200 * time.Millisecond
-	// burstConcurrency bounds the changes of a burst that are under way at once.
+	// burstConcurrency bounds the concurrent changes of a burst.
 	burstConcurrency = 32
-	// minActPause and up to maxActJitter more are between two actions.
-	minActPause  = 200 // ms
-	maxActJitter = 900 // ms
+	// minActionPause plus up to maxActionJitter is the pause between two actions.
+	minActionPause  = 200 // ms
+	maxActionJitter = 900 // ms
 )
 
-// Operators are stand-in operators and their automation. They change and read the
-// configuration through any daemon, and report each call and its result to the checker.
+// Operators is a group of stand-in operators. They change and read the configuration
+// through random daemons, and report each call and its result to the checker.
 type Operators struct {
 	*Testbed
 	generator blueprint.ChangeGenerator
 	// mu guards the generator's random numbers.
 	mu     sync.Mutex
 	lastID atomic.Int64
-	// racedVersion is the last known version of the route that operators race for.
+	// racedVersion is the last known version of blueprint.RacedRoute.
 	racedVersion atomic.Uint64
 	pending      sync.WaitGroup
 }
 
-// NewOperators makes the operators of a testbed.
+// NewOperators creates the operators of a testbed.
 func NewOperators(tb *Testbed) *Operators {
 	return &Operators{Testbed: tb, generator: blueprint.ChangeGenerator{Plan: tb.Plan, Random: rand.New(rand.NewPCG(rand.Uint64(), 1))}}
 }
 
-// Run acts at random until the context ends, and returns when the last action has ended.
+// Run runs random actions until the context is done, and returns when the last has finished.
 func (o *Operators) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		o.pending.Go(o.act)
-		sleepContext(ctx, time.Duration(minActPause+rand.IntN(maxActJitter))*time.Millisecond)
+		o.pending.Go(o.runRandomAction)
+		sleepContext(ctx, time.Duration(minActionPause+rand.IntN(maxActionJitter))*time.Millisecond)
 	}
 	o.pending.Wait()
 }
 
-// newID makes the id of a change, and its number.
+// newID returns a new change id and the number in it.
 func (o *Operators) newID(prefix string) (string, int) {
 	n := int(o.lastID.Add(1))
 	return fmt.Sprintf("%s-%d", prefix, n), n
 }
 
-// generate calls the generator for a change that takes random numbers.
+// generate calls the generator under the lock, for changes that use its random source.
 func (o *Operators) generate(change func(blueprint.ChangeGenerator) string) string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return change(o.generator)
 }
 
-// act does one thing that operators do; the shares are of 14.
-func (o *Operators) act() {
+// runRandomAction runs one action, chosen at random with weights that sum to 14.
+func (o *Operators) runRandomAction() {
 	id, n := o.newID("op")
 	pair := rand.IntN(blueprint.RoutePairs)
 	switch x := rand.IntN(14); {
@@ -85,25 +85,25 @@
 	case x < 11:
 		o.sendInvalid(o.generator.Stale(id, n))
 	default:
-		o.readAnywhere()
+		o.readFromRandomDaemon()
 	}
 }
 
-// readAnywhere reads the configuration through any daemon. A read that fails
-// shows nothing.
-func (o *Operators) readAnywhere() {
+// readFromRandomDaemon reads the configuration through a random daemon. A failed read is
+// ignored.
+func (o *Operators) readFromRandomDaemon() {
 	p, ok := o.randomProcess()
 	if !ok {
 		return
 	}
-	// What was accepted before the read began must show in it.
+	// The read must reflect all changes that were accepted before it began.
 	knownBefore := o.Checker.KnownRevision()
 	if configuration, err := o.readConfiguration(p); err == nil {
 		o.Checker.ConfigurationRead("a read at "+p.Name, configuration, knownBefore)
 	}
 }
 
-// SendBurst sends so many changes, spread over a duration.
+// SendBurst sends count changes, evenly spread over a duration.
 func (o *Operators) SendBurst(ctx context.Context, count int, duration time.Duration) {
 	var changes sync.WaitGroup
 	slots := make(chan struct{}, burstConcurrency)
@@ -119,8 +119,8 @@
 	changes.Wait()
 }
 
-// raceChanges lets two operators change one route on condition of the same
-// version: at most one may succeed.
+// raceChanges sends two concurrent changes of one route that expect the same version; at
+// most one may succeed.
 func (o *Operators) raceChanges(id string, n int) {
 	version := ids.Revision(o.racedVersion.Load())
 	var accepted atomic.Int64
@@ -135,11 +135,12 @@
 	}
 	both.Wait()
 	if accepted.Load() > 1 {
-		o.Checker.Violation("both sides of %s were accepted", id)
+		o.Checker.Violation("both concurrent changes of %s were accepted", id)
 	}
 }
 
-// randomProcess draws a process that should run; false if there is none.
+// randomProcess returns a random process that is neither stopped nor replaced; false if
+// there is none.
 func (o *Operators) randomProcess() (*Process, bool) {
 	var running []*Process
 	for _, p := range o.snapshot() {
@@ -153,10 +154,10 @@
 	return running[rand.IntN(len(running))], true
 }
 
-// VerifyLedger reads the configuration through every daemon, and has the checker
-// compare it with all accepted changes. A daemon that can't be read is a
-// violation. When says at what point of the run this is.
-func (o *Operators) VerifyLedger(when string) {
+// VerifyLedger reads the configuration through every daemon, and passes it to the checker,
+// which compares it with all accepted changes. A daemon that can't be read from is a
+// violation. The phase names the point in the run in violations.
+func (o *Operators) VerifyLedger(phase string) {
 	for _, p := range o.snapshot() {
 		if p.Replaced {
 			continue
@@ -164,14 +165,14 @@
 		knownBefore := o.Checker.KnownRevision()
 		configuration, err := o.readWithRetries(p)
 		if err != nil {
-			o.Checker.Violation("%s: the configuration can't be read through %s: %v", when, p.Name, err)
+			o.Checker.Violation("%s: reading the configuration through %s failed: %v", phase, p.Name, err)
 			continue
 		}
-		o.Checker.ConfigurationRead(when+", "+p.Name, configuration, knownBefore)
+		o.Checker.ConfigurationRead(phase+", "+p.Name, configuration, knownBefore)
 	}
 }
 
-// readWithRetries reads through one daemon until it answers, or verifyTimeout is over.
+// readWithRetries reads through one daemon until it responds, or verifyTimeout has passed.
 func (o *Operators) readWithRetries(p *Process) (checker.Configuration, error) {
 	var configuration checker.Configuration
 	var err error
--- a/internal/testsupport/testbed/process.go
+++ b/internal/testsupport/testbed/process.go
@@ -15,7 +15,7 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// The roles of daemons; they are also the names of the programs.
+// Roles of daemons, which are also the names of their programs.
 const (
 	proxyRole    = "proxy"
 	registryRole = "registry"
@@ -23,12 +23,11 @@
 )
 
 const (
-	// stopTimeout is how long a process may take to exit after SIGTERM, before it
-	// gets SIGKILL; the platform gives as long.
+	// stopTimeout is the time between SIGTERM and SIGKILL, the same as on the platform.
 	stopTimeout = 3 * time.Second
-	// killTimeout is how long the kernel may take to end a killed process.
+	// killTimeout bounds the wait for a killed process to exit.
 	killTimeout = 5 * time.Second
-	// readinessTimeout bounds one question for readiness.
+	// readinessTimeout bounds one readiness check.
 	readinessTimeout = time.Second
 )
 
@@ -36,23 +35,23 @@
 type Process struct {
 	Role, Name string
 	Zone       ids.Name
-	// Address is that of the wire protocol, HTTP that of the HTTP server, as
-	// others reach them.
+	// Address is the advertised address of the wire protocol, HTTP that of the HTTP server.
 	Address, HTTP string
-	// Data is the data folder; only stores use it.
+	// Data is the data directory; only stores use it.
 	Data string
-	// Stopped: it doesn't run now. Replaced: another has its place for good.
+	// Stopped is true while the process isn't running, Replaced once another process has
+	// permanently taken its place.
 	Stopped, Replaced bool
 
-	// listenAddress and listenHTTP are where it listens behind the relay; empty
-	// without a relay.
+	// listenAddress and listenHTTP are the addresses behind the relay on which the
+	// process listens; empty without a relay.
 	listenAddress, listenHTTP string
-	// cmd is the last run, and exited is closed once that has ended.
+	// cmd is the most recent run; exited is closed when it has exited.
 	cmd    *exec.Cmd
 	exited chan struct{}
 }
 
-// arguments is the command line of a process.
+// arguments returns the command-line arguments of a process.
 func (f *Fleet) arguments(p *Process) []string {
 	args := []string{"--name", p.Name, "--address", p.Address, "--http", p.HTTP, "--cell", string(p.Zone), "--seeds", strings.Join(f.seeds, ",")}
 	if p.listenAddress != "" {
@@ -70,8 +69,8 @@
 	return args
 }
 
-// program is the path of a process's program. In a mixed fleet daemons with an
-// even number run the other version.
+// program returns the path of a process's program. In a fleet of mixed versions, daemons
+// with an even number run the other version.
 func (f *Fleet) program(p *Process) string {
 	bin := f.Bin
 	if f.OtherBin != "" && strings.ContainsAny(p.Name[len(p.Name)-1:], "02468") {
@@ -80,8 +79,8 @@
 	return filepath.Join(bin, p.Role)
 }
 
-// StartProcess starts a process that doesn't run. The kernel ends it if this
-// process dies first.
+// StartProcess starts a process that isn't running. The kernel kills it if this process
+// dies first.
 func (f *Fleet) StartProcess(p *Process) error {
 	log, err := os.OpenFile(filepath.Join(f.Dir, p.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -99,7 +98,7 @@
 	p.cmd, p.exited, p.Stopped = cmd, exited, false
 	f.mu.Unlock()
 	go func() {
-		_ = cmd.Wait() // its exit code is in cmd.ProcessState
+		_ = cmd.Wait() // the exit code is in cmd.ProcessState
 		_ = log.Close()
 		close(exited)
 	}()
@@ -115,15 +114,15 @@
 	}
 }
 
-// Kill sends SIGKILL and waits until the process has ended.
+// Kill sends SIGKILL and waits until the process has exited.
 func (f *Fleet) Kill(p *Process) {
 	f.Signal(p, syscall.SIGKILL)
 	p.Stopped = true
 	f.awaitExit(p, killTimeout)
 }
 
-// Stop ends a process as the platform does: SIGTERM, and SIGKILL if that takes
-// too long. It returns how long it took.
+// Stop stops a process as the platform does: it sends SIGTERM, and SIGKILL after a
+// timeout. It returns the time taken.
 func (f *Fleet) Stop(p *Process) time.Duration {
 	start := time.Now()
 	f.Signal(p, syscall.SIGTERM)
@@ -134,7 +133,7 @@
 	return time.Since(start)
 }
 
-// awaitExit waits until the process has ended; false if it runs on.
+// awaitExit waits until the process has exited, and returns false on timeout.
 func (f *Fleet) awaitExit(p *Process, timeout time.Duration) bool {
 	if p.exited == nil {
 		return true
@@ -147,7 +146,7 @@
 	}
 }
 
-// Ready tells whether the process says that it is ready.
+// Ready reports whether the process's readiness check succeeds.
 func (p *Process) Ready(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, readinessTimeout)
 	defer cancel()
--- a/internal/testsupport/testbed/process_faults.go
+++ b/internal/testsupport/testbed/process_faults.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// maxStopTime is how long a daemon may take to exit after SIGTERM: the platform
-// sends SIGKILL at 3 s.
+// maxStopTime is the time within which a daemon must exit after SIGTERM; the platform
+// sends SIGKILL after 3 s.
 const maxStopTime = 2500 * time.Millisecond
 
-// faultProcesses kills, stops or freezes processes, and restores them.
-func (tb *Testbed) faultProcesses(step Step, processes []*Process, hold func()) {
+// faultProcesses kills, stops or freezes processes, and afterwards restarts or resumes them.
+func (tb *Testbed) faultProcesses(step Step, processes []*Process, waitFault func()) {
 	tb.markAllImpaired(processes, step)
 	var faults sync.WaitGroup
 	for _, p := range processes {
@@ -30,7 +30,7 @@
 		})
 	}
 	faults.Wait()
-	hold()
+	waitFault()
 	for _, p := range processes {
 		if step.Action == actionFreeze {
 			tb.Signal(p, syscall.SIGCONT)
@@ -40,14 +40,13 @@
 	}
 }
 
-// loseRole kills all daemons of a role at once, and starts them again.
-func (tb *Testbed) loseRole(step Step, hold func()) {
-	tb.powerOff(tb.runningProcesses(func(p *Process) bool { return p.Role == step.Subject }), nil, step, hold)
+// killRole kills all daemons of a role at once, and restarts them.
+func (tb *Testbed) killRole(step Step, waitFault func()) {
+	tb.killAndRestart(tb.runningProcesses(func(p *Process) bool { return p.Role == step.Subject }), nil, step, waitFault)
 }
 
-// loseZones kills all daemons and targets of a zone or region at once, and starts
-// them again.
-func (tb *Testbed) loseZones(step Step, hold func()) {
+// killZones kills all daemons and targets of a zone or region at once, and restarts them.
+func (tb *Testbed) killZones(step Step, waitFault func()) {
 	zones := zonesOf(tb.Plan, step.Subject)
 	processes := tb.runningProcesses(func(p *Process) bool { return slices.Contains(zones, p.Zone) })
 	var targets []*Target
@@ -56,10 +55,10 @@
 			targets = append(targets, t)
 		}
 	}
-	tb.powerOff(processes, targets, step, hold)
+	tb.killAndRestart(processes, targets, step, waitFault)
 }
 
-// runningProcesses returns the processes that should run and match.
+// runningProcesses returns the matching processes that are neither stopped nor replaced.
 func (tb *Testbed) runningProcesses(matches func(*Process) bool) []*Process {
 	tb.restartLock.Lock()
 	defer tb.restartLock.Unlock()
@@ -72,8 +71,8 @@
 	return out
 }
 
-// powerOff ends processes and targets at once, and starts them again.
-func (tb *Testbed) powerOff(processes []*Process, targets []*Target, step Step, hold func()) {
+// killAndRestart kills processes and targets at once, and restarts them when the fault ends.
+func (tb *Testbed) killAndRestart(processes []*Process, targets []*Target, step Step, waitFault func()) {
 	tb.markAllImpaired(processes, step)
 	for _, t := range targets {
 		t.Crash()
@@ -83,7 +82,7 @@
 		kills.Go(func() { tb.Kill(p) })
 	}
 	kills.Wait()
-	hold()
+	waitFault()
 	for _, p := range processes {
 		tb.restart(p)
 	}
@@ -92,7 +91,7 @@
 	}
 }
 
-// replaceCoreMachine loses a core machine for good, and starts a replacement.
+// replaceCoreMachine replaces a core machine, and reports an error as a violation.
 func (tb *Testbed) replaceCoreMachine(name string) {
 	tb.restartLock.Lock()
 	defer tb.restartLock.Unlock()
--- a/internal/testsupport/testbed/programs.go
+++ b/internal/testsupport/testbed/programs.go
@@ -8,10 +8,10 @@
 	"dunlinwell/internal/base/errs"
 )
 
-// programs are the daemons and the command line, which a fleet needs.
+// programs lists the executables that a fleet needs: the daemons and the command-line tool.
 var programs = []string{proxyRole, registryRole, storeRole, "dunlinwell"}
 
-// Build compiles the programs into a folder. It must run within the module's folder.
+// Build compiles the programs into a directory. The working directory must be within the module.
 func Build(bin string) error {
 	args := []string{"build", "-o", bin + "/"}
 	for _, p := range programs {
@@ -23,26 +23,27 @@
 	return nil
 }
 
-// ProgramsFolder returns the folder of the programs: the one named, or else that of
-// this program if it has all of them, or else the one that they are built into.
-func ProgramsFolder(named, built string) (string, error) {
-	return chooseBinaries(named, ownFolder(), built, Build)
+// ProgramsFolder returns the directory of the programs: explicitDir if it is set, or else
+// the directory of this executable if it contains all of them, or else buildDir, into
+// which it builds them.
+func ProgramsFolder(explicitDir, buildDir string) (string, error) {
+	return chooseProgramsDir(explicitDir, executableDir(), buildDir, Build)
 }
 
-// chooseBinaries is ProgramsFolder with its surroundings. If a program is missing in
-// the own folder, all of them are built, because a fleet is of one version.
-func chooseBinaries(named, own, built string, build func(bin string) error) (string, error) {
+// chooseProgramsDir implements ProgramsFolder. If any program is missing in executableDir,
+// it builds all of them, so that the fleet doesn't mix versions.
+func chooseProgramsDir(explicitDir, executableDir, buildDir string, build func(bin string) error) (string, error) {
 	switch {
-	case named != "":
-		return named, nil
-	case own != "" && hasAllPrograms(own):
-		return own, nil
+	case explicitDir != "":
+		return explicitDir, nil
+	case executableDir != "" && hasAllPrograms(executableDir):
+		return executableDir, nil
 	}
-	return built, build(built)
+	return buildDir, build(buildDir)
 }
 
-// ownFolder is the folder of this program; empty if it is unknown.
-func ownFolder() string {
+// executableDir returns the directory of this executable; empty if it is unknown.
+func executableDir() string {
 	self, err := os.Executable()
 	if err != nil {
 		return ""
@@ -50,7 +51,7 @@
 	return filepath.Dir(self)
 }
 
-// hasAllPrograms tells whether a folder has every program as an executable file.
+// hasAllPrograms reports whether a directory contains every program as an executable file.
 func hasAllPrograms(bin string) bool {
 	for _, p := range programs {
 		f, err := os.Stat(filepath.Join(bin, p))
--- a/internal/testsupport/testbed/random_script.go
+++ b/internal/testsupport/testbed/random_script.go
@@ -10,22 +10,23 @@
 )
 
 const (
-	// firstRandomStep lets the load begin before the first fault.
+	// firstRandomStep is the time of the first fault, when the load is already running.
 	firstRandomStep = 4 * time.Second
-	// randomScriptRecovery is the end of the load without new faults, so that the
-	// fleet's recovery is seen.
+	// randomScriptRecovery is the period without new faults at the end of the load, in
+	// which the fleet recovers.
 	randomScriptRecovery = 20 * time.Second
-	// randomDrain is long enough for all new requests to avoid a drained zone.
+	// randomDrain is the duration of a drain, long enough for all new requests to avoid
+	// the zone.
 	randomDrain = 9 * time.Second
 )
 
-// RandomScript draws a script. The same seed gives the same script.
+// RandomScript generates a script. The same plan, seed and length yield the same script.
 func RandomScript(plan blueprint.Plan, seed uint64, length time.Duration) *Script {
 	random := rand.New(rand.NewPCG(seed, 7))
 	subjects := subjectsByKind(plan)
 	names := slices.Sorted(maps.Keys(actions))
 	script := &Script{}
-	replaced := "" // the number of the replaced core machine
+	replaced := "" // number of the replaced core machine
 	for at := firstRandomStep; at < length-randomScriptRecovery; at += randomMillis(random, 1500, 4000) {
 		step := Step{At: Duration(at), Action: names[random.IntN(len(names))], For: Duration(randomMillis(random, 500, 5500))}
 		kinds := actions[step.Action].subjects
@@ -33,7 +34,7 @@
 		step.Subject = subjects[kind][random.IntN(len(subjects[kind]))]
 		switch step.Action {
 		case actionReplaceCore:
-			// One for each script: another needs time for the copy of the registers.
+			// At most one replacement in a script: the registers must be copied before the next.
 			if replaced != "" {
 				continue
 			}
@@ -54,7 +55,7 @@
 	return script
 }
 
-// randomMillis draws a duration from least to least+spread ms.
+// randomMillis returns a random duration of at least least and less than least+spread ms.
 func randomMillis(random *rand.Rand, least, spread int) time.Duration {
 	return time.Duration(least+random.IntN(spread)) * time.Millisecond
 }
--- a/internal/testsupport/testbed/relay.go
+++ b/internal/testsupport/testbed/relay.go
@@ -9,39 +9,39 @@
 )
 
 const (
-	// relayDialTimeout bounds a connection to the real address, which is on this machine.
+	// relayDialTimeout bounds dialing the destination, which is on this machine.
 	relayDialTimeout = time.Second
-	// relayBufferBytes is the most that is read at once.
+	// relayBufferBytes is the size of the read buffer.
 	relayBufferBytes = 32 << 10
-	// relayQueueReads is how many reads may wait for their delay; beyond that the
-	// sender is held up, as by a full network buffer.
+	// relayQueueReads bounds the delayed reads in each direction of a connection; a full
+	// queue blocks the sender, like a full network buffer.
 	relayQueueReads = 1024
 )
 
-// Relay passes on all connections between the machines of a fleet. It delays
-// bytes between regions, and partitions the network. Every address of a daemon or
-// target leads to the relay, which dials the address where it really listens.
+// Relay forwards all connections between the machines of a fleet. It adds latency between
+// regions and simulates network partitions. The relay listens on the advertised address of
+// each daemon and target, and dials the address on which that actually listens.
 type Relay struct {
-	// Delay is how long a byte takes from one IP address to another.
+	// Delay returns the one-way latency between two IP addresses.
 	Delay func(from, to string) time.Duration
 
-	// mu guards all below, and the server of each connection.
+	// mu guards the fields below, and the server of each connection.
 	mu          sync.Mutex
 	partitions  map[*Partition]bool
 	connections map[*relayedConnection]bool
 	listeners   []net.Listener
 }
 
-// Partition is a fault of the network. While it lasts, bytes that it blocks are
-// dropped and new connections that it blocks hang.
+// Partition is a network partition. While it lasts, the bytes of blocked connections are
+// dropped, and new blocked connections hang.
 type Partition struct {
-	// Blocks tells whether bytes of a connection opened from one IP address to
-	// another are blocked; it applies to both directions of the connection.
+	// Blocks reports whether connections opened from one IP address to another are
+	// blocked, in both directions.
 	Blocks func(from, to string) bool
 }
 
-// relayedConnection is a connection opened by a client from one IP address to
-// another. Its server is nil until the relay has dialled it.
+// relayedConnection is a connection opened by a client from one IP address to another.
+// The server side is nil until the relay has dialed it.
 type relayedConnection struct {
 	from, to       string
 	client, server net.Conn
@@ -54,7 +54,7 @@
 	}
 }
 
-// Forward listens on an address, and passes its connections on to another.
+// Forward listens on an address, and forwards its connections to another.
 func (r *Relay) Forward(address, to string) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -67,7 +67,7 @@
 		for {
 			client, err := l.Accept()
 			if err != nil {
-				return // closed by Close
+				return // listener closed by Close
 			}
 			go r.relayConnection(client, to)
 		}
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// StartPartition begins a partition. Open connections stay open, and go silent.
+// StartPartition starts a partition. Blocked connections stay open, but transfer nothing.
 func (r *Relay) StartPartition(p *Partition) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -85,8 +85,8 @@
 	r.partitions[p] = true
 }
 
-// EndPartition ends a partition, and closes the connections that it blocked: what
-// they lost would leave holes in their streams.
+// EndPartition ends a partition, and closes the connections that it blocked, as bytes
+// are missing from their streams.
 func (r *Relay) EndPartition(p *Partition) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -111,7 +111,7 @@
 	}
 }
 
-// isBlocked tells whether a partition blocks a connection. The caller holds mu.
+// isBlocked reports whether a partition blocks a connection. The caller holds mu.
 func (r *Relay) isBlocked(from, to string) bool {
 	for p := range r.partitions {
 		if p.Blocks(from, to) {
@@ -121,14 +121,15 @@
 	return false
 }
 
-// relayConnection serves one connection until either end closes it.
+// relayConnection forwards one connection until either end closes it.
 func (r *Relay) relayConnection(client net.Conn, to string) {
 	c := &relayedConnection{from: ipOf(client.RemoteAddr().String()), to: ipOf(to), client: client}
 	if r.register(c) {
-		return // EndPartition closes it: on a real network it would hang as well
+		return // the connection hangs, as on a real network, until EndPartition closes it
 	}
 	defer r.remove(c)
-	// The server must see the client's IP address, to which Blocks and Delay refer.
+	// The server must see the client's IP address, which it and the relay use to tell
+	// machines apart.
 	dialer := net.Dialer{Timeout: relayDialTimeout, LocalAddr: &net.TCPAddr{IP: net.ParseIP(c.from)}}
 	server, err := dialer.Dial("tcp", to)
 	if err != nil {
@@ -145,7 +146,7 @@
 	r.copyDelayed(c, client, server, delay)
 }
 
-// register adds a connection, and tells whether a partition blocks it.
+// register adds a connection, and reports whether a partition blocks it.
 func (r *Relay) register(c *relayedConnection) (blocked bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -163,13 +164,13 @@
 	c.close()
 }
 
-// delayedBytes are passed on no sooner than due.
+// delayedBytes is data to be forwarded when it is due.
 type delayedBytes struct {
 	due  time.Time
 	data []byte
 }
 
-// copyDelayed passes bytes on in one direction until either end closes.
+// copyDelayed forwards bytes in one direction, with a delay, until either end closes.
 func (r *Relay) copyDelayed(c *relayedConnection, from, to net.Conn, delay time.Duration) {
 	queue := make(chan delayedBytes, relayQueueReads)
 	go func() {
@@ -190,7 +191,7 @@
 		r.mu.Lock()
 		blocked := r.isBlocked(c.from, c.to)
 		r.mu.Unlock()
-		// What a partition drops isn't sent later: EndPartition closes the connection.
+		// Blocked bytes are dropped; EndPartition later closes the connection.
 		if blocked {
 			continue
 		}
--- a/internal/testsupport/testbed/replacement.go
+++ b/internal/testsupport/testbed/replacement.go
@@ -7,10 +7,10 @@
 	"dunlinwell/internal/base/errs"
 )
 
-// A core machine has a store and a registry of the same number, which are lost
-// together; a replacement has both, with empty disks and at new addresses.
+// A core machine runs a store and a registry of the same number, which fail together.
+// Its replacement runs both, with empty disks and at new addresses.
 
-// MachineProcesses returns the process of a name, or both processes of a core
+// MachineProcesses returns the process with the given name, or both processes of a core
 // machine such as "core-2".
 func (f *Fleet) MachineProcesses(name string) []*Process {
 	var out []*Process
@@ -23,19 +23,20 @@
 	return out
 }
 
-// ReplaceStore loses a store for good, and starts a replacement with an empty disk.
-// The registry of its machine runs on.
+// ReplaceStore kills a store, deletes its data, and starts a replacement with an empty
+// disk. The registry on the same machine keeps running.
 func (f *Fleet) ReplaceStore(lost *Process) (*Process, error) {
 	p, err := f.replaceProcess(lost)
-	f.useCoreIndex()
+	f.advanceCoreIndex()
 	return p, err
 }
 
-// ReplaceMachine loses a core machine for good, and starts a replacement.
+// ReplaceMachine kills both processes of a core machine, deletes their data, and starts
+// a replacement.
 func (f *Fleet) ReplaceMachine(name string) error {
 	lost := f.MachineProcesses(name)
 	if len(lost) != 2 {
-		return errs.New("swap machine", name, "it is not a core machine that runs")
+		return errs.New("replace machine", name, "not a running core machine")
 	}
 	for _, p := range lost {
 		f.Kill(p)
@@ -45,17 +46,17 @@
 			return err
 		}
 	}
-	f.useCoreIndex()
+	f.advanceCoreIndex()
 	return nil
 }
 
-// replaceProcess starts a replacement of the same role and zone, with the next
-// core index, which the caller then uses up.
+// replaceProcess starts a replacement of the same role and zone at nextCoreIndex, which
+// the caller must then advance.
 func (f *Fleet) replaceProcess(lost *Process) (*Process, error) {
 	f.Kill(lost)
 	lost.Replaced = true
 	if err := os.RemoveAll(lost.Data); err != nil {
-		return nil, errs.Wrap(err, "lose data folder", lost.Name)
+		return nil, errs.Wrap(err, "delete data directory", lost.Name)
 	}
 	f.mu.Lock()
 	n := f.nextCoreIndex
@@ -64,9 +65,9 @@
 	if err != nil {
 		return nil, err
 	}
-	// A folder of that name may be left from an earlier run.
+	// An earlier run may have left a directory of the same name.
 	if err := os.RemoveAll(p.Data); err != nil {
-		return nil, errs.Wrap(err, "make blank", p.Name)
+		return nil, errs.Wrap(err, "delete old data directory", p.Name)
 	}
 	f.mu.Lock()
 	f.Processes = append(f.Processes, p)
@@ -74,7 +75,7 @@
 	return p, f.StartProcess(p)
 }
 
-func (f *Fleet) useCoreIndex() {
+func (f *Fleet) advanceCoreIndex() {
 	f.mu.Lock()
 	f.nextCoreIndex++
 	f.mu.Unlock()
--- a/internal/testsupport/testbed/resolution.go
+++ b/internal/testsupport/testbed/resolution.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// clientsPerRoute is how many clients of a zone and route resolve for themselves.
+	// clientsPerRoute is the number of independent clients for each zone and route.
 	clientsPerRoute = 8
-	// resolveTimeout is short, as the next registry can answer as well.
+	// resolveTimeout is short so that the next registry is tried soon.
 	resolveTimeout = 500 * time.Millisecond
 )
 
-// resolution is an answer of the directory, valid until expiresAt.
+// resolution is a response of the directory, valid until expiresAt.
 type resolution struct {
 	zone      ids.Name
 	proxies   []string
@@ -28,30 +28,30 @@
 
 func (r resolution) randomProxy() string { return r.proxies[rand.IntN(len(r.proxies))] }
 
-// directoryResponse is what a client reads of GET /v1/where.
+// directoryResponse is the part of the response to GET /v1/where that clients use.
 type directoryResponse struct {
 	Zone           ids.Name `json:"cell"`
 	Proxies        []string `json:"proxies"`
 	LifetimeMillis int64    `json:"lifetime_ms"`
 }
 
-// resolutionKey identifies the client whose resolution it is.
+// resolutionKey returns the key of a client's cached resolution.
 func resolutionKey(zone ids.Name, route blueprint.Route, slot int) string {
 	return fmt.Sprintf("%s/%s/%d", zone, route.Name, slot)
 }
 
-// resolve returns the kept resolution if it is still valid, or else asks one
-// registry after another. It is false if none of them names a proxy.
+// resolve returns the cached resolution if it is still valid, or else queries one registry
+// after another. It returns false if none of them returns a proxy.
 func (c *Clients) resolve(route blueprint.Route, zone ids.Name, slot int) (resolution, bool) {
 	key := resolutionKey(zone, route, slot)
 	c.mu.Lock()
-	kept, ok := c.resolutions[key]
+	cached, ok := c.resolutions[key]
 	c.mu.Unlock()
-	if ok && time.Now().Before(kept.expiresAt) {
-		return kept, true
+	if ok && time.Now().Before(cached.expiresAt) {
+		return cached, true
 	}
 	for _, registry := range c.Registries() {
-		answer, ok := c.askDirectory(registry, route, zone)
+		answer, ok := c.queryDirectory(registry, route, zone)
 		if !ok {
 			continue
 		}
@@ -62,11 +62,11 @@
 		c.mu.Unlock()
 		return resolved, true
 	}
-	return kept, false
+	return cached, false
 }
 
-// askDirectory asks one registry; false unless it names a proxy.
-func (c *Clients) askDirectory(registry string, route blueprint.Route, zone ids.Name) (directoryResponse, bool) {
+// queryDirectory queries one registry. It returns false unless the response has a proxy.
+func (c *Clients) queryDirectory(registry string, route blueprint.Route, zone ids.Name) (directoryResponse, bool) {
 	ip := clientAddress(c.Testbed.zoneIndex(zone))
 	res, err := clientFrom(ip, resolveTimeout).Get(fmt.Sprintf("http://%s/v1/where?cell=%s&route=%s", registry, zone, route.Name))
 	if err != nil {
@@ -78,7 +78,7 @@
 	return answer, err == nil && res.StatusCode == http.StatusOK && len(answer.Proxies) > 0
 }
 
-func (c *Clients) forgetResolution(route blueprint.Route, zone ids.Name, slot int) {
+func (c *Clients) dropResolution(route blueprint.Route, zone ids.Name, slot int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.resolutions, resolutionKey(zone, route, slot))
--- a/internal/testsupport/testbed/resource_usage.go
+++ b/internal/testsupport/testbed/resource_usage.go
@@ -12,7 +12,7 @@
 // scrapeTimeout bounds the read of one metrics page.
 const scrapeTimeout = 2 * time.Second
 
-// The metrics of which usage is made.
+// Metrics that make up ResourceUsage.
 const (
 	cpuSecondsMetric      = "process_cpu_seconds_total"
 	diskSyncsMetric       = "dunlinwell_disk_syncs_total"
@@ -23,12 +23,12 @@
 
 var usageMetrics = []string{cpuSecondsMetric, diskSyncsMetric, diskRecordsMetric, lockWaitSecondsMetric, allocationsMetric}
 
-// ResourceUsage is what the processes of each role have used since they started,
-// by role and metric. A restarted process begins at 0, so it is of use only for
-// runs without faults.
+// ResourceUsage is the resource usage of all processes since their start, by role and
+// metric. A restart resets a process's counters, so it is meaningful only for runs
+// without restarts.
 type ResourceUsage map[string]map[string]float64
 
-// MeasureUsage reads the metrics of every process that answers.
+// MeasureUsage reads the metrics of every process that responds.
 func (tb *Testbed) MeasureUsage() ResourceUsage {
 	usage := ResourceUsage{}
 	client := http.Client{Timeout: scrapeTimeout}
@@ -44,7 +44,7 @@
 	return usage
 }
 
-// scrapeMetrics reads a process's metrics without labels; none if it doesn't answer.
+// scrapeMetrics reads a process's unlabelled metrics; none if it doesn't respond.
 func scrapeMetrics(client *http.Client, p *Process) map[string]float64 {
 	metrics := map[string]float64{}
 	res, err := client.Get("http://" + p.HTTP + "/metrics")
@@ -61,8 +61,8 @@
 	return metrics
 }
 
-// PrintUsage prints what each role used for a thousand answered requests since
-// an earlier measurement.
+// PrintUsage prints each role's usage per thousand answered requests since an earlier
+// measurement.
 func (tb *Testbed) PrintUsage(before ResourceUsage) {
 	now := tb.MeasureUsage()
 	thousands := float64(tb.Checker.CountByClass(time.Time{})[classAnswered]) / 1000
@@ -71,10 +71,10 @@
 	}
 	for _, role := range []string{proxyRole, registryRole, storeRole} {
 		used := func(metric string) float64 { return now[role][metric] - before[role][metric] }
-		fmt.Fprintf(tb.Out, "for 1000 answers %-9s CPU %.3f s, %.0f allocations, lock wait %.4f s",
+		fmt.Fprintf(tb.Out, "per 1000 answers %-9s CPU %.3f s, %.0f allocations, lock wait %.4f s",
 			role, used(cpuSecondsMetric)/thousands, used(allocationsMetric)/thousands, used(lockWaitSecondsMetric)/thousands)
 		if syncs := used(diskSyncsMetric); syncs > 0 {
-			fmt.Fprintf(tb.Out, ", %.0f syncs, %.2f records a sync", syncs/thousands, used(diskRecordsMetric)/syncs)
+			fmt.Fprintf(tb.Out, ", %.0f syncs, %.2f records per sync", syncs/thousands, used(diskRecordsMetric)/syncs)
 		}
 		fmt.Fprintln(tb.Out)
 	}
--- a/internal/testsupport/testbed/restart.go
+++ b/internal/testsupport/testbed/restart.go
@@ -6,12 +6,11 @@
 	"time"
 )
 
-// recoveryTimeout is how long a fleet may take to be ready after faults ended;
-// beyond it waiting is given up.
+// recoveryTimeout bounds the wait for a fleet to be ready after faults have ended.
 const recoveryTimeout = 30 * time.Second
 
-// RestartAndVerify kills every daemon at once, starts them from what is on their
-// disks, and reads every accepted change back through every daemon.
+// RestartAndVerify kills all daemons at once, restarts them with the data on their disks,
+// and verifies that every accepted change can be read back through every daemon.
 func (tb *Testbed) RestartAndVerify(ctx context.Context) {
 	var kills sync.WaitGroup
 	for _, p := range tb.snapshot() {
@@ -24,12 +23,12 @@
 		tb.restart(p)
 	}
 	if _, err := tb.AwaitReady(ctx, recoveryTimeout); err != nil {
-		tb.Checker.Violation("not ready after the restart of all: %v", err)
+		tb.Checker.Violation("not ready after the restart of all daemons: %v", err)
 	}
-	tb.operators.VerifyLedger("after the restart of all")
+	tb.operators.VerifyLedger("after the restart of all daemons")
 }
 
-// restart starts a process again, unless it runs or was replaced.
+// restart restarts a process, unless it is running or was replaced.
 func (tb *Testbed) restart(p *Process) {
 	tb.restartLock.Lock()
 	defer tb.restartLock.Unlock()
--- a/internal/testsupport/testbed/script.go
+++ b/internal/testsupport/testbed/script.go
@@ -13,61 +13,61 @@
 	"dunlinwell/internal/testsupport/blueprint"
 )
 
-// minReplacementGap is the least time between two replacements of core machines:
-// the first needs its copy of the registers before another may be lost.
+// minReplacementGap is the minimum time between two replacements of core machines: the
+// first replacement must have copied the registers before another machine is lost.
 const minReplacementGap = Duration(20 * time.Second)
 
-// maxBurst is the most changes that a step may send.
+// maxBurst is the maximum number of changes that a step may send.
 const maxBurst = 5000
 
-// Script is faults at set times. Its JSON and YAML form is that of docs/testbed.md.
+// Script is a schedule of faults. docs/testbed.md describes its YAML form.
 type Script struct {
-	// Steps are sorted by At once the script was read.
+	// Steps is sorted by At after ReadScript.
 	Steps []Step `json:"steps"`
 }
 
 // Step is one fault.
 type Step struct {
-	// At is from the beginning of the load.
+	// At is the time since the beginning of the load.
 	At Duration `json:"at"`
-	// Action is one of the names in actions.
+	// Action is a key of actions.
 	Action string `json:"do"`
-	// Subject is what the action is done to. Those of a split are joined by "+".
+	// Subject is the name of what the action affects. A split may have several, joined by "+".
 	Subject string `json:"who"`
-	// For is how long the fault lasts; 0 for actions that don't last.
+	// For is the duration of the fault; 0 for instantaneous actions.
 	For Duration `json:"for"`
-	// Count is how many changes a storm has; 0 for other actions.
+	// Count is the number of changes of a burst ("storm"); 0 for other actions.
 	Count int `json:"count"`
 }
 
-// Duration is a duration that is written like 1m30s.
+// Duration is a time.Duration that is encoded like "1m30s".
 type Duration time.Duration
 
-// UnmarshalJSON reads a duration that isn't negative.
+// UnmarshalJSON decodes a non-negative duration.
 func (d *Duration) UnmarshalJSON(raw []byte) error {
 	parsed, err := time.ParseDuration(strings.Trim(string(raw), `"`))
 	if err != nil || parsed < 0 {
-		return fmt.Errorf("%s is no span of time", raw)
+		return fmt.Errorf("%s is not a valid duration", raw)
 	}
 	*d = Duration(parsed)
 	return nil
 }
 
-// MarshalJSON writes the duration as UnmarshalJSON reads it.
+// MarshalJSON encodes the duration in the form that UnmarshalJSON decodes.
 func (d Duration) MarshalJSON() ([]byte, error) { return []byte(`"` + d.String() + `"`), nil }
 
 // String formats the duration as time.Duration does.
 func (d Duration) String() string { return time.Duration(d).String() }
 
-// ReadScript reads a script in YAML, and checks every step against the plan and
-// the length of the load. Errors name the file and the step.
+// ReadScript decodes a script in YAML, and validates every step against the plan and the
+// length of the load. Errors name the file and the step.
 func ReadScript(file string, raw []byte, plan blueprint.Plan, length time.Duration) (*Script, error) {
 	var s Script
 	if err := yaml.UnmarshalStrict(raw, &s); err != nil {
 		return nil, errs.New("read script", file, "%v", err)
 	}
 	if len(s.Steps) == 0 {
-		return nil, errs.New("read script", file, "it has no steps")
+		return nil, errs.New("read script", file, "the script has no steps")
 	}
 	replacements := replacementCheck{replacedAt: map[string]Duration{}}
 	for i, step := range s.Steps {
@@ -83,20 +83,20 @@
 	return &s, nil
 }
 
-// replacementCheck finds steps that come too soon after the replacement of a
-// core machine, or concern one that was replaced.
+// replacementCheck finds replacements of core machines that follow each other too soon,
+// and steps that affect a machine after its replacement.
 type replacementCheck struct {
-	// last is the last replacement among the steps so far; nil if there was none.
+	// last is the most recent replacement among the steps so far; nil if there was none.
 	last *Step
-	// replacedAt is by the names of a machine and its daemons.
+	// replacedAt is keyed by the names of the machine and its daemons.
 	replacedAt map[string]Duration
 }
 
-// problem says what is wrong with the next step; empty if nothing is.
+// problem describes what is invalid about the next step; empty if it is valid.
 func (c *replacementCheck) problem(step Step) string {
 	for _, name := range strings.Split(step.Subject, "+") {
 		if at, ok := c.replacedAt[name]; ok && step.At >= at {
-			return name + " was replaced before"
+			return name + " has already been replaced"
 		}
 	}
 	if step.Action != actionReplaceCore {
@@ -113,11 +113,12 @@
 	return ""
 }
 
-// problem says what is wrong with a step by itself; empty if nothing is.
+// problem describes what is invalid about a step, regardless of other steps; empty if it
+// is valid.
 func (s Step) problem(plan blueprint.Plan, length time.Duration) string {
 	action, ok := actions[s.Action]
 	if !ok {
-		return fmt.Sprintf("there is no deed %q", s.Action)
+		return fmt.Sprintf("unknown action %q", s.Action)
 	}
 	if problem := s.subjectProblem(plan, action.subjects); problem != "" {
 		return problem
@@ -126,22 +127,23 @@
 	case s.Action == actionBurst && (s.Count < 1 || s.Count > maxBurst):
 		return fmt.Sprintf("count must be from 1 to %d", maxBurst)
 	case s.Action != actionBurst && s.Count != 0:
-		return s.Action + " has no count"
+		return s.Action + " takes no count"
 	case action.lasts && s.For <= 0:
 		return "for is missing"
 	case !action.lasts && s.For != 0:
-		return s.Action + " doesn't last, so for has no meaning"
+		return s.Action + " has no duration, so for must not be set"
 	case time.Duration(s.At+s.For) > length:
-		return fmt.Sprintf("it ends at %s, after the testbed's %s", s.At+s.For, length)
+		return fmt.Sprintf("ends at %s, after the end of the load at %s", s.At+s.For, length)
 	}
 	return ""
 }
 
-// subjectProblem says what is wrong with a step's subject, of the given kinds.
+// subjectProblem describes what is invalid about a step's subject, which must be of one of
+// the given kinds; empty if it is valid.
 func (s Step) subjectProblem(plan blueprint.Plan, kinds []string) string {
-	known := subjectsByKind(plan)
+	subjects := subjectsByKind(plan)
 	isKnown := func(name string) bool {
-		return slices.ContainsFunc(kinds, func(kind string) bool { return slices.Contains(known[kind], name) })
+		return slices.ContainsFunc(kinds, func(kind string) bool { return slices.Contains(subjects[kind], name) })
 	}
 	names := []string{s.Subject}
 	if s.Action == actionSplit {
@@ -152,7 +154,7 @@
 		case name == "":
 			return "who is missing"
 		case !isKnown(name):
-			return fmt.Sprintf("%s is done to a %s, and there is none named %q", s.Action, strings.Join(kinds, " or "), name)
+			return fmt.Sprintf("%s needs a %s, and there is none named %q", s.Action, strings.Join(kinds, " or "), name)
 		}
 	}
 	if s.Action == actionSplit && coversEveryZone(plan, names) {
--- a/internal/testsupport/testbed/script_actions.go
+++ b/internal/testsupport/testbed/script_actions.go
@@ -10,8 +10,8 @@
 
 // Actions on processes.
 const (
-	// actionKill sends SIGKILL, actionStop stops as the platform does, actionFreeze
-	// sends SIGSTOP.
+	// actionKill sends SIGKILL, actionStop sends SIGTERM and then SIGKILL as the platform
+	// does, and actionFreeze sends SIGSTOP.
 	actionKill   = "kill"
 	actionStop   = "stop"
 	actionFreeze = "freeze"
@@ -21,8 +21,8 @@
 
 // Actions on the network.
 const (
-	// actionCut cuts all connections between a machine and others, actionCutIn those
-	// that others open, actionCutOut those that it opens.
+	// actionCut blocks all connections between a machine and others, actionCutIn only
+	// incoming and actionCutOut only outgoing ones.
 	actionCut    = "cut"
 	actionCutIn  = "cut-in"
 	actionCutOut = "cut-out"
@@ -32,40 +32,40 @@
 
 // Actions on core machines and disks.
 const (
-	// actionReplaceCore loses a core machine for good and starts a replacement.
+	// actionReplaceCore replaces a core machine by one with empty disks at new addresses.
 	actionReplaceCore = "swap-core"
-	// actionStallDisk keeps a store's disk from writing.
+	// actionStallDisk blocks a store's disk writes.
 	actionStallDisk = "stall-disk"
 )
 
 // Actions on whole zones and regions, and by operators.
 const (
-	// actionLoseZone and actionLoseRegion kill all daemons and targets there.
+	// actionLoseZone and actionLoseRegion kill all daemons and targets of a zone or region.
 	actionLoseZone   = "lose-cell"
 	actionLoseRegion = "lose-region"
-	// actionDrainZone has operators drain a zone and restore it.
+	// actionDrainZone drains a zone, and restores it afterwards.
 	actionDrainZone = "empty"
-	// actionHotZone has most requests come from one zone.
+	// actionHotZone makes most requests come from one zone.
 	actionHotZone = "hot"
-	// actionBurst has operators make many changes at once.
+	// actionBurst makes operators send many changes at once.
 	actionBurst = "storm"
 )
 
 // Actions on targets.
 const (
 	actionCrashTarget = "crash-target"
-	// actionDrainTarget has a target drain and exit.
+	// actionDrainTarget makes a target drain and exit.
 	actionDrainTarget = "leave-target"
-	// actionCorruptTarget has a target lose and corrupt some answers.
+	// actionCorruptTarget makes a target drop or corrupt some of its responses.
 	actionCorruptTarget = "mute-target"
-	// actionExchangeTargets gives a target the address of one of another service.
-	actionExchangeTargets = "hand-over"
-	actionFreezeTarget    = "freeze-target"
-	// actionReplaceTarget replaces a target for good, by another at a new address.
+	// actionSwapAddresses swaps the addresses of a target and one of another service.
+	actionSwapAddresses = "hand-over"
+	actionFreezeTarget  = "freeze-target"
+	// actionReplaceTarget replaces a target by one with another name and address.
 	actionReplaceTarget = "replace-target"
 )
 
-// The kinds of subjects.
+// Kinds of subjects.
 const (
 	subjectDaemon    = "daemon"
 	subjectCore      = "core"
@@ -77,38 +77,39 @@
 	subjectOperators = "operators"
 )
 
-// action is what may be done to which kinds of subjects.
+// action describes the valid steps with an action.
 type action struct {
+	// subjects lists the kinds of subjects that the action can affect.
 	subjects []string
-	// lasts: the step must say for how long.
+	// lasts is true if a step must set For.
 	lasts bool
 }
 
 var actions = map[string]action{
-	actionKill:            {[]string{subjectDaemon, subjectCore}, true},
-	actionStop:            {[]string{subjectDaemon, subjectCore}, true},
-	actionFreeze:          {[]string{subjectDaemon, subjectCore}, true},
-	actionKillRole:        {[]string{subjectRole}, true},
-	actionCut:             {[]string{subjectDaemon, subjectCore, subjectTarget}, true},
-	actionCutIn:           {[]string{subjectDaemon, subjectCore, subjectTarget}, true},
-	actionCutOut:          {[]string{subjectDaemon, subjectCore, subjectTarget}, true},
-	actionSplit:           {[]string{subjectDaemon, subjectCore, subjectTarget, subjectZone, subjectRegion}, true},
-	actionReplaceCore:     {[]string{subjectCore}, false},
-	actionStallDisk:       {[]string{subjectStore}, true},
-	actionLoseZone:        {[]string{subjectZone}, true},
-	actionLoseRegion:      {[]string{subjectRegion}, true},
-	actionDrainZone:       {[]string{subjectZone}, true},
-	actionHotZone:         {[]string{subjectZone}, true},
-	actionBurst:           {[]string{subjectOperators}, true},
-	actionCrashTarget:     {[]string{subjectTarget}, true},
-	actionDrainTarget:     {[]string{subjectTarget}, true},
-	actionCorruptTarget:   {[]string{subjectTarget}, true},
-	actionExchangeTargets: {[]string{subjectTarget}, true},
-	actionFreezeTarget:    {[]string{subjectTarget}, true},
-	actionReplaceTarget:   {[]string{subjectTarget}, false},
+	actionKill:          {[]string{subjectDaemon, subjectCore}, true},
+	actionStop:          {[]string{subjectDaemon, subjectCore}, true},
+	actionFreeze:        {[]string{subjectDaemon, subjectCore}, true},
+	actionKillRole:      {[]string{subjectRole}, true},
+	actionCut:           {[]string{subjectDaemon, subjectCore, subjectTarget}, true},
+	actionCutIn:         {[]string{subjectDaemon, subjectCore, subjectTarget}, true},
+	actionCutOut:        {[]string{subjectDaemon, subjectCore, subjectTarget}, true},
+	actionSplit:         {[]string{subjectDaemon, subjectCore, subjectTarget, subjectZone, subjectRegion}, true},
+	actionReplaceCore:   {[]string{subjectCore}, false},
+	actionStallDisk:     {[]string{subjectStore}, true},
+	actionLoseZone:      {[]string{subjectZone}, true},
+	actionLoseRegion:    {[]string{subjectRegion}, true},
+	actionDrainZone:     {[]string{subjectZone}, true},
+	actionHotZone:       {[]string{subjectZone}, true},
+	actionBurst:         {[]string{subjectOperators}, true},
+	actionCrashTarget:   {[]string{subjectTarget}, true},
+	actionDrainTarget:   {[]string{subjectTarget}, true},
+	actionCorruptTarget: {[]string{subjectTarget}, true},
+	actionSwapAddresses: {[]string{subjectTarget}, true},
+	actionFreezeTarget:  {[]string{subjectTarget}, true},
+	actionReplaceTarget: {[]string{subjectTarget}, false},
 }
 
-// subjectsByKind names all subjects of a plan.
+// subjectsByKind returns the names of all subjects of a plan.
 func subjectsByKind(plan blueprint.Plan) map[string][]string {
 	subjects := map[string][]string{
 		subjectRole:      {proxyRole, registryRole, storeRole},
@@ -139,7 +140,7 @@
 	return subjects
 }
 
-// coversEveryZone tells whether one side of a split has every zone.
+// coversEveryZone reports whether one side of a split contains every zone.
 func coversEveryZone(plan blueprint.Plan, side []string) bool {
 	for i := range plan.Zones {
 		zone := plan.Zone(i)
@@ -150,7 +151,7 @@
 	return true
 }
 
-// zonesOf are the zones of a region, or the one zone of that name.
+// zonesOf returns the zones of a region, or the zone with the given name.
 func zonesOf(plan blueprint.Plan, name string) []ids.Name {
 	var zones []ids.Name
 	for i := range plan.Zones {
--- a/internal/testsupport/testbed/script_runner.go
+++ b/internal/testsupport/testbed/script_runner.go
@@ -9,10 +9,10 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// maxRecoveryTime is how long after the last fault every daemon must be ready.
+// maxRecoveryTime is the time after the last fault within which every daemon must be ready.
 const maxRecoveryTime = 15 * time.Second
 
-// RunScript runs the steps of a script at their times, then waits until every
+// RunScript runs the steps of a script at their scheduled times, then waits until every
 // daemon is ready, and reports a violation if that takes too long.
 func (tb *Testbed) RunScript(ctx context.Context, script *Script) {
 	var steps sync.WaitGroup
@@ -29,68 +29,68 @@
 	steps.Wait()
 	tb.Checker.MachinesRecovered(time.Now())
 	elapsed, err := tb.AwaitReady(ctx, recoveryTimeout)
-	fmt.Fprintf(tb.Out, "%7.1fs every daemon ready %s after the last machine was back\n", time.Since(start).Seconds(), elapsed.Round(time.Millisecond))
+	fmt.Fprintf(tb.Out, "%7.1fs all daemons ready %s after the last fault\n", time.Since(start).Seconds(), elapsed.Round(time.Millisecond))
 	if err != nil {
 		tb.Checker.Violation("not ready after the faults: %v", err)
 	} else if elapsed > maxRecoveryTime {
-		tb.Checker.Violation("ready only %s after the faults", elapsed)
+		tb.Checker.Violation("ready %s after the faults, which is too late", elapsed)
 	}
 }
 
-// runStep runs one step, and returns once its fault has ended.
+// runStep runs one step, and returns when its fault has ended.
 func (tb *Testbed) runStep(ctx context.Context, step Step) {
-	// hold waits while the fault lasts.
-	hold := func() { sleepContext(ctx, time.Duration(step.For)) }
+	// waitFault sleeps for the duration of the fault.
+	waitFault := func() { sleepContext(ctx, time.Duration(step.For)) }
 	switch step.Action {
 	case actionKill, actionStop, actionFreeze:
-		tb.faultProcesses(step, tb.MachineProcesses(step.Subject), hold)
+		tb.faultProcesses(step, tb.MachineProcesses(step.Subject), waitFault)
 	case actionCut, actionCutIn, actionCutOut, actionSplit:
-		tb.partitionNetwork(step, hold)
+		tb.partitionNetwork(step, waitFault)
 	case actionReplaceCore:
 		tb.replaceCoreMachine(step.Subject)
 	case actionKillRole:
-		tb.loseRole(step, hold)
+		tb.killRole(step, waitFault)
 	case actionLoseZone, actionLoseRegion:
-		tb.loseZones(step, hold)
+		tb.killZones(step, waitFault)
 	case actionDrainZone:
-		tb.drainZone(ids.Name(step.Subject), hold)
+		tb.drainZone(ids.Name(step.Subject), waitFault)
 	case actionBurst:
 		tb.operators.SendBurst(ctx, step.Count, time.Duration(step.For))
 	case actionHotZone:
 		zone := ids.Name(step.Subject)
 		tb.clients.hotZone.Store(&zone)
-		hold()
+		waitFault()
 		tb.clients.hotZone.Store(nil)
 	case actionStallDisk:
 		for _, p := range tb.MachineProcesses(step.Subject) {
 			tb.stallDisk(ctx, p, time.Duration(step.For))
 		}
 	default:
-		tb.faultTarget(step, tb.findTarget(step.Subject), hold)
+		tb.faultTarget(step, tb.findTarget(step.Subject), waitFault)
 	}
 }
 
-// drainZone has operators drain a zone for a while, and restore it.
-func (tb *Testbed) drainZone(zone ids.Name, hold func()) {
+// drainZone drains a zone by a configuration change, and restores it afterwards.
+func (tb *Testbed) drainZone(zone ids.Name, waitFault func()) {
 	id, _ := tb.operators.newID("empty")
 	asked := time.Now()
 	if tb.operators.send(tb.operators.generator.Drain(id, zone, true), false) == 0 {
-		tb.Checker.Violation("%s couldn't be drained", zone)
+		tb.Checker.Violation("could not drain %s", zone)
 		return
 	}
 	tb.Checker.ZoneDrained(zone, asked, time.Now())
-	hold()
-	// Traffic may return from when the change is sent; it must be able to return from
-	// when the change is accepted, which the second call notes.
+	waitFault()
+	// Traffic may return as soon as the change is sent, and must be able to return once it
+	// is accepted, which the second call records.
 	tb.Checker.ZoneRestored(zone, time.Now())
 	id, _ = tb.operators.newID("refill")
 	if tb.operators.send(tb.operators.generator.Drain(id, zone, false), false) == 0 {
-		tb.Checker.Violation("%s couldn't be restored", zone)
+		tb.Checker.Violation("could not restore %s", zone)
 	}
 	tb.Checker.ZoneRestored(zone, time.Now())
 }
 
-// sleepContext sleeps for a duration; false if the context ended before.
+// sleepContext sleeps for a duration. It returns false if the context is done before.
 func sleepContext(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/internal/testsupport/testbed/spill_moves.go
+++ b/internal/testsupport/testbed/spill_moves.go
@@ -10,7 +10,7 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// spillMove is a move of traffic between zones, as the status page shows it.
+// spillMove is a move of traffic between zones in the status response.
 type spillMove struct {
 	From     string  `json:"from"`
 	To       string  `json:"to"`
@@ -18,13 +18,13 @@
 	Fraction float64 `json:"fraction"`
 }
 
-// statusResponse is what is read of GET /v1/status.
+// statusResponse is the part of the response to GET /v1/status that the testbed uses.
 type statusResponse struct {
 	Moves []spillMove `json:"moves"`
 }
 
-// describeMoves describes the moves in force in one line, as the first registry
-// that answers shows them, the routes of the lowest tiers first.
+// describeMoves returns a one-line summary of the current moves, from the first registry
+// that responds, ordered by the routes' ranks.
 func (tb *Testbed) describeMoves() string {
 	for _, registry := range tb.registryAddresses() {
 		moves, err := readMoves(registry)
@@ -44,7 +44,7 @@
 		}
 		return strings.Join(parts, " ")
 	}
-	return "no registry answers"
+	return "no registry responds"
 }
 
 func readMoves(registry string) ([]spillMove, error) {
@@ -58,7 +58,8 @@
 	return status.Moves, err
 }
 
-// routeRanks ranks the plan's routes by their own tier, and then by their service's.
+// routeRanks returns the rank of each of the plan's routes: by the route's tier, then by
+// the tier of its service.
 func (tb *Testbed) routeRanks() map[ids.Name]int {
 	ranks := map[ids.Name]int{}
 	for _, route := range tb.Routes {
--- a/internal/testsupport/testbed/target.go
+++ b/internal/testsupport/testbed/target.go
@@ -13,64 +13,64 @@
 )
 
 const (
-	// warmUpTime is how long a restarted target takes to reach its full capacity.
+	// warmUpTime is the time that a restarted target takes to reach its full capacity.
 	warmUpTime = 3 * time.Second
-	// minWarmth is the share of its capacity that a target has just after a restart.
+	// minWarmth is the fraction of its capacity that a target has right after a restart.
 	minWarmth = 0.1
-	// registrarTimeout is how long without a heartbeat a registrar takes a target for
-	// gone, three intervals, and half an interval more for the tick that finds it.
+	// registrarTimeout is the time without heartbeats after which registries remove a
+	// target: three intervals, plus half an interval until the next periodic check.
 	registrarTimeout = 3500 * time.Millisecond
 )
 
-// Target is a stand-in target. It sends heartbeats, serves its identity document
-// and requests, and reports each execution to the checker.
+// Target is a stand-in target. It sends heartbeats, serves its identity document and
+// client requests, and reports each execution to the checker.
 type Target struct {
 	Instance ids.InstanceID
 	Service  ids.Name
 	Zone     ids.Name
 	Address  string
-	// Capacity is how many requests it bears at once when warm.
+	// Capacity is the number of concurrent requests that it can serve when warm.
 	Capacity int
-	// Work is how long a request takes on average: half of it to one and a half.
+	// Work is the average service time; actual times range from half to one and a half
+	// times that.
 	Work    time.Duration
 	Checker *checker.Checker
 	// Registries returns the HTTP addresses of the registries, in the order to try.
 	Registries func() []string
-	// Delay is the time one way between two IP addresses, which targets wait.
+	// Delay returns the one-way latency between two IP addresses, which targets add.
 	Delay func(from, to string) time.Duration
-	// RouteOf is the route of a path, ZoneOf the zone of a proxy.
+	// RouteOf returns the route of a path, ZoneOf the zone of a proxy.
 	RouteOf func(path string) ids.Name
 	ZoneOf  func(proxy string) ids.Name
 	// OnExecution is called for each execution with the zone of its proxy.
 	OnExecution func(proxyZone ids.Name)
-	// CorruptPercent and LostPercent are how many of a hundred answers are
-	// corrupted, or cut off after the execution.
+	// CorruptPercent and LostPercent are the percentages of responses that are corrupted,
+	// or lost because the connection is closed after the execution.
 	CorruptPercent, LostPercent atomic.Int64
 
-	// mu guards what follows, up to stop.
+	// mu guards the fields below, up to stop.
 	mu          sync.Mutex
 	server      *http.Server
 	incarnation int64
 	sequence    int64
 	warmUpStart time.Time
 	draining    bool
-	// drainedAt is when a registry acknowledged the departure; zero before.
+	// drainedAt is when a registry acknowledged that the target is draining; zero before.
 	drainedAt time.Time
-	// stop ends the heartbeats.
+	// stop stops the heartbeats.
 	stop context.CancelFunc
 
-	// listenAddress is where it listens behind the relay; empty without a relay.
+	// listenAddress is the address behind the relay; empty without a relay.
 	listenAddress string
 	inFlight      atomic.Int64
-	// freezeLock is held by Freeze, and for reading by all that a frozen process
-	// wouldn't do.
+	// freezeLock is held by Freeze, and for reading by all activities that a freeze suspends.
 	freezeLock sync.RWMutex
-	// unreachableSince is the time in Unix nanoseconds since when no heartbeat can
-	// have arrived; 0 if heartbeats arrive.
+	// unreachableSince is the time in Unix nanoseconds since which no heartbeat can have
+	// arrived; 0 if heartbeats arrive.
 	unreachableSince atomic.Int64
 }
 
-// Start begins a new incarnation. A cold one needs warmUpTime to bear its capacity.
+// Start starts a new incarnation. A cold one reaches its full capacity after warmUpTime.
 func (t *Target) Start(cold bool) error {
 	address := t.Address
 	if t.listenAddress != "" {
@@ -93,12 +93,12 @@
 	server := t.server
 	t.mu.Unlock()
 	t.inFlight.Store(0)
-	go func() { _ = server.Serve(listener) }() // ends with Crash
+	go func() { _ = server.Serve(listener) }() // returns after Crash
 	go t.announceLoop(ctx)
 	return nil
 }
 
-// Crash ends it at once, with all its connections and without notice.
+// Crash stops the target and closes all its connections at once, without announcing it.
 func (t *Target) Crash() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -108,7 +108,7 @@
 	}
 }
 
-// Drain announces its departure; it still serves requests.
+// Drain announces that the target is draining; it continues to serve requests.
 func (t *Target) Drain() {
 	t.mu.Lock()
 	t.draining = true
@@ -121,8 +121,7 @@
 	}
 }
 
-// SetUnreachable notes that heartbeats can't reach the registries any more, or
-// can again.
+// SetUnreachable records whether heartbeats are prevented from reaching the registries.
 func (t *Target) SetUnreachable(unreachable bool) {
 	if !unreachable {
 		t.unreachableSince.Store(0)
@@ -132,7 +131,7 @@
 	t.Checker.TargetDepartureKnown()
 }
 
-// Freeze stops it for a duration, as SIGSTOP would; its connections stay open.
+// Freeze suspends the target for a duration, like SIGSTOP; its connections stay open.
 func (t *Target) Freeze(duration time.Duration) {
 	t.freezeLock.Lock()
 	defer t.freezeLock.Unlock()
@@ -141,7 +140,7 @@
 	t.SetUnreachable(false)
 }
 
-// warmth is the share of its capacity that it has now. The caller holds mu.
+// warmth returns the fraction of its capacity that the target has now. The caller holds mu.
 func (t *Target) warmth() float64 {
 	return min(1, max(minWarmth, float64(time.Since(t.warmUpStart))/float64(warmUpTime)))
 }
--- a/internal/testsupport/testbed/target_faults.go
+++ b/internal/testsupport/testbed/target_faults.go
@@ -8,36 +8,36 @@
 )
 
 const (
-	// drainTime is how long a draining target still serves before it exits: the
-	// proxies must stop sending within 3 s.
+	// drainTime is the time between the drain of a target and its exit; proxies must stop
+	// sending requests to it within 3 s.
 	drainTime = 4 * time.Second
-	// faultyLostPercent and faultyCorruptPercent are how many answers of a hundred a
+	// faultyLostPercent and faultyCorruptPercent are the percentages of responses that a
 	// faulty target loses and corrupts.
 	faultyLostPercent    = 20
 	faultyCorruptPercent = 10
-	// firstReplacementIndex is the first index of the addresses of replacements, of
-	// which there are maxReplacementsOfFleet.
+	// firstReplacementIndex is the base of the address indices of replacement targets;
+	// indices repeat after maxReplacementsOfFleet replacements.
 	firstReplacementIndex  = 200
 	maxReplacementsOfFleet = 50
 )
 
-// startCold starts a target again.
+// startCold restarts a target, which then warms up.
 func (tb *Testbed) startCold(t *Target) {
 	if err := t.Start(true); err != nil {
 		tb.Checker.Violation("start %s: %v", t.Instance, err)
 	}
 }
 
-// faultTarget runs a step that concerns one target.
-func (tb *Testbed) faultTarget(step Step, t *Target, hold func()) {
+// faultTarget runs a step whose subject is a target.
+func (tb *Testbed) faultTarget(step Step, t *Target, waitFault func()) {
 	switch step.Action {
 	case actionCrashTarget:
 		t.Crash()
-		hold()
+		waitFault()
 		tb.startCold(t)
 	case actionDrainTarget:
 		drainAndExit(t)
-		hold()
+		waitFault()
 		tb.startCold(t)
 	case actionFreezeTarget:
 		t.Freeze(time.Duration(step.For))
@@ -46,11 +46,11 @@
 	case actionCorruptTarget:
 		t.LostPercent.Store(faultyLostPercent)
 		t.CorruptPercent.Store(faultyCorruptPercent)
-		hold()
+		waitFault()
 		t.LostPercent.Store(0)
 		t.CorruptPercent.Store(0)
-	case actionExchangeTargets:
-		tb.exchangeAddresses(t, hold)
+	case actionSwapAddresses:
+		tb.swapAddresses(t, waitFault)
 	}
 }
 
@@ -60,10 +60,10 @@
 	t.Crash()
 }
 
-// exchangeAddresses crashes a target and one of another service, and starts each
-// at the other's address, this one later: proxies must find out that the address
-// they know belongs to another service now.
-func (tb *Testbed) exchangeAddresses(t *Target, hold func()) {
+// swapAddresses crashes a target and one of another service, and restarts each at the
+// other's address, the first one after the fault's duration. Proxies must detect that an
+// address now belongs to another service.
+func (tb *Testbed) swapAddresses(t *Target, waitFault func()) {
 	for _, other := range tb.Targets {
 		if other.Service == t.Service {
 			continue
@@ -73,14 +73,14 @@
 		t.Address, other.Address = other.Address, t.Address
 		t.listenAddress, other.listenAddress = other.listenAddress, t.listenAddress
 		tb.startCold(other)
-		hold()
+		waitFault()
 		tb.startCold(t)
 		return
 	}
 }
 
-// replaceTarget drains a target, and starts another of its service in its place,
-// with a new name and address, for good.
+// replaceTarget drains a target, and starts a replacement of the same service with a new
+// name and address.
 func (tb *Testbed) replaceTarget(t *Target) {
 	drainAndExit(t)
 	tb.restartLock.Lock()
@@ -88,9 +88,9 @@
 	tb.replacedTargets++
 	n := firstReplacementIndex + tb.replacedTargets%maxReplacementsOfFleet
 	zone := tb.zoneIndex(t.Zone)
-	address, err := loopbackAddress(zone, targetNumber, n, 0)
+	address, err := loopbackAddress(zone, targetOctet, n, 0)
 	if err == nil && tb.relay != nil {
-		t.listenAddress, err = tb.relayTo(address, zone, targetNumber, n)
+		t.listenAddress, err = tb.relayTo(address, zone, targetOctet, n)
 	}
 	if err != nil {
 		tb.Checker.Violation("replace %s: %v", t.Instance, err)
--- a/internal/testsupport/testbed/target_heartbeat.go
+++ b/internal/testsupport/testbed/target_heartbeat.go
@@ -12,7 +12,7 @@
 
 const (
 	heartbeatInterval = time.Second
-	// heartbeatTimeout leaves time to try a second registry within the interval.
+	// heartbeatTimeout leaves some time to try a second registry within the interval.
 	heartbeatTimeout = 700 * time.Millisecond
 )
 
@@ -31,7 +31,7 @@
 	Warmth         float64        `json:"warmth"`
 }
 
-// announceLoop sends heartbeats until the context ends, but none while it is frozen.
+// announceLoop sends heartbeats until the context is done, except while the target is frozen.
 func (t *Target) announceLoop(ctx context.Context) {
 	for {
 		t.freezeLock.RLock()
@@ -47,7 +47,8 @@
 	}
 }
 
-// announce sends a heartbeat to one registry after another until one acknowledges it.
+// announce sends a heartbeat to one registry after another until one acknowledges it, and
+// reports whether one did.
 func (t *Target) announce() bool {
 	body := t.nextHeartbeat()
 	for _, registry := range t.Registries() {
@@ -74,7 +75,7 @@
 	})
 }
 
-// mustJSON encodes a value of this package's own types, none of which can fail to encode.
+// mustJSON encodes a value of one of this package's types, whose encoding can't fail.
 func mustJSON(v any) []byte {
 	raw, err := json.Marshal(v)
 	if err != nil {
--- a/internal/testsupport/testbed/target_server.go
+++ b/internal/testsupport/testbed/target_server.go
@@ -15,14 +15,14 @@
 	"dunlinwell/internal/testsupport/checker"
 )
 
-// identityPath is where a proxy asks a target who it is.
+// identityPath is the path of the document by which proxies verify a target's identity.
 const identityPath = "/.well-known/dunlinwell"
 
-// statedCPUMillis is what stand-in targets state as the CPU time of each request.
-const statedCPUMillis = 5
+// reportedCPUMillis is the CPU time that stand-in targets report for each request.
+const reportedCPUMillis = 5
 
-// overloadFactor is how far above its capacity a target may get requests, as
-// several proxies share it without asking each other.
+// overloadFactor is the multiple of its capacity up to which a target may get concurrent
+// requests, as the proxies that share it don't coordinate.
 const overloadFactor = 1.5
 
 // identityDocument is the body of GET identityPath.
@@ -33,7 +33,7 @@
 	Service     ids.Name       `json:"service"`
 }
 
-// serve serves the identity document, and executes any other request.
+// serve serves the identity document, and treats any other request as a client's.
 func (t *Target) serve(w http.ResponseWriter, r *http.Request) {
 	receivedAt := time.Now()
 	t.freezeLock.RLock()
@@ -51,7 +51,7 @@
 	t.recordExecution(r, concurrent, receivedAt)
 	time.Sleep(t.Work/2 + time.Duration(rand.Int64N(int64(t.Work))))
 	if rand.Int64N(100) < t.LostPercent.Load() {
-		panic(http.ErrAbortHandler) // cuts the connection
+		panic(http.ErrAbortHandler) // closes the connection
 	}
 	t.answer(w, r)
 }
@@ -64,8 +64,8 @@
 	_, _ = w.Write(body)
 }
 
-// answer writes an answer that names its request, with the digest that lets a
-// proxy find corrupted bytes.
+// answer writes a response that identifies its request, with a digest by which proxies
+// detect corruption.
 func (t *Target) answer(w http.ResponseWriter, r *http.Request) {
 	idempotencyKey := r.Header.Get("Idempotency-Key")
 	body := fmt.Appendf(nil, `{"uri":%q,"mark":%q,"instance":%q,"run":"%x"}`, r.RequestURI, idempotencyKey, t.Instance, rand.Uint64())
@@ -80,13 +80,13 @@
 	if idempotencyKey != "" {
 		h.Set("Idempotency-Key", idempotencyKey)
 	}
-	h.Set("Server-Timing", fmt.Sprintf("cpu;dur=%d", statedCPUMillis))
+	h.Set("Server-Timing", fmt.Sprintf("cpu;dur=%d", reportedCPUMillis))
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	_, _ = w.Write(body)
 }
 
-// recordExecution reports an execution to the checker, and violations that only
-// the target can see.
+// recordExecution reports an execution to the checker, and violations that only the target
+// can detect.
 func (t *Target) recordExecution(r *http.Request, concurrent int64, receivedAt time.Time) {
 	execution := t.newExecution(r, receivedAt)
 	t.OnExecution(execution.ProxyZone)
@@ -97,22 +97,22 @@
 	if since := t.unreachableSince.Load(); since != 0 {
 		execution.DepartureKnownFor = max(execution.DepartureKnownFor, receivedAt.Sub(time.Unix(0, since))-registrarTimeout)
 	}
-	bearable := max(float64(t.Capacity)*t.warmth(), 1)
+	warmCapacity := max(float64(t.Capacity)*t.warmth(), 1)
 	t.mu.Unlock()
 	t.Checker.RequestExecuted(execution)
 	if want := r.URL.Query().Get("service"); want != "" && want != string(t.Service) {
-		t.Checker.Violation("%s of %s got a request meant for %s", t.Instance, t.Service, want)
+		t.Checker.Violation("%s of service %s got a request for service %s", t.Instance, t.Service, want)
 	}
-	// Concurrency slots are whole: one more than the fraction.
-	if float64(concurrent) > overloadFactor*bearable+1 {
-		t.Checker.Overloaded("%s had %d at once and bears %.1f", t.Instance, concurrent, bearable)
+	// Concurrency slots are whole numbers, so one more than the fraction is allowed.
+	if float64(concurrent) > overloadFactor*warmCapacity+1 {
+		t.Checker.Overloaded("%s had %d concurrent requests with a capacity of %.1f", t.Instance, concurrent, warmCapacity)
 	}
 }
 
-// newExecution is the execution of a request, without what depends on the
-// target's state. receivedAt is before any freeze held it up.
+// newExecution returns the record of an execution, without the fields that depend on the
+// target's state. receivedAt is the time before any delay by a freeze.
 func (t *Target) newExecution(r *http.Request, receivedAt time.Time) checker.Execution {
-	attempt, _ := strconv.Atoi(r.Header.Get("Attempt")) // 0 if it has none
+	attempt, _ := strconv.Atoi(r.Header.Get("Attempt")) // 0 without the header
 	e := checker.Execution{
 		At: time.Now(), Sent: receivedAt, Instance: t.Instance, Service: t.Service, Zone: t.Zone,
 		Token: r.URL.Query().Get("token"), IdempotencyKey: r.Header.Get("Idempotency-Key"), Attempt: attempt,
@@ -125,8 +125,8 @@
 	return e
 }
 
-// proxyOfRequestID is the proxy that made a request id, which has the form
-// proxy-run-number.
+// proxyOfRequestID returns the name of the proxy that assigned a request id, which has the
+// form proxy-run-number.
 func proxyOfRequestID(id string) string {
 	for range 2 {
 		if i := strings.LastIndex(id, "-"); i > 0 {
--- a/internal/testsupport/testbed/target_test.go
+++ b/internal/testsupport/testbed/target_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-// A target's heartbeat and identity document are these, byte for byte.
+// Heartbeat and identity document have exactly these bytes.
 func TestTarget_Bodies(t *testing.T) {
 	is := is.New(t)
 	target := &Target{Instance: "catalog-1", Service: "catalog", Zone: "cell-a1", Address: "127.20.4.1:8000", Capacity: 16, incarnation: 7}
@@ -21,14 +21,14 @@
 	is.Equal(response.Body.String(), `{"incarnation":7,"instance":"catalog-1","leaving":false,"service":"catalog"}`)
 }
 
-// A client finds an answer that isn't to its own request.
+// A client detects a response to another request.
 func TestCheckAnswer(t *testing.T) {
 	for name, c := range map[string]struct{ body, problem string }{
-		"its own":           {`{"uri":"/orders/item?token=t1","mark":"k1"}`, ""},
-		"another's URI":     {`{"uri":"/orders/item?token=t2","mark":"k1"}`, `answer to /orders/item?token=t2 with idempotency key "k1"`},
-		"another's key":     {`{"uri":"/orders/item?token=t1","mark":"k2"}`, `answer to /orders/item?token=t1 with idempotency key "k2"`},
-		"not the target's":  {`busy`, "not the target's bytes: invalid character 'b' looking for beginning of value"},
-		"no URI that reads": {`{"uri":"%zz","mark":"k1"}`, `answer to %zz with idempotency key "k1"`},
+		"own request":           {`{"uri":"/orders/item?token=t1","mark":"k1"}`, ""},
+		"other URI":             {`{"uri":"/orders/item?token=t2","mark":"k1"}`, `response to /orders/item?token=t2 with idempotency key "k1"`},
+		"other idempotency key": {`{"uri":"/orders/item?token=t1","mark":"k2"}`, `response to /orders/item?token=t1 with idempotency key "k2"`},
+		"not JSON":              {`busy`, "body is not a target's response: invalid character 'b' looking for beginning of value"},
+		"malformed URI":         {`{"uri":"%zz","mark":"k1"}`, `response to %zz with idempotency key "k1"`},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -37,15 +37,14 @@
 	}
 }
 
-// A request id is the name of its proxy with two parts after it.
+// A request id consists of the proxy's name and two more parts.
 func TestProxyOfRequestID(t *testing.T) {
 	is := is.New(t)
 	is.Equal(proxyOfRequestID("proxy-1-3f2a-17"), "proxy-1")
 	is.Equal(proxyOfRequestID(""), "")
 }
 
-// The names of replaced core machines and their daemons are the same in scripts
-// and in a fleet.
+// The name of a core machine, as used in scripts, selects its store and its registry.
 func TestFleet_MachineProcesses(t *testing.T) {
 	is := is.New(t)
 	f := &Fleet{}
--- a/internal/testsupport/testbed/testbed.go
+++ b/internal/testsupport/testbed/testbed.go
@@ -20,66 +20,67 @@
 )
 
 const (
-	// defaultPlanInterval is that of a registry without --plan-every.
+	// defaultPlanInterval is the registry's default for --plan-every.
 	defaultPlanInterval = 5 * time.Second
-	// startTimeout is how long a fleet may take to be ready after its start.
+	// startTimeout bounds the time from a fleet's start until it is ready.
 	startTimeout = 20 * time.Second
-	// configurationTimeout bounds the attempts of the first change.
+	// configurationTimeout bounds the attempts to apply the initial configuration.
 	configurationTimeout    = 10 * time.Second
 	configurationRetryPause = 200 * time.Millisecond
-	// targetWork is how long stand-in targets take for a request on average.
-	targetWork = 20 * time.Millisecond
+	// targetServiceTime is the average service time of a stand-in target.
+	targetServiceTime = 20 * time.Millisecond
 )
 
-// Testbed is a fleet with its stand-ins and the checker that judges it.
+// Testbed is a fleet with its stand-ins and the checker of its guarantees.
 type Testbed struct {
 	*Fleet
 	Checker *checker.Checker
 	Targets []*Target
-	// Out gets progress and the report.
+	// Out receives progress messages and the report.
 	Out io.Writer
 
-	// clients and operators are those of the last RunLoad.
+	// clients and operators belong to the most recent RunLoad.
 	clients   *Clients
 	operators *Operators
-	// watcher is nil unless the load is watched.
+	// watcher is nil unless WatchLoad was called.
 	watcher atomic.Pointer[loadWatcher]
 	probes  livenessProbes
-	// replacedTargets counts the targets that replaced another.
+	// replacedTargets is the number of targets replaced so far.
 	replacedTargets int
 }
 
-// Options are the options of a testbed.
+// Options configures a testbed.
 type Options struct {
-	// Plan is the name of one of blueprint.Plans.
+	// Plan is a key of blueprint.Plans.
 	Plan string
-	// Dir is the folder for programs, data and logs.
+	// Dir is the directory for programs, data and logs.
 	Dir string
-	// Fixed asks for the same addresses each time, and keeps data folders.
+	// Fixed uses the same addresses in every run, and keeps data directories.
 	Fixed bool
-	// Out gets progress and the report; it must not be nil.
+	// Out receives progress messages and the report; it must not be nil.
 	Out io.Writer
-	// Relay passes all connections through a relay, for delays between regions and
-	// partitions. Scripts with faults of the network need it.
+	// Relay routes all connections through a relay, which adds latency between regions.
+	// Scripts with network faults require it.
 	Relay bool
-	// Bin is the folder of the daemons' programs. If empty, they are those beside
-	// this program, or are built.
+	// Bin is the directory of the daemons' programs. If it is empty, the programs next to
+	// this executable are used, or they are built.
 	Bin string
-	// OtherBin is that of every other daemon, for a fleet of two versions.
+	// OtherBin is the directory of the programs of every second daemon, for a fleet of
+	// mixed versions.
 	OtherBin string
-	// Rate is in requests per second; 0 for the plan's.
+	// Rate is the load in requests per second; 0 for the plan's.
 	Rate float64
-	// TargetLevel is each zone's comfortable level in ms of CPU per second; 0 for the plan's.
+	// TargetLevel is the target load of each zone in ms of CPU per second; 0 for the plan's.
 	TargetLevel float64
-	// PlanEvery is how often the spill-over is planned; 0 for 5 s.
+	// PlanEvery is the interval of spill-over planning; 0 for 5 s.
 	PlanEvery time.Duration
 }
 
-// plan is the plan with the options that replace parts of it.
+// plan returns the named plan with the overrides from the options.
 func (o Options) plan() (blueprint.Plan, error) {
 	plan, ok := blueprint.Plans[o.Plan]
 	if !ok {
-		return plan, errs.New("choose plan", "", "there is no plan %q", o.Plan)
+		return plan, errs.New("choose plan", "", "unknown plan %q", o.Plan)
 	}
 	if o.Rate > 0 {
 		plan.Rate = o.Rate
@@ -90,7 +91,7 @@
 	return plan, nil
 }
 
-// Start starts a fleet, waits until it is ready, sets its configuration and starts
+// Start starts a fleet, waits until it is ready, applies its configuration and starts
 // its targets. The caller must call Close.
 func Start(ctx context.Context, o Options) (*Testbed, error) {
 	plan, err := o.plan()
@@ -98,7 +99,7 @@
 		return nil, err
 	}
 	if o.Fixed {
-		loopbackBlock = fixedLoopbackBlock
+		firstZoneOctet = fixedFirstZoneOctet
 	}
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
 		return nil, err
@@ -110,10 +111,10 @@
 	if o.Relay {
 		tb.relay = &Relay{Delay: tb.latency}
 	}
-	if tb.Bin, err = chooseBinaries(o.Bin, ownFolder(), filepath.Join(o.Dir, "bin"), Build); err != nil {
+	if tb.Bin, err = chooseProgramsDir(o.Bin, executableDir(), filepath.Join(o.Dir, "bin"), Build); err != nil {
 		return nil, err
 	}
-	fmt.Fprintf(tb.Out, "daemons of %s\n", tb.Bin)
+	fmt.Fprintf(tb.Out, "using the programs in %s\n", tb.Bin)
 	if err := tb.Start(); err != nil {
 		tb.StopAll()
 		return nil, err
@@ -125,7 +126,7 @@
 	return tb, nil
 }
 
-// prepare makes a started fleet ready for load.
+// prepare waits until the fleet is ready, applies the configuration and starts the targets.
 func (tb *Testbed) prepare(ctx context.Context) error {
 	elapsed, err := tb.AwaitReady(ctx, startTimeout)
 	if err != nil {
@@ -138,7 +139,8 @@
 	return tb.startTargets()
 }
 
-// applyConfiguration sends the plan's configuration as one change until it is accepted.
+// applyConfiguration sends the plan's configuration as one change, and retries until it
+// is accepted.
 func (tb *Testbed) applyConfiguration(ctx context.Context) error {
 	change := tb.InitialChange()
 	lastResponse := ""
@@ -156,10 +158,10 @@
 			var accepted changeResponse
 			err := json.Unmarshal(body, &accepted)
 			tb.Checker.ChangeAccepted(id, accepted.Revision, time.Now())
-			return errs.Wrap(err, "read answer to policy", "")
+			return errs.Wrap(err, "decode change response", "")
 		}
 	}
-	return errs.New("set policy", "", "%s", lastResponse)
+	return errs.New("apply configuration", "", "%s", lastResponse)
 }
 
 // registryAddresses returns the HTTP addresses of the registries in random order.
@@ -174,7 +176,7 @@
 	return addresses
 }
 
-// startTargets starts the plan's targets, spread over the zones.
+// startTargets starts the plan's targets, distributed over the zones.
 func (tb *Testbed) startTargets() error {
 	n := 0
 	for _, pool := range tb.Pools {
@@ -193,25 +195,25 @@
 	return nil
 }
 
-// newTarget makes the ith target of a pool, which is the nth of all.
+// newTarget creates the ith target of a pool, which is the nth of the whole fleet.
 func (tb *Testbed) newTarget(pool blueprint.Pool, i, n int) (*Target, error) {
 	zone := n % tb.Zones
-	address, err := loopbackAddress(zone, targetNumber, n, 0)
+	address, err := loopbackAddress(zone, targetOctet, n, 0)
 	if err != nil {
 		return nil, err
 	}
 	t := &Target{
 		Instance: pool.Instance(i), Service: pool.Service, Zone: tb.Plan.Zone(n), Address: address,
-		Capacity: pool.Capacity, Work: targetWork, Checker: tb.Checker, Registries: tb.registryAddresses, Delay: tb.standInLatency,
+		Capacity: pool.Capacity, Work: targetServiceTime, Checker: tb.Checker, Registries: tb.registryAddresses, Delay: tb.standInLatency,
 		RouteOf: tb.routeOf, ZoneOf: tb.zoneOf, OnExecution: tb.countExecution,
 	}
 	if tb.relay != nil {
-		t.listenAddress, err = tb.relayTo(address, zone, targetNumber, n)
+		t.listenAddress, err = tb.relayTo(address, zone, targetOctet, n)
 	}
 	return t, err
 }
 
-// Close ends all targets, daemons and connections.
+// Close stops all targets and daemons, and closes the relay.
 func (tb *Testbed) Close() {
 	for _, t := range tb.Targets {
 		t.Crash()
--- a/internal/testsupport/testbed/topology.go
+++ b/internal/testsupport/testbed/topology.go
@@ -8,17 +8,18 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// regionOf is the region of a loopback IP address; empty if it isn't the fleet's.
+// regionOf returns the region of a loopback IP address; empty for an address that isn't
+// the fleet's.
 func (tb *Testbed) regionOf(ip string) string {
 	var second, third, fourth int
-	if _, err := fmt.Sscanf(ip, "127.%d.%d.%d", &second, &third, &fourth); err != nil || second < loopbackBlock {
+	if _, err := fmt.Sscanf(ip, "127.%d.%d.%d", &second, &third, &fourth); err != nil || second < firstZoneOctet {
 		return ""
 	}
-	return tb.Region(tb.Plan.Zone(second - loopbackBlock))
+	return tb.Region(tb.Plan.Zone(second - firstZoneOctet))
 }
 
-// latency is the time that a byte takes from one IP address to another: half of
-// the plan's round trip between regions, nothing within a region.
+// latency returns the one-way latency between two IP addresses: half of the plan's
+// round-trip time between regions, zero within a region.
 func (tb *Testbed) latency(from, to string) time.Duration {
 	if a, b := tb.regionOf(from), tb.regionOf(to); a == "" || b == "" || a == b {
 		return 0
@@ -26,8 +27,8 @@
 	return time.Duration(tb.Plan.LatencyMillis) * time.Millisecond / 2
 }
 
-// standInLatency is what stand-ins wait by themselves: nothing if a relay delays
-// their bytes.
+// standInLatency returns the one-way latency that stand-ins add themselves: zero if
+// the relay adds it.
 func (tb *Testbed) standInLatency(from, to string) time.Duration {
 	if tb.relay != nil {
 		return 0
@@ -35,8 +36,8 @@
 	return tb.latency(from, to)
 }
 
-// routeOf is the route of a path by the plan. For a path of no route it is the
-// path's first part, which names the route that operators move.
+// routeOf returns the plan's route for a path. Otherwise it returns the path's first
+// segment, which is the name of the route that operators reassign (FlippedRoute).
 func (tb *Testbed) routeOf(path string) ids.Name {
 	first, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	for _, route := range tb.Routes {
@@ -47,7 +48,7 @@
 	return ids.Name(first)
 }
 
-// zoneOf is the zone of a daemon; empty for an unknown name.
+// zoneOf returns the zone of a daemon; empty for an unknown name.
 func (tb *Testbed) zoneOf(daemon string) ids.Name {
 	if p := tb.Find(daemon); p != nil {
 		return p.Zone
@@ -55,7 +56,7 @@
 	return ""
 }
 
-// findTarget returns the target of an instance name; nil if there is none.
+// findTarget returns the target with the given instance name; nil if there is none.
 func (tb *Testbed) findTarget(name string) *Target {
 	for _, t := range tb.Targets {
 		if string(t.Instance) == name {
@@ -65,8 +66,8 @@
 	return nil
 }
 
-// ipsOf are the IP addresses of a daemon, core machine or target, or of all in a
-// zone or region, with its clients.
+// ipsOf returns the IP addresses of a daemon, core machine or target, or of all daemons,
+// targets and clients of a zone or region.
 func (tb *Testbed) ipsOf(name string) map[string]bool {
 	ips := map[string]bool{}
 	for _, p := range tb.MachineProcesses(name) {
