--- a/internal/testsupport/testbed/testbed.go
+++ b/internal/testsupport/testbed/testbed.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	// defaultPlanInterval is the registry's default for --plan-every.
+	// defaultPlanInterval is the interval of spill-over planning unless Options sets one.
 	defaultPlanInterval = 5 * time.Second
 	// startTimeout bounds the time from a fleet's start until it is ready.
 	startTimeout = 20 * time.Second
