--- a/internal/testsupport/blueprint/plan.go
+++ b/internal/testsupport/blueprint/plan.go
@@ -25,9 +25,9 @@
 	LatencyMillis int
 	// Rate is the load in requests per second.
 	Rate float64
-	// Target is the target load of every zone, in milliseconds of CPU per second;
+	// TargetLoad is the target load of every zone, in milliseconds of CPU per second;
 	// zero for the default.
-	Target float64
+	TargetLoad float64
 	// Maximum is the maximum load of every zone; zero for 1.1 times its target.
 	Maximum float64
 	// Allowance is the number of retries per ten seconds that each service may get
@@ -139,8 +139,8 @@
 
 // TargetLevel returns the target load of each zone, in milliseconds of CPU per second.
 func (p Plan) TargetLevel() float64 {
-	if p.Target > 0 {
-		return p.Target
+	if p.TargetLoad > 0 {
+		return p.TargetLoad
 	}
 	return defaultTargetLevel
 }
--- a/internal/testsupport/simulator/spill_test.go
+++ b/internal/testsupport/simulator/spill_test.go
@@ -21,7 +21,7 @@
 // target 500, maximum 550 ms/s each.
 func spillPlan() blueprint.Plan {
 	p := blueprint.Plans["small"]
-	p.Target = 500
+	p.TargetLoad = 500
 	return p
 }
 
--- a/internal/testsupport/testbed/testbed.go
+++ b/internal/testsupport/testbed/testbed.go
@@ -86,7 +86,7 @@
 		plan.Rate = o.Rate
 	}
 	if o.TargetLevel > 0 {
-		plan.Target = o.TargetLevel
+		plan.TargetLoad = o.TargetLevel
 	}
 	return plan, nil
 }
