--- a/internal/testsupport/blueprint/initial_change.go
+++ b/internal/testsupport/blueprint/initial_change.go
@@ -59,7 +59,7 @@
 	}
 	for n := range p.Zones {
 		zone := p.Zone(n)
-		put("cell", zone, zoneItem{Distances: p.distances(zone), Maximum: max(p.Maximum, 0), Region: p.Region(zone), Target: p.TargetLevel()})
+		put("cell", zone, zoneItem{Distances: p.distances(zone), Maximum: max(p.MaximumLoad, 0), Region: p.Region(zone), Target: p.TargetLevel()})
 	}
 	for _, pool := range p.Pools {
 		put("service", pool.Service, serviceItem{Allowance: p.RetryAllowance(), Capacity: pool.Capacity, Tier: pool.Tier, WarmMillis: warmMillis})
--- a/internal/testsupport/blueprint/plan.go
+++ b/internal/testsupport/blueprint/plan.go
@@ -28,8 +28,8 @@
 	// TargetLoad is the target load of every zone, in milliseconds of CPU per second;
 	// zero for the default.
 	TargetLoad float64
-	// Maximum is the maximum load of every zone; zero for 1.1 times its target.
-	Maximum float64
+	// MaximumLoad is the maximum load of every zone; zero for 1.1 times its target.
+	MaximumLoad float64
 	// Allowance is the number of retries per ten seconds that each service may get
 	// beyond the retry budget's share; zero for the default.
 	Allowance int
--- a/internal/testsupport/simulator/hot_zones.go
+++ b/internal/testsupport/simulator/hot_zones.go
@@ -67,7 +67,7 @@
 func hotPlan(random *rand.Rand) blueprint.Plan {
 	distances := map[[2]ids.Name]int{}
 	plan := blueprint.Plan{
-		Name: "hot", Regions: 5, Zones: 5, Proxies: 5, Rate: 64 + 10*random.Float64(), TargetLoad: 500, Maximum: 550,
+		Name: "hot", Regions: 5, Zones: 5, Proxies: 5, Rate: 64 + 10*random.Float64(), TargetLoad: 500, MaximumLoad: 550,
 		Pools:   []blueprint.Pool{{Service: "catalog", Targets: 10, Capacity: 16, Tier: 3}, {Service: "ledger", Targets: 5, Capacity: 16, Tier: 8}},
 		Latency: func(a, b ids.Name) int { return distances[[2]ids.Name{min(a, b), max(a, b)}] },
 	}
--- a/internal/testsupport/simulator/spill_test.go
+++ b/internal/testsupport/simulator/spill_test.go
@@ -184,7 +184,7 @@
 		return time.Duration((2 + 18*(used/560)*(used/560)) * float64(time.Millisecond))
 	}
 	plan := spillPlan()
-	plan.Maximum = 800
+	plan.MaximumLoad = 800
 	settled := map[bool]float64{}
 	for _, learns := range []bool{false, true} {
 		p := Options{Seed: 6, Rate: 42, Length: 600 * time.Second, Hot: step(a), Plan: plan}
