--- a/internal/testsupport/blueprint/changes.go
+++ b/internal/testsupport/blueprint/changes.go
@@ -38,8 +38,8 @@
 	return changeBody(id, fmt.Sprintf(`{"kind":"route","name":"shelf-%[1]d","remove":true},{"kind":"service","name":"shelf-%[1]d","remove":true}`, pair))
 }
 
-// TargetLevel sets the maximum load of the nth zone to a value close to its default.
-func (g ChangeGenerator) TargetLevel(id string, n int) string {
+// ZoneMaximum sets the maximum load of the nth zone to a value close to its default.
+func (g ChangeGenerator) ZoneMaximum(id string, n int) string {
 	return changeBody(id, fmt.Sprintf(`{"kind":"cell","name":%q,"set":{"maximum":%d}}`, g.Plan.Zone(n), int(g.Plan.TargetLevel()*1.1)+1+n%50))
 }
 
--- a/internal/testsupport/simulator/operators.go
+++ b/internal/testsupport/simulator/operators.go
@@ -58,7 +58,7 @@
 		case draw < 8:
 			w.raceRoute(serial)
 		case draw < 9:
-			w.sendChange(w.changes().TargetLevel(fmt.Sprintf("level-%d", serial), serial), nil)
+			w.sendChange(w.changes().ZoneMaximum(fmt.Sprintf("level-%d", serial), serial), nil)
 		case draw < 11:
 			w.flipRoute(serial)
 		default:
--- a/internal/testsupport/testbed/operators.go
+++ b/internal/testsupport/testbed/operators.go
@@ -75,7 +75,7 @@
 	case x < 5:
 		o.send(o.generator.Remove(id, pair), true)
 	case x < 6:
-		o.send(o.generator.TargetLevel(id, n), true)
+		o.send(o.generator.ZoneMaximum(id, n), true)
 	case x < 8:
 		o.send(o.generate(func(g blueprint.ChangeGenerator) string { return g.Flip(id) }), true)
 	case x < 9:
