--- a/internal/testsupport/blueprint/changes.go
+++ b/internal/testsupport/blueprint/changes.go
@@ -43,9 +43,9 @@
 	return changeBody(id, fmt.Sprintf(`{"kind":"cell","name":%q,"set":{"maximum":%d}}`, g.Plan.Zone(n), int(g.Plan.TargetLevel()*1.1)+1+n%50))
 }
 
-// Flip assigns FlippedRoute to a random service with a random time limit, or removes it. The
+// Reassign assigns FlippedRoute to a random service with a random time limit, or removes it. The
 // service and time limit of a forwarded request show which version of the route was applied.
-func (g ChangeGenerator) Flip(id string) string {
+func (g ChangeGenerator) Reassign(id string) string {
 	pool := g.Plan.Pools[g.Random.IntN(len(g.Plan.Pools))]
 	if g.Random.IntN(4) == 0 {
 		return changeBody(id, `{"kind":"route","name":"flip","remove":true}`)
--- a/internal/testsupport/simulator/operators.go
+++ b/internal/testsupport/simulator/operators.go
@@ -81,7 +81,7 @@
 // flipRoute moves a route between services.
 func (w *World) flipRoute(serial int) {
 	w.operators.routeFlipped = true
-	w.sendChange(w.changes().Flip(fmt.Sprintf("flip-%d", serial)), nil)
+	w.sendChange(w.changes().Reassign(fmt.Sprintf("flip-%d", serial)), nil)
 }
 
 // raceRoute lets two operators change one route from the same version of it. Only one may succeed.
--- a/internal/testsupport/testbed/operators.go
+++ b/internal/testsupport/testbed/operators.go
@@ -77,7 +77,7 @@
 	case x < 6:
 		o.send(o.generator.ZoneMaximum(id, n), true)
 	case x < 8:
-		o.send(o.generate(func(g blueprint.ChangeGenerator) string { return g.Flip(id) }), true)
+		o.send(o.generate(func(g blueprint.ChangeGenerator) string { return g.Reassign(id) }), true)
 	case x < 9:
 		o.raceChanges(id, n)
 	case x < 10:
