--- a/internal/testsupport/blueprint/changes.go
+++ b/internal/testsupport/blueprint/changes.go
@@ -18,8 +18,8 @@
 const (
 	// RoutePairs is the number of service and route pairs that operators put and remove.
 	RoutePairs = 4
-	// FlippedRoute is the route that operators reassign between services and remove.
-	FlippedRoute = "flip"
+	// ReassignedRoute is the route that operators reassign between services and remove.
+	ReassignedRoute = "flip"
 	// RacedRoute is the route that two operators change concurrently.
 	RacedRoute = "raced"
 )
@@ -43,7 +43,7 @@
 	return changeBody(id, fmt.Sprintf(`{"kind":"cell","name":%q,"set":{"maximum":%d}}`, g.Plan.Zone(n), int(g.Plan.TargetLevel()*1.1)+1+n%50))
 }
 
-// Reassign assigns FlippedRoute to a random service with a random time limit, or removes it. The
+// Reassign assigns ReassignedRoute to a random service with a random time limit, or removes it. The
 // service and time limit of a forwarded request show which version of the route was applied.
 func (g ChangeGenerator) Reassign(id string) string {
 	pool := g.Plan.Pools[g.Random.IntN(len(g.Plan.Pools))]
--- a/internal/testsupport/testbed/clients.go
+++ b/internal/testsupport/testbed/clients.go
@@ -108,7 +108,7 @@
 	r := request{route: c.randomRoute()}
 	n := c.lastID.Add(1)
 	if rand.IntN(reassignedRouteOneIn) == 0 {
-		r.route = blueprint.Route{Name: blueprint.FlippedRoute, Prefix: "/" + blueprint.FlippedRoute, Repeatable: true}
+		r.route = blueprint.Route{Name: blueprint.ReassignedRoute, Prefix: "/" + blueprint.ReassignedRoute, Repeatable: true}
 	}
 	r.zoneIndex = rand.IntN(c.Plan.Zones)
 	if hot := c.hotZone.Load(); hot != nil && rand.IntN(100) < hotZonePercent {
@@ -139,7 +139,7 @@
 	for attempt := 1; attempt <= maxAttempts && time.Now().Before(deadline); attempt++ {
 		response := c.sendOnce(r, attempt)
 		// Operators remove this route from time to time.
-		response.NoAnswerOwed = r.route.Name == blueprint.FlippedRoute
+		response.NoAnswerOwed = r.route.Name == blueprint.ReassignedRoute
 		c.Checker.RequestAnswered(response)
 		if response.Class == classMisused {
 			return
