--- a/internal/testsupport/testbed/load.go
+++ b/internal/testsupport/testbed/load.go
@@ -22,7 +22,7 @@
 		during(load)
 	}
 	pending.Wait()
-	tb.operators.VerifyLedger("after the load")
+	tb.operators.VerifyConfiguration("after the load")
 }
 
 // Report prints the results since the given time, and returns the number of violations.
--- a/internal/testsupport/testbed/operators.go
+++ b/internal/testsupport/testbed/operators.go
@@ -154,10 +154,10 @@
 	return running[rand.IntN(len(running))], true
 }
 
-// VerifyLedger reads the configuration through every daemon, and passes it to the checker,
+// VerifyConfiguration reads the configuration through every daemon, and passes it to the checker,
 // which compares it with all accepted changes. A daemon that can't be read from is a
 // violation. The phase names the point in the run in violations.
-func (o *Operators) VerifyLedger(phase string) {
+func (o *Operators) VerifyConfiguration(phase string) {
 	for _, p := range o.snapshot() {
 		if p.Replaced {
 			continue
--- a/internal/testsupport/testbed/restart.go
+++ b/internal/testsupport/testbed/restart.go
@@ -25,7 +25,7 @@
 	if _, err := tb.AwaitReady(ctx, recoveryTimeout); err != nil {
 		tb.Checker.Violation("not ready after the restart of all daemons: %v", err)
 	}
-	tb.operators.VerifyLedger("after the restart of all daemons")
+	tb.operators.VerifyConfiguration("after the restart of all daemons")
 }
 
 // restart restarts a process, unless it is running or was replaced.
