--- a/cmd/testbed/scale.go
+++ b/cmd/testbed/scale.go
@@ -67,7 +67,7 @@
 	if err := o.Check(); err != nil {
 		return o, err
 	}
-	if o.Bin, err = testbed.ProgramsFolder(s.Bin, filepath.Join(s.Out, "bin")); err != nil {
+	if o.Bin, err = testbed.ProgramsDir(s.Bin, filepath.Join(s.Out, "bin")); err != nil {
 		return o, err
 	}
 	o.ProxyGroupBinary, err = os.Executable()
--- a/internal/testsupport/testbed/programs.go
+++ b/internal/testsupport/testbed/programs.go
@@ -23,14 +23,14 @@
 	return nil
 }
 
-// ProgramsFolder returns the directory of the programs: explicitDir if it is set, or else
+// ProgramsDir returns the directory of the programs: explicitDir if it is set, or else
 // the directory of this executable if it contains all of them, or else buildDir, into
 // which it builds them.
-func ProgramsFolder(explicitDir, buildDir string) (string, error) {
+func ProgramsDir(explicitDir, buildDir string) (string, error) {
 	return chooseProgramsDir(explicitDir, executableDir(), buildDir, Build)
 }
 
-// chooseProgramsDir implements ProgramsFolder. If any program is missing in executableDir,
+// chooseProgramsDir implements ProgramsDir. If any program is missing in executableDir,
 // it builds all of them, so that the fleet doesn't mix versions.
 func chooseProgramsDir(explicitDir, executableDir, buildDir string, build func(bin string) error) (string, error) {
 	switch {
