--- a/cmd/testbed/up.go
+++ b/cmd/testbed/up.go
@@ -17,7 +17,7 @@
 
 // Run starts the fleet, prints its addresses and waits for a signal.
 func (u *UpCmd) Run(ctx context.Context) error {
-	tb, err := testbed.Start(ctx, testbed.Options{Plan: u.Plan, Dir: u.Dir, Fixed: true, Out: os.Stdout})
+	tb, err := testbed.Start(ctx, testbed.Options{Plan: u.Plan, Dir: u.Dir, FixedAddresses: true, Out: os.Stdout})
 	if err != nil {
 		return err
 	}
--- a/internal/testsupport/testbed/testbed.go
+++ b/internal/testsupport/testbed/testbed.go
@@ -55,8 +55,8 @@
 	Plan string
 	// Dir is the directory for programs, data and logs.
 	Dir string
-	// Fixed uses the same addresses in every run, and keeps data directories.
-	Fixed bool
+	// FixedAddresses uses the same addresses in every run, and keeps data directories.
+	FixedAddresses bool
 	// Out receives progress messages and the report; it must not be nil.
 	Out io.Writer
 	// Relay routes all connections through a relay, which adds latency between regions.
@@ -98,14 +98,14 @@
 	if err != nil {
 		return nil, err
 	}
-	if o.Fixed {
+	if o.FixedAddresses {
 		firstZoneOctet = fixedFirstZoneOctet
 	}
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
 		return nil, err
 	}
 	tb := &Testbed{
-		Fleet:   &Fleet{Plan: plan, Dir: o.Dir, Fixed: o.Fixed, PlanEvery: cmp.Or(o.PlanEvery, defaultPlanInterval), OtherBin: o.OtherBin},
+		Fleet:   &Fleet{Plan: plan, Dir: o.Dir, Fixed: o.FixedAddresses, PlanEvery: cmp.Or(o.PlanEvery, defaultPlanInterval), OtherBin: o.OtherBin},
 		Checker: &checker.Checker{RetryAllowance: float64(plan.RetryAllowance())}, Out: o.Out,
 	}
 	if o.Relay {
