--- a/internal/testsupport/testbed/fleet.go
+++ b/internal/testsupport/testbed/fleet.go
@@ -31,9 +31,9 @@
 	Bin, Dir string
 	// OtherBin, if set, is the directory of the programs of every second daemon.
 	OtherBin string
-	// Fixed uses the same addresses and ports in every run, for interactive use, and
+	// FixedAddresses uses the same addresses and ports in every run, for interactive use, and
 	// keeps data directories.
-	Fixed bool
+	FixedAddresses bool
 	// PlanEvery is the interval at which registries plan the spill-over.
 	PlanEvery time.Duration
 	// Processes is in start order: stores, registries, proxies, then replacements.
@@ -54,7 +54,7 @@
 
 // listenPort returns the given port in a fleet with fixed addresses, or else 0 for any free port.
 func (f *Fleet) listenPort(fixed int) int {
-	if f.Fixed {
+	if f.FixedAddresses {
 		return fixed
 	}
 	return 0
@@ -114,7 +114,7 @@
 	f.nextCoreIndex = coreMachines
 	for _, p := range f.Processes {
 		// The voter set stored by an earlier run has other addresses.
-		if !f.Fixed {
+		if !f.FixedAddresses {
 			if err := os.RemoveAll(p.Data); err != nil {
 				return err
 			}
--- a/internal/testsupport/testbed/testbed.go
+++ b/internal/testsupport/testbed/testbed.go
@@ -105,7 +105,7 @@
 		return nil, err
 	}
 	tb := &Testbed{
-		Fleet:   &Fleet{Plan: plan, Dir: o.Dir, Fixed: o.FixedAddresses, PlanEvery: cmp.Or(o.PlanEvery, defaultPlanInterval), OtherBin: o.OtherBin},
+		Fleet:   &Fleet{Plan: plan, Dir: o.Dir, FixedAddresses: o.FixedAddresses, PlanEvery: cmp.Or(o.PlanEvery, defaultPlanInterval), OtherBin: o.OtherBin},
 		Checker: &checker.Checker{RetryAllowance: float64(plan.RetryAllowance())}, Out: o.Out,
 	}
 	if o.Relay {
