--- a/internal/testsupport/testbed/shutdown_test.go
+++ b/internal/testsupport/testbed/shutdown_test.go
@@ -19,7 +19,7 @@
 	// Some targets take a large part of the time in which a proxy must exit.
 	for i, target := range tb.Targets {
 		if i%3 == 0 {
-			target.Work = 1500 * time.Millisecond
+			target.ServiceTime = 1500 * time.Millisecond
 		}
 	}
 	// Connections that stay open and idle.
--- a/internal/testsupport/testbed/target.go
+++ b/internal/testsupport/testbed/target.go
@@ -31,10 +31,10 @@
 	Address  string
 	// Capacity is the number of concurrent requests that it can serve when warm.
 	Capacity int
-	// Work is the average service time; actual times range from half to one and a half
+	// ServiceTime is the average service time; actual times range from half to one and a half
 	// times that.
-	Work    time.Duration
-	Checker *checker.Checker
+	ServiceTime time.Duration
+	Checker     *checker.Checker
 	// Registries returns the HTTP addresses of the registries, in the order to try.
 	Registries func() []string
 	// Delay returns the one-way latency between two IP addresses, which targets add.
--- a/internal/testsupport/testbed/target_server.go
+++ b/internal/testsupport/testbed/target_server.go
@@ -49,7 +49,7 @@
 	concurrent := t.inFlight.Add(1)
 	defer t.inFlight.Add(-1)
 	t.recordExecution(r, concurrent, receivedAt)
-	time.Sleep(t.Work/2 + time.Duration(rand.Int64N(int64(t.Work))))
+	time.Sleep(t.ServiceTime/2 + time.Duration(rand.Int64N(int64(t.ServiceTime))))
 	if rand.Int64N(100) < t.LostPercent.Load() {
 		panic(http.ErrAbortHandler) // closes the connection
 	}
--- a/internal/testsupport/testbed/testbed.go
+++ b/internal/testsupport/testbed/testbed.go
@@ -204,7 +204,7 @@
 	}
 	t := &Target{
 		Instance: pool.Instance(i), Service: pool.Service, Zone: tb.Plan.Zone(n), Address: address,
-		Capacity: pool.Capacity, Work: targetServiceTime, Checker: tb.Checker, Registries: tb.registryAddresses, Delay: tb.standInLatency,
+		Capacity: pool.Capacity, ServiceTime: targetServiceTime, Checker: tb.Checker, Registries: tb.registryAddresses, Delay: tb.standInLatency,
 		RouteOf: tb.routeOf, ZoneOf: tb.zoneOf, OnExecution: tb.countExecution,
 	}
 	if tb.relay != nil {
