--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -57,7 +57,7 @@
 	}
 	switch r.Scenario {
 	case grandScenario:
-		return testbed.GrandScript(plan), nil
+		return testbed.SequentialFaultsScript(plan), nil
 	case worstScenario:
 		return testbed.WorstCaseScript(plan), nil
 	case replacementScenario:
--- a/internal/testsupport/testbed/builtin_scripts.go
+++ b/internal/testsupport/testbed/builtin_scripts.go
@@ -12,9 +12,9 @@
 
 func seconds(n int) Duration { return Duration(time.Duration(n) * time.Second) }
 
-// GrandScript returns a script that takes down a core machine, a zone and a region one
+// SequentialFaultsScript returns a script that takes down a core machine, a zone and a region one
 // after another, kills all proxies at once, and drains a zone.
-func GrandScript(plan blueprint.Plan) *Script {
+func SequentialFaultsScript(plan blueprint.Plan) *Script {
 	return &Script{Steps: []Step{
 		{seconds(5), actionKill, "registry-2", seconds(6), 0},
 		{seconds(5), actionReplaceCore, "core-1", 0, 0},
--- a/internal/testsupport/testbed/script_test.go
+++ b/internal/testsupport/testbed/script_test.go
@@ -48,7 +48,7 @@
 	is := is.New(t)
 	for _, plan := range blueprint.Plans {
 		for seed := uint64(1); seed < 50; seed++ {
-			for _, script := range []*Script{RandomScript(plan, seed, 2*time.Minute), GrandScript(plan), WorstCaseScript(plan), ReplacementScript(plan), HotZoneScript(plan, 4*time.Minute)} {
+			for _, script := range []*Script{RandomScript(plan, seed, 2*time.Minute), SequentialFaultsScript(plan), WorstCaseScript(plan), ReplacementScript(plan), HotZoneScript(plan, 4*time.Minute)} {
 				raw, err := json.Marshal(script)
 				is.NoErr(err)
 				_, err = ReadScript("generated", raw, plan, 4*time.Minute)
