--- a/internal/testsupport/blueprint/changes.go
+++ b/internal/testsupport/blueprint/changes.go
@@ -43,8 +43,8 @@
 	return changeBody(id, fmt.Sprintf(`{"kind":"cell","name":%q,"set":{"maximum":%d}}`, g.Plan.Zone(n), int(g.Plan.TargetLevel()*1.1)+1+n%50))
 }
 
-// Reassign assigns ReassignedRoute to a random service with a random time limit, or removes it. The
-// service and time limit of a forwarded request show which version of the route was applied.
+// Reassign assigns ReassignedRoute to a random service with a random time limit, or removes it.
+// The service and time limit of a forwarded request show which version of the route was applied.
 func (g ChangeGenerator) Reassign(id string) string {
 	pool := g.Plan.Pools[g.Random.IntN(len(g.Plan.Pools))]
 	if g.Random.IntN(4) == 0 {
--- a/internal/testsupport/blueprint/plan.go
+++ b/internal/testsupport/blueprint/plan.go
@@ -137,7 +137,7 @@
 	return ids.InstanceID(fmt.Sprintf("%s-%d", p.Service, i+1))
 }
 
-// ZoneMaximum returns the target load of each zone, in milliseconds of CPU per second.
+// TargetLevel returns the target load of each zone, in milliseconds of CPU per second.
 func (p Plan) TargetLevel() float64 {
 	if p.TargetLoad > 0 {
 		return p.TargetLoad
--- a/internal/testsupport/testbed/held_connections.go
+++ b/internal/testsupport/testbed/held_connections.go
@@ -46,7 +46,7 @@
 func (c *Clients) holdConnections(ctx context.Context, zoneIndex int, route blueprint.Route, slot int) {
 	zone := c.Plan.Zone(zoneIndex)
 	for n := 0; ctx.Err() == nil; n++ {
-		// The slot differs from those of other clients, which share no cached resolution.
+		// A separate slot, so that no cached resolution is shared with other clients.
 		resolved, ok := c.resolve(route, zone, clientsPerRoute+slot)
 		if !ok {
 			sleepContext(ctx, unresolvedPause)
--- a/internal/testsupport/testbed/resource_usage.go
+++ b/internal/testsupport/testbed/resource_usage.go
@@ -44,7 +44,7 @@
 	return usage
 }
 
-// scrapeMetrics reads a process's unlabelled metrics; none if it doesn't respond.
+// scrapeMetrics reads a process's unlabeled metrics; none if it doesn't respond.
 func scrapeMetrics(client *http.Client, p *Process) map[string]float64 {
 	metrics := map[string]float64{}
 	res, err := client.Get("http://" + p.HTTP + "/metrics")
--- a/internal/testsupport/testbed/topology.go
+++ b/internal/testsupport/testbed/topology.go
@@ -36,8 +36,8 @@
 	return tb.latency(from, to)
 }
 
-// routeOf returns the plan's route for a path. Otherwise it returns the path's first
-// segment, which is the name of the route that operators reassign (FlippedRoute).
+// routeOf returns the name of the plan's route for a path. Without one it returns the path's
+// first segment, such as blueprint.ReassignedRoute, which isn't in the plan.
 func (tb *Testbed) routeOf(path string) ids.Name {
 	first, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	for _, route := range tb.Routes {
