--- a/internal/testsupport/simulator/operators.go
+++ b/internal/testsupport/simulator/operators.go
@@ -58,7 +58,7 @@
 		case draw < 8:
 			w.raceRoute(serial)
 		case draw < 9:
-			w.sendChange(w.changes().TargetLevel(fmt.Sprintf("level-%d", serial), serial), nil)
+			w.sendChange(w.changes().ZoneMaximum(fmt.Sprintf("level-%d", serial), serial), nil)
 		case draw < 11:
 			w.flipRoute(serial)
 		default:
@@ -81,7 +81,7 @@
 // flipRoute moves a route between services.
 func (w *World) flipRoute(serial int) {
 	w.operators.routeFlipped = true
-	w.sendChange(w.changes().Flip(fmt.Sprintf("flip-%d", serial)), nil)
+	w.sendChange(w.changes().Reassign(fmt.Sprintf("flip-%d", serial)), nil)
 }
 
 // raceRoute lets two operators change one route from the same version of it. Only one may succeed.
