--- a/internal/testsupport/scaletest/control_api.go
+++ b/internal/testsupport/scaletest/control_api.go
@@ -22,9 +22,9 @@
 	Revision int64 `json:"revision"`
 }
 
-// readyCore counts the registries and voting stores that are ready. The stores
+// countReadyCoreDaemons counts the registries and voting stores that are ready. The stores
 // beyond the voters are learners and not counted.
-func (f *fleet) readyCore() int {
+func (f *fleet) countReadyCoreDaemons() int {
 	stores := f.running(storeRole)
 	ready := 0
 	for _, p := range append(stores[:min(voterCount, len(stores))], f.running(registryRole)...) {
@@ -41,7 +41,7 @@
 }
 
 // isCoreReady tells whether all registries and voting stores are ready.
-func (f *fleet) isCoreReady() bool { return f.readyCore() == voterCount+f.Core }
+func (f *fleet) isCoreReady() bool { return f.countReadyCoreDaemons() == voterCount+f.Core }
 
 // postChange sends a change to one registry after another until one answers. It
 // returns the new revision.
@@ -103,8 +103,8 @@
 	return lags, ok
 }
 
-// readyProxies counts the proxies that are ready.
-func (f *fleet) readyProxies() int {
+// countReadyProxies counts the proxies that are ready.
+func (f *fleet) countReadyProxies() int {
 	ready := 0
 	for _, s := range f.proxyStates() {
 		if s.Ready {
@@ -114,8 +114,8 @@
 	return ready
 }
 
-// areProxiesReady tells whether every proxy is ready.
-func (f *fleet) areProxiesReady() bool { return f.readyProxies() == f.Size.Proxies }
+// allProxiesReady tells whether every proxy is ready.
+func (f *fleet) allProxiesReady() bool { return f.countReadyProxies() == f.Size.Proxies }
 
 // proxyStates returns the states of the proxies of each group that answers.
 func (f *fleet) proxyStates() []ProxyState {
--- a/internal/testsupport/scaletest/fit.go
+++ b/internal/testsupport/scaletest/fit.go
@@ -33,9 +33,9 @@
 	minSizesForFit = 2
 	// minSizesForQuadratic: through three sizes noise looks like a curve.
 	minSizesForQuadratic = 4
-	// quadraticResidualShare is the largest share of the line's unexplained
+	// maxQuadraticResidualRatio is the largest share of the line's unexplained
 	// variance that a quadratic may leave to be chosen in place of the line.
-	quadraticResidualShare = 0.5
+	maxQuadraticResidualRatio = 0.5
 )
 
 // FitPoints fits the points that aren't left out. It returns false if they
@@ -55,7 +55,7 @@
 	best := fitShape(linear, xs, ys)
 	if len(sizes) >= minSizesForQuadratic {
 		curve := fitShape(quadratic, squares, ys)
-		if curve.Slope > 0 && 1-curve.R2 < quadraticResidualShare*(1-best.R2) {
+		if curve.Slope > 0 && 1-curve.R2 < maxQuadraticResidualRatio*(1-best.R2) {
 			best = curve
 		}
 	}
--- a/internal/testsupport/scaletest/fit_test.go
+++ b/internal/testsupport/scaletest/fit_test.go
@@ -10,8 +10,8 @@
 // almostEqual tells whether two numbers differ by rounding only.
 func almostEqual(a, b float64) bool { return math.Abs(a-b) < 1e-6*max(1, math.Abs(b)) }
 
-// points are those of a function at some sizes.
-func points(f func(x float64) float64, xs ...float64) []Point {
+// pointsOf are those of a function at some sizes.
+func pointsOf(f func(x float64) float64, xs ...float64) []Point {
 	var out []Point
 	for _, x := range xs {
 		out = append(out, Point{X: x, Y: f(x)})
@@ -21,7 +21,7 @@
 
 func TestFitPoints_Line(t *testing.T) {
 	is := is.New(t)
-	f, ok := FitPoints(points(func(x float64) float64 { return 3 + 0.5*x }, 10, 20, 40, 80))
+	f, ok := FitPoints(pointsOf(func(x float64) float64 { return 3 + 0.5*x }, 10, 20, 40, 80))
 	is.True(ok)
 	is.Equal(f.Shape, linear)
 	is.Equal(f.PointCount, 4)
@@ -31,27 +31,27 @@
 
 func TestFitPoints_QuadraticNeedsFourSizes(t *testing.T) {
 	is := is.New(t)
-	square2 := func(x float64) float64 { return 2 + x*x/100 }
-	f, ok := FitPoints(points(square2, 10, 20, 40, 80))
+	parabola := func(x float64) float64 { return 2 + x*x/100 }
+	f, ok := FitPoints(pointsOf(parabola, 10, 20, 40, 80))
 	is.True(ok)
 	is.Equal(f.Shape, quadratic)
 	is.True(almostEqual(f.ValueAt(1600), 25602))
 	// Three points are too few to believe a curve.
-	f, ok = FitPoints(points(square2, 10, 20, 40))
+	f, ok = FitPoints(pointsOf(parabola, 10, 20, 40))
 	is.True(ok)
 	is.Equal(f.Shape, linear)
 }
 
-func TestFitPoints_LeavesOutAndNeedsTwoSizes(t *testing.T) {
+func TestFitPoints_ExcludesPointsAndNeedsTwoSizes(t *testing.T) {
 	is := is.New(t)
-	list := append(points(func(x float64) float64 { return x }, 1, 2, 3), Point{X: 4, Y: 1000, LeftOut: true})
-	f, ok := FitPoints(list)
+	withOutlier := append(pointsOf(func(x float64) float64 { return x }, 1, 2, 3), Point{X: 4, Y: 1000, LeftOut: true})
+	f, ok := FitPoints(withOutlier)
 	is.True(ok)
 	is.Equal(f.PointCount, 3)
 	is.True(almostEqual(f.ValueAt(10), 10))
-	_, ok = FitPoints(points(func(float64) float64 { return 1 }, 5, 5))
+	_, ok = FitPoints(pointsOf(func(float64) float64 { return 1 }, 5, 5))
 	is.True(!ok)
-	f, ok = FitPoints(points(func(float64) float64 { return 7 }, 1, 2))
+	f, ok = FitPoints(pointsOf(func(float64) float64 { return 7 }, 1, 2))
 	is.True(ok)
 	is.True(almostEqual(f.ValueAt(99), 7))
 }
--- a/internal/testsupport/scaletest/fleet.go
+++ b/internal/testsupport/scaletest/fleet.go
@@ -46,19 +46,19 @@
 )
 
 // The third numbers of the loopback addresses. Hollow proxies have those from
-// firstProxyNumber, targets those from firstTargetNumber.
+// firstProxyOctet, targets those from firstTargetOctet.
 const (
-	storeNumber       = 1
-	registryNumber    = 2
-	proxyGroupNumber  = 3
-	firstProxyNumber  = 10
-	firstTargetNumber = 200
+	storeOctet       = 1
+	registryOctet    = 2
+	proxyGroupOctet  = 3
+	firstProxyOctet  = 10
+	firstTargetOctet = 200
 )
 
-// coreAddress is the address of a core daemon or proxy group by its third
+// daemonAddress is the address of a core daemon or proxy group by its third
 // number, index and port.
-func coreAddress(block, number, index, port int) string {
-	return fmt.Sprintf("127.%d.%d.%d:%d", block, number, index+1, port)
+func daemonAddress(block, octet, index, port int) string {
+	return fmt.Sprintf("127.%d.%d.%d:%d", block, octet, index+1, port)
 }
 
 // fleet is the processes of one size.
@@ -75,16 +75,16 @@
 	f := &fleet{Options: o, Size: s}
 	var seeds []string
 	for n := range voterCount {
-		seeds = append(seeds, coreAddress(o.LoopbackBlock, storeNumber, n, wirePort))
+		seeds = append(seeds, daemonAddress(o.LoopbackBlock, storeOctet, n, wirePort))
 	}
 	seedList := strings.Join(seeds, ",")
 	for n := range s.Core {
-		p := f.coreProcess(storeRole, storeNumber, n, seedList)
+		p := f.coreProcess(storeRole, storeOctet, n, seedList)
 		p.args = append(p.args, "--bootstrap", "--data", filepath.Join(o.Dir, p.name))
 		f.add(p)
 	}
 	for n := range s.Core {
-		f.add(f.coreProcess(registryRole, registryNumber, n, seedList))
+		f.add(f.coreProcess(registryRole, registryOctet, n, seedList))
 	}
 	for first, n := 0, 0; first < s.Proxies; first, n = first+o.ProxiesPerGroup, n+1 {
 		f.add(f.proxyGroupProcess(first, n, seedList))
@@ -100,13 +100,13 @@
 }
 
 // coreProcess is the nth store or registry.
-func (f *fleet) coreProcess(role string, number, n int, seeds string) *daemonProcess {
+func (f *fleet) coreProcess(role string, octet, n int, seeds string) *daemonProcess {
 	p := &daemonProcess{
 		role: role, name: fmt.Sprintf("%s-%d", role, n+1), daemons: 1,
-		httpAddress: coreAddress(f.LoopbackBlock, number, n, httpPort), program: filepath.Join(f.Bin, role),
+		httpAddress: daemonAddress(f.LoopbackBlock, octet, n, httpPort), program: filepath.Join(f.Bin, role),
 	}
 	p.args = []string{
-		"--name", p.name, "--address", coreAddress(f.LoopbackBlock, number, n, wirePort), "--http", p.httpAddress,
+		"--name", p.name, "--address", daemonAddress(f.LoopbackBlock, octet, n, wirePort), "--http", p.httpAddress,
 		"--cell", string(f.Zone(n)), "--seeds", seeds,
 	}
 	return p
@@ -116,7 +116,7 @@
 func (f *fleet) proxyGroupProcess(first, n int, seeds string) *daemonProcess {
 	p := &daemonProcess{
 		role: proxyRole, name: fmt.Sprintf("crew-%d", n+1), daemons: min(f.ProxiesPerGroup, f.Proxies-first),
-		httpAddress: coreAddress(f.LoopbackBlock, proxyGroupNumber, n, httpPort), program: f.ProxyGroupBinary,
+		httpAddress: daemonAddress(f.LoopbackBlock, proxyGroupOctet, n, httpPort), program: f.ProxyGroupBinary,
 	}
 	p.args = []string{
 		"crew", "--first", fmt.Sprint(first), "--count", fmt.Sprint(p.daemons), "--cells", fmt.Sprint(f.Zones),
--- a/internal/testsupport/scaletest/hollow_proxy.go
+++ b/internal/testsupport/scaletest/hollow_proxy.go
@@ -17,14 +17,14 @@
 // tickInterval is that of a real proxy.
 const tickInterval = 50 * time.Millisecond
 
-// proxiesPerAddressRange is how many proxies share the third number of their
+// proxiesPerSubnet is how many proxies share the third number of their
 // loopback addresses.
-const proxiesPerAddressRange = 200
+const proxiesPerSubnet = 200
 
-// hollowProxy is the control state machine of one proxy with its transport. It
+// simulatedProxy is the control state machine of one proxy with its transport. It
 // has no HTTP server, no dispatchers and no connections to targets.
-type hollowProxy struct {
-	owner     *process.EventLoop
+type simulatedProxy struct {
+	eventLoop *process.EventLoop
 	transport *process.Transport
 	// mu guards status, which is also read by the group's HTTP server.
 	mu     sync.Mutex
@@ -44,11 +44,11 @@
 
 // proxyAddress is the address of the nth proxy.
 func proxyAddress(block, n int) ids.Address {
-	return ids.Address(fmt.Sprintf("127.%d.%d.%d:%d", block, firstProxyNumber+n/proxiesPerAddressRange, n%proxiesPerAddressRange+1, wirePort))
+	return ids.Address(fmt.Sprintf("127.%d.%d.%d:%d", block, firstProxyOctet+n/proxiesPerSubnet, n%proxiesPerSubnet+1, wirePort))
 }
 
-// newHollowProxy makes the nth proxy of a fleet, which knows only itself and its seeds.
-func newHollowProxy(o ProxyGroupOptions, n int, seeds []ids.Address, log *process.Log, stats *process.TrafficStats) *hollowProxy {
+// newSimulatedProxy makes the nth proxy of a fleet, which knows only itself and its seeds.
+func newSimulatedProxy(o ProxyGroupOptions, n int, seeds []ids.Address, log *process.Log, stats *process.TrafficStats) *simulatedProxy {
 	address := proxyAddress(o.Block, n)
 	self := membership.Member{
 		ID: ids.DaemonID(fmt.Sprintf("proxy-%d", n+1)), Role: membership.Proxy, Address: address, HTTPAddress: address,
@@ -59,36 +59,36 @@
 		controlOptions = proxy.ControlOptions{Lease: proxy.UnlimitedLease, SlotLayout: proxy.SlotLayout{ByZone: true}}
 	}
 	control := proxy.New(membership.Options{Self: self, Seeds: seeds, Incremental: o.Thrifty}, controlOptions)
-	h := &hollowProxy{serviceStates: map[ids.Name]dispatch.ServiceState{}}
-	h.transport = &process.Transport{
+	p := &simulatedProxy{serviceStates: map[ids.Name]dispatch.ServiceState{}}
+	p.transport = &process.Transport{
 		Address: address, Log: log, Stats: stats,
-		Deliver: func(from ids.Address, msg any) { h.owner.Offer(event.Received{From: from, Message: msg}) },
+		Deliver: func(from ids.Address, msg any) { p.eventLoop.Offer(event.Received{From: from, Message: msg}) },
 	}
-	h.owner = process.NewEventLoop(control, tickInterval, h.execute)
-	return h
+	p.eventLoop = process.NewEventLoop(control, tickInterval, p.execute)
+	return p
 }
 
 // execute carries out a command of the control state machine as a real proxy
 // does, except for those that concern requests.
-func (h *hollowProxy) execute(c event.Command) {
+func (p *simulatedProxy) execute(c event.Command) {
 	switch c := c.(type) {
 	case event.Send:
-		h.transport.Send(c.To, c.Message)
+		p.transport.Send(c.To, c.Message)
 	case proxy.DispatchEvent:
 		if state, ok := c.Event.(dispatch.ServiceState); ok {
-			h.serviceStates[c.Service] = state
+			p.serviceStates[c.Service] = state
 		}
 	case proxy.UpdateRoutes:
-		h.mu.Lock()
-		h.status.revision, h.status.configurationChangedAt = c.View.Revision, time.Now()
-		h.mu.Unlock()
+		p.mu.Lock()
+		p.status.revision, p.status.configurationChangedAt = c.View.Revision, time.Now()
+		p.mu.Unlock()
 	case proxy.ServingState:
-		h.mu.Lock()
-		if h.status.ready != c.Ready || h.status.leaseValid != c.LeaseValid {
-			h.status.servingStateChangedAt = time.Now()
+		p.mu.Lock()
+		if p.status.ready != c.Ready || p.status.leaseValid != c.LeaseValid {
+			p.status.servingStateChangedAt = time.Now()
 		}
-		h.status.ready, h.status.leaseValid = c.Ready, c.LeaseValid
-		h.mu.Unlock()
+		p.status.ready, p.status.leaseValid = c.Ready, c.LeaseValid
+		p.mu.Unlock()
 	}
 }
 
@@ -104,11 +104,11 @@
 }
 
 // state is safe to be called from any goroutine.
-func (h *hollowProxy) state() ProxyState {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+func (p *simulatedProxy) state() ProxyState {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	return ProxyState{
-		Ready: h.status.ready, LeaseValid: h.status.leaseValid, Revision: int64(h.status.revision),
-		ConfigurationChangedAt: h.status.configurationChangedAt.UnixNano(), ServingStateChangedAt: h.status.servingStateChangedAt.UnixNano(),
+		Ready: p.status.ready, LeaseValid: p.status.leaseValid, Revision: int64(p.status.revision),
+		ConfigurationChangedAt: p.status.configurationChangedAt.UnixNano(), ServingStateChangedAt: p.status.servingStateChangedAt.UnixNano(),
 	}
 }
--- a/internal/testsupport/scaletest/measurement.go
+++ b/internal/testsupport/scaletest/measurement.go
@@ -88,7 +88,7 @@
 		"dunlinwell_wire_bytes_total":    func(t *traffic, v float64) { t.bytes += v },
 	} {
 		for _, m := range families[name].GetMetric() {
-			k := trafficKey{label(m, "way"), label(m, "kind")}
+			k := trafficKey{labelValue(m, "way"), labelValue(m, "kind")}
 			t := u.traffic[k]
 			add(&t, m.GetCounter().GetValue())
 			u.traffic[k] = t
@@ -99,7 +99,7 @@
 	}
 }
 
-func label(m *dto.Metric, name string) string {
+func labelValue(m *dto.Metric, name string) string {
 	for _, l := range m.GetLabel() {
 		if l.GetName() == name {
 			return l.GetValue()
@@ -110,7 +110,7 @@
 
 // measure measures every role. Scraping costs the processes CPU time, so CPU
 // times are read after it where a phase begins, and before it where one ends.
-func (f *fleet) measure(begins bool) map[string]*measurement {
+func (f *fleet) measure(atPhaseStart bool) map[string]*measurement {
 	out := map[string]*measurement{}
 	for _, role := range roles {
 		m := &measurement{processes: map[string]*processUsage{}}
@@ -122,7 +122,7 @@
 			func(p *daemonProcess) { m.processes[p.name].scrapeMetrics(p) },
 			func(p *daemonProcess) { m.processes[p.name].readProc(f.pid(p)) },
 		}
-		if !begins {
+		if !atPhaseStart {
 			slices.Reverse(steps)
 		}
 		for _, step := range steps {
--- a/internal/testsupport/scaletest/phases.go
+++ b/internal/testsupport/scaletest/phases.go
@@ -7,13 +7,13 @@
 
 // The phases of a run, in their order; the names stand in reports.
 const (
-	startPhase        = "start"
-	policyPhase       = "policy"
-	targetsPhase      = "targets"
-	steadyPhase       = "steady"
-	changePhase       = "change"
-	registryLostPhase = "registry-lost"
-	proxiesBackPhase  = "proxies-back"
+	startPhase           = "start"
+	configurationPhase   = "policy"
+	targetsPhase         = "targets"
+	steadyPhase          = "steady"
+	changePhase          = "change"
+	registryRestartPhase = "registry-lost"
+	proxyRestartPhase    = "proxies-back"
 )
 
 const (
@@ -27,8 +27,8 @@
 	// suspicion lasts about a second.
 	registryDowntime = 5 * time.Second
 	pollInterval     = 100 * time.Millisecond
-	// changesPerProgressLine keeps the progress of a large configuration short.
-	changesPerProgressLine = 10
+	// changesPerProgressMessage keeps the progress of a large configuration short.
+	changesPerProgressMessage = 10
 )
 
 // phaseStep is a phase to be run: run sets the phase's Completed, Note and Lag.
@@ -40,12 +40,12 @@
 func (r *sizeRun) steps() []phaseStep {
 	return []phaseStep{
 		{startPhase, r.awaitStart},
-		{policyPhase, r.loadConfiguration},
-		{targetsPhase, r.announceTargets},
+		{configurationPhase, r.loadConfiguration},
+		{targetsPhase, r.startHeartbeats},
 		{steadyPhase, r.steadyState},
 		{changePhase, r.applyChanges},
-		{registryLostPhase, r.restartRegistry},
-		{proxiesBackPhase, r.restartProxies},
+		{registryRestartPhase, r.restartRegistry},
+		{proxyRestartPhase, r.restartProxies},
 	}
 }
 
@@ -55,7 +55,7 @@
 	_, phase.Completed = waitUntil(r.ctx, r.PhaseTimeout, pollInterval, func() bool {
 		return len(r.proxyStates()) == r.Size.Proxies && r.isCoreReady()
 	})
-	phase.Note = fmt.Sprintf("%d core daemons ready", r.readyCore())
+	phase.Note = fmt.Sprintf("%d core daemons ready", r.countReadyCoreDaemons())
 }
 
 // loadConfiguration sends the whole configuration, change by change, and waits
@@ -81,7 +81,7 @@
 		r.revision, slowest = revision, max(slowest, elapsed)
 		r.result.ConfigurationBytes += len(change)
 		r.result.Items += min(maxItemsPerChange, r.Zones+r.Services+r.Routes+r.Tenants-r.result.Items)
-		if (i+1)%changesPerProgressLine == 0 {
+		if (i+1)%changesPerProgressMessage == 0 {
 			r.Progress(fmt.Sprintf("  policy: %d of %d changes, the last took %.2f s", i+1, len(changes), elapsed.Seconds()))
 		}
 	}
@@ -90,26 +90,26 @@
 	phase.Note = fmt.Sprintf("%d items, %d bytes, slowest change %.2f s, %d proxies have the last", r.result.Items, r.result.ConfigurationBytes, slowest.Seconds(), len(lags))
 }
 
-// announceTargets starts the targets' heartbeats, which go on to the end of the
+// startHeartbeats starts the targets' heartbeats, which go on to the end of the
 // run, and waits until all proxies are ready.
-func (r *sizeRun) announceTargets(phase *Phase) {
-	go r.targets.run(r.ctx)
+func (r *sizeRun) startHeartbeats(phase *Phase) {
+	go r.heartbeats.run(r.ctx)
 	_, phase.Completed = waitUntil(r.ctx, r.PhaseTimeout, pollInterval, func() bool {
-		return int(r.targets.acknowledged.Load()) >= r.Size.Targets && r.areProxiesReady()
+		return int(r.heartbeats.acknowledged.Load()) >= r.Size.Targets && r.allProxiesReady()
 	})
-	sleepContext(r.ctx, settlingTime, settlingTime, func() {})
-	phase.Note = fmt.Sprintf("%d announcements answered, %d failed; %d proxies ready", r.targets.acknowledged.Load(), r.targets.failed.Load(), r.readyProxies())
+	pollFor(r.ctx, settlingTime, settlingTime, func() {})
+	phase.Note = fmt.Sprintf("%d announcements answered, %d failed; %d proxies ready", r.heartbeats.acknowledged.Load(), r.heartbeats.failed.Load(), r.countReadyProxies())
 }
 
 // steadyState measures a fleet in which nothing happens but heartbeats and reports.
 func (r *sizeRun) steadyState(phase *Phase) {
-	fewestReady := r.Size.Proxies
-	before := r.targets.acknowledged.Load()
-	sleepContext(r.ctx, r.PhaseDuration, r.PhaseDuration/4, func() { fewestReady = min(fewestReady, r.readyProxies()) })
+	minReady := r.Size.Proxies
+	before := r.heartbeats.acknowledged.Load()
+	pollFor(r.ctx, r.PhaseDuration, r.PhaseDuration/4, func() { minReady = min(minReady, r.countReadyProxies()) })
 	phase.Completed = r.ctx.Err() == nil
-	acknowledged := r.targets.acknowledged.Load() - before
-	wanted := r.PhaseDuration.Seconds() / r.AnnounceInterval.Seconds() * float64(r.Size.Targets)
-	phase.Note = fmt.Sprintf("%d proxies ready at least, %d announcements answered (%.0f wanted)", fewestReady, acknowledged, wanted)
+	acknowledged := r.heartbeats.acknowledged.Load() - before
+	expected := r.PhaseDuration.Seconds() / r.AnnounceInterval.Seconds() * float64(r.Size.Targets)
+	phase.Note = fmt.Sprintf("%d proxies ready at least, %d announcements answered (%.0f wanted)", minReady, acknowledged, expected)
 }
 
 // applyChanges makes changes of one route each, and awaits each at every proxy.
@@ -129,7 +129,7 @@
 			return
 		}
 	}
-	sleepContext(r.ctx, changeSettlingTime, time.Second, func() {})
+	pollFor(r.ctx, changeSettlingTime, time.Second, func() {})
 	phase.Lag, phase.Completed = newLag(allLags), r.ctx.Err() == nil
 	phase.Note = fmt.Sprintf("%d changes", r.Changes)
 }
@@ -139,15 +139,15 @@
 func (r *sizeRun) restartRegistry(phase *Phase) {
 	p := r.running(registryRole)[0]
 	r.kill(p)
-	fewestReady := r.Size.Proxies
-	sleepContext(r.ctx, registryDowntime, pollInterval, func() { fewestReady = min(fewestReady, r.readyProxies()) })
+	minReady := r.Size.Proxies
+	pollFor(r.ctx, registryDowntime, pollInterval, func() { minReady = min(minReady, r.countReadyProxies()) })
 	if err := r.start(p); err != nil {
 		phase.Note = err.Error()
 		return
 	}
-	elapsed, ok := waitUntil(r.ctx, r.PhaseTimeout, pollInterval, func() bool { return r.isCoreReady() && r.areProxiesReady() })
+	elapsed, ok := waitUntil(r.ctx, r.PhaseTimeout, pollInterval, func() bool { return r.isCoreReady() && r.allProxiesReady() })
 	phase.Completed = ok
-	phase.Note = fmt.Sprintf("%d proxies ready at least; whole %.1f s after the registry came back", fewestReady, elapsed.Seconds())
+	phase.Note = fmt.Sprintf("%d proxies ready at least; whole %.1f s after the registry came back", minReady, elapsed.Seconds())
 }
 
 // restartProxies kills all proxies at once, and starts them at once.
@@ -158,7 +158,7 @@
 		phase.Note = err.Error()
 		return
 	}
-	elapsed, ok := waitUntil(r.ctx, r.PhaseTimeout, pollInterval, r.areProxiesReady)
+	elapsed, ok := waitUntil(r.ctx, r.PhaseTimeout, pollInterval, r.allProxiesReady)
 	var lags []time.Duration
 	for _, s := range r.proxyStates() {
 		if s.Ready {
--- a/internal/testsupport/scaletest/proxy_group.go
+++ b/internal/testsupport/scaletest/proxy_group.go
@@ -40,7 +40,7 @@
 type ProxyGroup struct {
 	ProxyGroupOptions
 	traffic process.TrafficStats
-	proxies []*hollowProxy
+	proxies []*simulatedProxy
 }
 
 // NewProxyGroup makes the proxies; Run starts them.
@@ -52,7 +52,7 @@
 	}
 	log := process.NewLog("error", "hollow")
 	for n := o.First; n < o.First+o.Count; n++ {
-		g.proxies = append(g.proxies, newHollowProxy(o, n, seeds, log, &g.traffic))
+		g.proxies = append(g.proxies, newSimulatedProxy(o, n, seeds, log, &g.traffic))
 	}
 	return g
 }
@@ -65,7 +65,7 @@
 		if err != nil {
 			return err
 		}
-		supervisor.Add(p.owner)
+		supervisor.Add(p.eventLoop)
 		supervisor.Add(daemon.NewTask("post", func(ctx context.Context) error { return p.transport.Serve(ctx, listener) }))
 	}
 	supervisor.Add(daemon.NewTask("reports", g.reportUsage))
@@ -108,7 +108,7 @@
 		for i := range g.Rows {
 			sample.Rows = append(sample.Rows, spill.ServiceUsage{Route: routeName(i), Service: "service-1", CPU: rand.Float64() * 10})
 		}
-		g.proxies[n%g.Count].owner.Offer(sample)
+		g.proxies[n%g.Count].eventLoop.Offer(sample)
 	}
 }
 
--- a/internal/testsupport/scaletest/requirements.go
+++ b/internal/testsupport/scaletest/requirements.go
@@ -40,8 +40,8 @@
 	maxProcesses = 300
 	// maxProxies is how many proxies have a loopback address of their own.
 	maxProxies = 20000
-	// maxCores is how many core machines have loopback addresses of their own.
-	maxCores = 200
+	// maxCoreMachines is how many core machines have loopback addresses of their own.
+	maxCoreMachines = 200
 	// idleProcessBytes is the memory of a process that has nothing to do yet.
 	idleProcessBytes = 24 * mib
 	// connectionBytes is the memory of each end of a connection.
@@ -54,17 +54,17 @@
 	// table or the service states made of it).
 	bytesPerMember = 2 << 10
 	bytesPerTarget = 2 << 10
-	// copiesOfConfiguration is how many bytes each daemon holds for each byte of
+	// configurationMemoryFactor is how many bytes each daemon holds for each byte of
 	// the configuration: the register and the view made of it.
-	copiesOfConfiguration = 8
+	configurationMemoryFactor = 8
 	// bytesPerPushedTarget is what a registry keeps for each pair of a proxy and
 	// a target that it has pushed to that proxy.
 	bytesPerPushedTarget = 160
-	// heapOverhead is how far a heap may outgrow what it holds before the next
+	// heapGrowthFactor is how far a heap may outgrow what it holds before the next
 	// garbage collection (GOGC=100 doubles it).
-	heapOverhead = 2
-	// spareDescriptors cover listeners, logs, databases and the runtime's own.
-	spareDescriptors = 256
+	heapGrowthFactor = 2
+	// baseDescriptors cover listeners, logs, databases and the runtime's own.
+	baseDescriptors = 256
 )
 
 // RequirementsOf estimates what a fleet takes, with so many proxies in a process.
@@ -72,14 +72,14 @@
 	configuration := uint64(s.ConfigurationBytes())
 	members, targets, proxies, core := uint64(s.Proxies+2*s.Core), uint64(s.Targets), uint64(s.Proxies), uint64(s.Core)
 	connections := min(2*members, maxProxyConnections)
-	daemonBytes := members*bytesPerMember + targets*bytesPerTarget + configuration*copiesOfConfiguration
+	daemonBytes := members*bytesPerMember + targets*bytesPerTarget + configuration*configurationMemoryFactor
 	groups := (s.Proxies + proxiesPerGroup - 1) / proxiesPerGroup
 	r := Requirements{Processes: groups + 2*s.Core}
-	r.ProxyGroups = uint64(groups)*idleProcessBytes + proxies*(heapOverhead*daemonBytes+connections*connectionBytes)
-	r.Registries = core * (idleProcessBytes + heapOverhead*(daemonBytes+proxies*targets*bytesPerPushedTarget) + 2*members*connectionBytes)
+	r.ProxyGroups = uint64(groups)*idleProcessBytes + proxies*(heapGrowthFactor*daemonBytes+connections*connectionBytes)
+	r.Registries = core * (idleProcessBytes + heapGrowthFactor*(daemonBytes+proxies*targets*bytesPerPushedTarget) + 2*members*connectionBytes)
 	// Each write of the register holds its old and its new value, and a frame of each.
-	r.Stores = core * (idleProcessBytes + heapOverhead*(daemonBytes+4*configuration) + 2*members*connectionBytes)
-	r.Descriptors = max(uint64(min(proxiesPerGroup, s.Proxies))*(connections+1), 4*members) + spareDescriptors
+	r.Stores = core * (idleProcessBytes + heapGrowthFactor*(daemonBytes+4*configuration) + 2*members*connectionBytes)
+	r.Descriptors = max(uint64(min(proxiesPerGroup, s.Proxies))*(connections+1), 4*members) + baseDescriptors
 	return r
 }
 
--- a/internal/testsupport/scaletest/result_test.go
+++ b/internal/testsupport/scaletest/result_test.go
@@ -10,9 +10,9 @@
 func TestNewLag_Percentiles(t *testing.T) {
 	is := is.New(t)
 	is.Equal(newLag(nil), Lag{})
-	var list []time.Duration
+	var durations []time.Duration
 	for n := range 200 {
-		list = append(list, time.Duration(200-n)*time.Millisecond)
+		durations = append(durations, time.Duration(200-n)*time.Millisecond)
 	}
-	is.Equal(newLag(list), Lag{P50: 101, P99: 199, Max: 200})
+	is.Equal(newLag(durations), Lag{P50: 101, P99: 199, Max: 200})
 }
--- a/internal/testsupport/scaletest/run.go
+++ b/internal/testsupport/scaletest/run.go
@@ -52,8 +52,8 @@
 	*fleet
 	result *Run
 	// ctx ends with the caller's, or when the fleet outgrows its memory.
-	ctx     context.Context
-	targets *targets
+	ctx        context.Context
+	heartbeats *heartbeatSender
 	// revision is that of the last accepted change.
 	revision int64
 }
@@ -76,7 +76,7 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	go f.enforceMemoryLimit(ctx, cancel)
-	r := &sizeRun{fleet: f, result: &result, ctx: ctx, targets: newTargets(f)}
+	r := &sizeRun{fleet: f, result: &result, ctx: ctx, heartbeats: newHeartbeatSender(f)}
 	for _, step := range r.steps() {
 		phase := r.runPhase(step)
 		result.Phases = append(result.Phases, phase)
@@ -158,9 +158,9 @@
 	}
 }
 
-// sleepContext waits for a duration, or less if the context ends; poll is called at
+// pollFor waits for a duration, or less if the context ends; poll is called at
 // each interval in between.
-func sleepContext(ctx context.Context, duration, interval time.Duration, poll func()) {
+func pollFor(ctx context.Context, duration, interval time.Duration, poll func()) {
 	_, _ = waitUntil(ctx, duration, interval, func() bool {
 		poll()
 		return false
--- a/internal/testsupport/scaletest/saturation.go
+++ b/internal/testsupport/scaletest/saturation.go
@@ -6,9 +6,9 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// saturationShare is the share of the machine's cores, or of the threads that
+// saturationThreshold is the share of the machine's cores, or of the threads that
 // one process may use, above which a run measures the machine and not the fleet.
-const saturationShare = 0.85
+const saturationThreshold = 0.85
 
 // maxSuspicionsPerSecond is how many suspicions a proxy may send in a second
 // while its fleet still counts as at rest.
@@ -30,24 +30,24 @@
 	return sum
 }
 
-// isAtRest tells whether a fleet that should be at rest suspects nobody; other
+// isStable tells whether a fleet that should be at rest suspects nobody; other
 // phases break something, so that suspicions are due.
-func (p Phase) isAtRest() bool {
+func (p Phase) isStable() bool {
 	return p.Name != steadyPhase && p.Name != changePhase || p.SuspicionsPerSecond() <= maxSuspicionsPerSecond
 }
 
 // saturated tells whether a phase measured a saturated machine or a fleet that
 // doesn't keep up, and so not what a fleet costs.
 func saturated(r Run, p Phase) bool {
-	if !p.isAtRest() {
+	if !p.isStable() {
 		return true
 	}
 	totalCPU := 0.0
 	for _, u := range p.Usages {
 		totalCPU += u.CPUPercent * float64(u.Daemons)
-		if u.LostMessages > 0 || u.BusiestProcessCPUPercent > saturationShare*100*float64(r.Threads) {
+		if u.LostMessages > 0 || u.BusiestProcessCPUPercent > saturationThreshold*100*float64(r.Threads) {
 			return true
 		}
 	}
-	return totalCPU > saturationShare*100*float64(r.Cores)
+	return totalCPU > saturationThreshold*100*float64(r.Cores)
 }
--- a/internal/testsupport/scaletest/scaletest_test.go
+++ b/internal/testsupport/scaletest/scaletest_test.go
@@ -25,43 +25,43 @@
 	if err != nil {
 		t.Fatal(err, string(out))
 	}
-	p := Options{
+	options := Options{
 		Sizes: []Size{small}, Bin: bin, ProxyGroupBinary: filepath.Join(bin, "testbed"), Dir: filepath.Join(t.TempDir(), "fleet"), Thrifty: true, ProxiesPerGroup: 4,
 		PhaseDuration: 2 * time.Second, PhaseTimeout: 30 * time.Second, AnnounceInterval: 500 * time.Millisecond, UsageRows: 3, Changes: 2, LoopbackBlock: 250 + os.Getpid()%4, Progress: func(s string) { t.Log(s) },
 	}
-	runs, err := RunSizes(t.Context(), p)
+	runs, err := RunSizes(t.Context(), options)
 	is.NoErr(err)
 	is.Equal(len(runs), 1)
 	is.Equal(runs[0].Stopped, "")
 	is.Equal(len(runs[0].Phases), 7)
-	for _, ph := range runs[0].Phases {
-		is.True(ph.Completed)
+	for _, phase := range runs[0].Phases {
+		is.True(phase.Completed)
 	}
 	steady, ok := runs[0].CompletedPhase("steady")
 	is.True(ok)
 	for _, role := range roles {
-		s, ok := steady.UsageOf(role)
+		usage, ok := steady.UsageOf(role)
 		is.True(ok)
-		is.True(s.CPUPercent > 0)
-		is.True(s.MemoryMB > 0)
-		is.True(s.SentBytesPerSecond > 0)
-		is.True(s.ReceivedBytesPerSecond > 0)
-		is.True(len(s.Kinds) > 0)
+		is.True(usage.CPUPercent > 0)
+		is.True(usage.MemoryMB > 0)
+		is.True(usage.SentBytesPerSecond > 0)
+		is.True(usage.ReceivedBytesPerSecond > 0)
+		is.True(len(usage.Kinds) > 0)
 	}
-	c, _ := steady.UsageOf("proxy")
-	is.Equal(c.Daemons, small.Proxies)
-	back, _ := runs[0].CompletedPhase("proxies-back")
-	is.True(back.Lag.Max >= back.Lag.P50)
-	r := Report{Runs: runs, Slopes: FitSlopes(runs)}
+	proxyUsage, _ := steady.UsageOf("proxy")
+	is.Equal(proxyUsage.Daemons, small.Proxies)
+	restarted, _ := runs[0].CompletedPhase("proxies-back")
+	is.True(restarted.Lag.Max >= restarted.Lag.P50)
+	report := Report{Runs: runs, Slopes: FitSlopes(runs)}
 	dir := t.TempDir()
-	is.NoErr(r.Save(dir))
+	is.NoErr(report.Save(dir))
 	raw, err := os.ReadFile(filepath.Join(dir, "hollow.json"))
 	is.NoErr(err)
-	var again Report
-	is.NoErr(json.Unmarshal(raw, &again))
-	is.Equal(again.Runs[0].Size, small)
+	var decoded Report
+	is.NoErr(json.Unmarshal(raw, &decoded))
+	is.Equal(decoded.Runs[0].Size, small)
 	var table strings.Builder
-	is.NoErr(r.WriteTables(&table))
+	is.NoErr(report.WriteTables(&table))
 	is.True(strings.Contains(table.String(), "distribution.Ack"))
 }
 
--- a/internal/testsupport/scaletest/size.go
+++ b/internal/testsupport/scaletest/size.go
@@ -27,8 +27,8 @@
 // axes are the parts of a size, by the names of their flags, in the order in
 // which Axis looks for the one that varies.
 var axes = []struct {
-	name string
-	of   func(*Size) *int
+	name  string
+	field func(*Size) *int
 }{
 	{"proxies", func(s *Size) *int { return &s.Proxies }},
 	{"targets", func(s *Size) *int { return &s.Targets }},
@@ -41,10 +41,10 @@
 }
 
 // Axis is the name of the first part that varies over the sizes; proxies if none does.
-func Axis(list []Size) string {
+func Axis(sizes []Size) string {
 	for _, a := range axes {
-		for i := range list {
-			if *a.of(&list[i]) != *a.of(&list[0]) {
+		for i := range sizes {
+			if *a.field(&sizes[i]) != *a.field(&sizes[0]) {
 				return a.name
 			}
 		}
@@ -56,7 +56,7 @@
 func (s Size) Along(axis string) float64 {
 	for _, a := range axes {
 		if a.name == axis {
-			return float64(*a.of(&s))
+			return float64(*a.field(&s))
 		}
 	}
 	return 0
@@ -66,15 +66,15 @@
 // no sense on any machine.
 func (s Size) check() error {
 	for _, a := range axes {
-		n, least := *a.of(&s), 1
+		n, minimum := *a.field(&s), 1
 		switch a.name {
 		case "targets", "tenants":
-			least = 0
+			minimum = 0
 		case "core":
-			least = voterCount
+			minimum = voterCount
 		}
-		if n < least {
-			return fmt.Errorf("--%s: must be at least %d", a.name, least)
+		if n < minimum {
+			return fmt.Errorf("--%s: must be at least %d", a.name, minimum)
 		}
 	}
 	switch {
@@ -84,8 +84,8 @@
 		return fmt.Errorf("--services: there can't be more than the %d routes that lead to them", s.Routes)
 	case s.Proxies > maxProxies:
 		return fmt.Errorf("--proxies: at most %d have addresses of their own", maxProxies)
-	case s.Core > maxCores:
-		return fmt.Errorf("--core: at most %d have addresses of their own", maxCores)
+	case s.Core > maxCoreMachines:
+		return fmt.Errorf("--core: at most %d have addresses of their own", maxCoreMachines)
 	}
 	return nil
 }
@@ -108,12 +108,12 @@
 }
 
 // maximumSize is the size with the largest of each part.
-func maximumSize(list []Size) Size {
-	out := list[0]
+func maximumSize(sizes []Size) Size {
+	out := sizes[0]
 	for _, a := range axes {
-		for i := range list {
-			p := a.of(&out)
-			*p = slices.Max([]int{*p, *a.of(&list[i])})
+		for i := range sizes {
+			p := a.field(&out)
+			*p = slices.Max([]int{*p, *a.field(&sizes[i])})
 		}
 	}
 	return out
--- a/internal/testsupport/scaletest/size_flags.go
+++ b/internal/testsupport/scaletest/size_flags.go
@@ -16,8 +16,8 @@
 }
 
 // Sizes gives one size a run, or says which list doesn't fit the others.
-func (l SizeFlags) Sizes() ([]Size, error) {
-	lists := [][]int{l.Proxies, l.Targets, l.Services, l.Routes, l.Tenants, l.Zones, l.Regions, l.Core}
+func (f SizeFlags) Sizes() ([]Size, error) {
+	lists := [][]int{f.Proxies, f.Targets, f.Services, f.Routes, f.Tenants, f.Zones, f.Regions, f.Core}
 	runs := 1
 	for _, list := range lists {
 		runs = max(runs, len(list))
@@ -28,7 +28,7 @@
 			return nil, fmt.Errorf("--%s: has %d numbers, where others have %d", axes[i].name, len(list), runs)
 		}
 		for n := range out {
-			*axes[i].of(&out[n]) = list[min(n, len(list)-1)]
+			*axes[i].field(&out[n]) = list[min(n, len(list)-1)]
 		}
 	}
 	for _, s := range out {
--- a/internal/testsupport/scaletest/size_test.go
+++ b/internal/testsupport/scaletest/size_test.go
@@ -8,21 +8,21 @@
 )
 
 func validFlags() SizeFlags {
-	one := func(n int) []int { return []int{n} }
-	return SizeFlags{one(10), one(20), one(3), one(5), one(0), one(6), one(3), one(3)}
+	single := func(n int) []int { return []int{n} }
+	return SizeFlags{single(10), single(20), single(3), single(5), single(0), single(6), single(3), single(3)}
 }
 
 func TestSizeFlags_Sizes(t *testing.T) {
 	is := is.New(t)
-	l := validFlags()
-	l.Proxies, l.Targets = []int{10, 20, 40}, []int{30, 60, 120}
-	got, err := l.Sizes()
+	flags := validFlags()
+	flags.Proxies, flags.Targets = []int{10, 20, 40}, []int{30, 60, 120}
+	got, err := flags.Sizes()
 	is.NoErr(err)
 	is.Equal(len(got), 3)
 	is.Equal(got[1], Size{Proxies: 20, Targets: 60, Services: 3, Routes: 5, Zones: 6, Regions: 3, Core: 3})
 	is.Equal(Axis(got), "proxies")
-	l.Proxies = []int{10}
-	got, err = l.Sizes()
+	flags.Proxies = []int{10}
+	got, err = flags.Sizes()
 	is.NoErr(err)
 	is.Equal(Axis(got), "targets")
 	is.Equal(Axis(got[:1]), "proxies")
@@ -31,7 +31,7 @@
 }
 
 func TestSizeFlags_InvalidSizeNamesItsFlag(t *testing.T) {
-	for flag, spoil := range map[string]func(*SizeFlags){
+	for flag, invalidate := range map[string]func(*SizeFlags){
 		"--targets":  func(l *SizeFlags) { l.Proxies, l.Targets = []int{1, 2, 3}, []int{1, 2} },
 		"--proxies":  func(l *SizeFlags) { l.Proxies = []int{0} },
 		"--tenants":  func(l *SizeFlags) { l.Tenants = []int{-1} },
@@ -41,9 +41,9 @@
 	} {
 		t.Run(flag, func(t *testing.T) {
 			is := is.New(t)
-			l := validFlags()
-			spoil(&l)
-			_, err := l.Sizes()
+			flags := validFlags()
+			invalidate(&flags)
+			_, err := flags.Sizes()
 			is.True(err != nil)
 			is.True(strings.HasPrefix(err.Error(), flag+":"))
 		})
--- a/internal/testsupport/scaletest/slopes.go
+++ b/internal/testsupport/scaletest/slopes.go
@@ -21,7 +21,7 @@
 var measures = []struct {
 	name   string
 	budget float64
-	of     func(u Usage) float64
+	value  func(u Usage) float64
 }{
 	{"CPU, % of a core", 1.7, func(u Usage) float64 { return u.CPUPercent }},
 	{"memory, MB", 64, func(u Usage) float64 { return u.MemoryMB }},
@@ -32,8 +32,8 @@
 
 // changeMeasures are the costs of one configuration change to one daemon.
 var changeMeasures = []struct {
-	name string
-	of   func(u Usage) float64
+	name  string
+	value func(u Usage) float64
 }{
 	// A percent of a core over a second is 10 ms.
 	{"one change: CPU ms", func(u Usage) float64 { return 10 * u.CPUPercent * u.Seconds }},
@@ -45,7 +45,7 @@
 
 // fittedPhases are the phases whose costs are fitted: those before them fill the
 // fleet, and depend on the speed of this machine.
-var fittedPhases = []string{steadyPhase, changePhase, registryLostPhase, proxiesBackPhase}
+var fittedPhases = []string{steadyPhase, changePhase, registryRestartPhase, proxyRestartPhase}
 
 // FitSlopes fits every measure of every role and phase over the runs. Measures
 // without any point are left out.
@@ -98,7 +98,7 @@
 				continue
 			}
 			if usage, ok := p.UsageOf(role); ok {
-				s.Points = append(s.Points, Point{r.Size.Along(axis), m.of(usage), saturated(r, p)})
+				s.Points = append(s.Points, Point{r.Size.Along(axis), m.value(usage), saturated(r, p)})
 			}
 		}
 		slopes = append(slopes, s.withFit())
@@ -113,14 +113,14 @@
 		for _, m := range changeMeasures {
 			s := newSlope(changePhase, role, m.name, axis)
 			for _, r := range runs {
-				change, changed := r.CompletedPhase(changePhase)
-				steady, rested := r.CompletedPhase(steadyPhase)
-				if !changed || !rested || r.Changes == 0 {
+				change, hasChange := r.CompletedPhase(changePhase)
+				steady, hasSteady := r.CompletedPhase(steadyPhase)
+				if !hasChange || !hasSteady || r.Changes == 0 {
 					continue
 				}
 				during, _ := change.UsageOf(role)
 				baseline, _ := steady.UsageOf(role)
-				cost := m.of(during) - m.of(baseline)*during.Seconds/baseline.Seconds
+				cost := m.value(during) - m.value(baseline)*during.Seconds/baseline.Seconds
 				s.Points = append(s.Points, Point{r.Size.Along(axis), cost / float64(r.Changes), saturated(r, change) || saturated(r, steady)})
 			}
 			slopes = append(slopes, s.withFit())
--- a/internal/testsupport/scaletest/slopes_test.go
+++ b/internal/testsupport/scaletest/slopes_test.go
@@ -8,7 +8,7 @@
 
 // A fleet whose proxies suspect live peers is not at rest: its steady phase is
 // left out of the fits.
-func TestFitSlopes_LeavesOutRunsWithSuspicions(t *testing.T) {
+func TestFitSlopes_ExcludesRunsWithSuspicions(t *testing.T) {
 	is := is.New(t)
 	run := func(proxies int, kinds ...KindTraffic) Run {
 		return Run{
@@ -17,9 +17,9 @@
 		}
 	}
 	ack := KindTraffic{Kind: "distribution.Ack", MessagesPerSecond: 9}
-	list := FitSlopes([]Run{run(1, ack), run(2, ack), run(3, ack, KindTraffic{Kind: "proxy.LeaseRequest", MessagesPerSecond: 0.06}), run(4, KindTraffic{Kind: "membership.Suspect", MessagesPerSecond: 1})})
-	is.Equal(list[0].Fit.PointCount, 2)
-	is.Equal([]bool{list[0].Points[0].LeftOut, list[0].Points[1].LeftOut, list[0].Points[2].LeftOut, list[0].Points[3].LeftOut}, []bool{false, false, true, true})
+	slopes := FitSlopes([]Run{run(1, ack), run(2, ack), run(3, ack, KindTraffic{Kind: "proxy.LeaseRequest", MessagesPerSecond: 0.06}), run(4, KindTraffic{Kind: "membership.Suspect", MessagesPerSecond: 1})})
+	is.Equal(slopes[0].Fit.PointCount, 2)
+	is.Equal([]bool{slopes[0].Points[0].LeftOut, slopes[0].Points[1].LeftOut, slopes[0].Points[2].LeftOut, slopes[0].Points[3].LeftOut}, []bool{false, false, true, true})
 }
 
 // The cost of one change is what the change phase cost beyond the steady state,
@@ -45,7 +45,7 @@
 }
 
 // A run that saturated the machine, one process, or a connection's queue is left out.
-func TestFitSlopes_LeavesOutSaturatedRuns(t *testing.T) {
+func TestFitSlopes_ExcludesSaturatedRuns(t *testing.T) {
 	is := is.New(t)
 	run := func(proxies int, cpu, busiest, lost float64) Run {
 		return Run{
@@ -53,19 +53,19 @@
 			Phases: []Phase{{Name: "steady", Completed: true, Usages: []Usage{{Role: "proxy", Daemons: proxies, CPUPercent: cpu, BusiestProcessCPUPercent: busiest, LostMessages: lost, SentBytesPerSecond: 10, ReceivedBytesPerSecond: 20}}}},
 		}
 	}
-	list := FitSlopes([]Run{run(10, 1, 10, 0), run(20, 2, 40, 0), run(100, 7, 100, 0), run(40, 3, 180, 0), run(80, 4, 100, 1)})
-	for _, s := range list {
+	slopes := FitSlopes([]Run{run(10, 1, 10, 0), run(20, 2, 40, 0), run(100, 7, 100, 0), run(40, 3, 180, 0), run(80, 4, 100, 1)})
+	for _, s := range slopes {
 		if s.Measure == "CPU, % of a core" {
 			is.Equal(s.Fit.PointCount, 2)
 			is.True(almostEqual(s.Extrapolated, 160))
-			is.Equal(s.comparedWithBudget(), "1.7: 94.1 times over")
+			is.Equal(s.budgetComparison(), "1.7: 94.1 times over")
 		}
 		if s.Measure == "sent and received, bytes/s" {
-			is.Equal(s.comparedWithBudget(), "1.3e+04: within")
+			is.Equal(s.budgetComparison(), "1.3e+04: within")
 		}
 	}
-	for _, s := range list {
+	for _, s := range slopes {
 		is.Equal(s.Phase, "steady")
 	}
-	is.Equal(len(list), len(measures))
+	is.Equal(len(slopes), len(measures))
 }
--- a/internal/testsupport/scaletest/tables.go
+++ b/internal/testsupport/scaletest/tables.go
@@ -6,8 +6,8 @@
 	"text/tabwriter"
 )
 
-// kindsShown is how many message kinds, those with the most bytes, a line shows.
-const kindsShown = 2
+// maxKindsPerRow is how many message kinds, those with the most bytes, a line shows.
+const maxKindsPerRow = 2
 
 // WriteTables writes the runs and their slopes as tables for a terminal.
 func (r Report) WriteTables(to io.Writer) error {
@@ -15,25 +15,25 @@
 	fmt.Fprintln(w, "size\tphase\ttook s\trole\tCPU %\tbusiest %\tMB\tsent B/s\trecv B/s\tmsg/s\tlost\tfiles\tlag p50/p99/max ms\tmostly")
 	axis := Axis(r.sizes())
 	for _, run := range r.Runs {
-		run.writeTable(w, axis)
+		run.writeRows(w, axis)
 	}
 	fmt.Fprintln(w)
 	fmt.Fprintln(w, "phase\trole\tmeasure\tfit\tr2\tpoints\tleft out\tat\tworked out\tbudget")
 	for _, s := range r.Slopes {
 		if s.Fit != nil {
-			s.writeLine(w)
+			s.writeRow(w)
 		}
 	}
 	return w.Flush()
 }
 
-// writeTable writes a line for each phase and role, and below them what the
+// writeRows writes a line for each phase and role, and below them what the
 // reader must know of the machine and of phases that weren't at rest.
-func (r Run) writeTable(w io.Writer, axis string) {
+func (r Run) writeRows(w io.Writer, axis string) {
 	for _, p := range r.Phases {
 		for _, u := range p.Usages {
 			topKinds := ""
-			for _, k := range u.Kinds[:min(kindsShown, len(u.Kinds))] {
+			for _, k := range u.Kinds[:min(maxKindsPerRow, len(u.Kinds))] {
 				topKinds += fmt.Sprintf("%s %.1f/s of %.0f B; ", k.Kind, k.MessagesPerSecond, k.BytesPerMessage)
 			}
 			fmt.Fprintf(w, "%.0f %s\t%s\t%.1f\t%s\t%.2f\t%.0f\t%.1f\t%.0f\t%.0f\t%.1f\t%.0f\t%.0f\t%.0f/%.0f/%.0f\t%s\n",
@@ -43,7 +43,7 @@
 		}
 	}
 	for _, p := range r.Phases {
-		if !p.isAtRest() {
+		if !p.isStable() {
 			fmt.Fprintf(w, "not at rest: %s, %.2f lease requests and suspicions a second from each proxy\n", p.Name, p.SuspicionsPerSecond())
 		}
 	}
@@ -53,20 +53,20 @@
 	}
 }
 
-// writeLine writes the line of a slope that has a fit.
-func (s Slope) writeLine(w io.Writer) {
+// writeRow writes the line of a slope that has a fit.
+func (s Slope) writeRow(w io.Writer) {
 	x := "x"
 	if s.Fit.Shape == quadratic {
 		x = "x²"
 	}
 	fmt.Fprintf(w, "%s\t%s\t%s\t%.4g + %.4g %s\t%.3f\t%d\t%d\t%.0f %s\t%.4g\t%s\n",
 		s.Phase, s.Role, s.Measure, s.Fit.Intercept, s.Fit.Slope, x, s.Fit.R2,
-		s.Fit.PointCount, len(s.Points)-s.Fit.PointCount, s.DesignPoint, s.Axis, s.Extrapolated, s.comparedWithBudget())
+		s.Fit.PointCount, len(s.Points)-s.Fit.PointCount, s.DesignPoint, s.Axis, s.Extrapolated, s.budgetComparison())
 }
 
-// comparedWithBudget says whether the extrapolated cost is within the budget;
+// budgetComparison says whether the extrapolated cost is within the budget;
 // empty if there is no budget.
-func (s Slope) comparedWithBudget() string {
+func (s Slope) budgetComparison() string {
 	switch {
 	case s.Budget == 0:
 		return ""
--- a/internal/testsupport/scaletest/usage.go
+++ b/internal/testsupport/scaletest/usage.go
@@ -52,13 +52,13 @@
 func usageBetween(role string, before, after *measurement) Usage {
 	usage := Usage{Role: role, Seconds: after.at.Sub(before.at).Seconds()}
 	sent := map[string]traffic{}
-	for name, now := range after.processes {
-		was := before.processes[name]
-		if was == nil || was.pid != now.pid {
-			was = &processUsage{}
+	for name, current := range after.processes {
+		previous := before.processes[name]
+		if previous == nil || previous.pid != current.pid {
+			previous = &processUsage{}
 		}
-		usage.addProcess(was, now)
-		usage.addTraffic(was, now, sent)
+		usage.addProcess(previous, current)
+		usage.addTraffic(previous, current, sent)
 	}
 	daemons := float64(max(usage.Daemons, 1))
 	for _, total := range []*float64{
@@ -79,21 +79,21 @@
 }
 
 // addProcess adds what the kernel counted for one process.
-func (u *Usage) addProcess(was, now *processUsage) {
-	cpuPercent := 100 * (now.cpuSeconds - was.cpuSeconds) / u.Seconds
+func (u *Usage) addProcess(previous, current *processUsage) {
+	cpuPercent := 100 * (current.cpuSeconds - previous.cpuSeconds) / u.Seconds
 	u.BusiestProcessCPUPercent = max(u.BusiestProcessCPUPercent, cpuPercent)
 	u.CPUPercent += cpuPercent
-	u.Daemons += now.daemons
-	u.MemoryMB += now.residentBytes / 1e6
-	u.PeakMB += now.peakBytes / 1e6
-	u.Descriptors += float64(now.descriptors)
-	u.SyncsPerSecond += (now.syncs - was.syncs) / u.Seconds
+	u.Daemons += current.daemons
+	u.MemoryMB += current.residentBytes / 1e6
+	u.PeakMB += current.peakBytes / 1e6
+	u.Descriptors += float64(current.descriptors)
+	u.SyncsPerSecond += (current.syncs - previous.syncs) / u.Seconds
 }
 
 // addTraffic adds one process's frames, those sent by kind as well.
-func (u *Usage) addTraffic(was, now *processUsage, sentByKind map[string]traffic) {
-	for k, t := range now.traffic {
-		messages, bytesPerSecond := t.messages-was.traffic[k].messages, (t.bytes-was.traffic[k].bytes)/u.Seconds
+func (u *Usage) addTraffic(previous, current *processUsage, sentByKind map[string]traffic) {
+	for k, t := range current.traffic {
+		messages, bytesPerSecond := t.messages-previous.traffic[k].messages, (t.bytes-previous.traffic[k].bytes)/u.Seconds
 		switch k.direction {
 		case directionReceived:
 			u.ReceivedBytesPerSecond += bytesPerSecond
