--- a/internal/testsupport/scaletest/configuration.go
+++ b/internal/testsupport/scaletest/configuration.go
@@ -7,7 +7,7 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// maxItemsPerChange is the most items that the configuration API takes in one change.
+// maxItemsPerChange is the maximum number of items that the configuration API accepts in one change.
 const maxItemsPerChange = 1000
 
 // changeRequest is the body of POST /v1/change.
@@ -16,7 +16,7 @@
 	ID    string       `json:"id"`
 }
 
-// itemChange creates or replaces an item (Put), or changes single keys of it (Set).
+// itemChange creates or replaces an item (Put) or updates some of its keys (Set).
 type itemChange struct {
 	Kind string   `json:"kind"`
 	Name ids.Name `json:"name"`
@@ -26,12 +26,12 @@
 
 type zoneBody struct {
 	Region string `json:"region"`
-	// TargetLoad is the comfortable load in ms of CPU per second.
+	// TargetLoad is the target load level in ms of CPU time per second.
 	TargetLoad int `json:"target"`
 }
 
 type serviceBody struct {
-	// RetryBudget is how many retries may be made for 100 requests.
+	// RetryBudget is the number of retries allowed per 100 requests.
 	RetryBudget  int `json:"allowance"`
 	Capacity     int `json:"capacity"`
 	Tier         int `json:"tier"`
@@ -51,11 +51,11 @@
 	LimitMillis int `json:"limit_ms"`
 }
 
-// routeLimitMillis is the time limit of every route and tenant.
+// routeLimitMillis is the request timeout of every route, including those of tenants.
 const routeLimitMillis = 5000
 
-// ConfigurationChanges is the whole configuration of a size, as bodies of change
-// requests in the order to send them: routes refer to services, which come first.
+// ConfigurationChanges returns the whole configuration of a size as bodies of change requests, in
+// the order in which they must be sent: services precede the routes that refer to them.
 func (s Size) ConfigurationChanges() [][]byte {
 	var requests [][]byte
 	var items []itemChange
@@ -91,8 +91,8 @@
 	}}
 }
 
-// tenant is the route with a host of its own that stands for the nth tenant: the
-// configuration has no other form for what belongs to one tenant.
+// tenant returns the route that represents the nth tenant. It matches the tenant's host name,
+// because the configuration has no item kind for tenants.
 func (s Size) tenant(n int) itemChange {
 	return itemChange{Kind: "route", Name: ids.Name(fmt.Sprintf("tenant-%d", n+1)), Put: routeBody{
 		Host: fmt.Sprintf("t%06d.example", n+1), LimitMillis: routeLimitMillis, Prefix: "/", Repeatable: true, Service: s.Service(n), Tier: n % 10,
@@ -101,8 +101,8 @@
 
 func routeName(n int) ids.Name { return ids.Name(fmt.Sprintf("route-%d", n+1)) }
 
-// RouteChange is the body of the nth change request of the change phase: it
-// changes one route's time limit. The run's name keeps change ids apart.
+// RouteChange returns the body of the nth change request of the change phase, which changes the
+// timeout of one route. The name of the run is part of the change ID.
 func (s Size) RouteChange(run string, n int) []byte {
 	return encodeChange(fmt.Sprintf("hollow-%s-%d", run, n), []itemChange{
 		{Kind: "route", Name: routeName(n % s.Routes), Set: routeLimit{LimitMillis: 4000 + n}},
@@ -113,7 +113,7 @@
 	return mustJSON(changeRequest{Items: items, ID: id})
 }
 
-// mustJSON encodes a value of this package's own types, none of which can fail to encode.
+// mustJSON encodes a value of one of this package's types, which never fail to encode.
 func mustJSON(v any) []byte {
 	raw, err := json.Marshal(v)
 	if err != nil {
@@ -122,10 +122,10 @@
 	return raw
 }
 
-// ConfigurationBytes estimates the length of the configuration register: each
-// item's body, with its key and version around it.
+// ConfigurationBytes estimates the length of the stored configuration: the body, key and version
+// of each item.
 func (s Size) ConfigurationBytes() int {
-	// bytesPerSmallItem is about what a zone or a service takes.
+	// bytesPerSmallItem is the approximate length of a zone or a service.
 	const bytesPerSmallItem = 100
 	itemBytes := func(item itemChange) int {
 		return len(mustJSON(item.Put)) + len(item.Name) + len(`"":{"version":1000,"body":},`)
--- a/internal/testsupport/scaletest/configuration_test.go
+++ b/internal/testsupport/scaletest/configuration_test.go
@@ -10,7 +10,8 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// The configuration is accepted change by change, and is about as long as estimated.
+// Every change of the generated configuration is accepted, and the length of the result is close to
+// the estimate.
 func TestConfigurationChanges_AreAccepted(t *testing.T) {
 	is := is.New(t)
 	s := Size{Proxies: 1, Services: 7, Routes: 40, Tenants: 3000, Zones: 4, Regions: 2, Core: 3}
@@ -41,7 +42,7 @@
 	is.Equal(body.Limit, 4003)
 }
 
-// The bodies that are sent to registries are these, byte for byte.
+// The bodies of the requests to registries, byte for byte.
 func TestRequestBodies(t *testing.T) {
 	is := is.New(t)
 	s := Size{Proxies: 1, Targets: 9, Services: 1, Routes: 1, Tenants: 1, Zones: 1, Regions: 1, Core: 3}
--- a/internal/testsupport/scaletest/control_api.go
+++ b/internal/testsupport/scaletest/control_api.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// changeAttempts is how often a change is sent to all registries: one whose
-// outcome is indeterminate is sent again under its id, and takes effect once.
+// changeAttempts is the maximum number of times that a change is sent to all registries. A change
+// with an unknown outcome is retried under the same ID, so that it is applied once.
 const changeAttempts = 3
 
-// revisionPollInterval bounds how exactly it is known that all proxies have applied a
-// change; the lag itself comes from the proxies' own clocks, of this machine.
+// revisionPollInterval is the interval of the check that all proxies have applied a change. It
+// doesn't limit the precision of the lag, which is computed from times that the proxies record.
 const revisionPollInterval = 50 * time.Millisecond
 
 // changeResponse is the body of a successful response to a change.
@@ -22,8 +22,8 @@
 	Revision int64 `json:"revision"`
 }
 
-// countReadyCoreDaemons counts the registries and voting stores that are ready. The stores
-// beyond the voters are learners and not counted.
+// countReadyCoreDaemons returns the number of ready registries and voting stores. It ignores the
+// other stores, which are learners.
 func (f *fleet) countReadyCoreDaemons() int {
 	stores := f.running(storeRole)
 	ready := 0
@@ -40,11 +40,11 @@
 	return ready
 }
 
-// isCoreReady tells whether all registries and voting stores are ready.
+// isCoreReady reports whether all registries and voting stores are ready.
 func (f *fleet) isCoreReady() bool { return f.countReadyCoreDaemons() == voterCount+f.Core }
 
-// postChange sends a change to one registry after another until one answers. It
-// returns the new revision.
+// postChange sends a change to the registries in order until one of them accepts it, and returns
+// the new revision.
 func (f *fleet) postChange(change []byte) (int64, error) {
 	var lastErr error
 	for range changeAttempts {
@@ -60,7 +60,7 @@
 				return r.Revision, err
 			}
 			lastErr = fmt.Errorf("status %d: %.200s", status, body)
-			// The change itself is wrong, and would be for every registry.
+			// Every registry would reject the change.
 			if status < http.StatusInternalServerError {
 				return 0, lastErr
 			}
@@ -69,7 +69,7 @@
 	return 0, lastErr
 }
 
-// post sends a change to one registry. A body cut short is returned as far as it came.
+// post sends a change to one registry. If reading the response fails, body is truncated.
 func post(p *daemonProcess, change []byte) (status int, body []byte, err error) {
 	res, err := httpClient.Post("http://"+p.httpAddress+"/v1/change", "application/json", bytes.NewReader(change))
 	if err != nil {
@@ -80,8 +80,8 @@
 	return res.StatusCode, body, nil
 }
 
-// awaitRevision waits until every proxy has applied a revision. It returns how
-// long after start each proxy that has it applied it, and whether all have.
+// awaitRevision waits until every proxy has applied a revision. It returns the delay since start
+// for each proxy that has applied it, and reports whether all proxies have.
 func (r *sizeRun) awaitRevision(revision int64, start time.Time) ([]time.Duration, bool) {
 	var states []ProxyState
 	_, ok := waitUntil(r.ctx, r.PhaseTimeout, revisionPollInterval, func() bool {
@@ -103,7 +103,7 @@
 	return lags, ok
 }
 
-// countReadyProxies counts the proxies that are ready.
+// countReadyProxies returns the number of ready proxies.
 func (f *fleet) countReadyProxies() int {
 	ready := 0
 	for _, s := range f.proxyStates() {
@@ -114,10 +114,10 @@
 	return ready
 }
 
-// allProxiesReady tells whether every proxy is ready.
+// allProxiesReady reports whether every proxy is ready.
 func (f *fleet) allProxiesReady() bool { return f.countReadyProxies() == f.Size.Proxies }
 
-// proxyStates returns the states of the proxies of each group that answers.
+// proxyStates returns the states of all proxies whose group responds.
 func (f *fleet) proxyStates() []ProxyState {
 	var out []ProxyState
 	for _, p := range f.running(proxyRole) {
--- a/internal/testsupport/scaletest/daemon_process.go
+++ b/internal/testsupport/scaletest/daemon_process.go
@@ -9,21 +9,20 @@
 	"dunlinwell/internal/base/errs"
 )
 
-// daemonProcess is one process of the fleet: a store, a registry, or a group of
-// hollow proxies.
+// daemonProcess is one process of the fleet: a store, a registry or a group of simulated proxies.
 type daemonProcess struct {
 	role, name string
-	// daemons is how many daemons run in it; 1 unless it is a group of proxies.
+	// daemons is the number of daemons in the process; 1 unless it is a group of proxies.
 	daemons     int
 	httpAddress string
 	program     string
 	args        []string
-	// cmd is nil while it doesn't run; exited is closed once it has ended.
+	// cmd is nil while the process isn't running. exited is closed after the process has exited.
 	cmd    *exec.Cmd
 	exited chan struct{}
 }
 
-// running returns the processes of a role that have been started and not killed.
+// running returns the processes of a role that were started and not killed.
 func (f *fleet) running(role string) []*daemonProcess {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -36,7 +35,7 @@
 	return out
 }
 
-// pid is the id of a process; 0 if it doesn't run.
+// pid returns the ID of a process, or 0 if it isn't running.
 func (f *fleet) pid(p *daemonProcess) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -46,7 +45,7 @@
 	return p.cmd.Process.Pid
 }
 
-// start runs a process, which the kernel ends if this process dies first.
+// start starts a process, which the kernel kills if this process exits first.
 func (f *fleet) start(p *daemonProcess) error {
 	log, err := os.OpenFile(filepath.Join(f.Dir, p.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -64,14 +63,14 @@
 	p.cmd, p.exited = cmd, exited
 	f.mu.Unlock()
 	go func() {
-		_ = cmd.Wait() // killed processes always end with an error
+		_ = cmd.Wait() // Wait returns an error for every killed process
 		_ = log.Close()
 		close(exited)
 	}()
 	return nil
 }
 
-// startRole starts the processes of a role that don't run; of all roles if role is empty.
+// startRole starts the processes of a role that aren't running. An empty role means all roles.
 func (f *fleet) startRole(role string) error {
 	for _, p := range f.processes {
 		if f.pid(p) == 0 && (role == "" || p.role == role) {
@@ -83,7 +82,7 @@
 	return nil
 }
 
-// kill sends SIGKILL to a process and waits until it has ended.
+// kill sends SIGKILL to a process and waits until it has exited.
 func (f *fleet) kill(p *daemonProcess) {
 	f.mu.Lock()
 	cmd, exited := p.cmd, p.exited
@@ -95,7 +94,7 @@
 	}
 }
 
-// killRole kills the processes of a role; of all roles if role is empty.
+// killRole kills the processes of a role. An empty role means all roles.
 func (f *fleet) killRole(role string) {
 	for _, p := range f.processes {
 		if role == "" || p.role == role {
--- a/internal/testsupport/scaletest/fleet.go
+++ b/internal/testsupport/scaletest/fleet.go
@@ -8,45 +8,46 @@
 	"time"
 )
 
-// Options are the options of a run over several sizes.
+// Options configures a run over several sizes.
 type Options struct {
 	Sizes []Size
-	// Bin is the folder of the built registry and store.
+	// Bin is the folder of the registry and store programs.
 	Bin string
-	// ProxyGroupBinary is the program that runs hollow proxies as its command "crew".
+	// ProxyGroupBinary is the program whose command "crew" runs a group of simulated proxies.
 	ProxyGroupBinary string
-	// Dir is for data and logs. Each size begins by deleting it.
+	// Dir is the folder of data and logs. It is deleted at the start of each size.
 	Dir string
-	// Thrifty starts daemons with incremental target tables, slots by zone and
-	// endless leases.
+	// Thrifty runs daemons with deltas of the target table, slots shared by zone and unlimited
+	// leases.
 	Thrifty bool
-	// ProxiesPerGroup is how many proxies one process has.
+	// ProxiesPerGroup is the maximum number of proxies in one process.
 	ProxiesPerGroup int
-	// PhaseDuration is how long the steady phase lasts, PhaseTimeout how long any
-	// other phase, and each change of the configuration, may take.
+	// PhaseDuration is the duration of the steady phase. PhaseTimeout limits each wait of the
+	// other phases, and each change of the configuration.
 	PhaseDuration, PhaseTimeout time.Duration
-	// AnnounceInterval is how often each target sends a heartbeat.
+	// AnnounceInterval is the interval between heartbeats of each target.
 	AnnounceInterval time.Duration
-	// UsageRows is how many routes each proxy's usage report has, at most one a route.
+	// UsageRows is the number of routes in each proxy's usage report, limited to the routes that
+	// exist.
 	UsageRows int
-	// Changes is how many changes the change phase makes.
+	// Changes is the number of configuration changes in the change phase.
 	Changes int
-	// LoopbackBlock is the second number of the fleet's loopback addresses
-	// 127.x.y.z; fleets of one machine must differ in it.
+	// LoopbackBlock is the second octet of the fleet's loopback addresses. Fleets on one machine
+	// must use different blocks.
 	LoopbackBlock int
-	// Progress is called with one line at a time; it must not be nil.
+	// Progress receives progress messages of one line each. It must not be nil.
 	Progress func(line string)
 }
 
 const (
 	wirePort = 7401
 	httpPort = 7400
-	// voterCount is how many stores vote; they are also the seeds.
+	// voterCount is the number of voting stores, which are also the seeds.
 	voterCount = 3
 )
 
-// The third numbers of the loopback addresses. Hollow proxies have those from
-// firstProxyOctet, targets those from firstTargetOctet.
+// The third octets of the loopback addresses. Simulated proxies use those from firstProxyOctet on,
+// targets those from firstTargetOctet on.
 const (
 	storeOctet       = 1
 	registryOctet    = 2
@@ -55,13 +56,12 @@
 	firstTargetOctet = 200
 )
 
-// daemonAddress is the address of a core daemon or proxy group by its third
-// number, index and port.
+// daemonAddress returns the address of a core daemon or a proxy group.
 func daemonAddress(block, octet, index, port int) string {
 	return fmt.Sprintf("127.%d.%d.%d:%d", block, octet, index+1, port)
 }
 
-// fleet is the processes of one size.
+// fleet is the set of processes of one size.
 type fleet struct {
 	Options
 	Size
@@ -70,7 +70,7 @@
 	processes []*daemonProcess
 }
 
-// newFleet lays out every process of a size; none is started.
+// newFleet returns a fleet of a size without starting its processes.
 func newFleet(o Options, s Size) *fleet {
 	f := &fleet{Options: o, Size: s}
 	var seeds []string
@@ -99,7 +99,7 @@
 	f.processes = append(f.processes, p)
 }
 
-// coreProcess is the nth store or registry.
+// coreProcess returns the nth store or registry.
 func (f *fleet) coreProcess(role string, octet, n int, seeds string) *daemonProcess {
 	p := &daemonProcess{
 		role: role, name: fmt.Sprintf("%s-%d", role, n+1), daemons: 1,
@@ -112,7 +112,7 @@
 	return p
 }
 
-// proxyGroupProcess is the nth group, with the proxies from first on.
+// proxyGroupProcess returns the nth proxy group, whose first proxy has index first.
 func (f *fleet) proxyGroupProcess(first, n int, seeds string) *daemonProcess {
 	p := &daemonProcess{
 		role: proxyRole, name: fmt.Sprintf("crew-%d", n+1), daemons: min(f.ProxiesPerGroup, f.Proxies-first),
--- a/internal/testsupport/scaletest/hollow_proxy.go
+++ b/internal/testsupport/scaletest/hollow_proxy.go
@@ -14,40 +14,39 @@
 	"dunlinwell/internal/transport/process"
 )
 
-// tickInterval is that of a real proxy.
+// tickInterval is the tick interval of a real proxy.
 const tickInterval = 50 * time.Millisecond
 
-// proxiesPerSubnet is how many proxies share the third number of their
-// loopback addresses.
+// proxiesPerSubnet is the number of proxies that share the third octet of their loopback addresses.
 const proxiesPerSubnet = 200
 
-// simulatedProxy is the control state machine of one proxy with its transport. It
-// has no HTTP server, no dispatchers and no connections to targets.
+// simulatedProxy is the control state machine of a proxy with its transport. It has no HTTP server,
+// no dispatchers and no connections to targets.
 type simulatedProxy struct {
 	eventLoop *process.EventLoop
 	transport *process.Transport
-	// mu guards status, which is also read by the group's HTTP server.
+	// mu guards status, which the HTTP server of the group also reads.
 	mu     sync.Mutex
 	status proxyStatus
-	// serviceStates are kept because a real proxy's dispatchers keep them, so
-	// that memory is measured with them. Only the owner's goroutine touches them.
+	// serviceStates stands for the memory that the dispatchers of a real proxy use for the states
+	// of services. Only the event loop's goroutine accesses it.
 	serviceStates map[ids.Name]dispatch.ServiceState
 }
 
-// proxyStatus is what the report needs of a proxy's state.
+// proxyStatus is the part of a proxy's state that the group exposes.
 type proxyStatus struct {
 	ready, leaseValid bool
 	revision          ids.Revision
-	// The times of the last change of the configuration and of the serving state.
+	// The times of the last changes of the configuration and of the serving state.
 	configurationChangedAt, servingStateChangedAt time.Time
 }
 
-// proxyAddress is the address of the nth proxy.
+// proxyAddress returns the address of the nth proxy.
 func proxyAddress(block, n int) ids.Address {
 	return ids.Address(fmt.Sprintf("127.%d.%d.%d:%d", block, firstProxyOctet+n/proxiesPerSubnet, n%proxiesPerSubnet+1, wirePort))
 }
 
-// newSimulatedProxy makes the nth proxy of a fleet, which knows only itself and its seeds.
+// newSimulatedProxy returns the nth proxy of a fleet. It initially knows only itself and the seeds.
 func newSimulatedProxy(o ProxyGroupOptions, n int, seeds []ids.Address, log *process.Log, stats *process.TrafficStats) *simulatedProxy {
 	address := proxyAddress(o.Block, n)
 	self := membership.Member{
@@ -68,8 +67,8 @@
 	return p
 }
 
-// execute carries out a command of the control state machine as a real proxy
-// does, except for those that concern requests.
+// execute executes a command of the control state machine as a real proxy does. It ignores commands
+// that concern requests.
 func (p *simulatedProxy) execute(c event.Command) {
 	switch c := c.(type) {
 	case event.Send:
@@ -92,18 +91,18 @@
 	}
 }
 
-// ProxyState is the state of one hollow proxy, as GET /state of its group shows it.
+// ProxyState is the state of a simulated proxy in the response to GET /state.
 type ProxyState struct {
 	Ready      bool  `json:"ready"`
 	LeaseValid bool  `json:"in_step"`
 	Revision   int64 `json:"revision"`
-	// ConfigurationChangedAt and ServingStateChangedAt are wall-clock times in
-	// nanoseconds since 1970, comparable as the whole fleet is on one machine.
+	// ConfigurationChangedAt and ServingStateChangedAt are Unix times in nanoseconds. They are
+	// comparable because the whole fleet runs on one machine.
 	ConfigurationChangedAt int64 `json:"adopted"`
 	ServingStateChangedAt  int64 `json:"stood"`
 }
 
-// state is safe to be called from any goroutine.
+// state returns the state of the proxy. It is safe for concurrent use.
 func (p *simulatedProxy) state() ProxyState {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testsupport/scaletest/proxy_group.go
+++ b/internal/testsupport/scaletest/proxy_group.go
@@ -16,34 +16,34 @@
 	"dunlinwell/internal/transport/process"
 )
 
-// ProxyGroupOptions are the flags of a process of hollow proxies.
+// ProxyGroupOptions are the flags of a process that runs a group of simulated proxies.
 type ProxyGroupOptions struct {
-	First   int      `help:"Number of the first proxy." required:"" name:"first"`
-	Count   int      `help:"How many proxies." required:"" name:"count"`
-	Zones   int      `help:"Cells of the fleet." required:"" name:"cells"`
-	Rows    int      `help:"Routes in each report of CPU time." required:"" name:"rows"`
-	Block   int      `help:"Second number of the loopback addresses." required:"" name:"block"`
-	Seeds   []string `help:"Addresses of three stores." required:"" name:"seeds"`
-	HTTP    string   `help:"Where to answer." name:"http" required:""`
-	Thrifty bool     `help:"As proxies with --by-cell, and a lease without end." name:"thrifty"`
+	First   int      `help:"Index of the first proxy." required:"" name:"first"`
+	Count   int      `help:"Number of proxies." required:"" name:"count"`
+	Zones   int      `help:"Number of zones (cells) of the fleet." required:"" name:"cells"`
+	Rows    int      `help:"Number of routes in each usage report." required:"" name:"rows"`
+	Block   int      `help:"Second octet of the loopback addresses." required:"" name:"block"`
+	Seeds   []string `help:"Addresses of the three voting stores." required:"" name:"seeds"`
+	HTTP    string   `help:"Listen address of the HTTP server." name:"http" required:""`
+	Thrifty bool     `help:"Receive deltas of the target table, share slots by zone and use unlimited leases." name:"thrifty"`
 }
 
 const (
-	// reportInterval is how often each proxy gets a usage sample.
+	// reportInterval is the interval between usage samples of each proxy.
 	reportInterval = 2 * time.Second
-	// shutdownTimeout bounds how long responses under way may take at the end.
+	// shutdownTimeout limits the wait for HTTP requests in progress at shutdown.
 	shutdownTimeout = 100 * time.Millisecond
 )
 
-// ProxyGroup is the hollow proxies of one process, with an HTTP server that
-// shows their state, metrics and profiles.
+// ProxyGroup runs the simulated proxies of one process, and an HTTP server for their states,
+// metrics and profiles.
 type ProxyGroup struct {
 	ProxyGroupOptions
 	traffic process.TrafficStats
 	proxies []*simulatedProxy
 }
 
-// NewProxyGroup makes the proxies; Run starts them.
+// NewProxyGroup returns a group of proxies, which Run starts.
 func NewProxyGroup(o ProxyGroupOptions) *ProxyGroup {
 	g := &ProxyGroup{ProxyGroupOptions: o}
 	var seeds []ids.Address
@@ -66,9 +66,9 @@
 			return err
 		}
 		supervisor.Add(p.eventLoop)
-		supervisor.Add(daemon.NewTask("post", func(ctx context.Context) error { return p.transport.Serve(ctx, listener) }))
+		supervisor.Add(daemon.NewTask("transport", func(ctx context.Context) error { return p.transport.Serve(ctx, listener) }))
 	}
-	supervisor.Add(daemon.NewTask("reports", g.reportUsage))
+	supervisor.Add(daemon.NewTask("usage reports", g.reportUsage))
 	listener, err := api.Listen(g.HTTP)
 	if err != nil {
 		return err
@@ -87,14 +87,13 @@
 		w.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(w).Encode(g.states())
 	})
-	// A profile shows which code is behind a slope.
 	mux.HandleFunc("GET /debug/pprof/profile", pprof.Profile)
 	mux.HandleFunc("GET /debug/pprof/heap", pprof.Handler("heap").ServeHTTP)
 	return mux
 }
 
-// reportUsage hands each proxy a usage sample once per reportInterval, spread
-// evenly over it, in place of the samples that requests would give.
+// reportUsage sends each proxy a synthetic usage sample once per reportInterval, because there are
+// no requests to sample. The samples are spread evenly over the interval.
 func (g *ProxyGroup) reportUsage(ctx context.Context) error {
 	ticker := time.NewTicker(reportInterval / time.Duration(g.Count))
 	defer ticker.Stop()
--- a/internal/testsupport/scaletest/targets.go
+++ b/internal/testsupport/scaletest/targets.go
@@ -14,26 +14,24 @@
 )
 
 const (
-	// workerCount bounds how many heartbeats are under way at once.
+	// workerCount limits the number of concurrent heartbeats.
 	workerCount = 16
-	// heartbeatTimeout is how long a registry may take to answer before the next one
-	// is tried.
+	// heartbeatTimeout limits the wait for a registry's response before the next registry is tried.
 	heartbeatTimeout = 2 * time.Second
-	// maxHeartbeatDelay is how far the senders may fall behind before the backlog
-	// is given up: sent at once, it would be a load that no real fleet makes.
+	// maxHeartbeatDelay limits the backlog of heartbeats. A longer backlog is skipped, because
+	// targets of a real fleet wouldn't send it at once.
 	maxHeartbeatDelay = time.Second
-	// targetsPerSubnet is how many targets share the third number of their
-	// loopback addresses.
+	// targetsPerSubnet is the number of targets that share the third octet of their loopback
+	// addresses.
 	targetsPerSubnet = 250
 )
 
-// heartbeatSender sends the heartbeats of all stand-in targets. Nothing listens at their
-// addresses.
+// heartbeatSender sends the heartbeats of all simulated targets, which don't accept connections.
 type heartbeatSender struct {
 	fleet      *fleet
 	httpClient http.Client
 	sequence   atomic.Uint64
-	// acknowledged and failed count heartbeats.
+	// acknowledged and failed are numbers of heartbeats.
 	acknowledged, failed atomic.Uint64
 }
 
@@ -55,8 +53,8 @@
 	return &heartbeatSender{fleet: f, httpClient: http.Client{Timeout: heartbeatTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: workerCount}}}
 }
 
-// run sends one heartbeat per target and AnnounceInterval, spread evenly over
-// it, until the context ends.
+// run sends one heartbeat of each target per AnnounceInterval, spread evenly over the interval,
+// until the context ends.
 func (s *heartbeatSender) run(ctx context.Context) {
 	if s.fleet.Targets == 0 {
 		return
@@ -90,8 +88,8 @@
 	workers.Wait()
 }
 
-// sendHeartbeat sends the nth target's heartbeat to its registrar, or to the next
-// registry if that one doesn't answer.
+// sendHeartbeat sends the nth target's heartbeat to its registry, or to the next ones if that
+// fails.
 func (s *heartbeatSender) sendHeartbeat(ctx context.Context, n int) {
 	body := mustJSON(s.nextAnnouncement(n))
 	registries := s.fleet.running(registryRole)
@@ -105,7 +103,7 @@
 		if err != nil {
 			continue
 		}
-		_, _ = io.Copy(io.Discard, res.Body) // so that the connection is used again
+		_, _ = io.Copy(io.Discard, res.Body) // allows reuse of the connection
 		_ = res.Body.Close()
 		if res.StatusCode == http.StatusOK {
 			s.acknowledged.Add(1)
@@ -115,7 +113,7 @@
 	s.failed.Add(1)
 }
 
-// nextAnnouncement is the nth target's next heartbeat.
+// nextAnnouncement returns the nth target's next heartbeat.
 func (s *heartbeatSender) nextAnnouncement(n int) announcement {
 	f := s.fleet
 	return announcement{
