--- a/internal/testsupport/scaletest/measurement.go
+++ b/internal/testsupport/scaletest/measurement.go
@@ -11,13 +11,14 @@
 	"github.com/prometheus/procfs"
 )
 
-// The roles of daemons, in the order of the report.
+// The roles of daemons.
 const (
 	proxyRole    = "proxy"
 	registryRole = "registry"
 	storeRole    = "store"
 )
 
+// roles lists the roles in the order of the report.
 var roles = []string{proxyRole, registryRole, storeRole}
 
 // The values of the label "way" of the traffic metrics.
@@ -27,32 +28,32 @@
 	directionLost     = "lost"
 )
 
-// traffic is the frames of one kind and direction.
+// traffic is the number and total size of frames.
 type traffic struct{ messages, bytes float64 }
 
 type trafficKey struct{ direction, kind string }
 
-// measurement is what each process of a role has used so far, by the process's name.
+// measurement has the cumulative usage of each process of a role, by process name.
 type measurement struct {
 	at        time.Time
 	processes map[string]*processUsage
 }
 
-// processUsage is what one run of a process has used since it began.
+// processUsage is the usage of a process since its start.
 type processUsage struct {
 	pid, daemons, descriptors                   int
 	cpuSeconds, residentBytes, peakBytes, syncs float64
 	traffic                                     map[trafficKey]traffic
 }
 
-// httpClientTimeout is long, as a process of many proxies on a full machine
-// answers late, and its figures are wanted all the same.
+// httpClientTimeout allows for the slow responses of a process with many proxies on a saturated
+// machine.
 const httpClientTimeout = 10 * time.Second
 
 var httpClient = http.Client{Timeout: httpClientTimeout}
 
-// readProc reads what the kernel counts for a process. What can't be read, as
-// of a process that just ended, stays zero.
+// readProc reads the kernel's statistics of a process. Values that can't be read, such as those of
+// a process that just exited, remain unchanged.
 func (u *processUsage) readProc(pid int) {
 	u.pid = pid
 	proc, err := procfs.NewProc(u.pid)
@@ -70,8 +71,8 @@
 	}
 }
 
-// scrapeMetrics reads a process's traffic and disk syncs from its metrics page;
-// they stay zero if it doesn't answer.
+// scrapeMetrics reads the traffic and disk syncs of a process from its metrics endpoint. They
+// remain unchanged if the scrape fails.
 func (u *processUsage) scrapeMetrics(p *daemonProcess) {
 	res, err := httpClient.Get("http://" + p.httpAddress + "/metrics")
 	if err != nil {
@@ -108,8 +109,8 @@
 	return ""
 }
 
-// measure measures every role. Scraping costs the processes CPU time, so CPU
-// times are read after it where a phase begins, and before it where one ends.
+// measure measures all roles. Because scraping uses CPU time of the processes, CPU times are read
+// after scraping at the start of a phase and before scraping at its end.
 func (f *fleet) measure(atPhaseStart bool) map[string]*measurement {
 	out := map[string]*measurement{}
 	for _, role := range roles {
--- a/internal/testsupport/scaletest/phases.go
+++ b/internal/testsupport/scaletest/phases.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The phases of a run, in their order; the names stand in reports.
+// The names of the phases in reports, in the order in which the phases run.
 const (
 	startPhase           = "start"
 	configurationPhase   = "policy"
@@ -17,21 +17,19 @@
 )
 
 const (
-	// settlingTime lets the membership list spread that all proxies are ready,
-	// which would count as a cost of the steady phase.
+	// settlingTime lets the gossip about the proxies' readiness finish before the steady phase.
 	settlingTime = 3 * time.Second
-	// changeSettlingTime lets the membership list spread what the last change set
-	// off, so that it counts as a cost of the change phase.
+	// changeSettlingTime lets the gossip caused by the last change finish within the change phase.
 	changeSettlingTime = 2 * time.Second
-	// registryDowntime is long enough for the others to declare the registry dead: a
-	// suspicion lasts about a second.
+	// registryDowntime exceeds the suspicion timeout of about a second, so that the other daemons
+	// declare the registry dead.
 	registryDowntime = 5 * time.Second
 	pollInterval     = 100 * time.Millisecond
-	// changesPerProgressMessage keeps the progress of a large configuration short.
+	// changesPerProgressMessage limits the progress messages while a configuration is loaded.
 	changesPerProgressMessage = 10
 )
 
-// phaseStep is a phase to be run: run sets the phase's Completed, Note and Lag.
+// phaseStep is a named phase. Its run function sets Completed, Note and Lag of the result.
 type phaseStep struct {
 	name string
 	run  func(*Phase)
@@ -49,8 +47,8 @@
 	}
 }
 
-// awaitStart waits until the core is ready and every proxy answers. No proxy is
-// ready yet: that takes a configuration.
+// awaitStart waits until all core daemons are ready and every proxy responds. Proxies aren't ready
+// before they have a configuration.
 func (r *sizeRun) awaitStart(phase *Phase) {
 	_, phase.Completed = waitUntil(r.ctx, r.PhaseTimeout, pollInterval, func() bool {
 		return len(r.proxyStates()) == r.Size.Proxies && r.isCoreReady()
@@ -58,8 +56,8 @@
 	phase.Note = fmt.Sprintf("%d core daemons ready", r.countReadyCoreDaemons())
 }
 
-// loadConfiguration sends the whole configuration, change by change, and waits
-// until every proxy has the last.
+// loadConfiguration sends all changes of the configuration and waits until every proxy has applied
+// the last one.
 func (r *sizeRun) loadConfiguration(phase *Phase) {
 	changes := r.Size.ConfigurationChanges()
 	slowest, start := time.Duration(0), time.Now()
@@ -71,37 +69,37 @@
 		revision, err := r.postChange(change)
 		elapsed := time.Since(start)
 		if err != nil {
-			phase.Note = fmt.Sprintf("change %d of %d (%d items and %d bytes in) declined after %.1f s: %v", i+1, len(changes), r.result.Items, r.result.ConfigurationBytes, elapsed.Seconds(), err)
+			phase.Note = fmt.Sprintf("change %d of %d (after %d items and %d bytes) failed after %.1f s: %v", i+1, len(changes), r.result.Items, r.result.ConfigurationBytes, elapsed.Seconds(), err)
 			return
 		}
 		if elapsed > r.PhaseTimeout {
-			phase.Note = fmt.Sprintf("change %d of %d took %.1f s, %d items and %d bytes in", i+1, len(changes), elapsed.Seconds(), r.result.Items, r.result.ConfigurationBytes)
+			phase.Note = fmt.Sprintf("change %d of %d took %.1f s, longer than the timeout (after %d items and %d bytes)", i+1, len(changes), elapsed.Seconds(), r.result.Items, r.result.ConfigurationBytes)
 			return
 		}
 		r.revision, slowest = revision, max(slowest, elapsed)
 		r.result.ConfigurationBytes += len(change)
 		r.result.Items += min(maxItemsPerChange, r.Zones+r.Services+r.Routes+r.Tenants-r.result.Items)
 		if (i+1)%changesPerProgressMessage == 0 {
-			r.Progress(fmt.Sprintf("  policy: %d of %d changes, the last took %.2f s", i+1, len(changes), elapsed.Seconds()))
+			r.Progress(fmt.Sprintf("  policy: %d of %d changes sent, last change took %.2f s", i+1, len(changes), elapsed.Seconds()))
 		}
 	}
 	lags, ok := r.awaitRevision(r.revision, start)
 	phase.Lag, phase.Completed = newLag(lags), ok
-	phase.Note = fmt.Sprintf("%d items, %d bytes, slowest change %.2f s, %d proxies have the last", r.result.Items, r.result.ConfigurationBytes, slowest.Seconds(), len(lags))
+	phase.Note = fmt.Sprintf("%d items, %d bytes; slowest change %.2f s; last change applied by %d proxies", r.result.Items, r.result.ConfigurationBytes, slowest.Seconds(), len(lags))
 }
 
-// startHeartbeats starts the targets' heartbeats, which go on to the end of the
-// run, and waits until all proxies are ready.
+// startHeartbeats starts the heartbeats of the targets, which continue until the end of the run,
+// and waits until all proxies are ready.
 func (r *sizeRun) startHeartbeats(phase *Phase) {
 	go r.heartbeats.run(r.ctx)
 	_, phase.Completed = waitUntil(r.ctx, r.PhaseTimeout, pollInterval, func() bool {
 		return int(r.heartbeats.acknowledged.Load()) >= r.Size.Targets && r.allProxiesReady()
 	})
 	pollFor(r.ctx, settlingTime, settlingTime, func() {})
-	phase.Note = fmt.Sprintf("%d announcements answered, %d failed; %d proxies ready", r.heartbeats.acknowledged.Load(), r.heartbeats.failed.Load(), r.countReadyProxies())
+	phase.Note = fmt.Sprintf("%d heartbeats acknowledged, %d failed; %d proxies ready", r.heartbeats.acknowledged.Load(), r.heartbeats.failed.Load(), r.countReadyProxies())
 }
 
-// steadyState measures a fleet in which nothing happens but heartbeats and reports.
+// steadyState measures a fleet without changes or failures.
 func (r *sizeRun) steadyState(phase *Phase) {
 	minReady := r.Size.Proxies
 	before := r.heartbeats.acknowledged.Load()
@@ -109,10 +107,11 @@
 	phase.Completed = r.ctx.Err() == nil
 	acknowledged := r.heartbeats.acknowledged.Load() - before
 	expected := r.PhaseDuration.Seconds() / r.AnnounceInterval.Seconds() * float64(r.Size.Targets)
-	phase.Note = fmt.Sprintf("%d proxies ready at least, %d announcements answered (%.0f wanted)", minReady, acknowledged, expected)
+	phase.Note = fmt.Sprintf("at least %d proxies ready; %d heartbeats acknowledged (%.0f expected)", minReady, acknowledged, expected)
 }
 
-// applyChanges makes changes of one route each, and awaits each at every proxy.
+// applyChanges changes one route at a time, and waits each time until every proxy has applied the
+// change.
 func (r *sizeRun) applyChanges(phase *Phase) {
 	var allLags []time.Duration
 	for n := range r.Changes {
@@ -125,7 +124,7 @@
 		lags, ok := r.awaitRevision(revision, start)
 		allLags = append(allLags, lags...)
 		if !ok {
-			phase.Note = fmt.Sprintf("change %d: in force at %d proxies within %s", n+1, len(lags), r.PhaseTimeout)
+			phase.Note = fmt.Sprintf("change %d: applied by only %d proxies within %s", n+1, len(lags), r.PhaseTimeout)
 			return
 		}
 	}
@@ -134,8 +133,7 @@
 	phase.Note = fmt.Sprintf("%d changes", r.Changes)
 }
 
-// restartRegistry kills the first registry, which plans the spill-over, and
-// starts it again.
+// restartRegistry kills the first registry, which plans the spill-over, and restarts it.
 func (r *sizeRun) restartRegistry(phase *Phase) {
 	p := r.running(registryRole)[0]
 	r.kill(p)
@@ -147,10 +145,10 @@
 	}
 	elapsed, ok := waitUntil(r.ctx, r.PhaseTimeout, pollInterval, func() bool { return r.isCoreReady() && r.allProxiesReady() })
 	phase.Completed = ok
-	phase.Note = fmt.Sprintf("%d proxies ready at least; whole %.1f s after the registry came back", minReady, elapsed.Seconds())
+	phase.Note = fmt.Sprintf("at least %d proxies ready; all daemons ready %.1f s after the restart", minReady, elapsed.Seconds())
 }
 
-// restartProxies kills all proxies at once, and starts them at once.
+// restartProxies kills all proxies, and then restarts them all.
 func (r *sizeRun) restartProxies(phase *Phase) {
 	r.killRole(proxyRole)
 	start := time.Now()
@@ -166,5 +164,5 @@
 		}
 	}
 	phase.Lag, phase.Completed = newLag(lags), ok
-	phase.Note = fmt.Sprintf("%d proxies ready, all after %.1f s", len(lags), elapsed.Seconds())
+	phase.Note = fmt.Sprintf("%d proxies ready after %.1f s", len(lags), elapsed.Seconds())
 }
--- a/internal/testsupport/scaletest/result.go
+++ b/internal/testsupport/scaletest/result.go
@@ -8,27 +8,26 @@
 // Run is the result of one size.
 type Run struct {
 	Size Size `json:"size"`
-	// Thrifty: the fleet ran with incremental target tables, slots by zone and
-	// endless leases.
+	// Thrifty is the option of the same name in Options.
 	Thrifty bool    `json:"thrifty"`
 	Phases  []Phase `json:"phases"`
-	// Stopped is why the run ended before its last phase; empty if it didn't.
+	// Stopped is the reason why the run ended early; empty if all phases completed.
 	Stopped string `json:"stopped,omitempty"`
-	// ConfigurationBytes and Items are the size of the accepted changes of the
-	// policy phase.
+	// ConfigurationBytes and Items are the size of the changes that were accepted in the policy
+	// phase.
 	ConfigurationBytes int `json:"policy_bytes"`
 	Items              int `json:"policy_items"`
-	// Cores is how many processors the machine has, Threads how many of them one
-	// process may use: see saturated.
+	// Cores is the number of CPUs of the machine, Threads the number that one process may use.
 	Cores   int `json:"cores"`
 	Threads int `json:"threads"`
-	// LoadAverage is the machine's at the end, of this fleet and of all else.
+	// LoadAverage is the load average of the machine at the end of the run. It includes other
+	// programs.
 	LoadAverage float64 `json:"load"`
-	// Changes is how many changes the change phase makes.
+	// Changes is the number of configuration changes in the change phase.
 	Changes int `json:"changes"`
 }
 
-// CompletedPhase returns the phase of a name; false if it didn't complete.
+// CompletedPhase returns the phase with a name. It returns false if the phase didn't complete.
 func (r Run) CompletedPhase(name string) (Phase, bool) {
 	for _, p := range r.Phases {
 		if p.Name == name && p.Completed {
@@ -43,13 +42,13 @@
 	Name      string  `json:"name"`
 	Seconds   float64 `json:"took_s"`
 	Completed bool    `json:"done"`
-	// Note is one line on what happened, for a reader.
+	// Note is a one-line summary for people.
 	Note   string  `json:"note,omitempty"`
 	Lag    Lag     `json:"lag"`
 	Usages []Usage `json:"spends"`
 }
 
-// UsageOf returns a role's usage; false if it wasn't measured.
+// UsageOf returns the usage of a role. It returns false if the role wasn't measured.
 func (p Phase) UsageOf(role string) (Usage, bool) {
 	for _, u := range p.Usages {
 		if u.Role == role {
@@ -59,14 +58,15 @@
 	return Usage{}, false
 }
 
-// Lag is how long after an event proxies reached the state it asks for, in ms.
+// Lag has percentiles, over the proxies, of the delay between an event and the expected state, in
+// ms.
 type Lag struct {
 	P50 float64 `json:"p50_ms"`
 	P99 float64 `json:"p99_ms"`
 	Max float64 `json:"max_ms"`
 }
 
-// newLag computes the percentiles of durations; zero for none.
+// newLag returns the percentiles of durations, or the zero Lag if there are none.
 func newLag(durations []time.Duration) Lag {
 	if len(durations) == 0 {
 		return Lag{}
--- a/internal/testsupport/scaletest/run.go
+++ b/internal/testsupport/scaletest/run.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// memoryCheckInterval is short against the time in which a fleet that doesn't
-// keep up fills the machine's memory.
+// memoryCheckInterval is much shorter than the time in which an overloaded fleet can use up the
+// machine's memory.
 const memoryCheckInterval = time.Second
 
-// Check returns an error if one of the sizes needs more than this machine has.
+// Check returns an error if one of the sizes exceeds the limits of this machine.
 func (o Options) Check() error {
 	l, err := MachineLimits()
 	if err != nil {
@@ -26,8 +26,8 @@
 	return nil
 }
 
-// RunSizes checks that every size fits, and then runs one after the other until
-// the context ends. With an error it returns the runs that were finished.
+// RunSizes checks that every size fits the machine, and then runs the sizes in order until the
+// context ends. Together with an error, it returns the runs that ended before the error.
 func RunSizes(ctx context.Context, o Options) ([]Run, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
@@ -47,21 +47,21 @@
 	return runs, nil
 }
 
-// sizeRun is the run of one size while it lasts.
+// sizeRun is the state of a run in progress.
 type sizeRun struct {
 	*fleet
 	result *Run
-	// ctx ends with the caller's, or when the fleet outgrows its memory.
+	// ctx ends with the caller's context, or when the fleet exceeds its memory limit.
 	ctx        context.Context
 	heartbeats *heartbeatSender
-	// revision is that of the last accepted change.
+	// revision is the revision of the last accepted change.
 	revision int64
 }
 
-// runSize runs the phases of one size until one doesn't complete.
+// runSize runs the phases of one size in order, and stops after the first that doesn't complete.
 func runSize(ctx context.Context, o Options, s Size) (Run, error) {
 	result := Run{Size: s, Thrifty: o.Thrifty, Cores: runtime.NumCPU(), Threads: runtime.GOMAXPROCS(0), Changes: o.Changes}
-	// Stores would go on with the voter set that an earlier run left.
+	// Otherwise the stores would recover the voter set of an earlier run.
 	if err := os.RemoveAll(o.Dir); err != nil {
 		return result, err
 	}
@@ -93,7 +93,7 @@
 	return result, nil
 }
 
-// runPhase runs one phase and measures what it cost each role.
+// runPhase runs one phase and measures the usage of each role.
 func (r *sizeRun) runPhase(step phaseStep) Phase {
 	phase := Phase{Name: step.name}
 	before := r.measure(true)
@@ -104,12 +104,13 @@
 	for _, role := range roles {
 		phase.Usages = append(phase.Usages, usageBetween(role, before[role], after[role]))
 	}
-	r.Progress(fmt.Sprintf("  %-14s %6.1f s  done %v  %s", phase.Name, phase.Seconds, phase.Completed, phase.Note))
+	r.Progress(fmt.Sprintf("  %-14s %6.1f s  completed %v  %s", phase.Name, phase.Seconds, phase.Completed, phase.Note))
 	return phase
 }
 
-// enforceMemoryLimit ends a run whose fleet takes over half of the machine's
-// memory: the estimate leaves out what waits in queues while daemons don't keep up.
+// enforceMemoryLimit ends a run whose fleet uses more than half of the machine's memory. This can
+// happen although the size was checked, because the estimate excludes the queues of overloaded
+// daemons.
 func (f *fleet) enforceMemoryLimit(ctx context.Context, cancel context.CancelCauseFunc) {
 	l, err := MachineLimits()
 	if err != nil {
@@ -119,12 +120,12 @@
 		return f.residentBytes() > float64(l.Memory/2)
 	})
 	if exceeded {
-		cancel(fmt.Errorf("the fleet took over half of the machine's memory, %d MiB", l.Memory/2/mib))
+		cancel(fmt.Errorf("the fleet used more than half of the machine's memory (%d MiB)", l.Memory/2/mib))
 		f.killRole(proxyRole)
 	}
 }
 
-// residentBytes is the memory that the whole fleet takes now.
+// residentBytes returns the resident memory of the whole fleet.
 func (f *fleet) residentBytes() float64 {
 	total := 0.0
 	for _, role := range roles {
@@ -137,8 +138,8 @@
 	return total
 }
 
-// waitUntil polls a condition. It returns how long that took, and false if the
-// condition didn't hold within the time-out or the context ended.
+// waitUntil polls a condition. It returns the time taken, and false if the timeout elapsed or the
+// context ended before the condition was true.
 func waitUntil(ctx context.Context, timeout, interval time.Duration, condition func() bool) (time.Duration, bool) {
 	start := time.Now()
 	ticker := time.NewTicker(interval)
@@ -158,8 +159,7 @@
 	}
 }
 
-// pollFor waits for a duration, or less if the context ends; poll is called at
-// each interval in between.
+// pollFor calls poll at each interval until the duration has passed or the context ends.
 func pollFor(ctx context.Context, duration, interval time.Duration, poll func()) {
 	_, _ = waitUntil(ctx, duration, interval, func() bool {
 		poll()
--- a/internal/testsupport/scaletest/scaletest_test.go
+++ b/internal/testsupport/scaletest/scaletest_test.go
@@ -13,11 +13,11 @@
 	"github.com/matryer/is"
 )
 
-// small is a size for tests that takes a few seconds.
+// small is the size of a fleet that starts within seconds.
 var small = Size{Proxies: 6, Targets: 8, Services: 2, Routes: 5, Tenants: 3, Zones: 3, Regions: 2, Core: 3}
 
-// A small fleet of real processes completes every phase, each role is measured,
-// and the report can be read back.
+// A small fleet of real processes completes every phase, the usage of each role is measured, and the
+// saved report can be decoded.
 func TestRunSizes_SmallFleetCompletesEveryPhase(t *testing.T) {
 	is := is.New(t)
 	bin := t.TempDir()
@@ -65,8 +65,8 @@
 	is.True(strings.Contains(table.String(), "distribution.Ack"))
 }
 
-// A size that the machine can't hold is rejected before anything starts, with the
-// bytes that it needs.
+// A size that exceeds the machine's memory is rejected before any process is started. The error
+// includes the required bytes.
 func TestRunSizes_RejectsOversizedBeforeAnythingStarts(t *testing.T) {
 	is := is.New(t)
 	dir := filepath.Join(t.TempDir(), "fleet")
--- a/internal/testsupport/scaletest/usage.go
+++ b/internal/testsupport/scaletest/usage.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// Usage is what one daemon of a role used in a phase, on average over the
-// role's daemons. A process's own memory is divided among its daemons.
+// Usage is the mean usage of the daemons of a role in a phase. The usage of a process with several
+// daemons is divided among them.
 type Usage struct {
 	Role string `json:"role"`
-	// Daemons is how many daemons the averages are taken over.
+	// Daemons is the number of daemons of the role.
 	Daemons int     `json:"daemons"`
 	Seconds float64 `json:"seconds"`
-	// CPUPercent is in percent of one core; MemoryMB and PeakMB are the resident
-	// set and its peak, in 10⁶ bytes.
+	// CPUPercent is in percent of one core. MemoryMB and PeakMB are the resident set size and its
+	// peak, in 10⁶ bytes.
 	CPUPercent  float64 `json:"cpu_percent"`
 	MemoryMB    float64 `json:"memory_mb"`
 	PeakMB      float64 `json:"peak_mb"`
@@ -22,18 +22,18 @@
 	SentBytesPerSecond     float64 `json:"sent_bytes_per_s"`
 	ReceivedBytesPerSecond float64 `json:"received_bytes_per_s"`
 	SentMessagesPerSecond  float64 `json:"sent_messages_per_s"`
-	// LostMessages were dropped because a connection's queue was full; it is the
-	// sum over all daemons of the role.
+	// LostMessages is the number of messages dropped because a connection's queue was full, summed
+	// over all daemons of the role.
 	LostMessages   float64 `json:"lost_messages"`
 	SyncsPerSecond float64 `json:"syncs_per_s"`
-	// Kinds are sorted by bytes, the most first.
+	// Kinds is sorted by bytes in descending order.
 	Kinds []KindTraffic `json:"kinds"`
-	// BusiestProcessCPUPercent is the most that a process of the role used, in
-	// percent of one core.
+	// BusiestProcessCPUPercent is the maximum over the processes of the role, in percent of one
+	// core.
 	BusiestProcessCPUPercent float64 `json:"busiest_process_cpu_percent"`
 }
 
-// KindTraffic is what one daemon of a role sent of one message kind.
+// KindTraffic is the mean traffic of one message kind sent by each daemon of a role.
 type KindTraffic struct {
 	// Kind is the name of the message's type, such as "membership.Suspect".
 	Kind              string  `json:"kind"`
@@ -42,13 +42,13 @@
 	BytesPerMessage   float64 `json:"bytes_each"`
 }
 
-// ControlBytesPerSecond is the traffic of both directions, as the budget counts it.
+// ControlBytesPerSecond returns the traffic in both directions, to which the budget applies.
 func (u Usage) ControlBytesPerSecond() float64 {
 	return u.SentBytesPerSecond + u.ReceivedBytesPerSecond
 }
 
-// usageBetween computes what a role used from one measurement to the next. A
-// process that was restarted in between is counted from its start.
+// usageBetween returns the usage of a role between two measurements. A process that was restarted in
+// between is measured from its start.
 func usageBetween(role string, before, after *measurement) Usage {
 	usage := Usage{Role: role, Seconds: after.at.Sub(before.at).Seconds()}
 	sent := map[string]traffic{}
@@ -78,7 +78,7 @@
 	return usage
 }
 
-// addProcess adds what the kernel counted for one process.
+// addProcess adds the usage of one process, except for its traffic.
 func (u *Usage) addProcess(previous, current *processUsage) {
 	cpuPercent := 100 * (current.cpuSeconds - previous.cpuSeconds) / u.Seconds
 	u.BusiestProcessCPUPercent = max(u.BusiestProcessCPUPercent, cpuPercent)
@@ -90,7 +90,7 @@
 	u.SyncsPerSecond += (current.syncs - previous.syncs) / u.Seconds
 }
 
-// addTraffic adds one process's frames, those sent by kind as well.
+// addTraffic adds the traffic of one process, and the traffic that it sent to sentByKind.
 func (u *Usage) addTraffic(previous, current *processUsage, sentByKind map[string]traffic) {
 	for k, t := range current.traffic {
 		messages, bytesPerSecond := t.messages-previous.traffic[k].messages, (t.bytes-previous.traffic[k].bytes)/u.Seconds
