--- a/internal/testsupport/scaletest/fit.go
+++ b/internal/testsupport/scaletest/fit.go
@@ -6,16 +6,16 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Point is one measurement: the size along the axis, and the cost there.
+// Point is one measurement: the value of the axis, and the cost.
 type Point struct {
 	X float64 `json:"x"`
 	Y float64 `json:"y"`
-	// LeftOut: the machine was saturated or the fleet not at rest, so that this
-	// doesn't measure what a fleet costs.
+	// LeftOut excludes the point from the fit, because the machine was saturated or the fleet was
+	// unstable.
 	LeftOut bool `json:"left_out,omitempty"`
 }
 
-// Fit is a least-squares curve: y = Intercept + Slope·x if Shape is linear,
+// Fit is a least-squares curve: y = Intercept + Slope·x if Shape is linear, and
 // y = Intercept + Slope·x² if it is quadratic.
 type Fit struct {
 	Shape     string  `json:"shape"`
@@ -29,17 +29,17 @@
 const (
 	linear    = "linear"
 	quadratic = "square"
-	// minSizesForFit: a line through one size says nothing.
+	// minSizesForFit is the minimum number of distinct sizes for a fit.
 	minSizesForFit = 2
-	// minSizesForQuadratic: through three sizes noise looks like a curve.
+	// minSizesForQuadratic is higher, because a quadratic fits the noise of three sizes too well.
 	minSizesForQuadratic = 4
-	// maxQuadraticResidualRatio is the largest share of the line's unexplained
-	// variance that a quadratic may leave to be chosen in place of the line.
+	// maxQuadraticResidualRatio limits the unexplained variance of a quadratic, relative to that
+	// of the line, for the quadratic to be chosen.
 	maxQuadraticResidualRatio = 0.5
 )
 
-// FitPoints fits the points that aren't left out. It returns false if they
-// cover fewer than two sizes.
+// FitPoints fits the points that aren't excluded. It returns false if they have fewer than two
+// distinct sizes.
 func FitPoints(points []Point) (Fit, bool) {
 	var xs, ys, squares []float64
 	sizes := map[float64]bool{}
@@ -65,15 +65,15 @@
 func fitShape(shape string, xs, ys []float64) Fit {
 	a, b := stat.LinearRegression(xs, ys, nil, false)
 	r2 := stat.RSquared(xs, ys, nil, a, b)
-	// R² divides by the variance of y, which is 0 for points of equal height: a
-	// level line explains these.
+	// If all values of y are equal, their variance is 0 and R² is undefined. A horizontal line is
+	// then a perfect fit.
 	if math.IsNaN(r2) || math.IsInf(r2, 0) {
 		r2 = 1
 	}
 	return Fit{Shape: shape, Intercept: a, Slope: b, R2: r2, PointCount: len(xs)}
 }
 
-// ValueAt evaluates the curve.
+// ValueAt returns the value of the curve at x.
 func (f Fit) ValueAt(x float64) float64 {
 	if f.Shape == quadratic {
 		return f.Intercept + f.Slope*x*x
--- a/internal/testsupport/scaletest/fit_test.go
+++ b/internal/testsupport/scaletest/fit_test.go
@@ -7,10 +7,10 @@
 	"github.com/matryer/is"
 )
 
-// almostEqual tells whether two numbers differ by rounding only.
+// almostEqual reports whether two numbers differ only by rounding errors.
 func almostEqual(a, b float64) bool { return math.Abs(a-b) < 1e-6*max(1, math.Abs(b)) }
 
-// pointsOf are those of a function at some sizes.
+// pointsOf returns the points of a function at xs.
 func pointsOf(f func(x float64) float64, xs ...float64) []Point {
 	var out []Point
 	for _, x := range xs {
@@ -36,7 +36,7 @@
 	is.True(ok)
 	is.Equal(f.Shape, quadratic)
 	is.True(almostEqual(f.ValueAt(1600), 25602))
-	// Three points are too few to believe a curve.
+	// Three sizes are too few for a quadratic.
 	f, ok = FitPoints(pointsOf(parabola, 10, 20, 40))
 	is.True(ok)
 	is.Equal(f.Shape, linear)
--- a/internal/testsupport/scaletest/plot.go
+++ b/internal/testsupport/scaletest/plot.go
@@ -14,8 +14,7 @@
 	plotHeight = 9 * vg.Centimeter
 )
 
-// plot draws a slope into an SVG file: its points, its fit up to the design
-// size, and its budget.
+// plot writes an SVG plot of the points, of the fit up to the design point, and of the budget.
 func (s Slope) plot(file string) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%s: %s, %s", s.Phase, s.Role, s.Measure)
@@ -42,7 +41,7 @@
 	return p.Save(plotWidth, plotHeight, file)
 }
 
-// plotPoints draws the points, those left out of the fit in grey.
+// plotPoints plots the points; those excluded from the fit are grey.
 func (s Slope) plotPoints(p *plot.Plot) error {
 	var fitted, leftOut plotter.XYs
 	for _, point := range s.Points {
@@ -59,7 +58,7 @@
 		colour color.Color
 	}{
 		{fitted, "measured", color.RGBA{B: 200, A: 255}},
-		{leftOut, "left out: machine full, or not at rest", color.Gray{150}},
+		{leftOut, "excluded: machine saturated or fleet unstable", color.Gray{150}},
 	} {
 		if len(group.points) == 0 {
 			continue
--- a/internal/testsupport/scaletest/report.go
+++ b/internal/testsupport/scaletest/report.go
@@ -8,19 +8,18 @@
 	"strings"
 )
 
-// reportFile is the name of the report in its folder.
 const reportFile = "hollow.json"
 
 // Report is the result of a run over several sizes.
 type Report struct {
-	// Command is the command line that made it.
+	// Command is the command line of the run.
 	Command string  `json:"command"`
 	Runs    []Run   `json:"runs"`
 	Slopes  []Slope `json:"slopes"`
 }
 
-// Save writes the report as JSON into a folder, with an SVG plot of each slope
-// that has at least two points.
+// Save writes the report to a folder as JSON, and an SVG plot of each slope that has at least two
+// points.
 func (r Report) Save(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -42,13 +41,13 @@
 	return nil
 }
 
-// plotFile is the name of the slope's plot, such as "steady-proxy-memory.svg".
+// plotFile returns the file name of the plot, such as "steady-proxy-memory.svg".
 func (s Slope) plotFile() string {
 	measure, _, _ := strings.Cut(strings.ReplaceAll(s.Measure, ":", ""), ",")
 	return strings.ReplaceAll(fmt.Sprintf("%s-%s-%s.svg", s.Phase, s.Role, measure), " ", "-")
 }
 
-// sizes are the sizes of all runs.
+// sizes returns the sizes of all runs.
 func (r Report) sizes() []Size {
 	var out []Size
 	for _, run := range r.Runs {
--- a/internal/testsupport/scaletest/saturation.go
+++ b/internal/testsupport/scaletest/saturation.go
@@ -6,17 +6,16 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// saturationThreshold is the share of the machine's cores, or of the threads that
-// one process may use, above which a run measures the machine and not the fleet.
+// saturationThreshold is the share of the machine's CPUs, or of the threads of one process, above
+// which a phase counts as saturated.
 const saturationThreshold = 0.85
 
-// maxSuspicionsPerSecond is how many suspicions a proxy may send in a second
-// while its fleet still counts as at rest.
+// maxSuspicionsPerSecond is the maximum rate of lease requests and suspicions per proxy in a stable
+// fleet.
 const maxSuspicionsPerSecond = 0.05
 
-// SuspicionsPerSecond is how many lease requests and suspicions each proxy sent
-// in a second. A fleet that sends them continuously doesn't keep up: live peers
-// answer too late, and each suspicion adds to the load.
+// SuspicionsPerSecond returns the mean rate of lease requests and suspicions per proxy. A fleet that
+// sends them continuously is overloaded: live peers respond too late, and each suspicion adds load.
 func (p Phase) SuspicionsPerSecond() float64 {
 	leaseRequest := wire.KindOfMessage(proxy.LeaseRequest{}).Name()
 	suspect := wire.KindOfMessage(membership.Suspect{}).Name()
@@ -30,14 +29,14 @@
 	return sum
 }
 
-// isStable tells whether a fleet that should be at rest suspects nobody; other
-// phases break something, so that suspicions are due.
+// isStable reports whether proxies sent almost no suspicions. Only the steady and change phases can
+// be unstable, because the other phases start or kill daemons.
 func (p Phase) isStable() bool {
 	return p.Name != steadyPhase && p.Name != changePhase || p.SuspicionsPerSecond() <= maxSuspicionsPerSecond
 }
 
-// saturated tells whether a phase measured a saturated machine or a fleet that
-// doesn't keep up, and so not what a fleet costs.
+// saturated reports whether the machine, a process or a connection's queue was saturated in a phase,
+// or the fleet was unstable, so that the phase doesn't show the cost of the fleet.
 func saturated(r Run, p Phase) bool {
 	if !p.isStable() {
 		return true
--- a/internal/testsupport/scaletest/size.go
+++ b/internal/testsupport/scaletest/size.go
@@ -7,7 +7,7 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// Size is how large one fleet is.
+// Size is the size of a fleet.
 type Size struct {
 	Proxies  int `json:"proxies"`
 	Targets  int `json:"targets"`
@@ -16,16 +16,16 @@
 	Tenants  int `json:"tenants"`
 	Zones    int `json:"cells"`
 	Regions  int `json:"regions"`
-	// Core is how many machines have a registry and a store.
+	// Core is the number of core machines, each with a registry and a store.
 	Core int `json:"core"`
 }
 
-// DesignSize is the largest size that the software is designed for (docs/CAPACITY.md);
-// fits are extrapolated to it.
+// DesignSize is the largest size that the software is designed for (docs/CAPACITY.md). Fits are
+// extrapolated to it.
 var DesignSize = Size{Proxies: 1600, Targets: 4300, Services: 260, Routes: 2000, Tenants: 150000, Zones: 36, Regions: 9, Core: 6}
 
-// axes are the parts of a size, by the names of their flags, in the order in
-// which Axis looks for the one that varies.
+// axes lists the fields of a size with the names of their flags, in the order in which Axis searches
+// them.
 var axes = []struct {
 	name  string
 	field func(*Size) *int
@@ -40,7 +40,7 @@
 	{"core", func(s *Size) *int { return &s.Core }},
 }
 
-// Axis is the name of the first part that varies over the sizes; proxies if none does.
+// Axis returns the name of the first axis that varies over the sizes, or "proxies" if none does.
 func Axis(sizes []Size) string {
 	for _, a := range axes {
 		for i := range sizes {
@@ -52,7 +52,7 @@
 	return axes[0].name
 }
 
-// Along is the part of the size that an axis names; 0 for an unknown name.
+// Along returns the value of the field that an axis names, or 0 if the name is unknown.
 func (s Size) Along(axis string) float64 {
 	for _, a := range axes {
 		if a.name == axis {
@@ -62,8 +62,7 @@
 	return 0
 }
 
-// check returns an error that begins with the flag of the first part that makes
-// no sense on any machine.
+// check returns an error that begins with the flag of the first invalid field.
 func (s Size) check() error {
 	for _, a := range axes {
 		n, minimum := *a.field(&s), 1
@@ -79,35 +78,35 @@
 	}
 	switch {
 	case s.Regions > s.Zones:
-		return fmt.Errorf("--regions: there can't be more than the %d cells", s.Zones)
+		return fmt.Errorf("--regions: must not exceed --cells (%d)", s.Zones)
 	case s.Services > s.Routes:
-		return fmt.Errorf("--services: there can't be more than the %d routes that lead to them", s.Routes)
+		return fmt.Errorf("--services: must not exceed --routes (%d)", s.Routes)
 	case s.Proxies > maxProxies:
-		return fmt.Errorf("--proxies: at most %d have addresses of their own", maxProxies)
+		return fmt.Errorf("--proxies: must be at most %d", maxProxies)
 	case s.Core > maxCoreMachines:
-		return fmt.Errorf("--core: at most %d have addresses of their own", maxCoreMachines)
+		return fmt.Errorf("--core: must be at most %d", maxCoreMachines)
 	}
 	return nil
 }
 
-// Zone is the name of the zone of the nth daemon or target.
+// Zone returns the name of the zone of the nth daemon or target.
 func (s Size) Zone(n int) ids.Name { return ids.Name(fmt.Sprintf("cell-%d", n%s.Zones+1)) }
 
-// Region is the name of the nth zone's region.
+// Region returns the name of the nth zone's region.
 func (s Size) Region(n int) string { return fmt.Sprintf("region-%d", n%s.Zones%s.Regions+1) }
 
-// Service is the name of the nth service.
+// Service returns the name of the nth service.
 func (s Size) Service(n int) ids.Name {
 	return ids.Name(fmt.Sprintf("service-%d", n%s.Services+1))
 }
 
-// String lists all parts.
+// String lists all fields.
 func (s Size) String() string {
-	return fmt.Sprintf("%d proxies, %d targets, %d services, %d routes, %d tenants, %d cells, %d regions, %d core",
+	return fmt.Sprintf("%d proxies, %d targets, %d services, %d routes, %d tenants, %d zones, %d regions, %d core machines",
 		s.Proxies, s.Targets, s.Services, s.Routes, s.Tenants, s.Zones, s.Regions, s.Core)
 }
 
-// maximumSize is the size with the largest of each part.
+// maximumSize returns a size in which each field is the maximum over the sizes.
 func maximumSize(sizes []Size) Size {
 	out := sizes[0]
 	for _, a := range axes {
--- a/internal/testsupport/scaletest/slopes.go
+++ b/internal/testsupport/scaletest/slopes.go
@@ -1,23 +1,24 @@
 package scaletest
 
-// Slope is one measure of one role in one phase, over several sizes.
+// Slope is a measure of one role in one phase as a function of the size.
 type Slope struct {
 	Phase   string `json:"phase"`
 	Role    string `json:"role"`
 	Measure string `json:"measure"`
-	// Axis is the part of the size that varies, such as "proxies".
+	// Axis is the name of the field of Size that varies, such as "proxies".
 	Axis   string  `json:"axis"`
 	Points []Point `json:"points"`
 	// Fit is nil if fewer than two sizes were measured.
 	Fit *Fit `json:"fit,omitempty"`
-	// DesignPoint is DesignSize along the axis, Extrapolated the fit's value there.
+	// DesignPoint is the axis value of DesignSize, Extrapolated the value of the fit there.
 	DesignPoint  float64 `json:"at"`
 	Extrapolated float64 `json:"worked_out,omitempty"`
-	// Budget is what one daemon may take; 0 if there is no budget.
+	// Budget is the limit for one daemon, or 0 if there is none.
 	Budget float64 `json:"budget,omitempty"`
 }
 
-// measures are fitted for each role and phase; the budgets are those of one proxy.
+// measures lists the measures that are fitted for each role and phase. The names are part of
+// reports, and the budgets are for one proxy.
 var measures = []struct {
 	name   string
 	budget float64
@@ -30,25 +31,25 @@
 	{"messages sent, /s", 0, func(u Usage) float64 { return u.SentMessagesPerSecond }},
 }
 
-// changeMeasures are the costs of one configuration change to one daemon.
+// changeMeasures lists the costs of one configuration change for one daemon.
 var changeMeasures = []struct {
 	name  string
 	value func(u Usage) float64
 }{
-	// A percent of a core over a second is 10 ms.
+	// One percent of a core for one second is 10 ms.
 	{"one change: CPU ms", func(u Usage) float64 { return 10 * u.CPUPercent * u.Seconds }},
 	{"one change: bytes sent and received", func(u Usage) float64 { return u.ControlBytesPerSecond() * u.Seconds }},
 }
 
-// changeLagBudgetMillis is how long after a change 99 of 100 proxies apply it.
+// changeLagBudgetMillis limits the 99th percentile of the delay until a proxy applies a change.
 const changeLagBudgetMillis = 5000
 
-// fittedPhases are the phases whose costs are fitted: those before them fill the
-// fleet, and depend on the speed of this machine.
+// fittedPhases lists the phases whose costs are fitted. The earlier phases set up the fleet, and
+// their costs depend on the speed of the machine.
 var fittedPhases = []string{steadyPhase, changePhase, registryRestartPhase, proxyRestartPhase}
 
-// FitSlopes fits every measure of every role and phase over the runs. Measures
-// without any point are left out.
+// FitSlopes fits every measure of every role and phase over the runs. It omits measures without
+// points.
 func FitSlopes(runs []Run) []Slope {
 	if len(runs) == 0 {
 		return nil
@@ -69,7 +70,7 @@
 	return withPoints(slopes)
 }
 
-// withPoints returns the slopes that have points; nil if there are none.
+// withPoints returns the slopes that have points.
 func withPoints(slopes []Slope) []Slope {
 	var out []Slope
 	for _, s := range slopes {
@@ -84,7 +85,7 @@
 	return Slope{Phase: phase, Role: role, Measure: measure, Axis: axis, DesignPoint: DesignSize.Along(axis)}
 }
 
-// usageSlopes fits the measures of one role in one phase.
+// usageSlopes returns the slopes of one role in one phase.
 func usageSlopes(runs []Run, phase, role, axis string) []Slope {
 	var slopes []Slope
 	for _, m := range measures {
@@ -106,7 +107,8 @@
 	return slopes
 }
 
-// changeCostSlopes fit what one change cost one daemon beyond the steady state.
+// changeCostSlopes returns the slopes of the cost of one change for one daemon, which is the cost of
+// the change phase without that of the steady state.
 func changeCostSlopes(runs []Run, axis string) []Slope {
 	var slopes []Slope
 	for _, role := range roles {
@@ -129,7 +131,7 @@
 	return slopes
 }
 
-// lagSlope fits how long 99 of 100 proxies took to reach the phase's goal.
+// lagSlope returns the slope of the 99th percentile of a phase's lag.
 func lagSlope(runs []Run, phase, axis string) Slope {
 	s := newSlope(phase, "fleet", "99 in 100 proxies, ms", axis)
 	if phase == changePhase {
@@ -143,7 +145,7 @@
 	return s.withFit()
 }
 
-// withFit returns the slope with its fit, if its points allow one.
+// withFit returns the slope with a fit, if there are enough points for one.
 func (s Slope) withFit() Slope {
 	if f, ok := FitPoints(s.Points); ok {
 		s.Fit, s.Extrapolated = &f, f.ValueAt(s.DesignPoint)
--- a/internal/testsupport/scaletest/slopes_test.go
+++ b/internal/testsupport/scaletest/slopes_test.go
@@ -6,8 +6,7 @@
 	"github.com/matryer/is"
 )
 
-// A fleet whose proxies suspect live peers is not at rest: its steady phase is
-// left out of the fits.
+// The steady phase of a run whose proxies suspected live peers is excluded from the fits.
 func TestFitSlopes_ExcludesRunsWithSuspicions(t *testing.T) {
 	is := is.New(t)
 	run := func(proxies int, kinds ...KindTraffic) Run {
@@ -22,8 +21,8 @@
 	is.Equal([]bool{slopes[0].Points[0].LeftOut, slopes[0].Points[1].LeftOut, slopes[0].Points[2].LeftOut, slopes[0].Points[3].LeftOut}, []bool{false, false, true, true})
 }
 
-// The cost of one change is what the change phase cost beyond the steady state,
-// divided by the number of changes.
+// The cost of one change is the cost of the change phase without that of the steady state, divided
+// by the number of changes.
 func TestChangeCostSlopes_SubtractSteadyState(t *testing.T) {
 	is := is.New(t)
 	run := func(proxies int) Run {
@@ -44,7 +43,7 @@
 	}
 }
 
-// A run that saturated the machine, one process, or a connection's queue is left out.
+// A run that saturated the machine, one process or a connection's queue is excluded from the fits.
 func TestFitSlopes_ExcludesSaturatedRuns(t *testing.T) {
 	is := is.New(t)
 	run := func(proxies int, cpu, busiest, lost float64) Run {
@@ -58,7 +57,7 @@
 		if s.Measure == "CPU, % of a core" {
 			is.Equal(s.Fit.PointCount, 2)
 			is.True(almostEqual(s.Extrapolated, 160))
-			is.Equal(s.budgetComparison(), "1.7: 94.1 times over")
+			is.Equal(s.budgetComparison(), "1.7: 94.1 times the budget")
 		}
 		if s.Measure == "sent and received, bytes/s" {
 			is.Equal(s.budgetComparison(), "1.3e+04: within")
--- a/internal/testsupport/scaletest/tables.go
+++ b/internal/testsupport/scaletest/tables.go
@@ -6,19 +6,19 @@
 	"text/tabwriter"
 )
 
-// maxKindsPerRow is how many message kinds, those with the most bytes, a line shows.
+// maxKindsPerRow is the number of message kinds, ordered by bytes, in a row of the table.
 const maxKindsPerRow = 2
 
-// WriteTables writes the runs and their slopes as tables for a terminal.
+// WriteTables writes the runs and slopes as plain-text tables.
 func (r Report) WriteTables(to io.Writer) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "size\tphase\ttook s\trole\tCPU %\tbusiest %\tMB\tsent B/s\trecv B/s\tmsg/s\tlost\tfiles\tlag p50/p99/max ms\tmostly")
+	fmt.Fprintln(w, "size\tphase\tduration s\trole\tCPU %\tbusiest %\tMB\tsent B/s\trecv B/s\tmsg/s\tlost\tFDs\tlag p50/p99/max ms\ttop message kinds")
 	axis := Axis(r.sizes())
 	for _, run := range r.Runs {
 		run.writeRows(w, axis)
 	}
 	fmt.Fprintln(w)
-	fmt.Fprintln(w, "phase\trole\tmeasure\tfit\tr2\tpoints\tleft out\tat\tworked out\tbudget")
+	fmt.Fprintln(w, "phase\trole\tmeasure\tfit\tr2\tpoints\texcluded\tdesign point\textrapolated\tbudget")
 	for _, s := range r.Slopes {
 		if s.Fit != nil {
 			s.writeRow(w)
@@ -27,8 +27,8 @@
 	return w.Flush()
 }
 
-// writeRows writes a line for each phase and role, and below them what the
-// reader must know of the machine and of phases that weren't at rest.
+// writeRows writes a row for each phase and role, then the unstable phases, the load of the machine
+// and the reason for an early end.
 func (r Run) writeRows(w io.Writer, axis string) {
 	for _, p := range r.Phases {
 		for _, u := range p.Usages {
@@ -44,16 +44,16 @@
 	}
 	for _, p := range r.Phases {
 		if !p.isStable() {
-			fmt.Fprintf(w, "not at rest: %s, %.2f lease requests and suspicions a second from each proxy\n", p.Name, p.SuspicionsPerSecond())
+			fmt.Fprintf(w, "unstable: %s, %.2f lease requests and suspicions per second and proxy\n", p.Name, p.SuspicionsPerSecond())
 		}
 	}
-	fmt.Fprintf(w, "machine: load %.1f on %d processors, %d threads a process\n", r.LoadAverage, r.Cores, r.Threads)
+	fmt.Fprintf(w, "machine: load average %.1f, %d CPUs, %d threads per process\n", r.LoadAverage, r.Cores, r.Threads)
 	if r.Stopped != "" {
 		fmt.Fprintf(w, "stopped at %s: %s\n", r.Size, r.Stopped)
 	}
 }
 
-// writeRow writes the line of a slope that has a fit.
+// writeRow writes the row of a slope that has a fit.
 func (s Slope) writeRow(w io.Writer) {
 	x := "x"
 	if s.Fit.Shape == quadratic {
@@ -64,14 +64,14 @@
 		s.Fit.PointCount, len(s.Points)-s.Fit.PointCount, s.DesignPoint, s.Axis, s.Extrapolated, s.budgetComparison())
 }
 
-// budgetComparison says whether the extrapolated cost is within the budget;
-// empty if there is no budget.
+// budgetComparison returns the budget and whether the extrapolated cost is within it, or an empty
+// string if there is no budget.
 func (s Slope) budgetComparison() string {
 	switch {
 	case s.Budget == 0:
 		return ""
 	case s.Extrapolated > s.Budget:
-		return fmt.Sprintf("%.4g: %.1f times over", s.Budget, s.Extrapolated/s.Budget)
+		return fmt.Sprintf("%.4g: %.1f times the budget", s.Budget, s.Extrapolated/s.Budget)
 	}
 	return fmt.Sprintf("%.4g: within", s.Budget)
 }
