--- a/internal/testsupport/scaletest/fit.go
+++ b/internal/testsupport/scaletest/fit.go
@@ -10,9 +10,9 @@
 type Point struct {
 	X float64 `json:"x"`
 	Y float64 `json:"y"`
-	// LeftOut excludes the point from the fit, because the machine was saturated or the fleet was
+	// Excluded excludes the point from the fit, because the machine was saturated or the fleet was
 	// unstable.
-	LeftOut bool `json:"left_out,omitempty"`
+	Excluded bool `json:"left_out,omitempty"`
 }
 
 // Fit is a least-squares curve: y = Intercept + Slope·x if Shape is linear, and
@@ -44,7 +44,7 @@
 	var xs, ys, squares []float64
 	sizes := map[float64]bool{}
 	for _, p := range points {
-		if !p.LeftOut {
+		if !p.Excluded {
 			xs, ys, squares = append(xs, p.X), append(ys, p.Y), append(squares, p.X*p.X)
 			sizes[p.X] = true
 		}
--- a/internal/testsupport/scaletest/fit_test.go
+++ b/internal/testsupport/scaletest/fit_test.go
@@ -44,7 +44,7 @@
 
 func TestFitPoints_ExcludesPointsAndNeedsTwoSizes(t *testing.T) {
 	is := is.New(t)
-	withOutlier := append(pointsOf(func(x float64) float64 { return x }, 1, 2, 3), Point{X: 4, Y: 1000, LeftOut: true})
+	withOutlier := append(pointsOf(func(x float64) float64 { return x }, 1, 2, 3), Point{X: 4, Y: 1000, Excluded: true})
 	f, ok := FitPoints(withOutlier)
 	is.True(ok)
 	is.Equal(f.PointCount, 3)
--- a/internal/testsupport/scaletest/plot.go
+++ b/internal/testsupport/scaletest/plot.go
@@ -46,7 +46,7 @@
 	var fitted, leftOut plotter.XYs
 	for _, point := range s.Points {
 		xy := plotter.XY{X: point.X, Y: point.Y}
-		if point.LeftOut {
+		if point.Excluded {
 			leftOut = append(leftOut, xy)
 		} else {
 			fitted = append(fitted, xy)
--- a/internal/testsupport/scaletest/slopes_test.go
+++ b/internal/testsupport/scaletest/slopes_test.go
@@ -18,7 +18,7 @@
 	ack := KindTraffic{Kind: "distribution.Ack", MessagesPerSecond: 9}
 	slopes := FitSlopes([]Run{run(1, ack), run(2, ack), run(3, ack, KindTraffic{Kind: "proxy.LeaseRequest", MessagesPerSecond: 0.06}), run(4, KindTraffic{Kind: "membership.Suspect", MessagesPerSecond: 1})})
 	is.Equal(slopes[0].Fit.PointCount, 2)
-	is.Equal([]bool{slopes[0].Points[0].LeftOut, slopes[0].Points[1].LeftOut, slopes[0].Points[2].LeftOut, slopes[0].Points[3].LeftOut}, []bool{false, false, true, true})
+	is.Equal([]bool{slopes[0].Points[0].Excluded, slopes[0].Points[1].Excluded, slopes[0].Points[2].Excluded, slopes[0].Points[3].Excluded}, []bool{false, false, true, true})
 }
 
 // The cost of one change is the cost of the change phase without that of the steady state, divided
