--- a/internal/testsupport/scaletest/size.go
+++ b/internal/testsupport/scaletest/size.go
@@ -52,8 +52,8 @@
 	return axes[0].name
 }
 
-// Along returns the value of the field that an axis names, or 0 if the name is unknown.
-func (s Size) Along(axis string) float64 {
+// AxisValue returns the value of the field that an axis names, or 0 if the name is unknown.
+func (s Size) AxisValue(axis string) float64 {
 	for _, a := range axes {
 		if a.name == axis {
 			return float64(*a.field(&s))
--- a/internal/testsupport/scaletest/size_test.go
+++ b/internal/testsupport/scaletest/size_test.go
@@ -26,7 +26,7 @@
 	is.NoErr(err)
 	is.Equal(Axis(got), "targets")
 	is.Equal(Axis(got[:1]), "proxies")
-	is.Equal(got[2].Along("targets"), 120.0)
+	is.Equal(got[2].AxisValue("targets"), 120.0)
 	is.Equal(maximumSize(got).Targets, 120)
 }
 
--- a/internal/testsupport/scaletest/slopes.go
+++ b/internal/testsupport/scaletest/slopes.go
@@ -82,7 +82,7 @@
 }
 
 func newSlope(phase, role, measure, axis string) Slope {
-	return Slope{Phase: phase, Role: role, Measure: measure, Axis: axis, DesignPoint: DesignSize.Along(axis)}
+	return Slope{Phase: phase, Role: role, Measure: measure, Axis: axis, DesignPoint: DesignSize.AxisValue(axis)}
 }
 
 // usageSlopes returns the slopes of one role in one phase.
@@ -99,7 +99,7 @@
 				continue
 			}
 			if usage, ok := p.UsageOf(role); ok {
-				s.Points = append(s.Points, Point{r.Size.Along(axis), m.value(usage), saturated(r, p)})
+				s.Points = append(s.Points, Point{r.Size.AxisValue(axis), m.value(usage), saturated(r, p)})
 			}
 		}
 		slopes = append(slopes, s.withFit())
@@ -123,7 +123,7 @@
 				during, _ := change.UsageOf(role)
 				baseline, _ := steady.UsageOf(role)
 				cost := m.value(during) - m.value(baseline)*during.Seconds/baseline.Seconds
-				s.Points = append(s.Points, Point{r.Size.Along(axis), cost / float64(r.Changes), saturated(r, change) || saturated(r, steady)})
+				s.Points = append(s.Points, Point{r.Size.AxisValue(axis), cost / float64(r.Changes), saturated(r, change) || saturated(r, steady)})
 			}
 			slopes = append(slopes, s.withFit())
 		}
@@ -139,7 +139,7 @@
 	}
 	for _, r := range runs {
 		if p, ok := r.CompletedPhase(phase); ok && p.Lag.P99 > 0 {
-			s.Points = append(s.Points, Point{r.Size.Along(axis), p.Lag.P99, saturated(r, p)})
+			s.Points = append(s.Points, Point{r.Size.AxisValue(axis), p.Lag.P99, saturated(r, p)})
 		}
 	}
 	return s.withFit()
--- a/internal/testsupport/scaletest/tables.go
+++ b/internal/testsupport/scaletest/tables.go
@@ -37,7 +37,7 @@
 				topKinds += fmt.Sprintf("%s %.1f/s of %.0f B; ", k.Kind, k.MessagesPerSecond, k.BytesPerMessage)
 			}
 			fmt.Fprintf(w, "%.0f %s\t%s\t%.1f\t%s\t%.2f\t%.0f\t%.1f\t%.0f\t%.0f\t%.1f\t%.0f\t%.0f\t%.0f/%.0f/%.0f\t%s\n",
-				r.Size.Along(axis), axis, p.Name, p.Seconds, u.Role, u.CPUPercent, u.BusiestProcessCPUPercent, u.MemoryMB,
+				r.Size.AxisValue(axis), axis, p.Name, p.Seconds, u.Role, u.CPUPercent, u.BusiestProcessCPUPercent, u.MemoryMB,
 				u.SentBytesPerSecond, u.ReceivedBytesPerSecond, u.SentMessagesPerSecond, u.LostMessages, u.Descriptors,
 				p.Lag.P50, p.Lag.P99, p.Lag.Max, topKinds)
 		}
