--- a/cmd/testbed/scale.go
+++ b/cmd/testbed/scale.go
@@ -63,7 +63,7 @@
 	}
 	o := scaletest.Options{
 		Sizes: sizes, Dir: s.Dir, Thrifty: s.Thrifty, ProxiesPerGroup: s.ProxiesPerProcess, PhaseDuration: s.SteadyPhase, PhaseTimeout: s.PhaseTimeout,
-		AnnounceInterval: s.Interval, UsageRows: s.UsageRows, Changes: s.Changes, LoopbackBlock: firstLoopbackBlock + os.Getpid()%loopbackBlocks, Progress: printProgress,
+		HeartbeatInterval: s.Interval, UsageRows: s.UsageRows, Changes: s.Changes, LoopbackBlock: firstLoopbackBlock + os.Getpid()%loopbackBlocks, Progress: printProgress,
 	}
 	if err := o.Check(); err != nil {
 		return o, err
--- a/internal/testsupport/scaletest/configuration_test.go
+++ b/internal/testsupport/scaletest/configuration_test.go
@@ -55,7 +55,7 @@
 		`{"kind":"route","name":"tenant-1","put":{"host":"t000001.example","limit_ms":5000,"prefix":"/","repeatable":true,"service":"service-1","tier":0}}`+
 		`],"id":"hollow-0"}`)
 	is.Equal(string(s.RouteChange("change", 2)), `{"changes":[{"kind":"route","name":"route-1","set":{"limit_ms":4002}}],"id":"hollow-change-2"}`)
-	sender := newHeartbeatSender(newFleet(Options{LoopbackBlock: 220, AnnounceInterval: 2 * time.Second, ProxiesPerGroup: 1}, s))
+	sender := newHeartbeatSender(newFleet(Options{LoopbackBlock: 220, HeartbeatInterval: 2 * time.Second, ProxiesPerGroup: 1}, s))
 	is.Equal(string(mustJSON(sender.nextAnnouncement(8))), `{"address":"127.220.200.9:8000","capacity":16,"cell":"cell-1","incarnation":1,"instance":"target-9",`+
 		`"interval_ms":2000,"occupancy":1,"sequence":1,"service":"service-1","warmth":1}`)
 }
--- a/internal/testsupport/scaletest/fleet.go
+++ b/internal/testsupport/scaletest/fleet.go
@@ -25,8 +25,8 @@
 	// PhaseDuration is the duration of the steady phase. PhaseTimeout limits each wait of the
 	// other phases, and each change of the configuration.
 	PhaseDuration, PhaseTimeout time.Duration
-	// AnnounceInterval is the interval between heartbeats of each target.
-	AnnounceInterval time.Duration
+	// HeartbeatInterval is the interval between heartbeats of each target.
+	HeartbeatInterval time.Duration
 	// UsageRows is the number of routes in each proxy's usage report, limited to the routes that
 	// exist.
 	UsageRows int
--- a/internal/testsupport/scaletest/phases.go
+++ b/internal/testsupport/scaletest/phases.go
@@ -106,7 +106,7 @@
 	pollFor(r.ctx, r.PhaseDuration, r.PhaseDuration/4, func() { minReady = min(minReady, r.countReadyProxies()) })
 	phase.Completed = r.ctx.Err() == nil
 	acknowledged := r.heartbeats.acknowledged.Load() - before
-	expected := r.PhaseDuration.Seconds() / r.AnnounceInterval.Seconds() * float64(r.Size.Targets)
+	expected := r.PhaseDuration.Seconds() / r.HeartbeatInterval.Seconds() * float64(r.Size.Targets)
 	phase.Note = fmt.Sprintf("at least %d proxies ready; %d heartbeats acknowledged (%.0f expected)", minReady, acknowledged, expected)
 }
 
--- a/internal/testsupport/scaletest/targets.go
+++ b/internal/testsupport/scaletest/targets.go
@@ -53,7 +53,7 @@
 	return &heartbeatSender{fleet: f, httpClient: http.Client{Timeout: heartbeatTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: workerCount}}}
 }
 
-// run sends one heartbeat of each target per AnnounceInterval, spread evenly over the interval,
+// run sends one heartbeat of each target per HeartbeatInterval, spread evenly over the interval,
 // until the context ends.
 func (s *heartbeatSender) run(ctx context.Context) {
 	if s.fleet.Targets == 0 {
@@ -68,7 +68,7 @@
 			}
 		})
 	}
-	spacing := s.fleet.AnnounceInterval / time.Duration(s.fleet.Targets)
+	spacing := s.fleet.HeartbeatInterval / time.Duration(s.fleet.Targets)
 	for n, due := 0, time.Now(); ctx.Err() == nil; n++ {
 		due = due.Add(spacing)
 		if delay := time.Until(due); delay > 0 {
@@ -118,7 +118,7 @@
 	f := s.fleet
 	return announcement{
 		Address:  fmt.Sprintf("127.%d.%d.%d:8000", f.LoopbackBlock, firstTargetOctet+n/targetsPerSubnet, n%targetsPerSubnet+1),
-		Capacity: 16, Zone: f.Zone(n), Incarnation: 1, Instance: fmt.Sprintf("target-%d", n+1), IntervalMillis: f.AnnounceInterval.Milliseconds(),
+		Capacity: 16, Zone: f.Zone(n), Incarnation: 1, Instance: fmt.Sprintf("target-%d", n+1), IntervalMillis: f.HeartbeatInterval.Milliseconds(),
 		Occupancy: n % 7, Sequence: s.sequence.Add(1), Service: f.Service(n), Warmth: 1,
 	}
 }
