--- a/cmd/testbed/scale.go
+++ b/cmd/testbed/scale.go
@@ -62,7 +62,7 @@
 		return scaletest.Options{}, err
 	}
 	o := scaletest.Options{
-		Sizes: sizes, Dir: s.Dir, Thrifty: s.Thrifty, ProxiesPerGroup: s.ProxiesPerProcess, PhaseDuration: s.SteadyPhase, PhaseTimeout: s.PhaseTimeout,
+		Sizes: sizes, Dir: s.Dir, Thrifty: s.Thrifty, ProxiesPerGroup: s.ProxiesPerProcess, SteadyPhaseDuration: s.SteadyPhase, PhaseTimeout: s.PhaseTimeout,
 		HeartbeatInterval: s.Interval, UsageRows: s.UsageRows, Changes: s.Changes, LoopbackBlock: firstLoopbackBlock + os.Getpid()%loopbackBlocks, Progress: printProgress,
 	}
 	if err := o.Check(); err != nil {
--- a/internal/testsupport/scaletest/fleet.go
+++ b/internal/testsupport/scaletest/fleet.go
@@ -22,9 +22,9 @@
 	Thrifty bool
 	// ProxiesPerGroup is the maximum number of proxies in one process.
 	ProxiesPerGroup int
-	// PhaseDuration is the duration of the steady phase. PhaseTimeout limits each wait of the
+	// SteadyPhaseDuration is the duration of the steady phase. PhaseTimeout limits each wait of the
 	// other phases, and each change of the configuration.
-	PhaseDuration, PhaseTimeout time.Duration
+	SteadyPhaseDuration, PhaseTimeout time.Duration
 	// HeartbeatInterval is the interval between heartbeats of each target.
 	HeartbeatInterval time.Duration
 	// UsageRows is the number of routes in each proxy's usage report, limited to the routes that
--- a/internal/testsupport/scaletest/phases.go
+++ b/internal/testsupport/scaletest/phases.go
@@ -103,10 +103,10 @@
 func (r *sizeRun) steadyState(phase *Phase) {
 	minReady := r.Size.Proxies
 	before := r.heartbeats.acknowledged.Load()
-	pollFor(r.ctx, r.PhaseDuration, r.PhaseDuration/4, func() { minReady = min(minReady, r.countReadyProxies()) })
+	pollFor(r.ctx, r.SteadyPhaseDuration, r.SteadyPhaseDuration/4, func() { minReady = min(minReady, r.countReadyProxies()) })
 	phase.Completed = r.ctx.Err() == nil
 	acknowledged := r.heartbeats.acknowledged.Load() - before
-	expected := r.PhaseDuration.Seconds() / r.HeartbeatInterval.Seconds() * float64(r.Size.Targets)
+	expected := r.SteadyPhaseDuration.Seconds() / r.HeartbeatInterval.Seconds() * float64(r.Size.Targets)
 	phase.Note = fmt.Sprintf("at least %d proxies ready; %d heartbeats acknowledged (%.0f expected)", minReady, acknowledged, expected)
 }
 
--- a/internal/testsupport/scaletest/scaletest_test.go
+++ b/internal/testsupport/scaletest/scaletest_test.go
@@ -27,7 +27,7 @@
 	}
 	options := Options{
 		Sizes: []Size{small}, Bin: bin, ProxyGroupBinary: filepath.Join(bin, "testbed"), Dir: filepath.Join(t.TempDir(), "fleet"), Thrifty: true, ProxiesPerGroup: 4,
-		PhaseDuration: 2 * time.Second, PhaseTimeout: 30 * time.Second, HeartbeatInterval: 500 * time.Millisecond, UsageRows: 3, Changes: 2, LoopbackBlock: 250 + os.Getpid()%4, Progress: func(s string) { t.Log(s) },
+		SteadyPhaseDuration: 2 * time.Second, PhaseTimeout: 30 * time.Second, HeartbeatInterval: 500 * time.Millisecond, UsageRows: 3, Changes: 2, LoopbackBlock: 250 + os.Getpid()%4, Progress: func(s string) { t.Log(s) },
 	}
 	runs, err := RunSizes(t.Context(), options)
 	is.NoErr(err)
