--- a/internal/testsupport/scaletest/hollow_proxy.go
+++ b/internal/testsupport/scaletest/hollow_proxy.go
@@ -48,7 +48,7 @@
 
 // newSimulatedProxy returns the nth proxy of a fleet. It initially knows only itself and the seeds.
 func newSimulatedProxy(o ProxyGroupOptions, n int, seeds []ids.Address, log *process.Log, stats *process.TrafficStats) *simulatedProxy {
-	address := proxyAddress(o.Block, n)
+	address := proxyAddress(o.LoopbackBlock, n)
 	self := membership.Member{
 		ID: ids.DaemonID(fmt.Sprintf("proxy-%d", n+1)), Role: membership.Proxy, Address: address, HTTPAddress: address,
 		Zone: Size{Zones: o.Zones, Regions: 1}.Zone(n), RunID: ids.RunID(rand.Uint64()>>24 | 1), Incarnation: ids.Incarnation(time.Now().UnixMilli()),
--- a/internal/testsupport/scaletest/proxy_group.go
+++ b/internal/testsupport/scaletest/proxy_group.go
@@ -18,14 +18,14 @@
 
 // ProxyGroupOptions are the flags of a process that runs a group of simulated proxies.
 type ProxyGroupOptions struct {
-	First     int      `help:"Index of the first proxy." required:"" name:"first"`
-	Count     int      `help:"Number of proxies." required:"" name:"count"`
-	Zones     int      `help:"Number of zones (cells) of the fleet." required:"" name:"cells"`
-	UsageRows int      `help:"Number of routes in each usage report." required:"" name:"rows"`
-	Block     int      `help:"Second octet of the loopback addresses." required:"" name:"block"`
-	Seeds     []string `help:"Addresses of the three voting stores." required:"" name:"seeds"`
-	HTTP      string   `help:"Listen address of the HTTP server." name:"http" required:""`
-	Thrifty   bool     `help:"Receive deltas of the target table, share slots by zone and use unlimited leases." name:"thrifty"`
+	First         int      `help:"Index of the first proxy." required:"" name:"first"`
+	Count         int      `help:"Number of proxies." required:"" name:"count"`
+	Zones         int      `help:"Number of zones (cells) of the fleet." required:"" name:"cells"`
+	UsageRows     int      `help:"Number of routes in each usage report." required:"" name:"rows"`
+	LoopbackBlock int      `help:"Second octet of the loopback addresses." required:"" name:"block"`
+	Seeds         []string `help:"Addresses of the three voting stores." required:"" name:"seeds"`
+	HTTP          string   `help:"Listen address of the HTTP server." name:"http" required:""`
+	Thrifty       bool     `help:"Receive deltas of the target table, share slots by zone and use unlimited leases." name:"thrifty"`
 }
 
 const (
