--- a/internal/testsupport/scaletest/proxy_group.go
+++ b/internal/testsupport/scaletest/proxy_group.go
@@ -19,7 +19,7 @@
 // ProxyGroupOptions are the flags of a process that runs a group of simulated proxies.
 type ProxyGroupOptions struct {
 	First         int      `help:"Index of the first proxy." required:"" name:"first"`
-	Count         int      `help:"Number of proxies." required:"" name:"count"`
+	ProxyCount    int      `help:"Number of proxies." required:"" name:"count"`
 	Zones         int      `help:"Number of zones (cells) of the fleet." required:"" name:"cells"`
 	UsageRows     int      `help:"Number of routes in each usage report." required:"" name:"rows"`
 	LoopbackBlock int      `help:"Second octet of the loopback addresses." required:"" name:"block"`
@@ -51,7 +51,7 @@
 		seeds = append(seeds, ids.Address(s))
 	}
 	log := process.NewLog("error", "hollow")
-	for n := o.First; n < o.First+o.Count; n++ {
+	for n := o.First; n < o.First+o.ProxyCount; n++ {
 		g.proxies = append(g.proxies, newSimulatedProxy(o, n, seeds, log, &g.traffic))
 	}
 	return g
@@ -95,7 +95,7 @@
 // reportUsage sends each proxy a synthetic usage sample once per reportInterval, because there are
 // no requests to sample. The samples are spread evenly over the interval.
 func (g *ProxyGroup) reportUsage(ctx context.Context) error {
-	ticker := time.NewTicker(reportInterval / time.Duration(g.Count))
+	ticker := time.NewTicker(reportInterval / time.Duration(g.ProxyCount))
 	defer ticker.Stop()
 	for n := 0; ; n++ {
 		select {
@@ -107,7 +107,7 @@
 		for i := range g.UsageRows {
 			sample.Rows = append(sample.Rows, spill.ServiceUsage{Route: routeName(i), Service: "service-1", CPU: rand.Float64() * 10})
 		}
-		g.proxies[n%g.Count].eventLoop.Offer(sample)
+		g.proxies[n%g.ProxyCount].eventLoop.Offer(sample)
 	}
 }
 
