--- a/internal/testsupport/scaletest/proxy_group.go
+++ b/internal/testsupport/scaletest/proxy_group.go
@@ -18,7 +18,7 @@
 
 // ProxyGroupOptions are the flags of a process that runs a group of simulated proxies.
 type ProxyGroupOptions struct {
-	First         int      `help:"Index of the first proxy." required:"" name:"first"`
+	FirstProxy    int      `help:"Index of the first proxy." required:"" name:"first"`
 	ProxyCount    int      `help:"Number of proxies." required:"" name:"count"`
 	Zones         int      `help:"Number of zones (cells) of the fleet." required:"" name:"cells"`
 	UsageRows     int      `help:"Number of routes in each usage report." required:"" name:"rows"`
@@ -51,7 +51,7 @@
 		seeds = append(seeds, ids.Address(s))
 	}
 	log := process.NewLog("error", "hollow")
-	for n := o.First; n < o.First+o.ProxyCount; n++ {
+	for n := o.FirstProxy; n < o.FirstProxy+o.ProxyCount; n++ {
 		g.proxies = append(g.proxies, newSimulatedProxy(o, n, seeds, log, &g.traffic))
 	}
 	return g
