--- a/internal/testsupport/scaletest/plot.go
+++ b/internal/testsupport/scaletest/plot.go
@@ -43,11 +43,11 @@
 
 // plotPoints plots the points; those excluded from the fit are grey.
 func (s Slope) plotPoints(p *plot.Plot) error {
-	var fitted, leftOut plotter.XYs
+	var fitted, excluded plotter.XYs
 	for _, point := range s.Points {
 		xy := plotter.XY{X: point.X, Y: point.Y}
 		if point.Excluded {
-			leftOut = append(leftOut, xy)
+			excluded = append(excluded, xy)
 		} else {
 			fitted = append(fitted, xy)
 		}
@@ -58,7 +58,7 @@
 		colour color.Color
 	}{
 		{fitted, "measured", color.RGBA{B: 200, A: 255}},
-		{leftOut, "excluded: machine saturated or fleet unstable", color.Gray{150}},
+		{excluded, "excluded: machine saturated or fleet unstable", color.Gray{150}},
 	} {
 		if len(group.points) == 0 {
 			continue
