--- a/internal/testsupport/scaletest/configuration_test.go
+++ b/internal/testsupport/scaletest/configuration_test.go
@@ -10,7 +10,8 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// The configuration is accepted change by change, and is about as long as estimated.
+// Every change of the generated configuration is accepted, and the length of the result is close to
+// the estimate.
 func TestConfigurationChanges_AreAccepted(t *testing.T) {
 	is := is.New(t)
 	s := Size{Proxies: 1, Services: 7, Routes: 40, Tenants: 3000, Zones: 4, Regions: 2, Core: 3}
@@ -41,7 +42,7 @@
 	is.Equal(body.Limit, 4003)
 }
 
-// The bodies that are sent to registries are these, byte for byte.
+// The bodies of the requests to registries, byte for byte.
 func TestRequestBodies(t *testing.T) {
 	is := is.New(t)
 	s := Size{Proxies: 1, Targets: 9, Services: 1, Routes: 1, Tenants: 1, Zones: 1, Regions: 1, Core: 3}
@@ -54,7 +55,7 @@
 		`{"kind":"route","name":"tenant-1","put":{"host":"t000001.example","limit_ms":5000,"prefix":"/","repeatable":true,"service":"service-1","tier":0}}`+
 		`],"id":"hollow-0"}`)
 	is.Equal(string(s.RouteChange("change", 2)), `{"changes":[{"kind":"route","name":"route-1","set":{"limit_ms":4002}}],"id":"hollow-change-2"}`)
-	heartbeats := newTargets(newFleet(Options{LoopbackBlock: 220, AnnounceInterval: 2 * time.Second, ProxiesPerGroup: 1}, s))
-	is.Equal(string(mustJSON(heartbeats.announcement(8))), `{"address":"127.220.200.9:8000","capacity":16,"cell":"cell-1","incarnation":1,"instance":"target-9",`+
+	sender := newHeartbeatSender(newFleet(Options{LoopbackBlock: 220, HeartbeatInterval: 2 * time.Second, ProxiesPerGroup: 1}, s))
+	is.Equal(string(mustJSON(sender.nextAnnouncement(8))), `{"address":"127.220.200.9:8000","capacity":16,"cell":"cell-1","incarnation":1,"instance":"target-9",`+
 		`"interval_ms":2000,"occupancy":1,"sequence":1,"service":"service-1","warmth":1}`)
 }
--- a/internal/testsupport/scaletest/fleet.go
+++ b/internal/testsupport/scaletest/fleet.go
@@ -8,60 +8,60 @@
 	"time"
 )
 
-// Options are the options of a run over several sizes.
+// Options configures a run over several sizes.
 type Options struct {
 	Sizes []Size
-	// Bin is the folder of the built registry and store.
+	// Bin is the folder of the registry and store programs.
 	Bin string
-	// ProxyGroupBinary is the program that runs hollow proxies as its command "crew".
+	// ProxyGroupBinary is the program whose command "crew" runs a group of simulated proxies.
 	ProxyGroupBinary string
-	// Dir is for data and logs. Each size begins by deleting it.
+	// Dir is the folder of data and logs. It is deleted at the start of each size.
 	Dir string
-	// Thrifty starts daemons with incremental target tables, slots by zone and
-	// endless leases.
+	// Thrifty runs daemons with deltas of the target table, slots shared by zone and unlimited
+	// leases.
 	Thrifty bool
-	// ProxiesPerGroup is how many proxies one process has.
+	// ProxiesPerGroup is the maximum number of proxies in one process.
 	ProxiesPerGroup int
-	// PhaseDuration is how long the steady phase lasts, PhaseTimeout how long any
-	// other phase, and each change of the configuration, may take.
-	PhaseDuration, PhaseTimeout time.Duration
-	// AnnounceInterval is how often each target sends a heartbeat.
-	AnnounceInterval time.Duration
-	// UsageRows is how many routes each proxy's usage report has, at most one a route.
+	// SteadyPhaseDuration is the duration of the steady phase. PhaseTimeout limits each wait of the
+	// other phases, and each change of the configuration.
+	SteadyPhaseDuration, PhaseTimeout time.Duration
+	// HeartbeatInterval is the interval between heartbeats of each target.
+	HeartbeatInterval time.Duration
+	// UsageRows is the number of routes in each proxy's usage report, limited to the routes that
+	// exist.
 	UsageRows int
-	// Changes is how many changes the change phase makes.
+	// Changes is the number of configuration changes in the change phase.
 	Changes int
-	// LoopbackBlock is the second number of the fleet's loopback addresses
-	// 127.x.y.z; fleets of one machine must differ in it.
+	// LoopbackBlock is the second octet of the fleet's loopback addresses. Fleets on one machine
+	// must use different blocks.
 	LoopbackBlock int
-	// Progress is called with one line at a time; it must not be nil.
+	// Progress receives progress messages of one line each. It must not be nil.
 	Progress func(line string)
 }
 
 const (
 	wirePort = 7401
 	httpPort = 7400
-	// voterCount is how many stores vote; they are also the seeds.
+	// voterCount is the number of voting stores, which are also the seeds.
 	voterCount = 3
 )
 
-// The third numbers of the loopback addresses. Hollow proxies have those from
-// firstProxyNumber, targets those from firstTargetNumber.
+// The third octets of the loopback addresses. Simulated proxies use those from firstProxyOctet on,
+// targets those from firstTargetOctet on.
 const (
-	storeNumber       = 1
-	registryNumber    = 2
-	proxyGroupNumber  = 3
-	firstProxyNumber  = 10
-	firstTargetNumber = 200
+	storeOctet       = 1
+	registryOctet    = 2
+	proxyGroupOctet  = 3
+	firstProxyOctet  = 10
+	firstTargetOctet = 200
 )
 
-// coreAddress is the address of a core daemon or proxy group by its third
-// number, index and port.
-func coreAddress(block, number, index, port int) string {
-	return fmt.Sprintf("127.%d.%d.%d:%d", block, number, index+1, port)
+// daemonAddress returns the address of a core daemon or a proxy group.
+func daemonAddress(block, octet, index, port int) string {
+	return fmt.Sprintf("127.%d.%d.%d:%d", block, octet, index+1, port)
 }
 
-// fleet is the processes of one size.
+// fleet is the set of processes of one size.
 type fleet struct {
 	Options
 	Size
@@ -70,21 +70,21 @@
 	processes []*daemonProcess
 }
 
-// newFleet lays out every process of a size; none is started.
+// newFleet returns a fleet of a size without starting its processes.
 func newFleet(o Options, s Size) *fleet {
 	f := &fleet{Options: o, Size: s}
 	var seeds []string
 	for n := range voterCount {
-		seeds = append(seeds, coreAddress(o.LoopbackBlock, storeNumber, n, wirePort))
+		seeds = append(seeds, daemonAddress(o.LoopbackBlock, storeOctet, n, wirePort))
 	}
 	seedList := strings.Join(seeds, ",")
 	for n := range s.Core {
-		p := f.coreProcess(storeRole, storeNumber, n, seedList)
+		p := f.coreProcess(storeRole, storeOctet, n, seedList)
 		p.args = append(p.args, "--bootstrap", "--data", filepath.Join(o.Dir, p.name))
 		f.add(p)
 	}
 	for n := range s.Core {
-		f.add(f.coreProcess(registryRole, registryNumber, n, seedList))
+		f.add(f.coreProcess(registryRole, registryOctet, n, seedList))
 	}
 	for first, n := 0, 0; first < s.Proxies; first, n = first+o.ProxiesPerGroup, n+1 {
 		f.add(f.proxyGroupProcess(first, n, seedList))
@@ -99,24 +99,24 @@
 	f.processes = append(f.processes, p)
 }
 
-// coreProcess is the nth store or registry.
-func (f *fleet) coreProcess(role string, number, n int, seeds string) *daemonProcess {
+// coreProcess returns the nth store or registry.
+func (f *fleet) coreProcess(role string, octet, n int, seeds string) *daemonProcess {
 	p := &daemonProcess{
 		role: role, name: fmt.Sprintf("%s-%d", role, n+1), daemons: 1,
-		httpAddress: coreAddress(f.LoopbackBlock, number, n, httpPort), program: filepath.Join(f.Bin, role),
+		httpAddress: daemonAddress(f.LoopbackBlock, octet, n, httpPort), program: filepath.Join(f.Bin, role),
 	}
 	p.args = []string{
-		"--name", p.name, "--address", coreAddress(f.LoopbackBlock, number, n, wirePort), "--http", p.httpAddress,
+		"--name", p.name, "--address", daemonAddress(f.LoopbackBlock, octet, n, wirePort), "--http", p.httpAddress,
 		"--cell", string(f.Zone(n)), "--seeds", seeds,
 	}
 	return p
 }
 
-// proxyGroupProcess is the nth group, with the proxies from first on.
+// proxyGroupProcess returns the nth proxy group, whose first proxy has index first.
 func (f *fleet) proxyGroupProcess(first, n int, seeds string) *daemonProcess {
 	p := &daemonProcess{
 		role: proxyRole, name: fmt.Sprintf("crew-%d", n+1), daemons: min(f.ProxiesPerGroup, f.Proxies-first),
-		httpAddress: coreAddress(f.LoopbackBlock, proxyGroupNumber, n, httpPort), program: f.ProxyGroupBinary,
+		httpAddress: daemonAddress(f.LoopbackBlock, proxyGroupOctet, n, httpPort), program: f.ProxyGroupBinary,
 	}
 	p.args = []string{
 		"crew", "--first", fmt.Sprint(first), "--count", fmt.Sprint(p.daemons), "--cells", fmt.Sprint(f.Zones),
--- a/internal/testsupport/scaletest/saturation.go
+++ b/internal/testsupport/scaletest/saturation.go
@@ -6,17 +6,16 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// saturationShare is the share of the machine's cores, or of the threads that
-// one process may use, above which a run measures the machine and not the fleet.
-const saturationShare = 0.85
+// saturationThreshold is the share of the machine's CPUs, or of the threads of one process, above
+// which a phase counts as saturated.
+const saturationThreshold = 0.85
 
-// maxSuspicionsPerSecond is how many suspicions a proxy may send in a second
-// while its fleet still counts as at rest.
+// maxSuspicionsPerSecond is the maximum rate of lease requests and suspicions per proxy in a stable
+// fleet.
 const maxSuspicionsPerSecond = 0.05
 
-// SuspicionsPerSecond is how many lease requests and suspicions each proxy sent
-// in a second. A fleet that sends them continuously doesn't keep up: live peers
-// answer too late, and each suspicion adds to the load.
+// SuspicionsPerSecond returns the mean rate of lease requests and suspicions per proxy. A fleet that
+// sends them continuously is overloaded: live peers respond too late, and each suspicion adds load.
 func (p Phase) SuspicionsPerSecond() float64 {
 	leaseRequest := wire.KindOfMessage(proxy.LeaseRequest{}).Name()
 	suspect := wire.KindOfMessage(membership.Suspect{}).Name()
@@ -30,24 +29,24 @@
 	return sum
 }
 
-// isAtRest tells whether a fleet that should be at rest suspects nobody; other
-// phases break something, so that suspicions are due.
-func (p Phase) isAtRest() bool {
+// isStable reports whether proxies sent almost no suspicions. Only the steady and change phases can
+// be unstable, because the other phases start or kill daemons.
+func (p Phase) isStable() bool {
 	return p.Name != steadyPhase && p.Name != changePhase || p.SuspicionsPerSecond() <= maxSuspicionsPerSecond
 }
 
-// saturated tells whether a phase measured a saturated machine or a fleet that
-// doesn't keep up, and so not what a fleet costs.
+// saturated reports whether the machine, a process or a connection's queue was saturated in a phase,
+// or the fleet was unstable, so that the phase doesn't show the cost of the fleet.
 func saturated(r Run, p Phase) bool {
-	if !p.isAtRest() {
+	if !p.isStable() {
 		return true
 	}
 	totalCPU := 0.0
 	for _, u := range p.Usages {
 		totalCPU += u.CPUPercent * float64(u.Daemons)
-		if u.LostMessages > 0 || u.BusiestProcessCPUPercent > saturationShare*100*float64(r.Threads) {
+		if u.LostMessages > 0 || u.BusiestProcessCPUPercent > saturationThreshold*100*float64(r.Threads) {
 			return true
 		}
 	}
-	return totalCPU > saturationShare*100*float64(r.Cores)
+	return totalCPU > saturationThreshold*100*float64(r.Cores)
 }
