--- a/internal/dataplane/dispatch/admission.go
+++ b/internal/dataplane/dispatch/admission.go
@@ -7,15 +7,15 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// freezeThreshold is the gap between ticks beyond which the process counts as frozen, that is
+// pauseThreshold is the gap between ticks above which the process counts as paused, that is
 // suspended or not scheduled. Its service state may then be out of date, and a claim may have
 // been granted long ago. Package proxy uses the same threshold to end its lease.
-const freezeThreshold = time.Second
+const pauseThreshold = time.Second
 
-// isFrozenOrStale reports whether the process has been frozen since the last tick or the
+// isPausedOrStale reports whether the process has been paused since the last tick or the
 // service state isn't current. Nothing is forwarded then.
-func (d *Dispatcher) isFrozenOrStale(now ids.Time) bool {
-	return !d.service.IsCurrent || (d.lastTickAt != 0 && now.Sub(d.lastTickAt) > freezeThreshold)
+func (d *Dispatcher) isPausedOrStale(now ids.Time) bool {
+	return !d.service.IsCurrent || (d.lastTickAt != 0 && now.Sub(d.lastTickAt) > pauseThreshold)
 }
 
 // blockedReason returns why a job must not be forwarded now, or "". It is checked again at
@@ -24,7 +24,7 @@
 	switch {
 	case j.clientDisconnected:
 		return reasonClientDisconnected
-	case d.isFrozenOrStale(now):
+	case d.isPausedOrStale(now):
 		return reasonNotCurrent
 	case now >= d.leaseExpiresAt:
 		// Without a recent confirmation by a quorum, the zone may have been drained, the
--- a/internal/dataplane/dispatch/doc.go
+++ b/internal/dataplane/dispatch/doc.go
@@ -48,7 +48,7 @@
 //   - No request is forwarded after its client has disconnected. An attempt canceled for
 //     that counts neither as a failure nor as a response of its target.
 //   - No request is forwarded while the service state is out of date, after the lease on
-//     it has expired, or after a process freeze.
+//     it has expired, or after a process pause.
 //   - Over any period, the number of retries is at most retryRatio times the number of
 //     first requests plus the capacity of the retry budget.
 //   - The slot shares of all proxies at a target add up to the target's slots.
--- a/internal/dataplane/dispatch/endpoint.go
+++ b/internal/dataplane/dispatch/endpoint.go
@@ -104,8 +104,8 @@
 }
 
 const (
-	// A target with requests in flight is unresponsive after unresponsiveFactor mean
-	// response times without a response, but not before minUnresponsiveTime.
+	// unresponsiveFactor is the number of mean response times without a response after which
+	// a target with requests in flight is unresponsive, but not before minUnresponsiveTime.
 	unresponsiveFactor  = 4
 	minUnresponsiveTime = 400 * time.Millisecond
 )
--- a/internal/dataplane/dispatch/idempotency.go
+++ b/internal/dataplane/dispatch/idempotency.go
@@ -150,13 +150,13 @@
 }
 
 // onClaimGranted forwards a job that holds a slot and its claim, unless its deadline has passed
-// or the process was frozen in the meantime.
+// or the process was paused in the meantime.
 func (d *Dispatcher) onClaimGranted(now ids.Time, j *job) {
 	switch {
 	case now >= j.Deadline:
 		d.reject(now, j, reasonDeadlineExceeded)
-	case d.isFrozenOrStale(now):
-		d.reject(now, j, reasonFrozen)
+	case d.isPausedOrStale(now):
+		d.reject(now, j, reasonPaused)
 	default:
 		d.forward(now, j)
 	}
--- a/internal/dataplane/dispatch/messages.go
+++ b/internal/dataplane/dispatch/messages.go
@@ -49,7 +49,7 @@
 }
 
 // RouteRules are the rules of a route under which a request is accepted. A request whose
-// route's terms have changed by the time it is forwarded is rejected.
+// route's rules have changed by the time it is forwarded is rejected.
 type RouteRules struct {
 	Host       string
 	Prefix     string
@@ -129,7 +129,7 @@
 	// on a request that already has its response.
 	ClientDisconnected struct{ ID ids.RequestID }
 
-	// RouteRulesUpdated replaces the route terms of the current ServiceState, and nothing else.
+	// RouteRulesUpdated replaces the route rules of the current ServiceState, and nothing else.
 	RouteRulesUpdated struct{ RouteRules map[ids.Name]RouteRules }
 
 	// LeaseUpdated replaces the expiry time of the lease on the current ServiceState.
--- a/internal/dataplane/dispatch/outlier_detector.go
+++ b/internal/dataplane/dispatch/outlier_detector.go
@@ -30,8 +30,9 @@
 	// minEjectionSamples results.
 	ejectionThreshold  = 0.25
 	minEjectionSamples = 4
-	// A target has recovered, which resets its ejection count, after recoverySamples results
-	// with a failure rate below recoveryThreshold.
+	// recoverySamples is the number of results since the last ejection after which a target
+	// whose failure rate is below recoveryThreshold has recovered, which resets its ejection
+	// count.
 	recoverySamples   = 20
 	recoveryThreshold = ejectionThreshold / 4
 	// baseEjectionTime is the duration of the first ejection. It doubles with each further
--- a/internal/dataplane/dispatch/queue.go
+++ b/internal/dataplane/dispatch/queue.go
@@ -49,7 +49,7 @@
 
 // dispatchQueue assigns free slots to queued jobs, the most urgent first.
 func (d *Dispatcher) dispatchQueue(now ids.Time) {
-	if d.isFrozenOrStale(now) || now >= d.leaseExpiresAt {
+	if d.isPausedOrStale(now) || now >= d.leaseExpiresAt {
 		return
 	}
 	for i := 0; i < len(d.queue); {
--- a/internal/dataplane/dispatch/reasons.go
+++ b/internal/dataplane/dispatch/reasons.go
@@ -15,15 +15,15 @@
 	reasonDeadlineExceeded = "no time left"
 	// reasonClaimTimeout: the outcome of the claim of the idempotency key is unknown.
 	reasonClaimTimeout = "the mark couldn't be claimed in time"
-	// reasonNotCurrent: the service state isn't current, or the process has been frozen.
+	// reasonNotCurrent: the service state isn't current, or the process was paused.
 	reasonNotCurrent = "this proxy is not in step"
-	// reasonFrozen: like reasonNotCurrent, detected when the claim was granted.
-	reasonFrozen = "this proxy was paused"
+	// reasonPaused: like reasonNotCurrent, detected when the claim was granted.
+	reasonPaused = "this proxy was paused"
 	// reasonLeaseExpired: the lease on the service state has expired.
 	reasonLeaseExpired = "no majority has confirmed of late what this proxy goes by"
 	// reasonZoneDrained: the proxy's own zone is drained.
 	reasonZoneDrained = "this cell is emptied; ask where to go"
-	// reasonRouteChanged: the terms of the route changed while the request waited.
+	// reasonRouteChanged: the rules of the route changed while the request waited.
 	reasonRouteChanged = "its route was changed meanwhile"
 	// reasonRetryBudgetExhausted: the retry budget is too low for a retry by the client.
 	reasonRetryBudgetExhausted = "the budget for repeated requests is used up"
--- a/internal/dataplane/dispatch/service_state.go
+++ b/internal/dataplane/dispatch/service_state.go
@@ -22,7 +22,7 @@
 	// RetryBudget is the capacity of this proxy's retry budget, in retries.
 	RetryBudget float64
 	// IsCurrent is set if the state was confirmed at least once since the process started
-	// or resumed after a freeze. Nothing is forwarded while it is unset. LeaseExpiresAt
+	// or resumed after a pause. Nothing is forwarded while it is unset. LeaseExpiresAt
 	// limits how long a confirmation is valid.
 	IsCurrent bool
 	// OwnZoneDrained is set once the proxy's own zone has been drained for some seconds
@@ -30,7 +30,7 @@
 	OwnZoneDrained bool
 	// LeaseExpiresAt is the time until which requests may be forwarded based on this state.
 	LeaseExpiresAt ids.Time
-	// RouteRules are the current terms of each route.
+	// RouteRules are the current rules of each route.
 	RouteRules map[ids.Name]RouteRules
 	// RunEnded reports whether a run of a daemon has ended, so that its claims will never
 	// be completed. It may be nil.
--- a/internal/dataplane/proxy/connection_pool.go
+++ b/internal/dataplane/proxy/connection_pool.go
@@ -54,11 +54,11 @@
 	tcpUserTimeout = 1200 * time.Millisecond
 )
 
-// take returns an idle connection to this run of a target, or nil. With recentOnly it returns
+// take returns an idle connection to this run of a target, or nil. With recentlyUsedOnly it returns
 // only connections idle for at most recentIdleLimit.
-func (p *connectionPool) take(t targets.Target, recentOnly bool) *connection {
+func (p *connectionPool) take(t targets.Target, recentlyUsedOnly bool) *connection {
 	for {
-		c := p.takeAny(t.Instance, recentOnly)
+		c := p.takeAny(t.Instance, recentlyUsedOnly)
 		if c == nil || c.target == targetRunOf(t) {
 			return c
 		}
@@ -68,14 +68,14 @@
 
 // takeAny returns a usable idle connection to any run of a target, or nil. It closes the
 // unusable connections that it finds.
-func (p *connectionPool) takeAny(id ids.InstanceID, recentOnly bool) *connection {
+func (p *connectionPool) takeAny(id ids.InstanceID, recentlyUsedOnly bool) *connection {
 	for {
 		c := p.pop(id)
 		if c == nil {
 			return nil
 		}
 		idleFor := process.Now().Sub(c.idleSince)
-		tooOld := idleFor >= c.maxIdle || recentOnly && idleFor > p.effectiveRecentIdleLimit()
+		tooOld := idleFor >= c.maxIdle || recentlyUsedOnly && idleFor > p.effectiveRecentIdleLimit()
 		if !tooOld && c.isOpen() {
 			c.idleBeforeUse, c.responsive = idleFor, false
 			return c
--- a/internal/dataplane/proxy/connection_pool_test.go
+++ b/internal/dataplane/proxy/connection_pool_test.go
@@ -10,15 +10,15 @@
 	"dunlinwell/internal/dataplane/dispatch"
 )
 
-func TestConnectionPool_RecentOnly(t *testing.T) {
+func TestConnectionPool_RecentlyUsedOnly(t *testing.T) {
 	is := is.New(t)
 	target, d := newFakeTarget(t), newPlainDaemon(0)
 	target.respond = echoResponse
 	// The cases depend on each other: each starts with the pooled connection of the previous one.
 	for i, c := range []struct {
-		idle        time.Duration
-		recentOnly  bool
-		connections int64
+		idle             time.Duration
+		recentlyUsedOnly bool
+		connections      int64
 	}{
 		{0, true, 1},
 		{maxRecentIdleLimit - 200*time.Millisecond, true, 1},
@@ -31,8 +31,8 @@
 		}
 		id := fmt.Sprint("r", i)
 		forward := d.forwardPlain
-		if c.recentOnly {
-			forward = d.forwardRecentOnly
+		if c.recentlyUsedOnly {
+			forward = d.forwardRecentlyUsedOnly
 		}
 		is.Equal(string(forward(target, id).Response.Body), "of "+id)
 		is.Equal(target.connections.Load(), c.connections)
--- a/internal/dataplane/proxy/control.go
+++ b/internal/dataplane/proxy/control.go
@@ -123,9 +123,9 @@
 	}
 }
 
-// departedTargetRetention is how long the record of a departed target is kept, so that a late
+// deadTargetRetention is how long the record of a dead target is kept, so that a late
 // update doesn't add the target again.
-const departedTargetRetention = time.Hour
+const deadTargetRetention = time.Hour
 
 // tick runs the periodic work. Recorded traces depend on the order of the steps.
 func (c *Control) tick(now ids.Time) {
@@ -136,7 +136,7 @@
 	if !c.ByZone {
 		c.targets.ExpireSilent(now)
 	}
-	c.targets.PurgeDead(now, departedTargetRetention)
+	c.targets.PurgeDead(now, deadTargetRetention)
 	c.queryStores(now)
 	c.requestLease(now)
 	c.UpdateSelf(c.ready(now), c.view.Revision)
--- a/internal/dataplane/proxy/doc.go
+++ b/internal/dataplane/proxy/doc.go
@@ -42,7 +42,7 @@
 //
 //   - No request is sent to a target after the lease has expired ([MaySend] is checked just
 //     before the first byte). Other daemons rely on this when they assume that a change, a
-//     drained zone or a departed target has taken effect on every proxy.
+//     drained zone or a dead target has taken effect on every proxy.
 //   - A configuration is never replaced by an older one.
 //   - The router never contains a route whose rules its dispatcher lacks (sendChangedRouteRules).
 //   - A push is acknowledged only after the dispatchers have received its contents.
--- a/internal/dataplane/proxy/faulty_target_test.go
+++ b/internal/dataplane/proxy/faulty_target_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// mode is the way in which a target closes a connection.
+// closeMode is the way in which a target closes a connection.
 type closeMode string
 
 const (
--- a/internal/dataplane/proxy/helpers_test.go
+++ b/internal/dataplane/proxy/helpers_test.go
@@ -62,18 +62,18 @@
 	return d.forwardRequest(target, &ClientRequest{AttemptID: id}, false, 5*time.Second)
 }
 
-// forwardRecentOnly is forwardPlain restricted to recently used connections.
-func (d *testDaemon) forwardRecentOnly(target net.Listener, id string) dispatch.AttemptFinished {
+// forwardRecentlyUsedOnly is forwardPlain restricted to recently used connections.
+func (d *testDaemon) forwardRecentlyUsedOnly(target net.Listener, id string) dispatch.AttemptFinished {
 	return d.forwardRequest(target, &ClientRequest{AttemptID: id}, true, 5*time.Second)
 }
 
 // forwardRequest forwards a request by plainProtocol within a time limit, as if Control had
 // just stepped.
-func (d *testDaemon) forwardRequest(target net.Listener, request *ClientRequest, recentOnly bool, limit time.Duration) dispatch.AttemptFinished {
+func (d *testDaemon) forwardRequest(target net.Listener, request *ClientRequest, recentlyUsedOnly bool, limit time.Duration) dispatch.AttemptFinished {
 	d.lastStep.Store(int64(process.Now()))
 	request.Method, request.URI, request.Header = "POST", "/x", http.Header{"Id": {request.AttemptID}}
 	return d.forward(newAttemptContexts(), request, dispatch.Forward{
-		ID: 1, Sequence: 1, RecentOnly: recentOnly,
+		ID: 1, Sequence: 1, RecentOnly: recentlyUsedOnly,
 		Deadline: process.Now().Add(limit), SendBefore: process.Now().Add(limit),
 		Target: targets.Target{Instance: "t", Service: "s", Address: ids.Address(target.Addr().String())},
 	})
--- a/internal/dataplane/proxy/lease.go
+++ b/internal/dataplane/proxy/lease.go
@@ -64,7 +64,7 @@
 }
 
 // leaseEnd returns the end of the lease, or 0 without a lease. No request is sent after it:
-// other daemons assume from then on that a change, a drained zone or a departed target has
+// other daemons assume from then on that a change, a drained zone or a dead target has
 // taken effect on this proxy.
 func (c *Control) leaseEnd() ids.Time {
 	if c.Lease == UnlimitedLease {
