--- a/internal/controlplane/registry/calls.go
+++ b/internal/controlplane/registry/calls.go
@@ -108,7 +108,7 @@
 	case MergeCall:
 		r.handleMerge(now, call)
 	case ZoneOrderCall:
-		r.handleZoneOrder(now, call)
+		r.handleZoneEvacuation(now, call)
 	case DeregisterCall:
 		r.handleDeregister(now, call)
 	case ReadConfigurationCall:
--- a/internal/controlplane/registry/evacuation_calls.go
+++ b/internal/controlplane/registry/evacuation_calls.go
@@ -9,28 +9,28 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// maxOrderAge is how long a zone order may have waited while this process was suspended.
-// By then its caller has retried it, and may have sent a different order since.
-const maxOrderAge = time.Second
+// maxEvacuationRequestAge is how long a zone evacuation request may have waited while this
+// process was paused. By then its caller has retried it, and may have sent a different one since.
+const maxEvacuationRequestAge = time.Second
 
-// supersededOrder is the answer to a zone order that a later change may have superseded.
-const supersededOrder = "the cell was changed meanwhile; send the order again if it is still wanted"
+// supersededRequest is the answer to a request that a later change may have superseded.
+const supersededRequest = "the cell was changed meanwhile; send the order again if it is still wanted"
 
-// handleZoneOrder submits an order to evacuate a zone or to end its evacuation. The order
-// takes effect only if the zone's version is still the one known here: zone orders have no
+// handleZoneEvacuation submits a request to evacuate a zone or to end its evacuation. It takes
+// effect only if the zone's version is still the one known here: the request has no
 // idempotency key by which a delayed duplicate could be detected.
-func (r *Registry) handleZoneOrder(now ids.Time, call ZoneOrderCall) {
-	if r.mayHaveBeenSuspended(now) {
+func (r *Registry) handleZoneEvacuation(now ids.Time, call ZoneOrderCall) {
+	if r.mayHaveBeenPaused(now) {
 		r.replySuperseded(call.ID)
 		return
 	}
-	order := configuration.ZoneEvacuationRequest{
+	request := configuration.ZoneEvacuationRequest{
 		Zone:            call.Zone,
 		Region:          call.Region,
 		Evacuate:        call.Evacuate,
 		ExpectedVersion: r.configuration.document.ZoneVersion(call.Zone),
 	}
-	encoded, err := json.Marshal(order)
+	encoded, err := json.Marshal(request)
 	if err != nil {
 		r.replyError(call.ID, http.StatusBadRequest, err.Error())
 		return
@@ -45,16 +45,16 @@
 	})
 }
 
-// replySuperseded answers an order that had no effect. The order isn't reported as rejected,
+// replySuperseded answers a request that had no effect. It isn't reported as rejected,
 // because an earlier copy of it may have taken effect.
 func (r *Registry) replySuperseded(id uint64) {
-	r.replyRetry(id, http.StatusServiceUnavailable, supersededOrder)
+	r.replyRetry(id, http.StatusServiceUnavailable, supersededRequest)
 }
 
-// mayHaveBeenSuspended reports whether a call that arrives now may have been delayed by a
-// suspension of this process.
-func (r *Registry) mayHaveBeenSuspended(now ids.Time) bool {
-	ticksAreLate := r.lastTick != 0 && now.Sub(r.lastTick) > maxOrderAge
-	hasJustResumed := r.resumedAt != 0 && now.Sub(r.resumedAt) < maxOrderAge
+// mayHaveBeenPaused reports whether a call that arrives now may have been delayed by a
+// pause of this process.
+func (r *Registry) mayHaveBeenPaused(now ids.Time) bool {
+	ticksAreLate := r.lastTick != 0 && now.Sub(r.lastTick) > maxEvacuationRequestAge
+	hasJustResumed := r.resumedAt != 0 && now.Sub(r.resumedAt) < maxEvacuationRequestAge
 	return ticksAreLate || hasJustResumed
 }
--- a/internal/controlplane/registry/evacuation_calls_test.go
+++ b/internal/controlplane/registry/evacuation_calls_test.go
@@ -12,17 +12,17 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// supersededResult is the result of an order that a later change has superseded.
+// supersededResult is the result of a request that a later change has superseded.
 const supersededResult = `{"stale":[{"kind":"cell","name":"a","version":3,"asked":2}]}`
 
-// orderZone passes a zone order to the registry and returns the order that it sent to the
-// stores, if any. The stores answer with supersededResult.
-func (r *testRegistry) orderZone(id uint64) (order configuration.ZoneEvacuationRequest, sent bool) {
+// requestEvacuation passes a zone evacuation request to the registry and returns the request that
+// it sent to the stores, if any. The stores answer with supersededResult.
+func (r *testRegistry) requestEvacuation(id uint64) (sentRequest configuration.ZoneEvacuationRequest, sent bool) {
 	for _, command := range r.Step(r.now, ZoneOrderCall{ID: id, Zone: "a", Region: "south", Evacuate: true}) {
 		switch command := command.(type) {
 		case event.Send:
 			if request, ok := command.Message.(consensus.Request); ok && request.Op == configuration.OpSetZoneEvacuation {
-				sent = json.Unmarshal(request.Arg, &order) == nil
+				sent = json.Unmarshal(request.Arg, &sentRequest) == nil
 				reply := emptyReply(request)
 				reply.Result = []byte(supersededResult)
 				r.deliver(reply)
@@ -31,12 +31,12 @@
 			r.statuses[command.ID] = command.Status
 		}
 	}
-	return order, sent
+	return sentRequest, sent
 }
 
-// An order carries the zone version known when it arrived. A superseded order is answered
+// A request carries the zone version known when it arrived. A superseded one is answered
 // with 503, which doesn't mean that it was rejected.
-func TestZoneOrder_SupersededIsNotRejected(t *testing.T) {
+func TestZoneEvacuation_SupersededIsNotRejected(t *testing.T) {
 	is := is.New(t)
 	r := newTestRegistry(true)
 	r.run(time.Second, nil)
@@ -45,27 +45,27 @@
 	document, result := document.SetZoneEvacuation(configuration.ZoneEvacuationRequest{Zone: "a", Region: "south", Evacuate: false})
 	is.True(result.Accepted())
 	r.adoptConfiguration(document.Encode(true))
-	order, sent := r.orderZone(7)
+	request, sent := r.requestEvacuation(7)
 	is.True(sent)
-	is.Equal(order, configuration.ZoneEvacuationRequest{Zone: "a", Region: "south", Evacuate: true, ExpectedVersion: 1})
+	is.Equal(request, configuration.ZoneEvacuationRequest{Zone: "a", Region: "south", Evacuate: true, ExpectedVersion: 1})
 	is.Equal(r.statuses[7], 503)
 }
 
-// An order that may have waited during a suspension of the process is too old: its caller
-// may have sent a different order since.
-func TestZoneOrder_IgnoredAroundProcessSuspension(t *testing.T) {
+// A request that may have waited during a pause of the process is too old: its caller may
+// have sent a different one since.
+func TestZoneEvacuation_IgnoredAroundProcessPause(t *testing.T) {
 	is := is.New(t)
 	r := newTestRegistry(true)
 	r.run(time.Second, nil)
 	r.now = r.now.Add(5 * time.Second)
-	_, sent := r.orderZone(7) // before the first tick
+	_, sent := r.requestEvacuation(7) // before the first tick
 	is.True(!sent)
 	is.Equal(r.statuses[7], 503)
 	r.run(2*testTickInterval, nil)
-	_, sent = r.orderZone(8) // right after it
+	_, sent = r.requestEvacuation(8) // right after it
 	is.True(!sent)
 	is.Equal(r.statuses[8], 503)
 	r.run(2*time.Second, nil)
-	_, sent = r.orderZone(9)
+	_, sent = r.requestEvacuation(9)
 	is.True(sent)
 }
--- a/internal/controlplane/registry/lease.go
+++ b/internal/controlplane/registry/lease.go
@@ -37,7 +37,7 @@
 // held while the last quorum read started at most duration ago.
 //
 // The lease starts when the read is sent, by this process's monotonic clock, so that
-// network delay and a suspension of the process can only shorten it.
+// network delay and a process pause can only shorten it.
 // See docs/control/cutoff.md.
 type controlLease struct {
 	duration time.Duration
--- a/internal/controlplane/registry/log_events.go
+++ b/internal/controlplane/registry/log_events.go
@@ -4,7 +4,7 @@
 
 // The log events of a registry.
 const (
-	// logProcessResumed: this process was suspended for gap_ms.
+	// logProcessResumed: this process was paused for gap_ms.
 	logProcessResumed event.LogEvent = "process_resumed"
 
 	// logConfigurationAdopted: this registry uses a newer configuration.
@@ -18,7 +18,7 @@
 	// logTargetHeartbeatTimeout: a target's heartbeats have stopped.
 	logTargetHeartbeatTimeout event.LogEvent = "target_heartbeat_timeout"
 	// logTargetWithdrawn: a target accepts no new requests: it is draining or, if gone is
-	// set, has ended.
+	// set, dead.
 	logTargetWithdrawn event.LogEvent = "target_withdrawn"
 
 	// logLeadershipAcquired: this registry was elected.
--- a/internal/controlplane/registry/planner_election.go
+++ b/internal/controlplane/registry/planner_election.go
@@ -21,7 +21,7 @@
 	campaignBackoff = 2 * time.Second
 	// campaignTimeout is how long a campaign waits for a majority of stores.
 	campaignTimeout = 2 * time.Second
-	// resumeGrace is how long a registry that was suspended waits for messages from
+	// resumeGrace is how long a registry that was paused waits for messages from
 	// its peers before it may lead.
 	resumeGrace = 2 * time.Second
 	// startupGrace is how long after its start a registry still defers to peers that
--- a/internal/controlplane/registry/registry.go
+++ b/internal/controlplane/registry/registry.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// suspensionGap is the time between two ticks above which this process is
-	// considered to have been suspended.
-	suspensionGap = time.Second
+	// pauseThreshold is the time between two ticks above which this process is
+	// considered to have been paused.
+	pauseThreshold = time.Second
 	// reportOverlap extends the averaging window so that it covers two whole reports.
 	reportOverlap = 100 * time.Millisecond
 )
@@ -58,8 +58,8 @@
 	// recent one.
 	startedAt ids.Time
 	lastTick  ids.Time
-	// resumedAt is the time of the first tick after the last suspension of this process;
-	// zero if it was never suspended.
+	// resumedAt is the time of the first tick after the last pause of this process;
+	// zero if it was never paused.
 	resumedAt ids.Time
 }
 
@@ -120,10 +120,10 @@
 	r.tickLeadership(now)
 }
 
-// recordTick records the time of a tick and detects that this process was suspended before it.
+// recordTick records the time of a tick and detects that this process was paused before it.
 func (r *Registry) recordTick(now ids.Time) {
 	gap := now.Sub(r.lastTick)
-	if r.lastTick != 0 && gap > suspensionGap {
+	if r.lastTick != 0 && gap > pauseThreshold {
 		r.resumedAt = now
 		r.Log(event.LevelWarn, logProcessResumed, "gap_ms", formatUint(uint64(gap.Milliseconds())))
 	}
--- a/internal/controlplane/registry/target_heartbeat.go
+++ b/internal/controlplane/registry/target_heartbeat.go
@@ -9,9 +9,9 @@
 	"dunlinwell/internal/controlplane/targets"
 )
 
-// goneTargetRetention is how long a tombstone of a gone target is kept, so that delayed
+// deadTargetRetention is how long a tombstone of a dead target is kept, so that delayed
 // heartbeats of its last incarnation don't bring it back.
-const goneTargetRetention = time.Hour
+const deadTargetRetention = time.Hour
 
 // unknownTargetGrace is how long after its start a registry may not know all targets yet, as
 // its peers send their tables only after a heartbeat exchange, which may be lost and retried.
@@ -90,8 +90,8 @@
 	}
 }
 
-// expireTargets marks targets with overdue heartbeats as gone, and removes those that have
-// been gone for goneTargetRetention. An isolated registry expires none, as targets may be
+// expireTargets declares targets with overdue heartbeats dead, and removes those that have
+// been dead for deadTargetRetention. An isolated registry expires none, as targets may be
 // sending heartbeats to its peers; timeouts restart once it is no longer isolated.
 func (r *Registry) expireTargets(now ids.Time) {
 	if r.lease.isIsolated(now) {
@@ -104,5 +104,5 @@
 	for _, target := range expired {
 		r.Log(event.LevelWarn, logTargetHeartbeatTimeout, "target", string(target.Instance), "service", string(target.Service), "address", string(target.Address))
 	}
-	r.Targets.PurgeDead(now, goneTargetRetention)
+	r.Targets.PurgeDead(now, deadTargetRetention)
 }
--- a/internal/controlplane/registry/target_sync.go
+++ b/internal/controlplane/registry/target_sync.go
@@ -32,20 +32,20 @@
 }
 
 // handleTargetUpdate merges the targets that another registry sent. Targets that were
-// received as gone, but are in use after the merge, are sent to all peers as corrections.
+// received as dead, but are in use after the merge, are sent to all peers as corrections.
 func (r *Registry) handleTargetUpdate(now ids.Time, received []targets.Target) {
 	changed := r.Targets.Merge(now, received...)
 	r.handleChangedTargets(now, changed)
 	if !r.options.Incremental {
 		return
 	}
-	receivedAsGone := map[ids.InstanceID]bool{}
+	receivedAsDead := map[ids.InstanceID]bool{}
 	for _, target := range received {
-		receivedAsGone[target.Instance] = target.Dead
+		receivedAsDead[target.Instance] = target.Dead
 	}
 	var corrections []targets.Target
 	for _, target := range changed {
-		if !target.Dead && receivedAsGone[target.Instance] {
+		if !target.Dead && receivedAsDead[target.Instance] {
 			corrections = append(corrections, target)
 		}
 	}
