--- a/internal/controlplane/store/cluster_test.go
+++ b/internal/controlplane/store/cluster_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// start starts a store with the disk of its address, creating a blank disk if there is none.
+// start starts a store with the disk of its address, creating an empty disk if there is none.
 func (c *cluster) start(address ids.Address, seeds []ids.Address, bootstrap bool) {
 	disk := c.disks[address]
 	if disk == nil {
--- a/internal/controlplane/store/data_folder_test.go
+++ b/internal/controlplane/store/data_folder_test.go
@@ -14,17 +14,17 @@
 	"dunlinwell/internal/state/storage"
 )
 
-// openFirstFormatFolder opens a copy of a data folder in format 1, written by commit c308b67.
+// openFirstFormatDirectory opens a copy of a data directory in format 1, written by commit c308b67.
 // It holds a voter set of three stores, and revision 5 of a configuration in which the
 // services svc1 and svc3 were created and svc2 was removed.
-func openFirstFormatFolder(t *testing.T) *storage.Database {
+func openFirstFormatDirectory(t *testing.T) *storage.Database {
 	t.Helper()
 	is := is.New(t)
 	raw, err := os.ReadFile(filepath.Join("testdata", "first-format", "stockroom.db"))
 	is.NoErr(err)
-	folder := t.TempDir()
-	is.NoErr(os.WriteFile(filepath.Join(folder, "stockroom.db"), raw, 0o600))
-	database, err := storage.Open(folder)
+	directory := t.TempDir()
+	is.NoErr(os.WriteFile(filepath.Join(directory, "stockroom.db"), raw, 0o600))
+	database, err := storage.Open(directory)
 	is.NoErr(err)
 	t.Cleanup(func() {
 		if err := database.Close(); err != nil {
@@ -34,11 +34,11 @@
 	return database
 }
 
-// A store that starts on a data folder of the first format must keep its id, the voter set
+// A store that starts on a data directory of the first format must keep its id, the voter set
 // and the configuration.
-func TestNew_ReadsDataFolderOfFirstFormat(t *testing.T) {
+func TestNew_ReadsDataDirectoryOfFirstFormat(t *testing.T) {
 	is := is.New(t)
-	database := openFirstFormatFolder(t)
+	database := openFirstFormatDirectory(t)
 	is.Equal(database.SetAsidePath, "")
 	self := membership.Member{ID: "store-1", Address: "127.0.0.1:1"}
 	s := New(Options{
--- a/internal/controlplane/store/doc.go
+++ b/internal/controlplane/store/doc.go
@@ -14,7 +14,7 @@
 // A store that joins a cluster passes through the stages below. It proposes each step
 // itself, except that a leaving voter proposes its own successor.
 //
-//  1. It knows no voter set (Hello.Blank). It learns of one in answer to its hellos, or
+//  1. It is blank: it knows no voter set (Hello.Blank). It learns of one in answer to its hellos, or
 //     takes part in a bootstrap if there is no cluster yet.
 //  2. It copies the registers of the voters. Once it has copied a quorum of them it is a
 //     standby (Hello.HasCopied).
@@ -22,7 +22,7 @@
 //     learner (VoterSet.Learners) until its copy is complete under this voter set.
 //  4. Its disk is marked complete (consensus.Complete), and it votes.
 //  5. Another store replaces it (consensus.Replaced). It serves pages to its successor
-//     while they may be needed, and then retires: its data folder is set aside, and it
+//     while they may be needed, and then retires: its data directory is set aside, and it
 //     starts again at stage 1.
 //
 // Records on disk, by key: "item/" and "diff/" with a register's key (consensus,
--- a/internal/controlplane/store/replacement.go
+++ b/internal/controlplane/store/replacement.go
@@ -9,7 +9,7 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// Retire is the command to set the data folder aside and to restart as a blank store,
+// Retire is the command to set the data directory aside and to restart as a blank store,
 // after another store has replaced this one.
 type Retire struct{}
 
@@ -100,13 +100,13 @@
 // retireIfDue emits Retire once this store was replaced and its successor no longer needs
 // to copy from it. A store that is leaving does not retire, since it must not restart.
 func (s *Store) retireIfDue() {
-	if s.DiskState() != consensus.Replaced || s.retireOrdered || s.departure.deadline != 0 {
+	if s.DiskState() != consensus.Replaced || s.retireEmitted || s.departure.deadline != 0 {
 		return
 	}
 	if s.mayBeCopiedFrom(s.Acceptor.VoterSet()) {
 		return
 	}
-	s.retireOrdered = true
+	s.retireEmitted = true
 	s.Emit(Retire{})
 }
 
--- a/internal/controlplane/store/store.go
+++ b/internal/controlplane/store/store.go
@@ -16,9 +16,9 @@
 // Options configure a store.
 type Options struct {
 	membership.Options
-	// StoreID is the id created with the data folder. A blank disk has a new one.
+	// StoreID is the id created with the data directory. An empty directory gets a new one.
 	StoreID uint64
-	// RunNumber counts how often the data folder was opened. Together with StoreID it
+	// RunNumber counts how often the data directory was opened. Together with StoreID it
 	// makes the ballots of this run unique.
 	RunNumber uint64
 	// Random is the source of retry jitter. It must not be shared with another machine.
--- a/internal/controlplane/store/voter_set.go
+++ b/internal/controlplane/store/voter_set.go
@@ -30,8 +30,8 @@
 	lastQuorumReadAt ids.Time
 	// silentSince is when each silent voter was first found not to be live, by id.
 	silentSince map[uint64]ids.Time
-	// retireOrdered is set once Retire was emitted.
-	retireOrdered bool
+	// retireEmitted is set once Retire was emitted.
+	retireEmitted bool
 
 	bootstrap bootstrapState
 	learner   learner
