--- a/internal/state/consensus/acceptor.go
+++ b/internal/state/consensus/acceptor.go
@@ -11,7 +11,7 @@
 type Acceptor struct {
 	out     *event.Outbox
 	storage Storage
-	// storeID is generated when the store's disk is created, so that a blank disk can't
+	// storeID is generated when the store's disk is created, so that an empty disk can't
 	// vote under the id of the disk that it replaces.
 	storeID  uint64
 	voterSet VoterSet
--- a/internal/state/consensus/acceptor_test.go
+++ b/internal/state/consensus/acceptor_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// A voter with a blank disk responds to no request until its copy is complete, even after a
+// A voter with an empty disk responds to no request until its copy is complete, even after a
 // restart.
 func TestAcceptor_BlankVoterWithholdsItsVote(t *testing.T) {
 	is := is.New(t)
--- a/internal/state/consensus/disk_state.go
+++ b/internal/state/consensus/disk_state.go
@@ -77,7 +77,7 @@
 // DiskState returns the state of this store's disk.
 func (a *Acceptor) DiskState() DiskState { return DiskState(a.diskState.State) }
 
-// MarkComplete allows a store with a blank disk to vote. The copied records were emitted for
+// MarkComplete allows a store with an incomplete disk to vote. The copied records were emitted for
 // writing earlier, and every vote waits until all earlier writes are on disk.
 func (a *Acceptor) MarkComplete() {
 	if a.DiskState() == Blank {
--- a/internal/state/consensus/doc.go
+++ b/internal/state/consensus/doc.go
@@ -12,7 +12,7 @@
 //   - Client sends requests to the stores on behalf of the other daemons.
 //   - VoterSet is the cluster membership. It is stored in a register itself, which the
 //     change functions of VoterSetOps modify.
-//   - Copier tracks how a learner, a store that started with a blank disk, copies the
+//   - Copier tracks how a learner, a store that started with an empty disk, copies the
 //     registers. Copying starts before the store joins the voter set and continues while it
 //     is listed in VoterSet.Learners; it votes only once its copy is complete.
 //   - BootstrapRecord decides which initial voter sets a blank store may take part in.
--- a/internal/state/consensus/model_events_test.go
+++ b/internal/state/consensus/model_events_test.go
@@ -107,7 +107,7 @@
 	return out
 }
 
-// wipe replaces the disk of machine i with a blank one. With learnsVoterSet, the store adopts the
+// wipe replaces the disk of machine i with an empty one. With learnsVoterSet, the store adopts the
 // newest voter set immediately.
 func (st *modelState) wipe(i int, learnsVoterSet bool) {
 	s := st.stores[i]
@@ -169,7 +169,8 @@
 	st.run(i)
 }
 
-// replaceableVoter returns the voter that the blank store of machine i may replace.
+// replaceableVoter returns the voter that the store of machine i may replace, if its disk is
+// incomplete.
 func (st *modelState) replaceableVoter(i int) (uint64, bool) {
 	a := st.stores[i].acceptor
 	if a.DiskState() != Blank || a.voterSet.Number == 0 || a.voterSet.HasVoter(a.storeID) {
@@ -196,7 +197,7 @@
 		// Accepts a pass under the voter set before the replacement.
 		set.Number--
 	}
-	return st.fault.votesWhileBlank || s.copier.IsCompleteFor(set)
+	return st.fault.votesWhileIncomplete || s.copier.IsCompleteFor(set)
 }
 
 // mayCopy reports whether store i would request a page from store j and receive it.
--- a/internal/state/consensus/model_search_test.go
+++ b/internal/state/consensus/model_search_test.go
@@ -126,7 +126,7 @@
 		st.deliver(0)
 	}
 	for i := range st.stores {
-		// A replaced store restarts with a blank disk.
+		// A replaced store restarts with an empty disk.
 		if st.stores[i].acceptor.DiskState() == Replaced {
 			st.wipe(i, true)
 		}
@@ -221,8 +221,8 @@
 func TestModel_DetectsInjectedFaults(t *testing.T) {
 	for name, b := range map[string]modelBounds{
 		"copy complete before the last pass": {depth: 9, wipes: 1, atomicRounds: true, fault: modelFault{completesEarly: true}},
-		"votes while blank":                  {depth: 9, wipes: 1, atomicRounds: true, fault: modelFault{votesWhileBlank: true}},
-		"blank disk reuses the lost id":      {depth: 9, wipes: 2, atomicRounds: true, fault: modelFault{reusesLostID: true}},
+		"votes while blank":                  {depth: 9, wipes: 1, atomicRounds: true, fault: modelFault{votesWhileIncomplete: true}},
+		"empty disk reuses the lost id":      {depth: 9, wipes: 2, atomicRounds: true, fault: modelFault{reusesLostID: true}},
 		"votes under lower voter sets":       {depth: 9, wipes: 1, atomicRounds: true, fault: modelFault{votesUnderLowerSets: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/state/consensus/model_state_test.go
+++ b/internal/state/consensus/model_state_test.go
@@ -65,9 +65,9 @@
 	// completesEarly lets a learner consider its copy complete after a pass under the previous
 	// voter set.
 	completesEarly bool
-	// votesWhileBlank lets a voter vote before its copy is complete.
-	votesWhileBlank bool
-	// reusesLostID gives a blank disk the id of the lost one.
+	// votesWhileIncomplete lets a voter vote before its copy is complete.
+	votesWhileIncomplete bool
+	// reusesLostID gives an empty disk the id of the lost one.
 	reusesLostID bool
 	// votesUnderLowerSets lets acceptors vote under lower voter sets than their own.
 	votesUnderLowerSets bool
--- a/internal/state/consensus/voter_set.go
+++ b/internal/state/consensus/voter_set.go
@@ -15,8 +15,8 @@
 // replacements, so that remaining stores don't consider the new set outdated.
 const VoterSetNumberAfterTotalLoss = 1 << 32
 
-// Voter is a member of a voter set. Its id is generated when its disk is created, so a blank
-// disk can't vote under the id of a lost disk.
+// Voter is a member of a voter set. Its id is generated when its disk is created, so an
+// empty disk can't vote under the id of a lost disk.
 type Voter struct {
 	ID      uint64
 	Address ids.Address
