--- a/internal/controlplane/distribution/distributor.go
+++ b/internal/controlplane/distribution/distributor.go
@@ -15,7 +15,7 @@
 	// refreshInterval is the default of Distributor.RefreshInterval. ControlLease spans several
 	// intervals, so that a few lost pushes don't make a proxy's configuration unconfirmed.
 	refreshInterval = 300 * time.Millisecond
-	// runIDShift is the position of the run id in push numbers. The numbers of a run are higher
+	// runIDShift is the position of the run ID in push numbers. The numbers of a run are higher
 	// than those of all earlier runs, so that acknowledgements of pushes of earlier runs aren't
 	// mistaken for those of this run. Each run can send 2^24 pushes to a proxy.
 	runIDShift = 24
--- a/internal/dataplane/dispatch/doc.go
+++ b/internal/dataplane/dispatch/doc.go
@@ -43,15 +43,16 @@
 //     means that no target has run the request and that none will; a request that may
 //     have run gets Unknown.
 //   - A request that isn't Repeatable is forwarded only under a claim of its
-//     idempotency key or, with AtMostOnce set, to another target only if no earlier
-//     target can have started it.
+//     idempotency key. With AtMostOnce set it needs no claim, but is forwarded to another
+//     target only if no earlier target can have started it.
 //   - No request is forwarded after its client has disconnected. An attempt canceled for
 //     that counts neither as a failure nor as a response of its target.
 //   - No request is forwarded while the service state is out of date, after the lease on
 //     it has expired, or after a process pause.
 //   - Over any period, the number of retries is at most retryRatio times the number of
 //     first requests plus the capacity of the retry budget.
-//   - The slot shares of all proxies at a target add up to the target's slots.
+//   - The slot shares of the proxies that divide a target's slots add up to these slots,
+//     times Allocation.Oversubscription.
 //
 // # What it never does
 //
--- a/internal/dataplane/dispatch/slots.go
+++ b/internal/dataplane/dispatch/slots.go
@@ -12,7 +12,8 @@
 const minWarmth = 0.2
 
 // slotShare returns how many requests this proxy may have in flight at a target. The shares
-// of all proxies add up to exactly the target's slots, times its oversubscription.
+// of the proxies that divide the target's slots add up to exactly these slots, times its
+// oversubscription.
 func (d *Dispatcher) slotShare(now ids.Time, allocation Allocation) int {
 	capacity := float64(allocation.Capacity)
 	if capacity == 0 {
--- a/internal/dataplane/proxy/configuration.go
+++ b/internal/dataplane/proxy/configuration.go
@@ -47,14 +47,14 @@
 	c.Log(event.LevelInfo, logConfigurationAdopted, "revision", formatUint(uint64(next.Revision)))
 }
 
-// confirmConfiguration records that a majority read that began at asOf returned the given
+// confirmConfiguration records that a quorum read that began at asOf returned the given
 // revision as the newest. It has no effect if the configuration in use is older.
 func (c *Control) confirmConfiguration(now ids.Time, revision ids.Revision, asOf ids.Time) {
 	if c.view.Revision < revision {
 		return
 	}
 	c.configurationConfirmedAt = max(c.configurationConfirmedAt, asOf)
-	// A recent majority read may have begun before this process started.
+	// A recent quorum read may have begun before this process started.
 	c.everConfirmed = c.everConfirmed || now.Sub(asOf) <= maxConfirmationAge
 }
 
--- a/internal/dataplane/proxy/control_fixture_test.go
+++ b/internal/dataplane/proxy/control_fixture_test.go
@@ -26,7 +26,7 @@
 	return &controlFixture{Control: New(membership.Options{Self: proxyMember("p", "quay")}, ControlOptions{Lease: lease}), now: 1}
 }
 
-// push delivers the push of a registry whose last majority read has the given age.
+// push delivers the push of a registry whose last quorum read has the given age.
 func (f *controlFixture) push(encoded []byte, revision ids.Revision, readAge time.Duration, list ...targets.Target) {
 	f.pushes++
 	f.Step(f.now, event.Received{From: "r", Message: distribution.Push{
--- a/internal/dataplane/proxy/doc.go
+++ b/internal/dataplane/proxy/doc.go
@@ -41,8 +41,8 @@
 // Invariants:
 //
 //   - No request is sent to a target after the lease has expired ([MaySend] is checked just
-//     before the first byte). Other daemons rely on this when they assume that a change, a
-//     drained zone or a dead target has taken effect on every proxy.
+//     before the first byte). Other daemons rely on this when they assume that a change, the
+//     draining of a zone or a target's departure has taken effect on every proxy.
 //   - A configuration is never replaced by an older one.
 //   - The router never contains a route whose rules its dispatcher lacks (sendChangedRouteRules).
 //   - A push is acknowledged only after the dispatchers have received its contents.
--- a/internal/dataplane/proxy/frontend.go
+++ b/internal/dataplane/proxy/frontend.go
@@ -47,7 +47,7 @@
 func (d *Daemon) LeaseValid() bool { return d.servingState.Load().LeaseValid }
 
 // ConfigurationAge returns how long the configuration in use may have been out of date: the
-// time since the start of the last majority read that confirmed it as the newest. It contains
+// time since the start of the last quorum read that confirmed it as the newest. It contains
 // all changes accepted before that read.
 func (d *Daemon) ConfigurationAge() time.Duration {
 	return process.Now().Sub(ids.Time(d.configurationConfirmedAt.Load()))
--- a/internal/dataplane/proxy/lease.go
+++ b/internal/dataplane/proxy/lease.go
@@ -39,7 +39,7 @@
 	// targetsConfirmedAt is the latest time as of which the known targets were confirmed by a
 	// registry; 0 for never.
 	targetsConfirmedAt ids.Time
-	// configurationConfirmedAt is the start of the latest majority read that returned the
+	// configurationConfirmedAt is the start of the latest quorum read that returned the
 	// known configuration as the newest; 0 for never.
 	configurationConfirmedAt ids.Time
 	// sentConfirmedAt is the value of confirmedAt last sent to the dispatchers.
@@ -49,7 +49,7 @@
 	lastTick  ids.Time
 	// targetsReceived is set once a registry has pushed targets to this run of the process.
 	targetsReceived bool
-	// everConfirmed is set once a recent majority read has confirmed the configuration.
+	// everConfirmed is set once a recent quorum read has confirmed the configuration.
 	everConfirmed bool
 	// unlimitedLeaseStarted is set once an unlimited lease has started.
 	unlimitedLeaseStarted bool
@@ -64,8 +64,8 @@
 }
 
 // leaseEnd returns the end of the lease, or 0 without a lease. No request is sent after it:
-// other daemons assume from then on that a change, a drained zone or a dead target has
-// taken effect on this proxy.
+// other daemons assume from then on that a change, the draining of a zone or a
+// target's departure has taken effect on this proxy.
 func (c *Control) leaseEnd() ids.Time {
 	if c.Lease == UnlimitedLease {
 		// With an unlimited lease, changes take effect in time only on proxies that aren't
--- a/internal/dataplane/proxy/lease_test.go
+++ b/internal/dataplane/proxy/lease_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// A recent majority read that began before the proxy's start is a valid confirmation. Otherwise
+// A recent quorum read that began before the proxy's start is a valid confirmation. Otherwise
 // a restart of the whole cluster would take longer than necessary.
 func TestUnlimitedLease_AcceptsConfirmationFromBeforeStart(t *testing.T) {
 	f := newControlFixture(UnlimitedLease)
@@ -38,7 +38,7 @@
 	f.now = ids.Time(300 * time.Millisecond)
 	f.push(encodedConfiguration(t, 1), 1, 1200*time.Millisecond)
 	if !f.leaseValid(f.now) {
-		t.Fatal("the proxy waits for a majority read that began after its start")
+		t.Fatal("the proxy waits for a quorum read that began after its start")
 	}
 }
 
@@ -62,7 +62,7 @@
 	}
 }
 
-// A majority read by the proxy itself confirms the configuration but not the targets, which its
+// A quorum read by the proxy itself confirms the configuration but not the targets, which its
 // partitioned registry can't confirm either.
 func TestLease_NeedsConfirmedTargets(t *testing.T) {
 	f := newControlFixture(0)
