--- a/internal/controlplane/membership/declaration.go
+++ b/internal/controlplane/membership/declaration.go
@@ -67,8 +67,8 @@
 }
 
 // requiredVotes returns the number of votes needed to declare a member dead: half, rounded up,
-// of the watchers that each member has in a deployment of this size. With the default of three
-// watchers that is a majority; with two, in a deployment of three daemons, it is one. It doesn't
+// of the watchers that each member has in a cluster of this size. With the default of three
+// watchers that is a majority; with two, in a cluster of three daemons, it is one. It doesn't
 // shrink when watchers are themselves suspected.
 func (l *List) requiredVotes() int {
 	return (min(l.Watchers, len(l.currentRing().members)-1) + 1) / 2
--- a/internal/controlplane/membership/digest.go
+++ b/internal/controlplane/membership/digest.go
@@ -33,7 +33,7 @@
 	return h.Sum64()
 }
 
-// hashMember adds a member's id and the fields that Member.supersedes compares to a hash.
+// hashMember adds a member's ID and the fields that Member.supersedes compares to a hash.
 func hashMember(h hash.Hash64, m Member) {
 	dead := uint64(0)
 	if m.Dead {
--- a/internal/controlplane/membership/doc.go
+++ b/internal/controlplane/membership/doc.go
@@ -1,8 +1,8 @@
-// Package membership maintains the membership list of the deployment's daemons (proxies,
-// registries and stores) and detects their failures. The protocol is similar to SWIM and
+// Package membership maintains the membership list of the cluster's daemons (proxies, registries
+// and stores) and detects their failures. The protocol is similar to SWIM and
 // hashicorp/memberlist.
 //
-// Live members are ordered on a ring by a hash of their ids. Each member sends heartbeats to its
+// Live members are ordered on a ring by a hash of their IDs. Each member sends heartbeats to its
 // watchers, the few members that follow it on the ring. A watcher that receives no heartbeats
 // probes the member, and if that fails reports its suspicion to all registries. A registry also
 // probes a suspected member, and declares it dead when enough of its watchers suspect it (two of
@@ -27,6 +27,6 @@
 // for SelfMember and Members.
 //
 // failure_detector_test.go runs fleets of about a hundred members in virtual time with message
-// loss, congested links, starved processes and partitions; whole deployments are tested in
+// loss, congested links, starved processes and partitions; whole clusters are tested in
 // internal/testsupport/simulator.
 package membership
--- a/internal/controlplane/membership/failure_detector.go
+++ b/internal/controlplane/membership/failure_detector.go
@@ -50,7 +50,7 @@
 
 // heardFromOthers reports whether this daemon has recently heard from any member other than
 // except. If not, this daemon is probably isolated, and its suspicions are unreliable. In a
-// deployment of two it returns true, because there is no other member.
+// cluster of two daemons it returns true, because there is no other member.
 func (l *List) heardFromOthers(now ids.Time, except Member, watched []Member) bool {
 	if len(l.currentRing().members) <= 2 {
 		return true
--- a/internal/controlplane/membership/heartbeat_history.go
+++ b/internal/controlplane/membership/heartbeat_history.go
@@ -18,7 +18,7 @@
 	// multiple of Options.SuspicionTimeout.
 	maxTimeoutFactor = 3
 	// startupPeriod is how long after its own start a daemon expects irregular heartbeats. The
-	// whole deployment may have started at the same time, and membership traffic then congests
+	// whole cluster may have started at the same time, and membership traffic then congests
 	// the links.
 	startupPeriod = 6 * time.Second
 	// contactRetention is how long the last contact with an address is remembered. It is much
--- a/internal/controlplane/membership/list.go
+++ b/internal/controlplane/membership/list.go
@@ -22,7 +22,7 @@
 	members map[ids.DaemonID]Member
 	// version counts the changes of members.
 	version uint64
-	// sorted caches the members sorted by id; nil if it must be rebuilt.
+	// sorted caches the members sorted by ID; nil if it must be rebuilt.
 	sorted []Member
 	// ring caches the ring of live members; nil if it must be rebuilt.
 	ring *ring
@@ -119,7 +119,7 @@
 // Version returns a number that increases with each change of the list.
 func (l *List) Version() uint64 { return l.version }
 
-// All returns all known members, including dead ones, sorted by id.
+// All returns all known members, including dead ones, sorted by ID.
 func (l *List) All() []Member {
 	if l.sorted == nil {
 		l.sorted = slices.SortedFunc(maps.Values(l.members), func(a, b Member) int { return cmp.Compare(a.ID, b.ID) })
@@ -127,7 +127,7 @@
 	return slices.Clip(l.sorted)
 }
 
-// Live returns the live members of a role, sorted by id.
+// Live returns the live members of a role, sorted by ID.
 func (l *List) Live(role Role) []Member {
 	var live []Member
 	for _, m := range l.All() {
--- a/internal/controlplane/membership/list_test.go
+++ b/internal/controlplane/membership/list_test.go
@@ -44,7 +44,7 @@
 	return c
 }
 
-// address returns the address of the i-th member, which is also its id.
+// address returns the address of the i-th member, which is also its ID.
 func address(i int) ids.Address { return ids.Address(fmt.Sprintf("m%d", i)) }
 
 // advance advances the time and delivers all messages.
--- a/internal/controlplane/membership/member.go
+++ b/internal/controlplane/membership/member.go
@@ -41,10 +41,10 @@
 	Dead  bool
 	Ready bool
 	// Revision is the newest configuration that the daemon has, or had when its entry last changed
-	// (see UpdateSelf). A value above 0 shows that a cluster exists, which prevents empty stores
+	// (see UpdateSelf). A value above 0 shows that a cluster exists, which prevents blank stores
 	// from bootstrapping a new one.
 	Revision ids.Revision
-	// StoreID is the id of a store; 0 for other roles.
+	// StoreID is the ID of a store; 0 for other roles.
 	StoreID uint64
 	// ClientListen is where a proxy accepts client connections; empty if that is HTTPAddress.
 	ClientListen ids.Address
--- a/internal/controlplane/membership/options.go
+++ b/internal/controlplane/membership/options.go
@@ -13,7 +13,7 @@
 	defaultHeartbeatInterval = 250 * time.Millisecond
 	defaultSuspicionTimeout  = time.Second
 	// incrementalHeartbeatInterval and incrementalSuspicionTimeout are the defaults for an
-	// incremental list, which is meant for large deployments.
+	// incremental list, which is meant for large clusters.
 	incrementalHeartbeatInterval = 400 * time.Millisecond
 	incrementalSuspicionTimeout  = 1200 * time.Millisecond
 )
@@ -33,7 +33,7 @@
 	// SuspicionTimeout is the minimum silence after which a member is suspected; 1 s by default,
 	// or 1.2 s if Incremental is set and HeartbeatInterval is zero.
 	SuspicionTimeout time.Duration
-	// Incremental limits the size of messages in large deployments: lists that differ are
+	// Incremental limits the size of messages in large clusters: lists that differ are
 	// compared part by part, and registries relay changes. Otherwise whole lists are sent.
 	Incremental bool
 }
--- a/internal/controlplane/membership/published.go
+++ b/internal/controlplane/membership/published.go
@@ -24,7 +24,7 @@
 	return Member{}, false
 }
 
-// Members returns all known members as of the last Tick, sorted by id. It is safe for concurrent
+// Members returns all known members as of the last Tick, sorted by ID. It is safe for concurrent
 // use; callers must not modify the result.
 func (l *List) Members() []Member {
 	if p := l.published.Load(); p != nil {
--- a/internal/controlplane/membership/ring.go
+++ b/internal/controlplane/membership/ring.go
@@ -9,7 +9,7 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// ring holds the live members in the order of a hash of their ids. Each member is watched by the
+// ring holds the live members in the order of a hash of their IDs. Each member is watched by the
 // members that follow it.
 type ring struct {
 	members []Member
@@ -58,7 +58,7 @@
 	return h.Sum64()
 }
 
-// sortByRingPosition sorts members by their position on the ring, and by id if the positions are
+// sortByRingPosition sorts members by their position on the ring, and by ID if the positions are
 // equal.
 func sortByRingPosition(members []Member) {
 	positions := make(map[ids.DaemonID]uint64, len(members))
--- a/internal/controlplane/membership/tick.go
+++ b/internal/controlplane/membership/tick.go
@@ -70,8 +70,8 @@
 }
 
 // unknownSeeds returns the seeds that aren't addresses of live members. An incremental list that
-// knows other members returns one seed per call, round-robin, so that a deployment that starts all
-// at once doesn't overload its seeds.
+// knows other members returns one seed per call, round-robin, so that a cluster that starts all at
+// once doesn't overload its seeds.
 func (l *List) unknownSeeds(live map[ids.Address]bool) []ids.Address {
 	var unknown []ids.Address
 	for _, seed := range l.Seeds {
--- a/internal/controlplane/registry/peers.go
+++ b/internal/controlplane/registry/peers.go
@@ -47,7 +47,7 @@
 type peer struct {
 	PeerHeartbeat
 	receivedAt ids.Time
-	// digestMismatches counts successive heartbeats whose target digest differed from ours.
+	// digestMismatches counts successive heartbeats whose target digest differed from this registry's.
 	digestMismatches int
 	// trusted peers push to proxies and act as registrars of targets.
 	trusted bool
--- a/internal/controlplane/store/bootstrap.go
+++ b/internal/controlplane/store/bootstrap.go
@@ -11,7 +11,7 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// bootstrapState is the state of a blank store that may form the first voter set. A
+// bootstrapState is the state of a blank store that may form the initial voter set. A
 // bootstrap needs permission on every seed (the option, or its record on disk), no
 // evidence of an existing cluster at any of them, and a synced promise of every seed to
 // the same proposal. A model test in package consensus explores the protocol.
@@ -26,7 +26,7 @@
 	proposal consensus.BootstrapRequest
 	// proposedAt is when the proposal was made.
 	proposedAt ids.Time
-	// promised holds the ids of the stores that promised the proposal.
+	// promised holds the IDs of the stores that promised the proposal.
 	promised map[uint64]bool
 	// waitReason is why the last call of prepareProposal made no proposal; empty if it
 	// made or kept one.
@@ -181,7 +181,7 @@
 	if len(m.Configuration) > 0 {
 		s.Seed(configuration.Key, m.Configuration)
 	}
-	// Nothing was agreed before the initial voter set, so this disk lacks nothing.
+	// Nothing was chosen before the initial voter set, so this disk lacks nothing.
 	if m.VoterSet.IsInitial() {
 		s.MarkComplete()
 	}
--- a/internal/controlplane/store/bootstrap_promise.go
+++ b/internal/controlplane/store/bootstrap_promise.go
@@ -18,14 +18,14 @@
 	rejectionOtherDisk    = "another disk"
 )
 
-// The evidence of an existing cluster. It is stored and sent over the wire, after the id of
+// The evidence of an existing cluster. It is stored and sent over the wire, after the ID of
 // the member that it was seen at, so the texts must not change.
 const (
 	evidenceAcceptedConfiguration = "holds an accepted policy"
 	evidenceEarlierVote           = "has a vote in an earlier core"
 )
 
-// handleBootstrapRequest answers a proposal of the first voter set. A promise is sent only
+// handleBootstrapRequest answers a proposal of the initial voter set. A promise is sent only
 // after it is synced to disk.
 func (s *Store) handleBootstrapRequest(from ids.Address, request consensus.BootstrapRequest) {
 	if voterSet := s.Acceptor.VoterSet(); voterSet.Number > 0 {
--- a/internal/controlplane/store/cluster_test.go
+++ b/internal/controlplane/store/cluster_test.go
@@ -24,7 +24,7 @@
 
 var seedAddresses = []ids.Address{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}
 
-// testDisk is the disk of one store, with the store's id and the number of its runs.
+// testDisk is the disk of one store, with the store's ID and the number of its runs.
 type testDisk struct {
 	memorydisk.Disk
 	storeID, runNumber uint64
@@ -43,7 +43,7 @@
 	stores map[ids.Address]*Store
 	disks  map[ids.Address]*testDisk
 	queue  []message
-	// nextID is the last id given to a disk or request.
+	// nextID is the last ID given to a disk or request.
 	nextID uint64
 	// isDropped, if set, reports which messages are lost.
 	isDropped func(from, to ids.Address) bool
@@ -163,7 +163,7 @@
 	}
 }
 
-// bootstrapCount returns how often a first voter set was formed.
+// bootstrapCount returns how often an initial voter set was formed.
 func (c *cluster) bootstrapCount() int {
 	n := 0
 	for _, entry := range c.logged {
--- a/internal/controlplane/store/data_folder_test.go
+++ b/internal/controlplane/store/data_folder_test.go
@@ -34,7 +34,7 @@
 	return database
 }
 
-// A store that starts on a data directory of the first format must keep its id, the voter set
+// A store that starts on a data directory of the first format must keep its ID, the voter set
 // and the configuration.
 func TestNew_ReadsDataDirectoryOfFirstFormat(t *testing.T) {
 	is := is.New(t)
--- a/internal/controlplane/store/doc.go
+++ b/internal/controlplane/store/doc.go
@@ -4,7 +4,7 @@
 //
 // The voter set is managed in these files:
 //
-//   - bootstrap.go, bootstrap_promise.go: forming the first voter set of a new cluster
+//   - bootstrap.go, bootstrap_promise.go: forming the initial voter set of a new cluster
 //   - learner.go: copying the registers before a store may vote
 //   - replacement.go: replacing lost voters, and retiring a replaced store
 //   - departure.go: a planned stop, with the vote handed over to a standby
@@ -32,7 +32,7 @@
 //
 // Invariants:
 //
-//   - A store votes only if its own disk records that it holds everything agreed before
+//   - A store votes only if its own disk records that it holds everything chosen before
 //     it became a voter (consensus.DiskState). No message and no voter set grants that
 //     right.
 //   - Blank stores form a voter set without an operator only if every seed was started
@@ -43,11 +43,11 @@
 //   - A message that can't come from its claimed sender is discarded before any of it is
 //     used (message_check.go).
 //
-// The machine is deterministic: it never reads a clock, opens a socket or writes a file.
+// The state machine is deterministic: it never reads a clock, opens a socket or writes a file.
 // Time, random numbers and storage are passed in, and Step returns the commands to
 // execute. It never recovers from lost disks without an operator's request.
 //
 // The tests are in this package; cluster_test.go runs several stores on an in-memory
-// network. The simulator (internal/testsupport/simulator) runs the same machine in whole
-// clusters with faults, and replays recorded traces of it.
+// network. The simulator (internal/testsupport/simulator) runs the same state machine in
+// whole clusters with faults, and replays recorded traces of it.
 package store
--- a/internal/controlplane/store/hello.go
+++ b/internal/controlplane/store/hello.go
@@ -64,7 +64,7 @@
 }
 
 // recentStores returns the stores outside the voter set whose hello is recent and meets
-// the condition, sorted by id.
+// the condition, sorted by ID.
 func (s *Store) recentStores(now ids.Time, condition func(consensus.Hello) bool) []consensus.Voter {
 	voterSet := s.Acceptor.VoterSet()
 	var stores []consensus.Voter
--- a/internal/controlplane/store/learner.go
+++ b/internal/controlplane/store/learner.go
@@ -15,7 +15,7 @@
 // to. (VoterSet.Learners lists only the learners that already belong to the voter set.)
 type learner struct {
 	consensus.Copier
-	// pageRequests holds the last request to each voter, by the voter's id.
+	// pageRequests holds the last request to each voter, by the voter's ID.
 	pageRequests map[uint64]*pageRequest
 	// nextRequestAt is when this learner may next request a change of the voter set.
 	nextRequestAt ids.Time
--- a/internal/controlplane/store/log_events.go
+++ b/internal/controlplane/store/log_events.go
@@ -10,12 +10,12 @@
 	logDiskRecovered event.LogEvent = "disk_recovered"
 	// logVoterSetAdopted: this store has adopted a newer voter set.
 	logVoterSetAdopted event.LogEvent = "voter_set_adopted"
-	// logBootstrapWaiting: this blank store does not propose a first voter set; the
+	// logBootstrapWaiting: this blank store does not propose an initial voter set; the
 	// reason is given.
 	logBootstrapWaiting event.LogEvent = "bootstrap_waiting"
 	// logBootstrapRejected: a seed has rejected this store's proposal.
 	logBootstrapRejected event.LogEvent = "bootstrap_rejected"
-	// logBootstrapCompleted: this store has formed the first voter set.
+	// logBootstrapCompleted: this store has formed the initial voter set.
 	logBootstrapCompleted event.LogEvent = "bootstrap_completed"
 	// logCopyCompleted: this store has copied all registers and may vote.
 	logCopyCompleted event.LogEvent = "copy_completed"
@@ -29,6 +29,6 @@
 	logRecoveryStarted  event.LogEvent = "recovery_started"
 	// logConfigurationRestored: a recovery has adopted a proxy's newer configuration.
 	logConfigurationRestored event.LogEvent = "configuration_restored"
-	// logTotalLossRecovered: a recovery has formed a new first voter set.
+	// logTotalLossRecovered: a recovery has formed a new initial voter set.
 	logTotalLossRecovered event.LogEvent = "total_loss_recovered"
 )
--- a/internal/controlplane/store/recovery.go
+++ b/internal/controlplane/store/recovery.go
@@ -40,7 +40,7 @@
 	// configuration.
 	configurationCollectTime = 1500 * time.Millisecond
 	// recoveryNumberStep is added to the number of the voter set by a recovery, to exceed
-	// any number that the lost voters may have agreed on without this store.
+	// any number that the lost voters may have chosen without this store.
 	recoveryNumberStep = 1000
 	// recoveryStores is the number of other stores that a recovery needs.
 	recoveryStores = 2
@@ -135,7 +135,7 @@
 }
 
 // restoreConfiguration adopts the configuration of a proxy if it is newer than this
-// store's. The lost disks may have agreed to changes that this store never received and
+// store's. The lost voters may have chosen changes that this store never received and
 // that proxies already apply.
 func (s *Store) restoreConfiguration() {
 	var own, surviving struct {
--- a/internal/controlplane/store/replacement.go
+++ b/internal/controlplane/store/replacement.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// replaceableVoter returns the id of the voter that this store may replace, or 0 if the
+// replaceableVoter returns the ID of the voter that this store may replace, or 0 if the
 // voter set has too few voters and this store may be added. It returns false if neither is
 // the case.
 func (s *Store) replaceableVoter(now ids.Time, voterSet consensus.VoterSet) (uint64, bool) {
--- a/internal/controlplane/store/store.go
+++ b/internal/controlplane/store/store.go
@@ -16,12 +16,12 @@
 // Options configure a store.
 type Options struct {
 	membership.Options
-	// StoreID is the id created with the data directory. An empty directory gets a new one.
+	// StoreID is the ID created with the data directory. An empty directory gets a new one.
 	StoreID uint64
 	// RunNumber counts how often the data directory was opened. Together with StoreID it
 	// makes the ballots of this run unique.
 	RunNumber uint64
-	// Random is the source of retry jitter. It must not be shared with another machine.
+	// Random is the source of retry jitter. It must not be shared with another state machine.
 	Random *rand.Rand
 	// Storage is the disk as of the start; writes are returned by Step as event.Sync.
 	Storage consensus.Storage
@@ -29,7 +29,7 @@
 	// replacing a voter while the voter set has fewer.
 	Replicas int
 	// Bootstrap permits this store, while it is blank, to take part in forming the
-	// first voter set. The permission is persisted.
+	// initial voter set. The permission is persisted.
 	Bootstrap bool
 }
 
@@ -65,8 +65,8 @@
 	return s
 }
 
-// proposerID returns the id of this run of this store in its ballots: the low 40 bits of
-// the store's id above the low 24 bits of the run's number.
+// proposerID returns the ID of this run of this store in its ballots: the low 40 bits of
+// the store's ID above the low 24 bits of the run's number.
 func proposerID(options Options) uint64 {
 	return options.StoreID<<24 | options.RunNumber&0xffffff
 }
--- a/internal/controlplane/store/voter_set.go
+++ b/internal/controlplane/store/voter_set.go
@@ -15,20 +15,20 @@
 // voterManager is the state with which a store manages the voter set and its own place
 // in it.
 type voterManager struct {
-	// bootstrapSeeds are the configured seeds; only they may form the first voter set.
+	// bootstrapSeeds are the configured seeds; only they may form the initial voter set.
 	bootstrapSeeds []ids.Address
 	// replicas is the target number of voters.
 	replicas int
 	// hellos holds the last hello of each store, by address.
 	hellos map[ids.Address]receivedHello
-	// lastRequestID is the id of the last request that this store made on the voter set.
+	// lastRequestID is the ID of the last request that this store made on the voter set.
 	lastRequestID uint64
 	// nextManageAt is when manageVoters is due next.
 	nextManageAt ids.Time
 	// lastQuorumReadAt is when this store last read or changed the voter set through a
 	// majority; 0 if it has not in this run.
 	lastQuorumReadAt ids.Time
-	// silentSince is when each silent voter was first found not to be live, by id.
+	// silentSince is when each silent voter was first found not to be live, by ID.
 	silentSince map[uint64]ids.Time
 	// retireEmitted is set once Retire was emitted.
 	retireEmitted bool
@@ -141,8 +141,8 @@
 	}
 }
 
-// liveVoters returns the ids of the voters that the membership list has as live, and this
-// store's own id if it is a voter.
+// liveVoters returns the IDs of the voters that the membership list has as live, and this
+// store's own ID if it is a voter.
 func (s *Store) liveVoters(voterSet consensus.VoterSet) map[uint64]bool {
 	live := map[uint64]bool{}
 	for _, m := range s.Live(membership.Store) {
--- a/internal/controlplane/targets/table.go
+++ b/internal/controlplane/targets/table.go
@@ -85,7 +85,7 @@
 // Version returns a number that increases with each change.
 func (t *Table) Version() uint64 { return t.version }
 
-// sortedIDs returns the ids of the known targets in sorted order, so that iterating over the
+// sortedIDs returns the IDs of the known targets in sorted order, so that iterating over the
 // targets is deterministic.
 func (t *Table) sortedIDs() []ids.InstanceID { return slices.Sorted(maps.Keys(t.entries)) }
 
