--- a/internal/state/consensus/acceptor.go
+++ b/internal/state/consensus/acceptor.go
@@ -12,7 +12,7 @@
 	out     *event.Outbox
 	storage Storage
 	// storeID is generated when the store's disk is created, so that an empty disk can't
-	// vote under the id of the disk that it replaces.
+	// vote under the ID of the disk that it replaces.
 	storeID  uint64
 	voterSet VoterSet
 	// unsynced holds the records of idempotency keys and the acceptor's metadata
@@ -52,7 +52,7 @@
 // VoterSet returns the highest voter set that this acceptor knows.
 func (a *Acceptor) VoterSet() VoterSet { return a.voterSet }
 
-// StoreID returns the id of the acceptor's store.
+// StoreID returns the ID of the acceptor's store.
 func (a *Acceptor) StoreID() uint64 { return a.storeID }
 
 // AcceptedValue returns the value that this acceptor accepted last and its ballot. The
@@ -176,7 +176,7 @@
 // store alone forms the new quorum.
 func (a *Acceptor) ForceValue(key ids.RegisterKey, value []byte) {
 	state := a.registerState(key)
-	// The proposer id is that of run 0 of this store. Package store numbers runs from 1,
+	// The proposer ID is that of run 0 of this store. Package store numbers runs from 1,
 	// so no proposer uses it.
 	ballot := ids.Ballot{
 		Counter:  max(state.Promised.Counter, state.Accepted.Counter) + 1,
@@ -185,5 +185,5 @@
 	a.saveRegister(key, RegisterState{Promised: ballot, Accepted: ballot, Value: value})
 }
 
-// runNumberBits is the number of low bits of a proposer id that hold the store's run number.
+// runNumberBits is the number of low bits of a proposer ID that hold the store's run number.
 const runNumberBits = 24
--- a/internal/state/consensus/acceptor_test.go
+++ b/internal/state/consensus/acceptor_test.go
@@ -93,7 +93,7 @@
 	is.Equal(len(responses()), 1)
 }
 
-// The disk of a replaced store never votes again, even if a later voter set includes its id.
+// The disk of a replaced store never votes again, even if a later voter set includes its ID.
 func TestAcceptor_ReplacedDiskNeverVotes(t *testing.T) {
 	is := is.New(t)
 	stores := newTestStores()
--- a/internal/state/consensus/bootstrap_state_test.go
+++ b/internal/state/consensus/bootstrap_state_test.go
@@ -12,7 +12,7 @@
 // Between any two steps, a disk may be wiped or the proposer restarted. The decisions are those
 // of BootstrapRecord.
 
-// bootstrapVoters holds the disk ids of a proposed voter set, indexed by seed.
+// bootstrapVoters holds the disk IDs of a proposed voter set, indexed by seed.
 type bootstrapVoters [3]uint64
 
 func (v bootstrapVoters) voterSet() VoterSet {
@@ -31,7 +31,7 @@
 
 // bootstrapNode is the state of one seed.
 type bootstrapNode struct {
-	// id is the id of the seed's disk.
+	// id is the ID of the seed's disk.
 	id     uint64
 	record BootstrapRecord
 	// active is the proposal whose voter set the seed is active in, zero for none.
@@ -91,8 +91,8 @@
 
 var correctBootstrapRules = bootstrapRules{promise: BootstrapRecord.Promise, mayAdopt: BootstrapRecord.MayAdopt}
 
-// diskIDsAt returns the ids of all disks that seed i has had. A delayed Hello may still carry
-// the id of a wiped disk.
+// diskIDsAt returns the IDs of all disks that seed i has had. A delayed Hello may still carry
+// the ID of a wiped disk.
 func (s bootstrapState) diskIDsAt(i int) []uint64 {
 	var out []uint64
 	for id := uint64(i+1) * 10; id <= s.nodes[i].id; id++ {
--- a/internal/state/consensus/catch_up.go
+++ b/internal/state/consensus/catch_up.go
@@ -67,7 +67,7 @@
 		return
 	}
 	sentAt[m.Store] = now
-	// The new round id keeps the vote from counting for another round.
+	// The new round ID keeps the vote from counting for another round.
 	p.lastRoundID++
 	p.out.Send(voter.Address, Accept{
 		Key: m.Key, Ballot: missing.ballot, VoterSetNumber: set.Number, Round: p.lastRoundID, Value: missing.value,
--- a/internal/state/consensus/changed_keys.go
+++ b/internal/state/consensus/changed_keys.go
@@ -22,8 +22,8 @@
 // behind copies everything again.
 const maxChangedKeys = 1 << 15
 
-// SetRunID sets the id of this run and starts the list of changed registers for learners.
-// Run ids of a store must be unique.
+// SetRunID sets the ID of this run and starts the list of changed registers for learners.
+// Run IDs of a store must be unique.
 func (a *Acceptor) SetRunID(runID uint64) { a.changedKeys.runID = runID }
 
 // add records a change to a register. Keys of other records are ignored.
--- a/internal/state/consensus/client.go
+++ b/internal/state/consensus/client.go
@@ -49,11 +49,11 @@
 	sentAt ids.Time
 }
 
-// callIDRunShift reserves 2^24 call ids for each run of a process.
+// callIDRunShift reserves 2^24 call IDs for each run of a process.
 const callIDRunShift = 24
 
-// NewClient returns a client for one run of a process. Its call ids start at a value derived
-// from the run id, so that responses to an earlier run don't match its calls.
+// NewClient returns a client for one run of a process. Its call IDs start at a value derived
+// from the run ID, so that responses to an earlier run don't match its calls.
 func NewClient(run ids.RunID, out *event.Outbox) *Client {
 	return &Client{
 		out:               out,
--- a/internal/state/consensus/doc.go
+++ b/internal/state/consensus/doc.go
@@ -20,7 +20,7 @@
 // Invariants:
 //
 //   - A ballot identifies at most one value of one register. NewProposer therefore
-//     requires a proposer id that no other run has used (Lamport, Paxos Made Simple:
+//     requires a proposer ID that no other run has used (Lamport, Paxos Made Simple:
 //     proposers choose their numbers from disjoint sets).
 //   - An acceptor sends a promise or a vote only after the corresponding state is on
 //     disk, and never accepts a ballot below one that it promised.
--- a/internal/state/consensus/model_state_test.go
+++ b/internal/state/consensus/model_state_test.go
@@ -42,7 +42,7 @@
 	sets []VoterSet
 	// acknowledged lists the letters whose append was acknowledged.
 	acknowledged string
-	// lastID is the last disk id that was assigned.
+	// lastID is the last disk ID that was assigned.
 	lastID uint64
 	// lostDisk is the first disk that was lost, nil for none or after it was restored.
 	lostDisk    memorydisk.Disk
@@ -67,7 +67,7 @@
 	completesEarly bool
 	// votesWhileIncomplete lets a voter vote before its copy is complete.
 	votesWhileIncomplete bool
-	// reusesLostID gives an empty disk the id of the lost one.
+	// reusesLostID gives an empty disk the ID of the lost one.
 	reusesLostID bool
 	// votesUnderLowerSets lets acceptors vote under lower voter sets than their own.
 	votesUnderLowerSets bool
--- a/internal/state/consensus/proposer.go
+++ b/internal/state/consensus/proposer.go
@@ -33,7 +33,7 @@
 	rounds      map[ids.RegisterKey]*round
 	valueCache
 	replicaTracker
-	// lastRoundID is the id of the last round. Each run starts at a different id.
+	// lastRoundID is the ID of the last round. Each run starts at a different ID.
 	lastRoundID uint64
 	// highestCounter is the highest ballot counter that this run used or observed.
 	highestCounter uint64
@@ -52,7 +52,7 @@
 	replicationGrace = 200 * time.Millisecond
 )
 
-// NewProposer returns a proposer. The proposer id must be unique among all runs of all stores.
+// NewProposer returns a proposer. The proposer ID must be unique among all runs of all stores.
 func NewProposer(proposerID uint64, voterSet func() VoterSet, ops map[Op]ChangeFunc, random *rand.Rand, out *event.Outbox) *Proposer {
 	return &Proposer{
 		out: out, random: random, proposerID: proposerID, voterSet: voterSet, ops: ops,
@@ -157,20 +157,20 @@
 	}
 }
 
-// HasBegunRound reports whether this run has begun the round with the given id. Responses for
+// HasBegunRound reports whether this run has begun the round with the given ID. Responses for
 // any other round belong to another run.
 func (p *Proposer) HasBegunRound(round uint64) bool {
-	// Round ids may wrap around, so compare offsets from the initial id.
+	// Round IDs may wrap around, so compare offsets from the initial ID.
 	initial := initialRoundID(p.proposerID)
 	return round-initial-1 < p.lastRoundID-initial
 }
 
-// initialRoundID returns the id before a run's first round. Responses are matched to rounds by
-// id alone and may arrive after the proposer has restarted, so the runs must use different
-// ids.
+// initialRoundID returns the ID before a run's first round. Responses are matched to rounds by
+// ID alone and may arrive after the proposer has restarted, so the runs must use different
+// IDs.
 //
-// It applies the finalizer of splitmix64. As that is a bijection, different proposer ids have
-// different initial ids, and these are spread over all 64-bit numbers, so the ranges of two
+// It applies the finalizer of splitmix64. As that is a bijection, different proposer IDs have
+// different initial IDs, and these are spread over all 64-bit numbers, so the ranges of two
 // runs are unlikely to overlap.
 func initialRoundID(proposerID uint64) uint64 {
 	x := proposerID
--- a/internal/state/consensus/restart_network_test.go
+++ b/internal/state/consensus/restart_network_test.go
@@ -30,7 +30,7 @@
 	acknowledgedTags []string
 	longestResult    string
 	violations       []string
-	// sharedRoundIDs injects a fault: the round ids of every run start at 1.
+	// sharedRoundIDs injects a fault: the round IDs of every run start at 1.
 	sharedRoundIDs bool
 }
 
@@ -177,7 +177,7 @@
 	}
 }
 
-// The checks detect a fault in which the runs of a store share round ids.
+// The checks detect a fault in which the runs of a store share round IDs.
 func TestProposer_SharedRoundIDsAreDetected(t *testing.T) {
 	for seed := range uint64(1000) {
 		if violations := newRestartNetwork(seed, true).run(stepsPerSeed); len(violations) > 0 {
--- a/internal/state/consensus/restart_test.go
+++ b/internal/state/consensus/restart_test.go
@@ -49,9 +49,9 @@
 	is := is.New(t)
 	stores := newTestStores()
 	deliverAll(1, stores, allLinks)
-	// Use this run's first round id for another register. The second run uses its first one for
-	// a round that is rejected for its low ballot. If each run counted its round ids from 1, the
-	// rounds that send the two values would share an id.
+	// Use this run's first round ID for another register. The second run uses its first one for
+	// a round that is rejected for its low ballot. If each run counted its round IDs from 1, the
+	// rounds that send the two values would share an ID.
 	stores["a"].Submit(1, "w0", Request{ID: 1, Key: "y", Op: opAppend, TimeoutMillis: 60000})
 	deliverAll(1, stores, allLinks)
 	submit := func(arg string) {
@@ -121,7 +121,7 @@
 	}
 }
 
-// Round ids are unique across stores and their runs.
+// Round IDs are unique across stores and their runs.
 func TestProposer_RunsShareNoRoundID(t *testing.T) {
 	is := is.New(t)
 	seen := map[uint64]bool{}
--- a/internal/state/consensus/round.go
+++ b/internal/state/consensus/round.go
@@ -67,7 +67,7 @@
 	retryAt ids.Time
 	// consecutiveLosses counts consecutive rounds preempted by another proposer's ballot.
 	consecutiveLosses int
-	// promises and votes hold the responses by store id.
+	// promises and votes hold the responses by store ID.
 	promises map[uint64]Promise
 	votes    map[uint64]bool
 	value    []byte
--- a/internal/state/consensus/value_delta.go
+++ b/internal/state/consensus/value_delta.go
@@ -12,7 +12,7 @@
 type valueDelta struct {
 	baseBallot ids.Ballot
 	delta      []byte
-	// fullValueSentTo holds the ids of stores that requested the full value.
+	// fullValueSentTo holds the IDs of stores that requested the full value.
 	fullValueSentTo map[uint64]bool
 }
 
--- a/internal/state/consensus/voter_set.go
+++ b/internal/state/consensus/voter_set.go
@@ -15,8 +15,8 @@
 // replacements, so that remaining stores don't consider the new set outdated.
 const VoterSetNumberAfterTotalLoss = 1 << 32
 
-// Voter is a member of a voter set. Its id is generated when its disk is created, so an
-// empty disk can't vote under the id of a lost disk.
+// Voter is a member of a voter set. Its ID is generated when its disk is created, so an
+// empty disk can't vote under the ID of a lost disk.
 type Voter struct {
 	ID      uint64
 	Address ids.Address
@@ -33,7 +33,7 @@
 	// LossCount is the number of recoveries that gave up disks, which may have lost records
 	// of idempotency keys.
 	LossCount uint64
-	// Learners lists the ids of voters that haven't reported a complete copy yet. Stores
+	// Learners lists the IDs of voters that haven't reported a complete copy yet. Stores
 	// that copy without being voters aren't included. The list prevents a replacement that
 	// would leave too few stores able to vote. Safety doesn't depend on it, as the disk
 	// state of each voter determines whether it may vote.
@@ -76,7 +76,7 @@
 	return out
 }
 
-// Voter returns the voter with an id.
+// Voter returns the voter with an ID.
 func (s VoterSet) Voter(id uint64) (Voter, bool) {
 	for _, v := range s.AllVoters() {
 		if v.ID == id {
@@ -112,7 +112,7 @@
 }
 
 // IsValid reports whether the voter set is well-formed: it has a number and voters, and each
-// side's voters have addresses and distinct ids.
+// side's voters have addresses and distinct IDs.
 func (s VoterSet) IsValid() bool {
 	return s.Number > 0 && len(s.Voters) > 0 && hasDistinctVoters(s.Voters) && hasDistinctVoters(s.Incoming)
 }
@@ -128,7 +128,7 @@
 	return true
 }
 
-// MatchesSender reports whether a response from voter id came from that voter's address. It
+// MatchesSender reports whether a response that names a voter came from that voter's address. It
 // doesn't check responses under another voter set, which are dropped later.
 func (s VoterSet) MatchesSender(from ids.Address, id, number uint64) bool {
 	v, ok := s.Voter(id)
@@ -140,12 +140,12 @@
 	return VoterSet{Voters: s.Voters, Incoming: s.Previous}.AllVoters()
 }
 
-// IsCopySource reports whether a learner may copy from the store with this id and address.
+// IsCopySource reports whether a learner may copy from the store with this ID and address.
 func (s VoterSet) IsCopySource(from ids.Address, id uint64) bool {
 	return slices.Contains(s.CopySources(), Voter{ID: id, Address: from})
 }
 
-// voterIDs returns the ids of all voters.
+// voterIDs returns the IDs of all voters.
 func (s VoterSet) voterIDs() map[uint64]bool {
 	out := map[uint64]bool{}
 	for _, v := range s.AllVoters() {
