--- a/internal/controlplane/registry/calls.go
+++ b/internal/controlplane/registry/calls.go
@@ -30,9 +30,9 @@
 		Body configuration.Merge
 	}
 
-	// ZoneOrderCall requests that a zone be evacuated, or that its evacuation end.
+	// ZoneEvacuationCall requests that a zone be evacuated, or that its evacuation end.
 	// Unlike a change it has no idempotency key.
-	ZoneOrderCall struct {
+	ZoneEvacuationCall struct {
 		ID       uint64
 		Zone     ids.Name
 		Region   ids.Name
@@ -90,7 +90,7 @@
 func (c ChangeCall) callID() uint64            { return c.ID }
 func (c ReadConfigurationCall) callID() uint64 { return c.ID }
 func (c MergeCall) callID() uint64             { return c.ID }
-func (c ZoneOrderCall) callID() uint64         { return c.ID }
+func (c ZoneEvacuationCall) callID() uint64    { return c.ID }
 func (c ResolveCall) callID() uint64           { return c.ID }
 func (c DeregisterCall) callID() uint64        { return c.ID }
 func (c HeartbeatCall) callID() uint64         { return c.ID }
@@ -107,7 +107,7 @@
 		r.handleChange(now, call)
 	case MergeCall:
 		r.handleMerge(now, call)
-	case ZoneOrderCall:
+	case ZoneEvacuationCall:
 		r.handleZoneEvacuation(now, call)
 	case DeregisterCall:
 		r.handleDeregister(now, call)
--- a/internal/controlplane/registry/evacuation_calls.go
+++ b/internal/controlplane/registry/evacuation_calls.go
@@ -19,7 +19,7 @@
 // handleZoneEvacuation submits a request to evacuate a zone or to end its evacuation. It takes
 // effect only if the zone's version is still the one known here: the request has no
 // idempotency key by which a delayed duplicate could be detected.
-func (r *Registry) handleZoneEvacuation(now ids.Time, call ZoneOrderCall) {
+func (r *Registry) handleZoneEvacuation(now ids.Time, call ZoneEvacuationCall) {
 	if r.mayHaveBeenPaused(now) {
 		r.replySuperseded(call.ID)
 		return
--- a/internal/controlplane/registry/evacuation_calls_test.go
+++ b/internal/controlplane/registry/evacuation_calls_test.go
@@ -18,7 +18,7 @@
 // requestEvacuation passes a zone evacuation request to the registry and returns the request that
 // it sent to the stores, if any. The stores answer with supersededResult.
 func (r *testRegistry) requestEvacuation(id uint64) (sentRequest configuration.ZoneEvacuationRequest, sent bool) {
-	for _, command := range r.Step(r.now, ZoneOrderCall{ID: id, Zone: "a", Region: "south", Evacuate: true}) {
+	for _, command := range r.Step(r.now, ZoneEvacuationCall{ID: id, Zone: "a", Region: "south", Evacuate: true}) {
 		switch command := command.(type) {
 		case event.Send:
 			if request, ok := command.Message.(consensus.Request); ok && request.Op == configuration.OpSetZoneEvacuation {
--- a/internal/controlplane/registry/stopping_test.go
+++ b/internal/controlplane/registry/stopping_test.go
@@ -39,7 +39,7 @@
 		904: registry.ResolveCall{ID: 904},
 		905: registry.DeregisterCall{ID: 905},
 		906: registry.MergeCall{ID: 906},
-		907: registry.ZoneOrderCall{ID: 907},
+		907: registry.ZoneEvacuationCall{ID: 907},
 	} {
 		t.Run(fmt.Sprintf("%T", call), func(t *testing.T) {
 			if response, took := harness.Call(id, call); response.Status != 503 || response.RetryAfter == 0 || took > 0 {
--- a/internal/testsupport/compat/answers_test.go
+++ b/internal/testsupport/compat/answers_test.go
@@ -45,7 +45,7 @@
 			answer(c.ID, map[string]any{"known": true, "keeper": ids.Address("10.0.0.7:1"), "heard": c.Target})
 		case registry.DeregisterCall:
 			answer(c.ID, map[string]any{"known": true, "gone": c.Instance})
-		case registry.ZoneOrderCall:
+		case registry.ZoneEvacuationCall:
 			answer(c.ID, configuration.ZoneEvacuationRequest{Zone: c.Zone, Region: c.Region, Evacuate: c.Evacuate})
 		case registry.ChangeCall:
 			answer(c.ID, string(c.Raw))
--- a/internal/testsupport/simulator/trace.go
+++ b/internal/testsupport/simulator/trace.go
@@ -35,7 +35,7 @@
 	"deregister":    reflect.TypeFor[registry.DeregisterCall](),
 	"heartbeat":     reflect.TypeFor[registry.HeartbeatCall](),
 	"status":        reflect.TypeFor[registry.StatusCall](),
-	"cell-order":    reflect.TypeFor[registry.ZoneOrderCall](),
+	"cell-order":    reflect.TypeFor[registry.ZoneEvacuationCall](),
 	"registry-stop": reflect.TypeFor[registry.Stopping](),
 	"recover":       reflect.TypeFor[store.RecoverRequest](),
 	"leave":         reflect.TypeFor[store.Leave](),
