--- a/internal/dataplane/dispatch/forward.go
+++ b/internal/dataplane/dispatch/forward.go
@@ -30,13 +30,13 @@
 	j.forwardedAt = now
 	d.Counters.countForward(e.Distance)
 	d.Emit(Forward{
-		ID:            j.ID,
-		Sequence:      j.sequence,
-		Target:        e.Target,
-		Deadline:      j.Deadline,
-		SendBefore:    min(j.Deadline, d.leaseExpiresAt),
-		NewConnection: j.requiresIdempotencyKey(),
-		RecentOnly:    j.AtMostOnce,
+		ID:               j.ID,
+		Sequence:         j.sequence,
+		Target:           e.Target,
+		Deadline:         j.Deadline,
+		SendBefore:       min(j.Deadline, d.leaseExpiresAt),
+		NewConnection:    j.requiresIdempotencyKey(),
+		RecentlyUsedOnly: j.AtMostOnce,
 	})
 }
 
--- a/internal/dataplane/dispatch/messages.go
+++ b/internal/dataplane/dispatch/messages.go
@@ -157,9 +157,9 @@
 		Deadline ids.Time
 		// SendBefore is the deadline for sending the request's first byte.
 		SendBefore ids.Time
-		// RecentOnly restricts the choice of pooled connections to recently used ones: a
+		// RecentlyUsedOnly restricts the choice of pooled connections to recently used ones: a
 		// request lost on a dead connection can't be sent again.
-		RecentOnly bool
+		RecentlyUsedOnly bool
 		// NewConnection requires a new connection, on which the target identifies itself.
 		NewConnection bool
 	}
--- a/internal/dataplane/dispatch/script_commands_test.go
+++ b/internal/dataplane/dispatch/script_commands_test.go
@@ -43,7 +43,7 @@
 		if c.NewConnection {
 			line += " new-connection"
 		}
-		if c.RecentOnly {
+		if c.RecentlyUsedOnly {
 			line += " recent-only"
 		}
 		return line
--- a/internal/dataplane/proxy/forward.go
+++ b/internal/dataplane/proxy/forward.go
@@ -113,7 +113,7 @@
 // the dispatcher requires it.
 func (d *Daemon) connect(ctx context.Context, f dispatch.Forward, deadline time.Time) (*connection, error) {
 	if !f.NewConnection {
-		if conn := d.pool.take(f.Target, f.RecentOnly); conn != nil {
+		if conn := d.pool.take(f.Target, f.RecentlyUsedOnly); conn != nil {
 			return conn, nil
 		}
 	}
--- a/internal/dataplane/proxy/helpers_test.go
+++ b/internal/dataplane/proxy/helpers_test.go
@@ -73,7 +73,7 @@
 	d.lastStep.Store(int64(process.Now()))
 	request.Method, request.URI, request.Header = "POST", "/x", http.Header{"Id": {request.AttemptID}}
 	return d.forward(newAttemptContexts(), request, dispatch.Forward{
-		ID: 1, Sequence: 1, RecentOnly: recentlyUsedOnly,
+		ID: 1, Sequence: 1, RecentlyUsedOnly: recentlyUsedOnly,
 		Deadline: process.Now().Add(limit), SendBefore: process.Now().Add(limit),
 		Target: targets.Target{Instance: "t", Service: "s", Address: ids.Address(target.Addr().String())},
 	})
