--- a/internal/controlplane/store/learner.go
+++ b/internal/controlplane/store/learner.go
@@ -54,7 +54,7 @@
 	switch {
 	case voterSet.Number == 0:
 		// There is no known voter to copy from yet; manageVoters sends hellos.
-	case s.DiskState() == consensus.Blank:
+	case s.DiskState() == consensus.Incomplete:
 		if s.learner.startedAt == 0 {
 			s.learner.startedAt = now
 		}
@@ -148,7 +148,7 @@
 // voter set is ignored; copyRegisters requests it again.
 func (s *Store) handlePage(now ids.Time, m consensus.PageResponse) {
 	voterSet := s.Acceptor.VoterSet()
-	if s.DiskState() != consensus.Blank || m.VoterSetNumber != voterSet.Number || !s.learner.HandlePage(m) {
+	if s.DiskState() != consensus.Incomplete || m.VoterSetNumber != voterSet.Number || !s.learner.HandlePage(m) {
 		return
 	}
 	for _, record := range m.Records {
--- a/internal/controlplane/store/replacement.go
+++ b/internal/controlplane/store/replacement.go
@@ -28,7 +28,7 @@
 		s.abandonLostIncoming(now, voterSet)
 		return
 	}
-	if !voterSet.HasVoter(s.StoreID()) && s.DiskState() == consensus.Blank {
+	if !voterSet.HasVoter(s.StoreID()) && s.DiskState() == consensus.Incomplete {
 		s.requestJoin(now, voterSet)
 	}
 }
--- a/internal/state/consensus/disk_state.go
+++ b/internal/state/consensus/disk_state.go
@@ -10,9 +10,9 @@
 type DiskState uint8
 
 const (
-	// Blank means that the registers haven't been fully copied to this disk. Hello.Blank
+	// Incomplete means that the registers haven't been fully copied to this disk. Hello.Blank
 	// differs: it means that the store knows no voter set.
-	Blank DiskState = iota
+	Incomplete DiskState = iota
 	// Complete means that this disk holds all values chosen before its first vote.
 	Complete
 	// Replaced means that another store replaced this one. The disk never votes again, and
@@ -44,7 +44,7 @@
 func ReadDiskState(disk Storage) (DiskState, bool) {
 	raw, ok := disk.Get(diskStateKey)
 	if !ok {
-		return Blank, false
+		return Incomplete, false
 	}
 	record, ok := decodeMessage[diskStateRecord](raw)
 	return DiskState(record.State), ok
@@ -59,10 +59,10 @@
 // updateDiskState updates the state for a voter set that is about to be adopted.
 func (a *Acceptor) updateDiskState(next VoterSet) {
 	switch {
-	case a.voterSet.Number == 0 && a.DiskState() == Blank:
+	case a.voterSet.Number == 0 && a.DiskState() == Incomplete:
 		// Write the state before the voter set, since a disk that has only a voter set
 		// counts as complete (loadDiskState).
-		a.setDiskState(Blank)
+		a.setDiskState(Incomplete)
 	case a.DiskState() == Complete && !next.HasVoter(a.storeID):
 		a.out.Log(event.LevelError, EventStoreReplaced)
 		a.setDiskState(Replaced)
@@ -80,7 +80,7 @@
 // MarkComplete allows a store with an incomplete disk to vote. The copied records were emitted for
 // writing earlier, and every vote waits until all earlier writes are on disk.
 func (a *Acceptor) MarkComplete() {
-	if a.DiskState() == Blank {
+	if a.DiskState() == Incomplete {
 		a.setDiskState(Complete)
 	}
 }
@@ -91,7 +91,7 @@
 	switch a.DiskState() {
 	case Complete:
 		return a.voterSet.HasVoter(a.storeID)
-	case Blank:
+	case Incomplete:
 		return a.voterSet.HasVoter(a.storeID) && !a.isVoterIn(a.voterSet)
 	default:
 		return false
--- a/internal/state/consensus/model_events_test.go
+++ b/internal/state/consensus/model_events_test.go
@@ -173,7 +173,7 @@
 // incomplete.
 func (st *modelState) replaceableVoter(i int) (uint64, bool) {
 	a := st.stores[i].acceptor
-	if a.DiskState() != Blank || a.voterSet.Number == 0 || a.voterSet.HasVoter(a.storeID) {
+	if a.DiskState() != Incomplete || a.voterSet.Number == 0 || a.voterSet.HasVoter(a.storeID) {
 		return 0, false
 	}
 	for _, v := range a.voterSet.Voters {
@@ -204,7 +204,7 @@
 func (st *modelState) mayCopy(i, j int) bool {
 	to, from := st.stores[i], st.stores[j].acceptor
 	set := to.acceptor.voterSet
-	return i != j && to.acceptor.DiskState() == Blank && set.Number > 0 && from.voterSet.Number == set.Number &&
+	return i != j && to.acceptor.DiskState() == Incomplete && set.Number > 0 && from.voterSet.Number == set.Number &&
 		from.MayVote() && to.copier.LastPassVoterSet(from.storeID) < set.Number
 }
 
--- a/internal/state/consensus/model_state_test.go
+++ b/internal/state/consensus/model_state_test.go
@@ -160,7 +160,7 @@
 	if s.acceptor.AdoptVoterSet(set) {
 		s.proposer.RestartRounds(s.now)
 		st.run(i)
-		if s.acceptor.DiskState() == Blank {
+		if s.acceptor.DiskState() == Incomplete {
 			st.completeIfDue(i)
 		}
 	}
