--- a/internal/controlplane/store/doc.go
+++ b/internal/controlplane/store/doc.go
@@ -14,8 +14,8 @@
 // A store that joins a cluster passes through the stages below. It proposes each step
 // itself, except that a leaving voter proposes its own successor.
 //
-//  1. It is blank: it knows no voter set (Hello.Blank). It learns of one in answer to its hellos, or
-//     takes part in a bootstrap if there is no cluster yet.
+//  1. It is blank: it knows no voter set (Hello.Blank). It learns of one in answer to its
+//     hellos, or takes part in a bootstrap if there is no cluster yet.
 //  2. It copies the registers of the voters. Once it has copied a quorum of them it is a
 //     standby (Hello.HasCopied).
 //  3. It is added to the voter set when a voter is lost, leaves, or is missing. It is a
--- a/internal/dataplane/proxy/connection_pool.go
+++ b/internal/dataplane/proxy/connection_pool.go
@@ -28,7 +28,7 @@
 	// dialTimeout is the timeout for opening a connection.
 	dialTimeout time.Duration
 	// recentIdleLimit is the longest idle time of a connection that counts as recently used
-	// (dispatch.Forward.RecentOnly). It is adapted when pooled connections turn out to be
+	// (dispatch.Forward.RecentlyUsedOnly). It is adapted when pooled connections turn out to be
 	// dead; 0 until then, which stands for maxRecentIdleLimit.
 	recentIdleLimit time.Duration
 }
--- a/internal/state/consensus/bootstrap.go
+++ b/internal/state/consensus/bootstrap.go
@@ -32,9 +32,9 @@
 }
 
 // BootstrapRecord is a store's persistent bootstrap state. A blank store writes it if it is
-// permitted to bootstrap a cluster or, also without permission, if it sees evidence of an existing
-// cluster, which forbids the bootstrap. A member of an initial voter set writes it with the round of
-// its bootstrap.
+// permitted to bootstrap a cluster or, also without permission, if it sees evidence of an
+// existing cluster, which forbids the bootstrap. A member of an initial voter set writes it
+// with the round of its bootstrap.
 type BootstrapRecord struct {
 	// Round is the highest promised round.
 	Round uint64
--- a/internal/state/consensus/disk_state.go
+++ b/internal/state/consensus/disk_state.go
@@ -6,12 +6,12 @@
 )
 
 // DiskState is the persistent state that determines whether a store may vote (MayVote). Every
-// disk starts as Blank; even a store in the voter set withholds its vote until it is Complete.
+// disk starts as Incomplete; even a store in the voter set withholds its vote until it is Complete.
 type DiskState uint8
 
 const (
-	// Incomplete means that the registers haven't been fully copied to this disk. Hello.Blank
-	// differs: it means that the store knows no voter set.
+	// Incomplete means that the registers haven't been fully copied to this disk. A
+	// store with such a disk isn't blank (Hello.Blank) if it knows a voter set.
 	Incomplete DiskState = iota
 	// Complete means that this disk holds all values chosen before its first vote.
 	Complete
