--- a/internal/dataplane/proxy/client_disconnect_test.go
+++ b/internal/dataplane/proxy/client_disconnect_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestReadEndOf(t *testing.T) {
+func TestReadOutcomeOf(t *testing.T) {
 	for _, c := range []struct {
 		err  error
 		want readOutcome
--- a/internal/dataplane/proxy/refresh_test.go
+++ b/internal/dataplane/proxy/refresh_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// refreshCounter steps a Control and records its refreshes and acknowledgments.
+// refreshCounter steps a Control and records its refreshes and acknowledgements.
 type refreshCounter struct {
 	*controlFixture
 	refreshes    int
