--- a/internal/state/configuration/cluster_test.go
+++ b/internal/state/configuration/cluster_test.go
@@ -70,7 +70,7 @@
 	return c
 }
 
-// startStores starts three empty stores as one voter set.
+// startStores starts three stores with empty disks as one voter set.
 func (c *cluster) startStores() {
 	voters := consensus.VoterSet{Number: 1}
 	for i := range 3 {
--- a/internal/state/consensus/acceptor_test.go
+++ b/internal/state/consensus/acceptor_test.go
@@ -65,31 +65,31 @@
 
 // A voter with an empty disk responds to no request until its copy is complete, even after a
 // restart.
-func TestAcceptor_BlankVoterWithholdsItsVote(t *testing.T) {
+func TestAcceptor_IncompleteVoterWithholdsItsVote(t *testing.T) {
 	is := is.New(t)
 	set := VoterSet{Number: 2, Voters: []Voter{{1, "a"}, {2, "b"}, {9, "c"}}}
-	blank := newTestAcceptor(9, memorydisk.Disk{})
+	voter := newTestAcceptor(9, memorydisk.Disk{})
 	responses := func() (sent []any) {
-		for _, c := range blank.Drain() {
+		for _, c := range voter.Drain() {
 			sync, ok := c.(event.Sync)
 			is.True(ok)
-			blank.disk.Write(sync.Records)
+			voter.disk.Write(sync.Records)
 			for _, after := range sync.After {
 				sent = append(sent, after.(event.Send).Message)
 			}
 		}
 		return sent
 	}
-	blank.AdoptVoterSet(set)
+	voter.AdoptVoterSet(set)
 	responses()
-	blank.Acceptor = NewAcceptor(9, blank.disk, &blank.Outbox)
+	voter.Acceptor = NewAcceptor(9, voter.disk, &voter.Outbox)
 	ballot := ids.Ballot{Counter: maxFirstValueCounter + 1, Proposer: 1}
-	blank.HandlePrepare("a", Prepare{Key: "x", Ballot: ballot, VoterSetNumber: 2})
-	blank.HandleAccept("a", Accept{Key: "x", Ballot: ballot, VoterSetNumber: 2, Value: []byte("v")})
-	blank.HandlePageRequest("a", PageRequest{VoterSetNumber: 2})
+	voter.HandlePrepare("a", Prepare{Key: "x", Ballot: ballot, VoterSetNumber: 2})
+	voter.HandleAccept("a", Accept{Key: "x", Ballot: ballot, VoterSetNumber: 2, Value: []byte("v")})
+	voter.HandlePageRequest("a", PageRequest{VoterSetNumber: 2})
 	is.Equal(len(responses()), 0)
-	blank.MarkComplete()
-	blank.HandleAccept("a", Accept{Key: "x", Ballot: ballot, VoterSetNumber: 2, Value: []byte("v")})
+	voter.MarkComplete()
+	voter.HandleAccept("a", Accept{Key: "x", Ballot: ballot, VoterSetNumber: 2, Value: []byte("v")})
 	is.Equal(len(responses()), 1)
 }
 
--- a/internal/state/consensus/model_search_test.go
+++ b/internal/state/consensus/model_search_test.go
@@ -221,7 +221,7 @@
 func TestModel_DetectsInjectedFaults(t *testing.T) {
 	for name, b := range map[string]modelBounds{
 		"copy complete before the last pass": {depth: 9, wipes: 1, atomicRounds: true, fault: modelFault{completesEarly: true}},
-		"votes while blank":                  {depth: 9, wipes: 1, atomicRounds: true, fault: modelFault{votesWhileIncomplete: true}},
+		"votes while incomplete":             {depth: 9, wipes: 1, atomicRounds: true, fault: modelFault{votesWhileIncomplete: true}},
 		"empty disk reuses the lost id":      {depth: 9, wipes: 2, atomicRounds: true, fault: modelFault{reusesLostID: true}},
 		"votes under lower voter sets":       {depth: 9, wipes: 1, atomicRounds: true, fault: modelFault{votesUnderLowerSets: true}},
 	} {
