--- a/internal/controlplane/store/doc.go
+++ b/internal/controlplane/store/doc.go
@@ -4,7 +4,7 @@
 //
 // The voter set is managed in these files:
 //
-//   - bootstrap.go, bootstrap_promise.go: forming the first voter set of a new cluster
+//   - bootstrap.go, bootstrap_promise.go: forming the initial voter set of a new cluster
 //   - learner.go: copying the registers before a store may vote
 //   - replacement.go: replacing lost voters, and retiring a replaced store
 //   - departure.go: a planned stop, with the vote handed over to a standby
@@ -14,15 +14,15 @@
 // A store that joins a cluster passes through the stages below. It proposes each step
 // itself, except that a leaving voter proposes its own successor.
 //
-//  1. It knows no voter set (Hello.Blank). It learns of one in answer to its hellos, or
-//     takes part in a bootstrap if there is no cluster yet.
+//  1. It is blank: it knows no voter set (Hello.Blank). It learns of one in answer to its
+//     hellos, or takes part in a bootstrap if there is no cluster yet.
 //  2. It copies the registers of the voters. Once it has copied a quorum of them it is a
 //     standby (Hello.HasCopied).
 //  3. It is added to the voter set when a voter is lost, leaves, or is missing. It is a
 //     learner (VoterSet.Learners) until its copy is complete under this voter set.
 //  4. Its disk is marked complete (consensus.Complete), and it votes.
 //  5. Another store replaces it (consensus.Replaced). It serves pages to its successor
-//     while they may be needed, and then retires: its data folder is set aside, and it
+//     while they may be needed, and then retires: its data directory is set aside, and it
 //     starts again at stage 1.
 //
 // Records on disk, by key: "item/" and "diff/" with a register's key (consensus,
@@ -32,7 +32,7 @@
 //
 // Invariants:
 //
-//   - A store votes only if its own disk records that it holds everything agreed before
+//   - A store votes only if its own disk records that it holds everything chosen before
 //     it became a voter (consensus.DiskState). No message and no voter set grants that
 //     right.
 //   - Blank stores form a voter set without an operator only if every seed was started
@@ -43,11 +43,11 @@
 //   - A message that can't come from its claimed sender is discarded before any of it is
 //     used (message_check.go).
 //
-// The machine is deterministic: it never reads a clock, opens a socket or writes a file.
+// The state machine is deterministic: it never reads a clock, opens a socket or writes a file.
 // Time, random numbers and storage are passed in, and Step returns the commands to
 // execute. It never recovers from lost disks without an operator's request.
 //
 // The tests are in this package; cluster_test.go runs several stores on an in-memory
-// network. The simulator (internal/testsupport/simulator) runs the same machine in whole
-// clusters with faults, and replays recorded traces of it.
+// network. The simulator (internal/testsupport/simulator) runs the same state machine in
+// whole clusters with faults, and replays recorded traces of it.
 package store
--- a/internal/controlplane/store/hello.go
+++ b/internal/controlplane/store/hello.go
@@ -35,7 +35,7 @@
 			addresses = append(addresses, m.Address)
 		}
 	}
-	copied := s.DiskState() == consensus.Blank && !voterSet.HasVoter(s.StoreID()) && s.learner.HasCopiedQuorum(voterSet)
+	copied := s.DiskState() == consensus.Incomplete && !voterSet.HasVoter(s.StoreID()) && s.learner.HasCopiedQuorum(voterSet)
 	for _, address := range addresses {
 		s.Send(address, consensus.Hello{Store: s.selfVoter(), Blank: voterSet.Number == 0, VoterSetNumber: voterSet.Number, HasCopied: copied})
 	}
@@ -64,7 +64,7 @@
 }
 
 // recentStores returns the stores outside the voter set whose hello is recent and meets
-// the condition, sorted by id.
+// the condition, sorted by ID.
 func (s *Store) recentStores(now ids.Time, condition func(consensus.Hello) bool) []consensus.Voter {
 	voterSet := s.Acceptor.VoterSet()
 	var stores []consensus.Voter
--- a/internal/controlplane/store/replacement.go
+++ b/internal/controlplane/store/replacement.go
@@ -9,7 +9,7 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// Retire is the command to set the data folder aside and to restart as a blank store,
+// Retire is the command to set the data directory aside and to restart as a blank store,
 // after another store has replaced this one.
 type Retire struct{}
 
@@ -28,7 +28,7 @@
 		s.abandonLostIncoming(now, voterSet)
 		return
 	}
-	if !voterSet.HasVoter(s.StoreID()) && s.DiskState() == consensus.Blank {
+	if !voterSet.HasVoter(s.StoreID()) && s.DiskState() == consensus.Incomplete {
 		s.requestJoin(now, voterSet)
 	}
 }
@@ -41,7 +41,7 @@
 	}
 }
 
-// replaceableVoter returns the id of the voter that this store may replace, or 0 if the
+// replaceableVoter returns the ID of the voter that this store may replace, or 0 if the
 // voter set has too few voters and this store may be added. It returns false if neither is
 // the case.
 func (s *Store) replaceableVoter(now ids.Time, voterSet consensus.VoterSet) (uint64, bool) {
@@ -100,13 +100,13 @@
 // retireIfDue emits Retire once this store was replaced and its successor no longer needs
 // to copy from it. A store that is leaving does not retire, since it must not restart.
 func (s *Store) retireIfDue() {
-	if s.DiskState() != consensus.Replaced || s.retireOrdered || s.departure.deadline != 0 {
+	if s.DiskState() != consensus.Replaced || s.retireEmitted || s.departure.deadline != 0 {
 		return
 	}
 	if s.mayBeCopiedFrom(s.Acceptor.VoterSet()) {
 		return
 	}
-	s.retireOrdered = true
+	s.retireEmitted = true
 	s.Emit(Retire{})
 }
 
--- a/internal/dataplane/proxy/slots.go
+++ b/internal/dataplane/proxy/slots.go
@@ -16,7 +16,7 @@
 type SlotLayout struct {
 	// ByZone assigns a target's slots to the proxies of its own zone first. Otherwise all
 	// proxies have equal shares.
-	ByZone bool `help:"Allocate a target's concurrency slots to the proxies in its own zone first." name:"by-cell"`
+	ByZone bool `help:"Assign a target's concurrency slots to the proxies of its own zone first." name:"by-cell"`
 	// Regions is the region of each zone in the settings of the process.
 	Regions map[ids.Name]string `kong:"-"`
 }
--- a/internal/state/consensus/doc.go
+++ b/internal/state/consensus/doc.go
@@ -12,7 +12,7 @@
 //   - Client sends requests to the stores on behalf of the other daemons.
 //   - VoterSet is the cluster membership. It is stored in a register itself, which the
 //     change functions of VoterSetOps modify.
-//   - Copier tracks how a learner, a store that started with a blank disk, copies the
+//   - Copier tracks how a learner, a store that started with an empty disk, copies the
 //     registers. Copying starts before the store joins the voter set and continues while it
 //     is listed in VoterSet.Learners; it votes only once its copy is complete.
 //   - BootstrapRecord decides which initial voter sets a blank store may take part in.
@@ -20,7 +20,7 @@
 // Invariants:
 //
 //   - A ballot identifies at most one value of one register. NewProposer therefore
-//     requires a proposer id that no other run has used (Lamport, Paxos Made Simple:
+//     requires a proposer ID that no other run has used (Lamport, Paxos Made Simple:
 //     proposers choose their numbers from disjoint sets).
 //   - An acceptor sends a promise or a vote only after the corresponding state is on
 //     disk, and never accepts a ballot below one that it promised.
--- a/internal/state/consensus/model_state_test.go
+++ b/internal/state/consensus/model_state_test.go
@@ -42,7 +42,7 @@
 	sets []VoterSet
 	// acknowledged lists the letters whose append was acknowledged.
 	acknowledged string
-	// lastID is the last disk id that was assigned.
+	// lastID is the last disk ID that was assigned.
 	lastID uint64
 	// lostDisk is the first disk that was lost, nil for none or after it was restored.
 	lostDisk    memorydisk.Disk
@@ -65,9 +65,9 @@
 	// completesEarly lets a learner consider its copy complete after a pass under the previous
 	// voter set.
 	completesEarly bool
-	// votesWhileBlank lets a voter vote before its copy is complete.
-	votesWhileBlank bool
-	// reusesLostID gives a blank disk the id of the lost one.
+	// votesWhileIncomplete lets a voter vote before its copy is complete.
+	votesWhileIncomplete bool
+	// reusesLostID gives an empty disk the ID of the lost one.
 	reusesLostID bool
 	// votesUnderLowerSets lets acceptors vote under lower voter sets than their own.
 	votesUnderLowerSets bool
@@ -160,7 +160,7 @@
 	if s.acceptor.AdoptVoterSet(set) {
 		s.proposer.RestartRounds(s.now)
 		st.run(i)
-		if s.acceptor.DiskState() == Blank {
+		if s.acceptor.DiskState() == Incomplete {
 			st.completeIfDue(i)
 		}
 	}
