--- a/internal/testsupport/simulator/bootstrap_test.go
+++ b/internal/testsupport/simulator/bootstrap_test.go
@@ -14,7 +14,7 @@
 // restartOldSeeds moves the whole core to other machines and then starts the
 // first three stores again, blank and with the setting of the first start.
 func restartOldSeeds(w *World, alone bool) {
-	w.repeat(2*time.Second, 11*time.Second, 3, func(i int) { w.replaceLost(w.processes[i]) })
+	w.repeat(2*time.Second, 11*time.Second, 3, func(i int) { w.replaceAfterLoss(w.processes[i]) })
 	w.schedule(36*time.Second, func() {
 		old := map[string]bool{}
 		for _, p := range w.processes[:3] {
@@ -38,7 +38,7 @@
 
 // Three blank stores whose settings still call it the first start come up beside
 // a core that has moved on, in its reach or with proxies alone in theirs.
-func TestOldSeedsFoundNoSecondCore(t *testing.T) {
+func TestBootstrap_OldSeedsFormNoSecondCore(t *testing.T) {
 	is := is.New(t)
 	for _, alone := range []bool{false, true} {
 		for seed := uint64(1); seed <= 3; seed++ {
@@ -50,7 +50,7 @@
 }
 
 // The setting stays on in all settings files, and the disks of all three are lost.
-func TestStaleBootstrapSetting_AfterTotalLoss(t *testing.T) {
+func TestBootstrap_StaleSettingAfterTotalLoss(t *testing.T) {
 	is := is.New(t)
 	for seed := uint64(1); seed <= 3; seed++ {
 		o := Run(Options{Seed: seed, Length: 25 * time.Second, KeepLog: true, StaleBootstrap: true, Script: everyDiskLost})
--- a/internal/testsupport/simulator/catch_up.go
+++ b/internal/testsupport/simulator/catch_up.go
@@ -44,7 +44,7 @@
 // that took longer than the bound.
 func (w *World) missChanges(p *process, absence string, changes int, bound time.Duration, then func(time.Duration)) {
 	back := MachineOutages[absence](w, p)
-	w.readAllAlong()
+	w.readRepeatedly()
 	var next func(n int)
 	next = func(n int) {
 		if n == changes {
@@ -59,13 +59,13 @@
 	next(0)
 }
 
-// readAllAlong reads the configuration every 200 ms until the operators are stopped.
-func (w *World) readAllAlong() {
+// readRepeatedly reads the configuration every 200 ms until the operators are stopped.
+func (w *World) readRepeatedly() {
 	if w.operators.stopped {
 		return
 	}
 	w.readConfiguration()
-	w.schedule(200*millisecond, w.readAllAlong)
+	w.schedule(200*millisecond, w.readRepeatedly)
 }
 
 // awaitCaughtUp calls then with the time until the synced disk of a store has the newest revision;
--- a/internal/testsupport/simulator/catch_up_test.go
+++ b/internal/testsupport/simulator/catch_up_test.go
@@ -8,12 +8,12 @@
 	"github.com/matryer/is"
 )
 
-// catchUpWithin is the bound catch_up_s that the users set for small sites.
-const catchUpWithin = 4 * time.Second
+// maxCatchUpTime is the bound catch_up_s that the users set for small sites.
+const maxCatchUpTime = 4 * time.Second
 
 // A store that missed 300 changes has them all within the bound after its return, without a change
 // made meanwhile, and no read was ever answered from its old state.
-func TestAStoreThatMissed300Changes(t *testing.T) {
+func TestCatchUp_StoreThatMissed300Changes(t *testing.T) {
 	for absence := range MachineOutages {
 		for store := range 2 {
 			t.Run(fmt.Sprint(absence, store), func(t *testing.T) {
@@ -23,7 +23,7 @@
 					took := time.Duration(-2)
 					o := Run(Options{Seed: seed, Length: 50 * time.Second, FaultEvery: -1, Script: func(w *World) {
 						w.schedule(2*time.Second, func() {
-							w.missChanges(w.processes[store], absence, 300, catchUpWithin, func(d time.Duration) { took = d })
+							w.missChanges(w.processes[store], absence, 300, maxCatchUpTime, func(d time.Duration) { took = d })
 						})
 					}})
 					report(t, o)
--- a/internal/testsupport/simulator/client_delivery.go
+++ b/internal/testsupport/simulator/client_delivery.go
@@ -66,35 +66,35 @@
 		return
 	}
 	generation := p.generation
-	p.later(0, func() {
+	p.scheduleInRun(0, func() {
 		id := p.dispatchers.receive(request.route.Name, request.token, request.idempotencyKey, request.attempt, request.sendsAttemptCount, attemptTimeout, func(answer dispatch.Response) {
 			if p.generation != generation || !w.delivers(p.name, p.zone, client, request.zone) {
 				return
 			}
 			w.schedule(w.latency(p.zone, request.zone), func() { d.receive(p, answer) })
 		})
-		d.maybeLeave(p, generation, id)
+		d.maybeDisconnect(p, generation, id)
 	})
 }
 
-// maxStay is how long after the arrival of its request a client leaves at most, if it leaves:
+// maxDisconnectDelay is how long after the arrival of its request a client leaves at most, if it leaves:
 // long enough for attempts to be under way, or over.
-const maxStay = 60 * time.Millisecond
+const maxDisconnectDelay = 60 * time.Millisecond
 
-// maybeLeave has some clients close their connection before the response.
-func (d *delivery) maybeLeave(p *process, generation int, id ids.RequestID) {
+// maybeDisconnect has some clients close their connection before the response.
+func (d *delivery) maybeDisconnect(p *process, generation int, id ids.RequestID) {
 	w := d.world
-	if w.clients.leaveShare == 0 || w.random.Float64() >= w.clients.leaveShare {
+	if w.clients.disconnectShare == 0 || w.random.Float64() >= w.clients.disconnectShare {
 		return
 	}
-	w.schedule(w.randomDuration(0, maxStay), func() {
+	w.schedule(w.randomDuration(0, maxDisconnectDelay), func() {
 		if d.ended {
 			return
 		}
 		d.end(checker.ClassLost)
 		w.schedule(w.latency(d.request.zone, p.zone), func() {
 			if p.up && p.generation == generation {
-				p.later(0, func() { p.dispatchers.clientLeft(id) })
+				p.scheduleInRun(0, func() { p.dispatchers.clientDisconnected(id) })
 			}
 		})
 	})
--- a/internal/testsupport/simulator/client_departures.go
+++ b/internal/testsupport/simulator/client_departures.go
@@ -7,8 +7,8 @@
 	"dunlinwell/internal/dataplane/dispatch"
 )
 
-// departure is what a request's proxy knows of its client's departure, and does about it.
-type departure struct {
+// clientDisconnect is what a request's proxy knows of its client's departure, and does about it.
+type clientDisconnect struct {
 	// at is when the proxy was told; 0 if the client has not left.
 	at ids.Time
 	// cancelUnsent and cancelSent: the dispatcher has canceled the attempt, the latter also
@@ -18,17 +18,17 @@
 	abort func()
 }
 
-// noticeTime is within how long a departure must have taken effect at a target, beside the time
+// disconnectGrace is within how long a departure must have taken effect at a target, beside the time
 // that the way there takes.
-const noticeTime = 5 * time.Millisecond
+const disconnectGrace = 5 * time.Millisecond
 
-// clientLeft tells a dispatcher that the client of a request has closed its connection.
-func (d *dispatchers) clientLeft(id ids.RequestID) {
+// clientDisconnected tells a dispatcher that the client of a request has closed its connection.
+func (d *dispatchers) clientDisconnected(id ids.RequestID) {
 	request := d.requestsByID[id]
 	if request == nil {
 		return
 	}
-	request.departure.at = d.process.now()
+	request.disconnect.at = d.process.now()
 	if !d.process.world.Defect.DeafToDepartures {
 		d.step(request.Service, dispatch.ClientDisconnected{ID: id})
 	}
@@ -40,23 +40,23 @@
 	if request == nil {
 		return
 	}
-	request.departure.cancelUnsent, request.departure.cancelSent = true, c.EvenIfSent
-	if c.EvenIfSent && request.departure.abort != nil {
-		request.departure.abort()
+	request.disconnect.cancelUnsent, request.disconnect.cancelSent = true, c.EvenIfSent
+	if c.EvenIfSent && request.disconnect.abort != nil {
+		request.disconnect.abort()
 	}
 }
 
-// checkSending reports a request whose first byte leaves after its client has left.
-func (r *forwardedRequest) checkSending(p *process) {
-	if left := r.departure.at; left != 0 && p.now() > left {
+// checkSentBeforeDisconnect reports a request whose first byte leaves after its client has left.
+func (r *forwardedRequest) checkSentBeforeDisconnect(p *process) {
+	if left := r.disconnect.at; left != 0 && p.now() > left {
 		p.world.Checker.Violation("%s sent %s %s after its client had left", p.name, r.requestToken, p.now().Sub(left))
 	}
 }
 
-// checkWorking reports a target that still works on a repeatable request after its client has left.
-func (r *forwardedRequest) checkWorking(t *target, oneWay time.Duration) {
-	left := r.departure.at
-	if r.Repeatable && left != 0 && t.world.now.Sub(left) > oneWay+noticeTime {
+// checkWorkAfterDisconnect reports a target that still works on a repeatable request after its client has left.
+func (r *forwardedRequest) checkWorkAfterDisconnect(t *target, oneWay time.Duration) {
+	left := r.disconnect.at
+	if r.Repeatable && left != 0 && t.world.now.Sub(left) > oneWay+disconnectGrace {
 		t.world.Checker.Violation("%s worked on %s for %s after its client had left", t.id, r.requestToken, t.world.now.Sub(left))
 	}
 }
--- a/internal/testsupport/simulator/clients.go
+++ b/internal/testsupport/simulator/clients.go
@@ -18,8 +18,8 @@
 	requests    int
 	stopped     bool
 	connections map[string]longLivedConnection
-	// leaveShare is the share of attempts whose client leaves before long.
-	leaveShare float64
+	// disconnectShare is the share of attempts whose client leaves before long.
+	disconnectShare float64
 }
 
 // longLivedConnection is an open connection of a client, which sends requests on it without asking
--- a/internal/testsupport/simulator/configuration_checks.go
+++ b/internal/testsupport/simulator/configuration_checks.go
@@ -12,28 +12,28 @@
 
 const (
 	millisecond = time.Millisecond
-	// restoreWithin is how soon every request must be answered once the faults are over.
-	restoreWithin = 15 * time.Second
-	// readyWithin is how soon a proxy that is ready must have an accepted change.
-	readyWithin = 2 * time.Second
-	// servesWithin is how soon every proxy that still serves must have it.
-	servesWithin = 3 * time.Second
+	// maxRecoveryTime is how soon every request must be answered once the faults are over.
+	maxRecoveryTime = 15 * time.Second
+	// maxReadyLag is how soon a proxy that is ready must have an accepted change.
+	maxReadyLag = 2 * time.Second
+	// maxServingLag is how soon every proxy that still serves must have it.
+	maxServingLag = 3 * time.Second
 )
 
-// checkInForce checks, once an accepted revision must be in force, that every proxy that serves has
+// checkRevisionInForce checks, once an accepted revision must be in force, that every proxy that serves has
 // it.
-func (w *World) checkInForce(revision ids.Revision) {
+func (w *World) checkRevisionInForce(revision ids.Revision) {
 	check := func(after time.Duration, counts func(*dispatchers) bool) {
 		w.schedule(after, func() {
 			for _, p := range w.processes {
-				if p.role == membership.Proxy && p.up && !p.frozen && counts(p.dispatchers) && p.dispatchers.heldRevision < revision {
-					w.Checker.Violation("%s goes by revision %d, %s after %d was accepted", p.name, p.dispatchers.heldRevision, after, revision)
+				if p.role == membership.Proxy && p.up && !p.frozen && counts(p.dispatchers) && p.dispatchers.adoptedRevision < revision {
+					w.Checker.Violation("%s goes by revision %d, %s after %d was accepted", p.name, p.dispatchers.adoptedRevision, after, revision)
 				}
 			}
 		})
 	}
-	check(readyWithin, func(d *dispatchers) bool { return d.servingState.Ready })
-	check(servesWithin, func(d *dispatchers) bool { return d.servingState.LeaseValid })
+	check(maxReadyLag, func(d *dispatchers) bool { return d.servingState.Ready })
+	check(maxServingLag, func(d *dispatchers) bool { return d.servingState.LeaseValid })
 }
 
 // readConfiguration makes a linearizable read: it may not give an older revision than any known
@@ -63,15 +63,15 @@
 
 // configurationAdopted checks that the configuration of a proxy never goes back.
 func (w *World) configurationAdopted(d *dispatchers, v *configuration.View) {
-	if v.Revision < d.heldRevision {
-		w.Checker.Violation("%s went back from revision %d to %d", d.process.name, d.heldRevision, v.Revision)
+	if v.Revision < d.adoptedRevision {
+		w.Checker.Violation("%s went back from revision %d to %d", d.process.name, d.adoptedRevision, v.Revision)
 	}
-	d.heldRevision = v.Revision
+	d.adoptedRevision = v.Revision
 }
 
-// finishLedger reads the configuration through every registry and checks it against all that was
+// verifyLedger reads the configuration through every registry and checks it against all that was
 // accepted.
-func (w *World) finishLedger(when string) {
+func (w *World) verifyLedger(when string) {
 	for _, p := range w.processes {
 		if p.role != membership.Registry || p.removed {
 			continue
--- a/internal/testsupport/simulator/core_losses.go
+++ b/internal/testsupport/simulator/core_losses.go
@@ -17,28 +17,28 @@
 
 // coreLosses is what counts as lost of the core.
 type coreLosses struct {
-	// vacantMachines counts machines that have no successor yet.
-	vacantMachines int
-	// calmSince is since when no store has been impaired; recovered says that there was
+	// machinesBeingReplaced counts machines that have no successor yet.
+	machinesBeingReplaced int
+	// unimpairedSince is since when no store has been impaired; recovered says that there was
 	// a calm of coreCatchUp after the last disk was lost.
-	calmSince ids.Time
-	recovered bool
+	unimpairedSince ids.Time
+	recovered       bool
 }
 
-// noteDiskLoss records that a disk is lost, or is about to be.
-func (w *World) noteDiskLoss() { w.losses.recovered, w.losses.calmSince = false, w.now }
+// recordDiskLoss records that a disk is lost, or is about to be.
+func (w *World) recordDiskLoss() { w.losses.recovered, w.losses.unimpairedSince = false, w.now }
 
 // trackCoreLosses regularly records which core machines count as lost.
 func (w *World) trackCoreLosses() {
 	for _, p := range w.remainingProcesses(membership.Store) {
 		if w.impaired(p) {
-			p.impairedAt, w.losses.calmSince = w.now, w.now
+			p.impairedAt, w.losses.unimpairedSince = w.now, w.now
 		}
 	}
-	if w.losses.vacantMachines > 0 {
-		w.losses.calmSince = w.now
+	if w.losses.machinesBeingReplaced > 0 {
+		w.losses.unimpairedSince = w.now
 	}
-	if w.now.Sub(w.losses.calmSince) >= coreCatchUp {
+	if w.now.Sub(w.losses.unimpairedSince) >= coreCatchUp {
 		w.losses.recovered = true
 	}
 	w.schedule(lossCheckInterval, w.trackCoreLosses)
@@ -57,13 +57,13 @@
 	return false
 }
 
-// mayLose reports whether the system must survive the loss of a core machine or its disk: not while
+// lossTolerated reports whether the system must survive the loss of a core machine or its disk: not while
 // a successor is due, nor before all voters are in place. Eager losses don't wait for that: it is
 // enough that the core had coreCatchUp without impairment since the last such loss, and no other
 // machine counts as lost.
-func (w *World) mayLose(p *process) bool {
+func (w *World) lossTolerated(p *process) bool {
 	switch {
-	case w.losses.vacantMachines > 0:
+	case w.losses.machinesBeingReplaced > 0:
 		return false
 	case w.votersInPlace():
 		return true
@@ -78,17 +78,17 @@
 	return true
 }
 
-// whenMayLose does something to a drawn core machine as soon as it may be lost, drawing again until
+// whenLossTolerated does something to a drawn core machine as soon as it may be lost, drawing again until
 // then.
-func (w *World) whenMayLose(draw func() *process, do func(*process)) {
+func (w *World) whenLossTolerated(draw func() *process, do func(*process)) {
 	if w.now >= w.faultsEnd() {
 		return
 	}
-	if p := draw(); w.mayLose(p) {
+	if p := draw(); w.lossTolerated(p) {
 		do(p)
 		return
 	}
-	w.schedule(lossCheckInterval, func() { w.whenMayLose(draw, do) })
+	w.schedule(lossCheckInterval, func() { w.whenLossTolerated(draw, do) })
 }
 
 // votersInPlace reports whether all voters of the newest voter set are stores that have not been
--- a/internal/testsupport/simulator/core_machines.go
+++ b/internal/testsupport/simulator/core_machines.go
@@ -29,48 +29,48 @@
 	return nil
 }
 
-// replaceCore replaces a core machine by a blank one at a new address as soon as mayLose allows it:
+// replaceCore replaces a core machine by a blank one at a new address as soon as lossTolerated allows it:
 // after it is gone or, if planned, before.
 func (w *World) replaceCore(planned bool) {
-	w.whenMayLose(func() *process { return w.randomProcess(membership.Store) }, func(p *process) {
+	w.whenLossTolerated(func() *process { return w.randomProcess(membership.Store) }, func(p *process) {
 		if planned {
-			w.replacePlanned(p)
+			w.replaceBeforeRemoval(p)
 		} else {
-			w.replaceLost(p)
+			w.replaceAfterLoss(p)
 		}
 	})
 }
 
-// replaceCoreMachine loses a core machine for good, as soon as mayLose allows it.
+// replaceCoreMachine loses a core machine for good, as soon as lossTolerated allows it.
 func (w *World) replaceCoreMachine() { w.replaceCore(false) }
 
-// replaceLost loses a core machine with its disk, and adds a blank one soon after.
-func (w *World) replaceLost(p *process) {
+// replaceAfterLoss loses a core machine with its disk, and adds a blank one soon after.
+func (w *World) replaceAfterLoss(p *process) {
 	w.trace("the machine of %s is lost for good", p.name)
 	machine := w.machineOf(p)
 	for _, member := range machine {
 		w.remove(member)
 	}
-	w.noteDiskLoss()
-	w.losses.vacantMachines++
+	w.recordDiskLoss()
+	w.losses.machinesBeingReplaced++
 	w.schedule(w.randomDuration(100*millisecond, 2*time.Second), func() {
-		w.losses.vacantMachines--
-		w.addSuccessors(machine)
+		w.losses.machinesBeingReplaced--
+		w.addReplacements(machine)
 	})
 }
 
-// replacePlanned adds a blank machine, and removes the old one soon after.
-func (w *World) replacePlanned(p *process) {
+// replaceBeforeRemoval adds a blank machine, and removes the old one soon after.
+func (w *World) replaceBeforeRemoval(p *process) {
 	w.trace("the machine of %s is to be replaced", p.name)
 	machine := w.machineOf(p)
-	w.losses.vacantMachines++
-	w.addSuccessors(machine)
+	w.losses.machinesBeingReplaced++
+	w.addReplacements(machine)
 	w.schedule(w.randomDuration(time.Second, 3*time.Second), func() {
-		w.losses.vacantMachines--
+		w.losses.machinesBeingReplaced--
 		for _, member := range machine {
 			w.remove(member)
 		}
-		w.noteDiskLoss()
+		w.recordDiskLoss()
 	})
 }
 
@@ -81,8 +81,8 @@
 	delete(w.processByAddress, p.address)
 }
 
-// addSuccessors adds a blank process for each one of a machine.
-func (w *World) addSuccessors(machine []*process) {
+// addReplacements adds a blank process for each one of a machine.
+func (w *World) addReplacements(machine []*process) {
 	for _, p := range machine {
 		subnet := 2
 		if p.role == membership.Store {
@@ -112,17 +112,17 @@
 		}
 	}
 	if w.Defect.DeadSeeds {
-		added.seeds = deadSeeds()
+		added.seeds = unreachableSeeds()
 	}
 	added.start()
 }
 
-// deadSeeds are addresses that nobody has.
-func deadSeeds() []ids.Address { return []ids.Address{"10.9.8.1:1"} }
+// unreachableSeeds are addresses that nobody has.
+func unreachableSeeds() []ids.Address { return []ids.Address{"10.9.8.1:1"} }
 
-// loseRandomDisk loses one disk as soon as mayLose allows it.
+// loseRandomDisk loses one disk as soon as lossTolerated allows it.
 func (w *World) loseRandomDisk() {
-	w.whenMayLose(func() *process { return w.randomProcess(membership.Store) }, func(p *process) { w.loseDiskAndPower(p, w.faultDuration()) })
+	w.whenLossTolerated(func() *process { return w.randomProcess(membership.Store) }, func(p *process) { w.loseDiskAndPower(p, w.faultDuration()) })
 }
 
 // loseDiskAndPower loses the disk and the power of a core machine. It comes back blank at the same
@@ -137,7 +137,7 @@
 
 // loseDisk loses the disk of a store.
 func (w *World) loseDisk(store *process) {
-	w.noteDiskLoss()
+	w.recordDiskLoss()
 	if w.Defect.BlankKeepsIdentity {
 		clear(store.disk.records)
 		return
@@ -162,7 +162,7 @@
 		}
 	}
 	if w.Defect.DeadSeeds {
-		list = deadSeeds()
+		list = unreachableSeeds()
 	}
 	w.trace("new seeds: %v", list)
 	for _, p := range w.remainingProcesses(0) {
--- a/internal/testsupport/simulator/defect_test.go
+++ b/internal/testsupport/simulator/defect_test.go
@@ -19,7 +19,7 @@
 )
 
 // Every rule of the checker finds the mistake it is there for, planted as a defect.
-func TestCheckersBite(t *testing.T) {
+func TestChecker_DetectsPlantedDefects(t *testing.T) {
 	for name, c := range map[string]struct {
 		want   string
 		defect Defect
@@ -28,7 +28,7 @@
 		lease  time.Duration
 		hot    bool
 	}{
-		"double run":    {want: "run twice", defect: Defect{Ops: map[consensus.Op]consensus.ChangeFunc{idempotency.OpClaim: alwaysGranted}}},
+		"double run":    {want: "run twice", defect: Defect{Ops: map[consensus.Op]consensus.ChangeFunc{idempotency.OpClaim: grantEveryClaim}}},
 		"half a change": {want: "reads back as", defect: Defect{Ops: map[consensus.Op]consensus.ChangeFunc{configuration.OpChange: applyHalf}}},
 		"forgotten": {want: "was known|reads back as|given to", defect: Defect{DiskForgets: true}, script: func(w *World) {
 			// Every store loses power at once, again and again.
@@ -62,7 +62,7 @@
 				p.Configuration, p.Revision = nil, 3
 			}
 		})}},
-		"left target": {want: "known gone or leaving", script: drained, defect: Defect{SkipIdentityCheck: true, Message: alterPushes(func(p *distribution.Push) {
+		"left target": {want: "known gone or leaving", script: targetsDrained, defect: Defect{SkipIdentityCheck: true, Message: alterPushes(func(p *distribution.Push) {
 			for i := range p.Targets {
 				p.Targets[i].Draining, p.Targets[i].Dead = false, false
 			}
@@ -72,7 +72,7 @@
 				p.Targets[i].Warmth, p.Targets[i].AgeMillis, p.Targets[i].Capacity = 1, 1e6, 200
 			}
 		})}},
-		"retries": {want: "retries past", script: loseResponsesAfterCalm, defect: Defect{Message: alterPushes(replaceInPush(`"allowance":10`, `"allowance":900`))}},
+		"retries": {want: "retries past", script: loseResponsesLate, defect: Defect{Message: alterPushes(replaceInPush(`"allowance":10`, `"allowance":900`))}},
 		"marks forgotten": {want: "run twice", defect: Defect{IdempotencyRetention: 300 * time.Millisecond}, script: func(w *World) {
 			// Proposers remember for a while what disks forgot: they restart.
 			responsesLost(w)
@@ -84,23 +84,23 @@
 		"unheard of":          {want: "known gone or leaving", lease: time.Hour, script: declaredDeadButRunning, defect: Defect{Message: dropLeaseGossip}},
 		"moved in a split":    {want: "that another was accepted over", lease: time.Hour, rate: 200, script: configurationMovedDuringPartition, defect: Defect{Message: dropLeaseGossip}},
 		"held circuit closed": {want: "held circuit", hot: true, defect: Defect{CloseLongLived: true}},
-		"urgent routes moved": {want: "urgent route moved", hot: true, defect: Defect{Message: alterTables(func(t *spill.Table) { t.Moves = reverseTiers(t.Moves) })}},
-		"far cells first":     {want: "move to a far cell", hot: true, defect: Defect{Message: alterTables(func(t *spill.Table) { t.Moves = moveFarther(t.Moves) })}},
+		"urgent routes moved": {want: "urgent route moved", hot: true, defect: Defect{Message: alterTables(func(t *spill.Table) { t.Moves = rotateRoutes(t.Moves) })}},
+		"far cells first":     {want: "move to a far cell", hot: true, defect: Defect{Message: alterTables(func(t *spill.Table) { t.Moves = moveToFarZones(t.Moves) })}},
 		"others' traffic first": {want: "before calling its own home", hot: true, defect: Defect{Message: alterTables(func(t *spill.Table) {
 			// At intervals, so that the moves are seen to begin.
 			if t.Number%4 >= 2 {
-				t.Moves = addCrossedMoves(t.Moves)
+				t.Moves = addOpposingMoves(t.Moves)
 			}
 		})}},
-		"order refused when it came again": {want: "refused with 409 when it came again", defect: Defect{Confirm: refuseCopies()}, script: answersLostAndResent},
+		"order refused when it came again": {want: "refused with 409 when it came again", defect: Defect{Confirm: rejectResentChanges()}, script: operatorResponsesLost},
 		"acted before the sync":            {want: "was known|reads back as|given to", defect: Defect{SyncLate: true}, script: powerLostAfterAcks},
 		// The closing fault is the only one.
 		"acted before the last sync":     {want: "was known|reads back as|given to", defect: Defect{SyncLate: true}, script: func(*World) {}},
 		"blank store keeps its identity": {want: "was known|reads back as|given to", defect: Defect{BlankKeepsIdentity: true}, script: wipedAndRestarted},
-		"new seeds lead nowhere":         {want: "can't be read", defect: Defect{DeadSeeds: true}, script: seedsTurnedThenReplaced},
-		"deaf to departures":             {want: "after its client had left", script: clientsLeave, defect: Defect{DeafToDepartures: true}},
+		"new seeds lead nowhere":         {want: "can't be read", defect: Defect{DeadSeeds: true}, script: seedsReplacedThenMachines},
+		"deaf to departures":             {want: "after its client had left", script: clientsDisconnect, defect: Defect{DeafToDepartures: true}},
 		"reset taken for not sent":       {want: "run twice", defect: Defect{ResetIsUnsent: true}, script: connectionsReset},
-		"emptied cell":                   {want: "emptied", script: drainAgainAndAgain, defect: Defect{Message: alterPushes(replaceInPush(`"emptied":true`, `"emptied":false`))}},
+		"emptied cell":                   {want: "emptied", script: drainRepeatedly, defect: Defect{Message: alterPushes(replaceInPush(`"emptied":true`, `"emptied":false`))}},
 		"lease without end":              {want: "cut off, answered", script: Scenes["core-machine-1-cut-off-both-ways"], defect: Defect{ControlLease: time.Hour}},
 		"deaf planner":                   {want: "have planned for", script: Scenes["core-machine-1-cut-off-both-ways"], defect: Defect{ControlLease: time.Hour}},
 		"not restored": {want: "15 s after", defect: Defect{Message: func(_, to string, msg any) (any, bool) {
--- a/internal/testsupport/simulator/departure_test.go
+++ b/internal/testsupport/simulator/departure_test.go
@@ -12,8 +12,8 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// stopStore asks a store to leave, as SIGTERM does, and calls then when it has ended.
-func (w *World) stopStore(p *process, then func()) {
+// stopStoreGracefully asks a store to leave, as SIGTERM does, and calls then when it has ended.
+func (w *World) stopStoreGracefully(p *process, then func()) {
 	w.trace("%s is told to stop", p.name)
 	p.deliver(store.Leave{GracePeriod: 5 * time.Second})
 	began := w.now
@@ -29,9 +29,9 @@
 	look()
 }
 
-// allVotersServe tells whether all members of the newest voter set, three, are up and
+// allVotersComplete tells whether all members of the newest voter set, three, are up and
 // complete. Spares don't count.
-func (w *World) allVotersServe() bool {
+func (w *World) allVotersComplete() bool {
 	var newest consensus.VoterSet
 	serving := map[uint64]bool{}
 	for _, p := range w.processes {
@@ -52,15 +52,15 @@
 	return len(newest.Voters) == 3 && len(newest.Incoming)+len(newest.Learners) == 0
 }
 
-// retire ends a machine for good.
-func (w *World) retire(p *process) {
+// removeStopped ends a machine for good.
+func (w *World) removeStopped(p *process) {
 	p.removed = true
 	delete(w.processByAddress, p.address)
 }
 
 // All three founders are replaced as planned, under load and operators' changes:
 // the new machine first, then the signal, then the disk is gone.
-func TestPlannedReplacements(t *testing.T) {
+func TestDeparture_PlannedReplacementOfAllStores(t *testing.T) {
 	is := is.New(t)
 	for seed := uint64(1); seed <= 4; seed++ {
 		settled := false
@@ -68,9 +68,9 @@
 			w.repeat(2*time.Second, 6*time.Second, 3, func(i int) {
 				p := w.processes[i]
 				w.addStore(p.zone)
-				w.schedule(3*time.Second, func() { w.stopStore(p, func() { w.retire(p) }) })
+				w.schedule(3*time.Second, func() { w.stopStoreGracefully(p, func() { w.removeStopped(p) }) })
 			})
-			w.schedule(25*time.Second, func() { settled = w.allVotersServe() })
+			w.schedule(25*time.Second, func() { settled = w.allVotersComplete() })
 		}})
 		report(t, o)
 		log := strings.Join(o.Log, "\n")
@@ -82,7 +82,7 @@
 
 // The stores are restarted in turn with a spare. Each finds its place taken when it returns, and is
 // the next spare.
-func TestRollWithOneStandingBy(t *testing.T) {
+func TestDeparture_RollingRestartWithSpare(t *testing.T) {
 	is := is.New(t)
 	for seed := uint64(1); seed <= 4; seed++ {
 		settled := false
@@ -91,9 +91,9 @@
 			stores := append([]*process{}, w.processes[:3]...)
 			stores = append(stores, w.processes[len(w.processes)-1])
 			w.repeat(3*time.Second, 5*time.Second, 4, func(i int) {
-				w.stopStore(stores[i], func() { w.schedule(500*time.Millisecond, func() { stores[i].start() }) })
+				w.stopStoreGracefully(stores[i], func() { w.schedule(500*time.Millisecond, func() { stores[i].start() }) })
 			})
-			w.schedule(26*time.Second, func() { settled = w.allVotersServe() })
+			w.schedule(26*time.Second, func() { settled = w.allVotersComplete() })
 		}})
 		report(t, o)
 		is.True(settled)
@@ -102,7 +102,7 @@
 
 // One is told to stop and killed, disk and all, at a random moment of its hand-over,
 // while messages are lost; two leave at once in every other seed.
-func TestLeaversKilledHalfWayUnderLoad(t *testing.T) {
+func TestDeparture_StoreKilledDuringHandOver(t *testing.T) {
 	is := is.New(t)
 	for seed := uint64(1); seed <= 8; seed++ {
 		settled := false
@@ -111,13 +111,13 @@
 			w.schedule(2*time.Second, func() { w.addStore("cell-b1"); w.addStore("cell-c1") })
 			w.schedule(6*time.Second, func() {
 				p := w.processes[1]
-				w.stopStore(p, func() { w.retire(p) })
+				w.stopStoreGracefully(p, func() { w.removeStopped(p) })
 				w.schedule(w.randomDuration(0, 300*time.Millisecond), p.kill)
 				if q := w.processes[2]; seed%2 == 0 {
-					w.stopStore(q, func() { w.retire(q) })
+					w.stopStoreGracefully(q, func() { w.removeStopped(q) })
 				}
 			})
-			w.schedule(25*time.Second, func() { settled = w.allVotersServe() })
+			w.schedule(25*time.Second, func() { settled = w.allVotersComplete() })
 		}})
 		report(t, o)
 		is.True(settled)
--- a/internal/testsupport/simulator/disk.go
+++ b/internal/testsupport/simulator/disk.go
@@ -13,8 +13,8 @@
 const (
 	voterSetRecord     = "meta/roster"
 	idempotencyRecords = "item/mark/"
-	// registersEnd is the first key after all of the prefix "item/".
-	registersEnd = "item0"
+	// registerKeysEnd is the first key after all of the prefix "item/".
+	registerKeysEnd = "item0"
 )
 
 // Get returns a record that is synced.
@@ -32,7 +32,7 @@
 	}
 	var out []event.Record
 	for _, next := range keys[from:] {
-		if next >= registersEnd || len(out) == limit {
+		if next >= registerKeysEnd || len(out) == limit {
 			break
 		}
 		out = append(out, event.Record{Key: next, Value: d.records[next]})
@@ -153,7 +153,7 @@
 				d.sortedKeyCache = nil
 			}
 			d.records[written.Key] = written.Value
-			d.noteWritten(written.Key)
+			d.recordWriteTime(written.Key)
 		}
 	}
 	for _, s := range done {
--- a/internal/testsupport/simulator/disk_pruning.go
+++ b/internal/testsupport/simulator/disk_pruning.go
@@ -14,8 +14,8 @@
 // The retention is shorter than the real one, so that runs of a minute see it.
 const (
 	idempotencyRetention = 45 * time.Second
-	pruneEvery           = 500 * time.Millisecond
-	maxPrunedAtOnce      = 64
+	pruneInterval        = 500 * time.Millisecond
+	maxPrunedPerPass     = 64
 )
 
 // recordAges keeps since when, in running time, each record has been on the disk.
@@ -31,8 +31,8 @@
 // change.
 func (d *disk) runningTime() time.Duration { return d.runningBeforeStart + d.world.now.Sub(d.openedAt) }
 
-// noteWritten records when a record was written.
-func (d *disk) noteWritten(key ids.RegisterKey) {
+// recordWriteTime records when a record was written.
+func (d *disk) recordWriteTime(key ids.RegisterKey) {
 	if d.writtenAt == nil {
 		d.writtenAt = map[ids.RegisterKey]time.Duration{}
 	}
@@ -41,7 +41,7 @@
 
 // schedulePruning regularly deletes the idempotency records that have been kept for long enough.
 func (d *disk) schedulePruning(p *process) {
-	p.later(pruneEvery, func() {
+	p.scheduleInRun(pruneInterval, func() {
 		if d.stalled {
 			d.schedulePruning(p)
 			return
@@ -54,7 +54,7 @@
 		d.runningBeforeStart, d.openedAt = now, d.world.now
 		// In order, so that one seed is one run.
 		for _, key := range slices.Sorted(maps.Keys(d.writtenAt)) {
-			if pruned < maxPrunedAtOnce && strings.HasPrefix(string(key), idempotencyRecords) && now-d.writtenAt[key] > retention {
+			if pruned < maxPrunedPerPass && strings.HasPrefix(string(key), idempotencyRecords) && now-d.writtenAt[key] > retention {
 				delete(d.records, key)
 				delete(d.writtenAt, key)
 				pruned++
--- a/internal/testsupport/simulator/dispatchers.go
+++ b/internal/testsupport/simulator/dispatchers.go
@@ -17,19 +17,19 @@
 // dispatchers is the data plane of a simulated proxy: real dispatchers, and targets reached over
 // the simulated network.
 type dispatchers struct {
-	process        *process
-	control        *proxy.Control
-	byService      map[ids.Name]*dispatch.Dispatcher
-	services       []ids.Name
-	requestsByID   map[ids.RequestID]*forwardedRequest
-	lastRequestID  ids.RequestID
-	lastTick       ids.Time
-	view           *configuration.View
-	servingState   proxy.ServingState
-	lastMeasuredAt ids.Time
-	cpuMillis      map[[2]ids.Name]float64
-	requests       uint64
-	heldRevision   ids.Revision
+	process         *process
+	control         *proxy.Control
+	byService       map[ids.Name]*dispatch.Dispatcher
+	services        []ids.Name
+	requestsByID    map[ids.RequestID]*forwardedRequest
+	lastRequestID   ids.RequestID
+	lastTick        ids.Time
+	view            *configuration.View
+	servingState    proxy.ServingState
+	lastMeasuredAt  ids.Time
+	cpuMillis       map[[2]ids.Name]float64
+	requests        uint64
+	adoptedRevision ids.Revision
 }
 
 // forwardedRequest is a request that a proxy works on.
@@ -39,7 +39,7 @@
 	// attempt is the client's own count, which Job.Attempt lacks if it isn't sent.
 	attempt    int
 	onResponse func(dispatch.Response)
-	departure  departure
+	disconnect clientDisconnect
 }
 
 // newDispatchers makes the data plane of a run of a proxy.
@@ -117,10 +117,10 @@
 		if c.Op == idempotency.OpClaim && p.world.onClaim != nil {
 			p.world.onClaim(p)
 		}
-		p.later(0, func() { p.deliver(proxy.IdempotencyRequest{Service: service, Call: c}) })
+		p.scheduleInRun(0, func() { p.deliver(proxy.IdempotencyRequest{Service: service, Call: c}) })
 	case dispatch.Forward:
 		// As with a real scheduler a moment passes, in which the process may freeze.
-		p.later(p.world.randomDuration(0, 2*time.Millisecond), func() { d.forward(service, c) })
+		p.scheduleInRun(p.world.randomDuration(0, 2*time.Millisecond), func() { d.forward(service, c) })
 	case dispatch.CancelForward:
 		d.cancel(c)
 	case dispatch.Response:
--- a/internal/testsupport/simulator/doc.go
+++ b/internal/testsupport/simulator/doc.go
@@ -14,6 +14,6 @@
 // faults (faults*.go) and scripted ones (scenes*.go), the stand-ins (clients.go, operators.go,
 // target.go), and recorded traces of single machines (trace*.go).
 //
-// The package is its own test suite: TestSeeds and TestScenes run it, and TestCheckersBite shows
+// The package is its own test suite: TestSeeds and TestScenes run it, and TestChecker_DetectsPlantedDefects shows
 // with planted defects that every rule of the checker finds the mistake it is there for.
 package simulator
--- a/internal/testsupport/simulator/faults_after_ack.go
+++ b/internal/testsupport/simulator/faults_after_ack.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// afterAckWithin is how soon after an acknowledgement a fault follows.
-	afterAckWithin = 4 * millisecond
-	// afterSendFrom and afterSendTill bound how soon a fault follows the sending of a
+	// maxDelayAfterAck is how soon after an acknowledgement a fault follows.
+	maxDelayAfterAck = 4 * millisecond
+	// minDelayAfterSend and maxDelayAfterSend bound how soon a fault follows the sending of a
 	// change if it doesn't wait for the acknowledgement.
-	afterSendFrom, afterSendTill = 5 * millisecond, 400 * millisecond
+	minDelayAfterSend, maxDelayAfterSend = 5 * millisecond, 400 * millisecond
 )
 
 // afterAck injects a fault right after the next acknowledgement of a change, at the process that
@@ -20,26 +20,26 @@
 func (w *World) afterAck(fault func(*process)) {
 	if w.random.IntN(3) == 0 {
 		w.onNextChange = func() {
-			w.schedule(w.randomDuration(afterSendFrom, afterSendTill), func() { fault(w.randomProcess(membership.Registry)) })
+			w.schedule(w.randomDuration(minDelayAfterSend, maxDelayAfterSend), func() { fault(w.randomProcess(membership.Registry)) })
 		}
 		return
 	}
-	w.onNextAck = func(p *process) { w.schedule(w.randomDuration(0, afterAckWithin), func() { fault(p) }) }
+	w.onNextAck = func(p *process) { w.schedule(w.randomDuration(0, maxDelayAfterAck), func() { fault(p) }) }
 }
 
-// wipeMachineOf loses the disk of a registry's machine, or at times of another one.
-func (w *World) wipeMachineOf(registry *process) {
+// loseDiskOfMachine loses the disk of a registry's machine, or at times of another one.
+func (w *World) loseDiskOfMachine(registry *process) {
 	store := w.storeOf(registry)
 	if store == nil || w.random.IntN(3) == 0 {
 		store = w.randomProcess(membership.Store)
 	}
-	if w.now < w.faultsEnd() && w.mayLose(store) {
+	if w.now < w.faultsEnd() && w.lossTolerated(store) {
 		w.loseDiskAndPower(store, w.faultDuration())
 	}
 }
 
-// killMachineOf takes the power of a registry's machine.
-func (w *World) killMachineOf(registry *process) {
+// powerCycleMachine takes the power of a registry's machine.
+func (w *World) powerCycleMachine(registry *process) {
 	for _, p := range w.machineOf(registry) {
 		w.restartProcess(p, w.faultDuration())
 	}
@@ -61,8 +61,8 @@
 	}
 }
 
-// closingWait bounds how long the closing fault waits for an acknowledgement.
-const closingWait = 6 * time.Second
+// closingFaultTimeout bounds how long the closing fault waits for an acknowledgement.
+const closingFaultTimeout = 6 * time.Second
 
 // injectClosingFault ends a run: right after the acknowledgement of one more change, or soon after
 // it was sent, everything is killed, or one disk is lost, at times while everything else loses
@@ -72,17 +72,17 @@
 	once := func(p *process) {
 		if !struck {
 			struck = true
-			w.strikeClosingFault(p)
+			w.injectClosingFaultAt(p)
 		}
 	}
 	w.afterAck(once)
 	w.operators.serial++
 	w.putPair(w.operators.serial, w.random.IntN(blueprint.RoutePairs))
-	w.schedule(closingWait, func() { once(w.randomProcess(membership.Registry)) })
+	w.schedule(closingFaultTimeout, func() { once(w.randomProcess(membership.Registry)) })
 }
 
-// strikeClosingFault draws and injects the closing fault at a registry's machine.
-func (w *World) strikeClosingFault(p *process) {
+// injectClosingFaultAt draws and injects the closing fault at a registry's machine.
+func (w *World) injectClosingFaultAt(p *process) {
 	wiped := w.storeOf(p)
 	if wiped == nil {
 		wiped = w.randomProcess(membership.Store)
--- a/internal/testsupport/simulator/faults_network.go
+++ b/internal/testsupport/simulator/faults_network.go
@@ -40,8 +40,8 @@
 		}
 	}},
 	{"answers to operators lost", 1, func(w *World) {
-		w.operatorAnswerLoss = 0.5 + 0.4*w.random.Float64()
-		w.schedule(w.randomDuration(2*time.Second, 10*time.Second), func() { w.operatorAnswerLoss = 0 })
+		w.operatorResponseLoss = 0.5 + 0.4*w.random.Float64()
+		w.schedule(w.randomDuration(2*time.Second, 10*time.Second), func() { w.operatorResponseLoss = 0 })
 	}},
 }
 
--- a/internal/testsupport/simulator/faults_target.go
+++ b/internal/testsupport/simulator/faults_target.go
@@ -17,15 +17,15 @@
 	{"target drained", 1, func(w *World) {
 		// Drained and removed, later started again.
 		if t := w.randomTarget(); t.up {
-			t.leave()
+			t.drain()
 			w.schedule(5*time.Second, func() { t.crash() })
 			w.schedule(5*time.Second+w.randomDuration(time.Second, 8*time.Second), func() { w.restartTarget(t) })
 		}
 	}},
 	{"answers of a target lost", 1, func(w *World) {
 		if t := w.randomTarget(); t.up {
-			t.silentShare, t.corruptShare = 0.2, 0.1
-			w.schedule(w.randomDuration(time.Second, 8*time.Second), func() { t.silentShare, t.corruptShare = 0, 0 })
+			t.lostResponseShare, t.corruptResponseShare = 0.2, 0.1
+			w.schedule(w.randomDuration(time.Second, 8*time.Second), func() { t.lostResponseShare, t.corruptResponseShare = 0, 0 })
 		}
 	}},
 	{"address handed on", 1, func(w *World) {
--- a/internal/testsupport/simulator/forward.go
+++ b/internal/testsupport/simulator/forward.go
@@ -19,7 +19,7 @@
 	}
 	notSent := dispatch.AttemptFinished{ID: command.ID, Sequence: command.Sequence, Result: dispatch.NotSent, Reason: "dial"}
 	end := func(after time.Duration, result dispatch.AttemptFinished) {
-		p.later(after, func() { d.step(service, result) })
+		p.scheduleInRun(after, func() { d.step(service, result) })
 	}
 	receiver := w.targetByAddress[command.Target.Address]
 	if receiver == nil || !receiver.up {
@@ -35,18 +35,18 @@
 		return
 	}
 	oneWay := w.latency(p.zone, receiver.zone)
-	p.later(2*oneWay, func() {
+	p.scheduleInRun(2*oneWay, func() {
 		// A frozen target proves no identity: connecting times out.
 		if receiver.frozen && !w.Defect.SkipIdentityCheck {
 			end(min(time.Second, max(command.Deadline.Sub(p.now()), 0)), notSent)
 			return
 		}
 		// The connection shows which target has the address now.
-		if !w.Defect.SkipIdentityCheck && (!receiver.up || receiver.id != command.Target.Instance || receiver.service != command.Target.Service || receiver.incarnation != command.Target.Incarnation || receiver.leaving) {
+		if !w.Defect.SkipIdentityCheck && (!receiver.up || receiver.id != command.Target.Instance || receiver.service != command.Target.Service || receiver.incarnation != command.Target.Incarnation || receiver.draining) {
 			end(0, notSent)
 			return
 		}
-		if request.departure.cancelUnsent || !proxy.MaySend(p.now(), command.SendBefore, d.lastTick) {
+		if request.disconnect.cancelUnsent || !proxy.MaySend(p.now(), command.SendBefore, d.lastTick) {
 			end(0, notSent)
 			return
 		}
@@ -59,7 +59,7 @@
 func (d *dispatchers) sendToTarget(service ids.Name, command dispatch.Forward, request *forwardedRequest, receiver *target, oneWay time.Duration) {
 	p, w := d.process, d.process.world
 	ended := false
-	request.checkSending(p)
+	request.checkSentBeforeDisconnect(p)
 	generation := p.generation
 	var call *exchange
 	end := func(result dispatch.AttemptFinished) {
@@ -74,26 +74,26 @@
 		broken.Result = dispatch.NotSent
 	}
 	call = w.beginExchange(&exchange{from: p.name, to: string(receiver.id), fromZone: p.zone, toZone: receiver.zone, onReset: func() {
-		p.later(0, func() { end(broken) })
+		p.scheduleInRun(0, func() { end(broken) })
 	}})
-	p.later(max(command.Deadline.Sub(p.now()), 0), func() { end(mayHaveRun) })
-	request.departure.abort = func() { end(mayHaveRun) }
+	p.scheduleInRun(max(command.Deadline.Sub(p.now()), 0), func() { end(mayHaveRun) })
+	request.disconnect.abort = func() { end(mayHaveRun) }
 	// A target whose connection was closed drops its work.
 	checkWorking := func() {
 		if !ended {
-			request.checkWorking(receiver, oneWay)
+			request.checkWorkAfterDisconnect(receiver, oneWay)
 		}
 	}
 	targetGeneration, sent, timeLeft := receiver.generation, w.now, command.Deadline.Sub(p.now())
 	w.schedule(oneWay, func() {
 		if !receiver.up || receiver.generation != targetGeneration {
 			if p.generation == generation {
-				p.later(oneWay, func() { end(mayHaveRun) })
+				p.scheduleInRun(oneWay, func() { end(mayHaveRun) })
 			}
 			return
 		}
 		arrived := w.now
-		receiver.whenAwake(func() {
+		receiver.whenRunning(func() {
 			receiver.execute(request, p, service, sent, arrived, timeLeft, checkWorking, func(response idempotency.Response, ok bool) {
 				if p.generation != generation {
 					return
@@ -107,7 +107,7 @@
 				if !w.delivers(string(receiver.id), receiver.zone, p.name, p.zone) {
 					return // the response is lost: the deadline ends the attempt
 				}
-				p.later(oneWay, func() { end(result) })
+				p.scheduleInRun(oneWay, func() { end(result) })
 			})
 		})
 	})
--- a/internal/testsupport/simulator/lease_test.go
+++ b/internal/testsupport/simulator/lease_test.go
@@ -11,8 +11,8 @@
 	"dunlinwell/internal/testsupport/blueprint"
 )
 
-// leaseLosses are what the lease costs pages in, each for eight seconds.
-var leaseLosses = map[string]func(w *World){
+// leaseOutages are what the lease costs pages in, each for eight seconds.
+var leaseOutages = map[string]func(w *World){
 	"the whole core": func(w *World) {
 		for _, p := range w.processes {
 			if p.role != membership.Proxy {
@@ -35,8 +35,8 @@
 
 // The cost of serving nothing that can't be confirmed: the share of first attempts answered through a
 // loss, with the default lease and with one that never ends.
-func TestCostOfTheLease(t *testing.T) {
-	for name, lose := range leaseLosses {
+func TestLease_CostsAvailabilityDuringOutages(t *testing.T) {
+	for name, lose := range leaseOutages {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
--- a/internal/testsupport/simulator/linearizability_test.go
+++ b/internal/testsupport/simulator/linearizability_test.go
@@ -64,9 +64,9 @@
 
 // Histories of changes and reads under kills, freezes, partitions, stalls, restarts and disks lost in
 // turn are linearizable.
-func TestHistoriesAreLinearizable(t *testing.T) {
+func TestHistory_IsLinearizable(t *testing.T) {
 	wipes := func(w *World) {
-		w.schedule(3*time.Second, func() { w.wipeInTurn([]int{0, 1, 2, 1}, 4500*millisecond, func(time.Duration) {}) })
+		w.schedule(3*time.Second, func() { w.wipeInSequence([]int{0, 1, 2, 1}, 4500*millisecond, func(time.Duration) {}) })
 	}
 	for name, script := range map[string]func(*World){"trouble": nil, "wipes": wipes} {
 		for seed := uint64(1); seed <= 4; seed++ {
@@ -115,7 +115,7 @@
 }
 
 // A planted lost write and a planted stale reading are found in the history.
-func TestPlantedMistakesAreFoundInHistories(t *testing.T) {
+func TestHistory_PlantedDefectsAreDetected(t *testing.T) {
 	for name, defect := range map[string]Defect{"lost write": {Ops: loseEveryTenthChange()}, "stale reading": {Message: staleReads()}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/testsupport/simulator/mixed_versions_test.go
+++ b/internal/testsupport/simulator/mixed_versions_test.go
@@ -10,14 +10,14 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// headSize is the length of a frame's head, which no version may change.
-const headSize = 26
+// headerSize is the length of a frame's head, which no version may change.
+const headerSize = 26
 
-// laterVersion is a frame as a later version would write it: its message has more
+// encodeAsLaterVersion is a frame as a later version would write it: its message has more
 // fields at the end.
-func laterVersion(raw []byte) (wire.Kind, []byte) {
+func encodeAsLaterVersion(raw []byte) (wire.Kind, []byte) {
 	kind := wire.Kind(binary.BigEndian.Uint16(raw[4:]))
-	body := append([]byte{}, raw[headSize:]...)
+	body := append([]byte{}, raw[headerSize:]...)
 	binary.BigEndian.PutUint32(body, binary.BigEndian.Uint32(body)+12)
 	return kind, append(body, "unknown here"...)
 }
@@ -25,7 +25,7 @@
 // A fleet during an upgrade: every other daemon speaks a later
 // version, with fields and whole kinds that the others don't know. Everything
 // goes over the wire format, and nothing changes.
-func TestMixedFleet(t *testing.T) {
+func TestMixedVersions_FleetDuringUpgrade(t *testing.T) {
 	is := is.New(t)
 	spoke := 0
 	for seed := uint64(1); seed <= 2; seed++ {
@@ -33,9 +33,9 @@
 		p.Defect.Message = func(from, _ string, msg any) (any, bool) {
 			raw, err := wire.Encode(msg)
 			is.NoErr(err)
-			kind, body := wire.Kind(binary.BigEndian.Uint16(raw[4:])), raw[headSize:]
+			kind, body := wire.Kind(binary.BigEndian.Uint16(raw[4:])), raw[headerSize:]
 			if strings.HasSuffix(from, "2") || strings.HasSuffix(from, "4") {
-				kind, body = laterVersion(raw)
+				kind, body = encodeAsLaterVersion(raw)
 				spoke++
 			}
 			got, err := wire.Decode(kind, body)
--- a/internal/testsupport/simulator/operator_changes.go
+++ b/internal/testsupport/simulator/operator_changes.go
@@ -7,17 +7,17 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// checkRepeatedAnswer checks the answer to a change that may have been sent before: once accepted,
+// checkRepeatedResponse checks the answer to a change that may have been sent before: once accepted,
 // it must be confirmed again or left without a definite answer.
-func (w *World) checkRepeatedAnswer(id string, response registry.Response) {
-	if w.operators.confirmed[id] && !w.operators.recordLost && response.Status >= 400 && response.Status < 500 {
+func (w *World) checkRepeatedResponse(id string, response registry.Response) {
+	if w.operators.confirmed[id] && !w.operators.changeRecordsLost && response.Status >= 400 && response.Status < 500 {
 		w.Checker.Violation("%s was taken, and refused with %d when it came again", id, response.Status)
 	}
 }
 
 // scheduleRepeat sometimes lets an accepted change arrive again, soon or much later.
 func (w *World) scheduleRepeat(id, raw string) {
-	if w.random.IntN(4) > 0 || w.operators.recordLost {
+	if w.random.IntN(4) > 0 || w.operators.changeRecordsLost {
 		return
 	}
 	w.schedule(w.randomDuration(0, 20*time.Second), func() { w.repeatChange(id, raw) })
@@ -25,12 +25,12 @@
 
 // repeatChange sends an accepted change again.
 func (w *World) repeatChange(id, raw string) {
-	if w.operators.recordLost {
+	if w.operators.changeRecordsLost {
 		return
 	}
 	w.callAnyRegistry(operator, w.Plan.Zone(0), func(callID uint64) any { return registry.ChangeCall{ID: callID, Raw: []byte(raw)} }, func(response registry.Response) {
 		w.trace("operator: a copy of %s ends with %d", id, response.Status)
-		w.checkRepeatedAnswer(id, response)
+		w.checkRepeatedResponse(id, response)
 	}, nil)
 }
 
@@ -62,12 +62,12 @@
 			return
 		}
 		w.trace("operator: %s ends with %d, revision %d", id, response.Status, result.Revision)
-		w.checkRepeatedAnswer(id, response)
+		w.checkRepeatedResponse(id, response)
 		switch response.Status {
 		case 200:
 			w.Checker.ChangeAccepted(id, uint64(result.Revision), w.wallTime())
 			w.history.accepted(w.now, id, result.Revision)
-			w.checkInForce(result.Revision)
+			w.checkRevisionInForce(result.Revision)
 			w.scheduleRepeat(id, raw)
 			if accepted != nil {
 				accepted(result)
--- a/internal/testsupport/simulator/operators.go
+++ b/internal/testsupport/simulator/operators.go
@@ -26,8 +26,8 @@
 	// confirmed are the ids of the changes that a registry has confirmed, whether or
 	// not its response arrived.
 	confirmed map[string]bool
-	// recordLost: all core disks were lost, and with them the record of accepted changes.
-	recordLost bool
+	// changeRecordsLost: all core disks were lost, and with them the record of accepted changes.
+	changeRecordsLost bool
 	// routeFlipped: blueprint.FlippedRoute exists.
 	routeFlipped bool
 }
--- a/internal/testsupport/simulator/overload_test.go
+++ b/internal/testsupport/simulator/overload_test.go
@@ -12,8 +12,8 @@
 	"dunlinwell/internal/testsupport/checker"
 )
 
-// smallPlan is one service with two tiers on targets that bear little.
-func smallPlan(capacity int) blueprint.Plan {
+// overloadPlan is one service with two tiers on targets that bear little.
+func overloadPlan(capacity int) blueprint.Plan {
 	p := blueprint.Plans["small"]
 	p.Pools = []blueprint.Pool{{Service: "catalog", Targets: 4, Capacity: capacity, Tier: 5}}
 	p.Routes = []blueprint.Route{
@@ -60,7 +60,7 @@
 	is := is.New(t)
 	// Four targets of 3 at 20 ms bear 600 a second at the very best.
 	var world *World
-	o := Run(Options{Seed: 1, Plan: smallPlan(3), Rate: 1100, Length: 16 * time.Second, FaultEvery: -1, Script: func(w *World) { world = w }})
+	o := Run(Options{Seed: 1, Plan: overloadPlan(3), Rate: 1100, Length: 16 * time.Second, FaultEvery: -1, Script: func(w *World) { world = w }})
 	reportOverload(t, o)
 	share, held := world.answeredShares()
 	t.Logf("answered at once: urgent %.3f, idle %.3f; a declined one was held %s at most", share["urgent"], share["idle"], held)
@@ -71,9 +71,9 @@
 
 // Every target is restarted, over and over, under more load than a cold one
 // bears: none ever gets past 1.5 times what it bears, summed over proxies.
-func TestColdTargetsUnderLoad(t *testing.T) {
+func TestOverload_ColdTargetsAreNotOverloaded(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
-		o := Run(Options{Seed: seed, Plan: smallPlan(8), Rate: 500, Length: 30 * time.Second, FaultEvery: -1, Script: func(w *World) {
+		o := Run(Options{Seed: seed, Plan: overloadPlan(8), Rate: 500, Length: 30 * time.Second, FaultEvery: -1, Script: func(w *World) {
 			w.repeat(time.Second, 700*time.Millisecond, 30, func(i int) {
 				x := w.targets[i%len(w.targets)]
 				x.crash()
--- a/internal/testsupport/simulator/planted_defects_test.go
+++ b/internal/testsupport/simulator/planted_defects_test.go
@@ -16,8 +16,8 @@
 	"dunlinwell/internal/testsupport/blueprint"
 )
 
-// alwaysGranted grants every claim, whoever has the idempotency key.
-func alwaysGranted(key ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
+// grantEveryClaim grants every claim, whoever has the idempotency key.
+func grantEveryClaim(key ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
 	_, out := idempotency.Ops()[idempotency.OpClaim](key, nil, arg)
 	return old, out
 }
@@ -59,8 +59,8 @@
 	}
 }
 
-// reverseTiers moves the other end of the tiers.
-func reverseTiers(in []spill.Move) []spill.Move {
+// rotateRoutes moves the other end of the tiers.
+func rotateRoutes(in []spill.Move) []spill.Move {
 	other := map[ids.Name]ids.Name{"way-0": "way-1", "way-1": "way-2", "way-2": "way-0"}
 	out := slices.Clone(in)
 	for i := range out {
@@ -69,8 +69,8 @@
 	return out
 }
 
-// moveFarther sends everything to one end of the world.
-func moveFarther(in []spill.Move) []spill.Move {
+// moveToFarZones sends everything to one end of the world.
+func moveToFarZones(in []spill.Move) []spill.Move {
 	out := slices.Clone(in)
 	for i := range out {
 		for _, to := range []ids.Name{"cell-e1", "cell-d1", "cell-c1"} {
@@ -82,8 +82,8 @@
 	return out
 }
 
-// addCrossedMoves sends others' traffic of every route into a zone whose own is away.
-func addCrossedMoves(in []spill.Move) []spill.Move {
+// addOpposingMoves sends others' traffic of every route into a zone whose own is away.
+func addOpposingMoves(in []spill.Move) []spill.Move {
 	out := slices.Clone(in)
 	for _, m := range in {
 		for _, route := range []ids.Name{"way-0", "way-1", "way-2"} {
@@ -105,8 +105,8 @@
 	})(from, to, msg)
 }
 
-// refuseCopies confirms each change once, and rejects it from then on.
-func refuseCopies() func(registry.Response) registry.Response {
+// rejectResentChanges confirms each change once, and rejects it from then on.
+func rejectResentChanges() func(registry.Response) registry.Response {
 	var mu sync.Mutex
 	confirmed := map[ids.ChangeID]bool{}
 	return func(rep registry.Response) registry.Response {
@@ -138,27 +138,27 @@
 	})
 }
 
-// seedsTurnedThenReplaced changes the settings, restarts everything and replaces
+// seedsReplacedThenMachines changes the settings, restarts everything and replaces
 // two core machines, which know of the others from their seeds alone.
-func seedsTurnedThenReplaced(w *World) {
+func seedsReplacedThenMachines(w *World) {
 	w.schedule(2*time.Second, func() { w.changeSeeds(nil) })
 	w.schedule(3*time.Second, func() { w.restartAll(w.remainingProcesses(0), w.restartDuration) })
-	w.schedule(8*time.Second, func() { w.replaceLost(w.processes[0]) })
-	w.schedule(21*time.Second, func() { w.replaceLost(w.processes[1]) })
+	w.schedule(8*time.Second, func() { w.replaceAfterLoss(w.processes[0]) })
+	w.schedule(21*time.Second, func() { w.replaceAfterLoss(w.processes[1]) })
 }
 
-// drainAgainAndAgain drains zones, each as soon as the previous one is restored.
-func drainAgainAndAgain(w *World) {
+// drainRepeatedly drains zones, each as soon as the previous one is restored.
+func drainRepeatedly(w *World) {
 	w.repeat(3*time.Second, 2*time.Second, 18, func(int) { w.drainZone() })
 }
 
-// loseResponsesAfterCalm breaks half of all answers once a calm while has earned retries:
+// loseResponsesLate breaks half of all answers once a calm while has earned retries:
 // targets that break some are left alone, so that faults by lot hardly ever ask
 // for more retries than there may be.
-func loseResponsesAfterCalm(w *World) {
+func loseResponsesLate(w *World) {
 	w.schedule(18*time.Second, func() {
 		for _, t := range w.targets {
-			t.corruptShare = 0.5
+			t.corruptResponseShare = 0.5
 		}
 	})
 }
--- a/internal/testsupport/simulator/process.go
+++ b/internal/testsupport/simulator/process.go
@@ -61,9 +61,9 @@
 // now is the process's monotonic time, which goes on while it is frozen.
 func (p *process) now() ids.Time { return p.world.now - p.startedAt + 1 }
 
-// later does something within this run of the process: when it wakes if it is frozen, and never if
+// scheduleInRun does something within this run of the process: when it wakes if it is frozen, and never if
 // it was killed.
-func (p *process) later(d time.Duration, f func()) {
+func (p *process) scheduleInRun(d time.Duration, f func()) {
 	generation := p.generation
 	p.world.schedule(d, func() {
 		switch {
@@ -107,7 +107,7 @@
 		case event.Sync:
 			p.disk.sync(p, command)
 		case store.Retire:
-			p.later(0, p.startBlank)
+			p.scheduleInRun(0, p.restartBlank)
 		case registry.Response:
 			if respond := p.calls[command.ID]; respond != nil {
 				delete(p.calls, command.ID)
@@ -174,7 +174,7 @@
 
 // scheduleTicks gives the machine a timer tick every so often while it runs.
 func (p *process) scheduleTicks(every time.Duration) {
-	p.later(every, func() {
+	p.scheduleInRun(every, func() {
 		if p.dispatchers != nil {
 			p.dispatchers.tick()
 		}
--- a/internal/testsupport/simulator/registry_calls.go
+++ b/internal/testsupport/simulator/registry_calls.go
@@ -65,7 +65,7 @@
 		p.calls[id] = func(r registry.Response) {
 			if name == operator {
 				r = w.applyDefect(r)
-				if w.operatorAnswerLost(p, r) {
+				if w.operatorResponseLost(p, r) {
 					return
 				}
 			}
@@ -101,12 +101,12 @@
 	return response
 }
 
-// operatorAnswerLost notes what a registry answers an operator, and draws whether the response is
+// operatorResponseLost notes what a registry answers an operator, and draws whether the response is
 // lost on its way.
-func (w *World) operatorAnswerLost(p *process, response registry.Response) bool {
+func (w *World) operatorResponseLost(p *process, response registry.Response) bool {
 	if r, ok := response.Body.(configuration.Result); ok && response.Status == 200 {
 		w.operators.confirmed[string(r.ID)] = true
 		w.changeAcknowledged(p)
 	}
-	return w.operatorAnswerLoss > 0 && w.random.Float64() < w.operatorAnswerLoss
+	return w.operatorResponseLoss > 0 && w.random.Float64() < w.operatorResponseLoss
 }
--- a/internal/testsupport/simulator/repair_times_test.go
+++ b/internal/testsupport/simulator/repair_times_test.go
@@ -16,7 +16,7 @@
 		p.Script = func(w *World) {
 			w.schedule(time.Second, func() { w.fillStores(registers, size) })
 			w.schedule(2*time.Second, func() {
-				w.wipeInTurn([]int{0, 1, 2, 0}, 12*time.Second, func(d time.Duration) { took = append(took, d) })
+				w.wipeInSequence([]int{0, 1, 2, 0}, 12*time.Second, func(d time.Duration) { took = append(took, d) })
 			})
 		}
 		Run(p)
@@ -26,7 +26,7 @@
 }
 
 // A lost disk's place is filled within the bound, from its machine's return.
-func TestRepairTimes(t *testing.T) {
+func TestStoreRepair_CompletesWithinBound(t *testing.T) {
 	const slow, link = 40 * millisecond, 2.2e6
 	for name, c := range map[string]struct {
 		options         Options
--- a/internal/testsupport/simulator/repeated_changes_test.go
+++ b/internal/testsupport/simulator/repeated_changes_test.go
@@ -17,7 +17,7 @@
 // Changes are accepted; hundreds of others follow, every store is restarted, and one is replaced by a
 // blank one. Then the first changes are sent again through each registry: each is acknowledged with
 // the same revision.
-func TestOrdersSentAgainMuchLater(t *testing.T) {
+func TestChanges_ResentMuchLaterKeepTheirRevision(t *testing.T) {
 	is := is.New(t)
 	type order struct {
 		id, raw  string
--- a/internal/testsupport/simulator/returned_store_test.go
+++ b/internal/testsupport/simulator/returned_store_test.go
@@ -15,14 +15,14 @@
 // Of three stores one is lost for good. While a spare copies, another is away
 // for long enough to be counted as lost, and comes back as the spare asks for
 // its place. Whichever of the two is replaced, the core goes on.
-func TestAStoreReturnsAsItIsReplaced(t *testing.T) {
+func TestStore_ReturnsDuringItsReplacement(t *testing.T) {
 	is := is.New(t)
 	for seed := uint64(1); seed <= 6; seed++ {
 		// Whoever goes first has been silent for longest.
 		for _, away := range []time.Duration{1800 * millisecond, 2200 * millisecond} {
 			o := Run(Options{Seed: seed, Length: 40 * time.Second, Script: func(w *World) {
 				w.allNumberAttempts = true
-				w.schedule(2*time.Second, func() { w.replaceLost(w.processes[2]) })
+				w.schedule(2*time.Second, func() { w.replaceAfterLoss(w.processes[2]) })
 				w.schedule(away, func() { w.restartProcess(w.processes[1], time.Duration(4+seed)*time.Second) })
 			}})
 			report(t, o)
@@ -33,7 +33,7 @@
 
 // A disk is lost and replaced, and later its folder is put back: it takes no
 // part, is set aside, and the machine joins as a blank one.
-func TestAReplacedFolderIsPutBack(t *testing.T) {
+func TestStore_RestoredOldDiskRejoinsBlank(t *testing.T) {
 	is := is.New(t)
 	for seed := uint64(1); seed <= 3; seed++ {
 		took := time.Duration(-1)
@@ -47,7 +47,7 @@
 				w.wipeStore(p, 200*millisecond)
 			})
 			w.schedule(8*time.Second, func() { p.restoreOldDisk(old, id, run) })
-			w.schedule(8100*millisecond, func() { w.awaitWholeVoterSet(4*time.Second, func(d time.Duration) { took = d }) })
+			w.schedule(8100*millisecond, func() { w.awaitVoterSetComplete(4*time.Second, func(d time.Duration) { took = d }) })
 			w.schedule(14*time.Second, func() { is.True(p.disk.storeID != id) })
 		}})
 		report(t, o)
@@ -57,7 +57,7 @@
 }
 
 // Two of five disks are lost at the same moment, again and again.
-func TestTwoOfFiveDisksLostAtOnce(t *testing.T) {
+func TestStoreRepair_TwoOfFiveDisksLostAtOnce(t *testing.T) {
 	is := is.New(t)
 	for seed := uint64(1); seed <= 4; seed++ {
 		var took []time.Duration
@@ -72,7 +72,7 @@
 				}
 				w.wipeStore(stores[i%5], 200*millisecond)
 				w.wipeStore(stores[(i+2)%5], 200*millisecond)
-				w.schedule(200*millisecond, func() { w.awaitWholeVoterSet(4*time.Second, func(d time.Duration) { took = append(took, d) }) })
+				w.schedule(200*millisecond, func() { w.awaitVoterSetComplete(4*time.Second, func(d time.Duration) { took = append(took, d) }) })
 			})
 		}})
 		report(t, o)
--- a/internal/testsupport/simulator/run.go
+++ b/internal/testsupport/simulator/run.go
@@ -65,15 +65,15 @@
 	}
 	w.runUntil(w.faultsEnd())
 	w.recoverAll()
-	w.runUntil(w.faultsEnd().Add(restoreWithin + 10*time.Second))
+	w.runUntil(w.faultsEnd().Add(maxRecoveryTime + 10*time.Second))
 	w.clients.stopped, w.operators.stopped = true, true
 	w.runUntil(w.now.Add(20 * time.Second))
-	w.finishLedger("the day's end")
+	w.verifyLedger("the day's end")
 	w.runUntil(w.now.Add(6 * time.Second))
 	if w.FaultEvery > 0 {
 		w.injectClosingFault()
-		w.runUntil(w.now.Add(closingWait + restoreWithin))
-		w.finishLedger("after the closing fault")
+		w.runUntil(w.now.Add(closingFaultTimeout + maxRecoveryTime))
+		w.verifyLedger("after the closing fault")
 		w.runUntil(w.now.Add(6 * time.Second))
 	}
 	return w.outcome()
@@ -101,7 +101,7 @@
 	w.trace("the machines are back")
 	w.recoveredAt = w.now
 	w.Checker.MachinesRecovered(w.wallTime())
-	w.partitions, w.operatorAnswerLoss = nil, 0
+	w.partitions, w.operatorResponseLoss = nil, 0
 	w.onNextAck, w.onNextChange = nil, nil
 	w.network = networkConditions{jitter: time.Millisecond}
 	for _, p := range w.processes {
@@ -117,8 +117,8 @@
 		}
 	}
 	for _, t := range w.targets {
-		t.silentShare, t.corruptShare = 0, 0
-		if t.leaving {
+		t.lostResponseShare, t.corruptResponseShare = 0, 0
+		if t.draining {
 			t.crash()
 		}
 		w.restartTarget(t)
--- a/internal/testsupport/simulator/scenes.go
+++ b/internal/testsupport/simulator/scenes.go
@@ -13,34 +13,34 @@
 var Scenes = map[string]func(w *World){
 	"freeze-between-claim-and-send":       freezeAtClaim,
 	"swap-in-a-change-storm":              coreReplacedDuringChangeStorm,
-	"core-restarts-while-a-cell-is-out":   coreRestartsZoneOut,
+	"core-restarts-while-a-cell-is-out":   coreRestartDuringZoneOutage,
 	"clock-jumps-in-the-retry-window":     clockJumps,
 	"stalled-disks-under-the-planner":     stalledDisks,
 	"one-way-cuts":                        oneWayPartitions,
 	"rolling-restart":                     rollingRestart,
 	"herd-at-the-days-end":                massRestartAtEnd,
 	"every-disk-lost":                     everyDiskLost,
-	"first-core-gone-and-all-restart":     firstCoreMachineReplaced,
+	"first-core-gone-and-all-restart":     initialCoreReplaced,
 	"region-lost":                         regionLost,
 	"two-disks-stall-and-one-is-lost":     stallAndLose,
 	"address-handed-on-while-cut-off":     addressReusedDuringPartition,
 	"answers-lost-under-load":             responsesLost,
-	"drained-one-by-one":                  drained,
+	"drained-one-by-one":                  targetsDrained,
 	"emptied-while-the-core-splits":       zoneDrainedDuringPartition,
 	"gone-but-running":                    declaredDeadButRunning,
-	"left-to-a-dying-registry":            departureThroughDyingRegistry,
+	"left-to-a-dying-registry":            departureThroughKilledRegistry,
 	"policy-moves-while-the-core-splits":  configurationMovedDuringPartition,
 	"targets-freeze-and-wake":             targetsFreeze,
-	"whole-core-lost-and-changed":         coreLostAndChanged,
+	"whole-core-lost-and-changed":         proxiesPartitionedDuringChange,
 	"core-machine-cut-off-twice":          coreMachinePartitioned,
 	"core-machine-cut-off-and-restarted":  coreMachinePartitionedAndRestarted,
-	"disks-lost-in-a-row":                 disksLostInARow,
+	"disks-lost-in-a-row":                 disksLostRepeatedly,
 	"replaced-as-planned-then-power-lost": replacedThenPowerLost,
-	"change-storm-then-restarts":          stormThenRestarts,
-	"answers-lost-and-orders-resent":      answersLostAndResent,
+	"change-storm-then-restarts":          changeStormThenRestarts,
+	"answers-lost-and-orders-resent":      operatorResponsesLost,
 	"connections-reset-under-load":        connectionsReset,
 	"power-lost-after-acknowledgements":   powerLostAfterAcks,
-	"clients-leave":                       clientsLeave,
+	"clients-leave":                       clientsDisconnect,
 }
 
 // freezeAtClaim freezes proxies between the claim of an idempotency key and the sending of its
@@ -50,7 +50,7 @@
 	w.onClaim = func(p *process) {
 		if n++; n%15 == 0 && w.now < w.faultsEnd() {
 			// Long enough to be declared dead, or only to be late.
-			p.later(time.Duration(n%4)*time.Millisecond, func() { p.freeze(w.randomDuration(500*time.Millisecond, 4*time.Second)) })
+			p.scheduleInRun(time.Duration(n%4)*time.Millisecond, func() { p.freeze(w.randomDuration(500*time.Millisecond, 4*time.Second)) })
 		}
 	}
 }
@@ -61,8 +61,8 @@
 	w.repeat(4*time.Second, 12*time.Second, 3, func(int) { w.replaceCoreMachine() })
 }
 
-// coreRestartsZoneOut restarts the core while a zone has no power.
-func coreRestartsZoneOut(w *World) {
+// coreRestartDuringZoneOutage restarts the core while a zone has no power.
+func coreRestartDuringZoneOutage(w *World) {
 	w.schedule(5*time.Second, func() { w.losePower(w.Plan.Zone(0), 8*time.Second) })
 	w.schedule(6*time.Second, func() {
 		for _, p := range w.processes {
@@ -114,7 +114,7 @@
 func everyDiskLost(w *World) {
 	w.allNumberAttempts = true
 	w.schedule(12*time.Second, func() {
-		w.operators.recordLost = true
+		w.operators.changeRecordsLost = true
 		w.trace("every core disk is lost")
 		for _, p := range w.processes[:3] {
 			p.kill()
@@ -125,10 +125,10 @@
 	})
 }
 
-// firstCoreMachineReplaced replaces all three first core machines, one after the other, and then
+// initialCoreReplaced replaces all three first core machines, one after the other, and then
 // restarts everything: no seed leads anywhere any more.
-func firstCoreMachineReplaced(w *World) {
-	w.repeat(2*time.Second, 11*time.Second, 3, func(i int) { w.replaceLost(w.processes[i]) })
+func initialCoreReplaced(w *World) {
+	w.repeat(2*time.Second, 11*time.Second, 3, func(i int) { w.replaceAfterLoss(w.processes[i]) })
 	w.schedule(36*time.Second, func() {
 		for _, p := range w.processes {
 			if !p.removed {
@@ -153,6 +153,6 @@
 // stallAndLose loses a core machine while the disk of another one is stalled.
 func stallAndLose(w *World) {
 	w.schedule(4*time.Second, func() { w.processes[1].disk.stalled = true })
-	w.schedule(6*time.Second, func() { w.replaceLost(w.randomProcess(membership.Store)) })
+	w.schedule(6*time.Second, func() { w.replaceAfterLoss(w.randomProcess(membership.Store)) })
 	w.schedule(12*time.Second, func() { w.processes[1].disk.stalled = false })
 }
--- a/internal/testsupport/simulator/scenes_core.go
+++ b/internal/testsupport/simulator/scenes_core.go
@@ -38,8 +38,8 @@
 	w.repeat(3*time.Second, 1100*millisecond, 40, func(i int) { w.flipRoute(8000 + i) })
 }
 
-// disksLostInARow loses a disk whenever mayLose allows it.
-func disksLostInARow(w *World) {
+// disksLostRepeatedly loses a disk whenever lossTolerated allows it.
+func disksLostRepeatedly(w *World) {
 	w.repeat(2*time.Second, 5*time.Second, 8, func(int) { w.loseRandomDisk() })
 	w.repeat(time.Second, 200*millisecond, 200, func(i int) { w.putPair(600+i, i%blueprint.RoutePairs) })
 }
@@ -53,9 +53,9 @@
 	})
 }
 
-// stormThenRestarts lets a store miss hundreds of changes, has it come back, and then restarts the
+// changeStormThenRestarts lets a store miss hundreds of changes, has it come back, and then restarts the
 // others.
-func stormThenRestarts(w *World) {
+func changeStormThenRestarts(w *World) {
 	w.repeat(time.Second, 60*millisecond, 400, func(i int) { w.putPair(600+i, i%blueprint.RoutePairs) })
 	w.schedule(3*time.Second, func() { w.restartAll(w.machineOf(w.processes[0]), func() time.Duration { return 20 * time.Second }) })
 	w.schedule(26*time.Second, func() { w.restartProcess(w.processes[1], 4*time.Second) })
@@ -63,10 +63,10 @@
 	w.schedule(40*time.Second, func() { w.restartAll(w.coreProcesses(), w.restartDuration) })
 }
 
-// answersLostAndResent loses four answers to operators in five while two of them race for one
+// operatorResponsesLost loses four answers to operators in five while two of them race for one
 // route.
-func answersLostAndResent(w *World) {
-	w.operatorAnswerLoss = 0.8
+func operatorResponsesLost(w *World) {
+	w.operatorResponseLoss = 0.8
 	w.repeat(time.Second, 700*millisecond, 60, func(i int) { w.raceRoute(9000 + i) })
 	w.repeat(5*time.Second, 9*time.Second, 4, func(int) { w.restartProcess(w.randomProcess(membership.Registry), w.restartDuration()) })
 }
@@ -92,6 +92,6 @@
 			w.afterAck(func(*process) { w.restartAll(w.remainingProcesses(0), w.restartDuration) })
 			return
 		}
-		w.afterAck(w.killMachineOf)
+		w.afterAck(w.powerCycleMachine)
 	})
 }
--- a/internal/testsupport/simulator/scenes_core_partition.go
+++ b/internal/testsupport/simulator/scenes_core_partition.go
@@ -16,7 +16,7 @@
 		Scenes[fmt.Sprintf("core-machine-%d-cut-off-both-ways", i+1)] = func(w *World) { partitionCoreMachine(w, i, false, false) }
 		Scenes[fmt.Sprintf("core-machine-%d-deaf", i+1)] = func(w *World) { partitionCoreMachine(w, i, true, false) }
 	}
-	Scenes["halves-and-overlapping-losses"] = halvesAndOverlappingLosses
+	Scenes["halves-and-overlapping-losses"] = corePartitionsAndPowerLosses
 	Scenes["core-machine-cut-off-and-restarted"] = func(w *World) { partitionCoreMachine(w, 0, false, true) }
 }
 
@@ -53,7 +53,7 @@
 			}
 		})
 	}
-	w.watchPlanners()
+	w.checkPlanners()
 }
 
 // coreMachine returns the processes of a core machine, counted from 0.
@@ -77,10 +77,10 @@
 	w.addPartition(d, &partition{sideA: there, sideB: here, partitionStyle: style})
 }
 
-// halvesAndOverlappingLosses cuts the core into two parts again and again. Under each cut the whole
+// corePartitionsAndPowerLosses cuts the core into two parts again and again. Under each cut the whole
 // core loses power, and then all proxies do, so that more is lost at once than is tolerated, but no
 // disk. Changes and reads at every daemon go on meanwhile.
-func halvesAndOverlappingLosses(w *World) {
+func corePartitionsAndPowerLosses(w *World) {
 	w.repeat(4*time.Second, 14*time.Second, 3, func(i int) {
 		w.cutOffCoreMachine(i%3, 8*time.Second, partitionStyle{})
 		w.schedule(2*time.Second, func() {
@@ -143,9 +143,9 @@
 	return "where to go", func(id uint64) any { return registry.ResolveCall{ID: id, Zone: w.Plan.Zone(0), Route: "none"} }
 }
 
-// watchPlanners regularly checks who plans. Two registries may for as long as one takes to find out
+// checkPlanners regularly checks who plans. Two registries may for as long as one takes to find out
 // that it has lost the role, and never under one epoch.
-func (w *World) watchPlanners() {
+func (w *World) checkPlanners() {
 	var since ids.Time
 	w.repeat(partitionFrom, 100*time.Millisecond, int((partitionFor+10*time.Second)/(100*time.Millisecond)), func(int) {
 		epochs := map[ids.Epoch]string{}
--- a/internal/testsupport/simulator/scenes_partition.go
+++ b/internal/testsupport/simulator/scenes_partition.go
@@ -36,9 +36,9 @@
 	w.repeat(time.Second, 900*millisecond, 50, func(i int) { w.flipRoute(5000 + i) })
 }
 
-// coreLostAndChanged cuts all proxies off from the core while a change is accepted: they must stop
+// proxiesPartitionedDuringChange cuts all proxies off from the core while a change is accepted: they must stop
 // what they can't confirm.
-func coreLostAndChanged(w *World) {
+func proxiesPartitionedDuringChange(w *World) {
 	w.repeat(3*time.Second, 14*time.Second, 3, func(i int) {
 		w.trace("the proxies are cut off from the core")
 		proxies := func(name string, _ ids.Name) bool {
--- a/internal/testsupport/simulator/scenes_target.go
+++ b/internal/testsupport/simulator/scenes_target.go
@@ -20,27 +20,27 @@
 // responsesLost makes every target lose a share of its responses.
 func responsesLost(w *World) {
 	for _, t := range w.targets {
-		t.silentShare, t.corruptShare = 0.2, 0.1
+		t.lostResponseShare, t.corruptResponseShare = 0.2, 0.1
 	}
 }
 
-// clientsLeave has half of the clients leave at any moment of their request, while responses are
+// clientsDisconnect has half of the clients leave at any moment of their request, while responses are
 // lost, targets freeze and proxies are restarted.
-func clientsLeave(w *World) {
-	w.clients.leaveShare = 0.5
-	w.schedule(time.Duration(w.faultsEnd()-w.now), func() { w.clients.leaveShare = 0 })
+func clientsDisconnect(w *World) {
+	w.clients.disconnectShare = 0.5
+	w.schedule(time.Duration(w.faultsEnd()-w.now), func() { w.clients.disconnectShare = 0 })
 	for _, t := range w.targets {
-		t.silentShare = 0.1
+		t.lostResponseShare = 0.1
 	}
 	w.repeat(3*time.Second, 4*time.Second, 9, func(i int) { w.targets[i%len(w.targets)].freeze(2 * time.Second) })
 	w.repeat(5*time.Second, 9*time.Second, 4, func(int) { w.restartProcess(w.randomProcess(membership.Proxy), 500*time.Millisecond) })
 }
 
-// drained drains, removes and restarts the targets in turn.
-func drained(w *World) {
+// targetsDrained drains, removes and restarts the targets in turn.
+func targetsDrained(w *World) {
 	for i, t := range w.targets {
 		w.schedule(2*time.Second+time.Duration(i)*4*time.Second, func() {
-			t.leave()
+			t.drain()
 			w.schedule(5*time.Second, func() { t.crash() })
 			w.schedule(7*time.Second, func() { w.restartTarget(t) })
 		})
@@ -61,12 +61,12 @@
 	})
 }
 
-// departureThroughDyingRegistry lets a target announce its departure to a registry that dies right
+// departureThroughKilledRegistry lets a target announce its departure to a registry that dies right
 // after, without one of the proxies hearing of it; the core doesn't hear from the target again.
-func departureThroughDyingRegistry(w *World) {
+func departureThroughKilledRegistry(w *World) {
 	w.repeat(2*time.Second, 6*time.Second, 7, func(i int) {
 		t, deaf := w.targets[i%len(w.targets)], w.randomProcess(membership.Proxy)
-		t.leave()
+		t.drain()
 		via := t.lastRegistry
 		if via == nil {
 			return
--- a/internal/testsupport/simulator/scheduler.go
+++ b/internal/testsupport/simulator/scheduler.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// awaitEvery is how often await looks.
-const awaitEvery = 10 * time.Millisecond
+// awaitInterval is how often await looks.
+const awaitInterval = 10 * time.Millisecond
 
 // await calls then with the time until a condition holds; with -1 if it doesn't within the bound.
 func (w *World) await(condition func() bool, bound time.Duration, then func(time.Duration)) {
@@ -76,7 +76,7 @@
 		case elapsed >= bound:
 			then(-1)
 		default:
-			w.schedule(awaitEvery, check)
+			w.schedule(awaitInterval, check)
 		}
 	}
 	check()
--- a/internal/testsupport/simulator/seeds_test.go
+++ b/internal/testsupport/simulator/seeds_test.go
@@ -9,6 +9,6 @@
 // replacements in a row leave the core whole.
 func TestSeedsChanged_ReplacementsFindCore(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
-		report(t, Run(Options{Seed: seed, Length: 40 * time.Second, Script: seedsTurnedThenReplaced}))
+		report(t, Run(Options{Seed: seed, Length: 40 * time.Second, Script: seedsReplacedThenMachines}))
 	}
 }
--- a/internal/testsupport/simulator/spill_test.go
+++ b/internal/testsupport/simulator/spill_test.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	a, b, c   = ids.Name("cell-a1"), ids.Name("cell-b1"), ids.Name("cell-c1")
-	stepFrom  = 60 * time.Second
-	stepUntil = 600 * time.Second
+	zoneA, zoneB, zoneC = ids.Name("cell-a1"), ids.Name("cell-b1"), ids.Name("cell-c1")
+	stepFrom            = 60 * time.Second
+	stepUntil           = 600 * time.Second
 )
 
 // spillPlan is the small fleet with zones that can be filled: acceptable 400,
@@ -25,8 +25,8 @@
 	return p
 }
 
-// step moves four of five clients to one of the hot zones while the step lasts.
-func step(hot ...ids.Name) func(*World, ids.Name) ids.Name {
+// stepLoad moves four of five clients to one of the hot zones while the step lasts.
+func stepLoad(hot ...ids.Name) func(*World, ids.Name) ids.Name {
 	return func(w *World, drawn ids.Name) ids.Name {
 		if now := time.Duration(w.now); now >= stepFrom && now < stepUntil && w.random.IntN(5) > 0 {
 			return hot[w.random.IntN(len(hot))]
@@ -47,7 +47,7 @@
 	}
 	points, o := Spill(p, 30*time.Second)
 	for _, p := range points {
-		t.Logf("%4.0fs a %4.0f b %4.0f c %4.0f  out %.2f %.2f %.2f", p.At.Seconds(), p.Used[a], p.Used[b], p.Used[c], p.Out(a), p.Out(b), p.Out(c))
+		t.Logf("%4.0fs a %4.0f b %4.0f c %4.0f  out %.2f %.2f %.2f", p.At.Seconds(), p.Used[zoneA], p.Used[zoneB], p.Used[zoneC], p.Out(zoneA), p.Out(zoneB), p.Out(zoneC))
 	}
 	report(t, o)
 	return points
@@ -68,24 +68,24 @@
 
 // A step of load settles without swinging, overfills nobody, and goes home;
 // with short connections and with ones that are held for minutes.
-func TestStepLoadSettles(t *testing.T) {
+func TestSpill_StepLoadSettles(t *testing.T) {
 	for _, hold := range []time.Duration{0, 2 * time.Minute} {
 		t.Run(hold.String(), func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			points := runSpill(t, Options{Seed: 1, Rate: 40, HoldConnectionsFor: hold, Hot: step(a)})
+			points := runSpill(t, Options{Seed: 1, Rate: 40, HoldConnectionsFor: hold, Hot: stepLoad(zoneA)})
 			for _, p := range points {
 				if p.At > 300*time.Second && p.At < stepUntil {
-					is.True(p.Used[a] < 550*1.1 && p.Used[a] > 350) // settled around its target
-					is.True(p.Out(a) > 0)
+					is.True(p.Used[zoneA] < 550*1.1 && p.Used[zoneA] > 350) // settled around its target
+					is.True(p.Out(zoneA) > 0)
 				}
 				if p.At > 850*time.Second && p.At < 900*time.Second {
-					is.Equal(p.Out(a), 0.0) // all of it went home
+					is.Equal(p.Out(zoneA), 0.0) // all of it went home
 				}
-				is.True(p.Used[b] < 500 && p.Used[c] < 500) // no destination passes its target
+				is.True(p.Used[zoneB] < 500 && p.Used[zoneC] < 500) // no destination passes its target
 			}
-			is.True(countPlanChanges(points, a, 240*time.Second, stepUntil) <= 1)
-			is.Equal(countPlanChanges(points, b, 0, time.Hour)+countPlanChanges(points, c, 0, time.Hour), 0)
+			is.True(countPlanChanges(points, zoneA, 240*time.Second, stepUntil) <= 1)
+			is.Equal(countPlanChanges(points, zoneB, 0, time.Hour)+countPlanChanges(points, zoneC, 0, time.Hour), 0)
 		})
 	}
 }
@@ -94,21 +94,21 @@
 // level, by both together.
 func TestSpill_TwoHotZonesShareOneDestination(t *testing.T) {
 	is := is.New(t)
-	for _, p := range runSpill(t, Options{Seed: 2, Rate: 66, Length: 600 * time.Second, Hot: step(a, b)}) {
-		is.True(p.At < 90*time.Second || p.At > stepUntil || p.Used[c] < 400*1.1)
+	for _, p := range runSpill(t, Options{Seed: 2, Rate: 66, Length: 600 * time.Second, Hot: stepLoad(zoneA, zoneB)}) {
+		is.True(p.At < 90*time.Second || p.At > stepUntil || p.Used[zoneC] < 400*1.1)
 		if p.At > 300*time.Second && p.At < stepUntil {
-			is.True(p.Used[a] < 550*1.1 && p.Used[b] < 550*1.1)
-			is.True(p.Out(a)+p.Out(b) > 0)
+			is.True(p.Used[zoneA] < 550*1.1 && p.Used[zoneB] < 550*1.1)
+			is.True(p.Out(zoneA)+p.Out(zoneB) > 0)
 		}
 	}
 }
 
 // The planner is killed in the midst of moves, and comes back: the next one
 // raises the epoch and goes on from the table, and nothing jumps.
-func TestPlannerLostMidMove(t *testing.T) {
+func TestSpill_PlannerLostDuringMoves(t *testing.T) {
 	is := is.New(t)
 	var epochs []ids.Epoch
-	points := runSpill(t, Options{Seed: 3, Rate: 40, Length: 600 * time.Second, Hot: step(a), Script: func(w *World) {
+	points := runSpill(t, Options{Seed: 3, Rate: 40, Length: 600 * time.Second, Hot: stepLoad(zoneA), Script: func(w *World) {
 		w.schedule(180*time.Second, func() {
 			epochs = append(epochs, w.currentPlanner().SpillTable().Epoch)
 			w.restartProcess(w.processes[3], 100*time.Second) // registry-1, first in the agreed order
@@ -120,8 +120,8 @@
 	is.True(epochs[0] < epochs[1] && epochs[1] < epochs[2])
 	for _, p := range points {
 		if p.At > 150*time.Second && p.At < stepUntil {
-			is.True(p.Out(a) > 0.1) // the last table holds
-			is.True(p.Used[a] < 600)
+			is.True(p.Out(zoneA) > 0.1) // the last table holds
+			is.True(p.Used[zoneA] < 600)
 		}
 	}
 }
@@ -130,26 +130,26 @@
 // which the checker judges, and what moved there goes elsewhere.
 func TestSpill_DrainedDestinationGetsNothing(t *testing.T) {
 	is := is.New(t)
-	for _, p := range runSpill(t, Options{Seed: 4, Rate: 40, Length: 600 * time.Second, Hot: step(a), Script: func(w *World) {
-		w.schedule(240*time.Second, func() { w.setDrained(c, true, func() { w.operators.drainedZone = c }) })
+	for _, p := range runSpill(t, Options{Seed: 4, Rate: 40, Length: 600 * time.Second, Hot: stepLoad(zoneA), Script: func(w *World) {
+		w.schedule(240*time.Second, func() { w.setDrained(zoneC, true, func() { w.operators.drainedZone = zoneC }) })
 	}}) {
 		for _, m := range p.Moves {
 			if p.At > 320*time.Second && p.At < stepUntil {
-				is.Equal(m.To, b)
+				is.Equal(m.To, zoneB)
 			}
 		}
 		if p.At > 300*time.Second && p.At < stepUntil {
-			is.Equal(p.Used[c], 0.0)
+			is.Equal(p.Used[zoneC], 0.0)
 		}
 	}
 }
 
 // A destination whose reports stay away receives nothing more, and what moves
 // there already expires in steps.
-func TestStaleDestination(t *testing.T) {
+func TestSpill_DestinationWithoutReportsLosesMoves(t *testing.T) {
 	is := is.New(t)
 	silent := false
-	p := Options{Seed: 5, Rate: 40, Length: 600 * time.Second, Hot: step(a), Script: func(w *World) {
+	p := Options{Seed: 5, Rate: 40, Length: 600 * time.Second, Hot: stepLoad(zoneA), Script: func(w *World) {
 		w.schedule(240*time.Second, func() { silent = true })
 		w.schedule(580*time.Second, func() { silent = false })
 	}}
@@ -160,7 +160,7 @@
 	to := func(p Point) float64 {
 		sum := 0.0
 		for _, m := range p.Moves {
-			if m.To == c {
+			if m.To == zoneC {
 				sum += m.Fraction
 			}
 		}
@@ -187,14 +187,14 @@
 	plan.Maximum = 800
 	settled := map[bool]float64{}
 	for _, learns := range []bool{false, true} {
-		p := Options{Seed: 6, Rate: 42, Length: 600 * time.Second, Hot: step(a), Plan: plan}
+		p := Options{Seed: 6, Rate: 42, Length: 600 * time.Second, Hot: stepLoad(zoneA), Plan: plan}
 		if learns {
 			p.Latency = slow
 		}
 		n := 0.0
 		for _, x := range runSpill(t, p) {
 			if x.At > 330*time.Second && x.At < stepUntil {
-				settled[learns] += x.Used[a]
+				settled[learns] += x.Used[zoneA]
 				n++
 			}
 		}
--- a/internal/testsupport/simulator/store_repair.go
+++ b/internal/testsupport/simulator/store_repair.go
@@ -22,9 +22,9 @@
 	})
 }
 
-// wholeVoterSet reports whether every store that has not been removed is up, has the same voter set
+// voterSetComplete reports whether every store that has not been removed is up, has the same voter set
 // with itself in it, and may vote by its own synced disk.
-func (w *World) wholeVoterSet() bool {
+func (w *World) voterSetComplete() bool {
 	var number uint64
 	stores := 0
 	for _, p := range w.processes {
@@ -53,29 +53,29 @@
 	return known && standing == consensus.Complete
 }
 
-// awaitWholeVoterSet calls then with the time until wholeVoterSet, looking every 10 ms; negative if
+// awaitVoterSetComplete calls then with the time until voterSetComplete, looking every 10 ms; negative if
 // it took longer than the bound.
-func (w *World) awaitWholeVoterSet(bound time.Duration, then func(time.Duration)) {
-	w.await(w.wholeVoterSet, bound, then)
+func (w *World) awaitVoterSetComplete(bound time.Duration, then func(time.Duration)) {
+	w.await(w.voterSetComplete, bound, then)
 }
 
-// wipeInTurn loses the disks of stores one after the other, each a gap after the previous machine
+// wipeInSequence loses the disks of stores one after the other, each a gap after the previous machine
 // is back, and calls then with the time that each repair took.
-func (w *World) wipeInTurn(order []int, gap time.Duration, then func(time.Duration)) {
+func (w *World) wipeInSequence(order []int, gap time.Duration, then func(time.Duration)) {
 	const down = 200 * time.Millisecond
 	at := time.Duration(0)
 	for _, n := range order {
 		w.schedule(at, func() {
 			w.wipeStore(w.processes[n], down)
-			w.schedule(down, func() { w.awaitWholeVoterSet(gap, then) })
+			w.schedule(down, func() { w.awaitVoterSetComplete(gap, then) })
 		})
 		at += down + gap
 	}
 }
 
-// startBlank does what the daemon does on the command store.Retire: set the data directory aside
+// restartBlank does what the daemon does on the command store.Retire: set the data directory aside
 // and start without one.
-func (p *process) startBlank() {
+func (p *process) restartBlank() {
 	p.world.trace("%s sets its folder aside", p.name)
 	p.kill()
 	p.disk.wipe()
--- a/internal/testsupport/simulator/store_repair_test.go
+++ b/internal/testsupport/simulator/store_repair_test.go
@@ -9,7 +9,7 @@
 
 // Disks are lost one after the other, each a gap after the previous machine came back. No change may
 // be lost, and each repair ends before the next loss.
-func TestDisksLostInTurn(t *testing.T) {
+func TestStoreRepair_DisksLostInSequence(t *testing.T) {
 	for _, gap := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 4500 * millisecond, 5 * time.Second, 6 * time.Second} {
 		t.Run(gap.String(), func(t *testing.T) {
 			t.Parallel()
@@ -19,7 +19,7 @@
 				o := Run(Options{Seed: seed, Length: 50 * time.Second, Script: func(w *World) {
 					w.allNumberAttempts = true
 					w.schedule(3*time.Second, func() {
-						w.wipeInTurn([]int{0, 1, 2, 1}, gap, func(d time.Duration) { took = append(took, d) })
+						w.wipeInSequence([]int{0, 1, 2, 1}, gap, func(d time.Duration) { took = append(took, d) })
 					})
 				}})
 				report(t, o)
--- a/internal/testsupport/simulator/target.go
+++ b/internal/testsupport/simulator/target.go
@@ -21,7 +21,7 @@
 	capacity         int
 	up               bool
 	generation       int
-	leaving          bool
+	draining         bool
 	departureKnownAt ids.Time
 	warmSince        ids.Time
 	incarnation      ids.Incarnation
@@ -34,14 +34,14 @@
 	backlog []func()
 	// lastRegistry is the registry that the last heartbeat was sent to.
 	lastRegistry *process
-	// silentShare and corruptShare are the shares of responses that are lost after the
+	// lostResponseShare and corruptResponseShare are the shares of responses that are lost after the
 	// work, or broken.
-	silentShare, corruptShare float64
+	lostResponseShare, corruptResponseShare float64
 }
 
 const (
-	// announceEvery is the interval of heartbeats.
-	announceEvery = time.Second
+	// heartbeatInterval is the interval of heartbeats.
+	heartbeatInterval = time.Second
 	// slowStart is how long a cold target takes to bear its whole capacity.
 	slowStart = 3 * time.Second
 	// workTime is the mean time that an execution takes.
@@ -51,7 +51,7 @@
 // start begins a new incarnation at the target's address: with a slow start if it is cold.
 func (t *target) start(cold bool) {
 	t.generation++
-	t.up, t.leaving, t.departureKnownAt, t.inFlight, t.sequence = true, false, 0, 0, 0
+	t.up, t.draining, t.departureKnownAt, t.inFlight, t.sequence = true, false, 0, 0, 0
 	t.frozen, t.backlog, t.lastAcknowledged = false, nil, 0
 	t.incarnation = ids.Incarnation(t.world.now/ids.Time(time.Millisecond)) + 1
 	t.warmSince = t.world.now
@@ -60,7 +60,7 @@
 	}
 	t.world.targetByAddress[t.address] = t
 	t.world.trace("%s begins at %s", t.id, t.address)
-	t.announceRepeatedly(t.generation)
+	t.sendHeartbeats(t.generation)
 }
 
 // crash ends the incarnation without notice.
@@ -73,17 +73,17 @@
 	t.frozen, t.backlog = false, nil
 }
 
-// announceRepeatedly sends a heartbeat every announceEvery for as long as the generation lasts.
-func (t *target) announceRepeatedly(generation int) {
+// sendHeartbeats sends a heartbeat every heartbeatInterval for as long as the generation lasts.
+func (t *target) sendHeartbeats(generation int) {
 	if t.generation != generation {
 		return
 	}
 	if t.frozen {
-		t.whenAwake(func() { t.announceRepeatedly(generation) })
+		t.whenRunning(func() { t.sendHeartbeats(generation) })
 		return
 	}
-	t.announce()
-	t.world.schedule(announceEvery+t.world.randomDuration(0, 100*time.Millisecond), func() { t.announceRepeatedly(generation) })
+	t.sendHeartbeat()
+	t.world.schedule(heartbeatInterval+t.world.randomDuration(0, 100*time.Millisecond), func() { t.sendHeartbeats(generation) })
 }
 
 // warmth is how far the slow start has got, from 0.1 to 1.
@@ -91,12 +91,12 @@
 	return min(1, max(0.1, float64(t.world.now.Sub(t.warmSince))/float64(slowStart)))
 }
 
-// announce sends one heartbeat to a registry that is up.
-func (t *target) announce() {
+// sendHeartbeat sends one heartbeat to a registry that is up.
+func (t *target) sendHeartbeat() {
 	t.sequence++
 	announcement := targets.Target{
 		Instance: t.id, Incarnation: t.incarnation, Sequence: t.sequence, Service: t.service, Address: t.address, Zone: t.zone,
-		Draining: t.leaving, Warmth: t.warmth(), Occupancy: int64(t.inFlight), Capacity: int64(t.capacity), IntervalMillis: uint32(announceEvery / time.Millisecond),
+		Draining: t.draining, Warmth: t.warmth(), Occupancy: int64(t.inFlight), Capacity: int64(t.capacity), IntervalMillis: uint32(heartbeatInterval / time.Millisecond),
 	}
 	generation := t.generation
 	t.lastRegistry = t.world.anyRegistry()
@@ -115,12 +115,12 @@
 	}, nil)
 }
 
-// leave announces that the target is draining.
-func (t *target) leave() {
-	if t.up && !t.leaving {
+// drain announces that the target is draining.
+func (t *target) drain() {
+	if t.up && !t.draining {
 		t.world.trace("%s leaves", t.id)
-		t.leaving = true
-		t.announce()
+		t.draining = true
+		t.sendHeartbeat()
 	}
 }
 
@@ -151,7 +151,7 @@
 		t.inFlight--
 		beforeDone()
 		draw := t.world.random.Float64()
-		done(idempotency.Response{Status: 200, Body: []byte(body)}, draw >= t.silentShare+t.corruptShare)
+		done(idempotency.Response{Status: 200, Body: []byte(body)}, draw >= t.lostResponseShare+t.corruptResponseShare)
 	})
 }
 
@@ -177,8 +177,8 @@
 	})
 }
 
-// whenAwake does something now or when the target wakes; never if it crashed.
-func (t *target) whenAwake(f func()) {
+// whenRunning does something now or when the target wakes; never if it crashed.
+func (t *target) whenRunning(f func()) {
 	generation := t.generation
 	switch {
 	case !t.up:
@@ -194,7 +194,7 @@
 }
 
 // silenceTimeout is how long without a heartbeat counts as gone: three intervals.
-const silenceTimeout = 3 * (announceEvery + 100*time.Millisecond)
+const silenceTimeout = 3 * (heartbeatInterval + 100*time.Millisecond)
 
 // departureKnownFor is for how long the core has known that the target is leaving, or is gone by
 // its silence.
--- a/internal/testsupport/simulator/total_loss_test.go
+++ b/internal/testsupport/simulator/total_loss_test.go
@@ -12,7 +12,7 @@
 // Two disks are lost for good. On an operator's order the fleet goes on from the third, with what the
 // proxies still have, and nothing is violated: a retry whose idempotency record may be among the lost
 // ones isn't run again.
-func TestTwoDisksLost(t *testing.T) {
+func TestRecovery_TwoOfThreeDisksLost(t *testing.T) {
 	is := is.New(t)
 	for seed := uint64(1); seed <= 4; seed++ {
 		tooSoon, asked := "", ""
--- a/internal/testsupport/simulator/trace_decoding.go
+++ b/internal/testsupport/simulator/trace_decoding.go
@@ -10,8 +10,8 @@
 	"reflect"
 )
 
-// errTraceShort: an encoded value ends early, or a length in it is greater than what follows.
-var errTraceShort = errors.New("encoded value is too short")
+// errEncodingTruncated: an encoded value ends early, or a length in it is greater than what follows.
+var errEncodingTruncated = errors.New("encoded value is too short")
 
 // decodeValue sets a value from its encoding, which must hold nothing more.
 func decodeValue(raw []byte, v reflect.Value) error {
@@ -71,7 +71,7 @@
 func readBytes(r *bytes.Reader) ([]byte, error) {
 	n, err := binary.ReadUvarint(r)
 	if err != nil || n > uint64(r.Len()) {
-		return nil, errTraceShort
+		return nil, errEncodingTruncated
 	}
 	raw := make([]byte, n)
 	_, err = io.ReadFull(r, raw)
@@ -82,7 +82,7 @@
 func readCount(r *bytes.Reader) (int, error) {
 	n, err := binary.ReadUvarint(r)
 	if err != nil || n > uint64(r.Len())+1 {
-		return 0, errTraceShort
+		return 0, errEncodingTruncated
 	}
 	return int(n) - 1, nil
 }
--- a/internal/testsupport/simulator/trace_recorder.go
+++ b/internal/testsupport/simulator/trace_recorder.go
@@ -50,14 +50,14 @@
 	if err == nil {
 		_, err = fmt.Fprintf(into, "# %x\n", raw)
 	}
-	p.machine = &traceRecorder{Machine: p.machine, process: p, into: into, until: p.world.TraceFor, err: err}
+	p.machine = &traceRecorder{Machine: p.machine, process: p, output: into, until: p.world.TraceFor, err: err}
 }
 
 // traceRecorder writes the events that a machine receives and its commands, until a time.
 type traceRecorder struct {
 	event.Machine
 	process *process
-	into    io.Writer
+	output  io.Writer
 	until   time.Duration
 	err     error
 }
@@ -73,7 +73,7 @@
 	if len(out) > 0 {
 		line += "\n" + writeCommands(out)
 	}
-	_, r.err = fmt.Fprintln(r.into, line)
+	_, r.err = fmt.Fprintln(r.output, line)
 	return out
 }
 
--- a/internal/testsupport/simulator/trace_test.go
+++ b/internal/testsupport/simulator/trace_test.go
@@ -22,7 +22,7 @@
 	"dunlinwell/internal/dataplane/proxy"
 )
 
-var record = flag.Bool("record", false, "record the traces anew, after a change that is meant")
+var recordTraces = flag.Bool("record", false, "record the traces anew, after a change that is meant")
 
 // recordedMachines are those whose traces are kept: each in the midst of trouble.
 var recordedMachines = []string{"store-2", "registry-1", "proxy-3"}
@@ -32,7 +32,7 @@
 func TestRecordedTraces(t *testing.T) {
 	is := is.New(t)
 	traces := map[string]*bytes.Buffer{}
-	if *record {
+	if *recordTraces {
 		p := Options{Seed: 3, Length: 20 * time.Second, Traces: map[string]io.Writer{}, TraceFor: 13 * time.Second, FaultEvery: 700 * time.Millisecond}
 		for _, n := range recordedMachines {
 			traces[n] = &bytes.Buffer{}
@@ -42,7 +42,7 @@
 	}
 	for _, n := range recordedMachines {
 		file := filepath.Join("testdata", n+".trace.gz")
-		if *record {
+		if *recordTraces {
 			var packed bytes.Buffer
 			z := gzip.NewWriter(&packed)
 			_, err := z.Write(traces[n].Bytes())
@@ -68,17 +68,17 @@
 }
 
 // A machine that does one thing otherwise is found out at that very line.
-func TestRecordedTracesDetectChange(t *testing.T) {
+func TestReplayTrace_DetectsChange(t *testing.T) {
 	is := is.New(t)
 	trace := "5 tick\n6 tick\n< cbf29ce484222325 \n"
-	line, err := ReplayTrace(quietMachine{}, bytes.NewReader([]byte(trace)))
+	line, err := ReplayTrace(noopMachine{}, bytes.NewReader([]byte(trace)))
 	is.True(err != nil)
 	is.Equal(line, 3)
 }
 
 // The hash over a step's commands notices each value that is changed in one,
 // also deep within, and nothing of a log entry but that it is there.
-func TestTraceHashDetectsChange(t *testing.T) {
+func TestWriteCommands_HashDetectsChange(t *testing.T) {
 	is := is.New(t)
 	same := func(a, b event.Command) bool {
 		x, y := writeCommands([]event.Command{a}), writeCommands([]event.Command{b})
@@ -112,7 +112,7 @@
 }
 
 // Every kind of event comes back from its line as it was, nil and empty apart.
-func TestTraceEventsRoundTrip(t *testing.T) {
+func TestWriteEvent_RoundTrip(t *testing.T) {
 	is := is.New(t)
 	for _, ev := range []event.Event{
 		event.Tick{},
@@ -134,6 +134,6 @@
 	is.True(err != nil) // not an event
 }
 
-type quietMachine struct{}
+type noopMachine struct{}
 
-func (quietMachine) Step(ids.Time, event.Event) []event.Command { return nil }
+func (noopMachine) Step(ids.Time, event.Event) []event.Command { return nil }
--- a/internal/testsupport/simulator/world.go
+++ b/internal/testsupport/simulator/world.go
@@ -43,10 +43,10 @@
 	// or sent.
 	onNextAck    func(p *process)
 	onNextChange func()
-	// operatorAnswerLoss is the share of responses to operators that are lost.
-	operatorAnswerLoss float64
-	connections        connections
-	losses             coreLosses
+	// operatorResponseLoss is the share of responses to operators that are lost.
+	operatorResponseLoss float64
+	connections          connections
+	losses               coreLosses
 	// faultCounts counts the random faults by kind.
 	faultCounts map[string]int
 }
