--- a/internal/testsupport/simulator/defect.go
+++ b/internal/testsupport/simulator/defect.go
@@ -8,36 +8,36 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// Defect is a planted defect, by which a test shows that its checker finds the mistake. The zero
-// value has none.
+// Defect is a set of planted defects, with which tests verify that the checker detects them. The
+// zero value has none.
 type Defect struct {
-	// Ops replace change functions of the registers.
+	// Ops replaces change functions of the registers.
 	Ops map[consensus.Op]consensus.ChangeFunc
-	// DiskForgets: a killed store loses half of what it had synced.
+	// DiskForgets makes a killed store lose half of its synced records.
 	DiskForgets bool
-	// SyncLate: a store goes on as if its records were synced before the disk has them.
+	// SyncLate makes a store act as if its records were synced before they are on the disk.
 	SyncLate bool
-	// BlankKeepsIdentity: a store whose disk was lost keeps its store id.
+	// BlankKeepsIdentity makes a store whose disk was lost keep its store ID.
 	BlankKeepsIdentity bool
-	// DeadSeeds: new seeds name machines that don't exist.
+	// DeadSeeds makes new seeds name addresses without a process.
 	DeadSeeds bool
-	// ResetIsUnsent: a request whose connection was reset counts as not sent.
+	// ResetIsUnsent makes proxies report a request whose connection was reset as not sent.
 	ResetIsUnsent bool
-	// IdempotencyRetention, if set, is for how long disks keep idempotency records.
+	// IdempotencyRetention, if set, is how long disks keep idempotency records.
 	IdempotencyRetention time.Duration
-	// SkipIdentityCheck: requests are sent without verifying the identity of the target.
+	// SkipIdentityCheck makes proxies send requests without verifying the identity of the target.
 	SkipIdentityCheck bool
-	// CloseLongLived: long-lived connections are closed after each response.
+	// CloseLongLived makes proxies close long-lived connections after each response.
 	CloseLongLived bool
-	// DeafToDepartures: proxies don't notice that a client has left.
+	// DeafToDepartures makes proxies ignore client disconnects.
 	DeafToDepartures bool
-	// Response, if set, alters what proxies respond to clients.
+	// Response, if set, alters the responses of proxies to clients.
 	Response func(dispatch.Response) dispatch.Response
-	// ControlLease, if set, is the duration of the lease under which a registry speaks
-	// for the core.
+	// ControlLease, if set, is the duration of the lease under which a registry answers for the
+	// core.
 	ControlLease time.Duration
-	// Confirm, if set, alters what registries respond to operators.
+	// Confirm, if set, alters the responses of registries to operators.
 	Confirm func(registry.Response) registry.Response
-	// Message, if set, alters messages between daemons; false loses one.
+	// Message, if set, alters messages between daemons; the message is dropped if it returns false.
 	Message func(from, to string, msg any) (any, bool)
 }
--- a/internal/testsupport/simulator/fleet.go
+++ b/internal/testsupport/simulator/fleet.go
@@ -8,12 +8,12 @@
 	"dunlinwell/internal/controlplane/membership"
 )
 
-// seeds are the addresses of the first three stores.
+// seeds returns the addresses of the first three stores.
 func (w *World) seeds() []ids.Address {
 	return []ids.Address{"10.9.1.1:1", "10.9.1.2:1", "10.9.1.3:1"}
 }
 
-// addProcess adds a process that is not yet started.
+// addProcess adds a process without starting it.
 func (w *World) addProcess(role membership.Role, name string, zone ids.Name, addr ids.Address) *process {
 	p := &process{world: w, name: name, role: role, zone: zone, address: addr, seeds: w.seeds()}
 	if role == membership.Store {
@@ -24,7 +24,8 @@
 	return p
 }
 
-// build schedules the start of the plan's processes and targets, in the layout of the test bed.
+// build schedules the start of the plan's processes and targets, with the same layout as the
+// testbed.
 func (w *World) build() {
 	for i, role := range []membership.Role{membership.Store, membership.Registry, membership.Proxy} {
 		n := 3
@@ -57,14 +58,15 @@
 	}
 }
 
-// randomProcess draws a process whose machine has not been removed, of a role or of any (zero).
+// randomProcess draws a process that has not been removed, of the given role or, if it is 0, of any
+// role.
 func (w *World) randomProcess(role membership.Role) *process {
 	candidates := w.remainingProcesses(role)
 	return candidates[w.random.IntN(len(candidates))]
 }
 
-// remainingProcesses lists the processes whose machines have not been removed, of a role or of all
-// (zero).
+// remainingProcesses returns the processes that have not been removed, of the given role or, if it
+// is 0, of all roles.
 func (w *World) remainingProcesses(role membership.Role) []*process {
 	var out []*process
 	for _, p := range w.processes {
@@ -75,12 +77,12 @@
 	return out
 }
 
-// coreProcesses lists the stores and registries that have not been removed.
+// coreProcesses returns the stores and registries that have not been removed.
 func (w *World) coreProcesses() []*process {
 	return append(w.remainingProcesses(membership.Store), w.remainingProcesses(membership.Registry)...)
 }
 
-// processByName finds a process; nil if there is none.
+// processByName returns the process with a name, or nil if there is none.
 func (w *World) processByName(name string) *process {
 	for _, p := range w.processes {
 		if p.name == name {
--- a/internal/testsupport/simulator/history.go
+++ b/internal/testsupport/simulator/history.go
@@ -8,31 +8,31 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// Operation is one call on the configuration's register as its caller saw it: a change or a read. A
-// change whose outcome its caller never learned may take effect at any time, or never.
+// Operation is one call on the configuration register as observed by its caller: a change or a
+// read. A change with an unknown outcome may take effect at any time after the call, or never.
 type Operation struct {
 	Change   bool
 	Name     string
 	Called   ids.Time
 	Returned ids.Time
 	Known    bool
-	// Revision is the one that an accepted change made, or that a read returned.
+	// Revision is the revision that an accepted change created or a read returned.
 	Revision ids.Revision
-	// Content is what a read returned.
+	// Content is the configuration that a read returned.
 	Content string
 }
 
-// farFuture is when an operation without a known outcome counts as returned.
+// farFuture is the return time of an operation whose outcome is unknown.
 const farFuture = ids.Time(math.MaxInt64)
 
-// history gathers the operations of a run, for a test of linearizability. Those that surely had no
-// effect, and reads that were never answered, are left out.
+// history collects the operations of a run for linearizability checks. It omits changes that
+// certainly had no effect and reads without a response.
 type history struct {
 	entries []*Operation
 	open    map[string]*Operation
 }
 
-// begin records a change when it is first sent. Later copies belong to the same operation.
+// begin records a change when it is first sent. Retries belong to the same operation.
 func (h *history) begin(now ids.Time, id string) {
 	if h.open == nil {
 		h.open = map[string]*Operation{}
@@ -43,14 +43,14 @@
 	}
 }
 
-// accepted records that the caller of a change learned the revision it made.
+// accepted records that the caller of a change received the revision that it created.
 func (h *history) accepted(now ids.Time, id string, revision ids.Revision) {
 	if operation := h.open[id]; operation != nil && !operation.Known {
 		operation.Returned, operation.Known, operation.Revision = now, true, revision
 	}
 }
 
-// rejected removes a change that surely had no effect.
+// rejected removes a change that certainly had no effect.
 func (h *history) rejected(id string) {
 	operation := h.open[id]
 	for i, x := range h.entries {
@@ -61,14 +61,14 @@
 	}
 }
 
-// read records what a read returned.
+// read records the result of a read.
 func (h *history) read(called, now ids.Time, reader string, response registry.Response) {
 	if document, ok := response.Body.(*configuration.Document); ok {
 		h.entries = append(h.entries, &Operation{Name: reader, Called: called, Returned: now, Known: true, Revision: document.Revision, Content: string(encodeConfiguration(document))})
 	}
 }
 
-// operations returns the whole history.
+// operations returns all recorded operations.
 func (h *history) operations() []Operation {
 	var out []Operation
 	for _, operation := range h.entries {
--- a/internal/testsupport/simulator/options.go
+++ b/internal/testsupport/simulator/options.go
@@ -8,49 +8,51 @@
 	"dunlinwell/internal/testsupport/blueprint"
 )
 
-// Options are the options of a run. Zero values take the defaults of fill.
+// Options are the options of a run. Zero values are replaced by defaults.
 type Options struct {
 	Seed uint64
 	Plan blueprint.Plan
 	// Length is the virtual time until all faults end; 60 s by default.
 	Length time.Duration
-	// Rate is the load in requests a second; that of the plan by default.
+	// Rate is the load in requests per second; the plan's by default.
 	Rate float64
 	// FaultEvery is the mean time between random faults, 1.5 s by default. If it
 	// is negative there are neither random faults nor operators.
 	FaultEvery time.Duration
-	// PlanEvery is how often the spill-over is planned; 10 s by default.
+	// PlanEvery is the interval between spill-over plans; 10 s by default.
 	PlanEvery time.Duration
-	// Cost is what a request costs, in milliseconds of CPU; 20 by default.
+	// Cost is the CPU time of a request in milliseconds; 20 by default.
 	Cost float64
-	// Hot, if set, chooses the zone of a request's client; drawn is the usual one.
+	// Hot, if set, chooses the zone of a request's client; drawn is the zone that the plan's
+	// distribution yielded.
 	Hot func(w *World, drawn ids.Name) ids.Name
-	// Lease, if set, replaces the duration of the proxies' serving lease.
+	// Lease, if set, is the duration of the proxies' serving lease.
 	Lease time.Duration
-	// HoldConnectionsFor is the mean time for which clients keep a connection.
-	// By default it is 8 s if there are random faults, and else zero: they keep none.
+	// HoldConnectionsFor is the mean lifetime of the clients' long-lived connections: by default 8
+	// s if there are random faults, and otherwise zero, which means that clients keep none.
 	HoldConnectionsFor time.Duration
-	// BriefConnectionShare is the share of requests whose clients keep none all the same.
+	// BriefConnectionShare is the share of requests whose clients keep no connection even so.
 	BriefConnectionShare float64
-	// Latency, if set, gives the latency that a proxy measures by its usage of CPU,
-	// in milliseconds a second.
+	// Latency, if set, returns the p95 latency that a proxy measures at a CPU usage in milliseconds
+	// per second.
 	Latency func(used float64) time.Duration
-	// Script, if set, schedules faults in place of the random ones.
+	// Script, if set, schedules faults instead of the random ones.
 	Script func(w *World)
-	// EagerLosses lets the next core machine be lost once the core has been calm
-	// for a while, whether or not the last loss is repaired.
+	// EagerLosses permits the loss of the next core machine once the core has been unimpaired for a
+	// while, even if the last loss is not repaired yet.
 	EagerLosses bool
 	// KeepLog keeps the log in Outcome.Log.
 	KeepLog bool
-	// StaleBootstrap leaves the setting for the first start on for every start.
+	// StaleBootstrap leaves the bootstrap setting on after the first start.
 	StaleBootstrap bool
 	// Replicas is the number of stores; 3 by default.
 	Replicas int
-	// DiskSync, if set, is how long each sync of a disk takes.
+	// DiskSync, if set, is the duration of each disk sync.
 	DiskSync time.Duration
-	// LinkBits, if set, is how many bits a second a store can send, and receive.
+	// LinkBits, if set, is the bandwidth between stores in bits per second, for each direction.
 	LinkBits float64
-	// Traces, if set, takes the recorded traces of processes, until TraceFor.
+	// Traces, if set, holds writers for the recorded traces of processes, by name. Recording ends
+	// at the virtual time TraceFor.
 	Traces   map[string]io.Writer
 	TraceFor time.Duration
 	Defect   Defect
@@ -73,7 +75,7 @@
 	if o.PlanEvery == 0 {
 		o.PlanEvery = 10 * time.Second
 	}
-	// Half of the clients keep their connections, whatever faults do to the proxies.
+	// Half of the clients keep their connections despite faults of the proxies.
 	if o.HoldConnectionsFor == 0 && o.FaultEvery > 0 {
 		o.HoldConnectionsFor, o.BriefConnectionShare = 8*time.Second, 0.5
 	}
--- a/internal/testsupport/simulator/run.go
+++ b/internal/testsupport/simulator/run.go
@@ -12,27 +12,28 @@
 // Outcome is the result of a run.
 type Outcome struct {
 	Seed uint64
-	// Results are the results of the checker's rules, Violations their sum.
+	// Results are the results of the checker's rules, and Violations is the sum of their
+	// violations.
 	Results    []checker.RuleResult
 	Violations int
-	// TraceHash is a hash over all lines of the log, kept or not. Two runs with the same
-	// Sum and Events were the same.
+	// TraceHash is a hash over all lines of the log, whether or not they are kept. Two runs with
+	// the same TraceHash and Events were identical.
 	TraceHash uint64
 	Events    uint64
-	// Responses counts attempts of clients by class, and executions as "runs".
+	// Responses counts the clients' attempts by class, and the executions under "runs".
 	Responses map[string]int
 	// Changes counts the accepted configuration changes.
 	Changes int
-	// Pruned counts the idempotency records that disks deleted because of their age.
+	// Pruned counts the idempotency records that disks deleted when their retention ended.
 	Pruned int
 	// FaultCounts counts the random faults by kind.
 	FaultCounts map[string]int
 	Log         []string
-	// History holds the operations on the configuration's register as their callers saw them.
+	// History holds the operations on the configuration register as observed by their callers.
 	History []Operation
 }
 
-// Replay returns the command that runs the seed again with a log.
+// Replay returns the command that runs the same seed again and prints its log.
 func (o Outcome) Replay(plan, scene string, hot bool, length time.Duration) string {
 	if hot {
 		return fmt.Sprintf("testbed drill --hot --from %d --seeds 1 --trace", o.Seed)
@@ -43,8 +44,8 @@
 	return fmt.Sprintf("testbed drill --plan %s --length %s --from %d --seeds 1 --trace", plan, length, o.Seed)
 }
 
-// Run runs one seed: bootstrap, load and faults, recovery from all faults, a check of the whole
-// ledger, and a closing fault with another check.
+// Run runs one seed: bootstrap, load with faults, recovery, a check of the whole ledger, and a
+// closing fault followed by another check.
 func Run(p Options) Outcome {
 	w := NewWorld(p)
 	w.clients.connections = map[string]longLivedConnection{}
@@ -68,7 +69,7 @@
 	w.runUntil(w.faultsEnd().Add(maxRecoveryTime + 10*time.Second))
 	w.clients.stopped, w.operators.stopped = true, true
 	w.runUntil(w.now.Add(20 * time.Second))
-	w.verifyLedger("the day's end")
+	w.verifyLedger("after the load")
 	w.runUntil(w.now.Add(6 * time.Second))
 	if w.FaultEvery > 0 {
 		w.injectClosingFault()
@@ -79,7 +80,7 @@
 	return w.outcome()
 }
 
-// outcome gathers the result.
+// outcome returns the result of the run.
 func (w *World) outcome() Outcome {
 	out := Outcome{
 		Seed: w.Seed, Results: w.Checker.Results(), TraceHash: w.traceHash, Events: w.Events, Responses: w.Checker.CountByClass(time.Unix(0, 0)),
@@ -91,14 +92,14 @@
 	return out
 }
 
-// sendInitialChange sends the plan's configuration until it is accepted.
+// sendInitialChange sends the plan's configuration, retrying until it is accepted.
 func (w *World) sendInitialChange() {
 	w.sendChange(string(w.Plan.InitialChange()), func(configuration.Result) {})
 }
 
-// recoverAll ends every fault and starts whatever is down.
+// recoverAll ends every fault and starts every process and target that is down.
 func (w *World) recoverAll() {
-	w.trace("the machines are back")
+	w.trace("all faults end")
 	w.recoveredAt = w.now
 	w.Checker.MachinesRecovered(w.wallTime())
 	w.partitions, w.operatorResponseLoss = nil, 0
--- a/internal/testsupport/simulator/scheduler.go
+++ b/internal/testsupport/simulator/scheduler.go
@@ -7,15 +7,15 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// scheduledEvent is a function due at a virtual time. Events of one time run in the order in which
-// they were scheduled.
+// scheduledEvent is a function to run at a virtual time. Events with the same time run in the order
+// in which they were scheduled.
 type scheduledEvent struct {
 	at       ids.Time
 	sequence uint64
 	run      func()
 }
 
-// eventQueue is a heap of scheduled events, for package heap.
+// eventQueue implements heap.Interface, ordered by time and sequence.
 type eventQueue []scheduledEvent
 
 func (q eventQueue) Len() int { return len(q) }
@@ -44,7 +44,7 @@
 	heap.Push(&w.eventQueue, scheduledEvent{w.now.Add(max(delay, 0)), w.nextSequence, run})
 }
 
-// runUntil runs all events up to a virtual time and leaves the clock there.
+// runUntil runs all events up to and including end and sets the virtual time to end.
 func (w *World) runUntil(end ids.Time) {
 	for len(w.eventQueue) > 0 && w.eventQueue[0].at <= end {
 		next := heap.Pop(&w.eventQueue).(scheduledEvent)
@@ -55,17 +55,17 @@
 	w.now = end
 }
 
-// repeat runs f n times, first after from and then every gap, with the number of the call.
+// repeat schedules n calls of f: the first after from, the others every gap. Each gets its index.
 func (w *World) repeat(from, gap time.Duration, n int, f func(i int)) {
 	for i := range n {
 		w.schedule(from+time.Duration(i)*gap, func() { f(i) })
 	}
 }
 
-// awaitInterval is how often await looks.
+// awaitInterval is how often await checks its condition.
 const awaitInterval = 10 * time.Millisecond
 
-// await calls then with the time until a condition holds; with -1 if it doesn't within the bound.
+// await calls then with the time until the condition holds, or with -1 if it doesn't within bound.
 func (w *World) await(condition func() bool, bound time.Duration, then func(time.Duration)) {
 	began := w.now
 	var check func()
--- a/internal/testsupport/simulator/world.go
+++ b/internal/testsupport/simulator/world.go
@@ -10,8 +10,8 @@
 )
 
 // World is one simulated run: its processes, targets, clients and operators, the network between
-// them, and virtual time. It is used by one goroutine, and draws every random number from one
-// seeded source, so that a seed and its options determine the run.
+// them, and virtual time. It is not safe for concurrent use. All random numbers come from one
+// seeded source, so that the seed and the options determine the run.
 type World struct {
 	Options
 	now              ids.Time
@@ -32,15 +32,15 @@
 	traceHash        uint64
 	Events           uint64
 	recoveredAt      ids.Time
-	// allNumberAttempts: every client numbers its attempts. One that doesn't is
-	// answered "may have run" for a while after idempotency records were lost.
+	// allNumberAttempts makes every client send its attempt number. For a while after idempotency
+	// records were lost, requests without one are answered "may have run".
 	allNumberAttempts bool
-	// pruned counts the idempotency records that disks deleted because of their age.
+	// pruned counts the idempotency records that disks deleted when their retention ended.
 	pruned int
-	// onClaim, if set, runs whenever a proxy asks to claim an idempotency key.
+	// onClaim, if set, is called whenever a proxy claims an idempotency key.
 	onClaim func(p *process)
-	// onNextAck and onNextChange, if set, run once when the next change is confirmed,
-	// or sent.
+	// onNextAck and onNextChange, if set, are called once: when the next change is acknowledged and
+	// when the next change is sent.
 	onNextAck    func(p *process)
 	onNextChange func()
 	// operatorResponseLoss is the share of responses to operators that are lost.
@@ -51,7 +51,7 @@
 	faultCounts map[string]int
 }
 
-// NewWorld makes an empty world for a seed.
+// NewWorld returns an empty world with the given options.
 func NewWorld(p Options) *World {
 	p.fill()
 	return &World{
@@ -61,14 +61,14 @@
 	}
 }
 
-// wallTime is the virtual time as the checker takes it.
+// wallTime returns the virtual time as a time.Time, which the checker expects.
 func (w *World) wallTime() time.Time { return timeOf(w.now) }
 
-// timeOf converts a virtual time.
+// timeOf converts a virtual time to a time.Time.
 func timeOf(t ids.Time) time.Time { return time.Unix(0, int64(t)) }
 
-// trace adds a line to the log of the run and to the hash over all lines, by which two runs of one
-// seed are compared.
+// trace adds a line to the log of the run and to the hash over all lines. Tests compare the hashes
+// of two runs of the same seed.
 func (w *World) trace(format string, args ...any) {
 	line := fmt.Sprintf("%9.3f ", float64(w.now)/1e9) + fmt.Sprintf(format, args...)
 	for i := 0; i < len(line); i++ {
@@ -79,7 +79,7 @@
 	}
 }
 
-// randomDuration draws a duration, both bounds included.
+// randomDuration draws a duration between low and high, both included.
 func (w *World) randomDuration(low, high time.Duration) time.Duration {
 	return low + time.Duration(w.random.Int64N(int64(high-low)+1))
 }
