--- a/internal/testsupport/simulator/catch_up.go
+++ b/internal/testsupport/simulator/catch_up.go
@@ -11,9 +11,9 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// MachineOutages are the ways in which a store misses changes. Each function begins an outage and
-// returns what ends it.
-var MachineOutages = map[string]func(w *World, p *process) (back func()){
+// MachineOutages are outages during which a store misses changes, by name. Each function begins the
+// outage and returns a function that ends it.
+var MachineOutages = map[string]func(w *World, p *process) (end func()){
 	"killed": func(w *World, p *process) func() {
 		p.kill()
 		return p.start
@@ -22,13 +22,13 @@
 		p.freeze(time.Hour)
 		return p.unfreeze
 	},
-	"cut off": func(w *World, p *process) func() {
+	"partitioned": func(w *World, p *process) func() {
 		isolated := processSide(p)
-		c := &partition{sideA: isolated, sideB: isolated.outside()}
-		w.addPartition(time.Hour, c)
-		return func() { w.removePartition(c) }
+		cut := &partition{sideA: isolated, sideB: isolated.outside()}
+		w.addPartition(time.Hour, cut)
+		return func() { w.removePartition(cut) }
 	},
-	// restored: an old copy of the disk replaces the newest one.
+	// The disk is replaced by an old copy of itself.
 	"restored": func(w *World, p *process) func() {
 		old, run := maps.Clone(p.disk.records), p.disk.runNumber
 		return func() {
@@ -39,17 +39,17 @@
 	},
 }
 
-// missChanges makes changes one after the other during an outage of a store, with reads all along,
-// and calls then with the time from its return until its synced disk has the newest; negative if
-// that took longer than the bound.
-func (w *World) missChanges(p *process, absence string, changes int, bound time.Duration, then func(time.Duration)) {
-	back := MachineOutages[absence](w, p)
+// missChanges makes changes one after the other during an outage of a store, with concurrent reads.
+// It calls then with the time from the end of the outage until the store's synced disk has the
+// newest revision, or with -1 if that exceeds the bound.
+func (w *World) missChanges(p *process, outage string, changes int, bound time.Duration, then func(time.Duration)) {
+	endOutage := MachineOutages[outage](w, p)
 	w.readRepeatedly()
 	var next func(n int)
 	next = func(n int) {
 		if n == changes {
-			w.trace("%s is back", p.name)
-			back()
+			w.trace("%s returns", p.name)
+			endOutage()
 			w.awaitCaughtUp(p, bound, then)
 			return
 		}
@@ -68,19 +68,19 @@
 	w.schedule(200*millisecond, w.readRepeatedly)
 }
 
-// awaitCaughtUp calls then with the time until the synced disk of a store has the newest revision;
-// negative if that took longer than the bound.
+// awaitCaughtUp calls then with the time until the synced disk of a store has the newest revision,
+// or with -1 if that exceeds the bound.
 func (w *World) awaitCaughtUp(p *process, bound time.Duration, then func(time.Duration)) {
 	goal := ids.Revision(w.Checker.KnownRevision())
 	w.await(func() bool { return p.disk.revision() >= goal }, bound, then)
 }
 
-// revision is the configuration's revision on the synced disk.
+// revision returns the revision of the configuration on the synced disk.
 func (d *disk) revision() ids.Revision {
 	_, raw := consensus.NewAcceptor(d.storeID, d, &event.Outbox{}).AcceptedValue(configuration.Key)
-	held, err := configuration.Decode(raw)
+	document, err := configuration.Decode(raw)
 	if err != nil {
 		return 0
 	}
-	return held.Revision
+	return document.Revision
 }
--- a/internal/testsupport/simulator/core_losses.go
+++ b/internal/testsupport/simulator/core_losses.go
@@ -8,27 +8,27 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// coreCatchUp is for how long a core machine still counts as lost after it is back, or after its
-// start if it is new. One may be lost at any time.
+// coreCatchUp is how long a core machine still counts as lost after it returns, or after its first
+// start if it is new. At most one may be lost at a time.
 const coreCatchUp = 4 * time.Second
 
-// lossCheckInterval is how often the state of the core is looked at.
+// lossCheckInterval is how often the state of the core is checked.
 const lossCheckInterval = 50 * millisecond
 
-// coreLosses is what counts as lost of the core.
+// coreLosses tracks losses and impairments of the core.
 type coreLosses struct {
-	// machinesBeingReplaced counts machines that have no successor yet.
+	// machinesBeingReplaced counts machine replacements that have not finished.
 	machinesBeingReplaced int
-	// unimpairedSince is since when no store has been impaired; recovered says that there was
-	// a calm of coreCatchUp after the last disk was lost.
+	// unimpairedSince is the last time at which a store was impaired or a disk was lost. recovered
+	// is set once coreCatchUp has passed without impairment since the last disk loss.
 	unimpairedSince ids.Time
 	recovered       bool
 }
 
-// recordDiskLoss records that a disk is lost, or is about to be.
+// recordDiskLoss records that a disk was lost or is about to be lost.
 func (w *World) recordDiskLoss() { w.losses.recovered, w.losses.unimpairedSince = false, w.now }
 
-// trackCoreLosses regularly records which core machines count as lost.
+// trackCoreLosses periodically records which core machines count as lost.
 func (w *World) trackCoreLosses() {
 	for _, p := range w.remainingProcesses(membership.Store) {
 		if w.impaired(p) {
@@ -57,10 +57,10 @@
 	return false
 }
 
-// lossTolerated reports whether the system must survive the loss of a core machine or its disk: not while
-// a successor is due, nor before all voters are in place. Eager losses don't wait for that: it is
-// enough that the core had coreCatchUp without impairment since the last such loss, and no other
-// machine counts as lost.
+// lossTolerated reports whether the system must survive the loss of a core machine or its disk now.
+// It doesn't while a machine is being replaced or before all voters are in place. With EagerLosses,
+// voters need not be in place if the core was unimpaired for coreCatchUp since the last disk loss
+// and no other machine counts as lost.
 func (w *World) lossTolerated(p *process) bool {
 	switch {
 	case w.losses.machinesBeingReplaced > 0:
@@ -78,8 +78,8 @@
 	return true
 }
 
-// whenLossTolerated does something to a drawn core machine as soon as it may be lost, drawing again until
-// then.
+// whenLossTolerated calls do with a core machine whose loss is tolerated. It draws a machine every
+// lossCheckInterval until one qualifies or the faults end.
 func (w *World) whenLossTolerated(draw func() *process, do func(*process)) {
 	if w.now >= w.faultsEnd() {
 		return
--- a/internal/testsupport/simulator/core_machines.go
+++ b/internal/testsupport/simulator/core_machines.go
@@ -8,7 +8,7 @@
 	"dunlinwell/internal/controlplane/membership"
 )
 
-// machineOf lists the processes of a core process's machine.
+// machineOf returns the processes on the machine of a core process.
 func (w *World) machineOf(p *process) []*process {
 	var out []*process
 	for _, other := range w.coreProcesses() {
@@ -19,7 +19,7 @@
 	return out
 }
 
-// storeOf finds the store of a core process's machine; nil if it is gone.
+// storeOf returns the store on the machine of a core process, or nil if it was removed.
 func (w *World) storeOf(p *process) *process {
 	for _, other := range w.machineOf(p) {
 		if other.role == membership.Store {
@@ -29,8 +29,8 @@
 	return nil
 }
 
-// replaceCore replaces a core machine by a blank one at a new address as soon as lossTolerated allows it:
-// after it is gone or, if planned, before.
+// replaceCore replaces a core machine with a blank one at a new address as soon as lossTolerated
+// allows it. If planned, the new machine is added before the old one is removed.
 func (w *World) replaceCore(planned bool) {
 	w.whenLossTolerated(func() *process { return w.randomProcess(membership.Store) }, func(p *process) {
 		if planned {
@@ -41,12 +41,13 @@
 	})
 }
 
-// replaceCoreMachine loses a core machine for good, as soon as lossTolerated allows it.
+// replaceCoreMachine loses a core machine permanently and adds a blank one as soon as lossTolerated
+// allows it.
 func (w *World) replaceCoreMachine() { w.replaceCore(false) }
 
-// replaceAfterLoss loses a core machine with its disk, and adds a blank one soon after.
+// replaceAfterLoss removes a core machine and its disk, and adds a blank one soon after.
 func (w *World) replaceAfterLoss(p *process) {
-	w.trace("the machine of %s is lost for good", p.name)
+	w.trace("the machine of %s is lost permanently", p.name)
 	machine := w.machineOf(p)
 	for _, member := range machine {
 		w.remove(member)
@@ -59,9 +60,9 @@
 	})
 }
 
-// replaceBeforeRemoval adds a blank machine, and removes the old one soon after.
+// replaceBeforeRemoval adds a blank core machine, and removes the old one soon after.
 func (w *World) replaceBeforeRemoval(p *process) {
-	w.trace("the machine of %s is to be replaced", p.name)
+	w.trace("the machine of %s is being replaced", p.name)
 	machine := w.machineOf(p)
 	w.losses.machinesBeingReplaced++
 	w.addReplacements(machine)
@@ -74,14 +75,14 @@
 	})
 }
 
-// remove kills a process for good.
+// remove kills a process permanently.
 func (w *World) remove(p *process) {
 	p.kill()
 	p.removed = true
 	delete(w.processByAddress, p.address)
 }
 
-// addReplacements adds a blank process for each one of a machine.
+// addReplacements adds a blank process for each process of a machine.
 func (w *World) addReplacements(machine []*process) {
 	for _, p := range machine {
 		subnet := 2
@@ -95,8 +96,8 @@
 // addStore adds a blank store.
 func (w *World) addStore(zone ids.Name) { w.addCoreProcess(membership.Store, 1, zone) }
 
-// addCoreProcess adds a blank core process at a new address. As a new machine's operator would, it
-// is given seeds that are there.
+// addCoreProcess adds a blank core process at a new address, with existing core processes as its
+// seeds.
 func (w *World) addCoreProcess(role membership.Role, subnet int, zone ids.Name) {
 	count := 0
 	for _, added := range w.processes {
@@ -117,16 +118,15 @@
 	added.start()
 }
 
-// unreachableSeeds are addresses that nobody has.
+// unreachableSeeds returns seed addresses without a process.
 func unreachableSeeds() []ids.Address { return []ids.Address{"10.9.8.1:1"} }
 
-// loseRandomDisk loses one disk as soon as lossTolerated allows it.
+// loseRandomDisk loses a random store's disk as soon as lossTolerated allows it.
 func (w *World) loseRandomDisk() {
 	w.whenLossTolerated(func() *process { return w.randomProcess(membership.Store) }, func(p *process) { w.loseDiskAndPower(p, w.faultDuration()) })
 }
 
-// loseDiskAndPower loses the disk and the power of a core machine. It comes back blank at the same
-// address.
+// loseDiskAndPower loses the disk of a core machine and restarts it, blank, at the same address.
 func (w *World) loseDiskAndPower(store *process, d time.Duration) {
 	w.trace("the disk of %s is lost", store.name)
 	for _, p := range w.machineOf(store) {
@@ -145,11 +145,11 @@
 	store.disk.wipe()
 }
 
-// maxSeeds is how many seeds a process is given.
+// maxSeeds is the maximum number of seeds in the settings of a process.
 const maxSeeds = 3
 
-// changeSeeds changes the settings: processes that start from now on get other seeds, the given
-// processes first.
+// changeSeeds changes the seeds in the settings of all processes, which take effect at their next
+// start. The given processes come first.
 func (w *World) changeSeeds(first []*process) {
 	var list []ids.Address
 	for _, p := range first {
--- a/internal/testsupport/simulator/disk.go
+++ b/internal/testsupport/simulator/disk.go
@@ -17,13 +17,13 @@
 	registerKeysEnd = "item0"
 )
 
-// Get returns a record that is synced.
+// Get returns a synced record.
 func (d *disk) Get(key ids.RegisterKey) ([]byte, bool) {
 	raw, ok := d.records[key]
 	return raw, ok
 }
 
-// Scan lists up to limit synced register records after a key, in order.
+// Scan returns up to limit synced register records after key, in key order.
 func (d *disk) Scan(key ids.RegisterKey, limit int) []event.Record {
 	keys := d.sortedKeys()
 	from, found := slices.BinarySearch(keys, key)
@@ -40,8 +40,8 @@
 	return out
 }
 
-// sortedKeys gives all keys in order. They are sorted anew only after a key was added or removed,
-// since a store reads its disk record by record when it starts.
+// sortedKeys returns all keys in order. The order is cached until a key is added or removed, since
+// a store scans its disk in small steps when it starts.
 func (d *disk) sortedKeys() []ids.RegisterKey {
 	if d.sortedKeyCache == nil || len(d.sortedKeyCache) != len(d.records) {
 		d.sortedKeyCache = slices.Sorted(maps.Keys(d.records))
@@ -49,27 +49,27 @@
 	return d.sortedKeyCache
 }
 
-// disk is a store's data directory. Records are on it once they are synced.
+// disk is a store's data directory. It contains only synced records.
 type disk struct {
 	world     *World
 	storeID   uint64
 	runNumber uint64
 	records   map[ids.RegisterKey][]byte
-	// sortedKeyCache holds the keys in order; nil if it has to be made anew.
+	// sortedKeyCache holds the keys in order; nil if it is stale.
 	sortedKeyCache []ids.RegisterKey
 	queue          []event.Sync
 	syncing        bool
 	stalled        bool
-	// slowdown is how many times as long as usual a sync takes; 0 for an ordinary disk.
+	// slowdown is the factor by which syncs take longer; 0 for a disk of normal speed.
 	slowdown   int
 	generation int
 	recordAges
 }
 
-// newDisk makes a blank disk.
+// newDisk returns a blank disk.
 func newDisk(w *World) *disk { return &disk{world: w, records: map[ids.RegisterKey][]byte{}} }
 
-// open begins a new run on the disk.
+// open begins a new run of a store on the disk.
 func (d *disk) open(p *process) {
 	if d.storeID == 0 {
 		d.storeID = d.world.random.Uint64()>>24 | 1
@@ -81,7 +81,7 @@
 	d.schedulePruning(p)
 }
 
-// crash loses what was not synced.
+// crash loses the records that were not synced.
 func (d *disk) crash() {
 	d.generation++
 	d.queue, d.syncing = nil, false
@@ -94,12 +94,13 @@
 	}
 }
 
-// wipe loses everything: whichever store starts on it next is another one.
+// wipe loses everything, including the store ID: the next store to start on the disk gets a new
+// one.
 func (d *disk) wipe() {
 	*d = disk{world: d.world, records: map[ids.RegisterKey][]byte{}, generation: d.generation + 1}
 }
 
-// writeBackDelay is for how long a disk with the defect SyncLate holds back what it has reported as
+// writeBackDelay is how long a disk with Defect.SyncLate delays writes that it has reported as
 // synced.
 const writeBackDelay = 50 * time.Millisecond
 
@@ -113,7 +114,7 @@
 	d.startSync(p)
 }
 
-// startSync syncs all queued batches at once, as the real committer does.
+// startSync syncs all queued batches at once, as the committer of the daemon does.
 func (d *disk) startSync(p *process) {
 	if d.syncing || len(d.queue) == 0 {
 		return
@@ -130,7 +131,8 @@
 	d.world.schedule(duration, func() { d.finishSync(p, generation, count) })
 }
 
-// finishSync puts the first count batches of the queue on the disk and lets their store go on.
+// finishSync writes the first count batches of the queue to the disk and executes the commands that
+// waited for them.
 func (d *disk) finishSync(p *process, generation, count int) {
 	if d.generation != generation {
 		return
--- a/internal/testsupport/simulator/disk_pruning.go
+++ b/internal/testsupport/simulator/disk_pruning.go
@@ -9,29 +9,28 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// A simulated disk deletes old idempotency records as the real one does: by its own measured
-// running time, which wall clocks can't change, and few at a time, so that no sync waits long.
-// The retention is shorter than the real one, so that runs of a minute see it.
+// A simulated disk deletes old idempotency records as the daemon does: by its measured running
+// time, which is independent of wall clocks, and in small passes, so that syncs are not delayed.
+// The retention is shorter than the daemon's, so that records are deleted within a run of a minute.
 const (
 	idempotencyRetention = 45 * time.Second
 	pruneInterval        = 500 * time.Millisecond
 	maxPrunedPerPass     = 64
 )
 
-// recordAges keeps since when, in running time, each record has been on the disk.
+// recordAges tracks when each record was written, in running time.
 type recordAges struct {
 	writtenAt map[ids.RegisterKey]time.Duration
-	// runningBeforeStart is the running time as it was last recorded, and openedAt when
-	// that was.
+	// runningBeforeStart is the running time as last recorded, and openedAt is when it was
+	// recorded.
 	runningBeforeStart time.Duration
 	openedAt           ids.Time
 }
 
-// runningTime is the time for which stores have run on this disk, which jumps of wall clocks do not
-// change.
+// runningTime returns how long stores have run on this disk, independent of wall clocks.
 func (d *disk) runningTime() time.Duration { return d.runningBeforeStart + d.world.now.Sub(d.openedAt) }
 
-// recordWriteTime records when a record was written.
+// recordWriteTime records the running time at which a record was written.
 func (d *disk) recordWriteTime(key ids.RegisterKey) {
 	if d.writtenAt == nil {
 		d.writtenAt = map[ids.RegisterKey]time.Duration{}
@@ -39,7 +38,7 @@
 	d.writtenAt[key] = d.runningTime()
 }
 
-// schedulePruning regularly deletes the idempotency records that have been kept for long enough.
+// schedulePruning periodically deletes the idempotency records whose retention has ended.
 func (d *disk) schedulePruning(p *process) {
 	p.scheduleInRun(pruneInterval, func() {
 		if d.stalled {
@@ -52,7 +51,7 @@
 		}
 		now, pruned := d.runningTime(), 0
 		d.runningBeforeStart, d.openedAt = now, d.world.now
-		// In order, so that one seed is one run.
+		// Iterate in key order to keep the run deterministic.
 		for _, key := range slices.Sorted(maps.Keys(d.writtenAt)) {
 			if pruned < maxPrunedPerPass && strings.HasPrefix(string(key), idempotencyRecords) && now-d.writtenAt[key] > retention {
 				delete(d.records, key)
--- a/internal/testsupport/simulator/process.go
+++ b/internal/testsupport/simulator/process.go
@@ -12,8 +12,8 @@
 	"dunlinwell/internal/dataplane/proxy"
 )
 
-// process is one simulated daemon process. Its state machine is the real one; what the machine asks
-// for is done here, in virtual time.
+// process is one simulated daemon process. It runs the daemon's real state machine and executes its
+// commands in virtual time.
 type process struct {
 	world   *World
 	name    string
@@ -22,10 +22,11 @@
 	address ids.Address
 	up      bool
 	frozen  bool
-	// generation counts runs, so that what one run has scheduled doesn't reach the next.
+	// generation counts the runs of the process, so that events scheduled in one run are dropped in
+	// the next.
 	generation int
 	startedAt  ids.Time
-	// clockOffset is how far the wall clock is off.
+	// clockOffset is the error of the wall clock.
 	clockOffset time.Duration
 	machine     event.Machine
 	backlog     []func()
@@ -35,34 +36,35 @@
 	dispatchers *dispatchers
 	calls       map[uint64]func(registry.Response)
 	nextID      uint64
-	// removed: the machine was replaced, and the process doesn't come back.
+	// removed is set once the machine has been replaced; the process doesn't start again.
 	removed bool
-	// bootstrap: the settings say that the next start is the first one ever.
+	// bootstrap is the setting that permits a store to bootstrap at its next start.
 	bootstrap bool
-	// impairedAt is when it was last seen impaired.
+	// impairedAt is the last time at which the store was impaired.
 	impairedAt ids.Time
-	// seeds are the addresses that the settings name for the next start.
+	// seeds are the seed addresses in the settings for the next start.
 	seeds []ids.Address
-	// linkOut and linkIn are when the process's links will be free again.
+	// linkOut and linkIn are when the process's links will have sent and received all queued
+	// messages.
 	linkOut, linkIn ids.Time
-	// cpuMillis is the CPU time that all runs have spent, in milliseconds.
+	// cpuMillis is the CPU time used in all runs, in milliseconds.
 	cpuMillis float64
 }
 
-// The intervals of timer ticks, as the daemons have them.
+// The intervals of timer ticks are those of the daemons.
 const (
 	dispatcherTick = 20 * time.Millisecond
 	controlTick    = 50 * time.Millisecond
 )
 
-// socketBacklog is how many events the sockets of a frozen process hold; the rest is lost.
+// socketBacklog is how many events the sockets of a frozen process buffer; further ones are lost.
 const socketBacklog = 500
 
-// now is the process's monotonic time, which goes on while it is frozen.
+// now returns the process's monotonic time, which also advances while it is frozen.
 func (p *process) now() ids.Time { return p.world.now - p.startedAt + 1 }
 
-// scheduleInRun does something within this run of the process: when it wakes if it is frozen, and never if
-// it was killed.
+// scheduleInRun schedules f within this run of the process. If the process is frozen by then, f
+// runs when it resumes; if it was killed, f never runs.
 func (p *process) scheduleInRun(d time.Duration, f func()) {
 	generation := p.generation
 	p.world.schedule(d, func() {
@@ -76,8 +78,8 @@
 	})
 }
 
-// deliver passes an event to the machine. A frozen process receives it when it wakes, as far as its
-// sockets can hold it.
+// deliver passes an event to the machine. A frozen process receives it when it resumes, unless its
+// socket backlog is full.
 func (p *process) deliver(ev event.Event) {
 	if !p.up {
 		return
@@ -96,7 +98,7 @@
 	p.execute(p.machine.Step(p.now(), ev))
 }
 
-// execute carries out the commands of a step.
+// execute executes the commands of a step.
 func (p *process) execute(commands []event.Command) {
 	for _, command := range commands {
 		switch command := command.(type) {
@@ -117,7 +119,7 @@
 			p.kill()
 			return
 		case store.RecoverResponse:
-			p.world.trace("%s answers the order to recover: %q", p.name, command.Rejection)
+			p.world.trace("%s answers the recovery request: %q", p.name, command.Rejection)
 		default:
 			p.dispatchers.executeControl(command)
 		}
@@ -145,8 +147,8 @@
 	p.scheduleTicks(tickEvery)
 }
 
-// makeMachine makes the state machine of the process's role, completes the header of its trace and
-// returns the interval of its timer ticks.
+// makeMachine creates the state machine for the process's role, completes the trace header and
+// returns the interval of timer ticks.
 func (p *process) makeMachine(header *TraceHeader) time.Duration {
 	membershipOptions := header.Membership
 	switch p.role {
@@ -172,7 +174,7 @@
 	return controlTick
 }
 
-// scheduleTicks gives the machine a timer tick every so often while it runs.
+// scheduleTicks delivers timer ticks at an interval while the process runs.
 func (p *process) scheduleTicks(every time.Duration) {
 	p.scheduleInRun(every, func() {
 		if p.dispatchers != nil {
@@ -183,7 +185,7 @@
 	})
 }
 
-// kill ends the run at once. What the disk had not synced is lost.
+// kill ends the run at once. Records that were not synced are lost.
 func (p *process) kill() {
 	if !p.up {
 		return
@@ -199,7 +201,7 @@
 	}
 }
 
-// freeze suspends the process for a time, as SIGSTOP or a paused virtual machine does.
+// freeze suspends the process for a duration, like SIGSTOP or a paused virtual machine.
 func (p *process) freeze(d time.Duration) {
 	if !p.up || p.frozen {
 		return
@@ -216,7 +218,7 @@
 
 // unfreeze resumes the process and handles its backlog.
 func (p *process) unfreeze() {
-	p.world.trace("%s wakes", p.name)
+	p.world.trace("%s resumes", p.name)
 	p.frozen = false
 	backlog := p.backlog
 	p.backlog = nil
--- a/internal/testsupport/simulator/store_repair.go
+++ b/internal/testsupport/simulator/store_repair.go
@@ -10,7 +10,7 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// wipeStore kills a store, loses its disk and starts it again after a time.
+// wipeStore kills a store, wipes its disk and restarts it after a delay.
 func (w *World) wipeStore(p *process, down time.Duration) {
 	w.trace("the disk of %s is lost", p.name)
 	p.kill()
@@ -22,8 +22,8 @@
 	})
 }
 
-// voterSetComplete reports whether every store that has not been removed is up, has the same voter set
-// with itself in it, and may vote by its own synced disk.
+// voterSetComplete reports whether every store that has not been removed is up, is a member of the
+// same voter set, and has a complete copy of the registers on its synced disk.
 func (w *World) voterSetComplete() bool {
 	var number uint64
 	stores := 0
@@ -49,18 +49,18 @@
 
 // hasCompleteCopy reports whether a disk holds a complete copy of the registers.
 func hasCompleteCopy(d *disk) bool {
-	standing, known := consensus.ReadDiskState(d)
-	return known && standing == consensus.Complete
+	state, known := consensus.ReadDiskState(d)
+	return known && state == consensus.Complete
 }
 
-// awaitVoterSetComplete calls then with the time until voterSetComplete, looking every 10 ms; negative if
-// it took longer than the bound.
+// awaitVoterSetComplete calls then with the time until voterSetComplete, or with -1 if that exceeds
+// the bound.
 func (w *World) awaitVoterSetComplete(bound time.Duration, then func(time.Duration)) {
 	w.await(w.voterSetComplete, bound, then)
 }
 
-// wipeInSequence loses the disks of stores one after the other, each a gap after the previous machine
-// is back, and calls then with the time that each repair took.
+// wipeInSequence wipes the disks of stores one after the other, each a gap after the previous store
+// restarted, and calls then with the duration of each repair, or with -1 if that exceeds the gap.
 func (w *World) wipeInSequence(order []int, gap time.Duration, then func(time.Duration)) {
 	const down = 200 * time.Millisecond
 	at := time.Duration(0)
@@ -73,25 +73,25 @@
 	}
 }
 
-// restartBlank does what the daemon does on the command store.Retire: set the data directory aside
-// and start without one.
+// restartBlank executes store.Retire as the daemon does: it moves the data directory aside and
+// restarts with an empty one.
 func (p *process) restartBlank() {
-	p.world.trace("%s sets its folder aside", p.name)
+	p.world.trace("%s moves its data directory aside", p.name)
 	p.kill()
 	p.disk.wipe()
 	p.start()
 }
 
-// restoreOldDisk gives a store a disk as it was at an earlier time.
+// restoreOldDisk restarts a store with an older copy of its disk.
 func (p *process) restoreOldDisk(records map[ids.RegisterKey][]byte, id, run uint64) {
-	p.world.trace("an old disk of %s is put back", p.name)
+	p.world.trace("an old disk of %s is restored", p.name)
 	p.kill()
 	p.disk.wipe()
 	p.disk.records, p.disk.storeID, p.disk.runNumber = records, id, run
 	p.start()
 }
 
-// fillStores puts the same accepted values on every store's disk, as a large state would.
+// fillStores writes the same accepted values to every store's disk, to simulate a large state.
 func (w *World) fillStores(registers, size int) {
 	for i := range registers {
 		raw, err := wire.Encode(consensus.RegisterState{Promised: ids.Ballot{Counter: 1}, Accepted: ids.Ballot{Counter: 1}, Value: make([]byte, size)})
