--- a/internal/testsupport/simulator/client_delivery.go
+++ b/internal/testsupport/simulator/client_delivery.go
@@ -10,7 +10,7 @@
 	"dunlinwell/internal/testsupport/checker"
 )
 
-// delivery is an attempt on its way to a proxy and back.
+// delivery is the transmission of an attempt to a proxy and of its response back.
 type delivery struct {
 	world    *World
 	request  *pendingRequest
@@ -19,7 +19,7 @@
 	ended    bool
 }
 
-// end ends the attempt, unless it has ended.
+// end ends the attempt unless it has already ended.
 func (d *delivery) end(class string) {
 	if d.ended {
 		return
@@ -29,12 +29,12 @@
 	d.world.responded(d.request, d.response)
 }
 
-// endAfter ends the attempt after a delay, unless it has ended by then.
+// endAfter ends the attempt after a delay unless it has already ended.
 func (d *delivery) endAfter(delay time.Duration, class string) {
 	d.world.schedule(delay, func() { d.end(class) })
 }
 
-// deliver carries an attempt to a proxy and its response back.
+// deliver sends an attempt to a proxy and returns the response to the client.
 func (w *World) deliver(request *pendingRequest, response checker.ClientResponse, address ids.Address) {
 	p := w.processByAddress[address]
 	response.Proxy = string(address)
@@ -58,7 +58,7 @@
 	w.schedule(w.latency(request.zone, p.zone), func() { d.arrive(p) })
 }
 
-// arrive passes the request to the proxy, which may have stopped meanwhile.
+// arrive passes the request to the proxy, which may have stopped since it was sent.
 func (d *delivery) arrive(p *process) {
 	w, request := d.world, d.request
 	if !p.up {
@@ -77,11 +77,11 @@
 	})
 }
 
-// maxDisconnectDelay is how long after the arrival of its request a client leaves at most, if it leaves:
-// long enough for attempts to be under way, or over.
+// maxDisconnectDelay is the maximum delay of a client disconnect after the arrival of the request:
+// long enough for the proxy's attempt to be in progress or complete.
 const maxDisconnectDelay = 60 * time.Millisecond
 
-// maybeDisconnect has some clients close their connection before the response.
+// maybeDisconnect makes some clients close their connection before the response.
 func (d *delivery) maybeDisconnect(p *process, generation int, id ids.RequestID) {
 	w := d.world
 	if w.clients.disconnectShare == 0 || w.random.Float64() >= w.clients.disconnectShare {
@@ -104,13 +104,13 @@
 func (d *delivery) receive(p *process, answer dispatch.Response) {
 	d.response.Status, d.response.Body = answer.Status, string(answer.TargetResponse.Body)
 	if answer.Class == dispatch.Answered && !strings.HasPrefix(d.response.Body, d.request.token+"/") {
-		d.response.Problem = "answer is " + d.response.Body
+		d.response.Problem = "response body is " + d.response.Body
 	}
 	d.world.closeIfDrained(p, d.request, d.response)
 	d.end(responseClasses[answer.Class])
 }
 
-// responseClasses gives the checker's class of each class of response.
+// responseClasses maps the dispatcher's response classes to those of the checker.
 var responseClasses = map[dispatch.ResponseClass]string{
 	dispatch.Rejected:    checker.ClassRejected,
 	dispatch.Unknown:     checker.ClassUnknown,
--- a/internal/testsupport/simulator/client_departures.go
+++ b/internal/testsupport/simulator/client_departures.go
@@ -7,22 +7,23 @@
 	"dunlinwell/internal/dataplane/dispatch"
 )
 
-// clientDisconnect is what a request's proxy knows of its client's departure, and does about it.
+// clientDisconnect is a proxy's state of the disconnect of a request's client.
 type clientDisconnect struct {
-	// at is when the proxy was told; 0 if the client has not left.
+	// at is when the proxy noticed the disconnect; 0 if the client is connected.
 	at ids.Time
-	// cancelUnsent and cancelSent: the dispatcher has canceled the attempt, the latter also
-	// if it was sent.
+	// cancelUnsent is set when the dispatcher cancels the attempt; cancelSent, if the cancellation
+	// also applies to an attempt that was sent.
 	cancelUnsent, cancelSent bool
-	// abort closes the connection of an attempt that was sent; nil if there is none.
+	// abort closes the connection of the attempt that was sent; nil if none was.
 	abort func()
 }
 
-// disconnectGrace is within how long a departure must have taken effect at a target, beside the time
-// that the way there takes.
+// disconnectGrace is the time, beyond the one-way latency, within which a target must stop work
+// after a client disconnect.
 const disconnectGrace = 5 * time.Millisecond
 
-// clientDisconnected tells a dispatcher that the client of a request has closed its connection.
+// clientDisconnected notifies the dispatcher that the client of a request has closed its
+// connection.
 func (d *dispatchers) clientDisconnected(id ids.RequestID) {
 	request := d.requestsByID[id]
 	if request == nil {
@@ -34,7 +35,7 @@
 	}
 }
 
-// cancel carries out a CancelForward.
+// cancel executes a CancelForward.
 func (d *dispatchers) cancel(c dispatch.CancelForward) {
 	request := d.requestsByID[c.ID]
 	if request == nil {
@@ -46,17 +47,18 @@
 	}
 }
 
-// checkSentBeforeDisconnect reports a request whose first byte leaves after its client has left.
+// checkSentBeforeDisconnect reports a violation if a request is sent after its client disconnected.
 func (r *forwardedRequest) checkSentBeforeDisconnect(p *process) {
-	if left := r.disconnect.at; left != 0 && p.now() > left {
-		p.world.Checker.Violation("%s sent %s %s after its client had left", p.name, r.requestToken, p.now().Sub(left))
+	if disconnected := r.disconnect.at; disconnected != 0 && p.now() > disconnected {
+		p.world.Checker.Violation("%s sent %s %s after its client disconnected", p.name, r.requestToken, p.now().Sub(disconnected))
 	}
 }
 
-// checkWorkAfterDisconnect reports a target that still works on a repeatable request after its client has left.
+// checkWorkAfterDisconnect reports a violation if a target still works on a repeatable request
+// after its client disconnected.
 func (r *forwardedRequest) checkWorkAfterDisconnect(t *target, oneWay time.Duration) {
-	left := r.disconnect.at
-	if r.Repeatable && left != 0 && t.world.now.Sub(left) > oneWay+disconnectGrace {
-		t.world.Checker.Violation("%s worked on %s for %s after its client had left", t.id, r.requestToken, t.world.now.Sub(left))
+	disconnected := r.disconnect.at
+	if r.Repeatable && disconnected != 0 && t.world.now.Sub(disconnected) > oneWay+disconnectGrace {
+		t.world.Checker.Violation("%s worked on %s for %s after its client disconnected", t.id, r.requestToken, t.world.now.Sub(disconnected))
 	}
 }
--- a/internal/testsupport/simulator/clients.go
+++ b/internal/testsupport/simulator/clients.go
@@ -10,28 +10,28 @@
 	"dunlinwell/internal/testsupport/checker"
 )
 
-// client is the name of clients in partitions and exchanges.
-const client = "consumer"
+// client is the name of all clients in partitions and exchanges.
+const client = "client"
 
-// clientState is the state of the stand-in clients.
+// clientState is the state of the simulated clients.
 type clientState struct {
 	requests    int
 	stopped     bool
 	connections map[string]longLivedConnection
-	// disconnectShare is the share of attempts whose client leaves before long.
+	// disconnectShare is the share of attempts whose client disconnects before the response.
 	disconnectShare float64
 }
 
-// longLivedConnection is an open connection of a client, which sends requests on it without asking
-// the directory.
+// longLivedConnection is an open connection of a client, on which it sends requests without a
+// directory lookup.
 type longLivedConnection struct {
 	proxy ids.Address
 	zone  ids.Name
 	until ids.Time
 }
 
-// longLivedClientsPerRoute is how many clients of a zone and route keep connections. There are few
-// if connections are kept briefly, or none would be used twice.
+// longLivedClientsPerRoute returns the number of clients per zone and route that keep connections.
+// It is small if connections are short, so that they are still reused.
 func (w *World) longLivedClientsPerRoute() int {
 	if w.HoldConnectionsFor >= time.Minute {
 		return 40
@@ -42,11 +42,11 @@
 const (
 	// attemptTimeout is how long a client waits for the response to an attempt.
 	attemptTimeout = 4 * time.Second
-	// maxAttempts is how often a client sends a request at most.
+	// maxAttempts is the maximum number of attempts of a request.
 	maxAttempts = 4
 )
 
-// arrivals sends requests at the plan's rate until the clients are stopped.
+// arrivals sends requests at Options.Rate until the clients are stopped.
 func (w *World) arrivals() {
 	if w.clients.stopped {
 		return
@@ -59,21 +59,20 @@
 	})
 }
 
-// pendingRequest is an attempt of a request, with what its retries share.
+// pendingRequest is one attempt of a request, with the fields that its retries share.
 type pendingRequest struct {
 	route          blueprint.Route
 	zone           ids.Name
 	token          string
 	idempotencyKey ids.IdempotencyKey
 	attempt        int
-	// sendsAttemptCount: the client sends the number of each attempt.
+	// sendsAttemptCount is set if the client sends its attempt number.
 	sendsAttemptCount bool
-	// connection identifies the client among those that keep connections; empty if it
-	// keeps none.
+	// connection is the key in clientState.connections; empty if the client keeps no connection.
 	connection string
 }
 
-// newRequest draws the first attempt of a request.
+// newRequest draws a request and returns its first attempt.
 func (w *World) newRequest() *pendingRequest {
 	request := &pendingRequest{zone: w.Plan.Zone(w.random.IntN(w.Plan.Zones)), attempt: 1}
 	draw := w.random.Float64()
@@ -84,7 +83,7 @@
 			break
 		}
 	}
-	// Some use the route that operators move between services.
+	// Some requests use the route that operators move between services.
 	if w.operators.routeFlipped && w.random.IntN(12) == 0 {
 		request.route = blueprint.Route{Name: blueprint.FlippedRoute, Repeatable: true}
 	}
@@ -102,7 +101,8 @@
 	return request
 }
 
-// sendRequest sends an attempt on a kept connection, or to where the directory says.
+// sendRequest sends an attempt over a long-lived connection or to a proxy that the directory
+// returns.
 func (w *World) sendRequest(request *pendingRequest) {
 	response := checker.ClientResponse{Sent: w.wallTime(), Token: request.token, IdempotencyKey: string(request.idempotencyKey), Attempt: request.attempt, Class: checker.ClassUnreached, NoAnswerOwed: request.route.Name == blueprint.FlippedRoute}
 	if connection, ok := w.clients.connections[request.connection]; ok && w.now < connection.until && request.attempt == 1 {
@@ -128,20 +128,19 @@
 	}, func() { w.responded(request, response) })
 }
 
-// responded records the end of an attempt. A client without an answer retries under the same
-// idempotency key.
+// responded records the end of an attempt and retries with the same idempotency key if the request
+// was not answered.
 func (w *World) responded(request *pendingRequest, response checker.ClientResponse) {
 	if response.At.IsZero() {
 		response.At = w.wallTime()
 	}
 	w.Checker.RequestAnswered(response)
-	// A client drops a connection that is dead.
+	// Clients drop broken connections.
 	if response.Held && (response.Class == checker.ClassUnreached || response.Class == checker.ClassLost) {
 		delete(w.clients.connections, request.connection)
 	}
 	w.trace("%s attempt %d %s %s at %s", request.token, request.attempt, response.Class, response.Body, response.Proxy)
-	// At times a client that has its answer retries all the same: it must get the
-	// same answer.
+	// Some clients retry an answered request, which must return the same response.
 	done := response.Class == checker.ClassAnswered && (request.idempotencyKey == "" || w.random.IntN(8) > 0)
 	if done || response.Class == checker.ClassClientError || request.attempt >= maxAttempts {
 		return
@@ -151,13 +150,13 @@
 	w.schedule(w.randomDuration(200*time.Millisecond, time.Duration(request.attempt)*600*time.Millisecond), func() { w.sendRequest(&next) })
 }
 
-// closeIfDrained closes a long-lived connection after a response if the zone of its proxy is
-// drained, as the real front end does, so that no new work comes down it.
+// closeIfDrained closes a long-lived connection after a response if the proxy's zone is drained, as
+// the front end does, so that no further requests arrive on it.
 func (w *World) closeIfDrained(p *process, request *pendingRequest, response checker.ClientResponse) {
 	if !response.Held || !p.dispatchers.servingState.ZoneDrained && !w.Defect.CloseLongLived {
 		return
 	}
 	delete(w.clients.connections, request.connection)
-	// A proxy without a lease serves nobody anyway, and may not know that the draining ended.
-	w.Checker.ConnectionClosed(checker.ClosedConnection{At: w.wallTime(), Proxy: p.name, Zone: p.zone, Why: "after an answer", Excused: !p.dispatchers.servingState.LeaseValid})
+	// A proxy without a lease serves no requests and may not know that the zone was restored.
+	w.Checker.ConnectionClosed(checker.ClosedConnection{At: w.wallTime(), Proxy: p.name, Zone: p.zone, Why: "after a response", Excused: !p.dispatchers.servingState.LeaseValid})
 }
--- a/internal/testsupport/simulator/configuration_checks.go
+++ b/internal/testsupport/simulator/configuration_checks.go
@@ -12,22 +12,23 @@
 
 const (
 	millisecond = time.Millisecond
-	// maxRecoveryTime is how soon every request must be answered once the faults are over.
+	// maxRecoveryTime is the time after the end of the faults from which every request must be
+	// answered.
 	maxRecoveryTime = 15 * time.Second
-	// maxReadyLag is how soon a proxy that is ready must have an accepted change.
+	// maxReadyLag is the time within which ready proxies must adopt an accepted change.
 	maxReadyLag = 2 * time.Second
-	// maxServingLag is how soon every proxy that still serves must have it.
+	// maxServingLag is the time within which all serving proxies must adopt it.
 	maxServingLag = 3 * time.Second
 )
 
-// checkRevisionInForce checks, once an accepted revision must be in force, that every proxy that serves has
-// it.
+// checkRevisionInForce checks that every proxy that is ready or serves has adopted an accepted
+// revision within maxReadyLag or maxServingLag.
 func (w *World) checkRevisionInForce(revision ids.Revision) {
-	check := func(after time.Duration, counts func(*dispatchers) bool) {
+	check := func(after time.Duration, mustHave func(*dispatchers) bool) {
 		w.schedule(after, func() {
 			for _, p := range w.processes {
-				if p.role == membership.Proxy && p.up && !p.frozen && counts(p.dispatchers) && p.dispatchers.adoptedRevision < revision {
-					w.Checker.Violation("%s goes by revision %d, %s after %d was accepted", p.name, p.dispatchers.adoptedRevision, after, revision)
+				if p.role == membership.Proxy && p.up && !p.frozen && mustHave(p.dispatchers) && p.dispatchers.adoptedRevision < revision {
+					w.Checker.Violation("%s uses revision %d, %s after %d was accepted", p.name, p.dispatchers.adoptedRevision, after, revision)
 				}
 			}
 		})
@@ -36,8 +37,8 @@
 	check(maxServingLag, func(d *dispatchers) bool { return d.servingState.LeaseValid })
 }
 
-// readConfiguration makes a linearizable read: it may not give an older revision than any known
-// before.
+// readConfiguration makes a linearizable read, which must not return a revision older than any
+// accepted or read before the call.
 func (w *World) readConfiguration() {
 	floor, called := w.Checker.KnownRevision(), w.now
 	w.callAnyRegistry(operator, w.Plan.Zone(0), func(id uint64) any { return registry.ReadConfigurationCall{ID: id} }, func(response registry.Response) {
@@ -46,7 +47,8 @@
 	}, nil)
 }
 
-// checkRead gives the checker what a read returned; false if that was no configuration.
+// checkRead passes the result of a read to the checker. It returns false if the response is not a
+// configuration.
 func (w *World) checkRead(reader string, response registry.Response, floor uint64) bool {
 	document, ok := response.Body.(*configuration.Document)
 	if !ok {
@@ -54,14 +56,14 @@
 	}
 	seen, err := checker.ParseConfiguration(encodeConfiguration(document))
 	if err != nil {
-		w.Checker.Violation("%s gave no policy: %v", reader, err)
+		w.Checker.Violation("%s returned an invalid configuration: %v", reader, err)
 		return true
 	}
 	w.Checker.ConfigurationRead(reader, seen, floor)
 	return true
 }
 
-// configurationAdopted checks that the configuration of a proxy never goes back.
+// configurationAdopted checks that the configuration revision of a proxy never decreases.
 func (w *World) configurationAdopted(d *dispatchers, v *configuration.View) {
 	if v.Revision < d.adoptedRevision {
 		w.Checker.Violation("%s went back from revision %d to %d", d.process.name, d.adoptedRevision, v.Revision)
@@ -69,8 +71,8 @@
 	d.adoptedRevision = v.Revision
 }
 
-// verifyLedger reads the configuration through every registry and checks it against all that was
-// accepted.
+// verifyLedger reads the configuration through every registry and checks it against all accepted
+// changes.
 func (w *World) verifyLedger(when string) {
 	for _, p := range w.processes {
 		if p.role != membership.Registry || p.removed {
@@ -83,7 +85,7 @@
 		}, nil)
 		w.schedule(5*time.Second, func() {
 			if !read {
-				w.Checker.Violation("%s: the policy can't be read through %s", when, p.name)
+				w.Checker.Violation("%s: the configuration can't be read through %s", when, p.name)
 			}
 		})
 	}
--- a/internal/testsupport/simulator/defect_test.go
+++ b/internal/testsupport/simulator/defect_test.go
@@ -18,7 +18,7 @@
 	"dunlinwell/internal/state/idempotency"
 )
 
-// Every rule of the checker finds the mistake it is there for, planted as a defect.
+// Every rule of the checker detects its violation, planted as a defect.
 func TestChecker_DetectsPlantedDefects(t *testing.T) {
 	for name, c := range map[string]struct {
 		want   string
@@ -28,82 +28,82 @@
 		lease  time.Duration
 		hot    bool
 	}{
-		"double run":    {want: "run twice", defect: Defect{Ops: map[consensus.Op]consensus.ChangeFunc{idempotency.OpClaim: grantEveryClaim}}},
-		"half a change": {want: "reads back as", defect: Defect{Ops: map[consensus.Op]consensus.ChangeFunc{configuration.OpChange: applyHalf}}},
-		"forgotten": {want: "was known|reads back as|given to", defect: Defect{DiskForgets: true}, script: func(w *World) {
-			// Every store loses power at once, again and again.
+		"idempotency key claimed twice": {want: "run twice", defect: Defect{Ops: map[consensus.Op]consensus.ChangeFunc{idempotency.OpClaim: grantEveryClaim}}},
+		"change applied in part":        {want: "reads back as", defect: Defect{Ops: map[consensus.Op]consensus.ChangeFunc{configuration.OpChange: applyHalf}}},
+		"synced records lost": {want: "was known|reads back as|given to", defect: Defect{DiskForgets: true}, script: func(w *World) {
+			// All stores lose power at once, repeatedly.
 			w.repeat(8*time.Second, 6*time.Second, 5, func(int) {
 				for _, p := range w.processes[:3] {
 					w.restartProcess(p, time.Second)
 				}
 			})
 		}},
-		"foreign target": {want: "got a request meant for", defect: Defect{SkipIdentityCheck: true, Message: alterPushes(func(p *distribution.Push) {
-			// The proxies learn of no incarnation but the first.
+		"request sent to wrong target": {want: "received a request for", defect: Defect{SkipIdentityCheck: true, Message: alterPushes(func(p *distribution.Push) {
+			// The proxies learn only the first incarnation of each target.
 			p.Targets = slices.DeleteFunc(p.Targets, func(t targets.Target) bool { return t.Incarnation > 2001 })
 			for i := range p.Targets {
 				p.Targets[i].Draining, p.Targets[i].Dead = false, false
 			}
 		})}},
-		"false busy": {want: "for what ran", defect: Defect{Response: func(r dispatch.Response) dispatch.Response {
+		"rejection of an executed request": {want: "for what ran", defect: Defect{Response: func(r dispatch.Response) dispatch.Response {
 			if r.Class == dispatch.Unknown {
 				r.Class, r.Status = dispatch.Rejected, 503
 			}
 			return r
 		}}},
-		"foreign answer": {want: "not the target's own", defect: Defect{Response: func(r dispatch.Response) dispatch.Response {
+		"response altered by proxy": {want: "not the target's own", defect: Defect{Response: func(r dispatch.Response) dispatch.Response {
 			if r.Class == dispatch.Answered {
 				r.TargetResponse.Body = append([]byte("x"), r.TargetResponse.Body...)
 			}
 			return r
 		}}},
-		"not in force": {want: "that another was accepted over", defect: Defect{Message: alterPushes(func(p *distribution.Push) {
+		"accepted change not adopted": {want: "that another was accepted over", defect: Defect{Message: alterPushes(func(p *distribution.Push) {
 			if p.Revision > 3 {
 				p.Configuration, p.Revision = nil, 3
 			}
 		})}},
-		"left target": {want: "known gone or leaving", script: targetsDrained, defect: Defect{SkipIdentityCheck: true, Message: alterPushes(func(p *distribution.Push) {
+		"request sent to drained target": {want: "known gone or leaving", script: targetsDrained, defect: Defect{SkipIdentityCheck: true, Message: alterPushes(func(p *distribution.Push) {
 			for i := range p.Targets {
 				p.Targets[i].Draining, p.Targets[i].Dead = false, false
 			}
 		})}},
-		"flood": {want: "flooded", rate: 400, defect: Defect{SkipIdentityCheck: true, Message: alterPushes(func(p *distribution.Push) {
+		"cold target overloaded": {want: "flooded", rate: 400, defect: Defect{SkipIdentityCheck: true, Message: alterPushes(func(p *distribution.Push) {
 			for i := range p.Targets {
 				p.Targets[i].Warmth, p.Targets[i].AgeMillis, p.Targets[i].Capacity = 1, 1e6, 200
 			}
 		})}},
-		"retries": {want: "retries past", script: loseResponsesLate, defect: Defect{Message: alterPushes(replaceInPush(`"allowance":10`, `"allowance":900`))}},
-		"marks forgotten": {want: "run twice", defect: Defect{IdempotencyRetention: 300 * time.Millisecond}, script: func(w *World) {
-			// Proposers remember for a while what disks forgot: they restart.
+		"retry budget exceeded": {want: "retries past", script: loseResponsesLate, defect: Defect{Message: alterPushes(replaceInPush(`"allowance":10`, `"allowance":900`))}},
+		"idempotency records deleted early": {want: "run twice", defect: Defect{IdempotencyRetention: 300 * time.Millisecond}, script: func(w *World) {
+			// Restart the stores, since proposers cache records that the disks deleted.
 			responsesLost(w)
 			w.repeat(time.Second, 900*time.Millisecond, 36, func(i int) { w.restartProcess(w.processes[i%3], 150*time.Millisecond) })
 		}},
-		// Leases without end: a proxy that is cut off serves on.
-		"emptied in a split": {want: "emptied over", lease: time.Hour, script: zoneDrainedDuringPartition},
-		// Nor does it expire silent targets, or learn from other proxies.
-		"unheard of":          {want: "known gone or leaving", lease: time.Hour, script: declaredDeadButRunning, defect: Defect{Message: dropLeaseGossip}},
-		"moved in a split":    {want: "that another was accepted over", lease: time.Hour, rate: 200, script: configurationMovedDuringPartition, defect: Defect{Message: dropLeaseGossip}},
-		"held circuit closed": {want: "held circuit", hot: true, defect: Defect{CloseLongLived: true}},
-		"urgent routes moved": {want: "urgent route moved", hot: true, defect: Defect{Message: alterTables(func(t *spill.Table) { t.Moves = rotateRoutes(t.Moves) })}},
-		"far cells first":     {want: "move to a far cell", hot: true, defect: Defect{Message: alterTables(func(t *spill.Table) { t.Moves = moveToFarZones(t.Moves) })}},
-		"others' traffic first": {want: "before calling its own home", hot: true, defect: Defect{Message: alterTables(func(t *spill.Table) {
-			// At intervals, so that the moves are seen to begin.
+		// With an endless lease, partitioned proxies keep serving.
+		"zone drained during partition": {want: "emptied over", lease: time.Hour, script: zoneDrainedDuringPartition},
+		// Partitioned proxies also keep silent targets and learn nothing from other proxies.
+		"dead target still used":       {want: "known gone or leaving", lease: time.Hour, script: declaredDeadButRunning, defect: Defect{Message: dropLeaseGossip}},
+		"route moved during partition": {want: "that another was accepted over", lease: time.Hour, rate: 200, script: configurationMovedDuringPartition, defect: Defect{Message: dropLeaseGossip}},
+		"long-lived connection closed": {want: "held circuit", hot: true, defect: Defect{CloseLongLived: true}},
+		"urgent routes moved first":    {want: "urgent route moved", hot: true, defect: Defect{Message: alterTables(func(t *spill.Table) { t.Moves = rotateRoutes(t.Moves) })}},
+		"far zones used first":         {want: "move to a far cell", hot: true, defect: Defect{Message: alterTables(func(t *spill.Table) { t.Moves = moveToFarZones(t.Moves) })}},
+		"other zones' traffic accepted first": {want: "before calling its own home", hot: true, defect: Defect{Message: alterTables(func(t *spill.Table) {
+			// Alternate, so that the checker observes the beginning of the moves.
 			if t.Number%4 >= 2 {
 				t.Moves = addOpposingMoves(t.Moves)
 			}
 		})}},
-		"order refused when it came again": {want: "refused with 409 when it came again", defect: Defect{Confirm: rejectResentChanges()}, script: operatorResponsesLost},
-		"acted before the sync":            {want: "was known|reads back as|given to", defect: Defect{SyncLate: true}, script: powerLostAfterAcks},
-		// The closing fault is the only one.
-		"acted before the last sync":     {want: "was known|reads back as|given to", defect: Defect{SyncLate: true}, script: func(*World) {}},
-		"blank store keeps its identity": {want: "was known|reads back as|given to", defect: Defect{BlankKeepsIdentity: true}, script: wipedAndRestarted},
-		"new seeds lead nowhere":         {want: "can't be read", defect: Defect{DeadSeeds: true}, script: seedsReplacedThenMachines},
-		"deaf to departures":             {want: "after its client had left", script: clientsDisconnect, defect: Defect{DeafToDepartures: true}},
-		"reset taken for not sent":       {want: "run twice", defect: Defect{ResetIsUnsent: true}, script: connectionsReset},
-		"emptied cell":                   {want: "emptied", script: drainRepeatedly, defect: Defect{Message: alterPushes(replaceInPush(`"emptied":true`, `"emptied":false`))}},
-		"lease without end":              {want: "cut off, answered", script: Scenes["core-machine-1-cut-off-both-ways"], defect: Defect{ControlLease: time.Hour}},
-		"deaf planner":                   {want: "have planned for", script: Scenes["core-machine-1-cut-off-both-ways"], defect: Defect{ControlLease: time.Hour}},
-		"not restored": {want: "15 s after", defect: Defect{Message: func(_, to string, msg any) (any, bool) {
+		"resent change rejected":   {want: "rejected with 409 when resent", defect: Defect{Confirm: rejectResentChanges()}, script: operatorResponsesLost},
+		"acknowledged before sync": {want: "was known|reads back as|given to", defect: Defect{SyncLate: true}, script: powerLostAfterAcks},
+		// Only the closing fault is injected.
+		"acknowledged before last sync":         {want: "was known|reads back as|given to", defect: Defect{SyncLate: true}, script: func(*World) {}},
+		"blank store keeps its ID":              {want: "was known|reads back as|given to", defect: Defect{BlankKeepsIdentity: true}, script: wipedAndRestarted},
+		"new seeds unreachable":                 {want: "can't be read", defect: Defect{DeadSeeds: true}, script: seedsReplacedThenMachines},
+		"client disconnects ignored":            {want: "after its client disconnected", script: clientsDisconnect, defect: Defect{DeafToDepartures: true}},
+		"reset reported as not sent":            {want: "run twice", defect: Defect{ResetIsUnsent: true}, script: connectionsReset},
+		"drained zone still served":             {want: "emptied", script: drainRepeatedly, defect: Defect{Message: alterPushes(replaceInPush(`"emptied":true`, `"emptied":false`))}},
+		"endless control lease: calls answered": {want: "partitioned, answered", script: Scenes["core-machine-1-cut-off-both-ways"], defect: Defect{ControlLease: time.Hour}},
+		"endless control lease: two planners":   {want: "have been planners for", script: Scenes["core-machine-1-cut-off-both-ways"], defect: Defect{ControlLease: time.Hour}},
+		"proxies without updates": {want: "15 s after", defect: Defect{Message: func(_, to string, msg any) (any, bool) {
 			_, push := msg.(distribution.Push)
 			return msg, !push || to != "proxy-1" && to != "proxy-2" && to != "proxy-3"
 		}}},
@@ -111,19 +111,19 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			found, bite := false, regexp.MustCompile(c.want)
+			found, pattern := false, regexp.MustCompile(c.want)
 			for seed := uint64(1); seed <= 8 && !found; seed++ {
 				p := Options{Seed: seed, Length: 40 * time.Second, Defect: c.defect, Rate: c.rate, Script: c.script, Lease: c.lease}
 				if c.hot {
 					p = Hot(seed)
-					p.Length = 420 * time.Second // long enough for moves to begin, and more to come
+					p.Length = 420 * time.Second // long enough for moves to begin and change
 					p.Defect = c.defect
 				}
 				for _, k := range Run(p).Results {
-					found = found || k.Violations > 0 && bite.MatchString(k.Rule+"\n"+strings.Join(k.More, "\n"))
+					found = found || k.Violations > 0 && pattern.MatchString(k.Rule+"\n"+strings.Join(k.More, "\n"))
 				}
 			}
-			is.True(found) // the planted defect was seen
+			is.True(found) // the planted defect is detected
 		})
 	}
 }
--- a/internal/testsupport/simulator/dispatchers.go
+++ b/internal/testsupport/simulator/dispatchers.go
@@ -14,8 +14,8 @@
 	"dunlinwell/internal/state/idempotency"
 )
 
-// dispatchers is the data plane of a simulated proxy: real dispatchers, and targets reached over
-// the simulated network.
+// dispatchers is the data plane of a simulated proxy: real dispatchers that reach targets over the
+// simulated network.
 type dispatchers struct {
 	process         *process
 	control         *proxy.Control
@@ -32,22 +32,22 @@
 	adoptedRevision ids.Revision
 }
 
-// forwardedRequest is a request that a proxy works on.
+// forwardedRequest is a request that a proxy is handling.
 type forwardedRequest struct {
 	dispatch.Job
 	requestToken string
-	// attempt is the client's own count, which Job.Attempt lacks if it isn't sent.
+	// attempt is the client's attempt number; Job.Attempt is 0 if the client doesn't send it.
 	attempt    int
 	onResponse func(dispatch.Response)
 	disconnect clientDisconnect
 }
 
-// newDispatchers makes the data plane of a run of a proxy.
+// newDispatchers returns the data plane for one run of a proxy.
 func newDispatchers(p *process, c *proxy.Control) *dispatchers {
 	return &dispatchers{process: p, control: c, byService: map[ids.Name]*dispatch.Dispatcher{}, requestsByID: map[ids.RequestID]*forwardedRequest{}, cpuMillis: map[[2]ids.Name]float64{}}
 }
 
-// dispatcher returns the dispatcher of a service, made when first needed.
+// dispatcher returns the dispatcher of a service, creating it on first use.
 func (d *dispatchers) dispatcher(service ids.Name) *dispatch.Dispatcher {
 	if d.byService[service] == nil {
 		d.byService[service] = dispatch.New(dispatch.Options{Random: d.process.random, Self: idempotency.Owner{Daemon: ids.DaemonID(d.process.name), RunID: d.process.runID}})
@@ -56,10 +56,10 @@
 	return d.byService[service]
 }
 
-// meterEvery is how often a proxy measures its usage.
+// meterEvery is the interval at which a proxy measures its usage.
 const meterEvery = 2 * time.Second
 
-// tick gives every dispatcher a timer tick and measures the usage when it is time.
+// tick delivers a timer tick to every dispatcher and measures the usage when due.
 func (d *dispatchers) tick() {
 	d.lastTick = d.process.now()
 	for _, service := range d.services {
@@ -89,14 +89,14 @@
 	d.process.deliver(sample)
 }
 
-// step passes an event to the dispatcher of a service and carries out its commands.
+// step passes an event to the dispatcher of a service and executes its commands.
 func (d *dispatchers) step(service ids.Name, ev event.Event) {
 	for _, c := range d.dispatcher(service).Step(d.process.now(), ev) {
 		d.execute(service, c)
 	}
 }
 
-// executeControl carries out a command of the control machine.
+// executeControl executes a command of the control machine.
 func (d *dispatchers) executeControl(c event.Command) {
 	switch c := c.(type) {
 	case proxy.DispatchEvent:
@@ -109,7 +109,7 @@
 	}
 }
 
-// execute carries out a command of a dispatcher.
+// execute executes a command of a dispatcher.
 func (d *dispatchers) execute(service ids.Name, c event.Command) {
 	p := d.process
 	switch c := c.(type) {
@@ -119,7 +119,7 @@
 		}
 		p.scheduleInRun(0, func() { p.deliver(proxy.IdempotencyRequest{Service: service, Call: c}) })
 	case dispatch.Forward:
-		// As with a real scheduler a moment passes, in which the process may freeze.
+		// Model a scheduling delay, during which the process may freeze.
 		p.scheduleInRun(p.world.randomDuration(0, 2*time.Millisecond), func() { d.forward(service, c) })
 	case dispatch.CancelForward:
 		d.cancel(c)
@@ -135,11 +135,11 @@
 	}
 }
 
-// dropRequests forgets all requests when the proxy is killed: their clients get no response.
+// dropRequests drops all requests when the proxy is killed. Their clients get no response.
 func (d *dispatchers) dropRequests() { d.requestsByID = map[ids.RequestID]*forwardedRequest{} }
 
-// receive handles a client's request as the real front end does. It returns the request's id; 0
-// if no dispatcher has got it.
+// receive handles a client's request like the front end. It returns the request's ID, or 0 if the
+// request was not passed to a dispatcher.
 func (d *dispatchers) receive(route ids.Name, token string, key ids.IdempotencyKey, number int, sendsAttemptCount bool, timeLeft time.Duration, respond func(dispatch.Response)) ids.RequestID {
 	var rule configuration.Route
 	ok := false
@@ -169,8 +169,8 @@
 	return job.ID
 }
 
-// respondRouteUnknown answers at a proxy that doesn't know the route yet. It rejects, which says
-// that nothing ran, only where no earlier attempt can have run.
+// respondRouteUnknown returns the response of a proxy that doesn't know the route yet. A rejection
+// means that the request did not run, so it is only used if no earlier attempt may have run.
 func respondRouteUnknown(attempt int, sendsAttemptCount bool, key ids.IdempotencyKey) dispatch.Response {
 	if (attempt > 1 || !sendsAttemptCount) && key != "" {
 		return dispatch.Response{Class: dispatch.Unknown, Status: 504}
@@ -178,7 +178,7 @@
 	return dispatch.Response{Class: dispatch.Rejected, Status: 503}
 }
 
-// sortedPairs lists the keys in order, so that one seed is one run.
+// sortedPairs returns the keys in a deterministic order.
 func sortedPairs(m map[[2]ids.Name]float64) [][2]ids.Name {
 	var out [][2]ids.Name
 	for k := range m {
--- a/internal/testsupport/simulator/forward.go
+++ b/internal/testsupport/simulator/forward.go
@@ -9,8 +9,8 @@
 	"dunlinwell/internal/state/idempotency"
 )
 
-// forward forwards a request as the real proxy does: connect, verify the identity of the target,
-// check once more that the request may be sent, send it, and wait for a complete response.
+// forward forwards a request like the proxy daemon: it connects, verifies the identity of the
+// target, checks again that the request may be sent, sends it and waits for the response.
 func (d *dispatchers) forward(service ids.Name, command dispatch.Forward) {
 	p, w := d.process, d.process.world
 	request := d.requestsByID[command.ID]
@@ -36,12 +36,12 @@
 	}
 	oneWay := w.latency(p.zone, receiver.zone)
 	p.scheduleInRun(2*oneWay, func() {
-		// A frozen target proves no identity: connecting times out.
+		// The handshake with a frozen target times out.
 		if receiver.frozen && !w.Defect.SkipIdentityCheck {
 			end(min(time.Second, max(command.Deadline.Sub(p.now()), 0)), notSent)
 			return
 		}
-		// The connection shows which target has the address now.
+		// The handshake shows which target has the address now.
 		if !w.Defect.SkipIdentityCheck && (!receiver.up || receiver.id != command.Target.Instance || receiver.service != command.Target.Service || receiver.incarnation != command.Target.Incarnation || receiver.draining) {
 			end(0, notSent)
 			return
@@ -54,8 +54,8 @@
 	})
 }
 
-// sendToTarget sends the bytes of a request. From here on the attempt may have run unless its
-// response is complete.
+// sendToTarget sends a request to a target. Once it is sent, the attempt may have run unless a
+// complete response arrives.
 func (d *dispatchers) sendToTarget(service ids.Name, command dispatch.Forward, request *forwardedRequest, receiver *target, oneWay time.Duration) {
 	p, w := d.process, d.process.world
 	ended := false
@@ -78,7 +78,7 @@
 	}})
 	p.scheduleInRun(max(command.Deadline.Sub(p.now()), 0), func() { end(mayHaveRun) })
 	request.disconnect.abort = func() { end(mayHaveRun) }
-	// A target whose connection was closed drops its work.
+	// A target drops the request if its connection was closed.
 	checkWorking := func() {
 		if !ended {
 			request.checkWorkAfterDisconnect(receiver, oneWay)
--- a/internal/testsupport/simulator/operator_changes.go
+++ b/internal/testsupport/simulator/operator_changes.go
@@ -7,15 +7,15 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// checkRepeatedResponse checks the answer to a change that may have been sent before: once accepted,
-// it must be confirmed again or left without a definite answer.
+// checkRepeatedResponse checks the response to a change that may be a resend: an accepted change
+// must not be rejected when it is resent.
 func (w *World) checkRepeatedResponse(id string, response registry.Response) {
 	if w.operators.confirmed[id] && !w.operators.changeRecordsLost && response.Status >= 400 && response.Status < 500 {
-		w.Checker.Violation("%s was taken, and refused with %d when it came again", id, response.Status)
+		w.Checker.Violation("%s was accepted, but rejected with %d when resent", id, response.Status)
 	}
 }
 
-// scheduleRepeat sometimes lets an accepted change arrive again, soon or much later.
+// scheduleRepeat resends some accepted changes after a delay of up to 20 s.
 func (w *World) scheduleRepeat(id, raw string) {
 	if w.random.IntN(4) > 0 || w.operators.changeRecordsLost {
 		return
@@ -23,18 +23,18 @@
 	w.schedule(w.randomDuration(0, 20*time.Second), func() { w.repeatChange(id, raw) })
 }
 
-// repeatChange sends an accepted change again.
+// repeatChange resends an accepted change.
 func (w *World) repeatChange(id, raw string) {
 	if w.operators.changeRecordsLost {
 		return
 	}
 	w.callAnyRegistry(operator, w.Plan.Zone(0), func(callID uint64) any { return registry.ChangeCall{ID: callID, Raw: []byte(raw)} }, func(response registry.Response) {
-		w.trace("operator: a copy of %s ends with %d", id, response.Status)
+		w.trace("operator: resent %s ends with %d", id, response.Status)
 		w.checkRepeatedResponse(id, response)
 	}, nil)
 }
 
-// sendChange sends a change until its outcome is known, under the same id each time.
+// sendChange sends a change, retrying with the same ID until its outcome is known.
 func (w *World) sendChange(raw string, accepted func(configuration.Result)) {
 	id := w.Checker.ChangeSent([]byte(raw), w.wallTime())
 	w.history.begin(w.now, id)
@@ -42,7 +42,8 @@
 	w.changeSent()
 }
 
-// attemptChange sends a change once more. noCopyPending: no earlier copy can take effect.
+// attemptChange sends a change once and retries if needed. noCopyPending reports that no earlier
+// copy can still take effect.
 func (w *World) attemptChange(id, raw string, noCopyPending bool, accepted func(configuration.Result)) {
 	retry := func() { w.schedule(300*millisecond, func() { w.attemptChange(id, raw, noCopyPending, accepted) }) }
 	retryOutcomeUnknown := func() { noCopyPending = false; retry() }
@@ -52,7 +53,8 @@
 		case !ok && response.Status != 503:
 			retryOutcomeUnknown()
 			return
-		// It had no effect: some operators give up here, and then no read may ever show it.
+		// The change had no effect. Some operators give up here, and then no read may ever return
+		// it.
 		case !ok && noCopyPending && w.random.IntN(3) == 0 && accepted == nil:
 			w.Checker.ChangeRejected(id)
 			w.history.rejected(id)
@@ -73,10 +75,10 @@
 				accepted(result)
 			}
 		case 400:
-			w.Checker.Violation("%s was declined with %d: %+v", id, response.Status, result)
+			w.Checker.Violation("%s was rejected with %d: %+v", id, response.Status, result)
 			w.Checker.ChangeRejected(id)
 		default:
-			// A conflict: what it removes is gone already, or another change came first.
+			// A conflict: the item was already removed, or another change was accepted first.
 			w.Checker.ChangeRejected(id)
 			w.history.rejected(id)
 		}
--- a/internal/testsupport/simulator/operators.go
+++ b/internal/testsupport/simulator/operators.go
@@ -10,11 +10,11 @@
 	"dunlinwell/internal/testsupport/blueprint"
 )
 
-// operator is the name of operators in partitions and exchanges.
+// operator is the name of all operators in partitions and exchanges.
 const operator = "operator"
 
-// operatorState is the state of the stand-in operators: what the next change needs. What they sent
-// and were answered is in the ledger of the checker.
+// operatorState is the state of the simulated operators. The changes that they sent and the
+// responses are recorded in the ledger of the checker.
 type operatorState struct {
 	serial      int
 	stopped     bool
@@ -23,17 +23,18 @@
 	zoneRevision ids.Revision
 	// racedVersion is the newest known version of blueprint.RacedRoute.
 	racedVersion ids.Revision
-	// confirmed are the ids of the changes that a registry has confirmed, whether or
-	// not its response arrived.
+	// confirmed contains the IDs of the changes that a registry has acknowledged, whether or not
+	// its response arrived.
 	confirmed map[string]bool
-	// changeRecordsLost: all core disks were lost, and with them the record of accepted changes.
+	// changeRecordsLost is set once all core disks, and with them the records of accepted changes,
+	// were lost.
 	changeRecordsLost bool
-	// routeFlipped: blueprint.FlippedRoute exists.
+	// routeFlipped is set once blueprint.FlippedRoute has been put.
 	routeFlipped bool
 }
 
-// runOperators makes operators send valid, invalid, stale and racing changes, and reads, until they
-// are stopped.
+// runOperators sends valid, invalid, stale and racing changes and reads until the operators are
+// stopped.
 func (w *World) runOperators() {
 	if w.operators.stopped {
 		return
@@ -43,7 +44,7 @@
 		serial := w.operators.serial
 		switch draw := w.random.IntN(14); {
 		case draw < 4:
-			// Two operators at once, on the same items.
+			// Sometimes two operators change items at once.
 			w.putPair(serial, w.random.IntN(blueprint.RoutePairs))
 			if draw == 0 {
 				w.operators.serial++
@@ -68,12 +69,12 @@
 	})
 }
 
-// changes writes changes for the plan.
+// changes returns a generator of changes for the plan.
 func (w *World) changes() blueprint.ChangeGenerator {
 	return blueprint.ChangeGenerator{Plan: w.Plan, Random: w.random}
 }
 
-// putPair puts both items of a pair in one change, marked by a serial number.
+// putPair puts both items of a pair in one change, marked with a serial number.
 func (w *World) putPair(serial, pair int) {
 	w.sendChange(w.changes().Put(fmt.Sprintf("put-%d", serial), serial, pair), nil)
 }
@@ -84,20 +85,20 @@
 	w.sendChange(w.changes().Flip(fmt.Sprintf("flip-%d", serial)), nil)
 }
 
-// raceRoute lets two operators change one route from the same version of it. Only one may succeed.
+// raceRoute makes two operators change the same version of a route. Only one may succeed.
 func (w *World) raceRoute(serial int) {
 	won := 0
 	for _, side := range []string{"a", "b"} {
 		w.sendChange(w.changes().Race(fmt.Sprintf("race-%d%s", serial, side), serial, w.operators.racedVersion), func(r configuration.Result) {
 			w.operators.racedVersion = max(w.operators.racedVersion, r.Revision)
 			if won++; won > 1 {
-				w.Checker.Violation("both sides of race-%d were accepted", serial)
+				w.Checker.Violation("both changes of race-%d were accepted", serial)
 			}
 		})
 	}
 }
 
-// sendInvalidChange sends a change that no registry may accept.
+// sendInvalidChange sends a change that must not be accepted.
 func (w *World) sendInvalidChange(raw string) {
 	id := w.Checker.ChangeSent([]byte(raw), w.wallTime())
 	w.Checker.ChangeRejected(id)
--- a/internal/testsupport/simulator/registry_calls.go
+++ b/internal/testsupport/simulator/registry_calls.go
@@ -9,7 +9,7 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// anyRegistry draws a registry that is up; nil if none is.
+// anyRegistry returns a random registry that is up, or nil if none is.
 func (w *World) anyRegistry() *process {
 	var up []*process
 	for _, p := range w.processes {
@@ -23,8 +23,8 @@
 	return up[w.random.IntN(len(up))]
 }
 
-// callAnyRegistry makes a call to a registry that is up. onLost, if given, runs when there will be
-// no response.
+// callAnyRegistry calls a random registry that is up. onLost, if not nil, is called if there is no
+// response.
 func (w *World) callAnyRegistry(name string, zone ids.Name, newCall func(id uint64) any, done func(registry.Response), onLost func()) {
 	p := w.anyRegistry()
 	if p == nil {
@@ -36,7 +36,8 @@
 	w.callRegistry(p, name, zone, newCall, done, onLost)
 }
 
-// callRegistry makes a call from outside to one registry.
+// callRegistry calls a registry from a client, target or operator with a name and zone. onLost, if
+// not nil, is called if there is no response.
 func (w *World) callRegistry(p *process, name string, zone ids.Name, newCall func(id uint64) any, done func(registry.Response), onLost func()) {
 	finished := false
 	var open *exchange
@@ -78,10 +79,10 @@
 }
 
 const (
-	// operatorTimeout is how long most operators wait for a response before they send
-	// the same change to another registry.
+	// operatorTimeout is how long most operators wait for a response before they retry with another
+	// registry.
 	operatorTimeout = time.Second
-	// callerTimeout is how long the others wait, and every other caller.
+	// callerTimeout is how long all other callers wait.
 	callerTimeout = 4 * time.Second
 )
 
@@ -93,7 +94,7 @@
 	return callerTimeout
 }
 
-// applyDefect passes a response to an operator through the planted defect, if there is one.
+// applyDefect applies Defect.Confirm, if set, to a response to an operator.
 func (w *World) applyDefect(response registry.Response) registry.Response {
 	if w.Defect.Confirm != nil {
 		return w.Defect.Confirm(response)
@@ -101,8 +102,8 @@
 	return response
 }
 
-// operatorResponseLost notes what a registry answers an operator, and draws whether the response is
-// lost on its way.
+// operatorResponseLost records a registry's response to an operator and reports whether it is lost
+// in transit.
 func (w *World) operatorResponseLost(p *process, response registry.Response) bool {
 	if r, ok := response.Body.(configuration.Result); ok && response.Status == 200 {
 		w.operators.confirmed[string(r.ID)] = true
--- a/internal/testsupport/simulator/scenes.go
+++ b/internal/testsupport/simulator/scenes.go
@@ -8,8 +8,7 @@
 	"dunlinwell/internal/testsupport/blueprint"
 )
 
-// Scenes are combinations of faults at set times, by name. Each runs with the usual load and the
-// usual operators.
+// Scenes are scripted combinations of faults, by name. Each runs with the usual load and operators.
 var Scenes = map[string]func(w *World){
 	"freeze-between-claim-and-send":       freezeAtClaim,
 	"swap-in-a-change-storm":              coreReplacedDuringChangeStorm,
@@ -43,13 +42,13 @@
 	"clients-leave":                       clientsDisconnect,
 }
 
-// freezeAtClaim freezes proxies between the claim of an idempotency key and the sending of its
+// freezeAtClaim freezes proxies between the claim of an idempotency key and the sending of the
 // request.
 func freezeAtClaim(w *World) {
 	n := 0
 	w.onClaim = func(p *process) {
 		if n++; n%15 == 0 && w.now < w.faultsEnd() {
-			// Long enough to be declared dead, or only to be late.
+			// Some freezes are long enough for the proxy to be declared dead, others only delay it.
 			p.scheduleInRun(time.Duration(n%4)*time.Millisecond, func() { p.freeze(w.randomDuration(500*time.Millisecond, 4*time.Second)) })
 		}
 	}
@@ -61,7 +60,7 @@
 	w.repeat(4*time.Second, 12*time.Second, 3, func(int) { w.replaceCoreMachine() })
 }
 
-// coreRestartDuringZoneOutage restarts the core while a zone has no power.
+// coreRestartDuringZoneOutage restarts the core during the power outage of a zone.
 func coreRestartDuringZoneOutage(w *World) {
 	w.schedule(5*time.Second, func() { w.losePower(w.Plan.Zone(0), 8*time.Second) })
 	w.schedule(6*time.Second, func() {
@@ -73,7 +72,7 @@
 	})
 }
 
-// clockJumps lets the wall clocks of proxies jump within the window of retries.
+// clockJumps makes the wall clocks of proxies jump while clients retry.
 func clockJumps(w *World) {
 	w.repeat(2*time.Second, 3*time.Second, 10, func(i int) {
 		p := w.randomProcess(membership.Proxy)
@@ -82,7 +81,7 @@
 	})
 }
 
-// stalledDisks stalls the disks of two stores in turn.
+// stalledDisks stalls the disks of two stores at a time, a different pair each time.
 func stalledDisks(w *World) {
 	w.repeat(4*time.Second, 12*time.Second, 3, func(i int) {
 		for _, n := range []int{i % 3, (i + 1) % 3} {
@@ -93,14 +92,14 @@
 	})
 }
 
-// rollingRestart restarts all processes in turn.
+// rollingRestart restarts all processes one after the other.
 func rollingRestart(w *World) {
 	for i, p := range w.processes {
 		w.schedule(2*time.Second+time.Duration(i)*3*time.Second, func() { w.restartProcess(p, 500*time.Millisecond) })
 	}
 }
 
-// massRestartAtEnd kills everything at the very end of the faults.
+// massRestartAtEnd kills all processes right before the faults end.
 func massRestartAtEnd(w *World) {
 	w.schedule(time.Duration(w.faultsEnd()-w.now)-time.Millisecond, func() {
 		for _, p := range w.processes {
@@ -109,8 +108,8 @@
 	})
 }
 
-// everyDiskLost loses the disks of the whole core at once. On an operator's order it is
-// bootstrapped anew, and takes the configuration back from the proxies.
+// everyDiskLost loses the disks of the whole core at once. An operator then orders the recovery,
+// which bootstraps the core again with the configuration that the proxies hold.
 func everyDiskLost(w *World) {
 	w.allNumberAttempts = true
 	w.schedule(12*time.Second, func() {
@@ -125,8 +124,8 @@
 	})
 }
 
-// initialCoreReplaced replaces all three first core machines, one after the other, and then
-// restarts everything: no seed leads anywhere any more.
+// initialCoreReplaced replaces all three initial core machines one after the other, and then
+// restarts all processes. None of the initial seeds exists by then.
 func initialCoreReplaced(w *World) {
 	w.repeat(2*time.Second, 11*time.Second, 3, func(i int) { w.replaceAfterLoss(w.processes[i]) })
 	w.schedule(36*time.Second, func() {
@@ -138,13 +137,13 @@
 	})
 }
 
-// regionLost takes the power of the regions in turn.
+// regionLost causes power outages of regions, one after the other.
 func regionLost(w *World) {
 	w.repeat(3*time.Second, 12*time.Second, 3, func(i int) {
-		r := w.Plan.Region(w.Plan.Zone(i))
+		region := w.Plan.Region(w.Plan.Zone(i))
 		for n := range w.Plan.Zones {
-			if c := w.Plan.Zone(n); w.Plan.Region(c) == r {
-				w.losePower(c, 6*time.Second)
+			if zone := w.Plan.Zone(n); w.Plan.Region(zone) == region {
+				w.losePower(zone, 6*time.Second)
 			}
 		}
 	})
--- a/internal/testsupport/simulator/scenes_core_partition.go
+++ b/internal/testsupport/simulator/scenes_core_partition.go
@@ -21,34 +21,34 @@
 }
 
 const (
-	// partitionFrom and partitionFor are when the partition begins and how long it lasts.
+	// partitionFrom and partitionFor are the start and the duration of the partition.
 	partitionFrom = 8 * time.Second
 	partitionFor  = 25 * time.Second
-	// probeDelay is how soon a registry must notice that it is cut off: the control
-	// lease, the time-out of a call made under it, and a timer tick.
+	// probeDelay is the time within which a registry must notice that it is partitioned: the
+	// control lease, the timeout of a call made under it, and a timer tick.
 	probeDelay = 2500 * time.Millisecond
 	probeEvery = 400 * time.Millisecond
-	// probeTimeout is how soon a registry that is cut off must answer.
+	// probeTimeout is the time within which a partitioned registry must answer.
 	probeTimeout = time.Second
-	// maxTwoPlanners is for how long two registries may both plan: one that is cut off
-	// finds out when its lease ends.
+	// maxTwoPlanners is how long two registries may both be the planner: a partitioned one stops
+	// when its lease expires.
 	maxTwoPlanners = 2 * time.Second
 )
 
-// partitionCoreMachine cuts one core machine off from the others; proxies, targets and clients
-// reach both sides. A deaf one can still be heard. With restarts, its processes and a proxy are
-// restarted meanwhile.
-func partitionCoreMachine(w *World, number int, deaf, restarts bool) {
-	mine := w.coreMachine(number)
-	w.schedule(partitionFrom, func() { w.cutOffCoreMachine(number, partitionFor, partitionStyle{oneWay: deaf}) })
-	for _, p := range mine {
+// partitionCoreMachine partitions one core machine from the others; proxies, targets and clients
+// reach both sides. If oneWay, only messages to the machine are dropped. With restarts, its
+// processes and a proxy are restarted during the partition.
+func partitionCoreMachine(w *World, number int, oneWay, restarts bool) {
+	machine := w.coreMachine(number)
+	w.schedule(partitionFrom, func() { w.cutOffCoreMachine(number, partitionFor, partitionStyle{oneWay: oneWay}) })
+	for _, p := range machine {
 		if p.role == membership.Registry {
 			w.repeat(partitionFrom+probeDelay, probeEvery, int((partitionFor-probeDelay-2*probeTimeout)/probeEvery), func(i int) { w.probePartitioned(p, i) })
 		}
 	}
 	if restarts {
 		w.schedule(partitionFrom+6*time.Second, func() {
-			for _, p := range append(mine, w.randomProcess(membership.Proxy)) {
+			for _, p := range append(machine, w.randomProcess(membership.Proxy)) {
 				w.restartProcess(p, time.Second)
 			}
 		})
@@ -56,7 +56,7 @@
 	w.checkPlanners()
 }
 
-// coreMachine returns the processes of a core machine, counted from 0.
+// coreMachine returns the processes of a core machine, given its number from 0.
 func (w *World) coreMachine(number int) []*process {
 	var processes []*process
 	for _, p := range w.processes {
@@ -67,19 +67,19 @@
 	return processes
 }
 
-// cutOffCoreMachine cuts a core machine off from the rest of the core for a time. All others reach
-// both sides.
+// cutOffCoreMachine partitions a core machine from the rest of the core for a duration. All other
+// processes reach both sides.
 func (w *World) cutOffCoreMachine(number int, d time.Duration, style partitionStyle) {
-	mine := w.coreMachine(number)
-	here := processSide(mine...)
-	there := func(name string, zone ids.Name) bool { return w.coreSide(name, zone) && !here(name, zone) }
-	w.trace("%s and %s are cut off", mine[0].name, mine[1].name)
-	w.addPartition(d, &partition{sideA: there, sideB: here, partitionStyle: style})
+	machine := w.coreMachine(number)
+	isolated := processSide(machine...)
+	others := func(name string, zone ids.Name) bool { return w.coreSide(name, zone) && !isolated(name, zone) }
+	w.trace("%s and %s are partitioned from the core", machine[0].name, machine[1].name)
+	w.addPartition(d, &partition{sideA: others, sideB: isolated, partitionStyle: style})
 }
 
-// corePartitionsAndPowerLosses cuts the core into two parts again and again. Under each cut the whole
-// core loses power, and then all proxies do, so that more is lost at once than is tolerated, but no
-// disk. Changes and reads at every daemon go on meanwhile.
+// corePartitionsAndPowerLosses partitions the core repeatedly. During each partition the whole core
+// and then all proxies lose power: more processes than tolerated, but no disks. Changes and reads
+// continue.
 func corePartitionsAndPowerLosses(w *World) {
 	w.repeat(4*time.Second, 14*time.Second, 3, func(i int) {
 		w.cutOffCoreMachine(i%3, 8*time.Second, partitionStyle{})
@@ -96,55 +96,56 @@
 	})
 }
 
-// probePartitioned makes one call to a registry that is cut off, which must answer within
-// probeTimeout that it can't serve it.
+// probePartitioned makes one call to a partitioned registry, which must answer within probeTimeout
+// that it is unavailable.
 func (w *World) probePartitioned(p *process, i int) {
 	if !p.up || w.Checker == nil {
 		return
 	}
 	name, call := callNeedingCore(w, i)
 	answered := false
-	asked := w.now
+	sentAt := w.now
 	w.callRegistry(p, operator, p.zone, call, func(r registry.Response) {
 		answered = true
 		if r.Status != 503 && r.Status != 504 {
-			w.Checker.Violation("%s, cut off, answered %s with %d: %v", p.name, name, r.Status, r.Body)
+			w.Checker.Violation("%s, partitioned, answered %s with %d: %v", p.name, name, r.Status, r.Body)
 		}
-		if took := w.now.Sub(asked); took > probeTimeout {
-			w.Checker.Violation("%s, cut off, took %s to answer %s", p.name, took, name)
+		if took := w.now.Sub(sentAt); took > probeTimeout {
+			w.Checker.Violation("%s, partitioned, took %s to answer %s", p.name, took, name)
 		}
 	}, nil)
 	w.schedule(probeTimeout+100*time.Millisecond, func() {
 		if !answered && p.up && !p.frozen {
-			w.Checker.Violation("%s, cut off, left %s unanswered", p.name, name)
+			w.Checker.Violation("%s, partitioned, did not answer %s", p.name, name)
 		}
 	})
 }
 
-// callNeedingCore returns the name and the maker of the ith kind of call that needs the core.
+// callNeedingCore returns the name and the constructor of the ith call, cycling through the kinds
+// of calls that need the core.
 func callNeedingCore(w *World, i int) (string, func(id uint64) any) {
-	stranger := targets.Target{
+	unknownTarget := targets.Target{
 		Instance: "probe", Incarnation: 1, Sequence: ids.Sequence(i + 1), Service: "ledger", Address: "10.99.0.1:80",
 		Zone: w.Plan.Zone(0), Warmth: 1, IntervalMillis: 1000, Dead: true, Draining: true,
 	}
 	raw := []byte(fmt.Sprintf(`{"id":"probe-%d","changes":[{"kind":"service","name":"none","version":%d,"remove":true}]}`, i, i+1))
 	switch i % 6 {
 	case 0:
-		return "a change that it can't judge", func(id uint64) any { return registry.ChangeCall{ID: id, Raw: raw} }
+		return "a change", func(id uint64) any { return registry.ChangeCall{ID: id, Raw: raw} }
 	case 1:
 		return "a read", func(id uint64) any { return registry.ReadConfigurationCall{ID: id} }
 	case 2:
-		return "a target's end", func(id uint64) any { return registry.HeartbeatCall{ID: id, Target: stranger} }
+		return "a heartbeat of a dead target", func(id uint64) any { return registry.HeartbeatCall{ID: id, Target: unknownTarget} }
 	case 3:
-		return "a stranger's end", func(id uint64) any { return registry.DeregisterCall{ID: id, Instance: "nobody"} }
+		return "a deregistration", func(id uint64) any { return registry.DeregisterCall{ID: id, Instance: "nobody"} }
 	case 4:
 		return "a merge", func(id uint64) any { return registry.MergeCall{ID: id, Body: configuration.Merge{}} }
 	}
-	return "where to go", func(id uint64) any { return registry.ResolveCall{ID: id, Zone: w.Plan.Zone(0), Route: "none"} }
+	return "a directory lookup", func(id uint64) any { return registry.ResolveCall{ID: id, Zone: w.Plan.Zone(0), Route: "none"} }
 }
 
-// checkPlanners regularly checks who plans. Two registries may for as long as one takes to find out
-// that it has lost the role, and never under one epoch.
+// checkPlanners periodically checks which registries are planners. Two may be planners for
+// maxTwoPlanners, and never under the same epoch.
 func (w *World) checkPlanners() {
 	var since ids.Time
 	w.repeat(partitionFrom, 100*time.Millisecond, int((partitionFor+10*time.Second)/(100*time.Millisecond)), func(int) {
@@ -157,7 +158,7 @@
 			}
 			count++
 			if other, same := epochs[epoch]; same {
-				w.Checker.Violation("%s and %s both plan under epoch %d", other, p.name, epoch)
+				w.Checker.Violation("%s and %s are both planners under epoch %d", other, p.name, epoch)
 			}
 			epochs[epoch] = p.name
 		}
@@ -167,17 +168,17 @@
 		case since == 0:
 			since = w.now
 		case w.now.Sub(since) > maxTwoPlanners:
-			w.Checker.Violation("%d registries have planned for %s: %v", count, w.now.Sub(since), epochs)
+			w.Checker.Violation("%d registries have been planners for %s: %v", count, w.now.Sub(since), epochs)
 			since = w.now
 		}
 	})
 }
 
-// plannerEpoch returns the epoch under which a process plans, if it does.
+// plannerEpoch returns the epoch of a process that is the planner, and false otherwise.
 func plannerEpoch(p *process) (ids.Epoch, bool) {
-	f, ok := p.machine.(*registry.Registry)
+	planner, ok := p.machine.(*registry.Registry)
 	if !ok || !p.up {
 		return 0, false
 	}
-	return f.PlannerEpoch()
+	return planner.PlannerEpoch()
 }
--- a/internal/testsupport/simulator/scenes_partition.go
+++ b/internal/testsupport/simulator/scenes_partition.go
@@ -7,16 +7,16 @@
 	"dunlinwell/internal/controlplane/membership"
 )
 
-// oneWayPartitions cuts processes off in one direction, in turn.
+// oneWayPartitions partitions one process after the other, in one direction.
 func oneWayPartitions(w *World) {
 	w.repeat(2*time.Second, 3*time.Second, 12, func(i int) {
 		p := w.processes[i%len(w.processes)]
-		w.trace("%s is cut off one way", p.name)
-		in := processSide(p)
-		out := in.outside()
-		c := &partition{sideA: in, sideB: out, partitionStyle: partitionStyle{oneWay: true}}
+		w.trace("%s is partitioned one way", p.name)
+		isolated := processSide(p)
+		others := isolated.outside()
+		c := &partition{sideA: isolated, sideB: others, partitionStyle: partitionStyle{oneWay: true}}
 		if i%2 == 0 {
-			c.sideA, c.sideB = out, in
+			c.sideA, c.sideB = others, isolated
 		}
 		w.addPartition(4*time.Second, c)
 	})
@@ -30,17 +30,18 @@
 	})
 }
 
-// configurationMovedDuringPartition moves a route while the fleet is split again and again.
+// configurationMovedDuringPartition moves a route between services during repeated splits of the
+// fleet.
 func configurationMovedDuringPartition(w *World) {
 	w.repeat(3*time.Second, 11*time.Second, 4, func(int) { w.splitFleet(7 * time.Second) })
 	w.repeat(time.Second, 900*millisecond, 50, func(i int) { w.flipRoute(5000 + i) })
 }
 
-// proxiesPartitionedDuringChange cuts all proxies off from the core while a change is accepted: they must stop
-// what they can't confirm.
+// proxiesPartitionedDuringChange partitions all proxies from the core while changes are accepted.
+// Proxies must stop serving once their lease expires.
 func proxiesPartitionedDuringChange(w *World) {
 	w.repeat(3*time.Second, 14*time.Second, 3, func(i int) {
-		w.trace("the proxies are cut off from the core")
+		w.trace("the proxies are partitioned from the core")
 		proxies := func(name string, _ ids.Name) bool {
 			p := w.processByName(name)
 			return p != nil && p.role == membership.Proxy
--- a/internal/testsupport/simulator/scenes_target.go
+++ b/internal/testsupport/simulator/scenes_target.go
@@ -6,12 +6,12 @@
 	"dunlinwell/internal/controlplane/membership"
 )
 
-// addressReusedDuringPartition reassigns addresses of targets while a proxy is cut off from the
+// addressReusedDuringPartition reassigns addresses of targets while a proxy is partitioned from the
 // core.
 func addressReusedDuringPartition(w *World) {
 	w.repeat(3*time.Second, 8*time.Second, 4, func(i int) {
 		p := w.randomProcess(membership.Proxy)
-		w.trace("%s is cut off from the core", p.name)
+		w.trace("%s is partitioned from the core", p.name)
 		w.addPartition(6*time.Second, &partition{sideA: processSide(p), sideB: w.coreSide})
 		w.schedule(500*time.Millisecond, func() { w.reassignAddress(w.targets[i%len(w.targets)], 3*time.Second) })
 	})
@@ -24,7 +24,7 @@
 	}
 }
 
-// clientsDisconnect has half of the clients leave at any moment of their request, while responses are
+// clientsDisconnect makes half of the clients disconnect during their requests, while responses are
 // lost, targets freeze and proxies are restarted.
 func clientsDisconnect(w *World) {
 	w.clients.disconnectShare = 0.5
@@ -36,7 +36,7 @@
 	w.repeat(5*time.Second, 9*time.Second, 4, func(int) { w.restartProcess(w.randomProcess(membership.Proxy), 500*time.Millisecond) })
 }
 
-// targetsDrained drains, removes and restarts the targets in turn.
+// targetsDrained drains, stops and restarts one target after the other.
 func targetsDrained(w *World) {
 	for i, t := range w.targets {
 		w.schedule(2*time.Second+time.Duration(i)*4*time.Second, func() {
@@ -47,8 +47,8 @@
 	}
 }
 
-// declaredDeadButRunning cuts targets off from the core, which declares them gone, while a proxy
-// that is cut off as well still reaches them.
+// declaredDeadButRunning partitions targets and a proxy from the core, which declares the targets
+// dead while the proxy still reaches them.
 func declaredDeadButRunning(w *World) {
 	w.HoldConnectionsFor = 20 * time.Second
 	w.repeat(2*time.Second, 6*time.Second, 7, func(int) {
@@ -61,17 +61,18 @@
 	})
 }
 
-// departureThroughKilledRegistry lets a target announce its departure to a registry that dies right
-// after, without one of the proxies hearing of it; the core doesn't hear from the target again.
+// departureThroughKilledRegistry makes a target announce that it is draining to a registry that is
+// killed right after and can't reach one of the proxies. The target is then partitioned from the
+// core.
 func departureThroughKilledRegistry(w *World) {
 	w.repeat(2*time.Second, 6*time.Second, 7, func(i int) {
-		t, deaf := w.targets[i%len(w.targets)], w.randomProcess(membership.Proxy)
+		t, uninformed := w.targets[i%len(w.targets)], w.randomProcess(membership.Proxy)
 		t.drain()
 		via := t.lastRegistry
 		if via == nil {
 			return
 		}
-		w.addPartition(2*time.Second, &partition{sideA: processSide(via), sideB: processSide(deaf)})
+		w.addPartition(2*time.Second, &partition{sideA: processSide(via), sideB: processSide(uninformed)})
 		w.schedule(60*millisecond, func() {
 			w.restartProcess(via, 4*time.Second)
 			w.partitionTarget(t, nil, 9*time.Second)
@@ -80,7 +81,7 @@
 	})
 }
 
-// targetsFreeze freezes the targets in turn.
+// targetsFreeze freezes one target after the other.
 func targetsFreeze(w *World) {
 	w.repeat(2*time.Second, 1500*millisecond, 28, func(i int) {
 		w.targets[i%len(w.targets)].freeze(w.randomDuration(time.Second, 9*time.Second))
--- a/internal/testsupport/simulator/scenes_test.go
+++ b/internal/testsupport/simulator/scenes_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Every scene, under a few seeds, violates no rule.
+// No scene violates a rule of the checker.
 func TestScenes(t *testing.T) {
 	for name, scene := range Scenes {
 		t.Run(name, func(t *testing.T) {
@@ -15,7 +15,7 @@
 				o := Run(p)
 				report(t, o)
 				if o.Responses["answered"] < 500 || o.Changes < 20 {
-					t.Errorf("seed %d proved little: %v, %d changes", seed, o.Responses, o.Changes)
+					t.Errorf("seed %d: too few responses or changes: %v, %d changes", seed, o.Responses, o.Changes)
 				}
 			}
 		})
--- a/internal/testsupport/simulator/target.go
+++ b/internal/testsupport/simulator/target.go
@@ -11,7 +11,7 @@
 	"dunlinwell/internal/testsupport/checker"
 )
 
-// target is a stand-in target.
+// target is a simulated target.
 type target struct {
 	world            *World
 	id               ids.InstanceID
@@ -27,28 +27,28 @@
 	incarnation      ids.Incarnation
 	sequence         ids.Sequence
 	inFlight         int
-	// lastAcknowledged is when a registry last received its heartbeat.
+	// lastAcknowledged is when a registry last received a heartbeat of the target.
 	lastAcknowledged ids.Time
-	// frozen: it does nothing, and what arrives waits in its sockets, the backlog.
+	// frozen is set while the target is suspended; arriving requests wait in backlog.
 	frozen  bool
 	backlog []func()
 	// lastRegistry is the registry that the last heartbeat was sent to.
 	lastRegistry *process
-	// lostResponseShare and corruptResponseShare are the shares of responses that are lost after the
-	// work, or broken.
+	// lostResponseShare and corruptResponseShare are the shares of responses that are lost or
+	// corrupted after the execution.
 	lostResponseShare, corruptResponseShare float64
 }
 
 const (
 	// heartbeatInterval is the interval of heartbeats.
 	heartbeatInterval = time.Second
-	// slowStart is how long a cold target takes to bear its whole capacity.
+	// slowStart is how long a cold target takes to reach its full capacity.
 	slowStart = 3 * time.Second
-	// workTime is the mean time that an execution takes.
+	// workTime is the mean duration of an execution.
 	workTime = 20 * time.Millisecond
 )
 
-// start begins a new incarnation at the target's address: with a slow start if it is cold.
+// start begins a new incarnation at the target's address, with a slow start if cold.
 func (t *target) start(cold bool) {
 	t.generation++
 	t.up, t.draining, t.departureKnownAt, t.inFlight, t.sequence = true, false, 0, 0, 0
@@ -59,11 +59,11 @@
 		t.warmSince = t.world.now.Add(-slowStart)
 	}
 	t.world.targetByAddress[t.address] = t
-	t.world.trace("%s begins at %s", t.id, t.address)
+	t.world.trace("%s starts at %s", t.id, t.address)
 	t.sendHeartbeats(t.generation)
 }
 
-// crash ends the incarnation without notice.
+// crash ends the incarnation without draining.
 func (t *target) crash() {
 	if t.up {
 		t.world.trace("%s crashes", t.id)
@@ -73,7 +73,7 @@
 	t.frozen, t.backlog = false, nil
 }
 
-// sendHeartbeats sends a heartbeat every heartbeatInterval for as long as the generation lasts.
+// sendHeartbeats sends heartbeats at heartbeatInterval until the generation ends.
 func (t *target) sendHeartbeats(generation int) {
 	if t.generation != generation {
 		return
@@ -86,15 +86,15 @@
 	t.world.schedule(heartbeatInterval+t.world.randomDuration(0, 100*time.Millisecond), func() { t.sendHeartbeats(generation) })
 }
 
-// warmth is how far the slow start has got, from 0.1 to 1.
+// warmth returns the progress of the slow start, from 0.1 to 1.
 func (t *target) warmth() float64 {
 	return min(1, max(0.1, float64(t.world.now.Sub(t.warmSince))/float64(slowStart)))
 }
 
-// sendHeartbeat sends one heartbeat to a registry that is up.
+// sendHeartbeat sends one heartbeat to a random registry that is up.
 func (t *target) sendHeartbeat() {
 	t.sequence++
-	announcement := targets.Target{
+	heartbeat := targets.Target{
 		Instance: t.id, Incarnation: t.incarnation, Sequence: t.sequence, Service: t.service, Address: t.address, Zone: t.zone,
 		Draining: t.draining, Warmth: t.warmth(), Occupancy: int64(t.inFlight), Capacity: int64(t.capacity), IntervalMillis: uint32(heartbeatInterval / time.Millisecond),
 	}
@@ -105,28 +105,28 @@
 	}
 	t.world.callRegistry(t.lastRegistry, string(t.id), t.zone, func(id uint64) any {
 		t.lastAcknowledged = t.world.now
-		return registry.HeartbeatCall{ID: id, Target: announcement}
+		return registry.HeartbeatCall{ID: id, Target: heartbeat}
 	}, func(registry.Response) {
-		// From here on the core knows that the target is leaving.
-		if t.generation == generation && announcement.Draining && t.departureKnownAt == 0 {
+		// The core knows from now on that the target is draining.
+		if t.generation == generation && heartbeat.Draining && t.departureKnownAt == 0 {
 			t.departureKnownAt = t.world.now
 			t.world.Checker.TargetDepartureKnown()
 		}
 	}, nil)
 }
 
-// drain announces that the target is draining.
+// drain starts draining the target and announces it with a heartbeat.
 func (t *target) drain() {
 	if t.up && !t.draining {
-		t.world.trace("%s leaves", t.id)
+		t.world.trace("%s starts draining", t.id)
 		t.draining = true
 		t.sendHeartbeat()
 	}
 }
 
-// execute executes a request: the checker records it, and it is answered when the work is done.
-// Sent is when its bytes left the proxy, arrived when they reached the target. beforeDone is called
-// at the end of the work.
+// execute executes a request and records it at the checker. sent is when the request left the
+// proxy, arrived when it reached the target. At the end of the execution, beforeDone is called and
+// then done with the response, or with false if the response is lost.
 func (t *target) execute(request *forwardedRequest, p *process, service ids.Name, sent, arrived ids.Time, timeLeft time.Duration, beforeDone func(), done func(idempotency.Response, bool)) {
 	t.inFlight++
 	execution := checker.Execution{
@@ -134,12 +134,12 @@
 		DepartureKnownFor: t.departureKnownFor(arrived), Route: request.Route, TimeLeft: timeLeft, Proxy: p.name, ProxyZone: p.zone,
 	}
 	t.world.Checker.RequestExecuted(execution)
-	t.world.trace("%s runs %s attempt %d for %s", t.id, request.requestToken, request.attempt, p.name)
+	t.world.trace("%s executes %s attempt %d for %s", t.id, request.requestToken, request.attempt, p.name)
 	if service != t.service {
-		t.world.Checker.Violation("%s of %s got a request meant for %s", t.id, t.service, service)
+		t.world.Checker.Violation("%s of %s received a request for %s", t.id, t.service, service)
 	}
 	if capacity := max(float64(t.capacity)*t.warmth(), 1); float64(t.inFlight) > 1.5*capacity+1 {
-		t.world.Checker.Overloaded("%s had %d at once and bears %.1f, at %s", t.id, t.inFlight, capacity, time.Duration(t.world.now))
+		t.world.Checker.Overloaded("%s had %d concurrent requests at a capacity of %.1f, at %s", t.id, t.inFlight, capacity, time.Duration(t.world.now))
 	}
 	generation := t.generation
 	body := fmt.Sprintf("%s/%s/%x", request.requestToken, t.id, t.world.random.Uint64())
@@ -155,7 +155,7 @@
 	})
 }
 
-// freeze suspends the target for a time. Its connections stay open.
+// freeze suspends the target for a duration. Its connections stay open.
 func (t *target) freeze(d time.Duration) {
 	if !t.up || t.frozen {
 		return
@@ -167,7 +167,7 @@
 		if t.generation != generation {
 			return
 		}
-		t.world.trace("%s wakes", t.id)
+		t.world.trace("%s resumes", t.id)
 		t.frozen = false
 		backlog := t.backlog
 		t.backlog = nil
@@ -177,7 +177,8 @@
 	})
 }
 
-// whenRunning does something now or when the target wakes; never if it crashed.
+// whenRunning calls f at once, or when the target resumes if it is frozen. It never calls f if the
+// target is down or crashes before it resumes.
 func (t *target) whenRunning(f func()) {
 	generation := t.generation
 	switch {
@@ -193,11 +194,12 @@
 	}
 }
 
-// silenceTimeout is how long without a heartbeat counts as gone: three intervals.
+// silenceTimeout is the time without a heartbeat after which a target counts as dead: three
+// intervals.
 const silenceTimeout = 3 * (heartbeatInterval + 100*time.Millisecond)
 
-// departureKnownFor is for how long the core has known that the target is leaving, or is gone by
-// its silence.
+// departureKnownFor returns how long the core has known that the target is draining, or that it is
+// dead because its heartbeats stopped.
 func (t *target) departureKnownFor(now ids.Time) time.Duration {
 	known := time.Duration(0)
 	if t.departureKnownAt != 0 {
--- a/internal/testsupport/simulator/zone_drain.go
+++ b/internal/testsupport/simulator/zone_drain.go
@@ -8,8 +8,7 @@
 	"dunlinwell/internal/state/configuration"
 )
 
-// drainZone drains a zone as an operator does, and restores it later. One zone is drained at a
-// time.
+// drainZone drains a random zone and restores it later. At most one zone is drained at a time.
 func (w *World) drainZone() {
 	if w.operators.drainedZone != "" {
 		return
@@ -21,7 +20,7 @@
 	})
 }
 
-// restoreZone ends the draining of the zone that is drained, if any.
+// restoreZone restores the drained zone, if any.
 func (w *World) restoreZone() {
 	zone := w.operators.drainedZone
 	if zone == "" {
@@ -29,20 +28,20 @@
 	}
 	w.Checker.ZoneRestored(zone, w.wallTime())
 	w.setDrained(zone, false, func() {
-		// Once more, for a draining that was accepted since this was sent.
+		// Record it again, since a drain may have been accepted after this change was sent.
 		w.Checker.ZoneRestored(zone, w.wallTime())
 		w.operators.drainedZone = ""
 	})
 }
 
-// setDrained changes whether a zone is drained, and calls then when that is accepted.
+// setDrained drains or restores a zone, and calls then when the change is accepted.
 func (w *World) setDrained(zone ids.Name, drain bool, then func()) {
 	w.operators.serial++
-	asked := w.wallTime()
+	sentAt := w.wallTime()
 	w.sendChange(w.changes().Drain(fmt.Sprintf("empty-%d", w.operators.serial), zone, drain), func(r configuration.Result) {
-		// Responses may overtake one another; revisions don't.
+		// Responses may arrive out of order, so compare revisions.
 		if drain && r.Revision > w.operators.zoneRevision {
-			w.Checker.ZoneDrained(zone, asked, w.wallTime())
+			w.Checker.ZoneDrained(zone, sentAt, w.wallTime())
 		}
 		w.operators.zoneRevision = max(w.operators.zoneRevision, r.Revision)
 		then()
