--- a/internal/testsupport/simulator/connections.go
+++ b/internal/testsupport/simulator/connections.go
@@ -5,30 +5,30 @@
 // endpoints names the two ends of a connection between daemons, in alphabetical order.
 type endpoints struct{ a, b string }
 
-// newEndpoints makes the endpoints of two processes, in either order.
+// newEndpoints returns the endpoints of two processes given in any order.
 func newEndpoints(a, b string) endpoints { return endpoints{min(a, b), max(a, b)} }
 
-// exchange is a request in flight on a connection of its own, which a reset can break.
+// exchange is a request in flight on its own connection, which a reset ends.
 type exchange struct {
 	from, to         string
 	fromZone, toZone ids.Name
 	ended            bool
-	// onReset runs if the connection is reset.
+	// onReset is called if the connection is reset.
 	onReset func()
 }
 
-// connections keeps what a reset breaks: messages between daemons, and exchanges.
+// connections tracks the state that resets affect: connections between daemons and exchanges.
 type connections struct {
-	// resets counts the resets between two daemons. A message sent before one is lost.
+	// resets counts the resets between two daemons. A message in flight during a reset is lost.
 	resets map[endpoints]int
-	// open are the exchanges, in the order in which they began.
+	// open lists the exchanges in the order in which they began. It may contain ended ones.
 	open []*exchange
 }
 
-// maxEndedExchanges bounds the exchanges that are over and not yet dropped.
+// maxEndedExchanges is the length of connections.open from which ended exchanges are removed.
 const maxEndedExchanges = 1024
 
-// beginExchange registers an exchange. Its caller sets ended when it is over.
+// beginExchange registers an exchange. The caller sets ended when it ends.
 func (w *World) beginExchange(x *exchange) *exchange {
 	if len(w.connections.open) >= maxEndedExchanges {
 		w.dropEnded()
@@ -37,7 +37,7 @@
 	return x
 }
 
-// dropEnded removes the exchanges that are over.
+// dropEnded removes the ended exchanges.
 func (w *World) dropEnded() {
 	var open []*exchange
 	for _, x := range w.connections.open {
@@ -48,7 +48,7 @@
 	w.connections.open = open
 }
 
-// reset breaks an exchange, unless it is over.
+// reset ends an exchange with a connection reset unless it has ended.
 func (x *exchange) reset() {
 	if !x.ended {
 		x.ended = true
@@ -56,9 +56,9 @@
 	}
 }
 
-// resetConnections resets a share of one process's connections.
+// resetConnections resets a share of a process's connections.
 func (w *World) resetConnections(name string, share float64) {
-	w.trace("%s has connections reset: %.2f", name, share)
+	w.trace("connections of %s are reset, share %.2f", name, share)
 	for _, p := range w.processes {
 		if p.name != name && w.random.Float64() < share {
 			w.connections.resets[newEndpoints(name, p.name)]++
--- a/internal/testsupport/simulator/faults.go
+++ b/internal/testsupport/simulator/faults.go
@@ -9,16 +9,16 @@
 // faultKind is one kind of randomly injected fault.
 type faultKind struct {
 	name string
-	// weight is how often it is drawn in relation to the other kinds.
+	// weight is the relative probability of the kind.
 	weight int
 	inject func(w *World)
 }
 
-// faultKinds are all kinds of random faults. They come at any time, more than once, and while
-// earlier ones last. The list is filled by init, as some of its functions refer to it.
+// faultKinds are all kinds of random faults. Each may occur at any time, repeatedly, and during
+// other faults. It is filled by init to avoid an initialization cycle.
 var faultKinds []faultKind
 
-// init fills faultKinds, as some of its functions refer to it in turn.
+// init fills faultKinds, since functions in it refer to it.
 func init() {
 	faultKinds = append(faultKinds, processFaults...)
 	faultKinds = append(faultKinds, networkFaults...)
@@ -26,7 +26,7 @@
 	faultKinds = append(faultKinds, targetFaults...)
 }
 
-// FaultKinds lists the names of the random faults.
+// FaultKinds returns the names of the random faults.
 func FaultKinds() []string {
 	var out []string
 	for _, k := range faultKinds {
@@ -35,7 +35,7 @@
 	return out
 }
 
-// injectRandomFaults injects one random fault after the other until faultsEnd.
+// injectRandomFaults injects random faults, at intervals around FaultEvery, until faultsEnd.
 func (w *World) injectRandomFaults() {
 	if w.now >= w.faultsEnd() {
 		return
@@ -70,10 +70,10 @@
 	kind.inject(w)
 }
 
-// faultsEnd is when the faults end; after that the system must recover.
+// faultsEnd returns when the faults end; the system must recover after that.
 func (w *World) faultsEnd() ids.Time { return ids.Time(w.Length) }
 
-// faultDuration draws how long an ordinary fault lasts.
+// faultDuration draws the duration of an ordinary fault.
 func (w *World) faultDuration() time.Duration {
 	return w.randomDuration(300*millisecond, 5*time.Second)
 }
--- a/internal/testsupport/simulator/faults_after_ack.go
+++ b/internal/testsupport/simulator/faults_after_ack.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// maxDelayAfterAck is how soon after an acknowledgement a fault follows.
+	// maxDelayAfterAck is the maximum delay of a fault after an acknowledgement.
 	maxDelayAfterAck = 4 * millisecond
-	// minDelayAfterSend and maxDelayAfterSend bound how soon a fault follows the sending of a
-	// change if it doesn't wait for the acknowledgement.
+	// minDelayAfterSend and maxDelayAfterSend bound the delay of a fault after a change was sent.
 	minDelayAfterSend, maxDelayAfterSend = 5 * millisecond, 400 * millisecond
 )
 
-// afterAck injects a fault right after the next acknowledgement of a change, at the process that
-// gave it; or, at times, soon after the next change was sent.
+// afterAck injects a fault right after the next acknowledgement of a change, at the registry that
+// acknowledged it, or with probability 1/3 soon after the next change is sent, at a random
+// registry.
 func (w *World) afterAck(fault func(*process)) {
 	if w.random.IntN(3) == 0 {
 		w.onNextChange = func() {
@@ -27,7 +27,8 @@
 	w.onNextAck = func(p *process) { w.schedule(w.randomDuration(0, maxDelayAfterAck), func() { fault(p) }) }
 }
 
-// loseDiskOfMachine loses the disk of a registry's machine, or at times of another one.
+// loseDiskOfMachine loses the disk of a registry's machine, or with probability 1/3 of a random
+// one, if that loss is tolerated.
 func (w *World) loseDiskOfMachine(registry *process) {
 	store := w.storeOf(registry)
 	if store == nil || w.random.IntN(3) == 0 {
@@ -38,14 +39,14 @@
 	}
 }
 
-// powerCycleMachine takes the power of a registry's machine.
+// powerCycleMachine restarts all processes on a registry's machine, as after a loss of power.
 func (w *World) powerCycleMachine(registry *process) {
 	for _, p := range w.machineOf(registry) {
 		w.restartProcess(p, w.faultDuration())
 	}
 }
 
-// changeAcknowledged runs when a registry has just confirmed a change.
+// changeAcknowledged is called when a registry has acknowledged a change.
 func (w *World) changeAcknowledged(p *process) {
 	if f := w.onNextAck; f != nil {
 		w.onNextAck = nil
@@ -53,7 +54,7 @@
 	}
 }
 
-// changeSent runs when a change is sent for the first time.
+// changeSent is called when a change is sent for the first time.
 func (w *World) changeSent() {
 	if f := w.onNextChange; f != nil {
 		w.onNextChange = nil
@@ -61,17 +62,17 @@
 	}
 }
 
-// closingFaultTimeout bounds how long the closing fault waits for an acknowledgement.
+// closingFaultTimeout is how long the closing fault waits for an acknowledgement at most.
 const closingFaultTimeout = 6 * time.Second
 
-// injectClosingFault ends a run: right after the acknowledgement of one more change, or soon after
-// it was sent, everything is killed, or one disk is lost, at times while everything else loses
-// power.
+// injectClosingFault injects the last fault of a run: right after one more change is acknowledged,
+// or soon after it is sent, all processes are killed, or a disk is lost with or without a loss of
+// power of all machines.
 func (w *World) injectClosingFault() {
-	struck := false
+	injected := false
 	once := func(p *process) {
-		if !struck {
-			struck = true
+		if !injected {
+			injected = true
 			w.injectClosingFaultAt(p)
 		}
 	}
@@ -81,7 +82,7 @@
 	w.schedule(closingFaultTimeout, func() { once(w.randomProcess(membership.Registry)) })
 }
 
-// injectClosingFaultAt draws and injects the closing fault at a registry's machine.
+// injectClosingFaultAt draws the closing fault and injects it at a registry's machine.
 func (w *World) injectClosingFaultAt(p *process) {
 	wiped := w.storeOf(p)
 	if wiped == nil {
@@ -89,14 +90,14 @@
 	}
 	switch w.random.IntN(4) {
 	case 0:
-		w.trace("closing: the disk of %s is lost", wiped.name)
+		w.trace("closing fault: the disk of %s is lost", wiped.name)
 		w.loseDiskAndPower(wiped, w.restartDuration())
 	case 1:
-		w.trace("closing: the disk of %s is lost, everything loses power", wiped.name)
+		w.trace("closing fault: the disk of %s is lost, all processes lose power", wiped.name)
 		w.restartAll(w.remainingProcesses(0), w.restartDuration)
 		w.loseDisk(wiped)
 	default:
-		w.trace("closing: everything is killed, and starts from disk")
+		w.trace("closing fault: all processes are killed and restart")
 		w.restartAll(w.remainingProcesses(0), w.restartDuration)
 	}
 }
--- a/internal/testsupport/simulator/faults_process.go
+++ b/internal/testsupport/simulator/faults_process.go
@@ -10,7 +10,7 @@
 // processFaults are the faults of processes, machines and their disks.
 var processFaults = []faultKind{
 	{"process killed", 2, func(w *World) { w.restartProcess(w.randomProcess(0), w.faultDuration()) }},
-	{"herd of a role killed", 1, func(w *World) {
+	{"all processes of a role killed", 1, func(w *World) {
 		role := membership.Role(1 + w.random.IntN(3))
 		w.restartAll(w.remainingProcesses(role), w.faultDuration)
 	}},
@@ -31,35 +31,35 @@
 	}},
 }
 
-// slowDiskFactor is how many times as long as usual a slow disk takes.
+// slowDiskFactor is the factor by which syncs of a slow disk take longer.
 const slowDiskFactor = 30
 
-// restartDuration draws how long machines that lost power together take until they run.
+// restartDuration draws how long a machine takes to restart after a loss of power.
 func (w *World) restartDuration() time.Duration {
 	return w.randomDuration(200*millisecond, 1500*millisecond)
 }
 
-// restartProcess kills a process and starts it after a time. What its disk had not synced is lost,
-// as with a loss of power.
+// restartProcess kills a process and starts it after a delay. Records that were not synced are
+// lost, as with a loss of power.
 func (w *World) restartProcess(p *process, d time.Duration) {
 	p.kill()
 	w.schedule(d, func() {
 		if !p.up && !p.removed {
-			// Between two starts wall clocks jump, also backwards.
+			// The wall clock may jump in either direction during a restart.
 			p.clockOffset += w.randomDuration(-10*time.Minute, 10*time.Minute)
 			p.start()
 		}
 	})
 }
 
-// restartAll kills processes at the same moment; each starts after a time of its own.
+// restartAll kills processes at the same time. Each starts after its own delay.
 func (w *World) restartAll(list []*process, down func() time.Duration) {
 	for _, p := range list {
 		w.restartProcess(p, down())
 	}
 }
 
-// losePower takes the power from a whole zone, targets included.
+// losePower restarts all processes and targets of a zone, as after a loss of power.
 func (w *World) losePower(zone ids.Name, d time.Duration) {
 	w.trace("%s loses power", zone)
 	for _, p := range w.remainingProcesses(0) {
--- a/internal/testsupport/simulator/faults_target.go
+++ b/internal/testsupport/simulator/faults_target.go
@@ -15,20 +15,20 @@
 		}
 	}},
 	{"target drained", 1, func(w *World) {
-		// Drained and removed, later started again.
+		// The target drains, stops and starts again later.
 		if t := w.randomTarget(); t.up {
 			t.drain()
 			w.schedule(5*time.Second, func() { t.crash() })
 			w.schedule(5*time.Second+w.randomDuration(time.Second, 8*time.Second), func() { w.restartTarget(t) })
 		}
 	}},
-	{"answers of a target lost", 1, func(w *World) {
+	{"responses of a target lost", 1, func(w *World) {
 		if t := w.randomTarget(); t.up {
 			t.lostResponseShare, t.corruptResponseShare = 0.2, 0.1
 			w.schedule(w.randomDuration(time.Second, 8*time.Second), func() { t.lostResponseShare, t.corruptResponseShare = 0, 0 })
 		}
 	}},
-	{"address handed on", 1, func(w *World) {
+	{"address reused by another target", 1, func(w *World) {
 		if t := w.randomTarget(); t.up {
 			w.reassignAddress(t, w.randomDuration(time.Second, 8*time.Second))
 		}
@@ -40,10 +40,10 @@
 		}
 	}},
 	{"target frozen", 1, func(w *World) { w.randomTarget().freeze(w.randomDuration(time.Second, 8*time.Second)) }},
-	{"target unheard", 1, func(w *World) {
+	{"target partitioned from the core", 1, func(w *World) {
 		w.partitionTarget(w.randomTarget(), nil, w.randomDuration(4*time.Second, 9*time.Second))
 	}},
-	{"target and a proxy unheard", 1, func(w *World) {
+	{"target and a proxy partitioned from the core", 1, func(w *World) {
 		w.partitionTarget(w.randomTarget(), w.randomProcess(membership.Proxy), w.randomDuration(4*time.Second, 9*time.Second))
 	}},
 }
@@ -51,15 +51,15 @@
 // randomTarget draws a target.
 func (w *World) randomTarget() *target { return w.targets[w.random.IntN(len(w.targets))] }
 
-// restartTarget starts a target that crashed, cold, unless another one has its address.
+// restartTarget starts a crashed target, with a slow start, unless another target has its address.
 func (w *World) restartTarget(t *target) {
 	if !t.up && w.targetByAddress[t.address] == t {
 		t.start(true)
 	}
 }
 
-// reassignAddress gives the address of a target that crashes to one of another service, and the
-// first one a new address.
+// reassignAddress crashes a target and swaps its address with that of a target of another service,
+// which restarts at once. The first target restarts after a delay.
 func (w *World) reassignAddress(t *target, back time.Duration) {
 	t.crash()
 	for _, other := range w.targets {
--- a/internal/testsupport/simulator/hot_zones.go
+++ b/internal/testsupport/simulator/hot_zones.go
@@ -13,48 +13,48 @@
 )
 
 const (
-	// hotZonesFrom and hotZonesUntil bound the overload.
+	// hotZonesFrom and hotZonesUntil are the start and the end of the overload.
 	hotZonesFrom  = 60 * time.Second
 	hotZonesUntil = 400 * time.Second
-	// hotRunLength leaves time for all moves to be taken back.
+	// hotRunLength leaves time after the overload for all moves to end.
 	hotRunLength = 640 * time.Second
-	// reportsMissingFor is for how long one zone's reports are lost.
+	// reportsMissingFor is how long one zone's reports are lost.
 	reportsMissingFor = 70 * time.Second
 )
 
-// Hot returns the options of a run in which several zones are overloaded, with tiers, distances and
-// loads drawn from the seed. Some clients keep connections for minutes; meanwhile the planner is
-// lost, a zone's reports are missing, a zone is drained and restored, and operators send many
-// changes. None of that excuses a closed long-lived connection.
+// Hot returns the options of a run in which one or two zones are overloaded, with tiers, distances
+// and loads drawn from the seed. Some clients keep connections for minutes. During the run a
+// registry restarts, a zone's reports are lost, zones are drained and restored, and operators send
+// many changes. No long-lived connection may be closed because of that.
 func Hot(seed uint64) Options {
 	random := rand.New(rand.NewPCG(seed, 0x686f74))
 	plan := hotPlan(random)
-	hot := random.Perm(plan.Zones)[:1+random.IntN(2)]
-	silentZone := plan.Zone(random.IntN(plan.Zones))
+	hotZones := random.Perm(plan.Zones)[:1+random.IntN(2)]
+	unreportedZone := plan.Zone(random.IntN(plan.Zones))
 	reportsMissingFrom := time.Duration(120+random.IntN(200)) * time.Second
 	options := Options{Seed: seed, Plan: plan, Length: hotRunLength, FaultEvery: -1, HoldConnectionsFor: 2 * time.Minute, BriefConnectionShare: 0.7}
 	options.Hot = func(w *World, drawn ids.Name) ids.Name {
-		if at := time.Duration(w.now); at > hotZonesFrom && at < hotZonesUntil && w.random.IntN(100) < 45+len(hot)*15 {
-			return plan.Zone(hot[w.random.IntN(len(hot))])
+		if at := time.Duration(w.now); at > hotZonesFrom && at < hotZonesUntil && w.random.IntN(100) < 45+len(hotZones)*15 {
+			return plan.Zone(hotZones[w.random.IntN(len(hotZones))])
 		}
 		return drawn
 	}
 	var world *World
-	// The reports of one zone are lost for a time.
+	// Drop one zone's reports for reportsMissingFor.
 	options.Defect.Message = func(from, _ string, msg any) (any, bool) {
 		if _, report := msg.(spill.Report); !report || world == nil {
 			return msg, true
 		}
 		at := time.Duration(world.now)
-		return msg, at < reportsMissingFrom || at > reportsMissingFrom+reportsMissingFor || world.processByName(from).zone != silentZone
+		return msg, at < reportsMissingFrom || at > reportsMissingFrom+reportsMissingFor || world.processByName(from).zone != unreportedZone
 	}
 	options.Script = func(w *World) {
 		world = w
 		w.Checker.NoFaults = true
-		// A zone without reports gets no traffic of others, however near it is.
-		w.checkSpillOrder(func(c ids.Name) bool {
+		// A zone without reports must not receive other zones' traffic, however near it is.
+		w.checkSpillOrder(func(zone ids.Name) bool {
 			at := time.Duration(w.now)
-			return w.operators.drainedZone != c && (c != silentZone || at < reportsMissingFrom || at > reportsMissingFrom+reportsMissingFor+2*w.PlanEvery)
+			return w.operators.drainedZone != zone && (zone != unreportedZone || at < reportsMissingFrom || at > reportsMissingFrom+reportsMissingFor+2*w.PlanEvery)
 		})
 		w.schedule(time.Duration(100+random.IntN(250))*time.Second, func() { w.restartProcess(w.randomProcess(membership.Registry), 40*time.Second) })
 		w.repeat(150*time.Second, 400*millisecond, 60, func(i int) { w.putPair(i+1, i%blueprint.RoutePairs) })
@@ -63,7 +63,7 @@
 	return options
 }
 
-// hotPlan draws the zones' distances and the tiers of the routes.
+// hotPlan returns a plan with random distances between zones and random tiers of routes.
 func hotPlan(random *rand.Rand) blueprint.Plan {
 	distances := map[[2]ids.Name]int{}
 	plan := blueprint.Plan{
@@ -87,11 +87,12 @@
 	return plan
 }
 
-// sampleEvery is how often the usage of zones is measured.
+// sampleEvery is the interval at which the usage of zones is measured.
 const sampleEvery = 5 * time.Second
 
-// checkSpillOrder lets the checker judge the order of moves by the configuration, the directory's
-// answers, and what the zones' proxies carried.
+// checkSpillOrder gives the checker the tiers, levels and distances of the plan and periodically
+// each zone's usage, so that it can check the order of moves. The open function reports whether a
+// zone may currently receive other zones' traffic.
 func (w *World) checkSpillOrder(open func(ids.Name) bool) {
 	order := checker.SpillOrder{Every: w.PlanEvery, Tier: map[ids.Name]int{}, Acceptable: map[ids.Name]float64{}, Distance: w.Plan.Distance}
 	tier := map[ids.Name]int{}
--- a/internal/testsupport/simulator/network.go
+++ b/internal/testsupport/simulator/network.go
@@ -9,14 +9,14 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// networkConditions is how unreliable the network is: the share of messages that are lost or
-// duplicated, and by how much each may be delayed beyond its latency.
+// networkConditions is the unreliability of the network: the shares of messages that are lost and
+// duplicated, and the maximum delay in addition to the latency.
 type networkConditions struct {
 	loss, duplication float64
 	jitter            time.Duration
 }
 
-// latency draws the time that a message takes one way between two zones.
+// latency draws the one-way latency of a message between two zones.
 func (w *World) latency(a, b ids.Name) time.Duration {
 	base := 200 * time.Microsecond
 	switch {
@@ -29,7 +29,7 @@
 	return base + w.randomDuration(0, w.network.jitter)
 }
 
-// delivers reports whether a message passes the partitions and is not lost by chance.
+// delivers reports whether a message is neither blocked by a partition nor lost at random.
 func (w *World) delivers(fromName string, from ids.Name, toName string, to ids.Name) bool {
 	for _, p := range w.partitions {
 		if p.crosses(fromName, from, toName, to) {
@@ -39,8 +39,8 @@
 	return w.network.loss == 0 || w.random.Float64() >= w.network.loss
 }
 
-// send carries a message between daemons. Whichever process has the address when it arrives gets
-// it; a reset of the connection meanwhile loses it.
+// send sends a message between daemons. It is delivered to the process that has the address when it
+// arrives, and lost if the connection is reset before that.
 func (w *World) send(from *process, to ids.Address, msg any) {
 	if w.Defect.Message != nil {
 		name := ""
@@ -78,8 +78,8 @@
 	}
 }
 
-// linkDelay is how long a message between two stores waits for the links of both and takes to pass
-// them, at Options.LinkBits.
+// linkDelay returns the queueing and transmission delay of a message between two stores at
+// Options.LinkBits.
 func (w *World) linkDelay(from, to *process, msg any) time.Duration {
 	if w.LinkBits == 0 || from.role != membership.Store || to.role != membership.Store {
 		return 0
--- a/internal/testsupport/simulator/spill.go
+++ b/internal/testsupport/simulator/spill.go
@@ -12,16 +12,15 @@
 	"dunlinwell/internal/controlplane/spill"
 )
 
-// Point is the state of the spill-over at one time: the usage of each zone, as its proxies measured
-// it, and the moves in force.
+// Point is a sample of the spill-over: the usage of each zone and the moves in effect.
 type Point struct {
 	At    time.Duration
 	Used  map[ids.Name]float64
 	Moves []spill.Move
 }
 
-// Out returns the sum over all routes of the shares of a zone's new connections that are sent
-// elsewhere.
+// Out returns the sum, over all moves from a zone, of the shares of new connections that are sent
+// to other zones.
 func (p Point) Out(zone ids.Name) float64 {
 	sum := 0.0
 	for _, m := range p.Moves {
@@ -32,8 +31,8 @@
 	return sum
 }
 
-// sampleSpill takes a point at every interval, from the planner's table and from what requests cost
-// where they were executed.
+// sampleSpill appends a point at every interval, from the planner's table and the CPU time that
+// each zone's proxies used.
 func (w *World) sampleSpill(every time.Duration, points *[]Point) {
 	last := map[ids.Name]float64{}
 	var sample func()
@@ -53,7 +52,7 @@
 	w.schedule(every, sample)
 }
 
-// cpuByZone sums the CPU time, in milliseconds, that each zone's proxies have spent since the
+// cpuByZone returns the CPU time, in milliseconds, that each zone's proxies have used since the
 // start.
 func (w *World) cpuByZone() map[ids.Name]float64 {
 	out := map[ids.Name]float64{}
@@ -68,7 +67,7 @@
 	return out
 }
 
-// currentPlanner returns the registry with the newest table; nil if none is up.
+// currentPlanner returns the registry with the newest spill table, or nil if no registry is up.
 func (w *World) currentPlanner() *registry.Registry {
 	var candidates []*registry.Registry
 	for _, p := range w.processes {
@@ -84,7 +83,7 @@
 	})
 }
 
-// Spill runs a load with no faults but those of the script, and returns its points.
+// Spill performs a run and returns its spill-over samples and its outcome.
 func Spill(p Options, every time.Duration) ([]Point, Outcome) {
 	var points []Point
 	script := p.Script
