--- a/internal/testsupport/simulator/trace.go
+++ b/internal/testsupport/simulator/trace.go
@@ -19,12 +19,12 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// A recorded trace holds every event that one machine received in a run and, for each, a hash of
-// the commands that it gave. Replayed to a machine with the same options it shows the first step
-// at which behavior has changed. Nothing in it depends on the name of a Go type or field, so that
-// it outlives their renaming.
+// A recorded trace contains every event that one state machine received in a run and a hash of the
+// commands that each event produced. Replaying it to a machine with the same options finds the
+// first step whose behavior has changed. It doesn't depend on names of Go types or fields, so that
+// they can be renamed.
 
-// eventTypes are the events that a trace can hold beside messages.
+// eventTypes maps the kinds of events in a trace, except messages, to their types.
 var eventTypes = map[string]reflect.Type{
 	"tick":          reflect.TypeFor[event.Tick](),
 	"synced":        reflect.TypeFor[event.Synced](),
@@ -44,8 +44,7 @@
 	"proxy-stop":    reflect.TypeFor[proxy.Stopping](),
 }
 
-// commandTypes are the commands, and the events within them, that have a kind of their own in a
-// trace.
+// commandTypes maps the kinds of commands, and of events within commands, to their types.
 var commandTypes = map[string]reflect.Type{
 	"sync":           reflect.TypeFor[event.Sync](),
 	"send":           reflect.TypeFor[event.Send](),
@@ -64,7 +63,7 @@
 	"terms":          reflect.TypeFor[dispatch.TermsUpdated](),
 }
 
-// traceKinds gives the kind of each type in the tables.
+// traceKinds maps the types in eventTypes and commandTypes to their kinds.
 var traceKinds = map[reflect.Type]string{}
 
 func init() {
@@ -75,8 +74,8 @@
 	}
 }
 
-// kindOf returns the kind of a message, event or command: the number of a message on the wire, or
-// the key of the tables.
+// kindOf returns the kind of a message, event or command: the wire kind of a message, the key in
+// eventTypes or commandTypes, or "other".
 func kindOf(v any) string {
 	if k := wire.KindOfMessage(v); k != 0 {
 		return strconv.Itoa(int(k))
@@ -87,7 +86,7 @@
 	return "other"
 }
 
-// commandKind returns the kind of a command, with that of the message or event in it.
+// commandKind returns the kind of a command, including the kind of the message or event in it.
 func commandKind(c event.Command) string {
 	switch c := c.(type) {
 	case event.Send:
@@ -98,8 +97,8 @@
 	return kindOf(c)
 }
 
-// writeEvent writes an event as one line. One that can't be encoded becomes a line that no replay
-// accepts.
+// writeEvent writes an event as one line. An event that can't be encoded becomes a line that fails
+// the replay.
 func writeEvent(now ids.Time, ev event.Event) string {
 	line, err := encodeEvent(ev)
 	if err != nil {
@@ -116,13 +115,13 @@
 	}
 	kind := kindOf(ev)
 	if eventTypes[kind] == nil {
-		return "", fmt.Errorf("no kind for event %T", ev)
+		return "", fmt.Errorf("unknown event type %T", ev)
 	}
 	raw, err := appendValue(nil, reflect.ValueOf(ev), 0)
 	return strings.TrimSpace(fmt.Sprintf("%s %x", kind, raw)), err
 }
 
-// readEvent parses a line of writeEvent.
+// readEvent parses a line written by writeEvent.
 func readEvent(line string) (ids.Time, event.Event, error) {
 	at, rest, _ := strings.Cut(line, " ")
 	now, err := strconv.ParseInt(at, 10, 64)
@@ -144,15 +143,15 @@
 	}
 	t, ok := eventTypes[kind]
 	if !ok {
-		return 0, nil, fmt.Errorf("no event of kind %q", kind)
+		return 0, nil, fmt.Errorf("unknown event kind %q", kind)
 	}
 	ev := reflect.New(t).Elem()
 	err = decodeValue(raw, ev)
 	return ids.Time(now), ev.Interface(), err
 }
 
-// writeCommands writes the commands of a step as one line: a hash over all of them, and the kind of
-// each.
+// writeCommands encodes the commands of a step as one line: a hash over all commands and the kind
+// of each.
 func writeCommands(out []event.Command) string {
 	h := fnv.New64a()
 	var kinds []string
@@ -163,8 +162,8 @@
 	return fmt.Sprintf("< %016x %s", h.Sum64(), strings.Join(kinds, " "))
 }
 
-// appendCommand appends a command's kind and encoding. Of a log entry only its presence counts: its
-// text is for people, and may change.
+// appendCommand appends a command's kind and encoding. Log entries are encoded without their
+// content, so that their texts can change.
 func appendCommand(out []byte, c event.Command) []byte {
 	out = appendBytes(out, []byte(commandKind(c)))
 	switch c := c.(type) {
@@ -176,26 +175,26 @@
 		}
 	case event.Sync:
 		out = mustAppend(out, []any{c.Batch, c.Records, len(c.After)})
-		for _, then := range c.After {
-			out = appendCommand(out, then)
+		for _, after := range c.After {
+			out = appendCommand(out, after)
 		}
 		return out
 	}
 	return mustAppend(out, c)
 }
 
-// mustAppend appends a value whose type must have an encoding, or the hash would miss a part of the
-// command.
+// mustAppend appends the encoding of a value. It panics if there is none, since the hash would then
+// ignore a part of the command.
 func mustAppend(out []byte, v any) []byte {
 	out, err := appendValue(out, reflect.ValueOf(v), 0)
 	if err != nil {
-		panic(fmt.Sprintf("recorded trace: %T: %v", v, err))
+		panic(fmt.Sprintf("encode command for trace: %T: %v", v, err))
 	}
 	return out
 }
 
-// ReplayTrace replays a trace to a machine. It returns the number of lines replayed, or that of the
-// first one that differs and an error.
+// ReplayTrace replays a trace to a machine. It returns the number of lines replayed, or the number
+// of the first line that differs and an error.
 func ReplayTrace(m event.Machine, trace io.Reader) (int, error) {
 	lines := bufio.NewScanner(trace)
 	lines.Buffer(nil, 16<<20)
--- a/internal/testsupport/simulator/trace_decoding.go
+++ b/internal/testsupport/simulator/trace_decoding.go
@@ -10,10 +10,10 @@
 	"reflect"
 )
 
-// errEncodingTruncated: an encoded value ends early, or a length in it is greater than what follows.
-var errEncodingTruncated = errors.New("encoded value is too short")
+// errEncodingTruncated means that an encoded value ends early or contains a length beyond its end.
+var errEncodingTruncated = errors.New("encoded value is truncated")
 
-// decodeValue sets a value from its encoding, which must hold nothing more.
+// decodeValue sets a value from its encoding, which must have no trailing bytes.
 func decodeValue(raw []byte, v reflect.Value) error {
 	r := bytes.NewReader(raw)
 	if err := readValue(r, v); err != nil {
@@ -25,7 +25,7 @@
 	return nil
 }
 
-// readValue reads what appendValue appended. Interfaces can't be read, as their
+// readValue reads a value encoded by appendValue. Interface values can't be decoded, since their
 // types are not recorded.
 func readValue(r *bytes.Reader, v reflect.Value) error {
 	switch v.Kind() {
@@ -65,7 +65,7 @@
 		v.Set(reflect.New(v.Type().Elem()))
 		return readValue(r, v.Elem())
 	}
-	return fmt.Errorf("no decoding for a %s", v.Kind())
+	return fmt.Errorf("kind %s can't be decoded", v.Kind())
 }
 
 func readBytes(r *bytes.Reader) ([]byte, error) {
@@ -78,7 +78,7 @@
 	return raw, err
 }
 
-// readCount reads the length of a slice or map; -1 for a nil one.
+// readCount reads the length of a slice or map, or -1 for a nil one.
 func readCount(r *bytes.Reader) (int, error) {
 	n, err := binary.ReadUvarint(r)
 	if err != nil || n > uint64(r.Len())+1 {
--- a/internal/testsupport/simulator/trace_encoding.go
+++ b/internal/testsupport/simulator/trace_encoding.go
@@ -9,13 +9,12 @@
 	"slices"
 )
 
-// maxDepth bounds how deeply an encoded value may be nested, so that a cycle
-// of pointers is an error.
+// maxDepth is the maximum nesting of an encoded value, so that a pointer cycle is an error.
 const maxDepth = 64
 
-// appendValue appends a value by position: the exported fields of a struct in
-// their order, and no name of a type or field. Integers are varints; a slice or a
-// map is preceded by its length plus one, and a nil one is zero.
+// appendValue appends the encoding of a value, without names: the exported fields of a struct in
+// their order. Integers are varints; slices and maps are preceded by their length plus one, nil
+// ones are encoded as zero.
 func appendValue(out []byte, v reflect.Value, depth int) ([]byte, error) {
 	if depth > maxDepth {
 		return out, fmt.Errorf("value is nested more than %d levels deep", maxDepth)
@@ -50,7 +49,7 @@
 	case reflect.Interface:
 		return appendInterface(out, v, depth)
 	}
-	return out, fmt.Errorf("no encoding for a %s", v.Kind())
+	return out, fmt.Errorf("kind %s can't be encoded", v.Kind())
 }
 
 func appendBool(out []byte, set bool) []byte {
@@ -88,8 +87,8 @@
 	return out, nil
 }
 
-// encoded reports whether a field belongs to the encoding: unexported fields,
-// functions and channels do not.
+// encoded reports whether a field is part of the encoding. Unexported fields, functions and
+// channels are not.
 func encoded(f reflect.StructField) bool {
 	switch f.Type.Kind() {
 	case reflect.Func, reflect.Chan:
@@ -100,7 +99,7 @@
 	return f.IsExported()
 }
 
-// appendMap appends a map's entries in the order of their encoded keys.
+// appendMap appends a map's entries, sorted by encoded key.
 func appendMap(out []byte, v reflect.Value, depth int) ([]byte, error) {
 	if v.IsNil() {
 		return append(out, 0), nil
@@ -128,8 +127,7 @@
 	return out, nil
 }
 
-// appendInterface appends what an interface holds, preceded by its kind in the
-// trace and its kind in the language.
+// appendInterface appends the value of an interface, preceded by its kindOf and its reflect.Kind.
 func appendInterface(out []byte, v reflect.Value, depth int) ([]byte, error) {
 	if v.IsNil() {
 		return append(out, 0), nil
--- a/internal/testsupport/simulator/trace_recorder.go
+++ b/internal/testsupport/simulator/trace_recorder.go
@@ -17,18 +17,18 @@
 	"dunlinwell/internal/dataplane/proxy"
 )
 
-// TraceHeader is the first line of a recorded trace: the options of its machine.
+// TraceHeader is the first line of a recorded trace: the options of the recorded machine.
 type TraceHeader struct {
 	Membership membership.Options
 	Random     [2]uint64
 	Store, Run uint64
 	PlanEvery  time.Duration
 	Lease      time.Duration
-	// Bootstrap: a store was allowed to bootstrap.
+	// Bootstrap reports whether a store was permitted to bootstrap.
 	Bootstrap bool
 }
 
-// machine makes a machine with these options.
+// machine returns a new machine with these options.
 func (t TraceHeader) machine(storage *disk) event.Machine {
 	random := rand.New(rand.NewPCG(t.Random[0], t.Random[1]))
 	switch t.Membership.Self.Role {
@@ -40,20 +40,20 @@
 	return proxy.New(t.Membership, proxy.ControlOptions{Lease: t.Lease})
 }
 
-// record makes the first run of a process write a trace, if Options.Traces asks for it.
+// record makes the first run of a process record a trace if Options.Traces contains the process.
 func (p *process) record(header TraceHeader) {
-	into := p.world.Traces[p.name]
-	if into == nil || p.generation != 1 {
+	output := p.world.Traces[p.name]
+	if output == nil || p.generation != 1 {
 		return
 	}
 	raw, err := appendValue(nil, reflect.ValueOf(header), 0)
 	if err == nil {
-		_, err = fmt.Fprintf(into, "# %x\n", raw)
+		_, err = fmt.Fprintf(output, "# %x\n", raw)
 	}
-	p.machine = &traceRecorder{Machine: p.machine, process: p, output: into, until: p.world.TraceFor, err: err}
+	p.machine = &traceRecorder{Machine: p.machine, process: p, output: output, until: p.world.TraceFor, err: err}
 }
 
-// traceRecorder writes the events that a machine receives and its commands, until a time.
+// traceRecorder records the events that a machine receives and its commands until a virtual time.
 type traceRecorder struct {
 	event.Machine
 	process *process
@@ -69,7 +69,7 @@
 	if r.err != nil || time.Duration(r.process.world.now) > r.until {
 		return out
 	}
-	// A step without commands has no line for them.
+	// Steps without commands have no commands line.
 	if len(out) > 0 {
 		line += "\n" + writeCommands(out)
 	}
@@ -77,7 +77,8 @@
 	return out
 }
 
-// ReplayRecorded makes the machine of a trace and replays the trace to it.
+// ReplayRecorded creates the machine described by the header of a trace and replays the trace to
+// it.
 func ReplayRecorded(header string, trace io.Reader) (int, error) {
 	var parsed TraceHeader
 	raw, err := hex.DecodeString(strings.TrimSpace(strings.TrimPrefix(header, "# ")))
@@ -91,13 +92,13 @@
 	return ReplayTrace(&replayDisk{Machine: parsed.machine(storage), disk: storage, unsynced: map[uint64][]event.Record{}}, trace)
 }
 
-// replayDisk keeps the records that a machine syncs, and puts them on its disk when the trace says
-// that they are synced.
+// replayDisk holds the records that a machine syncs, and writes them to its disk when the trace
+// contains the Synced event.
 type replayDisk struct {
 	event.Machine
 	disk     *disk
 	unsynced map[uint64][]event.Record
-	// nextBatch is the lowest batch that is not synced.
+	// nextBatch is the lowest batch that is not synced yet.
 	nextBatch uint64
 }
 
--- a/internal/testsupport/simulator/trace_test.go
+++ b/internal/testsupport/simulator/trace_test.go
@@ -22,34 +22,34 @@
 	"dunlinwell/internal/dataplane/proxy"
 )
 
-var recordTraces = flag.Bool("record", false, "record the traces anew, after a change that is meant")
+var recordTraces = flag.Bool("record", false, "record the traces again after an intended change of behavior")
 
-// recordedMachines are those whose traces are kept: each in the midst of trouble.
+// recordedMachines are the machines whose traces are in testdata.
 var recordedMachines = []string{"store-2", "registry-1", "proxy-3"}
 
-// Recorded traces of the three machines, with all the slices in them (roll,
-// rounds, registers, target table, plans), are replayed: same events, same commands.
+// Guards against unintended changes of behavior: a store, a registry and a proxy must produce the
+// recorded commands for the recorded events.
 func TestRecordedTraces(t *testing.T) {
 	is := is.New(t)
 	traces := map[string]*bytes.Buffer{}
 	if *recordTraces {
 		p := Options{Seed: 3, Length: 20 * time.Second, Traces: map[string]io.Writer{}, TraceFor: 13 * time.Second, FaultEvery: 700 * time.Millisecond}
-		for _, n := range recordedMachines {
-			traces[n] = &bytes.Buffer{}
-			p.Traces[n] = traces[n]
+		for _, name := range recordedMachines {
+			traces[name] = &bytes.Buffer{}
+			p.Traces[name] = traces[name]
 		}
 		Run(p)
 	}
-	for _, n := range recordedMachines {
-		file := filepath.Join("testdata", n+".trace.gz")
+	for _, name := range recordedMachines {
+		file := filepath.Join("testdata", name+".trace.gz")
 		if *recordTraces {
-			var packed bytes.Buffer
-			z := gzip.NewWriter(&packed)
-			_, err := z.Write(traces[n].Bytes())
+			var compressed bytes.Buffer
+			z := gzip.NewWriter(&compressed)
+			_, err := z.Write(traces[name].Bytes())
 			is.NoErr(err)
 			is.NoErr(z.Close())
 			is.NoErr(os.MkdirAll("testdata", 0o755))
-			is.NoErr(os.WriteFile(file, packed.Bytes(), 0o644))
+			is.NoErr(os.WriteFile(file, compressed.Bytes(), 0o644))
 		}
 		raw, err := os.ReadFile(file)
 		is.NoErr(err)
@@ -60,14 +60,14 @@
 		is.NoErr(err)
 		lines, err := ReplayRecorded(header, trace)
 		if err != nil {
-			t.Errorf("%s: %v", n, err)
+			t.Errorf("%s: %v", name, err)
 		}
-		t.Logf("%s: %d lines", n, lines)
+		t.Logf("%s: %d lines", name, lines)
 		is.True(lines > 300)
 	}
 }
 
-// A machine that does one thing otherwise is found out at that very line.
+// A replay fails at the line of the first difference.
 func TestReplayTrace_DetectsChange(t *testing.T) {
 	is := is.New(t)
 	trace := "5 tick\n6 tick\n< cbf29ce484222325 \n"
@@ -76,8 +76,8 @@
 	is.Equal(line, 3)
 }
 
-// The hash over a step's commands notices each value that is changed in one,
-// also deep within, and nothing of a log entry but that it is there.
+// The hash over a step's commands depends on every value in them, including nested ones, but not on
+// the content of log entries.
 func TestWriteCommands_HashDetectsChange(t *testing.T) {
 	is := is.New(t)
 	same := func(a, b event.Command) bool {
@@ -85,24 +85,24 @@
 		is.Equal(writeCommands([]event.Command{a}), x)
 		return x == y
 	}
-	synced := func(turn uint64, key ids.RegisterKey, value []byte, then ...event.Command) event.Command {
-		return event.Sync{Batch: turn, Records: []event.Record{{Key: key, Value: value}}, After: then}
+	syncCommand := func(batch uint64, key ids.RegisterKey, value []byte, after ...event.Command) event.Command {
+		return event.Sync{Batch: batch, Records: []event.Record{{Key: key, Value: value}}, After: after}
 	}
-	base := synced(1, "a", []byte{}, event.Send{To: "x", Message: spill.Report{Number: 1}})
-	is.True(same(base, synced(1, "a", []byte{}, event.Send{To: "x", Message: spill.Report{Number: 1}})))
-	is.True(!same(base, synced(2, "a", []byte{}, event.Send{To: "x", Message: spill.Report{Number: 1}})))
-	is.True(!same(base, synced(1, "b", []byte{}, event.Send{To: "x", Message: spill.Report{Number: 1}})))
-	is.True(!same(base, synced(1, "a", nil, event.Send{To: "x", Message: spill.Report{Number: 1}})))
-	is.True(!same(base, synced(1, "a", []byte{}, event.Send{To: "y", Message: spill.Report{Number: 1}})))
-	is.True(!same(base, synced(1, "a", []byte{}, event.Send{To: "x", Message: spill.Report{Number: 2}})))
-	is.True(!same(base, synced(1, "a", []byte{})))
+	base := syncCommand(1, "a", []byte{}, event.Send{To: "x", Message: spill.Report{Number: 1}})
+	is.True(same(base, syncCommand(1, "a", []byte{}, event.Send{To: "x", Message: spill.Report{Number: 1}})))
+	is.True(!same(base, syncCommand(2, "a", []byte{}, event.Send{To: "x", Message: spill.Report{Number: 1}})))
+	is.True(!same(base, syncCommand(1, "b", []byte{}, event.Send{To: "x", Message: spill.Report{Number: 1}})))
+	is.True(!same(base, syncCommand(1, "a", nil, event.Send{To: "x", Message: spill.Report{Number: 1}})))
+	is.True(!same(base, syncCommand(1, "a", []byte{}, event.Send{To: "y", Message: spill.Report{Number: 1}})))
+	is.True(!same(base, syncCommand(1, "a", []byte{}, event.Send{To: "x", Message: spill.Report{Number: 2}})))
+	is.True(!same(base, syncCommand(1, "a", []byte{})))
 
-	stock := func(capacity int, limit time.Duration) event.Command {
+	serviceState := func(capacity int, limit time.Duration) event.Command {
 		return proxy.DispatchEvent{Service: "s", Event: dispatch.ServiceState{DefaultCapacity: capacity, Terms: map[ids.Name]dispatch.RouteTerms{"a": {TimeLimit: limit}, "b": {}}}}
 	}
-	is.True(same(stock(1, 2), stock(1, 2)))
-	is.True(!same(stock(1, 2), stock(2, 2)))
-	is.True(!same(stock(1, 2), stock(1, 3)))
+	is.True(same(serviceState(1, 2), serviceState(1, 2)))
+	is.True(!same(serviceState(1, 2), serviceState(2, 2)))
+	is.True(!same(serviceState(1, 2), serviceState(1, 3)))
 	response := func(body any) event.Command { return registry.Response{ID: 1, Status: 200, Body: body} }
 	is.True(!same(response(map[string]any{"known": true}), response(map[string]any{"known": false})))
 	is.True(!same(response(nil), response(map[string]any{})))
@@ -111,7 +111,7 @@
 	is.True(writeCommands([]event.Command{event.LogEntry{}}) != writeCommands([]event.Command{event.LogEntry{}, event.LogEntry{}}))
 }
 
-// Every kind of event comes back from its line as it was, nil and empty apart.
+// Events survive encoding and decoding, with nil and empty slices kept apart.
 func TestWriteEvent_RoundTrip(t *testing.T) {
 	is := is.New(t)
 	for _, ev := range []event.Event{
