--- a/internal/testsupport/simulator/bootstrap_test.go
+++ b/internal/testsupport/simulator/bootstrap_test.go
@@ -11,16 +11,16 @@
 	"dunlinwell/internal/controlplane/membership"
 )
 
-// restartOldSeeds moves the whole core to other machines and then starts the
-// first three stores again, blank and with the setting of the first start.
-func restartOldSeeds(w *World, alone bool) {
+// restartOldSeeds replaces all core machines and then restarts the first three stores, blank and
+// with the bootstrap setting on. If isolated, they are partitioned from the new core.
+func restartOldSeeds(w *World, isolated bool) {
 	w.repeat(2*time.Second, 11*time.Second, 3, func(i int) { w.replaceAfterLoss(w.processes[i]) })
 	w.schedule(36*time.Second, func() {
 		old := map[string]bool{}
 		for _, p := range w.processes[:3] {
 			old[p.name] = true
 		}
-		if alone {
+		if isolated {
 			isOld := func(name string, _ ids.Name) bool { return old[name] }
 			isCore := func(name string, _ ids.Name) bool {
 				return !old[name] && !strings.HasPrefix(name, membership.Proxy.String())
@@ -36,20 +36,20 @@
 	})
 }
 
-// Three blank stores whose settings still call it the first start come up beside
-// a core that has moved on, in its reach or with proxies alone in theirs.
+// Guards against a second core bootstrapped by blank old seeds, whether or not they reach the
+// current core.
 func TestBootstrap_OldSeedsFormNoSecondCore(t *testing.T) {
 	is := is.New(t)
-	for _, alone := range []bool{false, true} {
+	for _, isolated := range []bool{false, true} {
 		for seed := uint64(1); seed <= 3; seed++ {
-			o := Run(Options{Seed: seed, Length: 55 * time.Second, KeepLog: true, Script: func(w *World) { restartOldSeeds(w, alone) }})
+			o := Run(Options{Seed: seed, Length: 55 * time.Second, KeepLog: true, Script: func(w *World) { restartOldSeeds(w, isolated) }})
 			report(t, o)
 			is.Equal(strings.Count(strings.Join(o.Log, "\n"), " bootstrap_completed ["), 1)
 		}
 	}
 }
 
-// The setting stays on in all settings files, and the disks of all three are lost.
+// Guards against a second bootstrap when the bootstrap setting is stale and all disks are lost.
 func TestBootstrap_StaleSettingAfterTotalLoss(t *testing.T) {
 	is := is.New(t)
 	for seed := uint64(1); seed <= 3; seed++ {
--- a/internal/testsupport/simulator/departure_test.go
+++ b/internal/testsupport/simulator/departure_test.go
@@ -12,25 +12,26 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// stopStoreGracefully asks a store to leave, as SIGTERM does, and calls then when it has ended.
+// stopStoreGracefully requests the departure of a store, as SIGTERM does, and calls then when it
+// has stopped or after 6 s.
 func (w *World) stopStoreGracefully(p *process, then func()) {
-	w.trace("%s is told to stop", p.name)
+	w.trace("%s receives the stop signal", p.name)
 	p.deliver(store.Leave{GracePeriod: 5 * time.Second})
 	began := w.now
-	var look func()
-	look = func() {
+	var check func()
+	check = func() {
 		if p.up && w.now.Sub(began) < 6*time.Second {
-			w.schedule(20*time.Millisecond, look)
+			w.schedule(20*time.Millisecond, check)
 			return
 		}
 		p.kill()
 		then()
 	}
-	look()
+	check()
 }
 
-// allVotersComplete tells whether all members of the newest voter set, three, are up and
-// complete. Spares don't count.
+// allVotersComplete reports whether the newest voter set has three voters, all up and with complete
+// copies. Spares are ignored.
 func (w *World) allVotersComplete() bool {
 	var newest consensus.VoterSet
 	serving := map[uint64]bool{}
@@ -52,14 +53,14 @@
 	return len(newest.Voters) == 3 && len(newest.Incoming)+len(newest.Learners) == 0
 }
 
-// removeStopped ends a machine for good.
+// removeStopped removes a stopped process permanently.
 func (w *World) removeStopped(p *process) {
 	p.removed = true
 	delete(w.processByAddress, p.address)
 }
 
-// All three founders are replaced as planned, under load and operators' changes:
-// the new machine first, then the signal, then the disk is gone.
+// All three initial stores are replaced under load: a new store is added, then the old one departs
+// and is removed.
 func TestDeparture_PlannedReplacementOfAllStores(t *testing.T) {
 	is := is.New(t)
 	for seed := uint64(1); seed <= 4; seed++ {
@@ -75,13 +76,13 @@
 		report(t, o)
 		log := strings.Join(o.Log, "\n")
 		is.True(settled)
-		is.Equal(strings.Count(log, "departure_ended [needed_for ]"), 3) // none ended because its time was up
-		is.Equal(strings.Count(log, "is told to stop"), 3)
+		is.Equal(strings.Count(log, "departure_ended [needed_for ]"), 3) // no departure timed out
+		is.Equal(strings.Count(log, "receives the stop signal"), 3)
 	}
 }
 
-// The stores are restarted in turn with a spare. Each finds its place taken when it returns, and is
-// the next spare.
+// A rolling restart with one spare: each restarted store finds its place in the voter set taken and
+// becomes the next spare.
 func TestDeparture_RollingRestartWithSpare(t *testing.T) {
 	is := is.New(t)
 	for seed := uint64(1); seed <= 4; seed++ {
@@ -100,8 +101,8 @@
 	}
 }
 
-// One is told to stop and killed, disk and all, at a random moment of its hand-over,
-// while messages are lost; two leave at once in every other seed.
+// A departing store is killed and its disk lost at a random moment of the hand-over, while messages
+// are lost. With even seeds two stores depart at once.
 func TestDeparture_StoreKilledDuringHandOver(t *testing.T) {
 	is := is.New(t)
 	for seed := uint64(1); seed <= 8; seed++ {
--- a/internal/testsupport/simulator/hot_zones_test.go
+++ b/internal/testsupport/simulator/hot_zones_test.go
@@ -6,8 +6,8 @@
 	"github.com/matryer/is"
 )
 
-// Several overloaded zones, with drawn tiers and distances, lost planners, missing reports, a storm
-// of changes and a drained zone: moves keep their order, and no long-lived connection is closed.
+// With overloaded zones, random tiers and distances, lost planners, missing reports, many changes
+// and drained zones, moves keep their order and no long-lived connection is closed.
 func TestHotZones_KeepOrderOfMovesAndConnections(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run("", func(t *testing.T) {
--- a/internal/testsupport/simulator/lease_test.go
+++ b/internal/testsupport/simulator/lease_test.go
@@ -11,7 +11,7 @@
 	"dunlinwell/internal/testsupport/blueprint"
 )
 
-// leaseOutages are what the lease costs pages in, each for eight seconds.
+// leaseOutages are outages, of 8 s each, during which proxies lose their lease.
 var leaseOutages = map[string]func(w *World){
 	"the whole core": func(w *World) {
 		for _, p := range w.processes {
@@ -27,16 +27,16 @@
 			}
 		}
 	},
-	"a region cut off from the others": func(w *World) {
+	"a region partitioned from the others": func(w *World) {
 		in := func(_ string, c ids.Name) bool { return c != "" && w.Plan.Region(c) == "region-b" }
 		w.addPartition(8*time.Second, &partition{sideA: in, sideB: func(n string, c ids.Name) bool { return !in(n, c) }})
 	},
 }
 
-// The cost of serving nothing that can't be confirmed: the share of first attempts answered through a
-// loss, with the default lease and with one that never ends.
+// Measures the availability cost of the lease: the share of first attempts answered during an
+// outage, with the default lease and with an endless one.
 func TestLease_CostsAvailabilityDuringOutages(t *testing.T) {
-	for name, lose := range leaseOutages {
+	for name, startOutage := range leaseOutages {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
@@ -45,18 +45,18 @@
 				var world *World
 				o := Run(Options{
 					Seed: 1, Plan: blueprint.Plans["cooperative"], Length: 46 * time.Second, FaultEvery: -1, Lease: lease, HoldConnectionsFor: time.Minute, BriefConnectionShare: 0.5,
-					Script: func(w *World) { world = w; w.schedule(26*time.Second, func() { lose(w) }) },
+					Script: func(w *World) { world = w; w.schedule(26*time.Second, func() { startOutage(w) }) },
 				})
 				if lease == 0 {
 					report(t, o)
 				}
 				from := time.Unix(32, 0)
-				good, all := world.Checker.Served(from, from.Add(8*time.Second))
+				answered, all := world.Checker.Served(from, from.Add(8*time.Second))
 				is.True(all > 500)
-				share[lease] = float64(good) / float64(all)
+				share[lease] = float64(answered) / float64(all)
 			}
-			t.Logf("%s, 8 s: %.1f %% of pages at the first attempt; with a lease that never ends %.1f %%", name, 100*share[0], 100*share[time.Hour])
-			is.True(share[0] <= share[time.Hour]+0.02) // or it would not be the lease that costs
+			t.Logf("%s for 8 s: %.1f %% of requests answered at the first attempt; with an endless lease %.1f %%", name, 100*share[0], 100*share[time.Hour])
+			is.True(share[0] <= share[time.Hour]+0.02) // otherwise the lease is not the cause of the cost
 		})
 	}
 }
--- a/internal/testsupport/simulator/linearizability_test.go
+++ b/internal/testsupport/simulator/linearizability_test.go
@@ -13,9 +13,9 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// registerModel is the configuration's register as its callers may see it: each accepted
-// change makes the next revision, and a reading gives the newest. One state is
-// one revision, and one revision one content.
+// registerModel is the sequential specification of the configuration register: each accepted change
+// creates the next revision, and a read returns the newest one. The state is the revision, which
+// determines the content.
 var registerModel = porcupine.Model{
 	Init: func() any { return ids.Revision(0) },
 	Step: func(state, in, _ any) (bool, any) {
@@ -26,18 +26,18 @@
 		case o.Known:
 			return o.Revision == at+1, at + 1
 		}
-		// Its outcome is unknown: it may take effect here, or after everything else.
+		// The outcome is unknown: the change may take effect here or after all other operations.
 		return true, at + 1
 	},
 }
 
-// linearizable checks the history of a run.
+// linearizable returns an error if the history of a run is not linearizable.
 func linearizable(list []Operation) error {
 	contents := map[ids.Revision]string{}
 	var ops []porcupine.Operation
 	for i, o := range list {
 		if c, ok := contents[o.Revision]; ok && !o.Change && c != o.Content {
-			return fmt.Errorf("revision %d was read with two contents", o.Revision)
+			return fmt.Errorf("reads of revision %d returned different contents", o.Revision)
 		}
 		if !o.Change {
 			contents[o.Revision] = o.Content
@@ -45,12 +45,12 @@
 		ops = append(ops, porcupine.Operation{ClientId: i, Input: o, Call: int64(o.Called), Return: int64(o.Returned)})
 	}
 	if r := porcupine.CheckOperationsTimeout(registerModel, ops, 30*time.Second); r != porcupine.Ok {
-		return fmt.Errorf("the history of %d operations: %s", len(list), r)
+		return fmt.Errorf("check of %d operations: %s", len(list), r)
 	}
 	return nil
 }
 
-// countOperations gives how many changes and readings a history has.
+// countOperations returns the numbers of changes and reads in a history.
 func countOperations(list []Operation) (changes, reads int) {
 	for _, o := range list {
 		if o.Change {
@@ -62,20 +62,19 @@
 	return changes, reads
 }
 
-// Histories of changes and reads under kills, freezes, partitions, stalls, restarts and disks lost in
-// turn are linearizable.
+// Histories of changes and reads are linearizable under random faults and repeated disk losses.
 func TestHistory_IsLinearizable(t *testing.T) {
 	wipes := func(w *World) {
 		w.schedule(3*time.Second, func() { w.wipeInSequence([]int{0, 1, 2, 1}, 4500*millisecond, func(time.Duration) {}) })
 	}
-	for name, script := range map[string]func(*World){"trouble": nil, "wipes": wipes} {
+	for name, script := range map[string]func(*World){"random faults": nil, "disk losses": wipes} {
 		for seed := uint64(1); seed <= 4; seed++ {
 			t.Run(fmt.Sprint(name, seed), func(t *testing.T) {
 				t.Parallel()
 				is := is.New(t)
 				o := Run(Options{Seed: seed, Length: 50 * time.Second, Script: script})
 				changes, reads := countOperations(o.History)
-				t.Logf("%d changes, %d readings", changes, reads)
+				t.Logf("%d changes, %d reads", changes, reads)
 				is.True(changes > 30 && reads > 10)
 				is.NoErr(linearizable(o.History))
 			})
@@ -83,7 +82,7 @@
 	}
 }
 
-// loseEveryTenthChange acknowledges every tenth change and keeps nothing of it.
+// loseEveryTenthChange acknowledges every tenth change without applying it.
 func loseEveryTenthChange() map[consensus.Op]consensus.ChangeFunc {
 	n, inner := 0, configuration.Ops()[configuration.OpChange]
 	return map[consensus.Op]consensus.ChangeFunc{configuration.OpChange: func(key ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
@@ -95,7 +94,7 @@
 	}}
 }
 
-// staleReads answers some readings with the configuration as it was early in the run.
+// staleReads answers some reads with an early configuration of the run.
 func staleReads() func(from, to string, msg any) (any, bool) {
 	var early []byte
 	n := 0
@@ -114,17 +113,17 @@
 	}
 }
 
-// A planted lost write and a planted stale reading are found in the history.
+// A planted lost write and a planted stale read make the history not linearizable.
 func TestHistory_PlantedDefectsAreDetected(t *testing.T) {
-	for name, defect := range map[string]Defect{"lost write": {Ops: loseEveryTenthChange()}, "stale reading": {Message: staleReads()}} {
+	for name, defect := range map[string]Defect{"lost write": {Ops: loseEveryTenthChange()}, "stale read": {Message: staleReads()}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			o := Run(Options{Seed: 1, Length: 40 * time.Second, Defect: defect})
 			err := linearizable(o.History)
 			changes, reads := countOperations(o.History)
-			t.Logf("%d changes, %d readings: %v", changes, reads, err)
+			t.Logf("%d changes, %d reads: %v", changes, reads, err)
 			if err == nil {
-				t.Fatal("not found")
+				t.Fatal("planted defect not detected")
 			}
 		})
 	}
--- a/internal/testsupport/simulator/mixed_versions_test.go
+++ b/internal/testsupport/simulator/mixed_versions_test.go
@@ -10,11 +10,11 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// headerSize is the length of a frame's head, which no version may change.
+// headerSize is the length of a frame's header, which no version may change.
 const headerSize = 26
 
-// encodeAsLaterVersion is a frame as a later version would write it: its message has more
-// fields at the end.
+// encodeAsLaterVersion returns the kind and body of a frame as a later version would encode it,
+// with additional fields at the end of the message.
 func encodeAsLaterVersion(raw []byte) (wire.Kind, []byte) {
 	kind := wire.Kind(binary.BigEndian.Uint16(raw[4:]))
 	body := append([]byte{}, raw[headerSize:]...)
@@ -22,12 +22,11 @@
 	return kind, append(body, "unknown here"...)
 }
 
-// A fleet during an upgrade: every other daemon speaks a later
-// version, with fields and whole kinds that the others don't know. Everything
-// goes over the wire format, and nothing changes.
+// Daemons of the current version must ignore fields and message kinds of a later version, which
+// some daemons of the fleet use.
 func TestMixedVersions_FleetDuringUpgrade(t *testing.T) {
 	is := is.New(t)
-	spoke := 0
+	laterFrames := 0
 	for seed := uint64(1); seed <= 2; seed++ {
 		p := Options{Seed: seed}
 		p.Defect.Message = func(from, _ string, msg any) (any, bool) {
@@ -36,11 +35,11 @@
 			kind, body := wire.Kind(binary.BigEndian.Uint16(raw[4:])), raw[headerSize:]
 			if strings.HasSuffix(from, "2") || strings.HasSuffix(from, "4") {
 				kind, body = encodeAsLaterVersion(raw)
-				spoke++
+				laterFrames++
 			}
 			got, err := wire.Decode(kind, body)
 			is.NoErr(err)
-			none, err := wire.Decode(60000, body) // a kind of tomorrow is skipped
+			none, err := wire.Decode(60000, body) // an unknown kind is ignored
 			is.NoErr(err)
 			is.Equal(none, nil)
 			return got, true
@@ -49,5 +48,5 @@
 		report(t, o)
 		is.True(o.Responses["answered"] > 1000)
 	}
-	is.True(spoke > 1000)
+	is.True(laterFrames > 1000)
 }
--- a/internal/testsupport/simulator/overload_test.go
+++ b/internal/testsupport/simulator/overload_test.go
@@ -12,7 +12,7 @@
 	"dunlinwell/internal/testsupport/checker"
 )
 
-// overloadPlan is one service with two tiers on targets that bear little.
+// overloadPlan returns a plan with one service of low capacity and two routes of different tiers.
 func overloadPlan(capacity int) blueprint.Plan {
 	p := blueprint.Plans["small"]
 	p.Pools = []blueprint.Pool{{Service: "catalog", Targets: 4, Capacity: capacity, Tier: 5}}
@@ -23,10 +23,10 @@
 	return p
 }
 
-// answeredShares gives, of the first attempts of each route, the share answered, and
-// the longest that a rejected one was held.
+// answeredShares returns the share of first attempts answered by route, and the longest time after
+// which a first attempt was rejected.
 func (w *World) answeredShares() (map[string]float64, time.Duration) {
-	good, all, held := map[string]float64{}, map[string]float64{}, time.Duration(0)
+	answered, all, maxRejectTime := map[string]float64{}, map[string]float64{}, time.Duration(0)
 	w.Checker.Each(func(token string, attempt int, class string, took time.Duration) {
 		route, _, _ := strings.Cut(token, ":")
 		if attempt != 1 {
@@ -34,50 +34,50 @@
 		}
 		all[route]++
 		if class == "answered" {
-			good[route]++
+			answered[route]++
 		}
 		if class == "declined" {
-			held = max(held, took)
+			maxRejectTime = max(maxRejectTime, took)
 		}
 	})
 	for r := range all {
-		good[r] /= all[r]
+		answered[r] /= all[r]
 	}
-	return good, held
+	return answered, maxRejectTime
 }
 
-// reportOverload fails the test for every rule that was violated, but for the one that everything is
-// answered 15 s after the faults: under overload some requests must be rejected.
+// reportOverload fails the test for every violated rule, except that all requests are answered 15 s
+// after the faults: under overload some must be rejected.
 func reportOverload(t *testing.T, o Outcome) {
 	t.Helper()
 	o.Results = slices.DeleteFunc(slices.Clone(o.Results), func(c checker.RuleResult) bool { return strings.Contains(c.Rule, "15 s after") })
 	report(t, o)
 }
 
-// Twice the load that the targets bear: the urgent is served, the idle is
-// rejected at once, and no target ever has more than it bears.
+// At twice the capacity, urgent requests are answered, idle ones are rejected early, and no target
+// is overloaded.
 func TestOverload_RejectsLowestTierFirst(t *testing.T) {
 	is := is.New(t)
-	// Four targets of 3 at 20 ms bear 600 a second at the very best.
+	// Four targets with 3 slots at 20 ms per request handle at most 600 requests per second.
 	var world *World
 	o := Run(Options{Seed: 1, Plan: overloadPlan(3), Rate: 1100, Length: 16 * time.Second, FaultEvery: -1, Script: func(w *World) { world = w }})
 	reportOverload(t, o)
-	share, held := world.answeredShares()
-	t.Logf("answered at once: urgent %.3f, idle %.3f; a declined one was held %s at most", share["urgent"], share["idle"], held)
+	share, maxRejectTime := world.answeredShares()
+	t.Logf("answered at the first attempt: urgent %.3f, idle %.3f; rejected after %s at most", share["urgent"], share["idle"], maxRejectTime)
 	is.True(share["urgent"] > 0.97)
 	is.True(share["idle"] < 0.6 && share["idle"] > 0.05)
-	is.True(held < 1200*time.Millisecond) // of 4 s that the client would wait
+	is.True(maxRejectTime < 1200*time.Millisecond) // clients wait up to 4 s
 }
 
-// Every target is restarted, over and over, under more load than a cold one
-// bears: none ever gets past 1.5 times what it bears, summed over proxies.
+// All targets restart repeatedly under more load than cold targets can handle. Over all proxies,
+// none may get more than 1.5 times its capacity.
 func TestOverload_ColdTargetsAreNotOverloaded(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		o := Run(Options{Seed: seed, Plan: overloadPlan(8), Rate: 500, Length: 30 * time.Second, FaultEvery: -1, Script: func(w *World) {
 			w.repeat(time.Second, 700*time.Millisecond, 30, func(i int) {
-				x := w.targets[i%len(w.targets)]
-				x.crash()
-				w.schedule(30*time.Millisecond, func() { w.restartTarget(x) })
+				target := w.targets[i%len(w.targets)]
+				target.crash()
+				w.schedule(30*time.Millisecond, func() { w.restartTarget(target) })
 			})
 		}})
 		reportOverload(t, o)
--- a/internal/testsupport/simulator/planted_defects_test.go
+++ b/internal/testsupport/simulator/planted_defects_test.go
@@ -16,13 +16,13 @@
 	"dunlinwell/internal/testsupport/blueprint"
 )
 
-// grantEveryClaim grants every claim, whoever has the idempotency key.
+// grantEveryClaim grants every claim, even if the idempotency key is already claimed.
 func grantEveryClaim(key ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
 	_, out := idempotency.Ops()[idempotency.OpClaim](key, nil, arg)
 	return old, out
 }
 
-// applyHalf applies the first part of a change alone.
+// applyHalf applies only the first item of a change to a pair.
 func applyHalf(key ids.RegisterKey, old, arg []byte) ([]byte, []byte) {
 	if i := bytes.Index(arg, []byte(`,{"kind":"route"`)); i > 0 && bytes.Contains(arg, []byte("shelf-")) {
 		arg = append(append([]byte{}, arg[:i]...), "]}"...)
@@ -30,7 +30,7 @@
 	return configuration.Ops()[configuration.OpChange](key, old, arg)
 }
 
-// alterPushes alters what registries push to proxies.
+// alterPushes alters the pushes of registries to proxies.
 func alterPushes(alter func(p *distribution.Push)) func(string, string, any) (any, bool) {
 	return func(_, _ string, msg any) (any, bool) {
 		if p, ok := msg.(distribution.Push); ok {
@@ -48,7 +48,7 @@
 	}
 }
 
-// alterTables alters the spill tables that registries send one another.
+// alterTables alters the spill tables that registries send to each other.
 func alterTables(alter func(*spill.Table)) func(string, string, any) (any, bool) {
 	return func(_, _ string, msg any) (any, bool) {
 		if t, ok := msg.(spill.Table); ok {
@@ -59,7 +59,7 @@
 	}
 }
 
-// rotateRoutes moves the other end of the tiers.
+// rotateRoutes replaces the route of each move, so that the order of tiers is violated.
 func rotateRoutes(in []spill.Move) []spill.Move {
 	other := map[ids.Name]ids.Name{"way-0": "way-1", "way-1": "way-2", "way-2": "way-0"}
 	out := slices.Clone(in)
@@ -69,7 +69,7 @@
 	return out
 }
 
-// moveToFarZones sends everything to one end of the world.
+// moveToFarZones moves all traffic to the last zones, regardless of their distance.
 func moveToFarZones(in []spill.Move) []spill.Move {
 	out := slices.Clone(in)
 	for i := range out {
@@ -82,7 +82,7 @@
 	return out
 }
 
-// addOpposingMoves sends others' traffic of every route into a zone whose own is away.
+// addOpposingMoves adds moves into each zone whose own traffic is moved away.
 func addOpposingMoves(in []spill.Move) []spill.Move {
 	out := slices.Clone(in)
 	for _, m := range in {
@@ -93,7 +93,8 @@
 	return out
 }
 
-// dropLeaseGossip proxies hear nothing from one another, and of no target's interval.
+// dropLeaseGossip drops the lease gossip between proxies and makes the heartbeat interval of
+// targets too long to expire.
 func dropLeaseGossip(from, to string, msg any) (any, bool) {
 	if _, hearsay := msg.(proxy.LeaseGossip); hearsay {
 		return nil, false
@@ -105,27 +106,28 @@
 	})(from, to, msg)
 }
 
-// rejectResentChanges confirms each change once, and rejects it from then on.
+// rejectResentChanges passes the first confirmation of each change and replaces later ones by a
+// rejection.
 func rejectResentChanges() func(registry.Response) registry.Response {
 	var mu sync.Mutex
 	confirmed := map[ids.ChangeID]bool{}
-	return func(rep registry.Response) registry.Response {
-		r, ok := rep.Body.(configuration.Result)
-		if !ok || rep.Status != 200 {
-			return rep
+	return func(response registry.Response) registry.Response {
+		r, ok := response.Body.(configuration.Result)
+		if !ok || response.Status != 200 {
+			return response
 		}
 		mu.Lock()
 		defer mu.Unlock()
 		if confirmed[r.ID] {
-			rep.Status = 409
+			response.Status = 409
 		}
 		confirmed[r.ID] = true
-		return rep
+		return response
 	}
 }
 
-// wipedAndRestarted loses a disk, and right after the power of another store:
-// the blank one and the one that missed the last changes are a majority.
+// wipedAndRestarted wipes the disk of a store and restarts the only up-to-date one, so that the
+// blank store and one that missed the last changes are a majority.
 func wipedAndRestarted(w *World) {
 	w.repeat(time.Second, 60*millisecond, 400, func(i int) { w.putPair(600+i, i%blueprint.RoutePairs) })
 	w.repeat(3*time.Second, 8*time.Second, 5, func(i int) {
@@ -138,8 +140,8 @@
 	})
 }
 
-// seedsReplacedThenMachines changes the settings, restarts everything and replaces
-// two core machines, which know of the others from their seeds alone.
+// seedsReplacedThenMachines changes the seeds, restarts all processes and replaces two core
+// machines. The new ones know the others only from their seeds.
 func seedsReplacedThenMachines(w *World) {
 	w.schedule(2*time.Second, func() { w.changeSeeds(nil) })
 	w.schedule(3*time.Second, func() { w.restartAll(w.remainingProcesses(0), w.restartDuration) })
@@ -147,14 +149,13 @@
 	w.schedule(21*time.Second, func() { w.replaceAfterLoss(w.processes[1]) })
 }
 
-// drainRepeatedly drains zones, each as soon as the previous one is restored.
+// drainRepeatedly drains zones one after the other, each as soon as the previous one is restored.
 func drainRepeatedly(w *World) {
 	w.repeat(3*time.Second, 2*time.Second, 18, func(int) { w.drainZone() })
 }
 
-// loseResponsesLate breaks half of all answers once a calm while has earned retries:
-// targets that break some are left alone, so that faults by lot hardly ever ask
-// for more retries than there may be.
+// loseResponsesLate loses half of all responses after enough requests without faults to fill the
+// retry budget. Random faults rarely cause enough retries to exceed the budget.
 func loseResponsesLate(w *World) {
 	w.schedule(18*time.Second, func() {
 		for _, t := range w.targets {
--- a/internal/testsupport/simulator/repair_times_test.go
+++ b/internal/testsupport/simulator/repair_times_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// repairTimes gives how long the voter set took to be whole again after each of
-// many lost disks, from the machine's return.
+// repairTimes returns the sorted times, from the restart of a store with a lost disk, until the
+// voter set is complete again.
 func repairTimes(p Options, registers, size int) (took []time.Duration) {
 	for p.Seed = 1; p.Seed <= 4; p.Seed++ {
 		p.Length, p.FaultEvery, p.Rate = 60*time.Second, -1, 5
@@ -25,7 +25,7 @@
 	return took
 }
 
-// A lost disk's place is filled within the bound, from its machine's return.
+// The voter set is complete within the bound after a store with a lost disk restarts.
 func TestStoreRepair_CompletesWithinBound(t *testing.T) {
 	const slow, link = 40 * millisecond, 2.2e6
 	for name, c := range map[string]struct {
@@ -48,7 +48,7 @@
 			took := repairTimes(c.options, c.registers, c.size)
 			is.Equal(len(took), 16)
 			t.Logf("%s: p50 %v, max %v", name, took[len(took)/2], took[len(took)-1])
-			is.True(took[0] >= 0) // each ended
+			is.True(took[0] >= 0) // no repair timed out
 			is.True(took[len(took)-1] <= c.bound)
 		})
 	}
--- a/internal/testsupport/simulator/repeated_changes_test.go
+++ b/internal/testsupport/simulator/repeated_changes_test.go
@@ -14,28 +14,27 @@
 	"dunlinwell/internal/testsupport/blueprint"
 )
 
-// Changes are accepted; hundreds of others follow, every store is restarted, and one is replaced by a
-// blank one. Then the first changes are sent again through each registry: each is acknowledged with
-// the same revision.
+// Resent changes are acknowledged with their original revision by every registry, even after
+// hundreds of other changes, restarts of all stores and the replacement of a core machine.
 func TestChanges_ResentMuchLaterKeepTheirRevision(t *testing.T) {
 	is := is.New(t)
-	type order struct {
+	type sentChange struct {
 		id, raw  string
 		revision ids.Revision
 	}
-	var orders []order
-	others, again := 0, 0
+	var changes []sentChange
+	otherChanges, resent := 0, 0
 	o := Run(Options{Seed: 5, Length: 60 * time.Second, Script: func(w *World) {
 		w.allNumberAttempts = true
 		w.repeat(6*time.Second, 200*time.Millisecond, 12, func(i int) {
 			raw := fmt.Sprintf(`{"id":"early-%d","changes":[{"kind":"service","name":"early-%d","version":0,"put":{}}]}`, i, i)
 			w.sendChange(raw, func(r configuration.Result) {
-				orders = append(orders, order{fmt.Sprintf("early-%d", i), raw, r.Revision})
+				changes = append(changes, sentChange{fmt.Sprintf("early-%d", i), raw, r.Revision})
 			})
 		})
 		w.repeat(10*time.Second, 40*time.Millisecond, 320, func(i int) {
 			raw := fmt.Sprintf(`{"id":"other-%d","changes":[{"kind":"service","name":"early-%d","put":{"allowance":%d}}]}`, i, i%12, i)
-			w.sendChange(raw, func(configuration.Result) { others++ })
+			w.sendChange(raw, func(configuration.Result) { otherChanges++ })
 		})
 		for i := range 3 {
 			w.schedule(time.Duration(26+4*i)*time.Second, func() { w.restartProcess(w.processes[i], time.Second) })
@@ -46,20 +45,20 @@
 				if p.role != membership.Registry || !p.up {
 					continue
 				}
-				for _, sent := range orders {
-					w.callRegistry(p, operator, w.Plan.Zone(0), func(x uint64) any { return registry.ChangeCall{ID: x, Raw: []byte(sent.raw)} }, func(rep registry.Response) {
-						again++
-						if r, ok := rep.Body.(configuration.Result); rep.Status != 200 || !ok || r.Revision != sent.revision {
-							t.Errorf("%s, made in revision %d, got %d %+v", sent.id, sent.revision, rep.Status, rep.Body)
+				for _, sent := range changes {
+					w.callRegistry(p, operator, w.Plan.Zone(0), func(callID uint64) any { return registry.ChangeCall{ID: callID, Raw: []byte(sent.raw)} }, func(response registry.Response) {
+						resent++
+						if r, ok := response.Body.(configuration.Result); response.Status != 200 || !ok || r.Revision != sent.revision {
+							t.Errorf("resent %s, accepted at revision %d: got %d %+v", sent.id, sent.revision, response.Status, response.Body)
 						}
-					}, func() { t.Errorf("no answer to %s", sent.id) })
+					}, func() { t.Errorf("no response to resent %s", sent.id) })
 				}
 			}
 		})
 	}, Plan: blueprint.Plans["small"]})
 	report(t, o)
-	t.Logf("%d orders, %d others, %d sent again", len(orders), others, again)
-	is.Equal(len(orders), 12)
-	is.True(others > 300)
-	is.True(again >= 24)
+	t.Logf("%d changes, %d other changes, %d resent", len(changes), otherChanges, resent)
+	is.Equal(len(changes), 12)
+	is.True(otherChanges > 300)
+	is.True(resent >= 24)
 }
--- a/internal/testsupport/simulator/returned_store_test.go
+++ b/internal/testsupport/simulator/returned_store_test.go
@@ -12,18 +12,17 @@
 	"dunlinwell/internal/controlplane/membership"
 )
 
-// Of three stores one is lost for good. While a spare copies, another is away
-// for long enough to be counted as lost, and comes back as the spare asks for
-// its place. Whichever of the two is replaced, the core goes on.
+// One of three stores is lost permanently. While its replacement catches up, another store is down
+// long enough to count as lost and returns as it is being replaced. The core stays available.
 func TestStore_ReturnsDuringItsReplacement(t *testing.T) {
 	is := is.New(t)
 	for seed := uint64(1); seed <= 6; seed++ {
-		// Whoever goes first has been silent for longest.
-		for _, away := range []time.Duration{1800 * millisecond, 2200 * millisecond} {
+		// The store that stops first has been silent for longest.
+		for _, downAt := range []time.Duration{1800 * millisecond, 2200 * millisecond} {
 			o := Run(Options{Seed: seed, Length: 40 * time.Second, Script: func(w *World) {
 				w.allNumberAttempts = true
 				w.schedule(2*time.Second, func() { w.replaceAfterLoss(w.processes[2]) })
-				w.schedule(away, func() { w.restartProcess(w.processes[1], time.Duration(4+seed)*time.Second) })
+				w.schedule(downAt, func() { w.restartProcess(w.processes[1], time.Duration(4+seed)*time.Second) })
 			}})
 			report(t, o)
 			is.True(o.Changes > 30)
@@ -31,8 +30,8 @@
 	}
 }
 
-// A disk is lost and replaced, and later its folder is put back: it takes no
-// part, is set aside, and the machine joins as a blank one.
+// An old copy of a lost disk is restored: the store must not take part with it, but retire it and
+// rejoin with a new ID.
 func TestStore_RestoredOldDiskRejoinsBlank(t *testing.T) {
 	is := is.New(t)
 	for seed := uint64(1); seed <= 3; seed++ {
@@ -56,7 +55,8 @@
 	}
 }
 
-// Two of five disks are lost at the same moment, again and again.
+// Two of five disks are lost at once, repeatedly; each time the voter set is complete again within
+// 1.5 s.
 func TestStoreRepair_TwoOfFiveDisksLostAtOnce(t *testing.T) {
 	is := is.New(t)
 	for seed := uint64(1); seed <= 4; seed++ {
--- a/internal/testsupport/simulator/seeds_test.go
+++ b/internal/testsupport/simulator/seeds_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Machines that are added after the seeds in the settings have changed find the others, and two
-// replacements in a row leave the core whole.
+// Core machines added after a change of the seeds find the others, so that the core survives two
+// replacements.
 func TestSeedsChanged_ReplacementsFindCore(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		report(t, Run(Options{Seed: seed, Length: 40 * time.Second, Script: seedsReplacedThenMachines}))
--- a/internal/testsupport/simulator/simulator_test.go
+++ b/internal/testsupport/simulator/simulator_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-// report fails the test for every rule that was violated.
+// report fails the test for every violated rule.
 func report(t *testing.T, o Outcome) {
 	t.Helper()
 	for _, c := range o.Results {
@@ -16,28 +16,29 @@
 	}
 }
 
-// Many seeds with every kind of random fault violate no rule.
+// No seed violates a rule of the checker, and the seeds together inject every kind of random fault
+// at least twice.
 func TestSeeds(t *testing.T) {
-	struck := map[string]int{}
+	injected := map[string]int{}
 	for seed := uint64(1); seed <= 12; seed++ {
 		o := Run(Options{Seed: seed})
 		t.Logf("seed %d: %d events, %v, %d changes", seed, o.Events, o.Responses, o.Changes)
 		report(t, o)
 		if o.Pruned == 0 {
-			t.Errorf("seed %d: no mark was old enough to be forgotten", seed)
+			t.Errorf("seed %d: no idempotency record was deleted", seed)
 		}
 		for kind, n := range o.FaultCounts {
-			struck[kind] += n
+			injected[kind] += n
 		}
 	}
 	for _, kind := range FaultKinds() {
-		if struck[kind] < 2 {
-			t.Errorf("%s struck %d times: too few to prove anything", kind, struck[kind])
+		if injected[kind] < 2 {
+			t.Errorf("fault %s was injected %d times, want at least 2", kind, injected[kind])
 		}
 	}
 }
 
-// Two runs of one seed are the same to the last line of their logs.
+// Two runs of the same seed have identical logs.
 func TestRun_IsDeterminedBySeed(t *testing.T) {
 	is := is.New(t)
 	a, b := Run(Options{Seed: 7}), Run(Options{Seed: 7})
--- a/internal/testsupport/simulator/spill_test.go
+++ b/internal/testsupport/simulator/spill_test.go
@@ -17,15 +17,15 @@
 	stepUntil           = 600 * time.Second
 )
 
-// spillPlan is the small fleet with zones that can be filled: acceptable 400,
-// target 500, maximum 550 ms/s each.
+// spillPlan returns the small plan with levels that the load can reach: acceptable 400, target 500
+// and maximum 550 ms/s per zone.
 func spillPlan() blueprint.Plan {
 	p := blueprint.Plans["small"]
 	p.Target = 500
 	return p
 }
 
-// stepLoad moves four of five clients to one of the hot zones while the step lasts.
+// stepLoad moves 80 % of the clients to the hot zones between stepFrom and stepUntil.
 func stepLoad(hot ...ids.Name) func(*World, ids.Name) ids.Name {
 	return func(w *World, drawn ids.Name) ids.Name {
 		if now := time.Duration(w.now); now >= stepFrom && now < stepUntil && w.random.IntN(5) > 0 {
@@ -35,7 +35,7 @@
 	}
 }
 
-// runSpill runs a load on the spill plan and logs its points.
+// runSpill performs a run, with the spill plan by default, and returns and logs its points.
 func runSpill(t *testing.T, p Options) []Point {
 	t.Helper()
 	p.PlanEvery, p.FaultEvery = 30*time.Second, -1
@@ -53,7 +53,7 @@
 	return points
 }
 
-// countPlanChanges counts how often a zone's share was planned anew between two times.
+// countPlanChanges returns how often the moved share of a zone changed between two times.
 func countPlanChanges(points []Point, zone ids.Name, from, to time.Duration) int {
 	n := 0
 	for i, p := range points {
@@ -66,8 +66,8 @@
 	return n
 }
 
-// A step of load settles without swinging, overfills nobody, and goes home;
-// with short connections and with ones that are held for minutes.
+// After a load step the moves settle without oscillating, overload no destination and end after the
+// step, with short and with long-lived connections.
 func TestSpill_StepLoadSettles(t *testing.T) {
 	for _, hold := range []time.Duration{0, 2 * time.Minute} {
 		t.Run(hold.String(), func(t *testing.T) {
@@ -76,13 +76,13 @@
 			points := runSpill(t, Options{Seed: 1, Rate: 40, HoldConnectionsFor: hold, Hot: stepLoad(zoneA)})
 			for _, p := range points {
 				if p.At > 300*time.Second && p.At < stepUntil {
-					is.True(p.Used[zoneA] < 550*1.1 && p.Used[zoneA] > 350) // settled around its target
+					is.True(p.Used[zoneA] < 550*1.1 && p.Used[zoneA] > 350) // settled near its target
 					is.True(p.Out(zoneA) > 0)
 				}
 				if p.At > 850*time.Second && p.At < 900*time.Second {
-					is.Equal(p.Out(zoneA), 0.0) // all of it went home
+					is.Equal(p.Out(zoneA), 0.0) // all moves ended
 				}
-				is.True(p.Used[zoneB] < 500 && p.Used[zoneC] < 500) // no destination passes its target
+				is.True(p.Used[zoneB] < 500 && p.Used[zoneC] < 500) // no destination exceeds its target
 			}
 			is.True(countPlanChanges(points, zoneA, 240*time.Second, stepUntil) <= 1)
 			is.Equal(countPlanChanges(points, zoneB, 0, time.Hour)+countPlanChanges(points, zoneC, 0, time.Hour), 0)
@@ -90,8 +90,7 @@
 	}
 }
 
-// Two hot zones and one that has room: it is filled up to its acceptable
-// level, by both together.
+// Two hot zones together fill a third one only up to its acceptable level.
 func TestSpill_TwoHotZonesShareOneDestination(t *testing.T) {
 	is := is.New(t)
 	for _, p := range runSpill(t, Options{Seed: 2, Rate: 66, Length: 600 * time.Second, Hot: stepLoad(zoneA, zoneB)}) {
@@ -103,15 +102,15 @@
 	}
 }
 
-// The planner is killed in the midst of moves, and comes back: the next one
-// raises the epoch and goes on from the table, and nothing jumps.
+// When the planner is killed and returns during moves, each new planner raises the epoch and
+// continues from the current table.
 func TestSpill_PlannerLostDuringMoves(t *testing.T) {
 	is := is.New(t)
 	var epochs []ids.Epoch
 	points := runSpill(t, Options{Seed: 3, Rate: 40, Length: 600 * time.Second, Hot: stepLoad(zoneA), Script: func(w *World) {
 		w.schedule(180*time.Second, func() {
 			epochs = append(epochs, w.currentPlanner().SpillTable().Epoch)
-			w.restartProcess(w.processes[3], 100*time.Second) // registry-1, first in the agreed order
+			w.restartProcess(w.processes[3], 100*time.Second) // registry-1, the first planner
 		})
 		w.schedule(250*time.Second, func() { epochs = append(epochs, w.currentPlanner().SpillTable().Epoch) })
 		w.schedule(400*time.Second, func() { epochs = append(epochs, w.currentPlanner().SpillTable().Epoch) })
@@ -120,14 +119,14 @@
 	is.True(epochs[0] < epochs[1] && epochs[1] < epochs[2])
 	for _, p := range points {
 		if p.At > 150*time.Second && p.At < stepUntil {
-			is.True(p.Out(zoneA) > 0.1) // the last table holds
+			is.True(p.Out(zoneA) > 0.1) // the last table stays in effect
 			is.True(p.Used[zoneA] < 600)
 		}
 	}
 }
 
-// A destination is emptied in the midst of moves: it gets nothing from then on,
-// which the checker judges, and what moved there goes elsewhere.
+// When a destination is drained during moves, it receives no more traffic and the moves go to
+// another zone.
 func TestSpill_DrainedDestinationGetsNothing(t *testing.T) {
 	is := is.New(t)
 	for _, p := range runSpill(t, Options{Seed: 4, Rate: 40, Length: 600 * time.Second, Hot: stepLoad(zoneA), Script: func(w *World) {
@@ -144,18 +143,18 @@
 	}
 }
 
-// A destination whose reports stay away receives nothing more, and what moves
-// there already expires in steps.
+// A destination whose reports are missing receives no additional traffic, and its existing moves
+// decrease to zero.
 func TestSpill_DestinationWithoutReportsLosesMoves(t *testing.T) {
 	is := is.New(t)
-	silent := false
+	reportsDropped := false
 	p := Options{Seed: 5, Rate: 40, Length: 600 * time.Second, Hot: stepLoad(zoneA), Script: func(w *World) {
-		w.schedule(240*time.Second, func() { silent = true })
-		w.schedule(580*time.Second, func() { silent = false })
+		w.schedule(240*time.Second, func() { reportsDropped = true })
+		w.schedule(580*time.Second, func() { reportsDropped = false })
 	}}
 	p.Defect.Message = func(from, _ string, msg any) (any, bool) {
 		_, is := msg.(spill.Report)
-		return msg, !is || !silent || from != "proxy-3"
+		return msg, !is || !reportsDropped || from != "proxy-3"
 	}
 	to := func(p Point) float64 {
 		sum := 0.0
@@ -176,8 +175,8 @@
 	is.True(last < 0.05)
 }
 
-// The default maximum is set far too high. It is learned from what the proxies
-// measure that latency passes 20 ms at 560 ms/s, and the zone sheds there.
+// The configured maximum is too high. The planner must learn from measured latencies, which exceed
+// 20 ms at 560 ms/s, to move traffic away at that usage.
 func TestSpill_UsesLearnedMaximum(t *testing.T) {
 	is := is.New(t)
 	slow := func(used float64) time.Duration {
@@ -192,15 +191,15 @@
 			p.Latency = slow
 		}
 		n := 0.0
-		for _, x := range runSpill(t, p) {
-			if x.At > 330*time.Second && x.At < stepUntil {
-				settled[learns] += x.Used[zoneA]
+		for _, point := range runSpill(t, p) {
+			if point.At > 330*time.Second && point.At < stepUntil {
+				settled[learns] += point.Used[zoneA]
 				n++
 			}
 		}
 		settled[learns] /= n
 	}
-	t.Logf("the hot cell settles at %.0f ms/s by the default, at %.0f by what was learned", settled[false], settled[true])
-	is.True(settled[false] > 600) // nothing moved: 20 ms were long passed
+	t.Logf("the hot zone settles at %.0f ms/s with the configured maximum, at %.0f ms/s with the learned one", settled[false], settled[true])
+	is.True(settled[false] > 600) // the usage passes 560 ms/s, where latency exceeds 20 ms
 	is.True(settled[true] < 560)
 }
--- a/internal/testsupport/simulator/store_repair_test.go
+++ b/internal/testsupport/simulator/store_repair_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// Disks are lost one after the other, each a gap after the previous machine came back. No change may
-// be lost, and each repair ends before the next loss.
+// Disks are lost one after the other, each a gap after the previous store restarted. Each repair
+// ends before the next loss, and no change is lost.
 func TestStoreRepair_DisksLostInSequence(t *testing.T) {
 	for _, gap := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 4500 * millisecond, 5 * time.Second, 6 * time.Second} {
 		t.Run(gap.String(), func(t *testing.T) {
@@ -25,9 +25,9 @@
 				report(t, o)
 				is.Equal(len(took), 4)
 				for _, d := range took {
-					is.True(d >= 0) // whole before the next disk was lost
+					is.True(d >= 0) // repaired before the next disk was lost
 				}
-				is.True(o.Changes > 30) // changes went on
+				is.True(o.Changes > 30) // changes continued
 			}
 		})
 	}
--- a/internal/testsupport/simulator/target_freeze_test.go
+++ b/internal/testsupport/simulator/target_freeze_test.go
@@ -13,15 +13,16 @@
 	"dunlinwell/internal/testsupport/checker"
 )
 
-// A request that left its proxy before the route moved, and ran when a frozen target woke, is judged
-// by the configuration of when it left; one that left 4 s after the move is a violation.
+// A request that a frozen target executes late is judged by the configuration in force when its
+// proxy sent it: sent before the move of the route it is no violation, sent 4 s after the move it
+// is.
 func TestFrozenTarget_ExecutionJudgedBySendTime(t *testing.T) {
 	for name, c := range map[string]struct {
-		sent time.Duration
-		bad  int
+		sent       time.Duration
+		violations int
 	}{
-		"left before the move": {10 * time.Second, 0},
-		"left 4 s after it":    {15 * time.Second, 1},
+		"sent before the move":    {10 * time.Second, 0},
+		"sent 4 s after the move": {15 * time.Second, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -37,13 +38,13 @@
 				})
 			}
 			w.schedule(9*time.Second, func() { target.freeze(11 * time.Second) })
-			due := ids.Time(60 * time.Second)
-			e := &forwardedRequest{Job: dispatch.Job{ID: 1, Route: "flip", Service: "ledger", Repeatable: true, Deadline: due}, requestToken: "flip:t1", attempt: 1}
+			deadline := ids.Time(60 * time.Second)
+			request := &forwardedRequest{Job: dispatch.Job{ID: 1, Route: "flip", Service: "ledger", Repeatable: true, Deadline: deadline}, requestToken: "flip:t1", attempt: 1}
 			w.schedule(c.sent, func() {
-				p.dispatchers.sendToTarget("ledger", dispatch.Forward{ID: 1, Deadline: due}, e, target, time.Millisecond)
+				p.dispatchers.sendToTarget("ledger", dispatch.Forward{ID: 1, Deadline: deadline}, request, target, time.Millisecond)
 			})
 			w.runUntil(ids.Time(19 * time.Second))
-			is.Equal(w.Checker.CountByClass(time.Time{})["runs"], 0) // it waits in the socket
+			is.Equal(w.Checker.CountByClass(time.Time{})["runs"], 0) // the request waits in the socket of the frozen target
 			w.runUntil(ids.Time(21 * time.Second))
 			is.Equal(w.Checker.CountByClass(time.Time{})["runs"], 1) // 9 s after the move
 			var got checker.RuleResult
@@ -53,7 +54,7 @@
 				}
 			}
 			is.Equal(got.Judged, 1)
-			is.Equal(got.Violations, c.bad)
+			is.Equal(got.Violations, c.violations)
 		})
 	}
 }
