--- a/internal/testsupport/simulator/clients.go
+++ b/internal/testsupport/simulator/clients.go
@@ -87,8 +87,8 @@
 	if w.operators.routeFlipped && w.random.IntN(12) == 0 {
 		request.route = blueprint.Route{Name: blueprint.FlippedRoute, Repeatable: true}
 	}
-	if w.Hot != nil {
-		request.zone = w.Hot(w, request.zone)
+	if w.ClientZone != nil {
+		request.zone = w.ClientZone(w, request.zone)
 	}
 	if w.BriefConnectionShare == 0 || w.random.Float64() >= w.BriefConnectionShare {
 		request.connection = fmt.Sprintf("%s/%s/%d", request.zone, request.route.Name, w.random.IntN(w.longLivedClientsPerRoute()))
--- a/internal/testsupport/simulator/options.go
+++ b/internal/testsupport/simulator/options.go
@@ -23,9 +23,9 @@
 	PlanEvery time.Duration
 	// Cost is the CPU time of a request in milliseconds; 20 by default.
 	Cost float64
-	// Hot, if set, chooses the zone of a request's client; drawn is the zone that the plan's
+	// ClientZone, if set, chooses the zone of a request's client; drawn is the zone that the plan's
 	// distribution yielded.
-	Hot func(w *World, drawn ids.Name) ids.Name
+	ClientZone func(w *World, drawn ids.Name) ids.Name
 	// Lease, if set, is the duration of the proxies' serving lease.
 	Lease time.Duration
 	// HoldConnectionsFor is the mean lifetime of the clients' long-lived connections: by default 8
--- a/internal/testsupport/simulator/spill_test.go
+++ b/internal/testsupport/simulator/spill_test.go
@@ -73,7 +73,7 @@
 		t.Run(hold.String(), func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			points := runSpill(t, Options{Seed: 1, Rate: 40, HoldConnectionsFor: hold, Hot: stepLoad(zoneA)})
+			points := runSpill(t, Options{Seed: 1, Rate: 40, HoldConnectionsFor: hold, ClientZone: stepLoad(zoneA)})
 			for _, p := range points {
 				if p.At > 300*time.Second && p.At < stepUntil {
 					is.True(p.Used[zoneA] < 550*1.1 && p.Used[zoneA] > 350) // settled near its target
@@ -93,7 +93,7 @@
 // Two hot zones together fill a third one only up to its acceptable level.
 func TestSpill_TwoHotZonesShareOneDestination(t *testing.T) {
 	is := is.New(t)
-	for _, p := range runSpill(t, Options{Seed: 2, Rate: 66, Length: 600 * time.Second, Hot: stepLoad(zoneA, zoneB)}) {
+	for _, p := range runSpill(t, Options{Seed: 2, Rate: 66, Length: 600 * time.Second, ClientZone: stepLoad(zoneA, zoneB)}) {
 		is.True(p.At < 90*time.Second || p.At > stepUntil || p.Used[zoneC] < 400*1.1)
 		if p.At > 300*time.Second && p.At < stepUntil {
 			is.True(p.Used[zoneA] < 550*1.1 && p.Used[zoneB] < 550*1.1)
@@ -107,7 +107,7 @@
 func TestSpill_PlannerLostDuringMoves(t *testing.T) {
 	is := is.New(t)
 	var epochs []ids.Epoch
-	points := runSpill(t, Options{Seed: 3, Rate: 40, Length: 600 * time.Second, Hot: stepLoad(zoneA), Script: func(w *World) {
+	points := runSpill(t, Options{Seed: 3, Rate: 40, Length: 600 * time.Second, ClientZone: stepLoad(zoneA), Script: func(w *World) {
 		w.schedule(180*time.Second, func() {
 			epochs = append(epochs, w.currentPlanner().SpillTable().Epoch)
 			w.restartProcess(w.processes[3], 100*time.Second) // registry-1, the first planner
@@ -129,7 +129,7 @@
 // another zone.
 func TestSpill_DrainedDestinationGetsNothing(t *testing.T) {
 	is := is.New(t)
-	for _, p := range runSpill(t, Options{Seed: 4, Rate: 40, Length: 600 * time.Second, Hot: stepLoad(zoneA), Script: func(w *World) {
+	for _, p := range runSpill(t, Options{Seed: 4, Rate: 40, Length: 600 * time.Second, ClientZone: stepLoad(zoneA), Script: func(w *World) {
 		w.schedule(240*time.Second, func() { w.setDrained(zoneC, true, func() { w.operators.drainedZone = zoneC }) })
 	}}) {
 		for _, m := range p.Moves {
@@ -148,7 +148,7 @@
 func TestSpill_DestinationWithoutReportsLosesMoves(t *testing.T) {
 	is := is.New(t)
 	reportsDropped := false
-	p := Options{Seed: 5, Rate: 40, Length: 600 * time.Second, Hot: stepLoad(zoneA), Script: func(w *World) {
+	p := Options{Seed: 5, Rate: 40, Length: 600 * time.Second, ClientZone: stepLoad(zoneA), Script: func(w *World) {
 		w.schedule(240*time.Second, func() { reportsDropped = true })
 		w.schedule(580*time.Second, func() { reportsDropped = false })
 	}}
@@ -186,7 +186,7 @@
 	plan.Maximum = 800
 	settled := map[bool]float64{}
 	for _, learns := range []bool{false, true} {
-		p := Options{Seed: 6, Rate: 42, Length: 600 * time.Second, Hot: stepLoad(zoneA), Plan: plan}
+		p := Options{Seed: 6, Rate: 42, Length: 600 * time.Second, ClientZone: stepLoad(zoneA), Plan: plan}
 		if learns {
 			p.Latency = slow
 		}
