--- a/internal/testsupport/simulator/clients.go
+++ b/internal/testsupport/simulator/clients.go
@@ -90,7 +90,7 @@
 	if w.ClientZone != nil {
 		request.zone = w.ClientZone(w, request.zone)
 	}
-	if w.BriefConnectionShare == 0 || w.random.Float64() >= w.BriefConnectionShare {
+	if w.ShortConnectionShare == 0 || w.random.Float64() >= w.ShortConnectionShare {
 		request.connection = fmt.Sprintf("%s/%s/%d", request.zone, request.route.Name, w.random.IntN(w.longLivedClientsPerRoute()))
 	}
 	request.token = fmt.Sprintf("%s:t%d", request.route.Name, w.clients.requests)
--- a/internal/testsupport/simulator/options.go
+++ b/internal/testsupport/simulator/options.go
@@ -31,8 +31,8 @@
 	// HoldConnectionsFor is the mean lifetime of the clients' long-lived connections: by default 8
 	// s if there are random faults, and otherwise zero, which means that clients keep none.
 	HoldConnectionsFor time.Duration
-	// BriefConnectionShare is the share of requests whose clients keep no connection even so.
-	BriefConnectionShare float64
+	// ShortConnectionShare is the share of requests whose clients keep no connection even so.
+	ShortConnectionShare float64
 	// Latency, if set, returns the p95 latency that a proxy measures at a CPU usage in milliseconds
 	// per second.
 	Latency func(used float64) time.Duration
@@ -77,7 +77,7 @@
 	}
 	// Half of the clients keep their connections despite faults of the proxies.
 	if o.HoldConnectionsFor == 0 && o.FaultEvery > 0 {
-		o.HoldConnectionsFor, o.BriefConnectionShare = 8*time.Second, 0.5
+		o.HoldConnectionsFor, o.ShortConnectionShare = 8*time.Second, 0.5
 	}
 	if o.Cost == 0 {
 		o.Cost = 20
