--- a/internal/testsupport/simulator/clients.go
+++ b/internal/testsupport/simulator/clients.go
@@ -33,7 +33,7 @@
 // longLivedClientsPerRoute returns the number of clients per zone and route that keep connections.
 // It is small if connections are short, so that they are still reused.
 func (w *World) longLivedClientsPerRoute() int {
-	if w.HoldConnectionsFor >= time.Minute {
+	if w.ConnectionLifetime >= time.Minute {
 		return 40
 	}
 	return 3
@@ -121,8 +121,8 @@
 		response.Zone = resolution.Zone
 		w.Checker.DirectoryAnswered(checker.DirectoryAnswer{At: w.wallTime(), ClientZone: request.zone, ProxyZone: resolution.Zone, Route: request.route.Name})
 		proxy := resolution.Proxies[w.random.IntN(len(resolution.Proxies))]
-		if w.HoldConnectionsFor > 0 && request.connection != "" {
-			w.clients.connections[request.connection] = longLivedConnection{proxy, resolution.Zone, w.now.Add(w.randomDuration(w.HoldConnectionsFor/2, w.HoldConnectionsFor*3/2))}
+		if w.ConnectionLifetime > 0 && request.connection != "" {
+			w.clients.connections[request.connection] = longLivedConnection{proxy, resolution.Zone, w.now.Add(w.randomDuration(w.ConnectionLifetime/2, w.ConnectionLifetime*3/2))}
 		}
 		w.deliver(request, response, proxy)
 	}, func() { w.responded(request, response) })
--- a/internal/testsupport/simulator/hot_zones.go
+++ b/internal/testsupport/simulator/hot_zones.go
@@ -32,7 +32,7 @@
 	hotZones := random.Perm(plan.Zones)[:1+random.IntN(2)]
 	unreportedZone := plan.Zone(random.IntN(plan.Zones))
 	reportsMissingFrom := time.Duration(120+random.IntN(200)) * time.Second
-	options := Options{Seed: seed, Plan: plan, Length: hotRunLength, FaultEvery: -1, HoldConnectionsFor: 2 * time.Minute, ShortConnectionShare: 0.7}
+	options := Options{Seed: seed, Plan: plan, Length: hotRunLength, FaultEvery: -1, ConnectionLifetime: 2 * time.Minute, ShortConnectionShare: 0.7}
 	options.ClientZone = func(w *World, drawn ids.Name) ids.Name {
 		if at := time.Duration(w.now); at > hotZonesFrom && at < hotZonesUntil && w.random.IntN(100) < 45+len(hotZones)*15 {
 			return plan.Zone(hotZones[w.random.IntN(len(hotZones))])
--- a/internal/testsupport/simulator/lease_test.go
+++ b/internal/testsupport/simulator/lease_test.go
@@ -44,7 +44,7 @@
 			for _, lease := range []time.Duration{0, time.Hour} {
 				var world *World
 				o := Run(Options{
-					Seed: 1, Plan: blueprint.Plans["cooperative"], Length: 46 * time.Second, FaultEvery: -1, Lease: lease, HoldConnectionsFor: time.Minute, ShortConnectionShare: 0.5,
+					Seed: 1, Plan: blueprint.Plans["cooperative"], Length: 46 * time.Second, FaultEvery: -1, Lease: lease, ConnectionLifetime: time.Minute, ShortConnectionShare: 0.5,
 					Script: func(w *World) { world = w; w.schedule(26*time.Second, func() { startOutage(w) }) },
 				})
 				if lease == 0 {
--- a/internal/testsupport/simulator/options.go
+++ b/internal/testsupport/simulator/options.go
@@ -28,9 +28,9 @@
 	ClientZone func(w *World, drawn ids.Name) ids.Name
 	// Lease, if set, is the duration of the proxies' serving lease.
 	Lease time.Duration
-	// HoldConnectionsFor is the mean lifetime of the clients' long-lived connections: by default 8
+	// ConnectionLifetime is the mean lifetime of the clients' long-lived connections: by default 8
 	// s if there are random faults, and otherwise zero, which means that clients keep none.
-	HoldConnectionsFor time.Duration
+	ConnectionLifetime time.Duration
 	// ShortConnectionShare is the share of requests whose clients keep no connection even so.
 	ShortConnectionShare float64
 	// Latency, if set, returns the p95 latency that a proxy measures at a CPU usage in milliseconds
@@ -76,8 +76,8 @@
 		o.PlanEvery = 10 * time.Second
 	}
 	// Half of the clients keep their connections despite faults of the proxies.
-	if o.HoldConnectionsFor == 0 && o.FaultEvery > 0 {
-		o.HoldConnectionsFor, o.ShortConnectionShare = 8*time.Second, 0.5
+	if o.ConnectionLifetime == 0 && o.FaultEvery > 0 {
+		o.ConnectionLifetime, o.ShortConnectionShare = 8*time.Second, 0.5
 	}
 	if o.Cost == 0 {
 		o.Cost = 20
--- a/internal/testsupport/simulator/scenes_target.go
+++ b/internal/testsupport/simulator/scenes_target.go
@@ -50,7 +50,7 @@
 // declaredDeadButRunning partitions targets and a proxy from the core, which declares the targets
 // dead while the proxy still reaches them.
 func declaredDeadButRunning(w *World) {
-	w.HoldConnectionsFor = 20 * time.Second
+	w.ConnectionLifetime = 20 * time.Second
 	w.repeat(2*time.Second, 6*time.Second, 7, func(int) {
 		p := w.randomProcess(membership.Proxy)
 		for _, t := range w.targets {
--- a/internal/testsupport/simulator/spill_test.go
+++ b/internal/testsupport/simulator/spill_test.go
@@ -73,7 +73,7 @@
 		t.Run(hold.String(), func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			points := runSpill(t, Options{Seed: 1, Rate: 40, HoldConnectionsFor: hold, ClientZone: stepLoad(zoneA)})
+			points := runSpill(t, Options{Seed: 1, Rate: 40, ConnectionLifetime: hold, ClientZone: stepLoad(zoneA)})
 			for _, p := range points {
 				if p.At > 300*time.Second && p.At < stepUntil {
 					is.True(p.Used[zoneA] < 550*1.1 && p.Used[zoneA] > 350) // settled near its target
