--- a/internal/testsupport/simulator/network.go
+++ b/internal/testsupport/simulator/network.go
@@ -79,16 +79,16 @@
 }
 
 // linkDelay returns the queueing and transmission delay of a message between two stores at
-// Options.LinkBits.
+// Options.LinkBitsPerSecond.
 func (w *World) linkDelay(from, to *process, msg any) time.Duration {
-	if w.LinkBits == 0 || from.role != membership.Store || to.role != membership.Store {
+	if w.LinkBitsPerSecond == 0 || from.role != membership.Store || to.role != membership.Store {
 		return 0
 	}
 	raw, err := wire.Encode(msg)
 	if err != nil {
 		return 0
 	}
-	took := time.Duration(float64(len(raw)*8) / w.LinkBits * float64(time.Second))
+	took := time.Duration(float64(len(raw)*8) / w.LinkBitsPerSecond * float64(time.Second))
 	from.linkOut = max(from.linkOut, w.now).Add(took)
 	to.linkIn = max(to.linkIn, from.linkOut.Add(-took)).Add(took)
 	return to.linkIn.Sub(w.now)
--- a/internal/testsupport/simulator/options.go
+++ b/internal/testsupport/simulator/options.go
@@ -49,8 +49,8 @@
 	Replicas int
 	// DiskSync, if set, is the duration of each disk sync.
 	DiskSync time.Duration
-	// LinkBits, if set, is the bandwidth between stores in bits per second, for each direction.
-	LinkBits float64
+	// LinkBitsPerSecond, if set, is the bandwidth between stores in bits per second, for each direction.
+	LinkBitsPerSecond float64
 	// Traces, if set, holds writers for the recorded traces of processes, by name. Recording ends
 	// at the virtual time TraceFor.
 	Traces   map[string]io.Writer
