--- a/internal/testsupport/simulator/disk.go
+++ b/internal/testsupport/simulator/disk.go
@@ -121,8 +121,8 @@
 	}
 	d.syncing = true
 	duration := d.world.randomDuration(200*time.Microsecond, 4*time.Millisecond) * time.Duration(max(d.slowdown, 1))
-	if d.world.DiskSync > 0 {
-		duration = d.world.DiskSync * time.Duration(max(d.slowdown, 1))
+	if d.world.DiskSyncTime > 0 {
+		duration = d.world.DiskSyncTime * time.Duration(max(d.slowdown, 1))
 	}
 	if d.world.Defect.SyncLate {
 		duration += writeBackDelay
--- a/internal/testsupport/simulator/options.go
+++ b/internal/testsupport/simulator/options.go
@@ -47,8 +47,8 @@
 	StaleBootstrap bool
 	// Replicas is the number of stores; 3 by default.
 	Replicas int
-	// DiskSync, if set, is the duration of each disk sync.
-	DiskSync time.Duration
+	// DiskSyncTime, if set, is the duration of each disk sync.
+	DiskSyncTime time.Duration
 	// LinkBitsPerSecond, if set, is the bandwidth between stores in bits per second, for each direction.
 	LinkBitsPerSecond float64
 	// Traces, if set, holds writers for the recorded traces of processes, by name. Recording ends
--- a/internal/testsupport/simulator/repair_times_test.go
+++ b/internal/testsupport/simulator/repair_times_test.go
@@ -34,13 +34,13 @@
 		bound           time.Duration
 	}{
 		"3 members, small":             {Options{}, 0, 0, 1500 * millisecond},
-		"3 members, small, slow disk":  {Options{DiskSync: slow}, 0, 0, 1500 * millisecond},
+		"3 members, small, slow disk":  {Options{DiskSyncTime: slow}, 0, 0, 1500 * millisecond},
 		"3 members, small, 2.2 Mbit/s": {Options{LinkBitsPerSecond: link}, 0, 0, 1500 * millisecond},
 		"5 members, small":             {Options{Replicas: 5}, 0, 0, 1500 * millisecond},
 		"3 members, 5,000 registers":   {Options{}, 5000, 100, 3 * time.Second},
 		"5 members, 5,000 registers":   {Options{Replicas: 5}, 5000, 100, 3 * time.Second},
 		"3 members, 1,000, 2.2 Mbit/s": {Options{LinkBitsPerSecond: link}, 1000, 100, 3 * time.Second},
-		"3 members, 5,000, slow disk":  {Options{DiskSync: slow}, 5000, 100, 3 * time.Second},
+		"3 members, 5,000, slow disk":  {Options{DiskSyncTime: slow}, 5000, 100, 3 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
