--- a/internal/testsupport/simulator/forward.go
+++ b/internal/testsupport/simulator/forward.go
@@ -101,8 +101,8 @@
 				result := mayHaveRun
 				if ok {
 					result = dispatch.AttemptFinished{ID: command.ID, Sequence: command.Sequence, Result: dispatch.Complete, Response: response}
-					d.cpuMillis[[2]ids.Name{request.Route, service}] += w.Cost
-					p.cpuMillis += w.Cost
+					d.cpuMillis[[2]ids.Name{request.Route, service}] += w.RequestCPUMillis
+					p.cpuMillis += w.RequestCPUMillis
 				}
 				if !w.delivers(string(receiver.id), receiver.zone, p.name, p.zone) {
 					return // the response is lost: the deadline ends the attempt
--- a/internal/testsupport/simulator/options.go
+++ b/internal/testsupport/simulator/options.go
@@ -21,8 +21,8 @@
 	FaultEvery time.Duration
 	// PlanEvery is the interval between spill-over plans; 10 s by default.
 	PlanEvery time.Duration
-	// Cost is the CPU time of a request in milliseconds; 20 by default.
-	Cost float64
+	// RequestCPUMillis is the CPU time of a request in milliseconds; 20 by default.
+	RequestCPUMillis float64
 	// ClientZone, if set, chooses the zone of a request's client; drawn is the zone that the plan's
 	// distribution yielded.
 	ClientZone func(w *World, drawn ids.Name) ids.Name
@@ -79,7 +79,7 @@
 	if o.ConnectionLifetime == 0 && o.FaultEvery > 0 {
 		o.ConnectionLifetime, o.ShortConnectionShare = 8*time.Second, 0.5
 	}
-	if o.Cost == 0 {
-		o.Cost = 20
+	if o.RequestCPUMillis == 0 {
+		o.RequestCPUMillis = 20
 	}
 }
