--- a/internal/testsupport/simulator/dispatchers.go
+++ b/internal/testsupport/simulator/dispatchers.go
@@ -75,12 +75,12 @@
 	span := now.Sub(d.lastMeasuredAt)
 	d.lastMeasuredAt = now
 	sample := proxy.UsageSample{Interval: span, LatencyP95: 2 * time.Millisecond, Requests: d.requests}
-	if p := d.process; p.world.Latency != nil {
+	if p := d.process; p.world.LatencyAtUsage != nil {
 		used := 0.0
 		for _, pair := range sortedPairs(d.cpuMillis) {
 			used += d.cpuMillis[pair] / span.Seconds()
 		}
-		sample.LatencyP95 = p.world.Latency(used)
+		sample.LatencyP95 = p.world.LatencyAtUsage(used)
 	}
 	for _, pair := range sortedPairs(d.cpuMillis) {
 		sample.Rows = append(sample.Rows, spill.ServiceUsage{Route: pair[0], Service: pair[1], CPU: d.cpuMillis[pair] / span.Seconds()})
--- a/internal/testsupport/simulator/options.go
+++ b/internal/testsupport/simulator/options.go
@@ -33,9 +33,9 @@
 	ConnectionLifetime time.Duration
 	// ShortConnectionShare is the share of requests whose clients keep no connection even so.
 	ShortConnectionShare float64
-	// Latency, if set, returns the p95 latency that a proxy measures at a CPU usage in milliseconds
+	// LatencyAtUsage, if set, returns the p95 latency that a proxy measures at a CPU usage in milliseconds
 	// per second.
-	Latency func(used float64) time.Duration
+	LatencyAtUsage func(used float64) time.Duration
 	// Script, if set, schedules faults instead of the random ones.
 	Script func(w *World)
 	// EagerLosses permits the loss of the next core machine once the core has been unimpaired for a
--- a/internal/testsupport/simulator/spill_test.go
+++ b/internal/testsupport/simulator/spill_test.go
@@ -188,7 +188,7 @@
 	for _, learns := range []bool{false, true} {
 		p := Options{Seed: 6, Rate: 42, Length: 600 * time.Second, ClientZone: stepLoad(zoneA), Plan: plan}
 		if learns {
-			p.Latency = slow
+			p.LatencyAtUsage = slow
 		}
 		n := 0.0
 		for _, point := range runSpill(t, p) {
