--- a/internal/testsupport/simulator/options.go
+++ b/internal/testsupport/simulator/options.go
@@ -52,10 +52,10 @@
 	// LinkBitsPerSecond, if set, is the bandwidth between stores in bits per second, for each direction.
 	LinkBitsPerSecond float64
 	// Traces, if set, holds writers for the recorded traces of processes, by name. Recording ends
-	// at the virtual time TraceFor.
-	Traces   map[string]io.Writer
-	TraceFor time.Duration
-	Defect   Defect
+	// at the virtual time TraceUntil.
+	Traces     map[string]io.Writer
+	TraceUntil time.Duration
+	Defect     Defect
 }
 
 // fill sets the defaults.
--- a/internal/testsupport/simulator/trace_recorder.go
+++ b/internal/testsupport/simulator/trace_recorder.go
@@ -50,7 +50,7 @@
 	if err == nil {
 		_, err = fmt.Fprintf(output, "# %x\n", raw)
 	}
-	p.machine = &traceRecorder{Machine: p.machine, process: p, output: output, until: p.world.TraceFor, err: err}
+	p.machine = &traceRecorder{Machine: p.machine, process: p, output: output, until: p.world.TraceUntil, err: err}
 }
 
 // traceRecorder records the events that a machine receives and its commands until a virtual time.
--- a/internal/testsupport/simulator/trace_test.go
+++ b/internal/testsupport/simulator/trace_test.go
@@ -33,7 +33,7 @@
 	is := is.New(t)
 	traces := map[string]*bytes.Buffer{}
 	if *recordTraces {
-		p := Options{Seed: 3, Length: 20 * time.Second, Traces: map[string]io.Writer{}, TraceFor: 13 * time.Second, FaultEvery: 700 * time.Millisecond}
+		p := Options{Seed: 3, Length: 20 * time.Second, Traces: map[string]io.Writer{}, TraceUntil: 13 * time.Second, FaultEvery: 700 * time.Millisecond}
 		for _, name := range recordedMachines {
 			traces[name] = &bytes.Buffer{}
 			p.Traces[name] = traces[name]
