--- a/cmd/testbed/simulate.go
+++ b/cmd/testbed/simulate.go
@@ -65,7 +65,7 @@
 func (s *SimulateCmd) options(r simulatorRun) simulator.Options {
 	o := simulator.Options{Seed: r.seed, Plan: blueprint.Plans[s.Plan], Length: s.Length, Script: simulator.Scenes[r.scene]}
 	if s.Hot {
-		o = simulator.Hot(r.seed)
+		o = simulator.HotZoneOptions(r.seed)
 	}
 	o.KeepLog, o.EagerLosses = s.Trace, s.Eager
 	return o
--- a/internal/testsupport/simulator/defect_test.go
+++ b/internal/testsupport/simulator/defect_test.go
@@ -115,7 +115,7 @@
 			for seed := uint64(1); seed <= 8 && !found; seed++ {
 				p := Options{Seed: seed, Length: 40 * time.Second, Defect: c.defect, Rate: c.rate, Script: c.script, Lease: c.lease}
 				if c.hot {
-					p = Hot(seed)
+					p = HotZoneOptions(seed)
 					p.Length = 420 * time.Second // long enough for moves to begin and change
 					p.Defect = c.defect
 				}
--- a/internal/testsupport/simulator/hot_zones.go
+++ b/internal/testsupport/simulator/hot_zones.go
@@ -22,11 +22,11 @@
 	reportsMissingFor = 70 * time.Second
 )
 
-// Hot returns the options of a run in which one or two zones are overloaded, with tiers, distances
+// HotZoneOptions returns the options of a run in which one or two zones are overloaded, with tiers, distances
 // and loads drawn from the seed. Some clients keep connections for minutes. During the run a
 // registry restarts, a zone's reports are lost, zones are drained and restored, and operators send
 // many changes. No long-lived connection may be closed because of that.
-func Hot(seed uint64) Options {
+func HotZoneOptions(seed uint64) Options {
 	random := rand.New(rand.NewPCG(seed, 0x686f74))
 	plan := hotPlan(random)
 	hotZones := random.Perm(plan.Zones)[:1+random.IntN(2)]
--- a/internal/testsupport/simulator/hot_zones_test.go
+++ b/internal/testsupport/simulator/hot_zones_test.go
@@ -13,7 +13,7 @@
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			o := Run(Hot(seed))
+			o := Run(HotZoneOptions(seed))
 			report(t, o)
 			for _, c := range o.Results {
 				t.Logf("%s: %d in %d", c.Rule, c.Violations, c.Judged)
