--- a/internal/testsupport/simulator/spill.go
+++ b/internal/testsupport/simulator/spill.go
@@ -83,8 +83,8 @@
 	})
 }
 
-// Spill performs a run and returns its spill-over samples and its outcome.
-func Spill(p Options, every time.Duration) ([]Point, Outcome) {
+// RunWithSpillSamples performs a run and returns its spill-over samples and its outcome.
+func RunWithSpillSamples(p Options, every time.Duration) ([]Point, Outcome) {
 	var points []Point
 	script := p.Script
 	p.Script = func(w *World) {
--- a/internal/testsupport/simulator/spill_test.go
+++ b/internal/testsupport/simulator/spill_test.go
@@ -45,7 +45,7 @@
 	if p.Length == 0 {
 		p.Length = 900 * time.Second
 	}
-	points, o := Spill(p, 30*time.Second)
+	points, o := RunWithSpillSamples(p, 30*time.Second)
 	for _, p := range points {
 		t.Logf("%4.0fs a %4.0f b %4.0f c %4.0f  out %.2f %.2f %.2f", p.At.Seconds(), p.Used[zoneA], p.Used[zoneB], p.Used[zoneC], p.Out(zoneA), p.Out(zoneB), p.Out(zoneC))
 	}
