--- a/internal/testsupport/simulator/spill.go
+++ b/internal/testsupport/simulator/spill.go
@@ -12,8 +12,8 @@
 	"dunlinwell/internal/controlplane/spill"
 )
 
-// Point is a sample of the spill-over: the usage of each zone and the moves in effect.
-type Point struct {
+// SpillSample is a sample of the spill-over: the usage of each zone and the moves in effect.
+type SpillSample struct {
 	At    time.Duration
 	Used  map[ids.Name]float64
 	Moves []spill.Move
@@ -21,7 +21,7 @@
 
 // Out returns the sum, over all moves from a zone, of the shares of new connections that are sent
 // to other zones.
-func (p Point) Out(zone ids.Name) float64 {
+func (p SpillSample) Out(zone ids.Name) float64 {
 	sum := 0.0
 	for _, m := range p.Moves {
 		if m.From == zone {
@@ -33,12 +33,12 @@
 
 // sampleSpill appends a point at every interval, from the planner's table and the CPU time that
 // each zone's proxies used.
-func (w *World) sampleSpill(every time.Duration, points *[]Point) {
+func (w *World) sampleSpill(every time.Duration, points *[]SpillSample) {
 	last := map[ids.Name]float64{}
 	var sample func()
 	sample = func() {
 		now := w.cpuByZone()
-		point := Point{At: time.Duration(w.now), Used: map[ids.Name]float64{}}
+		point := SpillSample{At: time.Duration(w.now), Used: map[ids.Name]float64{}}
 		for _, zone := range slices.Sorted(maps.Keys(now)) {
 			point.Used[zone] = (now[zone] - last[zone]) / every.Seconds()
 		}
@@ -84,8 +84,8 @@
 }
 
 // RunWithSpillSamples performs a run and returns its spill-over samples and its outcome.
-func RunWithSpillSamples(p Options, every time.Duration) ([]Point, Outcome) {
-	var points []Point
+func RunWithSpillSamples(p Options, every time.Duration) ([]SpillSample, Outcome) {
+	var points []SpillSample
 	script := p.Script
 	p.Script = func(w *World) {
 		w.sampleSpill(every, &points)
--- a/internal/testsupport/simulator/spill_test.go
+++ b/internal/testsupport/simulator/spill_test.go
@@ -36,7 +36,7 @@
 }
 
 // runSpill performs a run, with the spill plan by default, and returns and logs its points.
-func runSpill(t *testing.T, p Options) []Point {
+func runSpill(t *testing.T, p Options) []SpillSample {
 	t.Helper()
 	p.PlanEvery, p.FaultEvery = 30*time.Second, -1
 	if p.Plan.Name == "" {
@@ -54,7 +54,7 @@
 }
 
 // countPlanChanges returns how often the moved share of a zone changed between two times.
-func countPlanChanges(points []Point, zone ids.Name, from, to time.Duration) int {
+func countPlanChanges(points []SpillSample, zone ids.Name, from, to time.Duration) int {
 	n := 0
 	for i, p := range points {
 		if i > 0 && p.At > from && p.At < to {
@@ -156,7 +156,7 @@
 		_, is := msg.(spill.Report)
 		return msg, !is || !reportsDropped || from != "proxy-3"
 	}
-	to := func(p Point) float64 {
+	to := func(p SpillSample) float64 {
 		sum := 0.0
 		for _, m := range p.Moves {
 			if m.To == zoneC {
