--- a/internal/testsupport/simulator/spill.go
+++ b/internal/testsupport/simulator/spill.go
@@ -19,9 +19,9 @@
 	Moves []spill.Move
 }
 
-// Out returns the sum, over all moves from a zone, of the shares of new connections that are sent
+// MovedOut returns the sum, over all moves from a zone, of the shares of new connections that are sent
 // to other zones.
-func (p SpillSample) Out(zone ids.Name) float64 {
+func (p SpillSample) MovedOut(zone ids.Name) float64 {
 	sum := 0.0
 	for _, m := range p.Moves {
 		if m.From == zone {
--- a/internal/testsupport/simulator/spill_test.go
+++ b/internal/testsupport/simulator/spill_test.go
@@ -47,7 +47,7 @@
 	}
 	points, o := RunWithSpillSamples(p, 30*time.Second)
 	for _, p := range points {
-		t.Logf("%4.0fs a %4.0f b %4.0f c %4.0f  out %.2f %.2f %.2f", p.At.Seconds(), p.Used[zoneA], p.Used[zoneB], p.Used[zoneC], p.Out(zoneA), p.Out(zoneB), p.Out(zoneC))
+		t.Logf("%4.0fs a %4.0f b %4.0f c %4.0f  out %.2f %.2f %.2f", p.At.Seconds(), p.Used[zoneA], p.Used[zoneB], p.Used[zoneC], p.MovedOut(zoneA), p.MovedOut(zoneB), p.MovedOut(zoneC))
 	}
 	report(t, o)
 	return points
@@ -58,7 +58,7 @@
 	n := 0
 	for i, p := range points {
 		if i > 0 && p.At > from && p.At < to {
-			if d := p.Out(zone) - points[i-1].Out(zone); d > 0.02 || d < -0.02 {
+			if d := p.MovedOut(zone) - points[i-1].MovedOut(zone); d > 0.02 || d < -0.02 {
 				n++
 			}
 		}
@@ -77,10 +77,10 @@
 			for _, p := range points {
 				if p.At > 300*time.Second && p.At < stepUntil {
 					is.True(p.Used[zoneA] < 550*1.1 && p.Used[zoneA] > 350) // settled near its target
-					is.True(p.Out(zoneA) > 0)
+					is.True(p.MovedOut(zoneA) > 0)
 				}
 				if p.At > 850*time.Second && p.At < 900*time.Second {
-					is.Equal(p.Out(zoneA), 0.0) // all moves ended
+					is.Equal(p.MovedOut(zoneA), 0.0) // all moves ended
 				}
 				is.True(p.Used[zoneB] < 500 && p.Used[zoneC] < 500) // no destination exceeds its target
 			}
@@ -97,7 +97,7 @@
 		is.True(p.At < 90*time.Second || p.At > stepUntil || p.Used[zoneC] < 400*1.1)
 		if p.At > 300*time.Second && p.At < stepUntil {
 			is.True(p.Used[zoneA] < 550*1.1 && p.Used[zoneB] < 550*1.1)
-			is.True(p.Out(zoneA)+p.Out(zoneB) > 0)
+			is.True(p.MovedOut(zoneA)+p.MovedOut(zoneB) > 0)
 		}
 	}
 }
@@ -119,7 +119,7 @@
 	is.True(epochs[0] < epochs[1] && epochs[1] < epochs[2])
 	for _, p := range points {
 		if p.At > 150*time.Second && p.At < stepUntil {
-			is.True(p.Out(zoneA) > 0.1) // the last table stays in effect
+			is.True(p.MovedOut(zoneA) > 0.1) // the last table stays in effect
 			is.True(p.Used[zoneA] < 600)
 		}
 	}
