--- a/internal/testsupport/simulator/defect.go
+++ b/internal/testsupport/simulator/defect.go
@@ -11,8 +11,8 @@
 // Defect is a set of planted defects, with which tests verify that the checker detects them. The
 // zero value has none.
 type Defect struct {
-	// Ops replaces change functions of the registers.
-	Ops map[consensus.Op]consensus.ChangeFunc
+	// ReplacedOps replaces change functions of the registers.
+	ReplacedOps map[consensus.Op]consensus.ChangeFunc
 	// DiskForgets makes a killed store lose half of its synced records.
 	DiskForgets bool
 	// SyncLate makes a store act as if its records were synced before they are on the disk.
--- a/internal/testsupport/simulator/defect_test.go
+++ b/internal/testsupport/simulator/defect_test.go
@@ -28,8 +28,8 @@
 		lease  time.Duration
 		hot    bool
 	}{
-		"idempotency key claimed twice": {want: "run twice", defect: Defect{Ops: map[consensus.Op]consensus.ChangeFunc{idempotency.OpClaim: grantEveryClaim}}},
-		"change applied in part":        {want: "reads back as", defect: Defect{Ops: map[consensus.Op]consensus.ChangeFunc{configuration.OpChange: applyHalf}}},
+		"idempotency key claimed twice": {want: "run twice", defect: Defect{ReplacedOps: map[consensus.Op]consensus.ChangeFunc{idempotency.OpClaim: grantEveryClaim}}},
+		"change applied in part":        {want: "reads back as", defect: Defect{ReplacedOps: map[consensus.Op]consensus.ChangeFunc{configuration.OpChange: applyHalf}}},
 		"synced records lost": {want: "was known|reads back as|given to", defect: Defect{DiskForgets: true}, script: func(w *World) {
 			// All stores lose power at once, repeatedly.
 			w.repeat(8*time.Second, 6*time.Second, 5, func(int) {
