--- a/internal/testsupport/simulator/defect.go
+++ b/internal/testsupport/simulator/defect.go
@@ -13,8 +13,8 @@
 type Defect struct {
 	// ReplacedOps replaces change functions of the registers.
 	ReplacedOps map[consensus.Op]consensus.ChangeFunc
-	// DiskForgets makes a killed store lose half of its synced records.
-	DiskForgets bool
+	// LoseSyncedRecords makes a killed store lose half of its synced records.
+	LoseSyncedRecords bool
 	// SyncLate makes a store act as if its records were synced before they are on the disk.
 	SyncLate bool
 	// BlankKeepsIdentity makes a store whose disk was lost keep its store ID.
--- a/internal/testsupport/simulator/defect_test.go
+++ b/internal/testsupport/simulator/defect_test.go
@@ -30,7 +30,7 @@
 	}{
 		"idempotency key claimed twice": {want: "run twice", defect: Defect{ReplacedOps: map[consensus.Op]consensus.ChangeFunc{idempotency.OpClaim: grantEveryClaim}}},
 		"change applied in part":        {want: "reads back as", defect: Defect{ReplacedOps: map[consensus.Op]consensus.ChangeFunc{configuration.OpChange: applyHalf}}},
-		"synced records lost": {want: "was known|reads back as|given to", defect: Defect{DiskForgets: true}, script: func(w *World) {
+		"synced records lost": {want: "was known|reads back as|given to", defect: Defect{LoseSyncedRecords: true}, script: func(w *World) {
 			// All stores lose power at once, repeatedly.
 			w.repeat(8*time.Second, 6*time.Second, 5, func(int) {
 				for _, p := range w.processes[:3] {
--- a/internal/testsupport/simulator/disk.go
+++ b/internal/testsupport/simulator/disk.go
@@ -85,7 +85,7 @@
 func (d *disk) crash() {
 	d.generation++
 	d.queue, d.syncing = nil, false
-	if d.world.Defect.DiskForgets {
+	if d.world.Defect.LoseSyncedRecords {
 		for key := range d.records {
 			if d.world.random.IntN(2) == 0 && key != voterSetRecord {
 				delete(d.records, key)
