--- a/internal/testsupport/simulator/defect.go
+++ b/internal/testsupport/simulator/defect.go
@@ -15,8 +15,8 @@
 	ReplacedOps map[consensus.Op]consensus.ChangeFunc
 	// LoseSyncedRecords makes a killed store lose half of its synced records.
 	LoseSyncedRecords bool
-	// SyncLate makes a store act as if its records were synced before they are on the disk.
-	SyncLate bool
+	// AcknowledgeBeforeSync makes a store act as if its records were synced before they are on the disk.
+	AcknowledgeBeforeSync bool
 	// BlankKeepsIdentity makes a store whose disk was lost keep its store ID.
 	BlankKeepsIdentity bool
 	// DeadSeeds makes new seeds name addresses without a process.
--- a/internal/testsupport/simulator/defect_test.go
+++ b/internal/testsupport/simulator/defect_test.go
@@ -93,9 +93,9 @@
 			}
 		})}},
 		"resent change rejected":   {want: "rejected with 409 when resent", defect: Defect{Confirm: rejectResentChanges()}, script: operatorResponsesLost},
-		"acknowledged before sync": {want: "was known|reads back as|given to", defect: Defect{SyncLate: true}, script: powerLostAfterAcks},
+		"acknowledged before sync": {want: "was known|reads back as|given to", defect: Defect{AcknowledgeBeforeSync: true}, script: powerLostAfterAcks},
 		// Only the closing fault is injected.
-		"acknowledged before last sync":         {want: "was known|reads back as|given to", defect: Defect{SyncLate: true}, script: func(*World) {}},
+		"acknowledged before last sync":         {want: "was known|reads back as|given to", defect: Defect{AcknowledgeBeforeSync: true}, script: func(*World) {}},
 		"blank store keeps its ID":              {want: "was known|reads back as|given to", defect: Defect{BlankKeepsIdentity: true}, script: wipedAndRestarted},
 		"new seeds unreachable":                 {want: "can't be read", defect: Defect{DeadSeeds: true}, script: seedsReplacedThenMachines},
 		"client disconnects ignored":            {want: "after its client disconnected", script: clientsDisconnect, defect: Defect{DeafToDepartures: true}},
--- a/internal/testsupport/simulator/disk.go
+++ b/internal/testsupport/simulator/disk.go
@@ -100,13 +100,13 @@
 	*d = disk{world: d.world, records: map[ids.RegisterKey][]byte{}, generation: d.generation + 1}
 }
 
-// writeBackDelay is how long a disk with Defect.SyncLate delays writes that it has reported as
+// writeBackDelay is how long a disk with Defect.AcknowledgeBeforeSync delays writes that it has reported as
 // synced.
 const writeBackDelay = 50 * time.Millisecond
 
 // sync queues a batch of records.
 func (d *disk) sync(p *process, s event.Sync) {
-	if d.world.Defect.SyncLate {
+	if d.world.Defect.AcknowledgeBeforeSync {
 		p.execute(s.After)
 		s.After = nil
 	}
@@ -124,7 +124,7 @@
 	if d.world.DiskSyncTime > 0 {
 		duration = d.world.DiskSyncTime * time.Duration(max(d.slowdown, 1))
 	}
-	if d.world.Defect.SyncLate {
+	if d.world.Defect.AcknowledgeBeforeSync {
 		duration += writeBackDelay
 	}
 	generation, count := d.generation, len(d.queue)
