--- a/internal/testsupport/simulator/core_machines.go
+++ b/internal/testsupport/simulator/core_machines.go
@@ -138,7 +138,7 @@
 // loseDisk loses the disk of a store.
 func (w *World) loseDisk(store *process) {
 	w.recordDiskLoss()
-	if w.Defect.BlankKeepsIdentity {
+	if w.Defect.KeepStoreIDOnDiskLoss {
 		clear(store.disk.records)
 		return
 	}
--- a/internal/testsupport/simulator/defect.go
+++ b/internal/testsupport/simulator/defect.go
@@ -17,8 +17,8 @@
 	LoseSyncedRecords bool
 	// AcknowledgeBeforeSync makes a store act as if its records were synced before they are on the disk.
 	AcknowledgeBeforeSync bool
-	// BlankKeepsIdentity makes a store whose disk was lost keep its store ID.
-	BlankKeepsIdentity bool
+	// KeepStoreIDOnDiskLoss makes a store whose disk was lost keep its store ID.
+	KeepStoreIDOnDiskLoss bool
 	// DeadSeeds makes new seeds name addresses without a process.
 	DeadSeeds bool
 	// ResetIsUnsent makes proxies report a request whose connection was reset as not sent.
