--- a/internal/testsupport/simulator/core_machines.go
+++ b/internal/testsupport/simulator/core_machines.go
@@ -112,7 +112,7 @@
 			added.seeds = append(added.seeds, p.address)
 		}
 	}
-	if w.Defect.DeadSeeds {
+	if w.Defect.UnreachableSeeds {
 		added.seeds = unreachableSeeds()
 	}
 	added.start()
@@ -161,7 +161,7 @@
 			list = append(list, core[i].address)
 		}
 	}
-	if w.Defect.DeadSeeds {
+	if w.Defect.UnreachableSeeds {
 		list = unreachableSeeds()
 	}
 	w.trace("new seeds: %v", list)
--- a/internal/testsupport/simulator/defect.go
+++ b/internal/testsupport/simulator/defect.go
@@ -19,8 +19,8 @@
 	AcknowledgeBeforeSync bool
 	// KeepStoreIDOnDiskLoss makes a store whose disk was lost keep its store ID.
 	KeepStoreIDOnDiskLoss bool
-	// DeadSeeds makes new seeds name addresses without a process.
-	DeadSeeds bool
+	// UnreachableSeeds makes new seeds name addresses without a process.
+	UnreachableSeeds bool
 	// ResetIsUnsent makes proxies report a request whose connection was reset as not sent.
 	ResetIsUnsent bool
 	// IdempotencyRetention, if set, is how long disks keep idempotency records.
