--- a/internal/testsupport/simulator/defect.go
+++ b/internal/testsupport/simulator/defect.go
@@ -21,8 +21,8 @@
 	KeepStoreIDOnDiskLoss bool
 	// UnreachableSeeds makes new seeds name addresses without a process.
 	UnreachableSeeds bool
-	// ResetIsUnsent makes proxies report a request whose connection was reset as not sent.
-	ResetIsUnsent bool
+	// ReportResetAsNotSent makes proxies report a request whose connection was reset as not sent.
+	ReportResetAsNotSent bool
 	// IdempotencyRetention, if set, is how long disks keep idempotency records.
 	IdempotencyRetention time.Duration
 	// SkipIdentityCheck makes proxies send requests without verifying the identity of the target.
--- a/internal/testsupport/simulator/forward.go
+++ b/internal/testsupport/simulator/forward.go
@@ -70,7 +70,7 @@
 	}
 	mayHaveRun := dispatch.AttemptFinished{ID: command.ID, Sequence: command.Sequence, Result: dispatch.MayHaveRun, Reason: "no sealed answer"}
 	broken := mayHaveRun
-	if w.Defect.ResetIsUnsent {
+	if w.Defect.ReportResetAsNotSent {
 		broken.Result = dispatch.NotSent
 	}
 	call = w.beginExchange(&exchange{from: p.name, to: string(receiver.id), fromZone: p.zone, toZone: receiver.zone, onReset: func() {
