--- a/internal/testsupport/simulator/clients.go
+++ b/internal/testsupport/simulator/clients.go
@@ -153,7 +153,7 @@
 // closeIfDrained closes a long-lived connection after a response if the proxy's zone is drained, as
 // the front end does, so that no further requests arrive on it.
 func (w *World) closeIfDrained(p *process, request *pendingRequest, response checker.ClientResponse) {
-	if !response.Held || !p.dispatchers.servingState.ZoneDrained && !w.Defect.CloseLongLived {
+	if !response.Held || !p.dispatchers.servingState.ZoneDrained && !w.Defect.CloseLongLivedConnections {
 		return
 	}
 	delete(w.clients.connections, request.connection)
--- a/internal/testsupport/simulator/defect.go
+++ b/internal/testsupport/simulator/defect.go
@@ -27,8 +27,8 @@
 	IdempotencyRetention time.Duration
 	// SkipIdentityCheck makes proxies send requests without verifying the identity of the target.
 	SkipIdentityCheck bool
-	// CloseLongLived makes proxies close long-lived connections after each response.
-	CloseLongLived bool
+	// CloseLongLivedConnections makes proxies close long-lived connections after each response.
+	CloseLongLivedConnections bool
 	// DeafToDepartures makes proxies ignore client disconnects.
 	DeafToDepartures bool
 	// Response, if set, alters the responses of proxies to clients.
--- a/internal/testsupport/simulator/defect_test.go
+++ b/internal/testsupport/simulator/defect_test.go
@@ -83,7 +83,7 @@
 		// Partitioned proxies also keep silent targets and learn nothing from other proxies.
 		"dead target still used":       {want: "known gone or leaving", lease: time.Hour, script: declaredDeadButRunning, defect: Defect{Message: dropLeaseGossip}},
 		"route moved during partition": {want: "that another was accepted over", lease: time.Hour, rate: 200, script: configurationMovedDuringPartition, defect: Defect{Message: dropLeaseGossip}},
-		"long-lived connection closed": {want: "held circuit", hot: true, defect: Defect{CloseLongLived: true}},
+		"long-lived connection closed": {want: "held circuit", hot: true, defect: Defect{CloseLongLivedConnections: true}},
 		"urgent routes moved first":    {want: "urgent route moved", hot: true, defect: Defect{Message: alterTables(func(t *spill.Table) { t.Moves = rotateRoutes(t.Moves) })}},
 		"far zones used first":         {want: "move to a far cell", hot: true, defect: Defect{Message: alterTables(func(t *spill.Table) { t.Moves = moveToFarZones(t.Moves) })}},
 		"other zones' traffic accepted first": {want: "before calling its own home", hot: true, defect: Defect{Message: alterTables(func(t *spill.Table) {
