--- a/internal/testsupport/simulator/client_departures.go
+++ b/internal/testsupport/simulator/client_departures.go
@@ -30,7 +30,7 @@
 		return
 	}
 	request.disconnect.at = d.process.now()
-	if !d.process.world.Defect.DeafToDepartures {
+	if !d.process.world.Defect.IgnoreClientDisconnects {
 		d.step(request.Service, dispatch.ClientDisconnected{ID: id})
 	}
 }
--- a/internal/testsupport/simulator/defect.go
+++ b/internal/testsupport/simulator/defect.go
@@ -29,8 +29,8 @@
 	SkipIdentityCheck bool
 	// CloseLongLivedConnections makes proxies close long-lived connections after each response.
 	CloseLongLivedConnections bool
-	// DeafToDepartures makes proxies ignore client disconnects.
-	DeafToDepartures bool
+	// IgnoreClientDisconnects makes proxies ignore client disconnects.
+	IgnoreClientDisconnects bool
 	// Response, if set, alters the responses of proxies to clients.
 	Response func(dispatch.Response) dispatch.Response
 	// ControlLease, if set, is the duration of the lease under which a registry answers for the
--- a/internal/testsupport/simulator/defect_test.go
+++ b/internal/testsupport/simulator/defect_test.go
@@ -98,7 +98,7 @@
 		"acknowledged before last sync":         {want: "was known|reads back as|given to", defect: Defect{AcknowledgeBeforeSync: true}, script: func(*World) {}},
 		"blank store keeps its ID":              {want: "was known|reads back as|given to", defect: Defect{KeepStoreIDOnDiskLoss: true}, script: wipedAndRestarted},
 		"new seeds unreachable":                 {want: "can't be read", defect: Defect{UnreachableSeeds: true}, script: seedsReplacedThenMachines},
-		"client disconnects ignored":            {want: "after its client disconnected", script: clientsDisconnect, defect: Defect{DeafToDepartures: true}},
+		"client disconnects ignored":            {want: "after its client disconnected", script: clientsDisconnect, defect: Defect{IgnoreClientDisconnects: true}},
 		"reset reported as not sent":            {want: "run twice", defect: Defect{ReportResetAsNotSent: true}, script: connectionsReset},
 		"drained zone still served":             {want: "emptied", script: drainRepeatedly, defect: Defect{Message: alterPushes(replaceInPush(`"emptied":true`, `"emptied":false`))}},
 		"endless control lease: calls answered": {want: "partitioned, answered", script: Scenes["core-machine-1-cut-off-both-ways"], defect: Defect{ControlLease: time.Hour}},
