--- a/internal/testsupport/simulator/defect.go
+++ b/internal/testsupport/simulator/defect.go
@@ -31,8 +31,8 @@
 	CloseLongLivedConnections bool
 	// IgnoreClientDisconnects makes proxies ignore client disconnects.
 	IgnoreClientDisconnects bool
-	// Response, if set, alters the responses of proxies to clients.
-	Response func(dispatch.Response) dispatch.Response
+	// AlterResponse, if set, alters the responses of proxies to clients.
+	AlterResponse func(dispatch.Response) dispatch.Response
 	// ControlLease, if set, is the duration of the lease under which a registry answers for the
 	// core.
 	ControlLease time.Duration
--- a/internal/testsupport/simulator/defect_test.go
+++ b/internal/testsupport/simulator/defect_test.go
@@ -45,13 +45,13 @@
 				p.Targets[i].Draining, p.Targets[i].Dead = false, false
 			}
 		})}},
-		"rejection of an executed request": {want: "for what ran", defect: Defect{Response: func(r dispatch.Response) dispatch.Response {
+		"rejection of an executed request": {want: "for what ran", defect: Defect{AlterResponse: func(r dispatch.Response) dispatch.Response {
 			if r.Class == dispatch.Unknown {
 				r.Class, r.Status = dispatch.Rejected, 503
 			}
 			return r
 		}}},
-		"response altered by proxy": {want: "not the target's own", defect: Defect{Response: func(r dispatch.Response) dispatch.Response {
+		"response altered by proxy": {want: "not the target's own", defect: Defect{AlterResponse: func(r dispatch.Response) dispatch.Response {
 			if r.Class == dispatch.Answered {
 				r.TargetResponse.Body = append([]byte("x"), r.TargetResponse.Body...)
 			}
--- a/internal/testsupport/simulator/dispatchers.go
+++ b/internal/testsupport/simulator/dispatchers.go
@@ -127,8 +127,8 @@
 		request := d.requestsByID[c.ID]
 		delete(d.requestsByID, c.ID)
 		if request != nil && request.onResponse != nil {
-			if p.world.Defect.Response != nil {
-				c = p.world.Defect.Response(c)
+			if p.world.Defect.AlterResponse != nil {
+				c = p.world.Defect.AlterResponse(c)
 			}
 			request.onResponse(c)
 		}
