--- a/internal/testsupport/simulator/defect.go
+++ b/internal/testsupport/simulator/defect.go
@@ -36,8 +36,8 @@
 	// ControlLease, if set, is the duration of the lease under which a registry answers for the
 	// core.
 	ControlLease time.Duration
-	// Confirm, if set, alters the responses of registries to operators.
-	Confirm func(registry.Response) registry.Response
+	// AlterConfirmation, if set, alters the responses of registries to operators.
+	AlterConfirmation func(registry.Response) registry.Response
 	// Message, if set, alters messages between daemons; the message is dropped if it returns false.
 	Message func(from, to string, msg any) (any, bool)
 }
--- a/internal/testsupport/simulator/defect_test.go
+++ b/internal/testsupport/simulator/defect_test.go
@@ -92,7 +92,7 @@
 				t.Moves = addOpposingMoves(t.Moves)
 			}
 		})}},
-		"resent change rejected":   {want: "rejected with 409 when resent", defect: Defect{Confirm: rejectResentChanges()}, script: operatorResponsesLost},
+		"resent change rejected":   {want: "rejected with 409 when resent", defect: Defect{AlterConfirmation: rejectResentChanges()}, script: operatorResponsesLost},
 		"acknowledged before sync": {want: "was known|reads back as|given to", defect: Defect{AcknowledgeBeforeSync: true}, script: powerLostAfterAcks},
 		// Only the closing fault is injected.
 		"acknowledged before last sync":         {want: "was known|reads back as|given to", defect: Defect{AcknowledgeBeforeSync: true}, script: func(*World) {}},
--- a/internal/testsupport/simulator/registry_calls.go
+++ b/internal/testsupport/simulator/registry_calls.go
@@ -96,8 +96,8 @@
 
 // applyDefect applies Defect.Confirm, if set, to a response to an operator.
 func (w *World) applyDefect(response registry.Response) registry.Response {
-	if w.Defect.Confirm != nil {
-		return w.Defect.Confirm(response)
+	if w.Defect.AlterConfirmation != nil {
+		return w.Defect.AlterConfirmation(response)
 	}
 	return response
 }
