--- a/internal/testsupport/simulator/defect.go
+++ b/internal/testsupport/simulator/defect.go
@@ -38,6 +38,6 @@
 	ControlLease time.Duration
 	// AlterConfirmation, if set, alters the responses of registries to operators.
 	AlterConfirmation func(registry.Response) registry.Response
-	// Message, if set, alters messages between daemons; the message is dropped if it returns false.
-	Message func(from, to string, msg any) (any, bool)
+	// AlterMessage, if set, alters messages between daemons; the message is dropped if it returns false.
+	AlterMessage func(from, to string, msg any) (any, bool)
 }
--- a/internal/testsupport/simulator/defect_test.go
+++ b/internal/testsupport/simulator/defect_test.go
@@ -38,7 +38,7 @@
 				}
 			})
 		}},
-		"request sent to wrong target": {want: "received a request for", defect: Defect{SkipIdentityCheck: true, Message: alterPushes(func(p *distribution.Push) {
+		"request sent to wrong target": {want: "received a request for", defect: Defect{SkipIdentityCheck: true, AlterMessage: alterPushes(func(p *distribution.Push) {
 			// The proxies learn only the first incarnation of each target.
 			p.Targets = slices.DeleteFunc(p.Targets, func(t targets.Target) bool { return t.Incarnation > 2001 })
 			for i := range p.Targets {
@@ -57,22 +57,22 @@
 			}
 			return r
 		}}},
-		"accepted change not adopted": {want: "that another was accepted over", defect: Defect{Message: alterPushes(func(p *distribution.Push) {
+		"accepted change not adopted": {want: "that another was accepted over", defect: Defect{AlterMessage: alterPushes(func(p *distribution.Push) {
 			if p.Revision > 3 {
 				p.Configuration, p.Revision = nil, 3
 			}
 		})}},
-		"request sent to drained target": {want: "known gone or leaving", script: targetsDrained, defect: Defect{SkipIdentityCheck: true, Message: alterPushes(func(p *distribution.Push) {
+		"request sent to drained target": {want: "known gone or leaving", script: targetsDrained, defect: Defect{SkipIdentityCheck: true, AlterMessage: alterPushes(func(p *distribution.Push) {
 			for i := range p.Targets {
 				p.Targets[i].Draining, p.Targets[i].Dead = false, false
 			}
 		})}},
-		"cold target overloaded": {want: "flooded", rate: 400, defect: Defect{SkipIdentityCheck: true, Message: alterPushes(func(p *distribution.Push) {
+		"cold target overloaded": {want: "flooded", rate: 400, defect: Defect{SkipIdentityCheck: true, AlterMessage: alterPushes(func(p *distribution.Push) {
 			for i := range p.Targets {
 				p.Targets[i].Warmth, p.Targets[i].AgeMillis, p.Targets[i].Capacity = 1, 1e6, 200
 			}
 		})}},
-		"retry budget exceeded": {want: "retries past", script: loseResponsesLate, defect: Defect{Message: alterPushes(replaceInPush(`"allowance":10`, `"allowance":900`))}},
+		"retry budget exceeded": {want: "retries past", script: loseResponsesLate, defect: Defect{AlterMessage: alterPushes(replaceInPush(`"allowance":10`, `"allowance":900`))}},
 		"idempotency records deleted early": {want: "run twice", defect: Defect{IdempotencyRetention: 300 * time.Millisecond}, script: func(w *World) {
 			// Restart the stores, since proposers cache records that the disks deleted.
 			responsesLost(w)
@@ -81,12 +81,12 @@
 		// With an endless lease, partitioned proxies keep serving.
 		"zone drained during partition": {want: "emptied over", lease: time.Hour, script: zoneDrainedDuringPartition},
 		// Partitioned proxies also keep silent targets and learn nothing from other proxies.
-		"dead target still used":       {want: "known gone or leaving", lease: time.Hour, script: declaredDeadButRunning, defect: Defect{Message: dropLeaseGossip}},
-		"route moved during partition": {want: "that another was accepted over", lease: time.Hour, rate: 200, script: configurationMovedDuringPartition, defect: Defect{Message: dropLeaseGossip}},
+		"dead target still used":       {want: "known gone or leaving", lease: time.Hour, script: declaredDeadButRunning, defect: Defect{AlterMessage: dropLeaseGossip}},
+		"route moved during partition": {want: "that another was accepted over", lease: time.Hour, rate: 200, script: configurationMovedDuringPartition, defect: Defect{AlterMessage: dropLeaseGossip}},
 		"long-lived connection closed": {want: "held circuit", hot: true, defect: Defect{CloseLongLivedConnections: true}},
-		"urgent routes moved first":    {want: "urgent route moved", hot: true, defect: Defect{Message: alterTables(func(t *spill.Table) { t.Moves = rotateRoutes(t.Moves) })}},
-		"far zones used first":         {want: "move to a far cell", hot: true, defect: Defect{Message: alterTables(func(t *spill.Table) { t.Moves = moveToFarZones(t.Moves) })}},
-		"other zones' traffic accepted first": {want: "before calling its own home", hot: true, defect: Defect{Message: alterTables(func(t *spill.Table) {
+		"urgent routes moved first":    {want: "urgent route moved", hot: true, defect: Defect{AlterMessage: alterTables(func(t *spill.Table) { t.Moves = rotateRoutes(t.Moves) })}},
+		"far zones used first":         {want: "move to a far cell", hot: true, defect: Defect{AlterMessage: alterTables(func(t *spill.Table) { t.Moves = moveToFarZones(t.Moves) })}},
+		"other zones' traffic accepted first": {want: "before calling its own home", hot: true, defect: Defect{AlterMessage: alterTables(func(t *spill.Table) {
 			// Alternate, so that the checker observes the beginning of the moves.
 			if t.Number%4 >= 2 {
 				t.Moves = addOpposingMoves(t.Moves)
@@ -100,10 +100,10 @@
 		"new seeds unreachable":                 {want: "can't be read", defect: Defect{UnreachableSeeds: true}, script: seedsReplacedThenMachines},
 		"client disconnects ignored":            {want: "after its client disconnected", script: clientsDisconnect, defect: Defect{IgnoreClientDisconnects: true}},
 		"reset reported as not sent":            {want: "run twice", defect: Defect{ReportResetAsNotSent: true}, script: connectionsReset},
-		"drained zone still served":             {want: "emptied", script: drainRepeatedly, defect: Defect{Message: alterPushes(replaceInPush(`"emptied":true`, `"emptied":false`))}},
+		"drained zone still served":             {want: "emptied", script: drainRepeatedly, defect: Defect{AlterMessage: alterPushes(replaceInPush(`"emptied":true`, `"emptied":false`))}},
 		"endless control lease: calls answered": {want: "partitioned, answered", script: Scenes["core-machine-1-cut-off-both-ways"], defect: Defect{ControlLease: time.Hour}},
 		"endless control lease: two planners":   {want: "have been planners for", script: Scenes["core-machine-1-cut-off-both-ways"], defect: Defect{ControlLease: time.Hour}},
-		"proxies without updates": {want: "15 s after", defect: Defect{Message: func(_, to string, msg any) (any, bool) {
+		"proxies without updates": {want: "15 s after", defect: Defect{AlterMessage: func(_, to string, msg any) (any, bool) {
 			_, push := msg.(distribution.Push)
 			return msg, !push || to != "proxy-1" && to != "proxy-2" && to != "proxy-3"
 		}}},
--- a/internal/testsupport/simulator/hot_zones.go
+++ b/internal/testsupport/simulator/hot_zones.go
@@ -41,7 +41,7 @@
 	}
 	var world *World
 	// Drop one zone's reports for reportsMissingFor.
-	options.Defect.Message = func(from, _ string, msg any) (any, bool) {
+	options.Defect.AlterMessage = func(from, _ string, msg any) (any, bool) {
 		if _, report := msg.(spill.Report); !report || world == nil {
 			return msg, true
 		}
--- a/internal/testsupport/simulator/linearizability_test.go
+++ b/internal/testsupport/simulator/linearizability_test.go
@@ -115,7 +115,7 @@
 
 // A planted lost write and a planted stale read make the history not linearizable.
 func TestHistory_PlantedDefectsAreDetected(t *testing.T) {
-	for name, defect := range map[string]Defect{"lost write": {ReplacedOps: loseEveryTenthChange()}, "stale read": {Message: staleReads()}} {
+	for name, defect := range map[string]Defect{"lost write": {ReplacedOps: loseEveryTenthChange()}, "stale read": {AlterMessage: staleReads()}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			o := Run(Options{Seed: 1, Length: 40 * time.Second, Defect: defect})
--- a/internal/testsupport/simulator/mixed_versions_test.go
+++ b/internal/testsupport/simulator/mixed_versions_test.go
@@ -29,7 +29,7 @@
 	laterFrames := 0
 	for seed := uint64(1); seed <= 2; seed++ {
 		p := Options{Seed: seed}
-		p.Defect.Message = func(from, _ string, msg any) (any, bool) {
+		p.Defect.AlterMessage = func(from, _ string, msg any) (any, bool) {
 			raw, err := wire.Encode(msg)
 			is.NoErr(err)
 			kind, body := wire.Kind(binary.BigEndian.Uint16(raw[4:])), raw[headerSize:]
--- a/internal/testsupport/simulator/network.go
+++ b/internal/testsupport/simulator/network.go
@@ -42,13 +42,13 @@
 // send sends a message between daemons. It is delivered to the process that has the address when it
 // arrives, and lost if the connection is reset before that.
 func (w *World) send(from *process, to ids.Address, msg any) {
-	if w.Defect.Message != nil {
+	if w.Defect.AlterMessage != nil {
 		name := ""
 		if receiver := w.processByAddress[to]; receiver != nil {
 			name = receiver.name
 		}
 		var pass bool
-		if msg, pass = w.Defect.Message(from.name, name, msg); !pass {
+		if msg, pass = w.Defect.AlterMessage(from.name, name, msg); !pass {
 			return
 		}
 	}
--- a/internal/testsupport/simulator/spill_test.go
+++ b/internal/testsupport/simulator/spill_test.go
@@ -152,7 +152,7 @@
 		w.schedule(240*time.Second, func() { reportsDropped = true })
 		w.schedule(580*time.Second, func() { reportsDropped = false })
 	}}
-	p.Defect.Message = func(from, _ string, msg any) (any, bool) {
+	p.Defect.AlterMessage = func(from, _ string, msg any) (any, bool) {
 		_, is := msg.(spill.Report)
 		return msg, !is || !reportsDropped || from != "proxy-3"
 	}
