--- a/cmd/testbed/simulate.go
+++ b/cmd/testbed/simulate.go
@@ -127,7 +127,7 @@
 	if o.Violations == 0 {
 		return
 	}
-	fmt.Println(o.Replay(s.Plan, r.scene, s.Hot, s.Length))
+	fmt.Println(o.ReplayCommand(s.Plan, r.scene, s.Hot, s.Length))
 	for _, c := range o.Results {
 		if c.Violations > 0 {
 			fmt.Printf("  %s: %d, such as %s\n", c.Rule, c.Violations, c.Sample)
--- a/internal/testsupport/simulator/run.go
+++ b/internal/testsupport/simulator/run.go
@@ -33,8 +33,8 @@
 	History []Operation
 }
 
-// Replay returns the command that runs the same seed again and prints its log.
-func (o Outcome) Replay(plan, scene string, hot bool, length time.Duration) string {
+// ReplayCommand returns the command that runs the same seed again and prints its log.
+func (o Outcome) ReplayCommand(plan, scene string, hot bool, length time.Duration) string {
 	if hot {
 		return fmt.Sprintf("testbed drill --hot --from %d --seeds 1 --trace", o.Seed)
 	}
