--- a/internal/testsupport/simulator/history.go
+++ b/internal/testsupport/simulator/history.go
@@ -11,11 +11,11 @@
 // Operation is one call on the configuration register as observed by its caller: a change or a
 // read. A change with an unknown outcome may take effect at any time after the call, or never.
 type Operation struct {
-	Change   bool
-	Name     string
-	Called   ids.Time
-	Returned ids.Time
-	Known    bool
+	Change       bool
+	Name         string
+	Called       ids.Time
+	Returned     ids.Time
+	OutcomeKnown bool
 	// Revision is the revision that an accepted change created or a read returned.
 	Revision ids.Revision
 	// Content is the configuration that a read returned.
@@ -45,8 +45,8 @@
 
 // accepted records that the caller of a change received the revision that it created.
 func (h *history) accepted(now ids.Time, id string, revision ids.Revision) {
-	if operation := h.open[id]; operation != nil && !operation.Known {
-		operation.Returned, operation.Known, operation.Revision = now, true, revision
+	if operation := h.open[id]; operation != nil && !operation.OutcomeKnown {
+		operation.Returned, operation.OutcomeKnown, operation.Revision = now, true, revision
 	}
 }
 
@@ -64,7 +64,7 @@
 // read records the result of a read.
 func (h *history) read(called, now ids.Time, reader string, response registry.Response) {
 	if document, ok := response.Body.(*configuration.Document); ok {
-		h.entries = append(h.entries, &Operation{Name: reader, Called: called, Returned: now, Known: true, Revision: document.Revision, Content: string(encodeConfiguration(document))})
+		h.entries = append(h.entries, &Operation{Name: reader, Called: called, Returned: now, OutcomeKnown: true, Revision: document.Revision, Content: string(encodeConfiguration(document))})
 	}
 }
 
--- a/internal/testsupport/simulator/linearizability_test.go
+++ b/internal/testsupport/simulator/linearizability_test.go
@@ -23,7 +23,7 @@
 		switch {
 		case !o.Change:
 			return o.Revision == at, at
-		case o.Known:
+		case o.OutcomeKnown:
 			return o.Revision == at+1, at + 1
 		}
 		// The outcome is unknown: the change may take effect here or after all other operations.
