--- a/internal/testsupport/simulator/process.go
+++ b/internal/testsupport/simulator/process.go
@@ -154,7 +154,7 @@
 	switch p.role {
 	case membership.Store:
 		p.disk.open(p)
-		header.StoreID, header.Run, header.Bootstrap = p.disk.storeID, p.disk.runNumber, p.bootstrap
+		header.StoreID, header.RunNumber, header.Bootstrap = p.disk.storeID, p.disk.runNumber, p.bootstrap
 		machine := store.New(store.Options{Options: membershipOptions, StoreID: p.disk.storeID, RunNumber: p.disk.runNumber, Storage: p.disk, Random: p.random, Bootstrap: p.bootstrap, Replicas: p.world.Replicas})
 		if p.world.Defect.ReplacedOps != nil {
 			machine.ReplaceOps(p.world.Defect.ReplacedOps)
--- a/internal/testsupport/simulator/trace_recorder.go
+++ b/internal/testsupport/simulator/trace_recorder.go
@@ -19,11 +19,11 @@
 
 // TraceHeader is the first line of a recorded trace: the options of the recorded machine.
 type TraceHeader struct {
-	Membership   membership.Options
-	Random       [2]uint64
-	StoreID, Run uint64
-	PlanEvery    time.Duration
-	Lease        time.Duration
+	Membership         membership.Options
+	Random             [2]uint64
+	StoreID, RunNumber uint64
+	PlanEvery          time.Duration
+	Lease              time.Duration
 	// Bootstrap reports whether a store was permitted to bootstrap.
 	Bootstrap bool
 }
@@ -33,7 +33,7 @@
 	random := rand.New(rand.NewPCG(t.Random[0], t.Random[1]))
 	switch t.Membership.Self.Role {
 	case membership.Store:
-		return store.New(store.Options{Options: t.Membership, StoreID: t.StoreID, RunNumber: t.Run, Storage: storage, Random: random, Bootstrap: t.Bootstrap})
+		return store.New(store.Options{Options: t.Membership, StoreID: t.StoreID, RunNumber: t.RunNumber, Storage: storage, Random: random, Bootstrap: t.Bootstrap})
 	case membership.Registry:
 		return registry.New(registry.Options{Options: t.Membership, Random: random, PlanInterval: t.PlanEvery})
 	}
