--- a/internal/testsupport/simulator/trace_recorder.go
+++ b/internal/testsupport/simulator/trace_recorder.go
@@ -77,9 +77,9 @@
 	return out
 }
 
-// ReplayRecorded creates the machine described by the header of a trace and replays the trace to
+// ReplayRecordedTrace creates the machine described by the header of a trace and replays the trace to
 // it.
-func ReplayRecorded(header string, trace io.Reader) (int, error) {
+func ReplayRecordedTrace(header string, trace io.Reader) (int, error) {
 	var parsed TraceHeader
 	raw, err := hex.DecodeString(strings.TrimSpace(strings.TrimPrefix(header, "# ")))
 	if err == nil {
--- a/internal/testsupport/simulator/trace_test.go
+++ b/internal/testsupport/simulator/trace_test.go
@@ -58,7 +58,7 @@
 		trace := bufio.NewReader(z)
 		header, err := trace.ReadString('\n')
 		is.NoErr(err)
-		lines, err := ReplayRecorded(header, trace)
+		lines, err := ReplayRecordedTrace(header, trace)
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
