--- a/internal/testsupport/simulator/catch_up.go
+++ b/internal/testsupport/simulator/catch_up.go
@@ -11,9 +11,9 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// MachineOutages are outages during which a store misses changes, by name. Each function begins the
+// StoreOutages are outages during which a store misses changes, by name. Each function begins the
 // outage and returns a function that ends it.
-var MachineOutages = map[string]func(w *World, p *process) (end func()){
+var StoreOutages = map[string]func(w *World, p *process) (end func()){
 	"killed": func(w *World, p *process) func() {
 		p.kill()
 		return p.start
@@ -43,7 +43,7 @@
 // It calls then with the time from the end of the outage until the store's synced disk has the
 // newest revision, or with -1 if that exceeds the bound.
 func (w *World) missChanges(p *process, outage string, changes int, bound time.Duration, then func(time.Duration)) {
-	endOutage := MachineOutages[outage](w, p)
+	endOutage := StoreOutages[outage](w, p)
 	w.readRepeatedly()
 	var next func(n int)
 	next = func(n int) {
--- a/internal/testsupport/simulator/catch_up_test.go
+++ b/internal/testsupport/simulator/catch_up_test.go
@@ -14,7 +14,7 @@
 // A store that missed 300 changes catches up within the bound after its return, without further
 // changes, and no read returns its stale state.
 func TestCatchUp_StoreThatMissed300Changes(t *testing.T) {
-	for outage := range MachineOutages {
+	for outage := range StoreOutages {
 		for store := range 2 {
 			t.Run(fmt.Sprint(outage, store), func(t *testing.T) {
 				t.Parallel()
