--- a/internal/testsupport/simulator/defect.go
+++ b/internal/testsupport/simulator/defect.go
@@ -15,7 +15,8 @@
 	ReplacedOps map[consensus.Op]consensus.ChangeFunc
 	// LoseSyncedRecords makes a killed store lose half of its synced records.
 	LoseSyncedRecords bool
-	// AcknowledgeBeforeSync makes a store act as if its records were synced before they are on the disk.
+	// AcknowledgeBeforeSync makes a store act as if its records were synced before they are on the
+	// disk.
 	AcknowledgeBeforeSync bool
 	// KeepStoreIDOnDiskLoss makes a store whose disk was lost keep its store ID.
 	KeepStoreIDOnDiskLoss bool
@@ -38,6 +39,7 @@
 	ControlLease time.Duration
 	// AlterConfirmation, if set, alters the responses of registries to operators.
 	AlterConfirmation func(registry.Response) registry.Response
-	// AlterMessage, if set, alters messages between daemons; the message is dropped if it returns false.
+	// AlterMessage, if set, alters messages between daemons; the message is dropped if it returns
+	// false.
 	AlterMessage func(from, to string, msg any) (any, bool)
 }
--- a/internal/testsupport/simulator/disk.go
+++ b/internal/testsupport/simulator/disk.go
@@ -100,8 +100,8 @@
 	*d = disk{world: d.world, records: map[ids.RegisterKey][]byte{}, generation: d.generation + 1}
 }
 
-// writeBackDelay is how long a disk with Defect.AcknowledgeBeforeSync delays writes that it has reported as
-// synced.
+// writeBackDelay is how long a disk with Defect.AcknowledgeBeforeSync delays writes that it has
+// reported as synced.
 const writeBackDelay = 50 * time.Millisecond
 
 // sync queues a batch of records.
--- a/internal/testsupport/simulator/options.go
+++ b/internal/testsupport/simulator/options.go
@@ -28,13 +28,13 @@
 	ClientZone func(w *World, drawn ids.Name) ids.Name
 	// Lease, if set, is the duration of the proxies' serving lease.
 	Lease time.Duration
-	// ConnectionLifetime is the mean lifetime of the clients' long-lived connections: by default 8
-	// s if there are random faults, and otherwise zero, which means that clients keep none.
+	// ConnectionLifetime is the mean lifetime of the clients' long-lived connections. The default
+	// is 8 s with random faults and zero, which means that clients keep none, without.
 	ConnectionLifetime time.Duration
 	// ShortConnectionShare is the share of requests whose clients keep no connection even so.
 	ShortConnectionShare float64
-	// LatencyAtUsage, if set, returns the p95 latency that a proxy measures at a CPU usage in milliseconds
-	// per second.
+	// LatencyAtUsage, if set, returns the p95 latency that a proxy measures at a CPU usage in
+	// milliseconds per second.
 	LatencyAtUsage func(used float64) time.Duration
 	// Script, if set, schedules faults instead of the random ones.
 	Script func(w *World)
@@ -49,7 +49,8 @@
 	Replicas int
 	// DiskSyncTime, if set, is the duration of each disk sync.
 	DiskSyncTime time.Duration
-	// LinkBitsPerSecond, if set, is the bandwidth between stores in bits per second, for each direction.
+	// LinkBitsPerSecond, if set, is the bandwidth of each store in either direction, for traffic
+	// between stores.
 	LinkBitsPerSecond float64
 	// Traces, if set, holds writers for the recorded traces of processes, by name. Recording ends
 	// at the virtual time TraceUntil.
--- a/internal/testsupport/simulator/registry_calls.go
+++ b/internal/testsupport/simulator/registry_calls.go
@@ -94,7 +94,7 @@
 	return callerTimeout
 }
 
-// applyDefect applies Defect.Confirm, if set, to a response to an operator.
+// applyDefect applies Defect.AlterConfirmation, if set, to a response to an operator.
 func (w *World) applyDefect(response registry.Response) registry.Response {
 	if w.Defect.AlterConfirmation != nil {
 		return w.Defect.AlterConfirmation(response)
--- a/internal/testsupport/simulator/spill.go
+++ b/internal/testsupport/simulator/spill.go
@@ -31,22 +31,22 @@
 	return sum
 }
 
-// sampleSpill appends a point at every interval, from the planner's table and the CPU time that
+// sampleSpill appends a sample at every interval, from the planner's table and the CPU time that
 // each zone's proxies used.
-func (w *World) sampleSpill(every time.Duration, points *[]SpillSample) {
+func (w *World) sampleSpill(every time.Duration, samples *[]SpillSample) {
 	last := map[ids.Name]float64{}
 	var sample func()
 	sample = func() {
 		now := w.cpuByZone()
-		point := SpillSample{At: time.Duration(w.now), Used: map[ids.Name]float64{}}
+		current := SpillSample{At: time.Duration(w.now), Used: map[ids.Name]float64{}}
 		for _, zone := range slices.Sorted(maps.Keys(now)) {
-			point.Used[zone] = (now[zone] - last[zone]) / every.Seconds()
+			current.Used[zone] = (now[zone] - last[zone]) / every.Seconds()
 		}
 		last = now
 		if planner := w.currentPlanner(); planner != nil {
-			point.Moves = planner.SpillTable().Moves
+			current.Moves = planner.SpillTable().Moves
 		}
-		*points = append(*points, point)
+		*samples = append(*samples, current)
 		w.schedule(every, sample)
 	}
 	w.schedule(every, sample)
@@ -85,14 +85,14 @@
 
 // RunWithSpillSamples performs a run and returns its spill-over samples and its outcome.
 func RunWithSpillSamples(p Options, every time.Duration) ([]SpillSample, Outcome) {
-	var points []SpillSample
+	var samples []SpillSample
 	script := p.Script
 	p.Script = func(w *World) {
-		w.sampleSpill(every, &points)
+		w.sampleSpill(every, &samples)
 		if script != nil {
 			script(w)
 		}
 	}
 	o := Run(p)
-	return points, o
+	return samples, o
 }
--- a/internal/testsupport/simulator/spill_test.go
+++ b/internal/testsupport/simulator/spill_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// runSpill performs a run, with the spill plan by default, and returns and logs its points.
+// runSpill performs a run, with the spill plan by default, and returns and logs its samples.
 func runSpill(t *testing.T, p Options) []SpillSample {
 	t.Helper()
 	p.PlanEvery, p.FaultEvery = 30*time.Second, -1
@@ -45,20 +45,20 @@
 	if p.Length == 0 {
 		p.Length = 900 * time.Second
 	}
-	points, o := RunWithSpillSamples(p, 30*time.Second)
-	for _, p := range points {
+	samples, o := RunWithSpillSamples(p, 30*time.Second)
+	for _, p := range samples {
 		t.Logf("%4.0fs a %4.0f b %4.0f c %4.0f  out %.2f %.2f %.2f", p.At.Seconds(), p.Used[zoneA], p.Used[zoneB], p.Used[zoneC], p.MovedOut(zoneA), p.MovedOut(zoneB), p.MovedOut(zoneC))
 	}
 	report(t, o)
-	return points
+	return samples
 }
 
 // countPlanChanges returns how often the moved share of a zone changed between two times.
-func countPlanChanges(points []SpillSample, zone ids.Name, from, to time.Duration) int {
+func countPlanChanges(samples []SpillSample, zone ids.Name, from, to time.Duration) int {
 	n := 0
-	for i, p := range points {
+	for i, p := range samples {
 		if i > 0 && p.At > from && p.At < to {
-			if d := p.MovedOut(zone) - points[i-1].MovedOut(zone); d > 0.02 || d < -0.02 {
+			if d := p.MovedOut(zone) - samples[i-1].MovedOut(zone); d > 0.02 || d < -0.02 {
 				n++
 			}
 		}
@@ -73,8 +73,8 @@
 		t.Run(hold.String(), func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			points := runSpill(t, Options{Seed: 1, Rate: 40, ConnectionLifetime: hold, ClientZone: stepLoad(zoneA)})
-			for _, p := range points {
+			samples := runSpill(t, Options{Seed: 1, Rate: 40, ConnectionLifetime: hold, ClientZone: stepLoad(zoneA)})
+			for _, p := range samples {
 				if p.At > 300*time.Second && p.At < stepUntil {
 					is.True(p.Used[zoneA] < 550*1.1 && p.Used[zoneA] > 350) // settled near its target
 					is.True(p.MovedOut(zoneA) > 0)
@@ -84,8 +84,8 @@
 				}
 				is.True(p.Used[zoneB] < 500 && p.Used[zoneC] < 500) // no destination exceeds its target
 			}
-			is.True(countPlanChanges(points, zoneA, 240*time.Second, stepUntil) <= 1)
-			is.Equal(countPlanChanges(points, zoneB, 0, time.Hour)+countPlanChanges(points, zoneC, 0, time.Hour), 0)
+			is.True(countPlanChanges(samples, zoneA, 240*time.Second, stepUntil) <= 1)
+			is.Equal(countPlanChanges(samples, zoneB, 0, time.Hour)+countPlanChanges(samples, zoneC, 0, time.Hour), 0)
 		})
 	}
 }
@@ -107,7 +107,7 @@
 func TestSpill_PlannerLostDuringMoves(t *testing.T) {
 	is := is.New(t)
 	var epochs []ids.Epoch
-	points := runSpill(t, Options{Seed: 3, Rate: 40, Length: 600 * time.Second, ClientZone: stepLoad(zoneA), Script: func(w *World) {
+	samples := runSpill(t, Options{Seed: 3, Rate: 40, Length: 600 * time.Second, ClientZone: stepLoad(zoneA), Script: func(w *World) {
 		w.schedule(180*time.Second, func() {
 			epochs = append(epochs, w.currentPlanner().SpillTable().Epoch)
 			w.restartProcess(w.processes[3], 100*time.Second) // registry-1, the first planner
@@ -117,7 +117,7 @@
 	}})
 	is.Equal(len(epochs), 3)
 	is.True(epochs[0] < epochs[1] && epochs[1] < epochs[2])
-	for _, p := range points {
+	for _, p := range samples {
 		if p.At > 150*time.Second && p.At < stepUntil {
 			is.True(p.MovedOut(zoneA) > 0.1) // the last table stays in effect
 			is.True(p.Used[zoneA] < 600)
@@ -191,9 +191,9 @@
 			p.LatencyAtUsage = slow
 		}
 		n := 0.0
-		for _, point := range runSpill(t, p) {
-			if point.At > 330*time.Second && point.At < stepUntil {
-				settled[learns] += point.Used[zoneA]
+		for _, sample := range runSpill(t, p) {
+			if sample.At > 330*time.Second && sample.At < stepUntil {
+				settled[learns] += sample.Used[zoneA]
 				n++
 			}
 		}
