--- a/internal/testsupport/simulator/hot_zones.go
+++ b/internal/testsupport/simulator/hot_zones.go
@@ -22,10 +22,10 @@
 	reportsMissingFor = 70 * time.Second
 )
 
-// HotZoneOptions returns the options of a run in which one or two zones are overloaded, with tiers, distances
-// and loads drawn from the seed. Some clients keep connections for minutes. During the run a
-// registry restarts, a zone's reports are lost, zones are drained and restored, and operators send
-// many changes. No long-lived connection may be closed because of that.
+// HotZoneOptions returns the options of a run in which one or two zones are overloaded, with tiers,
+// distances and loads drawn from the seed. Some clients keep connections for minutes. During the
+// run a registry restarts, a zone's reports are lost, zones are drained and restored, and operators
+// send many changes. No long-lived connection may be closed because of that.
 func HotZoneOptions(seed uint64) Options {
 	random := rand.New(rand.NewPCG(seed, 0x686f74))
 	plan := hotPlan(random)
--- a/internal/testsupport/simulator/spill.go
+++ b/internal/testsupport/simulator/spill.go
@@ -19,8 +19,8 @@
 	Moves []spill.Move
 }
 
-// MovedOut returns the sum, over all moves from a zone, of the shares of new connections that are sent
-// to other zones.
+// MovedOut returns the sum, over all moves from a zone, of the shares of new connections that are
+// sent to other zones.
 func (p SpillSample) MovedOut(zone ids.Name) float64 {
 	sum := 0.0
 	for _, m := range p.Moves {
--- a/internal/testsupport/simulator/trace_recorder.go
+++ b/internal/testsupport/simulator/trace_recorder.go
@@ -77,8 +77,8 @@
 	return out
 }
 
-// ReplayRecordedTrace creates the machine described by the header of a trace and replays the trace to
-// it.
+// ReplayRecordedTrace creates the machine described by the header of a trace and replays the trace
+// to it.
 func ReplayRecordedTrace(header string, trace io.Reader) (int, error) {
 	var parsed TraceHeader
 	raw, err := hex.DecodeString(strings.TrimSpace(strings.TrimPrefix(header, "# ")))
