--- a/cmd/testbed/simulate.go
+++ b/cmd/testbed/simulate.go
@@ -65,7 +65,7 @@
 func (s *SimulateCmd) options(r simulatorRun) simulator.Options {
 	o := simulator.Options{Seed: r.seed, Plan: blueprint.Plans[s.Plan], Length: s.Length, Script: simulator.Scenes[r.scene]}
 	if s.Hot {
-		o = simulator.Hot(r.seed)
+		o = simulator.HotZoneOptions(r.seed)
 	}
 	o.KeepLog, o.EagerLosses = s.Trace, s.Eager
 	return o
@@ -127,7 +127,7 @@
 	if o.Violations == 0 {
 		return
 	}
-	fmt.Println(o.Replay(s.Plan, r.scene, s.Hot, s.Length))
+	fmt.Println(o.ReplayCommand(s.Plan, r.scene, s.Hot, s.Length))
 	for _, c := range o.Results {
 		if c.Violations > 0 {
 			fmt.Printf("  %s: %d violations, for example %s\n", c.Rule, c.Violations, c.Sample)
--- a/internal/testsupport/simulator/core_machines.go
+++ b/internal/testsupport/simulator/core_machines.go
@@ -8,7 +8,7 @@
 	"dunlinwell/internal/controlplane/membership"
 )
 
-// machineOf lists the processes of a core process's machine.
+// machineOf returns the processes on the machine of a core process.
 func (w *World) machineOf(p *process) []*process {
 	var out []*process
 	for _, other := range w.coreProcesses() {
@@ -19,7 +19,7 @@
 	return out
 }
 
-// storeOf finds the store of a core process's machine; nil if it is gone.
+// storeOf returns the store on the machine of a core process, or nil if it was removed.
 func (w *World) storeOf(p *process) *process {
 	for _, other := range w.machineOf(p) {
 		if other.role == membership.Store {
@@ -29,60 +29,61 @@
 	return nil
 }
 
-// replaceCore replaces a core machine by a blank one at a new address as soon as mayLose allows it:
-// after it is gone or, if planned, before.
+// replaceCore replaces a core machine with a blank one at a new address as soon as lossTolerated
+// allows it. If planned, the new machine is added before the old one is removed.
 func (w *World) replaceCore(planned bool) {
-	w.whenMayLose(func() *process { return w.randomProcess(membership.Store) }, func(p *process) {
+	w.whenLossTolerated(func() *process { return w.randomProcess(membership.Store) }, func(p *process) {
 		if planned {
-			w.replacePlanned(p)
+			w.replaceBeforeRemoval(p)
 		} else {
-			w.replaceLost(p)
+			w.replaceAfterLoss(p)
 		}
 	})
 }
 
-// replaceCoreMachine loses a core machine for good, as soon as mayLose allows it.
+// replaceCoreMachine loses a core machine permanently and adds a blank one as soon as lossTolerated
+// allows it.
 func (w *World) replaceCoreMachine() { w.replaceCore(false) }
 
-// replaceLost loses a core machine with its disk, and adds a blank one soon after.
-func (w *World) replaceLost(p *process) {
-	w.trace("the machine of %s is lost for good", p.name)
+// replaceAfterLoss removes a core machine and its disk, and adds a blank one soon after.
+func (w *World) replaceAfterLoss(p *process) {
+	w.trace("the machine of %s is lost permanently", p.name)
 	machine := w.machineOf(p)
 	for _, member := range machine {
 		w.remove(member)
 	}
-	w.noteDiskLoss()
-	w.losses.vacantMachines++
+	w.recordDiskLoss()
+	w.losses.machinesBeingReplaced++
 	w.schedule(w.randomDuration(100*millisecond, 2*time.Second), func() {
-		w.losses.vacantMachines--
-		w.addSuccessors(machine)
+		w.losses.machinesBeingReplaced--
+		w.addReplacements(machine)
 	})
 }
 
-// replacePlanned adds a blank machine, and removes the old one soon after.
-func (w *World) replacePlanned(p *process) {
-	w.trace("the machine of %s is to be replaced", p.name)
+// replaceBeforeRemoval adds a blank core machine, and removes the old one soon after.
+func (w *World) replaceBeforeRemoval(p *process) {
+	w.trace("the machine of %s is being replaced", p.name)
 	machine := w.machineOf(p)
-	w.losses.vacantMachines++
-	w.addSuccessors(machine)
+	w.losses.machinesBeingReplaced++
+	w.addReplacements(machine)
 	w.schedule(w.randomDuration(time.Second, 3*time.Second), func() {
-		w.losses.vacantMachines--
+		w.losses.machinesBeingReplaced--
 		for _, member := range machine {
 			w.remove(member)
 		}
-		w.noteDiskLoss()
+		w.recordDiskLoss()
 	})
 }
 
-// remove kills a process for good.
+// remove kills a process permanently.
 func (w *World) remove(p *process) {
 	p.kill()
 	p.removed = true
 	delete(w.processByAddress, p.address)
 }
 
-// addSuccessors adds a blank process for each one of a machine.
-func (w *World) addSuccessors(machine []*process) {
+// addReplacements adds a blank process for each process of a machine.
+func (w *World) addReplacements(machine []*process) {
 	for _, p := range machine {
 		subnet := 2
 		if p.role == membership.Store {
@@ -95,8 +96,8 @@
 // addStore adds a blank store.
 func (w *World) addStore(zone ids.Name) { w.addCoreProcess(membership.Store, 1, zone) }
 
-// addCoreProcess adds a blank core process at a new address. As a new machine's operator would, it
-// is given seeds that are there.
+// addCoreProcess adds a blank core process at a new address, with existing core processes as its
+// seeds.
 func (w *World) addCoreProcess(role membership.Role, subnet int, zone ids.Name) {
 	count := 0
 	for _, added := range w.processes {
@@ -111,22 +112,21 @@
 			added.seeds = append(added.seeds, p.address)
 		}
 	}
-	if w.Defect.DeadSeeds {
-		added.seeds = deadSeeds()
+	if w.Defect.UnreachableSeeds {
+		added.seeds = unreachableSeeds()
 	}
 	added.start()
 }
 
-// deadSeeds are addresses that nobody has.
-func deadSeeds() []ids.Address { return []ids.Address{"10.9.8.1:1"} }
+// unreachableSeeds returns seed addresses without a process.
+func unreachableSeeds() []ids.Address { return []ids.Address{"10.9.8.1:1"} }
 
-// loseRandomDisk loses one disk as soon as mayLose allows it.
+// loseRandomDisk loses a random store's disk as soon as lossTolerated allows it.
 func (w *World) loseRandomDisk() {
-	w.whenMayLose(func() *process { return w.randomProcess(membership.Store) }, func(p *process) { w.loseDiskAndPower(p, w.faultDuration()) })
+	w.whenLossTolerated(func() *process { return w.randomProcess(membership.Store) }, func(p *process) { w.loseDiskAndPower(p, w.faultDuration()) })
 }
 
-// loseDiskAndPower loses the disk and the power of a core machine. It comes back blank at the same
-// address.
+// loseDiskAndPower loses the disk of a core machine and restarts it, blank, at the same address.
 func (w *World) loseDiskAndPower(store *process, d time.Duration) {
 	w.trace("the disk of %s is lost", store.name)
 	for _, p := range w.machineOf(store) {
@@ -137,19 +137,19 @@
 
 // loseDisk loses the disk of a store.
 func (w *World) loseDisk(store *process) {
-	w.noteDiskLoss()
-	if w.Defect.BlankKeepsIdentity {
+	w.recordDiskLoss()
+	if w.Defect.KeepStoreIDOnDiskLoss {
 		clear(store.disk.records)
 		return
 	}
 	store.disk.wipe()
 }
 
-// maxSeeds is how many seeds a process is given.
+// maxSeeds is the maximum number of seeds in the settings of a process.
 const maxSeeds = 3
 
-// changeSeeds changes the settings: processes that start from now on get other seeds, the given
-// processes first.
+// changeSeeds changes the seeds in the settings of all processes, which take effect at their next
+// start. The given processes come first.
 func (w *World) changeSeeds(first []*process) {
 	var list []ids.Address
 	for _, p := range first {
@@ -161,8 +161,8 @@
 			list = append(list, core[i].address)
 		}
 	}
-	if w.Defect.DeadSeeds {
-		list = deadSeeds()
+	if w.Defect.UnreachableSeeds {
+		list = unreachableSeeds()
 	}
 	w.trace("new seeds: %v", list)
 	for _, p := range w.remainingProcesses(0) {
--- a/internal/testsupport/simulator/departure_test.go
+++ b/internal/testsupport/simulator/departure_test.go
@@ -12,26 +12,27 @@
 	"dunlinwell/internal/state/consensus"
 )
 
-// stopStore asks a store to leave, as SIGTERM does, and calls then when it has ended.
-func (w *World) stopStore(p *process, then func()) {
-	w.trace("%s is told to stop", p.name)
+// stopStoreGracefully requests the departure of a store, as SIGTERM does, and calls then when it
+// has stopped or after 6 s.
+func (w *World) stopStoreGracefully(p *process, then func()) {
+	w.trace("%s receives the stop signal", p.name)
 	p.deliver(store.Leave{GracePeriod: 5 * time.Second})
 	began := w.now
-	var look func()
-	look = func() {
+	var check func()
+	check = func() {
 		if p.up && w.now.Sub(began) < 6*time.Second {
-			w.schedule(20*time.Millisecond, look)
+			w.schedule(20*time.Millisecond, check)
 			return
 		}
 		p.kill()
 		then()
 	}
-	look()
+	check()
 }
 
-// allVotersServe tells whether all members of the newest voter set, three, are up and
-// complete. Spares don't count.
-func (w *World) allVotersServe() bool {
+// allVotersComplete reports whether the newest voter set has three voters, all up and with complete
+// copies. Spares are ignored.
+func (w *World) allVotersComplete() bool {
 	var newest consensus.VoterSet
 	serving := map[uint64]bool{}
 	for _, p := range w.processes {
@@ -52,15 +53,15 @@
 	return len(newest.Voters) == 3 && len(newest.Incoming)+len(newest.Learners) == 0
 }
 
-// retire ends a machine for good.
-func (w *World) retire(p *process) {
+// removeStopped removes a stopped process permanently.
+func (w *World) removeStopped(p *process) {
 	p.removed = true
 	delete(w.processByAddress, p.address)
 }
 
-// All three founders are replaced as planned, under load and operators' changes:
-// the new machine first, then the signal, then the disk is gone.
-func TestPlannedReplacements(t *testing.T) {
+// All three initial stores are replaced under load: a new store is added, then the old one departs
+// and is removed.
+func TestDeparture_PlannedReplacementOfAllStores(t *testing.T) {
 	is := is.New(t)
 	for seed := uint64(1); seed <= 4; seed++ {
 		settled := false
@@ -68,21 +69,21 @@
 			w.repeat(2*time.Second, 6*time.Second, 3, func(i int) {
 				p := w.processes[i]
 				w.addStore(p.zone)
-				w.schedule(3*time.Second, func() { w.stopStore(p, func() { w.retire(p) }) })
+				w.schedule(3*time.Second, func() { w.stopStoreGracefully(p, func() { w.removeStopped(p) }) })
 			})
-			w.schedule(25*time.Second, func() { settled = w.allVotersServe() })
+			w.schedule(25*time.Second, func() { settled = w.allVotersComplete() })
 		}})
 		report(t, o)
 		log := strings.Join(o.Log, "\n")
 		is.True(settled)
-		is.Equal(strings.Count(log, "departure_ended [needed_for ]"), 3) // none ended because its time was up
-		is.Equal(strings.Count(log, "is told to stop"), 3)
+		is.Equal(strings.Count(log, "departure_ended [needed_for ]"), 3) // no departure timed out
+		is.Equal(strings.Count(log, "receives the stop signal"), 3)
 	}
 }
 
-// The stores are restarted in turn with a spare. Each finds its place taken when it returns, and is
-// the next spare.
-func TestRollWithOneStandingBy(t *testing.T) {
+// A rolling restart with one spare: each restarted store finds its place in the voter set taken and
+// becomes the next spare.
+func TestDeparture_RollingRestartWithSpare(t *testing.T) {
 	is := is.New(t)
 	for seed := uint64(1); seed <= 4; seed++ {
 		settled := false
@@ -91,18 +92,18 @@
 			stores := append([]*process{}, w.processes[:3]...)
 			stores = append(stores, w.processes[len(w.processes)-1])
 			w.repeat(3*time.Second, 5*time.Second, 4, func(i int) {
-				w.stopStore(stores[i], func() { w.schedule(500*time.Millisecond, func() { stores[i].start() }) })
+				w.stopStoreGracefully(stores[i], func() { w.schedule(500*time.Millisecond, func() { stores[i].start() }) })
 			})
-			w.schedule(26*time.Second, func() { settled = w.allVotersServe() })
+			w.schedule(26*time.Second, func() { settled = w.allVotersComplete() })
 		}})
 		report(t, o)
 		is.True(settled)
 	}
 }
 
-// One is told to stop and killed, disk and all, at a random moment of its hand-over,
-// while messages are lost; two leave at once in every other seed.
-func TestLeaversKilledHalfWayUnderLoad(t *testing.T) {
+// A departing store is killed and its disk lost at a random moment of the hand-over, while messages
+// are lost. With even seeds two stores depart at once.
+func TestDeparture_StoreKilledDuringHandOver(t *testing.T) {
 	is := is.New(t)
 	for seed := uint64(1); seed <= 8; seed++ {
 		settled := false
@@ -111,13 +112,13 @@
 			w.schedule(2*time.Second, func() { w.addStore("cell-b1"); w.addStore("cell-c1") })
 			w.schedule(6*time.Second, func() {
 				p := w.processes[1]
-				w.stopStore(p, func() { w.retire(p) })
+				w.stopStoreGracefully(p, func() { w.removeStopped(p) })
 				w.schedule(w.randomDuration(0, 300*time.Millisecond), p.kill)
 				if q := w.processes[2]; seed%2 == 0 {
-					w.stopStore(q, func() { w.retire(q) })
+					w.stopStoreGracefully(q, func() { w.removeStopped(q) })
 				}
 			})
-			w.schedule(25*time.Second, func() { settled = w.allVotersServe() })
+			w.schedule(25*time.Second, func() { settled = w.allVotersComplete() })
 		}})
 		report(t, o)
 		is.True(settled)
--- a/internal/testsupport/simulator/mixed_versions_test.go
+++ b/internal/testsupport/simulator/mixed_versions_test.go
@@ -10,37 +10,36 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// headSize is the length of a frame's head, which no version may change.
-const headSize = 26
+// headerSize is the length of a frame's header, which no version may change.
+const headerSize = 26
 
-// laterVersion is a frame as a later version would write it: its message has more
-// fields at the end.
-func laterVersion(raw []byte) (wire.Kind, []byte) {
+// encodeAsLaterVersion returns the kind and body of a frame as a later version would encode it,
+// with additional fields at the end of the message.
+func encodeAsLaterVersion(raw []byte) (wire.Kind, []byte) {
 	kind := wire.Kind(binary.BigEndian.Uint16(raw[4:]))
-	body := append([]byte{}, raw[headSize:]...)
+	body := append([]byte{}, raw[headerSize:]...)
 	binary.BigEndian.PutUint32(body, binary.BigEndian.Uint32(body)+12)
 	return kind, append(body, "unknown here"...)
 }
 
-// A fleet during an upgrade: every other daemon speaks a later
-// version, with fields and whole kinds that the others don't know. Everything
-// goes over the wire format, and nothing changes.
-func TestMixedFleet(t *testing.T) {
+// Daemons of the current version must ignore fields and message kinds of a later version, which
+// some daemons of the fleet use.
+func TestMixedVersions_FleetDuringUpgrade(t *testing.T) {
 	is := is.New(t)
-	spoke := 0
+	laterFrames := 0
 	for seed := uint64(1); seed <= 2; seed++ {
 		p := Options{Seed: seed}
-		p.Defect.Message = func(from, _ string, msg any) (any, bool) {
+		p.Defect.AlterMessage = func(from, _ string, msg any) (any, bool) {
 			raw, err := wire.Encode(msg)
 			is.NoErr(err)
-			kind, body := wire.Kind(binary.BigEndian.Uint16(raw[4:])), raw[headSize:]
+			kind, body := wire.Kind(binary.BigEndian.Uint16(raw[4:])), raw[headerSize:]
 			if strings.HasSuffix(from, "2") || strings.HasSuffix(from, "4") {
-				kind, body = laterVersion(raw)
-				spoke++
+				kind, body = encodeAsLaterVersion(raw)
+				laterFrames++
 			}
 			got, err := wire.Decode(kind, body)
 			is.NoErr(err)
-			none, err := wire.Decode(60000, body) // a kind of tomorrow is skipped
+			none, err := wire.Decode(60000, body) // an unknown kind is ignored
 			is.NoErr(err)
 			is.Equal(none, nil)
 			return got, true
@@ -49,5 +48,5 @@
 		report(t, o)
 		is.True(o.Responses["answered"] > 1000)
 	}
-	is.True(spoke > 1000)
+	is.True(laterFrames > 1000)
 }
--- a/internal/testsupport/simulator/network.go
+++ b/internal/testsupport/simulator/network.go
@@ -9,14 +9,14 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// networkConditions is how unreliable the network is: the share of messages that are lost or
-// duplicated, and by how much each may be delayed beyond its latency.
+// networkConditions is the unreliability of the network: the shares of messages that are lost and
+// duplicated, and the maximum delay in addition to the latency.
 type networkConditions struct {
 	loss, duplication float64
 	jitter            time.Duration
 }
 
-// latency draws the time that a message takes one way between two zones.
+// latency draws the one-way latency of a message between two zones.
 func (w *World) latency(a, b ids.Name) time.Duration {
 	base := 200 * time.Microsecond
 	switch {
@@ -29,7 +29,7 @@
 	return base + w.randomDuration(0, w.network.jitter)
 }
 
-// delivers reports whether a message passes the partitions and is not lost by chance.
+// delivers reports whether a message is neither blocked by a partition nor lost at random.
 func (w *World) delivers(fromName string, from ids.Name, toName string, to ids.Name) bool {
 	for _, p := range w.partitions {
 		if p.crosses(fromName, from, toName, to) {
@@ -39,16 +39,16 @@
 	return w.network.loss == 0 || w.random.Float64() >= w.network.loss
 }
 
-// send carries a message between daemons. Whichever process has the address when it arrives gets
-// it; a reset of the connection meanwhile loses it.
+// send sends a message between daemons. It is delivered to the process that has the address when it
+// arrives, and lost if the connection is reset before that.
 func (w *World) send(from *process, to ids.Address, msg any) {
-	if w.Defect.Message != nil {
+	if w.Defect.AlterMessage != nil {
 		name := ""
 		if receiver := w.processByAddress[to]; receiver != nil {
 			name = receiver.name
 		}
 		var pass bool
-		if msg, pass = w.Defect.Message(from.name, name, msg); !pass {
+		if msg, pass = w.Defect.AlterMessage(from.name, name, msg); !pass {
 			return
 		}
 	}
@@ -78,17 +78,17 @@
 	}
 }
 
-// linkDelay is how long a message between two stores waits for the links of both and takes to pass
-// them, at Options.LinkBits.
+// linkDelay returns the queueing and transmission delay of a message between two stores at
+// Options.LinkBitsPerSecond.
 func (w *World) linkDelay(from, to *process, msg any) time.Duration {
-	if w.LinkBits == 0 || from.role != membership.Store || to.role != membership.Store {
+	if w.LinkBitsPerSecond == 0 || from.role != membership.Store || to.role != membership.Store {
 		return 0
 	}
 	raw, err := wire.Encode(msg)
 	if err != nil {
 		return 0
 	}
-	took := time.Duration(float64(len(raw)*8) / w.LinkBits * float64(time.Second))
+	took := time.Duration(float64(len(raw)*8) / w.LinkBitsPerSecond * float64(time.Second))
 	from.linkOut = max(from.linkOut, w.now).Add(took)
 	to.linkIn = max(to.linkIn, from.linkOut.Add(-took)).Add(took)
 	return to.linkIn.Sub(w.now)
--- a/internal/testsupport/simulator/spill.go
+++ b/internal/testsupport/simulator/spill.go
@@ -12,17 +12,16 @@
 	"dunlinwell/internal/controlplane/spill"
 )
 
-// Point is the state of the spill-over at one time: the usage of each zone, as its proxies measured
-// it, and the moves in force.
-type Point struct {
+// SpillSample is a sample of the spill-over: the usage of each zone and the moves in effect.
+type SpillSample struct {
 	At    time.Duration
 	Used  map[ids.Name]float64
 	Moves []spill.Move
 }
 
-// Out returns the sum over all routes of the shares of a zone's new connections that are sent
-// elsewhere.
-func (p Point) Out(zone ids.Name) float64 {
+// MovedOut returns the sum, over all moves from a zone, of the shares of new connections that are
+// sent to other zones.
+func (p SpillSample) MovedOut(zone ids.Name) float64 {
 	sum := 0.0
 	for _, m := range p.Moves {
 		if m.From == zone {
@@ -32,28 +31,28 @@
 	return sum
 }
 
-// sampleSpill takes a point at every interval, from the planner's table and from what requests cost
-// where they were executed.
-func (w *World) sampleSpill(every time.Duration, points *[]Point) {
+// sampleSpill appends a sample at every interval, from the planner's table and the CPU time that
+// each zone's proxies used.
+func (w *World) sampleSpill(every time.Duration, samples *[]SpillSample) {
 	last := map[ids.Name]float64{}
 	var sample func()
 	sample = func() {
 		now := w.cpuByZone()
-		point := Point{At: time.Duration(w.now), Used: map[ids.Name]float64{}}
+		current := SpillSample{At: time.Duration(w.now), Used: map[ids.Name]float64{}}
 		for _, zone := range slices.Sorted(maps.Keys(now)) {
-			point.Used[zone] = (now[zone] - last[zone]) / every.Seconds()
+			current.Used[zone] = (now[zone] - last[zone]) / every.Seconds()
 		}
 		last = now
 		if planner := w.currentPlanner(); planner != nil {
-			point.Moves = planner.SpillTable().Moves
+			current.Moves = planner.SpillTable().Moves
 		}
-		*points = append(*points, point)
+		*samples = append(*samples, current)
 		w.schedule(every, sample)
 	}
 	w.schedule(every, sample)
 }
 
-// cpuByZone sums the CPU time, in milliseconds, that each zone's proxies have spent since the
+// cpuByZone returns the CPU time, in milliseconds, that each zone's proxies have used since the
 // start.
 func (w *World) cpuByZone() map[ids.Name]float64 {
 	out := map[ids.Name]float64{}
@@ -68,7 +67,7 @@
 	return out
 }
 
-// currentPlanner returns the registry with the newest table; nil if none is up.
+// currentPlanner returns the registry with the newest spill table, or nil if no registry is up.
 func (w *World) currentPlanner() *registry.Registry {
 	var candidates []*registry.Registry
 	for _, p := range w.processes {
@@ -84,16 +83,16 @@
 	})
 }
 
-// Spill runs a load with no faults but those of the script, and returns its points.
-func Spill(p Options, every time.Duration) ([]Point, Outcome) {
-	var points []Point
+// RunWithSpillSamples performs a run and returns its spill-over samples and its outcome.
+func RunWithSpillSamples(p Options, every time.Duration) ([]SpillSample, Outcome) {
+	var samples []SpillSample
 	script := p.Script
 	p.Script = func(w *World) {
-		w.sampleSpill(every, &points)
+		w.sampleSpill(every, &samples)
 		if script != nil {
 			script(w)
 		}
 	}
 	o := Run(p)
-	return points, o
+	return samples, o
 }
