--- a/internal/testsupport/checker/checker.go
+++ b/internal/testsupport/checker/checker.go
@@ -12,9 +12,9 @@
 type Execution struct {
 	// At is when the execution began.
 	At time.Time
-	// Sent is when the request's bytes left the proxy, or the latest time at
-	// which they may have: they may wait long in the socket of a frozen target.
-	// Zero where that is not known; then At stands for it.
+	// Sent is when the request's bytes left the proxy, or the latest time at which they may
+	// have: they can wait in the socket buffer of a frozen target. Zero if unknown; At is used
+	// instead.
 	Sent           time.Time
 	Instance       ids.InstanceID
 	Service        ids.Name
@@ -22,20 +22,21 @@
 	Token          string
 	IdempotencyKey string
 	Attempt        int
-	// AttemptHidden: the client didn't send the number of its attempt.
+	// AttemptHidden reports whether the client omitted the attempt number.
 	AttemptHidden bool
-	// DepartureKnownFor is how long the core had known, when the request arrived, that the
-	// target was leaving or gone; zero if it hadn't.
+	// DepartureKnownFor is how long before the request arrived the control plane had learned that
+	// the target was leaving or gone; zero if it had not.
 	DepartureKnownFor time.Duration
-	// Route is the route of the request's path, and TimeLeft the time until its deadline.
-	Route    ids.Name
+	// Route is the route that the request's path matches.
+	Route ids.Name
+	// TimeLeft is the time until the request's deadline.
 	TimeLeft time.Duration
-	// Proxy forwarded the request; it runs in ProxyZone.
+	// Proxy is the proxy that forwarded the request.
 	Proxy     string
 	ProxyZone ids.Name
 }
 
-// leftProxyAt is when the request's bytes left the proxy, as far as is known.
+// leftProxyAt returns Sent, or At if Sent is unknown.
 func (e Execution) leftProxyAt() time.Time {
 	if e.Sent.IsZero() {
 		return e.At
@@ -43,23 +44,23 @@
 	return e.Sent
 }
 
-// The classes of the end of an attempt at a client.
+// Classes of an attempt's outcome, as the client sees it.
 const (
-	// ClassAnswered: the response is the target's.
+	// ClassAnswered means that the response came from the target.
 	ClassAnswered = "answered"
-	// ClassRejected: the response says that the request did not run.
+	// ClassRejected means that the response says the request was not executed.
 	ClassRejected = "declined"
-	// ClassUnknown: the response says that the request may have run.
+	// ClassUnknown means that the response says the request may have been executed.
 	ClassUnknown = "unknown"
-	// ClassClientError: the response says that the request is invalid.
+	// ClassClientError means that the response says the request is invalid.
 	ClassClientError = "misused"
-	// ClassLost: there was no response.
+	// ClassLost means that there was no response.
 	ClassLost = "lost"
-	// ClassUnreached: no proxy was reached.
+	// ClassUnreached means that no proxy was reached.
 	ClassUnreached = "unreached"
 )
 
-// ClientResponse is the end of one attempt at a stand-in client: a response or the lack of one.
+// ClientResponse is the outcome of one attempt at a simulated client: a response or its absence.
 type ClientResponse struct {
 	Sent, At       time.Time
 	Token          string
@@ -71,16 +72,16 @@
 	Body   string
 	Proxy  string
 	Zone   ids.Name
-	// Problem says what shows that the response isn't the target's own; empty if nothing does.
+	// Problem describes why the response can't have come from the target; empty if it can.
 	Problem string
-	// NoAnswerOwed: no response is owed, as where the route comes and goes.
+	// NoAnswerOwed reports whether the attempt may fail, as on a route that is repeatedly removed.
 	NoAnswerOwed bool
-	// Held: it came over a long-lived connection, without asking the directory.
+	// Held reports whether the attempt used a long-lived connection instead of resolving a proxy.
 	Held bool
 }
 
-// Checker gathers what the stand-ins observed and judges it. Its methods may be called from
-// several goroutines. The zero value is ready for use.
+// Checker collects observations and checks them against the rules. It is safe for concurrent use,
+// and its zero value is ready for use.
 type Checker struct {
 	mu                sync.Mutex
 	executions        []Execution
@@ -92,13 +93,13 @@
 	ledger            Ledger
 	spillMoves        spillObservations
 	closedConnections []ClosedConnection
-	// departuresKnown counts targets that the core came to know as leaving or gone.
+	// departuresKnown counts targets that the control plane learned to be leaving or gone.
 	departuresKnown int
-	// RetryAllowance is the configured number of retries that each service may
-	// have within ten seconds beyond its share.
+	// RetryAllowance is the configured number of retries that each service may get in each
+	// retryWindow in addition to retryShare of its first requests.
 	RetryAllowance float64
-	// NoFaults: the run injects no fault that could excuse a long-lived
-	// connection on which a request gets no response.
+	// NoFaults reports whether the run injects no faults, so that every request on a long-lived
+	// connection must be answered.
 	NoFaults bool
 }
 
@@ -109,35 +110,35 @@
 	c.executions = append(c.executions, execution)
 }
 
-// RequestAnswered records the end of an attempt.
+// RequestAnswered records the outcome of an attempt.
 func (c *Checker) RequestAnswered(response ClientResponse) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.responses = append(c.responses, response)
 }
 
-// TargetDepartureKnown records that the core came to know a target as leaving or gone.
+// TargetDepartureKnown records that the control plane learned that a target is leaving or gone.
 func (c *Checker) TargetDepartureKnown() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.departuresKnown++
 }
 
-// Overloaded records a target that had more requests at once than it can bear.
+// Overloaded records that a target had more concurrent requests than its capacity allows.
 func (c *Checker) Overloaded(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.overloads = append(c.overloads, fmt.Sprintf(format, args...))
 }
 
-// Violation records a broken promise at the moment it is observed.
+// Violation records a violation at the moment it is observed.
 func (c *Checker) Violation(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.addViolation(format, args...)
 }
 
-// addViolation records a broken promise; c.mu must be held.
+// addViolation records a violation. The caller must hold c.mu.
 func (c *Checker) addViolation(format string, args ...any) {
 	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
--- a/internal/testsupport/checker/configuration.go
+++ b/internal/testsupport/checker/configuration.go
@@ -12,29 +12,29 @@
 // String returns the item as kind/name.
 func (i Item) String() string { return i.Kind + "/" + i.Name }
 
-// ExpectedItem is what a change asks of an item: to put it whole, set some of its fields, or
-// remove it.
+// ExpectedItem is the part of a change that concerns one item: replace it, set some of its fields,
+// or remove it.
 type ExpectedItem struct {
 	Put    json.RawMessage `json:"put"`
 	Set    json.RawMessage `json:"set"`
 	Remove bool            `json:"remove"`
 }
 
-// Body is an item as a read returned it.
+// Body is the version and the body of an item, as a read returned them.
 type Body struct {
 	Version uint64          `json:"version"`
 	Body    json.RawMessage `json:"body"`
 }
 
-// Configuration is a whole configuration as a read returned it.
+// Configuration is a complete configuration, as a read returned it.
 type Configuration struct {
 	Revision uint64
 	Items    map[Item]Body
 }
 
-// ConfigurationRead judges a configuration that reader returned: not older than floor, the
-// revision known when the read began; each change in it whole or not at all; and each item's body
-// as its change put it.
+// ConfigurationRead checks a configuration that reader returned. It must not be older than floor,
+// the revision known when the read began; it must contain each change completely or not at all; and
+// each item's body must match the change that wrote it.
 func (c *Checker) ConfigurationRead(reader string, read Configuration, floor uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -47,7 +47,7 @@
 		if change.Revision == 0 || change.Revision > read.Revision {
 			continue
 		}
-		// An accepted change shows in each of its items, unless a later one does.
+		// An accepted change is visible in each of its items unless a later change replaced it.
 		for item, expected := range change.Items {
 			found, ok := read.Items[item]
 			switch laterChange := c.ledger.changedLater(item, change.Revision, read.Revision); {
@@ -64,7 +64,7 @@
 	}
 }
 
-// checkOrigin records a violation for an item that no accepted change can have made.
+// checkOrigin records a violation for an item that no accepted change can have written.
 func (c *Checker) checkOrigin(reader string, item Item, found Body) {
 	touched := false
 	for _, change := range c.ledger.changes {
@@ -82,7 +82,7 @@
 	}
 }
 
-// matchesBody reports whether a body is as the change asks. JSON is compared without white space.
+// matchesBody reports whether a body is the result of the change. It ignores white space in JSON.
 func (e ExpectedItem) matchesBody(body json.RawMessage) bool {
 	switch {
 	case e.Remove:
--- a/internal/testsupport/checker/configuration_in_force.go
+++ b/internal/testsupport/checker/configuration_in_force.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// configurationInForceWithin is how soon an accepted change must be in force at every proxy that
-// still serves: the bound that the users set.
+// configurationInForceWithin is the required time from the acceptance of a change until every
+// serving proxy applies it.
 const configurationInForceWithin = 3 * time.Second
 
-// routeRule is the part of a route's configuration that a target can see the effect of.
+// routeRule holds the fields of a route's configuration whose effect a target can observe.
 type routeRule struct {
 	Prefix     string `json:"prefix"`
 	Service    string `json:"service"`
 	Repeatable bool   `json:"repeatable"`
-	// Limit is the route's time limit in milliseconds; zero for none.
+	// Limit is the route's timeout in milliseconds; zero for none.
 	Limit int64 `json:"limit_ms"`
 }
 
-// matchesExecution reports whether an execution fits the route as a change puts it.
+// matchesExecution reports whether an execution conforms to the route that a change writes.
 func (e ExpectedItem) matchesExecution(execution Execution) bool {
 	if e.Remove || e.Put == nil {
 		return false
@@ -31,11 +31,11 @@
 	return route.Service == string(execution.Service) && (route.Repeatable || execution.IdempotencyKey != "") && (route.Limit == 0 || execution.TimeLeft <= time.Duration(route.Limit)*time.Millisecond)
 }
 
-// requestsByOldConfiguration finds executions that fit no configuration of their route since the
-// newest one accepted over configurationInForceWithin before: the route was moved to another
-// service, removed, or given another time limit. The targets observe it; whether the proxy was
-// ready or partitioned makes no difference. What counts is when the bytes left the proxy, as it
-// can't call them back from the socket of a frozen target.
+// requestsByOldConfiguration finds executions that conform neither to the newest configuration of
+// their route accepted more than configurationInForceWithin before, nor to a later one: the route
+// was moved to another service, removed, or given another timeout. It applies to proxies that are
+// not ready or partitioned as well. The reference time is when the bytes left the proxy, as it
+// can't recall them from the socket of a frozen target.
 func (c *Checker) requestsByOldConfiguration() RuleResult {
 	result := RuleResult{Rule: "request by a policy that another was accepted over 3 s before"}
 	changesByRoute := c.changesByRoute()
@@ -59,7 +59,7 @@
 	return result
 }
 
-// changesByRoute gives the changes of each route that were not rejected.
+// changesByRoute returns the changes of each route that were not rejected.
 func (c *Checker) changesByRoute() map[string][]*Change {
 	byRoute := map[string][]*Change{}
 	for _, change := range c.ledger.changes {
@@ -72,7 +72,7 @@
 	return byRoute
 }
 
-// newestInForce returns the newest change that must have been in force at a time; nil if none.
+// newestInForce returns the newest change that must have been in force at a time, or nil.
 func newestInForce(changes []*Change, at time.Time) *Change {
 	var newest *Change
 	for _, change := range changes {
--- a/internal/testsupport/checker/doc.go
+++ b/internal/testsupport/checker/doc.go
@@ -1,11 +1,11 @@
-// Package checker judges the promises of the system by what stand-in targets, clients and
-// operators observed: an unrepeatable request never runs twice, a rejected request never ran, a
-// configuration change applies whole or not at all, and the like.
+// Package checker checks the guarantees of the system against what simulated targets, clients and
+// operators observed: a non-idempotent request is never executed twice, a rejected request was
+// never executed, a configuration change is applied atomically, and so on.
 //
-// Its invariant: nothing in it comes from the daemons under test but their responses, so it can't
-// share a mistake with them. It never drives a run; the simulator and the test bed feed one
-// Checker each and ask it for Results at the end.
+// Apart from their responses it takes no input from the daemons under test, so it can't share a
+// bug with them. It never drives a run: the simulator and the test bed each feed one Checker and
+// call Results at the end.
 //
-// Unit tests stand beside the code. That every rule catches the mistake it is there for is shown
-// by planted defects in the simulator (TestCheckersBite).
+// Unit tests are beside the code. TestCheckersBite in the simulator injects defects to show that
+// each rule detects the fault that it is meant for.
 package checker
--- a/internal/testsupport/checker/drain.go
+++ b/internal/testsupport/checker/drain.go
@@ -7,28 +7,28 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// Drain is a span in which a drained zone gets no new work.
+// Drain is a period during which a zone is drained and must get no new requests.
 type Drain struct {
 	Zone ids.Name
-	// From is when the draining was known to be accepted, and To when its end was
-	// asked for; zero while it lasts.
+	// From is when the drain was known to be accepted. To is when its end was requested; zero
+	// until then.
 	From, To time.Time
-	// Asked is when the draining was first asked for: its answer may come long
-	// after it took effect.
+	// Asked is when the drain was first requested. It may take effect long before its response
+	// arrives.
 	Asked time.Time
-	// RestoredAt is when its end was known to be accepted.
+	// RestoredAt is when the end of the drain was known to be accepted.
 	RestoredAt time.Time
 }
 
-// ZoneDrained records that a request to drain a zone, sent at asked, was accepted.
+// ZoneDrained records that a request to drain a zone, first sent at asked, was accepted at at.
 func (c *Checker) ZoneDrained(zone ids.Name, asked, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.drains = append(c.drains, Drain{Zone: zone, Asked: asked, From: at})
 }
 
-// ZoneRestored records the end of a zone's draining. It must be called when the end is asked for,
-// which may take effect before its answer arrives, and again when it is accepted.
+// ZoneRestored records the end of a zone's drain. It must be called when the end is requested, as
+// that may take effect before its response arrives, and again when it is accepted.
 func (c *Checker) ZoneRestored(zone ids.Name, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -43,11 +43,12 @@
 	}
 }
 
-// drainWithin is how soon a drained zone must be free of new work: the bound that the users set.
+// drainWithin is the required time from the acceptance of a drain until the zone gets no new
+// requests.
 const drainWithin = 5 * time.Second
 
-// newWorkInDrainedZones finds executions in zones drained over drainWithin ago, or forwarded by
-// proxies there.
+// newWorkInDrainedZones finds requests that were executed in a zone drained more than drainWithin
+// ago, or forwarded by a proxy there.
 func (c *Checker) newWorkInDrainedZones() RuleResult {
 	result := RuleResult{Rule: "new work in a cell emptied over 5 s ago"}
 	for _, drain := range c.drains {
--- a/internal/testsupport/checker/ledger.go
+++ b/internal/testsupport/checker/ledger.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// Change is a configuration change that a stand-in operator sent, and the answer to it.
+// Change is a configuration change that a simulated operator sent, and its outcome.
 type Change struct {
 	ID    string
 	Items map[Item]ExpectedItem
-	// SentAt is when it was first sent, AnsweredAt when its acceptance was known.
+	// SentAt is when the change was first sent, AnsweredAt when its acceptance became known.
 	SentAt, AnsweredAt time.Time
-	// Revision is the one that it was accepted as; zero while that is unknown.
+	// Revision is the revision that the change was accepted as; zero while unknown.
 	Revision uint64
-	// revisionFloor is the highest revision known when it was sent: the change
-	// may only get a higher one.
+	// revisionFloor is the highest revision known when the change was sent. Its own revision must
+	// be higher.
 	revisionFloor uint64
 	rejected      bool
 }
 
-// Ledger holds the changes that operators sent and the answers they got.
+// Ledger holds the configuration changes that operators sent, with their outcomes.
 type Ledger struct {
 	changes []*Change
 	byID    map[string]*Change
-	// highestRevision is the highest revision that any answer has named.
+	// highestRevision is the highest revision in any response so far.
 	highestRevision uint64
 	reads           int
 }
 
-// ChangeSent records a change before it is sent for the first time, and returns its id; empty if
-// the change can't be read.
+// ChangeSent records a change before it is first sent, and returns its id; empty if the change
+// can't be parsed.
 func (c *Checker) ChangeSent(raw []byte, at time.Time) string {
 	change, err := parseChange(raw)
 	c.mu.Lock()
@@ -43,7 +43,7 @@
 	return change.ID
 }
 
-// ChangeRejected records that a change was rejected: no read may ever show a part of it.
+// ChangeRejected records that a change was rejected. No read may return any part of it.
 func (c *Checker) ChangeRejected(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,8 +52,8 @@
 	}
 }
 
-// ChangeAccepted records that a change was accepted as a revision, which no other change has and
-// which is above every one known when it was sent.
+// ChangeAccepted records that a change was accepted as a revision. The revision must be unique and
+// higher than all revisions known when the change was sent.
 func (c *Checker) ChangeAccepted(id string, revision uint64, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -73,7 +73,7 @@
 	c.ledger.highestRevision = max(c.ledger.highestRevision, revision)
 }
 
-// KnownRevision returns the highest revision known so far. A read that begins now may not give
+// KnownRevision returns the highest revision known so far. A read that begins now must not return
 // an older one.
 func (c *Checker) KnownRevision() uint64 {
 	c.mu.Lock()
@@ -81,7 +81,7 @@
 	return c.ledger.highestRevision
 }
 
-// OpenChanges counts the changes whose outcome is not known.
+// OpenChanges returns the number of changes whose outcome is unknown.
 func (c *Checker) OpenChanges() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,7 +94,7 @@
 	return n
 }
 
-// Changes counts the accepted changes.
+// Changes returns the number of accepted changes.
 func (c *Checker) Changes() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -107,8 +107,8 @@
 	return n
 }
 
-// changedLater reports whether a change after revision and up to upTo, or one whose outcome is
-// unknown, touches an item.
+// changedLater reports whether an item is modified by a change with a revision in (revision, upTo],
+// or by one whose outcome is unknown.
 func (l *Ledger) changedLater(item Item, revision, upTo uint64) bool {
 	for _, change := range l.changes {
 		if _, ok := change.Items[item]; ok && !change.rejected && (change.Revision == 0 || change.Revision > revision && change.Revision <= upTo) {
--- a/internal/testsupport/checker/long_lived_connections.go
+++ b/internal/testsupport/checker/long_lived_connections.go
@@ -7,28 +7,29 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// ClosedConnection is a long-lived connection of a client that was closed by the other side.
+// ClosedConnection is a client's long-lived connection that the peer closed.
 type ClosedConnection struct {
 	At    time.Time
 	Proxy string
 	Zone  ids.Name
-	// Why says for samples on what occasion it was closed.
+	// Why describes how the closing was noticed, for RuleResult.Sample.
 	Why string
-	// Excused: its proxy was killed, stopped, frozen or cut off at that time.
+	// Excused reports whether the proxy was killed, stopped, frozen or partitioned at that time.
 	Excused bool
 }
 
-// ConnectionClosed records that a long-lived connection was closed by the other side.
+// ConnectionClosed records that the peer closed a long-lived connection.
 func (c *Checker) ConnectionClosed(closed ClosedConnection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closedConnections = append(c.closedConnections, closed)
 }
 
-// drainedAt reports whether a zone was drained at a time, or had been until just before.
+// drainedAt reports whether a zone was drained at a time, or until configurationInForceWithin
+// before it.
 func (c *Checker) drainedAt(zone ids.Name, at time.Time) bool {
 	for _, drain := range c.drains {
-		// The end of draining may take as long as any change to be in force.
+		// Restoring a zone may take as long to reach the proxies as any other change.
 		if drain.Zone == zone && !at.Before(drain.Asked) && (drain.To.IsZero() || at.Before(drain.RestoredAt.Add(configurationInForceWithin))) {
 			return true
 		}
@@ -37,8 +38,8 @@
 }
 
 // longLivedConnectionsClosed finds long-lived connections that were closed, or whose requests were
-// not answered, though neither a fault nor the draining of their zone explains it. Moving new
-// connections between zones must never touch those that exist.
+// not answered, without a fault or a drain of their zone. Moving new connections between zones must
+// not affect existing ones.
 func (c *Checker) longLivedConnectionsClosed() RuleResult {
 	result := RuleResult{Rule: "held circuit closed or turned away by a move"}
 	for _, closed := range c.closedConnections {
--- a/internal/testsupport/checker/recovery.go
+++ b/internal/testsupport/checker/recovery.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// restoreWithin is how soon every request must be answered once the machines are back: the bound
-// that the users set.
+// restoreWithin is the required time from the return of the last machine until every request is
+// answered.
 const restoreWithin = 15 * time.Second
 
-// changeAnsweredWithin is how soon a change must be answered after that.
+// changeAnsweredWithin is the time limit for the response to a change after restoreWithin.
 const changeAnsweredWithin = 5 * time.Second
 
-// MachinesRecovered records that the last machine is back.
+// MachinesRecovered records that the last failed machine is running again.
 func (c *Checker) MachinesRecovered(at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.recoveredAt = at
 }
 
-// unansweredAfterRecovery finds first attempts and changes that were not answered though the
-// machines had been back for over restoreWithin.
+// unansweredAfterRecovery finds first attempts and changes that were sent more than restoreWithin
+// after the recovery of the machines and not answered in time.
 func (c *Checker) unansweredAfterRecovery() RuleResult {
 	result := RuleResult{Rule: "not answered 15 s after the machines were back"}
 	for _, response := range c.responses {
@@ -44,8 +44,8 @@
 	return result
 }
 
-// Recovery returns how long after the machines were back the last unanswered first attempt was
-// sent; zero if all were answered.
+// Recovery returns how long after the recovery of the machines the last unanswered first attempt
+// was sent; zero if all were answered.
 func (c *Checker) Recovery() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testsupport/checker/results.go
+++ b/internal/testsupport/checker/results.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// departedTargetGrace is how long after the core knows a target as leaving or gone a proxy may
-// still send to it: the reach of a push to every proxy that serves.
+// departedTargetGrace is how long after the control plane learns that a target is leaving or gone
+// a proxy may still send to it: the time that a push needs to reach every serving proxy.
 const departedTargetGrace = 3 * time.Second
 
 // maxSamples bounds the samples kept for one rule.
 const maxSamples = 40
 
-// RuleResult is what one rule of the checker found.
+// RuleResult is the result of one rule of the checker.
 type RuleResult struct {
 	Rule       string
 	Violations int
 	// Sample is the first violation found.
 	Sample string
-	// Judged counts the observations that the rule applied to. Zero violations
-	// of zero observations prove nothing.
+	// Judged counts the observations that the rule applied to. If it is zero, the absence of
+	// violations proves nothing.
 	Judged int
 	// More holds the first violations, at most maxSamples.
 	More []string
@@ -35,7 +35,7 @@
 	}
 }
 
-// Results judges everything observed so far by each rule, in a fixed order.
+// Results evaluates each rule on everything observed so far. The order of the rules is fixed.
 func (c *Checker) Results() []RuleResult {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -49,7 +49,7 @@
 	}
 }
 
-// executionsByKey groups the executions of unrepeatable requests by idempotency key.
+// executionsByKey groups the executions of non-idempotent requests by idempotency key.
 func (c *Checker) executionsByKey() map[string][]Execution {
 	byKey := map[string][]Execution{}
 	for _, execution := range c.executions {
@@ -60,7 +60,7 @@
 	return byKey
 }
 
-// executedTwice finds unrepeatable requests that were executed more than once.
+// executedTwice finds non-idempotent requests that were executed more than once.
 func executedTwice(byKey map[string][]Execution) RuleResult {
 	result := RuleResult{Rule: "unrepeatable request run twice", Judged: len(byKey)}
 	for key, list := range byKey {
@@ -71,8 +71,8 @@
 	return result
 }
 
-// responseRules finds rejections of requests that were executed, responses that are not the
-// target's own, and repeats that got another response than the first time.
+// responseRules finds rejections of requests that were executed, responses that did not come from
+// the target, and retries whose response differs from the first one.
 func (c *Checker) responseRules(byKey map[string][]Execution) (falselyRejected, foreign, changed RuleResult) {
 	falselyRejected.Rule = "\"busy\" for what ran"
 	foreign.Rule = "answer not the target's own"
@@ -107,15 +107,15 @@
 	return falselyRejected, foreign, changed
 }
 
-// contradictsRejection reports whether an execution shows that a rejected attempt, or one before
-// it, ran. A later attempt without a number can't be told from a first one, so
-// of those only what ran before the rejection counts.
+// contradictsRejection reports whether an execution shows that a rejected attempt, or an earlier
+// one, was executed. Attempts without a number can't be ordered, so those count only if they were
+// executed before the rejection.
 func contradictsRejection(execution Execution, rejection ClientResponse) bool {
 	return execution.Attempt <= rejection.Attempt && rejection.IdempotencyKey != "" && (!execution.AttemptHidden || execution.At.Before(rejection.At))
 }
 
-// sentToDeparted finds requests that reached a target though the core had known for over
-// departedTargetGrace that it was leaving or gone.
+// sentToDeparted finds requests that reached a target more than departedTargetGrace after the
+// control plane learned that it was leaving or gone.
 func (c *Checker) sentToDeparted() RuleResult {
 	result := RuleResult{Rule: "request to a target known gone or leaving for 3 s", Judged: c.departuresKnown}
 	for _, execution := range c.executions {
@@ -126,7 +126,7 @@
 	return result
 }
 
-// overloadedTargets gives what targets themselves reported as more than they bear.
+// overloadedTargets returns the overloads that targets reported.
 func (c *Checker) overloadedTargets() RuleResult {
 	result := RuleResult{Rule: "target flooded past 1.5 times", Judged: len(c.executions)}
 	for _, overload := range c.overloads {
@@ -135,7 +135,7 @@
 	return result
 }
 
-// observedViolations gives the violations that were reported as they happened.
+// observedViolations returns the violations that were recorded during the run.
 func (c *Checker) observedViolations() RuleResult {
 	result := RuleResult{Rule: "seen as it happened", Judged: c.ledger.reads + len(c.ledger.changes)}
 	for _, violation := range c.violations {
--- a/internal/testsupport/checker/retries.go
+++ b/internal/testsupport/checker/retries.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	// retryWindow is the span over which the retry budget is judged.
+	// retryWindow is the length of the sliding window for the retry budget.
 	retryWindow = 10 * time.Second
-	// retryShare is how many retries a service may get for each first request
-	// in a window, beyond the allowance.
+	// retryShare is the number of retries per first request that a service may get in a window,
+	// in addition to the allowance.
 	retryShare = 0.2
 )
 
-// arrival is one request at a target: a first one or a retry.
+// arrival is one request at a target: a first attempt or a retry.
 type arrival struct {
 	at    time.Time
 	retry bool
 }
 
-// retriesOverBudget finds windows of retryWindow in which a service got more retries than
-// retryShare of its first requests and the allowance.
+// retriesOverBudget finds windows in which a service got more retries than retryShare of its first
+// requests plus the allowance.
 func (c *Checker) retriesOverBudget() RuleResult {
 	result := RuleResult{Rule: "retries past one in five and the allowance in 10 s"}
 	for service, arrivals := range c.arrivalsByService() {
@@ -49,7 +49,7 @@
 	return result
 }
 
-// arrivalsByService gives each service's requests in the order of their arrival.
+// arrivalsByService returns each service's requests in order of arrival.
 func (c *Checker) arrivalsByService() map[ids.Name][]arrival {
 	byService := map[ids.Name][]arrival{}
 	seen := map[string]bool{}
--- a/internal/testsupport/checker/spill_observations.go
+++ b/internal/testsupport/checker/spill_observations.go
@@ -9,24 +9,25 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// minimumAnswers is how many answers of a window it takes to compute shares: with fewer, the
-// random draw of the directory hides them.
+// minimumAnswers is the least number of answers in a window from which shares are computed. With
+// fewer, the directory's weighted random selection dominates.
 const minimumAnswers = 25
 
-// SpillOrder is what the order of moves is judged by: the configuration as the operators set it.
+// SpillOrder holds the configuration that determines in which order spill-over may move traffic.
 type SpillOrder struct {
-	// Every is how often the spill-over is planned. Observations are gathered
-	// in windows of that length; zero judges nothing.
+	// Every is the planning interval of the spill-over, and the length of the windows that
+	// observations are grouped by. Zero disables the rules on spill-over.
 	Every time.Duration
-	// Tier ranks the routes: the higher, the more urgent.
+	// Tier is the priority of each route; higher is more urgent.
 	Tier     map[ids.Name]int
 	Distance func(a, b ids.Name) float64
-	// Acceptable is the usage up to which a zone takes in others' traffic, in
-	// milliseconds of CPU a second.
+	// Acceptable is the usage up to which a zone accepts other zones' traffic, in milliseconds of
+	// CPU per second.
 	Acceptable map[ids.Name]float64
 }
 
-// DirectoryAnswer is one resolution: a client's zone and route, and the zone it was sent to.
+// DirectoryAnswer is one resolution by the directory: the zone of the proxy that a client in
+// ClientZone got for a route.
 type DirectoryAnswer struct {
 	At                           time.Time
 	ClientZone, ProxyZone, Route ids.Name
@@ -35,10 +36,10 @@
 // flow is the traffic of a route whose clients are in one zone, its home.
 type flow struct{ home, route ids.Name }
 
-// zoneShares gives the share of a flow that was sent to each zone.
+// zoneShares maps each zone to the share of a flow that was sent there.
 type zoneShares map[ids.Name]float64
 
-// elsewhere is the share that was sent to other zones than home; zero if there are no shares.
+// elsewhere returns the share that was sent to zones other than home; zero if there are no shares.
 func (s zoneShares) elsewhere(home ids.Name) float64 {
 	if len(s) == 0 {
 		return 0
@@ -46,20 +47,20 @@
 	return 1 - s[home]
 }
 
-// windowShares gives the shares of each flow, by number of window.
+// windowShares holds the shares of each flow, by window number.
 type windowShares map[int]map[flow]zoneShares
 
-// windows lists the windows in order.
+// windows returns the window numbers in ascending order.
 func (s windowShares) windows() []int { return slices.Sorted(maps.Keys(s)) }
 
-// flows lists the flows of a window in order.
+// flows returns the flows of a window, sorted by home and route.
 func (s windowShares) flows(window int) []flow {
 	return slices.SortedFunc(maps.Keys(s[window]), func(a, b flow) int {
 		return cmp.Or(cmp.Compare(a.home, b.home), cmp.Compare(a.route, b.route))
 	})
 }
 
-// sendsAway reports whether a zone sends a tenth of any of its own flows elsewhere.
+// sendsAway reports whether a zone sends more than a tenth of any of its own flows elsewhere.
 func (s windowShares) sendsAway(window int, zone ids.Name) bool {
 	for f, to := range s[window] {
 		if f.home == zone && to.elsewhere(zone) > 0.1 {
@@ -69,27 +70,28 @@
 	return false
 }
 
-// spillObservations holds what was seen of the spill-over: the directory's answers, and the load
-// that the zones really had. Neither is taken from the planner's own table.
+// spillObservations holds the directory's answers and the measured load of the zones. Neither is
+// taken from the planner's table, which is under test.
 type spillObservations struct {
 	SpillOrder
 	answers []DirectoryAnswer
-	// usage and drained are by number of window.
-	usage   map[int]map[ids.Name]float64
+	// usage holds the peak CPU usage of each zone, by window number.
+	usage map[int]map[ids.Name]float64
+	// drained holds the zones that were drained during a window, by window number.
 	drained map[int]map[ids.Name]bool
-	// answerCounts is how many answers the shares of a flow are computed from.
+	// answerCounts holds the number of answers that the shares of each flow are computed from.
 	answerCounts map[int]map[flow]int
 }
 
-// SetSpillOrder makes the checker judge the order of moves from now on.
+// SetSpillOrder enables the rules on spill-over, and discards earlier observations of usage.
 func (c *Checker) SetSpillOrder(order SpillOrder) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.spillMoves.SpillOrder, c.spillMoves.usage, c.spillMoves.drained = order, map[int]map[ids.Name]float64{}, map[int]map[ids.Name]bool{}
 }
 
-// DirectoryAnswered records an answer of the directory. Routes without a tier, such as those that
-// come and go, are left out: they have no place in the order.
+// DirectoryAnswered records an answer of the directory. Routes without a tier are ignored, as no
+// order is defined for them.
 func (c *Checker) DirectoryAnswered(answer DirectoryAnswer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -98,8 +100,8 @@
 	}
 }
 
-// ZoneUsage records what a zone used, in milliseconds of CPU a second, and whether it was open to
-// new work.
+// ZoneUsage records a zone's usage, in milliseconds of CPU per second, and whether the zone accepts
+// new requests.
 func (c *Checker) ZoneUsage(at time.Time, zone ids.Name, used float64, open bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -115,9 +117,10 @@
 	observations.drained[window][zone] = observations.drained[window][zone] || !open
 }
 
+// window returns the number of the window that contains a time.
 func (o *spillObservations) window(at time.Time) int { return int(at.UnixNano() / int64(o.Every)) }
 
-// countAnswers counts the answers of each window and flow by the zone that they named.
+// countAnswers counts the answers by window, flow and zone of the proxy.
 func (o *spillObservations) countAnswers() map[int]map[flow]map[ids.Name]int {
 	counts := map[int]map[flow]map[ids.Name]int{}
 	for _, answer := range o.answers {
@@ -133,8 +136,8 @@
 	return counts
 }
 
-// shares computes the shares of each window and flow. Flows with few answers, and those of
-// drained zones, are left out.
+// shares computes the shares of each flow in each window. It omits flows with fewer than
+// minimumAnswers answers and flows whose home is drained.
 func (o *spillObservations) shares() windowShares {
 	o.answerCounts = map[int]map[flow]int{}
 	shares := windowShares{}
--- a/internal/testsupport/checker/spill_order.go
+++ b/internal/testsupport/checker/spill_order.go
@@ -10,7 +10,7 @@
 )
 
 // tierOrderViolations finds zones that sent an urgent route elsewhere while a less urgent one
-// stayed. It takes two windows in a row, as a new plan may come amid one.
+// stayed. The order must be wrong in two consecutive windows, as the plan may change within one.
 func (c *Checker) tierOrderViolations() RuleResult {
 	result := RuleResult{Rule: "urgent route moved while a lesser one stayed"}
 	observations := &c.spillMoves
@@ -31,15 +31,15 @@
 	return result
 }
 
-// outOfTierOrder reports whether over a fifth of the urgent flow was sent elsewhere and under
-// three fifths of the lesser one. The margins leave room for the directory's random draw.
+// outOfTierOrder reports whether over a fifth of the urgent flow was sent elsewhere, but under three
+// fifths of the less urgent one. The margins allow for the directory's random selection.
 func (s windowShares) outOfTierOrder(window int, urgent, lesser flow) bool {
 	high, low := s[window][urgent], s[window][lesser]
 	return high != nil && low != nil && high.elsewhere(urgent.home) > 0.2 && low.elsewhere(lesser.home) < 0.6
 }
 
-// growth is how much more of a flow was sent to a zone than in the window before; zero if that is
-// no more than a tenth or four standard deviations of the random draw.
+// growth returns how much a zone's share of a flow grew since the previous window; zero if it grew
+// by no more than a tenth or than four standard deviations of the random selection.
 func (o *spillObservations) growth(shares windowShares, window int, f flow, to ids.Name) float64 {
 	before, after := shares[window-1][f], shares[window][f]
 	if before == nil || after == nil {
@@ -53,7 +53,7 @@
 	return 0
 }
 
-// eachNewMove calls visit for every move that began or grew, window by window.
+// eachNewMove calls visit for every move that began or grew, in the order of the windows.
 func (o *spillObservations) eachNewMove(shares windowShares, visit func(window int, f flow, to ids.Name)) {
 	for _, window := range shares.windows() {
 		for _, f := range shares.flows(window) {
@@ -66,7 +66,7 @@
 	}
 }
 
-// distanceOrderViolations finds moves that began to a zone while a nearer one had capacity left.
+// distanceOrderViolations finds moves that began or grew while a nearer zone had capacity left.
 func (c *Checker) distanceOrderViolations() RuleResult {
 	result := RuleResult{Rule: "move to a far cell while a nearer one had room"}
 	observations := &c.spillMoves
@@ -82,8 +82,8 @@
 	return result
 }
 
-// hasCapacity reports whether a zone was open, used at most six tenths of what is acceptable and
-// kept its own traffic, from two windows before the given one until one after it.
+// hasCapacity reports whether, from two windows before the given one until one after it, a zone was
+// not drained, used at most 60 % of its acceptable usage and kept its own traffic.
 func (o *spillObservations) hasCapacity(shares windowShares, window int, zone ids.Name) bool {
 	for w := window - 2; w <= window+1; w++ {
 		if o.drained[w] == nil || o.drained[w][zone] || o.usage[w][zone] > 0.6*o.Acceptable[zone] || shares.sendsAway(w, zone) {
@@ -93,7 +93,7 @@
 	return true
 }
 
-// foreignTrafficBeforeOwn finds zones that took in more of others' traffic while their own was
+// foreignTrafficBeforeOwn finds zones that accepted more traffic of other zones while their own was
 // still sent elsewhere.
 func (c *Checker) foreignTrafficBeforeOwn() RuleResult {
 	result := RuleResult{Rule: "took others' traffic before calling its own home"}
--- a/internal/testsupport/checker/statistics.go
+++ b/internal/testsupport/checker/statistics.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// ShareWithin returns the share of requests that were answered within a time of their first
+// ShareWithin returns the share of requests that were answered within a duration from their first
 // attempt, and the number of requests.
 func (c *Checker) ShareWithin(within time.Duration) (float64, int) {
 	c.mu.Lock()
@@ -24,7 +24,7 @@
 	return float64(len(answered)) / float64(len(first)), len(first)
 }
 
-// Each calls visit for every attempt, in the order of their ends.
+// Each calls visit for every attempt, in the order in which the attempts ended.
 func (c *Checker) Each(visit func(token string, attempt int, class string, took time.Duration)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -33,8 +33,8 @@
 	}
 }
 
-// Served returns how many first attempts of repeatable requests sent between two times were
-// answered, and how many there were.
+// Served returns the number of answered first attempts, and of all first attempts, of idempotent
+// requests sent between two times.
 func (c *Checker) Served(from, to time.Time) (answered, all int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -50,7 +50,8 @@
 	return answered, all
 }
 
-// CountByClass counts the attempts sent after a time by class, and all executions as "runs".
+// CountByClass returns the number of attempts sent after a time by class, and under "runs" the
+// number of all executions.
 func (c *Checker) CountByClass(since time.Time) map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testsupport/memorydisk/disk.go
+++ b/internal/testsupport/memorydisk/disk.go
@@ -8,21 +8,21 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// afterRegisters sorts behind all keys that Scan gives: registers ("item/...") and changes to
-// them ("diff/...").
+// afterRegisters sorts after all keys that Scan returns: registers ("item/...") and their deltas
+// ("diff/...").
 const afterRegisters ids.RegisterKey = "item0"
 
-// Disk holds the value of each record by its key.
+// Disk maps the key of each record to its value.
 type Disk map[ids.RegisterKey][]byte
 
-// Get returns a record's value, and whether there is such a record.
+// Get returns a record's value, and whether the record exists.
 func (d Disk) Get(key ids.RegisterKey) ([]byte, bool) {
 	value, ok := d[key]
 	return value, ok
 }
 
-// Scan returns the records of registers and of changes to them after a key, in order of their
-// keys, up to a limit.
+// Scan returns the records of registers and of their deltas after a key, in key order, up to a
+// limit.
 func (d Disk) Scan(after ids.RegisterKey, limit int) []event.Record {
 	var records []event.Record
 	for _, key := range slices.Sorted(maps.Keys(d)) {
@@ -33,7 +33,7 @@
 	return records
 }
 
-// Write writes records, and removes those that are to be deleted.
+// Write writes records, and removes those with Delete set.
 func (d Disk) Write(records []event.Record) {
 	for _, record := range records {
 		if record.Delete {
--- a/internal/testsupport/memorydisk/doc.go
+++ b/internal/testsupport/memorydisk/doc.go
@@ -1,4 +1,4 @@
-// Package memorydisk is a consensus.Storage in memory, for tests of whatever keeps registers on
-// a disk. It gives what package storage gives for the same records; it isn't safe for
-// concurrent use, and what was written outlives the machine that wrote it.
+// Package memorydisk is an in-memory implementation of consensus.Storage for tests. It returns the
+// same results as package storage for the same records. It isn't safe for concurrent use. A Disk
+// keeps its records when the simulated machine that wrote them restarts.
 package memorydisk
