--- a/internal/testsupport/checker/checker.go
+++ b/internal/testsupport/checker/checker.go
@@ -8,7 +8,7 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// Execution is one execution of a request at a stand-in target.
+// Execution is one execution of a request at a simulated target.
 type Execution struct {
 	// At is when the execution began.
 	At time.Time
--- a/internal/testsupport/checker/configuration.go
+++ b/internal/testsupport/checker/configuration.go
@@ -40,7 +40,7 @@
 	defer c.mu.Unlock()
 	c.ledger.reads++
 	if read.Revision < floor {
-		c.addViolation("%s gave revision %d after %d was known", reader, read.Revision, floor)
+		c.addViolation("%s returned revision %d after %d was known", reader, read.Revision, floor)
 	}
 	c.ledger.highestRevision = max(c.ledger.highestRevision, read.Revision)
 	for _, change := range c.ledger.changes {
@@ -78,7 +78,7 @@
 		}
 	}
 	if touched {
-		c.addViolation("%s holds %s at version %d, which no accepted change gave it", reader, item, found.Version)
+		c.addViolation("%s holds %s at version %d, which no accepted change wrote", reader, item, found.Version)
 	}
 }
 
--- a/internal/testsupport/checker/configuration_in_force.go
+++ b/internal/testsupport/checker/configuration_in_force.go
@@ -37,7 +37,7 @@
 // not ready or partitioned as well. The reference time is when the bytes left the proxy, as it
 // can't recall them from the socket of a frozen target.
 func (c *Checker) requestsByOldConfiguration() RuleResult {
-	result := RuleResult{Rule: "request by a policy that another was accepted over 3 s before"}
+	result := RuleResult{Rule: "request by a configuration superseded over 3 s before"}
 	changesByRoute := c.changesByRoute()
 	for _, execution := range c.executions {
 		sent := execution.leftProxyAt()
@@ -53,7 +53,7 @@
 			allowed = allowed || newer && !change.SentAt.After(sent) && change.Items[Item{"route", string(execution.Route)}].matchesExecution(execution)
 		}
 		if !allowed {
-			result.add(fmt.Sprintf("%s of %s ran %s, sent by %s %s after %s was accepted", execution.Instance, execution.Service, execution.Token, execution.Proxy, sent.Sub(base.AnsweredAt).Round(time.Millisecond), base.ID))
+			result.add(fmt.Sprintf("%s of %s executed %s, sent by %s %s after %s was accepted", execution.Instance, execution.Service, execution.Token, execution.Proxy, sent.Sub(base.AnsweredAt).Round(time.Millisecond), base.ID))
 		}
 	}
 	return result
--- a/internal/testsupport/checker/drain.go
+++ b/internal/testsupport/checker/drain.go
@@ -50,7 +50,7 @@
 // newWorkInDrainedZones finds requests that were executed in a zone drained more than drainWithin
 // ago, or forwarded by a proxy there.
 func (c *Checker) newWorkInDrainedZones() RuleResult {
-	result := RuleResult{Rule: "new work in a cell emptied over 5 s ago"}
+	result := RuleResult{Rule: "new request in a zone drained over 5 s ago"}
 	for _, drain := range c.drains {
 		in := func(zone ids.Name, at time.Time) bool {
 			return zone == drain.Zone && at.After(drain.From.Add(drainWithin)) && (drain.To.IsZero() || at.Before(drain.To))
@@ -60,7 +60,7 @@
 				result.Judged++
 			}
 			if in(execution.Zone, execution.At) || in(execution.ProxyZone, execution.At) {
-				result.add(fmt.Sprintf("%s in %s ran %s through %s in %s, %s after", execution.Instance, execution.Zone, execution.Token, execution.Proxy, execution.ProxyZone, execution.At.Sub(drain.From).Round(time.Millisecond)))
+				result.add(fmt.Sprintf("%s in %s executed %s through %s in %s, %s after the drain", execution.Instance, execution.Zone, execution.Token, execution.Proxy, execution.ProxyZone, execution.At.Sub(drain.From).Round(time.Millisecond)))
 			}
 		}
 	}
--- a/internal/testsupport/checker/long_lived_connections.go
+++ b/internal/testsupport/checker/long_lived_connections.go
@@ -41,10 +41,10 @@
 // not answered, without a fault or a drain of their zone. Moving new connections between zones must
 // not affect existing ones.
 func (c *Checker) longLivedConnectionsClosed() RuleResult {
-	result := RuleResult{Rule: "held circuit closed or turned away by a move"}
+	result := RuleResult{Rule: "long-lived connection closed or rejected by a move"}
 	for _, closed := range c.closedConnections {
 		if !closed.Excused && !c.drainedAt(closed.Zone, closed.At) {
-			result.add(fmt.Sprintf("%s in %s closed one at %s: %s", closed.Proxy, closed.Zone, closed.At.Format("15:04:05.000"), closed.Why))
+			result.add(fmt.Sprintf("%s in %s closed a connection at %s: %s", closed.Proxy, closed.Zone, closed.At.Format("15:04:05.000"), closed.Why))
 		}
 	}
 	for _, response := range c.responses {
--- a/internal/testsupport/checker/recovery.go
+++ b/internal/testsupport/checker/recovery.go
@@ -29,7 +29,7 @@
 		}
 		result.Judged++
 		if response.Class != ClassAnswered {
-			result.add(fmt.Sprintf("%s was %s by %s %s after", response.Token, response.Class, response.Proxy, response.Sent.Sub(c.recoveredAt).Round(time.Millisecond)))
+			result.add(fmt.Sprintf("%s was %s by %s %s after the recovery", response.Token, response.Class, response.Proxy, response.Sent.Sub(c.recoveredAt).Round(time.Millisecond)))
 		}
 	}
 	for _, change := range c.ledger.changes {
@@ -38,7 +38,7 @@
 		}
 		result.Judged++
 		if change.Revision == 0 || change.AnsweredAt.Sub(change.SentAt) > changeAnsweredWithin {
-			result.add(fmt.Sprintf("change %s asked %s after, told %s later", change.ID, change.SentAt.Sub(c.recoveredAt).Round(time.Millisecond), change.AnsweredAt.Sub(change.SentAt)))
+			result.add(fmt.Sprintf("change %s was sent %s after the recovery and answered %s later", change.ID, change.SentAt.Sub(c.recoveredAt).Round(time.Millisecond), change.AnsweredAt.Sub(change.SentAt)))
 		}
 	}
 	return result
--- a/internal/testsupport/checker/results.go
+++ b/internal/testsupport/checker/results.go
@@ -62,10 +62,10 @@
 
 // executedTwice finds non-idempotent requests that were executed more than once.
 func executedTwice(byKey map[string][]Execution) RuleResult {
-	result := RuleResult{Rule: "unrepeatable request run twice", Judged: len(byKey)}
+	result := RuleResult{Rule: "non-idempotent request executed twice", Judged: len(byKey)}
 	for key, list := range byKey {
 		if len(list) > 1 {
-			result.add(fmt.Sprintf("%s ran %d times, at %s and %s", key, len(list), list[0].Instance, list[1].Instance))
+			result.add(fmt.Sprintf("%s was executed %d times, at %s and %s", key, len(list), list[0].Instance, list[1].Instance))
 		}
 	}
 	return result
@@ -74,9 +74,9 @@
 // responseRules finds rejections of requests that were executed, responses that did not come from
 // the target, and retries whose response differs from the first one.
 func (c *Checker) responseRules(byKey map[string][]Execution) (falselyRejected, foreign, changed RuleResult) {
-	falselyRejected.Rule = "\"busy\" for what ran"
-	foreign.Rule = "answer not the target's own"
-	changed.Rule = "repeat got another outcome"
+	falselyRejected.Rule = "executed request reported as rejected"
+	foreign.Rule = "response not from the target"
+	changed.Rule = "retry got a different response"
 	lastBodies := map[string]string{}
 	for _, response := range c.responses {
 		switch response.Class {
@@ -84,7 +84,7 @@
 			falselyRejected.Judged++
 			for _, execution := range byKey[response.IdempotencyKey] {
 				if contradictsRejection(execution, response) {
-					falselyRejected.add(fmt.Sprintf("%s attempt %d declined by %s, but ran as attempt %d", response.IdempotencyKey, response.Attempt, response.Proxy, execution.Attempt))
+					falselyRejected.add(fmt.Sprintf("%s attempt %d was rejected by %s, but executed as attempt %d", response.IdempotencyKey, response.Attempt, response.Proxy, execution.Attempt))
 				}
 			}
 		case ClassAnswered:
@@ -120,7 +120,7 @@
 	result := RuleResult{Rule: "request to a target known gone or leaving for 3 s", Judged: c.departuresKnown}
 	for _, execution := range c.executions {
 		if execution.DepartureKnownFor > departedTargetGrace {
-			result.add(fmt.Sprintf("%s got %s through %s when that was known for %s", execution.Instance, execution.Token, execution.Proxy, execution.DepartureKnownFor))
+			result.add(fmt.Sprintf("%s got %s through %s when its departure had been known for %s", execution.Instance, execution.Token, execution.Proxy, execution.DepartureKnownFor))
 		}
 	}
 	return result
@@ -128,7 +128,7 @@
 
 // overloadedTargets returns the overloads that targets reported.
 func (c *Checker) overloadedTargets() RuleResult {
-	result := RuleResult{Rule: "target flooded past 1.5 times", Judged: len(c.executions)}
+	result := RuleResult{Rule: "target loaded beyond 1.5 times its capacity", Judged: len(c.executions)}
 	for _, overload := range c.overloads {
 		result.add(overload)
 	}
@@ -137,7 +137,7 @@
 
 // observedViolations returns the violations that were recorded during the run.
 func (c *Checker) observedViolations() RuleResult {
-	result := RuleResult{Rule: "seen as it happened", Judged: c.ledger.reads + len(c.ledger.changes)}
+	result := RuleResult{Rule: "violation recorded during the run", Judged: c.ledger.reads + len(c.ledger.changes)}
 	for _, violation := range c.violations {
 		result.add(violation)
 	}
--- a/internal/testsupport/checker/retries.go
+++ b/internal/testsupport/checker/retries.go
@@ -25,7 +25,7 @@
 // retriesOverBudget finds windows in which a service got more retries than retryShare of its first
 // requests plus the allowance.
 func (c *Checker) retriesOverBudget() RuleResult {
-	result := RuleResult{Rule: "retries past one in five and the allowance in 10 s"}
+	result := RuleResult{Rule: "retries over 20% of first requests plus the allowance in 10 s"}
 	for service, arrivals := range c.arrivalsByService() {
 		oldest, firsts, retries := 0, 0, 0
 		count := func(a arrival, n int) {
@@ -42,7 +42,7 @@
 			result.Judged++
 			count(newest, 1)
 			if float64(retries) > retryShare*float64(firsts)+c.RetryAllowance {
-				result.add(fmt.Sprintf("%s: %d retries on %d first requests", service, retries, firsts))
+				result.add(fmt.Sprintf("%s: %d retries for %d first requests", service, retries, firsts))
 			}
 		}
 	}
--- a/internal/testsupport/checker/spill_order.go
+++ b/internal/testsupport/checker/spill_order.go
@@ -12,7 +12,7 @@
 // tierOrderViolations finds zones that sent an urgent route elsewhere while a less urgent one
 // stayed. The order must be wrong in two consecutive windows, as the plan may change within one.
 func (c *Checker) tierOrderViolations() RuleResult {
-	result := RuleResult{Rule: "urgent route moved while a lesser one stayed"}
+	result := RuleResult{Rule: "urgent route moved while a less urgent one stayed"}
 	observations := &c.spillMoves
 	shares := observations.shares()
 	for _, window := range shares.windows() {
@@ -68,7 +68,7 @@
 
 // distanceOrderViolations finds moves that began or grew while a nearer zone had capacity left.
 func (c *Checker) distanceOrderViolations() RuleResult {
-	result := RuleResult{Rule: "move to a far cell while a nearer one had room"}
+	result := RuleResult{Rule: "move to a far zone while a nearer one had capacity"}
 	observations := &c.spillMoves
 	shares := observations.shares()
 	observations.eachNewMove(shares, func(window int, f flow, to ids.Name) {
@@ -96,13 +96,13 @@
 // foreignTrafficBeforeOwn finds zones that accepted more traffic of other zones while their own was
 // still sent elsewhere.
 func (c *Checker) foreignTrafficBeforeOwn() RuleResult {
-	result := RuleResult{Rule: "took others' traffic before calling its own home"}
+	result := RuleResult{Rule: "took in others' traffic while its own was still moved"}
 	observations := &c.spillMoves
 	shares := observations.shares()
 	observations.eachNewMove(shares, func(window int, f flow, to ids.Name) {
 		result.Judged++
 		if shares.sendsAway(window-1, to) && shares.sendsAway(window, to) && shares.sendsAway(window+1, to) {
-			result.add(fmt.Sprintf("%s took %.2f more of %s from %s in window %d, its own still away", to, observations.growth(shares, window, f, to), f.route, f.home, window))
+			result.add(fmt.Sprintf("%s took in %.2f more of %s from %s in window %d while its own was still moved", to, observations.growth(shares, window, f, to), f.route, f.home, window))
 		}
 	})
 	return result
--- a/internal/testsupport/simulator/defect_test.go
+++ b/internal/testsupport/simulator/defect_test.go
@@ -28,7 +28,7 @@
 		lease  time.Duration
 		hot    bool
 	}{
-		"double run":    {want: "run twice", defect: Defect{Ops: map[consensus.Op]consensus.ChangeFunc{idempotency.OpClaim: alwaysGranted}}},
+		"double run":    {want: "executed twice", defect: Defect{Ops: map[consensus.Op]consensus.ChangeFunc{idempotency.OpClaim: alwaysGranted}}},
 		"half a change": {want: "reads back as", defect: Defect{Ops: map[consensus.Op]consensus.ChangeFunc{configuration.OpChange: applyHalf}}},
 		"forgotten": {want: "was known|reads back as|given to", defect: Defect{DiskForgets: true}, script: func(w *World) {
 			// Every store loses power at once, again and again.
@@ -45,19 +45,19 @@
 				p.Targets[i].Draining, p.Targets[i].Dead = false, false
 			}
 		})}},
-		"false busy": {want: "for what ran", defect: Defect{Response: func(r dispatch.Response) dispatch.Response {
+		"false busy": {want: "reported as rejected", defect: Defect{Response: func(r dispatch.Response) dispatch.Response {
 			if r.Class == dispatch.Unknown {
 				r.Class, r.Status = dispatch.Rejected, 503
 			}
 			return r
 		}}},
-		"foreign answer": {want: "not the target's own", defect: Defect{Response: func(r dispatch.Response) dispatch.Response {
+		"foreign answer": {want: "not from the target", defect: Defect{Response: func(r dispatch.Response) dispatch.Response {
 			if r.Class == dispatch.Answered {
 				r.TargetResponse.Body = append([]byte("x"), r.TargetResponse.Body...)
 			}
 			return r
 		}}},
-		"not in force": {want: "that another was accepted over", defect: Defect{Message: alterPushes(func(p *distribution.Push) {
+		"not in force": {want: "superseded over", defect: Defect{Message: alterPushes(func(p *distribution.Push) {
 			if p.Revision > 3 {
 				p.Configuration, p.Revision = nil, 3
 			}
@@ -67,26 +67,26 @@
 				p.Targets[i].Draining, p.Targets[i].Dead = false, false
 			}
 		})}},
-		"flood": {want: "flooded", rate: 400, defect: Defect{SkipIdentityCheck: true, Message: alterPushes(func(p *distribution.Push) {
+		"flood": {want: "loaded beyond", rate: 400, defect: Defect{SkipIdentityCheck: true, Message: alterPushes(func(p *distribution.Push) {
 			for i := range p.Targets {
 				p.Targets[i].Warmth, p.Targets[i].AgeMillis, p.Targets[i].Capacity = 1, 1e6, 200
 			}
 		})}},
-		"retries": {want: "retries past", script: loseResponsesAfterCalm, defect: Defect{Message: alterPushes(replaceInPush(`"allowance":10`, `"allowance":900`))}},
-		"marks forgotten": {want: "run twice", defect: Defect{IdempotencyRetention: 300 * time.Millisecond}, script: func(w *World) {
+		"retries": {want: "retries over", script: loseResponsesAfterCalm, defect: Defect{Message: alterPushes(replaceInPush(`"allowance":10`, `"allowance":900`))}},
+		"marks forgotten": {want: "executed twice", defect: Defect{IdempotencyRetention: 300 * time.Millisecond}, script: func(w *World) {
 			// Proposers remember for a while what disks forgot: they restart.
 			responsesLost(w)
 			w.repeat(time.Second, 900*time.Millisecond, 36, func(i int) { w.restartProcess(w.processes[i%3], 150*time.Millisecond) })
 		}},
 		// Leases without end: a proxy that is cut off serves on.
-		"emptied in a split": {want: "emptied over", lease: time.Hour, script: zoneDrainedDuringPartition},
+		"emptied in a split": {want: "drained over", lease: time.Hour, script: zoneDrainedDuringPartition},
 		// Nor does it expire silent targets, or learn from other proxies.
 		"unheard of":          {want: "known gone or leaving", lease: time.Hour, script: declaredDeadButRunning, defect: Defect{Message: dropLeaseGossip}},
-		"moved in a split":    {want: "that another was accepted over", lease: time.Hour, rate: 200, script: configurationMovedDuringPartition, defect: Defect{Message: dropLeaseGossip}},
-		"held circuit closed": {want: "held circuit", hot: true, defect: Defect{CloseLongLived: true}},
+		"moved in a split":    {want: "superseded over", lease: time.Hour, rate: 200, script: configurationMovedDuringPartition, defect: Defect{Message: dropLeaseGossip}},
+		"held circuit closed": {want: "long-lived connection closed", hot: true, defect: Defect{CloseLongLived: true}},
 		"urgent routes moved": {want: "urgent route moved", hot: true, defect: Defect{Message: alterTables(func(t *spill.Table) { t.Moves = reverseTiers(t.Moves) })}},
-		"far cells first":     {want: "move to a far cell", hot: true, defect: Defect{Message: alterTables(func(t *spill.Table) { t.Moves = moveFarther(t.Moves) })}},
-		"others' traffic first": {want: "before calling its own home", hot: true, defect: Defect{Message: alterTables(func(t *spill.Table) {
+		"far cells first":     {want: "move to a far zone", hot: true, defect: Defect{Message: alterTables(func(t *spill.Table) { t.Moves = moveFarther(t.Moves) })}},
+		"others' traffic first": {want: "took in others' traffic while", hot: true, defect: Defect{Message: alterTables(func(t *spill.Table) {
 			// At intervals, so that the moves are seen to begin.
 			if t.Number%4 >= 2 {
 				t.Moves = addCrossedMoves(t.Moves)
@@ -99,8 +99,8 @@
 		"blank store keeps its identity": {want: "was known|reads back as|given to", defect: Defect{BlankKeepsIdentity: true}, script: wipedAndRestarted},
 		"new seeds lead nowhere":         {want: "can't be read", defect: Defect{DeadSeeds: true}, script: seedsTurnedThenReplaced},
 		"deaf to departures":             {want: "after its client had left", script: clientsLeave, defect: Defect{DeafToDepartures: true}},
-		"reset taken for not sent":       {want: "run twice", defect: Defect{ResetIsUnsent: true}, script: connectionsReset},
-		"emptied cell":                   {want: "emptied", script: drainAgainAndAgain, defect: Defect{Message: alterPushes(replaceInPush(`"emptied":true`, `"emptied":false`))}},
+		"reset taken for not sent":       {want: "executed twice", defect: Defect{ResetIsUnsent: true}, script: connectionsReset},
+		"emptied cell":                   {want: "drained over", script: drainAgainAndAgain, defect: Defect{Message: alterPushes(replaceInPush(`"emptied":true`, `"emptied":false`))}},
 		"lease without end":              {want: "cut off, answered", script: Scenes["core-machine-1-cut-off-both-ways"], defect: Defect{ControlLease: time.Hour}},
 		"deaf planner":                   {want: "have planned for", script: Scenes["core-machine-1-cut-off-both-ways"], defect: Defect{ControlLease: time.Hour}},
 		"not restored": {want: "15 s after", defect: Defect{Message: func(_, to string, msg any) (any, bool) {
--- a/internal/testsupport/simulator/target_freeze_test.go
+++ b/internal/testsupport/simulator/target_freeze_test.go
@@ -48,7 +48,7 @@
 			is.Equal(w.Checker.CountByClass(time.Time{})["runs"], 1) // 9 s after the move
 			var got checker.RuleResult
 			for _, k := range w.Checker.Results() {
-				if strings.HasPrefix(k.Rule, "request by a policy") {
+				if strings.HasPrefix(k.Rule, "request by a configuration") {
 					got = k
 				}
 			}
