--- a/internal/tools/doccheck/doc.go
+++ b/internal/tools/doccheck/doc.go
@@ -1,7 +1,6 @@
-// Package doccheck checks this module's doc comments: every package and every exported
-// item has one, and each comment, also of unexported items and in tests, begins with
-// its item's name. The checks are the package's tests; other than them it holds
-// nothing.
+// Package doccheck checks this module's doc comments. Every package and every exported item must
+// have one, and each doc comment, including those of unexported items and in test files, must begin
+// with the item's name. The package holds only tests, which run the checks.
 //
-// Folders that aren't clean yet are listed in .ci/unclean-docs.txt (package ratchet).
+// Folders that don't pass yet are listed in .ci/unclean-docs.txt (package ratchet).
 package doccheck
--- a/internal/tools/doccheck/doccheck_test.go
+++ b/internal/tools/doccheck/doccheck_test.go
@@ -15,14 +15,14 @@
 	"dunlinwell/internal/tools/ratchet"
 )
 
-// moduleRoot is where go.mod lies, seen from this folder.
+// moduleRoot is the path from this folder to the one that holds go.mod.
 const moduleRoot = "../../.."
 
-// skippedFolders hold no source of this module.
+// skippedFolders are the folders without source code of this module.
 var skippedFolders = map[string]bool{".git": true, "target": true, "bin": true, "testdata": true, "journal": true}
 
-// sourceFolders lists the folders below root that hold Go files, with or without
-// those that hold tests alone.
+// sourceFolders returns the folders below root that hold Go files. Folders that hold only test
+// files are included if tests is set.
 func sourceFolders(t *testing.T, root string, tests bool) []string {
 	t.Helper()
 	seen := map[string]bool{}
@@ -45,7 +45,7 @@
 	return folders
 }
 
-// undocumented lists what a file exports without a doc comment.
+// undocumented returns the positions and names of a file's exported items without a doc comment.
 func undocumented(files *token.FileSet, file *ast.File) []string {
 	var missing []string
 	report := func(name *ast.Ident) {
@@ -68,8 +68,8 @@
 	return missing
 }
 
-// receiverIsExported tells whether a function belongs to no type or to an
-// exported one: methods of others are not part of a package's interface.
+// receiverIsExported reports whether a function has no receiver or one of an exported type. Methods
+// of unexported types are not part of a package's API.
 func receiverIsExported(d *ast.FuncDecl) bool {
 	if d.Recv == nil || len(d.Recv.List) == 0 {
 		return true
@@ -89,8 +89,8 @@
 	}
 }
 
-// undocumentedSpecs lists the names of a declaration that neither their own
-// comment nor that of their group documents.
+// undocumentedSpecs returns the names in a declaration that have neither a comment of their own nor
+// one on their group.
 func undocumentedSpecs(d *ast.GenDecl) []*ast.Ident {
 	if d.Doc != nil {
 		return nil
@@ -111,7 +111,7 @@
 	return names
 }
 
-// unclean lists the folders whose comments don't yet name their items.
+// unclean is the path of the list of folders that still have findings.
 const unclean = ".ci/unclean-docs.txt"
 
 func TestEveryExportedItemIsDocumented(t *testing.T) {
@@ -132,12 +132,12 @@
 			}
 		}
 		if !documented {
-			t.Errorf("the package in %s has no doc comment", folder)
+			t.Errorf("no doc comment on the package in %s", folder)
 		}
 	}
 }
 
-// TestUndocumentedItemsAreFound checks the check: it must find what has no comment.
+// TestUndocumentedItemsAreFound checks that undocumented finds exported items without a comment.
 func TestUndocumentedItemsAreFound(t *testing.T) {
 	const source = `// Package sample is documented.
 package sample
@@ -181,7 +181,7 @@
 			found = append(found, misnamed(files, file, filepath.ToSlash(name))...)
 		}
 	}
-	for _, complaint := range ratchet.Compare(entries, found) {
-		t.Error(complaint)
+	for _, problem := range ratchet.Compare(entries, found) {
+		t.Error(problem)
 	}
 }
--- a/internal/tools/doccheck/naming_test.go
+++ b/internal/tools/doccheck/naming_test.go
@@ -12,17 +12,17 @@
 	"dunlinwell/internal/tools/ratchet"
 )
 
-// articles may stand before the name of a type.
+// articles may precede the name of a type at the start of its comment.
 var articles = []string{"A ", "An ", "The "}
 
-// check is the name that this package's findings have in the list.
+// check is the name of this check in the list.
 const check = "doc"
 
-// firstWords is how many words of a wrong comment a report quotes.
+// firstWords is the number of words that a finding quotes from the comment.
 const firstWords = 5
 
-// misnamed lists the doc comments of a file, of exported and unexported items, that
-// begin with anything but the name of the item. The path is that from the module's root.
+// misnamed returns a finding for each doc comment in a file that does not begin with the item's
+// name, for exported and unexported items. The path is relative to the module's root.
 func misnamed(files *token.FileSet, file *ast.File, path string) []ratchet.Finding {
 	var found []ratchet.Finding
 	wrong := func(doc *ast.CommentGroup, item string) {
@@ -53,15 +53,15 @@
 	return found
 }
 
-// isTest tells whether go test calls the function. Nobody looks such a function up by
-// its name, and its comment says in prose what is proved.
+// isTest reports whether a function is a test, benchmark or fuzz test. The comments of those may
+// begin with any words.
 func isTest(d *ast.FuncDecl, path string) bool {
 	called := strings.HasPrefix(d.Name.Name, "Test") || strings.HasPrefix(d.Name.Name, "Benchmark") || strings.HasPrefix(d.Name.Name, "Fuzz")
 	return called && d.Recv == nil && strings.HasSuffix(path, "_test.go")
 }
 
-// packageIsNamed tells whether a package comment begins as go doc wants it:
-// "Package name", and that of a command "Command name" or "Name".
+// packageIsNamed reports whether a package comment begins with "Package name", or for a command with
+// "Command name" or "Name".
 func packageIsNamed(file *ast.File, path string) bool {
 	if file.Name.Name != "main" {
 		return beginsWith(file.Doc, "Package "+file.Name.Name)
@@ -71,8 +71,8 @@
 	return beginsWith(file.Doc, "Command "+name) || beginsWith(file.Doc, string(unicode.ToUpper(first))+name[size:])
 }
 
-// docOf gives the comment that speaks of one spec: its own, or that of a declaration
-// without parentheses. The comment of a group speaks of no single item.
+// docOf returns the doc comment of a spec: its own, or that of the declaration if it has no
+// parentheses. The comment on a group belongs to no single item.
 func docOf(d *ast.GenDecl, spec ast.Spec) *ast.CommentGroup {
 	if !d.Lparen.IsValid() {
 		return d.Doc
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// namesOf lists what a spec declares, and tells whether it is a type.
+// namesOf returns the names that a spec declares, and whether it declares a type.
 func namesOf(spec ast.Spec) (names []string, isType bool) {
 	switch s := spec.(type) {
 	case *ast.TypeSpec:
@@ -99,8 +99,8 @@
 	return names, false
 }
 
-// beginsWithAny tells whether a comment begins with one of the names, which a type's
-// comment may put an article before. No names need no comment: such is an import.
+// beginsWithAny reports whether a comment begins with one of the names, or for a type with an
+// article and the name. It returns true without names, as for an import.
 func beginsWithAny(doc *ast.CommentGroup, names []string, isType bool) bool {
 	for _, name := range names {
 		if beginsWith(doc, name) {
@@ -115,8 +115,8 @@
 	return len(names) == 0
 }
 
-// beginsWith tells whether a comment's first words are these. A comment that isn't
-// there, or holds directives alone, says nothing wrong.
+// beginsWith reports whether a comment's first words are the given ones. It returns true for a
+// missing comment and for one that holds only directives.
 func beginsWith(doc *ast.CommentGroup, words string) bool {
 	if doc == nil {
 		return true
--- a/internal/tools/doccheck/rule_test.go
+++ b/internal/tools/doccheck/rule_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// reported gives the texts of what the rule finds in a source, each with its line.
+// reported returns the findings of misnamed in a source, as text.
 func reported(t *testing.T, path, source string) []string {
 	t.Helper()
 	files := token.NewFileSet()
@@ -21,7 +21,7 @@
 	return lines
 }
 
-func TestCommentsThatNameTheirItemPass(t *testing.T) {
+func TestMisnamed_AcceptsCommentsThatNameTheirItem(t *testing.T) {
 	for _, source := range []string{
 		"// Desk is one.\ntype Desk struct{}",
 		"// A Desk is one.\ntype Desk struct{}",
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestCommentsThatNameAnotherItemAreReported(t *testing.T) {
+func TestMisnamed_ReportsOtherFirstWords(t *testing.T) {
 	for _, source := range []string{
 		"// Desk is one.\ntype Dispatcher struct{}",
 		"// desk is one.\ntype dispatcher struct{}",
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestReportsNameThePlaceTheItemAndTheWords(t *testing.T) {
+func TestMisnamed_ReportsPositionItemAndFirstWords(t *testing.T) {
 	is := is.New(t)
 	source := "package sample\n\n// Desk is what hands out\n// the work of a day.\ntype Dispatcher struct{}\n"
 	is.Equal(reported(t, "internal/sample/x.go", source), []string{
@@ -74,7 +74,7 @@
 	})
 }
 
-func TestPackageCommentsNameTheirPackage(t *testing.T) {
+func TestMisnamed_PackageComments(t *testing.T) {
 	for source, want := range map[string]int{
 		"// Package sample is one.\npackage sample":        0,
 		"// Package samples is one.\npackage sample":       1,
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestOnlyTestFunctionsMayHaveCommentsInProse(t *testing.T) {
+func TestMisnamed_ExemptsOnlyTestFunctions(t *testing.T) {
 	is := is.New(t)
 	const prose = "// Whatever is lost comes back.\n"
 	test := "package sample\n\n" + prose + "func TestLoss(t *testing.T) {}\n"
--- a/internal/tools/knownred/doc.go
+++ b/internal/tools/knownred/doc.go
@@ -1,8 +1,8 @@
-// Package knownred judges a test run by the list of tests that are known to fail
-// (KNOWN-RED.txt). CI passes only if every failed test is listed, every listed test ran
-// and failed, and every package came to its end: a fault that was mended or a test that
-// no longer runs must be taken off the list.
+// Package knownred evaluates a test run against the list of tests that are known to fail
+// (KNOWN-RED.txt). CI passes only if every failed test is listed, every listed test ran and failed,
+// and every package ran to completion. A test that was fixed or no longer runs must therefore be
+// removed from the list.
 //
-// It reads the events of `go test -json` and runs no tests itself; the command judge
-// does. It never changes the list.
+// The package reads the events of `go test -json`. It neither runs tests, which the command judge
+// does, nor changes the list. Its tests are beside the code.
 package knownred
--- a/internal/tools/knownred/judge.go
+++ b/internal/tools/knownred/judge.go
@@ -8,7 +8,7 @@
 	"io"
 )
 
-// testEvent is a line of `go test -json`; `go doc test2json` describes it.
+// testEvent is one event of `go test -json`, as documented by `go doc test2json`.
 type testEvent struct {
 	Action  string `json:"Action"`
 	Package string `json:"Package"`
@@ -16,8 +16,8 @@
 	Output  string `json:"Output"`
 }
 
-// The actions of events that count here. The last three are also the results of tests
-// and packages; the result of one that has none yet is empty.
+// Actions of test events. The last three are also the results of tests and packages; the result is
+// empty until the test or package ends.
 const (
 	actionRun    = "run"
 	actionOutput = "output"
@@ -26,16 +26,16 @@
 	actionSkip   = "skip"
 )
 
-// Judge follows a test run and judges it.
+// Judge collects the events of a test run and evaluates them.
 type Judge struct {
 	out      io.Writer
 	packages map[string]*packageRun
 }
 
-// New makes a judge that prints to out what go test would print.
+// New returns a Judge that prints to out what go test would print.
 func New(out io.Writer) *Judge { return &Judge{out: out, packages: map[string]*packageRun{}} }
 
-// Follow reads the events of a run to its end.
+// Follow reads the events of a run until EOF.
 func (j *Judge) Follow(run io.Reader) error {
 	lines := bufio.NewReader(run)
 	for {
@@ -52,7 +52,7 @@
 	}
 }
 
-// handleLine takes an event; lines that aren't JSON, and those of a build, are printed.
+// handleLine handles one line of output. It prints lines that aren't JSON, and build output.
 func (j *Judge) handleLine(line string) {
 	var e testEvent
 	if json.Unmarshal([]byte(line), &e) != nil {
--- a/internal/tools/knownred/judge/main.go
+++ b/internal/tools/knownred/judge/main.go
@@ -1,5 +1,7 @@
-// Command judge runs a go test command, prints what it prints, and fails unless the
-// failed tests are just those of a list: judge LIST COMMAND.
+// Command judge runs a go test command, prints its output, and fails unless exactly the listed tests
+// failed.
+//
+// Usage: judge LIST COMMAND
 package main
 
 import (
@@ -23,7 +25,7 @@
 	}
 }
 
-// run runs a command and judges it by the list in a file.
+// run runs a command and evaluates it by the list in a file.
 func run(listPath, command string) error {
 	list, err := readList(listPath)
 	if err != nil {
@@ -39,15 +41,15 @@
 		fmt.Println("known red: " + line)
 	}
 	for _, line := range verdict.Objections {
-		fmt.Println("against: " + line)
+		fmt.Println("problem: " + line)
 	}
 	if len(verdict.Objections) > 0 {
-		return fmt.Errorf("%d against the run", len(verdict.Objections))
+		return fmt.Errorf("%d problems with the test run", len(verdict.Objections))
 	}
 	return nil
 }
 
-// readList reads a list; one that doesn't exist is empty.
+// readList reads a list. A missing file is an empty list.
 func readList(path string) ([]knownred.Entry, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -60,8 +62,8 @@
 	return list, nil
 }
 
-// follow runs a command with the flag -json, hands its events to the judge, and gives
-// its exit code; -1 if it didn't exit by itself.
+// follow runs a command with the flag -json, passes its events to judge and returns its exit code,
+// or -1 if a signal ended it.
 func follow(judge *knownred.Judge, command string) (exit int, err error) {
 	cmd := exec.Command("bash", "-c", command+" -json")
 	cmd.Stderr = os.Stderr
@@ -75,7 +77,7 @@
 	if err := judge.Follow(events); err != nil {
 		return 0, err
 	}
-	// A failed run is an error here; the exit code says all that the judge weighs.
+	// Wait returns an error for a failed run, which the exit code covers.
 	_ = cmd.Wait()
 	return cmd.ProcessState.ExitCode(), nil
 }
--- a/internal/tools/knownred/list.go
+++ b/internal/tools/knownred/list.go
@@ -5,18 +5,17 @@
 	"strings"
 )
 
-// fieldsPerLine are the test, the cause and the issue.
+// fieldsPerLine is the number of fields of an entry: the test, the cause and the issue.
 const fieldsPerLine = 3
 
-// Entry is one test that is known to fail. Test is package.TestName, with /subtest.
+// Entry is one test that is known to fail. Test is package.TestName or package.TestName/subtest.
 type Entry struct{ Test, Cause, Issue string }
 
-// String gives the entry as a line of the list.
+// String returns the entry as a line of the list.
 func (e Entry) String() string { return fmt.Sprintf("%s | %s | %s", e.Test, e.Cause, e.Issue) }
 
-// Read reads a list: `package.TestName | cause | issue`, one a line; empty lines and
-// lines that start with # are passed over. Any other line is an error, as an entry that
-// can't be read would go unseen.
+// Read parses a list with one entry per line: `package.TestName | cause | issue`. It skips empty
+// lines and lines that start with #, and returns an error for any other line.
 func Read(raw string) ([]Entry, error) {
 	var entries []Entry
 	seen := map[string]bool{}
@@ -38,14 +37,15 @@
 	return entries, nil
 }
 
+// parseEntry parses one line of the list.
 func parseEntry(line string) (Entry, error) {
 	fields := strings.Split(line, "|")
 	if len(fields) != fieldsPerLine {
-		return Entry{}, fmt.Errorf("want `package.TestName | cause | issue`, not %q", line)
+		return Entry{}, fmt.Errorf("want `package.TestName | cause | issue`, got %q", line)
 	}
 	entry := Entry{strings.TrimSpace(fields[0]), strings.TrimSpace(fields[1]), strings.TrimSpace(fields[2])}
 	if entry.Test == "" || entry.Cause == "" || entry.Issue == "" {
-		return Entry{}, fmt.Errorf("the test, its cause or its issue is missing")
+		return Entry{}, fmt.Errorf("missing test, cause or issue")
 	}
 	return entry, nil
 }
--- a/internal/tools/knownred/package_run.go
+++ b/internal/tools/knownred/package_run.go
@@ -7,19 +7,19 @@
 	"strings"
 )
 
-// packageRun is the state of one package's tests.
+// packageRun is the state of the tests of one package.
 type packageRun struct {
-	// result is that of the package, empty until it ended.
+	// result is the package's result; empty until the package ends.
 	result string
-	// tests holds each test's result, empty while it runs.
+	// tests holds the result of each test by name; empty while the test runs.
 	tests   map[string]string
 	outputs []testEvent
-	// finished says that the test binary ended by itself and printed its last line. One
-	// that panicked, ran out of time or exited leaves later tests unrun, and prints none.
+	// finished reports whether the test binary printed its final FAIL line. A binary that
+	// panicked, timed out or called os.Exit prints none, and may not have run all tests.
 	finished bool
 }
 
-// handleEvent takes an event of the package, and prints the package once it ended.
+// handleEvent handles an event of the package, and prints the package's output when it ends.
 func (p *packageRun) handleEvent(e testEvent, out io.Writer) {
 	switch e.Action {
 	case actionOutput:
@@ -37,14 +37,14 @@
 	}
 }
 
-// setResult sets a test's result. With -count over 1 a test that failed once has failed.
+// setResult sets a test's result. A failure is kept, as with -count a test runs more than once.
 func (p *packageRun) setResult(test, result string) {
 	if p.tests[test] != actionFail {
 		p.tests[test] = result
 	}
 }
 
-// print prints the package's last line, and for a failed one all of its output.
+// print prints the last line of a package that passed, or the whole output of one that failed.
 func (p *packageRun) print(out io.Writer) {
 	for _, e := range p.outputs {
 		hidden := p.result != actionFail && (e.Test != "" || e.Output == "PASS\n")
@@ -55,8 +55,8 @@
 	p.outputs = nil
 }
 
-// incompleteReason says why the package's results can't be relied on; empty if they
-// can.
+// incompleteReason returns why the package's results are incomplete or inconsistent; empty if they
+// are neither.
 func (p *packageRun) incompleteReason() string {
 	var running []string
 	failed := false
@@ -69,13 +69,13 @@
 	slices.Sort(running)
 	switch {
 	case p.result == "":
-		return "came to no end"
+		return "did not finish"
 	case len(running) > 0:
-		return "ended in the midst of " + strings.Join(running, ", ")
+		return "ended while running " + strings.Join(running, ", ")
 	case p.result == actionFail && !p.finished:
-		return "didn't build, panicked, ran out of time or exited"
+		return "did not build, panicked, timed out or exited"
 	case p.result == actionFail && !failed:
-		return "failed without a red test"
+		return "failed without a failed test"
 	}
 	return ""
 }
--- a/internal/tools/knownred/verdict.go
+++ b/internal/tools/knownred/verdict.go
@@ -6,20 +6,20 @@
 	"slices"
 )
 
-// exitTestsFailed is the exit code of go test when a package failed.
+// exitTestsFailed is the exit code of go test if a package failed.
 const exitTestsFailed = 1
 
-// Verdict is the outcome of a run: the failures that the list lets pass, and all that
-// speaks against the run. A run passes without objections.
+// Verdict is the result of a run: the failures that are listed, and the reasons to fail the run. A
+// run without Objections passes.
 type Verdict struct{ KnownFailures, Objections []string }
 
+// object adds an objection.
 func (v *Verdict) object(format string, args ...any) {
 	v.Objections = append(v.Objections, fmt.Sprintf(format, args...))
 }
 
-// Verdict judges the run by the list and by the exit code of go test. A name stands for
-// itself alone: a failed subtest and its parent are two entries, as the events don't say
-// whether the parent failed by itself as well.
+// Verdict evaluates the run by the list and by the exit code of go test. A failed subtest and its
+// parent need an entry each, as the events don't show whether the parent also failed by itself.
 func (j *Judge) Verdict(list []Entry, exit int) Verdict {
 	var v Verdict
 	j.judgePackages(&v)
@@ -28,7 +28,7 @@
 	return v
 }
 
-// judgePackages objects to packages whose results are incomplete.
+// judgePackages objects to packages with incomplete results.
 func (j *Judge) judgePackages(v *Verdict) {
 	for _, name := range slices.Sorted(maps.Keys(j.packages)) {
 		if reason := j.packages[name].incompleteReason(); reason != "" {
@@ -37,8 +37,7 @@
 	}
 }
 
-// judgeTests objects to listed tests that didn't fail, and to failed tests that aren't
-// listed.
+// judgeTests objects to listed tests that did not fail and to failed tests that are not listed.
 func (j *Judge) judgeTests(v *Verdict, list []Entry) {
 	results := j.testResults()
 	listed := map[string]bool{}
@@ -46,21 +45,21 @@
 		listed[entry.Test] = true
 		switch result, ran := results[entry.Test]; {
 		case !ran:
-			v.object("%s is listed as red, but didn't run", entry.Test)
+			v.object("%s is listed as known to fail, but did not run", entry.Test)
 		case result == actionFail:
 			v.KnownFailures = append(v.KnownFailures, entry.String())
 		case result != "":
-			v.object("%s is listed as red, but ended with %q", entry.Test, result)
+			v.object("%s is listed as known to fail, but its result is %q", entry.Test, result)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(results)) {
 		if results[name] == actionFail && !listed[name] {
-			v.object("%s is red and not listed", name)
+			v.object("%s failed and is not listed", name)
 		}
 	}
 }
 
-// testResults gives the result of each test, by package.TestName.
+// testResults returns the result of each test, by package.TestName.
 func (j *Judge) testResults() map[string]string {
 	results := map[string]string{}
 	for name, p := range j.packages {
@@ -71,8 +70,8 @@
 	return results
 }
 
-// judgeExit objects to an exit code that the events don't explain, as that of a package
-// that can't be found.
+// judgeExit objects to an exit code that the events don't explain, such as that for a package that
+// can't be found.
 func (j *Judge) judgeExit(v *Verdict, exit int) {
 	failed := 0
 	for _, p := range j.packages {
@@ -84,6 +83,6 @@
 	case len(j.packages) == 0:
 		v.object("no package was tested")
 	case exit != 0 && (exit != exitTestsFailed || failed == 0), exit == 0 && failed > 0:
-		v.object("go test ended with %d and %d failed packages", exit, failed)
+		v.object("go test exited with code %d and %d failed packages", exit, failed)
 	}
 }
--- a/internal/tools/ratchet/doc.go
+++ b/internal/tools/ratchet/doc.go
@@ -1,7 +1,8 @@
-// Package ratchet compares what a check found with the list of folders that aren't
-// clean yet. A finding in a folder that isn't listed is a complaint, and so is a listed
-// folder without findings; so a clean folder stays clean, and a list only shrinks.
+// Package ratchet compares the findings of a check with the list of folders that still fail it. A
+// finding in a folder that isn't listed is an error, and so is a listed folder without findings.
+// Clean folders thus stay clean, and the list only shrinks.
 //
-// It reads lists (.ci/unclean-*.txt) and compares; it runs no check itself. The command
-// lint does so for golangci-lint, the tests of doccheck for doc comments.
+// The package reads lists (.ci/unclean-*.txt) and compares; it runs no check itself. Its users are
+// the command lint, for golangci-lint, and the tests of package doccheck, for doc comments. Its
+// tests are beside the code.
 package ratchet
--- a/internal/tools/ratchet/lint/main.go
+++ b/internal/tools/ratchet/lint/main.go
@@ -1,5 +1,7 @@
-// Command lint judges a JSON report of golangci-lint by the list of folders that
-// aren't clean yet: lint LIST REPORT.
+// Command lint compares a JSON report of golangci-lint with the list of folders that still have
+// findings (package ratchet).
+//
+// Usage: lint LIST REPORT
 package main
 
 import (
@@ -13,7 +15,7 @@
 	"dunlinwell/internal/tools/ratchet"
 )
 
-// report is the part of golangci-lint's JSON report that is read here.
+// report holds the fields used of golangci-lint's JSON report.
 type report struct {
 	Issues []issue
 	Report struct {
@@ -33,16 +35,16 @@
 	}
 }
 
-// linter tells of one check whether it was run.
+// linter is one linter of the report, with whether it ran.
 type linter struct {
 	Name    string
 	Enabled bool
 }
 
-// warning tells of something that golangci-lint could not do.
+// warning is a problem that golangci-lint had during the run.
 type warning struct{ Tag, Text string }
 
-// findings reads a report, and refuses one of a run that wasn't whole.
+// findings reads a report, and returns an error if the run was incomplete.
 func findings(in io.Reader) ([]ratchet.Finding, error) {
 	var r report
 	if err := json.NewDecoder(in).Decode(&r); err != nil {
@@ -52,7 +54,7 @@
 		return nil, errors.New(r.Report.Error)
 	}
 	if len(r.Report.Warnings) > 0 {
-		return nil, fmt.Errorf("the linters warn: %v", r.Report.Warnings)
+		return nil, fmt.Errorf("golangci-lint reported warnings: %v", r.Report.Warnings)
 	}
 	enabled := 0
 	for _, l := range r.Report.Linters {
@@ -61,7 +63,7 @@
 		}
 	}
 	if enabled == 0 {
-		return nil, errors.New("the report names no linter that ran")
+		return nil, errors.New("no linter in the report ran")
 	}
 	var found []ratchet.Finding
 	for _, i := range r.Issues {
@@ -70,7 +72,7 @@
 	return found, nil
 }
 
-// judge gives the complaints about a report, both files being named by their paths.
+// judge compares the report with the list, and returns the result of ratchet.Compare.
 func judge(listPath, reportPath string) ([]string, error) {
 	list, err := os.Open(listPath)
 	if err != nil {
@@ -98,15 +100,15 @@
 		fmt.Fprintln(os.Stderr, "usage: lint LIST REPORT")
 		os.Exit(2)
 	}
-	complaints, err := judge(os.Args[1], os.Args[2])
+	problems, err := judge(os.Args[1], os.Args[2])
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "lint:", err)
 		os.Exit(2)
 	}
-	for _, complaint := range complaints {
-		fmt.Println(complaint)
+	for _, problem := range problems {
+		fmt.Println(problem)
 	}
-	if len(complaints) > 0 {
+	if len(problems) > 0 {
 		os.Exit(1)
 	}
 }
--- a/internal/tools/ratchet/lint/main_test.go
+++ b/internal/tools/ratchet/lint/main_test.go
@@ -13,22 +13,22 @@
 const goodReport = `{"Issues":[{"FromLinter":"revive","Text":"no comment","Pos":{"Filename":"internal/a/x.go","Line":7}}],
 	"Report":{"Linters":[{"Name":"revive","Enabled":true},{"Name":"lll"}]}}`
 
-func TestJudgeGoesByTheList(t *testing.T) {
+func TestJudge_ComparesReportWithList(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
 	list, report := filepath.Join(folder, "list"), filepath.Join(folder, "report")
 	is.NoErr(os.WriteFile(report, []byte(goodReport), 0o600))
 	is.NoErr(os.WriteFile(list, []byte("internal/a: revive\n"), 0o600))
-	complaints, err := judge(list, report)
+	problems, err := judge(list, report)
 	is.NoErr(err)
-	is.Equal(len(complaints), 0)
+	is.Equal(len(problems), 0)
 	is.NoErr(os.WriteFile(list, nil, 0o600))
-	complaints, err = judge(list, report)
+	problems, err = judge(list, report)
 	is.NoErr(err)
-	is.Equal(complaints, []string{"internal/a/x.go:7: revive: no comment"})
+	is.Equal(problems, []string{"internal/a/x.go:7: revive: no comment"})
 }
 
-func TestFindingsRefusesARunThatWasNotWhole(t *testing.T) {
+func TestFindings_RejectsIncompleteRun(t *testing.T) {
 	for _, report := range []string{
 		"", "{}", `{"Issues":[],"Report":{"Linters":[{"Name":"revive"}]}}`,
 		`{"Issues":[],"Report":{"Error":"panic","Linters":[{"Name":"revive","Enabled":true}]}}`,
--- a/internal/tools/ratchet/ratchet.go
+++ b/internal/tools/ratchet/ratchet.go
@@ -10,25 +10,25 @@
 	"strings"
 )
 
-// Entry excuses one check in one folder, but not in the folders below it.
+// Entry permits the findings of one check in one folder, but not in its subfolders.
 type Entry struct{ Folder, Check string }
 
-// Finding is one report of a check on a file.
+// Finding is one problem that a check reports in a file.
 type Finding struct {
-	// File is the path from the module's root, with slashes.
+	// File is the slash-separated path relative to the module's root.
 	File  string
 	Line  int
 	Check string
 	Text  string
 }
 
-// String gives the finding as compilers print theirs.
+// String returns the finding in the format of compiler errors.
 func (f Finding) String() string {
 	return fmt.Sprintf("%s:%d: %s: %s", f.File, f.Line, f.Check, f.Text)
 }
 
-// Read reads a list: each line names a folder and, after a colon, the checks that
-// still fail there. Empty lines and lines that begin with # are passed over.
+// Read parses a list: each line holds a folder and, after a colon, the checks that still fail there.
+// It skips empty lines and lines that begin with #.
 func Read(list io.Reader) ([]Entry, error) {
 	var entries []Entry
 	lines := bufio.NewScanner(list)
@@ -40,12 +40,12 @@
 		folder, checks, found := strings.Cut(line, ":")
 		names := strings.Fields(checks)
 		if !found || len(names) == 0 || folder != path.Clean(folder) || strings.ContainsAny(folder, " \t") {
-			return nil, fmt.Errorf("not `folder: check ...`: %s", line)
+			return nil, fmt.Errorf("want `folder: check ...`, got %q", line)
 		}
 		for _, name := range names {
 			entry := Entry{Folder: folder, Check: name}
 			if slices.Contains(entries, entry) {
-				return nil, fmt.Errorf("listed twice: %s: %s", folder, name)
+				return nil, fmt.Errorf("duplicate entry %s: %s", folder, name)
 			}
 			entries = append(entries, entry)
 		}
@@ -53,27 +53,27 @@
 	return entries, lines.Err()
 }
 
-// Compare lists what speaks against a run: each finding that no entry excuses, and
-// each entry that excuses nothing.
+// Compare returns the findings that no entry permits and the entries that have no finding, as
+// messages.
 func Compare(entries []Entry, findings []Finding) []string {
 	needed := map[Entry]bool{}
-	var complaints []string
+	var problems []string
 	for _, finding := range slices.SortedFunc(slices.Values(findings), byPlace) {
 		entry := Entry{Folder: path.Dir(finding.File), Check: finding.Check}
 		needed[entry] = true
 		if !slices.Contains(entries, entry) {
-			complaints = append(complaints, finding.String())
+			problems = append(problems, finding.String())
 		}
 	}
 	for _, entry := range entries {
 		if !needed[entry] {
-			complaints = append(complaints, fmt.Sprintf("%s: %s is listed as unclean but finds nothing: take it off the list", entry.Folder, entry.Check))
+			problems = append(problems, fmt.Sprintf("%s: %s is listed as unclean but has no findings: remove it from the list", entry.Folder, entry.Check))
 		}
 	}
-	return complaints
+	return problems
 }
 
-// byPlace orders findings by file and line.
+// byPlace compares findings by file, line and text.
 func byPlace(a, b Finding) int {
 	return cmp.Or(cmp.Compare(a.File, b.File), cmp.Compare(a.Line, b.Line), cmp.Compare(a.Text, b.Text))
 }
