--- a/internal/testsupport/checker/configuration_in_force_test.go
+++ b/internal/testsupport/checker/configuration_in_force_test.go
@@ -9,9 +9,8 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// TestRequestsByOldConfiguration_JudgesBySendTime: an execution is judged by the configuration in
-// force when its bytes left the proxy. That they then wait in the socket of a frozen target is no
-// fault of the proxy.
+// TestRequestsByOldConfiguration_JudgesBySendTime checks that an execution is compared with the
+// configuration in force when its bytes left the proxy, not when a frozen target read them.
 func TestRequestsByOldConfiguration_JudgesBySendTime(t *testing.T) {
 	at := func(s float64) time.Time { return time.Unix(0, int64(s*1e9)) }
 	for name, c := range map[string]struct {
@@ -20,25 +19,25 @@
 		judged    int
 		want      int
 	}{
-		"left before the change, ran at once":          {9, 9, "old", 1, 0},
-		"left before the change, ran long after":       {9, 20, "old", 1, 0},
-		"left within 3 s of it, ran long after":        {12.9, 20, "old", 1, 0},
-		"left past 3 s after it, ran at once":          {13.1, 13.1, "old", 1, 1},
-		"left past 3 s after it, ran long after":       {13.1, 20, "old", 1, 1},
-		"left by the change, before it, as none could": {9, 20, "new", 1, 1},
-		"left by the change":                           {13.1, 20, "new", 1, 0},
-		"nobody knows when it left, ran past 3 s":      {0, 13.1, "old", 1, 1},
-		"left before any change was in force":          {2, 20, "old", 0, 0},
+		"sent before the change, executed at once":      {9, 9, "old", 1, 0},
+		"sent before the change, executed long after":   {9, 20, "old", 1, 0},
+		"sent within 3 s after it, executed long after": {12.9, 20, "old", 1, 0},
+		"sent over 3 s after it, executed at once":      {13.1, 13.1, "old", 1, 1},
+		"sent over 3 s after it, executed long after":   {13.1, 20, "old", 1, 1},
+		"sent by the change before it existed":          {9, 20, "new", 1, 1},
+		"sent by the change":                            {13.1, 20, "new", 1, 0},
+		"send time unknown, executed over 3 s after it": {0, 13.1, "old", 1, 1},
+		"sent before any change was in force":           {2, 20, "old", 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			var w Checker
 			for n, service := range []string{"old", "new"} {
 				asked := at(float64(10 * n))
-				id := w.ChangeSent([]byte(`{"id":"to-`+service+`","changes":[{"kind":"route","name":"way","put":{"service":"`+service+`","repeatable":true}}]}`), asked)
+				id := w.ChangeSent([]byte(`{"id":"to-`+service+`","changes":[{"kind":"route","name":"orders","put":{"service":"`+service+`","repeatable":true}}]}`), asked)
 				w.ChangeAccepted(id, uint64(n+1), asked)
 			}
-			r := Execution{At: at(c.ran), Service: c.service, Route: "way"}
+			r := Execution{At: at(c.ran), Service: c.service, Route: "orders"}
 			if c.sent != 0 {
 				r.Sent = at(c.sent)
 			}
--- a/internal/testsupport/compat/answers_test.go
+++ b/internal/testsupport/compat/answers_test.go
@@ -19,8 +19,7 @@
 	"dunlinwell/platform"
 )
 
-// answering gives a server of calls that a stand-in for the registry answers from
-// a configuration, and the configuration.
+// answering returns an API server backed by a fake registry that holds the sample configuration.
 func answering(t *testing.T) *api.Server {
 	t.Helper()
 	values, _ := writeSample(t, memorydisk.Disk{})
@@ -56,8 +55,8 @@
 	return w
 }
 
-// call sends one call to a handler and notes the answer, with the headers that
-// callers read.
+// call sends a request to a handler, and returns the status, the headers that clients read and the
+// body of the response.
 func call(handler http.Handler, method, path, body string) string {
 	rw := httptest.NewRecorder()
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
@@ -71,7 +70,7 @@
 	return fmt.Sprintf("%d%s %s", rw.Code, head, strings.TrimSpace(rw.Body.String()))
 }
 
-// ownCalls are calls of our own interface, as method, path and body.
+// ownCalls holds requests to dunlinwell's own API, as method, path and body.
 var ownCalls = [][3]string{
 	{"GET", "/v1/policy", ""},
 	{"GET", "/v1/revision", ""},
@@ -102,8 +101,8 @@
 	{"GET", "/readyz", ""},
 }
 
-// Each page of our own interface answers as it did.
-func TestAnswersOfOurOwnInterface(t *testing.T) {
+// TestAPI_Responses checks that the responses of dunlinwell's own API are unchanged.
+func TestAPI_Responses(t *testing.T) {
 	m := http.NewServeMux()
 	daemon.HandleHealth(m, func() (bool, any) { return false, map[string]bool{"ready": false} })
 	m.Handle("/v1/", answering(t).Handler())
@@ -114,14 +113,14 @@
 	checkGolden(t, "answers.txt", got)
 }
 
-// platformSettings are settings with every field that is read.
+// platformSettings holds settings of the platform with every field that the program reads.
 const platformSettings = `{"node_name":"node-1","ip_address":"10.0.0.1","zone_name":"north","region_name":"isle","zones":{"north":"isle","south":"land"},
 "listen_addresses":{"control_address":"10.0.0.1:8166","directory_address":"10.0.0.1:8165","front_address":"10.0.0.1:8161","readiness":"10.0.0.1:8167"},
 "internal_ports":[7720,7735],"seed_nodes":["10.0.0.1:8166","10.0.0.2:8166","10.0.0.3:8166"],"data_directory":"/data","initial_start":true,
 "limits":{"memory_mb":300},"tolerated_losses":{"machine_losses":2},"heartbeat_interval_s":1.5,
 "rule_bounds":["grace_period_s=7","ttl_max_s=1.25","retry_budget_slack=50"]}`
 
-// platformCalls are calls of the platform's interface, by the listener they come to.
+// platformCalls holds requests to the platform's API, with the listener that receives them.
 var platformCalls = []struct{ listener, method, path, body string }{
 	{"10.0.0.1:8166", "PUT", "/instances/t-1", `{"service":"ledger","address":"10.0.0.5:80","zone_name":"north","slot_count":4,"call_sequence":9,"cold_remaining_s":1.5,"server_state":"draining"}`},
 	{"10.0.0.1:8166", "PUT", "/instances/t-1", `{}`},
@@ -137,8 +136,8 @@
 	{"10.0.0.1:8165", "GET", "/resolve?zone_name=north&name=Orders", ""},
 }
 
-// The platform's settings come through to the options of each daemon, and its
-// interface answers as it did.
+// TestPlatform checks that each daemon's options derived from the platform's settings, and the
+// responses of the platform's API, are unchanged.
 func TestPlatform(t *testing.T) {
 	is := is.New(t)
 	s, err := platform.ParseSettings([]byte(platformSettings))
--- a/internal/testsupport/compat/core_test.go
+++ b/internal/testsupport/compat/core_test.go
@@ -13,19 +13,19 @@
 	"dunlinwell/internal/state/storage"
 )
 
-// coreAddresses are those of the three stores.
+// coreAddresses holds the addresses of the three stores.
 var coreAddresses = []ids.Address{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}
 
-// clientAddress is where answers to orders go.
+// clientAddress is the address that responses to operations are sent to.
 const clientAddress = ids.Address("10.0.0.99:1")
 
-// letter is a message on its way.
+// letter is a message in transit.
 type letter struct {
 	from, to ids.Address
 	msg      any
 }
 
-// core is three stores on real storage, with a network that loses nothing.
+// core is a cluster of three stores on real storage, with a lossless network.
 type core struct {
 	now     ids.Time
 	stores  map[ids.Address]*store.Store
@@ -34,7 +34,7 @@
 	answers map[uint64]consensus.Response
 }
 
-// newCore starts three stores on blank folders, the first on a given one.
+// newCore starts three stores on empty folders, the first one on folder.
 func newCore(t *testing.T, folder string) *core {
 	t.Helper()
 	c := &core{now: ids.Time(time.Second), stores: map[ids.Address]*store.Store{}, disks: map[ids.Address]*storage.Database{}, answers: map[uint64]consensus.Response{}}
@@ -56,7 +56,7 @@
 	return c
 }
 
-// close lets go of all folders.
+// close closes the databases of all stores.
 func (c *core) close(t *testing.T) {
 	t.Helper()
 	for _, disk := range c.disks {
@@ -66,7 +66,7 @@
 	}
 }
 
-// perform does what a store wants done.
+// perform executes commands of the store at an address.
 func (c *core) perform(t *testing.T, at ids.Address, commands []event.Command) {
 	t.Helper()
 	for _, command := range commands {
@@ -83,12 +83,12 @@
 	}
 }
 
-// run lets time pass until something holds, or gives up.
+// run advances the time until a condition holds, and fails the test after 20 s of simulated time.
 func (c *core) run(t *testing.T, until func() bool) {
 	t.Helper()
 	for end := c.now.Add(20 * time.Second); !until(); c.now = c.now.Add(20 * time.Millisecond) {
 		if c.now > end {
-			t.Fatal("it takes too long")
+			t.Fatal("condition not reached in 20 s of simulated time")
 		}
 		for _, address := range coreAddresses {
 			c.perform(t, address, c.stores[address].Step(c.now, event.Tick{}))
@@ -97,7 +97,7 @@
 	}
 }
 
-// deliver hands over all messages that are on their way.
+// deliver delivers all messages in transit.
 func (c *core) deliver(t *testing.T) {
 	t.Helper()
 	for len(c.queue) > 0 {
@@ -111,7 +111,7 @@
 	}
 }
 
-// order sends an order to the first store and waits for its answer.
+// order sends an operation to the first store and waits for its success.
 func (c *core) order(t *testing.T, o order) {
 	t.Helper()
 	id := uint64(len(c.answers) + 1)
--- a/internal/testsupport/compat/doc.go
+++ b/internal/testsupport/compat/doc.go
@@ -1,7 +1,7 @@
-// Package compat holds the tests that keep what leaves the program the same
-// from one version to the next: the frames sent between processes, the records
-// on disk, the answers in JSON, the settings and the folders that an earlier
-// version wrote. The expected bytes stand in testdata; running the tests with
-// -update writes them anew, which is right only when a format is meant to
-// change.
+// Package compat tests that the program's external formats stay compatible between versions: frames
+// between processes, records on disk, JSON, flags and settings, metrics, and the data folders that
+// earlier versions wrote.
+//
+// The package holds only tests. The expected output is in testdata. Running the tests with -update
+// rewrites it, which is right only for an intended change of a format.
 package compat
--- a/internal/testsupport/compat/filler_test.go
+++ b/internal/testsupport/compat/filler_test.go
@@ -8,19 +8,17 @@
 	"time"
 )
 
-// filler gives every field of a value content that differs from that of any
-// other field, in the order in which the fields stand.
+// filler sets the fields of a value, in order, to contents that differ from field to field.
 type filler struct {
 	position uint64
-	// alternate makes every second bool false, so that neighbours differ; for
-	// forms that leave out what is false all are true.
+	// alternate sets every second bool to false, so that neighbours differ. Without it all are
+	// true, for encodings that omit false.
 	alternate bool
-	// open holds the structs that are being filled, so that a type that holds
-	// itself is filled one level deep.
+	// open holds the struct types being filled, to end the recursion in recursive types.
 	open map[reflect.Type]bool
 }
 
-// filledMessage gives a message as it stands in the golden file of the wire.
+// filledMessage returns the message of a type as it is encoded in testdata/wire.txt.
 func filledMessage(t *testing.T, of reflect.Type) any {
 	t.Helper()
 	v := reflect.New(of).Elem()
@@ -29,13 +27,13 @@
 	return v.Interface()
 }
 
-// next counts the fields.
+// next returns the position of the next field.
 func (f *filler) next() uint64 {
 	f.position++
 	return f.position
 }
 
-// fill fills a value by its kind.
+// fill sets a value according to its kind.
 func (f *filler) fill(t *testing.T, v reflect.Value) {
 	t.Helper()
 	switch v.Interface().(type) {
@@ -75,11 +73,11 @@
 	case reflect.Interface:
 		v.Set(reflect.ValueOf(fmt.Sprintf("text-%d", f.next())))
 	default:
-		t.Fatalf("can't fill a %s", v.Type())
+		t.Fatalf("unsupported type %s", v.Type())
 	}
 }
 
-// number gives a number that uses the upper bytes of wide types too.
+// number returns a number that also sets an upper byte of wide types.
 func (f *filler) number(v reflect.Value) uint64 {
 	n := f.next()
 	switch v.Type().Size() {
@@ -93,7 +91,7 @@
 	return 0x0100000000 + n
 }
 
-// fillSlice gives a slice two entries.
+// fillSlice sets a slice to two elements, or to nil within its own element type.
 func (f *filler) fillSlice(t *testing.T, v reflect.Value) {
 	t.Helper()
 	v.Set(reflect.MakeSlice(v.Type(), 2, 2))
@@ -106,7 +104,7 @@
 	}
 }
 
-// fillMap gives a map two entries.
+// fillMap sets a map to two entries.
 func (f *filler) fillMap(t *testing.T, v reflect.Value) {
 	t.Helper()
 	v.Set(reflect.MakeMap(v.Type()))
@@ -118,7 +116,7 @@
 	}
 }
 
-// fillStruct fills the exported fields; a time is given whole.
+// fillStruct fills the exported fields of a struct. It sets a time.Time as a whole.
 func (f *filler) fillStruct(t *testing.T, v reflect.Value) {
 	t.Helper()
 	if v.Type() == reflect.TypeFor[time.Time]() {
--- a/internal/testsupport/compat/folder_test.go
+++ b/internal/testsupport/compat/folder_test.go
@@ -18,10 +18,9 @@
 	"dunlinwell/internal/state/storage"
 )
 
-// writeFolder names where to write the folder. The committed one was written once,
-// by commit 1724ad4, and is not to be written anew:
-// a later format gets a folder of its own.
-var writeFolder = flag.String("write-folder", "", "write a data folder with today's code to this new path, and do nothing else")
+// writeFolder is the path of a data folder to write. The committed folder was written by commit
+// 1724ad4 and must not be rewritten: a later format gets a folder of its own.
+var writeFolder = flag.String("write-folder", "", "write a data folder with the current code to this path, which must not exist")
 
 const (
 	oldFolder    = "testdata/folder-1724ad4"
@@ -29,7 +28,7 @@
 	contentName  = "content.txt"
 )
 
-// content gives what a store's folder holds, as it is read through a store.
+// content returns the contents of a data folder, as a store reads them.
 func content(t *testing.T, disk *storage.Database) map[string]string {
 	t.Helper()
 	is := is.New(t)
@@ -67,8 +66,8 @@
 	return got
 }
 
-// TestWriteFolder makes the folder that the next test reads: a store founded with
-// two others, given all sample orders.
+// TestWriteFolder writes a data folder with the current code: that of a store bootstrapped with two
+// others, after all sample operations. With -write-folder it keeps the folder.
 func TestWriteFolder(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
@@ -93,8 +92,9 @@
 	}
 }
 
-// A store takes up a folder that commit 1724ad4 wrote, and finds everything in it.
-func TestAStoreTakesUpAFolderOf1724ad4(t *testing.T) {
+// TestStore_ReadsFolderOf1724ad4 checks that a store reads everything in the data folder that commit
+// 1724ad4 wrote.
+func TestStore_ReadsFolderOf1724ad4(t *testing.T) {
 	is := is.New(t)
 	raw, err := os.ReadFile(filepath.Join(oldFolder, databaseName))
 	is.NoErr(err)
--- a/internal/testsupport/compat/golden_test.go
+++ b/internal/testsupport/compat/golden_test.go
@@ -10,10 +10,10 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew from today's code")
+var update = flag.Bool("update", false, "rewrite the golden files with the output of the current code")
 
-// checkGolden compares lines with those of a golden file: each name must stand
-// on both sides and have the same text.
+// checkGolden compares lines with those of a golden file: both must have the same names, with the
+// same texts.
 func checkGolden(t *testing.T, file string, got map[string]string) {
 	t.Helper()
 	path := filepath.Join("testdata", file)
@@ -29,14 +29,14 @@
 	for _, name := range slices.Sorted(maps.Keys(want)) {
 		text, ok := got[name]
 		if !ok {
-			t.Errorf("%s: nothing gives the line of %q any more", file, name)
+			t.Errorf("%s: no output for the line %q", file, name)
 		} else if text != want[name] {
 			t.Errorf("%s: %q\n got %s\nwant %s", file, name, text, want[name])
 		}
 	}
 }
 
-// readGolden reads a golden file: a name, a tab and a text on each line.
+// readGolden reads a golden file. Each line holds a name, a tab and a text.
 func readGolden(t *testing.T, path string) map[string]string {
 	t.Helper()
 	raw, err := os.ReadFile(path)
--- a/internal/testsupport/compat/json_test.go
+++ b/internal/testsupport/compat/json_test.go
@@ -16,8 +16,8 @@
 	"dunlinwell/internal/testsupport/testbed"
 )
 
-// jsonTypes are the types that are written to JSON or read from it, under names
-// of the golden file's own.
+// jsonTypes holds the types that are encoded to or decoded from JSON, by their names in the golden
+// file.
 var jsonTypes = map[string]reflect.Type{
 	"answer of one item":       reflect.TypeFor[api.Item](),
 	"answer of the revision":   reflect.TypeFor[api.Revision](),
@@ -39,7 +39,7 @@
 	"script of the testbed":    reflect.TypeFor[testbed.Script](),
 }
 
-// filledJSON gives a value with every field filled.
+// filledJSON returns a pointer to a value with all fields filled.
 func filledJSON(t *testing.T, of reflect.Type) any {
 	t.Helper()
 	v := reflect.New(of)
@@ -48,8 +48,8 @@
 	return v.Interface()
 }
 
-// Every type that is written to JSON or read from it has the keys that it had.
-func TestTypesInJSON(t *testing.T) {
+// TestJSON_Encoding checks that the JSON keys and encodings of all types are unchanged.
+func TestJSON_Encoding(t *testing.T) {
 	got := map[string]string{}
 	for name, of := range jsonTypes {
 		raw, err := json.Marshal(filledJSON(t, of))
@@ -61,8 +61,8 @@
 	checkGolden(t, "json.txt", got)
 }
 
-// Each golden text is read whole: written again it is the same.
-func TestJSONIsReadBack(t *testing.T) {
+// TestJSON_RoundTrip checks that decoding and encoding a golden text reproduces it.
+func TestJSON_RoundTrip(t *testing.T) {
 	for name, text := range readGolden(t, "testdata/json.txt") {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -75,7 +75,8 @@
 	}
 }
 
-// keysHaveTags reports each field that would be named in JSON by its Go name.
+// keysHaveTags reports an error for each exported field without a json tag, whose key in JSON would
+// be its Go name.
 func keysHaveTags(t *testing.T, of reflect.Type, seen map[reflect.Type]bool) {
 	t.Helper()
 	switch of.Kind() {
@@ -96,8 +97,8 @@
 	}
 }
 
-// No key in JSON follows from the Go name of a field.
-func TestKeysHaveTags(t *testing.T) {
+// TestJSON_FieldsHaveTags checks that renaming a Go field can't change a key in JSON.
+func TestJSON_FieldsHaveTags(t *testing.T) {
 	for _, of := range jsonTypes {
 		keysHaveTags(t, of, map[reflect.Type]bool{})
 	}
--- a/internal/testsupport/compat/messages_test.go
+++ b/internal/testsupport/compat/messages_test.go
@@ -14,9 +14,8 @@
 	"dunlinwell/internal/transport/process"
 )
 
-// messages holds a value of every message that other packages can name, with its
-// fields told by name: a test that fills them in order would not notice two
-// fields of one type that change places.
+// messages holds a value of every exported message type, with its fields set by name. Values filled
+// by position would not show that two fields of the same type were swapped.
 var messages = []any{
 	process.Hello{
 		Address: "text-1", AcceptsDeflated: false,
--- a/internal/testsupport/compat/metrics_test.go
+++ b/internal/testsupport/compat/metrics_test.go
@@ -13,9 +13,9 @@
 	"dunlinwell/internal/controlplane/registry"
 )
 
-// The page of metrics names a registry's figures, and their labels, as it did.
-// The figures of the program itself, which its libraries name, are left out.
-func TestMetricsOfARegistry(t *testing.T) {
+// TestMetrics_Registry checks that the names and labels of a registry's metrics are unchanged. It
+// ignores the Go and process metrics, whose names the client library defines.
+func TestMetrics_Registry(t *testing.T) {
 	is := is.New(t)
 	status := filledJSON(t, reflect.TypeFor[registry.Status]()).(*registry.Status)
 	m := http.NewServeMux()
--- a/internal/testsupport/compat/policy_test.go
+++ b/internal/testsupport/compat/policy_test.go
@@ -10,9 +10,9 @@
 	"dunlinwell/internal/testsupport/memorydisk"
 )
 
-// The configuration goes to proxies whole without its history, or as what changed since
-// a revision; both lead to the same configuration.
-func TestConfigurationForProxies(t *testing.T) {
+// TestConfiguration_ProxyEncoding checks that the encodings of the configuration for proxies, complete
+// and as the changes since a revision, are unchanged and yield the same configuration.
+func TestConfiguration_ProxyEncoding(t *testing.T) {
 	is := is.New(t)
 	values, _ := writeSample(t, memorydisk.Disk{})
 	whole, err := configuration.Decode(values[configuration.Key])
--- a/internal/testsupport/compat/records_test.go
+++ b/internal/testsupport/compat/records_test.go
@@ -15,8 +15,8 @@
 	"dunlinwell/internal/testsupport/memorydisk"
 )
 
-// writeSample has an acceptor accept the values that the sample orders lead to,
-// and gives those values and what was told of each order. Ballots count up from 1.
+// writeSample has an acceptor accept the results of the sample operations, with ballots from 1. It
+// returns the final values and the response to each operation.
 func writeSample(t *testing.T, disk memorydisk.Disk) (values map[ids.RegisterKey][]byte, answers [][]byte) {
 	t.Helper()
 	var out event.Outbox
@@ -31,7 +31,7 @@
 	for _, o := range append(sampleChanges(), sampleOthers(t)...) {
 		next, told := ops[o.op](o.key, values[o.key], o.arg)
 		if told == nil {
-			t.Fatalf("%s: nothing was told of %.80s", o.key, o.arg)
+			t.Fatalf("%s: no response to %.80s", o.key, o.arg)
 		}
 		values[o.key] = next
 		answers = append(answers, told)
@@ -47,10 +47,9 @@
 	return values, answers
 }
 
-// What a store keeps on disk has the keys and the bytes that it had: the voter
-// set, its standing, duties, idempotency keys, and the configuration as a base with
-// differences behind it, each with its checksum.
-func TestRecordsOnDisk(t *testing.T) {
+// TestRecords_Encoding checks that the keys and bytes of a store's records are unchanged: voter set,
+// disk state, leader elections, idempotency keys, and the configuration as a base with deltas.
+func TestRecords_Encoding(t *testing.T) {
 	is := is.New(t)
 	disk := memorydisk.Disk{}
 	values, answers := writeSample(t, disk)
@@ -68,8 +67,8 @@
 	is.True(strings.HasPrefix(got["record diff/policy/00000000"], "6477"))
 }
 
-// The golden records are read back to the golden values.
-func TestRecordsAreReadBack(t *testing.T) {
+// TestRecords_Decoding checks that an acceptor reads the golden values from the golden records.
+func TestRecords_Decoding(t *testing.T) {
 	is := is.New(t)
 	disk, values := memorydisk.Disk{}, map[ids.RegisterKey][]byte{}
 	for name, text := range readGolden(t, "testdata/records.txt") {
--- a/internal/testsupport/compat/sample_test.go
+++ b/internal/testsupport/compat/sample_test.go
@@ -13,15 +13,15 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// order is one operation on a register, as a client asks for it.
+// order is one operation on a register, as a client requests it.
 type order struct {
 	key ids.RegisterKey
 	op  consensus.Op
 	arg []byte
 }
 
-// many gives a change that puts more services than fit into the smallest value
-// that is kept as differences.
+// many returns a change with enough services that the register's value is stored as a base with
+// deltas.
 func many() string {
 	var parts []string
 	for i := range 80 {
@@ -30,8 +30,8 @@
 	return `{"id":"many","changes":[` + strings.Join(parts, ",") + `]}`
 }
 
-// sampleChanges are orders on the configuration: changes that are accepted and rejected,
-// one with a base in its id, items with versions of their own and orders for zones.
+// sampleChanges returns operations on the configuration: accepted and rejected changes, one with a
+// base revision in its ID, merged items with versions of their own, and evacuation of a zone.
 func sampleChanges() []order {
 	change := func(text string) order { return order{configuration.Key, configuration.OpChange, []byte(text)} }
 	merge := func(text string) order { return order{configuration.Key, configuration.OpMerge, []byte(text)} }
@@ -48,7 +48,7 @@
 	}
 }
 
-// sampleOthers are orders on the registers of duties and of idempotency keys.
+// sampleOthers returns operations on the registers of leader elections and of idempotency keys.
 func sampleOthers(t *testing.T) []order {
 	t.Helper()
 	packed := func(msg any) []byte {
--- a/internal/testsupport/compat/settings_test.go
+++ b/internal/testsupport/compat/settings_test.go
@@ -17,12 +17,12 @@
 	"dunlinwell/internal/dataplane/proxy"
 )
 
-// programs are those that read flags, with what the flags are read into.
+// programs returns the options that each program parses its flags into, by program.
 func programs() map[string]any {
 	return map[string]any{"proxy": &proxy.DaemonOptions{}, "registry": &daemon.RegistryOptions{}, "store": &daemon.StoreOptions{}, "dunlinwell": &cli.CLI{}}
 }
 
-// describe notes the flags, arguments and commands of a program.
+// describe adds the flags, arguments and commands of a program to got.
 func describe(node *kong.Node, path string, got map[string]string) {
 	for _, f := range node.Flags {
 		if f.Name != "help" {
@@ -38,7 +38,8 @@
 	}
 }
 
-// All flags, arguments and commands have the names, kinds and defaults they had.
+// TestFlags checks that the names, types and defaults of all flags, arguments and commands are
+// unchanged.
 func TestFlags(t *testing.T) {
 	got := map[string]string{}
 	for name, into := range programs() {
@@ -51,7 +52,7 @@
 	checkGolden(t, "flags.txt", got)
 }
 
-// example is a value of each flag other than its default.
+// example holds a value other than the default for each flag.
 var example = map[string]string{
 	"name": "one-1", "address": "10.0.0.1:1", "bind": "10.0.0.9:1", "http": "10.0.0.1:2", "cell": "north", "seeds": "10.0.0.1:3,10.0.0.2:3,10.0.0.3:3",
 	"http-bind": "10.0.0.9:2", "log": "warn", "max-response": "5000", "report-every": "3s", "inbox": "77", "lease": "2100ms", "consumers": "10.0.0.1:8",
@@ -59,7 +60,7 @@
 	"data": "folder", "copies": "5", "bootstrap": "true",
 }
 
-// flagsOf gives the names of the flags of a daemon's options.
+// flagsOf returns the names of a daemon's flags, except help and params.
 func flagsOf(t *testing.T, into any) []string {
 	t.Helper()
 	k, err := kong.New(into)
@@ -75,7 +76,7 @@
 	return out
 }
 
-// readWith reads a daemon's options with config.Read from words of a command line.
+// readWith reads a daemon's options by settings.Read from the arguments of a command line.
 func readWith(name string, into any, words []string) {
 	before := os.Args
 	defer func() { os.Args = before }()
@@ -83,9 +84,9 @@
 	settings.Read(name, "", into)
 }
 
-// Each flag of a daemon comes through to its options, given on the command line
-// or in a file of options, in which its name may have underscores.
-func TestSettingsOfADaemonComeThrough(t *testing.T) {
+// TestDaemonSettings_FlagsAndParamsFile checks that a daemon's options get the value of each flag,
+// from the command line and from a parameter file, where names may have underscores.
+func TestDaemonSettings_FlagsAndParamsFile(t *testing.T) {
 	got := map[string]string{}
 	for name, blank := range programs() {
 		if name == "dunlinwell" {
@@ -113,8 +114,7 @@
 	checkGolden(t, "settings.txt", got)
 }
 
-// values gives what options hold, in the order of their fields and without the
-// fields' names.
+// values returns the values of the options' fields, in order and without the fields' names.
 func values(options any) []string {
 	var out []string
 	var walk func(v reflect.Value)
--- a/internal/testsupport/compat/wire_test.go
+++ b/internal/testsupport/compat/wire_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/matryer/is"
 
-	// All that register messages.
+	// The packages that register messages.
 	_ "dunlinwell/internal/controlplane/distribution"
 	_ "dunlinwell/internal/controlplane/membership"
 	_ "dunlinwell/internal/controlplane/registry"
@@ -22,12 +22,12 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// kindName is how a kind stands in the golden file, sorting by number.
+// kindName returns the name of a kind in the golden files, which sorts by number.
 func kindName(k wire.Kind) string { return fmt.Sprintf("%05d", k) }
 
-// Every message kind goes over the wire as it did: the same number, the same
-// header and the same fields in the same order and width.
-func TestFramesOnTheWire(t *testing.T) {
+// TestFrames_Encoding checks that the kind number, the header, and the order and width of the fields
+// of every message are unchanged.
+func TestFrames_Encoding(t *testing.T) {
 	got := map[string]string{}
 	for kind, of := range wire.RegisteredKinds() {
 		raw, err := wire.Encode(filledMessage(t, of))
@@ -39,8 +39,8 @@
 	checkGolden(t, "wire.txt", got)
 }
 
-// Each kind keeps the name that metrics and the log have for it.
-func TestNamesOfKinds(t *testing.T) {
+// TestKindNames checks that the names of message kinds in metrics and the log are unchanged.
+func TestKindNames(t *testing.T) {
 	got := map[string]string{}
 	for kind := range wire.RegisteredKinds() {
 		got[kindName(kind)] = kind.Name()
@@ -48,8 +48,9 @@
 	checkGolden(t, "kind_names.txt", got)
 }
 
-// Each golden frame is read to the filled value and packs to the same again.
-func TestFramesAreReadBack(t *testing.T) {
+// TestFrames_RoundTrip checks that each golden frame is decoded to the filled message and that
+// encoding the message reproduces the frame.
+func TestFrames_RoundTrip(t *testing.T) {
 	golden := readGolden(t, "testdata/wire.txt")
 	for kind, of := range wire.RegisteredKinds() {
 		t.Run(kindName(kind), func(t *testing.T) {
@@ -68,8 +69,8 @@
 	}
 }
 
-// Each field of a message keeps its place among the others.
-func TestFieldsKeepTheirPlaces(t *testing.T) {
+// TestMessages_FieldOrder checks that the fields of a message keep their positions.
+func TestMessages_FieldOrder(t *testing.T) {
 	is := is.New(t)
 	golden := readGolden(t, "testdata/wire.txt")
 	given := map[wire.Kind]bool{}
--- a/internal/testsupport/memorydisk/disk_test.go
+++ b/internal/testsupport/memorydisk/disk_test.go
@@ -11,9 +11,9 @@
 	"dunlinwell/internal/state/storage"
 )
 
-// TestDisk_AsTheRealOne writes the same records to a disk in memory and to a real one, and reads
-// them back from both.
-func TestDisk_AsTheRealOne(t *testing.T) {
+// TestDisk_MatchesStorage checks that a Disk returns the same records as package storage after the
+// same writes.
+func TestDisk_MatchesStorage(t *testing.T) {
 	is := is.New(t)
 	real, err := storage.Open(t.TempDir())
 	is.NoErr(err)
