--- a/internal/testsupport/checker/checker.go
+++ b/internal/testsupport/checker/checker.go
@@ -90,8 +90,8 @@
 	violations        []string
 	drains            []Drain
 	recoveredAt       time.Time
-	ledger            Ledger
-	spillMoves        spillObservations
+	history           Ledger
+	spill             spillObservations
 	closedConnections []ClosedConnection
 	// departuresKnown counts targets that the control plane learned to be leaving or gone.
 	departuresKnown int
--- a/internal/testsupport/checker/configuration.go
+++ b/internal/testsupport/checker/configuration.go
@@ -38,19 +38,19 @@
 func (c *Checker) ConfigurationRead(reader string, read Configuration, floor uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ledger.reads++
+	c.history.reads++
 	if read.Revision < floor {
 		c.addViolation("%s returned revision %d after %d was known", reader, read.Revision, floor)
 	}
-	c.ledger.highestRevision = max(c.ledger.highestRevision, read.Revision)
-	for _, change := range c.ledger.changes {
+	c.history.highestRevision = max(c.history.highestRevision, read.Revision)
+	for _, change := range c.history.changes {
 		if change.Revision == 0 || change.Revision > read.Revision {
 			continue
 		}
 		// An accepted change is visible in each of its items unless a later change replaced it.
 		for item, expected := range change.Items {
 			found, ok := read.Items[item]
-			switch laterChange := c.ledger.changedLater(item, change.Revision, read.Revision); {
+			switch laterChange := c.history.changedLater(item, change.Revision, read.Revision); {
 			case ok && found.Version > change.Revision, !ok && laterChange:
 			case !ok && !expected.Remove, ok && expected.Remove, ok && found.Version < change.Revision:
 				c.addViolation("%s: %s of change %s (revision %d) reads back as version %d", reader, item, change.ID, change.Revision, found.Version)
@@ -67,7 +67,7 @@
 // checkOrigin records a violation for an item that no accepted change can have written.
 func (c *Checker) checkOrigin(reader string, item Item, found Body) {
 	touched := false
-	for _, change := range c.ledger.changes {
+	for _, change := range c.history.changes {
 		expected, ok := change.Items[item]
 		if !ok {
 			continue
--- a/internal/testsupport/checker/configuration_in_force.go
+++ b/internal/testsupport/checker/configuration_in_force.go
@@ -62,7 +62,7 @@
 // changesByRoute returns the changes of each route that were not rejected.
 func (c *Checker) changesByRoute() map[string][]*Change {
 	byRoute := map[string][]*Change{}
-	for _, change := range c.ledger.changes {
+	for _, change := range c.history.changes {
 		for item := range change.Items {
 			if item.Kind == "route" && !change.rejected {
 				byRoute[item.Name] = append(byRoute[item.Name], change)
--- a/internal/testsupport/checker/configuration_in_force_test.go
+++ b/internal/testsupport/checker/configuration_in_force_test.go
@@ -31,18 +31,18 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			var w Checker
+			var checker Checker
 			for n, service := range []string{"old", "new"} {
-				asked := at(float64(10 * n))
-				id := w.ChangeSent([]byte(`{"id":"to-`+service+`","changes":[{"kind":"route","name":"orders","put":{"service":"`+service+`","repeatable":true}}]}`), asked)
-				w.ChangeAccepted(id, uint64(n+1), asked)
+				sentAt := at(float64(10 * n))
+				id := checker.ChangeSent([]byte(`{"id":"to-`+service+`","changes":[{"kind":"route","name":"orders","put":{"service":"`+service+`","repeatable":true}}]}`), sentAt)
+				checker.ChangeAccepted(id, uint64(n+1), sentAt)
 			}
-			r := Execution{At: at(c.ran), Service: c.service, Route: "orders"}
+			execution := Execution{At: at(c.ran), Service: c.service, Route: "orders"}
 			if c.sent != 0 {
-				r.Sent = at(c.sent)
+				execution.Sent = at(c.sent)
 			}
-			w.RequestExecuted(r)
-			got := w.requestsByOldConfiguration()
+			checker.RequestExecuted(execution)
+			got := checker.requestsByOldConfiguration()
 			is.Equal(got.Judged, c.judged)
 			is.Equal(got.Violations, c.want)
 		})
--- a/internal/testsupport/checker/drain.go
+++ b/internal/testsupport/checker/drain.go
@@ -20,11 +20,12 @@
 	RestoredAt time.Time
 }
 
-// ZoneDrained records that a request to drain a zone, first sent at asked, was accepted at at.
-func (c *Checker) ZoneDrained(zone ids.Name, asked, at time.Time) {
+// ZoneDrained records that a request to drain a zone, first sent at requestedAt, was
+// accepted at acceptedAt.
+func (c *Checker) ZoneDrained(zone ids.Name, requestedAt, acceptedAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.drains = append(c.drains, Drain{Zone: zone, Asked: asked, From: at})
+	c.drains = append(c.drains, Drain{Zone: zone, Asked: requestedAt, From: acceptedAt})
 }
 
 // ZoneRestored records the end of a zone's drain. It must be called when the end is requested, as
@@ -52,14 +53,14 @@
 func (c *Checker) newWorkInDrainedZones() RuleResult {
 	result := RuleResult{Rule: "new request in a zone drained over 5 s ago"}
 	for _, drain := range c.drains {
-		in := func(zone ids.Name, at time.Time) bool {
+		violates := func(zone ids.Name, at time.Time) bool {
 			return zone == drain.Zone && at.After(drain.From.Add(drainWithin)) && (drain.To.IsZero() || at.Before(drain.To))
 		}
 		for _, execution := range c.executions {
 			if execution.At.After(drain.From.Add(drainWithin)) {
 				result.Judged++
 			}
-			if in(execution.Zone, execution.At) || in(execution.ProxyZone, execution.At) {
+			if violates(execution.Zone, execution.At) || violates(execution.ProxyZone, execution.At) {
 				result.add(fmt.Sprintf("%s in %s executed %s through %s in %s, %s after the drain", execution.Instance, execution.Zone, execution.Token, execution.Proxy, execution.ProxyZone, execution.At.Sub(drain.From).Round(time.Millisecond)))
 			}
 		}
--- a/internal/testsupport/checker/ledger.go
+++ b/internal/testsupport/checker/ledger.go
@@ -34,12 +34,12 @@
 	if err != nil {
 		return ""
 	}
-	if c.ledger.byID == nil {
-		c.ledger.byID = map[string]*Change{}
+	if c.history.byID == nil {
+		c.history.byID = map[string]*Change{}
 	}
-	change.SentAt, change.revisionFloor = at, c.ledger.highestRevision
-	c.ledger.byID[change.ID] = &change
-	c.ledger.changes = append(c.ledger.changes, &change)
+	change.SentAt, change.revisionFloor = at, c.history.highestRevision
+	c.history.byID[change.ID] = &change
+	c.history.changes = append(c.history.changes, &change)
 	return change.ID
 }
 
@@ -47,7 +47,7 @@
 func (c *Checker) ChangeRejected(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if change := c.ledger.byID[id]; change != nil {
+	if change := c.history.byID[id]; change != nil {
 		change.rejected = true
 	}
 }
@@ -57,11 +57,11 @@
 func (c *Checker) ChangeAccepted(id string, revision uint64, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	change := c.ledger.byID[id]
+	change := c.history.byID[id]
 	if change == nil || change.Revision != 0 {
 		return
 	}
-	for _, other := range c.ledger.changes {
+	for _, other := range c.history.changes {
 		if other.Revision == revision {
 			c.addViolation("revision %d was given to %s and to %s", revision, other.ID, id)
 		}
@@ -70,7 +70,7 @@
 		c.addViolation("%s got revision %d after %d was known", id, revision, change.revisionFloor)
 	}
 	change.AnsweredAt, change.Revision = at, revision
-	c.ledger.highestRevision = max(c.ledger.highestRevision, revision)
+	c.history.highestRevision = max(c.history.highestRevision, revision)
 }
 
 // KnownRevision returns the highest revision known so far. A read that begins now must not return
@@ -78,7 +78,7 @@
 func (c *Checker) KnownRevision() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.ledger.highestRevision
+	return c.history.highestRevision
 }
 
 // OpenChanges returns the number of changes whose outcome is unknown.
@@ -86,7 +86,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
-	for _, change := range c.ledger.changes {
+	for _, change := range c.history.changes {
 		if change.Revision == 0 && !change.rejected {
 			n++
 		}
@@ -99,7 +99,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
-	for _, change := range c.ledger.changes {
+	for _, change := range c.history.changes {
 		if change.Revision != 0 {
 			n++
 		}
--- a/internal/testsupport/checker/recovery.go
+++ b/internal/testsupport/checker/recovery.go
@@ -32,7 +32,7 @@
 			result.add(fmt.Sprintf("%s was %s by %s %s after the recovery", response.Token, response.Class, response.Proxy, response.Sent.Sub(c.recoveredAt).Round(time.Millisecond)))
 		}
 	}
-	for _, change := range c.ledger.changes {
+	for _, change := range c.history.changes {
 		if c.recoveredAt.IsZero() || change.rejected || change.SentAt.Sub(c.recoveredAt) <= restoreWithin {
 			continue
 		}
--- a/internal/testsupport/checker/results.go
+++ b/internal/testsupport/checker/results.go
@@ -137,7 +137,7 @@
 
 // observedViolations returns the violations that were recorded during the run.
 func (c *Checker) observedViolations() RuleResult {
-	result := RuleResult{Rule: "violation recorded during the run", Judged: c.ledger.reads + len(c.ledger.changes)}
+	result := RuleResult{Rule: "violation recorded during the run", Judged: c.history.reads + len(c.history.changes)}
 	for _, violation := range c.violations {
 		result.add(violation)
 	}
--- a/internal/testsupport/checker/spill_observations.go
+++ b/internal/testsupport/checker/spill_observations.go
@@ -87,7 +87,7 @@
 func (c *Checker) SetSpillOrder(order SpillOrder) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.spillMoves.SpillOrder, c.spillMoves.usage, c.spillMoves.drained = order, map[int]map[ids.Name]float64{}, map[int]map[ids.Name]bool{}
+	c.spill.SpillOrder, c.spill.usage, c.spill.drained = order, map[int]map[ids.Name]float64{}, map[int]map[ids.Name]bool{}
 }
 
 // DirectoryAnswered records an answer of the directory. Routes without a tier are ignored, as no
@@ -95,8 +95,8 @@
 func (c *Checker) DirectoryAnswered(answer DirectoryAnswer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if _, ranked := c.spillMoves.Tier[answer.Route]; ranked && c.spillMoves.Every > 0 {
-		c.spillMoves.answers = append(c.spillMoves.answers, answer)
+	if _, ranked := c.spill.Tier[answer.Route]; ranked && c.spill.Every > 0 {
+		c.spill.answers = append(c.spill.answers, answer)
 	}
 }
 
@@ -105,7 +105,7 @@
 func (c *Checker) ZoneUsage(at time.Time, zone ids.Name, used float64, open bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	observations := &c.spillMoves
+	observations := &c.spill
 	if observations.Every <= 0 {
 		return
 	}
--- a/internal/testsupport/checker/spill_order.go
+++ b/internal/testsupport/checker/spill_order.go
@@ -13,7 +13,7 @@
 // stayed. The order must be wrong in two consecutive windows, as the plan may change within one.
 func (c *Checker) tierOrderViolations() RuleResult {
 	result := RuleResult{Rule: "urgent route moved while a less urgent one stayed"}
-	observations := &c.spillMoves
+	observations := &c.spill
 	shares := observations.shares()
 	for _, window := range shares.windows() {
 		for _, urgent := range shares.flows(window) {
@@ -69,7 +69,7 @@
 // distanceOrderViolations finds moves that began or grew while a nearer zone had capacity left.
 func (c *Checker) distanceOrderViolations() RuleResult {
 	result := RuleResult{Rule: "move to a far zone while a nearer one had capacity"}
-	observations := &c.spillMoves
+	observations := &c.spill
 	shares := observations.shares()
 	observations.eachNewMove(shares, func(window int, f flow, to ids.Name) {
 		result.Judged++
@@ -97,7 +97,7 @@
 // still sent elsewhere.
 func (c *Checker) foreignTrafficBeforeOwn() RuleResult {
 	result := RuleResult{Rule: "took in others' traffic while its own was still moved"}
-	observations := &c.spillMoves
+	observations := &c.spill
 	shares := observations.shares()
 	observations.eachNewMove(shares, func(window int, f flow, to ids.Name) {
 		result.Judged++
--- a/internal/testsupport/compat/answers_test.go
+++ b/internal/testsupport/compat/answers_test.go
@@ -19,59 +19,60 @@
 	"dunlinwell/platform"
 )
 
-// answering returns an API server backed by a fake registry that holds the sample configuration.
-func answering(t *testing.T) *api.Server {
+// newFakeBackedServer returns an API server backed by a fake registry that holds the sample
+// configuration.
+func newFakeBackedServer(t *testing.T) *api.Server {
 	t.Helper()
 	values, _ := writeSample(t, memorydisk.Disk{})
-	held, err := configuration.Decode(values[configuration.Key])
+	document, err := configuration.Decode(values[configuration.Key])
 	if err != nil {
 		t.Fatal(err)
 	}
 	status := *filledJSON(t, reflect.TypeFor[registry.Status]()).(*registry.Status)
-	w := &api.Server{}
-	w.Put = func(ev any) {
-		answer := func(id uint64, body any) {
-			go w.HandleResponse(registry.Response{ID: id, Status: 200, Body: body})
+	server := &api.Server{}
+	server.Put = func(ev any) {
+		respond := func(id uint64, body any) {
+			go server.HandleResponse(registry.Response{ID: id, Status: 200, Body: body})
 		}
 		switch c := ev.(type) {
 		case registry.ReadConfigurationCall:
-			answer(c.ID, held)
+			respond(c.ID, document)
 		case registry.StatusCall:
-			answer(c.ID, status)
+			respond(c.ID, status)
 		case registry.ResolveCall:
-			answer(c.ID, registry.Resolution{Zone: c.Zone, Proxies: []ids.Address{"10.0.0.1:1"}, LifetimeMillis: 1500, Moved: true})
+			respond(c.ID, registry.Resolution{Zone: c.Zone, Proxies: []ids.Address{"10.0.0.1:1"}, LifetimeMillis: 1500, Moved: true})
 		case registry.HeartbeatCall:
-			answer(c.ID, map[string]any{"known": true, "keeper": ids.Address("10.0.0.7:1"), "heard": c.Target})
+			respond(c.ID, map[string]any{"known": true, "keeper": ids.Address("10.0.0.7:1"), "heard": c.Target})
 		case registry.DeregisterCall:
-			answer(c.ID, map[string]any{"known": true, "gone": c.Instance})
+			respond(c.ID, map[string]any{"known": true, "gone": c.Instance})
 		case registry.ZoneOrderCall:
-			answer(c.ID, configuration.ZoneEvacuationRequest{Zone: c.Zone, Region: c.Region, Evacuate: c.Evacuate})
+			respond(c.ID, configuration.ZoneEvacuationRequest{Zone: c.Zone, Region: c.Region, Evacuate: c.Evacuate})
 		case registry.ChangeCall:
-			answer(c.ID, string(c.Raw))
+			respond(c.ID, string(c.Raw))
 		case registry.MergeCall:
-			answer(c.ID, c.Body)
+			respond(c.ID, c.Body)
 		}
 	}
-	return w
+	return server
 }
 
-// call sends a request to a handler, and returns the status, the headers that clients read and the
-// body of the response.
-func call(handler http.Handler, method, path, body string) string {
+// sendRequest sends a request to a handler, and returns the status, the headers that clients read
+// and the body of the response.
+func sendRequest(handler http.Handler, method, path, body string) string {
 	rw := httptest.NewRecorder()
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
 	r.Header.Set("Change-Id", "change-1")
 	r.Header.Set("If-Match", `"3"`)
 	handler.ServeHTTP(rw, r)
-	head := ""
+	headers := ""
 	for _, name := range []string{"Content-Type", "ETag", "Retry-After"} {
-		head += fmt.Sprintf(" %s=%q", name, rw.Header().Get(name))
+		headers += fmt.Sprintf(" %s=%q", name, rw.Header().Get(name))
 	}
-	return fmt.Sprintf("%d%s %s", rw.Code, head, strings.TrimSpace(rw.Body.String()))
+	return fmt.Sprintf("%d%s %s", rw.Code, headers, strings.TrimSpace(rw.Body.String()))
 }
 
-// ownCalls holds requests to dunlinwell's own API, as method, path and body.
-var ownCalls = [][3]string{
+// apiRequests holds requests to dunlinwell's own API, as method, path and body.
+var apiRequests = [][3]string{
 	{"GET", "/v1/policy", ""},
 	{"GET", "/v1/revision", ""},
 	{"GET", "/v1/services", ""},
@@ -105,10 +106,10 @@
 func TestAPI_Responses(t *testing.T) {
 	m := http.NewServeMux()
 	daemon.HandleHealth(m, func() (bool, any) { return false, map[string]bool{"ready": false} })
-	m.Handle("/v1/", answering(t).Handler())
+	m.Handle("/v1/", newFakeBackedServer(t).Handler())
 	got := map[string]string{}
-	for _, c := range ownCalls {
-		got[strings.Join(c[:], " ")] = call(m, c[0], c[1], c[2])
+	for _, c := range apiRequests {
+		got[strings.Join(c[:], " ")] = sendRequest(m, c[0], c[1], c[2])
 	}
 	checkGolden(t, "answers.txt", got)
 }
@@ -120,8 +121,8 @@
 "limits":{"memory_mb":300},"tolerated_losses":{"machine_losses":2},"heartbeat_interval_s":1.5,
 "rule_bounds":["grace_period_s=7","ttl_max_s=1.25","retry_budget_slack=50"]}`
 
-// platformCalls holds requests to the platform's API, with the listener that receives them.
-var platformCalls = []struct{ listener, method, path, body string }{
+// platformRequests holds requests to the platform's API, with the listener that receives them.
+var platformRequests = []struct{ listener, method, path, body string }{
 	{"10.0.0.1:8166", "PUT", "/instances/t-1", `{"service":"ledger","address":"10.0.0.5:80","zone_name":"north","slot_count":4,"call_sequence":9,"cold_remaining_s":1.5,"server_state":"draining"}`},
 	{"10.0.0.1:8166", "PUT", "/instances/t-1", `{}`},
 	{"10.0.0.1:8166", "DELETE", "/instances/t-1", ""},
@@ -149,12 +150,12 @@
 	d, err := s.Store()
 	is.NoErr(err)
 	got := map[string]string{
-		"settings proxy": strings.Join(values(&p), " "), "settings registry": strings.Join(values(&r), " "),
-		"settings registry, not by flags": fmt.Sprint(r.Regions, r.AlwaysResolve, r.DeriveSetPoints), "settings store": strings.Join(values(&d), " "),
+		"settings proxy": strings.Join(fieldValues(&p), " "), "settings registry": strings.Join(fieldValues(&r), " "),
+		"settings registry, not by flags": fmt.Sprint(r.Regions, r.AlwaysResolve, r.DeriveSetPoints), "settings store": strings.Join(fieldValues(&d), " "),
 	}
-	pages := r.ExtraHandlers(answering(t))
-	for _, c := range platformCalls {
-		got[c.method+" "+c.path+" "+strings.ReplaceAll(c.body, "\n", "")] = call(pages[c.listener], c.method, c.path, c.body)
+	handlers := r.ExtraHandlers(newFakeBackedServer(t))
+	for _, c := range platformRequests {
+		got[c.method+" "+c.path+" "+strings.ReplaceAll(c.body, "\n", "")] = sendRequest(handlers[c.listener], c.method, c.path, c.body)
 	}
 	checkGolden(t, "platform.txt", got)
 }
--- a/internal/testsupport/compat/filler_test.go
+++ b/internal/testsupport/compat/filler_test.go
@@ -14,15 +14,15 @@
 	// alternate sets every second bool to false, so that neighbours differ. Without it all are
 	// true, for encodings that omit false.
 	alternate bool
-	// open holds the struct types being filled, to end the recursion in recursive types.
-	open map[reflect.Type]bool
+	// active holds the struct types being filled, to end the recursion in recursive types.
+	active map[reflect.Type]bool
 }
 
 // filledMessage returns the message of a type as it is encoded in testdata/wire.txt.
 func filledMessage(t *testing.T, of reflect.Type) any {
 	t.Helper()
 	v := reflect.New(of).Elem()
-	f := filler{open: map[reflect.Type]bool{}, alternate: true}
+	f := filler{active: map[reflect.Type]bool{}, alternate: true}
 	f.fill(t, v)
 	return v.Interface()
 }
@@ -64,7 +64,7 @@
 	case reflect.Map:
 		f.fillMap(t, v)
 	case reflect.Pointer:
-		if !f.open[v.Type().Elem()] {
+		if !f.active[v.Type().Elem()] {
 			v.Set(reflect.New(v.Type().Elem()))
 			f.fill(t, v.Elem())
 		}
@@ -95,7 +95,7 @@
 func (f *filler) fillSlice(t *testing.T, v reflect.Value) {
 	t.Helper()
 	v.Set(reflect.MakeSlice(v.Type(), 2, 2))
-	if v.Type().Elem().Kind() == reflect.Struct && f.open[v.Type().Elem()] {
+	if v.Type().Elem().Kind() == reflect.Struct && f.active[v.Type().Elem()] {
 		v.SetZero()
 		return
 	}
@@ -123,8 +123,8 @@
 		v.Set(reflect.ValueOf(time.Unix(1_700_000_000+int64(f.next()), 0).UTC()))
 		return
 	}
-	f.open[v.Type()] = true
-	defer delete(f.open, v.Type())
+	f.active[v.Type()] = true
+	defer delete(f.active, v.Type())
 	for i := range v.NumField() {
 		if v.Type().Field(i).IsExported() {
 			f.fill(t, v.Field(i))
--- a/internal/testsupport/compat/folder_test.go
+++ b/internal/testsupport/compat/folder_test.go
@@ -23,13 +23,13 @@
 var writeFolder = flag.String("write-folder", "", "write a data folder with the current code to this path, which must not exist")
 
 const (
-	oldFolder    = "testdata/folder-1724ad4"
-	databaseName = "stockroom.db"
-	contentName  = "content.txt"
+	committedFolder = "testdata/folder-1724ad4"
+	databaseName    = "stockroom.db"
+	contentName     = "content.txt"
 )
 
-// content returns the contents of a data folder, as a store reads them.
-func content(t *testing.T, disk *storage.Database) map[string]string {
+// readFolder returns the contents of a data folder, as a store reads them.
+func readFolder(t *testing.T, disk *storage.Database) map[string]string {
 	t.Helper()
 	is := is.New(t)
 	is.NoErr(consensus.CheckDisk(disk))
@@ -47,7 +47,7 @@
 	for i, v := range set.Voters {
 		got[fmt.Sprintf("voter %d", i)] = fmt.Sprintf("%x at %s", v.ID, v.Address)
 	}
-	for _, o := range sampleOthers(t) {
+	for _, o := range sampleRegisterOperations(t) {
 		got["value "+string(o.key)] = hex.EncodeToString(s.LocalValue(o.key))
 	}
 	for after := ids.RegisterKey(""); ; {
@@ -75,15 +75,15 @@
 		is.NoErr(os.Mkdir(*writeFolder, 0o750))
 		folder = *writeFolder
 	}
-	c := newCore(t, folder)
-	c.run(t, func() bool { return c.stores[coreAddresses[0]].MayVote() })
-	for _, o := range append(sampleChanges(), sampleOthers(t)...) {
-		c.order(t, o)
+	c := newCluster(t, folder)
+	c.run(t, func() bool { return c.stores[storeAddresses[0]].MayVote() })
+	for _, o := range append(sampleConfigurationOperations(), sampleRegisterOperations(t)...) {
+		c.execute(t, o)
 	}
 	c.close(t)
 	disk, err := storage.Open(folder)
 	is.NoErr(err)
-	got := content(t, disk)
+	got := readFolder(t, disk)
 	is.NoErr(disk.Close())
 	is.True(got["record diff/policy/00000000"] != "")
 	if *writeFolder != "" {
@@ -96,7 +96,7 @@
 // 1724ad4 wrote.
 func TestStore_ReadsFolderOf1724ad4(t *testing.T) {
 	is := is.New(t)
-	raw, err := os.ReadFile(filepath.Join(oldFolder, databaseName))
+	raw, err := os.ReadFile(filepath.Join(committedFolder, databaseName))
 	is.NoErr(err)
 	folder := t.TempDir()
 	is.NoErr(os.WriteFile(filepath.Join(folder, databaseName), raw, 0o600))
@@ -104,8 +104,8 @@
 	is.NoErr(err)
 	defer func() { is.NoErr(disk.Close()) }()
 	is.Equal(disk.SetAsidePath, "")
-	got := content(t, disk)
-	want := readGolden(t, filepath.Join(oldFolder, contentName))
+	got := readFolder(t, disk)
+	want := readGolden(t, filepath.Join(committedFolder, contentName))
 	is.Equal(len(got), len(want))
 	for name, text := range want {
 		if got[name] != text {
--- a/internal/testsupport/compat/json_test.go
+++ b/internal/testsupport/compat/json_test.go
@@ -43,7 +43,7 @@
 func filledJSON(t *testing.T, of reflect.Type) any {
 	t.Helper()
 	v := reflect.New(of)
-	f := filler{open: map[reflect.Type]bool{}}
+	f := filler{active: map[reflect.Type]bool{}}
 	f.fill(t, v.Elem())
 	return v.Interface()
 }
@@ -75,13 +75,13 @@
 	}
 }
 
-// keysHaveTags reports an error for each exported field without a json tag, whose key in JSON would
+// checkTags reports an error for each exported field without a json tag, whose key in JSON would
 // be its Go name.
-func keysHaveTags(t *testing.T, of reflect.Type, seen map[reflect.Type]bool) {
+func checkTags(t *testing.T, of reflect.Type, seen map[reflect.Type]bool) {
 	t.Helper()
 	switch of.Kind() {
 	case reflect.Pointer, reflect.Slice, reflect.Array, reflect.Map:
-		keysHaveTags(t, of.Elem(), seen)
+		checkTags(t, of.Elem(), seen)
 	case reflect.Struct:
 		if seen[of] {
 			return
@@ -92,7 +92,7 @@
 			if _, tagged := field.Tag.Lookup("json"); field.IsExported() && !tagged && !field.Anonymous {
 				t.Errorf("%s.%s has no json tag", of, field.Name)
 			}
-			keysHaveTags(t, field.Type, seen)
+			checkTags(t, field.Type, seen)
 		}
 	}
 }
@@ -100,6 +100,6 @@
 // TestJSON_FieldsHaveTags checks that renaming a Go field can't change a key in JSON.
 func TestJSON_FieldsHaveTags(t *testing.T) {
 	for _, of := range jsonTypes {
-		keysHaveTags(t, of, map[reflect.Type]bool{})
+		checkTags(t, of, map[reflect.Type]bool{})
 	}
 }
--- a/internal/testsupport/compat/policy_test.go
+++ b/internal/testsupport/compat/policy_test.go
@@ -10,7 +10,7 @@
 	"dunlinwell/internal/testsupport/memorydisk"
 )
 
-// TestConfiguration_ProxyEncoding checks that the encodings of the configuration for proxies, complete
+// TestConfiguration_ProxyEncoding checks that the encodings of the configuration for proxies, whole
 // and as the changes since a revision, are unchanged and yield the same configuration.
 func TestConfiguration_ProxyEncoding(t *testing.T) {
 	is := is.New(t)
@@ -20,11 +20,11 @@
 	older, err := configuration.Decode(nil)
 	is.NoErr(err)
 	ops := configuration.Ops()
-	var early []byte
-	for _, o := range sampleChanges()[:3] {
-		early, _ = ops[o.op](o.key, early, o.arg)
+	var value []byte
+	for _, o := range sampleConfigurationOperations()[:3] {
+		value, _ = ops[o.op](o.key, value, o.arg)
 	}
-	older, err = older.Advance(early)
+	older, err = older.Advance(value)
 	is.NoErr(err)
 	is.Equal(older.Revision, ids.Revision(3))
 	checkGolden(t, "policy.txt", map[string]string{
--- a/internal/testsupport/compat/records_test.go
+++ b/internal/testsupport/compat/records_test.go
@@ -17,7 +17,7 @@
 
 // writeSample has an acceptor accept the results of the sample operations, with ballots from 1. It
 // returns the final values and the response to each operation.
-func writeSample(t *testing.T, disk memorydisk.Disk) (values map[ids.RegisterKey][]byte, answers [][]byte) {
+func writeSample(t *testing.T, disk memorydisk.Disk) (values map[ids.RegisterKey][]byte, responses [][]byte) {
 	t.Helper()
 	var out event.Outbox
 	acceptor := consensus.NewAcceptor(1, disk, &out)
@@ -28,13 +28,13 @@
 	acceptor.MarkComplete()
 	values = map[ids.RegisterKey][]byte{}
 	ops, count := store.Ops(), uint64(0)
-	for _, o := range append(sampleChanges(), sampleOthers(t)...) {
-		next, told := ops[o.op](o.key, values[o.key], o.arg)
-		if told == nil {
+	for _, o := range append(sampleConfigurationOperations(), sampleRegisterOperations(t)...) {
+		next, response := ops[o.op](o.key, values[o.key], o.arg)
+		if response == nil {
 			t.Fatalf("%s: no response to %.80s", o.key, o.arg)
 		}
 		values[o.key] = next
-		answers = append(answers, told)
+		responses = append(responses, response)
 		count++
 		ballot := ids.Ballot{Counter: count, Proposer: 1<<24 | 5}
 		acceptor.HandleAccept("10.0.0.2:1", consensus.Accept{Key: o.key, Ballot: ballot, NextBallot: ids.Ballot{Counter: count + 1, Proposer: ballot.Proposer}, VoterSetNumber: 3, Value: next})
@@ -44,7 +44,7 @@
 			}
 		}
 	}
-	return values, answers
+	return values, responses
 }
 
 // TestRecords_Encoding checks that the keys and bytes of a store's records are unchanged: voter set,
@@ -52,7 +52,7 @@
 func TestRecords_Encoding(t *testing.T) {
 	is := is.New(t)
 	disk := memorydisk.Disk{}
-	values, answers := writeSample(t, disk)
+	values, responses := writeSample(t, disk)
 	got := map[string]string{}
 	for key, raw := range disk {
 		got["record "+string(key)] = hex.EncodeToString(raw)
@@ -60,7 +60,7 @@
 	for key, value := range values {
 		got["value "+string(key)] = hex.EncodeToString(value)
 	}
-	for i, answer := range answers {
+	for i, answer := range responses {
 		got[fmt.Sprintf("answer %02d", i)] = hex.EncodeToString(answer)
 	}
 	checkGolden(t, "records.txt", got)
--- a/internal/testsupport/compat/sample_test.go
+++ b/internal/testsupport/compat/sample_test.go
@@ -13,16 +13,16 @@
 	"dunlinwell/internal/transport/wire"
 )
 
-// order is one operation on a register, as a client requests it.
-type order struct {
+// operation is one operation on a register, as a client requests it.
+type operation struct {
 	key ids.RegisterKey
 	op  consensus.Op
 	arg []byte
 }
 
-// many returns a change with enough services that the register's value is stored as a base with
-// deltas.
-func many() string {
+// manyServices returns a change with enough services that the register's value is stored as a base
+// with deltas.
+func manyServices() string {
 	var parts []string
 	for i := range 80 {
 		parts = append(parts, fmt.Sprintf(`{"kind":"service","name":"many-%d","put":{"tier":%d,"capacity":%d,"warm_ms":250}}`, i, i%9, 10+i))
@@ -30,14 +30,15 @@
 	return `{"id":"many","changes":[` + strings.Join(parts, ",") + `]}`
 }
 
-// sampleChanges returns operations on the configuration: accepted and rejected changes, one with a
-// base revision in its ID, merged items with versions of their own, and evacuation of a zone.
-func sampleChanges() []order {
-	change := func(text string) order { return order{configuration.Key, configuration.OpChange, []byte(text)} }
-	merge := func(text string) order { return order{configuration.Key, configuration.OpMerge, []byte(text)} }
-	return []order{
+// sampleConfigurationOperations returns operations on the configuration: accepted and rejected
+// changes, one with a base revision in its ID, merged items with versions of their own, and an
+// evacuation of a zone.
+func sampleConfigurationOperations() []operation {
+	change := func(text string) operation { return operation{configuration.Key, configuration.OpChange, []byte(text)} }
+	merge := func(text string) operation { return operation{configuration.Key, configuration.OpMerge, []byte(text)} }
+	return []operation{
 		change(`{"id":"first","changes":[{"kind":"service","name":"ledger","put":{"tier":8,"capacity":40}},{"kind":"route","name":"orders","put":{"prefix":"/orders","service":"ledger","repeatable":false}},{"kind":"cell","name":"north","put":{"region":"isle","target":70,"acceptable":50,"maximum":90}}]}`),
-		change(many()),
+		change(manyServices()),
 		change(`{"id":"at-2-second","changes":[{"kind":"route","name":"orders","version":1,"set":{"limit_ms":900}}]}`),
 		change(`{"id":"stale","changes":[{"kind":"route","name":"orders","version":1,"set":{"limit_ms":100}}]}`),
 		change(`{"id":"removal","changes":[{"kind":"service","name":"many-7","remove":true}]}`),
@@ -48,10 +49,11 @@
 	}
 }
 
-// sampleOthers returns operations on the registers of leader elections and of idempotency keys.
-func sampleOthers(t *testing.T) []order {
+// sampleRegisterOperations returns operations on the registers of leader elections and idempotency
+// keys.
+func sampleRegisterOperations(t *testing.T) []operation {
 	t.Helper()
-	packed := func(msg any) []byte {
+	encode := func(msg any) []byte {
 		raw, err := wire.Encode(msg)
 		if err != nil {
 			t.Fatal(err)
@@ -59,15 +61,15 @@
 		return raw
 	}
 	owner := idempotency.Owner{Daemon: "proxy-1", RunID: 77, Request: 5}
-	claim := packed(idempotency.Operation{Owner: owner, Attempt: 1, Fingerprint: []byte("print")})
+	claim := encode(idempotency.Operation{Owner: owner, Attempt: 1, Fingerprint: []byte("print")})
 	response := idempotency.Response{Status: 201, Header: []idempotency.Header{{Name: "X-Part", Value: "seven"}}, Body: []byte("done"), Digest: "sum"}
-	over, let, clear := idempotency.RegisterKey("orders", "key-1"), idempotency.RegisterKey("orders", "key-2"), idempotency.RegisterKey("orders", "key-3")
-	return []order{
-		{election.RegisterKey("planner"), election.OpAcquire, packed(election.Term{Epoch: 4, Holder: "registry-1", RunID: 99})},
-		{over, idempotency.OpClaim, claim},
-		{over, idempotency.OpComplete, packed(idempotency.Operation{Owner: owner, Attempt: 1, Response: response})},
-		{let, idempotency.OpClaim, claim},
-		{clear, idempotency.OpBlock, packed(idempotency.Operation{Owner: owner, Attempt: 3})},
-		{clear, idempotency.OpNumberAttempt, packed(idempotency.Operation{Owner: owner, Fingerprint: []byte("print")})},
+	completedKey, claimedKey, blockedKey := idempotency.RegisterKey("orders", "key-1"), idempotency.RegisterKey("orders", "key-2"), idempotency.RegisterKey("orders", "key-3")
+	return []operation{
+		{election.RegisterKey("planner"), election.OpAcquire, encode(election.Term{Epoch: 4, Holder: "registry-1", RunID: 99})},
+		{completedKey, idempotency.OpClaim, claim},
+		{completedKey, idempotency.OpComplete, encode(idempotency.Operation{Owner: owner, Attempt: 1, Response: response})},
+		{claimedKey, idempotency.OpClaim, claim},
+		{blockedKey, idempotency.OpBlock, encode(idempotency.Operation{Owner: owner, Attempt: 3})},
+		{blockedKey, idempotency.OpNumberAttempt, encode(idempotency.Operation{Owner: owner, Fingerprint: []byte("print")})},
 	}
 }
--- a/internal/testsupport/compat/settings_test.go
+++ b/internal/testsupport/compat/settings_test.go
@@ -17,13 +17,13 @@
 	"dunlinwell/internal/dataplane/proxy"
 )
 
-// programs returns the options that each program parses its flags into, by program.
-func programs() map[string]any {
+// programOptions returns the options that each program parses its flags into, by program.
+func programOptions() map[string]any {
 	return map[string]any{"proxy": &proxy.DaemonOptions{}, "registry": &daemon.RegistryOptions{}, "store": &daemon.StoreOptions{}, "dunlinwell": &cli.CLI{}}
 }
 
-// describe adds the flags, arguments and commands of a program to got.
-func describe(node *kong.Node, path string, got map[string]string) {
+// addFlags adds the flags, arguments and commands of a program to got.
+func addFlags(node *kong.Node, path string, got map[string]string) {
 	for _, f := range node.Flags {
 		if f.Name != "help" {
 			got[path+" --"+f.Name] = fmt.Sprintf("type %s default %q enum %q short %q env %q required %t", f.Target.Kind(), f.Default, f.Enum, string(f.Short), f.Envs, f.Required)
@@ -34,7 +34,7 @@
 	}
 	for _, child := range node.Children {
 		got[path+" "+child.Name] = "command"
-		describe(child, path+" "+child.Name, got)
+		addFlags(child, path+" "+child.Name, got)
 	}
 }
 
@@ -42,26 +42,26 @@
 // unchanged.
 func TestFlags(t *testing.T) {
 	got := map[string]string{}
-	for name, into := range programs() {
+	for name, into := range programOptions() {
 		k, err := kong.New(into, kong.Name(name))
 		if err != nil {
 			t.Fatal(err)
 		}
-		describe(k.Model.Node, name, got)
+		addFlags(k.Model.Node, name, got)
 	}
 	checkGolden(t, "flags.txt", got)
 }
 
-// example holds a value other than the default for each flag.
-var example = map[string]string{
+// exampleValues holds a value other than the default for each flag.
+var exampleValues = map[string]string{
 	"name": "one-1", "address": "10.0.0.1:1", "bind": "10.0.0.9:1", "http": "10.0.0.1:2", "cell": "north", "seeds": "10.0.0.1:3,10.0.0.2:3,10.0.0.3:3",
 	"http-bind": "10.0.0.9:2", "log": "warn", "max-response": "5000", "report-every": "3s", "inbox": "77", "lease": "2100ms", "consumers": "10.0.0.1:8",
 	"max-held": "6000", "grace": "1s", "dial-within": "700ms", "by-cell": "true", "plan-every": "4s", "lifetime": "1500ms", "thrifty": "true",
 	"data": "folder", "copies": "5", "bootstrap": "true",
 }
 
-// flagsOf returns the names of a daemon's flags, except help and params.
-func flagsOf(t *testing.T, into any) []string {
+// flagNames returns the names of a daemon's flags, except help and params.
+func flagNames(t *testing.T, into any) []string {
 	t.Helper()
 	k, err := kong.New(into)
 	if err != nil {
@@ -76,11 +76,11 @@
 	return out
 }
 
-// readWith reads a daemon's options by settings.Read from the arguments of a command line.
-func readWith(name string, into any, words []string) {
+// readOptions reads a daemon's options by settings.Read from the arguments of a command line.
+func readOptions(name string, into any, arguments []string) {
 	before := os.Args
 	defer func() { os.Args = before }()
-	os.Args = append([]string{name}, words...)
+	os.Args = append([]string{name}, arguments...)
 	settings.Read(name, "", into)
 }
 
@@ -88,34 +88,34 @@
 // from the command line and from a parameter file, where names may have underscores.
 func TestDaemonSettings_FlagsAndParamsFile(t *testing.T) {
 	got := map[string]string{}
-	for name, blank := range programs() {
+	for name, template := range programOptions() {
 		if name == "dunlinwell" {
 			continue
 		}
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			fresh := func() any { return reflect.New(reflect.TypeOf(blank).Elem()).Interface() }
-			byFlags, byFile := fresh(), fresh()
-			var words, lines []string
-			for _, flag := range flagsOf(t, fresh()) {
-				is.True(example[flag] != "")
-				words = append(words, "--"+flag+"="+example[flag])
-				lines = append(lines, fmt.Sprintf("%q: %q", strings.ReplaceAll(flag, "-", "_"), example[flag]))
+			newOptions := func() any { return reflect.New(reflect.TypeOf(template).Elem()).Interface() }
+			fromFlags, fromFile := newOptions(), newOptions()
+			var arguments, params []string
+			for _, flag := range flagNames(t, newOptions()) {
+				is.True(exampleValues[flag] != "")
+				arguments = append(arguments, "--"+flag+"="+exampleValues[flag])
+				params = append(params, fmt.Sprintf("%q: %q", strings.ReplaceAll(flag, "-", "_"), exampleValues[flag]))
 			}
-			readWith(name, byFlags, words)
+			readOptions(name, fromFlags, arguments)
 			file := filepath.Join(t.TempDir(), "params.json")
-			is.NoErr(os.WriteFile(file, []byte("{"+strings.Join(lines, ",")+"}"), 0o600))
-			readWith(name, byFile, []string{"--params", file})
-			flags, options := values(byFlags), values(byFile)
-			is.Equal(flags, options)
-			got[name] = strings.Join(flags, " ")
+			is.NoErr(os.WriteFile(file, []byte("{"+strings.Join(params, ",")+"}"), 0o600))
+			readOptions(name, fromFile, []string{"--params", file})
+			flagValues, paramValues := fieldValues(fromFlags), fieldValues(fromFile)
+			is.Equal(flagValues, paramValues)
+			got[name] = strings.Join(flagValues, " ")
 		})
 	}
 	checkGolden(t, "settings.txt", got)
 }
 
-// values returns the values of the options' fields, in order and without the fields' names.
-func values(options any) []string {
+// fieldValues returns the values of the options' fields, in order and without the fields' names.
+func fieldValues(options any) []string {
 	var out []string
 	var walk func(v reflect.Value)
 	walk = func(v reflect.Value) {
--- a/internal/testsupport/compat/wire_test.go
+++ b/internal/testsupport/compat/wire_test.go
@@ -73,16 +73,16 @@
 func TestMessages_FieldOrder(t *testing.T) {
 	is := is.New(t)
 	golden := readGolden(t, "testdata/wire.txt")
-	given := map[wire.Kind]bool{}
+	covered := map[wire.Kind]bool{}
 	for _, msg := range messages {
 		kind := wire.KindOfMessage(msg)
-		given[kind] = true
+		covered[kind] = true
 		raw, err := wire.Encode(msg)
 		is.NoErr(err)
 		is.Equal(hex.EncodeToString(raw), golden[kindName(kind)])
 	}
 	for kind, of := range wire.RegisteredKinds() {
-		if !given[kind] && token.IsExported(of.Name()) {
+		if !covered[kind] && token.IsExported(of.Name()) {
 			t.Errorf("kind %d has no value in messages", kind)
 		}
 	}
--- a/internal/testsupport/memorydisk/disk.go
+++ b/internal/testsupport/memorydisk/disk.go
@@ -8,9 +8,9 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// afterRegisters sorts after all keys that Scan returns: registers ("item/...") and their deltas
+// registersEnd sorts after all keys that Scan returns: registers ("item/...") and their deltas
 // ("diff/...").
-const afterRegisters ids.RegisterKey = "item0"
+const registersEnd ids.RegisterKey = "item0"
 
 // Disk maps the key of each record to its value.
 type Disk map[ids.RegisterKey][]byte
@@ -26,7 +26,7 @@
 func (d Disk) Scan(after ids.RegisterKey, limit int) []event.Record {
 	var records []event.Record
 	for _, key := range slices.Sorted(maps.Keys(d)) {
-		if key > after && key < afterRegisters && len(records) < limit {
+		if key > after && key < registersEnd && len(records) < limit {
 			records = append(records, event.Record{Key: key, Value: d[key]})
 		}
 	}
--- a/internal/tools/knownred/verdict.go
+++ b/internal/tools/knownred/verdict.go
@@ -10,11 +10,11 @@
 const exitTestsFailed = 1
 
 // Verdict is the result of a run: the failures that are listed, and the reasons to fail the run. A
-// run without Objections passes.
+// run without problems passes.
 type Verdict struct{ KnownFailures, Objections []string }
 
-// object adds an objection.
-func (v *Verdict) object(format string, args ...any) {
+// addProblem adds a problem.
+func (v *Verdict) addProblem(format string, args ...any) {
 	v.Objections = append(v.Objections, fmt.Sprintf(format, args...))
 }
 
@@ -28,16 +28,16 @@
 	return v
 }
 
-// judgePackages objects to packages with incomplete results.
+// judgePackages reports packages with incomplete results.
 func (j *Judge) judgePackages(v *Verdict) {
 	for _, name := range slices.Sorted(maps.Keys(j.packages)) {
 		if reason := j.packages[name].incompleteReason(); reason != "" {
-			v.object("%s %s", name, reason)
+			v.addProblem("%s %s", name, reason)
 		}
 	}
 }
 
-// judgeTests objects to listed tests that did not fail and to failed tests that are not listed.
+// judgeTests reports listed tests that did not fail and to failed tests that are not listed.
 func (j *Judge) judgeTests(v *Verdict, list []Entry) {
 	results := j.testResults()
 	listed := map[string]bool{}
@@ -45,16 +45,16 @@
 		listed[entry.Test] = true
 		switch result, ran := results[entry.Test]; {
 		case !ran:
-			v.object("%s is listed as known to fail, but did not run", entry.Test)
+			v.addProblem("%s is listed as known to fail, but did not run", entry.Test)
 		case result == actionFail:
 			v.KnownFailures = append(v.KnownFailures, entry.String())
 		case result != "":
-			v.object("%s is listed as known to fail, but its result is %q", entry.Test, result)
+			v.addProblem("%s is listed as known to fail, but its result is %q", entry.Test, result)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(results)) {
 		if results[name] == actionFail && !listed[name] {
-			v.object("%s failed and is not listed", name)
+			v.addProblem("%s failed and is not listed", name)
 		}
 	}
 }
@@ -70,7 +70,7 @@
 	return results
 }
 
-// judgeExit objects to an exit code that the events don't explain, such as that for a package that
+// judgeExit reports an exit code that the events don't explain, such as that for a package that
 // can't be found.
 func (j *Judge) judgeExit(v *Verdict, exit int) {
 	failed := 0
@@ -81,8 +81,8 @@
 	}
 	switch {
 	case len(j.packages) == 0:
-		v.object("no package was tested")
+		v.addProblem("no package was tested")
 	case exit != 0 && (exit != exitTestsFailed || failed == 0), exit == 0 && failed > 0:
-		v.object("go test exited with code %d and %d failed packages", exit, failed)
+		v.addProblem("go test exited with code %d and %d failed packages", exit, failed)
 	}
 }
