--- a/internal/testsupport/checker/checker.go
+++ b/internal/testsupport/checker/checker.go
@@ -110,8 +110,8 @@
 	c.executions = append(c.executions, execution)
 }
 
-// RequestAnswered records the outcome of an attempt.
-func (c *Checker) RequestAnswered(response ClientResponse) {
+// AttemptEnded records the outcome of an attempt.
+func (c *Checker) AttemptEnded(response ClientResponse) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.responses = append(c.responses, response)
--- a/internal/testsupport/simulator/clients.go
+++ b/internal/testsupport/simulator/clients.go
@@ -134,7 +134,7 @@
 	if response.At.IsZero() {
 		response.At = w.wallTime()
 	}
-	w.Checker.RequestAnswered(response)
+	w.Checker.AttemptEnded(response)
 	// A client drops a connection that is dead.
 	if response.Held && (response.Class == checker.ClassUnreached || response.Class == checker.ClassLost) {
 		delete(w.clients.connections, request.connection)
--- a/internal/testsupport/testbed/clients.go
+++ b/internal/testsupport/testbed/clients.go
@@ -139,7 +139,7 @@
 		response := c.sendOnce(r, attempt)
 		// The route that operators move is missing at times.
 		response.NoAnswerOwed = r.route.Name == blueprint.FlippedRoute
-		c.Checker.RequestAnswered(response)
+		c.Checker.AttemptEnded(response)
 		if response.Class == classMisused {
 			return
 		}
--- a/internal/testsupport/testbed/held_connections.go
+++ b/internal/testsupport/testbed/held_connections.go
@@ -76,7 +76,7 @@
 			c.connectionClosed(proxy, resolved.zone, "the next request found it closed")
 			return
 		}
-		c.Checker.RequestAnswered(response)
+		c.Checker.AttemptEnded(response)
 		// The client's own time-out closes the connection, as after a request to a
 		// frozen target.
 		if strings.Contains(response.Problem, "Client.Timeout") {
