--- a/internal/testsupport/checker/checker.go
+++ b/internal/testsupport/checker/checker.go
@@ -124,8 +124,8 @@
 	c.departuresKnown++
 }
 
-// Overloaded records that a target had more concurrent requests than its capacity allows.
-func (c *Checker) Overloaded(format string, args ...any) {
+// TargetOverloaded records that a target had more concurrent requests than its capacity allows.
+func (c *Checker) TargetOverloaded(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.overloads = append(c.overloads, fmt.Sprintf(format, args...))
--- a/internal/testsupport/simulator/target.go
+++ b/internal/testsupport/simulator/target.go
@@ -139,7 +139,7 @@
 		t.world.Checker.Violation("%s of %s got a request meant for %s", t.id, t.service, service)
 	}
 	if capacity := max(float64(t.capacity)*t.warmth(), 1); float64(t.inFlight) > 1.5*capacity+1 {
-		t.world.Checker.Overloaded("%s had %d at once and bears %.1f, at %s", t.id, t.inFlight, capacity, time.Duration(t.world.now))
+		t.world.Checker.TargetOverloaded("%s had %d at once and bears %.1f, at %s", t.id, t.inFlight, capacity, time.Duration(t.world.now))
 	}
 	generation := t.generation
 	body := fmt.Sprintf("%s/%s/%x", request.requestToken, t.id, t.world.random.Uint64())
--- a/internal/testsupport/testbed/target_server.go
+++ b/internal/testsupport/testbed/target_server.go
@@ -105,7 +105,7 @@
 	}
 	// Concurrency slots are whole: one more than the fraction.
 	if float64(concurrent) > overloadFactor*bearable+1 {
-		t.Checker.Overloaded("%s had %d at once and bears %.1f", t.Instance, concurrent, bearable)
+		t.Checker.TargetOverloaded("%s had %d at once and bears %.1f", t.Instance, concurrent, bearable)
 	}
 }
 
