--- a/internal/testsupport/checker/ledger.go
+++ b/internal/testsupport/checker/ledger.go
@@ -81,8 +81,8 @@
 	return c.history.highestRevision
 }
 
-// OpenChanges returns the number of changes whose outcome is unknown.
-func (c *Checker) OpenChanges() int {
+// PendingChanges returns the number of changes whose outcome is unknown.
+func (c *Checker) PendingChanges() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
