--- a/internal/testsupport/checker/ledger.go
+++ b/internal/testsupport/checker/ledger.go
@@ -94,8 +94,8 @@
 	return n
 }
 
-// Changes returns the number of accepted changes.
-func (c *Checker) Changes() int {
+// AcceptedChanges returns the number of accepted changes.
+func (c *Checker) AcceptedChanges() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
--- a/internal/testsupport/simulator/run.go
+++ b/internal/testsupport/simulator/run.go
@@ -83,7 +83,7 @@
 func (w *World) outcome() Outcome {
 	out := Outcome{
 		Seed: w.Seed, Results: w.Checker.Results(), TraceHash: w.traceHash, Events: w.Events, Responses: w.Checker.CountByClass(time.Unix(0, 0)),
-		Changes: w.Checker.Changes(), Pruned: w.pruned, FaultCounts: w.faultCounts, Log: w.Log, History: w.history.operations(),
+		Changes: w.Checker.AcceptedChanges(), Pruned: w.pruned, FaultCounts: w.faultCounts, Log: w.Log, History: w.history.operations(),
 	}
 	for _, c := range out.Results {
 		out.Violations += c.Violations
--- a/internal/testsupport/testbed/load.go
+++ b/internal/testsupport/testbed/load.go
@@ -45,6 +45,6 @@
 		fmt.Fprintf(tb.Out, "  %-62s %d in %d  %s\n", c.Rule, c.Violations, c.Judged, c.Sample)
 	}
 	tb.probes.print(tb)
-	fmt.Fprintf(tb.Out, "%d changes accepted, %d whose outcome is unknown\n", tb.Checker.Changes(), tb.Checker.PendingChanges())
+	fmt.Fprintf(tb.Out, "%d changes accepted, %d whose outcome is unknown\n", tb.Checker.AcceptedChanges(), tb.Checker.PendingChanges())
 	return violations
 }
