--- a/internal/testsupport/checker/statistics.go
+++ b/internal/testsupport/checker/statistics.go
@@ -24,8 +24,8 @@
 	return float64(len(answered)) / float64(len(first)), len(first)
 }
 
-// Each calls visit for every attempt, in the order in which the attempts ended.
-func (c *Checker) Each(visit func(token string, attempt int, class string, took time.Duration)) {
+// EachAttempt calls visit for every attempt, in the order in which the attempts ended.
+func (c *Checker) EachAttempt(visit func(token string, attempt int, class string, took time.Duration)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, response := range c.responses {
--- a/internal/testsupport/simulator/overload_test.go
+++ b/internal/testsupport/simulator/overload_test.go
@@ -27,7 +27,7 @@
 // the longest that a rejected one was held.
 func (w *World) answeredShares() (map[string]float64, time.Duration) {
 	good, all, held := map[string]float64{}, map[string]float64{}, time.Duration(0)
-	w.Checker.Each(func(token string, attempt int, class string, took time.Duration) {
+	w.Checker.EachAttempt(func(token string, attempt int, class string, took time.Duration) {
 		route, _, _ := strings.Cut(token, ":")
 		if attempt != 1 {
 			return
