--- a/internal/testsupport/checker/recovery.go
+++ b/internal/testsupport/checker/recovery.go
@@ -44,9 +44,9 @@
 	return result
 }
 
-// Recovery returns how long after the recovery of the machines the last unanswered first attempt
+// RecoveryTime returns how long after the recovery of the machines the last unanswered first attempt
 // was sent; zero if all were answered.
-func (c *Checker) Recovery() time.Duration {
+func (c *Checker) RecoveryTime() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	last := time.Duration(0)
--- a/internal/testsupport/testbed/load.go
+++ b/internal/testsupport/testbed/load.go
@@ -33,7 +33,7 @@
 	within1s, requests := tb.Checker.ShareWithin(time.Second)
 	within5s, _ := tb.Checker.ShareWithin(5 * time.Second)
 	fmt.Fprintf(tb.Out, "of %d requests %.2f%% had their answer within 1 s of the first attempt, %.2f%% within 5 s\n", requests, within1s*100, within5s*100)
-	fmt.Fprintf(tb.Out, "last first attempt without an answer: %s after the machines were back\n", tb.Checker.Recovery().Round(time.Millisecond))
+	fmt.Fprintf(tb.Out, "last first attempt without an answer: %s after the machines were back\n", tb.Checker.RecoveryTime().Round(time.Millisecond))
 	violations := 0
 	for _, c := range tb.Checker.Results() {
 		violations += c.Violations
