--- a/internal/testsupport/checker/statistics.go
+++ b/internal/testsupport/checker/statistics.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// ShareWithin returns the share of requests that were answered within a duration from their first
+// ShareAnsweredWithin returns the share of requests that were answered within a duration from their first
 // attempt, and the number of requests.
-func (c *Checker) ShareWithin(within time.Duration) (float64, int) {
+func (c *Checker) ShareAnsweredWithin(within time.Duration) (float64, int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	first, answered := map[string]time.Time{}, map[string]bool{}
--- a/internal/testsupport/testbed/load.go
+++ b/internal/testsupport/testbed/load.go
@@ -30,8 +30,8 @@
 	tally := tb.Checker.CountByClass(since)
 	fmt.Fprintf(tb.Out, "\nanswers: %d answered, %d declined, %d unknown, %d lost, %d unreached; %d runs at targets\n",
 		tally[classAnswered], tally["declined"], tally["unknown"], tally[classLost], tally[classUnreached], tally["runs"])
-	within1s, requests := tb.Checker.ShareWithin(time.Second)
-	within5s, _ := tb.Checker.ShareWithin(5 * time.Second)
+	within1s, requests := tb.Checker.ShareAnsweredWithin(time.Second)
+	within5s, _ := tb.Checker.ShareAnsweredWithin(5 * time.Second)
 	fmt.Fprintf(tb.Out, "of %d requests %.2f%% had their answer within 1 s of the first attempt, %.2f%% within 5 s\n", requests, within1s*100, within5s*100)
 	fmt.Fprintf(tb.Out, "last first attempt without an answer: %s after the machines were back\n", tb.Checker.RecoveryTime().Round(time.Millisecond))
 	violations := 0
