--- a/internal/testsupport/checker/checker.go
+++ b/internal/testsupport/checker/checker.go
@@ -74,8 +74,8 @@
 	Zone   ids.Name
 	// Problem describes why the response can't have come from the target; empty if it can.
 	Problem string
-	// NoAnswerOwed reports whether the attempt may fail, as on a route that is repeatedly removed.
-	NoAnswerOwed bool
+	// ResponseOptional reports whether the attempt may fail, as on a route that is repeatedly removed.
+	ResponseOptional bool
 	// Held reports whether the attempt used a long-lived connection instead of resolving a proxy.
 	Held bool
 }
--- a/internal/testsupport/checker/recovery.go
+++ b/internal/testsupport/checker/recovery.go
@@ -24,7 +24,7 @@
 func (c *Checker) unansweredAfterRecovery() RuleResult {
 	result := RuleResult{Rule: "not answered 15 s after the machines were back"}
 	for _, response := range c.responses {
-		if c.recoveredAt.IsZero() || response.Attempt != 1 || response.NoAnswerOwed || response.Sent.Sub(c.recoveredAt) <= restoreWithin {
+		if c.recoveredAt.IsZero() || response.Attempt != 1 || response.ResponseOptional || response.Sent.Sub(c.recoveredAt) <= restoreWithin {
 			continue
 		}
 		result.Judged++
@@ -51,7 +51,7 @@
 	defer c.mu.Unlock()
 	last := time.Duration(0)
 	for _, response := range c.responses {
-		if !c.recoveredAt.IsZero() && response.Attempt == 1 && !response.NoAnswerOwed && response.Class != ClassAnswered {
+		if !c.recoveredAt.IsZero() && response.Attempt == 1 && !response.ResponseOptional && response.Class != ClassAnswered {
 			last = max(last, response.Sent.Sub(c.recoveredAt))
 		}
 	}
--- a/internal/testsupport/checker/statistics.go
+++ b/internal/testsupport/checker/statistics.go
@@ -39,7 +39,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, response := range c.responses {
-		if response.Attempt != 1 || response.IdempotencyKey != "" || response.NoAnswerOwed || response.Sent.Before(from) || response.Sent.After(to) {
+		if response.Attempt != 1 || response.IdempotencyKey != "" || response.ResponseOptional || response.Sent.Before(from) || response.Sent.After(to) {
 			continue
 		}
 		all++
--- a/internal/testsupport/simulator/clients.go
+++ b/internal/testsupport/simulator/clients.go
@@ -104,7 +104,7 @@
 
 // sendRequest sends an attempt on a kept connection, or to where the directory says.
 func (w *World) sendRequest(request *pendingRequest) {
-	response := checker.ClientResponse{Sent: w.wallTime(), Token: request.token, IdempotencyKey: string(request.idempotencyKey), Attempt: request.attempt, Class: checker.ClassUnreached, NoAnswerOwed: request.route.Name == blueprint.FlippedRoute}
+	response := checker.ClientResponse{Sent: w.wallTime(), Token: request.token, IdempotencyKey: string(request.idempotencyKey), Attempt: request.attempt, Class: checker.ClassUnreached, ResponseOptional: request.route.Name == blueprint.FlippedRoute}
 	if connection, ok := w.clients.connections[request.connection]; ok && w.now < connection.until && request.attempt == 1 {
 		response.Zone, response.Held = connection.zone, true
 		w.deliver(request, response, connection.proxy)
--- a/internal/testsupport/testbed/clients.go
+++ b/internal/testsupport/testbed/clients.go
@@ -138,7 +138,7 @@
 	for attempt := 1; attempt <= maxAttempts && time.Now().Before(deadline); attempt++ {
 		response := c.sendOnce(r, attempt)
 		// The route that operators move is missing at times.
-		response.NoAnswerOwed = r.route.Name == blueprint.FlippedRoute
+		response.ResponseOptional = r.route.Name == blueprint.FlippedRoute
 		c.Checker.AttemptEnded(response)
 		if response.Class == classMisused {
 			return
