--- a/internal/testsupport/checker/checker.go
+++ b/internal/testsupport/checker/checker.go
@@ -76,8 +76,8 @@
 	Problem string
 	// ResponseOptional reports whether the attempt may fail, as on a route that is repeatedly removed.
 	ResponseOptional bool
-	// Held reports whether the attempt used a long-lived connection instead of resolving a proxy.
-	Held bool
+	// LongLived reports whether the attempt used a long-lived connection instead of resolving a proxy.
+	LongLived bool
 }
 
 // Checker collects observations and checks them against the rules. It is safe for concurrent use,
--- a/internal/testsupport/checker/long_lived_connections.go
+++ b/internal/testsupport/checker/long_lived_connections.go
@@ -48,7 +48,7 @@
 		}
 	}
 	for _, response := range c.responses {
-		if !response.Held || response.ResponseOptional {
+		if !response.LongLived || response.ResponseOptional {
 			continue
 		}
 		result.Judged++
--- a/internal/testsupport/simulator/clients.go
+++ b/internal/testsupport/simulator/clients.go
@@ -106,7 +106,7 @@
 func (w *World) sendRequest(request *pendingRequest) {
 	response := checker.ClientResponse{Sent: w.wallTime(), Token: request.token, IdempotencyKey: string(request.idempotencyKey), Attempt: request.attempt, Class: checker.ClassUnreached, ResponseOptional: request.route.Name == blueprint.FlippedRoute}
 	if connection, ok := w.clients.connections[request.connection]; ok && w.now < connection.until && request.attempt == 1 {
-		response.Zone, response.Held = connection.zone, true
+		response.Zone, response.LongLived = connection.zone, true
 		w.deliver(request, response, connection.proxy)
 		return
 	}
@@ -136,7 +136,7 @@
 	}
 	w.Checker.AttemptEnded(response)
 	// A client drops a connection that is dead.
-	if response.Held && (response.Class == checker.ClassUnreached || response.Class == checker.ClassLost) {
+	if response.LongLived && (response.Class == checker.ClassUnreached || response.Class == checker.ClassLost) {
 		delete(w.clients.connections, request.connection)
 	}
 	w.trace("%s attempt %d %s %s at %s", request.token, request.attempt, response.Class, response.Body, response.Proxy)
@@ -154,7 +154,7 @@
 // closeIfDrained closes a long-lived connection after a response if the zone of its proxy is
 // drained, as the real front end does, so that no new work comes down it.
 func (w *World) closeIfDrained(p *process, request *pendingRequest, response checker.ClientResponse) {
-	if !response.Held || !p.dispatchers.servingState.ZoneDrained && !w.Defect.CloseLongLived {
+	if !response.LongLived || !p.dispatchers.servingState.ZoneDrained && !w.Defect.CloseLongLived {
 		return
 	}
 	delete(w.clients.connections, request.connection)
--- a/internal/testsupport/testbed/held_connections.go
+++ b/internal/testsupport/testbed/held_connections.go
@@ -71,7 +71,7 @@
 		r.token = fmt.Sprintf("%s-%d", name, n)
 		response, closes := c.sendAttempt(traced, client, r, proxy, resolved.zone, 1)
 		// The first request opens the connection: whatever its response, none was held.
-		response.Held = n > 0
+		response.LongLived = n > 0
 		if n > 0 && !reused && response.Class != classUnreached {
 			c.connectionClosed(proxy, resolved.zone, "the next request found it closed")
 			return
