--- a/internal/testsupport/checker/long_lived_connections.go
+++ b/internal/testsupport/checker/long_lived_connections.go
@@ -12,8 +12,8 @@
 	At    time.Time
 	Proxy string
 	Zone  ids.Name
-	// Why describes how the closing was noticed, for RuleResult.Sample.
-	Why string
+	// Reason describes how the closing was noticed, for RuleResult.Sample.
+	Reason string
 	// Excused reports whether the proxy was killed, stopped, frozen or partitioned at that time.
 	Excused bool
 }
@@ -44,7 +44,7 @@
 	result := RuleResult{Rule: "long-lived connection closed or rejected by a move"}
 	for _, closed := range c.closedConnections {
 		if !closed.Excused && !c.drainedAt(closed.Zone, closed.At) {
-			result.add(fmt.Sprintf("%s in %s closed a connection at %s: %s", closed.Proxy, closed.Zone, closed.At.Format("15:04:05.000"), closed.Why))
+			result.add(fmt.Sprintf("%s in %s closed a connection at %s: %s", closed.Proxy, closed.Zone, closed.At.Format("15:04:05.000"), closed.Reason))
 		}
 	}
 	for _, response := range c.responses {
--- a/internal/testsupport/simulator/clients.go
+++ b/internal/testsupport/simulator/clients.go
@@ -159,5 +159,5 @@
 	}
 	delete(w.clients.connections, request.connection)
 	// A proxy without a lease serves nobody anyway, and may not know that the draining ended.
-	w.Checker.ConnectionClosed(checker.ClosedConnection{At: w.wallTime(), Proxy: p.name, Zone: p.zone, Why: "after an answer", Excused: !p.dispatchers.servingState.LeaseValid})
+	w.Checker.ConnectionClosed(checker.ClosedConnection{At: w.wallTime(), Proxy: p.name, Zone: p.zone, Reason: "after an answer", Excused: !p.dispatchers.servingState.LeaseValid})
 }
--- a/internal/testsupport/testbed/held_connections.go
+++ b/internal/testsupport/testbed/held_connections.go
@@ -97,5 +97,5 @@
 // connectionClosed reports the end of a held connection.
 func (c *Clients) connectionClosed(proxy string, zone ids.Name, why string) {
 	now := time.Now()
-	c.Checker.ConnectionClosed(checker.ClosedConnection{At: now, Proxy: proxy, Zone: zone, Why: why, Excused: c.Testbed.IsImpaired(proxy, now)})
+	c.Checker.ConnectionClosed(checker.ClosedConnection{At: now, Proxy: proxy, Zone: zone, Reason: why, Excused: c.Testbed.IsImpaired(proxy, now)})
 }
