--- a/internal/testsupport/checker/configuration.go
+++ b/internal/testsupport/checker/configuration.go
@@ -12,9 +12,9 @@
 // String returns the item as kind/name.
 func (i Item) String() string { return i.Kind + "/" + i.Name }
 
-// ExpectedItem is the part of a change that concerns one item: replace it, set some of its fields,
+// ItemChange is the part of a change that concerns one item: replace it, set some of its fields,
 // or remove it.
-type ExpectedItem struct {
+type ItemChange struct {
 	Put    json.RawMessage `json:"put"`
 	Set    json.RawMessage `json:"set"`
 	Remove bool            `json:"remove"`
@@ -83,7 +83,7 @@
 }
 
 // matchesBody reports whether a body is the result of the change. It ignores white space in JSON.
-func (e ExpectedItem) matchesBody(body json.RawMessage) bool {
+func (e ItemChange) matchesBody(body json.RawMessage) bool {
 	switch {
 	case e.Remove:
 		return false
@@ -130,14 +130,14 @@
 		Changes []struct {
 			Kind string `json:"kind"`
 			Name string `json:"name"`
-			ExpectedItem
+			ItemChange
 		} `json:"changes"`
 	}
-	change := Change{Items: map[Item]ExpectedItem{}}
+	change := Change{Items: map[Item]ItemChange{}}
 	err := json.Unmarshal(raw, &in)
 	change.ID = in.ID
 	for _, part := range in.Changes {
-		change.Items[Item{part.Kind, part.Name}] = part.ExpectedItem
+		change.Items[Item{part.Kind, part.Name}] = part.ItemChange
 	}
 	return change, err
 }
--- a/internal/testsupport/checker/configuration_in_force.go
+++ b/internal/testsupport/checker/configuration_in_force.go
@@ -20,7 +20,7 @@
 }
 
 // matchesExecution reports whether an execution conforms to the route that a change writes.
-func (e ExpectedItem) matchesExecution(execution Execution) bool {
+func (e ItemChange) matchesExecution(execution Execution) bool {
 	if e.Remove || e.Put == nil {
 		return false
 	}
--- a/internal/testsupport/checker/ledger.go
+++ b/internal/testsupport/checker/ledger.go
@@ -5,7 +5,7 @@
 // Change is a configuration change that a simulated operator sent, and its outcome.
 type Change struct {
 	ID    string
-	Items map[Item]ExpectedItem
+	Items map[Item]ItemChange
 	// SentAt is when the change was first sent, AnsweredAt when its acceptance became known.
 	SentAt, AnsweredAt time.Time
 	// Revision is the revision that the change was accepted as; zero while unknown.
