--- a/internal/testsupport/checker/configuration.go
+++ b/internal/testsupport/checker/configuration.go
@@ -20,8 +20,8 @@
 	Remove bool            `json:"remove"`
 }
 
-// Body is the version and the body of an item, as a read returned them.
-type Body struct {
+// VersionedItem is the version and the body of an item, as a read returned them.
+type VersionedItem struct {
 	Version uint64          `json:"version"`
 	Body    json.RawMessage `json:"body"`
 }
@@ -29,7 +29,7 @@
 // Configuration is a complete configuration, as a read returned it.
 type Configuration struct {
 	Revision uint64
-	Items    map[Item]Body
+	Items    map[Item]VersionedItem
 }
 
 // ConfigurationRead checks a configuration that reader returned. It must not be older than floor,
@@ -65,7 +65,7 @@
 }
 
 // checkOrigin records a violation for an item that no accepted change can have written.
-func (c *Checker) checkOrigin(reader string, item Item, found Body) {
+func (c *Checker) checkOrigin(reader string, item Item, found VersionedItem) {
 	touched := false
 	for _, change := range c.history.changes {
 		expected, ok := change.Items[item]
@@ -106,16 +106,16 @@
 // ParseConfiguration parses the JSON of GET /v1/policy.
 func ParseConfiguration(raw []byte) (Configuration, error) {
 	var in struct {
-		Revision uint64          `json:"revision"`
-		Services map[string]Body `json:"services"`
-		Routes   map[string]Body `json:"routes"`
-		Zones    map[string]Body `json:"cells"`
+		Revision uint64                   `json:"revision"`
+		Services map[string]VersionedItem `json:"services"`
+		Routes   map[string]VersionedItem `json:"routes"`
+		Zones    map[string]VersionedItem `json:"cells"`
 	}
 	if err := json.Unmarshal(raw, &in); err != nil {
 		return Configuration{}, err
 	}
-	configuration := Configuration{Revision: in.Revision, Items: map[Item]Body{}}
-	for kind, items := range map[string]map[string]Body{"service": in.Services, "route": in.Routes, "cell": in.Zones} {
+	configuration := Configuration{Revision: in.Revision, Items: map[Item]VersionedItem{}}
+	for kind, items := range map[string]map[string]VersionedItem{"service": in.Services, "route": in.Routes, "cell": in.Zones} {
 		for name, body := range items {
 			configuration.Items[Item{kind, name}] = body
 		}
