--- a/internal/testsupport/checker/checker.go
+++ b/internal/testsupport/checker/checker.go
@@ -90,7 +90,7 @@
 	violations        []string
 	drains            []Drain
 	recoveredAt       time.Time
-	history           Ledger
+	history           ChangeHistory
 	spill             spillObservations
 	closedConnections []ClosedConnection
 	// departuresKnown counts targets that the control plane learned to be leaving or gone.
--- a/internal/testsupport/checker/ledger.go
+++ b/internal/testsupport/checker/ledger.go
@@ -16,8 +16,8 @@
 	rejected      bool
 }
 
-// Ledger holds the configuration changes that operators sent, with their outcomes.
-type Ledger struct {
+// ChangeHistory holds the configuration changes that operators sent, with their outcomes.
+type ChangeHistory struct {
 	changes []*Change
 	byID    map[string]*Change
 	// highestRevision is the highest revision in any response so far.
@@ -109,7 +109,7 @@
 
 // changedLater reports whether an item is modified by a change with a revision in (revision, upTo],
 // or by one whose outcome is unknown.
-func (l *Ledger) changedLater(item Item, revision, upTo uint64) bool {
+func (l *ChangeHistory) changedLater(item Item, revision, upTo uint64) bool {
 	for _, change := range l.changes {
 		if _, ok := change.Items[item]; ok && !change.rejected && (change.Revision == 0 || change.Revision > revision && change.Revision <= upTo) {
 			return true
