--- a/internal/testsupport/checker/results.go
+++ b/internal/testsupport/checker/results.go
@@ -21,8 +21,8 @@
 	// Judged counts the observations that the rule applied to. If it is zero, the absence of
 	// violations proves nothing.
 	Judged int
-	// More holds the first violations, at most maxSamples.
-	More []string
+	// Samples holds the first violations, at most maxSamples.
+	Samples []string
 }
 
 func (r *RuleResult) add(sample string) {
@@ -30,8 +30,8 @@
 	if r.Sample == "" {
 		r.Sample = sample
 	}
-	if len(r.More) < maxSamples {
-		r.More = append(r.More, sample)
+	if len(r.Samples) < maxSamples {
+		r.Samples = append(r.Samples, sample)
 	}
 }
 
--- a/internal/testsupport/simulator/defect_test.go
+++ b/internal/testsupport/simulator/defect_test.go
@@ -120,7 +120,7 @@
 					p.Defect = c.defect
 				}
 				for _, k := range Run(p).Results {
-					found = found || k.Violations > 0 && bite.MatchString(k.Rule+"\n"+strings.Join(k.More, "\n"))
+					found = found || k.Violations > 0 && bite.MatchString(k.Rule+"\n"+strings.Join(k.Samples, "\n"))
 				}
 			}
 			is.True(found) // the planted defect was seen
