--- a/internal/testsupport/checker/spill_observations.go
+++ b/internal/testsupport/checker/spill_observations.go
@@ -15,9 +15,9 @@
 
 // SpillOrder holds the configuration that determines in which order spill-over may move traffic.
 type SpillOrder struct {
-	// Every is the planning interval of the spill-over, and the length of the windows that
+	// PlanInterval is the planning interval of the spill-over, and the length of the windows that
 	// observations are grouped by. Zero disables the rules on spill-over.
-	Every time.Duration
+	PlanInterval time.Duration
 	// Tier is the priority of each route; higher is more urgent.
 	Tier     map[ids.Name]int
 	Distance func(a, b ids.Name) float64
@@ -95,7 +95,7 @@
 func (c *Checker) DirectoryAnswered(answer DirectoryAnswer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if _, ranked := c.spill.Tier[answer.Route]; ranked && c.spill.Every > 0 {
+	if _, ranked := c.spill.Tier[answer.Route]; ranked && c.spill.PlanInterval > 0 {
 		c.spill.answers = append(c.spill.answers, answer)
 	}
 }
@@ -106,7 +106,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	observations := &c.spill
-	if observations.Every <= 0 {
+	if observations.PlanInterval <= 0 {
 		return
 	}
 	window := observations.window(at)
@@ -118,7 +118,9 @@
 }
 
 // window returns the number of the window that contains a time.
-func (o *spillObservations) window(at time.Time) int { return int(at.UnixNano() / int64(o.Every)) }
+func (o *spillObservations) window(at time.Time) int {
+	return int(at.UnixNano() / int64(o.PlanInterval))
+}
 
 // countAnswers counts the answers by window, flow and zone of the proxy.
 func (o *spillObservations) countAnswers() map[int]map[flow]map[ids.Name]int {
--- a/internal/testsupport/simulator/hot_zones.go
+++ b/internal/testsupport/simulator/hot_zones.go
@@ -93,7 +93,7 @@
 // checkSpillOrder lets the checker judge the order of moves by the configuration, the directory's
 // answers, and what the zones' proxies carried.
 func (w *World) checkSpillOrder(open func(ids.Name) bool) {
-	order := checker.SpillOrder{Every: w.PlanEvery, Tier: map[ids.Name]int{}, Acceptable: map[ids.Name]float64{}, Distance: w.Plan.Distance}
+	order := checker.SpillOrder{PlanInterval: w.PlanEvery, Tier: map[ids.Name]int{}, Acceptable: map[ids.Name]float64{}, Distance: w.Plan.Distance}
 	tier := map[ids.Name]int{}
 	for _, pool := range w.Plan.Pools {
 		tier[pool.Service] = pool.Tier
--- a/internal/testsupport/testbed/load_watch.go
+++ b/internal/testsupport/testbed/load_watch.go
@@ -109,7 +109,7 @@
 
 // checkSpillOrder has the checker judge the order of moves by the plan's configuration.
 func (tb *Testbed) checkSpillOrder() {
-	order := checker.SpillOrder{Every: tb.PlanEvery, Tier: tb.routeRanks(), Distance: tb.Plan.Distance, Acceptable: map[ids.Name]float64{}}
+	order := checker.SpillOrder{PlanInterval: tb.PlanEvery, Tier: tb.routeRanks(), Distance: tb.Plan.Distance, Acceptable: map[ids.Name]float64{}}
 	for i := range tb.Zones {
 		order.Acceptable[tb.Plan.Zone(i)] = acceptableShare * tb.Plan.TargetLevel()
 	}
