--- a/internal/testsupport/checker/drain.go
+++ b/internal/testsupport/checker/drain.go
@@ -13,9 +13,9 @@
 	// From is when the drain was known to be accepted. To is when its end was requested; zero
 	// until then.
 	From, To time.Time
-	// Asked is when the drain was first requested. It may take effect long before its response
+	// RequestedAt is when the drain was first requested. It may take effect long before its response
 	// arrives.
-	Asked time.Time
+	RequestedAt time.Time
 	// RestoredAt is when the end of the drain was known to be accepted.
 	RestoredAt time.Time
 }
@@ -25,7 +25,7 @@
 func (c *Checker) ZoneDrained(zone ids.Name, requestedAt, acceptedAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.drains = append(c.drains, Drain{Zone: zone, Asked: requestedAt, From: acceptedAt})
+	c.drains = append(c.drains, Drain{Zone: zone, RequestedAt: requestedAt, From: acceptedAt})
 }
 
 // ZoneRestored records the end of a zone's drain. It must be called when the end is requested, as
--- a/internal/testsupport/checker/long_lived_connections.go
+++ b/internal/testsupport/checker/long_lived_connections.go
@@ -30,7 +30,7 @@
 func (c *Checker) drainedAt(zone ids.Name, at time.Time) bool {
 	for _, drain := range c.drains {
 		// Restoring a zone may take as long to reach the proxies as any other change.
-		if drain.Zone == zone && !at.Before(drain.Asked) && (drain.To.IsZero() || at.Before(drain.RestoredAt.Add(configurationInForceWithin))) {
+		if drain.Zone == zone && !at.Before(drain.RequestedAt) && (drain.To.IsZero() || at.Before(drain.RestoredAt.Add(configurationInForceWithin))) {
 			return true
 		}
 	}
