--- a/internal/testsupport/checker/checker.go
+++ b/internal/testsupport/checker/checker.go
@@ -22,8 +22,8 @@
 	Token          string
 	IdempotencyKey string
 	Attempt        int
-	// AttemptHidden reports whether the client omitted the attempt number.
-	AttemptHidden bool
+	// AttemptOmitted reports whether the client omitted the attempt number.
+	AttemptOmitted bool
 	// DepartureKnownFor is how long before the request arrived the control plane had learned that
 	// the target was leaving or gone; zero if it had not.
 	DepartureKnownFor time.Duration
--- a/internal/testsupport/checker/results.go
+++ b/internal/testsupport/checker/results.go
@@ -111,7 +111,7 @@
 // one, was executed. Attempts without a number can't be ordered, so those count only if they were
 // executed before the rejection.
 func contradictsRejection(execution Execution, rejection ClientResponse) bool {
-	return execution.Attempt <= rejection.Attempt && rejection.IdempotencyKey != "" && (!execution.AttemptHidden || execution.At.Before(rejection.At))
+	return execution.Attempt <= rejection.Attempt && rejection.IdempotencyKey != "" && (!execution.AttemptOmitted || execution.At.Before(rejection.At))
 }
 
 // sentToDeparted finds requests that reached a target more than departedTargetGrace after the
--- a/internal/testsupport/checker/retries.go
+++ b/internal/testsupport/checker/retries.go
@@ -54,7 +54,7 @@
 	byService := map[ids.Name][]arrival{}
 	seen := map[string]bool{}
 	for _, execution := range c.executions {
-		retry := seen[execution.Token] || (execution.Attempt > 1 && !execution.AttemptHidden)
+		retry := seen[execution.Token] || (execution.Attempt > 1 && !execution.AttemptOmitted)
 		byService[execution.Service] = append(byService[execution.Service], arrival{execution.At, retry})
 		seen[execution.Token] = true
 	}
--- a/internal/testsupport/simulator/target.go
+++ b/internal/testsupport/simulator/target.go
@@ -130,7 +130,7 @@
 func (t *target) execute(request *forwardedRequest, p *process, service ids.Name, sent, arrived ids.Time, timeLeft time.Duration, beforeDone func(), done func(idempotency.Response, bool)) {
 	t.inFlight++
 	execution := checker.Execution{
-		At: t.world.wallTime(), Sent: timeOf(sent), Instance: t.id, Service: t.service, Zone: t.zone, Token: request.requestToken, IdempotencyKey: string(request.IdempotencyKey), Attempt: request.attempt, AttemptHidden: request.Job.Attempt == 0,
+		At: t.world.wallTime(), Sent: timeOf(sent), Instance: t.id, Service: t.service, Zone: t.zone, Token: request.requestToken, IdempotencyKey: string(request.IdempotencyKey), Attempt: request.attempt, AttemptOmitted: request.Job.Attempt == 0,
 		DepartureKnownFor: t.departureKnownFor(arrived), Route: request.Route, TimeLeft: timeLeft, Proxy: p.name, ProxyZone: p.zone,
 	}
 	t.world.Checker.RequestExecuted(execution)
