--- a/internal/tools/knownred/judge/main.go
+++ b/internal/tools/knownred/judge/main.go
@@ -40,11 +40,11 @@
 	for _, line := range verdict.KnownFailures {
 		fmt.Println("known red: " + line)
 	}
-	for _, line := range verdict.Objections {
+	for _, line := range verdict.Problems {
 		fmt.Println("problem: " + line)
 	}
-	if len(verdict.Objections) > 0 {
-		return fmt.Errorf("%d problems with the test run", len(verdict.Objections))
+	if len(verdict.Problems) > 0 {
+		return fmt.Errorf("%d problems with the test run", len(verdict.Problems))
 	}
 	return nil
 }
--- a/internal/tools/knownred/knownred_test.go
+++ b/internal/tools/knownred/knownred_test.go
@@ -88,7 +88,7 @@
 			is.NoErr(err)
 			v := j.Verdict(list, c.exit)
 			is.Equal(strings.Join(v.KnownFailures, "\n"), c.passed)
-			is.Equal(strings.Join(v.Objections, "\n"), c.want)
+			is.Equal(strings.Join(v.Problems, "\n"), c.want)
 		})
 	}
 }
--- a/internal/tools/knownred/verdict.go
+++ b/internal/tools/knownred/verdict.go
@@ -11,11 +11,11 @@
 
 // Verdict is the result of a run: the failures that are listed, and the reasons to fail the run. A
 // run without problems passes.
-type Verdict struct{ KnownFailures, Objections []string }
+type Verdict struct{ KnownFailures, Problems []string }
 
 // addProblem adds a problem.
 func (v *Verdict) addProblem(format string, args ...any) {
-	v.Objections = append(v.Objections, fmt.Sprintf(format, args...))
+	v.Problems = append(v.Problems, fmt.Sprintf(format, args...))
 }
 
 // Verdict evaluates the run by the list and by the exit code of go test. A failed subtest and its
