--- a/internal/tools/knownred/judge.go
+++ b/internal/tools/knownred/judge.go
@@ -35,8 +35,8 @@
 // New returns a Judge that prints to out what go test would print.
 func New(out io.Writer) *Judge { return &Judge{out: out, packages: map[string]*packageRun{}} }
 
-// Follow reads the events of a run until EOF.
-func (j *Judge) Follow(run io.Reader) error {
+// ReadEvents reads the events of a run until EOF.
+func (j *Judge) ReadEvents(run io.Reader) error {
 	lines := bufio.NewReader(run)
 	for {
 		line, err := lines.ReadString('\n')
--- a/internal/tools/knownred/judge/main.go
+++ b/internal/tools/knownred/judge/main.go
@@ -74,7 +74,7 @@
 	if err := cmd.Start(); err != nil {
 		return 0, err
 	}
-	if err := judge.Follow(events); err != nil {
+	if err := judge.ReadEvents(events); err != nil {
 		return 0, err
 	}
 	// Wait returns an error for a failed run, which the exit code covers.
--- a/internal/tools/knownred/knownred_test.go
+++ b/internal/tools/knownred/knownred_test.go
@@ -83,7 +83,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			j := New(&strings.Builder{})
-			is.NoErr(j.Follow(strings.NewReader(encodeEvents(c.run...))))
+			is.NoErr(j.ReadEvents(strings.NewReader(encodeEvents(c.run...))))
 			list, err := Read(c.list)
 			is.NoErr(err)
 			v := j.Verdict(list, c.exit)
@@ -100,7 +100,7 @@
 	var out strings.Builder
 	j := New(&out)
 	run := "go: not JSON\n" + encodeEvents(testEvent{Action: "build-output", Output: "# m/c\n"}) + encodeEvents(passedPackage("m/a", testRun("m/a", "TestX", "pass"))...) + encodeEvents(failedPackage("m/b", testRun("m/b", "TestY", "fail"))...)
-	is.NoErr(j.Follow(strings.NewReader(run)))
+	is.NoErr(j.ReadEvents(strings.NewReader(run)))
 	is.Equal(out.String(), "go: not JSON\n# m/c\nok  \tm/a\t0.1s\n--- fail: TestY\nFAIL\nFAIL\tm/b\t0.1s\n")
 }
 
