--- a/internal/testsupport/checker/checker.go
+++ b/internal/testsupport/checker/checker.go
@@ -76,7 +76,8 @@
 	Problem string
 	// ResponseOptional reports whether the attempt may fail, as on a route that is repeatedly removed.
 	ResponseOptional bool
-	// LongLived reports whether the attempt used a long-lived connection instead of resolving a proxy.
+	// LongLived reports whether the attempt used a long-lived connection instead of resolving a
+	// proxy.
 	LongLived bool
 }
 
--- a/internal/testsupport/checker/configuration_in_force_test.go
+++ b/internal/testsupport/checker/configuration_in_force_test.go
@@ -34,10 +34,10 @@
 			var checker Checker
 			for n, service := range []string{"old", "new"} {
 				sentAt := at(float64(10 * n))
-				id := checker.ChangeSent([]byte(`{"id":"to-`+service+`","changes":[{"kind":"route","name":"orders","put":{"service":"`+service+`","repeatable":true}}]}`), sentAt)
+				id := checker.ChangeSent([]byte(`{"id":"to-`+service+`","changes":[{"kind":"route","name":"way","put":{"service":"`+service+`","repeatable":true}}]}`), sentAt)
 				checker.ChangeAccepted(id, uint64(n+1), sentAt)
 			}
-			execution := Execution{At: at(c.ran), Service: c.service, Route: "orders"}
+			execution := Execution{At: at(c.ran), Service: c.service, Route: "way"}
 			if c.sent != 0 {
 				execution.Sent = at(c.sent)
 			}
--- a/internal/testsupport/checker/statistics.go
+++ b/internal/testsupport/checker/statistics.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// ShareAnsweredWithin returns the share of requests that were answered within a duration from their first
-// attempt, and the number of requests.
+// ShareAnsweredWithin returns the share of requests that were answered within a duration from their
+// first attempt, and the number of requests.
 func (c *Checker) ShareAnsweredWithin(within time.Duration) (float64, int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/tools/knownred/knownred_test.go
+++ b/internal/tools/knownred/knownred_test.go
@@ -93,9 +93,9 @@
 	}
 }
 
-// TestJudge_Follow_PrintsAsGoTest checks that the output is that of go test: the last line of each
+// TestJudge_ReadEvents_PrintsAsGoTest checks that the output is that of go test: the last line of each
 // package, and the whole output of a failed one.
-func TestJudge_Follow_PrintsAsGoTest(t *testing.T) {
+func TestJudge_ReadEvents_PrintsAsGoTest(t *testing.T) {
 	is := is.New(t)
 	var out strings.Builder
 	j := New(&out)
--- a/internal/tools/knownred/verdict.go
+++ b/internal/tools/knownred/verdict.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// judgeTests reports listed tests that did not fail and to failed tests that are not listed.
+// judgeTests reports listed tests that did not fail and failed tests that are not listed.
 func (j *Judge) judgeTests(v *Verdict, list []Entry) {
 	results := j.testResults()
 	listed := map[string]bool{}
