--- a/internal/testsupport/checker/configuration.go
+++ b/internal/testsupport/checker/configuration.go
@@ -12,45 +12,45 @@
 // String returns the item as kind/name.
 func (i Item) String() string { return i.Kind + "/" + i.Name }
 
-// ExpectedItem is what a change asks of an item: to put it whole, set some of its fields, or
-// remove it.
-type ExpectedItem struct {
+// ItemChange is the part of a change that concerns one item: replace it, set some of its fields,
+// or remove it.
+type ItemChange struct {
 	Put    json.RawMessage `json:"put"`
 	Set    json.RawMessage `json:"set"`
 	Remove bool            `json:"remove"`
 }
 
-// Body is an item as a read returned it.
-type Body struct {
+// VersionedItem is the version and the body of an item, as a read returned them.
+type VersionedItem struct {
 	Version uint64          `json:"version"`
 	Body    json.RawMessage `json:"body"`
 }
 
-// Configuration is a whole configuration as a read returned it.
+// Configuration is a complete configuration, as a read returned it.
 type Configuration struct {
 	Revision uint64
-	Items    map[Item]Body
+	Items    map[Item]VersionedItem
 }
 
-// ConfigurationRead judges a configuration that reader returned: not older than floor, the
-// revision known when the read began; each change in it whole or not at all; and each item's body
-// as its change put it.
+// ConfigurationRead checks a configuration that reader returned. It must not be older than floor,
+// the revision known when the read began; it must contain each change completely or not at all; and
+// each item's body must match the change that wrote it.
 func (c *Checker) ConfigurationRead(reader string, read Configuration, floor uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ledger.reads++
+	c.history.reads++
 	if read.Revision < floor {
-		c.addViolation("%s gave revision %d after %d was known", reader, read.Revision, floor)
+		c.addViolation("%s returned revision %d after %d was known", reader, read.Revision, floor)
 	}
-	c.ledger.highestRevision = max(c.ledger.highestRevision, read.Revision)
-	for _, change := range c.ledger.changes {
+	c.history.highestRevision = max(c.history.highestRevision, read.Revision)
+	for _, change := range c.history.changes {
 		if change.Revision == 0 || change.Revision > read.Revision {
 			continue
 		}
-		// An accepted change shows in each of its items, unless a later one does.
+		// An accepted change is visible in each of its items unless a later change replaced it.
 		for item, expected := range change.Items {
 			found, ok := read.Items[item]
-			switch laterChange := c.ledger.changedLater(item, change.Revision, read.Revision); {
+			switch laterChange := c.history.changedLater(item, change.Revision, read.Revision); {
 			case ok && found.Version > change.Revision, !ok && laterChange:
 			case !ok && !expected.Remove, ok && expected.Remove, ok && found.Version < change.Revision:
 				c.addViolation("%s: %s of change %s (revision %d) reads back as version %d", reader, item, change.ID, change.Revision, found.Version)
@@ -64,10 +64,10 @@
 	}
 }
 
-// checkOrigin records a violation for an item that no accepted change can have made.
-func (c *Checker) checkOrigin(reader string, item Item, found Body) {
+// checkOrigin records a violation for an item that no accepted change can have written.
+func (c *Checker) checkOrigin(reader string, item Item, found VersionedItem) {
 	touched := false
-	for _, change := range c.ledger.changes {
+	for _, change := range c.history.changes {
 		expected, ok := change.Items[item]
 		if !ok {
 			continue
@@ -78,12 +78,12 @@
 		}
 	}
 	if touched {
-		c.addViolation("%s holds %s at version %d, which no accepted change gave it", reader, item, found.Version)
+		c.addViolation("%s holds %s at version %d, which no accepted change wrote", reader, item, found.Version)
 	}
 }
 
-// matchesBody reports whether a body is as the change asks. JSON is compared without white space.
-func (e ExpectedItem) matchesBody(body json.RawMessage) bool {
+// matchesBody reports whether a body is the result of the change. It ignores white space in JSON.
+func (e ItemChange) matchesBody(body json.RawMessage) bool {
 	switch {
 	case e.Remove:
 		return false
@@ -106,16 +106,16 @@
 // ParseConfiguration parses the JSON of GET /v1/policy.
 func ParseConfiguration(raw []byte) (Configuration, error) {
 	var in struct {
-		Revision uint64          `json:"revision"`
-		Services map[string]Body `json:"services"`
-		Routes   map[string]Body `json:"routes"`
-		Zones    map[string]Body `json:"cells"`
+		Revision uint64                   `json:"revision"`
+		Services map[string]VersionedItem `json:"services"`
+		Routes   map[string]VersionedItem `json:"routes"`
+		Zones    map[string]VersionedItem `json:"cells"`
 	}
 	if err := json.Unmarshal(raw, &in); err != nil {
 		return Configuration{}, err
 	}
-	configuration := Configuration{Revision: in.Revision, Items: map[Item]Body{}}
-	for kind, items := range map[string]map[string]Body{"service": in.Services, "route": in.Routes, "cell": in.Zones} {
+	configuration := Configuration{Revision: in.Revision, Items: map[Item]VersionedItem{}}
+	for kind, items := range map[string]map[string]VersionedItem{"service": in.Services, "route": in.Routes, "cell": in.Zones} {
 		for name, body := range items {
 			configuration.Items[Item{kind, name}] = body
 		}
@@ -130,14 +130,14 @@
 		Changes []struct {
 			Kind string `json:"kind"`
 			Name string `json:"name"`
-			ExpectedItem
+			ItemChange
 		} `json:"changes"`
 	}
-	change := Change{Items: map[Item]ExpectedItem{}}
+	change := Change{Items: map[Item]ItemChange{}}
 	err := json.Unmarshal(raw, &in)
 	change.ID = in.ID
 	for _, part := range in.Changes {
-		change.Items[Item{part.Kind, part.Name}] = part.ExpectedItem
+		change.Items[Item{part.Kind, part.Name}] = part.ItemChange
 	}
 	return change, err
 }
--- a/internal/testsupport/checker/drain.go
+++ b/internal/testsupport/checker/drain.go
@@ -7,28 +7,29 @@
 	"dunlinwell/internal/base/ids"
 )
 
-// Drain is a span in which a drained zone gets no new work.
+// Drain is a period during which a zone is drained and must get no new requests.
 type Drain struct {
 	Zone ids.Name
-	// From is when the draining was known to be accepted, and To when its end was
-	// asked for; zero while it lasts.
+	// From is when the drain was known to be accepted. To is when its end was requested; zero
+	// until then.
 	From, To time.Time
-	// Asked is when the draining was first asked for: its answer may come long
-	// after it took effect.
-	Asked time.Time
-	// RestoredAt is when its end was known to be accepted.
+	// RequestedAt is when the drain was first requested. It may take effect long before its response
+	// arrives.
+	RequestedAt time.Time
+	// RestoredAt is when the end of the drain was known to be accepted.
 	RestoredAt time.Time
 }
 
-// ZoneDrained records that a request to drain a zone, sent at asked, was accepted.
-func (c *Checker) ZoneDrained(zone ids.Name, asked, at time.Time) {
+// ZoneDrained records that a request to drain a zone, first sent at requestedAt, was
+// accepted at acceptedAt.
+func (c *Checker) ZoneDrained(zone ids.Name, requestedAt, acceptedAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.drains = append(c.drains, Drain{Zone: zone, Asked: asked, From: at})
+	c.drains = append(c.drains, Drain{Zone: zone, RequestedAt: requestedAt, From: acceptedAt})
 }
 
-// ZoneRestored records the end of a zone's draining. It must be called when the end is asked for,
-// which may take effect before its answer arrives, and again when it is accepted.
+// ZoneRestored records the end of a zone's drain. It must be called when the end is requested, as
+// that may take effect before its response arrives, and again when it is accepted.
 func (c *Checker) ZoneRestored(zone ids.Name, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -43,23 +44,24 @@
 	}
 }
 
-// drainWithin is how soon a drained zone must be free of new work: the bound that the users set.
+// drainWithin is the required time from the acceptance of a drain until the zone gets no new
+// requests.
 const drainWithin = 5 * time.Second
 
-// newWorkInDrainedZones finds executions in zones drained over drainWithin ago, or forwarded by
-// proxies there.
+// newWorkInDrainedZones finds requests that were executed in a zone drained more than drainWithin
+// ago, or forwarded by a proxy there.
 func (c *Checker) newWorkInDrainedZones() RuleResult {
-	result := RuleResult{Rule: "new work in a cell emptied over 5 s ago"}
+	result := RuleResult{Rule: "new request in a zone drained over 5 s ago"}
 	for _, drain := range c.drains {
-		in := func(zone ids.Name, at time.Time) bool {
+		violates := func(zone ids.Name, at time.Time) bool {
 			return zone == drain.Zone && at.After(drain.From.Add(drainWithin)) && (drain.To.IsZero() || at.Before(drain.To))
 		}
 		for _, execution := range c.executions {
 			if execution.At.After(drain.From.Add(drainWithin)) {
 				result.Judged++
 			}
-			if in(execution.Zone, execution.At) || in(execution.ProxyZone, execution.At) {
-				result.add(fmt.Sprintf("%s in %s ran %s through %s in %s, %s after", execution.Instance, execution.Zone, execution.Token, execution.Proxy, execution.ProxyZone, execution.At.Sub(drain.From).Round(time.Millisecond)))
+			if violates(execution.Zone, execution.At) || violates(execution.ProxyZone, execution.At) {
+				result.add(fmt.Sprintf("%s in %s executed %s through %s in %s, %s after the drain", execution.Instance, execution.Zone, execution.Token, execution.Proxy, execution.ProxyZone, execution.At.Sub(drain.From).Round(time.Millisecond)))
 			}
 		}
 	}
--- a/internal/testsupport/checker/recovery.go
+++ b/internal/testsupport/checker/recovery.go
@@ -5,53 +5,53 @@
 	"time"
 )
 
-// restoreWithin is how soon every request must be answered once the machines are back: the bound
-// that the users set.
+// restoreWithin is the required time from the return of the last machine until every request is
+// answered.
 const restoreWithin = 15 * time.Second
 
-// changeAnsweredWithin is how soon a change must be answered after that.
+// changeAnsweredWithin is the time limit for the response to a change after restoreWithin.
 const changeAnsweredWithin = 5 * time.Second
 
-// MachinesRecovered records that the last machine is back.
+// MachinesRecovered records that the last failed machine is running again.
 func (c *Checker) MachinesRecovered(at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.recoveredAt = at
 }
 
-// unansweredAfterRecovery finds first attempts and changes that were not answered though the
-// machines had been back for over restoreWithin.
+// unansweredAfterRecovery finds first attempts and changes that were sent more than restoreWithin
+// after the recovery of the machines and not answered in time.
 func (c *Checker) unansweredAfterRecovery() RuleResult {
 	result := RuleResult{Rule: "not answered 15 s after the machines were back"}
 	for _, response := range c.responses {
-		if c.recoveredAt.IsZero() || response.Attempt != 1 || response.NoAnswerOwed || response.Sent.Sub(c.recoveredAt) <= restoreWithin {
+		if c.recoveredAt.IsZero() || response.Attempt != 1 || response.ResponseOptional || response.Sent.Sub(c.recoveredAt) <= restoreWithin {
 			continue
 		}
 		result.Judged++
 		if response.Class != ClassAnswered {
-			result.add(fmt.Sprintf("%s was %s by %s %s after", response.Token, response.Class, response.Proxy, response.Sent.Sub(c.recoveredAt).Round(time.Millisecond)))
+			result.add(fmt.Sprintf("%s was %s by %s %s after the recovery", response.Token, response.Class, response.Proxy, response.Sent.Sub(c.recoveredAt).Round(time.Millisecond)))
 		}
 	}
-	for _, change := range c.ledger.changes {
+	for _, change := range c.history.changes {
 		if c.recoveredAt.IsZero() || change.rejected || change.SentAt.Sub(c.recoveredAt) <= restoreWithin {
 			continue
 		}
 		result.Judged++
 		if change.Revision == 0 || change.AnsweredAt.Sub(change.SentAt) > changeAnsweredWithin {
-			result.add(fmt.Sprintf("change %s asked %s after, told %s later", change.ID, change.SentAt.Sub(c.recoveredAt).Round(time.Millisecond), change.AnsweredAt.Sub(change.SentAt)))
+			result.add(fmt.Sprintf("change %s was sent %s after the recovery and answered %s later", change.ID, change.SentAt.Sub(c.recoveredAt).Round(time.Millisecond), change.AnsweredAt.Sub(change.SentAt)))
 		}
 	}
 	return result
 }
 
-// Recovery returns how long after the machines were back the last unanswered first attempt was
-// sent; zero if all were answered.
-func (c *Checker) Recovery() time.Duration {
+// RecoveryTime returns how long after the recovery of the machines the last unanswered first attempt
+// was sent; zero if all were answered.
+func (c *Checker) RecoveryTime() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	last := time.Duration(0)
 	for _, response := range c.responses {
-		if !c.recoveredAt.IsZero() && response.Attempt == 1 && !response.NoAnswerOwed && response.Class != ClassAnswered {
+		if !c.recoveredAt.IsZero() && response.Attempt == 1 && !response.ResponseOptional && response.Class != ClassAnswered {
 			last = max(last, response.Sent.Sub(c.recoveredAt))
 		}
 	}
--- a/internal/testsupport/compat/folder_test.go
+++ b/internal/testsupport/compat/folder_test.go
@@ -18,19 +18,18 @@
 	"dunlinwell/internal/state/storage"
 )
 
-// writeFolder names where to write the folder. The committed one was written once,
-// by commit 1724ad4, and is not to be written anew:
-// a later format gets a folder of its own.
-var writeFolder = flag.String("write-folder", "", "write a data folder with today's code to this new path, and do nothing else")
+// writeFolder is the path of a data folder to write. The committed folder was written by commit
+// 1724ad4 and must not be rewritten: a later format gets a folder of its own.
+var writeFolder = flag.String("write-folder", "", "write a data folder with the current code to this path, which must not exist")
 
 const (
-	oldFolder    = "testdata/folder-1724ad4"
-	databaseName = "stockroom.db"
-	contentName  = "content.txt"
+	committedFolder = "testdata/folder-1724ad4"
+	databaseName    = "stockroom.db"
+	contentName     = "content.txt"
 )
 
-// content gives what a store's folder holds, as it is read through a store.
-func content(t *testing.T, disk *storage.Database) map[string]string {
+// readFolder returns the contents of a data folder, as a store reads them.
+func readFolder(t *testing.T, disk *storage.Database) map[string]string {
 	t.Helper()
 	is := is.New(t)
 	is.NoErr(consensus.CheckDisk(disk))
@@ -48,7 +47,7 @@
 	for i, v := range set.Voters {
 		got[fmt.Sprintf("voter %d", i)] = fmt.Sprintf("%x at %s", v.ID, v.Address)
 	}
-	for _, o := range sampleOthers(t) {
+	for _, o := range sampleRegisterOperations(t) {
 		got["value "+string(o.key)] = hex.EncodeToString(s.LocalValue(o.key))
 	}
 	for after := ids.RegisterKey(""); ; {
@@ -67,8 +66,8 @@
 	return got
 }
 
-// TestWriteFolder makes the folder that the next test reads: a store founded with
-// two others, given all sample orders.
+// TestWriteFolder writes a data folder with the current code: that of a store bootstrapped with two
+// others, after all sample operations. With -write-folder it keeps the folder.
 func TestWriteFolder(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
@@ -76,15 +75,15 @@
 		is.NoErr(os.Mkdir(*writeFolder, 0o750))
 		folder = *writeFolder
 	}
-	c := newCore(t, folder)
-	c.run(t, func() bool { return c.stores[coreAddresses[0]].MayVote() })
-	for _, o := range append(sampleChanges(), sampleOthers(t)...) {
-		c.order(t, o)
+	c := newCluster(t, folder)
+	c.run(t, func() bool { return c.stores[storeAddresses[0]].MayVote() })
+	for _, o := range append(sampleConfigurationOperations(), sampleRegisterOperations(t)...) {
+		c.execute(t, o)
 	}
 	c.close(t)
 	disk, err := storage.Open(folder)
 	is.NoErr(err)
-	got := content(t, disk)
+	got := readFolder(t, disk)
 	is.NoErr(disk.Close())
 	is.True(got["record diff/policy/00000000"] != "")
 	if *writeFolder != "" {
@@ -93,10 +92,11 @@
 	}
 }
 
-// A store takes up a folder that commit 1724ad4 wrote, and finds everything in it.
-func TestAStoreTakesUpAFolderOf1724ad4(t *testing.T) {
+// TestStore_ReadsFolderOf1724ad4 checks that a store reads everything in the data folder that commit
+// 1724ad4 wrote.
+func TestStore_ReadsFolderOf1724ad4(t *testing.T) {
 	is := is.New(t)
-	raw, err := os.ReadFile(filepath.Join(oldFolder, databaseName))
+	raw, err := os.ReadFile(filepath.Join(committedFolder, databaseName))
 	is.NoErr(err)
 	folder := t.TempDir()
 	is.NoErr(os.WriteFile(filepath.Join(folder, databaseName), raw, 0o600))
@@ -104,8 +104,8 @@
 	is.NoErr(err)
 	defer func() { is.NoErr(disk.Close()) }()
 	is.Equal(disk.SetAsidePath, "")
-	got := content(t, disk)
-	want := readGolden(t, filepath.Join(oldFolder, contentName))
+	got := readFolder(t, disk)
+	want := readGolden(t, filepath.Join(committedFolder, contentName))
 	is.Equal(len(got), len(want))
 	for name, text := range want {
 		if got[name] != text {
--- a/internal/testsupport/compat/policy_test.go
+++ b/internal/testsupport/compat/policy_test.go
@@ -10,9 +10,9 @@
 	"dunlinwell/internal/testsupport/memorydisk"
 )
 
-// The configuration goes to proxies whole without its history, or as what changed since
-// a revision; both lead to the same configuration.
-func TestConfigurationForProxies(t *testing.T) {
+// TestConfiguration_ProxyEncoding checks that the encodings of the configuration for proxies, whole
+// and as the changes since a revision, are unchanged and yield the same configuration.
+func TestConfiguration_ProxyEncoding(t *testing.T) {
 	is := is.New(t)
 	values, _ := writeSample(t, memorydisk.Disk{})
 	whole, err := configuration.Decode(values[configuration.Key])
@@ -20,11 +20,11 @@
 	older, err := configuration.Decode(nil)
 	is.NoErr(err)
 	ops := configuration.Ops()
-	var early []byte
-	for _, o := range sampleChanges()[:3] {
-		early, _ = ops[o.op](o.key, early, o.arg)
+	var value []byte
+	for _, o := range sampleConfigurationOperations()[:3] {
+		value, _ = ops[o.op](o.key, value, o.arg)
 	}
-	older, err = older.Advance(early)
+	older, err = older.Advance(value)
 	is.NoErr(err)
 	is.Equal(older.Revision, ids.Revision(3))
 	checkGolden(t, "policy.txt", map[string]string{
--- a/internal/testsupport/compat/records_test.go
+++ b/internal/testsupport/compat/records_test.go
@@ -15,9 +15,9 @@
 	"dunlinwell/internal/testsupport/memorydisk"
 )
 
-// writeSample has an acceptor accept the values that the sample orders lead to,
-// and gives those values and what was told of each order. Ballots count up from 1.
-func writeSample(t *testing.T, disk memorydisk.Disk) (values map[ids.RegisterKey][]byte, answers [][]byte) {
+// writeSample has an acceptor accept the results of the sample operations, with ballots from 1. It
+// returns the final values and the response to each operation.
+func writeSample(t *testing.T, disk memorydisk.Disk) (values map[ids.RegisterKey][]byte, responses [][]byte) {
 	t.Helper()
 	var out event.Outbox
 	acceptor := consensus.NewAcceptor(1, disk, &out)
@@ -28,13 +28,13 @@
 	acceptor.MarkComplete()
 	values = map[ids.RegisterKey][]byte{}
 	ops, count := store.Ops(), uint64(0)
-	for _, o := range append(sampleChanges(), sampleOthers(t)...) {
-		next, told := ops[o.op](o.key, values[o.key], o.arg)
-		if told == nil {
-			t.Fatalf("%s: nothing was told of %.80s", o.key, o.arg)
+	for _, o := range append(sampleConfigurationOperations(), sampleRegisterOperations(t)...) {
+		next, response := ops[o.op](o.key, values[o.key], o.arg)
+		if response == nil {
+			t.Fatalf("%s: no response to %.80s", o.key, o.arg)
 		}
 		values[o.key] = next
-		answers = append(answers, told)
+		responses = append(responses, response)
 		count++
 		ballot := ids.Ballot{Counter: count, Proposer: 1<<24 | 5}
 		acceptor.HandleAccept("10.0.0.2:1", consensus.Accept{Key: o.key, Ballot: ballot, NextBallot: ids.Ballot{Counter: count + 1, Proposer: ballot.Proposer}, VoterSetNumber: 3, Value: next})
@@ -44,16 +44,15 @@
 			}
 		}
 	}
-	return values, answers
+	return values, responses
 }
 
-// What a store keeps on disk has the keys and the bytes that it had: the voter
-// set, its standing, duties, idempotency keys, and the configuration as a base with
-// differences behind it, each with its checksum.
-func TestRecordsOnDisk(t *testing.T) {
+// TestRecords_Encoding checks that the keys and bytes of a store's records are unchanged: voter set,
+// disk state, leader elections, idempotency keys, and the configuration as a base with deltas.
+func TestRecords_Encoding(t *testing.T) {
 	is := is.New(t)
 	disk := memorydisk.Disk{}
-	values, answers := writeSample(t, disk)
+	values, responses := writeSample(t, disk)
 	got := map[string]string{}
 	for key, raw := range disk {
 		got["record "+string(key)] = hex.EncodeToString(raw)
@@ -61,15 +60,15 @@
 	for key, value := range values {
 		got["value "+string(key)] = hex.EncodeToString(value)
 	}
-	for i, answer := range answers {
+	for i, answer := range responses {
 		got[fmt.Sprintf("answer %02d", i)] = hex.EncodeToString(answer)
 	}
 	checkGolden(t, "records.txt", got)
 	is.True(strings.HasPrefix(got["record diff/policy/00000000"], "6477"))
 }
 
-// The golden records are read back to the golden values.
-func TestRecordsAreReadBack(t *testing.T) {
+// TestRecords_Decoding checks that an acceptor reads the golden values from the golden records.
+func TestRecords_Decoding(t *testing.T) {
 	is := is.New(t)
 	disk, values := memorydisk.Disk{}, map[ids.RegisterKey][]byte{}
 	for name, text := range readGolden(t, "testdata/records.txt") {
--- a/internal/testsupport/simulator/clients.go
+++ b/internal/testsupport/simulator/clients.go
@@ -104,9 +104,9 @@
 // sendRequest sends an attempt over a long-lived connection or to a proxy that the directory
 // returns.
 func (w *World) sendRequest(request *pendingRequest) {
-	response := checker.ClientResponse{Sent: w.wallTime(), Token: request.token, IdempotencyKey: string(request.idempotencyKey), Attempt: request.attempt, Class: checker.ClassUnreached, NoAnswerOwed: request.route.Name == blueprint.ReassignedRoute}
+	response := checker.ClientResponse{Sent: w.wallTime(), Token: request.token, IdempotencyKey: string(request.idempotencyKey), Attempt: request.attempt, Class: checker.ClassUnreached, ResponseOptional: request.route.Name == blueprint.ReassignedRoute}
 	if connection, ok := w.clients.connections[request.connection]; ok && w.now < connection.until && request.attempt == 1 {
-		response.Zone, response.Held = connection.zone, true
+		response.Zone, response.LongLived = connection.zone, true
 		w.deliver(request, response, connection.proxy)
 		return
 	}
@@ -134,9 +134,9 @@
 	if response.At.IsZero() {
 		response.At = w.wallTime()
 	}
-	w.Checker.RequestAnswered(response)
+	w.Checker.AttemptEnded(response)
 	// Clients drop broken connections.
-	if response.Held && (response.Class == checker.ClassUnreached || response.Class == checker.ClassLost) {
+	if response.LongLived && (response.Class == checker.ClassUnreached || response.Class == checker.ClassLost) {
 		delete(w.clients.connections, request.connection)
 	}
 	w.trace("%s attempt %d %s %s at %s", request.token, request.attempt, response.Class, response.Body, response.Proxy)
@@ -153,10 +153,10 @@
 // closeIfDrained closes a long-lived connection after a response if the proxy's zone is drained, as
 // the front end does, so that no further requests arrive on it.
 func (w *World) closeIfDrained(p *process, request *pendingRequest, response checker.ClientResponse) {
-	if !response.Held || !p.dispatchers.servingState.ZoneDrained && !w.Defect.CloseLongLivedConnections {
+	if !response.LongLived || !p.dispatchers.servingState.ZoneDrained && !w.Defect.CloseLongLivedConnections {
 		return
 	}
 	delete(w.clients.connections, request.connection)
 	// A proxy without a lease serves no requests and may not know that the zone was restored.
-	w.Checker.ConnectionClosed(checker.ClosedConnection{At: w.wallTime(), Proxy: p.name, Zone: p.zone, Why: "after a response", Excused: !p.dispatchers.servingState.LeaseValid})
+	w.Checker.ConnectionClosed(checker.ClosedConnection{At: w.wallTime(), Proxy: p.name, Zone: p.zone, Reason: "after a response", Excused: !p.dispatchers.servingState.LeaseValid})
 }
--- a/internal/testsupport/simulator/defect_test.go
+++ b/internal/testsupport/simulator/defect_test.go
@@ -28,7 +28,7 @@
 		lease  time.Duration
 		hot    bool
 	}{
-		"idempotency key claimed twice": {want: "run twice", defect: Defect{ReplacedOps: map[consensus.Op]consensus.ChangeFunc{idempotency.OpClaim: grantEveryClaim}}},
+		"idempotency key claimed twice": {want: "executed twice", defect: Defect{ReplacedOps: map[consensus.Op]consensus.ChangeFunc{idempotency.OpClaim: grantEveryClaim}}},
 		"change applied in part":        {want: "reads back as", defect: Defect{ReplacedOps: map[consensus.Op]consensus.ChangeFunc{configuration.OpChange: applyHalf}}},
 		"synced records lost": {want: "was known|reads back as|given to", defect: Defect{LoseSyncedRecords: true}, script: func(w *World) {
 			// All stores lose power at once, repeatedly.
@@ -45,19 +45,19 @@
 				p.Targets[i].Draining, p.Targets[i].Dead = false, false
 			}
 		})}},
-		"rejection of an executed request": {want: "for what ran", defect: Defect{AlterResponse: func(r dispatch.Response) dispatch.Response {
+		"rejection of an executed request": {want: "reported as rejected", defect: Defect{AlterResponse: func(r dispatch.Response) dispatch.Response {
 			if r.Class == dispatch.Unknown {
 				r.Class, r.Status = dispatch.Rejected, 503
 			}
 			return r
 		}}},
-		"response altered by proxy": {want: "not the target's own", defect: Defect{AlterResponse: func(r dispatch.Response) dispatch.Response {
+		"response altered by proxy": {want: "not from the target", defect: Defect{AlterResponse: func(r dispatch.Response) dispatch.Response {
 			if r.Class == dispatch.Answered {
 				r.TargetResponse.Body = append([]byte("x"), r.TargetResponse.Body...)
 			}
 			return r
 		}}},
-		"accepted change not adopted": {want: "that another was accepted over", defect: Defect{AlterMessage: alterPushes(func(p *distribution.Push) {
+		"accepted change not adopted": {want: "superseded over", defect: Defect{AlterMessage: alterPushes(func(p *distribution.Push) {
 			if p.Revision > 3 {
 				p.Configuration, p.Revision = nil, 3
 			}
@@ -67,26 +67,26 @@
 				p.Targets[i].Draining, p.Targets[i].Dead = false, false
 			}
 		})}},
-		"cold target overloaded": {want: "flooded", rate: 400, defect: Defect{SkipIdentityCheck: true, AlterMessage: alterPushes(func(p *distribution.Push) {
+		"cold target overloaded": {want: "loaded beyond", rate: 400, defect: Defect{SkipIdentityCheck: true, AlterMessage: alterPushes(func(p *distribution.Push) {
 			for i := range p.Targets {
 				p.Targets[i].Warmth, p.Targets[i].AgeMillis, p.Targets[i].Capacity = 1, 1e6, 200
 			}
 		})}},
-		"retry budget exceeded": {want: "retries past", script: loseResponsesLate, defect: Defect{AlterMessage: alterPushes(replaceInPush(`"allowance":10`, `"allowance":900`))}},
-		"idempotency records deleted early": {want: "run twice", defect: Defect{IdempotencyRetention: 300 * time.Millisecond}, script: func(w *World) {
+		"retry budget exceeded": {want: "retries over", script: loseResponsesLate, defect: Defect{AlterMessage: alterPushes(replaceInPush(`"allowance":10`, `"allowance":900`))}},
+		"idempotency records deleted early": {want: "executed twice", defect: Defect{IdempotencyRetention: 300 * time.Millisecond}, script: func(w *World) {
 			// Restart the stores, since proposers cache records that the disks deleted.
 			responsesLost(w)
 			w.repeat(time.Second, 900*time.Millisecond, 36, func(i int) { w.restartProcess(w.processes[i%3], 150*time.Millisecond) })
 		}},
 		// With an endless lease, partitioned proxies keep serving.
-		"zone drained during partition": {want: "emptied over", lease: time.Hour, script: zoneDrainedDuringPartition},
+		"zone drained during partition": {want: "drained over", lease: time.Hour, script: zoneDrainedDuringPartition},
 		// Partitioned proxies also keep silent targets and learn nothing from other proxies.
 		"dead target still used":       {want: "known gone or leaving", lease: time.Hour, script: declaredDeadButRunning, defect: Defect{AlterMessage: dropLeaseGossip}},
-		"route moved during partition": {want: "that another was accepted over", lease: time.Hour, rate: 200, script: configurationMovedDuringPartition, defect: Defect{AlterMessage: dropLeaseGossip}},
-		"long-lived connection closed": {want: "held circuit", hot: true, defect: Defect{CloseLongLivedConnections: true}},
+		"route moved during partition": {want: "superseded over", lease: time.Hour, rate: 200, script: configurationMovedDuringPartition, defect: Defect{AlterMessage: dropLeaseGossip}},
+		"long-lived connection closed": {want: "long-lived connection closed", hot: true, defect: Defect{CloseLongLivedConnections: true}},
 		"urgent routes moved first":    {want: "urgent route moved", hot: true, defect: Defect{AlterMessage: alterTables(func(t *spill.Table) { t.Moves = rotateRoutes(t.Moves) })}},
-		"far zones used first":         {want: "move to a far cell", hot: true, defect: Defect{AlterMessage: alterTables(func(t *spill.Table) { t.Moves = moveToFarZones(t.Moves) })}},
-		"other zones' traffic accepted first": {want: "before calling its own home", hot: true, defect: Defect{AlterMessage: alterTables(func(t *spill.Table) {
+		"far zones used first":         {want: "move to a far zone", hot: true, defect: Defect{AlterMessage: alterTables(func(t *spill.Table) { t.Moves = moveToFarZones(t.Moves) })}},
+		"other zones' traffic accepted first": {want: "took in others' traffic while", hot: true, defect: Defect{AlterMessage: alterTables(func(t *spill.Table) {
 			// Alternate, so that the checker observes the beginning of the moves.
 			if t.Number%4 >= 2 {
 				t.Moves = addOpposingMoves(t.Moves)
@@ -99,8 +99,8 @@
 		"blank store keeps its ID":              {want: "was known|reads back as|given to", defect: Defect{KeepStoreIDOnDiskLoss: true}, script: wipedAndRestarted},
 		"new seeds unreachable":                 {want: "can't be read", defect: Defect{UnreachableSeeds: true}, script: seedsReplacedThenMachines},
 		"client disconnects ignored":            {want: "after its client disconnected", script: clientsDisconnect, defect: Defect{IgnoreClientDisconnects: true}},
-		"reset reported as not sent":            {want: "run twice", defect: Defect{ReportResetAsNotSent: true}, script: connectionsReset},
-		"drained zone still served":             {want: "emptied", script: drainRepeatedly, defect: Defect{AlterMessage: alterPushes(replaceInPush(`"emptied":true`, `"emptied":false`))}},
+		"reset reported as not sent":            {want: "executed twice", defect: Defect{ReportResetAsNotSent: true}, script: connectionsReset},
+		"drained zone still served":             {want: "drained over", script: drainRepeatedly, defect: Defect{AlterMessage: alterPushes(replaceInPush(`"emptied":true`, `"emptied":false`))}},
 		"endless control lease: calls answered": {want: "partitioned, answered", script: Scenes["core-machine-1-cut-off-both-ways"], defect: Defect{ControlLease: time.Hour}},
 		"endless control lease: two planners":   {want: "have been planners for", script: Scenes["core-machine-1-cut-off-both-ways"], defect: Defect{ControlLease: time.Hour}},
 		"proxies without updates": {want: "15 s after", defect: Defect{AlterMessage: func(_, to string, msg any) (any, bool) {
@@ -120,7 +120,7 @@
 					p.Defect = c.defect
 				}
 				for _, k := range Run(p).Results {
-					found = found || k.Violations > 0 && pattern.MatchString(k.Rule+"\n"+strings.Join(k.More, "\n"))
+					found = found || k.Violations > 0 && pattern.MatchString(k.Rule+"\n"+strings.Join(k.Samples, "\n"))
 				}
 			}
 			is.True(found) // the planted defect is detected
--- a/internal/testsupport/simulator/hot_zones.go
+++ b/internal/testsupport/simulator/hot_zones.go
@@ -94,7 +94,7 @@
 // each zone's usage, so that it can check the order of moves. The open function reports whether a
 // zone may currently receive other zones' traffic.
 func (w *World) checkSpillOrder(open func(ids.Name) bool) {
-	order := checker.SpillOrder{Every: w.PlanEvery, Tier: map[ids.Name]int{}, Acceptable: map[ids.Name]float64{}, Distance: w.Plan.Distance}
+	order := checker.SpillOrder{PlanInterval: w.PlanEvery, Tier: map[ids.Name]int{}, Acceptable: map[ids.Name]float64{}, Distance: w.Plan.Distance}
 	tier := map[ids.Name]int{}
 	for _, pool := range w.Plan.Pools {
 		tier[pool.Service] = pool.Tier
--- a/internal/testsupport/simulator/overload_test.go
+++ b/internal/testsupport/simulator/overload_test.go
@@ -27,7 +27,7 @@
 // which a first attempt was rejected.
 func (w *World) answeredShares() (map[string]float64, time.Duration) {
 	answered, all, maxRejectTime := map[string]float64{}, map[string]float64{}, time.Duration(0)
-	w.Checker.Each(func(token string, attempt int, class string, took time.Duration) {
+	w.Checker.EachAttempt(func(token string, attempt int, class string, took time.Duration) {
 		route, _, _ := strings.Cut(token, ":")
 		if attempt != 1 {
 			return
--- a/internal/testsupport/simulator/target.go
+++ b/internal/testsupport/simulator/target.go
@@ -130,7 +130,7 @@
 func (t *target) execute(request *forwardedRequest, p *process, service ids.Name, sent, arrived ids.Time, timeLeft time.Duration, beforeDone func(), done func(idempotency.Response, bool)) {
 	t.inFlight++
 	execution := checker.Execution{
-		At: t.world.wallTime(), Sent: timeOf(sent), Instance: t.id, Service: t.service, Zone: t.zone, Token: request.requestToken, IdempotencyKey: string(request.IdempotencyKey), Attempt: request.attempt, AttemptHidden: request.Job.Attempt == 0,
+		At: t.world.wallTime(), Sent: timeOf(sent), Instance: t.id, Service: t.service, Zone: t.zone, Token: request.requestToken, IdempotencyKey: string(request.IdempotencyKey), Attempt: request.attempt, AttemptOmitted: request.Job.Attempt == 0,
 		DepartureKnownFor: t.departureKnownFor(arrived), Route: request.Route, TimeLeft: timeLeft, Proxy: p.name, ProxyZone: p.zone,
 	}
 	t.world.Checker.RequestExecuted(execution)
@@ -139,7 +139,7 @@
 		t.world.Checker.Violation("%s of %s received a request for %s", t.id, t.service, service)
 	}
 	if capacity := max(float64(t.capacity)*t.warmth(), 1); float64(t.inFlight) > 1.5*capacity+1 {
-		t.world.Checker.Overloaded("%s had %d concurrent requests at a capacity of %.1f, at %s", t.id, t.inFlight, capacity, time.Duration(t.world.now))
+		t.world.Checker.TargetOverloaded("%s had %d concurrent requests at a capacity of %.1f, at %s", t.id, t.inFlight, capacity, time.Duration(t.world.now))
 	}
 	generation := t.generation
 	body := fmt.Sprintf("%s/%s/%x", request.requestToken, t.id, t.world.random.Uint64())
--- a/internal/testsupport/testbed/clients.go
+++ b/internal/testsupport/testbed/clients.go
@@ -139,8 +139,8 @@
 	for attempt := 1; attempt <= maxAttempts && time.Now().Before(deadline); attempt++ {
 		response := c.sendOnce(r, attempt)
 		// Operators remove this route from time to time.
-		response.NoAnswerOwed = r.route.Name == blueprint.ReassignedRoute
-		c.Checker.RequestAnswered(response)
+		response.ResponseOptional = r.route.Name == blueprint.ReassignedRoute
+		c.Checker.AttemptEnded(response)
 		if response.Class == classMisused {
 			return
 		}
--- a/internal/testsupport/testbed/held_connections.go
+++ b/internal/testsupport/testbed/held_connections.go
@@ -73,12 +73,12 @@
 		r.token = fmt.Sprintf("%s-%d", name, n)
 		response, closes := c.sendAttempt(traced, client, r, proxy, resolved.zone, 1)
 		// The first request opens the connection, so it wasn't sent on a held one.
-		response.Held = n > 0
+		response.LongLived = n > 0
 		if n > 0 && !reused && response.Class != classUnreached {
 			c.connectionClosed(proxy, resolved.zone, "closed between two requests")
 			return
 		}
-		c.Checker.RequestAnswered(response)
+		c.Checker.AttemptEnded(response)
 		// On its own timeout the client closes the connection, such as after a request to
 		// a frozen target.
 		if strings.Contains(response.Problem, "Client.Timeout") {
@@ -99,5 +99,5 @@
 // connectionClosed reports the end of a held connection.
 func (c *Clients) connectionClosed(proxy string, zone ids.Name, why string) {
 	now := time.Now()
-	c.Checker.ConnectionClosed(checker.ClosedConnection{At: now, Proxy: proxy, Zone: zone, Why: why, Excused: c.Testbed.IsImpaired(proxy, now)})
+	c.Checker.ConnectionClosed(checker.ClosedConnection{At: now, Proxy: proxy, Zone: zone, Reason: why, Excused: c.Testbed.IsImpaired(proxy, now)})
 }
--- a/internal/testsupport/testbed/load.go
+++ b/internal/testsupport/testbed/load.go
@@ -30,10 +30,10 @@
 	counts := tb.Checker.CountByClass(since)
 	fmt.Fprintf(tb.Out, "\nresponses: %d answered, %d declined, %d unknown, %d lost, %d unreached; %d executions at targets\n",
 		counts[classAnswered], counts["declined"], counts["unknown"], counts[classLost], counts[classUnreached], counts["runs"])
-	within1s, requests := tb.Checker.ShareWithin(time.Second)
-	within5s, _ := tb.Checker.ShareWithin(5 * time.Second)
+	within1s, requests := tb.Checker.ShareAnsweredWithin(time.Second)
+	within5s, _ := tb.Checker.ShareAnsweredWithin(5 * time.Second)
 	fmt.Fprintf(tb.Out, "of %d requests, %.2f%% were answered within 1 s of the first attempt, %.2f%% within 5 s\n", requests, within1s*100, within5s*100)
-	fmt.Fprintf(tb.Out, "last failed first attempt: %s after the machines had recovered\n", tb.Checker.Recovery().Round(time.Millisecond))
+	fmt.Fprintf(tb.Out, "last failed first attempt: %s after the machines had recovered\n", tb.Checker.RecoveryTime().Round(time.Millisecond))
 	violations := 0
 	for _, c := range tb.Checker.Results() {
 		violations += c.Violations
@@ -45,6 +45,6 @@
 		fmt.Fprintf(tb.Out, "  %-62s %d in %d  %s\n", c.Rule, c.Violations, c.Judged, c.Sample)
 	}
 	tb.probes.print(tb)
-	fmt.Fprintf(tb.Out, "%d changes accepted, %d with unknown outcome\n", tb.Checker.Changes(), tb.Checker.OpenChanges())
+	fmt.Fprintf(tb.Out, "%d changes accepted, %d with unknown outcome\n", tb.Checker.AcceptedChanges(), tb.Checker.PendingChanges())
 	return violations
 }
--- a/internal/testsupport/testbed/load_watch.go
+++ b/internal/testsupport/testbed/load_watch.go
@@ -110,7 +110,7 @@
 // enableSpillOrderCheck makes the checker verify the order of spill-over moves against
 // the plan's configuration.
 func (tb *Testbed) enableSpillOrderCheck() {
-	order := checker.SpillOrder{Every: tb.PlanEvery, Tier: tb.routeRanks(), Distance: tb.Plan.Distance, Acceptable: map[ids.Name]float64{}}
+	order := checker.SpillOrder{PlanInterval: tb.PlanEvery, Tier: tb.routeRanks(), Distance: tb.Plan.Distance, Acceptable: map[ids.Name]float64{}}
 	for i := range tb.Zones {
 		order.Acceptable[tb.Plan.Zone(i)] = acceptableShare * tb.Plan.TargetLevel()
 	}
--- a/internal/testsupport/testbed/target_server.go
+++ b/internal/testsupport/testbed/target_server.go
@@ -105,7 +105,7 @@
 	}
 	// Concurrency slots are whole numbers, so one more than the fraction is allowed.
 	if float64(concurrent) > overloadFactor*warmCapacity+1 {
-		t.Checker.Overloaded("%s had %d concurrent requests with a capacity of %.1f", t.Instance, concurrent, warmCapacity)
+		t.Checker.TargetOverloaded("%s had %d concurrent requests with a capacity of %.1f", t.Instance, concurrent, warmCapacity)
 	}
 }
 
