--- a/internal/dataplane/proxy/doc.go
+++ b/internal/dataplane/proxy/doc.go
@@ -3,7 +3,7 @@
 //
 // It consists of two parts:
 //
-//   - [Control] is a state machine without I/O (event.Machine). It receives configuration and
+//   - [Control] is a state machine without I/O (event.StateMachine). It receives configuration and
 //     target updates from registries, maintains the proxy's lease, and sends every dispatcher
 //     the state of its service. The simulator runs the same code.
 //   - [Daemon] is the process around it: client listeners, the connection pool to targets, the
--- a/internal/testsupport/simulator/operators.go
+++ b/internal/testsupport/simulator/operators.go
@@ -29,7 +29,7 @@
 	// changeRecordsLost is set once all core disks, and with them the records of accepted changes,
 	// were lost.
 	changeRecordsLost bool
-	// routeFlipped is set once blueprint.FlippedRoute has been put.
+	// routeFlipped is set once blueprint.ReassignedRoute has been put.
 	routeFlipped bool
 }
 
