--- a/internal/app/daemon/supervise.go
+++ b/internal/app/daemon/supervise.go
@@ -25,7 +25,7 @@
 // NewSupervisor returns a supervisor that restarts failed services and logs their failures.
 func NewSupervisor(name string, log *process.Log) *suture.Supervisor {
 	return suture.New(name, suture.Spec{EventHook: func(e suture.Event) {
-		log.Event(event.LevelWarn, logSupervisor, "event", e.String())
+		log.Event(event.LevelWarn, logSupervisor, "detail", e.String())
 	}})
 }
 
