--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -14,7 +14,7 @@
 // violations.
 type RunCmd struct {
 	Plan         string        `help:"Deployment: small, cooperative or library." default:"small" enum:"small,cooperative,library" name:"plan"`
-	Dir          string        `help:"Folder for programs, data and logs." default:"testbed.out" name:"dir"`
+	Dir          string        `help:"Directory for programs, data and logs." default:"testbed.out" name:"dir"`
 	Duration     time.Duration `help:"Duration of the load." default:"120s" name:"for"`
 	Scenario     string        `help:"Fault scenario: grand (consecutive losses), worst (combined faults), swaps (replacement of all core machines), hot (one overloaded zone) or quiet (no faults)." default:"grand" enum:"grand,worst,swaps,hot,quiet" name:"play"`
 	Script       string        `help:"File with scheduled faults; see docs/testbed.md." xor:"faults" name:"script"`
@@ -22,8 +22,8 @@
 	Rate         float64       `help:"Requests per second; overrides the plan's." name:"rate"`
 	TargetLevel  float64       `help:"Target load of each zone, in ms of CPU time per second; overrides the plan's." name:"target"`
 	PlanInterval time.Duration `help:"Interval between spill-over plans." default:"5s" name:"plan-every"`
-	Bin          string        `help:"Folder of prebuilt daemons, to compare versions." name:"bin"`
-	OtherBin     string        `help:"Folder of prebuilt daemons for every second daemon, to test mixed versions." name:"other"`
+	Bin          string        `help:"Directory of prebuilt daemons, to compare versions." name:"bin"`
+	OtherBin     string        `help:"Directory of prebuilt daemons for every second daemon, to test mixed versions." name:"other"`
 }
 
 // The names of the built-in scenarios on the command line.
--- a/cmd/testbed/scale.go
+++ b/cmd/testbed/scale.go
@@ -19,14 +19,14 @@
 	scaletest.SizeFlags
 	SteadyPhase       time.Duration `help:"Duration of the steady phase." default:"10s" name:"for"`
 	PhaseTimeout      time.Duration `help:"Timeout of every other phase." default:"40s" name:"within"`
-	Interval          time.Duration `help:"Interval between announcements of each target." default:"2s" name:"interval"`
+	Interval          time.Duration `help:"Interval between heartbeats of each target." default:"2s" name:"interval"`
 	UsageRows         int           `help:"Number of routes in each proxy's usage report." default:"50" name:"rows"`
 	Changes           int           `help:"Number of configuration changes, each awaited on all proxies." default:"3" name:"changes"`
 	ProxiesPerProcess int           `help:"Number of simulated proxies per process." default:"100" name:"crew"`
-	Thrifty           bool          `help:"Registries push deltas of the target table; proxies share slots by zone and have an endless lease." name:"thrifty"`
-	Dir               string        `help:"Folder for data and logs." default:"testbed.out/hollow" name:"dir"`
-	Out               string        `help:"Folder for results and plots." default:"testbed.out" name:"out"`
-	Bin               string        `help:"Folder of prebuilt daemons." name:"bin"`
+	Thrifty           bool          `help:"Registries push deltas of the target table; proxies share slots by zone and have an unlimited lease." name:"thrifty"`
+	Dir               string        `help:"Directory for data and logs." default:"testbed.out/hollow" name:"dir"`
+	Out               string        `help:"Directory for results and plots." default:"testbed.out" name:"out"`
+	Bin               string        `help:"Directory of prebuilt daemons." name:"bin"`
 }
 
 // The loopback addresses are 127.220 to 127.249, selected by process ID, so that several
--- a/cmd/testbed/up.go
+++ b/cmd/testbed/up.go
@@ -12,7 +12,7 @@
 // UpCmd starts a fleet for manual tests, always at the same addresses.
 type UpCmd struct {
 	Plan string `help:"Deployment: small, cooperative or library." default:"small" enum:"small,cooperative,library" name:"plan"`
-	Dir  string `help:"Folder for programs, data and logs." default:"testbed.out" name:"dir"`
+	Dir  string `help:"Directory for programs, data and logs." default:"testbed.out" name:"dir"`
 }
 
 // Run starts the fleet, prints its addresses and waits for a signal.
--- a/internal/app/daemon/options.go
+++ b/internal/app/daemon/options.go
@@ -54,11 +54,11 @@
 // StoreOptions holds the options of a store.
 type StoreOptions struct {
 	settings.Common
-	DataDir  string `help:"Data folder; locked by this process." required:"" placeholder:"DIR" name:"data"`
+	DataDir  string `help:"Data directory; locked by this process." required:"" placeholder:"DIR" name:"data"`
 	Replicas int    `help:"Number of voters: 2n+1 to tolerate the loss of n disks." default:"3" name:"copies"`
 	// Bootstrap must be explicit: stores that lost their disks would otherwise bootstrap a
 	// new, empty fleet.
-	Bootstrap   bool          `help:"Bootstrap a new fleet. All seeds must have empty data folders and this flag." name:"bootstrap"`
+	Bootstrap   bool          `help:"Bootstrap a new fleet. All seeds must have empty data directories and this flag." name:"bootstrap"`
 	GracePeriod time.Duration `help:"Grace period after SIGTERM, in which the store is replaced as a voter or waits for a majority of other stores." default:"5s" name:"grace"`
 	Incremental bool          `help:"Synchronize membership lists by deltas; must be the same on all registries and stores." name:"thrifty"`
 }
--- a/internal/app/daemon/registry.go
+++ b/internal/app/daemon/registry.go
@@ -80,7 +80,7 @@
 	return &process.Transport{Address: ids.Address(options.Address), Bind: ids.Address(options.Bind), Log: log, Stats: &process.TrafficStats{}}
 }
 
-// deliverTo passes the messages that a transport receives to an owner.
+// deliverTo passes the messages that a transport receives to an event loop.
 func deliverTo(transport *process.Transport, owner *process.EventLoop) {
 	transport.Deliver = func(from ids.Address, msg any) { owner.Offer(event.Received{From: from, Message: msg}) }
 }
--- a/internal/dataplane/proxy/dispatchers.go
+++ b/internal/dataplane/proxy/dispatchers.go
@@ -142,7 +142,7 @@
 func (d *Daemon) executeDispatch(service ids.Name, command event.Command, request *pendingRequest) {
 	switch c := command.(type) {
 	case dispatch.IdempotencyCall:
-		// The owner's goroutine also steps dispatchers, so it must not block on its own queue.
+		// The event loop's goroutine also steps dispatchers, so it must not block on its own queue.
 		go d.owner.Put(IdempotencyRequest{service, c})
 	case dispatch.Forward:
 		go func() {
--- a/internal/testsupport/checker/checker.go
+++ b/internal/testsupport/checker/checker.go
@@ -25,7 +25,7 @@
 	// AttemptOmitted reports whether the client omitted the attempt number.
 	AttemptOmitted bool
 	// DepartureKnownFor is how long before the request arrived the control plane had learned that
-	// the target was leaving or gone; zero if it had not.
+	// the target was leaving or dead; zero if it had not.
 	DepartureKnownFor time.Duration
 	// Route is the route that the request's path matches.
 	Route ids.Name
@@ -94,7 +94,7 @@
 	history           ChangeHistory
 	spill             spillObservations
 	closedConnections []ClosedConnection
-	// departuresKnown counts targets that the control plane learned to be leaving or gone.
+	// departuresKnown counts targets that the control plane learned to be leaving or dead.
 	departuresKnown int
 	// RetryAllowance is the configured number of retries that each service may get in each
 	// retryWindow in addition to retryShare of its first requests.
@@ -118,7 +118,7 @@
 	c.responses = append(c.responses, response)
 }
 
-// TargetDepartureKnown records that the control plane learned that a target is leaving or gone.
+// TargetDepartureKnown records that the control plane learned that a target is leaving or dead.
 func (c *Checker) TargetDepartureKnown() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testsupport/checker/doc.go
+++ b/internal/testsupport/checker/doc.go
@@ -6,6 +6,6 @@
 // bug with them. It never drives a run: the simulator and the test bed each feed one Checker and
 // call Results at the end.
 //
-// Unit tests are beside the code. TestCheckersBite in the simulator injects defects to show that
-// each rule detects the fault that it is meant for.
+// Unit tests are beside the code. TestChecker_DetectsPlantedDefects in the simulator injects defects
+// to show that each rule detects the fault that it is meant for.
 package checker
--- a/internal/testsupport/checker/results.go
+++ b/internal/testsupport/checker/results.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// departedTargetGrace is how long after the control plane learns that a target is leaving or gone
+// departedTargetGrace is how long after the control plane learns that a target is leaving or dead
 // a proxy may still send to it: the time that a push needs to reach every serving proxy.
 const departedTargetGrace = 3 * time.Second
 
@@ -115,7 +115,7 @@
 }
 
 // sentToDeparted finds requests that reached a target more than departedTargetGrace after the
-// control plane learned that it was leaving or gone.
+// control plane learned that it was leaving or dead.
 func (c *Checker) sentToDeparted() RuleResult {
 	result := RuleResult{Rule: "request to a target known gone or leaving for 3 s", Judged: c.departuresKnown}
 	for _, execution := range c.executions {
