--- a/internal/app/daemon/exit.go
+++ b/internal/app/daemon/exit.go
@@ -16,7 +16,7 @@
 	exitStartError = 2
 )
 
-// StartError is the error of an option that can't be satisfied, such as a data folder that
+// StartError is the error of an option that can't be satisfied, such as a data directory that
 // another process has locked. The process exits with 2, as for an invalid flag.
 type StartError struct{ error }
 
--- a/internal/app/daemon/graceful_stop.go
+++ b/internal/app/daemon/graceful_stop.go
@@ -28,10 +28,10 @@
 
 // onSignal makes the store leave when the context is done, and ends serving after the grace
 // period at the latest.
-func (g *gracefulStop) onSignal(ctx context.Context, grace time.Duration, owner *process.EventLoop) {
+func (g *gracefulStop) onSignal(ctx context.Context, grace time.Duration, loop *process.EventLoop) {
 	context.AfterFunc(ctx, func() {
 		time.AfterFunc(grace+stopSlack, g.end)
-		owner.Put(store.Leave{GracePeriod: grace})
+		loop.Put(store.Leave{GracePeriod: grace})
 	})
 }
 
--- a/internal/app/daemon/recovery.go
+++ b/internal/app/daemon/recovery.go
@@ -30,7 +30,7 @@
 		api.WriteError(rw, http.StatusBadRequest, "accept_loss must be true: what only the lost disks held is lost")
 		return
 	}
-	d.owner.Put(store.RecoverRequest{})
+	d.eventLoop.Put(store.RecoverRequest{})
 	select {
 	case response := <-d.recoverResponses:
 		if response.Rejection != "" {
--- a/internal/app/daemon/registry.go
+++ b/internal/app/daemon/registry.go
@@ -35,7 +35,7 @@
 	}
 	var stopping atomic.Bool
 	handler := d.handler(&stopping)
-	services := []suture.Service{d.owner, NewTask("transport", func(ctx context.Context) error { return d.transport.Serve(ctx, peers) })}
+	services := []suture.Service{d.eventLoop, NewTask("transport", func(ctx context.Context) error { return d.transport.Serve(ctx, peers) })}
 	extra, err := d.extraServices()
 	if err != nil {
 		return err
@@ -52,7 +52,7 @@
 	options   RegistryOptions
 	log       *process.Log
 	machine   *registry.Registry
-	owner     *process.EventLoop
+	eventLoop *process.EventLoop
 	transport *process.Transport
 	server    *api.Server
 }
@@ -69,9 +69,9 @@
 		transport: newTransport(options.Common, log),
 		server:    &api.Server{Log: log.Event},
 	}
-	d.owner = process.NewEventLoop(d.machine, registryTick, d.execute)
-	d.server.Put = d.owner.Put
-	deliverTo(d.transport, d.owner)
+	d.eventLoop = process.NewEventLoop(d.machine, registryTick, d.execute)
+	d.server.Put = d.eventLoop.Put
+	deliverTo(d.transport, d.eventLoop)
 	return d
 }
 
@@ -81,8 +81,8 @@
 }
 
 // deliverTo passes the messages that a transport receives to an event loop.
-func deliverTo(transport *process.Transport, owner *process.EventLoop) {
-	transport.Deliver = func(from ids.Address, msg any) { owner.Offer(event.Received{From: from, Message: msg}) }
+func deliverTo(transport *process.Transport, loop *process.EventLoop) {
+	transport.Deliver = func(from ids.Address, msg any) { loop.Offer(event.Received{From: from, Message: msg}) }
 }
 
 // execute executes a command of the state machine.
@@ -133,7 +133,7 @@
 	serving, end := context.WithCancel(context.Background())
 	context.AfterFunc(ctx, func() {
 		time.AfterFunc(registryStopGrace, end)
-		d.owner.Put(registry.Stopping{})
+		d.eventLoop.Put(registry.Stopping{})
 	})
 	return serving, end
 }
--- a/internal/app/daemon/store.go
+++ b/internal/app/daemon/store.go
@@ -21,7 +21,7 @@
 const storeTick = 20 * time.Millisecond
 
 // RunStore runs a store until the context is done. If the store detects that its disk was
-// replaced by another one in the fleet, its data folder is set aside and the store rejoins
+// replaced by another one in the fleet, its data directory is set aside and the store rejoins
 // with an empty one.
 func RunStore(ctx context.Context, options StoreOptions) error {
 	for {
@@ -37,7 +37,7 @@
 	}
 }
 
-// runStore runs a store on its data folder until the context is done or the store's disk
+// runStore runs a store on its data directory until the context is done or the store's disk
 // was replaced.
 func runStore(ctx context.Context, options StoreOptions) (replaced bool, err error) {
 	ctx, retire := context.WithCancel(ctx)
@@ -50,7 +50,7 @@
 	// Everything that was reported as synced is already on disk.
 	defer func() { _ = database.Close() }()
 	d := newStoreDaemon(options, log, database, retire)
-	d.stop.onSignal(ctx, options.GracePeriod, d.owner)
+	d.stop.onSignal(ctx, options.GracePeriod, d.eventLoop)
 	peers, httpListener, err := openListeners(d.transport, options.HTTPListenAddress())
 	if err != nil {
 		return false, err
@@ -59,11 +59,11 @@
 	handler := d.handler(&stopping)
 	err = serveUntilStopped(ctx, "store", log, &stopping,
 		func() error { return api.Serve(d.stop.serving, httpListener, handler, httpStopGrace) },
-		d.owner, d.committer, NewTask("transport", func(ctx context.Context) error { return d.transport.Serve(ctx, peers) }))
+		d.eventLoop, d.committer, NewTask("transport", func(ctx context.Context) error { return d.transport.Serve(ctx, peers) }))
 	return d.replaced.Load(), err
 }
 
-// openDatabase opens the data folder. If the database is damaged, it is set aside and an
+// openDatabase opens the data directory. If the database is damaged, it is set aside and an
 // empty one is opened.
 func openDatabase(dir string, log *process.Log) (*storage.Database, error) {
 	database, err := storage.OpenChecked(dir, func(d *storage.Database) error { return consensus.CheckDisk(d) })
@@ -81,7 +81,7 @@
 	options   StoreOptions
 	log       *process.Log
 	machine   *store.Store
-	owner     *process.EventLoop
+	eventLoop *process.EventLoop
 	transport *process.Transport
 	committer *committer
 	stop      *gracefulStop
@@ -104,11 +104,11 @@
 		committer:        &committer{database: database, log: log, queue: make(chan event.Sync, commitQueueLength)},
 		recoverResponses: make(chan store.RecoverResponse, 1),
 	}
-	d.owner = process.NewEventLoop(d.machine, storeTick, d.stop.interceptMayStop(d.execute))
+	d.eventLoop = process.NewEventLoop(d.machine, storeTick, d.stop.interceptMayStop(d.execute))
 	d.committer.execute = d.execute
-	d.committer.onSynced = func(s event.Synced) { d.owner.Put(s) }
+	d.committer.onSynced = func(s event.Synced) { d.eventLoop.Put(s) }
 	database.OnReadError = d.committer.fatal
-	deliverTo(d.transport, d.owner)
+	deliverTo(d.transport, d.eventLoop)
 	return d
 }
 
--- a/internal/dataplane/proxy/daemon.go
+++ b/internal/dataplane/proxy/daemon.go
@@ -24,7 +24,7 @@
 	Options   DaemonOptions
 	self      membership.Member
 	log       *process.Log
-	owner     *process.EventLoop
+	eventLoop *process.EventLoop
 	transport *process.Transport
 	pool      connectionPool
 	memory    memoryBudget
@@ -64,10 +64,10 @@
 		membership.Options{Self: d.self, Seeds: options.SeedAddresses(), Incremental: options.ByZone},
 		ControlOptions{Lease: options.Lease, SlotLayout: options.SlotLayout},
 	)
-	d.owner = process.NewEventLoop(&stepRecorder{control, d}, tickInterval, d.execute)
+	d.eventLoop = process.NewEventLoop(&stepRecorder{control, d}, tickInterval, d.execute)
 	d.transport = &process.Transport{
 		Address: ids.Address(options.Address), Bind: ids.Address(options.Bind), Log: d.log, Stats: &process.TrafficStats{},
-		Deliver: func(from ids.Address, msg any) { d.owner.Offer(event.Received{From: from, Message: msg}) },
+		Deliver: func(from ids.Address, msg any) { d.eventLoop.Offer(event.Received{From: from, Message: msg}) },
 	}
 	d.configureProtocols()
 	d.router.Store(newRouter(emptyConfiguration().View()))
--- a/internal/dataplane/proxy/dispatchers.go
+++ b/internal/dataplane/proxy/dispatchers.go
@@ -143,7 +143,7 @@
 	switch c := command.(type) {
 	case dispatch.IdempotencyCall:
 		// The event loop's goroutine also steps dispatchers, so it must not block on its own queue.
-		go d.owner.Put(IdempotencyRequest{service, c})
+		go d.eventLoop.Put(IdempotencyRequest{service, c})
 	case dispatch.Forward:
 		go func() {
 			start := time.Now()
--- a/internal/dataplane/proxy/run.go
+++ b/internal/dataplane/proxy/run.go
@@ -49,11 +49,11 @@
 		return err
 	}
 	supervisor := daemon.NewSupervisor("proxy", d.log)
-	supervisor.Add(d.owner)
+	supervisor.Add(d.eventLoop)
 	supervisor.Add(daemon.NewTask("transport", func(c context.Context) error { return d.transport.Serve(c, wire) }))
 	supervisor.Add(daemon.NewTask("timers", d.runTimers))
 	supervisor.Add(daemon.NewTask("delay probe", func(c context.Context) error {
-		return d.delayProbe.run(c, func() { d.owner.Put(probeReturned{}) })
+		return d.delayProbe.run(c, func() { d.eventLoop.Put(probeReturned{}) })
 	}))
 	// The background tasks outlive ctx, since requests in flight need them.
 	background, stopBackground := context.WithCancel(context.Background())
@@ -67,7 +67,7 @@
 	go func() {
 		<-ctx.Done()
 		d.stopping.Store(true)
-		d.owner.Put(Stopping{})
+		d.eventLoop.Put(Stopping{})
 		d.log.Event(event.LevelInfo, logStopping)
 	}()
 	err = d.serveListeners(ctx, pages)
@@ -139,7 +139,7 @@
 		case <-report.C:
 			d.pool.closeExpired()
 			d.pool.raiseRecentIdleLimit()
-			d.owner.Put(d.meter.takeSample())
+			d.eventLoop.Put(d.meter.takeSample())
 			d.logFailures()
 			d.logMessageDelay()
 		}
